--- /dev/null
+++ b/crates/membership/tests/fixed_bytes.rs
@@ -0,0 +1,113 @@
+//! Datagrams have the bytes that release 0.2.0 (commit 22d0bb6) wrote, and are read back to the same.
+
+use foca::{Codec, Header, Member, Message, PostcardCodec, State};
+use meadowstream_membership::Id;
+use meadowstream_membership::envelope::{Kind, Sealer};
+use meadowstream_membership::exchange::{BUCKETS, Exchange, What, digest};
+use meadowstream_wire_fixtures::Fixtures;
+
+const PACKET_MAX: usize = 1_400;
+const INCARNATION: u64 = 1_700_000_000_000_000_000;
+
+fn fixtures() -> Fixtures {
+    Fixtures::load(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/datagrams.txt"))
+}
+
+fn sealer() -> Sealer {
+    Sealer::new("quiz", b"sixteen byte key", PACKET_MAX)
+}
+
+fn id(name: &str, port: u16) -> Id {
+    Id { name: name.into(), addr: ([127, 0, 0, 1], port).into(), incarnation: INCARNATION + u64::from(port) }
+}
+
+fn swim_messages() -> Vec<(&'static str, Message<Id>)> {
+    let (origin, target) = (id("a", 1), id("b", 2));
+    vec![
+        ("swim-ping", Message::Ping(7)),
+        ("swim-ack", Message::Ack(7)),
+        ("swim-ping-request", Message::PingReq { target, probe_number: 8 }),
+        ("swim-indirect-ping", Message::IndirectPing { origin: origin.clone(), probe_number: 8 }),
+        ("swim-indirect-ack", Message::IndirectAck { target: origin.clone(), probe_number: 8 }),
+        ("swim-forwarded-ack", Message::ForwardedAck { origin, probe_number: 8 }),
+        ("swim-announce", Message::Announce),
+        ("swim-feed", Message::Feed),
+        ("swim-gossip", Message::Gossip),
+        ("swim-broadcast", Message::Broadcast),
+        ("swim-turn-undead", Message::TurnUndead),
+    ]
+}
+
+/// A header of foca's with one member's state behind it, as foca lays a packet out.
+fn swim_body(message: Message<Id>) -> Vec<u8> {
+    let header = Header { src: id("a", 1), src_incarnation: 3, dst: id("b", 2), message };
+    let mut body = Vec::new();
+    let mut codec = PostcardCodec;
+    Codec::<Id>::encode_header(&mut codec, &header, &mut body).unwrap();
+    codec.encode_member(&Member::new(id("c", 3), 4, State::Suspect), &mut body).unwrap();
+    body
+}
+
+fn exchanges() -> Vec<(&'static str, Exchange)> {
+    let held = |port, state| Member::new(id("held", port), 5, state);
+    let all = vec![held(5, State::Alive), held(6, State::Suspect), held(7, State::Down)];
+    let marks: Vec<u32> = (0..BUCKETS as u32).map(|bucket| bucket * 0x0101_0101).collect();
+    let exchange = |what| Exchange { from: id("a", 1), what };
+    vec![
+        ("exchange-digest", exchange(What::Digest(marks))),
+        ("exchange-members", exchange(What::Members { want: 1 << 40, members: all })),
+        ("exchange-held", exchange(What::Held(held(9, State::Down)))),
+    ]
+}
+
+#[test]
+fn datagrams_have_the_bytes_of_release_0_2() {
+    let seal = |kind, body: Vec<u8>| sealer().seal(kind, INCARNATION, 300, &body).unwrap();
+    let swim = swim_messages().into_iter().map(|(name, one)| (name, seal(Kind::Swim, swim_body(one))));
+    let exchange = exchanges().into_iter().map(|(name, one)| (name, seal(Kind::Exchange, one.encode())));
+    let shared = [("shared-state", seal(Kind::State, b"carried as it is".to_vec()))];
+    let samples: Vec<(&str, Vec<u8>)> = swim.chain(exchange).chain(shared).collect();
+    fixtures().verify(&samples);
+}
+
+#[test]
+fn recorded_datagrams_are_read_and_sealed_to_the_same_bytes() {
+    let fixtures = fixtures();
+    let sealer = sealer();
+    let names = swim_messages().into_iter().map(|(name, _)| name);
+    for name in names.chain(exchanges().into_iter().map(|(name, _)| name)).chain(["shared-state"]) {
+        let datagram = fixtures.bytes(name);
+        let opened = sealer.open(datagram).unwrap();
+        assert_eq!((opened.incarnation, opened.sequence), (INCARNATION, 300), "{name}");
+        let again = sealer.seal(opened.kind, opened.incarnation, opened.sequence, opened.body).unwrap();
+        assert_eq!(again, datagram, "{name}");
+    }
+    for (name, exchange) in exchanges() {
+        let opened = sealer.open(fixtures.bytes(name)).unwrap();
+        assert_eq!(Exchange::decode(opened.body), Some(exchange), "{name}");
+    }
+}
+
+#[test]
+fn recorded_packets_of_swim_are_read_as_their_message() {
+    let fixtures = fixtures();
+    for (name, message) in swim_messages() {
+        let opened = sealer().open(fixtures.bytes(name)).unwrap();
+        let mut rest = opened.body;
+        let mut codec = PostcardCodec;
+        let header: Header<Id> = Codec::<Id>::decode_header(&mut codec, &mut rest).unwrap();
+        assert_eq!(header.message, message, "{name}");
+        let member: Member<Id> = codec.decode_member(&mut rest).unwrap();
+        assert_eq!((member.id().addr.port(), member.state()), (3, State::Suspect), "{name}");
+        assert!(rest.is_empty(), "{name}");
+    }
+}
+
+/// Views are compared by these marks between servers of different releases.
+#[test]
+fn the_digest_of_a_view_has_the_marks_of_release_0_2() {
+    let members = [id("a", 1), id("b", 2), id("c", 3)];
+    let marks: Vec<u8> = digest(members.iter()).into_iter().flat_map(u32::to_le_bytes).collect();
+    let path = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/digest.txt");
+    Fixtures::load(path).verify(&[("digest-of-three", marks)]);
+}
--- /dev/null
+++ b/crates/options/tests/outside_names.rs
@@ -0,0 +1,158 @@
+//! Names that operators write are those of release 0.2.0 (commit 22d0bb6): each is still in the schema with
+//! its type and default, and a file that uses every one of them is read with the same meaning.
+
+use meadowstream_fair::Settings;
+use meadowstream_options::replication::{overlay_replicated, read_change};
+use meadowstream_options::{By, Options, Origin, PlanFile, Tenants};
+use meadowstream_rollout::plan::{OnWorse, Size, Thresholds};
+use meadowstream_rollout::wire::Kind;
+use roxmltree::{Document, Node};
+use std::collections::BTreeSet;
+use std::path::Path;
+
+const SCHEMA: &str = include_str!("../../../deploy/meadowstream.xsd");
+const RECORDED: &str = include_str!("fixtures/schema-names.txt");
+const EVERY_OPTION: &str = include_str!("fixtures/every-option.xml");
+const MILLISECOND: u64 = 1_000_000;
+
+/// One line for each element, attribute and choice of the schema, in the form of the fixture.
+fn schema_lines(node: Node, path: &[String], lines: &mut BTreeSet<String>) {
+    for child in node.children().filter(Node::is_element) {
+        let given = |name: &str| child.attribute(name).unwrap_or("-");
+        let deeper = |step: String| [path, &[step]].concat();
+        match (child.tag_name().name(), child.attribute("name")) {
+            ("element", Some(name)) => {
+                let path = deeper(name.to_string());
+                let (kind, least, most) = (given("type"), given("minOccurs"), given("maxOccurs"));
+                lines.insert(format!("element {} type={kind} min={least} max={most}", path.join("/")));
+                schema_lines(child, &path, lines);
+            }
+            ("complexType", Some(name)) => schema_lines(child, &deeper(format!("type:{name}")), lines),
+            ("attribute", Some(name)) => {
+                let (kind, needed, usual) = (given("type"), given("use"), given("default"));
+                let at = path.join("/");
+                lines.insert(format!("attribute {at} @{name} type={kind} use={needed} default={usual}"));
+                schema_lines(child, &deeper(format!("@{name}")), lines);
+            }
+            ("enumeration", _) => {
+                lines.insert(format!("choice {} {}", path.join("/"), given("value")));
+            }
+            _ => schema_lines(child, path, lines),
+        }
+    }
+}
+
+#[test]
+fn every_name_of_the_schema_is_still_there() {
+    let schema = Document::parse(SCHEMA).unwrap();
+    let mut lines = BTreeSet::new();
+    schema_lines(schema.root_element(), &[], &mut lines);
+    for recorded in RECORDED.lines() {
+        assert!(lines.contains(recorded), "{recorded} is not in the schema any more");
+    }
+}
+
+#[test]
+fn tenants_tokens_calls_and_control_mean_the_same() {
+    let options = Options::read(EVERY_OPTION).unwrap();
+    let Tenants { by, origin, surplus_value, shown, fair } = options.tenants.unwrap();
+    assert_eq!((by, origin), (By::Field("venue".into()), Origin::Sender));
+    assert_eq!((surplus_value, shown), (0.25, 9));
+    let Settings { accounts, cells, origins, promises, names, weight, .. } = fair;
+    assert_eq!((accounts, cells, origins, promises), (5_000, 70_000, 300, 17_000));
+    assert_eq!((names, weight), (2048.0, 2.0));
+    assert_eq!(fair.at_once, 16_000 * MILLISECOND);
+    assert_eq!(fair.probation, 2_100 * MILLISECOND);
+    assert_eq!(fair.late, 510 * MILLISECOND);
+    assert_eq!(fair.named.to_vec(), [(b"arms-park".to_vec(), 10.0), (b"rodney-parade".to_vec(), 2.0)]);
+    let tokens = options.tokens.unwrap();
+    assert_eq!((tokens.field.as_str(), tokens.entries, tokens.result_bytes), ("key", 5_001, 2_048 << 10));
+    assert_eq!(options.left_out.as_deref(), Some("nothing"));
+    assert_eq!(options.reference, Some(0.85));
+}
+
+#[test]
+fn membership_means_the_same() {
+    let membership = Options::read(EVERY_OPTION).unwrap().membership.unwrap();
+    assert_eq!(membership.bind, "127.0.0.1:7946".parse().unwrap());
+    assert_eq!(membership.advertise, Some("127.0.0.2:7947".parse().unwrap()));
+    assert_eq!((membership.name.as_deref(), membership.fleet.as_str()), (Some("s1"), "quiz"));
+    assert_eq!(membership.key_file, Path::new("fleet.key"));
+    assert_eq!(membership.seeds, ["127.0.0.1:7948".parse().unwrap()]);
+    assert_eq!(membership.probe_period, 900 * MILLISECOND);
+    assert_eq!(membership.probe_rtt, 300 * MILLISECOND);
+    assert_eq!((membership.suspicion_multiplier, membership.expected_members), (5, 690));
+    assert_eq!(membership.gossip_period, 210 * MILLISECOND);
+    assert_eq!(membership.announce_period, 11_000 * MILLISECOND);
+    assert_eq!(membership.bytes_a_second, 190_000);
+}
+
+#[test]
+fn shared_state_means_the_same() {
+    let shared = Options::read(EVERY_OPTION).unwrap().shared_state.unwrap();
+    assert_eq!(shared.gossip, 510 * MILLISECOND);
+    let budget = shared.budget.unwrap();
+    assert_eq!((budget.name.as_str(), budget.total, budget.floor, budget.servers), ("records", 400, 3, 8));
+    assert_eq!((budget.lease, budget.use_most), (4_100 * MILLISECOND, 1_100 * MILLISECOND));
+    assert_eq!(budget.voters, ["s1"]);
+    let tier = shared.tier.unwrap();
+    assert_eq!((tier.reports, tier.share_thousandths, tier.expiry), (3, 250, 5_100 * MILLISECOND));
+    assert_eq!(tier.services, [("r1".to_string(), "127.0.0.1:8900".parse().unwrap())]);
+}
+
+#[test]
+fn rollout_and_replication_mean_the_same() {
+    let options = Options::read(EVERY_OPTION).unwrap();
+    let rollout = options.rollout.unwrap();
+    assert_eq!((rollout.candidate.as_path(), rollout.servers), (Path::new("next.xml"), 9));
+    assert_eq!(rollout.program.as_deref(), Some(Path::new("next")));
+    assert_eq!((rollout.voters, rollout.lease), (vec!["s2".to_string()], 4_200 * MILLISECOND));
+    let replication = options.replication.unwrap();
+    assert_eq!((replication.region.as_str(), replication.zone.as_str()), ("west", "w1"));
+    assert_eq!((replication.file.as_path(), replication.replicas), (Path::new("state"), vec!["c0".into()]));
+    assert_eq!((replication.pull_period, replication.lease), (520 * MILLISECOND, 4_300 * MILLISECOND));
+    assert_eq!((replication.bytes_a_second, replication.stale_after), (13_000, 61_000 * MILLISECOND));
+}
+
+const PLAN: &str = r#"<plan xmlns="urn:meadowstream:options:1" name="lower" candidate="next.xml" on-worse="stop"
+  interval-ms="500" settled-ms="5100" warm-up-ms="70" patience-ms="31000" throttled="0.03" errored="0.04"
+  late="0.05" latency="0.5" alpha="0.02">
+  <stage servers="1" bake-ms="60000"/>
+  <stage share="0.5" bake-ms="61000"/>
+</plan>"#;
+
+#[test]
+fn plans_mean_the_same() {
+    let PlanFile { candidate, plan } = PlanFile::read(PLAN).unwrap();
+    assert_eq!((candidate.as_path(), plan.name.as_str()), (Path::new("next.xml"), "lower"));
+    assert_eq!((plan.kind, plan.on_worse), (Kind::Settings, OnWorse::Stop));
+    assert_eq!((plan.interval, plan.settled), (500 * MILLISECOND, 5_100 * MILLISECOND));
+    assert_eq!((plan.warm_up, plan.patience), (70 * MILLISECOND, 31_000 * MILLISECOND));
+    let expected = Thresholds { throttled: 0.03, errored: 0.04, late: 0.05, latency: 0.5, alpha: 0.02 };
+    assert_eq!(plan.thresholds, expected);
+    let stages: Vec<_> = plan.stages.iter().map(|stage| (stage.size, stage.bake)).collect();
+    let (first, second) = (Size::Servers(1), Size::Share(0.5));
+    assert_eq!(stages, [(first, 60_000 * MILLISECOND), (second, 61_000 * MILLISECOND)]);
+    let program = PLAN.replace("candidate=\"next.xml\" on-worse=\"stop\"", "program=\"next\"");
+    let plan = PlanFile::read(&program).unwrap().plan;
+    assert_eq!((plan.kind, plan.on_worse), (Kind::Program, OnWorse::RollBack));
+}
+
+#[test]
+fn changes_and_replicated_keys_mean_the_same() {
+    let change = r#"<change xmlns="urn:meadowstream:options:1">
+      <set key="control/reference" value="0.8"/>
+      <set key="tenants/tenant/arms-park" value="3"/>
+      <set key="shared-state/budget/total" value="500"/>
+      <remove key="tenants/tenant/gone"/>
+    </change>"#;
+    let changes = read_change(change).unwrap();
+    let set: Vec<(&str, &str)> =
+        changes.iter().filter_map(|(key, value)| Some((key.as_str(), value.as_deref()?))).collect();
+    assert_eq!((changes.len(), set.len()), (4, 3));
+    let mut options = Options::read(EVERY_OPTION).unwrap();
+    overlay_replicated(&mut options, set.into_iter()).unwrap();
+    assert_eq!(options.reference, Some(0.8));
+    assert_eq!(options.shared_state.unwrap().budget.unwrap().total, 500);
+    assert_eq!(options.tenants.unwrap().fair.named[0], (b"arms-park".to_vec(), 3.0));
+}
--- /dev/null
+++ b/crates/replication/tests/fixed_bytes.rs
@@ -0,0 +1,154 @@
+//! Messages and stored files have the bytes that release 0.2.0 (commit 22d0bb6) wrote, and are read back to
+//! the same. A server's last good revision and a replica's checkpoint are files of one form.
+
+use meadowstream_replication::history::Snapshot;
+use meadowstream_replication::message::{Fresh, Location, Message, Report, Ticket};
+use meadowstream_replication::replica::Saved;
+use meadowstream_replication::revision::{Change, Entry, Position, Revision};
+use meadowstream_replication::state::State;
+use meadowstream_replication::store;
+use meadowstream_wire_fixtures::Fixtures;
+
+const AT: Position = Position { epoch: 3, number: 300 };
+
+/// A content with a key set, one set twice and one removed.
+fn state() -> State {
+    let mut state = State::default();
+    state.apply(&[
+        Change::set("control/reference", "0.8"),
+        Change::set("tenants/tenant/arms-park", "2"),
+        Change::set("tenants/tenant/gone", "1"),
+    ]);
+    state.apply(&[Change::set("control/reference", "0.85"), Change::remove("tenants/tenant/gone")]);
+    state
+}
+
+fn revision() -> Revision {
+    Revision { at: AT, hash: state().hash() }
+}
+
+fn entry(number: u64, partial: bool) -> Entry {
+    let changes = vec![Change::set("tenants/tenant/a", "3"), Change::remove("tenants/tenant/b")];
+    let revision = Revision { at: Position { epoch: 4, number }, hash: state().hash() };
+    Entry { revision, changes, partial }
+}
+
+fn ticket() -> Ticket {
+    Ticket { from: "publish-00c0ffee".into(), number: 2 }
+}
+
+fn location() -> Location {
+    Location { region: "west".into(), zone: "w1".into() }
+}
+
+fn messages() -> Vec<(&'static str, Message)> {
+    let entries = vec![entry(301, true), entry(302, false)];
+    let pairs = vec![("control/reference".into(), "0.85".into()), ("tenants/tenant/a".into(), "3".into())];
+    let after = Some("control/reference".into());
+    let refused = Some((299, "tenants/tenant/: the options name no <tenants>".to_string()));
+    let report = Report { in_force: 298, held: 300, refused };
+    let neighbours = vec!["s1".to_string(), "s2".to_string()];
+    let have = |asks, neighbours| Message::Have {
+        number: 300,
+        fresh: Fresh { at_ms: 1_700_000_000_000, number: 300 },
+        location: location(),
+        neighbours,
+        asks,
+    };
+    vec![
+        ("have", have(true, neighbours)),
+        ("have-nobody", have(false, Vec::new())),
+        (
+            "entries",
+            Message::Entries {
+                entries: entries.clone(),
+                publisher: Some("c0".into()),
+                pushed: true,
+                newest: 302,
+            },
+        ),
+        ("offer", Message::Offer { checkpoint: revision(), newest: 302 }),
+        ("fetch", Message::Fetch { checkpoint: 300, after: after.clone() }),
+        ("fetch-first", Message::Fetch { checkpoint: 300, after: None }),
+        ("chunk", Message::Chunk { checkpoint: 300, after, pairs, last: true }),
+        ("report", Message::Report { report, location: location() }),
+        ("ask-report", Message::AskReport),
+        ("prepare", Message::Prepare { epoch: 5, after: 300 }),
+        ("promise", Message::Promise { epoch: 5, last: AT, after: 299, entries: entries.clone() }),
+        ("refuse", Message::Refuse { promised: 6 }),
+        ("append", Message::Append { epoch: 5, previous: AT, entries, committed: 299 }),
+        ("appended", Message::Appended { epoch: 5, number: 301 }),
+        ("missing", Message::Missing { epoch: 5, agrees: 298 }),
+        (
+            "submit",
+            Message::Submit {
+                ticket: ticket(),
+                part: 1,
+                parts: 2,
+                changes: vec![Change::set("tenants/tenant/a", "3")],
+            },
+        ),
+        ("revert", Message::Revert { ticket: ticket(), number: 299 }),
+        ("submitted", Message::Submitted { ticket: ticket(), outcome: Ok(303) }),
+        ("submitted-refused", Message::Submitted { ticket: ticket(), outcome: Err("no".into()) }),
+        ("not-publisher", Message::NotPublisher { ticket: ticket(), publisher: Some("c1".into()) }),
+        ("ask-status", Message::AskStatus { ticket: ticket() }),
+        (
+            "status",
+            Message::Status {
+                ticket: ticket(),
+                number: 303,
+                members: 40,
+                in_force: 38,
+                waiting: vec![("s9".into(), 298, "refused".into())],
+            },
+        ),
+    ]
+}
+
+fn saved() -> Saved {
+    let committed = Snapshot { revision: revision(), state: state() };
+    Saved { promised: 5, committed, entries: vec![entry(301, true), entry(302, false)] }
+}
+
+fn last_good() -> Saved {
+    Saved { promised: 0, committed: Snapshot { revision: revision(), state: state() }, entries: Vec::new() }
+}
+
+fn load(name: &str) -> Fixtures {
+    Fixtures::load(format!("{}/tests/fixtures/{name}.txt", env!("CARGO_MANIFEST_DIR")))
+}
+
+#[test]
+fn messages_have_the_bytes_of_release_0_2() {
+    let encoded = messages().into_iter().map(|(name, message)| (name, message.encode()));
+    load("messages").verify(&encoded.collect::<Vec<_>>());
+}
+
+#[test]
+fn recorded_messages_are_read_and_written_to_the_same_bytes() {
+    let fixtures = load("messages");
+    for (name, message) in messages() {
+        let read = Message::decode(fixtures.bytes(name)).unwrap_or_else(|| panic!("{name} is not read"));
+        assert_eq!(read, message, "{name}");
+        assert_eq!(read.encode(), fixtures.bytes(name), "{name}");
+    }
+}
+
+#[test]
+fn files_have_the_bytes_of_release_0_2_and_are_read_back() {
+    let files = [("checkpoint", saved()), ("last-good", last_good()), ("empty", Saved::default())];
+    let fixtures = load("files");
+    fixtures.verify(&files.iter().map(|(name, one)| (*name, store::encode(one))).collect::<Vec<_>>());
+    for (name, saved) in &files {
+        let read = store::decode(fixtures.bytes(name)).unwrap();
+        assert_eq!(read, *saved, "{name}");
+        assert_eq!(store::encode(&read), fixtures.bytes(name), "{name}");
+    }
+}
+
+#[test]
+fn the_hash_of_a_content_is_that_of_release_0_2() {
+    let bytes = postcard::to_allocvec(&state().hash()).unwrap();
+    load("content-hash").verify(&[("after-two-changes", bytes)]);
+}
--- a/crates/server/src/wire/tests.rs
+++ b/crates/server/src/wire/tests.rs
@@ -1,5 +1,7 @@
 //! The parsers on whole, cut, malformed and oversized input. None may panic on anything.
 
+mod outside_names;
+
 use super::{Parsed, http, interpreter, resp, ring::Ring, rpc};
 use meadowstream::Ending;
 use test_case::test_case;
--- /dev/null
+++ b/crates/server/src/wire/tests/outside_names.rs
@@ -0,0 +1,112 @@
+//! The words of the protocols are those of release 0.2.0 (commit 22d0bb6).
+
+use crate::wire::interpreter::{self, Notice};
+use crate::wire::{catalog, http, rpc};
+use meadowstream::Ending;
+use test_case::test_case;
+
+fn answer(answer: &rpc::Answer, advertised: Option<f64>) -> String {
+    let mut out = Vec::new();
+    rpc::put_answer(&mut out, 7, answer, advertised);
+    String::from_utf8(out).unwrap()
+}
+
+fn throttled(no_retry: bool, stay_away: u64, ticket: Option<u64>) -> rpc::Answer {
+    rpc::Answer::Throttled { no_retry, stay_away, ticket }
+}
+
+#[test]
+fn answers_have_the_same_words_and_fields() {
+    let cases = [
+        (rpc::Answer::Succeeded(b"x".to_vec()), "good", "pressure=0.5", "x"),
+        (
+            throttled(true, 1_000_001, Some(255)),
+            "refused",
+            "pressure=0.5,cooldown=2,nowhere=1,ticket=00000000000000ff",
+            "",
+        ),
+        (throttled(false, 0, None), "refused", "pressure=0.5", ""),
+        (rpc::Answer::Errored, "broken", "pressure=0.5", ""),
+        (rpc::Answer::Health(true), "fit", "pressure=0.5", ""),
+        (rpc::Answer::Health(false), "unfit", "pressure=0.5", ""),
+    ];
+    for (given, word, fields, body) in cases {
+        let words = [("7"), word, fields, body].map(|one| format!("${}\r\n{one}\r\n", one.len()));
+        assert_eq!(answer(&given, Some(0.5)), format!("*4\r\n{}", words.concat()));
+    }
+    assert!(!answer(&rpc::Answer::Errored, None).contains("pressure"));
+}
+
+#[test]
+fn commands_have_the_same_words() {
+    assert_eq!(rpc::command(&[b"RPC.HEALTH", b"8"]), rpc::Command::Health { tag: 8 });
+    assert_eq!(rpc::command(&[b"RPC.CANCEL", b"8"]), rpc::Command::Cancel { tag: 8 });
+    let mut out = Vec::new();
+    rpc::put_enough(&mut out);
+    assert_eq!(out, b"*2\r\n$1\r\n0\r\n$6\r\nenough\r\n");
+}
+
+#[test]
+fn the_interpreter_is_spoken_to_in_the_same_lines() {
+    let lines = [
+        (interpreter::connect(3), r#"{"index":3,"verb":"CONNECT"}"#),
+        (
+            interpreter::apply(0xab, "load", b"hi"),
+            r#"{"bytes":"aGk=","handler":"load","task":"00000000000000ab","verb":"APPLY"}"#,
+        ),
+        (interpreter::stop(0xab), r#"{"task":"00000000000000ab","verb":"BREAK"}"#),
+        (interpreter::resolve(0xab, b"hi"), r#"{"bytes":"aGk=","task":"00000000000000ab","verb":"RESOLVE"}"#),
+        (interpreter::ask_gauges(9), r#"{"nonce":"9","verb":"TOP"}"#),
+    ];
+    for (line, expected) in lines {
+        assert_eq!(String::from_utf8(line).unwrap(), format!("{expected}\n"));
+    }
+}
+
+#[test_case("ok", Ending::Succeeded, b"hi")]
+#[test_case("failed", Ending::Errored, b"")]
+#[test_case("halted", Ending::Cancelled, b"")]
+#[test_case("void", Ending::NeverRan, b"")]
+fn ends_of_runs_have_the_same_words(word: &str, ending: Ending, result: &[u8]) {
+    let line = format!(
+        r#"{{"verb":"VALUE","index":3,"task":"00000000000000ab","outcome":"{word}","bytes":"aGk="}}"#
+    );
+    let ended = Notice::Ended { task: 0xab, ending, result: result.to_vec() };
+    assert_eq!(interpreter::notice(line.as_bytes()).unwrap(), (Some(3), ended));
+}
+
+#[test]
+fn other_notices_have_the_same_words() {
+    let notices = [
+        (r#"{"verb":"BANNER","outcome":"cold","spent":1.5}"#, Notice::Banner { cold: true, age: 1_500_000 }),
+        (r#"{"verb":"BANNER","outcome":"warm"}"#, Notice::Banner { cold: false, age: 0 }),
+        (
+            r#"{"verb":"AWAIT","task":"00000000000000ab","bytes":"aGk="}"#,
+            Notice::Awaits { task: 0xab, body: b"hi".to_vec() },
+        ),
+        (
+            r#"{"verb":"TOPS","nonce":"9","readings":[0.5,3]}"#,
+            Notice::Gauges { nonce: 9, readings: vec![0.5, 3.0] },
+        ),
+        (
+            r#"{"verb":"ERROR","outcome":"APPLY","task":"00000000000000ab"}"#,
+            Notice::NotDone { command: "APPLY".into(), task: Some(0xab) },
+        ),
+        (r#"{"verb":"TRACE"}"#, Notice::Remark),
+    ];
+    for (line, notice) in notices {
+        assert_eq!(interpreter::notice(line.as_bytes()).unwrap(), (None, notice), "{line}");
+    }
+}
+
+#[test]
+fn records_and_catalog_are_spoken_to_in_the_same_lines() {
+    let call = http::call("records:80", 0xab, 1_000_001, b"hi");
+    assert_eq!(
+        String::from_utf8(call).unwrap(),
+        "POST /records/op HTTP/1.1\r\nHost: records:80\r\nOp-Of: 00000000000000ab\r\n\
+         Op-Wait-Ms: 2\r\nContent-Length: 2\r\n\r\nhi"
+    );
+    assert_eq!(catalog::report("n3", true), "alive n3 passing");
+    assert_eq!(catalog::report("n3", false), "alive n3 critical");
+}
--- /dev/null
+++ b/crates/settings/tests/outside_names.rs
@@ -0,0 +1,126 @@
+//! The paths of the platform's settings are those of release 0.2.0 (commit 22d0bb6), with the same meaning.
+
+use meadowstream::{Advert, Below, Effect, Halting};
+use meadowstream_settings::{Read, read, read_json};
+use test_case::test_case;
+
+/// Every path that is read.
+const EVERY_PATH: &str = "grades.count=2\ngrades.0.name=load\ngrades.0.effect=by_key\n\
+    grades.0.target=2000000\ngrades.0.give-up=5000000\ngrades.0.window=6000000\ngrades.0.worth=2.5\n\
+    grades.0.late-worth=0.5\ngrades.1.name=save\ngrades.1.effect=once\ngrades.1.target=1000000\n\
+    grades.1.give-up=4000000\ngrades.1.worth=1\norgs.count=2\norgs.0.name=red\n\
+    orgs.0.allowance-per-s=30\norgs.1.name=blue\norgs.1.allowance-per-s=40\nover-share-worth=0.25\n\
+    peers-total=11\ntier=1\nfamily-info.callers=9\nfamily-info.below=one_for_all\n\
+    family-info.dep-share=12\nfamily-info.lingers=300000\nfamily-info.calls-over=1000000\n\
+    family-info.degraded-worth=0.5,0\nfamily-info.class-calls=true,false\nfamily-info.preemption=freeze\n\
+    family-info.say=weight\nfamily-info.cores=6\nfamily-info.memory-kb=22548\nfamily-info.run-factor=16\n\
+    family-info.entry-kb=7\nfamily-info.own-stats=mem_used,cpu_busy,runnable\nfamily-info.idle=15000000\n\
+    family-info.fresh-start=true\nfamily-info.share-for=50000\nfamily-info.tells-gone=true\n\
+    family-info.passes-deadline=true\nlimits.retry-after=true\nlimits.max-retry-after=3000000\n\
+    clients.marks-retry=true\ncontract.drain-grace=2500000\ncontract.grace-to-answer=60000\n\
+    contract.fall-multiple=8\ncontract.cold-from=0.23\ncontract.cold=17000000\n";
+const MICROSECOND: u64 = 1_000;
+
+fn every_path() -> Read {
+    read(EVERY_PATH).unwrap()
+}
+
+#[test]
+fn operations_and_tenants_mean_the_same() {
+    let read = every_path();
+    let site = read.deployment;
+    let (load, save) = (&site.operations[0], &site.operations[1]);
+    assert_eq!((load.effect, save.effect), (Effect::Tokened, Effect::NonIdempotent));
+    assert_eq!(load.latency_objective, 2_000_000 * MICROSECOND);
+    assert_eq!(load.client_timeout, 5_000_000 * MICROSECOND);
+    assert_eq!(load.token_window, 6_000_000 * MICROSECOND);
+    assert_eq!((load.billed_value, load.late_value), (2.5, 0.5));
+    assert_eq!((load.without_call_value, load.calls, save.calls), (0.5, true, false));
+    assert_eq!(site.tenant_allowance, [30.0, 40.0]);
+    assert_eq!(site.over_share_value, 0.25);
+    assert_eq!((read.operation_names, read.tenant_names), (words("load save"), words("red blue")));
+}
+
+fn words(text: &str) -> Vec<String> {
+    text.split(' ').map(str::to_string).collect()
+}
+
+#[test]
+fn sizes_and_times_mean_the_same() {
+    let site = every_path().deployment;
+    assert_eq!((site.peers, site.callers, site.called_by_own), (11.0, 9.0, true));
+    assert_eq!((site.cores, site.memory_kb, site.run_memory, site.entry_kb), (6.0, 22_548.0, 16.0, 7.0));
+    assert_eq!((site.halting, site.advert), (Halting::Pauses, Advert::Weight));
+    let (linger, over) = (300_000 * MICROSECOND, 1_000_000 * MICROSECOND);
+    assert_eq!(site.below, Below::Shared { share: 12.0, linger, over });
+    assert_eq!(site.stay_away_max, 3_000_000 * MICROSECOND);
+    assert_eq!(site.idle_max, 15_000_000 * MICROSECOND);
+    assert_eq!((site.retries_marked, site.cold), (true, true));
+    assert_eq!(site.drain_grace, 2_500_000 * MICROSECOND);
+    assert_eq!(site.answer_grace, 60_000 * MICROSECOND);
+    assert_eq!((site.survivable_crowd, site.cold_speed), (8.0, 0.23));
+    assert_eq!(site.cold_for, 17_000_000 * MICROSECOND);
+}
+
+#[test]
+fn what_only_the_server_reads_means_the_same() {
+    let read = every_path();
+    assert_eq!((read.busy_gauge, read.wanting_gauge), (Some(1), Some(2)));
+    assert_eq!(read.share_reads_for, 50_000 * MICROSECOND);
+    assert!(read.tells_gone && read.passes_deadline);
+    assert_eq!(read.dependency_share, 12.0);
+}
+
+fn with(path: &str, value: &str) -> Read {
+    let line = |line: &str| match line.split_once('=') {
+        Some((name, _)) if name == path => format!("{path}={value}\n"),
+        _ => format!("{line}\n"),
+    };
+    read(&EVERY_PATH.lines().map(line).collect::<String>()).unwrap()
+}
+
+#[test_case("off", Advert::Nothing)]
+#[test_case("floor", Advert::Floor)]
+#[test_case("allowance", Advert::Allowance)]
+#[test_case("weight", Advert::Weight)]
+fn what_is_advertised_has_the_same_words(word: &str, advert: Advert) {
+    assert_eq!(with("family-info.say", word).deployment.advert, advert);
+}
+
+#[test_case("off", Halting::Impossible)]
+#[test_case("discard", Halting::Discards)]
+#[test_case("freeze", Halting::Pauses)]
+fn preemption_has_the_same_words(word: &str, halting: Halting) {
+    assert_eq!(with("family-info.preemption", word).deployment.halting, halting);
+}
+
+#[test_case("off", Below::Nothing)]
+#[test_case("tier", Below::Tier)]
+fn what_lies_below_has_the_same_words(word: &str, below: Below) {
+    assert_eq!(with("family-info.below", word).deployment.below, below);
+}
+
+#[test_case("repeatable", Effect::Idempotent)]
+#[test_case("by_key", Effect::Tokened)]
+#[test_case("once", Effect::NonIdempotent)]
+fn effects_have_the_same_words(word: &str, effect: Effect) {
+    assert_eq!(with("grades.0.effect", word).deployment.operations[0].effect, effect);
+}
+
+/// The same paths nested, as the server's file has them.
+#[test]
+fn nested_settings_are_the_same_paths() {
+    let mut root = serde_json::json!({});
+    for (path, value) in EVERY_PATH.lines().filter_map(|line| line.split_once('=')) {
+        let pointer = path.split('.').collect::<Vec<_>>();
+        let place = pointer.iter().fold(&mut root, |object, name| &mut object[*name]);
+        *place = serde_json::Value::String(value.to_string());
+    }
+    let lists = ["degraded-worth", "class-calls", "own-stats"];
+    for name in lists {
+        let text = root["family-info"][name].as_str().unwrap().to_string();
+        root["family-info"][name] = text.split(',').collect();
+    }
+    let nested = read_json(&root).unwrap();
+    assert_eq!(format!("{:?}", nested.deployment), format!("{:?}", every_path().deployment));
+}
--- a/crates/simhost/src/codec/tests.rs
+++ b/crates/simhost/src/codec/tests.rs
@@ -53,3 +53,34 @@
     assert_eq!(frame[24..38], [40, 9, 0, 0, 0, 0, 0, 0, 0, 1, 2, 0, 0, 0]);
     assert_eq!(frame[56..], *b"hi");
 }
+
+/// Every action as a record, in the bytes that release 0.2.0 (commit 22d0bb6) wrote.
+#[test]
+fn actions_have_the_bytes_of_release_0_2() {
+    let (id, span) = (0x0102_0304_0506_0708, 2_500_001);
+    let record = |say: &dyn Fn(&mut Reply)| {
+        let (mut reply, mut frame) = (Reply::default(), Vec::new());
+        reply.speaks(5);
+        say(&mut reply);
+        reply.finish(&mut frame);
+        frame
+    };
+    let samples: Vec<(&str, Vec<u8>)> = vec![
+        ("run", record(&|reply| reply.run(id))),
+        ("stop", record(&|reply| reply.stop(id))),
+        ("throttle", record(&|reply| reply.throttle(id, true, span))),
+        ("give-up", record(&|reply| reply.give_up(id))),
+        ("call", record(&|reply| reply.call(id, span))),
+        ("skip-call", record(&|reply| reply.skip_call(id))),
+        ("remember", record(&|reply| reply.remember(id, span))),
+        ("forget", record(&|reply| reply.forget(id))),
+        ("reuse", record(&|reply| reply.reuse(id))),
+        ("health", record(&|reply| reply.health(true, false))),
+        ("advertise", record(&|reply| reply.advertise(0.75))),
+        ("close-idle", record(&|reply| reply.close_idle(span))),
+        ("wake", record(&|reply| reply.wake(span, 1))),
+        ("log", record(&|reply| reply.log("line"))),
+    ];
+    let path = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/actions.txt");
+    meadowstream_wire_fixtures::Fixtures::load(path).verify(&samples);
+}
--- /dev/null
+++ b/crates/simhost/tests/frames.rs
@@ -0,0 +1,155 @@
+//! The program answers frames with the bytes that release 0.2.0 (commit 22d0bb6) answered.
+//!
+//! What is compared leaves out log records and their texts, which are no part of the protocol.
+
+use meadowstream_wire_fixtures::Fixtures;
+use std::io::{Read, Write};
+use std::process::{Command, Stdio};
+
+const EVENT_BYTES: usize = 56;
+const REPLY_HEAD: usize = 8;
+const ACTION_BYTES: usize = 16;
+const LOG: u8 = 10;
+
+const SETTINGS: &str = "grades.count=3\ngrades.0.effect=repeatable\ngrades.0.target=2000000\n\
+    grades.0.give-up=5000000\ngrades.0.worth=1\ngrades.1.effect=by_key\ngrades.1.target=2000000\n\
+    grades.1.give-up=5000000\ngrades.1.window=5000000\ngrades.1.worth=4\ngrades.2.effect=once\n\
+    grades.2.target=1000000\ngrades.2.give-up=3000000\ngrades.2.worth=2\npeers-total=11\n\
+    family-info.below=tier\nfamily-info.preemption=discard\nfamily-info.say=weight\n\
+    family-info.cores=6\nfamily-info.memory-kb=22548\nfamily-info.run-factor=4\n\
+    family-info.entry-kb=7\nfamily-info.own-stats=mem_used,cpu_busy,runnable\nfamily-info.idle=15000000\n\
+    family-info.degraded-worth=0,0,0.5\nlimits.retry-after=true\nlimits.max-retry-after=5000000\n\
+    contract.drain-grace=2500000\ncontract.grace-to-answer=60000\ncontract.fall-multiple=8.0\n\
+    contract.cold-from=0.2\ncontract.cold=17000000\n";
+
+/// One record of 56 bytes: its code, then fields at their offsets.
+fn record(code: u8, fields: &[(usize, &[u8])]) -> Vec<u8> {
+    let mut record = vec![0; EVENT_BYTES];
+    record[0] = code;
+    for (at, field) in fields {
+        record[*at..*at + field.len()].copy_from_slice(field);
+    }
+    record
+}
+
+fn instance(number: u16) -> Vec<u8> {
+    record(100, &[(1, &number.to_le_bytes())])
+}
+
+fn started() -> Vec<u8> {
+    let text = [0_u32.to_le_bytes(), (SETTINGS.len() as u32).to_le_bytes()].concat();
+    record(10, &[(1, &7_u64.to_le_bytes()), (9, &text)])
+}
+
+/// An invocation that arrived `age_us` ago; `repeats` is 0 where it repeats none.
+fn arrived(id: u64, operation: u8, age_us: u32, repeats: u64) -> Vec<u8> {
+    record(
+        20,
+        &[
+            (1, &id.to_le_bytes()),
+            (9, &age_us.to_le_bytes()),
+            (13, &repeats.to_le_bytes()),
+            (21, &1_500_000_u32.to_le_bytes()),
+            (25, &[1]),
+            (30, &20_000_u32.to_le_bytes()),
+            (38, &8_f32.to_le_bytes()),
+            (46, &[operation]),
+        ],
+    )
+}
+
+fn finished(id: u64, outcome: u16) -> Vec<u8> {
+    record(30, &[(1, &id.to_le_bytes()), (9, &outcome.to_le_bytes())])
+}
+
+fn needs_call(id: u64) -> Vec<u8> {
+    record(40, &[(1, &id.to_le_bytes())])
+}
+
+fn call_ended(id: u64, outcome: u16) -> Vec<u8> {
+    record(50, &[(1, &id.to_le_bytes()), (9, &outcome.to_le_bytes()), (11, &9_000_u32.to_le_bytes())])
+}
+
+fn told_to_leave() -> Vec<u8> {
+    record(60, &[(1, &4_000_000_u32.to_le_bytes())])
+}
+
+fn caller_gone(id: u64) -> Vec<u8> {
+    record(70, &[(1, &id.to_le_bytes())])
+}
+
+fn woken(token: u32, busy: f32) -> Vec<u8> {
+    let gauges = [100_f32, busy, 3.0].map(f32::to_le_bytes).concat();
+    record(80, &[(1, &token.to_le_bytes()), (5, &[3]), (6, &gauges)])
+}
+
+fn ended() -> Vec<u8> {
+    record(90, &[])
+}
+
+/// A frame of the records, at a time in microseconds.
+fn frame(clock_us: u64, records: &[Vec<u8>], tail: &str) -> Vec<u8> {
+    let body = [records.concat().as_slice(), tail.as_bytes()].concat();
+    let length = 16 + body.len() as u32;
+    let head = [(records.len() as u32).to_le_bytes(), length.to_le_bytes()].concat();
+    [head.as_slice(), &clock_us.to_le_bytes(), &body].concat()
+}
+
+/// Frames of every kind of event, with what two instances might see within a few seconds.
+fn input() -> Vec<Vec<u8>> {
+    let flood = |first: u64| (first..first + 40).map(|id| arrived(id, (id % 3) as u8, 200, 0));
+    let with_instance = |records: Vec<Vec<u8>>| [vec![instance(3)], records].concat();
+    let mut frames = vec![
+        frame(1_000, &[instance(3), started()], SETTINGS),
+        frame(2_000, &[instance(3), arrived(1, 0, 100, 0), arrived(2, 1, 100, 0), arrived(3, 2, 100, 0)], ""),
+        frame(12_000, &with_instance(vec![needs_call(1), needs_call(2), needs_call(3)]), ""),
+        frame(30_000, &with_instance(vec![call_ended(1, 0), call_ended(2, 252), call_ended(3, 253)]), ""),
+        frame(40_000, &with_instance(vec![finished(1, 0), finished(2, 0), finished(3, 255)]), ""),
+        frame(50_000, &with_instance(vec![arrived(4, 1, 0, 2), caller_gone(4)]), ""),
+    ];
+    for period in 1..=6_u64 {
+        let mut records = vec![woken(0, 5.9)];
+        records.extend(flood(100 * period));
+        frames.push(frame(500_000 * period, &with_instance(records), ""));
+        let running = 100 * period..100 * period + 6;
+        let outcomes = [0, 255, 254, 250, 251, 249];
+        let ends = running.zip(outcomes).map(|(id, outcome)| finished(id, outcome)).collect();
+        frames.push(frame(500_000 * period + 200_000, &with_instance(ends), ""));
+    }
+    frames.push(frame(3_300_000, &with_instance(vec![told_to_leave()]), ""));
+    frames.push(frame(3_400_000, &with_instance(vec![woken(1, 4.0), arrived(900, 0, 0, 0)]), ""));
+    frames.push(frame(7_400_000, &with_instance(vec![woken(1, 1.0), ended()]), ""));
+    frames
+}
+
+/// One reply of the program, without log records and texts.
+fn read_reply(output: &mut impl Read) -> Vec<u8> {
+    let mut head = [0; REPLY_HEAD];
+    output.read_exact(&mut head).unwrap();
+    let word = |at: usize| u32::from_le_bytes(head[at..at + 4].try_into().unwrap()) as usize;
+    let (length, count) = (word(0), word(4));
+    let mut body = vec![0; length - REPLY_HEAD];
+    output.read_exact(&mut body).unwrap();
+    let records = body[..count * ACTION_BYTES].chunks(ACTION_BYTES);
+    records.filter(|record| record[0] != LOG).flatten().copied().collect()
+}
+
+#[test]
+fn frames_are_answered_with_the_bytes_of_release_0_2() {
+    let mut program = Command::new(env!("CARGO_BIN_EXE_meadowstream-simhost"))
+        .stdin(Stdio::piped())
+        .stdout(Stdio::piped())
+        .spawn()
+        .unwrap();
+    let (mut to, mut from) = (program.stdin.take().unwrap(), program.stdout.take().unwrap());
+    let (mut asked, mut answered) = (Vec::new(), Vec::new());
+    for frame in input() {
+        to.write_all(&frame).unwrap();
+        asked.extend(frame);
+        answered.extend(read_reply(&mut from));
+    }
+    drop(to);
+    assert!(program.wait().unwrap().success());
+    let fixtures = Fixtures::load(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/frames.txt"));
+    fixtures.verify(&[("input", asked), ("actions", answered)]);
+}
