--- a/crates/capacity/src/process.rs
+++ b/crates/capacity/src/process.rs
@@ -2,7 +2,7 @@
 //! hold and do as the system counts it. Each is ended by its own id.
 
 use anyhow::{Context, Result};
-use meadowstream_stand_ins::{interpreter, parties};
+use meadowstream_test_doubles::{interpreter, parties};
 use serde_json::{Value, json};
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader};
--- a/crates/capacity/src/tenants.rs
+++ b/crates/capacity/src/tenants.rs
@@ -4,7 +4,7 @@
 use crate::fit::Curve;
 use crate::meter::{allocated, thread_time};
 use crate::model::SECOND;
-use meadowstream_fair::{Fair, NamedTenant, Settings, Who};
+use meadowstream_fair_queueing::{Fair, NamedTenant, Settings, Who};
 use serde::Serialize;
 
 /// Numbers of named tenants, the largest last.
@@ -40,7 +40,7 @@
         let (name, _) = &named[n.wrapping_mul(7919) % tenants];
         let seat = fair.arrived(now, Who { name, origin: 1 }, WORK, None);
         fair.began(&seat);
-        fair.ended(now, &seat, meadowstream_fair::Outcome::Ran(WORK as u64));
+        fair.ended(now, &seat, meadowstream_fair_queueing::Outcome::Ran(WORK as u64));
     };
     (0..tenants).for_each(&mut arrive);
     let began = thread_time();
--- a/crates/options/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -5,7 +5,7 @@
 pub mod replication;
 
 use anyhow::{Context, Result, anyhow, bail, ensure};
-use meadowstream_fair::{NamedTenant, Settings};
+use meadowstream_fair_queueing::{NamedTenant, Settings};
 use meadowstream_rollout::plan::{OnWorse, Plan, Size, Stage, Thresholds};
 use meadowstream_rollout::wire::Kind;
 use roxmltree::{Document, Node, ParsingOptions};
--- a/crates/options/src/replication.rs
+++ b/crates/configuration/src/replication.rs
@@ -3,7 +3,7 @@
 
 use crate::{Element, NAMESPACE, Options, parse, text_of};
 use anyhow::{Context, Result, bail, ensure};
-use meadowstream_fair::NamedTenant;
+use meadowstream_fair_queueing::NamedTenant;
 use roxmltree::{Document, Node};
 use std::collections::{BTreeMap, HashMap};
 use std::path::{Path, PathBuf};
--- a/crates/options/tests/options.rs
+++ b/crates/configuration/tests/options.rs
@@ -1,6 +1,6 @@
 //! Files that are refused, each with the place named, and the example that is read.
 
-use meadowstream_options::{By, NAMESPACE, Options, Origin};
+use meadowstream_configuration::{By, NAMESPACE, Options, Origin};
 use std::collections::BTreeSet;
 use std::path::PathBuf;
 use test_case::test_case;
@@ -95,14 +95,14 @@
         .chain(&ceilings)
         .chain(&shares)
         .chain(&others)
-        .chain(meadowstream_options::MEMBERSHIP)
-        .chain(meadowstream_options::BUDGET)
-        .chain(meadowstream_options::TIER)
-        .chain(meadowstream_options::ROLLOUT)
-        .chain(meadowstream_options::replication::REPLICATION)
-        .chain(meadowstream_options::replication::CHANGE)
-        .chain(meadowstream_options::PLAN)
-        .chain(meadowstream_options::STAGE)
+        .chain(meadowstream_configuration::MEMBERSHIP)
+        .chain(meadowstream_configuration::BUDGET)
+        .chain(meadowstream_configuration::TIER)
+        .chain(meadowstream_configuration::ROLLOUT)
+        .chain(meadowstream_configuration::replication::REPLICATION)
+        .chain(meadowstream_configuration::replication::CHANGE)
+        .chain(meadowstream_configuration::PLAN)
+        .chain(meadowstream_configuration::STAGE)
         .chain(&["reference"])
         .map(|name| name.to_string())
         .collect();
@@ -200,7 +200,7 @@
     let schema = include_str!("../../../deploy/meadowstream.xsd");
     let at = schema.find("complexType name=\"budget\"").expect("in the schema");
     let shape = &schema[at..at + schema[at..].find("</xs:complexType>\n  <!--").expect("its end")];
-    for name in meadowstream_options::BUDGET {
+    for name in meadowstream_configuration::BUDGET {
         assert!(shape.contains(&format!("attribute name=\"{name}\"")), "{name} is not in the schema");
     }
 }
@@ -213,7 +213,7 @@
 
 #[test]
 fn a_plan_is_read_and_a_bad_one_refused_in_one_line_with_its_place() {
-    let file = meadowstream_options::PlanFile::read(PLAN_XML).unwrap();
+    let file = meadowstream_configuration::PlanFile::read(PLAN_XML).unwrap();
     assert_eq!((file.plan.stages.len(), file.plan.interval), (2, 500_000_000));
     for (from, to, place) in [
         ("share=\"0.5\"", "share=\"0\"", "line 1, <plan>: stage 2: share: 0 is not above 0 and at most 1"),
@@ -230,7 +230,7 @@
         ("interval-ms", "alpha=\"0.9\" interval-ms", "alpha: 0.9 is not within"),
         ("interval-ms", "on-worse=\"shrug\" interval-ms", "on-worse: unknown choice \"shrug\""),
     ] {
-        let fault = meadowstream_options::PlanFile::read(&PLAN_XML.replacen(from, to, 1)).unwrap_err();
+        let fault = meadowstream_configuration::PlanFile::read(&PLAN_XML.replacen(from, to, 1)).unwrap_err();
         let fault = format!("{fault:#}");
         assert!(fault.contains(place) && !fault.contains('\n'), "{fault}");
     }
--- a/crates/options/tests/outside_names.rs
+++ b/crates/configuration/tests/outside_names.rs
@@ -1,9 +1,9 @@
 //! Names that operators write are those of release 0.2.0 (commit 22d0bb6): each is still in the schema with
 //! its type and default, and a file that uses every one of them is read with the same meaning.
 
-use meadowstream_fair::Settings;
-use meadowstream_options::replication::{overlay_replicated, read_change};
-use meadowstream_options::{By, Options, Origin, PlanFile, Tenants};
+use meadowstream_configuration::replication::{overlay_replicated, read_change};
+use meadowstream_configuration::{By, Options, Origin, PlanFile, Tenants};
+use meadowstream_fair_queueing::Settings;
 use meadowstream_rollout::plan::{OnWorse, Size, Thresholds};
 use meadowstream_rollout::wire::Kind;
 use roxmltree::{Document, Node};
--- a/crates/options/tests/replication.rs
+++ b/crates/configuration/tests/replication.rs
@@ -1,7 +1,7 @@
 //! The element that turns replicated configuration on, files of changes, and what keys mean.
 
-use meadowstream_options::replication::{overlay_replicated, read_change};
-use meadowstream_options::{NAMESPACE, Options};
+use meadowstream_configuration::replication::{overlay_replicated, read_change};
+use meadowstream_configuration::{NAMESPACE, Options};
 use test_case::test_case;
 
 const MEMBERSHIP: &str = r#"<membership bind="127.0.0.1:1" fleet="quiz" key-file="key"/>"#;
--- a/crates/settings/src/lib.rs
+++ b/crates/deployment-settings/src/lib.rs
@@ -2,7 +2,7 @@
 //! object as nested JSON, which is first laid out as such lines.
 
 use anyhow::{Context, Result, anyhow, bail};
-use meadowstream::{Advert, Below, Deployment, Effect, Halting, Nanos, Operation};
+use meadowstream_overload_control::{Advert, Below, Deployment, Effect, Halting, Nanos, Operation};
 use serde_json::Value;
 use std::collections::HashMap;
 use std::str::FromStr;
@@ -206,7 +206,7 @@
         survivable_crowd: pairs.number("contract.fall-multiple")?,
         cold: pairs.get_or("family-info.fresh-start", false)?,
         cold_speed: pairs.number("contract.cold-from")?,
-        reference: meadowstream::REFERENCE,
+        reference: meadowstream_overload_control::REFERENCE,
         cold_for: pairs.span("contract.cold")?,
     };
     let gauges = pairs.list("family-info.own-stats");
--- a/crates/settings/tests/outside_names.rs
+++ b/crates/deployment-settings/tests/outside_names.rs
@@ -1,7 +1,7 @@
 //! The paths of the platform's settings are those of release 0.2.0 (commit 22d0bb6), with the same meaning.
 
-use meadowstream::{Advert, Below, Effect, Halting};
-use meadowstream_settings::{Read, read, read_json};
+use meadowstream_deployment_settings::{Read, read, read_json};
+use meadowstream_overload_control::{Advert, Below, Effect, Halting};
 use test_case::test_case;
 
 /// Every path that is read.
--- a/crates/settings/tests/settings.rs
+++ b/crates/deployment-settings/tests/settings.rs
@@ -1,7 +1,7 @@
 //! What is read of a deployment, from lines and from JSON, and what is refused.
 
-use meadowstream::{Advert, Effect, Halting};
-use meadowstream_settings::read_json;
+use meadowstream_deployment_settings::read_json;
+use meadowstream_overload_control::{Advert, Effect, Halting};
 
 const GOOD: &str = "grades.count=1\ngrades.0.effect=by_key\ngrades.0.target=2000000\n\
     grades.0.give-up=5000000\ngrades.0.window=5000000\ngrades.0.worth=2.5\npeers-total=11\n\
@@ -14,7 +14,7 @@
 
 #[test]
 fn reads_what_decisions_need() {
-    let read = meadowstream_settings::read(GOOD).unwrap();
+    let read = meadowstream_deployment_settings::read(GOOD).unwrap();
     let site = read.deployment;
     assert_eq!((site.operations[0].effect, site.operations[0].billed_value), (Effect::Tokened, 2.5));
     assert_eq!(site.operations[0].latency_objective, 2_000_000_000);
@@ -34,7 +34,7 @@
         "contract": {"drain-grace": 2_500_000, "grace-to-answer": 60_000, "fall-multiple": 8.0,
             "cold-from": 0.2, "cold": 17_000_000},
     });
-    let (read, same) = (read_json(&json).unwrap(), meadowstream_settings::read(GOOD).unwrap());
+    let (read, same) = (read_json(&json).unwrap(), meadowstream_deployment_settings::read(GOOD).unwrap());
     assert_eq!(format!("{:?}", read.deployment), format!("{:?}", same.deployment));
     assert_eq!((read.busy_gauge, read.operation_names), (same.busy_gauge, same.operation_names));
 }
@@ -46,8 +46,9 @@
         let without = GOOD.replace(&format!("{line}\n"), "");
         let bad = GOOD.replace(line, &format!("{path}=?"));
         for config in [without, bad] {
-            let error =
-                meadowstream_settings::read(&config).err().unwrap_or_else(|| panic!("{path} was not missed"));
+            let error = meadowstream_deployment_settings::read(&config)
+                .err()
+                .unwrap_or_else(|| panic!("{path} was not missed"));
             assert!(format!("{error:#}").contains(path), "{error:#}");
         }
     }
--- a/crates/fair/benches/fair.rs
+++ b/crates/fair-queueing/benches/fair.rs
@@ -1,7 +1,7 @@
 //! An arrival among many tenants: the bounded core against a plain map of queues that knows each of them.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use meadowstream_fair::{Fair, Outcome, Settings, Who};
+use meadowstream_fair_queueing::{Fair, Outcome, Settings, Who};
 use std::collections::{HashMap, VecDeque};
 use std::hint::black_box;
 
--- a/crates/fair/tests/promises.rs
+++ b/crates/fair-queueing/tests/promises.rs
@@ -1,6 +1,6 @@
 //! Promises: who waits as told is let in, and nothing else is gained by asking.
 
-use meadowstream_fair::{Counts, Fair, Nanos, Outcome, Seat, Settings, Who};
+use meadowstream_fair_queueing::{Counts, Fair, Nanos, Outcome, Seat, Settings, Who};
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/crates/fair/tests/retune.rs
+++ b/crates/fair-queueing/tests/retune.rs
@@ -1,7 +1,7 @@
 //! A change of named tenants in parts comes to the same as a start with the new ones, and takes nothing from
 //! tenants that it does not name.
 
-use meadowstream_fair::{Fair, NamedTenant, Retune, Settings, Who};
+use meadowstream_fair_queueing::{Fair, NamedTenant, Retune, Settings, Who};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
--- a/crates/fair/tests/shares.rs
+++ b/crates/fair-queueing/tests/shares.rs
@@ -1,7 +1,7 @@
 //! Who gets how much, played through the pure core: tenants that send at a given rate, a server that works
 //! what is within shares and refuses the rest. All from seeds; no clock but the one that is passed in.
 
-use meadowstream_fair::{Fair, Nanos, Outcome, Settings, Who};
+use meadowstream_fair_queueing::{Fair, Nanos, Outcome, Settings, Who};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
--- a/crates/handover/tests/fixed_bytes.rs
+++ b/crates/hot-restart/tests/fixed_bytes.rs
@@ -1,6 +1,6 @@
 //! Frames have the bytes that release 0.2.0 (commit 22d0bb6) wrote, and are read back to the same.
 
-use meadowstream_handover::frames::{Act, Frame, Reader, put};
+use meadowstream_hot_restart::frames::{Act, Frame, Reader, put};
 use meadowstream_wire_fixtures::Fixtures;
 
 fn frames() -> Vec<(&'static str, Frame)> {
--- a/crates/handover/tests/frames.rs
+++ b/crates/hot-restart/tests/frames.rs
@@ -1,7 +1,7 @@
 //! What may come over the stream: frames in any pieces, and whatever else.
 
-use meadowstream_handover::frames::{Act, FRAME_MAX, Fault, Frame, Reader, put};
-use meadowstream_handover::{Why, old};
+use meadowstream_hot_restart::frames::{Act, FRAME_MAX, Fault, Frame, Reader, put};
+use meadowstream_hot_restart::{Why, old};
 use rand::{Rng, RngCore, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/handover/tests/model.rs
+++ b/crates/hot-restart/tests/model.rs
@@ -1,8 +1,8 @@
 //! All interleavings of both sides, with either of them killed at any moment, timers that go off whenever
 //! they may, and a stream that loses what its reader did not read. The machines are the real ones.
 
-use meadowstream_handover::frames::{Act, Frame};
-use meadowstream_handover::{old, successor};
+use meadowstream_hot_restart::frames::{Act, Frame};
+use meadowstream_hot_restart::{old, successor};
 use stateright::{Checker, Model, Property};
 use std::collections::VecDeque;
 
--- a/crates/meadowstream/benches/arrival.rs
+++ b/crates/overload-control/benches/arrival.rs
@@ -1,8 +1,10 @@
 //! What an arrival costs the whole module while many are held: it comes, is judged, and its caller goes.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use meadowstream::brain::Brain;
-use meadowstream::{Advert, Arrival, Below, Deployment, Effect, Ending, Halting, Host, Nanos, Operation};
+use meadowstream_overload_control::brain::Brain;
+use meadowstream_overload_control::{
+    Advert, Arrival, Below, Deployment, Effect, Ending, Halting, Host, Nanos, Operation,
+};
 
 const START: Nanos = 1_790_000_000_000_000_000;
 const HOUR: Nanos = 3_600_000_000_000;
--- a/crates/meadowstream/src/brain.rs
+++ b/crates/overload-control/src/brain.rs
@@ -12,9 +12,9 @@
 use crate::largest::Largest;
 use crate::lq::{self, Fit, Plant};
 use crate::{Advert, Arrival, Below, Deployment, Effect, Ending, Gauges, Halting, Host, Nanos, Operation};
-use meadowstream_fair::{Fair, Outcome, Who};
-use meadowstream_hold::table::Table;
-use meadowstream_hold::{Able, Usual};
+use meadowstream_fair_queueing::{Fair, Outcome, Who};
+use meadowstream_pending_queue::table::Table;
+use meadowstream_pending_queue::{Able, Usual};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -803,7 +803,7 @@
     }
 
     /// Takes over a part of a change: new weights of tenants, and how much they may use at once.
-    pub fn retune(&mut self, now: Nanos, change: &meadowstream_fair::Retune) {
+    pub fn retune(&mut self, now: Nanos, change: &meadowstream_fair_queueing::Retune) {
         self.fair.iter_mut().for_each(|fair| fair.retune(change, now));
     }
 
--- a/crates/meadowstream/src/invs.rs
+++ b/crates/overload-control/src/invs.rs
@@ -3,8 +3,8 @@
 //! many are in a state, the memory of all) is kept up to date here and never counted anew.
 
 use crate::{Arrival, Nanos};
-use meadowstream_fair::Seat;
-use meadowstream_hold::{Entry, Hold};
+use meadowstream_fair_queueing::Seat;
+use meadowstream_pending_queue::{Entry, Hold};
 use slab::Slab;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::ops::{Index, IndexMut};
--- a/crates/meadowstream/src/lib.rs
+++ b/crates/overload-control/src/lib.rs
@@ -61,7 +61,7 @@
     pub tenant_allowance: Vec<f64>,
     pub over_share_value: f64,
     /// Fair shares among tenants that are told apart as they come; `None` where they are not.
-    pub fair: Option<meadowstream_fair::Settings>,
+    pub fair: Option<meadowstream_fair_queueing::Settings>,
     /// Servers of this tier listed at start.
     pub peers: f64,
     /// Callers of this tier at start.
--- a/crates/meadowstream/tests/days.rs
+++ b/crates/overload-control/tests/days.rs
@@ -3,7 +3,7 @@
 //! were those of version 0.2.0, whose hold was a plain vector. A change of `policy` that is meant to decide
 //! otherwise takes new ones, and its commit says why.
 
-use meadowstream::{
+use meadowstream_overload_control::{
     Advert, Arrival, Below, Deployment, Effect, Ending, Gauges, Halting, Host, Nanos, Operation, brain::Brain,
 };
 use rand::{Rng, SeedableRng};
--- a/crates/meadowstream/tests/operations.rs
+++ b/crates/overload-control/tests/operations.rs
@@ -1,8 +1,8 @@
 //! Many operations: what one decision costs does not grow with them, and what is kept of all of them at once
 //! follows what each is learned to take.
 
-use meadowstream::brain::{Brain, TICK};
-use meadowstream::{
+use meadowstream_overload_control::brain::{Brain, TICK};
+use meadowstream_overload_control::{
     Advert, Arrival, Below, Deployment, Effect, Ending, Gauges, Halting, Host, Nanos, Operation,
 };
 use std::time::{Duration, Instant};
--- a/crates/meadowstream/tests/scenarios.rs
+++ b/crates/overload-control/tests/scenarios.rs
@@ -12,7 +12,7 @@
 //!   elsewhere), patience (ms of the last call's time-out), idle (ms that idle connections may stay), most
 //!   (runs open at once).
 
-use meadowstream::{
+use meadowstream_overload_control::{
     Advert, Arrival, Below, Deployment, Effect, Ending, Gauges, Halting, Host, Nanos, Operation, Sender,
     brain::Brain,
 };
@@ -179,7 +179,7 @@
             "marks" => site.retries_marked = value == "yes",
             "pauses" => site.halting = Halting::Pauses,
             "callers" => site.callers = number(value),
-            "fair" => site.fair = Some(meadowstream_fair::Settings::default()),
+            "fair" => site.fair = Some(meadowstream_fair_queueing::Settings::default()),
             "weight" => site.advert = Advert::Weight,
             "dependency" => {
                 site.below = Below::Shared { share: number(value), linger: 200 * MS, over: 5000 * MS }
--- a/crates/hold/benches/hold.rs
+++ b/crates/pending-queue/benches/hold.rs
@@ -2,7 +2,7 @@
 //! walked and sorted.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use meadowstream_hold::{Able, Entry, Hold, Usual};
+use meadowstream_pending_queue::{Able, Entry, Hold, Usual};
 use std::cmp::Reverse;
 use std::hint::black_box;
 
--- a/crates/hold/tests/hold.rs
+++ b/crates/pending-queue/tests/hold.rs
@@ -1,6 +1,6 @@
 //! The index against a plain vector that is walked and sorted, through random days.
 
-use meadowstream_hold::{Able, Entry, Hold, Usual};
+use meadowstream_pending_queue::{Able, Entry, Hold, Usual};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
--- a/crates/server/src/lifecycle/clock.rs
+++ b/crates/server/src/lifecycle/clock.rs
@@ -1,6 +1,6 @@
 //! The module's clock: Unix nanoseconds at the start, and from then on it never goes back.
 
-use meadowstream::Nanos;
+use meadowstream_overload_control::Nanos;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 pub struct Clock {
--- a/crates/server/src/lifecycle/configuration.rs
+++ b/crates/server/src/lifecycle/configuration.rs
@@ -4,12 +4,12 @@
 use crate::memory::repeats::ENTRY_BYTES;
 use crate::memory::shared::{LEASES, PUBLISHING, ROLLOUTS};
 use anyhow::{Context, Result, anyhow, bail, ensure};
-use meadowstream::{Advert, Below, Effect};
-use meadowstream_options::replication::overlay_replicated;
-use meadowstream_options::{Options, Tokens};
+use meadowstream_configuration::replication::overlay_replicated;
+use meadowstream_configuration::{Options, Tokens};
+use meadowstream_deployment_settings::Read;
+use meadowstream_overload_control::{Advert, Below, Effect};
 use meadowstream_replication::history::Snapshot;
 use meadowstream_replication::state::State;
-use meadowstream_settings::Read;
 use meadowstream_shared_state::Settings as SharedSettings;
 use meadowstream_shared_state::budget::Plan;
 use meadowstream_shared_state::counts::Limits;
@@ -149,7 +149,7 @@
     if given.is_none() && rollout.is_none() && replication.is_none() {
         return Ok(None);
     }
-    let plan = |b: &meadowstream_options::Budget| {
+    let plan = |b: &meadowstream_configuration::Budget| {
         Plan::new(&b.name, b.total, b.floor, b.servers, b.voters.clone(), b.lease, b.use_most)
     };
     let of_calls = given.and_then(|given| given.budget.as_ref());
@@ -186,7 +186,7 @@
     Ok(Some(settings))
 }
 
-pub fn fleet(given: &meadowstream_options::Membership, server: &str, options: &Path) -> Result<Fleet> {
+pub fn fleet(given: &meadowstream_configuration::Membership, server: &str, options: &Path) -> Result<Fleet> {
     let key_file = options.parent().unwrap_or(Path::new(".")).join(&given.key_file);
     let mut settings = meadowstream_membership::Settings::lan(&given.fleet, &read_key(&key_file)?);
     settings.probe_period = given.probe_period;
@@ -294,7 +294,7 @@
             if let Some(state) = layers.replicated {
                 overlay_replicated(&mut options, state.iter()).context("replicated configuration")?;
             }
-            read.reference.set(options.reference.unwrap_or(meadowstream::REFERENCE));
+            read.reference.set(options.reference.unwrap_or(meadowstream_overload_control::REFERENCE));
             let folder = path.parent().unwrap_or(Path::new("."));
             if let Some(rollout) = &options.rollout {
                 let mut mark = path.as_os_str().to_os_string();
@@ -362,11 +362,11 @@
             stop_ms: whole("stop_ms")?,
             memory_mb: whole("limits.memory_mb")?,
             sockets: whole("limits.sockets")? as usize,
-            settings: meadowstream_settings::read_json(at("settings")?).context("settings")?,
+            settings: meadowstream_deployment_settings::read_json(at("settings")?).context("settings")?,
             notes: Vec::new(),
             options: RefCell::default(),
             options_path: None,
-            reference: Cell::new(meadowstream::REFERENCE),
+            reference: Cell::new(meadowstream_overload_control::REFERENCE),
             candidate: RefCell::default(),
             replicated: RefCell::default(),
             membership: None,
--- a/crates/server/src/lifecycle/publish.rs
+++ b/crates/server/src/lifecycle/publish.rs
@@ -4,7 +4,7 @@
 use super::control;
 use super::joined::Joined;
 use anyhow::{Context, Result, bail, ensure};
-use meadowstream_options::replication::load_change;
+use meadowstream_configuration::replication::load_change;
 use meadowstream_replication::message::{Message, Ticket};
 use meadowstream_replication::revision::{Change, PARTS_MAX, split};
 use meadowstream_shared_state::REPLICATION;
--- a/crates/server/src/lifecycle/tasks/call.rs
+++ b/crates/server/src/lifecycle/tasks/call.rs
@@ -4,7 +4,7 @@
 use crate::wire::{Parsed, http, ring::Ring};
 use async_io::{Async, Timer};
 use futures_lite::{AsyncWriteExt, future};
-use meadowstream::{Ending, Nanos};
+use meadowstream_overload_control::{Ending, Nanos};
 use std::cell::Cell;
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpStream};
--- a/crates/server/src/lifecycle/tasks/decisions.rs
+++ b/crates/server/src/lifecycle/tasks/decisions.rs
@@ -13,9 +13,9 @@
 use async_channel::{Receiver, Sender as Queue};
 use async_io::Timer;
 use futures_lite::future;
-use meadowstream::brain::{Brain, TICK};
-use meadowstream::{Arrival, Effect, Ending, Gauges, Host, Nanos};
-use meadowstream_fair::Retune;
+use meadowstream_fair_queueing::Retune;
+use meadowstream_overload_control::brain::{Brain, TICK};
+use meadowstream_overload_control::{Arrival, Effect, Ending, Gauges, Host, Nanos};
 use meadowstream_routing::Wish;
 use siphasher::sip::SipHasher13;
 use std::cmp::Reverse;
@@ -304,7 +304,7 @@
         let (accounts, promises, bytes) = (fair.accounts(), fair.promises(), fair.bytes());
         info!(level, accounts, promises, bytes, ?counts, "shares");
         for heavy in fair.heaviest(now, shown) {
-            let meadowstream_fair::Heavy { name, weight, asks, ahead, within, surplus } = heavy;
+            let meadowstream_fair_queueing::Heavy { name, weight, asks, ahead, within, surplus } = heavy;
             info!(tenant = name, weight, asks, ahead, within, surplus, "share");
         }
     }
--- a/crates/server/src/lifecycle/tasks/mod.rs
+++ b/crates/server/src/lifecycle/tasks/mod.rs
@@ -20,7 +20,7 @@
 use async_executor::LocalExecutor;
 use async_io::Async;
 use futures_lite::AsyncReadExt;
-use meadowstream::{Ending, Nanos};
+use meadowstream_overload_control::{Ending, Nanos};
 use std::cell::Cell;
 use std::io::{ErrorKind, Result};
 use std::net::TcpStream;
@@ -95,7 +95,7 @@
         /// That of a tokened operation.
         token: Option<Vec<u8>>,
         /// Where tenants are told apart.
-        sender: Option<meadowstream::Sender>,
+        sender: Option<meadowstream_overload_control::Sender>,
     },
     /// A connection has broken: nobody waits for what was open on it.
     Broken(u64),
@@ -126,7 +126,7 @@
     /// The log is to say who asks for most.
     ShowTenants,
     /// A part of a change of weights and shares.
-    Retune(Box<meadowstream_fair::Retune>),
+    Retune(Box<meadowstream_fair_queueing::Retune>),
     /// All that was sent before this has been taken in.
     Reached(Sender<()>),
     /// The busy share of the cores to steer to from now on.
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -10,7 +10,7 @@
 use anyhow::{Context, Result, ensure};
 use lifecycle::configuration::{Configuration, Layers};
 use lifecycle::{control, coordinate, publish, start};
-use meadowstream_stand_ins::{night, table::table};
+use meadowstream_test_doubles::{night, table::table};
 use std::ffi::OsStr;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -282,7 +282,7 @@
 
 fn fleet_rehearse(servers: usize) -> Result<()> {
     let program = std::env::current_exe().context("cannot find this program")?;
-    let table = meadowstream_stand_ins::fleet::rehearse(&program, servers, |line| println!("{line}"))?;
+    let table = meadowstream_test_doubles::fleet::rehearse(&program, servers, |line| println!("{line}"))?;
     println!("\n{table}");
     Ok(())
 }
--- a/crates/server/src/memory/connections.rs
+++ b/crates/server/src/memory/connections.rs
@@ -2,7 +2,7 @@
 
 use crate::wire::rpc::Answer;
 use async_channel::{Receiver, Sender};
-use meadowstream::Nanos;
+use meadowstream_overload_control::Nanos;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/server/src/memory/repeats.rs
+++ b/crates/server/src/memory/repeats.rs
@@ -2,7 +2,7 @@
 //! became of it, so that a repeat is answered from its forerunner and never run. It decides nothing of what
 //! runs; times are passed in, and all of it can be played without a server.
 
-use meadowstream::Nanos;
+use meadowstream_overload_control::Nanos;
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
 /// Longest token, in bytes.
--- a/crates/server/src/wire/http.rs
+++ b/crates/server/src/wire/http.rs
@@ -1,7 +1,7 @@
 //! Calls to the records service: HTTP/1.1, one at a time on a connection.
 
 use super::{Parsed, decimal};
-use meadowstream::{Ending, Nanos};
+use meadowstream_overload_control::{Ending, Nanos};
 
 /// Longest head and longest body of a reply.
 const HEAD_MAX: usize = 4096;
--- a/crates/server/src/wire/interpreter.rs
+++ b/crates/server/src/wire/interpreter.rs
@@ -3,7 +3,7 @@
 use super::Parsed;
 use anyhow::{Context, Result, bail, ensure};
 use base64::{Engine, engine::general_purpose::STANDARD};
-use meadowstream::{Ending, Nanos};
+use meadowstream_overload_control::{Ending, Nanos};
 use serde_json::{Value, json};
 
 /// A longer line is passed over.
--- a/crates/server/src/wire/rpc.rs
+++ b/crates/server/src/wire/rpc.rs
@@ -1,7 +1,7 @@
 //! The calls that balancers make and the answers to them, as words of RESP arrays.
 
 use super::{decimal, resp};
-use meadowstream::Nanos;
+use meadowstream_overload_control::Nanos;
 
 /// Longest body of a call.
 const BODY_MAX: usize = 2048;
--- a/crates/server/src/wire/tests.rs
+++ b/crates/server/src/wire/tests.rs
@@ -3,7 +3,7 @@
 mod outside_names;
 
 use super::{Parsed, http, interpreter, resp, ring::Ring, rpc};
-use meadowstream::Ending;
+use meadowstream_overload_control::Ending;
 use test_case::test_case;
 
 /// What is read does not matter where only its extent is looked at.
--- a/crates/server/src/wire/tests/outside_names.rs
+++ b/crates/server/src/wire/tests/outside_names.rs
@@ -2,7 +2,7 @@
 
 use crate::wire::interpreter::{self, Notice};
 use crate::wire::{catalog, http, rpc};
-use meadowstream::Ending;
+use meadowstream_overload_control::Ending;
 use test_case::test_case;
 
 fn answer(answer: &rpc::Answer, advertised: Option<f64>) -> String {
--- a/crates/server/tests/fair_queues.rs
+++ b/crates/server/tests/fair_queues.rs
@@ -1,7 +1,7 @@
 //! The program itself on loopback, with stand-ins round it: many small tenants and one that floods.
 
-use meadowstream_stand_ins::night::{self, Outcome};
-use meadowstream_stand_ins::table::table;
+use meadowstream_test_doubles::night::{self, Outcome};
+use meadowstream_test_doubles::table::table;
 use std::path::Path;
 use std::sync::Mutex;
 use std::sync::atomic::Ordering::Relaxed;
@@ -31,7 +31,7 @@
     assert!(outcome.peak_kib < 64 << 10, "{} KiB", outcome.peak_kib);
     let shares = outcome.shares.iter().find(|line| line.contains(" bytes=")).expect("asked for");
     let bytes = shares.split(" bytes=").nth(1).and_then(|rest| rest.split(' ').next()?.parse::<usize>().ok());
-    let ceiling = meadowstream_fair::Settings::default().ceiling();
+    let ceiling = meadowstream_fair_queueing::Settings::default().ceiling();
     assert!(bytes.is_some_and(|bytes| bytes <= ceiling), "{bytes:?} of {ceiling}");
 }
 
--- a/crates/server/tests/fleet_cold.rs
+++ b/crates/server/tests/fleet_cold.rs
@@ -2,8 +2,8 @@
 //! it gets is counted there, from all of them together. Loopback only, bounded, every process ended by its
 //! id.
 
-use meadowstream_stand_ins::fleet::{Extra, Stage, wait};
-use meadowstream_stand_ins::{load, parties};
+use meadowstream_test_doubles::fleet::{Extra, Stage, wait};
+use meadowstream_test_doubles::{load, parties};
 use std::path::Path;
 use std::sync::atomic::Ordering::Relaxed;
 use std::time::{Duration, Instant};
--- a/crates/server/tests/fleet_membership.rs
+++ b/crates/server/tests/fleet_membership.rs
@@ -3,7 +3,7 @@
 //! processes themselves write to their logs (JSON lines), never on the relay's word. Each process is killed
 //! when its stage ends, whatever the outcome.
 
-use meadowstream_stand_ins::fleet::{Extra, PROBE_MS, SUSPICION, Stage};
+use meadowstream_test_doubles::fleet::{Extra, PROBE_MS, SUSPICION, Stage};
 use std::net::UdpSocket;
 use std::path::Path;
 use std::process::{Command, Stdio};
--- a/crates/server/tests/fleet_rollout.rs
+++ b/crates/server/tests/fleet_rollout.rs
@@ -1,9 +1,9 @@
 //! Changes by stages over six processes of the program, behind the fault relay and under load, with the
 //! coordinator as a seventh: what each server goes by, answers and says is read from the servers themselves.
 
-use meadowstream_stand_ins::fleet::{Extra, Stage, wait};
-use meadowstream_stand_ins::load::{Answers, flood};
-use meadowstream_stand_ins::parties;
+use meadowstream_test_doubles::fleet::{Extra, Stage, wait};
+use meadowstream_test_doubles::load::{Answers, flood};
+use meadowstream_test_doubles::parties;
 use std::io::{BufRead, BufReader};
 use std::net::{TcpListener, UdpSocket};
 use std::path::{Path, PathBuf};
--- a/crates/server/tests/fleet_scale.rs
+++ b/crates/server/tests/fleet_scale.rs
@@ -2,7 +2,7 @@
 //! three zones, each behind the fault relay. What is asserted is what processes report. Loopback only,
 //! bounded, every process ended by its id.
 
-use meadowstream_stand_ins::fleet::{Extra, Stage, wait};
+use meadowstream_test_doubles::fleet::{Extra, Stage, wait};
 use std::net::UdpSocket;
 use std::path::{Path, PathBuf};
 use std::process::Command;
--- a/crates/server/tests/fleet_state.rs
+++ b/crates/server/tests/fleet_state.rs
@@ -1,10 +1,10 @@
 //! Five processes of the program share a budget of calls to one dependency, through the fault relay under a
 //! flood: the dependency counts what it has in its hands at once, and the processes say what they hold.
 
-use meadowstream_stand_ins::fleet::{Extra, Stage, wait};
-use meadowstream_stand_ins::load::{Answers, flood};
-use meadowstream_stand_ins::parties::{self, Records};
-use meadowstream_stand_ins::tcp_relay::TcpRelay;
+use meadowstream_test_doubles::fleet::{Extra, Stage, wait};
+use meadowstream_test_doubles::load::{Answers, flood};
+use meadowstream_test_doubles::parties::{self, Records};
+use meadowstream_test_doubles::tcp_relay::TcpRelay;
 use std::path::Path;
 use std::sync::Arc;
 use std::sync::atomic::Ordering::Relaxed;
--- a/crates/simhost/src/codec.rs
+++ b/crates/simulator-adapter/src/codec.rs
@@ -1,7 +1,7 @@
 //! Frames of the wire, decoded field by field and encoded record by record.
 
 use anyhow::{Context, Result, bail, ensure};
-use meadowstream::{Ending, Host, Nanos};
+use meadowstream_overload_control::{Ending, Host, Nanos};
 use std::io::Read;
 
 const HEADER: usize = 16;
--- a/crates/simhost/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,11 +1,11 @@
-//! `meadowstream-simhost`: hosts one isolated instance of the module for each simulated server, on
+//! `meadowstream-simulator-adapter`: hosts one isolated instance of the module for each simulated server, on
 //! standard input and output. It decides nothing.
 
 mod codec;
 
 use anyhow::{Context, Result, bail, ensure};
 use codec::{Batch, Event, Reply};
-use meadowstream::{Arrival, Gauges, brain::Brain};
+use meadowstream_overload_control::{Arrival, Gauges, brain::Brain};
 use std::io::{Read, Write};
 
 struct Life {
@@ -27,7 +27,7 @@
         let code = event.u8(0);
         reply.speaks(instance);
         if code == 10 {
-            let read = meadowstream_settings::read(event.text(9)?)?;
+            let read = meadowstream_deployment_settings::read(event.text(9)?)?;
             let (operations, tenants) =
                 (read.deployment.operations.len(), read.deployment.tenant_allowance.len());
             let brain = Brain::new(read.deployment, event.u64(1), now, reply);
@@ -124,7 +124,7 @@
 
 fn main() {
     if let Err(trouble) = serve(&mut std::io::stdin().lock(), &mut std::io::stdout().lock()) {
-        eprintln!("meadowstream-simhost: {trouble:#}");
+        eprintln!("meadowstream-simulator-adapter: {trouble:#}");
         std::process::exit(1);
     }
 }
--- a/crates/simhost/tests/frames.rs
+++ b/crates/simulator-adapter/tests/frames.rs
@@ -136,7 +136,7 @@
 
 #[test]
 fn frames_are_answered_with_the_bytes_of_release_0_2() {
-    let mut program = Command::new(env!("CARGO_BIN_EXE_meadowstream-simhost"))
+    let mut program = Command::new(env!("CARGO_BIN_EXE_meadowstream-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .spawn()
