--- a/crates/server/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -2,14 +2,12 @@
 //! of them. See `docs/server.md`.
 
 mod capacity;
-mod lifecycle;
 mod log;
-mod memory;
-mod wire;
 
 use anyhow::{Context, Result, ensure};
-use lifecycle::configuration::{Configuration, Layers};
-use lifecycle::{control, coordinate, publish, start};
+use meadowstream_server::fleet::{control_machine as control, coordinator as coordinate, publish};
+use meadowstream_server::lifecycle::configuration::{Configuration, Layers};
+use meadowstream_server::lifecycle::start;
 use meadowstream_test_doubles::{night, table::table};
 use std::ffi::OsStr;
 use std::path::{Path, PathBuf};
--- a/crates/server/src/lifecycle/tasks/call.rs
+++ b/crates/server/src/calls/task.rs
@@ -1,7 +1,11 @@
 //! One call to the records service. Dropped, it is given up: its connection closes.
 
-use super::{Input, Server, receive};
-use crate::wire::{Parsed, http, ring::Ring};
+use crate::server::Input;
+use crate::server::Server;
+use crate::server::receive;
+use crate::wire::Parsed;
+use crate::wire::http;
+use crate::wire::ring::Ring;
 use async_io::{Async, Timer};
 use futures_lite::{AsyncWriteExt, future};
 use meadowstream_overload_control::{Ending, Nanos};
--- a/crates/server/src/lifecycle/tasks/accept.rs
+++ b/crates/server/src/connection/accept.rs
@@ -1,7 +1,8 @@
 //! Takes connections in until the server leaves.
 
-use super::{Server, connection};
+use crate::connection::task as connection;
 use crate::lifecycle::drain;
+use crate::server::Server;
 use async_io::{Async, Timer};
 use futures_lite::future;
 use std::net::TcpListener;
--- /dev/null
+++ b/crates/server/src/connection/mod.rs
@@ -0,0 +1,5 @@
+//! Connections of balancers: accepting them, the table of those that are open, and the task of each.
+
+pub mod accept;
+pub mod table;
+pub mod task;
--- a/crates/server/src/lifecycle/tasks/connection.rs
+++ b/crates/server/src/connection/task.rs
@@ -1,11 +1,18 @@
 //! One connection of a balancer: reads calls, writes answers.
 
-use super::{Input, Server};
+use crate::connection::table::Connection;
+use crate::connection::table::OPEN_MAX;
+use crate::connection::table::Told;
 use crate::lifecycle::configuration::TENANT_FIELD;
-use crate::memory::connections::{Connection, OPEN_MAX, Told};
 use crate::memory::descriptors::Place;
 use crate::memory::repeats::TOKEN_MAX;
-use crate::wire::{Parsed, decimal, resp, ring::Ring, rpc};
+use crate::server::Input;
+use crate::server::Server;
+use crate::wire::Parsed;
+use crate::wire::decimal;
+use crate::wire::resp;
+use crate::wire::ring::Ring;
+use crate::wire::rpc;
 use async_channel::Receiver;
 use async_io::{Async, Timer};
 use futures_lite::future;
--- a/crates/server/src/lifecycle/tasks/decisions.rs
+++ b/crates/server/src/event_loop.rs
@@ -1,13 +1,20 @@
 //! The one task that owns the module: inputs and times go in, what is decided goes out to its owners.
 
-use super::call::{self, Call};
-use super::{Input, Server};
-use crate::memory::connections::Told;
-use crate::memory::figures::Answered;
-use crate::memory::invocations::{Invocation, Invocations, Sent};
-use crate::memory::repeats::{Echo, Found, Repeats};
-use crate::memory::tier::Over;
-use crate::wire::interpreter::{self, Notice};
+use crate::calls::task as call;
+use crate::calls::task::Call;
+use crate::connection::table::Told;
+use crate::fleet::interval_report::Answered;
+use crate::fleet::tier::Over;
+use crate::memory::invocations::Invocation;
+use crate::memory::invocations::Invocations;
+use crate::memory::invocations::Sent;
+use crate::memory::repeats::Echo;
+use crate::memory::repeats::Found;
+use crate::memory::repeats::Repeats;
+use crate::server::Input;
+use crate::server::Server;
+use crate::wire::interpreter;
+use crate::wire::interpreter::Notice;
 use crate::wire::resp::WORD_MAX;
 use crate::wire::rpc::Answer;
 use async_channel::{Receiver, Sender as Queue};
--- a/crates/server/src/lifecycle/control.rs
+++ b/crates/server/src/fleet/control_machine.rs
@@ -1,11 +1,13 @@
 //! `meadowstream control`: a machine set aside for control. It is a member of the fleet that serves nothing,
 //! keeps the log of configuration with the other control machines, and publishes while it holds the lease.
 
-use super::configuration::{self, Fleet};
-use super::files;
-use super::joined::Joined;
-use super::tasks::replication::{read_file, settings};
-use crate::memory::shared::PUBLISHING;
+use crate::fleet::joined::Joined;
+use crate::fleet::replication::read_file;
+use crate::fleet::replication::settings;
+use crate::fleet::shared_state::PUBLISHING;
+use crate::lifecycle::configuration;
+use crate::lifecycle::configuration::Fleet;
+use crate::lifecycle::files;
 use anyhow::{Context, Result, anyhow, ensure};
 use async_signal::{Signal, Signals};
 use futures_lite::{StreamExt, future};
--- a/crates/server/src/lifecycle/coordinate.rs
+++ b/crates/server/src/fleet/coordinator.rs
@@ -2,10 +2,12 @@
 //! serves nothing, holds the lease on rollouts, orders and listens each interval, and keeps its state on
 //! disk.
 
-use super::configuration::{self, Fleet, hash_of};
-use super::files;
-use super::joined::Joined;
-use crate::memory::shared::ROLLOUTS;
+use crate::fleet::joined::Joined;
+use crate::fleet::shared_state::ROLLOUTS;
+use crate::lifecycle::configuration;
+use crate::lifecycle::configuration::Fleet;
+use crate::lifecycle::configuration::hash_of;
+use crate::lifecycle::files;
 use anyhow::{Context, Result, anyhow, bail, ensure};
 use meadowstream_configuration::{Options, PlanFile};
 use meadowstream_membership::{Membership, Standing};
--- a/crates/server/src/lifecycle/tasks/fleet.rs
+++ b/crates/server/src/fleet/membership.rs
@@ -1,9 +1,10 @@
 //! The fleet's view: one task owns the membership core on its UDP socket, feeds it datagrams and time, sends
 //! what it asks, and says in the log what changed and how the view stands. It feeds the module nothing yet.
 
-use super::replication::Replication;
-use super::{Server, rollout};
+use crate::fleet::replication::Replication;
+use crate::fleet::rollout;
 use crate::lifecycle::configuration::Fleet;
+use crate::server::Server;
 use async_io::{Async, Timer};
 use futures_lite::future;
 use meadowstream_membership::directory::Directory;
@@ -124,7 +125,7 @@
     replication: Option<Replication>,
     directory: Directory,
     due: u64,
-    shown: crate::memory::shared::Shown,
+    shown: crate::fleet::shared_state::Shown,
     shown_at: u64,
     /// When this server last told another what it and others run.
     told_at: u64,
@@ -188,10 +189,10 @@
         }
         if again {
             // A full queue means that the module will look at everything anyway.
-            let _ = server.inputs.try_send(super::Input::RoomBelow);
+            let _ = server.inputs.try_send(crate::server::Input::RoomBelow);
         }
         let shown = shared.shown();
-        let leases = |s: &crate::memory::shared::Shown| (s.floor, s.leased, s.gives, s.ejected.clone());
+        let leases = |s: &crate::fleet::shared_state::Shown| (s.floor, s.leased, s.gives, s.ejected.clone());
         if leases(&shown) != leases(&self.shown) || now >= self.shown_at + SHOWN_EVERY {
             let (totals, tally) = shared.totals();
             let (routed, services) = shared.tier();
--- /dev/null
+++ b/crates/server/src/fleet/mod.rs
@@ -0,0 +1,13 @@
+//! What the servers of a fleet do together: membership, shared state, replicated configuration, and changes
+//! in stages. Each is off unless the options turn it on.
+
+pub mod control_machine;
+pub mod coordinator;
+pub mod interval_report;
+pub mod joined;
+pub mod membership;
+pub mod publish;
+pub mod replication;
+pub mod rollout;
+pub mod shared_state;
+pub mod tier;
--- a/crates/server/src/lifecycle/publish.rs
+++ b/crates/server/src/fleet/publish.rs
@@ -1,8 +1,8 @@
 //! `meadowstream publish`: an operator's command. It joins the fleet for a moment, hands a change to the
 //! publisher, and says who goes by it; or takes one back; or only asks.
 
-use super::control;
-use super::joined::Joined;
+use crate::fleet::control_machine as control;
+use crate::fleet::joined::Joined;
 use anyhow::{Context, Result, bail, ensure};
 use meadowstream_configuration::replication::load_change;
 use meadowstream_replication::message::{Message, Ticket};
--- a/crates/server/src/lifecycle/tasks/replication.rs
+++ b/crates/server/src/fleet/replication.rs
@@ -2,9 +2,9 @@
 //! is checked and written to disk on the blocking pool before it is in force, and what becomes of it is
 //! reported.
 
-use super::Server;
+use crate::fleet::shared_state::Shared;
 use crate::lifecycle::reload;
-use crate::memory::shared::Shared;
+use crate::server::Server;
 use async_channel::{Receiver, Sender};
 use meadowstream_configuration::replication::Replication as Given;
 use meadowstream_membership::Nanos;
--- a/crates/server/src/lifecycle/tasks/rollout.rs
+++ b/crates/server/src/fleet/rollout.rs
@@ -2,10 +2,12 @@
 //! orders, and reports what it does. What it goes by stands in a file beside its options before it is
 //! reported, so that it is the same after a crash.
 
-use super::Server;
-use crate::lifecycle::configuration::{Candidate, hash_of};
-use crate::lifecycle::{files, reload};
-use crate::memory::figures::Record;
+use crate::fleet::interval_report::Record;
+use crate::lifecycle::configuration::Candidate;
+use crate::lifecycle::configuration::hash_of;
+use crate::lifecycle::files;
+use crate::lifecycle::reload;
+use crate::server::Server;
 use anyhow::Context;
 use async_channel::Sender;
 use meadowstream_rollout::about::{About, Abouts};
--- a/crates/server/src/memory/shared.rs
+++ b/crates/server/src/fleet/shared_state.rs
@@ -1,9 +1,10 @@
 //! What this server shares with the others: the pure core, the calls out below against the fleet's budget,
 //! and readings of both clocks. The fleet's task and the module's owner both use it, on the one thread.
 
+use crate::fleet::tier::Over;
+use crate::fleet::tier::Tier;
 use crate::lifecycle::reload::TenantNames;
 use crate::memory::counters::Counters;
-use crate::memory::tier::{Over, Tier};
 use meadowstream_routing::Wish;
 use meadowstream_shared_state::budget::Budget;
 use meadowstream_shared_state::clock::{Reading, Time};
--- a/crates/server/src/lifecycle/tasks/link.rs
+++ b/crates/server/src/interpreter/link.rs
@@ -1,7 +1,11 @@
 //! The link to the interpreter, made again after each break.
 
-use super::{Input, Server, receive};
-use crate::wire::{Parsed, interpreter, ring::Ring};
+use crate::server::Input;
+use crate::server::Server;
+use crate::server::receive;
+use crate::wire::Parsed;
+use crate::wire::interpreter;
+use crate::wire::ring::Ring;
 use async_channel::Receiver;
 use async_io::{Async, Timer};
 use futures_lite::{AsyncWriteExt, future};
--- /dev/null
+++ b/crates/server/src/interpreter/mod.rs
@@ -0,0 +1,3 @@
+//! The link to the interpreter that runs the work.
+
+pub mod link;
--- /dev/null
+++ b/crates/server/src/lib.rs
@@ -0,0 +1,12 @@
+//! A server that takes calls on real sockets and lets the overload controller decide what becomes of them.
+//! See `docs/server.md`.
+
+mod calls;
+mod connection;
+mod event_loop;
+pub mod fleet;
+mod interpreter;
+pub mod lifecycle;
+mod memory;
+mod server;
+mod wire;
--- a/crates/server/src/lifecycle/tasks/catalog.rs
+++ b/crates/server/src/lifecycle/catalog.rs
@@ -1,6 +1,6 @@
 //! Reports to the catalog, from the interpreter's start to the notice to leave.
 
-use super::Server;
+use crate::server::Server;
 use crate::wire::catalog;
 use async_io::{Async, Timer};
 use std::net::UdpSocket;
--- a/crates/server/src/lifecycle/configuration.rs
+++ b/crates/server/src/lifecycle/configuration.rs
@@ -1,8 +1,10 @@
 //! What the server is told at its start, from one JSON file, and what of it a reload changes.
 
-use super::tasks::replication::read_file;
+use crate::fleet::replication::read_file;
+use crate::fleet::shared_state::LEASES;
+use crate::fleet::shared_state::PUBLISHING;
+use crate::fleet::shared_state::ROLLOUTS;
 use crate::memory::repeats::ENTRY_BYTES;
-use crate::memory::shared::{LEASES, PUBLISHING, ROLLOUTS};
 use anyhow::{Context, Result, anyhow, bail, ensure};
 use meadowstream_configuration::replication::overlay_replicated;
 use meadowstream_configuration::{Options, Tokens};
--- a/crates/server/src/lifecycle/drain.rs
+++ b/crates/server/src/lifecycle/drain.rs
@@ -1,6 +1,6 @@
 //! The drain: when a server that was told to leave may end.
 
-use super::tasks::Server;
+use crate::server::Server;
 use async_io::Timer;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/server/src/lifecycle/reload.rs
+++ b/crates/server/src/lifecycle/reload.rs
@@ -3,9 +3,13 @@
 //! so that its pauses do not grow with the files. One change at a time: the files are read after the change
 //! before is in force, so an older reading never follows a newer one.
 
-use super::configuration::{Candidate, Configuration, Layers, hash_of};
-use super::files;
-use super::tasks::{Input, Server};
+use crate::lifecycle::configuration::Candidate;
+use crate::lifecycle::configuration::Configuration;
+use crate::lifecycle::configuration::Layers;
+use crate::lifecycle::configuration::hash_of;
+use crate::lifecycle::files;
+use crate::server::Input;
+use crate::server::Server;
 use anyhow::{Context, Result, ensure};
 use meadowstream_configuration::{Options, Tenants};
 use meadowstream_fair_queueing::Retune;
--- a/crates/server/src/lifecycle/signals.rs
+++ b/crates/server/src/lifecycle/signals.rs
@@ -1,7 +1,9 @@
 //! Signals: the notice to leave, new addresses, and the wish to see the counters.
 
-use super::tasks::{Input, Server};
-use super::{drain, reload};
+use crate::lifecycle::drain;
+use crate::lifecycle::reload;
+use crate::server::Input;
+use crate::server::Server;
 use anyhow::Result;
 use async_channel::{Receiver, Sender};
 use async_signal::{Signal, Signals};
--- a/crates/server/src/lifecycle/start.rs
+++ b/crates/server/src/lifecycle/start.rs
@@ -1,12 +1,26 @@
 //! The start: one thread, one executor, the tasks.
 
-use super::reload::{self, Changes};
-use super::tasks::rollout::{self, Rollout};
-use super::tasks::{Input, Server, accept, catalog, decisions::Decisions, fleet, link};
-use super::{clock::Clock, configuration::Configuration, drain, signals};
-use crate::memory::connections::{Connections, Standing};
-use crate::memory::shared::Shared;
-use crate::memory::{counters::Counters, descriptors::Descriptors, pool::Pool};
+use crate::calls::pool::Pool;
+use crate::connection::accept;
+use crate::connection::table::Connections;
+use crate::connection::table::Standing;
+use crate::event_loop::Decisions;
+use crate::fleet::membership as fleet;
+use crate::fleet::rollout;
+use crate::fleet::rollout::Rollout;
+use crate::fleet::shared_state::Shared;
+use crate::interpreter::link;
+use crate::lifecycle::catalog;
+use crate::lifecycle::clock::Clock;
+use crate::lifecycle::configuration::Configuration;
+use crate::lifecycle::drain;
+use crate::lifecycle::reload;
+use crate::lifecycle::reload::Changes;
+use crate::lifecycle::signals;
+use crate::memory::counters::Counters;
+use crate::memory::descriptors::Descriptors;
+use crate::server::Input;
+use crate::server::Server;
 use anyhow::{Context, Result, anyhow};
 use async_executor::LocalExecutor;
 use async_io::Async;
--- a/crates/server/src/memory/descriptors.rs
+++ b/crates/server/src/memory/descriptors.rs
@@ -1,7 +1,8 @@
 //! The descriptors that the server may hold: each connection and each call has a place among them.
 //! Guards against holding more than the limit, for which the platform kills it.
 
-use super::pool::{LOOK, Pool};
+use crate::calls::pool::LOOK;
+use crate::calls::pool::Pool;
 use anyhow::{Result, ensure};
 use async_io::Timer;
 use std::cell::Cell;
--- a/crates/server/src/memory/invocations.rs
+++ b/crates/server/src/memory/invocations.rs
@@ -1,6 +1,6 @@
 //! The invocations in hand: from the moment one is read until it is answered and runs no more.
 
-use super::connections::Connection;
+use crate::connection::table::Connection;
 use async_executor::Task;
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
--- a/crates/server/src/lifecycle/tasks/mod.rs
+++ b/crates/server/src/server.rs
@@ -1,21 +1,15 @@
-//! The tasks, one a file. They share a [`Server`] and reach the module by its queue of inputs only.
+//! What the tasks share. They reach the overload controller by its queue of inputs only.
 
-pub mod accept;
-pub mod call;
-pub mod catalog;
-pub mod connection;
-pub mod decisions;
-pub mod fleet;
-pub mod link;
-pub mod replication;
-pub mod rollout;
-
-use super::clock::Clock;
-use super::configuration::Configuration;
-use super::reload::Changes;
-use crate::memory::shared::Shared;
-use crate::memory::{connections::*, counters::Counters, descriptors::Descriptors, pool::Pool};
-use crate::wire::{interpreter::Notice, ring::Ring};
+use crate::calls::pool::Pool;
+use crate::connection::table::*;
+use crate::fleet::shared_state::Shared;
+use crate::lifecycle::clock::Clock;
+use crate::lifecycle::configuration::Configuration;
+use crate::lifecycle::reload::Changes;
+use crate::memory::counters::Counters;
+use crate::memory::descriptors::Descriptors;
+use crate::wire::interpreter::Notice;
+use crate::wire::ring::Ring;
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::Async;
@@ -51,7 +45,7 @@
     /// What the servers share, where the options say so.
     pub shared: Option<Shared>,
     /// This server's part in changes by stages, where the options say so.
-    pub rollout: Option<rollout::Rollout>,
+    pub rollout: Option<crate::fleet::rollout::Rollout>,
     /// Changes of settings, one at a time.
     pub changes: Changes,
     /// Longest time that a part of the last change held the module up.
@@ -65,7 +59,7 @@
 }
 
 /// Waits for bytes and puts what fits into the ring, in one piece with what it holds. An error at the end.
-async fn receive(mut stream: &Async<TcpStream>, ring: &mut Ring) -> Result<()> {
+pub async fn receive(mut stream: &Async<TcpStream>, ring: &mut Ring) -> Result<()> {
     let mut chunk = [0; 8 * 1024];
     let room = ring.room().min(chunk.len());
     let count = stream.read(&mut chunk[..room]).await?;
--- a/crates/server/src/wire/http.rs
+++ b/crates/server/src/wire/http.rs
@@ -1,6 +1,7 @@
 //! Calls to the records service: HTTP/1.1, one at a time on a connection.
 
-use super::{Parsed, decimal};
+use crate::wire::Parsed;
+use crate::wire::decimal;
 use meadowstream_overload_control::{Ending, Nanos};
 
 /// Longest head and longest body of a reply.
--- a/crates/server/src/wire/interpreter.rs
+++ b/crates/server/src/wire/interpreter.rs
@@ -1,6 +1,6 @@
 //! The interpreter's lines: commands out and notices in, JSON objects with bodies in base64.
 
-use super::Parsed;
+use crate::wire::Parsed;
 use anyhow::{Context, Result, bail, ensure};
 use base64::{Engine, engine::general_purpose::STANDARD};
 use meadowstream_overload_control::{Ending, Nanos};
--- a/crates/server/src/wire/resp.rs
+++ b/crates/server/src/wire/resp.rs
@@ -1,6 +1,7 @@
 //! RESP arrays of bulk strings.
 
-use super::{Parsed, decimal};
+use crate::wire::Parsed;
+use crate::wire::decimal;
 
 /// Longest bulk string and most of them in an array.
 pub const WORD_MAX: usize = 4096;
--- a/crates/server/src/wire/rpc.rs
+++ b/crates/server/src/wire/rpc.rs
@@ -1,6 +1,7 @@
 //! The calls that balancers make and the answers to them, as words of RESP arrays.
 
-use super::{decimal, resp};
+use crate::wire::decimal;
+use crate::wire::resp;
 use meadowstream_overload_control::Nanos;
 
 /// Longest body of a call.
--- a/crates/server/src/wire/tests/outside_names.rs
+++ b/crates/server/src/wire/tests/outside_names.rs
@@ -1,7 +1,10 @@
 //! The words of the protocols are those of release 0.2.0 (commit 22d0bb6).
 
-use crate::wire::interpreter::{self, Notice};
-use crate::wire::{catalog, http, rpc};
+use crate::wire::catalog;
+use crate::wire::http;
+use crate::wire::interpreter;
+use crate::wire::interpreter::Notice;
+use crate::wire::rpc;
 use meadowstream_overload_control::Ending;
 use test_case::test_case;
 
