--- a/crates/overload-control/benches/arrival.rs
+++ b/crates/overload-control/benches/arrival.rs
@@ -1,7 +1,7 @@
 //! What an arrival costs the whole module while many are held: it comes, is judged, and its caller goes.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use meadowstream_overload_control::brain::Brain;
+use meadowstream_overload_control::controller::Controller;
 use meadowstream_overload_control::{
     Advert, Arrival, Below, Deployment, Effect, Ending, Halting, Host, Nanos, Operation,
 };
@@ -73,23 +73,23 @@
 fn arrivals(c: &mut Criterion) {
     let mut group = c.benchmark_group("module");
     for held in [100u64, 1_000, 10_000, 100_000] {
-        let mut brain = Brain::new(site(), 1, START, &mut Nobody);
+        let mut controller = Controller::new(site(), 1, START, &mut Nobody);
         let arrival = |id| Arrival { id, operation: (id % 2) as usize, held_kb: 1.0, ..Arrival::default() };
         // An hour of runs of 1 ms, so that what is learned lets all that are held be done in time.
         for id in 1..=1000 {
             let now = START + id * HOUR / 1000;
-            brain.arrived(now, arrival(id), &mut Nobody);
-            brain.finished(now + MS, id, Ending::Succeeded, &mut Nobody);
+            controller.arrived(now, arrival(id), &mut Nobody);
+            controller.finished(now + MS, id, Ending::Succeeded, &mut Nobody);
         }
         let start = START + 2 * HOUR;
-        (0..held).for_each(|id| brain.arrived(start + id, arrival(10_000 + id), &mut Nobody));
+        (0..held).for_each(|id| controller.arrived(start + id, arrival(10_000 + id), &mut Nobody));
         let mut id = 10_000 + held;
         group.sample_size(20);
         group.bench_function(BenchmarkId::from_parameter(held), |b| {
             b.iter(|| {
                 id += 1;
-                brain.arrived(start + id, arrival(id), &mut Nobody);
-                brain.caller_gone(start + id, id, &mut Nobody);
+                controller.arrived(start + id, arrival(id), &mut Nobody);
+                controller.caller_gone(start + id, id, &mut Nobody);
             })
         });
     }
--- a/crates/overload-control/src/brain.rs
+++ b/crates/overload-control/src/controller.rs
@@ -1,6 +1,6 @@
-//! Every decision of meadowstream: one `Brain` lives in each server and sees that server alone.
+//! Every decision of meadowstream: one `Controller` lives in each server and sees that server alone.
 //!
-//! How it is called: the host makes it with `Brain::new` and passes on what happens as `arrived`,
+//! How it is called: the host makes it with `Controller::new` and passes on what happens as `arrived`,
 //! `finished`, `needs_call`, `call_ended`, `told_to_leave`, `caller_gone` and `woken`. Each call notes
 //! what it brings, then goes through `RULES` in order, from the top again after each rule that fires,
 //! until none does. What is decided goes out through the `Host` passed with the call.
@@ -106,7 +106,7 @@
     varied: f64,
 }
 
-pub struct Brain {
+pub struct Controller {
     site: Deployment,
     now: Nanos,
     born: Nanos,
@@ -144,23 +144,23 @@
 }
 
 /// A condition and an effect; `None` where the condition does not hold.
-type Rule = fn(&mut Brain, &mut dyn Host) -> Option<()>;
+type Rule = fn(&mut Controller, &mut dyn Host) -> Option<()>;
 
 /// Gone through in this order after every input, until none fires.
 const RULES: &[Rule] = &[
-    Brain::answer_what_is_due,
-    Brain::stop_what_nobody_wants,
-    Brain::refuse_in_the_window,
-    Brain::refuse_beyond_memory,
-    Brain::reuse_for_repeats,
-    Brain::refuse_what_cannot_be_done_in_time,
-    Brain::make_calls,
-    Brain::run_next,
-    Brain::tell_callers,
-    Brain::set_alarm,
+    Controller::answer_what_is_due,
+    Controller::stop_what_nobody_wants,
+    Controller::refuse_in_the_window,
+    Controller::refuse_beyond_memory,
+    Controller::reuse_for_repeats,
+    Controller::refuse_what_cannot_be_done_in_time,
+    Controller::make_calls,
+    Controller::run_next,
+    Controller::tell_callers,
+    Controller::set_alarm,
 ];
 
-impl Brain {
+impl Controller {
     pub fn new(site: Deployment, seed: u64, now: Nanos, host: &mut dyn Host) -> Self {
         let shared = !site.tenant_allowance.is_empty() || site.fair.is_some();
         let over_share = if shared { site.over_share_value } else { 1.0 };
@@ -835,7 +835,7 @@
     }
 }
 
-/// [`Brain::last_call_for`] for those in the hold, by operation and the time wanted, which is never after the
+/// [`Controller::last_call_for`] for those in the hold, by operation and the time wanted, which is never after the
 /// due time. Rule 3: what arrived later than the grace after the notice is not run; it is marked as it
 /// arrives.
 fn last_chance(usual: &[Usual], last: Nanos) -> impl Fn(usize, Nanos) -> Nanos + '_ {
--- a/crates/overload-control/src/lib.rs
+++ b/crates/overload-control/src/lib.rs
@@ -1,10 +1,10 @@
 //! meadowstream: overload control inside one server of a fleet.
 //!
-//! A host makes a [`brain::Brain`] from a [`Deployment`], passes on what happens to it as calls
+//! A host makes a [`controller::Controller`] from a [`Deployment`], passes on what happens to it as calls
 //! (`arrived`, `finished`, ...), and gives each call a [`Host`] on which the decisions come out.
 //! Neither side knows a protocol. Times are nanoseconds of any clock that never goes back.
 
-pub mod brain;
+pub mod controller;
 pub mod decay;
 mod invs;
 mod largest;
--- a/crates/overload-control/tests/days.rs
+++ b/crates/overload-control/tests/days.rs
@@ -4,7 +4,8 @@
 //! otherwise takes new ones, and its commit says why.
 
 use meadowstream_overload_control::{
-    Advert, Arrival, Below, Deployment, Effect, Ending, Gauges, Halting, Host, Nanos, Operation, brain::Brain,
+    Advert, Arrival, Below, Deployment, Effect, Ending, Gauges, Halting, Host, Nanos, Operation,
+    controller::Controller,
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -175,7 +176,7 @@
         count: 0,
     };
     let cores = site.cores;
-    let mut brain = Brain::new(site, seed, START, &mut world);
+    let mut controller = Controller::new(site, seed, START, &mut world);
     world.after(MS, Event::Arrival);
     if seed.is_multiple_of(3) {
         world.after(8000 * MS, Event::Leave);
@@ -203,7 +204,7 @@
                     held_kb: rng.random_range(4..120) as f64 / 4.0,
                     hint: rng.random_bool(0.5).then(|| rng.random_range(1..50) * MS),
                 };
-                brain.arrived(at, arrival, &mut world);
+                controller.arrived(at, arrival, &mut world);
                 // From half of what the cores do to three times as much, in waves of three seconds.
                 let loads = [4, 2, 1, 8];
                 let load = loads[((at - START) / (1500 * MS)) as usize % 4];
@@ -219,9 +220,9 @@
                     _ if world.rng.random_bool(0.03) => Ending::Errored,
                     _ => Ending::Succeeded,
                 };
-                brain.finished(at, inv, ending, &mut world);
+                controller.finished(at, inv, ending, &mut world);
             }
-            Event::AtCall(inv) => brain.needs_call(at, inv, &mut world),
+            Event::AtCall(inv) => controller.needs_call(at, inv, &mut world),
             Event::CallEnd(inv) => {
                 let endings = [Ending::Succeeded, Ending::Succeeded, Ending::NeverRan, Ending::Unknown];
                 let ending = endings[world.rng.random_range(0..4)];
@@ -229,14 +230,14 @@
                     let rest = world.rng.random_range(1..10) * MS;
                     world.after(rest, Event::Finish(inv));
                 }
-                brain.call_ended(at, inv, ending, 20 * MS, &mut world);
+                controller.call_ended(at, inv, ending, 20 * MS, &mut world);
             }
             Event::Wake(token) => {
                 let busy = (world.runs.len() as f64 / cores).min(1.0);
                 let gauges = Gauges { busy: Some(busy), wanting: Some(world.runs.len() as f64 + 0.5) };
-                brain.woken(at, token, gauges, &mut world);
+                controller.woken(at, token, gauges, &mut world);
             }
-            Event::Leave => brain.told_to_leave(at, 3000 * MS, &mut world),
+            Event::Leave => controller.told_to_leave(at, 3000 * MS, &mut world),
         }
     }
     (world.count, world.said.finish())
--- a/crates/overload-control/tests/operations.rs
+++ b/crates/overload-control/tests/operations.rs
@@ -1,7 +1,7 @@
 //! Many operations: what one decision costs does not grow with them, and what is kept of all of them at once
 //! follows what each is learned to take.
 
-use meadowstream_overload_control::brain::{Brain, TICK};
+use meadowstream_overload_control::controller::{Controller, TICK};
 use meadowstream_overload_control::{
     Advert, Arrival, Below, Deployment, Effect, Ending, Gauges, Halting, Host, Nanos, Operation,
 };
@@ -35,7 +35,7 @@
     fn log(&mut self, _line: &str) {}
 }
 
-fn brain(operations: usize) -> Brain {
+fn controller(operations: usize) -> Controller {
     let operation = Operation {
         effect: Effect::Idempotent,
         latency_objective: OBJECTIVE,
@@ -72,25 +72,31 @@
         reference: 0.9,
         cold_for: 1,
     };
-    Brain::new(site, 1, START, &mut Health(true))
+    Controller::new(site, 1, START, &mut Health(true))
 }
 
-fn run_one(brain: &mut Brain, at: Nanos, id: u64, operation: usize, took: Nanos) {
+fn run_one(controller: &mut Controller, at: Nanos, id: u64, operation: usize, took: Nanos) {
     let arrival = Arrival { id, operation, held_kb: 1.0, ..Arrival::default() };
-    brain.arrived(at, arrival, &mut Health(true));
-    brain.finished(at + took, id, Ending::Succeeded, &mut Health(true));
+    controller.arrived(at, arrival, &mut Health(true));
+    controller.finished(at + took, id, Ending::Succeeded, &mut Health(true));
 }
 
 /// The quickest of a few rounds: what else the machine does only makes some of them slower.
 fn quickest_round(operations: usize) -> Duration {
     const ROUNDS: u64 = 7;
     const RUNS: u64 = 200;
-    let mut brain = brain(operations);
+    let mut controller = controller(operations);
     let mut round = |round: u64| {
         let began = Instant::now();
         for run in 0..RUNS {
             let id = round * RUNS + run + 1;
-            run_one(&mut brain, START + id * 10 * MILLISECOND, id, id as usize % operations, MILLISECOND);
+            run_one(
+                &mut controller,
+                START + id * 10 * MILLISECOND,
+                id,
+                id as usize % operations,
+                MILLISECOND,
+            );
         }
         began.elapsed()
     };
@@ -108,24 +114,24 @@
 /// the longest and is no more.
 #[test]
 fn what_the_longest_run_takes_falls_with_the_operation_that_took_longest() {
-    let mut brain = brain(2);
+    let mut controller = controller(2);
     let (mut at, mut id) = (START, 0);
-    let mut runs = |brain: &mut Brain, operation: usize, took: Nanos| {
+    let mut runs = |controller: &mut Controller, operation: usize, took: Nanos| {
         for _ in 0..300 {
             id += 1;
-            run_one(brain, at, id, operation, took);
+            run_one(controller, at, id, operation, took);
             at += SECOND;
         }
         at
     };
-    runs(&mut brain, 0, MILLISECOND);
-    runs(&mut brain, 1, 400 * MILLISECOND);
-    let now = runs(&mut brain, 1, 2 * MILLISECOND);
+    runs(&mut controller, 0, MILLISECOND);
+    runs(&mut controller, 1, 400 * MILLISECOND);
+    let now = runs(&mut controller, 1, 2 * MILLISECOND);
     let stuck = Arrival { id: 1_000_000, operation: 0, held_kb: 1.0, ..Arrival::default() };
     let mut host = Health(true);
-    brain.arrived(now, stuck, &mut host);
-    brain.woken(now + 10 * MILLISECOND, TICK, Gauges::default(), &mut host);
+    controller.arrived(now, stuck, &mut host);
+    controller.woken(now + 10 * MILLISECOND, TICK, Gauges::default(), &mut host);
     assert!(host.0, "ten milliseconds are under six times two");
-    brain.woken(now + 60 * MILLISECOND, TICK, Gauges::default(), &mut host);
+    controller.woken(now + 60 * MILLISECOND, TICK, Gauges::default(), &mut host);
     assert!(!host.0, "sixty milliseconds are thirty usual runs: nothing moves");
 }
--- a/crates/overload-control/tests/scenarios.rs
+++ b/crates/overload-control/tests/scenarios.rs
@@ -14,7 +14,7 @@
 
 use meadowstream_overload_control::{
     Advert, Arrival, Below, Deployment, Effect, Ending, Gauges, Halting, Host, Nanos, Operation, Sender,
-    brain::Brain,
+    controller::Controller,
 };
 use std::collections::BTreeMap;
 use test_case::test_case;
@@ -101,7 +101,7 @@
 
 struct Stage {
     site: Deployment,
-    brain: Option<Brain>,
+    controller: Option<Controller>,
     seen: Recorder,
     busy: f64,
     wanting: f64,
@@ -158,7 +158,7 @@
         };
         Self {
             site,
-            brain: None,
+            controller: None,
             seen: Recorder::default(),
             busy: 0.5,
             wanting: 0.0,
@@ -212,9 +212,9 @@
         while let Some(next) = self.seen.wakes.iter().copied().filter(|(at, _)| *at <= end).min() {
             self.seen.wakes.retain(|wake| *wake != next);
             self.seen.now = next.0;
-            let brain = self.brain.as_mut().expect("started");
+            let controller = self.controller.as_mut().expect("started");
             let gauges = Gauges { busy: Some(self.busy), wanting: Some(self.wanting) };
-            brain.woken(next.0, next.1, gauges, &mut self.seen);
+            controller.woken(next.0, next.1, gauges, &mut self.seen);
         }
         self.seen.now = end;
     }
@@ -233,8 +233,8 @@
                 if self.site.operations.is_empty() {
                     self.add_operation(&["objective=9000", "timeout=20000"]);
                 }
-                if self.brain.is_none() {
-                    self.brain = Some(Brain::new(self.site.clone(), 7, 0, &mut self.seen));
+                if self.controller.is_none() {
+                    self.controller = Some(Controller::new(self.site.clone(), 7, 0, &mut self.seen));
                 }
                 self.happens(words);
             }
@@ -247,7 +247,7 @@
         }
         let now = self.seen.now;
         let id = || number(words[1]) as u64;
-        let brain = self.brain.as_mut().expect("started");
+        let controller = self.controller.as_mut().expect("started");
         match words[0] {
             "arrive" => {
                 let get = |name: &str, absent: f64| given(words, name).map_or(absent, number);
@@ -266,7 +266,7 @@
                     hint: given(words, "hint").map(|text| number(text) as Nanos * MS),
                 };
                 self.operations.insert(arrival.id, arrival.operation);
-                brain.arrived(now, arrival, &mut self.seen);
+                controller.arrived(now, arrival, &mut self.seen);
             }
             "finish" => {
                 let ending = ending(words.get(2).unwrap_or(&"ok"));
@@ -280,17 +280,17 @@
                     if ending != Ending::Cancelled && !self.seen.results.contains(&("answer", id)) {
                         self.seen.note("answer", id);
                     }
-                    brain.finished(now, id, ending, &mut self.seen);
+                    controller.finished(now, id, ending, &mut self.seen);
                 }
             }
-            "needs" => brain.needs_call(now, id(), &mut self.seen),
+            "needs" => controller.needs_call(now, id(), &mut self.seen),
             "called" => {
                 self.seen.out -= 1;
                 let took = words.get(3).map_or(MS, |ms| number(ms) as Nanos * MS);
-                brain.call_ended(now, id(), ending(words[2]), took, &mut self.seen);
+                controller.call_ended(now, id(), ending(words[2]), took, &mut self.seen);
             }
-            "leave" => brain.told_to_leave(now, number(words[1]) as Nanos * MS, &mut self.seen),
-            "gone" => brain.caller_gone(now, id(), &mut self.seen),
+            "leave" => controller.told_to_leave(now, number(words[1]) as Nanos * MS, &mut self.seen),
+            "gone" => controller.caller_gone(now, id(), &mut self.seen),
             other => panic!("unknown step {other}"),
         }
     }
--- a/crates/server/src/event_loop.rs
+++ b/crates/server/src/event_loop.rs
@@ -21,7 +21,7 @@
 use async_io::Timer;
 use futures_lite::future;
 use meadowstream_fair_queueing::Retune;
-use meadowstream_overload_control::brain::{Brain, TICK};
+use meadowstream_overload_control::controller::{Controller, TICK};
 use meadowstream_overload_control::{Arrival, Effect, Ending, Gauges, Host, Nanos};
 use meadowstream_routing::Wish;
 use siphasher::sip::SipHasher13;
@@ -47,7 +47,7 @@
 }
 
 pub struct Decisions {
-    brain: Option<Brain>,
+    controller: Option<Controller>,
     hands: Hands,
 }
 
@@ -95,7 +95,7 @@
             promised: None,
             cut_off: Vec::new(),
         };
-        Self { brain: None, hands }
+        Self { controller: None, hands }
     }
 
     pub async fn run(mut self, inputs: Receiver<Input>) {
@@ -119,16 +119,16 @@
         }
     }
 
-    fn with_brain(&mut self, act: impl FnOnce(&mut Brain, Nanos, &mut Hands)) {
-        let Some(brain) = &mut self.brain else { return };
+    fn with_controller(&mut self, act: impl FnOnce(&mut Controller, Nanos, &mut Hands)) {
+        let Some(controller) = &mut self.controller else { return };
         let hands = &mut self.hands;
-        act(brain, hands.server.clock.now(), hands);
+        act(controller, hands.server.clock.now(), hands);
         while !hands.cut_off.is_empty() || !hands.settled.is_empty() {
             if let Some(inv) = hands.cut_off.pop() {
-                brain.caller_gone(hands.server.clock.now(), inv, hands);
+                controller.caller_gone(hands.server.clock.now(), inv, hands);
             }
             if let Some((inv, ending)) = hands.settled.pop() {
-                brain.finished(hands.server.clock.now(), inv, ending, hands);
+                controller.finished(hands.server.clock.now(), inv, ending, hands);
             }
         }
     }
@@ -153,7 +153,7 @@
     }
 
     fn woken(&mut self, token: u32, gauges: Gauges) {
-        self.with_brain(|brain, now, hands| brain.woken(now, token, gauges, hands));
+        self.with_controller(|controller, now, hands| controller.woken(now, token, gauges, hands));
     }
 
     fn take(&mut self, input: Input) {
@@ -229,7 +229,9 @@
             Input::Noticed(notice) => self.noticed(notice),
             Input::CallEnded { inv, number, ending, reply, took } => {
                 if self.hands.call_ended(inv, number, ending, &reply) {
-                    self.with_brain(|brain, now, hands| brain.call_ended(now, inv, ending, took, hands));
+                    self.with_controller(|controller, now, hands| {
+                        controller.call_ended(now, inv, ending, took, hands)
+                    });
                 }
             }
             Input::RoomBelow => self.woken(ROOM_BELOW, Gauges::default()),
@@ -238,10 +240,12 @@
             Input::Reached(done) => {
                 let _ = done.try_send(());
             }
-            Input::SteerTo(reference) => self.with_brain(|brain, _, _| brain.steer_to(reference)),
+            Input::SteerTo(reference) => {
+                self.with_controller(|controller, _, _| controller.steer_to(reference))
+            }
             Input::Leave => {
                 let grace = self.hands.server.configuration.stop_ms * 1_000_000;
-                self.with_brain(|brain, now, hands| brain.told_to_leave(now, grace, hands));
+                self.with_controller(|controller, now, hands| controller.told_to_leave(now, grace, hands));
             }
         }
     }
@@ -250,7 +254,7 @@
     fn caller_gone(&mut self, inv: u64) {
         self.hands.server.counters.unanswered.add();
         self.hands.over(inv);
-        self.with_brain(|brain, now, hands| brain.caller_gone(now, inv, hands));
+        self.with_controller(|controller, now, hands| controller.caller_gone(now, inv, hands));
     }
 
     fn arrived(&mut self, mut invocation: Invocation, mut arrival: Arrival, token: Option<Vec<u8>>) {
@@ -276,7 +280,7 @@
             Some(Found::New) | None => {}
         }
         let (repeats, tag, connection) = (invocation.repeats, invocation.tag, invocation.connection.clone());
-        let id = self.brain.as_ref().and_then(|_| self.hands.invocations.take_in(invocation));
+        let id = self.controller.as_ref().and_then(|_| self.hands.invocations.take_in(invocation));
         let Some(id) = id else {
             // Before the module has started none should come; a reference in hand would be run as another.
             self.hands.server.counters.errored.add();
@@ -290,13 +294,13 @@
             self.hands.repeats.keep(id, operation, &token, body, now + window);
         }
         (arrival.id, arrival.repeats, arrival.unkept) = (id, repeats, found == Some(Found::Full));
-        self.with_brain(|brain, now, hands| brain.arrived(now, arrival, hands));
+        self.with_controller(|controller, now, hands| controller.arrived(now, arrival, hands));
     }
 
     /// Takes one part of a change of shares over, and notes the longest pause that a part has made.
     fn retune(&mut self, change: &Retune) {
         let began = Instant::now();
-        self.with_brain(|brain, now, _| brain.retune(now, change));
+        self.with_controller(|controller, now, _| controller.retune(now, change));
         let pause = &self.hands.server.retune_pause;
         pause.set(pause.get().max(began.elapsed()));
     }
@@ -306,7 +310,7 @@
         let options = self.hands.server.configuration.options.borrow();
         let Some(shown) = options.tenants.as_ref().map(|tenants| tenants.shown) else { return };
         let now = self.hands.server.clock.now();
-        let Some(fair) = self.brain.as_mut().and_then(Brain::fair) else { return };
+        let Some(fair) = self.controller.as_mut().and_then(Controller::fair) else { return };
         let (counts, level) = (fair.counts, fair.level());
         let (accounts, promises, bytes) = (fair.accounts(), fair.promises(), fair.bytes());
         info!(level, accounts, promises, bytes, ?counts, "shares");
@@ -320,7 +324,7 @@
         self.hands.commands = Some(commands);
         self.hands.link += 1;
         info!(cold, age_ms = age / 1_000_000, links = self.hands.link, "linked to the interpreter");
-        if self.brain.is_some() {
+        if self.controller.is_some() {
             let nonce = self.hands.number();
             self.hands.fence = Some(nonce);
             self.hands.send(interpreter::ask_gauges(nonce));
@@ -335,7 +339,7 @@
         deployment.fair = options.tenants.as_ref().map(|tenants| tenants.fair.clone()).or(deployment.fair);
         drop(options);
         let born = self.hands.server.clock.now().saturating_sub(age);
-        self.brain = Some(Brain::new(deployment, seed, born, &mut self.hands));
+        self.controller = Some(Controller::new(deployment, seed, born, &mut self.hands));
         if self.hands.server.leaves() {
             self.take(Input::Leave);
         }
@@ -360,7 +364,7 @@
                 self.hands.server.counters.awaits.add();
                 let invocation = self.hands.invocations.get(inv).expect("found just now");
                 (invocation.asked, invocation.waits, invocation.unconfirmed) = (body, true, None);
-                self.with_brain(|brain, now, hands| brain.needs_call(now, inv, hands));
+                self.with_controller(|controller, now, hands| controller.needs_call(now, inv, hands));
             }
             Notice::Gauges { nonce, readings } => {
                 if self.hands.fence.take_if(|fence| *fence == nonce).is_some() {
@@ -394,9 +398,9 @@
         }
         self.hands.run_ended(inv, ending, result);
         if ending == Ending::NeverRan {
-            self.with_brain(|brain, now, hands| brain.caller_gone(now, inv, hands));
+            self.with_controller(|controller, now, hands| controller.caller_gone(now, inv, hands));
         }
-        self.with_brain(|brain, now, hands| brain.finished(now, inv, ending, hands));
+        self.with_controller(|controller, now, hands| controller.finished(now, inv, ending, hands));
         self.hands.invocations.release(inv);
     }
 }
--- a/crates/server/src/interpreter/link.rs
+++ b/crates/server/src/interpreter/link.rs
@@ -10,7 +10,7 @@
 use async_io::{Async, Timer};
 use futures_lite::{AsyncWriteExt, future};
 use meadowstream_overload_control::Nanos;
-use meadowstream_overload_control::brain::PERIOD;
+use meadowstream_overload_control::controller::PERIOD;
 use std::io::{ErrorKind, Result};
 use std::net::TcpStream;
 use std::rc::Rc;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -5,11 +5,11 @@
 
 use anyhow::{Context, Result, bail, ensure};
 use codec::{Batch, Event, Reply};
-use meadowstream_overload_control::{Arrival, Gauges, brain::Brain};
+use meadowstream_overload_control::{Arrival, Gauges, controller::Controller};
 use std::io::{Read, Write};
 
 struct Life {
-    brain: Brain,
+    controller: Controller,
     busy_gauge: Option<usize>,
     wanting_gauge: Option<usize>,
     operations: usize,
@@ -30,12 +30,12 @@
             let read = meadowstream_deployment_settings::read(event.text(9)?)?;
             let (operations, tenants) =
                 (read.deployment.operations.len(), read.deployment.tenant_allowance.len());
-            let brain = Brain::new(read.deployment, event.u64(1), now, reply);
+            let controller = Controller::new(read.deployment, event.u64(1), now, reply);
             if self.lives.len() <= slot {
                 self.lives.resize_with(slot + 1, || None);
             }
             self.lives[slot] = Some(Life {
-                brain,
+                controller,
                 busy_gauge: read.busy_gauge,
                 wanting_gauge: read.wanting_gauge,
                 operations,
@@ -46,19 +46,19 @@
         let life = self.lives.get_mut(slot).and_then(Option::as_mut);
         let life =
             life.with_context(|| format!("event {code} for instance {instance}, which has not started"))?;
-        let brain = &mut life.brain;
+        let controller = &mut life.controller;
         match code {
             20 => {
                 let arrival = arrival(event)?;
                 ensure!(arrival.operation < life.operations, "unknown operation {}", arrival.operation);
                 ensure!(arrival.tenant < life.tenants.max(1), "unknown tenant {}", arrival.tenant);
-                brain.arrived(now, arrival, reply);
+                controller.arrived(now, arrival, reply);
             }
-            30 => brain.finished(now, event.u64(1), event.ending(9)?, reply),
-            40 => brain.needs_call(now, event.u64(1), reply),
-            50 => brain.call_ended(now, event.u64(1), event.ending(9)?, event.span(11), reply),
-            60 => brain.told_to_leave(now, event.span(1), reply),
-            70 => brain.caller_gone(now, event.u64(1), reply),
+            30 => controller.finished(now, event.u64(1), event.ending(9)?, reply),
+            40 => controller.needs_call(now, event.u64(1), reply),
+            50 => controller.call_ended(now, event.u64(1), event.ending(9)?, event.span(11), reply),
+            60 => controller.told_to_leave(now, event.span(1), reply),
+            70 => controller.caller_gone(now, event.u64(1), reply),
             80 => {
                 let gauges = usize::from(event.u8(5));
                 if gauges > 4 {
@@ -68,7 +68,7 @@
                     place.filter(|i| *i < gauges).map(|i| event.number(6 + 4 * i)).transpose()
                 };
                 let gauges = Gauges { busy: gauge(life.busy_gauge)?, wanting: gauge(life.wanting_gauge)? };
-                brain.woken(now, event.u32(1), gauges, reply);
+                controller.woken(now, event.u32(1), gauges, reply);
             }
             90 => self.lives[slot] = None,
             _ => bail!("unknown event code {code}"),
