--- a/crates/server/src/calls/pool.rs
+++ b/crates/server/src/calls/pool.rs
@@ -1,7 +1,7 @@
 //! Call connections that wait for their next call.
 
-use crate::memory::descriptors::Descriptors;
-use crate::memory::descriptors::Place;
+use crate::resources::descriptors::Descriptors;
+use crate::resources::descriptors::Place;
 use async_io::{Async, Timer};
 use std::cell::RefCell;
 use std::net::{SocketAddr, TcpStream};
--- a/crates/server/src/calls/task.rs
+++ b/crates/server/src/calls/task.rs
@@ -1,6 +1,6 @@
 //! One call to the records service. Dropped, it is given up: its connection closes.
 
-use crate::server::Input;
+use crate::event::Event;
 use crate::server::Server;
 use crate::server::receive;
 use crate::wire::Parsed;
@@ -37,8 +37,8 @@
     let exchanged = async { exchange(&server, to, &call, &written).await.unwrap_or_else(|_| failed()) };
     let (ending, reply) = future::or(exchanged, late).await;
     let took = server.clock.now() - begun;
-    let ended = Input::CallEnded { inv: call.inv, number: call.number, ending, reply, took };
-    let _ = server.inputs.send(ended).await;
+    let ended = Event::CallEnded { invocation: call.inv, number: call.number, ending, reply, took };
+    let _ = server.events.send(ended).await;
 }
 
 async fn exchange(
@@ -74,12 +74,14 @@
     loop {
         receive(stream, &mut ring).await?;
         match http::reply(ring.front()) {
-            Parsed::More => {}
-            Parsed::Whole(reply, used) => {
+            Parsed::Incomplete => {}
+            Parsed::Complete(reply, used) => {
                 ring.drop_front(used);
                 return Ok((reply, ring.is_empty()));
             }
-            Parsed::Malformed(why) => return Err(std::io::Error::new(ErrorKind::InvalidData, why)),
+            Parsed::Malformed(error) => {
+                return Err(std::io::Error::new(ErrorKind::InvalidData, error));
+            }
         }
     }
 }
--- a/crates/server/src/connection/accept.rs
+++ b/crates/server/src/connection/accept.rs
@@ -1,72 +1,81 @@
-//! Takes connections in until the server leaves.
+//! Accepts connections until the server has drained.
 
-use crate::connection::task as connection;
+use crate::connection::task;
 use crate::lifecycle::drain;
 use crate::server::Server;
 use async_io::{Async, Timer};
 use futures_lite::future;
-use std::net::TcpListener;
+use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
 use std::time::Duration;
 use tracing::warn;
 
-/// After a failure to accept it is tried again this much later.
-const PAUSE: Duration = Duration::from_millis(10);
+/// Pause before the next attempt after a failure to accept.
+const RETRY_AFTER: Duration = Duration::from_millis(10);
 
-/// Ends with the listener closed, once the drain is over. Guards what the kernel accepted: callers hear late
-/// that a server leaves, and until then they are answered here rather than refused a connection.
+/// Ends with the listener closed, once the drain is over. Until then connections are still accepted: callers
+/// notice late that a server leaves, and an answer here costs them less than a refused connection.
 pub async fn accept(server: Rc<Server>, listener: Async<TcpListener>) {
-    let mut full = false;
+    let mut exhausted = false;
     loop {
-        if drain::is_over(&server) && !take_backlog(&server, &listener) {
+        if drain::is_over(&server) && !accept_backlog(&server, &listener) {
             return;
         }
-        let Some(place) = server.descriptors.for_connection() else {
-            make_room(&server, &mut full).await;
+        let Some(descriptor) = server.descriptors.for_connection() else {
+            free_descriptor(&server, &mut exhausted).await;
             continue;
         };
-        let other = async {
-            drain::next_look(&server).await;
-            None
-        };
-        match future::or(other, async { Some(listener.accept().await) }).await {
+        match next_stream(&server, &listener).await {
             None => {}
-            Some(Ok((stream, _))) => {
-                full &= server.descriptors.mostly_taken();
-                connection::take_in(&server, stream, place);
+            Some(Ok(stream)) => {
+                exhausted &= server.descriptors.mostly_taken();
+                task::spawn(&server, stream, descriptor);
             }
             Some(Err(error)) => {
                 server.counters.accepts_failed.add();
                 warn!(%error, "cannot accept");
-                make_room(&server, &mut full).await;
+                free_descriptor(&server, &mut exhausted).await;
             }
         }
     }
 }
 
-/// Takes in what the kernel accepted, as far as there are places, before the listener closes: a close would
-/// reset it, with calls on it that nobody has read. False where there was nothing more: then, with no step of
-/// any other task between, the listener closes.
-fn take_backlog(server: &Rc<Server>, listener: &Async<TcpListener>) -> bool {
+/// The next connection; `None` where it is time to look whether the drain is over.
+async fn next_stream(
+    server: &Server,
+    listener: &Async<TcpListener>,
+) -> Option<std::io::Result<Async<TcpStream>>> {
+    let look = async {
+        drain::next_look(server).await;
+        None
+    };
+    let accepted = async { Some(listener.accept().await.map(|(stream, _)| stream)) };
+    future::or(look, accepted).await
+}
+
+/// Accepts what waits in the kernel's queue, as far as there are descriptors, before the listener closes: a
+/// close would reset these connections together with calls on them that nobody has read. False where there
+/// was none: then the listener closes with no step of another task between.
+fn accept_backlog(server: &Rc<Server>, listener: &Async<TcpListener>) -> bool {
     let mut any = false;
-    while let Some(place) = server.descriptors.for_connection()
+    while let Some(descriptor) = server.descriptors.for_connection()
         && let Ok(stream) = listener.get_ref().accept().and_then(|(stream, _)| Async::new(stream))
     {
-        connection::take_in(server, stream, place);
+        task::spawn(server, stream, descriptor);
         any = true;
     }
     any
 }
 
-/// Out of descriptors: a connection that is idle ends; where there is none those for calls are closed, and
-/// what the kernel accepted waits.
-async fn make_room(server: &Server, full: &mut bool) {
-    if server.connections.one_gives_way(server.clock.now()) {
+/// Out of descriptors: an idle connection is closed; where there is none the pooled downstream connections
+/// are, and what the kernel accepted waits.
+async fn free_descriptor(server: &Server, exhausted: &mut bool) {
+    if server.connections.close_one_idle(server.clock.now()) {
         return future::yield_now().await;
     }
-    if !std::mem::replace(full, true) {
-        warn!(open = server.connections.count(), "no room for another connection");
+    if !std::mem::replace(exhausted, true) {
+        warn!(open = server.connections.count(), "no descriptor for another connection");
     }
     server.pool.close_all();
-    Timer::after(PAUSE).await;
+    Timer::after(RETRY_AFTER).await;
 }
--- a/crates/server/src/connection/mod.rs
+++ b/crates/server/src/connection/mod.rs
@@ -1,5 +1,7 @@
 //! Connections of balancers: accepting them, the table of those that are open, and the task of each.
 
 pub mod accept;
+mod request;
+mod state;
 pub mod table;
-pub mod task;
+mod task;
--- a/crates/server/src/connection/table.rs
+++ b/crates/server/src/connection/table.rs
@@ -1,4 +1,4 @@
-//! The connections that are open, and what all of them are to say.
+//! The connections that are open, and the notifications sent to them.
 
 use crate::wire::rpc::Answer;
 use async_channel::{Receiver, Sender};
@@ -7,115 +7,147 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Calls that may be open on one connection; what comes beyond waits unread.
-pub const OPEN_MAX: usize = 32;
-/// A connection has this long to bring its first call before it may have to give way, and this long after it
-/// was used last. Guards against crowds that only hold connections; a call that crosses the end of its
-/// connection comes again on another. Harms where as many honest ones come within that time.
-const FRESH: Nanos = 50_000_000;
-const USED_LATELY: Nanos = 10 * FRESH;
-
-/// What a connection is told from elsewhere.
-pub enum Told {
-    Answer(u64, Answer),
-    /// No new call is wanted on it.
-    Enough,
-    /// Its place is needed: it ends unless it has something to do.
-    GiveWay,
+/// Calls that may be open on one connection; further ones stay unread.
+pub const OPEN_CALLS_MAX: usize = 32;
+/// A connection that has brought nothing may be closed for another one after this time without use.
+const UNUSED_CLOSES_AFTER_NS: Nanos = 50_000_000;
+/// The same for one that has brought a command before.
+const IDLE_CLOSES_AFTER_NS: Nanos = 500_000_000;
+
+/// What other tasks send to the task of a connection.
+pub enum Notification {
+    /// The final answer to a call.
+    Answer {
+        /// The tag of the call.
+        tag: u64,
+        /// The answer to it.
+        answer: Answer,
+    },
+    /// The peer is to send no new call on it.
+    Drain,
+    /// Its descriptor is needed: it ends unless something has come on it.
+    CloseIfIdle,
 }
 
+/// One open connection, as seen by the other tasks.
 pub struct Connection {
+    /// Its number in the table.
     pub id: u64,
-    told: Sender<Told>,
+    notifications: Sender<Notification>,
     /// Calls not answered yet.
-    pub open: Cell<usize>,
+    pub open_calls: Cell<usize>,
     /// When it last carried something.
-    pub used: Cell<Nanos>,
-    /// Something whole has come on it.
-    spoke: Cell<bool>,
-    pub leaving: Cell<bool>,
-    /// It was told to, and nothing has come on it since.
-    pub gives_way: Cell<bool>,
+    pub last_used: Cell<Nanos>,
+    has_received: Cell<bool>,
+    /// Its peer was, or is about to be, asked for no new call.
+    pub draining: Cell<bool>,
+    /// It was asked to close, and no command has come on it since.
+    pub closes_if_idle: Cell<bool>,
 }
 
 impl Connection {
-    /// False where the connection has gone. Its queue has room for all that can be open.
-    pub fn tell(&self, told: Told) -> bool {
-        self.told.try_send(told).is_ok()
+    fn new(id: u64, notifications: Sender<Notification>, now: Nanos) -> Self {
+        Self {
+            id,
+            notifications,
+            open_calls: Cell::new(0),
+            last_used: Cell::new(now),
+            has_received: Cell::new(false),
+            draining: Cell::new(false),
+            closes_if_idle: Cell::new(false),
+        }
+    }
+
+    /// False where the connection has gone. Its queue has space for one answer to each open call.
+    pub fn notify(&self, notification: Notification) -> bool {
+        self.notifications.try_send(notification).is_ok()
     }
 
-    /// It has spoken, and need not give way.
-    pub fn stays(&self) {
-        self.spoke.set(true);
-        self.gives_way.set(false);
+    /// A complete command has come on it, so that it need not close for another one.
+    pub fn mark_received(&self) {
+        self.has_received.set(true);
+        self.closes_if_idle.set(false);
     }
 
-    pub fn enough(&self) {
-        if !self.leaving.replace(true) {
-            self.tell(Told::Enough);
+    /// Asks its peer, once, for no new call.
+    pub fn drain(&self) {
+        if !self.draining.replace(true) {
+            self.notify(Notification::Drain);
         }
     }
+
+    fn is_idle_since(&self, since: Nanos) -> bool {
+        self.open_calls.get() == 0 && self.last_used.get() <= since
+    }
+
+    /// Whether it has been without use for so long that another connection may have its descriptor.
+    fn may_be_closed(&self, now: Nanos) -> bool {
+        let keep_for = if self.has_received.get() { IDLE_CLOSES_AFTER_NS } else { UNUSED_CLOSES_AFTER_NS };
+        !self.closes_if_idle.get() && self.open_calls.get() == 0 && self.last_used.get() + keep_for <= now
+    }
 }
 
-/// What answers and checks say of the server, as last decided.
-pub struct Standing {
+/// What answers and health checks report of the server, as the controller last decided.
+pub struct HealthStatus {
+    /// The answer to health checks.
     pub healthy: Cell<bool>,
-    pub advertised: Cell<Option<f64>>,
+    /// The load that each answer carries; `None` until the controller has set one.
+    pub advertised_load: Cell<Option<f64>>,
 }
 
+/// All open connections.
 #[derive(Default)]
 pub struct Connections {
     open: RefCell<BTreeMap<u64, Rc<Connection>>>,
-    last: Cell<u64>,
+    last_id: Cell<u64>,
 }
 
 impl Connections {
-    pub fn open(&self, now: Nanos) -> (Rc<Connection>, Receiver<Told>) {
-        let (told, hears) = async_channel::bounded(OPEN_MAX + 2);
-        self.last.set(self.last.get() + 1);
-        let connection = Rc::new(Connection {
-            id: self.last.get(),
-            told,
-            open: Cell::new(0),
-            used: Cell::new(now),
-            spoke: Cell::new(false),
-            leaving: Cell::new(false),
-            gives_way: Cell::new(false),
-        });
+    /// Adds a connection; its task receives the notifications.
+    pub fn open(&self, now: Nanos) -> (Rc<Connection>, Receiver<Notification>) {
+        let (sender, notifications) = async_channel::bounded(OPEN_CALLS_MAX + 2);
+        self.last_id.set(self.last_id.get() + 1);
+        let connection = Rc::new(Connection::new(self.last_id.get(), sender, now));
         self.open.borrow_mut().insert(connection.id, connection.clone());
-        (connection, hears)
+        (connection, notifications)
     }
 
+    /// Removes a connection that has ended.
     pub fn close(&self, id: u64) {
         self.open.borrow_mut().remove(&id);
     }
 
+    /// Connections that are open.
     pub fn count(&self) -> usize {
         self.open.borrow().len()
     }
 
-    pub fn all_enough(&self) {
-        self.open.borrow().values().for_each(|each| each.enough());
+    /// Asks every peer for no new call.
+    pub fn drain_all(&self) {
+        for connection in self.open.borrow().values() {
+            connection.drain();
+        }
     }
 
-    /// Of those that have nothing open one that never spoke or else the one unused for longest ends. False
-    /// where all may still stay.
-    pub fn one_gives_way(&self, now: Nanos) -> bool {
-        let open = self.open.borrow();
-        let may_stay = |each: &Connection| if each.spoke.get() { USED_LATELY } else { FRESH };
-        let idle = open.values().filter(|each| each.open.get() == 0 && !each.gives_way.get());
-        let idle = idle.filter(|each| each.used.get() + may_stay(each) <= now);
-        let first = idle.min_by_key(|each| (each.spoke.get(), each.used.get()));
-        first.is_some_and(|each| {
-            each.gives_way.set(true);
-            each.tell(Told::GiveWay)
-        })
+    /// Asks the peers of connections that are idle since that time for no new call.
+    pub fn drain_idle_since(&self, since: Nanos) {
+        for connection in self.open.borrow().values() {
+            if connection.is_idle_since(since) {
+                connection.drain();
+            }
+        }
     }
 
-    /// Those that have carried nothing since then are to go.
-    pub fn idle_enough(&self, since: Nanos) {
+    /// Closes one idle connection: one that never brought a command before others, and among equals the one
+    /// unused for longest. False where none may be closed yet.
+    pub fn close_one_idle(&self, now: Nanos) -> bool {
         let open = self.open.borrow();
-        let idle = open.values().filter(|each| each.open.get() == 0 && each.used.get() <= since);
-        idle.for_each(|each| each.enough());
+        let closable = open.values().filter(|connection| connection.may_be_closed(now));
+        let first =
+            closable.min_by_key(|connection| (connection.has_received.get(), connection.last_used.get()));
+        first.is_some_and(|connection| {
+            connection.closes_if_idle.set(true);
+            connection.notify(Notification::CloseIfIdle)
+        })
     }
 }
--- a/crates/server/src/event_loop.rs
+++ b/crates/server/src/event_loop.rs
@@ -2,16 +2,17 @@
 
 use crate::calls::task as call;
 use crate::calls::task::Call;
-use crate::connection::table::Told;
+use crate::connection::table::Notification;
+use crate::event::Event;
+use crate::event::Request;
 use crate::fleet::interval_report::Answered;
 use crate::fleet::tier::Over;
-use crate::memory::invocations::Invocation;
-use crate::memory::invocations::Invocations;
-use crate::memory::invocations::Sent;
-use crate::memory::repeats::Echo;
-use crate::memory::repeats::Found;
-use crate::memory::repeats::Repeats;
-use crate::server::Input;
+use crate::resources::idempotency::IdempotencyTable;
+use crate::resources::idempotency::Lookup;
+use crate::resources::idempotency::Replay;
+use crate::resources::invocations::Invocation;
+use crate::resources::invocations::Invocations;
+use crate::resources::invocations::Sent;
 use crate::server::Server;
 use crate::wire::interpreter;
 use crate::wire::interpreter::Notice;
@@ -69,8 +70,8 @@
     promised: Option<(u64, u64)>,
     /// Ended here though the module did not mean to; it is told next.
     cut_off: Vec<u64>,
-    repeats: Repeats,
-    /// Repeats that were answered from their forerunner, for the module to hear.
+    repeats: IdempotencyTable,
+    /// IdempotencyTable that were answered from their forerunner, for the module to hear.
     settled: Vec<(u64, Ending)>,
 }
 
@@ -82,7 +83,7 @@
         let (entries, bytes) =
             configuration.options.borrow().tokens.as_ref().map_or((0, 0), |t| (t.entries, t.result_bytes));
         let hands = Hands {
-            repeats: Repeats::new(entries, bytes, unread),
+            repeats: IdempotencyTable::new(entries, bytes, unread),
             settled: Vec::new(),
             server,
             invocations: Invocations::default(),
@@ -98,7 +99,7 @@
         Self { controller: None, hands }
     }
 
-    pub async fn run(mut self, inputs: Receiver<Input>) {
+    pub async fn run(mut self, events: Receiver<Event>) {
         let (mut timer, mut set) = (Timer::never(), None);
         loop {
             self.wake_what_is_due();
@@ -111,8 +112,8 @@
                 (&mut timer).await;
                 None
             };
-            if let Some(input) = future::or(async { inputs.recv().await.ok() }, due).await {
-                self.take(input);
+            if let Some(event) = future::or(async { events.recv().await.ok() }, due).await {
+                self.take(event);
             } else {
                 set = None;
             }
@@ -156,94 +157,46 @@
         self.with_controller(|controller, now, hands| controller.woken(now, token, gauges, hands));
     }
 
-    fn take(&mut self, input: Input) {
-        match input {
-            Input::Arrived {
-                connection,
-                tag,
-                operation,
-                reference,
-                since,
-                held_kb,
-                tenant,
-                patience,
-                marked_retry,
-                body,
-                token,
-                sender,
-            } => {
-                let age = self.hands.server.clock.age(since).max(0) as Nanos;
-                let patience = patience.map(|stated| stated.saturating_sub(age).max(1));
-                let arrival = Arrival {
-                    operation,
-                    tenant,
-                    sender: sender.clone(),
-                    age,
-                    patience,
-                    marked_retry,
-                    held_kb,
-                    ..Arrival::default()
-                };
-                let shared = self.hands.server.shared.as_ref();
-                let tenant = sender.as_ref().and_then(|sender| shared?.tenant(&sender.tenant));
-                let invocation = Invocation {
-                    reference,
-                    operation,
-                    tenant,
-                    arrived: since,
-                    body,
-                    connection,
-                    tag,
-                    repeats: None,
-                    answered: false,
-                    runs: false,
-                    unconfirmed: None,
-                    sent_again: false,
-                    stopping: None,
-                    asked: Vec::new(),
-                    waits: false,
-                    call: None,
-                    called: None,
-                };
-                self.arrived(invocation, arrival, token);
-            }
-            Input::Cancelled { connection, tag } => {
+    fn take(&mut self, event: Event) {
+        match event {
+            Event::Arrived(request) => self.arrived(*request),
+            Event::Cancelled { connection, tag } => {
                 let open = self.hands.invocations.open_on(connection);
                 let is = |inv: &u64| self.hands.invocations.get(*inv).is_some_and(|one| one.tag == tag);
                 if let Some(inv) = open.into_iter().find(is) {
                     self.caller_gone(inv);
                 }
             }
-            Input::Broken(connection) => {
+            Event::ConnectionLost { connection } => {
                 for inv in self.hands.invocations.open_on(connection) {
                     self.caller_gone(inv);
                 }
             }
-            Input::Linked { cold, age, anew, commands } => {
-                if anew {
+            Event::Linked { cold, age, restarted, commands } => {
+                if restarted {
                     self.lose_all_runs();
                 }
                 self.linked(cold, age, commands);
             }
-            Input::LinkLost => self.hands.commands = None,
-            Input::Noticed(notice) => self.noticed(notice),
-            Input::CallEnded { inv, number, ending, reply, took } => {
+            Event::LinkLost => self.hands.commands = None,
+            Event::Notice(notice) => self.noticed(notice),
+            Event::CallEnded { invocation: inv, number, ending, reply, took } => {
                 if self.hands.call_ended(inv, number, ending, &reply) {
                     self.with_controller(|controller, now, hands| {
                         controller.call_ended(now, inv, ending, took, hands)
                     });
                 }
             }
-            Input::RoomBelow => self.woken(ROOM_BELOW, Gauges::default()),
-            Input::ShowTenants => self.show_tenants(),
-            Input::Retune(change) => self.retune(&change),
-            Input::Reached(done) => {
+            Event::DownstreamCapacity => self.woken(ROOM_BELOW, Gauges::default()),
+            Event::LogTenants => self.show_tenants(),
+            Event::Retune(change) => self.retune(&change),
+            Event::Processed(done) => {
                 let _ = done.try_send(());
             }
-            Input::SteerTo(reference) => {
+            Event::SetTargetUtilization(reference) => {
                 self.with_controller(|controller, _, _| controller.steer_to(reference))
             }
-            Input::Leave => {
+            Event::Shutdown => {
                 let grace = self.hands.server.configuration.stop_ms * 1_000_000;
                 self.with_controller(|controller, now, hands| controller.told_to_leave(now, grace, hands));
             }
@@ -257,7 +210,22 @@
         self.with_controller(|controller, now, hands| controller.caller_gone(now, inv, hands));
     }
 
-    fn arrived(&mut self, mut invocation: Invocation, mut arrival: Arrival, token: Option<Vec<u8>>) {
+    fn arrived(&mut self, request: Request) {
+        let age = self.hands.server.clock.age(request.since_unix_ms).max(0) as Nanos;
+        let mut arrival = Arrival {
+            operation: request.operation,
+            tenant: request.tenant,
+            sender: request.sender.clone(),
+            age,
+            patience: request.patience.map(|stated| stated.saturating_sub(age).max(1)),
+            marked_retry: request.marked_retry,
+            held_kb: request.held_kb,
+            ..Arrival::default()
+        };
+        let shared = self.hands.server.shared.as_ref();
+        let tenant = request.sender.as_ref().and_then(|sender| shared?.tenant(&sender.tenant));
+        let token = request.idempotency_key.clone();
+        let mut invocation = Invocation::new(request, tenant);
         let now = self.hands.server.clock.now();
         let (reached, operation) = (now.saturating_sub(arrival.age), invocation.operation);
         let token = token.map(|token| (token, self.hands.body_hash(&invocation.body)));
@@ -266,34 +234,36 @@
             .map(|(token, body)| self.hands.repeats.find(now, reached, operation, token, *body));
         let counters = &self.hands.server.counters;
         match found {
-            Some(Found::Repeat(of)) => {
+            Some(Lookup::Repeat(of)) => {
                 counters.repeats.add();
                 invocation.repeats = Some(of);
             }
-            Some(Found::Other) => {
+            Some(Lookup::OtherBody) => {
                 counters.tokens_other.add();
                 counters.errored.add();
-                invocation.connection.tell(Told::Answer(invocation.tag, Answer::Errored));
+                invocation
+                    .connection
+                    .notify(Notification::Answer { tag: invocation.tag, answer: Answer::Failed });
                 return;
             }
-            Some(Found::Full) => counters.tokens_full.add(),
-            Some(Found::New) | None => {}
+            Some(Lookup::Full) => counters.tokens_full.add(),
+            Some(Lookup::New) | None => {}
         }
         let (repeats, tag, connection) = (invocation.repeats, invocation.tag, invocation.connection.clone());
         let id = self.controller.as_ref().and_then(|_| self.hands.invocations.take_in(invocation));
         let Some(id) = id else {
             // Before the module has started none should come; a reference in hand would be run as another.
             self.hands.server.counters.errored.add();
-            connection.tell(Told::Answer(tag, Answer::Errored));
+            connection.notify(Notification::Answer { tag, answer: Answer::Failed });
             return;
         };
-        if let Some((token, body)) = token.filter(|_| found == Some(Found::New)) {
+        if let Some((token, body)) = token.filter(|_| found == Some(Lookup::New)) {
             let window =
                 self.hands.server.configuration.settings.deployment.operations[operation].token_window;
             // From when it was read: a caller whose clock is behind must not find the window over too soon.
             self.hands.repeats.keep(id, operation, &token, body, now + window);
         }
-        (arrival.id, arrival.repeats, arrival.unkept) = (id, repeats, found == Some(Found::Full));
+        (arrival.id, arrival.repeats, arrival.unkept) = (id, repeats, found == Some(Lookup::Full));
         self.with_controller(|controller, now, hands| controller.arrived(now, arrival, hands));
     }
 
@@ -341,7 +311,7 @@
         let born = self.hands.server.clock.now().saturating_sub(age);
         self.controller = Some(Controller::new(deployment, seed, born, &mut self.hands));
         if self.hands.server.leaves() {
-            self.take(Input::Leave);
+            self.take(Event::Shutdown);
         }
     }
 
@@ -416,7 +386,7 @@
     /// Answers a repeat as its forerunner ended.
     fn settle(&mut self, inv: u64, result: Option<Vec<u8>>) {
         let ending = if result.is_some() { Ending::Succeeded } else { Ending::Errored };
-        self.answer(inv, result.map_or(Answer::Errored, Answer::Succeeded));
+        self.answer(inv, result.map_or(Answer::Failed, Answer::Succeeded));
         self.settled.push((inv, ending));
     }
 
@@ -489,13 +459,13 @@
         let counters = &self.server.counters;
         match &answer {
             Answer::Succeeded(_) => counters.succeeded.add(),
-            Answer::Throttled { .. } => counters.throttled.add(),
+            Answer::Rejected { .. } => counters.throttled.add(),
             _ => counters.errored.add(),
         }
         if let Some(rollout) = &self.server.rollout {
             let how = match &answer {
                 Answer::Succeeded(_) => Answered::Succeeded,
-                Answer::Throttled { .. } => Answered::Throttled,
+                Answer::Rejected { .. } => Answered::Throttled,
                 _ => Answered::Errored,
             };
             let after = self.server.clock.age(invocation.arrived).max(0) as Nanos;
@@ -513,11 +483,11 @@
                     shared.count("succeeded", name, tenant, 1);
                     shared.count("billed-thousandths", name, tenant, billed.round().max(0.0) as u64);
                 }
-                Answer::Throttled { .. } => shared.count("throttled", name, tenant, 1),
+                Answer::Rejected { .. } => shared.count("throttled", name, tenant, 1),
                 _ => shared.count("errored", name, tenant, 1),
             }
         }
-        invocation.connection.tell(Told::Answer(invocation.tag, answer));
+        invocation.connection.notify(Notification::Answer { tag: invocation.tag, answer });
         self.over(inv);
     }
 
@@ -571,7 +541,7 @@
         }
         match ending {
             Ending::Succeeded if result.len() <= WORD_MAX => self.answer(inv, Answer::Succeeded(result)),
-            Ending::Succeeded | Ending::Errored | Ending::NeverRan => self.answer(inv, Answer::Errored),
+            Ending::Succeeded | Ending::Errored | Ending::NeverRan => self.answer(inv, Answer::Failed),
             _ => {}
         }
         if let Some(invocation) = self.invocations.get(inv) {
@@ -616,7 +586,7 @@
     /// invocation ends with an error.
     fn cannot(&mut self, inv: u64, what: &str) {
         warn!(what, "not on this wire");
-        self.answer(inv, Answer::Errored);
+        self.answer(inv, Answer::Failed);
         self.stop(inv);
         self.cut_off.push(inv);
     }
@@ -646,13 +616,13 @@
         self.promised = Some((inv, ticket));
     }
 
-    fn throttle(&mut self, inv: u64, no_retry: bool, stay_away: Nanos) {
+    fn throttle(&mut self, inv: u64, no_retry: bool, retry_after: Nanos) {
         let ticket = self.promised.take().filter(|(to, _)| *to == inv).map(|(_, ticket)| ticket);
-        self.answer(inv, Answer::Throttled { no_retry, stay_away, ticket });
+        self.answer(inv, Answer::Rejected { no_retry, retry_after, ticket });
     }
 
     fn give_up(&mut self, inv: u64) {
-        self.answer(inv, Answer::Errored);
+        self.answer(inv, Answer::Failed);
     }
 
     fn may_call(&mut self, inv: u64, waiting: usize) -> bool {
@@ -703,22 +673,22 @@
             return self.cannot(inv, "answering a repeat from its forerunner");
         };
         match self.repeats.echo(of, inv) {
-            Echo::Wait => {}
-            Echo::Result(result) => self.settle(inv, Some(result)),
-            Echo::Nothing => self.settle(inv, None),
+            Replay::Pending => {}
+            Replay::Result(result) => self.settle(inv, Some(result)),
+            Replay::Failed => self.settle(inv, None),
         }
     }
 
     fn health(&mut self, good: bool, _stored: bool) {
-        self.server.standing.healthy.set(good);
+        self.server.health.healthy.set(good);
     }
 
     fn advertise(&mut self, value: f64) {
-        self.server.standing.advertised.set(Some(value));
+        self.server.health.advertised_load.set(Some(value));
     }
 
     fn close_idle(&mut self, after: Nanos) {
-        self.server.connections.idle_enough(self.server.clock.now().saturating_sub(after));
+        self.server.connections.drain_idle_since(self.server.clock.now().saturating_sub(after));
     }
 
     fn wake(&mut self, after: Nanos, token: u32) {
--- a/crates/server/src/fleet/membership.rs
+++ b/crates/server/src/fleet/membership.rs
@@ -189,7 +189,7 @@
         }
         if again {
             // A full queue means that the module will look at everything anyway.
-            let _ = server.inputs.try_send(crate::server::Input::RoomBelow);
+            let _ = server.events.try_send(crate::event::Event::DownstreamCapacity);
         }
         let shown = shared.shown();
         let leases = |s: &crate::fleet::shared_state::Shown| (s.floor, s.leased, s.gives, s.ejected.clone());
--- a/crates/server/src/fleet/shared_state.rs
+++ b/crates/server/src/fleet/shared_state.rs
@@ -4,7 +4,7 @@
 use crate::fleet::tier::Over;
 use crate::fleet::tier::Tier;
 use crate::lifecycle::reload::TenantNames;
-use crate::memory::counters::Counters;
+use crate::resources::counters::Counters;
 use meadowstream_routing::Wish;
 use meadowstream_shared_state::budget::Budget;
 use meadowstream_shared_state::clock::{Reading, Time};
--- a/crates/server/src/interpreter/link.rs
+++ b/crates/server/src/interpreter/link.rs
@@ -1,6 +1,6 @@
 //! The link to the interpreter, made again after each break.
 
-use crate::server::Input;
+use crate::event::Event;
 use crate::server::Server;
 use crate::server::receive;
 use crate::wire::Parsed;
@@ -57,7 +57,7 @@
         }
         pause = if linked { PAUSE } else { (pause * 2).min(PAUSE_MAX) };
         if linked {
-            let _ = server.inputs.send(Input::LinkLost).await;
+            let _ = server.events.send(Event::LinkLost).await;
         }
         Timer::after(pause).await;
     }
@@ -138,12 +138,12 @@
                         if anew {
                             seen.last_read = 0;
                         }
-                        Some(Input::Linked { cold, age, anew, commands: commands.clone() })
+                        Some(Event::Linked { cold, age, restarted: anew, commands: commands.clone() })
                     }
-                    other => other.map(Input::Noticed),
+                    other => other.map(Event::Notice),
                 };
                 if let Some(input) = input {
-                    let _ = server.inputs.send(input).await;
+                    let _ = server.events.send(input).await;
                 }
             }
         }
@@ -159,8 +159,8 @@
     last_read: &mut u64,
 ) -> Option<(Option<interpreter::Notice>, usize)> {
     let (line, used) = match interpreter::line(bytes) {
-        Parsed::More => return None,
-        Parsed::Whole(line, used) => (line, used),
+        Parsed::Incomplete => return None,
+        Parsed::Complete(line, used) => (line, used),
         Parsed::Malformed(_) => {
             // Its end is looked for in what comes next; until then all of it is passed over.
             let end = bytes.iter().position(|byte| *byte == b'\n').map(|end| end + 1);
@@ -192,7 +192,7 @@
     let mut ring = Ring::new(OUT_MAX);
     while let Ok(line) = queue.recv().await {
         let _ = ring.put(&line);
-        while ring.room() > interpreter::LINE_MAX
+        while ring.free() > interpreter::LINE_MAX
             && let Ok(line) = queue.try_recv()
         {
             let _ = ring.put(&line);
--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -3,10 +3,11 @@
 
 mod calls;
 mod connection;
+mod event;
 mod event_loop;
 pub mod fleet;
 mod interpreter;
 pub mod lifecycle;
-mod memory;
+mod resources;
 mod server;
 mod wire;
--- a/crates/server/src/lifecycle/catalog.rs
+++ b/crates/server/src/lifecycle/catalog.rs
@@ -26,7 +26,7 @@
             Timer::after(LOOK).await;
             continue;
         }
-        let report = catalog::report(&server.configuration.name, server.standing.healthy.get());
+        let report = catalog::report(&server.configuration.name, server.health.healthy.get());
         // Nothing waits for it: what cannot be sent now is not sent.
         let sent = socket.get_ref().send_to(report.as_bytes(), server.configuration.addresses.get().catalog);
         if let (Err(error), false) = (&sent, trouble) {
--- a/crates/server/src/lifecycle/configuration.rs
+++ b/crates/server/src/lifecycle/configuration.rs
@@ -4,12 +4,12 @@
 use crate::fleet::shared_state::LEASES;
 use crate::fleet::shared_state::PUBLISHING;
 use crate::fleet::shared_state::ROLLOUTS;
-use crate::memory::repeats::ENTRY_BYTES;
+use crate::resources::idempotency::ENTRY_BYTES;
 use anyhow::{Context, Result, anyhow, bail, ensure};
 use meadowstream_configuration::replication::overlay_replicated;
 use meadowstream_configuration::{Options, Tokens};
 use meadowstream_deployment_settings::Read;
-use meadowstream_overload_control::{Advert, Below, Effect};
+use meadowstream_overload_control::{Advert, Below, Effect, Nanos};
 use meadowstream_replication::history::Snapshot;
 use meadowstream_replication::state::State;
 use meadowstream_shared_state::Settings as SharedSettings;
@@ -335,6 +335,18 @@
         Ok(read)
     }
 
+    /// The longest time that the clients of any operation wait.
+    pub fn longest_client_timeout(&self) -> Nanos {
+        let operations = &self.settings.deployment.operations;
+        operations.iter().map(|operation| operation.client_timeout).max().unwrap_or(0)
+    }
+
+    /// The shortest time that the clients of any operation wait.
+    pub fn shortest_client_timeout(&self) -> Nanos {
+        let operations = &self.settings.deployment.operations;
+        operations.iter().map(|operation| operation.client_timeout).min().unwrap_or(0)
+    }
+
     pub fn read(text: &str, path: &Path) -> Result<Self> {
         let file: Value = serde_json::from_str(text).context("not JSON")?;
         let at = |path: &str| {
--- a/crates/server/src/lifecycle/drain.rs
+++ b/crates/server/src/lifecycle/drain.rs
@@ -15,7 +15,7 @@
     let grace = Duration::from_nanos(server.configuration.settings.deployment.drain_grace);
     Timer::after(grace.min(half)).await;
     server.grace_over.set(true);
-    server.connections.all_enough();
+    server.connections.drain_all();
 }
 
 /// A server that leaves of its own accord ends at the stop at the latest, as nobody else ends it then.
@@ -26,7 +26,7 @@
 /// No connection is left that could bring a call. They end by themselves: each hears `enough`, at the end of
 /// the grace or with its next answer, and its peer closes it when all on it is answered.
 pub fn is_over(server: &Server) -> bool {
-    let over = server.grace_over.get() && server.connections.count() == 0 && server.inputs.is_empty();
+    let over = server.grace_over.get() && server.connections.count() == 0 && server.events.is_empty();
     over || has_stopped(server)
 }
 
--- a/crates/server/src/lifecycle/reload.rs
+++ b/crates/server/src/lifecycle/reload.rs
@@ -3,12 +3,12 @@
 //! so that its pauses do not grow with the files. One change at a time: the files are read after the change
 //! before is in force, so an older reading never follows a newer one.
 
+use crate::event::Event;
 use crate::lifecycle::configuration::Candidate;
 use crate::lifecycle::configuration::Configuration;
 use crate::lifecycle::configuration::Layers;
 use crate::lifecycle::configuration::hash_of;
 use crate::lifecycle::files;
-use crate::server::Input;
 use crate::server::Server;
 use anyhow::{Context, Result, ensure};
 use meadowstream_configuration::{Options, Tenants};
@@ -227,7 +227,7 @@
 async fn announce(server: &Server, retunes: Vec<Retune>, longest: Duration) {
     server.counters.reloads.add();
     let reference = server.configuration.reference.get();
-    let _ = server.inputs.send(Input::SteerTo(reference)).await;
+    let _ = server.events.send(Event::SetTargetUtilization(reference)).await;
     let budget = |options: &Options| {
         options.shared_state.as_ref().and_then(|shared| Some(shared.budget.as_ref()?.total))
     };
@@ -240,10 +240,10 @@
     server.retune_pause.set(Duration::ZERO);
     let parts = retunes.len();
     for retune in retunes {
-        let _ = server.inputs.send(Input::Retune(Box::new(retune))).await;
+        let _ = server.events.send(Event::Retune(Box::new(retune))).await;
     }
     let (done, is_done) = async_channel::bounded(1);
-    let _ = server.inputs.send(Input::Reached(done)).await;
+    let _ = server.events.send(Event::Processed(done)).await;
     let _ = is_done.recv().await;
     let pause_us = longest.max(server.retune_pause.get()).as_micros() as u64;
     info!(addresses = ?server.configuration.addresses.get(), parts, pause_us, "configuration read again");
--- a/crates/server/src/lifecycle/signals.rs
+++ b/crates/server/src/lifecycle/signals.rs
@@ -1,8 +1,8 @@
 //! Signals: the notice to leave, new addresses, and the wish to see the counters.
 
+use crate::event::Event;
 use crate::lifecycle::drain;
 use crate::lifecycle::reload;
-use crate::server::Input;
 use crate::server::Server;
 use anyhow::Result;
 use async_channel::{Receiver, Sender};
@@ -29,12 +29,12 @@
         match signal {
             Ok(Signal::Usr1) => {
                 info!("counters:{}", server.counters);
-                let _ = server.inputs.send(Input::ShowTenants).await;
+                let _ = server.events.send(Event::LogTenants).await;
             }
             Ok(Signal::Hup) => server.executor.spawn(reload::reload(server.clone())).detach(),
             Ok(_) if stay.close() => {
                 info!("told to leave");
-                let _ = server.inputs.send(Input::Leave).await;
+                let _ = server.events.send(Event::Shutdown).await;
                 server.executor.spawn(drain::end_grace(server.clone())).detach();
             }
             _ => {}
--- a/crates/server/src/lifecycle/start.rs
+++ b/crates/server/src/lifecycle/start.rs
@@ -3,7 +3,8 @@
 use crate::calls::pool::Pool;
 use crate::connection::accept;
 use crate::connection::table::Connections;
-use crate::connection::table::Standing;
+use crate::connection::table::HealthStatus;
+use crate::event::Event;
 use crate::event_loop::Decisions;
 use crate::fleet::membership as fleet;
 use crate::fleet::rollout;
@@ -17,9 +18,9 @@
 use crate::lifecycle::reload;
 use crate::lifecycle::reload::Changes;
 use crate::lifecycle::signals;
-use crate::memory::counters::Counters;
-use crate::memory::descriptors::Descriptors;
-use crate::server::Input;
+use crate::resources::buffers::BufferBudget;
+use crate::resources::counters::Counters;
+use crate::resources::descriptors::Descriptors;
 use crate::server::Server;
 use anyhow::{Context, Result, anyhow};
 use async_executor::LocalExecutor;
@@ -31,8 +32,11 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// Inputs that may wait for the module; who brings more waits until it is their turn.
-const INPUTS: usize = 1024;
+/// Events that may wait for the event loop; senders of more wait.
+const EVENTS_MAX: usize = 1024;
+
+/// Part of the memory limit that the buffers of connections may fill, with the answers that they are owed.
+const BUFFERS_PART: usize = 2;
 
 pub fn serve(configuration: Configuration) -> Result<()> {
     let executor: &'static LocalExecutor = Box::leak(Box::new(LocalExecutor::new()));
@@ -47,7 +51,7 @@
     let listener = listener.with_context(|| format!("cannot listen on {}", configuration.listen))?;
     // The queue that the standard library asks for would drop what a burst opens beyond 128 at once.
     rustix::net::listen(listener.get_ref(), configuration.sockets.min(i32::MAX as usize) as i32)?;
-    let (inputs, queue) = async_channel::bounded::<Input>(INPUTS);
+    let (events, queue) = async_channel::bounded::<Event>(EVENTS_MAX);
     let (stay, left) = async_channel::bounded(1);
     let descriptors = Descriptors::within(configuration.sockets)?;
     let membership = match &configuration.membership {
@@ -84,16 +88,17 @@
             .map_err(|fault| anyhow!("<rollout>: {fault}"))
     });
     let rollout = rollout.transpose()?;
+    let buffers = BufferBudget::new((configuration.memory_mb << 20) as usize / BUFFERS_PART);
     let server = Rc::new(Server {
         configuration,
         clock,
         executor,
-        inputs,
+        events,
         connections: Connections::default(),
-        standing: Standing { healthy: Cell::new(true), advertised: Cell::new(None) },
+        health: HealthStatus { healthy: Cell::new(true), advertised_load: Cell::new(None) },
         pool: Pool::default(),
         descriptors,
-        buffered: Cell::new(0),
+        buffers,
         grace_over: Cell::new(false),
         stop_at: Cell::new(None),
         moved: async_channel::bounded(1),
--- a/crates/server/src/memory/repeats.rs
+++ b/crates/server/src/resources/idempotency.rs
@@ -15,12 +15,12 @@
 type Key = (usize, Vec<u8>);
 
 #[derive(Clone, Debug, PartialEq)]
-enum Fate {
+enum EntryState {
     /// It waits or runs; these repeats wait for it.
     Open(Vec<u64>),
     Succeeded(Vec<u8>),
     /// It came to nothing, or its result had to go: it has run all the same.
-    Nothing,
+    Failed,
 }
 
 struct Entry {
@@ -29,28 +29,28 @@
     body: u64,
     /// Repeats that reached the machine before this are repeats of it.
     until: Nanos,
-    fate: Fate,
+    state: EntryState,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Found {
+pub enum Lookup {
     New,
     /// Of this invocation.
     Repeat(u64),
     /// The token is in use with another body.
-    Other,
+    OtherBody,
     /// Nothing more can be remembered, so it must not run.
     Full,
 }
 
 #[derive(Debug, PartialEq)]
-pub enum Echo {
-    Wait,
+pub enum Replay {
+    Pending,
     Result(Vec<u8>),
-    Nothing,
+    Failed,
 }
 
-pub struct Repeats {
+pub struct IdempotencyTable {
     entries: HashMap<u64, Entry>,
     by_key: HashMap<Key, u64>,
     /// When each may be dropped, and the results kept, the oldest first.
@@ -63,7 +63,7 @@
     unread: Nanos,
 }
 
-impl Repeats {
+impl IdempotencyTable {
     pub fn new(most: usize, most_bytes: usize, unread: Nanos) -> Self {
         Self {
             entries: HashMap::new(),
@@ -78,20 +78,20 @@
     }
 
     /// One came with this token and reached the machine at `reached`.
-    pub fn find(&mut self, now: Nanos, reached: Nanos, operation: usize, token: &[u8], body: u64) -> Found {
+    pub fn find(&mut self, now: Nanos, reached: Nanos, operation: usize, token: &[u8], body: u64) -> Lookup {
         self.age(now);
         let found = self.by_key.get(&(operation, token.to_vec())).map(|inv| (*inv, &self.entries[inv]));
         match found {
             Some((inv, entry)) if reached < entry.until => {
                 if entry.body == body {
-                    Found::Repeat(inv)
+                    Lookup::Repeat(inv)
                 } else {
-                    Found::Other
+                    Lookup::OtherBody
                 }
             }
             // Its window is over though it is still remembered; the new one takes its place.
-            _ if self.entries.len() >= self.most => Found::Full,
-            _ => Found::New,
+            _ if self.entries.len() >= self.most => Lookup::Full,
+            _ => Lookup::New,
         }
     }
 
@@ -100,7 +100,7 @@
         let key = (operation, token.to_vec());
         self.by_key.insert(key.clone(), inv);
         self.by_end.insert((until.saturating_add(self.unread), inv));
-        self.entries.insert(inv, Entry { key, body, until, fate: Fate::Open(Vec::new()) });
+        self.entries.insert(inv, Entry { key, body, until, state: EntryState::Open(Vec::new()) });
     }
 
     /// It never ran: one with its token is new again. Who waits for it is returned.
@@ -110,32 +110,34 @@
         if self.by_key.get(&entry.key) == Some(&inv) {
             self.by_key.remove(&entry.key);
         }
-        match entry.fate {
-            Fate::Open(waiting) => waiting,
-            Fate::Succeeded(result) => {
+        match entry.state {
+            EntryState::Open(waiting) => waiting,
+            EntryState::Succeeded(result) => {
                 self.kept -= result.len();
                 self.results.retain(|other| *other != inv);
                 Vec::new()
             }
-            Fate::Nothing => Vec::new(),
+            EntryState::Failed => Vec::new(),
         }
     }
 
     /// What the repeat is answered with; where it is to wait, it is returned when its forerunner ends.
-    pub fn echo(&mut self, forerunner: u64, repeat: u64) -> Echo {
-        match self.entries.get_mut(&forerunner).map(|entry| &mut entry.fate) {
-            Some(Fate::Open(waiting)) => {
+    pub fn echo(&mut self, forerunner: u64, repeat: u64) -> Replay {
+        match self.entries.get_mut(&forerunner).map(|entry| &mut entry.state) {
+            Some(EntryState::Open(waiting)) => {
                 waiting.push(repeat);
-                Echo::Wait
+                Replay::Pending
             }
-            Some(Fate::Succeeded(result)) => Echo::Result(result.clone()),
-            Some(Fate::Nothing) | None => Echo::Nothing,
+            Some(EntryState::Succeeded(result)) => Replay::Result(result.clone()),
+            Some(EntryState::Failed) | None => Replay::Failed,
         }
     }
 
     /// The repeat is over, whatever becomes of its forerunner.
     pub fn waits_no_more(&mut self, forerunner: u64, repeat: u64) {
-        if let Some(Fate::Open(waiting)) = self.entries.get_mut(&forerunner).map(|entry| &mut entry.fate) {
+        if let Some(EntryState::Open(waiting)) =
+            self.entries.get_mut(&forerunner).map(|entry| &mut entry.state)
+        {
             waiting.retain(|other| *other != repeat);
         }
     }
@@ -143,8 +145,8 @@
     /// A run has ended, with a result where it succeeded. Who waits for it is returned.
     pub fn ended(&mut self, inv: u64, result: Option<&[u8]>) -> Vec<u64> {
         let Some(entry) = self.entries.get_mut(&inv) else { return Vec::new() };
-        let fate = result.map_or(Fate::Nothing, |result| Fate::Succeeded(result.to_vec()));
-        let Fate::Open(waiting) = std::mem::replace(&mut entry.fate, fate) else { return Vec::new() };
+        let state = result.map_or(EntryState::Failed, |result| EntryState::Succeeded(result.to_vec()));
+        let EntryState::Open(waiting) = std::mem::replace(&mut entry.state, state) else { return Vec::new() };
         if let Some(result) = result {
             self.kept += result.len();
             self.results.push_back(inv);
@@ -152,8 +154,10 @@
         // The oldest results go first; that they ran is remembered on.
         while self.kept > self.most_bytes {
             let Some(oldest) = self.results.pop_front() else { break };
-            let fate = self.entries.get_mut(&oldest).map(|entry| &mut entry.fate);
-            if let Some(Fate::Succeeded(result)) = fate.map(|fate| std::mem::replace(fate, Fate::Nothing)) {
+            let state = self.entries.get_mut(&oldest).map(|entry| &mut entry.state);
+            if let Some(EntryState::Succeeded(result)) =
+                state.map(|state| std::mem::replace(state, EntryState::Failed))
+            {
                 self.kept -= result.len();
             }
         }
@@ -164,7 +168,7 @@
     fn age(&mut self, now: Nanos) {
         let over: Vec<u64> = self.by_end.range(..(now, 0)).map(|(_, inv)| *inv).collect();
         for inv in over {
-            if !matches!(self.entries[&inv].fate, Fate::Open(_)) {
+            if !matches!(self.entries[&inv].state, EntryState::Open(_)) {
                 self.forget(inv);
             }
         }
--- a/crates/server/src/memory/invocations.rs
+++ b/crates/server/src/resources/invocations.rs
@@ -1,6 +1,7 @@
 //! The invocations in hand: from the moment one is read until it is answered and runs no more.
 
 use crate::connection::table::Connection;
+use crate::event::Request;
 use async_executor::Task;
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
@@ -36,6 +37,31 @@
     pub called: Option<usize>,
 }
 
+impl Invocation {
+    /// One that has just arrived, with the name of its tenant where the fleet counts that by name.
+    pub fn new(request: Request, tenant: Option<String>) -> Self {
+        Self {
+            reference: request.reference,
+            operation: request.operation,
+            tenant,
+            arrived: request.since_unix_ms,
+            body: request.body,
+            connection: request.connection,
+            tag: request.tag,
+            repeats: None,
+            answered: false,
+            runs: false,
+            unconfirmed: None,
+            sent_again: false,
+            stopping: None,
+            asked: Vec::new(),
+            waits: false,
+            call: None,
+            called: None,
+        }
+    }
+}
+
 pub struct Sent {
     pub line: Vec<u8>,
     pub link: u64,
--- a/crates/server/src/wire/http.rs
+++ b/crates/server/src/wire/http.rs
@@ -1,5 +1,6 @@
 //! Calls to the records service: HTTP/1.1, one at a time on a connection.
 
+use crate::wire::ParseError;
 use crate::wire::Parsed;
 use crate::wire::decimal;
 use meadowstream_overload_control::{Ending, Nanos};
@@ -34,13 +35,13 @@
     let mut at = 0;
     loop {
         match reply_or_interim(&bytes[at..]) {
-            Parsed::Whole(Some(reply), used) => return Parsed::Whole(reply, at + used),
-            Parsed::Whole(None, used) => at += used,
-            Parsed::More => return Parsed::More,
+            Parsed::Complete(Some(reply), used) => return Parsed::Complete(reply, at + used),
+            Parsed::Complete(None, used) => at += used,
+            Parsed::Incomplete => return Parsed::Incomplete,
             Parsed::Malformed(why) => return Parsed::Malformed(why),
         }
         if at > HEAD_MAX {
-            return Parsed::Malformed("endless heads before the reply");
+            return Parsed::Malformed(ParseError::EndlessInterimHeads);
         }
     }
 }
@@ -49,10 +50,14 @@
 fn reply_or_interim(bytes: &[u8]) -> Parsed<Option<Reply>> {
     let head_end = bytes.windows(4).take(HEAD_MAX).position(|four| four == b"\r\n\r\n");
     let Some(head_end) = head_end else {
-        return if bytes.len() < HEAD_MAX + 4 { Parsed::More } else { Parsed::Malformed("an endless head") };
+        return if bytes.len() < HEAD_MAX + 4 {
+            Parsed::Incomplete
+        } else {
+            Parsed::Malformed(ParseError::EndlessHead)
+        };
     };
     let Ok(head) = std::str::from_utf8(&bytes[..head_end]) else {
-        return Parsed::Malformed("a head that is no text");
+        return Parsed::Malformed(ParseError::HeadNotText);
     };
     let mut lines = head.split("\r\n");
     let status = lines.next().and_then(|line| line.strip_prefix("HTTP/1.1 "));
@@ -60,12 +65,12 @@
     let Some(status) =
         status.filter(|digits| digits.len() == 3).and_then(|digits| decimal::<u16>(digits.as_bytes()))
     else {
-        return Parsed::Malformed("no status line of HTTP/1.1");
+        return Parsed::Malformed(ParseError::BadStatusLine);
     };
     let split = lines.map(|line| line.split_once(':'));
     let named = split.map(|pair| pair.filter(|(key, _)| !key.is_empty() && !key.contains(' ')));
     let Some(headers) = named.collect::<Option<Vec<_>>>() else {
-        return Parsed::Malformed("a header that is none");
+        return Parsed::Malformed(ParseError::BadHeader);
     };
     let all = |name: &'static str| {
         headers.iter().filter(move |(key, _)| key.eq_ignore_ascii_case(name)).map(|(_, value)| value.trim())
@@ -73,20 +78,20 @@
     let header = |name| all(name).next();
     let start = head_end + 4;
     if (100..200).contains(&status) {
-        return Parsed::Whole(None, start);
+        return Parsed::Complete(None, start);
     }
     let stays = !header("Connection").is_some_and(|value| value.eq_ignore_ascii_case("close"));
     if header("Transfer-Encoding").is_some() {
-        return Parsed::Malformed("a body of no stated length");
+        return Parsed::Malformed(ParseError::TransferEncoding);
     }
     // One that bears no result may leave its length out, one with a result may not.
     let stated = header("Content-Length").or((status != 200).then_some("0"));
     let agreed = stated.filter(|stated| all("Content-Length").all(|other| other == *stated));
     let Some(len) = agreed.and_then(|text| decimal::<usize>(text.as_bytes())).filter(|len| *len <= BODY_MAX)
     else {
-        return Parsed::Malformed("a body of no good length");
+        return Parsed::Malformed(ParseError::BadContentLength);
     };
-    let Some(body) = bytes.get(start..start + len) else { return Parsed::More };
+    let Some(body) = bytes.get(start..start + len) else { return Parsed::Incomplete };
     // Only these prove that nothing ran; whatever else came of it may have had its effect.
     let not_begun = matches!(status, 503 | 409) && header("Op-Not-Begun") == Some("1");
     let ending = match status {
@@ -95,5 +100,5 @@
         _ if not_begun => Ending::NeverRan,
         _ => Ending::Unknown,
     };
-    Parsed::Whole(Some(Reply { ending, body: body.to_vec(), stays }), start + len)
+    Parsed::Complete(Some(Reply { ending, body: body.to_vec(), stays }), start + len)
 }
--- a/crates/server/src/wire/interpreter.rs
+++ b/crates/server/src/wire/interpreter.rs
@@ -22,9 +22,9 @@
 /// The first line, without its end.
 pub fn line(bytes: &[u8]) -> Parsed<&[u8]> {
     match bytes.iter().position(|byte| *byte == b'\n') {
-        Some(end) if end <= LINE_MAX => Parsed::Whole(&bytes[..end], end + 1),
-        None if bytes.len() <= LINE_MAX => Parsed::More,
-        _ => Parsed::Malformed("a line that is too long"),
+        Some(end) if end <= LINE_MAX => Parsed::Complete(&bytes[..end], end + 1),
+        None if bytes.len() <= LINE_MAX => Parsed::Incomplete,
+        _ => Parsed::Malformed(crate::wire::ParseError::LineTooLong),
     }
 }
 
--- a/crates/server/src/wire/ring.rs
+++ b/crates/server/src/wire/ring.rs
@@ -1,56 +1,62 @@
-//! The ring buffer of one direction of a connection: nothing at rest, bounded when full.
+//! The bounded ring buffer of one direction of a connection; it keeps little memory while it is empty.
 
 use std::collections::VecDeque;
 
-/// What an emptied ring may keep for the next message.
-const AT_REST: usize = 1024;
+/// Bytes that an emptied ring may keep allocated for the next message.
+const EMPTY_CAPACITY_MAX: usize = 1024;
 
+/// Bytes in the order they came, up to a bound.
 #[derive(Debug)]
 pub struct Ring {
     bytes: VecDeque<u8>,
-    most: usize,
+    bytes_max: usize,
 }
 
 impl Ring {
-    pub fn new(most: usize) -> Self {
-        Self { bytes: VecDeque::new(), most }
+    /// An empty ring for so many bytes.
+    pub fn new(bytes_max: usize) -> Self {
+        Self { bytes: VecDeque::new(), bytes_max }
     }
 
+    /// Whether it holds nothing.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
+    /// Bytes that it holds.
     pub fn len(&self) -> usize {
         self.bytes.len()
     }
 
-    pub fn room(&self) -> usize {
-        self.most - self.len()
+    /// Bytes that may be added.
+    pub fn free(&self) -> usize {
+        self.bytes_max - self.len()
     }
 
-    /// Takes all of it or, where that would pass the bound, nothing.
+    /// Adds all the bytes, or none and returns false where that would pass the bound.
     #[must_use]
     pub fn put(&mut self, bytes: &[u8]) -> bool {
-        let fits = bytes.len() <= self.room();
+        let fits = bytes.len() <= self.free();
         if fits {
             self.bytes.extend(bytes);
         }
         fits
     }
 
-    /// Brings all that is held into one piece, which is then at the front.
+    /// Makes all bytes contiguous, so that `front` returns them all.
     pub fn straighten(&mut self) {
         self.bytes.make_contiguous();
     }
 
-    /// What lies in one piece: all of it once straightened, else what can be written in one go.
+    /// The first contiguous bytes.
     pub fn front(&self) -> &[u8] {
         self.bytes.as_slices().0
     }
 
+    /// Removes bytes from the front.
     pub fn drop_front(&mut self, count: usize) {
         self.bytes.drain(..count.min(self.bytes.len()));
-        if self.bytes.is_empty() && self.bytes.capacity() > AT_REST {
+        if self.bytes.is_empty() && self.bytes.capacity() > EMPTY_CAPACITY_MAX {
             self.bytes = VecDeque::new();
         }
     }
--- a/crates/server/src/wire/tests.rs
+++ b/crates/server/src/wire/tests.rs
@@ -9,19 +9,19 @@
 /// What is read does not matter where only its extent is looked at.
 fn extent<T>(parsed: Parsed<T>) -> Parsed<()> {
     match parsed {
-        Parsed::Whole(_, used) => Parsed::Whole((), used),
-        Parsed::More => Parsed::More,
-        Parsed::Malformed(why) => Parsed::Malformed(why),
+        Parsed::Complete(_, used) => Parsed::Complete((), used),
+        Parsed::Incomplete => Parsed::Incomplete,
+        Parsed::Malformed(error) => Parsed::Malformed(error),
     }
 }
 
 /// A whole message is taken whatever follows it, and every cut of it waits for more.
 fn whole_or_more(message: &[u8], parse: impl Fn(&[u8]) -> Parsed<()>) {
     for end in 0..message.len() {
-        assert!(matches!(parse(&message[..end]), Parsed::More), "cut at {end}");
+        assert!(matches!(parse(&message[..end]), Parsed::Incomplete), "cut at {end}");
     }
     for behind in [&b""[..], b"*", b"HTTP", b"\r\n{"] {
-        let Parsed::Whole(_, used) = parse(&[message, behind].concat()) else { panic!("not taken") };
+        let Parsed::Complete(_, used) = parse(&[message, behind].concat()) else { panic!("not taken") };
         assert_eq!(used, message.len());
     }
 }
@@ -33,7 +33,7 @@
             let mut bent = message.to_vec();
             bent[at] = byte;
             for end in at..=bent.len() {
-                if let Parsed::Whole(_, used) = parse(&bent[..end]) {
+                if let Parsed::Complete(_, used) = parse(&bent[..end]) {
                     assert!(used <= end);
                 }
             }
@@ -50,7 +50,7 @@
 fn arrays() {
     whole_or_more(ARRAY, |bytes| extent(resp::array(bytes)));
     never_panics(ARRAY, |bytes| extent(resp::array(bytes)));
-    assert_eq!(resp::array(ARRAY), Parsed::Whole(vec![&b"RPC.CALL"[..], b"7", b"a\r\nb"], ARRAY.len()));
+    assert_eq!(resp::array(ARRAY), Parsed::Complete(vec![&b"RPC.CALL"[..], b"7", b"a\r\nb"], ARRAY.len()));
     let mut written = Vec::new();
     resp::put_array(&mut written, &[b"RPC.CALL", b"7", b"a\r\nb"]);
     assert_eq!(written, ARRAY);
@@ -74,7 +74,7 @@
     let mut written = Vec::new();
     resp::put_array(&mut written, &[&[b'x'; resp::WORD_MAX][..]; resp::WORDS_MAX]);
     assert!(Ring::new(resp::ARRAY_MAX).put(&written));
-    assert!(matches!(resp::array(&written), Parsed::Whole(..)));
+    assert!(matches!(resp::array(&written), Parsed::Complete(..)));
 }
 
 #[test]
@@ -85,7 +85,7 @@
         tag: 7,
         operation: "checkout",
         reference: 0x9b1f_03aa_5c7e_2d41,
-        since: 1_764_576_000_123,
+        since_unix_ms: 1_764_576_000_123,
         held_kb: 24.5,
         body: b"\0\xff",
         sender: Some(4),
@@ -112,14 +112,14 @@
 #[test_case("ref=9b1f03aa5c7e2d41,since=1,room=1,sender=x"; "sender is no number")]
 fn bad_fields(fields: &str) {
     let words = [&b"RPC.CALL"[..], b"7", b"checkout", fields.as_bytes(), b""];
-    assert!(matches!(rpc::command(&words), rpc::Command::Bad { tag: Some(7), .. }));
+    assert!(matches!(rpc::command(&words), rpc::Command::Invalid { tag: Some(7), .. }));
 }
 
 #[test_case(&[b"RPC.CALL"]; "no tag")]
 #[test_case(&[b"RPC.CALL", b"0", b"x", b"", b""]; "tag 0")]
 #[test_case(&[b"RPC.CALL", b"+1", b"x", b"", b""]; "signed tag")]
 fn unknown_tags(words: &[&[u8]]) {
-    assert!(matches!(rpc::command(words), rpc::Command::Bad { tag: None, .. }));
+    assert!(matches!(rpc::command(words), rpc::Command::Invalid { tag: None, .. }));
 }
 
 #[test]
@@ -127,18 +127,18 @@
     let answer = |answer, advertised| {
         let mut out = Vec::new();
         rpc::put_answer(&mut out, 7, &answer, advertised);
-        let Parsed::Whole(words, _) = resp::array(&out) else { panic!("no array") };
+        let Parsed::Complete(words, _) = resp::array(&out) else { panic!("no array") };
         words.iter().map(|word| String::from_utf8_lossy(word).into_owned()).collect::<Vec<_>>()
     };
     assert_eq!(
         answer(rpc::Answer::Succeeded(b"hi".to_vec()), Some(0.5)),
         ["7", "good", "pressure=0.5", "hi"]
     );
-    let throttled = rpc::Answer::Throttled { no_retry: true, stay_away: 1_000_001, ticket: None };
+    let throttled = rpc::Answer::Rejected { no_retry: true, retry_after: 1_000_001, ticket: None };
     assert_eq!(answer(throttled, Some(0.0)), ["7", "refused", "pressure=0,cooldown=2,nowhere=1", ""]);
-    let throttled = rpc::Answer::Throttled { no_retry: false, stay_away: 5_000_000, ticket: Some(10) };
+    let throttled = rpc::Answer::Rejected { no_retry: false, retry_after: 5_000_000, ticket: Some(10) };
     assert_eq!(answer(throttled, None), ["7", "refused", "cooldown=5,ticket=000000000000000a", ""]);
-    let throttled = rpc::Answer::Throttled { no_retry: false, stay_away: 0, ticket: None };
+    let throttled = rpc::Answer::Rejected { no_retry: false, retry_after: 0, ticket: None };
     assert_eq!(answer(throttled, None), ["7", "refused", "", ""]);
     assert_eq!(answer(rpc::Answer::Health(false), None), ["7", "unfit", "", ""]);
 }
@@ -153,7 +153,7 @@
 fn heads_that_announce_a_reply_are_passed_over() {
     let early = [b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Wait\r\n\r\n", REPLY].concat();
     whole_or_more(&early, |bytes| extent(http::reply(bytes)));
-    let Parsed::Whole(reply, _) = http::reply(&early) else { panic!("not taken") };
+    let Parsed::Complete(reply, _) = http::reply(&early) else { panic!("not taken") };
     assert_eq!((reply.ending, reply.body), (Ending::NeverRan, b"abc".to_vec()));
 }
 
@@ -167,7 +167,7 @@
 #[test_case("418", "", Ending::Unknown; "any other")]
 fn what_replies_prove(status: &str, header: &str, ending: Ending) {
     let reply = format!("HTTP/1.1 {status} X\r\n{header}Content-Length: 2\r\n\r\nhi");
-    let Parsed::Whole(reply, _) = http::reply(reply.as_bytes()) else { panic!("not taken") };
+    let Parsed::Complete(reply, _) = http::reply(reply.as_bytes()) else { panic!("not taken") };
     assert_eq!((reply.ending, reply.body, reply.stays), (ending, b"hi".to_vec(), true));
 }
 
@@ -201,7 +201,7 @@
 fn notices() {
     whole_or_more(LINE, |bytes| extent(interpreter::line(bytes)));
     never_panics(LINE, |bytes| {
-        if let Parsed::Whole(line, _) = interpreter::line(bytes) {
+        if let Parsed::Complete(line, _) = interpreter::line(bytes) {
             let _ = interpreter::notice(line);
         }
         extent(interpreter::line(bytes))
@@ -230,6 +230,6 @@
         ring.straighten();
         assert_eq!(ring.front(), [round, round + 1, round + 2]);
         ring.drop_front(3);
-        assert!(ring.is_empty() && ring.room() == 8);
+        assert!(ring.is_empty() && ring.free() == 8);
     }
 }
--- a/crates/server/src/wire/tests/outside_names.rs
+++ b/crates/server/src/wire/tests/outside_names.rs
@@ -14,8 +14,8 @@
     String::from_utf8(out).unwrap()
 }
 
-fn throttled(no_retry: bool, stay_away: u64, ticket: Option<u64>) -> rpc::Answer {
-    rpc::Answer::Throttled { no_retry, stay_away, ticket }
+fn throttled(no_retry: bool, retry_after: u64, ticket: Option<u64>) -> rpc::Answer {
+    rpc::Answer::Rejected { no_retry, retry_after, ticket }
 }
 
 #[test]
@@ -29,7 +29,7 @@
             "",
         ),
         (throttled(false, 0, None), "refused", "pressure=0.5", ""),
-        (rpc::Answer::Errored, "broken", "pressure=0.5", ""),
+        (rpc::Answer::Failed, "broken", "pressure=0.5", ""),
         (rpc::Answer::Health(true), "fit", "pressure=0.5", ""),
         (rpc::Answer::Health(false), "unfit", "pressure=0.5", ""),
     ];
@@ -37,7 +37,7 @@
         let words = [("7"), word, fields, body].map(|one| format!("${}\r\n{one}\r\n", one.len()));
         assert_eq!(answer(&given, Some(0.5)), format!("*4\r\n{}", words.concat()));
     }
-    assert!(!answer(&rpc::Answer::Errored, None).contains("pressure"));
+    assert!(!answer(&rpc::Answer::Failed, None).contains("pressure"));
 }
 
 #[test]
@@ -45,7 +45,7 @@
     assert_eq!(rpc::command(&[b"RPC.HEALTH", b"8"]), rpc::Command::Health { tag: 8 });
     assert_eq!(rpc::command(&[b"RPC.CANCEL", b"8"]), rpc::Command::Cancel { tag: 8 });
     let mut out = Vec::new();
-    rpc::put_enough(&mut out);
+    rpc::put_drain(&mut out);
     assert_eq!(out, b"*2\r\n$1\r\n0\r\n$6\r\nenough\r\n");
 }
 
