--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -271,7 +271,7 @@
     let operations = read.settings.operation_names.join(", ");
     println!("{} would listen on {} for {operations}", read.name, read.listen);
     read.notes.iter().for_each(|note| println!("{note}"));
-    if let Some(fair) = &read.settings.deployment.fair {
+    if let Some(fair) = &read.settings.deployment.fair_queueing {
         let (named, most) = (fair.named.len(), fair.ceiling().div_ceil(1 << 20));
         println!("tenants are told apart, {named} of them by name, in {most} MiB at most");
     }
--- a/crates/deployment-settings/src/lib.rs
+++ b/crates/deployment-settings/src/lib.rs
@@ -2,7 +2,9 @@
 //! object as nested JSON, which is first laid out as such lines.
 
 use anyhow::{Context, Result, anyhow, bail};
-use meadowstream_overload_control::{Advert, Below, Deployment, Effect, Halting, Nanos, Operation};
+use meadowstream_overload_control::{
+    Advertisement, Deployment, Downstream, Effect, Nanos, Operation, Preemption,
+};
 use serde_json::Value;
 use std::collections::HashMap;
 use std::str::FromStr;
@@ -91,31 +93,31 @@
 }
 
 /// A deployment, and where among the gauges those stand that the module reads.
-pub struct Read {
+pub struct DeploymentSettings {
     pub deployment: Deployment,
-    pub busy_gauge: Option<usize>,
-    pub wanting_gauge: Option<usize>,
+    pub utilization_gauge: Option<usize>,
+    pub runnable_gauge: Option<usize>,
     /// What the operations are called, in the order of the deployment's.
     pub operation_names: Vec<String>,
     /// How long the answer of a read may be handed to others.
-    pub share_reads_for: Nanos,
+    pub read_sharing_window: Nanos,
     /// Whether callers that give up are told of.
-    pub tells_gone: bool,
+    pub notifies_cancellation: bool,
     /// Whether an invocation says how long its caller still waits.
     pub passes_deadline: bool,
     /// Names of the tenants, in the order of their allowances.
     pub tenant_names: Vec<String>,
     /// This server's share of a dependency, whatever lies below.
-    pub dependency_share: f64,
+    pub dependency_quota: f64,
 }
 
-pub fn read_json(settings: &Value) -> Result<Read> {
+pub fn read_json(settings: &Value) -> Result<DeploymentSettings> {
     let mut pairs = Pairs::default();
     pairs.lay_out("", settings);
     decode(&pairs)
 }
 
-pub fn read(config: &str) -> Result<Read> {
+pub fn read(config: &str) -> Result<DeploymentSettings> {
     let mut pairs = Pairs::default();
     for line in config.lines().filter(|line| !line.is_empty()) {
         let (path, value) = line.split_once('=').with_context(|| format!("setting {line:?} has no '='"))?;
@@ -124,7 +126,7 @@
     decode(&pairs)
 }
 
-fn decode(pairs: &Pairs) -> Result<Read> {
+fn decode(pairs: &Pairs) -> Result<DeploymentSettings> {
     let without_call = pairs.list("family-info.degraded-worth");
     let calls = pairs.list("family-info.class-calls");
     let (mut operations, mut operation_names) = (Vec::new(), Vec::new());
@@ -132,11 +134,11 @@
         let at = |field: &str| format!("grades.{i}.{field}");
         let effects = [
             ("repeatable", Effect::Idempotent),
-            ("by_key", Effect::Tokened),
+            ("by_key", Effect::IdempotentWithKey),
             ("once", Effect::NonIdempotent),
         ];
         let effect = pairs.choice(&at("effect"), &effects)?;
-        let without_call_value = match without_call.get(i) {
+        let degraded_value_ratio = match without_call.get(i) {
             Some(text) => {
                 let share = text.parse().ok().filter(|share: &f64| (0.0..=1.0).contains(share));
                 share.with_context(|| format!("setting family-info.degraded-worth: cannot read {text:?}"))?
@@ -148,15 +150,15 @@
             effect,
             latency_objective: pairs.span(&at("target"))?,
             client_timeout: pairs.span(&at("give-up"))?,
-            token_window: if effect == Effect::Tokened {
+            idempotency_window: if effect == Effect::IdempotentWithKey {
                 pairs.span(&at("window"))?
             } else {
                 pairs.span_or(&at("window"), 0)?
             },
-            billed_value: pairs.number(&at("worth"))?,
+            priority_weight: pairs.number(&at("worth"))?,
             late_value: pairs.number_or_none(&at("late-worth"))?,
-            without_call_value,
-            calls: calls.get(i).is_none_or(|text| *text == "true"),
+            degraded_value_ratio,
+            makes_calls: calls.get(i).is_none_or(|text| *text == "true"),
         });
     }
     if operations.is_empty() {
@@ -165,63 +167,64 @@
     let tenants = pairs.get_or("orgs.count", 0usize)?;
     let tenant_allowance =
         (0..tenants).map(|i| pairs.number(&format!("orgs.{i}.allowance-per-s"))).collect::<Result<_>>()?;
-    let below = match pairs.text("family-info.below")? {
-        "off" => Below::Nothing,
-        "tier" => Below::Tier,
-        "one_for_all" => Below::Shared {
-            share: pairs.positive("family-info.dep-share")?,
+    let downstream = match pairs.text("family-info.below")? {
+        "off" => Downstream::None,
+        "tier" => Downstream::Tier,
+        "one_for_all" => Downstream::Shared {
+            quota: pairs.positive("family-info.dep-share")?,
             linger: pairs.span_or("family-info.lingers", 0)?,
-            over: pairs.span("family-info.calls-over")?,
+            window: pairs.span("family-info.calls-over")?,
         },
         other => bail!("setting family-info.below: unknown choice {other:?}"),
     };
-    let halts = [("off", Halting::Impossible), ("discard", Halting::Discards), ("freeze", Halting::Pauses)];
+    let halts =
+        [("off", Preemption::Unsupported), ("discard", Preemption::Discards), ("freeze", Preemption::Pauses)];
     let adverts = [
-        ("off", Advert::Nothing),
-        ("floor", Advert::Floor),
-        ("allowance", Advert::Allowance),
-        ("weight", Advert::Weight),
+        ("off", Advertisement::None),
+        ("floor", Advertisement::MinimumRank),
+        ("allowance", Advertisement::ConcurrencyAllowance),
+        ("weight", Advertisement::Weight),
     ];
     let advised = pairs.get_or("limits.retry-after", false)?;
     let deployment = Deployment {
         operations,
         tenant_allowance,
-        over_share_value: pairs.get_or("over-share-worth", 1.0)?,
-        fair: None,
+        over_quota_value_ratio: pairs.get_or("over-share-worth", 1.0)?,
+        fair_queueing: None,
         peers: pairs.number("peers-total")?.max(1.0),
         callers: pairs.get_or("family-info.callers", 1.0f64)?.max(1.0),
-        called_by_own: pairs.get_or("tier", 0u64)? > 0,
+        is_downstream_tier: pairs.get_or("tier", 0u64)? > 0,
         cores: pairs.number("family-info.cores")?.max(1.0),
         memory_kb: pairs.number("family-info.memory-kb")?,
-        run_memory: pairs.number("family-info.run-factor")?,
-        entry_kb: pairs.number("family-info.entry-kb")?,
-        halting: pairs.choice("family-info.preemption", &halts)?,
-        below,
-        advert: pairs.choice("family-info.say", &adverts)?,
-        stay_away_max: if advised { pairs.span("limits.max-retry-after")? } else { 0 },
-        idle_max: pairs.span("family-info.idle")?,
+        run_memory_factor: pairs.number("family-info.run-factor")?,
+        idempotency_entry_kb: pairs.number("family-info.entry-kb")?,
+        preemption: pairs.choice("family-info.preemption", &halts)?,
+        downstream,
+        advertisement: pairs.choice("family-info.say", &adverts)?,
+        retry_after_max: if advised { pairs.span("limits.max-retry-after")? } else { 0 },
+        idle_timeout_max: pairs.span("family-info.idle")?,
         retries_marked: pairs.get_or("clients.marks-retry", false)?,
         drain_grace: pairs.span("contract.drain-grace")?,
         answer_grace: pairs.span("contract.grace-to-answer")?,
-        survivable_crowd: pairs.number("contract.fall-multiple")?,
-        cold: pairs.get_or("family-info.fresh-start", false)?,
-        cold_speed: pairs.number("contract.cold-from")?,
-        reference: meadowstream_overload_control::REFERENCE,
-        cold_for: pairs.span("contract.cold")?,
+        survivable_concurrency_ratio: pairs.number("contract.fall-multiple")?,
+        starts_cold: pairs.get_or("family-info.fresh-start", false)?,
+        cold_speed_ratio: pairs.number("contract.cold-from")?,
+        target_utilization: meadowstream_overload_control::TARGET_UTILIZATION,
+        warm_up: pairs.span("contract.cold")?,
     };
     let gauges = pairs.list("family-info.own-stats");
     let place = |name: &str| gauges.iter().position(|gauge| *gauge == name);
-    Ok(Read {
+    Ok(DeploymentSettings {
         deployment,
-        busy_gauge: place("cpu_busy"),
-        wanting_gauge: place("runnable"),
+        utilization_gauge: place("cpu_busy"),
+        runnable_gauge: place("runnable"),
         operation_names,
-        share_reads_for: pairs.span_or("family-info.share-for", 0)?,
-        tells_gone: pairs.get_or("family-info.tells-gone", false)?,
+        read_sharing_window: pairs.span_or("family-info.share-for", 0)?,
+        notifies_cancellation: pairs.get_or("family-info.tells-gone", false)?,
         passes_deadline: pairs.get_or("family-info.passes-deadline", false)?,
         tenant_names: (0..tenants)
             .map(|i| pairs.get_or(&format!("orgs.{i}.name"), i.to_string()))
             .collect::<Result<_>>()?,
-        dependency_share: pairs.number_or_none("family-info.dep-share")?,
+        dependency_quota: pairs.number_or_none("family-info.dep-share")?,
     })
 }
--- a/crates/deployment-settings/tests/outside_names.rs
+++ b/crates/deployment-settings/tests/outside_names.rs
@@ -1,7 +1,7 @@
 //! The paths of the platform's settings are those of release 0.2.0 (commit 22d0bb6), with the same meaning.
 
-use meadowstream_deployment_settings::{Read, read, read_json};
-use meadowstream_overload_control::{Advert, Below, Effect, Halting};
+use meadowstream_deployment_settings::{DeploymentSettings, read, read_json};
+use meadowstream_overload_control::{Advertisement, Downstream, Effect, Preemption};
 use test_case::test_case;
 
 /// Every path that is read.
@@ -21,7 +21,7 @@
     contract.fall-multiple=8\ncontract.cold-from=0.23\ncontract.cold=17000000\n";
 const MICROSECOND: u64 = 1_000;
 
-fn every_path() -> Read {
+fn every_path() -> DeploymentSettings {
     read(EVERY_PATH).unwrap()
 }
 
@@ -30,14 +30,14 @@
     let read = every_path();
     let site = read.deployment;
     let (load, save) = (&site.operations[0], &site.operations[1]);
-    assert_eq!((load.effect, save.effect), (Effect::Tokened, Effect::NonIdempotent));
+    assert_eq!((load.effect, save.effect), (Effect::IdempotentWithKey, Effect::NonIdempotent));
     assert_eq!(load.latency_objective, 2_000_000 * MICROSECOND);
     assert_eq!(load.client_timeout, 5_000_000 * MICROSECOND);
-    assert_eq!(load.token_window, 6_000_000 * MICROSECOND);
-    assert_eq!((load.billed_value, load.late_value), (2.5, 0.5));
-    assert_eq!((load.without_call_value, load.calls, save.calls), (0.5, true, false));
+    assert_eq!(load.idempotency_window, 6_000_000 * MICROSECOND);
+    assert_eq!((load.priority_weight, load.late_value), (2.5, 0.5));
+    assert_eq!((load.degraded_value_ratio, load.makes_calls, save.makes_calls), (0.5, true, false));
     assert_eq!(site.tenant_allowance, [30.0, 40.0]);
-    assert_eq!(site.over_share_value, 0.25);
+    assert_eq!(site.over_quota_value_ratio, 0.25);
     assert_eq!((read.operation_names, read.tenant_names), (words("load save"), words("red blue")));
 }
 
@@ -48,30 +48,33 @@
 #[test]
 fn sizes_and_times_mean_the_same() {
     let site = every_path().deployment;
-    assert_eq!((site.peers, site.callers, site.called_by_own), (11.0, 9.0, true));
-    assert_eq!((site.cores, site.memory_kb, site.run_memory, site.entry_kb), (6.0, 22_548.0, 16.0, 7.0));
-    assert_eq!((site.halting, site.advert), (Halting::Pauses, Advert::Weight));
+    assert_eq!((site.peers, site.callers, site.is_downstream_tier), (11.0, 9.0, true));
+    assert_eq!(
+        (site.cores, site.memory_kb, site.run_memory_factor, site.idempotency_entry_kb),
+        (6.0, 22_548.0, 16.0, 7.0)
+    );
+    assert_eq!((site.preemption, site.advertisement), (Preemption::Pauses, Advertisement::Weight));
     let (linger, over) = (300_000 * MICROSECOND, 1_000_000 * MICROSECOND);
-    assert_eq!(site.below, Below::Shared { share: 12.0, linger, over });
-    assert_eq!(site.stay_away_max, 3_000_000 * MICROSECOND);
-    assert_eq!(site.idle_max, 15_000_000 * MICROSECOND);
-    assert_eq!((site.retries_marked, site.cold), (true, true));
+    assert_eq!(site.downstream, Downstream::Shared { quota: 12.0, linger, window: over });
+    assert_eq!(site.retry_after_max, 3_000_000 * MICROSECOND);
+    assert_eq!(site.idle_timeout_max, 15_000_000 * MICROSECOND);
+    assert_eq!((site.retries_marked, site.starts_cold), (true, true));
     assert_eq!(site.drain_grace, 2_500_000 * MICROSECOND);
     assert_eq!(site.answer_grace, 60_000 * MICROSECOND);
-    assert_eq!((site.survivable_crowd, site.cold_speed), (8.0, 0.23));
-    assert_eq!(site.cold_for, 17_000_000 * MICROSECOND);
+    assert_eq!((site.survivable_concurrency_ratio, site.cold_speed_ratio), (8.0, 0.23));
+    assert_eq!(site.warm_up, 17_000_000 * MICROSECOND);
 }
 
 #[test]
 fn what_only_the_server_reads_means_the_same() {
     let read = every_path();
-    assert_eq!((read.busy_gauge, read.wanting_gauge), (Some(1), Some(2)));
-    assert_eq!(read.share_reads_for, 50_000 * MICROSECOND);
-    assert!(read.tells_gone && read.passes_deadline);
-    assert_eq!(read.dependency_share, 12.0);
+    assert_eq!((read.utilization_gauge, read.runnable_gauge), (Some(1), Some(2)));
+    assert_eq!(read.read_sharing_window, 50_000 * MICROSECOND);
+    assert!(read.notifies_cancellation && read.passes_deadline);
+    assert_eq!(read.dependency_quota, 12.0);
 }
 
-fn with(path: &str, value: &str) -> Read {
+fn with(path: &str, value: &str) -> DeploymentSettings {
     let line = |line: &str| match line.split_once('=') {
         Some((name, _)) if name == path => format!("{path}={value}\n"),
         _ => format!("{line}\n"),
@@ -79,29 +82,29 @@
     read(&EVERY_PATH.lines().map(line).collect::<String>()).unwrap()
 }
 
-#[test_case("off", Advert::Nothing)]
-#[test_case("floor", Advert::Floor)]
-#[test_case("allowance", Advert::Allowance)]
-#[test_case("weight", Advert::Weight)]
-fn what_is_advertised_has_the_same_words(word: &str, advert: Advert) {
-    assert_eq!(with("family-info.say", word).deployment.advert, advert);
+#[test_case("off", Advertisement::None)]
+#[test_case("floor", Advertisement::MinimumRank)]
+#[test_case("allowance", Advertisement::ConcurrencyAllowance)]
+#[test_case("weight", Advertisement::Weight)]
+fn what_is_advertised_has_the_same_words(word: &str, advertisement: Advertisement) {
+    assert_eq!(with("family-info.say", word).deployment.advertisement, advertisement);
 }
 
-#[test_case("off", Halting::Impossible)]
-#[test_case("discard", Halting::Discards)]
-#[test_case("freeze", Halting::Pauses)]
-fn preemption_has_the_same_words(word: &str, halting: Halting) {
-    assert_eq!(with("family-info.preemption", word).deployment.halting, halting);
+#[test_case("off", Preemption::Unsupported)]
+#[test_case("discard", Preemption::Discards)]
+#[test_case("freeze", Preemption::Pauses)]
+fn preemption_has_the_same_words(word: &str, preemption: Preemption) {
+    assert_eq!(with("family-info.preemption", word).deployment.preemption, preemption);
 }
 
-#[test_case("off", Below::Nothing)]
-#[test_case("tier", Below::Tier)]
-fn what_lies_below_has_the_same_words(word: &str, below: Below) {
-    assert_eq!(with("family-info.below", word).deployment.below, below);
+#[test_case("off", Downstream::None)]
+#[test_case("tier", Downstream::Tier)]
+fn what_lies_below_has_the_same_words(word: &str, downstream: Downstream) {
+    assert_eq!(with("family-info.below", word).deployment.downstream, downstream);
 }
 
 #[test_case("repeatable", Effect::Idempotent)]
-#[test_case("by_key", Effect::Tokened)]
+#[test_case("by_key", Effect::IdempotentWithKey)]
 #[test_case("once", Effect::NonIdempotent)]
 fn effects_have_the_same_words(word: &str, effect: Effect) {
     assert_eq!(with("grades.0.effect", word).deployment.operations[0].effect, effect);
--- a/crates/deployment-settings/tests/settings.rs
+++ b/crates/deployment-settings/tests/settings.rs
@@ -1,7 +1,7 @@
 //! What is read of a deployment, from lines and from JSON, and what is refused.
 
 use meadowstream_deployment_settings::read_json;
-use meadowstream_overload_control::{Advert, Effect, Halting};
+use meadowstream_overload_control::{Advertisement, Effect, Preemption};
 
 const GOOD: &str = "grades.count=1\ngrades.0.effect=by_key\ngrades.0.target=2000000\n\
     grades.0.give-up=5000000\ngrades.0.window=5000000\ngrades.0.worth=2.5\npeers-total=11\n\
@@ -16,10 +16,16 @@
 fn reads_what_decisions_need() {
     let read = meadowstream_deployment_settings::read(GOOD).unwrap();
     let site = read.deployment;
-    assert_eq!((site.operations[0].effect, site.operations[0].billed_value), (Effect::Tokened, 2.5));
+    assert_eq!(
+        (site.operations[0].effect, site.operations[0].priority_weight),
+        (Effect::IdempotentWithKey, 2.5)
+    );
     assert_eq!(site.operations[0].latency_objective, 2_000_000_000);
-    assert_eq!((site.halting, site.advert, site.stay_away_max), (Halting::Pauses, Advert::Weight, 0));
-    assert_eq!((read.busy_gauge, read.wanting_gauge), (Some(1), None));
+    assert_eq!(
+        (site.preemption, site.advertisement, site.retry_after_max),
+        (Preemption::Pauses, Advertisement::Weight, 0)
+    );
+    assert_eq!((read.utilization_gauge, read.runnable_gauge), (Some(1), None));
 }
 
 #[test]
@@ -36,7 +42,10 @@
     });
     let (read, same) = (read_json(&json).unwrap(), meadowstream_deployment_settings::read(GOOD).unwrap());
     assert_eq!(format!("{:?}", read.deployment), format!("{:?}", same.deployment));
-    assert_eq!((read.busy_gauge, read.operation_names), (same.busy_gauge, same.operation_names));
+    assert_eq!(
+        (read.utilization_gauge, read.operation_names),
+        (same.utilization_gauge, same.operation_names)
+    );
 }
 
 #[test]
--- a/crates/overload-control/src/controller.rs
+++ b/crates/overload-control/src/controller.rs
@@ -4,22 +4,25 @@
 //! `finished`, `needs_call`, `call_ended`, `told_to_leave`, `caller_gone` and `woken`. Each call notes
 //! what it brings, then goes through `RULES` in order, from the top again after each rule that fires,
 //! until none does. What is decided goes out through the `Host` passed with the call.
-//! The interface (`Host`, `Deployment`, `Arrival`, `Ending`) is in lib.rs, the regulator's sums in
+//! The interface (`Host`, `Deployment`, `Arrival`, `Outcome`) is in lib.rs, the regulator's sums in
 //! lq.rs, the decaying sums in decay.rs. `docs/design.md` says what follows the paper and what departs.
 
 use crate::decay::Decaying;
 use crate::invs::{Inv, Invs, State};
 use crate::largest::Largest;
 use crate::lq::{self, Fit, Plant};
-use crate::{Advert, Arrival, Below, Deployment, Effect, Ending, Gauges, Halting, Host, Nanos, Operation};
-use meadowstream_fair_queueing::{Fair, Outcome, Who};
+use crate::{
+    Advertisement, Arrival, Deployment, Downstream, Effect, Gauges, Host, Nanos, Operation, Outcome,
+    Preemption,
+};
+use meadowstream_fair_queueing::{Fair, Outcome as QueueOutcome, Who};
 use meadowstream_pending_queue::table::Table;
 use meadowstream_pending_queue::{Able, Usual};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
 /// The control period: the span that the gauge looks back over.
-pub const PERIOD: Nanos = 500_000_000;
+pub const CONTROL_PERIOD: Nanos = 500_000_000;
 /// Connections stay where a caller comes back this often before it would close its own, else for a share of
 /// the period.
 const RETURNS: f64 = 4.0;
@@ -79,8 +82,8 @@
 /// Nothing moved on the cores for this many usual run times: they stand still.
 const STALLED: f64 = 6.0;
 
-pub const TICK: u32 = 0;
-const ALARM: u32 = 1;
+pub const CONTROL_TIMER: u32 = 0;
+const DEADLINE_TIMER: u32 = 1;
 
 /// What is learned of an operation: time on the cores, and from start to end, calls included.
 struct Learned {
@@ -162,47 +165,52 @@
 
 impl Controller {
     pub fn new(site: Deployment, seed: u64, now: Nanos, host: &mut dyn Host) -> Self {
-        let shared = !site.tenant_allowance.is_empty() || site.fair.is_some();
-        let over_share = if shared { site.over_share_value } else { 1.0 };
-        let billed = site.operations.iter().map(|op| op.billed_value);
+        let shared = !site.tenant_allowance.is_empty() || site.fair_queueing.is_some();
+        let over_share = if shared { site.over_quota_value_ratio } else { 1.0 };
+        let billed = site.operations.iter().map(|op| op.priority_weight);
         let mut values: Vec<f64> = billed.flat_map(|value| [value * over_share, value]).collect();
         values.sort_by(f64::total_cmp);
         values.dedup();
         // A refused call throws away work done above: in a called tier none is basic, that rank is empty.
-        if site.called_by_own {
+        if site.is_downstream_tier {
             values.insert(0, 0.0);
         }
-        let memory = PERIOD * MEMORY_PERIODS;
+        let memory = CONTROL_PERIOD * MEMORY_PERIODS;
         let learned = |op: &Operation| {
             let guess = op.latency_objective as f64 * FIRST_GUESS;
             let time = Decaying::starting_at(memory, now, guess, 1.0);
             Learned { work: time.clone(), whole: time, base: f64::INFINITY, hint: Decaying::new(memory, now) }
         };
         let learned: Vec<Learned> = site.operations.iter().map(learned).collect();
-        let fit = Fit::new(&Plant { a: 0.0, b: [-site.reference; 2] }, FIT_DOUBT, FIT_FORGETTING);
-        host.wake(ChaCha8Rng::seed_from_u64(seed).random_range(0..PERIOD), TICK);
+        let fit = Fit::new(&Plant { a: 0.0, b: [-site.target_utilization; 2] }, FIT_DOUBT, FIT_FORGETTING);
+        host.set_timer(ChaCha8Rng::seed_from_u64(seed).random_range(0..CONTROL_PERIOD), CONTROL_TIMER);
         Self {
             now,
             born: now,
             invs: Invs::new(
                 values.len(),
                 site.operations.len(),
-                site.run_memory,
-                site.halting == Halting::Pauses,
+                site.run_memory_factor,
+                site.preemption == Preemption::Pauses,
             ),
             usual_runs: learned.iter().map(|l| l.work.mean()).collect(),
-            shortest_objective: site.operations.iter().map(|op| op.latency_objective).min().unwrap_or(PERIOD),
+            shortest_objective: site
+                .operations
+                .iter()
+                .map(|op| op.latency_objective)
+                .min()
+                .unwrap_or(CONTROL_PERIOD),
             able: Able { usual: learned.iter().map(Learned::usual).collect(), limit: site.cores, free: 0 },
             learned,
             tenants: site.tenant_allowance.iter().map(|each| (each / site.peers, now)).collect(),
-            fair: site.fair.clone().map(|mut settings| {
-                settings.longest = site.stay_away_max;
-                Fair::new(settings, site.cores * site.reference, seed, now)
+            fair: site.fair_queueing.clone().map(|mut settings| {
+                settings.longest = site.retry_after_max;
+                Fair::new(settings, site.cores * site.target_utilization, seed, now)
             }),
             tokens: Table::default(),
-            unread_for: Decaying::new(PERIOD / 2, now),
-            reading: Decaying::new(PERIOD * 2, now),
-            retried: Decaying::new(PERIOD * 4, now),
+            unread_for: Decaying::new(CONTROL_PERIOD / 2, now),
+            reading: Decaying::new(CONTROL_PERIOD * 2, now),
+            retried: Decaying::new(CONTROL_PERIOD * 4, now),
             calls_limit: site.cores,
             calls_shut: false,
             call_time: Decaying::new(memory, now),
@@ -223,17 +231,17 @@
         }
     }
 
-    pub fn arrived(&mut self, now: Nanos, arrival: Arrival, host: &mut dyn Host) {
+    pub fn on_arrival(&mut self, now: Nanos, arrival: Arrival, host: &mut dyn Host) {
         self.advance(now);
         self.unread_for.add(now, arrival.age as f64);
-        self.retried.add(now, f64::from(arrival.marked_retry));
+        self.retried.add(now, f64::from(arrival.is_marked_retry));
         let op = &self.site.operations[arrival.operation];
         let reached = now.saturating_sub(arrival.age);
-        let waits = arrival.patience.map_or(reached + op.client_timeout, |left| now + left);
+        let waits = arrival.remaining_deadline.map_or(reached + op.client_timeout, |left| now + left);
         let wanted = reached + (op.latency_objective as f64 * (1.0 - WAY_BACK)) as Nanos;
         let hints = &mut self.learned[arrival.operation].hint;
-        arrival.hint.iter().for_each(|hint| hints.add(now, *hint as f64));
-        let size = arrival.hint.map_or(1.0, |hint| hint as f64 / hints.mean().max(1.0));
+        arrival.cost_hint.iter().for_each(|hint| hints.add(now, *hint as f64));
+        let size = arrival.cost_hint.map_or(1.0, |hint| hint as f64 / hints.mean().max(1.0));
         let work = self.able.usual[arrival.operation].work * size;
         let seat = self.fair.as_mut().zip(arrival.sender.as_ref()).map(|(fair, sender)| {
             let who = Who { name: &sender.tenant, origin: sender.origin };
@@ -241,12 +249,12 @@
         });
         let over_share = seat.map_or(self.takes_more_than_its_share(arrival.tenant), |seat| seat.surplus);
         let op = &self.site.operations[arrival.operation];
-        let value = op.billed_value * if over_share { self.site.over_share_value } else { 1.0 };
+        let value = op.priority_weight * if over_share { self.site.over_quota_value_ratio } else { 1.0 };
         // Kept while held already: a repeat that is read meanwhile must be known as one. What cannot be kept
         // must not run, or its repeat would run as well.
-        if op.effect == Effect::Tokened && arrival.repeats.is_none() && !arrival.unkept {
-            host.remember(arrival.id, op.token_window);
-            self.tokens.keep(arrival.id, now + op.token_window);
+        if op.effect == Effect::IdempotentWithKey && arrival.repeats.is_none() && !arrival.key_not_stored {
+            host.remember_key(arrival.id, op.idempotency_window);
+            self.tokens.keep(arrival.id, now + op.idempotency_window);
         }
         let late = self.leave.is_some_and(|(last, _)| reached > last);
         let mut inv = Inv::new(now, &arrival);
@@ -256,26 +264,26 @@
         let welcome = seat.is_some_and(|seat| seat.promised) && !self.is_flooded() && self.sick() <= 0.0;
         inv.judged |= welcome;
         (inv.seat, inv.tag) = (seat, seat.map_or(0, |seat| seat.tag));
-        self.invs.push(inv, late || arrival.unkept);
+        self.invs.push(inv, late || arrival.key_not_stored);
         self.decide(host);
     }
 
-    pub fn finished(&mut self, now: Nanos, id: u64, ending: Ending, host: &mut dyn Host) {
+    pub fn on_run_finished(&mut self, now: Nanos, id: u64, ending: Outcome, host: &mut dyn Host) {
         self.advance(now);
         if let Some(i) = self.invs.find(id) {
             let ran = self.invs[i].state() != State::Reusing;
             if self.invs[i].state() == State::Calling {
                 // Its run ended under it, with no word of the call: given up where it stood.
-                self.give_back(i, now - self.invs[i].since, Ending::Unknown);
+                self.give_back(i, now - self.invs[i].since, Outcome::Unknown);
             }
             self.enter(i, State::Held);
             self.invs[i].stopped = false;
             let inv = self.invs[i].clone();
-            let ended = matches!(ending, Ending::Succeeded | Ending::Errored);
+            let ended = matches!(ending, Outcome::Succeeded | Outcome::Failed);
             if ended && ran {
-                self.failing.add(now, f64::from(ending == Ending::Errored));
+                self.failing.add(now, f64::from(ending == Outcome::Failed));
             }
-            if ending == Ending::Succeeded && ran {
+            if ending == Outcome::Succeeded && ran {
                 let learned = &mut self.learned[inv.operation];
                 learned.work.add(now, inv.on_cores as f64);
                 learned.whole.add(now, (now - inv.begun) as f64);
@@ -293,7 +301,7 @@
         self.decide(host);
     }
 
-    pub fn needs_call(&mut self, now: Nanos, id: u64, host: &mut dyn Host) {
+    pub fn on_call_needed(&mut self, now: Nanos, id: u64, host: &mut dyn Host) {
         self.advance(now);
         if let Some(i) = self.invs.find(id) {
             self.enter(i, State::AtCall);
@@ -301,14 +309,21 @@
         self.decide(host);
     }
 
-    pub fn call_ended(&mut self, now: Nanos, id: u64, ending: Ending, took: Nanos, host: &mut dyn Host) {
+    pub fn on_call_finished(
+        &mut self,
+        now: Nanos,
+        id: u64,
+        ending: Outcome,
+        took: Nanos,
+        host: &mut dyn Host,
+    ) {
         self.advance(now);
         if let Some(i) = self.invs.find(id) {
             self.give_back(i, took, ending);
-            if ending == Ending::Unknown {
+            if ending == Outcome::Unknown {
                 self.call_time.add(now, took as f64);
             }
-            if ending == Ending::Succeeded {
+            if ending == Outcome::Succeeded {
                 self.call_time.add(now, took as f64);
                 self.invs[i].calls = 0;
                 self.calls_limit +=
@@ -316,7 +331,7 @@
                 self.enter(i, State::OnCores);
             } else {
                 self.enter(i, State::AtCall);
-                if ending == Ending::NeverRan {
+                if ending == Outcome::NeverRan {
                     self.calls_limit = (self.calls_limit * CALLS_DOWN).max(1.0);
                     let pause = self.learned[self.invs[i].operation].whole.mean() * CALL_PAUSE;
                     self.invs[i].retry_call_at = now + pause as Nanos;
@@ -328,14 +343,14 @@
         self.decide(host);
     }
 
-    pub fn told_to_leave(&mut self, now: Nanos, grace: Nanos, host: &mut dyn Host) {
+    pub fn on_drain_notice(&mut self, now: Nanos, grace: Nanos, host: &mut dyn Host) {
         self.advance(now);
         self.leave = Some((now + self.site.drain_grace, now + grace));
         host.log("leaving");
         self.decide(host);
     }
 
-    pub fn caller_gone(&mut self, now: Nanos, id: u64, host: &mut dyn Host) {
+    pub fn on_caller_gone(&mut self, now: Nanos, id: u64, host: &mut dyn Host) {
         self.advance(now);
         if let Some(i) = self.invs.find(id) {
             self.forget_unless_run(i, host);
@@ -344,17 +359,17 @@
         self.decide(host);
     }
 
-    pub fn woken(&mut self, now: Nanos, token: u32, gauges: Gauges, host: &mut dyn Host) {
+    pub fn on_timer(&mut self, now: Nanos, token: u32, gauges: Gauges, host: &mut dyn Host) {
         self.advance(now);
-        if token == TICK {
-            host.wake(PERIOD, TICK);
+        if token == CONTROL_TIMER {
+            host.set_timer(CONTROL_PERIOD, CONTROL_TIMER);
             let running = self.running();
-            self.reading.add(now, (gauges.wanting.unwrap_or(0.0) - running).clamp(0.0, self.site.cores));
-            let busy = gauges.busy.unwrap_or(running / self.site.cores).min(1.0);
+            self.reading.add(now, (gauges.runnable.unwrap_or(0.0) - running).clamp(0.0, self.site.cores));
+            let busy = gauges.utilization.unwrap_or(running / self.site.cores).min(1.0);
             self.learn_limit(busy);
             self.regulate(busy, host);
             if let Some(fair) = &mut self.fair {
-                let capacity = self.able.limit.floor() * self.site.reference;
+                let capacity = self.able.limit.floor() * self.site.target_utilization;
                 fair.set_level(now, capacity, capacity * self.shortest_objective as f64 * SHARE_HELD);
             }
             self.set_idle_limit(host);
@@ -367,7 +382,7 @@
 
     /// Time goes on, and with it grows what this server may take of a shared dependency's time.
     fn advance(&mut self, now: Nanos) {
-        if let Below::Shared { share, .. } = self.site.below {
+        if let Downstream::Shared { quota: share, .. } = self.site.downstream {
             let gained = share * CROWD_SHARE * now.saturating_sub(self.now) as f64;
             self.below_room = (self.below_room + gained).min(self.below_most());
         }
@@ -376,24 +391,24 @@
 
     /// Call time that may be gathered: with what comes in over the span of rule 4 it stays within the share.
     fn below_most(&self) -> f64 {
-        let Below::Shared { share, over, .. } = self.site.below else { return 0.0 };
+        let Downstream::Shared { quota: share, window: over, .. } = self.site.downstream else { return 0.0 };
         share * over as f64 * (1.0 - CROWD_SHARE)
     }
 
     /// What a call kept back and did not use; one that was given up stays below for a while.
-    fn give_back(&mut self, i: usize, took: Nanos, ending: Ending) {
-        let linger = if ending == Ending::Unknown { 0 } else { self.linger() };
+    fn give_back(&mut self, i: usize, took: Nanos, ending: Outcome) {
+        let linger = if ending == Outcome::Unknown { 0 } else { self.linger() };
         self.below_room += (self.invs[i].call_allowed + linger) as f64 - took as f64;
     }
 
     fn below_full_at(&self) -> Option<Nanos> {
-        let Below::Shared { share, .. } = self.site.below else { return None };
+        let Downstream::Shared { quota: share, .. } = self.site.downstream else { return None };
         let rest = (self.below_needed - self.below_room) / (share * CROWD_SHARE);
         (rest > 0.0).then(|| self.now + rest as Nanos + 1)
     }
 
     fn linger(&self) -> Nanos {
-        if let Below::Shared { linger, .. } = self.site.below { linger } else { 0 }
+        if let Downstream::Shared { linger, .. } = self.site.downstream { linger } else { 0 }
     }
 
     fn decide(&mut self, host: &mut dyn Host) {
@@ -406,16 +421,16 @@
     /// Once a period: from measured utilisation to the refusal ratios of basic and premium.
     fn regulate(&mut self, busy: f64, host: &mut dyn Host) {
         let output = busy.max(f64::from(self.calls_full()));
-        self.spare = output > busy && busy < self.site.reference;
+        self.spare = output > busy && busy < self.site.target_utilization;
         let backlog = self.backlog();
         let r = &mut self.regulator;
-        let error = output - self.site.reference;
+        let error = output - self.site.target_utilization;
         if r.ratio[1] > 0.0 {
             r.fit.learn(r.output, r.ratio, output);
             r.varied = r.varied * FIT_FORGETTING + (r.output - output).abs() * r.ratio[1];
         }
         r.output = output;
-        let prior = Plant { a: 0.0, b: [-output.max(self.site.reference); 2] };
+        let prior = Plant { a: 0.0, b: [-output.max(self.site.target_utilization); 2] };
         let fitted = r.fit.plant();
         // Retries, a neighbour or a cold start bend it: of the wrong sign or unstable it is not believed.
         let sound =
@@ -438,11 +453,11 @@
     /// the cores idle. Guards against full tables and storms of tries in fleets of many callers; harms where
     /// few callers come in turns.
     fn set_idle_limit(&mut self, host: &mut dyn Host) {
-        let most = self.site.idle_max as f64;
+        let most = self.site.idle_timeout_max as f64;
         let returns = self.retried.rate(self.now) * most / 1e9 / self.site.callers / RETURNS;
         self.shut = self.arrears() > 0.0 || (self.shut && self.regulator.output > IDLE);
         let stay = if self.shut { 1.0 } else { returns.min(1.0).powi(4) };
-        host.close_idle((most * stay).max(PERIOD as f64 * PASSING).min(most) as Nanos);
+        host.close_idle_connections((most * stay).max(CONTROL_PERIOD as f64 * PASSING).min(most) as Nanos);
     }
 
     /// The error that the gauge hid, since it ends at 1: work that stands unread or in the hold, in
@@ -450,7 +465,7 @@
     fn backlog(&self) -> f64 {
         let work = self.invs.hold.work(&self.able.usual);
         let calls = (self.count(&[State::AtCall, State::Calling]) / self.calls_limit - 1.0).max(0.0);
-        (work / self.able.limit + self.arrears() + calls * self.call_time.mean()) / PERIOD as f64
+        (work / self.able.limit + self.arrears() + calls * self.call_time.mean()) / CONTROL_PERIOD as f64
     }
 
     /// Share of the period in which arrivals of a rank are refused: the lowest is basic, the next premium.
@@ -482,9 +497,9 @@
     fn learn_limit(&mut self, busy: f64) {
         let waiting = !self.invs.hold.is_empty() && self.running() + 1.0 > self.able.limit;
         let slowed = self.learned.iter().any(|l| l.work.mean() > l.base * SLOWED);
-        if waiting && busy < self.site.reference {
+        if waiting && busy < self.site.target_utilization {
             self.able.limit *= LIMIT_UP;
-        } else if slowed || busy > self.site.reference {
+        } else if slowed || busy > self.site.target_utilization {
             self.able.limit *= LIMIT_DOWN;
         }
         self.able.limit = self.able.limit.clamp(self.site.cores, self.crowd().max(self.site.cores));
@@ -498,29 +513,30 @@
         let active = self.invs.first_active(active);
         let chance = last_chance(&self.able.usual, self.last_answers());
         let i = self.invs.first_due(self.now, chance, active)?;
-        self.answer(i, PERIOD, host)
+        self.answer(i, CONTROL_PERIOD, host)
     }
 
     /// Work that nobody can use any more leaves the cores, where that can be done. A tokened run is of use
     /// to its repeats, which may not run: stopped, each of them would be errored for the rest of the window.
     fn stop_what_nobody_wants(&mut self, host: &mut dyn Host) -> Option<()> {
-        let tokened = |inv: &Inv| self.site.operations[inv.operation].effect == Effect::Tokened;
+        let tokened = |inv: &Inv| self.site.operations[inv.operation].effect == Effect::IdempotentWithKey;
         let useless =
             |inv: &Inv| inv.answered && !inv.stopped && inv.state() == State::OnCores && !tokened(inv);
-        let i = self.invs.first_active(useless).filter(|_| self.site.halting != Halting::Impossible)?;
+        let i =
+            self.invs.first_active(useless).filter(|_| self.site.preemption != Preemption::Unsupported)?;
         self.stop(i, host)
     }
 
     /// The design's actuator: arrivals in the first rtr of the period are refused, by rank.
     fn refuse_in_the_window(&mut self, host: &mut dyn Host) -> Option<()> {
         let i = self.invs.judge_next()?;
-        let window = (self.refusal_ratio(self.invs[i].rank) * PERIOD as f64) as Nanos;
+        let window = (self.refusal_ratio(self.invs[i].rank) * CONTROL_PERIOD as f64) as Nanos;
         let passed = self.now - self.period_start;
         // Where calls bind and the cores do not, what makes none is let in.
-        let spared = self.spare && !self.site.operations[self.invs[i].operation].calls;
+        let spared = self.spare && !self.site.operations[self.invs[i].operation].makes_calls;
         if passed < window && !spared {
             let alone = self.is_flooded() || self.sick() > 0.0;
-            let advice = if alone { self.site.stay_away_max } else { window - passed };
+            let advice = if alone { self.site.retry_after_max } else { window - passed };
             self.turn_away(i, advice, 0, host);
         }
         Some(())
@@ -532,14 +548,14 @@
             return None;
         }
         let i = self.invs.hold.least_worthy()?;
-        self.answer(i, PERIOD, host)
+        self.answer(i, CONTROL_PERIOD, host)
     }
 
     /// Rule 2: a repeat of what was kept is answered from its forerunner, not run.
     fn reuse_for_repeats(&mut self, host: &mut dyn Host) -> Option<()> {
         let i = self.invs.first_repeat()?;
         self.enter(i, State::Reusing);
-        host.reuse(self.invs[i].id);
+        host.replay_result(self.invs[i].id);
         Some(())
     }
 
@@ -548,23 +564,23 @@
     fn refuse_what_cannot_be_done_in_time(&mut self, host: &mut dyn Host) -> Option<()> {
         self.able.free = (self.able.limit - self.running()).floor().max(0.0) as usize;
         let i = self.invs.hold.to_make_room(self.now, &self.able)?;
-        self.answer(i, PERIOD, host)
+        self.answer(i, CONTROL_PERIOD, host)
     }
 
     /// Work already spent is worth finishing: calls are made while the answer is wanted.
     fn make_calls(&mut self, host: &mut dyn Host) -> Option<()> {
-        let shared = matches!(self.site.below, Below::Shared { .. });
+        let shared = matches!(self.site.downstream, Downstream::Shared { .. });
         if !shared && self.count(&[State::Calling]) + 1.0 > self.calls_limit {
             return None;
         }
         let ready =
             |inv: &Inv| inv.state() == State::AtCall && !inv.answered && self.now >= inv.retry_call_at;
         let i = self.invs.active().filter(|(_, inv)| ready(inv)).rev().max_by_key(|(_, inv)| inv.rank)?.0;
-        let partly = self.site.operations[self.invs[i].operation].without_call_value > 0.0;
+        let partly = self.site.operations[self.invs[i].operation].degraded_value_ratio > 0.0;
         if partly && self.invs[i].calls > 0 {
             return self.leave_out(i, host);
         }
-        self.calls_shut = !host.may_call(self.invs[i].id, self.count(&[State::AtCall]) as usize);
+        self.calls_shut = !host.may_start_call(self.invs[i].id, self.count(&[State::AtCall]) as usize);
         if self.calls_shut {
             return if partly { self.leave_out(i, host) } else { None };
         }
@@ -577,7 +593,7 @@
         if shared {
             let (most, linger) = (self.below_most(), self.linger() as f64);
             let wish = (allowed as f64).min(if patience > 0.0 { patience * ONCE } else { f64::INFINITY });
-            // Below the top rank some room is left, or the worthiest find none where calls are slow.
+            // Downstream the top rank some room is left, or the worthiest find none where calls are slow.
             let spare = if inv.rank + 1 < self.values.len() { most * KEPT_FREE } else { 0.0 };
             self.below_needed = (wish + linger + spare).min(most);
             if self.below_room < self.below_needed {
@@ -590,7 +606,7 @@
         self.enter(i, State::Calling);
         self.invs[i].calls += 1;
         self.invs[i].call_allowed = allowed;
-        host.call(self.invs[i].id, allowed);
+        host.start_call(self.invs[i].id, allowed);
         Some(())
     }
 
@@ -602,17 +618,17 @@
     }
 
     fn run_next(&mut self, host: &mut dyn Host) -> Option<()> {
-        let spared = |operation: usize| !self.site.operations[operation].calls;
+        let spared = |operation: usize| !self.site.operations[operation].makes_calls;
         let full = self.calls_full();
         let next = if full { self.invs.hold.next_of(spared) } else { self.invs.hold.next() };
         let i = next?.key;
         let inv = &self.invs[i];
-        let more = inv.held_kb * self.site.run_memory - self.invs.memory_of(inv);
+        let more = inv.held_kb * self.site.run_memory_factor - self.invs.memory_of(inv);
         if self.memory_needed() + more > self.site.memory_kb * MEMORY_SHARE {
             return None;
         }
         let open = self.count(&[State::OnCores, State::AtCall, State::Calling]);
-        let share = if self.site.called_by_own { 0.0 } else { READING_SHARE };
+        let share = if self.site.is_downstream_tier { 0.0 } else { READING_SHARE };
         let limit = (self.able.limit - self.reading.mean().min(self.site.cores * share)).round();
         if self.running() + 1.0 > limit.min(self.crowd()).max(1.0) || open + 1.0 > self.crowd().max(1.0) {
             return None;
@@ -620,7 +636,7 @@
         let inv = &mut self.invs[i];
         inv.begun = self.now;
         inv.ran = true;
-        host.run(inv.id);
+        host.start_run(inv.id);
         if let (Some(fair), Some(seat)) = (&mut self.fair, &inv.seat) {
             fair.began(seat);
         }
@@ -630,29 +646,29 @@
 
     fn stop(&mut self, i: usize, host: &mut dyn Host) -> Option<()> {
         self.invs[i].stopped = true;
-        host.stop(self.invs[i].id);
+        host.stop_run(self.invs[i].id);
         Some(())
     }
 
     /// A leaving server goes on for its grace where what the others keep free would not carry its work.
     fn tell_callers(&mut self, host: &mut dyn Host) -> Option<()> {
-        let needed = (self.site.peers - 1.0) * (1.0 - self.site.reference) < 1.0;
+        let needed = (self.site.peers - 1.0) * (1.0 - self.site.target_utilization) < 1.0;
         let here = self.leave.is_none_or(|(last, _)| needed && self.now < last);
         let healthy = here && self.sick() <= 0.0;
-        let value = match self.site.advert {
-            Advert::Nothing => None,
-            Advert::Weight => Some((1.0 - self.refusal_ratio(0)) * self.warmth() * f64::from(here)),
-            Advert::Floor => Some(f64::from(!here)),
-            Advert::Allowance => Some(self.able.limit * f64::from(here)),
+        let value = match self.site.advertisement {
+            Advertisement::None => None,
+            Advertisement::Weight => Some((1.0 - self.refusal_ratio(0)) * self.warmth() * f64::from(here)),
+            Advertisement::MinimumRank => Some(f64::from(!here)),
+            Advertisement::ConcurrencyAllowance => Some(self.able.limit * f64::from(here)),
         };
         if std::mem::replace(&mut self.healthy, healthy) != healthy {
-            host.health(healthy, !healthy);
+            host.set_health(healthy, !healthy);
             host.log(if healthy { "healthy" } else { "unhealthy" });
             return Some(());
         }
         let value = value.filter(|_| value != self.advertised)?;
         self.advertised = Some(value);
-        host.advertise(value);
+        host.advertise_load(value);
         Some(())
     }
 
@@ -667,7 +683,7 @@
         let next = active.chain(self.invs.hold.next_due(chance)).min();
         let next = next.filter(|next| *next < self.alarm_at)?;
         self.alarm_at = next;
-        host.wake(next.saturating_sub(self.now).max(1), ALARM);
+        host.set_timer(next.saturating_sub(self.now).max(1), DEADLINE_TIMER);
         Some(())
     }
 
@@ -705,18 +721,18 @@
 
     /// Share of its speed that a server which started cold has reached at the least.
     fn warmth(&self) -> f64 {
-        let warmed = (self.now - self.born) as f64 / self.site.cold_for.max(1) as f64;
-        let speed = self.site.cold_speed + (1.0 - self.site.cold_speed) * warmed;
-        if self.site.cold { speed.min(1.0) } else { 1.0 }
+        let warmed = (self.now - self.born) as f64 / self.site.warm_up.max(1) as f64;
+        let speed = self.site.cold_speed_ratio + (1.0 - self.site.cold_speed_ratio) * warmed;
+        if self.site.starts_cold { speed.min(1.0) } else { 1.0 }
     }
 
     /// Runs that may be open at once, cut while the server may still be cold.
     fn crowd(&self) -> f64 {
-        self.site.cores * (1.0 + (self.site.survivable_crowd - 1.0) * self.warmth()) * CROWD_SHARE
+        self.site.cores * (1.0 + (self.site.survivable_concurrency_ratio - 1.0) * self.warmth()) * CROWD_SHARE
     }
 
     fn memory_needed(&self) -> f64 {
-        self.invs.memory() + self.tokens.len() as f64 * self.site.entry_kb
+        self.invs.memory() + self.tokens.len() as f64 * self.site.idempotency_entry_kb
     }
 
     /// Until when the answer of one that is not held may wait: its due time, the stop, or its last chance.
@@ -768,9 +784,9 @@
         let inv = &mut self.invs[i];
         let effect = self.site.operations[inv.operation].effect;
         if effect == Effect::Idempotent || (!inv.ran && inv.repeats.is_none()) {
-            host.throttle(inv.id, last, stay_away.min(self.site.stay_away_max));
+            host.reject(inv.id, last, stay_away.min(self.site.retry_after_max));
         } else {
-            host.give_up(inv.id);
+            host.fail(inv.id);
         }
         self.forget_unless_run(i, host);
         self.close(i);
@@ -780,9 +796,9 @@
     /// What is over and never ran must not stand in the way of a repeat, which would be errored for it.
     fn forget_unless_run(&mut self, i: usize, host: &mut dyn Host) {
         let inv = &self.invs[i];
-        let tokened = self.site.operations[inv.operation].effect == Effect::Tokened;
+        let tokened = self.site.operations[inv.operation].effect == Effect::IdempotentWithKey;
         if tokened && !inv.ran && inv.repeats.is_none() && !inv.answered {
-            host.forget(inv.id);
+            host.forget_key(inv.id);
             self.tokens.forget(inv.id);
         }
     }
@@ -791,25 +807,25 @@
     /// lost callers can help, which has nothing to promise.
     fn advice(&mut self, i: usize, stay_away: Nanos, least: Nanos, host: &mut dyn Host) -> (bool, Nanos) {
         let worse = self.is_flooded() || self.sick() > 0.0 || self.leave.is_some();
-        let Some(fair) = self.fair.as_mut().filter(|_| !worse && self.site.stay_away_max > 0) else {
+        let Some(fair) = self.fair.as_mut().filter(|_| !worse && self.site.retry_after_max > 0) else {
             return (false, stay_away);
         };
         let inv = &mut self.invs[i];
         let Some(seat) = inv.seat.take_if(|_| !inv.ran) else { return (false, stay_away) };
-        fair.ended(self.now, &seat, Outcome::Never);
+        fair.ended(self.now, &seat, QueueOutcome::Never);
         let advice = fair.promise(self.now, &seat, least);
-        advice.ticket.iter().for_each(|ticket| host.promise(inv.id, *ticket));
+        advice.ticket.iter().for_each(|ticket| host.promise_admission(inv.id, *ticket));
         (advice.ticket.is_some(), advice.stay_away)
     }
 
     /// Takes over a part of a change: new weights of tenants, and how much they may use at once.
-    pub fn retune(&mut self, now: Nanos, change: &meadowstream_fair_queueing::Retune) {
+    pub fn reconfigure_fair_queueing(&mut self, now: Nanos, change: &meadowstream_fair_queueing::Retune) {
         self.fair.iter_mut().for_each(|fair| fair.retune(change, now));
     }
 
     /// The busy share of the cores to steer to, from now on.
-    pub fn steer_to(&mut self, reference: f64) {
-        self.site.reference = reference;
+    pub fn set_target_utilization(&mut self, reference: f64) {
+        self.site.target_utilization = reference;
     }
 
     /// What is known of tenants, where they are told apart.
@@ -828,7 +844,7 @@
     fn remove(&mut self, i: usize) {
         let inv = &self.invs[i];
         if let (Some(fair), Some(seat)) = (&mut self.fair, &inv.seat) {
-            let outcome = if inv.ran { Outcome::Ran(inv.on_cores) } else { Outcome::Never };
+            let outcome = if inv.ran { QueueOutcome::Ran(inv.on_cores) } else { QueueOutcome::Never };
             fair.ended(self.now, seat, outcome);
         }
         self.invs.remove(i);
--- a/crates/overload-control/src/invs.rs
+++ b/crates/overload-control/src/invs.rs
@@ -91,7 +91,7 @@
     counts: [usize; 5],
     booked: u64,
     /// What a running one holds as a multiple, and whether a paused one holds as much.
-    run_memory: f64,
+    run_memory_factor: f64,
     pauses: bool,
     last: u64,
 }
@@ -110,7 +110,7 @@
 }
 
 impl Invs {
-    pub fn new(ranks: usize, operations: usize, run_memory: f64, pauses: bool) -> Self {
+    pub fn new(ranks: usize, operations: usize, run_memory_factor: f64, pauses: bool) -> Self {
         Self {
             all: Slab::new(),
             by_id: HashMap::new(),
@@ -120,7 +120,7 @@
             unjudged: VecDeque::new(),
             counts: [0; 5],
             booked: 0,
-            run_memory,
+            run_memory_factor,
             pauses,
             last: 0,
         }
@@ -233,7 +233,7 @@
     pub fn memory_of(&self, inv: &Inv) -> f64 {
         let paused = inv.ran && self.pauses;
         let waits = !paused && matches!(inv.state, State::Held | State::Reusing);
-        inv.held_kb * if waits { 1.0 } else { self.run_memory }
+        inv.held_kb * if waits { 1.0 } else { self.run_memory_factor }
     }
 
     /// KB that all of them hold.
--- a/crates/overload-control/tests/days.rs
+++ b/crates/overload-control/tests/days.rs
@@ -4,8 +4,8 @@
 //! otherwise takes new ones, and its commit says why.
 
 use meadowstream_overload_control::{
-    Advert, Arrival, Below, Deployment, Effect, Ending, Gauges, Halting, Host, Nanos, Operation,
-    controller::Controller,
+    Advertisement, Arrival, Deployment, Downstream, Effect, Gauges, Host, Nanos, Operation, Outcome,
+    Preemption, controller::Controller,
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -53,7 +53,7 @@
 }
 
 impl Host for World {
-    fn run(&mut self, inv: u64) {
+    fn start_run(&mut self, inv: u64) {
         self.say("run", &[inv]);
         let work = self.rng.random_range(2..60) * MS / 2;
         self.runs.insert(inv, work);
@@ -61,19 +61,19 @@
             if self.calls && self.rng.random_bool(0.4) { Event::AtCall(inv) } else { Event::Finish(inv) };
         self.after(work, event);
     }
-    fn stop(&mut self, inv: u64) {
+    fn stop_run(&mut self, inv: u64) {
         self.say("stop", &[inv]);
         self.coming.retain(|_, event| !matches!(event, Event::Finish(i) | Event::AtCall(i) if *i == inv));
         self.runs.insert(inv, 0);
         self.after(MS, Event::Finish(inv));
     }
-    fn throttle(&mut self, inv: u64, no_retry: bool, stay_away: Nanos) {
-        self.say("throttle", &[inv, u64::from(no_retry), stay_away]);
+    fn reject(&mut self, inv: u64, no_retry: bool, retry_after: Nanos) {
+        self.say("throttle", &[inv, u64::from(no_retry), retry_after]);
     }
-    fn give_up(&mut self, inv: u64) {
+    fn fail(&mut self, inv: u64) {
         self.say("give up", &[inv]);
     }
-    fn call(&mut self, inv: u64, timeout: Nanos) {
+    fn start_call(&mut self, inv: u64, timeout: Nanos) {
         self.say("call", &[inv, timeout]);
         let takes = self.rng.random_range(1..80) * MS;
         self.after(takes, Event::CallEnd(inv));
@@ -82,27 +82,27 @@
         self.say("skip", &[inv]);
         self.after(MS, Event::Finish(inv));
     }
-    fn remember(&mut self, inv: u64, life: Nanos) {
+    fn remember_key(&mut self, inv: u64, life: Nanos) {
         self.say("remember", &[inv, life]);
     }
-    fn forget(&mut self, inv: u64) {
+    fn forget_key(&mut self, inv: u64) {
         self.say("forget", &[inv]);
     }
-    fn reuse(&mut self, inv: u64) {
+    fn replay_result(&mut self, inv: u64) {
         self.say("reuse", &[inv]);
         self.after(MS, Event::Finish(inv));
     }
-    fn health(&mut self, good: bool, stored: bool) {
+    fn set_health(&mut self, good: bool, stored: bool) {
         self.say("health", &[u64::from(good), u64::from(stored)]);
     }
-    fn advertise(&mut self, value: f64) {
+    fn advertise_load(&mut self, value: f64) {
         // Sums over the hold are added up in another order now: the last bits differ.
         self.say("advertise", &[(value * 1e9).round() as u64]);
     }
-    fn close_idle(&mut self, after: Nanos) {
+    fn close_idle_connections(&mut self, after: Nanos) {
         self.say("idle", &[after]);
     }
-    fn wake(&mut self, after: Nanos, token: u32) {
+    fn set_timer(&mut self, after: Nanos, token: u32) {
         self.say("wake", &[after, u64::from(token)]);
         self.after(after, Event::Wake(token));
     }
@@ -113,49 +113,54 @@
 
 fn site(rng: &mut ChaCha8Rng) -> Deployment {
     let operations = rng.random_range(1..4);
-    let effects = [Effect::Idempotent, Effect::Idempotent, Effect::Tokened, Effect::NonIdempotent];
+    let effects = [Effect::Idempotent, Effect::Idempotent, Effect::IdempotentWithKey, Effect::NonIdempotent];
     let operation = |rng: &mut ChaCha8Rng| Operation {
         effect: effects[rng.random_range(0..4)],
         latency_objective: rng.random_range(150..2500) * MS,
         client_timeout: rng.random_range(500..5000) * MS,
-        token_window: 5000 * MS,
-        billed_value: rng.random_range(1..4).into(),
+        idempotency_window: 5000 * MS,
+        priority_weight: rng.random_range(1..4).into(),
         late_value: [0.0, 0.0, 0.4][rng.random_range(0..3)],
-        without_call_value: [0.0, 0.0, 0.5][rng.random_range(0..3)],
-        calls: true,
+        degraded_value_ratio: [0.0, 0.0, 0.5][rng.random_range(0..3)],
+        makes_calls: true,
     };
     let belows = [
-        Below::Tier,
-        Below::Tier,
-        Below::Nothing,
-        Below::Shared { share: 2.0, linger: 50 * MS, over: 5000 * MS },
+        Downstream::Tier,
+        Downstream::Tier,
+        Downstream::None,
+        Downstream::Shared { quota: 2.0, linger: 50 * MS, window: 5000 * MS },
     ];
     let tenants = if rng.random_bool(0.3) { rng.random_range(2..5) } else { 0 };
     Deployment {
         operations: (0..operations).map(|_| operation(rng)).collect(),
         tenant_allowance: (0..tenants).map(|_| rng.random_range(1.0..40.0)).collect(),
-        over_share_value: 0.1,
-        fair: None,
+        over_quota_value_ratio: 0.1,
+        fair_queueing: None,
         peers: rng.random_range(1..5).into(),
         callers: rng.random_range(1..20).into(),
-        called_by_own: rng.random_bool(0.3),
+        is_downstream_tier: rng.random_bool(0.3),
         cores: rng.random_range(1..7).into(),
         memory_kb: [1e6, 4e3, 1.5e3][rng.random_range(0..3)],
-        run_memory: 8.0,
-        entry_kb: 2.0,
-        halting: [Halting::Impossible, Halting::Discards, Halting::Pauses][rng.random_range(0..3)],
-        below: belows[rng.random_range(0..4)],
-        advert: [Advert::Weight, Advert::Allowance, Advert::Floor][rng.random_range(0..3)],
-        stay_away_max: 1000 * MS,
-        idle_max: 15_000 * MS,
+        run_memory_factor: 8.0,
+        idempotency_entry_kb: 2.0,
+        preemption: [Preemption::Unsupported, Preemption::Discards, Preemption::Pauses]
+            [rng.random_range(0..3)],
+        downstream: belows[rng.random_range(0..4)],
+        advertisement: [
+            Advertisement::Weight,
+            Advertisement::ConcurrencyAllowance,
+            Advertisement::MinimumRank,
+        ][rng.random_range(0..3)],
+        retry_after_max: 1000 * MS,
+        idle_timeout_max: 15_000 * MS,
         retries_marked: rng.random_bool(0.5),
         drain_grace: 500 * MS,
         answer_grace: 50 * MS,
-        survivable_crowd: rng.random_range(2.0..9.0),
-        cold: rng.random_bool(0.3),
-        cold_speed: 0.2,
-        reference: 0.9,
-        cold_for: 4000 * MS,
+        survivable_concurrency_ratio: rng.random_range(2.0..9.0),
+        starts_cold: rng.random_bool(0.3),
+        cold_speed_ratio: 0.2,
+        target_utilization: 0.9,
+        warm_up: 4000 * MS,
     }
 }
 
@@ -171,7 +176,7 @@
         coming: BTreeMap::new(),
         numbers: 0,
         runs: BTreeMap::new(),
-        calls: site.below != Below::Nothing,
+        calls: site.downstream != Downstream::None,
         said: SipHasher13::new_with_keys(1, 2),
         count: 0,
     };
@@ -197,14 +202,14 @@
                     tenant: if tenants > 0 { rng.random_range(0..tenants) } else { 0 },
                     sender: None,
                     age: rng.random_range(0..20) * MS,
-                    patience: rng.random_bool(0.2).then(|| rng.random_range(1..2000) * MS),
+                    remaining_deadline: rng.random_bool(0.2).then(|| rng.random_range(1..2000) * MS),
                     repeats: (id > 5 && rng.random_bool(0.05)).then(|| id - 4),
-                    unkept: id.is_multiple_of(97),
-                    marked_retry: rng.random_bool(0.2),
+                    key_not_stored: id.is_multiple_of(97),
+                    is_marked_retry: rng.random_bool(0.2),
                     held_kb: rng.random_range(4..120) as f64 / 4.0,
-                    hint: rng.random_bool(0.5).then(|| rng.random_range(1..50) * MS),
+                    cost_hint: rng.random_bool(0.5).then(|| rng.random_range(1..50) * MS),
                 };
-                controller.arrived(at, arrival, &mut world);
+                controller.on_arrival(at, arrival, &mut world);
                 // From half of what the cores do to three times as much, in waves of three seconds.
                 let loads = [4, 2, 1, 8];
                 let load = loads[((at - START) / (1500 * MS)) as usize % 4];
@@ -216,28 +221,29 @@
             Event::Finish(inv) => {
                 let work = world.runs.remove(&inv);
                 let ending = match work {
-                    Some(0) => Ending::Cancelled,
-                    _ if world.rng.random_bool(0.03) => Ending::Errored,
-                    _ => Ending::Succeeded,
+                    Some(0) => Outcome::Cancelled,
+                    _ if world.rng.random_bool(0.03) => Outcome::Failed,
+                    _ => Outcome::Succeeded,
                 };
-                controller.finished(at, inv, ending, &mut world);
+                controller.on_run_finished(at, inv, ending, &mut world);
             }
-            Event::AtCall(inv) => controller.needs_call(at, inv, &mut world),
+            Event::AtCall(inv) => controller.on_call_needed(at, inv, &mut world),
             Event::CallEnd(inv) => {
-                let endings = [Ending::Succeeded, Ending::Succeeded, Ending::NeverRan, Ending::Unknown];
+                let endings = [Outcome::Succeeded, Outcome::Succeeded, Outcome::NeverRan, Outcome::Unknown];
                 let ending = endings[world.rng.random_range(0..4)];
-                if ending == Ending::Succeeded {
+                if ending == Outcome::Succeeded {
                     let rest = world.rng.random_range(1..10) * MS;
                     world.after(rest, Event::Finish(inv));
                 }
-                controller.call_ended(at, inv, ending, 20 * MS, &mut world);
+                controller.on_call_finished(at, inv, ending, 20 * MS, &mut world);
             }
             Event::Wake(token) => {
                 let busy = (world.runs.len() as f64 / cores).min(1.0);
-                let gauges = Gauges { busy: Some(busy), wanting: Some(world.runs.len() as f64 + 0.5) };
-                controller.woken(at, token, gauges, &mut world);
+                let gauges =
+                    Gauges { utilization: Some(busy), runnable: Some(world.runs.len() as f64 + 0.5) };
+                controller.on_timer(at, token, gauges, &mut world);
             }
-            Event::Leave => controller.told_to_leave(at, 3000 * MS, &mut world),
+            Event::Leave => controller.on_drain_notice(at, 3000 * MS, &mut world),
         }
     }
     (world.count, world.said.finish())
--- a/crates/overload-control/tests/operations.rs
+++ b/crates/overload-control/tests/operations.rs
@@ -1,9 +1,10 @@
 //! Many operations: what one decision costs does not grow with them, and what is kept of all of them at once
 //! follows what each is learned to take.
 
-use meadowstream_overload_control::controller::{Controller, TICK};
+use meadowstream_overload_control::controller::{CONTROL_TIMER, Controller};
 use meadowstream_overload_control::{
-    Advert, Arrival, Below, Deployment, Effect, Ending, Gauges, Halting, Host, Nanos, Operation,
+    Advertisement, Arrival, Deployment, Downstream, Effect, Gauges, Host, Nanos, Operation, Outcome,
+    Preemption,
 };
 use std::time::{Duration, Instant};
 
@@ -17,21 +18,21 @@
 struct Health(bool);
 
 impl Host for Health {
-    fn run(&mut self, _inv: u64) {}
-    fn stop(&mut self, _inv: u64) {}
-    fn throttle(&mut self, _inv: u64, _no_retry: bool, _stay_away: Nanos) {}
-    fn give_up(&mut self, _inv: u64) {}
-    fn call(&mut self, _inv: u64, _timeout: Nanos) {}
+    fn start_run(&mut self, _inv: u64) {}
+    fn stop_run(&mut self, _inv: u64) {}
+    fn reject(&mut self, _inv: u64, _no_retry: bool, _retry_after: Nanos) {}
+    fn fail(&mut self, _inv: u64) {}
+    fn start_call(&mut self, _inv: u64, _timeout: Nanos) {}
     fn skip_call(&mut self, _inv: u64) {}
-    fn remember(&mut self, _inv: u64, _life: Nanos) {}
-    fn forget(&mut self, _inv: u64) {}
-    fn reuse(&mut self, _inv: u64) {}
-    fn health(&mut self, good: bool, _stored: bool) {
+    fn remember_key(&mut self, _inv: u64, _life: Nanos) {}
+    fn forget_key(&mut self, _inv: u64) {}
+    fn replay_result(&mut self, _inv: u64) {}
+    fn set_health(&mut self, good: bool, _stored: bool) {
         self.0 = good;
     }
-    fn advertise(&mut self, _value: f64) {}
-    fn close_idle(&mut self, _after: Nanos) {}
-    fn wake(&mut self, _after: Nanos, _token: u32) {}
+    fn advertise_load(&mut self, _value: f64) {}
+    fn close_idle_connections(&mut self, _after: Nanos) {}
+    fn set_timer(&mut self, _after: Nanos, _token: u32) {}
     fn log(&mut self, _line: &str) {}
 }
 
@@ -40,45 +41,45 @@
         effect: Effect::Idempotent,
         latency_objective: OBJECTIVE,
         client_timeout: 2 * OBJECTIVE,
-        token_window: HOUR,
-        billed_value: 1.0,
+        idempotency_window: HOUR,
+        priority_weight: 1.0,
         late_value: 0.0,
-        without_call_value: 0.0,
-        calls: true,
+        degraded_value_ratio: 0.0,
+        makes_calls: true,
     };
     let site = Deployment {
         operations: vec![operation; operations],
         tenant_allowance: Vec::new(),
-        over_share_value: 1.0,
-        fair: None,
+        over_quota_value_ratio: 1.0,
+        fair_queueing: None,
         peers: 1.0,
         callers: 1.0,
-        called_by_own: false,
+        is_downstream_tier: false,
         cores: 4.0,
         memory_kb: 1e9,
-        run_memory: 1.0,
-        entry_kb: 1.0,
-        halting: Halting::Discards,
-        below: Below::Nothing,
-        advert: Advert::Weight,
-        stay_away_max: SECOND,
-        idle_max: HOUR,
+        run_memory_factor: 1.0,
+        idempotency_entry_kb: 1.0,
+        preemption: Preemption::Discards,
+        downstream: Downstream::None,
+        advertisement: Advertisement::Weight,
+        retry_after_max: SECOND,
+        idle_timeout_max: HOUR,
         retries_marked: false,
         drain_grace: SECOND,
         answer_grace: 50 * MILLISECOND,
-        survivable_crowd: 4.0,
-        cold: false,
-        cold_speed: 1.0,
-        reference: 0.9,
-        cold_for: 1,
+        survivable_concurrency_ratio: 4.0,
+        starts_cold: false,
+        cold_speed_ratio: 1.0,
+        target_utilization: 0.9,
+        warm_up: 1,
     };
     Controller::new(site, 1, START, &mut Health(true))
 }
 
 fn run_one(controller: &mut Controller, at: Nanos, id: u64, operation: usize, took: Nanos) {
     let arrival = Arrival { id, operation, held_kb: 1.0, ..Arrival::default() };
-    controller.arrived(at, arrival, &mut Health(true));
-    controller.finished(at + took, id, Ending::Succeeded, &mut Health(true));
+    controller.on_arrival(at, arrival, &mut Health(true));
+    controller.on_run_finished(at + took, id, Outcome::Succeeded, &mut Health(true));
 }
 
 /// The quickest of a few rounds: what else the machine does only makes some of them slower.
@@ -129,9 +130,9 @@
     let now = runs(&mut controller, 1, 2 * MILLISECOND);
     let stuck = Arrival { id: 1_000_000, operation: 0, held_kb: 1.0, ..Arrival::default() };
     let mut host = Health(true);
-    controller.arrived(now, stuck, &mut host);
-    controller.woken(now + 10 * MILLISECOND, TICK, Gauges::default(), &mut host);
+    controller.on_arrival(now, stuck, &mut host);
+    controller.on_timer(now + 10 * MILLISECOND, CONTROL_TIMER, Gauges::default(), &mut host);
     assert!(host.0, "ten milliseconds are under six times two");
-    controller.woken(now + 60 * MILLISECOND, TICK, Gauges::default(), &mut host);
+    controller.on_timer(now + 60 * MILLISECOND, CONTROL_TIMER, Gauges::default(), &mut host);
     assert!(!host.0, "sixty milliseconds are thirty usual runs: nothing moves");
 }
--- a/crates/overload-control/tests/scenarios.rs
+++ b/crates/overload-control/tests/scenarios.rs
@@ -13,8 +13,8 @@
 //!   (runs open at once).
 
 use meadowstream_overload_control::{
-    Advert, Arrival, Below, Deployment, Effect, Ending, Gauges, Halting, Host, Nanos, Operation, Sender,
-    controller::Controller,
+    Advertisement, Arrival, Deployment, Downstream, Effect, Gauges, Host, Nanos, Operation, Outcome,
+    Preemption, Sender, controller::Controller,
 };
 use std::collections::BTreeMap;
 use test_case::test_case;
@@ -49,51 +49,51 @@
 }
 
 macro_rules! noted {
-    ($($call:ident)*) => { $(fn $call(&mut self, inv: u64) { self.note(stringify!($call), inv); })* };
+    ($($method:ident $word:literal)*) => { $(fn $method(&mut self, inv: u64) { self.note($word, inv); })* };
 }
 
 impl Host for Recorder {
-    noted! { stop skip_call forget reuse }
-    fn run(&mut self, inv: u64) {
+    noted! { stop_run "stop" skip_call "skip_call" forget_key "forget" replay_result "reuse" }
+    fn start_run(&mut self, inv: u64) {
         assert!(!self.running.contains(&inv), "{inv} runs already");
         self.running.push(inv);
         self.most = self.most.max(self.running.len());
         self.note("run", inv);
     }
-    fn throttle(&mut self, inv: u64, no_retry: bool, stay_away: Nanos) {
+    fn reject(&mut self, inv: u64, no_retry: bool, retry_after: Nanos) {
         if no_retry {
             self.note("last", inv);
         }
-        self.away = self.away.max(stay_away);
+        self.away = self.away.max(retry_after);
         self.answered("throttle", inv);
     }
-    fn promise(&mut self, inv: u64, _ticket: u64) {
+    fn promise_admission(&mut self, inv: u64, _ticket: u64) {
         self.note("promise", inv);
     }
-    fn give_up(&mut self, inv: u64) {
+    fn fail(&mut self, inv: u64) {
         self.answered("give_up", inv);
     }
-    fn may_call(&mut self, _inv: u64, _waiting: usize) -> bool {
+    fn may_start_call(&mut self, _inv: u64, _waiting: usize) -> bool {
         self.room.is_none_or(|room| self.out < room)
     }
-    fn call(&mut self, inv: u64, timeout: Nanos) {
+    fn start_call(&mut self, inv: u64, timeout: Nanos) {
         self.out += 1;
         self.patience = timeout;
         self.note("call", inv);
     }
-    fn remember(&mut self, inv: u64, _life: Nanos) {
+    fn remember_key(&mut self, inv: u64, _life: Nanos) {
         self.note("remember", inv);
     }
-    fn health(&mut self, good: bool, _stored: bool) {
+    fn set_health(&mut self, good: bool, _stored: bool) {
         self.note(if good { "healthy" } else { "unhealthy" }, 0);
     }
-    fn advertise(&mut self, value: f64) {
+    fn advertise_load(&mut self, value: f64) {
         self.advert = value;
     }
-    fn close_idle(&mut self, after: Nanos) {
+    fn close_idle_connections(&mut self, after: Nanos) {
         self.idle = after;
     }
-    fn wake(&mut self, after: Nanos, token: u32) {
+    fn set_timer(&mut self, after: Nanos, token: u32) {
         self.wakes.push((self.now + after, token));
     }
     fn log(&mut self, _line: &str) {}
@@ -112,13 +112,13 @@
     text.parse().unwrap_or_else(|_| panic!("not a number: {text}"))
 }
 
-fn ending(text: &str) -> Ending {
+fn ending(text: &str) -> Outcome {
     match text {
-        "ok" => Ending::Succeeded,
-        "error" => Ending::Errored,
-        "unknown" => Ending::Unknown,
-        "never_ran" => Ending::NeverRan,
-        "cancelled" => Ending::Cancelled,
+        "ok" => Outcome::Succeeded,
+        "error" => Outcome::Failed,
+        "unknown" => Outcome::Unknown,
+        "never_ran" => Outcome::NeverRan,
+        "cancelled" => Outcome::Cancelled,
         other => panic!("unknown ending {other}"),
     }
 }
@@ -133,28 +133,28 @@
         let site = Deployment {
             operations: Vec::new(),
             tenant_allowance: Vec::new(),
-            over_share_value: 0.1,
-            fair: None,
+            over_quota_value_ratio: 0.1,
+            fair_queueing: None,
             peers: 1.0,
             callers: 1.0,
-            called_by_own: false,
+            is_downstream_tier: false,
             cores: 4.0,
             memory_kb: 1e6,
-            run_memory: 10.0,
-            entry_kb: 50.0,
-            halting: Halting::Discards,
-            below: Below::Tier,
-            advert: Advert::Nothing,
-            stay_away_max: 1000 * MS,
-            idle_max: 15_000 * MS,
+            run_memory_factor: 10.0,
+            idempotency_entry_kb: 50.0,
+            preemption: Preemption::Discards,
+            downstream: Downstream::Tier,
+            advertisement: Advertisement::None,
+            retry_after_max: 1000 * MS,
+            idle_timeout_max: 15_000 * MS,
             retries_marked: false,
             drain_grace: 1000 * MS,
             answer_grace: 50 * MS,
-            survivable_crowd: 5.0,
-            cold: false,
-            cold_speed: 0.2,
-            reference: 0.9,
-            cold_for: 10_000 * MS,
+            survivable_concurrency_ratio: 5.0,
+            starts_cold: false,
+            cold_speed_ratio: 0.2,
+            target_utilization: 0.9,
+            warm_up: 10_000 * MS,
         };
         Self {
             site,
@@ -171,18 +171,19 @@
         match name {
             "peers" => site.peers = number(value),
             "cores" => site.cores = number(value),
-            "entry_kb" => site.entry_kb = number(value),
+            "entry_kb" => site.idempotency_entry_kb = number(value),
             "memory_kb" => site.memory_kb = number(value),
-            "crowd" => site.survivable_crowd = number(value),
-            "cold" => site.cold = value == "yes",
-            "called" => site.called_by_own = value == "yes",
+            "crowd" => site.survivable_concurrency_ratio = number(value),
+            "cold" => site.starts_cold = value == "yes",
+            "called" => site.is_downstream_tier = value == "yes",
             "marks" => site.retries_marked = value == "yes",
-            "pauses" => site.halting = Halting::Pauses,
+            "pauses" => site.preemption = Preemption::Pauses,
             "callers" => site.callers = number(value),
-            "fair" => site.fair = Some(meadowstream_fair_queueing::Settings::default()),
-            "weight" => site.advert = Advert::Weight,
+            "fair" => site.fair_queueing = Some(meadowstream_fair_queueing::Settings::default()),
+            "weight" => site.advertisement = Advertisement::Weight,
             "dependency" => {
-                site.below = Below::Shared { share: number(value), linger: 200 * MS, over: 5000 * MS }
+                site.downstream =
+                    Downstream::Shared { quota: number(value), linger: 200 * MS, window: 5000 * MS }
             }
             other => panic!("unknown site value {other}"),
         }
@@ -193,17 +194,17 @@
         self.site.operations.push(Operation {
             effect: match given(words, "effect").unwrap_or("idempotent") {
                 "idempotent" => Effect::Idempotent,
-                "tokened" => Effect::Tokened,
+                "tokened" => Effect::IdempotentWithKey,
                 "non-idempotent" => Effect::NonIdempotent,
                 other => panic!("unknown effect {other}"),
             },
             latency_objective: get("objective", 1000.0) as Nanos * MS,
             client_timeout: get("timeout", 3000.0) as Nanos * MS,
-            token_window: 5000 * MS,
-            billed_value: get("value", 1.0),
+            idempotency_window: 5000 * MS,
+            priority_weight: get("value", 1.0),
             late_value: get("late", 0.0),
-            without_call_value: get("without", 0.0),
-            calls: given(words, "calls") != Some("no"),
+            degraded_value_ratio: get("without", 0.0),
+            makes_calls: given(words, "calls") != Some("no"),
         });
     }
 
@@ -213,8 +214,8 @@
             self.seen.wakes.retain(|wake| *wake != next);
             self.seen.now = next.0;
             let controller = self.controller.as_mut().expect("started");
-            let gauges = Gauges { busy: Some(self.busy), wanting: Some(self.wanting) };
-            controller.woken(next.0, next.1, gauges, &mut self.seen);
+            let gauges = Gauges { utilization: Some(self.busy), runnable: Some(self.wanting) };
+            controller.on_timer(next.0, next.1, gauges, &mut self.seen);
         }
         self.seen.now = end;
     }
@@ -258,15 +259,15 @@
                     sender: given(words, "name")
                         .map(|name| Sender { tenant: name.into(), ..Sender::default() }),
                     age: get("age", 0.0) as Nanos * MS,
-                    patience: given(words, "patience").map(|text| number(text) as Nanos * MS),
+                    remaining_deadline: given(words, "patience").map(|text| number(text) as Nanos * MS),
                     repeats: given(words, "repeats").map(|text| number(text) as u64),
-                    unkept: given(words, "unkept").is_some(),
-                    marked_retry: given(words, "retry").is_some(),
+                    key_not_stored: given(words, "unkept").is_some(),
+                    is_marked_retry: given(words, "retry").is_some(),
                     held_kb: get("kb", 10.0),
-                    hint: given(words, "hint").map(|text| number(text) as Nanos * MS),
+                    cost_hint: given(words, "hint").map(|text| number(text) as Nanos * MS),
                 };
                 self.operations.insert(arrival.id, arrival.operation);
-                controller.arrived(now, arrival, &mut self.seen);
+                controller.on_arrival(now, arrival, &mut self.seen);
             }
             "finish" => {
                 let ending = ending(words.get(2).unwrap_or(&"ok"));
@@ -277,20 +278,20 @@
                 };
                 for id in which {
                     self.seen.running.retain(|other| *other != id);
-                    if ending != Ending::Cancelled && !self.seen.results.contains(&("answer", id)) {
+                    if ending != Outcome::Cancelled && !self.seen.results.contains(&("answer", id)) {
                         self.seen.note("answer", id);
                     }
-                    controller.finished(now, id, ending, &mut self.seen);
+                    controller.on_run_finished(now, id, ending, &mut self.seen);
                 }
             }
-            "needs" => controller.needs_call(now, id(), &mut self.seen),
+            "needs" => controller.on_call_needed(now, id(), &mut self.seen),
             "called" => {
                 self.seen.out -= 1;
                 let took = words.get(3).map_or(MS, |ms| number(ms) as Nanos * MS);
-                controller.call_ended(now, id(), ending(words[2]), took, &mut self.seen);
+                controller.on_call_finished(now, id(), ending(words[2]), took, &mut self.seen);
             }
-            "leave" => controller.told_to_leave(now, number(words[1]) as Nanos * MS, &mut self.seen),
-            "gone" => controller.caller_gone(now, id(), &mut self.seen),
+            "leave" => controller.on_drain_notice(now, number(words[1]) as Nanos * MS, &mut self.seen),
+            "gone" => controller.on_caller_gone(now, id(), &mut self.seen),
             other => panic!("unknown step {other}"),
         }
     }
--- a/crates/server/src/calls/task.rs
+++ b/crates/server/src/calls/task.rs
@@ -8,7 +8,7 @@
 use crate::wire::ring::Ring;
 use async_io::{Async, Timer};
 use futures_lite::{AsyncWriteExt, future};
-use meadowstream_overload_control::{Ending, Nanos};
+use meadowstream_overload_control::{Nanos, Outcome};
 use std::cell::Cell;
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpStream};
@@ -29,7 +29,7 @@
     let begun = server.clock.now();
     // Until the first byte is written it is known that nothing ran, whatever goes wrong.
     let written = Cell::new(false);
-    let failed = || (if written.get() { Ending::Unknown } else { Ending::NeverRan }, Vec::new());
+    let failed = || (if written.get() { Outcome::Unknown } else { Outcome::NeverRan }, Vec::new());
     let late = async {
         Timer::after(Duration::from_nanos(call.timeout)).await;
         failed()
@@ -46,7 +46,7 @@
     to: SocketAddr,
     call: &Call,
     written: &Cell<bool>,
-) -> std::io::Result<(Ending, Vec<u8>)> {
+) -> std::io::Result<(Outcome, Vec<u8>)> {
     let pooled = server.pool.take(to, call.fresh, &server.descriptors).await?;
     let _ = pooled.stream.get_ref().set_nodelay(true);
     let (reply, alone) = converse(&pooled.stream, to, call, written).await?;
--- a/crates/server/src/connection/task.rs
+++ b/crates/server/src/connection/task.rs
@@ -340,7 +340,7 @@
             }
             // Where callers tell that they have given up, the answer may have crossed the word: then there is
             // nothing to do, and nothing more to say of that tag.
-            rpc::Command::Cancel { tag } if self.server.configuration.settings.tells_gone => {
+            rpc::Command::Cancel { tag } if self.server.configuration.settings.notifies_cancellation => {
                 counters.cancels.add();
                 Taken::Cancelled(tag)
             }
@@ -368,7 +368,7 @@
                     (Ok(tenant), Ok(patience)) => (tenant, patience),
                     (Err(why), _) | (_, Err(why)) => return bad(call.tag, why),
                 };
-                let marked_retry = call.field("dup").is_some_and(|mark| mark != "0");
+                let is_marked_retry = call.field("dup").is_some_and(|mark| mark != "0");
                 counters.invocations.add();
                 let arrived = Input::Arrived {
                     connection: self.connection.clone(),
@@ -379,7 +379,7 @@
                     held_kb: call.held_kb,
                     tenant,
                     patience,
-                    marked_retry,
+                    is_marked_retry,
                     body: call.body.to_vec(),
                     token,
                     sender: self.sender(&call),
@@ -412,7 +412,7 @@
     /// The token of a tokened operation, without which it cannot be told from a repeat.
     fn token(&self, operation: usize, call: &rpc::Call) -> Result<Option<Vec<u8>>, &'static str> {
         let configuration = &self.server.configuration;
-        if configuration.settings.deployment.operations[operation].effect != Effect::Tokened {
+        if configuration.settings.deployment.operations[operation].effect != Effect::IdempotentWithKey {
             return Ok(None);
         }
         let options = configuration.options.borrow();
--- a/crates/server/src/event_loop.rs
+++ b/crates/server/src/event_loop.rs
@@ -21,8 +21,8 @@
 use async_io::Timer;
 use futures_lite::future;
 use meadowstream_fair_queueing::Retune;
-use meadowstream_overload_control::controller::{Controller, TICK};
-use meadowstream_overload_control::{Arrival, Effect, Ending, Gauges, Host, Nanos};
+use meadowstream_overload_control::controller::{CONTROL_TIMER, Controller};
+use meadowstream_overload_control::{Arrival, Effect, Gauges, Host, Nanos, Outcome};
 use meadowstream_routing::Wish;
 use siphasher::sip::SipHasher13;
 use std::cmp::Reverse;
@@ -71,7 +71,7 @@
     cut_off: Vec<u64>,
     repeats: Repeats,
     /// Repeats that were answered from their forerunner, for the module to hear.
-    settled: Vec<(u64, Ending)>,
+    settled: Vec<(u64, Outcome)>,
 }
 
 impl Decisions {
@@ -125,10 +125,10 @@
         act(controller, hands.server.clock.now(), hands);
         while !hands.cut_off.is_empty() || !hands.settled.is_empty() {
             if let Some(inv) = hands.cut_off.pop() {
-                controller.caller_gone(hands.server.clock.now(), inv, hands);
+                controller.on_caller_gone(hands.server.clock.now(), inv, hands);
             }
             if let Some((inv, ending)) = hands.settled.pop() {
-                controller.finished(hands.server.clock.now(), inv, ending, hands);
+                controller.on_run_finished(hands.server.clock.now(), inv, ending, hands);
             }
         }
     }
@@ -140,7 +140,7 @@
         {
             self.hands.wakes.pop();
             match wake {
-                Wake::Module(token) if token == TICK => self.hands.ask_gauges(token),
+                Wake::Module(token) if token == CONTROL_TIMER => self.hands.ask_gauges(token),
                 Wake::Module(token) => self.woken(token, Gauges::default()),
                 Wake::GaugesLate(nonce) => {
                     if let Some((_, token)) = self.hands.asked.take_if(|asked| asked.0 == nonce) {
@@ -153,7 +153,7 @@
     }
 
     fn woken(&mut self, token: u32, gauges: Gauges) {
-        self.with_controller(|controller, now, hands| controller.woken(now, token, gauges, hands));
+        self.with_controller(|controller, now, hands| controller.on_timer(now, token, gauges, hands));
     }
 
     fn take(&mut self, input: Input) {
@@ -167,7 +167,7 @@
                 held_kb,
                 tenant,
                 patience,
-                marked_retry,
+                is_marked_retry,
                 body,
                 token,
                 sender,
@@ -179,8 +179,8 @@
                     tenant,
                     sender: sender.clone(),
                     age,
-                    patience,
-                    marked_retry,
+                    remaining_deadline: patience,
+                    is_marked_retry,
                     held_kb,
                     ..Arrival::default()
                 };
@@ -230,7 +230,7 @@
             Input::CallEnded { inv, number, ending, reply, took } => {
                 if self.hands.call_ended(inv, number, ending, &reply) {
                     self.with_controller(|controller, now, hands| {
-                        controller.call_ended(now, inv, ending, took, hands)
+                        controller.on_call_finished(now, inv, ending, took, hands)
                     });
                 }
             }
@@ -241,11 +241,11 @@
                 let _ = done.try_send(());
             }
             Input::SteerTo(reference) => {
-                self.with_controller(|controller, _, _| controller.steer_to(reference))
+                self.with_controller(|controller, _, _| controller.set_target_utilization(reference))
             }
             Input::Leave => {
                 let grace = self.hands.server.configuration.stop_ms * 1_000_000;
-                self.with_controller(|controller, now, hands| controller.told_to_leave(now, grace, hands));
+                self.with_controller(|controller, now, hands| controller.on_drain_notice(now, grace, hands));
             }
         }
     }
@@ -254,7 +254,7 @@
     fn caller_gone(&mut self, inv: u64) {
         self.hands.server.counters.unanswered.add();
         self.hands.over(inv);
-        self.with_controller(|controller, now, hands| controller.caller_gone(now, inv, hands));
+        self.with_controller(|controller, now, hands| controller.on_caller_gone(now, inv, hands));
     }
 
     fn arrived(&mut self, mut invocation: Invocation, mut arrival: Arrival, token: Option<Vec<u8>>) {
@@ -289,18 +289,18 @@
         };
         if let Some((token, body)) = token.filter(|_| found == Some(Found::New)) {
             let window =
-                self.hands.server.configuration.settings.deployment.operations[operation].token_window;
+                self.hands.server.configuration.settings.deployment.operations[operation].idempotency_window;
             // From when it was read: a caller whose clock is behind must not find the window over too soon.
             self.hands.repeats.keep(id, operation, &token, body, now + window);
         }
-        (arrival.id, arrival.repeats, arrival.unkept) = (id, repeats, found == Some(Found::Full));
-        self.with_controller(|controller, now, hands| controller.arrived(now, arrival, hands));
+        (arrival.id, arrival.repeats, arrival.key_not_stored) = (id, repeats, found == Some(Found::Full));
+        self.with_controller(|controller, now, hands| controller.on_arrival(now, arrival, hands));
     }
 
     /// Takes one part of a change of shares over, and notes the longest pause that a part has made.
     fn retune(&mut self, change: &Retune) {
         let began = Instant::now();
-        self.with_controller(|controller, now, _| controller.retune(now, change));
+        self.with_controller(|controller, now, _| controller.reconfigure_fair_queueing(now, change));
         let pause = &self.hands.server.retune_pause;
         pause.set(pause.get().max(began.elapsed()));
     }
@@ -332,11 +332,12 @@
         }
         let configuration = &self.hands.server.configuration;
         let (mut deployment, seed) = (configuration.settings.deployment.clone(), configuration.seed);
-        deployment.cold = cold;
-        deployment.reference = configuration.reference.get();
+        deployment.starts_cold = cold;
+        deployment.target_utilization = configuration.reference.get();
         // A change that came before the first link is in force from the start.
         let options = configuration.options.borrow();
-        deployment.fair = options.tenants.as_ref().map(|tenants| tenants.fair.clone()).or(deployment.fair);
+        deployment.fair_queueing =
+            options.tenants.as_ref().map(|tenants| tenants.fair.clone()).or(deployment.fair_queueing);
         drop(options);
         let born = self.hands.server.clock.now().saturating_sub(age);
         self.controller = Some(Controller::new(deployment, seed, born, &mut self.hands));
@@ -349,7 +350,7 @@
     /// stopped unasked. The module holds again what may run twice, and ends the rest with an error.
     fn lose_all_runs(&mut self) {
         for inv in self.hands.invocations.running() {
-            self.ended(inv, Ending::Cancelled, Vec::new());
+            self.ended(inv, Outcome::Cancelled, Vec::new());
         }
     }
 
@@ -364,7 +365,7 @@
                 self.hands.server.counters.awaits.add();
                 let invocation = self.hands.invocations.get(inv).expect("found just now");
                 (invocation.asked, invocation.waits, invocation.unconfirmed) = (body, true, None);
-                self.with_controller(|controller, now, hands| controller.needs_call(now, inv, hands));
+                self.with_controller(|controller, now, hands| controller.on_call_needed(now, inv, hands));
             }
             Notice::Gauges { nonce, readings } => {
                 if self.hands.fence.take_if(|fence| *fence == nonce).is_some() {
@@ -372,8 +373,8 @@
                 } else if let Some((_, token)) = self.hands.asked.take_if(|asked| asked.0 == nonce) {
                     let settings = &self.hands.server.configuration.settings;
                     let gauge = |place: Option<usize>| place.and_then(|i| readings.get(i).copied());
-                    let (busy, wanting) = (gauge(settings.busy_gauge), gauge(settings.wanting_gauge));
-                    self.woken(token, Gauges { busy, wanting });
+                    let (busy, wanting) = (gauge(settings.utilization_gauge), gauge(settings.runnable_gauge));
+                    self.woken(token, Gauges { utilization: busy, runnable: wanting });
                 }
             }
             Notice::NotDone { command, task } => {
@@ -382,7 +383,7 @@
                 if command == "APPLY"
                     && let Some(inv) = task.and_then(|task| self.hands.invocations.find(task))
                 {
-                    self.ended(inv, Ending::NeverRan, Vec::new());
+                    self.ended(inv, Outcome::NeverRan, Vec::new());
                 }
             }
             Notice::Banner { .. } | Notice::Remark => {}
@@ -392,15 +393,15 @@
     /// One that never ran is not known to the interpreter or over for it: an error, since asking again would
     /// bring the same. For the module nobody waits for it. Guards against calls made up by a peer, from which
     /// it would learn that runs fail here; harms where an interpreter forgets what it was sent.
-    fn ended(&mut self, inv: u64, ending: Ending, result: Vec<u8>) {
-        if ending == Ending::NeverRan {
+    fn ended(&mut self, inv: u64, ending: Outcome, result: Vec<u8>) {
+        if ending == Outcome::NeverRan {
             self.hands.forget_what_never_ran(inv);
         }
         self.hands.run_ended(inv, ending, result);
-        if ending == Ending::NeverRan {
-            self.with_controller(|controller, now, hands| controller.caller_gone(now, inv, hands));
+        if ending == Outcome::NeverRan {
+            self.with_controller(|controller, now, hands| controller.on_caller_gone(now, inv, hands));
         }
-        self.with_controller(|controller, now, hands| controller.finished(now, inv, ending, hands));
+        self.with_controller(|controller, now, hands| controller.on_run_finished(now, inv, ending, hands));
         self.hands.invocations.release(inv);
     }
 }
@@ -415,7 +416,7 @@
 
     /// Answers a repeat as its forerunner ended.
     fn settle(&mut self, inv: u64, result: Option<Vec<u8>>) {
-        let ending = if result.is_some() { Ending::Succeeded } else { Ending::Errored };
+        let ending = if result.is_some() { Outcome::Succeeded } else { Outcome::Failed };
         self.answer(inv, result.map_or(Answer::Errored, Answer::Succeeded));
         self.settled.push((inv, ending));
     }
@@ -507,7 +508,7 @@
             let settings = &self.server.configuration.settings;
             let (operation, tenant) = (invocation.operation, invocation.tenant.as_deref());
             let name = &settings.operation_names[operation];
-            let billed = settings.deployment.operations[operation].billed_value * 1000.0;
+            let billed = settings.deployment.operations[operation].priority_weight * 1000.0;
             match &answer {
                 Answer::Succeeded(_) => {
                     shared.count("succeeded", name, tenant, 1);
@@ -541,8 +542,8 @@
     fn end_at_its_call(&mut self, inv: u64) {
         let operations = &self.server.configuration.settings.deployment.operations;
         let Some(invocation) = self.invocations.get(inv).filter(|i| i.runs && i.waits) else { return };
-        if operations[invocation.operation].effect != Effect::Tokened {
-            self.stop(inv);
+        if operations[invocation.operation].effect != Effect::IdempotentWithKey {
+            self.stop_run(inv);
         }
     }
 
@@ -558,20 +559,20 @@
     /// command went out more than once the first may have run.
     fn forget_what_never_ran(&mut self, inv: u64) {
         if self.invocations.get(inv).is_some_and(|invocation| !invocation.sent_again) {
-            self.forget(inv);
+            self.forget_key(inv);
         }
     }
 
-    fn run_ended(&mut self, inv: u64, ending: Ending, result: Vec<u8>) {
+    fn run_ended(&mut self, inv: u64, ending: Outcome, result: Vec<u8>) {
         self.server.counters.runs_ended.add();
         self.drop_call(inv);
-        let good = Some(&result).filter(|result| ending == Ending::Succeeded && result.len() <= WORD_MAX);
+        let good = Some(&result).filter(|result| ending == Outcome::Succeeded && result.len() <= WORD_MAX);
         for repeat in self.repeats.ended(inv, good.map(Vec::as_slice)) {
             self.settle(repeat, good.cloned());
         }
         match ending {
-            Ending::Succeeded if result.len() <= WORD_MAX => self.answer(inv, Answer::Succeeded(result)),
-            Ending::Succeeded | Ending::Errored | Ending::NeverRan => self.answer(inv, Answer::Errored),
+            Outcome::Succeeded if result.len() <= WORD_MAX => self.answer(inv, Answer::Succeeded(result)),
+            Outcome::Succeeded | Outcome::Failed | Outcome::NeverRan => self.answer(inv, Answer::Errored),
             _ => {}
         }
         if let Some(invocation) = self.invocations.get(inv) {
@@ -580,21 +581,21 @@
     }
 
     /// False for a call that is not under way any more.
-    fn call_ended(&mut self, inv: u64, number: u64, ending: Ending, reply: &[u8]) -> bool {
+    fn call_ended(&mut self, inv: u64, number: u64, ending: Outcome, reply: &[u8]) -> bool {
         let Some(invocation) = self.invocations.get(inv) else { return false };
         if invocation.call.take_if(|call| call.0 == number).is_none() {
             return false;
         }
-        let over = if ending == Ending::Succeeded { Over::Good } else { Over::Bad };
-        self.server.shared.iter().for_each(|shared| shared.ended(number, ending != Ending::Unknown, over));
+        let over = if ending == Outcome::Succeeded { Over::Good } else { Over::Bad };
+        self.server.shared.iter().for_each(|shared| shared.ended(number, ending != Outcome::Unknown, over));
         let counters = &self.server.counters;
         match ending {
-            Ending::Succeeded => counters.calls_succeeded.add(),
-            Ending::Errored => counters.calls_errored.add(),
-            Ending::NeverRan => counters.calls_never_ran.add(),
+            Outcome::Succeeded => counters.calls_succeeded.add(),
+            Outcome::Failed => counters.calls_errored.add(),
+            Outcome::NeverRan => counters.calls_never_ran.add(),
             _ => counters.calls_unknown.add(),
         }
-        if ending == Ending::Succeeded {
+        if ending == Outcome::Succeeded {
             counters.replies_sent.add();
             let line = interpreter::resolve(invocation.reference, reply);
             (invocation.asked, invocation.waits) = (Vec::new(), false);
@@ -617,13 +618,13 @@
     fn cannot(&mut self, inv: u64, what: &str) {
         warn!(what, "not on this wire");
         self.answer(inv, Answer::Errored);
-        self.stop(inv);
+        self.stop_run(inv);
         self.cut_off.push(inv);
     }
 }
 
 impl Host for Hands {
-    fn run(&mut self, inv: u64) {
+    fn start_run(&mut self, inv: u64) {
         let Some(invocation) = self.invocations.get(inv) else { return };
         invocation.runs = true;
         let operation = &self.server.configuration.settings.operation_names[invocation.operation];
@@ -632,7 +633,7 @@
         self.send_for(inv, line);
     }
 
-    fn stop(&mut self, inv: u64) {
+    fn stop_run(&mut self, inv: u64) {
         let Some(invocation) = self.invocations.get(inv).filter(|invocation| invocation.runs) else { return };
         let line = interpreter::stop(invocation.reference);
         self.server.counters.stops_sent.add();
@@ -642,25 +643,25 @@
         }
     }
 
-    fn promise(&mut self, inv: u64, ticket: u64) {
+    fn promise_admission(&mut self, inv: u64, ticket: u64) {
         self.promised = Some((inv, ticket));
     }
 
-    fn throttle(&mut self, inv: u64, no_retry: bool, stay_away: Nanos) {
+    fn reject(&mut self, inv: u64, no_retry: bool, retry_after: Nanos) {
         let ticket = self.promised.take().filter(|(to, _)| *to == inv).map(|(_, ticket)| ticket);
-        self.answer(inv, Answer::Throttled { no_retry, stay_away, ticket });
+        self.answer(inv, Answer::Throttled { no_retry, stay_away: retry_after, ticket });
     }
 
-    fn give_up(&mut self, inv: u64) {
+    fn fail(&mut self, inv: u64) {
         self.answer(inv, Answer::Errored);
     }
 
-    fn may_call(&mut self, inv: u64, waiting: usize) -> bool {
+    fn may_start_call(&mut self, inv: u64, waiting: usize) -> bool {
         let wish = self.wish(inv);
         self.server.shared.as_ref().is_none_or(|shared| shared.may_call(waiting, wish))
     }
 
-    fn call(&mut self, inv: u64, timeout: Nanos) {
+    fn start_call(&mut self, inv: u64, timeout: Nanos) {
         let Some(to) = self.server.configuration.addresses.get().records else {
             return self.cannot(inv, "a call");
         };
@@ -690,15 +691,15 @@
     }
 
     /// Kept from its arrival on already.
-    fn remember(&mut self, _inv: u64, _life: Nanos) {}
+    fn remember_key(&mut self, _inv: u64, _life: Nanos) {}
 
-    fn forget(&mut self, inv: u64) {
+    fn forget_key(&mut self, inv: u64) {
         for repeat in self.repeats.forget(inv) {
             self.settle(repeat, None);
         }
     }
 
-    fn reuse(&mut self, inv: u64) {
+    fn replay_result(&mut self, inv: u64) {
         let Some(of) = self.invocations.get(inv).and_then(|invocation| invocation.repeats) else {
             return self.cannot(inv, "answering a repeat from its forerunner");
         };
@@ -709,19 +710,19 @@
         }
     }
 
-    fn health(&mut self, good: bool, _stored: bool) {
+    fn set_health(&mut self, good: bool, _stored: bool) {
         self.server.standing.healthy.set(good);
     }
 
-    fn advertise(&mut self, value: f64) {
+    fn advertise_load(&mut self, value: f64) {
         self.server.standing.advertised.set(Some(value));
     }
 
-    fn close_idle(&mut self, after: Nanos) {
+    fn close_idle_connections(&mut self, after: Nanos) {
         self.server.connections.idle_enough(self.server.clock.now().saturating_sub(after));
     }
 
-    fn wake(&mut self, after: Nanos, token: u32) {
+    fn set_timer(&mut self, after: Nanos, token: u32) {
         self.put_wake(after, Wake::Module(token));
     }
 
--- a/crates/server/src/interpreter/link.rs
+++ b/crates/server/src/interpreter/link.rs
@@ -10,7 +10,7 @@
 use async_io::{Async, Timer};
 use futures_lite::{AsyncWriteExt, future};
 use meadowstream_overload_control::Nanos;
-use meadowstream_overload_control::controller::PERIOD;
+use meadowstream_overload_control::controller::CONTROL_PERIOD;
 use std::io::{ErrorKind, Result};
 use std::net::TcpStream;
 use std::rc::Rc;
@@ -105,7 +105,7 @@
 /// stood still finds them all over at once, though nothing was asked in them.
 async fn hear(stream: &Async<TcpStream>, ring: &mut Ring) -> Result<()> {
     for _ in 0..SILENT {
-        match within(Duration::from_nanos(PERIOD), receive(stream, ring)).await {
+        match within(Duration::from_nanos(CONTROL_PERIOD), receive(stream, ring)).await {
             Err(error) if is_timeout(&error) => {}
             heard => return heard,
         }
--- a/crates/server/src/lifecycle/configuration.rs
+++ b/crates/server/src/lifecycle/configuration.rs
@@ -8,8 +8,8 @@
 use anyhow::{Context, Result, anyhow, bail, ensure};
 use meadowstream_configuration::replication::overlay_replicated;
 use meadowstream_configuration::{Options, Tokens};
-use meadowstream_deployment_settings::Read;
-use meadowstream_overload_control::{Advert, Below, Effect};
+use meadowstream_deployment_settings::DeploymentSettings;
+use meadowstream_overload_control::{Advertisement, Downstream, Effect};
 use meadowstream_replication::history::Snapshot;
 use meadowstream_replication::state::State;
 use meadowstream_shared_state::Settings as SharedSettings;
@@ -56,7 +56,7 @@
     pub stop_ms: u64,
     pub memory_mb: u64,
     pub sockets: usize,
-    pub settings: Read,
+    pub settings: DeploymentSettings,
     /// What is done in a way that nobody has said, for the log.
     pub notes: Vec<String>,
     /// This project's own settings and the file they stand in, where there is one.
@@ -296,7 +296,8 @@
             if let Some(state) = layers.replicated {
                 overlay_replicated(&mut options, state.iter()).context("replicated configuration")?;
             }
-            read.reference.set(options.reference.unwrap_or(meadowstream_overload_control::REFERENCE));
+            read.reference
+                .set(options.reference.unwrap_or(meadowstream_overload_control::TARGET_UTILIZATION));
             let folder = path.parent().unwrap_or(Path::new("."));
             if let Some(rollout) = &options.rollout {
                 let mut mark = path.as_os_str().to_os_string();
@@ -315,8 +316,8 @@
             }
             let site = &mut read.settings.deployment;
             if let Some(tenants) = &options.tenants {
-                site.fair = Some(tenants.fair.clone());
-                site.over_share_value = tenants.surplus_value;
+                site.fair_queueing = Some(tenants.fair.clone());
+                site.over_quota_value_ratio = tenants.surplus_value;
             }
             if let Some(given) = &options.membership {
                 let mut fleet = fleet(given, &read.name, path)?;
@@ -368,7 +369,7 @@
             notes: Vec::new(),
             options: RefCell::default(),
             options_path: None,
-            reference: Cell::new(meadowstream_overload_control::REFERENCE),
+            reference: Cell::new(meadowstream_overload_control::TARGET_UTILIZATION),
             candidate: RefCell::default(),
             replicated: RefCell::default(),
             membership: None,
@@ -383,27 +384,29 @@
         let options = Arc::make_mut(self.options.get_mut());
         let mut note = |key: &str, what: &str| self.notes.push(format!("settings: {key}: {what}"));
         // What is remembered of calls lies in this process, under its own limit, not in the interpreter's.
-        site.entry_kb = 0.0;
-        let tokened = site.operations.iter().position(|op| op.effect == Effect::Tokened);
+        site.idempotency_entry_kb = 0.0;
+        let tokened = site.operations.iter().position(|op| op.effect == Effect::IdempotentWithKey);
         if let Some(i) = tokened.filter(|_| options.tokens.is_none()) {
             options.tokens = Some(usual_tokens(self.memory_mb));
             note(&format!("grades.{i}.effect"), &format!("the token is read from the field {TOKEN_FIELD}"));
         }
-        if options.left_out.is_none() && site.operations.iter().any(|op| op.without_call_value > 0.0) {
-            site.operations.iter_mut().for_each(|op| op.without_call_value = 0.0);
+        if options.left_out.is_none() && site.operations.iter().any(|op| op.degraded_value_ratio > 0.0) {
+            site.operations.iter_mut().for_each(|op| op.degraded_value_ratio = 0.0);
             note("family-info.degraded-worth", "no call is left out, as <calls> does not say the reply");
         }
         if !site.tenant_allowance.is_empty() && options.tenants.is_none() {
             note("orgs", &format!("tenants are told apart by the field {TENANT_FIELD}"));
         }
-        if self.settings.share_reads_for > 0 {
+        if self.settings.read_sharing_window > 0 {
             note("family-info.share-for", "answers of reads are not shared: each runs");
         }
-        let ranks = site.operations.iter().map(|op| op.billed_value.to_bits());
-        if site.advert == Advert::Floor && ranks.collect::<std::collections::BTreeSet<_>>().len() < 2 {
+        let ranks = site.operations.iter().map(|op| op.priority_weight.to_bits());
+        if site.advertisement == Advertisement::MinimumRank
+            && ranks.collect::<std::collections::BTreeSet<_>>().len() < 2
+        {
             note("family-info.say", "a floor says little where all operations have one worth");
         }
-        if self.addresses.get().records.is_none() && site.below != Below::Nothing {
+        if self.addresses.get().records.is_none() && site.downstream != Downstream::None {
             bail!("records is missing, though settings: family-info.below names a tier or a dependency");
         }
         Ok(())
@@ -412,13 +415,13 @@
     /// Settings of two shapes in one file: one of them was forgotten in a move, and either would go wrong.
     fn refuse_mixed_shapes(&self) -> Result<()> {
         let (site, options) = (&self.settings.deployment, self.options.borrow());
-        let tokened = site.operations.iter().any(|op| op.effect == Effect::Tokened);
+        let tokened = site.operations.iter().any(|op| op.effect == Effect::IdempotentWithKey);
         ensure!(tokened || options.tokens.is_none(), "options: <tokens>: no operation is by_key");
-        let partly = site.operations.iter().any(|op| op.without_call_value > 0.0);
+        let partly = site.operations.iter().any(|op| op.degraded_value_ratio > 0.0);
         ensure!(partly || options.left_out.is_none(), "options: <calls>: no operation has a degraded-worth");
-        let shared = matches!(site.below, Below::Shared { .. });
+        let shared = matches!(site.downstream, Downstream::Shared { .. });
         ensure!(
-            shared || self.settings.dependency_share <= 0.0,
+            shared || self.settings.dependency_quota <= 0.0,
             "settings: family-info.dep-share: given, though family-info.below names no one_for_all"
         );
         if let Some(tokens) = &options.tokens {
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -14,7 +14,7 @@
 use async_executor::LocalExecutor;
 use async_io::Async;
 use futures_lite::AsyncReadExt;
-use meadowstream_overload_control::{Ending, Nanos};
+use meadowstream_overload_control::{Nanos, Outcome};
 use std::cell::Cell;
 use std::io::{ErrorKind, Result};
 use std::net::TcpStream;
@@ -84,7 +84,7 @@
         tenant: usize,
         /// How long its caller waited when it reached the machine, where callers say so.
         patience: Option<Nanos>,
-        marked_retry: bool,
+        is_marked_retry: bool,
         body: Vec<u8>,
         /// That of a tokened operation.
         token: Option<Vec<u8>>,
@@ -111,7 +111,7 @@
     CallEnded {
         inv: u64,
         number: u64,
-        ending: Ending,
+        ending: Outcome,
         reply: Vec<u8>,
         took: Nanos,
     },
--- a/crates/server/src/wire/http.rs
+++ b/crates/server/src/wire/http.rs
@@ -2,7 +2,7 @@
 
 use crate::wire::Parsed;
 use crate::wire::decimal;
-use meadowstream_overload_control::{Ending, Nanos};
+use meadowstream_overload_control::{Nanos, Outcome};
 
 /// Longest head and longest body of a reply.
 const HEAD_MAX: usize = 4096;
@@ -22,7 +22,7 @@
 
 #[derive(Debug, PartialEq)]
 pub struct Reply {
-    pub ending: Ending,
+    pub ending: Outcome,
     pub body: Vec<u8>,
     /// The connection may carry another call.
     pub stays: bool,
@@ -90,10 +90,10 @@
     // Only these prove that nothing ran; whatever else came of it may have had its effect.
     let not_begun = matches!(status, 503 | 409) && header("Op-Not-Begun") == Some("1");
     let ending = match status {
-        200 => Ending::Succeeded,
-        500 => Ending::Errored,
-        _ if not_begun => Ending::NeverRan,
-        _ => Ending::Unknown,
+        200 => Outcome::Succeeded,
+        500 => Outcome::Failed,
+        _ if not_begun => Outcome::NeverRan,
+        _ => Outcome::Unknown,
     };
     Parsed::Whole(Some(Reply { ending, body: body.to_vec(), stays }), start + len)
 }
--- a/crates/server/src/wire/interpreter.rs
+++ b/crates/server/src/wire/interpreter.rs
@@ -3,7 +3,7 @@
 use crate::wire::Parsed;
 use anyhow::{Context, Result, bail, ensure};
 use base64::{Engine, engine::general_purpose::STANDARD};
-use meadowstream_overload_control::{Ending, Nanos};
+use meadowstream_overload_control::{Nanos, Outcome};
 use serde_json::{Value, json};
 
 /// A longer line is passed over.
@@ -12,7 +12,7 @@
 #[derive(Debug, PartialEq)]
 pub enum Notice {
     Banner { cold: bool, age: Nanos },
-    Ended { task: u64, ending: Ending, result: Vec<u8> },
+    Ended { task: u64, ending: Outcome, result: Vec<u8> },
     Awaits { task: u64, body: Vec<u8> },
     Gauges { nonce: u64, readings: Vec<f64> },
     NotDone { command: String, task: Option<u64> },
@@ -45,13 +45,13 @@
         },
         "VALUE" => {
             let ending = match text("outcome")? {
-                "ok" => Ending::Succeeded,
-                "failed" => Ending::Errored,
-                "halted" => Ending::Cancelled,
-                "void" => Ending::NeverRan,
+                "ok" => Outcome::Succeeded,
+                "failed" => Outcome::Failed,
+                "halted" => Outcome::Cancelled,
+                "void" => Outcome::NeverRan,
                 other => bail!("unknown end {other:?}"),
             };
-            let result = if ending == Ending::Succeeded { bytes()? } else { Vec::new() };
+            let result = if ending == Outcome::Succeeded { bytes()? } else { Vec::new() };
             Notice::Ended { task: task(&object)?, ending, result }
         }
         "AWAIT" => Notice::Awaits { task: task(&object)?, body: bytes()? },
--- a/crates/server/src/wire/tests.rs
+++ b/crates/server/src/wire/tests.rs
@@ -3,7 +3,7 @@
 mod outside_names;
 
 use super::{Parsed, http, interpreter, resp, ring::Ring, rpc};
-use meadowstream_overload_control::Ending;
+use meadowstream_overload_control::Outcome;
 use test_case::test_case;
 
 /// What is read does not matter where only its extent is looked at.
@@ -154,18 +154,18 @@
     let early = [b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Wait\r\n\r\n", REPLY].concat();
     whole_or_more(&early, |bytes| extent(http::reply(bytes)));
     let Parsed::Whole(reply, _) = http::reply(&early) else { panic!("not taken") };
-    assert_eq!((reply.ending, reply.body), (Ending::NeverRan, b"abc".to_vec()));
-}
-
-#[test_case("200", "", Ending::Succeeded)]
-#[test_case("503", "Op-Not-Begun: 1\r\n", Ending::NeverRan)]
-#[test_case("409", "op-not-begun:1\r\n", Ending::NeverRan)]
-#[test_case("503", "", Ending::Unknown; "503 unmarked")]
-#[test_case("503", "Op-Not-Begun: 0\r\n", Ending::Unknown; "503 marked as begun")]
-#[test_case("500", "Op-Not-Begun: 1\r\n", Ending::Errored)]
-#[test_case("504", "", Ending::Unknown; "504")]
-#[test_case("418", "", Ending::Unknown; "any other")]
-fn what_replies_prove(status: &str, header: &str, ending: Ending) {
+    assert_eq!((reply.ending, reply.body), (Outcome::NeverRan, b"abc".to_vec()));
+}
+
+#[test_case("200", "", Outcome::Succeeded)]
+#[test_case("503", "Op-Not-Begun: 1\r\n", Outcome::NeverRan)]
+#[test_case("409", "op-not-begun:1\r\n", Outcome::NeverRan)]
+#[test_case("503", "", Outcome::Unknown; "503 unmarked")]
+#[test_case("503", "Op-Not-Begun: 0\r\n", Outcome::Unknown; "503 marked as begun")]
+#[test_case("500", "Op-Not-Begun: 1\r\n", Outcome::Failed)]
+#[test_case("504", "", Outcome::Unknown; "504")]
+#[test_case("418", "", Outcome::Unknown; "any other")]
+fn what_replies_prove(status: &str, header: &str, ending: Outcome) {
     let reply = format!("HTTP/1.1 {status} X\r\n{header}Content-Length: 2\r\n\r\nhi");
     let Parsed::Whole(reply, _) = http::reply(reply.as_bytes()) else { panic!("not taken") };
     assert_eq!((reply.ending, reply.body, reply.stays), (ending, b"hi".to_vec(), true));
@@ -206,7 +206,7 @@
         }
         extent(interpreter::line(bytes))
     });
-    let ended = interpreter::Notice::Ended { task: 0xab, ending: Ending::Succeeded, result: b"hi".to_vec() };
+    let ended = interpreter::Notice::Ended { task: 0xab, ending: Outcome::Succeeded, result: b"hi".to_vec() };
     assert_eq!(interpreter::notice(LINE).unwrap(), (Some(3), ended));
     assert!(matches!(interpreter::line(&[b'x'; interpreter::LINE_MAX + 1]), Parsed::Malformed(_)));
 }
--- a/crates/server/src/wire/tests/outside_names.rs
+++ b/crates/server/src/wire/tests/outside_names.rs
@@ -5,7 +5,7 @@
 use crate::wire::interpreter;
 use crate::wire::interpreter::Notice;
 use crate::wire::rpc;
-use meadowstream_overload_control::Ending;
+use meadowstream_overload_control::Outcome;
 use test_case::test_case;
 
 fn answer(answer: &rpc::Answer, advertised: Option<f64>) -> String {
@@ -66,11 +66,11 @@
     }
 }
 
-#[test_case("ok", Ending::Succeeded, b"hi")]
-#[test_case("failed", Ending::Errored, b"")]
-#[test_case("halted", Ending::Cancelled, b"")]
-#[test_case("void", Ending::NeverRan, b"")]
-fn ends_of_runs_have_the_same_words(word: &str, ending: Ending, result: &[u8]) {
+#[test_case("ok", Outcome::Succeeded, b"hi")]
+#[test_case("failed", Outcome::Failed, b"")]
+#[test_case("halted", Outcome::Cancelled, b"")]
+#[test_case("void", Outcome::NeverRan, b"")]
+fn ends_of_runs_have_the_same_words(word: &str, ending: Outcome, result: &[u8]) {
     let line = format!(
         r#"{{"verb":"VALUE","index":3,"task":"00000000000000ab","outcome":"{word}","bytes":"aGk="}}"#
     );
--- a/crates/simulator-adapter/src/codec.rs
+++ b/crates/simulator-adapter/src/codec.rs
@@ -1,7 +1,7 @@
 //! Frames of the wire, decoded field by field and encoded record by record.
 
 use anyhow::{Context, Result, bail, ensure};
-use meadowstream_overload_control::{Ending, Host, Nanos};
+use meadowstream_overload_control::{Host, Nanos, Outcome};
 use std::io::Read;
 
 const HEADER: usize = 16;
@@ -100,13 +100,13 @@
         std::str::from_utf8(&self.tail[offset..end]).context("text is not UTF-8")
     }
 
-    pub fn ending(&self, at: usize) -> Result<Ending> {
+    pub fn ending(&self, at: usize) -> Result<Outcome> {
         Ok(match self.u16(at) {
-            0 => Ending::Succeeded,
-            255 => Ending::Errored,
-            254 | 252 | 249 => Ending::NeverRan,
-            253 | 251 => Ending::Unknown,
-            250 => Ending::Cancelled,
+            0 => Outcome::Succeeded,
+            255 => Outcome::Failed,
+            254 | 252 | 249 => Outcome::NeverRan,
+            253 | 251 => Outcome::Unknown,
+            250 => Outcome::Cancelled,
             other => bail!("unknown outcome {other}"),
         })
     }
@@ -162,23 +162,23 @@
 }
 
 impl Host for Reply {
-    fn run(&mut self, inv: u64) {
+    fn start_run(&mut self, inv: u64) {
         self.put(110, &[&inv.to_le_bytes()]);
     }
 
-    fn stop(&mut self, inv: u64) {
+    fn stop_run(&mut self, inv: u64) {
         self.put(140, &[&inv.to_le_bytes()]);
     }
 
-    fn throttle(&mut self, inv: u64, no_retry: bool, stay_away: Nanos) {
-        self.put(40, &[&inv.to_le_bytes(), &[u8::from(no_retry)], &micros(stay_away)]);
+    fn reject(&mut self, inv: u64, no_retry: bool, retry_after: Nanos) {
+        self.put(40, &[&inv.to_le_bytes(), &[u8::from(no_retry)], &micros(retry_after)]);
     }
 
-    fn give_up(&mut self, inv: u64) {
+    fn fail(&mut self, inv: u64) {
         self.put(70, &[&inv.to_le_bytes()]);
     }
 
-    fn call(&mut self, inv: u64, timeout: Nanos) {
+    fn start_call(&mut self, inv: u64, timeout: Nanos) {
         self.put(160, &[&inv.to_le_bytes(), &micros(timeout)]);
     }
 
@@ -186,31 +186,31 @@
         self.put(100, &[&inv.to_le_bytes()]);
     }
 
-    fn remember(&mut self, inv: u64, life: Nanos) {
+    fn remember_key(&mut self, inv: u64, life: Nanos) {
         self.put(30, &[&inv.to_le_bytes(), &micros(life)]);
     }
 
-    fn forget(&mut self, inv: u64) {
+    fn forget_key(&mut self, inv: u64) {
         self.put(60, &[&inv.to_le_bytes()]);
     }
 
-    fn reuse(&mut self, inv: u64) {
+    fn replay_result(&mut self, inv: u64) {
         self.put(150, &[&inv.to_le_bytes()]);
     }
 
-    fn health(&mut self, good: bool, stored: bool) {
+    fn set_health(&mut self, good: bool, stored: bool) {
         self.put(130, &[&[u8::from(good), u8::from(stored)]]);
     }
 
-    fn advertise(&mut self, value: f64) {
+    fn advertise_load(&mut self, value: f64) {
         self.put(80, &[&(value as f32).to_le_bytes()]);
     }
 
-    fn close_idle(&mut self, after: Nanos) {
+    fn close_idle_connections(&mut self, after: Nanos) {
         self.put(120, &[&micros(after)]);
     }
 
-    fn wake(&mut self, after: Nanos, token: u32) {
+    fn set_timer(&mut self, after: Nanos, token: u32) {
         self.put(20, &[&micros(after), &token.to_le_bytes()]);
     }
 
--- a/crates/simulator-adapter/src/codec/tests.rs
+++ b/crates/simulator-adapter/src/codec/tests.rs
@@ -19,7 +19,7 @@
     assert!(read.read(&mut batch(1, 78, &body).as_slice()).unwrap());
     let event = read.event(0);
     assert_eq!((read.clock, event.u8(0), event.u64(1), event.span(11)), (7_000, 30, 42, 3_000));
-    assert_eq!(event.ending(9).unwrap(), Ending::NeverRan);
+    assert_eq!(event.ending(9).unwrap(), Outcome::NeverRan);
     assert_eq!(event.text(11).unwrap(), "de");
     assert!(!read.read(&mut [].as_slice()).unwrap());
 }
@@ -45,7 +45,7 @@
 fn replies_name_the_speaker_once_and_round_times_up() {
     let (mut reply, mut frame) = (Reply::default(), Vec::new());
     reply.speaks(5);
-    reply.throttle(9, true, 1_001);
+    reply.reject(9, true, 1_001);
     reply.log("hi");
     reply.finish(&mut frame);
     assert_eq!(frame[..8], [58, 0, 0, 0, 3, 0, 0, 0]);
@@ -66,19 +66,19 @@
         frame
     };
     let samples: Vec<(&str, Vec<u8>)> = vec![
-        ("run", record(&|reply| reply.run(id))),
-        ("stop", record(&|reply| reply.stop(id))),
-        ("throttle", record(&|reply| reply.throttle(id, true, span))),
-        ("give-up", record(&|reply| reply.give_up(id))),
-        ("call", record(&|reply| reply.call(id, span))),
+        ("run", record(&|reply| reply.start_run(id))),
+        ("stop", record(&|reply| reply.stop_run(id))),
+        ("throttle", record(&|reply| reply.reject(id, true, span))),
+        ("give-up", record(&|reply| reply.fail(id))),
+        ("call", record(&|reply| reply.start_call(id, span))),
         ("skip-call", record(&|reply| reply.skip_call(id))),
-        ("remember", record(&|reply| reply.remember(id, span))),
-        ("forget", record(&|reply| reply.forget(id))),
-        ("reuse", record(&|reply| reply.reuse(id))),
-        ("health", record(&|reply| reply.health(true, false))),
-        ("advertise", record(&|reply| reply.advertise(0.75))),
-        ("close-idle", record(&|reply| reply.close_idle(span))),
-        ("wake", record(&|reply| reply.wake(span, 1))),
+        ("remember", record(&|reply| reply.remember_key(id, span))),
+        ("forget", record(&|reply| reply.forget_key(id))),
+        ("reuse", record(&|reply| reply.replay_result(id))),
+        ("health", record(&|reply| reply.set_health(true, false))),
+        ("advertise", record(&|reply| reply.advertise_load(0.75))),
+        ("close-idle", record(&|reply| reply.close_idle_connections(span))),
+        ("wake", record(&|reply| reply.set_timer(span, 1))),
         ("log", record(&|reply| reply.log("line"))),
     ];
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/actions.txt");
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -10,8 +10,8 @@
 
 struct Life {
     controller: Controller,
-    busy_gauge: Option<usize>,
-    wanting_gauge: Option<usize>,
+    utilization_gauge: Option<usize>,
+    runnable_gauge: Option<usize>,
     operations: usize,
     tenants: usize,
 }
@@ -36,8 +36,8 @@
             }
             self.lives[slot] = Some(Life {
                 controller,
-                busy_gauge: read.busy_gauge,
-                wanting_gauge: read.wanting_gauge,
+                utilization_gauge: read.utilization_gauge,
+                runnable_gauge: read.runnable_gauge,
                 operations,
                 tenants,
             });
@@ -52,13 +52,13 @@
                 let arrival = arrival(event)?;
                 ensure!(arrival.operation < life.operations, "unknown operation {}", arrival.operation);
                 ensure!(arrival.tenant < life.tenants.max(1), "unknown tenant {}", arrival.tenant);
-                controller.arrived(now, arrival, reply);
+                controller.on_arrival(now, arrival, reply);
             }
-            30 => controller.finished(now, event.u64(1), event.ending(9)?, reply),
-            40 => controller.needs_call(now, event.u64(1), reply),
-            50 => controller.call_ended(now, event.u64(1), event.ending(9)?, event.span(11), reply),
-            60 => controller.told_to_leave(now, event.span(1), reply),
-            70 => controller.caller_gone(now, event.u64(1), reply),
+            30 => controller.on_run_finished(now, event.u64(1), event.ending(9)?, reply),
+            40 => controller.on_call_needed(now, event.u64(1), reply),
+            50 => controller.on_call_finished(now, event.u64(1), event.ending(9)?, event.span(11), reply),
+            60 => controller.on_drain_notice(now, event.span(1), reply),
+            70 => controller.on_caller_gone(now, event.u64(1), reply),
             80 => {
                 let gauges = usize::from(event.u8(5));
                 if gauges > 4 {
@@ -67,8 +67,11 @@
                 let gauge = |place: Option<usize>| {
                     place.filter(|i| *i < gauges).map(|i| event.number(6 + 4 * i)).transpose()
                 };
-                let gauges = Gauges { busy: gauge(life.busy_gauge)?, wanting: gauge(life.wanting_gauge)? };
-                controller.woken(now, event.u32(1), gauges, reply);
+                let gauges = Gauges {
+                    utilization: gauge(life.utilization_gauge)?,
+                    runnable: gauge(life.runnable_gauge)?,
+                };
+                controller.on_timer(now, event.u32(1), gauges, reply);
             }
             90 => self.lives[slot] = None,
             _ => bail!("unknown event code {code}"),
@@ -97,13 +100,13 @@
         id: event.u64(1),
         age: event.span(9),
         repeats: (repeats != 0).then_some(repeats),
-        patience: (patience != 0).then_some(patience),
-        marked_retry: flags & 2 != 0,
-        hint: (flags & 1 != 0).then(|| event.span(30)),
+        remaining_deadline: (patience != 0).then_some(patience),
+        is_marked_retry: flags & 2 != 0,
+        cost_hint: (flags & 1 != 0).then(|| event.span(30)),
         held_kb: event.number(38)?,
         tenant: event.u32(42) as usize,
         sender: None,
-        unkept: false,
+        key_not_stored: false,
         operation: usize::from(event.u8(46)),
     })
 }
