--- a/crates/capacity/src/day.rs
+++ b/crates/capacity/src/day.rs
@@ -7,7 +7,7 @@
 use meadowstream_membership::Nanos;
 use meadowstream_replication::message::Location;
 use meadowstream_replication::revision::Change;
-use meadowstream_replication::sim::{Fleet, Layout};
+use meadowstream_replication::simulation::{Fleet, Layout};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use serde::Serialize;
@@ -176,7 +176,7 @@
         fleet.run_for(60 * SECOND);
         for part in 0..KEYS / 200 {
             let key = |n: usize| Change::set(&format!("tenants/tenant/tenant-{n:05}"), "2");
-            fleet.publish((200 * part..200 * part + 200).map(key).collect());
+            fleet.propose((200 * part..200 * part + 200).map(key).collect());
             fleet.run_for(5 * SECOND);
         }
         Play {
@@ -196,7 +196,7 @@
     fn change(&mut self, n: usize) {
         let key = format!("tenants/tenant/tenant-{:05}", n % KEYS);
         let change = vec![Change::set(&key, &format!("{}", 1 + n % 9))];
-        let Some(number) = self.fleet.publish(change) else {
+        let Some(number) = self.fleet.propose(change) else {
             self.not_published += 1;
             return;
         };
@@ -204,7 +204,7 @@
         // Who was away or not there is counted from its return, until it has come up.
         let fleet = &self.fleet;
         self.returning
-            .retain(|server, number| fleet.member(*server).is_some_and(|member| member.in_force() < *number));
+            .retain(|server, number| fleet.member(*server).is_some_and(|member| member.applied() < *number));
         let counts = |server: &usize| !self.away.contains(server) && !self.returning.contains_key(server);
         let who = self.fleet.running().into_iter().filter(counts).collect();
         self.published.push(Published { at: self.fleet.now(), number, who });
@@ -266,7 +266,7 @@
     let mut play = Play::start(scale);
     let mut events = schedule(scale, &mut rng);
     let (began, processor) = (play.fleet.now(), thread_time());
-    let (bytes, publisher) = (play.fleet.sent_bytes, play.fleet.publisher());
+    let (bytes, publisher) = (play.fleet.sent_bytes, play.fleet.leader());
     let control =
         publisher.and_then(|node| play.fleet.member(node)).map_or(0, |member| member.counts.sent_bytes);
     let mut tenth = 1;
@@ -345,7 +345,7 @@
 fn summary(scale: &Scale, play: &Play, bytes: f64, control_bytes: f64, processor: f64) -> Day {
     // When each server first went by each number or a later one.
     let mut times: BTreeMap<usize, Vec<(Nanos, u64)>> = BTreeMap::new();
-    for (at, server, number) in &play.fleet.in_force {
+    for (at, server, number) in &play.fleet.applied {
         times.entry(*server).or_default().push((*at, *number));
     }
     let reached = |server: usize, from: Nanos, number: u64| {
--- a/crates/capacity/src/hollow.rs
+++ b/crates/capacity/src/hollow.rs
@@ -101,16 +101,16 @@
                 lease.note_use(1, 0);
                 lease.ceiling(time).leased > 0
             });
-            member.set_may_publish(holds);
+            member.set_holds_lease(holds);
         }
         if unix >= member.next_due() {
             member.advance(unix, self.directory.names());
         }
-        while let Some(saved) = member.take_save() {
-            member.saved(&saved, unix);
+        while let Some(saved) = member.unsaved_state() {
+            member.on_persisted(&saved, unix);
         }
-        if let Some(snapshot) = member.take_pending() {
-            member.settled(snapshot.revision.at.number, Ok(()), unix);
+        if let Some(snapshot) = member.next_to_apply() {
+            member.settled(snapshot.revision.position.number, Ok(()), unix);
         }
         for (to, body) in member.outgoing() {
             let before = self.shared_state.tally.sent_bytes;
--- a/crates/capacity/src/model.rs
+++ b/crates/capacity/src/model.rs
@@ -108,7 +108,7 @@
 fn publisher(fleet: &Fleet) -> Option<usize> {
     let publishes = |server: &usize| {
         let member = fleet.server(*server).and_then(|one| one.replication.as_ref());
-        member.is_some_and(|member| member.is_publisher())
+        member.is_some_and(|member| member.is_leader())
     };
     (0..CONTROL_MACHINES).find(publishes)
 }
--- a/crates/replication/src/history.rs
+++ b/crates/replication/src/committed_log.rs
@@ -19,14 +19,14 @@
 
 /// Why an entry was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum EntryError {
     /// Its content is not what its hash says, or it breaks a bound.
     Content,
 }
 
 /// What became of an entry that was offered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum AppendOutcome {
     New,
     Known,
     /// Entries before it are missing.
@@ -34,7 +34,7 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct History {
+pub struct CommittedLog {
     end: Snapshot,
     /// The last revision that is no part of a change: what may be in force.
     complete: Snapshot,
@@ -45,11 +45,11 @@
     checkpoints: [Option<Snapshot>; 2],
 }
 
-impl History {
+impl CommittedLog {
     /// Goes on from a snapshot, of a disk or of a transfer.
-    pub fn from_snapshot(snapshot: Snapshot) -> History {
+    pub fn from_snapshot(snapshot: Snapshot) -> CommittedLog {
         let (end, complete) = (snapshot.clone(), snapshot.clone());
-        History { end, complete, base: snapshot, ..History::default() }
+        CommittedLog { end, complete, base: snapshot, ..CommittedLog::default() }
     }
 
     pub fn revision(&self) -> Revision {
@@ -57,7 +57,7 @@
     }
 
     pub fn number(&self) -> u64 {
-        self.end.revision.at.number
+        self.end.revision.position.number
     }
 
     pub fn state(&self) -> &State {
@@ -75,28 +75,28 @@
     /// The position of the entry with this number, as far as it is known.
     pub fn position(&self, number: u64) -> Option<Position> {
         if number == self.number() {
-            return Some(self.end.revision.at);
+            return Some(self.end.revision.position);
         }
-        let first = self.tail.front()?.revision.at.number;
-        self.tail.get(number.checked_sub(first)? as usize).map(|entry| entry.revision.at)
+        let first = self.tail.front()?.revision.position.number;
+        self.tail.get(number.checked_sub(first)? as usize).map(|entry| entry.revision.position)
     }
 
     /// Takes a committed entry. One with a number that is known changes nothing, whatever it says.
-    pub fn take(&mut self, entry: &Entry) -> Result<Taken, Fault> {
-        let number = entry.revision.at.number;
+    pub fn take(&mut self, entry: &Entry) -> Result<AppendOutcome, EntryError> {
+        let number = entry.revision.position.number;
         if number <= self.number() {
-            return Ok(Taken::Known);
+            return Ok(AppendOutcome::Known);
         }
         if number > self.number() + 1 {
-            return Ok(Taken::Gap);
+            return Ok(AppendOutcome::Gap);
         }
-        if !entry.is_within_bounds() || entry.revision.at.epoch < self.end.revision.at.epoch {
-            return Err(Fault::Content);
+        if !entry.is_within_bounds() || entry.revision.position.epoch < self.end.revision.position.epoch {
+            return Err(EntryError::Content);
         }
         let mut state = self.end.state.clone();
         state.apply(&entry.changes);
         if state.hash() != entry.revision.hash || state.len() > KEYS_MAX {
-            return Err(Fault::Content);
+            return Err(EntryError::Content);
         }
         self.end = Snapshot { revision: entry.revision, state };
         self.tail.push_back(entry.clone());
@@ -104,12 +104,12 @@
             self.complete = self.end.clone();
             self.take_checkpoint();
         }
-        Ok(Taken::New)
+        Ok(AppendOutcome::New)
     }
 
     /// The same numbers are checkpoints wherever the log was followed from.
     fn take_checkpoint(&mut self) {
-        let last = self.checkpoints[0].as_ref().unwrap_or(&self.base).revision.at.number;
+        let last = self.checkpoints[0].as_ref().unwrap_or(&self.base).revision.position.number;
         if self.number() / CHECKPOINT_EVERY > last / CHECKPOINT_EVERY {
             self.checkpoints.swap(0, 1);
             self.checkpoints[0] = Some(self.end.clone());
@@ -120,30 +120,30 @@
     /// Entries before the older checkpoint are of no use: who needs them needs the checkpoint.
     fn trim(&mut self) {
         let [_, Some(older)] = &self.checkpoints else { return };
-        if older.revision.at.number < self.base.revision.at.number {
+        if older.revision.position.number < self.base.revision.position.number {
             return;
         }
         self.base = older.clone();
-        let oldest = self.base.revision.at.number;
-        while self.tail.front().is_some_and(|entry| entry.revision.at.number <= oldest) {
+        let oldest = self.base.revision.position.number;
+        while self.tail.front().is_some_and(|entry| entry.revision.position.number <= oldest) {
             self.tail.pop_front();
         }
     }
 
     /// The content at a number, as far back as entries are held.
     pub fn state_at(&self, number: u64) -> Option<State> {
-        if number < self.base.revision.at.number || number > self.number() {
+        if number < self.base.revision.position.number || number > self.number() {
             return None;
         }
         let mut state = self.base.state.clone();
-        let upto = self.tail.iter().take_while(|entry| entry.revision.at.number <= number);
+        let upto = self.tail.iter().take_while(|entry| entry.revision.position.number <= number);
         upto.for_each(|entry| state.apply(&entry.changes));
         Some(state)
     }
 
     /// The entries of the change that ends at a number: those partial before it, and itself.
     pub fn change_at(&self, number: u64) -> Option<Vec<&Entry>> {
-        let end = self.tail.iter().position(|entry| entry.revision.at.number == number)?;
+        let end = self.tail.iter().position(|entry| entry.revision.position.number == number)?;
         if self.tail[end].partial {
             return None;
         }
@@ -160,20 +160,20 @@
     /// What one that lags more than the entries reach is offered: the newest checkpoint or, where none came
     /// since this member's start, what it started from.
     pub fn to_offer(&self) -> Option<&Snapshot> {
-        let base = Some(&self.base).filter(|base| base.revision.at.number > 0);
+        let base = Some(&self.base).filter(|base| base.revision.position.number > 0);
         self.checkpoints[0].as_ref().or(base)
     }
 
     /// A snapshot that is held with this number.
     pub fn snapshot(&self, number: u64) -> Option<&Snapshot> {
         let all = self.checkpoints.iter().flatten().chain([&self.base]);
-        all.into_iter().find(|one| one.revision.at.number == number && number > 0)
+        all.into_iter().find(|one| one.revision.position.number == number && number > 0)
     }
 
     /// Entries of a change whose end has not come yet.
     pub fn open(&self) -> impl Iterator<Item = &Entry> {
-        let complete = self.complete.revision.at.number;
-        self.tail.iter().filter(move |entry| entry.revision.at.number > complete)
+        let complete = self.complete.revision.position.number;
+        self.tail.iter().filter(move |entry| entry.revision.position.number > complete)
     }
 
     /// The entries held, for the replica's log.
--- a/crates/replication/src/spread.rs
+++ b/crates/replication/src/gossip.rs
@@ -3,7 +3,7 @@
 
 use crate::Nanos;
 use crate::member::{Member, SECOND};
-use crate::message::{BODY_MAX, Fresh, Message, NAME_MAX, NEIGHBOURS_MAX};
+use crate::message::{BODY_MAX, Freshness, Message, NAME_MAX, NEIGHBOURS_MAX};
 use crate::revision::Entry;
 use rand_chacha::rand_core::Rng;
 
@@ -27,11 +27,11 @@
     }
 
     pub(crate) fn entries_message(&self, entries: Vec<Entry>, pushed: bool) -> Message {
-        Message::Entries { entries, publisher: self.publisher.clone(), pushed, newest: self.history.number() }
+        Message::Entries { entries, leader: self.leader.clone(), pushed, newest: self.log.number() }
     }
 
     pub(crate) fn push_in_zone(&mut self, entries: &[Entry], now: Nanos) {
-        let to = self.peers.some_of(&self.settings.location, PUSHED_TO, &mut self.rng);
+        let to = self.peers.sample_zone(&self.settings.location, PUSHED_TO, &mut self.rng);
         self.push(&to, entries, now);
     }
 
@@ -40,35 +40,35 @@
         let anywhere = self.rng.next_u64().is_multiple_of(PULL_ANYWHERE);
         let near = match anywhere {
             true => None,
-            false => self.peers.some_of(&self.settings.location, 1, &mut self.rng).pop(),
+            false => self.peers.sample_zone(&self.settings.location, 1, &mut self.rng).pop(),
         };
-        near.or_else(|| self.peers.any(&mut self.rng))
+        near.or_else(|| self.peers.sample_any(&mut self.rng))
     }
 
     pub(crate) fn pull(&mut self, now: Nanos) {
         if let Some(name) = self.neighbour() {
-            self.send_have(&name, true, now);
+            self.send_digest(&name, true, now);
         }
     }
 
-    pub(crate) fn send_have(&mut self, to: &str, asks: bool, now: Nanos) {
+    pub(crate) fn send_digest(&mut self, to: &str, wants_reply: bool, now: Nanos) {
         let location = self.settings.location.clone();
-        let neighbours = self.peers.some_of(&location, NEIGHBOURS_MAX, &mut self.rng);
-        let (number, fresh) = (self.history.number(), self.fresh);
-        let have = Message::Have { number, fresh, location, neighbours, asks };
+        let neighbours = self.peers.sample_zone(&location, NEIGHBOURS_MAX, &mut self.rng);
+        let (number, freshness) = (self.log.number(), self.freshness);
+        let have = Message::Digest { number, freshness, location, neighbours, wants_reply };
         self.send(to, &have, now);
     }
 
     /// The word of a log that goes further than what is held here says nothing of what is held.
-    pub(crate) fn heard_fresh(&mut self, fresh: Fresh) {
-        if fresh.number <= self.history.number() && fresh.at_ms > self.fresh.at_ms {
-            self.fresh = fresh;
+    pub(crate) fn on_freshness(&mut self, freshness: Freshness) {
+        if freshness.number <= self.log.number() && freshness.at_ms > self.freshness.at_ms {
+            self.freshness = freshness;
         }
     }
 
     /// What a member without any revision is to reach before it puts one in force. Told of for a moment only:
     /// where revisions keep coming it would never have them all.
-    pub(crate) fn heard_of(&mut self, number: u64, now: Nanos) {
+    pub(crate) fn on_newest_number(&mut self, number: u64, now: Nanos) {
         if self.catch_up_until == 0 && number > 0 {
             self.catch_up_until = now + CATCH_UP;
         }
@@ -77,21 +77,29 @@
         }
     }
 
-    pub(crate) fn answer_have(&mut self, from: &str, number: u64, fresh: Fresh, asks: bool, now: Nanos) {
-        if number < self.history.number() {
+    pub(crate) fn on_digest(
+        &mut self,
+        from: &str,
+        number: u64,
+        freshness: Freshness,
+        wants_reply: bool,
+        now: Nanos,
+    ) {
+        if number < self.log.number() {
             return self.send_after(from, number, now);
         }
-        let ahead = number > self.history.number();
-        let staler = fresh.at_ms + FRESHER_MS < self.fresh.at_ms;
-        if asks && (ahead || staler) {
-            self.send_have(from, false, now);
+        let ahead = number > self.log.number();
+        let staler = freshness.at_ms + FRESHER_MS < self.freshness.at_ms;
+        if wants_reply && (ahead || staler) {
+            self.send_digest(from, false, now);
         }
     }
 
     pub(crate) fn send_after(&mut self, to: &str, number: u64, now: Nanos) {
-        let Some(entries) = self.history.after(number) else {
-            if let Some(checkpoint) = self.history.to_offer() {
-                let offer = Message::Offer { checkpoint: checkpoint.revision, newest: self.history.number() };
+        let Some(entries) = self.log.after(number) else {
+            if let Some(checkpoint) = self.log.to_offer() {
+                let offer =
+                    Message::SnapshotOffer { checkpoint: checkpoint.revision, newest: self.log.number() };
                 self.send(to, &offer, now);
             }
             return;
@@ -104,29 +112,29 @@
         }
     }
 
-    pub(crate) fn heard_entries(
+    pub(crate) fn on_entries(
         &mut self,
         now: Nanos,
         from: &str,
         entries: Vec<Entry>,
-        publisher: Option<String>,
+        leader: Option<String>,
         pushed: bool,
     ) {
-        let before = self.history.number();
-        let gap = entries.first().is_some_and(|entry| entry.revision.at.number > before + 1);
-        if self.take_committed(now, &entries, false) {
-            self.publisher = publisher.or(self.publisher.take());
+        let before = self.log.number();
+        let gap = entries.first().is_some_and(|entry| entry.revision.position.number > before + 1);
+        if self.append_committed(now, &entries, false) {
+            self.leader = leader.or(self.leader.take());
             let new: Vec<Entry> =
-                entries.into_iter().filter(|entry| entry.revision.at.number > before).collect();
+                entries.into_iter().filter(|entry| entry.revision.position.number > before).collect();
             if pushed {
                 self.push_in_zone(&new, now);
             } else {
                 // There may be more where this came from.
-                self.send_have(from, true, now);
+                self.send_digest(from, true, now);
             }
             self.settle(now);
         } else if gap {
-            self.send_have(from, true, now);
+            self.send_digest(from, true, now);
         }
     }
 }
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -4,24 +4,24 @@
 //! - [`replica`]: machines set aside for control keep an ordered log of revisions; a majority commits them.
 //! - [`member`]: every server holds the committed log's end, spreads what is new by zone, asks its neighbours
 //!   for what it lacks, and reports what it goes by.
-//! - [`state`], [`history`], [`transfer`]: the content, its last entries, and checkpoints for who lags far.
+//! - [`state`], [`log`], [`transfer`]: the content, its last entries, and checkpoints for who lags far.
 //!
 //! `docs/replication.md` names the ways weighed and what is promised under which fault.
 
-mod checkpoints;
-pub mod history;
+pub mod committed_log;
+mod gossip;
 pub mod member;
 pub mod message;
-mod operator;
 pub mod peers;
+pub mod persistence;
+pub mod progress;
 pub mod replica;
+mod requests;
 pub mod revision;
-pub mod sim;
-mod spread;
+pub mod simulation;
+mod snapshot_fetch;
+pub mod snapshot_transfer;
 pub mod state;
-pub mod status;
-pub mod store;
-pub mod transfer;
 
 /// Nanoseconds since the Unix epoch, by a clock that does not go back.
 pub type Nanos = u64;
--- a/crates/replication/src/member.rs
+++ b/crates/replication/src/member.rs
@@ -3,14 +3,14 @@
 //! it has a [`Replica`] beside it.
 
 use crate::Nanos;
-use crate::history::{CHECKPOINT_EVERY, Fault, History, Snapshot, Taken};
-use crate::message::{BODY_MAX, Fresh, Location, Message, REASON_MAX, Report};
-use crate::operator::Requests;
+use crate::committed_log::{AppendOutcome, CHECKPOINT_EVERY, CommittedLog, EntryError, Snapshot};
+use crate::message::{BODY_MAX, Freshness, Location, Message, REASON_MAX, Report};
 use crate::peers::Peers;
-use crate::replica::{NotPublished, Replica, Saved};
+use crate::progress::{LaggingMember, ProgressTracker};
+use crate::replica::{PersistedState, ProposeError, Replica};
+use crate::requests::Requests;
 use crate::revision::{Change, Entry, Revision};
-use crate::status::{Status, Waiting};
-use crate::transfer::Transfer;
+use crate::snapshot_transfer::SnapshotTransfer;
 use meadowstream_rate_limit::SlidingWindow;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
@@ -18,12 +18,12 @@
 
 pub(crate) const MILLISECOND: Nanos = 1_000_000;
 pub(crate) const SECOND: Nanos = 1_000_000_000;
-/// Members of each zone that the publisher pushes to.
+/// Members of each zone that the leader pushes to.
 const RELAYS: usize = 2;
 /// A report is told again this often, and first within a part of a second.
 const REPORT_EVERY: Nanos = 10 * SECOND;
 const REPORT_SOON: Nanos = 200 * MILLISECOND;
-/// The publisher says how fresh the log is, and asks members that lag for reports, this often.
+/// The leader says how freshness the log is, and asks members that lag for reports, this often.
 const FRESH_EVERY: Nanos = SECOND;
 const ASK_EVERY: Nanos = 200 * MILLISECOND;
 /// A control machine has nothing else to send: it may send so many times as much as a server.
@@ -79,10 +79,10 @@
 /// What a control machine has beside the rest.
 pub(crate) struct Control {
     pub(crate) replica: Replica,
-    pub(crate) status: Status,
+    pub(crate) status: ProgressTracker,
     pub(crate) requests: Requests,
-    fresh_due: Nanos,
-    ask_due: Nanos,
+    freshness_due: Nanos,
+    poll_due: Nanos,
     /// Written to disk last: the committed number, to see that it goes on.
     saved: u64,
 }
@@ -90,23 +90,23 @@
 pub struct Member {
     pub(crate) me: String,
     pub(crate) settings: Settings,
-    pub(crate) history: History,
+    pub(crate) log: CommittedLog,
     pub(crate) peers: Peers,
     pub(crate) budget: SlidingWindow,
-    pub(crate) transfer: Option<Transfer>,
+    pub(crate) transfer: Option<SnapshotTransfer>,
     pub(crate) chunk_due: Nanos,
     pub(crate) control: Option<Control>,
-    pub(crate) fresh: Fresh,
+    pub(crate) freshness: Freshness,
     /// The highest number that members told of in the first moments, and when these end.
     pub(crate) catch_up: u64,
     pub(crate) catch_up_until: Nanos,
     /// It started with a revision from its disk.
     pub(crate) from_disk: bool,
-    pub(crate) publisher: Option<String>,
-    /// The last revision put in force, the one that is being checked, and the last one refused.
-    pub(crate) in_force: u64,
+    pub(crate) leader: Option<String>,
+    /// The last revision put in force, the one that is being checked, and the last one rejected.
+    pub(crate) applied: u64,
     pub(crate) checking: Option<u64>,
-    pub(crate) refused: Option<(u64, String)>,
+    pub(crate) rejected: Option<(u64, String)>,
     pub(crate) pull_due: Nanos,
     pub(crate) report_due: Nanos,
     pub(crate) out: Vec<(String, Vec<u8>)>,
@@ -115,31 +115,31 @@
 }
 
 impl Member {
-    /// `disk` is what was written by [`Member::take_save`] or for a revision in force before a restart; `Err`
+    /// `disk` is what was written by [`Member::unsaved_state`] or for a revision in force before a restart; `Err`
     /// names a bad setting.
     pub fn new(
         me: &str,
         settings: Settings,
         seed: u64,
         now: Nanos,
-        disk: Option<Saved>,
+        disk: Option<PersistedState>,
     ) -> Result<Member, String> {
         settings.check()?;
         let is_replica = settings.replicas.iter().any(|replica| replica == me);
         let mut replica = Replica::new(me, settings.replicas.clone());
-        let mut history = History::default();
-        if let Some(Saved { promised, committed, entries }) = disk {
-            history = History::from_snapshot(committed);
+        let mut log = CommittedLog::default();
+        if let Some(PersistedState { promised, committed, entries }) = disk {
+            log = CommittedLog::from_snapshot(committed);
             replica.restore(promised, entries);
         }
-        let from_disk = history.number() > 0;
+        let from_disk = log.number() > 0;
         let control = is_replica.then(|| Control {
             replica,
-            status: Status::default(),
+            status: ProgressTracker::default(),
             requests: Requests::default(),
-            fresh_due: now,
-            ask_due: now,
-            saved: history.number(),
+            freshness_due: now,
+            poll_due: now,
+            saved: log.number(),
         });
         let rate = settings.bytes_a_second * if is_replica { CONTROL_SHARE } else { 1 };
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -147,20 +147,20 @@
         Ok(Member {
             me: me.to_string(),
             settings,
-            history,
+            log,
             peers: Peers::new(me),
             budget: SlidingWindow::new(rate, now),
             transfer: None,
             chunk_due: 0,
             control,
-            fresh: Fresh::default(),
+            freshness: Freshness::default(),
             catch_up: 0,
             catch_up_until: 0,
             from_disk,
-            publisher: None,
-            in_force: 0,
+            leader: None,
+            applied: 0,
             checking: None,
-            refused: None,
+            rejected: None,
             pull_due: now + first,
             report_due: now + REPORT_EVERY,
             out: Vec::new(),
@@ -171,23 +171,23 @@
 
     /// The last committed revision held here.
     pub fn revision(&self) -> Revision {
-        self.history.revision()
+        self.log.revision()
     }
 
-    pub fn history(&self) -> &History {
-        &self.history
+    pub fn log(&self) -> &CommittedLog {
+        &self.log
     }
 
-    pub fn in_force(&self) -> u64 {
-        self.in_force
+    pub fn applied(&self) -> u64 {
+        self.applied
     }
 
-    pub fn refused(&self) -> Option<&(u64, String)> {
-        self.refused.as_ref()
+    pub fn rejected(&self) -> Option<&(u64, String)> {
+        self.rejected.as_ref()
     }
 
-    pub fn is_publisher(&self) -> bool {
-        self.control.as_ref().is_some_and(|control| control.replica.is_publisher())
+    pub fn is_leader(&self) -> bool {
+        self.control.as_ref().is_some_and(|control| control.replica.is_leader())
     }
 
     pub fn is_replica(&self) -> bool {
@@ -195,18 +195,18 @@
     }
 
     /// Who published last, as far as it is known.
-    pub fn publisher(&self) -> Option<&str> {
-        self.publisher.as_deref()
+    pub fn leader(&self) -> Option<&str> {
+        self.leader.as_deref()
     }
 
-    /// For how long this member may have missed a revision: the time since the publisher's last word that
+    /// For how long this member may have missed a revision: the time since the leader's last word that
     /// what is held here is the newest. `None` where there was no such word.
     pub fn age(&self, now: Nanos) -> Option<Nanos> {
-        (self.fresh.at_ms > 0).then(|| now.saturating_sub(self.fresh.at_ms * MILLISECOND))
+        (self.freshness.at_ms > 0).then(|| now.saturating_sub(self.freshness.at_ms * MILLISECOND))
     }
 
-    /// What a publisher knows of the members.
-    pub fn status(&self) -> Option<&Status> {
+    /// What a leader knows of the members.
+    pub fn status(&self) -> Option<&ProgressTracker> {
         self.control.as_ref().map(|control| &control.status)
     }
 
@@ -222,9 +222,9 @@
 
     /// On a control machine: those members that do not go by the newest revision, as far as they have
     /// reported.
-    pub fn waiting(&self) -> Vec<Waiting> {
-        let number = self.history.complete().revision.at.number;
-        self.status().map_or(Vec::new(), |status| status.waiting(self.peers.others(), number))
+    pub fn lagging(&self) -> Vec<LaggingMember> {
+        let number = self.log.complete().revision.position.number;
+        self.status().map_or(Vec::new(), |status| status.lagging(self.peers.others(), number))
     }
 
     pub fn peers(&self) -> &Peers {
@@ -232,21 +232,21 @@
     }
 
     /// Pairs of a checkpoint that have come, while one is fetched.
-    pub fn transferred(&self) -> Option<usize> {
-        self.transfer.as_ref().map(Transfer::pairs)
+    pub fn transferred_pairs(&self) -> Option<usize> {
+        self.transfer.as_ref().map(SnapshotTransfer::pairs)
     }
 
     /// Whether this control machine holds the lease on publishing.
-    pub fn set_may_publish(&mut self, may: bool) {
+    pub fn set_holds_lease(&mut self, may: bool) {
         if let Some(control) = &mut self.control {
-            control.replica.set_may_publish(may);
+            control.replica.set_holds_lease(may);
         }
     }
 
-    /// Publishes a change; its number, if this one stays the publisher.
-    pub fn publish(&mut self, changes: Vec<Change>, now: Nanos) -> Result<u64, NotPublished> {
-        let control = self.control.as_mut().ok_or(NotPublished::NotPublisher)?;
-        let number = control.replica.publish(changes, now, &self.history);
+    /// Publishes a change; its number, if this one stays the leader.
+    pub fn propose(&mut self, changes: Vec<Change>, now: Nanos) -> Result<u64, ProposeError> {
+        let control = self.control.as_mut().ok_or(ProposeError::NotLeader)?;
+        let number = control.replica.propose(changes, now, &self.log);
         self.settle(now);
         number
     }
@@ -256,38 +256,38 @@
     ///
     /// A member with nothing in force that knows of newer revisions waits for them: what it held in a life
     /// before may have been newer than what comes first.
-    pub fn take_pending(&mut self) -> Option<Snapshot> {
-        let complete = self.history.complete();
-        let number = complete.revision.at.number;
-        if self.in_force == 0 && self.history.number() < self.catch_up && !self.from_disk {
+    pub fn next_to_apply(&mut self) -> Option<Snapshot> {
+        let complete = self.log.complete();
+        let number = complete.revision.position.number;
+        if self.applied == 0 && self.log.number() < self.catch_up && !self.from_disk {
             return None;
         }
-        let refused = self.refused.as_ref().map_or(0, |(number, _)| *number);
-        if self.checking.is_some() || number <= self.in_force.max(refused) {
+        let rejected = self.rejected.as_ref().map_or(0, |(number, _)| *number);
+        if self.checking.is_some() || number <= self.applied.max(rejected) {
             return None;
         }
         self.checking = Some(number);
         Some(complete.clone())
     }
 
-    /// The revision has been put in force, or refused with a reason.
+    /// The revision has been put in force, or rejected with a reason.
     pub fn settled(&mut self, number: u64, outcome: Result<(), String>, now: Nanos) {
         self.checking = None;
         match outcome {
             Ok(()) => {
-                self.in_force = self.in_force.max(number);
-                self.refused = self.refused.take().filter(|(refused, _)| *refused > number);
+                self.applied = self.applied.max(number);
+                self.rejected = self.rejected.take().filter(|(rejected, _)| *rejected > number);
             }
             Err(why) => {
                 let why = why.chars().take(REASON_MAX / 4).collect();
-                self.refused = Some((number, why));
+                self.rejected = Some((number, why));
             }
         }
         self.report_due = self.report_due.min(now + self.rng.next_u64() % REPORT_SOON);
     }
 
     fn report(&self) -> Report {
-        Report { in_force: self.in_force, held: self.history.number(), refused: self.refused.clone() }
+        Report { applied: self.applied, held: self.log.number(), rejected: self.rejected.clone() }
     }
 
     /// Does what is due; `alive` are the others that the fleet's view holds alive, in the order of names.
@@ -308,19 +308,19 @@
 
     fn advance_control(&mut self, now: Nanos) {
         let Some(control) = &mut self.control else { return };
-        control.replica.advance(now, &self.history);
-        if control.replica.is_publisher() && now >= control.fresh_due {
-            control.fresh_due = now + FRESH_EVERY;
-            self.publisher = Some(self.me.clone());
-            self.fresh = Fresh { at_ms: now / MILLISECOND, number: self.history.number() };
+        control.replica.advance(now, &self.log);
+        if control.replica.is_leader() && now >= control.freshness_due {
+            control.freshness_due = now + FRESH_EVERY;
+            self.leader = Some(self.me.clone());
+            self.freshness = Freshness { at_ms: now / MILLISECOND, number: self.log.number() };
         }
-        if control.replica.is_publisher() && now >= control.ask_due {
-            control.ask_due = now + ASK_EVERY;
+        if control.replica.is_leader() && now >= control.poll_due {
+            control.poll_due = now + ASK_EVERY;
             let peers = &self.peers;
             control.status.retain(|name| peers.is_alive(name));
-            let number = self.history.complete().revision.at.number;
-            let asked = control.status.to_ask(peers.others(), number, now);
-            asked.into_iter().for_each(|name| self.send(&name, &Message::AskReport, now));
+            let number = self.log.complete().revision.position.number;
+            let asked = control.status.to_poll(peers.others(), number, now);
+            asked.into_iter().for_each(|name| self.send(&name, &Message::PollReport, now));
         }
         self.settle(now);
     }
@@ -332,32 +332,32 @@
             due = due.min(transfer.due().max(self.chunk_due));
         }
         match &self.control {
-            Some(control) if control.replica.is_publisher() => {
-                due.min(control.replica.next_due()).min(control.fresh_due).min(control.ask_due)
+            Some(control) if control.replica.is_leader() => {
+                due.min(control.replica.next_due()).min(control.freshness_due).min(control.poll_due)
             }
             Some(control) => due.min(control.replica.next_due()),
             None => due,
         }
     }
 
-    /// Takes what the replica says is committed into the history, tells the members, and answers operators.
+    /// Takes what the replica says is committed into the log, tells the members, and answers operators.
     pub(crate) fn settle(&mut self, now: Nanos) {
         let Some(control) = &mut self.control else { return };
-        let committed = control.replica.committed(&self.history);
-        self.take_committed(now, &committed, true);
+        let committed = control.replica.committed(&self.log);
+        self.append_committed(now, &committed, true);
         self.answer_requests(now);
         self.send_replica_messages();
     }
 
     /// Committed entries of whatever source; whether any was new.
-    pub(crate) fn take_committed(&mut self, now: Nanos, entries: &[Entry], publishes: bool) -> bool {
+    pub(crate) fn append_committed(&mut self, now: Nanos, entries: &[Entry], publishes: bool) -> bool {
         let mut new: Vec<Entry> = Vec::new();
         for entry in entries {
-            match self.history.take(entry) {
-                Ok(Taken::New) => new.push(entry.clone()),
-                Ok(Taken::Known) => {}
-                Ok(Taken::Gap) => break,
-                Err(Fault::Content) => {
+            match self.log.take(entry) {
+                Ok(AppendOutcome::New) => new.push(entry.clone()),
+                Ok(AppendOutcome::Known) => {}
+                Ok(AppendOutcome::Gap) => break,
+                Err(EntryError::Content) => {
                     self.counts.mismatched += 1;
                     break;
                 }
@@ -367,33 +367,33 @@
             return false;
         }
         if let Some(control) = &mut self.control {
-            control.replica.follow(&self.history);
-            control.status.committed(self.history.complete().revision.at.number, now);
+            control.replica.follow(&self.log);
+            control.status.committed(self.log.complete().revision.position.number, now);
         }
-        if publishes && self.is_publisher() {
-            let to = self.peers.some_of_each_zone(RELAYS, &mut self.rng);
+        if publishes && self.is_leader() {
+            let to = self.peers.sample_each_zone(RELAYS, &mut self.rng);
             self.push(&to, &new, now);
         }
         true
     }
 
     fn send_report(&mut self, now: Nanos) {
-        let known = self.publisher.clone().filter(|name| self.peers.is_alive(name));
+        let known = self.leader.clone().filter(|name| self.peers.is_alive(name));
         let replicas = &self.settings.replicas;
         let any = &replicas[(self.rng.next_u64() % replicas.len() as u64) as usize];
         let to = known.unwrap_or_else(|| any.clone());
         let report = self.report();
         if to == self.me {
-            self.heard_report(&to, report);
+            self.on_report(&to, report);
         } else {
             let location = self.settings.location.clone();
             self.send(&to, &Message::Report { report, location }, now);
         }
     }
 
-    fn heard_report(&mut self, from: &str, report: Report) {
+    fn on_report(&mut self, from: &str, report: Report) {
         if let Some(control) = &mut self.control {
-            control.status.heard(from, report);
+            control.status.on_report(from, report);
         }
     }
 
@@ -423,33 +423,33 @@
     }
 
     /// What is to be on disk before a revision is in force.
-    pub fn to_save(&self, snapshot: &Snapshot) -> Saved {
+    pub fn state_to_persist(&self, snapshot: &Snapshot) -> PersistedState {
         match &self.control {
-            Some(control) => control.replica.to_save(&self.history),
-            None => Saved { committed: snapshot.clone(), ..Saved::default() },
+            Some(control) => control.replica.state_to_persist(&self.log),
+            None => PersistedState { committed: snapshot.clone(), ..PersistedState::default() },
         }
     }
 
     /// What a control machine is to write to disk now, whole or not at all, if anything.
-    pub fn take_save(&self) -> Option<Saved> {
+    pub fn unsaved_state(&self) -> Option<PersistedState> {
         let control = self.control.as_ref()?;
-        let behind = self.history.number() >= control.saved + CHECKPOINT_EVERY;
-        (control.replica.is_unsaved() || behind).then(|| control.replica.to_save(&self.history))
+        let behind = self.log.number() >= control.saved + CHECKPOINT_EVERY;
+        (control.replica.is_unsaved() || behind).then(|| control.replica.state_to_persist(&self.log))
     }
 
     /// It is on disk. Where it could not be written this is not called, and nothing that rests on it is sent.
-    pub fn saved(&mut self, saved: &Saved, now: Nanos) {
+    pub fn on_persisted(&mut self, saved: &PersistedState, now: Nanos) {
         let Some(control) = &mut self.control else { return };
-        control.saved = saved.committed.revision.at.number;
-        control.replica.saved(&self.history);
+        control.saved = saved.committed.revision.position.number;
+        control.replica.on_persisted(&self.log);
         self.settle(now);
     }
 
     /// It could not be written: nothing that rests on it goes out, and this replica stands back.
-    pub fn not_saved(&mut self) {
+    pub fn on_persist_failed(&mut self) {
         if let Some(control) = &mut self.control {
             control.replica.drop_unsent();
-            control.replica.set_may_publish(false);
+            control.replica.set_holds_lease(false);
         }
     }
 
@@ -465,51 +465,51 @@
             return;
         };
         match message {
-            Message::Have { number, fresh, location, neighbours, asks } => {
-                self.peers.note(from, &location);
-                neighbours.iter().for_each(|name| self.peers.note(name, &location));
-                self.heard_of(number, now);
-                self.heard_fresh(fresh);
-                self.answer_have(from, number, fresh, asks, now);
+            Message::Digest { number, freshness, location, neighbours, wants_reply } => {
+                self.peers.record_location(from, &location);
+                neighbours.iter().for_each(|name| self.peers.record_location(name, &location));
+                self.on_newest_number(number, now);
+                self.on_freshness(freshness);
+                self.on_digest(from, number, freshness, wants_reply, now);
             }
-            Message::Entries { entries, publisher, pushed, newest } => {
-                self.heard_of(newest, now);
-                self.heard_entries(now, from, entries, publisher, pushed);
+            Message::Entries { entries, leader, pushed, newest } => {
+                self.on_newest_number(newest, now);
+                self.on_entries(now, from, entries, leader, pushed);
             }
-            Message::Offer { checkpoint, newest } => {
-                self.heard_of(newest, now);
-                self.heard_offer(from, checkpoint, now);
+            Message::SnapshotOffer { checkpoint, newest } => {
+                self.on_newest_number(newest, now);
+                self.on_snapshot_offer(from, checkpoint, now);
             }
-            Message::Fetch { checkpoint, after } => self.answer_fetch(from, checkpoint, after, now),
-            Message::Chunk { checkpoint, after, pairs, last } => {
-                self.heard_chunk(checkpoint, &after, &pairs, last, now)
+            Message::FetchChunk { checkpoint, after } => self.on_fetch_chunk(from, checkpoint, after, now),
+            Message::SnapshotChunk { checkpoint, after, pairs, last } => {
+                self.on_snapshot_chunk(checkpoint, &after, &pairs, last, now)
             }
             Message::Report { report, location } => {
-                self.peers.note(from, &location);
-                self.heard_report(from, report);
+                self.peers.record_location(from, &location);
+                self.on_report(from, report);
             }
-            Message::AskReport => {
-                self.publisher = Some(from.to_string());
+            Message::PollReport => {
+                self.leader = Some(from.to_string());
                 self.send_report(now);
             }
             Message::Submit { .. }
             | Message::Revert { .. }
             | Message::Submitted { .. }
-            | Message::NotPublisher { .. }
-            | Message::AskStatus { .. }
-            | Message::Status { .. } => self.heard_operator(now, from, message),
-            of_replicas => self.heard_replica(now, from, of_replicas),
+            | Message::NotLeader { .. }
+            | Message::PollStatus { .. }
+            | Message::Status { .. } => self.on_operator_request(now, from, message),
+            of_replicas => self.on_replica_message(now, from, of_replicas),
         }
     }
 
-    fn heard_replica(&mut self, now: Nanos, from: &str, message: Message) {
+    fn on_replica_message(&mut self, now: Nanos, from: &str, message: Message) {
         let Some(control) = &mut self.control else { return };
         let publishes = matches!(message, Message::Append { .. });
-        let committed = control.replica.receive(now, from, message, &self.history);
+        let committed = control.replica.receive(now, from, message, &self.log);
         if publishes {
-            self.publisher = Some(from.to_string());
+            self.leader = Some(from.to_string());
         }
-        self.take_committed(now, &committed, false);
+        self.append_committed(now, &committed, false);
         self.settle(now);
     }
 }
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -14,9 +14,9 @@
 /// Longest reason of a refusal, in bytes.
 pub const REASON_MAX: usize = 200;
 
-/// At this time, in Unix milliseconds by the publisher's clock, the log ended with this number.
+/// At this time, in Unix milliseconds by the leader's clock, the log ended with this number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Fresh {
+pub struct Freshness {
     pub at_ms: u64,
     pub number: u64,
 }
@@ -28,21 +28,21 @@
     pub zone: String,
 }
 
-/// A publisher's number of a change that an operator has sent it, by who asked and its own number.
+/// A leader's number of a change that an operator has sent it, by who asked and its own number.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Ticket {
+pub struct RequestId {
     pub from: String,
     pub number: u64,
 }
 
-/// What a server goes by, as it tells the publisher.
+/// What a server goes by, as it tells the leader.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// The last revision that it put in force, and the last that it holds.
-    pub in_force: u64,
+    pub applied: u64,
     pub held: u64,
-    /// The last revision that it refused, and why.
-    pub refused: Option<(u64, String)>,
+    /// The last revision that it rejected, and why.
+    pub rejected: Option<(u64, String)>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -50,43 +50,43 @@
     /// What the sender holds. One that holds more answers with entries or an offer, one that holds less
     /// asks in turn where `asks` is set. `neighbours` are some others of the same zone, so that all find
     /// each other.
-    Have {
+    Digest {
         number: u64,
-        fresh: Fresh,
+        freshness: Freshness,
         location: Location,
         neighbours: Vec<String>,
-        asks: bool,
+        wants_reply: bool,
     },
     /// Committed entries in order, who published the last, and the newest number that the sender holds.
     /// Those that are pushed are pushed on by whoever did not know them.
     Entries {
         entries: Vec<Entry>,
-        publisher: Option<String>,
+        leader: Option<String>,
         pushed: bool,
         newest: u64,
     },
     /// The sender holds a checkpoint that the receiver needs, and goes on to a newest number.
-    Offer {
+    SnapshotOffer {
         checkpoint: Revision,
         newest: u64,
     },
     /// The pairs of a checkpoint that follow a key are wanted.
-    Fetch {
+    FetchChunk {
         checkpoint: u64,
         after: Option<Text>,
     },
-    Chunk {
+    SnapshotChunk {
         checkpoint: u64,
         after: Option<Text>,
         pairs: Vec<(Text, Text)>,
         last: bool,
     },
-    /// To the publisher, and what makes a server send it at once.
+    /// To the leader, and what makes a server send it at once.
     Report {
         report: Report,
         location: Location,
     },
-    AskReport,
+    PollReport,
     /// Between replicas: a candidate asks for promises, and for the log after a number.
     Prepare {
         epoch: u64,
@@ -100,57 +100,57 @@
         entries: Vec<Entry>,
     },
     /// The replica has promised a later epoch, or its log does not reach so far back.
-    Refuse {
+    EpochRejected {
         promised: u64,
     },
-    /// The publisher's entries after `previous`, and how far its log is committed.
+    /// The leader's entries after `previous`, and how far its log is committed.
     Append {
         epoch: u64,
         previous: Position,
         entries: Vec<Entry>,
         committed: u64,
     },
-    /// The replica's log agrees with the publisher's up to a number.
+    /// The replica's log agrees with the leader's up to a number.
     Appended {
         epoch: u64,
         number: u64,
     },
     /// It does not have `previous`; its log may agree up to this number.
-    Missing {
+    AppendRejected {
         epoch: u64,
         agrees: u64,
     },
-    /// An operator's change in parts, to the publisher: part so-and-so of so many.
+    /// An operator's change in parts, to the leader: part so-and-so of so many.
     Submit {
-        ticket: Ticket,
+        request: RequestId,
         part: u32,
         parts: u32,
         changes: Vec<Change>,
     },
     /// The change that stands at a number is to be taken back.
     Revert {
-        ticket: Ticket,
+        request: RequestId,
         number: u64,
     },
-    /// What became of it: committed at a number, or refused.
+    /// What became of it: committed at a number, or rejected.
     Submitted {
-        ticket: Ticket,
+        request: RequestId,
         outcome: Result<u64, String>,
     },
-    /// This replica is not the publisher; who is, as far as it knows.
-    NotPublisher {
-        ticket: Ticket,
-        publisher: Option<String>,
+    /// This replica is not the leader; who is, as far as it knows.
+    NotLeader {
+        request: RequestId,
+        leader: Option<String>,
     },
-    /// An operator asks who goes by what; the publisher answers with counts and some who do not.
-    AskStatus {
-        ticket: Ticket,
+    /// An operator asks who goes by what; the leader answers with counts and some who do not.
+    PollStatus {
+        request: RequestId,
     },
     Status {
-        ticket: Ticket,
+        request: RequestId,
         number: u64,
         members: u32,
-        in_force: u32,
+        applied: u32,
         waiting: Vec<(String, u64, String)>,
     },
 }
@@ -172,16 +172,16 @@
     fn is_within_bounds(&self) -> bool {
         let short = |text: &str| text.len() <= NAME_MAX;
         match self {
-            Message::Have { location, neighbours, .. } => {
+            Message::Digest { location, neighbours, .. } => {
                 let named = neighbours.len() <= NEIGHBOURS_MAX && neighbours.iter().all(|name| short(name));
                 named && short(&location.region) && short(&location.zone)
             }
             Message::Report { report, .. } => {
-                report.refused.as_ref().is_none_or(|(_, why)| why.len() <= REASON_MAX)
+                report.rejected.as_ref().is_none_or(|(_, why)| why.len() <= REASON_MAX)
             }
-            Message::Entries { publisher, .. } => publisher.as_deref().is_none_or(short),
-            Message::Submit { ticket, changes, .. } => {
-                short(&ticket.from) && changes.iter().all(|change| change.fault().is_none())
+            Message::Entries { leader, .. } => leader.as_deref().is_none_or(short),
+            Message::Submit { request, changes, .. } => {
+                short(&request.from) && changes.iter().all(|change| change.fault().is_none())
             }
             _ => true,
         }
--- a/crates/replication/src/peers.rs
+++ b/crates/replication/src/peers.rs
@@ -61,7 +61,7 @@
     }
 
     /// A member stands there, as it or a neighbour of it says.
-    pub fn note(&mut self, name: &str, location: &Location) {
+    pub fn record_location(&mut self, name: &str, location: &Location) {
         if name == self.me || !self.is_alive(name) || self.known.get(name) == Some(location) {
             return;
         }
@@ -82,7 +82,7 @@
     /// So many different ones of the living in a zone, as far as they are known there. A few draws more
     /// than are wanted are made, so that the time does not grow with the zone; where many have died fewer
     /// are found.
-    pub fn some_of(&self, zone: &Location, count: usize, rng: &mut ChaCha8Rng) -> Vec<String> {
+    pub fn sample_zone(&self, zone: &Location, count: usize, rng: &mut ChaCha8Rng) -> Vec<String> {
         let Some(members) = self.zones.get(zone) else { return Vec::new() };
         let mut some: Vec<String> = Vec::new();
         for _ in 0..DRAWS * count {
@@ -98,13 +98,13 @@
     }
 
     /// One of all the living; none where this one itself was drawn.
-    pub fn any(&self, rng: &mut ChaCha8Rng) -> Option<String> {
+    pub fn sample_any(&self, rng: &mut ChaCha8Rng) -> Option<String> {
         pick(&self.alive, rng).filter(|name| **name != self.me).cloned()
     }
 
     /// So many of each zone that is known.
-    pub fn some_of_each_zone(&self, each: usize, rng: &mut ChaCha8Rng) -> Vec<String> {
-        self.zones.keys().flat_map(|zone| self.some_of(zone, each, rng)).collect()
+    pub fn sample_each_zone(&self, each: usize, rng: &mut ChaCha8Rng) -> Vec<String> {
+        self.zones.keys().flat_map(|zone| self.sample_zone(zone, each, rng)).collect()
     }
 }
 
--- a/crates/replication/src/store.rs
+++ b/crates/replication/src/persistence.rs
@@ -1,7 +1,7 @@
 //! What is written to disk: a head with version, length and checksum, and the encoded state. A file that is
 //! cut short, of another version or changed anywhere is told from a good one.
 
-use crate::replica::Saved;
+use crate::replica::PersistedState;
 use sha2::{Digest, Sha256};
 
 const MAGIC: [u8; 8] = *b"MSREPL\0\x01";
@@ -11,7 +11,7 @@
 
 /// Why a file cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum DecodeError {
     /// Not a file of ours, or of a version that this build does not know.
     Version,
     /// Shorter or longer than its head says.
@@ -21,18 +21,18 @@
     Content,
 }
 
-impl std::fmt::Display for Fault {
+impl std::fmt::Display for DecodeError {
     fn fmt(&self, to: &mut std::fmt::Formatter) -> std::fmt::Result {
         to.write_str(match self {
-            Fault::Version => "no file of this version",
-            Fault::Length => "cut short or with bytes left over",
-            Fault::Checksum => "its checksum is wrong",
-            Fault::Content => "its content is not what its hash says",
+            DecodeError::Version => "no file of this version",
+            DecodeError::Length => "cut short or with bytes left over",
+            DecodeError::Checksum => "its checksum is wrong",
+            DecodeError::Content => "its content is not what its hash says",
         })
     }
 }
 
-pub fn encode(saved: &Saved) -> Vec<u8> {
+pub fn encode(saved: &PersistedState) -> Vec<u8> {
     let body = postcard::to_allocvec(saved).expect("no part of it refuses");
     let mut bytes = Vec::with_capacity(HEAD + body.len());
     bytes.extend_from_slice(&MAGIC);
@@ -42,23 +42,23 @@
     bytes
 }
 
-pub fn decode(bytes: &[u8]) -> Result<Saved, Fault> {
+pub fn decode(bytes: &[u8]) -> Result<PersistedState, DecodeError> {
     if bytes.len() < HEAD {
-        return Err(if bytes.starts_with(&MAGIC) { Fault::Length } else { Fault::Version });
+        return Err(if bytes.starts_with(&MAGIC) { DecodeError::Length } else { DecodeError::Version });
     }
     let (head, body) = bytes.split_at(HEAD);
     if head[..MAGIC.len()] != MAGIC {
-        return Err(Fault::Version);
+        return Err(DecodeError::Version);
     }
     let length = u64::from_le_bytes(head[MAGIC.len()..MAGIC.len() + LENGTH].try_into().expect("8 bytes"));
     if length != body.len() as u64 {
-        return Err(Fault::Length);
+        return Err(DecodeError::Length);
     }
     if head[MAGIC.len() + LENGTH..] != Sha256::digest(body)[..] {
-        return Err(Fault::Checksum);
+        return Err(DecodeError::Checksum);
     }
-    let saved: Saved = postcard::from_bytes(body).map_err(|_| Fault::Content)?;
+    let saved: PersistedState = postcard::from_bytes(body).map_err(|_| DecodeError::Content)?;
     let committed = &saved.committed;
     let good = committed.state.hash() == committed.revision.hash;
-    good.then_some(saved).ok_or(Fault::Content)
+    good.then_some(saved).ok_or(DecodeError::Content)
 }
--- a/crates/replication/src/status.rs
+++ b/crates/replication/src/progress.rs
@@ -1,4 +1,4 @@
-//! Who goes by which revision, as members report it to a replica, and whom the publisher still waits for. A
+//! Who goes by which revision, as members report it to a replica, and whom the leader still waits for. A
 //! member of the fleet that has not reported is asked; one that does not answer takes no part: a server of an
 //! older release, or an operator's command.
 
@@ -35,7 +35,7 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Status {
+pub struct ProgressTracker {
     members: BTreeMap<String, Known>,
     /// When each of the last revisions was committed.
     committed: BTreeMap<u64, Nanos>,
@@ -43,20 +43,20 @@
 
 /// One that does not go by the newest revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Waiting {
+pub struct LaggingMember {
     pub name: String,
     /// What it goes by; `None` where it has not reported yet.
-    pub in_force: Option<u64>,
+    pub applied: Option<u64>,
     /// Since when the oldest revision that it lacks has been committed here.
     pub since: Nanos,
-    pub refused: Option<(u64, String)>,
+    pub rejected: Option<(u64, String)>,
 }
 
 /// Revisions whose time is remembered.
 const TIMES_KEPT: usize = 1024;
 
-impl Status {
-    pub fn heard(&mut self, name: &str, report: Report) {
+impl ProgressTracker {
+    pub fn on_report(&mut self, name: &str, report: Report) {
         let known = self.members.entry(name.to_string()).or_default();
         (known.report, known.unanswered) = (Some(report), 0);
     }
@@ -83,27 +83,27 @@
     }
 
     /// Those of the living that take part and do not go by `number`.
-    pub fn waiting<'a>(&self, alive: impl Iterator<Item = &'a String>, number: u64) -> Vec<Waiting> {
+    pub fn lagging<'a>(&self, alive: impl Iterator<Item = &'a String>, number: u64) -> Vec<LaggingMember> {
         alive.filter(|name| self.takes_part(name)).filter_map(|name| self.lacks(name, number)).collect()
     }
 
-    fn lacks(&self, name: &str, number: u64) -> Option<Waiting> {
+    fn lacks(&self, name: &str, number: u64) -> Option<LaggingMember> {
         let report = self.members.get(name).and_then(|known| known.report.as_ref());
-        let in_force = report.map(|report| report.in_force);
-        if in_force.is_some_and(|in_force| in_force >= number) {
+        let applied = report.map(|report| report.applied);
+        if applied.is_some_and(|applied| applied >= number) {
             return None;
         }
-        let first = self.committed.range(in_force.unwrap_or(0) + 1..).next();
-        Some(Waiting {
+        let first = self.committed.range(applied.unwrap_or(0) + 1..).next();
+        Some(LaggingMember {
             name: name.to_string(),
-            in_force,
+            applied,
             since: first.map_or(0, |(_, at)| *at),
-            refused: report.and_then(|report| report.refused.clone()),
+            rejected: report.and_then(|report| report.rejected.clone()),
         })
     }
 
     /// Those to be asked for a report now.
-    pub fn to_ask<'a>(
+    pub fn to_poll<'a>(
         &mut self,
         alive: impl Iterator<Item = &'a String>,
         number: u64,
--- a/crates/replication/src/revision.rs
+++ b/crates/replication/src/revision.rs
@@ -9,7 +9,7 @@
 /// entries, of which all but the last are partial.
 pub const ENTRY_MAX: usize = 900;
 
-/// A position in the log. Numbers rise by one; the epoch is that of the publisher that made the entry.
+/// A position in the log. Numbers rise by one; the epoch is that of the leader that made the entry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Position {
     pub epoch: u64,
@@ -19,7 +19,7 @@
 /// A position and the content there.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Revision {
-    pub at: Position,
+    pub position: Position,
     pub hash: ContentHash,
 }
 
--- a/crates/replication/src/sim.rs
+++ b/crates/replication/src/simulation.rs
@@ -4,10 +4,10 @@
 //! revision. The fleet's view and the lease are played ideally, with a lag. For tests and figures; no I/O.
 
 use crate::Nanos;
-use crate::history::Snapshot;
+use crate::committed_log::Snapshot;
 use crate::member::{Member, Settings};
 use crate::message::Location;
-use crate::replica::Saved;
+use crate::replica::PersistedState;
 use crate::state::ContentHash;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
@@ -43,7 +43,7 @@
     life: u64,
     disk: Option<Disk>,
     disk_full: bool,
-    /// Keys beginning so are refused, as by a server that does not know an element.
+    /// Keys beginning so are rejected, as by a server that does not know an element.
     refuses: Option<String>,
     /// The last revision ever in force, over all lives.
     highest: u64,
@@ -51,15 +51,15 @@
 
 /// What is on a disk: whole, which costs nothing to keep, or the bytes of a file that was spoilt.
 enum Disk {
-    Whole(Saved),
+    Whole(PersistedState),
     Spoilt(Vec<u8>),
 }
 
 impl Disk {
-    fn read(&self) -> Option<Saved> {
+    fn read(&self) -> Option<PersistedState> {
         match self {
             Disk::Whole(saved) => Some(saved.clone()),
-            Disk::Spoilt(bytes) => crate::store::decode(bytes).ok(),
+            Disk::Spoilt(bytes) => crate::persistence::decode(bytes).ok(),
         }
     }
 }
@@ -116,7 +116,7 @@
     /// Contents by number, of all that were ever in force.
     contents: BTreeMap<u64, ContentHash>,
     /// When each number came in force on each node for the first time.
-    pub in_force: Vec<(Nanos, usize, u64)>,
+    pub applied: Vec<(Nanos, usize, u64)>,
     pub sent_bytes: u64,
     pub messages: u64,
 }
@@ -142,7 +142,7 @@
             rng: ChaCha8Rng::seed_from_u64(seed),
             lease_by_hand: false,
             contents: BTreeMap::new(),
-            in_force: Vec::new(),
+            applied: Vec::new(),
             sent_bytes: 0,
             messages: 0,
             layout,
@@ -194,7 +194,7 @@
     /// What is on a node's disk is lost, or cut to a part of its length.
     pub fn spoil_disk(&mut self, node: usize, part: f64) {
         let Some(saved) = self.nodes[node].disk.as_ref().and_then(Disk::read) else { return };
-        let mut bytes = crate::store::encode(&saved);
+        let mut bytes = crate::persistence::encode(&saved);
         bytes.truncate((bytes.len() as f64 * part) as usize);
         self.nodes[node].disk = Some(Disk::Spoilt(bytes));
     }
@@ -208,7 +208,7 @@
     }
 
     /// A server refuses keys that begin so.
-    pub fn set_refuses(&mut self, node: usize, prefix: Option<&str>) {
+    pub fn set_rejects(&mut self, node: usize, prefix: Option<&str>) {
         self.nodes[node].refuses = prefix.map(str::to_string);
     }
 
@@ -226,26 +226,26 @@
         self.view_changes();
     }
 
-    pub fn set_may_publish(&mut self, node: usize, may: bool) {
+    pub fn set_holds_lease(&mut self, node: usize, may: bool) {
         if let Some(member) = &mut self.nodes[node].member {
-            member.set_may_publish(may);
+            member.set_holds_lease(may);
         }
         self.after(node);
     }
 
-    pub fn publisher(&self) -> Option<usize> {
-        (0..self.layout.replicas).find(|node| self.member(*node).is_some_and(Member::is_publisher))
+    pub fn leader(&self) -> Option<usize> {
+        (0..self.layout.replicas).find(|node| self.member(*node).is_some_and(Member::is_leader))
     }
 
-    /// Publishes through whoever is the publisher now.
-    pub fn publish(&mut self, changes: Vec<crate::revision::Change>) -> Option<u64> {
-        let node = self.publisher()?;
-        self.publish_at(node, changes)
+    /// Publishes through whoever is the leader now.
+    pub fn propose(&mut self, changes: Vec<crate::revision::Change>) -> Option<u64> {
+        let node = self.leader()?;
+        self.propose_at(node, changes)
     }
 
-    pub fn publish_at(&mut self, node: usize, changes: Vec<crate::revision::Change>) -> Option<u64> {
+    pub fn propose_at(&mut self, node: usize, changes: Vec<crate::revision::Change>) -> Option<u64> {
         let now = self.now;
-        let number = self.nodes[node].member.as_mut()?.publish(changes, now).ok();
+        let number = self.nodes[node].member.as_mut()?.propose(changes, now).ok();
         self.after(node);
         number
     }
@@ -288,7 +288,7 @@
         let can = |replica: &usize| !self.nodes[*replica].disk_full && has_majority(replica);
         let holder = living.iter().copied().find(can);
         for replica in living {
-            self.set_may_publish(replica, Some(replica) == holder);
+            self.set_holds_lease(replica, Some(replica) == holder);
         }
     }
 
@@ -301,15 +301,15 @@
         let now = self.now;
         let slot = &mut self.nodes[node];
         let Some(member) = &mut slot.member else { return };
-        while let Some(saved) = member.take_save() {
+        while let Some(saved) = member.unsaved_state() {
             if slot.disk_full {
-                member.not_saved();
+                member.on_persist_failed();
                 break;
             }
-            member.saved(&saved, now);
+            member.on_persisted(&saved, now);
             slot.disk = Some(Disk::Whole(saved));
         }
-        let pending = member.take_pending();
+        let pending = member.next_to_apply();
         let (outgoing, due, life) = (member.outgoing(), member.next_due().max(now + MILLISECOND), slot.life);
         if let Some(snapshot) = pending {
             self.schedule(self.layout.apply, Event::Applied { node, life, snapshot: Box::new(snapshot) });
@@ -397,12 +397,12 @@
         let now = self.now;
         let slot = &mut self.nodes[node];
         let Some(member) = &mut slot.member else { return };
-        let number = snapshot.revision.at.number;
-        let refused = slot.refuses.as_ref().and_then(|prefix| {
+        let number = snapshot.revision.position.number;
+        let rejected = slot.refuses.as_ref().and_then(|prefix| {
             let (key, _) = snapshot.state.iter().find(|(key, _)| key.starts_with(prefix.as_str()))?;
             Some(format!("unknown element {key:?}"))
         });
-        let outcome = match refused {
+        let outcome = match rejected {
             Some(why) => Err(why),
             None if slot.disk_full => Err("the disk is full".to_string()),
             None => Ok(()),
@@ -410,11 +410,11 @@
         if outcome.is_ok() {
             assert!(number >= slot.highest, "s{node} went back from {} to {number}", slot.highest);
             let is_new = std::mem::replace(&mut slot.highest, number) < number;
-            slot.disk = Some(Disk::Whole(member.to_save(&snapshot)));
+            slot.disk = Some(Disk::Whole(member.state_to_persist(&snapshot)));
             let content = *self.contents.entry(number).or_insert(snapshot.revision.hash);
             assert_eq!(content, snapshot.revision.hash, "two contents under number {number}");
             if is_new {
-                self.in_force.push((now, node, number));
+                self.applied.push((now, node, number));
             }
         }
         member.settled(number, outcome, now);
@@ -422,7 +422,7 @@
     }
 
     /// Whether every running node of these goes by `number` at least.
-    pub fn all_go_by(&self, nodes: &[usize], number: u64) -> bool {
-        nodes.iter().filter_map(|node| self.member(*node)).all(|member| member.in_force() >= number)
+    pub fn all_applied(&self, nodes: &[usize], number: u64) -> bool {
+        nodes.iter().filter_map(|node| self.member(*node)).all(|member| member.applied() >= number)
     }
 }
--- a/crates/replication/src/checkpoints.rs
+++ b/crates/replication/src/snapshot_fetch.rs
@@ -2,12 +2,12 @@
 //! budget from whoever holds them.
 
 use crate::Nanos;
-use crate::history::{CHECKPOINT_EVERY, History};
+use crate::committed_log::{CHECKPOINT_EVERY, CommittedLog};
 use crate::member::{MILLISECOND, Member};
 use crate::message::{BODY_MAX, Message};
 use crate::revision::Revision;
+use crate::snapshot_transfer::{ChunkOutcome, SnapshotTransfer};
 use crate::state::{KEY_MAX, Text};
-use crate::transfer::{Step, Transfer};
 
 /// Without room in the budget a chunk is asked for again this much later.
 const CHUNK_PAUSE: Nanos = 100 * MILLISECOND;
@@ -27,37 +27,38 @@
         let known = transfer.source().cloned().filter(|name| self.peers.is_alive(name));
         let Some(of) = known.or_else(|| self.neighbour()) else { return };
         let Some(transfer) = &mut self.transfer else { return };
-        let checkpoint = transfer.target().at.number;
+        let checkpoint = transfer.target().position.number;
         let after = transfer.ask(&of, now);
-        self.send(&of, &Message::Fetch { checkpoint, after }, now);
+        self.send(&of, &Message::FetchChunk { checkpoint, after }, now);
     }
 
-    pub(crate) fn heard_offer(&mut self, from: &str, checkpoint: Revision, now: Nanos) {
-        let number = checkpoint.at.number;
+    pub(crate) fn on_snapshot_offer(&mut self, from: &str, checkpoint: Revision, now: Nanos) {
+        let number = checkpoint.position.number;
         // One under way goes on unless it has become far older than what is offered.
-        let far = |under_way: &Transfer| under_way.target().at.number + CHECKPOINT_EVERY < number;
-        if number > self.history.number() && self.transfer.as_ref().is_none_or(far) {
+        let far =
+            |under_way: &SnapshotTransfer| under_way.target().position.number + CHECKPOINT_EVERY < number;
+        if number > self.log.number() && self.transfer.as_ref().is_none_or(far) {
             self.counts.transfers += 1;
-            self.transfer = Some(Transfer::new(checkpoint, from));
+            self.transfer = Some(SnapshotTransfer::new(checkpoint, from));
             self.fetch(now);
         }
     }
 
-    pub(crate) fn answer_fetch(&mut self, from: &str, number: u64, after: Option<Text>, now: Nanos) {
-        let Some(checkpoint) = self.history.snapshot(number) else {
-            if let Some(newest) = self.history.to_offer().filter(|one| one.revision.at.number > number) {
-                let offer = Message::Offer { checkpoint: newest.revision, newest: self.history.number() };
+    pub(crate) fn on_fetch_chunk(&mut self, from: &str, number: u64, after: Option<Text>, now: Nanos) {
+        let Some(checkpoint) = self.log.snapshot(number) else {
+            if let Some(newest) = self.log.to_offer().filter(|one| one.revision.position.number > number) {
+                let offer = Message::SnapshotOffer { checkpoint: newest.revision, newest: self.log.number() };
                 self.send(from, &offer, now);
             }
             return;
         };
         // The head of the message has a key of its own.
         let (pairs, last) = checkpoint.state.chunk(after.as_ref(), BODY_MAX - 2 * KEY_MAX);
-        let chunk = Message::Chunk { checkpoint: number, after, pairs, last };
+        let chunk = Message::SnapshotChunk { checkpoint: number, after, pairs, last };
         self.send(from, &chunk, now);
     }
 
-    pub(crate) fn heard_chunk(
+    pub(crate) fn on_snapshot_chunk(
         &mut self,
         checkpoint: u64,
         after: &Option<Text>,
@@ -67,18 +68,18 @@
     ) {
         let Some(transfer) = &mut self.transfer else { return };
         match transfer.take(checkpoint, after, pairs, last) {
-            Step::Ignored => {}
-            Step::Next => self.fetch(now),
-            Step::Bad => {
+            ChunkOutcome::Ignored => {}
+            ChunkOutcome::Continue => self.fetch(now),
+            ChunkOutcome::Invalid => {
                 self.counts.mismatched += 1;
                 self.transfer = None;
             }
-            Step::Done(snapshot) => {
+            ChunkOutcome::Complete(snapshot) => {
                 self.transfer = None;
-                if snapshot.revision.at.number > self.history.number() {
-                    self.history = History::from_snapshot(snapshot);
+                if snapshot.revision.position.number > self.log.number() {
+                    self.log = CommittedLog::from_snapshot(snapshot);
                     if let Some(control) = &mut self.control {
-                        control.replica.follow(&self.history);
+                        control.replica.follow(&self.log);
                     }
                     self.pull(now);
                 }
--- a/crates/replication/src/transfer.rs
+++ b/crates/replication/src/snapshot_transfer.rs
@@ -2,7 +2,7 @@
 //! order of keys, from whoever holds it, at a pace of its own.
 
 use crate::Nanos;
-use crate::history::Snapshot;
+use crate::committed_log::Snapshot;
 use crate::revision::Revision;
 use crate::state::{KEY_MAX, KEYS_MAX, State, Text, VALUE_MAX};
 
@@ -13,7 +13,7 @@
 const TRIES_MAX: u32 = 16;
 
 #[derive(Debug)]
-pub struct Transfer {
+pub struct SnapshotTransfer {
     target: Revision,
     /// Who offered it, while it answers; and questions without an answer since the last chunk.
     source: Option<String>,
@@ -26,19 +26,19 @@
 
 /// What a chunk did to a transfer.
 #[derive(Debug, PartialEq)]
-pub enum Step {
+pub enum ChunkOutcome {
     /// Not the one that was asked for.
     Ignored,
-    Next,
-    Done(Snapshot),
+    Continue,
+    Complete(Snapshot),
     /// All came, and it is not what was promised; or it breaks a bound.
-    Bad,
+    Invalid,
 }
 
-impl Transfer {
-    pub fn new(target: Revision, source: &str) -> Transfer {
+impl SnapshotTransfer {
+    pub fn new(target: Revision, source: &str) -> SnapshotTransfer {
         let source = Some(source.to_string());
-        Transfer { target, source, tries: 0, state: State::default(), after: None, asked: None }
+        SnapshotTransfer { target, source, tries: 0, state: State::default(), after: None, asked: None }
     }
 
     pub fn target(&self) -> Revision {
@@ -85,14 +85,14 @@
         after: &Option<Text>,
         pairs: &[(Text, Text)],
         last: bool,
-    ) -> Step {
-        if checkpoint != self.target.at.number || *after != self.after {
-            return Step::Ignored;
+    ) -> ChunkOutcome {
+        if checkpoint != self.target.position.number || *after != self.after {
+            return ChunkOutcome::Ignored;
         }
         for (key, value) in pairs {
             let rises = self.after.as_ref().is_none_or(|before| before < key);
             if !rises || key.len() > KEY_MAX || value.len() > VALUE_MAX || self.state.len() >= KEYS_MAX {
-                return Step::Bad;
+                return ChunkOutcome::Invalid;
             }
             self.state.set(key, value);
             self.after = Some(key.clone());
@@ -102,13 +102,13 @@
         self.source = self.asked.take().map(|(of, _)| of);
         self.tries = 0;
         match last {
-            false if pairs.is_empty() => Step::Bad,
-            false => Step::Next,
+            false if pairs.is_empty() => ChunkOutcome::Invalid,
+            false => ChunkOutcome::Continue,
             true if self.state.hash() == self.target.hash => {
                 let state = std::mem::take(&mut self.state);
-                Step::Done(Snapshot { revision: self.target, state })
+                ChunkOutcome::Complete(Snapshot { revision: self.target, state })
             }
-            true => Step::Bad,
+            true => ChunkOutcome::Invalid,
         }
     }
 }
--- a/crates/replication/tests/fixed_bytes.rs
+++ b/crates/replication/tests/fixed_bytes.rs
@@ -1,12 +1,12 @@
 //! Messages and stored files have the bytes that release 0.2.0 (commit 22d0bb6) wrote, and are read back to
 //! the same. A server's last good revision and a replica's checkpoint are files of one form.
 
-use meadowstream_replication::history::Snapshot;
-use meadowstream_replication::message::{Fresh, Location, Message, Report, Ticket};
-use meadowstream_replication::replica::Saved;
+use meadowstream_replication::committed_log::Snapshot;
+use meadowstream_replication::message::{Freshness, Location, Message, Report, RequestId};
+use meadowstream_replication::persistence;
+use meadowstream_replication::replica::PersistedState;
 use meadowstream_replication::revision::{Change, Entry, Position, Revision};
 use meadowstream_replication::state::State;
-use meadowstream_replication::store;
 use meadowstream_wire_fixtures::Fixtures;
 
 const AT: Position = Position { epoch: 3, number: 300 };
@@ -24,17 +24,17 @@
 }
 
 fn revision() -> Revision {
-    Revision { at: AT, hash: state().hash() }
+    Revision { position: AT, hash: state().hash() }
 }
 
 fn entry(number: u64, partial: bool) -> Entry {
     let changes = vec![Change::set("tenants/tenant/a", "3"), Change::remove("tenants/tenant/b")];
-    let revision = Revision { at: Position { epoch: 4, number }, hash: state().hash() };
+    let revision = Revision { position: Position { epoch: 4, number }, hash: state().hash() };
     Entry { revision, changes, partial }
 }
 
-fn ticket() -> Ticket {
-    Ticket { from: "publish-00c0ffee".into(), number: 2 }
+fn request() -> RequestId {
+    RequestId { from: "publish-00c0ffee".into(), number: 2 }
 }
 
 fn location() -> Location {
@@ -46,14 +46,14 @@
     let pairs = vec![("control/reference".into(), "0.85".into()), ("tenants/tenant/a".into(), "3".into())];
     let after = Some("control/reference".into());
     let refused = Some((299, "tenants/tenant/: the options name no <tenants>".to_string()));
-    let report = Report { in_force: 298, held: 300, refused };
+    let report = Report { applied: 298, held: 300, rejected: refused };
     let neighbours = vec!["s1".to_string(), "s2".to_string()];
-    let have = |asks, neighbours| Message::Have {
+    let have = |wants_reply, neighbours| Message::Digest {
         number: 300,
-        fresh: Fresh { at_ms: 1_700_000_000_000, number: 300 },
+        freshness: Freshness { at_ms: 1_700_000_000_000, number: 300 },
         location: location(),
         neighbours,
-        asks,
+        wants_reply,
     };
     vec![
         ("have", have(true, neighbours)),
@@ -62,57 +62,61 @@
             "entries",
             Message::Entries {
                 entries: entries.clone(),
-                publisher: Some("c0".into()),
+                leader: Some("c0".into()),
                 pushed: true,
                 newest: 302,
             },
         ),
-        ("offer", Message::Offer { checkpoint: revision(), newest: 302 }),
-        ("fetch", Message::Fetch { checkpoint: 300, after: after.clone() }),
-        ("fetch-first", Message::Fetch { checkpoint: 300, after: None }),
-        ("chunk", Message::Chunk { checkpoint: 300, after, pairs, last: true }),
+        ("offer", Message::SnapshotOffer { checkpoint: revision(), newest: 302 }),
+        ("fetch", Message::FetchChunk { checkpoint: 300, after: after.clone() }),
+        ("fetch-first", Message::FetchChunk { checkpoint: 300, after: None }),
+        ("chunk", Message::SnapshotChunk { checkpoint: 300, after, pairs, last: true }),
         ("report", Message::Report { report, location: location() }),
-        ("ask-report", Message::AskReport),
+        ("ask-report", Message::PollReport),
         ("prepare", Message::Prepare { epoch: 5, after: 300 }),
         ("promise", Message::Promise { epoch: 5, last: AT, after: 299, entries: entries.clone() }),
-        ("refuse", Message::Refuse { promised: 6 }),
+        ("refuse", Message::EpochRejected { promised: 6 }),
         ("append", Message::Append { epoch: 5, previous: AT, entries, committed: 299 }),
         ("appended", Message::Appended { epoch: 5, number: 301 }),
-        ("missing", Message::Missing { epoch: 5, agrees: 298 }),
+        ("missing", Message::AppendRejected { epoch: 5, agrees: 298 }),
         (
             "submit",
             Message::Submit {
-                ticket: ticket(),
+                request: request(),
                 part: 1,
                 parts: 2,
                 changes: vec![Change::set("tenants/tenant/a", "3")],
             },
         ),
-        ("revert", Message::Revert { ticket: ticket(), number: 299 }),
-        ("submitted", Message::Submitted { ticket: ticket(), outcome: Ok(303) }),
-        ("submitted-refused", Message::Submitted { ticket: ticket(), outcome: Err("no".into()) }),
-        ("not-publisher", Message::NotPublisher { ticket: ticket(), publisher: Some("c1".into()) }),
-        ("ask-status", Message::AskStatus { ticket: ticket() }),
+        ("revert", Message::Revert { request: request(), number: 299 }),
+        ("submitted", Message::Submitted { request: request(), outcome: Ok(303) }),
+        ("submitted-refused", Message::Submitted { request: request(), outcome: Err("no".into()) }),
+        ("not-publisher", Message::NotLeader { request: request(), leader: Some("c1".into()) }),
+        ("ask-status", Message::PollStatus { request: request() }),
         (
             "status",
             Message::Status {
-                ticket: ticket(),
+                request: request(),
                 number: 303,
                 members: 40,
-                in_force: 38,
+                applied: 38,
                 waiting: vec![("s9".into(), 298, "refused".into())],
             },
         ),
     ]
 }
 
-fn saved() -> Saved {
+fn saved() -> PersistedState {
     let committed = Snapshot { revision: revision(), state: state() };
-    Saved { promised: 5, committed, entries: vec![entry(301, true), entry(302, false)] }
+    PersistedState { promised: 5, committed, entries: vec![entry(301, true), entry(302, false)] }
 }
 
-fn last_good() -> Saved {
-    Saved { promised: 0, committed: Snapshot { revision: revision(), state: state() }, entries: Vec::new() }
+fn last_good() -> PersistedState {
+    PersistedState {
+        promised: 0,
+        committed: Snapshot { revision: revision(), state: state() },
+        entries: Vec::new(),
+    }
 }
 
 fn load(name: &str) -> Fixtures {
@@ -137,13 +141,13 @@
 
 #[test]
 fn files_have_the_bytes_of_release_0_2_and_are_read_back() {
-    let files = [("checkpoint", saved()), ("last-good", last_good()), ("empty", Saved::default())];
+    let files = [("checkpoint", saved()), ("last-good", last_good()), ("empty", PersistedState::default())];
     let fixtures = load("files");
-    fixtures.verify(&files.iter().map(|(name, one)| (*name, store::encode(one))).collect::<Vec<_>>());
+    fixtures.verify(&files.iter().map(|(name, one)| (*name, persistence::encode(one))).collect::<Vec<_>>());
     for (name, saved) in &files {
-        let read = store::decode(fixtures.bytes(name)).unwrap();
+        let read = persistence::decode(fixtures.bytes(name)).unwrap();
         assert_eq!(read, *saved, "{name}");
-        assert_eq!(store::encode(&read), fixtures.bytes(name), "{name}");
+        assert_eq!(persistence::encode(&read), fixtures.bytes(name), "{name}");
     }
 }
 
--- a/crates/replication/tests/fleet.rs
+++ b/crates/replication/tests/fleet.rs
@@ -4,7 +4,7 @@
 use meadowstream_replication::member::Member;
 use meadowstream_replication::message::{Location, Message};
 use meadowstream_replication::revision::{Change, Entry, Position, Revision};
-use meadowstream_replication::sim::{Fleet, Layout, name};
+use meadowstream_replication::simulation::{Fleet, Layout, name};
 use meadowstream_replication::state::State;
 use proptest::prelude::*;
 
@@ -36,11 +36,11 @@
     }
 }
 
-/// Settled: there is a publisher, and members know where the others stand.
+/// Settled: there is a leader, and members know where the others stand.
 fn settled(layout: Layout, seed: u64) -> Fleet {
     let mut fleet = Fleet::started(layout, seed);
     fleet.run_for(15 * S);
-    assert!(fleet.publisher().is_some());
+    assert!(fleet.leader().is_some());
     fleet
 }
 
@@ -58,30 +58,30 @@
 
 /// Seconds until all these go by it.
 fn until_all(fleet: &mut Fleet, nodes: &[usize], number: u64, limit: u64) -> f64 {
-    let took = fleet.run_until_true(limit * S, |fleet| fleet.all_go_by(nodes, number));
-    let lacking = |node: &&usize| fleet.member(**node).is_some_and(|member| member.in_force() < number);
+    let took = fleet.run_until_true(limit * S, |fleet| fleet.all_applied(nodes, number));
+    let lacking = |node: &&usize| fleet.member(**node).is_some_and(|member| member.applied() < number);
     let lacking: Vec<&usize> = nodes.iter().filter(lacking).collect();
     took.unwrap_or_else(|| panic!("{number} not in force within {limit} s on {lacking:?}")) as f64 / S as f64
 }
 
 fn state(fleet: &Fleet, node: usize) -> State {
-    fleet.member(node).expect("it runs").history().state().clone()
+    fleet.member(node).expect("it runs").log().state().clone()
 }
 
 #[test]
 fn a_change_is_in_force_everywhere_within_two_seconds() {
     let mut fleet = settled(layout(), 1);
-    let number = fleet.publish(one(1)).unwrap();
+    let number = fleet.propose(one(1)).unwrap();
     let took = until_all(&mut fleet, &all(), number, 10);
     assert!(took <= 2.0, "{took} s");
-    let publisher = fleet.publisher().unwrap();
+    let leader = fleet.leader().unwrap();
     let waiting = |fleet: &Fleet| {
-        let member = fleet.member(publisher).unwrap();
-        member.waiting()
+        let member = fleet.member(leader).unwrap();
+        member.lagging()
     };
     fleet
         .run_until_true(5 * S, |fleet| waiting(fleet).is_empty())
-        .expect("the publisher hears that all go by it");
+        .expect("the leader hears that all go by it");
 }
 
 /// Pushes reach nearly all at once; pulls, here far between, are for those that they miss.
@@ -89,9 +89,9 @@
 fn pushes_carry_a_change_and_pulls_mend_what_they_miss() {
     let mut fleet = settled(Layout { pull_period: 2 * S, ..layout() }, 15);
     fleet.run_for(30 * S);
-    let number = fleet.publish(one(1)).unwrap();
+    let number = fleet.propose(one(1)).unwrap();
     fleet.run_for(400 * MS);
-    let reached = all().into_iter().filter(|node| fleet.all_go_by(&[*node], number)).count();
+    let reached = all().into_iter().filter(|node| fleet.all_applied(&[*node], number)).count();
     assert!(reached * 10 >= SIZE * 8, "{reached} of {SIZE}");
     let took = until_all(&mut fleet, &all(), number, 20);
     assert!(took <= 8.0, "{took} s");
@@ -101,15 +101,15 @@
 #[test]
 fn questions_beyond_the_budget_are_not_answered() {
     let mut fleet = settled(layout(), 16);
-    let number = fleet.publish(many(0, 1000)).unwrap();
+    let number = fleet.propose(many(0, 1000)).unwrap();
     until_all(&mut fleet, &all(), number, 20);
     let before = fleet.member(20).unwrap().counts;
-    let asks = Message::Have {
+    let asks = Message::Digest {
         number: 0,
-        fresh: Default::default(),
+        freshness: Default::default(),
         location: location(2),
         neighbours: Vec::new(),
-        asks: true,
+        wants_reply: true,
     };
     (0..500).for_each(|_| fleet.inject(20, 2, asks.encode()));
     fleet.run_for(S);
@@ -125,7 +125,7 @@
     let mut fleet = settled(Layout { loss: 0.2, duplicate: 0.2, delay: slow, ..layout() }, 2);
     let mut number = 0;
     for n in 0..60 {
-        number = fleet.publish(one(n)).unwrap_or(number);
+        number = fleet.propose(one(n)).unwrap_or(number);
         fleet.run_for(250 * MS);
     }
     until_all(&mut fleet, &all(), number, 30);
@@ -136,7 +136,7 @@
 fn forty_changes_in_a_burst_are_in_force_within_four_seconds_and_the_bytes_stay_bounded() {
     let mut fleet = settled(layout(), 3);
     let before: Vec<u64> = all().iter().map(|n| fleet.member(*n).unwrap().counts.sent_bytes).collect();
-    let numbers: Vec<u64> = (0..40).map(|n| fleet.publish(one(n)).unwrap()).collect();
+    let numbers: Vec<u64> = (0..40).map(|n| fleet.propose(one(n)).unwrap()).collect();
     let took = until_all(&mut fleet, &all(), *numbers.last().unwrap(), 10);
     assert!(took <= 4.0, "{took} s");
     for (node, before) in before.iter().enumerate().skip(REPLICAS) {
@@ -149,24 +149,24 @@
 #[test]
 fn a_change_of_many_entries_comes_whole() {
     let mut fleet = settled(layout(), 4);
-    let number = fleet.publish(many(0, 1000)).unwrap();
+    let number = fleet.propose(many(0, 1000)).unwrap();
     assert!(number > 20, "{number}");
     until_all(&mut fleet, &all(), number, 20);
-    let partial = fleet.in_force.iter().filter(|(_, _, n)| *n > 1 && *n < number).count();
+    let partial = fleet.applied.iter().filter(|(_, _, n)| *n > 1 && *n < number).count();
     assert_eq!(partial, 0);
     assert_eq!(state(&fleet, SIZE - 1).len(), 1000);
 }
 
-/// The publisher dies while its change is half on its way: what the next one finds of it is taken back, or
+/// The leader dies while its change is half on its way: what the next one finds of it is taken back, or
 /// whole.
 #[test]
-fn a_publisher_that_dies_between_two_replicas_leaves_no_half_change() {
+fn a_leader_that_dies_between_two_replicas_leaves_no_half_change() {
     for at in 0..12 {
         let mut fleet = settled(layout(), 5 + at);
-        let first = fleet.publish(one(7)).unwrap();
+        let first = fleet.propose(one(7)).unwrap();
         until_all(&mut fleet, &all(), first, 10);
-        let old = fleet.publisher().unwrap();
-        fleet.publish(many(0, 200)).unwrap();
+        let old = fleet.leader().unwrap();
+        fleet.propose(many(0, 200)).unwrap();
         // One replica hears of it, the other does not.
         fleet.group((old + 1) % REPLICAS, 1);
         fleet.cut(0, 1);
@@ -174,8 +174,8 @@
         fleet.crash(old);
         fleet.heal();
         fleet.run_for(12 * S);
-        assert!(fleet.publisher().is_some_and(|new| new != old));
-        let number = fleet.publish(one(8)).unwrap();
+        assert!(fleet.leader().is_some_and(|new| new != old));
+        let number = fleet.propose(one(8)).unwrap();
         let rest: Vec<usize> = all().into_iter().filter(|node| *node != old).collect();
         until_all(&mut fleet, &rest, number, 10);
         let keys = state(&fleet, SIZE - 1).len();
@@ -188,22 +188,22 @@
 
 /// Two that both think they hold the lease: one of them commits, and what the other began is nobody's.
 #[test]
-fn of_two_publishers_at_once_one_commits() {
+fn of_two_leaders_at_once_one_commits() {
     let mut fleet = Fleet::new(layout(), 6);
     fleet.lease_by_hand = true;
     all().into_iter().for_each(|node| fleet.start(node));
     fleet.run_for(10 * S);
     for n in 0..20 {
-        fleet.set_may_publish(0, true);
-        fleet.set_may_publish(1, true);
+        fleet.set_holds_lease(0, true);
+        fleet.set_holds_lease(1, true);
         fleet.run_for(150 * MS);
-        fleet.publish_at(0, one(n));
-        fleet.publish_at(1, one(n + 100));
+        fleet.propose_at(0, one(n));
+        fleet.propose_at(1, one(n + 100));
         fleet.run_for(150 * MS);
     }
-    fleet.set_may_publish(1, false);
+    fleet.set_holds_lease(1, false);
     fleet.run_for(3 * S);
-    let number = fleet.publish(one(5)).unwrap();
+    let number = fleet.propose(one(5)).unwrap();
     until_all(&mut fleet, &all(), number, 10);
     assert!(all().iter().all(|node| state(&fleet, *node) == state(&fleet, 0)));
 }
@@ -213,17 +213,17 @@
 #[test]
 fn a_region_apart_keeps_its_last_good_and_catches_up() {
     let mut fleet = settled(layout(), 7);
-    let before = fleet.publish(one(1)).unwrap();
+    let before = fleet.propose(one(1)).unwrap();
     until_all(&mut fleet, &all(), before, 10);
     let apart: Vec<usize> = all().into_iter().filter(|node| node % 3 == 0).collect();
     let rest: Vec<usize> = all().into_iter().filter(|node| node % 3 != 0).collect();
     apart.iter().for_each(|node| fleet.group(*node, 1));
     fleet.cut(0, 1);
     fleet.run_for(10 * S);
-    assert_ne!(fleet.publisher(), Some(0), "the side without a majority has no publisher");
+    assert_ne!(fleet.leader(), Some(0), "the side without a majority has no leader");
     let mut number = 0;
     for n in 0..600 {
-        number = fleet.publish(one(n)).unwrap();
+        number = fleet.propose(one(n)).unwrap();
         fleet.run_for(100 * MS);
         if n % 100 == 0 {
             let restarted = apart[1 + n / 100];
@@ -234,7 +234,7 @@
     until_all(&mut fleet, &rest, number, 10);
     fleet.run_for(60 * S);
     let old = fleet.member(apart[4]).unwrap();
-    assert_eq!(old.in_force(), before);
+    assert_eq!(old.applied(), before);
     assert!(old.age(fleet.now()).unwrap() > 100 * S, "it knows how old its word is");
     assert!(fleet.member(rest[4]).unwrap().age(fleet.now()).unwrap() < 5 * S);
     fleet.heal();
@@ -249,7 +249,7 @@
 #[test]
 fn with_all_control_machines_away_restarts_go_by_their_disk() {
     let mut fleet = settled(layout(), 8);
-    let number = fleet.publish(many(0, 300)).unwrap();
+    let number = fleet.propose(many(0, 300)).unwrap();
     until_all(&mut fleet, &all(), number, 10);
     (0..REPLICAS).for_each(|replica| fleet.crash(replica));
     fleet.run_for(10 * S);
@@ -259,7 +259,7 @@
     }
     fleet.run_for(S);
     let servers: Vec<usize> = (REPLICAS..SIZE).collect();
-    assert!(fleet.all_go_by(&servers, number));
+    assert!(fleet.all_applied(&servers, number));
     // One with an empty disk has it from its neighbours, though no entry of it is left with them.
     fleet.crash(9);
     fleet.spoil_disk(9, 0.0);
@@ -268,7 +268,7 @@
     assert_eq!(state(&fleet, 9), state(&fleet, 10));
     (0..REPLICAS).for_each(|replica| fleet.start(replica));
     fleet.run_for(15 * S);
-    let number = fleet.publish(one(3)).expect("a publisher again");
+    let number = fleet.propose(one(3)).expect("a leader again");
     until_all(&mut fleet, &all(), number, 10);
 }
 
@@ -276,7 +276,7 @@
 #[test]
 fn a_file_cut_short_is_not_gone_by() {
     let mut fleet = settled(layout(), 9);
-    let number = fleet.publish(many(0, 300)).unwrap();
+    let number = fleet.propose(many(0, 300)).unwrap();
     until_all(&mut fleet, &all(), number, 10);
     for (node, part) in [(5, 0.999), (6, 0.5), (7, 0.0)] {
         fleet.crash(node);
@@ -291,41 +291,41 @@
 #[test]
 fn a_full_disk_keeps_the_last_good_and_says_so() {
     let mut fleet = settled(layout(), 10);
-    let first = fleet.publish(one(1)).unwrap();
+    let first = fleet.propose(one(1)).unwrap();
     until_all(&mut fleet, &all(), first, 10);
     fleet.set_disk_full(12, true);
-    let second = fleet.publish(one(2)).unwrap();
+    let second = fleet.propose(one(2)).unwrap();
     fleet.run_for(5 * S);
-    assert_eq!(fleet.member(12).unwrap().in_force(), first);
-    let publisher = fleet.publisher().unwrap();
-    let member = fleet.member(publisher).unwrap();
-    let waiting = member.waiting();
+    assert_eq!(fleet.member(12).unwrap().applied(), first);
+    let leader = fleet.leader().unwrap();
+    let member = fleet.member(leader).unwrap();
+    let waiting = member.lagging();
     assert_eq!(waiting.len(), 1, "{waiting:?}");
-    assert_eq!((waiting[0].name.as_str(), waiting[0].in_force), ("s12", Some(first)));
-    assert_eq!(waiting[0].refused, Some((second, "the disk is full".to_string())));
+    assert_eq!((waiting[0].name.as_str(), waiting[0].applied), ("s12", Some(first)));
+    assert_eq!(waiting[0].rejected, Some((second, "the disk is full".to_string())));
     assert!(waiting[0].since > 0 && waiting[0].since < fleet.now());
     fleet.set_disk_full(12, false);
-    let third = fleet.publish(one(3)).unwrap();
+    let third = fleet.propose(one(3)).unwrap();
     until_all(&mut fleet, &all(), third, 10);
 }
 
-/// The publisher's own disk is full: nothing that it has not written counts, and another takes its place.
+/// The leader's own disk is full: nothing that it has not written counts, and another takes its place.
 #[test]
-fn a_publisher_with_a_full_disk_commits_nothing_and_gives_way() {
+fn a_leader_with_a_full_disk_commits_nothing_and_gives_way() {
     let mut fleet = settled(layout(), 11);
-    let first = fleet.publish(one(1)).unwrap();
+    let first = fleet.propose(one(1)).unwrap();
     until_all(&mut fleet, &all(), first, 10);
-    let old = fleet.publisher().unwrap();
+    let old = fleet.leader().unwrap();
     fleet.set_disk_full(old, true);
-    assert!(fleet.publish(one(2)).is_some());
+    assert!(fleet.propose(one(2)).is_some());
     fleet.run_for(3 * S);
-    assert_eq!(fleet.member(SIZE - 1).unwrap().in_force(), first);
+    assert_eq!(fleet.member(SIZE - 1).unwrap().applied(), first);
     // The view changes, and with it the lease.
     fleet.crash(SIZE - 1);
     fleet.start(SIZE - 1);
     fleet.run_for(8 * S);
-    assert!(fleet.publisher().is_some_and(|new| new != old));
-    let number = fleet.publish(one(3)).unwrap();
+    assert!(fleet.leader().is_some_and(|new| new != old));
+    let number = fleet.propose(one(3)).unwrap();
     let rest: Vec<usize> = all().into_iter().filter(|node| *node != old).collect();
     until_all(&mut fleet, &rest, number, 10);
 }
@@ -336,21 +336,21 @@
 fn a_revision_that_some_refuse_leaves_them_as_they_are() {
     let mut fleet = settled(layout(), 12);
     let refusing = [8, 17, 26];
-    refusing.iter().for_each(|node| fleet.set_refuses(*node, Some("novel/")));
-    let first = fleet.publish(one(1)).unwrap();
+    refusing.iter().for_each(|node| fleet.set_rejects(*node, Some("novel/")));
+    let first = fleet.propose(one(1)).unwrap();
     until_all(&mut fleet, &all(), first, 10);
-    let second = fleet.publish(vec![Change::set("novel/thing", "1")]).unwrap();
+    let second = fleet.propose(vec![Change::set("novel/thing", "1")]).unwrap();
     let rest: Vec<usize> = all().into_iter().filter(|node| !refusing.contains(node)).collect();
     until_all(&mut fleet, &rest, second, 10);
     fleet.run_for(3 * S);
-    let member = fleet.member(fleet.publisher().unwrap()).unwrap();
-    let waiting = member.waiting();
+    let member = fleet.member(fleet.leader().unwrap()).unwrap();
+    let waiting = member.lagging();
     let names: Vec<&str> = waiting.iter().map(|one| one.name.as_str()).collect();
     assert_eq!(names, ["s17", "s26", "s8"]);
     assert!(
-        waiting.iter().all(|one| one.refused.as_ref().is_some_and(|(_, why)| why.contains("novel/thing")))
+        waiting.iter().all(|one| one.rejected.as_ref().is_some_and(|(_, why)| why.contains("novel/thing")))
     );
-    let third = fleet.publish(vec![Change::remove("novel/thing")]).unwrap();
+    let third = fleet.propose(vec![Change::remove("novel/thing")]).unwrap();
     until_all(&mut fleet, &all(), third, 10);
 }
 
@@ -358,14 +358,14 @@
 #[test]
 fn what_is_replayed_made_up_or_oversized_changes_nothing() {
     let mut fleet = settled(layout(), 13);
-    let first = fleet.publish(one(1)).unwrap();
+    let first = fleet.propose(one(1)).unwrap();
     until_all(&mut fleet, &all(), first, 10);
-    let second = fleet.publish(one(2)).unwrap();
+    let second = fleet.propose(one(2)).unwrap();
     until_all(&mut fleet, &all(), second, 10);
     let (before, known) =
-        (state(&fleet, 20), fleet.member(20).unwrap().history().tail().cloned().collect::<Vec<_>>());
+        (state(&fleet, 20), fleet.member(20).unwrap().log().tail().cloned().collect::<Vec<_>>());
     let send = |fleet: &mut Fleet, entries: Vec<Entry>| {
-        let message = Message::Entries { entries, publisher: Some(name(0)), pushed: true, newest: 0 };
+        let message = Message::Entries { entries, leader: Some(name(0)), pushed: true, newest: 0 };
         fleet.inject(20, 3, message.encode());
     };
     // Old ones again; the next number with a content that is not its hash; a number far ahead; an older
@@ -373,7 +373,7 @@
     send(&mut fleet, known);
     let at = |number: u64, epoch: u64| Position { epoch, number };
     let hash = before.hash();
-    let entry = |at, changes| Entry { revision: Revision { at, hash }, changes, partial: false };
+    let entry = |at, changes| Entry { revision: Revision { position: at, hash }, changes, partial: false };
     send(&mut fleet, vec![entry(at(second + 1, 1 << 40), one(9))]);
     send(&mut fleet, vec![entry(at(second + 9, 1 << 40), Vec::new())]);
     send(&mut fleet, vec![entry(at(second + 1, 0), Vec::new())]);
@@ -383,9 +383,9 @@
     fleet.inject(20, 3, b"\xff\xff\xff\xff\xff\xff".to_vec());
     fleet.run_for(2 * S);
     let member = fleet.member(20).unwrap();
-    assert_eq!((state(&fleet, 20), member.in_force()), (before, second));
+    assert_eq!((state(&fleet, 20), member.applied()), (before, second));
     assert!(member.counts.malformed >= 2 && member.counts.mismatched >= 3, "{:?}", member.counts);
-    let third = fleet.publish(one(3)).unwrap();
+    let third = fleet.propose(one(3)).unwrap();
     until_all(&mut fleet, &all(), third, 10);
 }
 
@@ -397,30 +397,31 @@
     fleet.crash(late);
     let mut number = 0;
     for n in 0..40 {
-        number = fleet.publish(many(100 * n, 100)).unwrap();
+        number = fleet.propose(many(100 * n, 100)).unwrap();
         fleet.run_for(S);
     }
     for n in 0..600 {
-        number = fleet.publish(one(n)).unwrap();
+        number = fleet.propose(one(n)).unwrap();
         fleet.run_for(20 * MS);
     }
     fleet.run_for(5 * S);
     fleet.spoil_disk(late, 0.0);
     fleet.start(late);
-    let begun =
-        |fleet: &Fleet| fleet.member(late).and_then(Member::transferred).is_some_and(|pairs| pairs > 500);
+    let begun = |fleet: &Fleet| {
+        fleet.member(late).and_then(Member::transferred_pairs).is_some_and(|pairs| pairs > 500)
+    };
     fleet.run_until_true(60 * S, begun).expect("it fetches a checkpoint");
-    let had = fleet.member(late).and_then(Member::transferred).unwrap();
+    let had = fleet.member(late).and_then(Member::transferred_pairs).unwrap();
     // All but a few of its zone and half of the others die.
     for node in (REPLICAS..late).filter(|node| node % 6 == late % 6 || node % 2 == 0) {
         fleet.crash(node);
     }
     let mut last = had;
     let rises = |fleet: &Fleet| {
-        let pairs = fleet.member(late).and_then(Member::transferred).unwrap_or(last);
+        let pairs = fleet.member(late).and_then(Member::transferred_pairs).unwrap_or(last);
         assert!(pairs >= last, "what had come is kept");
         last = pairs;
-        fleet.all_go_by(&[late], number)
+        fleet.all_applied(&[late], number)
     };
     let took = fleet.run_until_true(120 * S, rises).expect("it comes up") as f64 / S as f64;
     assert_eq!(fleet.member(late).unwrap().counts.transfers, 1, "it did not begin anew");
@@ -451,25 +452,25 @@
                 fleet.cut(0, 1);
             }
             5 => fleet.heal(),
-            6 | 7 => fleet.set_may_publish(replica, who % 2 == 0),
-            8 => drop(fleet.publish_at(replica, many(100 * n, usize::from(*who)))),
-            _ => drop(fleet.publish_at(replica, one(n))),
+            6 | 7 => fleet.set_holds_lease(replica, who % 2 == 0),
+            8 => drop(fleet.propose_at(replica, many(100 * n, usize::from(*who)))),
+            _ => drop(fleet.propose_at(replica, one(n))),
         }
         fleet.run_for(u64::from(*who) * 3 * MS);
     }
     fleet.heal();
-    (0..REPLICAS).for_each(|replica| fleet.set_may_publish(replica, false));
+    (0..REPLICAS).for_each(|replica| fleet.set_holds_lease(replica, false));
     for node in all() {
         if fleet.member(node).is_none() {
             fleet.start(node);
         }
     }
     fleet.run_for(6 * S);
-    fleet.set_may_publish(0, true);
-    fleet.run_until_true(60 * S, |fleet| fleet.publisher() == Some(0)).expect("a publisher");
+    fleet.set_holds_lease(0, true);
+    fleet.run_until_true(60 * S, |fleet| fleet.leader() == Some(0)).expect("a leader");
     // What it found of the one before may leave no room at first.
     let published = (0..100).find_map(|_| {
-        let number = fleet.publish(one(1));
+        let number = fleet.propose(one(1));
         fleet.run_for(200 * MS);
         number
     });
@@ -482,7 +483,7 @@
 /// back: what one says that it has stored or promised it must still know in its next life.
 #[test]
 fn three_replicas_restarted_at_any_moment_never_commit_two_contents() {
-    let (mut committed, mut publishers) = (0, 0);
+    let (mut committed, mut leaders) = (0, 0);
     for seed in 0..600 {
         let mut rng = Steps(seed);
         let scattered = |_: usize, _: usize| (MS, 60 * MS);
@@ -497,20 +498,17 @@
                     fleet.crash(node);
                     fleet.start(node);
                 }
-                2 | 3 => fleet.set_may_publish(node, true),
-                4 => fleet.set_may_publish(node, false),
-                5 => drop(fleet.publish_at(node, many(100 * step, 28))),
-                _ => drop(fleet.publish_at(node, one(step + 1000 * node))),
+                2 | 3 => fleet.set_holds_lease(node, true),
+                4 => fleet.set_holds_lease(node, false),
+                5 => drop(fleet.propose_at(node, many(100 * step, 28))),
+                _ => drop(fleet.propose_at(node, one(step + 1000 * node))),
             }
-            publishers += usize::from(fleet.publisher().is_some());
+            leaders += usize::from(fleet.leader().is_some());
             fleet.run_for((1 + rng.below(50)) as u64 * MS);
         }
-        committed += fleet.in_force.iter().map(|(_, _, number)| *number).max().unwrap_or(0);
+        committed += fleet.applied.iter().map(|(_, _, number)| *number).max().unwrap_or(0);
     }
-    assert!(
-        committed > 3000 && publishers > 10_000,
-        "{committed} numbers, {publishers} steps with a publisher"
-    );
+    assert!(committed > 3000 && leaders > 10_000, "{committed} numbers, {leaders} steps with a leader");
 }
 
 /// Steps drawn from a seed.
--- a/crates/replication/tests/store.rs
+++ b/crates/replication/tests/persistence.rs
@@ -1,17 +1,17 @@
 //! Files that cannot be gone by are told apart from good ones, with the reason.
 
-use meadowstream_replication::history::Snapshot;
-use meadowstream_replication::replica::Saved;
+use meadowstream_replication::committed_log::Snapshot;
+use meadowstream_replication::persistence::{DecodeError, decode, encode};
+use meadowstream_replication::replica::PersistedState;
 use meadowstream_replication::revision::{Position, Revision};
 use meadowstream_replication::state::State;
-use meadowstream_replication::store::{Fault, decode, encode};
 
-fn saved() -> Saved {
+fn saved() -> PersistedState {
     let mut state = State::default();
     (0..100).for_each(|n| state.set(&format!("tenants/tenant/t{n}"), "2"));
     let at = Position { epoch: 3, number: 7 };
-    let revision = Revision { at, hash: state.hash() };
-    Saved { promised: 3, committed: Snapshot { revision, state }, entries: Vec::new() }
+    let revision = Revision { position: at, hash: state.hash() };
+    PersistedState { promised: 3, committed: Snapshot { revision, state }, entries: Vec::new() }
 }
 
 #[test]
@@ -33,14 +33,14 @@
 #[test]
 fn the_reason_is_told() {
     let bytes = encode(&saved());
-    assert_eq!(decode(b"something else"), Err(Fault::Version));
-    assert_eq!(decode(&bytes[..bytes.len() - 1]), Err(Fault::Length));
+    assert_eq!(decode(b"something else"), Err(DecodeError::Version));
+    assert_eq!(decode(&bytes[..bytes.len() - 1]), Err(DecodeError::Length));
     let longer = [&bytes[..], &[0]].concat();
-    assert_eq!(decode(&longer), Err(Fault::Length));
+    assert_eq!(decode(&longer), Err(DecodeError::Length));
     let mut changed = bytes.clone();
     *changed.last_mut().unwrap() ^= 1;
-    assert_eq!(decode(&changed), Err(Fault::Checksum));
+    assert_eq!(decode(&changed), Err(DecodeError::Checksum));
     let mut strange = saved();
     strange.committed.revision.hash = State::default().hash();
-    assert_eq!(decode(&encode(&strange)), Err(Fault::Content));
+    assert_eq!(decode(&encode(&strange)), Err(DecodeError::Content));
 }
--- a/crates/replication/tests/transfer.rs
+++ b/crates/replication/tests/snapshot_transfer.rs
@@ -1,15 +1,15 @@
 //! Who the next chunk of a checkpoint is asked of, and when another one is.
 
 use meadowstream_replication::revision::{Position, Revision};
+use meadowstream_replication::snapshot_transfer::{ChunkOutcome, SnapshotTransfer};
 use meadowstream_replication::state::{State, Text};
-use meadowstream_replication::transfer::{Step, Transfer};
 
 const SECOND: u64 = 1_000_000_000;
 const NUMBER: u64 = 256;
 
-fn transfer(content: &State) -> Transfer {
+fn transfer(content: &State) -> SnapshotTransfer {
     let at = Position { epoch: 1, number: NUMBER };
-    Transfer::new(Revision { at, hash: content.hash() }, "offerer")
+    SnapshotTransfer::new(Revision { position: at, hash: content.hash() }, "offerer")
 }
 
 fn content() -> State {
@@ -31,14 +31,14 @@
     assert!(!transfer.is_due(SECOND / 2) && transfer.is_due(SECOND));
     let again = transfer.ask("neighbour", SECOND);
     assert_eq!((after, again, transfer.source()), (None, None, None));
-    assert_eq!(transfer.take(NUMBER, &None, &[pair("a")], false), Step::Next);
+    assert_eq!(transfer.take(NUMBER, &None, &[pair("a")], false), ChunkOutcome::Continue);
     assert_eq!(transfer.source().map(String::as_str), Some("neighbour"));
     assert_eq!(transfer.ask("neighbour", SECOND), Some(Text::from("a")));
-    assert_eq!(transfer.take(NUMBER, &Some(Text::from("a")), &[pair("b")], false), Step::Next);
+    assert_eq!(transfer.take(NUMBER, &Some(Text::from("a")), &[pair("b")], false), ChunkOutcome::Continue);
     assert_eq!(transfer.source().map(String::as_str), Some("neighbour"));
     transfer.ask("neighbour", SECOND);
     let done = transfer.take(NUMBER, &Some(Text::from("b")), &[pair("c")], true);
-    assert!(matches!(done, Step::Done(snapshot) if snapshot.state.hash() == content().hash()));
+    assert!(matches!(done, ChunkOutcome::Complete(snapshot) if snapshot.state.hash() == content().hash()));
 }
 
 #[test]
@@ -46,7 +46,7 @@
     let mut transfer = transfer(&content());
     transfer.ask("offerer", 0);
     transfer.ask("neighbour", SECOND);
-    assert_eq!(transfer.take(NUMBER, &Some(Text::from("b")), &[pair("c")], true), Step::Ignored);
-    assert_eq!(transfer.take(NUMBER + 1, &None, &[pair("a")], false), Step::Ignored);
+    assert_eq!(transfer.take(NUMBER, &Some(Text::from("b")), &[pair("c")], true), ChunkOutcome::Ignored);
+    assert_eq!(transfer.take(NUMBER + 1, &None, &[pair("a")], false), ChunkOutcome::Ignored);
     assert_eq!(transfer.source(), None);
 }
--- a/crates/server/src/fleet/control_machine.rs
+++ b/crates/server/src/fleet/control_machine.rs
@@ -14,7 +14,7 @@
 use meadowstream_configuration::Options;
 use meadowstream_configuration::replication::Replication as Given;
 use meadowstream_replication::member::Member;
-use meadowstream_replication::store;
+use meadowstream_replication::persistence;
 use meadowstream_shared_state::REPLICATION;
 use std::path::{Path, PathBuf};
 use tracing::{info, warn};
@@ -72,34 +72,34 @@
 impl Control {
     /// Writes what is to be on disk; what rests on it goes out only then.
     fn save(&mut self, now: u64) {
-        while let Some(saved) = self.member.take_save().filter(|_| now >= self.write_after) {
-            if let Err(error) = files::write(&self.file, &store::encode(&saved)) {
+        while let Some(saved) = self.member.unsaved_state().filter(|_| now >= self.write_after) {
+            if let Err(error) = files::write(&self.file, &persistence::encode(&saved)) {
                 let file = self.file.display();
                 warn!(target: "fleet", %error, %file, "cannot write the log: stands back");
                 self.write_after = now + WRITE_PAUSE;
-                self.member.not_saved();
+                self.member.on_persist_failed();
                 return;
             }
-            self.member.saved(&saved, now);
+            self.member.on_persisted(&saved, now);
         }
         // Nothing is served here: what is committed is gone by as soon as it is known.
-        if let Some(snapshot) = self.member.take_pending() {
-            self.member.settled(snapshot.revision.at.number, Ok(()), now);
+        if let Some(snapshot) = self.member.next_to_apply() {
+            self.member.settled(snapshot.revision.position.number, Ok(()), now);
         }
     }
 
     fn show(&mut self, now: u64) {
-        let waiting = self.member.waiting();
-        let publishes = self.member.is_publisher();
-        let number = self.member.revision().at.number;
+        let waiting = self.member.lagging();
+        let publishes = self.member.is_leader();
+        let number = self.member.revision().position.number;
         let shown = (publishes, number, waiting.len());
         if shown == self.shown && now < self.shown_at + SHOWN_EVERY {
             return;
         }
         let members = self.member.members();
-        let told = |one: &meadowstream_replication::status::Waiting| {
+        let told = |one: &meadowstream_replication::progress::LaggingMember| {
             let lacks_ms = now.saturating_sub(one.since) / 1_000_000;
-            format!("{} goes by {}, lacks {lacks_ms} ms", one.name, one.in_force.unwrap_or(0))
+            format!("{} goes by {}, lacks {lacks_ms} ms", one.name, one.applied.unwrap_or(0))
         };
         let some: Vec<String> = waiting.iter().take(8).map(told).collect();
         let counts = serde_json::to_string(&self.member.counts).unwrap_or_default();
@@ -123,7 +123,7 @@
         let now = joined.now();
         let may_write = now >= control.write_after;
         let may_publish = joined.lease(PUBLISHING, may_write);
-        control.member.set_may_publish(may_publish);
+        control.member.set_holds_lease(may_publish);
         control.member.advance(now, joined.directory.names());
         control.save(now);
         control.show(now);
--- a/crates/server/src/fleet/publish.rs
+++ b/crates/server/src/fleet/publish.rs
@@ -5,7 +5,7 @@
 use crate::fleet::joined::Joined;
 use anyhow::{Context, Result, bail, ensure};
 use meadowstream_configuration::replication::load_change;
-use meadowstream_replication::message::{Message, Ticket};
+use meadowstream_replication::message::{Message, RequestId};
 use meadowstream_replication::revision::{Change, PARTS_MAX, split};
 use meadowstream_shared_state::REPLICATION;
 use std::path::{Path, PathBuf};
@@ -31,10 +31,10 @@
 }
 
 /// Reads all it is given and refuses what cannot be done before the fleet hears of it.
-fn questions(given: &Given, ticket: &Ticket) -> Result<Vec<Message>> {
+fn questions(given: &Given, request: &RequestId) -> Result<Vec<Message>> {
     match &given.ask {
         Ask::Status => Ok(Vec::new()),
-        Ask::Revert(number) => Ok(vec![Message::Revert { ticket: ticket.clone(), number: *number }]),
+        Ask::Revert(number) => Ok(vec![Message::Revert { request: request.clone(), number: *number }]),
         Ask::Publish(file) => {
             let changes: Vec<Change> =
                 load_change(file)?.into_iter().map(|(key, value)| Change { key, value }).collect();
@@ -49,7 +49,7 @@
                 file.display()
             );
             let submit =
-                |(part, changes)| Message::Submit { ticket: ticket.clone(), part, parts: count, changes };
+                |(part, changes)| Message::Submit { request: request.clone(), part, parts: count, changes };
             Ok((0..).zip(parts).map(submit).collect())
         }
     }
@@ -60,10 +60,10 @@
     let name = format!("{NAMED}{:08x}", (life / 1000) as u32);
     let read = control::read(&given.options, Some(&name))?;
     let replicas = read.replication.replicas.clone();
-    let ticket = Ticket { from: name, number: 1 };
-    let questions = questions(given, &ticket)?;
+    let request = RequestId { from: name, number: 1 };
+    let questions = questions(given, &request)?;
     let joined = Joined::join(&read.fleet)?;
-    async_io::block_on(ask(joined, questions, ticket, replicas, given.wait))
+    async_io::block_on(ask(joined, questions, request, replicas, given.wait))
 }
 
 struct Asking {
@@ -77,33 +77,33 @@
 async fn ask(
     joined: Joined,
     questions: Vec<Message>,
-    ticket: Ticket,
+    request: RequestId,
     replicas: Vec<String>,
     wait: Duration,
 ) -> Result<()> {
     let end = joined.now() + wait.as_nanos() as u64;
     let mut asking = Asking { joined, replicas, publisher: 0, end };
-    let done = asking.all(questions, ticket).await;
+    let done = asking.all(questions, request).await;
     asking.joined.leave().await;
     done
 }
 
 impl Asking {
-    async fn all(&mut self, questions: Vec<Message>, ticket: Ticket) -> Result<()> {
+    async fn all(&mut self, questions: Vec<Message>, request: RequestId) -> Result<()> {
         let mut wanted = 0;
         if !questions.is_empty() {
-            let answer = self.answer(&questions, &ticket).await?;
+            let answer = self.answer(&questions, &request).await?;
             let answer =
                 answer.context("no publisher has answered: is a majority of <replica>s reachable?")?;
             let Message::Submitted { outcome, .. } = answer else { bail!("an answer to another question") };
             wanted = outcome.map_err(|why| anyhow::anyhow!("refused: {why}"))?;
             println!("committed as revision {wanted}");
         }
-        self.until_in_force(ticket, wanted, !questions.is_empty()).await
+        self.until_in_force(request, wanted, !questions.is_empty()).await
     }
 
     /// Asks until somebody answers or the time is over.
-    async fn answer(&mut self, questions: &[Message], ticket: &Ticket) -> Result<Option<Message>> {
+    async fn answer(&mut self, questions: &[Message], request: &RequestId) -> Result<Option<Message>> {
         let mut next = 0;
         while self.joined.now() < self.end {
             let now = self.joined.now();
@@ -121,13 +121,13 @@
                     continue;
                 };
                 match message {
-                    Message::NotPublisher { ticket: of, publisher } if of == *ticket => {
+                    Message::NotLeader { request: of, leader: publisher } if of == *request => {
                         let named =
                             publisher.and_then(|name| self.replicas.iter().position(|one| *one == name));
                         self.publisher = named.unwrap_or(self.publisher + 1);
                     }
-                    Message::Submitted { ticket: ref of, .. } | Message::Status { ticket: ref of, .. }
-                        if of == ticket =>
+                    Message::Submitted { request: ref of, .. } | Message::Status { request: ref of, .. }
+                        if of == request =>
                     {
                         return Ok(Some(message));
                     }
@@ -139,15 +139,15 @@
     }
 
     /// Says who goes by the newest revision; where a change was published, until all do.
-    async fn until_in_force(&mut self, ticket: Ticket, wanted: u64, waits: bool) -> Result<()> {
+    async fn until_in_force(&mut self, request: RequestId, wanted: u64, waits: bool) -> Result<()> {
         let mut said = String::new();
-        let mut asked = ticket.number;
+        let mut asked = request.number;
         loop {
             asked += 1;
-            let ticket = Ticket { from: ticket.from.clone(), number: asked };
-            let question = [Message::AskStatus { ticket: ticket.clone() }];
-            let answer = self.answer(&question, &ticket).await?;
-            let Some(Message::Status { number, members, in_force, waiting, .. }) = answer else {
+            let request = RequestId { from: request.from.clone(), number: asked };
+            let question = [Message::PollStatus { request: request.clone() }];
+            let answer = self.answer(&question, &request).await?;
+            let Some(Message::Status { number, members, applied: in_force, waiting, .. }) = answer else {
                 bail!("not all go by it yet: {said}");
             };
             said = format!("revision {number}: {in_force} of {members} members go by it");
--- a/crates/server/src/fleet/replication.rs
+++ b/crates/server/src/fleet/replication.rs
@@ -9,11 +9,11 @@
 use meadowstream_configuration::replication::Replication as Given;
 use meadowstream_membership::Nanos;
 use meadowstream_membership::directory::Directory;
-use meadowstream_replication::history::Snapshot;
+use meadowstream_replication::committed_log::Snapshot;
 use meadowstream_replication::member::{Member, Settings};
 use meadowstream_replication::message::Location;
-use meadowstream_replication::replica::Saved;
-use meadowstream_replication::store;
+use meadowstream_replication::persistence;
+use meadowstream_replication::replica::PersistedState;
 use meadowstream_shared_state::REPLICATION;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -56,12 +56,12 @@
 
 /// The last good revision as it stands on disk; `Ok(None)` where there is none, an error where it cannot be
 /// gone by.
-pub fn read_file(file: &Path) -> anyhow::Result<Option<Saved>> {
+pub fn read_file(file: &Path) -> anyhow::Result<Option<PersistedState>> {
     let bytes = match std::fs::read(file) {
         Err(error) if error.kind() == std::io::ErrorKind::NotFound => return Ok(None),
         bytes => bytes?,
     };
-    store::decode(&bytes).map(Some).map_err(|fault| anyhow::anyhow!("{}: {fault}", file.display()))
+    persistence::decode(&bytes).map(Some).map_err(|fault| anyhow::anyhow!("{}: {fault}", file.display()))
 }
 
 impl Replication {
@@ -77,10 +77,10 @@
             return Err(format!("replica: {name:?} serves; the log is kept by `meadowstream control`"));
         }
         let standing = server.configuration.replicated.borrow().clone();
-        let disk = standing.map(|committed| Saved { committed, ..Saved::default() });
+        let disk = standing.map(|committed| PersistedState { committed, ..PersistedState::default() });
         let mut member = Member::new(name, settings(given), server.configuration.seed ^ now, now, disk)?;
-        if let Some(standing) = member.take_pending() {
-            member.settled(standing.revision.at.number, Ok(()), now);
+        if let Some(standing) = member.next_to_apply() {
+            member.settled(standing.revision.position.number, Ok(()), now);
         }
         Ok(Replication {
             member,
@@ -109,9 +109,9 @@
         if now >= self.member.next_due() {
             self.member.advance(now, directory.names());
         }
-        if let Some(snapshot) = self.member.take_pending() {
+        if let Some(snapshot) = self.member.next_to_apply() {
             self.is_checking = true;
-            let saved = self.member.to_save(&snapshot);
+            let saved = self.member.state_to_persist(&snapshot);
             let put =
                 put_in_force(server.clone(), snapshot, saved, self.file.clone(), self.outcomes.0.clone());
             server.executor.spawn(put).detach();
@@ -131,9 +131,9 @@
     fn show(&mut self, now: Nanos) {
         let age = self.member.age(now);
         let shown = Shown {
-            in_force: self.member.in_force(),
-            held: self.member.revision().at.number,
-            refused: self.member.refused().cloned(),
+            in_force: self.member.applied(),
+            held: self.member.revision().position.number,
+            refused: self.member.rejected().cloned(),
             stale: age.is_none_or(|age| age > self.stale_after),
         };
         if shown == self.shown && now < self.shown_at + SHOWN_EVERY {
@@ -142,8 +142,8 @@
         let age_ms = age.map_or(-1, |age| (age / 1_000_000) as i64);
         let Shown { in_force, held, refused, stale } = &shown;
         let refused = refused.as_ref().map_or(String::new(), |(number, why)| format!("{number}: {why}"));
-        let publisher = self.member.publisher().unwrap_or("");
-        let fetched = self.member.transferred().unwrap_or(0);
+        let publisher = self.member.leader().unwrap_or("");
+        let fetched = self.member.transferred_pairs().unwrap_or(0);
         let counts = serde_json::to_string(&self.member.counts).unwrap_or_default();
         info!(target: "fleet", in_force, held, age_ms, stale, publisher, refused, fetched, counts,
             "replication");
@@ -159,11 +159,11 @@
 async fn put_in_force(
     server: Rc<Server>,
     snapshot: Snapshot,
-    saved: Saved,
+    saved: PersistedState,
     file: PathBuf,
     outcomes: Sender<Outcome>,
 ) {
-    let number = snapshot.revision.at.number;
+    let number = snapshot.revision.position.number;
     let outcome = reload::go_by_replicated(&server, snapshot, saved, file).await;
     let _ = outcomes.send((number, outcome.map_err(|error| format!("{error:#}")))).await;
 }
--- a/crates/server/src/lifecycle/configuration.rs
+++ b/crates/server/src/lifecycle/configuration.rs
@@ -10,7 +10,7 @@
 use meadowstream_configuration::{Options, Tokens};
 use meadowstream_deployment_settings::Read;
 use meadowstream_overload_control::{Advert, Below, Effect};
-use meadowstream_replication::history::Snapshot;
+use meadowstream_replication::committed_log::Snapshot;
 use meadowstream_replication::state::State;
 use meadowstream_shared_state::Settings as SharedSettings;
 use meadowstream_shared_state::budget::Plan;
@@ -227,7 +227,8 @@
         let written_s = written.and_then(|at| at.elapsed().ok()).map_or(0, |age| age.as_secs());
         match started {
             Ok(started) => {
-                let number = started.replicated.borrow().as_ref().map_or(0, |one| one.revision.at.number);
+                let number =
+                    started.replicated.borrow().as_ref().map_or(0, |one| one.revision.position.number);
                 tracing::info!(target: "fleet", number, written_s, "starts by the configuration on its disk");
                 Ok(started)
             }
--- a/crates/server/src/lifecycle/reload.rs
+++ b/crates/server/src/lifecycle/reload.rs
@@ -13,9 +13,9 @@
 use anyhow::{Context, Result, ensure};
 use meadowstream_configuration::{Options, Tenants};
 use meadowstream_fair_queueing::Retune;
-use meadowstream_replication::history::Snapshot;
-use meadowstream_replication::replica::Saved;
-use meadowstream_replication::store;
+use meadowstream_replication::committed_log::Snapshot;
+use meadowstream_replication::persistence;
+use meadowstream_replication::replica::PersistedState;
 use meadowstream_shared_state::budget::Plan;
 use std::cell::Cell;
 use std::collections::HashSet;
@@ -44,7 +44,7 @@
     change: Option<(PathBuf, u64)>,
     replicated: Option<Snapshot>,
     /// What is to be on disk before the change is in force.
-    write: Option<(PathBuf, Saved)>,
+    write: Option<(PathBuf, PersistedState)>,
     in_force: Arc<Options>,
 }
 
@@ -78,7 +78,7 @@
             }
         }
         if let Some((file, saved)) = self.write {
-            files::write(&file, &store::encode(&saved))
+            files::write(&file, &persistence::encode(&saved))
                 .with_context(|| format!("cannot write {}", file.display()))?;
         }
         Ok(Prepared { configuration, retunes, tenant_names })
@@ -132,7 +132,7 @@
 pub async fn go_by_replicated(
     server: &Rc<Server>,
     snapshot: Snapshot,
-    saved: Saved,
+    saved: PersistedState,
     file: PathBuf,
 ) -> Result<()> {
     let _turn = server.changes.lock.lock().await;
@@ -155,7 +155,7 @@
     server: &Rc<Server>,
     change: Option<(PathBuf, u64)>,
     replicated: Option<Snapshot>,
-    write: Option<(PathBuf, Saved)>,
+    write: Option<(PathBuf, PersistedState)>,
 ) -> Result<()> {
     let configuration = &server.configuration;
     let request = Request {
