--- /dev/null
+++ b/crates/configuration/src/change.rs
@@ -0,0 +1,176 @@
+//! `<change>`: the file of a change that an operator publishes, and what the keys of a replicated
+//! configuration set.
+
+use crate::error::{Fault, KeyError};
+use crate::options::Options;
+use crate::shared_state::TOTAL_MOST;
+use crate::tenants::{WEIGHT_LEAST, WEIGHT_MOST};
+use crate::xml::{Element, Result, in_file, parse, read_file};
+use meadowstream_fair_queueing::NamedTenant;
+use std::collections::{BTreeMap, HashMap};
+use std::path::Path;
+
+/// The attributes of `<set>` and `<remove>`.
+pub const ATTRIBUTES: &[&str] = &["key", "value"];
+
+const TENANT_WEIGHT: &str = "tenants/tenant/";
+const TARGET_UTILIZATION: &str = "control/reference";
+const BUDGET_TOTAL: &str = "shared-state/budget/total";
+/// Bounds of the target utilization, a share of the cores.
+const UTILIZATION_LEAST: f64 = 0.05;
+const UTILIZATION_MOST: f64 = 1.0;
+
+/// One key of a change.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct KeyChange {
+    /// The key.
+    pub key: String,
+    /// Its new value; `None` where the key is removed.
+    pub value: Option<String>,
+}
+
+/// Reads the file of a change to publish; an error names it, the line and the element.
+pub fn load_change(path: &Path) -> Result<Vec<KeyChange>> {
+    in_file(path, read_change(&read_file(path)?))
+}
+
+/// Reads the text of a change. A key that is not known here is refused before any server has to.
+pub fn read_change(text: &str) -> Result<Vec<KeyChange>> {
+    let document = parse(text)?;
+    let root = Element::root(&document, "change", &[])?;
+    let mut changes = Vec::new();
+    for child in root.children(&["set", "remove"], &["set", "remove"])? {
+        let element = Element::new(&document, child, ATTRIBUTES)?;
+        changes.push(read_key_change(&element)?);
+    }
+    if changes.is_empty() {
+        return Err(root.error(Fault::NoChange));
+    }
+    Ok(changes)
+}
+
+fn read_key_change(element: &Element) -> Result<KeyChange> {
+    let key = element.required("key")?;
+    let value = element.text("value");
+    match (element.name(), value) {
+        ("set", None) => return Err(element.error(Fault::Missing { name: "value".to_string() })),
+        ("remove", Some(_)) => return Err(element.error(Fault::ValueOfRemove)),
+        _ => {}
+    }
+    let setting = Setting::parse(key);
+    let checked = setting.and_then(|setting| value.map_or(Ok(()), |value| setting.check(value)));
+    checked.map_err(|error| element.error(Fault::Key(Box::new(error))))?;
+    Ok(KeyChange { key: key.to_string(), value: value.map(str::to_string) })
+}
+
+/// What a key of the replicated configuration sets.
+#[derive(Clone, Debug, PartialEq, Eq)]
+enum Setting<'a> {
+    /// `tenants/tenant/NAME`: the weight of a named tenant.
+    TenantWeight(&'a str),
+    /// `control/reference`: the busy share of the cores to steer to.
+    TargetUtilization,
+    /// `shared-state/budget/total`: units of the budget of calls.
+    BudgetTotal,
+}
+
+type KeyResult<T> = std::result::Result<T, KeyError>;
+
+fn key_error(key: &str, fault: Fault) -> KeyError {
+    KeyError { key: key.to_string(), fault }
+}
+
+fn number_within(key: &str, value: &str, least: f64, most: f64) -> KeyResult<f64> {
+    let unreadable = || key_error(key, Fault::UnreadableValue(value.to_string()));
+    let number: f64 = value.parse().map_err(|_| unreadable())?;
+    if number.is_finite() && (least..=most).contains(&number) {
+        return Ok(number);
+    }
+    Err(key_error(key, Fault::ValueOutOfRange { value: number, least, most }))
+}
+
+impl<'a> Setting<'a> {
+    fn parse(key: &'a str) -> KeyResult<Setting<'a>> {
+        match key {
+            TARGET_UTILIZATION => Ok(Setting::TargetUtilization),
+            BUDGET_TOTAL => Ok(Setting::BudgetTotal),
+            _ => match key.strip_prefix(TENANT_WEIGHT) {
+                Some(name) if !name.is_empty() => Ok(Setting::TenantWeight(name)),
+                _ => Err(key_error(key, Fault::UnknownElement)),
+            },
+        }
+    }
+
+    /// The value as a number within the bounds of the setting.
+    fn number(&self, value: &str) -> KeyResult<f64> {
+        match self {
+            Setting::TenantWeight(name) => {
+                number_within(&format!("{TENANT_WEIGHT}{name}"), value, WEIGHT_LEAST, WEIGHT_MOST)
+            }
+            Setting::TargetUtilization => {
+                number_within(TARGET_UTILIZATION, value, UTILIZATION_LEAST, UTILIZATION_MOST)
+            }
+            Setting::BudgetTotal => number_within(BUDGET_TOTAL, value, 1.0, TOTAL_MOST as f64),
+        }
+    }
+
+    fn check(&self, value: &str) -> KeyResult<()> {
+        self.number(value).map(drop)
+    }
+}
+
+/// Lays a replicated configuration over a server's own options. An error names the key; the options are then
+/// in part changed and not to be used.
+pub fn overlay_replicated<'a>(
+    options: &mut Options,
+    pairs: impl Iterator<Item = (&'a str, &'a str)>,
+) -> Result<()> {
+    let mut weights: BTreeMap<&str, f64> = BTreeMap::new();
+    for (key, value) in pairs {
+        let setting = Setting::parse(key)?;
+        let number = setting.number(value)?;
+        match setting {
+            Setting::TenantWeight(name) => {
+                weights.insert(name, number);
+            }
+            Setting::TargetUtilization => options.target_utilization = Some(number),
+            Setting::BudgetTotal => set_budget_total(options, key, value)?,
+        }
+    }
+    if !weights.is_empty() {
+        set_weights(options, &weights)?;
+    }
+    Ok(())
+}
+
+/// A total is a whole number, which a floating one does not hold exactly.
+fn set_budget_total(options: &mut Options, key: &str, value: &str) -> KeyResult<()> {
+    let unreadable = || key_error(key, Fault::UnreadableValue(value.to_string()));
+    let total = value.parse().map_err(|_| unreadable())?;
+    let budget = options.shared_state.as_mut().and_then(|shared| shared.budget.as_mut());
+    budget.ok_or_else(|| key_error(key, Fault::NoBudget))?.total = total;
+    Ok(())
+}
+
+/// Named tenants keep their order; those that the options do not name follow.
+fn set_weights(options: &mut Options, weights: &BTreeMap<&str, f64>) -> KeyResult<()> {
+    let tenants = options.tenants.as_mut();
+    let fair = &mut tenants.ok_or_else(|| key_error(TENANT_WEIGHT, Fault::NoTenants))?.fair;
+    let mut named: Vec<NamedTenant> = fair.named.to_vec();
+    let indexes: HashMap<&[u8], usize> =
+        fair.named.iter().enumerate().map(|(index, (name, _))| (name.as_slice(), index)).collect();
+    for (name, weight) in weights {
+        match indexes.get(name.as_bytes()) {
+            Some(index) => named[*index].1 = *weight,
+            None => named.push((name.as_bytes().to_vec(), *weight)),
+        }
+    }
+    fair.named = named.into();
+    match fair.fault() {
+        Some((attribute, reason)) => {
+            let attribute = attribute.to_string();
+            Err(key_error(TENANT_WEIGHT, Fault::TenantLimit { attribute, reason }))
+        }
+        None => Ok(()),
+    }
+}
--- /dev/null
+++ b/crates/configuration/src/options.rs
@@ -0,0 +1,120 @@
+//! A server's options file: the root `<meadowstream>`.
+
+use crate::error::{ConfigurationError, Fault};
+use crate::idempotency_keys::{self, IdempotencyKeys};
+use crate::membership::{self, Membership};
+use crate::replication::{self, Replication};
+use crate::rollout::{self, Rollout};
+use crate::shared_state::{self, SharedState};
+use crate::tenants::{self, TenantSource, Tenants};
+use crate::xml::{Element, Result, in_file, parse, read_file};
+use roxmltree::{Document, Node};
+use std::path::Path;
+
+/// The elements of the root.
+const CHILDREN: &[&str] =
+    &["tenants", "tokens", "calls", "membership", "shared-state", "rollout", "replication", "control"];
+/// Bounds of `<control reference>`, a share of the cores, and what a file without it means.
+const UTILIZATION_LEAST: f64 = 0.05;
+const UTILIZATION_MOST: f64 = 1.0;
+const UTILIZATION_DEFAULT: f64 = 0.9;
+
+/// All that an options file may name; what is absent is off.
+#[derive(Clone, Debug, Default)]
+pub struct Options {
+    /// `<control reference>`: busy share of the cores to steer to, where it is not the default.
+    pub target_utilization: Option<f64>,
+    /// `<tenants>`: how tenants are told apart and what each gets.
+    pub tenants: Option<Tenants>,
+    /// `<tokens>`: where idempotency keys stand and how many are cached.
+    pub idempotency_keys: Option<IdempotencyKeys>,
+    /// `<calls left-out>`: the reply that a run gets whose downstream call is skipped.
+    pub skipped_call_reply: Option<String>,
+    /// `<membership>`: the fleet's view.
+    pub membership: Option<Membership>,
+    /// `<shared-state>`: budgets and judgements that servers share; needs `membership`.
+    pub shared_state: Option<SharedState>,
+    /// `<rollout>`: changes in stages; needs `membership`.
+    pub rollout: Option<Rollout>,
+    /// `<replication>`: replicated configuration; needs `membership`.
+    pub replication: Option<Replication>,
+}
+
+impl Options {
+    /// Reads a file; an error names it, the line and the element.
+    pub fn load(path: &Path) -> Result<Self> {
+        in_file(path, Self::read(&read_file(path)?))
+    }
+
+    /// Reads the text of a file; an error names the line and the element.
+    pub fn read(text: &str) -> Result<Self> {
+        let document = parse(text)?;
+        let root = Element::root(&document, "meadowstream", &[])?;
+        let mut options = Self::default();
+        for node in root.children(CHILDREN, &[])? {
+            options.read_child(&document, node)?;
+        }
+        options.check_keys_and_tenants()?;
+        options.check_membership()?;
+        Ok(options)
+    }
+
+    fn read_child<'d>(&mut self, document: &Document<'d>, node: Node<'_, 'd>) -> Result<()> {
+        match node.tag_name().name() {
+            "tenants" => self.tenants = Some(tenants::read(document, node)?),
+            "tokens" => self.idempotency_keys = Some(idempotency_keys::read(document, node)?),
+            "membership" => self.membership = Some(membership::read(document, node)?),
+            "replication" => self.replication = Some(replication::read(document, node)?),
+            "rollout" => self.rollout = Some(rollout::read(document, node)?),
+            "shared-state" => self.shared_state = Some(shared_state::read(document, node)?),
+            "control" => self.target_utilization = Some(read_target_utilization(document, node)?),
+            _ => {
+                let calls = Element::new(document, node, &["left-out"])?;
+                self.skipped_call_reply = calls.text("left-out").map(str::to_string);
+            }
+        }
+        Ok(())
+    }
+
+    /// One field of a call cannot be both the tenant and the key.
+    fn check_keys_and_tenants(&self) -> Result<()> {
+        let Some(Tenants { source: TenantSource::Field(tenant), .. }) = &self.tenants else { return Ok(()) };
+        match &self.idempotency_keys {
+            Some(keys) if keys.field == *tenant => {
+                let fault = Fault::FieldOfTenants(tenant.clone());
+                Err(ConfigurationError::Options { element: "tokens", fault })
+            }
+            _ => Ok(()),
+        }
+    }
+
+    fn check_membership(&self) -> Result<()> {
+        let needing = [
+            ("shared-state", self.shared_state.is_some()),
+            ("rollout", self.rollout.is_some()),
+            ("replication", self.replication.is_some()),
+        ];
+        match needing.into_iter().find(|(_, is_on)| *is_on && self.membership.is_none()) {
+            Some((element, _)) => Err(ConfigurationError::Options { element, fault: Fault::NeedsMembership }),
+            None => Ok(()),
+        }
+    }
+
+    /// Takes over what a change names; what it does not name stays.
+    pub fn overlay(&mut self, change: Options) {
+        fn replace<T>(own: &mut Option<T>, new: Option<T>) {
+            if new.is_some() {
+                *own = new;
+            }
+        }
+        replace(&mut self.target_utilization, change.target_utilization);
+        replace(&mut self.tenants, change.tenants);
+        replace(&mut self.idempotency_keys, change.idempotency_keys);
+        replace(&mut self.skipped_call_reply, change.skipped_call_reply);
+    }
+}
+
+fn read_target_utilization<'d>(document: &Document<'d>, node: Node<'_, 'd>) -> Result<f64> {
+    let control = Element::new(document, node, &["reference"])?;
+    control.number("reference", UTILIZATION_DEFAULT, UTILIZATION_LEAST, UTILIZATION_MOST)
+}
--- /dev/null
+++ b/crates/configuration/src/plan.rs
@@ -0,0 +1,123 @@
+//! `<plan>`: the file of a change by stages, which the coordinator of a rollout reads.
+
+use crate::error::Fault;
+use crate::xml::{Element, Result, in_file, parse, read_file};
+use meadowstream_rollout::plan::{OnWorse, Plan, Size, Stage, Thresholds};
+use meadowstream_rollout::wire::Kind;
+use roxmltree::{Document, Node};
+use std::path::{Path, PathBuf};
+
+/// The attributes of `<plan>`.
+pub const PLAN: &[&str] = &[
+    "name",
+    "candidate",
+    "program",
+    "on-worse",
+    "interval-ms",
+    "settled-ms",
+    "warm-up-ms",
+    "patience-ms",
+    "throttled",
+    "errored",
+    "late",
+    "latency",
+    "alpha",
+];
+/// The attributes of `<stage>`.
+pub const STAGE: &[&str] = &["servers", "share", "bake-ms"];
+/// Longest time that a stage is compared: a week.
+const BAKE_MS_MAX: usize = 604_800_000;
+
+/// A plan of a change by stages as its file has it (`docs/rollout.md`).
+#[derive(Clone, Debug, PartialEq)]
+pub struct PlanFile {
+    /// The file with the settings of the change or its program, as written (relative to the plan's file).
+    pub candidate: PathBuf,
+    /// All but the candidate's hash, which is 0 here.
+    pub plan: Plan,
+}
+
+impl PlanFile {
+    /// Reads a file; an error names it, the line and the element.
+    pub fn load(path: &Path) -> Result<Self> {
+        in_file(path, Self::read(&read_file(path)?))
+    }
+
+    /// Reads the text of a file; an error names the line and the element, and the number of a stage.
+    pub fn read(text: &str) -> Result<Self> {
+        let document = parse(text)?;
+        let root = Element::root(&document, "plan", PLAN)?;
+        let on_worse = read_on_worse(&root)?;
+        let thresholds = read_thresholds(&root)?;
+        let (candidate, kind) = read_candidate(&root)?;
+        let stages = read_stages(&document, &root)?;
+        let interval = root.duration_ns("interval-ms", 1_000_000_000, 50, 60_000)?;
+        let plan = Plan {
+            name: root.required("name")?.to_string(),
+            candidate: 0,
+            kind,
+            stages,
+            on_worse,
+            thresholds,
+            interval,
+            settled: root.duration_ns("settled-ms", 5_000_000_000, 0, 600_000)?,
+            warm_up: root.duration_ns("warm-up-ms", 0, 0, 3_600_000)?,
+            patience: root.duration_ns("patience-ms", 30_000_000_000, 50, 3_600_000)?,
+        };
+        plan.check().map_err(|fault| root.error(Fault::Plan(fault.to_string())))?;
+        Ok(PlanFile { candidate, plan })
+    }
+}
+
+fn read_on_worse(root: &Element) -> Result<OnWorse> {
+    match root.text("on-worse").unwrap_or("roll-back") {
+        "roll-back" => Ok(OnWorse::RollBack),
+        "stop" => Ok(OnWorse::Stop),
+        other => {
+            let choice = other.to_string();
+            Err(root.error(Fault::UnknownChoice { attribute: "on-worse", choice }))
+        }
+    }
+}
+
+fn read_thresholds(root: &Element) -> Result<Thresholds> {
+    let default = Thresholds::default();
+    Ok(Thresholds {
+        throttled: root.number("throttled", default.throttled, 1e-6, 1.0)?,
+        errored: root.number("errored", default.errored, 1e-6, 1.0)?,
+        late: root.number("late", default.late, 1e-6, 1.0)?,
+        latency: root.number("latency", default.latency, 1e-6, 100.0)?,
+        alpha: root.number("alpha", default.alpha, 1e-9, 0.2)?,
+    })
+}
+
+/// The file of the change, and whether it is of settings or of the program.
+fn read_candidate(root: &Element) -> Result<(PathBuf, Kind)> {
+    match (root.text("candidate"), root.text("program")) {
+        (Some(settings), None) => Ok((PathBuf::from(settings), Kind::Settings)),
+        (None, Some(program)) => Ok((PathBuf::from(program), Kind::Program)),
+        _ => Err(root.error(Fault::Either { first: "candidate", second: "program" })),
+    }
+}
+
+fn read_stages<'d>(document: &Document<'d>, root: &Element<'_, 'd>) -> Result<Vec<Stage>> {
+    let mut stages = Vec::new();
+    for child in root.children(&["stage"], &["stage"])? {
+        stages.push(read_stage(document, child, stages.len() + 1)?);
+    }
+    Ok(stages)
+}
+
+fn read_stage<'d>(document: &Document<'d>, node: Node<'_, 'd>, number: usize) -> Result<Stage> {
+    let stage = Element::new(document, node, STAGE)?;
+    let error = |fault| stage.error(Fault::Stage { number, fault: Box::new(fault) });
+    if stage.text("bake-ms").is_none() {
+        return Err(error(Fault::Missing { name: "bake-ms".to_string() }));
+    }
+    let size = match (stage.text("servers"), stage.text("share")) {
+        (Some(_), None) => Size::Servers(stage.parsed("servers", 0)?),
+        (None, Some(_)) => Size::Share(stage.parsed("share", 0.0)?),
+        _ => return Err(error(Fault::Either { first: "servers", second: "share" })),
+    };
+    Ok(Stage { size, bake: stage.duration_ns("bake-ms", 0, 0, BAKE_MS_MAX)? })
+}
--- /dev/null
+++ b/crates/configuration/src/tenants.rs
@@ -0,0 +1,158 @@
+//! `<tenants>`: how tenants are told apart, and what each gets when there is not enough for all.
+
+use crate::error::Fault;
+use crate::idempotency_keys::free_field;
+use crate::xml::{Element, Result};
+use meadowstream_fair_queueing::{NamedTenant, Settings};
+use roxmltree::{Document, Node};
+use std::collections::HashSet;
+
+/// Longest name of a tenant, in bytes.
+const NAME_BYTES_MAX: usize = 2048;
+/// Bounds of a weight, a ratio.
+pub(crate) const WEIGHT_LEAST: f64 = 1e-3;
+pub(crate) const WEIGHT_MOST: f64 = 1e3;
+
+const ATTRIBUTES: &[&str] = &["by", "field", "origin", "default-weight", "surplus-value", "shown"];
+const CEILINGS: &[&str] = &["accounts", "cells", "origins", "promises", "names-per-origin"];
+const SHARE: &[&str] = &["at-once-ms", "probation-ms", "late-ms"];
+
+/// What names the tenant of a call.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum TenantSource {
+    /// The number of the sender in the call.
+    Sender,
+    /// The address of the peer, without its port.
+    Peer,
+    /// This field of the call.
+    Field(String),
+}
+
+/// What a tenant cannot make up; new names from one origin share one quota.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Origin {
+    /// The connection.
+    Connection,
+    /// The address of the peer, without its port; the default.
+    Peer,
+    /// The sender's number, where senders are the operator's own.
+    Sender,
+}
+
+/// How tenants are told apart and served.
+#[derive(Clone, Debug)]
+pub struct Tenants {
+    /// What names the tenant of a call.
+    pub source: TenantSource,
+    /// What a tenant cannot make up.
+    pub origin: Origin,
+    /// Part of its priority weight that an invocation beyond its tenant's quota keeps, 0.1 where absent.
+    pub surplus_value: f64,
+    /// Tenants counted by name, the heaviest first, 0 to 64; 8 where absent.
+    pub shown: usize,
+    /// Weights, quotas and ceilings of memory.
+    pub fair: Settings,
+}
+
+pub(crate) fn read<'d>(document: &Document<'d>, node: Node<'_, 'd>) -> Result<Tenants> {
+    let element = Element::new(document, node, ATTRIBUTES)?;
+    let source = read_source(&element)?;
+    let origin = read_origin(&element)?;
+    let weight = element.number("default-weight", 1.0, WEIGHT_LEAST, WEIGHT_MOST)?;
+    let mut fair = Settings { weight, ..Settings::default() };
+    let children = element.children(&["ceilings", "share", "tenant"], &["tenant"])?;
+    let (named, limits): (Vec<_>, Vec<_>) =
+        children.into_iter().partition(|child| child.tag_name().name() == "tenant");
+    for child in limits {
+        match child.tag_name().name() {
+            "ceilings" => read_ceilings(&Element::new(document, child, CEILINGS)?, &mut fair)?,
+            _ => read_share(&Element::new(document, child, SHARE)?, &mut fair)?,
+        }
+    }
+    fair.named = read_named(document, named, &fair)?.into();
+    if let Some((attribute, reason)) = fair.fault() {
+        return Err(element.error(Fault::TenantLimit { attribute: attribute.to_string(), reason }));
+    }
+    let surplus_value = element.number("surplus-value", 0.1, 1e-6, 1.0)?;
+    let shown = element.whole("shown", 8, 0, 64)?;
+    Ok(Tenants { source, origin, surplus_value, shown, fair })
+}
+
+fn read_source(element: &Element) -> Result<TenantSource> {
+    let choice = element.required("by")?;
+    let has_field = element.text("field").is_some();
+    match (choice, has_field) {
+        ("sender", false) => Ok(TenantSource::Sender),
+        ("peer", false) => Ok(TenantSource::Peer),
+        ("field", true) => Ok(TenantSource::Field(free_field(element, "a tenant")?.to_string())),
+        ("field", false) => Err(element.error(Fault::FieldNeeded)),
+        (_, true) => Err(element.error(Fault::FieldWithoutChoice)),
+        (other, false) => Err(unknown_choice(element, "by", other)),
+    }
+}
+
+fn read_origin(element: &Element) -> Result<Origin> {
+    match element.text("origin").unwrap_or("peer") {
+        "connection" => Ok(Origin::Connection),
+        "peer" => Ok(Origin::Peer),
+        "sender" => Ok(Origin::Sender),
+        other => Err(unknown_choice(element, "origin", other)),
+    }
+}
+
+fn unknown_choice(
+    element: &Element,
+    attribute: &'static str,
+    choice: &str,
+) -> crate::error::ConfigurationError {
+    element.error(Fault::UnknownChoice { attribute, choice: choice.to_string() })
+}
+
+/// The `<tenant>` elements in the order of the file, each name once, as many as `<ceilings accounts>` allows.
+fn read_named<'d>(
+    document: &Document<'d>,
+    elements: Vec<Node<'_, 'd>>,
+    fair: &Settings,
+) -> Result<Vec<NamedTenant>> {
+    let (most, count) = (fair.named_most(), elements.len());
+    let mut named = Vec::with_capacity(count);
+    let mut names = HashSet::with_capacity(count);
+    for child in elements {
+        let tenant = Element::new(document, child, &["name", "weight"])?;
+        let name = tenant.required("name")?;
+        if name.len() > NAME_BYTES_MAX {
+            return Err(tenant.error(Fault::TooLong { attribute: "name", most: NAME_BYTES_MAX }));
+        }
+        let weight = tenant.number("weight", fair.weight, WEIGHT_LEAST, WEIGHT_MOST)?;
+        if !names.insert(name) {
+            return Err(tenant.error(Fault::ValueTwice { attribute: "name", value: name.to_string() }));
+        }
+        if named.len() == most {
+            return Err(tenant.error(too_many_tenants(fair, count, most)));
+        }
+        named.push((name.as_bytes().to_vec(), weight));
+    }
+    Ok(named)
+}
+
+fn too_many_tenants(fair: &Settings, named: usize, most: usize) -> Fault {
+    let wanted = Settings { named: vec![(Vec::new(), 1.0); named].into(), ..fair.clone() };
+    let (attribute, reason) = wanted.fault().unwrap_or_default();
+    Fault::TooManyTenants { attribute: attribute.to_string(), reason, named, most }
+}
+
+fn read_ceilings(element: &Element, fair: &mut Settings) -> Result<()> {
+    fair.accounts = element.whole("accounts", fair.accounts, 16, 1 << 20)?;
+    fair.cells = element.whole("cells", fair.cells, 64, 1 << 26)?;
+    fair.origins = element.whole("origins", fair.origins, 1, 1 << 16)?;
+    fair.promises = element.whole("promises", fair.promises, 1, 1 << 20)?;
+    fair.names = element.number("names-per-origin", fair.names, 1.0, 1e9)?;
+    Ok(())
+}
+
+fn read_share(element: &Element, fair: &mut Settings) -> Result<()> {
+    fair.at_once = element.duration_ns("at-once-ms", fair.at_once, 1, 3_600_000)?;
+    fair.probation = element.duration_ns("probation-ms", fair.probation, 0, 3_600_000)?;
+    fair.late = element.duration_ns("late-ms", fair.late, 1, 60_000)?;
+    Ok(())
+}
--- a/crates/configuration/tests/options.rs
+++ b/crates/configuration/tests/options.rs
@@ -1,6 +1,6 @@
 //! Files that are refused, each with the place named, and the example that is read.
 
-use meadowstream_configuration::{By, NAMESPACE, Options, Origin};
+use meadowstream_configuration::{NAMESPACE, Options, Origin, TenantSource, attributes};
 use std::collections::BTreeSet;
 use std::path::PathBuf;
 use test_case::test_case;
@@ -16,7 +16,7 @@
 #[test]
 fn reads_the_example() {
     let tenants = Options::load(&deploy("tenants-example.xml")).unwrap().tenants.unwrap();
-    assert_eq!((tenants.by, tenants.origin), (By::Field("venue".to_string()), Origin::Peer));
+    assert_eq!((tenants.source, tenants.origin), (TenantSource::Field("venue".to_string()), Origin::Peer));
     assert_eq!(tenants.fair.named[0], (b"arms-park".to_vec(), 10.0));
     assert_eq!((tenants.fair.at_once, tenants.fair.accounts), (15_000_000_000, 4096));
     assert!(Options::read(&file("")).unwrap().tenants.is_none());
@@ -73,6 +73,12 @@
     assert!(error.contains("accounts: 32 is under 56"), "{error}");
 }
 
+fn source_of_the_reader() -> String {
+    let folder = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("src");
+    let files = std::fs::read_dir(folder).unwrap().map(|file| file.unwrap().path());
+    files.map(|file| std::fs::read_to_string(file).unwrap()).collect()
+}
+
 /// Each attribute and element of the schema is understood, and no other.
 #[test]
 fn the_schema_and_the_reader_know_the_same() {
@@ -82,7 +88,7 @@
         let nodes = schema.descendants().filter(|node| node.tag_name().name() == tag);
         nodes.filter_map(|node| Some(node.attribute("name")?.to_string())).collect()
     };
-    let source = concat!(include_str!("../src/lib.rs"), include_str!("../src/replication.rs"));
+    let source = source_of_the_reader();
     for name in named("attribute").union(&named("element")) {
         assert!(source.contains(&format!("\"{name}\"")), "{name} is in the schema alone");
     }
@@ -95,14 +101,14 @@
         .chain(&ceilings)
         .chain(&shares)
         .chain(&others)
-        .chain(meadowstream_configuration::MEMBERSHIP)
-        .chain(meadowstream_configuration::BUDGET)
-        .chain(meadowstream_configuration::TIER)
-        .chain(meadowstream_configuration::ROLLOUT)
-        .chain(meadowstream_configuration::replication::REPLICATION)
-        .chain(meadowstream_configuration::replication::CHANGE)
-        .chain(meadowstream_configuration::PLAN)
-        .chain(meadowstream_configuration::STAGE)
+        .chain(attributes::MEMBERSHIP)
+        .chain(attributes::BUDGET)
+        .chain(attributes::TIER)
+        .chain(attributes::ROLLOUT)
+        .chain(attributes::REPLICATION)
+        .chain(attributes::CHANGE)
+        .chain(attributes::PLAN)
+        .chain(attributes::STAGE)
         .chain(&["reference"])
         .map(|name| name.to_string())
         .collect();
@@ -200,7 +206,7 @@
     let schema = include_str!("../../../deploy/meadowstream.xsd");
     let at = schema.find("complexType name=\"budget\"").expect("in the schema");
     let shape = &schema[at..at + schema[at..].find("</xs:complexType>\n  <!--").expect("its end")];
-    for name in meadowstream_configuration::BUDGET {
+    for name in attributes::BUDGET {
         assert!(shape.contains(&format!("attribute name=\"{name}\"")), "{name} is not in the schema");
     }
 }
--- a/crates/configuration/tests/outside_names.rs
+++ b/crates/configuration/tests/outside_names.rs
@@ -1,8 +1,8 @@
 //! Names that operators write are those of release 0.2.0 (commit 22d0bb6): each is still in the schema with
 //! its type and default, and a file that uses every one of them is read with the same meaning.
 
-use meadowstream_configuration::replication::{overlay_replicated, read_change};
-use meadowstream_configuration::{By, Options, Origin, PlanFile, Tenants};
+use meadowstream_configuration::change::{overlay_replicated, read_change};
+use meadowstream_configuration::{Options, Origin, PlanFile, TenantSource, Tenants, TierService};
 use meadowstream_fair_queueing::Settings;
 use meadowstream_rollout::plan::{OnWorse, Size, Thresholds};
 use meadowstream_rollout::wire::Kind;
@@ -55,8 +55,8 @@
 #[test]
 fn tenants_tokens_calls_and_control_mean_the_same() {
     let options = Options::read(EVERY_OPTION).unwrap();
-    let Tenants { by, origin, surplus_value, shown, fair } = options.tenants.unwrap();
-    assert_eq!((by, origin), (By::Field("venue".into()), Origin::Sender));
+    let Tenants { source, origin, surplus_value, shown, fair } = options.tenants.unwrap();
+    assert_eq!((source, origin), (TenantSource::Field("venue".into()), Origin::Sender));
     assert_eq!((surplus_value, shown), (0.25, 9));
     let Settings { accounts, cells, origins, promises, names, weight, .. } = fair;
     assert_eq!((accounts, cells, origins, promises), (5_000, 70_000, 300, 17_000));
@@ -65,10 +65,10 @@
     assert_eq!(fair.probation, 2_100 * MILLISECOND);
     assert_eq!(fair.late, 510 * MILLISECOND);
     assert_eq!(fair.named.to_vec(), [(b"arms-park".to_vec(), 10.0), (b"rodney-parade".to_vec(), 2.0)]);
-    let tokens = options.tokens.unwrap();
+    let tokens = options.idempotency_keys.unwrap();
     assert_eq!((tokens.field.as_str(), tokens.entries, tokens.result_bytes), ("key", 5_001, 2_048 << 10));
-    assert_eq!(options.left_out.as_deref(), Some("nothing"));
-    assert_eq!(options.reference, Some(0.85));
+    assert_eq!(options.skipped_call_reply.as_deref(), Some("nothing"));
+    assert_eq!(options.target_utilization, Some(0.85));
 }
 
 #[test]
@@ -97,7 +97,8 @@
     assert_eq!(budget.voters, ["s1"]);
     let tier = shared.tier.unwrap();
     assert_eq!((tier.reports, tier.share_thousandths, tier.expiry), (3, 250, 5_100 * MILLISECOND));
-    assert_eq!(tier.services, [("r1".to_string(), "127.0.0.1:8900".parse().unwrap())]);
+    let service = TierService { name: "r1".to_string(), address: "127.0.0.1:8900".parse().unwrap() };
+    assert_eq!(tier.services, [service]);
 }
 
 #[test]
@@ -148,11 +149,11 @@
     </change>"#;
     let changes = read_change(change).unwrap();
     let set: Vec<(&str, &str)> =
-        changes.iter().filter_map(|(key, value)| Some((key.as_str(), value.as_deref()?))).collect();
+        changes.iter().filter_map(|one| Some((one.key.as_str(), one.value.as_deref()?))).collect();
     assert_eq!((changes.len(), set.len()), (4, 3));
     let mut options = Options::read(EVERY_OPTION).unwrap();
     overlay_replicated(&mut options, set.into_iter()).unwrap();
-    assert_eq!(options.reference, Some(0.8));
+    assert_eq!(options.target_utilization, Some(0.8));
     assert_eq!(options.shared_state.unwrap().budget.unwrap().total, 500);
     assert_eq!(options.tenants.unwrap().fair.named[0], (b"arms-park".to_vec(), 3.0));
 }
--- a/crates/configuration/tests/replication.rs
+++ b/crates/configuration/tests/replicated_keys.rs
@@ -1,6 +1,6 @@
 //! The element that turns replicated configuration on, files of changes, and what keys mean.
 
-use meadowstream_configuration::replication::{overlay_replicated, read_change};
+use meadowstream_configuration::change::{overlay_replicated, read_change};
 use meadowstream_configuration::{NAMESPACE, Options};
 use test_case::test_case;
 
@@ -50,8 +50,8 @@
 fn a_change_is_read() {
     let text = "<set key=\"tenants/tenant/a\" value=\"3\"/><remove key=\"control/reference\"/>";
     let read = read_change(&change(text)).unwrap();
-    assert_eq!(read[0], ("tenants/tenant/a".to_string(), Some("3".to_string())));
-    assert_eq!(read[1], ("control/reference".to_string(), None));
+    assert_eq!((read[0].key.as_str(), read[0].value.as_deref()), ("tenants/tenant/a", Some("3")));
+    assert_eq!((read[1].key.as_str(), read[1].value.as_deref()), ("control/reference", None));
 }
 
 #[test_case("", "<set> or <remove> is missing")]
@@ -74,7 +74,7 @@
     let mut read = own.clone();
     let pairs = [("control/reference", "0.8"), ("tenants/tenant/a", "5"), ("tenants/tenant/b", "3")];
     overlay_replicated(&mut read, pairs.into_iter()).unwrap();
-    assert_eq!(read.reference, Some(0.8));
+    assert_eq!(read.target_utilization, Some(0.8));
     let named = &read.tenants.as_ref().unwrap().fair.named;
     assert_eq!(named.to_vec(), vec![(b"a".to_vec(), 5.0), (b"b".to_vec(), 3.0)]);
     // More tenants than the accounts allow, an unknown key, no budget: refused with the key.
--- a/crates/server/src/connection/task.rs
+++ b/crates/server/src/connection/task.rs
@@ -16,7 +16,7 @@
 use async_channel::Receiver;
 use async_io::{Async, Timer};
 use futures_lite::future;
-use meadowstream_configuration::{By, Origin};
+use meadowstream_configuration::{Origin, TenantSource};
 use meadowstream_overload_control::{Effect, Nanos, Sender};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{IpAddr, Ipv4Addr, Shutdown, TcpStream};
@@ -416,7 +416,7 @@
             return Ok(None);
         }
         let options = configuration.options.borrow();
-        let field = options.tokens.as_ref().and_then(|tokens| call.field(&tokens.field));
+        let field = options.idempotency_keys.as_ref().and_then(|keys| call.field(&keys.field));
         let token = field.filter(|token| !token.is_empty()).ok_or("a tokened call without its token")?;
         if token.len() > TOKEN_MAX { Err("a token is too long") } else { Ok(Some(token.into())) }
     }
@@ -425,10 +425,10 @@
     fn sender(&self, call: &rpc::Call) -> Option<Sender> {
         let options = self.server.configuration.options.borrow();
         let tenants = options.tenants.as_ref()?;
-        let tenant = match &tenants.by {
-            By::Sender => call.sender.map_or(Vec::new(), |sender| sender.to_string().into_bytes()),
-            By::Peer => self.peer.to_string().into_bytes(),
-            By::Field(field) => call.field(field).unwrap_or("").as_bytes().to_vec(),
+        let tenant = match &tenants.source {
+            TenantSource::Sender => call.sender.map_or(Vec::new(), |sender| sender.to_string().into_bytes()),
+            TenantSource::Peer => self.peer.to_string().into_bytes(),
+            TenantSource::Field(field) => call.field(field).unwrap_or("").as_bytes().to_vec(),
         };
         let origin = match tenants.origin {
             Origin::Connection => self.connection.id,
--- a/crates/server/src/event_loop.rs
+++ b/crates/server/src/event_loop.rs
@@ -79,8 +79,12 @@
         let configuration = &server.configuration;
         let operations = &configuration.settings.deployment.operations;
         let unread = operations.iter().map(|op| op.client_timeout).max().unwrap_or(0);
-        let (entries, bytes) =
-            configuration.options.borrow().tokens.as_ref().map_or((0, 0), |t| (t.entries, t.result_bytes));
+        let (entries, bytes) = configuration
+            .options
+            .borrow()
+            .idempotency_keys
+            .as_ref()
+            .map_or((0, 0), |t| (t.entries, t.result_bytes));
         let hands = Hands {
             repeats: Repeats::new(entries, bytes, unread),
             settled: Vec::new(),
@@ -680,7 +684,7 @@
     }
 
     fn skip_call(&mut self, inv: u64) {
-        let reply = self.server.configuration.options.borrow().left_out.clone();
+        let reply = self.server.configuration.options.borrow().skipped_call_reply.clone();
         let Some(reply) = reply else { return self.cannot(inv, "leaving a call out") };
         let Some(invocation) = self.invocations.get(inv) else { return };
         (invocation.asked, invocation.waits) = (Vec::new(), false);
--- a/crates/server/src/fleet/control_machine.rs
+++ b/crates/server/src/fleet/control_machine.rs
@@ -12,7 +12,7 @@
 use async_signal::{Signal, Signals};
 use futures_lite::{StreamExt, future};
 use meadowstream_configuration::Options;
-use meadowstream_configuration::replication::Replication as Given;
+use meadowstream_configuration::Replication as Given;
 use meadowstream_replication::member::Member;
 use meadowstream_replication::store;
 use meadowstream_shared_state::REPLICATION;
--- a/crates/server/src/fleet/publish.rs
+++ b/crates/server/src/fleet/publish.rs
@@ -4,7 +4,7 @@
 use crate::fleet::control_machine as control;
 use crate::fleet::joined::Joined;
 use anyhow::{Context, Result, bail, ensure};
-use meadowstream_configuration::replication::load_change;
+use meadowstream_configuration::change::load_change;
 use meadowstream_replication::message::{Message, Ticket};
 use meadowstream_replication::revision::{Change, PARTS_MAX, split};
 use meadowstream_shared_state::REPLICATION;
@@ -37,7 +37,7 @@
         Ask::Revert(number) => Ok(vec![Message::Revert { ticket: ticket.clone(), number: *number }]),
         Ask::Publish(file) => {
             let changes: Vec<Change> =
-                load_change(file)?.into_iter().map(|(key, value)| Change { key, value }).collect();
+                load_change(file)?.into_iter().map(|one| Change { key: one.key, value: one.value }).collect();
             if let Some(fault) = changes.iter().find_map(Change::fault) {
                 bail!("{}: {fault}", file.display());
             }
--- a/crates/server/src/fleet/replication.rs
+++ b/crates/server/src/fleet/replication.rs
@@ -6,7 +6,7 @@
 use crate::lifecycle::reload;
 use crate::server::Server;
 use async_channel::{Receiver, Sender};
-use meadowstream_configuration::replication::Replication as Given;
+use meadowstream_configuration::Replication as Given;
 use meadowstream_membership::Nanos;
 use meadowstream_membership::directory::Directory;
 use meadowstream_replication::history::Snapshot;
--- a/crates/server/src/lifecycle/configuration.rs
+++ b/crates/server/src/lifecycle/configuration.rs
@@ -6,8 +6,8 @@
 use crate::fleet::shared_state::ROLLOUTS;
 use crate::memory::repeats::ENTRY_BYTES;
 use anyhow::{Context, Result, anyhow, bail, ensure};
-use meadowstream_configuration::replication::overlay_replicated;
-use meadowstream_configuration::{Options, Tokens};
+use meadowstream_configuration::change::overlay_replicated;
+use meadowstream_configuration::{IdempotencyKeys, Options};
 use meadowstream_deployment_settings::Read;
 use meadowstream_overload_control::{Advert, Below, Effect};
 use meadowstream_replication::history::Snapshot;
@@ -30,9 +30,9 @@
 pub const TENANT_FIELD: &str = "project";
 
 /// Half of that part for entries, half for results.
-fn usual_tokens(memory_mb: u64) -> Tokens {
+fn usual_tokens(memory_mb: u64) -> IdempotencyKeys {
     let half = (memory_mb << 20) as usize / TOKENS_PART / 2;
-    Tokens { field: TOKEN_FIELD.to_string(), entries: half / ENTRY_BYTES, result_bytes: half }
+    IdempotencyKeys { field: TOKEN_FIELD.to_string(), entries: half / ENTRY_BYTES, result_bytes: half }
 }
 
 /// Where the other parties are.
@@ -169,7 +169,7 @@
         budgets: of_calls.map(plan).into_iter().chain(of_rollouts).chain(of_publishing).collect(),
         counts: Limits::default(),
         judge: given.and_then(|given| given.tier.as_ref()).map(|tier| JudgeSettings {
-            services: tier.services.iter().map(|(name, _)| name.clone()).collect(),
+            services: tier.services.iter().map(|service| service.name.clone()).collect(),
             reports: tier.reports,
             share_thousandths: tier.share_thousandths,
             expiry: tier.expiry,
@@ -296,7 +296,8 @@
             if let Some(state) = layers.replicated {
                 overlay_replicated(&mut options, state.iter()).context("replicated configuration")?;
             }
-            read.reference.set(options.reference.unwrap_or(meadowstream_overload_control::REFERENCE));
+            read.reference
+                .set(options.target_utilization.unwrap_or(meadowstream_overload_control::REFERENCE));
             let folder = path.parent().unwrap_or(Path::new("."));
             if let Some(rollout) = &options.rollout {
                 let mut mark = path.as_os_str().to_os_string();
@@ -325,7 +326,7 @@
                 let tier = options.shared_state.as_ref().and_then(|shared| shared.tier.as_ref());
                 let calls = read.addresses.get().records.is_some();
                 ensure!(calls || tier.is_none(), "<tier>: the configuration names no records to call");
-                fleet.tier = tier.iter().flat_map(|t| &t.services).map(|(_, address)| *address).collect();
+                fleet.tier = tier.iter().flat_map(|t| &t.services).map(|service| service.address).collect();
                 read.membership = Some(fleet);
             }
             (read.options, read.options_path) = (RefCell::new(Arc::new(options)), Some(path.to_path_buf()));
@@ -385,11 +386,13 @@
         // What is remembered of calls lies in this process, under its own limit, not in the interpreter's.
         site.entry_kb = 0.0;
         let tokened = site.operations.iter().position(|op| op.effect == Effect::Tokened);
-        if let Some(i) = tokened.filter(|_| options.tokens.is_none()) {
-            options.tokens = Some(usual_tokens(self.memory_mb));
+        if let Some(i) = tokened.filter(|_| options.idempotency_keys.is_none()) {
+            options.idempotency_keys = Some(usual_tokens(self.memory_mb));
             note(&format!("grades.{i}.effect"), &format!("the token is read from the field {TOKEN_FIELD}"));
         }
-        if options.left_out.is_none() && site.operations.iter().any(|op| op.without_call_value > 0.0) {
+        if options.skipped_call_reply.is_none()
+            && site.operations.iter().any(|op| op.without_call_value > 0.0)
+        {
             site.operations.iter_mut().for_each(|op| op.without_call_value = 0.0);
             note("family-info.degraded-worth", "no call is left out, as <calls> does not say the reply");
         }
@@ -413,15 +416,18 @@
     fn refuse_mixed_shapes(&self) -> Result<()> {
         let (site, options) = (&self.settings.deployment, self.options.borrow());
         let tokened = site.operations.iter().any(|op| op.effect == Effect::Tokened);
-        ensure!(tokened || options.tokens.is_none(), "options: <tokens>: no operation is by_key");
+        ensure!(tokened || options.idempotency_keys.is_none(), "options: <tokens>: no operation is by_key");
         let partly = site.operations.iter().any(|op| op.without_call_value > 0.0);
-        ensure!(partly || options.left_out.is_none(), "options: <calls>: no operation has a degraded-worth");
+        ensure!(
+            partly || options.skipped_call_reply.is_none(),
+            "options: <calls>: no operation has a degraded-worth"
+        );
         let shared = matches!(site.below, Below::Shared { .. });
         ensure!(
             shared || self.settings.dependency_share <= 0.0,
             "settings: family-info.dep-share: given, though family-info.below names no one_for_all"
         );
-        if let Some(tokens) = &options.tokens {
+        if let Some(tokens) = &options.idempotency_keys {
             let bytes = tokens.entries * ENTRY_BYTES + tokens.result_bytes;
             let most = (self.memory_mb << 20) as usize / TOKENS_PART;
             ensure!(
--- a/crates/server/src/lifecycle/reload.rs
+++ b/crates/server/src/lifecycle/reload.rs
@@ -99,8 +99,8 @@
         ensure!(same, "tenants: telling them apart or not takes a restart");
         return Ok(None);
     };
-    let ways = (&before.by, before.origin, before.surplus_value);
-    ensure!(ways == (&after.by, after.origin, after.surplus_value), "tenants: this takes a restart");
+    let ways = (&before.source, before.origin, before.surplus_value);
+    ensure!(ways == (&after.source, after.origin, after.surplus_value), "tenants: this takes a restart");
     ensure!(before.fair.ceiling() == after.fair.ceiling(), "ceilings: others take a restart");
     Ok(Some((before, after)))
 }
@@ -200,8 +200,9 @@
     ensure!(calls(old) == calls(new), "records: a call more or less takes a restart");
     {
         let (before, after) = (old.options.borrow(), new.options.borrow());
-        let same = (&before.tokens, &before.left_out, &before.rollout, &before.replication)
-            == (&after.tokens, &after.left_out, &after.rollout, &after.replication);
+        let same =
+            (&before.idempotency_keys, &before.skipped_call_reply, &before.rollout, &before.replication)
+                == (&after.idempotency_keys, &after.skipped_call_reply, &after.rollout, &after.replication);
         ensure!(same, "options: <tokens>, <calls>, <rollout>, <replication>: others take a restart");
     }
     let fleet = |c: &Configuration| {
