--- /dev/null
+++ b/crates/cli/src/commands.rs
@@ -0,0 +1,107 @@
+//! Carries out a command.
+
+use crate::arguments::{Command, LogFormat};
+use crate::log::NonBlockingStderr;
+use anyhow::{Context, Result, ensure};
+use meadowstream_capacity::report::{self, Options as CapacityOptions};
+use meadowstream_server::fleet::{control_machine, coordinator, publish};
+use meadowstream_server::lifecycle::configuration::{Configuration, Layers};
+use meadowstream_server::lifecycle::start;
+use meadowstream_test_doubles::{fleet, night, table::table};
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+use tracing_subscriber::EnvFilter;
+
+const BYTES_PER_MIB: usize = 1 << 20;
+
+/// Carries a command out; an error is printed on one line and ends the program with 1.
+pub fn run(command: Command) -> Result<()> {
+    match command {
+        Command::Serve { config, options, log } => {
+            start_log(log);
+            start::serve(Configuration::load_standing(&config, options.as_deref())?)
+        }
+        Command::Check { config, options } => check(&config, options.as_deref()),
+        Command::Rehearse { tenants, seconds, shows_log } => rehearse(tenants, seconds, shows_log),
+        Command::FleetRehearse { servers } => rehearse_fleet(servers),
+        Command::FleetCapacity { options, json } => measure_capacity(options, json),
+        Command::Rollout(given) => coordinator::run(&given),
+        Command::RolloutStatus { state } => coordinator::status(&state),
+        Command::RolloutAbort { state } => coordinator::abort(&state),
+        Command::Control { options, log } => {
+            start_log(log);
+            control_machine::run(&options)
+        }
+        Command::Publish(given) => publish::run(&given),
+        Command::Version => {
+            println!("meadowstream {}", env!("CARGO_PKG_VERSION"));
+            Ok(())
+        }
+    }
+}
+
+fn start_log(format: LogFormat) {
+    let filter = EnvFilter::try_from_default_env().unwrap_or_else(|_| EnvFilter::new("info"));
+    let log = tracing_subscriber::fmt().with_env_filter(filter).with_ansi(false);
+    let log = log.with_writer(|| NonBlockingStderr);
+    match format {
+        LogFormat::Json => log.json().init(),
+        LogFormat::Text => log.init(),
+    }
+}
+
+fn check(config: &Path, options: Option<&Path>) -> Result<()> {
+    let read = Configuration::load(config, options, Layers::default())?;
+    let operations = read.settings.operation_names.join(", ");
+    println!("{} would listen on {} for {operations}", read.name, read.listen);
+    read.notes.iter().for_each(|note| println!("{note}"));
+    if let Some(fair) = &read.settings.deployment.fair {
+        let (named, most) = (fair.named.len(), fair.ceiling().div_ceil(BYTES_PER_MIB));
+        println!("tenants are told apart, {named} of them by name, in {most} MiB at most");
+    }
+    Ok(())
+}
+
+fn this_program() -> Result<PathBuf> {
+    std::env::current_exe().context("cannot find this program")
+}
+
+fn rehearse_fleet(servers: usize) -> Result<()> {
+    let table = fleet::rehearse(&this_program()?, servers, |line| println!("{line}"))?;
+    println!("\n{table}");
+    Ok(())
+}
+
+/// Plays a calm third and two busy thirds, and prints a table by group of tenants.
+fn rehearse(tenants: usize, seconds: u64, shows_log: bool) -> Result<()> {
+    let calm = Duration::from_secs(seconds / 3);
+    let plan = night::busy_night(calm, Duration::from_secs(seconds) - calm, tenants);
+    let (cores, all) = (plan.cores, tenants + 1);
+    println!(
+        "{all} tenants at {cores} cores, asking for three times of what they can do, nine tenths by one\n"
+    );
+    let outcome = night::play(&this_program()?, plan, |line| println!("{line}"))?;
+    println!("\n{}", table(&outcome.tallies));
+    println!("Of the night alone; \"in time\" is within the objective from the first try, \"kept\" the part");
+    println!(
+        "of returns as advised that were admitted. The program held {} MiB at most.",
+        outcome.peak_kib >> 10
+    );
+    if shows_log {
+        println!("\n{}", outcome.shares.join("\n"));
+    }
+    Ok(())
+}
+
+/// Prints the table of costs; an error where a bound was passed.
+fn measure_capacity(options: CapacityOptions, json: Option<PathBuf>) -> Result<()> {
+    let report = report::run(&this_program()?, options, |line| println!("{line}"))?;
+    println!("\n{}", report.table());
+    if let Some(path) = &json {
+        let text = serde_json::to_string_pretty(&report)?;
+        std::fs::write(path, text).with_context(|| format!("cannot write {}", path.display()))?;
+    }
+    let passed = report.passed.len();
+    ensure!(passed == 0, "{passed} bounds were passed");
+    Ok(())
+}
--- a/crates/cli/src/log.rs
+++ b/crates/cli/src/log.rs
@@ -1,18 +1,20 @@
-//! Where log lines go: standard error, but never waiting for whoever reads it.
+//! Where log lines go: standard error, but never waiting for its reader.
 
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use std::io::{Result, Write, stderr};
 
-/// Guards against a reader that has stopped: with a full pipe the one thread of the server would stand still.
-/// A line that has no room is lost; lines are shorter than what a pipe that is ready takes at once.
-pub struct Log;
+const NO_WAIT: Timespec = Timespec { tv_sec: 0, tv_nsec: 0 };
 
-impl Write for Log {
+/// Standard error for a program of one thread: with a full pipe that nobody reads the thread would block. A
+/// line for which the pipe is not ready is lost; lines are shorter than what a ready pipe takes at once.
+pub struct NonBlockingStderr;
+
+impl Write for NonBlockingStderr {
     fn write(&mut self, line: &[u8]) -> Result<usize> {
         let stderr = stderr();
-        let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
-        let ready = poll(&mut [PollFd::new(&stderr, PollFlags::OUT)], Some(&at_once)).is_ok_and(|n| n > 0);
-        if ready { stderr.lock().write(line) } else { Ok(line.len()) }
+        let polled = poll(&mut [PollFd::new(&stderr, PollFlags::OUT)], Some(&NO_WAIT));
+        let is_ready = polled.is_ok_and(|ready| ready > 0);
+        if is_ready { stderr.lock().write(line) } else { Ok(line.len()) }
     }
 
     fn flush(&mut self) -> Result<()> {
--- a/crates/server/src/fleet/publish.rs
+++ b/crates/server/src/fleet/publish.rs
@@ -8,7 +8,7 @@
 use meadowstream_replication::message::{Message, Ticket};
 use meadowstream_replication::revision::{Change, PARTS_MAX, split};
 use meadowstream_shared_state::REPLICATION;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::time::Duration;
 
 /// Members of that name are operators' commands.
@@ -174,16 +174,3 @@
 
 /// The options that a `publish` without `--wait` waits for.
 pub const WAIT_USUAL: Duration = Duration::from_secs(10);
-
-/// Reads `CHANGE`, `revert NUMBER` or `status`.
-pub fn ask_of(words: &[String]) -> Result<Ask> {
-    match words {
-        [word] if word == "status" => Ok(Ask::Status),
-        [word, number] if word == "revert" => {
-            let number = number.parse().with_context(|| format!("revert: {number:?} is no number"))?;
-            Ok(Ask::Revert(number))
-        }
-        [file] => Ok(Ask::Publish(Path::new(file).to_path_buf())),
-        _ => bail!("publish: name the file of a change, or status, or revert NUMBER"),
-    }
-}
