--- a/crates/capacity/src/fleet.rs
+++ b/crates/capacity/src/fleet.rs
@@ -86,13 +86,14 @@
         for server in 0..size {
             fleet.servers[server] = Some(fleet.hollow(server)?);
         }
-        let ids: Vec<_> = fleet.servers.iter().flatten().map(|one| one.membership.me().clone()).collect();
+        let ids: Vec<_> =
+            fleet.servers.iter().flatten().map(|one| one.membership.identity().clone()).collect();
         let seeds: Vec<SocketAddr> = seeds.iter().map(|seed| Self::address(*seed)).collect();
         for server in 0..size {
             if let Some(hollow) = &mut fleet.servers[server] {
                 hollow.membership.join(&seeds, 0);
                 hollow.membership.restore(ids.iter().cloned(), 0);
-                hollow.membership.changes();
+                hollow.membership.take_changes();
             }
             fleet.route(server);
         }
@@ -255,12 +256,12 @@
 
     /// Whether each of `who` holds exactly the others as members, in their present incarnations.
     pub fn agree(&self, who: &[usize]) -> bool {
-        let of = |server: &usize| self.servers[*server].as_ref().map(|one| one.membership.me());
+        let of = |server: &usize| self.servers[*server].as_ref().map(|one| one.membership.identity());
         let mut all: Vec<(SocketAddr, u64)> =
             who.iter().filter_map(of).map(|me| (me.addr, me.incarnation)).collect();
         all.sort_unstable();
         who.iter().filter_map(|server| self.servers[*server].as_ref()).all(|one| {
-            let me = one.membership.me();
+            let me = one.membership.identity();
             let mut members = one.membership.members();
             members.push((me.addr, me.incarnation));
             members.sort_unstable();
--- a/crates/capacity/src/hollow.rs
+++ b/crates/capacity/src/hollow.rs
@@ -3,8 +3,8 @@
 
 use crate::meter::{Costs, thread_time};
 use meadowstream_membership::directory::Directory;
-use meadowstream_membership::envelope::{HEAD, TAG};
-use meadowstream_membership::{Id, Membership, Nanos};
+use meadowstream_membership::envelope::{HEADER_BYTES, TAG_BYTES};
+use meadowstream_membership::{MemberId, Membership, Nanos};
 use meadowstream_replication::member::Member;
 use meadowstream_shared_state::clock::Reading;
 use meadowstream_shared_state::{REPLICATION, SharedState, Who};
@@ -33,7 +33,7 @@
 }
 
 /// Bytes that the envelope adds to a body.
-const ENVELOPE: u64 = (HEAD + TAG) as u64;
+const ENVELOPE: u64 = (HEADER_BYTES + TAG_BYTES) as u64;
 
 impl Hollow {
     /// Settings that the cores refuse are an error that names them.
@@ -44,7 +44,7 @@
         seed: u64,
         now: Nanos,
     ) -> Result<Hollow, String> {
-        let me = Id { name: name.to_string(), addr, incarnation: EPOCH + now };
+        let me = MemberId { name: name.to_string(), addr, incarnation: EPOCH + now };
         let who = Who { name: name.to_string(), incarnation: EPOCH + now };
         let replication = settings
             .replication
@@ -67,8 +67,8 @@
 
     pub fn receive(&mut self, from: SocketAddr, datagram: &[u8], now: Nanos) {
         let began = thread_time();
-        let _ = self.membership.receive(from, datagram, now);
-        let carried = self.membership.carried();
+        let _ = self.membership.handle_datagram(from, datagram, now);
+        let carried = self.membership.take_shared_state();
         let opened = thread_time();
         self.costs.membership.processor += opened - began;
         if carried.is_empty() {
@@ -120,7 +120,7 @@
             if let Some(address) = self.directory.address(&to) {
                 self.costs.replication.datagrams += 1;
                 self.costs.replication.bytes += size + ENVELOPE;
-                self.membership.carry(address, &body, now);
+                self.membership.send_shared_state(address, &body, now);
             }
         }
     }
@@ -128,8 +128,8 @@
     /// Does what is due by `now`.
     pub fn advance(&mut self, now: Nanos) {
         let began = thread_time();
-        self.membership.advance(now);
-        self.membership.changes();
+        self.membership.handle_timeout(now);
+        self.membership.take_changes();
         let advanced = thread_time();
         self.costs.membership.processor += advanced - began;
         if now >= self.shared_due {
@@ -151,7 +151,7 @@
             if let Some(to) = self.directory.address(&name) {
                 self.costs.shared_state.datagrams += 1;
                 self.costs.shared_state.bytes += body.len() as u64 + ENVELOPE;
-                self.membership.carry(to, &body, now);
+                self.membership.send_shared_state(to, &body, now);
             }
         }
     }
@@ -165,12 +165,12 @@
     pub fn next_due(&self) -> Nanos {
         let replication = self.replication.as_ref().map_or(Nanos::MAX, Member::next_due);
         let replication = replication.saturating_sub(EPOCH);
-        self.membership.next_due().unwrap_or(Nanos::MAX).min(self.shared_due).min(replication)
+        self.membership.poll_timeout().unwrap_or(Nanos::MAX).min(self.shared_due).min(replication)
     }
 
     /// Datagrams to send, to whom; taken once.
     pub fn outgoing(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
-        let outgoing = self.membership.outgoing();
+        let outgoing = self.membership.take_transmits();
         let counts = self.membership.counts();
         // What is neither shared state nor configuration is the membership's own.
         let others = [self.costs.shared_state, self.costs.replication];
--- a/crates/capacity/src/model.rs
+++ b/crates/capacity/src/model.rs
@@ -72,7 +72,7 @@
 pub fn settings(size: usize) -> Settings {
     let mut membership = meadowstream_membership::Settings::lan("capacity", b"a key of the scale model");
     membership.expected_members = size as u32;
-    membership.bytes_a_second = MEMBERSHIP_BYTES;
+    membership.bytes_per_second = MEMBERSHIP_BYTES;
     let servers = size as u64;
     let voters = (0..VOTERS).map(Fleet::name).collect();
     let budget = Plan::new("calls", 10 * servers, 1, servers, voters, 4 * SECOND, SECOND);
@@ -435,7 +435,8 @@
     }
     let next = fleet.now() + scale.control_away * SECOND;
     fleet.run_until(next);
-    let knows = |server: &&usize| fleet.server(**server).is_some_and(|one| one.membership.active() > 0);
+    let knows =
+        |server: &&usize| fleet.server(**server).is_some_and(|one| one.membership.active_members() > 0);
     let joined_meanwhile = Some(restarted.iter().filter(knows).count());
     for server in seeds() {
         fleet.start(server, &seeds())?;
--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -1,33 +1,36 @@
-//! The exchange of views, verdicts and doubts as one member plays it; [`exchange`] has the messages.
+//! The exchange of views, verdicts and doubts as one member plays it; [`messages`] has the messages.
 
-use crate::envelope::{Drop, Kind};
-use crate::exchange::{self, Exchange, What};
-use crate::identity::{Id, NAME_MAX};
-use crate::runtime::Asked;
-use crate::{ENVELOPE, Membership};
+use crate::envelope::{DropReason, PayloadKind};
+use crate::identity::{MemberId, NAME_BYTES_MAX};
+use crate::messages::{self, AntiEntropyMessage, AntiEntropyPayload};
+use crate::runtime::FocaEffects;
+use crate::{ENVELOPE_BYTES, Membership};
 use foca::State;
 use rand_chacha::rand_core::Rng;
 use std::net::SocketAddr;
 
 impl Membership {
-    /// One of the messages of [`exchange`].
-    pub(crate) fn heard(&mut self, Exchange { from, what }: Exchange) -> Result<(), Drop> {
-        let named = |id: &Id| !id.name.is_empty() && id.name.len() <= NAME_MAX;
-        let mine = self.me().clone();
+    /// One of the messages of [`messages`].
+    pub(crate) fn heard(
+        &mut self,
+        AntiEntropyMessage { from, what }: AntiEntropyMessage,
+    ) -> Result<(), DropReason> {
+        let named = |id: &MemberId| !id.name.is_empty() && id.name.len() <= NAME_BYTES_MAX;
+        let mine = self.identity().clone();
         if !named(&from) || from.addr == mine.addr {
-            return Err(Drop::Protocol);
+            return Err(DropReason::Protocol);
         }
         match what {
-            What::Digest(marks) => {
-                let differing = exchange::differing(&self.marks(), &marks);
+            AntiEntropyPayload::Digest(marks) => {
+                let differing = messages::differing(&self.marks(), &marks);
                 if differing != 0 {
                     self.answer(&from, differing, differing);
                 }
             }
-            What::Members { want, members } => {
+            AntiEntropyPayload::Members { want, members } => {
                 // Only the living are told of: a death is gossip's to tell, and the member's own to refute.
                 if members.iter().any(|m| !named(m.id()) || m.state() == State::Down) {
-                    return Err(Drop::Protocol);
+                    return Err(DropReason::Protocol);
                 }
                 // Answered first, so that what just came from it does not go back.
                 if want != 0 {
@@ -35,13 +38,13 @@
                     self.compare_soon();
                 }
                 self.tell_one_held_down(&from, &members);
-                let mut asked = Asked::default();
+                let mut effects = FocaEffects::default();
                 let others = members.into_iter().filter(|m| m.id().addr != mine.addr);
-                let applied = self.foca.apply_many(others, true, &mut asked);
-                self.absorb(asked);
-                applied.map_err(|_| Drop::Protocol)?;
+                let applied = self.foca.apply_many(others, true, &mut effects);
+                self.absorb(effects);
+                applied.map_err(|_| DropReason::Protocol)?;
             }
-            What::Held(member) => {
+            AntiEntropyPayload::Verdict(member) => {
                 if member.state() == State::Alive {
                     return Ok(());
                 }
@@ -52,12 +55,12 @@
                     }
                     return Ok(());
                 }
-                let mut asked = Asked::default();
-                let applied = self.foca.apply_many(std::iter::once(member), true, &mut asked);
+                let mut effects = FocaEffects::default();
+                let applied = self.foca.apply_many(std::iter::once(member), true, &mut effects);
                 // Whatever foca sends carries the refutation in its head, so the teller hears it at once.
-                let _ = self.foca.announce(from, &mut asked);
-                self.absorb(asked);
-                applied.map_err(|_| Drop::Protocol)?;
+                let _ = self.foca.announce(from, &mut effects);
+                self.absorb(effects);
+                applied.map_err(|_| DropReason::Protocol)?;
             }
         }
         Ok(())
@@ -66,24 +69,24 @@
     /// The marks of this view: the members alive or suspect, and this one.
     fn marks(&self) -> Vec<u32> {
         let living = self.foca.iter_members().map(|m| m.id());
-        exchange::digest(living.chain(std::iter::once(self.foca.identity())))
+        messages::digest(living.chain(std::iter::once(self.foca.identity())))
     }
 
     /// Sends the living members of these buckets to `to`, asking for its own of `want`.
-    fn answer(&mut self, to: &Id, buckets: u64, want: u64) {
-        let me = self.me().clone();
+    fn answer(&mut self, to: &MemberId, buckets: u64, want: u64) {
+        let me = self.identity().clone();
         let mine = foca::Member::alive(me.clone());
         let living = self.foca.iter_members().cloned().chain(std::iter::once(mine));
-        let mut members: Vec<_> = living.filter(|m| buckets & (1 << exchange::bucket(m.id())) != 0).collect();
+        let mut members: Vec<_> = living.filter(|m| buckets & (1 << messages::bucket(m.id())) != 0).collect();
         // Another start each time, so that what one answer has no room for comes with the next.
         let start = self.below(members.len());
         members.rotate_left(start);
-        for body in exchange::answers(&me, want, &members, self.sealer.body_max()) {
-            if (body.len() + ENVELOPE) as u64 > self.room() {
+        for body in messages::answers(&me, want, &members, self.sealer.body_max()) {
+            if (body.len() + ENVELOPE_BYTES) as u64 > self.room() {
                 self.compare_soon();
                 return;
             }
-            self.send(to.addr, Kind::Exchange, &body);
+            self.send(to.addr, PayloadKind::AntiEntropy, &body);
         }
     }
 
@@ -95,10 +98,11 @@
     /// Of the members that another hears and this one holds down in the same incarnation, one at random is
     /// told itself, and so is the one that hears it. One for each datagram, so that what is sent stays in
     /// proportion to what came.
-    fn tell_one_held_down(&mut self, from: &Id, heard: &[foca::Member<Id>]) {
-        let down: std::collections::HashSet<&Id> =
+    fn tell_one_held_down(&mut self, from: &MemberId, heard: &[foca::Member<MemberId>]) {
+        let down: std::collections::HashSet<&MemberId> =
             self.foca.iter_membership_state().filter(|m| m.state() == State::Down).map(|m| m.id()).collect();
-        let wronged: Vec<Id> = heard.iter().map(|m| m.id()).filter(|id| down.contains(id)).cloned().collect();
+        let wronged: Vec<MemberId> =
+            heard.iter().map(|m| m.id()).filter(|id| down.contains(id)).cloned().collect();
         if !wronged.is_empty() {
             let one = wronged[self.below(wronged.len())].clone();
             self.tell(one.addr, foca::Member::down(one.clone()));
@@ -110,19 +114,20 @@
     /// a death that gossip did not bring here: this one's own probes come round to it after as many periods
     /// as there are members. It may hurt a member that lives and was declared down wrongly; that one
     /// refutes the suspicion, or takes its next incarnation.
-    fn suspect(&mut self, id: &Id) {
+    fn suspect(&mut self, id: &MemberId) {
         let known = self.foca.iter_members().find(|m| m.id() == id && m.state() == State::Alive);
         let Some(refutations) = known.map(foca::Member::incarnation) else { return };
         let suspected = foca::Member::new(id.clone(), refutations, State::Suspect);
-        let mut asked = Asked::default();
-        let _ = self.foca.apply_many(std::iter::once(suspected), true, &mut asked);
-        self.absorb(asked);
+        let mut effects = FocaEffects::default();
+        let _ = self.foca.apply_many(std::iter::once(suspected), true, &mut effects);
+        self.absorb(effects);
     }
 
     /// Tells a member in what state this one holds it, or another.
-    pub(crate) fn tell(&mut self, to: SocketAddr, held: foca::Member<Id>) {
-        let said = Exchange { from: self.me().clone(), what: What::Held(held) };
-        self.send(to, Kind::Exchange, &said.encode());
+    pub(crate) fn tell(&mut self, to: SocketAddr, held: foca::Member<MemberId>) {
+        let said =
+            AntiEntropyMessage { from: self.identity().clone(), what: AntiEntropyPayload::Verdict(held) };
+        self.send(to, PayloadKind::AntiEntropy, &said.encode());
     }
 
     /// Compares the view with one other member's, alive or held down, and asks one seed that is not in it:
@@ -135,8 +140,11 @@
         let at = self.below(known);
         let to = self.foca.iter_membership_state().nth(at).map(|m| m.id().addr);
         if let Some(to) = to {
-            let said = Exchange { from: self.me().clone(), what: What::Digest(self.marks()) };
-            self.send(to, Kind::Exchange, &said.encode());
+            let said = AntiEntropyMessage {
+                from: self.identity().clone(),
+                what: AntiEntropyPayload::Digest(self.marks()),
+            };
+            self.send(to, PayloadKind::AntiEntropy, &said.encode());
         }
         let living: std::collections::HashSet<SocketAddr> =
             self.foca.iter_members().map(|m| m.id().addr).collect();
--- a/crates/membership/src/directory.rs
+++ b/crates/membership/src/directory.rs
@@ -22,7 +22,7 @@
 impl Directory {
     /// Reads the view again if it has changed; true where it did.
     pub fn refresh(&mut self, membership: &Membership, now: Nanos) -> bool {
-        let mark = (membership.last_change(), membership.active());
+        let mark = (membership.last_change(), membership.active_members());
         let stands = |(change, active, at): (Nanos, usize, Nanos)| {
             (change, active) == mark && now < at.saturating_add(AGE_MAX)
         };
--- a/crates/membership/src/envelope.rs
+++ b/crates/membership/src/envelope.rs
@@ -13,7 +13,7 @@
 //! | 12..20 | the sender's incarnation (of its identity, raised at each start) |
 //! | 20..28 | the sender's sequence number within that incarnation |
 //! | 28..30 | length of the body in bytes |
-//! | 30..30+len | the body in postcard: foca's message, an [`crate::exchange::Exchange`], or shared state |
+//! | 30..30+len | the body in postcard: foca's message, an [`crate::messages::AntiEntropyMessage`], or shared state |
 //! | then 32 | HMAC-SHA256(key, fleet name, bytes 0..30+len) |
 
 use hmac::{Hmac, KeyInit, Mac};
@@ -25,31 +25,33 @@
 pub const MAGIC: [u8; 2] = *b"MS";
 pub const VERSION: u8 = 1;
 
-/// What the body of a datagram is. A kind that a build does not know is dropped as [`Drop::Version`], so
+/// What the body of a datagram is. A kind that a build does not know is dropped as [`DropReason::Version`], so
 /// that an older server in the fleet goes on beside a newer one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum PayloadKind {
     Swim = 0,
-    Exchange = 1,
-    State = 2,
+    AntiEntropy = 1,
+    SharedState = 2,
 }
 
-impl Kind {
-    fn read(byte: u8) -> Option<Kind> {
-        [Kind::Swim, Kind::Exchange, Kind::State].into_iter().find(|kind| *kind as u8 == byte)
+impl PayloadKind {
+    fn read(byte: u8) -> Option<PayloadKind> {
+        [PayloadKind::Swim, PayloadKind::AntiEntropy, PayloadKind::SharedState]
+            .into_iter()
+            .find(|kind| *kind as u8 == byte)
     }
 }
 
-pub const HEAD: usize = 30;
-pub const TAG: usize = 32;
+pub const HEADER_BYTES: usize = 30;
+pub const TAG_BYTES: usize = 32;
 /// The largest UDP payload over IPv4.
-pub const DATAGRAM_MAX: usize = 65_507;
+pub const DATAGRAM_BYTES_MAX: usize = 65_507;
 /// How many sequence numbers behind the highest seen are still taken once each.
 const WINDOW: u64 = 64;
 
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize)]
-pub enum Drop {
+pub enum DropReason {
     /// Shorter than a head and a tag.
     Short,
     /// Longer than the body allowed by the settings, or than UDP allows.
@@ -70,30 +72,30 @@
     Protocol,
 }
 
-impl Drop {
-    pub const ALL: [Drop; 9] = [
-        Drop::Short,
-        Drop::Oversized,
-        Drop::Magic,
-        Drop::Version,
-        Drop::Length,
-        Drop::Fleet,
-        Drop::Tag,
-        Drop::Replay,
-        Drop::Protocol,
+impl DropReason {
+    pub const ALL: [DropReason; 9] = [
+        DropReason::Short,
+        DropReason::Oversized,
+        DropReason::Magic,
+        DropReason::Version,
+        DropReason::Length,
+        DropReason::Fleet,
+        DropReason::Tag,
+        DropReason::Replay,
+        DropReason::Protocol,
     ];
 
     pub fn name(self) -> &'static str {
         match self {
-            Drop::Short => "short",
-            Drop::Oversized => "oversized",
-            Drop::Magic => "magic",
-            Drop::Version => "version",
-            Drop::Length => "length",
-            Drop::Fleet => "fleet",
-            Drop::Tag => "tag",
-            Drop::Replay => "replay",
-            Drop::Protocol => "protocol",
+            DropReason::Short => "short",
+            DropReason::Oversized => "oversized",
+            DropReason::Magic => "magic",
+            DropReason::Version => "version",
+            DropReason::Length => "length",
+            DropReason::Fleet => "fleet",
+            DropReason::Tag => "tag",
+            DropReason::Replay => "replay",
+            DropReason::Protocol => "protocol",
         }
     }
 }
@@ -108,7 +110,7 @@
 }
 
 impl Sealer {
-    /// `body_max` in bytes, at most `DATAGRAM_MAX - HEAD - TAG`.
+    /// `body_max` in bytes, at most `DATAGRAM_BYTES_MAX - HEADER_BYTES - TAG_BYTES`.
     pub fn new(fleet: &str, key: &[u8], body_max: usize) -> Sealer {
         let digest = Sha256::digest(fleet.as_bytes());
         let mut mark = [0; 8];
@@ -118,7 +120,7 @@
             fleet: fleet.as_bytes().to_vec(),
             mark,
             key,
-            body_max: body_max.min(DATAGRAM_MAX - HEAD - TAG),
+            body_max: body_max.min(DATAGRAM_BYTES_MAX - HEADER_BYTES - TAG_BYTES),
         }
     }
 
@@ -135,11 +137,11 @@
     }
 
     /// The datagram for `body`; `None` where the body is longer than allowed.
-    pub fn seal(&self, kind: Kind, incarnation: u64, sequence: u64, body: &[u8]) -> Option<Vec<u8>> {
+    pub fn seal(&self, kind: PayloadKind, incarnation: u64, sequence: u64, body: &[u8]) -> Option<Vec<u8>> {
         if body.len() > self.body_max {
             return None;
         }
-        let mut out = Vec::with_capacity(HEAD + body.len() + TAG);
+        let mut out = Vec::with_capacity(HEADER_BYTES + body.len() + TAG_BYTES);
         out.extend_from_slice(&MAGIC);
         out.push(VERSION);
         out.push(kind as u8);
@@ -154,36 +156,37 @@
     }
 
     /// The sender's incarnation, sequence number and body, where every check but the replay check passes.
-    pub fn open<'a>(&self, datagram: &'a [u8]) -> Result<Opened<'a>, Drop> {
-        if datagram.len() > DATAGRAM_MAX || datagram.len() > HEAD + self.body_max + TAG {
-            return Err(Drop::Oversized);
+    pub fn open<'a>(&self, datagram: &'a [u8]) -> Result<Opened<'a>, DropReason> {
+        if datagram.len() > DATAGRAM_BYTES_MAX || datagram.len() > HEADER_BYTES + self.body_max + TAG_BYTES {
+            return Err(DropReason::Oversized);
         }
-        if datagram.len() < HEAD + TAG {
-            return Err(Drop::Short);
+        if datagram.len() < HEADER_BYTES + TAG_BYTES {
+            return Err(DropReason::Short);
         }
         if datagram[0..2] != MAGIC {
-            return Err(Drop::Magic);
+            return Err(DropReason::Magic);
         }
-        let kind = Kind::read(datagram[3]).filter(|_| datagram[2] == VERSION).ok_or(Drop::Version)?;
+        let kind =
+            PayloadKind::read(datagram[3]).filter(|_| datagram[2] == VERSION).ok_or(DropReason::Version)?;
         if datagram[4..12] != self.mark {
-            return Err(Drop::Fleet);
+            return Err(DropReason::Fleet);
         }
         let len = u16::from_le_bytes([datagram[28], datagram[29]]) as usize;
-        if HEAD + len + TAG != datagram.len() {
-            return Err(Drop::Length);
+        if HEADER_BYTES + len + TAG_BYTES != datagram.len() {
+            return Err(DropReason::Length);
         }
-        let (sealed, tag) = datagram.split_at(HEAD + len);
+        let (sealed, tag) = datagram.split_at(HEADER_BYTES + len);
         // verify_slice compares in constant time.
-        self.tag(sealed).verify_slice(tag).map_err(|_| Drop::Tag)?;
+        self.tag(sealed).verify_slice(tag).map_err(|_| DropReason::Tag)?;
         let word = |at: usize| u64::from_le_bytes(datagram[at..at + 8].try_into().expect("8 bytes"));
-        Ok(Opened { kind, incarnation: word(12), sequence: word(20), body: &sealed[HEAD..] })
+        Ok(Opened { kind, incarnation: word(12), sequence: word(20), body: &sealed[HEADER_BYTES..] })
     }
 }
 
 /// What an authentic datagram carries.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Opened<'a> {
-    pub kind: Kind,
+    pub kind: PayloadKind,
     pub incarnation: u64,
     pub sequence: u64,
     pub body: &'a [u8],
@@ -193,7 +196,7 @@
 /// incarnation seen, its highest sequence number, and a window of the 64 below it. Bounded in addresses;
 /// the one heard from longest ago goes first.
 #[derive(Debug, Default)]
-pub struct Replays {
+pub struct ReplayWindows {
     seen: HashMap<SocketAddr, Seen>,
     limit: usize,
 }
@@ -206,9 +209,9 @@
     heard: u64,
 }
 
-impl Replays {
-    pub fn new(limit: usize) -> Replays {
-        Replays { seen: HashMap::new(), limit: limit.max(1) }
+impl ReplayWindows {
+    pub fn new(limit: usize) -> ReplayWindows {
+        ReplayWindows { seen: HashMap::new(), limit: limit.max(1) }
     }
 
     /// Whether a datagram so numbered from `from` is new; records it if so. `heard` orders evictions.
--- a/crates/membership/src/exchange.rs
+++ b/crates/membership/src/messages.rs
@@ -12,7 +12,7 @@
 //!   sent a fixed number of times, so under loss a share of suspicions ended in a false death however long
 //!   the suspicion was.
 
-use crate::Id;
+use crate::MemberId;
 use foca::Member;
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
@@ -24,36 +24,36 @@
 pub const ANSWERS_MAX: usize = 64;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Exchange {
+pub struct AntiEntropyMessage {
     /// Who says so; answers go to its address.
-    pub from: Id,
-    pub what: What,
+    pub from: MemberId,
+    pub what: AntiEntropyPayload,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum What {
+pub enum AntiEntropyPayload {
     /// The marks of the sender's view, [`BUCKETS`] of them.
     Digest(Vec<u32>),
     /// Members alive or suspect in the sender's view, of buckets whose marks differed; the receiver's own
     /// members of the buckets in `want` (a bit each) are wanted back.
-    Members { want: u64, members: Vec<Member<Id>> },
+    Members { want: u64, members: Vec<Member<MemberId>> },
     /// The sender holds this member in this state (suspect or down). The member itself may refute it; whoever
     /// else holds it alive suspects it where it is down.
-    Held(Member<Id>),
+    Verdict(Member<MemberId>),
 }
 
-impl Exchange {
+impl AntiEntropyMessage {
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_allocvec(self).expect("no part of it refuses")
     }
 
     /// `None` for anything that is not exactly one message of ours: truncated, with bytes left over, or with
     /// a digest of another size.
-    pub fn decode(bytes: &[u8]) -> Option<Exchange> {
-        let (read, rest) = postcard::take_from_bytes::<Exchange>(bytes).ok()?;
+    pub fn decode(bytes: &[u8]) -> Option<AntiEntropyMessage> {
+        let (read, rest) = postcard::take_from_bytes::<AntiEntropyMessage>(bytes).ok()?;
         let sized = match &read.what {
-            What::Digest(marks) => marks.len() == BUCKETS,
-            What::Members { .. } | What::Held(_) => true,
+            AntiEntropyPayload::Digest(marks) => marks.len() == BUCKETS,
+            AntiEntropyPayload::Members { .. } | AntiEntropyPayload::Verdict(_) => true,
         };
         (rest.is_empty() && sized).then_some(read)
     }
@@ -61,7 +61,7 @@
 
 /// A mark of one member in one incarnation, and its bucket, by address alone: two incarnations of a member
 /// lie in the same bucket.
-fn mark(id: &Id) -> (usize, u32) {
+fn mark(id: &MemberId) -> (usize, u32) {
     let mut of_address = SipHasher13::new();
     id.addr.hash(&mut of_address);
     let bucket = (of_address.finish() % BUCKETS as u64) as usize;
@@ -70,12 +70,12 @@
     (bucket, of_both.finish() as u32)
 }
 
-pub fn bucket(id: &Id) -> usize {
+pub fn bucket(id: &MemberId) -> usize {
     mark(id).0
 }
 
 /// The marks of a view: for each bucket the exclusive or of its members' marks, whatever their order.
-pub fn digest<'a>(members: impl Iterator<Item = &'a Id>) -> Vec<u32> {
+pub fn digest<'a>(members: impl Iterator<Item = &'a MemberId>) -> Vec<u32> {
     let mut marks = vec![0; BUCKETS];
     for id in members {
         let (bucket, of_it) = mark(id);
@@ -92,9 +92,10 @@
 
 /// The members split over as few datagrams as hold them, each body within `body_max` bytes; at most
 /// [`ANSWERS_MAX`], the rest waits for a later exchange. The first one carries `want`.
-pub fn answers(from: &Id, want: u64, members: &[Member<Id>], body_max: usize) -> Vec<Vec<u8>> {
-    let whole = |want, members: Vec<Member<Id>>| {
-        Exchange { from: from.clone(), what: What::Members { want, members } }.encode()
+pub fn answers(from: &MemberId, want: u64, members: &[Member<MemberId>], body_max: usize) -> Vec<Vec<u8>> {
+    let whole = |want, members: Vec<Member<MemberId>>| {
+        AntiEntropyMessage { from: from.clone(), what: AntiEntropyPayload::Members { want, members } }
+            .encode()
     };
     // The head, with room for the count and for a longer `want` than the first one's.
     let room = body_max.saturating_sub(whole(u64::MAX, Vec::new()).len() + 4);
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,8 +1,8 @@
 //! What a member is told at its start, and what foca is given of it.
 
-use crate::envelope::{DATAGRAM_MAX, HEAD, TAG};
-use crate::identity::NAME_MAX;
-use crate::{ENVELOPE, GOSSIP_MEMBERS, Nanos};
+use crate::envelope::{DATAGRAM_BYTES_MAX, HEADER_BYTES, TAG_BYTES};
+use crate::identity::NAME_BYTES_MAX;
+use crate::{ENVELOPE_BYTES, GOSSIP_MEMBERS, Nanos};
 use foca::Config;
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
@@ -26,7 +26,7 @@
     pub probe_rtt: Nanos,
     /// A suspect is declared down after this many probe periods.
     pub suspicion_multiplier: u32,
-    /// Largest body of a datagram in bytes; those of gossip are shorter, see [`Settings::bytes_a_second`].
+    /// Largest body of a datagram in bytes; those of gossip are shorter, see [`Settings::bytes_per_second`].
     pub packet_max: usize,
     /// Fleet size that the dissemination is tuned for; updates are sent about 4 log10(n+1) times.
     pub expected_members: u32,
@@ -36,7 +36,7 @@
     /// Bytes that the view's own datagrams take in any second. Gossip in full packets takes half of them;
     /// gossip and members' lists wait where there is no room, probes, answers and verdicts do not. What
     /// carries shared state is not counted.
-    pub bytes_a_second: u64,
+    pub bytes_per_second: u64,
 }
 
 impl Settings {
@@ -52,7 +52,7 @@
             expected_members: 64,
             gossip_period: 200_000_000,
             announce_period: 10_000_000_000,
-            bytes_a_second: BYTES_A_SECOND,
+            bytes_per_second: BYTES_A_SECOND,
         }
     }
 
@@ -63,8 +63,8 @@
 
     /// What is wrong, naming the setting; `Ok` where all may be used.
     pub fn check(&self) -> Result<(), String> {
-        if self.fleet.is_empty() || self.fleet.len() > NAME_MAX {
-            return Err(format!("fleet: a name of 1 to {NAME_MAX} bytes, not {}", self.fleet.len()));
+        if self.fleet.is_empty() || self.fleet.len() > NAME_BYTES_MAX {
+            return Err(format!("fleet: a name of 1 to {NAME_BYTES_MAX} bytes, not {}", self.fleet.len()));
         }
         if self.key.len() < 16 {
             return Err(format!("key: at least 16 bytes, not {}", self.key.len()));
@@ -78,11 +78,11 @@
         if !(1..=60).contains(&self.suspicion_multiplier) {
             return Err("suspicion-multiplier: 1 to 60".into());
         }
-        if !(PACKET_LEAST..=DATAGRAM_MAX - HEAD - TAG).contains(&self.packet_max) {
+        if !(PACKET_LEAST..=DATAGRAM_BYTES_MAX - HEADER_BYTES - TAG_BYTES).contains(&self.packet_max) {
             return Err("packet-max: 256 to 65,445 bytes".into());
         }
-        let least = (BYTES_LEAST_PACKETS * (self.packet_max + ENVELOPE)) as u64;
-        if self.bytes_a_second < least {
+        let least = (BYTES_LEAST_PACKETS * (self.packet_max + ENVELOPE_BYTES)) as u64;
+        if self.bytes_per_second < least {
             return Err(format!("bytes-a-second: {least} at least with packets of {}", self.packet_max));
         }
         if self.expected_members == 0 || self.gossip_period == 0 || self.announce_period == 0 {
@@ -96,8 +96,8 @@
     /// takes 22 kB a member, after a long cut of a large fleet; it may hurt how soon a large fleet joins.
     pub(crate) fn gossip_packet(&self) -> usize {
         let packets = GOSSIP_MEMBERS as u64 * SECOND.div_ceil(self.gossip_period);
-        let full = (self.bytes_a_second / (2 * packets)) as usize;
-        full.saturating_sub(ENVELOPE).clamp(PACKET_LEAST, self.packet_max)
+        let full = (self.bytes_per_second / (2 * packets)) as usize;
+        full.saturating_sub(ENVELOPE_BYTES).clamp(PACKET_LEAST, self.packet_max)
     }
 
     pub(crate) fn foca(&self) -> Config {
--- a/crates/membership/src/sim.rs
+++ b/crates/membership/src/simulation.rs
@@ -2,7 +2,7 @@
 //! and jitter, duplication, one-way and two-way partitions between groups, crashes, stalls and restarts.
 //! For tests and for the figures of `docs/membership.md`; no I/O.
 
-use crate::{Id, Membership, Nanos, Settings};
+use crate::{MemberId, Membership, Nanos, Settings};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use std::cmp::Reverse;
@@ -11,7 +11,7 @@
 
 /// What the network does to each datagram.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Net {
+pub struct NetworkConditions {
     /// Share of datagrams lost, 0 to 1.
     pub loss: f64,
     /// Least delay, and the most added to it at random, in nanoseconds.
@@ -51,17 +51,17 @@
         let mut sent = Vec::new();
         let mut inbox = inbox.into_iter().peekable();
         loop {
-            let due = core.next_due().filter(|due| *due < end).unwrap_or(Nanos::MAX);
+            let due = core.poll_timeout().filter(|due| *due < end).unwrap_or(Nanos::MAX);
             let at = if let Some((at, from, bytes)) = inbox.next_if(|(at, ..)| *at <= due) {
-                let _ = core.receive(from, &bytes, at);
+                let _ = core.handle_datagram(from, &bytes, at);
                 at
             } else if due < Nanos::MAX {
-                core.advance(due.max(now));
+                core.handle_timeout(due.max(now));
                 due.max(now)
             } else {
                 return sent;
             };
-            let outgoing = core.outgoing();
+            let outgoing = core.take_transmits();
             if !outgoing.is_empty() {
                 sent.push((at, outgoing));
             }
@@ -71,7 +71,7 @@
 
 type Delivery = Reverse<(Nanos, u64, usize, SocketAddr, Vec<u8>)>;
 
-pub struct Fleet {
+pub struct SimulatedFleet {
     settings: Settings,
     seed: u64,
     slots: Vec<Slot>,
@@ -82,7 +82,7 @@
     rng: ChaCha8Rng,
     seq: u64,
     now: Nanos,
-    pub net: Net,
+    pub net: NetworkConditions,
     /// Over how many threads members are played. One plays event by event; more play in windows of the
     /// network's least delay, within which no member hears another, so that the outcome is the same however
     /// many there are. More than one wants a delay above 0.
@@ -92,12 +92,12 @@
     pub sent_bytes: u64,
 }
 
-impl Fleet {
+impl SimulatedFleet {
     /// `n` members, none started.
-    pub fn new(n: usize, settings: Settings, seed: u64, net: Net) -> Fleet {
+    pub fn new(n: usize, settings: Settings, seed: u64, net: NetworkConditions) -> SimulatedFleet {
         let slots =
             (0..n).map(|_| Slot { core: None, stalled: false, held: Vec::new(), incarnation: 0 }).collect();
-        Fleet {
+        SimulatedFleet {
             settings,
             seed,
             slots,
@@ -149,12 +149,16 @@
         slot.incarnation += 1;
         slot.stalled = false;
         slot.held.clear();
-        let me = Id { name: format!("server-{i}"), addr: Fleet::addr(i), incarnation: slot.incarnation };
+        let me = MemberId {
+            name: format!("server-{i}"),
+            addr: SimulatedFleet::addr(i),
+            incarnation: slot.incarnation,
+        };
         let seed = self.seed ^ ((i as u64) << 20) ^ slot.incarnation;
         let core =
             Membership::new(me, &self.settings, seed, self.now).expect("settings checked by the caller");
         slot.core = Some(core);
-        let seeds: Vec<SocketAddr> = seeds.iter().map(|s| Fleet::addr(*s)).collect();
+        let seeds: Vec<SocketAddr> = seeds.iter().map(|s| SimulatedFleet::addr(*s)).collect();
         if let Some(core) = self.slots[i].core.as_mut() {
             core.join(&seeds, self.now);
         }
@@ -163,15 +167,15 @@
 
     /// Starts all members with the whole fleet known to each already: a join of many thousands costs the
     /// square of them, which is not what is measured.
-    pub fn start_settled(&mut self) {
+    pub fn start_with_complete_views(&mut self) {
         let n = self.slots.len();
-        let id = |i: usize| Id { name: format!("s{i}"), addr: Fleet::addr(i), incarnation: 1 };
+        let id = |i: usize| MemberId { name: format!("s{i}"), addr: SimulatedFleet::addr(i), incarnation: 1 };
         let (settings, seed, now) = (&self.settings, self.seed, self.now);
         let made = |i: usize| {
             let mut core = Membership::new(id(i), settings, seed ^ ((i as u64) << 20), now)
                 .expect("settings checked by the caller");
             core.restore((0..n).map(id), now);
-            core.changes();
+            core.take_changes();
             core
         };
         let part = n.div_ceil(self.threads.max(1)).max(1);
@@ -205,21 +209,21 @@
         let held = std::mem::take(&mut self.slots[i].held);
         let now = self.now;
         if let Some(core) = self.slots[i].core.as_mut() {
-            core.advance(now);
+            core.handle_timeout(now);
             for (from, bytes) in held {
-                let _ = core.receive(from, &bytes, now);
+                let _ = core.handle_datagram(from, &bytes, now);
             }
         }
         self.after(i);
     }
 
-    /// Puts member `i` in group `g`; see [`Fleet::cut`].
-    pub fn group(&mut self, i: usize, g: u32) {
+    /// Puts member `i` in group `g`; see [`SimulatedFleet::cut_one_way`].
+    pub fn assign_group(&mut self, i: usize, g: u32) {
         self.groups[i] = g;
     }
 
     /// Datagrams from group `from` to group `to` are lost from now on (one way).
-    pub fn cut(&mut self, from: u32, to: u32) {
+    pub fn cut_one_way(&mut self, from: u32, to: u32) {
         self.cut.insert((from, to));
     }
 
@@ -228,11 +232,11 @@
         self.cut.clear();
     }
 
-    pub fn core(&self, i: usize) -> Option<&Membership> {
+    pub fn member(&self, i: usize) -> Option<&Membership> {
         self.slots[i].core.as_ref()
     }
 
-    pub fn core_mut(&mut self, i: usize) -> Option<&mut Membership> {
+    pub fn member_mut(&mut self, i: usize) -> Option<&mut Membership> {
         self.slots[i].core.as_mut()
     }
 
@@ -242,9 +246,9 @@
 
     fn after(&mut self, i: usize) {
         let Some(core) = self.slots[i].core.as_mut() else { return };
-        let outgoing = core.outgoing();
+        let outgoing = core.take_transmits();
         self.route(i, outgoing);
-        if let Some(due) = self.slots[i].core.as_ref().and_then(|c| c.next_due()) {
+        if let Some(due) = self.slots[i].core.as_ref().and_then(|c| c.poll_timeout()) {
             self.due.push(Reverse((due, i)));
         }
     }
@@ -254,7 +258,7 @@
         for (to, bytes) in outgoing {
             self.sent += 1;
             self.sent_bytes += bytes.len() as u64;
-            let Some(j) = Fleet::index(to) else { continue };
+            let Some(j) = SimulatedFleet::index(to) else { continue };
             if self.cut.contains(&(self.groups[i], self.groups[j])) {
                 continue;
             }
@@ -266,7 +270,7 @@
                 let jitter = if self.net.jitter > 0 { self.rng.next_u64() % self.net.jitter } else { 0 };
                 self.seq += 1;
                 let at = self.now + self.net.delay + jitter;
-                self.queue.push(Reverse((at, self.seq, j, Fleet::addr(i), bytes.clone())));
+                self.queue.push(Reverse((at, self.seq, j, SimulatedFleet::addr(i), bytes.clone())));
             }
         }
     }
@@ -302,7 +306,7 @@
                     Some(_) if slot.stalled && slot.held.len() < HELD_MAX => slot.held.push((from, bytes)),
                     Some(_) if slot.stalled => {}
                     Some(core) => {
-                        let _ = core.receive(from, &bytes, now);
+                        let _ = core.handle_datagram(from, &bytes, now);
                         self.after(j);
                     }
                 }
@@ -313,10 +317,10 @@
                 }
                 let now = self.now;
                 let Some(core) = self.slots[i].core.as_mut() else { continue };
-                if core.next_due() != Some(due) {
+                if core.poll_timeout() != Some(due) {
                     continue;
                 }
-                core.advance(now);
+                core.handle_timeout(now);
                 self.after(i);
             }
         }
@@ -358,7 +362,7 @@
                         sent.extend(outgoing.into_iter().map(|(at, out)| (at, *i, out)));
                         // One that is stalled has its timers again when it goes on.
                         let core = slot.core.as_ref().filter(|_| !slot.stalled);
-                        due.extend(core.and_then(|core| core.next_due()).map(|at| (at, *i)));
+                        due.extend(core.and_then(|core| core.poll_timeout()).map(|at| (at, *i)));
                     }
                     (sent, due)
                 };
@@ -385,16 +389,17 @@
 
     /// Whether every running member in `who` holds exactly the others of `who` as members (alive or suspect),
     /// each in its present incarnation.
-    pub fn agree(&self, who: &[usize]) -> bool {
-        let incarnation =
-            |j: usize| self.slots[j].core.as_ref().map_or(self.slots[j].incarnation, |c| c.me().incarnation);
+    pub fn views_agree(&self, who: &[usize]) -> bool {
+        let incarnation = |j: usize| {
+            self.slots[j].core.as_ref().map_or(self.slots[j].incarnation, |c| c.identity().incarnation)
+        };
         let mut want: Vec<(SocketAddr, u64)> =
-            who.iter().map(|&j| (Fleet::addr(j), incarnation(j))).collect();
+            who.iter().map(|&j| (SimulatedFleet::addr(j), incarnation(j))).collect();
         want.sort();
         let holds = |i: usize| {
             let Some(core) = self.slots[i].core.as_ref() else { return true };
             let mut have = core.members();
-            have.push((Fleet::addr(i), incarnation(i)));
+            have.push((SimulatedFleet::addr(i), incarnation(i)));
             have.sort();
             have == want
         };
@@ -407,11 +412,11 @@
         })
     }
 
-    /// Plays in steps of `step` until [`Fleet::agree`] on `who` or `limit`; the time it took, if it did.
-    pub fn until_agreed(&mut self, who: &[usize], step: Nanos, limit: Nanos) -> Option<Nanos> {
+    /// Plays in steps of `step` until [`SimulatedFleet::views_agree`] on `who` or `limit`; the time it took, if it did.
+    pub fn run_until_views_agree(&mut self, who: &[usize], step: Nanos, limit: Nanos) -> Option<Nanos> {
         let start = self.now;
         while self.now - start <= limit {
-            if self.agree(who) {
+            if self.views_agree(who) {
                 return Some(self.now - start);
             }
             let next = self.now + step;
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -1,14 +1,14 @@
 //! Suspects: who is told of it, and when a suspicion ends in a death.
 
-use crate::identity::Id;
-use crate::runtime::Asked;
+use crate::identity::MemberId;
+use crate::runtime::FocaEffects;
 use crate::{Membership, Nanos};
 use foca::State;
 use std::collections::HashMap;
 
 /// A suspicion that this member raised: the suspect is told of it until it is refuted or ends.
-pub(crate) struct Doubt {
-    pub(crate) suspect: Id,
+pub(crate) struct RaisedSuspicion {
+    pub(crate) suspect: MemberId,
     pub(crate) refutations: u16,
     pub(crate) next: Nanos,
     pub(crate) until: Nanos,
@@ -37,7 +37,7 @@
         self.doubts = doubts;
     }
 
-    fn stands_suspect(&self, doubt: &Doubt) -> bool {
+    fn stands_suspect(&self, doubt: &RaisedSuspicion) -> bool {
         let mut members = self.foca.iter_members();
         members.any(|m| *m.id() == doubt.suspect && m.state() == State::Suspect)
     }
@@ -63,8 +63,8 @@
         if expired.is_empty() {
             return;
         }
-        let mut asked = Asked::default();
-        let _ = self.foca.apply_many(expired.into_iter(), true, &mut asked);
-        self.absorb(asked);
+        let mut effects = FocaEffects::default();
+        let _ = self.foca.apply_many(expired.into_iter(), true, &mut effects);
+        self.absorb(effects);
     }
 }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,7 +1,7 @@
 //! The view as others read it: members and their states, changes, counts.
 
-use crate::envelope::Drop;
-use crate::identity::Id;
+use crate::envelope::DropReason;
+use crate::identity::MemberId;
 use crate::{Membership, Nanos};
 use foca::State;
 use serde::Serialize;
@@ -10,30 +10,30 @@
 
 /// A member as this server sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Seen {
+pub struct MemberStatus {
     pub name: String,
     pub addr: SocketAddr,
     pub incarnation: u64,
     /// foca's SWIM incarnation: raised each time the member refuted a suspicion of itself.
     pub refutations: u16,
-    pub state: Standing,
+    pub state: MemberState,
     /// When this server first saw the present state (of this incarnation).
     pub since: Nanos,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize)]
-pub enum Standing {
+pub enum MemberState {
     Alive,
     Suspect,
     Down,
 }
 
-impl From<State> for Standing {
-    fn from(state: State) -> Standing {
+impl From<State> for MemberState {
+    fn from(state: State) -> MemberState {
         match state {
-            State::Alive => Standing::Alive,
-            State::Suspect => Standing::Suspect,
-            State::Down => Standing::Down,
+            State::Alive => MemberState::Alive,
+            State::Suspect => MemberState::Suspect,
+            State::Down => MemberState::Down,
         }
     }
 }
@@ -41,16 +41,16 @@
 /// A change of the view, as this server learnt it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub enum Change {
-    Up(Id),
-    Down(Id),
+    Up(MemberId),
+    Down(MemberId),
     /// The one before was replaced by a later incarnation at the same address.
-    Renamed(Id, Id),
+    Renamed(MemberId, MemberId),
     /// This server is known to one other at least.
     Active,
     /// It knows no live member.
     Idle,
     /// The fleet declared this server down and it took a higher incarnation.
-    Rejoined(Id),
+    Rejoined(MemberId),
 }
 
 /// Counts, from the start.
@@ -60,15 +60,15 @@
     pub sent_bytes: u64,
     pub received: u64,
     pub received_bytes: u64,
-    /// Dropped datagrams by reason, in the order of [`Drop::ALL`].
+    /// Dropped datagrams by reason, in the order of [`DropReason::ALL`].
     pub dropped: [u64; 9],
     /// Bodies that foca would not send because they were longer than allowed.
     pub unsendable: u64,
 }
 
 impl Counts {
-    pub fn dropped(&self, why: Drop) -> u64 {
-        self.dropped[Drop::ALL.iter().position(|d| *d == why).expect("listed")]
+    pub fn dropped(&self, why: DropReason) -> u64 {
+        self.dropped[DropReason::ALL.iter().position(|d| *d == why).expect("listed")]
     }
 
     pub fn dropped_all(&self) -> u64 {
@@ -79,17 +79,17 @@
 impl Membership {
     /// Every member this server knows of (down ones until forgotten), itself excluded, by address. `since`
     /// is the first time a view was asked for in which the member stood so: ask each probe period.
-    pub fn view(&mut self, now: Nanos) -> Vec<Seen> {
+    pub fn view(&mut self, now: Nanos) -> Vec<MemberStatus> {
         self.now = self.now.max(now);
-        let mut seen: Vec<Seen> = Vec::with_capacity(self.foca.iter_membership_state().len());
+        let mut seen: Vec<MemberStatus> = Vec::with_capacity(self.foca.iter_membership_state().len());
         for member in self.foca.iter_membership_state() {
             let id = member.id();
-            let state = Standing::from(member.state());
+            let state = MemberState::from(member.state());
             let (since, changed) = note(&mut self.since, id, state, self.now);
             if changed {
                 self.last_change = self.last_change.max(self.now);
             }
-            seen.push(Seen {
+            seen.push(MemberStatus {
                 name: id.name.clone(),
                 addr: id.addr,
                 incarnation: id.incarnation,
@@ -105,12 +105,12 @@
     }
 
     /// Members alive or suspect, itself excluded.
-    pub fn active(&self) -> usize {
+    pub fn active_members(&self) -> usize {
         self.foca.num_members()
     }
 
     /// Alive members' addresses, itself excluded, sorted: cheap enough for large simulations.
-    pub fn alive(&self) -> Vec<SocketAddr> {
+    pub fn alive_addresses(&self) -> Vec<SocketAddr> {
         let mut alive: Vec<SocketAddr> =
             self.foca.iter_members().filter(|m| m.state() == State::Alive).map(|m| m.id().addr).collect();
         alive.sort();
@@ -143,9 +143,9 @@
 /// Since when the member at `id`'s address has stood so, in this incarnation, and whether that is `now`
 /// because it changed; a member first seen counts from `now` without a change.
 fn note(
-    since: &mut HashMap<SocketAddr, (u64, Standing, Nanos)>,
-    id: &Id,
-    state: Standing,
+    since: &mut HashMap<SocketAddr, (u64, MemberState, Nanos)>,
+    id: &MemberId,
+    state: MemberState,
     now: Nanos,
 ) -> (Nanos, bool) {
     let entry = since.entry(id.addr).or_insert((id.incarnation, state, now));
--- a/crates/membership/tests/bytes.rs
+++ b/crates/membership/tests/bytes.rs
@@ -1,10 +1,10 @@
 //! The bound on what a member sends of its own in any second, where that is most: when parts of a fleet that
 //! held each other down find each other again and every member takes a new incarnation.
 
-use meadowstream_membership::envelope::{Kind, Sealer};
-use meadowstream_membership::exchange::{BUCKETS, Exchange, What};
-use meadowstream_membership::sim::{Fleet, Net};
-use meadowstream_membership::{Id, Membership, Settings};
+use meadowstream_membership::envelope::{PayloadKind, Sealer};
+use meadowstream_membership::messages::{AntiEntropyMessage, AntiEntropyPayload, BUCKETS};
+use meadowstream_membership::simulation::{NetworkConditions, SimulatedFleet};
+use meadowstream_membership::{MemberId, Membership, Settings};
 use test_case::test_case;
 
 const MILLISECOND: u64 = 1_000_000;
@@ -19,25 +19,25 @@
 fn settings() -> Settings {
     let mut settings = Settings::lan("quiz", b"sixteen byte key");
     settings.expected_members = MEMBERS as u32;
-    settings.bytes_a_second = BYTES_A_SECOND;
+    settings.bytes_per_second = BYTES_A_SECOND;
     settings
 }
 
-fn halves_at_the_end_of_a_cut(seed: u64) -> Fleet {
-    let net = Net { loss: 0.0, delay: MILLISECOND, jitter: 2 * MILLISECOND, duplicate: 0.0 };
-    let mut fleet = Fleet::new(MEMBERS, settings(), seed, net);
-    fleet.start_settled();
+fn halves_at_the_end_of_a_cut(seed: u64) -> SimulatedFleet {
+    let net = NetworkConditions { loss: 0.0, delay: MILLISECOND, jitter: 2 * MILLISECOND, duplicate: 0.0 };
+    let mut fleet = SimulatedFleet::new(MEMBERS, settings(), seed, net);
+    fleet.start_with_complete_views();
     fleet.run_until(5 * SECOND);
-    (MEMBERS / 2..MEMBERS).for_each(|member| fleet.group(member, 1));
-    fleet.cut(0, 1);
-    fleet.cut(1, 0);
+    (MEMBERS / 2..MEMBERS).for_each(|member| fleet.assign_group(member, 1));
+    fleet.cut_one_way(0, 1);
+    fleet.cut_one_way(1, 0);
     let healed_at = fleet.now() + CUT_SECONDS * SECOND;
     fleet.run_until(healed_at);
     fleet
 }
 
-fn sent(fleet: &Fleet) -> Vec<u64> {
-    let of = |member| fleet.core(member).map_or(0, |core| core.counts().sent_bytes);
+fn sent(fleet: &SimulatedFleet) -> Vec<u64> {
+    let of = |member| fleet.member(member).map_or(0, |core| core.counts().sent_bytes);
     (0..MEMBERS).map(of).collect()
 }
 
@@ -57,25 +57,30 @@
         most = before.iter().zip(&after).take(MEMBERS - 1).map(|(from, to)| to - from).fold(most, u64::max);
     }
     let rest: Vec<usize> = (0..MEMBERS - 1).collect();
-    assert!(fleet.agree(&rest), "no one view {LOOK_SECONDS} s after the heal");
-    assert!(most <= settings().bytes_a_second, "{most} bytes in a second");
+    assert!(fleet.views_agree(&rest), "no one view {LOOK_SECONDS} s after the heal");
+    assert!(most <= settings().bytes_per_second, "{most} bytes in a second");
 }
 
 /// A member that knows many is asked for its view by several others at once.
 #[test]
 fn lists_of_members_wait_where_a_second_has_no_room_and_come_with_the_next() {
-    let id = |member: usize| Id { name: format!("s{member}"), addr: Fleet::addr(member), incarnation: 1 };
+    let id = |member: usize| MemberId {
+        name: format!("s{member}"),
+        addr: SimulatedFleet::addr(member),
+        incarnation: 1,
+    };
     let mut asked = Membership::new(id(0), &settings(), 1, 0).expect("good settings");
     asked.restore((1..1_000).map(id), 0);
     // Its first comparison is over; the next one would come an announce period later.
-    asked.advance(2 * SECOND);
-    asked.outgoing();
+    asked.handle_timeout(2 * SECOND);
+    asked.take_transmits();
     let sealer = Sealer::new("quiz", b"sixteen byte key", settings().packet_max);
-    let digest = Exchange { from: id(1), what: What::Digest(vec![0; BUCKETS]) }.encode();
+    let digest =
+        AntiEntropyMessage { from: id(1), what: AntiEntropyPayload::Digest(vec![0; BUCKETS]) }.encode();
     let ask = |asked: &mut Membership, now: u64, sequence: u64| {
-        let datagram = sealer.seal(Kind::Exchange, 1, sequence, &digest).expect("short");
-        asked.receive(Fleet::addr(1), &datagram, now).expect("authentic");
-        asked.outgoing().iter().map(|(_, datagram)| datagram.len() as u64).sum::<u64>()
+        let datagram = sealer.seal(PayloadKind::AntiEntropy, 1, sequence, &digest).expect("short");
+        asked.handle_datagram(SimulatedFleet::addr(1), &datagram, now).expect("authentic");
+        asked.take_transmits().iter().map(|(_, datagram)| datagram.len() as u64).sum::<u64>()
     };
     let at_once: u64 = (1..=5).map(|sequence| ask(&mut asked, 4 * SECOND, sequence)).sum();
     // An eighth is left to probes, answers and verdicts.
@@ -84,19 +89,20 @@
     let later = ask(&mut asked, 4 * SECOND + 1_100 * MILLISECOND, 6);
     assert!(later > BYTES_A_SECOND / 2, "{later} bytes a second later");
     // It compares again soon, since what it did not send is known to differ.
-    asked.advance(4 * SECOND + 2 * settings().probe_period);
+    asked.handle_timeout(4 * SECOND + 2 * settings().probe_period);
     let compares = |datagram: &[u8]| {
         let opened = sealer.open(datagram).expect("its own");
-        let exchange = Exchange::decode(opened.body).filter(|_| opened.kind == Kind::Exchange);
-        exchange.is_some_and(|exchange| matches!(exchange.what, What::Digest(_)))
+        let exchange =
+            AntiEntropyMessage::decode(opened.body).filter(|_| opened.kind == PayloadKind::AntiEntropy);
+        exchange.is_some_and(|exchange| matches!(exchange.what, AntiEntropyPayload::Digest(_)))
     };
-    assert!(asked.outgoing().iter().any(|(_, datagram)| compares(datagram)), "no comparison soon");
+    assert!(asked.take_transmits().iter().any(|(_, datagram)| compares(datagram)), "no comparison soon");
 }
 
 #[test]
 fn a_bound_without_room_for_four_packets_is_refused() {
     let mut settings = settings();
-    settings.bytes_a_second = 5_000;
+    settings.bytes_per_second = 5_000;
     let fault = settings.check().expect_err("too little");
     assert!(fault.starts_with("bytes-a-second: 5848 at least"), "{fault}");
 }
--- a/crates/membership/tests/fixed_bytes.rs
+++ b/crates/membership/tests/fixed_bytes.rs
@@ -1,9 +1,9 @@
 //! Datagrams have the bytes that release 0.2.0 (commit 22d0bb6) wrote, and are read back to the same.
 
 use foca::{Codec, Header, Member, Message, PostcardCodec, State};
-use meadowstream_membership::Id;
-use meadowstream_membership::envelope::{Kind, Sealer};
-use meadowstream_membership::exchange::{BUCKETS, Exchange, What, digest};
+use meadowstream_membership::MemberId;
+use meadowstream_membership::envelope::{PayloadKind, Sealer};
+use meadowstream_membership::messages::{AntiEntropyMessage, AntiEntropyPayload, BUCKETS, digest};
 use meadowstream_wire_fixtures::Fixtures;
 
 const PACKET_MAX: usize = 1_400;
@@ -17,11 +17,15 @@
     Sealer::new("quiz", b"sixteen byte key", PACKET_MAX)
 }
 
-fn id(name: &str, port: u16) -> Id {
-    Id { name: name.into(), addr: ([127, 0, 0, 1], port).into(), incarnation: INCARNATION + u64::from(port) }
+fn id(name: &str, port: u16) -> MemberId {
+    MemberId {
+        name: name.into(),
+        addr: ([127, 0, 0, 1], port).into(),
+        incarnation: INCARNATION + u64::from(port),
+    }
 }
 
-fn swim_messages() -> Vec<(&'static str, Message<Id>)> {
+fn swim_messages() -> Vec<(&'static str, Message<MemberId>)> {
     let (origin, target) = (id("a", 1), id("b", 2));
     vec![
         ("swim-ping", Message::Ping(7)),
@@ -39,33 +43,34 @@
 }
 
 /// A header of foca's with one member's state behind it, as foca lays a packet out.
-fn swim_body(message: Message<Id>) -> Vec<u8> {
+fn swim_body(message: Message<MemberId>) -> Vec<u8> {
     let header = Header { src: id("a", 1), src_incarnation: 3, dst: id("b", 2), message };
     let mut body = Vec::new();
     let mut codec = PostcardCodec;
-    Codec::<Id>::encode_header(&mut codec, &header, &mut body).unwrap();
+    Codec::<MemberId>::encode_header(&mut codec, &header, &mut body).unwrap();
     codec.encode_member(&Member::new(id("c", 3), 4, State::Suspect), &mut body).unwrap();
     body
 }
 
-fn exchanges() -> Vec<(&'static str, Exchange)> {
+fn exchanges() -> Vec<(&'static str, AntiEntropyMessage)> {
     let held = |port, state| Member::new(id("held", port), 5, state);
     let all = vec![held(5, State::Alive), held(6, State::Suspect), held(7, State::Down)];
     let marks: Vec<u32> = (0..BUCKETS as u32).map(|bucket| bucket * 0x0101_0101).collect();
-    let exchange = |what| Exchange { from: id("a", 1), what };
+    let exchange = |what| AntiEntropyMessage { from: id("a", 1), what };
     vec![
-        ("exchange-digest", exchange(What::Digest(marks))),
-        ("exchange-members", exchange(What::Members { want: 1 << 40, members: all })),
-        ("exchange-held", exchange(What::Held(held(9, State::Down)))),
+        ("exchange-digest", exchange(AntiEntropyPayload::Digest(marks))),
+        ("exchange-members", exchange(AntiEntropyPayload::Members { want: 1 << 40, members: all })),
+        ("exchange-held", exchange(AntiEntropyPayload::Verdict(held(9, State::Down)))),
     ]
 }
 
 #[test]
 fn datagrams_have_the_bytes_of_release_0_2() {
     let seal = |kind, body: Vec<u8>| sealer().seal(kind, INCARNATION, 300, &body).unwrap();
-    let swim = swim_messages().into_iter().map(|(name, one)| (name, seal(Kind::Swim, swim_body(one))));
-    let exchange = exchanges().into_iter().map(|(name, one)| (name, seal(Kind::Exchange, one.encode())));
-    let shared = [("shared-state", seal(Kind::State, b"carried as it is".to_vec()))];
+    let swim = swim_messages().into_iter().map(|(name, one)| (name, seal(PayloadKind::Swim, swim_body(one))));
+    let exchange =
+        exchanges().into_iter().map(|(name, one)| (name, seal(PayloadKind::AntiEntropy, one.encode())));
+    let shared = [("shared-state", seal(PayloadKind::SharedState, b"carried as it is".to_vec()))];
     let samples: Vec<(&str, Vec<u8>)> = swim.chain(exchange).chain(shared).collect();
     fixtures().verify(&samples);
 }
@@ -84,7 +89,7 @@
     }
     for (name, exchange) in exchanges() {
         let opened = sealer.open(fixtures.bytes(name)).unwrap();
-        assert_eq!(Exchange::decode(opened.body), Some(exchange), "{name}");
+        assert_eq!(AntiEntropyMessage::decode(opened.body), Some(exchange), "{name}");
     }
 }
 
@@ -95,9 +100,9 @@
         let opened = sealer().open(fixtures.bytes(name)).unwrap();
         let mut rest = opened.body;
         let mut codec = PostcardCodec;
-        let header: Header<Id> = Codec::<Id>::decode_header(&mut codec, &mut rest).unwrap();
+        let header: Header<MemberId> = Codec::<MemberId>::decode_header(&mut codec, &mut rest).unwrap();
         assert_eq!(header.message, message, "{name}");
-        let member: Member<Id> = codec.decode_member(&mut rest).unwrap();
+        let member: Member<MemberId> = codec.decode_member(&mut rest).unwrap();
         assert_eq!((member.id().addr.port(), member.state()), (3, State::Suspect), "{name}");
         assert!(rest.is_empty(), "{name}");
     }
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -1,10 +1,10 @@
 //! Hard cases of the view in simulated time, each deterministic from its seed.
 
 use foca::{Member, State};
-use meadowstream_membership::envelope::{Kind, Sealer};
-use meadowstream_membership::exchange::{Exchange, What};
-use meadowstream_membership::sim::{Fleet, Net};
-use meadowstream_membership::{Change, Id, Membership, Settings, Standing};
+use meadowstream_membership::envelope::{PayloadKind, Sealer};
+use meadowstream_membership::messages::{AntiEntropyMessage, AntiEntropyPayload};
+use meadowstream_membership::simulation::{NetworkConditions, SimulatedFleet};
+use meadowstream_membership::{Change, MemberId, MemberState, Membership, Settings};
 use test_case::test_case;
 
 const MS: u64 = 1_000_000;
@@ -16,8 +16,8 @@
     s
 }
 
-fn started(n: usize, seed: u64, net: Net) -> Fleet {
-    let mut fleet = Fleet::new(n, settings(n as u32), seed, net);
+fn started(n: usize, seed: u64, net: NetworkConditions) -> SimulatedFleet {
+    let mut fleet = SimulatedFleet::new(n, settings(n as u32), seed, net);
     for i in 0..n {
         fleet.start(i, &[0]);
     }
@@ -25,15 +25,15 @@
 }
 
 /// A fleet of `n` started that has agreed once, and all its members.
-fn agreed(n: usize, seed: u64) -> (Fleet, Vec<usize>) {
+fn agreed(n: usize, seed: u64) -> (SimulatedFleet, Vec<usize>) {
     let mut fleet = started(n, seed, lan());
     let all: Vec<usize> = (0..n).collect();
-    fleet.until_agreed(&all, 100 * MS, 30 * S).expect("agrees first");
+    fleet.run_until_views_agree(&all, 100 * MS, 30 * S).expect("agrees first");
     (fleet, all)
 }
 
-fn lan() -> Net {
-    Net { loss: 0.0, delay: MS, jitter: MS, duplicate: 0.0 }
+fn lan() -> NetworkConditions {
+    NetworkConditions { loss: 0.0, delay: MS, jitter: MS, duplicate: 0.0 }
 }
 
 /// The margin stated in docs/membership.md: a crash is seen down everywhere within the suspicion time plus
@@ -46,7 +46,7 @@
 fn a_fleet_joins_and_agrees(n: usize) {
     let mut fleet = started(n, 1, lan());
     let all: Vec<usize> = (0..n).collect();
-    let took = fleet.until_agreed(&all, 100 * MS, 30 * S).expect("agrees");
+    let took = fleet.run_until_views_agree(&all, 100 * MS, 30 * S).expect("agrees");
     assert!(took <= 15 * S, "took {took} ns");
 }
 
@@ -58,7 +58,7 @@
     let rest: Vec<usize> = (0..n - 1).collect();
     let s = settings(n as u32);
     let bound = s.suspicion() + CRASH_MARGIN_PERIODS * s.probe_period;
-    let took = fleet.until_agreed(&rest, 50 * MS, 2 * bound).expect("seen down");
+    let took = fleet.run_until_views_agree(&rest, 50 * MS, 2 * bound).expect("seen down");
     assert!(took <= bound, "took {took} ns, bound {bound} ns");
     // Not sooner than a suspicion lasts: a crash is never declared on one missed probe.
     assert!(took >= s.suspicion(), "took {took} ns");
@@ -76,10 +76,10 @@
     let t = fleet.now();
     fleet.run_until(t + 10 * S);
     for i in 0..n {
-        let core = fleet.core_mut(i).expect("running");
-        let downs = core.changes().into_iter().filter(|(_, c)| matches!(c, Change::Down(_))).count();
+        let core = fleet.member_mut(i).expect("running");
+        let downs = core.take_changes().into_iter().filter(|(_, c)| matches!(c, Change::Down(_))).count();
         assert_eq!(downs, 0, "member {i} declared a death");
-        assert_eq!(core.alive().len(), n - 1, "member {i} lost someone");
+        assert_eq!(core.alive_addresses().len(), n - 1, "member {i} lost someone");
     }
 }
 
@@ -92,11 +92,11 @@
     let t = fleet.now();
     fleet.run_until(t + s.suspicion() + 10 * s.probe_period);
     let rest: Vec<usize> = (0..n).filter(|&i| i != 2).collect();
-    assert!(fleet.agree(&rest), "the stalled one is seen down");
+    assert!(fleet.views_agree(&rest), "the stalled one is seen down");
     fleet.resume(2);
     // It learns it was declared down, takes a higher incarnation and is taken back.
-    fleet.until_agreed(&all, 100 * MS, 30 * S).expect("back");
-    assert!(fleet.core(2).expect("running").me().incarnation > 1);
+    fleet.run_until_views_agree(&all, 100 * MS, 30 * S).expect("back");
+    assert!(fleet.member(2).expect("running").identity().incarnation > 1);
 }
 
 #[test]
@@ -104,12 +104,12 @@
     let n = 6;
     let (mut fleet, all) = agreed(n, 6);
     // A hears B, B does not hear A.
-    fleet.group(5, 1);
-    fleet.cut(1, 0);
+    fleet.assign_group(5, 1);
+    fleet.cut_one_way(1, 0);
     let t = fleet.now();
     fleet.run_until(t + 20 * S);
     fleet.heal();
-    let took = fleet.until_agreed(&all, 100 * MS, 60 * S).expect("one view again");
+    let took = fleet.run_until_views_agree(&all, 100 * MS, 60 * S).expect("one view again");
     assert!(took <= 30 * S, "took {took} ns");
 }
 
@@ -118,23 +118,23 @@
 fn halves_for_a_minute_then_one_view(n: usize, seed: u64) {
     let (mut fleet, all) = agreed(n, seed);
     for i in n / 2..n {
-        fleet.group(i, 1);
+        fleet.assign_group(i, 1);
     }
-    fleet.cut(0, 1);
-    fleet.cut(1, 0);
+    fleet.cut_one_way(0, 1);
+    fleet.cut_one_way(1, 0);
     let t = fleet.now();
     fleet.run_until(t + 60 * S);
     // Each half forgets the other within the minute (measured: all but one or two members by 20 s).
-    let _ = fleet.until_agreed(&(0..n / 2).collect::<Vec<_>>(), 100 * MS, 30 * S);
-    let _ = fleet.until_agreed(&(n / 2..n).collect::<Vec<_>>(), 100 * MS, 30 * S);
+    let _ = fleet.run_until_views_agree(&(0..n / 2).collect::<Vec<_>>(), 100 * MS, 30 * S);
+    let _ = fleet.run_until_views_agree(&(n / 2..n).collect::<Vec<_>>(), 100 * MS, 30 * S);
     let left: Vec<usize> = (0..n / 2).collect();
     let right: Vec<usize> = (n / 2..n).collect();
-    assert!(fleet.agree(&left) && fleet.agree(&right), "each half sees itself alone");
+    assert!(fleet.views_agree(&left) && fleet.views_agree(&right), "each half sees itself alone");
     fleet.heal();
     // Stated bound: two announce periods, since each member compares its view with another's once a period
     // and tells those it holds down. By announces alone it took up to 50 s at 16 and 134 s at 256 members.
     let bound = 2 * settings(n as u32).announce_period;
-    let took = fleet.until_agreed(&all, 100 * MS, 2 * bound).expect("one view again");
+    let took = fleet.run_until_views_agree(&all, 100 * MS, 2 * bound).expect("one view again");
     assert!(took <= bound, "took {took} ns, bound {bound}");
 }
 
@@ -145,14 +145,14 @@
     fleet.crash(4);
     fleet.start(4, &[0]);
     // Far sooner than the suspicion: the later incarnation wins at once.
-    let took = fleet.until_agreed(&all, 50 * MS, 10 * S).expect("back");
+    let took = fleet.run_until_views_agree(&all, 50 * MS, 10 * S).expect("back");
     assert!(took < settings(n as u32).suspicion(), "took {took} ns");
     for i in 0..4 {
-        let mut view = fleet.core_mut(i).expect("running").view(0);
-        view.retain(|s| s.addr == Fleet::addr(4));
+        let mut view = fleet.member_mut(i).expect("running").view(0);
+        view.retain(|s| s.addr == SimulatedFleet::addr(4));
         assert_eq!(view.len(), 1);
         assert_eq!(view[0].incarnation, 2);
-        assert_eq!(view[0].state, Standing::Alive);
+        assert_eq!(view[0].state, MemberState::Alive);
     }
 }
 
@@ -164,30 +164,30 @@
 #[test_case(1, 10 ; "one second periods")]
 fn loss_and_jitter_make_few_false_deaths(period: u64, seed: u64) {
     let n = 16;
-    let net = Net { loss: 0.2, delay: MS, jitter: 300 * MS, duplicate: 0.05 };
+    let net = NetworkConditions { loss: 0.2, delay: MS, jitter: 300 * MS, duplicate: 0.05 };
     let mut s = settings(n as u32);
     s.probe_period = period * S;
     s.probe_rtt = s.probe_period * 2 / 5;
-    let mut fleet = Fleet::new(n, s, seed, net);
+    let mut fleet = SimulatedFleet::new(n, s, seed, net);
     for i in 0..n {
         fleet.start(i, &[0]);
     }
     let all: Vec<usize> = (0..n).collect();
-    fleet.until_agreed(&all, 100 * MS, 60 * S).expect("agrees");
+    fleet.run_until_views_agree(&all, 100 * MS, 60 * S).expect("agrees");
     for i in 0..n {
-        fleet.core_mut(i).expect("running").changes();
+        fleet.member_mut(i).expect("running").take_changes();
     }
     let t = fleet.now();
     fleet.run_until(t + 600 * S);
     let mut deaths = 0;
     for i in 0..n {
-        let changes = fleet.core_mut(i).expect("running").changes();
+        let changes = fleet.member_mut(i).expect("running").take_changes();
         deaths += changes.iter().filter(|(_, c)| matches!(c, Change::Down(_))).count();
     }
     eprintln!("{deaths} deaths heard by {n} members in 10 minutes, period {period} s");
     // Stated rate (docs/membership.md): one death heard by each member in 10 minutes at most.
     assert!(deaths <= n, "false deaths: {deaths} heard by {n} members");
-    fleet.until_agreed(&all, 100 * MS, 30 * S).expect("one view at the end");
+    fleet.run_until_views_agree(&all, 100 * MS, 30 * S).expect("one view at the end");
 }
 
 /// Cut for longer than those held down are remembered: the halves know nothing of each other any more and
@@ -197,16 +197,16 @@
     let n = 16;
     let (mut fleet, all) = agreed(n, 17);
     for i in n / 2..n {
-        fleet.group(i, 1);
+        fleet.assign_group(i, 1);
     }
-    fleet.cut(0, 1);
-    fleet.cut(1, 0);
+    fleet.cut_one_way(0, 1);
+    fleet.cut_one_way(1, 0);
     let t = fleet.now();
     fleet.run_until(t + 600 * S);
-    let forgotten = fleet.core_mut(0).expect("running").view(0);
+    let forgotten = fleet.member_mut(0).expect("running").view(0);
     assert_eq!(forgotten.len(), n / 2 - 1, "the other half is forgotten, not held down");
     fleet.heal();
-    let took = fleet.until_agreed(&all, 100 * MS, 60 * S).expect("one view again");
+    let took = fleet.run_until_views_agree(&all, 100 * MS, 60 * S).expect("one view again");
     assert!(took <= 3 * settings(n as u32).announce_period, "took {took} ns");
 }
 
@@ -220,26 +220,34 @@
     let s = settings(n as u32);
     for seed in 40..60 {
         let (mut fleet, _) = agreed(n, seed);
-        let id = |i: usize| Id { name: format!("server-{i}"), addr: Fleet::addr(i), incarnation: 1 };
+        let id = |i: usize| MemberId {
+            name: format!("server-{i}"),
+            addr: SimulatedFleet::addr(i),
+            incarnation: 1,
+        };
         // Member 3 tells the others that it suspects 4, and dies; 4 hears nothing for a moment.
-        fleet.group(4, 1);
-        fleet.cut(0, 1);
+        fleet.assign_group(4, 1);
+        fleet.cut_one_way(0, 1);
         let sealer = Sealer::new("quiz", b"sixteen byte key", 1400);
         let members = vec![Member::new(id(4), 0, State::Suspect)];
-        let said = Exchange { from: id(3), what: What::Members { want: 0, members } };
+        let said = AntiEntropyMessage { from: id(3), what: AntiEntropyPayload::Members { want: 0, members } };
         let now = fleet.now();
         for i in 0..3 {
             let sequence = 1_000_000 + i as u64;
-            let datagram = sealer.seal(Kind::Exchange, 1, sequence, &said.encode()).expect("short");
-            fleet.core_mut(i).expect("running").receive(Fleet::addr(3), &datagram, now).expect("authentic");
+            let datagram = sealer.seal(PayloadKind::AntiEntropy, 1, sequence, &said.encode()).expect("short");
+            fleet
+                .member_mut(i)
+                .expect("running")
+                .handle_datagram(SimulatedFleet::addr(3), &datagram, now)
+                .expect("authentic");
         }
         fleet.crash(3);
         fleet.run_until(now + 1_200 * MS);
         fleet.heal();
         fleet.run_until(now + 2 * s.suspicion() + 9 * s.probe_period);
         for i in 0..3 {
-            let view = fleet.core_mut(i).expect("running").view(0);
-            let stuck = view.iter().filter(|seen| seen.state == Standing::Suspect).count();
+            let view = fleet.member_mut(i).expect("running").view(0);
+            let stuck = view.iter().filter(|seen| seen.state == MemberState::Suspect).count();
             assert_eq!(stuck, 0, "seed {seed}: member {i} holds on to a suspect: {view:?}");
         }
     }
@@ -248,21 +256,21 @@
 #[test]
 fn with_all_seeds_gone_the_rest_stay_together_and_newcomers_join_by_any() {
     let n = 8;
-    let mut fleet = Fleet::new(n, settings(n as u32), 11, lan());
+    let mut fleet = SimulatedFleet::new(n, settings(n as u32), 11, lan());
     for i in 0..6 {
         fleet.start(i, &[0, 1]);
     }
     let first: Vec<usize> = (0..6).collect();
-    fleet.until_agreed(&first, 100 * MS, 30 * S).expect("agrees");
+    fleet.run_until_views_agree(&first, 100 * MS, 30 * S).expect("agrees");
     fleet.crash(0);
     fleet.crash(1);
     let rest: Vec<usize> = (2..6).collect();
-    fleet.until_agreed(&rest, 100 * MS, 30 * S).expect("the rest");
+    fleet.run_until_views_agree(&rest, 100 * MS, 30 * S).expect("the rest");
     // Newcomers name the dead seeds and one live member.
     fleet.start(6, &[0, 1, 2]);
     fleet.start(7, &[0, 1, 5]);
     let now: Vec<usize> = (2..8).collect();
-    fleet.until_agreed(&now, 100 * MS, 30 * S).expect("newcomers in");
+    fleet.run_until_views_agree(&now, 100 * MS, 30 * S).expect("newcomers in");
 }
 
 #[test]
@@ -277,8 +285,8 @@
     for i in 0..n {
         fleet.start(i, &[0]);
     }
-    fleet.until_agreed(&all, 100 * MS, 30 * S).expect("agrees again");
-    assert!((0..n).all(|i| fleet.core(i).expect("running").me().incarnation == 2));
+    fleet.run_until_views_agree(&all, 100 * MS, 30 * S).expect("agrees again");
+    assert!((0..n).all(|i| fleet.member(i).expect("running").identity().incarnation == 2));
 }
 
 #[test]
@@ -293,36 +301,38 @@
         let t = fleet.now();
         fleet.run_until(t + 2 * S);
     }
-    fleet.until_agreed(&all, 100 * MS, 30 * S).expect("agrees");
+    fleet.run_until_views_agree(&all, 100 * MS, 30 * S).expect("agrees");
     for i in 0..n {
-        let view = fleet.core_mut(i).expect("running").view(0);
-        let at = view.iter().filter(|s| s.addr == Fleet::addr(3)).count();
+        let view = fleet.member_mut(i).expect("running").view(0);
+        let at = view.iter().filter(|s| s.addr == SimulatedFleet::addr(3)).count();
         assert!(i == 3 || at == 1, "one entry for the flapping member");
     }
 }
 
 /// 16 members that agreed, then one datagram to member 1 saying that member 0 holds it so.
-fn told(state: State) -> (Membership, Id, Vec<(std::net::SocketAddr, Vec<u8>)>) {
-    let id = |i: usize| Id { name: format!("server-{i}"), addr: Fleet::addr(i), incarnation: 7 };
+fn told(state: State) -> (Membership, MemberId, Vec<(std::net::SocketAddr, Vec<u8>)>) {
+    let id =
+        |i: usize| MemberId { name: format!("server-{i}"), addr: SimulatedFleet::addr(i), incarnation: 7 };
     let mut core = Membership::new(id(1), &settings(16), 1, 0).expect("good settings");
     let sealer = Sealer::new("quiz", b"sixteen byte key", 1400);
-    let said = Exchange { from: id(0), what: What::Held(Member::new(id(1), 0, state)) };
-    let datagram = sealer.seal(Kind::Exchange, 7, 1, &said.encode()).expect("short");
-    core.receive(Fleet::addr(0), &datagram, S).expect("authentic");
-    let out = core.outgoing();
+    let said =
+        AntiEntropyMessage { from: id(0), what: AntiEntropyPayload::Verdict(Member::new(id(1), 0, state)) };
+    let datagram = sealer.seal(PayloadKind::AntiEntropy, 7, 1, &said.encode()).expect("short");
+    core.handle_datagram(SimulatedFleet::addr(0), &datagram, S).expect("authentic");
+    let out = core.take_transmits();
     (core, id(1), out)
 }
 
 #[test]
 fn a_member_told_that_it_is_held_down_takes_its_next_incarnation() {
     let (mut core, was, _) = told(State::Down);
-    assert_eq!(core.me().incarnation, was.incarnation + 1);
-    assert!(core.changes().iter().any(|(_, c)| matches!(c, Change::Rejoined(_))));
+    assert_eq!(core.identity().incarnation, was.incarnation + 1);
+    assert!(core.take_changes().iter().any(|(_, c)| matches!(c, Change::Rejoined(_))));
 }
 
 #[test]
 fn a_suspect_told_of_it_answers_the_teller_at_once_and_keeps_its_incarnation() {
     let (core, was, out) = told(State::Suspect);
-    assert_eq!(*core.me(), was);
-    assert!(out.iter().any(|(to, _)| *to == Fleet::addr(0)), "the teller hears the refutation");
+    assert_eq!(*core.identity(), was);
+    assert!(out.iter().any(|(to, _)| *to == SimulatedFleet::addr(0)), "the teller hears the refutation");
 }
--- a/crates/membership/tests/large.rs
+++ b/crates/membership/tests/large.rs
@@ -3,7 +3,7 @@
 //! --nocapture` prints the figures of docs/membership.md for 1,000 members; 256 run on every test.
 
 use meadowstream_membership::Settings;
-use meadowstream_membership::sim::{Fleet, Net};
+use meadowstream_membership::simulation::{NetworkConditions, SimulatedFleet};
 
 const MS: u64 = 1_000_000;
 const S: u64 = 1_000 * MS;
@@ -11,8 +11,8 @@
 fn play(n: usize, seed: u64, heal_limit: u64) {
     let mut s = Settings::lan("quiz", b"sixteen byte key");
     s.expected_members = n as u32;
-    let net = Net { loss: 0.0, delay: MS, jitter: 2 * MS, duplicate: 0.0 };
-    let mut fleet = Fleet::new(n, s.clone(), seed, net);
+    let net = NetworkConditions { loss: 0.0, delay: MS, jitter: 2 * MS, duplicate: 0.0 };
+    let mut fleet = SimulatedFleet::new(n, s.clone(), seed, net);
     // Joined in waves through a few seeds, as a fleet is started.
     for i in 0..n {
         fleet.start(i, &[0, 1, 2]);
@@ -22,7 +22,7 @@
         }
     }
     let all: Vec<usize> = (0..n).collect();
-    let joined = fleet.until_agreed(&all, 500 * MS, 300 * S).expect("joined");
+    let joined = fleet.run_until_views_agree(&all, 500 * MS, 300 * S).expect("joined");
     // The cost is that of a fleet at rest: what the join left to gossip goes out first.
     let t = fleet.now();
     fleet.run_until(t + 30 * S);
@@ -35,7 +35,7 @@
 
     fleet.crash(n - 1);
     let rest: Vec<usize> = (0..n - 1).collect();
-    let crash = fleet.until_agreed(&rest, 250 * MS, 120 * S).expect("crash seen");
+    let crash = fleet.run_until_views_agree(&rest, 250 * MS, 120 * S).expect("crash seen");
     eprintln!(
         "members {n}: joined {:.1} s, crash seen by all {:.2} s, {per_msgs:.1} datagrams and \
          {per_bytes:.0} bytes per member per second, log2 n {:.1}",
@@ -46,14 +46,14 @@
     assert!(crash <= s.suspicion() + 8 * s.probe_period, "crash {crash}");
 
     for i in n / 2..n - 1 {
-        fleet.group(i, 1);
+        fleet.assign_group(i, 1);
     }
-    fleet.cut(0, 1);
-    fleet.cut(1, 0);
+    fleet.cut_one_way(0, 1);
+    fleet.cut_one_way(1, 0);
     let t = fleet.now();
     fleet.run_until(t + 60 * S);
     fleet.heal();
-    let heal = fleet.until_agreed(&rest, 500 * MS, heal_limit);
+    let heal = fleet.run_until_views_agree(&rest, 500 * MS, heal_limit);
     eprintln!("members {n}: one view after a 60 s cut: {:?} s", heal.map(|h| h as f64 / S as f64));
     let heal = heal.expect("healed");
     // Stated bound (docs/membership.md); by announces alone it took 133.5 s at 256 members, and at 1,000 no
@@ -82,12 +82,12 @@
     let n: usize = given("MEMBERS", 10_000);
     let mut s = Settings::lan("quiz", b"sixteen byte key");
     s.expected_members = n as u32;
-    let net = Net { loss: 0.0, delay: MS, jitter: 2 * MS, duplicate: 0.0 };
-    let mut fleet = Fleet::new(n, s.clone(), 23, net);
+    let net = NetworkConditions { loss: 0.0, delay: MS, jitter: 2 * MS, duplicate: 0.0 };
+    let mut fleet = SimulatedFleet::new(n, s.clone(), 23, net);
     fleet.threads = given("THREADS", 6);
     let began = std::time::Instant::now();
     let say = |what: String| eprintln!("members {n}, {:.0?} of real time: {what}", began.elapsed());
-    fleet.start_settled();
+    fleet.start_with_complete_views();
     say(format!("{n} views made"));
     fleet.run_until(5 * S);
     let (sent, bytes) = (fleet.sent, fleet.sent_bytes);
@@ -101,21 +101,21 @@
     let seconds = |t: u64| t as f64 / S as f64;
     fleet.crash(n - 1);
     let rest: Vec<usize> = (0..n - 1).collect();
-    let crash = fleet.until_agreed(&rest, 500 * MS, 60 * S).expect("crash seen");
+    let crash = fleet.run_until_views_agree(&rest, 500 * MS, 60 * S).expect("crash seen");
     say(format!("crash seen by all {:.2} s", seconds(crash)));
     assert!(crash <= s.suspicion() + 8 * s.probe_period, "crash {crash}");
 
     let cut_off = given("CUT", n / 100);
     let (few, most): (Vec<usize>, Vec<usize>) = rest.iter().partition(|i| (**i + 1) * cut_off % n < cut_off);
-    few.iter().for_each(|i| fleet.group(*i, 1));
-    fleet.cut(0, 1);
-    fleet.cut(1, 0);
-    let cut = fleet.until_agreed(&most, 1000 * MS, 60 * S).expect("cut seen");
+    few.iter().for_each(|i| fleet.assign_group(*i, 1));
+    fleet.cut_one_way(0, 1);
+    fleet.cut_one_way(1, 0);
+    let cut = fleet.run_until_views_agree(&most, 1000 * MS, 60 * S).expect("cut seen");
     say(format!("{} cut off, seen by all others {:.2} s", few.len(), seconds(cut)));
     let t = fleet.now();
     fleet.run_until(t + (given("CUT_SECONDS", 60) as u64 * S).saturating_sub(cut));
     fleet.heal();
-    let heal = fleet.until_agreed(&rest, 1000 * MS, 600 * S).expect("healed");
+    let heal = fleet.run_until_views_agree(&rest, 1000 * MS, 600 * S).expect("healed");
     say(format!("one view after the heal {:.2} s", seconds(heal)));
     assert!(heal <= 3 * s.announce_period, "heal {heal}");
 }
@@ -126,19 +126,21 @@
     let play = |threads| {
         let mut s = Settings::lan("quiz", b"sixteen byte key");
         s.expected_members = 96;
-        let net = Net { loss: 0.05, delay: 5 * MS, jitter: 20 * MS, duplicate: 0.05 };
-        let mut fleet = Fleet::new(96, s, 29, net);
+        let net = NetworkConditions { loss: 0.05, delay: 5 * MS, jitter: 20 * MS, duplicate: 0.05 };
+        let mut fleet = SimulatedFleet::new(96, s, 29, net);
         fleet.threads = threads;
         (0..96).for_each(|i| fleet.start(i, &[0, 1]));
-        let joined = fleet.until_agreed(&(0..96).collect::<Vec<_>>(), 500 * MS, 60 * S).expect("joined");
+        let joined =
+            fleet.run_until_views_agree(&(0..96).collect::<Vec<_>>(), 500 * MS, 60 * S).expect("joined");
         fleet.crash(7);
         fleet.stall(8);
         let t = fleet.now();
         fleet.run_until(t + 9 * S);
         fleet.resume(8);
         let rest: Vec<usize> = (0..96).filter(|i| *i != 7).collect();
-        let back = fleet.until_agreed(&rest, 250 * MS, 60 * S).expect("one view without the dead one");
-        (joined, back, fleet.sent, fleet.sent_bytes, fleet.core(0).map(|core| core.counts().clone()))
+        let back =
+            fleet.run_until_views_agree(&rest, 250 * MS, 60 * S).expect("one view without the dead one");
+        (joined, back, fleet.sent, fleet.sent_bytes, fleet.member(0).map(|core| core.counts().clone()))
     };
     assert_eq!(play(2), play(5));
 }
--- a/crates/server/src/fleet/coordinator.rs
+++ b/crates/server/src/fleet/coordinator.rs
@@ -10,7 +10,7 @@
 use crate::lifecycle::files;
 use anyhow::{Context, Result, anyhow, bail, ensure};
 use meadowstream_configuration::{Options, PlanFile};
-use meadowstream_membership::{Membership, Standing};
+use meadowstream_membership::{MemberState, Membership};
 use meadowstream_rollout::machine::{Act, Coordinator, Phase, Saved, View};
 use meadowstream_rollout::plan::Plan;
 use meadowstream_rollout::wire::{self, Kind};
@@ -197,9 +197,9 @@
     let mut view = View { settled: now.saturating_sub(core.last_change()), ..View::default() };
     for member in core.view(now).into_iter().filter(|member| !member.name.starts_with(NAMED)) {
         match member.state {
-            Standing::Alive => view.alive.push(member.name),
+            MemberState::Alive => view.alive.push(member.name),
             // One held down is waited for until it is forgotten: a partition looks the same.
-            Standing::Suspect | Standing::Down => view.missing.push(member.name),
+            MemberState::Suspect | MemberState::Down => view.missing.push(member.name),
         }
     }
     view
--- a/crates/server/src/fleet/joined.rs
+++ b/crates/server/src/fleet/joined.rs
@@ -9,8 +9,8 @@
 use async_io::{Async, Timer};
 use futures_lite::future;
 use meadowstream_membership::directory::Directory;
-use meadowstream_membership::envelope::DATAGRAM_MAX;
-use meadowstream_membership::{Id, Membership};
+use meadowstream_membership::envelope::DATAGRAM_BYTES_MAX;
+use meadowstream_membership::{MemberId, Membership};
 use meadowstream_shared_state::clock::Reading;
 use meadowstream_shared_state::{SharedState, Who};
 use std::net::{SocketAddr, UdpSocket};
@@ -42,7 +42,7 @@
         let bound = socket.get_ref().local_addr()?;
         let (life, name) = (clock.now(), fleet.name.clone());
         let addr = fleet.advertise.unwrap_or(bound);
-        let me = Id { name: name.clone(), addr, incarnation: life };
+        let me = MemberId { name: name.clone(), addr, incarnation: life };
         let refused = |fault: String| anyhow!("<membership>: {fault}");
         let mut membership = Membership::new(me, &fleet.settings, life, life).map_err(refused)?;
         membership.join(&fleet.seeds, life);
@@ -51,7 +51,7 @@
         let reading = Reading { monotonic: 0, wall: life };
         let shared = SharedState::new(who, settings, life, reading).map_err(|fault| anyhow!(fault))?;
         tracing::info!(target: "fleet", member = name, %addr, %bound, incarnation = life, "joining");
-        let buffer = vec![0; DATAGRAM_MAX + 1];
+        let buffer = vec![0; DATAGRAM_BYTES_MAX + 1];
         Ok(Joined {
             clock,
             socket,
@@ -98,29 +98,29 @@
         }
         for (name, body) in self.shared.outgoing() {
             if let Some(to) = self.directory.address(&name) {
-                self.membership.carry(to, &body, now);
+                self.membership.send_shared_state(to, &body, now);
             }
         }
         self.flush().await;
-        self.membership.changes();
-        let wake = self.membership.next_due().unwrap_or(u64::MAX).min(self.due).min(wake);
+        self.membership.take_changes();
+        let wake = self.membership.poll_timeout().unwrap_or(u64::MAX).min(self.due).min(wake);
         let timer = Timer::at(self.clock.instant(wake));
         let came = receive(&self.socket, &mut self.buffer, timer).await;
         let now = self.now();
         if let Some((count, from)) = came {
-            let _ = self.membership.receive(from, &self.buffer[..count], now);
+            let _ = self.membership.handle_datagram(from, &self.buffer[..count], now);
             let reading = self.reading();
-            for body in self.membership.carried() {
+            for body in self.membership.take_shared_state() {
                 let _ = self.shared.receive(reading, &body);
             }
         }
-        self.membership.advance(now);
+        self.membership.handle_timeout(now);
         let others = self.shared.others().into_iter();
         others.map(|(from, topic, body)| Said { from, topic, body }).collect()
     }
 
     async fn flush(&mut self) {
-        for (to, datagram) in self.membership.outgoing() {
+        for (to, datagram) in self.membership.take_transmits() {
             let _ = self.socket.send_to(&datagram, to).await;
         }
     }
--- a/crates/server/src/fleet/membership.rs
+++ b/crates/server/src/fleet/membership.rs
@@ -8,8 +8,8 @@
 use async_io::{Async, Timer};
 use futures_lite::future;
 use meadowstream_membership::directory::Directory;
-use meadowstream_membership::envelope::DATAGRAM_MAX;
-use meadowstream_membership::{Change, Id, Membership, Seen, Standing};
+use meadowstream_membership::envelope::DATAGRAM_BYTES_MAX;
+use meadowstream_membership::{Change, MemberId, MemberState, MemberStatus, Membership};
 use meadowstream_rollout::wire;
 use meadowstream_shared_state::{ABOUTS, ORDER_REPORTS, ORDERS, REPLICATION};
 use std::net::{SocketAddr, UdpSocket};
@@ -35,7 +35,7 @@
     let bound = socket.get_ref().local_addr().unwrap_or(fleet.bind);
     let addr = fleet.advertise.unwrap_or(bound);
     // The start time in Unix nanoseconds: a restart under the old name has a higher incarnation.
-    let me = Id { name: fleet.name.clone(), addr, incarnation };
+    let me = MemberId { name: fleet.name.clone(), addr, incarnation };
     let seed = server.configuration.seed ^ me.incarnation;
     let mut core = match Membership::new(me.clone(), &fleet.settings, seed, now()) {
         Ok(core) => core,
@@ -43,7 +43,7 @@
     };
     info!(target: "fleet", member = me.name, %addr, %bound, incarnation = me.incarnation,
         fleet = fleet.settings.fleet, seeds = fleet.seeds.len(),
-        bytes_a_second = fleet.settings.bytes_a_second, "joining");
+        bytes_a_second = fleet.settings.bytes_per_second, "joining");
     let given = server.configuration.options.borrow().replication.clone();
     let replication = given
         .zip(server.configuration.replication_file())
@@ -53,8 +53,8 @@
         Err(fault) => return warn!(target: "fleet", %fault, "<replication>: membership off"),
     };
     core.join(&fleet.seeds, now());
-    let mut buffer = vec![0; DATAGRAM_MAX + 1];
-    let mut shown: Option<Vec<(SocketAddr, u64, Standing)>> = None;
+    let mut buffer = vec![0; DATAGRAM_BYTES_MAX + 1];
+    let mut shown: Option<Vec<(SocketAddr, u64, MemberState)>> = None;
     let mut dropped_shown = 0;
     let mut next_view = now();
     let mut shown_at = 0;
@@ -62,13 +62,13 @@
     loop {
         sharing.play(&server, &mut core, now()).await;
         send(&socket, &mut core).await;
-        for (at, change) in core.changes() {
+        for (at, change) in core.take_changes() {
             say(&change, at);
         }
         if now() >= next_view {
             next_view = now() + fleet.settings.probe_period;
             let view = core.view(now());
-            let states: Vec<(SocketAddr, u64, Standing)> =
+            let states: Vec<(SocketAddr, u64, MemberState)> =
                 view.iter().map(|s| (s.addr, s.incarnation, s.state)).collect();
             // Shown again after an announce period even where nothing changed: the log drops a line that
             // finds the pipe full, and a reader must not be left with a view that no longer stands.
@@ -79,7 +79,7 @@
                 (shown, dropped_shown) = (Some(states), core.counts().dropped_all());
             }
         }
-        let due = core.next_due().unwrap_or(u64::MAX).min(next_view).min(sharing.due);
+        let due = core.poll_timeout().unwrap_or(u64::MAX).min(next_view).min(sharing.due);
         let step = future::or(
             async {
                 match socket.recv_from(&mut buffer).await {
@@ -102,10 +102,10 @@
         match step {
             Step::Datagram(count, from) => {
                 // One byte more than UDP carries is read, so that an oversized datagram is seen as such.
-                let _ = core.receive(from, &buffer[..count], now());
-                core.advance(now());
+                let _ = core.handle_datagram(from, &buffer[..count], now());
+                core.handle_timeout(now());
             }
-            Step::Due => core.advance(now()),
+            Step::Due => core.handle_timeout(now()),
             Step::Leave => {
                 core.leave(now());
                 send(&socket, &mut core).await;
@@ -142,7 +142,7 @@
             self.due = u64::MAX;
             return;
         };
-        let came = core.carried();
+        let came = core.take_shared_state();
         let answers = !came.is_empty();
         shared.heard(came);
         for (from, topic, body) in shared.others() {
@@ -184,7 +184,7 @@
         let (out, again) = shared.advance(alive, &server.counters);
         for (name, body) in out {
             if let Some(to) = directory.address(&name) {
-                core.carry(to, &body, now);
+                core.send_shared_state(to, &body, now);
             }
         }
         if again {
@@ -206,7 +206,7 @@
 }
 
 async fn send(socket: &Async<UdpSocket>, core: &mut Membership) {
-    for (to, datagram) in core.outgoing() {
+    for (to, datagram) in core.take_transmits() {
         if let Err(error) = socket.send_to(&datagram, to).await {
             tracing::debug!(target: "fleet", %to, %error, "send");
         }
@@ -231,7 +231,7 @@
 
 /// The version and the hash of the settings of this server and each of the view, by name, as far as heard;
 /// empty where the options name no `<rollout>`.
-fn runs(server: &Server, view: &[Seen]) -> String {
+fn runs(server: &Server, view: &[MemberStatus]) -> String {
     let Some(rollout) = &server.rollout else { return String::new() };
     let abouts = rollout.abouts.borrow();
     let names = view.iter().map(|seen| seen.name.as_str()).chain([abouts.me().name.as_str()]);
@@ -241,11 +241,11 @@
 }
 
 /// One line for the whole view: each member with its state and since when, the drops by reason.
-fn show(core: &Membership, view: &[Seen], runs: &str, now: u64) {
+fn show(core: &Membership, view: &[MemberStatus], runs: &str, now: u64) {
     let count = |state| view.iter().filter(|s| s.state == state).count();
     let members = serde_json::to_string(view).unwrap_or_default();
     let counts = serde_json::to_string(core.counts()).unwrap_or_default();
     let settled_ms = now.saturating_sub(core.last_change()) / 1_000_000;
-    info!(target: "fleet", alive = count(Standing::Alive), suspect = count(Standing::Suspect),
-        down = count(Standing::Down), settled_ms, members, runs, counts, "view");
+    info!(target: "fleet", alive = count(MemberState::Alive), suspect = count(MemberState::Suspect),
+        down = count(MemberState::Down), settled_ms, members, runs, counts, "view");
 }
--- a/crates/server/src/lifecycle/configuration.rs
+++ b/crates/server/src/lifecycle/configuration.rs
@@ -197,10 +197,10 @@
     settings.expected_members = given.expected_members;
     settings.gossip_period = given.gossip_period;
     settings.announce_period = given.announce_period;
-    settings.bytes_a_second = given.bytes_a_second;
+    settings.bytes_per_second = given.bytes_a_second;
     settings.check().map_err(|fault| anyhow!("<membership>: {fault}"))?;
     let name = given.name.clone().unwrap_or_else(|| server.to_string());
-    ensure!(name.len() <= meadowstream_membership::NAME_MAX, "<membership>: name: over 64 bytes");
+    ensure!(name.len() <= meadowstream_membership::NAME_BYTES_MAX, "<membership>: name: over 64 bytes");
     Ok(Fleet {
         bind: given.bind,
         advertise: given.advertise,
