--- a/crates/capacity/src/hollow.rs
+++ b/crates/capacity/src/hollow.rs
@@ -7,7 +7,7 @@
 use meadowstream_membership::{Id, Membership, Nanos};
 use meadowstream_replication::member::Member;
 use meadowstream_shared_state::clock::Reading;
-use meadowstream_shared_state::{REPLICATION, SharedState, Who};
+use meadowstream_shared_state::{REPLICATION, ServerId, SharedState};
 use std::net::SocketAddr;
 
 /// Seconds of simulated time begin here, as Unix nanoseconds: incarnations are start times.
@@ -45,7 +45,7 @@
         now: Nanos,
     ) -> Result<Hollow, String> {
         let me = Id { name: name.to_string(), addr, incarnation: EPOCH + now };
-        let who = Who { name: name.to_string(), incarnation: EPOCH + now };
+        let who = ServerId { name: name.to_string(), incarnation: EPOCH + now };
         let replication = settings
             .replication
             .as_ref()
@@ -98,8 +98,8 @@
             let time = self.shared_state.time();
             let lease = self.shared_state.budgets.iter_mut().find(|budget| budget.plan().name == self.lease);
             let holds = lease.is_some_and(|lease| {
-                lease.note_use(1, 0);
-                lease.ceiling(time).leased > 0
+                lease.set_demand(1, 0);
+                lease.allowance(time).leased > 0
             });
             member.set_may_publish(holds);
         }
@@ -159,7 +159,7 @@
     /// Units of the shared budget that it holds by a lease.
     pub fn leased(&self) -> u64 {
         let time = self.shared_state.time();
-        self.shared_state.budgets.first().map_or(0, |budget| budget.ceiling(time).leased)
+        self.shared_state.budgets.first().map_or(0, |budget| budget.allowance(time).leased)
     }
 
     pub fn next_due(&self) -> Nanos {
--- a/crates/capacity/src/model.rs
+++ b/crates/capacity/src/model.rs
@@ -8,8 +8,8 @@
 use crate::topology::Place;
 use meadowstream_membership::Nanos;
 use meadowstream_replication::message::Location;
-use meadowstream_shared_state::budget::Plan;
-use meadowstream_shared_state::counts::Limits;
+use meadowstream_shared_state::budget::BudgetSettings;
+use meadowstream_shared_state::counters::Limits;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use serde::Serialize;
@@ -75,9 +75,9 @@
     membership.bytes_a_second = MEMBERSHIP_BYTES;
     let servers = size as u64;
     let voters = (0..VOTERS).map(Fleet::name).collect();
-    let budget = Plan::new("calls", 10 * servers, 1, servers, voters, 4 * SECOND, SECOND);
+    let budget = BudgetSettings::new("calls", 10 * servers, 1, servers, voters, 4 * SECOND, SECOND);
     let replicas: Vec<String> = (0..VOTERS).map(Fleet::name).collect();
-    let lease = Plan::new(LEASE, 1, 0, VOTERS as u64, replicas.clone(), 4 * SECOND, 1);
+    let lease = BudgetSettings::new(LEASE, 1, 0, VOTERS as u64, replicas.clone(), 4 * SECOND, 1);
     let replication = meadowstream_replication::member::Settings::new(Location::default(), replicas);
     let shared_state = meadowstream_shared_state::Settings {
         budgets: vec![budget, lease],
@@ -163,7 +163,7 @@
             for key in 0..COUNTED_KEYS {
                 hollow.shared_state.counts.add(&format!("invocations/operation-{key}"), 1);
             }
-            hollow.shared_state.budgets.iter_mut().take(1).for_each(|budget| budget.note_use(WANTS, 0));
+            hollow.shared_state.budgets.iter_mut().take(1).for_each(|budget| budget.set_demand(WANTS, 0));
         }
         let next = fleet.now() + SECOND;
         fleet.run_until(next);
--- a/crates/routing/tests/tier.rs
+++ b/crates/routing/tests/tier.rs
@@ -3,9 +3,9 @@
 //! `cargo test -p meadowstream-routing --release -- --nocapture` prints the figures of docs/shared-state.md.
 
 use meadowstream_routing::{Chosen, Judged, Router, Settings, Wish};
-use meadowstream_shared_state::Who;
+use meadowstream_shared_state::ServerId;
 use meadowstream_shared_state::clock::Time;
-use meadowstream_shared_state::judge::{self, Judge, Verdict};
+use meadowstream_shared_state::outlier_detection::{self, OutlierDetector, ServiceHealth};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use std::cmp::Reverse;
@@ -29,7 +29,7 @@
 type Open = (u64, usize, usize, bool, bool, u64);
 
 struct Fleet {
-    judges: Vec<Judge>,
+    judges: Vec<OutlierDetector>,
     routers: Vec<Router>,
     health: Vec<Health>,
     /// Services that a server cannot reach though they are well.
@@ -55,8 +55,13 @@
     fn new(servers: usize, services: usize, share: usize, reports: usize, seed: u64) -> Fleet {
         let judge = |i: usize| {
             let services = (0..services).map(|s| format!("bank-{s}")).collect();
-            let settings = judge::Settings { services, reports, share_thousandths: share, expiry: EXPIRY };
-            Judge::new(Who { name: format!("s{i}"), incarnation: 1 }, settings).unwrap()
+            let settings = outlier_detection::Settings {
+                services,
+                reports,
+                max_ejected_thousandths: share,
+                expiry: EXPIRY,
+            };
+            OutlierDetector::new(ServerId { name: format!("s{i}"), incarnation: 1 }, settings).unwrap()
         };
         let settings = Settings { services, probe_every: EXPIRY / 8, ramp: EXPIRY };
         Fleet {
@@ -89,7 +94,7 @@
             while self.open.peek().is_some_and(|Reverse(call)| call.0 <= self.now) {
                 let Reverse((at, i, service, probe, good, took)) = self.open.pop().unwrap();
                 self.routers[i].ended(Chosen { service, probe });
-                self.judges[i].called(Time::both(at), service, good, took);
+                self.judges[i].record_call(Time::both(at), service, good, took);
                 self.failed += u64::from(!good);
             }
             let time = Time::both(self.now);
@@ -97,11 +102,12 @@
                 if self.now.is_multiple_of(20 * MS) {
                     let ejected = self.judges[i].ejected(time);
                     self.most_ejected = self.most_ejected.max(ejected.len());
-                    let own = |s| self.own_counts && self.judges[i].own(time, s) != Verdict::Good;
+                    let own =
+                        |s| self.own_counts && self.judges[i].local_health(time, s) != ServiceHealth::Healthy;
                     let judged = (0..self.health.len()).map(|s| Judged {
                         ejected: ejected.contains(&s),
                         bad_here: own(s),
-                        probes: self.all_probe || self.judges[i].probes(time, s),
+                        probes: self.all_probe || self.judges[i].is_prober(time, s),
                     });
                     let judged: Vec<Judged> = judged.collect();
                     self.routers[i].judged(self.now, judged);
@@ -114,7 +120,7 @@
                     for _ in 0..3 {
                         let to = self.below(self.judges.len() as u64) as usize;
                         if to != i && self.below(10) > 0 {
-                            self.judges[to].hear(time, &reports);
+                            self.judges[to].merge_reports(time, &reports);
                         }
                     }
                 }
@@ -346,7 +352,7 @@
     fleet.until(1, true, 5 * S).expect("out");
     fleet.play(6 * S);
     let time = Time::both(fleet.now);
-    let probe: Vec<usize> = (0..30).filter(|i| fleet.judges[*i].probes(time, 1)).collect();
+    let probe: Vec<usize> = (0..30).filter(|i| fleet.judges[*i].is_prober(time, 1)).collect();
     assert!((1..=6).contains(&probe.len()), "{probe:?}");
     // Cut from the rest: they call nobody and are not heard.
     fleet.cut = probe;
--- a/crates/server/src/fleet/joined.rs
+++ b/crates/server/src/fleet/joined.rs
@@ -12,12 +12,12 @@
 use meadowstream_membership::envelope::DATAGRAM_MAX;
 use meadowstream_membership::{Id, Membership};
 use meadowstream_shared_state::clock::Reading;
-use meadowstream_shared_state::{SharedState, Who};
+use meadowstream_shared_state::{ServerId, SharedState};
 use std::net::{SocketAddr, UdpSocket};
 
 /// A body of a topic that another member has sent.
 pub struct Said {
-    pub from: Who,
+    pub from: ServerId,
     pub topic: u16,
     pub body: Vec<u8>,
 }
@@ -47,7 +47,7 @@
         let mut membership = Membership::new(me, &fleet.settings, life, life).map_err(refused)?;
         membership.join(&fleet.seeds, life);
         let settings = fleet.shared.clone().context("<replication> or <rollout> is missing")?;
-        let who = Who { name: name.clone(), incarnation: life };
+        let who = ServerId { name: name.clone(), incarnation: life };
         let reading = Reading { monotonic: 0, wall: life };
         let shared = SharedState::new(who, settings, life, reading).map_err(|fault| anyhow!(fault))?;
         tracing::info!(target: "fleet", member = name, %addr, %bound, incarnation = life, "joining");
@@ -77,8 +77,8 @@
         let time = self.shared.read(self.reading());
         let lease = self.shared.budgets.iter_mut().find(|budget| budget.plan().name == name);
         lease.is_some_and(|lease| {
-            lease.note_use(u64::from(wants), 0);
-            wants && lease.ceiling(time).leased > 0
+            lease.set_demand(u64::from(wants), 0);
+            wants && lease.allowance(time).leased > 0
         })
     }
 
--- a/crates/server/src/fleet/rollout.rs
+++ b/crates/server/src/fleet/rollout.rs
@@ -12,7 +12,7 @@
 use async_channel::Sender;
 use meadowstream_rollout::about::{About, Abouts};
 use meadowstream_rollout::wire::{Kind, Order, Report};
-use meadowstream_shared_state::Who;
+use meadowstream_shared_state::ServerId;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use tracing::{info, warn};
@@ -58,7 +58,7 @@
 impl Rollout {
     pub fn new(
         candidate: Candidate,
-        me: Who,
+        me: ServerId,
         lease: u64,
         operations: &[String],
         leave: Sender<()>,
--- a/crates/server/src/fleet/shared_state.rs
+++ b/crates/server/src/fleet/shared_state.rs
@@ -9,7 +9,7 @@
 use meadowstream_shared_state::budget::Budget;
 use meadowstream_shared_state::clock::{Reading, Time};
 use meadowstream_shared_state::permits::Permits;
-use meadowstream_shared_state::{Settings, SharedState, Who};
+use meadowstream_shared_state::{ServerId, Settings, SharedState};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
@@ -53,7 +53,7 @@
 
 impl Shared {
     /// `tier` are the addresses of the services that the settings judge, in their order.
-    pub fn new(me: Who, settings: &Settings, tier: &[SocketAddr], seed: u64) -> Result<Shared, String> {
+    pub fn new(me: ServerId, settings: &Settings, tier: &[SocketAddr], seed: u64) -> Result<Shared, String> {
         let began = Instant::now();
         let reading = Reading { monotonic: 0, wall: wall() };
         let state = SharedState::new(me, settings.clone(), seed, reading)?;
@@ -80,7 +80,7 @@
             return false;
         }
         let Some(budget) = calls(state) else { return true };
-        let may = budget.may_take(time, permits.uses(time));
+        let may = budget.may_acquire(time, permits.uses(time));
         if !may {
             permits.refuse(time, waiting as u64);
             *refused = true;
@@ -154,7 +154,7 @@
     }
 
     /// Bodies of other topics that came.
-    pub fn others(&self) -> Vec<(Who, u16, Vec<u8>)> {
+    pub fn others(&self) -> Vec<(ServerId, u16, Vec<u8>)> {
         self.inner.borrow_mut().state.others()
     }
 
@@ -177,7 +177,7 @@
         for budget in state.budgets.iter_mut().filter(|budget| !is_lease(budget)) {
             let lately = 2 * budget.plan().refresh;
             let (wants, uses) = (permits.wants(time, lately), permits.uses(time));
-            budget.note_use(wants, uses);
+            budget.set_demand(wants, uses);
         }
         state.advance(reading, alive);
         if let Some((tier, judge)) = tier.as_mut().zip(state.judge.as_ref())
@@ -185,13 +185,13 @@
         {
             let ejected: Vec<&String> = tier.ejected.iter().map(|i| &judge.settings().services[*i]).collect();
             let accusers: Vec<usize> = tier.ejected.iter().map(|i| judge.accusers(time, *i)).collect();
-            tracing::info!(target: "fleet", ?ejected, ?accusers, alone = judge.is_alone(time), "judged");
+            tracing::info!(target: "fleet", ?ejected, ?accusers, alone = judge.is_isolated(time), "judged");
         }
         let may_probe = Wish { last: None, may_probe: true };
         let open = tier.as_ref().is_none_or(|tier| tier.has_room(reading.monotonic, may_probe));
         let free = |time: Time, permits: &mut Permits| {
             let uses = permits.uses(time);
-            calls(state).is_none_or(|budget| budget.may_take(time, uses))
+            calls(state).is_none_or(|budget| budget.may_acquire(time, uses))
         };
         let again = *refused && open && free(time, permits);
         *refused &= !again;
@@ -212,7 +212,7 @@
         let ejected = tier.iter().flat_map(|tier| &tier.ejected);
         let ejected = ejected.filter_map(|i| names?.get(*i).cloned()).collect();
         let Some(budget) = calls(state) else { return Shown { ejected, ..Shown::default() } };
-        let ceiling = budget.ceiling(time);
+        let ceiling = budget.allowance(time);
         Shown {
             floor: ceiling.floor,
             leased: ceiling.leased,
--- a/crates/server/src/fleet/tier.rs
+++ b/crates/server/src/fleet/tier.rs
@@ -3,7 +3,7 @@
 
 use meadowstream_routing::{Chosen, Judged, Router, Settings, Wish};
 use meadowstream_shared_state::clock::Time;
-use meadowstream_shared_state::judge::{Judge, Verdict};
+use meadowstream_shared_state::outlier_detection::{OutlierDetector, ServiceHealth};
 use serde::Serialize;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -34,7 +34,7 @@
 #[derive(Serialize)]
 pub struct Shown<'a> {
     service: &'a str,
-    own: Verdict,
+    own: ServiceHealth,
     accusers: usize,
     outstanding: u64,
 }
@@ -47,12 +47,12 @@
     }
 
     /// Takes over what is judged now; whether the services ejected are others than before.
-    pub fn judged(&mut self, now: u64, time: Time, judge: &Judge) -> bool {
+    pub fn judged(&mut self, now: u64, time: Time, judge: &OutlierDetector) -> bool {
         let ejected = judge.ejected(time);
         let of = |service| Judged {
             ejected: ejected.contains(&service),
-            bad_here: judge.own(time, service) != Verdict::Good,
-            probes: judge.probes(time, service),
+            bad_here: judge.local_health(time, service) != ServiceHealth::Healthy,
+            probes: judge.is_prober(time, service),
         };
         let judged: Vec<Judged> = (0..self.addresses.len()).map(of).collect();
         self.router.judged(now, judged);
@@ -76,22 +76,22 @@
 
     /// A call is over: evidence for or against its service. One that was given up says something only where
     /// it had been out for longer than a service may take that is not slow.
-    pub fn ended(&mut self, now: u64, time: Time, number: u64, over: Over, judge: &mut Judge) {
+    pub fn ended(&mut self, now: u64, time: Time, number: u64, over: Over, judge: &mut OutlierDetector) {
         let Some((chosen, begun)) = self.out.remove(&number) else { return };
         self.router.ended(chosen);
         let took = now.saturating_sub(begun);
         match over {
-            Over::GivenUp => judge.given_up(time, chosen.service, took),
-            _ => judge.called(time, chosen.service, over == Over::Good, took),
+            Over::GivenUp => judge.record_abandoned_call(time, chosen.service, took),
+            _ => judge.record_call(time, chosen.service, over == Over::Good, took),
         }
     }
 
     /// Calls, probes, and calls that found nowhere to go; then each service as JSON.
-    pub fn shown(&self, time: Time, judge: &Judge) -> (String, String) {
+    pub fn shown(&self, time: Time, judge: &OutlierDetector) -> (String, String) {
         let names = &judge.settings().services;
         let of = |(service, name)| Shown {
             service: name,
-            own: judge.own(time, service),
+            own: judge.local_health(time, service),
             accusers: judge.accusers(time, service),
             outstanding: self.router.outstanding(service),
         };
--- a/crates/server/src/lifecycle/configuration.rs
+++ b/crates/server/src/lifecycle/configuration.rs
@@ -13,9 +13,9 @@
 use meadowstream_replication::history::Snapshot;
 use meadowstream_replication::state::State;
 use meadowstream_shared_state::Settings as SharedSettings;
-use meadowstream_shared_state::budget::Plan;
-use meadowstream_shared_state::counts::Limits;
-use meadowstream_shared_state::judge::Settings as JudgeSettings;
+use meadowstream_shared_state::budget::BudgetSettings;
+use meadowstream_shared_state::counters::Limits;
+use meadowstream_shared_state::outlier_detection::Settings as JudgeSettings;
 use serde_json::Value;
 use sha2::{Digest, Sha256};
 use std::cell::{Cell, RefCell};
@@ -152,18 +152,18 @@
         return Ok(None);
     }
     let plan = |b: &meadowstream_configuration::Budget| {
-        Plan::new(&b.name, b.total, b.floor, b.servers, b.voters.clone(), b.lease, b.use_most)
+        BudgetSettings::new(&b.name, b.total, b.floor, b.servers, b.voters.clone(), b.lease, b.use_most)
     };
     let of_calls = given.and_then(|given| given.budget.as_ref());
     let lease = of_calls.filter(|budget| LEASES.contains(&budget.name.as_str()));
     ensure!(lease.is_none(), "<shared-state>: budget: name: one of {LEASES:?} is that of a lease");
     let of_rollouts = rollout.map(|rollout| {
         let (servers, voters) = (rollout.servers, rollout.voters.clone());
-        Plan::new(ROLLOUTS, 1, 0, servers, voters, rollout.lease, 1)
+        BudgetSettings::new(ROLLOUTS, 1, 0, servers, voters, rollout.lease, 1)
     });
     let of_publishing = replication.map(|given| {
         let (servers, voters) = (given.replicas.len() as u64, given.replicas.clone());
-        Plan::new(PUBLISHING, 1, 0, servers, voters, given.lease, 1)
+        BudgetSettings::new(PUBLISHING, 1, 0, servers, voters, given.lease, 1)
     });
     let settings = SharedSettings {
         budgets: of_calls.map(plan).into_iter().chain(of_rollouts).chain(of_publishing).collect(),
@@ -171,7 +171,7 @@
         judge: given.and_then(|given| given.tier.as_ref()).map(|tier| JudgeSettings {
             services: tier.services.iter().map(|(name, _)| name.clone()).collect(),
             reports: tier.reports,
-            share_thousandths: tier.share_thousandths,
+            max_ejected_thousandths: tier.share_thousandths,
             expiry: tier.expiry,
         }),
         gossip: given.map_or(500_000_000, |given| given.gossip),
--- a/crates/server/src/lifecycle/reload.rs
+++ b/crates/server/src/lifecycle/reload.rs
@@ -16,7 +16,7 @@
 use meadowstream_replication::history::Snapshot;
 use meadowstream_replication::replica::Saved;
 use meadowstream_replication::store;
-use meadowstream_shared_state::budget::Plan;
+use meadowstream_shared_state::budget::BudgetSettings;
 use std::cell::Cell;
 use std::collections::HashSet;
 use std::path::PathBuf;
@@ -28,7 +28,7 @@
 /// Names of tenants that are counted by name.
 pub type TenantNames = Arc<HashSet<Vec<u8>>>;
 
-/// Who changes settings waits here for the change before.
+/// ServerId changes settings waits here for the change before.
 #[derive(Default)]
 pub struct Changes {
     lock: async_lock::Mutex<()>,
@@ -213,7 +213,7 @@
     let plans = |c: &Configuration| {
         let shared = c.membership.as_ref().and_then(|fleet| fleet.shared.as_ref());
         // A total may change while leases stand.
-        let total = |plan: &Plan| Plan { total: 0, ..plan.clone() };
+        let total = |plan: &BudgetSettings| BudgetSettings { total: 0, ..plan.clone() };
         let plans = shared.map(|shared| shared.budgets.iter().map(total).collect::<Vec<_>>());
         let tier = c.membership.as_ref().map(|fleet| fleet.tier.clone());
         (plans, shared.map(|shared| (shared.gossip, shared.judge.clone())), tier)
--- a/crates/server/src/lifecycle/start.rs
+++ b/crates/server/src/lifecycle/start.rs
@@ -24,7 +24,7 @@
 use anyhow::{Context, Result, anyhow};
 use async_executor::LocalExecutor;
 use async_io::Async;
-use meadowstream_shared_state::Who;
+use meadowstream_shared_state::ServerId;
 use std::cell::Cell;
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -65,7 +65,7 @@
     let incarnation = clock.now();
     let shared = membership.as_ref().and_then(|(_, given)| Some((given, given.shared.as_ref()?)));
     let shared = shared.map(|(given, settings)| {
-        let me = Who { name: given.name.clone(), incarnation };
+        let me = ServerId { name: given.name.clone(), incarnation };
         Shared::new(me, settings, &given.tier, configuration.seed ^ incarnation)
             .map_err(|fault| anyhow!("<shared-state>: {fault}"))
     });
@@ -79,7 +79,7 @@
     let rollout = candidate.zip(of_rollouts).map(|(candidate, given)| {
         let operations = &configuration.settings.operation_names;
         let name = configuration.membership.as_ref().map_or(String::new(), |fleet| fleet.name.clone());
-        let me = Who { name, incarnation };
+        let me = ServerId { name, incarnation };
         Rollout::new(candidate, me, given.lease, operations, ends.clone())
             .map_err(|fault| anyhow!("<rollout>: {fault}"))
     });
--- a/crates/shared-state/src/budget.rs
+++ b/crates/shared-state/src/budget.rs
@@ -12,7 +12,7 @@
 //! doubled, late or out of order, and whoever stops: `tests/model.rs` checks every interleaving of a small
 //! fleet, `docs/shared-state.md` states the bounds.
 
-use crate::Who;
+use crate::ServerId;
 use crate::clock::{Nanos, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -27,7 +27,7 @@
 
 /// Spans in nanoseconds. The same on every server but for `total`, which a reload may change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Plan {
+pub struct BudgetSettings {
     pub name: String,
     /// Units that the whole fleet may use.
     pub total: u64,
@@ -37,7 +37,7 @@
     pub servers: u64,
     /// Names of the servers that elect the grantor, an odd number of them.
     pub voters: Vec<String>,
-    /// How long a lease lasts from its request.
+    /// How long a lease remaining from its request.
     pub lease: Nanos,
     /// Between requests.
     pub refresh: Nanos,
@@ -51,7 +51,7 @@
     pub use_most: Nanos,
 }
 
-impl Plan {
+impl BudgetSettings {
     /// A lease of `lease`, the other spans in proportion; a margin for clocks that differ by a fiftieth.
     pub fn new(
         name: &str,
@@ -61,8 +61,8 @@
         voters: Vec<String>,
         lease: Nanos,
         use_most: Nanos,
-    ) -> Plan {
-        Plan {
+    ) -> BudgetSettings {
+        BudgetSettings {
             name: name.to_string(),
             total,
             floor,
@@ -124,17 +124,17 @@
 
 /// What servers say to each other of one budget.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Say {
+pub enum BudgetMessage {
     /// To a voter: promise me that I am the grantor.
-    Ask { number: u64 },
+    VoteRequest { ballot: u64 },
     /// To whoever asked, in that incarnation of it.
-    Vote { to: u64, number: u64, given: bool },
+    VoteResponse { incarnation: u64, ballot: u64, given: bool },
     /// To the grantor: what I want beyond my floor, what I use beyond it, the grant I go by.
-    Want { number: u64, wants: u64, uses: u64, adopted: (Term, u64) },
+    LeaseRequest { number: u64, wants: u64, uses: u64, adopted: (Term, u64) },
     /// To whoever wanted, in that incarnation of it; in answer to that number.
-    Grant { to: u64, number: u64, term: Term, id: u64, amount: u64 },
+    LeaseGrant { incarnation: u64, number: u64, term: Term, id: u64, amount: u64 },
     /// Not mine to give, or not yet: who gives, as far as is known here.
-    Refer { to: Option<String> },
+    Redirect { grantor: Option<String> },
 }
 
 /// What was refused or came to nothing, from the start.
@@ -157,7 +157,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Promise {
-    to: Who,
+    to: ServerId,
     /// By the slow clock.
     until: Nanos,
 }
@@ -196,7 +196,7 @@
     /// Gives nothing before, by the slow clock.
     gives_from: Nanos,
     last_id: u64,
-    table: BTreeMap<Who, Held>,
+    table: BTreeMap<ServerId, Held>,
 }
 
 impl Office {
@@ -216,18 +216,18 @@
 
 /// What a server may use, for its module.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Ceiling {
+pub struct Allowance {
     pub floor: u64,
     pub leased: u64,
-    /// How long the lease still lasts, by the fast clock; 0 where there is none.
-    pub lasts: Nanos,
+    /// How long the lease still remaining, by the fast clock; 0 where there is none.
+    pub remaining: Nanos,
 }
 
 /// One server's part in one budget.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Budget {
-    me: Who,
-    plan: Plan,
+    me: ServerId,
+    plan: BudgetSettings,
     rank: Option<u64>,
     // As a voter.
     votes_from: Nanos,
@@ -252,11 +252,11 @@
 }
 
 /// To whom by name, and what.
-pub type Out = Vec<(String, Say)>;
+pub type Out = Vec<(String, BudgetMessage)>;
 
 impl Budget {
     /// `Err` names the bad setting.
-    pub fn new(me: Who, plan: Plan, time: Time) -> Result<Budget, String> {
+    pub fn new(me: ServerId, plan: BudgetSettings, time: Time) -> Result<Budget, String> {
         plan.check()?;
         let rank = plan.voters.iter().position(|name| *name == me.name).map(|rank| rank as u64);
         Ok(Budget {
@@ -282,37 +282,37 @@
         })
     }
 
-    pub fn plan(&self) -> &Plan {
+    pub fn plan(&self) -> &BudgetSettings {
         &self.plan
     }
 
     /// Another total, from a reload. A smaller one holds once the leases that stand have ended or shrunk, one
     /// lease time at the latest. Refused where the floors alone pass it.
     pub fn set_total(&mut self, total: u64) -> Result<(), String> {
-        let plan = Plan { total, ..self.plan.clone() };
+        let plan = BudgetSettings { total, ..self.plan.clone() };
         plan.check()?;
         self.plan = plan;
         Ok(())
     }
 
     /// What is wanted and what is in use, in units, floor included.
-    pub fn note_use(&mut self, wants: u64, uses: u64) {
+    pub fn set_demand(&mut self, wants: u64, uses: u64) {
         self.wants = wants.saturating_sub(self.plan.floor).min(self.plan.to_give());
         self.uses = uses.saturating_sub(self.plan.floor);
     }
 
-    pub fn ceiling(&self, time: Time) -> Ceiling {
-        let lasts = self.lease.until.saturating_sub(time.fast);
-        let leased = if lasts > 0 { self.lease.amount } else { 0 };
+    pub fn allowance(&self, time: Time) -> Allowance {
+        let remaining = self.lease.until.saturating_sub(time.fast);
+        let leased = if remaining > 0 { self.lease.amount } else { 0 };
         let floor = if time.slow >= self.floor_from { self.plan.floor } else { 0 };
-        Ceiling { floor, leased, lasts }
+        Allowance { floor, leased, remaining }
     }
 
     /// Whether one more unit may be taken while so many are in use: beyond the floor only where it is given
     /// back before the lease ends at the latest.
-    pub fn may_take(&self, time: Time, uses: u64) -> bool {
-        let ceiling = self.ceiling(time);
-        let leased = if ceiling.lasts > self.plan.use_most { ceiling.leased } else { 0 };
+    pub fn may_acquire(&self, time: Time, uses: u64) -> bool {
+        let ceiling = self.allowance(time);
+        let leased = if ceiling.remaining > self.plan.use_most { ceiling.leased } else { 0 };
         uses < ceiling.floor + leased
     }
 
@@ -387,7 +387,7 @@
         }
         let number = self.last_ballot;
         let others = self.plan.voters.iter().filter(|name| **name != self.me.name);
-        out.extend(others.map(|name| (name.clone(), Say::Ask { number })));
+        out.extend(others.map(|name| (name.clone(), BudgetMessage::VoteRequest { ballot: number })));
         let me = self.me.clone();
         if self.promises(time, &me) {
             self.count_vote(time, me.name, number);
@@ -395,7 +395,7 @@
     }
 
     /// Whether this voter promises itself to `to` for a term.
-    fn promises(&mut self, time: Time, to: &Who) -> bool {
+    fn promises(&mut self, time: Time, to: &ServerId) -> bool {
         let free = match &self.promise {
             Some(promise) => promise.to == *to || time.slow >= promise.until,
             None => true,
@@ -441,7 +441,7 @@
         let any = &self.plan.voters[(draw % self.plan.voters.len() as u64) as usize];
         let to = self.grantor.clone().unwrap_or_else(|| any.clone());
         let (number, wants, uses) = (self.last_number, self.wants, self.uses);
-        let want = Say::Want { number, wants, uses, adopted: self.lease.grant };
+        let want = BudgetMessage::LeaseRequest { number, wants, uses, adopted: self.lease.grant };
         if to == self.me.name {
             let me = self.me.clone();
             let answers = self.heard(time, &me, want);
@@ -452,17 +452,17 @@
     }
 
     /// One message of this budget; answers go back by name.
-    pub fn heard(&mut self, time: Time, from: &Who, say: Say) -> Out {
+    pub fn heard(&mut self, time: Time, from: &ServerId, say: BudgetMessage) -> Out {
         let answer = match say {
-            Say::Ask { number } => {
+            BudgetMessage::VoteRequest { ballot: number } => {
                 if self.rank.is_none() || !self.plan.voters.contains(&from.name) {
                     self.counts.absurd += 1;
                     return Vec::new();
                 }
                 let given = self.promises(time, from);
-                Some(Say::Vote { to: from.incarnation, number, given })
+                Some(BudgetMessage::VoteResponse { incarnation: from.incarnation, ballot: number, given })
             }
-            Say::Vote { to, number, given } => {
+            BudgetMessage::VoteResponse { incarnation: to, ballot: number, given } => {
                 if to != self.me.incarnation || !self.plan.voters.contains(&from.name) {
                     self.counts.absurd += 1;
                 } else if given {
@@ -470,14 +470,14 @@
                 }
                 None
             }
-            Say::Want { number, wants, uses, adopted } => {
+            BudgetMessage::LeaseRequest { number, wants, uses, adopted } => {
                 Some(self.wanted(time, from, number, wants, uses, adopted))
             }
-            Say::Grant { to, number, term, id, amount } => {
+            BudgetMessage::LeaseGrant { incarnation: to, number, term, id, amount } => {
                 self.granted(time, from, (to, number), (term, id), amount);
                 None
             }
-            Say::Refer { to } => {
+            BudgetMessage::Redirect { grantor: to } => {
                 // A grantor that names itself lives, and gives later.
                 self.unanswered = 0;
                 self.grantor = to.filter(|name| self.plan.voters.contains(name));
@@ -497,20 +497,20 @@
     fn wanted(
         &mut self,
         time: Time,
-        from: &Who,
+        from: &ServerId,
         number: u64,
         wants: u64,
         uses: u64,
         adopted: (Term, u64),
-    ) -> Say {
+    ) -> BudgetMessage {
         let gives = self.is_grantor(time);
         let plan = &self.plan;
         let Some(office) = self.office.as_mut().filter(|_| gives) else {
             let known = self.promise.as_ref().filter(|promise| time.slow < promise.until);
-            return Say::Refer { to: known.map(|promise| promise.to.name.clone()) };
+            return BudgetMessage::Redirect { grantor: known.map(|promise| promise.to.name.clone()) };
         };
         if time.slow < office.gives_from {
-            return Say::Refer { to: Some(self.me.name.clone()) };
+            return BudgetMessage::Redirect { grantor: Some(self.me.name.clone()) };
         }
         for held in office.table.values_mut() {
             held.grants.retain(|(_, _, until)| time.slow < *until);
@@ -520,7 +520,7 @@
         let room = plan.servers * HOLDERS_PER_SERVER;
         if !office.table.contains_key(from) && office.table.len() as u64 >= room {
             self.counts.absurd += 1;
-            return Say::Refer { to: None };
+            return BudgetMessage::Redirect { grantor: None };
         }
         self.counts.absurd += u64::from(wants > plan.to_give());
         let held = office.table.entry(from.clone()).or_default();
@@ -544,10 +544,17 @@
         let (term, id, until) = (office.term, office.last_id, time.slow + over);
         office.table.get_mut(from).expect("entered above").grants.push((id, amount, until));
         self.counts.given += 1;
-        Say::Grant { to: from.incarnation, number, term, id, amount }
+        BudgetMessage::LeaseGrant { incarnation: from.incarnation, number, term, id, amount }
     }
 
-    fn granted(&mut self, time: Time, from: &Who, (to, number): (u64, u64), grant: (Term, u64), amount: u64) {
+    fn granted(
+        &mut self,
+        time: Time,
+        from: &ServerId,
+        (to, number): (u64, u64),
+        grant: (Term, u64),
+        amount: u64,
+    ) {
         let asked = self.asked.iter().find(|(n, _)| *n == number).map(|(_, at)| *at);
         let Some(asked) = asked.filter(|_| to == self.me.incarnation) else {
             // A grant to one that is no more is measured from a request that this one never sent.
--- a/crates/shared-state/src/counts.rs
+++ b/crates/shared-state/src/counters.rs
@@ -5,7 +5,7 @@
 //! Peers are not believed without bounds: a row grows no faster than `rate_max` allows since its server's
 //! start, the number of rows and of keys is bounded, and nobody else's word raises a server's own row.
 
-use crate::Who;
+use crate::ServerId;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -43,8 +43,8 @@
 }
 
 /// Servers' lives with what is known of each.
-pub type Rows = Vec<(Who, Row)>;
-pub type Versions = Vec<(Who, u64)>;
+pub type Rows = Vec<(ServerId, Row)>;
+pub type Versions = Vec<(ServerId, u64)>;
 
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
@@ -75,15 +75,15 @@
 
 #[derive(Clone, Debug)]
 pub struct Counts {
-    me: Who,
-    rows: BTreeMap<Who, Row>,
+    me: ServerId,
+    rows: BTreeMap<ServerId, Row>,
     limits: Limits,
     /// Rows refused by reason: full, absurd, own.
     pub refused: [u64; 3],
 }
 
 impl Counts {
-    pub fn new(me: Who, limits: Limits) -> Counts {
+    pub fn new(me: ServerId, limits: Limits) -> Counts {
         let rows = BTreeMap::from([(me.clone(), Row::default())]);
         Counts { me, rows, limits, refused: [0; 3] }
     }
@@ -104,7 +104,7 @@
     }
 
     /// A row as another tells it, at `wall` nanoseconds since the epoch, in which incarnations are.
-    pub fn merge(&mut self, of: &Who, row: &Row, wall: u64) -> Result<bool, Refused> {
+    pub fn merge(&mut self, of: &ServerId, row: &Row, wall: u64) -> Result<bool, Refused> {
         let refusal = self.refusal(of, row, wall);
         if let Some(why) = refusal {
             self.refused[why as usize] += 1;
@@ -116,7 +116,7 @@
         Ok(self.rows.entry(of.clone()).or_default().merge(row))
     }
 
-    fn refusal(&self, of: &Who, row: &Row, wall: u64) -> Option<Refused> {
+    fn refusal(&self, of: &ServerId, row: &Row, wall: u64) -> Option<Refused> {
         let known = self.rows.get(of);
         if *of == self.me {
             let mine = known.expect("made at the start");
@@ -138,7 +138,7 @@
 
     /// What is known of so many servers' lives from the one at `start` on (around the end of the list it
     /// stops), to compare with another's; and where it stops.
-    pub fn digest(&self, start: usize, most: usize) -> (Vec<(Who, u64)>, Option<Who>) {
+    pub fn digest(&self, start: usize, most: usize) -> (Vec<(ServerId, u64)>, Option<ServerId>) {
         let mut rows = self.rows.iter().skip(start);
         let known = rows.by_ref().take(most).map(|(who, row)| (who.clone(), row.version())).collect();
         (known, rows.next().map(|(who, _)| who.clone()))
@@ -147,23 +147,23 @@
     /// The lives from one to before another, either end open where absent.
     fn between<'a>(
         &'a self,
-        from: &'a Option<Who>,
-        before: &'a Option<Who>,
-    ) -> impl Iterator<Item = (&'a Who, &'a Row)> {
+        from: &'a Option<ServerId>,
+        before: &'a Option<ServerId>,
+    ) -> impl Iterator<Item = (&'a ServerId, &'a Row)> {
         let first = from.as_ref().map_or(Bound::Unbounded, Bound::Included);
-        let rows = self.rows.range::<Who, _>((first, Bound::Unbounded));
+        let rows = self.rows.range::<ServerId, _>((first, Bound::Unbounded));
         rows.take_while(|(who, _)| before.as_ref().is_none_or(|before| *who < before))
     }
 
     /// Rows between both of which a holder of that digest knows less, and the digest of this one there.
     pub fn compare(
         &self,
-        from: &Option<Who>,
-        before: &Option<Who>,
-        theirs: &[(Who, u64)],
+        from: &Option<ServerId>,
+        before: &Option<ServerId>,
+        theirs: &[(ServerId, u64)],
     ) -> (Rows, Versions) {
-        let theirs: BTreeMap<&Who, u64> = theirs.iter().map(|(who, version)| (who, *version)).collect();
-        let more = |who: &Who, row: &Row| {
+        let theirs: BTreeMap<&ServerId, u64> = theirs.iter().map(|(who, version)| (who, *version)).collect();
+        let more = |who: &ServerId, row: &Row| {
             theirs.get(who).is_none_or(|version| row.version() > *version) && !row.of.is_empty()
         };
         let newer = self.between(from, before).filter(|(who, row)| more(who, row));
--- a/crates/shared-state/src/lib.rs
+++ b/crates/shared-state/src/lib.rs
@@ -2,22 +2,22 @@
 //! and messages go in; messages to send, ceilings, totals and judgements come out. Three kinds:
 //!
 //! - [`budget`]: a global figure split into leases; the sum in use never passes it.
-//! - [`counts`]: totals over the fleet as a CRDT; exact once all have been heard.
-//! - [`judge`]: which services below are slow or failing in the eyes of several servers.
+//! - [`counters`]: totals over the fleet as a CRDT; exact once all have been heard.
+//! - [`outlier_detection`]: which services below are slow or failing in the eyes of several servers.
 //!
 //! `docs/shared-state.md` names the ways weighed and what is promised under partition.
 
 pub mod budget;
 pub mod clock;
-pub mod counts;
-pub mod judge;
+pub mod counters;
+pub mod outlier_detection;
 pub mod permits;
 pub mod sim;
 
-use budget::{Budget, Plan, Say};
+use budget::{Budget, BudgetMessage, BudgetSettings};
 use clock::{Nanos, Reading, Time, Watch};
-use counts::{Counts, Refused, Row};
-use judge::{Judge, Report};
+use counters::{Counts, Refused, Row};
+use outlier_detection::{OutlierDetector, Report};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use serde::{Deserialize, Serialize};
@@ -35,33 +35,33 @@
 /// One life of a server: its name in the fleet's view, and the start of the process in nanoseconds since the
 /// epoch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Who {
+pub struct ServerId {
     pub name: String,
     pub incarnation: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Message {
-    pub from: Who,
-    pub what: What,
+    pub from: ServerId,
+    pub what: Payload,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum What {
+pub enum Payload {
     /// Of the budget of that name.
     Budget {
         name: String,
-        say: Say,
+        say: BudgetMessage,
     },
     /// What is known of counts, of all servers' lives from the first to before the second. `reply` where the
     /// receiver's own is wanted back.
     Digest {
-        from: Option<Who>,
-        before: Option<Who>,
-        known: Vec<(Who, u64)>,
+        from: Option<ServerId>,
+        before: Option<ServerId>,
+        known: Vec<(ServerId, u64)>,
         reply: bool,
     },
-    Rows(Vec<(Who, Row)>),
+    Rows(Vec<(ServerId, Row)>),
     Reports(Vec<Report>),
     /// Of something else that the servers speak of, by its topic; this crate only carries it. A topic that
     /// nobody here takes is passed over, so that later releases may add some.
@@ -71,7 +71,7 @@
     },
 }
 
-/// Topics of [`What::Other`].
+/// Topics of [`Payload::Other`].
 pub const ORDERS: u16 = 1;
 pub const ORDER_REPORTS: u16 = 2;
 pub const ABOUTS: u16 = 3;
@@ -81,9 +81,9 @@
 
 #[derive(Clone, Debug)]
 pub struct Settings {
-    pub budgets: Vec<Plan>,
-    pub counts: counts::Limits,
-    pub judge: Option<judge::Settings>,
+    pub budgets: Vec<BudgetSettings>,
+    pub counts: counters::Limits,
+    pub judge: Option<outlier_detection::Settings>,
     /// How often counts and reports are told.
     pub gossip: Nanos,
     /// Longest body of a message, in bytes.
@@ -120,24 +120,24 @@
 
 /// One server's part in all that is shared.
 pub struct SharedState {
-    me: Who,
+    me: ServerId,
     settings: Settings,
     watch: Watch,
     time: Time,
     wall: u64,
     pub budgets: Vec<Budget>,
     pub counts: Counts,
-    pub judge: Option<Judge>,
+    pub judge: Option<OutlierDetector>,
     next_gossip: Nanos,
     rng: ChaCha8Rng,
     out: Vec<(String, Vec<u8>)>,
-    others: Vec<(Who, u16, Vec<u8>)>,
+    others: Vec<(ServerId, u16, Vec<u8>)>,
     pub tally: Tally,
 }
 
 impl SharedState {
     /// `Err` names the bad setting.
-    pub fn new(me: Who, settings: Settings, seed: u64, reading: Reading) -> Result<SharedState, String> {
+    pub fn new(me: ServerId, settings: Settings, seed: u64, reading: Reading) -> Result<SharedState, String> {
         settings.check()?;
         let mut watch = Watch::default();
         let time = watch.read(reading);
@@ -145,7 +145,7 @@
         Ok(SharedState {
             budgets: budgets.collect::<Result<_, _>>()?,
             counts: Counts::new(me.clone(), settings.counts),
-            judge: settings.judge.clone().map(|judge| Judge::new(me.clone(), judge)).transpose()?,
+            judge: settings.judge.clone().map(|judge| OutlierDetector::new(me.clone(), judge)).transpose()?,
             next_gossip: time.fast,
             rng: ChaCha8Rng::seed_from_u64(seed),
             out: Vec::new(),
@@ -159,7 +159,7 @@
         })
     }
 
-    pub fn me(&self) -> &Who {
+    pub fn me(&self) -> &ServerId {
         &self.me
     }
 
@@ -215,7 +215,7 @@
         for _ in 0..FANOUT.min(alive.len()) {
             let to = alive[self.below(alive.len() as u64) as usize].clone();
             let parts = pack(&reports, self.room());
-            parts.into_iter().for_each(|part| self.send(&to, What::Reports(part)));
+            parts.into_iter().for_each(|part| self.send(&to, Payload::Reports(part)));
         }
     }
 
@@ -230,17 +230,17 @@
         let start = self.below(self.counts.rows().div_ceil(DIGEST_MAX) as u64) as usize * DIGEST_MAX;
         let (known, before) = self.counts.digest(start, DIGEST_MAX);
         let from = known.first().filter(|_| start > 0).map(|(who, _)| who.clone());
-        self.send(to, What::Digest { from, before, known, reply: true });
+        self.send(to, Payload::Digest { from, before, known, reply: true });
     }
 
     fn say(&mut self, budget: usize, out: budget::Out) {
         for (to, say) in out {
             let name = self.budgets[budget].plan().name.clone();
-            self.send(&to, What::Budget { name, say });
+            self.send(&to, Payload::Budget { name, say });
         }
     }
 
-    fn send(&mut self, to: &str, what: What) {
+    fn send(&mut self, to: &str, what: Payload) {
         let message = Message { from: self.me.clone(), what };
         let body = postcard::to_allocvec(&message).expect("no part of it refuses");
         self.tally.sent += 1;
@@ -250,11 +250,11 @@
 
     /// Sends a body of another topic, in the datagrams of the shared state.
     pub fn send_other(&mut self, to: &str, topic: u16, body: Vec<u8>) {
-        self.send(to, What::Other { topic, body });
+        self.send(to, Payload::Other { topic, body });
     }
 
     /// Bodies of other topics that came, with who sent them; taken once.
-    pub fn others(&mut self) -> Vec<(Who, u16, Vec<u8>)> {
+    pub fn others(&mut self) -> Vec<(ServerId, u16, Vec<u8>)> {
         std::mem::take(&mut self.others)
     }
 
@@ -282,44 +282,44 @@
             return Err("a sender's name of 1 to 64 bytes");
         }
         match what {
-            What::Budget { name, say } => {
+            Payload::Budget { name, say } => {
                 let i = self.budgets.iter().position(|budget| budget.plan().name == name);
                 let i = i.ok_or("a budget not known here")?;
                 let out = self.budgets[i].heard(time, &from, say);
                 self.say(i, out);
             }
-            What::Digest { from: first, before, known, reply } => {
+            Payload::Digest { from: first, before, known, reply } => {
                 let (newer, mut mine) = self.counts.compare(&first, &before, &known);
                 let room = self.room();
-                let cut: Vec<(Who, Row)> =
+                let cut: Vec<(ServerId, Row)> =
                     newer.iter().flat_map(|(who, row)| cut(who, row, room / 2)).collect();
                 let mut parts = pack(&cut, room);
                 parts.truncate(ANSWERS_MAX);
-                parts.into_iter().for_each(|part| self.send(&from.name, What::Rows(part)));
+                parts.into_iter().for_each(|part| self.send(&from.name, Payload::Rows(part)));
                 if reply {
                     // The same part of it, as far as one message holds.
                     let next = mine.get(DIGEST_MAX).map(|(who, _)| who.clone());
                     mine.truncate(DIGEST_MAX);
                     let (known, before) = (mine, next.or(before));
-                    self.send(&from.name, What::Digest { from: first, before, known, reply: false });
+                    self.send(&from.name, Payload::Digest { from: first, before, known, reply: false });
                 }
             }
-            What::Rows(rows) => {
+            Payload::Rows(rows) => {
                 for (who, row) in &rows {
                     if self.counts.merge(who, row, self.wall) == Err(Refused::Own) {
                         self.counts.renew(self.wall.max(self.me.incarnation) + 1);
                     }
                 }
             }
-            What::Other { topic, body } => {
+            Payload::Other { topic, body } => {
                 if self.others.len() >= OTHERS_MAX {
                     return Err("no room for more of other topics");
                 }
                 self.others.push((from, topic, body));
             }
-            What::Reports(reports) => {
+            Payload::Reports(reports) => {
                 if let Some(judge) = &mut self.judge {
-                    judge.hear(time, &reports);
+                    judge.merge_reports(time, &reports);
                 }
             }
         }
@@ -344,7 +344,7 @@
 }
 
 /// A row in parts that take `room` bytes at most: rows merge key by key, so parts are as good as the whole.
-fn cut(who: &Who, row: &Row, room: usize) -> Vec<(Who, Row)> {
+fn cut(who: &ServerId, row: &Row, room: usize) -> Vec<(ServerId, Row)> {
     let keys: Vec<(&String, &u64)> = row.of.iter().collect();
     let parts = pack(&keys, room);
     let whole = |part: Vec<(&String, &u64)>| Row {
--- a/crates/shared-state/src/judge.rs
+++ b/crates/shared-state/src/outlier_detection.rs
@@ -5,7 +5,7 @@
 //! time; a server that hears no other falls back on what it finds itself. Whatever the reports say, at most
 //! `share` of a tier is ejected: a fault of the callers or of the network must not take the whole tier away.
 
-use crate::Who;
+use crate::ServerId;
 use crate::clock::{Nanos, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -23,7 +23,7 @@
     /// Servers that must find so.
     pub reports: usize,
     /// Part of the tier ejected at most, in thousandths.
-    pub share_thousandths: usize,
+    pub max_ejected_thousandths: usize,
     /// How long a report counts, and half of what evidence remembers.
     pub expiry: Nanos,
 }
@@ -39,7 +39,7 @@
         if names.iter().any(|name| name.is_empty() || name.len() > crate::NAME_MAX) {
             return Err(format!("service: name: 1 to {} bytes", crate::NAME_MAX));
         }
-        if self.reports == 0 || self.share_thousandths > 1000 || self.expiry == 0 {
+        if self.reports == 0 || self.max_ejected_thousandths > 1000 || self.expiry == 0 {
             return Err("reports: 1 at least; eject-share: 0 to 1; expiry-ms: above 0".into());
         }
         Ok(())
@@ -47,13 +47,14 @@
 
     /// Services that may be ejected at once.
     pub fn eject_max(&self) -> usize {
-        self.services.len() * self.share_thousandths / 1000
+        self.services.len() * self.max_ejected_thousandths / 1000
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Verdict {
-    Good,
+pub enum ServiceHealth {
+    #[serde(rename = "Good")]
+    Healthy,
     Slow,
     Failing,
 }
@@ -61,9 +62,9 @@
 /// What one server finds of one service; `age` is how long ago, so that no clocks are compared.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    pub by: Who,
+    pub by: ServerId,
     pub service: u32,
-    pub verdict: Verdict,
+    pub verdict: ServiceHealth,
     pub age: Nanos,
 }
 
@@ -84,12 +85,12 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Judge {
-    me: Who,
+pub struct OutlierDetector {
+    me: ServerId,
     settings: Settings,
     evidence: Vec<Evidence>,
     /// Others' reports by service and reporter, with when they end by the fast clock.
-    heard: BTreeMap<(u32, String), (u64, Verdict, Nanos)>,
+    heard: BTreeMap<(u32, String), (u64, ServiceHealth, Nanos)>,
     /// When another was last heard at all.
     heard_at: Option<Nanos>,
     /// Reports of unknown services, with no age that counts, or beyond the room.
@@ -108,11 +109,11 @@
 /// Reporters remembered for each service.
 const REPORTERS_MAX: usize = 1024;
 
-impl Judge {
-    pub fn new(me: Who, settings: Settings) -> Result<Judge, String> {
+impl OutlierDetector {
+    pub fn new(me: ServerId, settings: Settings) -> Result<OutlierDetector, String> {
         settings.check()?;
         let evidence = vec![Evidence::default(); settings.services.len()];
-        Ok(Judge { me, settings, evidence, heard: BTreeMap::new(), heard_at: None, refused: 0 })
+        Ok(OutlierDetector { me, settings, evidence, heard: BTreeMap::new(), heard_at: None, refused: 0 })
     }
 
     pub fn settings(&self) -> &Settings {
@@ -120,7 +121,7 @@
     }
 
     /// A call of this server's own has ended.
-    pub fn called(&mut self, time: Time, service: usize, good: bool, took: Nanos) {
+    pub fn record_call(&mut self, time: Time, service: usize, good: bool, took: Nanos) {
         let half_life = self.settings.expiry;
         let Some(evidence) = self.evidence.get_mut(service) else { return };
         evidence.age(time.fast, half_life);
@@ -132,27 +133,27 @@
     /// A call of this server's own was given up after so long: evidence against its service only where none
     /// takes so long that is not slow. Guards against a service that never answers, whose calls all end so;
     /// what its callers give up early says nothing.
-    pub fn given_up(&mut self, time: Time, service: usize, after: Nanos) {
+    pub fn record_abandoned_call(&mut self, time: Time, service: usize, after: Nanos) {
         let known = self.evidence.iter().filter(|evidence| evidence.calls >= CALLS_MIN);
         let (calls, took) = known.fold((0.0, 0.0), |sum, its| (sum.0 + its.calls, sum.1 + its.took));
         if calls > 0.0 && after as f64 > took / calls * SLOW {
-            self.called(time, service, false, after);
+            self.record_call(time, service, false, after);
         }
     }
 
     /// What this server finds itself.
-    pub fn own(&self, time: Time, service: usize) -> Verdict {
+    pub fn local_health(&self, time: Time, service: usize) -> ServiceHealth {
         let aged = |evidence: &Evidence| {
             let mut evidence = *evidence;
             evidence.age(time.fast, self.settings.expiry);
             evidence
         };
-        let Some(its) = self.evidence.get(service).map(aged) else { return Verdict::Good };
+        let Some(its) = self.evidence.get(service).map(aged) else { return ServiceHealth::Healthy };
         if its.calls < CALLS_MIN {
-            return Verdict::Good;
+            return ServiceHealth::Healthy;
         }
         if its.failed >= its.calls * FAILING {
-            return Verdict::Failing;
+            return ServiceHealth::Failing;
         }
         let mut others: Vec<f64> = (0..self.evidence.len())
             .filter(|i| *i != service)
@@ -162,7 +163,7 @@
             .collect();
         others.sort_by(f64::total_cmp);
         let middle = others.get(others.len() / 2).copied().unwrap_or(f64::INFINITY);
-        if its.took / its.calls > middle * SLOW { Verdict::Slow } else { Verdict::Good }
+        if its.took / its.calls > middle * SLOW { ServiceHealth::Slow } else { ServiceHealth::Healthy }
     }
 
     /// Reports to tell others: what this server finds, good ones too so that it is known to be heard, and
@@ -171,13 +172,13 @@
         let own = (0..self.evidence.len()).map(|service| Report {
             by: self.me.clone(),
             service: service as u32,
-            verdict: self.own(time, service),
+            verdict: self.local_health(time, service),
             age: 0,
         });
         let expiry = self.settings.expiry;
         let heard = self.heard.iter().filter(|(_, (.., until))| time.fast < *until);
         let relayed = heard.map(|((service, name), (incarnation, verdict, until))| Report {
-            by: Who { name: name.clone(), incarnation: *incarnation },
+            by: ServerId { name: name.clone(), incarnation: *incarnation },
             service: *service,
             verdict: *verdict,
             age: expiry.saturating_sub(until.saturating_sub(time.fast)),
@@ -187,7 +188,7 @@
 
     /// What another tells. A report of an older life of a reporter, or older than what is known, is nothing
     /// new; this server's own is its own to make.
-    pub fn hear(&mut self, time: Time, reports: &[Report]) {
+    pub fn merge_reports(&mut self, time: Time, reports: &[Report]) {
         self.heard.retain(|_, (.., until)| time.fast < *until);
         for report in reports {
             let named = (1..=crate::NAME_MAX).contains(&report.by.name.len());
@@ -213,7 +214,7 @@
     }
 
     /// Whether no other has been heard for as long as a report counts.
-    pub fn is_alone(&self, time: Time) -> bool {
+    pub fn is_isolated(&self, time: Time) -> bool {
         self.heard_at.is_none_or(|at| time.fast >= at + self.settings.expiry)
     }
 
@@ -223,14 +224,14 @@
     }
 
     fn accuses(&self, time: Time, service: usize) -> bool {
-        self.own(time, service) != Verdict::Good
+        self.local_health(time, service) != ServiceHealth::Healthy
     }
 
     fn other_accusers(&self, time: Time, service: usize) -> impl Iterator<Item = &str> {
         let from = (service as u32, String::new());
         let theirs = self.heard.range(from..).take_while(move |((s, _), _)| *s == service as u32);
-        let bad =
-            theirs.filter(move |(_, (_, verdict, until))| *verdict != Verdict::Good && time.fast < *until);
+        let bad = theirs
+            .filter(move |(_, (_, verdict, until))| *verdict != ServiceHealth::Healthy && time.fast < *until);
         bad.map(|((_, name), _)| name.as_str())
     }
 
@@ -238,7 +239,7 @@
     /// of those that accuse it twice as many as must find so, by a rank of their own in each service. Guards
     /// against the sum of a large fleet's probes, which is more than a cold service stands; where one of them
     /// is lost the next takes its place once the report of the lost one has ended.
-    pub fn probes(&self, time: Time, service: usize) -> bool {
+    pub fn is_prober(&self, time: Time, service: usize) -> bool {
         let mine = rank(service, &self.me.name);
         let before = self.other_accusers(time, service).filter(|name| rank(service, name) < mine);
         self.accuses(time, service) && before.count() < PROBERS * self.settings.reports
@@ -247,7 +248,7 @@
     /// Services ejected now, by number: those most accused first, within the share. A server that hears
     /// nobody goes by its own evidence.
     pub fn ejected(&self, time: Time) -> Vec<usize> {
-        let alone = self.is_alone(time);
+        let alone = self.is_isolated(time);
         let needed = if alone { 1 } else { self.settings.reports };
         let mut accused: Vec<(usize, usize)> = (0..self.evidence.len())
             .map(|service| (self.accusers(time, service), service))
--- a/crates/shared-state/src/sim.rs
+++ b/crates/shared-state/src/sim.rs
@@ -4,7 +4,7 @@
 
 use crate::clock::{Nanos, Reading};
 use crate::permits::Permits;
-use crate::{Settings, SharedState, Who};
+use crate::{ServerId, Settings, SharedState};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use std::cmp::Reverse;
@@ -132,12 +132,12 @@
 
     pub fn start(&mut self, i: usize) {
         let reading = self.servers[i].reading(self.now);
-        let me = Who { name: format!("s{i}"), incarnation: reading.wall };
+        let me = ServerId { name: format!("s{i}"), incarnation: reading.wall };
         self.start_as(i, me);
     }
 
     /// Starts a server that goes by `me`, whatever its clock says: one that came back with old figures.
-    pub fn start_as(&mut self, i: usize, me: Who) {
+    pub fn start_as(&mut self, i: usize, me: ServerId) {
         let reading = self.servers[i].reading(self.now);
         let seed = self.rng.next_u64();
         let state = SharedState::new(me, self.settings.clone(), seed, reading).expect("good settings");
@@ -311,7 +311,7 @@
         for budget in &mut state.budgets {
             let lately = 2 * budget.plan().refresh;
             let (wants, uses) = (server.permits.wants(time, lately), server.permits.uses(time));
-            budget.note_use(wants, uses);
+            budget.set_demand(wants, uses);
         }
         state.advance(reading, &alive);
         self.post(i);
@@ -323,7 +323,7 @@
         let Some(state) = server.state.as_mut().filter(|_| !server.stalled) else { return };
         let time = state.read(reading);
         let uses = server.permits.uses(time);
-        let may = state.budgets.first().is_none_or(|budget| budget.may_take(time, uses));
+        let may = state.budgets.first().is_none_or(|budget| budget.may_acquire(time, uses));
         if !may {
             server.permits.refuse(time, 2);
             self.refused += 1;
--- a/crates/shared-state/tests/fleet.rs
+++ b/crates/shared-state/tests/fleet.rs
@@ -1,11 +1,11 @@
 //! Hard cases of shared state in simulated time: what the dependency sees at once is counted there, not by
 //! the servers' word. Each deterministic from its seed.
 
-use meadowstream_shared_state::budget::{Plan, Say, Term};
+use meadowstream_shared_state::budget::{BudgetMessage, BudgetSettings, Term};
 use meadowstream_shared_state::clock::Nanos;
-use meadowstream_shared_state::counts::{Limits, Row};
+use meadowstream_shared_state::counters::{Limits, Row};
 use meadowstream_shared_state::sim::{Clocks, EPOCH, Fleet, Net};
-use meadowstream_shared_state::{Message, Settings, What, Who};
+use meadowstream_shared_state::{Message, Payload, ServerId, Settings};
 use std::collections::BTreeMap;
 use test_case::test_case;
 
@@ -17,7 +17,7 @@
 fn settings(total: u64, floor: u64, servers: u64) -> Settings {
     let voters = (0..5).map(|i| format!("s{i}")).collect();
     Settings {
-        budgets: vec![Plan::new("records", total, floor, servers, voters, LEASE, 200 * MS)],
+        budgets: vec![BudgetSettings::new("records", total, floor, servers, voters, LEASE, 200 * MS)],
         counts: Limits::default(),
         judge: None,
         gossip: 500 * MS,
@@ -77,7 +77,7 @@
     let uses = |fleet: &mut Fleet, i: usize| {
         let budget = &fleet.state(i).expect("runs").budgets[0];
         let time = meadowstream_shared_state::clock::Time { fast: Nanos::MAX / 2, slow: Nanos::MAX / 2 };
-        budget.ceiling(time).floor
+        budget.allowance(time).floor
     };
     assert_eq!((uses(&mut fleet, 0), uses(&mut fleet, 1)), (2, 2));
     fleet.heal();
@@ -202,8 +202,8 @@
     assert!(fault.contains("floor") && fleet.state(0).expect("runs").budgets[0].plan().total == 100);
 }
 
-fn body(from: &str, what: What) -> Vec<u8> {
-    let from = Who { name: from.into(), incarnation: EPOCH };
+fn body(from: &str, what: Payload) -> Vec<u8> {
+    let from = ServerId { name: from.into(), incarnation: EPOCH };
     postcard::to_allocvec(&Message { from, what }).unwrap()
 }
 
@@ -212,23 +212,34 @@
 #[test]
 fn a_lying_peer_gains_nothing() {
     let mut fleet = flooded(10, lan());
-    let budget = |say: Say| What::Budget { name: "records".into(), say };
+    let budget = |say: BudgetMessage| Payload::Budget { name: "records".into(), say };
     let term = Term { incarnation: EPOCH, rank: 1, election: 1 };
     let me = fleet.state(4).expect("runs").me().clone();
     for number in 0..500 {
-        let grant = Say::Grant { to: me.incarnation, number, term, id: u64::MAX, amount: 1 << 40 };
+        let grant = BudgetMessage::LeaseGrant {
+            incarnation: me.incarnation,
+            number,
+            term,
+            id: u64::MAX,
+            amount: 1 << 40,
+        };
         fleet.inject(4, body("s9", budget(grant)));
         for to in 0..5 {
-            let claim = Say::Want { number, wants: u64::MAX, uses: 0, adopted: (term, u64::MAX - number) };
+            let claim = BudgetMessage::LeaseRequest {
+                number,
+                wants: u64::MAX,
+                uses: 0,
+                adopted: (term, u64::MAX - number),
+            };
             fleet.inject(to, body("s7", budget(claim)));
         }
     }
     let huge = Row { of: BTreeMap::from([("calls".into(), u64::MAX)]) };
-    let liar = Who { name: "s7".into(), incarnation: EPOCH };
-    let rows = What::Rows(vec![(liar, huge.clone()), (me.clone(), huge)]);
+    let liar = ServerId { name: "s7".into(), incarnation: EPOCH };
+    let rows = Payload::Rows(vec![(liar, huge.clone()), (me.clone(), huge)]);
     fleet.inject(4, body("s7", rows));
     fleet.inject(4, b"no message at all".to_vec());
-    fleet.inject(4, body("", What::Rows(Vec::new())));
+    fleet.inject(4, body("", Payload::Rows(Vec::new())));
     let since = play(&mut fleet, 20 * S);
     // What the liar asked for it was given within its part, for a lease time.
     holds(&mut fleet, since, 0.7);
@@ -325,42 +336,42 @@
 /// The messages as the release before had them, written out: what it sends is read here, what it does not
 /// know it refuses whole, counts as malformed and goes on.
 mod release_before {
-    use meadowstream_shared_state::Who;
-    use meadowstream_shared_state::budget::Say;
-    use meadowstream_shared_state::counts::Row;
-    use meadowstream_shared_state::judge::Report;
+    use meadowstream_shared_state::ServerId;
+    use meadowstream_shared_state::budget::BudgetMessage;
+    use meadowstream_shared_state::counters::Row;
+    use meadowstream_shared_state::outlier_detection::Report;
     use serde::{Deserialize, Serialize};
 
     #[derive(Debug, PartialEq, Serialize, Deserialize)]
     pub struct Message {
-        pub from: Who,
-        pub what: What,
+        pub from: ServerId,
+        pub what: Payload,
     }
 
     #[derive(Debug, PartialEq, Serialize, Deserialize)]
-    pub enum What {
-        Budget { name: String, say: Say },
-        Digest { from: Option<Who>, before: Option<Who>, known: Vec<(Who, u64)>, reply: bool },
-        Rows(Vec<(Who, Row)>),
+    pub enum Payload {
+        Budget { name: String, say: BudgetMessage },
+        Digest { from: Option<ServerId>, before: Option<ServerId>, known: Vec<(ServerId, u64)>, reply: bool },
+        Rows(Vec<(ServerId, Row)>),
         Reports(Vec<Report>),
     }
 }
 
 #[test]
 fn the_release_before_and_this_one_understand_each_other() {
-    use meadowstream_shared_state::judge::{Report, Verdict};
-    use meadowstream_shared_state::{Message, ORDERS, What};
-    let from = Who { name: "s1".into(), incarnation: 7 };
-    let report = Report { by: from.clone(), service: 1, verdict: Verdict::Slow, age: 3 };
+    use meadowstream_shared_state::outlier_detection::{Report, ServiceHealth};
+    use meadowstream_shared_state::{Message, ORDERS, Payload};
+    let from = ServerId { name: "s1".into(), incarnation: 7 };
+    let report = Report { by: from.clone(), service: 1, verdict: ServiceHealth::Slow, age: 3 };
     let old = release_before::Message {
         from: from.clone(),
-        what: release_before::What::Reports(vec![report.clone()]),
+        what: release_before::Payload::Reports(vec![report.clone()]),
     };
     let read: Message = postcard::from_bytes(&postcard::to_allocvec(&old).unwrap()).unwrap();
-    assert_eq!(read, Message { from: from.clone(), what: What::Reports(vec![report.clone()]) });
+    assert_eq!(read, Message { from: from.clone(), what: Payload::Reports(vec![report.clone()]) });
     let new = postcard::to_allocvec(&read).unwrap();
     assert_eq!(postcard::from_bytes::<release_before::Message>(&new), Ok(old));
-    let later = Message { from, what: What::Other { topic: ORDERS, body: vec![1, 2, 3] } };
+    let later = Message { from, what: Payload::Other { topic: ORDERS, body: vec![1, 2, 3] } };
     let later = postcard::to_allocvec(&later).unwrap();
     assert!(postcard::from_bytes::<release_before::Message>(&later).is_err());
 }
--- a/crates/shared-state/tests/model.rs
+++ b/crates/shared-state/tests/model.rs
@@ -4,8 +4,8 @@
 //! In no state may the units that servers could take sum past the budget. `cargo test -p
 //! meadowstream-shared-state --release --test model -- --nocapture` prints the numbers of states.
 
-use meadowstream_shared_state::Who;
-use meadowstream_shared_state::budget::{Budget, Counts, Out, Plan, Say};
+use meadowstream_shared_state::ServerId;
+use meadowstream_shared_state::budget::{Budget, BudgetMessage, BudgetSettings, Counts, Out};
 use meadowstream_shared_state::clock::Time;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeSet;
@@ -30,7 +30,7 @@
     lives: Vec<u64>,
     /// From whom, to which server, what: a set, so that what was sent may come at any later time, more than
     /// once or never.
-    sent: BTreeSet<(Who, usize, Say)>,
+    sent: BTreeSet<(ServerId, usize, BudgetMessage)>,
     /// Starts from which what was delivered already cannot matter any more are left to the checker.
     kills: u8,
 }
@@ -39,8 +39,8 @@
 enum Step {
     /// One server's clock goes on by a tick and it does what is due.
     Tick(usize),
-    Deliver(Who, usize, Say),
-    Lose(Who, usize, Say),
+    Deliver(ServerId, usize, BudgetMessage),
+    Lose(ServerId, usize, BudgetMessage),
     Kill(usize),
     Start(usize),
 }
@@ -62,19 +62,19 @@
 impl Leases {
     fn budget(&self, i: usize, life: u64, clock: u64) -> Budget {
         let voters = (0..self.voters).map(|i| format!("s{i}")).collect();
-        let mut plan = Plan::new("b", TOTAL, 0, self.servers as u64, voters, self.lease, 0);
+        let mut plan = BudgetSettings::new("b", TOTAL, 0, self.servers as u64, voters, self.lease, 0);
         (plan.refresh, plan.term, plan.margin) = (1, self.term, 2);
         if self.fault == Fault::NoMargin {
             plan.margin = 1;
         }
-        let me = Who { name: format!("s{i}"), incarnation: life };
+        let me = ServerId { name: format!("s{i}"), incarnation: life };
         let mut time = Time::both(clock + 10);
         if life == 0 || self.fault == Fault::GivesAtOnce {
             // At the first start of all nobody has promised anything.
             time.slow = 0;
         }
         let mut budget = Budget::new(me, plan, time).expect("a good plan");
-        budget.note_use(TOTAL, 0);
+        budget.set_demand(TOTAL, 0);
         budget
     }
 
@@ -84,7 +84,7 @@
     }
 
     fn post(&self, world: &mut World, from: usize, out: Out) {
-        let me = Who { name: format!("s{from}"), incarnation: world.lives[from] };
+        let me = ServerId { name: format!("s{from}"), incarnation: world.lives[from] };
         for (to, say) in out {
             let to: usize = to[1..].parse().expect("a number");
             if world.sent.len() < self.under_way {
@@ -98,7 +98,7 @@
         let could = |(i, budget): (usize, &Option<Budget>)| {
             let budget = budget.as_ref()?;
             let time = Time { fast: world.clocks[i] + 10, slow: world.clocks[i] + 10 };
-            let ceiling = budget.ceiling(time);
+            let ceiling = budget.allowance(time);
             Some(ceiling.leased)
         };
         world.servers.iter().enumerate().filter_map(could).sum()
@@ -192,7 +192,7 @@
             Property::sometimes("two hold leases at once", |model: &Leases, world: &World| {
                 let holds = |(i, budget): (usize, &Option<Budget>)| {
                     let at = Time::both(world.clocks[i] + 10);
-                    budget.as_ref().is_some_and(|budget| budget.ceiling(at).leased > 0)
+                    budget.as_ref().is_some_and(|budget| budget.allowance(at).leased > 0)
                 };
                 let _ = model;
                 world.servers.iter().enumerate().filter(|each| holds(*each)).count() >= 2
--- a/crates/shared-state/tests/judge.rs
+++ b/crates/shared-state/tests/outlier_detection.rs
@@ -1,35 +1,35 @@
 //! Judgements on services below, and the laws of counts.
 
-use meadowstream_shared_state::Who;
+use meadowstream_shared_state::ServerId;
 use meadowstream_shared_state::clock::{Reading, Time, Watch};
-use meadowstream_shared_state::counts::{Counts, Limits, Refused, Row};
-use meadowstream_shared_state::judge::{Judge, Report, Settings, Verdict};
+use meadowstream_shared_state::counters::{Counts, Limits, Refused, Row};
+use meadowstream_shared_state::outlier_detection::{OutlierDetector, Report, ServiceHealth, Settings};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
 const S: u64 = 1_000_000_000;
 
-fn who(i: usize) -> Who {
-    Who { name: format!("s{i}"), incarnation: 1 }
+fn who(i: usize) -> ServerId {
+    ServerId { name: format!("s{i}"), incarnation: 1 }
 }
 
-fn settings(services: usize, share_thousandths: usize) -> Settings {
+fn settings(services: usize, max_ejected_thousandths: usize) -> Settings {
     let services = (0..services).map(|i| format!("bank-{i}")).collect();
-    Settings { services, reports: 2, share_thousandths, expiry: 5 * S }
+    Settings { services, reports: 2, max_ejected_thousandths, expiry: 5 * S }
 }
 
-fn judges(n: usize, services: usize, share: usize) -> Vec<Judge> {
-    (0..n).map(|i| Judge::new(who(i), settings(services, share)).unwrap()).collect()
+fn judges(n: usize, services: usize, share: usize) -> Vec<OutlierDetector> {
+    (0..n).map(|i| OutlierDetector::new(who(i), settings(services, share)).unwrap()).collect()
 }
 
 /// So many calls of one server to a service.
-fn calls(judge: &mut Judge, at: u64, service: usize, good: bool, took: u64) {
-    (0..10).for_each(|_| judge.called(Time::both(at), service, good, took));
+fn calls(judge: &mut OutlierDetector, at: u64, service: usize, good: bool, took: u64) {
+    (0..10).for_each(|_| judge.record_call(Time::both(at), service, good, took));
 }
 
-fn tell(judges: &mut [Judge], from: usize, to: usize, at: u64) {
+fn tell(judges: &mut [OutlierDetector], from: usize, to: usize, at: u64) {
     let reports = judges[from].reports(Time::both(at));
-    judges[to].hear(Time::both(at), &reports);
+    judges[to].merge_reports(Time::both(at), &reports);
 }
 
 #[test]
@@ -52,7 +52,7 @@
     }
     // Nobody says so any more: it comes back, and one cut off goes by its own evidence.
     let late = Time::both(12 * S);
-    assert!(fleet[3].ejected(late).is_empty() && fleet[3].is_alone(late));
+    assert!(fleet[3].ejected(late).is_empty() && fleet[3].is_isolated(late));
 }
 
 #[test]
@@ -61,7 +61,7 @@
     calls(&mut judge, 0, 2, false, S);
     assert_eq!(judge.ejected(Time::both(1)), [2]);
     (0..4).for_each(|service| calls(&mut judge, 0, service, true, if service == 3 { 9 * S } else { S }));
-    assert_eq!(judge.own(Time::both(1), 3), Verdict::Slow);
+    assert_eq!(judge.local_health(Time::both(1), 3), ServiceHealth::Slow);
 }
 
 /// Whatever is reported: a network fault that makes every server accuse every service leaves most of the
@@ -86,22 +86,25 @@
 fn bad_reports_are_refused_and_old_lives_are_not_believed() {
     let mut judge = judges(1, 2, 500).remove(0);
     let report = |incarnation, service, verdict, age| Report {
-        by: Who { name: "s7".into(), incarnation },
+        by: ServerId { name: "s7".into(), incarnation },
         service,
         verdict,
         age,
     };
-    let nameless = Report { by: Who::default(), ..report(1, 0, Verdict::Failing, 0) };
-    judge.hear(
+    let nameless = Report { by: ServerId::default(), ..report(1, 0, ServiceHealth::Failing, 0) };
+    judge.merge_reports(
         Time::both(1),
-        &[report(1, 9, Verdict::Failing, 0), report(1, 0, Verdict::Failing, 6 * S), nameless],
+        &[report(1, 9, ServiceHealth::Failing, 0), report(1, 0, ServiceHealth::Failing, 6 * S), nameless],
     );
     assert_eq!(judge.refused, 3);
-    judge.hear(Time::both(1), &[report(2, 0, Verdict::Good, S), report(1, 0, Verdict::Failing, 0)]);
+    judge.merge_reports(
+        Time::both(1),
+        &[report(2, 0, ServiceHealth::Healthy, S), report(1, 0, ServiceHealth::Failing, 0)],
+    );
     assert_eq!(judge.accusers(Time::both(1), 0), 0, "a report of its life before");
-    judge.hear(Time::both(2), &[report(2, 0, Verdict::Failing, 2 * S)]);
+    judge.merge_reports(Time::both(2), &[report(2, 0, ServiceHealth::Failing, 2 * S)]);
     assert_eq!(judge.accusers(Time::both(2), 0), 0, "older than what is known");
-    judge.hear(Time::both(2), &[report(2, 0, Verdict::Failing, 0)]);
+    judge.merge_reports(Time::both(2), &[report(2, 0, ServiceHealth::Failing, 0)]);
     assert_eq!(judge.accusers(Time::both(2), 0), 1);
 }
 
@@ -114,7 +117,7 @@
     };
     assert!(bad(|s| s.services[1] = "bank-0".into()).contains("service"));
     assert!(bad(|s| s.reports = 0).contains("reports"));
-    assert!(bad(|s| s.share_thousandths = 1001).contains("eject-share"));
+    assert!(bad(|s| s.max_ejected_thousandths = 1001).contains("eject-share"));
 }
 
 #[test]
@@ -164,7 +167,7 @@
         let mut counts = Counts::new(who(0), limits);
         counts.add("mine", 5);
         for (i, name) in names.iter().enumerate() {
-            let of = Who { name: format!("s{}", i % 20), incarnation: 1 };
+            let of = ServerId { name: format!("s{}", i % 20), incarnation: 1 };
             let row = Row { of: BTreeMap::from([(name.clone(), count)]) };
             let taken = counts.merge(&of, &row, 61 * S);
             prop_assert!(count <= 121_000 || i % 20 == 0 || taken.is_err());
