--- a/crates/server/src/fleet/publish.rs
+++ b/crates/server/src/fleet/publish.rs
@@ -4,11 +4,11 @@
 use crate::fleet::control_machine as control;
 use crate::fleet::joined::Joined;
 use anyhow::{Context, Result, bail, ensure};
-use meadowstream_configuration::replication::load_change;
+use meadowstream_configuration::change::load_change;
 use meadowstream_replication::message::{Message, RequestId};
 use meadowstream_replication::revision::{Change, PARTS_MAX, split};
 use meadowstream_shared_state::REPLICATION;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::time::Duration;
 
 /// Members of that name are operators' commands.
@@ -37,7 +37,7 @@
         Ask::Revert(number) => Ok(vec![Message::Revert { request: request.clone(), number: *number }]),
         Ask::Publish(file) => {
             let changes: Vec<Change> =
-                load_change(file)?.into_iter().map(|(key, value)| Change { key, value }).collect();
+                load_change(file)?.into_iter().map(|one| Change { key: one.key, value: one.value }).collect();
             if let Some(fault) = changes.iter().find_map(Change::fault) {
                 bail!("{}: {fault}", file.display());
             }
@@ -174,16 +174,3 @@
 
 /// The options that a `publish` without `--wait` waits for.
 pub const WAIT_USUAL: Duration = Duration::from_secs(10);
-
-/// Reads `CHANGE`, `revert NUMBER` or `status`.
-pub fn ask_of(words: &[String]) -> Result<Ask> {
-    match words {
-        [word] if word == "status" => Ok(Ask::Status),
-        [word, number] if word == "revert" => {
-            let number = number.parse().with_context(|| format!("revert: {number:?} is no number"))?;
-            Ok(Ask::Revert(number))
-        }
-        [file] => Ok(Ask::Publish(Path::new(file).to_path_buf())),
-        _ => bail!("publish: name the file of a change, or status, or revert NUMBER"),
-    }
-}
--- a/crates/server/src/lifecycle/reload.rs
+++ b/crates/server/src/lifecycle/reload.rs
@@ -16,7 +16,7 @@
 use meadowstream_replication::committed_log::Snapshot;
 use meadowstream_replication::persistence;
 use meadowstream_replication::replica::PersistedState;
-use meadowstream_shared_state::budget::Plan;
+use meadowstream_shared_state::budget::BudgetSettings;
 use std::cell::Cell;
 use std::collections::HashSet;
 use std::path::PathBuf;
@@ -28,7 +28,7 @@
 /// Names of tenants that are counted by name.
 pub type TenantNames = Arc<HashSet<Vec<u8>>>;
 
-/// Who changes settings waits here for the change before.
+/// ServerId changes settings waits here for the change before.
 #[derive(Default)]
 pub struct Changes {
     lock: async_lock::Mutex<()>,
@@ -99,8 +99,8 @@
         ensure!(same, "tenants: telling them apart or not takes a restart");
         return Ok(None);
     };
-    let ways = (&before.by, before.origin, before.surplus_value);
-    ensure!(ways == (&after.by, after.origin, after.surplus_value), "tenants: this takes a restart");
+    let ways = (&before.source, before.origin, before.surplus_value);
+    ensure!(ways == (&after.source, after.origin, after.surplus_value), "tenants: this takes a restart");
     ensure!(before.fair.ceiling() == after.fair.ceiling(), "ceilings: others take a restart");
     Ok(Some((before, after)))
 }
@@ -200,8 +200,9 @@
     ensure!(calls(old) == calls(new), "records: a call more or less takes a restart");
     {
         let (before, after) = (old.options.borrow(), new.options.borrow());
-        let same = (&before.tokens, &before.left_out, &before.rollout, &before.replication)
-            == (&after.tokens, &after.left_out, &after.rollout, &after.replication);
+        let same =
+            (&before.idempotency_keys, &before.skipped_call_reply, &before.rollout, &before.replication)
+                == (&after.idempotency_keys, &after.skipped_call_reply, &after.rollout, &after.replication);
         ensure!(same, "options: <tokens>, <calls>, <rollout>, <replication>: others take a restart");
     }
     let fleet = |c: &Configuration| {
@@ -213,7 +214,7 @@
     let plans = |c: &Configuration| {
         let shared = c.membership.as_ref().and_then(|fleet| fleet.shared.as_ref());
         // A total may change while leases stand.
-        let total = |plan: &Plan| Plan { total: 0, ..plan.clone() };
+        let total = |plan: &BudgetSettings| BudgetSettings { total: 0, ..plan.clone() };
         let plans = shared.map(|shared| shared.budgets.iter().map(total).collect::<Vec<_>>());
         let tier = c.membership.as_ref().map(|fleet| fleet.tier.clone());
         (plans, shared.map(|shared| (shared.gossip, shared.judge.clone())), tier)
