--- a/crates/capacity/src/hollow.rs
+++ b/crates/capacity/src/hollow.rs
@@ -3,11 +3,11 @@
 
 use crate::meter::{Costs, thread_time};
 use meadowstream_membership::directory::Directory;
-use meadowstream_membership::envelope::{HEAD, TAG};
-use meadowstream_membership::{Id, Membership, Nanos};
+use meadowstream_membership::envelope::{HEADER_BYTES, TAG_BYTES};
+use meadowstream_membership::{MemberId, Membership, Nanos};
 use meadowstream_replication::member::Member;
 use meadowstream_shared_state::clock::Reading;
-use meadowstream_shared_state::{REPLICATION, SharedState, Who};
+use meadowstream_shared_state::{REPLICATION, ServerId, SharedState};
 use std::net::SocketAddr;
 
 /// Seconds of simulated time begin here, as Unix nanoseconds: incarnations are start times.
@@ -33,7 +33,7 @@
 }
 
 /// Bytes that the envelope adds to a body.
-const ENVELOPE: u64 = (HEAD + TAG) as u64;
+const ENVELOPE: u64 = (HEADER_BYTES + TAG_BYTES) as u64;
 
 impl Hollow {
     /// Settings that the cores refuse are an error that names them.
@@ -44,8 +44,8 @@
         seed: u64,
         now: Nanos,
     ) -> Result<Hollow, String> {
-        let me = Id { name: name.to_string(), addr, incarnation: EPOCH + now };
-        let who = Who { name: name.to_string(), incarnation: EPOCH + now };
+        let me = MemberId { name: name.to_string(), addr, incarnation: EPOCH + now };
+        let who = ServerId { name: name.to_string(), incarnation: EPOCH + now };
         let replication = settings
             .replication
             .as_ref()
@@ -67,8 +67,8 @@
 
     pub fn receive(&mut self, from: SocketAddr, datagram: &[u8], now: Nanos) {
         let began = thread_time();
-        let _ = self.membership.receive(from, datagram, now);
-        let carried = self.membership.carried();
+        let _ = self.membership.handle_datagram(from, datagram, now);
+        let carried = self.membership.take_shared_state();
         let opened = thread_time();
         self.costs.membership.processor += opened - began;
         if carried.is_empty() {
@@ -98,19 +98,19 @@
             let time = self.shared_state.time();
             let lease = self.shared_state.budgets.iter_mut().find(|budget| budget.plan().name == self.lease);
             let holds = lease.is_some_and(|lease| {
-                lease.note_use(1, 0);
-                lease.ceiling(time).leased > 0
+                lease.set_demand(1, 0);
+                lease.allowance(time).leased > 0
             });
-            member.set_may_publish(holds);
+            member.set_holds_lease(holds);
         }
         if unix >= member.next_due() {
             member.advance(unix, self.directory.names());
         }
-        while let Some(saved) = member.take_save() {
-            member.saved(&saved, unix);
+        while let Some(saved) = member.unsaved_state() {
+            member.on_persisted(&saved, unix);
         }
-        if let Some(snapshot) = member.take_pending() {
-            member.settled(snapshot.revision.at.number, Ok(()), unix);
+        if let Some(snapshot) = member.next_to_apply() {
+            member.settled(snapshot.revision.position.number, Ok(()), unix);
         }
         for (to, body) in member.outgoing() {
             let before = self.shared_state.tally.sent_bytes;
@@ -120,7 +120,7 @@
             if let Some(address) = self.directory.address(&to) {
                 self.costs.replication.datagrams += 1;
                 self.costs.replication.bytes += size + ENVELOPE;
-                self.membership.carry(address, &body, now);
+                self.membership.send_shared_state(address, &body, now);
             }
         }
     }
@@ -128,8 +128,8 @@
     /// Does what is due by `now`.
     pub fn advance(&mut self, now: Nanos) {
         let began = thread_time();
-        self.membership.advance(now);
-        self.membership.changes();
+        self.membership.handle_timeout(now);
+        self.membership.take_changes();
         let advanced = thread_time();
         self.costs.membership.processor += advanced - began;
         if now >= self.shared_due {
@@ -151,7 +151,7 @@
             if let Some(to) = self.directory.address(&name) {
                 self.costs.shared_state.datagrams += 1;
                 self.costs.shared_state.bytes += body.len() as u64 + ENVELOPE;
-                self.membership.carry(to, &body, now);
+                self.membership.send_shared_state(to, &body, now);
             }
         }
     }
@@ -159,18 +159,18 @@
     /// Units of the shared budget that it holds by a lease.
     pub fn leased(&self) -> u64 {
         let time = self.shared_state.time();
-        self.shared_state.budgets.first().map_or(0, |budget| budget.ceiling(time).leased)
+        self.shared_state.budgets.first().map_or(0, |budget| budget.allowance(time).leased)
     }
 
     pub fn next_due(&self) -> Nanos {
         let replication = self.replication.as_ref().map_or(Nanos::MAX, Member::next_due);
         let replication = replication.saturating_sub(EPOCH);
-        self.membership.next_due().unwrap_or(Nanos::MAX).min(self.shared_due).min(replication)
+        self.membership.poll_timeout().unwrap_or(Nanos::MAX).min(self.shared_due).min(replication)
     }
 
     /// Datagrams to send, to whom; taken once.
     pub fn outgoing(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
-        let outgoing = self.membership.outgoing();
+        let outgoing = self.membership.take_transmits();
         let counts = self.membership.counts();
         // What is neither shared state nor configuration is the membership's own.
         let others = [self.costs.shared_state, self.costs.replication];
--- a/crates/capacity/src/model.rs
+++ b/crates/capacity/src/model.rs
@@ -8,8 +8,8 @@
 use crate::topology::Place;
 use meadowstream_membership::Nanos;
 use meadowstream_replication::message::Location;
-use meadowstream_shared_state::budget::Plan;
-use meadowstream_shared_state::counts::Limits;
+use meadowstream_shared_state::budget::BudgetSettings;
+use meadowstream_shared_state::counters::Limits;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use serde::Serialize;
@@ -72,12 +72,12 @@
 pub fn settings(size: usize) -> Settings {
     let mut membership = meadowstream_membership::Settings::lan("capacity", b"a key of the scale model");
     membership.expected_members = size as u32;
-    membership.bytes_a_second = MEMBERSHIP_BYTES;
+    membership.bytes_per_second = MEMBERSHIP_BYTES;
     let servers = size as u64;
     let voters = (0..VOTERS).map(Fleet::name).collect();
-    let budget = Plan::new("calls", 10 * servers, 1, servers, voters, 4 * SECOND, SECOND);
+    let budget = BudgetSettings::new("calls", 10 * servers, 1, servers, voters, 4 * SECOND, SECOND);
     let replicas: Vec<String> = (0..VOTERS).map(Fleet::name).collect();
-    let lease = Plan::new(LEASE, 1, 0, VOTERS as u64, replicas.clone(), 4 * SECOND, 1);
+    let lease = BudgetSettings::new(LEASE, 1, 0, VOTERS as u64, replicas.clone(), 4 * SECOND, 1);
     let replication = meadowstream_replication::member::Settings::new(Location::default(), replicas);
     let shared_state = meadowstream_shared_state::Settings {
         budgets: vec![budget, lease],
@@ -108,7 +108,7 @@
 fn publisher(fleet: &Fleet) -> Option<usize> {
     let publishes = |server: &usize| {
         let member = fleet.server(*server).and_then(|one| one.replication.as_ref());
-        member.is_some_and(|member| member.is_publisher())
+        member.is_some_and(|member| member.is_leader())
     };
     (0..CONTROL_MACHINES).find(publishes)
 }
@@ -163,7 +163,7 @@
             for key in 0..COUNTED_KEYS {
                 hollow.shared_state.counts.add(&format!("invocations/operation-{key}"), 1);
             }
-            hollow.shared_state.budgets.iter_mut().take(1).for_each(|budget| budget.note_use(WANTS, 0));
+            hollow.shared_state.budgets.iter_mut().take(1).for_each(|budget| budget.set_demand(WANTS, 0));
         }
         let next = fleet.now() + SECOND;
         fleet.run_until(next);
@@ -435,7 +435,8 @@
     }
     let next = fleet.now() + scale.control_away * SECOND;
     fleet.run_until(next);
-    let knows = |server: &&usize| fleet.server(**server).is_some_and(|one| one.membership.active() > 0);
+    let knows =
+        |server: &&usize| fleet.server(**server).is_some_and(|one| one.membership.active_members() > 0);
     let joined_meanwhile = Some(restarted.iter().filter(knows).count());
     for server in seeds() {
         fleet.start(server, &seeds())?;
