--- a/crates/server/src/connection/request.rs
+++ b/crates/server/src/connection/request.rs
@@ -8,7 +8,7 @@
 use crate::resources::idempotency::TOKEN_MAX;
 use crate::wire::decimal;
 use crate::wire::rpc;
-use meadowstream_configuration::{By, Origin};
+use meadowstream_configuration::{Origin, TenantSource};
 use meadowstream_overload_control::{Effect, Nanos, Sender};
 use std::net::IpAddr;
 use std::rc::Rc;
@@ -118,11 +118,11 @@
 
     fn idempotency_key(&self, operation: usize, call: &rpc::Call) -> Result<Option<Vec<u8>>, RequestError> {
         let operations = &self.configuration.settings.deployment.operations;
-        if operations[operation].effect != Effect::Tokened {
+        if operations[operation].effect != Effect::IdempotentWithKey {
             return Ok(None);
         }
         let options = self.configuration.options.borrow();
-        let field = options.tokens.as_ref().and_then(|tokens| call.field(&tokens.field));
+        let field = options.idempotency_keys.as_ref().and_then(|keys| call.field(&keys.field));
         let key = field.filter(|key| !key.is_empty()).ok_or(RequestError::MissingKey)?;
         if key.len() > TOKEN_MAX {
             return Err(RequestError::KeyTooLong(key.len()));
@@ -134,10 +134,10 @@
     fn sender(&self, call: &rpc::Call) -> Option<Sender> {
         let options = self.configuration.options.borrow();
         let tenants = options.tenants.as_ref()?;
-        let tenant = match &tenants.by {
-            By::Sender => call.sender.map_or(Vec::new(), |sender| sender.to_string().into_bytes()),
-            By::Peer => self.peer.to_string().into_bytes(),
-            By::Field(field) => call.field(field).unwrap_or("").as_bytes().to_vec(),
+        let tenant = match &tenants.source {
+            TenantSource::Sender => call.sender.map_or(Vec::new(), |sender| sender.to_string().into_bytes()),
+            TenantSource::Peer => self.peer.to_string().into_bytes(),
+            TenantSource::Field(field) => call.field(field).unwrap_or("").as_bytes().to_vec(),
         };
         let origin = match tenants.origin {
             Origin::Connection => self.connection.id,
--- a/crates/server/src/connection/task.rs
+++ b/crates/server/src/connection/task.rs
@@ -75,7 +75,7 @@
         longest_client_timeout: configuration.longest_client_timeout(),
         shortest_client_timeout: configuration.shortest_client_timeout(),
         linger: configuration.stop_ms * 1_000_000 / LINGER_PART,
-        cancellation: configuration.settings.tells_gone,
+        cancellation: configuration.settings.notifies_cancellation,
     }
 }
 
--- a/crates/server/src/event.rs
+++ b/crates/server/src/event.rs
@@ -4,7 +4,7 @@
 use crate::wire::interpreter::Notice;
 use async_channel::Sender;
 use meadowstream_fair_queueing::Retune;
-use meadowstream_overload_control::{Ending, Nanos, Sender as TenantSender};
+use meadowstream_overload_control::{Nanos, Outcome, Sender as TenantSender};
 use std::rc::Rc;
 
 /// An invocation as a balancer's connection has read it.
@@ -73,7 +73,7 @@
         /// The number of the call.
         number: u64,
         /// What is known of its effect.
-        ending: Ending,
+        ending: Outcome,
         /// The body of the reply; empty without one.
         reply: Vec<u8>,
         /// From its start to its end.
--- a/crates/server/src/wire/http.rs
+++ b/crates/server/src/wire/http.rs
@@ -3,7 +3,7 @@
 use crate::wire::ParseError;
 use crate::wire::Parsed;
 use crate::wire::decimal;
-use meadowstream_overload_control::{Ending, Nanos};
+use meadowstream_overload_control::{Nanos, Outcome};
 
 /// Longest head and longest body of a reply.
 const HEAD_MAX: usize = 4096;
@@ -23,7 +23,7 @@
 
 #[derive(Debug, PartialEq)]
 pub struct Reply {
-    pub ending: Ending,
+    pub ending: Outcome,
     pub body: Vec<u8>,
     /// The connection may carry another call.
     pub stays: bool,
@@ -95,10 +95,10 @@
     // Only these prove that nothing ran; whatever else came of it may have had its effect.
     let not_begun = matches!(status, 503 | 409) && header("Op-Not-Begun") == Some("1");
     let ending = match status {
-        200 => Ending::Succeeded,
-        500 => Ending::Errored,
-        _ if not_begun => Ending::NeverRan,
-        _ => Ending::Unknown,
+        200 => Outcome::Succeeded,
+        500 => Outcome::Failed,
+        _ if not_begun => Outcome::NeverRan,
+        _ => Outcome::Unknown,
     };
     Parsed::Complete(Some(Reply { ending, body: body.to_vec(), stays }), start + len)
 }
