--- /dev/null
+++ b/crates/cli/examples/mixed_fleet.rs
@@ -0,0 +1,147 @@
+//! Plays one fleet of two releases on loopback and checks that they understand each other.
+//!
+//!     cargo run --release --example mixed_fleet -- OLD NEW
+//!
+//! OLD and NEW are two builds of the program. Three control machines and eight servers, every other one of
+//! each release, agree on the fleet's view, share a budget of calls under load, and put the same revision in
+//! force, published once by each release. Prints what was seen; exits 1 where one of these did not come
+//! about.
+
+use anyhow::{Context, Result, ensure};
+use meadowstream_test_doubles::fleet::{Extra, Stage, wait};
+use meadowstream_test_doubles::load::flood;
+use meadowstream_test_doubles::parties;
+use std::net::UdpSocket;
+use std::path::{Path, PathBuf};
+use std::process::Command;
+use std::sync::atomic::Ordering::Relaxed;
+use std::time::{Duration, Instant};
+
+const CONTROL_MACHINES: usize = 3;
+const SERVERS: usize = 8;
+const PROCESSES: usize = CONTROL_MACHINES + SERVERS;
+/// Calls of the whole fleet in flight, and those of each server without a lease.
+const BUDGET_TOTAL: u64 = 24;
+const BUDGET_FLOOR: u64 = 1;
+const SEED: u64 = 91;
+const PATIENCE: Duration = Duration::from_secs(30);
+const LOAD: Duration = Duration::from_secs(12);
+
+fn main() -> Result<()> {
+    let mut arguments = std::env::args().skip(1).map(PathBuf::from);
+    let old = arguments.next().context("OLD is missing")?;
+    let new = arguments.next().context("NEW is missing")?;
+    let programs: Vec<PathBuf> =
+        (0..PROCESSES).map(|i| if i % 2 == 0 { old.clone() } else { new.clone() }).collect();
+    let (address, downstream) = parties::records(Duration::from_millis(100))?;
+    let extra = Extra {
+        cores: 4.0,
+        records: vec![address; PROCESSES],
+        own_options: (0..PROCESSES).map(options).collect(),
+        controls: CONTROL_MACHINES,
+        programs,
+        ..Extra::default()
+    };
+    let stage = Stage::with(&old, PROCESSES + 1, PROCESSES, SEED, extra)?;
+    agree_on_view(&stage)?;
+    share_budget(&stage, &downstream)?;
+    for (release, program) in [("old", &old), ("new", &new)] {
+        let said = publish(&stage, program, release)?;
+        println!("revision published by the {release} release: {said}");
+    }
+    Ok(())
+}
+
+/// Control machines log no view; each server's holds all others alive.
+fn agree_on_view(stage: &Stage) -> Result<()> {
+    let began = Instant::now();
+    let sees_all = |server: usize| {
+        let view = stage.view(server);
+        view.len() == PROCESSES - 1 && view.values().all(|state| state == "Alive")
+    };
+    let agreed = wait(PATIENCE, || (CONTROL_MACHINES..PROCESSES).all(sees_all).then_some(()));
+    agreed.with_context(|| format!("no one view within {PATIENCE:?}: {:?}", stage.view(PROCESSES - 1)))?;
+    println!("view: {SERVERS} servers hold all {PROCESSES} alive after {:?}", began.elapsed());
+    Ok(())
+}
+
+/// The elements of a server's options beside its membership.
+fn options(i: usize) -> String {
+    let replicas: String = (0..CONTROL_MACHINES).map(|n| format!(r#"<replica name="s{n}"/>"#)).collect();
+    let voters: String = (3..8).map(|n| format!(r#"<voter name="s{n}"/>"#)).collect();
+    let zone = i % 3;
+    let budget = if i < CONTROL_MACHINES {
+        String::new()
+    } else {
+        format!(
+            r#"<shared-state gossip-ms="100"><budget name="records" total="{BUDGET_TOTAL}"
+            floor="{BUDGET_FLOOR}" servers="{SERVERS}" lease-ms="2000" use-most-ms="500">{voters}</budget>
+            </shared-state>"#
+        )
+    };
+    format!(
+        r#"<tenants by="field" field="venue"><ceilings accounts="2048"/></tenants>{budget}
+        <replication region="r{zone}" zone="z{zone}" file="s{i}.state" stale-ms="3000" lease-ms="1500">
+        {replicas}</replication>"#
+    )
+}
+
+/// Every server is asked for more calls than its floor; the service below counts what it has at once.
+fn share_budget(stage: &Stage, downstream: &parties::Records) -> Result<()> {
+    let servers: Vec<usize> = (CONTROL_MACHINES..PROCESSES).collect();
+    let mut loads = Vec::new();
+    for server in &servers {
+        let to = stage.listens(*server).with_context(|| format!("s{server} does not listen"))?;
+        loads.push(flood(to, 100.0, Duration::from_millis(2), LOAD, *server as u64 + 1));
+    }
+    let leased = |server: &usize| {
+        let line = stage.shared(*server)?;
+        line["leased"].as_u64()
+    };
+    let to_lease = BUDGET_TOTAL - SERVERS as u64 * BUDGET_FLOOR;
+    let seen = wait(PATIENCE, || {
+        let each: Vec<u64> = servers.iter().map(|server| leased(server).unwrap_or(0)).collect();
+        (each.iter().sum::<u64>() + 1 >= to_lease && each.iter().all(|held| *held > 0)).then_some(each)
+    });
+    for load in loads {
+        load.join().map_err(|_| anyhow::anyhow!("a load panicked"))?;
+    }
+    let most = downstream.most.load(Relaxed);
+    let seen = seen.context("the servers never held the budget together, each a part of it")?;
+    println!("budget: {BUDGET_TOTAL} calls, leases {seen:?}, {most} in flight at the most");
+    ensure!(most <= BUDGET_TOTAL, "{most} calls in flight of {BUDGET_TOTAL}");
+    Ok(())
+}
+
+/// Publishes a change with one release of the command, which waits until all have it in force.
+fn publish(stage: &Stage, program: &Path, release: &str) -> Result<String> {
+    let free = UdpSocket::bind("127.0.0.1:0")?.local_addr()?;
+    stage.relay.register(PROCESSES, free);
+    let seeds: String = (0..6).map(|i| format!(r#"<seed address="{}"/>"#, stage.relay.face(i))).collect();
+    let text = format!(
+        r#"<meadowstream xmlns="urn:meadowstream:options:1">
+        <membership bind="{free}" advertise="{}" fleet="rehearsal" key-file="key" probe-period-ms="200"
+          probe-rtt-ms="80" suspicion-multiplier="5" gossip-period-ms="100" announce-period-ms="1000">{seeds}
+        </membership>{}</meadowstream>"#,
+        stage.relay.face(PROCESSES),
+        options(0),
+    );
+    let options_file = stage.folder().join("publish.xml");
+    std::fs::write(&options_file, text)?;
+    let weight = 2 + release.len();
+    let change = format!(
+        r#"<change xmlns="urn:meadowstream:options:1"><set key="tenants/tenant/{release}" value="{weight}"/></change>"#
+    );
+    let change_file = stage.folder().join("change.xml");
+    std::fs::write(&change_file, change)?;
+    let output = Command::new(program)
+        .arg("publish")
+        .arg(&change_file)
+        .arg("--options")
+        .arg(&options_file)
+        .args(["--wait", "20"])
+        .output()?;
+    let said = String::from_utf8_lossy(&[output.stdout, output.stderr].concat()).trim().replace('\n', "; ");
+    ensure!(output.status.success(), "{said}");
+    Ok(said)
+}
--- a/crates/test-doubles/src/fleet.rs
+++ b/crates/test-doubles/src/fleet.rs
@@ -67,6 +67,8 @@
     pub controls: usize,
     /// Where each takes calls; a free port of its own where not given.
     pub listens: Vec<SocketAddr>,
+    /// Programs of the first servers, where these are not the stage's.
+    pub programs: Vec<PathBuf>,
 }
 
 /// Processes of the program behind a relay.
@@ -175,7 +177,8 @@
     fn spawn(&self, i: usize) -> Result<Child> {
         let mark = std::fs::read_to_string(self.folder.join(format!("s{i}.xml.program"))).ok();
         let marked = mark.as_ref().and_then(|mark| mark.trim().split_once(' ')).map(|(_, path)| path);
-        let mut command = Command::new(marked.map_or(self.program.as_path(), Path::new));
+        let own = self.extra.programs.get(i).unwrap_or(&self.program);
+        let mut command = Command::new(marked.map_or(own.as_path(), Path::new));
         if i < self.extra.controls {
             command.args(["control", "--log", "json"]);
         } else {
