--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -37,11 +37,11 @@
 
     /// Bytes that datagrams which may wait can take now, outside the reserve.
     pub(crate) fn available(&mut self, now: Nanos) -> u64 {
-        self.window.room(now).saturating_sub(self.bytes_per_second / RESERVE_DIVISOR)
+        self.window.available(now).saturating_sub(self.bytes_per_second / RESERVE_DIVISOR)
     }
 
     fn charge(&mut self, bytes: u64, now: Nanos) {
-        self.window.charge(bytes, now);
+        self.window.force_acquire(bytes, now);
     }
 
     /// Whether a round of gossip with so many updates fits; with few updates its packets are short.
--- a/crates/rate-limit/src/lib.rs
+++ b/crates/rate-limit/src/lib.rs
@@ -1,64 +1,72 @@
-//! A bound on what is spent in any second, such as bytes put on a network, on the caller's clock.
+//! A bound on the amount used in any second, such as bytes put on a network, on the caller's clock.
+#![deny(missing_docs, clippy::too_many_lines)]
 
 /// Nanoseconds by a clock that does not go back.
 pub type Nanos = u64;
 
-const SECOND: Nanos = 1_000_000_000;
-/// Parts of a second that are counted apart.
-const SLOTS: usize = 20;
-const SLOT: Nanos = SECOND / SLOTS as Nanos;
-/// Any second touches one slot more than it has room for.
-const COUNTED: usize = SLOTS + 1;
+const SECOND_NS: Nanos = 1_000_000_000;
+/// Slots that a second is divided into.
+const SLOTS_PER_SECOND: usize = 20;
+const SLOT_NS: Nanos = SECOND_NS / SLOTS_PER_SECOND as Nanos;
+/// Any second touches one slot more than it is long.
+const SLOTS: usize = SLOTS_PER_SECOND + 1;
 
-/// Counts what was spent in the last second by slots of a twentieth, in constant memory. What is let through
-/// by [`SlidingWindow::take`] alone never passes the limit in any second, wherever that second begins. A
-/// token bucket would allow its depth more.
+/// A rate limit over a sliding window of a second, counted in slots of 50 ms in constant memory.
+///
+/// The amounts acquired by [`SlidingWindow::try_acquire`] alone never pass the limit in any second, wherever
+/// that second begins; a token bucket would allow its depth more. An amount becomes available again at most
+/// one slot after its second has passed. A clock that goes back frees nothing.
 #[derive(Clone, Copy, Debug)]
 pub struct SlidingWindow {
     limit: u64,
-    spent: [u64; COUNTED],
-    /// The slot that time is in, counted from time 0; slot `n` is kept at `n % COUNTED`.
-    slot: u64,
+    /// Amounts by slot; slot `n`, counted from time 0, is at `n % SLOTS`.
+    used: [u64; SLOTS],
+    current_slot: u64,
 }
 
 impl SlidingWindow {
-    /// A window that lets `limit` through in any second, nothing spent yet.
+    /// A window that allows `limit` in any second, with nothing used yet.
     pub fn new(limit: u64, now: Nanos) -> SlidingWindow {
-        SlidingWindow { limit, spent: [0; COUNTED], slot: now / SLOT }
+        SlidingWindow { limit, used: [0; SLOTS], current_slot: now / SLOT_NS }
     }
 
-    /// Forgets the slots that are over.
+    /// Clears the slots that have left the window.
     fn advance(&mut self, now: Nanos) {
-        let slot = now / SLOT;
-        let passed = slot.saturating_sub(self.slot).min(COUNTED as u64);
-        for ahead in 1..=passed {
-            self.spent[((self.slot + ahead) % COUNTED as u64) as usize] = 0;
+        let slot = now / SLOT_NS;
+        let passed = slot.saturating_sub(self.current_slot);
+        if passed >= SLOTS as u64 {
+            self.used = [0; SLOTS];
+        } else {
+            for ahead in 1..=passed {
+                self.used[index(self.current_slot + ahead)] = 0;
+            }
         }
-        if passed == COUNTED as u64 {
-            self.spent = [0; COUNTED];
-        }
-        self.slot = self.slot.max(slot);
+        self.current_slot = self.current_slot.max(slot);
     }
 
-    /// What may still be spent now.
-    pub fn room(&mut self, now: Nanos) -> u64 {
+    /// The amount that can be acquired now.
+    pub fn available(&mut self, now: Nanos) -> u64 {
         self.advance(now);
-        self.limit.saturating_sub(self.spent.iter().sum())
+        self.limit.saturating_sub(self.used.iter().sum())
     }
 
-    /// Counts what is spent whether there is room or not: for what may not wait.
-    pub fn charge(&mut self, amount: u64, now: Nanos) {
+    /// Counts an amount that is used whether it is available or not: for what cannot wait.
+    pub fn force_acquire(&mut self, amount: u64, now: Nanos) {
         self.advance(now);
-        let current = &mut self.spent[(self.slot % COUNTED as u64) as usize];
-        *current = current.saturating_add(amount);
+        let used = &mut self.used[index(self.current_slot)];
+        *used = used.saturating_add(amount);
     }
 
-    /// Spends so much where there is room for it, and says whether there was.
-    pub fn take(&mut self, amount: u64, now: Nanos) -> bool {
-        let fits = amount <= self.room(now);
-        if fits {
-            self.charge(amount, now);
+    /// Acquires the whole amount if it is available; whether it was.
+    pub fn try_acquire(&mut self, amount: u64, now: Nanos) -> bool {
+        let is_available = amount <= self.available(now);
+        if is_available {
+            self.force_acquire(amount, now);
         }
-        fits
+        is_available
     }
 }
+
+fn index(slot: u64) -> usize {
+    (slot % SLOTS as u64) as usize
+}
--- a/crates/rate-limit/tests/sliding_window.rs
+++ b/crates/rate-limit/tests/sliding_window.rs
@@ -8,36 +8,36 @@
 #[test]
 fn what_was_spent_comes_back_after_a_second() {
     let mut window = SlidingWindow::new(100, 0);
-    assert!(window.take(60, 0) && window.take(40, SECOND / 2));
-    assert!(!window.take(1, SECOND - 1));
+    assert!(window.try_acquire(60, 0) && window.try_acquire(40, SECOND / 2));
+    assert!(!window.try_acquire(1, SECOND - 1));
     // The slot of the first is over at a twentieth, and counts for a second from then.
-    assert!(!window.take(1, SECOND + SECOND / 20 - 1));
-    assert!(window.take(60, SECOND + SECOND / 20));
-    assert_eq!(window.room(SECOND + SECOND / 20), 0);
-    assert_eq!(window.room(60 * SECOND), 100);
+    assert!(!window.try_acquire(1, SECOND + SECOND / 20 - 1));
+    assert!(window.try_acquire(60, SECOND + SECOND / 20));
+    assert_eq!(window.available(SECOND + SECOND / 20), 0);
+    assert_eq!(window.available(60 * SECOND), 100);
 }
 
 #[test]
 fn what_may_not_wait_is_counted_and_holds_up_the_rest() {
     let mut window = SlidingWindow::new(100, 5 * SECOND);
-    window.charge(250, 5 * SECOND);
-    assert_eq!(window.room(6 * SECOND), 0);
-    assert!(window.take(100, 6 * SECOND + SECOND / 20));
+    window.force_acquire(250, 5 * SECOND);
+    assert_eq!(window.available(6 * SECOND), 0);
+    assert!(window.try_acquire(100, 6 * SECOND + SECOND / 20));
 }
 
 #[test]
 fn a_clock_that_goes_back_forgets_nothing() {
     let mut window = SlidingWindow::new(100, 10 * SECOND);
-    assert!(window.take(100, 10 * SECOND));
-    assert!(!window.take(1, 0));
-    assert!(!window.take(1, 10 * SECOND));
+    assert!(window.try_acquire(100, 10 * SECOND));
+    assert!(!window.try_acquire(1, 0));
+    assert!(!window.try_acquire(1, 10 * SECOND));
 }
 
 #[test]
 fn a_long_pause_forgets_all() {
     let mut window = SlidingWindow::new(100, 0);
-    (0..20).for_each(|slot| window.charge(100, slot * SECOND / 20));
-    assert_eq!(window.room(u64::MAX), 100);
+    (0..20).for_each(|slot| window.force_acquire(100, slot * SECOND / 20));
+    assert_eq!(window.available(u64::MAX), 100);
 }
 
 proptest! {
@@ -52,7 +52,7 @@
         let mut taken = Vec::new();
         for (gap, amount) in steps {
             now += gap;
-            if window.take(amount, now) {
+            if window.try_acquire(amount, now) {
                 taken.push((now, amount));
             }
         }
--- a/crates/replication/src/checkpoints.rs
+++ b/crates/replication/src/checkpoints.rs
@@ -20,7 +20,7 @@
             return;
         }
         // What is asked for counts as what is sent does: a chunk in for each chunk out.
-        if !self.budget.take(BODY_MAX as u64, now) {
+        if !self.budget.try_acquire(BODY_MAX as u64, now) {
             self.chunk_due = now + CHUNK_PAUSE;
             return;
         }
--- a/crates/replication/src/member.rs
+++ b/crates/replication/src/member.rs
@@ -399,7 +399,7 @@
 
     pub(crate) fn send(&mut self, to: &str, message: &Message, now: Nanos) {
         let body = message.encode();
-        if !self.budget.take(body.len() as u64, now) {
+        if !self.budget.try_acquire(body.len() as u64, now) {
             self.counts.over_budget += 1;
             return;
         }
