--- a/crates/server/src/lifecycle/reload.rs
+++ b/crates/server/src/lifecycle/reload.rs
@@ -13,10 +13,10 @@
 use anyhow::{Context, Result, ensure};
 use meadowstream_configuration::{Options, Tenants};
 use meadowstream_fair_queueing::Retune;
-use meadowstream_replication::history::Snapshot;
-use meadowstream_replication::replica::Saved;
-use meadowstream_replication::store;
-use meadowstream_shared_state::budget::Plan;
+use meadowstream_replication::committed_log::Snapshot;
+use meadowstream_replication::persistence;
+use meadowstream_replication::replica::PersistedState;
+use meadowstream_shared_state::budget::BudgetSettings;
 use std::cell::Cell;
 use std::collections::HashSet;
 use std::path::PathBuf;
@@ -28,7 +28,7 @@
 /// Names of tenants that are counted by name.
 pub type TenantNames = Arc<HashSet<Vec<u8>>>;
 
-/// Who changes settings waits here for the change before.
+/// ServerId changes settings waits here for the change before.
 #[derive(Default)]
 pub struct Changes {
     lock: async_lock::Mutex<()>,
@@ -44,7 +44,7 @@
     change: Option<(PathBuf, u64)>,
     replicated: Option<Snapshot>,
     /// What is to be on disk before the change is in force.
-    write: Option<(PathBuf, Saved)>,
+    write: Option<(PathBuf, PersistedState)>,
     in_force: Arc<Options>,
 }
 
@@ -78,7 +78,7 @@
             }
         }
         if let Some((file, saved)) = self.write {
-            files::write(&file, &store::encode(&saved))
+            files::write(&file, &persistence::encode(&saved))
                 .with_context(|| format!("cannot write {}", file.display()))?;
         }
         Ok(Prepared { configuration, retunes, tenant_names })
@@ -132,7 +132,7 @@
 pub async fn go_by_replicated(
     server: &Rc<Server>,
     snapshot: Snapshot,
-    saved: Saved,
+    saved: PersistedState,
     file: PathBuf,
 ) -> Result<()> {
     let _turn = server.changes.lock.lock().await;
@@ -155,7 +155,7 @@
     server: &Rc<Server>,
     change: Option<(PathBuf, u64)>,
     replicated: Option<Snapshot>,
-    write: Option<(PathBuf, Saved)>,
+    write: Option<(PathBuf, PersistedState)>,
 ) -> Result<()> {
     let configuration = &server.configuration;
     let request = Request {
@@ -214,7 +214,7 @@
     let plans = |c: &Configuration| {
         let shared = c.membership.as_ref().and_then(|fleet| fleet.shared.as_ref());
         // A total may change while leases stand.
-        let total = |plan: &Plan| Plan { total: 0, ..plan.clone() };
+        let total = |plan: &BudgetSettings| BudgetSettings { total: 0, ..plan.clone() };
         let plans = shared.map(|shared| shared.budgets.iter().map(total).collect::<Vec<_>>());
         let tier = c.membership.as_ref().map(|fleet| fleet.tier.clone());
         (plans, shared.map(|shared| (shared.gossip, shared.judge.clone())), tier)
