--- a/crates/capacity/src/hollow.rs
+++ b/crates/capacity/src/hollow.rs
@@ -51,7 +51,8 @@
             .as_ref()
             .map(|(settings, _)| Member::new(name, settings.clone(), seed, EPOCH + now, None));
         Ok(Hollow {
-            membership: Membership::new(me, &settings.membership, seed, now)?,
+            membership: Membership::new(me, &settings.membership, seed, now)
+                .map_err(|fault| fault.to_string())?,
             shared_state: SharedState::new(who, settings.shared_state.clone(), seed, Self::reading(now))?,
             replication: replication.transpose()?,
             lease: settings.replication.as_ref().map_or("", |(_, lease)| lease),
@@ -101,16 +102,16 @@
                 lease.set_demand(1, 0);
                 lease.allowance(time).leased > 0
             });
-            member.set_may_publish(holds);
+            member.set_holds_lease(holds);
         }
         if unix >= member.next_due() {
             member.advance(unix, self.directory.names());
         }
-        while let Some(saved) = member.take_save() {
-            member.saved(&saved, unix);
+        while let Some(saved) = member.unsaved_state() {
+            member.on_persisted(&saved, unix);
         }
-        if let Some(snapshot) = member.take_pending() {
-            member.settled(snapshot.revision.at.number, Ok(()), unix);
+        if let Some(snapshot) = member.next_to_apply() {
+            member.settled(snapshot.revision.position.number, Ok(()), unix);
         }
         for (to, body) in member.outgoing() {
             let before = self.shared_state.tally.sent_bytes;
