--- a/crates/overload-control/src/controller.rs
+++ b/crates/overload-control/src/controller.rs
@@ -7,17 +7,17 @@
 //! The interface (`Host`, `Deployment`, `Arrival`, `Outcome`) is in lib.rs, the regulator's sums in
 //! lq.rs, the decaying sums in decay.rs. `docs/design.md` says what follows the paper and what departs.
 
-use crate::decay::Decaying;
-use crate::invs::{Inv, Invs, State};
+use crate::decaying_mean::Decaying;
+use crate::invocations::{Inv, Invs, State};
 use crate::largest::Largest;
-use crate::lq::{self, Fit, Plant};
+use crate::linear_quadratic::{self, Fit, Plant};
 use crate::{
     Advertisement, Arrival, Deployment, Downstream, Effect, Gauges, Host, Nanos, Operation, Outcome,
     Preemption,
 };
 use meadowstream_fair_queueing::{Fair, Outcome as QueueOutcome, Who};
-use meadowstream_pending_queue::table::Table;
-use meadowstream_pending_queue::{Able, Usual};
+use meadowstream_pending_queue::expiring_keys::ExpiringKeys;
+use meadowstream_pending_queue::{Capacity, UsualTimes};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -29,7 +29,7 @@
 const PASSING: f64 = 0.02;
 /// Busy share of the cores under which they idle.
 const IDLE: f64 = 0.25;
-/// Usual time unread as a share of a run's, and the share of the shortest objective that is a flood.
+/// UsualTimes time unread as a share of a run's, and the share of the shortest objective that is a flood.
 const UNREAD_USUAL: f64 = 0.5;
 const FLOODED: f64 = 0.25;
 /// Weights of error and running sum, and of refusing premium and basic (the paper's).
@@ -94,8 +94,8 @@
 }
 
 impl Learned {
-    fn usual(&self) -> Usual {
-        Usual { work: self.work.mean(), whole: self.whole.mean() }
+    fn usual(&self) -> UsualTimes {
+        UsualTimes { core_ns: self.work.mean(), elapsed_ns: self.whole.mean() }
     }
 }
 
@@ -116,14 +116,15 @@
     invs: Invs,
     values: Vec<f64>,
     learned: Vec<Learned>,
-    /// Usual times on the cores of all operations, and their shortest objective.
+    /// UsualTimes times on the cores of all operations, and their shortest objective.
     usual_runs: Largest,
     shortest_objective: Nanos,
     tenants: Vec<(f64, Nanos)>,
     fair: Option<Fair>,
-    tokens: Table,
+    tokens: ExpiringKeys,
     /// The learned running limit, and usual times as the hold asks for them.
-    able: Able,
+    usual: Vec<UsualTimes>,
+    limit: f64,
     unread_for: Decaying,
     reading: Decaying,
     retried: Decaying,
@@ -200,14 +201,15 @@
                 .map(|op| op.latency_objective)
                 .min()
                 .unwrap_or(CONTROL_PERIOD),
-            able: Able { usual: learned.iter().map(Learned::usual).collect(), limit: site.cores, free: 0 },
+            usual: learned.iter().map(Learned::usual).collect(),
+            limit: site.cores,
             learned,
             tenants: site.tenant_allowance.iter().map(|each| (each / site.peers, now)).collect(),
             fair: site.fair_queueing.clone().map(|mut settings| {
                 settings.longest = site.retry_after_max;
                 Fair::new(settings, site.cores * site.target_utilization, seed, now)
             }),
-            tokens: Table::default(),
+            tokens: ExpiringKeys::default(),
             unread_for: Decaying::new(CONTROL_PERIOD / 2, now),
             reading: Decaying::new(CONTROL_PERIOD * 2, now),
             retried: Decaying::new(CONTROL_PERIOD * 4, now),
@@ -242,7 +244,7 @@
         let hints = &mut self.learned[arrival.operation].hint;
         arrival.cost_hint.iter().for_each(|hint| hints.add(now, *hint as f64));
         let size = arrival.cost_hint.map_or(1.0, |hint| hint as f64 / hints.mean().max(1.0));
-        let work = self.able.usual[arrival.operation].work * size;
+        let work = self.usual[arrival.operation].core_ns * size;
         let seat = self.fair.as_mut().zip(arrival.sender.as_ref()).map(|(fair, sender)| {
             let who = Who { name: &sender.tenant, origin: sender.origin };
             fair.arrived(now, who, work, sender.ticket)
@@ -254,7 +256,7 @@
         // must not run, or its repeat would run as well.
         if op.effect == Effect::IdempotentWithKey && arrival.repeats.is_none() && !arrival.key_not_stored {
             host.remember_key(arrival.id, op.idempotency_window);
-            self.tokens.keep(arrival.id, now + op.idempotency_window);
+            self.tokens.insert(arrival.id, now + op.idempotency_window);
         }
         let late = self.leave.is_some_and(|(last, _)| reached > last);
         let mut inv = Inv::new(now, &arrival);
@@ -288,8 +290,8 @@
                 learned.work.add(now, inv.on_cores as f64);
                 learned.whole.add(now, (now - inv.begun) as f64);
                 learned.base = (learned.base * BASE_DRIFT).min(learned.work.mean());
-                let before = std::mem::replace(&mut self.able.usual[inv.operation], learned.usual());
-                self.usual_runs.replace(before.work, self.able.usual[inv.operation].work);
+                let before = std::mem::replace(&mut self.usual[inv.operation], learned.usual());
+                self.usual_runs.replace(before.core_ns, self.usual[inv.operation].core_ns);
             }
             if ended || inv.answered {
                 self.remove(i);
@@ -369,7 +371,7 @@
             self.learn_limit(busy);
             self.regulate(busy, host);
             if let Some(fair) = &mut self.fair {
-                let capacity = self.able.limit.floor() * self.site.target_utilization;
+                let capacity = self.limit.floor() * self.site.target_utilization;
                 fair.set_level(now, capacity, capacity * self.shortest_objective as f64 * SHARE_HELD);
             }
             self.set_idle_limit(host);
@@ -412,7 +414,7 @@
     }
 
     fn decide(&mut self, host: &mut dyn Host) {
-        self.tokens.age(self.now);
+        self.tokens.expire(self.now);
         while RULES.iter().any(|rule| rule(self, host).is_some()) {}
     }
 
@@ -435,7 +437,8 @@
         // Retries, a neighbour or a cold start bend it: of the wrong sign or unstable it is not believed.
         let sound =
             r.varied > EXCITED && fitted.a.abs() < 1.0 && fitted.b.iter().all(|b| (-2.0..-0.2).contains(b));
-        let gains = |plant| lq::gains(&plant, STATE_WEIGHTS, INPUT_WEIGHTS, RICCATI.0, RICCATI.1);
+        let gains =
+            |plant| linear_quadratic::gains(&plant, STATE_WEIGHTS, INPUT_WEIGHTS, RICCATI.0, RICCATI.1);
         let k = gains(if sound { fitted } else { prior }).or_else(|| gains(prior)).unwrap_or([[0.0; 2]; 2]);
         let frozen = (r.ratio[1] >= 1.0 && error > 0.0) || (r.ratio[1] <= 0.0 && error < 0.0);
         r.sum += if frozen { 0.0 } else { error };
@@ -463,9 +466,9 @@
     /// The error that the gauge hid, since it ends at 1: work that stands unread or in the hold, in
     /// periods of all cores. It belongs to the running sum, and leaves it as soon as the work is gone.
     fn backlog(&self) -> f64 {
-        let work = self.invs.hold.work(&self.able.usual);
+        let work = self.invs.hold.queued_work(&self.usual);
         let calls = (self.count(&[State::AtCall, State::Calling]) / self.calls_limit - 1.0).max(0.0);
-        (work / self.able.limit + self.arrears() + calls * self.call_time.mean()) / CONTROL_PERIOD as f64
+        (work / self.limit + self.arrears() + calls * self.call_time.mean()) / CONTROL_PERIOD as f64
     }
 
     /// Share of the period in which arrivals of a rank are refused: the lowest is basic, the next premium.
@@ -495,14 +498,14 @@
 
     /// The learned running limit: from the core count up to what the server survives.
     fn learn_limit(&mut self, busy: f64) {
-        let waiting = !self.invs.hold.is_empty() && self.running() + 1.0 > self.able.limit;
+        let waiting = !self.invs.hold.is_empty() && self.running() + 1.0 > self.limit;
         let slowed = self.learned.iter().any(|l| l.work.mean() > l.base * SLOWED);
         if waiting && busy < self.site.target_utilization {
-            self.able.limit *= LIMIT_UP;
+            self.limit *= LIMIT_UP;
         } else if slowed || busy > self.site.target_utilization {
-            self.able.limit *= LIMIT_DOWN;
+            self.limit *= LIMIT_DOWN;
         }
-        self.able.limit = self.able.limit.clamp(self.site.cores, self.crowd().max(self.site.cores));
+        self.limit = self.limit.clamp(self.site.cores, self.crowd().max(self.site.cores));
     }
 
     // ---- Rules ----
@@ -511,7 +514,7 @@
     fn answer_what_is_due(&mut self, host: &mut dyn Host) -> Option<()> {
         let active = |inv: &Inv| !inv.answered && self.now >= self.last_call_for(inv);
         let active = self.invs.first_active(active);
-        let chance = last_chance(&self.able.usual, self.last_answers());
+        let chance = last_chance(&self.usual, self.last_answers());
         let i = self.invs.first_due(self.now, chance, active)?;
         self.answer(i, CONTROL_PERIOD, host)
     }
@@ -547,7 +550,7 @@
         if self.memory_needed() <= self.site.memory_kb * MEMORY_SHARE {
             return None;
         }
-        let i = self.invs.hold.least_worthy()?;
+        let i = self.invs.hold.lowest_priority()?;
         self.answer(i, CONTROL_PERIOD, host)
     }
 
@@ -562,8 +565,9 @@
     /// Goes along the hold in the order it will run; where one would miss its objective, the least worthy
     /// (of equals the newest) of those up to it is refused, so that the rest can be in time.
     fn refuse_what_cannot_be_done_in_time(&mut self, host: &mut dyn Host) -> Option<()> {
-        self.able.free = (self.able.limit - self.running()).floor().max(0.0) as usize;
-        let i = self.invs.hold.to_make_room(self.now, &self.able)?;
+        let free_slots = (self.limit - self.running()).floor().max(0.0) as usize;
+        let capacity = Capacity { usual_times: &self.usual, concurrency_limit: self.limit, free_slots };
+        let i = self.invs.hold.to_reject_for_deadlines(self.now, &capacity)?;
         self.answer(i, CONTROL_PERIOD, host)
     }
 
@@ -620,7 +624,7 @@
     fn run_next(&mut self, host: &mut dyn Host) -> Option<()> {
         let spared = |operation: usize| !self.site.operations[operation].makes_calls;
         let full = self.calls_full();
-        let next = if full { self.invs.hold.next_of(spared) } else { self.invs.hold.next() };
+        let next = if full { self.invs.hold.next_to_run_among(spared) } else { self.invs.hold.next_to_run() };
         let i = next?.key;
         let inv = &self.invs[i];
         let more = inv.held_kb * self.site.run_memory_factor - self.invs.memory_of(inv);
@@ -629,7 +633,7 @@
         }
         let open = self.count(&[State::OnCores, State::AtCall, State::Calling]);
         let share = if self.site.is_downstream_tier { 0.0 } else { READING_SHARE };
-        let limit = (self.able.limit - self.reading.mean().min(self.site.cores * share)).round();
+        let limit = (self.limit - self.reading.mean().min(self.site.cores * share)).round();
         if self.running() + 1.0 > limit.min(self.crowd()).max(1.0) || open + 1.0 > self.crowd().max(1.0) {
             return None;
         }
@@ -659,7 +663,7 @@
             Advertisement::None => None,
             Advertisement::Weight => Some((1.0 - self.refusal_ratio(0)) * self.warmth() * f64::from(here)),
             Advertisement::MinimumRank => Some(f64::from(!here)),
-            Advertisement::ConcurrencyAllowance => Some(self.able.limit * f64::from(here)),
+            Advertisement::ConcurrencyAllowance => Some(self.limit * f64::from(here)),
         };
         if std::mem::replace(&mut self.healthy, healthy) != healthy {
             host.set_health(healthy, !healthy);
@@ -679,8 +683,8 @@
         });
         let refill = (self.count(&[State::AtCall]) > 0.0).then(|| self.below_full_at()).flatten();
         let active = active.chain(refill);
-        let chance = last_chance(&self.able.usual, self.last_answers());
-        let next = active.chain(self.invs.hold.next_due(chance)).min();
+        let chance = last_chance(&self.usual, self.last_answers());
+        let next = active.chain(self.invs.hold.next_overdue_at(chance)).min();
         let next = next.filter(|next| *next < self.alarm_at)?;
         self.alarm_at = next;
         host.set_timer(next.saturating_sub(self.now).max(1), DEADLINE_TIMER);
@@ -799,7 +803,7 @@
         let tokened = self.site.operations[inv.operation].effect == Effect::IdempotentWithKey;
         if tokened && !inv.ran && inv.repeats.is_none() && !inv.answered {
             host.forget_key(inv.id);
-            self.tokens.forget(inv.id);
+            self.tokens.remove(inv.id);
         }
     }
 
@@ -854,6 +858,6 @@
 /// [`Controller::last_call_for`] for those in the hold, by operation and the time wanted, which is never after the
 /// due time. Rule 3: what arrived later than the grace after the notice is not run; it is marked as it
 /// arrives.
-fn last_chance(usual: &[Usual], last: Nanos) -> impl Fn(usize, Nanos) -> Nanos + '_ {
-    move |operation, wanted| wanted.saturating_sub(usual[operation].whole as Nanos).min(last)
+fn last_chance(usual: &[UsualTimes], last: Nanos) -> impl Fn(usize, Nanos) -> Nanos + '_ {
+    move |operation, wanted| wanted.saturating_sub(usual[operation].elapsed_ns as Nanos).min(last)
 }
--- a/crates/overload-control/src/invs.rs
+++ b/crates/overload-control/src/invocations.rs
@@ -4,7 +4,7 @@
 
 use crate::{Arrival, Nanos};
 use meadowstream_fair_queueing::Seat;
-use meadowstream_pending_queue::{Entry, Hold};
+use meadowstream_pending_queue::{Entry, PendingQueue};
 use slab::Slab;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::ops::{Index, IndexMut};
@@ -73,7 +73,18 @@
     fn entry(&self, key: usize) -> Entry {
         let Self { seq, id, operation, rank, tag, arrived, wanted, size, .. } = *self;
         let promised = self.seat.is_some_and(|seat| seat.promised);
-        Entry { seq, key, id, operation, rank, tag, promised, arrived, wanted, size }
+        Entry {
+            arrival_number: seq,
+            key,
+            id,
+            operation,
+            rank,
+            start_tag: tag,
+            promised,
+            arrived,
+            deadline: wanted,
+            cost_ratio: size,
+        }
     }
 }
 
@@ -83,7 +94,7 @@
 pub struct Invs {
     all: Slab<Inv>,
     by_id: HashMap<u64, usize>,
-    pub hold: Hold,
+    pub hold: PendingQueue,
     /// All that are not held, by arrival.
     active: BTreeMap<u64, usize>,
     repeats: BTreeSet<(u64, usize)>,
@@ -114,7 +125,7 @@
         Self {
             all: Slab::new(),
             by_id: HashMap::new(),
-            hold: Hold::new(ranks, operations),
+            hold: PendingQueue::new(ranks, operations),
             active: BTreeMap::new(),
             repeats: BTreeSet::new(),
             unjudged: VecDeque::new(),
@@ -142,7 +153,7 @@
         }
         self.put(key);
         if late {
-            self.hold.hurry(&self.all[key].entry(key));
+            self.hold.mark_overdue(&self.all[key].entry(key));
         }
     }
 
@@ -205,7 +216,7 @@
         last_chance: impl Fn(usize, Nanos) -> Nanos,
         active: Option<usize>,
     ) -> Option<usize> {
-        let held = self.hold.first_due(now, last_chance);
+        let held = self.hold.first_overdue(now, last_chance).map(|one| (one.arrival_number, one.key));
         let active = active.map(|i| (self.all[i].seq, i));
         held.into_iter().chain(active).min().map(|(_, i)| i)
     }
--- a/crates/overload-control/src/lib.rs
+++ b/crates/overload-control/src/lib.rs
@@ -6,10 +6,10 @@
 //! knows a protocol. Times are nanoseconds of any clock that never goes back.
 
 pub mod controller;
-pub mod decay;
-mod invs;
+mod decaying_mean;
+mod invocations;
 mod largest;
-pub mod lq;
+mod linear_quadratic;
 
 /// Nanoseconds: a point in time on the host's clock, or a duration.
 pub type Nanos = u64;
--- a/crates/pending-queue/src/lib.rs
+++ b/crates/pending-queue/src/lib.rs
@@ -1,205 +1,257 @@
-//! The hold of a server: what was let in and waits for a core, indexed by all that is asked of it.
+//! The pending queue of a server: invocations that were admitted and wait for a core.
 //!
-//! A [`Hold`] keeps [`Entry`]s in one [`line::Line`] a rank, ordered as they will run, and beside them the
-//! time each is wanted by, an operation at a time. It decides nothing: the module asks what runs next, what
-//! is due next, who is the least worthy, how much work stands in it, and which entry is the first that
-//! cannot be done in time. None of these walks all entries; `docs/hold.md` gives the costs.
+//! A [`PendingQueue`] keeps [`Entry`]s in the order they will run, in one queue for each rank, and beside
+//! them their deadlines by operation. It decides nothing: the controller asks what runs next, what is
+//! overdue, what has the lowest priority, how much work is queued, and which entry is the first that cannot
+//! meet its deadline. None of these walks all entries; `docs/pending-queue.md` gives the costs.
 //! Times are nanoseconds of one clock that never goes back; work is nanoseconds of one core.
 
-pub mod line;
-pub mod table;
+#![deny(missing_docs, clippy::too_many_lines)]
 
-use line::{Line, Pace};
+pub mod expiring_keys;
+mod late_search;
+mod order;
+mod priority_class_queue;
+mod reference_times;
+mod sum_tree;
+mod summary;
+
+use late_search::Ahead;
+use priority_class_queue::PriorityClassQueue;
+use reference_times::ReferenceTimes;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Nanoseconds: a point in time, or a duration.
 pub type Nanos = u64;
 
-/// One that waits. All of it is given back at its removal, since its place is found by it.
+/// An invocation that waits. Its place is found by its values, so a removal needs the entry as inserted.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Entry {
     /// Counts arrivals: a later one has a higher number, and no two have the same.
-    pub seq: u64,
-    /// Where the owner keeps it.
+    pub arrival_number: u64,
+    /// Where the owner keeps the invocation.
     pub key: usize,
-    /// Its name to others; of entries equal in all else the lower one runs first.
+    /// Of entries equal in all else the lower id runs first.
     pub id: u64,
+    /// Index of the operation.
     pub operation: usize,
-    /// Higher ranks run first.
+    /// Priority class; higher ranks run first.
     pub rank: usize,
-    /// Start tag of fair order within the rank: the lower one runs first. All alike where no tenants are.
-    pub tag: u64,
-    /// It was promised its place: it makes room only where all others have.
+    /// Start tag of fair queueing within the rank, the lower one runs first; the same for all where tenants
+    /// are not told apart.
+    pub start_tag: u64,
+    /// It was promised admission: it is rejected only after all others.
     pub promised: bool,
+    /// When it reached the machine.
     pub arrived: Nanos,
     /// Until when its answer is of use; of entries with the same tag the earlier one runs first.
-    pub wanted: Nanos,
-    /// Its cost as a ratio to the usual one of its operation.
-    pub size: f64,
+    pub deadline: Nanos,
+    /// Its cost as a ratio to the usual cost of its operation.
+    pub cost_ratio: f64,
 }
 
-/// What is learned of an operation: usual time on a core, and from start to end.
+/// What a run of an operation usually takes, in nanoseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Usual {
-    pub work: f64,
-    pub whole: f64,
+pub struct UsualTimes {
+    /// Time on a core.
+    pub core_ns: f64,
+    /// Time from start to end, downstream calls included.
+    pub elapsed_ns: f64,
 }
 
-/// What a server can do now, as far as the hold's questions need it.
-#[derive(Clone, Debug, Default)]
-pub struct Able {
+/// What the server can run, as far as deadlines depend on it.
+#[derive(Clone, Copy, Debug)]
+pub struct Capacity<'a> {
     /// By operation.
-    pub usual: Vec<Usual>,
+    pub usual_times: &'a [UsualTimes],
     /// Runs that go on side by side, 1 or more.
-    pub limit: f64,
-    /// Places on the cores that nobody has.
-    pub free: usize,
+    pub concurrency_limit: f64,
+    /// Runs that may start at once.
+    pub free_slots: usize,
+}
+
+/// A deadline with the arrival that it belongs to, ordered by the deadline.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Deadline {
+    deadline: Nanos,
+    arrival_number: u64,
+    key: usize,
+}
+
+impl Deadline {
+    fn of(entry: &Entry) -> Self {
+        Self { deadline: entry.deadline, arrival_number: entry.arrival_number, key: entry.key }
+    }
+}
+
+/// An entry found by its arrival; ordered as they came.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ArrivalKey {
+    /// As in [`Entry::arrival_number`].
+    pub arrival_number: u64,
+    /// As in [`Entry::key`].
+    pub key: usize,
 }
 
+/// Admitted invocations in the order they will run.
 #[derive(Debug, Default)]
-pub struct Hold {
-    lines: Vec<Line>,
-    /// What is wanted first, and when it came, by operation: only those of which something waits, so that the
-    /// time of a question does not grow with how many there are.
-    wanted: BTreeMap<usize, BTreeSet<(Nanos, u64, usize)>>,
-    /// Found to be due and not removed yet, by arrival.
-    overdue: BTreeSet<(u64, usize)>,
-    /// Some are known to be due before others were looked for.
-    hurries: bool,
-    pace: Pace,
+pub struct PendingQueue {
+    /// By rank.
+    classes: Vec<PriorityClassQueue>,
+    /// By operation, and only of operations that have entries: a look at them costs what waits.
+    deadlines: BTreeMap<usize, BTreeSet<Deadline>>,
+    /// Found to be overdue and not removed yet.
+    overdue: BTreeSet<ArrivalKey>,
+    /// `overdue` has entries that were marked, so the deadlines are still to be searched.
+    has_unsearched_deadlines: bool,
+    reference: ReferenceTimes,
     len: usize,
-    looked: u64,
+    inspected: u64,
 }
 
-impl Hold {
-    /// For ranks from 0 to one under `ranks`, and as many operations.
+impl PendingQueue {
+    /// A queue for ranks under `ranks` and operations under `operations`.
     pub fn new(ranks: usize, operations: usize) -> Self {
         Self {
-            lines: (0..ranks).map(|_| Line::new()).collect(),
-            pace: Pace::new(operations),
+            classes: (0..ranks).map(|_| PriorityClassQueue::new()).collect(),
+            reference: ReferenceTimes::new(operations),
             ..Self::default()
         }
     }
 
+    /// Entries in the queue.
     pub fn len(&self) -> usize {
         self.len
     }
 
+    /// Whether nothing waits.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
+    /// Adds an entry at its place.
     pub fn insert(&mut self, entry: Entry) {
         self.len += 1;
-        self.wanted.entry(entry.operation).or_default().insert((entry.wanted, entry.seq, entry.key));
-        self.lines[entry.rank].insert(entry, &self.pace);
+        self.deadlines.entry(entry.operation).or_default().insert(Deadline::of(&entry));
+        self.classes[entry.rank].insert(entry, &self.reference);
     }
 
-    /// False where it was not in the hold.
+    /// Removes an entry; false where it was not in the queue.
     pub fn remove(&mut self, entry: &Entry) -> bool {
-        let found = self.lines[entry.rank].remove(entry, &self.pace);
+        let found = self.classes[entry.rank].remove(entry, &self.reference);
         if found {
             self.len -= 1;
-            self.forget_wanted(entry);
-            self.overdue.remove(&(entry.seq, entry.key));
+            self.remove_deadline(entry);
+            self.overdue.remove(&ArrivalKey { arrival_number: entry.arrival_number, key: entry.key });
         }
         found
     }
 
-    fn forget_wanted(&mut self, entry: &Entry) {
-        let Some(set) = self.wanted.get_mut(&entry.operation) else { return };
-        set.remove(&(entry.wanted, entry.seq, entry.key));
-        if set.is_empty() {
-            self.wanted.remove(&entry.operation);
+    fn remove_deadline(&mut self, entry: &Entry) {
+        let Some(deadlines) = self.deadlines.get_mut(&entry.operation) else { return };
+        deadlines.remove(&Deadline::of(entry));
+        if deadlines.is_empty() {
+            self.deadlines.remove(&entry.operation);
         }
     }
 
-    /// This one is due whatever it is wanted by.
-    pub fn hurry(&mut self, entry: &Entry) {
-        self.overdue.insert((entry.seq, entry.key));
-        self.hurries = true;
+    /// Makes an entry overdue before its deadline.
+    pub fn mark_overdue(&mut self, entry: &Entry) {
+        self.overdue.insert(ArrivalKey { arrival_number: entry.arrival_number, key: entry.key });
+        self.has_unsearched_deadlines = true;
     }
 
-    /// What runs next.
-    pub fn next(&self) -> Option<&Entry> {
-        self.lines.iter().rev().find_map(Line::first)
+    /// The entry that runs next.
+    pub fn next_to_run(&self) -> Option<&Entry> {
+        self.classes.iter().rev().find_map(PriorityClassQueue::first)
     }
 
-    /// What runs next among these operations; where there is one, it walks what runs before it.
-    pub fn next_of(&self, operation: impl Fn(usize) -> bool) -> Option<&Entry> {
-        self.wanted.keys().find(|op| operation(**op))?;
-        self.iter().find(|entry| operation(entry.operation))
+    /// The entry that runs next among the operations that `is_wanted` accepts; walks the entries that run
+    /// before it.
+    pub fn next_to_run_among(&self, is_wanted: impl Fn(usize) -> bool) -> Option<&Entry> {
+        self.deadlines.keys().find(|operation| is_wanted(**operation))?;
+        self.iter().find(|entry| is_wanted(entry.operation))
     }
 
-    /// The earliest of what is wanted, by operation; `last_chance` turns it into when it must be given up.
-    pub fn next_due(&self, last_chance: impl Fn(usize, Nanos) -> Nanos) -> Option<Nanos> {
-        let firsts = self.wanted.iter().filter_map(|(op, set)| Some((*op, set.first()?.0)));
-        firsts.map(|(op, wanted)| last_chance(op, wanted)).min()
+    /// The earliest time at which an entry becomes overdue. `latest_start` gives that time for an operation
+    /// and a deadline.
+    pub fn next_overdue_at(&self, latest_start: impl Fn(usize, Nanos) -> Nanos) -> Option<Nanos> {
+        let earliest = self.deadlines.iter().filter_map(|(operation, deadlines)| {
+            let first = deadlines.first()?;
+            Some(latest_start(*operation, first.deadline))
+        });
+        earliest.min()
     }
 
-    /// Of all whose last chance has passed by `now` the one that came first. `last_chance` must grow with
-    /// what is wanted, and stand still until all that are due have been removed.
-    pub fn first_due(
+    /// Of all entries whose latest start has passed by `now`, the one that came first. `latest_start` must
+    /// grow with the deadline, and must not change until all overdue entries have been removed.
+    pub fn first_overdue(
         &mut self,
         now: Nanos,
-        last_chance: impl Fn(usize, Nanos) -> Nanos,
-    ) -> Option<(u64, usize)> {
-        if self.overdue.is_empty() || std::mem::take(&mut self.hurries) {
-            for (op, set) in &self.wanted {
-                let due = set.iter().take_while(|(wanted, ..)| last_chance(*op, *wanted) <= now);
-                self.overdue.extend(due.map(|(_, seq, key)| (*seq, *key)));
+        latest_start: impl Fn(usize, Nanos) -> Nanos,
+    ) -> Option<ArrivalKey> {
+        if self.overdue.is_empty() || std::mem::take(&mut self.has_unsearched_deadlines) {
+            for (operation, deadlines) in &self.deadlines {
+                let overdue =
+                    deadlines.iter().take_while(|one| latest_start(*operation, one.deadline) <= now);
+                let arrivals =
+                    overdue.map(|one| ArrivalKey { arrival_number: one.arrival_number, key: one.key });
+                self.overdue.extend(arrivals);
             }
         }
         self.overdue.first().copied()
     }
 
-    /// Of the lowest rank the one furthest ahead of its share, of equals the one that came last; those that
-    /// were promised their place after all others.
-    pub fn least_worthy(&self) -> Option<usize> {
-        self.lines.iter().find_map(Line::newest)
+    /// The key of the entry to reject first when memory is short: of the lowest rank the one with the
+    /// highest start tag, of equals the newest; entries that were promised admission come last.
+    pub fn lowest_priority(&self) -> Option<usize> {
+        self.classes.iter().find_map(PriorityClassQueue::newest)
     }
 
-    /// Usual work of all that waits, on one core.
-    pub fn work(&self, usual: &[Usual]) -> f64 {
-        self.lines.iter().map(|line| line.work(usual)).sum()
+    /// Usual work of all entries, in nanoseconds of one core.
+    pub fn queued_work(&self, usual_times: &[UsualTimes]) -> f64 {
+        self.classes.iter().map(|class| class.work(usual_times)).sum()
     }
 
-    /// Usual work that runs before this entry, which need not be in the hold.
-    pub fn work_ahead(&self, entry: &Entry, usual: &[Usual]) -> f64 {
-        let above: f64 = self.lines[entry.rank + 1..].iter().map(|line| line.work(usual)).sum();
-        above + self.lines[entry.rank].work_before(entry, usual)
+    /// Usual work that runs before this entry, which need not be in the queue; nanoseconds of one core.
+    pub fn work_ahead(&self, entry: &Entry, usual_times: &[UsualTimes]) -> f64 {
+        let above: f64 = self.classes[entry.rank + 1..].iter().map(|class| class.work(usual_times)).sum();
+        above + self.classes[entry.rank].work_before(entry, usual_times)
     }
 
-    /// Goes to the first entry, in the order they will run, that would end after it is wanted though it is
-    /// not among the next that find a free core. Of those up to it in its rank, which is the lowest among
-    /// them, the one furthest ahead of its share, of equals the one that arrived last, is to make room.
-    pub fn to_make_room(&mut self, now: Nanos, able: &Able) -> Option<usize> {
-        if self.len <= able.free {
+    /// Finds the first entry, in the order they will run, that would end after its deadline though it is not
+    /// among those that may start at once. Returns the key of the entry to reject so that the others can be in time:
+    /// of those up to it in its rank, which is the lowest among them, the one with the highest start tag,
+    /// of equals the one that arrived last.
+    pub fn to_reject_for_deadlines(&mut self, now: Nanos, capacity: &Capacity) -> Option<usize> {
+        if self.len <= capacity.free_slots {
             return None;
         }
-        if self.pace.follow(able) {
-            self.looked += self.len as u64;
-            self.lines.iter_mut().for_each(|line| line.refresh(&self.pace));
+        if self.reference.update(capacity) {
+            self.inspected += self.len as u64;
+            self.classes.iter_mut().for_each(|class| class.rebuild(&self.reference));
         }
-        let (mut ahead, mut before) = (0.0, 0);
-        for line in self.lines.iter().rev() {
-            let (place, looked) = line.first_late(now, ahead, before, able, &self.pace);
-            self.looked += looked;
-            if let Some(place) = place {
-                return line.latest_up_to(place);
+        let mut ahead = Ahead { work: 0.0, entries: 0 };
+        for class in self.classes.iter().rev() {
+            let found = class.first_late(now, ahead, capacity, &self.reference);
+            self.inspected += found.inspected;
+            if let Some(place) = found.place {
+                return Some(class.last_to_arrive_up_to(place));
             }
-            ahead += line.work(&able.usual);
-            before += line.len();
+            ahead.work += class.work(capacity.usual_times);
+            ahead.entries += class.len();
         }
         None
     }
 
-    /// Sums and entries that all questions for room have looked at since the start: their cost, for tests.
-    pub fn looked(&self) -> u64 {
-        self.looked
+    /// Sums and entries that all searches for late entries have looked at since the start, for tests of
+    /// their cost.
+    pub fn inspected(&self) -> u64 {
+        self.inspected
     }
 
     /// Entries in the order they will run.
     pub fn iter(&self) -> impl Iterator<Item = &Entry> {
-        self.lines.iter().rev().flat_map(Line::iter)
+        self.classes.iter().rev().flat_map(PriorityClassQueue::iter)
     }
 }
