--- a/crates/server/src/calls/task.rs
+++ b/crates/server/src/calls/task.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 pub struct Call {
-    pub inv: u64,
+    pub invocation: u64,
     pub number: u64,
     pub reference: u64,
     pub timeout: Nanos,
@@ -35,9 +35,9 @@
         failed()
     };
     let exchanged = async { exchange(&server, to, &call, &written).await.unwrap_or_else(|_| failed()) };
-    let (ending, reply) = future::or(exchanged, late).await;
+    let (outcome, reply) = future::or(exchanged, late).await;
     let took = server.clock.now() - begun;
-    let ended = Event::CallEnded { invocation: call.inv, number: call.number, ending, reply, took };
+    let ended = Event::CallEnded { invocation: call.invocation, number: call.number, outcome, reply, took };
     let _ = server.events.send(ended).await;
 }
 
@@ -53,7 +53,7 @@
     if reply.stays && alone {
         server.pool.give_back(pooled);
     }
-    Ok((reply.ending, reply.body))
+    Ok((reply.outcome, reply.body))
 }
 
 /// The reply, and whether nothing came behind it.
--- a/crates/server/src/event.rs
+++ b/crates/server/src/event.rs
@@ -73,7 +73,7 @@
         /// The number of the call.
         number: u64,
         /// What is known of its effect.
-        ending: Outcome,
+        outcome: Outcome,
         /// The body of the reply; empty without one.
         reply: Vec<u8>,
         /// From its start to its end.
--- /dev/null
+++ b/crates/server/src/event_loop/answers.rs
@@ -0,0 +1,49 @@
+//! Counts what invocations were answered, for the log, for rollouts and for the fleet.
+
+use crate::fleet::interval_report::Answered;
+use crate::resources::invocations::Invocation;
+use crate::server::Server;
+use crate::wire::rpc::Answer;
+use meadowstream_overload_control::Nanos;
+
+/// Records the final answer to an invocation wherever answers are counted.
+pub fn record(server: &Server, invocation: &Invocation, answer: &Answer) {
+    let counters = &server.counters;
+    match answer {
+        Answer::Succeeded(_) => counters.succeeded.add(),
+        Answer::Rejected { .. } => counters.throttled.add(),
+        _ => counters.errored.add(),
+    }
+    record_for_rollout(server, invocation, answer);
+    count_for_fleet(server, invocation, answer);
+}
+
+fn record_for_rollout(server: &Server, invocation: &Invocation, answer: &Answer) {
+    let Some(rollout) = &server.rollout else { return };
+    let outcome = match answer {
+        Answer::Succeeded(_) => Answered::Succeeded,
+        Answer::Rejected { .. } => Answered::Throttled,
+        _ => Answered::Errored,
+    };
+    let latency = server.clock.age(invocation.since_unix_ms).max(0) as Nanos;
+    let operations = &server.configuration.settings.deployment.operations;
+    let late = latency > operations[invocation.operation].client_timeout;
+    rollout.record.answered(invocation.operation, outcome, latency, late);
+}
+
+/// The keys of the fleet's counts are words of the wire.
+fn count_for_fleet(server: &Server, invocation: &Invocation, answer: &Answer) {
+    let Some(shared) = &server.shared else { return };
+    let settings = &server.configuration.settings;
+    let (operation, tenant) = (invocation.operation, invocation.counted_tenant.as_deref());
+    let name = &settings.operation_names[operation];
+    match answer {
+        Answer::Succeeded(_) => {
+            let billed_thousandths = settings.deployment.operations[operation].priority_weight * 1000.0;
+            shared.count("succeeded", name, tenant, 1);
+            shared.count("billed-thousandths", name, tenant, billed_thousandths.round().max(0.0) as u64);
+        }
+        Answer::Rejected { .. } => shared.count("throttled", name, tenant, 1),
+        _ => shared.count("errored", name, tenant, 1),
+    }
+}
--- /dev/null
+++ b/crates/server/src/event_loop/arrivals.rs
@@ -0,0 +1,102 @@
+//! What becomes of a request before the controller decides: whether it repeats another, and may be taken in.
+
+use crate::connection::table::{Connection, Notification};
+use crate::event::Request;
+use crate::event_loop::actions::ActionExecutor;
+use crate::resources::idempotency::Lookup;
+use crate::resources::invocations::Invocation;
+use crate::wire::rpc::Answer;
+use meadowstream_overload_control::{Arrival, Nanos};
+use siphasher::sip::SipHasher13;
+use std::hash::Hasher;
+
+/// The key of a request, and the hash of its body: another body with the key is no repeat.
+struct KeyedBody {
+    key: Vec<u8>,
+    body_hash: u64,
+}
+
+impl ActionExecutor {
+    /// Registers a request as an invocation and describes it to the controller. `None` where it failed: its
+    /// key is in use with another body, an invocation of its reference is not over, which the interpreter
+    /// would confuse with it, or the controller has not started.
+    pub fn register(&mut self, mut request: Request, has_controller: bool) -> Option<Arrival> {
+        let now = self.server.clock.now();
+        let mut arrival = self.describe(&request);
+        let keyed = request.idempotency_key.take().map(|key| self.keyed_body(key, &request.body));
+        let lookup = keyed.as_ref().map(|keyed| {
+            let reached = now.saturating_sub(arrival.age);
+            self.idempotency.find(now, reached, request.operation, &keyed.key, keyed.body_hash)
+        });
+        let repeat_of = self.count_lookup(lookup);
+        let (operation, tag, connection) = (request.operation, request.tag, request.connection.clone());
+        if lookup == Some(Lookup::OtherBody) {
+            self.fail_unregistered(&connection, tag);
+            return None;
+        }
+        let shared = self.server.shared.as_ref();
+        let counted_tenant = request.sender.as_ref().and_then(|sender| shared?.tenant(&sender.tenant));
+        let invocation = Invocation { repeat_of, ..Invocation::new(request, counted_tenant) };
+        let id = if has_controller { self.invocations.insert(invocation) } else { None };
+        let Some(id) = id else {
+            self.fail_unregistered(&connection, tag);
+            return None;
+        };
+        if let Some(keyed) = keyed.filter(|_| lookup == Some(Lookup::New)) {
+            self.keep_key(id, operation, &keyed, now);
+        }
+        arrival.id = id;
+        arrival.repeats = repeat_of;
+        arrival.key_not_stored = lookup == Some(Lookup::Full);
+        Some(arrival)
+    }
+
+    fn describe(&self, request: &Request) -> Arrival {
+        let age = self.server.clock.age(request.since_unix_ms).max(0) as Nanos;
+        Arrival {
+            operation: request.operation,
+            tenant: request.tenant,
+            sender: request.sender.clone(),
+            age,
+            remaining_deadline: request.patience.map(|stated| stated.saturating_sub(age).max(1)),
+            is_marked_retry: request.marked_retry,
+            held_kb: request.held_kb,
+            ..Arrival::default()
+        }
+    }
+
+    /// Callers choose the bodies, so the hash is seeded.
+    fn keyed_body(&self, key: Vec<u8>, body: &[u8]) -> KeyedBody {
+        let mut hasher = SipHasher13::new_with_keys(self.server.configuration.seed, 0);
+        hasher.write(body);
+        KeyedBody { key, body_hash: hasher.finish() }
+    }
+
+    /// Counts what was found of a key. Returns the invocation that is repeated.
+    fn count_lookup(&self, lookup: Option<Lookup>) -> Option<u64> {
+        let counters = &self.server.counters;
+        match lookup? {
+            Lookup::Repeat(original) => {
+                counters.repeats.add();
+                return Some(original);
+            }
+            Lookup::OtherBody => counters.tokens_other.add(),
+            Lookup::Full => counters.tokens_full.add(),
+            Lookup::New => {}
+        }
+        None
+    }
+
+    /// The window counts from the time of reading: it must not end too early for a caller whose clock is
+    /// behind.
+    fn keep_key(&mut self, id: u64, operation: usize, keyed: &KeyedBody, now: Nanos) {
+        let operations = &self.server.configuration.settings.deployment.operations;
+        let until = now + operations[operation].idempotency_window;
+        self.idempotency.insert(id, operation, &keyed.key, keyed.body_hash, until);
+    }
+
+    fn fail_unregistered(&self, connection: &Connection, tag: u64) {
+        self.server.counters.errored.add();
+        connection.notify(Notification::Answer { tag, answer: Answer::Failed });
+    }
+}
--- /dev/null
+++ b/crates/server/src/event_loop/downstream.rs
@@ -0,0 +1,108 @@
+//! The downstream calls of invocations: where they go, and what their end means.
+
+use crate::calls::task as call;
+use crate::calls::task::Call;
+use crate::event_loop::actions::ActionExecutor;
+use crate::fleet::tier::Over;
+use crate::resources::invocations::RunningCall;
+use crate::wire::interpreter;
+use meadowstream_overload_control::{Effect, Nanos, Outcome};
+use meadowstream_routing::Wish;
+
+impl ActionExecutor {
+    /// Whether the fleet permits the call of an invocation, while so many runs wait for theirs.
+    pub fn is_call_permitted(&mut self, id: u64, waiting: usize) -> bool {
+        let request = self.routing_request(id);
+        self.server.shared.as_ref().is_none_or(|shared| shared.may_call(waiting, request))
+    }
+
+    /// Makes the call that a run waits for.
+    pub fn start(&mut self, id: u64, timeout: Nanos) {
+        let Some(records) = self.server.configuration.addresses.get().records else {
+            return self.fail_as_not_possible(id, "a call");
+        };
+        self.last_call += 1;
+        let number = self.last_call;
+        let request = self.routing_request(id);
+        let Some(invocation) = self.invocations.get(id) else { return };
+        let (reference, body) = (invocation.reference, invocation.call_body.clone());
+        let operations = &self.server.configuration.settings.deployment.operations;
+        let fresh = operations[invocation.operation].effect != Effect::Idempotent;
+        let shared = self.server.shared.as_ref();
+        let (timeout, place) =
+            shared.map_or((timeout, None), |shared| shared.called(number, timeout, request));
+        invocation.last_service = place.as_ref().map(|place| place.service);
+        let to = place.map_or(records, |place| place.to);
+        let call = Call { invocation: id, number, reference, timeout, body, fresh };
+        let task = self.server.executor.spawn(call::make(self.server.clone(), to, call));
+        invocation.call = Some(RunningCall { number, _task: task });
+        self.server.counters.calls.add();
+    }
+
+    /// Resumes a run with the reply that the options state for calls that are left out.
+    pub fn skip(&mut self, id: u64) {
+        let reply = self.server.configuration.options.borrow().skipped_call_reply.clone();
+        let Some(reply) = reply else { return self.fail_as_not_possible(id, "leaving a call out") };
+        if let Some(line) = self.resume_line(id, reply.as_bytes()) {
+            self.server.counters.calls_left_out.add();
+            self.send_for_run(id, line);
+        }
+    }
+
+    /// A call has ended. False where it was given up before.
+    pub fn call_ended(&mut self, id: u64, number: u64, outcome: Outcome, reply: &[u8]) -> bool {
+        let Some(invocation) = self.invocations.get(id) else { return false };
+        if invocation.call.take_if(|call| call.number == number).is_none() {
+            return false;
+        }
+        self.record_call_end(number, outcome);
+        if outcome == Outcome::Succeeded
+            && let Some(line) = self.resume_line(id, reply)
+        {
+            self.server.counters.replies_sent.add();
+            self.send_for_run(id, line);
+        }
+        true
+    }
+
+    /// Gives up the call of an invocation, if one is under way.
+    pub fn abandon_call(&mut self, id: u64) {
+        let call = self.invocations.get(id).and_then(|invocation| invocation.call.take());
+        let Some(call) = call else { return };
+        self.server.counters.calls_dropped.add();
+        if let Some(shared) = &self.server.shared {
+            shared.ended(call.number, false, Over::GivenUp);
+        }
+    }
+
+    fn record_call_end(&self, number: u64, outcome: Outcome) {
+        if let Some(shared) = &self.server.shared {
+            let evidence = if outcome == Outcome::Succeeded { Over::Good } else { Over::Bad };
+            shared.ended(number, outcome != Outcome::Unknown, evidence);
+        }
+        let counters = &self.server.counters;
+        match outcome {
+            Outcome::Succeeded => counters.calls_succeeded.add(),
+            Outcome::Failed => counters.calls_errored.add(),
+            Outcome::NeverRan => counters.calls_never_ran.add(),
+            _ => counters.calls_unknown.add(),
+        }
+    }
+
+    /// The command that resumes a run with a reply.
+    fn resume_line(&mut self, id: u64, reply: &[u8]) -> Option<Vec<u8>> {
+        let invocation = self.invocations.get(id)?;
+        invocation.call_body = Vec::new();
+        invocation.awaits_call = false;
+        Some(interpreter::resolve(invocation.reference, reply))
+    }
+
+    /// What the call of an invocation needs of a service. Only first attempts of what is idempotent may be
+    /// spent on a health check.
+    fn routing_request(&mut self, id: u64) -> Wish {
+        let Some(invocation) = self.invocations.get(id) else { return Wish::default() };
+        let (operation, last) = (invocation.operation, invocation.last_service);
+        let is_idempotent = self.effect(operation) == Effect::Idempotent;
+        Wish { last, may_probe: is_idempotent && last.is_none() }
+    }
+}
--- /dev/null
+++ b/crates/server/src/event_loop/mod.rs
@@ -0,0 +1,274 @@
+//! The one task that owns the controller: events and timers go in, and its actions are carried out.
+
+mod actions;
+mod answers;
+mod arrivals;
+mod downstream;
+mod host;
+mod interpreter_session;
+mod timers;
+
+use crate::event::{Event, Request};
+use crate::event_loop::actions::{ActionExecutor, Replayed};
+use crate::event_loop::timers::Timer;
+use crate::server::Server;
+use crate::wire::interpreter::Notice;
+use async_channel::{Receiver, Sender};
+use futures_lite::future;
+use meadowstream_fair_queueing::{Heavy, Retune};
+use meadowstream_overload_control::controller::{CONTROL_TIMER, Controller};
+use meadowstream_overload_control::{Gauges, Nanos, Outcome};
+use std::rc::Rc;
+use std::time::Instant;
+use tracing::{debug, info};
+
+/// A timer that the controller has not set: it looks at everything again.
+const UNSET_TIMER: u32 = u32::MAX;
+
+/// The event loop.
+pub struct EventLoop {
+    /// Started with the first link to the interpreter.
+    controller: Option<Controller>,
+    actions: ActionExecutor,
+}
+
+impl EventLoop {
+    /// An event loop that waits for the first link to the interpreter.
+    pub fn new(server: Rc<Server>) -> Self {
+        Self { controller: None, actions: ActionExecutor::new(server) }
+    }
+
+    /// Handles events and timers for as long as the server runs.
+    pub async fn run(mut self, events: Receiver<Event>) {
+        let mut timer = async_io::Timer::never();
+        let mut set_for = None;
+        loop {
+            self.fire_due_timers();
+            let next = self.actions.timers.next_at();
+            if let Some(at) = next.filter(|_| next != set_for) {
+                timer.set_at(self.actions.server.clock.instant(at));
+            }
+            set_for = next;
+            let due = async {
+                (&mut timer).await;
+                None
+            };
+            match future::or(async { events.recv().await.ok() }, due).await {
+                Some(event) => self.handle_event(event),
+                None => set_for = None,
+            }
+        }
+    }
+
+    /// Lets the controller act, and notifies it of invocations that ended here meanwhile.
+    fn with_controller(&mut self, act: impl FnOnce(&mut Controller, Nanos, &mut ActionExecutor)) {
+        let Some(controller) = &mut self.controller else { return };
+        let actions = &mut self.actions;
+        act(controller, actions.server.clock.now(), actions);
+        while !actions.not_possible.is_empty() || !actions.replayed.is_empty() {
+            if let Some(id) = actions.not_possible.pop() {
+                controller.on_caller_gone(actions.server.clock.now(), id, actions);
+            }
+            if let Some(Replayed { invocation, outcome }) = actions.replayed.pop() {
+                controller.on_run_finished(actions.server.clock.now(), invocation, outcome, actions);
+            }
+        }
+    }
+
+    fn fire_due_timers(&mut self) {
+        let now = self.actions.server.clock.now();
+        while let Some(timer) = self.actions.timers.pop_due(now) {
+            match timer {
+                Timer::Controller(CONTROL_TIMER) => self.actions.request_gauges(CONTROL_TIMER),
+                Timer::Controller(timer) => self.on_timer(timer, Gauges::default()),
+                Timer::GaugesOverdue { nonce } => {
+                    if let Some(timer) = self.actions.session.end_gauges_request(nonce) {
+                        self.actions.server.counters.gauges_late.add();
+                        self.on_timer(timer, Gauges::default());
+                    }
+                }
+            }
+        }
+    }
+
+    fn on_timer(&mut self, timer: u32, gauges: Gauges) {
+        self.with_controller(|controller, now, actions| controller.on_timer(now, timer, gauges, actions));
+    }
+
+    fn handle_event(&mut self, event: Event) {
+        match event {
+            Event::Arrived(request) => self.handle_arrival(*request),
+            Event::Cancelled { connection, tag } => {
+                if let Some(id) = self.actions.invocations.find_open(connection, tag) {
+                    self.handle_caller_gone(id);
+                }
+            }
+            Event::ConnectionLost { connection } => {
+                for id in self.actions.invocations.open_on(connection) {
+                    self.handle_caller_gone(id);
+                }
+            }
+            Event::Linked { cold, age, restarted, commands } => {
+                if restarted {
+                    self.cancel_all_runs();
+                }
+                self.handle_link(cold, age, commands);
+            }
+            Event::LinkLost => self.actions.session.clear_link(),
+            Event::Notice(notice) => self.handle_notice(notice),
+            Event::CallEnded { invocation, number, outcome, reply, took } => {
+                if self.actions.call_ended(invocation, number, outcome, &reply) {
+                    self.with_controller(|controller, now, actions| {
+                        controller.on_call_finished(now, invocation, outcome, took, actions);
+                    });
+                }
+            }
+            Event::DownstreamCapacity => self.on_timer(UNSET_TIMER, Gauges::default()),
+            Event::LogTenants => self.log_tenants(),
+            Event::Retune(change) => self.retune(&change),
+            Event::Processed(done) => {
+                let _ = done.try_send(());
+            }
+            Event::SetTargetUtilization(target) => {
+                self.with_controller(|controller, _, _| controller.set_target_utilization(target));
+            }
+            Event::Shutdown => self.handle_shutdown(),
+        }
+    }
+
+    fn handle_arrival(&mut self, request: Request) {
+        let Some(arrival) = self.actions.register(request, self.controller.is_some()) else { return };
+        self.with_controller(|controller, now, actions| controller.on_arrival(now, arrival, actions));
+    }
+
+    fn handle_caller_gone(&mut self, id: u64) {
+        self.actions.server.counters.unanswered.add();
+        self.actions.close(id);
+        self.with_controller(|controller, now, actions| controller.on_caller_gone(now, id, actions));
+    }
+
+    fn handle_shutdown(&mut self) {
+        let grace = self.actions.server.configuration.stop_ms * 1_000_000;
+        self.with_controller(|controller, now, actions| controller.on_drain_notice(now, grace, actions));
+    }
+
+    /// Applies one part of a change of weights and shares, and keeps the longest pause that a part has made.
+    fn retune(&mut self, change: &Retune) {
+        let began = Instant::now();
+        self.with_controller(|controller, now, _| controller.reconfigure_fair_queueing(now, change));
+        let pause = &self.actions.server.retune_pause;
+        pause.set(pause.get().max(began.elapsed()));
+    }
+
+    /// Logs the tenants with the highest demand, as many as the options say.
+    fn log_tenants(&mut self) {
+        let options = self.actions.server.configuration.options.borrow();
+        let Some(shown) = options.tenants.as_ref().map(|tenants| tenants.shown) else { return };
+        let now = self.actions.server.clock.now();
+        let Some(fair) = self.controller.as_mut().and_then(Controller::fair) else { return };
+        let (counts, level) = (fair.counts, fair.level());
+        let (accounts, promises, bytes) = (fair.accounts(), fair.promises(), fair.bytes());
+        info!(level, accounts, promises, bytes, ?counts, "shares");
+        for heavy in fair.heaviest(now, shown) {
+            let Heavy { name, weight, asks, ahead, within, surplus } = heavy;
+            info!(tenant = name, weight, asks, ahead, within, surplus, "share");
+        }
+    }
+
+    fn handle_link(&mut self, cold: bool, age: Nanos, commands: Sender<Vec<u8>>) {
+        self.actions.session.set_link(commands);
+        let links = self.actions.session.link();
+        info!(cold, age_ms = age / 1_000_000, links, "linked to the interpreter");
+        if self.controller.is_some() {
+            self.actions.session.send_replay_fence();
+            return;
+        }
+        self.start_controller(cold, age);
+        if self.actions.server.leaves() {
+            self.handle_shutdown();
+        }
+    }
+
+    /// Starts the controller by the options in force, which may have changed before the first link.
+    fn start_controller(&mut self, cold: bool, age: Nanos) {
+        let server = self.actions.server.clone();
+        let configuration = &server.configuration;
+        let mut deployment = configuration.settings.deployment.clone();
+        deployment.starts_cold = cold;
+        deployment.target_utilization = configuration.reference.get();
+        if let Some(tenants) = &configuration.options.borrow().tenants {
+            deployment.fair_queueing = Some(tenants.fair.clone());
+        }
+        let started = server.clock.now().saturating_sub(age);
+        self.controller = Some(Controller::new(deployment, configuration.seed, started, &mut self.actions));
+    }
+
+    /// The interpreter has started again and knows of no run: each counts as stopped unasked. The controller
+    /// holds what may run twice as pending again, and the rest ends with an error.
+    fn cancel_all_runs(&mut self) {
+        for id in self.actions.invocations.running() {
+            self.handle_run_end(id, Outcome::Cancelled, Vec::new());
+        }
+    }
+
+    fn handle_notice(&mut self, notice: Notice) {
+        match notice {
+            Notice::Ended { task, outcome, result } => {
+                if let Some(id) = self.actions.invocations.find(task) {
+                    self.handle_run_end(id, outcome, result);
+                }
+            }
+            Notice::Awaits { task, body } => self.handle_call_needed(task, body),
+            Notice::Gauges { nonce, readings } => self.handle_gauges(nonce, &readings),
+            Notice::NotDone { command, task } => self.handle_not_done(&command, task),
+            Notice::Banner { .. } | Notice::Remark => {}
+        }
+    }
+
+    fn handle_call_needed(&mut self, task: u64, body: Vec<u8>) {
+        let Some(id) = self.actions.invocations.find(task) else { return };
+        let Some(invocation) = self.actions.invocations.get(id) else { return };
+        invocation.call_body = body;
+        invocation.awaits_call = true;
+        invocation.unconfirmed = None;
+        self.actions.server.counters.awaits.add();
+        self.with_controller(|controller, now, actions| controller.on_call_needed(now, id, actions));
+    }
+
+    fn handle_gauges(&mut self, nonce: u64, readings: &[f64]) {
+        if self.actions.session.end_replay(nonce) {
+            self.actions.resend_unconfirmed();
+        } else if let Some(timer) = self.actions.session.end_gauges_request(nonce) {
+            let settings = &self.actions.server.configuration.settings;
+            let reading = |place: Option<usize>| place.and_then(|place| readings.get(place).copied());
+            let utilization = reading(settings.utilization_gauge);
+            let runnable = reading(settings.runnable_gauge);
+            self.on_timer(timer, Gauges { utilization, runnable });
+        }
+    }
+
+    fn handle_not_done(&mut self, command: &str, task: Option<u64>) {
+        self.actions.server.counters.commands_not_done.add();
+        debug!(command, task = task.map(|id| format!("{id:016x}")), "the interpreter did not do it");
+        let id = task.and_then(|task| self.actions.invocations.find(task));
+        if let Some(id) = id.filter(|_| command == "APPLY") {
+            self.handle_run_end(id, Outcome::NeverRan, Vec::new());
+        }
+    }
+
+    /// One that never ran failed for its caller, since a retry would end in the same way. The controller
+    /// first takes its caller for gone, so that a call made up by a peer is no evidence that runs fail here.
+    fn handle_run_end(&mut self, id: u64, outcome: Outcome, result: Vec<u8>) {
+        if outcome == Outcome::NeverRan {
+            self.actions.forget_unless_resent(id);
+        }
+        self.actions.run_ended(id, outcome, result);
+        if outcome == Outcome::NeverRan {
+            self.with_controller(|controller, now, actions| controller.on_caller_gone(now, id, actions));
+        }
+        self.with_controller(|controller, now, actions| {
+            controller.on_run_finished(now, id, outcome, actions)
+        });
+        self.actions.invocations.release(id);
+    }
+}
--- a/crates/server/src/lifecycle/start.rs
+++ b/crates/server/src/lifecycle/start.rs
@@ -5,7 +5,7 @@
 use crate::connection::table::Connections;
 use crate::connection::table::HealthStatus;
 use crate::event::Event;
-use crate::event_loop::Decisions;
+use crate::event_loop::EventLoop;
 use crate::fleet::membership as fleet;
 use crate::fleet::rollout;
 use crate::fleet::rollout::Rollout;
@@ -113,7 +113,7 @@
     executor.spawn(link::keep(server.clone())).detach();
     executor.spawn(rollout::know_program(server.clone())).detach();
     executor.spawn(catalog::report(server.clone())).detach();
-    executor.spawn(Decisions::new(server.clone()).run(queue)).detach();
+    executor.spawn(EventLoop::new(server.clone()).run(queue)).detach();
     if let Some((socket, given)) = membership {
         executor.spawn(fleet::keep(server.clone(), socket, given, incarnation)).detach();
     }
--- a/crates/server/src/resources/idempotency.rs
+++ b/crates/server/src/resources/idempotency.rs
@@ -96,7 +96,7 @@
     }
 
     /// This invocation is the one that a later repeat belongs to.
-    pub fn keep(&mut self, inv: u64, operation: usize, token: &[u8], body: u64, until: Nanos) {
+    pub fn insert(&mut self, inv: u64, operation: usize, token: &[u8], body: u64, until: Nanos) {
         let key = (operation, token.to_vec());
         self.by_key.insert(key.clone(), inv);
         self.by_end.insert((until.saturating_add(self.unread), inv));
@@ -122,7 +122,7 @@
     }
 
     /// What the repeat is answered with; where it is to wait, it is returned when its forerunner ends.
-    pub fn echo(&mut self, forerunner: u64, repeat: u64) -> Replay {
+    pub fn replay(&mut self, forerunner: u64, repeat: u64) -> Replay {
         match self.entries.get_mut(&forerunner).map(|entry| &mut entry.state) {
             Some(EntryState::Open(waiting)) => {
                 waiting.push(repeat);
@@ -134,7 +134,7 @@
     }
 
     /// The repeat is over, whatever becomes of its forerunner.
-    pub fn waits_no_more(&mut self, forerunner: u64, repeat: u64) {
+    pub fn stop_waiting(&mut self, forerunner: u64, repeat: u64) {
         if let Some(EntryState::Open(waiting)) =
             self.entries.get_mut(&forerunner).map(|entry| &mut entry.state)
         {
@@ -143,7 +143,7 @@
     }
 
     /// A run has ended, with a result where it succeeded. Who waits for it is returned.
-    pub fn ended(&mut self, inv: u64, result: Option<&[u8]>) -> Vec<u64> {
+    pub fn run_ended(&mut self, inv: u64, result: Option<&[u8]>) -> Vec<u64> {
         let Some(entry) = self.entries.get_mut(&inv) else { return Vec::new() };
         let state = result.map_or(EntryState::Failed, |result| EntryState::Succeeded(result.to_vec()));
         let EntryState::Open(waiting) = std::mem::replace(&mut entry.state, state) else { return Vec::new() };
--- a/crates/server/src/resources/idempotency/tests.rs
+++ b/crates/server/src/resources/idempotency/tests.rs
@@ -12,22 +12,22 @@
 fn a_repeat_waits_and_hears_what_its_forerunner_heard() {
     let mut table = table(4, 64);
     assert_eq!(table.find(0, 0, 1, b"t", 7), Lookup::New);
-    table.keep(1, 1, b"t", 7, KEPT);
+    table.insert(1, 1, b"t", 7, KEPT);
     assert_eq!(table.find(1, 1, 1, b"t", 7), Lookup::Repeat(1));
     assert_eq!(table.find(1, 1, 1, b"t", 8), Lookup::OtherBody);
     assert_eq!(table.find(1, 1, 0, b"t", 7), Lookup::New);
-    assert_eq!((table.echo(1, 2), table.echo(1, 3)), (Replay::Pending, Replay::Pending));
-    assert_eq!(table.echo(1, 5), Replay::Pending);
-    table.waits_no_more(1, 5);
-    assert_eq!(table.ended(1, Some(b"done")), vec![2, 3]);
-    assert_eq!(table.echo(1, 4), Replay::Result(b"done".to_vec()));
+    assert_eq!((table.replay(1, 2), table.replay(1, 3)), (Replay::Pending, Replay::Pending));
+    assert_eq!(table.replay(1, 5), Replay::Pending);
+    table.stop_waiting(1, 5);
+    assert_eq!(table.run_ended(1, Some(b"done")), vec![2, 3]);
+    assert_eq!(table.replay(1, 4), Replay::Result(b"done".to_vec()));
 }
 
 #[test]
 fn the_window_counts_from_when_one_reached_the_machine() {
     let mut table = table(4, 64);
-    table.keep(1, 0, b"t", 7, KEPT);
-    table.ended(1, None);
+    table.insert(1, 0, b"t", 7, KEPT);
+    table.run_ended(1, None);
     // Read after the window, but here before its end.
     assert_eq!(table.find(KEPT + 5, KEPT - 1, 0, b"t", 7), Lookup::Repeat(1));
     assert_eq!(table.find(KEPT + 5, KEPT, 0, b"t", 7), Lookup::New);
@@ -37,32 +37,32 @@
 #[test]
 fn a_full_table_takes_none_and_a_run_is_never_dropped() {
     let mut table = table(2, 64);
-    table.keep(1, 0, b"a", 7, KEPT);
-    table.keep(2, 0, b"b", 7, KEPT);
-    table.ended(2, None);
+    table.insert(1, 0, b"a", 7, KEPT);
+    table.insert(2, 0, b"b", 7, KEPT);
+    table.run_ended(2, None);
     assert_eq!(table.find(0, 0, 0, b"c", 7), Lookup::Full);
     assert_eq!(table.find(0, 0, 0, b"a", 7), Lookup::Repeat(1));
     // The second is over; the first runs on.
     assert_eq!(table.find(KEPT + 50, KEPT + 50, 0, b"c", 7), Lookup::New);
-    assert_eq!(table.echo(1, 9), Replay::Pending);
+    assert_eq!(table.replay(1, 9), Replay::Pending);
 }
 
 #[test]
 fn results_give_way_but_not_that_they_ran() {
     let mut table = table(4, 5);
-    table.keep(1, 0, b"a", 7, KEPT);
-    table.keep(2, 0, b"b", 7, KEPT);
-    table.ended(1, Some(b"four"));
-    table.ended(2, Some(b"four"));
+    table.insert(1, 0, b"a", 7, KEPT);
+    table.insert(2, 0, b"b", 7, KEPT);
+    table.run_ended(1, Some(b"four"));
+    table.run_ended(2, Some(b"four"));
     assert_eq!(table.find(0, 0, 0, b"a", 7), Lookup::Repeat(1));
-    assert_eq!((table.echo(1, 8), table.echo(2, 9)), (Replay::Failed, Replay::Result(b"four".to_vec())));
+    assert_eq!((table.replay(1, 8), table.replay(2, 9)), (Replay::Failed, Replay::Result(b"four".to_vec())));
 }
 
 #[test]
 fn what_never_ran_is_new_again() {
     let mut table = table(4, 64);
-    table.keep(1, 0, b"a", 7, KEPT);
-    table.echo(1, 2);
+    table.insert(1, 0, b"a", 7, KEPT);
+    table.replay(1, 2);
     assert_eq!(table.forget(1), vec![2]);
     assert_eq!(table.find(1, 1, 0, b"a", 7), Lookup::New);
 }
--- a/crates/server/src/resources/invocations.rs
+++ b/crates/server/src/resources/invocations.rs
@@ -1,4 +1,4 @@
-//! The invocations in hand: from the moment one is read until it is answered and runs no more.
+//! The invocations from their arrival until they are answered and no longer run.
 
 use crate::connection::table::Connection;
 use crate::event::Request;
@@ -6,113 +6,146 @@
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
+/// One invocation.
 pub struct Invocation {
+    /// The caller's number for it, by which the interpreter knows the run.
     pub reference: u64,
+    /// Place of its operation in the settings.
     pub operation: usize,
     /// Its tenant, where the fleet counts that one by name.
-    pub tenant: Option<String>,
-    /// When its caller sent it, in milliseconds since the epoch.
-    pub arrived: u64,
+    pub counted_tenant: Option<String>,
+    /// When it reached the machine, in Unix milliseconds.
+    pub since_unix_ms: u64,
+    /// What the operation is applied to.
     pub body: Vec<u8>,
+    /// Where its answer goes.
     pub connection: Rc<Connection>,
+    /// The tag of its answer.
     pub tag: u64,
-    /// The invocation of which this is a repeat.
-    pub repeats: Option<u64>,
-    pub answered: bool,
-    /// A run was asked for and has not been heard to end.
-    pub runs: bool,
-    /// The command that the run goes on by, until a notice shows that it was taken.
-    pub unconfirmed: Option<Sent>,
-    /// Its command went out on more than one link.
-    pub sent_again: bool,
-    /// A stop that is not confirmed yet, and the link it was sent on.
-    pub stopping: Option<u64>,
-    /// The body of the call at which the run waits.
-    pub asked: Vec<u8>,
-    /// Whether the run waits at a call.
-    pub waits: bool,
-    /// The call under way and its number; dropped, it is given up.
-    pub call: Option<(u64, Task<()>)>,
-    /// The service of the tier below that its last call went to.
-    pub called: Option<usize>,
+    /// The invocation that it repeats.
+    pub repeat_of: Option<u64>,
+    /// It has its answer, or nobody waits for one.
+    pub is_answered: bool,
+    /// Its run was started, and no notice has shown its end.
+    pub is_running: bool,
+    /// The command that the run depends on, until a notice shows that it was received.
+    pub unconfirmed: Option<SentCommand>,
+    /// A command for it went out on more than one link.
+    pub was_resent: bool,
+    /// The link on which a stop that is not confirmed was sent.
+    pub stop_sent_on: Option<u64>,
+    /// The body of the downstream call that the run waits for.
+    pub call_body: Vec<u8>,
+    /// The run waits for a downstream call.
+    pub awaits_call: bool,
+    /// The downstream call under way.
+    pub call: Option<RunningCall>,
+    /// The service that its last downstream call went to.
+    pub last_service: Option<usize>,
 }
 
 impl Invocation {
     /// One that has just arrived, with the name of its tenant where the fleet counts that by name.
-    pub fn new(request: Request, tenant: Option<String>) -> Self {
+    pub fn new(request: Request, counted_tenant: Option<String>) -> Self {
         Self {
             reference: request.reference,
             operation: request.operation,
-            tenant,
-            arrived: request.since_unix_ms,
+            counted_tenant,
+            since_unix_ms: request.since_unix_ms,
             body: request.body,
             connection: request.connection,
             tag: request.tag,
-            repeats: None,
-            answered: false,
-            runs: false,
+            repeat_of: None,
+            is_answered: false,
+            is_running: false,
             unconfirmed: None,
-            sent_again: false,
-            stopping: None,
-            asked: Vec::new(),
-            waits: false,
+            was_resent: false,
+            stop_sent_on: None,
+            call_body: Vec::new(),
+            awaits_call: false,
             call: None,
-            called: None,
+            last_service: None,
         }
     }
 }
 
-pub struct Sent {
+/// A command, and the link that it was sent on last.
+pub struct SentCommand {
+    /// The line of the command.
     pub line: Vec<u8>,
+    /// Number of the link; 0 where there was none.
     pub link: u64,
 }
 
-/// Numbers of the module's own name them here, since references are the peers' and may repeat.
+/// A downstream call under way. Dropped, it is given up.
+pub struct RunningCall {
+    /// The number of the call.
+    pub number: u64,
+    /// The task that makes it; a task that is dropped is cancelled.
+    pub _task: Task<()>,
+}
+
+/// All invocations, by numbers of this process: references are chosen by peers and may repeat.
 #[derive(Default)]
 pub struct Invocations {
     all: BTreeMap<u64, Invocation>,
     by_reference: HashMap<u64, u64>,
-    last: u64,
+    last_id: u64,
 }
 
 impl Invocations {
-    /// `None` where one of this reference is in hand.
-    pub fn take_in(&mut self, invocation: Invocation) -> Option<u64> {
+    /// Adds one; `None` where another of its reference is here.
+    pub fn insert(&mut self, invocation: Invocation) -> Option<u64> {
         if self.by_reference.contains_key(&invocation.reference) {
             return None;
         }
-        self.last += 1;
-        self.by_reference.insert(invocation.reference, self.last);
-        self.all.insert(self.last, invocation);
-        Some(self.last)
+        self.last_id += 1;
+        self.by_reference.insert(invocation.reference, self.last_id);
+        self.all.insert(self.last_id, invocation);
+        Some(self.last_id)
     }
 
+    /// The invocation of a reference.
     pub fn find(&self, reference: u64) -> Option<u64> {
         self.by_reference.get(&reference).copied()
     }
 
+    /// The one of this number.
     pub fn get(&mut self, id: u64) -> Option<&mut Invocation> {
         self.all.get_mut(&id)
     }
 
+    /// All of them, by their numbers.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Invocation> {
         self.all.values_mut()
     }
 
+    /// Those that run.
     pub fn running(&self) -> Vec<u64> {
-        self.all.iter().filter(|(_, inv)| inv.runs).map(|(id, _)| *id).collect()
+        let running = self.all.iter().filter(|(_, invocation)| invocation.is_running);
+        running.map(|(id, _)| *id).collect()
     }
 
+    /// Those of a connection that are not answered.
     pub fn open_on(&self, connection: u64) -> Vec<u64> {
-        let open = |inv: &Invocation| !inv.answered && inv.connection.id == connection;
-        self.all.iter().filter(|(_, inv)| open(inv)).map(|(id, _)| *id).collect()
+        let is_open = |one: &Invocation| !one.is_answered && one.connection.id == connection;
+        let open = self.all.iter().filter(|(_, invocation)| is_open(invocation));
+        open.map(|(id, _)| *id).collect()
+    }
+
+    /// The one of a connection that is not answered and has this tag.
+    pub fn find_open(&self, connection: u64, tag: u64) -> Option<u64> {
+        let open = self.open_on(connection);
+        open.into_iter().find(|id| self.all[id].tag == tag)
     }
 
-    /// Gives back what is needed no more.
+    /// Removes one that is answered and does not run.
     pub fn release(&mut self, id: u64) {
-        if self.all.get(&id).is_some_and(|inv| inv.answered && !inv.runs) {
-            let gone = self.all.remove(&id);
-            gone.and_then(|inv| self.by_reference.remove(&inv.reference));
+        let is_over = |one: &Invocation| one.is_answered && !one.is_running;
+        if self.all.get(&id).is_some_and(is_over)
+            && let Some(released) = self.all.remove(&id)
+        {
+            self.by_reference.remove(&released.reference);
         }
     }
 }
--- a/crates/server/src/wire/http.rs
+++ b/crates/server/src/wire/http.rs
@@ -23,7 +23,7 @@
 
 #[derive(Debug, PartialEq)]
 pub struct Reply {
-    pub ending: Outcome,
+    pub outcome: Outcome,
     pub body: Vec<u8>,
     /// The connection may carry another call.
     pub stays: bool,
@@ -94,11 +94,11 @@
     let Some(body) = bytes.get(start..start + len) else { return Parsed::Incomplete };
     // Only these prove that nothing ran; whatever else came of it may have had its effect.
     let not_begun = matches!(status, 503 | 409) && header("Op-Not-Begun") == Some("1");
-    let ending = match status {
+    let outcome = match status {
         200 => Outcome::Succeeded,
         500 => Outcome::Failed,
         _ if not_begun => Outcome::NeverRan,
         _ => Outcome::Unknown,
     };
-    Parsed::Complete(Some(Reply { ending, body: body.to_vec(), stays }), start + len)
+    Parsed::Complete(Some(Reply { outcome, body: body.to_vec(), stays }), start + len)
 }
--- a/crates/server/src/wire/interpreter.rs
+++ b/crates/server/src/wire/interpreter.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, PartialEq)]
 pub enum Notice {
     Banner { cold: bool, age: Nanos },
-    Ended { task: u64, ending: Outcome, result: Vec<u8> },
+    Ended { task: u64, outcome: Outcome, result: Vec<u8> },
     Awaits { task: u64, body: Vec<u8> },
     Gauges { nonce: u64, readings: Vec<f64> },
     NotDone { command: String, task: Option<u64> },
@@ -44,15 +44,15 @@
             age: (object["spent"].as_f64().unwrap_or(0.0).max(0.0) * 1e6) as Nanos,
         },
         "VALUE" => {
-            let ending = match text("outcome")? {
+            let outcome = match text("outcome")? {
                 "ok" => Outcome::Succeeded,
                 "failed" => Outcome::Failed,
                 "halted" => Outcome::Cancelled,
                 "void" => Outcome::NeverRan,
                 other => bail!("unknown end {other:?}"),
             };
-            let result = if ending == Outcome::Succeeded { bytes()? } else { Vec::new() };
-            Notice::Ended { task: task(&object)?, ending, result }
+            let result = if outcome == Outcome::Succeeded { bytes()? } else { Vec::new() };
+            Notice::Ended { task: task(&object)?, outcome, result }
         }
         "AWAIT" => Notice::Awaits { task: task(&object)?, body: bytes()? },
         "TOPS" => {
--- a/crates/server/src/wire/tests.rs
+++ b/crates/server/src/wire/tests.rs
@@ -154,7 +154,7 @@
     let early = [b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Wait\r\n\r\n", REPLY].concat();
     whole_or_more(&early, |bytes| extent(http::reply(bytes)));
     let Parsed::Complete(reply, _) = http::reply(&early) else { panic!("not taken") };
-    assert_eq!((reply.ending, reply.body), (Outcome::NeverRan, b"abc".to_vec()));
+    assert_eq!((reply.outcome, reply.body), (Outcome::NeverRan, b"abc".to_vec()));
 }
 
 #[test_case("200", "", Outcome::Succeeded)]
@@ -165,10 +165,10 @@
 #[test_case("500", "Op-Not-Begun: 1\r\n", Outcome::Failed)]
 #[test_case("504", "", Outcome::Unknown; "504")]
 #[test_case("418", "", Outcome::Unknown; "any other")]
-fn what_replies_prove(status: &str, header: &str, ending: Outcome) {
+fn what_replies_prove(status: &str, header: &str, outcome: Outcome) {
     let reply = format!("HTTP/1.1 {status} X\r\n{header}Content-Length: 2\r\n\r\nhi");
     let Parsed::Complete(reply, _) = http::reply(reply.as_bytes()) else { panic!("not taken") };
-    assert_eq!((reply.ending, reply.body, reply.stays), (ending, b"hi".to_vec(), true));
+    assert_eq!((reply.outcome, reply.body, reply.stays), (outcome, b"hi".to_vec(), true));
 }
 
 #[test_case(b"HTTP/1.0 200 OK\r\n\r\n"; "another version")]
@@ -206,7 +206,8 @@
         }
         extent(interpreter::line(bytes))
     });
-    let ended = interpreter::Notice::Ended { task: 0xab, ending: Outcome::Succeeded, result: b"hi".to_vec() };
+    let ended =
+        interpreter::Notice::Ended { task: 0xab, outcome: Outcome::Succeeded, result: b"hi".to_vec() };
     assert_eq!(interpreter::notice(LINE).unwrap(), (Some(3), ended));
     assert!(matches!(interpreter::line(&[b'x'; interpreter::LINE_MAX + 1]), Parsed::Malformed(_)));
 }
--- a/crates/server/src/wire/tests/outside_names.rs
+++ b/crates/server/src/wire/tests/outside_names.rs
@@ -70,11 +70,11 @@
 #[test_case("failed", Outcome::Failed, b"")]
 #[test_case("halted", Outcome::Cancelled, b"")]
 #[test_case("void", Outcome::NeverRan, b"")]
-fn ends_of_runs_have_the_same_words(word: &str, ending: Outcome, result: &[u8]) {
+fn ends_of_runs_have_the_same_words(word: &str, outcome: Outcome, result: &[u8]) {
     let line = format!(
         r#"{{"verb":"VALUE","index":3,"task":"00000000000000ab","outcome":"{word}","bytes":"aGk="}}"#
     );
-    let ended = Notice::Ended { task: 0xab, ending, result: result.to_vec() };
+    let ended = Notice::Ended { task: 0xab, outcome, result: result.to_vec() };
     assert_eq!(interpreter::notice(line.as_bytes()).unwrap(), (Some(3), ended));
 }
 
