--- a/crates/capacity/src/hollow.rs
+++ b/crates/capacity/src/hollow.rs
@@ -52,7 +52,8 @@
             .map(|(settings, _)| Member::new(name, settings.clone(), seed, EPOCH + now, None));
         Ok(Hollow {
             membership: Membership::new(me, &settings.membership, seed, now)?,
-            shared_state: SharedState::new(who, settings.shared_state.clone(), seed, Self::reading(now))?,
+            shared_state: SharedState::new(who, settings.shared_state.clone(), seed, Self::reading(now))
+                .map_err(|fault| fault.to_string())?,
             replication: replication.transpose()?,
             lease: settings.replication.as_ref().map_or("", |(_, lease)| lease),
             directory: Directory::default(),
@@ -77,13 +78,13 @@
         for body in carried {
             let _ = self.shared_state.receive(Self::reading(now), &body);
         }
-        let others = self.shared_state.others();
+        let others = self.shared_state.take_received();
         self.send_shared_state(now);
         let shared = thread_time();
         self.costs.shared_state.processor += shared - opened;
         if let Some(member) = self.replication.as_mut().filter(|_| !others.is_empty()) {
-            let bodies = others.iter().filter(|(_, topic, _)| *topic == REPLICATION);
-            bodies.for_each(|(from, _, body)| member.receive(EPOCH + now, &from.name, body));
+            let bodies = others.iter().filter(|other| other.topic == REPLICATION);
+            bodies.for_each(|other| member.receive(EPOCH + now, &other.from.name, &other.body));
             self.play_replication(now);
             self.costs.replication.processor += thread_time() - shared;
         }
@@ -96,7 +97,8 @@
         let unix = EPOCH + now;
         if member.is_replica() {
             let time = self.shared_state.time();
-            let lease = self.shared_state.budgets.iter_mut().find(|budget| budget.plan().name == self.lease);
+            let lease =
+                self.shared_state.budgets.iter_mut().find(|budget| budget.settings().name == self.lease);
             let holds = lease.is_some_and(|lease| {
                 lease.set_demand(1, 0);
                 lease.allowance(time).leased > 0
@@ -113,9 +115,9 @@
             member.settled(snapshot.revision.at.number, Ok(()), unix);
         }
         for (to, body) in member.outgoing() {
-            let before = self.shared_state.tally.sent_bytes;
+            let before = self.shared_state.messages.sent_bytes;
             self.shared_state.send_other(&to, REPLICATION, body);
-            let size = self.shared_state.tally.sent_bytes - before;
+            let size = self.shared_state.messages.sent_bytes - before;
             let Some((_, body)) = self.shared_state.outgoing().pop() else { continue };
             if let Some(address) = self.directory.address(&to) {
                 self.costs.replication.datagrams += 1;
--- a/crates/capacity/src/model.rs
+++ b/crates/capacity/src/model.rs
@@ -81,9 +81,9 @@
     let replication = meadowstream_replication::member::Settings::new(Location::default(), replicas);
     let shared_state = meadowstream_shared_state::Settings {
         budgets: vec![budget, lease],
-        counts: Limits::default(),
-        judge: None,
-        gossip: SECOND / 2,
+        counters: Limits::default(),
+        outlier_detection: None,
+        gossip_interval: SECOND / 2,
         body_max: membership.packet_max,
     };
     Settings { membership, shared_state, replication: Some((replication, LEASE)) }
@@ -161,7 +161,7 @@
         for server in 0..fleet.len() {
             let Some(hollow) = fleet.server_mut(server) else { continue };
             for key in 0..COUNTED_KEYS {
-                hollow.shared_state.counts.add(&format!("invocations/operation-{key}"), 1);
+                hollow.shared_state.counters.add(&format!("invocations/operation-{key}"), 1);
             }
             hollow.shared_state.budgets.iter_mut().take(1).for_each(|budget| budget.set_demand(WANTS, 0));
         }
@@ -227,7 +227,7 @@
     let expected = size as u64;
     let exact = |fleet: &Fleet| {
         let all_hold = |server: usize| {
-            let totals = fleet.server(server).map(|one| one.shared_state.counts.totals());
+            let totals = fleet.server(server).map(|one| one.shared_state.counters.totals());
             totals.is_none_or(|totals| totals.get("invocations/operation-0") == Some(&expected))
         };
         (0..fleet.len()).all(all_hold)
--- a/crates/server/src/fleet/joined.rs
+++ b/crates/server/src/fleet/joined.rs
@@ -75,7 +75,7 @@
     /// Says whether it wants the lease of this name, and whether it holds it now.
     pub fn lease(&mut self, name: &str, wants: bool) -> bool {
         let time = self.shared.read(self.reading());
-        let lease = self.shared.budgets.iter_mut().find(|budget| budget.plan().name == name);
+        let lease = self.shared.budgets.iter_mut().find(|budget| budget.settings().name == name);
         lease.is_some_and(|lease| {
             lease.set_demand(u64::from(wants), 0);
             wants && lease.allowance(time).leased > 0
@@ -115,8 +115,8 @@
             }
         }
         self.membership.handle_timeout(now);
-        let others = self.shared.others().into_iter();
-        others.map(|(from, topic, body)| Said { from, topic, body }).collect()
+        let others = self.shared.take_received().into_iter();
+        others.map(|other| Said { from: other.from, topic: other.topic, body: other.body }).collect()
     }
 
     async fn flush(&mut self) {
--- a/crates/server/src/fleet/shared_state.rs
+++ b/crates/server/src/fleet/shared_state.rs
@@ -6,7 +6,7 @@
 use crate::lifecycle::reload::TenantNames;
 use crate::memory::counters::Counters;
 use meadowstream_routing::Wish;
-use meadowstream_shared_state::budget::Budget;
+use meadowstream_shared_state::budget::{Budget, BudgetSettingsError};
 use meadowstream_shared_state::clock::{Reading, Time};
 use meadowstream_shared_state::permits::Permits;
 use meadowstream_shared_state::{ServerId, Settings, SharedState};
@@ -56,8 +56,10 @@
     pub fn new(me: ServerId, settings: &Settings, tier: &[SocketAddr], seed: u64) -> Result<Shared, String> {
         let began = Instant::now();
         let reading = Reading { monotonic: 0, wall: wall() };
-        let state = SharedState::new(me, settings.clone(), seed, reading)?;
-        let tier = settings.judge.as_ref().map(|judge| Tier::new(tier.to_vec(), judge.expiry, seed));
+        let state =
+            SharedState::new(me, settings.clone(), seed, reading).map_err(|fault| fault.to_string())?;
+        let tier =
+            settings.outlier_detection.as_ref().map(|judge| Tier::new(tier.to_vec(), judge.expiry, seed));
         let tier = tier.transpose()?;
         let inner =
             Inner { state, permits: Permits::default(), tier, refused: false, counted: [0; 4], uncounted: 0 };
@@ -80,7 +82,7 @@
             return false;
         }
         let Some(budget) = calls(state) else { return true };
-        let may = budget.may_acquire(time, permits.uses(time));
+        let may = budget.may_acquire(time, permits.in_use(time));
         if !may {
             permits.refuse(time, waiting as u64);
             *refused = true;
@@ -94,9 +96,9 @@
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
         let time = inner.state.read(reading);
-        inner.permits.taken(time, number);
+        inner.permits.acquire(time, number);
         let place = inner.tier.as_mut().map(|tier| tier.call(reading.monotonic, number, wish));
-        let most = calls(&inner.state).map_or(timeout, |budget| timeout.min(budget.plan().use_most));
+        let most = calls(&inner.state).map_or(timeout, |budget| timeout.min(budget.settings().use_max));
         (most, place.map(|(service, to)| Place { service, to }))
     }
 
@@ -106,11 +108,11 @@
         let mut inner = self.inner.borrow_mut();
         let time = inner.state.read(reading);
         let Inner { state, tier, .. } = &mut *inner;
-        if let Some((tier, judge)) = tier.as_mut().zip(state.judge.as_mut()) {
+        if let Some((tier, judge)) = tier.as_mut().zip(state.outlier_detector.as_mut()) {
             tier.ended(reading.monotonic, time, number, over, judge);
         }
-        let use_most = calls(&inner.state).map_or(0, |budget| budget.plan().use_most);
-        inner.permits.ended(number, surely, use_most);
+        let use_most = calls(&inner.state).map_or(0, |budget| budget.settings().use_max);
+        inner.permits.release(number, surely, use_most);
     }
 
     /// Tenants counted by name from now on; returns those that were so far.
@@ -131,13 +133,13 @@
         let of_all = format!("{what}/{operation}");
         let of_tenant = tenant.map(|tenant| format!("{of_all}/{tenant}"));
         for key in std::iter::once(of_all).chain(of_tenant) {
-            let counted = inner.state.counts.add(&key, more);
+            let counted = inner.state.counters.add(&key, more);
             inner.uncounted += u64::from(!counted);
         }
     }
 
     /// A total from a reload; `Err` leaves the old one.
-    pub fn set_total(&self, total: u64) -> Result<(), String> {
+    pub fn set_total(&self, total: u64) -> Result<(), BudgetSettingsError> {
         let mut inner = self.inner.borrow_mut();
         let mut calls = inner.state.budgets.iter_mut().filter(|budget| !is_lease(budget));
         calls.try_for_each(|budget| budget.set_total(total))
@@ -148,14 +150,15 @@
         let mut inner = self.inner.borrow_mut();
         for body in bodies {
             if let Err(fault) = inner.state.receive(reading, &body) {
-                tracing::debug!(target: "fleet", fault, "shared state");
+                tracing::debug!(target: "fleet", %fault, "shared state");
             }
         }
     }
 
     /// Bodies of other topics that came.
     pub fn others(&self) -> Vec<(ServerId, u16, Vec<u8>)> {
-        self.inner.borrow_mut().state.others()
+        let received = self.inner.borrow_mut().state.take_received();
+        received.into_iter().map(|other| (other.from, other.topic, other.body)).collect()
     }
 
     pub fn send_other(&self, to: &str, topic: u16, body: Vec<u8>) {
@@ -171,16 +174,16 @@
         let time = state.read(reading);
         let now = [&counters.invocations, &counters.succeeded, &counters.throttled, &counters.errored];
         for ((key, now), counted) in COUNTED.iter().zip(now).zip(counted) {
-            state.counts.add(key, now.get() - *counted);
+            state.counters.add(key, now.get() - *counted);
             *counted = now.get();
         }
         for budget in state.budgets.iter_mut().filter(|budget| !is_lease(budget)) {
-            let lately = 2 * budget.plan().refresh;
-            let (wants, uses) = (permits.wants(time, lately), permits.uses(time));
+            let lately = 2 * budget.settings().refresh_interval;
+            let (wants, uses) = (permits.wanted(time, lately), permits.in_use(time));
             budget.set_demand(wants, uses);
         }
         state.advance(reading, alive);
-        if let Some((tier, judge)) = tier.as_mut().zip(state.judge.as_ref())
+        if let Some((tier, judge)) = tier.as_mut().zip(state.outlier_detector.as_ref())
             && tier.judged(reading.monotonic, time, judge)
         {
             let ejected: Vec<&String> = tier.ejected.iter().map(|i| &judge.settings().services[*i]).collect();
@@ -190,7 +193,7 @@
         let may_probe = Wish { last: None, may_probe: true };
         let open = tier.as_ref().is_none_or(|tier| tier.has_room(reading.monotonic, may_probe));
         let free = |time: Time, permits: &mut Permits| {
-            let uses = permits.uses(time);
+            let uses = permits.in_use(time);
             calls(state).is_none_or(|budget| budget.may_acquire(time, uses))
         };
         let again = *refused && open && free(time, permits);
@@ -208,7 +211,7 @@
         let mut inner = self.inner.borrow_mut();
         let Inner { state, permits, tier, .. } = &mut *inner;
         let time = state.read(reading);
-        let names = state.judge.as_ref().map(|judge| &judge.settings().services);
+        let names = state.outlier_detector.as_ref().map(|judge| &judge.settings().services);
         let ejected = tier.iter().flat_map(|tier| &tier.ejected);
         let ejected = ejected.filter_map(|i| names?.get(*i).cloned()).collect();
         let Some(budget) = calls(state) else { return Shown { ejected, ..Shown::default() } };
@@ -216,7 +219,7 @@
         Shown {
             floor: ceiling.floor,
             leased: ceiling.leased,
-            uses: permits.uses(time),
+            uses: permits.in_use(time),
             gives: budget.is_grantor(time),
             outstanding: budget.outstanding(),
             ejected,
@@ -228,17 +231,17 @@
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
         let time = inner.state.read(reading);
-        let shown = inner.tier.as_ref().zip(inner.state.judge.as_ref());
+        let shown = inner.tier.as_ref().zip(inner.state.outlier_detector.as_ref());
         shown.map_or_else(Default::default, |(tier, judge)| tier.shown(time, judge))
     }
 
     /// The fleet's totals and what was refused, as JSON for the log.
     pub fn totals(&self) -> (String, String) {
         let inner = self.inner.borrow();
-        let totals = serde_json::to_string(&inner.state.counts.totals()).unwrap_or_default();
-        let budget = calls(&inner.state).map(|budget| budget.counts);
-        let (refused, apart) = (inner.state.counts.refused, inner.state.disagreements());
-        let tally = (inner.state.tally, budget, refused, apart, inner.uncounted);
+        let totals = serde_json::to_string(&inner.state.counters.totals()).unwrap_or_default();
+        let budget = calls(&inner.state).map(|budget| budget.counters);
+        let (refused, apart) = (inner.state.counters.rejected, inner.state.clock_disagreements());
+        let tally = (inner.state.messages, budget, refused, apart, inner.uncounted);
         (totals, serde_json::to_string(&tally).unwrap_or_default())
     }
 }
@@ -250,7 +253,7 @@
 pub const LEASES: [&str; 2] = [ROLLOUTS, PUBLISHING];
 
 fn is_lease(budget: &Budget) -> bool {
-    LEASES.contains(&budget.plan().name.as_str())
+    LEASES.contains(&budget.settings().name.as_str())
 }
 
 /// The budget of calls below.
--- a/crates/server/src/lifecycle/configuration.rs
+++ b/crates/server/src/lifecycle/configuration.rs
@@ -167,14 +167,14 @@
     });
     let settings = SharedSettings {
         budgets: of_calls.map(plan).into_iter().chain(of_rollouts).chain(of_publishing).collect(),
-        counts: Limits::default(),
-        judge: given.and_then(|given| given.tier.as_ref()).map(|tier| JudgeSettings {
+        counters: Limits::default(),
+        outlier_detection: given.and_then(|given| given.tier.as_ref()).map(|tier| JudgeSettings {
             services: tier.services.iter().map(|service| service.name.clone()).collect(),
             reports: tier.reports,
             max_ejected_thousandths: tier.share_thousandths,
             expiry: tier.expiry,
         }),
-        gossip: given.map_or(500_000_000, |given| given.gossip),
+        gossip_interval: given.map_or(500_000_000, |given| given.gossip),
         body_max,
     };
     settings.check().map_err(|fault| {
--- a/crates/server/src/lifecycle/reload.rs
+++ b/crates/server/src/lifecycle/reload.rs
@@ -217,7 +217,7 @@
         let total = |plan: &BudgetSettings| BudgetSettings { total: 0, ..plan.clone() };
         let plans = shared.map(|shared| shared.budgets.iter().map(total).collect::<Vec<_>>());
         let tier = c.membership.as_ref().map(|fleet| fleet.tier.clone());
-        (plans, shared.map(|shared| (shared.gossip, shared.judge.clone())), tier)
+        (plans, shared.map(|shared| (shared.gossip_interval, shared.outlier_detection.clone())), tier)
     };
     ensure!(plans(old) == plans(new), "options: <shared-state>: all but a total takes a restart");
     Ok(())
--- /dev/null
+++ b/crates/shared-state/src/budget/election.rs
@@ -0,0 +1,213 @@
+//! Election of the grantor among the voters.
+//!
+//! Invariant: at most one server is the grantor at a time. A voter gives its vote to one server and to no other
+//! until the term and the drift margin have passed by its slow clock; a candidate counts its term from the time
+//! of its request, by its fast clock, so that it leaves office before its votes are free again. Votes are not
+//! stored: a voter that has started again waits for as long as a vote of its earlier incarnation may last.
+
+use super::grantor::LeaseTable;
+use super::message::Term;
+use super::settings::BudgetSettings;
+use crate::clock::{Nanos, Time};
+use crate::server_id::ServerId;
+use std::collections::{BTreeSet, VecDeque};
+
+/// Ballots whose votes still count. More than one, so that a majority is reached over a slow and lossy network.
+const BALLOTS_MAX: usize = 8;
+
+/// The vote of this server.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct Vote {
+    candidate: ServerId,
+    /// By the slow clock.
+    expires_at: Nanos,
+}
+
+/// One request for votes.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct Ballot {
+    number: u64,
+    /// By the fast clock.
+    requested_at: Nanos,
+    /// Names of the voters that gave their vote.
+    votes: BTreeSet<String>,
+}
+
+/// State of a candidate, and of the grantor once it is elected.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(super) struct GrantorState {
+    pub term: Term,
+    /// The latest is the last one.
+    ballots: VecDeque<Ballot>,
+    /// End of office by the fast clock; `None` for a candidate.
+    elected_until: Option<Nanos>,
+    pub leases: LeaseTable,
+}
+
+impl GrantorState {
+    /// When the latest ballot was called, by the fast clock.
+    fn last_requested_at(&self) -> Nanos {
+        self.ballots.back().map_or(0, |ballot| ballot.requested_at)
+    }
+
+    /// Whether a candidate has failed or a grantor's office has ended.
+    fn is_over(&self, time: Time, settings: &BudgetSettings) -> bool {
+        match self.elected_until {
+            Some(until) => time.fast >= until,
+            None => time.fast >= self.last_requested_at() + settings.term_duration / 2,
+        }
+    }
+
+    /// Whether a grantor asks for its votes again.
+    fn renewal_is_due(&self, time: Time, settings: &BudgetSettings) -> bool {
+        let interval = (settings.term_duration / 8).max(1);
+        self.elected_until.is_some() && time.fast >= self.last_requested_at() + interval
+    }
+}
+
+/// What a vote has brought.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum VoteCount {
+    /// No majority, or nothing new.
+    Unchanged,
+    /// The candidate is the grantor now.
+    Elected,
+    /// The grantor's office lasts longer.
+    Extended,
+}
+
+/// One server's part in elections; it votes and stands where its name is among the voters.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(super) struct Election {
+    /// Place among the voters, if any.
+    rank: Option<u64>,
+    /// It neither votes nor stands before, by the slow clock.
+    votes_from: Nanos,
+    vote: Option<Vote>,
+    grantor_state: Option<GrantorState>,
+    last_ballot: u64,
+    /// When a grantor or candidate was last known of, by the fast clock.
+    grantor_seen_at: Nanos,
+}
+
+impl Election {
+    pub fn new(name: &str, settings: &BudgetSettings, time: Time) -> Election {
+        Election {
+            rank: settings.voters.iter().position(|voter| voter == name).map(|rank| rank as u64),
+            votes_from: time.slow + settings.term_duration + settings.drift_margin,
+            vote: None,
+            grantor_state: None,
+            last_ballot: 0,
+            grantor_seen_at: time.fast,
+        }
+    }
+
+    pub fn is_voter(&self) -> bool {
+        self.rank.is_some()
+    }
+
+    /// Notes that another server is the grantor.
+    pub fn note_grantor(&mut self, time: Time) {
+        self.grantor_seen_at = time.fast;
+    }
+
+    /// Whether this server is the grantor now.
+    pub fn is_grantor(&self, time: Time) -> bool {
+        let until = self.grantor_state.as_ref().and_then(|state| state.elected_until);
+        until.is_some_and(|until| time.fast < until)
+    }
+
+    /// State of the candidate or grantor that this server is.
+    pub fn grantor_state(&self) -> Option<&GrantorState> {
+        self.grantor_state.as_ref()
+    }
+
+    /// The same, to change.
+    pub fn grantor_state_mut(&mut self) -> Option<&mut GrantorState> {
+        self.grantor_state.as_mut()
+    }
+
+    /// Name of the server that has this one's vote.
+    pub fn voted_for(&self, time: Time) -> Option<&str> {
+        let vote = self.vote.as_ref().filter(|vote| time.slow < vote.expires_at)?;
+        Some(&vote.candidate.name)
+    }
+
+    /// Leaves an office that is over, and opens a ballot where one is due: returns its number.
+    pub fn advance(&mut self, time: Time, settings: &BudgetSettings, incarnation: u64) -> Option<u64> {
+        if self.grantor_state.as_ref().is_some_and(|state| state.is_over(time, settings)) {
+            self.grantor_state = None;
+            self.grantor_seen_at = time.fast;
+        }
+        let rank = self.rank?;
+        let due = match &self.grantor_state {
+            Some(state) => state.renewal_is_due(time, settings),
+            None => self.may_stand(time, settings, rank),
+        };
+        due.then(|| self.open_ballot(time, incarnation, rank))
+    }
+
+    /// Whether no grantor has been known of for a term. Voters of a higher rank wait longer, so that they do
+    /// not all stand at once.
+    fn may_stand(&self, time: Time, settings: &BudgetSettings, rank: u64) -> bool {
+        let patience = settings.term_duration + rank * settings.term_duration / 2;
+        time.slow >= self.votes_from && time.fast >= self.grantor_seen_at + patience
+    }
+
+    fn open_ballot(&mut self, time: Time, incarnation: u64, rank: u64) -> u64 {
+        self.last_ballot += 1;
+        let number = self.last_ballot;
+        let state = self.grantor_state.get_or_insert_with(|| GrantorState {
+            term: Term { incarnation, rank, election: number },
+            ballots: VecDeque::new(),
+            elected_until: None,
+            leases: LeaseTable::default(),
+        });
+        state.ballots.push_back(Ballot { number, requested_at: time.fast, votes: BTreeSet::new() });
+        if state.ballots.len() > BALLOTS_MAX {
+            state.ballots.pop_front();
+        }
+        number
+    }
+
+    /// Gives this server's vote to a candidate for a term, unless another one has it.
+    pub fn vote_for(&mut self, time: Time, settings: &BudgetSettings, candidate: &ServerId) -> bool {
+        let free = match &self.vote {
+            Some(vote) => vote.candidate == *candidate || time.slow >= vote.expires_at,
+            None => true,
+        };
+        let granted = free && time.slow >= self.votes_from;
+        if granted {
+            let expires_at = time.slow + settings.term_duration + settings.drift_margin;
+            self.vote = Some(Vote { candidate: candidate.clone(), expires_at });
+            self.grantor_seen_at = time.fast;
+        }
+        granted
+    }
+
+    /// Counts a vote for one of the last ballots. Office lasts for a term from the time of that ballot.
+    pub fn count_vote(
+        &mut self,
+        time: Time,
+        settings: &BudgetSettings,
+        voter: &str,
+        ballot: u64,
+    ) -> VoteCount {
+        let Some(state) = &mut self.grantor_state else { return VoteCount::Unchanged };
+        let Some(ballot) = state.ballots.iter_mut().find(|known| known.number == ballot) else {
+            return VoteCount::Unchanged;
+        };
+        ballot.votes.insert(voter.to_string());
+        let until = ballot.requested_at + settings.term_duration;
+        let has_majority = ballot.votes.len() >= settings.majority();
+        let extends = state.elected_until.is_none_or(|known| known < until);
+        if !has_majority || time.fast >= until || !extends {
+            return VoteCount::Unchanged;
+        }
+        if state.elected_until.replace(until).is_some() {
+            return VoteCount::Extended;
+        }
+        state.leases.begin(time, settings);
+        VoteCount::Elected
+    }
+}
--- a/crates/shared-state/src/counters.rs
+++ b/crates/shared-state/src/counters.rs
@@ -1,57 +1,76 @@
-//! Counts of the whole fleet: a state-based CRDT of grow-only counters. Each server raises only its own row;
-//! rows merge by the larger figure of each key, so that it does not matter how often, in which order and by
-//! whom a row comes. The total is the sum over all rows, exact once all have been heard.
+//! Counters of the whole fleet: a state-based CRDT of grow-only counters (G-Counter; Shapiro and others, 2011).
 //!
-//! Peers are not believed without bounds: a row grows no faster than `rate_max` allows since its server's
-//! start, the number of rows and of keys is bounded, and nobody else's word raises a server's own row.
+//! Each server raises only its own row. Rows merge by the larger count of each key, so that it does not matter
+//! how often, in which order and from whom a row comes. A total is the sum over all rows, exact once all rows
+//! have been received.
+//!
+//! Peers are trusted within bounds: a row grows no faster than [`Limits::rate_max`] allows since its server's
+//! start, the numbers of rows and keys are bounded, and no message raises a server's own row.
 
-use crate::ServerId;
+use crate::clock::Nanos;
+use crate::server_id::{ServerId, is_valid_name};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::ops::Bound;
+use thiserror::Error;
 
-/// What is counted; a name of 1 to 64 bytes, like `succeeded/basic/tenant`.
+/// Name of what is counted, 1 to 64 bytes, such as `succeeded/basic/tenant`.
 pub type Key = String;
 
-/// One server's own counts, in one life of it.
+const SECOND_NS: Nanos = 1_000_000_000;
+/// A peer's clock may be ahead by this many seconds.
+const CLOCK_AHEAD_S: u64 = 60;
+
+/// Counts of one incarnation of a server.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Row {
-    pub of: BTreeMap<Key, u64>,
+pub struct CounterRow {
+    /// Count of each key.
+    pub counts: BTreeMap<Key, u64>,
 }
 
-impl Row {
-    /// Grows with every count: a row with a larger one knows more of that server.
+impl CounterRow {
+    /// Version of the row: the sum of its counts, which grows with each of them.
     pub fn version(&self) -> u64 {
-        self.of.values().fold(0, |sum, each| sum.saturating_add(*each))
+        self.counts.values().fold(0, |sum, count| sum.saturating_add(*count))
     }
 
-    /// The larger of both for each key; says whether anything was new.
-    pub fn merge(&mut self, other: &Row) -> bool {
+    /// Takes the larger count of each key; returns whether any count grew.
+    pub fn merge(&mut self, other: &CounterRow) -> bool {
         let mut grew = false;
-        for (key, count) in &other.of {
-            match self.of.get_mut(key) {
-                Some(mine) if *mine >= *count => {}
-                Some(mine) => (*mine, grew) = (*count, true),
+        for (key, count) in &other.counts {
+            match self.counts.get_mut(key) {
+                Some(known) if *known >= *count => {}
+                Some(known) => {
+                    *known = *count;
+                    grew = true;
+                }
                 None => {
-                    self.of.insert(key.clone(), *count);
+                    self.counts.insert(key.clone(), *count);
                     grew = true;
                 }
             }
         }
         grew
     }
+
+    fn get(&self, key: &str) -> u64 {
+        self.counts.get(key).copied().unwrap_or(0)
+    }
 }
 
-/// Servers' lives with what is known of each.
-pub type Rows = Vec<(ServerId, Row)>;
+/// Incarnations of servers with their rows.
+pub type Rows = Vec<(ServerId, CounterRow)>;
+/// Incarnations of servers with the versions of their rows.
 pub type Versions = Vec<(ServerId, u64)>;
 
+/// Bounds of what peers may make a server remember.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Servers' lives remembered, and keys of each.
+    /// Most incarnations of servers that are remembered.
     pub rows: usize,
+    /// Most keys of each row.
     pub keys: usize,
-    /// Most that one key of a server grows by in a second of its life, and what a new one may hold at once.
+    /// Most that one key grows by in a second of its server's life.
     pub rate_max: u64,
 }
 
@@ -61,140 +80,199 @@
     }
 }
 
-/// Why a row was not taken.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
-    /// More rows or keys than there is room for, or a name too long.
+/// Why a received row is rejected.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum RejectedRow {
+    /// More rows or keys than the limits allow, or a name that is empty or too long.
+    #[error("row: too many rows or keys, or a name that is not of 1 to 64 bytes")]
     Full,
-    /// More than such a server can have counted since its start.
-    Absurd,
-    /// Of this server's own life, and more than it has counted: another goes by its name and incarnation, or
-    /// it came back with old counts. It is to take a later incarnation.
+    /// More than the server can have counted since its start.
+    #[error("row: more than its server can have counted since its start")]
+    Implausible,
+    /// It is for this server's own incarnation and ahead of its counts: another server has the same name and
+    /// incarnation, or this one has started again with old counts. It must take a later incarnation.
+    #[error("row: ahead of this server's own counts")]
     Own,
 }
 
+/// Rows rejected since the start, by reason.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
+pub struct RejectedRows {
+    /// See [`RejectedRow::Full`].
+    pub full: u64,
+    /// See [`RejectedRow::Implausible`].
+    pub implausible: u64,
+    /// See [`RejectedRow::Own`].
+    pub own: u64,
+}
+
+impl RejectedRows {
+    fn count(&mut self, reason: RejectedRow) {
+        match reason {
+            RejectedRow::Full => self.full += 1,
+            RejectedRow::Implausible => self.implausible += 1,
+            RejectedRow::Own => self.own += 1,
+        }
+    }
+}
+
+/// A part of what a server knows, for comparison with another's.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Digest {
+    /// Versions of the rows of the part.
+    pub versions: Versions,
+    /// First incarnation after the part; `None` where it reaches to the end.
+    pub end: Option<ServerId>,
+}
+
+/// What two servers' knowledge of the same part differs in.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Comparison {
+    /// Rows of which the other server knows less.
+    pub newer: Rows,
+    /// This server's versions of the part.
+    pub versions: Versions,
+}
+
+/// One server's view of the fleet's counters.
 #[derive(Clone, Debug)]
-pub struct Counts {
-    me: ServerId,
-    rows: BTreeMap<ServerId, Row>,
+pub struct FleetCounters {
+    id: ServerId,
+    rows: BTreeMap<ServerId, CounterRow>,
     limits: Limits,
-    /// Rows refused by reason: full, absurd, own.
-    pub refused: [u64; 3],
+    /// Rows rejected since the start.
+    pub rejected: RejectedRows,
 }
 
-impl Counts {
-    pub fn new(me: ServerId, limits: Limits) -> Counts {
-        let rows = BTreeMap::from([(me.clone(), Row::default())]);
-        Counts { me, rows, limits, refused: [0; 3] }
+impl FleetCounters {
+    /// Counters of the server `id`, from 0.
+    pub fn new(id: ServerId, limits: Limits) -> FleetCounters {
+        let rows = BTreeMap::from([(id.clone(), CounterRow::default())]);
+        FleetCounters { id, rows, limits, rejected: RejectedRows::default() }
     }
 
-    /// Counts so much more here; what has no room or too long a name is not counted.
-    pub fn add(&mut self, key: &str, more: u64) -> bool {
-        let keys = self.limits.keys;
-        let row = self.rows.get_mut(&self.me).expect("made at the start");
-        if let Some(count) = row.of.get_mut(key) {
-            *count = count.saturating_add(more);
+    /// Adds to a key of this server's row. Returns whether it was counted: a key beyond the limit or with an
+    /// invalid name is not.
+    pub fn add(&mut self, key: &str, count: u64) -> bool {
+        let keys_max = self.limits.keys;
+        let row = self.rows.get_mut(&self.id).expect("new and renew insert this server's own row");
+        if let Some(known) = row.counts.get_mut(key) {
+            *known = known.saturating_add(count);
             return true;
         }
-        let fits = row.of.len() < keys && (1..=crate::NAME_MAX).contains(&key.len());
+        let fits = row.counts.len() < keys_max && is_valid_name(key);
         if fits {
-            row.of.insert(key.to_string(), more);
+            row.counts.insert(key.to_string(), count);
         }
         fits
     }
 
-    /// A row as another tells it, at `wall` nanoseconds since the epoch, in which incarnations are.
-    pub fn merge(&mut self, of: &ServerId, row: &Row, wall: u64) -> Result<bool, Refused> {
-        let refusal = self.refusal(of, row, wall);
-        if let Some(why) = refusal {
-            self.refused[why as usize] += 1;
-            return Err(why);
+    /// Merges a received row of the server `of`; `wall` is the wall clock, in nanoseconds since the epoch.
+    /// Returns whether anything was new.
+    ///
+    /// # Errors
+    /// The row is outside its bounds; it is counted in [`FleetCounters::rejected`].
+    pub fn merge(&mut self, of: &ServerId, row: &CounterRow, wall: Nanos) -> Result<bool, RejectedRow> {
+        let checked = if *of == self.id { self.check_own(row) } else { self.check(of, row, wall) };
+        if let Err(reason) = checked {
+            self.rejected.count(reason);
+            return Err(reason);
         }
-        if *of == self.me {
+        if *of == self.id {
             return Ok(false);
         }
         Ok(self.rows.entry(of.clone()).or_default().merge(row))
     }
 
-    fn refusal(&self, of: &ServerId, row: &Row, wall: u64) -> Option<Refused> {
+    fn check_own(&self, row: &CounterRow) -> Result<(), RejectedRow> {
+        let own = self.rows.get(&self.id);
+        let own_count = |key: &str| own.map_or(0, |own| own.get(key));
+        let ahead = row.counts.iter().any(|(key, count)| *count > own_count(key));
+        if ahead { Err(RejectedRow::Own) } else { Ok(()) }
+    }
+
+    fn check(&self, of: &ServerId, row: &CounterRow, wall: Nanos) -> Result<(), RejectedRow> {
         let known = self.rows.get(of);
-        if *of == self.me {
-            let mine = known.expect("made at the start");
-            let ahead = row.of.iter().any(|(key, count)| *count > mine.of.get(key).copied().unwrap_or(0));
-            return ahead.then_some(Refused::Own);
+        let is_known = |key: &Key| known.is_some_and(|known| known.counts.contains_key(key));
+        let new_keys = row.counts.keys().filter(|key| !is_known(key)).count();
+        let keys = known.map_or(0, |known| known.counts.len()) + new_keys;
+        let valid_names = is_valid_name(&of.name) && row.counts.keys().all(|key| is_valid_name(key));
+        let too_many_rows = known.is_none() && self.rows.len() >= self.limits.rows;
+        if !valid_names || keys > self.limits.keys || too_many_rows {
+            return Err(RejectedRow::Full);
         }
-        let named = (1..=crate::NAME_MAX).contains(&of.name.len())
-            && row.of.keys().all(|key| (1..=crate::NAME_MAX).contains(&key.len()));
-        let new = row.of.keys().filter(|key| known.is_none_or(|known| !known.of.contains_key(*key))).count();
-        let keys = known.map_or(0, |known| known.of.len()) + new;
-        if !named || keys > self.limits.keys || (known.is_none() && self.rows.len() >= self.limits.rows) {
-            return Some(Refused::Full);
+        let lived_s = wall.saturating_sub(of.incarnation) / SECOND_NS + CLOCK_AHEAD_S;
+        let count_max = self.limits.rate_max.saturating_mul(lived_s);
+        if row.counts.values().any(|count| *count > count_max) {
+            return Err(RejectedRow::Implausible);
         }
-        // A clock ahead by a minute is believed.
-        let lived = wall.saturating_sub(of.incarnation) / 1_000_000_000 + 60;
-        let most = self.limits.rate_max.saturating_mul(lived);
-        row.of.values().any(|count| *count > most).then_some(Refused::Absurd)
+        Ok(())
     }
 
-    /// What is known of so many servers' lives from the one at `start` on (around the end of the list it
-    /// stops), to compare with another's; and where it stops.
-    pub fn digest(&self, start: usize, most: usize) -> (Vec<(ServerId, u64)>, Option<ServerId>) {
+    /// The versions of at most `rows_max` rows from the one at index `start` on.
+    pub fn digest(&self, start: usize, rows_max: usize) -> Digest {
         let mut rows = self.rows.iter().skip(start);
-        let known = rows.by_ref().take(most).map(|(who, row)| (who.clone(), row.version())).collect();
-        (known, rows.next().map(|(who, _)| who.clone()))
+        let part = rows.by_ref().take(rows_max);
+        let versions = part.map(|(server, row)| (server.clone(), row.version())).collect();
+        Digest { versions, end: rows.next().map(|(server, _)| server.clone()) }
     }
 
-    /// The lives from one to before another, either end open where absent.
-    fn between<'a>(
+    /// Rows from `start` to before `end`, either open where absent.
+    fn range<'a>(
         &'a self,
-        from: &'a Option<ServerId>,
-        before: &'a Option<ServerId>,
-    ) -> impl Iterator<Item = (&'a ServerId, &'a Row)> {
-        let first = from.as_ref().map_or(Bound::Unbounded, Bound::Included);
+        start: &'a Option<ServerId>,
+        end: &'a Option<ServerId>,
+    ) -> impl Iterator<Item = (&'a ServerId, &'a CounterRow)> {
+        let first = start.as_ref().map_or(Bound::Unbounded, Bound::Included);
         let rows = self.rows.range::<ServerId, _>((first, Bound::Unbounded));
-        rows.take_while(|(who, _)| before.as_ref().is_none_or(|before| *who < before))
+        rows.take_while(|(server, _)| end.as_ref().is_none_or(|end| *server < end))
     }
 
-    /// Rows between both of which a holder of that digest knows less, and the digest of this one there.
+    /// Compares the part from `start` to before `end` with another server's versions of it.
     pub fn compare(
         &self,
-        from: &Option<ServerId>,
-        before: &Option<ServerId>,
+        start: &Option<ServerId>,
+        end: &Option<ServerId>,
         theirs: &[(ServerId, u64)],
-    ) -> (Rows, Versions) {
-        let theirs: BTreeMap<&ServerId, u64> = theirs.iter().map(|(who, version)| (who, *version)).collect();
-        let more = |who: &ServerId, row: &Row| {
-            theirs.get(who).is_none_or(|version| row.version() > *version) && !row.of.is_empty()
-        };
-        let newer = self.between(from, before).filter(|(who, row)| more(who, row));
-        let newer = newer.map(|(who, row)| (who.clone(), row.clone())).collect();
-        let mine = self.between(from, before).map(|(who, row)| (who.clone(), row.version())).collect();
-        (newer, mine)
-    }
-
-    /// The fleet's total of a key, as far as heard.
+    ) -> Comparison {
+        let theirs: BTreeMap<&ServerId, u64> =
+            theirs.iter().map(|(server, version)| (server, *version)).collect();
+        let mut newer = Vec::new();
+        let mut versions = Vec::new();
+        for (server, row) in self.range(start, end) {
+            let version = row.version();
+            let is_newer = theirs.get(server).is_none_or(|known| version > *known);
+            if is_newer && !row.counts.is_empty() {
+                newer.push((server.clone(), row.clone()));
+            }
+            versions.push((server.clone(), version));
+        }
+        Comparison { newer, versions }
+    }
+
+    /// The fleet's total of a key, as far as received.
     pub fn total(&self, key: &str) -> u64 {
-        let of_key = self.rows.values().filter_map(|row| row.of.get(key));
-        of_key.fold(0, |sum, count| sum.saturating_add(*count))
+        self.rows.values().fold(0, |sum, row| sum.saturating_add(row.get(key)))
     }
 
     /// All totals, in the order of their keys.
     pub fn totals(&self) -> BTreeMap<&str, u64> {
         let mut totals: BTreeMap<&str, u64> = BTreeMap::new();
-        for (key, count) in self.rows.values().flat_map(|row| &row.of) {
+        for (key, count) in self.rows.values().flat_map(|row| &row.counts) {
             let total = totals.entry(key).or_default();
             *total = total.saturating_add(*count);
         }
         totals
     }
 
+    /// Incarnations of servers that are remembered.
     pub fn rows(&self) -> usize {
         self.rows.len()
     }
 
-    /// Takes a later incarnation: the old row stays, as that of a life that is over.
+    /// Takes a later incarnation; the old row stays, as that of an incarnation that has ended.
     pub fn renew(&mut self, incarnation: u64) {
-        self.me.incarnation = incarnation;
-        self.rows.entry(self.me.clone()).or_default();
+        self.id.incarnation = incarnation;
+        self.rows.entry(self.id.clone()).or_default();
     }
 }
--- /dev/null
+++ b/crates/shared-state/src/outlier_detection/evidence.rs
@@ -0,0 +1,103 @@
+//! What one server's own calls say of each service: decaying sums of calls, failures and durations.
+
+use super::report::ServiceHealth;
+use crate::clock::Nanos;
+
+/// Fewest calls, decayed, on which a service is found unhealthy.
+const CALLS_MIN: f64 = 5.0;
+/// Share of failed calls from which a service is failing.
+const FAILING_SHARE: f64 = 0.5;
+/// A service is slow whose mean duration is this many times the median of the others.
+const SLOW_RATIO: f64 = 4.0;
+
+/// Decayed sums of the calls to one service.
+#[derive(Clone, Copy, Debug, Default)]
+struct CallStatistics {
+    calls: f64,
+    failures: f64,
+    /// Sum of durations, in nanoseconds.
+    duration: f64,
+    updated_at: Nanos,
+}
+
+impl CallStatistics {
+    /// The same as of `now`.
+    fn decayed(mut self, now: Nanos, half_life: Nanos) -> CallStatistics {
+        let remaining = (-(now.saturating_sub(self.updated_at) as f64) / half_life as f64).exp2();
+        self.calls *= remaining;
+        self.failures *= remaining;
+        self.duration *= remaining;
+        self.updated_at = now;
+        self
+    }
+
+    fn mean_duration(&self) -> f64 {
+        self.duration / self.calls
+    }
+}
+
+/// Evidence on all services of a tier; times are nanoseconds of the fast clock.
+#[derive(Clone, Debug)]
+pub(super) struct Evidence {
+    services: Vec<CallStatistics>,
+    half_life: Nanos,
+}
+
+impl Evidence {
+    pub fn new(services: usize, half_life: Nanos) -> Evidence {
+        Evidence { services: vec![CallStatistics::default(); services], half_life }
+    }
+
+    /// Services of the tier.
+    pub fn services(&self) -> usize {
+        self.services.len()
+    }
+
+    pub fn record_call(&mut self, now: Nanos, service: usize, succeeded: bool, duration: Nanos) {
+        let half_life = self.half_life;
+        let Some(statistics) = self.services.get_mut(service) else { return };
+        *statistics = statistics.decayed(now, half_life);
+        statistics.calls += 1.0;
+        statistics.failures += f64::from(!succeeded);
+        statistics.duration += duration as f64;
+    }
+
+    /// Whether a healthy service would have answered within the duration: it is as long as a slow one's mean.
+    pub fn is_slow(&self, duration: Nanos) -> bool {
+        let (mut calls, mut total_duration) = (0.0, 0.0);
+        for statistics in self.services.iter().filter(|statistics| statistics.calls >= CALLS_MIN) {
+            calls += statistics.calls;
+            total_duration += statistics.duration;
+        }
+        calls > 0.0 && duration as f64 > total_duration / calls * SLOW_RATIO
+    }
+
+    /// Health of a service by these calls; healthy where they are too few.
+    pub fn health(&self, now: Nanos, service: usize) -> ServiceHealth {
+        let Some(statistics) = self.services.get(service) else { return ServiceHealth::Healthy };
+        let statistics = statistics.decayed(now, self.half_life);
+        if statistics.calls < CALLS_MIN {
+            return ServiceHealth::Healthy;
+        }
+        if statistics.failures >= statistics.calls * FAILING_SHARE {
+            return ServiceHealth::Failing;
+        }
+        if statistics.mean_duration() > self.median_duration_of_others(now, service) * SLOW_RATIO {
+            return ServiceHealth::Slow;
+        }
+        ServiceHealth::Healthy
+    }
+
+    /// Median of the other services' mean durations, in nanoseconds; infinite where there are too few calls.
+    fn median_duration_of_others(&self, now: Nanos, service: usize) -> f64 {
+        let mut durations = Vec::new();
+        for (index, statistics) in self.services.iter().enumerate() {
+            let statistics = statistics.decayed(now, self.half_life);
+            if index != service && statistics.calls >= CALLS_MIN {
+                durations.push(statistics.mean_duration());
+            }
+        }
+        durations.sort_by(f64::total_cmp);
+        durations.get(durations.len() / 2).copied().unwrap_or(f64::INFINITY)
+    }
+}
--- a/crates/shared-state/src/permits.rs
+++ b/crates/shared-state/src/permits.rs
@@ -1,68 +1,85 @@
-//! Units in use at one server of a budget of units at once: each call holds one until it has ended, and one
-//! that was given up holds it for the longest it may still go on below.
+//! Units of a budget that one server uses. Each call holds one until it has ended; a call that was abandoned
+//! holds it for the longest time that it may still go on at the service.
 
 use crate::clock::{Nanos, Time};
 use std::collections::{BTreeMap, VecDeque};
 
+/// A number of units and when it was noted, by the fast clock.
+#[derive(Clone, Copy, Debug, Default)]
+struct Noted {
+    units: u64,
+    at: Nanos,
+}
+
+impl Noted {
+    fn is_older_than(&self, age: Nanos, time: Time) -> bool {
+        time.fast >= self.at.saturating_add(age)
+    }
+}
+
+/// Permits of the calls of one server.
 #[derive(Clone, Debug, Default)]
 pub struct Permits {
+    /// Start of each open call by its number, by the slow clock.
     open: BTreeMap<u64, Nanos>,
-    /// When those given up are surely over, by the slow clock.
-    lingering: VecDeque<Nanos>,
-    /// How many waited when one was refused last, and when that was.
-    waiting: (u64, Nanos),
-    /// Most in use of late.
-    peak: (u64, Nanos),
+    /// When abandoned calls are certainly over, by the slow clock; in order.
+    abandoned_until: VecDeque<Nanos>,
+    /// Calls that waited when one was last refused.
+    waiting: Noted,
+    /// Most units in use of late.
+    peak: Noted,
+    /// Calls refused since the start.
     pub refused: u64,
 }
 
 impl Permits {
-    pub fn taken(&mut self, time: Time, call: u64) {
+    /// A call begins; `call` is its number.
+    pub fn acquire(&mut self, time: Time, call: u64) {
         self.open.insert(call, time.slow);
-        let uses = self.uses(time);
-        if uses >= self.peak.0 {
-            self.peak = (uses, time.fast);
+        let units = self.in_use(time);
+        if units >= self.peak.units {
+            self.peak = Noted { units, at: time.fast };
         }
     }
 
-    /// Over, as far as this side goes. `surely` where the other side is known to be done with it, too;
-    /// otherwise it may go on until `use_most` after it began.
-    pub fn ended(&mut self, call: u64, surely: bool, use_most: Nanos) {
-        if let Some(began) = self.open.remove(&call)
-            && !surely
-        {
-            let until = began + use_most;
-            let at = self.lingering.partition_point(|other| *other <= until);
-            self.lingering.insert(at, until);
+    /// A call has ended at this server. Where it is not `certain` that the service has ended it, too, its unit
+    /// stays in use until `use_max` nanoseconds after its start.
+    pub fn release(&mut self, call: u64, certain: bool, use_max: Nanos) {
+        let Some(started_at) = self.open.remove(&call) else { return };
+        if certain {
+            return;
         }
+        let until = started_at + use_max;
+        let index = self.abandoned_until.partition_point(|other| *other <= until);
+        self.abandoned_until.insert(index, until);
     }
 
-    /// One was refused while so many waited.
+    /// A call was refused while `waiting` calls waited.
     pub fn refuse(&mut self, time: Time, waiting: u64) {
         self.refused += 1;
-        self.waiting = (waiting, time.fast);
+        self.waiting = Noted { units: waiting, at: time.fast };
     }
 
-    pub fn uses(&mut self, time: Time) -> u64 {
-        while self.lingering.front().is_some_and(|until| *until <= time.slow) {
-            self.lingering.pop_front();
+    /// Units in use now.
+    pub fn in_use(&mut self, time: Time) -> u64 {
+        while self.abandoned_until.front().is_some_and(|until| *until <= time.slow) {
+            self.abandoned_until.pop_front();
         }
-        (self.open.len() + self.lingering.len()) as u64
+        (self.open.len() + self.abandoned_until.len()) as u64
     }
 
-    /// What is worth asking for: the most in use of late. Where one was refused, also what waits
-    /// and a quarter
-    /// more and one, so that one that grows need not ask for every unit; a quarter more for all left half of
-    /// the budget lying where most servers want little.
-    pub fn wants(&mut self, time: Time, lately: Nanos) -> u64 {
-        let uses = self.uses(time);
-        if time.fast >= self.peak.1.saturating_add(lately) {
-            self.peak = (uses, time.fast);
+    /// Units to ask for: the most in use within the last `recent` nanoseconds. Where a call was refused within
+    /// them, also those that wait, and a quarter more and one, so that a growing server does not ask for every
+    /// unit; a server that is refused nothing asks for no more than it uses, and leaves the rest to others.
+    pub fn wanted(&mut self, time: Time, recent: Nanos) -> u64 {
+        let in_use = self.in_use(time);
+        if self.peak.is_older_than(recent, time) {
+            self.peak = Noted { units: in_use, at: time.fast };
         }
-        if self.waiting.0 == 0 || time.fast >= self.waiting.1.saturating_add(lately) {
-            return uses.max(self.peak.0);
+        if self.waiting.units == 0 || self.waiting.is_older_than(recent, time) {
+            return in_use.max(self.peak.units);
         }
-        let wants = uses.saturating_add(self.waiting.0).max(self.peak.0);
-        wants.saturating_add(wants / 4 + 1)
+        let wanted = in_use.saturating_add(self.waiting.units).max(self.peak.units);
+        wanted.saturating_add(wanted / 4 + 1)
     }
 }
--- /dev/null
+++ b/crates/shared-state/src/simulation/mod.rs
@@ -0,0 +1,285 @@
+//! A fleet of [`SharedState`]s on a simulated network in simulated time, deterministic from its seed, around one
+//! dependency that counts at every moment how many calls are in progress. For tests and the figures of
+//! `docs/shared-state.md`.
+
+mod clocks;
+mod events;
+mod network;
+mod random;
+mod server;
+
+use crate::SharedState;
+use crate::clock::Nanos;
+use crate::server_id::ServerId;
+use crate::settings::Settings;
+pub use clocks::{ClockRates, EPOCH};
+use events::{Event, EventQueue};
+pub use network::NetworkFaults;
+use network::Partitions;
+use random::Random;
+use server::Server;
+use std::collections::{BTreeMap, HashMap};
+
+const MILLISECOND_NS: Nanos = 1_000_000;
+/// How long a call to the dependency takes at first, in nanoseconds.
+const CALL_DURATION_NS: Nanos = 50 * MILLISECOND_NS;
+/// Events of a server that starts begin within so long, and a server without demand looks again after it.
+const IDLE_INTERVAL_NS: Nanos = 50 * MILLISECOND_NS;
+/// Up to so many servers each is advanced more often and knows all that live.
+const SMALL_FLEET: usize = 64;
+const SMALL_FLEET_INTERVAL_NS: Nanos = 25 * MILLISECOND_NS;
+const LARGE_FLEET_INTERVAL_NS: Nanos = 100 * MILLISECOND_NS;
+/// Members that a server of a large fleet knows of at a time.
+const LARGE_FLEET_MEMBERS: usize = 4;
+
+/// The fleet, its network and the dependency. Servers are given by their index; server `i` is named `s{i}`.
+pub struct Fleet {
+    settings: Settings,
+    servers: Vec<Server>,
+    indices: HashMap<String, usize>,
+    partitions: Partitions,
+    events: EventQueue,
+    random: Random,
+    /// True time since the start, in nanoseconds.
+    now: Nanos,
+    /// How the network treats messages.
+    pub network: NetworkFaults,
+    /// How long a call to the dependency takes, in nanoseconds.
+    pub call_duration: Nanos,
+    /// Calls in progress at the dependency.
+    pub in_use: u64,
+    /// Most calls that were ever in progress at the same time.
+    pub in_use_max: u64,
+    /// Calls in progress, integrated over time, since [`Fleet::mean_use`] was last called.
+    use_integral: u128,
+    calls: u64,
+    /// Calls refused by the servers.
+    pub refused: u64,
+    /// Calls that the dependency received, by server.
+    pub served: BTreeMap<usize, u64>,
+}
+
+impl Fleet {
+    /// A fleet of `servers` servers, none of which runs.
+    pub fn new(servers: usize, settings: Settings, seed: u64, network: NetworkFaults) -> Fleet {
+        Fleet {
+            settings,
+            servers: (0..servers).map(|_| Server::new()).collect(),
+            indices: (0..servers).map(|index| (name(index), index)).collect(),
+            partitions: Partitions::default(),
+            events: EventQueue::default(),
+            random: Random::new(seed),
+            now: 0,
+            network,
+            call_duration: CALL_DURATION_NS,
+            in_use: 0,
+            in_use_max: 0,
+            use_integral: 0,
+            calls: 0,
+            refused: 0,
+            served: BTreeMap::new(),
+        }
+    }
+
+    /// True time since the start, in nanoseconds.
+    pub fn now(&self) -> Nanos {
+        self.now
+    }
+
+    /// Starts a server.
+    pub fn start(&mut self, index: usize) {
+        let incarnation = self.servers[index].clocks.read(self.now).wall;
+        self.start_as(index, ServerId { name: name(index), incarnation });
+    }
+
+    /// Starts a server with the given identity, such as that of an earlier incarnation.
+    pub fn start_as(&mut self, index: usize, id: ServerId) {
+        let reading = self.servers[index].clocks.read(self.now);
+        let seed = self.random.next_u64();
+        let state = SharedState::new(id, self.settings.clone(), seed, reading)
+            .expect("the settings of a simulation are valid");
+        let incarnation = self.servers[index].start(state);
+        let first = self.random.below(IDLE_INTERVAL_NS);
+        self.schedule(first, Event::Advance { server: index, incarnation });
+        self.schedule(first, Event::Arrival { server: index, incarnation });
+    }
+
+    /// Kills a server. Its calls to the dependency go on until they end there.
+    pub fn crash(&mut self, index: usize) {
+        self.servers[index].state = None;
+    }
+
+    /// Stops a server's process, or lets it go on.
+    pub fn stall(&mut self, index: usize, stalled: bool) {
+        self.servers[index].stalled = stalled;
+    }
+
+    /// Lets a server's clocks run otherwise from now on.
+    pub fn set_clocks(&mut self, index: usize, rates: ClockRates) {
+        self.servers[index].clocks.set_rates(self.now, rates);
+    }
+
+    /// Sets how many calls a second a server is asked for.
+    pub fn demand(&mut self, index: usize, calls_per_second: f64) {
+        self.servers[index].demand = calls_per_second;
+    }
+
+    /// Puts a server in a group of the network; all begin in group 0.
+    pub fn group(&mut self, index: usize, group: u32) {
+        self.servers[index].group = group;
+    }
+
+    /// Cuts two groups apart.
+    pub fn partition(&mut self, group: u32, other: u32) {
+        self.partitions.cut(group, other);
+    }
+
+    /// Joins all groups.
+    pub fn heal(&mut self) {
+        self.partitions.heal();
+    }
+
+    /// State of a server that runs.
+    pub fn state(&self, index: usize) -> Option<&SharedState> {
+        self.servers[index].state.as_ref()
+    }
+
+    /// The same, to change.
+    pub fn state_mut(&mut self, index: usize) -> Option<&mut SharedState> {
+        self.servers[index].state.as_mut()
+    }
+
+    /// Delivers a body to a server now, as if a peer had sent it.
+    pub fn inject(&mut self, to: usize, body: Vec<u8>) {
+        self.schedule(0, Event::Message { to, body });
+    }
+
+    /// Mean number of calls in progress from `since`, when this was last called, until now.
+    pub fn mean_use(&mut self, since: Nanos) -> f64 {
+        let mean = self.use_integral as f64 / (self.now - since).max(1) as f64;
+        self.use_integral = 0;
+        mean
+    }
+
+    /// Plays up to a point in true time.
+    pub fn run_until(&mut self, until: Nanos) {
+        while let Some((at, event)) = self.events.pop(until) {
+            self.pass_time(at);
+            self.handle(event);
+        }
+        self.pass_time(until);
+    }
+
+    fn pass_time(&mut self, to: Nanos) {
+        self.use_integral += u128::from(self.in_use) * u128::from(to - self.now);
+        self.now = to;
+    }
+
+    fn schedule(&mut self, after: Nanos, event: Event) {
+        self.events.schedule(self.now + after, event);
+    }
+
+    fn reaches(&self, from: usize, to: usize) -> bool {
+        self.partitions.are_connected(self.servers[from].group, self.servers[to].group)
+    }
+
+    /// Puts a server's outgoing messages on the network.
+    fn send_outgoing(&mut self, from: usize) {
+        let Some(state) = self.servers[from].state.as_mut() else { return };
+        for (name, body) in state.outgoing() {
+            let Some(&to) = self.indices.get(&name) else { continue };
+            if !self.reaches(from, to) {
+                continue;
+            }
+            for delay in self.network.delays(&mut self.random) {
+                self.schedule(delay, Event::Message { to, body: body.clone() });
+            }
+        }
+    }
+
+    fn handle(&mut self, event: Event) {
+        match event {
+            Event::Message { to, body } => {
+                if self.servers[to].receive(self.now, &body) {
+                    self.send_outgoing(to);
+                }
+            }
+            Event::Advance { server, incarnation } => {
+                if self.servers[server].incarnation == incarnation {
+                    let small = self.servers.len() <= SMALL_FLEET;
+                    let interval = if small { SMALL_FLEET_INTERVAL_NS } else { LARGE_FLEET_INTERVAL_NS };
+                    self.schedule(interval, Event::Advance { server, incarnation });
+                    self.advance(server);
+                }
+            }
+            Event::Arrival { server, incarnation } => {
+                if self.servers[server].incarnation == incarnation {
+                    self.handle_arrival(server, incarnation);
+                }
+            }
+            Event::CallEnd { server, incarnation, call } => {
+                self.in_use -= 1;
+                self.servers[server].end_call(incarnation, call);
+            }
+        }
+    }
+
+    fn advance(&mut self, index: usize) {
+        let alive = self.living_members(index);
+        if self.servers[index].advance(self.now, &alive) {
+            self.send_outgoing(index);
+        }
+    }
+
+    /// Members that a server holds alive: in a small fleet those that it reaches, as an ideal membership would
+    /// say; in a large one a few at random.
+    fn living_members(&mut self, index: usize) -> Vec<String> {
+        let mut members = Vec::new();
+        if self.servers.len() <= SMALL_FLEET {
+            for other in 0..self.servers.len() {
+                if other != index && self.servers[other].state.is_some() && self.reaches(index, other) {
+                    members.push(name(other));
+                }
+            }
+            return members;
+        }
+        for _ in 0..LARGE_FLEET_MEMBERS {
+            let other = self.random.below(self.servers.len() as u64) as usize;
+            if other != index {
+                members.push(name(other));
+            }
+        }
+        members
+    }
+
+    fn handle_arrival(&mut self, server: usize, incarnation: u64) {
+        let demand = self.servers[server].demand;
+        let interval = if demand > 0.0 { self.random.interarrival(demand) } else { IDLE_INTERVAL_NS };
+        self.schedule(interval.max(1), Event::Arrival { server, incarnation });
+        if demand > 0.0 {
+            self.call(server, incarnation);
+        }
+    }
+
+    /// Calls the dependency, if the server's budget allows it.
+    fn call(&mut self, server: usize, incarnation: u64) {
+        let call = self.calls + 1;
+        match self.servers[server].try_call(self.now, call) {
+            None => return,
+            Some(false) => {
+                self.refused += 1;
+                return;
+            }
+            Some(true) => {}
+        }
+        self.calls = call;
+        *self.served.entry(server).or_default() += 1;
+        self.in_use += 1;
+        self.in_use_max = self.in_use_max.max(self.in_use);
+        self.schedule(self.call_duration, Event::CallEnd { server, incarnation, call });
+    }
+}
+
+fn name(index: usize) -> String {
+    format!("s{index}")
+}
--- /dev/null
+++ b/crates/shared-state/src/state.rs
@@ -0,0 +1,310 @@
+//! One server's part in all that is shared: hands messages to the budgets, counters and outlier detection, and
+//! gossips for them.
+
+use crate::NAME_MAX;
+use crate::budget::{Budget, Outgoing};
+use crate::clock::{DriftClock, Nanos, Reading, Time};
+use crate::counters::{CounterRow, FleetCounters, RejectedRow};
+use crate::message::{Message, Payload, ReceiveError};
+use crate::outlier_detection::OutlierDetector;
+use crate::packing::{pack, split_row};
+use crate::server_id::ServerId;
+use crate::settings::{Settings, SettingsError};
+use rand_chacha::ChaCha8Rng;
+use rand_chacha::rand_core::{Rng, SeedableRng};
+use serde::Serialize;
+
+/// Versions in one digest: with names of 64 bytes and 20 bytes of numbers, so many fit a datagram of 1,400.
+const DIGEST_ROWS_MAX: usize = 16;
+/// Most datagrams of rows that answer one digest.
+const ROW_DATAGRAMS_MAX: usize = 32;
+/// Members that reports are sent to in each round of gossip.
+const REPORT_FANOUT: usize = 3;
+/// Most messages of other topics that wait for [`SharedState::take_received`].
+const OTHERS_MAX: usize = 1024;
+/// Bytes of a message beside its list: numbers and lengths.
+const HEADER_BYTES: usize = 64;
+/// Names in a message beside its list.
+const HEADER_NAMES: usize = 4;
+
+/// Messages since the start.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
+pub struct MessageCounters {
+    /// Messages sent.
+    pub sent: u64,
+    /// Bytes of their bodies.
+    pub sent_bytes: u64,
+    /// Messages received.
+    pub received: u64,
+    /// Of these, dropped: see [`ReceiveError`].
+    pub malformed: u64,
+}
+
+/// A message of another topic that has been received.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ReceivedOther {
+    /// The sender.
+    pub from: ServerId,
+    /// Which part of the program it is for.
+    pub topic: u16,
+    /// The message as that part encodes it.
+    pub body: Vec<u8>,
+}
+
+/// One server's part in all that is shared: a state machine without I/O. Readings of the clocks, the living
+/// members and messages go in; messages to send come out.
+pub struct SharedState {
+    id: ServerId,
+    settings: Settings,
+    clock: DriftClock,
+    time: Time,
+    /// The wall clock at the last reading, in nanoseconds since the epoch.
+    wall: Nanos,
+    /// Budgets, in the order of the settings.
+    pub budgets: Vec<Budget>,
+    /// The fleet's counters.
+    pub counters: FleetCounters,
+    /// Outlier detection in the tier below, if any.
+    pub outlier_detector: Option<OutlierDetector>,
+    /// By the fast clock.
+    next_gossip_at: Nanos,
+    rng: ChaCha8Rng,
+    outgoing: Vec<(String, Vec<u8>)>,
+    received_others: Vec<ReceivedOther>,
+    /// Messages since the start.
+    pub messages: MessageCounters,
+}
+
+impl SharedState {
+    /// The part of the server `id`. All random choices come from `seed`.
+    ///
+    /// # Errors
+    /// A setting that cannot be used.
+    pub fn new(
+        id: ServerId,
+        settings: Settings,
+        seed: u64,
+        reading: Reading,
+    ) -> Result<SharedState, SettingsError> {
+        settings.check()?;
+        let mut clock = DriftClock::default();
+        let time = clock.read(reading);
+        let mut budgets = Vec::with_capacity(settings.budgets.len());
+        for budget in &settings.budgets {
+            let name = || budget.name.clone();
+            let budget = Budget::new(id.clone(), budget.clone(), time);
+            budgets.push(budget.map_err(|fault| SettingsError::Budget { name: name(), fault })?);
+        }
+        let detection = settings.outlier_detection.clone();
+        Ok(SharedState {
+            budgets,
+            counters: FleetCounters::new(id.clone(), settings.counters),
+            outlier_detector: detection.map(|it| OutlierDetector::new(id.clone(), it)).transpose()?,
+            next_gossip_at: time.fast,
+            rng: ChaCha8Rng::seed_from_u64(seed),
+            outgoing: Vec::new(),
+            received_others: Vec::new(),
+            messages: MessageCounters::default(),
+            wall: reading.wall,
+            id,
+            settings,
+            clock,
+            time,
+        })
+    }
+
+    /// This server.
+    pub fn id(&self) -> &ServerId {
+        &self.id
+    }
+
+    /// Takes a reading of the clocks, and returns the time.
+    pub fn read(&mut self, reading: Reading) -> Time {
+        self.time = self.clock.read(reading);
+        self.wall = reading.wall;
+        self.time
+    }
+
+    /// The time of the last reading.
+    pub fn time(&self) -> Time {
+        self.time
+    }
+
+    /// Readings at which the two clocks disagreed.
+    pub fn clock_disagreements(&self) -> u64 {
+        self.clock.disagreements
+    }
+
+    /// Does what is due; `alive` are the names of the other members that the fleet's view holds alive.
+    pub fn advance(&mut self, reading: Reading, alive: &[String]) {
+        let time = self.read(reading);
+        for index in 0..self.budgets.len() {
+            let draw = self.rng.next_u64();
+            let outgoing = self.budgets[index].advance(time, draw);
+            self.send_budget_messages(index, outgoing);
+        }
+        if time.fast >= self.next_gossip_at {
+            let jitter = self.settings.gossip_interval / 4;
+            self.next_gossip_at =
+                time.fast + self.settings.gossip_interval - jitter / 2 + self.random_below(jitter);
+            self.gossip(alive);
+        }
+    }
+
+    /// When [`SharedState::advance`] is to be called again, in nanoseconds from now at most.
+    pub fn due_in(&self) -> Nanos {
+        let requests = self.budgets.iter().map(|budget| budget.settings().refresh_interval / 2).min();
+        requests.unwrap_or(Nanos::MAX).min(self.settings.gossip_interval / 2).max(1)
+    }
+
+    /// A number under `bound`; 0 where that is 0.
+    fn random_below(&mut self, bound: u64) -> u64 {
+        if bound == 0 { 0 } else { self.rng.next_u64() % bound }
+    }
+
+    fn random_member(&mut self, alive: &[String]) -> String {
+        alive[self.random_below(alive.len() as u64) as usize].clone()
+    }
+
+    /// Sends a digest to one member and reports to a few.
+    fn gossip(&mut self, alive: &[String]) {
+        if alive.is_empty() {
+            return;
+        }
+        let member = self.random_member(alive);
+        self.send_digest(&member);
+        let Some(detector) = &self.outlier_detector else { return };
+        let reports = detector.reports(self.time);
+        for _ in 0..REPORT_FANOUT.min(alive.len()) {
+            let member = self.random_member(alive);
+            for part in pack(&reports, self.list_size_max()) {
+                self.send(&member, Payload::Reports(part));
+            }
+        }
+    }
+
+    /// Bytes that a list in a message may take.
+    fn list_size_max(&self) -> usize {
+        self.settings.body_max - HEADER_NAMES * NAME_MAX - HEADER_BYTES
+    }
+
+    /// Sends a digest of one part of all rows, another part each time: the cost of a round does not grow with
+    /// the fleet.
+    fn send_digest(&mut self, to: &str) {
+        let parts = self.counters.rows().div_ceil(DIGEST_ROWS_MAX) as u64;
+        let first_row = self.random_below(parts) as usize * DIGEST_ROWS_MAX;
+        let digest = self.counters.digest(first_row, DIGEST_ROWS_MAX);
+        let start = digest.versions.first().filter(|_| first_row > 0).map(|(server, _)| server.clone());
+        let payload =
+            Payload::Digest { start, end: digest.end, versions: digest.versions, wants_reply: true };
+        self.send(to, payload);
+    }
+
+    fn send_budget_messages(&mut self, budget: usize, outgoing: Vec<Outgoing>) {
+        for Outgoing { to, message } in outgoing {
+            let name = self.budgets[budget].settings().name.clone();
+            self.send(&to, Payload::Budget { name, message });
+        }
+    }
+
+    fn send(&mut self, to: &str, payload: Payload) {
+        let body = Message { from: self.id.clone(), payload }.encode();
+        self.messages.sent += 1;
+        self.messages.sent_bytes += body.len() as u64;
+        self.outgoing.push((to.to_string(), body));
+    }
+
+    /// Sends a message of another topic.
+    pub fn send_other(&mut self, to: &str, topic: u16, body: Vec<u8>) {
+        self.send(to, Payload::Other { topic, body });
+    }
+
+    /// Messages of other topics received since the last call.
+    pub fn take_received(&mut self) -> Vec<ReceivedOther> {
+        std::mem::take(&mut self.received_others)
+    }
+
+    /// Messages to send since the last call, each with the name of the member that it goes to.
+    pub fn outgoing(&mut self) -> Vec<(String, Vec<u8>)> {
+        std::mem::take(&mut self.outgoing)
+    }
+
+    /// Handles a message that an authenticated peer has sent.
+    ///
+    /// # Errors
+    /// The message is dropped and counted.
+    pub fn receive(&mut self, reading: Reading, body: &[u8]) -> Result<(), ReceiveError> {
+        let time = self.read(reading);
+        self.messages.received += 1;
+        let result = Message::decode(body).and_then(|message| self.handle(time, message));
+        self.messages.malformed += u64::from(result.is_err());
+        result
+    }
+
+    fn handle(&mut self, time: Time, message: Message) -> Result<(), ReceiveError> {
+        let Message { from, payload } = message;
+        match payload {
+            Payload::Budget { name, message } => {
+                let index = self.budgets.iter().position(|budget| budget.settings().name == name);
+                let Some(index) = index else { return Err(ReceiveError::UnknownBudget { name }) };
+                let outgoing = self.budgets[index].receive(time, &from, message);
+                self.send_budget_messages(index, outgoing);
+            }
+            Payload::Digest { start, end, versions, wants_reply } => {
+                self.handle_digest(&from, start, end, &versions, wants_reply);
+            }
+            Payload::Rows(rows) => self.merge_rows(&rows),
+            Payload::Reports(reports) => {
+                if let Some(detector) = &mut self.outlier_detector {
+                    detector.merge_reports(time, &reports);
+                }
+            }
+            Payload::Other { topic, body } => {
+                let waiting = self.received_others.len();
+                if waiting >= OTHERS_MAX {
+                    return Err(ReceiveError::TooManyWaiting { topic, waiting });
+                }
+                self.received_others.push(ReceivedOther { from, topic, body });
+            }
+        }
+        Ok(())
+    }
+
+    /// Answers a digest with the rows of which its sender knows less, and with this server's digest of the
+    /// same part, as far as one message holds it.
+    fn handle_digest(
+        &mut self,
+        from: &ServerId,
+        start: Option<ServerId>,
+        end: Option<ServerId>,
+        theirs: &[(ServerId, u64)],
+        wants_reply: bool,
+    ) {
+        let comparison = self.counters.compare(&start, &end, theirs);
+        let size_max = self.list_size_max();
+        let mut rows = Vec::new();
+        for (server, row) in &comparison.newer {
+            rows.extend(split_row(server, row, size_max / 2));
+        }
+        for part in pack(&rows, size_max).into_iter().take(ROW_DATAGRAMS_MAX) {
+            self.send(&from.name, Payload::Rows(part));
+        }
+        if wants_reply {
+            let mut versions = comparison.versions;
+            let first_beyond = versions.get(DIGEST_ROWS_MAX).map(|(server, _)| server.clone());
+            versions.truncate(DIGEST_ROWS_MAX);
+            let end = first_beyond.or(end);
+            self.send(&from.name, Payload::Digest { start, end, versions, wants_reply: false });
+        }
+    }
+
+    /// Merges rows. A row of this server's own that is ahead of its counts makes it take a later incarnation,
+    /// so that what it counts from now on is not hidden below the old counts.
+    fn merge_rows(&mut self, rows: &[(ServerId, CounterRow)]) {
+        for (server, row) in rows {
+            if self.counters.merge(server, row, self.wall) == Err(RejectedRow::Own) {
+                self.counters.renew(self.wall.max(self.id.incarnation) + 1);
+            }
+        }
+    }
+}
--- a/crates/shared-state/tests/fixed_bytes.rs
+++ b/crates/shared-state/tests/fixed_bytes.rs
@@ -1,7 +1,7 @@
 //! Messages have the bytes that release 0.2.0 (commit 22d0bb6) wrote, and are read back to the same.
 
-use meadowstream_shared_state::budget::{BudgetMessage, Term};
-use meadowstream_shared_state::counters::Row;
+use meadowstream_shared_state::budget::{BudgetMessage, GrantId, Term};
+use meadowstream_shared_state::counters::CounterRow;
 use meadowstream_shared_state::outlier_detection::{Report, ServiceHealth};
 use meadowstream_shared_state::{ABOUTS, Message, ORDER_REPORTS, ORDERS, Payload, REPLICATION, ServerId};
 use meadowstream_wire_fixtures::Fixtures;
@@ -10,21 +10,23 @@
     ServerId { name: name.into(), incarnation: 1_700_000_000_000_000_000 }
 }
 
-fn budget(say: BudgetMessage) -> Payload {
-    Payload::Budget { name: "records".into(), say }
+fn budget(message: BudgetMessage) -> Payload {
+    Payload::Budget { name: "records".into(), message }
 }
 
-fn report(service: u32, verdict: ServiceHealth) -> Report {
-    Report { by: server("s2"), service, verdict, age: 1_500_000_000 }
+fn report(service: u32, health: ServiceHealth) -> Report {
+    Report { by: server("s2"), service, health, age: 1_500_000_000 }
 }
 
-fn row() -> Row {
-    Row { of: [("succeeded/basic".to_string(), 300), ("throttled/premium/a".to_string(), 2)].into() }
+fn row() -> CounterRow {
+    CounterRow {
+        counts: [("succeeded/basic".to_string(), 300), ("throttled/premium/a".to_string(), 2)].into(),
+    }
 }
 
 fn contents() -> Vec<(&'static str, Payload)> {
     let term = Term { incarnation: 1_700_000_000_000_000_001, rank: 2, election: 3 };
-    let known = vec![(server("s1"), 17), (server("s2"), 400)];
+    let versions = vec![(server("s1"), 17), (server("s2"), 400)];
     let reports = vec![
         report(0, ServiceHealth::Healthy),
         report(1, ServiceHealth::Slow),
@@ -32,14 +34,19 @@
     ];
     vec![
         ("budget-ask", budget(BudgetMessage::VoteRequest { ballot: 300 })),
-        ("budget-vote", budget(BudgetMessage::VoteResponse { incarnation: 7, ballot: 300, given: true })),
+        ("budget-vote", budget(BudgetMessage::VoteResponse { incarnation: 7, ballot: 300, granted: true })),
         (
             "budget-vote-refused",
-            budget(BudgetMessage::VoteResponse { incarnation: 7, ballot: 300, given: false }),
+            budget(BudgetMessage::VoteResponse { incarnation: 7, ballot: 300, granted: false }),
         ),
         (
             "budget-want",
-            budget(BudgetMessage::LeaseRequest { number: 4, wants: 500, uses: 6, adopted: (term, 9) }),
+            budget(BudgetMessage::LeaseRequest {
+                number: 4,
+                wanted: 500,
+                in_use: 6,
+                adopted: GrantId { term, number: 9 },
+            }),
         ),
         (
             "budget-grant",
@@ -49,9 +56,17 @@
         ("budget-refer-nobody", budget(BudgetMessage::Redirect { grantor: None })),
         (
             "digest",
-            Payload::Digest { from: Some(server("s1")), before: Some(server("s4")), known, reply: true },
+            Payload::Digest {
+                start: Some(server("s1")),
+                end: Some(server("s4")),
+                versions,
+                wants_reply: true,
+            },
+        ),
+        (
+            "digest-whole",
+            Payload::Digest { start: None, end: None, versions: Vec::new(), wants_reply: false },
         ),
-        ("digest-whole", Payload::Digest { from: None, before: None, known: Vec::new(), reply: false }),
         ("rows", Payload::Rows(vec![(server("s1"), row())])),
         ("reports", Payload::Reports(reports)),
         ("other-orders", Payload::Other { topic: ORDERS, body: vec![1, 2, 3] }),
@@ -62,7 +77,7 @@
 }
 
 fn messages() -> Vec<(&'static str, Message)> {
-    contents().into_iter().map(|(name, what)| (name, Message { from: server("s0"), what })).collect()
+    contents().into_iter().map(|(name, payload)| (name, Message { from: server("s0"), payload })).collect()
 }
 
 fn fixtures() -> Fixtures {
--- a/crates/shared-state/tests/fleet.rs
+++ b/crates/shared-state/tests/fleet.rs
@@ -1,10 +1,10 @@
 //! Hard cases of shared state in simulated time: what the dependency sees at once is counted there, not by
 //! the servers' word. Each deterministic from its seed.
 
-use meadowstream_shared_state::budget::{BudgetMessage, BudgetSettings, Term};
+use meadowstream_shared_state::budget::{BudgetMessage, BudgetSettings, GrantId, Term};
 use meadowstream_shared_state::clock::Nanos;
-use meadowstream_shared_state::counters::{Limits, Row};
-use meadowstream_shared_state::sim::{Clocks, EPOCH, Fleet, Net};
+use meadowstream_shared_state::counters::{CounterRow, Limits, RejectedRows};
+use meadowstream_shared_state::simulation::{ClockRates, EPOCH, Fleet, NetworkFaults};
 use meadowstream_shared_state::{Message, Payload, ServerId, Settings};
 use std::collections::BTreeMap;
 use test_case::test_case;
@@ -18,19 +18,19 @@
     let voters = (0..5).map(|i| format!("s{i}")).collect();
     Settings {
         budgets: vec![BudgetSettings::new("records", total, floor, servers, voters, LEASE, 200 * MS)],
-        counts: Limits::default(),
-        judge: None,
-        gossip: 500 * MS,
+        counters: Limits::default(),
+        outlier_detection: None,
+        gossip_interval: 500 * MS,
         body_max: 1400,
     }
 }
 
-fn lan() -> Net {
-    Net { delay: MS, jitter: 2 * MS, ..Net::default() }
+fn lan() -> NetworkFaults {
+    NetworkFaults { delay: MS, jitter: 2 * MS, ..NetworkFaults::default() }
 }
 
 /// Five servers, each asked for ten times its part, after their first leases.
-fn flooded(seed: u64, net: Net) -> Fleet {
+fn flooded(seed: u64, net: NetworkFaults) -> Fleet {
     let mut fleet = Fleet::new(8, settings(TOTAL, 2, 8), seed, net);
     for i in 0..5 {
         fleet.start(i);
@@ -43,7 +43,7 @@
 /// Never more than the budget at once, and so much of it used in the mean since then.
 fn holds(fleet: &mut Fleet, since: Nanos, share: f64) {
     let mean = fleet.mean_use(since) / TOTAL as f64;
-    assert!(fleet.most <= TOTAL, "{} at once of {TOTAL}", fleet.most);
+    assert!(fleet.in_use_max <= TOTAL, "{} at once of {TOTAL}", fleet.in_use_max);
     assert!(mean >= share, "{mean} of the budget used, wants {share}");
 }
 
@@ -66,7 +66,7 @@
 #[test_case(0.0, 0.0, 2 ; "a clean network")]
 #[test_case(0.1, 0.3, 300 ; "loss, doubles and reordering")]
 fn a_partition_for_a_minute_under_a_flood(loss: f64, duplicate: f64, jitter: u64) {
-    let net = Net { loss, duplicate, delay: MS, jitter: jitter * MS };
+    let net = NetworkFaults { loss, duplicate, delay: MS, jitter: jitter * MS };
     let mut fleet = flooded(2, net);
     (0..2).for_each(|i| fleet.group(i, 1));
     fleet.partition(0, 1);
@@ -125,7 +125,7 @@
     for broken in 0..5 {
         let mut fleet = flooded(5, lan());
         let wall_leap = leap_s * S as i64;
-        fleet.set_clocks(broken, Clocks { monotonic_rate, wall_rate, wall_leap });
+        fleet.set_clocks(broken, ClockRates { monotonic_rate, wall_rate, wall_leap });
         play(&mut fleet, 15 * S);
         // Cut off as well: what it holds must end although its clock does not show it.
         fleet.group(broken, 1);
@@ -162,7 +162,7 @@
         fleet.stall(i, false);
         play(&mut fleet, 2 * LEASE);
     }
-    assert!(fleet.most <= TOTAL, "{} at once", fleet.most);
+    assert!(fleet.in_use_max <= TOTAL, "{} at once", fleet.in_use_max);
 }
 
 /// Restarted at once, over and over: neither its floor nor its lease is used twice.
@@ -175,7 +175,7 @@
         fleet.start(i);
         play(&mut fleet, 300 * MS);
     }
-    assert!(fleet.most <= TOTAL, "{} at once", fleet.most);
+    assert!(fleet.in_use_max <= TOTAL, "{} at once", fleet.in_use_max);
     play(&mut fleet, 4 * LEASE);
     let since = play(&mut fleet, 20 * S);
     holds(&mut fleet, since, 0.9);
@@ -188,23 +188,24 @@
         fleet.state_mut(i).expect("runs").budgets[0].set_total(40).expect("good");
     }
     play(&mut fleet, LEASE + LEASE / 50);
-    fleet.most = 0;
+    fleet.in_use_max = 0;
     let since = play(&mut fleet, 20 * S);
     let mean = fleet.mean_use(since);
-    assert!(fleet.most <= 40 && mean > 30.0, "{} at once, {mean} in the mean", fleet.most);
+    assert!(fleet.in_use_max <= 40 && mean > 30.0, "{} at once, {mean} in the mean", fleet.in_use_max);
     for i in 0..5 {
         fleet.state_mut(i).expect("runs").budgets[0].set_total(100).expect("good");
     }
     play(&mut fleet, 2 * LEASE);
     let since = play(&mut fleet, 20 * S);
     holds(&mut fleet, since, 0.9);
-    let fault = fleet.state_mut(0).expect("runs").budgets[0].set_total(15).expect_err("floors are 16");
-    assert!(fault.contains("floor") && fleet.state(0).expect("runs").budgets[0].plan().total == 100);
+    let fault =
+        fleet.state_mut(0).expect("runs").budgets[0].set_total(15).expect_err("floors are 16").to_string();
+    assert!(fault.contains("floor") && fleet.state(0).expect("runs").budgets[0].settings().total == 100);
 }
 
-fn body(from: &str, what: Payload) -> Vec<u8> {
+fn body(from: &str, payload: Payload) -> Vec<u8> {
     let from = ServerId { name: from.into(), incarnation: EPOCH };
-    postcard::to_allocvec(&Message { from, what }).unwrap()
+    postcard::to_allocvec(&Message { from, payload }).unwrap()
 }
 
 /// A peer that has the key and lies: grants never asked for or beyond all there is, claims of leases, huge
@@ -212,9 +213,9 @@
 #[test]
 fn a_lying_peer_gains_nothing() {
     let mut fleet = flooded(10, lan());
-    let budget = |say: BudgetMessage| Payload::Budget { name: "records".into(), say };
+    let budget = |message: BudgetMessage| Payload::Budget { name: "records".into(), message };
     let term = Term { incarnation: EPOCH, rank: 1, election: 1 };
-    let me = fleet.state(4).expect("runs").me().clone();
+    let me = fleet.state(4).expect("runs").id().clone();
     for number in 0..500 {
         let grant = BudgetMessage::LeaseGrant {
             incarnation: me.incarnation,
@@ -227,14 +228,14 @@
         for to in 0..5 {
             let claim = BudgetMessage::LeaseRequest {
                 number,
-                wants: u64::MAX,
-                uses: 0,
-                adopted: (term, u64::MAX - number),
+                wanted: u64::MAX,
+                in_use: 0,
+                adopted: GrantId { term, number: u64::MAX - number },
             };
             fleet.inject(to, body("s7", budget(claim)));
         }
     }
-    let huge = Row { of: BTreeMap::from([("calls".into(), u64::MAX)]) };
+    let huge = CounterRow { counts: BTreeMap::from([("calls".into(), u64::MAX)]) };
     let liar = ServerId { name: "s7".into(), incarnation: EPOCH };
     let rows = Payload::Rows(vec![(liar, huge.clone()), (me.clone(), huge)]);
     fleet.inject(4, body("s7", rows));
@@ -244,31 +245,32 @@
     // What the liar asked for it was given within its part, for a lease time.
     holds(&mut fleet, since, 0.7);
     let state = fleet.state(4).expect("runs");
-    let counts = state.budgets[0].counts;
-    assert!(counts.unasked > 0 && counts.beyond > 0, "{counts:?}");
-    let absurd: u64 = (0..5).map(|i| fleet.state(i).expect("runs").budgets[0].counts.absurd).sum();
+    let counts = state.budgets[0].counters;
+    assert!(counts.unsolicited > 0 && counts.excessive > 0, "{counts:?}");
+    let absurd: u64 = (0..5).map(|i| fleet.state(i).expect("runs").budgets[0].counters.invalid).sum();
     assert!(absurd >= 500, "{absurd}");
     let state = fleet.state(4).expect("runs");
-    assert_eq!((state.counts.refused, state.tally.malformed), ([0, 1, 1], 2));
+    let rejected = RejectedRows { full: 0, implausible: 1, own: 1 };
+    assert_eq!((state.counters.rejected, state.messages.malformed), (rejected, 2));
 }
 
 fn exact(fleet: &Fleet, who: &[usize]) {
     let all: u64 = fleet.served.values().sum();
     for &i in who {
-        let total = fleet.state(i).expect("runs").counts.total("calls");
+        let total = fleet.state(i).expect("runs").counters.total("calls");
         assert_eq!(total, all, "s{i} against what the dependency got");
     }
 }
 
 #[test]
 fn counts_after_a_heal_are_exactly_what_the_dependency_got() {
-    let net = Net { loss: 0.1, duplicate: 0.3, delay: MS, jitter: 300 * MS };
+    let net = NetworkFaults { loss: 0.1, duplicate: 0.3, delay: MS, jitter: 300 * MS };
     let mut fleet = flooded(11, net);
     (0..2).for_each(|i| fleet.group(i, 1));
     fleet.partition(0, 1);
     play(&mut fleet, 60 * S);
     let all: u64 = fleet.served.values().sum();
-    assert!(fleet.state(0).expect("runs").counts.total("calls") < all, "cut off, it cannot know");
+    assert!(fleet.state(0).expect("runs").counters.total("calls") < all, "cut off, it cannot know");
     fleet.heal();
     (0..5).for_each(|i| fleet.demand(i, 0.0));
     play(&mut fleet, 20 * S);
@@ -280,7 +282,7 @@
 #[test]
 fn one_that_is_back_with_an_old_incarnation_and_old_counts_loses_nothing() {
     let mut fleet = flooded(12, lan());
-    let was = fleet.state(4).expect("runs").me().clone();
+    let was = fleet.state(4).expect("runs").id().clone();
     (0..5).for_each(|i| fleet.demand(i, 0.0));
     play(&mut fleet, 10 * S);
     exact(&fleet, &[0, 4]);
@@ -292,7 +294,7 @@
     (0..5).for_each(|i| fleet.demand(i, 0.0));
     play(&mut fleet, 20 * S);
     exact(&fleet, &[0, 1, 2, 3, 4]);
-    assert!(fleet.state(4).expect("runs").counts.refused[2] > 0, "its own old row came back to it");
+    assert!(fleet.state(4).expect("runs").counters.rejected.own > 0, "its own old row came back to it");
 }
 
 /// `cargo test -p meadowstream-shared-state --release --test fleet -- --ignored --nocapture`
@@ -304,7 +306,7 @@
 fn a_thousand_servers_use_the_budget_and_never_pass_it() {
     let (n, total) = (1000, 10_000);
     let mut fleet = Fleet::new(n, settings(total, 1, n as u64), 13, lan());
-    fleet.call = 180 * MS;
+    fleet.call_duration = 180 * MS;
     for i in 0..n {
         fleet.start(i);
         fleet.demand(i, 110.0);
@@ -322,14 +324,14 @@
     play(&mut fleet, 2 * LEASE);
     let since = play(&mut fleet, 6 * S);
     let crashed = fleet.mean_use(since) / total as f64;
-    let sent: u64 = (0..n).filter_map(|i| fleet.state(i)).map(|state| state.tally.sent_bytes).sum();
+    let sent: u64 = (0..n).filter_map(|i| fleet.state(i)).map(|state| state.messages.sent_bytes).sum();
     let rate = sent as f64 / n as f64 / (fleet.now() as f64 / 1e9);
     eprintln!(
         "share used: all asked alike {even:.3}, unevenly {uneven:.3}, a tenth crashed {crashed:.3}; most at \
          once {} of {total}; {rate:.0} bytes sent per server and second",
-        fleet.most
+        fleet.in_use_max
     );
-    assert!(fleet.most <= total, "{} at once", fleet.most);
+    assert!(fleet.in_use_max <= total, "{} at once", fleet.in_use_max);
     assert!(even >= 0.9 && uneven >= 0.6 && crashed >= 0.85, "{even} {uneven} {crashed}");
 }
 
@@ -338,21 +340,29 @@
 mod release_before {
     use meadowstream_shared_state::ServerId;
     use meadowstream_shared_state::budget::BudgetMessage;
-    use meadowstream_shared_state::counters::Row;
+    use meadowstream_shared_state::counters::CounterRow;
     use meadowstream_shared_state::outlier_detection::Report;
     use serde::{Deserialize, Serialize};
 
     #[derive(Debug, PartialEq, Serialize, Deserialize)]
     pub struct Message {
         pub from: ServerId,
-        pub what: Payload,
+        pub payload: Payload,
     }
 
     #[derive(Debug, PartialEq, Serialize, Deserialize)]
     pub enum Payload {
-        Budget { name: String, say: BudgetMessage },
-        Digest { from: Option<ServerId>, before: Option<ServerId>, known: Vec<(ServerId, u64)>, reply: bool },
-        Rows(Vec<(ServerId, Row)>),
+        Budget {
+            name: String,
+            message: BudgetMessage,
+        },
+        Digest {
+            start: Option<ServerId>,
+            end: Option<ServerId>,
+            versions: Vec<(ServerId, u64)>,
+            wants_reply: bool,
+        },
+        Rows(Vec<(ServerId, CounterRow)>),
         Reports(Vec<Report>),
     }
 }
@@ -362,16 +372,16 @@
     use meadowstream_shared_state::outlier_detection::{Report, ServiceHealth};
     use meadowstream_shared_state::{Message, ORDERS, Payload};
     let from = ServerId { name: "s1".into(), incarnation: 7 };
-    let report = Report { by: from.clone(), service: 1, verdict: ServiceHealth::Slow, age: 3 };
+    let report = Report { by: from.clone(), service: 1, health: ServiceHealth::Slow, age: 3 };
     let old = release_before::Message {
         from: from.clone(),
-        what: release_before::Payload::Reports(vec![report.clone()]),
+        payload: release_before::Payload::Reports(vec![report.clone()]),
     };
     let read: Message = postcard::from_bytes(&postcard::to_allocvec(&old).unwrap()).unwrap();
-    assert_eq!(read, Message { from: from.clone(), what: Payload::Reports(vec![report.clone()]) });
+    assert_eq!(read, Message { from: from.clone(), payload: Payload::Reports(vec![report.clone()]) });
     let new = postcard::to_allocvec(&read).unwrap();
     assert_eq!(postcard::from_bytes::<release_before::Message>(&new), Ok(old));
-    let later = Message { from, what: Payload::Other { topic: ORDERS, body: vec![1, 2, 3] } };
+    let later = Message { from, payload: Payload::Other { topic: ORDERS, body: vec![1, 2, 3] } };
     let later = postcard::to_allocvec(&later).unwrap();
     assert!(postcard::from_bytes::<release_before::Message>(&later).is_err());
 }
--- a/crates/shared-state/tests/model.rs
+++ b/crates/shared-state/tests/model.rs
@@ -5,7 +5,7 @@
 //! meadowstream-shared-state --release --test model -- --nocapture` prints the numbers of states.
 
 use meadowstream_shared_state::ServerId;
-use meadowstream_shared_state::budget::{Budget, BudgetMessage, BudgetSettings, Counts, Out};
+use meadowstream_shared_state::budget::{Budget, BudgetCounters, BudgetMessage, BudgetSettings, Outgoing};
 use meadowstream_shared_state::clock::Time;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeSet;
@@ -63,9 +63,9 @@
     fn budget(&self, i: usize, life: u64, clock: u64) -> Budget {
         let voters = (0..self.voters).map(|i| format!("s{i}")).collect();
         let mut plan = BudgetSettings::new("b", TOTAL, 0, self.servers as u64, voters, self.lease, 0);
-        (plan.refresh, plan.term, plan.margin) = (1, self.term, 2);
+        (plan.refresh_interval, plan.term_duration, plan.drift_margin) = (1, self.term, 2);
         if self.fault == Fault::NoMargin {
-            plan.margin = 1;
+            plan.drift_margin = 1;
         }
         let me = ServerId { name: format!("s{i}"), incarnation: life };
         let mut time = Time::both(clock + 10);
@@ -83,12 +83,12 @@
         Time::both(world.clocks[i] + 10)
     }
 
-    fn post(&self, world: &mut World, from: usize, out: Out) {
+    fn post(&self, world: &mut World, from: usize, outgoing: Vec<Outgoing>) {
         let me = ServerId { name: format!("s{from}"), incarnation: world.lives[from] };
-        for (to, say) in out {
+        for Outgoing { to, message } in outgoing {
             let to: usize = to[1..].parse().expect("a number");
             if world.sent.len() < self.under_way {
-                world.sent.insert((me.clone(), to, say));
+                world.sent.insert((me.clone(), to, message));
             }
         }
     }
@@ -127,11 +127,11 @@
                 Some(_) => {}
             }
         }
-        for (from, to, say) in &world.sent {
+        for (from, to, message) in &world.sent {
             if world.servers[*to].is_some() {
-                steps.push(Step::Deliver(from.clone(), *to, say.clone()));
+                steps.push(Step::Deliver(from.clone(), *to, message.clone()));
             }
-            steps.push(Step::Lose(from.clone(), *to, say.clone()));
+            steps.push(Step::Lose(from.clone(), *to, message.clone()));
         }
     }
 
@@ -146,18 +146,18 @@
                     self.post(&mut next, i, out);
                 }
             }
-            Step::Deliver(from, to, say) => {
+            Step::Deliver(from, to, message) => {
                 let time = self.time(&next, to);
                 let budget = next.servers[to].as_mut()?;
                 let before = budget.clone();
-                let out = budget.heard(time, &from, say);
+                let out = budget.receive(time, &from, message);
                 if *budget == before && out.is_empty() {
                     return None;
                 }
                 self.post(&mut next, to, out);
             }
-            Step::Lose(from, to, say) => {
-                next.sent.remove(&(from, to, say));
+            Step::Lose(from, to, message) => {
+                next.sent.remove(&(from, to, message));
             }
             Step::Kill(i) => {
                 next.servers[i] = None;
@@ -171,12 +171,12 @@
         }
         // Before the first kill nobody gave before: the wait is left out, so that the search goes further.
         if self.fault == Fault::GivesAtOnce || next.kills == 0 {
-            next.servers.iter_mut().flatten().for_each(Budget::forget_who_gave_before);
+            next.servers.iter_mut().flatten().for_each(Budget::skip_grant_wait);
         }
-        // Counts decide nothing and would tell states apart that are the same.
+        // BudgetCounters decide nothing and would tell states apart that are the same.
         for budget in next.servers.iter_mut().flatten() {
-            let given = budget.counts.given.min(1);
-            budget.counts = Counts { given, ..Counts::default() };
+            let given = budget.counters.grants_sent.min(1);
+            budget.counters = BudgetCounters { grants_sent: given, ..BudgetCounters::default() };
         }
         Some(next)
     }
@@ -198,7 +198,7 @@
                 world.servers.iter().enumerate().filter(|each| holds(*each)).count() >= 2
             }),
             Property::sometimes("a second grantor gives", |_: &Leases, world: &World| {
-                let gave = |budget: &Budget| budget.counts.given > 0;
+                let gave = |budget: &Budget| budget.counters.grants_sent > 0;
                 world.servers.iter().flatten().filter(|budget| gave(budget)).count() >= 2
             }),
         ]
--- a/crates/shared-state/tests/outlier_detection.rs
+++ b/crates/shared-state/tests/outlier_detection.rs
@@ -1,8 +1,8 @@
 //! Judgements on services below, and the laws of counts.
 
 use meadowstream_shared_state::ServerId;
-use meadowstream_shared_state::clock::{Reading, Time, Watch};
-use meadowstream_shared_state::counters::{Counts, Limits, Refused, Row};
+use meadowstream_shared_state::clock::{DriftClock, Reading, Time};
+use meadowstream_shared_state::counters::{CounterRow, FleetCounters, Limits, RejectedRow};
 use meadowstream_shared_state::outlier_detection::{OutlierDetector, Report, ServiceHealth, Settings};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -85,10 +85,10 @@
 #[test]
 fn bad_reports_are_refused_and_old_lives_are_not_believed() {
     let mut judge = judges(1, 2, 500).remove(0);
-    let report = |incarnation, service, verdict, age| Report {
+    let report = |incarnation, service, health, age| Report {
         by: ServerId { name: "s7".into(), incarnation },
         service,
-        verdict,
+        health,
         age,
     };
     let nameless = Report { by: ServerId::default(), ..report(1, 0, ServiceHealth::Failing, 0) };
@@ -96,7 +96,7 @@
         Time::both(1),
         &[report(1, 9, ServiceHealth::Failing, 0), report(1, 0, ServiceHealth::Failing, 6 * S), nameless],
     );
-    assert_eq!(judge.refused, 3);
+    assert_eq!(judge.rejected, 3);
     judge.merge_reports(
         Time::both(1),
         &[report(2, 0, ServiceHealth::Healthy, S), report(1, 0, ServiceHealth::Failing, 0)],
@@ -113,7 +113,7 @@
     let bad = |change: fn(&mut Settings)| {
         let mut given = settings(2, 500);
         change(&mut given);
-        given.check().unwrap_err()
+        given.check().unwrap_err().to_string()
     };
     assert!(bad(|s| s.services[1] = "bank-0".into()).contains("service"));
     assert!(bad(|s| s.reports = 0).contains("reports"));
@@ -122,8 +122,8 @@
 
 #[test]
 fn two_clocks_give_an_early_and_a_late_time() {
-    let mut watch = Watch::default();
-    let read = |watch: &mut Watch, monotonic, wall| watch.read(Reading { monotonic, wall });
+    let mut watch = DriftClock::default();
+    let read = |watch: &mut DriftClock, monotonic, wall| watch.read(Reading { monotonic, wall });
     assert_eq!(read(&mut watch, 100, 900), Time { fast: 0, slow: 0 });
     assert_eq!(read(&mut watch, 110, 910), Time { fast: 10, slow: 10 });
     // One stands still; one leaps back; one leaps ahead by an hour.
@@ -133,26 +133,26 @@
     assert_eq!(watch.disagreements, 1);
 }
 
-fn row() -> impl Strategy<Value = Row> {
-    proptest::collection::btree_map("[a-c]", 0u64..100, 0..4).prop_map(|of| Row { of })
+fn row() -> impl Strategy<Value = CounterRow> {
+    proptest::collection::btree_map("[a-c]", 0u64..100, 0..4).prop_map(|counts| CounterRow { counts })
 }
 
-fn merged(rows: &[&Row]) -> BTreeMap<String, u64> {
-    let mut all = Row::default();
+fn merged(rows: &[&CounterRow]) -> BTreeMap<String, u64> {
+    let mut all = CounterRow::default();
     rows.iter().for_each(|row| {
         all.merge(row);
     });
-    all.of
+    all.counts
 }
 
 proptest! {
     /// Merging is idempotent, commutative and associative, and never loses a count.
     #[test]
     fn merges_have_the_laws(a in row(), b in row(), c in row()) {
-        prop_assert_eq!(merged(&[&a, &a]), a.of.clone());
+        prop_assert_eq!(merged(&[&a, &a]), a.counts.clone());
         prop_assert_eq!(merged(&[&a, &b]), merged(&[&b, &a]));
-        let ab = Row { of: merged(&[&a, &b]) };
-        let bc = Row { of: merged(&[&b, &c]) };
+        let ab = CounterRow { counts: merged(&[&a, &b]) };
+        let bc = CounterRow { counts: merged(&[&b, &c]) };
         prop_assert_eq!(merged(&[&ab, &c]), merged(&[&a, &bc]));
         prop_assert!(ab.version() >= a.version().max(b.version()));
     }
@@ -164,17 +164,17 @@
         count in any::<u64>(),
     ) {
         let limits = Limits { rows: 8, keys: 4, rate_max: 1000 };
-        let mut counts = Counts::new(who(0), limits);
+        let mut counts = FleetCounters::new(who(0), limits);
         counts.add("mine", 5);
         for (i, name) in names.iter().enumerate() {
             let of = ServerId { name: format!("s{}", i % 20), incarnation: 1 };
-            let row = Row { of: BTreeMap::from([(name.clone(), count)]) };
+            let row = CounterRow { counts: BTreeMap::from([(name.clone(), count)]) };
             let taken = counts.merge(&of, &row, 61 * S);
             prop_assert!(count <= 121_000 || i % 20 == 0 || taken.is_err());
         }
         prop_assert!(counts.rows() <= 8 && counts.totals().len() <= 8 * 4 + 1);
-        let more = Row { of: BTreeMap::from([("mine".into(), 6)]) };
-        prop_assert_eq!(counts.merge(&who(0), &more, 0), Err(Refused::Own));
+        let more = CounterRow { counts: BTreeMap::from([("mine".into(), 6)]) };
+        prop_assert_eq!(counts.merge(&who(0), &more, 0), Err(RejectedRow::Own));
         prop_assert_eq!(counts.total("mine"), 5);
     }
 }
