--- /dev/null
+++ b/crates/routing/src/router.rs
@@ -0,0 +1,226 @@
+//! The router of one server: chooses a service for each call.
+
+use crate::Nanos;
+use crate::choice::{Load, less_loaded_of_two, random_below};
+use crate::health::HealthView;
+use crate::probing::ProbeSchedule;
+use crate::settings::{Settings, SettingsError};
+use crate::slow_start::SlowStart;
+use rand_chacha::ChaCha8Rng;
+use rand_chacha::rand_core::{Rng, SeedableRng};
+
+/// The service chosen for a call; given back to [`Router::release`].
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Choice {
+    /// Index of the service.
+    pub service: usize,
+    /// The call is a probe of an unhealthy service.
+    pub is_probe: bool,
+}
+
+/// What a call needs of its service.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct CallPreference {
+    /// The service of its last attempt, which is avoided.
+    pub last_service: Option<usize>,
+    /// It may go to a service that is likely to fail it: it is idempotent, and this is its first attempt.
+    pub may_probe: bool,
+}
+
+/// Calls since the start.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct RouterCounters {
+    /// Ordinary calls.
+    pub calls: u64,
+    /// Probes.
+    pub probes: u64,
+    /// Calls for which no service was chosen: all were ejected and no probe was due.
+    pub unroutable: u64,
+}
+
+#[derive(Clone, Copy, Debug, Default)]
+struct Service {
+    health: HealthView,
+    outstanding: u64,
+    probes: ProbeSchedule,
+    slow_start: SlowStart,
+}
+
+impl Service {
+    fn load(&self) -> Load {
+        Load { locally_unhealthy: self.health.locally_unhealthy, outstanding: self.outstanding }
+    }
+
+    fn probe_is_due(&self, now: Nanos) -> bool {
+        self.health.is_unhealthy() && self.health.is_prober && self.probes.is_due(now)
+    }
+}
+
+/// A service that may get an ordinary call.
+#[derive(Clone, Copy, Debug)]
+struct Candidate {
+    service: usize,
+    /// See [`SlowStart::ratio`].
+    ratio: f64,
+}
+
+impl Candidate {
+    fn is_warm(&self) -> bool {
+        self.ratio >= 1.0
+    }
+}
+
+/// Chooses services of one tier for the calls of one server.
+#[derive(Clone, Debug)]
+pub struct Router {
+    settings: Settings,
+    services: Vec<Service>,
+    rng: ChaCha8Rng,
+    /// Calls since the start.
+    pub counters: RouterCounters,
+}
+
+impl Router {
+    /// A router whose random choices come from `seed`.
+    ///
+    /// # Errors
+    /// A setting that cannot be used.
+    pub fn new(settings: Settings, seed: u64) -> Result<Router, SettingsError> {
+        settings.check()?;
+        Ok(Router {
+            settings,
+            services: vec![Service::default(); settings.services],
+            rng: ChaCha8Rng::seed_from_u64(seed),
+            counters: RouterCounters::default(),
+        })
+    }
+
+    /// Takes the health of each service from `now` on, in their order.
+    pub fn update_health(&mut self, now: Nanos, views: impl IntoIterator<Item = HealthView>) {
+        for (service, view) in self.services.iter_mut().zip(views) {
+            let probe_delay = random_below(&mut self.rng, self.settings.probe_interval) + 1;
+            let first_credit = self.rng.next_u64() as f64 / u64::MAX as f64;
+            if view.is_unhealthy() && !service.health.is_unhealthy() {
+                service.probes.begin(now, probe_delay);
+            }
+            if !view.is_unhealthy() && service.health.is_unhealthy() {
+                service.slow_start.begin(now, first_credit);
+            }
+            service.health = view;
+        }
+    }
+
+    /// Whether [`Router::choose`] would choose a service now.
+    pub fn can_route(&self, now: Nanos, preference: CallPreference) -> bool {
+        let any_open = self.services.iter().any(|service| !service.health.ejected);
+        any_open || (preference.may_probe && self.due_probe(now).is_some())
+    }
+
+    /// When the next probe of this server is due, where all services are ejected.
+    pub fn next_probe_at(&self) -> Option<Nanos> {
+        if self.services.iter().any(|service| !service.health.ejected) {
+            return None;
+        }
+        let probed = self.services.iter().filter(|service| service.health.is_prober);
+        probed.filter_map(|service| service.probes.next_at()).min()
+    }
+
+    /// Chooses a service for one call, which is outstanding until [`Router::release`]. A probe that is due comes
+    /// first. `None` where all services are ejected and no probe is due.
+    pub fn choose(&mut self, now: Nanos, preference: CallPreference) -> Option<Choice> {
+        if preference.may_probe
+            && let Some(service) = self.due_probe(now)
+        {
+            return Some(self.start_probe(now, service));
+        }
+        let candidates = self.candidates(now, preference.last_service);
+        let Some(service) = self.choose_candidate(&candidates) else {
+            self.counters.unroutable += 1;
+            return None;
+        };
+        self.services[service].outstanding += 1;
+        self.counters.calls += 1;
+        Some(Choice { service, is_probe: false })
+    }
+
+    /// The call has ended or was abandoned.
+    pub fn release(&mut self, choice: Choice) {
+        let Some(service) = self.services.get_mut(choice.service) else { return };
+        service.outstanding = service.outstanding.saturating_sub(1);
+        if choice.is_probe {
+            service.probes.end();
+        }
+    }
+
+    /// Calls to a service that have not ended.
+    pub fn outstanding(&self, service: usize) -> u64 {
+        self.services.get(service).map_or(0, |service| service.outstanding)
+    }
+
+    /// The service whose probe has been due for longest.
+    fn due_probe(&self, now: Nanos) -> Option<usize> {
+        let due = self.services.iter().enumerate().filter(|(_, service)| service.probe_is_due(now));
+        due.min_by_key(|(_, service)| service.probes.next_at()).map(|(index, _)| index)
+    }
+
+    fn start_probe(&mut self, now: Nanos, index: usize) -> Choice {
+        let service = &mut self.services[index];
+        service.probes.start(now, self.settings.probe_interval);
+        service.outstanding += 1;
+        self.counters.probes += 1;
+        Choice { service: index, is_probe: true }
+    }
+
+    /// Services that are not ejected; without the last one where there is another.
+    fn candidates(&self, now: Nanos, last_service: Option<usize>) -> Vec<Candidate> {
+        let mut candidates = Vec::with_capacity(self.services.len());
+        for (index, service) in self.services.iter().enumerate() {
+            if !service.health.ejected {
+                let ratio = service.slow_start.ratio(now, self.settings.slow_start);
+                candidates.push(Candidate { service: index, ratio });
+            }
+        }
+        if candidates.len() > 1 {
+            candidates.retain(|candidate| last_service != Some(candidate.service));
+        }
+        candidates
+    }
+
+    /// One of two warm services, unless a service in slow start is owed the call. Where none is warm, one of two
+    /// of all.
+    fn choose_candidate(&mut self, candidates: &[Candidate]) -> Option<usize> {
+        let warm: Vec<usize> =
+            candidates.iter().filter(|candidate| candidate.is_warm()).map(|warm| warm.service).collect();
+        let all: Vec<usize> = candidates.iter().map(|candidate| candidate.service).collect();
+        let drawn_from = if warm.is_empty() { &all } else { &warm };
+        if drawn_from.is_empty() {
+            return None;
+        }
+        let services = &self.services;
+        let usual = less_loaded_of_two(&mut self.rng, drawn_from, |index| services[index].load());
+        if warm.is_empty() {
+            return Some(usual);
+        }
+        Some(self.owed_service(candidates, usual).unwrap_or(usual))
+    }
+
+    /// Adds the parts of this call to the services in slow start, and returns the least loaded of those that are
+    /// owed a whole call and are not more loaded than the `usual` choice.
+    fn owed_service(&mut self, candidates: &[Candidate], usual: usize) -> Option<usize> {
+        let usual_load = self.services[usual].load();
+        let mut owed: Option<usize> = None;
+        for candidate in candidates.iter().filter(|candidate| !candidate.is_warm()) {
+            let service = &mut self.services[candidate.service];
+            service.slow_start.accrue(candidate.ratio, candidates.len());
+            let load = service.load();
+            let is_owed = service.slow_start.is_owed_call() && load <= usual_load;
+            if is_owed && owed.is_none_or(|other| load < self.services[other].load()) {
+                owed = Some(candidate.service);
+            }
+        }
+        if let Some(service) = owed {
+            self.services[service].slow_start.spend();
+        }
+        owed
+    }
+}
--- a/crates/routing/tests/ramp.rs
+++ b/crates/routing/tests/ramp.rs
@@ -3,7 +3,7 @@
 //! only 2 * root of N + 2 are put down to chance. `cargo test -p meadowstream-routing --test ramp --
 //! --nocapture` prints the worst of all plays.
 
-use meadowstream_routing::{Chosen, Judged, Router, Settings, Wish};
+use meadowstream_routing::{CallPreference, Choice, HealthView, Router, Settings};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use std::cmp::Reverse;
@@ -34,16 +34,20 @@
 /// Service 0 is out, then back; servers hear of both up to 200 ms late. `slower` times slower while cold.
 fn play(servers: usize, slower: u64, seed: u64) -> Play {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let settings = Settings { services: SERVICES, probe_every: RAMP / 8, ramp: RAMP };
+    let settings = Settings { services: SERVICES, probe_interval: RAMP / 8, slow_start: RAMP };
     let mut routers: Vec<Router> =
         (0..servers).map(|i| Router::new(settings, seed * 1000 + i as u64).unwrap()).collect();
     let back = 1_000 * MS;
     let told: Vec<u64> = (0..servers).map(|_| back + below(&mut rng, 200 * MS)).collect();
     let mut knows = vec![false; servers];
     let judged = |ejected: bool| {
-        (0..SERVICES).map(move |s| Judged { ejected: ejected && s == 0, bad_here: false, probes: false })
+        (0..SERVICES).map(move |s| HealthView {
+            ejected: ejected && s == 0,
+            locally_unhealthy: false,
+            is_prober: false,
+        })
     };
-    routers.iter_mut().for_each(|router| router.judged(0, judged(true)));
+    routers.iter_mut().for_each(|router| router.update_health(0, judged(true)));
     let mut next: Vec<u64> = (0..servers).map(|_| below(&mut rng, 2 * EVERY)).collect();
     let mut open: BinaryHeap<Reverse<(u64, usize, usize, bool)>> = BinaryHeap::new();
     let (mut got, mut late, mut late_to_it) = (vec![0; (RAMP / WHILE) as usize], 0, 0);
@@ -51,21 +55,21 @@
     for now in (0..end).step_by(MS as usize) {
         while open.peek().is_some_and(|Reverse((at, ..))| *at <= now) {
             let Reverse((_, i, service, probe)) = open.pop().expect("looked at");
-            routers[i].ended(Chosen { service, probe });
+            routers[i].release(Choice { service, is_probe: probe });
         }
         for i in 0..servers {
             if !knows[i] && told[i] <= now {
                 knows[i] = true;
-                routers[i].judged(now, judged(false));
+                routers[i].update_health(now, judged(false));
             }
             while next[i] <= now {
                 next[i] += 1 + below(&mut rng, 2 * EVERY);
                 // Probes are none of this: nothing may be spent on them.
-                let Some(chosen) = routers[i].choose(now, Wish::default()) else { continue };
+                let Some(chosen) = routers[i].choose(now, CallPreference::default()) else { continue };
                 let cold = chosen.service == 0 && now < back + RAMP;
                 let takes = TAKES / 2 + below(&mut rng, TAKES);
                 let takes = if cold { slower * takes } else { takes };
-                open.push(Reverse((now + takes, i, chosen.service, chosen.probe)));
+                open.push(Reverse((now + takes, i, chosen.service, chosen.is_probe)));
                 if now >= back + RAMP + RAMP / 2 {
                     late += 1;
                     late_to_it += u64::from(chosen.service == 0);
@@ -117,18 +121,22 @@
     // All hear at the same moment and call at the same pace: the first calls to it are spread all the same.
     let mut plays = play(30, 1, 7);
     let seeds: Vec<u64> = plays.routers.iter().map(|_| plays.rng.next_u64()).collect();
-    let settings = Settings { services: SERVICES, probe_every: RAMP / 8, ramp: RAMP };
+    let settings = Settings { services: SERVICES, probe_interval: RAMP / 8, slow_start: RAMP };
     let mut firsts: Vec<usize> = Vec::new();
     for seed in seeds {
         let mut router = Router::new(settings, seed).unwrap();
         let judged = |ejected: bool| {
-            (0..SERVICES).map(move |s| Judged { ejected: ejected && s == 0, bad_here: false, probes: false })
+            (0..SERVICES).map(move |s| HealthView {
+                ejected: ejected && s == 0,
+                locally_unhealthy: false,
+                is_prober: false,
+            })
         };
-        router.judged(0, judged(true));
-        router.judged(0, judged(false));
+        router.update_health(0, judged(true));
+        router.update_health(0, judged(false));
         let first = (0..100).position(|step| {
-            let chosen = router.choose(step * EVERY, Wish::default()).expect("open");
-            router.ended(chosen);
+            let chosen = router.choose(step * EVERY, CallPreference::default()).expect("open");
+            router.release(chosen);
             chosen.service == 0
         });
         firsts.push(first.unwrap_or(100));
--- a/crates/routing/tests/tier.rs
+++ b/crates/routing/tests/tier.rs
@@ -2,7 +2,7 @@
 //! `shared-state`, reports told to three others a period over a network that loses some. Deterministic.
 //! `cargo test -p meadowstream-routing --release -- --nocapture` prints the figures of docs/shared-state.md.
 
-use meadowstream_routing::{Chosen, Judged, Router, Settings, Wish};
+use meadowstream_routing::{CallPreference, Choice, HealthView, Router, Settings};
 use meadowstream_shared_state::ServerId;
 use meadowstream_shared_state::clock::Time;
 use meadowstream_shared_state::outlier_detection::{self, OutlierDetector, ServiceHealth};
@@ -63,7 +63,7 @@
             };
             OutlierDetector::new(ServerId { name: format!("s{i}"), incarnation: 1 }, settings).unwrap()
         };
-        let settings = Settings { services, probe_every: EXPIRY / 8, ramp: EXPIRY };
+        let settings = Settings { services, probe_interval: EXPIRY / 8, slow_start: EXPIRY };
         Fleet {
             judges: (0..servers).map(judge).collect(),
             routers: (0..servers).map(|i| Router::new(settings, seed + i as u64).unwrap()).collect(),
@@ -93,7 +93,7 @@
             self.now += MS;
             while self.open.peek().is_some_and(|Reverse(call)| call.0 <= self.now) {
                 let Reverse((at, i, service, probe, good, took)) = self.open.pop().unwrap();
-                self.routers[i].ended(Chosen { service, probe });
+                self.routers[i].release(Choice { service, is_probe: probe });
                 self.judges[i].record_call(Time::both(at), service, good, took);
                 self.failed += u64::from(!good);
             }
@@ -104,13 +104,13 @@
                     self.most_ejected = self.most_ejected.max(ejected.len());
                     let own =
                         |s| self.own_counts && self.judges[i].local_health(time, s) != ServiceHealth::Healthy;
-                    let judged = (0..self.health.len()).map(|s| Judged {
+                    let judged = (0..self.health.len()).map(|s| HealthView {
                         ejected: ejected.contains(&s),
-                        bad_here: own(s),
-                        probes: self.all_probe || self.judges[i].is_prober(time, s),
+                        locally_unhealthy: own(s),
+                        is_prober: self.all_probe || self.judges[i].is_prober(time, s),
                     });
-                    let judged: Vec<Judged> = judged.collect();
-                    self.routers[i].judged(self.now, judged);
+                    let judged: Vec<HealthView> = judged.collect();
+                    self.routers[i].update_health(self.now, judged);
                 }
                 if self.cut.contains(&i) {
                     continue;
@@ -132,8 +132,10 @@
     }
 
     fn call(&mut self, i: usize) {
-        let wish = Wish { last: None, may_probe: self.probes };
-        let Some(Chosen { service, probe }) = self.routers[i].choose(self.now, wish) else { return };
+        let wish = CallPreference { last_service: None, may_probe: self.probes };
+        let Some(Choice { service, is_probe: probe }) = self.routers[i].choose(self.now, wish) else {
+            return;
+        };
         self.calls[service] += 1;
         let usual = 10 * MS + self.below(20 * MS);
         let (good, took) = match self.health[service] {
@@ -219,13 +221,13 @@
     (0..6).for_each(|s| fleet.health[s] = Health::Failing);
     fleet.play(10 * S);
     assert_eq!(fleet.most_ejected, 4);
-    assert_eq!(fleet.routers.iter().map(|r| r.counts.nowhere).sum::<u64>(), 0);
+    assert_eq!(fleet.routers.iter().map(|r| r.counters.unroutable).sum::<u64>(), 0);
     let mut all = Fleet::new(30, 8, 1000, 2, 3);
     all.play(2 * S);
     all.health.fill(Health::Failing);
     all.play(6 * S);
     // With the whole tier allowed to go, calls are held back but for the probes that end it.
-    assert!(all.routers.iter().all(|r| r.counts.nowhere > 0));
+    assert!(all.routers.iter().all(|r| r.counters.unroutable > 0));
     all.health.fill(Health::Well);
     all.play(10 * S);
     assert!((0..30).all(|i| (0..8).all(|s| !all.ejects(i, s))));
@@ -276,20 +278,23 @@
 
 #[test]
 fn a_call_made_again_goes_elsewhere_and_load_is_even() {
-    let settings = Settings { services: 3, probe_every: S, ramp: S };
+    let settings = Settings { services: 3, probe_interval: S, slow_start: S };
     let mut router = Router::new(settings, 9).unwrap();
     for _ in 0..1000 {
-        let again = router.choose(0, Wish { last: Some(1), may_probe: true }).unwrap();
+        let again = router.choose(0, CallPreference { last_service: Some(1), may_probe: true }).unwrap();
         assert_ne!(again.service, 1);
-        router.ended(again);
+        router.release(again);
     }
-    let all: Vec<Chosen> = (0..300).map(|_| router.choose(0, Wish::default()).unwrap()).collect();
+    let all: Vec<Choice> = (0..300).map(|_| router.choose(0, CallPreference::default()).unwrap()).collect();
     assert!((0..3).all(|s| (95..=105).contains(&router.outstanding(s))), "{:?}", router.outstanding(0));
-    all.into_iter().for_each(|chosen| router.ended(chosen));
+    all.into_iter().for_each(|chosen| router.release(chosen));
     // One service alone is asked again, ejected or not by this server's own word.
     let mut one = Router::new(Settings { services: 1, ..settings }, 9).unwrap();
-    one.judged(0, [Judged { ejected: false, bad_here: true, probes: true }]);
-    assert_eq!(one.choose(0, Wish { last: Some(0), may_probe: false }).map(|c| c.service), Some(0));
+    one.update_health(0, [HealthView { ejected: false, locally_unhealthy: true, is_prober: true }]);
+    assert_eq!(
+        one.choose(0, CallPreference { last_service: Some(0), may_probe: false }).map(|c| c.service),
+        Some(0)
+    );
     assert!(Router::new(Settings { services: 0, ..settings }, 1).is_err());
 }
 
@@ -297,18 +302,18 @@
 /// probe, one at a time.
 #[test]
 fn probes_go_one_at_a_time_and_only_with_what_may_be_repeated() {
-    let mut router = Router::new(Settings { services: 1, probe_every: S, ramp: S }, 1).unwrap();
-    router.judged(0, [Judged { ejected: true, bad_here: true, probes: true }]);
-    let (may, not) = (Wish { last: None, may_probe: true }, Wish::default());
-    let due = router.next_room().unwrap();
-    assert!((1..=S).contains(&due) && !router.has_room(due - 1, may) && router.has_room(due, may));
-    assert!(!router.has_room(due, not) && router.choose(due, not).is_none());
+    let mut router = Router::new(Settings { services: 1, probe_interval: S, slow_start: S }, 1).unwrap();
+    router.update_health(0, [HealthView { ejected: true, locally_unhealthy: true, is_prober: true }]);
+    let (may, not) = (CallPreference { last_service: None, may_probe: true }, CallPreference::default());
+    let due = router.next_probe_at().unwrap();
+    assert!((1..=S).contains(&due) && !router.can_route(due - 1, may) && router.can_route(due, may));
+    assert!(!router.can_route(due, not) && router.choose(due, not).is_none());
     let probe = router.choose(due, may).unwrap();
-    assert!(probe.probe && router.choose(due + 5 * S, may).is_none(), "the first is still out");
-    router.ended(probe);
-    assert!(router.choose(due + 5 * S, may).is_some_and(|next| next.probe));
-    router.judged(due + 6 * S, [Judged::default()]);
-    assert!(router.has_room(due + 6 * S, not) && router.next_room().is_none());
+    assert!(probe.is_probe && router.choose(due + 5 * S, may).is_none(), "the first is still out");
+    router.release(probe);
+    assert!(router.choose(due + 5 * S, may).is_some_and(|next| next.is_probe));
+    router.update_health(due + 6 * S, [HealthView::default()]);
+    assert!(router.can_route(due + 6 * S, not) && router.next_probe_at().is_none());
 }
 
 /// A service that is out, or just started and cold, stands the probes of a few servers and not those of all:
--- a/crates/server/src/event_loop.rs
+++ b/crates/server/src/event_loop.rs
@@ -23,7 +23,7 @@
 use meadowstream_fair_queueing::Retune;
 use meadowstream_overload_control::controller::{CONTROL_TIMER, Controller};
 use meadowstream_overload_control::{Arrival, Effect, Gauges, Host, Nanos, Outcome};
-use meadowstream_routing::Wish;
+use meadowstream_routing::CallPreference;
 use siphasher::sip::SipHasher13;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -610,11 +610,14 @@
 
     /// What the call of an invocation wants of a service below. Only a first attempt of what may be repeated
     /// is spent on a probe.
-    fn wish(&mut self, inv: u64) -> Wish {
+    fn wish(&mut self, inv: u64) -> CallPreference {
         let operations = &self.server.configuration.settings.deployment.operations;
-        let Some(invocation) = self.invocations.get(inv) else { return Wish::default() };
+        let Some(invocation) = self.invocations.get(inv) else { return CallPreference::default() };
         let idempotent = operations[invocation.operation].effect == Effect::Idempotent;
-        Wish { last: invocation.called, may_probe: idempotent && invocation.called.is_none() }
+        CallPreference {
+            last_service: invocation.called,
+            may_probe: idempotent && invocation.called.is_none(),
+        }
     }
 
     /// What this wire cannot carry was refused at the start; should it be asked for all the same, the
--- a/crates/server/src/fleet/shared_state.rs
+++ b/crates/server/src/fleet/shared_state.rs
@@ -5,7 +5,7 @@
 use crate::fleet::tier::Tier;
 use crate::lifecycle::reload::TenantNames;
 use crate::memory::counters::Counters;
-use meadowstream_routing::Wish;
+use meadowstream_routing::CallPreference;
 use meadowstream_shared_state::budget::{Budget, BudgetSettingsError};
 use meadowstream_shared_state::clock::{Reading, Time};
 use meadowstream_shared_state::permits::Permits;
@@ -60,7 +60,7 @@
             SharedState::new(me, settings.clone(), seed, reading).map_err(|fault| fault.to_string())?;
         let tier =
             settings.outlier_detection.as_ref().map(|judge| Tier::new(tier.to_vec(), judge.expiry, seed));
-        let tier = tier.transpose()?;
+        let tier = tier.transpose().map_err(|fault| fault.to_string())?;
         let inner =
             Inner { state, permits: Permits::default(), tier, refused: false, counted: [0; 4], uncounted: 0 };
         Ok(Shared { inner: RefCell::new(inner), named: RefCell::default(), began })
@@ -72,12 +72,12 @@
 
     /// Whether one more call may go out; where not, so many wait. The fleet's budget and its judgements of
     /// the services below both have a say.
-    pub fn may_call(&self, waiting: usize, wish: Wish) -> bool {
+    pub fn may_call(&self, waiting: usize, wish: CallPreference) -> bool {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
         let Inner { state, permits, tier, refused, .. } = &mut *inner;
         let time = state.read(reading);
-        if tier.as_ref().is_some_and(|tier| !tier.has_room(reading.monotonic, wish)) {
+        if tier.as_ref().is_some_and(|tier| !tier.can_route(reading.monotonic, wish)) {
             *refused = true;
             return false;
         }
@@ -92,7 +92,7 @@
 
     /// A call goes out; it is given up after so many nanoseconds at the latest. Where it goes, if to one of a
     /// tier.
-    pub fn called(&self, number: u64, timeout: u64, wish: Wish) -> (u64, Option<Place>) {
+    pub fn called(&self, number: u64, timeout: u64, wish: CallPreference) -> (u64, Option<Place>) {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
         let time = inner.state.read(reading);
@@ -190,8 +190,8 @@
             let accusers: Vec<usize> = tier.ejected.iter().map(|i| judge.accusers(time, *i)).collect();
             tracing::info!(target: "fleet", ?ejected, ?accusers, alone = judge.is_isolated(time), "judged");
         }
-        let may_probe = Wish { last: None, may_probe: true };
-        let open = tier.as_ref().is_none_or(|tier| tier.has_room(reading.monotonic, may_probe));
+        let may_probe = CallPreference { last_service: None, may_probe: true };
+        let open = tier.as_ref().is_none_or(|tier| tier.can_route(reading.monotonic, may_probe));
         let free = |time: Time, permits: &mut Permits| {
             let uses = permits.in_use(time);
             calls(state).is_none_or(|budget| budget.may_acquire(time, uses))
--- a/crates/server/src/fleet/tier.rs
+++ b/crates/server/src/fleet/tier.rs
@@ -1,7 +1,7 @@
 //! The services of the tier below, as this server calls them: which one each call under way went to, and what
 //! is judged of each. The router decides; the evidence and the fleet's word are in the shared state's judge.
 
-use meadowstream_routing::{Chosen, Judged, Router, Settings, Wish};
+use meadowstream_routing::{CallPreference, Choice, HealthView, Router, Settings, SettingsError};
 use meadowstream_shared_state::clock::Time;
 use meadowstream_shared_state::outlier_detection::{OutlierDetector, ServiceHealth};
 use serde::Serialize;
@@ -16,7 +16,7 @@
     addresses: Vec<SocketAddr>,
     router: Router,
     /// Calls under way, by their number: where each went and when.
-    out: HashMap<u64, (Chosen, u64)>,
+    out: HashMap<u64, (Choice, u64)>,
     /// Services ejected when last looked at.
     pub ejected: Vec<usize>,
 }
@@ -40,35 +40,35 @@
 }
 
 impl Tier {
-    pub fn new(addresses: Vec<SocketAddr>, expiry: u64, seed: u64) -> Result<Tier, &'static str> {
-        let probe_every = (expiry / PROBES).max(1);
-        let settings = Settings { services: addresses.len(), probe_every, ramp: expiry };
+    pub fn new(addresses: Vec<SocketAddr>, expiry: u64, seed: u64) -> Result<Tier, SettingsError> {
+        let probe_interval = (expiry / PROBES).max(1);
+        let settings = Settings { services: addresses.len(), probe_interval, slow_start: expiry };
         Ok(Tier { router: Router::new(settings, seed)?, addresses, out: HashMap::new(), ejected: Vec::new() })
     }
 
     /// Takes over what is judged now; whether the services ejected are others than before.
     pub fn judged(&mut self, now: u64, time: Time, judge: &OutlierDetector) -> bool {
         let ejected = judge.ejected(time);
-        let of = |service| Judged {
+        let of = |service| HealthView {
             ejected: ejected.contains(&service),
-            bad_here: judge.local_health(time, service) != ServiceHealth::Healthy,
-            probes: judge.is_prober(time, service),
+            locally_unhealthy: judge.local_health(time, service) != ServiceHealth::Healthy,
+            is_prober: judge.is_prober(time, service),
         };
-        let judged: Vec<Judged> = (0..self.addresses.len()).map(of).collect();
-        self.router.judged(now, judged);
+        let judged: Vec<HealthView> = (0..self.addresses.len()).map(of).collect();
+        self.router.update_health(now, judged);
         let changed = ejected != self.ejected;
         self.ejected = ejected;
         changed
     }
 
-    pub fn has_room(&self, now: u64, wish: Wish) -> bool {
-        self.router.has_room(now, wish)
+    pub fn can_route(&self, now: u64, wish: CallPreference) -> bool {
+        self.router.can_route(now, wish)
     }
 
     /// Where a call of that number goes. Where every service is ejected and the module calls all the same,
     /// nowhere is better than another: the first.
-    pub fn call(&mut self, now: u64, number: u64, wish: Wish) -> (usize, SocketAddr) {
-        let nowhere = Chosen { service: 0, probe: false };
+    pub fn call(&mut self, now: u64, number: u64, wish: CallPreference) -> (usize, SocketAddr) {
+        let nowhere = Choice { service: 0, is_probe: false };
         let chosen = self.router.choose(now, wish).unwrap_or(nowhere);
         self.out.insert(number, (chosen, now));
         (chosen.service, self.addresses[chosen.service])
@@ -78,7 +78,7 @@
     /// it had been out for longer than a service may take that is not slow.
     pub fn ended(&mut self, now: u64, time: Time, number: u64, over: Over, judge: &mut OutlierDetector) {
         let Some((chosen, begun)) = self.out.remove(&number) else { return };
-        self.router.ended(chosen);
+        self.router.release(chosen);
         let took = now.saturating_sub(begun);
         match over {
             Over::GivenUp => judge.record_abandoned_call(time, chosen.service, took),
@@ -96,8 +96,8 @@
             outstanding: self.router.outstanding(service),
         };
         let services: Vec<Shown> = names.iter().map(String::as_str).enumerate().map(of).collect();
-        let counts = self.router.counts;
-        let routed = serde_json::to_string(&[counts.calls, counts.probes, counts.nowhere]);
+        let counts = self.router.counters;
+        let routed = serde_json::to_string(&[counts.calls, counts.probes, counts.unroutable]);
         (routed.unwrap_or_default(), serde_json::to_string(&services).unwrap_or_default())
     }
 }
