--- a/crates/capacity/src/tenants.rs
+++ b/crates/capacity/src/tenants.rs
@@ -4,7 +4,7 @@
 use crate::fit::Curve;
 use crate::meter::{allocated, thread_time};
 use crate::model::SECOND;
-use meadowstream_fair_queueing::{Fair, NamedTenant, Settings, Who};
+use meadowstream_fair_queueing::{FairScheduler, NamedTenant, Settings, TenantKey};
 use serde::Serialize;
 
 /// Numbers of named tenants, the largest last.
@@ -33,21 +33,21 @@
     let accounts = 2 * tenants + OTHER_ACCOUNTS;
     let settings = Settings { accounts, named: named.clone().into(), ..Settings::default() };
     let before = allocated();
-    let mut fair = Fair::new(settings, 8.0, 7, 0);
+    let mut fair = FairScheduler::new(settings, 8.0, 7, 0);
     let memory = allocated().saturating_sub(before) as f64;
     let mut arrive = |n: usize| {
         let now = n as u64 * 50_000;
         let (name, _) = &named[n.wrapping_mul(7919) % tenants];
-        let seat = fair.arrived(now, Who { name, origin: 1 }, WORK, None);
-        fair.began(&seat);
-        fair.ended(now, &seat, meadowstream_fair_queueing::Outcome::Ran(WORK as u64));
+        let seat = fair.arrive(now, TenantKey { name, origin: 1 }, WORK, None);
+        fair.start_service(&seat);
+        fair.end(now, &seat, meadowstream_fair_queueing::ServiceOutcome::Ran(WORK as u64));
     };
     (0..tenants).for_each(&mut arrive);
     let began = thread_time();
     (0..ARRIVALS).for_each(&mut arrive);
     let arrival = (thread_time() - began) as f64 / ARRIVALS as f64;
     let began = thread_time();
-    (0..LEVELS as u64).for_each(|n| fair.set_level(SECOND * (4 + n), 8.0, f64::INFINITY));
+    (0..LEVELS as u64).for_each(|n| fair.update_fair_rate(SECOND * (4 + n), 8.0, f64::INFINITY));
     let level = (thread_time() - began) as f64 / LEVELS as f64;
     Tenants { tenants, memory, arrival, level }
 }
--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -56,7 +56,7 @@
     println!("{} would listen on {} for {operations}", read.name, read.listen);
     read.notes.iter().for_each(|note| println!("{note}"));
     if let Some(fair) = &read.settings.deployment.fair_queueing {
-        let (named, most) = (fair.named.len(), fair.ceiling().div_ceil(BYTES_PER_MIB));
+        let (named, most) = (fair.named.len(), fair.bytes_max().div_ceil(BYTES_PER_MIB));
         println!("tenants are told apart, {named} of them by name, in {most} MiB at most");
     }
     Ok(())
--- a/crates/cli/tests/fair_queues.rs
+++ b/crates/cli/tests/fair_queues.rs
@@ -31,7 +31,7 @@
     assert!(outcome.peak_kib < 64 << 10, "{} KiB", outcome.peak_kib);
     let shares = outcome.shares.iter().find(|line| line.contains(" bytes=")).expect("asked for");
     let bytes = shares.split(" bytes=").nth(1).and_then(|rest| rest.split(' ').next()?.parse::<usize>().ok());
-    let ceiling = meadowstream_fair_queueing::Settings::default().ceiling();
+    let ceiling = meadowstream_fair_queueing::Settings::default().bytes_max();
     assert!(bytes.is_some_and(|bytes| bytes <= ceiling), "{bytes:?} of {ceiling}");
 }
 
--- a/crates/configuration/src/change.rs
+++ b/crates/configuration/src/change.rs
@@ -166,11 +166,5 @@
         }
     }
     fair.named = named.into();
-    match fair.fault() {
-        Some((attribute, reason)) => {
-            let attribute = attribute.to_string();
-            Err(key_error(TENANT_WEIGHT, Fault::TenantLimit { attribute, reason }))
-        }
-        None => Ok(()),
-    }
+    fair.check().map_err(|fault| key_error(TENANT_WEIGHT, Fault::TenantLimit(fault)))
 }
--- a/crates/configuration/src/error.rs
+++ b/crates/configuration/src/error.rs
@@ -154,12 +154,12 @@
     NoBudget,
     #[error("the options name no <tenants>")]
     NoTenants,
-    #[error("{attribute}: {reason} for {named} named tenants; {most} may be named")]
-    TooManyTenants { attribute: String, reason: String, named: usize, most: usize },
+    #[error("{limit} for {named} named tenants; {most} may be named")]
+    TooManyTenants { limit: String, named: usize, most: usize },
     #[error("{0}")]
     Key(Box<KeyError>),
-    #[error("{attribute}: {reason}")]
-    TenantLimit { attribute: String, reason: String },
+    #[error("{0}")]
+    TenantLimit(meadowstream_fair_queueing::SettingsError),
     #[error("{0}")]
     Plan(String),
 }
--- a/crates/configuration/src/tenants.rs
+++ b/crates/configuration/src/tenants.rs
@@ -59,7 +59,7 @@
     let source = read_source(&element)?;
     let origin = read_origin(&element)?;
     let weight = element.number("default-weight", 1.0, WEIGHT_LEAST, WEIGHT_MOST)?;
-    let mut fair = Settings { weight, ..Settings::default() };
+    let mut fair = Settings { default_weight: weight, ..Settings::default() };
     let children = element.children(&["ceilings", "share", "tenant"], &["tenant"])?;
     let (named, limits): (Vec<_>, Vec<_>) =
         children.into_iter().partition(|child| child.tag_name().name() == "tenant");
@@ -70,9 +70,7 @@
         }
     }
     fair.named = read_named(document, named, &fair)?.into();
-    if let Some((attribute, reason)) = fair.fault() {
-        return Err(element.error(Fault::TenantLimit { attribute: attribute.to_string(), reason }));
-    }
+    fair.check().map_err(|fault| element.error(Fault::TenantLimit(fault)))?;
     let surplus_value = element.number("surplus-value", 0.1, 1e-6, 1.0)?;
     let shown = element.whole("shown", 8, 0, 64)?;
     Ok(Tenants { source, origin, surplus_value, shown, fair })
@@ -114,7 +112,7 @@
     elements: Vec<Node<'_, 'd>>,
     fair: &Settings,
 ) -> Result<Vec<NamedTenant>> {
-    let (most, count) = (fair.named_most(), elements.len());
+    let (most, count) = (fair.named_max(), elements.len());
     let mut named = Vec::with_capacity(count);
     let mut names = HashSet::with_capacity(count);
     for child in elements {
@@ -123,7 +121,7 @@
         if name.len() > NAME_BYTES_MAX {
             return Err(tenant.error(Fault::TooLong { attribute: "name", most: NAME_BYTES_MAX }));
         }
-        let weight = tenant.number("weight", fair.weight, WEIGHT_LEAST, WEIGHT_MOST)?;
+        let weight = tenant.number("weight", fair.default_weight, WEIGHT_LEAST, WEIGHT_MOST)?;
         if !names.insert(name) {
             return Err(tenant.error(Fault::ValueTwice { attribute: "name", value: name.to_string() }));
         }
@@ -137,8 +135,8 @@
 
 fn too_many_tenants(fair: &Settings, named: usize, most: usize) -> Fault {
     let wanted = Settings { named: vec![(Vec::new(), 1.0); named].into(), ..fair.clone() };
-    let (attribute, reason) = wanted.fault().unwrap_or_default();
-    Fault::TooManyTenants { attribute: attribute.to_string(), reason, named, most }
+    let limit = wanted.check().err().map(|fault| fault.to_string());
+    Fault::TooManyTenants { limit: limit.unwrap_or_default(), named, most }
 }
 
 fn read_ceilings(element: &Element, fair: &mut Settings) -> Result<()> {
@@ -146,13 +144,13 @@
     fair.cells = element.whole("cells", fair.cells, 64, 1 << 26)?;
     fair.origins = element.whole("origins", fair.origins, 1, 1 << 16)?;
     fair.promises = element.whole("promises", fair.promises, 1, 1 << 20)?;
-    fair.names = element.number("names-per-origin", fair.names, 1.0, 1e9)?;
+    fair.names_per_origin = element.number("names-per-origin", fair.names_per_origin, 1.0, 1e9)?;
     Ok(())
 }
 
 fn read_share(element: &Element, fair: &mut Settings) -> Result<()> {
-    fair.at_once = element.duration_ns("at-once-ms", fair.at_once, 1, 3_600_000)?;
+    fair.burst = element.duration_ns("at-once-ms", fair.burst, 1, 3_600_000)?;
     fair.probation = element.duration_ns("probation-ms", fair.probation, 0, 3_600_000)?;
-    fair.late = element.duration_ns("late-ms", fair.late, 1, 60_000)?;
+    fair.return_grace = element.duration_ns("late-ms", fair.return_grace, 1, 60_000)?;
     Ok(())
 }
--- a/crates/configuration/tests/options.rs
+++ b/crates/configuration/tests/options.rs
@@ -18,7 +18,7 @@
     let tenants = Options::load(&deploy("tenants-example.xml")).unwrap().tenants.unwrap();
     assert_eq!((tenants.source, tenants.origin), (TenantSource::Field("venue".to_string()), Origin::Peer));
     assert_eq!(tenants.fair.named[0], (b"arms-park".to_vec(), 10.0));
-    assert_eq!((tenants.fair.at_once, tenants.fair.accounts), (15_000_000_000, 4096));
+    assert_eq!((tenants.fair.burst, tenants.fair.accounts), (15_000_000_000, 4096));
     assert!(Options::read(&file("")).unwrap().tenants.is_none());
 }
 
--- a/crates/configuration/tests/outside_names.rs
+++ b/crates/configuration/tests/outside_names.rs
@@ -58,12 +58,12 @@
     let Tenants { source, origin, surplus_value, shown, fair } = options.tenants.unwrap();
     assert_eq!((source, origin), (TenantSource::Field("venue".into()), Origin::Sender));
     assert_eq!((surplus_value, shown), (0.25, 9));
-    let Settings { accounts, cells, origins, promises, names, weight, .. } = fair;
+    let Settings { accounts, cells, origins, promises, names_per_origin, default_weight, .. } = fair;
     assert_eq!((accounts, cells, origins, promises), (5_000, 70_000, 300, 17_000));
-    assert_eq!((names, weight), (2048.0, 2.0));
-    assert_eq!(fair.at_once, 16_000 * MILLISECOND);
+    assert_eq!((names_per_origin, default_weight), (2048.0, 2.0));
+    assert_eq!(fair.burst, 16_000 * MILLISECOND);
     assert_eq!(fair.probation, 2_100 * MILLISECOND);
-    assert_eq!(fair.late, 510 * MILLISECOND);
+    assert_eq!(fair.return_grace, 510 * MILLISECOND);
     assert_eq!(fair.named.to_vec(), [(b"arms-park".to_vec(), 10.0), (b"rodney-parade".to_vec(), 2.0)]);
     let tokens = options.idempotency_keys.unwrap();
     assert_eq!((tokens.field.as_str(), tokens.entries, tokens.result_bytes), ("key", 5_001, 2_048 << 10));
--- a/crates/fair-queueing/benches/fair.rs
+++ b/crates/fair-queueing/benches/fair.rs
@@ -1,7 +1,7 @@
 //! An arrival among many tenants: the bounded core against a plain map of queues that knows each of them.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use meadowstream_fair_queueing::{Fair, Outcome, Settings, Who};
+use meadowstream_fair_queueing::{FairScheduler, ServiceOutcome, Settings, TenantKey};
 use std::collections::{HashMap, VecDeque};
 use std::hint::black_box;
 
@@ -46,21 +46,22 @@
     let mut group = c.benchmark_group("tenants");
     for tenants in [100u64, 1_000, 10_000, 100_000, 1_000_000] {
         let name = |n: u64| (n.wrapping_mul(7919) % tenants).to_be_bytes();
-        let settings = Settings { cells: 1 << 20, names: 1e9, probation: 0, ..Settings::default() };
-        let mut fair = Fair::new(settings, 4.0, 1, 0);
+        let settings =
+            Settings { cells: 1 << 20, names_per_origin: 1e9, probation: 0, ..Settings::default() };
+        let mut fair = FairScheduler::new(settings, 4.0, 1, 0);
         let mut n = 0;
         let mut arrive = move || {
             n += 1;
-            let seat = fair.arrived(n * 1000, Who { name: &name(n), origin: n % 64 }, 1e6, None);
+            let seat = fair.arrive(n * 1000, TenantKey { name: &name(n), origin: n % 64 }, 1e6, None);
             if n.is_multiple_of(100_000) {
-                fair.set_level(n * 1000, 3.6, f64::INFINITY);
+                fair.update_fair_rate(n * 1000, 3.6, f64::INFINITY);
             }
-            fair.ended(
+            fair.end(
                 n * 1000 + 500,
                 &seat,
-                if seat.surplus { Outcome::Never } else { Outcome::Ran(900_000) },
+                if seat.surplus { ServiceOutcome::NeverRan } else { ServiceOutcome::Ran(900_000) },
             );
-            seat.tag
+            seat.start_tag
         };
         (0..4 * tenants).for_each(|_| {
             arrive();
--- a/crates/fair-queueing/src/finish_sketch.rs
+++ b/crates/fair-queueing/src/finish_sketch.rs
@@ -1,86 +1,100 @@
-//! What tenants without an account have used: a table of cells in which each print has a few of its own,
-//! shared with whoever else falls on them. A cell holds the most of all who share it, so what is told of a
-//! tenant (the least over its cells) is never under what it has used, and now and then over it.
+//! Finishes of tenants without an account, in fixed memory: a sketch of hashed cells like count-min (Cormode and
+//! Muthukrishnan, 2005), whose cells hold the largest finish of all tenants that share them instead of a sum.
+//!
+//! Invariant: the finish of a tenant, the least over its cells, is never under what the tenant has used; it is
+//! over it where all of its cells are shared with tenants that have used more.
 
-use crate::Print;
+use crate::tenant::Fingerprint;
 
-/// Cells of a print.
-const CELLS: usize = 3;
-/// Finishes are kept in parts of this many ns of fair time, so that a cell is 4 bytes.
-const PART: f64 = 16_384.0;
-/// Part of the cells that is swept at a time.
-const SWEPT: usize = 256;
+/// Cells of one tenant.
+const CELLS_PER_TENANT: usize = 3;
+/// Unit of a cell in nanoseconds of virtual time, so that a cell takes 4 bytes.
+const UNIT_NS: f64 = 16_384.0;
+/// A sweep visits one cell in so many.
+const SWEEPS_PER_ROUND: usize = 256;
+/// Fewest cells.
+const CELLS_MIN: usize = 64;
 
+/// The sketch.
 #[derive(Debug)]
-pub struct Sketch {
-    /// Finishes in parts, going round.
+pub struct FinishSketch {
+    /// Finishes in units, modulo 2^32.
     cells: Vec<u32>,
-    swept: usize,
+    next_swept: usize,
 }
 
-fn parts(fair_time: f64) -> u32 {
-    (fair_time / PART) as u64 as u32
+fn to_units(virtual_time: f64) -> u32 {
+    (virtual_time / UNIT_NS) as u64 as u32
 }
 
-/// How far a cell lies ahead, in parts; under 0 it lies behind.
-fn ahead(cell: u32, present: u32) -> i32 {
+/// How far a cell lies ahead of the present, in units; under 0 it lies behind.
+fn units_ahead(cell: u32, present: u32) -> i32 {
     cell.wrapping_sub(present) as i32
 }
 
-impl Sketch {
+impl FinishSketch {
+    /// A sketch with so many cells, rounded up to a power of two.
     pub fn new(cells: usize) -> Self {
-        Self { cells: vec![0; Self::rounded(cells)], swept: 0 }
+        Self { cells: vec![0; Self::rounded(cells)], next_swept: 0 }
     }
 
     fn rounded(cells: usize) -> usize {
-        cells.max(64).next_power_of_two()
+        cells.max(CELLS_MIN).next_power_of_two()
     }
 
-    pub fn ceiling(cells: usize) -> usize {
+    /// Bytes that a sketch with so many cells takes.
+    pub fn bytes_max(cells: usize) -> usize {
         Self::rounded(cells) * size_of::<u32>()
     }
 
+    /// Bytes held now.
     pub fn bytes(&self) -> usize {
         self.cells.capacity() * size_of::<u32>()
     }
 
-    fn places(&self, print: Print) -> [usize; CELLS] {
-        // Two halves of the print stand for any number of hashes (Kirsch and Mitzenmacher, 2006).
-        let (a, b) = (print as u64, ((print >> 64) as u64) | 1);
-        std::array::from_fn(|i| (a.wrapping_add(b.wrapping_mul(i as u64)) >> 7) as usize % self.cells.len())
+    /// Indices of a tenant's cells. Two halves of the fingerprint stand for any number of hashes (Kirsch and
+    /// Mitzenmacher, 2006).
+    fn cells_of(&self, name: Fingerprint) -> [usize; CELLS_PER_TENANT] {
+        let (first, second) = (name as u64, ((name >> 64) as u64) | 1);
+        std::array::from_fn(|i| {
+            let hash = first.wrapping_add(second.wrapping_mul(i as u64)) >> 7;
+            hash as usize % self.cells.len()
+        })
     }
 
-    /// The fair time up to which it has used its share at the most; the present where that is behind.
-    pub fn finish(&self, print: Print, fair_time: f64) -> f64 {
-        let present = parts(fair_time);
-        let least = self.places(print).map(|place| ahead(self.cells[place], present)).into_iter().min();
-        match least {
-            Some(least) if least > 0 => ((fair_time / PART).floor() + f64::from(least)) * PART,
-            _ => fair_time,
+    /// Upper bound of the virtual time up to which the tenant has used its share; the present where that lies
+    /// behind it.
+    pub fn finish(&self, name: Fingerprint, present: f64) -> f64 {
+        let present_units = to_units(present);
+        let ahead = self.cells_of(name).map(|cell| units_ahead(self.cells[cell], present_units));
+        match ahead.into_iter().min() {
+            Some(least) if least > 0 => ((present / UNIT_NS).floor() + f64::from(least)) * UNIT_NS,
+            _ => present,
         }
     }
 
-    /// It has used its share up to then.
-    pub fn raise(&mut self, print: Print, finish: f64, fair_time: f64) {
-        let present = parts(fair_time);
-        let to = ((finish - fair_time) / PART).ceil().clamp(0.0, f64::from(i32::MAX)) as i32;
-        for place in self.places(print) {
-            let cell = &mut self.cells[place];
-            *cell = present.wrapping_add(ahead(*cell, present).max(to).max(0) as u32);
+    /// The tenant has used its share up to `finish`.
+    pub fn raise(&mut self, name: Fingerprint, finish: f64, present: f64) {
+        let present_units = to_units(present);
+        let to = ((finish - present) / UNIT_NS).ceil().clamp(0.0, f64::from(i32::MAX)) as i32;
+        for index in self.cells_of(name) {
+            let cell = &mut self.cells[index];
+            let ahead = units_ahead(*cell, present_units).max(to).max(0);
+            *cell = present_units.wrapping_add(ahead as u32);
         }
     }
 
-    /// Brings some cells up to the present. Guards against those that nobody touches until the count of
-    /// parts has gone half round, which would then lie ahead; a whole round of sweeps takes two minutes.
-    pub fn sweep(&mut self, fair_time: f64) {
-        let present = parts(fair_time);
-        let len = self.cells.len();
-        for _ in 0..len.div_ceil(SWEPT) {
-            let cell = &mut self.cells[self.swept];
-            if ahead(*cell, present) < 0 {
-                *cell = present;
+    /// Brings some cells up to the present. A cell that is not used would seem to lie ahead once the units have
+    /// gone half round; a whole round of sweeps takes two minutes.
+    pub fn sweep(&mut self, present: f64) {
+        let present_units = to_units(present);
+        let cells = self.cells.len();
+        for _ in 0..cells.div_ceil(SWEEPS_PER_ROUND) {
+            let cell = &mut self.cells[self.next_swept];
+            if units_ahead(*cell, present_units) < 0 {
+                *cell = present_units;
             }
-            self.swept = (self.swept + 1) % len;
+            self.next_swept = (self.next_swept + 1) % cells;
         }
     }
 }
--- a/crates/fair-queueing/src/origins.rs
+++ b/crates/fair-queueing/src/origins.rs
@@ -1,132 +1,160 @@
-//! The second level, which cannot be forged: a connection's peer or a sender that the operator trusts.
-//! Names that have not been seen for long share one place for each origin, and where an origin brings more
-//! names than it may, each counts for less. So made-up names bring nobody more than one place.
-
-use crate::distinct::Distinct;
-use crate::level::{Ask, Flow, Ratio};
-use crate::{Nanos, Print};
+//! Where calls come from: a connection's peer, or a sender that the operator trusts. Origins cannot be made up.
+//!
+//! Names that have not been seen for long share one place for each origin, and where an origin brings more names
+//! than it may, each of them weighs less. Made-up names thus bring nobody more than one place.
+
+use crate::Nanos;
+use crate::demand::{DecayingRate, Demand};
+use crate::hyperloglog::WindowedCount;
+use crate::learned_ratio::LearnedRatio;
+use crate::queue_order::QueueTails;
+use crate::tenant::Fingerprint;
 use std::collections::HashMap;
 
+/// An origin unused for this long may lose its place to another, in nanoseconds.
+const IDLE_NS: Nanos = 60_000_000_000;
+/// Names of an origin are counted over windows of so many times the probation.
+const WINDOW_PROBATIONS: u64 = 8;
+/// The names are estimated again for one name in so many.
+const NAMES_PER_ESTIMATE: u64 = 16;
+/// Registers of the count of an origin's names.
+const NAME_REGISTERS: usize = 64;
+/// Spreads origins beyond the limit over the places (Fibonacci hashing).
+const HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
+
+/// What the newcomers of one origin have used together.
 #[derive(Debug, Default)]
-struct Origin {
+pub struct Origin {
     id: u64,
-    finish: f64,
-    order: [f64; 2],
-    booked: f64,
-    asks: Flow,
-    /// Work of its newcomers as a ratio to what is guessed.
-    ratio: Ratio,
-    used: Nanos,
-    /// Names of this and of the last stretch of time.
-    names: [Distinct<64>; 2],
-    turned: Nanos,
-    many: f64,
+    /// Virtual time up to which they have used their share.
+    pub finish: f64,
+    /// Where their queues end.
+    pub tails: QueueTails,
+    /// Virtual time up to which their places are promised.
+    pub booked: f64,
+    /// Their work as a ratio to the usual work.
+    pub ratio: LearnedRatio,
+    demand: DecayingRate,
+    used_at: Nanos,
+    names: WindowedCount<NAME_REGISTERS>,
+    /// The last estimate of [`Origin::names`]; 0 where there is none of this window.
+    estimated_names: f64,
+}
+
+impl Origin {
+    fn new(id: u64, now: Nanos) -> Self {
+        Self { id, used_at: now, names: WindowedCount::new(now), ..Self::default() }
+    }
 }
 
+/// All origins, up to a limit.
 #[derive(Debug)]
 pub struct Origins {
-    most: usize,
-    names: f64,
-    stretch: Nanos,
-    all: Vec<Origin>,
-    places: HashMap<u64, usize>,
+    limit: usize,
+    names_per_origin: f64,
+    /// Window of the counts of names, in nanoseconds.
+    window: Nanos,
+    origins: Vec<Origin>,
+    indices: HashMap<u64, usize>,
 }
 
-/// An origin unused for so long may lose its place to another.
-const IDLE: Nanos = 60_000_000_000;
-/// Stretches of time over which names are counted, in times of probation.
-const STRETCH: u64 = 8;
-/// Names are counted anew after this many more.
-const RECOUNT: u64 = 16;
-
 impl Origins {
-    pub fn new(most: usize, names: f64, probation: Nanos) -> Self {
-        let most = most.max(1);
-        Self { most, names, stretch: probation.max(1) * STRETCH, all: Vec::new(), places: HashMap::new() }
+    /// At most `limit` origins, of which each may have `names_per_origin` names at full weight.
+    pub fn new(limit: usize, names_per_origin: f64, probation: Nanos) -> Self {
+        Self {
+            limit: limit.max(1),
+            names_per_origin,
+            window: probation.max(1) * WINDOW_PROBATIONS,
+            origins: Vec::new(),
+            indices: HashMap::new(),
+        }
     }
 
-    pub fn ceiling(most: usize) -> usize {
-        2 * most.max(4) * size_of::<Origin>() + 2 * most * (size_of::<(u64, usize)>() + 1) * 8 / 7 + 64
+    /// Most bytes that so many origins take.
+    pub fn bytes_max(limit: usize) -> usize {
+        let map = 2 * limit * (size_of::<(u64, usize)>() + 1) * 8 / 7 + 64;
+        2 * limit.max(4) * size_of::<Origin>() + map
     }
 
+    /// Bytes held now.
     pub fn bytes(&self) -> usize {
         let entry = size_of::<(u64, usize)>() + 1;
-        self.all.capacity() * size_of::<Origin>() + self.places.capacity() * 8 / 7 * entry
+        self.origins.capacity() * size_of::<Origin>() + self.indices.capacity() * 8 / 7 * entry
     }
 
-    pub fn set_names(&mut self, names: f64) {
-        self.names = names;
+    /// Sets how many names an origin may have at full weight.
+    pub fn set_names_per_origin(&mut self, names: f64) {
+        self.names_per_origin = names;
     }
 
-    /// Those beyond the ceiling share the places there are, always the same one.
-    fn place(&mut self, id: u64, now: Nanos) -> usize {
-        if let Some(place) = self.places.get(&id) {
-            self.all[*place].used = now;
-            return *place;
-        }
-        let new = || Origin { id, used: now, turned: now, ..Origin::default() };
-        if self.all.len() < self.most {
-            self.places.insert(id, self.all.len());
-            self.all.push(new());
-            return self.all.len() - 1;
+    /// Index of an origin's place. Origins beyond the limit share places, each always the same one.
+    fn find_or_insert(&mut self, id: u64, now: Nanos) -> usize {
+        if let Some(index) = self.indices.get(&id) {
+            self.origins[*index].used_at = now;
+            return *index;
         }
-        let place = (id.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 33) as usize % self.most;
-        let origin = &mut self.all[place];
-        if now.saturating_sub(origin.used) > IDLE {
-            self.places.remove(&origin.id);
-            // What its place has used stays with it.
-            *origin = Origin { finish: origin.finish, order: origin.order, booked: origin.booked, ..new() };
-            self.places.insert(id, place);
+        if self.origins.len() < self.limit {
+            self.indices.insert(id, self.origins.len());
+            self.origins.push(Origin::new(id, now));
+            return self.origins.len() - 1;
         }
-        place
-    }
-
-    /// The part of its weight that a name of this origin counts with, 1 or less.
-    pub fn part(&mut self, id: u64, print: Print, now: Nanos) -> f64 {
-        let (stretch, names) = (self.stretch, self.names);
-        let place = self.place(id, now);
-        let origin = &mut self.all[place];
-        if now.saturating_sub(origin.turned) > stretch {
-            origin.names.swap(0, 1);
-            origin.names[0].clear();
-            (origin.turned, origin.many) = (now, 0.0);
+        let index = (id.wrapping_mul(HASH_MULTIPLIER) >> 33) as usize % self.limit;
+        if now.saturating_sub(self.origins[index].used_at) > IDLE_NS {
+            self.replace(index, id, now);
         }
-        origin.names[0].add(print);
-        if origin.many == 0.0 || (print as u64).is_multiple_of(RECOUNT) {
-            origin.many = origin.names[0].count().max(origin.names[1].count()).max(1.0);
-        }
-        (names / origin.many).min(1.0)
+        index
     }
 
-    /// The place that newcomers of this origin share, and the work that one asks for.
-    pub fn newcomers(&mut self, id: u64, now: Nanos, work: f64) -> (usize, f64) {
-        let place = self.place(id, now);
-        let guess = work * self.all[place].ratio.get();
-        self.all[place].asks.add(now, guess);
-        (place, guess)
+    /// Gives a place to another origin; what has been used of it stays with the place.
+    fn replace(&mut self, index: usize, id: u64, now: Nanos) {
+        let origin = &mut self.origins[index];
+        self.indices.remove(&origin.id);
+        let (finish, tails, booked) = (origin.finish, origin.tails, origin.booked);
+        *origin = Origin { finish, tails, booked, ..Origin::new(id, now) };
+        self.indices.insert(id, index);
     }
 
-    pub fn ratio(&mut self, place: usize) -> &mut Ratio {
-        &mut self.all[place].ratio
-    }
-
-    pub fn finish(&self, place: usize) -> f64 {
-        self.all[place].finish
+    /// Part of its weight that a name of this origin counts with, 1 at most.
+    pub fn weight_ratio(&mut self, id: u64, name: Fingerprint, now: Nanos) -> f64 {
+        let (window, names_per_origin) = (self.window, self.names_per_origin);
+        let index = self.find_or_insert(id, now);
+        let origin = &mut self.origins[index];
+        if origin.names.rotate(now, window) {
+            origin.estimated_names = 0.0;
+        }
+        origin.names.add(name);
+        if origin.estimated_names == 0.0 || (name as u64).is_multiple_of(NAMES_PER_ESTIMATE) {
+            origin.estimated_names = origin.names.estimate();
+        }
+        (names_per_origin / origin.estimated_names).min(1.0)
     }
 
-    pub fn set_finish(&mut self, place: usize, finish: f64) {
-        self.all[place].finish = finish;
+    /// A newcomer of this origin asks for work: returns the index of the place that newcomers share, and the
+    /// work corrected by their ratio.
+    pub fn record_newcomer(&mut self, id: u64, now: Nanos, work: f64) -> (usize, f64) {
+        let index = self.find_or_insert(id, now);
+        let origin = &mut self.origins[index];
+        let estimated_work = work * origin.ratio.get();
+        origin.demand.add(now, estimated_work);
+        (index, estimated_work)
     }
 
-    pub fn order(&mut self, place: usize) -> &mut [f64; 2] {
-        &mut self.all[place].order
+    /// The place at an index that [`Origins::record_newcomer`] has returned.
+    pub fn get(&self, index: usize) -> &Origin {
+        &self.origins[index]
     }
 
-    pub fn booked(&mut self, place: usize) -> &mut f64 {
-        &mut self.all[place].booked
+    /// The same, to change.
+    pub fn get_mut(&mut self, index: usize) -> &mut Origin {
+        &mut self.origins[index]
     }
 
-    pub fn asks(&self, now: Nanos, weight: f64) -> impl Iterator<Item = Ask> {
-        self.all.iter().map(move |origin| Ask { cores: origin.asks.cores(now), weight, many: 1.0 })
+    /// Recent demand of the newcomers of each origin.
+    pub fn demands(&self, now: Nanos, weight: f64) -> impl Iterator<Item = Demand> {
+        self.origins.iter().map(move |origin| Demand {
+            cores: origin.demand.cores(now),
+            weight,
+            tenants: 1.0,
+        })
     }
 }
--- a/crates/fair-queueing/src/promises.rs
+++ b/crates/fair-queueing/src/promises.rs
@@ -1,141 +1,178 @@
-//! Promises: who was turned away and told when to come back has a place until then and a little longer. A
-//! ticket that cannot be guessed stands for it, good once, for its tenant, from whatever connection.
+//! Promises: a rejected arrival that is told when to come back has a place then, and a little longer. A ticket that
+//! cannot be guessed stands for it; it is good once, for its tenant, from any connection.
 
-use crate::wheel::Wheel;
-use crate::{Nanos, Print};
+use crate::Nanos;
+use crate::tenant::Fingerprint;
+use crate::timer_wheel::TimerWheel;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::HashMap;
 
-/// Spread of returns, as a share of the time stated: those turned away together do not come back together.
-const SPREAD: f64 = 0.25;
-/// And this share of the longest time at least.
-const SPREAD_LEAST: f64 = 0.02;
+/// Random part added to a promised time, as a share of it: those rejected together do not return together.
+const SPREAD_RATIO: f64 = 0.25;
+/// The random part is at least this share of the longest time that may be promised.
+const SPREAD_LEAST_RATIO: f64 = 0.02;
+/// Promised times are whole milliseconds, in nanoseconds.
+const RESOLUTION_NS: Nanos = 1_000_000;
+/// Distinguishes the tickets' random numbers from others of the same seed ("ticket").
+const TICKET_SEED: u64 = 0x7469_636b_6574;
 
+/// What was promised; virtual times are of the fair rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Promise {
-    pub print: Print,
+    /// The tenant.
+    pub tenant: Fingerprint,
+    /// Estimated work, in nanoseconds of one core.
     pub work: f64,
-    /// Its tag in the order, its place in its tenant's share, and how much the wait was to bring.
-    pub tag: f64,
+    /// Start tag in the order.
+    pub start_tag: f64,
+    /// Virtual time of its place in its tenant's share.
     pub place: f64,
-    pub brings: f64,
+    /// How far virtual time was to advance until the return.
+    pub expected_advance: f64,
 }
 
+/// What becomes of a return with a ticket.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Return {
-    AsPromised(Promise),
-    /// The place is lost.
+pub enum Redemption {
+    /// It is as promised.
+    InTime(Promise),
+    /// It is before the promised time; the place is lost.
     Early,
-    /// Too late, used before, never given, or another tenant's.
+    /// The ticket does not stand: too late, used before, never given, or another tenant's.
     Unknown,
 }
 
+/// The time to stay away, in nanoseconds, and the ticket to come back with.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Ticket {
+    /// How long to stay away, in nanoseconds.
+    pub wait: Nanos,
+    /// The ticket's number, above 0.
+    pub number: u64,
+}
+
 #[derive(Debug)]
-struct Place {
+struct StandingPromise {
     promise: Promise,
+    /// The ticket's number; 0 once it has been used.
     ticket: u64,
-    from: Nanos,
+    valid_from: Nanos,
 }
 
+/// The promises that stand, up to a limit.
 #[derive(Debug)]
-pub struct Ledger {
-    most: usize,
+pub struct Promises {
+    limit: usize,
     longest: Nanos,
-    late: Nanos,
-    places: Vec<Option<Place>>,
+    return_grace: Nanos,
+    places: Vec<Option<StandingPromise>>,
     free: Vec<u32>,
     tickets: HashMap<u64, u32>,
-    wheel: Wheel,
+    expiries: TimerWheel,
     rng: ChaCha8Rng,
 }
 
-impl Ledger {
-    pub fn new(most: usize, longest: Nanos, late: Nanos, seed: u64, now: Nanos) -> Self {
+impl Promises {
+    /// At most `limit` promises of up to `longest` nanoseconds; a return is in time for `return_grace` nanoseconds.
+    pub fn new(limit: usize, longest: Nanos, return_grace: Nanos, seed: u64, now: Nanos) -> Self {
         Self {
-            most: most.min(u32::MAX as usize),
+            limit: limit.min(u32::MAX as usize),
             longest,
-            late,
+            return_grace,
             places: Vec::new(),
             free: Vec::new(),
             tickets: HashMap::new(),
-            wheel: Wheel::new(longest + late, now),
-            rng: ChaCha8Rng::seed_from_u64(seed ^ 0x7469_636b_6574),
+            expiries: TimerWheel::new(longest + return_grace, now),
+            rng: ChaCha8Rng::seed_from_u64(seed ^ TICKET_SEED),
         }
     }
 
-    pub fn ceiling(most: usize) -> usize {
-        let map = 2 * most * (size_of::<(u64, u32)>() + 1) * 8 / 7 + 64;
-        2 * most.max(4) * (size_of::<Option<Place>>() + size_of::<u32>()) + map + Wheel::ceiling(2 * most)
+    /// Most bytes that so many promises take.
+    pub fn bytes_max(limit: usize) -> usize {
+        let place = size_of::<Option<StandingPromise>>() + size_of::<u32>();
+        let map = 2 * limit * (size_of::<(u64, u32)>() + 1) * 8 / 7 + 64;
+        2 * limit.max(4) * place + map + TimerWheel::bytes_max(2 * limit)
     }
 
+    /// Bytes held now.
     pub fn bytes(&self) -> usize {
-        self.places.capacity() * size_of::<Option<Place>>()
+        self.places.capacity() * size_of::<Option<StandingPromise>>()
             + self.free.capacity() * size_of::<u32>()
             + self.tickets.capacity() * 8 / 7 * (size_of::<(u64, u32)>() + 1)
-            + self.wheel.bytes()
+            + self.expiries.bytes()
     }
 
+    /// Number of promises that stand.
     pub fn len(&self) -> usize {
         self.tickets.len()
     }
 
+    /// Whether none stands.
     pub fn is_empty(&self) -> bool {
         self.tickets.is_empty()
     }
 
-    /// The time to stay away and the ticket; `None` where it would be over the longest, or none is free.
-    pub fn make(&mut self, now: Nanos, waits: f64, promise: Promise) -> Option<(Nanos, u64)> {
-        let spread = (waits * SPREAD).max(self.longest as f64 * SPREAD_LEAST);
-        let waits = waits + spread * self.rng.random_range(0.0..1.0);
-        if waits > self.longest as f64 {
+    /// Makes a promise for a return after `wait` nanoseconds, to which a random part is added; `None` where that
+    /// would be over the longest time, or no place is free.
+    pub fn make(&mut self, now: Nanos, wait: f64, promise: Promise) -> Option<Ticket> {
+        let spread = (wait * SPREAD_RATIO).max(self.longest as f64 * SPREAD_LEAST_RATIO);
+        let wait = wait + spread * self.rng.random_range(0.0..1.0);
+        if wait > self.longest as f64 {
             return None;
         }
-        let at = match self.free.pop() {
-            Some(at) => at,
-            None if self.places.len() < self.most => {
-                self.places.push(None);
-                self.places.len() as u32 - 1
-            }
-            None => return None,
-        };
-        // Told in whole ms, rounded up: whoever waits as told is never early.
-        let waits = (waits as Nanos).max(1).div_ceil(1_000_000) * 1_000_000;
-        let ticket = self.rng.random::<u64>().max(1);
-        self.places[at as usize] = Some(Place { promise, ticket, from: now + waits });
-        self.tickets.insert(ticket, at);
-        self.wheel.put(now + waits + self.late, at);
-        Some((waits, ticket))
+        let index = self.free_place()?;
+        // Rounded up, so that nobody who waits as told is early.
+        let wait = (wait as Nanos).max(1).div_ceil(RESOLUTION_NS) * RESOLUTION_NS;
+        let number = self.rng.random::<u64>().max(1);
+        let standing = StandingPromise { promise, ticket: number, valid_from: now + wait };
+        self.places[index as usize] = Some(standing);
+        self.tickets.insert(number, index);
+        self.expiries.insert(now + wait + self.return_grace, index);
+        Some(Ticket { wait, number })
+    }
+
+    fn free_place(&mut self) -> Option<u32> {
+        if let Some(index) = self.free.pop() {
+            return Some(index);
+        }
+        if self.places.len() >= self.limit {
+            return None;
+        }
+        self.places.push(None);
+        Some(self.places.len() as u32 - 1)
     }
 
-    /// One is back with a ticket, which is used up whatever becomes of it; but another tenant's stays good.
-    pub fn back(&mut self, now: Nanos, ticket: u64, print: Print) -> Return {
-        let Some(at) = self.tickets.get(&ticket).copied() else { return Return::Unknown };
-        let place = self.places[at as usize].as_mut();
-        let Some(place) = place.filter(|place| place.promise.print == print) else { return Return::Unknown };
-        let (promise, from, late) = (place.promise, place.from, now > place.from + self.late);
+    /// A tenant returns with a ticket, which is used up whatever becomes of it; another tenant's stays good. The
+    /// place is freed when its timer expires, so that no number is in two timers.
+    pub fn redeem(&mut self, now: Nanos, ticket: u64, tenant: Fingerprint) -> Redemption {
+        let Some(index) = self.tickets.get(&ticket).copied() else { return Redemption::Unknown };
+        let standing = self.places[index as usize].as_mut();
+        let Some(standing) = standing.filter(|standing| standing.promise.tenant == tenant) else {
+            return Redemption::Unknown;
+        };
+        standing.ticket = 0;
+        let (promise, valid_from) = (standing.promise, standing.valid_from);
         self.tickets.remove(&ticket);
-        // The place itself comes free with its spoke of the wheel, so that no number runs out twice.
-        place.ticket = 0;
-        if now < from {
-            Return::Early
-        } else if late {
-            Return::Unknown
+        if now < valid_from {
+            Redemption::Early
+        } else if now > valid_from + self.return_grace {
+            Redemption::Unknown
         } else {
-            Return::AsPromised(promise)
+            Redemption::InTime(promise)
         }
     }
 
-    /// Ends what nobody came for in time, each told of once.
-    pub fn expire(&mut self, now: Nanos, mut lapsed: impl FnMut()) {
-        let Self { wheel, places, tickets, free, .. } = self;
-        wheel.turn(now, |at| {
-            if let Some(place) = places[at as usize].take() {
-                free.push(at);
-                if tickets.remove(&place.ticket).is_some() {
-                    lapsed();
-                }
+    /// Frees the places whose time has passed; returns how many promises have lapsed.
+    pub fn expire(&mut self, now: Nanos) -> u64 {
+        let Self { expiries, places, tickets, free, .. } = self;
+        let mut lapsed = 0;
+        expiries.expire(now, |index| {
+            if let Some(standing) = places[index as usize].take() {
+                free.push(index);
+                lapsed += u64::from(tickets.remove(&standing.ticket).is_some());
             }
         });
+        lapsed
     }
 }
--- a/crates/fair-queueing/src/reconfiguration.rs
+++ b/crates/fair-queueing/src/reconfiguration.rs
@@ -1,50 +1,75 @@
-//! What changes between two settings while a server runs, in parts of bounded size: the thread that decides
-//! takes over one part at a time between arrivals.
+//! Changes of settings while a server runs, in parts of bounded size: the deciding thread takes one part at a time
+//! between arrivals.
 
-use crate::{NamedTenant, Nanos, Settings};
+use crate::Nanos;
+use crate::settings::Settings;
+use crate::tenant::NamedTenant;
 use std::collections::HashMap;
 
-/// Names in one part at most: 256 take under 0.1 ms (`docs/CAPACITY.md`).
-const PART_NAMES: usize = 256;
+/// Most names in one part, which bounds how long it takes (`docs/CAPACITY.md`).
+const NAMES_PER_PART: usize = 256;
 
 /// One part of a change of settings.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Retune {
-    /// Tenants that are named no more, and those that are new or have another weight.
+pub struct SettingsChange {
+    /// Tenants that are no longer named.
     pub unnamed: Vec<Vec<u8>>,
+    /// Tenants that are named from now on or have another weight.
     pub named: Vec<NamedTenant>,
-    pub names: f64,
-    pub weight: f64,
-    pub at_once: Nanos,
+    /// See [`Settings::names_per_origin`].
+    pub names_per_origin: f64,
+    /// See [`Settings::default_weight`].
+    pub default_weight: f64,
+    /// See [`Settings::burst`].
+    pub burst: Nanos,
+    /// See [`Settings::probation`].
     pub probation: Nanos,
 }
 
-impl Retune {
-    /// The parts that lead from `old` to `new`, at least one. Those that take names away come first: room
-    /// for the others is counted without them. Takes time in proportion to both lists of names, so it is not
-    /// called on the thread that decides.
-    pub fn between(old: &Settings, new: &Settings) -> Vec<Retune> {
-        let before: HashMap<&[u8], f64> =
-            old.named.iter().map(|(name, weight)| (&name[..], *weight)).collect();
-        let after: HashMap<&[u8], f64> =
-            new.named.iter().map(|(name, weight)| (&name[..], *weight)).collect();
-        let gone = |name: &&Vec<u8>| !after.contains_key(&name[..]);
-        let unnamed: Vec<Vec<u8>> = old.named.iter().map(|(name, _)| name).filter(gone).cloned().collect();
-        let changed = |(name, weight): &&NamedTenant| before.get(&name[..]) != Some(weight);
-        let named: Vec<NamedTenant> = new.named.iter().filter(changed).cloned().collect();
-        let part = |unnamed: &[Vec<u8>], named: &[NamedTenant]| Retune {
-            unnamed: unnamed.to_vec(),
-            named: named.to_vec(),
-            names: new.names,
-            weight: new.weight,
-            at_once: new.at_once,
-            probation: new.probation,
-        };
-        let mut parts: Vec<Retune> = unnamed.chunks(PART_NAMES).map(|names| part(names, &[])).collect();
-        parts.extend(named.chunks(PART_NAMES).map(|names| part(&[], names)));
+impl SettingsChange {
+    /// The parts that lead from `old` to `new`, at least one. Those that take names away come first, since the
+    /// limit is checked without them. Takes time in proportion to both lists of names: not for the deciding
+    /// thread.
+    pub fn between(old: &Settings, new: &Settings) -> Vec<SettingsChange> {
+        let old_weights = weights(old);
+        let new_weights = weights(new);
+        let mut unnamed = Vec::new();
+        for (name, _) in old.named.iter() {
+            if !new_weights.contains_key(name.as_slice()) {
+                unnamed.push(name.clone());
+            }
+        }
+        let mut named = Vec::new();
+        for (name, weight) in new.named.iter() {
+            if old_weights.get(name.as_slice()) != Some(weight) {
+                named.push((name.clone(), *weight));
+            }
+        }
+        let mut parts = Vec::new();
+        for names in unnamed.chunks(NAMES_PER_PART) {
+            parts.push(SettingsChange { unnamed: names.to_vec(), ..Self::without_names(new) });
+        }
+        for tenants in named.chunks(NAMES_PER_PART) {
+            parts.push(SettingsChange { named: tenants.to_vec(), ..Self::without_names(new) });
+        }
         if parts.is_empty() {
-            parts.push(part(&[], &[]));
+            parts.push(Self::without_names(new));
         }
         parts
     }
+
+    fn without_names(new: &Settings) -> SettingsChange {
+        SettingsChange {
+            unnamed: Vec::new(),
+            named: Vec::new(),
+            names_per_origin: new.names_per_origin,
+            default_weight: new.default_weight,
+            burst: new.burst,
+            probation: new.probation,
+        }
+    }
+}
+
+fn weights(settings: &Settings) -> HashMap<&[u8], f64> {
+    settings.named.iter().map(|(name, weight)| (name.as_slice(), *weight)).collect()
 }
--- a/crates/fair-queueing/src/timer_wheel.rs
+++ b/crates/fair-queueing/src/timer_wheel.rs
@@ -1,62 +1,77 @@
-//! A timer wheel: numbers that run out at a time, found without looking at those that have longer to go
-//! (Varghese and Lauck, 1987). Good for spans up to a stated one; longer ones go round again.
+//! A hashed timer wheel (Varghese and Lauck, 1987): finds what has expired without a look at later timers. Good
+//! for timers up to a stated span; those beyond it stay in their slot for another round.
 
 use crate::Nanos;
 
-const SPOKES: usize = 256;
+const SLOTS: usize = 256;
+/// A slot that is empty gives its memory back above this many timers.
+const IDLE_CAPACITY: usize = 8;
 
+#[derive(Clone, Copy, Debug)]
+struct Timer {
+    expires_at: Nanos,
+    id: u32,
+}
+
+/// Timers of which each has a number.
 #[derive(Debug)]
-pub struct Wheel {
-    spokes: Vec<Vec<(Nanos, u32)>>,
-    width: Nanos,
-    /// All before this step have been looked at.
-    at: Nanos,
+pub struct TimerWheel {
+    slots: Vec<Vec<Timer>>,
+    /// Time that one slot stands for, in nanoseconds.
+    tick: Nanos,
+    /// All ticks before this one have been looked at.
+    current_tick: u64,
 }
 
-impl Wheel {
+impl TimerWheel {
+    /// A wheel for timers of up to `span` nanoseconds.
     pub fn new(span: Nanos, now: Nanos) -> Self {
-        let width = (span / (SPOKES as u64 - 2)).max(1);
-        Self { spokes: vec![Vec::new(); SPOKES], width, at: now / width }
+        let tick = (span / (SLOTS as u64 - 2)).max(1);
+        Self { slots: vec![Vec::new(); SLOTS], tick, current_tick: now / tick }
     }
 
-    /// What it takes beside the numbers, each of which may be there twice while a spoke grows.
-    pub fn ceiling(most: usize) -> usize {
-        let least = 4 * SPOKES;
-        SPOKES * size_of::<Vec<(Nanos, u32)>>() + 2 * (most + least) * size_of::<(Nanos, u32)>()
+    /// Most bytes that a wheel of this many timers takes; each may take twice its size while a slot grows.
+    pub fn bytes_max(timers: usize) -> usize {
+        let least = 4 * SLOTS;
+        SLOTS * size_of::<Vec<Timer>>() + 2 * (timers + least) * size_of::<Timer>()
     }
 
+    /// Bytes held now.
     pub fn bytes(&self) -> usize {
-        let held: usize = self.spokes.iter().map(Vec::capacity).sum();
-        SPOKES * size_of::<Vec<(Nanos, u32)>>() + held * size_of::<(Nanos, u32)>()
+        let timers: usize = self.slots.iter().map(Vec::capacity).sum();
+        SLOTS * size_of::<Vec<Timer>>() + timers * size_of::<Timer>()
     }
 
-    pub fn put(&mut self, at: Nanos, number: u32) {
-        let step = (at / self.width).max(self.at);
-        self.spokes[step as usize % SPOKES].push((at, number));
+    /// Adds a timer.
+    pub fn insert(&mut self, expires_at: Nanos, id: u32) {
+        let tick = (expires_at / self.tick).max(self.current_tick);
+        self.slots[tick as usize % SLOTS].push(Timer { expires_at, id });
     }
 
-    /// Hands out all that has run out by now.
-    pub fn turn(&mut self, now: Nanos, mut out: impl FnMut(u32)) {
-        let to = now / self.width;
-        if to < self.at {
+    /// Removes all timers that have expired by now and hands out their numbers.
+    pub fn expire(&mut self, now: Nanos, mut expired: impl FnMut(u32)) {
+        let to = now / self.tick;
+        if to < self.current_tick {
             return;
         }
-        let steps = (to - self.at).min(SPOKES as u64 - 1);
-        for step in to - steps..=to {
-            let spoke = &mut self.spokes[step as usize % SPOKES];
-            let mut i = 0;
-            while i < spoke.len() {
-                if spoke[i].0 <= now {
-                    out(spoke.swap_remove(i).1);
-                } else {
-                    i += 1;
-                }
-            }
-            // Room that a crowd once needed is given back.
-            if spoke.is_empty() && spoke.capacity() > 8 {
-                *spoke = Vec::new();
+        let ticks = (to - self.current_tick).min(SLOTS as u64 - 1);
+        for tick in to - ticks..=to {
+            Self::expire_slot(&mut self.slots[tick as usize % SLOTS], now, &mut expired);
+        }
+        self.current_tick = to;
+    }
+
+    fn expire_slot(slot: &mut Vec<Timer>, now: Nanos, expired: &mut impl FnMut(u32)) {
+        let mut index = 0;
+        while index < slot.len() {
+            if slot[index].expires_at <= now {
+                expired(slot.swap_remove(index).id);
+            } else {
+                index += 1;
             }
         }
-        self.at = to;
+        if slot.is_empty() && slot.capacity() > IDLE_CAPACITY {
+            *slot = Vec::new();
+        }
     }
 }
--- a/crates/fair-queueing/tests/promises.rs
+++ b/crates/fair-queueing/tests/promises.rs
@@ -1,6 +1,8 @@
 //! Promises: who waits as told is let in, and nothing else is gained by asking.
 
-use meadowstream_fair_queueing::{Counts, Fair, Nanos, Outcome, Seat, Settings, Who};
+use meadowstream_fair_queueing::{
+    Admission, FairScheduler, Nanos, SchedulerCounters, ServiceOutcome, Settings, TenantKey,
+};
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -9,42 +11,42 @@
 const SECOND: Nanos = 1_000_000_000;
 const MS: Nanos = 1_000_000;
 
-const LOUD: Who = Who { name: b"loud", origin: 1 };
+const LOUD: TenantKey = TenantKey { name: b"loud", origin: 1 };
 
 fn settings() -> Settings {
-    Settings { at_once: SECOND, longest: 2 * SECOND, late: SECOND / 2, ..Settings::default() }
+    Settings { burst: SECOND, promise_max: 2 * SECOND, return_grace: SECOND / 2, ..Settings::default() }
 }
 
 /// A tenant known for long that has used its share up, at a level of a tenth of a core; and when that is.
-fn pressed(settings: Settings) -> (Fair, Nanos) {
-    let mut fair = Fair::new(settings, 1.0, 1, 0);
+fn pressed(settings: Settings) -> (FairScheduler, Nanos) {
+    let mut fair = FairScheduler::new(settings, 1.0, 1, 0);
     for n in 0..4000 {
-        let seat = fair.arrived(n * MS, LOUD, 1e6, None);
-        fair.ended(n * MS, &seat, Outcome::Ran(MS));
+        let seat = fair.arrive(n * MS, LOUD, 1e6, None);
+        fair.end(n * MS, &seat, ServiceOutcome::Ran(MS));
         if n % 500 == 0 {
-            fair.set_level(n * MS, 0.1, f64::INFINITY);
+            fair.update_fair_rate(n * MS, 0.1, f64::INFINITY);
         }
     }
     let mut now = 4 * SECOND;
-    fair.set_level(now, 0.1, f64::INFINITY);
-    while !fair.arrived(now, LOUD, 10e6, None).surplus {
+    fair.update_fair_rate(now, 0.1, f64::INFINITY);
+    while !fair.arrive(now, LOUD, 10e6, None).surplus {
         now += MS;
     }
-    fair.counts = Counts::default();
+    fair.counters = SchedulerCounters::default();
     (fair, now)
 }
 
-fn turned_away(fair: &mut Fair, now: Nanos) -> Seat {
-    let seat = fair.arrived(now, LOUD, 10e6, None);
+fn turned_away(fair: &mut FairScheduler, now: Nanos) -> Admission {
+    let seat = fair.arrive(now, LOUD, 10e6, None);
     assert!(seat.surplus, "{seat:?}");
-    fair.ended(now, &seat, Outcome::Never);
+    fair.end(now, &seat, ServiceOutcome::NeverRan);
     seat
 }
 
 /// The time and the ticket, where there is one.
-fn promised(fair: &mut Fair, now: Nanos, seat: &Seat) -> Option<(Nanos, u64)> {
+fn promised(fair: &mut FairScheduler, now: Nanos, seat: &Admission) -> Option<(Nanos, u64)> {
     let advice = fair.promise(now, seat, 0);
-    advice.ticket.map(|ticket| (advice.stay_away, ticket))
+    advice.ticket.map(|ticket| (advice.retry_after, ticket))
 }
 
 #[test]
@@ -52,18 +54,18 @@
     let (mut fair, now) = pressed(settings());
     let seat = turned_away(&mut fair, now);
     let (waits, ticket) = promised(&mut fair, now, &seat).unwrap();
-    let back = fair.arrived(now + waits, LOUD, 10e6, Some(ticket));
+    let back = fair.arrive(now + waits, LOUD, 10e6, Some(ticket));
     assert!(back.promised && !back.surplus);
-    fair.ended(now + waits, &back, Outcome::Ran(10 * MS));
-    let again = fair.arrived(now + waits, LOUD, 10e6, Some(ticket));
+    fair.end(now + waits, &back, ServiceOutcome::Ran(10 * MS));
+    let again = fair.arrive(now + waits, LOUD, 10e6, Some(ticket));
     assert!(!again.promised && again.surplus, "a ticket is good once");
-    assert_eq!((fair.counts.kept, fair.counts.unknown, fair.promises()), (1, 1, 0));
+    assert_eq!((fair.counters.kept, fair.counters.unknown, fair.promises()), (1, 1, 0));
 }
 
 #[test]
 fn who_comes_early_loses_the_place_and_who_comes_late_too() {
     let (mut fair, now) = pressed(settings());
-    let promise = |fair: &mut Fair| {
+    let promise = |fair: &mut FairScheduler| {
         let seat = turned_away(fair, now);
         promised(fair, now, &seat).unwrap()
     };
@@ -71,16 +73,16 @@
         promise(&mut fair);
     });
     let (waits, ticket) = promise(&mut fair);
-    assert!(!fair.arrived(now + waits / 8, LOUD, 10e6, Some(ticket)).promised);
-    let back = fair.arrived(now + waits, LOUD, 10e6, Some(ticket));
+    assert!(!fair.arrive(now + waits / 8, LOUD, 10e6, Some(ticket)).promised);
+    let back = fair.arrive(now + waits, LOUD, 10e6, Some(ticket));
     assert!(!back.promised, "the place was lost by coming early");
-    assert_eq!((fair.counts.early, fair.counts.unknown), (1, 1));
+    assert_eq!((fair.counters.early, fair.counters.unknown), (1, 1));
     let (mut fair, now) = pressed(settings());
     let seat = turned_away(&mut fair, now);
     let (waits, ticket) = promised(&mut fair, now, &seat).unwrap();
     let late = now + waits + SECOND / 2 + 1;
-    assert!(!fair.arrived(late, LOUD, 10e6, Some(ticket)).promised);
-    assert_eq!((fair.counts.unknown, fair.counts.lapsed), (1, 1));
+    assert!(!fair.arrive(late, LOUD, 10e6, Some(ticket)).promised);
+    assert_eq!((fair.counters.unknown, fair.counters.lapsed), (1, 1));
 }
 
 #[test]
@@ -88,15 +90,15 @@
     let (mut fair, now) = pressed(settings());
     let seat = turned_away(&mut fair, now);
     let (waits, ticket) = promised(&mut fair, now, &seat).unwrap();
-    let thief = Who { name: b"thief", origin: 1 };
-    assert!(!fair.arrived(now + waits, thief, 10e6, Some(ticket)).promised);
-    let elsewhere = Who { origin: 99, ..LOUD };
-    assert!(fair.arrived(now + waits, elsewhere, 10e6, Some(ticket)).promised, "the thief spoiled nothing");
+    let thief = TenantKey { name: b"thief", origin: 1 };
+    assert!(!fair.arrive(now + waits, thief, 10e6, Some(ticket)).promised);
+    let elsewhere = TenantKey { origin: 99, ..LOUD };
+    assert!(fair.arrive(now + waits, elsewhere, 10e6, Some(ticket)).promised, "the thief spoiled nothing");
 }
 
 #[test]
 fn asking_twice_gets_a_later_place_and_never_a_better_one() {
-    let (mut fair, now) = pressed(Settings { longest: 20 * SECOND, ..settings() });
+    let (mut fair, now) = pressed(Settings { promise_max: 20 * SECOND, ..settings() });
     let mut last = 0;
     let mut spans = Vec::new();
     for _ in 0..40 {
@@ -113,8 +115,8 @@
 
 #[test]
 fn a_full_ledger_promises_nothing_and_comes_free_again() {
-    let (mut fair, now) = pressed(Settings { promises: 4, longest: 5 * SECOND, ..settings() });
-    let ask = |fair: &mut Fair, now: Nanos| {
+    let (mut fair, now) = pressed(Settings { promises: 4, promise_max: 5 * SECOND, ..settings() });
+    let ask = |fair: &mut FairScheduler, now: Nanos| {
         let seat = turned_away(fair, now);
         promised(fair, now, &seat)
     };
@@ -122,8 +124,8 @@
     assert_eq!(ask(&mut fair, now), None);
     // Nobody comes: all lapse, and what was booked for them is free again.
     let later = now + 8 * SECOND;
-    assert!(!fair.arrived(later, LOUD, 10e6, None).surplus);
-    assert_eq!((fair.counts.lapsed, fair.promises(), fair.counts.unpromised), (4, 0, 1));
+    assert!(!fair.arrive(later, LOUD, 10e6, None).surplus);
+    assert_eq!((fair.counters.lapsed, fair.promises(), fair.counters.unpromised), (4, 0, 1));
 }
 
 /// Nobody ever comes back: what was booked for promises is the tenant's again, and its share is not lost.
@@ -134,18 +136,18 @@
     for n in 0..60_000u64 {
         let now = start + n * MS;
         if n % 500 == 0 {
-            fair.set_level(now, 0.1, f64::INFINITY);
+            fair.update_fair_rate(now, 0.1, f64::INFINITY);
         }
-        let seat = fair.arrived(now, LOUD, 10e6, None);
+        let seat = fair.arrive(now, LOUD, 10e6, None);
         if seat.surplus {
-            fair.ended(now, &seat, Outcome::Never);
+            fair.end(now, &seat, ServiceOutcome::NeverRan);
             fair.promise(now, &seat, 0);
         } else {
-            fair.ended(now, &seat, Outcome::Ran(10 * MS));
+            fair.end(now, &seat, ServiceOutcome::Ran(10 * MS));
             within += 0.01;
         }
     }
-    assert!(fair.counts.lapsed > 300, "{:?}", fair.counts);
+    assert!(fair.counters.lapsed > 300, "{:?}", fair.counters);
     assert!(within > 0.8 * 0.1 * 60.0, "{within} core seconds of 6");
 }
 
@@ -172,10 +174,10 @@
     };
     let (waits, ticket) = (0..6).filter_map(|_| ask()).last().unwrap();
     assert!(waits > SECOND / 2, "{waits}");
-    fair.set_level(now, 0.01, f64::INFINITY);
-    let back = fair.arrived(now + waits, LOUD, 10e6, Some(ticket));
+    fair.update_fair_rate(now, 0.01, f64::INFINITY);
+    let back = fair.arrive(now + waits, LOUD, 10e6, Some(ticket));
     assert!(!back.promised && back.surplus);
-    assert_eq!(fair.counts.broken, 1);
+    assert_eq!(fair.counters.broken, 1);
 }
 
 #[test]
@@ -183,10 +185,10 @@
     let (mut fair, now) = pressed(settings());
     let seat = turned_away(&mut fair, now);
     let (waits, ticket) = promised(&mut fair, now, &seat).unwrap();
-    let mut successor = Fair::new(settings(), 1.0, 2, now);
-    let back = successor.arrived(now + waits, LOUD, 10e6, Some(ticket));
+    let mut successor = FairScheduler::new(settings(), 1.0, 2, now);
+    let back = successor.arrive(now + waits, LOUD, 10e6, Some(ticket));
     assert!(!back.promised && !back.surplus, "there is enough for all as far as it knows");
-    assert_eq!(successor.counts.unknown, 1);
+    assert_eq!(successor.counters.unknown, 1);
 }
 
 /// Many callers of one tenant, all told when to come back: those who do are let in in 99 of 100 cases at
@@ -205,19 +207,19 @@
             break;
         }
         if now > period {
-            fair.set_level(now, 0.1, f64::INFINITY);
+            fair.update_fair_rate(now, 0.1, f64::INFINITY);
             period += SECOND / 2;
         }
         number += 1;
         if ticket.is_some() {
             returns.push(now);
         }
-        let seat = fair.arrived(now, LOUD, 10e6, ticket);
+        let seat = fair.arrive(now, LOUD, 10e6, ticket);
         if !seat.surplus {
-            fair.ended(now, &seat, Outcome::Ran(10 * MS));
+            fair.end(now, &seat, ServiceOutcome::Ran(10 * MS));
             coming.insert((now + rng.random_range(1..50) * MS, number), None);
         } else {
-            fair.ended(now, &seat, Outcome::Never);
+            fair.end(now, &seat, ServiceOutcome::NeverRan);
             let (waits, ticket) = match promised(&mut fair, now, &seat) {
                 Some((waits, ticket)) => (waits + rng.random_range(0..100) * MS, Some(ticket)),
                 None => (SECOND, None),
@@ -225,7 +227,7 @@
             coming.insert((now + waits, number), ticket);
         }
     }
-    let counts = fair.counts;
+    let counts = fair.counters;
     assert!(counts.kept > 400, "{counts:?}");
     assert!(counts.kept as f64 >= 0.99 * returns.len() as f64, "{counts:?} of {}", returns.len());
     let most = returns.windows(8).filter(|eight| eight[7] - eight[0] < 20 * MS).count();
@@ -246,21 +248,21 @@
         let name = |i: usize| format!("{i}").into_bytes();
         let named = queues.iter().enumerate().map(|(i, (w, _))| (name(i), f64::from(*w)));
         let named = named.chain([(b"late".to_vec(), 1.0)]).collect();
-        let mut fair = Fair::new(Settings { named, ..settings() }, 1.0, seed, 0);
-        fair.set_level(0, 1e3, f64::INFINITY);
+        let mut fair = FairScheduler::new(Settings { named, ..settings() }, 1.0, seed, 0);
+        fair.update_fair_rate(0, 1e3, f64::INFINITY);
         let mut waiting = Vec::new();
         for (i, (_, many)) in queues.iter().enumerate() {
             for _ in 0..*many {
-                let seat = fair.arrived(1, Who { name: &name(i), origin: 1 }, 1e6, None);
+                let seat = fair.arrive(1, TenantKey { name: &name(i), origin: 1 }, 1e6, None);
                 prop_assert!(!seat.surplus);
-                waiting.push((seat.tag, i, seat));
+                waiting.push((seat.start_tag, i, seat));
             }
         }
         waiting.sort_by_key(|(tag, i, _)| (*tag, *i));
-        waiting.drain(..served.min(waiting.len())).for_each(|(_, _, seat)| fair.began(&seat));
-        let late = fair.arrived(2, Who { name: b"late", origin: 1 }, 1e6, None);
+        waiting.drain(..served.min(waiting.len())).for_each(|(_, _, seat)| fair.start_service(&seat));
+        let late = fair.arrive(2, TenantKey { name: b"late", origin: 1 }, 1e6, None);
         for (i, (weight, _)) in queues.iter().enumerate() {
-            let before = waiting.iter().filter(|(tag, of, _)| *of == i && *tag <= late.tag).count();
+            let before = waiting.iter().filter(|(tag, of, _)| *of == i && *tag <= late.start_tag).count();
             // Weights up to 10 let as many small steps of one tenant stand within one step of another.
             prop_assert!(before <= 1 + *weight as usize, "{before} of tenant {i} with weight {weight}");
         }
@@ -276,31 +278,31 @@
     ) {
         let names = [b"a", b"b"];
         let named = names.iter().zip(&weights).map(|(n, w)| (n.to_vec(), f64::from(*w))).collect();
-        let mut fair = Fair::new(Settings { named, at_once: SECOND, ..settings() }, 1.0, seed, 0);
+        let mut fair = FairScheduler::new(Settings { named, burst: SECOND, ..settings() }, 1.0, seed, 0);
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut had = [0.0f64; 2];
         let mut bound = 0.0f64;
-        fair.set_level(0, 1e-3, f64::INFINITY);
+        fair.update_fair_rate(0, 1e-3, f64::INFINITY);
         for n in 0..20_000u64 {
             let now = n * 5 * MS;
             if n % 100 == 0 {
-                fair.set_level(now, 0.9, f64::INFINITY);
+                fair.update_fair_rate(now, 0.9, f64::INFINITY);
             }
             let who = rng.random_range(0..2);
-            let seat = fair.arrived(now, Who { name: names[who], origin: 1 }, 20e6, None);
+            let seat = fair.arrive(now, TenantKey { name: names[who], origin: 1 }, 20e6, None);
             if seat.surplus {
-                fair.ended(now, &seat, Outcome::Never);
+                fair.end(now, &seat, ServiceOutcome::NeverRan);
                 continue;
             }
-            fair.ended(now, &seat, Outcome::Ran(works[who] * MS));
+            fair.end(now, &seat, ServiceOutcome::Ran(works[who] * MS));
             // Counted once both have been seen to ask for more than there is.
             if n > 2000 {
                 had[who] += works[who] as f64 * 1e6 / f64::from(weights[who]);
             }
-            bound = bound.max(fair.level() * 1e9);
+            bound = bound.max(fair.fair_rate() * 1e9);
         }
         let runs: f64 = (0..2).map(|i| works[i] as f64 * 1e6 / f64::from(weights[i])).sum();
-        let both = fair.heaviest(100 * SECOND, 2).iter().all(|h| h.surplus > 100);
+        let both = fair.top_tenants(100 * SECOND, 2).iter().all(|h| h.surplus > 100);
         let ahead = (had[0] - had[1]).abs();
         prop_assert!(!both || ahead <= 2.0 * bound + 2.0 * runs, "{had:?} {bound} {runs}");
     }
--- a/crates/fair-queueing/tests/shares.rs
+++ b/crates/fair-queueing/tests/shares.rs
@@ -1,7 +1,7 @@
 //! Who gets how much, played through the pure core: tenants that send at a given rate, a server that works
 //! what is within shares and refuses the rest. All from seeds; no clock but the one that is passed in.
 
-use meadowstream_fair_queueing::{Fair, Nanos, Outcome, Settings, Who};
+use meadowstream_fair_queueing::{FairScheduler, Nanos, ServiceOutcome, Settings, TenantKey};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -35,8 +35,8 @@
     let named = groups.iter().enumerate().filter(|(_, group)| group.weight != 1.0);
     let named = named.flat_map(|(g, group)| (0..group.many).map(move |i| (name(g, i, 0), group.weight)));
     let settings = Settings { named: named.collect(), ..settings };
-    let ceiling = settings.ceiling();
-    let mut fair = Fair::new(settings, cores, 1, 0);
+    let ceiling = settings.bytes_max();
+    let mut fair = FairScheduler::new(settings, cores, 1, 0);
     let mut had: Vec<Vec<f64>> = groups.iter().map(|group| vec![0.0; group.many]).collect();
     let mut coming: BTreeMap<(Nanos, usize, usize), ()> = BTreeMap::new();
     let gap = |rng: &mut ChaCha8Rng, rate: f64| {
@@ -53,18 +53,18 @@
             break;
         }
         while period <= now {
-            fair.set_level(period, cores * 0.9, f64::INFINITY);
+            fair.update_fair_rate(period, cores * 0.9, f64::INFINITY);
             period += SECOND / 2;
         }
         let group = &groups[g];
         sent += 1;
         let name = name(g, i, sent % group.names);
         // Guesses are of the usual work; what an invocation really needs is known at its end.
-        let seat = fair.arrived(now, Who { name: &name, origin: group.origin }, 10e6, None);
+        let seat = fair.arrive(now, TenantKey { name: &name, origin: group.origin }, 10e6, None);
         if seat.surplus {
-            fair.ended(now, &seat, Outcome::Never);
+            fair.end(now, &seat, ServiceOutcome::NeverRan);
         } else {
-            fair.ended(now, &seat, Outcome::Ran(group.work));
+            fair.end(now, &seat, ServiceOutcome::Ran(group.work));
             if now > seconds * SECOND / 3 {
                 had[g][i] += group.work as f64 / 1e9;
             }
@@ -72,7 +72,7 @@
         coming.insert((now + gap(&mut rng, group.rate), g, i), ());
     }
     assert!(fair.bytes() <= ceiling, "{} bytes held where {ceiling} are stated", fair.bytes());
-    let counts = fair.counts;
+    let counts = fair.counters;
     assert_eq!(counts.within + counts.surplus, sent - 1 + 1, "{counts:?}");
     had
 }
@@ -140,7 +140,7 @@
 fn made_up_names_bring_little(names: u64) {
     let honest = Group { many: 100, rate: 1.0, origin: 1, ..Group::default() };
     let liar = Group { rate: 5000.0, names, origin: 2, ..Group::default() };
-    let settings = Settings { names: 128.0, accounts: 512, ..Settings::default() };
+    let settings = Settings { names_per_origin: 128.0, accounts: 512, ..Settings::default() };
     let had = play(&[honest, liar], 4.0, 60, settings);
     let asked = 100.0 * 0.01 * counted(60);
     assert!(total(&had[0]) > 0.95 * asked, "{} of {asked}", total(&had[0]));
@@ -151,7 +151,7 @@
 
 #[test]
 fn more_tenants_than_accounts_still_have_their_shares() {
-    let settings = Settings { accounts: 64, cells: 1 << 16, names: 1e6, ..Settings::default() };
+    let settings = Settings { accounts: 64, cells: 1 << 16, names_per_origin: 1e6, ..Settings::default() };
     let light = Group { many: 2000, rate: 0.5, work: MS, ..Group::default() };
     let flood = Group { rate: 2000.0, ..Group::default() };
     let had = play(&[light, flood], 4.0, 60, settings);
@@ -172,18 +172,18 @@
 
 #[test]
 fn one_that_comes_after_long_silence_has_its_share_and_no_more() {
-    let mut fair = Fair::new(Settings::default(), 1.0, 1, 0);
-    let quiet = Who { name: b"quiet", origin: 1 };
-    let loud = Who { name: b"loud", origin: 1 };
+    let mut fair = FairScheduler::new(Settings::default(), 1.0, 1, 0);
+    let quiet = TenantKey { name: b"quiet", origin: 1 };
+    let loud = TenantKey { name: b"loud", origin: 1 };
     let mut now = 0;
-    let mut step = |fair: &mut Fair, who: Who, gap: Nanos| {
+    let mut step = |fair: &mut FairScheduler, who: TenantKey, gap: Nanos| {
         now += gap;
         if (now / SECOND) != ((now - gap) / SECOND) {
-            fair.set_level(now, 0.9, f64::INFINITY);
+            fair.update_fair_rate(now, 0.9, f64::INFINITY);
         }
-        let seat = fair.arrived(now, who, 10e6, None);
-        let outcome = if seat.surplus { Outcome::Never } else { Outcome::Ran(10 * MS) };
-        fair.ended(now, &seat, outcome);
+        let seat = fair.arrive(now, who, 10e6, None);
+        let outcome = if seat.surplus { ServiceOutcome::NeverRan } else { ServiceOutcome::Ran(10 * MS) };
+        fair.end(now, &seat, outcome);
         !seat.surplus
     };
     // Known, then silent for four minutes while the other takes all there is.
@@ -199,10 +199,10 @@
 
 #[test]
 fn a_clock_that_stands_still_or_jumps_gives_nothing_away() {
-    let mut fair = Fair::new(Settings { at_once: SECOND, ..Settings::default() }, 1.0, 1, 0);
-    let who = Who { name: b"one", origin: 1 };
-    let within = |fair: &mut Fair, now: Nanos, many: u32| {
-        (0..many).filter(|_| !fair.arrived(now, who, 10e6, None).surplus).count()
+    let mut fair = FairScheduler::new(Settings { burst: SECOND, ..Settings::default() }, 1.0, 1, 0);
+    let who = TenantKey { name: b"one", origin: 1 };
+    let within = |fair: &mut FairScheduler, now: Nanos, many: u32| {
+        (0..many).filter(|_| !fair.arrive(now, who, 10e6, None).surplus).count()
     };
     assert!(within(&mut fair, 0, 1000) <= 102);
     assert_eq!(within(&mut fair, 0, 1000), 0, "it stands still");
@@ -211,9 +211,9 @@
     assert_eq!(within(&mut fair, 5 * SECOND, 1000), 0, "it went back");
     // Nor does a jump forgive what was used beyond a share.
     let start = 3600 * SECOND;
-    fair.set_level(start, 0.01, f64::INFINITY);
-    let seat = fair.arrived(start + 100 * SECOND, who, 10e6, None);
-    fair.ended(start + 100 * SECOND, &seat, Outcome::Ran(5 * SECOND));
+    fair.update_fair_rate(start, 0.01, f64::INFINITY);
+    let seat = fair.arrive(start + 100 * SECOND, who, 10e6, None);
+    fair.end(start + 100 * SECOND, &seat, ServiceOutcome::Ran(5 * SECOND));
     assert_eq!(within(&mut fair, start + 4000 * SECOND, 100), 0, "an hour's jump forgave a long run");
 }
 
@@ -221,28 +221,30 @@
 #[test_case(&[b'x'; 2048]; "of 2048 bytes")]
 #[test_case(b"\xff\xfe\x00\n"; "not UTF-8")]
 fn any_name_is_a_tenant(name: &[u8]) {
-    let mut fair = Fair::new(Settings::default(), 1.0, 1, 0);
+    let mut fair = FairScheduler::new(Settings::default(), 1.0, 1, 0);
     let other = [name, b"."].concat();
     for second in 0..10 {
         let now = second * SECOND;
-        assert!(!fair.arrived(now, Who { name, origin: 1 }, 1e6, None).surplus);
-        assert!(!fair.arrived(now, Who { name: &other, origin: 1 }, 2e6, None).surplus);
+        assert!(!fair.arrive(now, TenantKey { name, origin: 1 }, 1e6, None).surplus);
+        assert!(!fair.arrive(now, TenantKey { name: &other, origin: 1 }, 2e6, None).surplus);
     }
     assert_eq!(fair.accounts(), 2);
-    let heavy = fair.heaviest(10 * SECOND, 8);
+    let heavy = fair.top_tenants(10 * SECOND, 8);
     assert_eq!(heavy.len(), 2);
-    assert!(heavy[0].asks > heavy[1].asks && heavy.iter().all(|h| h.name.len() < 250 && h.name.is_ascii()));
+    assert!(
+        heavy[0].demand > heavy[1].demand && heavy.iter().all(|h| h.name.len() < 250 && h.name.is_ascii())
+    );
 }
 
 /// What falls out of the index has used as much as before.
 #[test]
 fn nobody_gains_by_falling_out_of_the_index() {
-    let settings = Settings { accounts: 16, at_once: 5 * SECOND, ..Settings::default() };
-    let mut fair = Fair::new(settings, 1.0, 1, 0);
+    let settings = Settings { accounts: 16, burst: 5 * SECOND, ..Settings::default() };
+    let mut fair = FairScheduler::new(settings, 1.0, 1, 0);
     let name = |n: u64| n.to_be_bytes();
     let mut now = 0;
-    let visit = |fair: &mut Fair, now: Nanos, n: u64, work: f64| {
-        let seat = fair.arrived(now, Who { name: &name(n), origin: 1 }, work, None);
+    let visit = |fair: &mut FairScheduler, now: Nanos, n: u64, work: f64| {
+        let seat = fair.arrive(now, TenantKey { name: &name(n), origin: 1 }, work, None);
         (seat.surplus, seat)
     };
     for _ in 0..20 {
@@ -252,12 +254,12 @@
         });
     }
     assert_eq!(fair.accounts(), 16, "the index is full and all are active");
-    assert!(fair.counts.sketched > 0 && fair.counts.evicted == 0);
+    assert!(fair.counters.sketched > 0 && fair.counters.evicted == 0);
     // The 32nd stands in the sketch; a long run puts it far over its share, and there it stays.
-    fair.set_level(now, 0.032, f64::INFINITY);
+    fair.update_fair_rate(now, 0.032, f64::INFINITY);
     let (over, seat) = visit(&mut fair, now, 31, 1e6);
     assert!(!over, "{seat:?}");
-    fair.ended(now, &seat, Outcome::Ran(20 * SECOND));
+    fair.end(now, &seat, ServiceOutcome::Ran(20 * SECOND));
     for second in 1..40 {
         let now = now + second * SECOND;
         assert!(visit(&mut fair, now, 31, 1e6).0, "after {second} s");
@@ -267,27 +269,27 @@
 /// One with an account that is far ahead keeps it while it is idle, so that what it used is not forgotten.
 #[test]
 fn an_account_that_owes_is_not_given_up() {
-    let settings = Settings { accounts: 16, at_once: 5 * SECOND, ..Settings::default() };
-    let mut fair = Fair::new(settings, 1.0, 1, 0);
+    let settings = Settings { accounts: 16, burst: 5 * SECOND, ..Settings::default() };
+    let mut fair = FairScheduler::new(settings, 1.0, 1, 0);
     let name = |n: u64| n.to_be_bytes();
     let mut now = 0;
     for _ in 0..8 {
         now += SECOND;
         (0..16u64).for_each(|n| {
-            fair.arrived(now, Who { name: &name(n), origin: 1 }, 1e6, None);
+            fair.arrive(now, TenantKey { name: &name(n), origin: 1 }, 1e6, None);
         });
     }
-    fair.set_level(now, 0.005, f64::INFINITY);
-    let seat = fair.arrived(now, Who { name: &name(0), origin: 1 }, 1e6, None);
+    fair.update_fair_rate(now, 0.005, f64::INFINITY);
+    let seat = fair.arrive(now, TenantKey { name: &name(0), origin: 1 }, 1e6, None);
     assert!(!seat.surplus);
-    fair.ended(now, &seat, Outcome::Ran(20 * SECOND));
+    fair.end(now, &seat, ServiceOutcome::Ran(20 * SECOND));
     // Others want its account, for longer than an idle one may stay.
     for n in 0..400u64 {
         now += SECOND / 4;
-        fair.arrived(now, Who { name: &name(100 + n % 40), origin: 1 }, 1e6, None);
+        fair.arrive(now, TenantKey { name: &name(100 + n % 40), origin: 1 }, 1e6, None);
     }
-    assert!(fair.counts.evicted > 4, "{:?}", fair.counts);
-    let back = fair.arrived(now, Who { name: &name(0), origin: 1 }, 1e6, None);
+    assert!(fair.counters.evicted > 4, "{:?}", fair.counters);
+    let back = fair.arrive(now, TenantKey { name: &name(0), origin: 1 }, 1e6, None);
     assert!(back.surplus, "{back:?}");
 }
 
@@ -296,11 +298,16 @@
 #[test]
 fn a_million_equal_tenants_have_equal_shares() {
     let many = 1_000_000u64;
-    let settings =
-        Settings { cells: 1 << 23, names: 1e9, probation: 0, at_once: 35 * SECOND, ..Settings::default() };
-    let ceiling = settings.ceiling();
+    let settings = Settings {
+        cells: 1 << 23,
+        names_per_origin: 1e9,
+        probation: 0,
+        burst: 35 * SECOND,
+        ..Settings::default()
+    };
+    let ceiling = settings.bytes_max();
     assert!(ceiling < 56 << 20, "{ceiling}");
-    let mut fair = Fair::new(settings, 40.0, 3, 0);
+    let mut fair = FairScheduler::new(settings, 40.0, 3, 0);
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     let mut had = vec![0u32; many as usize];
     // 40 cores, 1 ms each: 36,000 a second within shares; 72,000 a second come.
@@ -309,11 +316,12 @@
     for n in 0..41_000_000u64 {
         now += gap;
         if now > period {
-            fair.set_level(now, 36.0, f64::INFINITY);
+            fair.update_fair_rate(now, 36.0, f64::INFINITY);
             period += SECOND / 2;
         }
         let tenant = rng.random_range(0..many);
-        let seat = fair.arrived(now, Who { name: &tenant.to_be_bytes(), origin: tenant % 64 }, 1e6, None);
+        let seat =
+            fair.arrive(now, TenantKey { name: &tenant.to_be_bytes(), origin: tenant % 64 }, 1e6, None);
         if n > 14_000_000 && !seat.surplus {
             had[tenant as usize] += 1;
         }
--- a/crates/overload-control/src/controller.rs
+++ b/crates/overload-control/src/controller.rs
@@ -15,7 +15,7 @@
     Advertisement, Arrival, Deployment, Downstream, Effect, Gauges, Host, Nanos, Operation, Outcome,
     Preemption,
 };
-use meadowstream_fair_queueing::{Fair, Outcome as QueueOutcome, Who};
+use meadowstream_fair_queueing::{FairScheduler, ServiceOutcome, TenantKey};
 use meadowstream_pending_queue::expiring_keys::ExpiringKeys;
 use meadowstream_pending_queue::{Capacity, UsualTimes};
 use rand::{Rng, SeedableRng};
@@ -120,7 +120,7 @@
     usual_runs: Largest,
     shortest_objective: Nanos,
     tenants: Vec<(f64, Nanos)>,
-    fair: Option<Fair>,
+    fair: Option<FairScheduler>,
     tokens: ExpiringKeys,
     /// The learned running limit, and usual times as the hold asks for them.
     usual: Vec<UsualTimes>,
@@ -206,8 +206,8 @@
             learned,
             tenants: site.tenant_allowance.iter().map(|each| (each / site.peers, now)).collect(),
             fair: site.fair_queueing.clone().map(|mut settings| {
-                settings.longest = site.retry_after_max;
-                Fair::new(settings, site.cores * site.target_utilization, seed, now)
+                settings.promise_max = site.retry_after_max;
+                FairScheduler::new(settings, site.cores * site.target_utilization, seed, now)
             }),
             tokens: ExpiringKeys::default(),
             unread_for: Decaying::new(CONTROL_PERIOD / 2, now),
@@ -246,8 +246,8 @@
         let size = arrival.cost_hint.map_or(1.0, |hint| hint as f64 / hints.mean().max(1.0));
         let work = self.usual[arrival.operation].core_ns * size;
         let seat = self.fair.as_mut().zip(arrival.sender.as_ref()).map(|(fair, sender)| {
-            let who = Who { name: &sender.tenant, origin: sender.origin };
-            fair.arrived(now, who, work, sender.ticket)
+            let who = TenantKey { name: &sender.tenant, origin: sender.origin };
+            fair.arrive(now, who, work, sender.ticket)
         });
         let over_share = seat.map_or(self.takes_more_than_its_share(arrival.tenant), |seat| seat.surplus);
         let op = &self.site.operations[arrival.operation];
@@ -265,7 +265,7 @@
         // Who was told to come back now is let in, unless the server is worse off than it was to be.
         let welcome = seat.is_some_and(|seat| seat.promised) && !self.is_flooded() && self.sick() <= 0.0;
         inv.judged |= welcome;
-        (inv.seat, inv.tag) = (seat, seat.map_or(0, |seat| seat.tag));
+        (inv.seat, inv.tag) = (seat, seat.map_or(0, |seat| seat.start_tag));
         self.invs.push(inv, late || arrival.key_not_stored);
         self.decide(host);
     }
@@ -372,7 +372,7 @@
             self.regulate(busy, host);
             if let Some(fair) = &mut self.fair {
                 let capacity = self.limit.floor() * self.site.target_utilization;
-                fair.set_level(now, capacity, capacity * self.shortest_objective as f64 * SHARE_HELD);
+                fair.update_fair_rate(now, capacity, capacity * self.shortest_objective as f64 * SHARE_HELD);
             }
             self.set_idle_limit(host);
             self.period_start = now;
@@ -642,7 +642,7 @@
         inv.ran = true;
         host.start_run(inv.id);
         if let (Some(fair), Some(seat)) = (&mut self.fair, &inv.seat) {
-            fair.began(seat);
+            fair.start_service(seat);
         }
         self.enter(i, State::OnCores);
         Some(())
@@ -816,15 +816,19 @@
         };
         let inv = &mut self.invs[i];
         let Some(seat) = inv.seat.take_if(|_| !inv.ran) else { return (false, stay_away) };
-        fair.ended(self.now, &seat, QueueOutcome::Never);
+        fair.end(self.now, &seat, ServiceOutcome::NeverRan);
         let advice = fair.promise(self.now, &seat, least);
         advice.ticket.iter().for_each(|ticket| host.promise_admission(inv.id, *ticket));
-        (advice.ticket.is_some(), advice.stay_away)
+        (advice.ticket.is_some(), advice.retry_after)
     }
 
     /// Takes over a part of a change: new weights of tenants, and how much they may use at once.
-    pub fn reconfigure_fair_queueing(&mut self, now: Nanos, change: &meadowstream_fair_queueing::Retune) {
-        self.fair.iter_mut().for_each(|fair| fair.retune(change, now));
+    pub fn reconfigure_fair_queueing(
+        &mut self,
+        now: Nanos,
+        change: &meadowstream_fair_queueing::SettingsChange,
+    ) {
+        self.fair.iter_mut().for_each(|fair| fair.reconfigure(change, now));
     }
 
     /// The busy share of the cores to steer to, from now on.
@@ -833,7 +837,7 @@
     }
 
     /// What is known of tenants, where they are told apart.
-    pub fn fair(&mut self) -> Option<&mut Fair> {
+    pub fn fair(&mut self) -> Option<&mut FairScheduler> {
         self.fair.as_mut()
     }
 
@@ -848,8 +852,8 @@
     fn remove(&mut self, i: usize) {
         let inv = &self.invs[i];
         if let (Some(fair), Some(seat)) = (&mut self.fair, &inv.seat) {
-            let outcome = if inv.ran { QueueOutcome::Ran(inv.on_cores) } else { QueueOutcome::Never };
-            fair.ended(self.now, seat, outcome);
+            let outcome = if inv.ran { ServiceOutcome::Ran(inv.on_cores) } else { ServiceOutcome::NeverRan };
+            fair.end(self.now, seat, outcome);
         }
         self.invs.remove(i);
     }
--- a/crates/overload-control/src/invocations.rs
+++ b/crates/overload-control/src/invocations.rs
@@ -3,7 +3,7 @@
 //! many are in a state, the memory of all) is kept up to date here and never counted anew.
 
 use crate::{Arrival, Nanos};
-use meadowstream_fair_queueing::Seat;
+use meadowstream_fair_queueing::Admission;
 use meadowstream_pending_queue::{Entry, PendingQueue};
 use slab::Slab;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -32,7 +32,7 @@
     pub wanted: Nanos,
     pub held_kb: f64,
     /// Its place among tenants, where these are told apart.
-    pub seat: Option<Seat>,
+    pub seat: Option<Admission>,
     /// Its hinted cost as a ratio to the mean hint of its operation.
     pub size: f64,
     pub repeats: Option<u64>,
--- a/crates/server/src/event_loop.rs
+++ b/crates/server/src/event_loop.rs
@@ -20,7 +20,7 @@
 use async_channel::{Receiver, Sender as Queue};
 use async_io::Timer;
 use futures_lite::future;
-use meadowstream_fair_queueing::Retune;
+use meadowstream_fair_queueing::SettingsChange;
 use meadowstream_overload_control::controller::{CONTROL_TIMER, Controller};
 use meadowstream_overload_control::{Arrival, Effect, Gauges, Host, Nanos, Outcome};
 use meadowstream_routing::CallPreference;
@@ -302,7 +302,7 @@
     }
 
     /// Takes one part of a change of shares over, and notes the longest pause that a part has made.
-    fn retune(&mut self, change: &Retune) {
+    fn retune(&mut self, change: &SettingsChange) {
         let began = Instant::now();
         self.with_controller(|controller, now, _| controller.reconfigure_fair_queueing(now, change));
         let pause = &self.hands.server.retune_pause;
@@ -315,12 +315,13 @@
         let Some(shown) = options.tenants.as_ref().map(|tenants| tenants.shown) else { return };
         let now = self.hands.server.clock.now();
         let Some(fair) = self.controller.as_mut().and_then(Controller::fair) else { return };
-        let (counts, level) = (fair.counts, fair.level());
+        let (counts, fair_rate) = (fair.counters, fair.fair_rate());
         let (accounts, promises, bytes) = (fair.accounts(), fair.promises(), fair.bytes());
-        info!(level, accounts, promises, bytes, ?counts, "shares");
-        for heavy in fair.heaviest(now, shown) {
-            let meadowstream_fair_queueing::Heavy { name, weight, asks, ahead, within, surplus } = heavy;
-            info!(tenant = name, weight, asks, ahead, within, surplus, "share");
+        info!(fair_rate, accounts, promises, bytes, ?counts, "shares");
+        for heavy in fair.top_tenants(now, shown) {
+            let meadowstream_fair_queueing::TopTenant { name, weight, demand, ahead, within, surplus } =
+                heavy;
+            info!(tenant = name, weight, demand, ahead, within, surplus, "share");
         }
     }
 
--- a/crates/server/src/lifecycle/reload.rs
+++ b/crates/server/src/lifecycle/reload.rs
@@ -12,7 +12,7 @@
 use crate::server::Server;
 use anyhow::{Context, Result, ensure};
 use meadowstream_configuration::{Options, Tenants};
-use meadowstream_fair_queueing::Retune;
+use meadowstream_fair_queueing::SettingsChange;
 use meadowstream_replication::committed_log::Snapshot;
 use meadowstream_replication::persistence;
 use meadowstream_replication::replica::PersistedState;
@@ -51,7 +51,7 @@
 /// A change that is read and checked; taking it over costs the serving thread no more than its parts.
 struct Prepared {
     configuration: Configuration,
-    retunes: Vec<Retune>,
+    retunes: Vec<SettingsChange>,
     tenant_names: Option<TenantNames>,
 }
 
@@ -73,7 +73,7 @@
         {
             let new = configuration.options.borrow();
             if let Some((before, after)) = tenants_changed(&self.in_force, &new)? {
-                retunes = Retune::between(&before.fair, &after.fair);
+                retunes = SettingsChange::between(&before.fair, &after.fair);
                 tenant_names = Some(names_of(after));
             }
         }
@@ -101,7 +101,7 @@
     };
     let ways = (&before.source, before.origin, before.surplus_value);
     ensure!(ways == (&after.source, after.origin, after.surplus_value), "tenants: this takes a restart");
-    ensure!(before.fair.ceiling() == after.fair.ceiling(), "ceilings: others take a restart");
+    ensure!(before.fair.bytes_max() == after.fair.bytes_max(), "ceilings: others take a restart");
     Ok(Some((before, after)))
 }
 
@@ -225,7 +225,7 @@
 
 /// Tells all who go by settings that these are others now. `longest` is the longest pause of the serving
 /// thread so far; the module's owner adds its own.
-async fn announce(server: &Server, retunes: Vec<Retune>, longest: Duration) {
+async fn announce(server: &Server, retunes: Vec<SettingsChange>, longest: Duration) {
     server.counters.reloads.add();
     let reference = server.configuration.reference.get();
     let _ = server.inputs.send(Input::SteerTo(reference)).await;
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -120,7 +120,7 @@
     /// The log is to say who asks for most.
     ShowTenants,
     /// A part of a change of weights and shares.
-    Retune(Box<meadowstream_fair_queueing::Retune>),
+    Retune(Box<meadowstream_fair_queueing::SettingsChange>),
     /// All that was sent before this has been taken in.
     Reached(Sender<()>),
     /// The busy share of the cores to steer to from now on.
