--- a/crates/capacity/src/day.rs
+++ b/crates/capacity/src/day.rs
@@ -5,8 +5,8 @@
 use crate::meter::thread_time;
 use crate::topology::{self, Place};
 use meadowstream_membership::Nanos;
+use meadowstream_replication::change::Change;
 use meadowstream_replication::message::Location;
-use meadowstream_replication::revision::Change;
 use meadowstream_replication::simulation::{Fleet, Layout};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
@@ -168,8 +168,8 @@
             delay,
             loss: 0.001,
             duplicate: 0.001,
-            lag: 6 * SECOND,
-            apply: 60 * MILLISECOND,
+            view_lag: 6 * SECOND,
+            apply_time: 60 * MILLISECOND,
             pull_period: SECOND / 2,
         };
         let mut fleet = Fleet::started(layout, scale.seed);
@@ -222,7 +222,7 @@
             return;
         }
         if empty {
-            self.fleet.spoil_disk(server, 0.0);
+            self.fleet.truncate_disk(server, 0.0);
         }
         self.fleet.start(server);
         if !self.away.contains(&server) {
@@ -233,7 +233,7 @@
 
     fn cut(&mut self, side: impl Fn(Place) -> bool) {
         for server in 0..self.servers {
-            self.fleet.group(server, u32::from(side(Place::of(server))));
+            self.fleet.set_group(server, u32::from(side(Place::of(server))));
         }
         self.away = (0..self.servers).filter(|server| side(Place::of(*server))).collect();
         let away = &self.away;
@@ -319,11 +319,11 @@
         Event::Fail => {
             let server = any();
             play.crash(server);
-            play.fleet.spoil_disk(server, 0.0);
+            play.fleet.truncate_disk(server, 0.0);
             later(REPLACED_AFTER, Event::Back(server));
         }
         Event::Back(server) => {
-            let empty = play.fleet.disk_is_empty(server);
+            let empty = play.fleet.is_disk_empty(server);
             play.start_again(server, empty);
         }
         Event::RackLost => play.rack().into_iter().for_each(|server| play.crash(server)),
@@ -345,8 +345,8 @@
 fn summary(scale: &Scale, play: &Play, bytes: f64, control_bytes: f64, processor: f64) -> Day {
     // When each server first went by each number or a later one.
     let mut times: BTreeMap<usize, Vec<(Nanos, u64)>> = BTreeMap::new();
-    for (at, server, number) in &play.fleet.applied {
-        times.entry(*server).or_default().push((*at, *number));
+    for one in &play.fleet.applied {
+        times.entry(one.node).or_default().push((one.at, one.number));
     }
     let reached = |server: usize, from: Nanos, number: u64| {
         let mine = times.get(&server)?;
--- a/crates/capacity/src/hollow.rs
+++ b/crates/capacity/src/hollow.rs
@@ -5,7 +5,7 @@
 use meadowstream_membership::directory::Directory;
 use meadowstream_membership::envelope::{HEADER_BYTES, TAG_BYTES};
 use meadowstream_membership::{MemberId, Membership, Nanos};
-use meadowstream_replication::member::Member;
+use meadowstream_replication::member::{Member, Outgoing};
 use meadowstream_shared_state::clock::Reading;
 use meadowstream_shared_state::{REPLICATION, ServerId, SharedState};
 use std::net::SocketAddr;
@@ -53,7 +53,7 @@
         Ok(Hollow {
             membership: Membership::new(me, &settings.membership, seed, now)?,
             shared_state: SharedState::new(who, settings.shared_state.clone(), seed, Self::reading(now))?,
-            replication: replication.transpose()?,
+            replication: replication.transpose().map_err(|error| error.to_string())?,
             lease: settings.replication.as_ref().map_or("", |(_, lease)| lease),
             directory: Directory::default(),
             shared_due: now,
@@ -110,9 +110,9 @@
             member.on_persisted(&saved, unix);
         }
         if let Some(snapshot) = member.next_to_apply() {
-            member.settled(snapshot.revision.position.number, Ok(()), unix);
+            member.on_applied(snapshot.number(), unix);
         }
-        for (to, body) in member.outgoing() {
+        for Outgoing { to, body } in member.take_outgoing() {
             let before = self.shared_state.tally.sent_bytes;
             self.shared_state.send_other(&to, REPLICATION, body);
             let size = self.shared_state.tally.sent_bytes - before;
--- a/crates/capacity/tests/model.rs
+++ b/crates/capacity/tests/model.rs
@@ -68,7 +68,7 @@
     let mut state = meadowstream_replication::state::State::default();
     (0..64_000).for_each(|n| state.set(&format!("tenants/tenant/tenant-{n:05}"), "2"));
     println!("64,000 keys: {} bytes", allocated() - before);
-    let mut saved = meadowstream_replication::replica::PersistedState::default();
+    let mut saved = meadowstream_replication::persistence::PersistedState::default();
     (saved.committed.revision.hash, saved.committed.state) = (state.hash(), state);
     let began = thread_time();
     let bytes = meadowstream_replication::persistence::encode(&saved);
--- /dev/null
+++ b/crates/replication/src/codec.rs
@@ -0,0 +1,44 @@
+//! Encoding of messages, and the bounds that a received one has to keep.
+
+use crate::message::{BODY_BYTES_MAX, Message, NAME_BYTES_MAX, NEIGHBOURS_MAX, REASON_BYTES_MAX};
+
+impl Message {
+    /// The bytes of a body.
+    pub fn encode(&self) -> Vec<u8> {
+        postcard::to_allocvec(self).expect("a message holds nothing that postcard cannot encode")
+    }
+
+    /// Reads a body; `None` for anything but exactly one message within its bounds.
+    pub fn decode(body: &[u8]) -> Option<Message> {
+        if body.len() > BODY_BYTES_MAX {
+            return None;
+        }
+        let (message, rest) = postcard::take_from_bytes::<Message>(body).ok()?;
+        (rest.is_empty() && message.is_within_bounds()).then_some(message)
+    }
+
+    /// Entries are checked where they are appended.
+    fn is_within_bounds(&self) -> bool {
+        match self {
+            Message::Digest { location, neighbours, .. } => {
+                neighbours.len() <= NEIGHBOURS_MAX
+                    && neighbours.iter().all(|name| is_name(name))
+                    && is_name(&location.region)
+                    && is_name(&location.zone)
+            }
+            Message::Report { report, .. } => {
+                let rejected = report.rejected.as_ref();
+                rejected.is_none_or(|rejection| rejection.reason.len() <= REASON_BYTES_MAX)
+            }
+            Message::Entries { leader, .. } => leader.as_deref().is_none_or(is_name),
+            Message::Submit { request, changes, .. } => {
+                is_name(&request.from) && changes.iter().all(|change| change.check().is_ok())
+            }
+            _ => true,
+        }
+    }
+}
+
+fn is_name(text: &str) -> bool {
+    text.len() <= NAME_BYTES_MAX
+}
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -1,15 +1,21 @@
-//! Configuration of a fleet without I/O: time, the seed, the living members and messages go in; messages to
-//! send, what to write to disk and what to put in force come out.
+//! Configuration of a fleet without I/O: time, the seed, the living members and messages are arguments;
+//! messages to send, state to write to disk and revisions to apply are results.
 //!
-//! - [`replica`]: machines set aside for control keep an ordered log of revisions; a majority commits them.
-//! - [`member`]: every server holds the committed log's end, spreads what is new by zone, asks its neighbours
-//!   for what it lacks, and reports what it goes by.
-//! - [`state`], [`log`], [`transfer`]: the content, its last entries, and checkpoints for who lags far.
+//! - [`replica`]: machines set aside for control keep an ordered log of changes; a majority commits them.
+//! - [`member`]: every server holds the end of the committed log, spreads it by gossip, and reports what it
+//!   has applied.
+//! - [`committed_log`], [`state`], [`snapshot_transfer`]: the log's last entries, its content, and checkpoints
+//!   for members that lag far.
 //!
-//! `docs/replication.md` names the ways weighed and what is promised under which fault.
+//! `docs/replication.md` describes the protocol, the alternatives, and what is promised under which fault.
 
+#![deny(missing_docs, clippy::too_many_lines)]
+
+pub mod change;
+mod codec;
 pub mod committed_log;
-mod gossip;
+pub mod content_hash;
+pub mod entry;
 pub mod member;
 pub mod message;
 pub mod peers;
@@ -19,9 +25,9 @@
 mod requests;
 pub mod revision;
 pub mod simulation;
-mod snapshot_fetch;
+pub mod snapshot;
 pub mod snapshot_transfer;
 pub mod state;
+pub mod time;
 
-/// Nanoseconds since the Unix epoch, by a clock that does not go back.
-pub type Nanos = u64;
+pub use time::Nanos;
--- /dev/null
+++ b/crates/replication/src/member/operator.rs
@@ -0,0 +1,150 @@
+//! Operators' requests to the leader: a change, a change to take back, which members lag. A change is answered
+//! once it is committed.
+
+use super::Member;
+use crate::change::Change;
+use crate::committed_log::CommittedLog;
+use crate::message::{BODY_BYTES_MAX, LaggingSummary, Message, RequestId, RequestOutcome};
+use crate::progress::LaggingMember;
+use crate::replica::ProposeError;
+use crate::requests::PendingRequest;
+use crate::time::Nanos;
+use std::collections::BTreeSet;
+
+/// Most lagging members that one status names.
+const SUMMARIES_MAX: usize = 8;
+/// Longest part of a reason in a status, in characters.
+const SUMMARY_REASON_CHARACTERS: usize = 32;
+
+/// A change that cannot be taken back.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+enum RevertError {
+    #[error("no change that is still held ends at {number}")]
+    NotHeld { number: u64 },
+    #[error("what stood before it is not held any more")]
+    BaseNotHeld,
+    #[error("{key:?} was changed again by {number}")]
+    ChangedSince { key: String, number: u64 },
+}
+
+/// A request that is not carried out; its text is the answer to the operator.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+enum RequestError {
+    #[error(transparent)]
+    Revert(#[from] RevertError),
+    #[error(transparent)]
+    Propose(#[from] ProposeError),
+}
+
+/// The change that takes back the one whose last entry has this number: the values from before it, of the
+/// keys that it named.
+fn revert(log: &CommittedLog, number: u64) -> Result<Vec<Change>, RevertError> {
+    let entries = log.change_at(number).ok_or(RevertError::NotHeld { number })?;
+    let first = entries.first().map_or(number, |entry| entry.number());
+    let before = log.state_at(first - 1).ok_or(RevertError::BaseNotHeld)?;
+    let changes = entries.iter().flat_map(|entry| &entry.changes);
+    let keys: BTreeSet<&String> = changes.map(|change| &change.key).collect();
+    for entry in log.tail().filter(|entry| entry.number() > number) {
+        if let Some(change) = entry.changes.iter().find(|change| keys.contains(&change.key)) {
+            let (key, number) = (change.key.clone(), entry.number());
+            return Err(RevertError::ChangedSince { key, number });
+        }
+    }
+    Ok(keys.into_iter().map(|key| before.restoring(key)).collect())
+}
+
+fn summary(member: &LaggingMember) -> LaggingSummary {
+    let reason = member.rejected.as_ref().map_or("", |rejection| &rejection.reason);
+    LaggingSummary {
+        name: member.name.clone(),
+        applied: member.applied.unwrap_or(0),
+        reason: reason.chars().take(SUMMARY_REASON_CHARACTERS).collect(),
+    }
+}
+
+impl Member {
+    pub(super) fn on_operator_request(&mut self, now: Nanos, from: &str, message: Message) {
+        let request = match &message {
+            Message::Submit { request, .. }
+            | Message::Revert { request, .. }
+            | Message::PollStatus { request } => request.clone(),
+            _ => return,
+        };
+        let Some(control) = &mut self.control else { return };
+        if !control.replica.is_leader() {
+            let leader = self.leader.clone().filter(|name| *name != self.name);
+            return self.send(from, &Message::NotLeader { request, leader }, now);
+        }
+        if let Some(outcome) = control.requests.outcome(&request).cloned() {
+            return self.send(from, &Message::Submitted { request, outcome }, now);
+        }
+        if control.requests.is_pending(&request) {
+            return;
+        }
+        match message {
+            Message::PollStatus { .. } => self.send_status(from, request, now),
+            Message::Revert { number, .. } => {
+                let outcome = revert(&self.log, number).map_err(RequestError::from);
+                let outcome = outcome.and_then(|changes| Ok(self.propose(changes, now)?));
+                self.on_proposed(request, outcome, now);
+            }
+            Message::Submit { part, parts, changes, .. } => {
+                if let Some(changes) = control.requests.assemble(&request, part, parts, changes) {
+                    let outcome = self.propose(changes, now).map_err(RequestError::from);
+                    self.on_proposed(request, outcome, now);
+                }
+            }
+            _ => {}
+        }
+    }
+
+    /// A request's change is in the log, or is answered with the reason that it is not.
+    fn on_proposed(&mut self, request: RequestId, outcome: Result<u64, RequestError>, now: Nanos) {
+        let Some(control) = &mut self.control else { return };
+        match outcome {
+            Ok(number) => control.requests.add_pending(PendingRequest { request, number }),
+            Err(error) => {
+                self.answer(request, RequestOutcome::Rejected { reason: error.to_string() }, now);
+            }
+        }
+        self.answer_requests(now);
+    }
+
+    fn answer(&mut self, request: RequestId, outcome: RequestOutcome, now: Nanos) {
+        let Some(control) = &mut self.control else { return };
+        control.requests.record_outcome(request.clone(), outcome.clone());
+        let to = request.from.clone();
+        self.send(&to, &Message::Submitted { request, outcome }, now);
+    }
+
+    /// Answers requests whose change is committed; once this member does not lead any more, all of them.
+    pub(super) fn answer_requests(&mut self, now: Nanos) {
+        let Some(control) = &mut self.control else { return };
+        if control.replica.is_leader() {
+            for PendingRequest { request, number } in control.requests.take_committed(self.log.number()) {
+                self.answer(request, RequestOutcome::Committed { number }, now);
+            }
+            return;
+        }
+        for PendingRequest { request, .. } in control.requests.take_all() {
+            let to = request.from.clone();
+            self.send(&to, &Message::NotLeader { request, leader: None }, now);
+        }
+    }
+
+    fn send_status(&mut self, to: &str, request: RequestId, now: Nanos) {
+        // The operator's command is a member too, but applies nothing.
+        let members = self.members_except(to);
+        let mut lagging = self.lagging();
+        lagging.retain(|member| member.name != to);
+        let status = Message::Status {
+            request,
+            number: self.log.complete().number(),
+            members: members as u32,
+            applied: (members - lagging.len()) as u32,
+            lagging: lagging.iter().take(SUMMARIES_MAX).map(summary).collect(),
+        };
+        debug_assert!(status.encode().len() <= BODY_BYTES_MAX);
+        self.send(to, &status, now);
+    }
+}
--- /dev/null
+++ b/crates/replication/src/member/reports.rs
@@ -0,0 +1,55 @@
+//! What the host has applied or rejected, and the reports of it to the leader.
+
+use super::Member;
+use crate::message::{Message, Report};
+use crate::time::{MILLISECOND_NS, Nanos, SECOND_NS};
+use rand_chacha::rand_core::Rng;
+
+/// A report is repeated at this interval.
+pub(super) const REPORT_INTERVAL_NS: Nanos = 10 * SECOND_NS;
+/// A new outcome is reported within this time, at random so that members do not report all at once.
+const REPORT_WITHIN_NS: Nanos = 200 * MILLISECOND_NS;
+
+impl Member {
+    /// The host has applied a revision.
+    pub fn on_applied(&mut self, number: u64, now: Nanos) {
+        self.applier.on_applied(number);
+        self.report_soon(now);
+    }
+
+    /// The host has rejected a revision for a reason, which is cut to its longest length. The revision is not
+    /// offered again.
+    pub fn on_rejected(&mut self, number: u64, reason: &str, now: Nanos) {
+        self.applier.on_rejected(number, reason);
+        self.report_soon(now);
+    }
+
+    fn report_soon(&mut self, now: Nanos) {
+        self.report_due = self.report_due.min(now + self.rng.next_u64() % REPORT_WITHIN_NS);
+    }
+
+    /// To the leader, or to any replica where none is known.
+    pub(super) fn send_report(&mut self, now: Nanos) {
+        let leader = self.leader.clone().filter(|name| self.peers.is_alive(name));
+        let replicas = &self.settings.replicas;
+        let any = &replicas[(self.rng.next_u64() % replicas.len() as u64) as usize];
+        let to = leader.unwrap_or_else(|| any.clone());
+        let report = Report {
+            applied: self.applier.applied(),
+            committed: self.log.number(),
+            rejected: self.applier.rejected().cloned(),
+        };
+        if to == self.name {
+            self.on_report(&to, report);
+        } else {
+            let location = self.settings.location.clone();
+            self.send(&to, &Message::Report { report, location }, now);
+        }
+    }
+
+    pub(super) fn on_report(&mut self, from: &str, report: Report) {
+        if let Some(control) = &mut self.control {
+            control.progress.on_report(from, report);
+        }
+    }
+}
--- /dev/null
+++ b/crates/replication/src/member/snapshot_fetch.rs
@@ -0,0 +1,101 @@
+//! Fetching a checkpoint where this member lags more than the entries of others reach, and serving chunks to
+//! members that do.
+
+use super::Member;
+use crate::change::KEY_BYTES_MAX;
+use crate::committed_log::{CHECKPOINT_INTERVAL, CommittedLog};
+use crate::message::{BODY_BYTES_MAX, Message};
+use crate::revision::Revision;
+use crate::snapshot::Snapshot;
+use crate::snapshot_transfer::{ChunkOutcome, SnapshotTransfer};
+use crate::state::{Chunk, Pair, Text};
+use crate::time::{MILLISECOND_NS, Nanos};
+
+/// Where the budget of bytes is spent, a chunk is requested so much later.
+const CHUNK_RETRY_NS: Nanos = 100 * MILLISECOND_NS;
+/// Bytes of pairs in one chunk; the head of the message holds a key too.
+const CHUNK_BYTES_MAX: usize = BODY_BYTES_MAX - 2 * KEY_BYTES_MAX;
+
+impl Member {
+    /// Requests the next chunk, where a transfer is under way and the budget allows it.
+    pub(super) fn fetch_chunk(&mut self, now: Nanos) {
+        self.transfer.take_if(|transfer| transfer.is_given_up());
+        let Some(transfer) = &self.transfer else { return };
+        if now < self.chunk_due || !transfer.is_due(now) {
+            return;
+        }
+        // A chunk that comes in counts as one that goes out.
+        if !self.budget.take(BODY_BYTES_MAX as u64, now) {
+            self.chunk_due = now + CHUNK_RETRY_NS;
+            return;
+        }
+        let source = transfer.source().cloned().filter(|name| self.peers.is_alive(name));
+        let Some(source) = source.or_else(|| self.pick_neighbour()) else { return };
+        let Some(transfer) = &mut self.transfer else { return };
+        let checkpoint = transfer.target().number();
+        let after = transfer.request_chunk(&source, now);
+        self.send(&source, &Message::FetchChunk { checkpoint, after }, now);
+    }
+
+    /// Begins a transfer. One under way continues unless the offered checkpoint is far newer.
+    pub(super) fn on_snapshot_offer(&mut self, from: &str, checkpoint: Revision, now: Nanos) {
+        let number = checkpoint.number();
+        let is_outdated =
+            |transfer: &SnapshotTransfer| transfer.target().number() + CHECKPOINT_INTERVAL < number;
+        if number > self.log.number() && self.transfer.as_ref().is_none_or(is_outdated) {
+            self.counts.transfers += 1;
+            self.transfer = Some(SnapshotTransfer::new(checkpoint, from));
+            self.fetch_chunk(now);
+        }
+    }
+
+    /// Serves a chunk, or offers a newer checkpoint where the requested one is not held any more.
+    pub(super) fn on_fetch_chunk(&mut self, from: &str, number: u64, after: Option<Text>, now: Nanos) {
+        let Some(checkpoint) = self.log.snapshot(number) else {
+            let newer = self.log.newest_checkpoint().filter(|newest| newest.number() > number);
+            if let Some(newer) = newer {
+                let checkpoint = newer.revision;
+                let newest = self.log.number();
+                self.send(from, &Message::SnapshotOffer { checkpoint, newest }, now);
+            }
+            return;
+        };
+        let Chunk { pairs, is_last } = checkpoint.state.chunk(after.as_ref(), CHUNK_BYTES_MAX);
+        self.send(from, &Message::SnapshotChunk { checkpoint: number, after, pairs, last: is_last }, now);
+    }
+
+    pub(super) fn on_snapshot_chunk(
+        &mut self,
+        checkpoint: u64,
+        after: &Option<Text>,
+        pairs: Vec<Pair>,
+        last: bool,
+        now: Nanos,
+    ) {
+        let Some(transfer) = &mut self.transfer else { return };
+        match transfer.on_chunk(checkpoint, after, &Chunk { pairs, is_last: last }) {
+            ChunkOutcome::Ignored => {}
+            ChunkOutcome::Continue => self.fetch_chunk(now),
+            ChunkOutcome::Invalid => {
+                self.counts.mismatched += 1;
+                self.transfer = None;
+            }
+            ChunkOutcome::Complete(snapshot) => {
+                self.transfer = None;
+                self.install_snapshot(snapshot, now);
+            }
+        }
+    }
+
+    /// Continues from a snapshot, unless the log has reached it meanwhile.
+    fn install_snapshot(&mut self, snapshot: Snapshot, now: Nanos) {
+        if snapshot.number() <= self.log.number() {
+            return;
+        }
+        self.log = CommittedLog::from_snapshot(snapshot);
+        if let Some(control) = &mut self.control {
+            control.replica.follow(&self.log);
+        }
+        self.pull(now);
+    }
+}
--- a/crates/replication/src/progress.rs
+++ b/crates/replication/src/progress.rs
@@ -1,80 +1,85 @@
-//! Who goes by which revision, as members report it to a replica, and whom the leader still waits for. A
-//! member of the fleet that has not reported is asked; one that does not answer takes no part: a server of an
-//! older release, or an operator's command.
+//! Which revision each member has applied, as members report it to a replica, and which of them lag. A member
+//! of the fleet that has not reported is polled; one that does not answer takes no part: it is a server
+//! without replicated configuration, or an operator's command.
 
-use crate::Nanos;
-use crate::message::Report;
+use crate::message::{Rejection, Report};
+use crate::time::{Nanos, SECOND_NS};
 use std::collections::BTreeMap;
 
-/// A member that has not come to the newest revision is asked again after so long.
-const ASK_AGAIN: Nanos = 2_000_000_000;
-/// One that takes no part is asked again after so long: it may have been started anew.
-const ASK_SILENT_AGAIN: Nanos = 60_000_000_000;
-/// Questions without an answer after which a member takes no part.
-const SILENT_AFTER: u32 = 3;
-/// Members asked at once at the most.
-const ASKED_AT_ONCE: usize = 32;
+/// A member that has not applied the newest revision is polled at this interval.
+const POLL_INTERVAL_NS: Nanos = 2 * SECOND_NS;
+/// One that takes no part is polled at this interval: it may have been restarted with other settings.
+const SILENT_POLL_INTERVAL_NS: Nanos = 60 * SECOND_NS;
+/// Unanswered polls after which a member that never reported takes no part.
+const SILENT_AFTER_POLLS: u32 = 3;
+/// Most members polled at once.
+const POLLS_AT_ONCE_MAX: usize = 32;
+/// Revisions whose time of commitment is remembered.
+const COMMIT_TIMES_MAX: usize = 1024;
 
 #[derive(Clone, Debug, Default)]
-struct Known {
+struct MemberProgress {
     report: Option<Report>,
-    asked: Nanos,
-    /// Questions since it was last heard.
+    polled_at: Nanos,
+    /// Polls since its last report.
     unanswered: u32,
 }
 
-impl Known {
+impl MemberProgress {
     fn is_silent(&self) -> bool {
-        self.report.is_none() && self.unanswered >= SILENT_AFTER
+        self.report.is_none() && self.unanswered >= SILENT_AFTER_POLLS
     }
 
-    fn may_be_asked(&self, now: Nanos) -> bool {
-        let wait = if self.is_silent() { ASK_SILENT_AGAIN } else { ASK_AGAIN };
-        self.unanswered == 0 || now >= self.asked + wait
+    fn may_be_polled(&self, now: Nanos) -> bool {
+        let interval = if self.is_silent() { SILENT_POLL_INTERVAL_NS } else { POLL_INTERVAL_NS };
+        self.unanswered == 0 || now >= self.polled_at + interval
     }
 }
 
+/// What a replica knows of the members' progress.
 #[derive(Debug, Default)]
 pub struct ProgressTracker {
-    members: BTreeMap<String, Known>,
-    /// When each of the last revisions was committed.
-    committed: BTreeMap<u64, Nanos>,
+    members: BTreeMap<String, MemberProgress>,
+    /// When each of the last revisions was committed here, by number.
+    committed_at: BTreeMap<u64, Nanos>,
 }
 
-/// One that does not go by the newest revision.
+/// A member that has not applied the newest revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LaggingMember {
+    /// Its name.
     pub name: String,
-    /// What it goes by; `None` where it has not reported yet.
+    /// The last revision that it applied; `None` where it has not reported yet.
     pub applied: Option<u64>,
-    /// Since when the oldest revision that it lacks has been committed here.
+    /// When the oldest revision that it lacks was committed here, in Unix nanoseconds; 0 where unknown.
     pub since: Nanos,
-    pub rejected: Option<(u64, String)>,
+    /// The last revision that it rejected.
+    pub rejected: Option<Rejection>,
 }
 
-/// Revisions whose time is remembered.
-const TIMES_KEPT: usize = 1024;
-
 impl ProgressTracker {
+    /// A member has reported.
     pub fn on_report(&mut self, name: &str, report: Report) {
-        let known = self.members.entry(name.to_string()).or_default();
-        (known.report, known.unanswered) = (Some(report), 0);
+        let member = self.members.entry(name.to_string()).or_default();
+        member.report = Some(report);
+        member.unanswered = 0;
     }
 
-    pub fn committed(&mut self, number: u64, now: Nanos) {
-        self.committed.entry(number).or_insert(now);
-        while self.committed.len() > TIMES_KEPT {
-            self.committed.pop_first();
+    /// A revision was committed here.
+    pub fn on_commit(&mut self, number: u64, now: Nanos) {
+        self.committed_at.entry(number).or_insert(now);
+        while self.committed_at.len() > COMMIT_TIMES_MAX {
+            self.committed_at.pop_first();
         }
     }
 
-    /// Forgets those that the fleet's view does not hold.
-    pub fn retain(&mut self, alive: impl Fn(&str) -> bool) {
-        self.members.retain(|name, _| alive(name));
+    /// Forgets the members that are not alive.
+    pub fn retain(&mut self, is_alive: impl Fn(&str) -> bool) {
+        self.members.retain(|name, _| is_alive(name));
     }
 
     fn takes_part(&self, name: &str) -> bool {
-        self.members.get(name).is_none_or(|known| !known.is_silent())
+        self.members.get(name).is_none_or(|member| !member.is_silent())
     }
 
     /// How many of the living take part, or may.
@@ -82,48 +87,49 @@
         alive.filter(|name| self.takes_part(name)).count()
     }
 
-    /// Those of the living that take part and do not go by `number`.
+    /// The living that take part and have not applied `number`.
     pub fn lagging<'a>(&self, alive: impl Iterator<Item = &'a String>, number: u64) -> Vec<LaggingMember> {
-        alive.filter(|name| self.takes_part(name)).filter_map(|name| self.lacks(name, number)).collect()
+        alive.filter(|name| self.takes_part(name)).filter_map(|name| self.lag_of(name, number)).collect()
     }
 
-    fn lacks(&self, name: &str, number: u64) -> Option<LaggingMember> {
-        let report = self.members.get(name).and_then(|known| known.report.as_ref());
+    /// `None` where the member has applied `number`.
+    fn lag_of(&self, name: &str, number: u64) -> Option<LaggingMember> {
+        let report = self.members.get(name).and_then(|member| member.report.as_ref());
         let applied = report.map(|report| report.applied);
         if applied.is_some_and(|applied| applied >= number) {
             return None;
         }
-        let first = self.committed.range(applied.unwrap_or(0) + 1..).next();
+        let oldest_lacking = self.committed_at.range(applied.unwrap_or(0) + 1..).next();
         Some(LaggingMember {
             name: name.to_string(),
             applied,
-            since: first.map_or(0, |(_, at)| *at),
+            since: oldest_lacking.map_or(0, |(_, at)| *at),
             rejected: report.and_then(|report| report.rejected.clone()),
         })
     }
 
-    /// Those to be asked for a report now.
-    pub fn to_poll<'a>(
+    /// The members to poll now for a report; they count as polled.
+    pub fn poll<'a>(
         &mut self,
         alive: impl Iterator<Item = &'a String>,
         number: u64,
         now: Nanos,
     ) -> Vec<String> {
-        let mut asked = Vec::new();
+        let mut polled = Vec::new();
         for name in alive {
-            if asked.len() == ASKED_AT_ONCE {
+            if polled.len() == POLLS_AT_ONCE_MAX {
                 break;
             }
-            if self.lacks(name, number).is_none() {
+            if self.lag_of(name, number).is_none() {
                 continue;
             }
-            let known = self.members.entry(name.clone()).or_default();
-            if known.may_be_asked(now) {
-                known.asked = now;
-                known.unanswered = known.unanswered.saturating_add(1);
-                asked.push(name.clone());
+            let member = self.members.entry(name.clone()).or_default();
+            if member.may_be_polled(now) {
+                member.polled_at = now;
+                member.unanswered = member.unanswered.saturating_add(1);
+                polled.push(name.clone());
             }
         }
-        asked
+        polled
     }
 }
--- /dev/null
+++ b/crates/replication/src/replica/acceptor.rs
@@ -0,0 +1,80 @@
+//! The part of the replicas that do not lead: promising epochs and storing the leader's entries.
+
+use super::{Replica, Role};
+use crate::committed_log::CommittedLog;
+use crate::entry::Entry;
+use crate::message::Message;
+use crate::revision::Position;
+
+/// The fields of [`Message::Append`].
+pub(super) struct AppendRequest {
+    pub(super) epoch: u64,
+    pub(super) previous: Position,
+    pub(super) entries: Vec<Entry>,
+    pub(super) committed: u64,
+}
+
+impl Replica {
+    pub(super) fn on_prepare(&mut self, from: &str, epoch: u64, after: u64, log: &CommittedLog) {
+        if epoch < self.promised {
+            return self.send(from, Message::EpochRejected { promised: self.promised });
+        }
+        self.adopt_epoch(epoch);
+        // The log before the entries held here comes to the candidate by gossip; it asks again after that.
+        if self.position(after, log).is_none() && after < log.number() {
+            return;
+        }
+        let last = self.last_position(log);
+        let entries = self.entries_after(after, log);
+        self.send(from, Message::Promise { epoch, last, after, entries });
+    }
+
+    /// Stores the leader's entries. Returns those that the leader says are committed, in order.
+    pub(super) fn on_append(&mut self, from: &str, request: AppendRequest, log: &CommittedLog) -> Vec<Entry> {
+        let AppendRequest { epoch, previous, entries, committed } = request;
+        if epoch < self.promised {
+            self.send(from, Message::EpochRejected { promised: self.promised });
+            return Vec::new();
+        }
+        self.adopt_epoch(epoch);
+        self.role = Role::Follower;
+        if !self.holds(previous, log) {
+            let last = self.last_position(log).number;
+            let matched = last.min(previous.number.saturating_sub(1)).max(log.number());
+            self.send(from, Message::AppendRejected { epoch, matched });
+            return Vec::new();
+        }
+        let matched = self.store_entries(previous.number, entries, log).max(log.number());
+        self.send(from, Message::Appended { epoch, number: matched });
+        let committed = committed.min(matched);
+        let is_committed = |entry: &&Entry| entry.number() <= committed;
+        self.uncommitted.iter().take_while(is_committed).cloned().collect()
+    }
+
+    /// Whether this replica's log has an entry at this position; all committed logs agree.
+    fn holds(&self, position: Position, log: &CommittedLog) -> bool {
+        let is_committed = position.number <= log.number();
+        let agrees = is_committed || self.position(position.number, log) == Some(position);
+        agrees && position.number <= self.last_position(log).number
+    }
+
+    /// Stores entries that follow `previous`. Returns the last number up to which the log matches them.
+    fn store_entries(&mut self, previous: u64, entries: Vec<Entry>, log: &CommittedLog) -> u64 {
+        let mut matched = previous;
+        for entry in entries {
+            let number = entry.number();
+            if number != matched + 1 || !entry.is_within_bounds() {
+                break;
+            }
+            matched = number;
+            if number <= log.number() || self.position(number, log) == Some(entry.position()) {
+                continue;
+            }
+            // An entry that differs was never committed, nor were those after it.
+            self.uncommitted.truncate((number - log.number() - 1) as usize);
+            self.uncommitted.push(entry);
+            self.is_unsaved = true;
+        }
+        matched
+    }
+}
--- /dev/null
+++ b/crates/replication/src/simulation/host.rs
@@ -0,0 +1,100 @@
+//! What the host of a member does: it advances the member, writes its state, applies revisions, and checks
+//! that none is older than one before and that no number has two contents.
+
+use super::event_queue::Event;
+use super::node::Disk;
+use super::{AppliedRevision, Fleet, member_name};
+use crate::snapshot::Snapshot;
+use crate::time::MILLISECOND_NS;
+
+impl Fleet {
+    pub(super) fn handle(&mut self, event: Event) {
+        match event {
+            Event::View => self.update_view(),
+            Event::Message { to, from, body } => {
+                let Some(member) = &mut self.nodes[to].member else { return };
+                member.receive(self.now, &member_name(from), &body);
+                self.serve(to);
+            }
+            Event::Due { node, incarnation } => self.on_due(node, incarnation),
+            Event::Applied { node, incarnation, snapshot } => {
+                if self.nodes[node].incarnation == incarnation {
+                    self.on_applied(node, *snapshot);
+                }
+            }
+        }
+    }
+
+    fn on_due(&mut self, index: usize, incarnation: u64) {
+        let node = &mut self.nodes[index];
+        if node.incarnation != incarnation || node.due != self.now {
+            return;
+        }
+        let Some(member) = &mut node.member else { return };
+        node.due = crate::Nanos::MAX;
+        let view = self.views.get(&node.group).cloned().unwrap_or_default();
+        member.advance(self.now, &view);
+        self.serve(index);
+    }
+
+    /// What a host does after each call of its member: write, apply, send, and schedule the next call.
+    pub(super) fn serve(&mut self, index: usize) {
+        let now = self.now;
+        let node = &mut self.nodes[index];
+        let Some(member) = &mut node.member else { return };
+        while let Some(state) = member.unsaved_state() {
+            if node.is_disk_full {
+                member.on_persist_failed();
+                break;
+            }
+            member.on_persisted(&state, now);
+            node.disk = Some(Disk::Complete(state));
+        }
+        let to_apply = member.next_to_apply();
+        let outgoing = member.take_outgoing();
+        let due = member.next_due().max(now + MILLISECOND_NS);
+        let incarnation = node.incarnation;
+        let is_sooner = due < node.due || node.due <= now;
+        if is_sooner {
+            node.due = due;
+        }
+        if let Some(snapshot) = to_apply {
+            let snapshot = Box::new(snapshot);
+            self.schedule(self.layout.apply_time, Event::Applied { node: index, incarnation, snapshot });
+        }
+        if is_sooner {
+            self.schedule(due - now, Event::Due { node: index, incarnation });
+        }
+        for message in outgoing {
+            self.send(index, message);
+        }
+    }
+
+    /// A server has checked a revision: it writes and applies it, or rejects it.
+    fn on_applied(&mut self, index: usize, snapshot: Snapshot) {
+        let node = &mut self.nodes[index];
+        let Some(member) = &mut node.member else { return };
+        let number = snapshot.number();
+        let unknown_key = node.rejected_prefix.as_ref().and_then(|prefix| {
+            let mut keys = snapshot.state.iter().map(|(key, _)| key);
+            keys.find(|key| key.starts_with(prefix.as_str()))
+        });
+        if let Some(key) = unknown_key {
+            member.on_rejected(number, &format!("unknown element {key:?}"), self.now);
+        } else if node.is_disk_full {
+            member.on_rejected(number, "the disk is full", self.now);
+        } else {
+            let highest = node.highest_applied;
+            assert!(number >= highest, "s{index} went back from {highest} to {number}");
+            node.highest_applied = number;
+            node.disk = Some(Disk::Complete(member.state_to_persist(&snapshot)));
+            member.on_applied(number, self.now);
+            let content = *self.contents.entry(number).or_insert(snapshot.revision.hash);
+            assert_eq!(content, snapshot.revision.hash, "two contents under number {number}");
+            if number > highest {
+                self.applied.push(AppliedRevision { at: self.now, node: index, number });
+            }
+        }
+        self.serve(index);
+    }
+}
--- /dev/null
+++ b/crates/replication/src/simulation/network.rs
@@ -0,0 +1,68 @@
+//! The network between the nodes, the fleet's view, and the lease on leading.
+
+use super::event_queue::Event;
+use super::{Fleet, member_name};
+use crate::member::Outgoing;
+use rand_chacha::rand_core::Rng;
+use std::collections::HashSet;
+use std::sync::Arc;
+
+impl Fleet {
+    fn reaches(&self, from: usize, to: usize) -> bool {
+        !self.cuts.contains(&(self.nodes[from].group, self.nodes[to].group))
+    }
+
+    /// Draws whether something with a share of 0 to 1 happens.
+    fn chance(&mut self, share: f64) -> bool {
+        share > 0.0 && (self.rng.next_u64() as f64 / u64::MAX as f64) < share
+    }
+
+    /// Sends a message: lost, doubled and delayed as the layout says.
+    pub(super) fn send(&mut self, from: usize, outgoing: Outgoing) {
+        let Outgoing { to, body } = outgoing;
+        self.messages += 1;
+        self.sent_bytes += body.len() as u64;
+        let Some(&to) = self.names.get(&to) else { return };
+        if !self.reaches(from, to) {
+            return;
+        }
+        let copies = if self.chance(self.layout.duplicate) { 2 } else { 1 };
+        for _ in 0..copies {
+            if self.chance(self.layout.loss) {
+                continue;
+            }
+            let (least, jitter) = (self.layout.delay)(from, to);
+            let delay = least + self.rng.next_u64() % jitter.max(1);
+            self.schedule(delay, Event::Message { to, from, body: body.clone() });
+        }
+    }
+
+    /// Every group sees the living that it reaches, and the lease goes to a replica that reaches a majority.
+    pub(super) fn update_view(&mut self) {
+        let groups: HashSet<u32> = self.nodes.iter().map(|node| node.group).collect();
+        for group in groups {
+            let is_reached = |node: &usize| !self.cuts.contains(&(group, self.nodes[*node].group));
+            let mut names: Vec<String> =
+                self.running().into_iter().filter(is_reached).map(member_name).collect();
+            names.sort_unstable();
+            self.views.insert(group, Arc::new(names));
+        }
+        if !self.lease_by_hand {
+            self.move_lease();
+        }
+    }
+
+    fn move_lease(&mut self) {
+        let living: Vec<usize> =
+            (0..self.layout.replicas).filter(|replica| self.nodes[*replica].member.is_some()).collect();
+        let majority = self.layout.replicas / 2 + 1;
+        let may_hold = |replica: &usize| {
+            let reached = living.iter().filter(|other| self.reaches(*replica, **other)).count();
+            !self.nodes[*replica].is_disk_full && reached >= majority
+        };
+        let holder = living.iter().copied().find(may_hold);
+        for replica in living {
+            self.set_holds_lease(replica, Some(replica) == holder);
+        }
+    }
+}
--- a/crates/replication/src/snapshot_transfer.rs
+++ b/crates/replication/src/snapshot_transfer.rs
@@ -1,114 +1,139 @@
-//! A checkpoint on its way to a member that lacks more than the entries reach: fetched pair by pair in the
-//! order of keys, from whoever holds it, at a pace of its own.
+//! The transfer of a checkpoint to a member that lags more than the entries of others reach: chunks in the
+//! order of keys, each from any member that holds the checkpoint.
 
-use crate::Nanos;
-use crate::committed_log::Snapshot;
+use crate::change::{KEY_BYTES_MAX, VALUE_BYTES_MAX};
 use crate::revision::Revision;
-use crate::state::{KEY_MAX, KEYS_MAX, State, Text, VALUE_MAX};
+use crate::snapshot::Snapshot;
+use crate::state::{Chunk, KEYS_MAX, Pair, State, Text};
+use crate::time::{Nanos, SECOND_NS};
 
-/// A chunk that has not come after so long is asked for again, of another member.
-const CHUNK_PATIENCE: Nanos = 1_000_000_000;
+/// A chunk that has not come after so long is requested again, from another member.
+const CHUNK_TIMEOUT_NS: Nanos = SECOND_NS;
+/// Unanswered requests after which the transfer is given up; another offer begins a new one.
+const ATTEMPTS_MAX: u32 = 16;
 
-/// Questions without an answer after which another offer is waited for.
-const TRIES_MAX: u32 = 16;
+/// A request for a chunk that has not been answered.
+#[derive(Debug)]
+struct PendingRequest {
+    /// The member that it was sent to.
+    source: String,
+    sent_at: Nanos,
+}
 
+/// A transfer under way.
 #[derive(Debug)]
 pub struct SnapshotTransfer {
     target: Revision,
-    /// Who offered it, while it answers; and questions without an answer since the last chunk.
+    /// The member to request from: the one that offered or answered last. `None` once it has not answered.
     source: Option<String>,
-    tries: u32,
+    /// Requests since the last chunk.
+    attempts: u32,
+    /// The pairs that have come.
     state: State,
+    /// The last key that has come.
     after: Option<Text>,
-    /// Who was asked for the next chunk, and when.
-    asked: Option<(String, Nanos)>,
+    pending: Option<PendingRequest>,
 }
 
 /// What a chunk did to a transfer.
 #[derive(Debug, PartialEq)]
 pub enum ChunkOutcome {
-    /// Not the one that was asked for.
+    /// It is not the chunk that was requested; nothing changed.
     Ignored,
+    /// More chunks follow.
     Continue,
+    /// The checkpoint is complete and has its hash.
     Complete(Snapshot),
-    /// All came, and it is not what was promised; or it breaks a bound.
+    /// The content breaks a bound or does not have its hash: the transfer cannot continue.
     Invalid,
 }
 
 impl SnapshotTransfer {
+    /// A transfer of the checkpoint `target`, which the member `source` has offered.
     pub fn new(target: Revision, source: &str) -> SnapshotTransfer {
-        let source = Some(source.to_string());
-        SnapshotTransfer { target, source, tries: 0, state: State::default(), after: None, asked: None }
+        SnapshotTransfer {
+            target,
+            source: Some(source.to_string()),
+            attempts: 0,
+            state: State::default(),
+            after: None,
+            pending: None,
+        }
     }
 
+    /// The checkpoint's revision.
     pub fn target(&self) -> Revision {
         self.target
     }
 
-    /// Pairs that have come.
+    /// Number of pairs that have come.
     pub fn pairs(&self) -> usize {
         self.state.len()
     }
 
-    /// Whether the next chunk is to be asked for now.
+    /// Whether the next chunk is to be requested now.
     pub fn is_due(&self, now: Nanos) -> bool {
-        self.asked.as_ref().is_none_or(|(_, at)| now >= at + CHUNK_PATIENCE)
+        now >= self.next_due()
     }
 
-    pub fn due(&self) -> Nanos {
-        self.asked.as_ref().map_or(0, |(_, at)| at + CHUNK_PATIENCE)
+    /// When the next chunk is to be requested, in nanoseconds.
+    pub fn next_due(&self) -> Nanos {
+        self.pending.as_ref().map_or(0, |pending| pending.sent_at + CHUNK_TIMEOUT_NS)
     }
 
-    /// Who is best asked: whoever offered it or answered last, until it does not answer.
+    /// The member to request the next chunk from; `None` where any may be tried.
     pub fn source(&self) -> Option<&String> {
         self.source.as_ref()
     }
 
-    /// Nobody seems to hold it any more.
+    /// Whether no member seems to hold the checkpoint any more.
     pub fn is_given_up(&self) -> bool {
-        self.tries > TRIES_MAX
+        self.attempts > ATTEMPTS_MAX
     }
 
-    /// Notes who is asked, and returns the key after which the next chunk begins.
-    pub fn ask(&mut self, of: &str, now: Nanos) -> Option<Text> {
-        if self.asked.is_some() {
+    /// Notes a request to `source`. Returns the key after which the next chunk begins.
+    pub fn request_chunk(&mut self, source: &str, now: Nanos) -> Option<Text> {
+        if self.pending.is_some() {
             self.source = None;
         }
-        self.tries += 1;
-        self.asked = Some((of.to_string(), now));
+        self.attempts += 1;
+        self.pending = Some(PendingRequest { source: source.to_string(), sent_at: now });
         self.after.clone()
     }
 
-    pub fn take(
-        &mut self,
-        checkpoint: u64,
-        after: &Option<Text>,
-        pairs: &[(Text, Text)],
-        last: bool,
-    ) -> ChunkOutcome {
-        if checkpoint != self.target.position.number || *after != self.after {
+    /// Adds a chunk of the checkpoint with this number that follows the key `after`.
+    pub fn on_chunk(&mut self, checkpoint: u64, after: &Option<Text>, chunk: &Chunk) -> ChunkOutcome {
+        if checkpoint != self.target.number() || *after != self.after {
             return ChunkOutcome::Ignored;
         }
-        for (key, value) in pairs {
-            let rises = self.after.as_ref().is_none_or(|before| before < key);
-            if !rises || key.len() > KEY_MAX || value.len() > VALUE_MAX || self.state.len() >= KEYS_MAX {
+        for pair in &chunk.pairs {
+            if !self.may_add(pair) {
                 return ChunkOutcome::Invalid;
             }
-            self.state.set(key, value);
-            self.after = Some(key.clone());
+            self.state.set(&pair.key, &pair.value);
+            self.after = Some(pair.key.clone());
         }
-        // Whoever answered has it: the next chunk is asked of the same one. Guards against a source that was
-        // lost once, after which each chunk was asked of a neighbour at random, most of which lack it too.
-        self.source = self.asked.take().map(|(of, _)| of);
-        self.tries = 0;
-        match last {
-            false if pairs.is_empty() => ChunkOutcome::Invalid,
-            false => ChunkOutcome::Continue,
-            true if self.state.hash() == self.target.hash => {
-                let state = std::mem::take(&mut self.state);
-                ChunkOutcome::Complete(Snapshot { revision: self.target, state })
-            }
-            true => ChunkOutcome::Invalid,
+        // The member that answered holds the checkpoint; most neighbours do not.
+        self.source = self.pending.take().map(|pending| pending.source);
+        self.attempts = 0;
+        if chunk.is_last {
+            return self.complete();
+        }
+        if chunk.pairs.is_empty() { ChunkOutcome::Invalid } else { ChunkOutcome::Continue }
+    }
+
+    fn may_add(&self, Pair { key, value }: &Pair) -> bool {
+        self.after.as_ref().is_none_or(|before| before < key)
+            && key.len() <= KEY_BYTES_MAX
+            && value.len() <= VALUE_BYTES_MAX
+            && self.state.len() < KEYS_MAX
+    }
+
+    fn complete(&mut self) -> ChunkOutcome {
+        if self.state.hash() != self.target.hash {
+            return ChunkOutcome::Invalid;
         }
+        let state = std::mem::take(&mut self.state);
+        ChunkOutcome::Complete(Snapshot { revision: self.target, state })
     }
 }
--- a/crates/replication/src/state.rs
+++ b/crates/replication/src/state.rs
@@ -1,81 +1,74 @@
 //! The content of the configuration: keys with their values, in a persistent map, so that a copy for a
-//! checkpoint or for a check on another thread costs nothing.
+//! checkpoint or for a check on another thread shares its memory.
 
-use crate::revision::Change;
+use crate::change::Change;
+use crate::content_hash::ContentHash;
 use imbl::OrdMap;
 use serde::{Deserialize, Serialize};
-use sha2::{Digest, Sha256};
 use std::ops::Bound;
 use std::sync::Arc;
 
+/// A key or a value, shared between copies of the content.
 pub type Text = Arc<str>;
 
-/// Longest key and value, in bytes, and most keys of one configuration.
-pub const KEY_MAX: usize = 128;
-pub const VALUE_MAX: usize = 512;
+/// Most keys of one configuration.
 pub const KEYS_MAX: usize = 100_000;
-const LANES: usize = 4;
 /// Bytes that the length of a key or a value takes at most as it is encoded.
 const LENGTH_BYTES: usize = 2;
 
-/// A hash of the whole content: the lane-wise sum of each pair's SHA-256. It follows a change in time that
-/// does not grow with the content, and tells contents apart that differ by accident or by a fault. It is no
-/// protection against those who hold the fleet's key: datagrams are authenticated by that key.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct ContentHash([u64; LANES]);
-
-impl ContentHash {
-    fn of_pair(key: &str, value: &str) -> [u64; LANES] {
-        let mut hasher = Sha256::new();
-        hasher.update((key.len() as u64).to_le_bytes());
-        hasher.update(key);
-        hasher.update(value);
-        let digest = hasher.finalize();
-        std::array::from_fn(|lane| {
-            u64::from_le_bytes(digest[lane * 8..lane * 8 + 8].try_into().expect("32 bytes"))
-        })
-    }
-
-    fn add(&mut self, key: &str, value: &str) {
-        let pair = Self::of_pair(key, value);
-        self.0.iter_mut().zip(pair).for_each(|(lane, more)| *lane = lane.wrapping_add(more));
-    }
+/// A key with its value. Its encoding is that of the pair.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Pair {
+    /// The key.
+    pub key: Text,
+    /// Its value.
+    pub value: Text,
+}
 
-    fn remove(&mut self, key: &str, value: &str) {
-        let pair = Self::of_pair(key, value);
-        self.0.iter_mut().zip(pair).for_each(|(lane, less)| *lane = lane.wrapping_sub(less));
-    }
+/// Consecutive pairs of a content, in the order of keys.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Chunk {
+    /// The pairs.
+    pub pairs: Vec<Pair>,
+    /// No pair follows these.
+    pub is_last: bool,
 }
 
 /// All keys and values of one revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct State {
     pairs: OrdMap<Text, Text>,
+    /// Always that of `pairs`.
     hash: ContentHash,
 }
 
 impl State {
+    /// The hash of all pairs.
     pub fn hash(&self) -> ContentHash {
         self.hash
     }
 
+    /// Number of keys.
     pub fn len(&self) -> usize {
         self.pairs.len()
     }
 
+    /// Whether there is no key.
     pub fn is_empty(&self) -> bool {
         self.pairs.is_empty()
     }
 
+    /// The value of a key.
     pub fn get(&self, key: &str) -> Option<&str> {
         self.pairs.get(key).map(|value| &**value)
     }
 
-    /// In the order of keys.
+    /// Keys with their values, in the order of keys.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
         self.pairs.iter().map(|(key, value)| (&**key, &**value))
     }
 
+    /// Sets a key.
     pub fn set(&mut self, key: &str, value: &str) {
         let before = self.pairs.insert(key.into(), value.into());
         if let Some(before) = before {
@@ -84,12 +77,14 @@
         self.hash.add(key, value);
     }
 
+    /// Removes a key, where it is there.
     pub fn remove(&mut self, key: &str) {
         if let Some(before) = self.pairs.remove(key) {
             self.hash.remove(key, &before);
         }
     }
 
+    /// Applies changes in their order.
     pub fn apply(&mut self, changes: &[Change]) {
         for Change { key, value } in changes {
             match value {
@@ -99,42 +94,43 @@
         }
     }
 
-    /// What brings the keys of `changes` back to what they are here.
+    /// The changes that bring the keys of `changes` back to their values here.
     pub fn inverse(&self, changes: &[Change]) -> Vec<Change> {
-        let before = |change: &Change| Change {
-            key: change.key.clone(),
-            value: self.get(&change.key).map(str::to_string),
-        };
-        changes.iter().map(before).collect()
+        changes.iter().map(|change| self.restoring(&change.key)).collect()
+    }
+
+    /// The change that brings a key back to its value here.
+    pub fn restoring(&self, key: &str) -> Change {
+        Change { key: key.to_string(), value: self.get(key).map(str::to_string) }
     }
 
-    /// The pairs that follow a key, from the first where there is none, as many as take `room` bytes encoded;
-    /// and whether these are the last.
-    pub fn chunk(&self, after: Option<&Text>, room: usize) -> (Vec<(Text, Text)>, bool) {
-        let from = after.map_or(Bound::Unbounded, |key| Bound::Excluded(key.clone()));
-        let mut rest = self.pairs.range((from, Bound::Unbounded)).peekable();
-        let mut chunk: Vec<(Text, Text)> = Vec::new();
-        let mut held = 0;
+    /// The pairs that follow `after`, from the first where it is `None`, as many as take `bytes_max` bytes
+    /// encoded.
+    pub fn chunk(&self, after: Option<&Text>, bytes_max: usize) -> Chunk {
+        let start = after.map_or(Bound::Unbounded, |key| Bound::Excluded(key.clone()));
+        let mut rest = self.pairs.range((start, Bound::Unbounded)).peekable();
+        let mut pairs = Vec::new();
+        let mut bytes = 0;
         while let Some((key, value)) = rest.peek() {
-            held += key.len() + value.len() + 2 * LENGTH_BYTES;
-            if held > room {
+            bytes += key.len() + value.len() + 2 * LENGTH_BYTES;
+            if bytes > bytes_max {
                 break;
             }
-            chunk.push(((*key).clone(), (*value).clone()));
+            pairs.push(Pair { key: (*key).clone(), value: (*value).clone() });
             rest.next();
         }
-        let is_last = rest.peek().is_none();
-        (chunk, is_last)
+        Chunk { pairs, is_last: rest.peek().is_none() }
     }
 }
 
-/// On disk and in tests; in datagrams content travels in parts.
+/// The form on disk; in datagrams content travels in chunks.
 #[derive(Serialize, Deserialize)]
-struct Pairs(Vec<(Text, Text)>);
+struct Pairs(Vec<Pair>);
 
 impl Serialize for State {
     fn serialize<S: serde::Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-        Pairs(self.pairs.iter().map(|(key, value)| (key.clone(), value.clone())).collect()).serialize(to)
+        let pair = |(key, value): (&Text, &Text)| Pair { key: key.clone(), value: value.clone() };
+        Pairs(self.pairs.iter().map(pair).collect()).serialize(to)
     }
 }
 
@@ -142,7 +138,7 @@
     fn deserialize<D: serde::Deserializer<'de>>(from: D) -> Result<State, D::Error> {
         let Pairs(pairs) = Pairs::deserialize(from)?;
         let mut state = State::default();
-        pairs.iter().for_each(|(key, value)| state.set(key, value));
+        pairs.iter().for_each(|pair| state.set(&pair.key, &pair.value));
         Ok(state)
     }
 }
--- /dev/null
+++ b/crates/replication/src/time.rs
@@ -0,0 +1,9 @@
+//! Units of time.
+
+/// Nanoseconds since the Unix epoch, by a clock that does not go back; also a span of nanoseconds.
+pub type Nanos = u64;
+
+/// One millisecond in nanoseconds.
+pub const MILLISECOND_NS: Nanos = 1_000_000;
+/// One second in nanoseconds.
+pub const SECOND_NS: Nanos = 1_000_000_000;
--- a/crates/replication/tests/fixed_bytes.rs
+++ b/crates/replication/tests/fixed_bytes.rs
@@ -1,12 +1,16 @@
 //! Messages and stored files have the bytes that release 0.2.0 (commit 22d0bb6) wrote, and are read back to
 //! the same. A server's last good revision and a replica's checkpoint are files of one form.
 
-use meadowstream_replication::committed_log::Snapshot;
-use meadowstream_replication::message::{Freshness, Location, Message, Report, RequestId};
+use meadowstream_replication::change::Change;
+use meadowstream_replication::entry::Entry;
+use meadowstream_replication::message::{
+    Freshness, LaggingSummary, Location, Message, Rejection, Report, RequestId, RequestOutcome,
+};
 use meadowstream_replication::persistence;
-use meadowstream_replication::replica::PersistedState;
-use meadowstream_replication::revision::{Change, Entry, Position, Revision};
-use meadowstream_replication::state::State;
+use meadowstream_replication::persistence::PersistedState;
+use meadowstream_replication::revision::{Position, Revision};
+use meadowstream_replication::snapshot::Snapshot;
+use meadowstream_replication::state::{Pair, State};
 use meadowstream_wire_fixtures::Fixtures;
 
 const AT: Position = Position { epoch: 3, number: 300 };
@@ -41,14 +45,19 @@
     Location { region: "west".into(), zone: "w1".into() }
 }
 
+fn pair(key: &str, value: &str) -> Pair {
+    Pair { key: key.into(), value: value.into() }
+}
+
 fn messages() -> Vec<(&'static str, Message)> {
     let entries = vec![entry(301, true), entry(302, false)];
-    let pairs = vec![("control/reference".into(), "0.85".into()), ("tenants/tenant/a".into(), "3".into())];
+    let pairs = vec![pair("control/reference", "0.85"), pair("tenants/tenant/a", "3")];
     let after = Some("control/reference".into());
-    let refused = Some((299, "tenants/tenant/: the options name no <tenants>".to_string()));
-    let report = Report { applied: 298, held: 300, rejected: refused };
+    let reason = "tenants/tenant/: the options name no <tenants>".to_string();
+    let rejected = Rejection { number: 299, reason };
+    let report = Report { applied: 298, committed: 300, rejected: Some(rejected) };
     let neighbours = vec!["s1".to_string(), "s2".to_string()];
-    let have = |wants_reply, neighbours| Message::Digest {
+    let digest = |wants_reply, neighbours| Message::Digest {
         number: 300,
         freshness: Freshness { at_ms: 1_700_000_000_000, number: 300 },
         location: location(),
@@ -56,8 +65,8 @@
         wants_reply,
     };
     vec![
-        ("have", have(true, neighbours)),
-        ("have-nobody", have(false, Vec::new())),
+        ("have", digest(true, neighbours)),
+        ("have-nobody", digest(false, Vec::new())),
         (
             "entries",
             Message::Entries {
@@ -78,7 +87,7 @@
         ("refuse", Message::EpochRejected { promised: 6 }),
         ("append", Message::Append { epoch: 5, previous: AT, entries, committed: 299 }),
         ("appended", Message::Appended { epoch: 5, number: 301 }),
-        ("missing", Message::AppendRejected { epoch: 5, agrees: 298 }),
+        ("missing", Message::AppendRejected { epoch: 5, matched: 298 }),
         (
             "submit",
             Message::Submit {
@@ -89,8 +98,17 @@
             },
         ),
         ("revert", Message::Revert { request: request(), number: 299 }),
-        ("submitted", Message::Submitted { request: request(), outcome: Ok(303) }),
-        ("submitted-refused", Message::Submitted { request: request(), outcome: Err("no".into()) }),
+        (
+            "submitted",
+            Message::Submitted { request: request(), outcome: RequestOutcome::Committed { number: 303 } },
+        ),
+        (
+            "submitted-refused",
+            Message::Submitted {
+                request: request(),
+                outcome: RequestOutcome::Rejected { reason: "no".into() },
+            },
+        ),
         ("not-publisher", Message::NotLeader { request: request(), leader: Some("c1".into()) }),
         ("ask-status", Message::PollStatus { request: request() }),
         (
@@ -100,7 +118,7 @@
                 number: 303,
                 members: 40,
                 applied: 38,
-                waiting: vec![("s9".into(), 298, "refused".into())],
+                lagging: vec![LaggingSummary { name: "s9".into(), applied: 298, reason: "refused".into() }],
             },
         ),
     ]
--- a/crates/replication/tests/fleet.rs
+++ b/crates/replication/tests/fleet.rs
@@ -1,10 +1,12 @@
 //! The hard cases of a fleet in simulated time. At every step the fleet checks that no number has two
 //! contents and that no server goes back.
 
+use meadowstream_replication::change::Change;
+use meadowstream_replication::entry::Entry;
 use meadowstream_replication::member::Member;
-use meadowstream_replication::message::{Location, Message};
-use meadowstream_replication::revision::{Change, Entry, Position, Revision};
-use meadowstream_replication::simulation::{Fleet, Layout, name};
+use meadowstream_replication::message::{Location, Message, Rejection};
+use meadowstream_replication::revision::{Position, Revision};
+use meadowstream_replication::simulation::{Fleet, Layout, member_name};
 use meadowstream_replication::state::State;
 use proptest::prelude::*;
 
@@ -30,8 +32,8 @@
         delay,
         loss: 0.0,
         duplicate: 0.0,
-        lag: 4 * S,
-        apply: 5 * MS,
+        view_lag: 4 * S,
+        apply_time: 5 * MS,
         pull_period: S / 2,
     }
 }
@@ -58,7 +60,7 @@
 
 /// Seconds until all these go by it.
 fn until_all(fleet: &mut Fleet, nodes: &[usize], number: u64, limit: u64) -> f64 {
-    let took = fleet.run_until_true(limit * S, |fleet| fleet.all_applied(nodes, number));
+    let took = fleet.run_until(limit * S, |fleet| fleet.all_applied(nodes, number));
     let lacking = |node: &&usize| fleet.member(**node).is_some_and(|member| member.applied() < number);
     let lacking: Vec<&usize> = nodes.iter().filter(lacking).collect();
     took.unwrap_or_else(|| panic!("{number} not in force within {limit} s on {lacking:?}")) as f64 / S as f64
@@ -79,9 +81,7 @@
         let member = fleet.member(leader).unwrap();
         member.lagging()
     };
-    fleet
-        .run_until_true(5 * S, |fleet| waiting(fleet).is_empty())
-        .expect("the leader hears that all go by it");
+    fleet.run_until(5 * S, |fleet| waiting(fleet).is_empty()).expect("the leader hears that all go by it");
 }
 
 /// Pushes reach nearly all at once; pulls, here far between, are for those that they miss.
@@ -152,7 +152,7 @@
     let number = fleet.propose(many(0, 1000)).unwrap();
     assert!(number > 20, "{number}");
     until_all(&mut fleet, &all(), number, 20);
-    let partial = fleet.applied.iter().filter(|(_, _, n)| *n > 1 && *n < number).count();
+    let partial = fleet.applied.iter().filter(|one| one.number > 1 && one.number < number).count();
     assert_eq!(partial, 0);
     assert_eq!(state(&fleet, SIZE - 1).len(), 1000);
 }
@@ -168,7 +168,7 @@
         let old = fleet.leader().unwrap();
         fleet.propose(many(0, 200)).unwrap();
         // One replica hears of it, the other does not.
-        fleet.group((old + 1) % REPLICAS, 1);
+        fleet.set_group((old + 1) % REPLICAS, 1);
         fleet.cut(0, 1);
         fleet.run_for(at * 15 * MS);
         fleet.crash(old);
@@ -217,7 +217,7 @@
     until_all(&mut fleet, &all(), before, 10);
     let apart: Vec<usize> = all().into_iter().filter(|node| node % 3 == 0).collect();
     let rest: Vec<usize> = all().into_iter().filter(|node| node % 3 != 0).collect();
-    apart.iter().for_each(|node| fleet.group(*node, 1));
+    apart.iter().for_each(|node| fleet.set_group(*node, 1));
     fleet.cut(0, 1);
     fleet.run_for(10 * S);
     assert_ne!(fleet.leader(), Some(0), "the side without a majority has no leader");
@@ -262,7 +262,7 @@
     assert!(fleet.all_applied(&servers, number));
     // One with an empty disk has it from its neighbours, though no entry of it is left with them.
     fleet.crash(9);
-    fleet.spoil_disk(9, 0.0);
+    fleet.truncate_disk(9, 0.0);
     fleet.start(9);
     fleet.run_for(20 * S);
     assert_eq!(state(&fleet, 9), state(&fleet, 10));
@@ -280,7 +280,7 @@
     until_all(&mut fleet, &all(), number, 10);
     for (node, part) in [(5, 0.999), (6, 0.5), (7, 0.0)] {
         fleet.crash(node);
-        fleet.spoil_disk(node, part);
+        fleet.truncate_disk(node, part);
         fleet.start(node);
         assert_eq!(fleet.member(node).unwrap().revision(), Revision::default());
     }
@@ -302,7 +302,10 @@
     let waiting = member.lagging();
     assert_eq!(waiting.len(), 1, "{waiting:?}");
     assert_eq!((waiting[0].name.as_str(), waiting[0].applied), ("s12", Some(first)));
-    assert_eq!(waiting[0].rejected, Some((second, "the disk is full".to_string())));
+    assert_eq!(
+        waiting[0].rejected,
+        Some(Rejection { number: second, reason: "the disk is full".to_string() })
+    );
     assert!(waiting[0].since > 0 && waiting[0].since < fleet.now());
     fleet.set_disk_full(12, false);
     let third = fleet.propose(one(3)).unwrap();
@@ -336,7 +339,7 @@
 fn a_revision_that_some_refuse_leaves_them_as_they_are() {
     let mut fleet = settled(layout(), 12);
     let refusing = [8, 17, 26];
-    refusing.iter().for_each(|node| fleet.set_rejects(*node, Some("novel/")));
+    refusing.iter().for_each(|node| fleet.set_rejected_prefix(*node, Some("novel/")));
     let first = fleet.propose(one(1)).unwrap();
     until_all(&mut fleet, &all(), first, 10);
     let second = fleet.propose(vec![Change::set("novel/thing", "1")]).unwrap();
@@ -348,7 +351,10 @@
     let names: Vec<&str> = waiting.iter().map(|one| one.name.as_str()).collect();
     assert_eq!(names, ["s17", "s26", "s8"]);
     assert!(
-        waiting.iter().all(|one| one.rejected.as_ref().is_some_and(|(_, why)| why.contains("novel/thing")))
+        waiting.iter().all(|one| one
+            .rejected
+            .as_ref()
+            .is_some_and(|rejection| rejection.reason.contains("novel/thing")))
     );
     let third = fleet.propose(vec![Change::remove("novel/thing")]).unwrap();
     until_all(&mut fleet, &all(), third, 10);
@@ -365,7 +371,7 @@
     let (before, known) =
         (state(&fleet, 20), fleet.member(20).unwrap().log().tail().cloned().collect::<Vec<_>>());
     let send = |fleet: &mut Fleet, entries: Vec<Entry>| {
-        let message = Message::Entries { entries, leader: Some(name(0)), pushed: true, newest: 0 };
+        let message = Message::Entries { entries, leader: Some(member_name(0)), pushed: true, newest: 0 };
         fleet.inject(20, 3, message.encode());
     };
     // Old ones again; the next number with a content that is not its hash; a number far ahead; an older
@@ -405,12 +411,12 @@
         fleet.run_for(20 * MS);
     }
     fleet.run_for(5 * S);
-    fleet.spoil_disk(late, 0.0);
+    fleet.truncate_disk(late, 0.0);
     fleet.start(late);
     let begun = |fleet: &Fleet| {
         fleet.member(late).and_then(Member::transferred_pairs).is_some_and(|pairs| pairs > 500)
     };
-    fleet.run_until_true(60 * S, begun).expect("it fetches a checkpoint");
+    fleet.run_until(60 * S, begun).expect("it fetches a checkpoint");
     let had = fleet.member(late).and_then(Member::transferred_pairs).unwrap();
     // All but a few of its zone and half of the others die.
     for node in (REPLICAS..late).filter(|node| node % 6 == late % 6 || node % 2 == 0) {
@@ -423,7 +429,7 @@
         last = pairs;
         fleet.all_applied(&[late], number)
     };
-    let took = fleet.run_until_true(120 * S, rises).expect("it comes up") as f64 / S as f64;
+    let took = fleet.run_until(120 * S, rises).expect("it comes up") as f64 / S as f64;
     assert_eq!(fleet.member(late).unwrap().counts.transfers, 1, "it did not begin anew");
     assert_eq!(state(&fleet, late), state(&fleet, 1));
     println!("{} keys after {took} s", state(&fleet, late).len());
@@ -447,8 +453,9 @@
                 .into_iter()
                 .for_each(|n| fleet.start(n)),
             4 => {
-                (0..SIZE)
-                    .for_each(|other| fleet.group(other, u32::from((other + usize::from(*who)) % 3 == 0)));
+                (0..SIZE).for_each(|other| {
+                    fleet.set_group(other, u32::from((other + usize::from(*who)) % 3 == 0))
+                });
                 fleet.cut(0, 1);
             }
             5 => fleet.heal(),
@@ -467,7 +474,7 @@
     }
     fleet.run_for(6 * S);
     fleet.set_holds_lease(0, true);
-    fleet.run_until_true(60 * S, |fleet| fleet.leader() == Some(0)).expect("a leader");
+    fleet.run_until(60 * S, |fleet| fleet.leader() == Some(0)).expect("a leader");
     // What it found of the one before may leave no room at first.
     let published = (0..100).find_map(|_| {
         let number = fleet.propose(one(1));
@@ -487,7 +494,8 @@
     for seed in 0..600 {
         let mut rng = Steps(seed);
         let scattered = |_: usize, _: usize| (MS, 60 * MS);
-        let alone = Layout { size: REPLICAS, delay: scattered, lag: MS, apply: MS, loss: 0.05, ..layout() };
+        let alone =
+            Layout { size: REPLICAS, delay: scattered, view_lag: MS, apply_time: MS, loss: 0.05, ..layout() };
         let mut fleet = Fleet::new(alone, seed);
         fleet.lease_by_hand = true;
         (0..REPLICAS).for_each(|node| fleet.start(node));
@@ -506,7 +514,7 @@
             leaders += usize::from(fleet.leader().is_some());
             fleet.run_for((1 + rng.below(50)) as u64 * MS);
         }
-        committed += fleet.applied.iter().map(|(_, _, number)| *number).max().unwrap_or(0);
+        committed += fleet.applied.iter().map(|one| one.number).max().unwrap_or(0);
     }
     assert!(committed > 3000 && leaders > 10_000, "{committed} numbers, {leaders} steps with a leader");
 }
--- a/crates/replication/tests/persistence.rs
+++ b/crates/replication/tests/persistence.rs
@@ -1,9 +1,9 @@
-//! Files that cannot be gone by are told apart from good ones, with the reason.
+//! Files that cannot be used are rejected with the reason.
 
-use meadowstream_replication::committed_log::Snapshot;
+use meadowstream_replication::persistence::PersistedState;
 use meadowstream_replication::persistence::{DecodeError, decode, encode};
-use meadowstream_replication::replica::PersistedState;
 use meadowstream_replication::revision::{Position, Revision};
+use meadowstream_replication::snapshot::Snapshot;
 use meadowstream_replication::state::State;
 
 fn saved() -> PersistedState {
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn the_reason_is_told() {
+fn each_fault_has_its_error() {
     let bytes = encode(&saved());
     assert_eq!(decode(b"something else"), Err(DecodeError::Version));
     assert_eq!(decode(&bytes[..bytes.len() - 1]), Err(DecodeError::Length));
--- a/crates/replication/tests/replica.rs
+++ b/crates/replication/tests/replica.rs
@@ -1,10 +1,12 @@
-//! One replica by itself, message by message: what it says only once it is on disk, and what it counts as
-//! committed.
+//! One replica by itself, message by message: what it sends only once its state is on disk, and what it counts
+//! as committed.
 
+use meadowstream_replication::change::Change;
+use meadowstream_replication::entry::Entry;
 use meadowstream_replication::member::{Member, Settings};
 use meadowstream_replication::message::{Location, Message};
-use meadowstream_replication::replica::PersistedState;
-use meadowstream_replication::revision::{Change, Entry, Position, Revision};
+use meadowstream_replication::persistence::PersistedState;
+use meadowstream_replication::revision::{Position, Revision};
 use meadowstream_replication::state::State;
 
 const NOW: u64 = 1_700_000_000_000_000_000;
@@ -15,18 +17,18 @@
 }
 
 /// Messages between replicas that go out now.
-fn said(member: &mut Member) -> Vec<Message> {
-    let all = member.outgoing().into_iter().filter_map(|(_, body)| Message::decode(&body));
+fn replica_messages(member: &mut Member) -> Vec<Message> {
+    let all = member.take_outgoing().into_iter().filter_map(|one| Message::decode(&one.body));
     all.filter(|message| !matches!(message, Message::Digest { .. } | Message::Report { .. })).collect()
 }
 
-fn save(member: &mut Member) -> PersistedState {
+fn persist(member: &mut Member) -> PersistedState {
     let saved = member.unsaved_state().expect("something to save");
     member.on_persisted(&saved, NOW);
     saved
 }
 
-fn tell(member: &mut Member, from: &str, message: Message) {
+fn deliver(member: &mut Member, from: &str, message: Message) {
     member.receive(NOW, from, &message.encode());
 }
 
@@ -41,22 +43,22 @@
     }
 }
 
-/// Guards against a replica that has promised a later epoch, forgets it with a restart, and stores for an
-/// earlier leader what the later one does not know of.
+/// Otherwise a replica that forgets its promise with a restart would store for an earlier leader what the later
+/// one does not know of.
 #[test]
 fn a_promise_is_on_disk_before_it_is_given() {
     let mut member = replica(None);
-    tell(&mut member, "s1", Message::Prepare { epoch: 7, after: 0 });
-    assert!(said(&mut member).is_empty(), "nothing is promised before it is written");
-    assert_eq!(save(&mut member).promised, 7);
-    assert!(matches!(said(&mut member)[..], [Message::Promise { epoch: 7, .. }]));
+    deliver(&mut member, "s1", Message::Prepare { epoch: 7, after: 0 });
+    assert!(replica_messages(&mut member).is_empty(), "nothing is promised before it is written");
+    assert_eq!(persist(&mut member).promised, 7);
+    assert!(matches!(replica_messages(&mut member)[..], [Message::Promise { epoch: 7, .. }]));
     let mut again = replica(Some(PersistedState { promised: 7, ..PersistedState::default() }));
-    tell(
+    deliver(
         &mut again,
         "s2",
         Message::Append { epoch: 5, previous: Position::default(), entries: vec![entry(5, 1)], committed: 1 },
     );
-    assert!(matches!(said(&mut again)[..], [Message::EpochRejected { promised: 7 }]));
+    assert!(matches!(replica_messages(&mut again)[..], [Message::EpochRejected { promised: 7 }]));
     assert_eq!(again.revision().position.number, 0);
 }
 
@@ -65,11 +67,11 @@
     let mut member = replica(None);
     let append =
         Message::Append { epoch: 4, previous: Position::default(), entries: vec![entry(4, 1)], committed: 0 };
-    tell(&mut member, "s1", append);
-    assert!(said(&mut member).is_empty());
-    let saved = save(&mut member);
+    deliver(&mut member, "s1", append);
+    assert!(replica_messages(&mut member).is_empty());
+    let saved = persist(&mut member);
     assert_eq!((saved.promised, saved.entries.len()), (4, 1));
-    assert!(matches!(said(&mut member)[..], [Message::Appended { epoch: 4, number: 1 }]));
+    assert!(matches!(replica_messages(&mut member)[..], [Message::Appended { epoch: 4, number: 1 }]));
 }
 
 /// A leader of this epoch, with what was on its disk.
@@ -77,11 +79,11 @@
     let mut member = replica(disk);
     member.set_holds_lease(true);
     member.advance(NOW, &Default::default());
-    save(&mut member);
-    let messages = said(&mut member);
+    persist(&mut member);
+    let messages = replica_messages(&mut member);
     let Some(Message::Prepare { epoch, .. }) = messages.first().cloned() else { panic!("{messages:?}") };
     let promise = Message::Promise { epoch, last: Position::default(), after: 0, entries: Vec::new() };
-    tell(&mut member, "s1", promise);
+    deliver(&mut member, "s1", promise);
     assert!(member.is_leader());
     (member, epoch)
 }
@@ -90,21 +92,21 @@
 #[test]
 fn a_leader_s_own_entry_counts_once_it_is_on_disk() {
     let (mut member, epoch) = leader(None);
-    tell(&mut member, "s1", Message::Appended { epoch, number: 1 });
+    deliver(&mut member, "s1", Message::Appended { epoch, number: 1 });
     assert_eq!(member.revision().position.number, 0, "its own is not on disk yet");
-    save(&mut member);
+    persist(&mut member);
     assert_eq!(member.revision().position, Position { epoch, number: 1 });
 }
 
-/// Guards against an entry of an earlier epoch that a majority stores, which is counted as committed, and
-/// which a leader with another entry of an epoch between replaces.
+/// Otherwise an entry of an earlier epoch that a majority stores would count as committed, and a leader with
+/// another entry of an epoch between would replace it.
 #[test]
 fn an_entry_of_an_earlier_epoch_is_committed_by_one_of_its_own_alone() {
     let disk = PersistedState { promised: 1, entries: vec![entry(1, 1)], ..PersistedState::default() };
     let (mut member, epoch) = leader(Some(disk));
-    save(&mut member);
-    tell(&mut member, "s1", Message::Appended { epoch, number: 1 });
+    persist(&mut member);
+    deliver(&mut member, "s1", Message::Appended { epoch, number: 1 });
     assert_eq!(member.revision().position.number, 0, "an entry of epoch 1 is not committed by its copies");
-    tell(&mut member, "s1", Message::Appended { epoch, number: 2 });
+    deliver(&mut member, "s1", Message::Appended { epoch, number: 2 });
     assert_eq!(member.revision().position, Position { epoch, number: 2 });
 }
--- a/crates/replication/tests/snapshot_transfer.rs
+++ b/crates/replication/tests/snapshot_transfer.rs
@@ -1,8 +1,8 @@
-//! Who the next chunk of a checkpoint is asked of, and when another one is.
+//! Which member the next chunk of a checkpoint is requested from.
 
 use meadowstream_replication::revision::{Position, Revision};
 use meadowstream_replication::snapshot_transfer::{ChunkOutcome, SnapshotTransfer};
-use meadowstream_replication::state::{State, Text};
+use meadowstream_replication::state::{Chunk, Pair, State, Text};
 
 const SECOND: u64 = 1_000_000_000;
 const NUMBER: u64 = 256;
@@ -18,35 +18,36 @@
     content
 }
 
-fn pair(key: &str) -> (Text, Text) {
-    (Text::from(key), Text::from("1"))
+/// A chunk of one pair.
+fn chunk(key: &str, is_last: bool) -> Chunk {
+    Chunk { pairs: vec![Pair { key: Text::from(key), value: Text::from("1") }], is_last }
 }
 
 #[test]
-fn whoever_answered_in_place_of_a_lost_source_is_asked_again() {
+fn the_member_that_answered_in_place_of_a_lost_source_is_asked_again() {
     let mut transfer = transfer(&content());
     assert_eq!(transfer.source().map(String::as_str), Some("offerer"));
-    let after = transfer.ask("offerer", 0);
-    // No answer: another is asked, of whom it is not known whether it has it.
+    let after = transfer.request_chunk("offerer", 0);
+    // No answer: the next request goes to a member that may not hold the checkpoint.
     assert!(!transfer.is_due(SECOND / 2) && transfer.is_due(SECOND));
-    let again = transfer.ask("neighbour", SECOND);
+    let again = transfer.request_chunk("neighbour", SECOND);
     assert_eq!((after, again, transfer.source()), (None, None, None));
-    assert_eq!(transfer.take(NUMBER, &None, &[pair("a")], false), ChunkOutcome::Continue);
+    assert_eq!(transfer.on_chunk(NUMBER, &None, &chunk("a", false)), ChunkOutcome::Continue);
     assert_eq!(transfer.source().map(String::as_str), Some("neighbour"));
-    assert_eq!(transfer.ask("neighbour", SECOND), Some(Text::from("a")));
-    assert_eq!(transfer.take(NUMBER, &Some(Text::from("a")), &[pair("b")], false), ChunkOutcome::Continue);
+    assert_eq!(transfer.request_chunk("neighbour", SECOND), Some(Text::from("a")));
+    assert_eq!(transfer.on_chunk(NUMBER, &Some(Text::from("a")), &chunk("b", false)), ChunkOutcome::Continue);
     assert_eq!(transfer.source().map(String::as_str), Some("neighbour"));
-    transfer.ask("neighbour", SECOND);
-    let done = transfer.take(NUMBER, &Some(Text::from("b")), &[pair("c")], true);
+    transfer.request_chunk("neighbour", SECOND);
+    let done = transfer.on_chunk(NUMBER, &Some(Text::from("b")), &chunk("c", true));
     assert!(matches!(done, ChunkOutcome::Complete(snapshot) if snapshot.state.hash() == content().hash()));
 }
 
 #[test]
-fn what_was_not_asked_for_names_no_source() {
+fn a_chunk_that_was_not_requested_names_no_source() {
     let mut transfer = transfer(&content());
-    transfer.ask("offerer", 0);
-    transfer.ask("neighbour", SECOND);
-    assert_eq!(transfer.take(NUMBER, &Some(Text::from("b")), &[pair("c")], true), ChunkOutcome::Ignored);
-    assert_eq!(transfer.take(NUMBER + 1, &None, &[pair("a")], false), ChunkOutcome::Ignored);
+    transfer.request_chunk("offerer", 0);
+    transfer.request_chunk("neighbour", SECOND);
+    assert_eq!(transfer.on_chunk(NUMBER, &Some(Text::from("b")), &chunk("c", true)), ChunkOutcome::Ignored);
+    assert_eq!(transfer.on_chunk(NUMBER + 1, &None, &chunk("a", false)), ChunkOutcome::Ignored);
     assert_eq!(transfer.source(), None);
 }
--- a/crates/server/src/fleet/control_machine.rs
+++ b/crates/server/src/fleet/control_machine.rs
@@ -84,14 +84,14 @@
         }
         // Nothing is served here: what is committed is gone by as soon as it is known.
         if let Some(snapshot) = self.member.next_to_apply() {
-            self.member.settled(snapshot.revision.position.number, Ok(()), now);
+            self.member.on_applied(snapshot.number(), now);
         }
     }
 
     fn show(&mut self, now: u64) {
         let waiting = self.member.lagging();
         let publishes = self.member.is_leader();
-        let number = self.member.revision().position.number;
+        let number = self.member.revision().number();
         let shown = (publishes, number, waiting.len());
         if shown == self.shown && now < self.shown_at + SHOWN_EVERY {
             return;
@@ -127,8 +127,8 @@
         control.member.advance(now, joined.directory.names());
         control.save(now);
         control.show(now);
-        for (to, body) in control.member.outgoing() {
-            joined.send(&to, REPLICATION, body);
+        for outgoing in control.member.take_outgoing() {
+            joined.send(&outgoing.to, REPLICATION, outgoing.body);
         }
         let wake = control.member.next_due().clamp(now + 1_000_000, now + TURN);
         let said = future::or(async { Some(joined.turn(wake).await) }, async {
--- a/crates/server/src/fleet/publish.rs
+++ b/crates/server/src/fleet/publish.rs
@@ -5,8 +5,9 @@
 use crate::fleet::joined::Joined;
 use anyhow::{Context, Result, bail, ensure};
 use meadowstream_configuration::change::load_change;
-use meadowstream_replication::message::{Message, RequestId};
-use meadowstream_replication::revision::{Change, PARTS_MAX, split};
+use meadowstream_replication::change::Change;
+use meadowstream_replication::entry::{PARTS_MAX, split};
+use meadowstream_replication::message::{LaggingSummary, Message, RequestId, RequestOutcome};
 use meadowstream_shared_state::REPLICATION;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -38,7 +39,7 @@
         Ask::Publish(file) => {
             let changes: Vec<Change> =
                 load_change(file)?.into_iter().map(|one| Change { key: one.key, value: one.value }).collect();
-            if let Some(fault) = changes.iter().find_map(Change::fault) {
+            if let Err(fault) = changes.iter().try_for_each(Change::check) {
                 bail!("{}: {fault}", file.display());
             }
             let parts = split(changes);
@@ -96,7 +97,10 @@
             let answer =
                 answer.context("no publisher has answered: is a majority of <replica>s reachable?")?;
             let Message::Submitted { outcome, .. } = answer else { bail!("an answer to another question") };
-            wanted = outcome.map_err(|why| anyhow::anyhow!("refused: {why}"))?;
+            wanted = match outcome {
+                RequestOutcome::Committed { number } => number,
+                RequestOutcome::Rejected { reason } => bail!("refused: {reason}"),
+            };
             println!("committed as revision {wanted}");
         }
         self.until_in_force(request, wanted, !questions.is_empty()).await
@@ -147,20 +151,20 @@
             let request = RequestId { from: request.from.clone(), number: asked };
             let question = [Message::PollStatus { request: request.clone() }];
             let answer = self.answer(&question, &request).await?;
-            let Some(Message::Status { number, members, applied: in_force, waiting, .. }) = answer else {
+            let Some(Message::Status { number, members, applied: in_force, lagging, .. }) = answer else {
                 bail!("not all go by it yet: {said}");
             };
             said = format!("revision {number}: {in_force} of {members} members go by it");
-            let tell = |(name, goes_by, why): &(String, u64, String)| match why.is_empty() {
-                true => format!("{name} goes by {goes_by}"),
-                false => format!("{name} goes by {goes_by} and refused: {why}"),
+            let tell = |LaggingSummary { name, applied, reason }: &LaggingSummary| match reason.is_empty() {
+                true => format!("{name} goes by {applied}"),
+                false => format!("{name} goes by {applied} and refused: {reason}"),
             };
-            let lacking: Vec<String> = waiting.iter().map(tell).collect();
+            let lacking: Vec<String> = lagging.iter().map(tell).collect();
             if !lacking.is_empty() {
                 said.push_str(&format!("; {}", lacking.join(", ")));
             }
             let all = in_force == members && number >= wanted;
-            let refused = waiting.iter().any(|(_, _, why)| !why.is_empty());
+            let refused = lagging.iter().any(|one| !one.reason.is_empty());
             if all || !waits {
                 println!("{said}");
                 return Ok(());
--- a/crates/server/src/fleet/replication.rs
+++ b/crates/server/src/fleet/replication.rs
@@ -9,11 +9,11 @@
 use meadowstream_configuration::Replication as Given;
 use meadowstream_membership::Nanos;
 use meadowstream_membership::directory::Directory;
-use meadowstream_replication::committed_log::Snapshot;
 use meadowstream_replication::member::{Member, Settings};
-use meadowstream_replication::message::Location;
+use meadowstream_replication::message::{Location, Rejection};
 use meadowstream_replication::persistence;
-use meadowstream_replication::replica::PersistedState;
+use meadowstream_replication::persistence::PersistedState;
+use meadowstream_replication::snapshot::Snapshot;
 use meadowstream_shared_state::REPLICATION;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -31,7 +31,7 @@
 struct Shown {
     in_force: u64,
     held: u64,
-    refused: Option<(u64, String)>,
+    refused: Option<Rejection>,
     stale: bool,
 }
 
@@ -49,7 +49,7 @@
     let location = Location { region: given.region.clone(), zone: given.zone.clone() };
     Settings {
         pull_period: given.pull_period,
-        bytes_a_second: given.bytes_a_second,
+        bytes_per_second: given.bytes_a_second,
         ..Settings::new(location, given.replicas.clone())
     }
 }
@@ -78,9 +78,10 @@
         }
         let standing = server.configuration.replicated.borrow().clone();
         let disk = standing.map(|committed| PersistedState { committed, ..PersistedState::default() });
-        let mut member = Member::new(name, settings(given), server.configuration.seed ^ now, now, disk)?;
+        let mut member = Member::new(name, settings(given), server.configuration.seed ^ now, now, disk)
+            .map_err(|error| error.to_string())?;
         if let Some(standing) = member.next_to_apply() {
-            member.settled(standing.revision.position.number, Ok(()), now);
+            member.on_applied(standing.number(), now);
         }
         Ok(Replication {
             member,
@@ -104,7 +105,10 @@
             if let Err(why) = &outcome {
                 warn!(target: "fleet", number, why, "a revision of the configuration was refused");
             }
-            self.member.settled(number, outcome, now);
+            match outcome {
+                Ok(()) => self.member.on_applied(number, now),
+                Err(why) => self.member.on_rejected(number, &why, now),
+            }
         }
         if now >= self.member.next_due() {
             self.member.advance(now, directory.names());
@@ -116,8 +120,8 @@
                 put_in_force(server.clone(), snapshot, saved, self.file.clone(), self.outcomes.0.clone());
             server.executor.spawn(put).detach();
         }
-        for (to, body) in self.member.outgoing() {
-            shared.send_other(&to, REPLICATION, body);
+        for outgoing in self.member.take_outgoing() {
+            shared.send_other(&outgoing.to, REPLICATION, outgoing.body);
         }
         self.show(now);
     }
@@ -132,7 +136,7 @@
         let age = self.member.age(now);
         let shown = Shown {
             in_force: self.member.applied(),
-            held: self.member.revision().position.number,
+            held: self.member.revision().number(),
             refused: self.member.rejected().cloned(),
             stale: age.is_none_or(|age| age > self.stale_after),
         };
@@ -141,7 +145,7 @@
         }
         let age_ms = age.map_or(-1, |age| (age / 1_000_000) as i64);
         let Shown { in_force, held, refused, stale } = &shown;
-        let refused = refused.as_ref().map_or(String::new(), |(number, why)| format!("{number}: {why}"));
+        let refused = refused.as_ref().map_or(String::new(), |one| format!("{}: {}", one.number, one.reason));
         let publisher = self.member.leader().unwrap_or("");
         let fetched = self.member.transferred_pairs().unwrap_or(0);
         let counts = serde_json::to_string(&self.member.counts).unwrap_or_default();
@@ -163,7 +167,7 @@
     file: PathBuf,
     outcomes: Sender<Outcome>,
 ) {
-    let number = snapshot.revision.position.number;
+    let number = snapshot.number();
     let outcome = reload::go_by_replicated(&server, snapshot, saved, file).await;
     let _ = outcomes.send((number, outcome.map_err(|error| format!("{error:#}")))).await;
 }
--- a/crates/server/src/lifecycle/configuration.rs
+++ b/crates/server/src/lifecycle/configuration.rs
@@ -10,7 +10,7 @@
 use meadowstream_configuration::{IdempotencyKeys, Options};
 use meadowstream_deployment_settings::Read;
 use meadowstream_overload_control::{Advert, Below, Effect};
-use meadowstream_replication::committed_log::Snapshot;
+use meadowstream_replication::snapshot::Snapshot;
 use meadowstream_replication::state::State;
 use meadowstream_shared_state::Settings as SharedSettings;
 use meadowstream_shared_state::budget::BudgetSettings;
