--- a/crates/configuration/src/error.rs
+++ b/crates/configuration/src/error.rs
@@ -161,5 +161,5 @@
     #[error("{attribute}: {reason}")]
     TenantLimit { attribute: String, reason: String },
     #[error("{0}")]
-    Plan(String),
+    Plan(meadowstream_rollout::plan::PlanError),
 }
--- a/crates/configuration/src/plan.rs
+++ b/crates/configuration/src/plan.rs
@@ -2,8 +2,7 @@
 
 use crate::error::Fault;
 use crate::xml::{Element, Result, in_file, parse, read_file};
-use meadowstream_rollout::plan::{OnWorse, Plan, Size, Stage, Thresholds};
-use meadowstream_rollout::wire::Kind;
+use meadowstream_rollout::plan::{ChangeKind, OnRegression, Plan, Size, Stage, Thresholds};
 use roxmltree::{Document, Node};
 use std::path::{Path, PathBuf};
 
@@ -47,7 +46,7 @@
     pub fn read(text: &str) -> Result<Self> {
         let document = parse(text)?;
         let root = Element::root(&document, "plan", PLAN)?;
-        let on_worse = read_on_worse(&root)?;
+        let on_regression = read_on_regression(&root)?;
         let thresholds = read_thresholds(&root)?;
         let (candidate, kind) = read_candidate(&root)?;
         let stages = read_stages(&document, &root)?;
@@ -57,22 +56,22 @@
             candidate: 0,
             kind,
             stages,
-            on_worse,
+            on_regression,
             thresholds,
             interval,
-            settled: root.duration_ns("settled-ms", 5_000_000_000, 0, 600_000)?,
+            settle_time: root.duration_ns("settled-ms", 5_000_000_000, 0, 600_000)?,
             warm_up: root.duration_ns("warm-up-ms", 0, 0, 3_600_000)?,
-            patience: root.duration_ns("patience-ms", 30_000_000_000, 50, 3_600_000)?,
+            response_timeout: root.duration_ns("patience-ms", 30_000_000_000, 50, 3_600_000)?,
         };
-        plan.check().map_err(|fault| root.error(Fault::Plan(fault.to_string())))?;
+        plan.check().map_err(|fault| root.error(Fault::Plan(fault)))?;
         Ok(PlanFile { candidate, plan })
     }
 }
 
-fn read_on_worse(root: &Element) -> Result<OnWorse> {
+fn read_on_regression(root: &Element) -> Result<OnRegression> {
     match root.text("on-worse").unwrap_or("roll-back") {
-        "roll-back" => Ok(OnWorse::RollBack),
-        "stop" => Ok(OnWorse::Stop),
+        "roll-back" => Ok(OnRegression::RollBack),
+        "stop" => Ok(OnRegression::Stop),
         other => {
             let choice = other.to_string();
             Err(root.error(Fault::UnknownChoice { attribute: "on-worse", choice }))
@@ -92,10 +91,10 @@
 }
 
 /// The file of the change, and whether it is of settings or of the program.
-fn read_candidate(root: &Element) -> Result<(PathBuf, Kind)> {
+fn read_candidate(root: &Element) -> Result<(PathBuf, ChangeKind)> {
     match (root.text("candidate"), root.text("program")) {
-        (Some(settings), None) => Ok((PathBuf::from(settings), Kind::Settings)),
-        (None, Some(program)) => Ok((PathBuf::from(program), Kind::Program)),
+        (Some(settings), None) => Ok((PathBuf::from(settings), ChangeKind::Settings)),
+        (None, Some(program)) => Ok((PathBuf::from(program), ChangeKind::Program)),
         _ => Err(root.error(Fault::Either { first: "candidate", second: "program" })),
     }
 }
@@ -119,5 +118,5 @@
         (None, Some(_)) => Size::Share(stage.parsed("share", 0.0)?),
         _ => return Err(error(Fault::Either { first: "servers", second: "share" })),
     };
-    Ok(Stage { size, bake: stage.duration_ns("bake-ms", 0, 0, BAKE_MS_MAX)? })
+    Ok(Stage { size, bake_time: stage.duration_ns("bake-ms", 0, 0, BAKE_MS_MAX)? })
 }
--- a/crates/configuration/tests/outside_names.rs
+++ b/crates/configuration/tests/outside_names.rs
@@ -4,8 +4,7 @@
 use meadowstream_configuration::change::{overlay_replicated, read_change};
 use meadowstream_configuration::{Options, Origin, PlanFile, TenantSource, Tenants, TierService};
 use meadowstream_fair_queueing::Settings;
-use meadowstream_rollout::plan::{OnWorse, Size, Thresholds};
-use meadowstream_rollout::wire::Kind;
+use meadowstream_rollout::plan::{ChangeKind, OnRegression, Size, Thresholds};
 use roxmltree::{Document, Node};
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -126,17 +125,17 @@
 fn plans_mean_the_same() {
     let PlanFile { candidate, plan } = PlanFile::read(PLAN).unwrap();
     assert_eq!((candidate.as_path(), plan.name.as_str()), (Path::new("next.xml"), "lower"));
-    assert_eq!((plan.kind, plan.on_worse), (Kind::Settings, OnWorse::Stop));
-    assert_eq!((plan.interval, plan.settled), (500 * MILLISECOND, 5_100 * MILLISECOND));
-    assert_eq!((plan.warm_up, plan.patience), (70 * MILLISECOND, 31_000 * MILLISECOND));
+    assert_eq!((plan.kind, plan.on_regression), (ChangeKind::Settings, OnRegression::Stop));
+    assert_eq!((plan.interval, plan.settle_time), (500 * MILLISECOND, 5_100 * MILLISECOND));
+    assert_eq!((plan.warm_up, plan.response_timeout), (70 * MILLISECOND, 31_000 * MILLISECOND));
     let expected = Thresholds { throttled: 0.03, errored: 0.04, late: 0.05, latency: 0.5, alpha: 0.02 };
     assert_eq!(plan.thresholds, expected);
-    let stages: Vec<_> = plan.stages.iter().map(|stage| (stage.size, stage.bake)).collect();
+    let stages: Vec<_> = plan.stages.iter().map(|stage| (stage.size, stage.bake_time)).collect();
     let (first, second) = (Size::Servers(1), Size::Share(0.5));
     assert_eq!(stages, [(first, 60_000 * MILLISECOND), (second, 61_000 * MILLISECOND)]);
     let program = PLAN.replace("candidate=\"next.xml\" on-worse=\"stop\"", "program=\"next\"");
     let plan = PlanFile::read(&program).unwrap().plan;
-    assert_eq!((plan.kind, plan.on_worse), (Kind::Program, OnWorse::RollBack));
+    assert_eq!((plan.kind, plan.on_regression), (ChangeKind::Program, OnRegression::RollBack));
 }
 
 #[test]
--- /dev/null
+++ b/crates/rollout/src/coordinator/baking.rs
@@ -0,0 +1,98 @@
+//! Baking: the changed servers of a stage are compared with the others until the stage's time is over.
+
+use super::{Action, Coordinator, Interval, Phase};
+use crate::Nanos;
+use crate::canary::{Canary, Verdict};
+use crate::plan::{INTERVALS_MIN, OnRegression};
+
+/// Without enough values for a comparison a stage ends after so many bake times.
+const INSUFFICIENT_DATA_FACTOR: Nanos = 3;
+/// No further verdict is asked for after so many times the planned ones, since each adds to the chance of a
+/// false stop.
+const VERDICTS_FACTOR: usize = 4;
+
+impl Coordinator {
+    pub(super) fn handle_baking(&mut self, interval: &Interval, actions: &mut Vec<Action>) {
+        if let Some(reason) = self.find_failure(interval.view) {
+            return self.handle_regression(interval.now, reason, actions);
+        }
+        self.add_to_canary(interval);
+        let stage = self.state.stage;
+        if !interval.is_settled {
+            let message = format!("stage {}: the fleet's view moves, nothing counts", stage + 1);
+            return self.notify(actions, &message);
+        }
+        if interval.now.saturating_sub(self.phase_began) < self.plan.warm_up {
+            self.canary = Canary::default();
+            return self.notify(actions, &format!("stage {}: warms up", stage + 1));
+        }
+        self.baked += interval.elapsed;
+        let bake_time = self.plan.stages[stage].bake_time;
+        let has_unchanged = self.state.changed.len() < interval.view.alive.len();
+        match self.next_verdict() {
+            Verdict::Regression { class, metric, difference, p_value } => {
+                let reason = format!("{class}: {metric:?} worse by {difference:.3} (p {p_value:.1e})");
+                self.handle_regression(interval.now, reason, actions);
+            }
+            // Where every server is changed there is none left to compare with.
+            Verdict::InsufficientData if has_unchanged => {
+                if self.baked < bake_time.saturating_mul(INSUFFICIENT_DATA_FACTOR) {
+                    self.notify(actions, &format!("stage {}: too few answers to compare", stage + 1));
+                } else {
+                    self.handle_regression(interval.now, "too few answers to compare".into(), actions);
+                }
+            }
+            Verdict::InsufficientData | Verdict::Pass => self.handle_no_regression(interval, actions),
+        }
+    }
+
+    /// Adds what servers did in the interval; while the view is not settled that is no sign of the change.
+    fn add_to_canary(&mut self, interval: &Interval) {
+        for new in self.take_new_intervals(interval.view) {
+            if self.complies(&new.server) {
+                let is_changed = self.state.changed.contains(&new.server);
+                self.canary.add(&new.server, is_changed, &new.metrics, &self.state.baselines);
+            }
+        }
+        if interval.is_settled {
+            self.canary.close_interval();
+        } else {
+            self.canary.discard_interval();
+        }
+    }
+
+    fn next_verdict(&mut self) -> Verdict {
+        let planned = self.plan.verdicts(self.state.stage);
+        let may_ask = self.verdicts < VERDICTS_FACTOR * planned;
+        if self.canary.intervals() >= INTERVALS_MIN {
+            self.verdicts += 1;
+        }
+        if may_ask { self.canary.verdict(&self.plan.thresholds, planned) } else { Verdict::Pass }
+    }
+
+    /// Goes on to the next stage once the bake time is over.
+    fn handle_no_regression(&mut self, interval: &Interval, actions: &mut Vec<Action>) {
+        let stage = self.state.stage;
+        let bake_time = self.plan.stages[stage].bake_time;
+        if self.baked < bake_time {
+            let (baked, of) = (seconds(self.baked), seconds(bake_time));
+            self.notify(actions, &format!("stage {}: baked {baked:.0} of {of:.0} s", stage + 1));
+        } else if stage + 1 < self.plan.stages.len() {
+            self.begin_stage(interval.now, stage + 1, interval.view, actions);
+        } else {
+            self.end(Phase::Done, actions);
+        }
+    }
+
+    /// Stops or rolls back, as the plan has it, when changed servers do worse or fail.
+    pub(super) fn handle_regression(&mut self, now: Nanos, reason: String, actions: &mut Vec<Action>) {
+        match self.plan.on_regression {
+            OnRegression::Stop => self.end(Phase::Stopped { reason }, actions),
+            OnRegression::RollBack => self.roll_back(now, reason, actions),
+        }
+    }
+}
+
+fn seconds(time: Nanos) -> f64 {
+    time as f64 / 1e9
+}
--- /dev/null
+++ b/crates/rollout/src/coordinator/stages.rs
@@ -0,0 +1,97 @@
+//! Waiting for the baselines, the choice of a stage's servers, and the change applied on them.
+
+use super::{Action, Coordinator, FleetView, Interval, Phase};
+use crate::Nanos;
+use crate::baseline::BASELINE_INTERVALS_MIN;
+use crate::canary::Canary;
+use siphasher::sip::SipHasher13;
+use std::hash::{Hash, Hasher};
+
+impl Coordinator {
+    /// Learns the baselines, and begins the first stage once each server has one and runs its own settings.
+    pub(super) fn handle_waiting(&mut self, interval: &Interval, actions: &mut Vec<Action>) {
+        let view = interval.view;
+        if !interval.is_settled {
+            return self.notify(actions, "waits until the fleet's view stands");
+        }
+        for new in self.take_new_intervals(view) {
+            self.state.baselines.add(&new.server, &new.metrics);
+        }
+        if let Some(reason) = self.find_failure(view) {
+            // Nothing has been changed yet, so there is nothing to roll back.
+            return self.end(Phase::Stopped { reason }, actions);
+        }
+        let has_baseline = |server: &String| self.state.baselines.intervals(server) >= BASELINE_INTERVALS_MIN;
+        if !view.alive.iter().all(|server| self.complies(server) && has_baseline(server)) {
+            return self.notify(actions, "learns what the servers do without the change");
+        }
+        self.begin_stage(interval.now, 0, view, actions);
+    }
+
+    /// Chooses the servers of a stage and saves them before they are ordered to the change.
+    pub(super) fn begin_stage(
+        &mut self,
+        now: Nanos,
+        stage: usize,
+        view: &FleetView,
+        actions: &mut Vec<Action>,
+    ) {
+        let size = self.plan.stages[stage].size.of(view.alive.len());
+        let chosen = self.choose_servers(size, view);
+        self.state.changed.extend(chosen);
+        self.state.stage = stage;
+        self.state.phase = Phase::Applying;
+        self.phase_began = now;
+        self.baked = 0;
+        self.verdicts = 0;
+        self.canary = Canary::default();
+        self.overdue.clear();
+        self.changed_missing_for = 0;
+        self.save(actions);
+        let changed: Vec<&str> = self.state.changed.iter().map(String::as_str).collect();
+        let message = format!(
+            "stage {} of {}: {} of {} servers: {}",
+            stage + 1,
+            self.plan.stages.len(),
+            changed.len(),
+            view.alive.len(),
+            changed.join(", ")
+        );
+        self.notify(actions, &message);
+    }
+
+    /// Servers to change beside those that are changed already, in an order that depends on the plan's name,
+    /// so that two plans do not begin with the same server.
+    fn choose_servers(&self, size: usize, view: &FleetView) -> Vec<String> {
+        let is_unchanged = |server: &&String| !self.state.changed.contains(*server);
+        let mut unchanged: Vec<String> = view.alive.iter().filter(is_unchanged).cloned().collect();
+        unchanged.sort_by_key(|server| (rank(&self.plan.name, server), server.clone()));
+        unchanged.truncate(size.saturating_sub(self.state.changed.len()));
+        unchanged
+    }
+
+    /// Begins to bake once all servers have reported that they do as ordered.
+    pub(super) fn handle_applying(&mut self, interval: &Interval, actions: &mut Vec<Action>) {
+        let view = interval.view;
+        // Intervals that ended before the stage bakes are not compared.
+        self.take_new_intervals(view);
+        if let Some(reason) = self.find_failure(view) {
+            return self.handle_regression(interval.now, reason, actions);
+        }
+        let is_ready =
+            |server: &String| self.complies(server) && self.has_recent_report(interval.now, server);
+        if interval.is_settled && view.alive.iter().all(is_ready) {
+            self.state.phase = Phase::Baking;
+            self.phase_began = interval.now;
+            self.save(actions);
+            self.notify(actions, &format!("stage {}: all go by it, bakes", self.state.stage + 1));
+        }
+    }
+}
+
+/// Position of a server in the order in which a plan changes them.
+fn rank(plan: &str, server: &str) -> u64 {
+    let mut hasher = SipHasher13::new();
+    (plan, server).hash(&mut hasher);
+    hasher.finish()
+}
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,19 +1,26 @@
-//! A change that goes over a fleet in stages, without I/O: time (whole nanoseconds), the fleet's view and
-//! what servers report go in; what each server is to go by, and what is to be on disk first, come out.
+//! A change rolled out over a fleet in stages, without I/O: time (whole nanoseconds), the fleet's view and
+//! servers' reports go in; orders for the servers, and the state to be saved before they are sent, come out.
 //!
-//! - [`plan`]: stages, bake times, thresholds, and what is wrong with them.
-//! - [`canary`]: whether the changed servers do worse than the others over the same time.
-//! - [`machine`]: the coordinator. It says each interval what every server is to go by, so that an order that
-//!   was lost, doubled or late does no harm, and one that is started again goes on from what was saved.
-//! - [`about`]: what each server runs, known to every server.
-//! - [`wire`]: orders and reports as bytes; what a later release adds is passed over.
+//! - [`plan`]: the plan of a rollout: stages, bake times, thresholds.
+//! - [`coordinator`]: the state machine that carries out a plan. Each interval it orders every server to the
+//!   settings or program it is to run, so that a lost, doubled or late order does no harm, and a coordinator
+//!   that is started again continues from its saved state.
+//! - [`canary`]: the verdict whether changed servers do worse than the others in the same intervals, by the
+//!   [`metrics`] they report, the [`baseline`] of each server and a [`rank_test`].
+//! - [`version_table`]: what each server runs, known to every server.
+//! - [`wire`]: orders and reports as bytes.
 //!
-//! `docs/rollout.md` names the ways weighed and what is promised.
+//! `docs/rollout.md` has the design, the alternatives and what was measured.
+#![deny(missing_docs, clippy::too_many_lines)]
 
-pub mod about;
+pub mod baseline;
 pub mod canary;
-pub mod machine;
+pub mod coordinator;
+pub mod metrics;
 pub mod plan;
+pub mod rank_test;
+pub mod version_table;
 pub mod wire;
 
+/// Nanoseconds by the caller's clock, which does not go back.
 pub type Nanos = u64;
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -1,49 +1,89 @@
-//! A plan: stages of growing size, each baked for a while, and how much worse is too much.
+//! The plan of a rollout: stages of growing size, each compared for a while, and how much worse is too much.
 
 use crate::Nanos;
-use crate::wire::Kind;
+use crate::metrics::Metric;
+use serde::{Deserialize, Serialize};
+
+const MILLISECOND_NS: Nanos = 1_000_000;
+
+/// Longest name of a plan, in bytes.
+pub const NAME_BYTES_MAX: usize = 64;
+/// Stages of a plan, at most.
+pub const STAGES_MAX: usize = 32;
+/// Intervals that a comparison requires.
+pub const INTERVALS_MIN: usize = 6;
+/// Largest threshold of latency: the 95th percentile a hundred times higher.
+const LATENCY_MAX: f64 = 100.0;
+const ALPHA_MAX: f64 = 0.2;
+
+/// What a change is of. Its variants are part of the wire format.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub enum ChangeKind {
+    /// Settings, taken over by the running process.
+    #[default]
+    Settings,
+    /// The program: the process ends, and what supervises it starts the other program.
+    Program,
+}
 
 /// Servers changed at the end of a stage, those of the stages before included.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Size {
+    /// A number of servers, above 0.
     Servers(u32),
-    /// Part of the servers, above 0 and at most 1; at least one of them.
+    /// Share of the servers, above 0 and at most 1; at least one server.
     Share(f64),
 }
 
 impl Size {
+    /// The number of servers out of all of them.
     pub fn of(self, servers: usize) -> usize {
         match self {
             Size::Servers(count) => (count as usize).min(servers),
             Size::Share(share) => ((servers as f64 * share).ceil() as usize).clamp(1, servers.max(1)),
         }
     }
+
+    /// Whether it is larger than the size before; a number and a share are not compared.
+    fn exceeds(self, before: Size) -> bool {
+        match (before, self) {
+            (Size::Servers(before), Size::Servers(now)) => now > before,
+            (Size::Share(before), Size::Share(now)) => now > before,
+            (Size::Servers(_), Size::Share(_)) | (Size::Share(_), Size::Servers(_)) => true,
+        }
+    }
 }
 
+/// One stage of a plan.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Stage {
+    /// Servers changed at the end of the stage.
     pub size: Size,
-    /// How long the changed servers are compared before the next stage.
-    pub bake: Nanos,
+    /// How long the changed servers are compared before the next stage, in nanoseconds.
+    pub bake_time: Nanos,
 }
 
+/// What happens when the changed servers do worse.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OnWorse {
-    /// The servers changed so far stay changed, no further one is.
+pub enum OnRegression {
+    /// The servers changed so far stay changed, and no further one is.
     Stop,
+    /// Every server goes back.
     RollBack,
 }
 
-/// Differences that matter, whatever the test says of their certainty.
+/// Differences that matter, however certain smaller ones are.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Thresholds {
-    /// Shares of answers, 0 to 1.
+    /// Difference in the share of answers throttled, above 0 and at most 1.
     pub throttled: f64,
+    /// Difference in the share of answers errored, above 0 and at most 1.
     pub errored: f64,
+    /// Difference in the share of answers late, above 0 and at most 1.
     pub late: f64,
-    /// Part by which the 95th percentile of latency may be higher.
+    /// Share by which the 95th percentile of latency may be higher, above 0 and at most 100.
     pub latency: f64,
-    /// Chance, over one whole stage, of stopping a change that does nothing.
+    /// Probability, over one whole stage, of stopping a change that makes no difference; at most 0.2.
     pub alpha: f64,
 }
 
@@ -53,78 +93,182 @@
     }
 }
 
+impl Thresholds {
+    /// The threshold of a metric, in the metric's own unit.
+    pub fn least_difference(&self, metric: Metric) -> f64 {
+        match metric {
+            Metric::Throttled => self.throttled,
+            Metric::Errored => self.errored,
+            Metric::Late => self.late,
+            Metric::Latency => (1.0 + self.latency).ln(),
+        }
+    }
+
+    fn check(&self) -> Result<(), PlanError> {
+        let Thresholds { throttled, errored, late, latency, alpha } = *self;
+        let is_within = |value: f64, max: f64| value > 0.0 && value <= max;
+        let shares_are_valid = [throttled, errored, late].into_iter().all(|share| is_within(share, 1.0));
+        if !shares_are_valid || !is_within(latency, LATENCY_MAX) {
+            return Err(PlanError::Thresholds { throttled, errored, late, latency });
+        }
+        if !is_within(alpha, ALPHA_MAX) {
+            return Err(PlanError::Alpha { alpha });
+        }
+        Ok(())
+    }
+}
+
+/// A plan, as its file gives it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
+    /// Name of the plan, 1 to [`NAME_BYTES_MAX`] bytes.
     pub name: String,
-    /// What the change is known by: the hash of its settings or program.
+    /// The change: the hash of its settings or program.
     pub candidate: u64,
-    pub kind: Kind,
+    /// What the change is of.
+    pub kind: ChangeKind,
+    /// The stages, 1 to [`STAGES_MAX`], each larger than the one before.
     pub stages: Vec<Stage>,
-    pub on_worse: OnWorse,
+    /// What happens when the changed servers do worse.
+    pub on_regression: OnRegression,
+    /// How much worse is too much.
     pub thresholds: Thresholds,
-    /// How often servers are asked; one report of each a period is compared.
+    /// How often servers are ordered and report, in nanoseconds; each report is one interval compared.
     pub interval: Nanos,
-    /// How long the view must have stood still before a stage begins or time counts as baked.
-    pub settled: Nanos,
-    /// How long after the servers of a stage go by the change they are not compared yet: a process that has
-    /// just started knows nothing and is slower for a while, whatever its program.
+    /// How long the view must not have changed for a stage to begin or time to count as baked, in nanoseconds.
+    pub settle_time: Nanos,
+    /// How long the servers of a stage are not compared yet after they have changed, in nanoseconds: a process
+    /// that has just started is slower for a while, whatever its program.
     pub warm_up: Nanos,
-    /// How long a server may take to go by what it is told, or to report at all.
-    pub patience: Nanos,
+    /// How long a server may take to carry out an order, or to report at all, in nanoseconds.
+    pub response_timeout: Nanos,
 }
 
-/// Intervals that a comparison needs at least.
-pub const INTERVALS_MIN: usize = 6;
-pub const STAGES_MAX: usize = 32;
+/// A plan that cannot be carried out. The text names the place as the plan's file does.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+pub enum PlanError {
+    /// The name is empty or too long.
+    #[error("name: 1 to {NAME_BYTES_MAX} bytes, not {bytes}")]
+    Name {
+        /// Length of the name given.
+        bytes: usize,
+    },
+    /// No stage, or too many.
+    #[error("stage: 1 to {STAGES_MAX} of them, not {count}")]
+    StageCount {
+        /// Number of stages given.
+        count: usize,
+    },
+    /// The interval is zero, or longer than the time a server may take to respond.
+    #[error(
+        "interval-ms: above 0; patience-ms: an interval at least; not {} and {}",
+        .interval / MILLISECOND_NS, .response_timeout / MILLISECOND_NS
+    )]
+    Interval {
+        /// The interval given, in nanoseconds.
+        interval: Nanos,
+        /// The response timeout given, in nanoseconds.
+        response_timeout: Nanos,
+    },
+    /// A stage that cannot be carried out.
+    #[error("stage {number}: {fault}")]
+    Stage {
+        /// Number of the stage, from 1.
+        number: usize,
+        /// What is wrong with it.
+        fault: StageError,
+    },
+    /// A threshold out of its range.
+    #[error(
+        "throttled, errored, late: above 0 and at most 1; latency: at most {LATENCY_MAX}; \
+         not {throttled}, {errored}, {late} and {latency}"
+    )]
+    Thresholds {
+        /// Threshold of the share throttled.
+        throttled: f64,
+        /// Threshold of the share errored.
+        errored: f64,
+        /// Threshold of the share late.
+        late: f64,
+        /// Threshold of the latency.
+        latency: f64,
+    },
+    /// The probability of a false stop is out of its range.
+    #[error("alpha: {alpha} is not above 0 and at most {ALPHA_MAX}")]
+    Alpha {
+        /// The probability given.
+        alpha: f64,
+    },
+}
+
+/// What is wrong with a stage.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+pub enum StageError {
+    /// A stage of no servers.
+    #[error("servers: 0 changes nothing")]
+    NoServers,
+    /// A share out of its range.
+    #[error("share: {share} is not above 0 and at most 1")]
+    Share {
+        /// The share given.
+        share: f64,
+    },
+    /// The bake time has too few intervals for a comparison.
+    #[error("bake-ms: at least {INTERVALS_MIN} intervals, {least_ms}, not {given_ms}")]
+    BakeTime {
+        /// The least bake time, in milliseconds.
+        least_ms: u64,
+        /// The bake time given, in milliseconds.
+        given_ms: u64,
+    },
+    /// The stage is not larger than the one before.
+    #[error("not larger than the one before")]
+    NotLarger,
+}
 
 impl Plan {
-    /// What is wrong, naming the place.
-    pub fn check(&self) -> Result<(), String> {
-        if self.name.is_empty() || self.name.len() > 64 {
-            return Err("name: 1 to 64 bytes".into());
+    /// The first thing that keeps the plan from being carried out, if there is one.
+    pub fn check(&self) -> Result<(), PlanError> {
+        let bytes = self.name.len();
+        if bytes == 0 || bytes > NAME_BYTES_MAX {
+            return Err(PlanError::Name { bytes });
         }
-        if self.stages.is_empty() || self.stages.len() > STAGES_MAX {
-            return Err(format!("stage: 1 to {STAGES_MAX} of them, not {}", self.stages.len()));
+        let count = self.stages.len();
+        if count == 0 || count > STAGES_MAX {
+            return Err(PlanError::StageCount { count });
         }
-        if self.interval == 0 || self.patience < self.interval {
-            return Err("interval-ms: above 0; patience-ms: an interval at least".into());
+        let (interval, response_timeout) = (self.interval, self.response_timeout);
+        if interval == 0 || response_timeout < interval {
+            return Err(PlanError::Interval { interval, response_timeout });
         }
-        for (i, stage) in self.stages.iter().enumerate() {
-            let at = |fault: String| Err(format!("stage {}: {fault}", i + 1));
-            match stage.size {
-                Size::Servers(0) => return at("servers: 0 changes nothing".into()),
-                Size::Share(share) if !(share > 0.0 && share <= 1.0) => {
-                    return at(format!("share: {share} is not above 0 and at most 1"));
-                }
-                Size::Servers(_) | Size::Share(_) => {}
-            }
-            if stage.bake < self.interval.saturating_mul(INTERVALS_MIN as u64) {
-                let least = self.interval.saturating_mul(INTERVALS_MIN as u64) / 1_000_000;
-                return at(format!("bake-ms: at least {INTERVALS_MIN} intervals, {least}"));
-            }
-            let smaller = match (i.checked_sub(1).map(|before| self.stages[before].size), stage.size) {
-                (Some(Size::Servers(before)), Size::Servers(now)) => now <= before,
-                (Some(Size::Share(before)), Size::Share(now)) => now <= before,
-                _ => false,
-            };
-            if smaller {
-                return at("not larger than the one before".into());
-            }
+        for index in 0..count {
+            self.check_stage(index).map_err(|fault| PlanError::Stage { number: index + 1, fault })?;
+        }
+        self.thresholds.check()
+    }
+
+    fn check_stage(&self, index: usize) -> Result<(), StageError> {
+        let stage = &self.stages[index];
+        match stage.size {
+            Size::Servers(0) => return Err(StageError::NoServers),
+            Size::Share(share) if !(share > 0.0 && share <= 1.0) => return Err(StageError::Share { share }),
+            Size::Servers(_) | Size::Share(_) => {}
         }
-        let t = &self.thresholds;
-        let good = |value: f64, most: f64| value > 0.0 && value <= most;
-        if !good(t.throttled, 1.0) || !good(t.errored, 1.0) || !good(t.late, 1.0) || !good(t.latency, 100.0) {
-            return Err("throttled, errored, late: above 0 and at most 1; latency: at most 100".into());
+        let least = self.interval.saturating_mul(INTERVALS_MIN as u64);
+        if stage.bake_time < least {
+            let (least_ms, given_ms) = (least / MILLISECOND_NS, stage.bake_time / MILLISECOND_NS);
+            return Err(StageError::BakeTime { least_ms, given_ms });
         }
-        if !good(t.alpha, 0.2) {
-            return Err(format!("alpha: {} is not above 0 and at most 0.2", t.alpha));
+        let before = index.checked_sub(1).map(|before| self.stages[before].size);
+        if before.is_some_and(|before| !stage.size.exceeds(before)) {
+            return Err(StageError::NotLarger);
         }
         Ok(())
     }
 
-    /// Comparisons made in a stage: one an interval once there are enough.
-    pub fn looks(&self, stage: usize) -> usize {
-        let intervals = (self.stages[stage].bake / self.interval) as usize;
+    /// Verdicts asked for in a stage: one an interval once there are enough intervals.
+    pub fn verdicts(&self, stage: usize) -> usize {
+        let intervals = (self.stages[stage].bake_time / self.interval) as usize;
         intervals.saturating_sub(INTERVALS_MIN) + 1
     }
 }
--- /dev/null
+++ b/crates/rollout/src/rank_test.rs
@@ -0,0 +1,118 @@
+//! The stratified rank sum test of van Elteren (1960): whether the values of one group are larger than those of
+//! another, compared within each stratum. Here a stratum is an interval, since load moves all servers of an
+//! interval together; its values are ranked by themselves, and the weighted rank sums are added up.
+//!
+//! Intervals of one server are no independent draws. The variance of the sum is therefore the larger of the
+//! test's own and of an estimate that allows for autocorrelation (Newey and West 1987).
+
+/// The values of one interval, of one class and metric, each less its server's baseline.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct Stratum {
+    /// Values of the changed servers.
+    pub changed: Vec<f64>,
+    /// Values of the other servers.
+    pub unchanged: Vec<f64>,
+    /// Sum of the variances of the changed servers' baselines.
+    pub baseline_variance: f64,
+    /// Answers of the class by all servers.
+    pub answered: u64,
+}
+
+/// Outcome of a comparison.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Comparison {
+    /// Mean difference, changed less unchanged servers, less twice the standard error of the baselines.
+    pub difference: f64,
+    /// One-sided p-value: the probability of such ranks against the changed servers by chance.
+    pub p_value: f64,
+}
+
+/// Sum of the changed group's ranks within a stratum.
+#[derive(Debug, PartialEq)]
+struct RankSum {
+    rank_sum: f64,
+    /// Sum of t^3 - t over groups of t equal values.
+    tie_correction: f64,
+}
+
+/// Compares both groups over all strata, each of which has values of both. `None` where all values are equal.
+pub fn compare(strata: &[&Stratum]) -> Option<Comparison> {
+    let mut statistics = Vec::with_capacity(strata.len());
+    let mut variance = 0.0;
+    for stratum in strata {
+        let (changed, unchanged) = (stratum.changed.len() as f64, stratum.unchanged.len() as f64);
+        let RankSum { rank_sum, tie_correction } = rank_sum(stratum);
+        let all = changed + unchanged;
+        let weight = 1.0 / (all + 1.0);
+        statistics.push(weight * (rank_sum - changed * (all + 1.0) / 2.0));
+        let untied = if all > 1.0 { 1.0 - tie_correction / (all * all * all - all) } else { 0.0 };
+        variance += weight * weight * changed * unchanged * (all + 1.0) / 12.0 * untied;
+    }
+    let variance = variance.max(newey_west_variance(&statistics));
+    (variance > 0.0).then(|| {
+        let z = statistics.iter().sum::<f64>() / variance.sqrt();
+        Comparison { difference: mean_difference(strata), p_value: upper_tail(z) }
+    })
+}
+
+/// The mean difference of the groups less twice the standard error of the changed servers' baselines: a
+/// baseline is a mean of few intervals, and its error stays in every difference.
+fn mean_difference(strata: &[&Stratum]) -> f64 {
+    let difference = |stratum: &&Stratum| mean(&stratum.changed) - mean(&stratum.unchanged);
+    let standard_error = |stratum: &&Stratum| stratum.baseline_variance.sqrt() / stratum.changed.len() as f64;
+    let differences: Vec<f64> = strata.iter().map(difference).collect();
+    let standard_errors: Vec<f64> = strata.iter().map(standard_error).collect();
+    mean(&differences) - 2.0 * mean(&standard_errors)
+}
+
+fn mean(values: &[f64]) -> f64 {
+    values.iter().sum::<f64>() / values.len() as f64
+}
+
+/// The sum of the changed group's ranks; equal values have the mean of their ranks.
+fn rank_sum(stratum: &Stratum) -> RankSum {
+    struct Ranked {
+        value: f64,
+        is_changed: bool,
+    }
+    let changed = stratum.changed.iter().map(|value| Ranked { value: *value, is_changed: true });
+    let unchanged = stratum.unchanged.iter().map(|value| Ranked { value: *value, is_changed: false });
+    let mut all: Vec<Ranked> = changed.chain(unchanged).collect();
+    all.sort_by(|a, b| a.value.total_cmp(&b.value));
+    let mut sum = RankSum { rank_sum: 0.0, tie_correction: 0.0 };
+    let mut below = 0;
+    for tied in all.chunk_by(|a, b| a.value == b.value) {
+        let ties = tied.len();
+        let rank = below as f64 + (ties as f64 + 1.0) / 2.0;
+        let changed = tied.iter().filter(|ranked| ranked.is_changed).count();
+        sum.rank_sum += rank * changed as f64;
+        sum.tie_correction += (ties * ties * ties - ties) as f64;
+        below += ties;
+    }
+    sum
+}
+
+/// The variance of the sum of autocorrelated values (Newey and West 1987): autocovariances with Bartlett's
+/// weights, up to a lag of the root of their number.
+fn newey_west_variance(values: &[f64]) -> f64 {
+    let count = values.len();
+    let mean = mean(values);
+    let autocovariance = |lag: usize| {
+        let products = (lag..count).map(|i| (values[i] - mean) * (values[i - lag] - mean));
+        products.sum::<f64>()
+    };
+    let lags = (count as f64).sqrt() as usize;
+    let weighted = (1..=lags).map(|lag| {
+        let bartlett = 1.0 - lag as f64 / (lags + 1) as f64;
+        2.0 * bartlett * autocovariance(lag)
+    });
+    autocovariance(0) + weighted.sum::<f64>()
+}
+
+/// The probability that a standard normal value is larger than `z`.
+fn upper_tail(z: f64) -> f64 {
+    libm::erfc(z / std::f64::consts::SQRT_2) / 2.0
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/rollout/src/wire.rs
+++ b/crates/rollout/src/wire.rs
@@ -1,60 +1,61 @@
 //! Orders and reports as bytes: a version, then the fields of that version in postcard. Later versions add
-//! fields behind those of this one, and a reader passes over what comes behind what it knows; a reader of a
-//! later version finds that they are absent by the version. A version of 0 is none.
+//! fields behind those of this one, and a reader skips what follows the fields it knows. A reader of a later
+//! version sees by the version that its fields are absent. There is no version 0.
+//!
+//! postcard writes fields and variants by position: their order is the wire format.
 
-use crate::canary::Figures;
+use crate::metrics::IntervalMetrics;
+use crate::plan::ChangeKind;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
+/// Version that this build writes.
 pub const VERSION: u16 = 1;
-/// Classes in one report; a datagram holds no more.
+/// Classes in one report, at most, so that it fits a datagram.
 pub const CLASSES_MAX: usize = 8;
 
-/// What a change is of.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
-    /// Taken over by the running process.
-    #[default]
-    Settings,
-    /// The process ends by itself, and what started it starts the other program.
-    Program,
-}
-
-/// What a server is told each interval. It answers each with its [`Report`].
+/// What the coordinator sends to each server in each interval; the server answers with a [`Report`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
+    /// Name of the plan.
     pub plan: String,
-    /// The coordinator's start in nanoseconds since the epoch: orders of one before are stale.
-    pub life: u64,
-    /// Grows with each order of a life; one that comes after a later one is stale.
-    pub number: u64,
-    pub kind: Kind,
-    /// What to go by: the settings or program of this hash, or the server's own.
+    /// The coordinator's start in nanoseconds since the epoch; orders of an earlier incarnation are stale.
+    pub incarnation: u64,
+    /// Number of the order within the incarnation; one that arrives after a later one is stale.
+    pub sequence: u64,
+    /// What the change is of.
+    pub kind: ChangeKind,
+    /// Hash of the settings or program to run; `None` for the server's own.
     pub adopt: Option<u64>,
 }
 
+/// A server's answer to an order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// The order that it answers.
-    pub number: u64,
-    /// The program's version, and the hash of the settings or the program (as the order has it) it goes by.
+    /// Number of the order that it answers.
+    pub order_sequence: u64,
+    /// Version of the program.
     pub version: String,
-    pub settings: u64,
+    /// Hash of the settings or of the program in force, whichever the order is about.
+    pub running_hash: u64,
     /// Whether these are the change of a plan.
     pub adopted: bool,
-    /// Why it does not do as it was told, where it does not.
+    /// Why the server does not carry out the order, where it does not.
     pub refused: Option<String>,
-    /// Its last whole interval, by its own numbers.
+    /// Number of the server's last complete interval.
     pub interval: u64,
-    pub classes: Vec<Figures>,
+    /// What the server did in that interval.
+    pub classes: Vec<IntervalMetrics>,
 }
 
-pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
-    postcard::to_allocvec(&(VERSION, value)).expect("no part of it refuses")
+/// The message with its version.
+pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
+    postcard::to_allocvec(&(VERSION, message)).expect("every type of a message is one that postcard writes")
 }
 
-/// `None` for what is truncated or no message of a version that there is.
+/// Reads a message; `None` where it is truncated or has no version.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
-    let ((version, value), _later) = postcard::take_from_bytes::<(u16, T)>(bytes).ok()?;
-    (version > 0).then_some(value)
+    let ((version, message), _fields_of_later_versions) =
+        postcard::take_from_bytes::<(u16, T)>(bytes).ok()?;
+    (version > 0).then_some(message)
 }
--- a/crates/rollout/tests/fixed_bytes.rs
+++ b/crates/rollout/tests/fixed_bytes.rs
@@ -1,27 +1,35 @@
 //! Orders, reports and the coordinator's state file have the bytes that release 0.2.0 (commit 22d0bb6) wrote,
 //! and are read back to the same.
 
-use meadowstream_rollout::about::About;
-use meadowstream_rollout::canary::{Baselines, Figures};
-use meadowstream_rollout::machine::{Phase, Saved};
-use meadowstream_rollout::wire::{Kind, Order, Report, decode, encode};
+use meadowstream_rollout::baseline::Baselines;
+use meadowstream_rollout::coordinator::{PersistedState, Phase};
+use meadowstream_rollout::metrics::IntervalMetrics;
+use meadowstream_rollout::plan::ChangeKind;
+use meadowstream_rollout::version_table::ServerVersion;
+use meadowstream_rollout::wire::{Order, Report, decode, encode};
 use meadowstream_wire_fixtures::Fixtures;
 use serde::{Serialize, de::DeserializeOwned};
 use std::fmt::Debug;
 
-fn order(kind: Kind, adopt: Option<u64>) -> Order {
-    Order { plan: "lower reference".into(), life: 1_700_000_000_000_000_000, number: 300, kind, adopt }
+fn order(kind: ChangeKind, adopt: Option<u64>) -> Order {
+    Order {
+        plan: "lower reference".into(),
+        incarnation: 1_700_000_000_000_000_000,
+        sequence: 300,
+        kind,
+        adopt,
+    }
 }
 
-fn figures(class: &str) -> Figures {
-    Figures { class: class.into(), answered: 400, throttled: 30, errored: 2, late: 1, p95_us: 1 }
+fn figures(class: &str) -> IntervalMetrics {
+    IntervalMetrics { class: class.into(), answered: 400, throttled: 30, errored: 2, late: 1, p95_us: 1 }
 }
 
 fn report(refused: Option<String>) -> Report {
     Report {
-        number: 300,
+        order_sequence: 300,
         version: "0.2.0".into(),
-        settings: 0x0123_4567_89ab_cdef,
+        running_hash: 0x0123_4567_89ab_cdef,
         adopted: true,
         refused,
         interval: 17,
@@ -29,13 +37,13 @@
     }
 }
 
-fn about(name: &str) -> About {
-    About {
+fn about(name: &str) -> ServerVersion {
+    ServerVersion {
         name: name.into(),
         incarnation: 1_700_000_000_000_000_000,
-        change: 2,
+        sequence: 2,
         version: "0.2.0".into(),
-        settings: 9,
+        settings_hash: 9,
     }
 }
 
@@ -60,9 +68,9 @@
     verify(
         "orders",
         &[
-            ("settings", order(Kind::Settings, Some(0xfedc_ba98_7654_3210))),
-            ("settings-back", order(Kind::Settings, None)),
-            ("program", order(Kind::Program, Some(7))),
+            ("settings", order(ChangeKind::Settings, Some(0xfedc_ba98_7654_3210))),
+            ("settings-back", order(ChangeKind::Settings, None)),
+            ("program", order(ChangeKind::Program, Some(7))),
         ],
     );
 }
@@ -92,17 +100,17 @@
         ("waiting", Phase::Waiting),
         ("applying", Phase::Applying),
         ("baking", Phase::Baking),
-        ("rolling-back", Phase::RollingBack { why: why() }),
+        ("rolling-back", Phase::RollingBack { reason: why() }),
         ("done", Phase::Done),
-        ("stopped", Phase::Stopped { why: why() }),
-        ("rolled-back", Phase::RolledBack { why: why(), left: vec!["s3".into()] }),
+        ("stopped", Phase::Stopped { reason: why() }),
+        ("rolled-back", Phase::RolledBack { reason: why(), unconfirmed: vec!["s3".into()] }),
     ]
 }
 
 /// The state file of each phase, as the coordinator writes it: JSON in lines.
 #[test]
 fn state_files_have_the_bytes_of_release_0_2() {
-    let saved = |phase| Saved {
+    let saved = |phase| PersistedState {
         plan: "lower reference".into(),
         candidate: u64::MAX - 1,
         phase,
@@ -110,12 +118,13 @@
         changed: ["s0".to_string(), "s1".to_string()].into(),
         baselines: baselines(),
     };
-    let files: Vec<(&str, Saved)> = phases().into_iter().map(|(name, phase)| (name, saved(phase))).collect();
-    let text = |saved: &Saved| serde_json::to_string_pretty(saved).unwrap().into_bytes();
+    let files: Vec<(&str, PersistedState)> =
+        phases().into_iter().map(|(name, phase)| (name, saved(phase))).collect();
+    let text = |saved: &PersistedState| serde_json::to_string_pretty(saved).unwrap().into_bytes();
     let fixtures = load("state-files");
     fixtures.verify(&files.iter().map(|(name, saved)| (*name, text(saved))).collect::<Vec<_>>());
     for (name, saved) in &files {
-        let read: Saved = serde_json::from_slice(fixtures.bytes(name)).unwrap();
+        let read: PersistedState = serde_json::from_slice(fixtures.bytes(name)).unwrap();
         assert_eq!(read, *saved, "{name}");
         assert_eq!(text(&read), fixtures.bytes(name), "{name}");
     }
--- a/crates/rollout/tests/rollouts.rs
+++ b/crates/rollout/tests/rollouts.rs
@@ -2,9 +2,9 @@
 //! of them together, noise that hangs together over time, orders and reports that get lost. Deterministic.
 //! `cargo test -p meadowstream-rollout -- --nocapture` prints the figures of docs/rollout.md.
 
-use meadowstream_rollout::canary::Figures;
-use meadowstream_rollout::machine::{Act, Coordinator, Phase, Saved, View};
-use meadowstream_rollout::plan::{OnWorse, Plan, Size, Stage, Thresholds};
+use meadowstream_rollout::coordinator::{Action, Coordinator, FleetView, PersistedState, Phase};
+use meadowstream_rollout::metrics::IntervalMetrics;
+use meadowstream_rollout::plan::{ChangeKind, OnRegression, Plan, Size, Stage, Thresholds};
 use meadowstream_rollout::wire::{self, Order, Report};
 use proptest::prelude::*;
 use rand_chacha::ChaCha8Rng;
@@ -53,7 +53,7 @@
     now: u64,
     settled: u64,
     loss: f64,
-    saved: Option<Saved>,
+    saved: Option<PersistedState>,
     said: Vec<String>,
     /// Servers that ever went by the change.
     touched: BTreeSet<usize>,
@@ -64,23 +64,23 @@
 }
 
 fn plan() -> Plan {
-    let stage = |size, seconds| Stage { size, bake: seconds * S };
+    let stage = |size, seconds| Stage { size, bake_time: seconds * S };
     Plan {
         name: "raise the reference".into(),
         candidate: CANDIDATE,
-        kind: wire::Kind::Settings,
+        kind: ChangeKind::Settings,
         stages: vec![
             stage(Size::Servers(1), 40),
             stage(Size::Share(0.1), 40),
             stage(Size::Share(0.5), 40),
             stage(Size::Share(1.0), 20),
         ],
-        on_worse: OnWorse::RollBack,
+        on_regression: OnRegression::RollBack,
         thresholds: Thresholds::default(),
         interval: S,
-        settled: 3 * S,
+        settle_time: 3 * S,
         warm_up: 0,
-        patience: 10 * S,
+        response_timeout: 10 * S,
     }
 }
 
@@ -124,7 +124,7 @@
     }
 
     /// What server `i` has done in the interval before.
-    fn figures(&mut self, i: usize) -> Vec<Figures> {
+    fn figures(&mut self, i: usize) -> Vec<IntervalMetrics> {
         let draw = self.normal();
         let server = &mut self.servers[i];
         // Half of the noise is that of the interval before.
@@ -147,7 +147,7 @@
             let (throttled, errored) = (self.binomial(answered, throttled), self.binomial(answered, errored));
             let p95_us = (50_000.0 * slower * (0.8 * own + 0.5 * busy).exp()) as u64;
             let class = class.to_string();
-            figures.push(Figures { class, answered, throttled, errored, late: 0, p95_us });
+            figures.push(IntervalMetrics { class, answered, throttled, errored, late: 0, p95_us });
         }
         figures
     }
@@ -166,30 +166,30 @@
         // Peaks every half a minute.
         self.load = (self.drift + (self.interval as f64 / 5.0).sin()).clamp(-1.0, 1.5);
         for (at, from, report) in std::mem::take(&mut self.reports) {
-            coordinator.heard(at, &from, report);
+            coordinator.handle_report(at, &from, report);
         }
         let name = |i: usize| format!("s{i}");
         let all = 0..self.servers.len();
-        let view = View {
+        let view = FleetView {
             alive: all
                 .clone()
                 .filter(|i| !self.servers[*i].dead && !self.servers[*i].cut)
                 .map(name)
                 .collect(),
             missing: all.filter(|i| self.servers[*i].cut).map(name).collect(),
-            settled: self.settled,
+            settled_for: self.settled,
         };
-        let acts = coordinator.advance(self.now, &view, self.has_lease);
+        let acts = coordinator.handle_interval(self.now, &view, self.has_lease);
         self.take(acts);
     }
 
     /// Carries acts out; a save stands before what follows from it.
-    fn take(&mut self, acts: Vec<Act>) {
+    fn take(&mut self, acts: Vec<Action>) {
         for act in acts {
             match act {
-                Act::Save(saved) => self.saved = Some(*saved),
-                Act::Say(what) => self.said.push(what),
-                Act::Tell(to, order) => self.tell(to, order),
+                Action::Save(saved) => self.saved = Some(*saved),
+                Action::Notify { message } => self.said.push(message),
+                Action::SendOrder { server, order } => self.tell(server, order),
             }
         }
     }
@@ -201,10 +201,15 @@
         let lost = self.lost();
         let server = &mut self.servers[i];
         let order = wire::decode::<Order>(&wire::encode(&order)).unwrap();
-        if lost || server.dead || server.cut || server.silent || (order.life, order.number) <= server.last {
+        if lost
+            || server.dead
+            || server.cut
+            || server.silent
+            || (order.incarnation, order.sequence) <= server.last
+        {
             return;
         }
-        server.last = (order.life, order.number);
+        server.last = (order.incarnation, order.sequence);
         let mut refused = None;
         match order.adopt {
             Some(_) if server.refuses => refused = Some("line 3, <control>: reference: 7".to_string()),
@@ -225,19 +230,20 @@
             return;
         }
         let settings = if adopted { CANDIDATE } else { OLD };
-        let (number, interval, version) = (order.number, self.interval, "0.2.0".to_string());
-        let report = Report { number, version, settings, adopted, refused, interval, classes };
+        let (order_sequence, interval, version) = (order.sequence, self.interval, "0.2.0".to_string());
+        let report =
+            Report { order_sequence, version, running_hash: settings, adopted, refused, interval, classes };
         self.reports.push((self.now + S / 2, to, wire::decode(&wire::encode(&report)).unwrap()));
     }
 
     fn play(&mut self, coordinator: &mut Coordinator, intervals: usize) -> Phase {
         for _ in 0..intervals {
             self.step(coordinator);
-            if coordinator.saved().phase.is_over() {
+            if coordinator.state().phase.is_over() {
                 break;
             }
         }
-        coordinator.saved().phase.clone()
+        coordinator.state().phase.clone()
     }
 
     fn none_left_changed(&self) {
@@ -258,7 +264,7 @@
         let mut coordinator = begin(plan());
         match fleet.play(&mut coordinator, 600) {
             Phase::Done => assert!(fleet.servers.iter().all(|server| server.adopted)),
-            Phase::RolledBack { why, .. } => stopped.push(why),
+            Phase::RolledBack { reason: why, .. } => stopped.push(why),
             other => panic!("{other:?}: {:?}", fleet.said),
         }
     }
@@ -278,9 +284,9 @@
         let mut fleet = Fleet::new(servers, change, 1000 + seed);
         let mut coordinator = begin(plan());
         match fleet.play(&mut coordinator, 600) {
-            Phase::RolledBack { left, .. } if left.is_empty() => {
+            Phase::RolledBack { unconfirmed: left, .. } if left.is_empty() => {
                 fleet.none_left_changed();
-                first += usize::from(coordinator.saved().stage == 0);
+                first += usize::from(coordinator.state().stage == 0);
                 touched += fleet.touched.len();
                 took += fleet.interval;
             }
@@ -330,11 +336,11 @@
             let mut fleet = Fleet::new(12, change, 40 + seed as u64);
             let mut coordinator = begin(plan());
             fleet.play(&mut coordinator, at);
-            let (stage, changed) = (coordinator.saved().stage, coordinator.saved().changed.clone());
+            let (stage, changed) = (coordinator.state().stage, coordinator.state().changed.clone());
             drop(coordinator);
             let mut again = Coordinator::new(plan(), fleet.saved.clone(), 2, fleet.now).unwrap();
             if fleet.saved.is_some() {
-                assert_eq!((again.saved().stage, &again.saved().changed), (stage, &changed));
+                assert_eq!((again.state().stage, &again.state().changed), (stage, &changed));
             }
             let phase = fleet.play(&mut again, 900);
             match change {
@@ -347,11 +353,14 @@
         }
     }
     // A state of another plan, or of another candidate, is refused.
-    let saved = begin(plan()).saved().clone();
+    let saved = begin(plan()).state().clone();
     let other = Plan { name: "another".into(), ..plan() };
-    assert!(Coordinator::new(other, Some(saved.clone()), 2, 0).is_err_and(|e| e.contains("that of plan")));
+    assert!(
+        Coordinator::new(other, Some(saved.clone()), 2, 0)
+            .is_err_and(|e| e.to_string().contains("that of plan"))
+    );
     let other = Plan { candidate: 7, ..plan() };
-    assert!(Coordinator::new(other, Some(saved), 2, 0).is_err_and(|e| e.contains("candidate")));
+    assert!(Coordinator::new(other, Some(saved), 2, 0).is_err_and(|e| e.to_string().contains("candidate")));
 }
 
 /// Part of the fleet is cut off in the second stage, where the change does harm to whoever looks: nothing is
@@ -360,14 +369,14 @@
 fn a_partition_during_a_stage_makes_it_wait() {
     let mut fleet = Fleet::new(10, Change::Nothing, 60);
     let mut coordinator = begin(plan());
-    while coordinator.saved().stage < 1 || coordinator.saved().phase != Phase::Baking {
+    while coordinator.state().stage < 1 || coordinator.state().phase != Phase::Baking {
         fleet.step(&mut coordinator);
     }
-    let changed = coordinator.saved().changed.clone();
+    let changed = coordinator.state().changed.clone();
     (3..7).for_each(|i| fleet.servers[i].cut = true);
     fleet.settled = 0;
     fleet.play(&mut coordinator, 100);
-    assert_eq!((&coordinator.saved().changed, coordinator.saved().stage), (&changed, 1));
+    assert_eq!((&coordinator.state().changed, coordinator.state().stage), (&changed, 1));
     assert!(fleet.said.iter().any(|said| said.contains("view moves")), "{:?}", fleet.said);
     (3..7).for_each(|i| fleet.servers[i].cut = false);
     fleet.settled = 0;
@@ -383,7 +392,7 @@
         fleet.settled = 0;
         fleet.step(&mut coordinator);
     }
-    assert_eq!(coordinator.saved().phase, Phase::Waiting);
+    assert_eq!(coordinator.state().phase, Phase::Waiting);
     fleet.has_lease = false;
     fleet.play(&mut coordinator, 60);
     assert!(fleet.touched.is_empty() && fleet.said.iter().any(|said| said.contains("waits for the lease")));
@@ -393,12 +402,12 @@
     let mut fleet = Fleet::new(6, Change::Nothing, 62);
     let mut coordinator = begin(plan());
     fleet.play(&mut coordinator, 40);
-    let before = coordinator.saved().clone();
+    let before = coordinator.state().clone();
     fleet.has_lease = false;
-    let view = View { alive: vec!["s0".into()], missing: Vec::new(), settled: 60 * S };
-    let acts = coordinator.advance(fleet.now + S, &view, false);
-    assert!(acts.iter().all(|act| matches!(act, Act::Say(_))), "{acts:?}");
-    assert_eq!(*coordinator.saved(), before);
+    let view = FleetView { alive: vec!["s0".into()], missing: Vec::new(), settled_for: 60 * S };
+    let acts = coordinator.handle_interval(fleet.now + S, &view, false);
+    assert!(acts.iter().all(|act| matches!(act, Action::Notify { .. })), "{acts:?}");
+    assert_eq!(*coordinator.state(), before);
 }
 
 #[test]
@@ -406,7 +415,7 @@
     let mut fleet = Fleet::new(6, Change::Nothing, 63);
     fleet.servers[4].silent = true;
     let phase = fleet.play(&mut begin(plan()), 100);
-    assert_eq!(phase, Phase::Stopped { why: "s4 never reports".into() });
+    assert_eq!(phase, Phase::Stopped { reason: "s4 never reports".into() });
     assert!(fleet.touched.is_empty());
 }
 
@@ -414,14 +423,14 @@
 fn a_server_that_falls_silent_in_a_stage_rolls_it_back() {
     let mut fleet = Fleet::new(6, Change::Nothing, 64);
     let mut coordinator = begin(plan());
-    while coordinator.saved().phase != Phase::Baking {
+    while coordinator.state().phase != Phase::Baking {
         fleet.step(&mut coordinator);
     }
-    let changed: usize = coordinator.saved().changed.first().unwrap()[1..].parse().unwrap();
+    let changed: usize = coordinator.state().changed.first().unwrap()[1..].parse().unwrap();
     let other = (changed + 1) % 6;
     fleet.servers[other].silent = true;
     let phase = fleet.play(&mut coordinator, 200);
-    let Phase::RolledBack { why, left } = phase else { panic!("{phase:?}") };
+    let Phase::RolledBack { reason: why, unconfirmed: left } = phase else { panic!("{phase:?}") };
     assert!(why.contains(&format!("s{other} does not report")), "{why}");
     // It cannot be asked whether it went back, though it never was changed: that is said.
     assert_eq!(left, vec![format!("s{other}")]);
@@ -441,7 +450,9 @@
     fleet.settled = 0;
     let before = fleet.interval;
     let phase = fleet.play(&mut coordinator, 200);
-    let Phase::RolledBack { why, left } = phase else { panic!("{phase:?}: {:?}", fleet.said) };
+    let Phase::RolledBack { reason: why, unconfirmed: left } = phase else {
+        panic!("{phase:?}: {:?}", fleet.said)
+    };
     assert_eq!((why, left), (format!("s{crashed} gone since the change"), vec![format!("s{crashed}")]));
     assert!(fleet.interval - before <= 35, "{}", fleet.interval - before);
 }
@@ -451,7 +462,7 @@
     let mut fleet = Fleet::new(6, Change::Nothing, 65);
     fleet.servers.iter_mut().for_each(|server| server.refuses = true);
     let phase = fleet.play(&mut begin(plan()), 100);
-    let Phase::RolledBack { why, left } = phase else { panic!("{phase:?}") };
+    let Phase::RolledBack { reason: why, unconfirmed: left } = phase else { panic!("{phase:?}") };
     assert!(why.contains("refuses: line 3, <control>: reference: 7") && left.is_empty(), "{why}");
 }
 
@@ -460,7 +471,7 @@
     let mut fleet = Fleet::new(6, Change::ThrottlesPremium(0.2), 66);
     fleet.servers.iter_mut().for_each(|server| server.stuck = true);
     let phase = fleet.play(&mut begin(plan()), 300);
-    let Phase::RolledBack { left, .. } = phase else { panic!("{phase:?}: {:?}", fleet.said) };
+    let Phase::RolledBack { unconfirmed: left, .. } = phase else { panic!("{phase:?}: {:?}", fleet.said) };
     assert_eq!(left.len(), 1);
     assert!(fleet.said.last().unwrap().contains("NOT CONFIRMED by"), "{:?}", fleet.said);
 }
@@ -469,15 +480,17 @@
 fn an_abort_rolls_back_and_a_plan_may_stop_instead() {
     let mut fleet = Fleet::new(6, Change::Nothing, 67);
     let mut coordinator = begin(plan());
-    while coordinator.saved().phase != Phase::Baking {
+    while coordinator.state().phase != Phase::Baking {
         fleet.step(&mut coordinator);
     }
-    let acts = coordinator.abort(fleet.now);
+    let acts = coordinator.handle_abort(fleet.now);
     fleet.take(acts);
-    assert!(matches!(fleet.play(&mut coordinator, 50), Phase::RolledBack { left, .. } if left.is_empty()));
+    assert!(
+        matches!(fleet.play(&mut coordinator, 50), Phase::RolledBack { unconfirmed: left, .. } if left.is_empty())
+    );
     fleet.none_left_changed();
     let mut fleet = Fleet::new(6, Change::ThrottlesPremium(0.2), 68);
-    let mut coordinator = begin(Plan { on_worse: OnWorse::Stop, ..plan() });
+    let mut coordinator = begin(Plan { on_regression: OnRegression::Stop, ..plan() });
     assert!(matches!(fleet.play(&mut coordinator, 300), Phase::Stopped { .. }));
     assert_eq!(fleet.servers.iter().filter(|server| server.adopted).count(), 1);
 }
@@ -485,7 +498,7 @@
 #[test_case(|p| p.stages[1].size = Size::Share(0.0), "stage 2: share: 0 is not above 0 and at most 1")]
 #[test_case(|p| p.stages[2].size = Size::Share(1.5), "stage 3: share: 1.5 is not above 0 and at most 1")]
 #[test_case(|p| p.stages[0].size = Size::Servers(0), "stage 1: servers: 0 changes nothing")]
-#[test_case(|p| p.stages[3].bake = 0, "stage 4: bake-ms: at least 6 intervals, 6000")]
+#[test_case(|p| p.stages[3].bake_time = 0, "stage 4: bake-ms: at least 6 intervals, 6000")]
 #[test_case(|p| p.stages[2].size = Size::Share(0.1), "stage 3: not larger than the one before")]
 #[test_case(|p| p.stages.clear(), "stage: 1 to 32 of them, not 0")]
 #[test_case(|p| p.thresholds.alpha = 0.5, "alpha: 0.5 is not above 0 and at most 0.2")]
@@ -494,7 +507,7 @@
     let mut plan = plan();
     assert_eq!(plan.check(), Ok(()));
     spoil(&mut plan);
-    let fault = Coordinator::new(plan, None, 1, 0).err().unwrap();
+    let fault = Coordinator::new(plan, None, 1, 0).err().unwrap().to_string();
     assert!(fault.starts_with(place) && !fault.contains('\n'), "{fault}");
 }
 
@@ -504,7 +517,7 @@
 fn releases_understand_each_other() {
     #[derive(serde::Serialize)]
     struct Later(Report, String, Vec<u64>);
-    let report = Report { number: 3, version: "0.3.0".into(), adopted: true, ..Report::default() };
+    let report = Report { order_sequence: 3, version: "0.3.0".into(), adopted: true, ..Report::default() };
     let later = wire::encode(&Later(report.clone(), "a field of the next release".into(), vec![1, 2, 3]));
     assert_eq!(wire::decode::<Report>(&later), Some(report));
 }
@@ -515,10 +528,10 @@
         let _ = wire::decode::<Order>(&bytes);
         if let Some(report) = wire::decode::<Report>(&bytes) {
             let mut coordinator = begin(plan());
-            let view = View { alive: vec!["s0".into()], missing: Vec::new(), settled: 60 * S };
-            coordinator.advance(S, &view, true);
-            coordinator.heard(S, "s0", report);
-            coordinator.advance(2 * S, &view, true);
+            let view = FleetView { alive: vec!["s0".into()], missing: Vec::new(), settled_for: 60 * S };
+            coordinator.handle_interval(S, &view, true);
+            coordinator.handle_report(S, "s0", report);
+            coordinator.handle_interval(2 * S, &view, true);
         }
     }
 }
--- a/crates/server/src/fleet/coordinator.rs
+++ b/crates/server/src/fleet/coordinator.rs
@@ -11,9 +11,9 @@
 use anyhow::{Context, Result, anyhow, bail, ensure};
 use meadowstream_configuration::{Options, PlanFile};
 use meadowstream_membership::{MemberState, Membership};
-use meadowstream_rollout::machine::{Act, Coordinator, Phase, Saved, View};
-use meadowstream_rollout::plan::Plan;
-use meadowstream_rollout::wire::{self, Kind};
+use meadowstream_rollout::coordinator::{Action, Coordinator, FleetView, PersistedState, Phase};
+use meadowstream_rollout::plan::{ChangeKind, Plan};
+use meadowstream_rollout::wire;
 use meadowstream_shared_state::{ORDER_REPORTS, ORDERS};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -43,7 +43,7 @@
 }
 
 /// `None` where there is no state yet.
-fn read_state(path: &Path) -> Result<Option<Saved>> {
+fn read_state(path: &Path) -> Result<Option<PersistedState>> {
     let text = match std::fs::read_to_string(path) {
         Err(error) if error.kind() == std::io::ErrorKind::NotFound => return Ok(None),
         text => text.with_context(|| format!("cannot read {}", path.display()))?,
@@ -67,12 +67,14 @@
         Phase::Waiting => "waiting".into(),
         Phase::Applying => "applying".into(),
         Phase::Baking => "baking".into(),
-        Phase::RollingBack { why } => format!("rolling back: {why}"),
+        Phase::RollingBack { reason } => format!("rolling back: {reason}"),
         Phase::Done => "done".into(),
-        Phase::Stopped { why } => format!("stopped: {why}"),
-        Phase::RolledBack { why, left } if left.is_empty() => format!("rolled back: {why}"),
-        Phase::RolledBack { why, left } => {
-            format!("rolled back: {why}; not confirmed by {}", left.join(", "))
+        Phase::Stopped { reason } => format!("stopped: {reason}"),
+        Phase::RolledBack { reason, unconfirmed } if unconfirmed.is_empty() => {
+            format!("rolled back: {reason}")
+        }
+        Phase::RolledBack { reason, unconfirmed } => {
+            format!("rolled back: {reason}; not confirmed by {}", unconfirmed.join(", "))
         }
     }
 }
@@ -91,7 +93,7 @@
     let file = PlanFile::load(&given.plan)?;
     let candidate = given.plan.parent().unwrap_or(Path::new(".")).join(&file.candidate);
     let bytes = std::fs::read(&candidate).with_context(|| format!("cannot read {}", candidate.display()))?;
-    if file.plan.kind == Kind::Settings {
+    if file.plan.kind == ChangeKind::Settings {
         configuration::read_change(&candidate)?;
     }
     let plan = Plan { candidate: hash_of(&bytes), ..file.plan };
@@ -131,7 +133,12 @@
     PathBuf::from(lock)
 }
 
-async fn coordinate(given: &Given, plan: Plan, saved: Option<Saved>, fleet: &Fleet) -> Result<Phase> {
+async fn coordinate(
+    given: &Given,
+    plan: Plan,
+    saved: Option<PersistedState>,
+    fleet: &Fleet,
+) -> Result<Phase> {
     let mut joined = Joined::join(fleet)?;
     let life = joined.life;
     let (interval, resumes) = (plan.interval, saved.is_some());
@@ -146,11 +153,11 @@
         if now >= next {
             next = now + interval;
             if abort_of(&given.state).exists() {
-                let acts = coordinator.abort(now);
+                let acts = coordinator.handle_abort(now);
                 carry_out(acts, given, &mut joined, &say)?;
                 let _ = std::fs::remove_file(abort_of(&given.state));
             }
-            let fresh = coordinator.saved().phase == Phase::Waiting;
+            let fresh = coordinator.state().phase == Phase::Waiting;
             let waited = Duration::from_nanos(now - life);
             ensure!(
                 has_lease || !fresh || waited < given.wait,
@@ -158,19 +165,19 @@
                 holds it, or no majority of <voter>s is heard",
                 given.wait
             );
-            let acts = coordinator.advance(now, &seen(&mut joined.membership, now), has_lease);
+            let acts = coordinator.handle_interval(now, &seen(&mut joined.membership, now), has_lease);
             carry_out(acts, given, &mut joined, &say)?;
         }
-        if coordinator.saved().phase.is_over() {
+        if coordinator.state().phase.is_over() {
             // What is still to be said goes out before it leaves.
             joined.turn(joined.now()).await;
             joined.leave().await;
-            return Ok(coordinator.saved().phase.clone());
+            return Ok(coordinator.state().phase.clone());
         }
         for said in joined.turn(next).await.into_iter().filter(|said| said.topic == ORDER_REPORTS) {
             if let Some(report) = wire::decode(&said.body) {
                 let now = joined.now();
-                coordinator.heard(now, &said.from.name, report);
+                coordinator.handle_report(now, &said.from.name, report);
             }
         }
     }
@@ -178,23 +185,23 @@
 
 /// Saves before what follows from it is sent; a state that cannot be written ends the coordinator, and the
 /// servers stay as they are until it is started again.
-fn carry_out(acts: Vec<Act>, given: &Given, joined: &mut Joined, say: &impl Fn(&str, u64)) -> Result<()> {
+fn carry_out(acts: Vec<Action>, given: &Given, joined: &mut Joined, say: &impl Fn(&str, u64)) -> Result<()> {
     for act in acts {
         match act {
-            Act::Save(saved) => {
+            Action::Save(saved) => {
                 let text = serde_json::to_string_pretty(&saved)?;
                 files::write(&given.state, text.as_bytes())
                     .with_context(|| format!("cannot write {}", given.state.display()))?;
             }
-            Act::Tell(to, order) => joined.send(&to, ORDERS, wire::encode(&order)),
-            Act::Say(what) => say(&what, joined.now()),
+            Action::SendOrder { server, order } => joined.send(&server, ORDERS, wire::encode(&order)),
+            Action::Notify { message } => say(&message, joined.now()),
         }
     }
     Ok(())
 }
 
-fn seen(core: &mut Membership, now: u64) -> View {
-    let mut view = View { settled: now.saturating_sub(core.last_change()), ..View::default() };
+fn seen(core: &mut Membership, now: u64) -> FleetView {
+    let mut view = FleetView { settled_for: now.saturating_sub(core.last_change()), ..FleetView::default() };
     for member in core.view(now).into_iter().filter(|member| !member.name.starts_with(NAMED)) {
         match member.state {
             MemberState::Alive => view.alive.push(member.name),
--- a/crates/server/src/fleet/interval_report.rs
+++ b/crates/server/src/fleet/interval_report.rs
@@ -2,7 +2,7 @@
 //! coordinator to compare.
 
 use hdrhistogram::Histogram;
-use meadowstream_rollout::canary::Figures;
+use meadowstream_rollout::metrics::IntervalMetrics;
 use meadowstream_rollout::wire::CLASSES_MAX;
 use std::cell::RefCell;
 
@@ -20,7 +20,7 @@
 }
 
 struct Class {
-    figures: Figures,
+    figures: IntervalMetrics,
     latency: Histogram<u64>,
 }
 
@@ -34,7 +34,7 @@
         let class = |name: &String| {
             let latency = Histogram::new_with_bounds(1, LONGEST_US, 2).map_err(|fault| fault.to_string())?;
             let class = name.chars().take(NAME_MAX).collect();
-            Ok(Class { figures: Figures { class, ..Figures::default() }, latency })
+            Ok(Class { figures: IntervalMetrics { class, ..IntervalMetrics::default() }, latency })
         };
         let classes = operations.iter().take(CLASSES_MAX).map(class).collect::<Result<_, String>>()?;
         Ok(Record { classes: RefCell::new(classes) })
@@ -54,12 +54,15 @@
     }
 
     /// All since the last time; the record begins anew.
-    pub fn take(&self) -> Vec<Figures> {
+    pub fn take(&self) -> Vec<IntervalMetrics> {
         let taken = |Class { figures, latency }: &mut Class| {
             let p95_us = if latency.is_empty() { 0 } else { latency.value_at_quantile(0.95) };
             latency.reset();
             let class = figures.class.clone();
-            Figures { p95_us, ..std::mem::replace(figures, Figures { class, ..Figures::default() }) }
+            IntervalMetrics {
+                p95_us,
+                ..std::mem::replace(figures, IntervalMetrics { class, ..IntervalMetrics::default() })
+            }
         };
         self.classes.borrow_mut().iter_mut().map(taken).collect()
     }
--- a/crates/server/src/fleet/membership.rs
+++ b/crates/server/src/fleet/membership.rs
@@ -152,7 +152,7 @@
             if topic == ABOUTS
                 && let Some((rollout, words)) = server.rollout.as_ref().zip(wire::decode(&body))
             {
-                rollout.abouts.borrow_mut().hear(words);
+                rollout.versions.borrow_mut().merge(words);
             }
             let order = (topic == ORDERS).then(|| wire::decode::<wire::Order>(&body)).flatten();
             let Some((rollout, order)) = server.rollout.as_ref().zip(order) else { continue };
@@ -173,12 +173,12 @@
         let alive = directory.names();
         if let Some(rollout) = server.rollout.as_ref().filter(|_| now >= self.told_at + TOLD_EVERY) {
             self.told_at = now;
-            let mut abouts = rollout.abouts.borrow_mut();
-            abouts.keep(|name| directory.address(name).is_some());
+            let mut versions = rollout.versions.borrow_mut();
+            versions.retain(|name| directory.address(name).is_some());
             if !alive.is_empty() {
                 // Whoever comes next in turn, from a place that differs by server.
-                let at = (now / TOLD_EVERY).wrapping_add(abouts.me().incarnation) as usize % alive.len();
-                shared.send_other(&alive[at], ABOUTS, wire::encode(&abouts.tell(now)));
+                let at = (now / TOLD_EVERY).wrapping_add(versions.own().incarnation) as usize % alive.len();
+                shared.send_other(&alive[at], ABOUTS, wire::encode(&versions.announcement(now)));
             }
         }
         let (out, again) = shared.advance(alive, &server.counters);
@@ -233,10 +233,10 @@
 /// empty where the options name no `<rollout>`.
 fn runs(server: &Server, view: &[MemberStatus]) -> String {
     let Some(rollout) = &server.rollout else { return String::new() };
-    let abouts = rollout.abouts.borrow();
-    let names = view.iter().map(|seen| seen.name.as_str()).chain([abouts.me().name.as_str()]);
-    let known = names.filter_map(|name| abouts.of(name));
-    let runs = known.map(|about| (&about.name, (&about.version, format!("{:016x}", about.settings))));
+    let versions = rollout.versions.borrow();
+    let names = view.iter().map(|seen| seen.name.as_str()).chain([versions.own().name.as_str()]);
+    let known = names.filter_map(|name| versions.get(name));
+    let runs = known.map(|entry| (&entry.name, (&entry.version, format!("{:016x}", entry.settings_hash))));
     serde_json::to_string(&runs.collect::<std::collections::BTreeMap<_, _>>()).unwrap_or_default()
 }
 
--- a/crates/server/src/fleet/rollout.rs
+++ b/crates/server/src/fleet/rollout.rs
@@ -10,21 +10,22 @@
 use crate::server::Server;
 use anyhow::Context;
 use async_channel::Sender;
-use meadowstream_rollout::about::{About, Abouts};
-use meadowstream_rollout::wire::{Kind, Order, Report};
+use meadowstream_rollout::plan::ChangeKind;
+use meadowstream_rollout::version_table::{ServerVersion, VersionTable};
+use meadowstream_rollout::wire::{Order, Report};
 use meadowstream_shared_state::ServerId;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use tracing::{info, warn};
 
 /// Servers of which is remembered what they run.
-const ABOUTS_MAX: usize = 4096;
+const SERVER_VERSIONS_MAX: usize = 4096;
 
 pub struct Rollout {
     pub record: Record,
     candidate: Candidate,
     /// What each server of the fleet runs.
-    pub abouts: RefCell<Abouts>,
+    pub versions: RefCell<VersionTable>,
     /// Not known until [`know_program`] has read it; 0 where no change of the program may come.
     program: Cell<Option<OwnProgram>>,
     /// Told once it is to end for another program to be started.
@@ -71,10 +72,11 @@
         let program = (!may_change).then_some(OwnProgram { hash: 0, adopted: false });
         let settings = candidate.adopted.unwrap_or(candidate.own);
         let version = env!("CARGO_PKG_VERSION").to_string();
-        let about = About { name: me.name, incarnation: me.incarnation, change: 0, version, settings };
+        let (name, incarnation) = (me.name, me.incarnation);
+        let own = ServerVersion { name, incarnation, sequence: 0, version, settings_hash: settings };
         Ok(Rollout {
             record: Record::new(operations)?,
-            abouts: RefCell::new(Abouts::new(about, ABOUTS_MAX)),
+            versions: RefCell::new(VersionTable::new(own, SERVER_VERSIONS_MAX)),
             program: Cell::new(program),
             leave,
             stands: Cell::new(candidate.adopted),
@@ -111,12 +113,12 @@
 pub fn obey(server: &Rc<Server>, rollout: &Rollout, order: Order) -> Option<Report> {
     let now = server.clock.now();
     let mut last = rollout.last.borrow_mut();
-    if (order.life, order.number) <= (last.life, last.number) {
+    if (order.incarnation, order.sequence) <= (last.life, last.number) {
         return None;
     }
     let program = match order.kind {
-        Kind::Settings => None,
-        Kind::Program => Some(rollout.program.get()?),
+        ChangeKind::Settings => None,
+        ChangeKind::Program => Some(rollout.program.get()?),
     };
     let under_way = rollout.stands.get().is_some() && now < last.at + rollout.lease;
     let report = |refused| {
@@ -126,9 +128,9 @@
             Some(program) => (program.hash, program.adopted),
         };
         Report {
-            number: order.number,
+            order_sequence: order.sequence,
             version: env!("CARGO_PKG_VERSION").to_string(),
-            settings,
+            running_hash: settings,
             adopted,
             refused,
             interval: rollout.intervals.get(),
@@ -142,7 +144,7 @@
     if order.plan != last.plan {
         *rollout.refused.borrow_mut() = None;
     }
-    *last = Last { plan: order.plan, life: order.life, number: order.number, at: now };
+    *last = Last { plan: order.plan, life: order.incarnation, number: order.sequence, at: now };
     drop(last);
     let (kind, adopt) = (order.kind, order.adopt);
     let does = match program {
@@ -153,8 +155,8 @@
         let server2 = server.clone();
         let task = async move {
             match kind {
-                Kind::Settings => change(server2, adopt).await,
-                Kind::Program => change_program(server2, adopt).await,
+                ChangeKind::Settings => change(server2, adopt).await,
+                ChangeKind::Program => change_program(server2, adopt).await,
             }
         };
         server.executor.spawn(task).detach();
@@ -190,7 +192,7 @@
             rollout.stands.set(adopt);
             *rollout.refused.borrow_mut() = None;
             let settings = adopt.unwrap_or(rollout.candidate.own);
-            rollout.abouts.borrow_mut().changed(settings);
+            rollout.versions.borrow_mut().set_settings(settings);
             let settings = format!("{settings:016x}");
             info!(target: "fleet", adopted = adopt.is_some(), settings, "settings");
             // What was done by other settings is not told as done by these.
