--- a/crates/hot-restart/src/frames.rs
+++ b/crates/hot-restart/src/frames.rs
@@ -1,89 +1,122 @@
-//! Frames on the stream between both: a length, a checksum, and the message in a serialization library's
-//! encoding. A reader takes bytes as they come, holds no more than one frame, and trusts none of them.
+//! Frames on the stream between predecessor and successor: the length of the message, its CRC-32, and the
+//! message in postcard. A reader accepts bytes in any pieces, buffers one frame at most, and trusts none of it.
 
+use crate::Nanos;
 use serde::{Deserialize, Serialize};
 
-/// Longest message; state comes in parts.
-pub const FRAME_MAX: usize = 256 * 1024;
-const HEAD: usize = 8;
+/// Longest message in bytes; longer state is sent in parts.
+pub const MESSAGE_BYTES_MAX: usize = 256 * 1024;
+/// Length and checksum, little-endian, 4 bytes each.
+const HEADER_BYTES: usize = 8;
 
-/// One answer that the new one is about to give: for a taker-back to know what may have been said.
+/// An answer that the successor is about to give, so that the predecessor knows after a crash what callers may
+/// have received.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Act {
+pub struct AnnouncedAnswer {
+    /// The invocation answered.
     pub invocation: u64,
-    /// Bytes that its connection had carried before, and those that follow.
+    /// Bytes that its connection had carried before the answer.
     pub offset: u64,
+    /// The bytes of the answer.
     pub bytes: Vec<u8>,
 }
 
-impl Act {
-    /// What is still to be written, where the connection has carried so many bytes in all; `None` where that
-    /// cannot be: the connection is then to be closed.
-    pub fn rest(&self, carried: u64) -> Option<&[u8]> {
-        let done = usize::try_from(carried.checked_sub(self.offset)?).ok()?;
-        self.bytes.get(done..)
+impl AnnouncedAnswer {
+    /// What is still to be written where the connection has carried `carried` bytes in all. `None` where that
+    /// contradicts the announcement; the connection is then to be closed.
+    pub fn unwritten(&self, carried: u64) -> Option<&[u8]> {
+        let written = usize::try_from(carried.checked_sub(self.offset)?).ok()?;
+        self.bytes.get(written..)
     }
 }
 
+/// The messages. postcard numbers variants and fields by position: their order is the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Frame {
-    /// From the old one: what it speaks, and which build it is.
+    /// From the predecessor, first.
     Offer {
+        /// Versions of the protocol that it speaks.
         versions: Vec<u16>,
+        /// Version of its program.
         build: String,
     },
-    /// From the new one: what both will speak.
+    /// From the successor, in answer to the offer.
     Accept {
+        /// Version of the protocol that both speak from now on.
         version: u16,
     },
-    /// From the new one, in place of any answer: it will not go on.
+    /// From the successor, in place of any answer: it does not go on.
     Refuse {
-        why: String,
+        /// Why not.
+        reason: String,
     },
-    /// The configuration to check, and how much state will come.
+    /// From the predecessor: the configuration to check, and how much state follows.
     Prepare {
+        /// Digest of the configuration.
         digest: u64,
+        /// Number of parts of the state.
         parts: u32,
     },
+    /// From the successor: its configuration is the same and can be used.
     Prepared,
-    /// A part of the state, which may still change.
+    /// From the predecessor: a part of the state, which may still change.
     State {
+        /// Index of the part, from 0.
         part: u32,
+        /// The part.
         bytes: Vec<u8>,
     },
-    Warmed,
-    /// What has changed since; the old one has frozen.
+    /// From the successor: the state is loaded.
+    Loaded,
+    /// From the predecessor, which has frozen: what has changed since the state was sent.
     Switch {
-        bytes: Vec<u8>,
+        /// The changes.
+        changes: Vec<u8>,
     },
+    /// From the successor: it has taken over the changes.
     Confirmed,
-    /// All is the new one's from here on.
+    /// From the predecessor: the successor is active from here on.
     Release,
-    /// Said ahead of each answer during the trial.
-    Done(Act),
-    /// The trial is over, as the new one sees it.
-    Settled,
-    /// The old one takes nothing back any more.
-    Bye,
-    /// The notice to leave, passed on.
-    Leave {
-        grace: u64,
+    /// From the successor during the trial, before each answer.
+    Announce(AnnouncedAnswer),
+    /// From the successor: the trial is over.
+    TrialOver,
+    /// From the predecessor: it takes nothing back any more.
+    Retired,
+    /// From the predecessor after the release: the request to drain is passed on.
+    Drain {
+        /// Time until the stop, in nanoseconds.
+        grace: Nanos,
     },
 }
 
-/// Why bytes are no frame.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
-    TooLong,
-    Checksum,
+/// Why bytes are no frame, or a message cannot be one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum FrameError {
+    /// The message is longer than allowed.
+    #[error("a message of {bytes} bytes, over {MESSAGE_BYTES_MAX}")]
+    TooLong {
+        /// Length of the message.
+        bytes: usize,
+    },
+    /// The message is not the one that was sent.
+    #[error("the checksum of the message is {computed:08x}, not {declared:08x}")]
+    Checksum {
+        /// The checksum in the frame's header.
+        declared: u32,
+        /// The checksum of the message received.
+        computed: u32,
+    },
+    /// The message is none that this build knows, or has bytes behind it.
+    #[error("the message is none that this build knows")]
     Encoding,
 }
 
-/// The frame as it goes over the stream; a message that is too long is a fault of its sender.
-pub fn put(out: &mut Vec<u8>, frame: &Frame) -> Result<(), Fault> {
-    let message = postcard::to_allocvec(frame).map_err(|_| Fault::Encoding)?;
-    if message.len() > FRAME_MAX {
-        return Err(Fault::TooLong);
+/// Appends a frame to `out`, which stays as it is where the message is too long.
+pub fn encode(out: &mut Vec<u8>, frame: &Frame) -> Result<(), FrameError> {
+    let message = postcard::to_allocvec(frame).map_err(|_| FrameError::Encoding)?;
+    if message.len() > MESSAGE_BYTES_MAX {
+        return Err(FrameError::TooLong { bytes: message.len() });
     }
     out.extend_from_slice(&(message.len() as u32).to_le_bytes());
     out.extend_from_slice(&crc32fast::hash(&message).to_le_bytes());
@@ -91,53 +124,66 @@
     Ok(())
 }
 
+/// Reads frames from the bytes of a stream.
 #[derive(Debug, Default)]
-pub struct Reader {
-    held: Vec<u8>,
-    broken: Option<Fault>,
+pub struct FrameReader {
+    buffer: Vec<u8>,
+    /// The first error. Nothing is read after it, since the start of the next frame is not known.
+    failed: Option<FrameError>,
 }
 
-impl Reader {
-    /// Bytes that may be given now: no more than a frame needs.
-    pub fn room(&self) -> usize {
-        (HEAD + FRAME_MAX).saturating_sub(self.held.len())
+impl FrameReader {
+    /// Bytes that can be pushed now: no more than one frame is buffered.
+    pub fn capacity(&self) -> usize {
+        (HEADER_BYTES + MESSAGE_BYTES_MAX).saturating_sub(self.buffer.len())
     }
 
-    pub fn give(&mut self, bytes: &[u8]) {
-        self.held.extend_from_slice(&bytes[..bytes.len().min(self.room())]);
+    /// Buffers bytes; those beyond [`FrameReader::capacity`] are dropped.
+    pub fn push(&mut self, bytes: &[u8]) {
+        let count = bytes.len().min(self.capacity());
+        self.buffer.extend_from_slice(&bytes[..count]);
     }
 
-    /// The next whole frame; after a fault nothing is read any more, since no place is known to go on from.
-    pub fn frame(&mut self) -> Result<Option<Frame>, Fault> {
-        let read = match self.broken {
-            Some(fault) => Err(fault),
-            None => self.read(),
+    /// The next frame, `None` until it is complete. After an error the same error is returned again.
+    pub fn next_frame(&mut self) -> Result<Option<Frame>, FrameError> {
+        let read = match self.failed {
+            Some(error) => Err(error),
+            None => self.read_frame(),
         };
-        self.broken = read.as_ref().err().copied();
+        self.failed = read.as_ref().err().copied();
         read
     }
 
-    fn read(&mut self) -> Result<Option<Frame>, Fault> {
-        let word = |at: usize| Some(u32::from_le_bytes(self.held.get(at..at + 4)?.try_into().ok()?));
-        let Some((len, sum)) = word(0).zip(word(4)) else { return Ok(None) };
-        let len = len as usize;
-        if len > FRAME_MAX {
-            return Err(Fault::TooLong);
+    fn read_frame(&mut self) -> Result<Option<Frame>, FrameError> {
+        let (Some(bytes), Some(declared)) = (self.header_word(0), self.header_word(4)) else {
+            return Ok(None);
+        };
+        let bytes = bytes as usize;
+        if bytes > MESSAGE_BYTES_MAX {
+            return Err(FrameError::TooLong { bytes });
         }
-        let Some(message) = self.held.get(HEAD..HEAD + len) else { return Ok(None) };
-        if crc32fast::hash(message) != sum {
-            return Err(Fault::Checksum);
+        let frame_bytes = HEADER_BYTES + bytes;
+        let Some(message) = self.buffer.get(HEADER_BYTES..frame_bytes) else { return Ok(None) };
+        let computed = crc32fast::hash(message);
+        if computed != declared {
+            return Err(FrameError::Checksum { declared, computed });
         }
-        let (frame, rest) = postcard::take_from_bytes(message).map_err(|_| Fault::Encoding)?;
+        let (frame, rest) = postcard::take_from_bytes(message).map_err(|_| FrameError::Encoding)?;
         if !rest.is_empty() {
-            return Err(Fault::Encoding);
+            return Err(FrameError::Encoding);
         }
-        self.held.drain(..HEAD + len);
+        self.buffer.drain(..frame_bytes);
         Ok(Some(frame))
     }
 
-    /// A frame has begun that is not whole.
-    pub fn is_half(&self) -> bool {
-        !self.held.is_empty()
+    /// A number of the header, `None` until its bytes are there.
+    fn header_word(&self, offset: usize) -> Option<u32> {
+        let bytes = self.buffer.get(offset..offset + 4)?;
+        Some(u32::from_le_bytes(bytes.try_into().ok()?))
+    }
+
+    /// Whether a frame has begun that is not complete.
+    pub fn has_partial_frame(&self) -> bool {
+        !self.buffer.is_empty()
     }
 }
--- a/crates/hot-restart/src/successor.rs
+++ b/crates/hot-restart/src/successor.rs
@@ -1,188 +1,264 @@
-//! The new one's side.
+//! The successor's side: it checks its configuration, loads the state, and is active from the release on.
 
-use crate::frames::{Act, Frame};
+use crate::frames::{AnnouncedAnswer, Frame};
 use crate::{Nanos, VERSIONS};
 
+/// Phase of the successor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Step {
-    /// Nothing was heard yet.
+pub enum Phase {
+    /// Waits for the offer.
     Waiting,
+    /// Waits for the digest of the configuration.
     Preparing,
+    /// Checks the configuration.
     Checking,
-    Warming,
+    /// Receives the parts of the state.
+    Receiving,
+    /// Loads the state.
     Loading,
-    Warmed,
-    /// It has all, and waits to be told that it is its own.
+    /// Waits for the switch.
+    Loaded,
+    /// Has everything, and waits for the release.
     Confirmed,
-    /// It acts, and says so ahead of each answer.
+    /// Active; each answer is announced before it is given.
     Trial,
-    /// The same; it has asked to be let go.
-    Settling,
-    /// The old one takes nothing back any more.
+    /// The same; the end of the trial has been reported.
+    TrialOver,
+    /// Active; the predecessor takes nothing back any more.
     Alone,
-    /// To end at once: it owns nothing.
-    Gone,
+    /// To exit at once: it owns nothing.
+    Exited,
 }
 
+/// What the successor is told.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
+    /// A frame arrived.
     Frame(Frame),
-    Nonsense,
-    /// The old one's end of the stream has ended.
+    /// Bytes arrived that are no frame.
+    InvalidFrame,
+    /// The predecessor's end of the stream was closed.
     StreamEnded,
-    /// Its own check of the configuration is done; a text says why it failed.
-    Checked(Result<(), String>),
-    /// All parts of the state are read, or not understood.
-    Loaded(Result<(), String>),
-    Time,
+    /// The check of the configuration is done.
+    ConfigurationChecked {
+        /// Why the configuration cannot be used; absent where it can.
+        rejection: Option<String>,
+    },
+    /// The state has been loaded.
+    StateLoaded {
+        /// Why the state cannot be used; absent where it can.
+        rejection: Option<String>,
+    },
 }
 
+/// What the caller is to carry out, in the order given.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Do {
+pub enum Action {
+    /// Send a frame.
     Send(Frame),
-    /// Check the configuration and that its digest is this one.
-    Check {
+    /// Check the configuration, and that its digest is this one; report [`Event::ConfigurationChecked`].
+    CheckConfiguration {
+        /// Digest of the predecessor's configuration.
         digest: u64,
     },
-    Keep {
+    /// Keep a part of the state.
+    KeepPart {
+        /// Index of the part, from 0.
         part: u32,
+        /// The part.
         bytes: Vec<u8>,
     },
-    /// Make all of it one's own, without acting.
-    Load,
-    /// Take in what has changed since.
-    Change {
-        bytes: Vec<u8>,
+    /// Load the parts of the state without being active; report [`Event::StateLoaded`].
+    LoadState,
+    /// Apply what has changed since the state was sent.
+    ApplyChanges {
+        /// The changes.
+        changes: Vec<u8>,
     },
-    /// Act from now on.
-    Own,
+    /// Be active from now on.
+    Activate,
+    /// Drain.
     Drain {
-        grace: u64,
+        /// Time until the stop, in nanoseconds.
+        grace: Nanos,
     },
-    /// End; nothing was given for good.
+    /// Exit; nothing was handed over for good.
     Exit,
 }
 
+/// The successor's state machine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Successor {
-    step: Step,
-    /// How long each step may take, and the trial.
-    span: Nanos,
+    phase: Phase,
+    /// Longest time of each step, in nanoseconds.
+    step_timeout: Nanos,
+    /// Length of the trial, in nanoseconds.
     trial: Nanos,
-    due: Nanos,
+    deadline: Nanos,
+    /// Parts of the state that were announced, and that have arrived.
     parts: u32,
-    came: u32,
+    parts_received: u32,
 }
 
 impl Successor {
-    pub fn new(span: Nanos, trial: Nanos, now: Nanos) -> Self {
-        Self { step: Step::Waiting, span, trial, due: now.saturating_add(span), parts: 0, came: 0 }
+    /// A successor that waits for the offer. Times are in nanoseconds.
+    pub fn new(step_timeout: Nanos, trial: Nanos, now: Nanos) -> Self {
+        Self {
+            phase: Phase::Waiting,
+            step_timeout,
+            trial,
+            deadline: now.saturating_add(step_timeout),
+            parts: 0,
+            parts_received: 0,
+        }
     }
 
-    pub fn step(&self) -> Step {
-        self.step
+    /// The present phase.
+    pub fn phase(&self) -> Phase {
+        self.phase
     }
 
-    /// It may answer, run, call, report and accept.
-    pub fn acts(&self) -> bool {
-        matches!(self.step, Step::Trial | Step::Settling | Step::Alone)
+    /// Whether the successor may answer, run, call, report and accept.
+    pub fn is_active(&self) -> bool {
+        matches!(self.phase, Phase::Trial | Phase::TrialOver | Phase::Alone)
     }
 
-    /// When `Event::Time` is due.
-    pub fn due(&self) -> Option<Nanos> {
-        let waits = !matches!(self.step, Step::Alone | Step::Gone | Step::Settling);
-        waits.then_some(self.due)
+    /// When [`Successor::handle_timeout`] is to be called, where the phase has a timeout.
+    pub fn poll_timeout(&self) -> Option<Nanos> {
+        match self.phase {
+            Phase::TrialOver | Phase::Alone | Phase::Exited => None,
+            _ => Some(self.deadline),
+        }
     }
 
-    /// What is to be sent before this answer is given; nothing once it is alone.
-    pub fn about_to(&self, act: Act) -> Option<Frame> {
-        matches!(self.step, Step::Trial | Step::Settling).then_some(Frame::Done(act))
+    /// The frame to send before this answer is given; none once the predecessor takes nothing back.
+    pub fn announce(&self, answer: AnnouncedAnswer) -> Option<Frame> {
+        matches!(self.phase, Phase::Trial | Phase::TrialOver).then_some(Frame::Announce(answer))
     }
 
-    fn enter(&mut self, step: Step, now: Nanos) {
-        let span = if step == Step::Trial { self.trial } else { self.span };
-        (self.step, self.due) = (step, now.saturating_add(span));
+    fn enter(&mut self, phase: Phase, now: Nanos) {
+        let timeout = if phase == Phase::Trial { self.trial } else { self.step_timeout };
+        self.phase = phase;
+        self.deadline = now.saturating_add(timeout);
     }
 
-    fn refuse(&mut self, why: &str) -> Vec<Do> {
-        self.step = Step::Gone;
-        vec![Do::Send(Frame::Refuse { why: why.to_string() }), Do::Exit]
+    fn refuse(&mut self, reason: &str) -> Vec<Action> {
+        self.phase = Phase::Exited;
+        vec![Action::Send(Frame::Refuse { reason: reason.to_string() }), Action::Exit]
     }
 
-    pub fn on(&mut self, now: Nanos, event: Event) -> Vec<Do> {
-        match (self.step, event) {
-            (Step::Gone, _) => Vec::new(),
-            (Step::Alone, Event::Frame(Frame::Leave { grace })) => vec![Do::Drain { grace }],
-            (Step::Alone, _) => Vec::new(),
-            (Step::Trial | Step::Settling, event) => self.own(now, event),
-            // The old one has gone or hangs before the release: what it had is gone, or its own still.
-            (_, Event::StreamEnded) => {
-                self.step = Step::Gone;
-                vec![Do::Exit]
+    /// Ends the trial when its time is over, or refuses where the predecessor has not done its step in time.
+    pub fn handle_timeout(&mut self, now: Nanos) -> Vec<Action> {
+        if self.poll_timeout().is_none_or(|deadline| now < deadline) {
+            return Vec::new();
+        }
+        if self.phase == Phase::Trial {
+            self.phase = Phase::TrialOver;
+            return vec![Action::Send(Frame::TrialOver)];
+        }
+        self.refuse("the old one says nothing")
+    }
+
+    /// Handles an event.
+    pub fn handle_event(&mut self, now: Nanos, event: Event) -> Vec<Action> {
+        match self.phase {
+            Phase::Exited => Vec::new(),
+            Phase::Trial | Phase::TrialOver | Phase::Alone => self.handle_while_active(event),
+            _ => self.handle_before_release(now, event),
+        }
+    }
+
+    fn handle_before_release(&mut self, now: Nanos, event: Event) -> Vec<Action> {
+        match event {
+            // The predecessor is gone, or keeps what it has: nothing was handed over.
+            Event::StreamEnded => {
+                self.phase = Phase::Exited;
+                vec![Action::Exit]
             }
-            (_, Event::Time) if now < self.due => Vec::new(),
-            (_, Event::Time) => self.refuse("the old one says nothing"),
-            (_, Event::Nonsense) => self.refuse("no frame"),
-            (step, event) => self.heard(now, step, event),
+            Event::InvalidFrame => self.refuse("no frame"),
+            Event::Frame(frame) => self.handle_frame(now, frame),
+            Event::ConfigurationChecked { rejection } if self.phase == Phase::Checking => match rejection {
+                None => self.handle_configuration_accepted(now),
+                Some(reason) => self.refuse(&reason),
+            },
+            Event::StateLoaded { rejection } if self.phase == Phase::Loading => match rejection {
+                None => {
+                    self.enter(Phase::Loaded, now);
+                    vec![Action::Send(Frame::Loaded)]
+                }
+                Some(reason) => self.refuse(&reason),
+            },
+            Event::ConfigurationChecked { .. } | Event::StateLoaded { .. } => self.refuse_unexpected(),
         }
     }
 
-    fn heard(&mut self, now: Nanos, step: Step, event: Event) -> Vec<Do> {
-        match (step, event) {
-            (Step::Waiting, Event::Frame(Frame::Offer { versions, .. })) => {
+    fn refuse_unexpected(&mut self) -> Vec<Action> {
+        self.refuse("a frame that is not due")
+    }
+
+    fn handle_frame(&mut self, now: Nanos, frame: Frame) -> Vec<Action> {
+        match (self.phase, frame) {
+            (Phase::Waiting, Frame::Offer { versions, .. }) => {
                 let common = VERSIONS.iter().rev().find(|version| versions.contains(version)).copied();
                 let Some(version) = common else { return self.refuse("no version in common") };
-                self.enter(Step::Preparing, now);
-                vec![Do::Send(Frame::Accept { version })]
+                self.enter(Phase::Preparing, now);
+                vec![Action::Send(Frame::Accept { version })]
             }
-            (Step::Preparing, Event::Frame(Frame::Prepare { digest, parts })) => {
+            (Phase::Preparing, Frame::Prepare { digest, parts }) => {
                 self.parts = parts;
-                self.enter(Step::Checking, now);
-                vec![Do::Check { digest }]
-            }
-            (Step::Checking, Event::Checked(Ok(()))) => {
-                self.enter(if self.parts == 0 { Step::Loading } else { Step::Warming }, now);
-                let load = (self.parts == 0).then_some(Do::Load);
-                [Do::Send(Frame::Prepared)].into_iter().chain(load).collect()
+                self.enter(Phase::Checking, now);
+                vec![Action::CheckConfiguration { digest }]
             }
-            (Step::Warming, Event::Frame(Frame::State { part, bytes })) if part == self.came => {
-                self.came += 1;
-                let last = self.came == self.parts;
-                self.enter(if last { Step::Loading } else { Step::Warming }, now);
-                [Do::Keep { part, bytes }].into_iter().chain(last.then_some(Do::Load)).collect()
+            (Phase::Receiving, Frame::State { part, bytes }) if part == self.parts_received => {
+                self.handle_part(now, part, bytes)
             }
-            (Step::Loading, Event::Loaded(Ok(()))) => {
-                self.enter(Step::Warmed, now);
-                vec![Do::Send(Frame::Warmed)]
+            (Phase::Loaded, Frame::Switch { changes }) => {
+                self.enter(Phase::Confirmed, now);
+                vec![Action::ApplyChanges { changes }, Action::Send(Frame::Confirmed)]
             }
-            (Step::Checking, Event::Checked(Err(why))) | (Step::Loading, Event::Loaded(Err(why))) => {
-                self.refuse(&why)
+            (Phase::Confirmed, Frame::Release) => {
+                self.enter(Phase::Trial, now);
+                vec![Action::Activate]
             }
-            (Step::Warmed, Event::Frame(Frame::Switch { bytes })) => {
-                self.enter(Step::Confirmed, now);
-                vec![Do::Change { bytes }, Do::Send(Frame::Confirmed)]
-            }
-            (Step::Confirmed, Event::Frame(Frame::Release)) => {
-                self.enter(Step::Trial, now);
-                vec![Do::Own]
-            }
-            _ => self.refuse("a frame that is not due"),
+            _ => self.refuse_unexpected(),
+        }
+    }
+
+    fn handle_configuration_accepted(&mut self, now: Nanos) -> Vec<Action> {
+        let mut actions = vec![Action::Send(Frame::Prepared)];
+        if self.parts == 0 {
+            self.enter(Phase::Loading, now);
+            actions.push(Action::LoadState);
+        } else {
+            self.enter(Phase::Receiving, now);
+        }
+        actions
+    }
+
+    fn handle_part(&mut self, now: Nanos, part: u32, bytes: Vec<u8>) -> Vec<Action> {
+        self.parts_received += 1;
+        let mut actions = vec![Action::KeepPart { part, bytes }];
+        if self.parts_received == self.parts {
+            self.enter(Phase::Loading, now);
+            actions.push(Action::LoadState);
+        } else {
+            self.enter(Phase::Receiving, now);
         }
+        actions
     }
 
-    /// Whatever the old one does now, this one goes on: it alone acts.
-    fn own(&mut self, now: Nanos, event: Event) -> Vec<Do> {
+    /// The successor alone is active: whatever the predecessor does now, it goes on.
+    fn handle_while_active(&mut self, event: Event) -> Vec<Action> {
         match event {
-            Event::Time if now >= self.due && self.step == Step::Trial => {
-                self.step = Step::Settling;
-                vec![Do::Send(Frame::Settled)]
-            }
-            Event::StreamEnded | Event::Frame(Frame::Bye) => {
-                self.step = Step::Alone;
+            Event::Frame(Frame::Drain { grace }) => vec![Action::Drain { grace }],
+            Event::StreamEnded | Event::Frame(Frame::Retired) => {
+                self.phase = Phase::Alone;
                 Vec::new()
             }
-            Event::Frame(Frame::Leave { grace }) => vec![Do::Drain { grace }],
-            _ => Vec::new(),
+            Event::Frame(_)
+            | Event::InvalidFrame
+            | Event::ConfigurationChecked { .. }
+            | Event::StateLoaded { .. } => Vec::new(),
         }
     }
 }
--- a/crates/hot-restart/tests/model.rs
+++ b/crates/hot-restart/tests/model.rs
@@ -1,8 +1,8 @@
 //! All interleavings of both sides, with either of them killed at any moment, timers that go off whenever
 //! they may, and a stream that loses what its reader did not read. The machines are the real ones.
 
-use meadowstream_hot_restart::frames::{Act, Frame};
-use meadowstream_hot_restart::{old, successor};
+use meadowstream_hot_restart::frames::{AnnouncedAnswer, Frame};
+use meadowstream_hot_restart::{predecessor, successor};
 use stateright::{Checker, Model, Property};
 use std::collections::VecDeque;
 
@@ -11,22 +11,22 @@
 enum Fault {
     None,
     /// The old one is told that the new one is dead before it is.
-    TakenForDead,
+    DeclaredDeadTooEarly,
     /// The new one answers before it says so.
-    ActsUnsaid,
+    AnswersUnannounced,
     /// The old one goes on after it has frozen.
     NeverFreezes,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
-    old: old::Old,
-    new: Option<successor::Successor>,
-    old_alive: bool,
+    predecessor: predecessor::Predecessor,
+    successor: Option<successor::Successor>,
+    predecessor_alive: bool,
     /// Told to end, and not dead yet.
-    new_killed: bool,
-    to_new: VecDeque<Frame>,
-    to_old: VecDeque<Frame>,
+    successor_killed: bool,
+    to_successor: VecDeque<Frame>,
+    to_predecessor: VecDeque<Frame>,
     stream_read_out: bool,
     told_dead: bool,
     /// How often each invocation was answered, and which the old one knows to be answered.
@@ -47,47 +47,54 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
-    Ask,
-    ToOld,
-    ToNew,
-    OldLate,
-    NewLate,
+    RequestUpgrade,
+    DeliverToPredecessor,
+    DeliverToSuccessor,
+    PredecessorTimesOut,
+    SuccessorTimesOut,
     Checked(bool),
     Loaded(bool),
-    OldAnswers(usize),
-    NewAnswers(usize),
-    KillOld,
-    KillNew,
-    OldSeesDeath,
-    OldSeesEnd,
-    NewSeesEnd,
-    Leave,
+    PredecessorAnswers(usize),
+    SuccessorAnswers(usize),
+    KillPredecessor,
+    KillSuccessor,
+    PredecessorSeesDeath,
+    PredecessorSeesEnd,
+    SuccessorSeesEnd,
+    RequestDrain,
 }
 
-struct Handover(Fault);
+struct HotRestart(Fault);
 
-fn limits() -> old::Limits {
-    old::Limits { step: 1, switch: 1, trial: 1, pause: 0, pause_most: 0 }
+fn limits() -> predecessor::Limits {
+    predecessor::Limits { step: 1, switch: 1, trial: 1, backoff: 0, backoff_max: 0 }
+}
+
+/// Why a check fails, where it does.
+fn rejection(good: bool) -> Option<String> {
+    (!good).then(|| "no".to_string())
 }
 
 impl World {
-    fn obey_old(&mut self, todo: Vec<old::Do>) {
-        for each in todo {
+    fn carry_out_predecessor(&mut self, actions: Vec<predecessor::Action>) {
+        for each in actions {
             match each {
-                old::Do::Start => {
-                    self.new = Some(successor::Successor::new(1, 1, self.now));
-                    (self.to_new, self.to_old) = (VecDeque::new(), VecDeque::new());
-                    (self.new_killed, self.stream_read_out, self.told_dead) = (false, false, false);
+                predecessor::Action::StartSuccessor => {
+                    self.successor = Some(successor::Successor::new(1, 1, self.now));
+                    (self.to_successor, self.to_predecessor) = (VecDeque::new(), VecDeque::new());
+                    (self.successor_killed, self.stream_read_out, self.told_dead) = (false, false, false);
                     (self.checks, self.loads) = (false, false);
                 }
-                old::Do::Send(frame) => self.to_new.push_back(frame),
-                old::Do::SendState => self.to_new.push_back(Frame::State { part: 0, bytes: vec![1] }),
-                old::Do::Freeze => {
+                predecessor::Action::Send(frame) => self.to_successor.push_back(frame),
+                predecessor::Action::SendState => {
+                    self.to_successor.push_back(Frame::State { part: 0, bytes: vec![1] })
+                }
+                predecessor::Action::Freeze => {
                     self.given = self.known;
-                    self.to_new.push_back(Frame::Switch { bytes: vec![2] });
+                    self.to_successor.push_back(Frame::Switch { changes: vec![2] });
                 }
-                old::Do::Kill => self.new_killed = true,
-                old::Do::TakeBack(acts) => {
+                predecessor::Action::KillSuccessor => self.successor_killed = true,
+                predecessor::Action::TakeBack(acts) => {
                     acts.iter().for_each(|act| self.known[act.invocation as usize] = true);
                     // What was said and perhaps not done is done now, once: the kernel tells how far it came.
                     for act in &acts {
@@ -95,54 +102,68 @@
                         *given = (*given).max(1);
                     }
                 }
-                old::Do::Drain { .. } | old::Do::Retire | old::Do::Refuse(_) => {}
+                predecessor::Action::Drain { .. }
+                | predecessor::Action::Retire
+                | predecessor::Action::ReportFailure(_) => {}
             }
         }
     }
 
-    fn obey_new(&mut self, todo: Vec<successor::Do>) {
-        for each in todo {
+    fn carry_out_successor(&mut self, actions: Vec<successor::Action>) {
+        for each in actions {
             match each {
-                successor::Do::Send(frame) => self.to_old.push_back(frame),
-                successor::Do::Check { .. } => self.checks = true,
-                successor::Do::Load => self.loads = true,
-                successor::Do::Exit => self.new = None,
+                successor::Action::Send(frame) => self.to_predecessor.push_back(frame),
+                successor::Action::CheckConfiguration { .. } => self.checks = true,
+                successor::Action::LoadState => self.loads = true,
+                successor::Action::Exit => self.successor = None,
                 _ => {}
             }
         }
     }
 
-    fn new_on(&mut self, event: successor::Event) {
+    fn successor_event(&mut self, event: successor::Event) {
         let now = self.now;
-        if let Some(todo) = self.new.as_mut().map(|new| new.on(now, event)) {
-            self.obey_new(todo);
+        if let Some(actions) = self.successor.as_mut().map(|successor| successor.handle_event(now, event)) {
+            self.carry_out_successor(actions);
         }
     }
 
-    fn old_on(&mut self, event: old::Event) {
-        let todo = self.old.on(self.now, event);
-        self.obey_old(todo);
+    fn predecessor_event(&mut self, event: predecessor::Event) {
+        let actions = self.predecessor.handle_event(self.now, event);
+        self.carry_out_predecessor(actions);
+    }
+
+    fn time_out_predecessor(&mut self) {
+        let actions = self.predecessor.handle_timeout(self.now);
+        self.carry_out_predecessor(actions);
+    }
+
+    fn time_out_successor(&mut self) {
+        let now = self.now;
+        if let Some(actions) = self.successor.as_mut().map(|successor| successor.handle_timeout(now)) {
+            self.carry_out_successor(actions);
+        }
     }
 
-    fn new_acts(&self) -> bool {
-        self.new.as_ref().is_some_and(successor::Successor::acts)
+    fn successor_is_active(&self) -> bool {
+        self.successor.as_ref().is_some_and(successor::Successor::is_active)
     }
 }
 
-impl Model for Handover {
+impl Model for HotRestart {
     type State = World;
     type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
-        let mut old = old::Old::new(limits());
-        old.offers(7, 1);
+        let mut predecessor = predecessor::Predecessor::new(limits());
+        predecessor.set_offer(7, 1);
         vec![World {
-            old,
-            new: None,
-            old_alive: true,
-            new_killed: false,
-            to_new: VecDeque::new(),
-            to_old: VecDeque::new(),
+            predecessor,
+            successor: None,
+            predecessor_alive: true,
+            successor_killed: false,
+            to_successor: VecDeque::new(),
+            to_predecessor: VecDeque::new(),
             stream_read_out: false,
             told_dead: false,
             answered: [0; INVOCATIONS],
@@ -158,43 +179,49 @@
 
     fn actions(&self, world: &World, steps: &mut Vec<Step>) {
         let started = world.upgrades > 0;
-        if world.old_alive {
+        if world.predecessor_alive {
             if world.upgrades < UPGRADES {
-                steps.push(Step::Ask);
+                steps.push(Step::RequestUpgrade);
             }
-            if !world.to_old.is_empty() {
-                steps.push(Step::ToOld);
+            if !world.to_predecessor.is_empty() {
+                steps.push(Step::DeliverToPredecessor);
             }
-            if world.old.due().is_some() {
-                steps.push(Step::OldLate);
+            if world.predecessor.poll_timeout().is_some() {
+                steps.push(Step::PredecessorTimesOut);
             }
-            let acts = world.old.acts()
-                || (self.0 == Fault::NeverFreezes && world.old.step() == old::Step::Switching);
+            let acts = world.predecessor.is_active()
+                || (self.0 == Fault::NeverFreezes
+                    && world.predecessor.phase() == predecessor::Phase::Switching);
             let open = |i: &usize| acts && !world.known[*i];
-            steps.extend((0..INVOCATIONS).filter(open).map(Step::OldAnswers));
-            let dead = world.new.is_none() || (self.0 == Fault::TakenForDead && world.new_killed);
+            steps.extend((0..INVOCATIONS).filter(open).map(Step::PredecessorAnswers));
+            let dead = world.successor.is_none()
+                || (self.0 == Fault::DeclaredDeadTooEarly && world.successor_killed);
             if started && dead && !world.told_dead {
-                steps.push(Step::OldSeesDeath);
+                steps.push(Step::PredecessorSeesDeath);
             }
-            if started && world.new.is_none() && world.to_old.is_empty() && !world.stream_read_out {
-                steps.push(Step::OldSeesEnd);
+            if started
+                && world.successor.is_none()
+                && world.to_predecessor.is_empty()
+                && !world.stream_read_out
+            {
+                steps.push(Step::PredecessorSeesEnd);
             }
-            if self.0 == Fault::TakenForDead && world.told_dead && !world.stream_read_out {
-                steps.push(Step::OldSeesEnd);
+            if self.0 == Fault::DeclaredDeadTooEarly && world.told_dead && !world.stream_read_out {
+                steps.push(Step::PredecessorSeesEnd);
             }
             if !world.left {
-                steps.push(Step::Leave);
+                steps.push(Step::RequestDrain);
             }
-            steps.push(Step::KillOld);
+            steps.push(Step::KillPredecessor);
         }
-        if let Some(new) = &world.new {
-            if !world.to_new.is_empty() {
-                steps.push(Step::ToNew);
-            } else if !world.old_alive && new.step() != successor::Step::Alone {
-                steps.push(Step::NewSeesEnd);
+        if let Some(successor) = &world.successor {
+            if !world.to_successor.is_empty() {
+                steps.push(Step::DeliverToSuccessor);
+            } else if !world.predecessor_alive && successor.phase() != successor::Phase::Alone {
+                steps.push(Step::SuccessorSeesEnd);
             }
-            if new.due().is_some() {
-                steps.push(Step::NewLate);
+            if successor.poll_timeout().is_some() {
+                steps.push(Step::SuccessorTimesOut);
             }
             if world.checks {
                 steps.extend([Step::Checked(true), Step::Checked(false)]);
@@ -202,81 +229,81 @@
             if world.loads {
                 steps.extend([Step::Loaded(true), Step::Loaded(false)]);
             }
-            if new.acts() {
-                steps.extend((0..INVOCATIONS).filter(|i| !world.given[*i]).map(Step::NewAnswers));
+            if successor.is_active() {
+                steps.extend((0..INVOCATIONS).filter(|i| !world.given[*i]).map(Step::SuccessorAnswers));
             }
-            steps.push(Step::KillNew);
+            steps.push(Step::KillSuccessor);
         }
     }
 
     fn next_state(&self, last: &World, step: Step) -> Option<World> {
         let mut world = last.clone();
         match step {
-            Step::Ask => {
-                if world.old.step() == old::Step::Serving {
+            Step::RequestUpgrade => {
+                if world.predecessor.phase() == predecessor::Phase::Serving {
                     world.upgrades += 1;
                 }
-                world.old_on(old::Event::Ask);
+                world.predecessor_event(predecessor::Event::UpgradeRequested);
             }
-            Step::ToOld => {
-                let frame = world.to_old.pop_front()?;
-                world.old_on(old::Event::Frame(frame));
+            Step::DeliverToPredecessor => {
+                let frame = world.to_predecessor.pop_front()?;
+                world.predecessor_event(predecessor::Event::Frame(frame));
             }
-            Step::ToNew => {
-                let frame = world.to_new.pop_front()?;
-                world.new_on(successor::Event::Frame(frame));
+            Step::DeliverToSuccessor => {
+                let frame = world.to_successor.pop_front()?;
+                world.successor_event(successor::Event::Frame(frame));
             }
-            Step::OldLate => {
+            Step::PredecessorTimesOut => {
                 world.now = u64::MAX / 4;
-                world.old_on(old::Event::Time);
+                world.time_out_predecessor();
                 world.now = 0;
             }
-            Step::NewLate => {
+            Step::SuccessorTimesOut => {
                 world.now = u64::MAX / 4;
-                world.new_on(successor::Event::Time);
+                world.time_out_successor();
                 world.now = 0;
             }
             Step::Checked(good) => {
                 world.checks = false;
-                world.new_on(successor::Event::Checked(if good { Ok(()) } else { Err("no".to_string()) }));
+                world.successor_event(successor::Event::ConfigurationChecked { rejection: rejection(good) });
             }
             Step::Loaded(good) => {
                 world.loads = false;
-                world.new_on(successor::Event::Loaded(if good { Ok(()) } else { Err("no".to_string()) }));
+                world.successor_event(successor::Event::StateLoaded { rejection: rejection(good) });
             }
-            Step::OldAnswers(i) => {
+            Step::PredecessorAnswers(i) => {
                 world.known[i] = true;
                 world.answered[i] += 1;
             }
-            Step::NewAnswers(i) => {
-                let act = Act { invocation: i as u64, offset: 0, bytes: vec![1] };
+            Step::SuccessorAnswers(i) => {
+                let answer = AnnouncedAnswer { invocation: i as u64, offset: 0, bytes: vec![1] };
                 world.given[i] = true;
-                let said = world.new.as_ref().and_then(|new| new.about_to(act));
+                let said = world.successor.as_ref().and_then(|successor| successor.announce(answer));
                 world.answered[i] += 1;
-                if self.0 != Fault::ActsUnsaid {
-                    world.to_old.extend(said.filter(|_| world.old_alive));
+                if self.0 != Fault::AnswersUnannounced {
+                    world.to_predecessor.extend(said.filter(|_| world.predecessor_alive));
                 }
             }
-            Step::KillOld => {
-                world.old_alive = false;
-                world.to_old.clear();
+            Step::KillPredecessor => {
+                world.predecessor_alive = false;
+                world.to_predecessor.clear();
             }
-            Step::KillNew => {
-                world.new = None;
-                world.to_new.clear();
+            Step::KillSuccessor => {
+                world.successor = None;
+                world.to_successor.clear();
             }
-            Step::OldSeesDeath => {
+            Step::PredecessorSeesDeath => {
                 world.told_dead = true;
-                world.old_on(old::Event::Dead);
+                world.predecessor_event(predecessor::Event::SuccessorExited);
             }
-            Step::OldSeesEnd => {
+            Step::PredecessorSeesEnd => {
                 world.stream_read_out = true;
-                world.old_on(old::Event::StreamEnded);
+                world.predecessor_event(predecessor::Event::StreamEnded);
             }
-            Step::NewSeesEnd => world.new_on(successor::Event::StreamEnded),
-            Step::Leave => {
+            Step::SuccessorSeesEnd => world.successor_event(successor::Event::StreamEnded),
+            Step::RequestDrain => {
                 world.left = true;
-                world.old_on(old::Event::Leave { grace: 1 });
+                world.predecessor_event(predecessor::Event::DrainRequested { grace: 1 });
             }
         }
         Some(world)
@@ -285,32 +312,43 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("never do both act", |_, world: &World| {
-                !(world.old_alive && world.old.acts() && world.new_acts())
+                !(world.predecessor_alive && world.predecessor.is_active() && world.successor_is_active())
             }),
             Property::always("none is answered twice", |_, world: &World| {
                 world.answered.iter().all(|times| *times <= 1)
             }),
-            Property::always("somebody owns it", |model: &Handover, world: &World| {
+            Property::always("somebody owns it", |model: &HotRestart, world: &World| {
                 let mut steps = Vec::new();
                 model.actions(world, &mut steps);
                 // Nothing can happen any more but a kill, a question or a notice: somebody who lives acts.
-                let ends =
-                    |step: &Step| matches!(step, Step::KillOld | Step::KillNew | Step::Ask | Step::Leave);
-                let lives = world.old_alive || world.new.is_some();
-                let acts = (world.old_alive && world.old.acts()) || world.new_acts();
-                !lives || acts || !steps.iter().all(ends) || world.old.step() == old::Step::Ended
+                let ends = |step: &Step| {
+                    matches!(
+                        step,
+                        Step::KillPredecessor
+                            | Step::KillSuccessor
+                            | Step::RequestUpgrade
+                            | Step::RequestDrain
+                    )
+                };
+                let lives = world.predecessor_alive || world.successor.is_some();
+                let acts =
+                    (world.predecessor_alive && world.predecessor.is_active()) || world.successor_is_active();
+                !lives
+                    || acts
+                    || !steps.iter().all(ends)
+                    || world.predecessor.phase() == predecessor::Phase::Retired
             }),
             Property::sometimes("an upgrade succeeds", |_, world: &World| {
-                world.new.as_ref().is_some_and(|new| new.step() == successor::Step::Alone)
-                    && world.old.step() == old::Step::Ended
+                world.successor.as_ref().is_some_and(|successor| successor.phase() == successor::Phase::Alone)
+                    && world.predecessor.phase() == predecessor::Phase::Retired
                     && world.answered == [1; INVOCATIONS]
             }),
             Property::sometimes("all is taken back after a trial", |_, world: &World| {
-                world.old_alive
-                    && world.old.step() == old::Step::Serving
+                world.predecessor_alive
+                    && world.predecessor.phase() == predecessor::Phase::Serving
                     && world.known == [true, false]
                     && world.upgrades == 1
-                    && world.new.is_none()
+                    && world.successor.is_none()
             }),
         ]
     }
@@ -318,7 +356,7 @@
 
 #[test]
 fn in_no_interleaving_do_two_own_an_invocation_or_none() {
-    let checker = Handover(Fault::None).checker().threads(4).spawn_bfs().join();
+    let checker = HotRestart(Fault::None).checker().threads(4).spawn_bfs().join();
     println!("{} states, {} of them unique", checker.state_count(), checker.unique_state_count());
     assert!(checker.unique_state_count() > 1000, "{}", checker.unique_state_count());
     checker.assert_properties();
@@ -327,11 +365,11 @@
 #[test]
 fn a_fault_put_in_on_purpose_is_found() {
     for (fault, found) in [
-        (Fault::TakenForDead, "never do both act"),
-        (Fault::ActsUnsaid, "none is answered twice"),
+        (Fault::DeclaredDeadTooEarly, "never do both act"),
+        (Fault::AnswersUnannounced, "none is answered twice"),
         (Fault::NeverFreezes, "none is answered twice"),
     ] {
-        let checker = Handover(fault).checker().threads(4).spawn_bfs().join();
+        let checker = HotRestart(fault).checker().threads(4).spawn_bfs().join();
         assert!(checker.discovery(found).is_some(), "{fault:?} was not found");
     }
 }
