--- a/crates/cli/tests/command_line.rs
+++ b/crates/cli/tests/command_line.rs
@@ -81,3 +81,13 @@
     assert_eq!(output.status.code(), FAILED);
     assert!(said(&output).contains("/no/file"), "{}", said(&output));
 }
+
+/// The file that the README's first commands name.
+#[test]
+fn the_example_of_the_readme_can_be_served() {
+    let example = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/server-example.json");
+    let output = run(&["check", example]);
+    assert_eq!(output.status.code(), Some(0), "{}", said(&output));
+    let stdout = String::from_utf8(output.stdout).unwrap();
+    assert!(stdout.contains("n3 would listen on 127.0.0.4:6565 for load"), "{stdout}");
+}
