--- a/crates/replication/src/member/snapshot_fetch.rs
+++ b/crates/replication/src/member/snapshot_fetch.rs
@@ -25,7 +25,7 @@
             return;
         }
         // A chunk that comes in counts as one that goes out.
-        if !self.budget.take(BODY_BYTES_MAX as u64, now) {
+        if !self.budget.try_acquire(BODY_BYTES_MAX as u64, now) {
             self.chunk_due = now + CHUNK_RETRY_NS;
             return;
         }
--- a/crates/server/src/calls/task.rs
+++ b/crates/server/src/calls/task.rs
@@ -1,6 +1,6 @@
 //! One call to the records service. Dropped, it is given up: its connection closes.
 
-use crate::server::Input;
+use crate::event::Event;
 use crate::server::Server;
 use crate::server::receive;
 use crate::wire::Parsed;
@@ -8,7 +8,7 @@
 use crate::wire::ring::Ring;
 use async_io::{Async, Timer};
 use futures_lite::{AsyncWriteExt, future};
-use meadowstream_overload_control::{Ending, Nanos};
+use meadowstream_overload_control::{Nanos, Outcome};
 use std::cell::Cell;
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpStream};
@@ -29,7 +29,7 @@
     let begun = server.clock.now();
     // Until the first byte is written it is known that nothing ran, whatever goes wrong.
     let written = Cell::new(false);
-    let failed = || (if written.get() { Ending::Unknown } else { Ending::NeverRan }, Vec::new());
+    let failed = || (if written.get() { Outcome::Unknown } else { Outcome::NeverRan }, Vec::new());
     let late = async {
         Timer::after(Duration::from_nanos(call.timeout)).await;
         failed()
@@ -37,8 +37,8 @@
     let exchanged = async { exchange(&server, to, &call, &written).await.unwrap_or_else(|_| failed()) };
     let (ending, reply) = future::or(exchanged, late).await;
     let took = server.clock.now() - begun;
-    let ended = Input::CallEnded { inv: call.inv, number: call.number, ending, reply, took };
-    let _ = server.inputs.send(ended).await;
+    let ended = Event::CallEnded { invocation: call.inv, number: call.number, ending, reply, took };
+    let _ = server.events.send(ended).await;
 }
 
 async fn exchange(
@@ -46,7 +46,7 @@
     to: SocketAddr,
     call: &Call,
     written: &Cell<bool>,
-) -> std::io::Result<(Ending, Vec<u8>)> {
+) -> std::io::Result<(Outcome, Vec<u8>)> {
     let pooled = server.pool.take(to, call.fresh, &server.descriptors).await?;
     let _ = pooled.stream.get_ref().set_nodelay(true);
     let (reply, alone) = converse(&pooled.stream, to, call, written).await?;
@@ -74,12 +74,14 @@
     loop {
         receive(stream, &mut ring).await?;
         match http::reply(ring.front()) {
-            Parsed::More => {}
-            Parsed::Whole(reply, used) => {
+            Parsed::Incomplete => {}
+            Parsed::Complete(reply, used) => {
                 ring.drop_front(used);
                 return Ok((reply, ring.is_empty()));
             }
-            Parsed::Malformed(why) => return Err(std::io::Error::new(ErrorKind::InvalidData, why)),
+            Parsed::Malformed(error) => {
+                return Err(std::io::Error::new(ErrorKind::InvalidData, error));
+            }
         }
     }
 }
--- a/crates/server/src/event_loop.rs
+++ b/crates/server/src/event_loop.rs
@@ -2,16 +2,17 @@
 
 use crate::calls::task as call;
 use crate::calls::task::Call;
-use crate::connection::table::Told;
+use crate::connection::table::Notification;
+use crate::event::Event;
+use crate::event::Request;
 use crate::fleet::interval_report::Answered;
 use crate::fleet::tier::Over;
-use crate::memory::invocations::Invocation;
-use crate::memory::invocations::Invocations;
-use crate::memory::invocations::Sent;
-use crate::memory::repeats::Echo;
-use crate::memory::repeats::Found;
-use crate::memory::repeats::Repeats;
-use crate::server::Input;
+use crate::resources::idempotency::IdempotencyTable;
+use crate::resources::idempotency::Lookup;
+use crate::resources::idempotency::Replay;
+use crate::resources::invocations::Invocation;
+use crate::resources::invocations::Invocations;
+use crate::resources::invocations::Sent;
 use crate::server::Server;
 use crate::wire::interpreter;
 use crate::wire::interpreter::Notice;
@@ -21,8 +22,8 @@
 use async_io::Timer;
 use futures_lite::future;
 use meadowstream_fair_queueing::Retune;
-use meadowstream_overload_control::controller::{Controller, TICK};
-use meadowstream_overload_control::{Arrival, Effect, Ending, Gauges, Host, Nanos};
+use meadowstream_overload_control::controller::{CONTROL_TIMER, Controller};
+use meadowstream_overload_control::{Arrival, Effect, Gauges, Host, Nanos, Outcome};
 use meadowstream_routing::Wish;
 use siphasher::sip::SipHasher13;
 use std::cmp::Reverse;
@@ -69,9 +70,9 @@
     promised: Option<(u64, u64)>,
     /// Ended here though the module did not mean to; it is told next.
     cut_off: Vec<u64>,
-    repeats: Repeats,
-    /// Repeats that were answered from their forerunner, for the module to hear.
-    settled: Vec<(u64, Ending)>,
+    repeats: IdempotencyTable,
+    /// IdempotencyTable that were answered from their forerunner, for the module to hear.
+    settled: Vec<(u64, Outcome)>,
 }
 
 impl Decisions {
@@ -86,7 +87,7 @@
             .as_ref()
             .map_or((0, 0), |t| (t.entries, t.result_bytes));
         let hands = Hands {
-            repeats: Repeats::new(entries, bytes, unread),
+            repeats: IdempotencyTable::new(entries, bytes, unread),
             settled: Vec::new(),
             server,
             invocations: Invocations::default(),
@@ -102,7 +103,7 @@
         Self { controller: None, hands }
     }
 
-    pub async fn run(mut self, inputs: Receiver<Input>) {
+    pub async fn run(mut self, events: Receiver<Event>) {
         let (mut timer, mut set) = (Timer::never(), None);
         loop {
             self.wake_what_is_due();
@@ -115,8 +116,8 @@
                 (&mut timer).await;
                 None
             };
-            if let Some(input) = future::or(async { inputs.recv().await.ok() }, due).await {
-                self.take(input);
+            if let Some(event) = future::or(async { events.recv().await.ok() }, due).await {
+                self.take(event);
             } else {
                 set = None;
             }
@@ -129,10 +130,10 @@
         act(controller, hands.server.clock.now(), hands);
         while !hands.cut_off.is_empty() || !hands.settled.is_empty() {
             if let Some(inv) = hands.cut_off.pop() {
-                controller.caller_gone(hands.server.clock.now(), inv, hands);
+                controller.on_caller_gone(hands.server.clock.now(), inv, hands);
             }
             if let Some((inv, ending)) = hands.settled.pop() {
-                controller.finished(hands.server.clock.now(), inv, ending, hands);
+                controller.on_run_finished(hands.server.clock.now(), inv, ending, hands);
             }
         }
     }
@@ -144,7 +145,7 @@
         {
             self.hands.wakes.pop();
             match wake {
-                Wake::Module(token) if token == TICK => self.hands.ask_gauges(token),
+                Wake::Module(token) if token == CONTROL_TIMER => self.hands.ask_gauges(token),
                 Wake::Module(token) => self.woken(token, Gauges::default()),
                 Wake::GaugesLate(nonce) => {
                     if let Some((_, token)) = self.hands.asked.take_if(|asked| asked.0 == nonce) {
@@ -157,99 +158,51 @@
     }
 
     fn woken(&mut self, token: u32, gauges: Gauges) {
-        self.with_controller(|controller, now, hands| controller.woken(now, token, gauges, hands));
-    }
-
-    fn take(&mut self, input: Input) {
-        match input {
-            Input::Arrived {
-                connection,
-                tag,
-                operation,
-                reference,
-                since,
-                held_kb,
-                tenant,
-                patience,
-                marked_retry,
-                body,
-                token,
-                sender,
-            } => {
-                let age = self.hands.server.clock.age(since).max(0) as Nanos;
-                let patience = patience.map(|stated| stated.saturating_sub(age).max(1));
-                let arrival = Arrival {
-                    operation,
-                    tenant,
-                    sender: sender.clone(),
-                    age,
-                    patience,
-                    marked_retry,
-                    held_kb,
-                    ..Arrival::default()
-                };
-                let shared = self.hands.server.shared.as_ref();
-                let tenant = sender.as_ref().and_then(|sender| shared?.tenant(&sender.tenant));
-                let invocation = Invocation {
-                    reference,
-                    operation,
-                    tenant,
-                    arrived: since,
-                    body,
-                    connection,
-                    tag,
-                    repeats: None,
-                    answered: false,
-                    runs: false,
-                    unconfirmed: None,
-                    sent_again: false,
-                    stopping: None,
-                    asked: Vec::new(),
-                    waits: false,
-                    call: None,
-                    called: None,
-                };
-                self.arrived(invocation, arrival, token);
-            }
-            Input::Cancelled { connection, tag } => {
+        self.with_controller(|controller, now, hands| controller.on_timer(now, token, gauges, hands));
+    }
+
+    fn take(&mut self, event: Event) {
+        match event {
+            Event::Arrived(request) => self.arrived(*request),
+            Event::Cancelled { connection, tag } => {
                 let open = self.hands.invocations.open_on(connection);
                 let is = |inv: &u64| self.hands.invocations.get(*inv).is_some_and(|one| one.tag == tag);
                 if let Some(inv) = open.into_iter().find(is) {
                     self.caller_gone(inv);
                 }
             }
-            Input::Broken(connection) => {
+            Event::ConnectionLost { connection } => {
                 for inv in self.hands.invocations.open_on(connection) {
                     self.caller_gone(inv);
                 }
             }
-            Input::Linked { cold, age, anew, commands } => {
-                if anew {
+            Event::Linked { cold, age, restarted, commands } => {
+                if restarted {
                     self.lose_all_runs();
                 }
                 self.linked(cold, age, commands);
             }
-            Input::LinkLost => self.hands.commands = None,
-            Input::Noticed(notice) => self.noticed(notice),
-            Input::CallEnded { inv, number, ending, reply, took } => {
+            Event::LinkLost => self.hands.commands = None,
+            Event::Notice(notice) => self.noticed(notice),
+            Event::CallEnded { invocation: inv, number, ending, reply, took } => {
                 if self.hands.call_ended(inv, number, ending, &reply) {
                     self.with_controller(|controller, now, hands| {
-                        controller.call_ended(now, inv, ending, took, hands)
+                        controller.on_call_finished(now, inv, ending, took, hands)
                     });
                 }
             }
-            Input::RoomBelow => self.woken(ROOM_BELOW, Gauges::default()),
-            Input::ShowTenants => self.show_tenants(),
-            Input::Retune(change) => self.retune(&change),
-            Input::Reached(done) => {
+            Event::DownstreamCapacity => self.woken(ROOM_BELOW, Gauges::default()),
+            Event::LogTenants => self.show_tenants(),
+            Event::Retune(change) => self.retune(&change),
+            Event::Processed(done) => {
                 let _ = done.try_send(());
             }
-            Input::SteerTo(reference) => {
-                self.with_controller(|controller, _, _| controller.steer_to(reference))
+            Event::SetTargetUtilization(reference) => {
+                self.with_controller(|controller, _, _| controller.set_target_utilization(reference))
             }
-            Input::Leave => {
+            Event::Shutdown => {
                 let grace = self.hands.server.configuration.stop_ms * 1_000_000;
-                self.with_controller(|controller, now, hands| controller.told_to_leave(now, grace, hands));
+                self.with_controller(|controller, now, hands| controller.on_drain_notice(now, grace, hands));
             }
         }
     }
@@ -258,10 +211,25 @@
     fn caller_gone(&mut self, inv: u64) {
         self.hands.server.counters.unanswered.add();
         self.hands.over(inv);
-        self.with_controller(|controller, now, hands| controller.caller_gone(now, inv, hands));
-    }
-
-    fn arrived(&mut self, mut invocation: Invocation, mut arrival: Arrival, token: Option<Vec<u8>>) {
+        self.with_controller(|controller, now, hands| controller.on_caller_gone(now, inv, hands));
+    }
+
+    fn arrived(&mut self, request: Request) {
+        let age = self.hands.server.clock.age(request.since_unix_ms).max(0) as Nanos;
+        let mut arrival = Arrival {
+            operation: request.operation,
+            tenant: request.tenant,
+            sender: request.sender.clone(),
+            age,
+            remaining_deadline: request.patience.map(|stated| stated.saturating_sub(age).max(1)),
+            is_marked_retry: request.marked_retry,
+            held_kb: request.held_kb,
+            ..Arrival::default()
+        };
+        let shared = self.hands.server.shared.as_ref();
+        let tenant = request.sender.as_ref().and_then(|sender| shared?.tenant(&sender.tenant));
+        let token = request.idempotency_key.clone();
+        let mut invocation = Invocation::new(request, tenant);
         let now = self.hands.server.clock.now();
         let (reached, operation) = (now.saturating_sub(arrival.age), invocation.operation);
         let token = token.map(|token| (token, self.hands.body_hash(&invocation.body)));
@@ -270,41 +238,43 @@
             .map(|(token, body)| self.hands.repeats.find(now, reached, operation, token, *body));
         let counters = &self.hands.server.counters;
         match found {
-            Some(Found::Repeat(of)) => {
+            Some(Lookup::Repeat(of)) => {
                 counters.repeats.add();
                 invocation.repeats = Some(of);
             }
-            Some(Found::Other) => {
+            Some(Lookup::OtherBody) => {
                 counters.tokens_other.add();
                 counters.errored.add();
-                invocation.connection.tell(Told::Answer(invocation.tag, Answer::Errored));
+                invocation
+                    .connection
+                    .notify(Notification::Answer { tag: invocation.tag, answer: Answer::Failed });
                 return;
             }
-            Some(Found::Full) => counters.tokens_full.add(),
-            Some(Found::New) | None => {}
+            Some(Lookup::Full) => counters.tokens_full.add(),
+            Some(Lookup::New) | None => {}
         }
         let (repeats, tag, connection) = (invocation.repeats, invocation.tag, invocation.connection.clone());
         let id = self.controller.as_ref().and_then(|_| self.hands.invocations.take_in(invocation));
         let Some(id) = id else {
             // Before the module has started none should come; a reference in hand would be run as another.
             self.hands.server.counters.errored.add();
-            connection.tell(Told::Answer(tag, Answer::Errored));
+            connection.notify(Notification::Answer { tag, answer: Answer::Failed });
             return;
         };
-        if let Some((token, body)) = token.filter(|_| found == Some(Found::New)) {
+        if let Some((token, body)) = token.filter(|_| found == Some(Lookup::New)) {
             let window =
-                self.hands.server.configuration.settings.deployment.operations[operation].token_window;
+                self.hands.server.configuration.settings.deployment.operations[operation].idempotency_window;
             // From when it was read: a caller whose clock is behind must not find the window over too soon.
             self.hands.repeats.keep(id, operation, &token, body, now + window);
         }
-        (arrival.id, arrival.repeats, arrival.unkept) = (id, repeats, found == Some(Found::Full));
-        self.with_controller(|controller, now, hands| controller.arrived(now, arrival, hands));
+        (arrival.id, arrival.repeats, arrival.key_not_stored) = (id, repeats, found == Some(Lookup::Full));
+        self.with_controller(|controller, now, hands| controller.on_arrival(now, arrival, hands));
     }
 
     /// Takes one part of a change of shares over, and notes the longest pause that a part has made.
     fn retune(&mut self, change: &Retune) {
         let began = Instant::now();
-        self.with_controller(|controller, now, _| controller.retune(now, change));
+        self.with_controller(|controller, now, _| controller.reconfigure_fair_queueing(now, change));
         let pause = &self.hands.server.retune_pause;
         pause.set(pause.get().max(began.elapsed()));
     }
@@ -336,16 +306,17 @@
         }
         let configuration = &self.hands.server.configuration;
         let (mut deployment, seed) = (configuration.settings.deployment.clone(), configuration.seed);
-        deployment.cold = cold;
-        deployment.reference = configuration.reference.get();
+        deployment.starts_cold = cold;
+        deployment.target_utilization = configuration.reference.get();
         // A change that came before the first link is in force from the start.
         let options = configuration.options.borrow();
-        deployment.fair = options.tenants.as_ref().map(|tenants| tenants.fair.clone()).or(deployment.fair);
+        deployment.fair_queueing =
+            options.tenants.as_ref().map(|tenants| tenants.fair.clone()).or(deployment.fair_queueing);
         drop(options);
         let born = self.hands.server.clock.now().saturating_sub(age);
         self.controller = Some(Controller::new(deployment, seed, born, &mut self.hands));
         if self.hands.server.leaves() {
-            self.take(Input::Leave);
+            self.take(Event::Shutdown);
         }
     }
 
@@ -353,7 +324,7 @@
     /// stopped unasked. The module holds again what may run twice, and ends the rest with an error.
     fn lose_all_runs(&mut self) {
         for inv in self.hands.invocations.running() {
-            self.ended(inv, Ending::Cancelled, Vec::new());
+            self.ended(inv, Outcome::Cancelled, Vec::new());
         }
     }
 
@@ -368,7 +339,7 @@
                 self.hands.server.counters.awaits.add();
                 let invocation = self.hands.invocations.get(inv).expect("found just now");
                 (invocation.asked, invocation.waits, invocation.unconfirmed) = (body, true, None);
-                self.with_controller(|controller, now, hands| controller.needs_call(now, inv, hands));
+                self.with_controller(|controller, now, hands| controller.on_call_needed(now, inv, hands));
             }
             Notice::Gauges { nonce, readings } => {
                 if self.hands.fence.take_if(|fence| *fence == nonce).is_some() {
@@ -376,8 +347,8 @@
                 } else if let Some((_, token)) = self.hands.asked.take_if(|asked| asked.0 == nonce) {
                     let settings = &self.hands.server.configuration.settings;
                     let gauge = |place: Option<usize>| place.and_then(|i| readings.get(i).copied());
-                    let (busy, wanting) = (gauge(settings.busy_gauge), gauge(settings.wanting_gauge));
-                    self.woken(token, Gauges { busy, wanting });
+                    let (busy, wanting) = (gauge(settings.utilization_gauge), gauge(settings.runnable_gauge));
+                    self.woken(token, Gauges { utilization: busy, runnable: wanting });
                 }
             }
             Notice::NotDone { command, task } => {
@@ -386,7 +357,7 @@
                 if command == "APPLY"
                     && let Some(inv) = task.and_then(|task| self.hands.invocations.find(task))
                 {
-                    self.ended(inv, Ending::NeverRan, Vec::new());
+                    self.ended(inv, Outcome::NeverRan, Vec::new());
                 }
             }
             Notice::Banner { .. } | Notice::Remark => {}
@@ -396,15 +367,15 @@
     /// One that never ran is not known to the interpreter or over for it: an error, since asking again would
     /// bring the same. For the module nobody waits for it. Guards against calls made up by a peer, from which
     /// it would learn that runs fail here; harms where an interpreter forgets what it was sent.
-    fn ended(&mut self, inv: u64, ending: Ending, result: Vec<u8>) {
-        if ending == Ending::NeverRan {
+    fn ended(&mut self, inv: u64, ending: Outcome, result: Vec<u8>) {
+        if ending == Outcome::NeverRan {
             self.hands.forget_what_never_ran(inv);
         }
         self.hands.run_ended(inv, ending, result);
-        if ending == Ending::NeverRan {
-            self.with_controller(|controller, now, hands| controller.caller_gone(now, inv, hands));
+        if ending == Outcome::NeverRan {
+            self.with_controller(|controller, now, hands| controller.on_caller_gone(now, inv, hands));
         }
-        self.with_controller(|controller, now, hands| controller.finished(now, inv, ending, hands));
+        self.with_controller(|controller, now, hands| controller.on_run_finished(now, inv, ending, hands));
         self.hands.invocations.release(inv);
     }
 }
@@ -419,8 +390,8 @@
 
     /// Answers a repeat as its forerunner ended.
     fn settle(&mut self, inv: u64, result: Option<Vec<u8>>) {
-        let ending = if result.is_some() { Ending::Succeeded } else { Ending::Errored };
-        self.answer(inv, result.map_or(Answer::Errored, Answer::Succeeded));
+        let ending = if result.is_some() { Outcome::Succeeded } else { Outcome::Failed };
+        self.answer(inv, result.map_or(Answer::Failed, Answer::Succeeded));
         self.settled.push((inv, ending));
     }
 
@@ -493,13 +464,13 @@
         let counters = &self.server.counters;
         match &answer {
             Answer::Succeeded(_) => counters.succeeded.add(),
-            Answer::Throttled { .. } => counters.throttled.add(),
+            Answer::Rejected { .. } => counters.throttled.add(),
             _ => counters.errored.add(),
         }
         if let Some(rollout) = &self.server.rollout {
             let how = match &answer {
                 Answer::Succeeded(_) => Answered::Succeeded,
-                Answer::Throttled { .. } => Answered::Throttled,
+                Answer::Rejected { .. } => Answered::Throttled,
                 _ => Answered::Errored,
             };
             let after = self.server.clock.age(invocation.arrived).max(0) as Nanos;
@@ -511,17 +482,17 @@
             let settings = &self.server.configuration.settings;
             let (operation, tenant) = (invocation.operation, invocation.tenant.as_deref());
             let name = &settings.operation_names[operation];
-            let billed = settings.deployment.operations[operation].billed_value * 1000.0;
+            let billed = settings.deployment.operations[operation].priority_weight * 1000.0;
             match &answer {
                 Answer::Succeeded(_) => {
                     shared.count("succeeded", name, tenant, 1);
                     shared.count("billed-thousandths", name, tenant, billed.round().max(0.0) as u64);
                 }
-                Answer::Throttled { .. } => shared.count("throttled", name, tenant, 1),
+                Answer::Rejected { .. } => shared.count("throttled", name, tenant, 1),
                 _ => shared.count("errored", name, tenant, 1),
             }
         }
-        invocation.connection.tell(Told::Answer(invocation.tag, answer));
+        invocation.connection.notify(Notification::Answer { tag: invocation.tag, answer });
         self.over(inv);
     }
 
@@ -545,8 +516,8 @@
     fn end_at_its_call(&mut self, inv: u64) {
         let operations = &self.server.configuration.settings.deployment.operations;
         let Some(invocation) = self.invocations.get(inv).filter(|i| i.runs && i.waits) else { return };
-        if operations[invocation.operation].effect != Effect::Tokened {
-            self.stop(inv);
+        if operations[invocation.operation].effect != Effect::IdempotentWithKey {
+            self.stop_run(inv);
         }
     }
 
@@ -562,20 +533,20 @@
     /// command went out more than once the first may have run.
     fn forget_what_never_ran(&mut self, inv: u64) {
         if self.invocations.get(inv).is_some_and(|invocation| !invocation.sent_again) {
-            self.forget(inv);
+            self.forget_key(inv);
         }
     }
 
-    fn run_ended(&mut self, inv: u64, ending: Ending, result: Vec<u8>) {
+    fn run_ended(&mut self, inv: u64, ending: Outcome, result: Vec<u8>) {
         self.server.counters.runs_ended.add();
         self.drop_call(inv);
-        let good = Some(&result).filter(|result| ending == Ending::Succeeded && result.len() <= WORD_MAX);
+        let good = Some(&result).filter(|result| ending == Outcome::Succeeded && result.len() <= WORD_MAX);
         for repeat in self.repeats.ended(inv, good.map(Vec::as_slice)) {
             self.settle(repeat, good.cloned());
         }
         match ending {
-            Ending::Succeeded if result.len() <= WORD_MAX => self.answer(inv, Answer::Succeeded(result)),
-            Ending::Succeeded | Ending::Errored | Ending::NeverRan => self.answer(inv, Answer::Errored),
+            Outcome::Succeeded if result.len() <= WORD_MAX => self.answer(inv, Answer::Succeeded(result)),
+            Outcome::Succeeded | Outcome::Failed | Outcome::NeverRan => self.answer(inv, Answer::Failed),
             _ => {}
         }
         if let Some(invocation) = self.invocations.get(inv) {
@@ -584,21 +555,21 @@
     }
 
     /// False for a call that is not under way any more.
-    fn call_ended(&mut self, inv: u64, number: u64, ending: Ending, reply: &[u8]) -> bool {
+    fn call_ended(&mut self, inv: u64, number: u64, ending: Outcome, reply: &[u8]) -> bool {
         let Some(invocation) = self.invocations.get(inv) else { return false };
         if invocation.call.take_if(|call| call.0 == number).is_none() {
             return false;
         }
-        let over = if ending == Ending::Succeeded { Over::Good } else { Over::Bad };
-        self.server.shared.iter().for_each(|shared| shared.ended(number, ending != Ending::Unknown, over));
+        let over = if ending == Outcome::Succeeded { Over::Good } else { Over::Bad };
+        self.server.shared.iter().for_each(|shared| shared.ended(number, ending != Outcome::Unknown, over));
         let counters = &self.server.counters;
         match ending {
-            Ending::Succeeded => counters.calls_succeeded.add(),
-            Ending::Errored => counters.calls_errored.add(),
-            Ending::NeverRan => counters.calls_never_ran.add(),
+            Outcome::Succeeded => counters.calls_succeeded.add(),
+            Outcome::Failed => counters.calls_errored.add(),
+            Outcome::NeverRan => counters.calls_never_ran.add(),
             _ => counters.calls_unknown.add(),
         }
-        if ending == Ending::Succeeded {
+        if ending == Outcome::Succeeded {
             counters.replies_sent.add();
             let line = interpreter::resolve(invocation.reference, reply);
             (invocation.asked, invocation.waits) = (Vec::new(), false);
@@ -620,14 +591,14 @@
     /// invocation ends with an error.
     fn cannot(&mut self, inv: u64, what: &str) {
         warn!(what, "not on this wire");
-        self.answer(inv, Answer::Errored);
-        self.stop(inv);
+        self.answer(inv, Answer::Failed);
+        self.stop_run(inv);
         self.cut_off.push(inv);
     }
 }
 
 impl Host for Hands {
-    fn run(&mut self, inv: u64) {
+    fn start_run(&mut self, inv: u64) {
         let Some(invocation) = self.invocations.get(inv) else { return };
         invocation.runs = true;
         let operation = &self.server.configuration.settings.operation_names[invocation.operation];
@@ -636,7 +607,7 @@
         self.send_for(inv, line);
     }
 
-    fn stop(&mut self, inv: u64) {
+    fn stop_run(&mut self, inv: u64) {
         let Some(invocation) = self.invocations.get(inv).filter(|invocation| invocation.runs) else { return };
         let line = interpreter::stop(invocation.reference);
         self.server.counters.stops_sent.add();
@@ -646,25 +617,25 @@
         }
     }
 
-    fn promise(&mut self, inv: u64, ticket: u64) {
+    fn promise_admission(&mut self, inv: u64, ticket: u64) {
         self.promised = Some((inv, ticket));
     }
 
-    fn throttle(&mut self, inv: u64, no_retry: bool, stay_away: Nanos) {
+    fn reject(&mut self, inv: u64, no_retry: bool, retry_after: Nanos) {
         let ticket = self.promised.take().filter(|(to, _)| *to == inv).map(|(_, ticket)| ticket);
-        self.answer(inv, Answer::Throttled { no_retry, stay_away, ticket });
+        self.answer(inv, Answer::Rejected { no_retry, retry_after, ticket });
     }
 
-    fn give_up(&mut self, inv: u64) {
-        self.answer(inv, Answer::Errored);
+    fn fail(&mut self, inv: u64) {
+        self.answer(inv, Answer::Failed);
     }
 
-    fn may_call(&mut self, inv: u64, waiting: usize) -> bool {
+    fn may_start_call(&mut self, inv: u64, waiting: usize) -> bool {
         let wish = self.wish(inv);
         self.server.shared.as_ref().is_none_or(|shared| shared.may_call(waiting, wish))
     }
 
-    fn call(&mut self, inv: u64, timeout: Nanos) {
+    fn start_call(&mut self, inv: u64, timeout: Nanos) {
         let Some(to) = self.server.configuration.addresses.get().records else {
             return self.cannot(inv, "a call");
         };
@@ -694,38 +665,38 @@
     }
 
     /// Kept from its arrival on already.
-    fn remember(&mut self, _inv: u64, _life: Nanos) {}
+    fn remember_key(&mut self, _inv: u64, _life: Nanos) {}
 
-    fn forget(&mut self, inv: u64) {
+    fn forget_key(&mut self, inv: u64) {
         for repeat in self.repeats.forget(inv) {
             self.settle(repeat, None);
         }
     }
 
-    fn reuse(&mut self, inv: u64) {
+    fn replay_result(&mut self, inv: u64) {
         let Some(of) = self.invocations.get(inv).and_then(|invocation| invocation.repeats) else {
             return self.cannot(inv, "answering a repeat from its forerunner");
         };
         match self.repeats.echo(of, inv) {
-            Echo::Wait => {}
-            Echo::Result(result) => self.settle(inv, Some(result)),
-            Echo::Nothing => self.settle(inv, None),
+            Replay::Pending => {}
+            Replay::Result(result) => self.settle(inv, Some(result)),
+            Replay::Failed => self.settle(inv, None),
         }
     }
 
-    fn health(&mut self, good: bool, _stored: bool) {
-        self.server.standing.healthy.set(good);
+    fn set_health(&mut self, good: bool, _stored: bool) {
+        self.server.health.healthy.set(good);
     }
 
-    fn advertise(&mut self, value: f64) {
-        self.server.standing.advertised.set(Some(value));
+    fn advertise_load(&mut self, value: f64) {
+        self.server.health.advertised_load.set(Some(value));
     }
 
-    fn close_idle(&mut self, after: Nanos) {
-        self.server.connections.idle_enough(self.server.clock.now().saturating_sub(after));
+    fn close_idle_connections(&mut self, after: Nanos) {
+        self.server.connections.drain_idle_since(self.server.clock.now().saturating_sub(after));
     }
 
-    fn wake(&mut self, after: Nanos, token: u32) {
+    fn set_timer(&mut self, after: Nanos, token: u32) {
         self.put_wake(after, Wake::Module(token));
     }
 
--- a/crates/server/src/fleet/joined.rs
+++ b/crates/server/src/fleet/joined.rs
@@ -43,8 +43,8 @@
         let (life, name) = (clock.now(), fleet.name.clone());
         let addr = fleet.advertise.unwrap_or(bound);
         let me = MemberId { name: name.clone(), addr, incarnation: life };
-        let refused = |fault: String| anyhow!("<membership>: {fault}");
-        let mut membership = Membership::new(me, &fleet.settings, life, life).map_err(refused)?;
+        let membership = Membership::new(me, &fleet.settings, life, life);
+        let mut membership = membership.map_err(|fault| anyhow!("<membership>: {fault}"))?;
         membership.join(&fleet.seeds, life);
         let settings = fleet.shared.clone().context("<replication> or <rollout> is missing")?;
         let who = ServerId { name: name.clone(), incarnation: life };
@@ -75,7 +75,7 @@
     /// Says whether it wants the lease of this name, and whether it holds it now.
     pub fn lease(&mut self, name: &str, wants: bool) -> bool {
         let time = self.shared.read(self.reading());
-        let lease = self.shared.budgets.iter_mut().find(|budget| budget.plan().name == name);
+        let lease = self.shared.budgets.iter_mut().find(|budget| budget.settings().name == name);
         lease.is_some_and(|lease| {
             lease.set_demand(u64::from(wants), 0);
             wants && lease.allowance(time).leased > 0
@@ -115,8 +115,8 @@
             }
         }
         self.membership.handle_timeout(now);
-        let others = self.shared.others().into_iter();
-        others.map(|(from, topic, body)| Said { from, topic, body }).collect()
+        let others = self.shared.take_received().into_iter();
+        others.map(|other| Said { from: other.from, topic: other.topic, body: other.body }).collect()
     }
 
     async fn flush(&mut self) {
