--- a/crates/configuration/src/error.rs
+++ b/crates/configuration/src/error.rs
@@ -161,5 +161,5 @@
     #[error("{0}")]
     TenantLimit(meadowstream_fair_queueing::SettingsError),
     #[error("{0}")]
-    Plan(String),
+    Plan(meadowstream_rollout::plan::PlanError),
 }
