--- a/crates/server/src/event_loop/downstream.rs
+++ b/crates/server/src/event_loop/downstream.rs
@@ -7,13 +7,13 @@
 use crate::resources::invocations::RunningCall;
 use crate::wire::interpreter;
 use meadowstream_overload_control::{Effect, Nanos, Outcome};
-use meadowstream_routing::Wish;
+use meadowstream_routing::CallPreference;
 
 impl ActionExecutor {
     /// Whether the fleet permits the call of an invocation, while so many runs wait for theirs.
     pub fn is_call_permitted(&mut self, id: u64, waiting: usize) -> bool {
-        let request = self.routing_request(id);
-        self.server.shared.as_ref().is_none_or(|shared| shared.may_call(waiting, request))
+        let preference = self.call_preference(id);
+        self.server.shared.as_ref().is_none_or(|shared| shared.may_call(waiting, preference))
     }
 
     /// Makes the call that a run waits for.
@@ -23,14 +23,14 @@
         };
         self.last_call += 1;
         let number = self.last_call;
-        let request = self.routing_request(id);
+        let preference = self.call_preference(id);
         let Some(invocation) = self.invocations.get(id) else { return };
         let (reference, body) = (invocation.reference, invocation.call_body.clone());
         let operations = &self.server.configuration.settings.deployment.operations;
         let fresh = operations[invocation.operation].effect != Effect::Idempotent;
         let shared = self.server.shared.as_ref();
         let (timeout, place) =
-            shared.map_or((timeout, None), |shared| shared.called(number, timeout, request));
+            shared.map_or((timeout, None), |shared| shared.called(number, timeout, preference));
         invocation.last_service = place.as_ref().map(|place| place.service);
         let to = place.map_or(records, |place| place.to);
         let call = Call { invocation: id, number, reference, timeout, body, fresh };
@@ -99,10 +99,10 @@
 
     /// What the call of an invocation needs of a service. Only first attempts of what is idempotent may be
     /// spent on a health check.
-    fn routing_request(&mut self, id: u64) -> Wish {
-        let Some(invocation) = self.invocations.get(id) else { return Wish::default() };
-        let (operation, last) = (invocation.operation, invocation.last_service);
+    fn call_preference(&mut self, id: u64) -> CallPreference {
+        let Some(invocation) = self.invocations.get(id) else { return CallPreference::default() };
+        let (operation, last_service) = (invocation.operation, invocation.last_service);
         let is_idempotent = self.effect(operation) == Effect::Idempotent;
-        Wish { last, may_probe: is_idempotent && last.is_none() }
+        CallPreference { last_service, may_probe: is_idempotent && last_service.is_none() }
     }
 }
--- a/crates/server/src/event_loop/mod.rs
+++ b/crates/server/src/event_loop/mod.rs
@@ -15,7 +15,7 @@
 use crate::wire::interpreter::Notice;
 use async_channel::{Receiver, Sender};
 use futures_lite::future;
-use meadowstream_fair_queueing::{Heavy, Retune};
+use meadowstream_fair_queueing::{SettingsChange, TopTenant};
 use meadowstream_overload_control::controller::{CONTROL_TIMER, Controller};
 use meadowstream_overload_control::{Gauges, Nanos, Outcome};
 use std::rc::Rc;
@@ -153,7 +153,7 @@
     }
 
     /// Applies one part of a change of weights and shares, and keeps the longest pause that a part has made.
-    fn retune(&mut self, change: &Retune) {
+    fn retune(&mut self, change: &SettingsChange) {
         let began = Instant::now();
         self.with_controller(|controller, now, _| controller.reconfigure_fair_queueing(now, change));
         let pause = &self.actions.server.retune_pause;
@@ -166,12 +166,12 @@
         let Some(shown) = options.tenants.as_ref().map(|tenants| tenants.shown) else { return };
         let now = self.actions.server.clock.now();
         let Some(fair) = self.controller.as_mut().and_then(Controller::fair) else { return };
-        let (counts, level) = (fair.counts, fair.level());
+        let (counts, fair_rate) = (fair.counters, fair.fair_rate());
         let (accounts, promises, bytes) = (fair.accounts(), fair.promises(), fair.bytes());
-        info!(level, accounts, promises, bytes, ?counts, "shares");
-        for heavy in fair.heaviest(now, shown) {
-            let Heavy { name, weight, asks, ahead, within, surplus } = heavy;
-            info!(tenant = name, weight, asks, ahead, within, surplus, "share");
+        info!(fair_rate, accounts, promises, bytes, ?counts, "shares");
+        for top in fair.top_tenants(now, shown) {
+            let TopTenant { name, weight, demand, ahead, within, surplus } = top;
+            info!(tenant = name, weight, demand, ahead, within, surplus, "share");
         }
     }
 
