--- a/crates/capacity/src/fleet.rs
+++ b/crates/capacity/src/fleet.rs
@@ -4,7 +4,7 @@
 use crate::hollow::{Hollow, Settings};
 use crate::meter::Costs;
 use crate::topology::{self, Place};
-use meadowstream_membership::Nanos;
+use meadowstream_membership::{Nanos, Transmit};
 use meadowstream_replication::message::Location;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
@@ -205,7 +205,7 @@
         let Some(hollow) = self.servers[from].as_mut() else { return };
         let (outgoing, due) = (hollow.outgoing(), hollow.next_due());
         self.timers.push(Reverse((due, from)));
-        for (address, datagram) in outgoing {
+        for Transmit { to: address, datagram } in outgoing {
             let Some(to) = Self::index(address).filter(|to| *to < self.servers.len()) else { continue };
             let lost = self.loss > 0.0 && (self.rng.next_u64() as f64 / u64::MAX as f64) < self.loss;
             if lost || self.is_cut(from, to) {
--- a/crates/capacity/src/hollow.rs
+++ b/crates/capacity/src/hollow.rs
@@ -4,7 +4,7 @@
 use crate::meter::{Costs, thread_time};
 use meadowstream_membership::directory::Directory;
 use meadowstream_membership::envelope::{HEADER_BYTES, TAG_BYTES};
-use meadowstream_membership::{MemberId, Membership, Nanos};
+use meadowstream_membership::{MemberId, Membership, Nanos, Transmit};
 use meadowstream_replication::member::Member;
 use meadowstream_shared_state::clock::Reading;
 use meadowstream_shared_state::{REPLICATION, ServerId, SharedState};
@@ -171,8 +171,8 @@
         self.membership.poll_timeout().unwrap_or(Nanos::MAX).min(self.shared_due).min(replication)
     }
 
-    /// Datagrams to send, to whom; taken once.
-    pub fn outgoing(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
+    /// Datagrams to send since the last call.
+    pub fn outgoing(&mut self) -> Vec<Transmit> {
         let outgoing = self.membership.take_transmits();
         let counts = self.membership.counts();
         // What is neither shared state nor configuration is the membership's own.
--- a/crates/membership/src/directory.rs
+++ b/crates/membership/src/directory.rs
@@ -8,8 +8,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Longest time between two readings of the view. A change of both a member's arrival and another's departure
-/// within one instant of the caller's clock goes unnoticed until then.
+/// Longest time between two readings of the view, in case a change was not noticed.
 const AGE_MAX_NS: Nanos = 10_000_000_000;
 
 /// Addresses of the members alive or suspect, by name.
--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -3,7 +3,7 @@
 
 use crate::envelope::{ENVELOPE_BYTES, PayloadKind};
 use crate::settings::{GOSSIP_MEMBERS, Settings};
-use crate::{Membership, Nanos};
+use crate::{Membership, Nanos, Transmit};
 use meadowstream_rate_limit::SlidingWindow;
 use std::net::SocketAddr;
 
@@ -71,6 +71,6 @@
         if kind != PayloadKind::SharedState {
             self.budget.charge(bytes, self.now);
         }
-        self.transmits.push((to, datagram));
+        self.transmits.push(Transmit { to, datagram });
     }
 }
--- a/crates/membership/src/envelope.rs
+++ b/crates/membership/src/envelope.rs
@@ -17,7 +17,6 @@
 //! | then 32 | HMAC-SHA256(key, fleet name, bytes 0..30+len) |
 
 use hmac::{Hmac, KeyInit, Mac};
-use serde::Serialize;
 use sha2::{Digest, Sha256};
 use std::ops::Range;
 
@@ -60,25 +59,34 @@
 const SEQUENCE: Range<usize> = 20..28;
 
 /// Reason why a datagram was dropped.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum DropReason {
     /// Shorter than a header and a tag.
+    #[error("shorter than a header and a tag")]
     Short,
     /// Longer than the settings or UDP allow.
+    #[error("longer than the settings or UDP allow")]
     Oversized,
     /// Another magic.
+    #[error("not a datagram of this protocol")]
     Magic,
     /// A version or a kind of payload that this build does not know.
+    #[error("a version or kind of payload that this build does not know")]
     Version,
     /// The declared length of the body is not the length received.
+    #[error("the declared length is not the length received")]
     Length,
     /// The mark of another fleet.
+    #[error("of another fleet")]
     Fleet,
     /// The tag does not match: forged, corrupted, or sealed with another key.
+    #[error("the tag does not match")]
     Tag,
     /// A sequence number already accepted or too old, or an incarnation older than one seen from that address.
+    #[error("a replay")]
     Replay,
     /// Authentic, but its payload was rejected, or too many bodies of shared state wait.
+    #[error("the payload was rejected")]
     Protocol,
 }
 
@@ -95,21 +103,6 @@
         DropReason::Replay,
         DropReason::Protocol,
     ];
-
-    /// Lower-case name of the reason.
-    pub fn name(self) -> &'static str {
-        match self {
-            DropReason::Short => "short",
-            DropReason::Oversized => "oversized",
-            DropReason::Magic => "magic",
-            DropReason::Version => "version",
-            DropReason::Length => "length",
-            DropReason::Fleet => "fleet",
-            DropReason::Tag => "tag",
-            DropReason::Replay => "replay",
-            DropReason::Protocol => "protocol",
-        }
-    }
 }
 
 /// Seals and opens the datagrams of one fleet under one key.
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -34,7 +34,7 @@
 
 pub use identity::{MemberId, NAME_BYTES_MAX};
 pub use settings::{DEFAULT_BYTES_PER_SECOND, Settings, SettingsError};
-pub use view::{Change, Counts, MemberState, MemberStatus};
+pub use view::{Change, Counts, MemberState, MemberStatus, ViewChange};
 
 use dissemination::SendBudget;
 use envelope::Sealer;
@@ -65,6 +65,22 @@
     },
 }
 
+/// A datagram to send.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Transmit {
+    /// Address that the datagram goes to.
+    pub to: SocketAddr,
+    /// The datagram, sealed.
+    pub datagram: Vec<u8>,
+}
+
+/// Timers fire in the order of their deadline, and of their scheduling where that is the same.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct TimerKey {
+    deadline: Nanos,
+    sequence: u64,
+}
+
 /// The membership of one server.
 pub struct Membership {
     foca: Foca<MemberId, PostcardCodec, ChaCha8Rng, foca::NoCustomBroadcast>,
@@ -74,8 +90,8 @@
     probe_period: Nanos,
     announce_period: Nanos,
 
-    // Timers, in the order of their deadline and then of their scheduling.
-    timers: BTreeMap<(Nanos, u64), Timer<MemberId>>,
+    // What is due when.
+    timers: BTreeMap<TimerKey, Timer<MemberId>>,
     /// Number of the last timer scheduled.
     timer_sequence: u64,
     /// When the view is next compared with another member's.
@@ -89,12 +105,12 @@
     /// Number of the last datagram sealed under the present incarnation.
     sequence: u64,
     budget: SendBudget,
-    transmits: Vec<(SocketAddr, Vec<u8>)>,
+    transmits: Vec<Transmit>,
     /// Bodies of shared state received and not yet taken by the caller.
     shared_state_bodies: Vec<Vec<u8>>,
 
     // The view as the caller reads it.
-    changes: Vec<(Nanos, Change)>,
+    changes: Vec<ViewChange>,
     state_since: HashMap<SocketAddr, StateSince>,
     last_change: Nanos,
     counts: Counts,
--- a/crates/membership/src/replay_window.rs
+++ b/crates/membership/src/replay_window.rs
@@ -78,14 +78,4 @@
             self.windows.remove(&address);
         }
     }
-
-    /// Number of senders with a window.
-    pub fn len(&self) -> usize {
-        self.windows.len()
-    }
-
-    /// Whether no sender has a window.
-    pub fn is_empty(&self) -> bool {
-        self.windows.is_empty()
-    }
 }
--- a/crates/membership/src/runtime.rs
+++ b/crates/membership/src/runtime.rs
@@ -2,8 +2,8 @@
 
 use crate::envelope::PayloadKind;
 use crate::identity::MemberId;
-use crate::view::Change;
-use crate::{Membership, Nanos};
+use crate::view::{Change, ViewChange};
+use crate::{Membership, Nanos, TimerKey};
 use foca::{Notification, Runtime, Timer};
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
         self.changes.push(match notification {
             Notification::MemberUp(id) => Change::Up(id.clone()),
             Notification::MemberDown(id) => Change::Down(id.clone()),
-            Notification::Rename(old, new) => Change::Renamed(old.clone(), new.clone()),
+            Notification::Rename(old, new) => Change::Renamed { old: old.clone(), new: new.clone() },
             Notification::Active => Change::Active,
             Notification::Idle => Change::Idle,
             Notification::Rejoin(id) => Change::Rejoined(id.clone()),
@@ -57,12 +57,13 @@
             if change.alters_members() {
                 self.last_change = self.now;
             }
-            self.changes.push((self.now, change));
+            self.changes.push(ViewChange { at: self.now, change });
         }
     }
 
     pub(crate) fn schedule(&mut self, deadline: Nanos, timer: Timer<MemberId>) {
         self.timer_sequence += 1;
-        self.timers.insert((deadline, self.timer_sequence), timer);
+        let key = TimerKey { deadline, sequence: self.timer_sequence };
+        self.timers.insert(key, timer);
     }
 }
--- a/crates/membership/src/simulation/mod.rs
+++ b/crates/membership/src/simulation/mod.rs
@@ -8,9 +8,9 @@
 
 pub use network::NetworkConditions;
 
-use crate::{MemberId, Membership, Nanos, Settings};
+use crate::{MemberId, Membership, Nanos, Settings, Transmit};
 use network::Network;
-use process::{Process, Transmits};
+use process::Process;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
@@ -19,6 +19,13 @@
 const PORT: u16 = 7000;
 const NETWORK: [u8; 2] = [127, 1];
 
+/// A deadline of a member.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct Timeout {
+    at: Nanos,
+    member: usize,
+}
+
 /// Members by index, the network between them, and the simulated time.
 pub struct SimulatedFleet {
     settings: Settings,
@@ -27,7 +34,7 @@
     processes: Vec<Process>,
     network: Network,
     /// Deadlines of the members; those that a later event has moved are passed over.
-    timeouts: BinaryHeap<Reverse<(Nanos, usize)>>,
+    timeouts: BinaryHeap<Reverse<Timeout>>,
     /// Threads that play members. One plays event by event. More play in windows of the network's least delay,
     /// within which no member receives what another sends, so that the outcome is the same for any number;
     /// they require a delay above 0.
@@ -163,12 +170,12 @@
         let transmits = membership.take_transmits();
         self.send(member, transmits);
         let timeout = self.processes[member].next_timeout();
-        self.timeouts.extend(timeout.map(|at| Reverse((at, member))));
+        self.timeouts.extend(timeout.map(|at| Reverse(Timeout { at, member })));
     }
 
-    fn send(&mut self, member: usize, transmits: Transmits) {
+    fn send(&mut self, member: usize, transmits: Vec<Transmit>) {
         let from = (member, SimulatedFleet::addr(member));
-        for (to, datagram) in transmits {
+        for Transmit { to, datagram } in transmits {
             self.sent += 1;
             self.sent_bytes += datagram.len() as u64;
             if let Some(to) = SimulatedFleet::member_at(to) {
@@ -179,7 +186,7 @@
 
     /// When the next event is: a datagram's arrival or a deadline.
     fn next_event(&self) -> Option<Nanos> {
-        let timeout = self.timeouts.peek().map(|Reverse((at, _))| *at);
+        let timeout = self.timeouts.peek().map(|Reverse(timeout)| timeout.at);
         self.network.next_arrival().into_iter().chain(timeout).min()
     }
 
@@ -210,7 +217,7 @@
 
     /// Plays the earliest deadline, where its member still has it.
     fn fire_timeout(&mut self) {
-        let Some(Reverse((at, member))) = self.timeouts.pop() else { return };
+        let Some(Reverse(Timeout { at, member })) = self.timeouts.pop() else { return };
         let process = &mut self.processes[member];
         if !process.is_running() || process.next_timeout() != Some(at) {
             return;
--- a/crates/membership/src/simulation/parallel.rs
+++ b/crates/membership/src/simulation/parallel.rs
@@ -1,8 +1,8 @@
 //! Members played side by side over several threads, for fleets of thousands. The outcome does not depend on
 //! the number of threads.
 
-use super::SimulatedFleet;
-use super::process::{Arrival, Process, Transmits};
+use super::process::{Arrival, Process, Sent};
+use super::{SimulatedFleet, Timeout};
 use crate::{MemberId, Nanos};
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -19,22 +19,29 @@
     arrivals: Vec<Arrival>,
 }
 
+/// What one member sent at one time.
+struct SentByMember {
+    member: usize,
+    sent: Sent,
+}
+
 /// What members did within a window.
 #[derive(Default)]
 struct WindowOutcome {
-    sent: Vec<(Nanos, usize, Transmits)>,
-    timeouts: Vec<(Nanos, usize)>,
+    sent: Vec<SentByMember>,
+    timeouts: Vec<Timeout>,
 }
 
 impl WindowTask<'_> {
     fn play(&mut self, now: Nanos, end: Nanos, outcome: &mut WindowOutcome) {
         let arrivals = std::mem::take(&mut self.arrivals);
-        for (at, transmits) in self.process.play_window(now, end, arrivals) {
-            outcome.sent.push((at, self.member, transmits));
+        for sent in self.process.play_window(now, end, arrivals) {
+            outcome.sent.push(SentByMember { member: self.member, sent });
         }
         // A stalled member has its deadline noted again when it resumes.
         if self.process.is_running() {
-            outcome.timeouts.extend(self.process.next_timeout().map(|at| (at, self.member)));
+            let timeout = self.process.next_timeout();
+            outcome.timeouts.extend(timeout.map(|at| Timeout { at, member: self.member }));
         }
     }
 }
@@ -81,9 +88,9 @@
             let now = self.now;
             let end = (next.max(now) + self.network.least_delay()).min(until + 1);
             let outcome = self.play_window(now, end);
-            for (at, member, transmits) in outcome.sent {
-                self.now = at;
-                self.send(member, transmits);
+            for SentByMember { member, sent } in outcome.sent {
+                self.now = sent.at;
+                self.send(member, sent.transmits);
             }
             self.timeouts.extend(outcome.timeouts.into_iter().map(Reverse));
             self.now = self.now.max(end - 1);
@@ -99,7 +106,7 @@
             }
         }
         let mut outcome = play_tasks(tasks, self.threads, now, end);
-        outcome.sent.sort_by_key(|(at, member, _)| (*at, *member));
+        outcome.sent.sort_by_key(|sent| (sent.sent.at, sent.member));
         outcome
     }
 
@@ -110,9 +117,9 @@
             let arrival = Arrival { at: delivery.at, from: delivery.from, datagram: delivery.datagram };
             arrivals.entry(delivery.to).or_default().push(arrival);
         }
-        while self.timeouts.peek().is_some_and(|Reverse((at, _))| *at < end) {
-            if let Some(Reverse((_, member))) = self.timeouts.pop() {
-                arrivals.entry(member).or_default();
+        while self.timeouts.peek().is_some_and(|Reverse(timeout)| timeout.at < end) {
+            if let Some(Reverse(timeout)) = self.timeouts.pop() {
+                arrivals.entry(timeout.member).or_default();
             }
         }
         arrivals
--- a/crates/membership/src/simulation/process.rs
+++ b/crates/membership/src/simulation/process.rs
@@ -1,14 +1,11 @@
 //! One simulated process: it runs, is stalled, or is gone.
 
-use crate::{Membership, Nanos};
+use crate::{Membership, Nanos, Transmit};
 use std::net::SocketAddr;
 
 /// Datagrams that a stalled process's socket buffers; later ones are lost, as by a full receive buffer.
 const SOCKET_BUFFER_MAX: usize = 256;
 
-/// Datagrams to send, each with the address it goes to.
-pub(super) type Transmits = Vec<(SocketAddr, Vec<u8>)>;
-
 /// A datagram that arrives at a process.
 pub(super) struct Arrival {
     pub(super) at: Nanos,
@@ -16,6 +13,12 @@
     pub(super) datagram: Vec<u8>,
 }
 
+/// What a process sent at one time.
+pub(super) struct Sent {
+    pub(super) at: Nanos,
+    pub(super) transmits: Vec<Transmit>,
+}
+
 #[derive(Default)]
 pub(super) struct Process {
     /// Absent while the process does not exist.
@@ -78,13 +81,8 @@
     }
 
     /// Plays the arrivals of a window, in the order of their time, and the timers that are due before its end.
-    /// Returns what it sent, with the time.
-    pub(super) fn play_window(
-        &mut self,
-        now: Nanos,
-        end: Nanos,
-        arrivals: Vec<Arrival>,
-    ) -> Vec<(Nanos, Transmits)> {
+    /// Returns what it sent.
+    pub(super) fn play_window(&mut self, now: Nanos, end: Nanos, arrivals: Vec<Arrival>) -> Vec<Sent> {
         if self.is_stalled {
             for arrival in arrivals {
                 self.receive(arrival.from, arrival.datagram, arrival.at);
@@ -109,7 +107,7 @@
             };
             let transmits = membership.take_transmits();
             if !transmits.is_empty() {
-                sent.push((at, transmits));
+                sent.push(Sent { at, transmits });
             }
         }
     }
--- a/crates/membership/src/state_machine.rs
+++ b/crates/membership/src/state_machine.rs
@@ -3,8 +3,8 @@
 use crate::envelope::{DropReason, PayloadKind};
 use crate::messages::AntiEntropyMessage;
 use crate::runtime::FocaEffects;
-use crate::view::Change;
-use crate::{MemberId, Membership, Nanos};
+use crate::view::ViewChange;
+use crate::{MemberId, Membership, Nanos, Transmit};
 use foca::{Member, Timer};
 use std::net::SocketAddr;
 
@@ -102,7 +102,7 @@
     /// Fires foca's timers. A round of gossip beyond the send budget is put off by a gossip period.
     fn fire_timers(&mut self) {
         while let Some(entry) = self.timers.first_entry() {
-            if entry.key().0 > self.now {
+            if entry.key().deadline > self.now {
                 break;
             }
             let timer = entry.remove();
@@ -118,7 +118,7 @@
 
     /// When [`Membership::handle_timeout`] is next to be called.
     pub fn poll_timeout(&self) -> Option<Nanos> {
-        let timer = self.timers.keys().next().map(|(deadline, _)| *deadline);
+        let timer = self.timers.keys().next().map(|key| key.deadline);
         let deadlines =
             [timer, self.rejoin.deadline(), self.suspicions.deadline(), Some(self.anti_entropy_at)];
         deadlines.into_iter().flatten().min()
@@ -141,13 +141,13 @@
         self.sealer.body_max()
     }
 
-    /// Datagrams to send since the last call, each with the address it goes to.
-    pub fn take_transmits(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
+    /// Datagrams to send since the last call.
+    pub fn take_transmits(&mut self) -> Vec<Transmit> {
         std::mem::take(&mut self.transmits)
     }
 
-    /// Changes of the view since the last call, each with the time when this server learnt of it.
-    pub fn take_changes(&mut self) -> Vec<(Nanos, Change)> {
+    /// Changes of the view since the last call.
+    pub fn take_changes(&mut self) -> Vec<ViewChange> {
         std::mem::take(&mut self.changes)
     }
 }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -46,15 +46,29 @@
     }
 }
 
+/// A change of the view, and when this server learnt of it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ViewChange {
+    /// When this server learnt of the change, in nanoseconds.
+    pub at: Nanos,
+    /// The change.
+    pub change: Change,
+}
+
 /// A change of the view.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize)]
+#[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// A member joined or came back.
     Up(MemberId),
     /// A member left or was declared down.
     Down(MemberId),
-    /// The first identity was replaced by the second, a later incarnation at the same address.
-    Renamed(MemberId, MemberId),
+    /// A member was replaced by a later incarnation at the same address.
+    Renamed {
+        /// The identity before.
+        old: MemberId,
+        /// The identity now.
+        new: MemberId,
+    },
     /// This server knows one other member at least.
     Active,
     /// This server knows no member that is not down.
@@ -67,7 +81,7 @@
     /// Whether a member came, went or was renamed.
     pub(crate) fn alters_members(&self) -> bool {
         match self {
-            Change::Up(_) | Change::Down(_) | Change::Renamed(..) | Change::Rejoined(_) => true,
+            Change::Up(_) | Change::Down(_) | Change::Renamed { .. } | Change::Rejoined(_) => true,
             Change::Active | Change::Idle => false,
         }
     }
@@ -176,11 +190,6 @@
     pub fn counts(&self) -> &Counts {
         &self.counts
     }
-
-    /// Updates that wait to be sent with gossip.
-    pub fn backlog(&self) -> usize {
-        self.foca.updates_backlog()
-    }
 }
 
 /// Since when the member has been in this state and incarnation, and whether that is a change seen now. A
--- a/crates/membership/tests/bytes.rs
+++ b/crates/membership/tests/bytes.rs
@@ -84,7 +84,7 @@
     let ask = |asked: &mut Membership, now: u64, sequence: u64| {
         let datagram = sealer.seal(PayloadKind::AntiEntropy, 1, sequence, &digest).expect("short");
         asked.handle_datagram(SimulatedFleet::addr(1), &datagram, now).expect("authentic");
-        asked.take_transmits().iter().map(|(_, datagram)| datagram.len() as u64).sum::<u64>()
+        asked.take_transmits().iter().map(|one| one.datagram.len() as u64).sum::<u64>()
     };
     let at_once: u64 = (1..=5).map(|sequence| ask(&mut asked, 4 * SECOND, sequence)).sum();
     // An eighth is left to probes, answers and verdicts.
@@ -100,7 +100,7 @@
             AntiEntropyMessage::decode(opened.body).filter(|_| opened.kind == PayloadKind::AntiEntropy);
         exchange.is_some_and(|exchange| matches!(exchange.payload, AntiEntropyPayload::Digest { .. }))
     };
-    assert!(asked.take_transmits().iter().any(|(_, datagram)| compares(datagram)), "no comparison soon");
+    assert!(asked.take_transmits().iter().any(|one| compares(&one.datagram)), "no comparison soon");
 }
 
 #[test]
--- a/crates/membership/tests/datagrams.rs
+++ b/crates/membership/tests/datagrams.rs
@@ -23,7 +23,7 @@
     let me = MemberId { name: "b".into(), addr: from(), incarnation: 1 };
     let mut b = Membership::new(me, &Settings::lan("quiz", KEY), 2, 0).unwrap();
     b.join(&["127.0.0.1:7001".parse().unwrap()], 0);
-    b.take_transmits().pop().unwrap().1
+    b.take_transmits().pop().unwrap().datagram
 }
 
 #[test]
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -4,7 +4,7 @@
 use meadowstream_membership::envelope::{PayloadKind, Sealer};
 use meadowstream_membership::messages::{AntiEntropyMessage, AntiEntropyPayload};
 use meadowstream_membership::simulation::{NetworkConditions, SimulatedFleet};
-use meadowstream_membership::{Change, MemberId, MemberState, Membership, Settings};
+use meadowstream_membership::{Change, MemberId, MemberState, Membership, Settings, Transmit};
 use test_case::test_case;
 
 const MS: u64 = 1_000_000;
@@ -77,7 +77,8 @@
     fleet.run_until(t + 10 * S);
     for i in 0..n {
         let core = fleet.member_mut(i).expect("running");
-        let downs = core.take_changes().into_iter().filter(|(_, c)| matches!(c, Change::Down(_))).count();
+        let downs =
+            core.take_changes().into_iter().filter(|one| matches!(one.change, Change::Down(_))).count();
         assert_eq!(downs, 0, "member {i} declared a death");
         assert_eq!(core.alive_addresses().len(), n - 1, "member {i} lost someone");
     }
@@ -182,7 +183,7 @@
     let mut deaths = 0;
     for i in 0..n {
         let changes = fleet.member_mut(i).expect("running").take_changes();
-        deaths += changes.iter().filter(|(_, c)| matches!(c, Change::Down(_))).count();
+        deaths += changes.iter().filter(|one| matches!(one.change, Change::Down(_))).count();
     }
     eprintln!("{deaths} deaths heard by {n} members in 10 minutes, period {period} s");
     // Stated rate (docs/membership.md): one death heard by each member in 10 minutes at most.
@@ -313,7 +314,7 @@
 }
 
 /// 16 members that agreed, then one datagram to member 1 saying that member 0 holds it so.
-fn told(state: State) -> (Membership, MemberId, Vec<(std::net::SocketAddr, Vec<u8>)>) {
+fn told(state: State) -> (Membership, MemberId, Vec<Transmit>) {
     let id =
         |i: usize| MemberId { name: format!("server-{i}"), addr: SimulatedFleet::addr(i), incarnation: 7 };
     let mut core = Membership::new(id(1), &settings(16), 1, 0).expect("good settings");
@@ -332,12 +333,12 @@
 fn a_member_told_that_it_is_held_down_takes_its_next_incarnation() {
     let (mut core, was, _) = told(State::Down);
     assert_eq!(core.identity().incarnation, was.incarnation + 1);
-    assert!(core.take_changes().iter().any(|(_, c)| matches!(c, Change::Rejoined(_))));
+    assert!(core.take_changes().iter().any(|one| matches!(one.change, Change::Rejoined(_))));
 }
 
 #[test]
 fn a_suspect_told_of_it_answers_the_teller_at_once_and_keeps_its_incarnation() {
     let (core, was, out) = told(State::Suspect);
     assert_eq!(*core.identity(), was);
-    assert!(out.iter().any(|(to, _)| *to == SimulatedFleet::addr(0)), "the teller hears the refutation");
+    assert!(out.iter().any(|one| one.to == SimulatedFleet::addr(0)), "the teller hears the refutation");
 }
--- a/crates/membership/tests/verdicts.rs
+++ b/crates/membership/tests/verdicts.rs
@@ -55,7 +55,7 @@
             |exchange| matches!(exchange.payload, AntiEntropyPayload::Verdict { member } if down(&member)),
         )
     };
-    core.take_transmits().into_iter().filter(|(_, datagram)| says(datagram)).map(|(to, _)| to).collect()
+    core.take_transmits().into_iter().filter(|one| says(&one.datagram)).map(|one| one.to).collect()
 }
 
 #[test]
--- a/crates/rollout/src/coordinator/mod.rs
+++ b/crates/rollout/src/coordinator/mod.rs
@@ -150,11 +150,6 @@
         &self.state
     }
 
-    /// The plan that is carried out.
-    pub fn plan(&self) -> &Plan {
-        &self.plan
-    }
-
     /// Handles a server's report. Reports on orders of an earlier incarnation, and older ones than the latest
     /// of that server, are dropped.
     pub fn handle_report(&mut self, now: Nanos, server: &str, report: Report) {
--- a/crates/server/src/fleet/joined.rs
+++ b/crates/server/src/fleet/joined.rs
@@ -10,7 +10,7 @@
 use futures_lite::future;
 use meadowstream_membership::directory::Directory;
 use meadowstream_membership::envelope::DATAGRAM_BYTES_MAX;
-use meadowstream_membership::{MemberId, Membership};
+use meadowstream_membership::{MemberId, Membership, Transmit};
 use meadowstream_shared_state::clock::Reading;
 use meadowstream_shared_state::{ServerId, SharedState};
 use std::net::{SocketAddr, UdpSocket};
@@ -120,7 +120,7 @@
     }
 
     async fn flush(&mut self) {
-        for (to, datagram) in self.membership.take_transmits() {
+        for Transmit { to, datagram } in self.membership.take_transmits() {
             let _ = self.socket.send_to(&datagram, to).await;
         }
     }
--- a/crates/server/src/fleet/membership.rs
+++ b/crates/server/src/fleet/membership.rs
@@ -9,7 +9,9 @@
 use futures_lite::future;
 use meadowstream_membership::directory::Directory;
 use meadowstream_membership::envelope::DATAGRAM_BYTES_MAX;
-use meadowstream_membership::{Change, MemberId, MemberState, MemberStatus, Membership};
+use meadowstream_membership::{
+    Change, MemberId, MemberState, MemberStatus, Membership, Transmit, ViewChange,
+};
 use meadowstream_rollout::wire;
 use meadowstream_shared_state::{ABOUTS, ORDER_REPORTS, ORDERS, REPLICATION};
 use std::net::{SocketAddr, UdpSocket};
@@ -62,7 +64,7 @@
     loop {
         sharing.play(&server, &mut core, now()).await;
         send(&socket, &mut core).await;
-        for (at, change) in core.take_changes() {
+        for ViewChange { at, change } in core.take_changes() {
             say(&change, at);
         }
         if now() >= next_view {
@@ -206,7 +208,7 @@
 }
 
 async fn send(socket: &Async<UdpSocket>, core: &mut Membership) {
-    for (to, datagram) in core.take_transmits() {
+    for Transmit { to, datagram } in core.take_transmits() {
         if let Err(error) = socket.send_to(&datagram, to).await {
             tracing::debug!(target: "fleet", %to, %error, "send");
         }
@@ -217,7 +219,7 @@
     let (what, id) = match change {
         Change::Up(id) => ("up", Some(id)),
         Change::Down(id) => ("down", Some(id)),
-        Change::Renamed(_, id) => ("renamed", Some(id)),
+        Change::Renamed { new: id, .. } => ("renamed", Some(id)),
         Change::Rejoined(id) => ("rejoined", Some(id)),
         Change::Active => ("active", None),
         Change::Idle => ("idle", None),
