--- a/crates/server/src/event.rs
+++ b/crates/server/src/event.rs
@@ -3,7 +3,7 @@
 use crate::connection::table::Connection;
 use crate::wire::interpreter::Notice;
 use async_channel::Sender;
-use meadowstream_fair_queueing::Retune;
+use meadowstream_fair_queueing::SettingsChange;
 use meadowstream_overload_control::{Nanos, Outcome, Sender as TenantSender};
 use std::rc::Rc;
 
@@ -84,7 +84,7 @@
     /// The log is to show the tenants with the highest demand.
     LogTenants,
     /// A part of a change of weights and shares.
-    Retune(Box<Retune>),
+    Retune(Box<SettingsChange>),
     /// Every event sent before this one has been handled once it is signalled.
     Processed(Sender<()>),
     /// The utilization of the cores to steer to from now on.
--- a/crates/server/src/event_loop.rs
+++ b/crates/server/src/event_loop.rs
@@ -21,10 +21,10 @@
 use async_channel::{Receiver, Sender as Queue};
 use async_io::Timer;
 use futures_lite::future;
-use meadowstream_fair_queueing::Retune;
+use meadowstream_fair_queueing::SettingsChange;
 use meadowstream_overload_control::controller::{CONTROL_TIMER, Controller};
 use meadowstream_overload_control::{Arrival, Effect, Gauges, Host, Nanos, Outcome};
-use meadowstream_routing::Wish;
+use meadowstream_routing::CallPreference;
 use siphasher::sip::SipHasher13;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -272,7 +272,7 @@
     }
 
     /// Takes one part of a change of shares over, and notes the longest pause that a part has made.
-    fn retune(&mut self, change: &Retune) {
+    fn retune(&mut self, change: &SettingsChange) {
         let began = Instant::now();
         self.with_controller(|controller, now, _| controller.reconfigure_fair_queueing(now, change));
         let pause = &self.hands.server.retune_pause;
@@ -285,12 +285,13 @@
         let Some(shown) = options.tenants.as_ref().map(|tenants| tenants.shown) else { return };
         let now = self.hands.server.clock.now();
         let Some(fair) = self.controller.as_mut().and_then(Controller::fair) else { return };
-        let (counts, level) = (fair.counts, fair.level());
+        let (counts, fair_rate) = (fair.counters, fair.fair_rate());
         let (accounts, promises, bytes) = (fair.accounts(), fair.promises(), fair.bytes());
-        info!(level, accounts, promises, bytes, ?counts, "shares");
-        for heavy in fair.heaviest(now, shown) {
-            let meadowstream_fair_queueing::Heavy { name, weight, asks, ahead, within, surplus } = heavy;
-            info!(tenant = name, weight, asks, ahead, within, surplus, "share");
+        info!(fair_rate, accounts, promises, bytes, ?counts, "shares");
+        for heavy in fair.top_tenants(now, shown) {
+            let meadowstream_fair_queueing::TopTenant { name, weight, demand, ahead, within, surplus } =
+                heavy;
+            info!(tenant = name, weight, demand, ahead, within, surplus, "share");
         }
     }
 
@@ -580,11 +581,14 @@
 
     /// What the call of an invocation wants of a service below. Only a first attempt of what may be repeated
     /// is spent on a probe.
-    fn wish(&mut self, inv: u64) -> Wish {
+    fn wish(&mut self, inv: u64) -> CallPreference {
         let operations = &self.server.configuration.settings.deployment.operations;
-        let Some(invocation) = self.invocations.get(inv) else { return Wish::default() };
+        let Some(invocation) = self.invocations.get(inv) else { return CallPreference::default() };
         let idempotent = operations[invocation.operation].effect == Effect::Idempotent;
-        Wish { last: invocation.called, may_probe: idempotent && invocation.called.is_none() }
+        CallPreference {
+            last_service: invocation.called,
+            may_probe: idempotent && invocation.called.is_none(),
+        }
     }
 
     /// What this wire cannot carry was refused at the start; should it be asked for all the same, the
