--- a/crates/server/src/calls/pool.rs
+++ b/crates/server/src/calls/pool.rs
@@ -1,81 +1,101 @@
-//! Call connections that wait for their next call.
+//! Connections to the service below that wait for their next call.
 
-use crate::resources::descriptors::Descriptors;
-use crate::resources::descriptors::Place;
+use crate::resources::descriptors::{Descriptor, Descriptors};
 use async_io::{Async, Timer};
 use std::cell::RefCell;
+use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Half of the 10 s after which the other side closes: it may be about to close what is older.
-const KEPT_FOR: Duration = Duration::from_secs(5);
-/// What is less quiet is not used again yet: a second copy of its reply may still come, and the next call
-/// would take it for its own.
+/// An idle connection is closed after half of the 10 s after which the other side closes it.
+const KEEP_IDLE_FOR: Duration = Duration::from_secs(5);
+/// A connection is used again only after this time: a duplicate of its last reply may still come, and the
+/// next call would take it for its own.
 const QUIET_FOR: Duration = Duration::from_millis(20);
-/// Whoever finds no descriptor looks again after this long.
-pub const LOOK: Duration = Duration::from_millis(2);
+/// Pause before the next attempt to get a descriptor.
+pub const DESCRIPTOR_RETRY_AFTER: Duration = Duration::from_millis(2);
 
-/// A connection and its place among the descriptors.
+/// A connection with its descriptor.
 pub struct Pooled {
+    /// Its socket.
     pub stream: Async<TcpStream>,
     to: SocketAddr,
-    _place: Place,
+    _descriptor: Descriptor,
 }
 
+struct Idle {
+    connection: Pooled,
+    since: Instant,
+}
+
+/// The connections that no call uses.
 #[derive(Default)]
 pub struct Pool {
-    idle: RefCell<Vec<(Pooled, Instant)>>,
+    idle: RefCell<Vec<Idle>>,
 }
 
 impl Pool {
-    /// The connection used last or, once there is a descriptor for it, a new one: always that where it is to
-    /// be `fresh`, for which one that waits makes room.
-    pub async fn take(
+    /// The connection used last or, once there is a descriptor for it, a new one. With `fresh` it is always a
+    /// new one, and an idle one is closed for its descriptor.
+    pub async fn connect(
         &self,
         to: SocketAddr,
         fresh: bool,
         descriptors: &Descriptors,
     ) -> std::io::Result<Pooled> {
         loop {
-            if !fresh && let Some(pooled) = self.take_idle(to, Instant::now()) {
+            if !fresh && let Some(pooled) = self.reuse(to, Instant::now()) {
                 return Ok(pooled);
             }
-            if let Some(place) = descriptors.for_call() {
-                return Ok(Pooled { stream: Async::<TcpStream>::connect(to).await?, to, _place: place });
+            if let Some(descriptor) = descriptors.for_call() {
+                let stream = Async::<TcpStream>::connect(to).await?;
+                return Ok(Pooled { stream, to, _descriptor: descriptor });
             }
             if !fresh || self.idle.borrow_mut().pop().is_none() {
-                Timer::after(LOOK).await;
+                Timer::after(DESCRIPTOR_RETRY_AFTER).await;
+            }
+        }
+    }
+
+    /// Waits for a descriptor for a file that is read at once; idle connections are closed for it.
+    pub async fn descriptor_for_file(&self, descriptors: &Descriptors) -> Descriptor {
+        loop {
+            if let Some(descriptor) = descriptors.for_call() {
+                return descriptor;
             }
+            self.close_all();
+            Timer::after(DESCRIPTOR_RETRY_AFTER).await;
         }
     }
 
-    /// Passes over one that the other side has closed or on which it has said something unasked. Those to
-    /// other services stay; what goes nowhere any more after a reload is closed as it ends.
-    fn take_idle(&self, to: SocketAddr, now: Instant) -> Option<Pooled> {
+    /// The connection used last, unless the other side has closed it or sent something unasked. Those to
+    /// other services stay; where a reload has left them without use they are closed as they grow old.
+    fn reuse(&self, to: SocketAddr, now: Instant) -> Option<Pooled> {
         self.close_old();
+        let mut idle = self.idle.borrow_mut();
         loop {
-            let mut idle = self.idle.borrow_mut();
-            let fits = |(pooled, since): &(Pooled, Instant)| {
-                pooled.to == to && now.duration_since(*since) >= QUIET_FOR
-            };
+            let fits = |one: &Idle| one.connection.to == to && now.duration_since(one.since) >= QUIET_FOR;
             let last = idle.iter().rposition(fits)?;
-            let (pooled, _) = idle.remove(last);
-            let quiet = pooled.stream.get_ref().peek(&mut [0]);
-            if quiet.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock) {
+            let pooled = idle.remove(last).connection;
+            let peeked = pooled.stream.get_ref().peek(&mut [0]);
+            if peeked.is_err_and(|error| error.kind() == ErrorKind::WouldBlock) {
                 return Some(pooled);
             }
         }
     }
 
-    pub fn give_back(&self, pooled: Pooled) {
+    /// Keeps a connection for the next call.
+    pub fn give_back(&self, connection: Pooled) {
         self.close_old();
-        self.idle.borrow_mut().push((pooled, Instant::now()));
+        self.idle.borrow_mut().push(Idle { connection, since: Instant::now() });
     }
 
+    /// Closes connections that were idle for long.
     pub fn close_old(&self) {
-        self.idle.borrow_mut().retain(|(_, since)| since.elapsed() < KEPT_FOR);
+        self.idle.borrow_mut().retain(|one| one.since.elapsed() < KEEP_IDLE_FOR);
     }
 
+    /// Closes all idle connections.
     pub fn close_all(&self) {
         self.idle.borrow_mut().clear();
     }
--- a/crates/server/src/calls/pool/tests.rs
+++ b/crates/server/src/calls/pool/tests.rs
@@ -12,19 +12,19 @@
 #[test]
 fn none_is_used_again_before_it_was_quiet_for_a_while() {
     let (_listener, to, pool, descriptors) = place();
-    let pooled = futures_lite::future::block_on(pool.take(to, false, &descriptors)).unwrap();
+    let pooled = futures_lite::future::block_on(pool.connect(to, false, &descriptors)).unwrap();
     pool.give_back(pooled);
-    let since = pool.idle.borrow()[0].1;
-    assert!(pool.take_idle(to, since + QUIET_FOR / 2).is_none());
-    assert!(pool.take_idle(to, since + QUIET_FOR).is_some());
+    let since = pool.idle.borrow()[0].since;
+    assert!(pool.reuse(to, since + QUIET_FOR / 2).is_none());
+    assert!(pool.reuse(to, since + QUIET_FOR).is_some());
 }
 
 #[test]
 fn a_call_that_must_not_be_lost_gets_a_connection_of_its_own() {
     let (_listener, to, pool, descriptors) = place();
-    let pooled = futures_lite::future::block_on(pool.take(to, false, &descriptors)).unwrap();
+    let pooled = futures_lite::future::block_on(pool.connect(to, false, &descriptors)).unwrap();
     let used = pooled.stream.get_ref().local_addr().unwrap();
-    pool.idle.borrow_mut().push((pooled, Instant::now() - 2 * QUIET_FOR));
-    let fresh = futures_lite::future::block_on(pool.take(to, true, &descriptors)).unwrap();
+    pool.idle.borrow_mut().push(Idle { connection: pooled, since: Instant::now() - 2 * QUIET_FOR });
+    let fresh = futures_lite::future::block_on(pool.connect(to, true, &descriptors)).unwrap();
     assert_ne!(fresh.stream.get_ref().local_addr().unwrap(), used);
 }
--- a/crates/server/src/calls/task.rs
+++ b/crates/server/src/calls/task.rs
@@ -1,4 +1,4 @@
-//! One call to the records service. Dropped, it is given up: its connection closes.
+//! One call to the service below. Dropped, it is given up and its connection closes.
 
 use crate::event::Event;
 use crate::server::Server;
@@ -10,24 +10,37 @@
 use futures_lite::{AsyncWriteExt, future};
 use meadowstream_overload_control::{Nanos, Outcome};
 use std::cell::Cell;
-use std::io::ErrorKind;
+use std::io::{ErrorKind, Result};
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 use std::time::Duration;
 
+/// What is called, and for whom.
 pub struct Call {
+    /// The invocation whose run waits for it.
     pub invocation: u64,
+    /// Its number among all calls.
     pub number: u64,
+    /// The caller's number for the invocation.
     pub reference: u64,
+    /// The call is given up after this time.
     pub timeout: Nanos,
+    /// The body of the request.
     pub body: Vec<u8>,
-    /// It must not be lost on a connection that the other side is just closing: it gets one of its own.
+    /// It gets a connection of its own: it must not be lost on one that the other side is about to close.
     pub fresh: bool,
 }
 
+struct Exchanged {
+    reply: http::Reply,
+    /// Nothing came behind the reply.
+    is_alone: bool,
+}
+
+/// Makes a call and sends its end to the event loop.
 pub async fn make(server: Rc<Server>, to: SocketAddr, call: Call) {
     let begun = server.clock.now();
-    // Until the first byte is written it is known that nothing ran, whatever goes wrong.
+    // Until the first byte is written it is certain that nothing ran, whatever goes wrong.
     let written = Cell::new(false);
     let failed = || (if written.get() { Outcome::Unknown } else { Outcome::NeverRan }, Vec::new());
     let late = async {
@@ -37,7 +50,8 @@
     let exchanged = async { exchange(&server, to, &call, &written).await.unwrap_or_else(|_| failed()) };
     let (outcome, reply) = future::or(exchanged, late).await;
     let took = server.clock.now() - begun;
-    let ended = Event::CallEnded { invocation: call.invocation, number: call.number, outcome, reply, took };
+    let (invocation, number) = (call.invocation, call.number);
+    let ended = Event::CallEnded { invocation, number, outcome, reply, took };
     let _ = server.events.send(ended).await;
 }
 
@@ -46,23 +60,23 @@
     to: SocketAddr,
     call: &Call,
     written: &Cell<bool>,
-) -> std::io::Result<(Outcome, Vec<u8>)> {
-    let pooled = server.pool.take(to, call.fresh, &server.descriptors).await?;
+) -> Result<(Outcome, Vec<u8>)> {
+    let pooled = server.pool.connect(to, call.fresh, &server.descriptors).await?;
     let _ = pooled.stream.get_ref().set_nodelay(true);
-    let (reply, alone) = converse(&pooled.stream, to, call, written).await?;
-    if reply.stays && alone {
+    send(&pooled.stream, to, call, written).await?;
+    let Exchanged { reply, is_alone } = receive_reply(&pooled.stream).await?;
+    if reply.is_reusable && is_alone {
         server.pool.give_back(pooled);
     }
     Ok((reply.outcome, reply.body))
 }
 
-/// The reply, and whether nothing came behind it.
-async fn converse(
+async fn send(
     mut stream: &Async<TcpStream>,
     to: SocketAddr,
     call: &Call,
     written: &Cell<bool>,
-) -> std::io::Result<(http::Reply, bool)> {
+) -> Result<()> {
     let request = http::call(&to.to_string(), call.reference, call.timeout, &call.body);
     let mut rest = request.as_slice();
     while !rest.is_empty() {
@@ -70,18 +84,20 @@
         written.set(true);
         rest = &rest[count..];
     }
+    Ok(())
+}
+
+async fn receive_reply(stream: &Async<TcpStream>) -> Result<Exchanged> {
     let mut ring = Ring::new(http::REPLY_MAX);
     loop {
         receive(stream, &mut ring).await?;
         match http::reply(ring.front()) {
             Parsed::Incomplete => {}
-            Parsed::Complete(reply, used) => {
-                ring.drop_front(used);
-                return Ok((reply, ring.is_empty()));
-            }
-            Parsed::Malformed(error) => {
-                return Err(std::io::Error::new(ErrorKind::InvalidData, error));
+            Parsed::Complete(reply, length) => {
+                ring.drop_front(length);
+                return Ok(Exchanged { reply, is_alone: ring.is_empty() });
             }
+            Parsed::Malformed(error) => return Err(std::io::Error::new(ErrorKind::InvalidData, error)),
         }
     }
 }
--- a/crates/server/src/connection/request.rs
+++ b/crates/server/src/connection/request.rs
@@ -5,7 +5,7 @@
 use crate::lifecycle::clock::Clock;
 use crate::lifecycle::configuration::Configuration;
 use crate::lifecycle::configuration::TENANT_FIELD;
-use crate::resources::idempotency::TOKEN_MAX;
+use crate::resources::idempotency::KEY_MAX;
 use crate::wire::decimal;
 use crate::wire::rpc;
 use meadowstream_configuration::{Origin, TenantSource};
@@ -42,7 +42,7 @@
     #[error("a call that is idempotent with a key without its key")]
     MissingKey,
     /// The key is longer than what is kept of one.
-    #[error("a key of {0} bytes is too long, {TOKEN_MAX} at most")]
+    #[error("a key of {0} bytes is too long, {KEY_MAX} at most")]
     KeyTooLong(usize),
 }
 
@@ -124,7 +124,7 @@
         let options = self.configuration.options.borrow();
         let field = options.idempotency_keys.as_ref().and_then(|keys| call.field(&keys.field));
         let key = field.filter(|key| !key.is_empty()).ok_or(RequestError::MissingKey)?;
-        if key.len() > TOKEN_MAX {
+        if key.len() > KEY_MAX {
             return Err(RequestError::KeyTooLong(key.len()));
         }
         Ok(Some(key.into()))
--- a/crates/server/src/connection/task.rs
+++ b/crates/server/src/connection/task.rs
@@ -5,7 +5,7 @@
 use crate::connection::table::{Connection, Notification};
 use crate::event::Event;
 use crate::resources::buffers::BufferReservation;
-use crate::resources::descriptors::Place;
+use crate::resources::descriptors::Descriptor;
 use crate::server::Server;
 use crate::wire::rpc::Answer;
 use async_channel::Receiver;
@@ -37,7 +37,7 @@
 
 /// Starts the task. The connection is counted from now on, before its task has run, so that the drain
 /// overlooks none that was accepted.
-pub fn spawn(server: &Rc<Server>, stream: Async<TcpStream>, descriptor: Place) {
+pub fn spawn(server: &Rc<Server>, stream: Async<TcpStream>, descriptor: Descriptor) {
     server.counters.connections_opened.add();
     let (connection, notifications) = server.connections.open(server.clock.now());
     let task = serve(server.clone(), stream, descriptor, connection, notifications);
@@ -47,7 +47,7 @@
 async fn serve(
     server: Rc<Server>,
     stream: Async<TcpStream>,
-    descriptor: Place,
+    descriptor: Descriptor,
     connection: Rc<Connection>,
     notifications: Receiver<Notification>,
 ) {
--- a/crates/server/src/lifecycle/reload.rs
+++ b/crates/server/src/lifecycle/reload.rs
@@ -166,7 +166,7 @@
         write,
         in_force: configuration.options.borrow().clone(),
     };
-    let place = server.descriptors.for_file(&server.pool).await;
+    let place = server.pool.descriptor_for_file(&server.descriptors).await;
     let prepared = blocking::unblock(move || request.prepare()).await;
     drop(place);
     let Prepared { configuration: new, retunes, tenant_names } = prepared?;
@@ -187,7 +187,7 @@
         server.pool.close_all();
     }
     if addresses.interpreter != old_addresses.interpreter {
-        let _ = server.moved.0.try_send(());
+        let _ = server.interpreter_moved.0.try_send(());
     }
     announce(server, retunes, swapped).await;
     Ok(())
--- a/crates/server/src/lifecycle/start.rs
+++ b/crates/server/src/lifecycle/start.rs
@@ -101,7 +101,7 @@
         buffers,
         grace_over: Cell::new(false),
         stop_at: Cell::new(None),
-        moved: async_channel::bounded(1),
+        interpreter_moved: async_channel::bounded(1),
         counters: Counters::default(),
         left,
         shared,
@@ -110,7 +110,7 @@
         retune_pause: Cell::new(Duration::ZERO),
     });
     executor.spawn(signals::heed(server.clone(), signals, ended, stay)).detach();
-    executor.spawn(link::keep(server.clone())).detach();
+    executor.spawn(link::run(server.clone())).detach();
     executor.spawn(rollout::know_program(server.clone())).detach();
     executor.spawn(catalog::report(server.clone())).detach();
     executor.spawn(EventLoop::new(server.clone()).run(queue)).detach();
--- a/crates/server/src/resources/counters.rs
+++ b/crates/server/src/resources/counters.rs
@@ -1,12 +1,13 @@
-//! Counts of all that is taken in, sent and answered, since the start.
+//! Counts of everything received, sent and answered since the start, as one line of the log shows them.
 
 use std::cell::Cell;
 use std::fmt;
 
 macro_rules! counters {
     ($($name:ident)*) => {
+        /// Counts since the start. Their names are those of the log (docs/on-call.md).
         #[derive(Default)]
-        pub struct Counters { $(pub $name: Count),* }
+        pub struct Counters { $(#[doc = concat!("The counter `", stringify!($name), "`.")] pub $name: Count),* }
 
         impl fmt::Display for Counters {
             fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
@@ -17,14 +18,17 @@
     };
 }
 
+/// A count.
 #[derive(Default)]
 pub struct Count(Cell<u64>);
 
 impl Count {
+    /// Counts one more.
     pub fn add(&self) {
         self.0.set(self.0.get() + 1);
     }
 
+    /// The count so far.
     pub fn get(&self) -> u64 {
         self.0.get()
     }
--- a/crates/server/src/resources/descriptors.rs
+++ b/crates/server/src/resources/descriptors.rs
@@ -1,87 +1,91 @@
-//! The descriptors that the server may hold: each connection and each call has a place among them.
-//! Guards against holding more than the limit, for which the platform kills it.
+//! The file descriptors that the server may hold, whose number the platform limits: each connection, each
+//! downstream call and each file that is read has one of them.
 
-use crate::calls::pool::LOOK;
-use crate::calls::pool::Pool;
-use anyhow::{Result, ensure};
-use async_io::Timer;
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Used beside those open at the start: the link and the catalog's.
-const LATER: usize = 2;
-/// Taken for open at the start where it cannot be counted.
+/// Opened after the start beside those counted here: the interpreter's link and the catalog's socket.
+const OPENED_LATER: usize = 2;
+/// Taken for open at the start where that cannot be counted.
 const OPEN_AT_START: usize = 13;
-/// Part of the places that connections never take; of it calls leave half to connections.
-const SPARE: usize = 8;
-const SPARE_LEAST: usize = 2;
+/// Part of the descriptors that connections never use. Downstream calls leave half of it to connections.
+const RESERVE_PART: usize = 8;
+/// The least of that reserve.
+const RESERVE_LEAST: usize = 2;
+
+/// The limit leaves no descriptor for callers.
+#[derive(Debug, thiserror::Error)]
+#[error("limits.sockets: {limit} are too few, {in_use} are in use")]
+pub struct TooFewDescriptors {
+    /// The limit.
+    pub limit: usize,
+    /// Descriptors that the server needs beside those of callers.
+    pub in_use: usize,
+}
 
 #[derive(Default)]
-struct Held {
+struct InUse {
     all: Cell<usize>,
     connections: Cell<usize>,
 }
 
+/// How many descriptors there are, and how many are in use.
 pub struct Descriptors {
-    places: usize,
-    held: Rc<Held>,
+    limit: usize,
+    in_use: Rc<InUse>,
 }
 
-/// Given back when it is dropped, whoever held it.
-pub struct Place {
-    held: Rc<Held>,
+/// The use of one descriptor, given back when it is dropped.
+pub struct Descriptor {
+    in_use: Rc<InUse>,
+    /// 1 for a connection, 0 for anything else.
     connections: usize,
 }
 
 impl Descriptors {
-    /// An error where the limit leaves nothing for callers.
-    pub fn within(limit: usize) -> Result<Self> {
+    /// What the process's limit leaves beside the descriptors that are open now.
+    pub fn within(limit: usize) -> Result<Self, TooFewDescriptors> {
         let open = std::fs::read_dir("/proc/self/fd").map_or(OPEN_AT_START, |entries| entries.count() - 1);
-        let places = limit.saturating_sub(open + LATER);
-        ensure!(places > SPARE_LEAST, "limits.sockets: {limit} are too few, {} are in use", open + LATER);
-        Ok(Self { places, held: Rc::default() })
+        let in_use = open + OPENED_LATER;
+        let left = limit.saturating_sub(in_use);
+        if left <= RESERVE_LEAST {
+            return Err(TooFewDescriptors { limit, in_use });
+        }
+        Ok(Self { limit: left, in_use: Rc::default() })
     }
 
-    fn spare(&self) -> usize {
-        (self.places / SPARE).max(SPARE_LEAST)
+    fn reserve(&self) -> usize {
+        (self.limit / RESERVE_PART).max(RESERVE_LEAST)
     }
 
-    pub fn for_connection(&self) -> Option<Place> {
-        let room = self.held.connections.get() + self.spare() < self.places;
-        (room && self.held.all.get() < self.places).then(|| self.place(1))
+    /// One for a connection, if there is one.
+    pub fn for_connection(&self) -> Option<Descriptor> {
+        let within_part = self.in_use.connections.get() + self.reserve() < self.limit;
+        (within_part && self.in_use.all.get() < self.limit).then(|| self.take(1))
     }
 
+    /// Whether connections use more than half of all.
     pub fn mostly_taken(&self) -> bool {
-        2 * self.held.connections.get() > self.places
+        2 * self.in_use.connections.get() > self.limit
     }
 
-    /// Leaves room for connections, since a call can wait and what the kernel accepted cannot.
-    pub fn for_call(&self) -> Option<Place> {
-        (self.held.all.get() + self.spare() / 2 < self.places).then(|| self.place(0))
-    }
-
-    /// For a file that is read at once. It waits like a call, and call connections at rest make room.
-    pub async fn for_file(&self, pool: &Pool) -> Place {
-        loop {
-            if let Some(place) = self.for_call() {
-                return place;
-            }
-            pool.close_all();
-            Timer::after(LOOK).await;
-        }
+    /// One for a downstream call or a file, if there is one. These leave some to connections, since they can
+    /// wait and what the kernel has accepted cannot.
+    pub fn for_call(&self) -> Option<Descriptor> {
+        (self.in_use.all.get() + self.reserve() / 2 < self.limit).then(|| self.take(0))
     }
 
-    fn place(&self, connections: usize) -> Place {
-        self.held.all.set(self.held.all.get() + 1);
-        self.held.connections.set(self.held.connections.get() + connections);
-        Place { held: self.held.clone(), connections }
+    fn take(&self, connections: usize) -> Descriptor {
+        self.in_use.all.set(self.in_use.all.get() + 1);
+        self.in_use.connections.set(self.in_use.connections.get() + connections);
+        Descriptor { in_use: self.in_use.clone(), connections }
     }
 }
 
-impl Drop for Place {
+impl Drop for Descriptor {
     fn drop(&mut self) {
-        self.held.all.set(self.held.all.get() - 1);
-        self.held.connections.set(self.held.connections.get() - self.connections);
+        self.in_use.all.set(self.in_use.all.get() - 1);
+        self.in_use.connections.set(self.in_use.connections.get() - self.connections);
     }
 }
 
--- a/crates/server/src/resources/descriptors/tests.rs
+++ b/crates/server/src/resources/descriptors/tests.rs
@@ -1,11 +1,13 @@
 //! Who gets a place when few are left.
 
 use super::*;
+use crate::calls::pool::{DESCRIPTOR_RETRY_AFTER, Pool};
+use async_io::Timer;
 use futures_lite::future::{block_on, or};
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 
-async fn within(limit: Duration, what: impl Future<Output = Place>) -> Option<Place> {
+async fn within(limit: Duration, what: impl Future<Output = Descriptor>) -> Option<Descriptor> {
     let late = async {
         Timer::after(limit).await;
         None
@@ -13,25 +15,28 @@
     or(async { Some(what.await) }, late).await
 }
 
-/// Places for eight, whatever the process that tests holds open.
+/// Descriptors for eight, whatever the process that tests holds open.
 fn eight() -> Descriptors {
     let open = std::fs::read_dir("/proc/self/fd").unwrap().count() - 1;
     let descriptors = Descriptors::within(open + 64).unwrap();
-    Descriptors { places: 8, ..descriptors }
+    Descriptors { limit: 8, ..descriptors }
 }
 
 #[test]
 fn a_file_waits_for_a_place_and_takes_none_that_is_not_there() {
     let (descriptors, pool) = (eight(), Pool::default());
-    let mut held: Vec<Place> = std::iter::from_fn(|| descriptors.for_connection()).collect();
+    let mut held: Vec<Descriptor> = std::iter::from_fn(|| descriptors.for_connection()).collect();
     held.extend(std::iter::from_fn(|| descriptors.for_call()));
-    let all = descriptors.held.all.get();
-    assert!(block_on(within(20 * LOOK, descriptors.for_file(&pool))).is_none(), "{all} of 8 in use");
-    assert_eq!(descriptors.held.all.get(), all);
+    let all = descriptors.in_use.all.get();
+    assert!(
+        block_on(within(20 * DESCRIPTOR_RETRY_AFTER, pool.descriptor_for_file(&descriptors))).is_none(),
+        "{all} of 8 in use"
+    );
+    assert_eq!(descriptors.in_use.all.get(), all);
     drop(held.pop());
-    let place = block_on(within(20 * LOOK, descriptors.for_file(&pool)));
+    let place = block_on(within(20 * DESCRIPTOR_RETRY_AFTER, pool.descriptor_for_file(&descriptors)));
     assert!(place.is_some());
-    assert_eq!(descriptors.held.all.get(), all);
+    assert_eq!(descriptors.in_use.all.get(), all);
 }
 
 #[test]
@@ -41,10 +46,10 @@
     let to = listener.local_addr().unwrap();
     let mut rest = Vec::new();
     while descriptors.for_call().is_some() {
-        rest.push(block_on(pool.take(to, true, &descriptors)).unwrap());
+        rest.push(block_on(pool.connect(to, true, &descriptors)).unwrap());
     }
-    assert!(block_on(within(20 * LOOK, descriptors.for_file(&pool))).is_none());
+    assert!(block_on(within(20 * DESCRIPTOR_RETRY_AFTER, pool.descriptor_for_file(&descriptors))).is_none());
     rest.into_iter().for_each(|pooled| pool.give_back(pooled));
-    assert!(block_on(within(20 * LOOK, descriptors.for_file(&pool))).is_some());
+    assert!(block_on(within(20 * DESCRIPTOR_RETRY_AFTER, pool.descriptor_for_file(&descriptors))).is_some());
     let _: Vec<TcpStream> = listener.incoming().take(1).map_while(Result::ok).collect();
 }
--- a/crates/server/src/resources/idempotency.rs
+++ b/crates/server/src/resources/idempotency.rs
@@ -1,119 +1,140 @@
-//! What is remembered of tokened invocations, in bounded memory: which invocation a token came with, and what
-//! became of it, so that a repeat is answered from its forerunner and never run. It decides nothing of what
-//! runs; times are passed in, and all of it can be played without a server.
+//! The keys of invocations that are idempotent with a key, in bounded memory: which invocation came with a
+//! key, and how it ended, so that a repeat is answered from it and never run. Without I/O or clock.
 
 use meadowstream_overload_control::Nanos;
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
-/// Longest token, in bytes.
-pub const TOKEN_MAX: usize = 128;
-/// What an entry takes at most beside its result: the token twice and places in the tables. Those that wait
-/// for it are open on a connection, which answers for them.
-pub const ENTRY_BYTES: usize = 2 * TOKEN_MAX + 256;
-
-/// What a token is known by.
-type Key = (usize, Vec<u8>);
+/// Longest key, in bytes.
+pub const KEY_MAX: usize = 128;
+/// Most memory of an entry beside its result: the key twice and places in the tables. The repeats that wait
+/// for it are counted with their connections.
+pub const ENTRY_BYTES: usize = 2 * KEY_MAX + 256;
+
+/// A key counts for one operation.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct Key {
+    operation: usize,
+    key: Vec<u8>,
+}
 
 #[derive(Clone, Debug, PartialEq)]
 enum EntryState {
-    /// It waits or runs; these repeats wait for it.
+    /// It is pending or runs; these repeats wait for it.
     Open(Vec<u64>),
+    /// It succeeded with this result.
     Succeeded(Vec<u8>),
-    /// It came to nothing, or its result had to go: it has run all the same.
+    /// It failed, or its result was evicted. It may have had its effect.
     Failed,
 }
 
 struct Entry {
     key: Key,
-    /// A hash of the body: another call with the token is no repeat.
-    body: u64,
-    /// Repeats that reached the machine before this are repeats of it.
+    /// A call with the key and another body is no repeat.
+    body_hash: u64,
+    /// Calls with the key that reached the machine before this are repeats of it.
     until: Nanos,
     state: EntryState,
 }
 
+/// What is known of a key.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Lookup {
+    /// It has not been used.
     New,
-    /// Of this invocation.
+    /// It is that of this invocation.
     Repeat(u64),
-    /// The token is in use with another body.
+    /// It is in use with another body.
     OtherBody,
-    /// Nothing more can be remembered, so it must not run.
+    /// It has not been used, and no more keys can be remembered: the invocation must not run.
     Full,
 }
 
+/// How a repeat is answered.
 #[derive(Debug, PartialEq)]
 pub enum Replay {
+    /// When the invocation that it repeats has ended.
     Pending,
+    /// With its result.
     Result(Vec<u8>),
+    /// With a failure.
     Failed,
 }
 
+/// All keys that are remembered.
 pub struct IdempotencyTable {
     entries: HashMap<u64, Entry>,
     by_key: HashMap<Key, u64>,
-    /// When each may be dropped, and the results kept, the oldest first.
+    /// When each may be dropped, and which it is.
     by_end: BTreeSet<(Nanos, u64)>,
+    /// Invocations whose results are kept, the oldest first.
     results: VecDeque<u64>,
-    kept: usize,
-    most: usize,
-    most_bytes: usize,
-    /// How long one may lie unread after it reached the machine.
-    unread: Nanos,
+    result_bytes: usize,
+    entries_max: usize,
+    result_bytes_max: usize,
+    /// Longest time that a call may stay unread after it reached the machine.
+    unread_max: Nanos,
 }
 
 impl IdempotencyTable {
-    pub fn new(most: usize, most_bytes: usize, unread: Nanos) -> Self {
+    /// An empty table for so many keys and bytes of results.
+    pub fn new(entries_max: usize, result_bytes_max: usize, unread_max: Nanos) -> Self {
         Self {
             entries: HashMap::new(),
             by_key: HashMap::new(),
             by_end: BTreeSet::new(),
             results: VecDeque::new(),
-            kept: 0,
-            most,
-            most_bytes,
-            unread,
+            result_bytes: 0,
+            entries_max,
+            result_bytes_max,
+            unread_max,
         }
     }
 
-    /// One came with this token and reached the machine at `reached`.
-    pub fn find(&mut self, now: Nanos, reached: Nanos, operation: usize, token: &[u8], body: u64) -> Lookup {
-        self.age(now);
-        let found = self.by_key.get(&(operation, token.to_vec())).map(|inv| (*inv, &self.entries[inv]));
+    /// What is known of the key of a call that reached the machine at `reached`.
+    pub fn find(
+        &mut self,
+        now: Nanos,
+        reached: Nanos,
+        operation: usize,
+        key: &[u8],
+        body_hash: u64,
+    ) -> Lookup {
+        self.expire(now);
+        let found =
+            self.by_key.get(&Key { operation, key: key.to_vec() }).map(|inv| (*inv, &self.entries[inv]));
         match found {
             Some((inv, entry)) if reached < entry.until => {
-                if entry.body == body {
+                if entry.body_hash == body_hash {
                     Lookup::Repeat(inv)
                 } else {
                     Lookup::OtherBody
                 }
             }
             // Its window is over though it is still remembered; the new one takes its place.
-            _ if self.entries.len() >= self.most => Lookup::Full,
+            _ if self.entries.len() >= self.entries_max => Lookup::Full,
             _ => Lookup::New,
         }
     }
 
-    /// This invocation is the one that a later repeat belongs to.
-    pub fn insert(&mut self, inv: u64, operation: usize, token: &[u8], body: u64, until: Nanos) {
-        let key = (operation, token.to_vec());
+    /// Calls with this key that reach the machine before `until` are repeats of this invocation.
+    pub fn insert(&mut self, inv: u64, operation: usize, key: &[u8], body_hash: u64, until: Nanos) {
+        let key = Key { operation, key: key.to_vec() };
         self.by_key.insert(key.clone(), inv);
-        self.by_end.insert((until.saturating_add(self.unread), inv));
-        self.entries.insert(inv, Entry { key, body, until, state: EntryState::Open(Vec::new()) });
+        self.by_end.insert((until.saturating_add(self.unread_max), inv));
+        self.entries.insert(inv, Entry { key, body_hash, until, state: EntryState::Open(Vec::new()) });
     }
 
-    /// It never ran: one with its token is new again. Who waits for it is returned.
+    /// Makes the key of an invocation new again, as it never ran. Returns the repeats that wait for it.
     pub fn forget(&mut self, inv: u64) -> Vec<u64> {
         let Some(entry) = self.entries.remove(&inv) else { return Vec::new() };
-        self.by_end.remove(&(entry.until.saturating_add(self.unread), inv));
+        self.by_end.remove(&(entry.until.saturating_add(self.unread_max), inv));
         if self.by_key.get(&entry.key) == Some(&inv) {
             self.by_key.remove(&entry.key);
         }
         match entry.state {
             EntryState::Open(waiting) => waiting,
             EntryState::Succeeded(result) => {
-                self.kept -= result.len();
+                self.result_bytes -= result.len();
                 self.results.retain(|other| *other != inv);
                 Vec::new()
             }
@@ -121,9 +142,9 @@
         }
     }
 
-    /// What the repeat is answered with; where it is to wait, it is returned when its forerunner ends.
-    pub fn replay(&mut self, forerunner: u64, repeat: u64) -> Replay {
-        match self.entries.get_mut(&forerunner).map(|entry| &mut entry.state) {
+    /// How a repeat is answered. One that is to wait is returned when the run of the original ends.
+    pub fn replay(&mut self, original: u64, repeat: u64) -> Replay {
+        match self.entries.get_mut(&original).map(|entry| &mut entry.state) {
             Some(EntryState::Open(waiting)) => {
                 waiting.push(repeat);
                 Replay::Pending
@@ -133,39 +154,42 @@
         }
     }
 
-    /// The repeat is over, whatever becomes of its forerunner.
-    pub fn stop_waiting(&mut self, forerunner: u64, repeat: u64) {
-        if let Some(EntryState::Open(waiting)) =
-            self.entries.get_mut(&forerunner).map(|entry| &mut entry.state)
+    /// A repeat is over and does not wait any more.
+    pub fn stop_waiting(&mut self, original: u64, repeat: u64) {
+        if let Some(EntryState::Open(waiting)) = self.entries.get_mut(&original).map(|entry| &mut entry.state)
         {
             waiting.retain(|other| *other != repeat);
         }
     }
 
-    /// A run has ended, with a result where it succeeded. Who waits for it is returned.
+    /// A run has ended, with a result where it succeeded. Returns the repeats that wait for it.
     pub fn run_ended(&mut self, inv: u64, result: Option<&[u8]>) -> Vec<u64> {
         let Some(entry) = self.entries.get_mut(&inv) else { return Vec::new() };
         let state = result.map_or(EntryState::Failed, |result| EntryState::Succeeded(result.to_vec()));
         let EntryState::Open(waiting) = std::mem::replace(&mut entry.state, state) else { return Vec::new() };
         if let Some(result) = result {
-            self.kept += result.len();
+            self.result_bytes += result.len();
             self.results.push_back(inv);
         }
-        // The oldest results go first; that they ran is remembered on.
-        while self.kept > self.most_bytes {
+        self.evict_results();
+        waiting
+    }
+
+    /// Drops the oldest results over the limit, not their keys: they must not run again.
+    fn evict_results(&mut self) {
+        while self.result_bytes > self.result_bytes_max {
             let Some(oldest) = self.results.pop_front() else { break };
             let state = self.entries.get_mut(&oldest).map(|entry| &mut entry.state);
             if let Some(EntryState::Succeeded(result)) =
                 state.map(|state| std::mem::replace(state, EntryState::Failed))
             {
-                self.kept -= result.len();
+                self.result_bytes -= result.len();
             }
         }
-        waiting
     }
 
-    /// Drops what no repeat can belong to any more. One that still runs stays until it has ended.
-    fn age(&mut self, now: Nanos) {
+    /// Drops the keys that no repeat can have any more. One whose run goes on stays until that ends.
+    fn expire(&mut self, now: Nanos) {
         let over: Vec<u64> = self.by_end.range(..(now, 0)).map(|(_, inv)| *inv).collect();
         for inv in over {
             if !matches!(self.entries[&inv].state, EntryState::Open(_)) {
--- a/crates/server/src/resources/mod.rs
+++ b/crates/server/src/resources/mod.rs
@@ -1,4 +1,4 @@
-//! What is kept. Each kind of thing has one owner and one place where it is given back.
+//! What the server holds: each kind of resource has one owner and one place where it is given back.
 
 pub mod buffers;
 pub mod counters;
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -36,7 +36,7 @@
     /// Memory for the buffers of connections.
     pub buffers: Rc<BufferBudget>,
     /// Says that the interpreter has another address.
-    pub moved: (Sender<()>, Receiver<()>),
+    pub interpreter_moved: (Sender<()>, Receiver<()>),
     /// The server leaves, and wants no more calls.
     pub grace_over: Cell<bool>,
     /// When it ends at the latest, where it leaves of its own accord.
--- a/crates/server/src/wire/http.rs
+++ b/crates/server/src/wire/http.rs
@@ -5,12 +5,14 @@
 use crate::wire::decimal;
 use meadowstream_overload_control::{Nanos, Outcome};
 
-/// Longest head and longest body of a reply.
+/// Longest head of a reply, in bytes.
 const HEAD_MAX: usize = 4096;
+/// Longest body of a reply, in bytes.
 const BODY_MAX: usize = 16 * 1024;
-/// All that may come before a reply is whole: heads that announce it, its own, its body.
+/// All that may come before a reply is complete: interim heads, its own head, its body.
 pub const REPLY_MAX: usize = 2 * (HEAD_MAX + 4) + BODY_MAX;
 
+/// The request of a call.
 pub fn call(host: &str, reference: u64, timeout: Nanos, body: &[u8]) -> Vec<u8> {
     let head = format!(
         "POST /records/op HTTP/1.1\r\nHost: {host}\r\nOp-Of: {reference:016x}\r\nOp-Wait-Ms: {}\r\n\
@@ -21,84 +23,122 @@
     [head.as_bytes(), body].concat()
 }
 
+/// What a call returned.
 #[derive(Debug, PartialEq)]
 pub struct Reply {
+    /// What the status proves of the call's effect.
     pub outcome: Outcome,
+    /// The body of the reply.
     pub body: Vec<u8>,
     /// The connection may carry another call.
-    pub stays: bool,
+    pub is_reusable: bool,
 }
 
-/// The reply, after any heads of 1xx that announce it. Strict: what could be read in two ways may carry what
-/// no call returned.
+/// A head up to the empty line, and where its body starts.
+struct Head<'a> {
+    status: u16,
+    headers: Headers<'a>,
+    body_start: usize,
+}
+
+impl<'a> Head<'a> {
+    fn values<'b>(&'b self, name: &'b str) -> impl Iterator<Item = &'a str> + 'b {
+        let named = self.headers.iter().filter(move |(key, _)| key.eq_ignore_ascii_case(name));
+        named.map(|(_, value)| value.trim())
+    }
+
+    fn first(&self, name: &str) -> Option<&'a str> {
+        self.values(name).next()
+    }
+
+    /// The length of the body. A reply without a result may leave it out. Several must agree: a reply that
+    /// could be read in two ways may carry what no call returned.
+    fn content_length(&self) -> Result<usize, ParseError> {
+        if self.first("Transfer-Encoding").is_some() {
+            return Err(ParseError::TransferEncoding);
+        }
+        let stated = self.first("Content-Length").or((self.status != 200).then_some("0"));
+        let agreed = stated.filter(|stated| self.values("Content-Length").all(|other| other == *stated));
+        let length = agreed.and_then(|text| decimal::<usize>(text.as_bytes()));
+        length.filter(|length| *length <= BODY_MAX).ok_or(ParseError::BadContentLength)
+    }
+
+    /// Only 503 and 409 with their mark prove that nothing ran; after anything else it may have had its
+    /// effect.
+    fn outcome(&self) -> Outcome {
+        let not_begun = matches!(self.status, 503 | 409) && self.first("Op-Not-Begun") == Some("1");
+        match self.status {
+            200 => Outcome::Succeeded,
+            500 => Outcome::Failed,
+            _ if not_begun => Outcome::NeverRan,
+            _ => Outcome::Unknown,
+        }
+    }
+}
+
+/// The first reply, after any interim heads of status 1xx.
 pub fn reply(bytes: &[u8]) -> Parsed<Reply> {
     let mut at = 0;
     loop {
-        match reply_or_interim(&bytes[at..]) {
-            Parsed::Complete(Some(reply), used) => return Parsed::Complete(reply, at + used),
-            Parsed::Complete(None, used) => at += used,
+        let head = match head(&bytes[at..]) {
+            Parsed::Complete(head, _) => head,
             Parsed::Incomplete => return Parsed::Incomplete,
-            Parsed::Malformed(why) => return Parsed::Malformed(why),
+            Parsed::Malformed(error) => return Parsed::Malformed(error),
+        };
+        if !(100..200).contains(&head.status) {
+            return reply_with(&head, bytes, at + head.body_start);
         }
+        at += head.body_start;
         if at > HEAD_MAX {
             return Parsed::Malformed(ParseError::EndlessInterimHeads);
         }
     }
 }
 
-/// `None` for a head that only announces.
-fn reply_or_interim(bytes: &[u8]) -> Parsed<Option<Reply>> {
-    let head_end = bytes.windows(4).take(HEAD_MAX).position(|four| four == b"\r\n\r\n");
-    let Some(head_end) = head_end else {
-        return if bytes.len() < HEAD_MAX + 4 {
-            Parsed::Incomplete
-        } else {
-            Parsed::Malformed(ParseError::EndlessHead)
-        };
+fn reply_with(head: &Head, bytes: &[u8], start: usize) -> Parsed<Reply> {
+    let length = match head.content_length() {
+        Ok(length) => length,
+        Err(error) => return Parsed::Malformed(error),
     };
-    let Ok(head) = std::str::from_utf8(&bytes[..head_end]) else {
-        return Parsed::Malformed(ParseError::HeadNotText);
-    };
-    let mut lines = head.split("\r\n");
-    let status = lines.next().and_then(|line| line.strip_prefix("HTTP/1.1 "));
-    let status = status.map(|rest| rest.split_once(' ').map_or(rest, |(digits, _)| digits));
-    let Some(status) =
-        status.filter(|digits| digits.len() == 3).and_then(|digits| decimal::<u16>(digits.as_bytes()))
-    else {
-        return Parsed::Malformed(ParseError::BadStatusLine);
-    };
-    let split = lines.map(|line| line.split_once(':'));
-    let named = split.map(|pair| pair.filter(|(key, _)| !key.is_empty() && !key.contains(' ')));
-    let Some(headers) = named.collect::<Option<Vec<_>>>() else {
-        return Parsed::Malformed(ParseError::BadHeader);
-    };
-    let all = |name: &'static str| {
-        headers.iter().filter(move |(key, _)| key.eq_ignore_ascii_case(name)).map(|(_, value)| value.trim())
+    let Some(body) = bytes.get(start..start + length) else { return Parsed::Incomplete };
+    let closes = head.first("Connection").is_some_and(|value| value.eq_ignore_ascii_case("close"));
+    let reply = Reply { outcome: head.outcome(), body: body.to_vec(), is_reusable: !closes };
+    Parsed::Complete(reply, start + length)
+}
+
+fn head(bytes: &[u8]) -> Parsed<Head<'_>> {
+    let end = bytes.windows(4).take(HEAD_MAX).position(|four| four == b"\r\n\r\n");
+    let Some(end) = end else {
+        let may_end = bytes.len() < HEAD_MAX + 4;
+        return if may_end { Parsed::Incomplete } else { Parsed::Malformed(ParseError::EndlessHead) };
     };
-    let header = |name| all(name).next();
-    let start = head_end + 4;
-    if (100..200).contains(&status) {
-        return Parsed::Complete(None, start);
-    }
-    let stays = !header("Connection").is_some_and(|value| value.eq_ignore_ascii_case("close"));
-    if header("Transfer-Encoding").is_some() {
-        return Parsed::Malformed(ParseError::TransferEncoding);
+    match head_lines(&bytes[..end]) {
+        Ok((status, headers)) => {
+            let body_start = end + 4;
+            Parsed::Complete(Head { status, headers, body_start }, body_start)
+        }
+        Err(error) => Parsed::Malformed(error),
     }
-    // One that bears no result may leave its length out, one with a result may not.
-    let stated = header("Content-Length").or((status != 200).then_some("0"));
-    let agreed = stated.filter(|stated| all("Content-Length").all(|other| other == *stated));
-    let Some(len) = agreed.and_then(|text| decimal::<usize>(text.as_bytes())).filter(|len| *len <= BODY_MAX)
-    else {
-        return Parsed::Malformed(ParseError::BadContentLength);
-    };
-    let Some(body) = bytes.get(start..start + len) else { return Parsed::Incomplete };
-    // Only these prove that nothing ran; whatever else came of it may have had its effect.
-    let not_begun = matches!(status, 503 | 409) && header("Op-Not-Begun") == Some("1");
-    let outcome = match status {
-        200 => Outcome::Succeeded,
-        500 => Outcome::Failed,
-        _ if not_begun => Outcome::NeverRan,
-        _ => Outcome::Unknown,
-    };
-    Parsed::Complete(Some(Reply { outcome, body: body.to_vec(), stays }), start + len)
+}
+
+type Headers<'a> = Vec<(&'a str, &'a str)>;
+
+fn head_lines(head: &[u8]) -> Result<(u16, Headers<'_>), ParseError> {
+    let head = std::str::from_utf8(head).map_err(|_| ParseError::HeadNotText)?;
+    let mut lines = head.split("\r\n");
+    let status = lines.next().and_then(status_of).ok_or(ParseError::BadStatusLine)?;
+    let headers = lines.map(header).collect::<Option<Headers>>();
+    Ok((status, headers.ok_or(ParseError::BadHeader)?))
+}
+
+fn status_of(line: &str) -> Option<u16> {
+    let rest = line.strip_prefix("HTTP/1.1 ")?;
+    let digits = rest.split_once(' ').map_or(rest, |(digits, _)| digits);
+    if digits.len() == 3 { decimal(digits.as_bytes()) } else { None }
+}
+
+fn header(line: &str) -> Option<(&str, &str)> {
+    let (key, value) = line.split_once(':')?;
+    let is_name = !key.is_empty() && !key.contains(' ');
+    is_name.then_some((key, value))
 }
--- a/crates/server/src/wire/tests.rs
+++ b/crates/server/src/wire/tests.rs
@@ -168,7 +168,7 @@
 fn what_replies_prove(status: &str, header: &str, outcome: Outcome) {
     let reply = format!("HTTP/1.1 {status} X\r\n{header}Content-Length: 2\r\n\r\nhi");
     let Parsed::Complete(reply, _) = http::reply(reply.as_bytes()) else { panic!("not taken") };
-    assert_eq!((reply.outcome, reply.body, reply.stays), (outcome, b"hi".to_vec(), true));
+    assert_eq!((reply.outcome, reply.body, reply.is_reusable), (outcome, b"hi".to_vec(), true));
 }
 
 #[test_case(b"HTTP/1.0 200 OK\r\n\r\n"; "another version")]
