--- a/crates/overload-control/src/controller.rs
+++ b/crates/overload-control/src/controller.rs
@@ -29,7 +29,7 @@
 use crate::tenant_quota::TenantQuotas;
 use crate::timers::Timers;
 use crate::{Deployment, Effect, Host, Nanos, Preemption};
-use meadowstream_fair_queueing::Fair;
+use meadowstream_fair_queueing::{FairScheduler, SettingsChange};
 use meadowstream_pending_queue::PendingQueue;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -117,9 +117,9 @@
     }
 
     /// Takes over a part of a change of fair queueing: new weights of tenants, and how much they may send at once.
-    pub fn reconfigure_fair_queueing(&mut self, now: Nanos, change: &meadowstream_fair_queueing::Retune) {
+    pub fn reconfigure_fair_queueing(&mut self, now: Nanos, change: &SettingsChange) {
         if let Some(fair) = self.quotas.fair_queue() {
-            fair.retune(change, now);
+            fair.reconfigure(change, now);
         }
     }
 
@@ -129,7 +129,7 @@
     }
 
     /// The fair queue, where tenants are told apart as they come.
-    pub fn fair_queue(&mut self) -> Option<&mut Fair> {
+    pub fn fair_queue(&mut self) -> Option<&mut FairScheduler> {
         self.quotas.fair_queue()
     }
 
--- a/crates/overload-control/src/controller/events.rs
+++ b/crates/overload-control/src/controller/events.rs
@@ -20,12 +20,12 @@
         let operation = &self.deployment.operations[arrival.operation];
         let quota_ratio = if standing.is_over_quota { self.deployment.over_quota_value_ratio } else { 1.0 };
         self.keys.remember(now, &arrival, operation, host);
-        let mut invocation = Invocation::new(now, &arrival, standing.seat);
+        let mut invocation = Invocation::new(now, &arrival, standing.fair_admission);
         invocation.rank = self.classes.rank(operation.priority_weight * quota_ratio);
         invocation.deadlines = Deadlines::of(&arrival, operation, now);
         invocation.cost_ratio = cost_ratio;
         // A kept promise is admitted, unless the server is worse off than it was to be.
-        let is_promised = standing.seat.is_some_and(|seat| seat.promised);
+        let is_promised = standing.fair_admission.is_some_and(|admission| admission.promised);
         invocation.screened |= is_promised && !self.is_in_distress();
         // A repeat of an invocation whose key is not stored would run as well, so it must not run itself.
         let is_overdue = self.draining.is_too_late(invocation.arrived) || arrival.key_not_stored;
--- a/crates/overload-control/src/invocations.rs
+++ b/crates/overload-control/src/invocations.rs
@@ -5,7 +5,7 @@
 
 use crate::deadline::Deadlines;
 use crate::{Arrival, Nanos};
-use meadowstream_fair_queueing::Seat;
+use meadowstream_fair_queueing::Admission as FairAdmission;
 use meadowstream_pending_queue::{ArrivalKey, Entry, PendingQueue};
 use slab::Slab;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -41,8 +41,8 @@
     pub deadlines: Deadlines,
     /// Memory while it is pending, KB.
     pub held_kb: f64,
-    /// Its place in fair queueing, where tenants are told apart as they come.
-    pub seat: Option<Seat>,
+    /// How fair queueing admitted it, where tenants are told apart as they come.
+    pub fair_admission: Option<FairAdmission>,
     /// Its cost as a ratio to the usual one of its operation.
     pub cost_ratio: f64,
     /// The invocation whose idempotency key it carries.
@@ -72,7 +72,7 @@
 }
 
 impl Invocation {
-    pub fn new(now: Nanos, arrival: &Arrival, seat: Option<Seat>) -> Self {
+    pub fn new(now: Nanos, arrival: &Arrival, fair_admission: Option<FairAdmission>) -> Self {
         Self {
             id: arrival.id,
             operation: arrival.operation,
@@ -81,8 +81,8 @@
             repeats: arrival.repeats,
             screened: arrival.repeats.is_some(),
             state_since: now,
-            start_tag: seat.map_or(0, |seat| seat.tag),
-            seat,
+            start_tag: fair_admission.map_or(0, |admission| admission.start_tag),
+            fair_admission,
             ..Self::default()
         }
     }
@@ -99,7 +99,7 @@
             operation: self.operation,
             rank: self.rank,
             start_tag: self.start_tag,
-            promised: self.seat.is_some_and(|seat| seat.promised),
+            promised: self.fair_admission.is_some_and(|admission| admission.promised),
             arrived: self.arrived,
             deadline: self.deadlines.objective,
             cost_ratio: self.cost_ratio,
--- a/crates/overload-control/src/tenant_quota.rs
+++ b/crates/overload-control/src/tenant_quota.rs
@@ -3,7 +3,7 @@
 
 use crate::invocations::Invocation;
 use crate::{Arrival, Deployment, Nanos};
-use meadowstream_fair_queueing::{Fair, Outcome as QueueOutcome, Seat, Who as QueuedTenant};
+use meadowstream_fair_queueing::{Admission as FairAdmission, FairScheduler, ServiceOutcome, TenantKey};
 
 /// Seconds of its allowance that a tenant may send at once.
 const BURST_SECONDS: f64 = 15.0;
@@ -41,14 +41,14 @@
 
 /// Where an arrival stands among tenants.
 pub struct Standing {
-    pub seat: Option<Seat>,
+    pub fair_admission: Option<FairAdmission>,
     pub is_over_quota: bool,
 }
 
 /// Quotas of all tenants.
 pub struct TenantQuotas {
     buckets: Vec<TokenBucket>,
-    fair: Option<Fair>,
+    fair: Option<FairScheduler>,
 }
 
 impl TenantQuotas {
@@ -58,8 +58,8 @@
             TokenBucket { rate, tokens: rate, updated: now }
         };
         let fair = deployment.fair_queueing.clone().map(|mut settings| {
-            settings.longest = deployment.retry_after_max;
-            Fair::new(settings, deployment.cores * deployment.target_utilization, seed, now)
+            settings.promise_max = deployment.retry_after_max;
+            FairScheduler::new(settings, deployment.cores * deployment.target_utilization, seed, now)
         });
         Self { buckets: deployment.tenant_allowance.iter().map(bucket).collect(), fair }
     }
@@ -71,29 +71,29 @@
             None => true,
         };
         let Some((fair, sender)) = self.fair.as_mut().zip(arrival.sender.as_ref()) else {
-            return Standing { seat: None, is_over_quota: !has_token };
+            return Standing { fair_admission: None, is_over_quota: !has_token };
         };
-        let tenant = QueuedTenant { name: &sender.tenant, origin: sender.origin };
-        let seat = fair.arrived(now, tenant, work, sender.ticket);
-        Standing { seat: Some(seat), is_over_quota: seat.surplus }
+        let tenant = TenantKey { name: &sender.tenant, origin: sender.origin };
+        let admission = fair.arrive(now, tenant, work, sender.ticket);
+        Standing { fair_admission: Some(admission), is_over_quota: admission.surplus }
     }
 
     /// The run of an invocation starts.
     pub fn on_run_started(&mut self, invocation: &Invocation) {
-        if let (Some(fair), Some(seat)) = (&mut self.fair, &invocation.seat) {
-            fair.began(seat);
+        if let (Some(fair), Some(admission)) = (&mut self.fair, &invocation.fair_admission) {
+            fair.start_service(admission);
         }
     }
 
     /// An invocation leaves the server.
     pub fn on_end(&mut self, now: Nanos, invocation: &Invocation) {
-        if let (Some(fair), Some(seat)) = (&mut self.fair, &invocation.seat) {
+        if let (Some(fair), Some(admission)) = (&mut self.fair, &invocation.fair_admission) {
             let outcome = if invocation.has_run {
-                QueueOutcome::Ran(invocation.core_time)
+                ServiceOutcome::Ran(invocation.core_time)
             } else {
-                QueueOutcome::Never
+                ServiceOutcome::NeverRan
             };
-            fair.ended(now, seat, outcome);
+            fair.end(now, admission, outcome);
         }
     }
 
@@ -101,21 +101,21 @@
     /// `least` at the earliest. `None` where there is nothing to promise.
     pub fn promise(&mut self, now: Nanos, invocation: &mut Invocation, least: Nanos) -> Option<RetryAdvice> {
         let fair = self.fair.as_mut()?;
-        let seat = invocation.seat.take_if(|_| !invocation.has_run)?;
-        fair.ended(now, &seat, QueueOutcome::Never);
-        let advice = fair.promise(now, &seat, least);
-        Some(RetryAdvice { retry_after: advice.stay_away, ticket: advice.ticket })
+        let admission = invocation.fair_admission.take_if(|_| !invocation.has_run)?;
+        fair.end(now, &admission, ServiceOutcome::NeverRan);
+        let advice = fair.promise(now, &admission, least);
+        Some(RetryAdvice { retry_after: advice.retry_after, ticket: advice.ticket })
     }
 
     /// Follows the capacity, in cores.
     pub fn set_capacity(&mut self, now: Nanos, capacity: f64, shortest_objective: Nanos) {
         if let Some(fair) = &mut self.fair {
-            fair.set_level(now, capacity, capacity * shortest_objective as f64 * IN_SERVER_SHARE);
+            fair.update_fair_rate(now, capacity, capacity * shortest_objective as f64 * IN_SERVER_SHARE);
         }
     }
 
     /// The fair queue, where tenants are told apart as they come.
-    pub fn fair_queue(&mut self) -> Option<&mut Fair> {
+    pub fn fair_queue(&mut self) -> Option<&mut FairScheduler> {
         self.fair.as_mut()
     }
 }
