--- a/crates/fair-queueing/tests/promises.rs
+++ b/crates/fair-queueing/tests/promises.rs
@@ -36,7 +36,7 @@
     (fair, now)
 }
 
-fn turned_away(fair: &mut FairScheduler, now: Nanos) -> Admission {
+fn rejected(fair: &mut FairScheduler, now: Nanos) -> Admission {
     let seat = fair.arrive(now, LOUD, 10e6, None);
     assert!(seat.surplus, "{seat:?}");
     fair.end(now, &seat, ServiceOutcome::NeverRan);
@@ -50,9 +50,9 @@
 }
 
 #[test]
-fn who_comes_back_as_told_is_let_in_once() {
+fn a_return_as_promised_is_admitted_once() {
     let (mut fair, now) = pressed(settings());
-    let seat = turned_away(&mut fair, now);
+    let seat = rejected(&mut fair, now);
     let (waits, ticket) = promised(&mut fair, now, &seat).unwrap();
     let back = fair.arrive(now + waits, LOUD, 10e6, Some(ticket));
     assert!(back.promised && !back.surplus);
@@ -63,10 +63,10 @@
 }
 
 #[test]
-fn who_comes_early_loses_the_place_and_who_comes_late_too() {
+fn early_and_late_returns_lose_the_place() {
     let (mut fair, now) = pressed(settings());
     let promise = |fair: &mut FairScheduler| {
-        let seat = turned_away(fair, now);
+        let seat = rejected(fair, now);
         promised(fair, now, &seat).unwrap()
     };
     (0..5).for_each(|_| {
@@ -78,7 +78,7 @@
     assert!(!back.promised, "the place was lost by coming early");
     assert_eq!((fair.counters.early, fair.counters.unknown), (1, 1));
     let (mut fair, now) = pressed(settings());
-    let seat = turned_away(&mut fair, now);
+    let seat = rejected(&mut fair, now);
     let (waits, ticket) = promised(&mut fair, now, &seat).unwrap();
     let late = now + waits + SECOND / 2 + 1;
     assert!(!fair.arrive(late, LOUD, 10e6, Some(ticket)).promised);
@@ -88,7 +88,7 @@
 #[test]
 fn a_ticket_is_its_tenants_alone_from_any_connection() {
     let (mut fair, now) = pressed(settings());
-    let seat = turned_away(&mut fair, now);
+    let seat = rejected(&mut fair, now);
     let (waits, ticket) = promised(&mut fair, now, &seat).unwrap();
     let thief = TenantKey { name: b"thief", origin: 1 };
     assert!(!fair.arrive(now + waits, thief, 10e6, Some(ticket)).promised);
@@ -102,7 +102,7 @@
     let mut last = 0;
     let mut spans = Vec::new();
     for _ in 0..40 {
-        let seat = turned_away(&mut fair, now);
+        let seat = rejected(&mut fair, now);
         let Some((waits, _)) = promised(&mut fair, now, &seat) else { break };
         spans.push(waits);
         last = last.max(waits);
@@ -114,10 +114,10 @@
 }
 
 #[test]
-fn a_full_ledger_promises_nothing_and_comes_free_again() {
+fn promises_are_limited_and_lapsed_ones_are_freed() {
     let (mut fair, now) = pressed(Settings { promises: 4, promise_max: 5 * SECOND, ..settings() });
     let ask = |fair: &mut FairScheduler, now: Nanos| {
-        let seat = turned_away(fair, now);
+        let seat = rejected(fair, now);
         promised(fair, now, &seat)
     };
     (0..4).for_each(|_| assert!(ask(&mut fair, now).is_some()));
@@ -156,7 +156,7 @@
     let (mut fair, now) = pressed(settings());
     let mut made = 0;
     while let Some((waits, _)) = {
-        let seat = turned_away(&mut fair, now);
+        let seat = rejected(&mut fair, now);
         promised(&mut fair, now, &seat)
     } {
         assert!(waits <= 2 * SECOND + MS, "{waits}");
@@ -169,7 +169,7 @@
 fn a_promise_does_not_hold_where_the_server_is_far_worse_off() {
     let (mut fair, now) = pressed(settings());
     let mut ask = || {
-        let seat = turned_away(&mut fair, now);
+        let seat = rejected(&mut fair, now);
         promised(&mut fair, now, &seat)
     };
     let (waits, ticket) = (0..6).filter_map(|_| ask()).last().unwrap();
@@ -183,7 +183,7 @@
 #[test]
 fn after_a_restart_old_tickets_are_unknown_and_harm_nothing() {
     let (mut fair, now) = pressed(settings());
-    let seat = turned_away(&mut fair, now);
+    let seat = rejected(&mut fair, now);
     let (waits, ticket) = promised(&mut fair, now, &seat).unwrap();
     let mut successor = FairScheduler::new(settings(), 1.0, 2, now);
     let back = successor.arrive(now + waits, LOUD, 10e6, Some(ticket));
--- a/crates/routing/tests/ramp.rs
+++ b/crates/routing/tests/ramp.rs
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn the_sum_of_thirty_servers_keeps_to_the_ramp() {
+fn the_calls_of_a_whole_fleet_keep_to_the_slow_start() {
     let mut worst = 0.0_f64;
     for (servers, slower) in [(30, 1), (30, 4), (20, 1), (1, 1), (100, 2)] {
         for seed in 1..=20 {
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn one_that_is_warm_gets_its_whole_part_again() {
+fn a_warm_service_gets_its_full_share_again() {
     let mean = (1..=20).map(|seed| play(30, 1, seed).after).sum::<f64>() / 20.0;
     assert!((mean - 0.1).abs() < 0.01, "{mean}");
 }
--- a/crates/routing/tests/tier.rs
+++ b/crates/routing/tests/tier.rs
@@ -236,7 +236,7 @@
 /// One server cannot reach a service that all others can: it is not ejected, and that server's own calls go
 /// round it. Without its own evidence its calls fall into the hole, since what fails at once is never busy.
 #[test]
-fn what_one_server_alone_finds_bad_is_its_own_matter() {
+fn a_service_unreached_by_one_server_is_not_ejected() {
     let play = |own_counts| {
         let mut fleet = Fleet::new(20, 8, 500, 2, 4);
         fleet.own_counts = own_counts;
@@ -277,7 +277,7 @@
 }
 
 #[test]
-fn a_call_made_again_goes_elsewhere_and_load_is_even() {
+fn retries_go_elsewhere_and_load_is_even() {
     let settings = Settings { services: 3, probe_interval: S, slow_start: S };
     let mut router = Router::new(settings, 9).unwrap();
     for _ in 0..1000 {
@@ -350,7 +350,7 @@
 }
 
 #[test]
-fn where_those_that_probe_are_lost_others_do() {
+fn lost_probers_are_replaced() {
     let mut fleet = Fleet::new(30, 8, 500, 2, 3);
     fleet.play(2 * S);
     fleet.health[1] = Health::Failing;
--- a/crates/shared-state/tests/fleet.rs
+++ b/crates/shared-state/tests/fleet.rs
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn what_a_crashed_holder_had_comes_back_after_the_lease() {
+fn the_lease_of_a_crashed_holder_is_granted_again() {
     let mut fleet = flooded(3, lan());
     for i in 0..4 {
         fleet.demand(i, 20.0);
@@ -280,7 +280,7 @@
 /// A server is back with the incarnation it had before and counts from nothing: what it counts anew is not
 /// hidden below what the others remember of it.
 #[test]
-fn one_that_is_back_with_an_old_incarnation_and_old_counts_loses_nothing() {
+fn a_restart_with_an_old_incarnation_loses_no_counts() {
     let mut fleet = flooded(12, lan());
     let was = fleet.state(4).expect("runs").id().clone();
     (0..5).for_each(|i| fleet.demand(i, 0.0));
