--- a/crates/capacity/src/hollow.rs
+++ b/crates/capacity/src/hollow.rs
@@ -119,7 +119,7 @@
             let before = self.shared_state.messages.sent_bytes;
             self.shared_state.send_other(&to, REPLICATION, body);
             let size = self.shared_state.messages.sent_bytes - before;
-            let Some((_, body)) = self.shared_state.outgoing().pop() else { continue };
+            let Some((_, body)) = self.shared_state.take_outgoing().pop() else { continue };
             if let Some(address) = self.directory.address(&to) {
                 self.costs.replication.datagrams += 1;
                 self.costs.replication.bytes += size + ENVELOPE;
@@ -150,7 +150,7 @@
     }
 
     fn send_shared_state(&mut self, now: Nanos) {
-        for (name, body) in self.shared_state.outgoing() {
+        for (name, body) in self.shared_state.take_outgoing() {
             if let Some(to) = self.directory.address(&name) {
                 self.costs.shared_state.datagrams += 1;
                 self.costs.shared_state.bytes += body.len() as u64 + ENVELOPE;
--- a/crates/server/src/fleet/coordinator.rs
+++ b/crates/server/src/fleet/coordinator.rs
@@ -14,7 +14,7 @@
 use meadowstream_rollout::coordinator::{Action, Coordinator, FleetView, PersistedState, Phase};
 use meadowstream_rollout::plan::{ChangeKind, Plan};
 use meadowstream_rollout::wire;
-use meadowstream_shared_state::{ORDER_REPORTS, ORDERS};
+use meadowstream_shared_state::{ROLLOUT_ORDERS, ROLLOUT_REPORTS};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
@@ -174,7 +174,7 @@
             joined.leave().await;
             return Ok(coordinator.state().phase.clone());
         }
-        for said in joined.turn(next).await.into_iter().filter(|said| said.topic == ORDER_REPORTS) {
+        for said in joined.turn(next).await.into_iter().filter(|said| said.topic == ROLLOUT_REPORTS) {
             if let Some(report) = wire::decode(&said.body) {
                 let now = joined.now();
                 coordinator.handle_report(now, &said.from.name, report);
@@ -193,7 +193,7 @@
                 files::write(&given.state, text.as_bytes())
                     .with_context(|| format!("cannot write {}", given.state.display()))?;
             }
-            Action::SendOrder { server, order } => joined.send(&server, ORDERS, wire::encode(&order)),
+            Action::SendOrder { server, order } => joined.send(&server, ROLLOUT_ORDERS, wire::encode(&order)),
             Action::Notify { message } => say(&message, joined.now()),
         }
     }
--- a/crates/server/src/fleet/joined.rs
+++ b/crates/server/src/fleet/joined.rs
@@ -74,7 +74,7 @@
 
     /// Says whether it wants the lease of this name, and whether it holds it now.
     pub fn lease(&mut self, name: &str, wants: bool) -> bool {
-        let time = self.shared.read(self.reading());
+        let time = self.shared.read_clocks(self.reading());
         let lease = self.shared.budgets.iter_mut().find(|budget| budget.settings().name == name);
         lease.is_some_and(|lease| {
             lease.set_demand(u64::from(wants), 0);
@@ -96,7 +96,7 @@
             let reading = self.reading();
             self.shared.advance(reading, self.directory.names());
         }
-        for (name, body) in self.shared.outgoing() {
+        for (name, body) in self.shared.take_outgoing() {
             if let Some(to) = self.directory.address(&name) {
                 self.membership.send_shared_state(to, &body, now);
             }
--- a/crates/server/src/fleet/membership.rs
+++ b/crates/server/src/fleet/membership.rs
@@ -13,7 +13,7 @@
     Change, MemberId, MemberState, MemberStatus, Membership, Transmit, ViewChange,
 };
 use meadowstream_rollout::wire;
-use meadowstream_shared_state::{ABOUTS, ORDER_REPORTS, ORDERS, REPLICATION};
+use meadowstream_shared_state::{REPLICATION, ROLLOUT_ORDERS, ROLLOUT_REPORTS, VERSION_ANNOUNCEMENTS};
 use std::net::{SocketAddr, UdpSocket};
 use std::rc::Rc;
 use tracing::{info, warn};
@@ -151,15 +151,15 @@
             if let Some(replication) = self.replication.as_mut().filter(|_| topic == REPLICATION) {
                 replication.receive(&from.name, &body, now);
             }
-            if topic == ABOUTS
+            if topic == VERSION_ANNOUNCEMENTS
                 && let Some((rollout, words)) = server.rollout.as_ref().zip(wire::decode(&body))
             {
                 rollout.versions.borrow_mut().merge(words);
             }
-            let order = (topic == ORDERS).then(|| wire::decode::<wire::Order>(&body)).flatten();
+            let order = (topic == ROLLOUT_ORDERS).then(|| wire::decode::<wire::Order>(&body)).flatten();
             let Some((rollout, order)) = server.rollout.as_ref().zip(order) else { continue };
             if let Some(report) = rollout::obey(server, rollout, order) {
-                shared.send_other(&from.name, ORDER_REPORTS, wire::encode(&report));
+                shared.send_other(&from.name, ROLLOUT_REPORTS, wire::encode(&report));
             }
         }
         if now < self.due && !answers {
@@ -180,7 +180,11 @@
             if !alive.is_empty() {
                 // Whoever comes next in turn, from a place that differs by server.
                 let at = (now / TOLD_EVERY).wrapping_add(versions.own().incarnation) as usize % alive.len();
-                shared.send_other(&alive[at], ABOUTS, wire::encode(&versions.announcement(now)));
+                shared.send_other(
+                    &alive[at],
+                    VERSION_ANNOUNCEMENTS,
+                    wire::encode(&versions.announcement(now)),
+                );
             }
         }
         let (out, again) = shared.advance(alive, &server.counters);
--- a/crates/server/src/fleet/shared_state.rs
+++ b/crates/server/src/fleet/shared_state.rs
@@ -76,7 +76,7 @@
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
         let Inner { state, permits, tier, refused, .. } = &mut *inner;
-        let time = state.read(reading);
+        let time = state.read_clocks(reading);
         if tier.as_ref().is_some_and(|tier| !tier.can_route(reading.monotonic, wish)) {
             *refused = true;
             return false;
@@ -95,7 +95,7 @@
     pub fn called(&self, number: u64, timeout: u64, wish: CallPreference) -> (u64, Option<Place>) {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
-        let time = inner.state.read(reading);
+        let time = inner.state.read_clocks(reading);
         inner.permits.acquire(time, number);
         let place = inner.tier.as_mut().map(|tier| tier.call(reading.monotonic, number, wish));
         let most = calls(&inner.state).map_or(timeout, |budget| timeout.min(budget.settings().use_max));
@@ -106,7 +106,7 @@
     pub fn ended(&self, number: u64, surely: bool, over: Over) {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
-        let time = inner.state.read(reading);
+        let time = inner.state.read_clocks(reading);
         let Inner { state, tier, .. } = &mut *inner;
         if let Some((tier, judge)) = tier.as_mut().zip(state.outlier_detector.as_mut()) {
             tier.ended(reading.monotonic, time, number, over, judge);
@@ -171,7 +171,7 @@
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
         let Inner { state, permits, tier, refused, counted, .. } = &mut *inner;
-        let time = state.read(reading);
+        let time = state.read_clocks(reading);
         let now = [&counters.invocations, &counters.succeeded, &counters.throttled, &counters.errored];
         for ((key, now), counted) in COUNTED.iter().zip(now).zip(counted) {
             state.counters.add(key, now.get() - *counted);
@@ -198,7 +198,7 @@
         };
         let again = *refused && open && free(time, permits);
         *refused &= !again;
-        (state.outgoing(), again)
+        (state.take_outgoing(), again)
     }
 
     /// In nanoseconds, at most.
@@ -210,7 +210,7 @@
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
         let Inner { state, permits, tier, .. } = &mut *inner;
-        let time = state.read(reading);
+        let time = state.read_clocks(reading);
         let names = state.outlier_detector.as_ref().map(|judge| &judge.settings().services);
         let ejected = tier.iter().flat_map(|tier| &tier.ejected);
         let ejected = ejected.filter_map(|i| names?.get(*i).cloned()).collect();
@@ -230,7 +230,7 @@
     pub fn tier(&self) -> (String, String) {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
-        let time = inner.state.read(reading);
+        let time = inner.state.read_clocks(reading);
         let shown = inner.tier.as_ref().zip(inner.state.outlier_detector.as_ref());
         shown.map_or_else(Default::default, |(tier, judge)| tier.shown(time, judge))
     }
--- a/crates/shared-state/src/lib.rs
+++ b/crates/shared-state/src/lib.rs
@@ -24,7 +24,9 @@
 pub mod simulation;
 pub mod state;
 
-pub use message::{ABOUTS, Message, ORDER_REPORTS, ORDERS, Payload, REPLICATION, ReceiveError};
+pub use message::{
+    Message, Payload, REPLICATION, ROLLOUT_ORDERS, ROLLOUT_REPORTS, ReceiveError, VERSION_ANNOUNCEMENTS,
+};
 pub use server_id::ServerId;
 pub use settings::{Settings, SettingsError};
 pub use state::{MessageCounters, ReceivedOther, SharedState};
--- a/crates/shared-state/src/message.rs
+++ b/crates/shared-state/src/message.rs
@@ -9,11 +9,11 @@
 use thiserror::Error;
 
 /// Topic of [`Payload::Other`]: orders of a rollout's coordinator to a server.
-pub const ORDERS: u16 = 1;
+pub const ROLLOUT_ORDERS: u16 = 1;
 /// Topic of [`Payload::Other`]: a server's reports to the coordinator.
-pub const ORDER_REPORTS: u16 = 2;
-/// Topic of [`Payload::Other`]: what servers publish about themselves.
-pub const ABOUTS: u16 = 3;
+pub const ROLLOUT_REPORTS: u16 = 2;
+/// Topic of [`Payload::Other`]: which program and configuration each server runs.
+pub const VERSION_ANNOUNCEMENTS: u16 = 3;
 /// Topic of [`Payload::Other`]: replication of the configuration.
 pub const REPLICATION: u16 = 4;
 
--- a/crates/shared-state/src/simulation/mod.rs
+++ b/crates/shared-state/src/simulation/mod.rs
@@ -186,7 +186,7 @@
     /// Puts a server's outgoing messages on the network.
     fn send_outgoing(&mut self, from: usize) {
         let Some(state) = self.servers[from].state.as_mut() else { return };
-        for (name, body) in state.outgoing() {
+        for (name, body) in state.take_outgoing() {
             let Some(&to) = self.indices.get(&name) else { continue };
             if !self.reaches(from, to) {
                 continue;
--- a/crates/shared-state/src/simulation/server.rs
+++ b/crates/shared-state/src/simulation/server.rs
@@ -58,7 +58,7 @@
     pub fn advance(&mut self, now: Nanos, alive: &[String]) -> bool {
         let reading = self.clocks.read(now);
         let Some(state) = self.state.as_mut().filter(|_| !self.stalled) else { return false };
-        let time = state.read(reading);
+        let time = state.read_clocks(reading);
         for budget in &mut state.budgets {
             let recent = 2 * budget.settings().refresh_interval;
             let wanted = self.permits.wanted(time, recent);
@@ -72,7 +72,7 @@
     pub fn try_call(&mut self, now: Nanos, call: u64) -> Option<bool> {
         let reading = self.clocks.read(now);
         let state = self.state.as_mut().filter(|_| !self.stalled)?;
-        let time = state.read(reading);
+        let time = state.read_clocks(reading);
         let in_use = self.permits.in_use(time);
         let allowed = state.budgets.first().is_none_or(|budget| budget.may_acquire(time, in_use));
         if allowed {
--- a/crates/shared-state/src/state.rs
+++ b/crates/shared-state/src/state.rs
@@ -119,7 +119,7 @@
     }
 
     /// Takes a reading of the clocks, and returns the time.
-    pub fn read(&mut self, reading: Reading) -> Time {
+    pub fn read_clocks(&mut self, reading: Reading) -> Time {
         self.time = self.clock.read(reading);
         self.wall = reading.wall;
         self.time
@@ -137,7 +137,7 @@
 
     /// Does what is due; `alive` are the names of the other members that the fleet's view holds alive.
     pub fn advance(&mut self, reading: Reading, alive: &[String]) {
-        let time = self.read(reading);
+        let time = self.read_clocks(reading);
         for index in 0..self.budgets.len() {
             let draw = self.rng.next_u64();
             let outgoing = self.budgets[index].advance(time, draw);
@@ -225,7 +225,7 @@
     }
 
     /// Messages to send since the last call, each with the name of the member that it goes to.
-    pub fn outgoing(&mut self) -> Vec<(String, Vec<u8>)> {
+    pub fn take_outgoing(&mut self) -> Vec<(String, Vec<u8>)> {
         std::mem::take(&mut self.outgoing)
     }
 
@@ -234,7 +234,7 @@
     /// # Errors
     /// The message is dropped and counted.
     pub fn receive(&mut self, reading: Reading, body: &[u8]) -> Result<(), ReceiveError> {
-        let time = self.read(reading);
+        let time = self.read_clocks(reading);
         self.messages.received += 1;
         let result = Message::decode(body).and_then(|message| self.handle(time, message));
         self.messages.malformed += u64::from(result.is_err());
--- a/crates/shared-state/tests/fixed_bytes.rs
+++ b/crates/shared-state/tests/fixed_bytes.rs
@@ -3,7 +3,9 @@
 use meadowstream_shared_state::budget::{BudgetMessage, GrantId, Term};
 use meadowstream_shared_state::counters::CounterRow;
 use meadowstream_shared_state::outlier_detection::{Report, ServiceHealth};
-use meadowstream_shared_state::{ABOUTS, Message, ORDER_REPORTS, ORDERS, Payload, REPLICATION, ServerId};
+use meadowstream_shared_state::{
+    Message, Payload, REPLICATION, ROLLOUT_ORDERS, ROLLOUT_REPORTS, ServerId, VERSION_ANNOUNCEMENTS,
+};
 use meadowstream_wire_fixtures::Fixtures;
 
 fn server(name: &str) -> ServerId {
@@ -69,9 +71,9 @@
         ),
         ("rows", Payload::Rows(vec![(server("s1"), row())])),
         ("reports", Payload::Reports(reports)),
-        ("other-orders", Payload::Other { topic: ORDERS, body: vec![1, 2, 3] }),
-        ("other-order-reports", Payload::Other { topic: ORDER_REPORTS, body: vec![1, 2, 3] }),
-        ("other-abouts", Payload::Other { topic: ABOUTS, body: vec![1, 2, 3] }),
+        ("other-orders", Payload::Other { topic: ROLLOUT_ORDERS, body: vec![1, 2, 3] }),
+        ("other-order-reports", Payload::Other { topic: ROLLOUT_REPORTS, body: vec![1, 2, 3] }),
+        ("other-abouts", Payload::Other { topic: VERSION_ANNOUNCEMENTS, body: vec![1, 2, 3] }),
         ("other-replication", Payload::Other { topic: REPLICATION, body: vec![1, 2, 3] }),
     ]
 }
--- a/crates/shared-state/tests/fleet.rs
+++ b/crates/shared-state/tests/fleet.rs
@@ -370,7 +370,7 @@
 #[test]
 fn the_release_before_and_this_one_understand_each_other() {
     use meadowstream_shared_state::outlier_detection::{Report, ServiceHealth};
-    use meadowstream_shared_state::{Message, ORDERS, Payload};
+    use meadowstream_shared_state::{Message, Payload, ROLLOUT_ORDERS};
     let from = ServerId { name: "s1".into(), incarnation: 7 };
     let report = Report { by: from.clone(), service: 1, health: ServiceHealth::Slow, age: 3 };
     let old = release_before::Message {
@@ -381,7 +381,7 @@
     assert_eq!(read, Message { from: from.clone(), payload: Payload::Reports(vec![report.clone()]) });
     let new = postcard::to_allocvec(&read).unwrap();
     assert_eq!(postcard::from_bytes::<release_before::Message>(&new), Ok(old));
-    let later = Message { from, payload: Payload::Other { topic: ORDERS, body: vec![1, 2, 3] } };
+    let later = Message { from, payload: Payload::Other { topic: ROLLOUT_ORDERS, body: vec![1, 2, 3] } };
     let later = postcard::to_allocvec(&later).unwrap();
     assert!(postcard::from_bytes::<release_before::Message>(&later).is_err());
 }
