--- a/crates/membership/tests/bytes.rs
+++ b/crates/membership/tests/bytes.rs
@@ -12,7 +12,7 @@
 const SECOND: u64 = 1_000 * MILLISECOND;
 const MEMBERS: usize = 300;
 /// Far less than the half fleets would take without a bound, about 30,000.
-const BYTES_A_SECOND: u64 = 12_000;
+const BYTES_PER_SECOND: u64 = 12_000;
 const CUT_SECONDS: u64 = 30;
 /// Seconds after the heal in which each second is looked at; one view has to stand by then.
 const LOOK_SECONDS: u64 = 40;
@@ -20,7 +20,7 @@
 fn settings() -> Settings {
     let mut settings = Settings::lan("quiz", b"sixteen byte key");
     settings.expected_members = MEMBERS as u32;
-    settings.bytes_per_second = BYTES_A_SECOND;
+    settings.bytes_per_second = BYTES_PER_SECOND;
     settings
 }
 
@@ -64,7 +64,7 @@
 
 /// A member that knows many is asked for its view by several others at once.
 #[test]
-fn lists_of_members_wait_where_a_second_has_no_room_and_come_with_the_next() {
+fn lists_of_members_wait_for_the_budget_and_are_sent_with_a_later_exchange() {
     let id = |member: usize| MemberId {
         name: format!("s{member}"),
         addr: SimulatedFleet::addr(member),
@@ -81,17 +81,17 @@
         payload: AntiEntropyPayload::Digest { bucket_hashes: vec![0; BUCKETS] },
     }
     .encode();
-    let ask = |asked: &mut Membership, now: u64, sequence: u64| {
+    let send_digest = |asked: &mut Membership, now: u64, sequence: u64| {
         let datagram = sealer.seal(PayloadKind::AntiEntropy, 1, sequence, &digest).expect("short");
         asked.handle_datagram(SimulatedFleet::addr(1), &datagram, now).expect("authentic");
         asked.take_transmits().iter().map(|one| one.datagram.len() as u64).sum::<u64>()
     };
-    let at_once: u64 = (1..=5).map(|sequence| ask(&mut asked, 4 * SECOND, sequence)).sum();
+    let at_once: u64 = (1..=5).map(|sequence| send_digest(&mut asked, 4 * SECOND, sequence)).sum();
     // An eighth is left to probes, answers and verdicts.
-    let most = BYTES_A_SECOND - BYTES_A_SECOND / 8;
-    assert!(at_once > BYTES_A_SECOND / 2 && at_once <= most, "{at_once} bytes at once");
-    let later = ask(&mut asked, 4 * SECOND + 1_100 * MILLISECOND, 6);
-    assert!(later > BYTES_A_SECOND / 2, "{later} bytes a second later");
+    let most = BYTES_PER_SECOND - BYTES_PER_SECOND / 8;
+    assert!(at_once > BYTES_PER_SECOND / 2 && at_once <= most, "{at_once} bytes at once");
+    let later = send_digest(&mut asked, 4 * SECOND + 1_100 * MILLISECOND, 6);
+    assert!(later > BYTES_PER_SECOND / 2, "{later} bytes a second later");
     // It compares again soon, since what it did not send is known to differ.
     asked.handle_timeout(4 * SECOND + 2 * settings().probe_period);
     let compares = |datagram: &[u8]| {
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_bound_without_room_for_four_packets_is_refused() {
+fn a_bound_below_four_packets_a_second_is_an_error() {
     let mut settings = settings();
     settings.bytes_per_second = 5_000;
     let fault = settings.check().expect_err("too little");
--- a/crates/membership/tests/verdicts.rs
+++ b/crates/membership/tests/verdicts.rs
@@ -1,5 +1,5 @@
-//! What a member does that hears another hold a third one down, and what it says to whoever still hears one
-//! that it holds down itself.
+//! Verdicts: what a member does when another declares a third one down, and whom it notifies when another lists a
+//! member that it holds down itself.
 
 use foca::{Member, State};
 use meadowstream_membership::envelope::{PayloadKind, Sealer};
@@ -9,7 +9,7 @@
 
 const SECOND: u64 = 1_000_000_000;
 const ME: usize = 0;
-const TELLER: usize = 1;
+const SENDER: usize = 1;
 const THIRD: usize = 2;
 
 fn settings() -> Settings {
@@ -21,9 +21,9 @@
 }
 
 /// A member that knows the two others, both alive.
-fn knows_both() -> Membership {
+fn knowing_both() -> Membership {
     let mut core = Membership::new(id(ME, 1), &settings(), 1, 0).expect("good settings");
-    core.restore([id(TELLER, 1), id(THIRD, 1)].into_iter(), 0);
+    core.restore([id(SENDER, 1), id(THIRD, 1)].into_iter(), 0);
     core.take_transmits();
     core
 }
@@ -32,20 +32,20 @@
     Sealer::new("quiz", b"sixteen byte key", settings().packet_max)
 }
 
-fn hear(core: &mut Membership, sequence: u64, payload: AntiEntropyPayload, now: u64) {
-    let said = AntiEntropyMessage { from: id(TELLER, 1), payload };
-    let datagram = sealer().seal(PayloadKind::AntiEntropy, 1, sequence, &said.encode()).expect("short");
-    core.handle_datagram(SimulatedFleet::addr(TELLER), &datagram, now).expect("authentic");
+fn receive(core: &mut Membership, sequence: u64, payload: AntiEntropyPayload, now: u64) {
+    let message = AntiEntropyMessage { from: id(SENDER, 1), payload };
+    let datagram = sealer().seal(PayloadKind::AntiEntropy, 1, sequence, &message.encode()).expect("short");
+    core.handle_datagram(SimulatedFleet::addr(SENDER), &datagram, now).expect("authentic");
 }
 
-fn standing(core: &mut Membership, now: u64) -> Option<MemberState> {
+fn state_of_third(core: &mut Membership, now: u64) -> Option<MemberState> {
     let view = core.view(now);
     view.iter().find(|seen| seen.addr == SimulatedFleet::addr(THIRD)).map(|seen| seen.state)
 }
 
-/// To whom it says that it holds the third one down.
-fn told_of_the_third(core: &mut Membership) -> Vec<std::net::SocketAddr> {
-    let says = |datagram: &[u8]| {
+/// Addresses to which it sends the verdict that the third member is down.
+fn notified_of_the_third(core: &mut Membership) -> Vec<std::net::SocketAddr> {
+    let is_verdict = |datagram: &[u8]| {
         let opened = sealer().open(datagram).ok().filter(|opened| opened.kind == PayloadKind::AntiEntropy);
         let exchange = opened.and_then(|opened| AntiEntropyMessage::decode(opened.body));
         let down = |member: &Member<MemberId>| {
@@ -55,46 +55,46 @@
             |exchange| matches!(exchange.payload, AntiEntropyPayload::Verdict { member } if down(&member)),
         )
     };
-    core.take_transmits().into_iter().filter(|one| says(&one.datagram)).map(|one| one.to).collect()
+    core.take_transmits().into_iter().filter(|one| is_verdict(&one.datagram)).map(|one| one.to).collect()
 }
 
 #[test]
-fn one_that_another_holds_down_is_suspected_and_ends_without_an_answer() {
-    let mut core = knows_both();
-    hear(&mut core, 1, AntiEntropyPayload::Verdict { member: Member::down(id(THIRD, 1)) }, SECOND / 10);
-    assert_eq!(standing(&mut core, SECOND / 10), Some(MemberState::Suspect));
+fn a_member_that_another_declares_down_is_suspected_and_goes_down_without_an_answer() {
+    let mut core = knowing_both();
+    receive(&mut core, 1, AntiEntropyPayload::Verdict { member: Member::down(id(THIRD, 1)) }, SECOND / 10);
+    assert_eq!(state_of_third(&mut core, SECOND / 10), Some(MemberState::Suspect));
     // Nothing comes of it: it is down within twice the suspicion and the period in which that is looked at.
     let end = SECOND / 10 + 2 * settings().suspicion() + 2 * settings().probe_period;
     (1..=end / (SECOND / 10)).for_each(|tenth| core.handle_timeout(tenth * SECOND / 10));
-    assert_ne!(standing(&mut core, end), Some(MemberState::Alive));
-    assert_ne!(standing(&mut core, end), Some(MemberState::Suspect));
+    assert_ne!(state_of_third(&mut core, end), Some(MemberState::Alive));
+    assert_ne!(state_of_third(&mut core, end), Some(MemberState::Suspect));
 }
 
 #[test]
-fn a_verdict_on_an_incarnation_that_is_no_more_changes_nothing() {
-    let mut core = knows_both();
+fn a_verdict_on_an_earlier_incarnation_changes_nothing() {
+    let mut core = knowing_both();
     core.restore(std::iter::once(id(THIRD, 2)), 0);
-    hear(&mut core, 1, AntiEntropyPayload::Verdict { member: Member::down(id(THIRD, 1)) }, SECOND / 10);
-    assert_eq!(standing(&mut core, SECOND / 10), Some(MemberState::Alive));
+    receive(&mut core, 1, AntiEntropyPayload::Verdict { member: Member::down(id(THIRD, 1)) }, SECOND / 10);
+    assert_eq!(state_of_third(&mut core, SECOND / 10), Some(MemberState::Alive));
 }
 
 #[test]
 fn a_suspicion_of_another_is_not_taken_as_a_verdict() {
-    let mut core = knows_both();
-    hear(
+    let mut core = knowing_both();
+    receive(
         &mut core,
         1,
         AntiEntropyPayload::Verdict { member: Member::new(id(THIRD, 1), 0, State::Suspect) },
         SECOND / 10,
     );
-    assert_eq!(standing(&mut core, SECOND / 10), Some(MemberState::Alive));
+    assert_eq!(state_of_third(&mut core, SECOND / 10), Some(MemberState::Alive));
 }
 
 #[test]
-fn whoever_still_hears_one_that_is_held_down_is_told_so() {
-    let mut core = knows_both();
+fn a_list_with_a_member_held_down_is_answered_by_a_verdict_to_both() {
+    let mut core = knowing_both();
     let suspected = Member::new(id(THIRD, 1), 0, State::Suspect);
-    hear(
+    receive(
         &mut core,
         1,
         AntiEntropyPayload::Members { requested_buckets: 0, members: vec![suspected] },
@@ -103,9 +103,9 @@
     let end = 2 * settings().suspicion() + 2 * settings().probe_period;
     (1..=end / (SECOND / 10)).for_each(|tenth| core.handle_timeout(tenth * SECOND / 10));
     core.take_transmits();
-    let heard = vec![Member::alive(id(THIRD, 1))];
-    hear(&mut core, 2, AntiEntropyPayload::Members { requested_buckets: 0, members: heard }, end + SECOND);
-    let told = told_of_the_third(&mut core);
-    assert!(told.contains(&SimulatedFleet::addr(TELLER)), "the one that hears it: {told:?}");
-    assert!(told.contains(&SimulatedFleet::addr(THIRD)), "the one that is held down: {told:?}");
+    let members = vec![Member::alive(id(THIRD, 1))];
+    receive(&mut core, 2, AntiEntropyPayload::Members { requested_buckets: 0, members }, end + SECOND);
+    let notified = notified_of_the_third(&mut core);
+    assert!(notified.contains(&SimulatedFleet::addr(SENDER)), "the sender of the list: {notified:?}");
+    assert!(notified.contains(&SimulatedFleet::addr(THIRD)), "the member held down: {notified:?}");
 }
--- a/crates/rate-limit/tests/sliding_window.rs
+++ b/crates/rate-limit/tests/sliding_window.rs
@@ -1,4 +1,4 @@
-//! The bound over any second, what may not wait, and a clock that stands still or goes back.
+//! The limit over any second, forced amounts, and a clock that stands still or goes back.
 
 use meadowstream_rate_limit::{Nanos, SlidingWindow};
 use proptest::prelude::*;
@@ -6,7 +6,7 @@
 const SECOND: Nanos = 1_000_000_000;
 
 #[test]
-fn what_was_spent_comes_back_after_a_second() {
+fn an_amount_is_available_again_after_a_second() {
     let mut window = SlidingWindow::new(100, 0);
     assert!(window.try_acquire(60, 0) && window.try_acquire(40, SECOND / 2));
     assert!(!window.try_acquire(1, SECOND - 1));
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn what_may_not_wait_is_counted_and_holds_up_the_rest() {
+fn a_forced_amount_counts_against_later_ones() {
     let mut window = SlidingWindow::new(100, 5 * SECOND);
     window.force_acquire(250, 5 * SECOND);
     assert_eq!(window.available(6 * SECOND), 0);
--- a/crates/rollout/tests/rollouts.rs
+++ b/crates/rollout/tests/rollouts.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeSet;
 use test_case::test_case;
 
-const S: u64 = 1_000_000_000;
+const SECOND: u64 = 1_000_000_000;
 const CANDIDATE: u64 = 0xbeef;
 const OLD: u64 = 0xcafe;
 
@@ -54,7 +54,7 @@
     settled: u64,
     loss: f64,
     saved: Option<PersistedState>,
-    said: Vec<String>,
+    messages: Vec<String>,
     /// Servers that ever went by the change.
     touched: BTreeSet<usize>,
     reports: Vec<(u64, String, Report)>,
@@ -64,7 +64,7 @@
 }
 
 fn plan() -> Plan {
-    let stage = |size, seconds| Stage { size, bake_time: seconds * S };
+    let stage = |size, seconds| Stage { size, bake_time: seconds * SECOND };
     Plan {
         name: "raise the reference".into(),
         candidate: CANDIDATE,
@@ -77,10 +77,10 @@
         ],
         on_regression: OnRegression::RollBack,
         thresholds: Thresholds::default(),
-        interval: S,
-        settle_time: 3 * S,
+        interval: SECOND,
+        settle_time: 3 * SECOND,
         warm_up: 0,
-        response_timeout: 10 * S,
+        response_timeout: 10 * SECOND,
     }
 }
 
@@ -94,10 +94,10 @@
             drift: 0.0,
             interval: 0,
             now: 0,
-            settled: 60 * S,
+            settled: 60 * SECOND,
             loss: 0.05,
             saved: None,
-            said: Vec::new(),
+            messages: Vec::new(),
             touched: BTreeSet::new(),
             reports: Vec::new(),
             has_lease: true,
@@ -124,7 +124,7 @@
     }
 
     /// What server `i` has done in the interval before.
-    fn figures(&mut self, i: usize) -> Vec<IntervalMetrics> {
+    fn interval_metrics(&mut self, i: usize) -> Vec<IntervalMetrics> {
         let draw = self.normal();
         let server = &mut self.servers[i];
         // Half of the noise is that of the interval before.
@@ -132,7 +132,7 @@
         let own = 0.1 * server.noise + server.offset + if server.age < 5 { 1.0 } else { 0.0 };
         server.age += 1;
         let (adopted, busy) = (server.adopted, 0.6 + 0.3 * self.load);
-        let (mut figures, change) = (Vec::new(), if adopted { self.change } else { Change::Nothing });
+        let (mut metrics, change) = (Vec::new(), if adopted { self.change } else { Change::Nothing });
         for (class, base) in [("basic", 0.06), ("premium", 0.01)] {
             let answered = 60 + (20.0 * busy) as u64;
             let mut throttled = base + 0.1 * (busy - 0.6).max(0.0) + 0.02 * own.abs();
@@ -147,9 +147,9 @@
             let (throttled, errored) = (self.binomial(answered, throttled), self.binomial(answered, errored));
             let p95_us = (50_000.0 * slower * (0.8 * own + 0.5 * busy).exp()) as u64;
             let class = class.to_string();
-            figures.push(IntervalMetrics { class, answered, throttled, errored, late: 0, p95_us });
+            metrics.push(IntervalMetrics { class, answered, throttled, errored, late: 0, p95_us });
         }
-        figures
+        metrics
     }
 
     fn lost(&mut self) -> bool {
@@ -159,8 +159,8 @@
     /// One interval: orders to servers, and what they report until the next one.
     fn step(&mut self, coordinator: &mut Coordinator) {
         self.interval += 1;
-        self.now += S;
-        self.settled += S;
+        self.now += SECOND;
+        self.settled += SECOND;
         let draw = self.normal();
         self.drift = 0.9 * self.drift + 0.1 * draw;
         // Peaks every half a minute.
@@ -179,22 +179,22 @@
             missing: all.filter(|i| self.servers[*i].cut).map(name).collect(),
             settled_for: self.settled,
         };
-        let acts = coordinator.handle_interval(self.now, &view, self.has_lease);
-        self.take(acts);
+        let actions = coordinator.handle_interval(self.now, &view, self.has_lease);
+        self.carry_out(actions);
     }
 
-    /// Carries acts out; a save stands before what follows from it.
-    fn take(&mut self, acts: Vec<Action>) {
-        for act in acts {
-            match act {
+    /// Carries actions out; a save stands before what follows from it.
+    fn carry_out(&mut self, actions: Vec<Action>) {
+        for action in actions {
+            match action {
                 Action::Save(saved) => self.saved = Some(*saved),
-                Action::Notify { message } => self.said.push(message),
-                Action::SendOrder { server, order } => self.tell(server, order),
+                Action::Notify { message } => self.messages.push(message),
+                Action::SendOrder { server, order } => self.deliver(server, order),
             }
         }
     }
 
-    fn tell(&mut self, to: String, order: Order) {
+    fn deliver(&mut self, to: String, order: Order) {
         let i: usize = to[1..].parse().unwrap();
         let changed = self.saved.as_ref().is_some_and(|saved| saved.changed.contains(&to));
         assert_eq!(order.adopt.is_some(), changed, "an order that was not saved first");
@@ -225,7 +225,7 @@
         if adopted {
             self.touched.insert(i);
         }
-        let classes = self.figures(i);
+        let classes = self.interval_metrics(i);
         if self.lost() {
             return;
         }
@@ -233,7 +233,7 @@
         let (order_sequence, interval, version) = (order.sequence, self.interval, "0.2.0".to_string());
         let report =
             Report { order_sequence, version, running_hash: settings, adopted, refused, interval, classes };
-        self.reports.push((self.now + S / 2, to, wire::decode(&wire::encode(&report)).unwrap()));
+        self.reports.push((self.now + SECOND / 2, to, wire::decode(&wire::encode(&report)).unwrap()));
     }
 
     fn play(&mut self, coordinator: &mut Coordinator, intervals: usize) -> Phase {
@@ -247,7 +247,7 @@
     }
 
     fn none_left_changed(&self) {
-        assert!(self.servers.iter().all(|server| !server.adopted), "{:?}", self.said);
+        assert!(self.servers.iter().all(|server| !server.adopted), "{:?}", self.messages);
     }
 }
 
@@ -265,7 +265,7 @@
         match fleet.play(&mut coordinator, 600) {
             Phase::Done => assert!(fleet.servers.iter().all(|server| server.adopted)),
             Phase::RolledBack { reason: why, .. } => stopped.push(why),
-            other => panic!("{other:?}: {:?}", fleet.said),
+            other => panic!("{other:?}: {:?}", fleet.messages),
         }
     }
     println!("A/A: {} of 100 stopped: {stopped:?}", stopped.len());
@@ -311,7 +311,7 @@
         // Whichever is changed first: all even ones are half as fast again.
         (0..10).step_by(2).for_each(|i| fleet.servers[i].offset += 0.5);
         let phase = fleet.play(&mut begin(plan()), 600);
-        assert_eq!(phase, Phase::Done, "{:?}", fleet.said);
+        assert_eq!(phase, Phase::Done, "{:?}", fleet.messages);
     }
 }
 
@@ -319,16 +319,16 @@
 /// without a warm-up, and not with one.
 #[test]
 fn a_process_that_has_just_started_is_not_compared() {
-    for (warm_up, done) in [(0, false), (8 * S, true)] {
+    for (warm_up, done) in [(0, false), (8 * SECOND, true)] {
         let mut fleet = Fleet::new(12, Change::Nothing, 71);
         fleet.restarts = true;
         let phase = fleet.play(&mut begin(Plan { warm_up, ..plan() }), 600);
-        assert_eq!(phase == Phase::Done, done, "{:?}", fleet.said);
+        assert_eq!(phase == Phase::Done, done, "{:?}", fleet.messages);
     }
 }
 
 /// Killed at any interval and started again from what was saved: the same end, and nothing is told that was
-/// not saved first ([`Fleet::tell`] asserts it).
+/// not saved first ([`Fleet::deliver`] asserts it).
 #[test]
 fn a_coordinator_that_crashes_goes_on() {
     for (seed, at) in [5, 15, 30, 45, 60, 90, 120, 150].into_iter().enumerate() {
@@ -344,7 +344,7 @@
             }
             let phase = fleet.play(&mut again, 900);
             match change {
-                Change::Nothing => assert_eq!(phase, Phase::Done, "{:?}", fleet.said),
+                Change::Nothing => assert_eq!(phase, Phase::Done, "{:?}", fleet.messages),
                 _ => {
                     assert!(matches!(phase, Phase::RolledBack { .. }), "{phase:?}");
                     fleet.none_left_changed();
@@ -377,10 +377,10 @@
     fleet.settled = 0;
     fleet.play(&mut coordinator, 100);
     assert_eq!((&coordinator.state().changed, coordinator.state().stage), (&changed, 1));
-    assert!(fleet.said.iter().any(|said| said.contains("view moves")), "{:?}", fleet.said);
+    assert!(fleet.messages.iter().any(|message| message.contains("view moves")), "{:?}", fleet.messages);
     (3..7).for_each(|i| fleet.servers[i].cut = false);
     fleet.settled = 0;
-    assert_eq!(fleet.play(&mut coordinator, 600), Phase::Done, "{:?}", fleet.said);
+    assert_eq!(fleet.play(&mut coordinator, 600), Phase::Done, "{:?}", fleet.messages);
 }
 
 /// A view that does not stand, or no lease: nobody is told to change, whatever the time.
@@ -395,7 +395,10 @@
     assert_eq!(coordinator.state().phase, Phase::Waiting);
     fleet.has_lease = false;
     fleet.play(&mut coordinator, 60);
-    assert!(fleet.touched.is_empty() && fleet.said.iter().any(|said| said.contains("waits for the lease")));
+    assert!(
+        fleet.touched.is_empty()
+            && fleet.messages.iter().any(|message| message.contains("waits for the lease"))
+    );
     fleet.has_lease = true;
     assert_eq!(fleet.play(&mut coordinator, 600), Phase::Done);
     // The lease goes to another in the middle: no orders, no decisions.
@@ -404,9 +407,9 @@
     fleet.play(&mut coordinator, 40);
     let before = coordinator.state().clone();
     fleet.has_lease = false;
-    let view = FleetView { alive: vec!["s0".into()], missing: Vec::new(), settled_for: 60 * S };
-    let acts = coordinator.handle_interval(fleet.now + S, &view, false);
-    assert!(acts.iter().all(|act| matches!(act, Action::Notify { .. })), "{acts:?}");
+    let view = FleetView { alive: vec!["s0".into()], missing: Vec::new(), settled_for: 60 * SECOND };
+    let actions = coordinator.handle_interval(fleet.now + SECOND, &view, false);
+    assert!(actions.iter().all(|action| matches!(action, Action::Notify { .. })), "{actions:?}");
     assert_eq!(*coordinator.state(), before);
 }
 
@@ -451,7 +454,7 @@
     let before = fleet.interval;
     let phase = fleet.play(&mut coordinator, 200);
     let Phase::RolledBack { reason: why, unconfirmed: left } = phase else {
-        panic!("{phase:?}: {:?}", fleet.said)
+        panic!("{phase:?}: {:?}", fleet.messages)
     };
     assert_eq!((why, left), (format!("s{crashed} gone since the change"), vec![format!("s{crashed}")]));
     assert!(fleet.interval - before <= 35, "{}", fleet.interval - before);
@@ -471,9 +474,11 @@
     let mut fleet = Fleet::new(6, Change::ThrottlesPremium(0.2), 66);
     fleet.servers.iter_mut().for_each(|server| server.stuck = true);
     let phase = fleet.play(&mut begin(plan()), 300);
-    let Phase::RolledBack { unconfirmed: left, .. } = phase else { panic!("{phase:?}: {:?}", fleet.said) };
+    let Phase::RolledBack { unconfirmed: left, .. } = phase else {
+        panic!("{phase:?}: {:?}", fleet.messages)
+    };
     assert_eq!(left.len(), 1);
-    assert!(fleet.said.last().unwrap().contains("NOT CONFIRMED by"), "{:?}", fleet.said);
+    assert!(fleet.messages.last().unwrap().contains("NOT CONFIRMED by"), "{:?}", fleet.messages);
 }
 
 #[test]
@@ -483,8 +488,8 @@
     while coordinator.state().phase != Phase::Baking {
         fleet.step(&mut coordinator);
     }
-    let acts = coordinator.handle_abort(fleet.now);
-    fleet.take(acts);
+    let actions = coordinator.handle_abort(fleet.now);
+    fleet.carry_out(actions);
     assert!(
         matches!(fleet.play(&mut coordinator, 50), Phase::RolledBack { unconfirmed: left, .. } if left.is_empty())
     );
@@ -503,10 +508,10 @@
 #[test_case(|p| p.stages.clear(), "stage: 1 to 32 of them, not 0")]
 #[test_case(|p| p.thresholds.alpha = 0.5, "alpha: 0.5 is not above 0 and at most 0.2")]
 #[test_case(|p| p.thresholds.late = f64::NAN, "throttled, errored, late: above 0")]
-fn a_bad_plan_is_refused_with_its_place(spoil: fn(&mut Plan), place: &str) {
+fn a_bad_plan_is_refused_with_its_place(corrupt: fn(&mut Plan), place: &str) {
     let mut plan = plan();
     assert_eq!(plan.check(), Ok(()));
-    spoil(&mut plan);
+    corrupt(&mut plan);
     let fault = Coordinator::new(plan, None, 1, 0).err().unwrap().to_string();
     assert!(fault.starts_with(place) && !fault.contains('\n'), "{fault}");
 }
@@ -528,10 +533,10 @@
         let _ = wire::decode::<Order>(&bytes);
         if let Some(report) = wire::decode::<Report>(&bytes) {
             let mut coordinator = begin(plan());
-            let view = FleetView { alive: vec!["s0".into()], missing: Vec::new(), settled_for: 60 * S };
-            coordinator.handle_interval(S, &view, true);
-            coordinator.handle_report(S, "s0", report);
-            coordinator.handle_interval(2 * S, &view, true);
+            let view = FleetView { alive: vec!["s0".into()], missing: Vec::new(), settled_for: 60 * SECOND };
+            coordinator.handle_interval(SECOND, &view, true);
+            coordinator.handle_report(SECOND, "s0", report);
+            coordinator.handle_interval(2 * SECOND, &view, true);
         }
     }
 }
