--- a/crates/capacity/src/hollow.rs
+++ b/crates/capacity/src/hollow.rs
@@ -4,7 +4,7 @@
 use crate::meter::{Costs, thread_time};
 use meadowstream_membership::directory::Directory;
 use meadowstream_membership::envelope::{HEADER_BYTES, TAG_BYTES};
-use meadowstream_membership::{MemberId, Membership, Nanos};
+use meadowstream_membership::{MemberId, Membership, Nanos, Transmit};
 use meadowstream_replication::member::{Member, Outgoing};
 use meadowstream_shared_state::clock::Reading;
 use meadowstream_shared_state::{REPLICATION, ServerId, SharedState};
@@ -119,7 +119,7 @@
             let before = self.shared_state.messages.sent_bytes;
             self.shared_state.send_other(&to, REPLICATION, body);
             let size = self.shared_state.messages.sent_bytes - before;
-            let Some((_, body)) = self.shared_state.outgoing().pop() else { continue };
+            let Some((_, body)) = self.shared_state.take_outgoing().pop() else { continue };
             if let Some(address) = self.directory.address(&to) {
                 self.costs.replication.datagrams += 1;
                 self.costs.replication.bytes += size + ENVELOPE;
@@ -150,7 +150,7 @@
     }
 
     fn send_shared_state(&mut self, now: Nanos) {
-        for (name, body) in self.shared_state.outgoing() {
+        for (name, body) in self.shared_state.take_outgoing() {
             if let Some(to) = self.directory.address(&name) {
                 self.costs.shared_state.datagrams += 1;
                 self.costs.shared_state.bytes += body.len() as u64 + ENVELOPE;
@@ -171,8 +171,8 @@
         self.membership.poll_timeout().unwrap_or(Nanos::MAX).min(self.shared_due).min(replication)
     }
 
-    /// Datagrams to send, to whom; taken once.
-    pub fn outgoing(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
+    /// Datagrams to send since the last call.
+    pub fn outgoing(&mut self) -> Vec<Transmit> {
         let outgoing = self.membership.take_transmits();
         let counts = self.membership.counts();
         // What is neither shared state nor configuration is the membership's own.
--- a/crates/shared-state/tests/fleet.rs
+++ b/crates/shared-state/tests/fleet.rs
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn what_a_crashed_holder_had_comes_back_after_the_lease() {
+fn the_lease_of_a_crashed_holder_is_granted_again() {
     let mut fleet = flooded(3, lan());
     for i in 0..4 {
         fleet.demand(i, 20.0);
@@ -280,7 +280,7 @@
 /// A server is back with the incarnation it had before and counts from nothing: what it counts anew is not
 /// hidden below what the others remember of it.
 #[test]
-fn one_that_is_back_with_an_old_incarnation_and_old_counts_loses_nothing() {
+fn a_restart_with_an_old_incarnation_loses_no_counts() {
     let mut fleet = flooded(12, lan());
     let was = fleet.state(4).expect("runs").id().clone();
     (0..5).for_each(|i| fleet.demand(i, 0.0));
@@ -370,7 +370,7 @@
 #[test]
 fn the_release_before_and_this_one_understand_each_other() {
     use meadowstream_shared_state::outlier_detection::{Report, ServiceHealth};
-    use meadowstream_shared_state::{Message, ORDERS, Payload};
+    use meadowstream_shared_state::{Message, Payload, ROLLOUT_ORDERS};
     let from = ServerId { name: "s1".into(), incarnation: 7 };
     let report = Report { by: from.clone(), service: 1, health: ServiceHealth::Slow, age: 3 };
     let old = release_before::Message {
@@ -381,7 +381,7 @@
     assert_eq!(read, Message { from: from.clone(), payload: Payload::Reports(vec![report.clone()]) });
     let new = postcard::to_allocvec(&read).unwrap();
     assert_eq!(postcard::from_bytes::<release_before::Message>(&new), Ok(old));
-    let later = Message { from, payload: Payload::Other { topic: ORDERS, body: vec![1, 2, 3] } };
+    let later = Message { from, payload: Payload::Other { topic: ROLLOUT_ORDERS, body: vec![1, 2, 3] } };
     let later = postcard::to_allocvec(&later).unwrap();
     assert!(postcard::from_bytes::<release_before::Message>(&later).is_err());
 }
