--- a/crates/server/src/event_loop/mod.rs
+++ b/crates/server/src/event_loop/mod.rs
@@ -165,7 +165,7 @@
         let options = self.actions.server.configuration.options.borrow();
         let Some(shown) = options.tenants.as_ref().map(|tenants| tenants.shown) else { return };
         let now = self.actions.server.clock.now();
-        let Some(fair) = self.controller.as_mut().and_then(Controller::fair) else { return };
+        let Some(fair) = self.controller.as_mut().and_then(Controller::fair_queue) else { return };
         let (counts, fair_rate) = (fair.counters, fair.fair_rate());
         let (accounts, promises, bytes) = (fair.accounts(), fair.promises(), fair.bytes());
         info!(fair_rate, accounts, promises, bytes, ?counts, "shares");
