--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -5,7 +5,7 @@
 use anyhow::{Context, Result, ensure};
 use meadowstream_capacity::report::{self, Options as CapacityOptions};
 use meadowstream_server::fleet::{control_machine, coordinator, publish};
-use meadowstream_server::lifecycle::configuration::{Configuration, Layers};
+use meadowstream_server::configuration::{Configuration, Layers};
 use meadowstream_server::lifecycle::start;
 use meadowstream_test_doubles::{fleet, night, table::table};
 use std::path::{Path, PathBuf};
@@ -19,7 +19,7 @@
     match command {
         Command::Serve { config, options, log } => {
             start_log(log);
-            start::serve(Configuration::load_standing(&config, options.as_deref())?)
+            start::serve(Configuration::load_at_start(&config, options.as_deref())?)
         }
         Command::Check { config, options } => check(&config, options.as_deref()),
         Command::Rehearse { tenants, seconds, shows_log } => rehearse(tenants, seconds, shows_log),
--- /dev/null
+++ b/crates/server/src/configuration/membership_key.rs
@@ -0,0 +1,57 @@
+//! The key that the members of a fleet share.
+
+use std::io::Error;
+use std::os::unix::fs::PermissionsExt;
+use std::path::{Path, PathBuf};
+
+/// A shorter key is refused, in bytes.
+const KEY_MIN_BYTES: usize = 16;
+/// A longer file is refused, in bytes.
+const KEY_FILE_MAX_BYTES: usize = 1024;
+
+/// Why the key file cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub enum KeyFileError {
+    /// It cannot be read.
+    #[error("<membership>: key-file: cannot read {path}")]
+    Read {
+        /// The file.
+        path: PathBuf,
+        /// Why not.
+        #[source]
+        error: Error,
+    },
+    /// A key that others can read is no secret.
+    #[error("<membership>: key-file: {path} has mode {mode:o}; others may read it")]
+    OthersMayRead {
+        /// The file.
+        path: PathBuf,
+        /// The permissions of its owner, group and others.
+        mode: u32,
+    },
+    /// The file is longer than any key.
+    #[error("<membership>: key-file: {0} is over {KEY_FILE_MAX_BYTES} bytes")]
+    TooLong(PathBuf),
+    /// The key is too short.
+    #[error("<membership>: key-file: {0} holds under {KEY_MIN_BYTES} bytes")]
+    TooShort(PathBuf),
+}
+
+/// Reads the key from a file that only its owner may read.
+pub fn read(path: &Path) -> Result<Vec<u8>, KeyFileError> {
+    let unreadable = |error| KeyFileError::Read { path: path.to_path_buf(), error };
+    let metadata = std::fs::metadata(path).map_err(unreadable)?;
+    let mode = metadata.permissions().mode() & 0o777;
+    if mode & 0o077 != 0 {
+        return Err(KeyFileError::OthersMayRead { path: path.to_path_buf(), mode });
+    }
+    if metadata.len() > KEY_FILE_MAX_BYTES as u64 {
+        return Err(KeyFileError::TooLong(path.to_path_buf()));
+    }
+    let key = std::fs::read(path).map_err(unreadable)?;
+    let key = key.trim_ascii();
+    if key.len() < KEY_MIN_BYTES {
+        return Err(KeyFileError::TooShort(path.to_path_buf()));
+    }
+    Ok(key.to_vec())
+}
--- a/crates/server/src/connection/request.rs
+++ b/crates/server/src/connection/request.rs
@@ -1,10 +1,10 @@
 //! Turns a call as read from the wire into a request, by the settings of the deployment.
 
+use crate::configuration::Configuration;
+use crate::configuration::TENANT_FIELD;
 use crate::connection::table::Connection;
 use crate::event::Request;
 use crate::lifecycle::clock::Clock;
-use crate::lifecycle::configuration::Configuration;
-use crate::lifecycle::configuration::TENANT_FIELD;
 use crate::resources::idempotency::KEY_MAX;
 use crate::wire::decimal;
 use crate::wire::rpc;
--- a/crates/server/src/event_loop/mod.rs
+++ b/crates/server/src/event_loop/mod.rs
@@ -195,7 +195,7 @@
         let configuration = &server.configuration;
         let mut deployment = configuration.settings.deployment.clone();
         deployment.starts_cold = cold;
-        deployment.target_utilization = configuration.reference.get();
+        deployment.target_utilization = configuration.target_utilization.get();
         if let Some(tenants) = &configuration.options.borrow().tenants {
             deployment.fair_queueing = Some(tenants.fair.clone());
         }
--- a/crates/server/src/fleet/control_machine.rs
+++ b/crates/server/src/fleet/control_machine.rs
@@ -1,12 +1,12 @@
 //! `meadowstream control`: a machine set aside for control. It is a member of the fleet that serves nothing,
 //! keeps the log of configuration with the other control machines, and publishes while it holds the lease.
 
+use crate::configuration::fleet;
+use crate::configuration::fleet::Fleet;
+use crate::configuration::leases::PUBLISHING;
+use crate::configuration::persisted_revision;
 use crate::fleet::joined::Joined;
-use crate::fleet::replication::read_file;
 use crate::fleet::replication::settings;
-use crate::fleet::shared_state::PUBLISHING;
-use crate::lifecycle::configuration;
-use crate::lifecycle::configuration::Fleet;
 use crate::lifecycle::files;
 use anyhow::{Context, Result, anyhow, ensure};
 use async_signal::{Signal, Signals};
@@ -40,13 +40,13 @@
     let replication =
         options.replication.clone().with_context(|| format!("{shown}: <replication> is missing"))?;
     let own = options.membership.as_ref().with_context(|| format!("{shown}: <membership> is missing"))?;
-    let mut fleet = configuration::fleet(own, name.unwrap_or(""), path)?;
+    let mut fleet = fleet::fleet(own, name.unwrap_or(""), path)?;
     if let Some(name) = name {
         fleet.name = name.to_string();
     }
     ensure!(!fleet.name.is_empty(), "{shown}: <membership>: name is missing");
     let alone = Options { shared_state: None, rollout: None, ..options };
-    fleet.shared = configuration::shared(&alone, fleet.settings.packet_max)?;
+    fleet.shared = fleet::shared(&alone, fleet.settings.packet_max)?;
     settings(&replication).check().map_err(|fault| anyhow!("{shown}: <replication>: {fault}"))?;
     let file = path.parent().unwrap_or(Path::new(".")).join(&replication.file);
     Ok(Read { fleet, replication, file })
@@ -113,7 +113,7 @@
 async fn keep(read: Read) -> Result<()> {
     let mut signals = Signals::new([Signal::Term, Signal::Int])?;
     // A log that cannot be read must not be begun anew: it may hold what others count on.
-    let disk = read_file(&read.file).context("<replication>: file")?;
+    let disk = persisted_revision::read(&read.file).context("<replication>: file")?;
     let mut joined = Joined::join(&read.fleet)?;
     let (life, name) = (joined.life, read.fleet.name.clone());
     let member = Member::new(&name, settings(&read.replication), life, life, disk);
--- a/crates/server/src/fleet/coordinator.rs
+++ b/crates/server/src/fleet/coordinator.rs
@@ -2,11 +2,12 @@
 //! serves nothing, holds the lease on rollouts, orders and listens each interval, and keeps its state on
 //! disk.
 
+use crate::configuration::candidate;
+use crate::configuration::candidate::hash_of;
+use crate::configuration::fleet;
+use crate::configuration::fleet::Fleet;
+use crate::configuration::leases::ROLLOUTS;
 use crate::fleet::joined::Joined;
-use crate::fleet::shared_state::ROLLOUTS;
-use crate::lifecycle::configuration;
-use crate::lifecycle::configuration::Fleet;
-use crate::lifecycle::configuration::hash_of;
 use crate::lifecycle::files;
 use anyhow::{Context, Result, anyhow, bail, ensure};
 use meadowstream_configuration::{Options, PlanFile};
@@ -94,7 +95,7 @@
     let candidate = given.plan.parent().unwrap_or(Path::new(".")).join(&file.candidate);
     let bytes = std::fs::read(&candidate).with_context(|| format!("cannot read {}", candidate.display()))?;
     if file.plan.kind == ChangeKind::Settings {
-        configuration::read_change(&candidate)?;
+        candidate::read_change(&candidate)?;
     }
     let plan = Plan { candidate: hash_of(&bytes), ..file.plan };
     let options = Options::load(&given.options)?;
@@ -102,11 +103,11 @@
     let own = own.with_context(|| format!("{}: <membership> is missing", given.options.display()))?;
     ensure!(options.rollout.is_some(), "{}: <rollout> is missing", given.options.display());
     let name = format!("{NAMED}{:08x}", hash_of(plan.name.as_bytes()) as u32);
-    let mut fleet = configuration::fleet(own, &name, &given.options)?;
+    let mut fleet = fleet::fleet(own, &name, &given.options)?;
     fleet.name = name;
     // It takes no part in what else is shared.
     let alone = Options { shared_state: None, replication: None, ..options };
-    fleet.shared = configuration::shared(&alone, fleet.settings.packet_max)?;
+    fleet.shared = fleet::shared(&alone, fleet.settings.packet_max)?;
     Ok((plan, fleet))
 }
 
--- a/crates/server/src/fleet/interval_report.rs
+++ b/crates/server/src/fleet/interval_report.rs
@@ -24,19 +24,25 @@
     latency: Histogram<u64>,
 }
 
+/// A histogram of latencies cannot be made.
+#[derive(Debug, thiserror::Error)]
+#[error("no histogram of latencies: {0}")]
+pub struct HistogramError(hdrhistogram::errors::CreationError);
+
 /// One class for each operation, the first ones of the settings where there are more than a report holds.
 pub struct Record {
     classes: RefCell<Vec<Class>>,
 }
 
 impl Record {
-    pub fn new(operations: &[String]) -> Result<Record, String> {
+    pub fn new(operations: &[String]) -> Result<Record, HistogramError> {
         let class = |name: &String| {
-            let latency = Histogram::new_with_bounds(1, LONGEST_US, 2).map_err(|fault| fault.to_string())?;
+            let latency = Histogram::new_with_bounds(1, LONGEST_US, 2).map_err(HistogramError)?;
             let class = name.chars().take(NAME_MAX).collect();
             Ok(Class { figures: IntervalMetrics { class, ..IntervalMetrics::default() }, latency })
         };
-        let classes = operations.iter().take(CLASSES_MAX).map(class).collect::<Result<_, String>>()?;
+        let classes =
+            operations.iter().take(CLASSES_MAX).map(class).collect::<Result<_, HistogramError>>()?;
         Ok(Record { classes: RefCell::new(classes) })
     }
 
--- a/crates/server/src/fleet/joined.rs
+++ b/crates/server/src/fleet/joined.rs
@@ -2,9 +2,9 @@
 //! operator's command. It has the fleet's view and the shared state, and hands over what else is said to
 //! it.
 
+use crate::configuration::fleet::Fleet;
 use crate::fleet::membership::bind;
 use crate::lifecycle::clock::Clock;
-use crate::lifecycle::configuration::Fleet;
 use anyhow::{Context, Result, anyhow};
 use async_io::{Async, Timer};
 use futures_lite::future;
--- a/crates/server/src/fleet/membership.rs
+++ b/crates/server/src/fleet/membership.rs
@@ -1,9 +1,9 @@
 //! The fleet's view: one task owns the membership core on its UDP socket, feeds it datagrams and time, sends
 //! what it asks, and says in the log what changed and how the view stands. It feeds the module nothing yet.
 
+use crate::configuration::fleet::Fleet;
 use crate::fleet::replication::Replication;
 use crate::fleet::rollout;
-use crate::lifecycle::configuration::Fleet;
 use crate::server::Server;
 use async_io::{Async, Timer};
 use futures_lite::future;
@@ -158,7 +158,7 @@
             }
             let order = (topic == ROLLOUT_ORDERS).then(|| wire::decode::<wire::Order>(&body)).flatten();
             let Some((rollout, order)) = server.rollout.as_ref().zip(order) else { continue };
-            if let Some(report) = rollout::obey(server, rollout, order) {
+            if let Some(report) = rollout::handle_order(server, rollout, order) {
                 shared.send_other(&from.name, ROLLOUT_REPORTS, wire::encode(&report));
             }
         }
--- a/crates/server/src/fleet/mod.rs
+++ b/crates/server/src/fleet/mod.rs
@@ -9,5 +9,6 @@
 pub mod publish;
 pub mod replication;
 pub mod rollout;
+pub mod rollout_state;
 pub mod shared_state;
 pub mod tier;
--- a/crates/server/src/fleet/replication.rs
+++ b/crates/server/src/fleet/replication.rs
@@ -11,11 +11,10 @@
 use meadowstream_membership::directory::Directory;
 use meadowstream_replication::member::{Member, Settings};
 use meadowstream_replication::message::{Location, Rejection};
-use meadowstream_replication::persistence;
 use meadowstream_replication::persistence::PersistedState;
 use meadowstream_replication::snapshot::Snapshot;
 use meadowstream_shared_state::REPLICATION;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::rc::Rc;
 use tracing::{info, warn};
 
@@ -54,16 +53,6 @@
     }
 }
 
-/// The last good revision as it stands on disk; `Ok(None)` where there is none, an error where it cannot be
-/// gone by.
-pub fn read_file(file: &Path) -> anyhow::Result<Option<PersistedState>> {
-    let bytes = match std::fs::read(file) {
-        Err(error) if error.kind() == std::io::ErrorKind::NotFound => return Ok(None),
-        bytes => bytes?,
-    };
-    persistence::decode(&bytes).map(Some).map_err(|fault| anyhow::anyhow!("{}: {fault}", file.display()))
-}
-
 impl Replication {
     /// A revision that the server has started by is in force already. `Err` names a bad setting.
     pub fn new(
--- a/crates/server/src/fleet/shared_state.rs
+++ b/crates/server/src/fleet/shared_state.rs
@@ -1,9 +1,10 @@
 //! What this server shares with the others: the pure core, the calls out below against the fleet's budget,
 //! and readings of both clocks. The fleet's task and the module's owner both use it, on the one thread.
 
+use crate::configuration::leases::LEASES;
 use crate::fleet::tier::Over;
 use crate::fleet::tier::Tier;
-use crate::lifecycle::reload::TenantNames;
+use crate::lifecycle::changes::TenantNames;
 use crate::resources::counters::Counters;
 use meadowstream_routing::CallPreference;
 use meadowstream_shared_state::budget::{Budget, BudgetSettingsError};
@@ -246,12 +247,6 @@
     }
 }
 
-/// Leases, budgets of one unit: whoever coordinates a rollout holds the one, the publisher of configuration
-/// the other. A server only helps to give them.
-pub const ROLLOUTS: &str = "rollouts";
-pub const PUBLISHING: &str = "publishing";
-pub const LEASES: [&str; 2] = [ROLLOUTS, PUBLISHING];
-
 fn is_lease(budget: &Budget) -> bool {
     LEASES.contains(&budget.settings().name.as_str())
 }
--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -2,7 +2,9 @@
 //! See `docs/server.md`.
 
 mod calls;
+pub mod configuration;
 mod connection;
+mod error;
 mod event;
 mod event_loop;
 pub mod fleet;
--- a/crates/server/src/lifecycle/reload.rs
+++ b/crates/server/src/lifecycle/reload.rs
@@ -3,11 +3,12 @@
 //! so that its pauses do not grow with the files. One change at a time: the files are read after the change
 //! before is in force, so an older reading never follows a newer one.
 
+use crate::configuration::Configuration;
+use crate::configuration::Layers;
+use crate::configuration::candidate::Candidate;
+use crate::configuration::candidate::hash_of;
 use crate::event::Event;
-use crate::lifecycle::configuration::Candidate;
-use crate::lifecycle::configuration::Configuration;
-use crate::lifecycle::configuration::Layers;
-use crate::lifecycle::configuration::hash_of;
+use crate::lifecycle::changes::TenantNames;
 use crate::lifecycle::files;
 use crate::server::Server;
 use anyhow::{Context, Result, ensure};
@@ -17,25 +18,12 @@
 use meadowstream_replication::persistence::PersistedState;
 use meadowstream_replication::snapshot::Snapshot;
 use meadowstream_shared_state::budget::BudgetSettings;
-use std::cell::Cell;
-use std::collections::HashSet;
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tracing::{info, warn};
 
-/// Names of tenants that are counted by name.
-pub type TenantNames = Arc<HashSet<Vec<u8>>>;
-
-/// ServerId changes settings waits here for the change before.
-#[derive(Default)]
-pub struct Changes {
-    lock: async_lock::Mutex<()>,
-    /// A reload waits that has read nothing yet: it will see whatever another signal is about.
-    reload_waits: Cell<bool>,
-}
-
 /// The files of a change to be read, and the options in force to compare them with.
 struct Request {
     path: PathBuf,
@@ -172,7 +160,7 @@
     let Prepared { configuration: new, retunes, tenant_names } = prepared?;
     let began = Instant::now();
     check_unchanged(configuration, &new)?;
-    configuration.reference.set(new.reference.get());
+    configuration.target_utilization.set(new.target_utilization.get());
     let (old_addresses, addresses) = (configuration.addresses.get(), new.addresses.get());
     configuration.addresses.set(addresses);
     configuration.replicated.swap(&new.replicated);
@@ -227,7 +215,7 @@
 /// thread so far; the module's owner adds its own.
 async fn announce(server: &Server, retunes: Vec<SettingsChange>, longest: Duration) {
     server.counters.reloads.add();
-    let reference = server.configuration.reference.get();
+    let reference = server.configuration.target_utilization.get();
     let _ = server.events.send(Event::SetTargetUtilization(reference)).await;
     let budget = |options: &Options| {
         options.shared_state.as_ref().and_then(|shared| Some(shared.budget.as_ref()?.total))
--- a/crates/server/src/lifecycle/start.rs
+++ b/crates/server/src/lifecycle/start.rs
@@ -1,6 +1,7 @@
 //! The start: one thread, one executor, the tasks.
 
 use crate::calls::pool::Pool;
+use crate::configuration::Configuration;
 use crate::connection::accept;
 use crate::connection::table::Connections;
 use crate::connection::table::HealthStatus;
@@ -8,15 +9,14 @@
 use crate::event_loop::EventLoop;
 use crate::fleet::membership as fleet;
 use crate::fleet::rollout;
-use crate::fleet::rollout::Rollout;
+use crate::fleet::rollout_state::Rollout;
 use crate::fleet::shared_state::Shared;
 use crate::interpreter::link;
 use crate::lifecycle::catalog;
+use crate::lifecycle::changes::Changes;
 use crate::lifecycle::clock::Clock;
-use crate::lifecycle::configuration::Configuration;
 use crate::lifecycle::drain;
 use crate::lifecycle::reload;
-use crate::lifecycle::reload::Changes;
 use crate::lifecycle::signals;
 use crate::resources::buffers::BufferBudget;
 use crate::resources::counters::Counters;
@@ -111,7 +111,7 @@
     });
     executor.spawn(signals::heed(server.clone(), signals, ended, stay)).detach();
     executor.spawn(link::run(server.clone())).detach();
-    executor.spawn(rollout::know_program(server.clone())).detach();
+    executor.spawn(rollout::read_program(server.clone())).detach();
     executor.spawn(catalog::report(server.clone())).detach();
     executor.spawn(EventLoop::new(server.clone()).run(queue)).detach();
     if let Some((socket, given)) = membership {
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -1,12 +1,12 @@
 //! What the tasks share. They reach the overload controller by its queue of inputs only.
 
 use crate::calls::pool::Pool;
+use crate::configuration::Configuration;
 use crate::connection::table::{Connections, HealthStatus};
 use crate::event::Event;
 use crate::fleet::shared_state::Shared;
+use crate::lifecycle::changes::Changes;
 use crate::lifecycle::clock::Clock;
-use crate::lifecycle::configuration::Configuration;
-use crate::lifecycle::reload::Changes;
 use crate::resources::buffers::BufferBudget;
 use crate::resources::counters::Counters;
 use crate::resources::descriptors::Descriptors;
@@ -46,7 +46,7 @@
     /// What the servers share, where the options say so.
     pub shared: Option<Shared>,
     /// This server's part in changes by stages, where the options say so.
-    pub rollout: Option<crate::fleet::rollout::Rollout>,
+    pub rollout: Option<crate::fleet::rollout_state::Rollout>,
     /// Changes of settings, one at a time.
     pub changes: Changes,
     /// Longest time that a part of the last change held the module up.
