--- a/crates/replication/src/simulation/event_queue.rs
+++ b/crates/replication/src/simulation/event_queue.rs
@@ -1,66 +1,62 @@
 //! Events in the order of simulated time; those of one time in the order in which they were scheduled.
 
-use crate::snapshot::Snapshot;
 use crate::time::Nanos;
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// Something that happens at a time. `incarnation` is that of the node when it was scheduled.
-pub(super) enum Event {
-    /// A message arrives.
-    Message { to: usize, from: usize, body: Vec<u8> },
-    /// A member is to be advanced.
-    Due { node: usize, incarnation: u64 },
-    /// A server has checked and written a revision.
-    Applied { node: usize, incarnation: u64, snapshot: Box<Snapshot> },
-    /// The fleet's view and the lease follow what has happened.
-    View,
-}
-
-struct Scheduled {
+struct Scheduled<E> {
     at: Nanos,
     sequence: u64,
-    event: Event,
+    event: E,
 }
 
-impl PartialEq for Scheduled {
+impl<E> PartialEq for Scheduled<E> {
     fn eq(&self, other: &Self) -> bool {
         self.sequence == other.sequence
     }
 }
 
-impl Eq for Scheduled {}
+impl<E> Eq for Scheduled<E> {}
 
-impl PartialOrd for Scheduled {
+impl<E> PartialOrd for Scheduled<E> {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Scheduled {
+impl<E> Ord for Scheduled<E> {
     fn cmp(&self, other: &Self) -> Ordering {
         (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
 }
 
 /// The events to come.
-#[derive(Default)]
-pub(super) struct EventQueue {
-    events: BinaryHeap<Reverse<Scheduled>>,
+pub struct EventQueue<E> {
+    events: BinaryHeap<Reverse<Scheduled<E>>>,
     sequence: u64,
 }
 
-impl EventQueue {
+impl<E> Default for EventQueue<E> {
+    fn default() -> Self {
+        EventQueue { events: BinaryHeap::new(), sequence: 0 }
+    }
+}
+
+impl<E> EventQueue<E> {
     /// Adds an event at a time in nanoseconds.
-    pub(super) fn push(&mut self, at: Nanos, event: Event) {
+    pub fn push(&mut self, at: Nanos, event: E) {
         self.sequence += 1;
         self.events.push(Reverse(Scheduled { at, sequence: self.sequence, event }));
     }
 
+    /// The time of the next event, in nanoseconds.
+    pub fn next_at(&self) -> Option<Nanos> {
+        self.events.peek().map(|Reverse(next)| next.at)
+    }
+
     /// Removes the next event, with its time, where it is due by `until`.
-    pub(super) fn pop_until(&mut self, until: Nanos) -> Option<(Nanos, Event)> {
-        let Reverse(next) = self.events.peek()?;
-        if next.at > until {
+    pub fn pop_until(&mut self, until: Nanos) -> Option<(Nanos, E)> {
+        if self.next_at()? > until {
             return None;
         }
         let Reverse(next) = self.events.pop()?;
--- a/crates/replication/src/simulation/faults.rs
+++ b/crates/replication/src/simulation/faults.rs
@@ -1,7 +1,7 @@
 //! What may befall a fleet: crashes, cuts of the network, spoilt and full disks, made-up messages.
 
 use super::Fleet;
-use super::event_queue::Event;
+use super::event::Event;
 use super::node::Disk;
 use crate::persistence;
 
--- a/crates/replication/src/simulation/host.rs
+++ b/crates/replication/src/simulation/host.rs
@@ -1,7 +1,7 @@
 //! What the host of a member does: it advances the member, writes its state, applies revisions, and checks
 //! that none is older than one before and that no number has two contents.
 
-use super::event_queue::Event;
+use super::event::Event;
 use super::node::Disk;
 use super::{AppliedRevision, Fleet, member_name};
 use crate::snapshot::Snapshot;
--- a/crates/replication/src/simulation/mod.rs
+++ b/crates/replication/src/simulation/mod.rs
@@ -5,6 +5,7 @@
 //! to an older revision. Messages are lost, doubled, delayed and reordered as the [`Layout`] says; `faults`
 //! lists what else may happen. The fleet's view and the lease follow the simulated facts with a lag.
 
+mod event;
 mod event_queue;
 mod faults;
 mod host;
@@ -16,7 +17,8 @@
 use crate::content_hash::ContentHash;
 use crate::member::{Member, Settings};
 use crate::time::{MILLISECOND_NS, Nanos};
-use event_queue::{Event, EventQueue};
+use event::Event;
+pub use event_queue::EventQueue;
 pub use layout::{DelayFn, Layout, START_NS, member_name};
 use node::Node;
 use rand_chacha::ChaCha8Rng;
@@ -49,7 +51,7 @@
     cuts: HashSet<(u32, u32)>,
     /// The sorted names of the living that each group reaches.
     views: HashMap<u32, Arc<Vec<String>>>,
-    queue: EventQueue,
+    queue: EventQueue<Event>,
     now: Nanos,
     rng: ChaCha8Rng,
     /// The lease stays as [`Fleet::set_holds_lease`] says; otherwise it goes to one replica by the view.
--- a/crates/replication/src/simulation/network.rs
+++ b/crates/replication/src/simulation/network.rs
@@ -1,6 +1,6 @@
 //! The network between the nodes, the fleet's view, and the lease on leading.
 
-use super::event_queue::Event;
+use super::event::Event;
 use super::{Fleet, member_name};
 use crate::member::Outgoing;
 use rand_chacha::rand_core::Rng;
