--- a/crates/capacity/src/fleet.rs
+++ b/crates/capacity/src/fleet.rs
@@ -5,7 +5,7 @@
 use crate::meter::Costs;
 use crate::server::{ModelServer, Settings};
 use crate::topology::{self, Place};
-use meadowstream_membership::Nanos;
+use meadowstream_membership::{Nanos, Transmit};
 use meadowstream_replication::message::Location;
 use meadowstream_replication::simulation::EventQueue;
 use rand_chacha::ChaCha8Rng;
@@ -198,7 +198,7 @@
         let Some(sender) = self.servers[from].as_mut() else { return };
         let (outgoing, due) = (sender.take_outgoing(), sender.next_due());
         self.timers.push(Reverse(Timer { at: due, server: from }));
-        for (address, datagram) in outgoing {
+        for Transmit { to: address, datagram } in outgoing {
             let Some(to) = Self::index(address).filter(|to| *to < self.servers.len()) else { continue };
             let lost = self.loss > 0.0 && (self.rng.next_u64() as f64 / u64::MAX as f64) < self.loss;
             if lost || self.is_cut(from, to) {
--- a/crates/capacity/src/server.rs
+++ b/crates/capacity/src/server.rs
@@ -5,7 +5,7 @@
 use crate::meter::{Costs, thread_time};
 use meadowstream_membership::directory::Directory;
 use meadowstream_membership::envelope::{HEADER_BYTES, TAG_BYTES};
-use meadowstream_membership::{MemberId, Membership, Nanos};
+use meadowstream_membership::{MemberId, Membership, Nanos, Transmit};
 use meadowstream_replication::member::{Member, Outgoing};
 use meadowstream_shared_state::clock::Reading;
 use meadowstream_shared_state::{REPLICATION, ServerId, SharedState};
@@ -156,7 +156,7 @@
         let sent_before = self.shared_state.messages.sent_bytes;
         self.shared_state.send_other(&to, REPLICATION, body);
         let bytes = self.shared_state.messages.sent_bytes - sent_before;
-        let Some((_, body)) = self.shared_state.outgoing().pop() else { return };
+        let Some((_, body)) = self.shared_state.take_outgoing().pop() else { return };
         if let Some(address) = self.directory.address(&to) {
             self.costs.replication.datagrams += 1;
             self.costs.replication.bytes += bytes + ENVELOPE_BYTES;
@@ -186,7 +186,7 @@
     }
 
     fn send_shared_state(&mut self, now: Nanos) {
-        for (name, body) in self.shared_state.outgoing() {
+        for (name, body) in self.shared_state.take_outgoing() {
             if let Some(to) = self.directory.address(&name) {
                 self.costs.shared_state.datagrams += 1;
                 self.costs.shared_state.bytes += body.len() as u64 + ENVELOPE_BYTES;
@@ -208,8 +208,8 @@
         membership.min(self.shared_state_due).min(replication.saturating_sub(START_NS))
     }
 
-    /// Datagrams to send with their addresses, each returned once.
-    pub fn take_outgoing(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
+    /// Datagrams to send, each returned once.
+    pub fn take_outgoing(&mut self) -> Vec<Transmit> {
         let outgoing = self.membership.take_transmits();
         let counts = self.membership.counts();
         // The membership sends the datagrams of all; the rest is its own.
--- a/crates/capacity/src/tenants.rs
+++ b/crates/capacity/src/tenants.rs
@@ -4,7 +4,7 @@
 use crate::fit::{Curve, Point};
 use crate::meter::{allocated, thread_time};
 use crate::scale::SECOND_NS;
-use meadowstream_fair_queueing::{Fair, NamedTenant, Outcome, Settings, Who};
+use meadowstream_fair_queueing::{FairScheduler, NamedTenant, ServiceOutcome, Settings, TenantKey};
 use serde::Serialize;
 
 /// Numbers of named tenants, the largest last.
@@ -44,14 +44,14 @@
     let accounts = 2 * tenants + OTHER_ACCOUNTS;
     let settings = Settings { accounts, named: named.clone().into(), ..Settings::default() };
     let allocated_before = allocated();
-    let mut fair = Fair::new(settings, CORES, SEED, 0);
+    let mut fair = FairScheduler::new(settings, CORES, SEED, 0);
     let memory = allocated().saturating_sub(allocated_before) as f64;
     let mut arrive = |arrival: usize| {
         let now = arrival as u64 * ARRIVAL_INTERVAL_NS;
         let (name, _) = &named[arrival.wrapping_mul(STRIDE) % tenants];
-        let seat = fair.arrived(now, Who { name, origin: 1 }, WORK_NS, None);
-        fair.began(&seat);
-        fair.ended(now, &seat, Outcome::Ran(WORK_NS as u64));
+        let seat = fair.arrive(now, TenantKey { name, origin: 1 }, WORK_NS, None);
+        fair.start_service(&seat);
+        fair.end(now, &seat, ServiceOutcome::Ran(WORK_NS as u64));
     };
     (0..tenants).for_each(&mut arrive);
     let started_at = thread_time();
@@ -59,7 +59,7 @@
     let arrival = (thread_time() - started_at) as f64 / ARRIVALS as f64;
     let started_at = thread_time();
     for second in 0..LEVELS {
-        fair.set_level(SECOND_NS * (4 + second), CORES, f64::INFINITY);
+        fair.update_fair_rate(SECOND_NS * (4 + second), CORES, f64::INFINITY);
     }
     let level = (thread_time() - started_at) as f64 / LEVELS as f64;
     TenantCosts { tenants, memory, arrival, level }
--- a/crates/server/src/fleet/membership.rs
+++ b/crates/server/src/fleet/membership.rs
@@ -9,9 +9,11 @@
 use futures_lite::future;
 use meadowstream_membership::directory::Directory;
 use meadowstream_membership::envelope::DATAGRAM_BYTES_MAX;
-use meadowstream_membership::{Change, MemberId, MemberState, MemberStatus, Membership};
+use meadowstream_membership::{
+    Change, MemberId, MemberState, MemberStatus, Membership, Transmit, ViewChange,
+};
 use meadowstream_rollout::wire;
-use meadowstream_shared_state::{ABOUTS, ORDER_REPORTS, ORDERS, REPLICATION};
+use meadowstream_shared_state::{REPLICATION, ROLLOUT_ORDERS, ROLLOUT_REPORTS, VERSION_ANNOUNCEMENTS};
 use std::net::{SocketAddr, UdpSocket};
 use std::rc::Rc;
 use tracing::{info, warn};
@@ -62,7 +64,7 @@
     loop {
         sharing.play(&server, &mut core, now()).await;
         send(&socket, &mut core).await;
-        for (at, change) in core.take_changes() {
+        for ViewChange { at, change } in core.take_changes() {
             say(&change, at);
         }
         if now() >= next_view {
@@ -149,15 +151,15 @@
             if let Some(replication) = self.replication.as_mut().filter(|_| topic == REPLICATION) {
                 replication.receive(&from.name, &body, now);
             }
-            if topic == ABOUTS
+            if topic == VERSION_ANNOUNCEMENTS
                 && let Some((rollout, words)) = server.rollout.as_ref().zip(wire::decode(&body))
             {
                 rollout.versions.borrow_mut().merge(words);
             }
-            let order = (topic == ORDERS).then(|| wire::decode::<wire::Order>(&body)).flatten();
+            let order = (topic == ROLLOUT_ORDERS).then(|| wire::decode::<wire::Order>(&body)).flatten();
             let Some((rollout, order)) = server.rollout.as_ref().zip(order) else { continue };
             if let Some(report) = rollout::obey(server, rollout, order) {
-                shared.send_other(&from.name, ORDER_REPORTS, wire::encode(&report));
+                shared.send_other(&from.name, ROLLOUT_REPORTS, wire::encode(&report));
             }
         }
         if now < self.due && !answers {
@@ -178,7 +180,11 @@
             if !alive.is_empty() {
                 // Whoever comes next in turn, from a place that differs by server.
                 let at = (now / TOLD_EVERY).wrapping_add(versions.own().incarnation) as usize % alive.len();
-                shared.send_other(&alive[at], ABOUTS, wire::encode(&versions.announcement(now)));
+                shared.send_other(
+                    &alive[at],
+                    VERSION_ANNOUNCEMENTS,
+                    wire::encode(&versions.announcement(now)),
+                );
             }
         }
         let (out, again) = shared.advance(alive, &server.counters);
@@ -206,7 +212,7 @@
 }
 
 async fn send(socket: &Async<UdpSocket>, core: &mut Membership) {
-    for (to, datagram) in core.take_transmits() {
+    for Transmit { to, datagram } in core.take_transmits() {
         if let Err(error) = socket.send_to(&datagram, to).await {
             tracing::debug!(target: "fleet", %to, %error, "send");
         }
@@ -217,7 +223,7 @@
     let (what, id) = match change {
         Change::Up(id) => ("up", Some(id)),
         Change::Down(id) => ("down", Some(id)),
-        Change::Renamed(_, id) => ("renamed", Some(id)),
+        Change::Renamed { new: id, .. } => ("renamed", Some(id)),
         Change::Rejoined(id) => ("rejoined", Some(id)),
         Change::Active => ("active", None),
         Change::Idle => ("idle", None),
