--- a/crates/membership/src/simulation/parallel.rs
+++ b/crates/membership/src/simulation/parallel.rs
@@ -3,15 +3,16 @@
 
 use super::process::{Arrival, Process, Sent};
 use super::{SimulatedFleet, Timeout};
-use crate::{MemberId, Nanos};
+use crate::{MemberId, Membership, Nanos};
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
-use std::net::SocketAddr;
 use std::thread;
 
 /// Least number of members that a thread is given: fewer do not pay for its start.
 const MEMBERS_PER_THREAD_MIN: usize = 4;
 
+const FIRST_INCARNATION: u64 = 1;
+
 /// A member with what arrives at it within a window.
 struct WindowTask<'a> {
     member: usize,
@@ -50,27 +51,16 @@
     /// Starts all members with the whole fleet known to each already: the join of many thousands takes the
     /// square of their number.
     pub fn start_with_complete_views(&mut self) {
-        const INCARNATION: u64 = 1;
         let count = self.processes.len();
-        let name = |member: usize| format!("s{member}");
-        let id = |member: usize| {
-            let addr: SocketAddr = SimulatedFleet::addr(member);
-            MemberId { name: name(member), addr, incarnation: INCARNATION }
-        };
+        let share = count.div_ceil(self.threads.max(1)).max(1);
         let mut processes = std::mem::take(&mut self.processes);
         let fleet = &*self;
-        let share = count.div_ceil(fleet.threads.max(1)).max(1);
         thread::scope(|scope| {
             for (part, processes) in processes.chunks_mut(share).enumerate() {
                 scope.spawn(move || {
                     for (offset, process) in processes.iter_mut().enumerate() {
-                        let member = part * share + offset;
-                        let seed = fleet.member_seed(member, 0);
-                        let mut membership = fleet.new_membership(name(member), member, INCARNATION, seed);
-                        membership.restore((0..count).map(id), fleet.now);
-                        membership.take_changes();
-                        process.membership = Some(membership);
-                        process.incarnation = INCARNATION;
+                        let membership = fleet.membership_with_complete_view(part * share + offset, count);
+                        process.start(membership, FIRST_INCARNATION);
                     }
                 });
             }
@@ -81,6 +71,20 @@
         }
     }
 
+    fn membership_with_complete_view(&self, member: usize, count: usize) -> Membership {
+        let name = |member: usize| format!("s{member}");
+        let seed = self.member_seed(member, 0);
+        let mut membership = self.new_membership(name(member), member, FIRST_INCARNATION, seed);
+        let ids = (0..count).map(|member| MemberId {
+            name: name(member),
+            addr: SimulatedFleet::addr(member),
+            incarnation: FIRST_INCARNATION,
+        });
+        membership.restore(ids, self.now);
+        membership.take_changes();
+        membership
+    }
+
     /// Plays in windows of the network's least delay: the arrivals of a window are sorted to their members,
     /// which are played side by side, and what they send is put on the network in the order of time and member.
     pub(super) fn run_windows(&mut self, until: Nanos) {
--- a/crates/rollout/src/coordinator/mod.rs
+++ b/crates/rollout/src/coordinator/mod.rs
@@ -150,11 +150,11 @@
         &self.state
     }
 
-    /// Handles a server's report. Reports on orders of an earlier incarnation, and older ones than the latest
-    /// of that server, are dropped.
+    /// Handles a server's report. One that answers no order sent so far, or is not later than the latest of that
+    /// server, is dropped.
     pub fn handle_report(&mut self, now: Nanos, server: &str, report: Report) {
-        let is_of_this_incarnation = (1..=self.order_sequence).contains(&report.order_sequence);
-        if !is_of_this_incarnation || report.classes.len() > CLASSES_MAX {
+        let answers_an_order = (1..=self.order_sequence).contains(&report.order_sequence);
+        if !answers_an_order || report.classes.len() > CLASSES_MAX {
             return;
         }
         match self.reports.get_mut(server) {
