--- a/crates/fair-queueing/benches/fair.rs
+++ b/crates/fair-queueing/benches/fair.rs
@@ -52,16 +52,16 @@
         let mut n = 0;
         let mut arrive = move || {
             n += 1;
-            let seat = fair.arrive(n * 1000, TenantKey { name: &name(n), origin: n % 64 }, 1e6, None);
+            let admission = fair.arrive(n * 1000, TenantKey { name: &name(n), origin: n % 64 }, 1e6, None);
             if n.is_multiple_of(100_000) {
                 fair.update_fair_rate(n * 1000, 3.6, f64::INFINITY);
             }
             fair.end(
                 n * 1000 + 500,
-                &seat,
-                if seat.surplus { ServiceOutcome::NeverRan } else { ServiceOutcome::Ran(900_000) },
+                &admission,
+                if admission.surplus { ServiceOutcome::NeverRan } else { ServiceOutcome::Ran(900_000) },
             );
-            seat.start_tag
+            admission.start_tag
         };
         (0..4 * tenants).for_each(|_| {
             arrive();
--- a/crates/fair-queueing/tests/promises.rs
+++ b/crates/fair-queueing/tests/promises.rs
@@ -21,8 +21,8 @@
 fn pressed(settings: Settings) -> (FairScheduler, Nanos) {
     let mut fair = FairScheduler::new(settings, 1.0, 1, 0);
     for n in 0..4000 {
-        let seat = fair.arrive(n * MS, LOUD, 1e6, None);
-        fair.end(n * MS, &seat, ServiceOutcome::Ran(MS));
+        let admission = fair.arrive(n * MS, LOUD, 1e6, None);
+        fair.end(n * MS, &admission, ServiceOutcome::Ran(MS));
         if n % 500 == 0 {
             fair.update_fair_rate(n * MS, 0.1, f64::INFINITY);
         }
@@ -37,23 +37,23 @@
 }
 
 fn rejected(fair: &mut FairScheduler, now: Nanos) -> Admission {
-    let seat = fair.arrive(now, LOUD, 10e6, None);
-    assert!(seat.surplus, "{seat:?}");
-    fair.end(now, &seat, ServiceOutcome::NeverRan);
-    seat
+    let admission = fair.arrive(now, LOUD, 10e6, None);
+    assert!(admission.surplus, "{admission:?}");
+    fair.end(now, &admission, ServiceOutcome::NeverRan);
+    admission
 }
 
 /// The time and the ticket, where there is one.
-fn promised(fair: &mut FairScheduler, now: Nanos, seat: &Admission) -> Option<(Nanos, u64)> {
-    let advice = fair.promise(now, seat, 0);
+fn promised(fair: &mut FairScheduler, now: Nanos, admission: &Admission) -> Option<(Nanos, u64)> {
+    let advice = fair.promise(now, admission, 0);
     advice.ticket.map(|ticket| (advice.retry_after, ticket))
 }
 
 #[test]
 fn a_return_as_promised_is_admitted_once() {
     let (mut fair, now) = pressed(settings());
-    let seat = rejected(&mut fair, now);
-    let (waits, ticket) = promised(&mut fair, now, &seat).unwrap();
+    let admission = rejected(&mut fair, now);
+    let (waits, ticket) = promised(&mut fair, now, &admission).unwrap();
     let back = fair.arrive(now + waits, LOUD, 10e6, Some(ticket));
     assert!(back.promised && !back.surplus);
     fair.end(now + waits, &back, ServiceOutcome::Ran(10 * MS));
@@ -66,8 +66,8 @@
 fn early_and_late_returns_lose_the_place() {
     let (mut fair, now) = pressed(settings());
     let promise = |fair: &mut FairScheduler| {
-        let seat = rejected(fair, now);
-        promised(fair, now, &seat).unwrap()
+        let admission = rejected(fair, now);
+        promised(fair, now, &admission).unwrap()
     };
     (0..5).for_each(|_| {
         promise(&mut fair);
@@ -78,8 +78,8 @@
     assert!(!back.promised, "the place was lost by coming early");
     assert_eq!((fair.counters.early, fair.counters.unknown), (1, 1));
     let (mut fair, now) = pressed(settings());
-    let seat = rejected(&mut fair, now);
-    let (waits, ticket) = promised(&mut fair, now, &seat).unwrap();
+    let admission = rejected(&mut fair, now);
+    let (waits, ticket) = promised(&mut fair, now, &admission).unwrap();
     let late = now + waits + SECOND / 2 + 1;
     assert!(!fair.arrive(late, LOUD, 10e6, Some(ticket)).promised);
     assert_eq!((fair.counters.unknown, fair.counters.lapsed), (1, 1));
@@ -88,8 +88,8 @@
 #[test]
 fn a_ticket_is_its_tenants_alone_from_any_connection() {
     let (mut fair, now) = pressed(settings());
-    let seat = rejected(&mut fair, now);
-    let (waits, ticket) = promised(&mut fair, now, &seat).unwrap();
+    let admission = rejected(&mut fair, now);
+    let (waits, ticket) = promised(&mut fair, now, &admission).unwrap();
     let thief = TenantKey { name: b"thief", origin: 1 };
     assert!(!fair.arrive(now + waits, thief, 10e6, Some(ticket)).promised);
     let elsewhere = TenantKey { origin: 99, ..LOUD };
@@ -102,8 +102,8 @@
     let mut last = 0;
     let mut spans = Vec::new();
     for _ in 0..40 {
-        let seat = rejected(&mut fair, now);
-        let Some((waits, _)) = promised(&mut fair, now, &seat) else { break };
+        let admission = rejected(&mut fair, now);
+        let Some((waits, _)) = promised(&mut fair, now, &admission) else { break };
         spans.push(waits);
         last = last.max(waits);
     }
@@ -117,8 +117,8 @@
 fn promises_are_limited_and_lapsed_ones_are_freed() {
     let (mut fair, now) = pressed(Settings { promises: 4, promise_max: 5 * SECOND, ..settings() });
     let ask = |fair: &mut FairScheduler, now: Nanos| {
-        let seat = rejected(fair, now);
-        promised(fair, now, &seat)
+        let admission = rejected(fair, now);
+        promised(fair, now, &admission)
     };
     (0..4).for_each(|_| assert!(ask(&mut fair, now).is_some()));
     assert_eq!(ask(&mut fair, now), None);
@@ -138,12 +138,12 @@
         if n % 500 == 0 {
             fair.update_fair_rate(now, 0.1, f64::INFINITY);
         }
-        let seat = fair.arrive(now, LOUD, 10e6, None);
-        if seat.surplus {
-            fair.end(now, &seat, ServiceOutcome::NeverRan);
-            fair.promise(now, &seat, 0);
+        let admission = fair.arrive(now, LOUD, 10e6, None);
+        if admission.surplus {
+            fair.end(now, &admission, ServiceOutcome::NeverRan);
+            fair.promise(now, &admission, 0);
         } else {
-            fair.end(now, &seat, ServiceOutcome::Ran(10 * MS));
+            fair.end(now, &admission, ServiceOutcome::Ran(10 * MS));
             within += 0.01;
         }
     }
@@ -156,8 +156,8 @@
     let (mut fair, now) = pressed(settings());
     let mut made = 0;
     while let Some((waits, _)) = {
-        let seat = rejected(&mut fair, now);
-        promised(&mut fair, now, &seat)
+        let admission = rejected(&mut fair, now);
+        promised(&mut fair, now, &admission)
     } {
         assert!(waits <= 2 * SECOND + MS, "{waits}");
         made += 1;
@@ -169,8 +169,8 @@
 fn a_promise_does_not_hold_where_the_server_is_far_worse_off() {
     let (mut fair, now) = pressed(settings());
     let mut ask = || {
-        let seat = rejected(&mut fair, now);
-        promised(&mut fair, now, &seat)
+        let admission = rejected(&mut fair, now);
+        promised(&mut fair, now, &admission)
     };
     let (waits, ticket) = (0..6).filter_map(|_| ask()).last().unwrap();
     assert!(waits > SECOND / 2, "{waits}");
@@ -183,8 +183,8 @@
 #[test]
 fn after_a_restart_old_tickets_are_unknown_and_harm_nothing() {
     let (mut fair, now) = pressed(settings());
-    let seat = rejected(&mut fair, now);
-    let (waits, ticket) = promised(&mut fair, now, &seat).unwrap();
+    let admission = rejected(&mut fair, now);
+    let (waits, ticket) = promised(&mut fair, now, &admission).unwrap();
     let mut successor = FairScheduler::new(settings(), 1.0, 2, now);
     let back = successor.arrive(now + waits, LOUD, 10e6, Some(ticket));
     assert!(!back.promised && !back.surplus, "there is enough for all as far as it knows");
@@ -214,13 +214,13 @@
         if ticket.is_some() {
             returns.push(now);
         }
-        let seat = fair.arrive(now, LOUD, 10e6, ticket);
-        if !seat.surplus {
-            fair.end(now, &seat, ServiceOutcome::Ran(10 * MS));
+        let admission = fair.arrive(now, LOUD, 10e6, ticket);
+        if !admission.surplus {
+            fair.end(now, &admission, ServiceOutcome::Ran(10 * MS));
             coming.insert((now + rng.random_range(1..50) * MS, number), None);
         } else {
-            fair.end(now, &seat, ServiceOutcome::NeverRan);
-            let (waits, ticket) = match promised(&mut fair, now, &seat) {
+            fair.end(now, &admission, ServiceOutcome::NeverRan);
+            let (waits, ticket) = match promised(&mut fair, now, &admission) {
                 Some((waits, ticket)) => (waits + rng.random_range(0..100) * MS, Some(ticket)),
                 None => (SECOND, None),
             };
@@ -253,13 +253,13 @@
         let mut waiting = Vec::new();
         for (i, (_, many)) in queues.iter().enumerate() {
             for _ in 0..*many {
-                let seat = fair.arrive(1, TenantKey { name: &name(i), origin: 1 }, 1e6, None);
-                prop_assert!(!seat.surplus);
-                waiting.push((seat.start_tag, i, seat));
+                let admission = fair.arrive(1, TenantKey { name: &name(i), origin: 1 }, 1e6, None);
+                prop_assert!(!admission.surplus);
+                waiting.push((admission.start_tag, i, admission));
             }
         }
         waiting.sort_by_key(|(tag, i, _)| (*tag, *i));
-        waiting.drain(..served.min(waiting.len())).for_each(|(_, _, seat)| fair.start_service(&seat));
+        waiting.drain(..served.min(waiting.len())).for_each(|(_, _, admission)| fair.start_service(&admission));
         let late = fair.arrive(2, TenantKey { name: b"late", origin: 1 }, 1e6, None);
         for (i, (weight, _)) in queues.iter().enumerate() {
             let before = waiting.iter().filter(|(tag, of, _)| *of == i && *tag <= late.start_tag).count();
@@ -289,12 +289,12 @@
                 fair.update_fair_rate(now, 0.9, f64::INFINITY);
             }
             let who = rng.random_range(0..2);
-            let seat = fair.arrive(now, TenantKey { name: names[who], origin: 1 }, 20e6, None);
-            if seat.surplus {
-                fair.end(now, &seat, ServiceOutcome::NeverRan);
+            let admission = fair.arrive(now, TenantKey { name: names[who], origin: 1 }, 20e6, None);
+            if admission.surplus {
+                fair.end(now, &admission, ServiceOutcome::NeverRan);
                 continue;
             }
-            fair.end(now, &seat, ServiceOutcome::Ran(works[who] * MS));
+            fair.end(now, &admission, ServiceOutcome::Ran(works[who] * MS));
             // Counted once both have been seen to ask for more than there is.
             if n > 2000 {
                 had[who] += works[who] as f64 * 1e6 / f64::from(weights[who]);
--- a/crates/fair-queueing/tests/shares.rs
+++ b/crates/fair-queueing/tests/shares.rs
@@ -60,11 +60,11 @@
         sent += 1;
         let name = name(g, i, sent % group.names);
         // Guesses are of the usual work; what an invocation really needs is known at its end.
-        let seat = fair.arrive(now, TenantKey { name: &name, origin: group.origin }, 10e6, None);
-        if seat.surplus {
-            fair.end(now, &seat, ServiceOutcome::NeverRan);
+        let admission = fair.arrive(now, TenantKey { name: &name, origin: group.origin }, 10e6, None);
+        if admission.surplus {
+            fair.end(now, &admission, ServiceOutcome::NeverRan);
         } else {
-            fair.end(now, &seat, ServiceOutcome::Ran(group.work));
+            fair.end(now, &admission, ServiceOutcome::Ran(group.work));
             if now > seconds * SECOND / 3 {
                 had[g][i] += group.work as f64 / 1e9;
             }
@@ -181,10 +181,10 @@
         if (now / SECOND) != ((now - gap) / SECOND) {
             fair.update_fair_rate(now, 0.9, f64::INFINITY);
         }
-        let seat = fair.arrive(now, who, 10e6, None);
-        let outcome = if seat.surplus { ServiceOutcome::NeverRan } else { ServiceOutcome::Ran(10 * MS) };
-        fair.end(now, &seat, outcome);
-        !seat.surplus
+        let admission = fair.arrive(now, who, 10e6, None);
+        let outcome = if admission.surplus { ServiceOutcome::NeverRan } else { ServiceOutcome::Ran(10 * MS) };
+        fair.end(now, &admission, outcome);
+        !admission.surplus
     };
     // Known, then silent for four minutes while the other takes all there is.
     (0..40).for_each(|_| assert!(step(&mut fair, quiet, SECOND / 10)));
@@ -212,8 +212,8 @@
     // Nor does a jump forgive what was used beyond a share.
     let start = 3600 * SECOND;
     fair.update_fair_rate(start, 0.01, f64::INFINITY);
-    let seat = fair.arrive(start + 100 * SECOND, who, 10e6, None);
-    fair.end(start + 100 * SECOND, &seat, ServiceOutcome::Ran(5 * SECOND));
+    let admission = fair.arrive(start + 100 * SECOND, who, 10e6, None);
+    fair.end(start + 100 * SECOND, &admission, ServiceOutcome::Ran(5 * SECOND));
     assert_eq!(within(&mut fair, start + 4000 * SECOND, 100), 0, "an hour's jump forgave a long run");
 }
 
@@ -244,8 +244,8 @@
     let name = |n: u64| n.to_be_bytes();
     let mut now = 0;
     let visit = |fair: &mut FairScheduler, now: Nanos, n: u64, work: f64| {
-        let seat = fair.arrive(now, TenantKey { name: &name(n), origin: 1 }, work, None);
-        (seat.surplus, seat)
+        let admission = fair.arrive(now, TenantKey { name: &name(n), origin: 1 }, work, None);
+        (admission.surplus, admission)
     };
     for _ in 0..20 {
         now += SECOND / 2;
@@ -257,9 +257,9 @@
     assert!(fair.counters.sketched > 0 && fair.counters.evicted == 0);
     // The 32nd stands in the sketch; a long run puts it far over its share, and there it stays.
     fair.update_fair_rate(now, 0.032, f64::INFINITY);
-    let (over, seat) = visit(&mut fair, now, 31, 1e6);
-    assert!(!over, "{seat:?}");
-    fair.end(now, &seat, ServiceOutcome::Ran(20 * SECOND));
+    let (over, admission) = visit(&mut fair, now, 31, 1e6);
+    assert!(!over, "{admission:?}");
+    fair.end(now, &admission, ServiceOutcome::Ran(20 * SECOND));
     for second in 1..40 {
         let now = now + second * SECOND;
         assert!(visit(&mut fair, now, 31, 1e6).0, "after {second} s");
@@ -280,9 +280,9 @@
         });
     }
     fair.update_fair_rate(now, 0.005, f64::INFINITY);
-    let seat = fair.arrive(now, TenantKey { name: &name(0), origin: 1 }, 1e6, None);
-    assert!(!seat.surplus);
-    fair.end(now, &seat, ServiceOutcome::Ran(20 * SECOND));
+    let admission = fair.arrive(now, TenantKey { name: &name(0), origin: 1 }, 1e6, None);
+    assert!(!admission.surplus);
+    fair.end(now, &admission, ServiceOutcome::Ran(20 * SECOND));
     // Others want its account, for longer than an idle one may stay.
     for n in 0..400u64 {
         now += SECOND / 4;
@@ -320,9 +320,9 @@
             period += SECOND / 2;
         }
         let tenant = rng.random_range(0..many);
-        let seat =
+        let admission =
             fair.arrive(now, TenantKey { name: &tenant.to_be_bytes(), origin: tenant % 64 }, 1e6, None);
-        if n > 14_000_000 && !seat.surplus {
+        if n > 14_000_000 && !admission.surplus {
             had[tenant as usize] += 1;
         }
     }
