--- a/crates/deployment-settings/tests/outside_names.rs
+++ b/crates/deployment-settings/tests/outside_names.rs
@@ -1,6 +1,6 @@
 //! The paths of the platform's settings are those of release 0.2.0 (commit 22d0bb6), with the same meaning.
 
-use meadowstream_deployment_settings::{DeploymentSettings, read, read_json};
+use meadowstream_deployment_settings::DeploymentSettings;
 use meadowstream_overload_control::{Advertisement, Downstream, Effect, Preemption};
 use test_case::test_case;
 
@@ -22,7 +22,7 @@
 const MICROSECOND: u64 = 1_000;
 
 fn every_path() -> DeploymentSettings {
-    read(EVERY_PATH).unwrap()
+    DeploymentSettings::from_lines(EVERY_PATH).unwrap()
 }
 
 #[test]
@@ -79,7 +79,7 @@
         Some((name, _)) if name == path => format!("{path}={value}\n"),
         _ => format!("{line}\n"),
     };
-    read(&EVERY_PATH.lines().map(line).collect::<String>()).unwrap()
+    DeploymentSettings::from_lines(&EVERY_PATH.lines().map(line).collect::<String>()).unwrap()
 }
 
 #[test_case("off", Advertisement::None)]
@@ -124,6 +124,6 @@
         let text = root["family-info"][name].as_str().unwrap().to_string();
         root["family-info"][name] = text.split(',').collect();
     }
-    let nested = read_json(&root).unwrap();
+    let nested = DeploymentSettings::from_json(&root).unwrap();
     assert_eq!(format!("{:?}", nested.deployment), format!("{:?}", every_path().deployment));
 }
--- a/crates/deployment-settings/tests/settings.rs
+++ b/crates/deployment-settings/tests/settings.rs
@@ -1,6 +1,6 @@
 //! What is read of a deployment, from lines and from JSON, and what is refused.
 
-use meadowstream_deployment_settings::read_json;
+use meadowstream_deployment_settings::DeploymentSettings;
 use meadowstream_overload_control::{Advertisement, Effect, Preemption};
 
 const GOOD: &str = "grades.count=1\ngrades.0.effect=by_key\ngrades.0.target=2000000\n\
@@ -14,7 +14,7 @@
 
 #[test]
 fn reads_what_decisions_need() {
-    let read = meadowstream_deployment_settings::read(GOOD).unwrap();
+    let read = DeploymentSettings::from_lines(GOOD).unwrap();
     let site = read.deployment;
     assert_eq!(
         (site.operations[0].effect, site.operations[0].priority_weight),
@@ -40,7 +40,8 @@
         "contract": {"drain-grace": 2_500_000, "grace-to-answer": 60_000, "fall-multiple": 8.0,
             "cold-from": 0.2, "cold": 17_000_000},
     });
-    let (read, same) = (read_json(&json).unwrap(), meadowstream_deployment_settings::read(GOOD).unwrap());
+    let (read, same) =
+        (DeploymentSettings::from_json(&json).unwrap(), DeploymentSettings::from_lines(GOOD).unwrap());
     assert_eq!(format!("{:?}", read.deployment), format!("{:?}", same.deployment));
     assert_eq!(
         (read.utilization_gauge, read.operation_names),
@@ -55,7 +56,7 @@
         let without = GOOD.replace(&format!("{line}\n"), "");
         let bad = GOOD.replace(line, &format!("{path}=?"));
         for config in [without, bad] {
-            let error = meadowstream_deployment_settings::read(&config)
+            let error = DeploymentSettings::from_lines(&config)
                 .err()
                 .unwrap_or_else(|| panic!("{path} was not missed"));
             assert!(format!("{error:#}").contains(path), "{error:#}");
--- a/crates/server/src/lifecycle/configuration.rs
+++ b/crates/server/src/lifecycle/configuration.rs
@@ -378,7 +378,7 @@
             stop_ms: whole("stop_ms")?,
             memory_mb: whole("limits.memory_mb")?,
             sockets: whole("limits.sockets")? as usize,
-            settings: meadowstream_deployment_settings::read_json(at("settings")?).context("settings")?,
+            settings: DeploymentSettings::from_json(at("settings")?).context("settings")?,
             notes: Vec::new(),
             options: RefCell::default(),
             options_path: None,
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -27,7 +27,7 @@
         let code = event.u8(0);
         reply.speaks(instance);
         if code == 10 {
-            let read = meadowstream_deployment_settings::read(event.text(9)?)?;
+            let read = meadowstream_deployment_settings::DeploymentSettings::from_lines(event.text(9)?)?;
             let (operations, tenants) =
                 (read.deployment.operations.len(), read.deployment.tenant_allowance.len());
             let controller = Controller::new(read.deployment, event.u64(1), now, reply);
