--- a/crates/server/src/configuration/platform_file.rs
+++ b/crates/server/src/configuration/platform_file.rs
@@ -2,6 +2,7 @@
 
 use crate::configuration::{Addresses, Configuration};
 use crate::error::BoxError;
+use meadowstream_deployment_settings::DeploymentSettings;
 use meadowstream_overload_control::TARGET_UTILIZATION;
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
@@ -98,7 +99,7 @@
         stop_ms: file.whole("stop_ms")?,
         memory_mb: file.whole("limits.memory_mb")?,
         sockets: file.whole("limits.sockets")? as usize,
-        settings: meadowstream_deployment_settings::read_json(settings?)
+        settings: DeploymentSettings::from_json(settings?)
             .map_err(|error| PlatformFileError::Settings(error.into()))?,
         notes: Vec::new(),
         options: RefCell::default(),
