--- /dev/null
+++ b/crates/simulator-adapter/src/codec/batch.rs
@@ -0,0 +1,128 @@
+//! Batches of event records, and the fields of a record.
+
+use super::{EventError, FrameError};
+use meadowstream_overload_control::Nanos;
+use std::io::Read;
+
+const HEADER_BYTES: usize = 16;
+pub const RECORD_BYTES: usize = 56;
+/// Longest batch that is read.
+const BATCH_BYTES_MAX: usize = 1 << 30;
+
+/// Offsets of the header's fields.
+mod header {
+    pub const RECORDS: usize = 0;
+    pub const BATCH_BYTES: usize = 4;
+    pub const CLOCK: usize = 8;
+}
+
+const NS_PER_US: u64 = 1_000;
+
+/// One batch: a header, records, and a tail that holds their texts. Its buffer is used again for the next.
+#[derive(Default)]
+pub struct Batch {
+    frame: Vec<u8>,
+    /// Records in it.
+    pub count: usize,
+    /// The simulated time of all its events.
+    pub clock: Nanos,
+}
+
+impl Batch {
+    /// Reads the next batch; false at a clean end of input.
+    pub fn read(&mut self, input: &mut impl Read) -> Result<bool, FrameError> {
+        let mut header = [0; HEADER_BYTES];
+        let mut bytes = 0;
+        while bytes < HEADER_BYTES {
+            match input.read(&mut header[bytes..]).map_err(FrameError::Read)? {
+                0 if bytes == 0 => return Ok(false),
+                0 => return Err(FrameError::HeaderCutOff { bytes }),
+                more => bytes += more,
+            }
+        }
+        self.decode_header(&header)?;
+        let bytes = self.frame.len();
+        let body = &mut self.frame[HEADER_BYTES..];
+        input.read_exact(body).map_err(|source| FrameError::BodyCutOff { bytes, source })?;
+        Ok(true)
+    }
+
+    fn decode_header(&mut self, header: &[u8; HEADER_BYTES]) -> Result<(), FrameError> {
+        let header = Record { record: header, tail: &[] };
+        let records = header.u32(header::RECORDS) as usize;
+        let bytes = header.u32(header::BATCH_BYTES) as usize;
+        let micros = header.u64(header::CLOCK);
+        self.count = records;
+        self.clock = micros.checked_mul(NS_PER_US).ok_or(FrameError::ClockOutOfRange { micros })?;
+        if bytes > BATCH_BYTES_MAX {
+            return Err(FrameError::TooLong { bytes });
+        }
+        if bytes < HEADER_BYTES + records * RECORD_BYTES {
+            return Err(FrameError::TooShort { bytes, records });
+        }
+        self.frame.clear();
+        self.frame.resize(bytes, 0);
+        Ok(())
+    }
+
+    /// The record with this index, which must be below the count.
+    pub fn record(&self, index: usize) -> Record<'_> {
+        let start = HEADER_BYTES + index * RECORD_BYTES;
+        Record {
+            record: &self.frame[start..start + RECORD_BYTES],
+            tail: &self.frame[HEADER_BYTES + self.count * RECORD_BYTES..],
+        }
+    }
+}
+
+/// One record, read by the offsets of its fields, with the tail of its batch.
+#[derive(Clone, Copy)]
+pub struct Record<'a> {
+    record: &'a [u8],
+    tail: &'a [u8],
+}
+
+impl<'a> Record<'a> {
+    fn bytes<const N: usize>(&self, offset: usize) -> [u8; N] {
+        self.record[offset..offset + N].try_into().expect("offsets are constants within a record")
+    }
+
+    /// The kind of event, one of [`super::code`].
+    pub fn code(&self) -> u8 {
+        self.u8(0)
+    }
+
+    pub fn u8(&self, offset: usize) -> u8 {
+        self.record[offset]
+    }
+
+    pub fn u16(&self, offset: usize) -> u16 {
+        u16::from_le_bytes(self.bytes(offset))
+    }
+
+    pub fn u32(&self, offset: usize) -> u32 {
+        u32::from_le_bytes(self.bytes(offset))
+    }
+
+    pub fn u64(&self, offset: usize) -> u64 {
+        u64::from_le_bytes(self.bytes(offset))
+    }
+
+    /// A finite number of single precision.
+    pub fn number(&self, offset: usize) -> Result<f64, EventError> {
+        let number = f32::from_le_bytes(self.bytes(offset));
+        if number.is_finite() { Ok(f64::from(number)) } else { Err(EventError::NoNumber { offset, number }) }
+    }
+
+    pub fn duration(&self, offset: usize) -> Nanos {
+        u64::from(self.u32(offset)) * NS_PER_US
+    }
+
+    /// A text in the tail: the field holds its offset there and its length.
+    pub fn text(&self, offset: usize) -> Result<&'a str, EventError> {
+        let (start, len) = (self.u32(offset) as usize, self.u32(offset + 4) as usize);
+        let end = start.checked_add(len).filter(|end| *end <= self.tail.len());
+        let end = end.ok_or(EventError::TextOutsideTail { offset: start, len })?;
+        std::str::from_utf8(&self.tail[start..end]).map_err(EventError::TextNotUtf8)
+    }
+}
--- /dev/null
+++ b/crates/simulator-adapter/src/codec/event.rs
@@ -0,0 +1,159 @@
+//! Typed events, decoded from records.
+
+use super::{EventError, Record};
+use meadowstream_overload_control::{Arrival, Nanos, Outcome};
+
+/// Kinds of records.
+pub mod code {
+    pub const STARTED: u8 = 10;
+    pub const ARRIVED: u8 = 20;
+    pub const RUN_FINISHED: u8 = 30;
+    pub const CALL_NEEDED: u8 = 40;
+    pub const CALL_FINISHED: u8 = 50;
+    pub const DRAIN_NOTICE: u8 = 60;
+    pub const CALLER_GONE: u8 = 70;
+    pub const TIMER: u8 = 80;
+    pub const ENDED: u8 = 90;
+    /// Names the instance of the records that follow.
+    pub const INSTANCE: u8 = 100;
+}
+
+/// Offsets of fields in a record; 0 is the code.
+mod offset {
+    pub const INSTANCE: usize = 1;
+    pub const SEED: usize = 1;
+    pub const SETTINGS: usize = 9;
+    /// Of all events on an invocation.
+    pub const ID: usize = 1;
+    pub const OUTCOME: usize = 9;
+    pub const CALL_TOOK: usize = 11;
+    pub const DRAIN_GRACE: usize = 1;
+    pub const TIMER: usize = 1;
+    pub const GAUGE_COUNT: usize = 5;
+    pub const GAUGES: usize = 6;
+    pub const GAUGE_BYTES: usize = 4;
+
+    /// Of an arrival.
+    pub mod arrival {
+        pub const AGE: usize = 9;
+        pub const REPEATS: usize = 13;
+        pub const REMAINING_DEADLINE: usize = 21;
+        pub const FLAGS: usize = 25;
+        pub const COST_HINT: usize = 30;
+        pub const HELD_KB: usize = 38;
+        pub const TENANT: usize = 42;
+        pub const OPERATION: usize = 46;
+    }
+}
+
+/// Bits of an arrival's flags.
+const HAS_COST_HINT: u8 = 1;
+const IS_MARKED_RETRY: u8 = 2;
+
+/// Gauges that fit into a record.
+const GAUGES_MAX: usize = 4;
+
+/// The gauges of a timer event, in the order of the settings.
+#[derive(Clone, Copy)]
+pub struct GaugeReadings<'a> {
+    record: Record<'a>,
+    count: usize,
+}
+
+impl GaugeReadings<'_> {
+    /// The gauge with this index; `None` where there are fewer.
+    pub fn get(&self, index: usize) -> Result<Option<f64>, EventError> {
+        if index >= self.count {
+            return Ok(None);
+        }
+        self.record.number(offset::GAUGES + offset::GAUGE_BYTES * index).map(Some)
+    }
+}
+
+/// What happened to an instance.
+pub enum Event<'a> {
+    /// It starts.
+    Started { seed: u64, settings: &'a str },
+    /// An invocation was read.
+    Arrived { arrival: Arrival },
+    /// A run has ended.
+    RunFinished { id: u64, outcome: Outcome },
+    /// A run has come to its downstream call.
+    CallNeeded { id: u64 },
+    /// A downstream call has ended after this long.
+    CallFinished { id: u64, outcome: Outcome, took: Nanos },
+    /// The process stops after the grace.
+    DrainNotice { grace: Nanos },
+    /// Nobody waits for the answer any more.
+    CallerGone { id: u64 },
+    /// A timer has gone off.
+    Timer { timer: u32, gauges: GaugeReadings<'a> },
+    /// It ends.
+    Ended,
+}
+
+impl<'a> Event<'a> {
+    pub fn decode(record: Record<'a>) -> Result<Self, EventError> {
+        let id = record.u64(offset::ID);
+        Ok(match record.code() {
+            code::STARTED => {
+                Self::Started { seed: record.u64(offset::SEED), settings: record.text(offset::SETTINGS)? }
+            }
+            code::ARRIVED => Self::Arrived { arrival: arrival(record)? },
+            code::RUN_FINISHED => Self::RunFinished { id, outcome: outcome(record)? },
+            code::CALL_NEEDED => Self::CallNeeded { id },
+            code::CALL_FINISHED => {
+                Self::CallFinished { id, outcome: outcome(record)?, took: record.duration(offset::CALL_TOOK) }
+            }
+            code::DRAIN_NOTICE => Self::DrainNotice { grace: record.duration(offset::DRAIN_GRACE) },
+            code::CALLER_GONE => Self::CallerGone { id },
+            code::TIMER => Self::Timer { timer: record.u32(offset::TIMER), gauges: gauges(record)? },
+            code::ENDED => Self::Ended,
+            code => return Err(EventError::UnknownCode { code }),
+        })
+    }
+
+    /// The instance that a record of code [`code::INSTANCE`] names.
+    pub fn instance(record: Record) -> u16 {
+        record.u16(offset::INSTANCE)
+    }
+}
+
+fn arrival(record: Record) -> Result<Arrival, EventError> {
+    use offset::arrival::{AGE, COST_HINT, FLAGS, HELD_KB, OPERATION, REMAINING_DEADLINE, REPEATS, TENANT};
+    let flags = record.u8(FLAGS);
+    let (repeats, remaining_deadline) = (record.u64(REPEATS), record.duration(REMAINING_DEADLINE));
+    let has_cost_hint = flags & HAS_COST_HINT != 0;
+    Ok(Arrival {
+        id: record.u64(offset::ID),
+        age: record.duration(AGE),
+        repeats: (repeats != 0).then_some(repeats),
+        remaining_deadline: (remaining_deadline != 0).then_some(remaining_deadline),
+        is_marked_retry: flags & IS_MARKED_RETRY != 0,
+        cost_hint: has_cost_hint.then(|| record.duration(COST_HINT)),
+        held_kb: record.number(HELD_KB)?,
+        tenant: record.u32(TENANT) as usize,
+        sender: None,
+        key_not_stored: false,
+        operation: usize::from(record.u8(OPERATION)),
+    })
+}
+
+fn gauges(record: Record<'_>) -> Result<GaugeReadings<'_>, EventError> {
+    let count = usize::from(record.u8(offset::GAUGE_COUNT));
+    if count > GAUGES_MAX {
+        return Err(EventError::TooManyGauges { count, max: GAUGES_MAX });
+    }
+    Ok(GaugeReadings { record, count })
+}
+
+pub(super) fn outcome(record: Record) -> Result<Outcome, EventError> {
+    match record.u16(offset::OUTCOME) {
+        0 => Ok(Outcome::Succeeded),
+        255 => Ok(Outcome::Failed),
+        249 | 252 | 254 => Ok(Outcome::NeverRan),
+        251 | 253 => Ok(Outcome::Unknown),
+        250 => Ok(Outcome::Cancelled),
+        code => Err(EventError::UnknownOutcome { code }),
+    }
+}
--- a/crates/simulator-adapter/src/codec/tests.rs
+++ b/crates/simulator-adapter/src/codec/tests.rs
@@ -1,6 +1,9 @@
 //! Frames in and out.
 
+use super::batch::RECORD_BYTES;
+use super::event::outcome;
 use super::*;
+use meadowstream_overload_control::{Host, Outcome};
 
 fn batch(count: u32, len: u32, body: &[u8]) -> Vec<u8> {
     [&count.to_le_bytes(), &len.to_le_bytes(), &7u64.to_le_bytes()[..], body].concat()
@@ -8,7 +11,7 @@
 
 #[test]
 fn reads_a_record_and_its_tail() {
-    let mut body = vec![0; EVENT];
+    let mut body = vec![0; RECORD_BYTES];
     body[0] = 30;
     body[1..9].copy_from_slice(&42u64.to_le_bytes());
     body[9..11].copy_from_slice(&254u16.to_le_bytes());
@@ -17,10 +20,10 @@
     body.extend_from_slice(b"abcdef");
     let mut read = Batch::default();
     assert!(read.read(&mut batch(1, 78, &body).as_slice()).unwrap());
-    let event = read.event(0);
-    assert_eq!((read.clock, event.u8(0), event.u64(1), event.span(11)), (7_000, 30, 42, 3_000));
-    assert_eq!(event.ending(9).unwrap(), Outcome::NeverRan);
-    assert_eq!(event.text(11).unwrap(), "de");
+    let record = read.record(0);
+    assert_eq!((read.clock, record.code(), record.u64(1), record.duration(11)), (7_000, 30, 42, 3_000));
+    assert_eq!(outcome(record).unwrap(), Outcome::NeverRan);
+    assert_eq!(record.text(11).unwrap(), "de");
     assert!(!read.read(&mut [].as_slice()).unwrap());
 }
 
@@ -30,21 +33,21 @@
     for frame in [batch(1, 16, &[]), batch(1, 72, &[0; 20]), batch(0, 8, &[]), vec![0; 5]] {
         assert!(read.read(&mut frame.as_slice()).is_err(), "{frame:?}");
     }
-    let mut body = vec![0; EVENT];
+    let mut body = vec![0; RECORD_BYTES];
     body[1..5].copy_from_slice(&9u32.to_le_bytes());
     body[5..9].copy_from_slice(&u32::MAX.to_le_bytes());
     body[9..11].copy_from_slice(&77u16.to_le_bytes());
     body[11..15].copy_from_slice(&f32::NAN.to_le_bytes());
     assert!(read.read(&mut batch(1, 72, &body).as_slice()).unwrap());
-    assert!(read.event(0).text(1).is_err());
-    assert!(read.event(0).ending(9).is_err());
-    assert!(read.event(0).number(11).is_err());
+    assert!(read.record(0).text(1).is_err());
+    assert!(outcome(read.record(0)).is_err());
+    assert!(read.record(0).number(11).is_err());
 }
 
 #[test]
-fn replies_name_the_speaker_once_and_round_times_up() {
+fn replies_name_the_instance_once_and_round_times_up() {
     let (mut reply, mut frame) = (Reply::default(), Vec::new());
-    reply.speaks(5);
+    reply.select_instance(5);
     reply.reject(9, true, 1_001);
     reply.log("hi");
     reply.finish(&mut frame);
@@ -58,10 +61,10 @@
 #[test]
 fn actions_have_the_bytes_of_release_0_2() {
     let (id, span) = (0x0102_0304_0506_0708, 2_500_001);
-    let record = |say: &dyn Fn(&mut Reply)| {
+    let record = |act: &dyn Fn(&mut Reply)| {
         let (mut reply, mut frame) = (Reply::default(), Vec::new());
-        reply.speaks(5);
-        say(&mut reply);
+        reply.select_instance(5);
+        act(&mut reply);
         reply.finish(&mut frame);
         frame
     };
--- a/crates/simulator-adapter/tests/frames.rs
+++ b/crates/simulator-adapter/tests/frames.rs
@@ -153,3 +153,41 @@
     let fixtures = Fixtures::load(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/frames.txt"));
     fixtures.verify(&[("input", asked), ("actions", answered)]);
 }
+
+/// What the program says on standard error to one frame that it cannot handle, and its exit code.
+fn refusal(frame: &[u8]) -> (String, Option<i32>) {
+    let mut program = Command::new(env!("CARGO_BIN_EXE_meadowstream-simulator-adapter"))
+        .stdin(Stdio::piped())
+        .stdout(Stdio::null())
+        .stderr(Stdio::piped())
+        .spawn()
+        .unwrap();
+    program.stdin.take().unwrap().write_all(frame).unwrap();
+    let output = program.wait_with_output().unwrap();
+    (String::from_utf8(output.stderr).unwrap(), output.status.code())
+}
+
+#[test]
+fn a_refusal_names_the_batch_the_record_and_the_value() {
+    let start = || vec![instance(3), started()];
+    let after_start = |record: Vec<u8>| frame(1_000, &[start(), vec![record]].concat(), SETTINGS);
+    let cases = [
+        (frame(1_000, &[started()], SETTINGS), "batch 0: record 0: no instance named before it"),
+        (
+            frame(1_000, &[instance(3), needs_call(1)], ""),
+            "batch 0: record 1: event 40 for instance 3, which has not started",
+        ),
+        (after_start(arrived(1, 9, 0, 0)), "batch 0: record 2: unknown operation 9"),
+        (after_start(finished(1, 77)), "batch 0: record 2: unknown outcome 77"),
+        (after_start(record(33, &[])), "batch 0: record 2: unknown event code 33"),
+        (after_start(record(80, &[(5, &[5])])), "batch 0: record 2: 5 gauges where 4 fit"),
+        (
+            frame(1_000, &start(), &SETTINGS.replace("cores=6", "cores=x")),
+            "batch 0: record 1: setting family-info.cores: cannot read \"x\"",
+        ),
+        (vec![0; 5], "batch 0: batch header cut off after 5 bytes"),
+    ];
+    for (frame, text) in cases {
+        assert_eq!(refusal(&frame), (format!("meadowstream-simulator-adapter: {text}\n"), Some(1)));
+    }
+}
