--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -19,7 +19,7 @@
     match command {
         Command::Serve { config, options, log } => {
             start_log(log);
-            start::serve(Configuration::load_at_start(&config, options.as_deref())?)
+            Ok(start::serve(Configuration::load_at_start(&config, options.as_deref())?)?)
         }
         Command::Check { config, options } => check(&config, options.as_deref()),
         Command::Rehearse { tenants, seconds, shows_log } => rehearse(tenants, seconds, shows_log),
--- a/crates/server/src/event_loop/downstream.rs
+++ b/crates/server/src/event_loop/downstream.rs
@@ -3,7 +3,8 @@
 use crate::calls::task as call;
 use crate::calls::task::Call;
 use crate::event_loop::actions::ActionExecutor;
-use crate::fleet::tier::Over;
+use crate::fleet::shared_state::StartedCall;
+use crate::fleet::tier::CallEvidence;
 use crate::resources::invocations::RunningCall;
 use crate::wire::interpreter;
 use meadowstream_overload_control::{Effect, Nanos, Outcome};
@@ -13,7 +14,7 @@
     /// Whether the fleet permits the call of an invocation, while so many runs wait for theirs.
     pub fn is_call_permitted(&mut self, id: u64, waiting: usize) -> bool {
         let preference = self.call_preference(id);
-        self.server.shared.as_ref().is_none_or(|shared| shared.may_call(waiting, preference))
+        self.server.shared.as_ref().is_none_or(|shared| shared.is_call_permitted(waiting, preference))
     }
 
     /// Makes the call that a run waits for.
@@ -28,11 +29,13 @@
         let (reference, body) = (invocation.reference, invocation.call_body.clone());
         let operations = &self.server.configuration.settings.deployment.operations;
         let fresh = operations[invocation.operation].effect != Effect::Idempotent;
-        let shared = self.server.shared.as_ref();
-        let (timeout, place) =
-            shared.map_or((timeout, None), |shared| shared.called(number, timeout, preference));
-        invocation.last_service = place.as_ref().map(|place| place.service);
-        let to = place.map_or(records, |place| place.to);
+        let started = match &self.server.shared {
+            Some(shared) => shared.start_call(number, timeout, preference),
+            None => StartedCall { timeout, destination: None },
+        };
+        let StartedCall { timeout, destination } = started;
+        invocation.last_service = destination.as_ref().map(|destination| destination.service);
+        let to = destination.map_or(records, |destination| destination.address);
         let call = Call { invocation: id, number, reference, timeout, body, fresh };
         let task = self.server.executor.spawn(call::make(self.server.clone(), to, call));
         invocation.call = Some(RunningCall { number, _task: task });
@@ -71,14 +74,15 @@
         let Some(call) = call else { return };
         self.server.counters.calls_dropped.add();
         if let Some(shared) = &self.server.shared {
-            shared.ended(call.number, false, Over::GivenUp);
+            shared.end_call(call.number, false, CallEvidence::Abandoned);
         }
     }
 
     fn record_call_end(&self, number: u64, outcome: Outcome) {
         if let Some(shared) = &self.server.shared {
-            let evidence = if outcome == Outcome::Succeeded { Over::Good } else { Over::Bad };
-            shared.ended(number, outcome != Outcome::Unknown, evidence);
+            let evidence =
+                if outcome == Outcome::Succeeded { CallEvidence::Succeeded } else { CallEvidence::Failed };
+            shared.end_call(number, outcome != Outcome::Unknown, evidence);
         }
         let counters = &self.server.counters;
         match outcome {
--- a/crates/server/src/fleet/mod.rs
+++ b/crates/server/src/fleet/mod.rs
@@ -11,4 +11,6 @@
 pub mod rollout;
 pub mod rollout_state;
 pub mod shared_state;
+mod sharing;
 pub mod tier;
+mod view_log;
--- a/crates/server/src/fleet/replication.rs
+++ b/crates/server/src/fleet/replication.rs
@@ -18,32 +18,45 @@
 use std::rc::Rc;
 use tracing::{info, warn};
 
-/// While a revision is being checked its outcome is looked for this often.
-const OUTCOME_LOOK: Nanos = 10_000_000;
-/// The state is shown again this often where nothing changes.
-const SHOWN_EVERY: Nanos = 10_000_000_000;
+/// Interval between looks for the outcome of a revision that is being checked.
+const OUTCOME_LOOK_EVERY_NS: Nanos = 10_000_000;
+/// The status is logged this often where nothing changes.
+const LOG_EVERY_NS: Nanos = 10_000_000_000;
 
 /// A revision and what became of it.
 type Outcome = (u64, Result<(), String>);
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-struct Shown {
+struct ReplicationStatus {
     in_force: u64,
     held: u64,
     refused: Option<Rejection>,
     stale: bool,
 }
 
+/// Why the server cannot take part in replicated configuration.
+#[derive(Debug, thiserror::Error)]
+pub enum ReplicationError {
+    /// A server is named as a replica of the log.
+    #[error("replica: {0:?} serves; the log is kept by `meadowstream control`")]
+    ServingReplica(String),
+    /// A setting is out of its range.
+    #[error(transparent)]
+    Settings(#[from] meadowstream_replication::member::SettingsError),
+}
+
+/// This server's part in replicated configuration.
 pub struct Replication {
     member: Member,
     file: PathBuf,
     stale_after: Nanos,
     outcomes: (Sender<Outcome>, Receiver<Outcome>),
     is_checking: bool,
-    shown: Shown,
-    shown_at: Nanos,
+    logged: ReplicationStatus,
+    logged_at: Nanos,
 }
 
+/// The settings of a member that the options describe.
 pub fn settings(given: &Given) -> Settings {
     let location = Location { region: given.region.clone(), zone: given.zone.clone() };
     Settings {
@@ -61,14 +74,13 @@
         name: &str,
         file: PathBuf,
         now: Nanos,
-    ) -> Result<Replication, String> {
+    ) -> Result<Replication, ReplicationError> {
         if given.replicas.iter().any(|replica| replica == name) {
-            return Err(format!("replica: {name:?} serves; the log is kept by `meadowstream control`"));
+            return Err(ReplicationError::ServingReplica(name.to_string()));
         }
         let standing = server.configuration.replicated.borrow().clone();
         let disk = standing.map(|committed| PersistedState { committed, ..PersistedState::default() });
-        let mut member = Member::new(name, settings(given), server.configuration.seed ^ now, now, disk)
-            .map_err(|error| error.to_string())?;
+        let mut member = Member::new(name, settings(given), server.configuration.seed ^ now, now, disk)?;
         if let Some(standing) = member.next_to_apply() {
             member.on_applied(standing.number(), now);
         }
@@ -78,17 +90,18 @@
             stale_after: given.stale_after,
             outcomes: async_channel::unbounded(),
             is_checking: false,
-            shown: Shown::default(),
-            shown_at: 0,
+            logged: ReplicationStatus::default(),
+            logged_at: 0,
         })
     }
 
+    /// Receives a message of another member.
     pub fn receive(&mut self, from: &str, body: &[u8], now: Nanos) {
         self.member.receive(now, from, body);
     }
 
     /// Does what is due and sends what is to be sent.
-    pub fn play(&mut self, server: &Rc<Server>, shared: &Shared, directory: &Directory, now: Nanos) {
+    pub fn advance(&mut self, server: &Rc<Server>, shared: &Shared, directory: &Directory, now: Nanos) {
         while let Ok((number, outcome)) = self.outcomes.1.try_recv() {
             self.is_checking = false;
             if let Err(why) = &outcome {
@@ -112,39 +125,39 @@
         for outgoing in self.member.take_outgoing() {
             shared.send_other(&outgoing.to, REPLICATION, outgoing.body);
         }
-        self.show(now);
+        self.log(now);
     }
 
-    /// When [`Replication::play`] is wanted again.
+    /// When [`Replication::advance`] is due again.
     pub fn due(&self, now: Nanos) -> Nanos {
-        let outcome = if self.is_checking { now + OUTCOME_LOOK } else { Nanos::MAX };
+        let outcome = if self.is_checking { now + OUTCOME_LOOK_EVERY_NS } else { Nanos::MAX };
         self.member.next_due().min(outcome)
     }
 
-    fn show(&mut self, now: Nanos) {
+    fn log(&mut self, now: Nanos) {
         let age = self.member.age(now);
-        let shown = Shown {
+        let status = ReplicationStatus {
             in_force: self.member.applied(),
             held: self.member.revision().number(),
             refused: self.member.rejected().cloned(),
             stale: age.is_none_or(|age| age > self.stale_after),
         };
-        if shown == self.shown && now < self.shown_at + SHOWN_EVERY {
+        if status == self.logged && now < self.logged_at + LOG_EVERY_NS {
             return;
         }
         let age_ms = age.map_or(-1, |age| (age / 1_000_000) as i64);
-        let Shown { in_force, held, refused, stale } = &shown;
+        let ReplicationStatus { in_force, held, refused, stale } = &status;
         let refused = refused.as_ref().map_or(String::new(), |one| format!("{}: {}", one.number, one.reason));
         let publisher = self.member.leader().unwrap_or("");
         let fetched = self.member.transferred_pairs().unwrap_or(0);
         let counts = serde_json::to_string(&self.member.counts).unwrap_or_default();
         info!(target: "fleet", in_force, held, age_ms, stale, publisher, refused, fetched, counts,
             "replication");
-        if *stale && (self.shown_at == 0 || now >= self.shown_at + SHOWN_EVERY || !self.shown.stale) {
+        if *stale && (self.logged_at == 0 || now >= self.logged_at + LOG_EVERY_NS || !self.logged.stale) {
             warn!(target: "fleet", in_force, age_ms,
                 "no word of the configuration's publisher: goes by the last good");
         }
-        (self.shown, self.shown_at) = (shown, now);
+        (self.logged, self.logged_at) = (status, now);
     }
 }
 
--- a/crates/server/src/fleet/shared_state.rs
+++ b/crates/server/src/fleet/shared_state.rs
@@ -1,9 +1,8 @@
-//! What this server shares with the others: the pure core, the calls out below against the fleet's budget,
-//! and readings of both clocks. The fleet's task and the module's owner both use it, on the one thread.
+//! The state that this server shares with others: the library's state, this server's calls against the fleet's
+//! budget, and readings of both clocks. The membership task and the event loop use it, on the one thread.
 
 use crate::configuration::leases::LEASES;
-use crate::fleet::tier::Over;
-use crate::fleet::tier::Tier;
+use crate::fleet::tier::{CallEvidence, Tier, TierStatus};
 use crate::lifecycle::changes::TenantNames;
 use crate::resources::counters::Counters;
 use meadowstream_routing::CallPreference;
@@ -15,9 +14,21 @@
 use std::net::SocketAddr;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
+/// Why the shared state cannot be set up.
+#[derive(Debug, thiserror::Error)]
+pub enum SharedStateError {
+    /// A setting of the shared state is out of its range.
+    #[error(transparent)]
+    Settings(#[from] meadowstream_shared_state::SettingsError),
+    /// A setting of the routing is out of its range.
+    #[error(transparent)]
+    Routing(#[from] meadowstream_routing::SettingsError),
+}
+
+/// What this server shares with the others.
 pub struct Shared {
     inner: RefCell<Inner>,
-    /// Tenants that are counted by name: those that the options name.
+    /// Tenants that are counted by name: those in the options.
     named: RefCell<TenantNames>,
     began: Instant,
 }
@@ -25,45 +36,79 @@
 struct Inner {
     state: SharedState,
     permits: Permits,
-    /// Where calls go to one of several services below.
+    /// The services below, where there are several.
     tier: Option<Tier>,
-    /// The module was told that there is no room, and wants to hear when there is.
-    refused: bool,
+    /// A call was refused, and the controller is to be notified once one may go out.
+    has_refused: bool,
+    /// What was counted of this server so far, in the order of [`COUNTED`].
     counted: [u64; 4],
-    /// Counts that found no room.
+    /// Counts for which there was no key left.
     uncounted: u64,
 }
 
-/// What the log says of it.
+/// Budget and tier as the log shows them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Shown {
+pub struct SharedStatus {
+    /// What every server may use without a lease.
     pub floor: u64,
+    /// What is leased to this server beyond that.
     pub leased: u64,
+    /// Calls in flight.
     pub uses: u64,
+    /// This server grants leases.
     pub gives: bool,
+    /// What it has granted.
     pub outstanding: u64,
     /// Services below that are ejected, by name.
     pub ejected: Vec<String>,
 }
 
 /// Where a call goes, in place of the address of the configuration.
-pub struct Place {
+pub struct Destination {
+    /// The service, by its place in the settings.
     pub service: usize,
-    pub to: SocketAddr,
+    /// Its address.
+    pub address: SocketAddr,
+}
+
+/// A call that may go out.
+pub struct StartedCall {
+    /// It is given up after this time, in nanoseconds.
+    pub timeout: u64,
+    /// Where it goes, if to one of a tier.
+    pub destination: Option<Destination>,
+}
+
+/// What follows from advancing the state.
+pub struct Advanced {
+    /// Messages to members, by name.
+    pub outgoing: Vec<(String, Vec<u8>)>,
+    /// A call was refused before and may go out now.
+    pub has_capacity: bool,
 }
 
 impl Shared {
-    /// `tier` are the addresses of the services that the settings judge, in their order.
-    pub fn new(me: ServerId, settings: &Settings, tier: &[SocketAddr], seed: u64) -> Result<Shared, String> {
+    /// `tier` has the addresses of the services of the settings, in their order.
+    pub fn new(
+        me: ServerId,
+        settings: &Settings,
+        tier: &[SocketAddr],
+        seed: u64,
+    ) -> Result<Shared, SharedStateError> {
         let began = Instant::now();
         let reading = Reading { monotonic: 0, wall: wall() };
-        let state =
-            SharedState::new(me, settings.clone(), seed, reading).map_err(|fault| fault.to_string())?;
+        let state = SharedState::new(me, settings.clone(), seed, reading)?;
         let tier =
             settings.outlier_detection.as_ref().map(|judge| Tier::new(tier.to_vec(), judge.expiry, seed));
-        let tier = tier.transpose().map_err(|fault| fault.to_string())?;
-        let inner =
-            Inner { state, permits: Permits::default(), tier, refused: false, counted: [0; 4], uncounted: 0 };
+        let tier = tier.transpose()?;
+        let inner = Inner {
+            state,
+            permits: Permits::default(),
+            tier,
+            has_refused: false,
+            counted: [0; 4],
+            uncounted: 0,
+        };
         Ok(Shared { inner: RefCell::new(inner), named: RefCell::default(), began })
     }
 
@@ -71,52 +116,52 @@
         Reading { monotonic: self.began.elapsed().as_nanos() as u64, wall: wall() }
     }
 
-    /// Whether one more call may go out; where not, so many wait. The fleet's budget and its judgements of
-    /// the services below both have a say.
-    pub fn may_call(&self, waiting: usize, wish: CallPreference) -> bool {
+    /// Whether one more call may go out by the budget and by the health of the services below; where not, so
+    /// many wait.
+    pub fn is_call_permitted(&self, waiting: usize, preference: CallPreference) -> bool {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
-        let Inner { state, permits, tier, refused, .. } = &mut *inner;
+        let Inner { state, permits, tier, has_refused, .. } = &mut *inner;
         let time = state.read_clocks(reading);
-        if tier.as_ref().is_some_and(|tier| !tier.can_route(reading.monotonic, wish)) {
-            *refused = true;
+        if tier.as_ref().is_some_and(|tier| !tier.can_route(reading.monotonic, preference)) {
+            *has_refused = true;
             return false;
         }
         let Some(budget) = calls(state) else { return true };
         let may = budget.may_acquire(time, permits.in_use(time));
         if !may {
             permits.refuse(time, waiting as u64);
-            *refused = true;
+            *has_refused = true;
         }
         may
     }
 
-    /// A call goes out; it is given up after so many nanoseconds at the latest. Where it goes, if to one of a
-    /// tier.
-    pub fn called(&self, number: u64, timeout: u64, wish: CallPreference) -> (u64, Option<Place>) {
+    /// A call goes out; `timeout` is the longest that it may take, in nanoseconds.
+    pub fn start_call(&self, number: u64, timeout: u64, preference: CallPreference) -> StartedCall {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
         let time = inner.state.read_clocks(reading);
         inner.permits.acquire(time, number);
-        let place = inner.tier.as_mut().map(|tier| tier.call(reading.monotonic, number, wish));
-        let most = calls(&inner.state).map_or(timeout, |budget| timeout.min(budget.settings().use_max));
-        (most, place.map(|(service, to)| Place { service, to }))
+        let chosen = inner.tier.as_mut().map(|tier| tier.start_call(reading.monotonic, number, preference));
+        let timeout = calls(&inner.state).map_or(timeout, |budget| timeout.min(budget.settings().use_max));
+        let destination = chosen.map(|(service, address)| Destination { service, address });
+        StartedCall { timeout, destination }
     }
 
-    /// A call is over; `surely` where what lies below is known to be done with it.
-    pub fn ended(&self, number: u64, surely: bool, over: Over) {
+    /// A call is over here; `is_over_below` where the service is known to be done with it.
+    pub fn end_call(&self, number: u64, is_over_below: bool, evidence: CallEvidence) {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
         let time = inner.state.read_clocks(reading);
         let Inner { state, tier, .. } = &mut *inner;
-        if let Some((tier, judge)) = tier.as_mut().zip(state.outlier_detector.as_mut()) {
-            tier.ended(reading.monotonic, time, number, over, judge);
+        if let Some((tier, detector)) = tier.as_mut().zip(state.outlier_detector.as_mut()) {
+            tier.end_call(reading.monotonic, time, number, evidence, detector);
         }
-        let use_most = calls(&inner.state).map_or(0, |budget| budget.settings().use_max);
-        inner.permits.release(number, surely, use_most);
+        let use_max = calls(&inner.state).map_or(0, |budget| budget.settings().use_max);
+        inner.permits.release(number, is_over_below, use_max);
     }
 
-    /// Tenants counted by name from now on; returns those that were so far.
+    /// Counts these tenants by name from now on; returns those that were so far.
     pub fn name_tenants(&self, names: TenantNames) -> TenantNames {
         self.named.replace(names)
     }
@@ -127,26 +172,27 @@
         self.named.borrow().contains(name).then(|| String::from_utf8_lossy(name).into_owned())
     }
 
-    /// Counts for the whole fleet: `what/operation` and, for a named tenant, `what/operation/tenant`. What
-    /// finds no room among the keys is not counted, and the log says how often.
-    pub fn count(&self, what: &str, operation: &str, tenant: Option<&str>, more: u64) {
+    /// Adds to the fleet's counts `what/operation` and, for a named tenant, `what/operation/tenant`. Where no
+    /// key is left nothing is counted, and the log shows how often.
+    pub fn count(&self, what: &str, operation: &str, tenant: Option<&str>, amount: u64) {
         let mut inner = self.inner.borrow_mut();
         let of_all = format!("{what}/{operation}");
         let of_tenant = tenant.map(|tenant| format!("{of_all}/{tenant}"));
         for key in std::iter::once(of_all).chain(of_tenant) {
-            let counted = inner.state.counters.add(&key, more);
+            let counted = inner.state.counters.add(&key, amount);
             inner.uncounted += u64::from(!counted);
         }
     }
 
-    /// A total from a reload; `Err` leaves the old one.
+    /// Sets the total of the budget; an error leaves the old one.
     pub fn set_total(&self, total: u64) -> Result<(), BudgetSettingsError> {
         let mut inner = self.inner.borrow_mut();
         let mut calls = inner.state.budgets.iter_mut().filter(|budget| !is_lease(budget));
         calls.try_for_each(|budget| budget.set_total(total))
     }
 
-    pub fn heard(&self, bodies: Vec<Vec<u8>>) {
+    /// Receives messages of other members.
+    pub fn receive(&self, bodies: Vec<Vec<u8>>) {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
         for body in bodies {
@@ -156,58 +202,38 @@
         }
     }
 
-    /// Bodies of other topics that came.
-    pub fn others(&self) -> Vec<(ServerId, u16, Vec<u8>)> {
+    /// Bodies of other topics that came, each with its sender.
+    pub fn take_received(&self) -> Vec<(ServerId, u16, Vec<u8>)> {
         let received = self.inner.borrow_mut().state.take_received();
         received.into_iter().map(|other| (other.from, other.topic, other.body)).collect()
     }
 
+    /// Sends a body of another topic to a member, by name.
     pub fn send_other(&self, to: &str, topic: u16, body: Vec<u8>) {
         self.inner.borrow_mut().state.send_other(to, topic, body);
     }
 
-    /// Does what is due; what to send to whom by name, and whether the module is to look again at calls that
-    /// it held back.
-    pub fn advance(&self, alive: &[String], counters: &Counters) -> (Vec<(String, Vec<u8>)>, bool) {
+    /// Does what is due, with these members alive.
+    pub fn advance(&self, alive: &[String], counters: &Counters) -> Advanced {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
-        let Inner { state, permits, tier, refused, counted, .. } = &mut *inner;
-        let time = state.read_clocks(reading);
-        let now = [&counters.invocations, &counters.succeeded, &counters.throttled, &counters.errored];
-        for ((key, now), counted) in COUNTED.iter().zip(now).zip(counted) {
-            state.counters.add(key, now.get() - *counted);
-            *counted = now.get();
-        }
-        for budget in state.budgets.iter_mut().filter(|budget| !is_lease(budget)) {
-            let lately = 2 * budget.settings().refresh_interval;
-            let (wants, uses) = (permits.wanted(time, lately), permits.in_use(time));
-            budget.set_demand(wants, uses);
-        }
-        state.advance(reading, alive);
-        if let Some((tier, judge)) = tier.as_mut().zip(state.outlier_detector.as_ref())
-            && tier.judged(reading.monotonic, time, judge)
-        {
-            let ejected: Vec<&String> = tier.ejected.iter().map(|i| &judge.settings().services[*i]).collect();
-            let accusers: Vec<usize> = tier.ejected.iter().map(|i| judge.accusers(time, *i)).collect();
-            tracing::info!(target: "fleet", ?ejected, ?accusers, alone = judge.is_isolated(time), "judged");
-        }
-        let may_probe = CallPreference { last_service: None, may_probe: true };
-        let open = tier.as_ref().is_none_or(|tier| tier.can_route(reading.monotonic, may_probe));
-        let free = |time: Time, permits: &mut Permits| {
-            let uses = permits.in_use(time);
-            calls(state).is_none_or(|budget| budget.may_acquire(time, uses))
-        };
-        let again = *refused && open && free(time, permits);
-        *refused &= !again;
-        (state.take_outgoing(), again)
+        let time = inner.state.read_clocks(reading);
+        inner.count_own(counters);
+        inner.state_demand(time);
+        inner.state.advance(reading, alive);
+        inner.update_health(reading.monotonic, time);
+        let has_capacity = inner.has_refused && inner.has_capacity(reading.monotonic, time);
+        inner.has_refused &= !has_capacity;
+        Advanced { outgoing: inner.state.take_outgoing(), has_capacity }
     }
 
-    /// In nanoseconds, at most.
+    /// Nanoseconds until [`Self::advance`] is due, at most.
     pub fn due_in(&self) -> u64 {
         self.inner.borrow().state.due_in()
     }
 
-    pub fn shown(&self) -> Shown {
+    /// Budget and tier as the log shows them.
+    pub fn status(&self) -> SharedStatus {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
         let Inner { state, permits, tier, .. } = &mut *inner;
@@ -215,9 +241,9 @@
         let names = state.outlier_detector.as_ref().map(|judge| &judge.settings().services);
         let ejected = tier.iter().flat_map(|tier| &tier.ejected);
         let ejected = ejected.filter_map(|i| names?.get(*i).cloned()).collect();
-        let Some(budget) = calls(state) else { return Shown { ejected, ..Shown::default() } };
+        let Some(budget) = calls(state) else { return SharedStatus { ejected, ..SharedStatus::default() } };
         let ceiling = budget.allowance(time);
-        Shown {
+        SharedStatus {
             floor: ceiling.floor,
             leased: ceiling.leased,
             uses: permits.in_use(time),
@@ -227,13 +253,13 @@
         }
     }
 
-    /// Calls to the tier below and its services, as JSON for the log; empty where there is none.
-    pub fn tier(&self) -> (String, String) {
+    /// The tier as the log shows it.
+    pub fn tier_status(&self) -> TierStatus {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
         let time = inner.state.read_clocks(reading);
-        let shown = inner.tier.as_ref().zip(inner.state.outlier_detector.as_ref());
-        shown.map_or_else(Default::default, |(tier, judge)| tier.shown(time, judge))
+        let tier = inner.tier.as_ref().zip(inner.state.outlier_detector.as_ref());
+        tier.map_or_else(TierStatus::default, |(tier, detector)| tier.status(time, detector))
     }
 
     /// The fleet's totals and what was refused, as JSON for the log.
@@ -247,15 +273,57 @@
     }
 }
 
+impl Inner {
+    /// Adds this server's own counts to those of the fleet.
+    fn count_own(&mut self, counters: &Counters) {
+        let now = [&counters.invocations, &counters.succeeded, &counters.throttled, &counters.errored];
+        for ((key, now), counted) in COUNTED.iter().zip(now).zip(&mut self.counted) {
+            self.state.counters.add(key, now.get() - *counted);
+            *counted = now.get();
+        }
+    }
+
+    /// Tells the budget what this server uses and would use.
+    fn state_demand(&mut self, time: Time) {
+        for budget in self.state.budgets.iter_mut().filter(|budget| !is_lease(budget)) {
+            let lately = 2 * budget.settings().refresh_interval;
+            let (wanted, in_use) = (self.permits.wanted(time, lately), self.permits.in_use(time));
+            budget.set_demand(wanted, in_use);
+        }
+    }
+
+    fn update_health(&mut self, now: u64, time: Time) {
+        let Some(tier) = &mut self.tier else { return };
+        let Some(detector) = &self.state.outlier_detector else { return };
+        if tier.update_health(now, time, detector) {
+            let services = &detector.settings().services;
+            let ejected: Vec<&String> = tier.ejected.iter().map(|service| &services[*service]).collect();
+            let accusers: Vec<usize> =
+                tier.ejected.iter().map(|service| detector.accusers(time, *service)).collect();
+            let alone = detector.is_isolated(time);
+            tracing::info!(target: "fleet", ?ejected, ?accusers, alone, "judged");
+        }
+    }
+
+    /// Whether a call that may be spent on a health check could go out.
+    fn has_capacity(&mut self, now: u64, time: Time) -> bool {
+        let preference = CallPreference { last_service: None, may_probe: true };
+        let is_routable = self.tier.as_ref().is_none_or(|tier| tier.can_route(now, preference));
+        let in_use = self.permits.in_use(time);
+        is_routable && calls(&self.state).is_none_or(|budget| budget.may_acquire(time, in_use))
+    }
+}
+
 fn is_lease(budget: &Budget) -> bool {
     LEASES.contains(&budget.settings().name.as_str())
 }
 
-/// The budget of calls below.
+/// The budget of downstream calls.
 fn calls(state: &SharedState) -> Option<&Budget> {
     state.budgets.iter().find(|budget| !is_lease(budget))
 }
 
+/// Keys of the counts of every server, which are words of the wire.
 const COUNTED: [&str; 4] = ["invocations", "succeeded", "throttled", "errored"];
 
 fn wall() -> u64 {
--- /dev/null
+++ b/crates/server/src/fleet/sharing.rs
@@ -0,0 +1,143 @@
+//! The part of the membership task that carries shared state, replicated configuration and rollouts between
+//! this server and the other members.
+
+use crate::event::Event;
+use crate::fleet::replication::Replication;
+use crate::fleet::rollout;
+use crate::fleet::shared_state::{Shared, SharedStatus};
+use crate::server::Server;
+use meadowstream_membership::directory::Directory;
+use meadowstream_membership::{Membership, Nanos};
+use meadowstream_rollout::wire;
+use meadowstream_shared_state::{
+    REPLICATION, ROLLOUT_ORDERS, ROLLOUT_REPORTS, ServerId, VERSION_ANNOUNCEMENTS,
+};
+use std::rc::Rc;
+use tracing::info;
+
+/// This server announces its version, and those it knows, to one member at a time this often.
+const ANNOUNCE_EVERY_NS: Nanos = 200_000_000;
+/// The shared state is logged at least this often.
+const LOG_EVERY_NS: Nanos = 500_000_000;
+
+/// What the task keeps of it.
+#[derive(Default)]
+pub struct Sharing {
+    /// This server's part in replicated configuration, where the options say so.
+    replication: Option<Replication>,
+    directory: Directory,
+    /// When [`Sharing::advance`] has something to do, unless a message comes before.
+    pub due: Nanos,
+    logged: SharedStatus,
+    logged_at: Nanos,
+    announced_at: Nanos,
+}
+
+impl Sharing {
+    /// Nothing is due or logged yet.
+    pub fn new(replication: Option<Replication>) -> Self {
+        Self { replication, ..Self::default() }
+    }
+
+    /// Handles the messages that have come, and does what is due.
+    pub fn advance(&mut self, server: &Rc<Server>, membership: &mut Membership, now: Nanos) {
+        let Some(shared) = &server.shared else {
+            self.due = Nanos::MAX;
+            return;
+        };
+        let received = membership.take_shared_state();
+        let has_received = !received.is_empty();
+        shared.receive(received);
+        for (from, topic, body) in shared.take_received() {
+            self.handle(server, shared, &from, topic, &body, now);
+        }
+        if now < self.due && !has_received {
+            return;
+        }
+        self.directory.refresh(membership, now);
+        if let Some(replication) = &mut self.replication {
+            replication.advance(server, shared, &self.directory, now);
+        }
+        let replication_due =
+            self.replication.as_ref().map_or(Nanos::MAX, |replication| replication.due(now));
+        self.due = (now + shared.due_in()).min(replication_due);
+        self.announce_versions(server, shared, now);
+        self.advance_shared(server, shared, membership, now);
+        self.log(shared, now);
+    }
+
+    fn handle(
+        &mut self,
+        server: &Rc<Server>,
+        shared: &Shared,
+        from: &ServerId,
+        topic: u16,
+        body: &[u8],
+        now: Nanos,
+    ) {
+        if topic == REPLICATION
+            && let Some(replication) = &mut self.replication
+        {
+            replication.receive(&from.name, body, now);
+        }
+        let Some(rollout) = &server.rollout else { return };
+        if topic == VERSION_ANNOUNCEMENTS
+            && let Some(versions) = wire::decode(body)
+        {
+            rollout.versions.borrow_mut().merge(versions);
+        }
+        if topic == ROLLOUT_ORDERS
+            && let Some(order) = wire::decode::<wire::Order>(body)
+            && let Some(report) = rollout::handle_order(server, rollout, order)
+        {
+            shared.send_other(&from.name, ROLLOUT_REPORTS, wire::encode(&report));
+        }
+    }
+
+    /// Announces versions to the member whose turn it is, from a place in the order that differs by server.
+    fn announce_versions(&mut self, server: &Server, shared: &Shared, now: Nanos) {
+        let Some(rollout) = &server.rollout else { return };
+        if now < self.announced_at + ANNOUNCE_EVERY_NS {
+            return;
+        }
+        self.announced_at = now;
+        let mut versions = rollout.versions.borrow_mut();
+        versions.retain(|name| self.directory.address(name).is_some());
+        let alive = self.directory.names();
+        if alive.is_empty() {
+            return;
+        }
+        let turn = (now / ANNOUNCE_EVERY_NS).wrapping_add(versions.own().incarnation);
+        let member = &alive[turn as usize % alive.len()];
+        shared.send_other(member, VERSION_ANNOUNCEMENTS, wire::encode(&versions.announcement(now)));
+    }
+
+    fn advance_shared(&self, server: &Server, shared: &Shared, membership: &mut Membership, now: Nanos) {
+        let advanced = shared.advance(self.directory.names(), &server.counters);
+        for (name, body) in advanced.outgoing {
+            if let Some(to) = self.directory.address(&name) {
+                membership.send_shared_state(to, &body, now);
+            }
+        }
+        if advanced.has_capacity {
+            // A full queue means that the controller will look at everything anyway.
+            let _ = server.events.try_send(Event::DownstreamCapacity);
+        }
+    }
+
+    /// Logs the shared state where leases or ejected services have changed, and regularly.
+    fn log(&mut self, shared: &Shared, now: Nanos) {
+        let status = shared.status();
+        let changes = |s: &SharedStatus| (s.floor, s.leased, s.gives, s.ejected.clone());
+        if changes(&status) == changes(&self.logged) && now < self.logged_at + LOG_EVERY_NS {
+            return;
+        }
+        let (totals, tally) = shared.totals();
+        let tier = shared.tier_status();
+        let ejected = serde_json::to_string(&status.ejected).unwrap_or_default();
+        info!(target: "fleet", floor = status.floor, leased = status.leased, uses = status.uses,
+            gives = status.gives, outstanding = status.outstanding, ejected, services = tier.services,
+            routed = tier.routed, totals, tally, "shared");
+        (self.logged, self.logged_at) = (status, now);
+    }
+}
--- a/crates/server/src/fleet/tier.rs
+++ b/crates/server/src/fleet/tier.rs
@@ -1,5 +1,5 @@
-//! The services of the tier below, as this server calls them: which one each call under way went to, and what
-//! is judged of each. The router decides; the evidence and the fleet's word are in the shared state's judge.
+//! The services of the tier below, as this server calls them: which one each call in flight went to, and how
+//! healthy each is. The router chooses; the evidence and the fleet's reports are in the outlier detector.
 
 use meadowstream_routing::{CallPreference, Choice, HealthView, Router, Settings, SettingsError};
 use meadowstream_shared_state::clock::Time;
@@ -8,96 +8,130 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// A service that is out gets so many probes within the time that a report counts: evidence halves in that
-/// time, so that this many keep it above the least that is judged by.
-const PROBES: u64 = 8;
+/// Health checks of an ejected service within the time that a report counts. Evidence halves in that time, so
+/// that this many keep it above the least that a service is judged by.
+const PROBES_PER_EXPIRY: u64 = 8;
 
+/// A call that has gone out.
+struct InFlight {
+    choice: Choice,
+    /// When it went out, in nanoseconds of the monotonic clock.
+    started: u64,
+}
+
+/// The services below.
 pub struct Tier {
     addresses: Vec<SocketAddr>,
     router: Router,
-    /// Calls under way, by their number: where each went and when.
-    out: HashMap<u64, (Choice, u64)>,
-    /// Services ejected when last looked at.
+    /// By the numbers of calls.
+    in_flight: HashMap<u64, InFlight>,
+    /// Services that were ejected at the last update.
     pub ejected: Vec<usize>,
 }
 
-/// How a call ended.
+/// What the end of a call shows of its service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Over {
-    Good,
-    Bad,
-    /// Nobody waits for it any more.
-    GivenUp,
+pub enum CallEvidence {
+    /// It succeeded.
+    Succeeded,
+    /// It failed.
+    Failed,
+    /// It was given up before its end.
+    Abandoned,
 }
 
-/// What the log says of a service.
+/// A service as the log shows it.
 #[derive(Serialize)]
-pub struct Shown<'a> {
+struct ServiceStatus<'a> {
     service: &'a str,
     own: ServiceHealth,
     accusers: usize,
     outstanding: u64,
 }
 
+/// The tier as the log shows it, in JSON; empty without a tier.
+#[derive(Default)]
+pub struct TierStatus {
+    /// Calls, health checks, and calls that could be routed nowhere.
+    pub routed: String,
+    /// The status of each service.
+    pub services: String,
+}
+
 impl Tier {
+    /// Reports on health expire after `expiry` nanoseconds.
     pub fn new(addresses: Vec<SocketAddr>, expiry: u64, seed: u64) -> Result<Tier, SettingsError> {
-        let probe_interval = (expiry / PROBES).max(1);
+        let probe_interval = (expiry / PROBES_PER_EXPIRY).max(1);
         let settings = Settings { services: addresses.len(), probe_interval, slow_start: expiry };
-        Ok(Tier { router: Router::new(settings, seed)?, addresses, out: HashMap::new(), ejected: Vec::new() })
+        let router = Router::new(settings, seed)?;
+        Ok(Tier { router, addresses, in_flight: HashMap::new(), ejected: Vec::new() })
     }
 
-    /// Takes over what is judged now; whether the services ejected are others than before.
-    pub fn judged(&mut self, now: u64, time: Time, judge: &OutlierDetector) -> bool {
-        let ejected = judge.ejected(time);
-        let of = |service| HealthView {
+    /// Routes by the health of the services from now on. True where others are ejected than before.
+    pub fn update_health(&mut self, now: u64, time: Time, detector: &OutlierDetector) -> bool {
+        let ejected = detector.ejected(time);
+        let view = |service| HealthView {
             ejected: ejected.contains(&service),
-            locally_unhealthy: judge.local_health(time, service) != ServiceHealth::Healthy,
-            is_prober: judge.is_prober(time, service),
+            locally_unhealthy: detector.local_health(time, service) != ServiceHealth::Healthy,
+            is_prober: detector.is_prober(time, service),
         };
-        let judged: Vec<HealthView> = (0..self.addresses.len()).map(of).collect();
-        self.router.update_health(now, judged);
+        let views: Vec<HealthView> = (0..self.addresses.len()).map(view).collect();
+        self.router.update_health(now, views);
         let changed = ejected != self.ejected;
         self.ejected = ejected;
         changed
     }
 
-    pub fn can_route(&self, now: u64, wish: CallPreference) -> bool {
-        self.router.can_route(now, wish)
+    /// Whether a call could go to some service.
+    pub fn can_route(&self, now: u64, preference: CallPreference) -> bool {
+        self.router.can_route(now, preference)
     }
 
-    /// Where a call of that number goes. Where every service is ejected and the module calls all the same,
-    /// nowhere is better than another: the first.
-    pub fn call(&mut self, now: u64, number: u64, wish: CallPreference) -> (usize, SocketAddr) {
-        let nowhere = Choice { service: 0, is_probe: false };
-        let chosen = self.router.choose(now, wish).unwrap_or(nowhere);
-        self.out.insert(number, (chosen, now));
-        (chosen.service, self.addresses[chosen.service])
+    /// The service that a call goes to, and its address. A call that is made although every service is
+    /// ejected goes to the first.
+    pub fn start_call(&mut self, now: u64, number: u64, preference: CallPreference) -> (usize, SocketAddr) {
+        let first = Choice { service: 0, is_probe: false };
+        let choice = self.router.choose(now, preference).unwrap_or(first);
+        let service = choice.service;
+        self.in_flight.insert(number, InFlight { choice, started: now });
+        (service, self.addresses[service])
     }
 
-    /// A call is over: evidence for or against its service. One that was given up says something only where
-    /// it had been out for longer than a service may take that is not slow.
-    pub fn ended(&mut self, now: u64, time: Time, number: u64, over: Over, judge: &mut OutlierDetector) {
-        let Some((chosen, begun)) = self.out.remove(&number) else { return };
-        self.router.release(chosen);
-        let took = now.saturating_sub(begun);
-        match over {
-            Over::GivenUp => judge.record_abandoned_call(time, chosen.service, took),
-            _ => judge.record_call(time, chosen.service, over == Over::Good, took),
+    /// A call is over, with evidence for or against its service.
+    pub fn end_call(
+        &mut self,
+        now: u64,
+        time: Time,
+        number: u64,
+        evidence: CallEvidence,
+        detector: &mut OutlierDetector,
+    ) {
+        let Some(InFlight { choice, started }) = self.in_flight.remove(&number) else { return };
+        let service = choice.service;
+        self.router.release(choice);
+        let took = now.saturating_sub(started);
+        match evidence {
+            CallEvidence::Abandoned => detector.record_abandoned_call(time, service, took),
+            CallEvidence::Succeeded => detector.record_call(time, service, true, took),
+            CallEvidence::Failed => detector.record_call(time, service, false, took),
         }
     }
 
-    /// Calls, probes, and calls that found nowhere to go; then each service as JSON.
-    pub fn shown(&self, time: Time, judge: &OutlierDetector) -> (String, String) {
-        let names = &judge.settings().services;
-        let of = |(service, name)| Shown {
+    /// The tier as the log shows it.
+    pub fn status(&self, time: Time, detector: &OutlierDetector) -> TierStatus {
+        let names = detector.settings().services.iter().map(String::as_str);
+        let status = |(service, name)| ServiceStatus {
             service: name,
-            own: judge.local_health(time, service),
-            accusers: judge.accusers(time, service),
+            own: detector.local_health(time, service),
+            accusers: detector.accusers(time, service),
             outstanding: self.router.outstanding(service),
         };
-        let services: Vec<Shown> = names.iter().map(String::as_str).enumerate().map(of).collect();
-        let counts = self.router.counters;
-        let routed = serde_json::to_string(&[counts.calls, counts.probes, counts.unroutable]);
-        (routed.unwrap_or_default(), serde_json::to_string(&services).unwrap_or_default())
+        let services: Vec<ServiceStatus> = names.enumerate().map(status).collect();
+        let counters = self.router.counters;
+        let routed = [counters.calls, counters.probes, counters.unroutable];
+        TierStatus {
+            routed: serde_json::to_string(&routed).unwrap_or_default(),
+            services: serde_json::to_string(&services).unwrap_or_default(),
+        }
     }
 }
--- /dev/null
+++ b/crates/server/src/fleet/view_log.rs
@@ -0,0 +1,91 @@
+//! The fleet's view in the log: changes as they come, and the whole view where it has changed.
+
+use crate::server::Server;
+use meadowstream_membership::{Change, MemberState, MemberStatus, Membership, Nanos, ViewChange};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use tracing::info;
+
+/// What of a member decides whether the view has changed.
+#[derive(PartialEq, Eq)]
+struct MemberLine {
+    address: SocketAddr,
+    incarnation: u64,
+    state: MemberState,
+}
+
+/// The view as it was logged last.
+#[derive(Default)]
+pub struct ViewLog {
+    members: Option<Vec<MemberLine>>,
+    dropped: u64,
+    logged_at: Nanos,
+}
+
+impl ViewLog {
+    /// Logs the view where it or the count of dropped datagrams has changed, and after an announce period
+    /// even where not: the log drops a line that finds its pipe full, and a reader must not be left with a
+    /// view of the past.
+    pub fn update(
+        &mut self,
+        server: &Server,
+        membership: &mut Membership,
+        announce_period: Nanos,
+        now: Nanos,
+    ) {
+        let view = membership.view(now);
+        let members: Vec<MemberLine> = view.iter().map(MemberLine::new).collect();
+        let dropped = membership.counts().dropped_all();
+        let is_old = now >= self.logged_at + announce_period;
+        if is_old || self.members.as_ref() != Some(&members) || dropped != self.dropped {
+            log_view(membership, &view, &versions(server, &view), now);
+            *self = Self { members: Some(members), dropped, logged_at: now };
+        }
+    }
+}
+
+impl MemberLine {
+    fn new(status: &MemberStatus) -> Self {
+        Self { address: status.addr, incarnation: status.incarnation, state: status.state }
+    }
+}
+
+/// Logs one change of the view.
+pub fn log_change(ViewChange { at, change }: &ViewChange) {
+    let (what, id) = match change {
+        Change::Up(id) => ("up", Some(id)),
+        Change::Down(id) => ("down", Some(id)),
+        Change::Renamed { new: id, .. } => ("renamed", Some(id)),
+        Change::Rejoined(id) => ("rejoined", Some(id)),
+        Change::Active => ("active", None),
+        Change::Idle => ("idle", None),
+    };
+    match id {
+        Some(id) => info!(target: "fleet", change = what, member = id.name, addr = %id.addr,
+            incarnation = id.incarnation, at, "member"),
+        None => info!(target: "fleet", change = what, at, "this server"),
+    }
+}
+
+/// The version and the hash of the settings of this server and each of the view, by name, as far as known;
+/// empty where the options have no `<rollout>`.
+fn versions(server: &Server, view: &[MemberStatus]) -> String {
+    let Some(rollout) = &server.rollout else { return String::new() };
+    let versions = rollout.versions.borrow();
+    let names = view.iter().map(|status| status.name.as_str()).chain([versions.own().name.as_str()]);
+    let mut known = BTreeMap::new();
+    for entry in names.filter_map(|name| versions.get(name)) {
+        known.insert(&entry.name, (&entry.version, format!("{:016x}", entry.settings_hash)));
+    }
+    serde_json::to_string(&known).unwrap_or_default()
+}
+
+/// One line for the whole view: each member with its state and since when, the drops by reason.
+fn log_view(membership: &Membership, view: &[MemberStatus], runs: &str, now: Nanos) {
+    let count = |state| view.iter().filter(|status| status.state == state).count();
+    let members = serde_json::to_string(view).unwrap_or_default();
+    let counts = serde_json::to_string(membership.counts()).unwrap_or_default();
+    let settled_ms = now.saturating_sub(membership.last_change()) / 1_000_000;
+    info!(target: "fleet", alive = count(MemberState::Alive), suspect = count(MemberState::Suspect),
+        down = count(MemberState::Down), settled_ms, members, runs, counts, "view");
+}
--- a/crates/server/src/lifecycle/clock.rs
+++ b/crates/server/src/lifecycle/clock.rs
@@ -1,11 +1,13 @@
-//! The module's clock: Unix nanoseconds at the start, and from then on it never goes back.
+//! The server's clock: Unix nanoseconds at the start, and monotonic from then on.
 
 use meadowstream_overload_control::Nanos;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+/// The server's clock.
 pub struct Clock {
     started: Instant,
-    unix: Nanos,
+    /// Unix time of the start.
+    started_unix: Nanos,
 }
 
 fn unix() -> Nanos {
@@ -13,19 +15,22 @@
 }
 
 impl Clock {
+    /// A clock that starts now.
     pub fn start() -> Self {
-        Self { started: Instant::now(), unix: unix() }
+        Self { started: Instant::now(), started_unix: unix() }
     }
 
+    /// The time now.
     pub fn now(&self) -> Nanos {
-        self.unix + self.started.elapsed().as_nanos() as Nanos
+        self.started_unix + self.started.elapsed().as_nanos() as Nanos
     }
 
+    /// The instant of a time of this clock.
     pub fn instant(&self, at: Nanos) -> Instant {
-        self.started + Duration::from_nanos(at.saturating_sub(self.unix))
+        self.started + Duration::from_nanos(at.saturating_sub(self.started_unix))
     }
 
-    /// How long ago a Unix time in milliseconds was; below 0 for what is still to come.
+    /// Nanoseconds since a Unix time in milliseconds by the wall clock; negative for a time to come.
     pub fn age(&self, since_ms: u64) -> i64 {
         let since = i64::try_from(since_ms).unwrap_or(i64::MAX).saturating_mul(1_000_000);
         (unix() as i64).saturating_sub(since)
--- a/crates/server/src/lifecycle/files.rs
+++ b/crates/server/src/lifecycle/files.rs
@@ -1,9 +1,9 @@
-//! Files that are there whole or not at all, and there to stay.
+//! Durable files that are complete or not there at all.
 
 use std::io::{ErrorKind, Result, Write};
 use std::path::{Path, PathBuf};
 
-/// Written beside its place, synced, and renamed into it; then the folder is synced.
+/// Writes a file beside its place, syncs it and renames it into its place; then syncs the folder.
 pub fn write(path: &Path, bytes: &[u8]) -> Result<()> {
     let mut beside = path.as_os_str().to_os_string();
     beside.push(".new");
@@ -15,7 +15,7 @@
     sync_folder(path)
 }
 
-/// Removed, if it is there.
+/// Removes a file, if it is there, and syncs the folder.
 pub fn remove(path: &Path) -> Result<()> {
     match std::fs::remove_file(path) {
         Err(error) if error.kind() != ErrorKind::NotFound => Err(error),
--- a/crates/server/src/lifecycle/mod.rs
+++ b/crates/server/src/lifecycle/mod.rs
@@ -1,4 +1,4 @@
-//! Start and stop: what the server is told, the tasks it consists of, signals and the drain.
+//! Start and stop: the tasks of the server, signals, reloads and the drain.
 
 pub mod catalog;
 pub mod changes;
--- a/crates/server/src/lifecycle/signals.rs
+++ b/crates/server/src/lifecycle/signals.rs
@@ -1,31 +1,36 @@
-//! Signals: the notice to leave, new addresses, and the wish to see the counters.
+//! Signals: the notice to leave, a reload, and the request to log the counters.
 
 use crate::event::Event;
 use crate::lifecycle::drain;
 use crate::lifecycle::reload;
 use crate::server::Server;
-use anyhow::Result;
 use async_channel::{Receiver, Sender};
 use async_signal::{Signal, Signals};
 use futures_lite::{StreamExt, future};
 use std::rc::Rc;
 use tracing::info;
 
-pub fn subscribe() -> Result<Signals> {
-    Ok(Signals::new([Signal::Term, Signal::Int, Signal::Usr1, Signal::Hup])?)
+/// Receives the signals that the server handles from now on.
+pub fn subscribe() -> std::io::Result<Signals> {
+    Signals::new([Signal::Term, Signal::Int, Signal::Usr1, Signal::Hup])
 }
 
-/// Holds the sender whose end tells all tasks that the server leaves.
-/// `ends` brings the same as SIGTERM.
-pub async fn heed(server: Rc<Server>, mut signals: Signals, ends: Receiver<()>, stay: Sender<()>) {
+/// Handles signals for as long as the server runs. A leave request is the same as a SIGTERM. Closing `stay`
+/// notifies all tasks that the server leaves.
+pub async fn handle(
+    server: Rc<Server>,
+    mut signals: Signals,
+    leave_requests: Receiver<()>,
+    stay: Sender<()>,
+) {
     loop {
-        let told = async {
-            match ends.recv().await {
+        let requested = async {
+            match leave_requests.recv().await {
                 Ok(()) => Some(Ok(Signal::Term)),
                 Err(_) => future::pending().await,
             }
         };
-        let Some(signal) = future::or(signals.next(), told).await else { return };
+        let Some(signal) = future::or(signals.next(), requested).await else { return };
         match signal {
             Ok(Signal::Usr1) => {
                 info!("counters:{}", server.counters);
--- a/crates/server/src/lifecycle/start.rs
+++ b/crates/server/src/lifecycle/start.rs
@@ -2,96 +2,152 @@
 
 use crate::calls::pool::Pool;
 use crate::configuration::Configuration;
+use crate::configuration::fleet::Fleet;
 use crate::connection::accept;
-use crate::connection::table::Connections;
-use crate::connection::table::HealthStatus;
+use crate::connection::table::{Connections, HealthStatus};
 use crate::event::Event;
 use crate::event_loop::EventLoop;
-use crate::fleet::membership as fleet;
+use crate::fleet::membership;
 use crate::fleet::rollout;
-use crate::fleet::rollout_state::Rollout;
-use crate::fleet::shared_state::Shared;
+use crate::fleet::rollout_state::{Rollout, RolloutError};
+use crate::fleet::shared_state::{Shared, SharedStateError};
 use crate::interpreter::link;
-use crate::lifecycle::catalog;
 use crate::lifecycle::changes::Changes;
 use crate::lifecycle::clock::Clock;
-use crate::lifecycle::drain;
-use crate::lifecycle::reload;
-use crate::lifecycle::signals;
+use crate::lifecycle::{catalog, drain, reload, signals};
 use crate::resources::buffers::BufferBudget;
 use crate::resources::counters::Counters;
-use crate::resources::descriptors::Descriptors;
+use crate::resources::descriptors::{Descriptors, TooFewDescriptors};
 use crate::server::Server;
-use anyhow::{Context, Result, anyhow};
+use async_channel::Receiver;
 use async_executor::LocalExecutor;
 use async_io::Async;
+use async_signal::Signals;
 use meadowstream_shared_state::ServerId;
 use std::cell::Cell;
-use std::net::TcpListener;
+use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::rc::Rc;
 use std::time::Duration;
 use tracing::{info, warn};
 
 /// Events that may wait for the event loop; senders of more wait.
 const EVENTS_MAX: usize = 1024;
-
 /// Part of the memory limit that the buffers of connections may fill, with the answers that they are owed.
 const BUFFERS_PART: usize = 2;
 
-pub fn serve(configuration: Configuration) -> Result<()> {
+/// Why the server cannot start.
+#[derive(Debug, thiserror::Error)]
+pub enum StartError {
+    /// Signals cannot be received.
+    #[error(transparent)]
+    Signals(std::io::Error),
+    /// The address for callers cannot be bound.
+    #[error("cannot listen on {address}")]
+    Listen {
+        /// The address.
+        address: SocketAddr,
+        /// Why not.
+        #[source]
+        error: std::io::Error,
+    },
+    /// The limit of descriptors is too low.
+    #[error(transparent)]
+    Descriptors(#[from] TooFewDescriptors),
+    /// The address for other members cannot be bound.
+    #[error("<membership>: cannot bind {address}")]
+    BindMembership {
+        /// The address.
+        address: SocketAddr,
+        /// Why not.
+        #[source]
+        error: std::io::Error,
+    },
+    /// The shared state cannot be set up.
+    #[error("<shared-state>: {0}")]
+    SharedState(SharedStateError),
+    /// The server cannot take part in rollouts.
+    #[error("<rollout>: {0}")]
+    Rollout(RolloutError),
+}
+
+/// What is opened before any task runs, so that a start that cannot succeed is refused.
+struct Opened {
+    signals: Signals,
+    listener: Async<TcpListener>,
+    membership: Option<Async<UdpSocket>>,
+}
+
+/// Ends of channels that the tasks receive from.
+struct Channels {
+    events: Receiver<Event>,
+    leave_requests: Receiver<()>,
+    /// Its closing notifies all tasks that the server leaves.
+    stay: async_channel::Sender<()>,
+}
+
+/// Serves until the server has drained.
+pub fn serve(configuration: Configuration) -> Result<(), StartError> {
     let executor: &'static LocalExecutor = Box::leak(Box::new(LocalExecutor::new()));
     // A task like the others: what `run` itself is given is polled with each of their steps.
-    let whole = executor.spawn(run(configuration, executor));
-    async_io::block_on(executor.run(whole))
+    let all = executor.spawn(run(configuration, executor));
+    async_io::block_on(executor.run(all))
 }
 
-async fn run(configuration: Configuration, executor: &'static LocalExecutor<'static>) -> Result<()> {
-    let signals = signals::subscribe()?;
-    let listener = Async::<TcpListener>::bind(configuration.listen);
-    let listener = listener.with_context(|| format!("cannot listen on {}", configuration.listen))?;
-    // The queue that the standard library asks for would drop what a burst opens beyond 128 at once.
-    rustix::net::listen(listener.get_ref(), configuration.sockets.min(i32::MAX as usize) as i32)?;
-    let (events, queue) = async_channel::bounded::<Event>(EVENTS_MAX);
-    let (stay, left) = async_channel::bounded(1);
+async fn run(
+    configuration: Configuration,
+    executor: &'static LocalExecutor<'static>,
+) -> Result<(), StartError> {
+    let signals = signals::subscribe().map_err(StartError::Signals)?;
+    let listener = listen(&configuration)?;
     let descriptors = Descriptors::within(configuration.sockets)?;
-    let membership = match &configuration.membership {
-        Some(given) => {
-            let socket =
-                fleet::bind(given).with_context(|| format!("<membership>: cannot bind {}", given.bind))?;
-            Some((socket, given.clone()))
-        }
-        None => None,
-    };
-    configuration.notes.iter().for_each(|note| warn!("{note}"));
-    info!(name = configuration.name, listen = %listener.get_ref().local_addr()?, "started");
+    let membership = configuration.membership.as_ref().map(bind_membership).transpose()?;
+    let opened = Opened { signals, listener, membership };
+    for note in &configuration.notes {
+        warn!("{note}");
+    }
+    let address = opened.listener.get_ref().local_addr();
+    let listen = address.map_err(|error| StartError::Listen { address: configuration.listen, error })?;
+    info!(name = configuration.name, %listen, "started");
+    let (server, channels) = server(configuration, descriptors, executor)?;
+    let listener = spawn_tasks(&server, opened, channels);
+    accept::accept(server.clone(), listener).await;
+    drain::finish(&server).await;
+    info!("ended; counters:{}", server.counters);
+    Ok(())
+}
+
+fn listen(configuration: &Configuration) -> Result<Async<TcpListener>, StartError> {
+    let address = configuration.listen;
+    let failed = |error| StartError::Listen { address, error };
+    let listener = Async::<TcpListener>::bind(address).map_err(failed)?;
+    // The queue that the standard library asks for would drop what a burst opens beyond 128 at once.
+    let backlog = configuration.sockets.min(i32::MAX as usize) as i32;
+    rustix::net::listen(listener.get_ref(), backlog).map_err(|error| failed(error.into()))?;
+    Ok(listener)
+}
+
+fn bind_membership(fleet: &Fleet) -> Result<Async<UdpSocket>, StartError> {
+    membership::bind(fleet).map_err(|error| StartError::BindMembership { address: fleet.bind, error })
+}
+
+fn server(
+    configuration: Configuration,
+    descriptors: Descriptors,
+    executor: &'static LocalExecutor<'static>,
+) -> Result<(Rc<Server>, Channels), StartError> {
     let clock = Clock::start();
     // The start time in Unix nanoseconds: a restart under the old name has a higher incarnation.
     let incarnation = clock.now();
-    let shared = membership.as_ref().and_then(|(_, given)| Some((given, given.shared.as_ref()?)));
-    let shared = shared.map(|(given, settings)| {
-        let me = ServerId { name: given.name.clone(), incarnation };
-        Shared::new(me, settings, &given.tier, configuration.seed ^ incarnation)
-            .map_err(|fault| anyhow!("<shared-state>: {fault}"))
-    });
-    let shared = shared.transpose()?;
-    if let Some((shared, tenants)) = shared.as_ref().zip(configuration.options.borrow().tenants.as_ref()) {
-        shared.name_tenants(reload::names_of(tenants));
-    }
-    let (ends, ended) = async_channel::bounded(1);
-    let candidate = configuration.candidate.borrow().clone();
-    let of_rollouts = configuration.options.borrow().rollout.clone();
-    let rollout = candidate.zip(of_rollouts).map(|(candidate, given)| {
-        let operations = &configuration.settings.operation_names;
-        let name = configuration.membership.as_ref().map_or(String::new(), |fleet| fleet.name.clone());
-        let me = ServerId { name, incarnation };
-        Rollout::new(candidate, me, given.lease, operations, ends.clone())
-            .map_err(|fault| anyhow!("<rollout>: {fault}"))
-    });
-    let rollout = rollout.transpose()?;
+    let (events, events_received) = async_channel::bounded::<Event>(EVENTS_MAX);
+    let (stay, left) = async_channel::bounded(1);
+    let (leave, leave_requests) = async_channel::bounded(1);
+    let shared = shared(&configuration, incarnation).map_err(StartError::SharedState)?;
+    let rollout = rollout(&configuration, incarnation, leave).map_err(StartError::Rollout)?;
     let buffers = BufferBudget::new((configuration.memory_mb << 20) as usize / BUFFERS_PART);
-    let server = Rc::new(Server {
+    let server = Server {
         configuration,
         clock,
+        incarnation,
         executor,
         events,
         connections: Connections::default(),
@@ -108,17 +164,46 @@
         rollout,
         changes: Changes::default(),
         retune_pause: Cell::new(Duration::ZERO),
-    });
-    executor.spawn(signals::heed(server.clone(), signals, ended, stay)).detach();
+    };
+    Ok((Rc::new(server), Channels { events: events_received, leave_requests, stay }))
+}
+
+fn shared(configuration: &Configuration, incarnation: u64) -> Result<Option<Shared>, SharedStateError> {
+    let Some(fleet) = &configuration.membership else { return Ok(None) };
+    let Some(settings) = &fleet.shared else { return Ok(None) };
+    let me = ServerId { name: fleet.name.clone(), incarnation };
+    let shared = Shared::new(me, settings, &fleet.tier, configuration.seed ^ incarnation)?;
+    if let Some(tenants) = &configuration.options.borrow().tenants {
+        shared.name_tenants(reload::names_of(tenants));
+    }
+    Ok(Some(shared))
+}
+
+fn rollout(
+    configuration: &Configuration,
+    incarnation: u64,
+    leave: async_channel::Sender<()>,
+) -> Result<Option<Rollout>, RolloutError> {
+    let Some(candidate) = configuration.candidate.borrow().clone() else { return Ok(None) };
+    let options = configuration.options.borrow();
+    let Some(given) = &options.rollout else { return Ok(None) };
+    let name = configuration.membership.as_ref().map_or(String::new(), |fleet| fleet.name.clone());
+    let me = ServerId { name, incarnation };
+    let operations = &configuration.settings.operation_names;
+    Rollout::new(candidate, me, given.lease, operations, leave).map(Some)
+}
+
+/// Starts all tasks but the one that accepts connections, whose listener is returned.
+fn spawn_tasks(server: &Rc<Server>, opened: Opened, channels: Channels) -> Async<TcpListener> {
+    let Channels { events, leave_requests, stay } = channels;
+    let executor = server.executor;
+    executor.spawn(signals::handle(server.clone(), opened.signals, leave_requests, stay)).detach();
     executor.spawn(link::run(server.clone())).detach();
     executor.spawn(rollout::read_program(server.clone())).detach();
     executor.spawn(catalog::report(server.clone())).detach();
-    executor.spawn(EventLoop::new(server.clone()).run(queue)).detach();
-    if let Some((socket, given)) = membership {
-        executor.spawn(fleet::keep(server.clone(), socket, given, incarnation)).detach();
+    executor.spawn(EventLoop::new(server.clone()).run(events)).detach();
+    if let Some((socket, fleet)) = opened.membership.zip(server.configuration.membership.clone()) {
+        executor.spawn(membership::run(server.clone(), socket, fleet)).detach();
     }
-    accept::accept(server.clone(), listener).await;
-    drain::over(&server).await;
-    info!("ended; counters:{}", server.counters);
-    Ok(())
+    opened.listener
 }
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -1,9 +1,10 @@
-//! What the tasks share. They reach the overload controller by its queue of inputs only.
+//! What the tasks share. They reach the overload controller by the queue of events only.
 
 use crate::calls::pool::Pool;
 use crate::configuration::Configuration;
 use crate::connection::table::{Connections, HealthStatus};
 use crate::event::Event;
+use crate::fleet::rollout_state::Rollout;
 use crate::fleet::shared_state::Shared;
 use crate::lifecycle::changes::Changes;
 use crate::lifecycle::clock::Clock;
@@ -24,44 +25,59 @@
 
 /// What all tasks of the one thread use.
 pub struct Server {
+    /// What it was told at its start.
     pub configuration: Configuration,
+    /// The time.
     pub clock: Clock,
+    /// Its start in Unix nanoseconds, which tells it from earlier servers of its name.
+    pub incarnation: u64,
+    /// Runs the tasks.
     pub executor: &'static LocalExecutor<'static>,
+    /// Where events for the event loop go.
     pub events: Sender<Event>,
+    /// The connections of balancers.
     pub connections: Connections,
+    /// What answers and health checks report.
     pub health: HealthStatus,
+    /// The descriptors in use.
     pub descriptors: Descriptors,
+    /// Idle connections to the service below.
     pub pool: Pool,
+    /// Counts for the log.
     pub counters: Counters,
     /// Memory for the buffers of connections.
     pub buffers: Rc<BufferBudget>,
-    /// Says that the interpreter has another address.
+    /// Notifies the link that the interpreter has another address.
     pub interpreter_moved: (Sender<()>, Receiver<()>),
-    /// The server leaves, and wants no more calls.
+    /// The server is draining and wants no new call.
     pub grace_over: Cell<bool>,
-    /// When it ends at the latest, where it leaves of its own accord.
+    /// When it ends at the latest, where it leaves without a signal.
     pub stop_at: Cell<Option<Nanos>>,
     /// Closed once the server is to leave.
     pub left: Receiver<()>,
-    /// What the servers share, where the options say so.
+    /// State shared with other servers, where the options say so.
     pub shared: Option<Shared>,
-    /// This server's part in changes by stages, where the options say so.
-    pub rollout: Option<crate::fleet::rollout_state::Rollout>,
+    /// This server's part in rollouts, where the options say so.
+    pub rollout: Option<Rollout>,
     /// Changes of settings, one at a time.
     pub changes: Changes,
-    /// Longest time that a part of the last change held the module up.
+    /// Longest time that a part of the last change took in the event loop.
     pub retune_pause: Cell<Duration>,
 }
 
 impl Server {
+    /// Whether it was told to leave.
     pub fn leaves(&self) -> bool {
         self.left.is_closed()
     }
 }
 
-/// Waits for bytes and puts what fits into the ring, in one piece with what it holds. An error at the end.
+/// Bytes that are read at once.
+const READ_MAX_BYTES: usize = 8 * 1024;
+
+/// Waits for bytes and adds them to the ring, contiguous with what it holds. The end of the stream is an error.
 pub async fn receive(mut stream: &Async<TcpStream>, ring: &mut Ring) -> Result<()> {
-    let mut chunk = [0; 8 * 1024];
+    let mut chunk = [0; READ_MAX_BYTES];
     let free = ring.free().min(chunk.len());
     let count = stream.read(&mut chunk[..free]).await?;
     if count == 0 {
