--- a/crates/server/src/event_loop/answers.rs
+++ b/crates/server/src/event_loop/answers.rs
@@ -22,8 +22,8 @@
     let Some(rollout) = &server.rollout else { return };
     let outcome = match answer {
         Answer::Succeeded(_) => Answered::Succeeded,
-        Answer::Rejected { .. } => Answered::Throttled,
-        _ => Answered::Errored,
+        Answer::Rejected { .. } => Answered::Rejected,
+        _ => Answered::Failed,
     };
     let latency = server.clock.age(invocation.since_unix_ms).max(0) as Nanos;
     let operations = &server.configuration.settings.deployment.operations;
--- a/crates/server/src/fleet/control_machine.rs
+++ b/crates/server/src/fleet/control_machine.rs
@@ -19,15 +19,18 @@
 use std::path::{Path, PathBuf};
 use tracing::{info, warn};
 
-/// After a write that failed it is tried again this much later, without the lease until then.
-const WRITE_PAUSE: u64 = 1_000_000_000;
-/// Longest wait of one turn, so that the lease is looked at.
-const TURN: u64 = 100_000_000;
-const SHOWN_EVERY: u64 = 10_000_000_000;
+/// Pause before the next attempt after a failed write; the lease is not wanted until then.
+const WRITE_RETRY_AFTER_NS: u64 = 1_000_000_000;
+/// Longest wait of one turn, after which the lease is checked.
+const TURN_MAX_NS: u64 = 100_000_000;
+/// The status is logged this often where nothing changes.
+const LOG_EVERY_NS: u64 = 10_000_000_000;
 
 /// What a fleet member that serves nothing reads of an options file.
 pub struct Read {
+    /// Its part in the fleet.
     pub fleet: Fleet,
+    /// The replication of configuration.
     pub replication: Given,
     /// Where the log is kept.
     pub file: PathBuf,
@@ -57,7 +60,15 @@
     let read = read(options, None)?;
     let is_replica = read.replication.replicas.contains(&read.fleet.name);
     ensure!(is_replica, "<replication>: {:?} is no <replica>: servers take part by `serve`", read.fleet.name);
-    async_io::block_on(keep(read))
+    async_io::block_on(control(read))
+}
+
+/// What the log shows.
+#[derive(Default, PartialEq, Eq)]
+struct ControlStatus {
+    is_leader: bool,
+    number: u64,
+    lagging: usize,
 }
 
 struct Control {
@@ -65,8 +76,8 @@
     file: PathBuf,
     /// Nothing is written before this time, since the last write failed.
     write_after: u64,
-    shown: (bool, u64, usize),
-    shown_at: u64,
+    logged: ControlStatus,
+    logged_at: u64,
 }
 
 impl Control {
@@ -76,49 +87,50 @@
             if let Err(error) = files::write(&self.file, &persistence::encode(&saved)) {
                 let file = self.file.display();
                 warn!(target: "fleet", %error, %file, "cannot write the log: stands back");
-                self.write_after = now + WRITE_PAUSE;
+                self.write_after = now + WRITE_RETRY_AFTER_NS;
                 self.member.on_persist_failed();
                 return;
             }
             self.member.on_persisted(&saved, now);
         }
-        // Nothing is served here: what is committed is gone by as soon as it is known.
+        // Nothing is served here: what is committed is in force at once.
         if let Some(snapshot) = self.member.next_to_apply() {
             self.member.on_applied(snapshot.number(), now);
         }
     }
 
-    fn show(&mut self, now: u64) {
+    fn log(&mut self, now: u64) {
         let waiting = self.member.lagging();
         let publishes = self.member.is_leader();
         let number = self.member.revision().number();
-        let shown = (publishes, number, waiting.len());
-        if shown == self.shown && now < self.shown_at + SHOWN_EVERY {
+        let status = ControlStatus { is_leader: publishes, number, lagging: waiting.len() };
+        if status == self.logged && now < self.logged_at + LOG_EVERY_NS {
             return;
         }
         let members = self.member.members();
-        let told = |one: &meadowstream_replication::progress::LaggingMember| {
+        let describe = |one: &meadowstream_replication::progress::LaggingMember| {
             let lacks_ms = now.saturating_sub(one.since) / 1_000_000;
             format!("{} goes by {}, lacks {lacks_ms} ms", one.name, one.applied.unwrap_or(0))
         };
-        let some: Vec<String> = waiting.iter().take(8).map(told).collect();
+        let some: Vec<String> = waiting.iter().take(8).map(describe).collect();
         let counts = serde_json::to_string(&self.member.counts).unwrap_or_default();
         let waits_for = some.join("; ");
         let waiting = waiting.len();
         info!(target: "fleet", publishes, number, members, waiting, waits_for, counts, "control");
-        (self.shown, self.shown_at) = (shown, now);
+        (self.logged, self.logged_at) = (status, now);
     }
 }
 
-async fn keep(read: Read) -> Result<()> {
+async fn control(read: Read) -> Result<()> {
     let mut signals = Signals::new([Signal::Term, Signal::Int])?;
     // A log that cannot be read must not be begun anew: it may hold what others count on.
     let disk = persisted_revision::read(&read.file).context("<replication>: file")?;
     let mut joined = Joined::join(&read.fleet)?;
-    let (life, name) = (joined.life, read.fleet.name.clone());
-    let member = Member::new(&name, settings(&read.replication), life, life, disk);
+    let (incarnation, name) = (joined.incarnation, read.fleet.name.clone());
+    let member = Member::new(&name, settings(&read.replication), incarnation, incarnation, disk);
     let member = member.map_err(|fault| anyhow!("<replication>: {fault}"))?;
-    let mut control = Control { member, file: read.file, write_after: 0, shown: (false, 0, 0), shown_at: 0 };
+    let mut control =
+        Control { member, file: read.file, write_after: 0, logged: ControlStatus::default(), logged_at: 0 };
     loop {
         let now = joined.now();
         let may_write = now >= control.write_after;
@@ -126,11 +138,11 @@
         control.member.set_holds_lease(may_publish);
         control.member.advance(now, joined.directory.names());
         control.save(now);
-        control.show(now);
+        control.log(now);
         for outgoing in control.member.take_outgoing() {
             joined.send(&outgoing.to, REPLICATION, outgoing.body);
         }
-        let wake = control.member.next_due().clamp(now + 1_000_000, now + TURN);
+        let wake = control.member.next_due().clamp(now + 1_000_000, now + TURN_MAX_NS);
         let said = future::or(async { Some(joined.turn(wake).await) }, async {
             signals.next().await;
             None
--- a/crates/server/src/fleet/coordinator.rs
+++ b/crates/server/src/fleet/coordinator.rs
@@ -1,6 +1,5 @@
-//! `meadowstream rollout`: the coordinator of one change by stages. It is a member of the fleet's view that
-//! serves nothing, holds the lease on rollouts, orders and listens each interval, and keeps its state on
-//! disk.
+//! `meadowstream rollout`: the coordinator of one rollout. It is a member of the fleet that serves nothing,
+//! holds the lease on rollouts, sends orders and receives reports in each interval, and keeps its state on disk.
 
 use crate::configuration::candidate;
 use crate::configuration::candidate::hash_of;
@@ -19,18 +18,22 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Members of that name are coordinators, which no change reaches.
-const NAMED: &str = "rollout-";
+/// Names of members that are coordinators begin with this; no rollout reaches them.
+const NAME_PREFIX: &str = "rollout-";
 
 /// What `rollout` is given.
 pub struct Given {
+    /// The file of the plan.
     pub plan: PathBuf,
+    /// The options file of the fleet.
     pub options: PathBuf,
+    /// The file of the coordinator's state.
     pub state: PathBuf,
     /// How long it waits for the lease before anything has begun.
     pub wait: Duration,
 }
 
+/// The file of the state of a plan, unless another is given.
 pub fn state_of(plan: &Path) -> PathBuf {
     let mut state = plan.as_os_str().to_os_string();
     state.push(".state");
@@ -54,6 +57,7 @@
     Ok(Some(saved))
 }
 
+/// Prints how far a rollout has come.
 pub fn status(state: &Path) -> Result<()> {
     let saved = read_state(state)?.with_context(|| format!("{}: nothing has begun", state.display()))?;
     let changed: Vec<&str> = saved.changed.iter().map(String::as_str).collect();
@@ -102,7 +106,7 @@
     let own = options.membership.as_ref();
     let own = own.with_context(|| format!("{}: <membership> is missing", given.options.display()))?;
     ensure!(options.rollout.is_some(), "{}: <rollout> is missing", given.options.display());
-    let name = format!("{NAMED}{:08x}", hash_of(plan.name.as_bytes()) as u32);
+    let name = format!("{NAME_PREFIX}{:08x}", hash_of(plan.name.as_bytes()) as u32);
     let mut fleet = fleet::fleet(own, &name, &given.options)?;
     fleet.name = name;
     // It takes no part in what else is shared.
@@ -111,6 +115,7 @@
     Ok((plan, fleet))
 }
 
+/// Coordinates a rollout to its end; an error unless every stage is done.
 pub fn run(given: &Given) -> Result<()> {
     let (plan, fleet) = prepare(given)?;
     let lock = std::fs::File::options().create(true).append(true).open(state_lock(&given.state))?;
@@ -134,79 +139,117 @@
     PathBuf::from(lock)
 }
 
+/// A coordinator and its place in the fleet.
+struct Coordination<'a> {
+    given: &'a Given,
+    joined: Joined,
+    coordinator: Coordinator,
+    /// Length of an interval, in nanoseconds.
+    interval: u64,
+    next_interval: u64,
+}
+
 async fn coordinate(
     given: &Given,
     plan: Plan,
     saved: Option<PersistedState>,
     fleet: &Fleet,
 ) -> Result<Phase> {
-    let mut joined = Joined::join(fleet)?;
-    let life = joined.life;
+    let joined = Joined::join(fleet)?;
     let (interval, resumes) = (plan.interval, saved.is_some());
-    let mut coordinator =
-        Coordinator::new(plan, saved, life, joined.now()).map_err(|fault| anyhow!(fault))?;
-    let mut next = joined.now() + interval;
-    let say = |what: &str, now: u64| println!("{:8.1} s  {what}", (now - life) as f64 / 1e9);
-    say(if resumes { "goes on from its state" } else { "joins the fleet" }, joined.now());
-    loop {
-        let now = joined.now();
-        let has_lease = joined.lease(ROLLOUTS, true);
-        if now >= next {
-            next = now + interval;
-            if abort_of(&given.state).exists() {
-                let acts = coordinator.handle_abort(now);
-                carry_out(acts, given, &mut joined, &say)?;
-                let _ = std::fs::remove_file(abort_of(&given.state));
+    let coordinator = Coordinator::new(plan, saved, joined.incarnation, joined.now());
+    let coordinator = coordinator.map_err(|fault| anyhow!(fault))?;
+    let next_interval = joined.now() + interval;
+    let mut coordination = Coordination { given, joined, coordinator, interval, next_interval };
+    coordination.print(if resumes { "goes on from its state" } else { "joins the fleet" });
+    coordination.run().await
+}
+
+impl Coordination<'_> {
+    /// Prints a line with the time since the start.
+    fn print(&self, line: &str) {
+        let elapsed_ns = self.joined.now() - self.joined.incarnation;
+        println!("{:8.1} s  {line}", elapsed_ns as f64 / 1e9);
+    }
+
+    async fn run(&mut self) -> Result<Phase> {
+        loop {
+            let now = self.joined.now();
+            let has_lease = self.joined.lease(ROLLOUTS, true);
+            if now >= self.next_interval {
+                self.next_interval = now + self.interval;
+                self.handle_interval(now, has_lease)?;
+            }
+            if self.coordinator.state().phase.is_over() {
+                // The last orders go out before it leaves.
+                self.joined.turn(self.joined.now()).await;
+                self.joined.leave().await;
+                return Ok(self.coordinator.state().phase.clone());
             }
-            let fresh = coordinator.state().phase == Phase::Waiting;
-            let waited = Duration::from_nanos(now - life);
-            ensure!(
-                has_lease || !fresh || waited < given.wait,
-                "no lease on rollouts within {:?}: another plan \
-                holds it, or no majority of <voter>s is heard",
-                given.wait
-            );
-            let acts = coordinator.handle_interval(now, &seen(&mut joined.membership, now), has_lease);
-            carry_out(acts, given, &mut joined, &say)?;
+            self.receive_reports().await;
         }
-        if coordinator.state().phase.is_over() {
-            // What is still to be said goes out before it leaves.
-            joined.turn(joined.now()).await;
-            joined.leave().await;
-            return Ok(coordinator.state().phase.clone());
+    }
+
+    fn handle_interval(&mut self, now: u64, has_lease: bool) -> Result<()> {
+        if abort_of(&self.given.state).exists() {
+            let actions = self.coordinator.handle_abort(now);
+            self.carry_out(actions)?;
+            let _ = std::fs::remove_file(abort_of(&self.given.state));
         }
-        for said in joined.turn(next).await.into_iter().filter(|said| said.topic == ROLLOUT_REPORTS) {
-            if let Some(report) = wire::decode(&said.body) {
-                let now = joined.now();
-                coordinator.handle_report(now, &said.from.name, report);
+        let has_begun = self.coordinator.state().phase != Phase::Waiting;
+        let waited = Duration::from_nanos(now - self.joined.incarnation);
+        ensure!(
+            has_lease || has_begun || waited < self.given.wait,
+            "no lease on rollouts within {:?}: another plan \
+            holds it, or no majority of <voter>s is heard",
+            self.given.wait
+        );
+        let view = fleet_view(&mut self.joined.membership, now);
+        let actions = self.coordinator.handle_interval(now, &view, has_lease);
+        self.carry_out(actions)
+    }
+
+    async fn receive_reports(&mut self) {
+        for message in self.joined.turn(self.next_interval).await {
+            if message.topic == ROLLOUT_REPORTS
+                && let Some(report) = wire::decode(&message.body)
+            {
+                let now = self.joined.now();
+                self.coordinator.handle_report(now, &message.from.name, report);
             }
         }
     }
-}
 
-/// Saves before what follows from it is sent; a state that cannot be written ends the coordinator, and the
-/// servers stay as they are until it is started again.
-fn carry_out(acts: Vec<Action>, given: &Given, joined: &mut Joined, say: &impl Fn(&str, u64)) -> Result<()> {
-    for act in acts {
-        match act {
-            Action::Save(saved) => {
-                let text = serde_json::to_string_pretty(&saved)?;
-                files::write(&given.state, text.as_bytes())
-                    .with_context(|| format!("cannot write {}", given.state.display()))?;
+    /// Carries out actions in their order: the state is saved before the orders that follow from it are sent.
+    /// A state that cannot be written ends the coordinator, and the servers stay as they are until it is
+    /// started again.
+    fn carry_out(&mut self, actions: Vec<Action>) -> Result<()> {
+        for action in actions {
+            match action {
+                Action::Save(saved) => {
+                    let text = serde_json::to_string_pretty(&saved)?;
+                    let path = &self.given.state;
+                    files::write(path, text.as_bytes())
+                        .with_context(|| format!("cannot write {}", path.display()))?;
+                }
+                Action::SendOrder { server, order } => {
+                    self.joined.send(&server, ROLLOUT_ORDERS, wire::encode(&order));
+                }
+                Action::Notify { message } => self.print(&message),
             }
-            Action::SendOrder { server, order } => joined.send(&server, ROLLOUT_ORDERS, wire::encode(&order)),
-            Action::Notify { message } => say(&message, joined.now()),
         }
+        Ok(())
     }
-    Ok(())
 }
 
-fn seen(core: &mut Membership, now: u64) -> FleetView {
-    let mut view = FleetView { settled_for: now.saturating_sub(core.last_change()), ..FleetView::default() };
-    for member in core.view(now).into_iter().filter(|member| !member.name.starts_with(NAMED)) {
+/// The servers of the fleet.
+fn fleet_view(membership: &mut Membership, now: u64) -> FleetView {
+    let mut view =
+        FleetView { settled_for: now.saturating_sub(membership.last_change()), ..FleetView::default() };
+    for member in membership.view(now).into_iter().filter(|member| !member.name.starts_with(NAME_PREFIX)) {
         match member.state {
             MemberState::Alive => view.alive.push(member.name),
-            // One held down is waited for until it is forgotten: a partition looks the same.
+            // A member that is down is waited for until it is forgotten: a partition looks the same.
             MemberState::Suspect | MemberState::Down => view.missing.push(member.name),
         }
     }
--- a/crates/server/src/fleet/interval_report.rs
+++ b/crates/server/src/fleet/interval_report.rs
@@ -1,4 +1,4 @@
-//! What this server has done for each class of invocations since it was last asked, for a rolling change's
+//! What this server has answered in each class of invocations since its last report, for a rollout's
 //! coordinator to compare.
 
 use hdrhistogram::Histogram;
@@ -6,17 +6,21 @@
 use meadowstream_rollout::wire::CLASSES_MAX;
 use std::cell::RefCell;
 
-/// Longest latency told apart, in microseconds; longer ones count as this.
-const LONGEST_US: u64 = 60_000_000;
+/// Longest latency that is recorded, in microseconds; longer ones count as this.
+const LATENCY_MAX_US: u64 = 60_000_000;
 
-/// Characters of an operation's name that are told, so that all classes fit a datagram.
+/// Characters of an operation's name in a report, so that all classes fit a datagram.
 const NAME_MAX: usize = 32;
 
+/// What an invocation was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answered {
+    /// With its result.
     Succeeded,
-    Throttled,
-    Errored,
+    /// That nothing was done.
+    Rejected,
+    /// With a failure.
+    Failed,
 }
 
 struct Class {
@@ -35,9 +39,10 @@
 }
 
 impl Record {
+    /// An empty record of these operations.
     pub fn new(operations: &[String]) -> Result<Record, HistogramError> {
         let class = |name: &String| {
-            let latency = Histogram::new_with_bounds(1, LONGEST_US, 2).map_err(HistogramError)?;
+            let latency = Histogram::new_with_bounds(1, LATENCY_MAX_US, 2).map_err(HistogramError)?;
             let class = name.chars().take(NAME_MAX).collect();
             Ok(Class { figures: IntervalMetrics { class, ..IntervalMetrics::default() }, latency })
         };
@@ -46,20 +51,20 @@
         Ok(Record { classes: RefCell::new(classes) })
     }
 
-    /// An answer after so many nanoseconds; `late` where its caller had given up by then.
-    pub fn answered(&self, operation: usize, how: Answered, after: u64, late: bool) {
+    /// Records an answer after so many nanoseconds; `late` where its caller had given up by then.
+    pub fn answered(&self, operation: usize, outcome: Answered, latency_ns: u64, late: bool) {
         let mut classes = self.classes.borrow_mut();
         let Some(Class { figures, latency }) = classes.get_mut(operation) else { return };
         figures.answered += 1;
         figures.late += u64::from(late);
-        match how {
-            Answered::Succeeded => latency.saturating_record((after / 1000).max(1)),
-            Answered::Throttled => figures.throttled += 1,
-            Answered::Errored => figures.errored += 1,
+        match outcome {
+            Answered::Succeeded => latency.saturating_record((latency_ns / 1000).max(1)),
+            Answered::Rejected => figures.throttled += 1,
+            Answered::Failed => figures.errored += 1,
         }
     }
 
-    /// All since the last time; the record begins anew.
+    /// Everything recorded since the last time.
     pub fn take(&self) -> Vec<IntervalMetrics> {
         let taken = |Class { figures, latency }: &mut Class| {
             let p95_us = if latency.is_empty() { 0 } else { latency.value_at_quantile(0.95) };
--- a/crates/server/src/fleet/joined.rs
+++ b/crates/server/src/fleet/joined.rs
@@ -1,6 +1,5 @@
 //! A process that is a member of the fleet and serves nothing: a coordinator, a control machine, an
-//! operator's command. It has the fleet's view and the shared state, and hands over what else is said to
-//! it.
+//! operator's command. It has the fleet's view and the shared state, and returns the messages of other topics.
 
 use crate::configuration::fleet::Fleet;
 use crate::fleet::membership::bind;
@@ -16,41 +15,49 @@
 use std::net::{SocketAddr, UdpSocket};
 
 /// A body of a topic that another member has sent.
-pub struct Said {
+pub struct TopicMessage {
+    /// The sender.
     pub from: ServerId,
+    /// The topic.
     pub topic: u16,
+    /// The message, encoded as its topic says.
     pub body: Vec<u8>,
 }
 
+/// The process as a member of the fleet.
 pub struct Joined {
+    /// The time.
     pub clock: Clock,
     socket: Async<UdpSocket>,
+    /// The state of the membership protocol.
     pub membership: Membership,
+    /// The state shared with other members.
     pub shared: SharedState,
+    /// Members that are alive, with their addresses.
     pub directory: Directory,
     /// Its start, in Unix nanoseconds.
-    pub life: u64,
+    pub incarnation: u64,
     due: u64,
     buffer: Vec<u8>,
 }
 
 impl Joined {
-    /// Binds its address and asks the seeds to let it in.
+    /// Binds its address and joins by the seeds.
     pub fn join(fleet: &Fleet) -> Result<Joined> {
         let clock = Clock::start();
         let socket = bind(fleet).with_context(|| format!("<membership>: cannot bind {}", fleet.bind))?;
         let bound = socket.get_ref().local_addr()?;
-        let (life, name) = (clock.now(), fleet.name.clone());
+        let (incarnation, name) = (clock.now(), fleet.name.clone());
         let addr = fleet.advertise.unwrap_or(bound);
-        let me = MemberId { name: name.clone(), addr, incarnation: life };
-        let membership = Membership::new(me, &fleet.settings, life, life);
+        let me = MemberId { name: name.clone(), addr, incarnation };
+        let membership = Membership::new(me, &fleet.settings, incarnation, incarnation);
         let mut membership = membership.map_err(|fault| anyhow!("<membership>: {fault}"))?;
-        membership.join(&fleet.seeds, life);
+        membership.join(&fleet.seeds, incarnation);
         let settings = fleet.shared.clone().context("<replication> or <rollout> is missing")?;
-        let who = ServerId { name: name.clone(), incarnation: life };
-        let reading = Reading { monotonic: 0, wall: life };
-        let shared = SharedState::new(who, settings, life, reading).map_err(|fault| anyhow!(fault))?;
-        tracing::info!(target: "fleet", member = name, %addr, %bound, incarnation = life, "joining");
+        let who = ServerId { name: name.clone(), incarnation };
+        let reading = Reading { monotonic: 0, wall: incarnation };
+        let shared = SharedState::new(who, settings, incarnation, reading).map_err(|fault| anyhow!(fault))?;
+        tracing::info!(target: "fleet", member = name, %addr, %bound, incarnation, "joining");
         let buffer = vec![0; DATAGRAM_BYTES_MAX + 1];
         Ok(Joined {
             clock,
@@ -58,21 +65,22 @@
             membership,
             shared,
             directory: Directory::default(),
-            life,
-            due: life,
+            incarnation,
+            due: incarnation,
             buffer,
         })
     }
 
+    /// The time, in Unix nanoseconds.
     pub fn now(&self) -> u64 {
         self.clock.now()
     }
 
     fn reading(&self) -> Reading {
-        Reading { monotonic: self.now() - self.life, wall: self.now() }
+        Reading { monotonic: self.now() - self.incarnation, wall: self.now() }
     }
 
-    /// Says whether it wants the lease of this name, and whether it holds it now.
+    /// Sets whether it wants the lease of this name. True where it holds it now.
     pub fn lease(&mut self, name: &str, wants: bool) -> bool {
         let time = self.shared.read_clocks(self.reading());
         let lease = self.shared.budgets.iter_mut().find(|budget| budget.settings().name == name);
@@ -82,13 +90,14 @@
         })
     }
 
+    /// Sends a message of a topic to a member, by name.
     pub fn send(&mut self, to: &str, topic: u16, body: Vec<u8>) {
         self.shared.send_other(to, topic, body);
     }
 
-    /// Does what is due, sends what is to be sent, and waits for one datagram or until `wake`; what else was
-    /// said to this process.
-    pub async fn turn(&mut self, wake: u64) -> Vec<Said> {
+    /// Does what is due, sends what is to be sent, and waits for one datagram or until `wake`. Returns the
+    /// messages of other topics.
+    pub async fn turn(&mut self, wake: u64) -> Vec<TopicMessage> {
         let now = self.now();
         self.directory.refresh(&self.membership, now);
         if now >= self.due {
@@ -116,7 +125,7 @@
         }
         self.membership.handle_timeout(now);
         let others = self.shared.take_received().into_iter();
-        others.map(|other| Said { from: other.from, topic: other.topic, body: other.body }).collect()
+        others.map(|other| TopicMessage { from: other.from, topic: other.topic, body: other.body }).collect()
     }
 
     async fn flush(&mut self) {
@@ -125,7 +134,7 @@
         }
     }
 
-    /// Tells the fleet that it leaves.
+    /// Notifies the fleet that it leaves.
     pub async fn leave(&mut self) {
         let now = self.now();
         self.membership.leave(now);
--- a/crates/server/src/fleet/publish.rs
+++ b/crates/server/src/fleet/publish.rs
@@ -1,5 +1,5 @@
-//! `meadowstream publish`: an operator's command. It joins the fleet for a moment, hands a change to the
-//! publisher, and says who goes by it; or takes one back; or only asks.
+//! `meadowstream publish`: an operator's command. It joins the fleet for a moment, submits a change to the
+//! publisher, or reverts one, and prints which members have it in force.
 
 use crate::fleet::control_machine as control;
 use crate::fleet::joined::Joined;
@@ -12,20 +12,26 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Members of that name are operators' commands.
-const NAMED: &str = "publish-";
-/// A question is repeated after so long without an answer.
-const REPEAT: u64 = 300_000_000;
+/// Names of members that are operators' commands begin with this.
+const NAME_PREFIX: &str = "publish-";
+/// A request is repeated after so long without an answer.
+const REPEAT_AFTER_NS: u64 = 300_000_000;
 
-/// What is asked.
+/// What is requested.
 pub enum Ask {
+    /// The change in this file.
     Publish(PathBuf),
+    /// That the revision of this number be reverted.
     Revert(u64),
+    /// Only the status.
     Status,
 }
 
+/// What `publish` is given.
 pub struct Given {
+    /// What is requested.
     pub ask: Ask,
+    /// The options file of the fleet.
     pub options: PathBuf,
     /// How long all this may take.
     pub wait: Duration,
@@ -56,9 +62,10 @@
     }
 }
 
+/// Carries out the command; an error where the members do not confirm it in time.
 pub fn run(given: &Given) -> Result<()> {
     let life = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH)?.as_nanos() as u64;
-    let name = format!("{NAMED}{:08x}", (life / 1000) as u32);
+    let name = format!("{NAME_PREFIX}{:08x}", (life / 1000) as u32);
     let read = control::read(&given.options, Some(&name))?;
     let replicas = read.replication.replicas.clone();
     let request = RequestId { from: name, number: 1 };
@@ -112,7 +119,7 @@
         while self.joined.now() < self.end {
             let now = self.joined.now();
             if now >= next {
-                next = now + REPEAT;
+                next = now + REPEAT_AFTER_NS;
                 let to = self.replicas[self.publisher % self.replicas.len()].clone();
                 let known = self.joined.directory.address(&to).is_some();
                 if !known {
@@ -169,8 +176,8 @@
                 println!("{said}");
                 return Ok(());
             }
-            ensure!(!refused || self.joined.now() + REPEAT < self.end, "{said}");
-            let pause = self.joined.now() + REPEAT / 3;
+            ensure!(!refused || self.joined.now() + REPEAT_AFTER_NS < self.end, "{said}");
+            let pause = self.joined.now() + REPEAT_AFTER_NS / 3;
             self.joined.turn(pause).await;
         }
     }
--- a/crates/server/src/fleet/replication.rs
+++ b/crates/server/src/fleet/replication.rs
@@ -23,8 +23,13 @@
 /// The status is logged this often where nothing changes.
 const LOG_EVERY_NS: Nanos = 10_000_000_000;
 
-/// A revision and what became of it.
-type Outcome = (u64, Result<(), String>);
+/// What became of a revision.
+struct Outcome {
+    /// Number of the revision.
+    number: u64,
+    /// Why it was rejected, where it was.
+    rejected: Option<String>,
+}
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct ReplicationStatus {
@@ -102,14 +107,14 @@
 
     /// Does what is due and sends what is to be sent.
     pub fn advance(&mut self, server: &Rc<Server>, shared: &Shared, directory: &Directory, now: Nanos) {
-        while let Ok((number, outcome)) = self.outcomes.1.try_recv() {
+        while let Ok(Outcome { number, rejected }) = self.outcomes.1.try_recv() {
             self.is_checking = false;
-            if let Err(why) = &outcome {
-                warn!(target: "fleet", number, why, "a revision of the configuration was refused");
-            }
-            match outcome {
-                Ok(()) => self.member.on_applied(number, now),
-                Err(why) => self.member.on_rejected(number, &why, now),
+            match rejected {
+                None => self.member.on_applied(number, now),
+                Some(why) => {
+                    warn!(target: "fleet", number, why, "a revision of the configuration was refused");
+                    self.member.on_rejected(number, &why, now);
+                }
             }
         }
         if now >= self.member.next_due() {
@@ -170,6 +175,7 @@
     outcomes: Sender<Outcome>,
 ) {
     let number = snapshot.number();
-    let outcome = reload::go_by_replicated(&server, snapshot, saved, file).await;
-    let _ = outcomes.send((number, outcome.map_err(|error| format!("{error:#}")))).await;
+    let outcome = reload::apply_replicated(&server, snapshot, saved, file).await;
+    let rejected = outcome.err().map(|error| format!("{error:#}"));
+    let _ = outcomes.send(Outcome { number, rejected }).await;
 }
--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -1,6 +1,8 @@
-//! A server that takes calls on real sockets and lets the overload controller decide what becomes of them.
+//! A server that accepts calls on sockets and lets the overload controller decide about them.
 //! See `docs/server.md`.
 
+#![deny(missing_docs, clippy::too_many_lines)]
+
 mod calls;
 pub mod configuration;
 mod connection;
--- a/crates/server/src/lifecycle/reload.rs
+++ b/crates/server/src/lifecycle/reload.rs
@@ -1,7 +1,7 @@
-//! A change of settings while the server runs. Files are read, checked and compared on a thread of the
-//! blocking pool; the serving thread only swaps what is ready and hands the module small parts of the change,
-//! so that its pauses do not grow with the files. One change at a time: the files are read after the change
-//! before is in force, so an older reading never follows a newer one.
+//! A change of settings while the server runs. Files are read, checked and compared on the blocking pool; the
+//! serving thread only swaps what is ready and gives the event loop small parts of the change, so that its
+//! pauses do not grow with the files. One change is made at a time: files are read when the change before is in
+//! force, so that an older reading never follows a newer one.
 
 use crate::configuration::Configuration;
 use crate::configuration::Layers;
@@ -28,7 +28,7 @@
 struct Request {
     path: PathBuf,
     options_path: Option<PathBuf>,
-    /// The settings of a change by stages and the hash they must have.
+    /// The settings of a rollout and the hash they must have.
     change: Option<(PathBuf, u64)>,
     replicated: Option<Snapshot>,
     /// What is to be on disk before the change is in force.
@@ -73,6 +73,7 @@
     }
 }
 
+/// The names of the tenants that are counted by name.
 pub fn names_of(tenants: &Tenants) -> TenantNames {
     Arc::new(tenants.fair.named.iter().map(|(name, _)| name.clone()).collect())
 }
@@ -93,10 +94,8 @@
     Ok(Some((before, after)))
 }
 
-/// Guards against parties that have moved: what was open to the old places ends soon, and what has not moved
-/// keeps its link: hundreds of changes a day name no other address. A file that cannot
-/// be served changes nothing. The file has a place among the descriptors like all that is open, for which it
-/// waits without holding up the notice to leave. Signals that come while a reload waits are one with it.
+/// Reads the files again and puts them in force; files that cannot be used change nothing. Connections to
+/// addresses that are the same stay. Signals that come while a reload waits are one with it.
 pub async fn reload(server: Rc<Server>) {
     if server.changes.reload_waits.replace(true) {
         return;
@@ -110,14 +109,14 @@
     }
 }
 
-/// The settings of a change by stages that the server goes by now, and their hash.
+/// The settings of a rollout that the server has adopted, and their hash.
 fn adopted(server: &Server) -> Option<(PathBuf, u64)> {
     let candidate = server.configuration.candidate.borrow().clone()?;
     Some((candidate.path, candidate.adopted?))
 }
 
-/// Goes by a revision of replicated configuration once it is on disk; `Err` leaves all as it is.
-pub async fn go_by_replicated(
+/// Puts a revision of replicated configuration in force once it is on disk; an error leaves all as it is.
+pub async fn apply_replicated(
     server: &Rc<Server>,
     snapshot: Snapshot,
     saved: PersistedState,
@@ -127,7 +126,7 @@
     apply(server, adopted(server), Some(snapshot), Some((file, saved))).await
 }
 
-/// Goes by the settings of a change, known by their hash, or by its own again; `Err` leaves all as it is.
+/// Adopts the settings of a rollout, by their hash, or the server's own again; an error leaves all as it is.
 pub async fn adopt(server: &Rc<Server>, change: Option<u64>) -> Result<()> {
     let _turn = server.changes.lock.lock().await;
     let candidate = server.configuration.candidate.borrow().clone();
--- a/crates/server/src/resources/invocations.rs
+++ b/crates/server/src/resources/invocations.rs
@@ -69,7 +69,7 @@
     }
 }
 
-/// A command, and the link that it was sent on last.
+/// A command, and the last link that carried it.
 pub struct SentCommand {
     /// The line of the command.
     pub line: Vec<u8>,
