--- a/crates/capacity/src/day/run.rs
+++ b/crates/capacity/src/day/run.rs
@@ -3,11 +3,11 @@
 use super::Scale;
 use super::schedule::Event;
 use crate::scale::SECOND_NS;
-use crate::topology::{self, Place};
+use crate::topology::{self, CUT_REGION, CUT_ZONE, Place};
 use meadowstream_membership::Nanos;
 use meadowstream_replication::change::Change;
 use meadowstream_replication::message::Location;
-use meadowstream_replication::simulation::{EventQueue, Fleet, Layout};
+use meadowstream_replication::simulation::{Delay, EventQueue, Fleet, Layout};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::Rng;
 use std::collections::BTreeMap;
@@ -23,9 +23,6 @@
 const KEYS_PER_CHANGE: usize = 200;
 /// Changes that may still be on their way to a server that stops.
 const RECENT_CHANGES: usize = 20;
-/// The region and the zone that are cut off.
-const CUT_REGION: usize = 2;
-const CUT_ZONE: usize = 9;
 
 /// A change that was accepted by the leader.
 pub(super) struct PublishedChange {
@@ -72,7 +69,7 @@
     Location { region: place.region_name(), zone: place.zone_name() }
 }
 
-fn delay(from: usize, to: usize) -> (Nanos, Nanos) {
+fn delay(from: usize, to: usize) -> Delay {
     topology::delay(Place::of(from), Place::of(to))
 }
 
--- a/crates/capacity/src/day/summary.rs
+++ b/crates/capacity/src/day/summary.rs
@@ -59,7 +59,11 @@
 
     /// The changes that took longest, each with its slowest receiver.
     fn slowest(&self, run: &Run) -> Vec<String> {
-        let mut slowest: Vec<(f64, String)> = Vec::new();
+        struct SlowChange {
+            seconds: f64,
+            description: String,
+        }
+        let mut slowest: Vec<SlowChange> = Vec::new();
         for change in &run.published {
             let seconds = |server: &usize| {
                 let seconds = self.seconds_until(*server, change.at, change.number);
@@ -69,11 +73,12 @@
             if let Some((took, server)) = last {
                 let at = (change.at - run.started_at) as f64 / SECOND_NS as f64;
                 let number = change.number;
-                slowest.push((took, format!("{took:.1} s: s{server} to {number} published at {at:.0} s")));
+                let description = format!("{took:.1} s: s{server} to {number} published at {at:.0} s");
+                slowest.push(SlowChange { seconds: took, description });
             }
         }
-        slowest.sort_by(|a, b| b.0.total_cmp(&a.0));
-        slowest.into_iter().take(SLOWEST_MAX).map(|(_, description)| description).collect()
+        slowest.sort_by(|a, b| b.seconds.total_cmp(&a.seconds));
+        slowest.into_iter().take(SLOWEST_MAX).map(|change| change.description).collect()
     }
 }
 
--- a/crates/capacity/src/fleet.rs
+++ b/crates/capacity/src/fleet.rs
@@ -7,7 +7,7 @@
 use crate::topology::{self, Place};
 use meadowstream_membership::{Nanos, Transmit};
 use meadowstream_replication::message::Location;
-use meadowstream_replication::simulation::EventQueue;
+use meadowstream_replication::simulation::{Delay, EventQueue};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use std::cmp::Reverse;
@@ -204,7 +204,7 @@
             if lost || self.is_cut(from, to) {
                 continue;
             }
-            let (least, jitter) = topology::delay(Place::of(from), Place::of(to));
+            let Delay { least, jitter } = topology::delay(Place::of(from), Place::of(to));
             let at = self.now + least + self.rng.next_u64() % jitter;
             self.network.push(at, Delivery { to, from, datagram });
         }
--- a/crates/capacity/src/incidents.rs
+++ b/crates/capacity/src/incidents.rs
@@ -5,7 +5,7 @@
 use crate::fleet::Fleet;
 use crate::per_server::PerServer;
 use crate::scale::{CONTROL_MACHINES, SECOND_NS, Scale, seeds, settings};
-use crate::topology::Place;
+use crate::topology::{CUT_REGION, CUT_ZONE, Place};
 use meadowstream_membership::Nanos;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
@@ -23,9 +23,6 @@
 const BURST_NS: Nanos = 10 * SECOND_NS;
 /// A lost rack comes back after so long.
 const RACK_LOST_NS: Nanos = 60 * SECOND_NS;
-/// The region and the zone that are cut off.
-const CUT_REGION: usize = 2;
-const CUT_ZONE: usize = 9;
 /// Servers restarted while the control machines are down: more than the rate says, so that some are.
 const RESTARTS_WITHOUT_CONTROL: usize = 12;
 
--- a/crates/capacity/src/topology.rs
+++ b/crates/capacity/src/topology.rs
@@ -1,6 +1,7 @@
 //! Where servers are: regions, zones in them, racks in zones, and how long a datagram takes between two.
 
 use meadowstream_membership::Nanos;
+use meadowstream_replication::simulation::Delay;
 
 /// Servers of one rack, behind one switch.
 pub const RACK_SERVERS: usize = 23;
@@ -8,6 +9,9 @@
 pub const REGIONS: usize = 3;
 /// Zones of all regions together.
 pub const ZONES: usize = 10;
+/// The region and the zone that incidents cut off.
+pub(crate) const CUT_REGION: usize = 2;
+pub(crate) const CUT_ZONE: usize = 9;
 
 const MICROSECOND_NS: Nanos = 1_000;
 const MILLISECOND_NS: Nanos = 1_000_000;
@@ -47,8 +51,8 @@
     }
 }
 
-/// The least one-way delay between two servers, and the most that is added to it at random, in nanoseconds.
-pub fn delay(from: Place, to: Place) -> (Nanos, Nanos) {
+/// The one-way delay between two servers.
+pub fn delay(from: Place, to: Place) -> Delay {
     let least = if from.zone == to.zone {
         SAME_ZONE_NS
     } else if from.region == to.region {
@@ -56,5 +60,5 @@
     } else {
         BETWEEN_REGIONS_NS
     };
-    (least, least / JITTER_DIVISOR)
+    Delay { least, jitter: least / JITTER_DIVISOR }
 }
--- a/crates/replication/src/simulation/faults.rs
+++ b/crates/replication/src/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! What may befall a fleet: crashes, cuts of the network, spoilt and full disks, made-up messages.
+//! Faults of a fleet: crashes, cuts of the network, truncated and full disks, forged messages.
 
 use super::Fleet;
 use super::event::Event;
--- a/crates/replication/src/simulation/layout.rs
+++ b/crates/replication/src/simulation/layout.rs
@@ -6,8 +6,14 @@
 /// Simulated time begins here, in Unix nanoseconds.
 pub const START_NS: Nanos = 1_700_000_000_000_000_000;
 
-/// Delay of a message between two nodes.
-pub type DelayFn = fn(usize, usize) -> (Nanos, Nanos);
+/// Delay of messages between two nodes, in nanoseconds.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Delay {
+    /// Of every message.
+    pub least: Nanos,
+    /// Added at random up to this.
+    pub jitter: Nanos,
+}
 
 /// The nodes, their network, and what surrounds the members.
 #[derive(Clone)]
@@ -18,8 +24,8 @@
     pub replicas: usize,
     /// Region and zone of a node.
     pub location: fn(usize) -> Location,
-    /// Least delay between two nodes, and the most added to it at random, in nanoseconds.
-    pub delay: DelayFn,
+    /// Delay from one node to another.
+    pub delay: fn(usize, usize) -> Delay,
     /// Share of messages lost, 0 to 1.
     pub loss: f64,
     /// Share of messages delivered twice, 0 to 1.
--- a/crates/replication/src/simulation/mod.rs
+++ b/crates/replication/src/simulation/mod.rs
@@ -19,7 +19,7 @@
 use crate::time::{MILLISECOND_NS, Nanos};
 use event::Event;
 pub use event_queue::EventQueue;
-pub use layout::{DelayFn, Layout, START_NS, member_name};
+pub use layout::{Delay, Layout, START_NS, member_name};
 use node::Node;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
--- a/crates/replication/src/simulation/network.rs
+++ b/crates/replication/src/simulation/network.rs
@@ -1,7 +1,7 @@
 //! The network between the nodes, the fleet's view, and the lease on leading.
 
 use super::event::Event;
-use super::{Fleet, member_name};
+use super::{Delay, Fleet, member_name};
 use crate::member::Outgoing;
 use rand_chacha::rand_core::Rng;
 use std::collections::HashSet;
@@ -31,7 +31,7 @@
             if self.chance(self.layout.loss) {
                 continue;
             }
-            let (least, jitter) = (self.layout.delay)(from, to);
+            let Delay { least, jitter } = (self.layout.delay)(from, to);
             let delay = least + self.rng.next_u64() % jitter.max(1);
             self.schedule(delay, Event::Message { to, from, body: body.clone() });
         }
--- a/crates/replication/tests/fleet.rs
+++ b/crates/replication/tests/fleet.rs
@@ -6,7 +6,7 @@
 use meadowstream_replication::member::Member;
 use meadowstream_replication::message::{Location, Message, Rejection};
 use meadowstream_replication::revision::{Position, Revision};
-use meadowstream_replication::simulation::{Fleet, Layout, member_name};
+use meadowstream_replication::simulation::{Delay, Fleet, Layout, member_name};
 use meadowstream_replication::state::State;
 use proptest::prelude::*;
 
@@ -20,8 +20,9 @@
     Location { region: format!("r{}", node % 3), zone: format!("z{}", node % 6) }
 }
 
-fn delay(from: usize, to: usize) -> (u64, u64) {
-    if from % 3 == to % 3 { (MS, MS) } else { (20 * MS, 10 * MS) }
+fn delay(from: usize, to: usize) -> Delay {
+    let (least, jitter) = if from % 3 == to % 3 { (MS, MS) } else { (20 * MS, 10 * MS) };
+    Delay { least, jitter }
 }
 
 fn layout() -> Layout {
@@ -58,7 +59,7 @@
     (from..from + count).map(|n| Change::set(&format!("tenant/tenant-{n:05}"), "2")).collect()
 }
 
-/// Seconds until all these go by it.
+/// Seconds until all these nodes have applied a revision.
 fn until_all(fleet: &mut Fleet, nodes: &[usize], number: u64, limit: u64) -> f64 {
     let took = fleet.run_until(limit * S, |fleet| fleet.all_applied(nodes, number));
     let lacking = |node: &&usize| fleet.member(**node).is_some_and(|member| member.applied() < number);
@@ -77,16 +78,18 @@
     let took = until_all(&mut fleet, &all(), number, 10);
     assert!(took <= 2.0, "{took} s");
     let leader = fleet.leader().unwrap();
-    let waiting = |fleet: &Fleet| {
+    let lagging = |fleet: &Fleet| {
         let member = fleet.member(leader).unwrap();
         member.lagging()
     };
-    fleet.run_until(5 * S, |fleet| waiting(fleet).is_empty()).expect("the leader hears that all go by it");
+    fleet
+        .run_until(5 * S, |fleet| lagging(fleet).is_empty())
+        .expect("all report to the leader that they have applied it");
 }
 
 /// Pushes reach nearly all at once; pulls, here far between, are for those that they miss.
 #[test]
-fn pushes_carry_a_change_and_pulls_mend_what_they_miss() {
+fn pushes_carry_a_change_and_pulls_repair_what_they_miss() {
     let mut fleet = settled(Layout { pull_period: 2 * S, ..layout() }, 15);
     fleet.run_for(30 * S);
     let number = fleet.propose(one(1)).unwrap();
@@ -97,9 +100,9 @@
     assert!(took <= 8.0, "{took} s");
 }
 
-/// Many that ask at once get no more than the bytes of a second, and the rest when they ask again.
+/// Many digests at once are answered with no more than the bytes of a second.
 #[test]
-fn questions_beyond_the_budget_are_not_answered() {
+fn digests_beyond_the_budget_of_bytes_are_not_answered() {
     let mut fleet = settled(layout(), 16);
     let number = fleet.propose(many(0, 1000)).unwrap();
     until_all(&mut fleet, &all(), number, 20);
@@ -121,7 +124,7 @@
 /// Lost, doubled, late and in another order: nothing is lost for good, and nothing comes twice.
 #[test]
 fn a_bad_network_delays_a_change_and_no_more() {
-    let slow = |from: usize, to: usize| (delay(from, to).0, 300 * MS);
+    let slow = |from: usize, to: usize| Delay { jitter: 300 * MS, ..delay(from, to) };
     let mut fleet = settled(Layout { loss: 0.2, duplicate: 0.2, delay: slow, ..layout() }, 2);
     let mut number = 0;
     for n in 0..60 {
@@ -147,7 +150,7 @@
 
 /// A large change travels in parts, and none of it is in force before all of it is.
 #[test]
-fn a_change_of_many_entries_comes_whole() {
+fn a_change_of_many_entries_is_applied_as_a_whole() {
     let mut fleet = settled(layout(), 4);
     let number = fleet.propose(many(0, 1000)).unwrap();
     assert!(number > 20, "{number}");
@@ -157,8 +160,7 @@
     assert_eq!(state(&fleet, SIZE - 1).len(), 1000);
 }
 
-/// The leader dies while its change is half on its way: what the next one finds of it is taken back, or
-/// whole.
+/// The leader dies while its change is partly replicated: the next one takes it back or completes it.
 #[test]
 fn a_leader_that_dies_between_two_replicas_leaves_no_half_change() {
     for at in 0..12 {
@@ -167,7 +169,7 @@
         until_all(&mut fleet, &all(), first, 10);
         let old = fleet.leader().unwrap();
         fleet.propose(many(0, 200)).unwrap();
-        // One replica hears of it, the other does not.
+        // One replica receives it, the other does not.
         fleet.set_group((old + 1) % REPLICAS, 1);
         fleet.cut(0, 1);
         fleet.run_for(at * 15 * MS);
@@ -186,7 +188,7 @@
     }
 }
 
-/// Two that both think they hold the lease: one of them commits, and what the other began is nobody's.
+/// Two replicas that both hold the lease: one of them commits, and what the other began is dropped.
 #[test]
 fn of_two_leaders_at_once_one_commits() {
     let mut fleet = Fleet::new(layout(), 6);
@@ -208,8 +210,8 @@
     assert!(all().iter().all(|node| state(&fleet, *node) == state(&fleet, 0)));
 }
 
-/// A region apart keeps its last good, also over restarts; the rest goes on; on the heal it comes up within
-/// its bytes. Without a majority nothing is published.
+/// A region apart keeps its last revision, also over restarts; the rest continues; after the heal it catches up
+/// within its bytes. Without a majority nothing is committed.
 #[test]
 fn a_region_apart_keeps_its_last_good_and_catches_up() {
     let mut fleet = settled(layout(), 7);
@@ -245,9 +247,9 @@
     assert!(sent as f64 <= 12_000.0 * (took + 1.0), "{sent} bytes in {took} s");
 }
 
-/// Nobody publishes and nobody answers: restarted servers go by what is on their disk, from the start.
+/// There is no leader and no replica: restarted servers apply what is on their disk, from the start.
 #[test]
-fn with_all_control_machines_away_restarts_go_by_their_disk() {
+fn with_all_control_machines_away_servers_restart_from_their_disk() {
     let mut fleet = settled(layout(), 8);
     let number = fleet.propose(many(0, 300)).unwrap();
     until_all(&mut fleet, &all(), number, 10);
@@ -272,9 +274,9 @@
     until_all(&mut fleet, &all(), number, 10);
 }
 
-/// A file cut short is told from a good one, and what it held is had from others.
+/// A truncated file is rejected, and its content is fetched from others.
 #[test]
-fn a_file_cut_short_is_not_gone_by() {
+fn a_truncated_file_is_not_used() {
     let mut fleet = settled(layout(), 9);
     let number = fleet.propose(many(0, 300)).unwrap();
     until_all(&mut fleet, &all(), number, 10);
@@ -287,7 +289,7 @@
     until_all(&mut fleet, &all(), number, 20);
 }
 
-/// A server whose disk is full refuses a revision with the reason, and comes up once it can write again.
+/// A server whose disk is full rejects a revision with the reason, and catches up once it can write again.
 #[test]
 fn a_full_disk_keeps_the_last_good_and_says_so() {
     let mut fleet = settled(layout(), 10);
@@ -333,10 +335,10 @@
     until_all(&mut fleet, &rest, number, 10);
 }
 
-/// Servers that refuse a revision, such as older ones that do not know an element, stay as they are; the
-/// others go on, and a later revision that they know brings them along.
+/// Servers that reject a revision, such as older ones that do not know an element, stay as they are; the
+/// others continue, and a later revision that they know is applied by all.
 #[test]
-fn a_revision_that_some_refuse_leaves_them_as_they_are() {
+fn servers_that_reject_a_revision_stay_as_they_are() {
     let mut fleet = settled(layout(), 12);
     let refusing = [8, 17, 26];
     refusing.iter().for_each(|node| fleet.set_rejected_prefix(*node, Some("novel/")));
@@ -360,9 +362,9 @@
     until_all(&mut fleet, &all(), third, 10);
 }
 
-/// Replayed, made up, oversized and garbled bodies change nothing and are counted.
+/// Replayed, forged, oversized and garbled bodies change nothing and are counted.
 #[test]
-fn what_is_replayed_made_up_or_oversized_changes_nothing() {
+fn replayed_forged_and_oversized_messages_change_nothing() {
     let mut fleet = settled(layout(), 13);
     let first = fleet.propose(one(1)).unwrap();
     until_all(&mut fleet, &all(), first, 10);
@@ -395,9 +397,9 @@
     until_all(&mut fleet, &all(), third, 10);
 }
 
-/// One far behind fetches a checkpoint; whoever it fetches from dies on the way, and it goes on with others.
+/// A server far behind fetches a checkpoint; its source dies on the way, and it continues with others.
 #[test]
-fn a_checkpoint_goes_on_from_others_when_its_source_dies() {
+fn a_transfer_continues_from_others_when_its_source_dies() {
     let mut fleet = settled(layout(), 14);
     let late = SIZE - 1;
     fleet.crash(late);
@@ -435,7 +437,7 @@
     println!("{} keys after {took} s", state(&fleet, late).len());
 }
 
-/// A member lives with what others may do at any time; once all is well again, all go by the same.
+/// Random faults, changes and moves of the lease; once all is well again, all members hold the same content.
 fn play_chaos(seed: u64, steps: &[(u8, u8)]) {
     let mut fleet = Fleet::new(Layout { loss: 0.05, duplicate: 0.05, ..layout() }, seed);
     fleet.lease_by_hand = true;
@@ -487,13 +489,13 @@
 }
 
 /// Three replicas alone, restarted at any moment with what is on their disks, with leases that hold nothing
-/// back: what one says that it has stored or promised it must still know in its next life.
+/// back: what a replica has acknowledged or promised it must still hold in its next incarnation.
 #[test]
 fn three_replicas_restarted_at_any_moment_never_commit_two_contents() {
     let (mut committed, mut leaders) = (0, 0);
     for seed in 0..600 {
         let mut rng = Steps(seed);
-        let scattered = |_: usize, _: usize| (MS, 60 * MS);
+        let scattered = |_: usize, _: usize| Delay { least: MS, jitter: 60 * MS };
         let alone =
             Layout { size: REPLICAS, delay: scattered, view_lag: MS, apply_time: MS, loss: 0.05, ..layout() };
         let mut fleet = Fleet::new(alone, seed);
@@ -532,7 +534,7 @@
 /// The same at length: `cargo test --release -p meadowstream-replication -- --ignored`.
 #[test]
 #[ignore = "some minutes"]
-fn whatever_happens_two_thousand_times() {
+fn random_faults_two_thousand_times() {
     use proptest::strategy::ValueTree;
     let mut runner = proptest::test_runner::TestRunner::deterministic();
     let steps = proptest::collection::vec((any::<u8>(), any::<u8>()), 0..80);
@@ -545,7 +547,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 40, failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn whatever_happens_all_come_to_the_same(
+    fn after_random_faults_all_hold_the_same_content(
         seed in 0..1000_u64,
         steps in proptest::collection::vec((any::<u8>(), any::<u8>()), 0..40),
     ) {
--- /dev/null
+++ b/crates/replication/tests/operator.rs
@@ -0,0 +1,133 @@
+//! Operators' requests to a fleet of one replica: what each is answered, with the texts of release 0.2.0.
+
+use meadowstream_replication::change::Change;
+use meadowstream_replication::member::{Member, Settings};
+use meadowstream_replication::message::{Location, Message, Rejection, Report, RequestId, RequestOutcome};
+use std::sync::Arc;
+use test_case::test_case;
+
+const NOW: u64 = 1_700_000_000_000_000_000;
+const OPERATOR: &str = "publish-1";
+
+/// Writes what is to be on disk and returns the answers to the operator.
+fn answers(member: &mut Member) -> Vec<Message> {
+    while let Some(state) = member.unsaved_state() {
+        member.on_persisted(&state, NOW);
+    }
+    let outgoing = member.take_outgoing().into_iter();
+    let to_operator = outgoing.filter(|outgoing| outgoing.to == OPERATOR);
+    to_operator
+        .map(|outgoing| Message::decode(&outgoing.body).expect("a message within its bounds"))
+        .collect()
+}
+
+/// The only replica of a fleet with one server and an operator's command; it leads.
+fn leader() -> Member {
+    let settings = Settings::new(Location::default(), vec!["c0".to_string()]);
+    let mut member = Member::new("c0", settings, 1, NOW, None).unwrap();
+    member.set_holds_lease(true);
+    let alive = ["c0", OPERATOR, "s1"].map(str::to_string).to_vec();
+    member.advance(NOW, &Arc::new(alive));
+    assert!(answers(&mut member).iter().all(|message| *message == Message::PollReport));
+    assert!(member.is_leader());
+    member
+}
+
+fn request(number: u64) -> RequestId {
+    RequestId { from: OPERATOR.to_string(), number }
+}
+
+/// What a message of the operator is answered.
+fn ask(member: &mut Member, message: &Message) -> Vec<Message> {
+    member.receive(NOW, OPERATOR, &message.encode());
+    answers(member)
+}
+
+fn submit(member: &mut Member, number: u64, key: &str, value: &str) -> Vec<Message> {
+    let changes = vec![Change::set(key, value)];
+    ask(member, &Message::Submit { request: request(number), part: 0, parts: 1, changes })
+}
+
+fn committed(number: u64, at: u64) -> Vec<Message> {
+    let outcome = RequestOutcome::Committed { number: at };
+    vec![Message::Submitted { request: request(number), outcome }]
+}
+
+fn rejected(number: u64, reason: &str) -> Vec<Message> {
+    let outcome = RequestOutcome::Rejected { reason: reason.to_string() };
+    vec![Message::Submitted { request: request(number), outcome }]
+}
+
+/// The leader's first entry has number 1.
+#[test]
+fn a_change_is_answered_once_it_is_committed_and_a_repetition_commits_nothing() {
+    let mut member = leader();
+    assert_eq!(submit(&mut member, 1, "k", "1"), committed(1, 2));
+    assert_eq!(submit(&mut member, 1, "k", "1"), committed(1, 2));
+    assert_eq!(member.revision().number(), 2);
+    assert_eq!(member.log().state().get("k"), Some("1"));
+}
+
+#[test]
+fn a_change_in_parts_is_committed_once_all_have_come() {
+    let mut member = leader();
+    let part = |part, key| Message::Submit {
+        request: request(1),
+        part,
+        parts: 2,
+        changes: vec![Change::set(key, "1")],
+    };
+    assert_eq!(ask(&mut member, &part(1, "b")), []);
+    assert_eq!(ask(&mut member, &part(2, "c")), [], "there is no third part");
+    assert_eq!(ask(&mut member, &part(0, "a")), committed(1, 2));
+    assert_eq!(member.log().state().iter().collect::<Vec<_>>(), [("a", "1"), ("b", "1")]);
+}
+
+#[test]
+fn a_revert_brings_back_the_values_before_the_change() {
+    let mut member = leader();
+    submit(&mut member, 1, "k", "1");
+    submit(&mut member, 2, "k", "2");
+    assert_eq!(ask(&mut member, &Message::Revert { request: request(3), number: 3 }), committed(3, 4));
+    assert_eq!(member.log().state().get("k"), Some("1"));
+}
+
+#[test_case(99, "no change that is still held ends at 99"; "not held")]
+#[test_case(2, "\"k\" was changed again by 3"; "changed since")]
+fn a_revert_that_is_not_possible_is_answered_with_the_reason(number: u64, reason: &str) {
+    let mut member = leader();
+    submit(&mut member, 1, "k", "1");
+    submit(&mut member, 2, "k", "2");
+    let revert = Message::Revert { request: request(3), number };
+    assert_eq!(ask(&mut member, &revert), rejected(3, reason));
+    assert_eq!(ask(&mut member, &revert), rejected(3, reason));
+    assert_eq!(member.revision().number(), 3);
+}
+
+/// The operator's command takes no part; the server does until it has left polls unanswered.
+#[test]
+fn a_status_names_the_members_that_lag_and_the_start_of_their_reason() {
+    let mut member = leader();
+    submit(&mut member, 1, "k", "1");
+    let reason = "a reason that is longer than a status shows".to_string();
+    let rejection = Some(Rejection { number: 2, reason });
+    let report = Report { applied: 1, committed: 2, rejected: rejection };
+    member.receive(NOW, "s1", &Message::Report { report, location: Location::default() }.encode());
+    let status = ask(&mut member, &Message::PollStatus { request: request(2) });
+    let [Message::Status { number: 2, members: 1, applied: 0, lagging, .. }] = &status[..] else {
+        panic!("{status:?}")
+    };
+    assert_eq!((lagging[0].name.as_str(), lagging[0].applied), ("s1", 1));
+    assert_eq!(lagging[0].reason, "a reason that is longer than a s");
+}
+
+#[test]
+fn a_replica_that_does_not_lead_names_no_leader_but_the_last_known() {
+    let mut member = leader();
+    member.set_holds_lease(false);
+    let expected = Message::NotLeader { request: request(1), leader: None };
+    assert_eq!(submit(&mut member, 1, "k", "1"), [expected]);
+    member.receive(NOW, "c1", &Message::PollReport.encode());
+    let expected = Message::NotLeader { request: request(2), leader: Some("c1".to_string()) };
+    assert_eq!(submit(&mut member, 2, "k", "1"), [expected]);
+}
