--- a/crates/overload-control/tests/days.rs
+++ b/crates/overload-control/tests/days.rs
@@ -1,6 +1,6 @@
-//! Random days through the module, with all that it decides written down and hashed, call for call and in
+//! Random days through the controller, with all that it decides written down and hashed, call for call and in
 //! order, so that a change inside which is meant to decide the same can be seen to. Until the move the hashes
-//! were those of version 0.2.0, whose hold was a plain vector. A change of `policy` that is meant to decide
+//! were those of version 0.2.0, whose pending queue was a plain vector. A change of `policy` that is meant to decide
 //! otherwise takes new ones, and its commit says why.
 
 use meadowstream_overload_control::{
@@ -20,11 +20,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrival,
-    Finish(u64),
-    AtCall(u64),
-    CallEnd(u64),
-    Wake(u32),
-    Leave,
+    RunFinished(u64),
+    CallNeeded(u64),
+    CallFinished(u64),
+    Timer(u32),
+    DrainNotice,
 }
 
 struct World {
@@ -37,7 +37,7 @@
     /// Tenants are told apart as they come, and the fleet's shared state withholds calls now and then.
     is_shared: bool,
     tickets: Vec<u64>,
-    said: SipHasher13,
+    decisions: SipHasher13,
     count: u64,
 }
 
@@ -47,78 +47,82 @@
         self.coming.insert((self.now + span, self.numbers), event);
     }
 
-    fn say(&mut self, what: &str, numbers: &[u64]) {
-        self.said.write(what.as_bytes());
-        numbers.iter().for_each(|n| self.said.write_u64(*n));
-        self.said.write_u64(self.now);
+    fn record(&mut self, what: &str, numbers: &[u64]) {
+        self.decisions.write(what.as_bytes());
+        numbers.iter().for_each(|n| self.decisions.write_u64(*n));
+        self.decisions.write_u64(self.now);
         self.count += 1;
     }
 }
 
 impl Host for World {
     fn start_run(&mut self, inv: u64) {
-        self.say("run", &[inv]);
+        self.record("run", &[inv]);
         let work = self.rng.random_range(2..60) * MS / 2;
         self.runs.insert(inv, work);
-        let event =
-            if self.calls && self.rng.random_bool(0.4) { Event::AtCall(inv) } else { Event::Finish(inv) };
+        let event = if self.calls && self.rng.random_bool(0.4) {
+            Event::CallNeeded(inv)
+        } else {
+            Event::RunFinished(inv)
+        };
         self.after(work, event);
     }
     fn stop_run(&mut self, inv: u64) {
-        self.say("stop", &[inv]);
-        self.coming.retain(|_, event| !matches!(event, Event::Finish(i) | Event::AtCall(i) if *i == inv));
+        self.record("stop", &[inv]);
+        self.coming
+            .retain(|_, event| !matches!(event, Event::RunFinished(i) | Event::CallNeeded(i) if *i == inv));
         self.runs.insert(inv, 0);
-        self.after(MS, Event::Finish(inv));
+        self.after(MS, Event::RunFinished(inv));
     }
     fn reject(&mut self, inv: u64, no_retry: bool, retry_after: Nanos) {
-        self.say("throttle", &[inv, u64::from(no_retry), retry_after]);
+        self.record("throttle", &[inv, u64::from(no_retry), retry_after]);
     }
     fn promise_admission(&mut self, inv: u64, ticket: u64) {
-        self.say("promise", &[inv, ticket]);
+        self.record("promise", &[inv, ticket]);
         self.tickets.push(ticket);
     }
     fn may_start_call(&mut self, inv: u64, waiting: usize) -> bool {
         let withheld = self.is_shared && (inv + self.now / (200 * MS)).is_multiple_of(3);
         if self.is_shared {
-            self.say("may call", &[inv, waiting as u64]);
+            self.record("may call", &[inv, waiting as u64]);
         }
         !withheld
     }
     fn fail(&mut self, inv: u64) {
-        self.say("give up", &[inv]);
+        self.record("give up", &[inv]);
     }
     fn start_call(&mut self, inv: u64, timeout: Nanos) {
-        self.say("call", &[inv, timeout]);
+        self.record("call", &[inv, timeout]);
         let takes = self.rng.random_range(1..80) * MS;
-        self.after(takes, Event::CallEnd(inv));
+        self.after(takes, Event::CallFinished(inv));
     }
     fn skip_call(&mut self, inv: u64) {
-        self.say("skip", &[inv]);
-        self.after(MS, Event::Finish(inv));
+        self.record("skip", &[inv]);
+        self.after(MS, Event::RunFinished(inv));
     }
     fn remember_key(&mut self, inv: u64, life: Nanos) {
-        self.say("remember", &[inv, life]);
+        self.record("remember", &[inv, life]);
     }
     fn forget_key(&mut self, inv: u64) {
-        self.say("forget", &[inv]);
+        self.record("forget", &[inv]);
     }
     fn replay_result(&mut self, inv: u64) {
-        self.say("reuse", &[inv]);
-        self.after(MS, Event::Finish(inv));
+        self.record("reuse", &[inv]);
+        self.after(MS, Event::RunFinished(inv));
     }
     fn set_health(&mut self, good: bool, stored: bool) {
-        self.say("health", &[u64::from(good), u64::from(stored)]);
+        self.record("health", &[u64::from(good), u64::from(stored)]);
     }
     fn advertise_load(&mut self, value: f64) {
-        // Sums over the hold are added up in another order now: the last bits differ.
-        self.say("advertise", &[(value * 1e9).round() as u64]);
+        // Sums over the pending queue are added up in another order now: the last bits differ.
+        self.record("advertise", &[(value * 1e9).round() as u64]);
     }
     fn close_idle_connections(&mut self, after: Nanos) {
-        self.say("idle", &[after]);
+        self.record("idle", &[after]);
     }
     fn set_timer(&mut self, after: Nanos, token: u32) {
-        self.say("wake", &[after, u64::from(token)]);
-        self.after(after, Event::Wake(token));
+        self.record("wake", &[after, u64::from(token)]);
+        self.after(after, Event::Timer(token));
     }
     /// The hashes were taken of the texts that log lines had before.
     fn log(&mut self, line: &str) {
@@ -129,7 +133,7 @@
             "healthy" | "unhealthy" => line,
             other => panic!("unknown log line {other:?}"),
         };
-        self.say(hashed, &[]);
+        self.record(hashed, &[]);
     }
 }
 
@@ -211,14 +215,14 @@
         calls: site.downstream != Downstream::None,
         is_shared,
         tickets: Vec::new(),
-        said: SipHasher13::new_with_keys(1, 2),
+        decisions: SipHasher13::new_with_keys(1, 2),
         count: 0,
     };
     let cores = site.cores;
     let mut controller = Controller::new(site, seed, START, &mut world);
     world.after(MS, Event::Arrival);
     if seed.is_multiple_of(3) {
-        world.after(8000 * MS, Event::Leave);
+        world.after(8000 * MS, Event::DrainNotice);
     }
     let mut id = 0u64;
     while let Some(((at, _), event)) = world.coming.pop_first() {
@@ -252,7 +256,7 @@
                     world.after(next, Event::Arrival);
                 }
             }
-            Event::Finish(inv) => {
+            Event::RunFinished(inv) => {
                 let work = world.runs.remove(&inv);
                 let ending = match work {
                     Some(0) => Outcome::Cancelled,
@@ -261,26 +265,26 @@
                 };
                 controller.on_run_finished(at, inv, ending, &mut world);
             }
-            Event::AtCall(inv) => controller.on_call_needed(at, inv, &mut world),
-            Event::CallEnd(inv) => {
+            Event::CallNeeded(inv) => controller.on_call_needed(at, inv, &mut world),
+            Event::CallFinished(inv) => {
                 let endings = [Outcome::Succeeded, Outcome::Succeeded, Outcome::NeverRan, Outcome::Unknown];
                 let ending = endings[world.rng.random_range(0..4)];
                 if ending == Outcome::Succeeded {
                     let rest = world.rng.random_range(1..10) * MS;
-                    world.after(rest, Event::Finish(inv));
+                    world.after(rest, Event::RunFinished(inv));
                 }
                 controller.on_call_finished(at, inv, ending, 20 * MS, &mut world);
             }
-            Event::Wake(token) => {
+            Event::Timer(token) => {
                 let busy = (world.runs.len() as f64 / cores).min(1.0);
                 let gauges =
                     Gauges { utilization: Some(busy), runnable: Some(world.runs.len() as f64 + 0.5) };
                 controller.on_timer(at, token, gauges, &mut world);
             }
-            Event::Leave => controller.on_drain_notice(at, 3000 * MS, &mut world),
+            Event::DrainNotice => controller.on_drain_notice(at, 3000 * MS, &mut world),
         }
     }
-    (world.count, world.said.finish())
+    (world.count, world.decisions.finish())
 }
 
 /// Decided in each day from 0 on, and the hash of all.
@@ -356,7 +360,7 @@
 
 #[test]
 #[ignore = "prints what stands in both tables, for a change that is meant to decide otherwise"]
-fn days_anew() {
+fn print_hashes() {
     for is_shared in [false, true] {
         for seed in 0..24 {
             let (count, hash) = day(seed, is_shared);
--- a/crates/overload-control/tests/operations.rs
+++ b/crates/overload-control/tests/operations.rs
@@ -114,7 +114,7 @@
 /// Runs are taken to stand still after six times the longest usual one; that follows an operation that was
 /// the longest and is no more.
 #[test]
-fn what_the_longest_run_takes_falls_with_the_operation_that_took_longest() {
+fn the_stall_time_falls_with_the_longest_usual_run() {
     let mut controller = controller(2);
     let (mut at, mut id) = (START, 0);
     let mut runs = |controller: &mut Controller, operation: usize, took: Nanos| {
