--- a/crates/capacity/src/hollow.rs
+++ b/crates/capacity/src/hollow.rs
@@ -4,8 +4,8 @@
 use crate::meter::{Costs, thread_time};
 use meadowstream_membership::directory::Directory;
 use meadowstream_membership::envelope::{HEADER_BYTES, TAG_BYTES};
-use meadowstream_membership::{MemberId, Membership, Nanos};
-use meadowstream_replication::member::Member;
+use meadowstream_membership::{MemberId, Membership, Nanos, Transmit};
+use meadowstream_replication::member::{Member, Outgoing};
 use meadowstream_shared_state::clock::Reading;
 use meadowstream_shared_state::{REPLICATION, ServerId, SharedState};
 use std::net::SocketAddr;
@@ -55,7 +55,7 @@
                 .map_err(|fault| fault.to_string())?,
             shared_state: SharedState::new(who, settings.shared_state.clone(), seed, Self::reading(now))
                 .map_err(|fault| fault.to_string())?,
-            replication: replication.transpose()?,
+            replication: replication.transpose().map_err(|fault| fault.to_string())?,
             lease: settings.replication.as_ref().map_or("", |(_, lease)| lease),
             directory: Directory::default(),
             shared_due: now,
@@ -113,13 +113,13 @@
             member.on_persisted(&saved, unix);
         }
         if let Some(snapshot) = member.next_to_apply() {
-            member.settled(snapshot.revision.position.number, Ok(()), unix);
+            member.on_applied(snapshot.number(), unix);
         }
-        for (to, body) in member.outgoing() {
+        for Outgoing { to, body } in member.take_outgoing() {
             let before = self.shared_state.messages.sent_bytes;
             self.shared_state.send_other(&to, REPLICATION, body);
             let size = self.shared_state.messages.sent_bytes - before;
-            let Some((_, body)) = self.shared_state.outgoing().pop() else { continue };
+            let Some((_, body)) = self.shared_state.take_outgoing().pop() else { continue };
             if let Some(address) = self.directory.address(&to) {
                 self.costs.replication.datagrams += 1;
                 self.costs.replication.bytes += size + ENVELOPE;
@@ -150,7 +150,7 @@
     }
 
     fn send_shared_state(&mut self, now: Nanos) {
-        for (name, body) in self.shared_state.outgoing() {
+        for (name, body) in self.shared_state.take_outgoing() {
             if let Some(to) = self.directory.address(&name) {
                 self.costs.shared_state.datagrams += 1;
                 self.costs.shared_state.bytes += body.len() as u64 + ENVELOPE;
@@ -171,8 +171,8 @@
         self.membership.poll_timeout().unwrap_or(Nanos::MAX).min(self.shared_due).min(replication)
     }
 
-    /// Datagrams to send, to whom; taken once.
-    pub fn outgoing(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
+    /// Datagrams to send since the last call.
+    pub fn outgoing(&mut self) -> Vec<Transmit> {
         let outgoing = self.membership.take_transmits();
         let counts = self.membership.counts();
         // What is neither shared state nor configuration is the membership's own.
--- a/crates/server/src/fleet/shared_state.rs
+++ b/crates/server/src/fleet/shared_state.rs
@@ -5,7 +5,7 @@
 use crate::fleet::tier::Tier;
 use crate::lifecycle::reload::TenantNames;
 use crate::resources::counters::Counters;
-use meadowstream_routing::Wish;
+use meadowstream_routing::CallPreference;
 use meadowstream_shared_state::budget::{Budget, BudgetSettingsError};
 use meadowstream_shared_state::clock::{Reading, Time};
 use meadowstream_shared_state::permits::Permits;
@@ -60,7 +60,7 @@
             SharedState::new(me, settings.clone(), seed, reading).map_err(|fault| fault.to_string())?;
         let tier =
             settings.outlier_detection.as_ref().map(|judge| Tier::new(tier.to_vec(), judge.expiry, seed));
-        let tier = tier.transpose()?;
+        let tier = tier.transpose().map_err(|fault| fault.to_string())?;
         let inner =
             Inner { state, permits: Permits::default(), tier, refused: false, counted: [0; 4], uncounted: 0 };
         Ok(Shared { inner: RefCell::new(inner), named: RefCell::default(), began })
@@ -72,12 +72,12 @@
 
     /// Whether one more call may go out; where not, so many wait. The fleet's budget and its judgements of
     /// the services below both have a say.
-    pub fn may_call(&self, waiting: usize, wish: Wish) -> bool {
+    pub fn may_call(&self, waiting: usize, wish: CallPreference) -> bool {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
         let Inner { state, permits, tier, refused, .. } = &mut *inner;
-        let time = state.read(reading);
-        if tier.as_ref().is_some_and(|tier| !tier.has_room(reading.monotonic, wish)) {
+        let time = state.read_clocks(reading);
+        if tier.as_ref().is_some_and(|tier| !tier.can_route(reading.monotonic, wish)) {
             *refused = true;
             return false;
         }
@@ -92,10 +92,10 @@
 
     /// A call goes out; it is given up after so many nanoseconds at the latest. Where it goes, if to one of a
     /// tier.
-    pub fn called(&self, number: u64, timeout: u64, wish: Wish) -> (u64, Option<Place>) {
+    pub fn called(&self, number: u64, timeout: u64, wish: CallPreference) -> (u64, Option<Place>) {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
-        let time = inner.state.read(reading);
+        let time = inner.state.read_clocks(reading);
         inner.permits.acquire(time, number);
         let place = inner.tier.as_mut().map(|tier| tier.call(reading.monotonic, number, wish));
         let most = calls(&inner.state).map_or(timeout, |budget| timeout.min(budget.settings().use_max));
@@ -106,7 +106,7 @@
     pub fn ended(&self, number: u64, surely: bool, over: Over) {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
-        let time = inner.state.read(reading);
+        let time = inner.state.read_clocks(reading);
         let Inner { state, tier, .. } = &mut *inner;
         if let Some((tier, judge)) = tier.as_mut().zip(state.outlier_detector.as_mut()) {
             tier.ended(reading.monotonic, time, number, over, judge);
@@ -171,7 +171,7 @@
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
         let Inner { state, permits, tier, refused, counted, .. } = &mut *inner;
-        let time = state.read(reading);
+        let time = state.read_clocks(reading);
         let now = [&counters.invocations, &counters.succeeded, &counters.throttled, &counters.errored];
         for ((key, now), counted) in COUNTED.iter().zip(now).zip(counted) {
             state.counters.add(key, now.get() - *counted);
@@ -190,15 +190,15 @@
             let accusers: Vec<usize> = tier.ejected.iter().map(|i| judge.accusers(time, *i)).collect();
             tracing::info!(target: "fleet", ?ejected, ?accusers, alone = judge.is_isolated(time), "judged");
         }
-        let may_probe = Wish { last: None, may_probe: true };
-        let open = tier.as_ref().is_none_or(|tier| tier.has_room(reading.monotonic, may_probe));
+        let may_probe = CallPreference { last_service: None, may_probe: true };
+        let open = tier.as_ref().is_none_or(|tier| tier.can_route(reading.monotonic, may_probe));
         let free = |time: Time, permits: &mut Permits| {
             let uses = permits.in_use(time);
             calls(state).is_none_or(|budget| budget.may_acquire(time, uses))
         };
         let again = *refused && open && free(time, permits);
         *refused &= !again;
-        (state.outgoing(), again)
+        (state.take_outgoing(), again)
     }
 
     /// In nanoseconds, at most.
@@ -210,7 +210,7 @@
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
         let Inner { state, permits, tier, .. } = &mut *inner;
-        let time = state.read(reading);
+        let time = state.read_clocks(reading);
         let names = state.outlier_detector.as_ref().map(|judge| &judge.settings().services);
         let ejected = tier.iter().flat_map(|tier| &tier.ejected);
         let ejected = ejected.filter_map(|i| names?.get(*i).cloned()).collect();
@@ -230,7 +230,7 @@
     pub fn tier(&self) -> (String, String) {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
-        let time = inner.state.read(reading);
+        let time = inner.state.read_clocks(reading);
         let shown = inner.tier.as_ref().zip(inner.state.outlier_detector.as_ref());
         shown.map_or_else(Default::default, |(tier, judge)| tier.shown(time, judge))
     }
--- a/crates/server/src/lifecycle/configuration.rs
+++ b/crates/server/src/lifecycle/configuration.rs
@@ -10,7 +10,7 @@
 use meadowstream_configuration::{IdempotencyKeys, Options};
 use meadowstream_deployment_settings::DeploymentSettings;
 use meadowstream_overload_control::{Advertisement, Downstream, Effect, Nanos};
-use meadowstream_replication::committed_log::Snapshot;
+use meadowstream_replication::snapshot::Snapshot;
 use meadowstream_replication::state::State;
 use meadowstream_shared_state::Settings as SharedSettings;
 use meadowstream_shared_state::budget::BudgetSettings;
@@ -378,7 +378,7 @@
             stop_ms: whole("stop_ms")?,
             memory_mb: whole("limits.memory_mb")?,
             sockets: whole("limits.sockets")? as usize,
-            settings: meadowstream_deployment_settings::read_json(at("settings")?).context("settings")?,
+            settings: DeploymentSettings::from_json(at("settings")?).context("settings")?,
             notes: Vec::new(),
             options: RefCell::default(),
             options_path: None,
--- a/crates/server/src/lifecycle/start.rs
+++ b/crates/server/src/lifecycle/start.rs
@@ -5,7 +5,7 @@
 use crate::connection::table::Connections;
 use crate::connection::table::HealthStatus;
 use crate::event::Event;
-use crate::event_loop::Decisions;
+use crate::event_loop::EventLoop;
 use crate::fleet::membership as fleet;
 use crate::fleet::rollout;
 use crate::fleet::rollout::Rollout;
@@ -101,7 +101,7 @@
         buffers,
         grace_over: Cell::new(false),
         stop_at: Cell::new(None),
-        moved: async_channel::bounded(1),
+        interpreter_moved: async_channel::bounded(1),
         counters: Counters::default(),
         left,
         shared,
@@ -110,10 +110,10 @@
         retune_pause: Cell::new(Duration::ZERO),
     });
     executor.spawn(signals::heed(server.clone(), signals, ended, stay)).detach();
-    executor.spawn(link::keep(server.clone())).detach();
+    executor.spawn(link::run(server.clone())).detach();
     executor.spawn(rollout::know_program(server.clone())).detach();
     executor.spawn(catalog::report(server.clone())).detach();
-    executor.spawn(Decisions::new(server.clone()).run(queue)).detach();
+    executor.spawn(EventLoop::new(server.clone()).run(queue)).detach();
     if let Some((socket, given)) = membership {
         executor.spawn(fleet::keep(server.clone(), socket, given, incarnation)).detach();
     }
