--- a/crates/capacity/tests/model.rs
+++ b/crates/capacity/tests/model.rs
@@ -34,7 +34,7 @@
     );
     let region = incidents::region_apart(&scale(60)).unwrap();
     assert!(region.one_view_after_return.unwrap() < 30.0, "{region:?}");
-    // The smaller side has no majority of voters: it lives on floors.
+    // The smaller side has no majority of voters, and so no lease.
     assert_eq!(region.leases_in_cut, Some(0));
     let control = incidents::control_away(&scale(60)).unwrap();
     assert!(control.one_view_after_return.unwrap() < 30.0, "{control:?}");
