--- a/crates/capacity/src/added_latency.rs
+++ b/crates/capacity/src/added_latency.rs
@@ -169,6 +169,7 @@
     Ok(Driven { added_us, timer_lateness_us: sending.timer_lateness_us, sent: sending.sent, succeeded })
 }
 
+/// What the sender of a load has measured.
 struct Sending {
     timer_lateness_us: Histogram<u64>,
     sent: u64,
--- a/crates/capacity/src/at_rest.rs
+++ b/crates/capacity/src/at_rest.rs
@@ -31,6 +31,7 @@
     pub leader: Option<PerServer>,
 }
 
+/// The control machine that leads the log of configuration.
 fn leader(fleet: &Fleet) -> Option<usize> {
     let leads = |server: &usize| {
         let member = fleet.server(*server).and_then(|server| server.replication.as_ref());
--- a/crates/capacity/src/connections.rs
+++ b/crates/capacity/src/connections.rs
@@ -10,6 +10,7 @@
 use std::time::Duration;
 
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
+/// A health check in the words of the balancers' wire.
 const HEALTH_CHECK: &[u8] = b"*2\r\n$10\r\nRPC.HEALTH\r\n$1\r\n1\r\n";
 const ANSWER_BYTES_MAX: usize = 64;
 /// Descriptors of the process for other uses than connections.
--- a/crates/capacity/src/day/mod.rs
+++ b/crates/capacity/src/day/mod.rs
@@ -73,7 +73,8 @@
     pub everywhere_p50: f64,
     /// The same: 99 in 100.
     pub everywhere_p99: f64,
-    /// The longest until a server that was cut off or restarted had the revision that was newest at its return.
+    /// The longest until a server that was cut off or restarted had the revision that was newest at its
+    /// return.
     #[serde(rename = "caught_up_worst")]
     pub catch_up_max: f64,
     /// The same of servers with an empty disk.
--- a/crates/capacity/src/day/run.rs
+++ b/crates/capacity/src/day/run.rs
@@ -158,6 +158,7 @@
         (REPLICAS..self.servers).filter(|server| Place::of(*server).rack == rack).collect()
     }
 
+    /// Proposes a change of one key to the leader.
     fn propose(&mut self, change: usize) {
         let value = (1 + change % 9).to_string();
         let Some(number) = self.fleet.propose(vec![Change::set(&key(change % KEYS), &value)]) else {
@@ -175,6 +176,7 @@
         self.published.push(PublishedChange { at: self.fleet.now(), number, receivers });
     }
 
+    /// Servers that stop while changes are on their way are not measured for these.
     fn remove_receivers(&mut self, is_gone: impl Fn(&usize) -> bool) {
         for change in self.published.iter_mut().rev().take(RECENT_CHANGES) {
             change.receivers.retain(|server| !is_gone(server));
@@ -200,6 +202,7 @@
         }
     }
 
+    /// A server is reached again: its time to catch up is measured from now.
     fn record_return(&mut self, server: usize, had_empty_disk: bool) {
         let (at, newest) = (self.fleet.now(), self.newest);
         self.returned.push(ReturnedServer { at, server, newest, had_empty_disk });
--- a/crates/capacity/src/day/schedule.rs
+++ b/crates/capacity/src/day/schedule.rs
@@ -9,7 +9,9 @@
 
 /// Changes of the configuration in a day.
 pub const CHANGES: usize = 790;
+/// Restarts of servers in a day.
 const RESTARTS: usize = 870;
+/// Failures of servers in a day.
 const FAILURES: usize = 51;
 /// A rack is lost for so long, and in a short day for 6% of it.
 const RACK_LOST_NS: Nanos = 60 * SECOND_NS;
@@ -25,12 +27,19 @@
     Fail,
     /// A server that was restarted, or the replacement of one that failed, is back.
     Back(usize),
+    /// All servers of a rack stop.
     RackLost,
+    /// They start again.
     RackBack,
+    /// A zone is cut from the rest.
     ZoneCut,
+    /// A region is cut from the rest.
     RegionCut,
+    /// All cuts end.
     Heal,
+    /// All control machines stop.
     ControlLost,
+    /// They start again.
     ControlBack,
 }
 
--- a/crates/capacity/src/day/summary.rs
+++ b/crates/capacity/src/day/summary.rs
@@ -44,8 +44,8 @@
         change.receivers.iter().map(seconds).collect()
     }
 
-    /// The longest that returned servers took to catch up, in seconds. A server that returned several times is
-    /// measured from its last return.
+    /// The longest that returned servers took to catch up, in seconds. A server that returned several times
+    /// is measured from its last return.
     fn longest_catch_up(&self, returned: &[ReturnedServer], had_empty_disk: bool) -> f64 {
         let is_last = |one: &ReturnedServer| {
             !returned.iter().any(|other| other.server == one.server && other.at > one.at)
@@ -88,6 +88,7 @@
     sorted.get((last as f64 * share).round() as usize).copied().unwrap_or(f64::NAN)
 }
 
+/// The figures of a day that is over.
 pub(super) fn summary(scale: &Scale, run: &Run, costs: Costs) -> Day {
     let applications = Applications::of(run);
     let (mut each, mut everywhere) = (Vec::new(), Vec::new());
--- a/crates/capacity/src/fleet.rs
+++ b/crates/capacity/src/fleet.rs
@@ -42,7 +42,9 @@
     cuts: HashSet<(u32, u32)>,
     /// Share of datagrams lost, 0 to 1.
     pub loss: f64,
+    /// Datagrams on their way.
     network: EventQueue<Delivery>,
+    /// At least one of each server that runs; those that it has set since are among them.
     timers: BinaryHeap<Reverse<Timer>>,
     rng: ChaCha8Rng,
     now: Nanos,
@@ -117,6 +119,7 @@
         SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::new(127, 1, high, low), PORT))
     }
 
+    /// The server with an address, where there may be one.
     fn index(address: SocketAddr) -> Option<usize> {
         let SocketAddr::V4(address) = address else { return None };
         let [_, _, high, low] = address.ip().octets();
@@ -264,8 +267,8 @@
         })
     }
 
-    /// Plays until `is_done`, which is looked at after each `step`; how long it took, in nanoseconds, or `None`
-    /// where it took longer than `limit`.
+    /// Plays until `is_done`, which is looked at after each `step`; how long it took, in nanoseconds, or
+    /// `None` where it took longer than `limit`.
     pub fn run_until_done(
         &mut self,
         step: Nanos,
--- a/crates/capacity/src/incidents.rs
+++ b/crates/capacity/src/incidents.rs
@@ -13,6 +13,7 @@
 
 /// Restarts and failures in a day of a fleet of [`STATED_SERVERS`].
 const RESTARTS_PER_DAY: f64 = 870.0 + 51.0;
+/// Servers of the fleet that the bounds are stated for.
 const STATED_SERVERS: f64 = 690.0;
 const DAY_SECONDS: f64 = 86_400.0;
 /// One view is waited for at most so long.
@@ -161,7 +162,8 @@
     (CONTROL_MACHINES..fleet.len()).map(of).collect()
 }
 
-/// The most bytes a second that one server sent over any [`BURST_NS`], by what each had sent after each second.
+/// The most bytes a second that one server sent over any [`BURST_NS`], by what each had sent after each
+/// second.
 fn burst_of_one_server(sent_by_second: &[Vec<u64>]) -> f64 {
     let span_seconds = (BURST_NS / SECOND_NS) as usize;
     let max_within = |span: &[Vec<u64>]| {
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -4,8 +4,8 @@
 //! The model ([`fleet`], [`server`]) runs the cores of membership, shared state and replicated configuration
 //! with their real codec, hundreds of servers in one process and in simulated time. [`at_rest`] measures a
 //! server at several sizes of the fleet, fits a line through all but the largest, and sets the measurement
-//! there beside the prediction; [`incidents`] and [`day`] play failures at their stated rates. `docs/CAPACITY.md`
-//! has the figures.
+//! there beside the prediction; [`incidents`] and [`day`] play failures at their stated rates.
+//! `docs/CAPACITY.md` has the figures.
 //!
 //! Delays between regions and zones are estimates; processor time is the thread's, and memory the
 //! allocator's.
--- a/crates/capacity/src/report/mod.rs
+++ b/crates/capacity/src/report/mod.rs
@@ -162,6 +162,7 @@
     Ok(measured)
 }
 
+/// Plays one incident at a scale.
 type PlayIncident = fn(&Scale) -> Result<Incident, ModelError>;
 
 /// The incidents of a run, each with its scale.
--- a/crates/capacity/src/report/table.rs
+++ b/crates/capacity/src/report/table.rs
@@ -67,8 +67,8 @@
     let pause = one.pause.map_or("-".to_string(), |pause| format!("{pause} us"));
     format!(
         "{} tenants, {} routes, {} a second: {succeeded} of {sent} succeeded, added p50 {p50} us, \
-         p99 {p99} us, most \
-         {max} us (timers of the load late by {timer_p99} us, p99); {resident_mb:.1} MB, {processor:.1}% of a core; \
+         p99 {p99} us, most {max} us (timers of the load late by {timer_p99} us, p99); \
+         {resident_mb:.1} MB, {processor:.1}% of a core; \
          {} changes, longest pause {pause}",
         load.tenants, load.routes, load.rate, load.changes
     )
--- a/crates/capacity/src/server.rs
+++ b/crates/capacity/src/server.rs
@@ -47,6 +47,7 @@
     pub replication: Option<Member>,
     lease: &'static str,
     directory: Directory,
+    /// When shared state is next advanced, in simulated nanoseconds.
     shared_state_due: Nanos,
     /// Costs from the start.
     pub costs: Costs,
@@ -152,6 +153,7 @@
         })
     }
 
+    /// Sends a message of replicated configuration in the envelope of shared state.
     fn send_replication(&mut self, Outgoing { to, body }: Outgoing, now: Nanos) {
         let sent_before = self.shared_state.messages.sent_bytes;
         self.shared_state.send_other(&to, REPLICATION, body);
--- a/crates/replication/src/codec.rs
+++ b/crates/replication/src/codec.rs
@@ -39,6 +39,7 @@
     }
 }
 
+/// Whether a text is short enough for a name.
 fn is_name(text: &str) -> bool {
     text.len() <= NAME_BYTES_MAX
 }
--- a/crates/replication/src/content_hash.rs
+++ b/crates/replication/src/content_hash.rs
@@ -3,6 +3,7 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
+/// A SHA-256 digest is four lanes of 64 bits.
 const LANES: usize = 4;
 const LANE_BYTES: usize = 8;
 
@@ -15,6 +16,7 @@
 pub struct ContentHash([u64; LANES]);
 
 impl ContentHash {
+    /// The digest of a pair; the length of the key separates it from the value.
     fn of_pair(key: &str, value: &str) -> [u64; LANES] {
         let mut hasher = Sha256::new();
         hasher.update((key.len() as u64).to_le_bytes());
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -4,8 +4,8 @@
 //! - [`replica`]: machines set aside for control keep an ordered log of changes; a majority commits them.
 //! - [`member`]: every server holds the end of the committed log, spreads it by gossip, and reports what it
 //!   has applied.
-//! - [`committed_log`], [`state`], [`snapshot_transfer`]: the log's last entries, its content, and checkpoints
-//!   for members that lag far.
+//! - [`committed_log`], [`state`], [`snapshot_transfer`]: the log's last entries, its content, and
+//!   checkpoints for members that lag far.
 //!
 //! `docs/replication.md` describes the protocol, the alternatives, and what is promised under which fault.
 
--- a/crates/replication/src/member/applier.rs
+++ b/crates/replication/src/member/applier.rs
@@ -51,8 +51,8 @@
         }
     }
 
-    /// The newest complete revision, where it is to be applied now. It is returned once, and no other until its
-    /// outcome is known.
+    /// The newest complete revision, where it is to be applied now. It is returned once, and no other until
+    /// its outcome is known.
     ///
     /// A member that started with an empty disk first catches up: what it had applied before its restart may
     /// be newer than what comes first, and no server goes back to an older revision.
@@ -70,12 +70,14 @@
         Some(complete.clone())
     }
 
+    /// The host has applied a revision.
     pub(super) fn on_applied(&mut self, number: u64) {
         self.applying = None;
         self.applied = self.applied.max(number);
         self.rejected.take_if(|rejection| rejection.number <= number);
     }
 
+    /// The host has rejected a revision, which is not offered again.
     pub(super) fn on_rejected(&mut self, number: u64, reason: &str) {
         self.applying = None;
         let reason = reason.chars().take(REASON_BYTES_MAX / CHARACTER_BYTES_MAX).collect();
--- a/crates/replication/src/member/control.rs
+++ b/crates/replication/src/member/control.rs
@@ -21,7 +21,9 @@
     pub(super) replica: Replica,
     pub(super) progress: ProgressTracker,
     pub(super) requests: Requests,
+    /// When the leader next states how fresh the log is.
     freshness_due: Nanos,
+    /// When the leader next polls lagging members.
     poll_due: Nanos,
     /// The committed number that is on disk.
     persisted_number: u64,
@@ -47,6 +49,7 @@
 }
 
 impl Member {
+    /// Does what is due on a control machine.
     pub(super) fn advance_control(&mut self, now: Nanos) {
         let Some(control) = &mut self.control else { return };
         control.replica.advance(now, &self.log);
@@ -94,6 +97,7 @@
         }
     }
 
+    /// Hands a message between replicas to the replica, and carries out what follows from it.
     pub(super) fn on_replica_message(&mut self, now: Nanos, from: &str, message: Message) {
         let Some(control) = &mut self.control else { return };
         let is_from_leader = matches!(message, Message::Append { .. });
--- a/crates/replication/src/member/gossip.rs
+++ b/crates/replication/src/member/gossip.rs
@@ -21,6 +21,7 @@
 const ENTRIES_BYTES_MAX: usize = BODY_BYTES_MAX - 2 * NAME_BYTES_MAX;
 
 impl Member {
+    /// Handles a message by which members spread the log.
     pub(super) fn on_gossip(&mut self, now: Nanos, from: &str, message: Message) {
         match message {
             Message::Digest { number, freshness, location, neighbours, wants_reply } => {
@@ -54,6 +55,7 @@
         self.push(&to, entries, now);
     }
 
+    /// The push of a member that did not hold the entries before.
     fn push_in_zone(&mut self, entries: &[Entry], now: Nanos) {
         let to = self.peers.sample_zone(&self.settings.location, ZONE_FANOUT, &mut self.rng);
         self.push(&to, entries, now);
@@ -84,6 +86,7 @@
         self.peers.sample_any(&mut self.rng)
     }
 
+    /// Sends a digest to one member, which answers with the entries that this one lacks.
     pub(super) fn pull(&mut self, now: Nanos) {
         if let Some(name) = self.pick_neighbour() {
             self.send_digest(&name, true, now);
@@ -104,6 +107,7 @@
         }
     }
 
+    /// Answers a digest with the entries that its sender lacks, or where this member lags with a digest.
     fn answer_digest(
         &mut self,
         from: &str,
@@ -140,6 +144,7 @@
         }
     }
 
+    /// Appends entries; pushes new ones on where they were pushed, else asks their sender for more.
     fn on_entries(
         &mut self,
         now: Nanos,
--- a/crates/replication/src/member/mod.rs
+++ b/crates/replication/src/member/mod.rs
@@ -1,6 +1,6 @@
-//! One member: it holds the end of the committed log, spreads it by gossip, fetches a checkpoint where it lags
-//! far, hands complete revisions to its host, and reports what was applied. On a control machine it drives a
-//! [`Replica`] too.
+//! One member: it holds the end of the committed log, spreads it by gossip, fetches a checkpoint where it
+//! lags far, hands complete revisions to its host, and reports what was applied. On a control machine it
+//! drives a [`Replica`] too.
 //!
 //! The host calls [`Member::receive`] for each message and [`Member::advance`] at [`Member::next_due`]. After
 //! each call it writes [`Member::unsaved_state`], applies [`Member::next_to_apply`] and sends
@@ -72,6 +72,7 @@
     peers: Peers,
     /// Of bytes sent; messages between replicas are not limited.
     budget: SlidingWindow,
+    /// While a checkpoint is fetched.
     transfer: Option<SnapshotTransfer>,
     /// No chunk is requested before this time.
     chunk_due: Nanos,
@@ -82,7 +83,9 @@
     applier: Applier,
     /// The last known leader.
     leader: Option<String>,
+    /// When the next digest is sent.
     pull_due: Nanos,
+    /// When the next report is sent.
     report_due: Nanos,
     outgoing: Vec<Outgoing>,
     /// Counts from the start.
--- a/crates/replication/src/member/operator.rs
+++ b/crates/replication/src/member/operator.rs
@@ -1,5 +1,5 @@
-//! Operators' requests to the leader: a change, a change to take back, which members lag. A change is answered
-//! once it is committed.
+//! Operators' requests to the leader: a change, a change to take back, which members lag. A change is
+//! answered once it is committed.
 
 use super::Member;
 use crate::change::Change;
@@ -19,10 +19,13 @@
 /// A change that cannot be taken back.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 enum RevertError {
+    /// The log holds no complete change that ends there.
     #[error("no change that is still held ends at {number}")]
     NotHeld { number: u64 },
+    /// The content before the change is older than the entries held.
     #[error("what stood before it is not held any more")]
     BaseNotHeld,
+    /// To take the change back would undo a later one too.
     #[error("{key:?} was changed again by {number}")]
     ChangedSince { key: String, number: u64 },
 }
@@ -63,6 +66,7 @@
 }
 
 impl Member {
+    /// Carries out a request on the leader; a repeated one is answered as before.
     pub(super) fn on_operator_request(&mut self, now: Nanos, from: &str, message: Message) {
         let request = match &message {
             Message::Submit { request, .. }
--- a/crates/replication/src/member/reports.rs
+++ b/crates/replication/src/member/reports.rs
@@ -24,6 +24,7 @@
         self.report_soon(now);
     }
 
+    /// A new outcome is not left to the next regular report.
     fn report_soon(&mut self, now: Nanos) {
         self.report_due = self.report_due.min(now + self.rng.next_u64() % REPORT_WITHIN_NS);
     }
@@ -47,6 +48,7 @@
         }
     }
 
+    /// On a control machine: a member has reported.
     pub(super) fn on_report(&mut self, from: &str, report: Report) {
         if let Some(control) = &mut self.control {
             control.progress.on_report(from, report);
--- a/crates/replication/src/member/snapshot_fetch.rs
+++ b/crates/replication/src/member/snapshot_fetch.rs
@@ -64,6 +64,7 @@
         self.send(from, &Message::SnapshotChunk { checkpoint: number, after, pairs, last: is_last }, now);
     }
 
+    /// Adds a chunk to the transfer under way.
     pub(super) fn on_snapshot_chunk(
         &mut self,
         checkpoint: u64,
--- a/crates/replication/src/persistence.rs
+++ b/crates/replication/src/persistence.rs
@@ -6,6 +6,7 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
+/// Begins every file; its last byte is the version.
 const MAGIC: [u8; 8] = *b"MSREPL\0\x01";
 const LENGTH_BYTES: usize = 8;
 const CHECKSUM_BYTES: usize = 32;
--- a/crates/replication/src/progress.rs
+++ b/crates/replication/src/progress.rs
@@ -17,6 +17,7 @@
 /// Revisions whose time of commitment is remembered.
 const COMMIT_TIMES_MAX: usize = 1024;
 
+/// What is known of one member.
 #[derive(Clone, Debug, Default)]
 struct MemberProgress {
     report: Option<Report>,
@@ -26,6 +27,7 @@
 }
 
 impl MemberProgress {
+    /// Whether the member takes no part.
     fn is_silent(&self) -> bool {
         self.report.is_none() && self.unanswered >= SILENT_AFTER_POLLS
     }
--- a/crates/replication/src/replica/acceptor.rs
+++ b/crates/replication/src/replica/acceptor.rs
@@ -15,6 +15,7 @@
 }
 
 impl Replica {
+    /// Promises a candidate's epoch, unless a later one was promised, and shows it the log after a number.
     pub(super) fn on_prepare(&mut self, from: &str, epoch: u64, after: u64, log: &CommittedLog) {
         if epoch < self.promised {
             return self.send(from, Message::EpochRejected { promised: self.promised });
--- a/crates/replication/src/replica/election.rs
+++ b/crates/replication/src/replica/election.rs
@@ -35,7 +35,9 @@
 pub(super) struct Candidate {
     /// By the name of the replica; its own included.
     promises: BTreeMap<String, PromisedLog>,
+    /// When promises were last requested.
     requested_at: Nanos,
+    /// How often the requests were repeated.
     repeats: u32,
 }
 
@@ -110,6 +112,7 @@
         }
     }
 
+    /// Adds what a replica has shown of its log. One whose log is not complete here yet is asked again.
     pub(super) fn on_promise(&mut self, now: Nanos, from: &str, promise: Promise, log: &CommittedLog) {
         let Role::Candidate(candidate) = &mut self.role else { return };
         let Promise { epoch, last, after, entries } = promise;
@@ -148,12 +151,13 @@
         self.uncommitted = entries;
         let LogEnd { state, undo } = self.log_end(log);
         self.role = Role::Leader(Leader::new(state));
-        // An entry of the leader's own epoch is what commits those before it (Raft, 5.4.2). It undoes a change
-        // whose last entry its leader never appended.
+        // An entry of the leader's own epoch is what commits those before it (Raft, 5.4.2). It undoes a
+        // change whose last entry its leader never appended.
         self.append_parts(split(undo), log);
         self.replicate(now, log);
     }
 
+    /// The end of this replica's log, uncommitted entries included.
     fn log_end(&self, log: &CommittedLog) -> LogEnd {
         let mut complete = log.complete().state.clone();
         let mut state = complete.clone();
--- a/crates/replication/src/replica/leader.rs
+++ b/crates/replication/src/replica/leader.rs
@@ -28,6 +28,7 @@
 /// The state of a replica that leads.
 #[derive(Debug)]
 pub(super) struct Leader {
+    /// By the name of the replica; the leader's own included.
     progress: BTreeMap<String, FollowerProgress>,
     /// Content after the last entry of its log.
     end_state: State,
@@ -49,6 +50,7 @@
         self.progress.get(replica)?.matched
     }
 
+    /// A replica has stored the leader's log up to a number.
     pub(super) fn set_matched(&mut self, replica: &str, number: u64) {
         self.progress_mut(replica).matched = Some(number);
     }
@@ -67,7 +69,8 @@
     /// committed at, if this replica stays the leader.
     ///
     /// # Errors
-    /// Where this replica does not lead, too many entries wait for a majority, or the change is out of bounds.
+    /// Where this replica does not lead, too many entries wait for a majority, or the change is out of
+    /// bounds.
     pub fn propose(
         &mut self,
         changes: Vec<Change>,
@@ -102,6 +105,7 @@
         }
     }
 
+    /// Appends one entry in this leader's epoch.
     fn append_entry(&mut self, changes: Vec<Change>, partial: bool, log: &CommittedLog) {
         let number = self.last_position(log).number + 1;
         let position = Position { epoch: self.promised, number };
@@ -128,6 +132,7 @@
         }
     }
 
+    /// Sends a replica the entries after the number up to which its log is known to match.
     fn send_append(&mut self, replica: &str, matched: u64, log: &CommittedLog) {
         // A replica that lags more than the entries held here is sent the end alone; what is committed comes
         // to it by gossip, as to all members.
@@ -156,6 +161,7 @@
         self.uncommitted.iter().take_while(is_stored).cloned().collect()
     }
 
+    /// A replica has stored entries; it is sent the next ones at once.
     pub(super) fn on_appended(
         &mut self,
         now: Nanos,
@@ -178,6 +184,7 @@
         }
     }
 
+    /// A replica lacks the entry before those sent; it is sent entries from further back.
     pub(super) fn on_append_rejected(&mut self, from: &str, epoch: u64, matched: u64, log: &CommittedLog) {
         // Entries that are not held any more come to it by gossip; the next heartbeat finds it further on.
         let is_held = self.position(matched, log).is_some();
--- a/crates/replication/src/replica/mod.rs
+++ b/crates/replication/src/replica/mod.rs
@@ -60,10 +60,14 @@
     pub message: Message,
 }
 
+/// What a replica does in its epoch.
 #[derive(Debug)]
 enum Role {
+    /// Promises epochs and stores the leader's entries.
     Follower,
+    /// Waits for a majority's promises.
     Candidate(Candidate),
+    /// Appends entries.
     Leader(Leader),
 }
 
@@ -116,6 +120,7 @@
         self.replicas.iter().filter(|replica| **replica != self.name)
     }
 
+    /// Any two majorities have a replica in common.
     fn majority(&self) -> usize {
         self.replicas.len() / 2 + 1
     }
--- a/crates/replication/src/requests.rs
+++ b/crates/replication/src/requests.rs
@@ -1,4 +1,5 @@
-//! Operators' requests to the leader. A request may be repeated: its identity tells repetitions from new ones.
+//! Operators' requests to the leader. A request may be repeated: its identity tells repetitions from new
+//! ones.
 
 use crate::change::Change;
 use crate::entry::PARTS_MAX;
@@ -30,14 +31,15 @@
 pub(crate) struct Requests {
     /// Parts that have come, by their index.
     assembling: HashMap<RequestId, Vec<Option<Vec<Change>>>>,
+    /// Changes in the log that are not committed yet.
     pending: Vec<PendingRequest>,
     /// The last ones, in the order of their answers.
     answered: VecDeque<AnsweredRequest>,
 }
 
 impl Requests {
-    /// Adds one part of a change. Returns the whole change once all `parts` have come; `None` before that, and
-    /// for a part that is out of bounds.
+    /// Adds one part of a change. Returns the whole change once all `parts` have come; `None` before that,
+    /// and for a part that is out of bounds.
     pub(crate) fn assemble(
         &mut self,
         request: &RequestId,
--- a/crates/replication/src/simulation/event_queue.rs
+++ b/crates/replication/src/simulation/event_queue.rs
@@ -4,6 +4,7 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
+/// An event with its time. Sequence numbers are unique.
 struct Scheduled<E> {
     at: Nanos,
     sequence: u64,
--- a/crates/replication/src/simulation/host.rs
+++ b/crates/replication/src/simulation/host.rs
@@ -8,6 +8,7 @@
 use crate::time::MILLISECOND_NS;
 
 impl Fleet {
+    /// Lets an event happen.
     pub(super) fn handle(&mut self, event: Event) {
         match event {
             Event::View => self.update_view(),
@@ -25,6 +26,7 @@
         }
     }
 
+    /// Advances a member, unless it was restarted or scheduled anew since.
     fn on_due(&mut self, index: usize, incarnation: u64) {
         let node = &mut self.nodes[index];
         if node.incarnation != incarnation || node.due != self.now {
--- a/crates/replication/src/simulation/mod.rs
+++ b/crates/replication/src/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! Test harness: a fleet of [`Member`]s with disks on a simulated network in simulated time, deterministic from
-//! its seed. No I/O.
+//! Test harness: a fleet of [`Member`]s with disks on a simulated network in simulated time, deterministic
+//! from its seed. No I/O.
 //!
 //! At every step it checks what must never happen: two contents under one number, and a server that goes back
 //! to an older revision. Messages are lost, doubled, delayed and reordered as the [`Layout`] says; `faults`
--- a/crates/replication/src/simulation/network.rs
+++ b/crates/replication/src/simulation/network.rs
@@ -8,6 +8,7 @@
 use std::sync::Arc;
 
 impl Fleet {
+    /// Whether no cut is between two nodes.
     fn reaches(&self, from: usize, to: usize) -> bool {
         !self.cuts.contains(&(self.nodes[from].group, self.nodes[to].group))
     }
@@ -52,6 +53,7 @@
         }
     }
 
+    /// Gives the lease to the first replica that reaches a majority and can write to its disk.
     fn move_lease(&mut self) {
         let living: Vec<usize> =
             (0..self.layout.replicas).filter(|replica| self.nodes[*replica].member.is_some()).collect();
--- a/crates/replication/src/snapshot_transfer.rs
+++ b/crates/replication/src/snapshot_transfer.rs
@@ -122,6 +122,7 @@
         if chunk.pairs.is_empty() { ChunkOutcome::Invalid } else { ChunkOutcome::Continue }
     }
 
+    /// Whether a pair follows the last one and is within bounds.
     fn may_add(&self, Pair { key, value }: &Pair) -> bool {
         self.after.as_ref().is_none_or(|before| before < key)
             && key.len() <= KEY_BYTES_MAX
@@ -129,6 +130,7 @@
             && self.state.len() < KEYS_MAX
     }
 
+    /// Checks the hash of the whole content.
     fn complete(&mut self) -> ChunkOutcome {
         if self.state.hash() != self.target.hash {
             return ChunkOutcome::Invalid;
--- a/crates/replication/tests/errors.rs
+++ b/crates/replication/tests/errors.rs
@@ -13,8 +13,16 @@
 #[test_case(settings(&[]), "replica: 1, 3, 5, 7 or 9 different names, not 0"; "no replica")]
 #[test_case(settings(&["a", "b"]), "replica: 1, 3, 5, 7 or 9 different names, not 2"; "an even number")]
 #[test_case(settings(&["a", "b", "a"]), "replica: 1, 3, 5, 7 or 9 different names, not 3"; "one name twice")]
-#[test_case(Settings { pull_period: 9_999_999, ..settings(&["a"]) }, "pull-ms: 10 at least"; "pulls too fast")]
-#[test_case(Settings { bytes_per_second: 2_199, ..settings(&["a"]) }, "bytes-a-second: 2200 at least"; "too few bytes")]
+#[test_case(
+    Settings { pull_period: 9_999_999, ..settings(&["a"]) },
+    "pull-ms: 10 at least";
+    "pulls too fast"
+)]
+#[test_case(
+    Settings { bytes_per_second: 2_199, ..settings(&["a"]) },
+    "bytes-a-second: 2200 at least";
+    "too few bytes"
+)]
 fn a_setting_out_of_bounds_is_named(settings: Settings, text: &str) {
     let error: SettingsError = settings.check().unwrap_err();
     assert_eq!(error.to_string(), text);
@@ -38,7 +46,11 @@
 
 #[test_case(&ProposeError::NotLeader, "not the publisher any more"; "not the leader")]
 #[test_case(&ProposeError::Busy, "too much waits to be committed: try again"; "busy")]
-#[test_case(&ProposeError::TooManyKeys { keys: 100_001 }, "100001 keys are more than 100000"; "too many keys")]
+#[test_case(
+    &ProposeError::TooManyKeys { keys: 100_001 },
+    "100001 keys are more than 100000";
+    "too many keys"
+)]
 fn a_change_that_is_not_appended_is_answered_with_a_reason(error: &ProposeError, text: &str) {
     assert_eq!(error.to_string(), text);
 }
--- a/crates/replication/tests/fleet.rs
+++ b/crates/replication/tests/fleet.rs
@@ -210,8 +210,8 @@
     assert!(all().iter().all(|node| state(&fleet, *node) == state(&fleet, 0)));
 }
 
-/// A region apart keeps its last revision, also over restarts; the rest continues; after the heal it catches up
-/// within its bytes. Without a majority nothing is committed.
+/// A region apart keeps its last revision, also over restarts; the rest continues; after the heal it catches
+/// up within its bytes. Without a majority nothing is committed.
 #[test]
 fn a_region_apart_keeps_its_last_good_and_catches_up() {
     let mut fleet = settled(layout(), 7);
--- a/crates/replication/tests/replica.rs
+++ b/crates/replication/tests/replica.rs
@@ -1,5 +1,5 @@
-//! One replica by itself, message by message: what it sends only once its state is on disk, and what it counts
-//! as committed.
+//! One replica by itself, message by message: what it sends only once its state is on disk, and what it
+//! counts as committed.
 
 use meadowstream_replication::change::Change;
 use meadowstream_replication::entry::Entry;
@@ -43,8 +43,8 @@
     }
 }
 
-/// Otherwise a replica that forgets its promise with a restart would store for an earlier leader what the later
-/// one does not know of.
+/// Otherwise a replica that forgets its promise with a restart would store for an earlier leader what the
+/// later one does not know of.
 #[test]
 fn a_promise_is_on_disk_before_it_is_given() {
     let mut member = replica(None);
