--- a/crates/deployment-settings/src/deployment.rs
+++ b/crates/deployment-settings/src/deployment.rs
@@ -10,6 +10,7 @@
 /// Ratios of value that degraded answers keep, by operation.
 const DEGRADED_VALUES: &str = "family-info.degraded-worth";
 
+/// Reads all settings.
 pub fn read(values: &Values) -> Result<DeploymentSettings, SettingsError> {
     let operation_count: usize = values.parse("grades.count")?;
     let operations: Result<Vec<Operation>, SettingsError> =
--- a/crates/deployment-settings/src/values.rs
+++ b/crates/deployment-settings/src/values.rs
@@ -16,6 +16,7 @@
 }
 
 impl Values {
+    /// Splits `path=value` lines; of a path that stands twice the last counts.
     pub fn from_lines(text: &str) -> Result<Self, SettingsError> {
         let mut values = Self::default();
         for line in text.lines().filter(|line| !line.is_empty()) {
@@ -27,6 +28,7 @@
         Ok(values)
     }
 
+    /// Lays out nested JSON by path; `null` is absent.
     pub fn from_json(settings: &Value) -> Self {
         let mut values = Self::default();
         values.flatten("", settings);
@@ -58,10 +60,12 @@
         }
     }
 
+    /// Whether the path is there.
     pub fn has(&self, path: &str) -> bool {
         self.by_path.contains_key(path)
     }
 
+    /// The value as it stands there.
     pub fn text(&self, path: &str) -> Result<&str, SettingsError> {
         match self.by_path.get(path) {
             Some(text) => Ok(text),
@@ -69,11 +73,13 @@
         }
     }
 
+    /// The value as a `T`.
     pub fn parse<T: FromStr>(&self, path: &str) -> Result<T, SettingsError> {
         let text = self.text(path)?;
         text.parse().map_err(|_| unreadable(path, text))
     }
 
+    /// The value as a `T`, or `absent` where the path is not there.
     pub fn parse_or<T: FromStr>(&self, path: &str, absent: T) -> Result<T, SettingsError> {
         if self.has(path) { self.parse(path) } else { Ok(absent) }
     }
@@ -124,6 +130,7 @@
     }
 }
 
+/// The error for a value that is not of the type of its path.
 pub fn unreadable(path: &str, text: &str) -> SettingsError {
     SettingsError::Unreadable { path: path.to_string(), value: text.to_string() }
 }
--- a/crates/overload-control/src/admission.rs
+++ b/crates/overload-control/src/admission.rs
@@ -32,10 +32,12 @@
         self.weights.len()
     }
 
+    /// The rank of a priority weight; 0 is the lowest.
     pub fn rank(&self, weight: f64) -> usize {
         self.weights.iter().position(|each| *each >= weight).unwrap_or(self.weights.len() - 1)
     }
 
+    /// Whether no rank is higher.
     pub fn is_top(&self, rank: usize) -> bool {
         rank + 1 >= self.weights.len()
     }
@@ -57,10 +59,12 @@
 }
 
 impl Admission {
+    /// The first control period starts now.
     pub fn new(now: Nanos) -> Self {
         Self { period_start: now, spares_operations_without_calls: false }
     }
 
+    /// A control period starts now.
     pub fn start_period(&mut self, now: Nanos) {
         self.period_start = now;
     }
--- a/crates/overload-control/src/advertised_load.rs
+++ b/crates/overload-control/src/advertised_load.rs
@@ -10,6 +10,7 @@
     pub basic_refusal_ratio: f64,
     /// Share of its full speed that the server has reached.
     pub speed_ratio: f64,
+    /// Runs that go on side by side.
     pub concurrency_limit: f64,
 }
 
--- a/crates/overload-control/src/call_budget.rs
+++ b/crates/overload-control/src/call_budget.rs
@@ -22,6 +22,7 @@
     pub attempt_timeout_ns: f64,
     /// The same at the first attempt, ns.
     pub first_timeout_ns: f64,
+    /// The run is of the highest rank.
     pub is_top_rank: bool,
 }
 
--- a/crates/overload-control/src/concurrency_limit.rs
+++ b/crates/overload-control/src/concurrency_limit.rs
@@ -10,7 +10,9 @@
 
 /// The server's speed while it warms up.
 pub struct WarmUp {
+    /// When the server started.
     pub started: Nanos,
+    /// A server that started warm has full speed from the start.
     pub starts_cold: bool,
     /// Speed at the start as a ratio of full speed.
     pub cold_speed_ratio: f64,
@@ -31,10 +33,13 @@
 pub struct Load {
     /// Something waits in the pending queue.
     pub is_queueing: bool,
+    /// Runs on the cores.
     pub running: f64,
     /// Runs slow each other down.
     pub are_runs_slowed: bool,
+    /// Busy share of the cores over the last period, from 0 to 1.
     pub utilization: f64,
+    /// What the regulator steers to.
     pub target_utilization: f64,
 }
 
@@ -48,6 +53,7 @@
 }
 
 impl ConcurrencyLimit {
+    /// A limit that starts at the core count.
     pub fn new(cores: f64, survivable_ratio: f64, warm_up: WarmUp) -> Self {
         Self { limit: cores, cores, survivable_ratio, warm_up }
     }
@@ -57,6 +63,7 @@
         self.limit
     }
 
+    /// Share of its full speed that the server has reached at the least.
     pub fn speed_ratio(&self, now: Nanos) -> f64 {
         self.warm_up.speed_ratio(now)
     }
--- a/crates/overload-control/src/controller/rules.rs
+++ b/crates/overload-control/src/controller/rules.rs
@@ -6,6 +6,7 @@
 use crate::downstream_calls::Attempt;
 use crate::invocations::InvocationState;
 use crate::regulator::CONTROL_PERIOD;
+use crate::tenant_quota::RetryAdvice;
 use crate::{Effect, Host, Nanos, Preemption, log_lines};
 use meadowstream_pending_queue::Capacity;
 
@@ -215,40 +216,42 @@
     /// `promise_after` at the earliest.
     fn reject_or_fail(&mut self, key: usize, retry_after: Nanos, promise_after: Nanos, host: &mut dyn Host) {
         let are_retries_harmful = self.retries.are_harmful(self.regulator.ratios().basic);
-        let (is_promised, retry_after) = self.retry_advice(key, retry_after, promise_after, host);
+        let advice = self.retry_advice(key, retry_after, promise_after, host);
         let invocation = &self.invocations[key];
         let is_late = self.now >= invocation.deadlines.objective;
-        let no_retry = is_promised || is_late || are_retries_harmful;
+        let no_retry = advice.ticket.is_some() || is_late || are_retries_harmful;
         let nothing_done = !invocation.has_run && invocation.repeats.is_none();
         if self.is_idempotent(invocation) || nothing_done {
-            host.reject(invocation.id, no_retry, retry_after.min(self.deployment.retry_after_max));
+            let retry_after = advice.retry_after.min(self.deployment.retry_after_max);
+            host.reject(invocation.id, no_retry, retry_after);
         } else {
             host.fail(invocation.id);
         }
         self.close(key, host);
     }
 
-    /// Whether admission was promised, and when the caller is to return. A server in distress or draining has
-    /// nothing to promise.
+    /// When the caller is to return, with a promise of admission where there is one. A server in distress or
+    /// draining has nothing to promise.
     fn retry_advice(
         &mut self,
         key: usize,
         retry_after: Nanos,
         promise_after: Nanos,
         host: &mut dyn Host,
-    ) -> (bool, Nanos) {
+    ) -> RetryAdvice {
+        let unpromised = RetryAdvice { retry_after, ticket: None };
         let can_promise = !self.is_in_distress() && !self.draining.has_begun();
         if !can_promise || self.deployment.retry_after_max == 0 {
-            return (false, retry_after);
+            return unpromised;
         }
         let invocation = &mut self.invocations[key];
         let Some(advice) = self.quotas.promise(self.now, invocation, promise_after) else {
-            return (false, retry_after);
+            return unpromised;
         };
         if let Some(ticket) = advice.ticket {
             host.promise_admission(invocation.id, ticket);
         }
-        (advice.ticket.is_some(), advice.retry_after)
+        advice
     }
 
     /// Nothing more is owed; what still runs or calls stays until it ends.
--- a/crates/overload-control/src/deadline.rs
+++ b/crates/overload-control/src/deadline.rs
@@ -16,6 +16,7 @@
 }
 
 impl Deadlines {
+    /// The deadlines of an arrival that is read now.
     pub fn of(arrival: &Arrival, operation: &Operation, now: Nanos) -> Self {
         let reached = now.saturating_sub(arrival.age);
         let caller = match arrival.remaining_deadline {
--- a/crates/overload-control/src/decaying_mean.rs
+++ b/crates/overload-control/src/decaying_mean.rs
@@ -12,6 +12,7 @@
 }
 
 impl DecayingMean {
+    /// A mean of no observations.
     pub fn new(half_life: Nanos, now: Nanos) -> Self {
         Self { half_life: half_life.max(1), updated: now, sum: 0.0, weight: 0.0 }
     }
@@ -26,6 +27,7 @@
         (-(now.saturating_sub(self.updated) as f64) / self.half_life as f64).exp2()
     }
 
+    /// Takes in an observation of weight 1.
     pub fn add(&mut self, now: Nanos, value: f64) {
         let remaining = self.remaining_ratio(now);
         self.sum = self.sum * remaining + value;
--- a/crates/overload-control/src/downstream_calls.rs
+++ b/crates/overload-control/src/downstream_calls.rs
@@ -26,6 +26,7 @@
     pub cost_ratio: f64,
     /// The call may be repeated.
     pub is_idempotent: bool,
+    /// The run is of the highest rank.
     pub is_top_rank: bool,
 }
 
@@ -50,6 +51,7 @@
 }
 
 impl DownstreamCalls {
+    /// The limit on calls starts at the core count.
     pub fn new(deployment: &Deployment, now: Nanos) -> Self {
         Self {
             cores: deployment.cores,
--- a/crates/overload-control/src/draining.rs
+++ b/crates/overload-control/src/draining.rs
@@ -24,6 +24,7 @@
 }
 
 impl Draining {
+    /// A server that serves.
     pub fn new(deployment: &Deployment) -> Self {
         Self {
             notice: None,
@@ -38,6 +39,7 @@
         self.notice = Some(Notice { serve_until: now + self.drain_grace, stop_at: now + grace });
     }
 
+    /// Whether the notice has come.
     pub fn has_begun(&self) -> bool {
         self.notice.is_some()
     }
--- a/crates/overload-control/src/health.rs
+++ b/crates/overload-control/src/health.rs
@@ -21,15 +21,18 @@
 }
 
 impl Health {
+    /// A healthy server.
     pub fn new(now: Nanos) -> Self {
         let failing = DecayingMean::new(TIMES_HALF_LIFE / 4, now);
         Self { failing, last_progress: now, is_healthy: true }
     }
 
+    /// A run has ended by itself.
     pub fn observe_run(&mut self, now: Nanos, failed: bool) {
         self.failing.add(now, f64::from(failed));
     }
 
+    /// A run has left the cores.
     pub fn observe_progress(&mut self, now: Nanos) {
         self.last_progress = now;
     }
--- a/crates/overload-control/src/idempotency.rs
+++ b/crates/overload-control/src/idempotency.rs
@@ -11,10 +11,12 @@
 }
 
 impl IdempotencyKeys {
+    /// No keys; each will take so much memory, KB.
     pub fn new(entry_kb: f64) -> Self {
         Self { keys: ExpiringKeys::default(), entry_kb }
     }
 
+    /// Forgets the keys whose window is over.
     pub fn expire(&mut self, now: Nanos) {
         self.keys.expire(now);
     }
--- a/crates/overload-control/src/idle_connections.rs
+++ b/crates/overload-control/src/idle_connections.rs
@@ -22,6 +22,7 @@
 }
 
 impl IdleConnections {
+    /// For so many callers, which close idle connections by themselves after `timeout_max`.
     pub fn new(timeout_max: Nanos, callers: f64) -> Self {
         Self { keeps_all: false, timeout_max: timeout_max as f64, callers }
     }
--- a/crates/overload-control/src/invocations.rs
+++ b/crates/overload-control/src/invocations.rs
@@ -32,12 +32,15 @@
 /// One request for an operation.
 #[derive(Clone, Debug, Default)]
 pub struct Invocation {
+    /// As in [`Arrival::id`].
     pub id: u64,
+    /// Index of its operation.
     pub operation: usize,
     /// Index of its priority class.
     pub rank: usize,
     /// When it reached the machine.
     pub arrived: Nanos,
+    /// Until when it is of use.
     pub deadlines: Deadlines,
     /// Memory while it is pending, KB.
     pub held_kb: f64,
@@ -49,6 +52,7 @@
     pub repeats: Option<u64>,
     /// Since when it is in its state.
     pub state_since: Nanos,
+    /// When its run was started last.
     pub run_started: Nanos,
     /// Time on a core so far.
     pub core_time: Nanos,
@@ -58,6 +62,7 @@
     pub call_attempts: u32,
     /// Timeout of the last attempt.
     pub call_timeout: Nanos,
+    /// Its run was started at least once.
     pub has_run: bool,
     /// Nothing more is owed to the caller.
     pub answered: bool,
@@ -72,6 +77,7 @@
 }
 
 impl Invocation {
+    /// A pending one; rank, deadlines and cost ratio are set by the caller.
     pub fn new(now: Nanos, arrival: &Arrival, fair_admission: Option<FairAdmission>) -> Self {
         Self {
             id: arrival.id,
@@ -87,6 +93,7 @@
         }
     }
 
+    /// Changed by [`Invocations::enter`] alone.
     pub fn state(&self) -> InvocationState {
         self.state
     }
@@ -114,6 +121,7 @@
 pub struct Invocations {
     all: Slab<Invocation>,
     keys_by_id: HashMap<u64, usize>,
+    /// Entries are added and removed with changes of state alone.
     pub pending: PendingQueue,
     /// Keys of all that are not pending, by arrival number.
     active: BTreeMap<u64, usize>,
@@ -142,6 +150,7 @@
 }
 
 impl Invocations {
+    /// None yet; `pending` is an empty queue.
     pub fn new(pending: PendingQueue, run_memory_factor: f64, stopped_runs_pause: bool) -> Self {
         Self {
             all: Slab::new(),
@@ -158,6 +167,7 @@
         }
     }
 
+    /// The key of the invocation with this id.
     pub fn find(&self, id: u64) -> Option<usize> {
         self.keys_by_id.get(&id).copied()
     }
@@ -178,6 +188,7 @@
         }
     }
 
+    /// Nothing more is owed or runs.
     pub fn remove(&mut self, key: usize) {
         self.unlink(key);
         let invocation = self.all.remove(key);
@@ -186,6 +197,7 @@
         }
     }
 
+    /// Changes the state of an invocation.
     pub fn enter(&mut self, key: usize, state: InvocationState, now: Nanos) {
         self.unlink(key);
         (self.all[key].state, self.all[key].state_since) = (state, now);
--- a/crates/overload-control/src/largest.rs
+++ b/crates/overload-control/src/largest.rs
@@ -14,6 +14,7 @@
         self.counts_by_bits.last_key_value().map_or(0.0, |(bits, _)| f64::from_bits(*bits))
     }
 
+    /// Adds a figure of 0 or more.
     pub fn add(&mut self, figure: f64) {
         *self.counts_by_bits.entry(figure.to_bits()).or_default() += 1;
     }
--- a/crates/overload-control/src/linear_quadratic.rs
+++ b/crates/overload-control/src/linear_quadratic.rs
@@ -144,6 +144,7 @@
         }
     }
 
+    /// The present estimate.
     pub fn plant(&self) -> Plant {
         let [a, premium, basic] = self.theta;
         Plant { a, premium, basic }
--- a/crates/overload-control/src/memory_limit.rs
+++ b/crates/overload-control/src/memory_limit.rs
@@ -9,6 +9,7 @@
 }
 
 impl MemoryLimit {
+    /// Of so much memory, KB.
     pub fn new(memory_kb: f64) -> Self {
         Self { memory_kb }
     }
--- a/crates/overload-control/src/operation_times.rs
+++ b/crates/overload-control/src/operation_times.rs
@@ -39,6 +39,7 @@
 }
 
 impl OperationTimes {
+    /// First guesses by the latency objectives.
     pub fn new(operations: &[Operation], now: Nanos) -> Self {
         let first = |operation: &Operation| {
             let guess = operation.latency_objective as f64 * FIRST_GUESS_SHARE;
--- a/crates/overload-control/src/reading.rs
+++ b/crates/overload-control/src/reading.rs
@@ -17,6 +17,7 @@
 }
 
 impl Reading {
+    /// Nothing observed yet; the shortest latency objective says what is a flood.
     pub fn new(shortest_objective: Nanos, now: Nanos) -> Self {
         Self {
             delay: DecayingMean::new(CONTROL_PERIOD / 2, now),
--- a/crates/overload-control/src/regulator.rs
+++ b/crates/overload-control/src/regulator.rs
@@ -38,6 +38,7 @@
 }
 
 impl Regulator {
+    /// Sheds nothing yet.
     pub fn new(target_utilization: f64) -> Self {
         let prior = prior_plant(target_utilization);
         Self {
--- a/crates/overload-control/src/retries.rs
+++ b/crates/overload-control/src/retries.rs
@@ -15,10 +15,12 @@
 }
 
 impl Retries {
+    /// None observed yet.
     pub fn new(are_marked: bool, now: Nanos) -> Self {
         Self { marked: DecayingMean::new(CONTROL_PERIOD * 4, now), are_marked }
     }
 
+    /// An arrival, marked as a retry or not.
     pub fn observe(&mut self, now: Nanos, is_marked: bool) {
         self.marked.add(now, f64::from(is_marked));
     }
--- a/crates/overload-control/src/scheduling.rs
+++ b/crates/overload-control/src/scheduling.rs
@@ -11,6 +11,7 @@
     pub survivable: f64,
     /// Cores that reading takes.
     pub reading_threads: f64,
+    /// Of the server.
     pub cores: f64,
     /// In a downstream tier reading takes no place: a refused call throws away work of the tier above.
     pub is_downstream_tier: bool,
--- a/crates/overload-control/src/tenant_quota.rs
+++ b/crates/overload-control/src/tenant_quota.rs
@@ -34,6 +34,7 @@
 /// What a tenant is told with a rejection.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryAdvice {
+    /// Time until the caller is to return.
     pub retry_after: Nanos,
     /// The ticket of a promise of admission at that time.
     pub ticket: Option<u64>,
@@ -41,7 +42,9 @@
 
 /// Where an arrival stands among tenants.
 pub struct Standing {
+    /// How fair queueing admitted it, where tenants are told apart as they come.
     pub fair_admission: Option<FairAdmission>,
+    /// Its tenant has used up its quota.
     pub is_over_quota: bool,
 }
 
@@ -52,6 +55,7 @@
 }
 
 impl TenantQuotas {
+    /// All quotas are unused.
     pub fn new(deployment: &Deployment, seed: u64, now: Nanos) -> Self {
         let bucket = |allowance: &f64| {
             let rate = allowance / deployment.peers;
--- a/crates/overload-control/src/timers.rs
+++ b/crates/overload-control/src/timers.rs
@@ -13,6 +13,7 @@
 }
 
 impl Timers {
+    /// The deadline timer is not set.
     pub fn new() -> Self {
         Self { deadline_at: Nanos::MAX }
     }
--- a/crates/pending-queue/src/late_search.rs
+++ b/crates/pending-queue/src/late_search.rs
@@ -13,31 +13,44 @@
 /// A block and an index in it.
 #[derive(Clone, Copy, Debug)]
 pub struct Place {
+    /// Index of the block.
     pub block: usize,
+    /// Index in the block.
     pub index: usize,
 }
 
 /// What runs before: work in nanoseconds of one core, and the number of entries.
 #[derive(Clone, Copy, Debug)]
 pub struct Ahead {
+    /// Nanoseconds of one core.
     pub work: f64,
+    /// How many run before.
     pub entries: usize,
 }
 
 /// The first late entry, and how many sums and entries were looked at for it.
 pub struct Found {
+    /// `None` where all end in time.
     pub place: Option<Place>,
+    /// Sums and entries that were looked at.
     pub inspected: u64,
 }
 
 /// A search under way: what has been passed is added to `ahead` at the present times.
 pub struct LateSearch<'a> {
+    /// Of the queue that is searched.
     pub tree: &'a SumTree,
+    /// Of the queue that is searched.
     pub blocks: &'a [Block],
+    /// When the first of all would start.
     pub now: Nanos,
+    /// What runs before the node that is looked at.
     pub ahead: Ahead,
+    /// The present usual times and limits.
     pub capacity: &'a Capacity<'a>,
+    /// What the lateness in the tree is kept for.
     pub reference: &'a ReferenceTimes,
+    /// Sums and entries that were looked at.
     pub inspected: u64,
 }
 
--- a/crates/pending-queue/src/order.rs
+++ b/crates/pending-queue/src/order.rs
@@ -12,6 +12,7 @@
 }
 
 impl RunOrder {
+    /// The place of an entry in this order.
     pub fn of(entry: &Entry) -> Self {
         Self {
             start_tag: entry.start_tag,
@@ -28,10 +29,12 @@
     not_promised: bool,
     start_tag: u64,
     arrival_number: u64,
+    /// Where the owner keeps the invocation.
     pub key: usize,
 }
 
 impl MemoryOrder {
+    /// The place of an entry in this order.
     pub fn of(entry: &Entry) -> Self {
         Self {
             not_promised: !entry.promised,
@@ -49,10 +52,12 @@
     start_tag: u64,
     arrived: Nanos,
     arrival_number: u64,
+    /// Where the owner keeps the invocation.
     pub key: usize,
 }
 
 impl DeadlineOrder {
+    /// The place of an entry in this order.
     pub fn of(entry: &Entry) -> Self {
         Self {
             not_promised: !entry.promised,
--- a/crates/pending-queue/src/priority_class_queue.rs
+++ b/crates/pending-queue/src/priority_class_queue.rs
@@ -25,18 +25,22 @@
 }
 
 impl PriorityClassQueue {
+    /// An empty queue.
     pub fn new() -> Self {
         Self { blocks: Vec::new(), tree: SumTree::new() }
     }
 
+    /// Entries in the queue.
     pub fn len(&self) -> usize {
         self.tree.root().count
     }
 
+    /// The entry that runs next.
     pub fn first(&self) -> Option<&Entry> {
         self.blocks.first().map(|block| &block[0])
     }
 
+    /// Entries in the order they will run.
     pub fn iter(&self) -> impl Iterator<Item = &Entry> {
         self.blocks.iter().flatten()
     }
@@ -52,6 +56,7 @@
         Position { block, index }
     }
 
+    /// Adds an entry at its place; splits its block where that is full.
     pub fn insert(&mut self, entry: Entry, reference: &ReferenceTimes) {
         let Position { block, index } = self.position(&entry);
         let index = index.unwrap_or_else(|index| index);
--- a/crates/pending-queue/src/reference_times.rs
+++ b/crates/pending-queue/src/reference_times.rs
@@ -22,7 +22,9 @@
 /// The most by which one of the times has grown, as a share of its reference; 0 or more.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Growth {
+    /// Of core times over the concurrency limit.
     pub core: f64,
+    /// Of times from start to end.
     pub elapsed: f64,
 }
 
@@ -35,6 +37,7 @@
 }
 
 impl ReferenceTimes {
+    /// References of 0, so that the first update replaces them all.
     pub fn new(operations: usize) -> Self {
         let none = vec![UsualTimes { core_ns: 0.0, elapsed_ns: 0.0 }; operations];
         Self { reference: none.clone(), present: none, ..Self::default() }
@@ -65,6 +68,7 @@
         &self.reference[entry.operation]
     }
 
+    /// The growth since the reference, as of the last update.
     pub fn growth(&self) -> Growth {
         self.growth
     }
--- a/crates/pending-queue/src/sum_tree.rs
+++ b/crates/pending-queue/src/sum_tree.rs
@@ -16,6 +16,7 @@
 }
 
 impl SumTree {
+    /// The tree of no blocks.
     pub fn new() -> Self {
         let mut tree = Self::default();
         tree.resize(0);
@@ -27,10 +28,12 @@
         self.nodes.resize_with(2 * self.leaves, Summary::of_none);
     }
 
+    /// The summary of all blocks.
     pub fn root(&self) -> &Summary {
         &self.nodes[1]
     }
 
+    /// The summary of the blocks under a node.
     pub fn node(&self, node: usize) -> &Summary {
         &self.nodes[node]
     }
--- a/crates/pending-queue/src/summary.rs
+++ b/crates/pending-queue/src/summary.rs
@@ -54,6 +54,7 @@
 /// Sums of entries that stand in a row.
 #[derive(Clone, Debug, Default)]
 pub struct Summary {
+    /// How many entries there are.
     pub count: usize,
     costs: OperationCosts,
     /// At the reference times, ns: work over the concurrency limit, and the longest elapsed time.
@@ -62,11 +63,14 @@
     /// At the reference times: the most by which one of them would end after its deadline, if the first of
     /// them began at the epoch; ns.
     pub lateness: f64,
+    /// The first to reject for a missed deadline.
     pub last_to_arrive: DeadlineOrder,
+    /// The first to reject when memory is short.
     pub newest: MemoryOrder,
 }
 
 impl Summary {
+    /// The summary of no entries.
     pub fn of_none() -> Self {
         Self { lateness: f64::NEG_INFINITY, ..Self::default() }
     }
--- a/crates/simulator-adapter/src/codec/batch.rs
+++ b/crates/simulator-adapter/src/codec/batch.rs
@@ -5,6 +5,7 @@
 use std::io::Read;
 
 const HEADER_BYTES: usize = 16;
+/// Bytes of an event record.
 pub const RECORD_BYTES: usize = 56;
 /// Longest batch that is read.
 const BATCH_BYTES_MAX: usize = 1 << 30;
--- a/crates/simulator-adapter/src/codec/event.rs
+++ b/crates/simulator-adapter/src/codec/event.rs
@@ -93,6 +93,7 @@
 }
 
 impl<'a> Event<'a> {
+    /// Decodes any record but one that names an instance.
     pub fn decode(record: Record<'a>) -> Result<Self, EventError> {
         let id = record.u64(offset::ID);
         Ok(match record.code() {
