--- a/crates/configuration/src/change.rs
+++ b/crates/configuration/src/change.rs
@@ -2,7 +2,7 @@
 //! configuration set.
 
 use crate::error::{Fault, KeyError};
-use crate::options::Options;
+use crate::options::{Options, UTILIZATION_LEAST, UTILIZATION_MOST};
 use crate::shared_state::TOTAL_MOST;
 use crate::tenants::{WEIGHT_LEAST, WEIGHT_MOST};
 use crate::xml::{Element, Result, in_file, parse, read_file};
@@ -16,9 +16,6 @@
 const TENANT_WEIGHT: &str = "tenants/tenant/";
 const TARGET_UTILIZATION: &str = "control/reference";
 const BUDGET_TOTAL: &str = "shared-state/budget/total";
-/// Bounds of the target utilization, a share of the cores.
-const UTILIZATION_LEAST: f64 = 0.05;
-const UTILIZATION_MOST: f64 = 1.0;
 
 /// One key of a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/configuration/src/membership.rs
+++ b/crates/configuration/src/membership.rs
@@ -1,7 +1,7 @@
 //! `<membership>`: the fleet's view by SWIM over UDP.
 
 use crate::error::Fault;
-use crate::xml::{Element, Result};
+use crate::xml::{Element, Result, milliseconds};
 use roxmltree::{Document, Node};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -62,8 +62,9 @@
     element.required("fleet")?;
     let fleet = plain_name(&element, "fleet")?;
     let key_file = PathBuf::from(element.required("key-file")?);
-    let probe_period = element.duration_ns("probe-period-ms", 1_000_000_000, 10, 60_000)?;
-    let probe_rtt = element.duration_ns("probe-rtt-ms", probe_period * 2 / 5, 1, 60_000)?;
+    let probe_period = element.duration_ns("probe-period-ms", 1_000, 10, 60_000)?;
+    let probe_period_ms = milliseconds(probe_period);
+    let probe_rtt = element.duration_ns("probe-rtt-ms", probe_period_ms * 2 / 5, 1, 60_000)?;
     if probe_rtt >= probe_period {
         return Err(element.error(Fault::ProbeTime));
     }
@@ -79,8 +80,8 @@
         probe_rtt,
         suspicion_multiplier: element.whole("suspicion-multiplier", 4, 1, 60)? as u32,
         expected_members: element.whole("expected-members", 64, 1, 100_000)? as u32,
-        gossip_period: element.duration_ns("gossip-period-ms", 200_000_000, 10, 60_000)?,
-        announce_period: element.duration_ns("announce-period-ms", 10_000_000_000, 100, 600_000)?,
+        gossip_period: element.duration_ns("gossip-period-ms", 200, 10, 60_000)?,
+        announce_period: element.duration_ns("announce-period-ms", 10_000, 100, 600_000)?,
         bytes_a_second: element.whole("bytes-a-second", 200_000, 6_000, 1_000_000_000)? as u64,
     })
 }
--- a/crates/configuration/src/options.rs
+++ b/crates/configuration/src/options.rs
@@ -15,8 +15,8 @@
 const CHILDREN: &[&str] =
     &["tenants", "tokens", "calls", "membership", "shared-state", "rollout", "replication", "control"];
 /// Bounds of `<control reference>`, a share of the cores, and what a file without it means.
-const UTILIZATION_LEAST: f64 = 0.05;
-const UTILIZATION_MOST: f64 = 1.0;
+pub(crate) const UTILIZATION_LEAST: f64 = 0.05;
+pub(crate) const UTILIZATION_MOST: f64 = 1.0;
 const UTILIZATION_DEFAULT: f64 = 0.9;
 
 /// All that an options file may name; what is absent is off.
--- a/crates/configuration/src/plan.rs
+++ b/crates/configuration/src/plan.rs
@@ -50,7 +50,7 @@
         let thresholds = read_thresholds(&root)?;
         let (candidate, kind) = read_candidate(&root)?;
         let stages = read_stages(&document, &root)?;
-        let interval = root.duration_ns("interval-ms", 1_000_000_000, 50, 60_000)?;
+        let interval = root.duration_ns("interval-ms", 1_000, 50, 60_000)?;
         let plan = Plan {
             name: root.required("name")?.to_string(),
             candidate: 0,
@@ -59,9 +59,9 @@
             on_regression,
             thresholds,
             interval,
-            settle_time: root.duration_ns("settled-ms", 5_000_000_000, 0, 600_000)?,
+            settle_time: root.duration_ns("settled-ms", 5_000, 0, 600_000)?,
             warm_up: root.duration_ns("warm-up-ms", 0, 0, 3_600_000)?,
-            response_timeout: root.duration_ns("patience-ms", 30_000_000_000, 50, 3_600_000)?,
+            response_timeout: root.duration_ns("patience-ms", 30_000, 50, 3_600_000)?,
         };
         plan.check().map_err(|fault| root.error(Fault::Plan(fault)))?;
         Ok(PlanFile { candidate, plan })
--- a/crates/configuration/src/replication.rs
+++ b/crates/configuration/src/replication.rs
@@ -40,10 +40,10 @@
         zone: location_name(&element, "zone")?,
         file: PathBuf::from(element.required("file")?),
         replicas,
-        pull_period: element.duration_ns("pull-ms", 500_000_000, 10, 60_000)?,
+        pull_period: element.duration_ns("pull-ms", 500, 10, 60_000)?,
         bytes_a_second: element.whole("bytes-a-second", 12_000, 2_200, 100_000_000)? as u64,
-        stale_after: element.duration_ns("stale-ms", 60_000_000_000, 1_000, 86_400_000)?,
-        lease: element.duration_ns("lease-ms", 4_000_000_000, 100, 600_000)?,
+        stale_after: element.duration_ns("stale-ms", 60_000, 1_000, 86_400_000)?,
+        lease: element.duration_ns("lease-ms", 4_000, 100, 600_000)?,
     })
 }
 
--- a/crates/configuration/src/rollout.rs
+++ b/crates/configuration/src/rollout.rs
@@ -28,12 +28,12 @@
 pub(crate) fn read<'d>(document: &Document<'d>, node: Node<'_, 'd>) -> Result<Rollout> {
     let element = Element::new(document, node, ATTRIBUTES)?;
     let candidate = PathBuf::from(element.required("candidate")?);
-    element.required("servers")?;
+    let servers = element.required_whole("servers", 1, SERVERS_MAX)? as u64;
     Ok(Rollout {
         candidate,
         program: element.text("program").map(PathBuf::from),
-        servers: element.whole("servers", 0, 1, SERVERS_MAX)? as u64,
+        servers,
         voters: element.names_of_children("voter")?,
-        lease: element.duration_ns("lease-ms", 4_000_000_000, 100, 600_000)?,
+        lease: element.duration_ns("lease-ms", 4_000, 100, 600_000)?,
     })
 }
--- a/crates/configuration/src/shared_state.rs
+++ b/crates/configuration/src/shared_state.rs
@@ -70,7 +70,7 @@
 
 pub(crate) fn read<'d>(document: &Document<'d>, node: Node<'_, 'd>) -> Result<SharedState> {
     let element = Element::new(document, node, &["gossip-ms"])?;
-    let gossip = element.duration_ns("gossip-ms", 500_000_000, 10, 60_000)?;
+    let gossip = element.duration_ns("gossip-ms", 500, 10, 60_000)?;
     let (mut budget, mut tier) = (None, None);
     for child in element.children(&["budget", "tier"], &[])? {
         match child.tag_name().name() {
@@ -83,18 +83,15 @@
 
 fn read_budget<'d>(document: &Document<'d>, node: Node<'_, 'd>) -> Result<Budget> {
     let element = Element::new(document, node, BUDGET)?;
-    let count = |attribute: &str| {
-        element.required(attribute)?;
-        element.whole(attribute, 0, 1, TOTAL_MOST).map(|whole| whole as u64)
-    };
+    let count = |attribute| element.required_whole(attribute, 1, TOTAL_MOST).map(|whole| whole as u64);
     let voters = element.names_of_children("voter")?;
     Ok(Budget {
         name: element.required("name")?.to_string(),
         total: count("total")?,
         servers: count("servers")?,
         floor: element.whole("floor", 0, 0, TOTAL_MOST)? as u64,
-        lease: element.duration_ns("lease-ms", 4_000_000_000, 100, 600_000)?,
-        use_most: element.duration_ns("use-most-ms", 1_000_000_000, 1, 600_000)?,
+        lease: element.duration_ns("lease-ms", 4_000, 100, 600_000)?,
+        use_most: element.duration_ns("use-most-ms", 1_000, 1, 600_000)?,
         voters,
     })
 }
@@ -114,7 +111,7 @@
     Ok(Tier {
         reports: element.whole("reports", 2, 1, 1000)?,
         share_thousandths: (share * 1000.0).round() as usize,
-        expiry: element.duration_ns("expiry-ms", 5_000_000_000, 100, 600_000)?,
+        expiry: element.duration_ns("expiry-ms", 5_000, 100, 600_000)?,
         services,
     })
 }
--- a/crates/configuration/src/tenants.rs
+++ b/crates/configuration/src/tenants.rs
@@ -2,7 +2,7 @@
 
 use crate::error::Fault;
 use crate::idempotency_keys::free_field;
-use crate::xml::{Element, Result};
+use crate::xml::{Element, Result, milliseconds};
 use meadowstream_fair_queueing::{NamedTenant, Settings};
 use roxmltree::{Document, Node};
 use std::collections::HashSet;
@@ -149,8 +149,8 @@
 }
 
 fn read_share(element: &Element, fair: &mut Settings) -> Result<()> {
-    fair.burst = element.duration_ns("at-once-ms", fair.burst, 1, 3_600_000)?;
-    fair.probation = element.duration_ns("probation-ms", fair.probation, 0, 3_600_000)?;
-    fair.return_grace = element.duration_ns("late-ms", fair.return_grace, 1, 60_000)?;
+    fair.burst = element.duration_ns("at-once-ms", milliseconds(fair.burst), 1, 3_600_000)?;
+    fair.probation = element.duration_ns("probation-ms", milliseconds(fair.probation), 0, 3_600_000)?;
+    fair.return_grace = element.duration_ns("late-ms", milliseconds(fair.return_grace), 1, 60_000)?;
     Ok(())
 }
--- a/crates/configuration/src/xml.rs
+++ b/crates/configuration/src/xml.rs
@@ -14,6 +14,11 @@
 const NODES_MAX: u32 = 200_000;
 const NANOS_PER_MS: u64 = 1_000_000;
 
+/// Whole milliseconds of a default that is in nanoseconds.
+pub(crate) fn milliseconds(duration_ns: u64) -> usize {
+    (duration_ns / NANOS_PER_MS) as usize
+}
+
 /// What reading settings results in.
 pub(crate) type Result<T> = std::result::Result<T, ConfigurationError>;
 
@@ -159,15 +164,20 @@
         })
     }
 
-    /// Milliseconds in the file, nanoseconds as a result and as the default.
+    /// A whole number within bounds that has to be given.
+    pub(crate) fn required_whole(&self, attribute: &str, least: usize, most: usize) -> Result<usize> {
+        self.required(attribute)?;
+        self.whole(attribute, least, least, most)
+    }
+
+    /// A duration in nanoseconds. The file, the default and the bounds have milliseconds.
     pub(crate) fn duration_ns(
         &self,
         attribute: &str,
-        default_ns: u64,
+        default_ms: usize,
         least_ms: usize,
         most_ms: usize,
     ) -> Result<u64> {
-        let default_ms = (default_ns / NANOS_PER_MS) as usize;
         let ms = self.whole(attribute, default_ms, least_ms, most_ms)?;
         Ok(ms as u64 * NANOS_PER_MS)
     }
