--- a/crates/capacity/src/day/run.rs
+++ b/crates/capacity/src/day/run.rs
@@ -3,11 +3,11 @@
 use super::Scale;
 use super::schedule::Event;
 use crate::scale::SECOND_NS;
-use crate::topology::{self, Place};
+use crate::topology::{self, CUT_REGION, CUT_ZONE, Place};
 use meadowstream_membership::Nanos;
 use meadowstream_replication::change::Change;
 use meadowstream_replication::message::Location;
-use meadowstream_replication::simulation::{EventQueue, Fleet, Layout};
+use meadowstream_replication::simulation::{Delay, EventQueue, Fleet, Layout};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::Rng;
 use std::collections::BTreeMap;
@@ -23,9 +23,6 @@
 const KEYS_PER_CHANGE: usize = 200;
 /// Changes that may still be on their way to a server that stops.
 const RECENT_CHANGES: usize = 20;
-/// The region and the zone that are cut off.
-const CUT_REGION: usize = 2;
-const CUT_ZONE: usize = 9;
 
 /// A change that was accepted by the leader.
 pub(super) struct PublishedChange {
@@ -72,7 +69,7 @@
     Location { region: place.region_name(), zone: place.zone_name() }
 }
 
-fn delay(from: usize, to: usize) -> (Nanos, Nanos) {
+fn delay(from: usize, to: usize) -> Delay {
     topology::delay(Place::of(from), Place::of(to))
 }
 
@@ -161,6 +158,7 @@
         (REPLICAS..self.servers).filter(|server| Place::of(*server).rack == rack).collect()
     }
 
+    /// Proposes a change of one key to the leader.
     fn propose(&mut self, change: usize) {
         let value = (1 + change % 9).to_string();
         let Some(number) = self.fleet.propose(vec![Change::set(&key(change % KEYS), &value)]) else {
@@ -178,6 +176,7 @@
         self.published.push(PublishedChange { at: self.fleet.now(), number, receivers });
     }
 
+    /// Servers that stop while changes are on their way are not measured for these.
     fn remove_receivers(&mut self, is_gone: impl Fn(&usize) -> bool) {
         for change in self.published.iter_mut().rev().take(RECENT_CHANGES) {
             change.receivers.retain(|server| !is_gone(server));
@@ -203,6 +202,7 @@
         }
     }
 
+    /// A server is reached again: its time to catch up is measured from now.
     fn record_return(&mut self, server: usize, had_empty_disk: bool) {
         let (at, newest) = (self.fleet.now(), self.newest);
         self.returned.push(ReturnedServer { at, server, newest, had_empty_disk });
--- a/crates/capacity/src/day/summary.rs
+++ b/crates/capacity/src/day/summary.rs
@@ -44,8 +44,8 @@
         change.receivers.iter().map(seconds).collect()
     }
 
-    /// The longest that returned servers took to catch up, in seconds. A server that returned several times is
-    /// measured from its last return.
+    /// The longest that returned servers took to catch up, in seconds. A server that returned several times
+    /// is measured from its last return.
     fn longest_catch_up(&self, returned: &[ReturnedServer], had_empty_disk: bool) -> f64 {
         let is_last = |one: &ReturnedServer| {
             !returned.iter().any(|other| other.server == one.server && other.at > one.at)
@@ -59,7 +59,11 @@
 
     /// The changes that took longest, each with its slowest receiver.
     fn slowest(&self, run: &Run) -> Vec<String> {
-        let mut slowest: Vec<(f64, String)> = Vec::new();
+        struct SlowChange {
+            seconds: f64,
+            description: String,
+        }
+        let mut slowest: Vec<SlowChange> = Vec::new();
         for change in &run.published {
             let seconds = |server: &usize| {
                 let seconds = self.seconds_until(*server, change.at, change.number);
@@ -69,11 +73,12 @@
             if let Some((took, server)) = last {
                 let at = (change.at - run.started_at) as f64 / SECOND_NS as f64;
                 let number = change.number;
-                slowest.push((took, format!("{took:.1} s: s{server} to {number} published at {at:.0} s")));
+                let description = format!("{took:.1} s: s{server} to {number} published at {at:.0} s");
+                slowest.push(SlowChange { seconds: took, description });
             }
         }
-        slowest.sort_by(|a, b| b.0.total_cmp(&a.0));
-        slowest.into_iter().take(SLOWEST_MAX).map(|(_, description)| description).collect()
+        slowest.sort_by(|a, b| b.seconds.total_cmp(&a.seconds));
+        slowest.into_iter().take(SLOWEST_MAX).map(|change| change.description).collect()
     }
 }
 
@@ -83,6 +88,7 @@
     sorted.get((last as f64 * share).round() as usize).copied().unwrap_or(f64::NAN)
 }
 
+/// The figures of a day that is over.
 pub(super) fn summary(scale: &Scale, run: &Run, costs: Costs) -> Day {
     let applications = Applications::of(run);
     let (mut each, mut everywhere) = (Vec::new(), Vec::new());
--- a/crates/capacity/src/fleet.rs
+++ b/crates/capacity/src/fleet.rs
@@ -7,7 +7,7 @@
 use crate::topology::{self, Place};
 use meadowstream_membership::{Nanos, Transmit};
 use meadowstream_replication::message::Location;
-use meadowstream_replication::simulation::EventQueue;
+use meadowstream_replication::simulation::{Delay, EventQueue};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use std::cmp::Reverse;
@@ -42,7 +42,9 @@
     cuts: HashSet<(u32, u32)>,
     /// Share of datagrams lost, 0 to 1.
     pub loss: f64,
+    /// Datagrams on their way.
     network: EventQueue<Delivery>,
+    /// At least one of each server that runs; those that it has set since are among them.
     timers: BinaryHeap<Reverse<Timer>>,
     rng: ChaCha8Rng,
     now: Nanos,
@@ -117,6 +119,7 @@
         SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::new(127, 1, high, low), PORT))
     }
 
+    /// The server with an address, where there may be one.
     fn index(address: SocketAddr) -> Option<usize> {
         let SocketAddr::V4(address) = address else { return None };
         let [_, _, high, low] = address.ip().octets();
@@ -204,7 +207,7 @@
             if lost || self.is_cut(from, to) {
                 continue;
             }
-            let (least, jitter) = topology::delay(Place::of(from), Place::of(to));
+            let Delay { least, jitter } = topology::delay(Place::of(from), Place::of(to));
             let at = self.now + least + self.rng.next_u64() % jitter;
             self.network.push(at, Delivery { to, from, datagram });
         }
@@ -264,8 +267,8 @@
         })
     }
 
-    /// Plays until `is_done`, which is looked at after each `step`; how long it took, in nanoseconds, or `None`
-    /// where it took longer than `limit`.
+    /// Plays until `is_done`, which is looked at after each `step`; how long it took, in nanoseconds, or
+    /// `None` where it took longer than `limit`.
     pub fn run_until_done(
         &mut self,
         step: Nanos,
--- a/crates/capacity/src/incidents.rs
+++ b/crates/capacity/src/incidents.rs
@@ -5,7 +5,7 @@
 use crate::fleet::Fleet;
 use crate::per_server::PerServer;
 use crate::scale::{CONTROL_MACHINES, SECOND_NS, Scale, seeds, settings};
-use crate::topology::Place;
+use crate::topology::{CUT_REGION, CUT_ZONE, Place};
 use meadowstream_membership::Nanos;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
@@ -13,6 +13,7 @@
 
 /// Restarts and failures in a day of a fleet of [`STATED_SERVERS`].
 const RESTARTS_PER_DAY: f64 = 870.0 + 51.0;
+/// Servers of the fleet that the bounds are stated for.
 const STATED_SERVERS: f64 = 690.0;
 const DAY_SECONDS: f64 = 86_400.0;
 /// One view is waited for at most so long.
@@ -23,9 +24,6 @@
 const BURST_NS: Nanos = 10 * SECOND_NS;
 /// A lost rack comes back after so long.
 const RACK_LOST_NS: Nanos = 60 * SECOND_NS;
-/// The region and the zone that are cut off.
-const CUT_REGION: usize = 2;
-const CUT_ZONE: usize = 9;
 /// Servers restarted while the control machines are down: more than the rate says, so that some are.
 const RESTARTS_WITHOUT_CONTROL: usize = 12;
 
@@ -164,7 +162,8 @@
     (CONTROL_MACHINES..fleet.len()).map(of).collect()
 }
 
-/// The most bytes a second that one server sent over any [`BURST_NS`], by what each had sent after each second.
+/// The most bytes a second that one server sent over any [`BURST_NS`], by what each had sent after each
+/// second.
 fn burst_of_one_server(sent_by_second: &[Vec<u64>]) -> f64 {
     let span_seconds = (BURST_NS / SECOND_NS) as usize;
     let max_within = |span: &[Vec<u64>]| {
--- a/crates/replication/src/simulation/mod.rs
+++ b/crates/replication/src/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! Test harness: a fleet of [`Member`]s with disks on a simulated network in simulated time, deterministic from
-//! its seed. No I/O.
+//! Test harness: a fleet of [`Member`]s with disks on a simulated network in simulated time, deterministic
+//! from its seed. No I/O.
 //!
 //! At every step it checks what must never happen: two contents under one number, and a server that goes back
 //! to an older revision. Messages are lost, doubled, delayed and reordered as the [`Layout`] says; `faults`
@@ -19,7 +19,7 @@
 use crate::time::{MILLISECOND_NS, Nanos};
 use event::Event;
 pub use event_queue::EventQueue;
-pub use layout::{DelayFn, Layout, START_NS, member_name};
+pub use layout::{Delay, Layout, START_NS, member_name};
 use node::Node;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
--- a/crates/replication/src/simulation/network.rs
+++ b/crates/replication/src/simulation/network.rs
@@ -1,13 +1,14 @@
 //! The network between the nodes, the fleet's view, and the lease on leading.
 
 use super::event::Event;
-use super::{Fleet, member_name};
+use super::{Delay, Fleet, member_name};
 use crate::member::Outgoing;
 use rand_chacha::rand_core::Rng;
 use std::collections::HashSet;
 use std::sync::Arc;
 
 impl Fleet {
+    /// Whether no cut is between two nodes.
     fn reaches(&self, from: usize, to: usize) -> bool {
         !self.cuts.contains(&(self.nodes[from].group, self.nodes[to].group))
     }
@@ -31,7 +32,7 @@
             if self.chance(self.layout.loss) {
                 continue;
             }
-            let (least, jitter) = (self.layout.delay)(from, to);
+            let Delay { least, jitter } = (self.layout.delay)(from, to);
             let delay = least + self.rng.next_u64() % jitter.max(1);
             self.schedule(delay, Event::Message { to, from, body: body.clone() });
         }
@@ -52,6 +53,7 @@
         }
     }
 
+    /// Gives the lease to the first replica that reaches a majority and can write to its disk.
     fn move_lease(&mut self) {
         let living: Vec<usize> =
             (0..self.layout.replicas).filter(|replica| self.nodes[*replica].member.is_some()).collect();
