--- a/crates/server/src/configuration/load.rs
+++ b/crates/server/src/configuration/load.rs
@@ -5,14 +5,13 @@
 use crate::configuration::fleet::{fleet, shared};
 use crate::configuration::persisted_revision;
 use crate::configuration::{Configuration, platform_file};
-use crate::error::BoxError;
+use crate::error::{BoxError, with_causes};
 use meadowstream_configuration::Options;
 use meadowstream_configuration::change::overlay_replicated;
 use meadowstream_overload_control::TARGET_UTILIZATION;
 use meadowstream_replication::snapshot::Snapshot;
 use meadowstream_replication::state::State;
 use std::cell::RefCell;
-use std::error::Error;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
@@ -25,17 +24,6 @@
     pub replicated: Option<&'a State>,
 }
 
-/// An error with its causes, in one line.
-fn with_causes(error: &dyn Error) -> String {
-    let mut line = error.to_string();
-    let mut cause = error.source();
-    while let Some(error) = cause {
-        line += &format!(": {error}");
-        cause = error.source();
-    }
-    line
-}
-
 impl Configuration {
     /// The configuration at the start: by the last good revision of replicated configuration, if there is one
     /// on the server's disk and it can be used.
--- a/crates/server/src/configuration/mod.rs
+++ b/crates/server/src/configuration/mod.rs
@@ -12,6 +12,7 @@
 mod platform_file;
 
 pub use defaults::TENANT_FIELD;
+pub use error::LoadError;
 pub use load::Layers;
 
 use candidate::Candidate;
--- a/crates/server/src/fleet/replication.rs
+++ b/crates/server/src/fleet/replication.rs
@@ -2,6 +2,7 @@
 //! is checked and written to disk on the blocking pool before it is in force, and what becomes of it is
 //! reported.
 
+use crate::error::with_causes;
 use crate::fleet::shared_state::Shared;
 use crate::lifecycle::reload;
 use crate::server::Server;
@@ -176,6 +177,6 @@
 ) {
     let number = snapshot.number();
     let outcome = reload::apply_replicated(&server, snapshot, saved, file).await;
-    let rejected = outcome.err().map(|error| format!("{error:#}"));
+    let rejected = outcome.err().map(|error| with_causes(&error));
     let _ = outcomes.send(Outcome { number, rejected }).await;
 }
--- a/crates/server/src/fleet/rollout.rs
+++ b/crates/server/src/fleet/rollout.rs
@@ -3,19 +3,45 @@
 //! a crash does not change it.
 
 use crate::configuration::candidate::hash_of;
+use crate::error::with_causes;
 use crate::fleet::rollout_state::{LastOrder, OwnProgram, Rollout};
 use crate::lifecycle::files;
 use crate::lifecycle::reload;
+use crate::lifecycle::reload::ReloadError;
 use crate::server::Server;
-use anyhow::Context;
 use meadowstream_rollout::plan::ChangeKind;
 use meadowstream_rollout::wire::{Order, Report};
+use std::io::Error;
+use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use tracing::{info, warn};
 
 /// Longest reason of a refusal in a report, in characters.
 const REASON_MAX: usize = 200;
 
+/// Why an order of a rollout was refused; the server runs what it ran before.
+#[derive(Debug, thiserror::Error)]
+enum AdoptError {
+    #[error("cannot take back the mark on disk")]
+    RemoveMark(#[source] Error),
+    #[error("cannot put the mark on disk")]
+    WriteMark(#[source] Error),
+    #[error(transparent)]
+    Reload(#[from] ReloadError),
+    #[error("<rollout>: program is not in the options")]
+    NoProgram,
+    #[error("cannot read {path}")]
+    ReadProgram {
+        path: PathBuf,
+        #[source]
+        error: Error,
+    },
+    #[error("{path} has the hash {found:016x}, not {expected:016x}")]
+    OtherProgram { path: PathBuf, found: u64, expected: u64 },
+    #[error(transparent)]
+    ProgramMark(Error),
+}
+
 /// Reads the program's own file where a rollout may change it. It is large, so it is read on the blocking pool
 /// after the start, and callers of a restarted server do not wait for it.
 pub async fn read_program(server: Rc<Server>) {
@@ -111,20 +137,20 @@
 }
 
 /// The mark goes first: after a crash between both steps the server starts with its own settings.
-async fn adopt_own(server: &Rc<Server>, rollout: &Rollout) -> anyhow::Result<()> {
+async fn adopt_own(server: &Rc<Server>, rollout: &Rollout) -> Result<(), AdoptError> {
     let mark = rollout.candidate.mark.clone();
     let removed = blocking::unblock(move || files::remove(&mark)).await;
-    removed.context("cannot take back the mark on disk")?;
-    reload::adopt(server, None).await
+    removed.map_err(AdoptError::RemoveMark)?;
+    Ok(reload::adopt(server, None).await?)
 }
 
 /// The mark is written last: after a crash between both steps the server starts with its own settings.
-async fn adopt_candidate(server: &Rc<Server>, rollout: &Rollout, hash: u64) -> anyhow::Result<()> {
+async fn adopt_candidate(server: &Rc<Server>, rollout: &Rollout, hash: u64) -> Result<(), AdoptError> {
     reload::adopt(server, Some(hash)).await?;
     let mark = rollout.candidate.mark.clone();
     let line = format!("{hash:016x}\n");
     let written = blocking::unblock(move || files::write(&mark, line.as_bytes())).await;
-    written.context("cannot put the mark on disk")
+    written.map_err(AdoptError::WriteMark)
 }
 
 /// Names the program to be started next in the mark, or removes the mark, and has the server leave as at a
@@ -133,15 +159,7 @@
     let Some(rollout) = &server.rollout else { return };
     let mark = rollout.candidate.program_mark.clone();
     let program = rollout.candidate.program.clone();
-    let changed = blocking::unblock(move || -> anyhow::Result<()> {
-        let Some(hash) = adopt else { return Ok(files::remove(&mark)?) };
-        let program = program.context("<rollout>: program is not in the options")?;
-        let shown = program.display();
-        let found = hash_of(&std::fs::read(&program).with_context(|| format!("cannot read {shown}"))?);
-        anyhow::ensure!(found == hash, "{shown} has the hash {found:016x}, not {hash:016x}");
-        Ok(files::write(&mark, format!("{hash:016x} {shown}\n").as_bytes())?)
-    })
-    .await;
+    let changed = blocking::unblock(move || set_program_mark(&mark, program, adopt)).await;
     match changed {
         Ok(()) => {
             info!(target: "fleet", program = adopt.is_some(), "ends for another program");
@@ -156,8 +174,23 @@
     }
 }
 
-fn refuse(rollout: &Rollout, error: &anyhow::Error) {
-    let why: String = format!("{error:#}").chars().take(REASON_MAX).collect();
+fn set_program_mark(mark: &Path, program: Option<PathBuf>, adopt: Option<u64>) -> Result<(), AdoptError> {
+    let Some(expected) = adopt else { return files::remove(mark).map_err(AdoptError::ProgramMark) };
+    let path = program.ok_or(AdoptError::NoProgram)?;
+    let bytes = match std::fs::read(&path) {
+        Ok(bytes) => bytes,
+        Err(error) => return Err(AdoptError::ReadProgram { path, error }),
+    };
+    let found = hash_of(&bytes);
+    if found != expected {
+        return Err(AdoptError::OtherProgram { path, found, expected });
+    }
+    let line = format!("{expected:016x} {}\n", path.display());
+    files::write(mark, line.as_bytes()).map_err(AdoptError::ProgramMark)
+}
+
+fn refuse(rollout: &Rollout, error: &AdoptError) {
+    let why: String = with_causes(error).chars().take(REASON_MAX).collect();
     warn!(target: "fleet", why, "an order of a rollout was refused");
     *rollout.refused.borrow_mut() = Some(why);
 }
--- a/crates/server/src/lifecycle/mod.rs
+++ b/crates/server/src/lifecycle/mod.rs
@@ -6,5 +6,6 @@
 pub mod drain;
 pub mod files;
 pub mod reload;
+mod reload_check;
 pub mod signals;
 pub mod start;
--- a/crates/server/src/lifecycle/reload.rs
+++ b/crates/server/src/lifecycle/reload.rs
@@ -5,25 +5,68 @@
 
 use crate::configuration::Configuration;
 use crate::configuration::Layers;
+use crate::configuration::LoadError;
 use crate::configuration::candidate::Candidate;
 use crate::configuration::candidate::hash_of;
+use crate::error::with_causes;
 use crate::event::Event;
 use crate::lifecycle::changes::TenantNames;
 use crate::lifecycle::files;
+use crate::lifecycle::reload_check::{RestartRequired, changed_tenants, check_unchanged};
 use crate::server::Server;
-use anyhow::{Context, Result, ensure};
 use meadowstream_configuration::{Options, Tenants};
 use meadowstream_fair_queueing::SettingsChange;
 use meadowstream_replication::persistence;
 use meadowstream_replication::persistence::PersistedState;
 use meadowstream_replication::snapshot::Snapshot;
-use meadowstream_shared_state::budget::BudgetSettings;
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tracing::{info, warn};
 
+/// Why a change of settings was refused; nothing has changed then.
+#[derive(Debug, thiserror::Error)]
+pub enum ReloadError {
+    /// The settings of a rollout cannot be read.
+    #[error("cannot read {path}")]
+    Read {
+        /// Their file.
+        path: PathBuf,
+        /// Why not.
+        #[source]
+        error: std::io::Error,
+    },
+    /// The settings of a rollout are others than were ordered.
+    #[error("{path} has the hash {found:016x}, not {expected:016x}")]
+    OtherHash {
+        /// Their file.
+        path: PathBuf,
+        /// Its hash.
+        found: u64,
+        /// The hash that was ordered.
+        expected: u64,
+    },
+    /// The configuration cannot be used.
+    #[error(transparent)]
+    Load(#[from] LoadError),
+    /// It changes what only a restart changes.
+    #[error(transparent)]
+    RestartRequired(#[from] RestartRequired),
+    /// The revision cannot be written to disk.
+    #[error("cannot write {path}")]
+    Write {
+        /// Its file.
+        path: PathBuf,
+        /// Why not.
+        #[source]
+        error: std::io::Error,
+    },
+    /// The options have no rollouts.
+    #[error("<rollout> is not in the options")]
+    NoRollout,
+}
+
 /// The files of a change to be read, and the options in force to compare them with.
 struct Request {
     path: PathBuf,
@@ -45,13 +88,14 @@
 
 impl Request {
     /// Reads and compares; runs on the blocking pool.
-    fn prepare(self) -> Result<Prepared> {
+    fn prepare(self) -> Result<Prepared, ReloadError> {
         let change = self.change.as_ref().map(|(path, _)| path.as_path());
         if let Some((path, hash)) = &self.change {
-            let shown = path.display();
-            let bytes = std::fs::read(path).with_context(|| format!("cannot read {shown}"))?;
-            let found = hash_of(&bytes);
-            ensure!(found == *hash, "{shown} has the hash {found:016x}, not {hash:016x}");
+            let unreadable = |error| ReloadError::Read { path: path.clone(), error };
+            let (found, expected) = (hash_of(&std::fs::read(path).map_err(unreadable)?), *hash);
+            if found != expected {
+                return Err(ReloadError::OtherHash { path: path.clone(), found, expected });
+            }
         }
         let replicated = self.replicated.as_ref().map(|snapshot| &snapshot.state);
         let layers = Layers { change, replicated };
@@ -60,14 +104,14 @@
         let (mut retunes, mut tenant_names) = (Vec::new(), None);
         {
             let new = configuration.options.borrow();
-            if let Some((before, after)) = tenants_changed(&self.in_force, &new)? {
+            if let Some((before, after)) = changed_tenants(&self.in_force, &new)? {
                 retunes = SettingsChange::between(&before.fair, &after.fair);
                 tenant_names = Some(names_of(after));
             }
         }
         if let Some((file, saved)) = self.write {
-            files::write(&file, &persistence::encode(&saved))
-                .with_context(|| format!("cannot write {}", file.display()))?;
+            let written = files::write(&file, &persistence::encode(&saved));
+            written.map_err(|error| ReloadError::Write { path: file, error })?;
         }
         Ok(Prepared { configuration, retunes, tenant_names })
     }
@@ -78,22 +122,6 @@
     Arc::new(tenants.fair.named.iter().map(|(name, _)| name.clone()).collect())
 }
 
-/// Weights and how much may be used at once may change while the server runs; an error names what may not.
-fn tenants_changed<'a>(
-    before: &'a Options,
-    after: &'a Options,
-) -> Result<Option<(&'a Tenants, &'a Tenants)>> {
-    let Some((before, after)) = before.tenants.as_ref().zip(after.tenants.as_ref()) else {
-        let same = before.tenants.is_some() == after.tenants.is_some();
-        ensure!(same, "tenants: telling them apart or not takes a restart");
-        return Ok(None);
-    };
-    let ways = (&before.source, before.origin, before.surplus_value);
-    ensure!(ways == (&after.source, after.origin, after.surplus_value), "tenants: this takes a restart");
-    ensure!(before.fair.bytes_max() == after.fair.bytes_max(), "ceilings: others take a restart");
-    Ok(Some((before, after)))
-}
-
 /// Reads the files again and puts them in force; files that cannot be used change nothing. Connections to
 /// addresses that are the same stay. Signals that come while a reload waits are one with it.
 pub async fn reload(server: Rc<Server>) {
@@ -105,7 +133,7 @@
     let (change, replicated) = (adopted(&server), server.configuration.replicated.borrow().clone());
     if let Err(error) = apply(&server, change, replicated, None).await {
         server.counters.reloads_refused.add();
-        warn!("configuration kept as it was: {error:#}");
+        warn!("configuration kept as it was: {}", with_causes(&error));
     }
 }
 
@@ -121,16 +149,16 @@
     snapshot: Snapshot,
     saved: PersistedState,
     file: PathBuf,
-) -> Result<()> {
+) -> Result<(), ReloadError> {
     let _turn = server.changes.lock.lock().await;
     apply(server, adopted(server), Some(snapshot), Some((file, saved))).await
 }
 
 /// Adopts the settings of a rollout, by their hash, or the server's own again; an error leaves all as it is.
-pub async fn adopt(server: &Rc<Server>, change: Option<u64>) -> Result<()> {
+pub async fn adopt(server: &Rc<Server>, change: Option<u64>) -> Result<(), ReloadError> {
     let _turn = server.changes.lock.lock().await;
     let candidate = server.configuration.candidate.borrow().clone();
-    let candidate = candidate.context("<rollout> is not in the options")?;
+    let candidate = candidate.ok_or(ReloadError::NoRollout)?;
     let replicated = server.configuration.replicated.borrow().clone();
     apply(server, change.map(|hash| (candidate.path.clone(), hash)), replicated, None).await?;
     *server.configuration.candidate.borrow_mut() = Some(Candidate { adopted: change, ..candidate });
@@ -143,7 +171,7 @@
     change: Option<(PathBuf, u64)>,
     replicated: Option<Snapshot>,
     write: Option<(PathBuf, PersistedState)>,
-) -> Result<()> {
+) -> Result<(), ReloadError> {
     let configuration = &server.configuration;
     let request = Request {
         path: configuration.path.clone(),
@@ -180,38 +208,8 @@
     Ok(())
 }
 
-/// What only a restart changes.
-fn check_unchanged(old: &Configuration, new: &Configuration) -> Result<()> {
-    ensure!((&new.name, new.listen) == (&old.name, old.listen), "name, listen: another takes a restart");
-    let calls = |configuration: &Configuration| configuration.addresses.get().records.is_some();
-    ensure!(calls(old) == calls(new), "records: a call more or less takes a restart");
-    {
-        let (before, after) = (old.options.borrow(), new.options.borrow());
-        let same =
-            (&before.idempotency_keys, &before.skipped_call_reply, &before.rollout, &before.replication)
-                == (&after.idempotency_keys, &after.skipped_call_reply, &after.rollout, &after.replication);
-        ensure!(same, "options: <tokens>, <calls>, <rollout>, <replication>: others take a restart");
-    }
-    let fleet = |c: &Configuration| {
-        c.membership.as_ref().map(|f| (f.bind, f.advertise, f.name.clone(), f.seeds.clone()))
-    };
-    let same = fleet(old) == fleet(new)
-        && old.membership.as_ref().map(|f| &f.settings) == new.membership.as_ref().map(|f| &f.settings);
-    ensure!(same, "options: <membership>: another takes a restart");
-    let plans = |c: &Configuration| {
-        let shared = c.membership.as_ref().and_then(|fleet| fleet.shared.as_ref());
-        // A total may change while leases stand.
-        let total = |plan: &BudgetSettings| BudgetSettings { total: 0, ..plan.clone() };
-        let plans = shared.map(|shared| shared.budgets.iter().map(total).collect::<Vec<_>>());
-        let tier = c.membership.as_ref().map(|fleet| fleet.tier.clone());
-        (plans, shared.map(|shared| (shared.gossip_interval, shared.outlier_detection.clone())), tier)
-    };
-    ensure!(plans(old) == plans(new), "options: <shared-state>: all but a total takes a restart");
-    Ok(())
-}
-
-/// Tells all who go by settings that these are others now. `longest` is the longest pause of the serving
-/// thread so far; the module's owner adds its own.
+/// Puts the settings in force in the event loop and the shared state. `longest` is the longest pause of the
+/// serving thread so far; the event loop adds its own.
 async fn announce(server: &Server, retunes: Vec<SettingsChange>, longest: Duration) {
     server.counters.reloads.add();
     let reference = server.configuration.target_utilization.get();
--- /dev/null
+++ b/crates/server/src/lifecycle/reload_check.rs
@@ -0,0 +1,99 @@
+//! What a change of settings while the server runs may not touch.
+
+use crate::configuration::Configuration;
+use crate::configuration::fleet::Fleet;
+use meadowstream_configuration::{Options, Tenants};
+use meadowstream_shared_state::budget::BudgetSettings;
+
+/// A setting that only a restart changes.
+#[derive(Debug, PartialEq, thiserror::Error)]
+pub enum RestartRequired {
+    /// The name or the address for callers.
+    #[error("name, listen: another takes a restart")]
+    NameOrAddress,
+    /// Whether there is a service to call.
+    #[error("records: a call more or less takes a restart")]
+    Records,
+    /// An element of the options that is read at the start.
+    #[error("options: <tokens>, <calls>, <rollout>, <replication>: others take a restart")]
+    Options,
+    /// The membership.
+    #[error("options: <membership>: another takes a restart")]
+    Membership,
+    /// The shared state, but for the total of its budget.
+    #[error("options: <shared-state>: all but a total takes a restart")]
+    SharedState,
+    /// Whether tenants are told apart.
+    #[error("tenants: telling them apart or not takes a restart")]
+    Tenants,
+    /// How tenants are told apart.
+    #[error("tenants: this takes a restart")]
+    TenantSource,
+    /// How much memory their accounts take.
+    #[error("ceilings: others take a restart")]
+    Ceilings,
+}
+
+fn require(is_same: bool, otherwise: RestartRequired) -> Result<(), RestartRequired> {
+    if is_same { Ok(()) } else { Err(otherwise) }
+}
+
+/// Refuses a configuration in which anything differs that only a restart changes.
+pub fn check_unchanged(old: &Configuration, new: &Configuration) -> Result<(), RestartRequired> {
+    let is_same = (&new.name, new.listen) == (&old.name, old.listen);
+    require(is_same, RestartRequired::NameOrAddress)?;
+    let has_records = |one: &Configuration| one.addresses.get().records.is_some();
+    require(has_records(old) == has_records(new), RestartRequired::Records)?;
+    require(has_same_options(&old.options.borrow(), &new.options.borrow()), RestartRequired::Options)?;
+    let (old, new) = (old.membership.as_ref(), new.membership.as_ref());
+    require(has_same_membership(old, new), RestartRequired::Membership)?;
+    require(has_same_shared_state(old, new), RestartRequired::SharedState)
+}
+
+fn has_same_options(old: &Options, new: &Options) -> bool {
+    old.idempotency_keys == new.idempotency_keys
+        && old.skipped_call_reply == new.skipped_call_reply
+        && old.rollout == new.rollout
+        && old.replication == new.replication
+}
+
+fn has_same_membership(old: Option<&Fleet>, new: Option<&Fleet>) -> bool {
+    let (Some(old), Some(new)) = (old, new) else { return old.is_some() == new.is_some() };
+    old.bind == new.bind
+        && old.advertise == new.advertise
+        && old.name == new.name
+        && old.seeds == new.seeds
+        && old.settings == new.settings
+}
+
+/// The total of a budget may change while leases stand.
+fn has_same_shared_state(old: Option<&Fleet>, new: Option<&Fleet>) -> bool {
+    let (Some(old), Some(new)) = (old, new) else { return old.is_some() == new.is_some() };
+    if old.tier != new.tier {
+        return false;
+    }
+    let (Some(old), Some(new)) = (&old.shared, &new.shared) else {
+        return old.shared.is_some() == new.shared.is_some();
+    };
+    let without_total = |budget: &BudgetSettings| BudgetSettings { total: 0, ..budget.clone() };
+    old.budgets.iter().map(without_total).eq(new.budgets.iter().map(without_total))
+        && old.gossip_interval == new.gossip_interval
+        && old.outlier_detection == new.outlier_detection
+}
+
+/// The tenants before and after a change; `None` where they are not told apart. Weights and quotas may change
+/// while the server runs.
+pub fn changed_tenants<'a>(
+    old: &'a Options,
+    new: &'a Options,
+) -> Result<Option<(&'a Tenants, &'a Tenants)>, RestartRequired> {
+    let (Some(old), Some(new)) = (&old.tenants, &new.tenants) else {
+        require(old.tenants.is_some() == new.tenants.is_some(), RestartRequired::Tenants)?;
+        return Ok(None);
+    };
+    let is_same =
+        (&old.source, old.origin, old.surplus_value) == (&new.source, new.origin, new.surplus_value);
+    require(is_same, RestartRequired::TenantSource)?;
+    require(old.fair.bytes_max() == new.fair.bytes_max(), RestartRequired::Ceilings)?;
+    Ok(Some((old, new)))
+}
