--- a/crates/wire-fixtures/src/lib.rs
+++ b/crates/wire-fixtures/src/lib.rs
@@ -4,7 +4,7 @@
 //! line of its name, so that a variant or a field that moved is noticed before an older server does not
 //! understand it. With the variable [`WRITE`] set in the environment the file is written instead; that is
 //! done once, by the release whose bytes are to be kept.
-#![deny(missing_docs)]
+#![deny(missing_docs, clippy::too_many_lines)]
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
