--- a/crates/capacity/src/process.rs
+++ b/crates/capacity/src/process.rs
@@ -2,7 +2,7 @@
 //! hold and do as the system counts it. Each is ended by its own id.
 
 use anyhow::{Context, Result};
-use meadowstream_test_doubles::{interpreter, parties};
+use meadowstream_test_doubles::{interpreter, registry};
 use serde_json::{Value, json};
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader};
@@ -90,7 +90,7 @@
     /// Starts the program and waits until it listens and has its interpreter.
     pub fn start(program: &Path, setup: &Setup) -> Result<Process> {
         let (interpreter, _) = interpreter::start(setup.cores)?;
-        let (catalog, _) = parties::catalog()?;
+        let (catalog, _) = registry::start()?;
         let own = format!("meadowstream-capacity-{}-{}", std::process::id(), setup.name);
         let folder = std::env::temp_dir().join(own);
         std::fs::create_dir_all(&folder)?;
--- a/crates/capacity/src/real.rs
+++ b/crates/capacity/src/real.rs
@@ -151,8 +151,8 @@
                 open.set(open.get() + 1);
                 let call = async move {
                     let began = Instant::now();
-                    let heard = balancer.call(&operation, &fields, body.as_bytes()).await;
-                    if heard.is_some_and(|heard| heard.word == "good") {
+                    let reply = balancer.call(&operation, &fields, body.as_bytes()).await;
+                    if reply.is_some_and(|reply| reply.outcome == "good") {
                         succeeded.set(succeeded.get() + 1);
                         let added = began.elapsed().saturating_sub(WORK).as_micros() as u64;
                         let _ = times.borrow_mut().record(added);
--- a/crates/cli/examples/mixed_fleet.rs
+++ b/crates/cli/examples/mixed_fleet.rs
@@ -8,9 +8,9 @@
 //! about.
 
 use anyhow::{Context, Result, ensure};
-use meadowstream_test_doubles::fleet::{Extra, Stage, wait};
-use meadowstream_test_doubles::load::flood;
-use meadowstream_test_doubles::parties;
+use meadowstream_test_doubles::downstream_service;
+use meadowstream_test_doubles::fleet::{FleetHarness, HarnessOptions, wait_for};
+use meadowstream_test_doubles::open_loop;
 use std::net::UdpSocket;
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -33,34 +33,36 @@
     let new = arguments.next().context("NEW is missing")?;
     let programs: Vec<PathBuf> =
         (0..PROCESSES).map(|i| if i % 2 == 0 { old.clone() } else { new.clone() }).collect();
-    let (address, downstream) = parties::records(Duration::from_millis(100))?;
-    let extra = Extra {
+    let (address, downstream) = downstream_service::start(Duration::from_millis(100))?;
+    let options = HarnessOptions {
         cores: 4.0,
         records: vec![address; PROCESSES],
         own_options: (0..PROCESSES).map(options).collect(),
         controls: CONTROL_MACHINES,
         programs,
-        ..Extra::default()
+        ..HarnessOptions::default()
     };
-    let stage = Stage::with(&old, PROCESSES + 1, PROCESSES, SEED, extra)?;
-    agree_on_view(&stage)?;
-    share_budget(&stage, &downstream)?;
+    let fleet = FleetHarness::with_options(&old, PROCESSES + 1, PROCESSES, SEED, options)?;
+    agree_on_view(&fleet)?;
+    share_budget(&fleet, &downstream)?;
     for (release, program) in [("old", &old), ("new", &new)] {
-        let said = publish(&stage, program, release)?;
+        let said = publish(&fleet, program, release)?;
         println!("revision published by the {release} release: {said}");
     }
     Ok(())
 }
 
 /// Control machines log no view; each server's holds all others alive.
-fn agree_on_view(stage: &Stage) -> Result<()> {
+fn agree_on_view(fleet: &FleetHarness) -> Result<()> {
     let began = Instant::now();
     let sees_all = |server: usize| {
-        let view = stage.view(server);
+        let view = fleet.member_states(server);
         view.len() == PROCESSES - 1 && view.values().all(|state| state == "Alive")
     };
-    let agreed = wait(PATIENCE, || (CONTROL_MACHINES..PROCESSES).all(sees_all).then_some(()));
-    agreed.with_context(|| format!("no one view within {PATIENCE:?}: {:?}", stage.view(PROCESSES - 1)))?;
+    let agreed = wait_for(PATIENCE, || (CONTROL_MACHINES..PROCESSES).all(sees_all).then_some(()));
+    agreed.with_context(|| {
+        format!("no one view within {PATIENCE:?}: {:?}", fleet.member_states(PROCESSES - 1))
+    })?;
     println!("view: {SERVERS} servers hold all {PROCESSES} alive after {:?}", began.elapsed());
     Ok(())
 }
@@ -87,26 +89,26 @@
 }
 
 /// Every server is asked for more calls than its floor; the service below counts what it has at once.
-fn share_budget(stage: &Stage, downstream: &parties::Records) -> Result<()> {
+fn share_budget(fleet: &FleetHarness, downstream: &downstream_service::DownstreamService) -> Result<()> {
     let servers: Vec<usize> = (CONTROL_MACHINES..PROCESSES).collect();
     let mut loads = Vec::new();
     for server in &servers {
-        let to = stage.listens(*server).with_context(|| format!("s{server} does not listen"))?;
-        loads.push(flood(to, 100.0, Duration::from_millis(2), LOAD, *server as u64 + 1));
+        let to = fleet.listen_address(*server).with_context(|| format!("s{server} does not listen"))?;
+        loads.push(open_loop::start(to, 100.0, Duration::from_millis(2), LOAD, *server as u64 + 1));
     }
     let leased = |server: &usize| {
-        let line = stage.shared(*server)?;
+        let line = fleet.shared_state(*server)?;
         line["leased"].as_u64()
     };
     let to_lease = BUDGET_TOTAL - SERVERS as u64 * BUDGET_FLOOR;
-    let seen = wait(PATIENCE, || {
+    let seen = wait_for(PATIENCE, || {
         let each: Vec<u64> = servers.iter().map(|server| leased(server).unwrap_or(0)).collect();
         (each.iter().sum::<u64>() + 1 >= to_lease && each.iter().all(|held| *held > 0)).then_some(each)
     });
     for load in loads {
         load.join().map_err(|_| anyhow::anyhow!("a load panicked"))?;
     }
-    let most = downstream.most.load(Relaxed);
+    let most = downstream.most_in_flight.load(Relaxed);
     let seen = seen.context("the servers never held the budget together, each a part of it")?;
     println!("budget: {BUDGET_TOTAL} calls, leases {seen:?}, {most} in flight at the most");
     ensure!(most <= BUDGET_TOTAL, "{most} calls in flight of {BUDGET_TOTAL}");
@@ -114,25 +116,25 @@
 }
 
 /// Publishes a change with one release of the command, which waits until all have it in force.
-fn publish(stage: &Stage, program: &Path, release: &str) -> Result<String> {
+fn publish(fleet: &FleetHarness, program: &Path, release: &str) -> Result<String> {
     let free = UdpSocket::bind("127.0.0.1:0")?.local_addr()?;
-    stage.relay.register(PROCESSES, free);
-    let seeds: String = (0..6).map(|i| format!(r#"<seed address="{}"/>"#, stage.relay.face(i))).collect();
+    fleet.relay.register(PROCESSES, free);
+    let seeds: String = (0..6).map(|i| format!(r#"<seed address="{}"/>"#, fleet.relay.endpoint(i))).collect();
     let text = format!(
         r#"<meadowstream xmlns="urn:meadowstream:options:1">
         <membership bind="{free}" advertise="{}" fleet="rehearsal" key-file="key" probe-period-ms="200"
           probe-rtt-ms="80" suspicion-multiplier="5" gossip-period-ms="100" announce-period-ms="1000">{seeds}
         </membership>{}</meadowstream>"#,
-        stage.relay.face(PROCESSES),
+        fleet.relay.endpoint(PROCESSES),
         options(0),
     );
-    let options_file = stage.folder().join("publish.xml");
+    let options_file = fleet.folder().join("publish.xml");
     std::fs::write(&options_file, text)?;
     let weight = 2 + release.len();
     let change = format!(
         r#"<change xmlns="urn:meadowstream:options:1"><set key="tenants/tenant/{release}" value="{weight}"/></change>"#
     );
-    let change_file = stage.folder().join("change.xml");
+    let change_file = fleet.folder().join("change.xml");
     std::fs::write(&change_file, change)?;
     let output = Command::new(program)
         .arg("publish")
--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -7,7 +7,8 @@
 use meadowstream_server::fleet::{control_machine, coordinator, publish};
 use meadowstream_server::lifecycle::configuration::{Configuration, Layers};
 use meadowstream_server::lifecycle::start;
-use meadowstream_test_doubles::{fleet, night, table::table};
+use meadowstream_test_doubles::group_report::table;
+use meadowstream_test_doubles::{fleet, tenant_rehearsal};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 use tracing_subscriber::EnvFilter;
@@ -72,23 +73,25 @@
     Ok(())
 }
 
-/// Plays a calm third and two busy thirds, and prints a table by group of tenants.
+/// Plays a baseline phase of a third and an overload phase of two thirds, and prints a table by group of tenants.
 fn rehearse(tenants: usize, seconds: u64, shows_log: bool) -> Result<()> {
-    let calm = Duration::from_secs(seconds / 3);
-    let plan = night::busy_night(calm, Duration::from_secs(seconds) - calm, tenants);
+    let baseline = Duration::from_secs(seconds / 3);
+    let plan = tenant_rehearsal::overload_plan(baseline, Duration::from_secs(seconds) - baseline, tenants);
     let (cores, all) = (plan.cores, tenants + 1);
     println!(
         "{all} tenants at {cores} cores, asking for three times of what they can do, nine tenths by one\n"
     );
-    let outcome = night::play(&this_program()?, plan, |line| println!("{line}"))?;
-    println!("\n{}", table(&outcome.tallies));
-    println!("Of the night alone; \"in time\" is within the objective from the first try, \"kept\" the part");
+    let report = tenant_rehearsal::play(&this_program()?, plan, |line| println!("{line}"))?;
+    println!("\n{}", table(&report.groups));
+    println!(
+        "Of the overload phase alone; \"in time\" is within the objective from the first try, \"kept\" the part"
+    );
     println!(
         "of returns as advised that were admitted. The program held {} MiB at most.",
-        outcome.peak_kib >> 10
+        report.peak_kib >> 10
     );
     if shows_log {
-        println!("\n{}", outcome.shares.join("\n"));
+        println!("\n{}", report.tenant_lines.join("\n"));
     }
     Ok(())
 }
--- a/crates/cli/tests/fleet_cold.rs
+++ b/crates/cli/tests/fleet_cold.rs
@@ -2,8 +2,8 @@
 //! it gets is counted there, from all of them together. Loopback only, bounded, every process ended by its
 //! id.
 
-use meadowstream_test_doubles::fleet::{Extra, Stage, wait};
-use meadowstream_test_doubles::{load, parties};
+use meadowstream_test_doubles::fleet::{FleetHarness, HarnessOptions, wait_for};
+use meadowstream_test_doubles::{downstream_service, open_loop};
 use std::path::Path;
 use std::sync::atomic::Ordering::Relaxed;
 use std::time::{Duration, Instant};
@@ -16,15 +16,15 @@
 const RATE: f64 = 20.0;
 const WHILE: Duration = Duration::from_millis(250);
 
-fn ejects(stage: &Stage, i: usize) -> bool {
-    let shared = stage.shared(i).unwrap_or_default();
+fn ejects(fleet: &FleetHarness, i: usize) -> bool {
+    let shared = fleet.shared_state(i).unwrap_or_default();
     shared["ejected"].as_str().is_some_and(|names| names.contains("\"r0\""))
 }
 
 #[test]
 fn one_that_comes_back_gets_no_more_than_its_ramp_of_twenty_processes() {
     let parties: Vec<_> =
-        (0..SERVICES).map(|_| parties::records(Duration::from_millis(10)).unwrap()).collect();
+        (0..SERVICES).map(|_| downstream_service::start(Duration::from_millis(10)).unwrap()).collect();
     let service = |(s, (address, _)): (usize, &(std::net::SocketAddr, _))| {
         format!(r#"<service name="r{s}" address="{address}"/>"#)
     };
@@ -34,33 +34,33 @@
         {services}</tier></shared-state>"#,
         EXPIRY.as_millis()
     );
-    let extra = Extra {
+    let options = HarnessOptions {
         cores: 4.0,
         records: vec![parties[0].0; PROCESSES],
         own_options: vec![own; PROCESSES],
-        ..Extra::default()
+        ..HarnessOptions::default()
     };
     let program = Path::new(env!("CARGO_BIN_EXE_meadowstream"));
-    let stage = Stage::with(program, PROCESSES, PROCESSES, 41, extra).unwrap();
+    let fleet = FleetHarness::with_options(program, PROCESSES, PROCESSES, 41, options).unwrap();
     let all: Vec<usize> = (0..PROCESSES).collect();
-    stage.until_agreed(&all, Instant::now(), Duration::from_secs(30)).unwrap();
+    fleet.wait_for_agreement(&all, Instant::now(), Duration::from_secs(30)).unwrap();
     let floods: Vec<_> = all
         .iter()
         .map(|i| {
-            let to = stage.listens(*i).expect("it listens");
-            load::flood(to, RATE, Duration::from_millis(5), Duration::from_secs(40), 41 + *i as u64)
+            let to = fleet.listen_address(*i).expect("it listens");
+            open_loop::start(to, RATE, Duration::from_millis(5), Duration::from_secs(40), 41 + *i as u64)
         })
         .collect();
     std::thread::sleep(Duration::from_secs(3));
     let cold = &parties[0].1;
     cold.fails.store(true, Relaxed);
-    let out = wait(Duration::from_secs(20), || all.iter().all(|i| ejects(&stage, *i)).then_some(()));
-    let where_out: Vec<usize> = all.iter().copied().filter(|i| ejects(&stage, *i)).collect();
-    assert!(out.is_some(), "it is out on {where_out:?} alone: {:?}", stage.shared(0));
+    let out = wait_for(Duration::from_secs(20), || all.iter().all(|i| ejects(&fleet, *i)).then_some(()));
+    let where_out: Vec<usize> = all.iter().copied().filter(|i| ejects(&fleet, *i)).collect();
+    assert!(out.is_some(), "it is out on {where_out:?} alone: {:?}", fleet.shared_state(0));
     std::thread::sleep(EXPIRY);
     cold.fails.store(false, Relaxed);
     let (well, before) = (Instant::now(), cold.calls.load(Relaxed));
-    let back = wait(Duration::from_secs(10), || all.iter().any(|i| !ejects(&stage, *i)).then_some(()));
+    let back = wait_for(Duration::from_secs(10), || all.iter().any(|i| !ejects(&fleet, *i)).then_some(()));
     assert!(back.is_some(), "it comes back");
     let (took, probes) = (well.elapsed(), cold.calls.load(Relaxed) - before);
 
--- a/crates/cli/tests/fleet_membership.rs
+++ b/crates/cli/tests/fleet_membership.rs
@@ -3,23 +3,25 @@
 //! processes themselves write to their logs (JSON lines), never on the relay's word. Each process is killed
 //! when its stage ends, whatever the outcome.
 
-use meadowstream_test_doubles::fleet::{Extra, PROBE_MS, SUSPICION, Stage};
+use meadowstream_test_doubles::fleet::{FleetHarness, HarnessOptions, PROBE_PERIOD_MS, SUSPICION_PERIODS};
 use std::net::UdpSocket;
 use std::path::Path;
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
 /// Down in every view within the suspicion, eight probe periods, and a view line's period.
-const CRASH_BOUND: Duration = Duration::from_millis(PROBE_MS * (SUSPICION + 8 + 1));
+const CRASH_BOUND: Duration = Duration::from_millis(PROBE_PERIOD_MS * (SUSPICION_PERIODS + 8 + 1));
 
-fn stage(n: usize, seed: u64) -> Stage {
-    Stage::new(Path::new(env!("CARGO_BIN_EXE_meadowstream")), n, seed).unwrap()
+fn start_fleet(n: usize, seed: u64) -> FleetHarness {
+    FleetHarness::new(Path::new(env!("CARGO_BIN_EXE_meadowstream")), n, seed).unwrap()
 }
 
-fn agreed(stage: &Stage, who: &[usize], within: Duration) -> Duration {
-    match stage.until_agreed(who, Instant::now(), within) {
+fn agreed(fleet: &FleetHarness, who: &[usize], within: Duration) -> Duration {
+    match fleet.wait_for_agreement(who, Instant::now(), within) {
         Ok(timeline) => timeline.all,
-        Err(fault) => panic!("{fault}: {:?}", (0..stage.len()).map(|i| stage.view(i)).collect::<Vec<_>>()),
+        Err(fault) => {
+            panic!("{fault}: {:?}", (0..fleet.len()).map(|i| fleet.member_states(i)).collect::<Vec<_>>())
+        }
     }
 }
 
@@ -29,110 +31,117 @@
 
 #[test]
 fn a_crash_is_seen_by_every_other_process_within_the_bound() {
-    let mut stage = stage(5, 11);
-    agreed(&stage, &all(5), Duration::from_secs(15));
-    stage.signal(4, "KILL").unwrap();
-    let took = agreed(&stage, &all(4), CRASH_BOUND * 2);
+    let mut fleet = start_fleet(5, 11);
+    agreed(&fleet, &all(5), Duration::from_secs(15));
+    fleet.signal(4, "KILL").unwrap();
+    let took = agreed(&fleet, &all(4), CRASH_BOUND * 2);
     assert!(took <= CRASH_BOUND, "took {took:?}, bound {CRASH_BOUND:?}");
     for i in 0..4 {
-        assert_eq!(stage.downs(i, "s4"), 1, "s{i} logged the death once");
+        assert_eq!(fleet.down_count(i, "s4"), 1, "s{i} logged the death once");
     }
 }
 
 #[test]
 fn a_short_stall_is_no_death_and_a_long_one_is_a_death_then_a_return() {
-    let mut stage = stage(5, 12);
-    agreed(&stage, &all(5), Duration::from_secs(15));
+    let mut fleet = start_fleet(5, 12);
+    agreed(&fleet, &all(5), Duration::from_secs(15));
     // Under half the suspicion time.
-    stage.signal(2, "STOP").unwrap();
-    std::thread::sleep(Duration::from_millis(PROBE_MS * SUSPICION / 2));
-    stage.signal(2, "CONT").unwrap();
-    std::thread::sleep(Duration::from_millis(PROBE_MS * 15));
+    fleet.signal(2, "STOP").unwrap();
+    std::thread::sleep(Duration::from_millis(PROBE_PERIOD_MS * SUSPICION_PERIODS / 2));
+    fleet.signal(2, "CONT").unwrap();
+    std::thread::sleep(Duration::from_millis(PROBE_PERIOD_MS * 15));
     for i in [0, 1, 3, 4] {
-        assert_eq!(stage.downs(i, "s2"), 0, "s{i} declared the stalled s2 dead: {:?}", stage.view(i));
+        assert_eq!(
+            fleet.down_count(i, "s2"),
+            0,
+            "s{i} declared the stalled s2 dead: {:?}",
+            fleet.member_states(i)
+        );
     }
-    assert!(stage.agree(&all(5)));
+    assert!(fleet.views_agree(&all(5)));
     // Longer than the suspicion and the margin: declared down, then back after SIGCONT.
-    stage.signal(2, "STOP").unwrap();
-    agreed(&stage, &[0, 1, 3, 4], CRASH_BOUND * 2);
-    stage.signal(2, "CONT").unwrap();
-    agreed(&stage, &all(5), Duration::from_secs(15));
+    fleet.signal(2, "STOP").unwrap();
+    agreed(&fleet, &[0, 1, 3, 4], CRASH_BOUND * 2);
+    fleet.signal(2, "CONT").unwrap();
+    agreed(&fleet, &all(5), Duration::from_secs(15));
 }
 
 #[test]
 fn halves_cut_both_ways_see_themselves_then_one_view_after_the_heal() {
-    let stage = stage(6, 13);
-    agreed(&stage, &all(6), Duration::from_secs(15));
-    stage.relay.set(|f| {
+    let fleet = start_fleet(6, 13);
+    agreed(&fleet, &all(6), Duration::from_secs(15));
+    fleet.relay.change_faults(|f| {
         for i in 3..6 {
             f.groups.insert(i, 1);
         }
         f.partition(0, 1);
     });
-    agreed(&stage, &[0, 1, 2], Duration::from_secs(10));
-    agreed(&stage, &[3, 4, 5], Duration::from_secs(10));
-    stage.relay.set(|f| f.heal());
+    agreed(&fleet, &[0, 1, 2], Duration::from_secs(10));
+    agreed(&fleet, &[3, 4, 5], Duration::from_secs(10));
+    fleet.relay.change_faults(|faults| faults.heal());
     // Stated: within ten announce periods.
-    agreed(&stage, &all(6), Duration::from_secs(10));
+    agreed(&fleet, &all(6), Duration::from_secs(10));
 }
 
 /// Gossip in short packets, as a bound on the view's bytes makes them.
 #[test]
 fn halves_with_a_bound_on_bytes_have_one_view_after_the_heal() {
-    let extra = Extra { membership: "bytes-a-second=\"20000\"".to_string(), ..Extra::default() };
+    let options =
+        HarnessOptions { membership: "bytes-a-second=\"20000\"".to_string(), ..HarnessOptions::default() };
     let program = Path::new(env!("CARGO_BIN_EXE_meadowstream"));
-    let stage = Stage::with(program, 4, 4, 18, extra).unwrap();
+    let fleet = FleetHarness::with_options(program, 4, 4, 18, options).unwrap();
     for i in 0..4 {
-        assert_eq!(stage.lines(i, "joining")[0]["bytes_a_second"], 20_000, "s{i} goes by its options");
+        assert_eq!(fleet.log_lines(i, "joining")[0]["bytes_a_second"], 20_000, "s{i} goes by its options");
     }
-    agreed(&stage, &all(4), Duration::from_secs(15));
-    stage.relay.set(|f| {
+    agreed(&fleet, &all(4), Duration::from_secs(15));
+    fleet.relay.change_faults(|f| {
         f.groups.extend([(2, 1), (3, 1)]);
         f.partition(0, 1);
     });
-    agreed(&stage, &[0, 1], Duration::from_secs(10));
-    agreed(&stage, &[2, 3], Duration::from_secs(10));
-    stage.relay.set(|f| f.heal());
-    agreed(&stage, &all(4), Duration::from_secs(10));
+    agreed(&fleet, &[0, 1], Duration::from_secs(10));
+    agreed(&fleet, &[2, 3], Duration::from_secs(10));
+    fleet.relay.change_faults(|faults| faults.heal());
+    agreed(&fleet, &all(4), Duration::from_secs(10));
 }
 
 /// Guards the suspicion that nobody ended: before each member timed suspects out by itself, a member stayed
 /// suspect in every other view after such a cut (2 of about 9 runs).
 #[test]
 fn a_one_way_cut_heals_to_one_view() {
-    let stage = stage(5, 14);
-    agreed(&stage, &all(5), Duration::from_secs(15));
+    let fleet = start_fleet(5, 14);
+    agreed(&fleet, &all(5), Duration::from_secs(15));
     // s4 hears the others; they do not hear s4.
-    stage.relay.set(|f| {
+    fleet.relay.change_faults(|f| {
         f.groups.insert(4, 1);
         f.cuts.insert((1, 0));
     });
-    agreed(&stage, &[0, 1, 2, 3], Duration::from_secs(10));
-    stage.relay.set(|f| f.heal());
-    agreed(&stage, &all(5), Duration::from_secs(10));
+    agreed(&fleet, &[0, 1, 2, 3], Duration::from_secs(10));
+    fleet.relay.change_faults(|faults| faults.heal());
+    agreed(&fleet, &all(5), Duration::from_secs(10));
 }
 
 #[test]
 fn lossy_late_doubled_and_reordered_links_keep_one_view() {
-    let stage = stage(5, 15);
-    stage.relay.set(|f| {
+    let fleet = start_fleet(5, 15);
+    fleet.relay.change_faults(|f| {
         (f.loss, f.delay_ms, f.jitter_ms, f.duplicate, f.reorder, f.reorder_ms) = (0.1, 2, 20, 0.1, 0.1, 30);
     });
-    agreed(&stage, &all(5), Duration::from_secs(20));
+    agreed(&fleet, &all(5), Duration::from_secs(20));
     std::thread::sleep(Duration::from_secs(4));
-    let downs: usize = (0..5).map(|i| (0..5).map(|j| stage.downs(i, &format!("s{j}"))).sum::<usize>()).sum();
+    let downs: usize =
+        (0..5).map(|i| (0..5).map(|j| fleet.down_count(i, &format!("s{j}"))).sum::<usize>()).sum();
     assert!(downs <= 1, "{downs} false deaths in 4 s");
-    agreed(&stage, &all(5), Duration::from_secs(10));
+    agreed(&fleet, &all(5), Duration::from_secs(10));
     // Duplicates reached the processes and were dropped by them as replays; their own counts say so.
-    let counts = stage.view_field(0, "counts").expect("a view");
+    let counts = fleet.view_field(0, "counts").expect("a view");
     assert!(counts["dropped"][7].as_u64().unwrap() > 0, "no replay dropped: {counts}");
 }
 
 /// A key that others may read, or an address already taken, refuses the start with its place named.
 #[test]
 fn a_bad_key_or_a_taken_address_refuses_the_start() {
-    let stage = stage(4, 16);
-    let folder = stage.folder();
+    let fleet = start_fleet(4, 16);
+    let folder = fleet.folder();
     let config = folder.join("s0.json");
     let xml = std::fs::read_to_string(folder.join("s0.xml")).unwrap();
     let run = |xml: &str| {
--- a/crates/cli/tests/fleet_state.rs
+++ b/crates/cli/tests/fleet_state.rs
@@ -1,9 +1,9 @@
 //! Five processes of the program share a budget of calls to one dependency, through the fault relay under a
 //! flood: the dependency counts what it has in its hands at once, and the processes say what they hold.
 
-use meadowstream_test_doubles::fleet::{Extra, Stage, wait};
-use meadowstream_test_doubles::load::{Answers, flood};
-use meadowstream_test_doubles::parties::{self, Records};
+use meadowstream_test_doubles::downstream_service::{self, DownstreamService};
+use meadowstream_test_doubles::fleet::{FleetHarness, HarnessOptions, wait_for};
+use meadowstream_test_doubles::open_loop::{self, ReplyCounts};
 use meadowstream_test_doubles::tcp_relay::TcpRelay;
 use std::path::Path;
 use std::sync::Arc;
@@ -16,8 +16,8 @@
 const FLOOR: u64 = 1;
 const LEASE: Duration = Duration::from_millis(2000);
 
-fn stage(seed: u64, started: usize, shared: bool) -> (Stage, Arc<Records>) {
-    let (address, records) = parties::records(Duration::from_millis(100)).unwrap();
+fn start_fleet(seed: u64, started: usize, shared: bool) -> (FleetHarness, Arc<DownstreamService>) {
+    let (address, records) = downstream_service::start(Duration::from_millis(100)).unwrap();
     let budget = format!(
         r#"<shared-state gossip-ms="100"><budget name="records" total="{TOTAL}" floor="{FLOOR}" servers="6"
         lease-ms="{}" use-most-ms="500"><voter name="s0"/><voter name="s1"/><voter name="s2"/>
@@ -25,54 +25,59 @@
         LEASE.as_millis()
     );
     let options = if shared { budget } else { String::new() };
-    let extra = Extra { cores: 4.0, records: vec![address; 6], options, ..Extra::default() };
+    let options =
+        HarnessOptions { cores: 4.0, records: vec![address; 6], options, ..HarnessOptions::default() };
     let program = Path::new(env!("CARGO_BIN_EXE_meadowstream"));
-    (Stage::with(program, 6, started, seed, extra).unwrap(), records)
+    (FleetHarness::with_options(program, 6, started, seed, options).unwrap(), records)
 }
 
 /// Each server is asked for ten calls at once, over twice of all there is.
-fn floods(stage: &Stage, who: &[usize], span: Duration) -> Vec<JoinHandle<Answers>> {
-    let to = |i: usize| stage.listens(i).expect("it said so");
-    let flood = |i: usize| flood(to(i), 100.0, Duration::from_millis(2), span, i as u64 + 1);
+fn floods(fleet: &FleetHarness, who: &[usize], span: Duration) -> Vec<JoinHandle<ReplyCounts>> {
+    let to = |i: usize| fleet.listen_address(i).expect("it said so");
+    let flood = |i: usize| open_loop::start(to(i), 100.0, Duration::from_millis(2), span, i as u64 + 1);
     who.iter().map(|&i| flood(i)).collect()
 }
 
-fn field(stage: &Stage, i: usize, name: &str) -> u64 {
-    stage.shared(i).and_then(|shared| shared[name].as_u64()).unwrap_or(0)
+fn field(fleet: &FleetHarness, i: usize, name: &str) -> u64 {
+    fleet.shared_state(i).and_then(|shared| shared[name].as_u64()).unwrap_or(0)
 }
 
-fn leased(stage: &Stage, who: &[usize]) -> u64 {
-    who.iter().map(|&i| field(stage, i, "leased")).sum()
+fn leased(fleet: &FleetHarness, who: &[usize]) -> u64 {
+    who.iter().map(|&i| field(fleet, i, "leased")).sum()
 }
 
-fn total(stage: &Stage, i: usize, key: &str) -> u64 {
-    let shared = stage.shared(i).unwrap_or_default();
+fn total(fleet: &FleetHarness, i: usize, key: &str) -> u64 {
+    let shared = fleet.shared_state(i).unwrap_or_default();
     let totals = shared["totals"].as_str().unwrap_or("{}");
     serde_json::from_str::<serde_json::Value>(totals).unwrap()[key].as_u64().unwrap_or(0)
 }
 
-fn all_leased(stage: &Stage, who: &[usize], within: Duration) {
-    let seen = wait(within, || (leased(stage, who) >= TOTAL - 6 * FLOOR - 1).then_some(()));
-    assert!(seen.is_some(), "{:?}", who.iter().map(|&i| stage.shared(i)).collect::<Vec<_>>());
+fn all_leased(fleet: &FleetHarness, who: &[usize], within: Duration) {
+    let seen = wait_for(within, || (leased(fleet, who) >= TOTAL - 6 * FLOOR - 1).then_some(()));
+    assert!(seen.is_some(), "{:?}", who.iter().map(|&i| fleet.shared_state(i)).collect::<Vec<_>>());
 }
 
 /// Each has the same sum, and it is what was sent, less at most what got no answer as its connection broke.
-fn counts_agree(stage: &Stage, who: &[usize], answers: &Answers) {
+fn counts_agree(fleet: &FleetHarness, who: &[usize], answers: &ReplyCounts) {
     let sent = answers.sent;
     let agree = || {
-        let each: Vec<u64> = who.iter().map(|&i| total(stage, i, "invocations")).collect();
+        let each: Vec<u64> = who.iter().map(|&i| total(fleet, i, "invocations")).collect();
         let same = each.iter().all(|count| *count == each[0]);
         // The same by operation and kind of answer.
-        let answered = |&i: &usize| total(stage, i, "succeeded/load") + total(stage, i, "throttled/load");
+        let answered = |&i: &usize| total(fleet, i, "succeeded/load") + total(fleet, i, "throttled/load");
         let by_kind = who.iter().all(|i| answered(i) + answers.errored + answers.none >= sent);
         (same && by_kind && (sent - answers.none..=sent).contains(&each[0])).then_some(())
     };
-    let seen = wait(Duration::from_secs(15), agree);
-    assert!(seen.is_some(), "{sent} sent, {:?}", who.iter().map(|&i| stage.shared(i)).collect::<Vec<_>>());
+    let seen = wait_for(Duration::from_secs(15), agree);
+    assert!(
+        seen.is_some(),
+        "{sent} sent, {:?}",
+        who.iter().map(|&i| fleet.shared_state(i)).collect::<Vec<_>>()
+    );
 }
 
-fn sum(floods: Vec<JoinHandle<Answers>>) -> Answers {
-    let mut all = Answers::default();
+fn sum(floods: Vec<JoinHandle<ReplyCounts>>) -> ReplyCounts {
+    let mut all = ReplyCounts::default();
     for flood in floods {
         let each = flood.join().unwrap();
         all.sent += each.sent;
@@ -87,49 +92,53 @@
 /// against.
 #[test]
 fn without_the_budget_it_would_be_passed() {
-    let (stage, records) = stage(21, 5, false);
-    let all = sum(floods(&stage, &[0, 1, 2, 3, 4], Duration::from_secs(6)));
-    assert!(records.most.load(Relaxed) > TOTAL, "{} at once, {all:?}", records.most.load(Relaxed));
+    let (fleet, records) = start_fleet(21, 5, false);
+    let all = sum(floods(&fleet, &[0, 1, 2, 3, 4], Duration::from_secs(6)));
+    assert!(
+        records.most_in_flight.load(Relaxed) > TOTAL,
+        "{} at once, {all:?}",
+        records.most_in_flight.load(Relaxed)
+    );
 }
 
 #[test]
 fn a_partition_a_crash_and_a_join_never_pass_the_budget_and_counts_agree() {
-    let (mut stage, records) = stage(22, 5, true);
+    let (mut fleet, records) = start_fleet(22, 5, true);
     let all = [0, 1, 2, 3, 4];
-    stage.until_agreed(&all, Instant::now(), Duration::from_secs(15)).unwrap();
-    let load = floods(&stage, &all, Duration::from_secs(22));
-    all_leased(&stage, &all, Duration::from_secs(15));
+    fleet.wait_for_agreement(&all, Instant::now(), Duration::from_secs(15)).unwrap();
+    let load = floods(&fleet, &all, Duration::from_secs(22));
+    all_leased(&fleet, &all, Duration::from_secs(15));
     // 2|3 under the flood: the two fall back to their floors, the three share all else.
-    stage.relay.set(|f| {
+    fleet.relay.change_faults(|f| {
         f.groups.extend([(0, 1), (1, 1)]);
         f.partition(0, 1);
     });
-    let floors = wait(LEASE * 3, || (leased(&stage, &[0, 1]) == 0).then_some(()));
-    assert!(floors.is_some(), "cut off, they still say they hold {}", leased(&stage, &[0, 1]));
-    all_leased(&stage, &[2, 3, 4], LEASE * 8);
-    stage.relay.set(|f| f.heal());
-    all_leased(&stage, &all, LEASE * 4);
+    let floors = wait_for(LEASE * 3, || (leased(&fleet, &[0, 1]) == 0).then_some(()));
+    assert!(floors.is_some(), "cut off, they still say they hold {}", leased(&fleet, &[0, 1]));
+    all_leased(&fleet, &[2, 3, 4], LEASE * 8);
+    fleet.relay.change_faults(|faults| faults.heal());
+    all_leased(&fleet, &all, LEASE * 4);
     let answers = sum(load);
-    let most = records.most.load(Relaxed);
+    let most = records.most_in_flight.load(Relaxed);
     println!("{most} at once of {TOTAL}; {answers:?}; {} calls", records.calls.load(Relaxed));
     assert!(most <= TOTAL, "{most} at once");
     assert!(most >= TOTAL / 2 && answers.succeeded > 0, "{most} at once, {answers:?}");
     // None of either on a machine at rest.
     assert!((answers.errored + answers.none) * 100 <= answers.sent, "answered at once: {answers:?}");
-    counts_agree(&stage, &all, &answers);
+    counts_agree(&fleet, &all, &answers);
 
     // The holder of most is killed while the others ask for all, and a newcomer joins.
-    records.most.store(0, Relaxed);
-    let load = floods(&stage, &all, Duration::from_secs(14));
-    all_leased(&stage, &all, LEASE * 4);
-    let holder = all.into_iter().max_by_key(|&i| field(&stage, i, "leased")).unwrap();
-    stage.signal(holder, "KILL").unwrap();
+    records.most_in_flight.store(0, Relaxed);
+    let load = floods(&fleet, &all, Duration::from_secs(14));
+    all_leased(&fleet, &all, LEASE * 4);
+    let holder = all.into_iter().max_by_key(|&i| field(&fleet, i, "leased")).unwrap();
+    fleet.signal(holder, "KILL").unwrap();
     let rest: Vec<usize> = all.into_iter().filter(|&i| i != holder).collect();
-    stage.start(5).unwrap();
-    let newcomer = floods(&stage, &[5], Duration::from_secs(6));
-    all_leased(&stage, &rest.iter().copied().chain([5]).collect::<Vec<_>>(), LEASE * 5);
+    fleet.start(5).unwrap();
+    let newcomer = floods(&fleet, &[5], Duration::from_secs(6));
+    all_leased(&fleet, &rest.iter().copied().chain([5]).collect::<Vec<_>>(), LEASE * 5);
     let (rest_answers, new) = (sum(load), sum(newcomer));
-    let most = records.most.load(Relaxed);
+    let most = records.most_in_flight.load(Relaxed);
     println!("after the crash {most} at once; {rest_answers:?}, newcomer {new:?}");
     assert!(most <= TOTAL, "{most} at once");
     assert!(new.succeeded > 0, "{new:?}");
@@ -138,21 +147,21 @@
 /// Stopped for longer than its lease and continued: nothing of the lease is used, and it gets a new one.
 #[test]
 fn a_stalled_holder_under_loss_never_passes_the_budget() {
-    let (mut stage, records) = stage(23, 5, true);
+    let (mut fleet, records) = start_fleet(23, 5, true);
     let all = [0, 1, 2, 3, 4];
-    stage
-        .relay
-        .set(|f| (f.loss, f.jitter_ms, f.duplicate, f.reorder, f.reorder_ms) = (0.05, 10, 0.2, 0.2, 50));
-    stage.until_agreed(&all, Instant::now(), Duration::from_secs(20)).unwrap();
-    let load = floods(&stage, &all, Duration::from_secs(18));
-    all_leased(&stage, &all, Duration::from_secs(15));
-    stage.signal(1, "STOP").unwrap();
+    fleet.relay.change_faults(|f| {
+        (f.loss, f.jitter_ms, f.duplicate, f.reorder, f.reorder_ms) = (0.05, 10, 0.2, 0.2, 50)
+    });
+    fleet.wait_for_agreement(&all, Instant::now(), Duration::from_secs(20)).unwrap();
+    let load = floods(&fleet, &all, Duration::from_secs(18));
+    all_leased(&fleet, &all, Duration::from_secs(15));
+    fleet.signal(1, "STOP").unwrap();
     std::thread::sleep(LEASE * 2);
-    stage.signal(1, "CONT").unwrap();
-    let back = wait(LEASE * 4, || (field(&stage, 1, "leased") > 0).then_some(()));
-    assert!(back.is_some(), "{:?}", stage.shared(1));
+    fleet.signal(1, "CONT").unwrap();
+    let back = wait_for(LEASE * 4, || (field(&fleet, 1, "leased") > 0).then_some(()));
+    assert!(back.is_some(), "{:?}", fleet.shared_state(1));
     let answers = sum(load);
-    let most = records.most.load(Relaxed);
+    let most = records.most_in_flight.load(Relaxed);
     println!("{most} at once of {TOTAL}; {answers:?}");
     assert!(most <= TOTAL, "{most} at once");
 }
@@ -161,14 +170,14 @@
 /// old.
 #[test]
 fn a_bad_budget_refuses_the_start_and_a_reload_keeps_the_old_one() {
-    let (stage, _records) = stage(24, 1, true);
-    let xml = stage.folder().join("s0.xml");
+    let (fleet, _records) = start_fleet(24, 1, true);
+    let xml = fleet.folder().join("s0.xml");
     let good = std::fs::read_to_string(&xml).unwrap();
     let check = |text: &str| {
-        let path = stage.folder().join("bad.xml");
+        let path = fleet.folder().join("bad.xml");
         std::fs::write(&path, text).unwrap();
         let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_meadowstream"));
-        command.arg("check").arg(stage.folder().join("s0.json")).arg("--options").arg(&path);
+        command.arg("check").arg(fleet.folder().join("s0.json")).arg("--options").arg(&path);
         let out = command.output().unwrap();
         (out.status.code(), String::from_utf8_lossy(&out.stderr).to_string())
     };
@@ -181,13 +190,13 @@
     assert!(said.contains("voter: 1, 3, 5, 7 or 9 different names, not 4"), "{said}");
     assert_eq!(check(&good).0, Some(0));
     // One voter of five is no majority: its floor is all it ever has, before and after a refused reload.
-    let floor = |within| wait(within, || (field(&stage, 0, "floor") == FLOOR).then_some(()));
+    let floor = |within| wait_for(within, || (field(&fleet, 0, "floor") == FLOOR).then_some(()));
     assert!(floor(Duration::from_secs(10)).is_some());
     std::fs::write(&xml, bad).unwrap();
-    stage.signal_only(0, "HUP").unwrap();
+    fleet.signal_only(0, "HUP").unwrap();
     std::thread::sleep(Duration::from_millis(700));
-    assert_eq!((field(&stage, 0, "floor"), field(&stage, 0, "leased")), (FLOOR, 0));
-    assert!(stage.said(0, "configuration kept as it was"), "the refusal is in the log");
+    assert_eq!((field(&fleet, 0, "floor"), field(&fleet, 0, "leased")), (FLOOR, 0));
+    assert!(fleet.has_logged(0, "configuration kept as it was"), "the refusal is in the log");
 }
 
 /// How long a report counts in the tests of judgements.
@@ -196,19 +205,20 @@
 /// Five processes over a tier of four services, each reached through a relay of its own, with a face for each
 /// process.
 struct Tier {
-    stage: Stage,
-    services: Vec<Arc<Records>>,
+    fleet: FleetHarness,
+    services: Vec<Arc<DownstreamService>>,
     relays: Vec<TcpRelay>,
 }
 
 impl Tier {
     fn new(seed: u64, reports: usize) -> Tier {
-        let parties: Vec<_> = (0..4).map(|_| parties::records(Duration::from_millis(20)).unwrap()).collect();
+        let parties: Vec<_> =
+            (0..4).map(|_| downstream_service::start(Duration::from_millis(20)).unwrap()).collect();
         let relays: Vec<TcpRelay> =
             parties.iter().map(|(address, _)| TcpRelay::new(5, *address, 9, seed).unwrap()).collect();
         let own = |i: usize| {
             let service = |(s, relay): (usize, &TcpRelay)| {
-                format!(r#"<service name="r{s}" address="{}"/>"#, relay.face(i))
+                format!(r#"<service name="r{s}" address="{}"/>"#, relay.endpoint(i))
             };
             let services: String = relays.iter().enumerate().map(service).collect();
             format!(
@@ -217,22 +227,22 @@
                 EXPIRY.as_millis()
             )
         };
-        let extra = Extra {
+        let options = HarnessOptions {
             cores: 4.0,
             records: vec![parties[0].0; 5],
             options: r#"<tenants by="sender"><tenant name="1"/></tenants>"#.into(),
             own_options: (0..5).map(own).collect(),
-            ..Extra::default()
+            ..HarnessOptions::default()
         };
         let program = Path::new(env!("CARGO_BIN_EXE_meadowstream"));
-        let stage = Stage::with(program, 5, 5, seed, extra).unwrap();
-        stage.until_agreed(&[0, 1, 2, 3, 4], Instant::now(), Duration::from_secs(15)).unwrap();
-        Tier { stage, services: parties.into_iter().map(|(_, records)| records).collect(), relays }
+        let fleet = FleetHarness::with_options(program, 5, 5, seed, options).unwrap();
+        fleet.wait_for_agreement(&[0, 1, 2, 3, 4], Instant::now(), Duration::from_secs(15)).unwrap();
+        Tier { fleet, services: parties.into_iter().map(|(_, records)| records).collect(), relays }
     }
 
     /// The services that server `i` says are ejected, by its last line.
     fn ejected(&self, i: usize) -> Vec<String> {
-        let shared = self.stage.shared(i).unwrap_or_default();
+        let shared = self.fleet.shared_state(i).unwrap_or_default();
         serde_json::from_str(shared["ejected"].as_str().unwrap_or("[]")).unwrap()
     }
 
@@ -246,14 +256,14 @@
                 ejected == these
             })
         };
-        let seen = wait(within, || all().then_some(()));
-        assert!(seen.is_some(), "{:?}", who.iter().map(|i| self.stage.shared(*i)).collect::<Vec<_>>());
+        let seen = wait_for(within, || all().then_some(()));
+        assert!(seen.is_some(), "{:?}", who.iter().map(|i| self.fleet.shared_state(*i)).collect::<Vec<_>>());
         began.elapsed()
     }
 
     /// What server `i` finds of service `s` by its own calls.
     fn own(&self, i: usize, s: usize) -> String {
-        let shared = self.stage.shared(i).unwrap_or_default();
+        let shared = self.fleet.shared_state(i).unwrap_or_default();
         let services: serde_json::Value =
             serde_json::from_str(shared["services"].as_str().unwrap_or("[]")).unwrap();
         services[s]["own"].as_str().unwrap_or("").to_string()
@@ -261,7 +271,7 @@
 
     /// The most services that any process ever said were ejected at once.
     fn most_ejected(&self) -> usize {
-        let lines = (0..5).flat_map(|i| self.stage.lines(i, "shared"));
+        let lines = (0..5).flat_map(|i| self.fleet.log_lines(i, "shared"));
         let count = |line: serde_json::Value| {
             let ejected: Vec<String> =
                 serde_json::from_str(line["ejected"].as_str().unwrap_or("[]")).unwrap();
@@ -275,7 +285,7 @@
 fn a_failing_service_is_judged_by_all_and_never_more_than_the_share_is_ejected() {
     let tier = Tier::new(31, 2);
     let all = [0, 1, 2, 3, 4];
-    let load = floods(&tier.stage, &all, Duration::from_secs(28));
+    let load = floods(&tier.fleet, &all, Duration::from_secs(28));
     std::thread::sleep(Duration::from_secs(2));
     assert!(all.iter().all(|i| tier.ejected(*i).is_empty()), "nothing fails yet");
     tier.services[1].fails.store(true, Relaxed);
@@ -290,23 +300,23 @@
     assert!(calls > 5 * probes, "{calls}, {probes} probes");
 
     // One that hears nobody goes by what it finds itself: it finds the same, and alone what fails next.
-    tier.stage.relay.set(|f| {
+    tier.fleet.relay.change_faults(|f| {
         f.groups.insert(0, 1);
         f.partition(0, 1);
     });
-    let alone = wait(EXPIRY * 3, || {
+    let alone = wait_for(EXPIRY * 3, || {
         tier.services[2].fails.store(true, Relaxed);
-        let lines = tier.stage.lines(0, "judged");
+        let lines = tier.fleet.log_lines(0, "judged");
         lines.last().is_some_and(|line| line["alone"] == true && tier.ejected(0).len() == 2).then_some(())
     });
-    assert!(alone.is_some(), "{:?}", tier.stage.lines(0, "judged"));
+    assert!(alone.is_some(), "{:?}", tier.fleet.log_lines(0, "judged"));
     tier.until(&all, &["r1", "r2"], EXPIRY * 2);
-    tier.stage.relay.set(|f| f.heal());
+    tier.fleet.relay.change_faults(|faults| faults.heal());
 
     // Three of four fail: half of them are ejected and no more.
     tier.services[3].fails.store(true, Relaxed);
     std::thread::sleep(EXPIRY * 2);
-    assert!((0..5).all(|i| tier.own(i, 3) == "Failing"), "{:?}", tier.stage.shared(1));
+    assert!((0..5).all(|i| tier.own(i, 3) == "Failing"), "{:?}", tier.fleet.shared_state(1));
     assert_eq!(tier.most_ejected(), 2);
     tier.services.iter().for_each(|service| service.fails.store(false, Relaxed));
     let back = tier.until(&all, &[], EXPIRY * 5);
@@ -323,23 +333,23 @@
 fn what_one_server_alone_cannot_reach_is_ejected_by_nobody() {
     for (reports, seed) in [(2, 32), (1, 33)] {
         let tier = Tier::new(seed, reports);
-        let load = floods(&tier.stage, &[0, 1, 2, 3, 4], Duration::from_secs(9));
+        let load = floods(&tier.fleet, &[0, 1, 2, 3, 4], Duration::from_secs(9));
         std::thread::sleep(Duration::from_secs(2));
-        tier.relays[3].set(|f| {
+        tier.relays[3].change_faults(|f| {
             f.groups.insert(2, 1);
             f.partition(1, 9);
         });
-        let found = wait(Duration::from_secs(5), || (tier.own(2, 3) != "Good").then_some(()));
-        assert!(found.is_some(), "{:?}", tier.stage.shared(2));
+        let found = wait_for(Duration::from_secs(5), || (tier.own(2, 3) != "Good").then_some(()));
+        assert!(found.is_some(), "{:?}", tier.fleet.shared_state(2));
         if reports == 1 {
             tier.until(&[0, 1, 3, 4], &["r3"], Duration::from_secs(4));
         }
         let answers = sum(load);
         println!("{reports} reports wanted: {answers:?}, at most {} ejected", tier.most_ejected());
         // Each server comes to know what all have answered to the one named tenant, and what is billed.
-        let of = |i: usize, what: &str| total(&tier.stage, i, &format!("{what}/load/1"));
+        let of = |i: usize, what: &str| total(&tier.fleet, i, &format!("{what}/load/1"));
         let all = || (0..5).all(|i| of(i, "succeeded") == answers.succeeded).then_some(());
-        assert!(wait(Duration::from_secs(10), all).is_some(), "{:?}", tier.stage.shared(0));
+        assert!(wait_for(Duration::from_secs(10), all).is_some(), "{:?}", tier.fleet.shared_state(0));
         assert!((0..5).all(|i| of(i, "billed-thousandths") == 1000 * answers.succeeded));
         assert_eq!(tier.most_ejected(), 2 - reports);
     }
--- a/crates/test-doubles/src/balancers.rs
+++ b/crates/test-doubles/src/balancers.rs
@@ -1,4 +1,4 @@
-//! Connections of balancers: each carries calls of many tenants and hands every answer to its caller.
+//! Connections of balancers: each carries calls of many tenants and passes every reply to its caller.
 
 use async_channel::{Receiver, Sender, bounded};
 use async_executor::LocalExecutor;
@@ -9,177 +9,223 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-/// Calls that may be open on one connection.
-const OPEN_MAX: usize = 32;
+/// Calls in flight on one connection at most.
+const CALLS_MAX: usize = 32;
+const READ_CHUNK_BYTES: usize = 16 * 1024;
 
-/// An answer as its words say it.
+/// A reply with the words of the wire.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Heard {
-    pub word: String,
-    /// Milliseconds to stay away.
-    pub stay_away: Option<u64>,
+pub struct Reply {
+    /// `good`, `refused` or `broken`.
+    pub outcome: String,
+    /// Retry-After, in milliseconds.
+    pub retry_after_ms: Option<u64>,
+    /// What a retry at that time presents to be admitted.
     pub ticket: Option<String>,
+    /// The result.
     pub body: Vec<u8>,
 }
 
-struct Line {
-    stream: Async<TcpStream>,
-    waiting: RefCell<HashMap<u64, Sender<Heard>>>,
-    out: Sender<Vec<u8>>,
-    tags: Cell<u64>,
-    enough: Cell<bool>,
+impl Reply {
+    /// From the words of a message; those missing are empty.
+    fn from_words(words: &[Vec<u8>]) -> Self {
+        let text = |index: usize| {
+            words.get(index).map(|word| String::from_utf8_lossy(word).into_owned()).unwrap_or_default()
+        };
+        let fields = text(2);
+        let field =
+            |name: &str| fields.split(',').find_map(|field| field.strip_prefix(name)?.strip_prefix('='));
+        Self {
+            outcome: text(1),
+            retry_after_ms: field("cooldown").and_then(|ms| ms.parse().ok()),
+            ticket: field("ticket").map(str::to_string),
+            body: words.get(3).cloned().unwrap_or_default(),
+        }
+    }
 }
 
-/// All connections to one server; those that it wants no more are made anew.
-pub struct Balancer {
-    to: SocketAddr,
-    lines: RefCell<Vec<Rc<Line>>>,
-    most: usize,
-    executor: &'static LocalExecutor<'static>,
-    /// Answers that nobody waited for: a second one to the same call.
-    pub stray: Cell<u64>,
-    pub broken: Cell<u64>,
-    pub connects: Cell<u64>,
+struct Connection {
+    stream: Async<TcpStream>,
+    /// Callers that await a reply, by the call's tag.
+    callers: RefCell<HashMap<u64, Sender<Reply>>>,
+    requests: Sender<Vec<u8>>,
+    last_tag: Cell<u64>,
+    /// The server wants no new call here.
+    draining: Cell<bool>,
 }
 
-/// The words of the first array, and how many bytes it took.
-fn array(bytes: &[u8]) -> Option<(Vec<Vec<u8>>, usize)> {
-    let number = |at: usize| {
-        let end = at + bytes.get(at..)?.windows(2).position(|two| two == b"\r\n")?;
-        Some((std::str::from_utf8(&bytes[at + 1..end]).ok()?.parse::<usize>().ok()?, end + 2))
-    };
-    let (count, mut at) = number(0)?;
-    let mut words = Vec::new();
-    for _ in 0..count {
-        let (len, start) = number(at)?;
-        words.push(bytes.get(start..start + len)?.to_vec());
-        bytes.get(start + len..start + len + 2)?;
-        at = start + len + 2;
+impl Connection {
+    fn accepts_calls(&self) -> bool {
+        !self.draining.get() && self.calls_in_flight() < CALLS_MAX
     }
-    Some((words, at))
-}
 
-fn put(out: &mut Vec<u8>, words: &[&[u8]]) {
-    out.extend_from_slice(format!("*{}\r\n", words.len()).as_bytes());
-    for word in words {
-        out.extend_from_slice(format!("${}\r\n", word.len()).as_bytes());
-        out.extend_from_slice(word);
-        out.extend_from_slice(b"\r\n");
+    fn calls_in_flight(&self) -> usize {
+        self.callers.borrow().len()
     }
 }
 
-fn heard(words: &[Vec<u8>]) -> Heard {
-    let text =
-        |i: usize| words.get(i).map(|word| String::from_utf8_lossy(word).into_owned()).unwrap_or_default();
-    let fields = text(2);
-    let field = |name: &str| fields.split(',').find_map(|f| f.strip_prefix(name)?.strip_prefix('='));
-    Heard {
-        word: text(1),
-        stay_away: field("cooldown").and_then(|ms| ms.parse().ok()),
-        ticket: field("ticket").map(str::to_string),
-        body: words.get(3).cloned().unwrap_or_default(),
-    }
+/// All connections to one server; those that it drains are replaced.
+pub struct Balancer {
+    to: SocketAddr,
+    connections: RefCell<Vec<Rc<Connection>>>,
+    connections_max: usize,
+    executor: &'static LocalExecutor<'static>,
+    /// Replies that no caller awaited, such as a second one to the same call.
+    pub unexpected_replies: Cell<u64>,
+    /// Calls whose connection broke.
+    pub broken_calls: Cell<u64>,
+    /// Connections made.
+    pub connects: Cell<u64>,
 }
 
 impl Balancer {
-    pub fn new(to: SocketAddr, most: usize, executor: &'static LocalExecutor<'static>) -> Rc<Self> {
+    /// A balancer that keeps at most `connections_max` connections to one address; none is made yet.
+    pub fn new(
+        to: SocketAddr,
+        connections_max: usize,
+        executor: &'static LocalExecutor<'static>,
+    ) -> Rc<Self> {
         Rc::new(Self {
             to,
-            lines: RefCell::default(),
-            most,
+            connections: RefCell::default(),
+            connections_max,
             executor,
-            stray: Cell::new(0),
-            broken: Cell::new(0),
+            unexpected_replies: Cell::new(0),
+            broken_calls: Cell::new(0),
             connects: Cell::new(0),
         })
     }
 
-    async fn line(self: &Rc<Self>) -> std::io::Result<Option<Rc<Line>>> {
-        let free = |line: &&Rc<Line>| !line.enough.get() && line.waiting.borrow().len() < OPEN_MAX;
-        let least = |line: &&Rc<Line>| line.waiting.borrow().len();
-        let count = {
-            let lines = self.lines.borrow();
-            let idle = lines.iter().filter(free).min_by_key(least);
-            if let Some(line) =
-                idle.filter(|line| line.waiting.borrow().is_empty() || lines.len() >= self.most)
-            {
-                return Ok(Some(line.clone()));
-            }
-            lines.len()
+    /// Sends a call and awaits its reply; `None` when no connection has capacity for the call, or its
+    /// connection broke.
+    pub async fn call(self: &Rc<Self>, operation: &str, fields: &str, body: &[u8]) -> Option<Reply> {
+        let connection = self.connection().await.ok()??;
+        let tag = connection.last_tag.get() + 1;
+        connection.last_tag.set(tag);
+        let (caller, reply): (Sender<Reply>, Receiver<Reply>) = bounded(1);
+        connection.callers.borrow_mut().insert(tag, caller);
+        let mut request = Vec::new();
+        let tag = tag.to_string();
+        let words = [b"RPC.CALL", tag.as_bytes(), operation.as_bytes(), fields.as_bytes(), body];
+        write_array(&mut request, &words);
+        connection.requests.send(request).await.ok()?;
+        reply.recv().await.ok()
+    }
+
+    /// An idle connection, or a new one, or at the limit the one with the fewest calls in flight; `None` when
+    /// all are full.
+    async fn connection(self: &Rc<Self>) -> std::io::Result<Option<Rc<Connection>>> {
+        let (least_loaded, count) = {
+            let connections = self.connections.borrow();
+            let accepting = connections.iter().filter(|connection| connection.accepts_calls());
+            (accepting.min_by_key(|connection| connection.calls_in_flight()).cloned(), connections.len())
         };
-        if count >= self.most {
-            return Ok(None);
+        let at_limit = count >= self.connections_max;
+        match least_loaded {
+            Some(connection) if at_limit || connection.calls_in_flight() == 0 => Ok(Some(connection)),
+            _ if at_limit => Ok(None),
+            _ => self.connect().await.map(Some),
         }
+    }
+
+    /// Makes a connection, with a task that reads it and one that writes it.
+    async fn connect(self: &Rc<Self>) -> std::io::Result<Rc<Connection>> {
         let stream = Async::<TcpStream>::connect(self.to).await?;
         stream.get_ref().set_nodelay(true)?;
         self.connects.set(self.connects.get() + 1);
-        let (out, queue) = bounded::<Vec<u8>>(2 * OPEN_MAX);
-        let (waiting, tags, enough) = (RefCell::default(), Cell::new(0), Cell::new(false));
-        let line = Rc::new(Line { stream, waiting, out, tags, enough });
-        self.lines.borrow_mut().push(line.clone());
-        let (balancer, reads) = (self.clone(), line.clone());
-        self.executor
-            .spawn(async move {
-                let _ = balancer.read(&reads).await;
-                // Whoever still waits hears that the connection broke.
-                balancer.broken.set(balancer.broken.get() + reads.waiting.borrow().len() as u64);
-                reads.waiting.borrow_mut().clear();
-                reads.out.close();
-                balancer.lines.borrow_mut().retain(|other| !Rc::ptr_eq(other, &reads));
-            })
-            .detach();
-        let writes = line.clone();
-        self.executor.spawn(async move { write(&writes, &queue).await }).detach();
-        Ok(Some(line))
+        let (requests, queue) = bounded::<Vec<u8>>(2 * CALLS_MAX);
+        let connection = Rc::new(Connection {
+            stream,
+            callers: RefCell::default(),
+            requests,
+            last_tag: Cell::new(0),
+            draining: Cell::new(false),
+        });
+        self.connections.borrow_mut().push(connection.clone());
+        self.executor.spawn(self.clone().read_until_closed(connection.clone())).detach();
+        let writer = connection.clone();
+        self.executor.spawn(async move { write_requests(&writer, &queue).await }).detach();
+        Ok(connection)
     }
 
-    async fn read(&self, line: &Line) -> std::io::Result<()> {
-        let mut held = Vec::new();
-        let mut chunk = vec![0; 16 * 1024];
+    /// Reads a connection to its end and removes it; callers that still wait get no reply.
+    async fn read_until_closed(self: Rc<Self>, connection: Rc<Connection>) {
+        let _ = self.read_replies(&connection).await;
+        self.broken_calls.set(self.broken_calls.get() + connection.calls_in_flight() as u64);
+        connection.callers.borrow_mut().clear();
+        connection.requests.close();
+        self.connections.borrow_mut().retain(|other| !Rc::ptr_eq(other, &connection));
+    }
+
+    async fn read_replies(&self, connection: &Connection) -> std::io::Result<()> {
+        let mut unread = Vec::new();
+        let mut chunk = vec![0; READ_CHUNK_BYTES];
         loop {
-            while let Some((words, used)) = array(&held) {
-                held.drain(..used);
-                let tag = std::str::from_utf8(&words[0]).ok().and_then(|text| text.parse::<u64>().ok());
-                if tag == Some(0) {
-                    line.enough.set(true);
-                } else if let Some(caller) = tag.and_then(|tag| line.waiting.borrow_mut().remove(&tag)) {
-                    let _ = caller.try_send(heard(&words));
-                } else {
-                    self.stray.set(self.stray.get() + 1);
-                }
+            while let Some((words, used)) = read_array(&unread) {
+                unread.drain(..used);
+                self.handle_reply(connection, &words);
             }
-            if line.enough.get() && line.waiting.borrow().is_empty() {
+            if connection.draining.get() && connection.calls_in_flight() == 0 {
                 return Ok(());
             }
-            let count = (&line.stream).read(&mut chunk).await?;
+            let count = (&connection.stream).read(&mut chunk).await?;
             if count == 0 {
                 return Ok(());
             }
-            held.extend_from_slice(&chunk[..count]);
+            unread.extend_from_slice(&chunk[..count]);
         }
     }
 
-    /// The answer; `None` where no connection has room for the call, or the one it went out on broke.
-    pub async fn call(self: &Rc<Self>, operation: &str, fields: &str, body: &[u8]) -> Option<Heard> {
-        let line = self.line().await.ok()??;
-        let tag = line.tags.get() + 1;
-        line.tags.set(tag);
-        let (caller, answer): (Sender<Heard>, Receiver<Heard>) = bounded(1);
-        line.waiting.borrow_mut().insert(tag, caller);
-        let mut bytes = Vec::new();
-        let tag = tag.to_string();
-        put(&mut bytes, &[b"RPC.CALL", tag.as_bytes(), operation.as_bytes(), fields.as_bytes(), body]);
-        line.out.send(bytes).await.ok()?;
-        answer.recv().await.ok()
+    /// Passes a reply to its caller; tag 0 is the server's notice that the connection drains.
+    fn handle_reply(&self, connection: &Connection, words: &[Vec<u8>]) {
+        let tag = std::str::from_utf8(&words[0]).ok().and_then(|text| text.parse::<u64>().ok());
+        if tag == Some(0) {
+            connection.draining.set(true);
+            return;
+        }
+        let caller = tag.and_then(|tag| connection.callers.borrow_mut().remove(&tag));
+        match caller {
+            Some(caller) => {
+                let _ = caller.try_send(Reply::from_words(words));
+            }
+            None => self.unexpected_replies.set(self.unexpected_replies.get() + 1),
+        }
     }
 }
 
-async fn write(line: &Line, queue: &Receiver<Vec<u8>>) -> std::io::Result<()> {
+/// Writes requests as they come; those that wait together go out in one write.
+async fn write_requests(connection: &Connection, queue: &Receiver<Vec<u8>>) -> std::io::Result<()> {
     while let Ok(mut bytes) = queue.recv().await {
         while let Ok(more) = queue.try_recv() {
             bytes.extend_from_slice(&more);
         }
-        (&line.stream).write_all(&bytes).await?;
+        (&connection.stream).write_all(&bytes).await?;
     }
     Ok(())
 }
+
+/// The words of the first array, and how many bytes it took; `None` while it is incomplete.
+fn read_array(bytes: &[u8]) -> Option<(Vec<Vec<u8>>, usize)> {
+    let number = |at: usize| {
+        let end = at + bytes.get(at..)?.windows(2).position(|two| two == b"\r\n")?;
+        Some((std::str::from_utf8(&bytes[at + 1..end]).ok()?.parse::<usize>().ok()?, end + 2))
+    };
+    let (count, mut at) = number(0)?;
+    let mut words = Vec::new();
+    for _ in 0..count {
+        let (length, start) = number(at)?;
+        words.push(bytes.get(start..start + length)?.to_vec());
+        bytes.get(start + length..start + length + 2)?;
+        at = start + length + 2;
+    }
+    Some((words, at))
+}
+
+fn write_array(out: &mut Vec<u8>, words: &[&[u8]]) {
+    out.extend_from_slice(format!("*{}\r\n", words.len()).as_bytes());
+    for word in words {
+        out.extend_from_slice(format!("${}\r\n", word.len()).as_bytes());
+        out.extend_from_slice(word);
+        out.extend_from_slice(b"\r\n");
+    }
+}
--- /dev/null
+++ b/crates/test-doubles/src/fleet/process.rs
@@ -0,0 +1,33 @@
+//! One process of the program.
+
+use super::log::ServerLog;
+use crate::interpreter::RunCounts;
+use anyhow::{Result, ensure};
+use std::process::{Child, Command};
+use std::sync::Arc;
+
+/// A process, continued and killed when dropped.
+pub struct ServerProcess {
+    pub child: Child,
+    pub log: ServerLog,
+    /// What its interpreter ran, if it has one.
+    pub runs: Option<Arc<RunCounts>>,
+}
+
+impl ServerProcess {
+    /// Sends a signal by its name without `SIG`.
+    pub fn signal(&self, name: &str) -> Result<()> {
+        let id = self.child.id().to_string();
+        let status = Command::new("kill").args([&format!("-{name}"), &id]).status()?;
+        ensure!(status.success(), "kill -{name} failed: {status}");
+        Ok(())
+    }
+}
+
+impl Drop for ServerProcess {
+    fn drop(&mut self) {
+        let _ = self.signal("CONT");
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+    }
+}
--- /dev/null
+++ b/crates/test-doubles/src/fleet/view.rs
@@ -0,0 +1,90 @@
+//! The servers' views of the membership, from their logs.
+
+use super::harness::FleetHarness;
+use super::wait_for;
+use anyhow::{Context, Result};
+use serde_json::Value;
+use std::collections::BTreeMap;
+use std::time::{Duration, Instant};
+
+/// When servers came to one view, from the step that changed it.
+#[derive(Debug, Clone)]
+pub struct AgreementTimes {
+    /// When each server's view first was the expected one.
+    pub by_server: BTreeMap<usize, Duration>,
+    /// When all views were.
+    pub all: Duration,
+}
+
+impl FleetHarness {
+    /// The states of others in server `index`'s last view, by name.
+    pub fn member_states(&self, index: usize) -> BTreeMap<String, String> {
+        self.member_states_since(index, None)
+    }
+
+    /// The same, of a line written after `since` alone: the last line of a stalled server is older than its stall
+    /// and does not show its view.
+    fn member_states_since(&self, index: usize, since: Option<Instant>) -> BTreeMap<String, String> {
+        let view = self.log(index).and_then(|log| log.last_event("view", since));
+        let Some(members) = view.as_ref().and_then(|view| view["members"].as_str()) else {
+            return BTreeMap::new();
+        };
+        let members: Vec<Value> = serde_json::from_str(members).unwrap_or_default();
+        let text = |member: &Value, field: &str| member[field].as_str().unwrap_or("").to_string();
+        members.iter().map(|member| (text(member, "name"), text(member, "state"))).collect()
+    }
+
+    /// A field of server `index`'s last view that holds JSON.
+    pub fn view_field(&self, index: usize, field: &str) -> Option<Value> {
+        let view = self.log(index)?.last_event("view", None)?;
+        serde_json::from_str(view[field].as_str()?).ok()
+    }
+
+    /// How often server `index` logged that `name` is down.
+    pub fn down_count(&self, index: usize, name: &str) -> usize {
+        let Some(log) = self.log(index) else { return 0 };
+        let lines = log.lines();
+        let is_down = |fields: &Value| fields["change"] == "down" && fields["member"] == name;
+        lines.iter().filter(|line| is_down(&line.fields)).count()
+    }
+
+    /// Whether server `index` sees exactly the other `members` alive, and nobody else alive or suspect.
+    pub fn sees(&self, index: usize, members: &[usize]) -> bool {
+        self.sees_since(index, members, None)
+    }
+
+    fn sees_since(&self, index: usize, members: &[usize], since: Option<Instant>) -> bool {
+        let states = self.member_states_since(index, since);
+        let not_down = states.values().filter(|state| *state != "Down").count();
+        let others = members.iter().filter(|&&member| member != index);
+        let expected: Vec<String> = others.map(|member| format!("s{member}")).collect();
+        let is_alive = |name: &String| states.get(name).is_some_and(|state| state == "Alive");
+        not_down == expected.len() && expected.iter().all(is_alive)
+    }
+
+    /// Whether each of `members` sees exactly the others alive.
+    pub fn views_agree(&self, members: &[usize]) -> bool {
+        members.iter().all(|&index| self.sees(index, members))
+    }
+
+    /// Waits until each of `members` sees exactly the others alive, counted from `since`. An error when they do
+    /// not within the span.
+    pub fn wait_for_agreement(
+        &self,
+        members: &[usize],
+        since: Instant,
+        within: Duration,
+    ) -> Result<AgreementTimes> {
+        let mut by_server: BTreeMap<usize, Duration> = BTreeMap::new();
+        let all = wait_for(within, || {
+            for &index in members {
+                if !by_server.contains_key(&index) && self.sees_since(index, members, Some(since)) {
+                    by_server.insert(index, since.elapsed());
+                }
+            }
+            (by_server.len() == members.len() && self.views_agree(members)).then(|| since.elapsed())
+        });
+        let all = all.with_context(|| format!("no one view of {members:?} within {within:?}"))?;
+        Ok(AgreementTimes { by_server, all })
+    }
+}
--- /dev/null
+++ b/crates/test-doubles/src/interpreter/link.rs
@@ -0,0 +1,53 @@
+//! A link between a server and the interpreter: commands and notices, a line of JSON each.
+
+use super::machine::Machine;
+use async_io::{Async, Timer};
+use futures_lite::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
+use futures_lite::{StreamExt, future};
+use std::net::TcpStream;
+use std::time::Instant;
+
+/// What a link waits for.
+enum Event {
+    /// The first run reaches its call or its end.
+    RunDue,
+    Line(String),
+    Closed,
+}
+
+/// Serves one link until the server closes it; an error when it breaks or a command is no JSON.
+pub async fn serve(machine: &mut Machine, stream: Async<TcpStream>) -> std::io::Result<()> {
+    stream.get_ref().set_nodelay(true)?;
+    let mut lines = BufReader::new(&stream).lines();
+    loop {
+        let line = async {
+            match lines.next().await {
+                Some(Ok(line)) => Event::Line(line),
+                Some(Err(_)) | None => Event::Closed,
+            }
+        };
+        let due = async {
+            let Some(due) = machine.next_due() else { return future::pending().await };
+            Timer::at(due).await;
+            Event::RunDue
+        };
+        let event = future::or(line, due).await;
+        let now = Instant::now();
+        let mut notices = Vec::new();
+        machine.advance(now, &mut notices);
+        machine.keep(&notices);
+        let from_runs = notices.len();
+        match event {
+            Event::RunDue => {}
+            Event::Line(line) => {
+                let command = serde_json::from_str(&line).map_err(std::io::Error::other)?;
+                machine.execute(&command, now, &mut notices);
+            }
+            Event::Closed => return Ok(()),
+        }
+        // A command's own reply has no number, except the end of a run that the command stopped.
+        machine.keep(&notices[from_runs..]);
+        let text: String = notices.iter().map(|notice| format!("{notice}\n")).collect();
+        (&stream).write_all(text.as_bytes()).await?;
+    }
+}
--- /dev/null
+++ b/crates/test-doubles/src/interpreter/machine.rs
@@ -0,0 +1,200 @@
+//! The machine: runs that share the cores, advanced by the clock that it is given, and the commands on them.
+
+use base64::{Engine, engine::general_purpose::STANDARD};
+use serde_json::{Value, json};
+use std::collections::{BTreeMap, VecDeque};
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
+use std::time::{Duration, Instant};
+
+/// Counts of runs, shared with the tests.
+#[derive(Default)]
+pub struct RunCounts {
+    /// Runs begun.
+    pub begun: AtomicU64,
+    /// Runs ended.
+    pub ended: AtomicU64,
+    /// Runs begun although the same task had ended within the last 10 s.
+    pub repeated: AtomicU64,
+    /// Most runs on the cores at once.
+    pub most_concurrent: AtomicU64,
+}
+
+/// A task that runs. Core times are in microseconds.
+struct Run {
+    /// Until its call, or until its end.
+    remaining_us: f64,
+    /// Core time from its call to its end, if the call is still to come.
+    after_call_us: Option<f64>,
+    awaits_call: bool,
+    total_us: f64,
+}
+
+impl Run {
+    /// From the body, `work=MICROSECONDS` and perhaps `calls` among its words.
+    fn from_body(body: &[u8]) -> Self {
+        let text = String::from_utf8_lossy(body);
+        let work = text.split(' ').find_map(|word| word.strip_prefix("work=")?.parse::<f64>().ok());
+        let total_us = work.unwrap_or(DEFAULT_WORK_US);
+        let calls = text.split(' ').any(|word| word == "calls");
+        let (remaining_us, after_call_us) =
+            if calls { (total_us / 2.0, Some(total_us / 2.0)) } else { (total_us, None) };
+        Self { remaining_us, after_call_us, awaits_call: false, total_us }
+    }
+}
+
+/// The runs and what a link has yet to read of them.
+pub struct Machine {
+    cores: f64,
+    runs: BTreeMap<String, Run>,
+    /// When tasks ended, for [`ENDED_MEMORY`].
+    ended: BTreeMap<String, Instant>,
+    /// The time up to which runs are advanced.
+    advanced_to: Instant,
+    /// Core time spent since the gauges were last read, in microseconds.
+    busy_us: f64,
+    gauges_read: Instant,
+    last_index: u64,
+    /// Numbered notices that a later link may not have read, the oldest first.
+    notices: VecDeque<Value>,
+    started: Instant,
+    counts: Arc<RunCounts>,
+}
+
+const NOTICES_MAX: usize = 4096;
+/// The time since its start that it claims at its start, so that it counts as warm.
+const INITIAL_AGE_MS: u64 = 60_000;
+/// How long ended tasks are remembered.
+const ENDED_MEMORY: Duration = Duration::from_secs(10);
+/// Work of a body that states none.
+const DEFAULT_WORK_US: f64 = 1000.0;
+
+impl Machine {
+    /// A machine without runs.
+    pub fn new(cores: f64, counts: Arc<RunCounts>) -> Self {
+        let now = Instant::now();
+        Self {
+            cores,
+            runs: BTreeMap::new(),
+            ended: BTreeMap::new(),
+            advanced_to: now,
+            busy_us: 0.0,
+            gauges_read: now,
+            last_index: 0,
+            notices: VecDeque::new(),
+            started: now,
+            counts,
+        }
+    }
+
+    fn runs_on_cores(&self) -> usize {
+        self.runs.values().filter(|run| !run.awaits_call).count()
+    }
+
+    /// Part of a core that each run has, at most 1.
+    fn core_share(&self) -> f64 {
+        (self.cores / self.runs_on_cores().max(1) as f64).min(1.0)
+    }
+
+    /// When the first run reaches its call or its end; `None` when none is on the cores.
+    pub fn next_due(&self) -> Option<Instant> {
+        let on_cores = self.runs.values().filter(|run| !run.awaits_call);
+        let least_us = on_cores.map(|run| run.remaining_us).reduce(f64::min)?;
+        Some(self.advanced_to + Duration::from_secs_f64(least_us.max(1.0) / self.core_share() / 1e6))
+    }
+
+    /// Advances all runs to `now` and appends notices of those that reach their call or their end.
+    pub fn advance(&mut self, now: Instant, notices: &mut Vec<Value>) {
+        let passed_us = now.duration_since(self.advanced_to).as_secs_f64() * 1e6;
+        let each_us = passed_us * self.core_share();
+        self.busy_us += passed_us * (self.runs_on_cores() as f64).min(self.cores);
+        self.advanced_to = now;
+        let mut ended = Vec::new();
+        for (task, run) in self.runs.iter_mut().filter(|(_, run)| !run.awaits_call) {
+            run.remaining_us -= each_us;
+            if run.remaining_us > 0.0 {
+                continue;
+            }
+            self.last_index += 1;
+            let (index, bytes) = (self.last_index, STANDARD.encode(task));
+            if let Some(after_call_us) = run.after_call_us.take() {
+                (run.awaits_call, run.remaining_us) = (true, after_call_us);
+                notices.push(json!({"verb": "AWAIT", "index": index, "task": task, "bytes": bytes}));
+            } else {
+                ended.push(task.clone());
+                let spent_ms = run.total_us / 1e3;
+                notices.push(json!({"verb": "VALUE", "index": index, "task": task, "outcome": "ok",
+                    "spent": spent_ms, "bytes": bytes}));
+            }
+        }
+        for task in ended {
+            self.runs.remove(&task);
+            self.ended.insert(task, now);
+            self.counts.ended.fetch_add(1, Relaxed);
+        }
+    }
+
+    /// Keeps numbered notices for the next link, in case this one does not deliver them.
+    pub fn keep(&mut self, notices: &[Value]) {
+        let last_kept = self.notices.back().and_then(|notice| notice["index"].as_u64()).unwrap_or(0);
+        let is_new = |notice: &&Value| notice["index"].as_u64().is_some_and(|index| index > last_kept);
+        self.notices.extend(notices.iter().filter(is_new).cloned());
+        let excess = self.notices.len().saturating_sub(NOTICES_MAX);
+        self.notices.drain(..excess);
+    }
+
+    /// Executes a command and appends its notices.
+    pub fn execute(&mut self, command: &Value, now: Instant, notices: &mut Vec<Value>) {
+        let task = command["task"].as_str().unwrap_or("");
+        match command["verb"].as_str() {
+            Some("CONNECT") => self.connect(command, now, notices),
+            Some("APPLY") => self.begin(task, command, now),
+            Some("RESOLVE") => {
+                if let Some(run) = self.runs.get_mut(task) {
+                    run.awaits_call = false;
+                }
+            }
+            Some("BREAK") => self.halt(task, notices),
+            Some("TOP") => notices.push(self.read_gauges(command, now)),
+            _ => notices.push(json!({"verb": "ERROR", "outcome": command["verb"], "task": task})),
+        }
+    }
+
+    /// A new link: the banner, and the notices after the last one that the server has read.
+    fn connect(&self, command: &Value, now: Instant, notices: &mut Vec<Value>) {
+        let age_ms = now.duration_since(self.started).as_millis() as u64 + INITIAL_AGE_MS;
+        notices.push(json!({"verb": "BANNER", "outcome": "warm", "spent": age_ms}));
+        let last_read = command["index"].as_u64().unwrap_or(0);
+        let unread = |notice: &&Value| notice["index"].as_u64() > Some(last_read);
+        notices.extend(self.notices.iter().filter(unread).cloned());
+    }
+
+    fn begin(&mut self, task: &str, command: &Value, now: Instant) {
+        if self.runs.contains_key(task) {
+            return;
+        }
+        self.ended.retain(|_, at| now.duration_since(*at) < ENDED_MEMORY);
+        self.counts.repeated.fetch_add(u64::from(self.ended.contains_key(task)), Relaxed);
+        let body = STANDARD.decode(command["bytes"].as_str().unwrap_or("")).unwrap_or_default();
+        self.runs.insert(task.to_string(), Run::from_body(&body));
+        self.counts.begun.fetch_add(1, Relaxed);
+        self.counts.most_concurrent.fetch_max(self.runs_on_cores() as u64, Relaxed);
+    }
+
+    fn halt(&mut self, task: &str, notices: &mut Vec<Value>) {
+        if self.runs.remove(task).is_some() {
+            self.last_index += 1;
+            let index = self.last_index;
+            notices.push(json!({"verb": "VALUE", "index": index, "task": task, "outcome": "halted"}));
+        }
+    }
+
+    /// Utilization of the cores since the last reading, and the runs on them.
+    fn read_gauges(&mut self, command: &Value, now: Instant) -> Value {
+        let span_us = now.duration_since(self.gauges_read).as_secs_f64() * 1e6;
+        let utilization = (self.busy_us / span_us.max(1.0) / self.cores).min(1.0);
+        (self.busy_us, self.gauges_read) = (0.0, now);
+        let readings = [utilization, self.runs_on_cores() as f64];
+        json!({"verb": "TOPS", "nonce": command["nonce"], "readings": readings})
+    }
+}
--- a/crates/test-doubles/src/lib.rs
+++ b/crates/test-doubles/src/lib.rs
@@ -1,16 +1,21 @@
-//! Stand-ins for the parties of a server, written from its protocol: an interpreter that shares out cores, a
-//! records service, a catalog, and balancers with tenants behind them. All listen and send on loopback alone
-//! and end by themselves. [`night`] plays them against the program itself.
+//! Test doubles of what a server speaks to, written from its protocols: an interpreter, a downstream service, a
+//! service registry, and balancers with tenants behind them; relays that inject network faults; harnesses that
+//! run the program among them ([`tenant_rehearsal`], [`fleet`]). All listen and send on loopback alone and end
+//! by themselves.
+
+#![deny(missing_docs, clippy::too_many_lines)]
 
 pub mod balancers;
+pub mod downstream_service;
+pub mod faults;
 pub mod fleet;
+pub mod group_report;
 pub mod interpreter;
-pub mod load;
-pub mod night;
-pub mod parties;
-pub mod relay;
-pub mod table;
+pub mod open_loop;
+pub mod registry;
 pub mod tcp_relay;
+pub mod tenant_rehearsal;
+pub mod udp_relay;
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
--- /dev/null
+++ b/crates/test-doubles/src/registry.rs
@@ -0,0 +1,21 @@
+//! A service registry that counts the load reports it receives.
+
+use std::net::{SocketAddr, UdpSocket};
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
+
+/// Starts a registry on loopback, on a thread that ends with the process. Returns its address and the number of
+/// reports received so far; an error when no socket can be bound.
+pub fn start() -> std::io::Result<(SocketAddr, Arc<AtomicU64>)> {
+    let socket = UdpSocket::bind(("127.0.0.1", 0))?;
+    let address = socket.local_addr()?;
+    let report_count = Arc::new(AtomicU64::new(0));
+    let counter = report_count.clone();
+    std::thread::spawn(move || {
+        let mut datagram = [0; 256];
+        while socket.recv(&mut datagram).is_ok() {
+            counter.fetch_add(1, Relaxed);
+        }
+    });
+    Ok((address, report_count))
+}
--- a/crates/test-doubles/src/tcp_relay.rs
+++ b/crates/test-doubles/src/tcp_relay.rs
@@ -1,74 +1,83 @@
-//! The fault relay's TCP part: member `i` reaches one target at a face of its own, so that the relay knows
-//! who speaks. It delays and jitters what passes, holds it up while the member's group is cut from the
-//! target's (bytes wait, as behind a broken link), and resets a share of connections. Bounded: at most
-//! [`OPEN_MAX`] connections, ended when dropped.
+//! A fault relay for TCP on loopback: each member reaches one target at an endpoint of its own, so that the relay
+//! knows who sends. It delays and jitters what passes, holds it up while the member's group is cut from the
+//! target's (bytes wait, as behind a broken link), and resets a share of connections. It ends when dropped and
+//! holds at most [`CONNECTIONS_MAX`] connections.
 
-use crate::relay::Faults;
-use anyhow::Result;
+use crate::faults::Faults;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
-use std::sync::{Arc, Mutex};
+use std::sync::{Arc, Mutex, MutexGuard};
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Connections at once through one relay; further ones are refused by closing them.
-pub const OPEN_MAX: usize = 512;
-const TICK: Duration = Duration::from_millis(5);
+/// Connections at once through one relay; further ones are closed when accepted.
+pub const CONNECTIONS_MAX: usize = 512;
+/// How soon a thread sees a new connection, a healed cut, or that the relay ends.
+const POLL_PERIOD: Duration = Duration::from_millis(5);
+const READ_TIMEOUT: Duration = Duration::from_millis(20);
+const CHUNK_BYTES: usize = 16 * 1024;
 
 struct Shared {
     faults: Mutex<Faults>,
-    /// The group of the target; members' groups stand in the faults.
+    /// The group of the target; the members' groups are in the faults.
     target_group: u32,
     /// Share of connections reset when they are opened, 0 to 1.
-    reset: Mutex<f64>,
+    reset_share: Mutex<f64>,
     rng: Mutex<ChaCha8Rng>,
     open: AtomicUsize,
     stop: AtomicBool,
 }
 
+/// A lock of the relay.
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().expect("no thread of the relay panics while it holds a lock")
+}
+
+/// The relay, with a thread for each endpoint and two for each connection.
 pub struct TcpRelay {
-    faces: Vec<SocketAddr>,
+    endpoints: Vec<SocketAddr>,
     shared: Arc<Shared>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl TcpRelay {
-    /// A face for each of `n` members towards `target`, which is in `target_group`.
-    pub fn new(n: usize, target: SocketAddr, target_group: u32, seed: u64) -> Result<TcpRelay> {
+    /// Binds an endpoint for each of `count` members towards `target`, which is in `target_group`.
+    pub fn new(count: usize, target: SocketAddr, target_group: u32, seed: u64) -> std::io::Result<TcpRelay> {
         let shared = Arc::new(Shared {
             faults: Mutex::default(),
             target_group,
-            reset: Mutex::new(0.0),
+            reset_share: Mutex::new(0.0),
             rng: Mutex::new(ChaCha8Rng::seed_from_u64(seed)),
             open: AtomicUsize::new(0),
             stop: AtomicBool::new(false),
         });
-        let (mut faces, mut threads) = (Vec::new(), Vec::new());
-        for i in 0..n {
+        let (mut endpoints, mut threads) = (Vec::new(), Vec::new());
+        for member in 0..count {
             let listener = TcpListener::bind("127.0.0.1:0")?;
-            faces.push(listener.local_addr()?);
+            endpoints.push(listener.local_addr()?);
             listener.set_nonblocking(true)?;
             let shared = shared.clone();
-            threads.push(std::thread::spawn(move || accept(&listener, i, target, &shared)));
+            threads.push(std::thread::spawn(move || accept(&listener, member, target, &shared)));
         }
-        Ok(TcpRelay { faces, shared, threads })
+        Ok(TcpRelay { endpoints, shared, threads })
     }
 
-    /// Where member `i` finds the target.
-    pub fn face(&self, i: usize) -> SocketAddr {
-        self.faces[i]
+    /// Where member `index` reaches the target.
+    pub fn endpoint(&self, index: usize) -> SocketAddr {
+        self.endpoints[index]
     }
 
     /// Changes the faults from now on; loss, duplicates and reordering do not apply to a stream of bytes.
-    pub fn set(&self, change: impl FnOnce(&mut Faults)) {
-        change(&mut self.shared.faults.lock().expect("relay"));
+    pub fn change_faults(&self, change: impl FnOnce(&mut Faults)) {
+        change(&mut lock(&self.shared.faults));
     }
 
-    pub fn set_reset(&self, share: f64) {
-        *self.shared.reset.lock().expect("relay") = share;
+    /// Resets this share of connections, from 0 to 1, when they are opened.
+    pub fn set_reset_share(&self, share: f64) {
+        *lock(&self.shared.reset_share) = share;
     }
 }
 
@@ -81,79 +90,96 @@
     }
 }
 
+/// Which way bytes go.
+#[derive(Clone, Copy)]
+enum Direction {
+    ToTarget,
+    FromTarget,
+}
+
 impl Shared {
     fn stopped(&self) -> bool {
         self.stop.load(Ordering::Relaxed)
     }
 
-    /// Whether bytes of member `i` pass, out or back.
-    fn passes(&self, i: usize, out: bool) -> bool {
-        let faults = self.faults.lock().expect("relay");
-        let (member, target) = (faults.group(i), self.target_group);
-        !faults.cuts.contains(&if out { (member, target) } else { (target, member) })
+    /// Whether bytes of a member pass, to the target or from it.
+    fn passes(&self, member: usize, direction: Direction) -> bool {
+        let faults = lock(&self.faults);
+        let (member, target) = (faults.group(member), self.target_group);
+        match direction {
+            Direction::ToTarget => !faults.is_cut(member, target),
+            Direction::FromTarget => !faults.is_cut(target, member),
+        }
     }
 
     fn delay(&self) -> Duration {
-        let faults = self.faults.lock().expect("relay");
+        let faults = lock(&self.faults);
         let jitter = match faults.jitter_ms {
             0 => 0,
-            most => self.rng.lock().expect("relay").random_range(0..most),
+            jitter_ms => lock(&self.rng).random_range(0..jitter_ms),
         };
         Duration::from_millis(faults.delay_ms + jitter)
     }
 }
 
-fn accept(listener: &TcpListener, i: usize, target: SocketAddr, shared: &Arc<Shared>) {
+/// Accepts the connections of one member, each served on a thread of its own.
+fn accept(listener: &TcpListener, member: usize, target: SocketAddr, shared: &Arc<Shared>) {
     while !shared.stopped() {
         let Ok((near, _)) = listener.accept() else {
-            std::thread::sleep(TICK);
+            std::thread::sleep(POLL_PERIOD);
             continue;
         };
-        let reset = *shared.reset.lock().expect("relay");
-        let unlucky = shared.rng.lock().expect("relay").random::<f64>() < reset;
-        if unlucky || shared.open.load(Ordering::Relaxed) >= OPEN_MAX {
+        let reset_share = *lock(&shared.reset_share);
+        let is_reset = lock(&shared.rng).random::<f64>() < reset_share;
+        if is_reset || shared.open.load(Ordering::Relaxed) >= CONNECTIONS_MAX {
             continue;
         }
         shared.open.fetch_add(1, Ordering::Relaxed);
         let shared = shared.clone();
         std::thread::spawn(move || {
-            let _ = join(near, i, target, &shared);
+            let _ = connect_through(near, member, target, &shared);
             shared.open.fetch_sub(1, Ordering::Relaxed);
         });
     }
 }
 
-fn join(near: TcpStream, i: usize, target: SocketAddr, shared: &Arc<Shared>) -> std::io::Result<()> {
+/// Connects a member to the target and passes bytes both ways until either end is gone.
+fn connect_through(
+    near: TcpStream,
+    member: usize,
+    target: SocketAddr,
+    shared: &Arc<Shared>,
+) -> std::io::Result<()> {
     // A connection through a cut link is made when it heals, not refused: nothing says that it is cut.
-    while !shared.passes(i, true) && !shared.stopped() {
-        std::thread::sleep(TICK);
+    while !shared.passes(member, Direction::ToTarget) && !shared.stopped() {
+        std::thread::sleep(POLL_PERIOD);
     }
     let far = TcpStream::connect(target)?;
     for stream in [&near, &far] {
         stream.set_nonblocking(false)?;
-        stream.set_read_timeout(Some(TICK * 4))?;
+        stream.set_read_timeout(Some(READ_TIMEOUT))?;
         stream.set_nodelay(true)?;
     }
     let (near_back, far_back) = (near.try_clone()?, far.try_clone()?);
     let back = {
         let shared = shared.clone();
-        std::thread::spawn(move || pass(far_back, near_back, i, false, &shared))
+        std::thread::spawn(move || pass(far_back, near_back, member, Direction::FromTarget, &shared))
     };
-    pass(near, far, i, true, shared);
+    pass(near, far, member, Direction::ToTarget, shared);
     let _ = back.join();
     Ok(())
 }
 
-/// Bytes one way until either end is gone; then both are closed.
-fn pass(mut from: TcpStream, mut to: TcpStream, i: usize, out: bool, shared: &Shared) {
-    let mut buffer = [0; 16 * 1024];
+/// Passes bytes one way until either end is gone; then both are closed.
+fn pass(mut from: TcpStream, mut to: TcpStream, member: usize, direction: Direction, shared: &Shared) {
+    let mut buffer = [0; CHUNK_BYTES];
     while !shared.stopped() {
         match from.read(&mut buffer) {
             Ok(0) => break,
             Ok(count) => {
                 std::thread::sleep(shared.delay());
-                while !shared.passes(i, out) && !shared.stopped() {
-                    std::thread::sleep(TICK);
+                while !shared.passes(member, direction) && !shared.stopped() {
+                    std::thread::sleep(POLL_PERIOD);
                 }
                 if to.write_all(&buffer[..count]).is_err() {
                     break;
--- a/crates/test-doubles/src/tcp_relay/tests.rs
+++ b/crates/test-doubles/src/tcp_relay/tests.rs
@@ -7,7 +7,7 @@
 #[test]
 fn a_cut_holds_bytes_up_and_a_heal_lets_them_through() {
     let target = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = target.local_addr().unwrap();
+    let address = target.local_addr().unwrap();
     std::thread::spawn(move || {
         for stream in target.incoming().take(1) {
             let mut stream = stream.unwrap();
@@ -15,25 +15,25 @@
             let _ = std::io::copy(&mut stream, &mut copy);
         }
     });
-    let relay = TcpRelay::new(1, at, 9, 1).unwrap();
-    let mut near = TcpStream::connect(relay.face(0)).unwrap();
+    let relay = TcpRelay::new(1, address, 9, 1).unwrap();
+    let mut near = TcpStream::connect(relay.endpoint(0)).unwrap();
     near.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
-    let mut heard = [0; 3];
+    let mut received = [0; 3];
     near.write_all(b"one").unwrap();
-    near.read_exact(&mut heard).unwrap();
-    assert_eq!(&heard, b"one");
-    relay.set(|f| f.partition(0, 9));
+    near.read_exact(&mut received).unwrap();
+    assert_eq!(&received, b"one");
+    relay.change_faults(|faults| faults.partition(0, 9));
     near.write_all(b"two").unwrap();
     near.set_read_timeout(Some(Duration::from_millis(200))).unwrap();
-    assert!(near.read_exact(&mut heard).is_err(), "held up while cut");
-    relay.set(|f| f.heal());
+    assert!(near.read_exact(&mut received).is_err(), "held up while cut");
+    relay.change_faults(|faults| faults.heal());
     near.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
-    let t = Instant::now();
-    near.read_exact(&mut heard).unwrap();
-    assert_eq!(&heard, b"two");
-    assert!(t.elapsed() < Duration::from_secs(2));
-    relay.set_reset(1.0);
-    let mut reset = TcpStream::connect(relay.face(0)).unwrap();
+    let healed = Instant::now();
+    near.read_exact(&mut received).unwrap();
+    assert_eq!(&received, b"two");
+    assert!(healed.elapsed() < Duration::from_secs(2));
+    relay.set_reset_share(1.0);
+    let mut reset = TcpStream::connect(relay.endpoint(0)).unwrap();
     reset.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
-    assert!(matches!(reset.read(&mut heard), Ok(0) | Err(_)), "closed");
+    assert!(matches!(reset.read(&mut received), Ok(0) | Err(_)), "closed");
 }
--- /dev/null
+++ b/crates/test-doubles/src/tenant_rehearsal/invocation.rs
@@ -0,0 +1,98 @@
+//! One invocation with its retries.
+
+use super::load::{Load, Tenant};
+use crate::balancers::{Balancer, Reply};
+use crate::unix_ms;
+use async_io::Timer;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+/// An invocation of a tenant.
+pub struct Invocation {
+    pub load: Rc<Load>,
+    pub balancer: Rc<Balancer>,
+    pub tenant: Tenant,
+    /// The name that the tenant gives itself.
+    pub name: String,
+    /// Retries when rejected, as the server advised.
+    pub follows_advice: bool,
+}
+
+impl Invocation {
+    /// Makes all attempts and counts the invocation when it began in the overload phase.
+    pub async fn run(self) {
+        let load = &self.load;
+        let began = Instant::now();
+        let counted = began >= load.overload_start;
+        load.in_flight.set(load.in_flight.get() + 1);
+        let last_reply = self.attempt_until_answered(began, counted).await;
+        load.in_flight.set(load.in_flight.get() - 1);
+        if counted {
+            self.count(last_reply.as_ref(), began.elapsed());
+        }
+    }
+
+    /// Retries while the server rejects with a ticket and advises a time within twice the latency objective.
+    async fn attempt_until_answered(&self, began: Instant, counted: bool) -> Option<Reply> {
+        let retry_span = 2 * self.load.plan.objective;
+        let mut ticket: Option<String> = None;
+        loop {
+            let reply = self.attempt(ticket.as_deref()).await;
+            if ticket.is_some() && counted {
+                self.count_return(reply.as_ref());
+            }
+            let rejected = reply.as_ref().filter(|reply| reply.outcome == "refused");
+            ticket = rejected.filter(|_| self.follows_advice).and_then(|reply| reply.ticket.clone());
+            let retry_after_ms = reply.as_ref().and_then(|reply| reply.retry_after_ms).unwrap_or(0);
+            let retry_after = Duration::from_millis(retry_after_ms);
+            if ticket.is_none() || began.elapsed() + retry_after > retry_span {
+                return reply;
+            }
+            Timer::after(retry_after).await;
+        }
+    }
+
+    async fn attempt(&self, ticket: Option<&str>) -> Option<Reply> {
+        let plan = &self.load.plan;
+        let (reference, sender) = (self.load.next_reference(), self.tenant.group + 1);
+        let (since, name) = (unix_ms(), &self.name);
+        let mut fields = format!("ref={reference:016x},since={since},sender={sender},room=4,venue={name}");
+        if let Some(ticket) = ticket {
+            fields.push_str(&format!(",ticket={ticket}"));
+        }
+        let calls = if plan.dependency.is_some() { " calls" } else { "" };
+        let work_us = plan.groups[self.tenant.group].work.as_micros();
+        let body = format!("work={work_us}{calls} of {name}");
+        self.balancer.call("answer", &fields, body.as_bytes()).await
+    }
+
+    /// Counts a retry made as advised.
+    fn count_return(&self, reply: Option<&Reply>) {
+        let Some(reply) = reply else { return };
+        let report = &mut self.load.reports.borrow_mut()[self.tenant.group];
+        report.returns += 1;
+        report.returns_admitted += u64::from(reply.outcome != "refused");
+    }
+
+    /// Counts the invocation by its last reply and the time since its first attempt.
+    fn count(&self, reply: Option<&Reply>, latency: Duration) {
+        let report = &mut self.load.reports.borrow_mut()[self.tenant.group];
+        let by_tenant = &mut report.by_tenant[self.tenant.index];
+        report.sent += 1;
+        by_tenant.sent += 1;
+        match reply.map(|reply| reply.outcome.as_str()) {
+            Some("good") => {
+                if latency <= self.load.plan.objective {
+                    report.in_time += 1;
+                    by_tenant.in_time += 1;
+                } else {
+                    report.late += 1;
+                }
+                let _ = report.latency_us.record(latency.as_micros() as u64);
+            }
+            Some("refused") => report.throttled += 1,
+            Some(_) => report.errored += 1,
+            None => report.unsent += 1,
+        }
+    }
+}
--- /dev/null
+++ b/crates/test-doubles/src/tenant_rehearsal/play.rs
@@ -0,0 +1,179 @@
+//! A rehearsal from the start of the program to its end.
+
+use super::arrivals::send_arrivals;
+use super::load::{Load, Tenant};
+use super::plan::RehearsalPlan;
+use super::server_process::{Doubles, ServerProcess, WAIT_MAX};
+use crate::balancers::Balancer;
+use crate::downstream_service::{self, DownstreamService};
+use crate::group_report::GroupReport;
+use crate::interpreter::{self, RunCounts};
+use crate::registry;
+use anyhow::{Context, Result, ensure};
+use async_executor::LocalExecutor;
+use async_io::Timer;
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::sync::atomic::Ordering::Relaxed;
+use std::time::{Duration, Instant};
+
+/// Time of a downstream call without a dependency in the plan.
+const DEFAULT_CALL_TIME: Duration = Duration::from_millis(5);
+const PROGRESS_PERIOD: Duration = Duration::from_secs(1);
+const POLL_PERIOD: Duration = Duration::from_millis(10);
+/// The lines after the program's counters are written within this time.
+const COUNTERS_WAIT: Duration = Duration::from_millis(100);
+
+/// What a rehearsal measured.
+pub struct RehearsalReport {
+    /// By group of tenants, of the overload phase alone.
+    pub groups: Vec<GroupReport>,
+    /// The program's counters at its end, by name.
+    pub counters: HashMap<String, u64>,
+    /// The program's log lines about tenants.
+    pub tenant_lines: Vec<String>,
+    /// Most resident memory of the program, in KiB.
+    pub peak_kib: u64,
+    /// The program's exit code; `None` when a signal ended it.
+    pub exit: Option<i32>,
+    /// What the interpreter ran.
+    pub runs: Arc<RunCounts>,
+    /// Downstream calls in the overload phase.
+    pub calls: u64,
+    /// Their mean number in flight.
+    pub mean_in_flight: f64,
+    /// Replies that no caller awaited.
+    pub unexpected_replies: u64,
+    /// Calls whose connection broke.
+    pub broken_calls: u64,
+}
+
+/// Plays a rehearsal of the program; `progress` receives a line each second. An error when the program does not
+/// start, log or end as it should.
+pub fn play(program: &Path, plan: RehearsalPlan, mut progress: impl FnMut(&str)) -> Result<RehearsalReport> {
+    let (interpreter, runs) = interpreter::start(plan.cores)?;
+    let dependency = plan.dependency.as_ref();
+    let call_time = dependency.map_or(DEFAULT_CALL_TIME, |dependency| dependency.baseline_call_time);
+    let (downstream_service, service) = downstream_service::start(call_time)?;
+    let (registry, load_reports) = registry::start()?;
+    let doubles = Doubles { interpreter, downstream_service, registry };
+    let mut server = ServerProcess::start(program, &plan, &doubles)?;
+    let listen = listen_address(&mut server)?;
+    server.wait_for_line("linked to the interpreter")?;
+    let executor: &'static LocalExecutor<'static> = Box::leak(Box::new(LocalExecutor::new()));
+    let load = Rc::new(Load::new(plan, executor));
+    let groups = load.plan.groups.iter();
+    let balancers: Vec<Rc<Balancer>> =
+        groups.map(|group| Balancer::new(listen, group.connections, executor)).collect();
+    let calls = async_io::block_on(executor.run(run_load(&load, &balancers, &service, &mut progress)));
+    server.signal("USR1")?;
+    server.wait_for_line("counters:")?;
+    std::thread::sleep(COUNTERS_WAIT);
+    let peak_kib = server.peak_kib();
+    ensure!(load_reports.load(Relaxed) > 0, "the registry received no load report");
+    let exit = stop(&mut server, executor)?;
+    let counters = final_counters(&server.wait_for_line("ended; counters:")?);
+    let log = server.read_remaining_log();
+    Ok(RehearsalReport {
+        counters,
+        tenant_lines: log.iter().filter(|line| line.contains(" share")).cloned().collect(),
+        peak_kib,
+        exit,
+        runs,
+        calls: calls.count,
+        mean_in_flight: calls.mean_in_flight,
+        unexpected_replies: balancers.iter().map(|balancer| balancer.unexpected_replies.get()).sum(),
+        broken_calls: balancers.iter().map(|balancer| balancer.broken_calls.get()).sum(),
+        groups: load.reports.take(),
+    })
+}
+
+/// The address in the program's first log line.
+fn listen_address(server: &mut ServerProcess) -> Result<SocketAddr> {
+    let line = server.wait_for_line(" listen=")?;
+    let address = line.split(" listen=").nth(1).context("no address in the log")?.trim();
+    address.parse().with_context(|| format!("{address:?} is no address"))
+}
+
+/// Downstream calls of the overload phase.
+struct OverloadCalls {
+    count: u64,
+    mean_in_flight: f64,
+}
+
+/// Starts all tenants, changes phase, and waits for the last replies unless the plan stops early.
+async fn run_load(
+    load: &Rc<Load>,
+    balancers: &[Rc<Balancer>],
+    service: &DownstreamService,
+    progress: &mut impl FnMut(&str),
+) -> OverloadCalls {
+    for (group, balancer) in balancers.iter().enumerate() {
+        for index in 0..load.plan.groups[group].tenants {
+            let tenant = Tenant { group, index };
+            load.executor.spawn(send_arrivals(load.clone(), balancer.clone(), tenant)).detach();
+        }
+    }
+    let mut calls_before: Option<(u64, u64)> = None;
+    while Instant::now() < load.end {
+        if calls_before.is_none() && Instant::now() >= load.overload_start {
+            if let Some(dependency) = &load.plan.dependency {
+                service.call_time_us.store(dependency.overload_call_time.as_micros() as u64, Relaxed);
+            }
+            calls_before = Some((service.calls.load(Relaxed), service.total_call_time_us.load(Relaxed)));
+        }
+        Timer::after(PROGRESS_PERIOD.min(load.end - Instant::now())).await;
+        progress(&progress_line(load));
+    }
+    let (count_before, time_before_us) = calls_before.unwrap_or_default();
+    let overload_us = load.overload_start.elapsed().as_micros() as f64;
+    let call_time_us = service.total_call_time_us.load(Relaxed) - time_before_us;
+    let calls = OverloadCalls {
+        count: service.calls.load(Relaxed) - count_before,
+        mean_in_flight: call_time_us as f64 / overload_us,
+    };
+    let last_replies = Instant::now() + 4 * load.plan.objective;
+    while load.in_flight.get() > 0 && !load.plan.stops_early && Instant::now() < last_replies {
+        Timer::after(POLL_PERIOD).await;
+    }
+    calls
+}
+
+fn progress_line(load: &Load) -> String {
+    let phase = if Instant::now() < load.overload_start { "baseline" } else { "overload" };
+    let reports = load.reports.borrow();
+    let groups: Vec<String> = reports
+        .iter()
+        .map(|report| format!("{} {} of {}", report.name, report.in_time, report.sent))
+        .collect();
+    format!("{:>4.0} s, {phase}: {}", load.began.elapsed().as_secs_f64(), groups.join(", "))
+}
+
+/// Stops the program and returns its exit code. The executor runs meanwhile, since balancers close connections
+/// that the program drains.
+fn stop(server: &mut ServerProcess, executor: &LocalExecutor<'static>) -> Result<Option<i32>> {
+    server.signal("TERM")?;
+    let deadline = Instant::now() + WAIT_MAX;
+    async_io::block_on(executor.run(async {
+        loop {
+            if let Some(status) = server.try_wait()? {
+                return Ok(status.code());
+            }
+            ensure!(Instant::now() < deadline, "the program does not end within {WAIT_MAX:?}");
+            Timer::after(POLL_PERIOD).await;
+        }
+    }))
+}
+
+/// The counters of the program's last line, `... counters: name=count name=count`.
+fn final_counters(line: &str) -> HashMap<String, u64> {
+    let words = line.split("counters:").nth(1).unwrap_or("").split_whitespace();
+    let counter = |word: &str| {
+        let (name, count) = word.split_once('=')?;
+        Some((name.to_string(), count.parse().ok()?))
+    };
+    words.filter_map(counter).collect()
+}
