--- a/crates/replication/src/simulation/host.rs
+++ b/crates/replication/src/simulation/host.rs
@@ -1,13 +1,14 @@
 //! What the host of a member does: it advances the member, writes its state, applies revisions, and checks
 //! that none is older than one before and that no number has two contents.
 
-use super::event_queue::Event;
+use super::event::Event;
 use super::node::Disk;
 use super::{AppliedRevision, Fleet, member_name};
 use crate::snapshot::Snapshot;
 use crate::time::MILLISECOND_NS;
 
 impl Fleet {
+    /// Lets an event happen.
     pub(super) fn handle(&mut self, event: Event) {
         match event {
             Event::View => self.update_view(),
@@ -25,6 +26,7 @@
         }
     }
 
+    /// Advances a member, unless it was restarted or scheduled anew since.
     fn on_due(&mut self, index: usize, incarnation: u64) {
         let node = &mut self.nodes[index];
         if node.incarnation != incarnation || node.due != self.now {
