--- a/crates/cli/tests/fleet_membership.rs
+++ b/crates/cli/tests/fleet_membership.rs
@@ -1,7 +1,7 @@
 //! Several processes of the program keep one view of the fleet through a fault relay on loopback: a crash
 //! (SIGKILL), a stall (SIGSTOP, SIGCONT), partitions and lossy links. Every assertion is on what the
 //! processes themselves write to their logs (JSON lines), never on the relay's word. Each process is killed
-//! when its stage ends, whatever the outcome.
+//! when its harness is dropped, whatever the outcome.
 
 use meadowstream_test_doubles::fleet::{FleetHarness, HarnessOptions, PROBE_PERIOD_MS, SUSPICION_PERIODS};
 use std::net::UdpSocket;
--- /dev/null
+++ b/crates/cli/tests/scenario_harness/mod.rs
@@ -0,0 +1,348 @@
+//! Test doubles of balancers, the interpreter, the downstream service (`records`) and the service registry
+//! (`catalog`), and the notation in which scenarios drive them. Every wait is for an event and fails after [`WAIT_MAX`]. A line a step:
+//!
+//! - `waits MS` where a span of time itself is what is played.
+//! - first `config PATH JSON` to change the configuration; the server starts with `start`, again with
+//!   `start again` (same address) after `kill`; `fails TEXT` is for one that must not start.
+//! - `options XML` for the project's own settings (`<tenants ...>` and all in it, `\n` for a new line).
+//! - `signal TERM|INT|USR1`, `exits CODE`, `adds up` (the counters at the end), `logs TEXT` (waits for a
+//!   line of the log); `log held` and `log read`: nobody reads the log for a while.
+//! - `open A`, `close A`, `half-close A`, `reset A`; `call A TAG OPERATION BODY [FIELDS]` (its reference is
+//!   made of TAG), `health A TAG`, `send A BYTES` (`\r`, `\n`), `bytewise A TAG OPERATION BODY`,
+//!   `hears A TAG WORD [BODY]`, `hears-fields A TAG WORD TEXT`, `hears A 0 enough`, `unheard A TAG`,
+//!   `ends A`, `ends-cleanly A` (not by a reset); FIELDS may say NOW, or LATE for a clock two seconds behind;
+//!   `open A tiny` with hardly any room for what it hears, `rubbish A BYTES` without waiting for a reader;
+//!   `flood A N` sends N checks without reading, `drink A N` reads as many answers.
+//! - `link INDEX` (takes a link that must have read that far), `banner warm|cold [AGE_MS]`, `told VERB TAG
+//!   [BODY]`, `any-told VERB` whatever its task, `half-a-banner`, `vm full` and `vm takes` (nobody accepts
+//!   there for a while), `dials anew`, `notice JSON` (TAG written `#7` becomes its reference, `=text=`
+//!   base64), `gauges on|off`, `unlink`.
+//! - `called TAG BODY`, `reply STATUS BODY [HEADER]`, `hang up` (on the call), `given up` (by the server),
+//!   `no records` (connections there are refused), `records full` (nobody accepts them), `no catalog`.
+//! - `many-tenants N WEIGHT` for options that name so many tenants `t0`, `t1`, ... of that weight;
+//!   `one-tenant NAME WEIGHT ACCOUNTS` for one alone, `forget log` for lines so far,
+//!   `until-weight NAME WEIGHT` asks for the shares until the log shows a tenant so; `pauses-at-most MS` for
+//!   the longest pause that the log shows of any change of settings.
+//! - `moves` (all but the balancers stand elsewhere now, and the server is told), `rewrite` (the file is as
+//!   configured, and the server is told), `half-rewrite` (half of the file is there when it is told).
+//! - `descriptors N` (before the start), `holds-at-most N`; `counts COUNTER LEAST`, `counted COUNTER
+//!   EXACTLY`; `reported WORDS`; `repeat N STEP` with `%` for the number.
+
+mod balancer;
+mod link;
+mod options;
+mod sockets;
+mod steps;
+
+use balancer::{Balancer, reference};
+use base64::{Engine, engine::general_purpose::STANDARD};
+use link::Link;
+use serde_json::{Value, json};
+use sockets::{accept, dialling_ports, listener, with_timeout};
+use std::collections::HashMap;
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::{TcpListener, TcpStream, UdpSocket};
+use std::path::PathBuf;
+use std::process::{Child, Command, Stdio};
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
+use std::sync::mpsc::{Receiver, channel};
+use std::time::{Duration, Instant};
+
+const WAIT_MAX: Duration = Duration::from_secs(30);
+
+/// The server and the test doubles round it.
+pub struct ScenarioHarness {
+    name: String,
+    configuration: Value,
+    server: Option<Child>,
+    log: Receiver<String>,
+    log_lines: Vec<String>,
+    log_held: Arc<AtomicBool>,
+    listen: String,
+    balancers: HashMap<String, Balancer>,
+    interpreter: TcpListener,
+    /// When the interpreter started, where a banner does not say otherwise.
+    interpreter_started: Instant,
+    /// Connections that fill queues.
+    queue_fillers: Vec<TcpStream>,
+    link: Option<Link>,
+    gauges: Arc<AtomicBool>,
+    downstream_service: Option<TcpListener>,
+    downstream_call: Option<BufReader<TcpStream>>,
+    registry: UdpSocket,
+    descriptors: Option<String>,
+    options: Option<String>,
+}
+
+impl ScenarioHarness {
+    pub fn new(name: &str) -> Self {
+        let (interpreter, downstream_service) = (listener(), listener());
+        let registry = UdpSocket::bind("127.0.0.1:0").unwrap();
+        registry.set_read_timeout(Some(WAIT_MAX)).unwrap();
+        let address = |listener: &TcpListener| listener.local_addr().unwrap().to_string();
+        let operation = |name: &str| {
+            let (target, give_up) = (8_000_000, 9_000_000);
+            json!({"name": name, "effect": "repeatable", "target": target, "give-up": give_up, "worth": 1.0})
+        };
+        let configuration = json!({
+            "name": "n3", "listen": "127.0.0.1:0", "vm": address(&interpreter), "records": address(&downstream_service),
+            "directory": registry.local_addr().unwrap().to_string(),
+            "seed": "8c1f30d27a5be964", "stop_ms": 4000,
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+            "settings": {
+                "grades": [operation("load"), operation("store")], "peers-total": 2, "orgs": [],
+                "contract": {"drain-grace": 2_000_000, "grace-to-answer": 50_000, "fall-multiple": 8.0,
+                    "cold-from": 0.2, "cold": 9_000_000},
+                "limits": {"retry-after": true, "max-retry-after": 1_000_000},
+                "family-info": {"below": "tier", "cores": 4, "memory-kb": 100_000, "run-factor": 4.0,
+                    "entry-kb": 7, "preemption": "discard", "say": "weight", "idle": 15_000_000,
+                    "own-stats": ["cpu_busy", "runnable"]},
+            },
+        });
+        Self {
+            name: name.to_string(),
+            configuration,
+            server: None,
+            log: channel().1,
+            log_lines: Vec::new(),
+            log_held: Arc::default(),
+            listen: String::new(),
+            balancers: HashMap::new(),
+            interpreter,
+            interpreter_started: Instant::now(),
+            queue_fillers: Vec::new(),
+            link: None,
+            gauges: Arc::new(AtomicBool::new(true)),
+            downstream_service: Some(downstream_service),
+            downstream_call: None,
+            registry,
+            descriptors: None,
+            options: None,
+        }
+    }
+
+    fn configure(&mut self, path: &str, value: &str) {
+        let place = path.split('/').fold(&mut self.configuration, |at, name| match name.parse::<usize>() {
+            Ok(i) => &mut at[i],
+            Err(_) => &mut at[name],
+        });
+        *place = serde_json::from_str(value).expect("JSON");
+    }
+
+    fn configuration_path(&self) -> PathBuf {
+        std::env::temp_dir().join(format!("{}-{}.json", self.name, std::process::id()))
+    }
+
+    /// Writes what is configured.
+    fn write_files(&self) {
+        std::fs::write(self.configuration_path(), self.configuration.to_string()).unwrap();
+        if let Some(text) = &self.options {
+            let root = "<meadowstream xmlns=\"urn:meadowstream:options:1\">";
+            std::fs::write(
+                self.configuration_path().with_extension("xml"),
+                format!("{root}\n{text}\n</meadowstream>"),
+            )
+            .unwrap();
+        }
+    }
+
+    fn start(&mut self) {
+        let file = self.configuration_path();
+        self.write_files();
+        let options = self.options.as_ref().map(|_| file.with_extension("xml"));
+        let most = self.descriptors.as_deref().unwrap_or("1024");
+        let mut server = Command::new("sh")
+            .args(["-c", "ulimit -n $0; exec \"$1\" serve --config \"$2\" ${3:+--options \"$3\"}", most])
+            .arg(env!("CARGO_BIN_EXE_meadowstream"))
+            .arg(&file)
+            .args(options)
+            .stderr(Stdio::piped())
+            .spawn()
+            .unwrap();
+        let (lines, log) = channel();
+        let stderr = BufReader::new(server.stderr.take().unwrap());
+        let held = self.log_held.clone();
+        std::thread::spawn(move || {
+            stderr.lines().map_while(Result::ok).try_for_each(|line| {
+                while held.load(Relaxed) {
+                    std::thread::sleep(Duration::from_millis(5));
+                }
+                lines.send(line)
+            })
+        });
+        (self.server, self.log, self.log_lines) = (Some(server), log, Vec::new());
+    }
+
+    fn wait_for_log_line(&mut self, text: &str) -> String {
+        loop {
+            if let Some(line) = self.log_lines.iter().find(|line| line.contains(text)) {
+                return line.clone();
+            }
+            let line = self
+                .log
+                .recv_timeout(WAIT_MAX)
+                .unwrap_or_else(|_| panic!("no {text:?}: {:?}", self.log_lines));
+            self.log_lines.push(line);
+        }
+    }
+
+    fn wait_for_weight(&mut self, name: &str, weight: &str) {
+        let shown = format!("tenant=\"{name}\" weight={weight}");
+        let end = Instant::now() + WAIT_MAX;
+        while !self.log_lines.iter().any(|line| line.contains(&shown)) {
+            assert!(Instant::now() < end, "no {shown:?}: {:?}", self.log_lines);
+            self.signal("USR1");
+            std::thread::sleep(Duration::from_millis(100));
+            self.log_lines.extend(self.log.try_iter());
+        }
+    }
+
+    fn expect_pauses_at_most(&mut self, ms: u64) {
+        self.log_lines.extend(self.log.try_iter());
+        let pauses =
+            self.log_lines.iter().filter_map(|line| line.split(" pause_us=").nth(1)?.trim().parse().ok());
+        let pauses: Vec<u64> = pauses.collect();
+        assert!(!pauses.is_empty() && pauses.iter().all(|us| *us <= ms * 1000), "{pauses:?}");
+    }
+
+    fn expect_exit(&mut self, code: Option<i32>) {
+        // The log ends with the process, or this fails.
+        while let Ok(line) = self.log.recv_timeout(WAIT_MAX) {
+            self.log_lines.push(line);
+        }
+        let status = self.server.take().expect("started").wait().unwrap();
+        assert_eq!(status.code(), code, "{:?}", self.log_lines);
+    }
+
+    fn signal(&self, name: &str) {
+        let id = self.server.as_ref().expect("started").id().to_string();
+        assert!(Command::new("kill").args([&format!("-{name}"), &id]).status().unwrap().success());
+    }
+
+    /// Asks for the counters until one has come that far.
+    fn wait_for_counter(&mut self, name: &str, least: u64) {
+        let end = Instant::now() + WAIT_MAX;
+        while Instant::now() < end {
+            if self.counter(name) >= least {
+                return;
+            }
+        }
+        panic!("{name} stays under {least}: {:?}", self.log_lines);
+    }
+
+    fn counter(&mut self, name: &str) -> u64 {
+        self.log_lines.clear();
+        self.signal("USR1");
+        let line = self.wait_for_log_line("counters:");
+        let counter = line.split_whitespace().find_map(|word| word.strip_prefix(name)?.strip_prefix('='));
+        counter.expect("a counter").parse().unwrap()
+    }
+
+    /// Somebody dials the interpreter, without an answer, from a second port after the first.
+    fn wait_for_second_dial(&self) {
+        let (end, mut ports) = (Instant::now() + WAIT_MAX, std::collections::HashSet::new());
+        while Instant::now() < end {
+            ports.extend(dialling_ports(&self.interpreter));
+            if ports.len() > 1 {
+                return;
+            }
+            std::thread::sleep(Duration::from_millis(5));
+        }
+        panic!("dialled from {ports:?} only");
+    }
+
+    fn balancer(&mut self, name: &str) -> &mut Balancer {
+        self.balancers.get_mut(name).unwrap_or_else(|| panic!("no connection {name}"))
+    }
+
+    fn write(&mut self, name: &str, bytes: &[u8]) {
+        self.balancer(name).stream.get_mut().write_all(bytes).unwrap();
+    }
+
+    fn command(&mut self) -> Value {
+        let link = self.link.as_mut().expect("linked");
+        link.commands.recv_timeout(WAIT_MAX).expect("a command in time")
+    }
+
+    fn expect_command(&mut self, verb: &str, tag: &str, body: Option<&str>) {
+        let command = self.command();
+        assert_eq!((&command["verb"], &command["task"]), (&json!(verb), &json!(reference(tag))), "{command}");
+        if let Some(body) = body {
+            assert_eq!(command["bytes"], json!(STANDARD.encode(body)), "{command}");
+        }
+    }
+
+    fn send_notice(&mut self, text: &str) {
+        let mut text = text.to_string();
+        while let Some((before, rest)) = text.split_once('#') {
+            let end = rest.find(|c: char| !c.is_ascii_digit()).unwrap_or(rest.len());
+            text = format!("{before}{}{}", reference(&rest[..end]), &rest[end..]);
+        }
+        while let Some((before, rest)) = text.split_once('=') {
+            let (body, after) = rest.split_once('=').expect("two marks");
+            text = format!("{before}{}{after}", STANDARD.encode(body).replace('=', "\u{1}"));
+        }
+        let line = format!("{}\n", text.replace('\u{1}', "="));
+        self.link.as_mut().expect("linked").stream.write_all(line.as_bytes()).unwrap();
+    }
+
+    fn expect_downstream_call(&mut self, tag: &str, body: &str) {
+        if self.downstream_call.is_none() {
+            self.downstream_call = Some(with_timeout(accept(
+                self.downstream_service.as_ref().expect("the scenario has not closed the service"),
+            )));
+        }
+        let call = self.downstream_call.as_mut().unwrap();
+        let mut head = String::new();
+        while !head.ends_with("\r\n\r\n") {
+            assert!(call.read_line(&mut head).expect("a call in time") > 0, "the call's connection ended");
+        }
+        assert!(head.contains(&format!("Op-Of: {}\r\n", reference(tag))), "{head}");
+        let len: usize =
+            head.split("Content-Length: ").nth(1).unwrap().split('\r').next().unwrap().parse().unwrap();
+        let mut got = vec![0; len];
+        call.read_exact(&mut got).unwrap();
+        assert_eq!(String::from_utf8(got).unwrap(), body);
+    }
+
+    fn send_downstream_reply(&mut self, status: &str, body: &str, header: &str) {
+        let header = if header.is_empty() { String::new() } else { format!("{header}\r\n") };
+        let reply = format!("HTTP/1.1 {status} X\r\n{header}Content-Length: {}\r\n\r\n{body}", body.len());
+        self.downstream_call.as_mut().expect("a call").get_mut().write_all(reply.as_bytes()).unwrap();
+    }
+
+    fn expect_reply(&mut self, name: &str, tag: &str, word: &str, body: Option<&str>) {
+        let words = self.balancer(name).wait_for_reply(tag);
+        assert_eq!(words[1], word, "{words:?}");
+        if let Some(body) = body {
+            assert_eq!(words[3], body, "{words:?}");
+        }
+    }
+}
+
+impl Drop for ScenarioHarness {
+    fn drop(&mut self) {
+        if let Some(server) = &mut self.server {
+            if std::thread::panicking() {
+                println!("the server: {:?}", server.try_wait());
+            }
+            let _ = server.kill().and_then(|()| server.wait());
+        }
+        if std::thread::panicking() {
+            self.log_lines.extend(self.log.try_iter());
+            println!("the server's log: {:#?}", self.log_lines);
+        }
+        let _ = std::fs::remove_file(self.configuration_path());
+        let _ = std::fs::remove_file(self.configuration_path().with_extension("xml"));
+    }
+}
+
+pub fn play(name: &str, text: &str) {
+    let mut harness = ScenarioHarness::new(name);
+    for line in text.lines().filter(|line| !line.is_empty() && !line.starts_with('#')) {
+        // Shown where the step fails.
+        println!("{line}");
+        harness.step(line);
+    }
+}
--- /dev/null
+++ b/crates/cli/tests/scenario_harness/sockets.rs
@@ -0,0 +1,57 @@
+//! Sockets of the test doubles.
+
+use super::WAIT_MAX;
+use rustix::net::{self, AddressFamily, SocketType, sockopt};
+use std::io::{BufReader, ErrorKind};
+use std::net::{TcpListener, TcpStream};
+use std::time::{Duration, Instant};
+
+pub fn listener() -> TcpListener {
+    TcpListener::bind("127.0.0.1:0").unwrap()
+}
+
+/// The next connection, which must come in time.
+pub fn accept(listener: &TcpListener) -> TcpStream {
+    listener.set_nonblocking(true).unwrap();
+    let end = Instant::now() + WAIT_MAX;
+    loop {
+        match listener.accept() {
+            Ok((stream, _)) => {
+                stream.set_nonblocking(false).unwrap();
+                return stream;
+            }
+            Err(error) if error.kind() == ErrorKind::WouldBlock && Instant::now() < end => {
+                std::thread::sleep(Duration::from_millis(1));
+            }
+            Err(error) => panic!("nobody connects: {error}"),
+        }
+    }
+}
+
+pub fn with_timeout(stream: TcpStream) -> BufReader<TcpStream> {
+    stream.set_read_timeout(Some(WAIT_MAX)).unwrap();
+    stream.set_nodelay(true).unwrap();
+    BufReader::new(stream)
+}
+
+/// Nobody accepts there any more, and the kernel answers no dial: its queue is full. Returns what fills it.
+pub fn fill_queue(listener: &TcpListener) -> TcpStream {
+    net::listen(listener, 0).unwrap();
+    TcpStream::connect(listener.local_addr().unwrap()).unwrap()
+}
+
+/// Ports from which somebody dials this address and has no answer yet.
+pub fn dialling_ports(to: &TcpListener) -> Vec<String> {
+    let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
+    let remote = format!("0100007F:{:04X}", to.local_addr().unwrap().port());
+    let rows = table.lines().map(|row| row.split_whitespace().collect::<Vec<_>>());
+    rows.filter(|row| row[2] == remote && row[3] == "02").map(|row| row[1].to_string()).collect()
+}
+
+/// A connection that takes in next to nothing before it is read.
+pub fn connect_with_small_buffer(to: &str) -> TcpStream {
+    let socket = net::socket(AddressFamily::INET, SocketType::STREAM, None).unwrap();
+    sockopt::set_socket_recv_buffer_size(&socket, 2048).unwrap();
+    net::connect(&socket, &to.parse::<std::net::SocketAddr>().unwrap()).unwrap();
+    TcpStream::from(socket)
+}
--- a/crates/cli/tests/server.rs
+++ b/crates/cli/tests/server.rs
@@ -1,9 +1,9 @@
-//! Plays the scenario files against the program itself, on loopback, with stand-ins for all it speaks to.
-//! The stand-ins and the notation are in stand_ins.rs.
+//! Plays the scenario files against the program itself, on loopback, among test doubles of all it speaks to.
+//! The test doubles and the notation are in scenario_harness/.
 
-mod stand_ins;
+mod scenario_harness;
 
-use stand_ins::Stage;
+use scenario_harness::ScenarioHarness;
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
@@ -66,7 +66,7 @@
 fn scenario(name: &str) {
     let path = format!("{}/tests/scenarios/{name}.txt", env!("CARGO_MANIFEST_DIR"));
     let text = std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{path}: {e}"));
-    stand_ins::play(name, &text);
+    scenario_harness::play(name, &text);
 }
 
 /// What the interpreter does when the server comes back, up to its banner.
@@ -87,8 +87,8 @@
 fn nine_in_ten_restarted_servers_are_ready_within_10_s() {
     let restart = |i: usize| {
         let peers = PEERS[i % PEERS.len()];
-        let mut stage = Stage::new(&format!("restart_{i}"));
-        let mut all = |steps: &[&str]| steps.iter().for_each(|step| stage.step(step));
+        let mut harness = ScenarioHarness::new(&format!("restart_{i}"));
+        let mut all = |steps: &[&str]| steps.iter().for_each(|step| harness.step(step));
         all(&["start", "link 0", "banner warm", "open A", "call A 1 load x", "told APPLY 1 x", "kill"]);
         if peers.contains(&"vm takes") {
             all(&["vm full"]);
