--- a/crates/overload-control/src/advertised_load.rs
+++ b/crates/overload-control/src/advertised_load.rs
@@ -6,8 +6,9 @@
 pub struct LoadInputs {
     /// Whether callers should still send.
     pub wants_arrivals: bool,
-    /// Refusal time ratio of basic.
-    pub basic_refusal_ratio: f64,
+    /// Share of the control period in which arrivals of the lowest rank are rejected, from 0 to 1: by the
+    /// regulator, for a flood or for ill health.
+    pub lowest_rank_refusal_ratio: f64,
     /// Share of its full speed that the server has reached.
     pub speed_ratio: f64,
     /// Runs that go on side by side.
@@ -26,7 +27,7 @@
         let wanted = f64::from(inputs.wants_arrivals);
         let load = match unit {
             Advertisement::None => return None,
-            Advertisement::Weight => (1.0 - inputs.basic_refusal_ratio) * inputs.speed_ratio * wanted,
+            Advertisement::Weight => (1.0 - inputs.lowest_rank_refusal_ratio) * inputs.speed_ratio * wanted,
             Advertisement::MinimumRank => f64::from(!inputs.wants_arrivals),
             Advertisement::ConcurrencyAllowance => inputs.concurrency_limit * wanted,
         };
--- a/crates/overload-control/src/call_budget.rs
+++ b/crates/overload-control/src/call_budget.rs
@@ -14,14 +14,18 @@
 /// A call has this many times the timeout of one that may be repeated, at the most.
 const TIMEOUT_MAX_RATIO: f64 = 4.0;
 
+/// A call that even the largest budget cannot carry whole has at least this share of it as its timeout. A
+/// difference, as 0.3 would round to another number.
+const TIMEOUT_MIN_SHARE: f64 = 1.0 - 0.7;
+
 /// What a call wants of the budget.
 pub struct Request {
     /// Time that the call may take by its deadline and its retries.
     pub timeout: Nanos,
     /// Timeout of a call that may be repeated, ns; 0 where none is learned.
     pub attempt_timeout_ns: f64,
-    /// The same at the first attempt, ns.
-    pub first_timeout_ns: f64,
+    /// Half of that timeout at the first attempt, ns; 0 where none is learned.
+    pub base_timeout_ns: f64,
     /// The run is of the highest rank.
     pub is_top_rank: bool,
 }
@@ -68,8 +72,8 @@
         if self.available_ns < self.needed_ns {
             return None;
         }
-        let timeout_min = self.max_ns * (1.0 - STEADY_SHARE);
-        let affordable = (self.available_ns - linger).max(request.first_timeout_ns).max(timeout_min);
+        let timeout_min = self.max_ns * TIMEOUT_MIN_SHARE;
+        let affordable = (self.available_ns - linger).max(request.base_timeout_ns).max(timeout_min);
         let timeout = wanted.min(affordable) as Nanos;
         self.available_ns -= timeout as f64 + linger;
         Some(timeout)
--- a/crates/overload-control/src/controller.rs
+++ b/crates/overload-control/src/controller.rs
@@ -76,9 +76,10 @@
 ];
 
 impl Controller {
-    /// A controller for a server that started at `now`. The seed decides when in the control period its steps
-    /// are, so that the servers of a fleet do not act in step.
-    pub fn new(deployment: Deployment, seed: u64, now: Nanos, host: &mut dyn Host) -> Self {
+    /// A controller for a server that started at `started_at`. The seed decides when in the control period its
+    /// steps are, so that the servers of a fleet do not act in step, and seeds the random numbers of fair
+    /// queueing.
+    pub fn new(deployment: Deployment, seed: u64, started_at: Nanos, host: &mut dyn Host) -> Self {
         let classes = PriorityClasses::new(&deployment);
         let objectives = deployment.operations.iter().map(|operation| operation.latency_objective);
         let shortest_objective = objectives.min().unwrap_or(CONTROL_PERIOD);
@@ -86,28 +87,28 @@
         let pending = PendingQueue::new(classes.len(), deployment.operations.len());
         let stopped_runs_pause = deployment.preemption == Preemption::Pauses;
         let warm_up = WarmUp {
-            started: now,
+            started: started_at,
             starts_cold: deployment.starts_cold,
             cold_speed_ratio: deployment.cold_speed_ratio,
             duration: deployment.warm_up,
         };
         let survivable_ratio = deployment.survivable_concurrency_ratio;
         Self {
-            now,
+            now: started_at,
             shortest_objective,
             invocations: Invocations::new(pending, deployment.run_memory_factor, stopped_runs_pause),
             classes,
-            times: OperationTimes::new(&deployment.operations, now),
-            quotas: TenantQuotas::new(&deployment, seed, now),
+            times: OperationTimes::new(&deployment.operations, started_at),
+            quotas: TenantQuotas::new(&deployment, seed, started_at),
             keys: IdempotencyKeys::new(deployment.idempotency_entry_kb),
-            reading: Reading::new(shortest_objective, now),
-            retries: Retries::new(deployment.retries_marked, now),
+            reading: Reading::new(shortest_objective, started_at),
+            retries: Retries::new(deployment.retries_marked, started_at),
             regulator: Regulator::new(deployment.target_utilization),
-            admission: Admission::new(now),
+            admission: Admission::new(started_at),
             concurrency: ConcurrencyLimit::new(deployment.cores, survivable_ratio, warm_up),
             memory: MemoryLimit::new(deployment.memory_kb),
-            calls: DownstreamCalls::new(&deployment, now),
-            health: Health::new(now),
+            calls: DownstreamCalls::new(&deployment, started_at),
+            health: Health::new(started_at),
             draining: Draining::new(&deployment),
             advertised: AdvertisedLoad::default(),
             idle_connections: IdleConnections::new(deployment.idle_timeout_max, deployment.callers),
--- a/crates/overload-control/src/controller/events.rs
+++ b/crates/overload-control/src/controller/events.rs
@@ -24,12 +24,14 @@
         invocation.rank = self.classes.rank(operation.priority_weight * quota_ratio);
         invocation.deadlines = Deadlines::of(&arrival, operation, now);
         invocation.cost_ratio = cost_ratio;
-        // A kept promise is admitted, unless the server is worse off than it was to be.
+        // A caller that returns with its ticket skips the refusal window, unless the server is flooded or
+        // unhealthy by now.
         let is_promised = standing.fair_admission.is_some_and(|admission| admission.promised);
         invocation.screened |= is_promised && !self.is_in_distress();
-        // A repeat of an invocation whose key is not stored would run as well, so it must not run itself.
-        let is_overdue = self.draining.is_too_late(invocation.arrived) || arrival.key_not_stored;
-        self.invocations.insert(invocation, is_overdue);
+        // Arrivals after the drain grace are not run. Nor are those whose idempotency key the host could not
+        // store: a retry with the same key would not be recognized, and the effect would happen twice.
+        let answer_without_run = self.draining.is_too_late(invocation.arrived) || arrival.key_not_stored;
+        self.invocations.insert(invocation, answer_without_run);
         self.apply_rules(host);
     }
 
--- a/crates/overload-control/src/controller/rules.rs
+++ b/crates/overload-control/src/controller/rules.rs
@@ -37,8 +37,9 @@
         Some(())
     }
 
-    /// Arrivals in the first part of the control period are rejected, by rank; the paper's actuator. Where
-    /// downstream calls are saturated and the cores are not, operations that make none are admitted.
+    /// Arrivals in the first part of the control period are rejected, by rank: the actuator of IAMS (Jiang,
+    /// Meng, Ren and Zhan). Where downstream calls are saturated and the cores are not, operations that make
+    /// none are admitted.
     pub(super) fn reject_in_refusal_window(&mut self, host: &mut dyn Host) -> Option<()> {
         let key = self.invocations.next_to_screen()?;
         let (rank, operation) = (self.invocations[key].rank, self.invocations[key].operation);
@@ -162,18 +163,19 @@
         Some(())
     }
 
-    /// Health checks and callers are notified of changes.
+    /// Health checks and callers are notified of changes. Health checks are answered by readiness: a draining
+    /// server that wants no more arrivals fails them, although it is healthy.
     pub(super) fn report_health_and_load(&mut self, host: &mut dyn Host) -> Option<()> {
         let wants_arrivals = self.draining.wants_arrivals(self.now, self.deployment.target_utilization);
-        let is_healthy = wants_arrivals && self.unhealthy_ratio() <= 0.0;
-        if self.health.set(is_healthy) {
-            host.set_health(is_healthy, !is_healthy);
-            host.log(if is_healthy { log_lines::HEALTHY } else { log_lines::UNHEALTHY });
+        let is_ready = wants_arrivals && self.unhealthy_ratio() <= 0.0;
+        if self.health.set_ready(is_ready) {
+            host.set_health(is_ready, !is_ready);
+            host.log(if is_ready { log_lines::HEALTHY } else { log_lines::UNHEALTHY });
             return Some(());
         }
         let inputs = LoadInputs {
             wants_arrivals,
-            basic_refusal_ratio: self.refusal_ratio(0),
+            lowest_rank_refusal_ratio: self.refusal_ratio(0),
             speed_ratio: self.concurrency.speed_ratio(self.now),
             concurrency_limit: self.concurrency.get(),
         };
@@ -212,11 +214,12 @@
         self.reject_or_fail(key, retry_after, retry_after, host);
     }
 
-    /// Rejects where nothing was done or nothing can happen twice, else fails. A promise of admission is for
-    /// `promise_after` at the earliest.
+    /// Rejects where nothing was done or doing it again is harmless, else fails. A promise of admission is for
+    /// `promise_after` at the earliest. The caller is not to try elsewhere where it has a promise here, where it
+    /// is too late for an answer of full value, or where retries would add to an overload of the fleet.
     fn reject_or_fail(&mut self, key: usize, retry_after: Nanos, promise_after: Nanos, host: &mut dyn Host) {
         let are_retries_harmful = self.retries.are_harmful(self.regulator.ratios().basic);
-        let advice = self.retry_advice(key, retry_after, promise_after, host);
+        let advice = self.issue_retry_advice(key, retry_after, promise_after, host);
         let invocation = &self.invocations[key];
         let is_late = self.now >= invocation.deadlines.objective;
         let no_retry = advice.ticket.is_some() || is_late || are_retries_harmful;
@@ -230,9 +233,9 @@
         self.close(key, host);
     }
 
-    /// When the caller is to return, with a promise of admission where there is one. A server in distress or
-    /// draining has nothing to promise.
-    fn retry_advice(
+    /// When the caller is to return. Where it can, it ends the invocation in fair queueing, makes a promise of
+    /// admission for the next one, and announces it to the host; not while in distress or draining.
+    fn issue_retry_advice(
         &mut self,
         key: usize,
         retry_after: Nanos,
@@ -245,7 +248,7 @@
             return unpromised;
         }
         let invocation = &mut self.invocations[key];
-        let Some(advice) = self.quotas.promise(self.now, invocation, promise_after) else {
+        let Some(advice) = self.quotas.end_with_promise(self.now, invocation, promise_after) else {
             return unpromised;
         };
         if let Some(ticket) = advice.ticket {
--- a/crates/overload-control/src/downstream_calls.rs
+++ b/crates/overload-control/src/downstream_calls.rs
@@ -5,12 +5,13 @@
 use crate::operation_times::TIMES_HALF_LIFE;
 use crate::{Deployment, Nanos, Outcome};
 
-/// Growth of the limit, in cores, for each call that succeeds while the limit binds; and the ratio it is cut
-/// to for each call that is rejected.
+/// A limit's worth of calls that succeed while the limit binds raise it by this share of the core count; each
+/// rejected call cuts it to the ratio below.
 const LIMIT_GROWTH: f64 = 0.1;
 const LIMIT_CUT_RATIO: f64 = 0.93;
-/// Timeout of a call that may be repeated, in usual call times; it doubles with each attempt.
-const TIMEOUT_RATIO: f64 = 2.0;
+/// Base timeout of a call that may be repeated, in usual call times. The first attempt has twice the base, and
+/// each further attempt twice the timeout of the one before.
+const BASE_TIMEOUT_RATIO: f64 = 2.0;
 /// Attempts after which the timeout doubles no more.
 const DOUBLINGS_MAX: u32 = 8;
 /// Backoff after a rejected call, as a share of the usual time of a run.
@@ -81,8 +82,8 @@
 
     /// The timeout of a call; `None` where the budget of a shared dependency has not enough for it.
     pub fn reserve(&mut self, attempt: &Attempt) -> Option<Nanos> {
-        let first_timeout_ns = self.call_time.mean() * attempt.cost_ratio.max(1.0) * TIMEOUT_RATIO;
-        let attempt_timeout_ns = first_timeout_ns * f64::from(2 << attempt.attempts.min(DOUBLINGS_MAX));
+        let base_timeout_ns = self.call_time.mean() * attempt.cost_ratio.max(1.0) * BASE_TIMEOUT_RATIO;
+        let attempt_timeout_ns = base_timeout_ns * f64::from(2 << attempt.attempts.min(DOUBLINGS_MAX));
         let has_attempt_timeout = attempt.is_idempotent && attempt_timeout_ns > 0.0;
         let timeout = if has_attempt_timeout {
             attempt.time_left.min(attempt_timeout_ns as Nanos)
@@ -91,7 +92,7 @@
         };
         let Some(budget) = &mut self.budget else { return Some(timeout) };
         let is_top_rank = attempt.is_top_rank;
-        budget.reserve(&Request { timeout, attempt_timeout_ns, first_timeout_ns, is_top_rank })
+        budget.reserve(&Request { timeout, attempt_timeout_ns, base_timeout_ns, is_top_rank })
     }
 
     /// A call with this timeout has ended, or the run ended under it.
--- a/crates/overload-control/src/draining.rs
+++ b/crates/overload-control/src/draining.rs
@@ -3,8 +3,8 @@
 
 use crate::{Deployment, Nanos};
 
-/// Answer graces that the last answers come before the stop.
-const ANSWER_GRACES: Nanos = 2;
+/// How many answer graces before the stop the last answers are given.
+const ANSWER_GRACE_COUNT: u64 = 2;
 
 /// The notice to drain.
 #[derive(Clone, Copy, Debug)]
@@ -51,7 +51,7 @@
 
     /// When the last answers have to be given.
     pub fn last_answers(&self) -> Nanos {
-        let lead = ANSWER_GRACES * self.answer_grace;
+        let lead = ANSWER_GRACE_COUNT * self.answer_grace;
         self.notice.map_or(Nanos::MAX, |notice| notice.stop_at.saturating_sub(lead))
     }
 
--- a/crates/overload-control/src/health.rs
+++ b/crates/overload-control/src/health.rs
@@ -1,4 +1,5 @@
-//! Whether this server is healthy: its runs succeed, and they move.
+//! Whether this server is healthy: its runs succeed, and they move. And whether it was last reported ready,
+//! which a draining server is not, however healthy.
 
 use crate::Nanos;
 use crate::decaying_mean::DecayingMean;
@@ -14,17 +15,20 @@
 
 /// State of health.
 pub struct Health {
+    /// Share of runs that failed. Its half-life is shorter than that of times, as a failing server takes in
+    /// arrivals until it shows.
     failing: DecayingMean,
     /// When a run last left the cores.
     last_progress: Nanos,
-    is_healthy: bool,
+    /// What health checks are answered: healthy, and arrivals are wanted.
+    is_ready: bool,
 }
 
 impl Health {
     /// A healthy server.
     pub fn new(now: Nanos) -> Self {
         let failing = DecayingMean::new(TIMES_HALF_LIFE / 4, now);
-        Self { failing, last_progress: now, is_healthy: true }
+        Self { failing, last_progress: now, is_ready: true }
     }
 
     /// A run has ended by itself.
@@ -52,8 +56,8 @@
         }
     }
 
-    /// Takes over what health checks are answered; true where it has changed.
-    pub fn set(&mut self, is_healthy: bool) -> bool {
-        std::mem::replace(&mut self.is_healthy, is_healthy) != is_healthy
+    /// Sets the readiness, which health checks are answered; true where it has changed.
+    pub fn set_ready(&mut self, is_ready: bool) -> bool {
+        std::mem::replace(&mut self.is_ready, is_ready) != is_ready
     }
 }
--- a/crates/overload-control/src/idle_connections.rs
+++ b/crates/overload-control/src/idle_connections.rs
@@ -5,7 +5,8 @@
 
 /// Connections stay where a caller returns this often before it would close its own.
 const RETURNS_MIN: f64 = 4.0;
-/// Steepness with which the timeout falls where callers return less often.
+/// Power of the returns by which the timeout falls where callers return less often: half as many returns leave
+/// a sixteenth of it.
 const STEEPNESS: i32 = 4;
 /// Shortest timeout, as a share of the control period.
 const TIMEOUT_MIN_SHARE: f64 = 0.02;
--- a/crates/overload-control/src/invocations.rs
+++ b/crates/overload-control/src/invocations.rs
@@ -172,8 +172,8 @@
         self.keys_by_id.get(&id).copied()
     }
 
-    /// Adds a pending one. One that is overdue is answered at once, whatever its deadline.
-    pub fn insert(&mut self, mut invocation: Invocation, is_overdue: bool) {
+    /// Adds a pending one. With `answer_without_run` it is answered at once, whatever its deadline.
+    pub fn insert(&mut self, mut invocation: Invocation, answer_without_run: bool) {
         self.arrivals += 1;
         invocation.arrival_number = self.arrivals;
         let (id, screened) = (invocation.id, invocation.screened);
@@ -183,7 +183,7 @@
             self.unscreened.push_back(ArrivalKey { arrival_number: self.arrivals, key });
         }
         self.link(key);
-        if is_overdue {
+        if answer_without_run {
             self.pending.mark_overdue(&self.all[key].entry(key));
         }
     }
--- a/crates/overload-control/src/lib.rs
+++ b/crates/overload-control/src/lib.rs
@@ -41,11 +41,17 @@
     fn start_run(&mut self, invocation: u64);
     /// Preempts a run.
     fn stop_run(&mut self, invocation: u64);
-    /// Answers that nothing was done. `no_retry`: no other server should be tried either. `retry_after` is
-    /// when this server may be tried again, 0 for no advice.
+    /// Answers that nothing was done, or that doing it again is harmless: an idempotent invocation is rejected
+    /// even after its run was started. `retry_after` is when this server may be tried again, 0 for no advice.
+    ///
+    /// `no_retry`: no other server should be tried, for one of three reasons. The rejection carries a promise
+    /// of admission here; the latency objective has passed; or retries elsewhere would only add to an
+    /// overload of the fleet.
     fn reject(&mut self, invocation: u64, no_retry: bool, retry_after: Nanos);
-    /// The rejection that comes next for this invocation carries a promise: the caller that returns with
-    /// the ticket after the advised time is admitted.
+    /// Announces a promise: the caller that returns with the ticket after the advised time is admitted. Called
+    /// right before the answer to the same invocation, at most once. A `reject` carries the ticket to the
+    /// caller; a `fail` does not, and the host drops the ticket. A host whose protocol has no tickets ignores
+    /// the call.
     fn promise_admission(&mut self, _invocation: u64, _ticket: u64) {}
     /// Answers with an error.
     fn fail(&mut self, invocation: u64);
@@ -58,17 +64,20 @@
     fn start_call(&mut self, invocation: u64, timeout: Nanos);
     /// Resumes a run without its downstream call, for a degraded answer.
     fn skip_call(&mut self, invocation: u64);
-    /// Remembers the idempotency key of an invocation for `lifetime`.
+    /// Remembers the idempotency key of an invocation for `lifetime`. A host that stored the key before it
+    /// reported the arrival has nothing to do.
     fn remember_key(&mut self, invocation: u64, lifetime: Nanos);
     /// Forgets the idempotency key of an invocation, which had no effect.
     fn forget_key(&mut self, invocation: u64);
     /// Answers a repeat with the result of the invocation that it repeats.
     fn replay_result(&mut self, invocation: u64);
-    /// Sets the answer to health checks; `cached` answers them without the work of a check.
+    /// Sets the answer to health checks: whether the server is ready, that is healthy and wants arrivals.
+    /// `cached` asks to answer them without the work of a check; a host whose checks cost nothing ignores it.
     fn set_health(&mut self, healthy: bool, cached: bool);
     /// Sets the load advertised with each answer, in the unit of the deployment's [`Advertisement`].
     fn advertise_load(&mut self, load: f64);
-    /// Closes each connection that has been idle for at least `after`.
+    /// Closes each connection that has been idle for at least `after`. Where the protocol lets the peer close,
+    /// the host asks it to make no new call on the connection instead.
     fn close_idle_connections(&mut self, after: Nanos);
     /// Calls [`controller::Controller::on_timer`] with this timer after a while.
     fn set_timer(&mut self, after: Nanos, timer: u32);
@@ -198,7 +207,7 @@
 pub enum Advertisement {
     /// None is advertised.
     None,
-    /// Lowest rank to be sent.
+    /// Lowest rank to be sent: 0 while arrivals are wanted, which is all ranks, and 1 while they are not.
     MinimumRank,
     /// Invocations that a caller may have here at once.
     ConcurrencyAllowance,
--- a/crates/overload-control/src/regulator.rs
+++ b/crates/overload-control/src/regulator.rs
@@ -6,7 +6,8 @@
 /// The control period: the span between two steps of the regulator, and the span that gauges look back over.
 pub const CONTROL_PERIOD: Nanos = 500_000_000;
 
-/// Error and running sum alike; refusing premium costs 100 times as much as refusing basic (the paper's).
+/// Error and running sum alike; refusing premium costs 100 times as much as refusing basic. As in
+/// IAMS (Jiang, Meng, Ren and Zhan).
 const WEIGHTS: Weights = Weights { error: 1.0, error_sum: 1.0, premium: 0.1, basic: 0.001 };
 const ITERATION: Iteration = Iteration { steps_max: 200, tolerance: 1e-6 };
 /// Variance of the prior plant's coefficients.
@@ -66,10 +67,10 @@
         let error = utilization - target;
         self.observe(utilization);
         let gains = self.gains(utilization, target);
-        let at_most = self.ratios.basic >= 1.0 && error > 0.0;
-        let at_least = self.ratios.basic <= 0.0 && error < 0.0;
+        let is_saturated_high = self.ratios.basic >= 1.0 && error > 0.0;
+        let is_saturated_low = self.ratios.basic <= 0.0 && error < 0.0;
         // Anti-windup: at a limit the sum stands still.
-        self.error_sum += if at_most || at_least { 0.0 } else { error };
+        self.error_sum += if is_saturated_high || is_saturated_low { 0.0 } else { error };
         let sum_gain = gains.basic.error_sum;
         self.error_sum = self.error_sum.clamp(0.0, if sum_gain > 0.0 { 1.0 / sum_gain } else { 0.0 });
         let was_shedding = self.ratios.basic > 0.0;
--- a/crates/overload-control/src/retries.rs
+++ b/crates/overload-control/src/retries.rs
@@ -9,6 +9,7 @@
 
 /// What is observed of retries.
 pub struct Retries {
+    /// Arrivals, and the share of them that is marked; a half-life of some control periods, to react within seconds.
     marked: DecayingMean,
     /// Whether callers mark retries.
     are_marked: bool,
--- a/crates/overload-control/src/tenant_quota.rs
+++ b/crates/overload-control/src/tenant_quota.rs
@@ -102,8 +102,14 @@
     }
 
     /// Ends an invocation that never ran and advises its tenant when its quota has capacity again, after
-    /// `least` at the earliest. `None` where there is nothing to promise.
-    pub fn promise(&mut self, now: Nanos, invocation: &mut Invocation, least: Nanos) -> Option<RetryAdvice> {
+    /// `least` at the earliest, with a promise of admission where one can be made. `None`, and nothing is done,
+    /// where there is no fair queueing or the invocation has run.
+    pub fn end_with_promise(
+        &mut self,
+        now: Nanos,
+        invocation: &mut Invocation,
+        least: Nanos,
+    ) -> Option<RetryAdvice> {
         let fair = self.fair.as_mut()?;
         let admission = invocation.fair_admission.take_if(|_| !invocation.has_run)?;
         fair.end(now, &admission, ServiceOutcome::NeverRan);
