--- a/crates/overload-control/src/downstream_calls.rs
+++ b/crates/overload-control/src/downstream_calls.rs
@@ -5,8 +5,8 @@
 use crate::operation_times::TIMES_HALF_LIFE;
 use crate::{Deployment, Nanos, Outcome};
 
-/// A limit's worth of calls that succeed while the limit binds raise it by this share of the core count; each
-/// rejected call cuts it to the ratio below.
+/// As many calls as the limit permits, succeeding while it binds, raise it by this share of the core count.
+/// Each rejected call cuts it to the ratio below.
 const LIMIT_GROWTH: f64 = 0.1;
 const LIMIT_CUT_RATIO: f64 = 0.93;
 /// Base timeout of a call that may be repeated, in usual call times. The first attempt has twice the base, and
