--- a/crates/simulator-adapter/src/codec/event.rs
+++ b/crates/simulator-adapter/src/codec/event.rs
@@ -46,11 +46,20 @@
     }
 }
 
+/// How a run or a call ended. The protocol has several codes for some outcomes.
+mod outcome_code {
+    pub const SUCCEEDED: u16 = 0;
+    pub const NEVER_RAN: [u16; 3] = [249, 252, 254];
+    pub const CANCELLED: u16 = 250;
+    pub const UNKNOWN: [u16; 2] = [251, 253];
+    pub const FAILED: u16 = 255;
+}
+
 /// Bits of an arrival's flags.
 const HAS_COST_HINT: u8 = 1;
 const IS_MARKED_RETRY: u8 = 2;
 
-/// Gauges that fit into a record.
+/// Most gauges that the protocol allows in a timer event; a record has space for more.
 const GAUGES_MAX: usize = 4;
 
 /// The gauges of a timer event, in the order of the settings.
@@ -150,11 +159,11 @@
 
 pub(super) fn outcome(record: Record) -> Result<Outcome, EventError> {
     match record.u16(offset::OUTCOME) {
-        0 => Ok(Outcome::Succeeded),
-        255 => Ok(Outcome::Failed),
-        249 | 252 | 254 => Ok(Outcome::NeverRan),
-        251 | 253 => Ok(Outcome::Unknown),
-        250 => Ok(Outcome::Cancelled),
+        outcome_code::SUCCEEDED => Ok(Outcome::Succeeded),
+        outcome_code::FAILED => Ok(Outcome::Failed),
+        outcome_code::CANCELLED => Ok(Outcome::Cancelled),
+        code if outcome_code::NEVER_RAN.contains(&code) => Ok(Outcome::NeverRan),
+        code if outcome_code::UNKNOWN.contains(&code) => Ok(Outcome::Unknown),
         code => Err(EventError::UnknownOutcome { code }),
     }
 }
--- a/crates/simulator-adapter/src/codec/reply.rs
+++ b/crates/simulator-adapter/src/codec/reply.rs
@@ -77,7 +77,8 @@
     }
 }
 
-/// Whole microseconds, rounded up so that nothing comes due before its time.
+/// Whole microseconds, rounded up so that nothing comes due before its time. At most [`u32::MAX`] of them, 71
+/// minutes: what is further off comes due then.
 fn micros(duration: Nanos) -> [u8; 4] {
     u32::try_from(duration.div_ceil(NS_PER_US)).unwrap_or(u32::MAX).to_le_bytes()
 }
