--- a/crates/capacity/src/added_latency.rs
+++ b/crates/capacity/src/added_latency.rs
@@ -12,6 +12,7 @@
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use serde::Serialize;
 use std::cell::{Cell, RefCell};
+use std::panic::resume_unwind;
 use std::path::Path;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -161,7 +162,7 @@
     let sending = std::thread::scope(|scope| {
         let changes = scope.spawn(|| change_options(process, load, fleet_options));
         let sending = async_io::block_on(executor.run(send(&calls, load, executor)));
-        changes.join().expect("the thread of changes does not panic")?;
+        changes.join().unwrap_or_else(|panic| resume_unwind(panic))?;
         sending
     })?;
     let added_us = calls.added_us.borrow().clone();
--- a/crates/capacity/src/day/mod.rs
+++ b/crates/capacity/src/day/mod.rs
@@ -22,9 +22,9 @@
 /// After the day, the fleet is played for so long to catch up.
 const CATCH_UP_NS: Nanos = 300 * SECOND_NS;
 
-/// How large and how long the day is. Spans are in seconds.
+/// How large the fleet is and how long its day. Spans are in seconds.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct Scale {
+pub struct DayScale {
     /// Servers of the fleet.
     pub servers: usize,
     /// Of all random numbers.
@@ -39,15 +39,15 @@
     pub control_away: u64,
 }
 
-impl Scale {
+impl DayScale {
     /// All events of a day in a tenth of one, with the stated spans.
-    pub fn full(servers: usize, seed: u64) -> Scale {
-        Scale { servers, seed, day: 8_640, region_apart: 3_600, zone_away: 600, control_away: 300 }
+    pub fn full(servers: usize, seed: u64) -> DayScale {
+        DayScale { servers, seed, day: 8_640, region_apart: 3_600, zone_away: 600, control_away: 300 }
     }
 
     /// All events of a day in a tenth of an hour, with short spans.
-    pub fn quick(servers: usize, seed: u64) -> Scale {
-        Scale { servers, seed, day: 360, region_apart: 40, zone_away: 20, control_away: 20 }
+    pub fn quick(servers: usize, seed: u64) -> DayScale {
+        DayScale { servers, seed, day: 360, region_apart: 40, zone_away: 20, control_away: 20 }
     }
 }
 
@@ -55,7 +55,7 @@
 #[derive(Clone, Debug, Serialize)]
 pub struct Day {
     /// As it was played.
-    pub scale: Scale,
+    pub scale: DayScale,
     /// Changes that were accepted.
     pub changes: usize,
     /// Changes that found no leader, or one with too much to commit.
@@ -74,7 +74,7 @@
     /// The same: 99 in 100.
     pub everywhere_p99: f64,
     /// The longest until a server that was cut off or restarted had the revision that was newest at its
-    /// return.
+    /// return. Servers that never had it by the end are left out.
     #[serde(rename = "caught_up_worst")]
     pub catch_up_max: f64,
     /// The same of servers with an empty disk.
@@ -85,7 +85,7 @@
     pub returns: usize,
     /// The changes that took longest.
     pub slowest: Vec<String>,
-    /// Mean bytes a second of a server, without envelopes.
+    /// Mean bytes a second that a server sent, without envelopes.
     #[serde(rename = "bytes")]
     pub bytes_per_second: f64,
     /// The same of the leader, in the first tenth of the day.
@@ -109,7 +109,7 @@
 }
 
 /// Plays the day. `progress` is called with a line at each tenth.
-pub fn play(scale: &Scale, progress: &dyn Fn(&str)) -> Day {
+pub fn play(scale: &DayScale, progress: &dyn Fn(&str)) -> Day {
     let mut rng = ChaCha8Rng::seed_from_u64(scale.seed);
     let mut run = Run::start(scale);
     let mut events = schedule(scale, &mut rng);
--- a/crates/capacity/src/day/run.rs
+++ b/crates/capacity/src/day/run.rs
@@ -1,8 +1,8 @@
 //! The fleet in the course of the day, and what is to be measured of it.
 
-use super::Scale;
+use super::DayScale;
 use super::schedule::Event;
-use crate::scale::SECOND_NS;
+use crate::scale::{SECOND_NS, VOTERS};
 use crate::topology::{self, CUT_REGION, CUT_ZONE, Place};
 use meadowstream_membership::Nanos;
 use meadowstream_replication::change::Change;
@@ -17,7 +17,8 @@
 const REPLACED_AFTER_NS: Nanos = 300 * SECOND_NS;
 /// A restarted server is back after so long.
 const RESTARTED_AFTER_NS: Nanos = 5 * SECOND_NS;
-const REPLICAS: usize = 3;
+/// The control machines here: the day's fleet has no others than those that keep the log.
+const REPLICAS: usize = VOTERS;
 /// Keys of the configuration at the start of the day, and those of one change.
 const KEYS: usize = 2_000;
 const KEYS_PER_CHANGE: usize = 200;
@@ -79,7 +80,7 @@
 
 impl Run {
     /// A settled fleet with the configuration of the day's start.
-    pub(super) fn start(scale: &Scale) -> Run {
+    pub(super) fn start(scale: &DayScale) -> Run {
         let layout = Layout {
             size: scale.servers,
             replicas: REPLICAS,
--- a/crates/capacity/src/day/schedule.rs
+++ b/crates/capacity/src/day/schedule.rs
@@ -1,20 +1,13 @@
 //! What happens in the course of the day, and when.
 
-use super::Scale;
-use crate::scale::SECOND_NS;
-use meadowstream_membership::Nanos;
+use super::DayScale;
+use crate::scale::{FAILURES_PER_DAY, RACK_LOST_NS, RESTARTS_PER_DAY, SECOND_NS};
 use meadowstream_replication::simulation::EventQueue;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::Rng;
 
 /// Changes of the configuration in a day.
 pub const CHANGES: usize = 790;
-/// Restarts of servers in a day.
-const RESTARTS: usize = 870;
-/// Failures of servers in a day.
-const FAILURES: usize = 51;
-/// A rack is lost for so long, and in a short day for 6% of it.
-const RACK_LOST_NS: Nanos = 60 * SECOND_NS;
 
 /// Something that happens to the fleet.
 #[derive(Clone, Copy, Debug)]
@@ -44,19 +37,20 @@
 }
 
 /// The events of the day, by nanoseconds from its start.
-pub(super) fn schedule(scale: &Scale, rng: &mut ChaCha8Rng) -> EventQueue<Event> {
+pub(super) fn schedule(scale: &DayScale, rng: &mut ChaCha8Rng) -> EventQueue<Event> {
     let day = scale.day * SECOND_NS;
     let mut events = EventQueue::default();
     for change in 0..CHANGES {
         events.push(rng.next_u64() % day, Event::Change(change));
     }
-    for _ in 0..RESTARTS {
+    for _ in 0..RESTARTS_PER_DAY {
         events.push(rng.next_u64() % day, Event::Restart);
     }
-    for _ in 0..FAILURES {
+    for _ in 0..FAILURES_PER_DAY {
         events.push(rng.next_u64() % day, Event::Fail);
     }
     let tenth = day / 10;
+    // In a short day the rack is away for 6% of it.
     let rack_lost = RACK_LOST_NS.min(60 * (tenth / 100));
     events.push(tenth, Event::RackLost);
     events.push(tenth + rack_lost, Event::RackBack);
--- a/crates/capacity/src/day/summary.rs
+++ b/crates/capacity/src/day/summary.rs
@@ -1,7 +1,7 @@
 //! What came of the day.
 
 use super::run::{PublishedChange, ReturnedServer, Run};
-use super::{Costs, Day, Scale};
+use super::{Costs, Day, DayScale};
 use crate::scale::SECOND_NS;
 use meadowstream_membership::Nanos;
 use std::collections::BTreeMap;
@@ -9,7 +9,9 @@
 /// Changes that are named since they took longest.
 const SLOWEST_MAX: usize = 8;
 /// Stands for a change that a server never applied, in seconds.
-const NEVER_SECONDS: f64 = 1e9;
+const NEVER_SECONDS: f64 = f64::INFINITY;
+/// The same where it is printed.
+const NEVER_PRINTED_SECONDS: f64 = 1e9;
 
 /// When a server first applied a revision.
 struct Application {
@@ -37,15 +39,15 @@
         Some(first.at.saturating_sub(from) as f64 / SECOND_NS as f64)
     }
 
-    /// Seconds until each receiver had applied a change; infinite where one never had.
+    /// Seconds until each receiver had applied a change; [`NEVER_SECONDS`] where one never had.
     fn seconds_of(&self, change: &PublishedChange) -> Vec<f64> {
         let seconds =
-            |server: &usize| self.seconds_until(*server, change.at, change.number).unwrap_or(f64::INFINITY);
+            |server: &usize| self.seconds_until(*server, change.at, change.number).unwrap_or(NEVER_SECONDS);
         change.receivers.iter().map(seconds).collect()
     }
 
     /// The longest that returned servers took to catch up, in seconds. A server that returned several times
-    /// is measured from its last return.
+    /// is measured from its last return; one that never caught up is left out.
     fn longest_catch_up(&self, returned: &[ReturnedServer], had_empty_disk: bool) -> f64 {
         let is_last = |one: &ReturnedServer| {
             !returned.iter().any(|other| other.server == one.server && other.at > one.at)
@@ -73,7 +75,8 @@
             if let Some((took, server)) = last {
                 let at = (change.at - run.started_at) as f64 / SECOND_NS as f64;
                 let number = change.number;
-                let description = format!("{took:.1} s: s{server} to {number} published at {at:.0} s");
+                let printed = took.min(NEVER_PRINTED_SECONDS);
+                let description = format!("{printed:.1} s: s{server} to {number} published at {at:.0} s");
                 slowest.push(SlowChange { seconds: took, description });
             }
         }
@@ -89,7 +92,7 @@
 }
 
 /// The figures of a day that is over.
-pub(super) fn summary(scale: &Scale, run: &Run, costs: Costs) -> Day {
+pub(super) fn summary(scale: &DayScale, run: &Run, costs: Costs) -> Day {
     let applications = Applications::of(run);
     let (mut each, mut everywhere) = (Vec::new(), Vec::new());
     for change in &run.published {
--- a/crates/capacity/src/incidents.rs
+++ b/crates/capacity/src/incidents.rs
@@ -4,17 +4,16 @@
 use crate::error::ModelError;
 use crate::fleet::Fleet;
 use crate::per_server::PerServer;
-use crate::scale::{CONTROL_MACHINES, SECOND_NS, Scale, seeds, settings};
+use crate::scale::{
+    CONTROL_MACHINES, FAILURES_PER_DAY, RACK_LOST_NS, RESTARTS_PER_DAY, SECOND_NS, STATED_SERVERS, Scale,
+    seeds, settings,
+};
 use crate::topology::{CUT_REGION, CUT_ZONE, Place};
 use meadowstream_membership::Nanos;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use serde::Serialize;
 
-/// Restarts and failures in a day of a fleet of [`STATED_SERVERS`].
-const RESTARTS_PER_DAY: f64 = 870.0 + 51.0;
-/// Servers of the fleet that the bounds are stated for.
-const STATED_SERVERS: f64 = 690.0;
 const DAY_SECONDS: f64 = 86_400.0;
 /// One view is waited for at most so long.
 const VIEW_LIMIT_NS: Nanos = 300 * SECOND_NS;
@@ -22,8 +21,6 @@
 const VIEW_STEP_NS: Nanos = SECOND_NS / 4;
 /// After a return, what servers send is measured for so long at the least.
 const BURST_NS: Nanos = 10 * SECOND_NS;
-/// A lost rack comes back after so long.
-const RACK_LOST_NS: Nanos = 60 * SECOND_NS;
 /// Servers restarted while the control machines are down: more than the rate says, so that some are.
 const RESTARTS_WITHOUT_CONTROL: usize = 12;
 
@@ -73,7 +70,8 @@
     rng: &mut ChaCha8Rng,
     span_seconds: u64,
 ) -> Result<usize, ModelError> {
-    let restarts_per_day = RESTARTS_PER_DAY * fleet.len() as f64 / STATED_SERVERS;
+    let stated_restarts = (RESTARTS_PER_DAY + FAILURES_PER_DAY) as f64;
+    let restarts_per_day = stated_restarts * fleet.len() as f64 / STATED_SERVERS;
     let mean_gap_seconds = DAY_SECONDS / restarts_per_day;
     let end = fleet.now() + span_seconds * SECOND_NS;
     let mut restarts = 0;
@@ -190,7 +188,8 @@
     for server in &lost {
         fleet.start(*server, &seeds())?;
     }
-    let description = format!("a rack of {} lost at once, back after 60 s", lost.len());
+    let description =
+        format!("a rack of {} lost at once, back after {} s", lost.len(), RACK_LOST_NS / SECOND_NS);
     Ok(Recovery::play(&mut fleet).into_incident(scale, description, after_loss))
 }
 
--- a/crates/capacity/src/process.rs
+++ b/crates/capacity/src/process.rs
@@ -251,7 +251,7 @@
         Ok(kib.ok_or(MeasureError::NoProcField { file, field: "VmRSS" })? << 10)
     }
 
-    /// Processor time from its start, in seconds.
+    /// Processor time from its start, in seconds. A field that the file lacks counts as 0.
     ///
     /// # Errors
     /// Where the system's counts cannot be read.
--- a/crates/capacity/src/process_fleet.rs
+++ b/crates/capacity/src/process_fleet.rs
@@ -22,15 +22,20 @@
     /// Number of processes.
     pub processes: usize,
     /// Resident bytes of a process alone, without the fleet's mechanisms.
-    pub resident_alone: f64,
+    #[serde(rename = "resident_alone")]
+    pub resident_bytes_alone: f64,
     /// Its processor time, in percent of a core.
-    pub processor_alone: f64,
+    #[serde(rename = "processor_alone")]
+    pub processor_percent_alone: f64,
     /// Resident bytes of each process of the fleet.
-    pub resident: f64,
+    #[serde(rename = "resident")]
+    pub resident_bytes: f64,
     /// Its processor time, in percent of a core.
-    pub processor: f64,
+    #[serde(rename = "processor")]
+    pub processor_percent: f64,
     /// Bytes a second that it sent.
-    pub bytes: f64,
+    #[serde(rename = "bytes")]
+    pub bytes_per_second: f64,
 }
 
 /// The bytes that a process had sent when it logged its view.
@@ -100,21 +105,28 @@
     let span = Duration::from_secs(seconds);
     let alone = [Process::start(program, &settings("alone", String::new()))?];
     std::thread::sleep(ALONE_SETTLE);
-    let processor_alone = processor_percent(&alone, span)?;
-    let resident_alone = alone[0].resident_bytes()? as f64;
+    let processor_percent_alone = processor_percent(&alone, span)?;
+    let resident_bytes_alone = alone[0].resident_bytes()? as f64;
     drop(alone);
     let processes = start_fleet(program, size)?;
     std::thread::sleep(JOIN_GOSSIP);
     let sent_before: Vec<Option<SentBytes>> = processes.iter().map(SentBytes::of).collect();
-    let processor = processor_percent(&processes, span)? / size as f64;
+    let processor_percent = processor_percent(&processes, span)? / size as f64;
     let mut rates: Vec<f64> = Vec::new();
     for (process, before) in processes.iter().zip(&sent_before) {
         if let (Some(after), Some(before)) = (SentBytes::of(process), before) {
             rates.extend(after.per_second_since(before));
         }
     }
-    let bytes = rates.iter().sum::<f64>() / rates.len().max(1) as f64;
-    let resident = processes.iter().map(Process::resident_bytes).sum::<Result<u64, MeasureError>>()?;
-    let resident = resident as f64 / size as f64;
-    Ok(ProcessFleet { processes: size, resident_alone, processor_alone, resident, processor, bytes })
+    let bytes_per_second = rates.iter().sum::<f64>() / rates.len().max(1) as f64;
+    let resident_total = processes.iter().map(Process::resident_bytes).sum::<Result<u64, MeasureError>>()?;
+    let resident_bytes = resident_total as f64 / size as f64;
+    Ok(ProcessFleet {
+        processes: size,
+        resident_bytes_alone,
+        processor_percent_alone,
+        resident_bytes,
+        processor_percent,
+        bytes_per_second,
+    })
 }
--- a/crates/capacity/src/report/mod.rs
+++ b/crates/capacity/src/report/mod.rs
@@ -4,7 +4,7 @@
 mod table;
 
 use crate::added_latency::{self, AddedLatency, Load};
-use crate::day::{self, Day};
+use crate::day::{self, Day, DayScale};
 use crate::error::{MeasureError, ModelError};
 use crate::fit::{Curve, Point};
 use crate::incidents::{self, Incident};
@@ -13,6 +13,7 @@
 use crate::scale::Scale;
 use crate::{at_rest, connections, tenants};
 use serde::Serialize;
+use std::panic::resume_unwind;
 use std::path::Path;
 use std::time::Instant;
 
@@ -189,8 +190,8 @@
     progress: &(dyn Fn(&str) + Sync),
 ) -> Result<(Vec<Incident>, Day), ModelError> {
     let day_scale = match quick {
-        true => day::Scale::quick(scale.servers / SMALL_FLEET_DIVISOR, scale.seed),
-        false => day::Scale::full(scale.servers, scale.seed),
+        true => DayScale::quick(scale.servers / SMALL_FLEET_DIVISOR, scale.seed),
+        false => DayScale::full(scale.servers, scale.seed),
     };
     std::thread::scope(|scope| {
         let day = scope.spawn(move || day::play(&day_scale, &|step| progress(step)));
@@ -202,8 +203,9 @@
             })
         };
         let running: Vec<_> = incident_plays(scale, quick).into_iter().map(play).collect();
-        let incidents = running.into_iter().map(|one| one.join().expect("the model does not panic"));
+        let incidents =
+            running.into_iter().map(|one| one.join().unwrap_or_else(|panic| resume_unwind(panic)));
         let incidents = incidents.collect::<Result<Vec<Incident>, ModelError>>()?;
-        Ok((incidents, day.join().expect("the model does not panic")))
+        Ok((incidents, day.join().unwrap_or_else(|panic| resume_unwind(panic))))
     })
 }
--- a/crates/capacity/src/report/table.rs
+++ b/crates/capacity/src/report/table.rs
@@ -6,11 +6,14 @@
 use crate::fit::Curve;
 use crate::incidents::Incident;
 
+/// Width of the column that names what was measured.
+const NAME_WIDTH: usize = 60;
+
 impl Report {
     /// The table, as text.
     pub fn table(&self) -> String {
         let mut lines = vec![format!(
-            "{:<38} {:>14} {:>22} {:>13} {:>13} {:>11}",
+            "{:<NAME_WIDTH$} {:>14} {:>22} {:>13} {:>13} {:>11}",
             "what", "unit", "slope +- error", "predicted", "measured", "bound"
         )];
         lines.extend(self.curves.iter().map(row));
@@ -37,13 +40,13 @@
              (alone {:.3}; the model's part {:.3}), \
              {:.0} bytes a second (model {:.0})",
             real.processes,
-            real.resident / 1e6,
-            real.resident_alone / 1e6,
+            real.resident_bytes / 1e6,
+            real.resident_bytes_alone / 1e6,
             self.process_fleet_model_memory / 1e6,
-            real.processor,
-            real.processor_alone,
+            real.processor_percent,
+            real.processor_percent_alone,
             model.processor(),
-            real.bytes,
+            real.bytes_per_second,
             model.bytes()
         )
     }
@@ -56,7 +59,7 @@
     let at = curve.points.last().map_or(0.0, |point| point.size);
     let what = format!("{} ({at:.0} {}s)", curve.name, curve.per);
     format!(
-        "{what:<60} {:>14} {slope:>22} {:>13.3} {:>13.3} {bound:>11}",
+        "{what:<NAME_WIDTH$} {:>14} {slope:>22} {:>13.3} {:>13.3} {bound:>11}",
         curve.unit, curve.predicted, curve.measured
     )
 }
--- a/crates/capacity/src/scale.rs
+++ b/crates/capacity/src/scale.rs
@@ -18,10 +18,18 @@
 /// A server's memory for them, in bytes.
 pub const MEMORY_BYTES_BOUND: f64 = 256.0 * 1024.0 * 1024.0;
 
+/// Restarts of servers in a day of a fleet of [`STATED_SERVERS`].
+pub const RESTARTS_PER_DAY: usize = 870;
+/// Failures of servers in such a day.
+pub const FAILURES_PER_DAY: usize = 51;
+/// Servers of the fleet that the bounds and daily numbers are stated for.
+pub const STATED_SERVERS: f64 = 690.0;
+/// A lost rack comes back after so long.
+pub const RACK_LOST_NS: Nanos = 60 * SECOND_NS;
 /// Machines set aside for control: the first servers, which are the seeds.
 pub const CONTROL_MACHINES: usize = 4;
 /// The first control machines; they vote on budgets and keep the log of configuration.
-const VOTERS: usize = 3;
+pub const VOTERS: usize = 3;
 /// Name of the lease on leading the log of configuration.
 const LOG_LEASE: &str = "publishing";
 const LEASE_NS: Nanos = 4 * SECOND_NS;
--- a/crates/capacity/src/tenants.rs
+++ b/crates/capacity/src/tenants.rs
@@ -1,5 +1,5 @@
-//! What tenants cost one server: the memory of their accounts, and the time that an arrival and the water
-//! level of a control period take in the fair queues.
+//! What tenants cost one server: the memory of their accounts, and the time that an arrival and the fair
+//! rate of a control period take in the fair queues.
 
 use crate::fit::{Curve, Point};
 use crate::meter::{allocated, thread_time};
@@ -12,8 +12,8 @@
 /// Arrivals that are measured, and their distance in simulated time.
 const ARRIVALS: usize = 20_000;
 const ARRIVAL_INTERVAL_NS: u64 = 50_000;
-/// Levels that are measured, one a second.
-const LEVELS: u64 = 20;
+/// Updates of the fair rate that are measured, one a second.
+const FAIR_RATE_UPDATES: u64 = 20;
 /// Accounts of tenants that are not named.
 const OTHER_ACCOUNTS: usize = 16;
 const WEIGHT: f64 = 2.0;
@@ -30,11 +30,14 @@
     /// Named tenants.
     pub tenants: usize,
     /// Bytes of the allocator.
-    pub memory: f64,
+    #[serde(rename = "memory")]
+    pub memory_bytes: f64,
     /// Nanoseconds of an arrival and its end.
-    pub arrival: f64,
-    /// Nanoseconds in which the level is found, once a control period.
-    pub level: f64,
+    #[serde(rename = "arrival")]
+    pub arrival_ns: f64,
+    /// Nanoseconds in which the fair rate is found, once a control period.
+    #[serde(rename = "level")]
+    pub fair_rate_ns: f64,
 }
 
 /// Measures the largest load there can be: all tenants are named and all have arrivals.
@@ -45,24 +48,24 @@
     let settings = Settings { accounts, named: named.clone().into(), ..Settings::default() };
     let allocated_before = allocated();
     let mut fair = FairScheduler::new(settings, CORES, SEED, 0);
-    let memory = allocated().saturating_sub(allocated_before) as f64;
+    let memory_bytes = allocated().saturating_sub(allocated_before) as f64;
     let mut arrive = |arrival: usize| {
         let now = arrival as u64 * ARRIVAL_INTERVAL_NS;
         let (name, _) = &named[arrival.wrapping_mul(STRIDE) % tenants];
-        let seat = fair.arrive(now, TenantKey { name, origin: 1 }, WORK_NS, None);
-        fair.start_service(&seat);
-        fair.end(now, &seat, ServiceOutcome::Ran(WORK_NS as u64));
+        let admission = fair.arrive(now, TenantKey { name, origin: 1 }, WORK_NS, None);
+        fair.start_service(&admission);
+        fair.end(now, &admission, ServiceOutcome::Ran(WORK_NS as u64));
     };
     (0..tenants).for_each(&mut arrive);
     let started_at = thread_time();
     (0..ARRIVALS).for_each(&mut arrive);
-    let arrival = (thread_time() - started_at) as f64 / ARRIVALS as f64;
+    let arrival_ns = (thread_time() - started_at) as f64 / ARRIVALS as f64;
     let started_at = thread_time();
-    for second in 0..LEVELS {
+    for second in 0..FAIR_RATE_UPDATES {
         fair.update_fair_rate(SECOND_NS * (4 + second), CORES, f64::INFINITY);
     }
-    let level = (thread_time() - started_at) as f64 / LEVELS as f64;
-    TenantCosts { tenants, memory, arrival, level }
+    let fair_rate_ns = (thread_time() - started_at) as f64 / FAIR_RATE_UPDATES as f64;
+    TenantCosts { tenants, memory_bytes, arrival_ns, fair_rate_ns }
 }
 
 /// The curves over the number of tenants.
@@ -72,8 +75,8 @@
         Curve::new(name, unit, "tenant", points.collect(), None)
     };
     vec![
-        curve("memory of the tenants' accounts", "bytes", &|one| one.memory),
-        curve("an arrival and its end", "ns", &|one| one.arrival),
-        curve("the level of a control period", "ns", &|one| one.level),
+        curve("memory of the tenants' accounts", "bytes", &|one| one.memory_bytes),
+        curve("an arrival and its end", "ns", &|one| one.arrival_ns),
+        curve("the level of a control period", "ns", &|one| one.fair_rate_ns),
     ]
 }
--- a/crates/capacity/tests/model.rs
+++ b/crates/capacity/tests/model.rs
@@ -42,7 +42,7 @@
 
 #[test]
 fn a_small_day_of_changes_comes_to_all() {
-    let scale = day::Scale { day: 600, ..day::Scale::quick(60, 5) };
+    let scale = day::DayScale { day: 600, ..day::DayScale::quick(60, 5) };
     let day = day::play(&scale, &|_| ());
     assert!(day.changes > 700 && day.restarts > 900, "{day:#?}");
     assert!(day.p50 < 1.0 && day.p99 < 12.0, "{day:#?}");
@@ -83,7 +83,7 @@
 #[test]
 #[ignore = "some minutes"]
 fn a_zone_away_and_a_day_at_the_stated_size() {
-    let day = std::thread::spawn(|| day::play(&day::Scale::full(690, 1), &|_| ()));
+    let day = std::thread::spawn(|| day::play(&day::DayScale::full(690, 1), &|_| ()));
     println!("{:#?}", incidents::zone_away(&Scale::full(690, 1)).unwrap());
     println!("{:#?}", day.join().unwrap());
 }
