--- a/crates/fair-queueing/src/account.rs
+++ b/crates/fair-queueing/src/account.rs
@@ -15,8 +15,8 @@
     pub finish: f64,
     /// Where its queues end.
     pub tails: QueueTails,
-    /// Virtual time up to which its places are promised.
-    pub booked: f64,
+    /// Virtual time up to which its share is promised.
+    pub booked_until: f64,
     /// Its weight.
     pub weight: f64,
     /// Its work as a ratio to the usual work of its operations.
@@ -44,7 +44,7 @@
         Self {
             finish,
             tails: QueueTails::default(),
-            booked: 0.0,
+            booked_until: 0.0,
             weight,
             ratio: LearnedRatio::default(),
             named: false,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The tenant asks for work.
+    /// The tenant asks for work, in nanoseconds of one core.
     pub fn record_demand(&mut self, now: Nanos, work: f64) {
         self.demand.add(now, work);
     }
--- a/crates/fair-queueing/src/accounts.rs
+++ b/crates/fair-queueing/src/accounts.rs
@@ -7,17 +7,16 @@
 use crate::Nanos;
 use crate::account::Account;
 use crate::demand::Demand;
+use crate::memory;
 use crate::tenant::Fingerprint;
 use std::collections::HashMap;
 
 /// An account unused for this long may be evicted, in nanoseconds.
 const IDLE_NS: Nanos = 10_000_000_000;
-/// Entries of a map for which memory may be taken, for each entry that it holds.
-const MAP_GROWTH: usize = 2;
 /// Index of no entry.
 const NONE: u32 = u32::MAX;
 
-/// An account, until its place is given to another tenant.
+/// An account, until its slot is given to another tenant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Slot {
     index: u32,
@@ -36,8 +35,8 @@
 #[derive(Debug)]
 struct Entry {
     account: Account,
-    name: Fingerprint,
-    /// Distinguishes the accounts that have had this place.
+    fingerprint: Fingerprint,
+    /// Distinguishes the accounts that have had this slot.
     serial: u32,
     used_at: Nanos,
     /// Neighbours in the list by last use.
@@ -71,14 +70,12 @@
 
     /// Most bytes that so many accounts take.
     pub fn bytes_max(limit: usize) -> usize {
-        let map = MAP_GROWTH * limit * (size_of::<(Fingerprint, u32)>() + 1) * 8 / 7 + 64;
-        2 * limit * size_of::<Entry>() + map
+        2 * limit * size_of::<Entry>() + memory::map_bytes_max::<Fingerprint, u32>(limit)
     }
 
     /// Bytes held now.
     pub fn bytes(&self) -> usize {
-        let map_entry = size_of::<(Fingerprint, u32)>() + 1;
-        self.entries.capacity() * size_of::<Entry>() + self.indices.capacity() * 8 / 7 * map_entry
+        self.entries.capacity() * size_of::<Entry>() + memory::map_bytes(&self.indices)
     }
 
     /// Number of accounts.
@@ -92,27 +89,27 @@
     }
 
     /// Names a tenant: its account is never evicted. One that it has already keeps what it has used. There is a
-    /// place for it, since the settings allow half as many named tenants as accounts.
-    pub fn pin(&mut self, name: Fingerprint, mut account: Account) {
+    /// slot for it, since the settings allow half as many named tenants as accounts.
+    pub fn pin(&mut self, fingerprint: Fingerprint, mut account: Account) {
         account.named = true;
-        if let Some(index) = self.indices.get(&name).copied() {
+        if let Some(index) = self.indices.get(&fingerprint).copied() {
             if !self.entries[index as usize].account.named {
                 self.unlink(index);
             }
             let known = &mut self.entries[index as usize].account;
             (known.named, known.weight) = (true, account.weight);
         } else if self.entries.len() < self.limit {
-            self.push(name, account, 0);
+            self.push(fingerprint, account, 0);
         } else if self.oldest != NONE {
             let index = self.oldest;
             self.unlink(index);
-            self.replace(index, name, account, 0);
+            self.replace(index, fingerprint, account, 0);
         }
     }
 
     /// A tenant is no longer named; others stay as they are.
-    pub fn unpin(&mut self, name: Fingerprint, weight: f64, now: Nanos) {
-        let Some(index) = self.indices.get(&name).copied() else { return };
+    pub fn unpin(&mut self, fingerprint: Fingerprint, weight: f64, now: Nanos) {
+        let Some(index) = self.indices.get(&fingerprint).copied() else { return };
         let entry = &mut self.entries[index as usize];
         if std::mem::take(&mut entry.account.named) {
             (entry.account.weight, entry.used_at) = (weight, now);
@@ -125,23 +122,23 @@
         self.last_serial
     }
 
-    fn push(&mut self, name: Fingerprint, account: Account, now: Nanos) -> Slot {
+    fn push(&mut self, fingerprint: Fingerprint, account: Account, now: Nanos) -> Slot {
         let serial = self.next_serial();
         let index = self.entries.len() as u32;
-        self.entries.push(Entry { account, name, serial, used_at: now, newer: NONE, older: NONE });
-        self.indices.insert(name, index);
+        self.entries.push(Entry { account, fingerprint, serial, used_at: now, newer: NONE, older: NONE });
+        self.indices.insert(fingerprint, index);
         self.link_newest(index);
         Slot { index, serial }
     }
 
-    fn replace(&mut self, index: u32, name: Fingerprint, account: Account, now: Nanos) -> Slot {
+    fn replace(&mut self, index: u32, fingerprint: Fingerprint, account: Account, now: Nanos) -> Slot {
         let serial = self.next_serial();
         let entry = &mut self.entries[index as usize];
-        let evicted = std::mem::replace(&mut entry.name, name);
+        let evicted = std::mem::replace(&mut entry.fingerprint, fingerprint);
         entry.account = account;
         (entry.serial, entry.used_at) = (serial, now);
         self.indices.remove(&evicted);
-        self.indices.insert(name, index);
+        self.indices.insert(fingerprint, index);
         Slot { index, serial }
     }
 
@@ -174,8 +171,8 @@
     }
 
     /// The account of a tenant, which is in use now.
-    pub fn find(&mut self, name: Fingerprint, now: Nanos) -> Option<Slot> {
-        let index = *self.indices.get(&name)?;
+    pub fn find(&mut self, fingerprint: Fingerprint, now: Nanos) -> Option<Slot> {
+        let index = *self.indices.get(&fingerprint)?;
         let entry = &mut self.entries[index as usize];
         entry.used_at = entry.used_at.max(now);
         let slot = Slot { index, serial: entry.serial };
@@ -186,25 +183,25 @@
         Some(slot)
     }
 
-    /// The account in a slot; `None` where another tenant has the place.
+    /// The account in a slot; `None` where another tenant has it now.
     pub fn get_mut(&mut self, slot: Slot) -> Option<&mut Account> {
         let entry = self.entries.get_mut(slot.index as usize)?;
         (entry.serial == slot.serial).then_some(&mut entry.account)
     }
 
-    /// Inserts an account, in a free place or in that of the one unused for longest. That one is evicted only if
+    /// Inserts an account, in a free slot or in that of the one unused for longest. That one is evicted only if
     /// it is not ahead of `virtual_time`, and idle or the new one `over_share`, which must be watched more
     /// closely: no number of new tenants takes accounts from those in use. `None` where none may be evicted.
     pub fn insert(
         &mut self,
-        name: Fingerprint,
+        fingerprint: Fingerprint,
         account: Account,
         now: Nanos,
         virtual_time: f64,
         over_share: bool,
     ) -> Option<Insertion> {
         if self.entries.len() < self.limit {
-            return Some(Insertion { slot: self.push(name, account, now), evicted: false });
+            return Some(Insertion { slot: self.push(fingerprint, account, now), evicted: false });
         }
         let index = self.oldest;
         let entry = self.entries.get(index as usize)?;
@@ -213,7 +210,7 @@
         if !may_evict {
             return None;
         }
-        let slot = self.replace(index, name, account, now);
+        let slot = self.replace(index, fingerprint, account, now);
         self.unlink(index);
         self.link_newest(index);
         Some(Insertion { slot, evicted: true })
--- a/crates/fair-queueing/src/fair_rate.rs
+++ b/crates/fair-queueing/src/fair_rate.rs
@@ -23,6 +23,7 @@
 /// The fair rate and the virtual time.
 #[derive(Debug)]
 pub struct FairRate {
+    /// In nanoseconds of one core for a unit of weight.
     virtual_time: f64,
     /// The latest time there was.
     now: Nanos,
@@ -66,12 +67,12 @@
         self.now
     }
 
-    /// A tenant without an account has asked for work.
-    pub fn record_sketched_demand(&mut self, now: Nanos, name: Fingerprint, weight: f64, work: f64) {
+    /// A tenant without an account has asked for work, in nanoseconds of one core.
+    pub fn record_sketched_demand(&mut self, now: Nanos, fingerprint: Fingerprint, weight: f64, work: f64) {
         self.sketched_demand.add(now, work);
         self.sketched_weight += WEIGHT_SMOOTHING * (weight - self.sketched_weight);
         self.sketched_names.rotate(now, NAME_WINDOW_NS);
-        self.sketched_names.add(name);
+        self.sketched_names.add(fingerprint);
     }
 
     /// Demand of all tenants without an account, taken for equals.
--- a/crates/fair-queueing/src/finish_sketch.rs
+++ b/crates/fair-queueing/src/finish_sketch.rs
@@ -10,7 +10,7 @@
 const CELLS_PER_TENANT: usize = 3;
 /// Unit of a cell in nanoseconds of virtual time, so that a cell takes 4 bytes.
 const UNIT_NS: f64 = 16_384.0;
-/// A sweep visits one cell in so many.
+/// Sweeps in which every cell is visited once.
 const SWEEPS_PER_ROUND: usize = 256;
 /// Fewest cells.
 const CELLS_MIN: usize = 64;
@@ -54,8 +54,8 @@
 
     /// Indices of a tenant's cells. Two halves of the fingerprint stand for any number of hashes (Kirsch and
     /// Mitzenmacher, 2006).
-    fn cells_of(&self, name: Fingerprint) -> [usize; CELLS_PER_TENANT] {
-        let (first, second) = (name as u64, ((name >> 64) as u64) | 1);
+    fn cells_of(&self, fingerprint: Fingerprint) -> [usize; CELLS_PER_TENANT] {
+        let (first, second) = (fingerprint.low_half(), fingerprint.high_half() | 1);
         std::array::from_fn(|i| {
             let hash = first.wrapping_add(second.wrapping_mul(i as u64)) >> 7;
             hash as usize % self.cells.len()
@@ -64,9 +64,9 @@
 
     /// Upper bound of the virtual time up to which the tenant has used its share; the present where that lies
     /// behind it.
-    pub fn finish(&self, name: Fingerprint, present: f64) -> f64 {
+    pub fn finish(&self, fingerprint: Fingerprint, present: f64) -> f64 {
         let present_units = to_units(present);
-        let ahead = self.cells_of(name).map(|cell| units_ahead(self.cells[cell], present_units));
+        let ahead = self.cells_of(fingerprint).map(|cell| units_ahead(self.cells[cell], present_units));
         match ahead.into_iter().min() {
             Some(least) if least > 0 => ((present / UNIT_NS).floor() + f64::from(least)) * UNIT_NS,
             _ => present,
@@ -74,18 +74,19 @@
     }
 
     /// The tenant has used its share up to `finish`.
-    pub fn raise(&mut self, name: Fingerprint, finish: f64, present: f64) {
+    pub fn raise(&mut self, fingerprint: Fingerprint, finish: f64, present: f64) {
         let present_units = to_units(present);
         let to = ((finish - present) / UNIT_NS).ceil().clamp(0.0, f64::from(i32::MAX)) as i32;
-        for index in self.cells_of(name) {
+        for index in self.cells_of(fingerprint) {
             let cell = &mut self.cells[index];
             let ahead = units_ahead(*cell, present_units).max(to).max(0);
             *cell = present_units.wrapping_add(ahead as u32);
         }
     }
 
-    /// Brings some cells up to the present. A cell that is not used would seem to lie ahead once the units have
-    /// gone half round; a whole round of sweeps takes two minutes.
+    /// Brings the next of the cells that lie behind up to the present. A cell left behind would seem to lie ahead
+    /// once virtual time had advanced by 2^31 units (35,184 s of one core) since; a round over all cells takes
+    /// [`SWEEPS_PER_ROUND`] calls, 128 s where the owner calls once in a control period of 500 ms.
     pub fn sweep(&mut self, present: f64) {
         let present_units = to_units(present);
         let cells = self.cells.len();
--- a/crates/fair-queueing/src/hyperloglog.rs
+++ b/crates/fair-queueing/src/hyperloglog.rs
@@ -20,10 +20,10 @@
 }
 
 impl<const N: usize> HyperLogLog<N> {
-    /// Adds a name; one that was added before changes nothing.
-    pub fn add(&mut self, name: Fingerprint) {
-        let register = (name >> 64) as usize % N;
-        let rank = (name as u64).leading_zeros() as u8 + 1;
+    /// Adds a name by its fingerprint; one that was added before changes nothing.
+    pub fn add(&mut self, fingerprint: Fingerprint) {
+        let register = fingerprint.high_half() as usize % N;
+        let rank = fingerprint.low_half().leading_zeros() as u8 + 1;
         self.registers[register] = self.registers[register].max(rank);
     }
 
@@ -72,9 +72,9 @@
         true
     }
 
-    /// Adds a name to the present window.
-    pub fn add(&mut self, name: Fingerprint) {
-        self.present.add(name);
+    /// Adds a name, by its fingerprint, to the present window.
+    pub fn add(&mut self, fingerprint: Fingerprint) {
+        self.present.add(fingerprint);
     }
 
     /// The estimated number of names, 1 at least.
--- a/crates/fair-queueing/src/known_names.rs
+++ b/crates/fair-queueing/src/known_names.rs
@@ -1,6 +1,10 @@
 //! Which names have been seen, and since when: a set-associative table of short tags of their fingerprints.
 //!
 //! A name that has been seen often enough is evicted by time alone, not by any number of new names.
+//!
+//! Times are kept in steps of 250 ms that wrap round. The last visit has 12 bits: a name unused for 1,024 s or a
+//! multiple of it seems to have been used just now. The first visit has 16 bits: the time since then begins at 0
+//! again after 16,384 s.
 
 use crate::Nanos;
 use crate::tenant::Fingerprint;
@@ -11,12 +15,13 @@
 const STEP_NS: Nanos = 250_000_000;
 /// Visits are counted up to here; 0 stands for a free record.
 const VISITS_MAX: u16 = 15;
-/// Bits of [`NameRecord::last_visit`] that count visits.
+/// Bits of [`NameRecord::last_visit_and_count`] that count visits.
 const VISITS_BITS: u16 = 4;
 /// Steps are kept modulo 2^12 beside the count of visits.
 const STEP_MASK: u16 = 0xfff;
-/// Steps without a visit after which a proven name may be evicted.
-const PROVEN_FOR_STEPS: u16 = 1200;
+/// A name with enough visits may be evicted after so long without another, in nanoseconds.
+const UNUSED_MAX_NS: Nanos = 300_000_000_000;
+const UNUSED_MAX_STEPS: u16 = (UNUSED_MAX_NS / STEP_NS) as u16;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct NameRecord {
@@ -24,12 +29,12 @@
     /// Step of the first visit.
     first_visit: u16,
     /// Step of the last visit in twelve bits, and the number of visits in four.
-    last_visit: u16,
+    last_visit_and_count: u16,
 }
 
 impl NameRecord {
     fn new(tag: u32, step: u16) -> Self {
-        Self { tag, first_visit: step, last_visit: Self::pack(step, 1) }
+        Self { tag, first_visit: step, last_visit_and_count: Self::pack(step, 1) }
     }
 
     fn pack(step: u16, visits: u16) -> u16 {
@@ -37,36 +42,36 @@
     }
 
     fn visits(self) -> u16 {
-        self.last_visit & VISITS_MAX
+        self.last_visit_and_count & VISITS_MAX
     }
 
     fn steps_unused(self, step: u16) -> u16 {
-        (step & STEP_MASK).wrapping_sub(self.last_visit >> VISITS_BITS) & STEP_MASK
+        (step & STEP_MASK).wrapping_sub(self.last_visit_and_count >> VISITS_BITS) & STEP_MASK
     }
 }
 
-/// What was known of a name before a visit.
+/// What was recorded of a name before a visit; nothing where it is not in the table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Acquaintance {
+pub struct NameHistory {
     /// Earlier visits, counted up to 15.
     pub visits: u8,
     /// Time since the first of them, in nanoseconds.
-    pub known_for: Nanos,
+    pub since_first_visit: Nanos,
 }
 
 /// The table.
 #[derive(Debug)]
 pub struct KnownNames {
     sets: Vec<[NameRecord; WAYS]>,
-    /// Visits after which a name is proven.
-    proven_visits: u16,
+    /// Visits after which a name stays until it has been unused for long.
+    kept_visits: u16,
 }
 
 impl KnownNames {
-    /// A table of so many names, rounded up.
-    pub fn new(names: usize, proven_visits: u8) -> Self {
+    /// A table of so many names, rounded up; one with `kept_visits` visits is evicted by time alone.
+    pub fn new(names: usize, kept_visits: u8) -> Self {
         let sets = vec![[NameRecord::default(); WAYS]; Self::sets(names)];
-        Self { sets, proven_visits: u16::from(proven_visits) }
+        Self { sets, kept_visits: u16::from(kept_visits) }
     }
 
     fn sets(names: usize) -> usize {
@@ -84,29 +89,28 @@
     }
 
     /// Records a visit, and returns what was known before it.
-    pub fn visit(&mut self, name: Fingerprint, now: Nanos) -> Acquaintance {
+    pub fn visit(&mut self, fingerprint: Fingerprint, now: Nanos) -> NameHistory {
         let step = (now / STEP_NS) as u16;
         let sets = self.sets.len();
-        let set = &mut self.sets[(name >> 32) as usize % sets];
-        let tag = (name as u32) | 1;
+        let set = &mut self.sets[fingerprint.middle_half() as usize % sets];
+        let tag = (fingerprint.low_half() as u32) | 1;
         let found = set.iter_mut().find(|record| record.tag == tag && record.visits() > 0);
-        if let Some(record) = found.filter(|record| record.steps_unused(step) <= PROVEN_FOR_STEPS) {
-            let known_for = Nanos::from(step.wrapping_sub(record.first_visit)) * STEP_NS;
-            let before = Acquaintance { visits: record.visits() as u8, known_for };
-            record.last_visit = NameRecord::pack(step, record.visits() + 1);
+        if let Some(record) = found.filter(|record| record.steps_unused(step) <= UNUSED_MAX_STEPS) {
+            let since_first_visit = Nanos::from(step.wrapping_sub(record.first_visit)) * STEP_NS;
+            let before = NameHistory { visits: record.visits() as u8, since_first_visit };
+            record.last_visit_and_count = NameRecord::pack(step, record.visits() + 1);
             return before;
         }
-        Self::replace_least(set, self.proven_visits, NameRecord::new(tag, step), step);
-        Acquaintance::default()
+        Self::replace_least(set, self.kept_visits, NameRecord::new(tag, step), step);
+        NameHistory::default()
     }
 
     /// Puts a record in the place of the one with the fewest visits, of equals of the one unused for longest.
-    /// A proven one stays until it is old; then the new name is not recorded.
-    fn replace_least(set: &mut [NameRecord; WAYS], proven_visits: u16, new: NameRecord, step: u16) {
-        let rank =
-            |record: &&mut NameRecord| (record.visits().min(proven_visits), !record.steps_unused(step));
+    /// One with enough visits stays until it has been unused for long; until then the new name is not recorded.
+    fn replace_least(set: &mut [NameRecord; WAYS], kept_visits: u16, new: NameRecord, step: u16) {
+        let rank = |record: &&mut NameRecord| (record.visits().min(kept_visits), !record.steps_unused(step));
         let Some(least) = set.iter_mut().min_by_key(rank) else { return };
-        if least.visits() < proven_visits || least.steps_unused(step) > PROVEN_FOR_STEPS {
+        if least.visits() < kept_visits || least.steps_unused(step) > UNUSED_MAX_STEPS {
             *least = new;
         }
     }
--- a/crates/fair-queueing/src/lib.rs
+++ b/crates/fair-queueing/src/lib.rs
@@ -7,8 +7,8 @@
 //! - [`fair_rate`]: the max-min fair rate of a unit of weight, and the virtual time that advances at it.
 //! - [`usage`]: up to which virtual time each tenant has used its share (its finish), and where its queues end.
 //!   Tenants seen for long enough have an account of their own ([`accounts`]); those beyond the accounts share
-//!   cells that never say less than they have used ([`finish_sketch`]); names that are new share one place for
-//!   each origin, which cannot be made up ([`origins`]).
+//!   cells that never say less than they have used ([`finish_sketch`]); names that are new share one record
+//!   for each origin, which cannot be made up ([`origins`]).
 //! - [`known_names`] and [`hyperloglog`]: which names have been seen, and how many.
 //! - [`promises`] and [`timer_wheel`]: when a rejected arrival may come back, and the ticket that stands for it.
 //! - [`reconfiguration`]: changes of settings while the server runs.
@@ -26,6 +26,7 @@
 pub mod hyperloglog;
 pub mod known_names;
 pub mod learned_ratio;
+mod memory;
 pub mod origins;
 pub mod promises;
 pub mod queue_order;
--- a/crates/fair-queueing/src/origins.rs
+++ b/crates/fair-queueing/src/origins.rs
@@ -1,17 +1,18 @@
 //! Where calls come from: a connection's peer, or a sender that the operator trusts. Origins cannot be made up.
 //!
-//! Names that have not been seen for long share one place for each origin, and where an origin brings more names
-//! than it may, each of them weighs less. Made-up names thus bring nobody more than one place.
+//! Names that have not been seen for long share one [`Origin`], as one tenant would, and where an origin brings more
+//! names than it may, each of them weighs less. Made-up names thus bring nobody more than one tenant's share.
 
 use crate::Nanos;
 use crate::demand::{DecayingRate, Demand};
 use crate::hyperloglog::WindowedCount;
 use crate::learned_ratio::LearnedRatio;
+use crate::memory;
 use crate::queue_order::QueueTails;
 use crate::tenant::Fingerprint;
 use std::collections::HashMap;
 
-/// An origin unused for this long may lose its place to another, in nanoseconds.
+/// An origin unused for this long may lose its slot to another, in nanoseconds.
 const IDLE_NS: Nanos = 60_000_000_000;
 /// Names of an origin are counted over windows of so many times the probation.
 const WINDOW_PROBATIONS: u64 = 8;
@@ -19,7 +20,7 @@
 const NAMES_PER_ESTIMATE: u64 = 16;
 /// Registers of the count of an origin's names.
 const NAME_REGISTERS: usize = 64;
-/// Spreads origins beyond the limit over the places (Fibonacci hashing).
+/// Spreads origins beyond the limit over the slots (Fibonacci hashing).
 const HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// What the newcomers of one origin have used together.
@@ -30,8 +31,8 @@
     pub finish: f64,
     /// Where their queues end.
     pub tails: QueueTails,
-    /// Virtual time up to which their places are promised.
-    pub booked: f64,
+    /// Virtual time up to which their share is promised.
+    pub booked_until: f64,
     /// Their work as a ratio to the usual work.
     pub ratio: LearnedRatio,
     demand: DecayingRate,
@@ -72,14 +73,12 @@
 
     /// Most bytes that so many origins take.
     pub fn bytes_max(limit: usize) -> usize {
-        let map = 2 * limit * (size_of::<(u64, usize)>() + 1) * 8 / 7 + 64;
-        2 * limit.max(4) * size_of::<Origin>() + map
+        2 * limit.max(4) * size_of::<Origin>() + memory::map_bytes_max::<u64, usize>(limit)
     }
 
     /// Bytes held now.
     pub fn bytes(&self) -> usize {
-        let entry = size_of::<(u64, usize)>() + 1;
-        self.origins.capacity() * size_of::<Origin>() + self.indices.capacity() * 8 / 7 * entry
+        self.origins.capacity() * size_of::<Origin>() + memory::map_bytes(&self.indices)
     }
 
     /// Sets how many names an origin may have at full weight.
@@ -87,7 +86,7 @@
         self.names_per_origin = names;
     }
 
-    /// Index of an origin's place. Origins beyond the limit share places, each always the same one.
+    /// Index of an origin's slot. Origins beyond the limit share slots, each always the same one.
     fn find_or_insert(&mut self, id: u64, now: Nanos) -> usize {
         if let Some(index) = self.indices.get(&id) {
             self.origins[*index].used_at = now;
@@ -105,32 +104,32 @@
         index
     }
 
-    /// Gives a place to another origin; what has been used of it stays with the place.
+    /// Gives a slot to another origin; what has been used of its share stays with the slot.
     fn replace(&mut self, index: usize, id: u64, now: Nanos) {
         let origin = &mut self.origins[index];
         self.indices.remove(&origin.id);
-        let (finish, tails, booked) = (origin.finish, origin.tails, origin.booked);
-        *origin = Origin { finish, tails, booked, ..Origin::new(id, now) };
+        let (finish, tails, booked_until) = (origin.finish, origin.tails, origin.booked_until);
+        *origin = Origin { finish, tails, booked_until, ..Origin::new(id, now) };
         self.indices.insert(id, index);
     }
 
     /// Part of its weight that a name of this origin counts with, 1 at most.
-    pub fn weight_ratio(&mut self, id: u64, name: Fingerprint, now: Nanos) -> f64 {
+    pub fn weight_ratio(&mut self, id: u64, fingerprint: Fingerprint, now: Nanos) -> f64 {
         let (window, names_per_origin) = (self.window, self.names_per_origin);
         let index = self.find_or_insert(id, now);
         let origin = &mut self.origins[index];
         if origin.names.rotate(now, window) {
             origin.estimated_names = 0.0;
         }
-        origin.names.add(name);
-        if origin.estimated_names == 0.0 || (name as u64).is_multiple_of(NAMES_PER_ESTIMATE) {
+        origin.names.add(fingerprint);
+        if origin.estimated_names == 0.0 || fingerprint.low_half().is_multiple_of(NAMES_PER_ESTIMATE) {
             origin.estimated_names = origin.names.estimate();
         }
         (names_per_origin / origin.estimated_names).min(1.0)
     }
 
-    /// A newcomer of this origin asks for work: returns the index of the place that newcomers share, and the
-    /// work corrected by their ratio.
+    /// A newcomer of this origin asks for work: returns the index of the origin's slot, and the work corrected by the
+    /// ratio of its newcomers.
     pub fn record_newcomer(&mut self, id: u64, now: Nanos, work: f64) -> (usize, f64) {
         let index = self.find_or_insert(id, now);
         let origin = &mut self.origins[index];
@@ -139,7 +138,7 @@
         (index, estimated_work)
     }
 
-    /// The place at an index that [`Origins::record_newcomer`] has returned.
+    /// The origin at an index that [`Origins::record_newcomer`] has returned.
     pub fn get(&self, index: usize) -> &Origin {
         &self.origins[index]
     }
--- a/crates/fair-queueing/src/promises.rs
+++ b/crates/fair-queueing/src/promises.rs
@@ -1,7 +1,8 @@
-//! Promises: a rejected arrival that is told when to come back has a place then, and a little longer. A ticket that
+//! Promises: a rejected arrival that is told when to come back is admitted then, and a little longer. A ticket that
 //! cannot be guessed stands for it; it is good once, for its tenant, from any connection.
 
 use crate::Nanos;
+use crate::memory;
 use crate::tenant::Fingerprint;
 use crate::timer_wheel::TimerWheel;
 use rand::{Rng, SeedableRng};
@@ -26,9 +27,9 @@
     pub work: f64,
     /// Start tag in the order.
     pub start_tag: f64,
-    /// Virtual time of its place in its tenant's share.
-    pub place: f64,
-    /// How far virtual time was to advance until the return.
+    /// Virtual time at which its part of its tenant's share begins.
+    pub booked_start: f64,
+    /// How far virtual time was to advance until the return, in nanoseconds of one core for a unit of weight.
     pub expected_advance: f64,
 }
 
@@ -37,7 +38,7 @@
 pub enum Redemption {
     /// It is as promised.
     InTime(Promise),
-    /// It is before the promised time; the place is lost.
+    /// It is before the promised time; the promise is lost.
     Early,
     /// The ticket does not stand: too late, used before, never given, or another tenant's.
     Unknown,
@@ -66,7 +67,7 @@
     limit: usize,
     longest: Nanos,
     return_grace: Nanos,
-    places: Vec<Option<StandingPromise>>,
+    slots: Vec<Option<StandingPromise>>,
     free: Vec<u32>,
     tickets: HashMap<u64, u32>,
     expiries: TimerWheel,
@@ -80,7 +81,7 @@
             limit: limit.min(u32::MAX as usize),
             longest,
             return_grace,
-            places: Vec::new(),
+            slots: Vec::new(),
             free: Vec::new(),
             tickets: HashMap::new(),
             expiries: TimerWheel::new(longest + return_grace, now),
@@ -90,16 +91,16 @@
 
     /// Most bytes that so many promises take.
     pub fn bytes_max(limit: usize) -> usize {
-        let place = size_of::<Option<StandingPromise>>() + size_of::<u32>();
-        let map = 2 * limit * (size_of::<(u64, u32)>() + 1) * 8 / 7 + 64;
-        2 * limit.max(4) * place + map + TimerWheel::bytes_max(2 * limit)
+        let slot_bytes = size_of::<Option<StandingPromise>>() + size_of::<u32>();
+        let map = memory::map_bytes_max::<u64, u32>(limit);
+        2 * limit.max(4) * slot_bytes + map + TimerWheel::bytes_max(2 * limit)
     }
 
     /// Bytes held now.
     pub fn bytes(&self) -> usize {
-        self.places.capacity() * size_of::<Option<StandingPromise>>()
+        self.slots.capacity() * size_of::<Option<StandingPromise>>()
             + self.free.capacity() * size_of::<u32>()
-            + self.tickets.capacity() * 8 / 7 * (size_of::<(u64, u32)>() + 1)
+            + memory::map_bytes(&self.tickets)
             + self.expiries.bytes()
     }
 
@@ -114,40 +115,40 @@
     }
 
     /// Makes a promise for a return after `wait` nanoseconds, to which a random part is added; `None` where that
-    /// would be over the longest time, or no place is free.
+    /// would be over the longest time, or no slot is free.
     pub fn make(&mut self, now: Nanos, wait: f64, promise: Promise) -> Option<Ticket> {
         let spread = (wait * SPREAD_RATIO).max(self.longest as f64 * SPREAD_LEAST_RATIO);
         let wait = wait + spread * self.rng.random_range(0.0..1.0);
         if wait > self.longest as f64 {
             return None;
         }
-        let index = self.free_place()?;
+        let index = self.free_slot()?;
         // Rounded up, so that nobody who waits as told is early.
         let wait = (wait as Nanos).max(1).div_ceil(RESOLUTION_NS) * RESOLUTION_NS;
         let number = self.rng.random::<u64>().max(1);
         let standing = StandingPromise { promise, ticket: number, valid_from: now + wait };
-        self.places[index as usize] = Some(standing);
+        self.slots[index as usize] = Some(standing);
         self.tickets.insert(number, index);
         self.expiries.insert(now + wait + self.return_grace, index);
         Some(Ticket { wait, number })
     }
 
-    fn free_place(&mut self) -> Option<u32> {
+    fn free_slot(&mut self) -> Option<u32> {
         if let Some(index) = self.free.pop() {
             return Some(index);
         }
-        if self.places.len() >= self.limit {
+        if self.slots.len() >= self.limit {
             return None;
         }
-        self.places.push(None);
-        Some(self.places.len() as u32 - 1)
+        self.slots.push(None);
+        Some(self.slots.len() as u32 - 1)
     }
 
     /// A tenant returns with a ticket, which is used up whatever becomes of it; another tenant's stays good. The
-    /// place is freed when its timer expires, so that no number is in two timers.
+    /// slot is freed when its timer expires, so that no number is in two timers.
     pub fn redeem(&mut self, now: Nanos, ticket: u64, tenant: Fingerprint) -> Redemption {
         let Some(index) = self.tickets.get(&ticket).copied() else { return Redemption::Unknown };
-        let standing = self.places[index as usize].as_mut();
+        let standing = self.slots[index as usize].as_mut();
         let Some(standing) = standing.filter(|standing| standing.promise.tenant == tenant) else {
             return Redemption::Unknown;
         };
@@ -163,12 +164,12 @@
         }
     }
 
-    /// Frees the places whose time has passed; returns how many promises have lapsed.
+    /// Frees the slots whose time has passed; returns how many promises have lapsed.
     pub fn expire(&mut self, now: Nanos) -> u64 {
-        let Self { expiries, places, tickets, free, .. } = self;
+        let Self { expiries, slots, tickets, free, .. } = self;
         let mut lapsed = 0;
         expiries.expire(now, |index| {
-            if let Some(standing) = places[index as usize].take() {
+            if let Some(standing) = slots[index as usize].take() {
                 free.push(index);
                 lapsed += u64::from(tickets.remove(&standing.ticket).is_some());
             }
--- a/crates/fair-queueing/src/queue_order.rs
+++ b/crates/fair-queueing/src/queue_order.rs
@@ -24,7 +24,7 @@
     }
 }
 
-/// Start tags after which a tenant's next arrivals come.
+/// Start tags after which a tenant's next arrivals come, in nanoseconds of one core for a unit of weight.
 pub type QueueTails = PerQueue;
 
 /// Start tags of the latest arrivals that came to be served.
--- a/crates/fair-queueing/src/scheduler.rs
+++ b/crates/fair-queueing/src/scheduler.rs
@@ -9,7 +9,7 @@
 use crate::reconfiguration::SettingsChange;
 use crate::settings::Settings;
 use crate::tenant::{Fingerprint, FingerprintKey, TenantKey};
-use crate::usage::{Located, Present, Usage, UsagePlace};
+use crate::usage::{Located, Present, Usage, UsageLocation};
 
 /// A promise does not hold where virtual time has fallen short by more than this share of the expected advance.
 const SHORTFALL_MAX_RATIO: f64 = 0.5;
@@ -20,22 +20,22 @@
 /// What was decided of one arrival; its owner keeps it and gives it back when the arrival is over.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Admission {
-    /// Place in fair order: lower ones first.
+    /// Start tag of start-time fair queueing, in nanoseconds of one core for a unit of weight: lower ones first.
     pub start_tag: u64,
     /// It is beyond its tenant's share.
     pub surplus: bool,
     /// It returned as promised, and the promise holds.
     pub promised: bool,
-    place: UsagePlace,
+    location: UsageLocation,
     tenant: Fingerprint,
     weight: f64,
-    /// Usual work of its operation.
+    /// Usual work of its operation; this and the other work, in nanoseconds of one core.
     usual_work: f64,
     /// Work estimated from its tenant's past.
     estimated_work: f64,
     /// Work charged to its tenant's share.
     charged_work: f64,
-    /// Span of start tags that it takes in its tenant's queue.
+    /// Span of start tags that it takes in its tenant's queue: its estimated work over its weight.
     queued_span: f64,
 }
 
@@ -64,7 +64,8 @@
     rate: FairRate,
     usage: Usage,
     promises: Promises,
-    /// Most work of a tenant of weight 1 that may be admitted ahead of virtual time, whatever the rate.
+    /// Most work of a tenant of weight 1 that may be admitted ahead of virtual time, whatever the rate; nanoseconds
+    /// of one core.
     allowance_max: f64,
     served: ServiceClock,
     /// Events since the start.
@@ -105,20 +106,20 @@
     }
 
     /// Classifies an arrival that will usually need `work` nanoseconds of one core; `ticket` is that of a promise.
-    pub fn arrive(&mut self, now: Nanos, tenant: TenantKey<'_>, work: f64, ticket: Option<u64>) -> Admission {
+    pub fn arrive(&mut self, now: Nanos, key: TenantKey<'_>, work: f64, ticket: Option<u64>) -> Admission {
         let now = self.advance(now);
-        let name = self.fingerprints.fingerprint(tenant.name);
+        let tenant = self.fingerprints.fingerprint(key.name);
         let usual_work = work.max(WORK_MIN);
         let virtual_time = self.rate.virtual_time();
         let present = Present { now, virtual_time, allowance: self.allowance() };
-        let Located { place, weight, estimated_work } =
-            self.usage.locate(present, name, &tenant, usual_work, &self.settings, &mut self.counters);
-        if place == UsagePlace::Sketch {
-            self.rate.record_sketched_demand(now, name, weight, estimated_work);
+        let Located { location, weight, estimated_work } =
+            self.usage.locate(present, tenant, &key, usual_work, &self.settings, &mut self.counters);
+        if location == UsageLocation::Sketch {
+            self.rate.record_sketched_demand(now, tenant, weight, estimated_work);
         }
         let admission =
-            Admission { place, tenant: name, weight, usual_work, estimated_work, ..Admission::default() };
-        match ticket.and_then(|ticket| self.redeem(now, ticket, name)) {
+            Admission { location, tenant, weight, usual_work, estimated_work, ..Admission::default() };
+        match ticket.and_then(|ticket| self.redeem(now, ticket, tenant)) {
             Some(promise) => self.admit_as_promised(admission, &promise),
             None => self.classify(admission),
         }
@@ -128,7 +129,7 @@
     fn redeem(&mut self, now: Nanos, ticket: u64, tenant: Fingerprint) -> Option<Promise> {
         match self.promises.redeem(now, ticket, tenant) {
             Redemption::InTime(promise) => {
-                let shortfall = promise.place - self.rate.virtual_time();
+                let shortfall = promise.booked_start - self.rate.virtual_time();
                 if shortfall <= promise.expected_advance * SHORTFALL_MAX_RATIO {
                     self.counters.kept += 1;
                     return Some(promise);
@@ -141,12 +142,12 @@
         None
     }
 
-    /// Decides whether an arrival is within its tenant's share, charges it if so, and gives it its place in order.
+    /// Decides whether an arrival is within its tenant's share, charges it if so, and gives it its start tag.
     fn classify(&mut self, mut admission: Admission) -> Admission {
         let virtual_time = self.rate.virtual_time();
         let begins = self.begins(&admission);
         admission.surplus = begins - virtual_time > self.allowance();
-        self.usage.count(admission.place, admission.surplus);
+        self.usage.count(admission.location, admission.surplus);
         if admission.surplus {
             self.counters.surplus += 1;
         } else {
@@ -161,18 +162,18 @@
     /// Admits a return as promised: it has queued since its rejection, ahead of what its tenant has sent later.
     fn admit_as_promised(&mut self, mut admission: Admission, promise: &Promise) -> Admission {
         self.counters.within += 1;
-        self.usage.count(admission.place, false);
+        self.usage.count(admission.location, false);
         admission.promised = true;
         admission.estimated_work = promise.work;
         admission.charged_work = promise.work;
         admission.queued_span = promise.work / admission.weight;
         let start_tag = promise.start_tag.max(self.served.tag(false));
         admission.start_tag = start_tag as u64;
-        if let Some(tails) = self.usage.tails_mut(admission.place) {
+        if let Some(tails) = self.usage.tails_mut(admission.location) {
             tails.within = tails.within.max(start_tag) + admission.queued_span;
         }
-        // In the sketch the place was charged when it was promised.
-        if admission.place != UsagePlace::Sketch {
+        // In the sketch it was charged when it was promised.
+        if admission.location != UsageLocation::Sketch {
             let begins = self.begins(&admission);
             self.charge(&admission, begins, promise.work);
         }
@@ -185,7 +186,7 @@
     }
 
     fn finish(&mut self, admission: &Admission) -> f64 {
-        self.usage.finish(admission.place, admission.tenant, self.rate.virtual_time())
+        self.usage.finish(admission.location, admission.tenant, self.rate.virtual_time())
     }
 
     /// Virtual time at which an arrival begins in its tenant's share; time without use gives no credit.
@@ -196,13 +197,13 @@
     /// Moves its tenant's finish on by work from where it begins; work under 0 is given back where that can be done.
     fn charge(&mut self, admission: &Admission, begins: f64, work: f64) {
         let finish = begins + work / admission.weight;
-        self.usage.set_finish(admission.place, admission.tenant, finish, self.rate.virtual_time());
+        self.usage.set_finish(admission.location, admission.tenant, finish, self.rate.virtual_time());
     }
 
     /// Gives an arrival its start tag: behind what its tenant has queued already, else at the tag served last.
     fn enqueue(&mut self, admission: &mut Admission, ahead: f64) {
         let served = self.served.tag(admission.surplus);
-        let Some(tails) = self.usage.tails_mut(admission.place) else {
+        let Some(tails) = self.usage.tails_mut(admission.location) else {
             // The sketch keeps no queues: a tenant ahead of its share stands back by as much.
             admission.start_tag = (served + ahead) as u64;
             return;
@@ -222,52 +223,60 @@
     /// An arrival is over: what it was charged is corrected by what it used.
     pub fn end(&mut self, now: Nanos, admission: &Admission, outcome: ServiceOutcome) {
         self.advance(now);
-        let used = self.learn(admission, outcome);
+        let used = match outcome {
+            ServiceOutcome::Ran(work) => work as f64,
+            ServiceOutcome::NeverRan => 0.0,
+        };
+        match outcome {
+            ServiceOutcome::Ran(_) => self.learn_ratio(admission, used),
+            ServiceOutcome::NeverRan => self.shorten_queue(admission),
+        }
         if admission.surplus {
             return;
         }
         let finish = self.finish(admission);
         let correction = used - admission.charged_work;
-        let is_sketched = admission.place == UsagePlace::Sketch;
+        let is_sketched = admission.location == UsageLocation::Sketch;
         if correction != 0.0 && (correction > 0.0 || !is_sketched) {
             self.charge(admission, finish, correction);
         }
     }
 
-    /// Learns from the work used, which it returns; one that never ran gives its place in its queue back.
-    fn learn(&mut self, admission: &Admission, outcome: ServiceOutcome) -> f64 {
-        let used = match outcome {
-            ServiceOutcome::Ran(work) => work as f64,
-            ServiceOutcome::NeverRan => 0.0,
-        };
-        let ran = outcome != ServiceOutcome::NeverRan;
-        if ran && let Some(ratio) = self.usage.ratio_mut(admission.place) {
+    /// Learns how the work used compares with the usual work. The account may have been evicted while it ran; then
+    /// there is nothing to learn for, nor a queue.
+    fn learn_ratio(&mut self, admission: &Admission, used: f64) {
+        if let Some(ratio) = self.usage.ratio_mut(admission.location) {
             ratio.learn(used / admission.usual_work);
-        } else if let Some(tails) = self.usage.tails_mut(admission.place) {
+        }
+    }
+
+    /// One that never ran gives its span in its tenant's queue back.
+    fn shorten_queue(&mut self, admission: &Admission) {
+        if let Some(tails) = self.usage.tails_mut(admission.location) {
             *tails.get_mut(admission.surplus) -= admission.queued_span;
         }
-        used
     }
 
     /// What a rejected arrival is told: when its tenant will have capacity for it, but `least` nanoseconds at
     /// least, and the ticket to come back with. Nothing is promised where the time would be too long or too many
     /// promises stand.
     ///
-    /// Places of a tenant follow one another at its fair rate, so that whoever asks again gets a later one. They
-    /// are charged on return: one for which nobody returns costs its tenant nothing.
+    /// Promises to a tenant follow one another at its fair rate, so that whoever asks again gets a later one. They
+    /// are charged on return: one for which nobody returns costs its tenant nothing. Those in the sketch are
+    /// charged when they are made, and what nobody returns for stays charged.
     pub fn promise(&mut self, now: Nanos, admission: &Admission, least: Nanos) -> ReturnAdvice {
         let now = self.advance(now);
         let (virtual_time, cores) = (self.rate.virtual_time(), self.rate.cores());
         let free_from = self.finish(admission) - self.allowance();
-        let booked = self.usage.booked_mut(admission.place).map(|booked| *booked);
-        let place = booked.map_or(free_from, |booked| booked.max(free_from)).max(virtual_time);
-        let wait = ((place - virtual_time) / cores).max(least as f64);
-        let tail = self.usage.tails_mut(admission.place).map_or(0.0, |tails| tails.within);
+        let booked_until = self.usage.booked_until_mut(admission.location).map(|booked_until| *booked_until);
+        let booked_start = booked_until.map_or(free_from, |until| until.max(free_from)).max(virtual_time);
+        let wait = ((booked_start - virtual_time) / cores).max(least as f64);
+        let tail = self.usage.tails_mut(admission.location).map_or(0.0, |tails| tails.within);
         let promise = Promise {
             tenant: admission.tenant,
             work: admission.estimated_work,
             start_tag: tail.max(self.served.tag(false)),
-            place,
+            booked_start,
             expected_advance: wait * cores,
         };
         let Some(ticket) = self.promises.make(now, wait, promise) else {
@@ -277,15 +286,16 @@
             return ReturnAdvice { retry_after, ticket: None };
         };
         self.counters.promised += 1;
-        self.book(admission, place);
+        self.book(admission, booked_start);
         ReturnAdvice { retry_after: ticket.wait, ticket: Some(ticket.number) }
     }
 
-    /// Books a promised place. The sketch keeps no bookings: there it is charged at once.
-    fn book(&mut self, admission: &Admission, place: f64) {
-        match self.usage.booked_mut(admission.place) {
-            Some(booked) => *booked = place + admission.estimated_work / admission.weight,
-            None => self.charge(admission, place, admission.estimated_work),
+    /// Books a promise from where it begins in its tenant's share. The sketch keeps no bookings: there the work is
+    /// charged at once.
+    fn book(&mut self, admission: &Admission, booked_start: f64) {
+        match self.usage.booked_until_mut(admission.location) {
+            Some(booked_until) => *booked_until = booked_start + admission.estimated_work / admission.weight,
+            None => self.charge(admission, booked_start, admission.estimated_work),
         }
     }
 
--- a/crates/fair-queueing/src/tenant.rs
+++ b/crates/fair-queueing/src/tenant.rs
@@ -6,8 +6,27 @@
 /// A tenant's name as it stands in calls, and its weight: a ratio above 0.
 pub type NamedTenant = (Vec<u8>, f64);
 
-/// 128 bits of a keyed hash, which stand for a name whatever its length.
-pub type Fingerprint = u128;
+/// 128 bits of a keyed hash of a name, which stand for the name whatever its length. The bits are uniform and
+/// independent, so each structure uses those parts that it needs as hashes of its own.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
+pub struct Fingerprint(u128);
+
+impl Fingerprint {
+    /// Bits 0 to 63.
+    pub fn low_half(self) -> u64 {
+        self.0 as u64
+    }
+
+    /// Bits 32 to 95.
+    pub fn middle_half(self) -> u64 {
+        (self.0 >> 32) as u64
+    }
+
+    /// Bits 64 to 127.
+    pub fn high_half(self) -> u64 {
+        (self.0 >> 64) as u64
+    }
+}
 
 /// Who sends an invocation.
 #[derive(Clone, Copy, Debug)]
@@ -35,6 +54,6 @@
     pub fn fingerprint(&self, name: &[u8]) -> Fingerprint {
         let mut hasher = SipHasher13::new_with_keys(self.first, self.second);
         hasher.write(name);
-        hasher.finish128().as_u128()
+        Fingerprint(hasher.finish128().as_u128())
     }
 }
--- a/crates/fair-queueing/src/usage.rs
+++ b/crates/fair-queueing/src/usage.rs
@@ -13,18 +13,18 @@
 use crate::settings::Settings;
 use crate::tenant::{Fingerprint, TenantKey};
 
-/// Visits after which a name is known.
+/// Visits after which a name is known, if the probation has passed since the first.
 const KNOWN_VISITS: u8 = 3;
 
 /// Where the use of a tenant is kept.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum UsagePlace {
+pub enum UsageLocation {
     /// Nowhere.
     #[default]
     Nowhere,
     /// In an account of its own.
     Account(Slot),
-    /// In the place that the newcomers of its origin share, by its index.
+    /// In the record that the newcomers of its origin share, by the index of the origin.
     Newcomers(usize),
     /// In the cells of the sketch.
     Sketch,
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Located {
     /// Where the use of its tenant is kept.
-    pub place: UsagePlace,
+    pub location: UsageLocation,
     /// The weight that it counts with.
     pub weight: f64,
     /// Its work as estimated from its tenant's past, in nanoseconds of one core.
@@ -44,11 +44,11 @@
 /// The present of the fair rate.
 #[derive(Clone, Copy, Debug)]
 pub struct Present {
-    /// The time.
+    /// The time, in nanoseconds.
     pub now: Nanos,
-    /// The virtual time.
+    /// The virtual time, in nanoseconds of one core for a unit of weight.
     pub virtual_time: f64,
-    /// How far ahead of virtual time a finish may lie within the share.
+    /// How far ahead of virtual time a finish may lie within the share, in the same unit.
     pub allowance: f64,
 }
 
@@ -82,131 +82,140 @@
         self.accounts.bytes() + self.sketch.bytes() + self.known_names.bytes() + self.origins.bytes()
     }
 
-    /// Records an arrival and finds where its tenant's use is kept: its account, the place that newcomers of its
+    /// Records an arrival and finds where its tenant's use is kept: its account, the record that newcomers of its
     /// origin share until its name is known, a new account, or the sketch.
     pub fn locate(
         &mut self,
         present: Present,
-        name: Fingerprint,
+        fingerprint: Fingerprint,
         tenant: &TenantKey<'_>,
         work: f64,
         settings: &Settings,
         counters: &mut SchedulerCounters,
     ) -> Located {
         let now = present.now;
-        if let Some(located) = self.locate_account(now, name, tenant, work, settings.default_weight) {
+        if let Some(located) = self.locate_account(now, fingerprint, tenant, work, settings.default_weight) {
             return located;
         }
-        let weight = settings.default_weight * self.origins.weight_ratio(tenant.origin, name, now);
-        let before = self.known_names.visit(name, now);
-        if before.visits < KNOWN_VISITS || before.known_for < settings.probation {
+        let weight = settings.default_weight * self.origins.weight_ratio(tenant.origin, fingerprint, now);
+        let before = self.known_names.visit(fingerprint, now);
+        if before.visits < KNOWN_VISITS || before.since_first_visit < settings.probation {
             counters.newcomers += 1;
             let (index, estimated_work) = self.origins.record_newcomer(tenant.origin, now, work);
-            let place = UsagePlace::Newcomers(index);
-            return Located { place, weight: settings.default_weight, estimated_work };
+            let location = UsageLocation::Newcomers(index);
+            return Located { location, weight: settings.default_weight, estimated_work };
         }
-        self.open_account(present, name, tenant, weight, work, counters)
+        self.open_account(present, fingerprint, tenant, weight, work, counters)
     }
 
     fn locate_account(
         &mut self,
         now: Nanos,
-        name: Fingerprint,
+        fingerprint: Fingerprint,
         tenant: &TenantKey<'_>,
         work: f64,
         default_weight: f64,
     ) -> Option<Located> {
-        let slot = self.accounts.find(name, now)?;
+        let slot = self.accounts.find(fingerprint, now)?;
         let account = self.accounts.get_mut(slot)?;
         let estimated_work = work * account.ratio.get();
         account.record_demand(now, estimated_work);
         if !account.named {
-            account.weight = default_weight * self.origins.weight_ratio(tenant.origin, name, now);
+            account.weight = default_weight * self.origins.weight_ratio(tenant.origin, fingerprint, now);
         }
-        Some(Located { place: UsagePlace::Account(slot), weight: account.weight, estimated_work })
+        Some(Located { location: UsageLocation::Account(slot), weight: account.weight, estimated_work })
     }
 
     /// Opens an account for a name that has become known; where there is none, the sketch keeps its use.
     fn open_account(
         &mut self,
         present: Present,
-        name: Fingerprint,
+        fingerprint: Fingerprint,
         tenant: &TenantKey<'_>,
         weight: f64,
         work: f64,
         counters: &mut SchedulerCounters,
     ) -> Located {
         let Present { now, virtual_time, allowance } = present;
-        let finish = self.sketch.finish(name, virtual_time);
+        let finish = self.sketch.finish(fingerprint, virtual_time);
         let mut account = Account::new(tenant.name, weight, finish, now);
         account.record_demand(now, work);
         let over_share = finish - virtual_time > allowance;
-        let Some(insertion) = self.accounts.insert(name, account, now, virtual_time, over_share) else {
+        let Some(insertion) = self.accounts.insert(fingerprint, account, now, virtual_time, over_share)
+        else {
             counters.sketched += 1;
             let estimated_work = work * self.sketched_ratio.get();
-            return Located { place: UsagePlace::Sketch, weight, estimated_work };
+            return Located { location: UsageLocation::Sketch, weight, estimated_work };
         };
         counters.evicted += u64::from(insertion.evicted);
-        Located { place: UsagePlace::Account(insertion.slot), weight, estimated_work: work }
+        Located { location: UsageLocation::Account(insertion.slot), weight, estimated_work: work }
     }
 
     /// Virtual time up to which a tenant has used its share.
-    pub fn finish(&mut self, place: UsagePlace, name: Fingerprint, virtual_time: f64) -> f64 {
-        match place {
-            UsagePlace::Account(slot) => {
+    pub fn finish(&mut self, location: UsageLocation, fingerprint: Fingerprint, virtual_time: f64) -> f64 {
+        match location {
+            UsageLocation::Account(slot) => {
                 self.accounts.get_mut(slot).map_or(virtual_time, |account| account.finish)
             }
-            UsagePlace::Newcomers(index) => self.origins.get(index).finish,
-            UsagePlace::Sketch => self.sketch.finish(name, virtual_time),
-            UsagePlace::Nowhere => virtual_time,
+            UsageLocation::Newcomers(index) => self.origins.get(index).finish,
+            UsageLocation::Sketch => self.sketch.finish(fingerprint, virtual_time),
+            UsageLocation::Nowhere => virtual_time,
         }
     }
 
     /// Sets up to which virtual time a tenant has used its share; the sketch can only raise it.
-    pub fn set_finish(&mut self, place: UsagePlace, name: Fingerprint, finish: f64, virtual_time: f64) {
-        match place {
-            UsagePlace::Account(slot) => {
+    pub fn set_finish(
+        &mut self,
+        location: UsageLocation,
+        fingerprint: Fingerprint,
+        finish: f64,
+        virtual_time: f64,
+    ) {
+        match location {
+            UsageLocation::Account(slot) => {
                 if let Some(account) = self.accounts.get_mut(slot) {
                     account.finish = finish;
                 }
             }
-            UsagePlace::Newcomers(index) => self.origins.get_mut(index).finish = finish,
-            UsagePlace::Sketch => self.sketch.raise(name, finish, virtual_time),
-            UsagePlace::Nowhere => {}
+            UsageLocation::Newcomers(index) => self.origins.get_mut(index).finish = finish,
+            UsageLocation::Sketch => self.sketch.raise(fingerprint, finish, virtual_time),
+            UsageLocation::Nowhere => {}
         }
     }
 
     /// Where the tenant's queues end; the sketch keeps none.
-    pub fn tails_mut(&mut self, place: UsagePlace) -> Option<&mut QueueTails> {
-        match place {
-            UsagePlace::Account(slot) => self.accounts.get_mut(slot).map(|account| &mut account.tails),
-            UsagePlace::Newcomers(index) => Some(&mut self.origins.get_mut(index).tails),
-            UsagePlace::Sketch | UsagePlace::Nowhere => None,
+    pub fn tails_mut(&mut self, location: UsageLocation) -> Option<&mut QueueTails> {
+        match location {
+            UsageLocation::Account(slot) => self.accounts.get_mut(slot).map(|account| &mut account.tails),
+            UsageLocation::Newcomers(index) => Some(&mut self.origins.get_mut(index).tails),
+            UsageLocation::Sketch | UsageLocation::Nowhere => None,
         }
     }
 
-    /// Virtual time up to which the tenant's places are promised; the sketch keeps none.
-    pub fn booked_mut(&mut self, place: UsagePlace) -> Option<&mut f64> {
-        match place {
-            UsagePlace::Account(slot) => self.accounts.get_mut(slot).map(|account| &mut account.booked),
-            UsagePlace::Newcomers(index) => Some(&mut self.origins.get_mut(index).booked),
-            UsagePlace::Sketch | UsagePlace::Nowhere => None,
+    /// Virtual time up to which the tenant's share is promised; the sketch keeps none.
+    pub fn booked_until_mut(&mut self, location: UsageLocation) -> Option<&mut f64> {
+        match location {
+            UsageLocation::Account(slot) => {
+                self.accounts.get_mut(slot).map(|account| &mut account.booked_until)
+            }
+            UsageLocation::Newcomers(index) => Some(&mut self.origins.get_mut(index).booked_until),
+            UsageLocation::Sketch | UsageLocation::Nowhere => None,
         }
     }
 
     /// The learned ratio that the tenant's work is estimated with.
-    pub fn ratio_mut(&mut self, place: UsagePlace) -> Option<&mut LearnedRatio> {
-        match place {
-            UsagePlace::Account(slot) => self.accounts.get_mut(slot).map(|account| &mut account.ratio),
-            UsagePlace::Newcomers(index) => Some(&mut self.origins.get_mut(index).ratio),
-            UsagePlace::Sketch => Some(&mut self.sketched_ratio),
-            UsagePlace::Nowhere => None,
+    pub fn ratio_mut(&mut self, location: UsageLocation) -> Option<&mut LearnedRatio> {
+        match location {
+            UsageLocation::Account(slot) => self.accounts.get_mut(slot).map(|account| &mut account.ratio),
+            UsageLocation::Newcomers(index) => Some(&mut self.origins.get_mut(index).ratio),
+            UsageLocation::Sketch => Some(&mut self.sketched_ratio),
+            UsageLocation::Nowhere => None,
         }
     }
 
     /// Counts an arrival in its tenant's account, if it has one.
-    pub fn count(&mut self, place: UsagePlace, surplus: bool) {
-        if let UsagePlace::Account(slot) = place
+    pub fn count(&mut self, location: UsageLocation, surplus: bool) {
+        if let UsageLocation::Account(slot) = location
             && let Some(account) = self.accounts.get_mut(slot)
         {
             account.within += u64::from(!surplus);
