--- a/crates/pending-queue/src/late_search.rs
+++ b/crates/pending-queue/src/late_search.rs
@@ -7,7 +7,8 @@
 use crate::sum_tree::{Block, SumTree};
 use crate::{Capacity, Nanos};
 
-/// Rounding of points in time as floating numbers, in ns, on a clock that counts from 1970.
+/// Rounding of points in time as floating numbers, in nanoseconds, on a clock that counts from 1970: eight times
+/// the 256 ns between neighbours there, for the several roundings of a sum.
 const ROUNDING_NS: f64 = 2048.0;
 
 /// A block and an index in it.
@@ -61,8 +62,8 @@
     fn is_in_time(&self, node: usize) -> bool {
         let summary = self.tree.node(node);
         let growth = self.reference.growth();
-        let lateness_max = summary.lateness + growth.core * summary.work + growth.elapsed * summary.longest;
-        let begins = self.reference.since_epoch(self.now) + self.ahead.work / self.capacity.concurrency_limit;
+        let lateness_max = summary.lateness + growth.queue * summary.work + growth.elapsed * summary.longest;
+        let begins = self.now as f64 + self.ahead.work / self.capacity.concurrency_limit;
         summary.count == 0
             || self.ahead.entries + summary.count <= self.capacity.free_slots
             || begins + lateness_max + ROUNDING_NS < 0.0
--- a/crates/pending-queue/src/lib.rs
+++ b/crates/pending-queue/src/lib.rs
@@ -35,7 +35,7 @@
     pub id: u64,
     /// Index of the operation.
     pub operation: usize,
-    /// Priority class; higher ranks run first.
+    /// Number of its priority class; higher ranks run first.
     pub rank: usize,
     /// Start tag of fair queueing within the rank, the lower one runs first; the same for all where tenants
     /// are not told apart.
@@ -96,7 +96,7 @@
 /// Admitted invocations in the order they will run.
 #[derive(Debug, Default)]
 pub struct PendingQueue {
-    /// By rank.
+    /// One queue for each priority class, by rank.
     classes: Vec<PriorityClassQueue>,
     /// By operation, and only of operations that have entries: a look at them costs what waits.
     deadlines: BTreeMap<usize, BTreeSet<Deadline>>,
@@ -190,7 +190,10 @@
         now: Nanos,
         latest_start: impl Fn(usize, Nanos) -> Nanos,
     ) -> Option<ArrivalKey> {
-        if self.overdue.is_empty() || std::mem::take(&mut self.has_unsearched_deadlines) {
+        // The flag is not read while `overdue` is empty: a search is due then anyway, and a flag that was set for an
+        // entry removed since stays for the next call.
+        let must_search = self.overdue.is_empty() || std::mem::take(&mut self.has_unsearched_deadlines);
+        if must_search {
             for (operation, deadlines) in &self.deadlines {
                 let overdue =
                     deadlines.iter().take_while(|one| latest_start(*operation, one.deadline) <= now);
@@ -205,7 +208,7 @@
     /// The key of the entry to reject first when memory is short: of the lowest rank the one with the
     /// highest start tag, of equals the newest; entries that were promised admission come last.
     pub fn lowest_priority(&self) -> Option<usize> {
-        self.classes.iter().find_map(PriorityClassQueue::newest)
+        self.classes.iter().find_map(PriorityClassQueue::first_to_reject_for_memory)
     }
 
     /// Usual work of all entries, in nanoseconds of one core.
@@ -236,7 +239,7 @@
             let found = class.first_late(now, ahead, capacity, &self.reference);
             self.inspected += found.inspected;
             if let Some(place) = found.place {
-                return Some(class.last_to_arrive_up_to(place));
+                return Some(class.first_to_reject_up_to(place));
             }
             ahead.work += class.work(capacity.usual_times);
             ahead.entries += class.len();
--- a/crates/pending-queue/src/priority_class_queue.rs
+++ b/crates/pending-queue/src/priority_class_queue.rs
@@ -1,4 +1,4 @@
-//! The queue of one rank: entries in the order they will run, in blocks, with a tree of sums over the blocks.
+//! The queue of one rank (a priority class): entries in the order they will run, in blocks, with a tree of sums over the blocks.
 
 use crate::late_search::{Ahead, Found, LateSearch, Place};
 use crate::order::{DeadlineOrder, RunOrder};
@@ -119,8 +119,8 @@
     }
 
     /// The key of the entry to reject first when memory is short.
-    pub fn newest(&self) -> Option<usize> {
-        (!self.blocks.is_empty()).then(|| self.tree.root().newest.key)
+    pub fn first_to_reject_for_memory(&self) -> Option<usize> {
+        (!self.blocks.is_empty()).then(|| self.tree.root().first_to_reject_for_memory.key)
     }
 
     /// The first entry that would end after its deadline, with this `ahead` of it in higher ranks.
@@ -139,9 +139,9 @@
 
     /// The key of the entry to reject for a late one at this place: of all up to it the one with the highest
     /// start tag that arrived last.
-    pub fn last_to_arrive_up_to(&self, place: Place) -> usize {
+    pub fn first_to_reject_up_to(&self, place: Place) -> usize {
         let within = self.blocks[place.block][..=place.index].iter().map(DeadlineOrder::of);
-        let before = self.tree.before(place.block).map(|summary| summary.last_to_arrive);
+        let before = self.tree.before(place.block).map(|summary| summary.first_to_reject_for_deadline);
         within.chain(before).max().unwrap_or_default().key
     }
 }
--- a/crates/pending-queue/src/reference_times.rs
+++ b/crates/pending-queue/src/reference_times.rs
@@ -3,7 +3,7 @@
 //! Lateness depends on usual times and the concurrency limit, which move with every run that ends. It is
 //! therefore kept for reference times of some time ago, and the growth since bounds its error.
 
-use crate::{Capacity, Entry, Nanos, UsualTimes};
+use crate::{Capacity, Entry, UsualTimes};
 
 /// Share by which a usual time may move before all lateness is computed anew.
 const DRIFT_MAX: f64 = 0.02;
@@ -11,18 +11,26 @@
 /// Reference times, and how far the present ones have grown beyond them.
 #[derive(Clone, Debug, Default)]
 pub struct ReferenceTimes {
-    /// By operation; core time is divided by the concurrency limit.
-    reference: Vec<UsualTimes>,
-    present: Vec<UsualTimes>,
+    /// By operation.
+    reference: Vec<RunTimes>,
+    /// By operation.
+    present: Vec<RunTimes>,
     growth: Growth,
-    /// Lateness counts from this point of the clock.
-    epoch: Nanos,
+}
+
+/// What a run of an operation usually adds to the queue's delay and its own, in nanoseconds.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct RunTimes {
+    /// Time for which it holds up the runs behind it: its time on a core over the concurrency limit.
+    pub queue_ns: f64,
+    /// Time from start to end, downstream calls included.
+    pub elapsed_ns: f64,
 }
 
 /// The most by which one of the times has grown, as a share of its reference; 0 or more.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Growth {
-    pub core: f64,
+    pub queue: f64,
     pub elapsed: f64,
 }
 
@@ -36,41 +44,37 @@
 
 impl ReferenceTimes {
     pub fn new(operations: usize) -> Self {
-        let none = vec![UsualTimes { core_ns: 0.0, elapsed_ns: 0.0 }; operations];
+        let none = vec![RunTimes::default(); operations];
         Self { reference: none.clone(), present: none, ..Self::default() }
     }
 
     /// Takes over the present times; true where all lateness is to be computed anew.
     pub fn update(&mut self, capacity: &Capacity) -> bool {
         let limit = capacity.concurrency_limit;
-        let present = |usual: &UsualTimes| UsualTimes { core_ns: usual.core_ns / limit, ..*usual };
+        let present =
+            |usual: &UsualTimes| RunTimes { queue_ns: usual.core_ns / limit, elapsed_ns: usual.elapsed_ns };
         self.present.clear();
         self.present.extend(capacity.usual_times.iter().map(present));
         let pairs = || self.reference.iter().zip(&self.present);
-        let core: Vec<f64> = pairs().map(|(then, now)| share_grown(then.core_ns, now.core_ns)).collect();
+        let queue: Vec<f64> = pairs().map(|(then, now)| share_grown(then.queue_ns, now.queue_ns)).collect();
         let elapsed: Vec<f64> =
             pairs().map(|(then, now)| share_grown(then.elapsed_ns, now.elapsed_ns)).collect();
-        let moved = core.iter().chain(&elapsed).any(|share| share.is_nan() || share.abs() > DRIFT_MAX);
+        let moved = queue.iter().chain(&elapsed).any(|share| share.is_nan() || share.abs() > DRIFT_MAX);
         if moved {
             self.reference.clone_from(&self.present);
             self.growth = Growth::default();
         } else {
-            self.growth = Growth { core: largest(&core), elapsed: largest(&elapsed) };
+            self.growth = Growth { queue: largest(&queue), elapsed: largest(&elapsed) };
         }
         moved
     }
 
     /// Reference times of an entry's operation.
-    pub fn of(&self, entry: &Entry) -> &UsualTimes {
+    pub fn of(&self, entry: &Entry) -> &RunTimes {
         &self.reference[entry.operation]
     }
 
     pub fn growth(&self) -> Growth {
         self.growth
     }
-
-    /// Nanoseconds from the epoch of lateness to this time.
-    pub fn since_epoch(&self, at: Nanos) -> f64 {
-        (at as i128 - self.epoch as i128) as f64
-    }
 }
--- a/crates/pending-queue/src/summary.rs
+++ b/crates/pending-queue/src/summary.rs
@@ -60,10 +60,10 @@
     pub work: f64,
     pub longest: f64,
     /// At the reference times: the most by which one of them would end after its deadline, if the first of
-    /// them began at the epoch; ns.
+    /// them began at 0 on the clock; ns.
     pub lateness: f64,
-    pub last_to_arrive: DeadlineOrder,
-    pub newest: MemoryOrder,
+    pub first_to_reject_for_deadline: DeadlineOrder,
+    pub first_to_reject_for_memory: MemoryOrder,
 }
 
 impl Summary {
@@ -76,17 +76,18 @@
         self.costs.0.clear();
         self.count = entries.len();
         (self.work, self.longest, self.lateness) = (0.0, 0.0, f64::NEG_INFINITY);
-        self.last_to_arrive = DeadlineOrder::default();
-        self.newest = MemoryOrder::default();
+        self.first_to_reject_for_deadline = DeadlineOrder::default();
+        self.first_to_reject_for_memory = MemoryOrder::default();
         for entry in entries {
             let usual = reference.of(entry);
             let elapsed = usual.elapsed_ns * entry.cost_ratio;
-            self.lateness = self.lateness.max(self.work + elapsed - reference.since_epoch(entry.deadline));
-            self.work += usual.core_ns * entry.cost_ratio;
+            self.lateness = self.lateness.max(self.work + elapsed - entry.deadline as f64);
+            self.work += usual.queue_ns * entry.cost_ratio;
             self.longest = self.longest.max(elapsed);
             self.costs.add(entry.operation, entry.cost_ratio);
-            self.last_to_arrive = self.last_to_arrive.max(DeadlineOrder::of(entry));
-            self.newest = self.newest.max(MemoryOrder::of(entry));
+            self.first_to_reject_for_deadline =
+                self.first_to_reject_for_deadline.max(DeadlineOrder::of(entry));
+            self.first_to_reject_for_memory = self.first_to_reject_for_memory.max(MemoryOrder::of(entry));
         }
     }
 
@@ -97,8 +98,10 @@
         self.work = left.work + right.work;
         self.longest = left.longest.max(right.longest);
         self.lateness = left.lateness.max(left.work + right.lateness);
-        self.last_to_arrive = left.last_to_arrive.max(right.last_to_arrive);
-        self.newest = left.newest.max(right.newest);
+        self.first_to_reject_for_deadline =
+            left.first_to_reject_for_deadline.max(right.first_to_reject_for_deadline);
+        self.first_to_reject_for_memory =
+            left.first_to_reject_for_memory.max(right.first_to_reject_for_memory);
     }
 
     /// Work at these usual times, in nanoseconds of one core.
