--- a/crates/routing/tests/tier.rs
+++ b/crates/routing/tests/tier.rs
@@ -57,7 +57,7 @@
             let services = (0..services).map(|s| format!("bank-{s}")).collect();
             let settings = outlier_detection::Settings {
                 services,
-                reports,
+                accusers_min: reports,
                 max_ejected_thousandths: share,
                 expiry: EXPIRY,
             };
--- a/crates/server/src/configuration/fleet.rs
+++ b/crates/server/src/configuration/fleet.rs
@@ -146,7 +146,7 @@
     let tier = given.tier.as_ref()?;
     Some(OutlierSettings {
         services: tier.services.iter().map(|service| service.name.clone()).collect(),
-        reports: tier.reports,
+        accusers_min: tier.reports,
         max_ejected_thousandths: tier.share_thousandths,
         expiry: tier.expiry,
     })
--- a/crates/shared-state/src/budget/election.rs
+++ b/crates/shared-state/src/budget/election.rs
@@ -33,7 +33,8 @@
     votes: BTreeSet<String>,
 }
 
-/// State of a candidate, and of the grantor once it is elected.
+/// State of a candidate, and of the same server as the grantor once it is elected: the term, the ballots and an
+/// empty table of leases are those that it stood with.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct GrantorState {
     pub term: Term,
--- a/crates/shared-state/src/budget/fair_share.rs
+++ b/crates/shared-state/src/budget/fair_share.rs
@@ -1,6 +1,7 @@
 //! Max-min fair division of what may be leased.
 
-/// What one server wants and what it may hold.
+/// What one server wants and what it may hold. Ordered by the first and then by the second: the order of the
+/// fields is the order in which [`fair_share`] serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Demand {
     /// Units that it wants.
--- a/crates/shared-state/src/budget/message.rs
+++ b/crates/shared-state/src/budget/message.rs
@@ -57,11 +57,11 @@
         /// Incarnation of the server that asked.
         incarnation: u64,
         /// Number of the request that it answers.
-        number: u64,
+        request_number: u64,
         /// The grantor's term.
         term: Term,
         /// Number of the grant in that term.
-        id: u64,
+        grant_number: u64,
         /// Units granted beyond the floor.
         amount: u64,
     },
--- a/crates/shared-state/src/budget/mod.rs
+++ b/crates/shared-state/src/budget/mod.rs
@@ -178,14 +178,14 @@
             BudgetMessage::LeaseRequest { number, wanted, in_use, adopted } => {
                 Some(self.handle_lease_request(time, from, number, &LeaseDemand { wanted, in_use, adopted }))
             }
-            BudgetMessage::LeaseGrant { incarnation, number, term, id, amount } => {
+            BudgetMessage::LeaseGrant { incarnation, request_number, term, grant_number, amount } => {
                 self.handle_grant(
                     time,
                     &ReceivedGrant {
                         from: &from.name,
                         is_for_me: incarnation == self.id.incarnation,
-                        request: number,
-                        id: GrantId { term, number: id },
+                        request: request_number,
+                        id: GrantId { term, number: grant_number },
                         amount,
                     },
                 );
@@ -226,9 +226,9 @@
         match grant {
             Some(grant) => BudgetMessage::LeaseGrant {
                 incarnation: from.incarnation,
-                number,
+                request_number: number,
                 term,
-                id: grant.number,
+                grant_number: grant.number,
                 amount: grant.amount,
             },
             None => BudgetMessage::Redirect { grantor: None },
--- a/crates/shared-state/src/budget/settings.rs
+++ b/crates/shared-state/src/budget/settings.rs
@@ -5,8 +5,9 @@
 use std::collections::BTreeSet;
 use thiserror::Error;
 
-/// Largest total of a budget, in units.
-const TOTAL_MAX: u64 = 1 << 40;
+/// Largest total of a budget, in units, as a power of 2.
+const TOTAL_MAX_LOG2: u32 = 40;
+const TOTAL_MAX: u64 = 1 << TOTAL_MAX_LOG2;
 /// Most servers that may share a budget.
 const SERVERS_MAX: u64 = 100_000;
 /// Most voters of a budget.
@@ -48,7 +49,7 @@
         length: usize,
     },
     /// The total is 0 or too large.
-    #[error("total: 1 to 2^40, not {total}")]
+    #[error("total: 1 to 2^{TOTAL_MAX_LOG2}, not {total}")]
     Total {
         /// The total given, in units.
         total: u64,
@@ -69,7 +70,7 @@
         /// The total, in units.
         total: u64,
     },
-    /// The number of voters is even or too large, or a name is given twice.
+    /// The number of voters is even or over [`VOTERS_MAX`], which the text spells out, or a name is given twice.
     #[error("voter: 1, 3, 5, 7 or 9 different names, not {}", names.len())]
     Voters {
         /// The names given.
--- a/crates/shared-state/src/counters.rs
+++ b/crates/shared-state/src/counters.rs
@@ -7,6 +7,7 @@
 //! Peers are trusted within bounds: a row grows no faster than [`Limits::rate_max`] allows since its server's
 //! start, the numbers of rows and keys are bounded, and no message raises a server's own row.
 
+use crate::NAME_MAX;
 use crate::clock::Nanos;
 use crate::server_id::{ServerId, is_valid_name};
 use serde::{Deserialize, Serialize};
@@ -84,7 +85,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RejectedRow {
     /// More rows or keys than the limits allow, or a name that is empty or too long.
-    #[error("row: too many rows or keys, or a name that is not of 1 to 64 bytes")]
+    #[error("row: too many rows or keys, or a name that is not of 1 to {NAME_MAX} bytes")]
     Full,
     /// More than the server can have counted since its start.
     #[error("row: more than its server can have counted since its start")]
@@ -137,6 +138,7 @@
 /// One server's view of the fleet's counters.
 #[derive(Clone, Debug)]
 pub struct FleetCounters {
+    /// The incarnation that this server's present row has; later than the server's own once renewed.
     id: ServerId,
     rows: BTreeMap<ServerId, CounterRow>,
     limits: Limits,
--- a/crates/shared-state/src/message.rs
+++ b/crates/shared-state/src/message.rs
@@ -1,6 +1,7 @@
 //! Messages between the servers of a fleet. They are serialized by position (postcard): the order of variants
 //! and fields is part of the wire format.
 
+use crate::NAME_MAX;
 use crate::budget::BudgetMessage;
 use crate::counters::CounterRow;
 use crate::outlier_detection::Report;
@@ -79,7 +80,7 @@
         count: usize,
     },
     /// The name of the sender is empty or too long.
-    #[error("a sender's name of 1 to 64 bytes, not of {length}")]
+    #[error("a sender's name of 1 to {NAME_MAX} bytes, not of {length}")]
     SenderName {
         /// Length of the name, in bytes.
         length: usize,
--- a/crates/shared-state/src/outlier_detection/mod.rs
+++ b/crates/shared-state/src/outlier_detection/mod.rs
@@ -19,7 +19,7 @@
 use std::collections::BTreeMap;
 
 /// Servers that probe a service, for each server that must find it unhealthy: one may be lost or slow.
-const PROBERS_PER_REPORT: usize = 2;
+const PROBERS_PER_ACCUSER: usize = 2;
 /// Reporters remembered for each service.
 const REPORTERS_MAX: usize = 1024;
 
@@ -190,13 +190,14 @@
         let own_rank = prober_rank(service, &self.id.name);
         let others = self.other_accusers(time, service);
         let ranked_before = others.filter(|name| prober_rank(service, name) < own_rank);
-        self.accuses(time, service) && ranked_before.count() < PROBERS_PER_REPORT * self.settings.reports
+        self.accuses(time, service)
+            && ranked_before.count() < PROBERS_PER_ACCUSER * self.settings.accusers_min
     }
 
     /// Indices of the services ejected now: those with most accusers first, within the configured part. For an
     /// isolated server its own evidence is enough.
     pub fn ejected(&self, time: Time) -> Vec<usize> {
-        let accusers_min = if self.is_isolated(time) { 1 } else { self.settings.reports };
+        let accusers_min = if self.is_isolated(time) { 1 } else { self.settings.accusers_min };
         let mut accused = Vec::new();
         for service in 0..self.evidence.services() {
             let accusers = self.accusers(time, service);
--- a/crates/shared-state/src/outlier_detection/settings.rs
+++ b/crates/shared-state/src/outlier_detection/settings.rs
@@ -16,10 +16,11 @@
     /// The tier's services by name, each once; at most 256.
     pub services: Vec<String>,
     /// Servers that must find a service unhealthy before it is ejected; at least 1.
-    pub reports: usize,
+    pub accusers_min: usize,
     /// Largest part of the tier that is ejected at the same time, in thousandths.
     pub max_ejected_thousandths: usize,
-    /// How long a report counts, and the half-life of evidence, in nanoseconds; above 0.
+    /// How long a received report counts, and also the half-life of this server's own evidence, in nanoseconds;
+    /// above 0. One setting serves both, so that a report lapses as the evidence behind it fades.
     pub expiry: Nanos,
 }
 
@@ -35,7 +36,7 @@
     /// The name of a service is empty or too long.
     #[error("service: name: 1 to {NAME_MAX} bytes, not {0:?}")]
     ServiceName(String),
-    /// No reports are asked for.
+    /// No accusers are asked for; `reports` is the name in the options file.
     #[error("reports: 1 at least, not {0}")]
     Reports(usize),
     /// The part to eject is over the whole.
@@ -53,8 +54,8 @@
     /// The first setting that cannot be used.
     pub fn check(&self) -> Result<(), SettingsError> {
         self.check_services()?;
-        if self.reports == 0 {
-            return Err(SettingsError::Reports(self.reports));
+        if self.accusers_min == 0 {
+            return Err(SettingsError::Reports(self.accusers_min));
         }
         if self.max_ejected_thousandths > WHOLE_THOUSANDTHS {
             return Err(SettingsError::EjectShare(self.max_ejected_thousandths));
--- a/crates/shared-state/tests/fixed_bytes.rs
+++ b/crates/shared-state/tests/fixed_bytes.rs
@@ -52,7 +52,13 @@
         ),
         (
             "budget-grant",
-            budget(BudgetMessage::LeaseGrant { incarnation: 7, number: 4, term, id: 10, amount: 250 }),
+            budget(BudgetMessage::LeaseGrant {
+                incarnation: 7,
+                request_number: 4,
+                term,
+                grant_number: 10,
+                amount: 250,
+            }),
         ),
         ("budget-refer", budget(BudgetMessage::Redirect { grantor: Some("s3".into()) })),
         ("budget-refer-nobody", budget(BudgetMessage::Redirect { grantor: None })),
--- a/crates/shared-state/tests/fleet.rs
+++ b/crates/shared-state/tests/fleet.rs
@@ -219,9 +219,9 @@
     for number in 0..500 {
         let grant = BudgetMessage::LeaseGrant {
             incarnation: me.incarnation,
-            number,
+            request_number: number,
             term,
-            id: u64::MAX,
+            grant_number: u64::MAX,
             amount: 1 << 40,
         };
         fleet.inject(4, body("s9", budget(grant)));
--- a/crates/shared-state/tests/outlier_detection.rs
+++ b/crates/shared-state/tests/outlier_detection.rs
@@ -12,7 +12,7 @@
 
 fn settings(services: usize, max_ejected_thousandths: usize) -> Settings {
     let services = (0..services).map(|i| format!("bank-{i}")).collect();
-    Settings { services, reports: 2, max_ejected_thousandths, expiry: 5 * S }
+    Settings { services, accusers_min: 2, max_ejected_thousandths, expiry: 5 * S }
 }
 
 fn detectors(n: usize, services: usize, share: usize) -> Vec<OutlierDetector> {
@@ -113,6 +113,6 @@
         given.check().unwrap_err().to_string()
     };
     assert!(bad(|s| s.services[1] = "bank-0".into()).contains("service"));
-    assert!(bad(|s| s.reports = 0).contains("reports"));
+    assert!(bad(|s| s.accusers_min = 0).contains("reports"));
     assert!(bad(|s| s.max_ejected_thousandths = 1001).contains("eject-share"));
 }
