--- a/crates/rollout/src/canary.rs
+++ b/crates/rollout/src/canary.rs
@@ -2,11 +2,16 @@
 //!
 //! Each interval gives one value of each server, class and metric, less the server's baseline. The values of
 //! both groups are compared by [`crate::rank_test`], over all intervals and over the busier half of them, since
-//! a change may do worse only under load. Two things keep the chance of a false stop at the plan's `alpha`:
+//! a change may do worse only under load. Two things bound the chance of a false stop in a stage by the plan's
+//! `alpha`, as far as the test's own p-values hold:
 //!
 //! - it is divided among all comparisons of a stage (Bonferroni): one an interval, for each class and metric,
 //!   over all intervals and over the busier half;
 //! - a difference below the plan's thresholds is none, however certain.
+//!
+//! The division is by the verdicts planned. Where intervals come sooner than the plan's, a stage may ask for up to
+//! four times as many, and its bound is four times `alpha`; and a coordinator that is started again bakes the stage
+//! anew, with the whole of `alpha`.
 
 use crate::baseline::Baselines;
 use crate::metrics::{IntervalMetrics, Metric, Series, values};
@@ -89,7 +94,8 @@
         self.strata.values().map(Vec::len).max().unwrap_or(0)
     }
 
-    /// The verdict by all closed intervals. `verdicts` is the number of verdicts that the stage asks for.
+    /// The verdict by all closed intervals. `verdicts` is the number of verdicts planned for the stage, among
+    /// which `alpha` is divided.
     pub fn verdict(&self, thresholds: &Thresholds, verdicts: usize) -> Verdict {
         let has_enough = |strata: &Vec<Stratum>| strata.len() >= INTERVALS_MIN;
         let series: Vec<_> = self.strata.iter().filter(|(_, strata)| has_enough(strata)).collect();
--- a/crates/rollout/src/coordinator/baking.rs
+++ b/crates/rollout/src/coordinator/baking.rs
@@ -8,18 +8,23 @@
 /// Without enough values for a comparison a stage ends after so many bake times.
 const INSUFFICIENT_DATA_FACTOR: Nanos = 3;
 /// No further verdict is asked for after so many times the planned ones, since each adds to the chance of a
-/// false stop.
+/// false stop. The planned ones are not passed while each comes with an interval of bake time; where intervals come
+/// sooner than the plan's, more are asked for, and the bound on a false stop is up to this many times the plan's
+/// `alpha`.
 const VERDICTS_FACTOR: usize = 4;
 
 impl Coordinator {
     pub(super) fn handle_baking(&mut self, interval: &Interval, actions: &mut Vec<Action>) {
         if let Some(reason) = self.find_failure(interval.view) {
-            return self.handle_regression(interval.now, reason, actions);
+            return self.stop_or_roll_back(interval.now, reason, actions);
         }
         self.add_to_canary(interval);
         let stage = self.state.stage;
         if !interval.is_settled {
-            let message = format!("stage {}: the fleet's view moves, nothing counts", stage + 1);
+            let message = format!(
+                "stage {}: the fleet's view moves, nothing counts (no comparison, no bake time)",
+                stage + 1
+            );
             return self.notify(actions, &message);
         }
         if interval.now.saturating_sub(self.phase_began) < self.plan.warm_up {
@@ -32,14 +37,14 @@
         match self.next_verdict() {
             Verdict::Regression { class, metric, difference, p_value } => {
                 let reason = format!("{class}: {metric:?} worse by {difference:.3} (p {p_value:.1e})");
-                self.handle_regression(interval.now, reason, actions);
+                self.stop_or_roll_back(interval.now, reason, actions);
             }
             // Where every server is changed there is none left to compare with.
             Verdict::InsufficientData if has_unchanged => {
                 if self.baked < bake_time.saturating_mul(INSUFFICIENT_DATA_FACTOR) {
                     self.notify(actions, &format!("stage {}: too few answers to compare", stage + 1));
                 } else {
-                    self.handle_regression(interval.now, "too few answers to compare".into(), actions);
+                    self.stop_or_roll_back(interval.now, "too few answers to compare".into(), actions);
                 }
             }
             Verdict::InsufficientData | Verdict::Pass => self.handle_no_regression(interval, actions),
@@ -61,6 +66,9 @@
         }
     }
 
+    /// The verdict of this interval. Once [`VERDICTS_FACTOR`] times the planned ones have been asked for, every
+    /// further one is [`Verdict::Pass`] without a comparison: the stage then goes on by its bake time and by
+    /// failures alone.
     fn next_verdict(&mut self) -> Verdict {
         let planned = self.plan.verdicts(self.state.stage);
         let may_ask = self.verdicts < VERDICTS_FACTOR * planned;
@@ -84,8 +92,9 @@
         }
     }
 
-    /// Stops or rolls back, as the plan has it, when changed servers do worse or fail.
-    pub(super) fn handle_regression(&mut self, now: Nanos, reason: String, actions: &mut Vec<Action>) {
+    /// Stops or rolls back, as the plan has it: the changed servers do worse, a server fails or never reports, or
+    /// there were too few values for a comparison.
+    pub(super) fn stop_or_roll_back(&mut self, now: Nanos, reason: String, actions: &mut Vec<Action>) {
         match self.plan.on_regression {
             OnRegression::Stop => self.end(Phase::Stopped { reason }, actions),
             OnRegression::RollBack => self.roll_back(now, reason, actions),
--- a/crates/rollout/src/coordinator/compliance.rs
+++ b/crates/rollout/src/coordinator/compliance.rs
@@ -87,7 +87,7 @@
         let Some(received) = self.reports.get(server) else { return Some(format!("{server} never reports")) };
         Some(match &received.report.refused {
             Some(reason) => format!("{server} refuses: {reason}"),
-            None => format!("{server} does not report that it goes by what it is told"),
+            None => format!("{server} does not report that it runs what it was ordered to"),
         })
     }
 
--- a/crates/rollout/src/coordinator/mod.rs
+++ b/crates/rollout/src/coordinator/mod.rs
@@ -94,7 +94,7 @@
     phase_began: Nanos,
     /// Bake time that has counted in the present stage.
     baked: Nanos,
-    /// Verdicts of the present stage that were asked for with enough intervals.
+    /// Verdicts of the present stage for which there were enough intervals, those beyond the bound included.
     verdicts: usize,
     canary: Canary,
     /// How long each server has not done as ordered; time without lease or a settled view does not count.
--- a/crates/rollout/src/coordinator/stages.rs
+++ b/crates/rollout/src/coordinator/stages.rs
@@ -76,7 +76,7 @@
         // Intervals that ended before the stage bakes are not compared.
         self.take_new_intervals(view);
         if let Some(reason) = self.find_failure(view) {
-            return self.handle_regression(interval.now, reason, actions);
+            return self.stop_or_roll_back(interval.now, reason, actions);
         }
         let is_ready =
             |server: &String| self.complies(server) && self.has_recent_report(interval.now, server);
@@ -84,7 +84,13 @@
             self.state.phase = Phase::Baking;
             self.phase_began = interval.now;
             self.save(actions);
-            self.notify(actions, &format!("stage {}: all go by it, bakes", self.state.stage + 1));
+            self.notify(
+                actions,
+                &format!(
+                    "stage {}: all go by it (each runs what it was ordered to), bakes",
+                    self.state.stage + 1
+                ),
+            );
         }
     }
 }
