--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -148,6 +148,7 @@
         let Some(refutations) = alive.map(Member::incarnation) else { return };
         let suspected = Member::new(id.clone(), refutations, State::Suspect);
         let mut effects = FocaEffects::default();
+        // Where foca does not apply it, the next comparison of views suspects the member again.
         let _ = self.foca.apply_many(std::iter::once(suspected), true, &mut effects);
         self.apply(effects);
     }
--- a/crates/membership/src/envelope.rs
+++ b/crates/membership/src/envelope.rs
@@ -54,9 +54,13 @@
 /// Largest UDP payload over IPv4, in bytes.
 pub const DATAGRAM_BYTES_MAX: usize = 65_507;
 
+const MAGIC_RANGE: Range<usize> = 0..2;
+const VERSION_OFFSET: usize = 2;
+const KIND_OFFSET: usize = 3;
 const FLEET_MARK: Range<usize> = 4..12;
 const INCARNATION: Range<usize> = 12..20;
 const SEQUENCE: Range<usize> = 20..28;
+const BODY_LENGTH: Range<usize> = 28..30;
 
 /// Reason why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
@@ -85,7 +89,8 @@
     /// A sequence number already accepted or too old, or an incarnation older than one seen from that address.
     #[error("a replay")]
     Replay,
-    /// Authentic, but its payload was rejected, or too many bodies of shared state wait.
+    /// Authentic, but dropped behind the envelope: foca or anti-entropy rejected its payload, or too many bodies of
+    /// shared state wait for the caller, which is no fault of the sender's.
     #[error("the payload was rejected")]
     Protocol,
 }
@@ -167,17 +172,18 @@
         if datagram.len() < ENVELOPE_BYTES {
             return Err(DropReason::Short);
         }
-        if datagram[0..2] != MAGIC {
+        if datagram[MAGIC_RANGE] != MAGIC {
             return Err(DropReason::Magic);
         }
-        if datagram[2] != VERSION {
+        if datagram[VERSION_OFFSET] != VERSION {
             return Err(DropReason::Version);
         }
-        let kind = PayloadKind::from_byte(datagram[3]).ok_or(DropReason::Version)?;
+        let kind = PayloadKind::from_byte(datagram[KIND_OFFSET]).ok_or(DropReason::Version)?;
         if datagram[FLEET_MARK] != self.fleet_mark {
             return Err(DropReason::Fleet);
         }
-        let body_bytes = u16::from_le_bytes([datagram[28], datagram[29]]) as usize;
+        let length = [datagram[BODY_LENGTH.start], datagram[BODY_LENGTH.start + 1]];
+        let body_bytes = u16::from_le_bytes(length) as usize;
         if body_bytes + ENVELOPE_BYTES != datagram.len() {
             return Err(DropReason::Length);
         }
--- a/crates/membership/src/rejoin.rs
+++ b/crates/membership/src/rejoin.rs
@@ -57,6 +57,7 @@
     pub(crate) fn announce_to(&mut self, addr: SocketAddr) {
         let unknown = MemberId { name: String::new(), addr, incarnation: 0 };
         let mut effects = FocaEffects::default();
+        // Best effort: while no member is known the announcement is repeated.
         let _ = self.foca.announce(unknown, &mut effects);
         self.apply(effects);
     }
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -63,7 +63,8 @@
     pub bytes_per_second: u64,
 }
 
-/// A setting that cannot be used. The text names it as the options file does.
+/// A setting that cannot be used. The text begins with the field's name, in hyphens; periods are in nanoseconds. The
+/// attributes of the options file have units in their names (`probe-period-ms`).
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
     /// The fleet's name is empty or too long.
--- a/crates/membership/src/state_machine.rs
+++ b/crates/membership/src/state_machine.rs
@@ -30,6 +30,7 @@
         let own = self.identity().addr;
         let mut effects = FocaEffects::default();
         let others = members.filter(|id| id.addr != own).map(Member::alive);
+        // foca reports what it could not apply; a member left out is learnt from others again.
         let _ = self.foca.apply_many(others, false, &mut effects);
         self.apply(effects);
     }
@@ -38,6 +39,7 @@
     pub fn leave(&mut self, now: Nanos) {
         self.now = self.now.max(now);
         let mut effects = FocaEffects::default();
+        // Best effort: members that receive nothing find this server down by their probes.
         let _ = self.foca.leave_cluster(&mut effects);
         self.apply(effects);
     }
@@ -111,12 +113,14 @@
                 continue;
             }
             let mut effects = FocaEffects::default();
+            // Nothing is to be repeated after an error: foca begins the next probe round by itself.
             let _ = self.foca.handle_timer(timer, &mut effects);
             self.apply(effects);
         }
     }
 
     /// When [`Membership::handle_timeout`] is next to be called.
+    /// There is always one, that of anti-entropy at the latest; the `Option` is for callers that chain several.
     pub fn poll_timeout(&self) -> Option<Nanos> {
         let timer = self.timers.keys().next().map(|key| key.deadline);
         let deadlines =
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -149,7 +149,7 @@
     let took = fleet.run_until_views_agree(&all, 50 * MILLISECOND, 10 * SECOND).expect("back");
     assert!(took < settings(n as u32).suspicion(), "took {took} ns");
     for i in 0..4 {
-        let mut view = fleet.member_mut(i).expect("running").view(0);
+        let mut view = fleet.member_mut(i).expect("running").observe_view(0);
         view.retain(|s| s.addr == SimulatedFleet::addr(4));
         assert_eq!(view.len(), 1);
         assert_eq!(view[0].incarnation, 2);
@@ -204,7 +204,7 @@
     fleet.cut_one_way(1, 0);
     let t = fleet.now();
     fleet.run_until(t + 600 * SECOND);
-    let forgotten = fleet.member_mut(0).expect("running").view(0);
+    let forgotten = fleet.member_mut(0).expect("running").observe_view(0);
     assert_eq!(forgotten.len(), n / 2 - 1, "the other half is forgotten, not held down");
     fleet.heal();
     let took = fleet.run_until_views_agree(&all, 100 * MILLISECOND, 60 * SECOND).expect("one view again");
@@ -251,7 +251,7 @@
         fleet.heal();
         fleet.run_until(now + 2 * s.suspicion() + 9 * s.probe_period);
         for i in 0..3 {
-            let view = fleet.member_mut(i).expect("running").view(0);
+            let view = fleet.member_mut(i).expect("running").observe_view(0);
             let stuck = view.iter().filter(|seen| seen.state == MemberState::Suspect).count();
             assert_eq!(stuck, 0, "seed {seed}: member {i} holds on to a suspect: {view:?}");
         }
@@ -308,7 +308,7 @@
     }
     fleet.run_until_views_agree(&all, 100 * MILLISECOND, 30 * SECOND).expect("agrees");
     for i in 0..n {
-        let view = fleet.member_mut(i).expect("running").view(0);
+        let view = fleet.member_mut(i).expect("running").observe_view(0);
         let at = view.iter().filter(|s| s.addr == SimulatedFleet::addr(3)).count();
         assert!(i == 3 || at == 1, "one entry for the flapping member");
     }
--- a/crates/membership/tests/verdicts.rs
+++ b/crates/membership/tests/verdicts.rs
@@ -39,7 +39,7 @@
 }
 
 fn state_of_third(core: &mut Membership, now: u64) -> Option<MemberState> {
-    let view = core.view(now);
+    let view = core.observe_view(now);
     view.iter().find(|seen| seen.addr == SimulatedFleet::addr(THIRD)).map(|seen| seen.state)
 }
 
--- a/crates/server/src/fleet/coordinator.rs
+++ b/crates/server/src/fleet/coordinator.rs
@@ -203,7 +203,7 @@
 
 fn seen(core: &mut Membership, now: u64) -> FleetView {
     let mut view = FleetView { settled_for: now.saturating_sub(core.last_change()), ..FleetView::default() };
-    for member in core.view(now).into_iter().filter(|member| !member.name.starts_with(NAMED)) {
+    for member in core.observe_view(now).into_iter().filter(|member| !member.name.starts_with(NAMED)) {
         match member.state {
             MemberState::Alive => view.alive.push(member.name),
             // One held down is waited for until it is forgotten: a partition looks the same.
--- a/crates/server/src/fleet/membership.rs
+++ b/crates/server/src/fleet/membership.rs
@@ -69,7 +69,7 @@
         }
         if now() >= next_view {
             next_view = now() + fleet.settings.probe_period;
-            let view = core.view(now());
+            let view = core.observe_view(now());
             let states: Vec<(SocketAddr, u64, MemberState)> =
                 view.iter().map(|s| (s.addr, s.incarnation, s.state)).collect();
             // Shown again after an announce period even where nothing changed: the log drops a line that
