--- a/crates/replication/src/codec.rs
+++ b/crates/replication/src/codec.rs
@@ -1,4 +1,4 @@
-//! Encoding of messages, and the bounds that a received one has to keep.
+//! Encoding of messages, and those bounds of a received one that are checked when it is read.
 
 use crate::message::{BODY_BYTES_MAX, Message, NAME_BYTES_MAX, NEIGHBOURS_MAX, REASON_BYTES_MAX};
 
@@ -17,7 +17,6 @@
         (rest.is_empty() && message.is_within_bounds()).then_some(message)
     }
 
-    /// Entries are checked where they are appended.
     fn is_within_bounds(&self) -> bool {
         match self {
             Message::Digest { location, neighbours, .. } => {
@@ -26,6 +25,7 @@
                     && is_name(&location.region)
                     && is_name(&location.zone)
             }
+            // The location is bounded by the body alone.
             Message::Report { report, .. } => {
                 let rejected = report.rejected.as_ref();
                 rejected.is_none_or(|rejection| rejection.reason.len() <= REASON_BYTES_MAX)
@@ -34,7 +34,23 @@
             Message::Submit { request, changes, .. } => {
                 is_name(&request.from) && changes.iter().all(|change| change.check().is_ok())
             }
-            _ => true,
+            // Entries are checked where they are appended: by the acceptor, and by the committed log.
+            Message::Promise { .. } | Message::Append { .. } => true,
+            // Pairs are checked where they are added to the transfer, keys are only compared.
+            Message::FetchChunk { .. } | Message::SnapshotChunk { .. } => true,
+            // Numbers alone.
+            Message::SnapshotOffer { .. }
+            | Message::PollReport
+            | Message::Prepare { .. }
+            | Message::EpochRejected { .. }
+            | Message::Appended { .. }
+            | Message::AppendRejected { .. } => true,
+            // Names and texts in these are bounded by the body alone.
+            Message::Revert { .. }
+            | Message::Submitted { .. }
+            | Message::NotLeader { .. }
+            | Message::PollStatus { .. }
+            | Message::Status { .. } => true,
         }
     }
 }
--- a/crates/replication/src/member/control.rs
+++ b/crates/replication/src/member/control.rs
@@ -1,7 +1,7 @@
 //! The part of a member that control machines alone have: it drives the replica, takes what is committed into
 //! the log, and on the leader states how fresh the log is and polls members for reports.
 
-use super::Member;
+use super::{EntrySource, Member};
 use crate::committed_log::CHECKPOINT_INTERVAL;
 use crate::message::{Freshness, Message};
 use crate::persistence::PersistedState;
@@ -13,8 +13,9 @@
 
 /// The leader states how fresh the log is at this interval.
 const FRESHNESS_INTERVAL_NS: Nanos = SECOND_NS;
-/// The leader polls lagging members for reports at this interval.
-const POLL_INTERVAL_NS: Nanos = 200 * MILLISECOND_NS;
+/// The leader has a round of polls at this interval: in each it polls those lagging members whose turn it is, see
+/// [`ProgressTracker::poll`].
+const POLL_ROUND_INTERVAL_NS: Nanos = 200 * MILLISECOND_NS;
 
 /// What a control machine has besides the rest of a member.
 pub(super) struct Control {
@@ -40,6 +41,8 @@
         }
     }
 
+    /// When the replica, or on the leader a statement or a round of polls, is due: a time in nanoseconds that may have
+    /// passed; [`Nanos::MAX`] where nothing is.
     pub(super) fn next_due(&self) -> Nanos {
         let due = self.replica.next_due();
         if self.replica.is_leader() { due.min(self.freshness_due).min(self.poll_due) } else { due }
@@ -65,7 +68,7 @@
         if !control.replica.is_leader() || now < control.poll_due {
             return;
         }
-        control.poll_due = now + POLL_INTERVAL_NS;
+        control.poll_due = now + POLL_ROUND_INTERVAL_NS;
         let peers = &self.peers;
         control.progress.retain(|name| peers.is_alive(name));
         let newest = self.log.complete().number();
@@ -78,7 +81,7 @@
     pub(super) fn advance_commit(&mut self, now: Nanos) {
         let Some(control) = &mut self.control else { return };
         let committed = control.replica.newly_committed(&self.log);
-        self.append_committed(now, &committed, true);
+        self.append_committed(now, &committed, EntrySource::OwnMajority);
         self.answer_requests(now);
         self.send_replica_messages();
     }
@@ -99,9 +102,11 @@
         let is_from_leader = matches!(message, Message::Append { .. });
         let committed = control.replica.receive(now, from, message, &self.log);
         if is_from_leader {
+            // Also from a leader of an earlier epoch: this is only a hint where reports and operators go, and who does
+            // not lead answers an operator with its own hint.
             self.leader = Some(from.to_string());
         }
-        self.append_committed(now, &committed, false);
+        self.append_committed(now, &committed, EntrySource::OtherMember);
         self.advance_commit(now);
     }
 
--- a/crates/replication/src/member/gossip.rs
+++ b/crates/replication/src/member/gossip.rs
@@ -1,7 +1,7 @@
 //! How committed entries spread: pushed to a few members by each that did not hold them, and pulled by all
 //! from one member in turn, which repairs what pushes miss (anti-entropy).
 
-use super::Member;
+use super::{EntrySource, Member};
 use crate::entry::Entry;
 use crate::message::{BODY_BYTES_MAX, Freshness, Message, NAME_BYTES_MAX, NEIGHBOURS_MAX};
 use crate::time::Nanos;
@@ -17,8 +17,8 @@
 const ANSWER_MESSAGES_MAX: usize = 3;
 /// A sender whose freshness is older by so much is sent this member's.
 const FRESHNESS_LAG_MS: u64 = 1_500;
-/// Bytes of entries in one message; the head names a leader.
-const ENTRIES_BYTES_MAX: usize = BODY_BYTES_MAX - 2 * NAME_BYTES_MAX;
+/// Most bytes of entries in one [`Message::Entries`], whose head has a leader's name and numbers.
+const GOSSIP_ENTRIES_BYTES_MAX: usize = BODY_BYTES_MAX - 2 * NAME_BYTES_MAX;
 
 impl Member {
     pub(super) fn on_gossip(&mut self, now: Nanos, from: &str, message: Message) {
@@ -150,7 +150,7 @@
     ) {
         let number_before = self.log.number();
         let has_gap = entries.first().is_some_and(|entry| entry.number() > number_before + 1);
-        if !self.append_committed(now, &entries, false) {
+        if !self.append_committed(now, &entries, EntrySource::OtherMember) {
             if has_gap {
                 self.send_digest(from, true, now);
             }
@@ -175,7 +175,7 @@
     let mut bytes: usize = 0;
     for entry in entries {
         let size = entry.size();
-        if bytes.saturating_add(size) > ENTRIES_BYTES_MAX && !batch.is_empty() {
+        if bytes.saturating_add(size) > GOSSIP_ENTRIES_BYTES_MAX && !batch.is_empty() {
             batches.push(std::mem::take(&mut batch));
             bytes = 0;
         }
--- a/crates/replication/src/member/mod.rs
+++ b/crates/replication/src/member/mod.rs
@@ -55,6 +55,15 @@
     pub transfers: u64,
 }
 
+/// How committed entries came to a member.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum EntrySource {
+    /// This member's own replica leads and counted a majority.
+    OwnMajority,
+    /// Another member sent them as committed, by gossip or as the leader.
+    OtherMember,
+}
+
 /// An encoded message to another member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
@@ -171,8 +180,9 @@
         self.leader.as_deref()
     }
 
-    /// For how long this member may have missed a revision, in nanoseconds: the time since a leader's
-    /// statement that the log ended where it ends here. `None` where there was none.
+    /// For how long this member may have missed a revision, in nanoseconds: the time since the latest statement of a
+    /// leader that the log ended no further than it does here. `None` where there was none. The statement has the
+    /// time of the leader's clock, so that the difference between the clocks goes into the age; it is never under 0.
     pub fn age(&self, now: Nanos) -> Option<Nanos> {
         let stated_at = self.freshness.at_ms * MILLISECOND_NS;
         (stated_at > 0).then(|| now.saturating_sub(stated_at))
@@ -245,7 +255,7 @@
         self.fetch_chunk(now);
     }
 
-    /// When [`Member::advance`] is wanted next, in nanoseconds.
+    /// When [`Member::advance`] is wanted next, in nanoseconds: a time that may have passed, for at once.
     pub fn next_due(&self) -> Nanos {
         let mut due = self.pull_due.min(self.report_due);
         if let Some(transfer) = &self.transfer {
@@ -257,9 +267,9 @@
         due
     }
 
-    /// Appends committed entries of whatever source; returns whether any was new. `is_leader`: they come from
-    /// this member's own replica.
-    fn append_committed(&mut self, now: Nanos, entries: &[Entry], is_leader: bool) -> bool {
+    /// Appends committed entries; returns whether any was new. The leader pushes on those that it has committed
+    /// itself.
+    fn append_committed(&mut self, now: Nanos, entries: &[Entry], source: EntrySource) -> bool {
         let mut appended: Vec<Entry> = Vec::new();
         for entry in entries {
             match self.log.append(entry) {
@@ -279,7 +289,7 @@
             control.replica.follow(&self.log);
             control.progress.on_commit(self.log.complete().number(), now);
         }
-        if is_leader && self.is_leader() {
+        if source == EntrySource::OwnMajority && self.is_leader() {
             self.push_to_each_zone(&appended, now);
         }
         true
--- a/crates/replication/src/progress.rs
+++ b/crates/replication/src/progress.rs
@@ -6,8 +6,8 @@
 use crate::time::{Nanos, SECOND_NS};
 use std::collections::BTreeMap;
 
-/// A member that has not applied the newest revision is polled at this interval.
-const POLL_INTERVAL_NS: Nanos = 2 * SECOND_NS;
+/// A member that has not answered a poll is polled again after this long.
+const REPOLL_UNANSWERED_INTERVAL_NS: Nanos = 2 * SECOND_NS;
 /// One that takes no part is polled at this interval: it may have been restarted with other settings.
 const SILENT_POLL_INTERVAL_NS: Nanos = 60 * SECOND_NS;
 /// Unanswered polls after which a member that never reported takes no part.
@@ -31,7 +31,7 @@
     }
 
     fn may_be_polled(&self, now: Nanos) -> bool {
-        let interval = if self.is_silent() { SILENT_POLL_INTERVAL_NS } else { POLL_INTERVAL_NS };
+        let interval = if self.is_silent() { SILENT_POLL_INTERVAL_NS } else { REPOLL_UNANSWERED_INTERVAL_NS };
         self.unanswered == 0 || now >= self.polled_at + interval
     }
 }
--- a/crates/replication/src/replica/election.rs
+++ b/crates/replication/src/replica/election.rs
@@ -19,7 +19,8 @@
 struct PromisedLog {
     /// The end of its log.
     last: Position,
-    /// Its entries after this candidate's committed end, without gaps, as far as they have come.
+    /// Its entries after this candidate's committed end, as far as they have come. Each message begins where the one
+    /// before it ended; that its own entries follow one another is left to the replica that sent them.
     entries: Vec<Entry>,
 }
 
@@ -40,7 +41,7 @@
 }
 
 impl Candidate {
-    /// When requests are repeated.
+    /// When requests are repeated, in nanoseconds.
     pub(super) fn next_due(&self) -> Nanos {
         self.requested_at + REPEAT_AFTER_NS
     }
--- a/crates/replication/src/replica/mod.rs
+++ b/crates/replication/src/replica/mod.rs
@@ -28,13 +28,15 @@
 
 /// A request to a replica is repeated after so long without an answer.
 const REPEAT_AFTER_NS: Nanos = 300 * MILLISECOND_NS;
-/// Longest entries of one message together, in bytes.
-const ENTRIES_BYTES_MAX: usize = 960;
+/// Most bytes of entries in one message between replicas: more than the longest entry, and within
+/// [`crate::message::BODY_BYTES_MAX`] with the head, which takes 43 at most (four integers of 10 bytes, the variant,
+/// the number of entries).
+const REPLICA_ENTRIES_BYTES_MAX: usize = 960;
 
 /// A change that was not appended to the log.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProposeError {
-    /// Another replica leads, or none.
+    /// Another replica leads, or none. The text calls the leader the publisher, as the operator's command does.
     #[error("not the publisher any more")]
     NotLeader,
     /// Too many entries wait for a majority.
@@ -174,7 +176,7 @@
         }
     }
 
-    /// When [`Replica::advance`] is wanted next, in nanoseconds.
+    /// When [`Replica::advance`] is wanted next, in nanoseconds: 0 for at once, [`Nanos::MAX`] for never.
     pub fn next_due(&self) -> Nanos {
         match &self.role {
             Role::Follower if self.holds_lease => 0,
@@ -264,7 +266,7 @@
                 continue;
             }
             bytes += entry.size();
-            if bytes > ENTRIES_BYTES_MAX && !entries.is_empty() {
+            if bytes > REPLICA_ENTRIES_BYTES_MAX && !entries.is_empty() {
                 break;
             }
             entries.push(entry.clone());
--- a/crates/replication/src/snapshot_transfer.rs
+++ b/crates/replication/src/snapshot_transfer.rs
@@ -76,7 +76,7 @@
         now >= self.next_due()
     }
 
-    /// When the next chunk is to be requested, in nanoseconds.
+    /// When the next chunk is to be requested, in nanoseconds; 0 for at once.
     pub fn next_due(&self) -> Nanos {
         self.pending.as_ref().map_or(0, |pending| pending.sent_at + CHUNK_TIMEOUT_NS)
     }
@@ -122,6 +122,8 @@
         if chunk.pairs.is_empty() { ChunkOutcome::Invalid } else { ChunkOutcome::Continue }
     }
 
+    /// The bounds of [`crate::change::Change::check`] but for the empty key, which no committed content has: a
+    /// checkpoint with one fails by its hash.
     fn may_add(&self, Pair { key, value }: &Pair) -> bool {
         self.after.as_ref().is_none_or(|before| before < key)
             && key.len() <= KEY_BYTES_MAX
