--- a/crates/hot-restart/src/frames.rs
+++ b/crates/hot-restart/src/frames.rs
@@ -4,7 +4,7 @@
 use crate::Nanos;
 use serde::{Deserialize, Serialize};
 
-/// Longest message in bytes; longer state is sent in parts.
+/// Longest message in bytes; longer state is sent in parts, and longer changes not at all.
 pub const MESSAGE_BYTES_MAX: usize = 256 * 1024;
 /// Length and checksum, little-endian, 4 bytes each.
 const HEADER_BYTES: usize = 8;
@@ -68,7 +68,8 @@
     },
     /// From the successor: the state is loaded.
     Loaded,
-    /// From the predecessor, which has frozen: what has changed since the state was sent.
+    /// From the predecessor, which has frozen: what has changed since the state was sent. It is one message, so the
+    /// caller must freeze while the changes, with the few bytes around them, fit [`MESSAGE_BYTES_MAX`].
     Switch {
         /// The changes.
         changes: Vec<u8>,
--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -42,7 +42,8 @@
         /// The version that the successor chose.
         version: u16,
     },
-    /// The successor refused its configuration or the state it was sent.
+    /// The successor refused, for a reason of its own: its configuration or the state it was sent, or the predecessor
+    /// did not do a step in time.
     #[error("the successor refused: {reason}")]
     Refused {
         /// The successor's reason.
--- a/crates/hot-restart/src/successor.rs
+++ b/crates/hot-restart/src/successor.rs
@@ -156,7 +156,7 @@
             self.phase = Phase::TrialOver;
             return vec![Action::Send(Frame::TrialOver)];
         }
-        self.refuse("the old one says nothing")
+        self.refuse("the predecessor did not do its step in time")
     }
 
     /// Handles an event.
