--- a/crates/pending-queue/src/summary.rs
+++ b/crates/pending-queue/src/summary.rs
@@ -54,6 +54,7 @@
 /// Sums of entries that stand in a row.
 #[derive(Clone, Debug, Default)]
 pub struct Summary {
+    /// How many entries there are.
     pub count: usize,
     costs: OperationCosts,
     /// At the reference times, ns: work over the concurrency limit, and the longest elapsed time.
@@ -67,6 +68,7 @@
 }
 
 impl Summary {
+    /// The summary of no entries.
     pub fn of_none() -> Self {
         Self { lateness: f64::NEG_INFINITY, ..Self::default() }
     }
