--- a/crates/fair-queueing/src/accounts.rs
+++ b/crates/fair-queueing/src/accounts.rs
@@ -1,8 +1,8 @@
-//! Accounts of tenants, up to a limit, with a list in the order of their last use (LRU) through all that may be
-//! evicted.
+//! Accounts of tenants, up to a limit, with a list in the order of their last use (LRU) through all that may
+//! be evicted.
 //!
-//! Invariant: an account is evicted only if its tenant is not ahead of its share, so that nothing that was used is
-//! forgotten with it.
+//! Invariant: an account is evicted only if its tenant is not ahead of its share, so that nothing that was
+//! used is forgotten with it.
 
 use crate::Nanos;
 use crate::account::Account;
@@ -88,8 +88,8 @@
         self.entries.is_empty()
     }
 
-    /// Names a tenant: its account is never evicted. One that it has already keeps what it has used. There is a
-    /// slot for it, since the settings allow half as many named tenants as accounts.
+    /// Names a tenant: its account is never evicted. One that it has already keeps what it has used. There is
+    /// a slot for it, since the settings allow half as many named tenants as accounts.
     pub fn pin(&mut self, fingerprint: Fingerprint, mut account: Account) {
         account.named = true;
         if let Some(index) = self.indices.get(&fingerprint).copied() {
@@ -189,8 +189,8 @@
         (entry.serial == slot.serial).then_some(&mut entry.account)
     }
 
-    /// Inserts an account, in a free slot or in that of the one unused for longest. That one is evicted only if
-    /// it is not ahead of `virtual_time`, and idle or the new one `over_share`, which must be watched more
+    /// Inserts an account, in a free slot or in that of the one unused for longest. That one is evicted only
+    /// if it is not ahead of `virtual_time`, and idle or the new one `over_share`, which must be watched more
     /// closely: no number of new tenants takes accounts from those in use. `None` where none may be evicted.
     pub fn insert(
         &mut self,
--- a/crates/fair-queueing/src/fair_rate.rs
+++ b/crates/fair-queueing/src/fair_rate.rs
@@ -8,8 +8,8 @@
 use crate::hyperloglog::WindowedCount;
 use crate::tenant::Fingerprint;
 
-/// Virtual time advances so much faster while there is capacity for all: what a tenant used beyond its share then
-/// is soon forgiven.
+/// Virtual time advances so much faster while there is capacity for all: what a tenant used beyond its share
+/// then is soon forgiven.
 const UNDERLOAD_SPEEDUP: f64 = 16.0;
 /// Weight of a new value in the average weight of sketched tenants.
 const WEIGHT_SMOOTHING: f64 = 0.01;
@@ -82,8 +82,8 @@
         Demand { cores, weight: self.sketched_weight, tenants }
     }
 
-    /// Finds the rate for the demands, to which those of tenants without an account are added. `capacity` is what
-    /// is to be given out, in cores.
+    /// Finds the rate for the demands, to which those of tenants without an account are added. `capacity` is
+    /// what is to be given out, in cores.
     pub fn update(&mut self, now: Nanos, capacity: f64, demands: impl Iterator<Item = Demand>) {
         let capacity = capacity.max(f64::MIN_POSITIVE);
         let rate = Self::fill(capacity, demands.chain([self.sketched(now)]));
--- a/crates/fair-queueing/src/finish_sketch.rs
+++ b/crates/fair-queueing/src/finish_sketch.rs
@@ -1,8 +1,9 @@
-//! Finishes of tenants without an account, in fixed memory: a sketch of hashed cells like count-min (Cormode and
-//! Muthukrishnan, 2005), whose cells hold the largest finish of all tenants that share them instead of a sum.
+//! Finishes of tenants without an account, in fixed memory: a sketch of hashed cells like count-min (Cormode
+//! and Muthukrishnan, 2005), whose cells hold the largest finish of all tenants that share them instead of a
+//! sum.
 //!
-//! Invariant: the finish of a tenant, the least over its cells, is never under what the tenant has used; it is
-//! over it where all of its cells are shared with tenants that have used more.
+//! Invariant: the finish of a tenant, the least over its cells, is never under what the tenant has used; it
+//! is over it where all of its cells are shared with tenants that have used more.
 
 use crate::tenant::Fingerprint;
 
@@ -84,9 +85,10 @@
         }
     }
 
-    /// Brings the next of the cells that lie behind up to the present. A cell left behind would seem to lie ahead
-    /// once virtual time had advanced by 2^31 units (35,184 s of one core) since; a round over all cells takes
-    /// [`SWEEPS_PER_ROUND`] calls, 128 s where the owner calls once in a control period of 500 ms.
+    /// Brings the next of the cells that lie behind up to the present. A cell left behind would seem to lie
+    /// ahead once virtual time had advanced by 2^31 units (35,184 s of one core) since; a round over all
+    /// cells takes [`SWEEPS_PER_ROUND`] calls, 128 s where the owner calls once in a control period of 500
+    /// ms.
     pub fn sweep(&mut self, present: f64) {
         let present_units = to_units(present);
         let cells = self.cells.len();
--- a/crates/fair-queueing/src/known_names.rs
+++ b/crates/fair-queueing/src/known_names.rs
@@ -2,9 +2,9 @@
 //!
 //! A name that has been seen often enough is evicted by time alone, not by any number of new names.
 //!
-//! Times are kept in steps of 250 ms that wrap round. The last visit has 12 bits: a name unused for 1,024 s or a
-//! multiple of it seems to have been used just now. The first visit has 16 bits: the time since then begins at 0
-//! again after 16,384 s.
+//! Times are kept in steps of 250 ms that wrap round. The last visit has 12 bits: a name unused for 1,024 s
+//! or a multiple of it seems to have been used just now. The first visit has 16 bits: the time since then
+//! begins at 0 again after 16,384 s.
 
 use crate::Nanos;
 use crate::tenant::Fingerprint;
@@ -106,7 +106,8 @@
     }
 
     /// Puts a record in the place of the one with the fewest visits, of equals of the one unused for longest.
-    /// One with enough visits stays until it has been unused for long; until then the new name is not recorded.
+    /// One with enough visits stays until it has been unused for long; until then the new name is not
+    /// recorded.
     fn replace_least(set: &mut [NameRecord; WAYS], kept_visits: u16, new: NameRecord, step: u16) {
         let rank = |record: &&mut NameRecord| (record.visits().min(kept_visits), !record.steps_unused(step));
         let Some(least) = set.iter_mut().min_by_key(rank) else { return };
--- a/crates/fair-queueing/src/lib.rs
+++ b/crates/fair-queueing/src/lib.rs
@@ -1,20 +1,22 @@
-//! Start-time fair queueing among tenants (Goyal, Vin and Cheng, 1996) in bounded memory for any number of them,
-//! with promised admissions.
+//! Start-time fair queueing among tenants (Goyal, Vin and Cheng, 1996) in bounded memory for any number of
+//! them, with promised admissions.
 //!
-//! The crate decides nothing. [`FairScheduler`] says of each arrival whether it lies within its tenant's share and
-//! where it stands in fair order, and of one that is rejected when its tenant will have capacity for it again.
+//! The crate decides nothing. [`FairScheduler`] says of each arrival whether it lies within its tenant's
+//! share and where it stands in fair order, and of one that is rejected when its tenant will have capacity
+//! for it again.
 //!
 //! - [`fair_rate`]: the max-min fair rate of a unit of weight, and the virtual time that advances at it.
-//! - [`usage`]: up to which virtual time each tenant has used its share (its finish), and where its queues end.
-//!   Tenants seen for long enough have an account of their own ([`accounts`]); those beyond the accounts share
-//!   cells that never say less than they have used ([`finish_sketch`]); names that are new share one record
-//!   for each origin, which cannot be made up ([`origins`]).
+//! - [`usage`]: up to which virtual time each tenant has used its share (its finish), and where its queues
+//!   end. Tenants seen for long enough have an account of their own ([`accounts`]); those beyond the accounts
+//!   share cells that never say less than they have used ([`finish_sketch`]); names that are new share one
+//!   record for each origin, which cannot be made up ([`origins`]).
 //! - [`known_names`] and [`hyperloglog`]: which names have been seen, and how many.
-//! - [`promises`] and [`timer_wheel`]: when a rejected arrival may come back, and the ticket that stands for it.
+//! - [`promises`] and [`timer_wheel`]: when a rejected arrival may come back, and the ticket that stands for
+//!   it.
 //! - [`reconfiguration`]: changes of settings while the server runs.
 //!
-//! `docs/fair-queues.md` names the alternatives considered. Times are nanoseconds, work is nanoseconds of one core,
-//! and virtual time is nanoseconds of one core for a unit of weight.
+//! `docs/fair-queues.md` names the alternatives considered. Times are nanoseconds, work is nanoseconds of one
+//! core, and virtual time is nanoseconds of one core for a unit of weight.
 #![deny(missing_docs, clippy::too_many_lines)]
 
 pub mod account;
--- a/crates/fair-queueing/src/memory.rs
+++ b/crates/fair-queueing/src/memory.rs
@@ -1,7 +1,7 @@
 //! Bytes that the standard library's hash maps take, which have no call that tells them.
 //!
-//! Assumes its present layout (a SwissTable): an array of buckets and one control byte for each, of which at most
-//! 7 in 8 are filled, so that `capacity` entries stand in 8/7 as many buckets.
+//! Assumes its present layout (a SwissTable): an array of buckets and one control byte for each, of which at
+//! most 7 in 8 are filled, so that `capacity` entries stand in 8/7 as many buckets.
 
 use std::collections::HashMap;
 
--- a/crates/fair-queueing/src/origins.rs
+++ b/crates/fair-queueing/src/origins.rs
@@ -1,7 +1,9 @@
-//! Where calls come from: a connection's peer, or a sender that the operator trusts. Origins cannot be made up.
+//! Where calls come from: a connection's peer, or a sender that the operator trusts. Origins cannot be made
+//! up.
 //!
-//! Names that have not been seen for long share one [`Origin`], as one tenant would, and where an origin brings more
-//! names than it may, each of them weighs less. Made-up names thus bring nobody more than one tenant's share.
+//! Names that have not been seen for long share one [`Origin`], as one tenant would, and where an origin
+//! brings more names than it may, each of them weighs less. Made-up names thus bring nobody more than one
+//! tenant's share.
 
 use crate::Nanos;
 use crate::demand::{DecayingRate, Demand};
@@ -128,8 +130,8 @@
         (names_per_origin / origin.estimated_names).min(1.0)
     }
 
-    /// A newcomer of this origin asks for work: returns the index of the origin's slot, and the work corrected by the
-    /// ratio of its newcomers.
+    /// A newcomer of this origin asks for work: returns the index of the origin's slot, and the work
+    /// corrected by the ratio of its newcomers.
     pub fn record_newcomer(&mut self, id: u64, now: Nanos, work: f64) -> (usize, f64) {
         let index = self.find_or_insert(id, now);
         let origin = &mut self.origins[index];
--- a/crates/fair-queueing/src/promises.rs
+++ b/crates/fair-queueing/src/promises.rs
@@ -1,5 +1,5 @@
-//! Promises: a rejected arrival that is told when to come back is admitted then, and a little longer. A ticket that
-//! cannot be guessed stands for it; it is good once, for its tenant, from any connection.
+//! Promises: a rejected arrival that is told when to come back is admitted then, and a little longer. A
+//! ticket that cannot be guessed stands for it; it is good once, for its tenant, from any connection.
 
 use crate::Nanos;
 use crate::memory;
@@ -75,7 +75,8 @@
 }
 
 impl Promises {
-    /// At most `limit` promises of up to `longest` nanoseconds; a return is in time for `return_grace` nanoseconds.
+    /// At most `limit` promises of up to `longest` nanoseconds; a return is in time for `return_grace`
+    /// nanoseconds.
     pub fn new(limit: usize, longest: Nanos, return_grace: Nanos, seed: u64, now: Nanos) -> Self {
         Self {
             limit: limit.min(u32::MAX as usize),
@@ -114,8 +115,8 @@
         self.tickets.is_empty()
     }
 
-    /// Makes a promise for a return after `wait` nanoseconds, to which a random part is added; `None` where that
-    /// would be over the longest time, or no slot is free.
+    /// Makes a promise for a return after `wait` nanoseconds, to which a random part is added; `None` where
+    /// that would be over the longest time, or no slot is free.
     pub fn make(&mut self, now: Nanos, wait: f64, promise: Promise) -> Option<Ticket> {
         let spread = (wait * SPREAD_RATIO).max(self.longest as f64 * SPREAD_LEAST_RATIO);
         let wait = wait + spread * self.rng.random_range(0.0..1.0);
@@ -144,8 +145,8 @@
         Some(self.slots.len() as u32 - 1)
     }
 
-    /// A tenant returns with a ticket, which is used up whatever becomes of it; another tenant's stays good. The
-    /// slot is freed when its timer expires, so that no number is in two timers.
+    /// A tenant returns with a ticket, which is used up whatever becomes of it; another tenant's stays good.
+    /// The slot is freed when its timer expires, so that no number is in two timers.
     pub fn redeem(&mut self, now: Nanos, ticket: u64, tenant: Fingerprint) -> Redemption {
         let Some(index) = self.tickets.get(&ticket).copied() else { return Redemption::Unknown };
         let standing = self.slots[index as usize].as_mut();
--- a/crates/fair-queueing/src/queue_order.rs
+++ b/crates/fair-queueing/src/queue_order.rs
@@ -1,7 +1,7 @@
 //! Order of start-time fair queueing: each arrival has a start tag, and lower tags are served first.
 //!
-//! Arrivals within their tenant's share and those beyond it have queues of their own: a tenant's surplus waits
-//! for the arrivals of others, and among surplus those go first whose tenant has borrowed less.
+//! Arrivals within their tenant's share and those beyond it have queues of their own: a tenant's surplus
+//! waits for the arrivals of others, and among surplus those go first whose tenant has borrowed less.
 
 /// A value for each of the two queues.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
--- a/crates/fair-queueing/src/reconfiguration.rs
+++ b/crates/fair-queueing/src/reconfiguration.rs
@@ -1,5 +1,5 @@
-//! Changes of settings while a server runs, in parts of bounded size: the deciding thread takes one part at a time
-//! between arrivals.
+//! Changes of settings while a server runs, in parts of bounded size: the deciding thread takes one part at a
+//! time between arrivals.
 
 use crate::Nanos;
 use crate::settings::Settings;
@@ -27,9 +27,9 @@
 }
 
 impl SettingsChange {
-    /// The parts that lead from `old` to `new`, at least one. Those that take names away come first, since the
-    /// limit is checked without them. Takes time in proportion to both lists of names: not for the deciding
-    /// thread.
+    /// The parts that lead from `old` to `new`, at least one. Those that take names away come first, since
+    /// the limit is checked without them. Takes time in proportion to both lists of names: not for the
+    /// deciding thread.
     pub fn between(old: &Settings, new: &Settings) -> Vec<SettingsChange> {
         let old_weights = weights(old);
         let new_weights = weights(new);
--- a/crates/fair-queueing/src/scheduler.rs
+++ b/crates/fair-queueing/src/scheduler.rs
@@ -11,7 +11,8 @@
 use crate::tenant::{Fingerprint, FingerprintKey, TenantKey};
 use crate::usage::{Located, Present, Usage, UsageLocation};
 
-/// A promise does not hold where virtual time has fallen short by more than this share of the expected advance.
+/// A promise does not hold where virtual time has fallen short by more than this share of the expected
+/// advance.
 const SHORTFALL_MAX_RATIO: f64 = 0.5;
 /// Least work of an arrival, in nanoseconds of one core.
 const WORK_MIN: f64 = 1.0;
@@ -20,7 +21,8 @@
 /// What was decided of one arrival; its owner keeps it and gives it back when the arrival is over.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Admission {
-    /// Start tag of start-time fair queueing, in nanoseconds of one core for a unit of weight: lower ones first.
+    /// Start tag of start-time fair queueing, in nanoseconds of one core for a unit of weight: lower ones
+    /// first.
     pub start_tag: u64,
     /// It is beyond its tenant's share.
     pub surplus: bool,
@@ -64,8 +66,8 @@
     rate: FairRate,
     usage: Usage,
     promises: Promises,
-    /// Most work of a tenant of weight 1 that may be admitted ahead of virtual time, whatever the rate; nanoseconds
-    /// of one core.
+    /// Most work of a tenant of weight 1 that may be admitted ahead of virtual time, whatever the rate;
+    /// nanoseconds of one core.
     allowance_max: f64,
     served: ServiceClock,
     /// Events since the start.
@@ -105,7 +107,8 @@
         now
     }
 
-    /// Classifies an arrival that will usually need `work` nanoseconds of one core; `ticket` is that of a promise.
+    /// Classifies an arrival that will usually need `work` nanoseconds of one core; `ticket` is that of a
+    /// promise.
     pub fn arrive(&mut self, now: Nanos, key: TenantKey<'_>, work: f64, ticket: Option<u64>) -> Admission {
         let now = self.advance(now);
         let tenant = self.fingerprints.fingerprint(key.name);
@@ -159,7 +162,8 @@
         admission
     }
 
-    /// Admits a return as promised: it has queued since its rejection, ahead of what its tenant has sent later.
+    /// Admits a return as promised: it has queued since its rejection, ahead of what its tenant has sent
+    /// later.
     fn admit_as_promised(&mut self, mut admission: Admission, promise: &Promise) -> Admission {
         self.counters.within += 1;
         self.usage.count(admission.location, false);
@@ -194,13 +198,15 @@
         self.finish(admission).max(self.rate.virtual_time())
     }
 
-    /// Moves its tenant's finish on by work from where it begins; work under 0 is given back where that can be done.
+    /// Moves its tenant's finish on by work from where it begins; work under 0 is given back where that can
+    /// be done.
     fn charge(&mut self, admission: &Admission, begins: f64, work: f64) {
         let finish = begins + work / admission.weight;
         self.usage.set_finish(admission.location, admission.tenant, finish, self.rate.virtual_time());
     }
 
-    /// Gives an arrival its start tag: behind what its tenant has queued already, else at the tag served last.
+    /// Gives an arrival its start tag: behind what its tenant has queued already, else at the tag served
+    /// last.
     fn enqueue(&mut self, admission: &mut Admission, ahead: f64) {
         let served = self.served.tag(admission.surplus);
         let Some(tails) = self.usage.tails_mut(admission.location) else {
@@ -242,8 +248,8 @@
         }
     }
 
-    /// Learns how the work used compares with the usual work. The account may have been evicted while it ran; then
-    /// there is nothing to learn for, nor a queue.
+    /// Learns how the work used compares with the usual work. The account may have been evicted while it ran;
+    /// then there is nothing to learn for, nor a queue.
     fn learn_ratio(&mut self, admission: &Admission, used: f64) {
         if let Some(ratio) = self.usage.ratio_mut(admission.location) {
             ratio.learn(used / admission.usual_work);
@@ -258,12 +264,12 @@
     }
 
     /// What a rejected arrival is told: when its tenant will have capacity for it, but `least` nanoseconds at
-    /// least, and the ticket to come back with. Nothing is promised where the time would be too long or too many
-    /// promises stand.
+    /// least, and the ticket to come back with. Nothing is promised where the time would be too long or too
+    /// many promises stand.
     ///
-    /// Promises to a tenant follow one another at its fair rate, so that whoever asks again gets a later one. They
-    /// are charged on return: one for which nobody returns costs its tenant nothing. Those in the sketch are
-    /// charged when they are made, and what nobody returns for stays charged.
+    /// Promises to a tenant follow one another at its fair rate, so that whoever asks again gets a later one.
+    /// They are charged on return: one for which nobody returns costs its tenant nothing. Those in the sketch
+    /// are charged when they are made, and what nobody returns for stays charged.
     pub fn promise(&mut self, now: Nanos, admission: &Admission, least: Nanos) -> ReturnAdvice {
         let now = self.advance(now);
         let (virtual_time, cores) = (self.rate.virtual_time(), self.rate.cores());
@@ -290,8 +296,8 @@
         ReturnAdvice { retry_after: ticket.wait, ticket: Some(ticket.number) }
     }
 
-    /// Books a promise from where it begins in its tenant's share. The sketch keeps no bookings: there the work is
-    /// charged at once.
+    /// Books a promise from where it begins in its tenant's share. The sketch keeps no bookings: there the
+    /// work is charged at once.
     fn book(&mut self, admission: &Admission, booked_start: f64) {
         match self.usage.booked_until_mut(admission.location) {
             Some(booked_until) => *booked_until = booked_start + admission.estimated_work / admission.weight,
@@ -299,8 +305,8 @@
         }
     }
 
-    /// Takes one part of a change of settings; limits stay as they are until a restart. The time it takes grows
-    /// with the names in the part alone.
+    /// Takes one part of a change of settings; limits stay as they are until a restart. The time it takes
+    /// grows with the names in the part alone.
     pub fn reconfigure(&mut self, change: &SettingsChange, now: Nanos) {
         let now = self.advance(now);
         for name in &change.unnamed {
@@ -317,9 +323,9 @@
         self.settings.probation = change.probation;
     }
 
-    /// Finds the fair rate anew for the recent demands, once a control period. `capacity` is the work a second
-    /// that is to be given out, in cores; `allowance_max` the work that a tenant of weight 1 may have admitted: an
-    /// arrival that is admitted and then rejected for want of time would be charged to nobody.
+    /// Finds the fair rate anew for the recent demands, once a control period. `capacity` is the work a
+    /// second that is to be given out, in cores; `allowance_max` the work that a tenant of weight 1 may have
+    /// admitted: an arrival that is admitted and then rejected for want of time would be charged to nobody.
     pub fn update_fair_rate(&mut self, now: Nanos, capacity: f64, allowance_max: f64) {
         self.allowance_max = allowance_max;
         let now = self.advance(now);
--- a/crates/fair-queueing/src/timer_wheel.rs
+++ b/crates/fair-queueing/src/timer_wheel.rs
@@ -1,5 +1,5 @@
-//! A hashed timer wheel (Varghese and Lauck, 1987): finds what has expired without a look at later timers. Good
-//! for timers up to a stated span; those beyond it stay in their slot for another round.
+//! A hashed timer wheel (Varghese and Lauck, 1987): finds what has expired without a look at later timers.
+//! Good for timers up to a stated span; those beyond it stay in their slot for another round.
 
 use crate::Nanos;
 
--- a/crates/fair-queueing/src/usage.rs
+++ b/crates/fair-queueing/src/usage.rs
@@ -82,8 +82,8 @@
         self.accounts.bytes() + self.sketch.bytes() + self.known_names.bytes() + self.origins.bytes()
     }
 
-    /// Records an arrival and finds where its tenant's use is kept: its account, the record that newcomers of its
-    /// origin share until its name is known, a new account, or the sketch.
+    /// Records an arrival and finds where its tenant's use is kept: its account, the record that newcomers of
+    /// its origin share until its name is known, a new account, or the sketch.
     pub fn locate(
         &mut self,
         present: Present,
--- a/crates/hot-restart/src/frames.rs
+++ b/crates/hot-restart/src/frames.rs
@@ -1,5 +1,6 @@
 //! Frames on the stream between predecessor and successor: the length of the message, its CRC-32, and the
-//! message in postcard. A reader accepts bytes in any pieces, buffers one frame at most, and trusts none of it.
+//! message in postcard. A reader accepts bytes in any pieces, buffers one frame at most, and trusts none of
+//! it.
 
 use crate::Nanos;
 use serde::{Deserialize, Serialize};
@@ -9,8 +10,8 @@
 /// Length and checksum, little-endian, 4 bytes each.
 const HEADER_BYTES: usize = 8;
 
-/// An answer that the successor is about to give, so that the predecessor knows after a crash what callers may
-/// have received.
+/// An answer that the successor is about to give, so that the predecessor knows after a crash what callers
+/// may have received.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AnnouncedAnswer {
     /// The invocation answered.
@@ -68,8 +69,9 @@
     },
     /// From the successor: the state is loaded.
     Loaded,
-    /// From the predecessor, which has frozen: what has changed since the state was sent. It is one message, so the
-    /// caller must freeze while the changes, with the few bytes around them, fit [`MESSAGE_BYTES_MAX`].
+    /// From the predecessor, which has frozen: what has changed since the state was sent. It is one message,
+    /// so the caller must freeze while the changes, with the few bytes around them, fit
+    /// [`MESSAGE_BYTES_MAX`].
     Switch {
         /// The changes.
         changes: Vec<u8>,
--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -1,12 +1,13 @@
-//! Hot restart: a running server (the predecessor) hands all it has to a new process (the successor), and takes
-//! it back if that fails. The protocol is two state machines without I/O or clock, [`predecessor`] and
+//! Hot restart: a running server (the predecessor) hands all it has to a new process (the successor), and
+//! takes it back if that fails. The protocol is two state machines without I/O or clock, [`predecessor`] and
 //! [`successor`], and the [`frames`] between them. Events and the time go in; actions to carry out come out.
 //!
 //! At each moment at most one process is active, that is, may answer, run, call, report and accept. The
 //! predecessor is active until it freezes for the switch, the successor from the release on. During a trial
-//! after the release the predecessor keeps all it handed over, and the successor announces each answer before it
-//! gives it. Before the release the predecessor resumes at once when the attempt fails, since the successor
-//! cannot have acted. After it, only when the successor is known to be dead and all its announcements are read.
+//! after the release the predecessor keeps all it handed over, and the successor announces each answer before
+//! it gives it. Before the release the predecessor resumes at once when the attempt fails, since the
+//! successor cannot have acted. After it, only when the successor is known to be dead and all its
+//! announcements are read.
 //!
 //! `docs/upgrades.md` has the design and the alternatives. The server does not use this crate yet.
 #![deny(missing_docs, clippy::too_many_lines)]
@@ -42,8 +43,8 @@
         /// The version that the successor chose.
         version: u16,
     },
-    /// The successor refused, for a reason of its own: its configuration or the state it was sent, or the predecessor
-    /// did not do a step in time.
+    /// The successor refused, for a reason of its own: its configuration or the state it was sent, or the
+    /// predecessor did not do a step in time.
     #[error("the successor refused: {reason}")]
     Refused {
         /// The successor's reason.
--- a/crates/hot-restart/src/predecessor.rs
+++ b/crates/hot-restart/src/predecessor.rs
@@ -143,7 +143,8 @@
         self.phase
     }
 
-    /// Sets what the next upgrade hands over: the configuration's digest and the number of parts of the state.
+    /// Sets what the next upgrade hands over: the configuration's digest and the number of parts of the
+    /// state.
     pub fn set_offer(&mut self, digest: u64, parts: u32) {
         self.digest = digest;
         self.parts = parts;
@@ -233,8 +234,8 @@
             Phase::Serving => vec![Action::Drain { grace }],
             // From the release on it is the successor that drains.
             Phase::Trial => vec![Action::Send(Frame::Drain { grace })],
-            // Before it a draining server hands nothing over: the attempt ends, and this process drains. After
-            // a release it drains once all is taken back.
+            // Before it a draining server hands nothing over: the attempt ends, and this process drains.
+            // After a release it drains once all is taken back.
             _ => {
                 let is_aborting = self.phase == Phase::Aborting;
                 let mut actions = if is_aborting { Vec::new() } else { self.abort(AbortReason::Draining) };
@@ -299,8 +300,8 @@
         }
     }
 
-    /// Ends the attempt: the successor is killed. Before the release it cannot have acted, and the predecessor
-    /// resumes at once; after it nothing is taken back before the successor is dead.
+    /// Ends the attempt: the successor is killed. Before the release it cannot have acted, and the
+    /// predecessor resumes at once; after it nothing is taken back before the successor is dead.
     fn abort(&mut self, reason: AbortReason) -> Vec<Action> {
         let was_frozen = self.phase == Phase::Switching;
         self.phase = Phase::Aborting;
--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -100,7 +100,8 @@
         let own = Member::alive(me.clone());
         let known = self.foca.iter_members().cloned().chain(std::iter::once(own));
         let mut members: Vec<_> = known.filter(|member| digest::is_in(buckets, member.id())).collect();
-        // Starts at random, so that members beyond the budget or the limit of an answer come with a later one.
+        // Starts at random, so that members beyond the budget or the limit of an answer come with a later
+        // one.
         let start = self.random_below(members.len());
         members.rotate_left(start);
         for body in messages::encode_members(&me, requested_buckets, &members, self.sealer.body_max()) {
--- a/crates/membership/src/envelope.rs
+++ b/crates/membership/src/envelope.rs
@@ -1,6 +1,6 @@
-//! The datagram around each message: versioned, length-checked, numbered against replays, and authenticated by
-//! HMAC-SHA256 over the fleet's name and every byte before the tag. Peers are untrusted: a datagram that fails
-//! a check is dropped with a reason that is counted, and never causes a panic.
+//! The datagram around each message: versioned, length-checked, numbered against replays, and authenticated
+//! by HMAC-SHA256 over the fleet's name and every byte before the tag. Peers are untrusted: a datagram that
+//! fails a check is dropped with a reason that is counted, and never causes a panic.
 //!
 //! Layout of version 1, integers little-endian (a header of 30 bytes, the body, a tag of 32 bytes):
 //!
@@ -86,11 +86,12 @@
     /// The tag does not match: forged, corrupted, or sealed with another key.
     #[error("the tag does not match")]
     Tag,
-    /// A sequence number already accepted or too old, or an incarnation older than one seen from that address.
+    /// A sequence number already accepted or too old, or an incarnation older than one seen from that
+    /// address.
     #[error("a replay")]
     Replay,
-    /// Authentic, but dropped behind the envelope: foca or anti-entropy rejected its payload, or too many bodies of
-    /// shared state wait for the caller, which is no fault of the sender's.
+    /// Authentic, but dropped behind the envelope: foca or anti-entropy rejected its payload, or too many
+    /// bodies of shared state wait for the caller, which is no fault of the sender's.
     #[error("the payload was rejected")]
     Protocol,
 }
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -8,7 +8,8 @@
 pub const NAME_BYTES_MAX: usize = 64;
 
 /// Identity of a member. Two identities at one address are one member, of which the higher incarnation wins:
-/// a server restarted under its old name and address replaces its earlier incarnation as soon as it is heard of.
+/// a server restarted under its old name and address replaces its earlier incarnation as soon as it is heard
+/// of.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MemberId {
     /// Name of the server, 1 to [`NAME_BYTES_MAX`] bytes; empty where only the address of a seed is known.
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,4 +1,5 @@
-//! The fleet's view as each server keeps it: SWIM with suspicion and piggybacked updates, by the `foca` crate.
+//! The fleet's view as each server keeps it: SWIM with suspicion and piggybacked updates, by the `foca`
+//! crate.
 //!
 //! [`Membership`] is a state machine without I/O or clock. Datagrams and the time go in by
 //! [`Membership::handle_datagram`] and [`Membership::handle_timeout`]; datagrams to send, changes of the view
--- a/crates/membership/src/messages.rs
+++ b/crates/membership/src/messages.rs
@@ -1,8 +1,8 @@
 //! Messages that members exchange beside SWIM's, where gossip alone does not make views agree:
 //!
 //! - **Anti-entropy.** Once an announce period each member sends one other (alive or down) the digest of its
-//!   view. Where the digests differ, both send the members of the differing buckets. Two views that agree cost
-//!   one datagram.
+//!   view. Where the digests differ, both send the members of the differing buckets. Two views that agree
+//!   cost one datagram.
 //! - **Verdicts on a member that is down.** A member that holds another down, and receives it as alive in a
 //!   list of members, notifies both: the one that is down takes its next incarnation, the one that sent
 //!   the list suspects it.
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -10,8 +10,9 @@
 const SECOND_NS: Nanos = 1_000_000_000;
 const MILLISECOND_NS: Nanos = 1_000_000;
 
-/// Default of [`Settings::bytes_per_second`]: above what a member of a fleet of a thousand sends, so that views
-/// agree soonest. A smaller figure bounds the load on the network, and views of a large fleet agree later.
+/// Default of [`Settings::bytes_per_second`]: above what a member of a fleet of a thousand sends, so that
+/// views agree soonest. A smaller figure bounds the load on the network, and views of a large fleet agree
+/// later.
 pub const DEFAULT_BYTES_PER_SECOND: u64 = 200_000;
 /// Smallest body of a datagram, in bytes: it holds two members with the longest names.
 const PACKET_BYTES_MIN: usize = 256;
@@ -63,8 +64,8 @@
     pub bytes_per_second: u64,
 }
 
-/// A setting that cannot be used. The text begins with the field's name, in hyphens; periods are in nanoseconds. The
-/// attributes of the options file have units in their names (`probe-period-ms`).
+/// A setting that cannot be used. The text begins with the field's name, in hyphens; periods are in
+/// nanoseconds. The attributes of the options file have units in their names (`probe-period-ms`).
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
     /// The fleet's name is empty or too long.
--- a/crates/membership/src/simulation/mod.rs
+++ b/crates/membership/src/simulation/mod.rs
@@ -35,9 +35,9 @@
     network: Network,
     /// Deadlines of the members; those that a later event has moved are passed over.
     timeouts: BinaryHeap<Reverse<Timeout>>,
-    /// Threads that play members. One plays event by event. More play in windows of the network's least delay,
-    /// within which no member receives what another sends, so that the outcome is the same for any number;
-    /// they require a delay above 0.
+    /// Threads that play members. One plays event by event. More play in windows of the network's least
+    /// delay, within which no member receives what another sends, so that the outcome is the same for any
+    /// number; they require a delay above 0.
     pub threads: usize,
     /// Datagrams sent since the start.
     pub sent: u64,
@@ -228,8 +228,8 @@
         self.finish_event(member);
     }
 
-    /// Whether each of these members that runs has exactly the others of them as members alive or suspect, each
-    /// in its present incarnation.
+    /// Whether each of these members that runs has exactly the others of them as members alive or suspect,
+    /// each in its present incarnation.
     pub fn views_agree(&self, members: &[usize]) -> bool {
         let present = |member: &usize| self.processes[*member].present_incarnation();
         let identity = |member: &usize| (SimulatedFleet::addr(*member), present(member));
--- a/crates/membership/src/simulation/parallel.rs
+++ b/crates/membership/src/simulation/parallel.rs
@@ -86,7 +86,8 @@
     }
 
     /// Plays in windows of the network's least delay: the arrivals of a window are sorted to their members,
-    /// which are played side by side, and what they send is put on the network in the order of time and member.
+    /// which are played side by side, and what they send is put on the network in the order of time and
+    /// member.
     pub(super) fn run_windows(&mut self, until: Nanos) {
         while let Some(next) = self.next_event().filter(|next| *next <= until) {
             let now = self.now;
--- a/crates/membership/src/simulation/process.rs
+++ b/crates/membership/src/simulation/process.rs
@@ -80,8 +80,8 @@
         false
     }
 
-    /// Plays the arrivals of a window, in the order of their time, and the timers that are due before its end.
-    /// Returns what it sent.
+    /// Plays the arrivals of a window, in the order of their time, and the timers that are due before its
+    /// end. Returns what it sent.
     pub(super) fn play_window(&mut self, now: Nanos, end: Nanos, arrivals: Vec<Arrival>) -> Vec<Sent> {
         if self.is_stalled {
             for arrival in arrivals {
--- a/crates/membership/src/state_machine.rs
+++ b/crates/membership/src/state_machine.rs
@@ -13,8 +13,8 @@
 
 impl Membership {
     /// Announces this server to the seeds, of which only the addresses are known. While it then knows no
-    /// member it announces itself again, first after a probe period, then after twice as long each time, up to
-    /// the announce period.
+    /// member it announces itself again, first after a probe period, then after twice as long each time, up
+    /// to the announce period.
     pub fn join(&mut self, seeds: &[SocketAddr], now: Nanos) {
         self.now = self.now.max(now);
         let own = self.identity().addr;
@@ -120,7 +120,8 @@
     }
 
     /// When [`Membership::handle_timeout`] is next to be called.
-    /// There is always one, that of anti-entropy at the latest; the `Option` is for callers that chain several.
+    /// There is always one, that of anti-entropy at the latest; the `Option` is for callers that chain
+    /// several.
     pub fn poll_timeout(&self) -> Option<Nanos> {
         let timer = self.timers.keys().next().map(|key| key.deadline);
         let deadlines =
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -134,10 +134,11 @@
 
 impl Membership {
     /// Observes the view: dates each change of state to this call where it is the first to see it, moves
-    /// [`Membership::last_change`] along, and forgets the dates of members that are gone. To be called once a probe
-    /// period.
+    /// [`Membership::last_change`] along, and forgets the dates of members that are gone. To be called once a
+    /// probe period.
     ///
-    /// Returns every member that this server knows of, down ones until they are forgotten, without itself, by address.
+    /// Returns every member that this server knows of, down ones until they are forgotten, without itself, by
+    /// address.
     pub fn observe_view(&mut self, now: Nanos) -> Vec<MemberStatus> {
         self.now = self.now.max(now);
         let mut view: Vec<MemberStatus> = Vec::with_capacity(self.foca.iter_membership_state().len());
--- a/crates/pending-queue/src/late_search.rs
+++ b/crates/pending-queue/src/late_search.rs
@@ -7,8 +7,8 @@
 use crate::sum_tree::{Block, SumTree};
 use crate::{Capacity, Nanos};
 
-/// Rounding of points in time as floating numbers, in nanoseconds, on a clock that counts from 1970: eight times
-/// the 256 ns between neighbours there, for the several roundings of a sum.
+/// Rounding of points in time as floating numbers, in nanoseconds, on a clock that counts from 1970: eight
+/// times the 256 ns between neighbours there, for the several roundings of a sum.
 const ROUNDING_NS: f64 = 2048.0;
 
 /// A block and an index in it.
--- a/crates/pending-queue/src/lib.rs
+++ b/crates/pending-queue/src/lib.rs
@@ -190,8 +190,8 @@
         now: Nanos,
         latest_start: impl Fn(usize, Nanos) -> Nanos,
     ) -> Option<ArrivalKey> {
-        // The flag is not read while `overdue` is empty: a search is due then anyway, and a flag that was set for an
-        // entry removed since stays for the next call.
+        // The flag is not read while `overdue` is empty: a search is due then anyway, and a flag that was set
+        // for an entry removed since stays for the next call.
         let must_search = self.overdue.is_empty() || std::mem::take(&mut self.has_unsearched_deadlines);
         if must_search {
             for (operation, deadlines) in &self.deadlines {
@@ -223,9 +223,9 @@
     }
 
     /// Finds the first entry, in the order they will run, that would end after its deadline though it is not
-    /// among those that may start at once. Returns the key of the entry to reject so that the others can be in time:
-    /// of those up to it in its rank, which is the lowest among them, the one with the highest start tag,
-    /// of equals the one that arrived last.
+    /// among those that may start at once. Returns the key of the entry to reject so that the others can be
+    /// in time: of those up to it in its rank, which is the lowest among them, the one with the highest start
+    /// tag, of equals the one that arrived last.
     pub fn to_reject_for_deadlines(&mut self, now: Nanos, capacity: &Capacity) -> Option<usize> {
         if self.len <= capacity.free_slots {
             return None;
--- a/crates/pending-queue/src/order.rs
+++ b/crates/pending-queue/src/order.rs
@@ -1,5 +1,5 @@
-//! The orders in which entries run and are rejected. The order of the fields is the rule: the first in which two
-//! entries differ decides.
+//! The orders in which entries run and are rejected. The order of the fields is the rule: the first in which
+//! two entries differ decides.
 
 use crate::{Entry, Nanos};
 
--- a/crates/pending-queue/src/priority_class_queue.rs
+++ b/crates/pending-queue/src/priority_class_queue.rs
@@ -1,4 +1,5 @@
-//! The queue of one rank (a priority class): entries in the order they will run, in blocks, with a tree of sums over the blocks.
+//! The queue of one rank (a priority class): entries in the order they will run, in blocks, with a tree of
+//! sums over the blocks.
 
 use crate::late_search::{Ahead, Found, LateSearch, Place};
 use crate::order::{DeadlineOrder, RunOrder};
--- a/crates/replication/src/entry.rs
+++ b/crates/replication/src/entry.rs
@@ -4,8 +4,8 @@
 use crate::revision::{Position, Revision};
 use serde::{Deserialize, Serialize};
 
-/// Most parts in which an operator may submit a change. It does not bound the entries of a change in the log, which
-/// the leader splits anew.
+/// Most parts in which an operator may submit a change. It does not bound the entries of a change in the log,
+/// which the leader splits anew.
 pub const PARTS_MAX: u32 = 96;
 /// Longest encoded entry, in bytes.
 pub const ENTRY_BYTES_MAX: usize = 900;
--- a/crates/replication/src/member/control.rs
+++ b/crates/replication/src/member/control.rs
@@ -13,8 +13,8 @@
 
 /// The leader states how fresh the log is at this interval.
 const FRESHNESS_INTERVAL_NS: Nanos = SECOND_NS;
-/// The leader has a round of polls at this interval: in each it polls those lagging members whose turn it is, see
-/// [`ProgressTracker::poll`].
+/// The leader has a round of polls at this interval: in each it polls those lagging members whose turn it is,
+/// see [`ProgressTracker::poll`].
 const POLL_ROUND_INTERVAL_NS: Nanos = 200 * MILLISECOND_NS;
 
 /// What a control machine has besides the rest of a member.
@@ -43,8 +43,8 @@
         }
     }
 
-    /// When the replica, or on the leader a statement or a round of polls, is due: a time in nanoseconds that may have
-    /// passed; [`Nanos::MAX`] where nothing is.
+    /// When the replica, or on the leader a statement or a round of polls, is due: a time in nanoseconds that
+    /// may have passed; [`Nanos::MAX`] where nothing is.
     pub(super) fn next_due(&self) -> Nanos {
         let due = self.replica.next_due();
         if self.replica.is_leader() { due.min(self.freshness_due).min(self.poll_due) } else { due }
@@ -106,8 +106,8 @@
         let is_from_leader = matches!(message, Message::Append { .. });
         let committed = control.replica.receive(now, from, message, &self.log);
         if is_from_leader {
-            // Also from a leader of an earlier epoch: this is only a hint where reports and operators go, and who does
-            // not lead answers an operator with its own hint.
+            // Also from a leader of an earlier epoch: this is only a hint where reports and operators go, and
+            // who does not lead answers an operator with its own hint.
             self.leader = Some(from.to_string());
         }
         self.append_committed(now, &committed, EntrySource::OtherMember);
--- a/crates/replication/src/member/mod.rs
+++ b/crates/replication/src/member/mod.rs
@@ -183,9 +183,10 @@
         self.leader.as_deref()
     }
 
-    /// For how long this member may have missed a revision, in nanoseconds: the time since the latest statement of a
-    /// leader that the log ended no further than it does here. `None` where there was none. The statement has the
-    /// time of the leader's clock, so that the difference between the clocks goes into the age; it is never under 0.
+    /// For how long this member may have missed a revision, in nanoseconds: the time since the latest
+    /// statement of a leader that the log ended no further than it does here. `None` where there was none.
+    /// The statement has the time of the leader's clock, so that the difference between the clocks goes into
+    /// the age; it is never under 0.
     pub fn age(&self, now: Nanos) -> Option<Nanos> {
         let stated_at = self.freshness.at_ms * MILLISECOND_NS;
         (stated_at > 0).then(|| now.saturating_sub(stated_at))
@@ -270,8 +271,8 @@
         due
     }
 
-    /// Appends committed entries; returns whether any was new. The leader pushes on those that it has committed
-    /// itself.
+    /// Appends committed entries; returns whether any was new. The leader pushes on those that it has
+    /// committed itself.
     fn append_committed(&mut self, now: Nanos, entries: &[Entry], source: EntrySource) -> bool {
         let mut appended: Vec<Entry> = Vec::new();
         for entry in entries {
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -1,5 +1,6 @@
 //! Messages between members, in bodies of at most [`BODY_BYTES_MAX`] bytes. Senders are authenticated by the
-//! datagram; bounds are checked all the same, some when a message is read (`codec`), others where its content is used.
+//! datagram; bounds are checked all the same, some when a message is read (`codec`), others where its content
+//! is used.
 //!
 //! The encoding numbers variants and fields by their position: their order and types never change.
 
--- a/crates/replication/src/persistence.rs
+++ b/crates/replication/src/persistence.rs
@@ -35,7 +35,8 @@
     /// Its bytes were changed.
     #[error("its checksum is wrong")]
     Checksum,
-    /// The checksum is right, but the bytes are no state of this build, or the content does not have its hash.
+    /// The checksum is right, but the bytes are no state of this build, or the content does not have its
+    /// hash.
     #[error("its content is not what its hash says")]
     Content,
 }
--- a/crates/replication/src/replica/election.rs
+++ b/crates/replication/src/replica/election.rs
@@ -19,8 +19,9 @@
 struct PromisedLog {
     /// The end of its log.
     last: Position,
-    /// Its entries after this candidate's committed end, as far as they have come. Each message begins where the one
-    /// before it ended; that its own entries follow one another is left to the replica that sent them.
+    /// Its entries after this candidate's committed end, as far as they have come. Each message begins where
+    /// the one before it ended; that its own entries follow one another is left to the replica that sent
+    /// them.
     entries: Vec<Entry>,
 }
 
--- a/crates/replication/src/replica/leader.rs
+++ b/crates/replication/src/replica/leader.rs
@@ -55,8 +55,8 @@
         self.progress_mut(replica).matched = Some(number);
     }
 
-    /// When a replica is to be sent to again, in nanoseconds: soon where it lacks entries, else for a heartbeat; 0 for
-    /// at once.
+    /// When a replica is to be sent to again, in nanoseconds: soon where it lacks entries, else for a
+    /// heartbeat; 0 for at once.
     pub(super) fn next_due(&self, replica: &str) -> Nanos {
         let Some(progress) = self.progress.get(replica) else { return 0 };
         let Some(sent_at) = progress.sent_at else { return 0 };
--- a/crates/replication/src/replica/mod.rs
+++ b/crates/replication/src/replica/mod.rs
@@ -29,14 +29,15 @@
 /// A request to a replica is repeated after so long without an answer.
 const REPEAT_AFTER_NS: Nanos = 300 * MILLISECOND_NS;
 /// Most bytes of entries in one message between replicas: more than the longest entry, and within
-/// [`crate::message::BODY_BYTES_MAX`] with the head, which takes 43 at most (four integers of 10 bytes, the variant,
-/// the number of entries).
+/// [`crate::message::BODY_BYTES_MAX`] with the head, which takes 43 at most (four integers of 10 bytes, the
+/// variant, the number of entries).
 const REPLICA_ENTRIES_BYTES_MAX: usize = 960;
 
 /// A change that was not appended to the log.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProposeError {
-    /// Another replica leads, or none. The text calls the leader the publisher, as the operator's command does.
+    /// Another replica leads, or none. The text calls the leader the publisher, as the operator's command
+    /// does.
     #[error("not the publisher any more")]
     NotLeader,
     /// Too many entries wait for a majority.
--- a/crates/replication/src/snapshot_transfer.rs
+++ b/crates/replication/src/snapshot_transfer.rs
@@ -122,8 +122,8 @@
         if chunk.pairs.is_empty() { ChunkOutcome::Invalid } else { ChunkOutcome::Continue }
     }
 
-    /// Whether a pair follows the last one and is within bounds: those of [`crate::change::Change::check`] but for the
-    /// empty key, which no committed content has; a checkpoint with one fails by its hash.
+    /// Whether a pair follows the last one and is within bounds: those of [`crate::change::Change::check`]
+    /// but for the empty key, which no committed content has; a checkpoint with one fails by its hash.
     fn may_add(&self, Pair { key, value }: &Pair) -> bool {
         self.after.as_ref().is_none_or(|before| before < key)
             && key.len() <= KEY_BYTES_MAX
--- a/crates/rollout/src/baseline.rs
+++ b/crates/rollout/src/baseline.rs
@@ -10,7 +10,8 @@
 /// Values that a mean and its variance require.
 const VALUES_MIN: u32 = 3;
 
-/// The baselines of all servers. They are part of the coordinator's state file, whose names the attributes keep.
+/// The baselines of all servers. They are part of the coordinator's state file, whose names the attributes
+/// keep.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Baselines {
     #[serde(rename = "of")]
--- a/crates/rollout/src/canary.rs
+++ b/crates/rollout/src/canary.rs
@@ -1,17 +1,17 @@
 //! The canary verdict: whether the changed servers do worse than the others in the same intervals.
 //!
 //! Each interval gives one value of each server, class and metric, less the server's baseline. The values of
-//! both groups are compared by [`crate::rank_test`], over all intervals and over the busier half of them, since
-//! a change may do worse only under load. Two things bound the chance of a false stop in a stage by the plan's
-//! `alpha`, as far as the test's own p-values hold:
+//! both groups are compared by [`crate::rank_test`], over all intervals and over the busier half of them,
+//! since a change may do worse only under load. Two things bound the chance of a false stop in a stage by the
+//! plan's `alpha`, as far as the test's own p-values hold:
 //!
 //! - it is divided among all comparisons of a stage (Bonferroni): one an interval, for each class and metric,
 //!   over all intervals and over the busier half;
 //! - a difference below the plan's thresholds is none, however certain.
 //!
-//! The division is by the verdicts planned. Where intervals come sooner than the plan's, a stage may ask for up to
-//! four times as many, and its bound is four times `alpha`; and a coordinator that is started again bakes the stage
-//! anew, with the whole of `alpha`.
+//! The division is by the verdicts planned. Where intervals come sooner than the plan's, a stage may ask for
+//! up to four times as many, and its bound is four times `alpha`; and a coordinator that is started again
+//! bakes the stage anew, with the whole of `alpha`.
 
 use crate::baseline::Baselines;
 use crate::metrics::{IntervalMetrics, Metric, Series, values};
--- a/crates/rollout/src/coordinator/baking.rs
+++ b/crates/rollout/src/coordinator/baking.rs
@@ -8,9 +8,9 @@
 /// Without enough values for a comparison a stage ends after so many bake times.
 const INSUFFICIENT_DATA_FACTOR: Nanos = 3;
 /// No further verdict is asked for after so many times the planned ones, since each adds to the chance of a
-/// false stop. The planned ones are not passed while each comes with an interval of bake time; where intervals come
-/// sooner than the plan's, more are asked for, and the bound on a false stop is up to this many times the plan's
-/// `alpha`.
+/// false stop. The planned ones are not passed while each comes with an interval of bake time; where
+/// intervals come sooner than the plan's, more are asked for, and the bound on a false stop is up to this
+/// many times the plan's `alpha`.
 const VERDICTS_FACTOR: usize = 4;
 
 impl Coordinator {
@@ -66,9 +66,9 @@
         }
     }
 
-    /// The verdict of this interval. Once [`VERDICTS_FACTOR`] times the planned ones have been asked for, every
-    /// further one is [`Verdict::Pass`] without a comparison: the stage then goes on by its bake time and by
-    /// failures alone.
+    /// The verdict of this interval. Once [`VERDICTS_FACTOR`] times the planned ones have been asked for,
+    /// every further one is [`Verdict::Pass`] without a comparison: the stage then goes on by its bake time
+    /// and by failures alone.
     fn next_verdict(&mut self) -> Verdict {
         let planned = self.plan.verdicts(self.state.stage);
         let may_ask = self.verdicts < VERDICTS_FACTOR * planned;
@@ -92,8 +92,8 @@
         }
     }
 
-    /// Stops or rolls back, as the plan has it: the changed servers do worse, a server fails or never reports, or
-    /// there were too few values for a comparison.
+    /// Stops or rolls back, as the plan has it: the changed servers do worse, a server fails or never
+    /// reports, or there were too few values for a comparison.
     pub(super) fn stop_or_roll_back(&mut self, now: Nanos, reason: String, actions: &mut Vec<Action>) {
         match self.plan.on_regression {
             OnRegression::Stop => self.end(Phase::Stopped { reason }, actions),
--- a/crates/rollout/src/coordinator/mod.rs
+++ b/crates/rollout/src/coordinator/mod.rs
@@ -1,12 +1,13 @@
 //! The coordinator of one plan, a state machine without I/O or clock.
 //!
-//! [`Coordinator::handle_interval`] is called once an interval with the time, the fleet's view and whether the
-//! coordinator holds the lease on rollouts; [`Coordinator::handle_report`] with each report that arrives. The
-//! actions to carry out come back, in order: the state is saved before the first order that follows from it.
+//! [`Coordinator::handle_interval`] is called once an interval with the time, the fleet's view and whether
+//! the coordinator holds the lease on rollouts; [`Coordinator::handle_report`] with each report that arrives.
+//! The actions to carry out come back, in order: the state is saved before the first order that follows from
+//! it.
 //!
-//! An order says what a server is to run, not what to do: orders are the same until the stage changes, so that
-//! the next one makes up for a lost one. A coordinator that is started again from its saved state sends the same
-//! orders, and bakes the stage anew.
+//! An order says what a server is to run, not what to do: orders are the same until the stage changes, so
+//! that the next one makes up for a lost one. A coordinator that is started again from its saved state sends
+//! the same orders, and bakes the stage anew.
 
 mod baking;
 mod compliance;
@@ -150,8 +151,8 @@
         &self.state
     }
 
-    /// Handles a server's report. One that answers no order sent so far, or is not later than the latest of that
-    /// server, is dropped.
+    /// Handles a server's report. One that answers no order sent so far, or is not later than the latest of
+    /// that server, is dropped.
     pub fn handle_report(&mut self, now: Nanos, server: &str, report: Report) {
         let answers_an_order = (1..=self.order_sequence).contains(&report.order_sequence);
         if !answers_an_order || report.classes.len() > CLASSES_MAX {
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -135,10 +135,11 @@
     pub thresholds: Thresholds,
     /// How often servers are ordered and report, in nanoseconds; each report is one interval compared.
     pub interval: Nanos,
-    /// How long the view must not have changed for a stage to begin or time to count as baked, in nanoseconds.
+    /// How long the view must not have changed for a stage to begin or time to count as baked, in
+    /// nanoseconds.
     pub settle_time: Nanos,
-    /// How long the servers of a stage are not compared yet after they have changed, in nanoseconds: a process
-    /// that has just started is slower for a while, whatever its program.
+    /// How long the servers of a stage are not compared yet after they have changed, in nanoseconds: a
+    /// process that has just started is slower for a while, whatever its program.
     pub warm_up: Nanos,
     /// How long a server may take to carry out an order, or to report at all, in nanoseconds.
     pub response_timeout: Nanos,
--- a/crates/rollout/src/rank_test.rs
+++ b/crates/rollout/src/rank_test.rs
@@ -1,6 +1,6 @@
-//! The stratified rank sum test of van Elteren (1960): whether the values of one group are larger than those of
-//! another, compared within each stratum. Here a stratum is an interval, since load moves all servers of an
-//! interval together; its values are ranked by themselves, and the weighted rank sums are added up.
+//! The stratified rank sum test of van Elteren (1960): whether the values of one group are larger than those
+//! of another, compared within each stratum. Here a stratum is an interval, since load moves all servers of
+//! an interval together; its values are ranked by themselves, and the weighted rank sums are added up.
 //!
 //! Intervals of one server are no independent draws. The variance of the sum is therefore the larger of the
 //! test's own and of an estimate that allows for autocorrelation (Newey and West 1987).
--- a/crates/rollout/src/wire.rs
+++ b/crates/rollout/src/wire.rs
@@ -1,7 +1,7 @@
 //! Orders and reports as bytes: a version, then the fields of that version in postcard. Later versions add
 //! fields behind those of this one, and a reader skips what follows the fields it knows. [`decode`] rejects
-//! version 0, which there is not, and reads the same fields whatever other version it finds: a build of a later
-//! version has to choose the fields by the version, since a message of this one ends before them.
+//! version 0, which there is not, and reads the same fields whatever other version it finds: a build of a
+//! later version has to choose the fields by the version, since a message of this one ends before them.
 //!
 //! postcard writes fields and variants by position: their order is the wire format.
 
--- a/crates/shared-state/src/budget/counters.rs
+++ b/crates/shared-state/src/budget/counters.rs
@@ -9,8 +9,8 @@
     pub unsolicited: u64,
     /// Grants dropped that pass what may be leased or come from a server that is no voter.
     pub excessive: u64,
-    /// Grants dropped that had ended when they came, or that came while a lease of another term, or one not older,
-    /// was held.
+    /// Grants dropped that had ended when they came, or that came while a lease of another term, or one not
+    /// older, was held.
     pub stale: u64,
     /// Requests that name a grant which was never sent.
     pub unknown_grants: u64,
--- a/crates/shared-state/src/budget/election.rs
+++ b/crates/shared-state/src/budget/election.rs
@@ -1,9 +1,10 @@
 //! Election of the grantor among the voters.
 //!
-//! Invariant: at most one server is the grantor at a time. A voter gives its vote to one server and to no other
-//! until the term and the drift margin have passed by its slow clock; a candidate counts its term from the time
-//! of its request, by its fast clock, so that it leaves office before its votes are free again. Votes are not
-//! stored: a voter that has started again waits for as long as a vote of its earlier incarnation may last.
+//! Invariant: at most one server is the grantor at a time. A voter gives its vote to one server and to no
+//! other until the term and the drift margin have passed by its slow clock; a candidate counts its term from
+//! the time of its request, by its fast clock, so that it leaves office before its votes are free again.
+//! Votes are not stored: a voter that has started again waits for as long as a vote of its earlier
+//! incarnation may last.
 
 use super::grantor::LeaseTable;
 use super::message::Term;
@@ -12,7 +13,8 @@
 use crate::server_id::ServerId;
 use std::collections::{BTreeSet, VecDeque};
 
-/// Ballots whose votes still count. More than one, so that a majority is reached over a slow and lossy network.
+/// Ballots whose votes still count. More than one, so that a majority is reached over a slow and lossy
+/// network.
 const BALLOTS_MAX: usize = 8;
 
 /// The vote of this server.
@@ -33,8 +35,8 @@
     votes: BTreeSet<String>,
 }
 
-/// State of a candidate, and of the same server as the grantor once it is elected: the term, the ballots and an
-/// empty table of leases are those that it stood with.
+/// State of a candidate, and of the same server as the grantor once it is elected: the term, the ballots and
+/// an empty table of leases are those that it stood with.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct GrantorState {
     pub term: Term,
--- a/crates/shared-state/src/budget/fair_share.rs
+++ b/crates/shared-state/src/budget/fair_share.rs
@@ -10,9 +10,10 @@
     pub held: u64,
 }
 
-/// The max-min fair share of the demand at `index`, in units: no server gets more than it wants, and those that
-/// want more than an equal part get equal parts of what is left. Units that do not divide go to the servers
-/// that hold most, of equals to the later ones, so that a single unit stays with one of two that want it.
+/// The max-min fair share of the demand at `index`, in units: no server gets more than it wants, and those
+/// that want more than an equal part get equal parts of what is left. Units that do not divide go to the
+/// servers that hold most, of equals to the later ones, so that a single unit stays with one of two that want
+/// it.
 pub(super) fn fair_share(capacity: u64, demands: &[Demand], index: usize) -> u64 {
     let mut order: Vec<usize> = (0..demands.len()).collect();
     order.sort_by_key(|i| (demands[*i], *i));
--- a/crates/shared-state/src/budget/grantor.rs
+++ b/crates/shared-state/src/budget/grantor.rs
@@ -1,8 +1,8 @@
 //! The grantor's table of leases.
 //!
-//! Invariant: the largest grants of all holders that may still stand sum to what may be leased at most. A grant
-//! stands until the holder says that it has adopted a later one and uses no more than that, or until the lease
-//! and the drift margin have passed by the slow clock.
+//! Invariant: the largest grants of all holders that may still stand sum to what may be leased at most. A
+//! grant stands until the holder says that it has adopted a later one and uses no more than that, or until
+//! the lease and the drift margin have passed by the slow clock.
 
 use super::counters::BudgetCounters;
 use super::fair_share::{Demand, fair_share};
--- a/crates/shared-state/src/budget/holder.rs
+++ b/crates/shared-state/src/budget/holder.rs
@@ -60,8 +60,9 @@
     Unsolicited,
     /// It passes what may be leased, or its sender is no voter.
     Excessive,
-    /// It had ended when it came; or this server holds a lease that is not older than it, or is of another term.
-    /// Terms have no order in time, so that one of another term is adopted only once the held lease has ended.
+    /// It had ended when it came; or this server holds a lease that is not older than it, or is of another
+    /// term. Terms have no order in time, so that one of another term is adopted only once the held lease has
+    /// ended.
     Stale,
 }
 
@@ -156,8 +157,8 @@
         Some((to, request))
     }
 
-    /// Adopts a grant as the lease, dated from its request. While a lease is held only a later grant of its term
-    /// takes its place.
+    /// Adopts a grant as the lease, dated from its request. While a lease is held only a later grant of its
+    /// term takes its place.
     pub fn adopt(
         &mut self,
         settings: &BudgetSettings,
--- a/crates/shared-state/src/budget/message.rs
+++ b/crates/shared-state/src/budget/message.rs
@@ -3,8 +3,9 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Identifies one term of office, unlike every other: the grantor's incarnation, its rank among the voters and
-/// how often it has stood. Terms have no order in time: the leases of one have ended before the next grants.
+/// Identifies one term of office, unlike every other: the grantor's incarnation, its rank among the voters
+/// and how often it has stood. Terms have no order in time: the leases of one have ended before the next
+/// grants.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Term {
     /// The grantor's start, in nanoseconds since the epoch.
--- a/crates/shared-state/src/budget/mod.rs
+++ b/crates/shared-state/src/budget/mod.rs
@@ -8,9 +8,9 @@
 //!   has ended.
 //! - `holder`: a lease as its holder sees it, and the requests that renew it.
 //!
-//! Invariant: at every moment the floors of all servers and all leases together are at most the total, whatever
-//! messages are lost, duplicated, late or out of order and whichever server stops. `tests/model.rs` checks the
-//! nearest interleavings of a small fleet; `docs/shared-state.md` states the bounds.
+//! Invariant: at every moment the floors of all servers and all leases together are at most the total,
+//! whatever messages are lost, duplicated, late or out of order and whichever server stops. `tests/model.rs`
+//! checks the nearest interleavings of a small fleet; `docs/shared-state.md` states the bounds.
 
 pub mod counters;
 mod election;
--- a/crates/shared-state/src/budget/settings.rs
+++ b/crates/shared-state/src/budget/settings.rs
@@ -13,8 +13,8 @@
 /// Most voters of a budget.
 const VOTERS_MAX: usize = 9;
 
-/// Settings of one budget; durations are nanoseconds. They are the same on every server but for `total`, which
-/// a reload may change.
+/// Settings of one budget; durations are nanoseconds. They are the same on every server but for `total`,
+/// which a reload may change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct BudgetSettings {
     /// Name of the budget, 1 to 64 bytes.
@@ -70,7 +70,8 @@
         /// The total, in units.
         total: u64,
     },
-    /// The number of voters is even or over [`VOTERS_MAX`], which the text spells out, or a name is given twice.
+    /// The number of voters is even or over [`VOTERS_MAX`], which the text spells out, or a name is given
+    /// twice.
     #[error("voter: 1, 3, 5, 7 or 9 different names, not {}", names.len())]
     Voters {
         /// The names given.
--- a/crates/shared-state/src/clock.rs
+++ b/crates/shared-state/src/clock.rs
@@ -1,9 +1,9 @@
 //! Time on which leases may be built although a clock stands still or jumps.
 //!
-//! Each reading takes the monotonic and the wall clock. What this server may still use is measured by whichever
-//! went further (the fast clock), what others may still use by whichever went less (the slow clock). One broken
-//! clock then ends a lease early or reclaims one late, and the sum in use stays within the budget. Both clocks
-//! broken the same way at once are not covered.
+//! Each reading takes the monotonic and the wall clock. What this server may still use is measured by
+//! whichever went further (the fast clock), what others may still use by whichever went less (the slow
+//! clock). One broken clock then ends a lease early or reclaims one late, and the sum in use stays within the
+//! budget. Both clocks broken the same way at once are not covered.
 
 /// Nanoseconds: a point in time or a duration.
 pub type Nanos = u64;
--- a/crates/shared-state/src/counters.rs
+++ b/crates/shared-state/src/counters.rs
@@ -1,8 +1,9 @@
-//! Counters of the whole fleet: a state-based CRDT of grow-only counters (G-Counter; Shapiro and others, 2011).
+//! Counters of the whole fleet: a state-based CRDT of grow-only counters (G-Counter; Shapiro and others,
+//! 2011).
 //!
-//! Each server raises only its own row. Rows merge by the larger count of each key, so that it does not matter
-//! how often, in which order and from whom a row comes. A total is the sum over all rows, exact once all rows
-//! have been received.
+//! Each server raises only its own row. Rows merge by the larger count of each key, so that it does not
+//! matter how often, in which order and from whom a row comes. A total is the sum over all rows, exact once
+//! all rows have been received.
 //!
 //! Peers are trusted within bounds: a row grows no faster than [`Limits::rate_max`] allows since its server's
 //! start, the numbers of rows and keys are bounded, and no message raises a server's own row.
--- a/crates/shared-state/src/lib.rs
+++ b/crates/shared-state/src/lib.rs
@@ -1,5 +1,5 @@
-//! State that the servers of a fleet share, without I/O: readings of the clocks, the seed, the living members and
-//! messages go in; messages to send, allowances, totals and the health of services come out.
+//! State that the servers of a fleet share, without I/O: readings of the clocks, the seed, the living members
+//! and messages go in; messages to send, allowances, totals and the health of services come out.
 //!
 //! - [`budget`]: a total of the fleet split into leases; the sum in use never passes it.
 //! - [`counters`]: totals over the fleet as a CRDT; exact once all rows have been received.
--- a/crates/shared-state/src/message.rs
+++ b/crates/shared-state/src/message.rs
@@ -52,8 +52,8 @@
     Rows(Vec<(ServerId, CounterRow)>),
     /// Reports on services.
     Reports(Vec<Report>),
-    /// A message of another part of the program, which this crate only carries. Unknown topics are ignored, so
-    /// that later releases may add some.
+    /// A message of another part of the program, which this crate only carries. Unknown topics are ignored,
+    /// so that later releases may add some.
     Other {
         /// Which part of the program it is for.
         topic: u16,
--- a/crates/shared-state/src/outlier_detection/evidence.rs
+++ b/crates/shared-state/src/outlier_detection/evidence.rs
@@ -7,8 +7,8 @@
 const CALLS_MIN: f64 = 5.0;
 /// Share of failed calls from which a service is failing.
 const FAILING_SHARE: f64 = 0.5;
-/// A service is slow whose mean duration is over this many times the median of the others; an abandoned call, over
-/// this many times the mean of all.
+/// A service is slow whose mean duration is over this many times the median of the others; an abandoned call,
+/// over this many times the mean of all.
 const SLOW_RATIO: f64 = 4.0;
 
 /// Decayed sums of the calls to one service.
@@ -63,10 +63,10 @@
         statistics.duration += duration as f64;
     }
 
-    /// Whether a call of this duration took longer than [`SLOW_RATIO`] times the mean of all calls. This is not the
-    /// rule of [`Evidence::health`], which compares a service's mean with the median of the others: here one call
-    /// is judged and no service left out, so that a call is found slow even where a single service has enough
-    /// calls. False where none has.
+    /// Whether a call of this duration took longer than [`SLOW_RATIO`] times the mean of all calls. This is
+    /// not the rule of [`Evidence::health`], which compares a service's mean with the median of the others:
+    /// here one call is judged and no service left out, so that a call is found slow even where a single
+    /// service has enough calls. False where none has.
     ///
     /// Sums count as of the last call to their service.
     pub fn is_slow(&self, duration: Nanos) -> bool {
--- a/crates/shared-state/src/outlier_detection/mod.rs
+++ b/crates/shared-state/src/outlier_detection/mod.rs
@@ -1,10 +1,10 @@
-//! Outlier detection over the services of a tier: which of them the fleet finds slow or failing, and which are
-//! ejected.
+//! Outlier detection over the services of a tier: which of them the fleet finds slow or failing, and which
+//! are ejected.
 //!
-//! Each server has evidence from its own calls. It reports what it finds; a report counts for a while. A service
-//! is ejected once enough servers find it unhealthy at the same time; a server that receives no reports relies
-//! on its own evidence. Invariant: at most the configured part of a tier is ejected, so that a fault of the
-//! callers or of the network does not take the whole tier away.
+//! Each server has evidence from its own calls. It reports what it finds; a report counts for a while. A
+//! service is ejected once enough servers find it unhealthy at the same time; a server that receives no
+//! reports relies on its own evidence. Invariant: at most the configured part of a tier is ejected, so that a
+//! fault of the callers or of the network does not take the whole tier away.
 
 mod evidence;
 pub mod report;
@@ -183,9 +183,9 @@
         accusations.map(|((_, name), _)| name.as_str())
     }
 
-    /// Whether this server probes a service that is ejected, for the whole fleet: a few of its accusers do, by
-    /// a rank of their own for each service, since the probes of a whole fleet are more than a service that
-    /// warms up stands. Where a prober is lost, the next takes its place once its report has expired.
+    /// Whether this server probes a service that is ejected, for the whole fleet: a few of its accusers do,
+    /// by a rank of their own for each service, since the probes of a whole fleet are more than a service
+    /// that warms up stands. Where a prober is lost, the next takes its place once its report has expired.
     pub fn is_prober(&self, time: Time, service: usize) -> bool {
         let own_rank = prober_rank(service, &self.id.name);
         let others = self.other_accusers(time, service);
@@ -194,8 +194,8 @@
             && ranked_before.count() < PROBERS_PER_ACCUSER * self.settings.accusers_min
     }
 
-    /// Indices of the services ejected now: those with most accusers first, within the configured part. For an
-    /// isolated server its own evidence is enough.
+    /// Indices of the services ejected now: those with most accusers first, within the configured part. For
+    /// an isolated server its own evidence is enough.
     pub fn ejected(&self, time: Time) -> Vec<usize> {
         let accusers_min = if self.is_isolated(time) { 1 } else { self.settings.accusers_min };
         let mut accused = Vec::new();
--- a/crates/shared-state/src/outlier_detection/report.rs
+++ b/crates/shared-state/src/outlier_detection/report.rs
@@ -16,7 +16,8 @@
     Failing,
 }
 
-/// What one server finds of one service. Serialized by position: the order of fields is part of the wire format.
+/// What one server finds of one service. Serialized by position: the order of fields is part of the wire
+/// format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// The server that finds so.
--- a/crates/shared-state/src/outlier_detection/settings.rs
+++ b/crates/shared-state/src/outlier_detection/settings.rs
@@ -19,8 +19,9 @@
     pub accusers_min: usize,
     /// Largest part of the tier that is ejected at the same time, in thousandths.
     pub max_ejected_thousandths: usize,
-    /// How long a received report counts, and also the half-life of this server's own evidence, in nanoseconds;
-    /// above 0. One setting serves both, so that a report lapses as the evidence behind it fades.
+    /// How long a received report counts, and also the half-life of this server's own evidence, in
+    /// nanoseconds; above 0. One setting serves both, so that a report lapses as the evidence behind it
+    /// fades.
     pub expiry: Nanos,
 }
 
--- a/crates/shared-state/src/packing.rs
+++ b/crates/shared-state/src/packing.rs
@@ -24,8 +24,8 @@
     parts
 }
 
-/// Splits a row into parts of at most `size_max` bytes. Rows merge key by key, so that the parts say the same as
-/// the whole.
+/// Splits a row into parts of at most `size_max` bytes. Rows merge key by key, so that the parts say the same
+/// as the whole.
 pub(crate) fn split_row(server: &ServerId, row: &CounterRow, size_max: usize) -> Vec<(ServerId, CounterRow)> {
     let counts: Vec<(&String, &u64)> = row.counts.iter().collect();
     let mut rows = Vec::new();
--- a/crates/shared-state/src/permits.rs
+++ b/crates/shared-state/src/permits.rs
@@ -42,8 +42,8 @@
         }
     }
 
-    /// A call has ended at this server. Where it is not `certain` that the service has ended it, too, its unit
-    /// stays in use until `use_max` nanoseconds after its start.
+    /// A call has ended at this server. Where it is not `certain` that the service has ended it, too, its
+    /// unit stays in use until `use_max` nanoseconds after its start.
     pub fn release(&mut self, call: u64, certain: bool, use_max: Nanos) {
         let Some(started_at) = self.open.remove(&call) else { return };
         if certain {
@@ -68,9 +68,10 @@
         (self.open.len() + self.abandoned_until.len()) as u64
     }
 
-    /// Units to ask for: the most in use within the last `recent` nanoseconds. Where a call was refused within
-    /// them, also those that wait, and a quarter more and one, so that a growing server does not ask for every
-    /// unit; a server that is refused nothing asks for no more than it uses, and leaves the rest to others.
+    /// Units to ask for: the most in use within the last `recent` nanoseconds. Where a call was refused
+    /// within them, also those that wait, and a quarter more and one, so that a growing server does not ask
+    /// for every unit; a server that is refused nothing asks for no more than it uses, and leaves the rest to
+    /// others.
     pub fn wanted(&mut self, time: Time, recent: Nanos) -> u64 {
         let in_use = self.in_use(time);
         if self.peak.is_older_than(recent, time) {
--- a/crates/shared-state/src/simulation/mod.rs
+++ b/crates/shared-state/src/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet of [`SharedState`]s on a simulated network in simulated time, deterministic from its seed, around one
-//! dependency that counts at every moment how many calls are in progress. For tests and the figures of
+//! A fleet of [`SharedState`]s on a simulated network in simulated time, deterministic from its seed, around
+//! one dependency that counts at every moment how many calls are in progress. For tests and the figures of
 //! `docs/shared-state.md`.
 
 mod clocks;
@@ -231,8 +231,8 @@
         }
     }
 
-    /// Members that a server holds alive: in a small fleet those that it reaches, as an ideal membership would
-    /// say; in a large one a few at random.
+    /// Members that a server holds alive: in a small fleet those that it reaches, as an ideal membership
+    /// would say; in a large one a few at random.
     fn living_members(&mut self, index: usize) -> Vec<String> {
         let mut members = Vec::new();
         if self.servers.len() <= SMALL_FLEET {
--- a/crates/shared-state/src/simulation/server.rs
+++ b/crates/shared-state/src/simulation/server.rs
@@ -45,8 +45,8 @@
         self.incarnation
     }
 
-    /// Handles a message, and returns whether the server runs. A stopped process would handle it late; here it
-    /// is lost, which is the harder case.
+    /// Handles a message, and returns whether the server runs. A stopped process would handle it late; here
+    /// it is lost, which is the harder case.
     pub fn receive(&mut self, now: Nanos, body: &[u8]) -> bool {
         let reading = self.clocks.read(now);
         let Some(state) = self.state.as_mut().filter(|_| !self.stalled) else { return false };
--- a/crates/shared-state/src/state.rs
+++ b/crates/shared-state/src/state.rs
@@ -1,5 +1,5 @@
-//! One server's part in all that is shared: hands messages to the budgets, counters and outlier detection, and
-//! gossips for them.
+//! One server's part in all that is shared: hands messages to the budgets, counters and outlier detection,
+//! and gossips for them.
 
 use crate::NAME_MAX;
 use crate::budget::{Budget, Outgoing};
@@ -14,9 +14,9 @@
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use serde::Serialize;
 
-/// Versions in one digest: with names of 64 bytes and 20 bytes of numbers, so many fit a body of 1,400 bytes. The
-/// number does not follow [`Settings::body_max`]: where that is smaller, a digest of servers with long names may be
-/// longer than it, and the transport drops it.
+/// Versions in one digest: with names of 64 bytes and 20 bytes of numbers, so many fit a body of 1,400 bytes.
+/// The number does not follow [`Settings::body_max`]: where that is smaller, a digest of servers with long
+/// names may be longer than it, and the transport drops it.
 const DIGEST_ROWS_MAX: usize = 16;
 /// Most datagrams of rows that answer one digest.
 const ROW_DATAGRAMS_MAX: usize = 32;
@@ -38,8 +38,8 @@
     pub sent_bytes: u64,
     /// Messages received.
     pub received: u64,
-    /// Of these, dropped for any reason of [`ReceiveError`]: bytes that are no message, but also messages about a
-    /// budget that this server does not have, and those of other topics while too many wait.
+    /// Of these, dropped for any reason of [`ReceiveError`]: bytes that are no message, but also messages
+    /// about a budget that this server does not have, and those of other topics while too many wait.
     pub malformed: u64,
 }
 
@@ -57,8 +57,8 @@
 /// One server's part in all that is shared: a state machine without I/O. Readings of the clocks, the living
 /// members and messages go in; messages to send come out.
 pub struct SharedState {
-    /// The identity that messages, budgets and reports carry, the same from start to end. The counters' own may
-    /// have a later incarnation, see [`FleetCounters::renew`].
+    /// The identity that messages, budgets and reports carry, the same from start to end. The counters' own
+    /// may have a later incarnation, see [`FleetCounters::renew`].
     id: ServerId,
     settings: Settings,
     clock: DriftClock,
@@ -303,8 +303,8 @@
         }
     }
 
-    /// Merges rows. A row of this server's own that is ahead of its counts makes the counters alone take a later
-    /// incarnation, so that what they count from now on is not hidden below the old counts.
+    /// Merges rows. A row of this server's own that is ahead of its counts makes the counters alone take a
+    /// later incarnation, so that what they count from now on is not hidden below the old counts.
     fn merge_rows(&mut self, rows: &[(ServerId, CounterRow)]) {
         for (server, row) in rows {
             if self.counters.merge(server, row, self.wall) == Err(RejectedRow::Own) {
