--- a/crates/capacity/src/added_latency.rs
+++ b/crates/capacity/src/added_latency.rs
@@ -131,7 +131,7 @@
         let started_at = Instant::now();
         let body = format!("work={}", WORK.as_micros());
         let answer = self.balancer.call(&operation, &fields, body.as_bytes()).await;
-        if answer.is_some_and(|answer| answer.word == "good") {
+        if answer.is_some_and(|answer| answer.outcome == "good") {
             self.succeeded.set(self.succeeded.get() + 1);
             let added = started_at.elapsed().saturating_sub(WORK).as_micros() as u64;
             // A histogram that grows takes any figure.
--- a/crates/capacity/src/process.rs
+++ b/crates/capacity/src/process.rs
@@ -2,7 +2,7 @@
 //! they hold and do as the system counts it. Each is ended by its own id.
 
 use crate::error::{MeasureError, failed};
-use meadowstream_test_doubles::{interpreter, parties};
+use meadowstream_test_doubles::{interpreter, registry};
 use serde_json::{Value, json};
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader};
@@ -165,7 +165,7 @@
     /// Where it does not start or a line of its log does not come.
     pub fn start(program: &Path, settings: &ProcessSettings) -> Result<Process, MeasureError> {
         let (interpreter, _) = interpreter::start(settings.cores).map_err(failed("start an interpreter"))?;
-        let (registry, _) = parties::catalog().map_err(failed("start a service registry"))?;
+        let (registry, _) = registry::start().map_err(failed("start a service registry"))?;
         let platform_settings = platform_settings(settings, interpreter, registry);
         let folder =
             write_files(settings, &platform_settings).map_err(failed("write the files of a process"))?;
