--- a/crates/capacity/src/added_latency.rs
+++ b/crates/capacity/src/added_latency.rs
@@ -58,14 +58,17 @@
     /// Those of them that succeeded.
     pub succeeded: u64,
     /// Median.
-    pub p50: u64,
+    #[serde(rename = "p50")]
+    pub p50_us: u64,
     /// 99 in 100.
-    pub p99: u64,
+    #[serde(rename = "p99")]
+    pub p99_us: u64,
     /// The longest.
     #[serde(rename = "most")]
-    pub max: u64,
+    pub max_us: u64,
     /// How late the load's own timers fired, 99 in 100: what the machine adds to every wait.
-    pub timer_p99: u64,
+    #[serde(rename = "timer_p99")]
+    pub timer_p99_us: u64,
     /// Resident bytes of the process at the end.
     #[serde(rename = "resident")]
     pub resident_bytes: u64,
@@ -73,7 +76,8 @@
     #[serde(rename = "processor")]
     pub processor_percent: f64,
     /// Longest pause of the serving thread at a change of options, as the program logged it.
-    pub pause: Option<u64>,
+    #[serde(rename = "pause")]
+    pub pause_us: Option<u64>,
 }
 
 /// Measures what a process adds under a load.
@@ -95,18 +99,18 @@
     let processor = process.processor_seconds()? - processor_before;
     let processor_percent = processor / started_at.elapsed().as_secs_f64() * 100.0;
     let changes = process.lines("configuration read again");
-    let pause = changes.iter().filter_map(|line| line.fields["pause_us"].as_u64()).max();
+    let pause_us = changes.iter().filter_map(|line| line.fields["pause_us"].as_u64()).max();
     Ok(AddedLatency {
         load,
         sent: driven.sent,
         succeeded: driven.succeeded,
-        p50: driven.added_us.value_at_quantile(0.5),
-        p99: driven.added_us.value_at_quantile(0.99),
-        max: driven.added_us.max(),
-        timer_p99: driven.timer_lateness_us.value_at_quantile(0.99),
+        p50_us: driven.added_us.value_at_quantile(0.5),
+        p99_us: driven.added_us.value_at_quantile(0.99),
+        max_us: driven.added_us.max(),
+        timer_p99_us: driven.timer_lateness_us.value_at_quantile(0.99),
         resident_bytes: process.resident_bytes()?,
         processor_percent,
-        pause,
+        pause_us,
     })
 }
 
--- a/crates/capacity/src/day/mod.rs
+++ b/crates/capacity/src/day/mod.rs
@@ -63,16 +63,20 @@
     /// Restarts and failures of servers.
     pub restarts: usize,
     /// Until in force on a server, over all changes and the servers that were reached all the time: median.
-    pub p50: f64,
+    #[serde(rename = "p50")]
+    pub p50_seconds: f64,
     /// The same: 99 in 100.
-    pub p99: f64,
+    #[serde(rename = "p99")]
+    pub p99_seconds: f64,
     /// The same: the longest.
     #[serde(rename = "worst")]
-    pub max: f64,
+    pub max_seconds: f64,
     /// Until in force on the last of these servers, over all changes: median.
-    pub everywhere_p50: f64,
+    #[serde(rename = "everywhere_p50")]
+    pub everywhere_p50_seconds: f64,
     /// The same: 99 in 100.
-    pub everywhere_p99: f64,
+    #[serde(rename = "everywhere_p99")]
+    pub everywhere_p99_seconds: f64,
     /// The longest until a server that was cut off or restarted had the revision that was newest at its
     /// return. Servers that never had it by the end are left out.
     #[serde(rename = "caught_up_worst")]
--- a/crates/capacity/src/report/bounds.rs
+++ b/crates/capacity/src/report/bounds.rs
@@ -16,14 +16,14 @@
         exceeded.push(format!("{}: {:.1} {}", curve.name, curve.measured, curve.unit));
     }
     for added in &report.added_latencies {
-        if added.p99 > ADDED_LATENCY_US_BOUND {
-            exceeded.push(format!("added to 99 in 100 at {} a second: {} us", added.load.rate, added.p99));
+        if added.p99_us > ADDED_LATENCY_US_BOUND {
+            exceeded.push(format!("added to 99 in 100 at {} a second: {} us", added.load.rate, added.p99_us));
         }
-        if let Some(pause) = added.pause.filter(|pause| *pause > PAUSE_US_BOUND) {
+        if let Some(pause) = added.pause_us.filter(|pause| *pause > PAUSE_US_BOUND) {
             exceeded.push(format!("pause at a change: {pause} us"));
         }
     }
-    let p99 = report.day.p99;
+    let p99 = report.day.p99_seconds;
     if p99 > IN_FORCE_SECONDS_BOUND {
         exceeded.push(format!("99 in 100 of changes in force on a server within {p99:.2} s"));
     }
--- a/crates/capacity/src/report/table.rs
+++ b/crates/capacity/src/report/table.rs
@@ -65,12 +65,12 @@
 }
 
 fn added_line(one: &AddedLatency) -> String {
-    let AddedLatency { load, sent, succeeded, p50, p99, max, timer_p99, .. } = one;
+    let AddedLatency { load, sent, succeeded, p50_us, p99_us, max_us, timer_p99_us, .. } = one;
     let (resident_mb, processor) = (one.resident_bytes as f64 / 1e6, one.processor_percent);
-    let pause = one.pause.map_or("-".to_string(), |pause| format!("{pause} us"));
+    let pause = one.pause_us.map_or("-".to_string(), |pause| format!("{pause} us"));
     format!(
-        "{} tenants, {} routes, {} a second: {succeeded} of {sent} succeeded, added p50 {p50} us, \
-         p99 {p99} us, most {max} us (timers of the load late by {timer_p99} us, p99); \
+        "{} tenants, {} routes, {} a second: {succeeded} of {sent} succeeded, added p50 {p50_us} us, \
+         p99 {p99_us} us, most {max_us} us (timers of the load late by {timer_p99_us} us, p99); \
          {resident_mb:.1} MB, {processor:.1}% of a core; \
          {} changes, longest pause {pause}",
         load.tenants, load.routes, load.rate, load.changes
@@ -96,7 +96,11 @@
         format!(
             "in force on a server after p50 {:.2} s, p99 {:.2} s, worst {:.2} s; everywhere \
              after p50 {:.2} s, p99 {:.2} s",
-            day.p50, day.p99, day.max, day.everywhere_p50, day.everywhere_p99
+            day.p50_seconds,
+            day.p99_seconds,
+            day.max_seconds,
+            day.everywhere_p50_seconds,
+            day.everywhere_p99_seconds
         ),
         format!(
             "{} returns had the newest after {:.2} s at the worst, with an empty disk {:.2} s; {:.0} bytes \
--- a/crates/capacity/tests/model.rs
+++ b/crates/capacity/tests/model.rs
@@ -45,7 +45,7 @@
     let scale = day::DayScale { day: 600, ..day::DayScale::quick(60, 5) };
     let day = day::play(&scale, &|_| ());
     assert!(day.changes > 700 && day.restarts > 900, "{day:#?}");
-    assert!(day.p50 < 1.0 && day.p99 < 12.0, "{day:#?}");
+    assert!(day.p50_seconds < 1.0 && day.p99_seconds < 12.0, "{day:#?}");
     assert!(day.returns > 700 && day.bytes_per_second < 12_000.0, "{day:#?}");
 }
 
