--- a/crates/capacity/src/report/table.rs
+++ b/crates/capacity/src/report/table.rs
@@ -6,11 +6,14 @@
 use crate::fit::Curve;
 use crate::incidents::Incident;
 
+/// Width of the column that names what was measured.
+const NAME_WIDTH: usize = 60;
+
 impl Report {
     /// The table, as text.
     pub fn table(&self) -> String {
         let mut lines = vec![format!(
-            "{:<38} {:>14} {:>22} {:>13} {:>13} {:>11}",
+            "{:<NAME_WIDTH$} {:>14} {:>22} {:>13} {:>13} {:>11}",
             "what", "unit", "slope +- error", "predicted", "measured", "bound"
         )];
         lines.extend(self.curves.iter().map(row));
@@ -37,13 +40,13 @@
              (alone {:.3}; the model's part {:.3}), \
              {:.0} bytes a second (model {:.0})",
             real.processes,
-            real.resident / 1e6,
-            real.resident_alone / 1e6,
+            real.resident_bytes / 1e6,
+            real.resident_bytes_alone / 1e6,
             self.process_fleet_model_memory / 1e6,
-            real.processor,
-            real.processor_alone,
+            real.processor_percent,
+            real.processor_percent_alone,
             model.processor(),
-            real.bytes,
+            real.bytes_per_second,
             model.bytes()
         )
     }
@@ -56,18 +59,18 @@
     let at = curve.points.last().map_or(0.0, |point| point.size);
     let what = format!("{} ({at:.0} {}s)", curve.name, curve.per);
     format!(
-        "{what:<60} {:>14} {slope:>22} {:>13.3} {:>13.3} {bound:>11}",
+        "{what:<NAME_WIDTH$} {:>14} {slope:>22} {:>13.3} {:>13.3} {bound:>11}",
         curve.unit, curve.predicted, curve.measured
     )
 }
 
 fn added_line(one: &AddedLatency) -> String {
-    let AddedLatency { load, sent, succeeded, p50, p99, max, timer_p99, .. } = one;
+    let AddedLatency { load, sent, succeeded, p50_us, p99_us, max_us, timer_p99_us, .. } = one;
     let (resident_mb, processor) = (one.resident_bytes as f64 / 1e6, one.processor_percent);
-    let pause = one.pause.map_or("-".to_string(), |pause| format!("{pause} us"));
+    let pause = one.pause_us.map_or("-".to_string(), |pause| format!("{pause} us"));
     format!(
-        "{} tenants, {} routes, {} a second: {succeeded} of {sent} succeeded, added p50 {p50} us, \
-         p99 {p99} us, most {max} us (timers of the load late by {timer_p99} us, p99); \
+        "{} tenants, {} routes, {} a second: {succeeded} of {sent} succeeded, added p50 {p50_us} us, \
+         p99 {p99_us} us, most {max_us} us (timers of the load late by {timer_p99_us} us, p99); \
          {resident_mb:.1} MB, {processor:.1}% of a core; \
          {} changes, longest pause {pause}",
         load.tenants, load.routes, load.rate, load.changes
@@ -93,7 +96,11 @@
         format!(
             "in force on a server after p50 {:.2} s, p99 {:.2} s, worst {:.2} s; everywhere \
              after p50 {:.2} s, p99 {:.2} s",
-            day.p50, day.p99, day.max, day.everywhere_p50, day.everywhere_p99
+            day.p50_seconds,
+            day.p99_seconds,
+            day.max_seconds,
+            day.everywhere_p50_seconds,
+            day.everywhere_p99_seconds
         ),
         format!(
             "{} returns had the newest after {:.2} s at the worst, with an empty disk {:.2} s; {:.0} bytes \
