--- a/crates/fair-queueing/src/fair_rate.rs
+++ b/crates/fair-queueing/src/fair_rate.rs
@@ -8,8 +8,8 @@
 use crate::hyperloglog::WindowedCount;
 use crate::tenant::Fingerprint;
 
-/// Virtual time advances so much faster while there is capacity for all: what a tenant used beyond its share then
-/// is soon forgiven.
+/// Virtual time advances so much faster while there is capacity for all: what a tenant used beyond its share
+/// then is soon forgiven.
 const UNDERLOAD_SPEEDUP: f64 = 16.0;
 /// Weight of a new value in the average weight of sketched tenants.
 const WEIGHT_SMOOTHING: f64 = 0.01;
@@ -23,6 +23,7 @@
 /// The fair rate and the virtual time.
 #[derive(Debug)]
 pub struct FairRate {
+    /// In nanoseconds of one core for a unit of weight.
     virtual_time: f64,
     /// The latest time there was.
     now: Nanos,
@@ -66,12 +67,12 @@
         self.now
     }
 
-    /// A tenant without an account has asked for work.
-    pub fn record_sketched_demand(&mut self, now: Nanos, name: Fingerprint, weight: f64, work: f64) {
+    /// A tenant without an account has asked for work, in nanoseconds of one core.
+    pub fn record_sketched_demand(&mut self, now: Nanos, fingerprint: Fingerprint, weight: f64, work: f64) {
         self.sketched_demand.add(now, work);
         self.sketched_weight += WEIGHT_SMOOTHING * (weight - self.sketched_weight);
         self.sketched_names.rotate(now, NAME_WINDOW_NS);
-        self.sketched_names.add(name);
+        self.sketched_names.add(fingerprint);
     }
 
     /// Demand of all tenants without an account, taken for equals.
@@ -81,8 +82,8 @@
         Demand { cores, weight: self.sketched_weight, tenants }
     }
 
-    /// Finds the rate for the demands, to which those of tenants without an account are added. `capacity` is what
-    /// is to be given out, in cores.
+    /// Finds the rate for the demands, to which those of tenants without an account are added. `capacity` is
+    /// what is to be given out, in cores.
     pub fn update(&mut self, now: Nanos, capacity: f64, demands: impl Iterator<Item = Demand>) {
         let capacity = capacity.max(f64::MIN_POSITIVE);
         let rate = Self::fill(capacity, demands.chain([self.sketched(now)]));
--- a/crates/fair-queueing/src/queue_order.rs
+++ b/crates/fair-queueing/src/queue_order.rs
@@ -1,7 +1,7 @@
 //! Order of start-time fair queueing: each arrival has a start tag, and lower tags are served first.
 //!
-//! Arrivals within their tenant's share and those beyond it have queues of their own: a tenant's surplus waits
-//! for the arrivals of others, and among surplus those go first whose tenant has borrowed less.
+//! Arrivals within their tenant's share and those beyond it have queues of their own: a tenant's surplus
+//! waits for the arrivals of others, and among surplus those go first whose tenant has borrowed less.
 
 /// A value for each of the two queues.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -24,7 +24,7 @@
     }
 }
 
-/// Start tags after which a tenant's next arrivals come.
+/// Start tags after which a tenant's next arrivals come, in nanoseconds of one core for a unit of weight.
 pub type QueueTails = PerQueue;
 
 /// Start tags of the latest arrivals that came to be served.
--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -100,7 +100,8 @@
         let own = Member::alive(me.clone());
         let known = self.foca.iter_members().cloned().chain(std::iter::once(own));
         let mut members: Vec<_> = known.filter(|member| digest::is_in(buckets, member.id())).collect();
-        // Starts at random, so that members beyond the budget or the limit of an answer come with a later one.
+        // Starts at random, so that members beyond the budget or the limit of an answer come with a later
+        // one.
         let start = self.random_below(members.len());
         members.rotate_left(start);
         for body in messages::encode_members(&me, requested_buckets, &members, self.sealer.body_max()) {
@@ -148,6 +149,7 @@
         let Some(refutations) = alive.map(Member::incarnation) else { return };
         let suspected = Member::new(id.clone(), refutations, State::Suspect);
         let mut effects = FocaEffects::default();
+        // Where foca does not apply it, the next comparison of views suspects the member again.
         let _ = self.foca.apply_many(std::iter::once(suspected), true, &mut effects);
         self.apply(effects);
     }
--- a/crates/server/src/fleet/coordinator.rs
+++ b/crates/server/src/fleet/coordinator.rs
@@ -246,7 +246,9 @@
 fn fleet_view(membership: &mut Membership, now: u64) -> FleetView {
     let mut view =
         FleetView { settled_for: now.saturating_sub(membership.last_change()), ..FleetView::default() };
-    for member in membership.view(now).into_iter().filter(|member| !member.name.starts_with(NAME_PREFIX)) {
+    for member in
+        membership.observe_view(now).into_iter().filter(|member| !member.name.starts_with(NAME_PREFIX))
+    {
         match member.state {
             MemberState::Alive => view.alive.push(member.name),
             // A member that is down is waited for until it is forgotten: a partition looks the same.
--- a/crates/server/src/fleet/view_log.rs
+++ b/crates/server/src/fleet/view_log.rs
@@ -33,7 +33,7 @@
         announce_period: Nanos,
         now: Nanos,
     ) {
-        let view = membership.view(now);
+        let view = membership.observe_view(now);
         let members: Vec<MemberLine> = view.iter().map(MemberLine::new).collect();
         let dropped = membership.counts().dropped_all();
         let is_old = now >= self.logged_at + announce_period;
