--- a/crates/cli/examples/mixed_fleet.rs
+++ b/crates/cli/examples/mixed_fleet.rs
@@ -132,7 +132,8 @@
     std::fs::write(&options_file, text)?;
     let weight = 2 + release.len();
     let change = format!(
-        r#"<change xmlns="urn:meadowstream:options:1"><set key="tenants/tenant/{release}" value="{weight}"/></change>"#
+        r#"<change xmlns="urn:meadowstream:options:1">
+        <set key="tenants/tenant/{release}" value="{weight}"/></change>"#
     );
     let change_file = fleet.folder().join("change.xml");
     std::fs::write(&change_file, change)?;
--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -73,7 +73,8 @@
     Ok(())
 }
 
-/// Plays a baseline phase of a third and an overload phase of two thirds, and prints a table by group of tenants.
+/// Plays a baseline phase of a third and an overload phase of two thirds, and prints a table by group of
+/// tenants.
 fn rehearse(tenants: usize, seconds: u64, shows_log: bool) -> Result<()> {
     let baseline = Duration::from_secs(seconds / 3);
     let plan = tenant_rehearsal::overload_plan(baseline, Duration::from_secs(seconds) - baseline, tenants);
@@ -83,13 +84,9 @@
     );
     let report = tenant_rehearsal::play(&this_program()?, plan, |line| println!("{line}"))?;
     println!("\n{}", table(&report.groups));
-    println!(
-        "Of the overload phase alone; \"in time\" is within the objective from the first try, \"kept\" the part"
-    );
-    println!(
-        "of returns as advised that were admitted. The program held {} MiB at most.",
-        report.peak_kib >> 10
-    );
+    println!("Of the overload phase alone; \"in time\" is within the objective from the first attempt,");
+    println!("\"kept\" the part of returns as advised that were admitted.");
+    println!("The program held {} MiB at most.", report.peak_kib >> 10);
     if shows_log {
         println!("\n{}", report.tenant_lines.join("\n"));
     }
--- a/crates/cli/src/help.rs
+++ b/crates/cli/src/help.rs
@@ -6,7 +6,7 @@
 
   meadowstream serve [--config FILE]   serve until SIGTERM or SIGINT
   meadowstream check FILE              say whether a configuration can be served
-  meadowstream rehearse                play a busy night of many tenants on loopback
+  meadowstream rehearse                play many tenants and an overload on loopback
   meadowstream fleet rehearse          play crashes, stalls and a partition between servers on loopback
   meadowstream fleet capacity          measure what a fleet of hundreds of servers costs each of them
   meadowstream rollout PLAN            bring a change of settings to the fleet in stages
@@ -36,9 +36,9 @@
 pub const REHEARSE: &str = "\
 meadowstream rehearse [--tenants N] [--seconds N] [--log]
 
-Starts this program with test doubles for all it speaks to, on loopback, and plays a busy night: N small
-tenants (200) and one that floods, for N seconds (20), a third of them calm. Ends with a table of each group's share,
-latency and advice kept. --log shows what the program says of shares. Nothing else is needed.
+Starts this program with test doubles for all it speaks to, on loopback, and plays an overload: N small
+tenants (200) and one that floods, for N seconds (20), the first third of them without it. Ends with a table
+of each group's share, latency and advice kept. --log shows what the program says of shares. Nothing else is needed.
 ";
 /// The page of `fleet`.
 pub const FLEET: &str = "\
--- a/crates/cli/src/log.rs
+++ b/crates/cli/src/log.rs
@@ -6,8 +6,9 @@
 const NO_WAIT: Timespec = Timespec { tv_sec: 0, tv_nsec: 0 };
 
 /// Standard error for a program of one thread: with a full pipe that nobody reads the thread would block. A
-/// line for which the pipe is not ready is lost; lines are shorter than what a ready pipe takes at once. A line
-/// that cannot be written is lost as well: an error would make the log panic, and the task that logs with it.
+/// line for which the pipe is not ready is lost; lines are shorter than what a ready pipe takes at once. A
+/// line that cannot be written is lost as well: an error would make the log panic, and the task that logs
+/// with it.
 pub struct NonBlockingStderr;
 
 impl Write for NonBlockingStderr {
--- a/crates/cli/tests/fleet_rollout.rs
+++ b/crates/cli/tests/fleet_rollout.rs
@@ -330,8 +330,8 @@
     all_answered(load);
 }
 
-/// Another program goes out: each server of a stage ends by itself once all it has is answered, and a
-/// test double of the supervisor starts the program that its mark names. One that never comes up again rolls the
+/// Another program goes out: each server of a stage ends by itself once all it has is answered, and a test
+/// double of the supervisor starts the program that its mark names. One that never comes up again rolls the
 /// others back.
 #[test]
 fn a_program_goes_out_by_restarts_and_comes_back_where_one_fails() {
--- a/crates/cli/tests/scenario_harness/mod.rs
+++ b/crates/cli/tests/scenario_harness/mod.rs
@@ -1,5 +1,6 @@
 //! Test doubles of balancers, the interpreter, the downstream service (`records`) and the service registry
-//! (`catalog`), and the notation in which scenarios drive them. Every wait is for an event and fails after [`WAIT_MAX`]. A line a step:
+//! (`catalog`), and the notation in which scenarios drive them. Every wait is for an event and fails after
+//! [`WAIT_MAX`]. A line a step:
 //!
 //! - `waits MS` where a span of time itself is what is played.
 //! - first `config PATH JSON` to change the configuration; the server starts with `start`, again with
@@ -86,7 +87,8 @@
             json!({"name": name, "effect": "repeatable", "target": target, "give-up": give_up, "worth": 1.0})
         };
         let configuration = json!({
-            "name": "n3", "listen": "127.0.0.1:0", "vm": address(&interpreter), "records": address(&downstream_service),
+            "name": "n3", "listen": "127.0.0.1:0", "vm": address(&interpreter),
+            "records": address(&downstream_service),
             "directory": registry.local_addr().unwrap().to_string(),
             "seed": "8c1f30d27a5be964", "stop_ms": 4000,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,8 +1,8 @@
 //! Reads this project's own settings: XML files whose shape `deploy/meadowstream.xsd` states.
 //!
 //! The platform's settings stay what they are; these files hold what the platform does not know, and all of
-//! it is optional. [`Options`] is the file of a server, [`PlanFile`] that of a rollout, and [`change`] reads a
-//! change to publish. An error names the line and the element. Times are milliseconds in the files and
+//! it is optional. [`Options`] is the file of a server, [`PlanFile`] that of a rollout, and [`change`] reads
+//! a change to publish. An error names the line and the element. Times are milliseconds in the files and
 //! nanoseconds in the types.
 #![deny(missing_docs, clippy::too_many_lines)]
 
--- a/crates/configuration/tests/outside_names.rs
+++ b/crates/configuration/tests/outside_names.rs
@@ -114,7 +114,8 @@
     assert_eq!((replication.bytes_a_second, replication.stale_after), (13_000, 61_000 * MILLISECOND));
 }
 
-const PLAN: &str = r#"<plan xmlns="urn:meadowstream:options:1" name="lower" candidate="next.xml" on-worse="stop"
+const PLAN: &str = r#"<plan xmlns="urn:meadowstream:options:1" name="lower"
+  candidate="next.xml" on-worse="stop"
   interval-ms="500" settled-ms="5100" warm-up-ms="70" patience-ms="31000" throttled="0.03" errored="0.04"
   late="0.05" latency="0.5" alpha="0.02">
   <stage servers="1" bake-ms="60000"/>
--- a/crates/deployment-settings/src/lib.rs
+++ b/crates/deployment-settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! Reads the platform's settings of a deployment, either from the `path=value` lines that a simulated instance
-//! starts with or from the same settings as nested JSON.
+//! Reads the platform's settings of a deployment, either from the `path=value` lines that a simulated
+//! instance starts with or from the same settings as nested JSON.
 //!
 //! The platform's words are mapped to terms here and nowhere else: `wire_words` holds the words of choices,
 //! `deployment` the paths.
@@ -36,7 +36,8 @@
     pub passes_deadline: bool,
     /// Names of the tenants, in the order of their allowances.
     pub tenant_names: Vec<String>,
-    /// Mean number of concurrent calls that this server may have at a shared dependency, 0 where none is stated.
+    /// Mean number of concurrent calls that this server may have at a shared dependency, 0 where none is
+    /// stated.
     pub dependency_quota: f64,
 }
 
--- a/crates/deployment-settings/src/values.rs
+++ b/crates/deployment-settings/src/values.rs
@@ -35,7 +35,8 @@
         values
     }
 
-    /// Adds what is nested under a path: lists of plain values are joined by commas, lists of objects counted.
+    /// Adds what is nested under a path: lists of plain values are joined by commas, lists of objects
+    /// counted.
     fn flatten(&mut self, path: &str, value: &Value) {
         match value {
             Value::Null => {}
--- a/crates/fair-queueing/tests/promises.rs
+++ b/crates/fair-queueing/tests/promises.rs
@@ -259,7 +259,9 @@
             }
         }
         waiting.sort_by_key(|(tag, i, _)| (*tag, *i));
-        waiting.drain(..served.min(waiting.len())).for_each(|(_, _, admission)| fair.start_service(&admission));
+        for (_, _, admission) in waiting.drain(..served.min(waiting.len())) {
+            fair.start_service(&admission);
+        }
         let late = fair.arrive(2, TenantKey { name: b"late", origin: 1 }, 1e6, None);
         for (i, (weight, _)) in queues.iter().enumerate() {
             let before = waiting.iter().filter(|(tag, of, _)| *of == i && *tag <= late.start_tag).count();
--- a/crates/membership/src/envelope.rs
+++ b/crates/membership/src/envelope.rs
@@ -13,7 +13,7 @@
 //! | 12..20 | the sender's incarnation |
 //! | 20..28 | the sender's sequence number within that incarnation |
 //! | 28..30 | length of the body in bytes |
-//! | 30..30+len | the body in postcard: foca's message, an [`crate::messages::AntiEntropyMessage`], or shared state |
+//! | 30..30+len | the body in postcard: of foca, of [`crate::messages`], or of shared state |
 //! | then 32 | HMAC-SHA256(key, fleet name, bytes 0..30+len) |
 
 use hmac::{Hmac, KeyInit, Mac};
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -314,7 +314,8 @@
     }
 }
 
-/// Member 1 after it received a verdict of member 0 on itself: the member, its identity before, and what it sent.
+/// Member 1 after it received a verdict of member 0 on itself: the member, its identity before, and what it
+/// sent.
 fn after_verdict(state: State) -> (Membership, MemberId, Vec<Transmit>) {
     let id =
         |i: usize| MemberId { name: format!("server-{i}"), addr: SimulatedFleet::addr(i), incarnation: 7 };
--- a/crates/membership/tests/verdicts.rs
+++ b/crates/membership/tests/verdicts.rs
@@ -1,5 +1,5 @@
-//! Verdicts: what a member does when another declares a third one down, and whom it notifies when another lists a
-//! member that it holds down itself.
+//! Verdicts: what a member does when another declares a third one down, and whom it notifies when another
+//! lists a member that it holds down itself.
 
 use foca::{Member, State};
 use meadowstream_membership::envelope::{PayloadKind, Sealer};
--- a/crates/overload-control/src/admission.rs
+++ b/crates/overload-control/src/admission.rs
@@ -19,8 +19,8 @@
         let mut weights: Vec<f64> = of_operations.flat_map(|weight| [weight * over_quota, weight]).collect();
         weights.sort_by(f64::total_cmp);
         weights.dedup();
-        // A refused downstream call throws away work of the tier above, so none of them is basic: the lowest rank
-        // stays empty.
+        // A refused downstream call throws away work of the tier above, so none of them is basic: the lowest
+        // rank stays empty.
         if deployment.is_downstream_tier {
             weights.insert(0, 0.0);
         }
@@ -69,7 +69,8 @@
         self.period_start = now;
     }
 
-    /// Share of the period in which arrivals of a rank are rejected: the lowest rank is basic, the next premium.
+    /// Share of the period in which arrivals of a rank are rejected: the lowest rank is basic, the next
+    /// premium.
     pub fn refusal_ratio(
         ratios: RefusalRatios,
         classes: &PriorityClasses,
--- a/crates/overload-control/src/concurrency_limit.rs
+++ b/crates/overload-control/src/concurrency_limit.rs
@@ -2,8 +2,8 @@
 
 use crate::Nanos;
 
-/// Steps of the limit in a control period. It grows only while the cores are short of their target, so one step
-/// up may be larger than one down.
+/// Steps of the limit in a control period. It grows only while the cores are short of their target, so one
+/// step up may be larger than one down.
 const GROWTH_RATIO: f64 = 1.15;
 const CUT_RATIO: f64 = 0.95;
 /// Share of the survivable concurrency that is used.
--- a/crates/overload-control/src/controller.rs
+++ b/crates/overload-control/src/controller.rs
@@ -76,8 +76,8 @@
 ];
 
 impl Controller {
-    /// A controller for a server that started at `started_at`. The seed decides when in the control period its
-    /// steps are, so that the servers of a fleet do not act in step, and seeds the random numbers of fair
+    /// A controller for a server that started at `started_at`. The seed decides when in the control period
+    /// its steps are, so that the servers of a fleet do not act in step, and seeds the random numbers of fair
     /// queueing.
     pub fn new(deployment: Deployment, seed: u64, started_at: Nanos, host: &mut dyn Host) -> Self {
         let classes = PriorityClasses::new(&deployment);
@@ -117,7 +117,8 @@
         }
     }
 
-    /// Takes over a part of a change of fair queueing: new weights of tenants, and how much they may send at once.
+    /// Takes over a part of a change of fair queueing: new weights of tenants, and how much they may send at
+    /// once.
     pub fn reconfigure_fair_queueing(&mut self, now: Nanos, change: &SettingsChange) {
         if let Some(fair) = self.quotas.fair_queue() {
             fair.reconfigure(change, now);
--- a/crates/overload-control/src/controller/conditions.rs
+++ b/crates/overload-control/src/controller/conditions.rs
@@ -77,9 +77,9 @@
     }
 
     /// Work that the utilization cannot show, as it ends at 1: unread, pending, or at downstream calls beyond
-    /// their limit; in control periods. Each term is the time that it takes to work off, ns: the core time that
-    /// is pending over the runs that go on side by side, how long arrivals lie unread, and the call time that
-    /// waits beyond the calls' limit.
+    /// their limit; in control periods. Each term is the time that it takes to work off, ns: the core time
+    /// that is pending over the runs that go on side by side, how long arrivals lie unread, and the call time
+    /// that waits beyond the calls' limit.
     pub(super) fn backlog(&self) -> f64 {
         let queued = self.invocations.pending.queued_work(self.times.usual());
         let calls = self.calls.backlog(self.open_calls());
--- a/crates/overload-control/src/controller/events.rs
+++ b/crates/overload-control/src/controller/events.rs
@@ -131,7 +131,8 @@
         self.apply_rules(host);
     }
 
-    /// A timer has gone off. Gauges are read with [`CONTROL_TIMER`] only; any timer but that applies the rules.
+    /// A timer has gone off. Gauges are read with [`CONTROL_TIMER`] only; any timer but that applies the
+    /// rules.
     pub fn on_timer(&mut self, now: Nanos, timer: u32, gauges: Gauges, host: &mut dyn Host) {
         self.advance(now);
         if timer == CONTROL_TIMER {
--- a/crates/overload-control/src/controller/rules.rs
+++ b/crates/overload-control/src/controller/rules.rs
@@ -84,8 +84,8 @@
         Some(())
     }
 
-    /// Runs make their downstream calls while the answer is wanted, the highest rank first. An operation with a
-    /// degraded answer goes on without its call where that fails or may not be made now.
+    /// Runs make their downstream calls while the answer is wanted, the highest rank first. An operation with
+    /// a degraded answer goes on without its call where that fails or may not be made now.
     pub(super) fn start_calls(&mut self, host: &mut dyn Host) -> Option<()> {
         let open = self.open_calls();
         if !self.calls.is_within_limit(open.calling) {
@@ -140,8 +140,8 @@
         Some(())
     }
 
-    /// The next pending invocation runs where a slot and memory are free. While downstream calls are saturated
-    /// only operations that make none start.
+    /// The next pending invocation runs where a slot and memory are free. While downstream calls are
+    /// saturated only operations that make none start.
     pub(super) fn start_runs(&mut self, host: &mut dyn Host) -> Option<()> {
         let pending = &self.invocations.pending;
         let next = if self.calls.is_saturated(self.open_calls()) {
@@ -214,9 +214,10 @@
         self.reject_or_fail(key, retry_after, retry_after, host);
     }
 
-    /// Rejects where nothing was done or doing it again is harmless, else fails. A promise of admission is for
-    /// `promise_after` at the earliest. The caller is not to try elsewhere where it has a promise here, where it
-    /// is too late for an answer of full value, or where retries would add to an overload of the fleet.
+    /// Rejects where nothing was done or doing it again is harmless, else fails. A promise of admission is
+    /// for `promise_after` at the earliest. The caller is not to try elsewhere where it has a promise here,
+    /// where it is too late for an answer of full value, or where retries would add to an overload of the
+    /// fleet.
     fn reject_or_fail(&mut self, key: usize, retry_after: Nanos, promise_after: Nanos, host: &mut dyn Host) {
         let are_retries_harmful = self.retries.are_harmful(self.regulator.ratios().basic);
         let advice = self.issue_retry_advice(key, retry_after, promise_after, host);
@@ -233,8 +234,8 @@
         self.close(key, host);
     }
 
-    /// When the caller is to return. Where it can, it ends the invocation in fair queueing, makes a promise of
-    /// admission for the next one, and announces it to the host; not while in distress or draining.
+    /// When the caller is to return. Where it can, it ends the invocation in fair queueing, makes a promise
+    /// of admission for the next one, and announces it to the host; not while in distress or draining.
     fn issue_retry_advice(
         &mut self,
         key: usize,
--- a/crates/overload-control/src/deadline.rs
+++ b/crates/overload-control/src/deadline.rs
@@ -27,8 +27,8 @@
         Self { answer: caller.max(now), objective: objective.min(caller) }
     }
 
-    /// Until when the answer of an invocation that has left the queue is waited for. A late answer is waited for
-    /// where it has a value, or where the run may have had an effect.
+    /// Until when the answer of an invocation that has left the queue is waited for. A late answer is waited
+    /// for where it has a value, or where the run may have had an effect.
     pub fn wait_until(&self, is_late_useful: bool, last_answers: Nanos) -> Nanos {
         let useful = if is_late_useful { self.answer } else { self.objective };
         self.answer.min(last_answers).min(useful)
--- a/crates/overload-control/src/downstream_calls.rs
+++ b/crates/overload-control/src/downstream_calls.rs
@@ -9,8 +9,8 @@
 /// Each rejected call cuts it to the ratio below.
 const LIMIT_GROWTH: f64 = 0.1;
 const LIMIT_CUT_RATIO: f64 = 0.93;
-/// Base timeout of a call that may be repeated, in usual call times. The first attempt has twice the base, and
-/// each further attempt twice the timeout of the one before.
+/// Base timeout of a call that may be repeated, in usual call times. The first attempt has twice the base,
+/// and each further attempt twice the timeout of the one before.
 const BASE_TIMEOUT_RATIO: f64 = 2.0;
 /// Attempts after which the timeout doubles no more.
 const DOUBLINGS_MAX: u32 = 8;
@@ -102,8 +102,8 @@
         }
     }
 
-    /// Learns from an ended call. The limit grows only where it binds: only then does a success say that it is
-    /// too low.
+    /// Learns from an ended call. The limit grows only where it binds: only then does a success say that it
+    /// is too low.
     pub fn observe(&mut self, now: Nanos, outcome: Outcome, took: Nanos, open: OpenCalls) {
         match outcome {
             Outcome::Succeeded => {
--- a/crates/overload-control/src/health.rs
+++ b/crates/overload-control/src/health.rs
@@ -41,8 +41,8 @@
         self.last_progress = now;
     }
 
-    /// Share of arrivals to keep away, from 0 for a healthy server to 1 for one that has stalled. A server whose
-    /// runs fail at once looks idle and would attract more of them.
+    /// Share of arrivals to keep away, from 0 for a healthy server to 1 for one that has stalled. A server
+    /// whose runs fail at once looks idle and would attract more of them.
     pub fn unhealthy_ratio(&self, now: Nanos, oldest_run: Option<Nanos>, longest_core_ns: f64) -> f64 {
         let standstill = oldest_run.map_or(0, |since| now - since.max(self.last_progress));
         let has_seen_runs = self.failing.weight(now) > RUNS_MIN;
--- a/crates/overload-control/src/lib.rs
+++ b/crates/overload-control/src/lib.rs
@@ -41,17 +41,18 @@
     fn start_run(&mut self, invocation: u64);
     /// Preempts a run.
     fn stop_run(&mut self, invocation: u64);
-    /// Answers that nothing was done, or that doing it again is harmless: an idempotent invocation is rejected
-    /// even after its run was started. `retry_after` is when this server may be tried again, 0 for no advice.
+    /// Answers that nothing was done, or that doing it again is harmless: an idempotent invocation is
+    /// rejected even after its run was started. `retry_after` is when this server may be tried again, 0 for
+    /// no advice.
     ///
     /// `no_retry`: no other server should be tried, for one of three reasons. The rejection carries a promise
     /// of admission here; the latency objective has passed; or retries elsewhere would only add to an
     /// overload of the fleet.
     fn reject(&mut self, invocation: u64, no_retry: bool, retry_after: Nanos);
-    /// Announces a promise: the caller that returns with the ticket after the advised time is admitted. Called
-    /// right before the answer to the same invocation, at most once. A `reject` carries the ticket to the
-    /// caller; a `fail` does not, and the host drops the ticket. A host whose protocol has no tickets ignores
-    /// the call.
+    /// Announces a promise: the caller that returns with the ticket after the advised time is admitted.
+    /// Called right before the answer to the same invocation, at most once. A `reject` carries the ticket to
+    /// the caller; a `fail` does not, and the host drops the ticket. A host whose protocol has no tickets
+    /// ignores the call.
     fn promise_admission(&mut self, _invocation: u64, _ticket: u64) {}
     /// Answers with an error.
     fn fail(&mut self, invocation: u64);
@@ -76,8 +77,8 @@
     fn set_health(&mut self, healthy: bool, cached: bool);
     /// Sets the load advertised with each answer, in the unit of the deployment's [`Advertisement`].
     fn advertise_load(&mut self, load: f64);
-    /// Closes each connection that has been idle for at least `after`. Where the protocol lets the peer close,
-    /// the host asks it to make no new call on the connection instead.
+    /// Closes each connection that has been idle for at least `after`. Where the protocol lets the peer
+    /// close, the host asks it to make no new call on the connection instead.
     fn close_idle_connections(&mut self, after: Nanos);
     /// Calls [`controller::Controller::on_timer`] with this timer after a while.
     fn set_timer(&mut self, after: Nanos, timer: u32);
@@ -156,7 +157,8 @@
     pub priority_weight: f64,
     /// Value of an answer after the latency objective.
     pub late_value: f64,
-    /// Ratio of its value that an answer keeps when its downstream call was skipped; 0 where it needs the call.
+    /// Ratio of its value that an answer keeps when its downstream call was skipped; 0 where it needs the
+    /// call.
     pub degraded_value_ratio: f64,
     /// Whether its runs may make downstream calls.
     pub makes_calls: bool,
--- a/crates/overload-control/src/linear_quadratic.rs
+++ b/crates/overload-control/src/linear_quadratic.rs
@@ -119,8 +119,8 @@
 }
 
 impl PlantEstimator {
-    /// `doubt` is the variance of each coefficient of the prior; `forgetting` is the weight that an observation
-    /// keeps with each one after it, from 0 to 1.
+    /// `doubt` is the variance of each coefficient of the prior; `forgetting` is the weight that an
+    /// observation keeps with each one after it, from 0 to 1.
     pub fn new(prior: &Plant, doubt: f64, forgetting: f64) -> Self {
         let covariance = std::array::from_fn(|i| std::array::from_fn(|j| if i == j { doubt } else { 0.0 }));
         Self { theta: [prior.a, prior.premium, prior.basic], covariance, forgetting }
--- a/crates/overload-control/src/regulator.rs
+++ b/crates/overload-control/src/regulator.rs
@@ -102,8 +102,8 @@
         gains(&plant).or_else(|| gains(&prior)).unwrap_or_default()
     }
 
-    /// Retries, other processes on the machine or a cold start distort the estimate: it is not used where it is
-    /// unstable or of the wrong sign.
+    /// Retries, other processes on the machine or a cold start distort the estimate: it is not used where it
+    /// is unstable or of the wrong sign.
     fn is_plausible(&self, plant: &Plant) -> bool {
         self.variation > VARIATION_MIN
             && plant.a.abs() < 1.0
--- a/crates/overload-control/src/retries.rs
+++ b/crates/overload-control/src/retries.rs
@@ -4,12 +4,14 @@
 use crate::decaying_mean::DecayingMean;
 use crate::regulator::CONTROL_PERIOD;
 
-/// Share of marked retries, or refusal ratio of basic, up to which a rejected invocation may be tried elsewhere.
+/// Share of marked retries, or refusal ratio of basic, up to which a rejected invocation may be tried
+/// elsewhere.
 const PRESSURE_MAX: f64 = 0.3;
 
 /// What is observed of retries.
 pub struct Retries {
-    /// Arrivals, and the share of them that is marked; a half-life of some control periods, to react within seconds.
+    /// Arrivals, and the share of them that is marked; a half-life of some control periods, to react within
+    /// seconds.
     marked: DecayingMean,
     /// Whether callers mark retries.
     are_marked: bool,
--- a/crates/overload-control/src/tenant_quota.rs
+++ b/crates/overload-control/src/tenant_quota.rs
@@ -1,5 +1,5 @@
-//! Quotas of tenants: by the fleet's allowance where tenants are listed in the settings, by fair queueing where
-//! they become known as they come.
+//! Quotas of tenants: by the fleet's allowance where tenants are listed in the settings, by fair queueing
+//! where they become known as they come.
 
 use crate::invocations::Invocation;
 use crate::{Arrival, Deployment, Nanos};
@@ -102,8 +102,8 @@
     }
 
     /// Ends an invocation that never ran and advises its tenant when its quota has capacity again, after
-    /// `least` at the earliest, with a promise of admission where one can be made. `None`, and nothing is done,
-    /// where there is no fair queueing or the invocation has run.
+    /// `least` at the earliest, with a promise of admission where one can be made. `None`, and nothing is
+    /// done, where there is no fair queueing or the invocation has run.
     pub fn end_with_promise(
         &mut self,
         now: Nanos,
--- a/crates/overload-control/tests/days.rs
+++ b/crates/overload-control/tests/days.rs
@@ -1,7 +1,7 @@
 //! Random days through the controller, with all that it decides written down and hashed, call for call and in
 //! order, so that a change inside which is meant to decide the same can be seen to. Until the move the hashes
-//! were those of version 0.2.0, whose pending queue was a plain vector. A change of `policy` that is meant to decide
-//! otherwise takes new ones, and its commit says why.
+//! were those of version 0.2.0, whose pending queue was a plain vector. A change of `policy` that is meant to
+//! decide otherwise takes new ones, and its commit says why.
 
 use meadowstream_overload_control::{
     Advertisement, Arrival, Deployment, Downstream, Effect, Gauges, Host, Nanos, Operation, Outcome,
@@ -322,8 +322,8 @@
     }
 }
 
-/// The same with tenants that are told apart as they come and calls that are withheld, written down before the
-/// controller was split into modules.
+/// The same with tenants that are told apart as they come and calls that are withheld, written down before
+/// the controller was split into modules.
 const SHARED_AS_BEFORE: &[(u64, u64)] = &[
     (12013, 0x8be4550621d9e9fb),
     (11319, 0xbfd87fab2f7ad61f),
--- a/crates/rollout/tests/rollouts.rs
+++ b/crates/rollout/tests/rollouts.rs
@@ -490,9 +490,10 @@
     }
     let actions = coordinator.handle_abort(fleet.now);
     fleet.carry_out(actions);
-    assert!(
-        matches!(fleet.play(&mut coordinator, 50), Phase::RolledBack { unconfirmed: left, .. } if left.is_empty())
-    );
+    assert!(matches!(
+        fleet.play(&mut coordinator, 50),
+        Phase::RolledBack { unconfirmed: left, .. } if left.is_empty()
+    ));
     fleet.none_left_changed();
     let mut fleet = Fleet::new(6, Change::ThrottlesPremium(0.2), 68);
     let mut coordinator = begin(Plan { on_regression: OnRegression::Stop, ..plan() });
--- a/crates/routing/src/probing.rs
+++ b/crates/routing/src/probing.rs
@@ -1,5 +1,5 @@
-//! When a service that is unhealthy is probed. Without probes nobody would learn that it has recovered, and the
-//! evidence of all servers would fade at the same time.
+//! When a service that is unhealthy is probed. Without probes nobody would learn that it has recovered, and
+//! the evidence of all servers would fade at the same time.
 
 use crate::Nanos;
 
@@ -11,8 +11,8 @@
 }
 
 impl ProbeSchedule {
-    /// The service has become unhealthy: the first probe is due after `delay`, a random part of the interval, so
-    /// that the probes of a fleet do not come at the same time.
+    /// The service has become unhealthy: the first probe is due after `delay`, a random part of the interval,
+    /// so that the probes of a fleet do not come at the same time.
     pub fn begin(&mut self, now: Nanos, delay: Nanos) {
         self.next_at = now + delay;
     }
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -125,8 +125,8 @@
         probed.filter_map(|service| service.probes.next_at()).min()
     }
 
-    /// Chooses a service for one call, which is outstanding until [`Router::release`]. A probe that is due comes
-    /// first. `None` where all services are ejected and no probe is due.
+    /// Chooses a service for one call, which is outstanding until [`Router::release`]. A probe that is due
+    /// comes first. `None` where all services are ejected and no probe is due.
     pub fn choose(&mut self, now: Nanos, preference: CallPreference) -> Option<Choice> {
         if preference.may_probe
             && let Some(service) = self.due_probe(now)
@@ -186,8 +186,8 @@
         candidates
     }
 
-    /// One of two warm services, unless a service in slow start is owed the call. Where none is warm, one of two
-    /// of all.
+    /// One of two warm services, unless a service in slow start is owed the call. Where none is warm, one of
+    /// two of all.
     fn choose_candidate(&mut self, candidates: &[Candidate]) -> Option<usize> {
         let warm: Vec<usize> =
             candidates.iter().filter(|candidate| candidate.is_warm()).map(|warm| warm.service).collect();
@@ -204,8 +204,8 @@
         Some(self.owed_service(candidates, usual).unwrap_or(usual))
     }
 
-    /// Adds the parts of this call to the services in slow start, and returns the least loaded of those that are
-    /// owed a whole call and are not more loaded than the `usual` choice.
+    /// Adds the parts of this call to the services in slow start, and returns the least loaded of those that
+    /// are owed a whole call and are not more loaded than the `usual` choice.
     fn owed_service(&mut self, candidates: &[Candidate], usual: usize) -> Option<usize> {
         let usual_load = self.services[usual].load();
         let mut owed: Option<usize> = None;
--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -1,8 +1,8 @@
-//! Slow start (as in Envoy): a service that has recovered gets its share of calls back in proportion to the time
-//! since then.
+//! Slow start (as in Envoy): a service that has recovered gets its share of calls back in proportion to the
+//! time since then.
 //!
-//! Each server counts the service's share out call by call, from a random beginning, instead of drawing for each
-//! call: the calls of a whole fleet then add up to the ramp, without chance on top of it.
+//! Each server counts the service's share out call by call, from a random beginning, instead of drawing for
+//! each call: the calls of a whole fleet then add up to the ramp, without chance on top of it.
 
 use crate::Nanos;
 
@@ -22,15 +22,15 @@
         self.credit = credit;
     }
 
-    /// Part of a full share that the service may have now: below 1 during the slow start, which takes `duration`
-    /// nanoseconds, and 1 after it.
+    /// Part of a full share that the service may have now: below 1 during the slow start, which takes
+    /// `duration` nanoseconds, and 1 after it.
     pub fn ratio(&self, now: Nanos, duration: Nanos) -> f64 {
         let since = self.recovered_at.map_or(Nanos::MAX, |at| now.saturating_sub(at));
         if since < duration { since as f64 / duration as f64 } else { 1.0 }
     }
 
-    /// Adds the service's part of one call, of which a full share is one in `services`. Credit stays within one
-    /// call: what a busy service did not get is not made up for, so that it gets no burst later.
+    /// Adds the service's part of one call, of which a full share is one in `services`. Credit stays within
+    /// one call: what a busy service did not get is not made up for, so that it gets no burst later.
     pub fn accrue(&mut self, ratio: f64, services: usize) {
         self.credit = (self.credit + ratio / services as f64).min(1.0);
     }
--- a/crates/server/src/fleet/coordinator.rs
+++ b/crates/server/src/fleet/coordinator.rs
@@ -1,5 +1,6 @@
 //! `meadowstream rollout`: the coordinator of one rollout. It is a member of the fleet that serves nothing,
-//! holds the lease on rollouts, sends orders and receives reports in each interval, and keeps its state on disk.
+//! holds the lease on rollouts, sends orders and receives reports in each interval, and keeps its state on
+//! disk.
 
 use crate::configuration::candidate;
 use crate::configuration::candidate::hash_of;
--- a/crates/server/src/fleet/joined.rs
+++ b/crates/server/src/fleet/joined.rs
@@ -1,5 +1,6 @@
 //! A process that is a member of the fleet and serves nothing: a coordinator, a control machine, an
-//! operator's command. It has the fleet's view and the shared state, and returns the messages of other topics.
+//! operator's command. It has the fleet's view and the shared state, and returns the messages of other
+//! topics.
 
 use crate::configuration::fleet::Fleet;
 use crate::fleet::membership::bind;
--- a/crates/server/src/fleet/rollout.rs
+++ b/crates/server/src/fleet/rollout.rs
@@ -1,6 +1,6 @@
 //! Carries out a rollout's orders on this server: it adopts the settings or the program of the change, or
-//! returns to its own, and reports what it runs. What it has adopted is on disk before it is reported, so that
-//! a crash does not change it.
+//! returns to its own, and reports what it runs. What it has adopted is on disk before it is reported, so
+//! that a crash does not change it.
 
 use crate::configuration::candidate::hash_of;
 use crate::error::with_causes;
@@ -42,8 +42,8 @@
     ProgramMark(Error),
 }
 
-/// Reads the program's own file where a rollout may change it. It is large, so it is read on the blocking pool
-/// after the start, and callers of a restarted server do not wait for it.
+/// Reads the program's own file where a rollout may change it. It is large, so it is read on the blocking
+/// pool after the start, and callers of a restarted server do not wait for it.
 pub async fn read_program(server: Rc<Server>) {
     let Some(rollout) = server.rollout.as_ref().filter(|rollout| rollout.program.get().is_none()) else {
         return;
--- a/crates/server/src/fleet/shared_state.rs
+++ b/crates/server/src/fleet/shared_state.rs
@@ -1,5 +1,6 @@
-//! The state that this server shares with others: the library's state, this server's calls against the fleet's
-//! budget, and readings of both clocks. The membership task and the event loop use it, on the one thread.
+//! The state that this server shares with others: the library's state, this server's calls against the
+//! fleet's budget, and readings of both clocks. The membership task and the event loop use it, on the one
+//! thread.
 
 use crate::configuration::leases::LEASES;
 use crate::fleet::tier::{CallEvidence, Tier, TierStatus};
--- a/crates/server/src/lifecycle/reload.rs
+++ b/crates/server/src/lifecycle/reload.rs
@@ -1,7 +1,7 @@
 //! A change of settings while the server runs. Files are read, checked and compared on the blocking pool; the
 //! serving thread only swaps what is ready and gives the event loop small parts of the change, so that its
-//! pauses do not grow with the files. One change is made at a time: files are read when the change before is in
-//! force, so that an older reading never follows a newer one.
+//! pauses do not grow with the files. One change is made at a time: files are read when the change before is
+//! in force, so that an older reading never follows a newer one.
 
 use crate::configuration::Configuration;
 use crate::configuration::Layers;
--- a/crates/server/src/resources/counters.rs
+++ b/crates/server/src/resources/counters.rs
@@ -7,7 +7,9 @@
     ($($name:ident)*) => {
         /// Counts since the start. Their names are those of the log (docs/on-call.md).
         #[derive(Default)]
-        pub struct Counters { $(#[doc = concat!("The counter `", stringify!($name), "`.")] pub $name: Count),* }
+        pub struct Counters {
+            $(#[doc = concat!("The counter `", stringify!($name), "`.")] pub $name: Count),*
+        }
 
         impl fmt::Display for Counters {
             fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -75,7 +75,8 @@
 /// Bytes that are read at once.
 const READ_MAX_BYTES: usize = 8 * 1024;
 
-/// Waits for bytes and adds them to the ring, contiguous with what it holds. The end of the stream is an error.
+/// Waits for bytes and adds them to the ring, contiguous with what it holds. The end of the stream is an
+/// error.
 pub async fn receive(mut stream: &Async<TcpStream>, ring: &mut Ring) -> Result<()> {
     let mut chunk = [0; READ_MAX_BYTES];
     let free = ring.free().min(chunk.len());
--- a/crates/server/src/wire/interpreter.rs
+++ b/crates/server/src/wire/interpreter.rs
@@ -1,5 +1,5 @@
-//! The interpreter's lines: commands out and notices in, JSON objects with bodies in base64. The interpreter's
-//! own words stand in this module alone.
+//! The interpreter's lines: commands out and notices in, JSON objects with bodies in base64. The
+//! interpreter's own words stand in this module alone.
 
 use crate::wire::ParseError;
 use crate::wire::Parsed;
--- a/crates/shared-state/src/budget/settings.rs
+++ b/crates/shared-state/src/budget/settings.rs
@@ -85,7 +85,8 @@
     },
     /// A unit may stay in use for longer than a lease allows.
     #[error(
-        "use-most-ms: a lease must outlast it by three eighths of the lease; {use_max} ns of {lease_duration} ns"
+        "use-most-ms: a lease must outlast it by three eighths of the lease; {use_max} ns of \
+         {lease_duration} ns"
     )]
     UseTooLong {
         /// Longest use of a unit, in nanoseconds.
--- a/crates/simulator-adapter/src/codec.rs
+++ b/crates/simulator-adapter/src/codec.rs
@@ -1,7 +1,7 @@
 //! The simulator's wire: batches of event records come in, frames of action records go out.
 //!
-//! All integers are little-endian, all durations on the wire are microseconds. Each side's words are mapped to
-//! terms here and nowhere else.
+//! All integers are little-endian, all durations on the wire are microseconds. Each side's words are mapped
+//! to terms here and nowhere else.
 
 mod batch;
 mod error;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! `meadowstream-simulator-adapter`: runs one isolated controller for each simulated server, on standard input
-//! and output. It decides nothing.
+//! `meadowstream-simulator-adapter`: runs one isolated controller for each simulated server, on standard
+//! input and output. It decides nothing.
 
 #![deny(missing_docs, clippy::too_many_lines)]
 
--- a/crates/test-doubles/src/fleet/harness.rs
+++ b/crates/test-doubles/src/fleet/harness.rs
@@ -34,8 +34,8 @@
         FleetHarness::with_options(program, count, count, seed, HarnessOptions::default())
     }
 
-    /// A harness of up to `count` processes, the first `started` of them started. An error when a file cannot be
-    /// written or a process does not join within [`WAIT_MAX`].
+    /// A harness of up to `count` processes, the first `started` of them started. An error when a file cannot
+    /// be written or a process does not join within [`WAIT_MAX`].
     pub fn with_options(
         program: &Path,
         count: usize,
@@ -136,8 +136,8 @@
             .context("cannot start the program")
     }
 
-    /// Waits until the server logs the address of its membership, after `earlier_joins` of its former starts, and
-    /// registers it with the relay.
+    /// Waits until the server logs the address of its membership, after `earlier_joins` of its former starts,
+    /// and registers it with the relay.
     fn wait_until_joined(
         &mut self,
         index: usize,
@@ -154,8 +154,8 @@
         Ok(())
     }
 
-    /// Does what a supervisor does: starts each process that has ended by itself again, as the program that its
-    /// mark names. Returns those it started.
+    /// Does what a supervisor does: starts each process that has ended by itself again, as the program that
+    /// its mark names. Returns those it started.
     pub fn supervise(&mut self) -> Result<Vec<usize>> {
         let mut started = Vec::new();
         for index in 0..self.processes.len() {
--- a/crates/test-doubles/src/fleet/rehearsal.rs
+++ b/crates/test-doubles/src/fleet/rehearsal.rs
@@ -1,5 +1,5 @@
-//! A rehearsal of the membership view: a join, a crash (SIGKILL), a stall (SIGSTOP, SIGCONT), a partition and its
-//! heal. A table shows when each server saw each change and when the views agreed.
+//! A rehearsal of the membership view: a join, a crash (SIGKILL), a stall (SIGSTOP, SIGCONT), a partition and
+//! its heal. A table shows when each server saw each change and when the views agreed.
 
 use super::WAIT_MAX;
 use super::files::{PROBE_PERIOD_MS, SUSPICION_PERIODS};
--- a/crates/test-doubles/src/fleet/view.rs
+++ b/crates/test-doubles/src/fleet/view.rs
@@ -22,8 +22,8 @@
         self.member_states_since(index, None)
     }
 
-    /// The same, of a line written after `since` alone: the last line of a stalled server is older than its stall
-    /// and does not show its view.
+    /// The same, of a line written after `since` alone: the last line of a stalled server is older than its
+    /// stall and does not show its view.
     fn member_states_since(&self, index: usize, since: Option<Instant>) -> BTreeMap<String, String> {
         let view = self.log(index).and_then(|log| log.last_event("view", since));
         let Some(members) = view.as_ref().and_then(|view| view["members"].as_str()) else {
@@ -67,8 +67,8 @@
         members.iter().all(|&index| self.sees(index, members))
     }
 
-    /// Waits until each of `members` sees exactly the others alive, counted from `since`. An error when they do
-    /// not within the span.
+    /// Waits until each of `members` sees exactly the others alive, counted from `since`. An error when they
+    /// do not within the span.
     pub fn wait_for_agreement(
         &self,
         members: &[usize],
--- a/crates/test-doubles/src/interpreter.rs
+++ b/crates/test-doubles/src/interpreter.rs
@@ -1,5 +1,5 @@
-//! An interpreter: executes runs on a number of cores, which all runs share evenly. A body states what its run
-//! needs, `work=MICROSECONDS`, and with the word `calls` that it makes a downstream call half way.
+//! An interpreter: executes runs on a number of cores, which all runs share evenly. A body states what its
+//! run needs, `work=MICROSECONDS`, and with the word `calls` that it makes a downstream call half way.
 
 mod link;
 mod machine;
--- a/crates/test-doubles/src/open_loop.rs
+++ b/crates/test-doubles/src/open_loop.rs
@@ -63,8 +63,8 @@
     }
 }
 
-/// Sends `rate` calls a second for `span`, each of `work` and with a downstream call half way; the thread ends by
-/// itself at most ten seconds after.
+/// Sends `rate` calls a second for `span`, each of `work` and with a downstream call half way; the thread
+/// ends by itself at most ten seconds after.
 pub fn start(
     to: SocketAddr,
     rate: f64,
--- a/crates/test-doubles/src/tcp_relay.rs
+++ b/crates/test-doubles/src/tcp_relay.rs
@@ -1,7 +1,7 @@
-//! A fault relay for TCP on loopback: each member reaches one target at an endpoint of its own, so that the relay
-//! knows who sends. It delays and jitters what passes, holds it up while the member's group is cut from the
-//! target's (bytes wait, as behind a broken link), and resets a share of connections. It ends when dropped and
-//! holds at most [`CONNECTIONS_MAX`] connections.
+//! A fault relay for TCP on loopback: each member reaches one target at an endpoint of its own, so that the
+//! relay knows who sends. It delays and jitters what passes, holds it up while the member's group is cut from
+//! the target's (bytes wait, as behind a broken link), and resets a share of connections. It ends when
+//! dropped and holds at most [`CONNECTIONS_MAX`] connections.
 
 use crate::faults::Faults;
 use rand::{Rng, SeedableRng};
--- a/crates/test-doubles/src/tenant_rehearsal.rs
+++ b/crates/test-doubles/src/tenant_rehearsal.rs
@@ -1,6 +1,6 @@
-//! A rehearsal with many tenants: the program is started among test doubles, tenants send as their groups state,
-//! first at the baseline and then in overload, and at last the program is stopped. It ends by itself in the
-//! stated time.
+//! A rehearsal with many tenants: the program is started among test doubles, tenants send as their groups
+//! state, first at the baseline and then in overload, and at last the program is stopped. It ends by itself
+//! in the stated time.
 
 mod arrivals;
 mod invocation;
--- a/crates/test-doubles/src/tenant_rehearsal/plan.rs
+++ b/crates/test-doubles/src/tenant_rehearsal/plan.rs
@@ -61,8 +61,8 @@
     <tenants by=\"field\" field=\"venue\" origin=\"sender\">\n    \
     <share at-once-ms=\"5000\" probation-ms=\"1000\" late-ms=\"500\"/>\n  </tenants>\n</meadowstream>\n";
 
-/// `light_tenants` that stay within their quotas, and one that sends nine tenths of three times what the cores
-/// can do.
+/// `light_tenants` that stay within their quotas, and one that sends nine tenths of three times what the
+/// cores can do.
 pub fn overload_plan(baseline: Duration, overload: Duration, light_tenants: usize) -> RehearsalPlan {
     let (cores, work) = (2.0, Duration::from_millis(4));
     let capacity_rate = cores / work.as_secs_f64();
@@ -100,8 +100,8 @@
     }
 }
 
-/// A dependency of all servers that is eight times as slow in the overload phase: the calls then demanded are four
-/// times the program's quota, while the cores have capacity left.
+/// A dependency of all servers that is eight times as slow in the overload phase: the calls then demanded are
+/// four times the program's quota, while the cores have capacity left.
 pub fn slow_dependency_plan(baseline: Duration, overload: Duration) -> RehearsalPlan {
     let plan = overload_plan(baseline, overload, 20);
     let group = TenantGroup { baseline_rate: 5.0, overload_rate: 5.0, ..plan.groups[0].clone() };
--- a/crates/test-doubles/src/tenant_rehearsal/play.rs
+++ b/crates/test-doubles/src/tenant_rehearsal/play.rs
@@ -51,8 +51,8 @@
     pub broken_calls: u64,
 }
 
-/// Plays a rehearsal of the program; `progress` receives a line each second. An error when the program does not
-/// start, log or end as it should.
+/// Plays a rehearsal of the program; `progress` receives a line each second. An error when the program does
+/// not start, log or end as it should.
 pub fn play(program: &Path, plan: RehearsalPlan, mut progress: impl FnMut(&str)) -> Result<RehearsalReport> {
     let (interpreter, runs) = interpreter::start(plan.cores)?;
     let dependency = plan.dependency.as_ref();
@@ -152,8 +152,8 @@
     format!("{:>4.0} s, {phase}: {}", load.began.elapsed().as_secs_f64(), groups.join(", "))
 }
 
-/// Stops the program and returns its exit code. The executor runs meanwhile, since balancers close connections
-/// that the program drains.
+/// Stops the program and returns its exit code. The executor runs meanwhile, since balancers close
+/// connections that the program drains.
 fn stop(server: &mut ServerProcess, executor: &LocalExecutor<'static>) -> Result<Option<i32>> {
     server.signal("TERM")?;
     let deadline = Instant::now() + WAIT_MAX;
--- a/crates/test-doubles/src/udp_relay.rs
+++ b/crates/test-doubles/src/udp_relay.rs
@@ -1,8 +1,8 @@
-//! A fault relay for UDP on loopback: each member of a fleet is reached at an endpoint of the relay, and what it
-//! sends to an endpoint is forwarded to that member from the sender's own endpoint, so that each still sees who
-//! sent. The relay drops, delays, jitters, duplicates and reorders datagrams, and cuts groups off one way or
-//! both, as its [`Faults`] state; these change while it runs, and chance is drawn from one seed. It ends when
-//! dropped and holds at most [`IN_FLIGHT_MAX`] datagrams.
+//! A fault relay for UDP on loopback: each member of a fleet is reached at an endpoint of the relay, and what
+//! it sends to an endpoint is forwarded to that member from the sender's own endpoint, so that each still
+//! sees who sent. The relay drops, delays, jitters, duplicates and reorders datagrams, and cuts groups off
+//! one way or both, as its [`Faults`] state; these change while it runs, and chance is drawn from one seed.
+//! It ends when dropped and holds at most [`IN_FLIGHT_MAX`] datagrams.
 
 use crate::faults::Faults;
 use rand::{Rng, SeedableRng};
