--- a/crates/cli/src/help.rs
+++ b/crates/cli/src/help.rs
@@ -38,7 +38,8 @@
 
 Starts this program with test doubles for all it speaks to, on loopback, and plays an overload: N small
 tenants (200) and one that floods, for N seconds (20), the first third of them without it. Ends with a table
-of each group's share, latency and advice kept. --log shows what the program says of shares. Nothing else is needed.
+of each group's share, latency and advice kept. --log shows what the program says of shares. Nothing else
+is needed.
 ";
 /// The page of `fleet`.
 pub const FLEET: &str = "\
