--- a/crates/fair-queueing/src/finish_sketch.rs
+++ b/crates/fair-queueing/src/finish_sketch.rs
@@ -87,7 +87,7 @@
 
     /// Brings the next of the cells that lie behind up to the present. A cell left behind would seem to lie
     /// ahead once virtual time had advanced by 2^31 units (35,184 s of one core) since; a round over all
-    /// cells takes [`SWEEPS_PER_ROUND`] calls, 128 s where the owner calls once in a control period of 500
+    /// cells takes `SWEEPS_PER_ROUND` calls, 128 s where the owner calls once in a control period of 500
     /// ms.
     pub fn sweep(&mut self, present: f64) {
         let present_units = to_units(present);
--- a/crates/shared-state/src/budget/settings.rs
+++ b/crates/shared-state/src/budget/settings.rs
@@ -70,7 +70,7 @@
         /// The total, in units.
         total: u64,
     },
-    /// The number of voters is even or over [`VOTERS_MAX`], which the text spells out, or a name is given
+    /// The number of voters is even or over `VOTERS_MAX`, which the text spells out, or a name is given
     /// twice.
     #[error("voter: 1, 3, 5, 7 or 9 different names, not {}", names.len())]
     Voters {
--- a/crates/test-doubles/src/fleet/harness.rs
+++ b/crates/test-doubles/src/fleet/harness.rs
@@ -35,7 +35,7 @@
     }
 
     /// A harness of up to `count` processes, the first `started` of them started. An error when a file cannot
-    /// be written or a process does not join within [`WAIT_MAX`].
+    /// be written or a process does not join within `WAIT_MAX`.
     pub fn with_options(
         program: &Path,
         count: usize,
