--- a/crates/wire-fixtures/src/lib.rs
+++ b/crates/wire-fixtures/src/lib.rs
@@ -1,30 +1,30 @@
 //! Compares encoded messages and stored files with the bytes that an earlier release wrote.
 //!
-//! A fixture file holds one `name hex` pair a line. A test encodes its samples and compares each with the
-//! line of its name, so that a variant or a field that moved is noticed before an older server does not
-//! understand it. With the variable [`WRITE`] set in the environment the file is written instead; that is
-//! done once, by the release whose bytes are to be kept.
+//! A fixture file holds one `name hex` pair per line. A test encodes its samples and compares each with the
+//! line of the same name. This detects a moved field or variant before it breaks communication with servers
+//! of an older release. If the environment variable [`WRITE_VARIABLE`] is set, the fixture file is written
+//! instead. The file is written only once, by the release that defines the format.
 #![deny(missing_docs, clippy::too_many_lines)]
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
 
-/// The environment variable that makes [`Fixtures::verify`] write the file.
-pub const WRITE: &str = "WRITE_WIRE_FIXTURES";
+/// Environment variable that makes [`Fixtures::verify`] write the fixture file instead of comparing with it.
+pub const WRITE_VARIABLE: &str = "WRITE_WIRE_FIXTURES";
 
-/// The fixtures of one file.
+/// Recorded encodings from one fixture file, by sample name.
 pub struct Fixtures {
     path: PathBuf,
     recorded: BTreeMap<String, Vec<u8>>,
 }
 
 impl Fixtures {
-    /// Reads the file; one that does not exist yet holds no fixture.
+    /// Reads the fixture file at `path`. A file that cannot be read counts as empty.
     ///
     /// # Panics
     ///
-    /// Panics where a line is not a name and an even number of hexadecimal digits.
+    /// Panics if a line is not a name followed by an even number of hexadecimal digits.
     pub fn load(path: impl AsRef<Path>) -> Fixtures {
         let path = path.as_ref().to_path_buf();
         let text = std::fs::read_to_string(&path).unwrap_or_default();
@@ -32,23 +32,24 @@
         Fixtures { recorded: lines.map(parse_line).collect(), path }
     }
 
-    /// The recorded bytes of that name.
+    /// Returns the recorded bytes of the sample called `name`.
     ///
     /// # Panics
     ///
-    /// Panics where there are none.
+    /// Panics if the file has no fixture with this name.
     pub fn bytes(&self, name: &str) -> &[u8] {
         let found = self.recorded.get(name);
         found.unwrap_or_else(|| panic!("{}: no fixture {name:?}", self.path.display()))
     }
 
-    /// Compares all samples with the file: each has its fixture, and each fixture its sample.
+    /// Compares all samples with the fixture file. Every sample needs a fixture, and every fixture a sample.
     ///
     /// # Panics
     ///
-    /// Panics at the first sample whose bytes differ, and where names are missing on either side.
+    /// Panics at the first sample whose bytes differ from its fixture, if a sample has no fixture, and if a
+    /// fixture has no sample.
     pub fn verify(&self, samples: &[(&str, Vec<u8>)]) {
-        if std::env::var_os(WRITE).is_some() {
+        if std::env::var_os(WRITE_VARIABLE).is_some() {
             return self.write(samples);
         }
         for (name, bytes) in samples {
@@ -61,9 +62,9 @@
     }
 
     fn write(&self, samples: &[(&str, Vec<u8>)]) {
-        let mut text = format!("# Written with {WRITE}=1 by the test that reads this file.\n");
+        let mut text = format!("# Written with {WRITE_VARIABLE}=1 by the test that reads this file.\n");
         for (name, bytes) in samples {
-            writeln!(text, "{name} {}", to_hex(bytes)).expect("a string grows");
+            writeln!(text, "{name} {}", to_hex(bytes)).expect("writing to a String cannot fail");
         }
         let written = std::fs::write(&self.path, text);
         written.unwrap_or_else(|error| panic!("{}: {error}", self.path.display()));
@@ -72,15 +73,15 @@
 
 fn parse_line(line: &str) -> (String, Vec<u8>) {
     let (name, hex) = line.split_once(' ').unwrap_or((line, ""));
-    assert!(hex.len().is_multiple_of(2), "{name}: an odd number of digits");
-    let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16);
+    assert!(hex.len().is_multiple_of(2), "{name}: odd number of hexadecimal digits");
+    let byte = |offset: usize| u8::from_str_radix(&hex[offset..offset + 2], 16);
     let bytes: Result<Vec<u8>, _> = (0..hex.len()).step_by(2).map(byte).collect();
     (name.to_string(), bytes.unwrap_or_else(|error| panic!("{name}: {error}")))
 }
 
 fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().fold(String::new(), |mut hex, byte| {
-        write!(hex, "{byte:02x}").expect("a string grows");
+        write!(hex, "{byte:02x}").expect("writing to a String cannot fail");
         hex
     })
 }
