--- a/crates/capacity/src/added_latency.rs
+++ b/crates/capacity/src/added_latency.rs
@@ -1,6 +1,6 @@
 //! What the program adds to an invocation with many tenants and routes, measured on one process.
 
-use crate::error::{MeasureError, failed};
+use crate::error::{MeasureError, io_error};
 use crate::options;
 use crate::process::{Process, ProcessSettings, options_file};
 use async_executor::LocalExecutor;
@@ -95,19 +95,19 @@
     };
     let process = Process::start(program, &settings)?;
     let (processor_before, started_at) = (process.processor_seconds()?, Instant::now());
-    let driven = drive(&process, load, &fleet_options)?;
+    let result = run_load(&process, load, &fleet_options)?;
     let processor = process.processor_seconds()? - processor_before;
     let processor_percent = processor / started_at.elapsed().as_secs_f64() * 100.0;
     let changes = process.lines("configuration read again");
     let pause_us = changes.iter().filter_map(|line| line.fields["pause_us"].as_u64()).max();
     Ok(AddedLatency {
         load,
-        sent: driven.sent,
-        succeeded: driven.succeeded,
-        p50_us: driven.added_us.value_at_quantile(0.5),
-        p99_us: driven.added_us.value_at_quantile(0.99),
-        max_us: driven.added_us.max(),
-        timer_p99_us: driven.timer_lateness_us.value_at_quantile(0.99),
+        sent: result.sent,
+        succeeded: result.succeeded,
+        p50_us: result.added_us.value_at_quantile(0.5),
+        p99_us: result.added_us.value_at_quantile(0.99),
+        max_us: result.added_us.max(),
+        timer_p99_us: result.timer_lateness_us.value_at_quantile(0.99),
         resident_bytes: process.resident_bytes()?,
         processor_percent,
         pause_us,
@@ -115,7 +115,7 @@
 }
 
 /// What a load has measured.
-struct Driven {
+struct LoadResult {
     added_us: Histogram<u64>,
     timer_lateness_us: Histogram<u64>,
     sent: u64,
@@ -155,7 +155,7 @@
 }
 
 /// Sends at the load's rate until its end, while another thread changes the options.
-fn drive(process: &Process, load: Load, fleet_options: &str) -> Result<Driven, MeasureError> {
+fn run_load(process: &Process, load: Load, fleet_options: &str) -> Result<LoadResult, MeasureError> {
     let executor: &'static LocalExecutor<'static> = Box::leak(Box::new(LocalExecutor::new()));
     let calls = Rc::new(Calls {
         balancer: Balancer::new(process.listen, CONNECTIONS, executor),
@@ -163,19 +163,24 @@
         open: Cell::new(0),
         succeeded: Cell::new(0),
     });
-    let sending = std::thread::scope(|scope| {
+    let sender_result = std::thread::scope(|scope| {
         let changes = scope.spawn(|| change_options(process, load, fleet_options));
-        let sending = async_io::block_on(executor.run(send(&calls, load, executor)));
+        let sender_result = async_io::block_on(executor.run(send(&calls, load, executor)));
         changes.join().unwrap_or_else(|panic| resume_unwind(panic))?;
-        sending
+        sender_result
     })?;
     let added_us = calls.added_us.borrow().clone();
     let succeeded = calls.succeeded.get();
-    Ok(Driven { added_us, timer_lateness_us: sending.timer_lateness_us, sent: sending.sent, succeeded })
+    Ok(LoadResult {
+        added_us,
+        timer_lateness_us: sender_result.timer_lateness_us,
+        sent: sender_result.sent,
+        succeeded,
+    })
 }
 
 /// What the sender of a load has measured.
-struct Sending {
+struct SenderResult {
     timer_lateness_us: Histogram<u64>,
     sent: u64,
 }
@@ -185,7 +190,7 @@
     calls: &Rc<Calls>,
     load: Load,
     executor: &'static LocalExecutor<'static>,
-) -> Result<Sending, MeasureError> {
+) -> Result<SenderResult, MeasureError> {
     let mut timer_lateness_us = Histogram::<u64>::new(HISTOGRAM_DIGITS)?;
     let mut rng = ChaCha8Rng::seed_from_u64(load.rate as u64);
     let interval = Duration::from_secs_f64(1.0 / load.rate);
@@ -204,7 +209,7 @@
         executor.spawn(calls.clone().call(operation, fields)).detach();
     }
     calls.finish().await;
-    Ok(Sending { timer_lateness_us, sent })
+    Ok(SenderResult { timer_lateness_us, sent })
 }
 
 /// Changes every tenant's weight, at even distances over the load.
@@ -214,7 +219,7 @@
         std::thread::sleep(interval);
         let tenants = options::tenants(load.tenants, FIRST_WEIGHT + 1 + change as u32);
         let text = options_file(&format!("{tenants}\n{fleet_options}"));
-        std::fs::write(process.folder.join("options.xml"), text).map_err(failed("write the options"))?;
+        std::fs::write(process.folder.join("options.xml"), text).map_err(io_error("write the options"))?;
         process.signal("HUP")?;
     }
     Ok(())
--- a/crates/capacity/src/at_rest.rs
+++ b/crates/capacity/src/at_rest.rs
@@ -3,7 +3,7 @@
 use crate::error::ModelError;
 use crate::fit::{Curve, Point};
 use crate::fleet::Fleet;
-use crate::meter::{Costs, allocated};
+use crate::meter::{Costs, allocated_bytes};
 use crate::per_server::PerServer;
 use crate::scale::{
     BYTES_PER_SECOND_BOUND, CONTROL_MACHINES, MEMORY_BYTES_BOUND, PROCESSOR_PERCENT_BOUND, SECOND_NS, Scale,
@@ -23,7 +23,8 @@
     /// Servers of the fleet.
     pub size: usize,
     /// Bytes of the allocator for each server.
-    pub memory: f64,
+    #[serde(rename = "memory")]
+    pub memory_bytes: f64,
     /// On average over all servers.
     pub costs: PerServer,
     /// Of the control machine that leads the log of configuration, where one does.
@@ -66,20 +67,20 @@
 /// # Errors
 /// Where a core does not accept its settings.
 pub fn measure(size: usize, scale: &Scale) -> Result<RestingCosts, ModelError> {
-    let allocated_before = allocated();
-    let mut fleet = Fleet::settled(size, settings(size), scale.seed, &seeds())?;
-    run_with_work(&mut fleet, scale.rest);
+    let allocated_before = allocated_bytes();
+    let mut fleet = Fleet::converged(size, settings(size), scale.seed, &seeds())?;
+    run_with_work(&mut fleet, scale.rest_seconds);
     let (costs_before, started_at) = (fleet.costs(), fleet.now());
     let leader = leader(&fleet);
     let leader_before = costs_of(&fleet, leader);
-    run_with_work(&mut fleet, scale.rest);
+    run_with_work(&mut fleet, scale.rest_seconds);
     let span = fleet.now() - started_at;
-    let costs = PerServer::of(&fleet.costs().since(&costs_before), size, span);
+    let costs = PerServer::average(&fleet.costs().since(&costs_before), size, span);
     let leader = costs_of(&fleet, leader)
         .zip(leader_before)
-        .map(|(after, before)| PerServer::of(&after.since(&before), 1, span));
-    let memory = allocated().saturating_sub(allocated_before) as f64 / size as f64;
-    Ok(RestingCosts { size, memory, costs, leader })
+        .map(|(after, before)| PerServer::average(&after.since(&before), 1, span));
+    let memory_bytes = allocated_bytes().saturating_sub(allocated_before) as f64 / size as f64;
+    Ok(RestingCosts { size, memory_bytes, costs, leader })
 }
 
 /// Measures a fleet that has nothing to count and no demand, as processes without callers are.
@@ -87,15 +88,15 @@
 /// # Errors
 /// Where a core does not accept its settings.
 pub fn measure_idle(size: usize, scale: &Scale) -> Result<RestingCosts, ModelError> {
-    let allocated_before = allocated();
-    let span = scale.rest * SECOND_NS;
-    let mut fleet = Fleet::settled(size, settings(size), scale.seed, &seeds())?;
+    let allocated_before = allocated_bytes();
+    let span = scale.rest_seconds * SECOND_NS;
+    let mut fleet = Fleet::converged(size, settings(size), scale.seed, &seeds())?;
     fleet.run_until(span);
     let costs_before = fleet.costs();
     fleet.run_until(2 * span);
-    let costs = PerServer::of(&fleet.costs().since(&costs_before), size, span);
-    let memory = allocated().saturating_sub(allocated_before) as f64 / size as f64;
-    Ok(RestingCosts { size, memory, costs, leader: None })
+    let costs = PerServer::average(&fleet.costs().since(&costs_before), size, span);
+    let memory_bytes = allocated_bytes().saturating_sub(allocated_before) as f64 / size as f64;
+    Ok(RestingCosts { size, memory_bytes, costs, leader: None })
 }
 
 /// The curves over the sizes of the fleet.
@@ -106,7 +107,7 @@
     };
     let (bytes, percent) = ("bytes a second", "% of a core");
     vec![
-        curve("memory of a server", "bytes", Some(MEMORY_BYTES_BOUND), &|one| one.memory),
+        curve("memory of a server", "bytes", Some(MEMORY_BYTES_BOUND), &|one| one.memory_bytes),
         curve("bytes sent by a server", bytes, Some(BYTES_PER_SECOND_BOUND), &|one| one.costs.bytes()),
         curve("of these by membership", bytes, None, &|one| one.costs.membership_bytes),
         curve("of these by shared state", bytes, None, &|one| one.costs.shared_state_bytes),
@@ -125,7 +126,7 @@
 /// # Errors
 /// Where a core does not accept its settings.
 pub fn counters_settle(size: usize, scale: &Scale, limit_seconds: u64) -> Result<Option<f64>, ModelError> {
-    let mut fleet = Fleet::settled(size, settings(size), scale.seed, &seeds())?;
+    let mut fleet = Fleet::converged(size, settings(size), scale.seed, &seeds())?;
     run_with_work(&mut fleet, 1);
     let expected = size as u64;
     let is_exact = |fleet: &Fleet| {
--- a/crates/capacity/src/connections.rs
+++ b/crates/capacity/src/connections.rs
@@ -1,7 +1,7 @@
 //! What an open connection holds of a process's memory.
 
 use crate::added_latency::CORES;
-use crate::error::{MeasureError, failed};
+use crate::error::{MeasureError, io_error};
 use crate::fit::{Curve, Point};
 use crate::process::{Process, ProcessSettings};
 use std::io::{Read, Write};
@@ -18,9 +18,9 @@
 
 /// Opens a connection that has had one health check answered.
 fn open(address: SocketAddr, connection: usize) -> Result<TcpStream, MeasureError> {
-    let mut stream = TcpStream::connect(address).map_err(failed("open a connection"))?;
-    stream.set_read_timeout(Some(ANSWER_TIMEOUT)).map_err(failed("set a read timeout"))?;
-    stream.write_all(HEALTH_CHECK).map_err(failed("send a health check"))?;
+    let mut stream = TcpStream::connect(address).map_err(io_error("open a connection"))?;
+    stream.set_read_timeout(Some(ANSWER_TIMEOUT)).map_err(io_error("set a read timeout"))?;
+    stream.write_all(HEALTH_CHECK).map_err(io_error("send a health check"))?;
     let mut answer = [0; ANSWER_BYTES_MAX];
     let read = stream.read(&mut answer);
     let bytes = read.map_err(|source| MeasureError::NoHealthCheck { connection, source })?;
--- a/crates/capacity/src/day/mod.rs
+++ b/crates/capacity/src/day/mod.rs
@@ -6,7 +6,7 @@
 mod schedule;
 mod summary;
 
-use crate::meter::thread_time;
+use crate::meter::thread_time_ns;
 use crate::scale::SECOND_NS;
 use meadowstream_membership::Nanos;
 use rand_chacha::ChaCha8Rng;
@@ -30,24 +30,42 @@
     /// Of all random numbers.
     pub seed: u64,
     /// The day's length; its events are as many as those of a whole day.
-    pub day: u64,
+    #[serde(rename = "day")]
+    pub day_seconds: u64,
     /// A region is cut off for so long.
-    pub region_apart: u64,
+    #[serde(rename = "region_apart")]
+    pub region_cut_seconds: u64,
     /// A zone is cut off for so long.
-    pub zone_away: u64,
+    #[serde(rename = "zone_away")]
+    pub zone_cut_seconds: u64,
     /// The control machines are down for so long.
-    pub control_away: u64,
+    #[serde(rename = "control_away")]
+    pub control_down_seconds: u64,
 }
 
 impl DayScale {
     /// All events of a day in a tenth of one, with the stated spans.
     pub fn full(servers: usize, seed: u64) -> DayScale {
-        DayScale { servers, seed, day: 8_640, region_apart: 3_600, zone_away: 600, control_away: 300 }
+        DayScale {
+            servers,
+            seed,
+            day_seconds: 8_640,
+            region_cut_seconds: 3_600,
+            zone_cut_seconds: 600,
+            control_down_seconds: 300,
+        }
     }
 
     /// All events of a day in a tenth of an hour, with short spans.
     pub fn quick(servers: usize, seed: u64) -> DayScale {
-        DayScale { servers, seed, day: 360, region_apart: 40, zone_away: 20, control_away: 20 }
+        DayScale {
+            servers,
+            seed,
+            day_seconds: 360,
+            region_cut_seconds: 40,
+            zone_cut_seconds: 20,
+            control_down_seconds: 20,
+        }
     }
 }
 
@@ -80,10 +98,10 @@
     /// The longest until a server that was cut off or restarted had the revision that was newest at its
     /// return. Servers that never had it by the end are left out.
     #[serde(rename = "caught_up_worst")]
-    pub catch_up_max: f64,
+    pub catch_up_max_seconds: f64,
     /// The same of servers with an empty disk.
     #[serde(rename = "empty_caught_up_worst")]
-    pub empty_disk_catch_up_max: f64,
+    pub empty_disk_catch_up_max_seconds: f64,
     /// Returns of servers.
     #[serde(rename = "caught_up")]
     pub returns: usize,
@@ -117,7 +135,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(scale.seed);
     let mut run = Run::start(scale);
     let mut events = schedule(scale, &mut rng);
-    let processor_before = thread_time();
+    let processor_before = thread_time_ns();
     let bytes_before = run.fleet.sent_bytes;
     let leader = run.fleet.leader();
     let leader_bytes_before = sent_bytes(&run, leader);
@@ -128,7 +146,7 @@
         if next > run.fleet.now() {
             run.fleet.run_for(next - run.fleet.now());
         }
-        if at >= tenth * scale.day * SECOND_NS / 10 {
+        if at >= tenth * scale.day_seconds * SECOND_NS / 10 {
             progress(&format!("{tenth} tenths of the day, {} changes", run.published.len()));
             if tenth == 1 {
                 // Before any fault of the control machines.
@@ -142,7 +160,7 @@
     run.fleet.run_for(CATCH_UP_NS);
     let span_seconds = (run.fleet.now() - run.started_at) as f64 / SECOND_NS as f64;
     let server_seconds = span_seconds * scale.servers as f64;
-    let processor_seconds = (thread_time() - processor_before) as f64 / SECOND_NS as f64;
+    let processor_seconds = (thread_time_ns() - processor_before) as f64 / SECOND_NS as f64;
     let costs = Costs {
         bytes_per_second: (run.fleet.sent_bytes - bytes_before) as f64 / server_seconds,
         leader_bytes_per_second,
--- a/crates/capacity/src/day/run.rs
+++ b/crates/capacity/src/day/run.rs
@@ -41,7 +41,7 @@
     pub(super) at: Nanos,
     pub(super) server: usize,
     /// The newest revision then.
-    pub(super) newest: u64,
+    pub(super) newest_revision: u64,
     /// It began with an empty disk.
     pub(super) had_empty_disk: bool,
 }
@@ -62,7 +62,7 @@
     pub(super) not_published: usize,
     pub(super) restarts: usize,
     /// Number of the last change that was accepted.
-    newest: u64,
+    newest_revision: u64,
 }
 
 fn location(server: usize) -> Location {
@@ -109,7 +109,7 @@
             catching_up: BTreeMap::new(),
             not_published: 0,
             restarts: 0,
-            newest: 0,
+            newest_revision: 0,
         }
     }
 
@@ -124,37 +124,39 @@
         match event {
             Event::Change(change) => self.propose(change),
             Event::Restart => {
-                let server = self.any_server(rng);
+                let server = self.random_server(rng);
                 self.crash(server);
-                events.push(at + RESTARTED_AFTER_NS, Event::Back(server));
+                events.push(at + RESTARTED_AFTER_NS, Event::ServerReturned(server));
             }
             Event::Fail => {
-                let server = self.any_server(rng);
+                let server = self.random_server(rng);
                 self.crash(server);
                 self.fleet.truncate_disk(server, 0.0);
-                events.push(at + REPLACED_AFTER_NS, Event::Back(server));
+                events.push(at + REPLACED_AFTER_NS, Event::ServerReturned(server));
             }
-            Event::Back(server) => {
+            Event::ServerReturned(server) => {
                 let has_empty_disk = self.fleet.is_disk_empty(server);
                 self.restart(server, has_empty_disk);
             }
-            Event::RackLost => self.rack().into_iter().for_each(|server| self.crash(server)),
-            Event::RackBack => self.rack().into_iter().for_each(|server| self.restart(server, false)),
+            Event::RackLost => self.last_rack().into_iter().for_each(|server| self.crash(server)),
+            Event::RackReturned => {
+                self.last_rack().into_iter().for_each(|server| self.restart(server, false))
+            }
             Event::ZoneCut => self.cut(|place| place.zone == CUT_ZONE),
             Event::RegionCut => self.cut(|place| place.region == CUT_REGION),
             Event::Heal => self.heal(),
             Event::ControlLost => (0..REPLICAS).for_each(|replica| self.fleet.crash(replica)),
-            Event::ControlBack => (0..REPLICAS).for_each(|replica| self.fleet.start(replica)),
+            Event::ControlReturned => (0..REPLICAS).for_each(|replica| self.fleet.start(replica)),
         }
     }
 
     /// Any server that is no control machine.
-    fn any_server(&self, rng: &mut ChaCha8Rng) -> usize {
+    fn random_server(&self, rng: &mut ChaCha8Rng) -> usize {
         REPLICAS + (rng.next_u64() % (self.servers - REPLICAS) as u64) as usize
     }
 
     /// The servers of the last rack.
-    fn rack(&self) -> Vec<usize> {
+    fn last_rack(&self) -> Vec<usize> {
         let rack = Place::of(self.servers - 1).rack;
         (REPLICAS..self.servers).filter(|server| Place::of(*server).rack == rack).collect()
     }
@@ -166,11 +168,12 @@
             self.not_published += 1;
             return;
         };
-        self.newest = number;
+        self.newest_revision = number;
         // Servers that were away are measured from their return, until they have caught up.
         let fleet = &self.fleet;
-        self.catching_up
-            .retain(|server, newest| fleet.member(*server).is_some_and(|member| member.applied() < *newest));
+        self.catching_up.retain(|server, newest_revision| {
+            fleet.member(*server).is_some_and(|member| member.applied() < *newest_revision)
+        });
         let is_reached =
             |server: &usize| !self.cut_off.contains(server) && !self.catching_up.contains_key(server);
         let receivers = self.fleet.running().into_iter().filter(is_reached).collect();
@@ -205,9 +208,9 @@
 
     /// A server is reached again: its time to catch up is measured from now.
     fn record_return(&mut self, server: usize, had_empty_disk: bool) {
-        let (at, newest) = (self.fleet.now(), self.newest);
-        self.returned.push(ReturnedServer { at, server, newest, had_empty_disk });
-        self.catching_up.insert(server, newest);
+        let (at, newest_revision) = (self.fleet.now(), self.newest_revision);
+        self.returned.push(ReturnedServer { at, server, newest_revision, had_empty_disk });
+        self.catching_up.insert(server, newest_revision);
     }
 
     /// Cuts the servers at places that `is_cut` picks from the rest.
--- a/crates/capacity/src/day/schedule.rs
+++ b/crates/capacity/src/day/schedule.rs
@@ -1,7 +1,7 @@
 //! What happens in the course of the day, and when.
 
 use super::DayScale;
-use crate::scale::{FAILURES_PER_DAY, RACK_LOST_NS, RESTARTS_PER_DAY, SECOND_NS};
+use crate::scale::{FAILURES_PER_DAY, RACK_DOWN_NS, RESTARTS_PER_DAY, SECOND_NS};
 use meadowstream_replication::simulation::EventQueue;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::Rng;
@@ -19,11 +19,11 @@
     /// A server fails and loses its disk.
     Fail,
     /// A server that was restarted, or the replacement of one that failed, is back.
-    Back(usize),
+    ServerReturned(usize),
     /// All servers of a rack stop.
     RackLost,
     /// They start again.
-    RackBack,
+    RackReturned,
     /// A zone is cut from the rest.
     ZoneCut,
     /// A region is cut from the rest.
@@ -33,12 +33,12 @@
     /// All control machines stop.
     ControlLost,
     /// They start again.
-    ControlBack,
+    ControlReturned,
 }
 
 /// The events of the day, by nanoseconds from its start.
 pub(super) fn schedule(scale: &DayScale, rng: &mut ChaCha8Rng) -> EventQueue<Event> {
-    let day = scale.day * SECOND_NS;
+    let day = scale.day_seconds * SECOND_NS;
     let mut events = EventQueue::default();
     for change in 0..CHANGES {
         events.push(rng.next_u64() % day, Event::Change(change));
@@ -51,14 +51,14 @@
     }
     let tenth = day / 10;
     // In a short day the rack is away for 6% of it.
-    let rack_lost = RACK_LOST_NS.min(60 * (tenth / 100));
+    let rack_lost = RACK_DOWN_NS.min(60 * (tenth / 100));
     events.push(tenth, Event::RackLost);
-    events.push(tenth + rack_lost, Event::RackBack);
+    events.push(tenth + rack_lost, Event::RackReturned);
     events.push(3 * tenth, Event::ZoneCut);
-    events.push(3 * tenth + scale.zone_away * SECOND_NS, Event::Heal);
+    events.push(3 * tenth + scale.zone_cut_seconds * SECOND_NS, Event::Heal);
     events.push(5 * tenth, Event::RegionCut);
-    events.push(5 * tenth + scale.region_apart * SECOND_NS, Event::Heal);
+    events.push(5 * tenth + scale.region_cut_seconds * SECOND_NS, Event::Heal);
     events.push(8 * tenth, Event::ControlLost);
-    events.push(8 * tenth + scale.control_away * SECOND_NS, Event::ControlBack);
+    events.push(8 * tenth + scale.control_down_seconds * SECOND_NS, Event::ControlReturned);
     events
 }
--- a/crates/capacity/src/day/summary.rs
+++ b/crates/capacity/src/day/summary.rs
@@ -40,7 +40,7 @@
     }
 
     /// Seconds until each receiver had applied a change; [`NEVER_SECONDS`] where one never had.
-    fn seconds_of(&self, change: &PublishedChange) -> Vec<f64> {
+    fn receiver_seconds(&self, change: &PublishedChange) -> Vec<f64> {
         let seconds =
             |server: &usize| self.seconds_until(*server, change.at, change.number).unwrap_or(NEVER_SECONDS);
         change.receivers.iter().map(seconds).collect()
@@ -55,7 +55,7 @@
         returned
             .iter()
             .filter(|one| one.had_empty_disk == had_empty_disk && is_last(one))
-            .filter_map(|one| self.seconds_until(one.server, one.at, one.newest))
+            .filter_map(|one| self.seconds_until(one.server, one.at, one.newest_revision))
             .fold(0.0, f64::max)
     }
 
@@ -96,7 +96,7 @@
     let applications = Applications::of(run);
     let (mut each, mut everywhere) = (Vec::new(), Vec::new());
     for change in &run.published {
-        let seconds = applications.seconds_of(change);
+        let seconds = applications.receiver_seconds(change);
         everywhere.push(seconds.iter().copied().fold(0.0, f64::max));
         each.extend(seconds);
     }
@@ -112,8 +112,8 @@
         max_seconds: quantile(&each, 1.0),
         everywhere_p50_seconds: quantile(&everywhere, 0.5),
         everywhere_p99_seconds: quantile(&everywhere, 0.99),
-        catch_up_max: applications.longest_catch_up(&run.returned, false),
-        empty_disk_catch_up_max: applications.longest_catch_up(&run.returned, true),
+        catch_up_max_seconds: applications.longest_catch_up(&run.returned, false),
+        empty_disk_catch_up_max_seconds: applications.longest_catch_up(&run.returned, true),
         returns: run.returned.len(),
         slowest: applications.slowest(run),
         bytes_per_second: costs.bytes_per_second,
--- a/crates/capacity/src/error.rs
+++ b/crates/capacity/src/error.rs
@@ -92,7 +92,7 @@
     },
     /// Processes did not come to see each other.
     #[error("no one view of {processes} processes within {} s", within.as_secs())]
-    NoOneView {
+    NotConverged {
         /// Number of processes.
         processes: usize,
         /// For how long that was waited for.
@@ -116,6 +116,6 @@
 }
 
 /// Maps the error of a system call to [`MeasureError::Io`].
-pub(crate) fn failed(action: &'static str) -> impl FnOnce(std::io::Error) -> MeasureError {
+pub(crate) fn io_error(action: &'static str) -> impl FnOnce(std::io::Error) -> MeasureError {
     move |source| MeasureError::Io { action, source }
 }
--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -31,7 +31,7 @@
 
 impl Line {
     /// `None` for fewer than three points or points of one size.
-    pub fn through(points: &[Point]) -> Option<Line> {
+    pub fn fit(points: &[Point]) -> Option<Line> {
         let count = points.len() as f64;
         if points.len() < 3 {
             return None;
@@ -52,7 +52,7 @@
     }
 
     /// Its value at a size.
-    pub fn at(&self, size: f64) -> f64 {
+    pub fn value_at(&self, size: f64) -> f64 {
         self.intercept + self.slope * size
     }
 }
@@ -88,8 +88,8 @@
         bound: Option<f64>,
     ) -> Curve {
         let (largest, fitted) = points.split_last().expect("a curve is made of at least one point");
-        let line = Line::through(fitted);
-        let predicted = line.map_or(f64::NAN, |line| line.at(largest.size));
+        let line = Line::fit(fitted);
+        let predicted = line.map_or(f64::NAN, |line| line.value_at(largest.size));
         Curve { name: name.to_string(), unit, per, measured: largest.value, line, predicted, bound, points }
     }
 
--- a/crates/capacity/src/fleet.rs
+++ b/crates/capacity/src/fleet.rs
@@ -49,7 +49,7 @@
     rng: ChaCha8Rng,
     now: Nanos,
     /// Costs of incarnations that have ended.
-    ended: Costs,
+    ended_costs: Costs,
 }
 
 impl Fleet {
@@ -66,7 +66,7 @@
             timers: BinaryHeap::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: 0,
-            ended: Costs::default(),
+            ended_costs: Costs::default(),
         }
     }
 
@@ -75,7 +75,12 @@
     ///
     /// # Errors
     /// Where a core does not accept its settings.
-    pub fn settled(size: usize, settings: Settings, seed: u64, seeds: &[usize]) -> Result<Fleet, ModelError> {
+    pub fn converged(
+        size: usize,
+        settings: Settings,
+        seed: u64,
+        seeds: &[usize],
+    ) -> Result<Fleet, ModelError> {
         let mut fleet = Fleet::new(size, settings, seed);
         for server in 0..size {
             fleet.servers[server] = Some(fleet.new_server(server)?);
@@ -153,7 +158,7 @@
 
     /// Costs of all servers together, from the start.
     pub fn costs(&self) -> Costs {
-        let mut all = self.ended;
+        let mut all = self.ended_costs;
         self.servers.iter().flatten().for_each(|one| all.add(&one.costs));
         all
     }
@@ -161,7 +166,7 @@
     /// Ends a server's process without a farewell.
     pub fn crash(&mut self, server: usize) {
         if let Some(ended) = self.servers[server].take() {
-            self.ended.add(&ended.costs);
+            self.ended_costs.add(&ended.costs);
         }
     }
 
@@ -251,7 +256,7 @@
     }
 
     /// Whether each of these servers holds exactly the others as members, in their present incarnations.
-    pub fn agree(&self, servers: &[usize]) -> bool {
+    pub fn views_agree(&self, servers: &[usize]) -> bool {
         let running = || servers.iter().filter_map(|server| self.servers[*server].as_ref());
         let own = |server: &ModelServer| {
             let identity = server.membership.identity();
--- a/crates/capacity/src/incidents.rs
+++ b/crates/capacity/src/incidents.rs
@@ -5,7 +5,7 @@
 use crate::fleet::Fleet;
 use crate::per_server::PerServer;
 use crate::scale::{
-    CONTROL_MACHINES, FAILURES_PER_DAY, RACK_LOST_NS, RESTARTS_PER_DAY, SECOND_NS, STATED_SERVERS, Scale,
+    CONTROL_MACHINES, FAILURES_PER_DAY, RACK_DOWN_NS, RESTARTS_PER_DAY, SECOND_NS, STATED_SERVERS, Scale,
     seeds, settings,
 };
 use crate::topology::{CUT_REGION, CUT_ZONE, Place};
@@ -34,10 +34,10 @@
     pub servers: usize,
     /// Seconds after the loss until all that ran had one view; `None` where the limit was passed.
     #[serde(rename = "seen")]
-    pub one_view_after_loss: Option<f64>,
+    pub convergence_after_loss: Option<f64>,
     /// Seconds after the return until all had one view; `None` where the limit was passed.
     #[serde(rename = "returned")]
-    pub one_view_after_return: Option<f64>,
+    pub convergence_after_return: Option<f64>,
     /// Servers restarted or failed meanwhile.
     pub restarts: usize,
     /// Servers restarted while the seeds were down that had found the fleet before their return.
@@ -57,9 +57,9 @@
 }
 
 /// A fleet that has run for a while, with random numbers for what happens to it.
-fn settled_fleet(scale: &Scale) -> Result<(Fleet, ChaCha8Rng), ModelError> {
-    let mut fleet = Fleet::settled(scale.servers, settings(scale.servers), scale.seed, &seeds())?;
-    run_with_work(&mut fleet, scale.rest.min(10));
+fn converged_fleet(scale: &Scale) -> Result<(Fleet, ChaCha8Rng), ModelError> {
+    let mut fleet = Fleet::converged(scale.servers, settings(scale.servers), scale.seed, &seeds())?;
+    run_with_work(&mut fleet, scale.rest_seconds.min(10));
     Ok((fleet, ChaCha8Rng::seed_from_u64(scale.seed)))
 }
 
@@ -94,15 +94,15 @@
 }
 
 /// Seconds until all that run have one view.
-fn until_one_view(fleet: &mut Fleet) -> Option<f64> {
+fn run_until_converged(fleet: &mut Fleet) -> Option<f64> {
     let running = fleet.running();
-    fleet.run_until_done(VIEW_STEP_NS, VIEW_LIMIT_NS, |fleet| fleet.agree(&running)).map(seconds)
+    fleet.run_until_done(VIEW_STEP_NS, VIEW_LIMIT_NS, |fleet| fleet.views_agree(&running)).map(seconds)
 }
 
 /// What follows on a return, until one view and [`BURST_NS`] at the least.
 struct Recovery {
     /// Seconds until one view.
-    one_view: Option<f64>,
+    convergence_seconds: Option<f64>,
     burst: PerServer,
     burst_max: f64,
 }
@@ -113,16 +113,17 @@
         let running = fleet.running();
         let started_at = fleet.now();
         let mut sent_by_second = vec![sent_bytes(fleet)];
-        let mut recovery = Recovery { one_view: None, burst: PerServer::default(), burst_max: 0.0 };
+        let mut recovery =
+            Recovery { convergence_seconds: None, burst: PerServer::default(), burst_max: 0.0 };
         while fleet.now() - started_at < VIEW_LIMIT_NS {
             let costs_before = fleet.costs();
             recovery.play_second(fleet, &running, started_at);
             sent_by_second.push(sent_bytes(fleet));
-            let sent = PerServer::of(&fleet.costs().since(&costs_before), running.len(), SECOND_NS);
+            let sent = PerServer::average(&fleet.costs().since(&costs_before), running.len(), SECOND_NS);
             if sent.bytes() > recovery.burst.bytes() {
                 recovery.burst = sent;
             }
-            if recovery.one_view.is_some() && fleet.now() - started_at >= BURST_NS {
+            if recovery.convergence_seconds.is_some() && fleet.now() - started_at >= BURST_NS {
                 break;
             }
         }
@@ -133,8 +134,8 @@
     fn play_second(&mut self, fleet: &mut Fleet, running: &[usize], started_at: Nanos) {
         let end = fleet.now() + SECOND_NS;
         while fleet.now() < end {
-            if self.one_view.is_none() && fleet.agree(running) {
-                self.one_view = Some(seconds(fleet.now() - started_at));
+            if self.convergence_seconds.is_none() && fleet.views_agree(running) {
+                self.convergence_seconds = Some(seconds(fleet.now() - started_at));
             }
             fleet.run_until((fleet.now() + VIEW_STEP_NS).min(end));
         }
@@ -145,8 +146,8 @@
         Incident {
             description,
             servers: scale.servers,
-            one_view_after_loss: after_loss,
-            one_view_after_return: self.one_view,
+            convergence_after_loss: after_loss,
+            convergence_after_return: self.convergence_seconds,
             burst: self.burst,
             burst_max: self.burst_max,
             ..Incident::default()
@@ -178,18 +179,18 @@
 /// # Errors
 /// Where a core does not accept its settings.
 pub fn rack_lost(scale: &Scale) -> Result<Incident, ModelError> {
-    let (mut fleet, _) = settled_fleet(scale)?;
+    let (mut fleet, _) = converged_fleet(scale)?;
     let rack = Place::of(scale.servers - 1).rack;
     let lost: Vec<usize> = (0..scale.servers).filter(|server| Place::of(*server).rack == rack).collect();
     lost.iter().for_each(|server| fleet.crash(*server));
-    let after_loss = until_one_view(&mut fleet);
-    let back_at = fleet.now() + RACK_LOST_NS;
+    let after_loss = run_until_converged(&mut fleet);
+    let back_at = fleet.now() + RACK_DOWN_NS;
     fleet.run_until(back_at);
     for server in &lost {
         fleet.start(*server, &seeds())?;
     }
     let description =
-        format!("a rack of {} lost at once, back after {} s", lost.len(), RACK_LOST_NS / SECOND_NS);
+        format!("a rack of {} lost at once, back after {} s", lost.len(), RACK_DOWN_NS / SECOND_NS);
     Ok(Recovery::play(&mut fleet).into_incident(scale, description, after_loss))
 }
 
@@ -200,14 +201,14 @@
     span_seconds: u64,
     is_cut: impl Fn(Place) -> bool,
 ) -> Result<Incident, ModelError> {
-    let (mut fleet, mut rng) = settled_fleet(scale)?;
+    let (mut fleet, mut rng) = converged_fleet(scale)?;
     fleet.cut(&is_cut);
     let restarts = run_with_restarts(&mut fleet, &mut rng, span_seconds)?;
     let (cut, rest): (Vec<usize>, Vec<usize>) =
         (0..scale.servers).partition(|server| is_cut(Place::of(*server)));
     let holds_lease = |server: &&usize| fleet.server(**server).is_some_and(|server| server.leased() > 0);
     let leases_in_cut = Some(cut.iter().filter(holds_lease).count());
-    let after_loss = (fleet.agree(&cut) && fleet.agree(&rest)).then_some(0.0);
+    let after_loss = (fleet.views_agree(&cut) && fleet.views_agree(&rest)).then_some(0.0);
     fleet.heal();
     let incident = Recovery::play(&mut fleet).into_incident(scale, description, after_loss);
     Ok(Incident { restarts, leases_in_cut, ..incident })
@@ -217,28 +218,28 @@
 ///
 /// # Errors
 /// Where a core does not accept its settings.
-pub fn region_apart(scale: &Scale) -> Result<Incident, ModelError> {
-    let description = format!("a region cut from the two others for {} s", scale.region_apart);
-    cut_off(scale, description, scale.region_apart, |place| place.region == CUT_REGION)
+pub fn region_cut(scale: &Scale) -> Result<Incident, ModelError> {
+    let description = format!("a region cut from the two others for {} s", scale.region_cut_seconds);
+    cut_off(scale, description, scale.region_cut_seconds, |place| place.region == CUT_REGION)
 }
 
 /// A zone is cut from the others.
 ///
 /// # Errors
 /// Where a core does not accept its settings.
-pub fn zone_away(scale: &Scale) -> Result<Incident, ModelError> {
-    let description = format!("a zone away for {} s", scale.zone_away);
-    cut_off(scale, description, scale.zone_away, |place| place.zone == CUT_ZONE)
+pub fn zone_cut(scale: &Scale) -> Result<Incident, ModelError> {
+    let description = format!("a zone away for {} s", scale.zone_cut_seconds);
+    cut_off(scale, description, scale.zone_cut_seconds, |place| place.zone == CUT_ZONE)
 }
 
 /// All control machines, which are the seeds, are down for a while, and some other servers restart meanwhile.
 ///
 /// # Errors
 /// Where a core does not accept its settings.
-pub fn control_away(scale: &Scale) -> Result<Incident, ModelError> {
-    let (mut fleet, mut rng) = settled_fleet(scale)?;
+pub fn control_down(scale: &Scale) -> Result<Incident, ModelError> {
+    let (mut fleet, mut rng) = converged_fleet(scale)?;
     seeds().into_iter().for_each(|server| fleet.crash(server));
-    let after_loss = until_one_view(&mut fleet);
+    let after_loss = run_until_converged(&mut fleet);
     let mut restarted = Vec::new();
     for _ in 0..RESTARTS_WITHOUT_CONTROL {
         let others = (scale.servers - CONTROL_MACHINES) as u64;
@@ -246,7 +247,7 @@
         fleet.start(server, &seeds())?;
         restarted.push(server);
     }
-    let back_at = fleet.now() + scale.control_away * SECOND_NS;
+    let back_at = fleet.now() + scale.control_down_seconds * SECOND_NS;
     fleet.run_until(back_at);
     let has_joined =
         |server: &&usize| fleet.server(**server).is_some_and(|one| one.membership.active_members() > 0);
@@ -254,7 +255,8 @@
     for server in seeds() {
         fleet.start(server, &seeds())?;
     }
-    let description = format!("all {CONTROL_MACHINES} control machines away for {} s", scale.control_away);
+    let description =
+        format!("all {CONTROL_MACHINES} control machines away for {} s", scale.control_down_seconds);
     let incident = Recovery::play(&mut fleet).into_incident(scale, description, after_loss);
     Ok(Incident { restarts: restarted.len(), joined_meanwhile, ..incident })
 }
--- a/crates/capacity/src/meter.rs
+++ b/crates/capacity/src/meter.rs
@@ -6,14 +6,14 @@
 const SECOND_NS: u64 = 1_000_000_000;
 
 /// Processor time of this thread, in nanoseconds.
-pub fn thread_time() -> u64 {
+pub fn thread_time_ns() -> u64 {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::ThreadCPUTime);
     time.tv_sec as u64 * SECOND_NS + time.tv_nsec as u64
 }
 
 /// Bytes that this process has from the allocator now, over all its arenas. A difference of two readings
 /// has a meaning only where no other thread allocates or frees between them.
-pub fn allocated() -> u64 {
+pub fn allocated_bytes() -> u64 {
     // SAFETY: mallinfo2 takes no argument and only reads the allocator's own counts under its locks.
     let info = unsafe { libc::mallinfo2() };
     (info.uordblks + info.hblkhd) as u64
--- a/crates/capacity/src/per_server.rs
+++ b/crates/capacity/src/per_server.rs
@@ -28,16 +28,16 @@
 
 impl PerServer {
     /// Divides the costs of `servers` over a span of nanoseconds.
-    pub fn of(costs: &Costs, servers: usize, span: Nanos) -> PerServer {
+    pub fn average(costs: &Costs, servers: usize, span: Nanos) -> PerServer {
         let server_seconds = servers as f64 * span as f64 / SECOND_NS as f64;
-        let each = |count: u64| count as f64 / server_seconds;
+        let per_server_second = |count: u64| count as f64 / server_seconds;
         let percent = |processor_ns: u64| processor_ns as f64 / SECOND_NS as f64 / server_seconds * 100.0;
         let mechanisms = [&costs.membership, &costs.shared_state, &costs.replication];
         PerServer {
-            membership_bytes: each(costs.membership.bytes),
-            shared_state_bytes: each(costs.shared_state.bytes),
-            replication_bytes: each(costs.replication.bytes),
-            datagrams: each(mechanisms.iter().map(|cost| cost.datagrams).sum()),
+            membership_bytes: per_server_second(costs.membership.bytes),
+            shared_state_bytes: per_server_second(costs.shared_state.bytes),
+            replication_bytes: per_server_second(costs.replication.bytes),
+            datagrams: per_server_second(mechanisms.iter().map(|cost| cost.datagrams).sum()),
             membership_processor: percent(costs.membership.processor_ns),
             shared_state_processor: percent(costs.shared_state.processor_ns),
             replication_processor: percent(costs.replication.processor_ns),
--- a/crates/capacity/src/process.rs
+++ b/crates/capacity/src/process.rs
@@ -1,7 +1,7 @@
 //! Processes of the program on loopback, with test doubles for the interpreter and the service registry: what
 //! they hold and do as the system counts it. Each is ended by its own id.
 
-use crate::error::{MeasureError, failed};
+use crate::error::{MeasureError, io_error};
 use meadowstream_test_doubles::{interpreter, registry};
 use serde_json::{Value, json};
 use std::collections::HashMap;
@@ -23,7 +23,7 @@
 const USER_TICKS_FIELD: usize = 11;
 const SYSTEM_TICKS_FIELD: usize = 12;
 /// Log lines of each message that are held: the first and the last ones.
-const LINES_MAX: usize = 64;
+const LINES_PER_MESSAGE_MAX: usize = 64;
 /// Owner alone may read and write: the program takes no other key file.
 const KEY_FILE_MODE: u32 = 0o600;
 
@@ -67,7 +67,7 @@
         let message = fields["message"].as_str().unwrap_or("").to_string();
         let mut log = self.lock();
         let lines = log.entry(message).or_default();
-        if lines.len() == LINES_MAX {
+        if lines.len() == LINES_PER_MESSAGE_MAX {
             lines.remove(1);
         }
         lines.push(LogLine { at: Instant::now(), fields });
@@ -164,11 +164,12 @@
     /// # Errors
     /// Where it does not start or a line of its log does not come.
     pub fn start(program: &Path, settings: &ProcessSettings) -> Result<Process, MeasureError> {
-        let (interpreter, _) = interpreter::start(settings.cores).map_err(failed("start an interpreter"))?;
-        let (registry, _) = registry::start().map_err(failed("start a service registry"))?;
+        let (interpreter, _) =
+            interpreter::start(settings.cores).map_err(io_error("start an interpreter"))?;
+        let (registry, _) = registry::start().map_err(io_error("start a service registry"))?;
         let platform_settings = platform_settings(settings, interpreter, registry);
         let folder =
-            write_files(settings, &platform_settings).map_err(failed("write the files of a process"))?;
+            write_files(settings, &platform_settings).map_err(io_error("write the files of a process"))?;
         let mut child = spawn(program, &folder)?;
         let log = Log::default();
         if let Some(stderr) = child.stderr.take() {
@@ -226,7 +227,7 @@
     pub fn signal(&self, signal: &'static str) -> Result<(), MeasureError> {
         let process = self.id();
         let status = Command::new("kill").args([format!("-{signal}"), process.to_string()]).status();
-        let status = status.map_err(failed("run kill"))?;
+        let status = status.map_err(io_error("run kill"))?;
         if !status.success() {
             return Err(MeasureError::Signal { signal, process });
         }
@@ -235,7 +236,7 @@
 
     fn read_proc(&self, name: &str) -> Result<(PathBuf, String), MeasureError> {
         let file = PathBuf::from(format!("/proc/{}/{name}", self.id()));
-        let text = std::fs::read_to_string(&file).map_err(failed("read a file of /proc"))?;
+        let text = std::fs::read_to_string(&file).map_err(io_error("read a file of /proc"))?;
         Ok((file, text))
     }
 
--- a/crates/capacity/src/process_fleet.rs
+++ b/crates/capacity/src/process_fleet.rs
@@ -10,8 +10,8 @@
 
 /// A process alone settles for so long before it is measured.
 const ALONE_SETTLE: Duration = Duration::from_secs(2);
-const ONE_VIEW_TIMEOUT: Duration = Duration::from_secs(90);
-const ONE_VIEW_POLL_INTERVAL: Duration = Duration::from_millis(100);
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(90);
+const CONVERGENCE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// The gossip that joining leaves behind lasts less than this.
 const JOIN_GOSSIP: Duration = Duration::from_secs(12);
 const DESCRIPTORS: usize = 256;
@@ -87,12 +87,12 @@
         let view = process.lines("view").pop();
         view.is_some_and(|view| view.fields["alive"].as_u64() == Some(size as u64 - 1))
     };
-    let end = Instant::now() + ONE_VIEW_TIMEOUT;
+    let end = Instant::now() + CONVERGENCE_TIMEOUT;
     while !processes.iter().all(sees_all) {
         if Instant::now() >= end {
-            return Err(MeasureError::NoOneView { processes: size, within: ONE_VIEW_TIMEOUT });
+            return Err(MeasureError::NotConverged { processes: size, within: CONVERGENCE_TIMEOUT });
         }
-        std::thread::sleep(ONE_VIEW_POLL_INTERVAL);
+        std::thread::sleep(CONVERGENCE_POLL_INTERVAL);
     }
     Ok(processes)
 }
--- a/crates/capacity/src/report/mod.rs
+++ b/crates/capacity/src/report/mod.rs
@@ -18,9 +18,9 @@
 use std::time::Instant;
 
 /// Smallest largest fleet of a model: a sixteenth of it has to hold the control machines.
-pub const SERVERS_LEAST: usize = 80;
+pub const SERVERS_MIN: usize = 80;
 /// Largest fleet of a model.
-pub const SERVERS_MOST: usize = 2_000;
+pub const SERVERS_MAX: usize = 2_000;
 /// The stated numbers of tenants and routes.
 const TENANTS: usize = 64_000;
 const ROUTES: usize = 6_200;
@@ -31,7 +31,7 @@
 /// A quick run plays incidents on a fleet of this part of the size, a full one the region's hour.
 const SMALL_FLEET_DIVISOR: usize = 4;
 /// At the full size a region is cut off for at most so long.
-const REGION_APART_SECONDS_MAX: u64 = 300;
+const REGION_CUT_SECONDS_MAX: u64 = 300;
 
 /// Size and length of a run.
 #[derive(Clone, Copy, Debug)]
@@ -77,7 +77,7 @@
     pub process_fleet_model: PerServer,
     /// Bytes of the allocator for each of its servers.
     #[serde(rename = "dozens_model_memory")]
-    pub process_fleet_model_memory: f64,
+    pub process_fleet_model_memory_bytes: f64,
     /// Bounds that do not hold.
     #[serde(rename = "passed")]
     pub exceeded_bounds: Vec<String>,
@@ -115,7 +115,7 @@
         added_latencies,
         process_fleet,
         process_fleet_model: model.costs,
-        process_fleet_model_memory: model.memory,
+        process_fleet_model_memory_bytes: model.memory_bytes,
         exceeded_bounds: Vec::new(),
     };
     report.exceeded_bounds = bounds::exceeded(&report);
@@ -172,13 +172,13 @@
     let scale = if quick { small } else { *scale };
     let mut plays: Vec<(PlayIncident, Scale)> = vec![
         (incidents::rack_lost, scale),
-        (incidents::zone_away, scale),
-        (incidents::control_away, scale),
-        (incidents::region_apart, small),
+        (incidents::zone_cut, scale),
+        (incidents::control_down, scale),
+        (incidents::region_cut, small),
     ];
     if !quick {
-        let region_apart = scale.region_apart.min(REGION_APART_SECONDS_MAX);
-        plays.push((incidents::region_apart, Scale { region_apart, ..scale }));
+        let region_cut_seconds = scale.region_cut_seconds.min(REGION_CUT_SECONDS_MAX);
+        plays.push((incidents::region_cut, Scale { region_cut_seconds, ..scale }));
     }
     plays
 }
--- a/crates/capacity/src/report/table.rs
+++ b/crates/capacity/src/report/table.rs
@@ -42,7 +42,7 @@
             real.processes,
             real.resident_bytes / 1e6,
             real.resident_bytes_alone / 1e6,
-            self.process_fleet_model_memory / 1e6,
+            self.process_fleet_model_memory_bytes / 1e6,
             real.processor_percent,
             real.processor_percent_alone,
             model.processor(),
@@ -85,13 +85,13 @@
              a region apart \
              for {} s, a zone {} s, all control machines {} s",
             scale.servers,
-            scale.day,
+            scale.day_seconds,
             day.changes,
             day.not_published,
             day.restarts,
-            scale.region_apart,
-            scale.zone_away,
-            scale.control_away
+            scale.region_cut_seconds,
+            scale.zone_cut_seconds,
+            scale.control_down_seconds
         ),
         format!(
             "in force on a server after p50 {:.2} s, p99 {:.2} s, worst {:.2} s; everywhere \
@@ -107,8 +107,8 @@
              a second a \
              server, {:.0} the publisher, {:.4}% of a core",
             day.returns,
-            day.catch_up_max,
-            day.empty_disk_catch_up_max,
+            day.catch_up_max_seconds,
+            day.empty_disk_catch_up_max_seconds,
             day.bytes_per_second,
             day.leader_bytes_per_second,
             day.processor_percent
@@ -126,8 +126,8 @@
          of one server {:.0} at the most over 10 s",
         one.servers,
         one.description,
-        span(one.one_view_after_loss),
-        span(one.one_view_after_return),
+        span(one.convergence_after_loss),
+        span(one.convergence_after_return),
         one.restarts,
         one.burst.bytes(),
         one.burst.membership_bytes,
--- a/crates/capacity/src/scale.rs
+++ b/crates/capacity/src/scale.rs
@@ -25,7 +25,7 @@
 /// Servers of the fleet that the bounds and daily numbers are stated for.
 pub const STATED_SERVERS: f64 = 690.0;
 /// A lost rack comes back after so long.
-pub const RACK_LOST_NS: Nanos = 60 * SECOND_NS;
+pub const RACK_DOWN_NS: Nanos = 60 * SECOND_NS;
 /// Machines set aside for control: the first servers, which are the seeds.
 pub const CONTROL_MACHINES: usize = 4;
 /// The first control machines; they vote on budgets and keep the log of configuration.
@@ -49,24 +49,42 @@
     /// Of all random numbers.
     pub seed: u64,
     /// A fleet at rest is measured for so long, after as long to settle.
-    pub rest: u64,
+    #[serde(rename = "rest")]
+    pub rest_seconds: u64,
     /// A region is cut off for so long.
-    pub region_apart: u64,
+    #[serde(rename = "region_apart")]
+    pub region_cut_seconds: u64,
     /// A zone is cut off for so long.
-    pub zone_away: u64,
+    #[serde(rename = "zone_away")]
+    pub zone_cut_seconds: u64,
     /// The control machines are down for so long.
-    pub control_away: u64,
+    #[serde(rename = "control_away")]
+    pub control_down_seconds: u64,
 }
 
 impl Scale {
     /// The stated spans.
     pub fn full(servers: usize, seed: u64) -> Scale {
-        Scale { servers, seed, rest: 30, region_apart: 3600, zone_away: 300, control_away: 300 }
+        Scale {
+            servers,
+            seed,
+            rest_seconds: 30,
+            region_cut_seconds: 3600,
+            zone_cut_seconds: 300,
+            control_down_seconds: 300,
+        }
     }
 
     /// Short spans.
     pub fn quick(servers: usize, seed: u64) -> Scale {
-        Scale { servers, seed, rest: 10, region_apart: 60, zone_away: 30, control_away: 30 }
+        Scale {
+            servers,
+            seed,
+            rest_seconds: 10,
+            region_cut_seconds: 60,
+            zone_cut_seconds: 30,
+            control_down_seconds: 30,
+        }
     }
 
     /// Five sizes, the largest last.
--- a/crates/capacity/src/server.rs
+++ b/crates/capacity/src/server.rs
@@ -2,7 +2,7 @@
 //! datagrams and time. What it sends is addressed and sealed as a real one's.
 
 use crate::error::ModelError;
-use crate::meter::{Costs, thread_time};
+use crate::meter::{Costs, thread_time_ns};
 use meadowstream_membership::directory::Directory;
 use meadowstream_membership::envelope::{HEADER_BYTES, TAG_BYTES};
 use meadowstream_membership::{MemberId, Membership, Nanos, Transmit};
@@ -90,11 +90,11 @@
 
     /// Handles a datagram.
     pub fn receive(&mut self, from: SocketAddr, datagram: &[u8], now: Nanos) {
-        let started = thread_time();
+        let started = thread_time_ns();
         // A datagram that is not accepted costs its processor time alone.
         let _ = self.membership.handle_datagram(from, datagram, now);
         let bodies = self.membership.take_shared_state();
-        let membership_done = thread_time();
+        let membership_done = thread_time_ns();
         self.costs.membership.processor_ns += membership_done - started;
         if bodies.is_empty() {
             return;
@@ -104,7 +104,7 @@
         }
         let others = self.shared_state.take_received();
         self.send_shared_state(now);
-        let shared_state_done = thread_time();
+        let shared_state_done = thread_time_ns();
         self.costs.shared_state.processor_ns += shared_state_done - membership_done;
         if others.is_empty() {
             return;
@@ -114,7 +114,7 @@
             member.receive(START_NS + now, &other.from.name, &other.body);
         }
         self.drive_replication(now);
-        self.costs.replication.processor_ns += thread_time() - shared_state_done;
+        self.costs.replication.processor_ns += thread_time_ns() - shared_state_done;
     }
 
     /// What a host does for its member. Writes and checks of revisions succeed at once.
@@ -168,22 +168,22 @@
 
     /// Does what is due by `now`.
     pub fn advance(&mut self, now: Nanos) {
-        let started = thread_time();
+        let started = thread_time_ns();
         self.membership.handle_timeout(now);
         self.membership.take_changes();
-        let membership_done = thread_time();
+        let membership_done = thread_time_ns();
         self.costs.membership.processor_ns += membership_done - started;
         if now >= self.shared_state_due {
             self.shared_state_due = now + self.shared_state.due_in();
             self.directory.refresh(&self.membership, now);
             self.shared_state.advance(Self::reading(now), self.directory.names());
             self.send_shared_state(now);
-            self.costs.shared_state.processor_ns += thread_time() - membership_done;
+            self.costs.shared_state.processor_ns += thread_time_ns() - membership_done;
         }
-        let shared_state_done = thread_time();
+        let shared_state_done = thread_time_ns();
         if self.replication.as_ref().is_some_and(|member| START_NS + now >= member.next_due()) {
             self.drive_replication(now);
-            self.costs.replication.processor_ns += thread_time() - shared_state_done;
+            self.costs.replication.processor_ns += thread_time_ns() - shared_state_done;
         }
     }
 
--- a/crates/capacity/src/tenants.rs
+++ b/crates/capacity/src/tenants.rs
@@ -2,7 +2,7 @@
 //! rate of a control period take in the fair queues.
 
 use crate::fit::{Curve, Point};
-use crate::meter::{allocated, thread_time};
+use crate::meter::{allocated_bytes, thread_time_ns};
 use crate::scale::SECOND_NS;
 use meadowstream_fair_queueing::{FairScheduler, NamedTenant, ServiceOutcome, Settings, TenantKey};
 use serde::Serialize;
@@ -46,9 +46,9 @@
     let named: Vec<NamedTenant> = (0..tenants).map(|tenant| (name(tenant), WEIGHT)).collect();
     let accounts = 2 * tenants + OTHER_ACCOUNTS;
     let settings = Settings { accounts, named: named.clone().into(), ..Settings::default() };
-    let allocated_before = allocated();
+    let allocated_before = allocated_bytes();
     let mut fair = FairScheduler::new(settings, CORES, SEED, 0);
-    let memory_bytes = allocated().saturating_sub(allocated_before) as f64;
+    let memory_bytes = allocated_bytes().saturating_sub(allocated_before) as f64;
     let mut arrive = |arrival: usize| {
         let now = arrival as u64 * ARRIVAL_INTERVAL_NS;
         let (name, _) = &named[arrival.wrapping_mul(STRIDE) % tenants];
@@ -57,14 +57,14 @@
         fair.end(now, &admission, ServiceOutcome::Ran(WORK_NS as u64));
     };
     (0..tenants).for_each(&mut arrive);
-    let started_at = thread_time();
+    let started_at = thread_time_ns();
     (0..ARRIVALS).for_each(&mut arrive);
-    let arrival_ns = (thread_time() - started_at) as f64 / ARRIVALS as f64;
-    let started_at = thread_time();
+    let arrival_ns = (thread_time_ns() - started_at) as f64 / ARRIVALS as f64;
+    let started_at = thread_time_ns();
     for second in 0..FAIR_RATE_UPDATES {
         fair.update_fair_rate(SECOND_NS * (4 + second), CORES, f64::INFINITY);
     }
-    let fair_rate_ns = (thread_time() - started_at) as f64 / FAIR_RATE_UPDATES as f64;
+    let fair_rate_ns = (thread_time_ns() - started_at) as f64 / FAIR_RATE_UPDATES as f64;
     TenantCosts { tenants, memory_bytes, arrival_ns, fair_rate_ns }
 }
 
--- a/crates/capacity/tests/model.rs
+++ b/crates/capacity/tests/model.rs
@@ -6,7 +6,14 @@
 use meadowstream_capacity::{at_rest, day, incidents};
 
 fn scale(servers: usize) -> Scale {
-    Scale { servers, seed: 5, rest: 5, region_apart: 20, zone_away: 20, control_away: 20 }
+    Scale {
+        servers,
+        seed: 5,
+        rest_seconds: 5,
+        region_cut_seconds: 20,
+        zone_cut_seconds: 20,
+        control_down_seconds: 20,
+    }
 }
 
 #[test]
@@ -29,20 +36,20 @@
 fn a_rack_a_region_and_the_control_machines_go_and_come_back() {
     let rack = incidents::rack_lost(&scale(60)).unwrap();
     assert!(
-        rack.one_view_after_loss.unwrap() < 30.0 && rack.one_view_after_return.unwrap() < 30.0,
+        rack.convergence_after_loss.unwrap() < 30.0 && rack.convergence_after_return.unwrap() < 30.0,
         "{rack:?}"
     );
-    let region = incidents::region_apart(&scale(60)).unwrap();
-    assert!(region.one_view_after_return.unwrap() < 30.0, "{region:?}");
+    let region = incidents::region_cut(&scale(60)).unwrap();
+    assert!(region.convergence_after_return.unwrap() < 30.0, "{region:?}");
     // The smaller side has no majority of voters, and so no lease.
     assert_eq!(region.leases_in_cut, Some(0));
-    let control = incidents::control_away(&scale(60)).unwrap();
-    assert!(control.one_view_after_return.unwrap() < 30.0, "{control:?}");
+    let control = incidents::control_down(&scale(60)).unwrap();
+    assert!(control.convergence_after_return.unwrap() < 30.0, "{control:?}");
 }
 
 #[test]
 fn a_small_day_of_changes_comes_to_all() {
-    let scale = day::DayScale { day: 600, ..day::DayScale::quick(60, 5) };
+    let scale = day::DayScale { day_seconds: 600, ..day::DayScale::quick(60, 5) };
     let day = day::play(&scale, &|_| ());
     assert!(day.changes > 700 && day.restarts > 900, "{day:#?}");
     assert!(day.p50_seconds < 1.0 && day.p99_seconds < 12.0, "{day:#?}");
@@ -58,25 +65,29 @@
     let line = curve.line.unwrap();
     assert!((line.slope - 2.0).abs() < 1e-9 && line.slope_error < 1e-9, "{line:?}");
     assert!((curve.predicted - 161.0).abs() < 1e-9 && curve.measured == 200.0 && !curve.is_within_bound());
-    assert_eq!(Line::through(&points[..2]), None);
-    assert_eq!(Line::through(&[point(1.0, 1.0), point(1.0, 2.0), point(1.0, 3.0)]), None);
+    assert_eq!(Line::fit(&points[..2]), None);
+    assert_eq!(Line::fit(&[point(1.0, 1.0), point(1.0, 2.0), point(1.0, 3.0)]), None);
 }
 
 /// What a control machine spends at rest at the stated size, and what the log of 64,000 tenants holds.
 #[test]
 #[ignore = "half a minute"]
 fn a_control_machine_at_the_stated_size() {
-    use meadowstream_capacity::meter::{allocated, thread_time};
+    use meadowstream_capacity::meter::{allocated_bytes, thread_time_ns};
     println!("{:#?}", at_rest::measure(690, &Scale::full(690, 1)).unwrap().leader);
-    let before = allocated();
+    let before = allocated_bytes();
     let mut state = meadowstream_replication::state::State::default();
     (0..64_000).for_each(|n| state.set(&format!("tenants/tenant/tenant-{n:05}"), "2"));
-    println!("64,000 keys: {} bytes", allocated() - before);
+    println!("64,000 keys: {} bytes", allocated_bytes() - before);
     let mut saved = meadowstream_replication::persistence::PersistedState::default();
     (saved.committed.revision.hash, saved.committed.state) = (state.hash(), state);
-    let began = thread_time();
+    let began = thread_time_ns();
     let bytes = meadowstream_replication::persistence::encode(&saved);
-    println!("written at a change: {} bytes, encoded in {} us", bytes.len(), (thread_time() - began) / 1000);
+    println!(
+        "written at a change: {} bytes, encoded in {} us",
+        bytes.len(),
+        (thread_time_ns() - began) / 1000
+    );
 }
 
 /// The stated size: `cargo test --release -p meadowstream-capacity -- --ignored --nocapture`.
@@ -84,6 +95,6 @@
 #[ignore = "some minutes"]
 fn a_zone_away_and_a_day_at_the_stated_size() {
     let day = std::thread::spawn(|| day::play(&day::DayScale::full(690, 1), &|_| ()));
-    println!("{:#?}", incidents::zone_away(&Scale::full(690, 1)).unwrap());
+    println!("{:#?}", incidents::zone_cut(&Scale::full(690, 1)).unwrap());
     println!("{:#?}", day.join().unwrap());
 }
--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -1,7 +1,7 @@
 //! Turns the words of the command line into a [`Command`].
 
 use anyhow::{Context, Result, bail, ensure};
-use meadowstream_capacity::report::{Options as CapacityOptions, SERVERS_LEAST, SERVERS_MOST};
+use meadowstream_capacity::report::{Options as CapacityOptions, SERVERS_MAX, SERVERS_MIN};
 use meadowstream_server::fleet::{coordinator, publish};
 use pico_args::Arguments;
 use std::convert::Infallible;
@@ -161,10 +161,10 @@
     let quick = arguments.contains("--quick");
     let seed: Option<u64> =
         arguments.opt_value_from_str("--seed").context("--seed: a whole number from 0 up")?;
-    let allowed = format!("--servers: a whole number within {SERVERS_LEAST} and {SERVERS_MOST}");
+    let allowed = format!("--servers: a whole number within {SERVERS_MIN} and {SERVERS_MAX}");
     let servers: Option<usize> = arguments.opt_value_from_str("--servers").context(allowed.clone())?;
     let servers = servers.unwrap_or(CAPACITY_SERVERS);
-    ensure!((SERVERS_LEAST..=SERVERS_MOST).contains(&servers), "{allowed}, not {servers}");
+    ensure!((SERVERS_MIN..=SERVERS_MAX).contains(&servers), "{allowed}, not {servers}");
     let options = CapacityOptions { servers, seed: seed.unwrap_or(1), quick };
     Ok(Command::FleetCapacity { options, json })
 }
