--- a/crates/capacity/src/error.rs
+++ b/crates/capacity/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the model and of measurements on processes.
+//! Errors of the fleet model and of measurements on processes.
 
 use meadowstream_membership::MembershipError;
 use meadowstream_replication::member::SettingsError as ReplicationSettingsError;
@@ -6,116 +6,116 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Settings that one of the model's cores does not accept.
+/// Invalid settings for a server of the fleet model.
 #[derive(Debug, thiserror::Error)]
 pub enum ModelError {
-    /// Those of the fleet's view.
+    /// Invalid membership settings.
     #[error(transparent)]
     Membership(#[from] MembershipError),
-    /// Those of shared state.
+    /// Invalid shared state settings.
     #[error(transparent)]
     SharedState(#[from] SharedStateSettingsError),
-    /// Those of replicated configuration.
+    /// Invalid replication settings.
     #[error(transparent)]
     Replication(#[from] ReplicationSettingsError),
 }
 
-/// A measurement that could not be made.
+/// Reason why a measurement failed.
 #[derive(Debug, thiserror::Error)]
 pub enum MeasureError {
-    /// The model did not start.
-    #[error("the model refuses its settings: {0}")]
+    /// The fleet model rejected its settings.
+    #[error("invalid settings for the fleet model: {0}")]
     Model(#[from] ModelError),
-    /// The program did not start.
+    /// The operating system could not start the program.
     #[error("cannot start {}", program.display())]
     Start {
         /// Path of the program.
         program: PathBuf,
-        /// The system's error.
+        /// Error returned by the operating system.
         #[source]
         source: std::io::Error,
     },
-    /// The program ended while a line of its log was waited for.
-    #[error("the program has ended: {messages:?}")]
+    /// The program exited before it logged an expected message.
+    #[error("the program exited before it logged an expected message; it logged {messages:?}")]
     Ended {
-        /// The messages of its log.
+        /// Distinct messages in the program's log.
         messages: Vec<String>,
     },
-    /// A line of the program's log did not come.
-    #[error("no {message:?} in the log within {within:?}, but {messages:?}")]
+    /// The program did not log an expected message in time.
+    #[error("the program did not log {message:?} within {within:?}; it logged {messages:?}")]
     NoLogLine {
-        /// The message that was waited for.
+        /// Expected message.
         message: String,
-        /// For how long.
+        /// Time limit that passed without the message.
         within: Duration,
-        /// The messages of its log.
+        /// Distinct messages in the program's log.
         messages: Vec<String>,
     },
-    /// A line of the program's log lacks a field, or has another value than an address there.
-    #[error("no address in the field {field:?} of {message:?} in the log")]
+    /// A log line of the program lacks a field that should hold an address, or the field is not an address.
+    #[error("log line {message:?} has no address in the field {field:?}")]
     NoAddress {
-        /// The line's message.
+        /// Message of the log line.
         message: &'static str,
-        /// The field.
+        /// Name of the field.
         field: &'static str,
     },
-    /// A file of /proc is not as expected.
-    #[error("no {field} in {}", file.display())]
+    /// A file in /proc lacks an expected field.
+    #[error("no field {field} in {}", file.display())]
     NoProcField {
-        /// The file.
+        /// Path of the file in /proc.
         file: PathBuf,
-        /// The field.
+        /// Name of the missing field.
         field: &'static str,
     },
-    /// A process could not be signalled.
+    /// A signal could not be sent to a process.
     #[error("kill -{signal} {process} failed")]
     Signal {
-        /// Name of the signal.
+        /// Name of the signal without `SIG`.
         signal: &'static str,
-        /// Id of the process.
+        /// Process id.
         process: u32,
     },
-    /// A health check was not answered.
+    /// The program did not answer a health check.
     #[error("no answer to a health check on connection {connection}")]
     NoHealthCheck {
-        /// The connection's number.
+        /// Index of the connection, in the order of opening.
         connection: usize,
-        /// The system's error.
+        /// Error of the read.
         #[source]
         source: std::io::Error,
     },
     /// The program closed a connection.
-    #[error("connection {connection} was closed")]
+    #[error("the program closed connection {connection}")]
     ConnectionClosed {
-        /// The connection's number.
+        /// Index of the connection, in the order of opening.
         connection: usize,
     },
-    /// Processes did not come to see each other.
-    #[error("no one view of {processes} processes within {} s", within.as_secs())]
+    /// The membership views of the processes did not converge in time.
+    #[error("membership of {processes} processes did not converge within {} s", within.as_secs())]
     NotConverged {
-        /// Number of processes.
+        /// Number of processes in the fleet.
         processes: usize,
-        /// For how long that was waited for.
+        /// Time limit for the convergence.
         within: Duration,
     },
-    /// A file, a socket or a process failed.
-    #[error("{action}")]
+    /// An operation on a file, a socket or a process failed.
+    #[error("cannot {action}")]
     Io {
-        /// What failed.
+        /// Failed operation as a verb phrase, such as "open a connection".
         action: &'static str,
-        /// The system's error.
+        /// Error returned by the operating system.
         #[source]
         source: std::io::Error,
     },
-    /// A histogram could not be made.
-    #[error("a histogram cannot be made")]
+    /// A histogram could not be created.
+    #[error("cannot create a histogram")]
     Histogram(#[from] hdrhistogram::CreationError),
-    /// A figure was out of a histogram's range.
-    #[error("a histogram takes no such figure")]
+    /// A measured value was outside the range of a histogram.
+    #[error("value outside the range of the histogram")]
     Record(#[from] hdrhistogram::RecordError),
 }
 
-/// Maps the error of a system call to [`MeasureError::Io`].
+/// Returns a function for `map_err` that wraps an I/O error in [`MeasureError::Io`].
 pub(crate) fn io_error(action: &'static str) -> impl FnOnce(std::io::Error) -> MeasureError {
     move |source| MeasureError::Io { action, source }
 }
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,14 +1,13 @@
-//! A scale model of the fleet and measurements on real processes, which together are `meadowstream fleet
-//! capacity`.
+//! A scale model of the fleet, and measurements on real processes. `meadowstream fleet capacity` runs both.
 //!
-//! The model ([`fleet`], [`server`]) runs the cores of membership, shared state and replicated configuration
-//! with their real codec, hundreds of servers in one process and in simulated time. [`at_rest`] measures a
-//! server at several sizes of the fleet, fits a line through all but the largest, and sets the measurement
-//! there beside the prediction; [`incidents`] and [`day`] play failures at their stated rates.
-//! `docs/CAPACITY.md` has the figures.
+//! The model ([`fleet`], [`server`]) runs the protocol code of membership, shared state and replicated
+//! configuration with its real encoding, for hundreds of servers in one process and in simulated time.
+//! [`at_rest`] measures the cost of one server at several fleet sizes, fits a line through all sizes but the
+//! largest, and compares the line's prediction for the largest size with the measurement. [`incidents`] and
+//! [`day`] simulate failures at the rates stated in [`scale`]. `docs/CAPACITY.md` lists the results.
 //!
-//! Delays between regions and zones are estimates; processor time is the thread's, and memory the
-//! allocator's.
+//! Network delays between regions and zones are estimates. Processor time is the CPU time of the measuring
+//! thread, and memory is the number of bytes allocated from the heap.
 
 #![deny(missing_docs, clippy::too_many_lines)]
 
--- a/crates/capacity/src/options.rs
+++ b/crates/capacity/src/options.rs
@@ -1,28 +1,30 @@
-//! Options files of the processes that are measured.
+//! XML elements for the options files of the measured processes.
 
 use std::fmt::Write;
 
-/// Servers that vote on the budget of calls.
+/// Number of servers that vote on leases of the call budget.
 const VOTERS: usize = 3;
-/// Units of the budget of calls for each server.
+/// Units of the call budget per server of the fleet.
 const BUDGET_UNITS_PER_SERVER: usize = 10;
-/// Accounts of tenants that are not named.
+/// Number of accounts for tenants without an entry in the options.
 const OTHER_ACCOUNTS: usize = 16;
 
-/// The element of so many named tenants, all of one weight.
+/// Returns the `<tenants>` element with `count` named tenants of equal weight.
 pub(crate) fn tenants(count: usize, weight: u32) -> String {
     let accounts = 2 * count + OTHER_ACCOUNTS;
     let mut text = format!(
         "<tenants by=\"field\" field=\"venue\" origin=\"sender\">\n<ceilings accounts=\"{accounts}\"/>\n"
     );
     for tenant in 0..count {
-        writeln!(text, "<tenant name=\"t{tenant}\" weight=\"{weight}\"/>").expect("a String takes any text");
+        writeln!(text, "<tenant name=\"t{tenant}\" weight=\"{weight}\"/>")
+            .expect("writing to a String cannot fail");
     }
     text.push_str("</tenants>");
     text
 }
 
-/// The elements of the fleet's mechanisms: membership with a seed's address, a budget and counters.
+/// Returns the `<membership>` and `<shared-state>` elements of the server called `name`. Without `seed`, the
+/// server joins no other. The shared state holds one call budget and the replicated counters.
 pub(crate) fn fleet(name: &str, servers: usize, seed: Option<&str>) -> String {
     let seed = seed.map_or(String::new(), |seed| format!("<seed address=\"{seed}\"/>"));
     let voters: String = (0..VOTERS).map(|voter| format!("<voter name=\"c{voter}\"/>")).collect();
--- a/crates/capacity/src/report/bounds.rs
+++ b/crates/capacity/src/report/bounds.rs
@@ -1,15 +1,15 @@
-//! The bounds that the measurements must keep.
+//! Upper bounds of the measurements in a report.
 
 use super::Report;
 use crate::day::IN_FORCE_SECONDS_BOUND;
 use crate::scale::BYTES_PER_SECOND_BOUND;
 
-/// What a process may add to 99 in 100 invocations, in microseconds.
+/// Upper bound of the 99th percentile of the latency that a process adds to invocations, in microseconds.
 const ADDED_LATENCY_US_BOUND: u64 = 5_100;
-/// Longest pause of the serving thread at a change of options, in microseconds.
+/// Upper bound of the time for which an options reload blocks the serving thread, in microseconds.
 const PAUSE_US_BOUND: u64 = 1_000;
 
-/// The bounds that do not hold, each with its figure.
+/// Describes each bound that the report exceeds, with the measured value.
 pub(super) fn exceeded(report: &Report) -> Vec<String> {
     let mut exceeded = Vec::new();
     for curve in report.curves.iter().filter(|curve| !curve.is_within_bound()) {
@@ -27,7 +27,7 @@
     if p99 > IN_FORCE_SECONDS_BOUND {
         exceeded.push(format!("99 in 100 of changes in force on a server within {p99:.2} s"));
     }
-    for incident in report.incidents.iter().filter(|one| one.burst_max > BYTES_PER_SECOND_BOUND) {
+    for incident in report.incidents.iter().filter(|incident| incident.burst_max > BYTES_PER_SECOND_BOUND) {
         let (description, burst) = (&incident.description, incident.burst_max);
         exceeded.push(format!("bytes a second of one server over 10 s after {description}: {burst:.0}"));
     }
--- a/crates/capacity/src/report/mod.rs
+++ b/crates/capacity/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! All measurements of one run of `meadowstream fleet capacity`, as a table and as JSON.
+//! Runs all measurements of `meadowstream fleet capacity` and reports them as a table and as JSON.
 
 mod bounds;
 mod table;
@@ -17,30 +17,35 @@
 use std::path::Path;
 use std::time::Instant;
 
-/// Smallest largest fleet of a model: a sixteenth of it has to hold the control machines.
+/// Minimum for [`Options::servers`]. The smallest modelled fleet has a sixteenth as many servers, and must be
+/// large enough for the control machines.
 pub const SERVERS_MIN: usize = 80;
-/// Largest fleet of a model.
+/// Maximum for [`Options::servers`].
 pub const SERVERS_MAX: usize = 2_000;
-/// The stated numbers of tenants and routes.
+/// Number of named tenants that the program must support.
 const TENANTS: usize = 64_000;
+/// Number of operations (routes) that the program must support.
 const ROUTES: usize = 6_200;
-/// Invocations a second of one server: 190,000 over 690 servers, and with one region of three gone.
+/// Invocations per second and server: 190,000 divided by 690 servers, and the same load on the servers that
+/// remain when one of three regions is down.
 const RATES: [f64; 2] = [275.0, 413.0];
-/// Counters are waited for at most so long; the time grows with the square of the size.
+/// Time limit for the counters to converge, in simulated seconds. The convergence time grows with the square
+/// of the fleet size.
 const COUNTERS_LIMIT_SECONDS: u64 = 900;
-/// A quick run plays incidents on a fleet of this part of the size, a full one the region's hour.
+/// Divides the fleet size for short simulations: all incidents and the day in a quick run, and the hour-long
+/// cut of a region in a full run.
 const SMALL_FLEET_DIVISOR: usize = 4;
-/// At the full size a region is cut off for at most so long.
+/// Longest cut of a region in a fleet of the full size, in seconds.
 const REGION_CUT_SECONDS_MAX: u64 = 300;
 
-/// Size and length of a run.
+/// Fleet size, random seed and length of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Servers of the largest fleet.
+    /// Number of servers in the largest modelled fleet.
     pub servers: usize,
-    /// Of all random numbers.
+    /// Seed of all random number generators.
     pub seed: u64,
-    /// Short spans and smaller fleets.
+    /// Whether to use shorter time spans and smaller fleets.
     pub quick: bool,
 }
 
@@ -51,42 +56,42 @@
     }
 }
 
-/// All measurements.
+/// Results of all measurements.
 #[derive(Debug, Serialize)]
 pub struct Report {
-    /// Servers of the largest fleet.
+    /// Number of servers in the largest modelled fleet.
     pub servers: usize,
-    /// Of all random numbers.
+    /// Seed of all random number generators.
     pub seed: u64,
-    /// Short spans and smaller fleets.
+    /// Whether the run used shorter time spans and smaller fleets.
     pub quick: bool,
-    /// Figures over sizes.
+    /// Measurements as a function of fleet size, tenant count or connection count.
     pub curves: Vec<Curve>,
-    /// Failures of parts of the fleet.
+    /// Simulated failures of parts of the fleet.
     pub incidents: Vec<Incident>,
-    /// A day of configuration.
+    /// Simulated day of configuration changes and failures.
     pub day: Day,
-    /// What a process adds to invocations, by load.
+    /// Latency that one process adds to invocations, for each load.
     #[serde(rename = "added")]
     pub added_latencies: Vec<AddedLatency>,
-    /// What each process of a fleet uses.
+    /// Resource use of each process in a fleet of real processes.
     #[serde(rename = "dozens")]
     pub process_fleet: ProcessFleet,
-    /// The model of a fleet of the same size, idle.
+    /// Costs of one server in a modelled idle fleet of the same size as the process fleet.
     #[serde(rename = "dozens_model")]
     pub process_fleet_model: PerServer,
-    /// Bytes of the allocator for each of its servers.
+    /// Heap bytes per server of that modelled fleet.
     #[serde(rename = "dozens_model_memory")]
     pub process_fleet_model_memory_bytes: f64,
-    /// Bounds that do not hold.
+    /// Descriptions of the bounds that the measurements exceed.
     #[serde(rename = "passed")]
     pub exceeded_bounds: Vec<String>,
 }
 
-/// Takes all measurements. `progress` is called with a line at each step.
+/// Runs all measurements and calls `progress` with one line of text after each step.
 ///
 /// # Errors
-/// Where the model's settings are not accepted, or a process cannot be started or measured.
+/// Returns an error if the model's settings are invalid or a process cannot be started or measured.
 pub fn run(program: &Path, options: Options, progress: impl Fn(&str) + Sync) -> Result<Report, MeasureError> {
     let started_at = Instant::now();
     let progress = |step: &str| progress(&format!("{:7.1} s  {step}", started_at.elapsed().as_secs_f64()));
@@ -122,6 +127,7 @@
     Ok(report)
 }
 
+/// Measures an otherwise idle fleet at each size of `scale`.
 fn resting_curves(scale: &Scale, progress: &dyn Fn(&str)) -> Result<Vec<Curve>, ModelError> {
     let mut measured = Vec::new();
     for size in scale.sizes() {
@@ -131,7 +137,7 @@
     Ok(at_rest::curves(&measured))
 }
 
-/// A quick run leaves the largest size out.
+/// Measures the convergence time of the counters by fleet size. A quick run skips the largest size.
 fn counters_curve(scale: &Scale, quick: bool, progress: &dyn Fn(&str)) -> Result<Curve, ModelError> {
     let mut points = Vec::new();
     let mut sizes = scale.sizes();
@@ -146,6 +152,8 @@
     Ok(Curve::new("until all totals are exact", "s", "server", points, None))
 }
 
+/// Measures the latency that one process adds: under a base load of one tenant and two operations, and under
+/// the stated numbers of tenants and operations at each of [`RATES`].
 fn added_latencies(
     program: &Path,
     quick: bool,
@@ -163,10 +171,10 @@
     Ok(measured)
 }
 
-/// Plays one incident at a scale.
+/// Function that simulates one incident at a given scale.
 type PlayIncident = fn(&Scale) -> Result<Incident, ModelError>;
 
-/// The incidents of a run, each with its scale.
+/// Lists the incidents to simulate, each with its scale.
 fn incident_plays(scale: &Scale, quick: bool) -> Vec<(PlayIncident, Scale)> {
     let small = Scale { servers: scale.servers / SMALL_FLEET_DIVISOR, ..*scale };
     let scale = if quick { small } else { *scale };
@@ -183,7 +191,7 @@
     plays
 }
 
-/// Plays the incidents and the day side by side, each on a thread of its own.
+/// Simulates the incidents and the day in parallel, each on its own thread.
 fn incidents_and_day(
     scale: &Scale,
     quick: bool,
@@ -204,7 +212,7 @@
         };
         let running: Vec<_> = incident_plays(scale, quick).into_iter().map(play).collect();
         let incidents =
-            running.into_iter().map(|one| one.join().unwrap_or_else(|panic| resume_unwind(panic)));
+            running.into_iter().map(|thread| thread.join().unwrap_or_else(|panic| resume_unwind(panic)));
         let incidents = incidents.collect::<Result<Vec<Incident>, ModelError>>()?;
         Ok((incidents, day.join().unwrap_or_else(|panic| resume_unwind(panic))))
     })
--- a/crates/capacity/src/report/table.rs
+++ b/crates/capacity/src/report/table.rs
@@ -1,4 +1,4 @@
-//! The table of a report.
+//! Formats a [`Report`] as text.
 
 use super::Report;
 use crate::added_latency::AddedLatency;
@@ -6,19 +6,19 @@
 use crate::fit::Curve;
 use crate::incidents::Incident;
 
-/// Width of the column that names what was measured.
+/// Width of the first column, which names the measurement, in characters.
 const NAME_WIDTH: usize = 60;
 
 impl Report {
-    /// The table, as text.
+    /// Formats the report as a table of curves followed by one paragraph for each other group of results.
     pub fn table(&self) -> String {
         let mut lines = vec![format!(
             "{:<NAME_WIDTH$} {:>14} {:>22} {:>13} {:>13} {:>11}",
             "what", "unit", "slope +- error", "predicted", "measured", "bound"
         )];
-        lines.extend(self.curves.iter().map(row));
+        lines.extend(self.curves.iter().map(curve_row));
         lines.push(String::new());
-        lines.extend(self.added_latencies.iter().map(added_line));
+        lines.extend(self.added_latencies.iter().map(added_latency_line));
         lines.push(String::new());
         lines.push(self.process_fleet_line());
         lines.push(String::new());
@@ -52,22 +52,22 @@
     }
 }
 
-fn row(curve: &Curve) -> String {
+fn curve_row(curve: &Curve) -> String {
     let slope =
         curve.line.map_or("-".to_string(), |line| format!("{:.4} +- {:.4}", line.slope, line.slope_error));
     let bound = curve.bound.map_or("-".to_string(), |bound| format!("{bound:.1}"));
-    let at = curve.points.last().map_or(0.0, |point| point.size);
-    let what = format!("{} ({at:.0} {}s)", curve.name, curve.per);
+    let size = curve.points.last().map_or(0.0, |point| point.size);
+    let name = format!("{} ({size:.0} {}s)", curve.name, curve.per);
     format!(
-        "{what:<NAME_WIDTH$} {:>14} {slope:>22} {:>13.3} {:>13.3} {bound:>11}",
+        "{name:<NAME_WIDTH$} {:>14} {slope:>22} {:>13.3} {:>13.3} {bound:>11}",
         curve.unit, curve.predicted, curve.measured
     )
 }
 
-fn added_line(one: &AddedLatency) -> String {
-    let AddedLatency { load, sent, succeeded, p50_us, p99_us, max_us, timer_p99_us, .. } = one;
-    let (resident_mb, processor) = (one.resident_bytes as f64 / 1e6, one.processor_percent);
-    let pause = one.pause_us.map_or("-".to_string(), |pause| format!("{pause} us"));
+fn added_latency_line(added: &AddedLatency) -> String {
+    let AddedLatency { load, sent, succeeded, p50_us, p99_us, max_us, timer_p99_us, .. } = added;
+    let (resident_mb, processor) = (added.resident_bytes as f64 / 1e6, added.processor_percent);
+    let pause = added.pause_us.map_or("-".to_string(), |pause| format!("{pause} us"));
     format!(
         "{} tenants, {} routes, {} a second: {succeeded} of {sent} succeeded, added p50 {p50_us} us, \
          p99 {p99_us} us, most {max_us} us (timers of the load late by {timer_p99_us} us, p99); \
@@ -118,27 +118,27 @@
     lines
 }
 
-fn incident_line(one: &Incident) -> String {
+fn incident_line(incident: &Incident) -> String {
     let span = |span: Option<f64>| span.map_or("none in time".to_string(), |span| format!("{span:.2} s"));
     let mut line = format!(
         "{} servers, {}: one view of the rest {}, of all after the return {}; {} restarts, \
          burst {:.0} bytes a second (membership {:.0}, shared state {:.0}, replication {:.0}), \
          of one server {:.0} at the most over 10 s",
-        one.servers,
-        one.description,
-        span(one.convergence_after_loss),
-        span(one.convergence_after_return),
-        one.restarts,
-        one.burst.bytes(),
-        one.burst.membership_bytes,
-        one.burst.shared_state_bytes,
-        one.burst.replication_bytes,
-        one.burst_max
+        incident.servers,
+        incident.description,
+        span(incident.convergence_after_loss),
+        span(incident.convergence_after_return),
+        incident.restarts,
+        incident.burst.bytes(),
+        incident.burst.membership_bytes,
+        incident.burst.shared_state_bytes,
+        incident.burst.replication_bytes,
+        incident.burst_max
     );
-    if let Some(joined) = one.joined_meanwhile {
+    if let Some(joined) = incident.joined_meanwhile {
         line.push_str(&format!("; {joined} of those restarted had found the fleet meanwhile"));
     }
-    if let Some(leases) = one.leases_in_cut {
+    if let Some(leases) = incident.leases_in_cut {
         line.push_str(&format!("; {leases} servers cut off held a lease at the end"));
     }
     line
