--- a/crates/capacity/src/added_latency.rs
+++ b/crates/capacity/src/added_latency.rs
@@ -1,4 +1,4 @@
-//! What the program adds to an invocation with many tenants and routes, measured on one process.
+//! Measures the latency that one server process adds to invocations with many tenants and operations.
 
 use crate::error::{MeasureError, io_error};
 use crate::options;
@@ -17,73 +17,76 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Core time of one invocation at the interpreter.
+/// Core time that the interpreter uses for one invocation.
 const WORK: Duration = Duration::from_millis(2);
-/// Cores of the interpreter.
+/// Number of processor cores of the interpreter.
 pub(crate) const CORES: f64 = 4.0;
-/// Connections to the process.
+/// Number of connections that carry the load.
 const CONNECTIONS: usize = 32;
+/// Maximum number of open file descriptors of the process.
 const DESCRIPTORS: usize = 1024;
-/// After the end of the load the last answers are waited for so long.
+/// Time limit for the outstanding answers after the last invocation is sent.
 const LAST_ANSWERS_TIMEOUT: Duration = Duration::from_secs(10);
 const LAST_ANSWERS_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Significant digits of the histograms.
+/// Number of significant decimal digits of the histograms.
 const HISTOGRAM_DIGITS: u8 = 3;
-/// Weight of all tenants at the start; each change adds one.
+/// Weight of all tenants at the start. Each change of the options increases it by one.
 const FIRST_WEIGHT: u32 = 2;
 
-/// A load on one process.
+/// Load that is applied to one process.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Load {
-    /// Named tenants.
+    /// Number of named tenants.
     pub tenants: usize,
-    /// Operations.
+    /// Number of operations.
     pub routes: usize,
-    /// Invocations a second.
+    /// Invocations per second.
     pub rate: f64,
-    /// How long it lasts.
+    /// Duration in seconds.
     pub seconds: u64,
-    /// How often the options are changed meanwhile, every tenant's weight in them.
+    /// Number of options reloads under load, each of which changes the weight of every tenant.
     pub changes: usize,
 }
 
-/// What the program added to invocations, in microseconds: the time from the caller's write to its read less
-/// the work. The time of the test doubles is in it.
+/// Latency that the process added to invocations: the time from the caller's write to the caller's read, minus
+/// the work time at the interpreter. The latency includes the time spent in the test doubles.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct AddedLatency {
-    /// As it was played.
+    /// Load that was applied.
     pub load: Load,
-    /// Invocations sent.
+    /// Number of invocations sent.
     pub sent: u64,
-    /// Those of them that succeeded.
+    /// Number of invocations that succeeded.
     pub succeeded: u64,
-    /// Median.
+    /// Median of the added latency, in microseconds.
     #[serde(rename = "p50")]
     pub p50_us: u64,
-    /// 99 in 100.
+    /// 99th percentile of the added latency, in microseconds.
     #[serde(rename = "p99")]
     pub p99_us: u64,
-    /// The longest.
+    /// Maximum of the added latency, in microseconds.
     #[serde(rename = "most")]
     pub max_us: u64,
-    /// How late the load's own timers fired, 99 in 100: what the machine adds to every wait.
+    /// 99th percentile of the delay with which the load generator's own timers fired, in microseconds. The
+    /// machine adds this delay to every wait, also in the measured process.
     #[serde(rename = "timer_p99")]
     pub timer_p99_us: u64,
-    /// Resident bytes of the process at the end.
+    /// Resident memory of the process at the end, in bytes.
     #[serde(rename = "resident")]
     pub resident_bytes: u64,
-    /// Processor time of the process over the load, in percent of a core.
+    /// CPU use of the process under the load, in percent of a core.
     #[serde(rename = "processor")]
     pub processor_percent: f64,
-    /// Longest pause of the serving thread at a change of options, as the program logged it.
+    /// Longest time for which an options reload blocked the serving thread, in microseconds, as logged by the
+    /// process. `None` if the process logged no reload.
     #[serde(rename = "pause")]
     pub pause_us: Option<u64>,
 }
 
-/// Measures what a process adds under a load.
+/// Starts a process, applies `load` to it and measures the added latency.
 ///
 /// # Errors
-/// Where the process cannot be started, signalled or measured.
+/// Returns an error if the process cannot be started, signalled or measured.
 pub fn measure(program: &Path, load: Load) -> Result<AddedLatency, MeasureError> {
     let fleet_options = options::fleet("c0", 1, None);
     let settings = ProcessSettings {
@@ -114,7 +117,7 @@
     })
 }
 
-/// What a load has measured.
+/// Measurements of one load.
 struct LoadResult {
     added_us: Histogram<u64>,
     timer_lateness_us: Histogram<u64>,
@@ -122,55 +125,57 @@
     succeeded: u64,
 }
 
-/// What the calls of one load share.
-struct Calls {
+/// State shared by all invocations of one load.
+struct Invocations {
     balancer: Rc<Balancer>,
+    /// Added latency of the invocations that succeeded, in microseconds.
     added_us: RefCell<Histogram<u64>>,
-    open: Cell<u64>,
+    /// Number of invocations that have been sent and not yet answered.
+    outstanding: Cell<u64>,
     succeeded: Cell<u64>,
 }
 
-impl Calls {
-    /// One invocation, from its sending to its answer. The caller has counted it as open.
-    async fn call(self: Rc<Self>, operation: String, fields: String) {
+impl Invocations {
+    /// Sends one invocation and waits for its answer. The caller must have counted it as outstanding.
+    async fn invoke(self: Rc<Self>, operation: String, fields: String) {
         let started_at = Instant::now();
         let body = format!("work={}", WORK.as_micros());
         let answer = self.balancer.call(&operation, &fields, body.as_bytes()).await;
         if answer.is_some_and(|answer| answer.outcome == "good") {
             self.succeeded.set(self.succeeded.get() + 1);
             let added = started_at.elapsed().saturating_sub(WORK).as_micros() as u64;
-            // A histogram that grows takes any figure.
+            // The histogram resizes automatically, so recording a value cannot fail.
             let _ = self.added_us.borrow_mut().record(added);
         }
-        self.open.set(self.open.get() - 1);
+        self.outstanding.set(self.outstanding.get() - 1);
     }
 
-    /// Waits for the last answers.
+    /// Waits until no invocation is outstanding, at most for [`LAST_ANSWERS_TIMEOUT`].
     async fn finish(&self) {
-        let end = Instant::now() + LAST_ANSWERS_TIMEOUT;
-        while self.open.get() > 0 && Instant::now() < end {
+        let deadline = Instant::now() + LAST_ANSWERS_TIMEOUT;
+        while self.outstanding.get() > 0 && Instant::now() < deadline {
             Timer::after(LAST_ANSWERS_POLL_INTERVAL).await;
         }
     }
 }
 
-/// Sends at the load's rate until its end, while another thread changes the options.
+/// Sends invocations at the rate of the load for its duration, while another thread reloads the options.
 fn run_load(process: &Process, load: Load, fleet_options: &str) -> Result<LoadResult, MeasureError> {
     let executor: &'static LocalExecutor<'static> = Box::leak(Box::new(LocalExecutor::new()));
-    let calls = Rc::new(Calls {
-        balancer: Balancer::new(process.listen, CONNECTIONS, executor),
+    let invocations = Rc::new(Invocations {
+        balancer: Balancer::new(process.listen_address, CONNECTIONS, executor),
         added_us: RefCell::new(Histogram::new(HISTOGRAM_DIGITS)?),
-        open: Cell::new(0),
+        outstanding: Cell::new(0),
         succeeded: Cell::new(0),
     });
     let sender_result = std::thread::scope(|scope| {
         let changes = scope.spawn(|| change_options(process, load, fleet_options));
-        let sender_result = async_io::block_on(executor.run(send(&calls, load, executor)));
+        let sender_result = async_io::block_on(executor.run(send(&invocations, load, executor)));
         changes.join().unwrap_or_else(|panic| resume_unwind(panic))?;
         sender_result
     })?;
-    let added_us = calls.added_us.borrow().clone();
-    let succeeded = calls.succeeded.get();
+    let added_us = invocations.added_us.borrow().clone();
+    let succeeded = invocations.succeeded.get();
     Ok(LoadResult {
         added_us,
         timer_lateness_us: sender_result.timer_lateness_us,
@@ -179,15 +184,15 @@
     })
 }
 
-/// What the sender of a load has measured.
+/// Measurements of the load generator.
 struct SenderResult {
     timer_lateness_us: Histogram<u64>,
     sent: u64,
 }
 
-/// Sends invocations of random tenants and operations at even distances.
+/// Sends invocations for random tenants and operations at regular intervals.
 async fn send(
-    calls: &Rc<Calls>,
+    invocations: &Rc<Invocations>,
     load: Load,
     executor: &'static LocalExecutor<'static>,
 ) -> Result<SenderResult, MeasureError> {
@@ -205,14 +210,15 @@
         let tenant = rng.next_u64() % load.tenants as u64;
         let operation = format!("route-{}", rng.next_u64() % load.routes as u64);
         let fields = format!("ref={sent:016x},since={},sender=1,room=4,venue=t{tenant}", unix_ms());
-        calls.open.set(calls.open.get() + 1);
-        executor.spawn(calls.clone().call(operation, fields)).detach();
+        invocations.outstanding.set(invocations.outstanding.get() + 1);
+        executor.spawn(invocations.clone().invoke(operation, fields)).detach();
     }
-    calls.finish().await;
+    invocations.finish().await;
     Ok(SenderResult { timer_lateness_us, sent })
 }
 
-/// Changes every tenant's weight, at even distances over the load.
+/// Rewrites the options file with a new weight for all tenants and makes the process reload it with SIGHUP, at
+/// regular intervals over the duration of the load.
 fn change_options(process: &Process, load: Load, fleet_options: &str) -> Result<(), MeasureError> {
     let interval = Duration::from_secs_f64(load.seconds as f64 / (load.changes + 1) as f64);
     for change in 0..load.changes {
--- a/crates/capacity/src/at_rest.rs
+++ b/crates/capacity/src/at_rest.rs
@@ -1,4 +1,5 @@
-//! What a server of a fleet at rest costs, by the size of the fleet, and how long counters take to settle.
+//! Measures the costs of a server in a fleet at rest (without failures) by fleet size, and the time until the
+//! replicated counters converge.
 
 use crate::error::ModelError;
 use crate::fit::{Curve, Point};
@@ -12,27 +13,27 @@
 use meadowstream_replication::member::Member;
 use serde::Serialize;
 
-/// Counters that each server adds to every second.
+/// Number of counters that each server increments every second.
 const COUNTERS: usize = 8;
-/// Units of the shared budget that each server demands.
+/// Number of units of the shared budget that each server requests.
 const DEMAND_UNITS: u64 = 20;
 
-/// What one server of a fleet at rest costs.
+/// Costs of one server in a fleet at rest.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct RestingCosts {
-    /// Servers of the fleet.
+    /// Number of servers in the fleet.
     pub size: usize,
-    /// Bytes of the allocator for each server.
+    /// Heap bytes per server.
     #[serde(rename = "memory")]
     pub memory_bytes: f64,
-    /// On average over all servers.
+    /// Average costs over all servers.
     pub costs: PerServer,
-    /// Of the control machine that leads the log of configuration, where one does.
+    /// Costs of the control machine that leads the replicated configuration log, if there is a leader.
     #[serde(rename = "publisher")]
     pub leader: Option<PerServer>,
 }
 
-/// The control machine that leads the log of configuration.
+/// Returns the control machine that leads the replicated configuration log.
 fn leader(fleet: &Fleet) -> Option<usize> {
     let leads = |server: &usize| {
         let member = fleet.server(*server).and_then(|server| server.replication.as_ref());
@@ -41,11 +42,13 @@
     (0..CONTROL_MACHINES).find(leads)
 }
 
+/// Returns the costs of a server since its start; `None` if there is no such server or it is not running.
 fn costs_of(fleet: &Fleet, server: Option<usize>) -> Option<Costs> {
     fleet.server(server?).map(|server| server.costs)
 }
 
-/// Plays for so many seconds, in each of which every server counts and demands units of the budget.
+/// Runs the simulation for `seconds`. At the start of each second, every server increments its counters and
+/// requests units of the budget.
 pub(crate) fn run_with_work(fleet: &mut Fleet, seconds: u64) {
     for _ in 0..seconds {
         for index in 0..fleet.len() {
@@ -62,10 +65,10 @@
     }
 }
 
-/// Measures a fleet whose servers know each other, count and hold leases.
+/// Measures a converged fleet whose servers increment counters and hold leases.
 ///
 /// # Errors
-/// Where a core does not accept its settings.
+/// Returns an error if the settings are invalid.
 pub fn measure(size: usize, scale: &Scale) -> Result<RestingCosts, ModelError> {
     let allocated_before = allocated_bytes();
     let mut fleet = Fleet::converged(size, settings(size), scale.seed, &seeds())?;
@@ -83,10 +86,11 @@
     Ok(RestingCosts { size, memory_bytes, costs, leader })
 }
 
-/// Measures a fleet that has nothing to count and no demand, as processes without callers are.
+/// Measures a converged fleet whose servers neither increment counters nor request budget units, like real
+/// processes without callers.
 ///
 /// # Errors
-/// Where a core does not accept its settings.
+/// Returns an error if the settings are invalid.
 pub fn measure_idle(size: usize, scale: &Scale) -> Result<RestingCosts, ModelError> {
     let allocated_before = allocated_bytes();
     let span = scale.rest_seconds * SECOND_NS;
@@ -99,33 +103,38 @@
     Ok(RestingCosts { size, memory_bytes, costs, leader: None })
 }
 
-/// The curves over the sizes of the fleet.
+/// Returns the curves of the measured costs by fleet size.
 pub fn curves(measured: &[RestingCosts]) -> Vec<Curve> {
     let curve = |name: &str, unit, bound, value: &dyn Fn(&RestingCosts) -> f64| {
-        let points = measured.iter().map(|one| Point { size: one.size as f64, value: value(one) });
+        let points = measured.iter().map(|row| Point { size: row.size as f64, value: value(row) });
         Curve::new(name, unit, "server", points.collect(), bound)
     };
     let (bytes, percent) = ("bytes a second", "% of a core");
     vec![
-        curve("memory of a server", "bytes", Some(MEMORY_BYTES_BOUND), &|one| one.memory_bytes),
-        curve("bytes sent by a server", bytes, Some(BYTES_PER_SECOND_BOUND), &|one| one.costs.bytes()),
-        curve("of these by membership", bytes, None, &|one| one.costs.membership_bytes),
-        curve("of these by shared state", bytes, None, &|one| one.costs.shared_state_bytes),
-        curve("of these by replication", bytes, None, &|one| one.costs.replication_bytes),
-        curve("datagrams sent by a server", "a second", None, &|one| one.costs.datagrams),
-        curve("processor of a server", percent, Some(PROCESSOR_PERCENT_BOUND), &|one| one.costs.processor()),
-        curve("of these in membership", percent, None, &|one| one.costs.membership_processor),
-        curve("of these in shared state", percent, None, &|one| one.costs.shared_state_processor),
-        curve("of these in replication", percent, None, &|one| one.costs.replication_processor),
+        curve("memory of a server", "bytes", Some(MEMORY_BYTES_BOUND), &|row| row.memory_bytes),
+        curve("bytes sent by a server", bytes, Some(BYTES_PER_SECOND_BOUND), &|row| row.costs.bytes()),
+        curve("of these by membership", bytes, None, &|row| row.costs.membership_bytes),
+        curve("of these by shared state", bytes, None, &|row| row.costs.shared_state_bytes),
+        curve("of these by replication", bytes, None, &|row| row.costs.replication_bytes),
+        curve("datagrams sent by a server", "a second", None, &|row| row.costs.datagrams),
+        curve("processor of a server", percent, Some(PROCESSOR_PERCENT_BOUND), &|row| row.costs.processor()),
+        curve("of these in membership", percent, None, &|row| row.costs.membership_processor),
+        curve("of these in shared state", percent, None, &|row| row.costs.shared_state_processor),
+        curve("of these in replication", percent, None, &|row| row.costs.replication_processor),
     ]
 }
 
-/// Seconds until every server's totals are exact, from the moment in which all have counted for the first and
-/// last time; `None` where that took over `limit_seconds`.
+/// Measures the convergence of the replicated counters. Every server increments its counters once; the result
+/// is the number of seconds from one second later until the totals are exact on every server, or `None` if
+/// that takes longer than `limit_seconds`.
 ///
 /// # Errors
-/// Where a core does not accept its settings.
-pub fn counters_settle(size: usize, scale: &Scale, limit_seconds: u64) -> Result<Option<f64>, ModelError> {
+/// Returns an error if the settings are invalid.
+pub fn counter_convergence_seconds(
+    size: usize,
+    scale: &Scale,
+    limit_seconds: u64,
+) -> Result<Option<f64>, ModelError> {
     let mut fleet = Fleet::converged(size, settings(size), scale.seed, &seeds())?;
     run_with_work(&mut fleet, 1);
     let expected = size as u64;
--- a/crates/capacity/src/connections.rs
+++ b/crates/capacity/src/connections.rs
@@ -1,4 +1,4 @@
-//! What an open connection holds of a process's memory.
+//! Measures the memory that a process uses for each open connection.
 
 use crate::added_latency::CORES;
 use crate::error::{MeasureError, io_error};
@@ -10,13 +10,13 @@
 use std::time::Duration;
 
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
-/// A health check in the words of the balancers' wire.
+/// Encoded health check of the balancers' protocol.
 const HEALTH_CHECK: &[u8] = b"*2\r\n$10\r\nRPC.HEALTH\r\n$1\r\n1\r\n";
 const ANSWER_BYTES_MAX: usize = 64;
-/// Descriptors of the process for other uses than connections.
+/// File descriptors that the process needs in addition to those of the connections.
 const OTHER_DESCRIPTORS: usize = 100;
 
-/// Opens a connection that has had one health check answered.
+/// Opens a connection, sends a health check on it and waits for the answer.
 fn open(address: SocketAddr, connection: usize) -> Result<TcpStream, MeasureError> {
     let mut stream = TcpStream::connect(address).map_err(io_error("open a connection"))?;
     stream.set_read_timeout(Some(ANSWER_TIMEOUT)).map_err(io_error("set a read timeout"))?;
@@ -30,10 +30,11 @@
     Ok(stream)
 }
 
-/// Measures the resident memory of a process with so many idle connections, in rising order.
+/// Measures the resident memory of a process with each number of idle connections in `counts`, which must be
+/// in ascending order.
 ///
 /// # Errors
-/// Where the process cannot be started or measured, or closes a connection.
+/// Returns an error if the process cannot be started or measured, or closes a connection.
 pub fn measure(program: &Path, counts: &[usize]) -> Result<Curve, MeasureError> {
     let max = counts.iter().copied().max().unwrap_or(0);
     let settings = ProcessSettings {
@@ -48,7 +49,7 @@
     let mut points = Vec::new();
     for count in counts {
         while streams.len() < *count {
-            streams.push(open(process.listen, streams.len())?);
+            streams.push(open(process.listen_address, streams.len())?);
         }
         points.push(Point { size: *count as f64, value: process.resident_bytes()? as f64 });
     }
--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -1,14 +1,15 @@
-//! A straight line through measurements, with its error, and its prediction at a size that is not in it.
+//! Linear regression over measurements at several sizes, with the standard error of the slope. The line
+//! predicts the value at the largest size, which is not part of the regression.
 
 use serde::Serialize;
 
-/// A figure measured at a size. Serialized as the pair of both.
+/// A value measured at one size, serialized as the pair `(size, value)`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(into = "(f64, f64)")]
 pub struct Point {
-    /// The size, such as a number of servers.
+    /// Size of the measured system, such as its number of servers.
     pub size: f64,
-    /// The figure, in the unit of its curve.
+    /// Measured value, in the unit of the [`Curve`].
     pub value: f64,
 }
 
@@ -21,16 +22,17 @@
 /// A least-squares line `intercept + slope * size`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Line {
-    /// Its value at size 0.
+    /// Value of the line at size 0.
     pub intercept: f64,
-    /// Its rise for each unit of size.
+    /// Increase of the value per unit of size.
     pub slope: f64,
-    /// Standard error of the slope, in its unit.
+    /// Standard error of the slope, in the unit of the slope.
     pub slope_error: f64,
 }
 
 impl Line {
-    /// `None` for fewer than three points or points of one size.
+    /// Fits a line to `points` by least squares. Returns `None` for fewer than three points, or if all points
+    /// have the same size.
     pub fn fit(points: &[Point]) -> Option<Line> {
         let count = points.len() as f64;
         if points.len() < 3 {
@@ -51,35 +53,35 @@
         Some(Line { intercept, slope, slope_error })
     }
 
-    /// Its value at a size.
+    /// Returns the value of the line at `size`.
     pub fn value_at(&self, size: f64) -> f64 {
         self.intercept + self.slope * size
     }
 }
 
-/// Measurements of one figure over sizes. The largest is left out of the line, which predicts it.
+/// Measurements of one quantity at several sizes, and a line fitted to all points except the largest size.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Curve {
-    /// What the figure is of.
+    /// Name of the measured quantity.
     pub name: String,
-    /// The figure's unit.
+    /// Unit of the values.
     pub unit: &'static str,
-    /// What the sizes count, such as servers.
+    /// Noun in the singular for the things that the size counts, such as `server`.
     pub per: &'static str,
-    /// In the order of their sizes.
+    /// Measurements in ascending order of size.
     pub points: Vec<Point>,
-    /// Through all points but the last.
+    /// Line fitted to all points except the last; `None` if a line cannot be fitted.
     pub line: Option<Line>,
-    /// The line's value at the largest size; no number where there is no line.
+    /// Value of the line at the largest size; NaN without a line.
     pub predicted: f64,
-    /// The figure at the largest size.
+    /// Measured value at the largest size.
     pub measured: f64,
-    /// The measured figure must not be over it, where there is such a bound.
+    /// Upper bound of the measured value, if one is stated.
     pub bound: Option<f64>,
 }
 
 impl Curve {
-    /// Points in the order of their sizes, the largest last; at least one.
+    /// Creates a curve from `points`, which must be in ascending order of size and not empty.
     pub fn new(
         name: &str,
         unit: &'static str,
@@ -87,13 +89,13 @@
         points: Vec<Point>,
         bound: Option<f64>,
     ) -> Curve {
-        let (largest, fitted) = points.split_last().expect("a curve is made of at least one point");
+        let (largest, fitted) = points.split_last().expect("a curve needs at least one point");
         let line = Line::fit(fitted);
         let predicted = line.map_or(f64::NAN, |line| line.value_at(largest.size));
         Curve { name: name.to_string(), unit, per, measured: largest.value, line, predicted, bound, points }
     }
 
-    /// Whether the measured figure is not over its bound.
+    /// Returns whether the measured value is at most the bound. A curve without a bound is always within it.
     pub fn is_within_bound(&self) -> bool {
         self.bound.is_none_or(|bound| self.measured <= bound)
     }
--- a/crates/capacity/src/fleet.rs
+++ b/crates/capacity/src/fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet of model servers on a simulated network of regions and zones, in simulated time and deterministic
-//! from its seed: crashes, restarts, and cuts between any two parts of it.
+//! A fleet of model servers on a simulated network of regions and zones. The simulation supports crashes,
+//! restarts and network partitions, runs in simulated time and is deterministic for a given seed.
 
 use crate::error::ModelError;
 use crate::meter::Costs;
@@ -14,46 +14,48 @@
 use std::collections::{BinaryHeap, HashSet};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
-/// UDP port of all servers, each of which has an address of its own.
+/// UDP port of all servers, which differ in their IP addresses.
 const PORT: u16 = 7000;
 
-/// A datagram on the network.
+/// A datagram on its way through the simulated network, with the indexes of sender and receiver.
 struct Delivery {
     to: usize,
     from: usize,
     datagram: Vec<u8>,
 }
 
-/// When a server is due.
+/// Simulated time at which a server must be advanced.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Timer {
     at: Nanos,
     server: usize,
 }
 
-/// A fleet of the model.
+/// A simulated fleet of model servers.
 pub struct Fleet {
     settings: Settings,
     seed: u64,
+    /// All servers by index; `None` for a server that is not running.
     servers: Vec<Option<ModelServer>>,
-    /// The side of a cut that each server is on; all begin in group 0.
+    /// Network partition group of each server. All servers start in group 0.
     groups: Vec<u32>,
-    /// Pairs of groups between which datagrams are lost.
+    /// Pairs of sending and receiving group between which all datagrams are lost.
     cuts: HashSet<(u32, u32)>,
-    /// Share of datagrams lost, 0 to 1.
+    /// Fraction of datagrams lost at random, from 0 to 1.
     pub loss: f64,
-    /// Datagrams on their way.
+    /// Datagrams that have been sent and not yet delivered.
     network: EventQueue<Delivery>,
-    /// At least one of each server that runs; those that it has set since are among them.
+    /// Pending timers. Every running server has at least one, and may have outdated ones besides.
     timers: BinaryHeap<Reverse<Timer>>,
     rng: ChaCha8Rng,
+    /// Current simulated time in nanoseconds since the start.
     now: Nanos,
-    /// Costs of incarnations that have ended.
+    /// Total costs of the server incarnations that have ended.
     ended_costs: Costs,
 }
 
 impl Fleet {
-    /// A fleet of `size` servers of which none is started.
+    /// Creates a fleet of `size` servers, none of which is running.
     pub fn new(size: usize, settings: Settings, seed: u64) -> Fleet {
         Fleet {
             settings,
@@ -70,11 +72,11 @@
         }
     }
 
-    /// A fleet whose servers all know each other already, and the seeds: without these, parts that were cut
-    /// off for longer than down members are remembered would not find each other again.
+    /// Creates a running fleet in which every server already knows all others and the seeds. Servers need the
+    /// seeds to merge again after a network partition that lasts longer than down members are remembered.
     ///
     /// # Errors
-    /// Where a core does not accept its settings.
+    /// Returns an error if the settings are invalid.
     pub fn converged(
         size: usize,
         settings: Settings,
@@ -86,51 +88,53 @@
             fleet.servers[server] = Some(fleet.new_server(server)?);
         }
         let ids: Vec<_> =
-            fleet.servers.iter().flatten().map(|one| one.membership.identity().clone()).collect();
+            fleet.servers.iter().flatten().map(|server| server.membership.identity().clone()).collect();
         let seeds: Vec<SocketAddr> = seeds.iter().map(|seed| Self::address(*seed)).collect();
-        for server in 0..size {
-            if let Some(one) = &mut fleet.servers[server] {
-                one.membership.join(&seeds, 0);
-                one.membership.restore(ids.iter().cloned(), 0);
-                one.membership.take_changes();
+        for index in 0..size {
+            if let Some(server) = &mut fleet.servers[index] {
+                server.membership.join(&seeds, 0);
+                server.membership.restore(ids.iter().cloned(), 0);
+                server.membership.take_changes();
             }
-            fleet.route(server);
+            fleet.route(index);
         }
         Ok(fleet)
     }
 
-    /// Number of servers, running or not.
+    /// Returns the number of servers, whether running or not.
     pub fn len(&self) -> usize {
         self.servers.len()
     }
 
-    /// Whether the fleet has no server.
+    /// Returns whether the fleet was created with no servers.
     pub fn is_empty(&self) -> bool {
         self.servers.is_empty()
     }
 
-    /// Simulated time in nanoseconds from the start.
+    /// Returns the simulated time in nanoseconds since the start.
     pub fn now(&self) -> Nanos {
         self.now
     }
 
-    /// A server's name.
+    /// Returns the name of the server with this index.
     pub fn name(server: usize) -> String {
         format!("s{server}")
     }
 
+    /// Returns the network address of the server with this index.
     fn address(server: usize) -> SocketAddr {
         let [.., high, low] = (server as u32).to_be_bytes();
         SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::new(127, 1, high, low), PORT))
     }
 
-    /// The server with an address, where there may be one.
+    /// Returns the server index that corresponds to a network address; `None` for an IPv6 address.
     fn index(address: SocketAddr) -> Option<usize> {
         let SocketAddr::V4(address) = address else { return None };
         let [_, _, high, low] = address.ip().octets();
         Some(usize::from(high) << 8 | usize::from(low))
     }
 
+    /// Creates a server with a new incarnation and its own random seed.
     fn new_server(&self, server: usize) -> Result<ModelServer, ModelError> {
         let seed = self.seed ^ ((server as u64) << 20) ^ self.now;
         let mut settings = self.settings.clone();
@@ -141,39 +145,39 @@
         ModelServer::new(&Self::name(server), Self::address(server), &settings, seed, self.now)
     }
 
-    /// A server, while it runs.
+    /// Returns the server with this index; `None` if it is not running.
     pub fn server(&self, server: usize) -> Option<&ModelServer> {
         self.servers[server].as_ref()
     }
 
-    /// A server, while it runs.
+    /// Returns the server with this index for modification; `None` if it is not running.
     pub fn server_mut(&mut self, server: usize) -> Option<&mut ModelServer> {
         self.servers[server].as_mut()
     }
 
-    /// The servers that run.
+    /// Returns the indexes of all running servers.
     pub fn running(&self) -> Vec<usize> {
         (0..self.servers.len()).filter(|server| self.servers[*server].is_some()).collect()
     }
 
-    /// Costs of all servers together, from the start.
+    /// Returns the total costs of all servers since the start, including servers that have crashed.
     pub fn costs(&self) -> Costs {
-        let mut all = self.ended_costs;
-        self.servers.iter().flatten().for_each(|one| all.add(&one.costs));
-        all
+        let mut total = self.ended_costs;
+        self.servers.iter().flatten().for_each(|server| total.add(&server.costs));
+        total
     }
 
-    /// Ends a server's process without a farewell.
+    /// Stops a server without notice to the other servers.
     pub fn crash(&mut self, server: usize) {
         if let Some(ended) = self.servers[server].take() {
             self.ended_costs.add(&ended.costs);
         }
     }
 
-    /// Starts or restarts a server with a later incarnation and the addresses of `seeds`.
+    /// Starts or restarts a server with a new incarnation. The server joins the fleet through `seeds`.
     ///
     /// # Errors
-    /// Where a core does not accept its settings.
+    /// Returns an error if the settings are invalid.
     pub fn start(&mut self, server: usize, seeds: &[usize]) -> Result<(), ModelError> {
         self.crash(server);
         let mut started = self.new_server(server)?;
@@ -184,24 +188,25 @@
         Ok(())
     }
 
-    /// Cuts the servers at places that `side` picks from the rest.
-    pub fn cut(&mut self, side: impl Fn(Place) -> bool) {
+    /// Partitions the network between the servers at places for which `is_cut` is true and all other servers.
+    pub fn cut(&mut self, is_cut: impl Fn(Place) -> bool) {
         for server in 0..self.groups.len() {
-            self.groups[server] = u32::from(side(Place::of(server)));
+            self.groups[server] = u32::from(is_cut(Place::of(server)));
         }
         self.cuts = HashSet::from([(0, 1), (1, 0)]);
     }
 
-    /// Ends all cuts.
+    /// Ends the network partition.
     pub fn heal(&mut self) {
         self.cuts.clear();
     }
 
+    /// Returns whether datagrams from one server to another are lost to a network partition.
     fn is_cut(&self, from: usize, to: usize) -> bool {
         self.cuts.contains(&(self.groups[from], self.groups[to]))
     }
 
-    /// Puts what a server sends on the network, and sets its timer.
+    /// Puts the outgoing datagrams of a server on the network and sets a timer for its next due time.
     fn route(&mut self, from: usize) {
         let Some(sender) = self.servers[from].as_mut() else { return };
         let (outgoing, due) = (sender.take_outgoing(), sender.next_due());
@@ -218,7 +223,7 @@
         }
     }
 
-    /// Plays all events up to a time in nanoseconds.
+    /// Runs the simulation until the simulated time `until`, in nanoseconds.
     pub fn run_until(&mut self, until: Nanos) {
         loop {
             let arrival = self.network.next_at().unwrap_or(Nanos::MAX);
@@ -239,13 +244,15 @@
         self.now = self.now.max(until);
     }
 
+    /// Delivers a datagram to its receiver, if the receiver is running.
     fn deliver(&mut self, Delivery { to, from, datagram }: &Delivery) {
         let Some(receiver) = self.servers[*to].as_mut() else { return };
         receiver.receive(Self::address(*from), datagram, self.now);
         self.route(*to);
     }
 
-    /// A timer whose server is due later by now is dropped: the server has set another.
+    /// Advances the server of a timer. A timer that fires before the server's current due time is outdated and
+    /// ignored, because the server has another timer for its due time.
     fn fire(&mut self, timer: &Timer) {
         let Some(server) = self.servers[timer.server].as_mut() else { return };
         if server.next_due() > timer.at {
@@ -255,7 +262,8 @@
         self.route(timer.server);
     }
 
-    /// Whether each of these servers holds exactly the others as members, in their present incarnations.
+    /// Returns whether the membership view of each of these servers, if running, contains exactly the other
+    /// running ones, with their current incarnations.
     pub fn views_agree(&self, servers: &[usize]) -> bool {
         let running = || servers.iter().filter_map(|server| self.servers[*server].as_ref());
         let own = |server: &ModelServer| {
@@ -272,8 +280,8 @@
         })
     }
 
-    /// Plays until `is_done`, which is looked at after each `step`; how long it took, in nanoseconds, or
-    /// `None` where it took longer than `limit`.
+    /// Runs the simulation until `is_done` returns true, which is checked after every `step` nanoseconds.
+    /// Returns the simulated time taken in nanoseconds, or `None` if `limit` nanoseconds pass first.
     pub fn run_until_done(
         &mut self,
         step: Nanos,
--- a/crates/capacity/src/incidents.rs
+++ b/crates/capacity/src/incidents.rs
@@ -1,4 +1,5 @@
-//! Failures of parts of the fleet: how long it takes to one view again, and what that sends.
+//! Simulates failures of parts of the fleet, and measures the time until the membership views converge again
+//! and the bytes sent meanwhile.
 
 use crate::at_rest::run_with_work;
 use crate::error::ModelError;
@@ -15,56 +16,64 @@
 use serde::Serialize;
 
 const DAY_SECONDS: f64 = 86_400.0;
-/// One view is waited for at most so long.
-const VIEW_LIMIT_NS: Nanos = 300 * SECOND_NS;
-/// The views are compared this often.
-const VIEW_STEP_NS: Nanos = SECOND_NS / 4;
-/// After a return, what servers send is measured for so long at the least.
+/// Time limit for the membership views to converge, in simulated nanoseconds.
+const CONVERGENCE_LIMIT_NS: Nanos = 300 * SECOND_NS;
+/// Simulated time between two comparisons of the membership views, in nanoseconds.
+const CONVERGENCE_CHECK_INTERVAL_NS: Nanos = SECOND_NS / 4;
+/// Minimum time for which the sent bytes are measured after the failed servers return, in simulated
+/// nanoseconds. The largest burst of one server is an average over this time.
 const BURST_NS: Nanos = 10 * SECOND_NS;
-/// Servers restarted while the control machines are down: more than the rate says, so that some are.
+/// Number of servers restarted while the control machines are down. This is more than the stated restart rate
+/// gives, to make sure that there are some.
 const RESTARTS_WITHOUT_CONTROL: usize = 12;
 
-/// What came of one incident.
+/// Measurements of one simulated incident.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Incident {
-    /// What happened.
+    /// Description of the failure.
     #[serde(rename = "what")]
     pub description: String,
-    /// Servers of the fleet.
+    /// Number of servers in the fleet.
     pub servers: usize,
-    /// Seconds after the loss until all that ran had one view; `None` where the limit was passed.
+    /// Seconds from the failure until the views of the running servers agreed; `None` if they did not agree in
+    /// time. For a network partition, 0 if the views on each side agreed at its end and `None` if not.
     #[serde(rename = "seen")]
     pub convergence_after_loss: Option<f64>,
-    /// Seconds after the return until all had one view; `None` where the limit was passed.
+    /// Seconds from the end of the failure until the views of all servers agreed; `None` if they did not agree
+    /// in time.
     #[serde(rename = "returned")]
     pub convergence_after_return: Option<f64>,
-    /// Servers restarted or failed meanwhile.
+    /// Number of server restarts during the failure.
     pub restarts: usize,
-    /// Servers restarted while the seeds were down that had found the fleet before their return.
+    /// Number of servers that restarted while all seeds were down and joined the fleet before the seeds
+    /// returned. `None` for failures without a loss of the seeds.
     pub joined_meanwhile: Option<usize>,
-    /// Servers on the smaller side that held a lease at the end of the cut.
+    /// Number of servers on the smaller side of a network partition that held a lease at its end. `None` for
+    /// failures without a partition.
     pub leases_in_cut: Option<usize>,
-    /// Mean of a server in the second after the return in which all together sent most.
+    /// Average costs per server in the second with the most bytes sent by the fleet after the failure ended.
     pub burst: PerServer,
-    /// Most bytes a second that any one server, control machines aside, sent over ten seconds after the
-    /// return.
+    /// Most bytes per second that one server sent after the failure ended, averaged over ten seconds. Control
+    /// machines are excluded.
     #[serde(rename = "burst_most")]
     pub burst_max: f64,
 }
 
+/// Converts nanoseconds to seconds.
 fn seconds(span: Nanos) -> f64 {
     span as f64 / SECOND_NS as f64
 }
 
-/// A fleet that has run for a while, with random numbers for what happens to it.
+/// Returns a converged fleet that has run for at most 10 seconds, and the random number generator for
+/// restarts.
 fn converged_fleet(scale: &Scale) -> Result<(Fleet, ChaCha8Rng), ModelError> {
     let mut fleet = Fleet::converged(scale.servers, settings(scale.servers), scale.seed, &seeds())?;
     run_with_work(&mut fleet, scale.rest_seconds.min(10));
     Ok((fleet, ChaCha8Rng::seed_from_u64(scale.seed)))
 }
 
-/// Plays for so many seconds with restarts at their stated rate, control machines left out. Returns how many
-/// servers were restarted.
+/// Runs the simulation for `span_seconds` with random restarts at the stated rate. Control machines are not
+/// restarted. Returns the number of restarts.
 fn run_with_restarts(
     fleet: &mut Fleet,
     rng: &mut ChaCha8Rng,
@@ -76,7 +85,7 @@
     let end = fleet.now() + span_seconds * SECOND_NS;
     let mut restarts = 0;
     loop {
-        // Exponential gaps, from a uniform number of 53 bits.
+        // Times between restarts are distributed exponentially; `uniform` has 53 random bits.
         let uniform = (rng.next_u64() >> 11) as f64 / (1_u64 << 53) as f64;
         let gap = -(1.0 - uniform).ln() * mean_gap_seconds;
         let at = fleet.now() + (gap * SECOND_NS as f64) as Nanos;
@@ -93,29 +102,36 @@
     }
 }
 
-/// Seconds until all that run have one view.
+/// Runs the simulation until the views of all running servers agree. Returns the time taken in seconds, or
+/// `None` if they do not agree in time.
 fn run_until_converged(fleet: &mut Fleet) -> Option<f64> {
     let running = fleet.running();
-    fleet.run_until_done(VIEW_STEP_NS, VIEW_LIMIT_NS, |fleet| fleet.views_agree(&running)).map(seconds)
+    fleet
+        .run_until_done(CONVERGENCE_CHECK_INTERVAL_NS, CONVERGENCE_LIMIT_NS, |fleet| {
+            fleet.views_agree(&running)
+        })
+        .map(seconds)
 }
 
-/// What follows on a return, until one view and [`BURST_NS`] at the least.
+/// Measurements after the end of a failure, until the views have converged and at least for [`BURST_NS`].
 struct Recovery {
-    /// Seconds until one view.
+    /// Seconds until the views of all running servers agreed; `None` if they did not agree in time.
     convergence_seconds: Option<f64>,
+    /// Average costs per server in the second with the most bytes sent.
     burst: PerServer,
+    /// Most bytes per second that one server sent, averaged over [`BURST_NS`].
     burst_max: f64,
 }
 
 impl Recovery {
-    /// Plays the recovery.
+    /// Runs the simulation of the recovery and measures it.
     fn play(fleet: &mut Fleet) -> Recovery {
         let running = fleet.running();
         let started_at = fleet.now();
         let mut sent_by_second = vec![sent_bytes(fleet)];
         let mut recovery =
             Recovery { convergence_seconds: None, burst: PerServer::default(), burst_max: 0.0 };
-        while fleet.now() - started_at < VIEW_LIMIT_NS {
+        while fleet.now() - started_at < CONVERGENCE_LIMIT_NS {
             let costs_before = fleet.costs();
             recovery.play_second(fleet, &running, started_at);
             sent_by_second.push(sent_bytes(fleet));
@@ -131,17 +147,18 @@
         recovery
     }
 
+    /// Runs one second of the simulation and records when the views agree.
     fn play_second(&mut self, fleet: &mut Fleet, running: &[usize], started_at: Nanos) {
         let end = fleet.now() + SECOND_NS;
         while fleet.now() < end {
             if self.convergence_seconds.is_none() && fleet.views_agree(running) {
                 self.convergence_seconds = Some(seconds(fleet.now() - started_at));
             }
-            fleet.run_until((fleet.now() + VIEW_STEP_NS).min(end));
+            fleet.run_until((fleet.now() + CONVERGENCE_CHECK_INTERVAL_NS).min(end));
         }
     }
 
-    /// The incident that this ends; figures of its own kind are added by the caller.
+    /// Returns the measurements of the incident, without the fields that only some kinds of incident set.
     fn into_incident(self, scale: &Scale, description: String, after_loss: Option<f64>) -> Incident {
         Incident {
             description,
@@ -155,14 +172,15 @@
     }
 }
 
-/// Bytes that each server has sent since its start, control machines left out; 0 where it does not run.
+/// Returns the bytes that each server except the control machines has sent since it started; 0 for a server
+/// that is not running.
 fn sent_bytes(fleet: &Fleet) -> Vec<u64> {
-    let of = |server: usize| fleet.server(server).map_or(0, |server| server.costs.bytes());
-    (CONTROL_MACHINES..fleet.len()).map(of).collect()
+    let bytes_of = |server: usize| fleet.server(server).map_or(0, |server| server.costs.bytes());
+    (CONTROL_MACHINES..fleet.len()).map(bytes_of).collect()
 }
 
-/// The most bytes a second that one server sent over any [`BURST_NS`], by what each had sent after each
-/// second.
+/// Returns the most bytes per second that one server sent over any period of [`BURST_NS`]. `sent_by_second`
+/// holds the total bytes sent by each server after each second.
 fn burst_of_one_server(sent_by_second: &[Vec<u64>]) -> f64 {
     let span_seconds = (BURST_NS / SECOND_NS) as usize;
     let max_within = |span: &[Vec<u64>]| {
@@ -174,10 +192,10 @@
     max as f64 / span_seconds as f64
 }
 
-/// A rack is lost at once, and its servers are restarted after a minute.
+/// Simulates the failure of all servers in a rack at once. They restart after [`RACK_DOWN_NS`].
 ///
 /// # Errors
-/// Where a core does not accept its settings.
+/// Returns an error if the settings are invalid.
 pub fn rack_lost(scale: &Scale) -> Result<Incident, ModelError> {
     let (mut fleet, _) = converged_fleet(scale)?;
     let rack = Place::of(scale.servers - 1).rack;
@@ -194,7 +212,8 @@
     Ok(Recovery::play(&mut fleet).into_incident(scale, description, after_loss))
 }
 
-/// A part of the fleet is cut off for so many seconds, with restarts at their rate on both sides.
+/// Simulates a network partition that isolates one part of the fleet for `span_seconds`. Servers on both sides
+/// restart at the stated rate meanwhile.
 fn cut_off(
     scale: &Scale,
     description: String,
@@ -214,28 +233,28 @@
     Ok(Incident { restarts, leases_in_cut, ..incident })
 }
 
-/// A region is cut from the others.
+/// Simulates a network partition between one region and the others.
 ///
 /// # Errors
-/// Where a core does not accept its settings.
+/// Returns an error if the settings are invalid.
 pub fn region_cut(scale: &Scale) -> Result<Incident, ModelError> {
     let description = format!("a region cut from the two others for {} s", scale.region_cut_seconds);
     cut_off(scale, description, scale.region_cut_seconds, |place| place.region == CUT_REGION)
 }
 
-/// A zone is cut from the others.
+/// Simulates a network partition between one zone and the others.
 ///
 /// # Errors
-/// Where a core does not accept its settings.
+/// Returns an error if the settings are invalid.
 pub fn zone_cut(scale: &Scale) -> Result<Incident, ModelError> {
     let description = format!("a zone away for {} s", scale.zone_cut_seconds);
     cut_off(scale, description, scale.zone_cut_seconds, |place| place.zone == CUT_ZONE)
 }
 
-/// All control machines, which are the seeds, are down for a while, and some other servers restart meanwhile.
+/// Simulates a failure of all control machines, which are the seeds, while some other servers restart.
 ///
 /// # Errors
-/// Where a core does not accept its settings.
+/// Returns an error if the settings are invalid.
 pub fn control_down(scale: &Scale) -> Result<Incident, ModelError> {
     let (mut fleet, mut rng) = converged_fleet(scale)?;
     seeds().into_iter().for_each(|server| fleet.crash(server));
@@ -250,7 +269,7 @@
     let back_at = fleet.now() + scale.control_down_seconds * SECOND_NS;
     fleet.run_until(back_at);
     let has_joined =
-        |server: &&usize| fleet.server(**server).is_some_and(|one| one.membership.active_members() > 0);
+        |server: &&usize| fleet.server(**server).is_some_and(|server| server.membership.active_members() > 0);
     let joined_meanwhile = Some(restarted.iter().filter(has_joined).count());
     for server in seeds() {
         fleet.start(server, &seeds())?;
--- a/crates/capacity/src/meter.rs
+++ b/crates/capacity/src/meter.rs
@@ -1,44 +1,44 @@
-//! What a mechanism costs: processor time of the thread, datagrams and bytes. Memory is what the allocator
-//! has given out.
+//! Meters for the cost of the fleet's mechanisms (membership, shared state, replication): CPU time of the
+//! calling thread, sent datagrams and bytes, and heap memory.
 
 use serde::Serialize;
 
 const SECOND_NS: u64 = 1_000_000_000;
 
-/// Processor time of this thread, in nanoseconds.
+/// Returns the CPU time that the calling thread has used, in nanoseconds.
 pub fn thread_time_ns() -> u64 {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::ThreadCPUTime);
     time.tv_sec as u64 * SECOND_NS + time.tv_nsec as u64
 }
 
-/// Bytes that this process has from the allocator now, over all its arenas. A difference of two readings
-/// has a meaning only where no other thread allocates or frees between them.
+/// Returns the number of heap bytes that this process has allocated and not yet freed, over all arenas. A
+/// difference of two readings is meaningful only if no other thread allocates or frees memory in between.
 pub fn allocated_bytes() -> u64 {
-    // SAFETY: mallinfo2 takes no argument and only reads the allocator's own counts under its locks.
+    // SAFETY: mallinfo2 takes no argument and only reads the allocator's statistics, under its locks.
     let info = unsafe { libc::mallinfo2() };
     (info.uordblks + info.hblkhd) as u64
 }
 
-/// Costs of one mechanism, from the start.
+/// Accumulated cost of one mechanism.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Cost {
-    /// Processor time in nanoseconds.
+    /// CPU time in nanoseconds.
     pub processor_ns: u64,
-    /// Datagrams sent.
+    /// Number of datagrams sent.
     pub datagrams: u64,
-    /// Their bytes.
+    /// Total size of the datagrams sent, in bytes.
     pub bytes: u64,
 }
 
 impl Cost {
-    /// Adds another's costs.
+    /// Adds `other` to this cost.
     pub fn add(&mut self, other: &Cost) {
         self.processor_ns += other.processor_ns;
         self.datagrams += other.datagrams;
         self.bytes += other.bytes;
     }
 
-    /// The costs since an earlier reading.
+    /// Returns the cost added since the earlier reading `before`.
     pub fn since(&self, before: &Cost) -> Cost {
         Cost {
             processor_ns: self.processor_ns - before.processor_ns,
@@ -48,26 +48,26 @@
     }
 }
 
-/// Costs of each mechanism of the fleet.
+/// Accumulated costs of the fleet's mechanisms.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Costs {
-    /// The fleet's view.
+    /// Membership of the fleet.
     pub membership: Cost,
-    /// Counters, budgets and leases.
+    /// Shared state: counters, budgets and leases.
     pub shared_state: Cost,
     /// Replicated configuration.
     pub replication: Cost,
 }
 
 impl Costs {
-    /// Adds another's costs.
+    /// Adds `other` to these costs.
     pub fn add(&mut self, other: &Costs) {
         self.membership.add(&other.membership);
         self.shared_state.add(&other.shared_state);
         self.replication.add(&other.replication);
     }
 
-    /// The costs since an earlier reading.
+    /// Returns the costs added since the earlier reading `before`.
     pub fn since(&self, before: &Costs) -> Costs {
         Costs {
             membership: self.membership.since(&before.membership),
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Bytes of all mechanisms.
+    /// Returns the number of bytes sent by all mechanisms together.
     pub fn bytes(&self) -> u64 {
         self.membership.bytes + self.shared_state.bytes + self.replication.bytes
     }
--- a/crates/capacity/src/per_server.rs
+++ b/crates/capacity/src/per_server.rs
@@ -1,33 +1,33 @@
-//! Costs of one server in one second, on average over a fleet.
+//! Average costs per server and second.
 
 use crate::meter::Costs;
 use crate::scale::SECOND_NS;
 use meadowstream_membership::Nanos;
 use serde::Serialize;
 
-/// Costs of one server in one second.
+/// Average costs of the fleet's mechanisms, per server and second.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct PerServer {
-    /// Bytes sent by the fleet's view.
+    /// Bytes sent by membership.
     pub membership_bytes: f64,
     /// Bytes sent by shared state.
     #[serde(rename = "shared_bytes")]
     pub shared_state_bytes: f64,
     /// Bytes sent by replicated configuration.
     pub replication_bytes: f64,
-    /// Datagrams sent.
+    /// Datagrams sent by all mechanisms together.
     pub datagrams: f64,
-    /// Processor time of the fleet's view, in percent of a core.
+    /// CPU use of membership, in percent of a core.
     pub membership_processor: f64,
-    /// Processor time of shared state, in percent of a core.
+    /// CPU use of shared state, in percent of a core.
     #[serde(rename = "shared_processor")]
     pub shared_state_processor: f64,
-    /// Processor time of replicated configuration, in percent of a core.
+    /// CPU use of replicated configuration, in percent of a core.
     pub replication_processor: f64,
 }
 
 impl PerServer {
-    /// Divides the costs of `servers` over a span of nanoseconds.
+    /// Averages the total costs of `servers` servers over `span` nanoseconds.
     pub fn average(costs: &Costs, servers: usize, span: Nanos) -> PerServer {
         let server_seconds = servers as f64 * span as f64 / SECOND_NS as f64;
         let per_server_second = |count: u64| count as f64 / server_seconds;
@@ -44,12 +44,12 @@
         }
     }
 
-    /// Bytes of all mechanisms.
+    /// Returns the bytes sent by all mechanisms, per server and second.
     pub fn bytes(&self) -> f64 {
         self.membership_bytes + self.shared_state_bytes + self.replication_bytes
     }
 
-    /// Processor time of all mechanisms, in percent of a core.
+    /// Returns the CPU use of all mechanisms per server, in percent of a core.
     pub fn processor(&self) -> f64 {
         self.membership_processor + self.shared_state_processor + self.replication_processor
     }
--- a/crates/capacity/src/process.rs
+++ b/crates/capacity/src/process.rs
@@ -1,5 +1,5 @@
-//! Processes of the program on loopback, with test doubles for the interpreter and the service registry: what
-//! they hold and do as the system counts it. Each is ended by its own id.
+//! Runs server processes on the loopback interface, with test doubles for the interpreter and the service
+//! registry, and reads their memory and CPU time from /proc. Each process is killed by its own process id.
 
 use crate::error::{MeasureError, io_error};
 use meadowstream_test_doubles::{interpreter, registry};
@@ -14,44 +14,45 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// A line of the log is waited for at most so long.
+/// Time limit for an expected log line.
 const LOG_LINE_TIMEOUT: Duration = Duration::from_secs(60);
 const LOG_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Clock ticks a second in /proc/PID/stat.
+/// Clock ticks per second, the unit of CPU time in /proc/PID/stat.
 const TICKS_PER_SECOND: f64 = 100.0;
-/// Fields of /proc/PID/stat after the command's name: ticks in user and in system mode.
+/// Index of the user mode ticks in /proc/PID/stat, counted from the field after the command name.
 const USER_TICKS_FIELD: usize = 11;
+/// Index of the system mode ticks in /proc/PID/stat, counted from the field after the command name.
 const SYSTEM_TICKS_FIELD: usize = 12;
-/// Log lines of each message that are held: the first and the last ones.
+/// Maximum number of log lines kept for each message: the first line and the latest ones.
 const LINES_PER_MESSAGE_MAX: usize = 64;
-/// Owner alone may read and write: the program takes no other key file.
+/// Permissions of the key file. The program rejects a key file that anybody except its owner can access.
 const KEY_FILE_MODE: u32 = 0o600;
 
 /// Settings of one process.
 #[derive(Clone, Debug)]
 pub struct ProcessSettings {
-    /// The server's name.
+    /// Name of the server.
     pub name: String,
-    /// Number of its operations.
+    /// Number of operations that the server offers.
     pub routes: usize,
-    /// Its limit of descriptors.
+    /// Maximum number of open file descriptors, set as `limits.sockets`.
     pub descriptors: usize,
-    /// The elements of its options file.
+    /// XML elements of the options file.
     pub options: String,
-    /// Cores of its interpreter.
+    /// Number of processor cores of the interpreter.
     pub cores: f64,
 }
 
-/// A line of a process's log.
+/// One line of a process's JSON log.
 #[derive(Clone, Debug)]
 pub struct LogLine {
-    /// When it was read.
+    /// Time at which the line was read.
     pub at: Instant,
-    /// Its fields.
+    /// Fields of the log event, including `message`.
     pub fields: Value,
 }
 
-/// Log lines by their messages.
+/// Log lines of one process, grouped by message.
 #[derive(Clone, Default)]
 struct Log(Arc<Mutex<HashMap<String, Vec<LogLine>>>>);
 
@@ -61,7 +62,7 @@
     }
 
     fn add(&self, line: &str) {
-        // Before its log begins the program writes in plain text why it cannot start.
+        // If the program cannot start, it writes the reason as plain text, before the JSON log begins.
         let line: Value = serde_json::from_str(line).unwrap_or(json!({"fields": {"message": line}}));
         let fields = line["fields"].clone();
         let message = fields["message"].as_str().unwrap_or("").to_string();
@@ -74,14 +75,14 @@
     }
 }
 
-/// A process, which is killed when it is dropped.
+/// A running server process, which is killed when this value is dropped.
 pub struct Process {
     child: Child,
     log: Log,
-    /// Holds its files; removed with the process.
+    /// Folder of the process's configuration files, removed when this value is dropped.
     pub folder: PathBuf,
-    /// Where it takes connections.
-    pub listen: SocketAddr,
+    /// Address at which the process accepts connections.
+    pub listen_address: SocketAddr,
 }
 
 impl Drop for Process {
@@ -91,9 +92,9 @@
     }
 }
 
-/// Has the kernel end the process with the thread that starts it, so that a measurement ended by a signal
-/// leaves none behind.
-fn end_with_this_thread(command: &mut Command) {
+/// Makes the kernel kill the process when the thread that started it ends. A measurement that is killed by a
+/// signal then leaves no processes behind.
+fn kill_when_this_thread_ends(command: &mut Command) {
     let request = || match unsafe { libc::prctl(libc::PR_SET_PDEATHSIG, libc::SIGKILL) } {
         0 => Ok(()),
         _ => Err(std::io::Error::last_os_error()),
@@ -102,7 +103,7 @@
     unsafe { command.pre_exec(request) };
 }
 
-/// The platform's settings, in the words of its wire.
+/// Returns the platform settings as the JSON that the server reads from `config.json`.
 fn platform_settings(settings: &ProcessSettings, interpreter: SocketAddr, registry: SocketAddr) -> Value {
     let operation = |route: usize| {
         json!({"name": format!("route-{route}"), "effect": "repeatable", "target": 2_000_000,
@@ -125,12 +126,12 @@
     })
 }
 
-/// The options file with these elements.
+/// Returns the text of an options file that contains `elements`.
 pub fn options_file(elements: &str) -> String {
     format!("<meadowstream xmlns=\"urn:meadowstream:options:1\">\n{elements}\n</meadowstream>\n")
 }
 
-/// Writes the files of a process into a folder of its own, which is returned.
+/// Writes the configuration files of a process to a new folder and returns the path of the folder.
 fn write_files(settings: &ProcessSettings, platform_settings: &Value) -> std::io::Result<PathBuf> {
     let name = format!("meadowstream-capacity-{}-{}", std::process::id(), settings.name);
     let folder = std::env::temp_dir().join(name);
@@ -143,9 +144,10 @@
     Ok(folder)
 }
 
+/// Spawns the program with the configuration files in `folder`.
 fn spawn(program: &Path, folder: &Path) -> Result<Child, MeasureError> {
     let mut command = Command::new(program);
-    end_with_this_thread(&mut command);
+    kill_when_this_thread_ends(&mut command);
     command
         .args(["serve", "--log", "json", "--config"])
         .arg(folder.join("config.json"))
@@ -162,7 +164,7 @@
     /// Starts the program and waits until it listens and is connected to its interpreter.
     ///
     /// # Errors
-    /// Where it does not start or a line of its log does not come.
+    /// Returns an error if the program cannot be started or does not log the expected messages in time.
     pub fn start(program: &Path, settings: &ProcessSettings) -> Result<Process, MeasureError> {
         let (interpreter, _) =
             interpreter::start(settings.cores).map_err(io_error("start an interpreter"))?;
@@ -178,21 +180,23 @@
             std::thread::spawn(move || lines.map_while(Result::ok).for_each(|line| log.add(&line)));
         }
         let unset = SocketAddr::from(([127, 0, 0, 1], 0));
-        let mut process = Process { child, log, folder, listen: unset };
+        let mut process = Process { child, log, folder, listen_address: unset };
         let started = process.wait_for("started", 0)?;
         let listen = started["listen"].as_str().and_then(|address| address.parse().ok());
-        process.listen = listen.ok_or(MeasureError::NoAddress { message: "started", field: "listen" })?;
+        process.listen_address =
+            listen.ok_or(MeasureError::NoAddress { message: "started", field: "listen" })?;
         process.wait_for("linked to the interpreter", 0)?;
         Ok(process)
     }
 
-    /// Waits for the log line of a message that comes after so many before; returns its fields.
+    /// Waits until the process has logged `message` more than `lines_before` times, and returns the fields of
+    /// the first log line after those.
     ///
     /// # Errors
-    /// Where it does not come in time or the process ends before.
+    /// Returns an error if the line is not logged in time or the process exits first.
     pub fn wait_for(&self, message: &str, lines_before: usize) -> Result<Value, MeasureError> {
-        let end = Instant::now() + LOG_LINE_TIMEOUT;
-        while Instant::now() < end {
+        let deadline = Instant::now() + LOG_LINE_TIMEOUT;
+        while Instant::now() < deadline {
             if let Some(line) = self.lines(message).into_iter().nth(lines_before) {
                 return Ok(line.fields);
             }
@@ -205,25 +209,25 @@
         Err(MeasureError::NoLogLine { message, within: LOG_LINE_TIMEOUT, messages })
     }
 
-    /// The messages of its log.
+    /// Returns the distinct messages that the process has logged.
     fn messages(&self) -> Vec<String> {
         self.log.lock().keys().cloned().collect()
     }
 
-    /// The log lines of a message: the first and the last ones.
+    /// Returns the first log line with this message and the latest ones. Lines in between may be missing.
     pub fn lines(&self, message: &str) -> Vec<LogLine> {
         self.log.lock().get(message).cloned().unwrap_or_default()
     }
 
-    /// Its process id.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends it a signal by name.
+    /// Sends the process a signal, named without `SIG`.
     ///
     /// # Errors
-    /// Where that fails.
+    /// Returns an error if the `kill` command cannot be run or fails.
     pub fn signal(&self, signal: &'static str) -> Result<(), MeasureError> {
         let process = self.id();
         let status = Command::new("kill").args([format!("-{signal}"), process.to_string()]).status();
@@ -234,16 +238,17 @@
         Ok(())
     }
 
+    /// Reads the file `name` of the process in /proc; returns its path and its text.
     fn read_proc(&self, name: &str) -> Result<(PathBuf, String), MeasureError> {
         let file = PathBuf::from(format!("/proc/{}/{name}", self.id()));
         let text = std::fs::read_to_string(&file).map_err(io_error("read a file of /proc"))?;
         Ok((file, text))
     }
 
-    /// Resident memory now, in bytes.
+    /// Returns the current resident memory of the process, in bytes.
     ///
     /// # Errors
-    /// Where the system's counts cannot be read.
+    /// Returns an error if /proc/PID/status cannot be read or has no `VmRSS`.
     pub fn resident_bytes(&self) -> Result<u64, MeasureError> {
         let (file, status) = self.read_proc("status")?;
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
@@ -252,10 +257,10 @@
         Ok(kib.ok_or(MeasureError::NoProcField { file, field: "VmRSS" })? << 10)
     }
 
-    /// Processor time from its start, in seconds. A field that the file lacks counts as 0.
+    /// Returns the CPU time that the process has used, in seconds. A missing field counts as 0.
     ///
     /// # Errors
-    /// Where the system's counts cannot be read.
+    /// Returns an error if /proc/PID/stat cannot be read.
     pub fn processor_seconds(&self) -> Result<f64, MeasureError> {
         let (_, stat) = self.read_proc("stat")?;
         let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
--- a/crates/capacity/src/process_fleet.rs
+++ b/crates/capacity/src/process_fleet.rs
@@ -1,4 +1,5 @@
-//! What each process of a fleet on this machine uses, beside the model of a fleet of the same size.
+//! Measures the resource use of each process in a fleet of real processes on this machine. The report
+//! compares the result with the model of a fleet of the same size.
 
 use crate::added_latency::CORES;
 use crate::error::MeasureError;
@@ -8,51 +9,52 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// A process alone settles for so long before it is measured.
+/// Time between the start of a single process without a fleet and its measurement.
 const ALONE_SETTLE: Duration = Duration::from_secs(2);
 const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(90);
 const CONVERGENCE_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// The gossip that joining leaves behind lasts less than this.
-const JOIN_GOSSIP: Duration = Duration::from_secs(12);
+/// Time after which no more gossip about the joins is sent. The fleet is measured after this time.
+const JOIN_GOSSIP_DURATION: Duration = Duration::from_secs(12);
 const DESCRIPTORS: usize = 256;
 
-/// What each process of a fleet uses.
+/// Average resource use of a process in a fleet, and that of a single process for comparison.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct ProcessFleet {
     /// Number of processes.
     pub processes: usize,
-    /// Resident bytes of a process alone, without the fleet's mechanisms.
+    /// Resident memory in bytes of a single process without membership and shared state.
     #[serde(rename = "resident_alone")]
     pub resident_bytes_alone: f64,
-    /// Its processor time, in percent of a core.
+    /// CPU use of that single process, in percent of a core.
     #[serde(rename = "processor_alone")]
     pub processor_percent_alone: f64,
-    /// Resident bytes of each process of the fleet.
+    /// Average resident memory of a process in the fleet, in bytes.
     #[serde(rename = "resident")]
     pub resident_bytes: f64,
-    /// Its processor time, in percent of a core.
+    /// Average CPU use of a process in the fleet, in percent of a core.
     #[serde(rename = "processor")]
     pub processor_percent: f64,
-    /// Bytes a second that it sent.
+    /// Average number of bytes per second that a process in the fleet sent.
     #[serde(rename = "bytes")]
     pub bytes_per_second: f64,
 }
 
-/// The bytes that a process had sent when it logged its view.
+/// Number of bytes that a process had sent when it logged a `view` line.
 struct SentBytes {
     at: Instant,
     bytes: f64,
 }
 
 impl SentBytes {
-    /// As of the last line; `None` before the first.
-    fn of(process: &Process) -> Option<SentBytes> {
+    /// Reads the latest `view` line of the process; `None` if it has not logged one.
+    fn latest(process: &Process) -> Option<SentBytes> {
         let view = process.lines("view").pop()?;
         let counts: serde_json::Value = serde_json::from_str(view.fields["counts"].as_str()?).ok()?;
         Some(SentBytes { at: view.at, bytes: counts["sent_bytes"].as_f64()? })
     }
 
-    /// Bytes a second since an earlier reading; `None` where there was no line between.
+    /// Returns the bytes per second since the earlier reading `before`; `None` if both readings are from the
+    /// same log line.
     fn per_second_since(&self, before: &SentBytes) -> Option<f64> {
         let seconds = self.at.duration_since(before.at).as_secs_f64();
         (seconds > 0.0).then(|| (self.bytes - before.bytes) / seconds)
@@ -63,7 +65,7 @@
     ProcessSettings { name: name.to_string(), routes: 2, descriptors: DESCRIPTORS, options, cores: CORES }
 }
 
-/// Processor time of all processes over a span, in percent of a core.
+/// Sleeps for `span` and returns the CPU use of all processes together in that time, in percent of a core.
 fn processor_percent(processes: &[Process], span: Duration) -> Result<f64, MeasureError> {
     let total = || processes.iter().map(Process::processor_seconds).sum::<Result<f64, MeasureError>>();
     let (before, started_at) = (total()?, Instant::now());
@@ -71,7 +73,8 @@
     Ok((total()? - before) / started_at.elapsed().as_secs_f64() * 100.0)
 }
 
-/// Starts a fleet, of which the first process is the seed, and waits until each sees all others.
+/// Starts a fleet of `size` processes, whose seed is the first process, and waits until the membership view
+/// of each process contains all others.
 fn start_fleet(program: &Path, size: usize) -> Result<Vec<Process>, MeasureError> {
     let first = Process::start(program, &settings("c0", options::fleet("c0", size, None)))?;
     let joining = first.wait_for("joining", 0)?;
@@ -87,9 +90,9 @@
         let view = process.lines("view").pop();
         view.is_some_and(|view| view.fields["alive"].as_u64() == Some(size as u64 - 1))
     };
-    let end = Instant::now() + CONVERGENCE_TIMEOUT;
+    let deadline = Instant::now() + CONVERGENCE_TIMEOUT;
     while !processes.iter().all(sees_all) {
-        if Instant::now() >= end {
+        if Instant::now() >= deadline {
             return Err(MeasureError::NotConverged { processes: size, within: CONVERGENCE_TIMEOUT });
         }
         std::thread::sleep(CONVERGENCE_POLL_INTERVAL);
@@ -97,10 +100,10 @@
     Ok(processes)
 }
 
-/// Measures a process alone and then a fleet, each for so many seconds.
+/// Measures a single process and then a fleet of `size` processes, each for `seconds`.
 ///
 /// # Errors
-/// Where a process cannot be started or measured, or the processes do not come to see each other.
+/// Returns an error if a process cannot be started or measured, or the membership views do not converge.
 pub fn measure(program: &Path, size: usize, seconds: u64) -> Result<ProcessFleet, MeasureError> {
     let span = Duration::from_secs(seconds);
     let alone = [Process::start(program, &settings("alone", String::new()))?];
@@ -109,12 +112,12 @@
     let resident_bytes_alone = alone[0].resident_bytes()? as f64;
     drop(alone);
     let processes = start_fleet(program, size)?;
-    std::thread::sleep(JOIN_GOSSIP);
-    let sent_before: Vec<Option<SentBytes>> = processes.iter().map(SentBytes::of).collect();
+    std::thread::sleep(JOIN_GOSSIP_DURATION);
+    let sent_before: Vec<Option<SentBytes>> = processes.iter().map(SentBytes::latest).collect();
     let processor_percent = processor_percent(&processes, span)? / size as f64;
     let mut rates: Vec<f64> = Vec::new();
     for (process, before) in processes.iter().zip(&sent_before) {
-        if let (Some(after), Some(before)) = (SentBytes::of(process), before) {
+        if let (Some(after), Some(before)) = (SentBytes::latest(process), before) {
             rates.extend(after.per_second_since(before));
         }
     }
--- a/crates/capacity/src/report/mod.rs
+++ b/crates/capacity/src/report/mod.rs
@@ -22,9 +22,9 @@
 pub const SERVERS_MIN: usize = 80;
 /// Maximum for [`Options::servers`].
 pub const SERVERS_MAX: usize = 2_000;
-/// Number of named tenants that the program must support.
+/// Number of named tenants that the bounds are stated for.
 const TENANTS: usize = 64_000;
-/// Number of operations (routes) that the program must support.
+/// Number of operations (routes) that the bounds are stated for.
 const ROUTES: usize = 6_200;
 /// Invocations per second and server: 190,000 divided by 690 servers, and the same load on the servers that
 /// remain when one of three regions is down.
@@ -145,7 +145,7 @@
         sizes.pop();
     }
     for size in sizes {
-        let seconds = at_rest::counters_settle(size, scale, COUNTERS_LIMIT_SECONDS)?;
+        let seconds = at_rest::counter_convergence_seconds(size, scale, COUNTERS_LIMIT_SECONDS)?;
         points.push(Point { size: size as f64, value: seconds.unwrap_or(f64::INFINITY) });
         progress(&format!("counts of {size} servers settled"));
     }
--- a/crates/capacity/src/scale.rs
+++ b/crates/capacity/src/scale.rs
@@ -1,4 +1,4 @@
-//! Sizes and settings of the modelled fleet, and the bounds that its figures must keep.
+//! Sizes and settings of the modelled fleet, and upper bounds of its costs.
 
 use crate::fleet::Fleet;
 use crate::server::{ReplicationSettings, Settings};
@@ -11,59 +11,61 @@
 /// One second in nanoseconds.
 pub const SECOND_NS: Nanos = 1_000_000_000;
 
-/// A server's bytes a second for the fleet's mechanisms.
+/// Upper bound of the bytes per second that a server sends for membership, shared state and replication.
 pub const BYTES_PER_SECOND_BOUND: f64 = 20_000.0;
-/// A server's processor time for them, in percent of a core.
+/// Upper bound of a server's CPU use by membership, shared state and replication, in percent of a core.
 pub const PROCESSOR_PERCENT_BOUND: f64 = 1.1;
-/// A server's memory for them, in bytes.
+/// Upper bound of a server's memory for membership, shared state and replication, in bytes.
 pub const MEMORY_BYTES_BOUND: f64 = 256.0 * 1024.0 * 1024.0;
 
-/// Restarts of servers in a day of a fleet of [`STATED_SERVERS`].
+/// Number of server restarts per day in a fleet of [`STATED_SERVERS`].
 pub const RESTARTS_PER_DAY: usize = 870;
-/// Failures of servers in such a day.
+/// Number of server failures per day in a fleet of [`STATED_SERVERS`].
 pub const FAILURES_PER_DAY: usize = 51;
-/// Servers of the fleet that the bounds and daily numbers are stated for.
+/// Size of the fleet for which the bounds and the daily numbers of restarts and failures are stated.
 pub const STATED_SERVERS: f64 = 690.0;
-/// A lost rack comes back after so long.
+/// Time in simulated nanoseconds until the servers of a failed rack start again.
 pub const RACK_DOWN_NS: Nanos = 60 * SECOND_NS;
-/// Machines set aside for control: the first servers, which are the seeds.
+/// Number of control machines. These are the first servers of the fleet and the seeds of all servers.
 pub const CONTROL_MACHINES: usize = 4;
-/// The first control machines; they vote on budgets and keep the log of configuration.
+/// Number of control machines that vote on budgets and store the replicated configuration log. These are the
+/// first ones.
 pub const VOTERS: usize = 3;
-/// Name of the lease on leading the log of configuration.
+/// Name of the lease whose holder leads the replicated configuration log.
 const LOG_LEASE: &str = "publishing";
 const LEASE_NS: Nanos = 4 * SECOND_NS;
 const GOSSIP_INTERVAL_NS: Nanos = SECOND_NS / 2;
-/// Shared state may use the rest of [`BYTES_PER_SECOND_BOUND`].
+/// Limit of the bytes per second that membership sends. Shared state may use the rest of
+/// [`BYTES_PER_SECOND_BOUND`].
 const MEMBERSHIP_BYTES_PER_SECOND: u64 = 12_000;
-/// Units of the shared budget for each server.
+/// Units of the call budget per server of the fleet.
 const BUDGET_UNITS_PER_SERVER: u64 = 10;
-/// The sizes that are measured: the largest over these.
+/// Divisors that give the measured fleet sizes from the largest size.
 const SIZE_DIVISORS: [usize; 5] = [16, 8, 4, 2, 1];
 
-/// How large and how long the model is played. Spans are in seconds.
+/// Fleet size and time spans of the simulations.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Scale {
-    /// Servers of the largest fleet.
+    /// Number of servers in the largest fleet.
     pub servers: usize,
-    /// Of all random numbers.
+    /// Seed of all random number generators.
     pub seed: u64,
-    /// A fleet at rest is measured for so long, after as long to settle.
+    /// Duration of the measurement of a fleet at rest. The fleet runs for the same time before it.
     #[serde(rename = "rest")]
     pub rest_seconds: u64,
-    /// A region is cut off for so long.
+    /// Time for which a region is cut off from the other regions.
     #[serde(rename = "region_apart")]
     pub region_cut_seconds: u64,
-    /// A zone is cut off for so long.
+    /// Time for which a zone is cut off from the other zones.
     #[serde(rename = "zone_away")]
     pub zone_cut_seconds: u64,
-    /// The control machines are down for so long.
+    /// Time for which all control machines are down.
     #[serde(rename = "control_away")]
     pub control_down_seconds: u64,
 }
 
 impl Scale {
-    /// The stated spans.
+    /// Returns a scale with the full time spans.
     pub fn full(servers: usize, seed: u64) -> Scale {
         Scale {
             servers,
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Short spans.
+    /// Returns a scale with shortened time spans.
     pub fn quick(servers: usize, seed: u64) -> Scale {
         Scale {
             servers,
@@ -87,19 +89,19 @@
         }
     }
 
-    /// Five sizes, the largest last.
+    /// Returns the five fleet sizes to measure, in ascending order.
     pub fn sizes(&self) -> Vec<usize> {
         SIZE_DIVISORS.iter().map(|divisor| self.servers / divisor).collect()
     }
 }
 
-/// The seeds of all servers.
+/// Returns the indexes of the seed servers, through which every server joins the fleet.
 pub fn seeds() -> Vec<usize> {
     (0..CONTROL_MACHINES).collect()
 }
 
-/// The settings of a fleet of a size: the defaults of a local network, a budget of calls, counters and
-/// replicated configuration.
+/// Returns the settings of a fleet of `size` servers: membership defaults for a local network, a call budget,
+/// counters and replicated configuration.
 pub fn settings(size: usize) -> Settings {
     let mut membership = meadowstream_membership::Settings::lan("capacity", b"a key of the scale model");
     membership.expected_members = size as u32;
--- a/crates/capacity/src/server.rs
+++ b/crates/capacity/src/server.rs
@@ -1,5 +1,6 @@
-//! One server of the model: the cores that a real one runs for the fleet, without any load, driven by
-//! datagrams and time. What it sends is addressed and sealed as a real one's.
+//! One server of the fleet model. A model server runs the protocol code of membership, shared state and
+//! replication that a real server runs, without invocations, driven by received datagrams and by time. Its
+//! datagrams are addressed, encoded and authenticated like those of a real server.
 
 use crate::error::ModelError;
 use crate::meter::{Costs, thread_time_ns};
@@ -11,53 +12,55 @@
 use meadowstream_shared_state::{REPLICATION, ServerId, SharedState};
 use std::net::SocketAddr;
 
-/// Simulated time begins here, in Unix nanoseconds: incarnations are start times.
+/// Unix time in nanoseconds at the start of the simulation. Servers use their start time as incarnation.
 pub const START_NS: Nanos = 1_700_000_000_000_000_000;
 
-/// Bytes that the envelope adds to a body.
+/// Number of bytes that the envelope adds to the body of a message.
 const ENVELOPE_BYTES: u64 = (HEADER_BYTES + TAG_BYTES) as u64;
 
-/// Settings of replicated configuration.
+/// Replication settings of a server.
 #[derive(Clone, Debug)]
 pub struct ReplicationSettings {
-    /// Those of the member.
+    /// Settings of the replication member.
     pub member: meadowstream_replication::member::Settings,
-    /// Name of the budget whose only unit is the lease on leading the log.
+    /// Name of the budget with a single unit. The server that leases this unit leads the replicated log.
     pub lease: &'static str,
 }
 
-/// Settings of every server of the fleet.
+/// Settings that all servers of the fleet share.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Those of the fleet's view.
+    /// Membership settings.
     pub membership: meadowstream_membership::Settings,
-    /// Those of shared state.
+    /// Shared state settings.
     pub shared_state: meadowstream_shared_state::Settings,
-    /// Those of replicated configuration, which is off where they are absent.
+    /// Replication settings; `None` disables replicated configuration.
     pub replication: Option<ReplicationSettings>,
 }
 
-/// A server of the model.
+/// A server of the fleet model.
 pub struct ModelServer {
-    /// The fleet's view.
+    /// Membership of the fleet.
     pub membership: Membership,
-    /// Counters, budgets and leases.
+    /// Shared state: counters, budgets and leases.
     pub shared_state: SharedState,
-    /// Replicated configuration, where it is on.
+    /// Replicated configuration, if enabled.
     pub replication: Option<Member>,
+    /// Name of the lease on leading the replicated log; empty without replication.
     lease: &'static str,
+    /// Addresses of the other servers by name.
     directory: Directory,
-    /// When shared state is next advanced, in simulated nanoseconds.
+    /// Time at which shared state must next be advanced, in simulated nanoseconds.
     shared_state_due: Nanos,
-    /// Costs from the start.
+    /// Costs since this server started.
     pub costs: Costs,
 }
 
 impl ModelServer {
-    /// A server that knows no other. `now` is simulated time in nanoseconds.
+    /// Creates a server that has not joined the fleet. `now` is simulated time in nanoseconds.
     ///
     /// # Errors
-    /// Where a core does not accept its settings.
+    /// Returns an error if the settings are invalid.
     pub fn new(
         name: &str,
         addr: SocketAddr,
@@ -84,14 +87,15 @@
         })
     }
 
+    /// Converts simulated time to a clock reading of shared state.
     fn reading(now: Nanos) -> Reading {
         Reading { monotonic: now, wall: START_NS + now }
     }
 
-    /// Handles a datagram.
+    /// Handles a datagram received from the address `from`.
     pub fn receive(&mut self, from: SocketAddr, datagram: &[u8], now: Nanos) {
         let started = thread_time_ns();
-        // A datagram that is not accepted costs its processor time alone.
+        // Errors are ignored: a rejected datagram has no effect except the CPU time spent on it.
         let _ = self.membership.handle_datagram(from, datagram, now);
         let bodies = self.membership.take_shared_state();
         let membership_done = thread_time_ns();
@@ -117,10 +121,11 @@
         self.costs.replication.processor_ns += thread_time_ns() - shared_state_done;
     }
 
-    /// What a host does for its member. Writes and checks of revisions succeed at once.
+    /// Performs the tasks of the replication member's host. Writing state to disk and applying a revision
+    /// succeed immediately.
     fn drive_replication(&mut self, now: Nanos) {
         let unix = START_NS + now;
-        let holds_lease = self.holds_lease();
+        let holds_lease = self.request_lease();
         let Some(member) = &mut self.replication else { return };
         if member.is_replica() {
             member.set_holds_lease(holds_lease);
@@ -139,8 +144,9 @@
         }
     }
 
-    /// On a control machine: demands the lease on leading the log; whether it is held.
-    fn holds_lease(&mut self) -> bool {
+    /// Requests the lease on leading the replicated log and returns whether this server holds it. Servers
+    /// that are not replicas neither request nor hold the lease.
+    fn request_lease(&mut self) -> bool {
         if !self.replication.as_ref().is_some_and(Member::is_replica) {
             return false;
         }
@@ -153,7 +159,7 @@
         })
     }
 
-    /// Sends a message of replicated configuration in the envelope of shared state.
+    /// Sends a replication message, wrapped in a shared state message.
     fn send_replication(&mut self, Outgoing { to, body }: Outgoing, now: Nanos) {
         let sent_before = self.shared_state.messages.sent_bytes;
         self.shared_state.send_other(&to, REPLICATION, body);
@@ -166,7 +172,7 @@
         }
     }
 
-    /// Does what is due by `now`.
+    /// Runs all timers that are due at `now`.
     pub fn advance(&mut self, now: Nanos) {
         let started = thread_time_ns();
         self.membership.handle_timeout(now);
@@ -187,6 +193,7 @@
         }
     }
 
+    /// Sends the pending shared state messages and counts their datagrams and bytes.
     fn send_shared_state(&mut self, now: Nanos) {
         for (name, body) in self.shared_state.take_outgoing() {
             if let Some(to) = self.directory.address(&name) {
@@ -197,24 +204,24 @@
         }
     }
 
-    /// Units of the first shared budget that it holds by a lease.
+    /// Returns the number of units that this server leases from the first shared budget.
     pub fn leased(&self) -> u64 {
         let time = self.shared_state.time();
         self.shared_state.budgets.first().map_or(0, |budget| budget.allowance(time).leased)
     }
 
-    /// When [`ModelServer::advance`] is wanted next, in nanoseconds of simulated time.
+    /// Returns the simulated time in nanoseconds at which [`ModelServer::advance`] must be called next.
     pub fn next_due(&self) -> Nanos {
         let membership = self.membership.poll_timeout().unwrap_or(Nanos::MAX);
         let replication = self.replication.as_ref().map_or(Nanos::MAX, Member::next_due);
         membership.min(self.shared_state_due).min(replication.saturating_sub(START_NS))
     }
 
-    /// Datagrams to send, each returned once.
+    /// Removes and returns the datagrams to send.
     pub fn take_outgoing(&mut self) -> Vec<Transmit> {
         let outgoing = self.membership.take_transmits();
         let counts = self.membership.counts();
-        // The membership sends the datagrams of all; the rest is its own.
+        // Membership sends the datagrams of all mechanisms. Its own are those of no other mechanism.
         let others = [self.costs.shared_state, self.costs.replication];
         let datagrams: u64 = others.iter().map(|cost| cost.datagrams).sum();
         let bytes: u64 = others.iter().map(|cost| cost.bytes).sum();
--- a/crates/capacity/src/tenants.rs
+++ b/crates/capacity/src/tenants.rs
@@ -1,5 +1,5 @@
-//! What tenants cost one server: the memory of their accounts, and the time that an arrival and the fair
-//! rate of a control period take in the fair queues.
+//! Measures the cost of tenants for one server: the memory of their accounts, and the CPU time that fair
+//! queueing needs for an arrival and for the fair rate of a control period.
 
 use crate::fit::{Curve, Point};
 use crate::meter::{allocated_bytes, thread_time_ns};
@@ -7,40 +7,41 @@
 use meadowstream_fair_queueing::{FairScheduler, NamedTenant, ServiceOutcome, Settings, TenantKey};
 use serde::Serialize;
 
-/// Numbers of named tenants, the largest last.
+/// Measured numbers of named tenants, in ascending order.
 pub const SIZES: [usize; 6] = [1_000, 4_000, 8_000, 16_000, 32_000, 64_000];
-/// Arrivals that are measured, and their distance in simulated time.
+/// Number of arrivals over which the CPU time is averaged.
 const ARRIVALS: usize = 20_000;
+/// Simulated time between two arrivals, in nanoseconds.
 const ARRIVAL_INTERVAL_NS: u64 = 50_000;
-/// Updates of the fair rate that are measured, one a second.
+/// Number of fair rate updates over which the CPU time is averaged, with one update per simulated second.
 const FAIR_RATE_UPDATES: u64 = 20;
-/// Accounts of tenants that are not named.
+/// Number of accounts for tenants without an entry in the settings.
 const OTHER_ACCOUNTS: usize = 16;
 const WEIGHT: f64 = 2.0;
 const CORES: f64 = 8.0;
-/// Core time of an arrival.
+/// Core time that each arriving invocation uses, in nanoseconds.
 const WORK_NS: f64 = 2e6;
 const SEED: u64 = 7;
-/// A prime, by which arrivals are spread over the tenants.
+/// Prime step between the tenant indexes of consecutive arrivals, which spreads arrivals over all tenants.
 const STRIDE: usize = 7919;
 
-/// What so many tenants cost.
+/// Costs of one server with a given number of tenants.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct TenantCosts {
-    /// Named tenants.
+    /// Number of named tenants.
     pub tenants: usize,
-    /// Bytes of the allocator.
+    /// Heap memory of the fair queueing scheduler, in bytes.
     #[serde(rename = "memory")]
     pub memory_bytes: f64,
-    /// Nanoseconds of an arrival and its end.
+    /// Average CPU time for the arrival, start and end of one invocation, in nanoseconds.
     #[serde(rename = "arrival")]
     pub arrival_ns: f64,
-    /// Nanoseconds in which the fair rate is found, once a control period.
+    /// Average CPU time of one fair rate update, which runs once per control period, in nanoseconds.
     #[serde(rename = "level")]
     pub fair_rate_ns: f64,
 }
 
-/// Measures the largest load there can be: all tenants are named and all have arrivals.
+/// Measures the costs in the worst case, in which all tenants are named and all have arrivals.
 pub fn measure(tenants: usize) -> TenantCosts {
     let name = |tenant: usize| format!("tenant-{tenant:05}").into_bytes();
     let named: Vec<NamedTenant> = (0..tenants).map(|tenant| (name(tenant), WEIGHT)).collect();
@@ -68,15 +69,15 @@
     TenantCosts { tenants, memory_bytes, arrival_ns, fair_rate_ns }
 }
 
-/// The curves over the number of tenants.
+/// Returns the curves of the measured costs by number of tenants.
 pub fn curves(measured: &[TenantCosts]) -> Vec<Curve> {
     let curve = |name: &str, unit, value: &dyn Fn(&TenantCosts) -> f64| {
-        let points = measured.iter().map(|one| Point { size: one.tenants as f64, value: value(one) });
+        let points = measured.iter().map(|costs| Point { size: costs.tenants as f64, value: value(costs) });
         Curve::new(name, unit, "tenant", points.collect(), None)
     };
     vec![
-        curve("memory of the tenants' accounts", "bytes", &|one| one.memory_bytes),
-        curve("an arrival and its end", "ns", &|one| one.arrival_ns),
-        curve("the level of a control period", "ns", &|one| one.fair_rate_ns),
+        curve("memory of the tenants' accounts", "bytes", &|costs| costs.memory_bytes),
+        curve("an arrival and its end", "ns", &|costs| costs.arrival_ns),
+        curve("the level of a control period", "ns", &|costs| costs.fair_rate_ns),
     ]
 }
--- a/crates/capacity/src/topology.rs
+++ b/crates/capacity/src/topology.rs
@@ -1,57 +1,60 @@
-//! Where servers are: regions, zones in them, racks in zones, and how long a datagram takes between two.
+//! Placement of servers in regions, zones and racks, and the network delay between two servers.
 
 use meadowstream_membership::Nanos;
 use meadowstream_replication::simulation::Delay;
 
-/// Servers of one rack, behind one switch.
+/// Number of servers in one rack, which share a network switch.
 pub const RACK_SERVERS: usize = 23;
-/// Regions of the fleet.
+/// Number of regions.
 pub const REGIONS: usize = 3;
-/// Zones of all regions together.
+/// Number of zones in all regions together.
 pub const ZONES: usize = 10;
-/// The region and the zone that incidents cut off.
+/// Index of the region that a simulated network partition cuts off.
 pub(crate) const CUT_REGION: usize = 2;
+/// Index of the zone that a simulated network partition cuts off.
 pub(crate) const CUT_ZONE: usize = 9;
 
 const MICROSECOND_NS: Nanos = 1_000;
 const MILLISECOND_NS: Nanos = 1_000_000;
-/// Least one-way delays. They are estimates.
+/// Minimum one-way delay within a zone. This delay and the two below are estimates.
 const SAME_ZONE_NS: Nanos = 250 * MICROSECOND_NS;
+/// Minimum one-way delay between two zones of a region.
 const SAME_REGION_NS: Nanos = MILLISECOND_NS;
+/// Minimum one-way delay between two regions.
 const BETWEEN_REGIONS_NS: Nanos = 40 * MILLISECOND_NS;
-/// The jitter is at most the delay over this.
+/// The maximum jitter is the minimum delay divided by this number.
 const JITTER_DIVISOR: u64 = 2;
 
-/// Where one server is. Servers are dealt to zones in turn, and zones to regions.
+/// Location of one server. Servers are assigned to zones round-robin, and zones to regions round-robin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Place {
-    /// The region, from 0.
+    /// Index of the region, from 0.
     pub region: usize,
-    /// The zone, from 0, counted over all regions.
+    /// Index of the zone, from 0, unique across all regions.
     pub zone: usize,
-    /// The rack, counted over all zones.
+    /// Index of the rack, unique across all zones.
     pub rack: usize,
 }
 
 impl Place {
-    /// Where a server is, by its index.
+    /// Returns the location of the server with this index.
     pub fn of(server: usize) -> Place {
         let zone = server % ZONES;
         Place { region: zone % REGIONS, zone, rack: zone + ZONES * (server / ZONES / RACK_SERVERS) }
     }
 
-    /// The zone's name in settings.
+    /// Returns the zone's name as used in settings.
     pub fn zone_name(&self) -> String {
         format!("zone-{}", self.zone)
     }
 
-    /// The region's name in settings.
+    /// Returns the region's name as used in settings.
     pub fn region_name(&self) -> String {
         format!("region-{}", self.region)
     }
 }
 
-/// The one-way delay between two servers.
+/// Returns the one-way network delay between two servers.
 pub fn delay(from: Place, to: Place) -> Delay {
     let least = if from.zone == to.zone {
         SAME_ZONE_NS
--- a/crates/capacity/tests/model.rs
+++ b/crates/capacity/tests/model.rs
@@ -27,8 +27,8 @@
 
 #[test]
 fn counts_take_longer_the_larger_the_fleet() {
-    let small = at_rest::counters_settle(20, &scale(20), 100).unwrap().unwrap();
-    let large = at_rest::counters_settle(80, &scale(80), 100).unwrap().unwrap();
+    let small = at_rest::counter_convergence_seconds(20, &scale(20), 100).unwrap().unwrap();
+    let large = at_rest::counter_convergence_seconds(80, &scale(80), 100).unwrap().unwrap();
     assert!(small < large && large < 60.0, "{small} {large}");
 }
 
