--- a/crates/capacity/src/added_latency.rs
+++ b/crates/capacity/src/added_latency.rs
@@ -48,8 +48,8 @@
     pub changes: usize,
 }
 
-/// Latency that the process added to invocations: the time from the caller's write to the caller's read, minus
-/// the work time at the interpreter. The latency includes the time spent in the test doubles.
+/// Latency that the process added to invocations: the time from the caller's write to the caller's read,
+/// minus the work time at the interpreter. The latency includes the time spent in the test doubles.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct AddedLatency {
     /// Load that was applied.
@@ -217,8 +217,8 @@
     Ok(SenderResult { timer_lateness_us, sent })
 }
 
-/// Rewrites the options file with a new weight for all tenants and makes the process reload it with SIGHUP, at
-/// regular intervals over the duration of the load.
+/// Rewrites the options file with a new weight for all tenants and makes the process reload the file with
+/// SIGHUP, at regular intervals over the duration of the load.
 fn change_options(process: &Process, load: Load, fleet_options: &str) -> Result<(), MeasureError> {
     let interval = Duration::from_secs_f64(load.seconds as f64 / (load.changes + 1) as f64);
     for change in 0..load.changes {
--- a/crates/capacity/src/at_rest.rs
+++ b/crates/capacity/src/at_rest.rs
@@ -124,9 +124,9 @@
     ]
 }
 
-/// Measures the convergence of the replicated counters. Every server increments its counters once; the result
-/// is the number of seconds from one second later until the totals are exact on every server, or `None` if
-/// that takes longer than `limit_seconds`.
+/// Measures the convergence of the replicated counters. Every server increments its counters once, and the
+/// measurement starts one second later. Returns the seconds until the totals are exact on every server, or
+/// `None` if that takes longer than `limit_seconds`.
 ///
 /// # Errors
 /// Returns an error if the settings are invalid.
--- a/crates/capacity/src/day/mod.rs
+++ b/crates/capacity/src/day/mod.rs
@@ -1,6 +1,7 @@
-//! A day of configuration on the simulated fleet of the replication crate: changes, restarts and failures at
-//! their stated numbers, a rack lost, a zone and a region cut off, all control machines down; and when each
-//! change was in force everywhere.
+//! Simulates a day of configuration changes on the simulated fleet of the replication crate, and measures the
+//! time until each change is applied by every server. The day has the stated numbers of changes, restarts and
+//! failures, the failure of a rack, the isolation of a zone and of a region, and a failure of all control
+//! machines.
 
 mod run;
 mod schedule;
@@ -17,34 +18,35 @@
 use serde::Serialize;
 use summary::summary;
 
-/// 99 in 100 of the times until a change is in force on a server must not be over it, in seconds.
+/// Upper bound of the 99th percentile of the time until a server applies a change, in seconds.
 pub const IN_FORCE_SECONDS_BOUND: f64 = 4.0;
-/// After the day, the fleet is played for so long to catch up.
+/// Simulated time after the day in which servers can still apply the last changes, in nanoseconds.
 const CATCH_UP_NS: Nanos = 300 * SECOND_NS;
 
-/// How large the fleet is and how long its day. Spans are in seconds.
+/// Fleet size and time spans of the simulated day.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct DayScale {
-    /// Servers of the fleet.
+    /// Number of servers in the fleet.
     pub servers: usize,
-    /// Of all random numbers.
+    /// Seed of all random number generators.
     pub seed: u64,
-    /// The day's length; its events are as many as those of a whole day.
+    /// Simulated length of the day in seconds. A shortened day has as many events as a full one.
     #[serde(rename = "day")]
     pub day_seconds: u64,
-    /// A region is cut off for so long.
+    /// Time for which a region is cut off from the other regions, in seconds.
     #[serde(rename = "region_apart")]
     pub region_cut_seconds: u64,
-    /// A zone is cut off for so long.
+    /// Time for which a zone is cut off from the other zones, in seconds.
     #[serde(rename = "zone_away")]
     pub zone_cut_seconds: u64,
-    /// The control machines are down for so long.
+    /// Time for which all control machines are down, in seconds.
     #[serde(rename = "control_away")]
     pub control_down_seconds: u64,
 }
 
 impl DayScale {
-    /// All events of a day in a tenth of one, with the stated spans.
+    /// Returns a scale with the events of a day compressed into a tenth of a day, with full time spans of the
+    /// failures.
     pub fn full(servers: usize, seed: u64) -> DayScale {
         DayScale {
             servers,
@@ -56,7 +58,8 @@
         }
     }
 
-    /// All events of a day in a tenth of an hour, with short spans.
+    /// Returns a scale with the events of a day compressed into a tenth of an hour, with shortened time spans
+    /// of the failures.
     pub fn quick(servers: usize, seed: u64) -> DayScale {
         DayScale {
             servers,
@@ -69,68 +72,75 @@
     }
 }
 
-/// What came of the day. Times are in seconds.
+/// Measurements of the simulated day.
 #[derive(Clone, Debug, Serialize)]
 pub struct Day {
-    /// As it was played.
+    /// Fleet size and time spans that were simulated.
     pub scale: DayScale,
-    /// Changes that were accepted.
+    /// Number of changes that the leader accepted.
     pub changes: usize,
-    /// Changes that found no leader, or one with too much to commit.
+    /// Number of changes that were not accepted, because there was no leader or the leader had too many
+    /// uncommitted changes.
     pub not_published: usize,
-    /// Restarts and failures of servers.
+    /// Number of server restarts and failures.
     pub restarts: usize,
-    /// Until in force on a server, over all changes and the servers that were reached all the time: median.
+    /// Median time in seconds until a server applied a change, over all changes and all servers that stayed
+    /// reachable.
     #[serde(rename = "p50")]
     pub p50_seconds: f64,
-    /// The same: 99 in 100.
+    /// 99th percentile of the time in seconds until a server applied a change, over all changes and all
+    /// servers that stayed reachable.
     #[serde(rename = "p99")]
     pub p99_seconds: f64,
-    /// The same: the longest.
+    /// Longest time in seconds until a server applied a change, over all changes and all servers that stayed
+    /// reachable.
     #[serde(rename = "worst")]
     pub max_seconds: f64,
-    /// Until in force on the last of these servers, over all changes: median.
+    /// Median over all changes of the time in seconds until the last reachable server applied the change.
     #[serde(rename = "everywhere_p50")]
     pub everywhere_p50_seconds: f64,
-    /// The same: 99 in 100.
+    /// 99th percentile over all changes of the time in seconds until the last reachable server applied the
+    /// change.
     #[serde(rename = "everywhere_p99")]
     pub everywhere_p99_seconds: f64,
-    /// The longest until a server that was cut off or restarted had the revision that was newest at its
-    /// return. Servers that never had it by the end are left out.
+    /// Longest time in seconds until a server that was cut off or restarted applied the revision that was the
+    /// newest at its return. Servers that had not applied that revision by the end are left out.
     #[serde(rename = "caught_up_worst")]
     pub catch_up_max_seconds: f64,
-    /// The same of servers with an empty disk.
+    /// Longest time in seconds until a server that restarted with an empty disk applied the revision that was
+    /// the newest at its return. Servers that had not applied that revision by the end are left out.
     #[serde(rename = "empty_caught_up_worst")]
     pub empty_disk_catch_up_max_seconds: f64,
-    /// Returns of servers.
+    /// Number of times that a server returned after a restart or a network partition.
     #[serde(rename = "caught_up")]
     pub returns: usize,
-    /// The changes that took longest.
+    /// Descriptions of the changes that took longest, the slowest first.
     pub slowest: Vec<String>,
-    /// Mean bytes a second that a server sent, without envelopes.
+    /// Average number of bytes per second that a server sent, without envelopes.
     #[serde(rename = "bytes")]
     pub bytes_per_second: f64,
-    /// The same of the leader, in the first tenth of the day.
+    /// Average number of bytes per second that the leader sent in the first tenth of the day, without
+    /// envelopes.
     #[serde(rename = "control_bytes")]
     pub leader_bytes_per_second: f64,
-    /// Processor time of a member, in percent of a core.
+    /// Average CPU use of a replication member, in percent of a core.
     #[serde(rename = "processor")]
     pub processor_percent: f64,
 }
 
-/// What the day cost on average.
+/// Average costs over the day.
 struct Costs {
     bytes_per_second: f64,
     leader_bytes_per_second: f64,
     processor_percent: f64,
 }
 
-/// Bytes that the member of a node has sent since its start.
+/// Returns the bytes that the replication member of a node has sent since the member started.
 fn sent_bytes(run: &Run, node: Option<usize>) -> u64 {
     node.and_then(|node| run.fleet.member(node)).map_or(0, |member| member.counts.sent_bytes)
 }
 
-/// Plays the day. `progress` is called with a line at each tenth.
+/// Simulates the day and calls `progress` with one line of text after each tenth of it.
 pub fn play(scale: &DayScale, progress: &dyn Fn(&str)) -> Day {
     let mut rng = ChaCha8Rng::seed_from_u64(scale.seed);
     let mut run = Run::start(scale);
@@ -149,7 +159,7 @@
         if at >= tenth * scale.day_seconds * SECOND_NS / 10 {
             progress(&format!("{tenth} tenths of the day, {} changes", run.published.len()));
             if tenth == 1 {
-                // Before any fault of the control machines.
+                // The control machines have not failed yet, so the leader has not changed.
                 let sent = sent_bytes(&run, leader).saturating_sub(leader_bytes_before);
                 leader_bytes_per_second = sent as f64 / (at as f64 / SECOND_NS as f64);
             }
--- a/crates/capacity/src/day/run.rs
+++ b/crates/capacity/src/day/run.rs
@@ -1,4 +1,4 @@
-//! The fleet in the course of the day, and what is to be measured of it.
+//! Runs the events of the simulated day on the fleet and records published changes and returned servers.
 
 use super::DayScale;
 use super::schedule::Event;
@@ -13,73 +13,85 @@
 use std::collections::BTreeMap;
 
 const MILLISECOND_NS: Nanos = 1_000_000;
-/// A machine that failed is replaced after so long, with an empty disk.
+/// Simulated time until a failed machine is replaced by one with an empty disk, in nanoseconds.
 const REPLACED_AFTER_NS: Nanos = 300 * SECOND_NS;
-/// A restarted server is back after so long.
+/// Simulated time for which a restarting server is down, in nanoseconds.
 const RESTARTED_AFTER_NS: Nanos = 5 * SECOND_NS;
-/// The control machines here: the day's fleet has no others than those that keep the log.
+/// Number of control machines. In this simulation, every control machine is a replica of the configuration
+/// log.
 const REPLICAS: usize = VOTERS;
-/// Keys of the configuration at the start of the day, and those of one change.
+/// Number of configuration keys at the start of the day.
 const KEYS: usize = 2_000;
+/// Number of keys in each change that creates the initial configuration.
 const KEYS_PER_CHANGE: usize = 200;
-/// Changes that may still be on their way to a server that stops.
+/// Number of latest changes that may not have reached a server when the server stops.
 const RECENT_CHANGES: usize = 20;
 
-/// A change that was accepted by the leader.
+/// A configuration change that the leader accepted.
 pub(super) struct PublishedChange {
-    /// When, in simulated Unix nanoseconds.
+    /// Time of the acceptance, in simulated Unix nanoseconds.
     pub(super) at: Nanos,
-    /// The number that it is committed at.
+    /// Number of the revision that contains the change.
     pub(super) number: u64,
-    /// Servers that ran and were reached all the time until it had come to them.
+    /// Servers for which the delay of the change is measured: those that stayed running and reachable.
     pub(super) receivers: Vec<usize>,
 }
 
-/// A server that was reached again after it was cut off or stopped.
+/// A server that became reachable again after a restart or a network partition.
 pub(super) struct ReturnedServer {
-    /// When, in simulated Unix nanoseconds.
+    /// Time of the return, in simulated Unix nanoseconds.
     pub(super) at: Nanos,
+    /// Index of the server.
     pub(super) server: usize,
-    /// The newest revision then.
+    /// Number of the newest revision at the time of the return.
     pub(super) newest_revision: u64,
-    /// It began with an empty disk.
+    /// Whether the server started with an empty disk.
     pub(super) had_empty_disk: bool,
 }
 
-/// A day under way.
+/// State of the simulated day.
 pub(super) struct Run {
     pub(super) fleet: Fleet,
-    /// When the day began, in simulated Unix nanoseconds.
+    /// Start of the day, in simulated Unix nanoseconds.
     pub(super) started_at: Nanos,
+    /// Number of servers in the fleet.
     servers: usize,
-    /// Servers that are cut off now.
+    /// Servers that a network partition currently cuts off.
     cut_off: Vec<usize>,
+    /// Changes that the leader accepted, in order of time.
     pub(super) published: Vec<PublishedChange>,
+    /// Returns of servers, in order of time.
     pub(super) returned: Vec<ReturnedServer>,
-    /// Returned servers that have not applied the revision that was newest then, with its number.
+    /// Returned servers that have not caught up, with the number of the revision that was newest at their
+    /// return.
     catching_up: BTreeMap<usize, u64>,
-    /// Changes that found no leader, or one with too much to commit.
+    /// Number of changes that were not accepted, because there was no leader or the leader had too many
+    /// uncommitted changes.
     pub(super) not_published: usize,
+    /// Number of server restarts and failures.
     pub(super) restarts: usize,
-    /// Number of the last change that was accepted.
+    /// Number of the last accepted revision.
     newest_revision: u64,
 }
 
+/// Returns the region and zone of a server for the replication settings.
 fn location(server: usize) -> Location {
     let place = Place::of(server);
     Location { region: place.region_name(), zone: place.zone_name() }
 }
 
+/// Returns the one-way network delay between two servers.
 fn delay(from: usize, to: usize) -> Delay {
     topology::delay(Place::of(from), Place::of(to))
 }
 
+/// Returns the configuration key of a tenant, by the tenant's number.
 fn key(number: usize) -> String {
     format!("tenants/tenant/tenant-{number:05}")
 }
 
 impl Run {
-    /// A settled fleet with the configuration of the day's start.
+    /// Starts a fleet and publishes the initial configuration.
     pub(super) fn start(scale: &DayScale) -> Run {
         let layout = Layout {
             size: scale.servers,
@@ -113,7 +125,8 @@
         }
     }
 
-    /// Lets `event` happen, `at` nanoseconds from the start of the day.
+    /// Applies `event`, which happens `at` nanoseconds after the start of the day. For a server that restarts
+    /// or fails, adds its return to `events`.
     pub(super) fn handle(
         &mut self,
         event: Event,
@@ -150,18 +163,18 @@
         }
     }
 
-    /// Any server that is no control machine.
+    /// Returns a random server that is not a control machine.
     fn random_server(&self, rng: &mut ChaCha8Rng) -> usize {
         REPLICAS + (rng.next_u64() % (self.servers - REPLICAS) as u64) as usize
     }
 
-    /// The servers of the last rack.
+    /// Returns the servers of the last rack, without control machines.
     fn last_rack(&self) -> Vec<usize> {
         let rack = Place::of(self.servers - 1).rack;
         (REPLICAS..self.servers).filter(|server| Place::of(*server).rack == rack).collect()
     }
 
-    /// Proposes a change of one key to the leader.
+    /// Proposes the change with this number, which sets one key, to the leader.
     fn propose(&mut self, change: usize) {
         let value = (1 + change % 9).to_string();
         let Some(number) = self.fleet.propose(vec![Change::set(&key(change % KEYS), &value)]) else {
@@ -169,30 +182,34 @@
             return;
         };
         self.newest_revision = number;
-        // Servers that were away are measured from their return, until they have caught up.
+        // A returned server is not a receiver until it has caught up; its catch-up time is measured instead.
         let fleet = &self.fleet;
         self.catching_up.retain(|server, newest_revision| {
             fleet.member(*server).is_some_and(|member| member.applied() < *newest_revision)
         });
-        let is_reached =
+        let is_receiver =
             |server: &usize| !self.cut_off.contains(server) && !self.catching_up.contains_key(server);
-        let receivers = self.fleet.running().into_iter().filter(is_reached).collect();
+        let receivers = self.fleet.running().into_iter().filter(is_receiver).collect();
         self.published.push(PublishedChange { at: self.fleet.now(), number, receivers });
     }
 
-    /// Servers that stop while changes are on their way are not measured for these.
+    /// Removes the servers for which `is_gone` is true from the receivers of the latest changes. Servers that
+    /// stop before they receive a change are not measured for it.
     fn remove_receivers(&mut self, is_gone: impl Fn(&usize) -> bool) {
         for change in self.published.iter_mut().rev().take(RECENT_CHANGES) {
             change.receivers.retain(|server| !is_gone(server));
         }
     }
 
+    /// Crashes a server, counts its restart and removes it from the receivers of the latest changes.
     fn crash(&mut self, server: usize) {
         self.fleet.crash(server);
         self.restarts += 1;
         self.remove_receivers(|receiver| *receiver == server);
     }
 
+    /// Starts a server that is not running, with its disk or an empty one, and records its return unless a
+    /// network partition cuts it off.
     fn restart(&mut self, server: usize, had_empty_disk: bool) {
         if self.fleet.member(server).is_some() {
             return;
@@ -206,14 +223,14 @@
         }
     }
 
-    /// A server is reached again: its time to catch up is measured from now.
+    /// Records that a server is reachable again. The time until it catches up is measured from now.
     fn record_return(&mut self, server: usize, had_empty_disk: bool) {
         let (at, newest_revision) = (self.fleet.now(), self.newest_revision);
         self.returned.push(ReturnedServer { at, server, newest_revision, had_empty_disk });
         self.catching_up.insert(server, newest_revision);
     }
 
-    /// Cuts the servers at places that `is_cut` picks from the rest.
+    /// Isolates the servers at places for which `is_cut` returns true from all other servers.
     fn cut(&mut self, is_cut: impl Fn(Place) -> bool) {
         for server in 0..self.servers {
             self.fleet.set_group(server, u32::from(is_cut(Place::of(server))));
@@ -223,6 +240,7 @@
         self.fleet.cut(0, 1);
     }
 
+    /// Ends the network partition and records the return of the servers that were cut off.
     fn heal(&mut self) {
         self.fleet.heal();
         for server in std::mem::take(&mut self.cut_off) {
--- a/crates/capacity/src/day/schedule.rs
+++ b/crates/capacity/src/day/schedule.rs
@@ -1,4 +1,4 @@
-//! What happens in the course of the day, and when.
+//! Schedule of the events in the simulated day.
 
 use super::DayScale;
 use crate::scale::{FAILURES_PER_DAY, RACK_DOWN_NS, RESTARTS_PER_DAY, SECOND_NS};
@@ -6,37 +6,37 @@
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::Rng;
 
-/// Changes of the configuration in a day.
+/// Number of configuration changes in a day.
 pub const CHANGES: usize = 790;
 
-/// Something that happens to the fleet.
+/// An event of the simulated day.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Event {
-    /// A change is proposed; its number in the day.
+    /// A configuration change is proposed. The field is the number of the change in the day, from 0.
     Change(usize),
-    /// A server is restarted.
+    /// A random server restarts.
     Restart,
-    /// A server fails and loses its disk.
+    /// A random server fails and loses its disk.
     Fail,
-    /// A server that was restarted, or the replacement of one that failed, is back.
+    /// A restarted server, or the replacement of a failed one, starts. The field is the index of the server.
     ServerReturned(usize),
     /// All servers of a rack stop.
     RackLost,
-    /// They start again.
+    /// All servers of the rack start again.
     RackReturned,
-    /// A zone is cut from the rest.
+    /// A network partition separates one zone from the others.
     ZoneCut,
-    /// A region is cut from the rest.
+    /// A network partition separates one region from the others.
     RegionCut,
-    /// All cuts end.
+    /// The network partition ends.
     Heal,
     /// All control machines stop.
     ControlLost,
-    /// They start again.
+    /// All control machines start again.
     ControlReturned,
 }
 
-/// The events of the day, by nanoseconds from its start.
+/// Returns all events of the day by their time in nanoseconds from its start.
 pub(super) fn schedule(scale: &DayScale, rng: &mut ChaCha8Rng) -> EventQueue<Event> {
     let day = scale.day_seconds * SECOND_NS;
     let mut events = EventQueue::default();
@@ -50,10 +50,10 @@
         events.push(rng.next_u64() % day, Event::Fail);
     }
     let tenth = day / 10;
-    // In a short day the rack is away for 6% of it.
-    let rack_lost = RACK_DOWN_NS.min(60 * (tenth / 100));
+    // In a short day, the rack is down for 6% of the day instead of the usual time.
+    let rack_down = RACK_DOWN_NS.min(60 * (tenth / 100));
     events.push(tenth, Event::RackLost);
-    events.push(tenth + rack_lost, Event::RackReturned);
+    events.push(tenth + rack_down, Event::RackReturned);
     events.push(3 * tenth, Event::ZoneCut);
     events.push(3 * tenth + scale.zone_cut_seconds * SECOND_NS, Event::Heal);
     events.push(5 * tenth, Event::RegionCut);
--- a/crates/capacity/src/day/summary.rs
+++ b/crates/capacity/src/day/summary.rs
@@ -1,4 +1,4 @@
-//! What came of the day.
+//! Evaluates the simulated day: delays of changes and catch-up times of returned servers.
 
 use super::run::{PublishedChange, ReturnedServer, Run};
 use super::{Costs, Day, DayScale};
@@ -6,20 +6,22 @@
 use meadowstream_membership::Nanos;
 use std::collections::BTreeMap;
 
-/// Changes that are named since they took longest.
+/// Maximum number of slowest changes to list.
 const SLOWEST_MAX: usize = 8;
-/// Stands for a change that a server never applied, in seconds.
+/// Delay in seconds that represents a change that a server never applied.
 const NEVER_SECONDS: f64 = f64::INFINITY;
-/// The same where it is printed.
+/// Delay in seconds that is printed for a change that a server never applied.
 const NEVER_PRINTED_SECONDS: f64 = 1e9;
 
-/// When a server first applied a revision.
+/// Application of a revision by a server.
 struct Application {
+    /// Time of the application, in simulated Unix nanoseconds.
     at: Nanos,
+    /// Number of the revision.
     number: u64,
 }
 
-/// The revisions that each server applied, in order of time.
+/// Revisions that each server applied, by server index and in order of time.
 struct Applications(BTreeMap<usize, Vec<Application>>);
 
 impl Applications {
@@ -32,34 +34,37 @@
         Applications(by_server)
     }
 
-    /// Seconds from a time until a server had applied a revision or a later one; `None` where it never had.
+    /// Returns the seconds from the time `from` until a server applied the revision `number` or a later one;
+    /// `None` if the server never did.
     fn seconds_until(&self, server: usize, from: Nanos, number: u64) -> Option<f64> {
         let applications = self.0.get(&server)?;
         let first = applications.iter().find(|application| application.number >= number)?;
         Some(first.at.saturating_sub(from) as f64 / SECOND_NS as f64)
     }
 
-    /// Seconds until each receiver had applied a change; [`NEVER_SECONDS`] where one never had.
+    /// Returns the delay in seconds until each receiver applied a change. The delay of a receiver that never
+    /// applied the change is [`NEVER_SECONDS`].
     fn receiver_seconds(&self, change: &PublishedChange) -> Vec<f64> {
         let seconds =
             |server: &usize| self.seconds_until(*server, change.at, change.number).unwrap_or(NEVER_SECONDS);
         change.receivers.iter().map(seconds).collect()
     }
 
-    /// The longest that returned servers took to catch up, in seconds. A server that returned several times
-    /// is measured from its last return; one that never caught up is left out.
+    /// Returns the longest catch-up time of the returned servers with or without an empty disk, in seconds. A
+    /// server that returned several times is measured from its last return. Servers that never caught up are
+    /// left out.
     fn longest_catch_up(&self, returned: &[ReturnedServer], had_empty_disk: bool) -> f64 {
-        let is_last = |one: &ReturnedServer| {
-            !returned.iter().any(|other| other.server == one.server && other.at > one.at)
+        let is_last = |candidate: &ReturnedServer| {
+            !returned.iter().any(|other| other.server == candidate.server && other.at > candidate.at)
         };
         returned
             .iter()
-            .filter(|one| one.had_empty_disk == had_empty_disk && is_last(one))
-            .filter_map(|one| self.seconds_until(one.server, one.at, one.newest_revision))
+            .filter(|returned| returned.had_empty_disk == had_empty_disk && is_last(returned))
+            .filter_map(|returned| self.seconds_until(returned.server, returned.at, returned.newest_revision))
             .fold(0.0, f64::max)
     }
 
-    /// The changes that took longest, each with its slowest receiver.
+    /// Describes the changes that took longest, each with its slowest receiver.
     fn slowest(&self, run: &Run) -> Vec<String> {
         struct SlowChange {
             seconds: f64,
@@ -72,12 +77,12 @@
                 (seconds.unwrap_or(NEVER_SECONDS), *server)
             };
             let last = change.receivers.iter().map(seconds).max_by(|a, b| a.0.total_cmp(&b.0));
-            if let Some((took, server)) = last {
+            if let Some((seconds, server)) = last {
                 let at = (change.at - run.started_at) as f64 / SECOND_NS as f64;
                 let number = change.number;
-                let printed = took.min(NEVER_PRINTED_SECONDS);
+                let printed = seconds.min(NEVER_PRINTED_SECONDS);
                 let description = format!("{printed:.1} s: s{server} to {number} published at {at:.0} s");
-                slowest.push(SlowChange { seconds: took, description });
+                slowest.push(SlowChange { seconds, description });
             }
         }
         slowest.sort_by(|a, b| b.seconds.total_cmp(&a.seconds));
@@ -85,13 +90,13 @@
     }
 }
 
-/// The quantile of sorted figures; no number where there are none.
+/// Returns the quantile `share` (from 0 to 1) of values in ascending order; NaN if there are none.
 fn quantile(sorted: &[f64], share: f64) -> f64 {
     let last = sorted.len().saturating_sub(1);
     sorted.get((last as f64 * share).round() as usize).copied().unwrap_or(f64::NAN)
 }
 
-/// The figures of a day that is over.
+/// Calculates the measurements of a completed day.
 pub(super) fn summary(scale: &DayScale, run: &Run, costs: Costs) -> Day {
     let applications = Applications::of(run);
     let (mut each, mut everywhere) = (Vec::new(), Vec::new());
--- a/crates/capacity/src/fleet.rs
+++ b/crates/capacity/src/fleet.rs
@@ -188,7 +188,7 @@
         Ok(())
     }
 
-    /// Partitions the network between the servers at places for which `is_cut` is true and all other servers.
+    /// Isolates the servers at places for which `is_cut` returns true from all other servers.
     pub fn cut(&mut self, is_cut: impl Fn(Place) -> bool) {
         for server in 0..self.groups.len() {
             self.groups[server] = u32::from(is_cut(Place::of(server)));
@@ -251,8 +251,8 @@
         self.route(*to);
     }
 
-    /// Advances the server of a timer. A timer that fires before the server's current due time is outdated and
-    /// ignored, because the server has another timer for its due time.
+    /// Advances the server of a timer. A timer that fires before the server's current due time is outdated
+    /// and ignored, because the server has another timer for its due time.
     fn fire(&mut self, timer: &Timer) {
         let Some(server) = self.servers[timer.server].as_mut() else { return };
         if server.next_due() > timer.at {
--- a/crates/capacity/src/incidents.rs
+++ b/crates/capacity/src/incidents.rs
@@ -35,12 +35,12 @@
     pub description: String,
     /// Number of servers in the fleet.
     pub servers: usize,
-    /// Seconds from the failure until the views of the running servers agreed; `None` if they did not agree in
-    /// time. For a network partition, 0 if the views on each side agreed at its end and `None` if not.
+    /// Seconds from the failure until the views of the running servers agreed; `None` if they did not agree
+    /// in time. For a network partition, 0 if the views on each side agreed at its end and `None` if not.
     #[serde(rename = "seen")]
     pub convergence_after_loss: Option<f64>,
-    /// Seconds from the end of the failure until the views of all servers agreed; `None` if they did not agree
-    /// in time.
+    /// Seconds from the end of the failure until the views of all servers agreed; `None` if they did not
+    /// agree in time.
     #[serde(rename = "returned")]
     pub convergence_after_return: Option<f64>,
     /// Number of server restarts during the failure.
@@ -192,7 +192,7 @@
     max as f64 / span_seconds as f64
 }
 
-/// Simulates the failure of all servers in a rack at once. They restart after [`RACK_DOWN_NS`].
+/// Simulates the failure of all servers in a rack at once. The servers restart after one minute.
 ///
 /// # Errors
 /// Returns an error if the settings are invalid.
@@ -212,8 +212,8 @@
     Ok(Recovery::play(&mut fleet).into_incident(scale, description, after_loss))
 }
 
-/// Simulates a network partition that isolates one part of the fleet for `span_seconds`. Servers on both sides
-/// restart at the stated rate meanwhile.
+/// Simulates a network partition that isolates one part of the fleet for `span_seconds`. Meanwhile, servers
+/// on both sides restart at the stated rate.
 fn cut_off(
     scale: &Scale,
     description: String,
--- a/crates/capacity/src/scale.rs
+++ b/crates/capacity/src/scale.rs
@@ -18,9 +18,9 @@
 /// Upper bound of a server's memory for membership, shared state and replication, in bytes.
 pub const MEMORY_BYTES_BOUND: f64 = 256.0 * 1024.0 * 1024.0;
 
-/// Number of server restarts per day in a fleet of [`STATED_SERVERS`].
+/// Number of server restarts per day in a fleet of [`STATED_SERVERS`] servers.
 pub const RESTARTS_PER_DAY: usize = 870;
-/// Number of server failures per day in a fleet of [`STATED_SERVERS`].
+/// Number of server failures per day in a fleet of [`STATED_SERVERS`] servers.
 pub const FAILURES_PER_DAY: usize = 51;
 /// Size of the fleet for which the bounds and the daily numbers of restarts and failures are stated.
 pub const STATED_SERVERS: f64 = 690.0;
@@ -28,8 +28,8 @@
 pub const RACK_DOWN_NS: Nanos = 60 * SECOND_NS;
 /// Number of control machines. These are the first servers of the fleet and the seeds of all servers.
 pub const CONTROL_MACHINES: usize = 4;
-/// Number of control machines that vote on budgets and store the replicated configuration log. These are the
-/// first ones.
+/// Number of control machines that vote on budgets and store the replicated configuration log. The first
+/// control machines of the fleet have this role.
 pub const VOTERS: usize = 3;
 /// Name of the lease whose holder leads the replicated configuration log.
 const LOG_LEASE: &str = "publishing";
@@ -50,16 +50,17 @@
     pub servers: usize,
     /// Seed of all random number generators.
     pub seed: u64,
-    /// Duration of the measurement of a fleet at rest. The fleet runs for the same time before it.
+    /// Duration of the measurement of a fleet at rest, in seconds. The fleet runs for the same time before
+    /// the measurement.
     #[serde(rename = "rest")]
     pub rest_seconds: u64,
-    /// Time for which a region is cut off from the other regions.
+    /// Time for which a region is cut off from the other regions, in seconds.
     #[serde(rename = "region_apart")]
     pub region_cut_seconds: u64,
-    /// Time for which a zone is cut off from the other zones.
+    /// Time for which a zone is cut off from the other zones, in seconds.
     #[serde(rename = "zone_away")]
     pub zone_cut_seconds: u64,
-    /// Time for which all control machines are down.
+    /// Time for which all control machines are down, in seconds.
     #[serde(rename = "control_away")]
     pub control_down_seconds: u64,
 }
--- a/crates/capacity/src/server.rs
+++ b/crates/capacity/src/server.rs
@@ -23,7 +23,7 @@
 pub struct ReplicationSettings {
     /// Settings of the replication member.
     pub member: meadowstream_replication::member::Settings,
-    /// Name of the budget with a single unit. The server that leases this unit leads the replicated log.
+    /// Name of the budget whose single unit is the lease on leading the replicated log.
     pub lease: &'static str,
 }
 
@@ -221,7 +221,7 @@
     pub fn take_outgoing(&mut self) -> Vec<Transmit> {
         let outgoing = self.membership.take_transmits();
         let counts = self.membership.counts();
-        // Membership sends the datagrams of all mechanisms. Its own are those of no other mechanism.
+        // Membership counts the datagrams of all mechanisms, so those of the other mechanisms are subtracted.
         let others = [self.costs.shared_state, self.costs.replication];
         let datagrams: u64 = others.iter().map(|cost| cost.datagrams).sum();
         let bytes: u64 = others.iter().map(|cost| cost.bytes).sum();
--- a/crates/capacity/src/tenants.rs
+++ b/crates/capacity/src/tenants.rs
@@ -7,7 +7,7 @@
 use meadowstream_fair_queueing::{FairScheduler, NamedTenant, ServiceOutcome, Settings, TenantKey};
 use serde::Serialize;
 
-/// Measured numbers of named tenants, in ascending order.
+/// Numbers of named tenants to measure, in ascending order.
 pub const SIZES: [usize; 6] = [1_000, 4_000, 8_000, 16_000, 32_000, 64_000];
 /// Number of arrivals over which the CPU time is averaged.
 const ARRIVALS: usize = 20_000;
--- a/crates/capacity/tests/memory.rs
+++ b/crates/capacity/tests/memory.rs
@@ -1,21 +1,24 @@
-//! Memory as the allocator counts it. The count is the whole process's, so this file has one test and no
-//! other: cargo runs each test file in a process of its own, and nothing else allocates there meanwhile.
+//! Tests the measured heap memory of tenant accounts. The allocator counts memory for the whole process, so
+//! this file must contain a single test: cargo runs each test file in a separate process, and no other test
+//! then allocates memory during the measurement.
 
 use meadowstream_capacity::tenants::{self, TenantCosts};
 
-/// What a tenant more takes, in bytes, may differ by this part between one pair of sizes and another: tables
-/// grow by doubling.
+/// Relative tolerance between the memory per additional tenant in two ranges of tenant counts. The two differ
+/// because tables grow by doubling.
 const TOLERANCE: f64 = 0.25;
+/// Upper bound of the memory per tenant, in bytes.
 const TENANT_BYTES_MAX: f64 = 2_000.0;
 
-fn each_more(smaller: &TenantCosts, larger: &TenantCosts) -> f64 {
+/// Returns the memory per additional tenant between two measurements, in bytes.
+fn bytes_per_added_tenant(smaller: &TenantCosts, larger: &TenantCosts) -> f64 {
     (larger.memory_bytes - smaller.memory_bytes) / (larger.tenants - smaller.tenants) as f64
 }
 
 #[test]
-fn tenants_take_memory_in_proportion() {
+fn memory_grows_linearly_with_the_number_of_tenants() {
     let [small, middle, large] = [500, 2_000, 8_000].map(tenants::measure);
-    let (low, high) = (each_more(&small, &middle), each_more(&middle, &large));
+    let (low, high) = (bytes_per_added_tenant(&small, &middle), bytes_per_added_tenant(&middle, &large));
     assert!(low > 0.0 && large.memory_bytes < 8_000.0 * TENANT_BYTES_MAX, "{small:?} {middle:?} {large:?}");
     assert!((high / low - 1.0).abs() < TOLERANCE, "{low} {high}: {small:?} {middle:?} {large:?}");
 }
--- a/crates/capacity/tests/model.rs
+++ b/crates/capacity/tests/model.rs
@@ -1,10 +1,12 @@
-//! The scale model in small: bounds that every size keeps, an outcome that its seed alone decides, and a
-//! day of configuration. Large ones are `meadowstream fleet capacity`.
+//! Tests the fleet model with small fleets: cost bounds that hold at every size, results that depend only on
+//! the seed, recovery after failures, and a simulated day of configuration changes. The command
+//! `meadowstream fleet capacity` runs the model with large fleets.
 
 use meadowstream_capacity::fit::{Curve, Line, Point};
 use meadowstream_capacity::scale::{BYTES_PER_SECOND_BOUND, Scale};
 use meadowstream_capacity::{at_rest, day, incidents};
 
+/// Returns a scale with short time spans.
 fn scale(servers: usize) -> Scale {
     Scale {
         servers,
@@ -17,7 +19,7 @@
 }
 
 #[test]
-fn a_fleet_at_rest_stays_within_its_bytes_and_is_decided_by_its_seed() {
+fn a_fleet_at_rest_keeps_the_byte_bound_and_is_deterministic_for_its_seed() {
     let rest = at_rest::measure(40, &scale(40)).unwrap();
     assert!(rest.costs.bytes() > 1_000.0 && rest.costs.bytes() < BYTES_PER_SECOND_BOUND, "{:?}", rest.costs);
     assert!(rest.costs.replication_bytes > 50.0 && rest.costs.membership_bytes > 100.0, "{:?}", rest.costs);
@@ -26,14 +28,14 @@
 }
 
 #[test]
-fn counts_take_longer_the_larger_the_fleet() {
+fn counters_converge_more_slowly_in_a_larger_fleet() {
     let small = at_rest::counter_convergence_seconds(20, &scale(20), 100).unwrap().unwrap();
     let large = at_rest::counter_convergence_seconds(80, &scale(80), 100).unwrap().unwrap();
     assert!(small < large && large < 60.0, "{small} {large}");
 }
 
 #[test]
-fn a_rack_a_region_and_the_control_machines_go_and_come_back() {
+fn the_fleet_recovers_from_the_loss_of_a_rack_a_region_and_all_control_machines() {
     let rack = incidents::rack_lost(&scale(60)).unwrap();
     assert!(
         rack.convergence_after_loss.unwrap() < 30.0 && rack.convergence_after_return.unwrap() < 30.0,
@@ -41,14 +43,14 @@
     );
     let region = incidents::region_cut(&scale(60)).unwrap();
     assert!(region.convergence_after_return.unwrap() < 30.0, "{region:?}");
-    // The smaller side has no majority of voters, and so no lease.
+    // The smaller side of the partition has no majority of voters, so no server there can hold a lease.
     assert_eq!(region.leases_in_cut, Some(0));
     let control = incidents::control_down(&scale(60)).unwrap();
     assert!(control.convergence_after_return.unwrap() < 30.0, "{control:?}");
 }
 
 #[test]
-fn a_small_day_of_changes_comes_to_all() {
+fn all_servers_apply_the_changes_of_a_short_day() {
     let scale = day::DayScale { day_seconds: 600, ..day::DayScale::quick(60, 5) };
     let day = day::play(&scale, &|_| ());
     assert!(day.changes > 700 && day.restarts > 900, "{day:#?}");
@@ -57,7 +59,7 @@
 }
 
 #[test]
-fn a_line_leaves_the_largest_size_out_and_predicts_it() {
+fn a_line_fitted_without_the_largest_size_predicts_it() {
     let point = |size, value| Point { size, value };
     let points = [10.0, 20.0, 30.0, 40.0].map(|size| point(size, 2.0 * size + 1.0));
     let curve =
@@ -69,7 +71,8 @@
     assert_eq!(Line::fit(&[point(1.0, 1.0), point(1.0, 2.0), point(1.0, 3.0)]), None);
 }
 
-/// What a control machine spends at rest at the stated size, and what the log of 64,000 tenants holds.
+/// Prints the costs of a control machine in a fleet at rest of the stated size, the memory of a configuration
+/// with 64,000 tenants, and the size and encoding time of its persisted state.
 #[test]
 #[ignore = "half a minute"]
 fn a_control_machine_at_the_stated_size() {
@@ -81,19 +84,20 @@
     println!("64,000 keys: {} bytes", allocated_bytes() - before);
     let mut saved = meadowstream_replication::persistence::PersistedState::default();
     (saved.committed.revision.hash, saved.committed.state) = (state.hash(), state);
-    let began = thread_time_ns();
+    let started_at = thread_time_ns();
     let bytes = meadowstream_replication::persistence::encode(&saved);
     println!(
         "written at a change: {} bytes, encoded in {} us",
         bytes.len(),
-        (thread_time_ns() - began) / 1000
+        (thread_time_ns() - started_at) / 1000
     );
 }
 
-/// The stated size: `cargo test --release -p meadowstream-capacity -- --ignored --nocapture`.
+/// Prints the measurements of an isolated zone and of a day in a fleet of the stated size. Run it with `cargo
+/// test --release -p meadowstream-capacity -- --ignored --nocapture`.
 #[test]
 #[ignore = "some minutes"]
-fn a_zone_away_and_a_day_at_the_stated_size() {
+fn an_isolated_zone_and_a_day_at_the_stated_size() {
     let day = std::thread::spawn(|| day::play(&day::DayScale::full(690, 1), &|_| ()));
     println!("{:#?}", incidents::zone_cut(&Scale::full(690, 1)).unwrap());
     println!("{:#?}", day.join().unwrap());
