--- a/crates/overload-control/src/admission.rs
+++ b/crates/overload-control/src/admission.rs
@@ -1,17 +1,18 @@
-//! Admission: in the first part of each control period, as long as the refusal time ratio (rtr) of their
-//! priority class says, arrivals are rejected.
+//! Admission: arrivals of a priority class are rejected in the first part of each control period. The
+//! refusal time ratio (rtr) of the class determines the length of that part.
 
 use crate::linear_quadratic::RefusalRatios;
 use crate::regulator::CONTROL_PERIOD;
 use crate::{Deployment, Nanos};
 
-/// Priority weights in ascending order: the index of a weight is its rank.
+/// Distinct priority weights in ascending order; the index of a weight is its rank.
 pub struct PriorityClasses {
     weights: Vec<f64>,
 }
 
 impl PriorityClasses {
-    /// Each operation has two classes where tenants have quotas: within and over them.
+    /// Collects the priority weights of all operations. If tenants have quotas, each operation has two
+    /// classes: within the quota and over it.
     pub fn new(deployment: &Deployment) -> Self {
         let has_quotas = !deployment.tenant_allowance.is_empty() || deployment.fair_queueing.is_some();
         let over_quota = if has_quotas { deployment.over_quota_value_ratio } else { 1.0 };
@@ -19,58 +20,59 @@
         let mut weights: Vec<f64> = of_operations.flat_map(|weight| [weight * over_quota, weight]).collect();
         weights.sort_by(f64::total_cmp);
         weights.dedup();
-        // A refused downstream call throws away work of the tier above, so none of them is basic: the lowest
-        // rank stays empty.
+        // Rejecting a downstream call wastes work of the tier above, so no call is in the basic class: the
+        // lowest rank is left empty.
         if deployment.is_downstream_tier {
             weights.insert(0, 0.0);
         }
         Self { weights }
     }
 
-    /// How many ranks there are.
+    /// Returns the number of ranks.
     pub fn len(&self) -> usize {
         self.weights.len()
     }
 
-    /// The rank of a priority weight; 0 is the lowest.
+    /// Returns the rank of a priority weight; 0 is the lowest rank.
     pub fn rank(&self, weight: f64) -> usize {
         self.weights.iter().position(|each| *each >= weight).unwrap_or(self.weights.len() - 1)
     }
 
-    /// Whether no rank is higher.
+    /// Whether `rank` is the highest rank.
     pub fn is_top(&self, rank: usize) -> bool {
         rank + 1 >= self.weights.len()
     }
 }
 
-/// What raises the refusal time ratio beyond the regulator's.
+/// Conditions that raise the refusal time ratio above that of the regulator.
 pub struct Distress {
-    /// Reading alone overloads the server.
+    /// Whether reading arrivals alone overloads the server.
     pub is_flooded: bool,
-    /// Share of arrivals to keep away from an unhealthy server.
+    /// Share of arrivals that an unhealthy server rejects, from 0 to 1.
     pub unhealthy_ratio: f64,
 }
 
-/// Decides on arrivals by the time in the control period.
+/// Decides whether to reject an arrival by the time elapsed in the control period.
 pub struct Admission {
     period_start: Nanos,
-    /// Downstream calls are at their limit and the cores are not.
+    /// Whether operations without downstream calls are exempt from rejection: the downstream calls are
+    /// saturated and the cores are not.
     pub spares_operations_without_calls: bool,
 }
 
 impl Admission {
-    /// The first control period starts now.
+    /// Creates the state, with the first control period starting at `now`.
     pub fn new(now: Nanos) -> Self {
         Self { period_start: now, spares_operations_without_calls: false }
     }
 
-    /// A control period starts now.
+    /// Starts a control period at `now`.
     pub fn start_period(&mut self, now: Nanos) {
         self.period_start = now;
     }
 
-    /// Share of the period in which arrivals of a rank are rejected: the lowest rank is basic, the next
-    /// premium.
+    /// Returns the share of the control period in which arrivals of `rank` are rejected. The lowest rank is
+    /// basic and the next is premium.
     pub fn refusal_ratio(
         ratios: RefusalRatios,
         classes: &PriorityClasses,
@@ -88,7 +90,7 @@
         regulated.max(distress.unhealthy_ratio)
     }
 
-    /// Time until this refusal ratio's part of the period is over; `None` where it is over.
+    /// Returns the remaining time of the refusal window, or `None` once the window has ended.
     pub fn refusal_time_left(&self, now: Nanos, refusal_ratio: f64) -> Option<Nanos> {
         let window = (refusal_ratio * CONTROL_PERIOD as f64) as Nanos;
         let passed = now - self.period_start;
--- a/crates/overload-control/src/advertised_load.rs
+++ b/crates/overload-control/src/advertised_load.rs
@@ -1,28 +1,28 @@
-//! The load that is advertised with answers.
+//! The load advertised to callers with each answer.
 
 use crate::Advertisement;
 
-/// What the advertised load depends on.
+/// Inputs from which the advertised load is computed.
 pub struct LoadInputs {
-    /// Whether callers should still send.
+    /// Whether callers should continue to send invocations.
     pub wants_arrivals: bool,
-    /// Share of the control period in which arrivals of the lowest rank are rejected, from 0 to 1: by the
-    /// regulator, for a flood or for ill health.
+    /// Share of the control period in which arrivals of the lowest rank are rejected, from 0 to 1, because
+    /// of the regulator, a flood or poor health.
     pub lowest_rank_refusal_ratio: f64,
-    /// Share of its full speed that the server has reached.
+    /// Current speed of the server as a ratio of full speed.
     pub speed_ratio: f64,
-    /// Runs that go on side by side.
+    /// Limit on the number of concurrent runs.
     pub concurrency_limit: f64,
 }
 
-/// The load that was advertised last.
+/// The most recently advertised load.
 #[derive(Default)]
 pub struct AdvertisedLoad {
     last: Option<f64>,
 }
 
 impl AdvertisedLoad {
-    /// The load to advertise; `None` where it has not changed.
+    /// Returns the load to advertise, or `None` if it has not changed.
     pub fn update(&mut self, unit: Advertisement, inputs: &LoadInputs) -> Option<f64> {
         let wanted = f64::from(inputs.wants_arrivals);
         let load = match unit {
--- a/crates/overload-control/src/controller.rs
+++ b/crates/overload-control/src/controller.rs
@@ -1,9 +1,10 @@
-//! The controller: takes events, applies its rules in their order, and hands out actions.
+//! The controller: processes events, applies its rules in a fixed order, and emits actions.
 //!
 //! The host calls `on_arrival`, `on_run_finished`, `on_call_needed`, `on_call_finished`, `on_drain_notice`,
-//! `on_caller_gone` and `on_timer`. Each event updates what is observed and then goes through `RULES` in
-//! order, from the top again after each rule that acts, until none does. Actions go out through the [`Host`]
-//! passed along. `docs/design.md` says what follows the paper and what departs from it.
+//! `on_caller_gone` and `on_timer`. Each event updates the controller's measurements. `RULES` are then
+//! evaluated in order, starting again from the first after each rule that acts, until no rule acts. Actions
+//! are calls to the [`Host`] passed with the event. `docs/design.md` lists the parts taken from the paper
+//! and the deviations from it.
 
 mod conditions;
 mod events;
@@ -58,10 +59,11 @@
     timers: Timers,
 }
 
-/// Acts once where its condition holds; `None` where it does not.
+/// Performs one action and returns `Some` if the rule's condition holds, otherwise returns `None`.
 type Rule = fn(&mut Controller, &mut dyn Host) -> Option<()>;
 
-/// Applied in this order after every event, from the top again after each that acts, until none does.
+/// Rules in order of precedence. Evaluation restarts from the first after each rule that acts and ends when
+/// no rule acts.
 const RULES: &[Rule] = &[
     Controller::answer_overdue,
     Controller::stop_abandoned_runs,
@@ -76,9 +78,9 @@
 ];
 
 impl Controller {
-    /// A controller for a server that started at `started_at`. The seed decides when in the control period
-    /// its steps are, so that the servers of a fleet do not act in step, and seeds the random numbers of fair
-    /// queueing.
+    /// Creates the controller of a server that started at `started_at`. `seed` determines the offset of the
+    /// control periods, so that the servers of a fleet do not step in unison, and seeds the random numbers
+    /// of fair queueing.
     pub fn new(deployment: Deployment, seed: u64, started_at: Nanos, host: &mut dyn Host) -> Self {
         let classes = PriorityClasses::new(&deployment);
         let objectives = deployment.operations.iter().map(|operation| operation.latency_objective);
@@ -117,25 +119,24 @@
         }
     }
 
-    /// Takes over a part of a change of fair queueing: new weights of tenants, and how much they may send at
-    /// once.
+    /// Applies a partial change of the fair queueing settings: tenant weights and burst sizes.
     pub fn reconfigure_fair_queueing(&mut self, now: Nanos, change: &SettingsChange) {
         if let Some(fair) = self.quotas.fair_queue() {
             fair.reconfigure(change, now);
         }
     }
 
-    /// Sets the utilization of the cores to steer to from now on, from 0 to 1.
+    /// Sets the target utilization of the cores, from 0 to 1.
     pub fn set_target_utilization(&mut self, target_utilization: f64) {
         self.deployment.target_utilization = target_utilization;
     }
 
-    /// The fair queue, where tenants are told apart as they come.
+    /// Returns the fair queueing scheduler; `None` if fair queueing is off.
     pub fn fair_queue(&mut self) -> Option<&mut FairScheduler> {
         self.quotas.fair_queue()
     }
 
-    /// The clock has moved to `now`.
+    /// Moves the controller's clock to `now`.
     fn advance(&mut self, now: Nanos) {
         self.calls.advance(now.saturating_sub(self.now));
         self.now = now;
--- a/crates/overload-control/src/controller/conditions.rs
+++ b/crates/overload-control/src/controller/conditions.rs
@@ -1,4 +1,4 @@
-//! What the rules and events read off the state.
+//! Values derived from the controller's state and shared by its rules and event handlers.
 
 use super::Controller;
 use crate::admission::{Admission, Distress};
@@ -13,7 +13,8 @@
         self.invocations.count(&[InvocationState::Running])
     }
 
-    /// Runs on the cores and at downstream calls.
+    /// Number of runs that have started and not ended: on the cores, waiting for a downstream call, or in
+    /// one.
     pub(super) fn open_runs(&self) -> f64 {
         let states = [InvocationState::Running, InvocationState::AwaitingCall, InvocationState::Calling];
         self.invocations.count(&states)
@@ -40,19 +41,20 @@
         }
     }
 
-    /// Memory of invocations and idempotency keys, KB.
+    /// Memory used by invocations and idempotency keys, KB.
     pub(super) fn memory_needed_kb(&self) -> f64 {
         self.invocations.memory_kb() + self.keys.memory_kb()
     }
 
-    /// Until when the answer of one that is not pending is waited for.
+    /// Time until which the controller waits for the result of an invocation that has left the pending
+    /// queue.
     pub(super) fn wait_until(&self, invocation: &Invocation) -> Nanos {
         let has_late_value = self.deployment.operations[invocation.operation].late_value > 0.0;
         let is_late_useful = has_late_value || !self.is_idempotent(invocation);
         invocation.deadlines.wait_until(is_late_useful, self.draining.last_answers())
     }
 
-    /// Time that arrivals lie unread beyond what is ordinary, ns.
+    /// Time that arrivals wait to be read, in excess of the normal delay; ns.
     pub(super) fn excess_reading_delay(&self) -> f64 {
         self.reading.excess_delay(self.now, self.times.longest_core_ns())
     }
@@ -62,12 +64,12 @@
         self.health.unhealthy_ratio(self.now, oldest_run, self.times.longest_core_ns())
     }
 
-    /// The server is in a state that only callers which stay away can help.
+    /// Whether the server is flooded or unhealthy: it recovers only if callers send less.
     pub(super) fn is_in_distress(&self) -> bool {
         self.reading.is_flooded(self.now) || self.unhealthy_ratio() > 0.0
     }
 
-    /// Share of the control period in which arrivals of a rank are rejected.
+    /// Share of the control period in which arrivals of `rank` are rejected.
     pub(super) fn refusal_ratio(&self, rank: usize) -> f64 {
         let distress = Distress {
             is_flooded: self.reading.is_flooded(self.now),
@@ -76,10 +78,9 @@
         Admission::refusal_ratio(self.regulator.ratios(), &self.classes, rank, &distress)
     }
 
-    /// Work that the utilization cannot show, as it ends at 1: unread, pending, or at downstream calls beyond
-    /// their limit; in control periods. Each term is the time that it takes to work off, ns: the core time
-    /// that is pending over the runs that go on side by side, how long arrivals lie unread, and the call time
-    /// that waits beyond the calls' limit.
+    /// Excess work that the utilization gauge cannot show because it is capped at 1, in control periods.
+    /// The sum of three times, ns: the core time of pending invocations divided by the concurrency limit,
+    /// the excess delay of reading arrivals, and the call time in excess of the limit on downstream calls.
     pub(super) fn backlog(&self) -> f64 {
         let queued = self.invocations.pending.queued_work(self.times.usual());
         let calls = self.calls.backlog(self.open_calls());
--- a/crates/overload-control/src/controller/events.rs
+++ b/crates/overload-control/src/controller/events.rs
@@ -1,4 +1,4 @@
-//! The controller's events: each updates what is observed, then applies the rules.
+//! Event handlers of the controller: each one updates the measurements and then applies the rules.
 
 use super::{CONTROL_PERIOD, CONTROL_TIMER, Controller};
 use crate::concurrency_limit::Load;
@@ -9,33 +9,35 @@
 use crate::{Arrival, Gauges, Host, Nanos, Outcome, log_lines};
 
 impl Controller {
-    /// An invocation was read.
+    /// Handles an invocation that the host has read.
     pub fn on_arrival(&mut self, now: Nanos, arrival: Arrival, host: &mut dyn Host) {
         self.advance(now);
         self.reading.observe_delay(now, arrival.age);
         self.retries.observe(now, arrival.is_marked_retry);
         let cost_ratio = self.times.cost_ratio(now, arrival.operation, arrival.cost_hint);
         let work = self.times.usual()[arrival.operation].core_ns * cost_ratio;
-        let standing = self.quotas.on_arrival(now, &arrival, work);
+        let quota_decision = self.quotas.on_arrival(now, &arrival, work);
         let operation = &self.deployment.operations[arrival.operation];
-        let quota_ratio = if standing.is_over_quota { self.deployment.over_quota_value_ratio } else { 1.0 };
+        let quota_ratio =
+            if quota_decision.is_over_quota { self.deployment.over_quota_value_ratio } else { 1.0 };
         self.keys.remember(now, &arrival, operation, host);
-        let mut invocation = Invocation::new(now, &arrival, standing.fair_admission);
+        let mut invocation = Invocation::new(now, &arrival, quota_decision.fair_admission);
         invocation.rank = self.classes.rank(operation.priority_weight * quota_ratio);
         invocation.deadlines = Deadlines::of(&arrival, operation, now);
         invocation.cost_ratio = cost_ratio;
-        // A caller that returns with its ticket skips the refusal window, unless the server is flooded or
-        // unhealthy by now.
-        let is_promised = standing.fair_admission.is_some_and(|admission| admission.promised);
+        // A caller that returns with a valid ticket skips the refusal window, unless the server is flooded
+        // or unhealthy at that time.
+        let is_promised = quota_decision.fair_admission.is_some_and(|admission| admission.promised);
         invocation.screened |= is_promised && !self.is_in_distress();
-        // Arrivals after the drain grace are not run. Nor are those whose idempotency key the host could not
-        // store: a retry with the same key would not be recognized, and the effect would happen twice.
+        // Invocations that arrive after the drain grace are not run. Neither are invocations whose
+        // idempotency key the host could not store: a retry with the same key would not be recognized, and
+        // the operation would take effect twice.
         let answer_without_run = self.draining.is_too_late(invocation.arrived) || arrival.key_not_stored;
         self.invocations.insert(invocation, answer_without_run);
         self.apply_rules(host);
     }
 
-    /// A run has ended, or a repeat has been answered from the result of another invocation.
+    /// Handles the end of a run, or of the replay of an earlier result to a repeat.
     pub fn on_run_finished(&mut self, now: Nanos, id: u64, outcome: Outcome, host: &mut dyn Host) {
         self.advance(now);
         if let Some(key) = self.invocations.find(id) {
@@ -47,9 +49,9 @@
     fn finish_run(&mut self, key: usize, outcome: Outcome, host: &mut dyn Host) {
         let state = self.invocations[key].state();
         if state == InvocationState::Calling {
-            // The run ended without word of its call, which is given up where it stood.
-            let took = self.now - self.invocations[key].state_since;
-            self.calls.refund(self.invocations[key].call_timeout, took, Outcome::Unknown);
+            // The run ended before its downstream call did, so the outcome of the call is unknown.
+            let duration = self.now - self.invocations[key].state_since;
+            self.calls.refund(self.invocations[key].call_timeout, duration, Outcome::Unknown);
         }
         self.enter(key, InvocationState::Pending);
         self.invocations[key].stopping = false;
@@ -65,12 +67,12 @@
         if has_ended || invocation.answered {
             self.remove(key);
         } else if invocation.has_run && !self.is_idempotent(invocation) {
-            // Its work was lost, and only idempotent work may run again.
+            // The work was lost, and only idempotent work may run again.
             self.answer(key, 0, host);
         }
     }
 
-    /// A run has come to its downstream call.
+    /// Handles a run that has reached its downstream call and waits for permission to make it.
     pub fn on_call_needed(&mut self, now: Nanos, id: u64, host: &mut dyn Host) {
         self.advance(now);
         if let Some(key) = self.invocations.find(id) {
@@ -79,25 +81,25 @@
         self.apply_rules(host);
     }
 
-    /// A downstream call has ended after this long.
+    /// Handles the end of a downstream call that lasted for `duration`.
     pub fn on_call_finished(
         &mut self,
         now: Nanos,
         id: u64,
         outcome: Outcome,
-        took: Nanos,
+        duration: Nanos,
         host: &mut dyn Host,
     ) {
         self.advance(now);
         if let Some(key) = self.invocations.find(id) {
-            self.finish_call(key, outcome, took, host);
+            self.finish_call(key, outcome, duration, host);
         }
         self.apply_rules(host);
     }
 
-    fn finish_call(&mut self, key: usize, outcome: Outcome, took: Nanos, host: &mut dyn Host) {
-        self.calls.refund(self.invocations[key].call_timeout, took, outcome);
-        self.calls.observe(self.now, outcome, took, self.open_calls());
+    fn finish_call(&mut self, key: usize, outcome: Outcome, duration: Nanos, host: &mut dyn Host) {
+        self.calls.refund(self.invocations[key].call_timeout, duration, outcome);
+        self.calls.observe(self.now, outcome, duration, self.open_calls());
         if outcome == Outcome::Succeeded {
             self.invocations[key].call_attempts = 0;
             self.enter(key, InvocationState::Running);
@@ -109,13 +111,13 @@
             let backoff = DownstreamCalls::backoff(usual.elapsed_ns);
             self.invocations[key].retry_call_at = self.now + backoff;
         } else if !self.is_idempotent(&self.invocations[key]) {
-            // The call may have had its effect, so it must not be made again.
+            // The call may have taken effect, so it must not be repeated.
             self.answer(key, 0, host);
         }
     }
 
-    /// The notice to drain came at `noticed_at`, which may be before the controller was started; the process
-    /// stops `grace` after it.
+    /// Handles the notice to drain, received at `noticed_at`, which may precede the controller's creation.
+    /// The process stops `grace` after that time.
     pub fn on_drain_notice(&mut self, now: Nanos, noticed_at: Nanos, grace: Nanos, host: &mut dyn Host) {
         self.advance(now);
         self.draining.begin(noticed_at, grace);
@@ -123,7 +125,7 @@
         self.apply_rules(host);
     }
 
-    /// Nobody waits for this answer any more.
+    /// Handles a caller that cancelled its invocation or disconnected: the answer is no longer needed.
     pub fn on_caller_gone(&mut self, now: Nanos, id: u64, host: &mut dyn Host) {
         self.advance(now);
         if let Some(key) = self.invocations.find(id) {
@@ -132,8 +134,8 @@
         self.apply_rules(host);
     }
 
-    /// A timer has gone off. Gauges are read with [`CONTROL_TIMER`] only; any timer but that applies the
-    /// rules.
+    /// Handles the expiry of a timer. `gauges` are used with [`CONTROL_TIMER`] only. An event with any
+    /// other timer id only re-evaluates the rules.
     pub fn on_timer(&mut self, now: Nanos, timer: u32, gauges: Gauges, host: &mut dyn Host) {
         self.advance(now);
         if timer == CONTROL_TIMER {
@@ -168,7 +170,7 @@
         self.admission.start_period(self.now);
     }
 
-    /// Saturated downstream calls count as full utilization.
+    /// Runs one step of the regulator. Saturated downstream calls count as a utilization of 1.
     fn regulate(&mut self, cores_utilization: f64, host: &mut dyn Host) {
         let target = self.deployment.target_utilization;
         let is_saturated = self.calls.is_saturated(self.open_calls());
--- a/crates/overload-control/src/controller/rules.rs
+++ b/crates/overload-control/src/controller/rules.rs
@@ -1,4 +1,4 @@
-//! The controller's rules, in the order of `RULES`, and the answers they give.
+//! The controller's rules, in the order of `RULES`, and the answers that they give.
 
 use super::Controller;
 use crate::advertised_load::LoadInputs;
@@ -11,35 +11,39 @@
 use meadowstream_pending_queue::Capacity;
 
 impl Controller {
-    /// Everything is answered by its deadline, and as soon as an answer in time is out of reach.
+    /// Answers an invocation whose deadline has passed, or a pending one that can no longer finish by its
+    /// deadline.
     pub(super) fn answer_overdue(&mut self, host: &mut dyn Host) -> Option<()> {
-        let active = self.invocations.first_active(|one| !one.answered && self.now >= self.wait_until(one));
+        let active = self
+            .invocations
+            .first_active(|invocation| !invocation.answered && self.now >= self.wait_until(invocation));
         let latest_start = latest_start(self.times.usual(), self.draining.last_answers());
         let key = self.invocations.first_overdue(self.now, latest_start, active)?;
         self.answer(key, CONTROL_PERIOD, host);
         Some(())
     }
 
-    /// Runs whose answer nobody can use leave the cores, where they can be stopped. A run with an idempotency
-    /// key goes on: stopped, its repeats would fail for the rest of the window.
+    /// Stops a run whose answer is no longer needed, if the host supports preemption. A run with an
+    /// idempotency key continues: if it were stopped, repeats with the same key would fail for the rest of
+    /// the idempotency window.
     pub(super) fn stop_abandoned_runs(&mut self, host: &mut dyn Host) -> Option<()> {
         if self.deployment.preemption == Preemption::Unsupported {
             return None;
         }
-        let key = self.invocations.first_active(|one| {
-            one.answered
-                && !one.stopping
-                && one.state() == InvocationState::Running
-                && self.effect(one) != Effect::IdempotentWithKey
+        let key = self.invocations.first_active(|invocation| {
+            invocation.answered
+                && !invocation.stopping
+                && invocation.state() == InvocationState::Running
+                && self.effect(invocation) != Effect::IdempotentWithKey
         })?;
         self.invocations[key].stopping = true;
         host.stop_run(self.invocations[key].id);
         Some(())
     }
 
-    /// Arrivals in the first part of the control period are rejected, by rank: the actuator of IAMS (Jiang,
-    /// Meng, Ren and Zhan). Where downstream calls are saturated and the cores are not, operations that make
-    /// none are admitted.
+    /// Rejects an arrival if the refusal window of its rank, at the start of the control period, is still
+    /// open. This is the actuator of IAMS (Jiang, Meng, Ren and Zhan). While downstream calls are saturated
+    /// and the cores are not, operations without downstream calls are exempt.
     pub(super) fn reject_in_refusal_window(&mut self, host: &mut dyn Host) -> Option<()> {
         let key = self.invocations.next_to_screen()?;
         let (rank, operation) = (self.invocations[key].rank, self.invocations[key].operation);
@@ -49,13 +53,15 @@
         if let Some(time_left) = time_left.filter(|_| !is_spared) {
             let in_distress = self.is_in_distress();
             let retry_after = if in_distress { self.deployment.retry_after_max } else { time_left };
-            // A promise does not depend on the window, so it may be for any time.
+            // The refusal window does not apply to promised admissions, so the promise has no earliest
+            // time.
             self.reject_or_fail(key, retry_after, 0, host);
         }
         Some(())
     }
 
-    /// Pending and running invocations and idempotency keys stay within memory.
+    /// Rejects the pending invocation of the lowest priority while invocations and idempotency keys exceed
+    /// the memory limit.
     pub(super) fn reject_beyond_memory(&mut self, host: &mut dyn Host) -> Option<()> {
         if !self.memory.is_exceeded(self.memory_needed_kb()) {
             return None;
@@ -65,7 +71,8 @@
         Some(())
     }
 
-    /// A repeat of an invocation whose key is remembered is answered with its result, not run.
+    /// Answers a repeat, recognized by its idempotency key, with the result of the original invocation
+    /// instead of running it again.
     pub(super) fn replay_results(&mut self, host: &mut dyn Host) -> Option<()> {
         let key = self.invocations.first_pending_repeat()?;
         self.enter(key, InvocationState::Replaying);
@@ -73,8 +80,8 @@
         Some(())
     }
 
-    /// Where a pending invocation would miss its objective, one of the lowest priority that runs before it or
-    /// is itself it is rejected, so that the rest can be in time.
+    /// If a pending invocation would miss its latency objective, rejects the one of the lowest priority
+    /// among it and those that run before it, so that the others meet theirs.
     pub(super) fn reject_for_deadlines(&mut self, host: &mut dyn Host) -> Option<()> {
         let concurrency_limit = self.concurrency.get();
         let free_slots = (concurrency_limit - self.running()).floor().max(0.0) as usize;
@@ -84,8 +91,9 @@
         Some(())
     }
 
-    /// Runs make their downstream calls while the answer is wanted, the highest rank first. An operation with
-    /// a degraded answer goes on without its call where that fails or may not be made now.
+    /// Starts the downstream call of the highest-ranked run that waits for one and still has to be
+    /// answered. A run whose operation supports degraded answers continues without its call if the call
+    /// failed or is not permitted now.
     pub(super) fn start_calls(&mut self, host: &mut dyn Host) -> Option<()> {
         let open = self.open_calls();
         if !self.calls.is_within_limit(open.calling) {
@@ -111,17 +119,21 @@
         Some(())
     }
 
-    /// Of the runs that may make their call now, the first one of the highest rank.
+    /// Of the runs that may make their call now, returns the one of the highest rank, the oldest if several
+    /// have it.
     fn next_to_call(&self) -> Option<usize> {
-        let ready = self.invocations.active().filter(|(_, one)| {
-            one.state() == InvocationState::AwaitingCall && !one.answered && self.now >= one.retry_call_at
+        let ready = self.invocations.active().filter(|(_, invocation)| {
+            invocation.state() == InvocationState::AwaitingCall
+                && !invocation.answered
+                && self.now >= invocation.retry_call_at
         });
-        // Of equals `max_by_key` returns the last.
-        let (key, _) = ready.rev().max_by_key(|(_, one)| one.rank)?;
+        // `max_by_key` returns the last of several equal items; the order is reversed to get the oldest.
+        let (key, _) = ready.rev().max_by_key(|(_, invocation)| invocation.rank)?;
         Some(key)
     }
 
-    /// The timeout of a call, where the budget of a shared dependency has enough for it.
+    /// Reserves call budget and returns the call's timeout; `None` if the budget of a shared dependency is
+    /// too low.
     fn reserve_call(&mut self, key: usize) -> Option<Nanos> {
         let invocation = &self.invocations[key];
         let attempt = Attempt {
@@ -140,8 +152,8 @@
         Some(())
     }
 
-    /// The next pending invocation runs where a slot and memory are free. While downstream calls are
-    /// saturated only operations that make none start.
+    /// Starts the next pending invocation if a slot and enough memory are free. While downstream calls are
+    /// saturated, only operations without downstream calls start.
     pub(super) fn start_runs(&mut self, host: &mut dyn Host) -> Option<()> {
         let pending = &self.invocations.pending;
         let next = if self.calls.is_saturated(self.open_calls()) {
@@ -163,8 +175,8 @@
         Some(())
     }
 
-    /// Health checks and callers are notified of changes. Health checks are answered by readiness: a draining
-    /// server that wants no more arrivals fails them, although it is healthy.
+    /// Notifies the host of a change of readiness or advertised load. Health checks report readiness: a
+    /// draining server that wants no more arrivals fails them even if it is healthy.
     pub(super) fn report_health_and_load(&mut self, host: &mut dyn Host) -> Option<()> {
         let wants_arrivals = self.draining.wants_arrivals(self.now, self.deployment.target_utilization);
         let is_ready = wants_arrivals && self.unhealthy_ratio() <= 0.0;
@@ -184,13 +196,15 @@
         Some(())
     }
 
-    /// The deadline timer goes off at the next deadline, end of a backoff, or refill of the call budget.
+    /// Sets the deadline timer to the earliest of the next deadline, the end of a backoff, and the time
+    /// when the call budget suffices for a waiting call.
     pub(super) fn set_deadline_timer(&mut self, host: &mut dyn Host) -> Option<()> {
-        let unanswered = self.invocations.active().filter(|(_, one)| !one.answered);
-        let active = unanswered.map(|(_, one)| {
-            let backs_off = one.state() == InvocationState::AwaitingCall && one.retry_call_at > self.now;
-            let retry_call_at = if backs_off { one.retry_call_at } else { Nanos::MAX };
-            self.wait_until(one).min(retry_call_at)
+        let unanswered = self.invocations.active().filter(|(_, invocation)| !invocation.answered);
+        let active = unanswered.map(|(_, invocation)| {
+            let backs_off =
+                invocation.state() == InvocationState::AwaitingCall && invocation.retry_call_at > self.now;
+            let retry_call_at = if backs_off { invocation.retry_call_at } else { Nanos::MAX };
+            self.wait_until(invocation).min(retry_call_at)
         });
         let awaits_budget = self.open_calls().awaiting > 0.0;
         let budget = if awaits_budget { self.calls.enough_budget_at(self.now) } else { None };
@@ -209,15 +223,16 @@
         self.invocations.enter(key, state, self.now);
     }
 
-    /// Gives the one final answer, with this advice.
+    /// Sends the final answer of an invocation, a rejection or an error, advising a retry after
+    /// `retry_after`.
     pub(super) fn answer(&mut self, key: usize, retry_after: Nanos, host: &mut dyn Host) {
         self.reject_or_fail(key, retry_after, retry_after, host);
     }
 
-    /// Rejects where nothing was done or doing it again is harmless, else fails. A promise of admission is
-    /// for `promise_after` at the earliest. The caller is not to try elsewhere where it has a promise here,
-    /// where it is too late for an answer of full value, or where retries would add to an overload of the
-    /// fleet.
+    /// Rejects the invocation if it has not run or is idempotent, otherwise fails it. A promise of
+    /// admission takes effect after `promise_after` at the earliest. The caller is told not to retry
+    /// elsewhere if it has a promise from this server, if its latency objective has passed, or if retries
+    /// would add to an overload of the fleet.
     fn reject_or_fail(&mut self, key: usize, retry_after: Nanos, promise_after: Nanos, host: &mut dyn Host) {
         let are_retries_harmful = self.retries.are_harmful(self.regulator.ratios().basic);
         let advice = self.issue_retry_advice(key, retry_after, promise_after, host);
@@ -234,8 +249,9 @@
         self.close(key, host);
     }
 
-    /// When the caller is to return. Where it can, it ends the invocation in fair queueing, makes a promise
-    /// of admission for the next one, and announces it to the host; not while in distress or draining.
+    /// Returns the time after which the caller may retry. With fair queueing, for an invocation that never
+    /// ran, this also ends the invocation in the scheduler, makes a promise of admission for the retry, and
+    /// announces the promise to the host. No promises are made while the server is in distress or draining.
     fn issue_retry_advice(
         &mut self,
         key: usize,
@@ -243,14 +259,14 @@
         promise_after: Nanos,
         host: &mut dyn Host,
     ) -> RetryAdvice {
-        let unpromised = RetryAdvice { retry_after, ticket: None };
+        let without_promise = RetryAdvice { retry_after, ticket: None };
         let can_promise = !self.is_in_distress() && !self.draining.has_begun();
         if !can_promise || self.deployment.retry_after_max == 0 {
-            return unpromised;
+            return without_promise;
         }
         let invocation = &mut self.invocations[key];
         let Some(advice) = self.quotas.end_with_promise(self.now, invocation, promise_after) else {
-            return unpromised;
+            return without_promise;
         };
         if let Some(ticket) = advice.ticket {
             host.promise_admission(invocation.id, ticket);
@@ -258,7 +274,7 @@
         advice
     }
 
-    /// Nothing more is owed; what still runs or calls stays until it ends.
+    /// Marks the invocation as answered. A run or a downstream call in progress is kept until it ends.
     pub(super) fn close(&mut self, key: usize, host: &mut dyn Host) {
         let effect = self.effect(&self.invocations[key]);
         self.keys.forget_unless_run(&self.invocations[key], effect, host);
--- a/crates/overload-control/src/decaying_mean.rs
+++ b/crates/overload-control/src/decaying_mean.rs
@@ -1,8 +1,8 @@
-//! Sums that forget: what they hold halves with every half-life. They are brought up to date when read.
+//! Exponentially decaying means. The decay since the last observation is applied when a value is read.
 
 use crate::Nanos;
 
-/// A mean of observations, of which recent ones weigh more.
+/// A weighted mean of observations; the weight of an observation halves with every half-life.
 #[derive(Clone, Debug)]
 pub struct DecayingMean {
     half_life: Nanos,
@@ -12,22 +12,22 @@
 }
 
 impl DecayingMean {
-    /// A mean of no observations.
+    /// Creates a mean without observations.
     pub fn new(half_life: Nanos, now: Nanos) -> Self {
         Self { half_life: half_life.max(1), updated: now, sum: 0.0, weight: 0.0 }
     }
 
-    /// A mean that counts as `weight` observations of `value` from the start.
+    /// Creates a mean that starts with `weight` observations of `value`.
     pub fn starting_at(half_life: Nanos, now: Nanos, value: f64, weight: f64) -> Self {
         Self { sum: value * weight, weight, ..Self::new(half_life, now) }
     }
 
-    /// Ratio of the sums at the last update that is left by now.
+    /// Returns the decay factor for the time since the last update.
     fn remaining_ratio(&self, now: Nanos) -> f64 {
         (-(now.saturating_sub(self.updated) as f64) / self.half_life as f64).exp2()
     }
 
-    /// Takes in an observation of weight 1.
+    /// Adds an observation of weight 1.
     pub fn add(&mut self, now: Nanos, value: f64) {
         let remaining = self.remaining_ratio(now);
         self.sum = self.sum * remaining + value;
@@ -35,17 +35,17 @@
         self.updated = self.updated.max(now);
     }
 
-    /// The mean; 0 before the first observation.
+    /// Returns the mean, 0 before the first observation.
     pub fn mean(&self) -> f64 {
         if self.weight > 0.0 { self.sum / self.weight } else { 0.0 }
     }
 
-    /// Observations that the mean rests on.
+    /// Returns the decayed number of observations.
     pub fn weight(&self, now: Nanos) -> f64 {
         self.weight * self.remaining_ratio(now)
     }
 
-    /// Observations a second, as a steady flow would show it.
+    /// Returns the estimated rate of observations per second; exact for a steady rate.
     pub fn rate(&self, now: Nanos) -> f64 {
         self.weight(now) * std::f64::consts::LN_2 * 1e9 / self.half_life as f64
     }
--- a/crates/overload-control/src/downstream_calls.rs
+++ b/crates/overload-control/src/downstream_calls.rs
@@ -1,58 +1,59 @@
-//! Downstream calls: how many go on at once, their timeouts, retries and backoff.
+//! Downstream calls: concurrency limit, timeouts, retries and backoff.
 
 use crate::call_budget::{CallBudget, Request};
 use crate::decaying_mean::DecayingMean;
 use crate::operation_times::TIMES_HALF_LIFE;
 use crate::{Deployment, Nanos, Outcome};
 
-/// As many calls as the limit permits, succeeding while it binds, raise it by this share of the core count.
-/// Each rejected call cuts it to the ratio below.
+/// Additive increase of the limit, as a share of the core count, when a full set of calls succeeds while
+/// the limit is reached.
 const LIMIT_GROWTH: f64 = 0.1;
+/// Factor by which each rejected call reduces the limit.
 const LIMIT_CUT_RATIO: f64 = 0.93;
-/// Base timeout of a call that may be repeated, in usual call times. The first attempt has twice the base,
-/// and each further attempt twice the timeout of the one before.
+/// Base timeout of a call that may be repeated, in usual call times. The first attempt has twice the base
+/// timeout, and each further attempt twice the timeout of the previous one.
 const BASE_TIMEOUT_RATIO: f64 = 2.0;
-/// Attempts after which the timeout doubles no more.
+/// Number of attempts after which the timeout no longer doubles.
 const DOUBLINGS_MAX: u32 = 8;
 /// Backoff after a rejected call, as a share of the usual time of a run.
 const BACKOFF_SHARE: f64 = 0.25;
 
-/// A call that is about to be made.
+/// An attempt of a downstream call that is about to start.
 pub struct Attempt {
-    /// Attempts before this one.
+    /// Number of earlier attempts.
     pub attempts: u32,
-    /// Until when its result is of use, from now.
+    /// Time until the result of the call is no longer useful.
     pub time_left: Nanos,
-    /// Cost of the run as a ratio to the usual one.
+    /// Estimated cost of the run as a ratio to the usual cost.
     pub cost_ratio: f64,
-    /// The call may be repeated.
+    /// Whether the call may be repeated.
     pub is_idempotent: bool,
-    /// The run is of the highest rank.
+    /// Whether the run has the highest rank.
     pub is_top_rank: bool,
 }
 
-/// Runs that stand at calls.
+/// Numbers of runs that wait for a downstream call or are in one.
 #[derive(Clone, Copy)]
 pub struct OpenCalls {
-    /// Runs that wait to make their call.
+    /// Number of runs that wait to make their call.
     pub awaiting: f64,
-    /// Calls that are under way.
+    /// Number of calls in progress.
     pub calling: f64,
 }
 
-/// State of the calls of this server.
+/// State of the downstream calls of this server.
 pub struct DownstreamCalls {
     cores: f64,
-    /// Learned number of calls that the downstream tier takes at once.
+    /// Learned limit on concurrent calls to the downstream tier.
     limit: f64,
-    /// The fleet's shared state permits no call now.
+    /// Whether the fleet's shared state withholds permission for calls.
     is_withheld: bool,
     call_time: DecayingMean,
     budget: Option<CallBudget>,
 }
 
 impl DownstreamCalls {
-    /// The limit on calls starts at the core count.
+    /// Creates the state; the limit on calls starts at the core count.
     pub fn new(deployment: &Deployment, now: Nanos) -> Self {
         Self {
             cores: deployment.cores,
@@ -63,24 +64,26 @@
         }
     }
 
-    /// Time has passed.
+    /// Advances the call budget by `elapsed`.
     pub fn advance(&mut self, elapsed: Nanos) {
         if let Some(budget) = &mut self.budget {
             budget.advance(elapsed);
         }
     }
 
-    /// Whether the limit permits one more call. A shared dependency has a budget of call time instead.
+    /// Whether the limit permits one more call. A shared dependency is limited by a budget of call time
+    /// instead.
     pub fn is_within_limit(&self, calling: f64) -> bool {
         self.budget.is_some() || calling + 1.0 <= self.limit
     }
 
-    /// Notes whether the fleet's shared state permits a call.
+    /// Records whether the fleet's shared state withholds permission for calls.
     pub fn set_withheld(&mut self, is_withheld: bool) {
         self.is_withheld = is_withheld;
     }
 
-    /// The timeout of a call; `None` where the budget of a shared dependency has not enough for it.
+    /// Returns the timeout of a call and reserves budget for it; `None` if the budget of a shared
+    /// dependency is too low.
     pub fn reserve(&mut self, attempt: &Attempt) -> Option<Nanos> {
         let base_timeout_ns = self.call_time.mean() * attempt.cost_ratio.max(1.0) * BASE_TIMEOUT_RATIO;
         let attempt_timeout_ns = base_timeout_ns * f64::from(2 << attempt.attempts.min(DOUBLINGS_MAX));
@@ -95,49 +98,52 @@
         budget.reserve(&Request { timeout, attempt_timeout_ns, base_timeout_ns, is_top_rank })
     }
 
-    /// A call with this timeout has ended, or the run ended under it.
-    pub fn refund(&mut self, timeout: Nanos, took: Nanos, outcome: Outcome) {
+    /// Returns unused budget after a call with this `timeout` has ended, or after its run ended first.
+    pub fn refund(&mut self, timeout: Nanos, duration: Nanos, outcome: Outcome) {
         if let Some(budget) = &mut self.budget {
-            budget.refund(timeout, took, outcome);
+            budget.refund(timeout, duration, outcome);
         }
     }
 
-    /// Learns from an ended call. The limit grows only where it binds: only then does a success say that it
-    /// is too low.
-    pub fn observe(&mut self, now: Nanos, outcome: Outcome, took: Nanos, open: OpenCalls) {
+    /// Updates the call time and the limit after a call. A success raises the limit only while the limit is
+    /// reached, since only then does the success indicate that the limit is too low.
+    pub fn observe(&mut self, now: Nanos, outcome: Outcome, duration: Nanos, open: OpenCalls) {
         match outcome {
             Outcome::Succeeded => {
-                self.call_time.add(now, took as f64);
+                self.call_time.add(now, duration as f64);
                 self.limit += LIMIT_GROWTH * self.cores / self.limit * f64::from(self.is_at_limit(open));
             }
-            Outcome::Unknown => self.call_time.add(now, took as f64),
+            Outcome::Unknown => self.call_time.add(now, duration as f64),
             Outcome::NeverRan => self.limit = (self.limit * LIMIT_CUT_RATIO).max(1.0),
             Outcome::Failed | Outcome::Cancelled => {}
         }
     }
 
-    /// How long to wait after a rejected call, for an operation whose runs usually take this long, ns.
+    /// Returns the backoff after a rejected call, for an operation whose runs usually take
+    /// `usual_elapsed_ns`.
     pub fn backoff(usual_elapsed_ns: f64) -> Nanos {
         (usual_elapsed_ns * BACKOFF_SHARE) as Nanos
     }
 
-    /// The learned limit binds.
+    /// Whether there are more open calls, waiting ones included, than the learned limit.
     fn is_at_limit(&self, open: OpenCalls) -> bool {
         open.awaiting + open.calling > self.limit
     }
 
-    /// Downstream is the scarcer resource now: runs stand at calls that may not be made yet.
+    /// Whether runs wait for calls that may not be made now, which makes the downstream the scarcer
+    /// resource.
     pub fn is_saturated(&self, open: OpenCalls) -> bool {
         (self.is_withheld && open.awaiting > 0.0) || self.is_at_limit(open)
     }
 
-    /// Call time that waits beyond the limit, ns.
+    /// Returns the call time of the open calls in excess of the limit, ns.
     pub fn backlog(&self, open: OpenCalls) -> f64 {
         let excess = ((open.awaiting + open.calling) / self.limit - 1.0).max(0.0);
         excess * self.call_time.mean()
     }
 
-    /// When the budget has enough for the call that waits.
+    /// Returns the time at which the budget will suffice for the waiting call; `None` if it suffices now,
+    /// or if there is no budget.
     pub fn enough_budget_at(&self, now: Nanos) -> Option<Nanos> {
         self.budget.as_ref()?.enough_at(now)
     }
--- a/crates/overload-control/src/idempotency.rs
+++ b/crates/overload-control/src/idempotency.rs
@@ -4,30 +4,30 @@
 use crate::{Arrival, Effect, Host, Nanos, Operation};
 use meadowstream_pending_queue::expiring_keys::ExpiringKeys;
 
-/// The keys that are remembered, by the invocation that brought them.
+/// Remembered keys, each identified by the id of the invocation that introduced it.
 pub struct IdempotencyKeys {
     keys: ExpiringKeys,
     entry_kb: f64,
 }
 
 impl IdempotencyKeys {
-    /// No keys; each will take so much memory, KB.
+    /// Creates an empty set of keys that use `entry_kb` of memory each.
     pub fn new(entry_kb: f64) -> Self {
         Self { keys: ExpiringKeys::default(), entry_kb }
     }
 
-    /// Forgets the keys whose window is over.
+    /// Forgets the keys whose idempotency window has ended.
     pub fn expire(&mut self, now: Nanos) {
         self.keys.expire(now);
     }
 
-    /// Memory of all keys, KB.
+    /// Returns the memory used by all keys, KB.
     pub fn memory_kb(&self) -> f64 {
         self.keys.len() as f64 * self.entry_kb
     }
 
-    /// Remembers the key of an arrival from its reading on: a repeat that is read while the first is still
-    /// pending must be recognized as one.
+    /// Remembers the key of an arrival as soon as the arrival is read, so that a repeat that is read while
+    /// the first invocation is still pending is recognized.
     pub fn remember(&mut self, now: Nanos, arrival: &Arrival, operation: &Operation, host: &mut dyn Host) {
         let has_key = operation.effect == Effect::IdempotentWithKey;
         if has_key && arrival.repeats.is_none() && !arrival.key_not_stored {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Forgets the key of an invocation that is over and never ran: its repeats may run.
+    /// Forgets the key of an invocation that has ended without running, so that a repeat may run.
     pub fn forget_unless_run(&mut self, invocation: &Invocation, effect: Effect, host: &mut dyn Host) {
         let has_key = effect == Effect::IdempotentWithKey && invocation.repeats.is_none();
         if has_key && !invocation.has_run && !invocation.answered {
--- a/crates/overload-control/src/invocations.rs
+++ b/crates/overload-control/src/invocations.rs
@@ -1,7 +1,7 @@
-//! The invocations of a server, each from its arrival until nothing more is owed or runs.
+//! Invocations of the server, from arrival until they are answered and their run has ended.
 //!
-//! Pending ones stand in the pending queue, the others in the order they came. Counts and memory are kept up
-//! to date with each change of state.
+//! Pending invocations are in the pending queue; all others are ordered by arrival. Counts and memory use
+//! are updated with each change of state.
 
 use crate::deadline::Deadlines;
 use crate::{Arrival, Nanos};
@@ -11,19 +11,19 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::ops::{Index, IndexMut};
 
-/// Where an invocation stands.
+/// State of an invocation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum InvocationState {
-    /// In the pending queue.
+    /// Waiting in the pending queue.
     #[default]
     Pending,
-    /// On the cores.
+    /// Running on the cores.
     Running,
-    /// Its run waits to make a downstream call.
+    /// The run waits to make a downstream call.
     AwaitingCall,
-    /// Its run's downstream call is under way.
+    /// The run's downstream call is in progress.
     Calling,
-    /// A repeat that waits for the result of the invocation that it repeats.
+    /// A repeat that waits for the result of the original invocation.
     Replaying,
 }
 
@@ -32,43 +32,43 @@
 /// One request for an operation.
 #[derive(Clone, Debug, Default)]
 pub struct Invocation {
-    /// As in [`Arrival::id`].
+    /// Same as [`Arrival::id`].
     pub id: u64,
-    /// Index of its operation.
+    /// Index of the operation.
     pub operation: usize,
-    /// Index of its priority class.
+    /// Index of the priority class.
     pub rank: usize,
-    /// When it reached the machine.
+    /// Time at which the invocation reached the machine.
     pub arrived: Nanos,
-    /// Until when it is of use.
+    /// Deadlines of the answer.
     pub deadlines: Deadlines,
-    /// Memory while it is pending, KB.
+    /// Memory of the invocation while it is pending, KB.
     pub held_kb: f64,
-    /// How fair queueing admitted it, where tenants are told apart as they come.
+    /// Admission by the fair queueing scheduler; `None` without fair queueing.
     pub fair_admission: Option<FairAdmission>,
-    /// Its cost as a ratio to the usual one of its operation.
+    /// Estimated cost as a ratio to the usual cost of the operation.
     pub cost_ratio: f64,
-    /// The invocation whose idempotency key it carries.
+    /// Id of the earlier invocation with the same idempotency key.
     pub repeats: Option<u64>,
-    /// Since when it is in its state.
+    /// Time of the last change of state.
     pub state_since: Nanos,
-    /// When its run was started last.
+    /// Time at which the run last started.
     pub run_started: Nanos,
-    /// Time on a core so far.
+    /// Core time used so far.
     pub core_time: Nanos,
-    /// When its call may be made again after a rejected attempt.
+    /// Earliest time of the next attempt after a rejected downstream call.
     pub retry_call_at: Nanos,
-    /// Attempts of the call that its run waits for.
+    /// Number of attempts of the current downstream call.
     pub call_attempts: u32,
     /// Timeout of the last attempt.
     pub call_timeout: Nanos,
-    /// Its run was started at least once.
+    /// Whether the run was started at least once.
     pub has_run: bool,
-    /// Nothing more is owed to the caller.
+    /// Whether the invocation was answered or cancelled, so that no answer is owed.
     pub answered: bool,
-    /// Its run has been told to stop.
+    /// Whether the run was requested to stop.
     pub stopping: bool,
-    /// Admission has decided on it.
+    /// Whether admission has decided on the invocation.
     pub screened: bool,
     start_tag: u64,
     state: InvocationState,
@@ -77,7 +77,7 @@
 }
 
 impl Invocation {
-    /// A pending one; rank, deadlines and cost ratio are set by the caller.
+    /// Creates a pending invocation. The caller sets rank, deadlines and cost ratio.
     pub fn new(now: Nanos, arrival: &Arrival, fair_admission: Option<FairAdmission>) -> Self {
         Self {
             id: arrival.id,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Changed by [`Invocations::enter`] alone.
+    /// Returns the state, which only [`Invocations::enter`] changes.
     pub fn state(&self) -> InvocationState {
         self.state
     }
@@ -114,24 +114,24 @@
     }
 }
 
-/// Memory is added up in whole parts of a KB, so that sums are exact.
+/// Memory is summed in integer fractions of a KB, so that the sums are exact.
 const PARTS_OF_KB: f64 = 1024.0;
 
-/// All invocations. Their keys are valid until they are removed.
+/// All invocations of the server. A key identifies an invocation until it is removed.
 pub struct Invocations {
     all: Slab<Invocation>,
     keys_by_id: HashMap<u64, usize>,
-    /// Entries are added and removed with changes of state alone.
+    /// Pending invocations. Entries are added and removed only by changes of state.
     pub pending: PendingQueue,
-    /// Keys of all that are not pending, by arrival number.
+    /// Keys of all invocations that are not pending, by arrival number.
     active: BTreeMap<u64, usize>,
     pending_repeats: BTreeSet<ArrivalKey>,
     unscreened: VecDeque<ArrivalKey>,
     counts: [usize; STATES],
     memory_parts: u64,
-    /// Memory of a running invocation as a multiple of that of a pending one.
+    /// Memory of a running invocation as a multiple of its memory while pending.
     run_memory_factor: f64,
-    /// Stopped runs keep the memory of a running one.
+    /// Whether a stopped run keeps the memory of a running one.
     stopped_runs_pause: bool,
     arrivals: u64,
 }
@@ -150,7 +150,7 @@
 }
 
 impl Invocations {
-    /// None yet; `pending` is an empty queue.
+    /// Creates an empty collection; `pending` is an empty queue.
     pub fn new(pending: PendingQueue, run_memory_factor: f64, stopped_runs_pause: bool) -> Self {
         Self {
             all: Slab::new(),
@@ -167,12 +167,13 @@
         }
     }
 
-    /// The key of the invocation with this id.
+    /// Returns the key of the invocation with this id.
     pub fn find(&self, id: u64) -> Option<usize> {
         self.keys_by_id.get(&id).copied()
     }
 
-    /// Adds a pending one. With `answer_without_run` it is answered at once, whatever its deadline.
+    /// Adds a pending invocation. If `answer_without_run` is set, it becomes overdue immediately,
+    /// regardless of its deadline.
     pub fn insert(&mut self, mut invocation: Invocation, answer_without_run: bool) {
         self.arrivals += 1;
         invocation.arrival_number = self.arrivals;
@@ -182,15 +183,15 @@
         if !screened {
             self.unscreened.push_back(ArrivalKey { arrival_number: self.arrivals, key });
         }
-        self.link(key);
+        self.add_to_indexes(key);
         if answer_without_run {
             self.pending.mark_overdue(&self.all[key].entry(key));
         }
     }
 
-    /// Nothing more is owed or runs.
+    /// Removes an invocation that was answered and whose run has ended.
     pub fn remove(&mut self, key: usize) {
-        self.unlink(key);
+        self.remove_from_indexes(key);
         let invocation = self.all.remove(key);
         if self.keys_by_id.get(&invocation.id) == Some(&key) {
             self.keys_by_id.remove(&invocation.id);
@@ -199,13 +200,13 @@
 
     /// Changes the state of an invocation.
     pub fn enter(&mut self, key: usize, state: InvocationState, now: Nanos) {
-        self.unlink(key);
+        self.remove_from_indexes(key);
         (self.all[key].state, self.all[key].state_since) = (state, now);
-        self.link(key);
+        self.add_to_indexes(key);
     }
 
     /// Adds an invocation to the indexes and sums of its state.
-    fn link(&mut self, key: usize) {
+    fn add_to_indexes(&mut self, key: usize) {
         let memory_parts = (self.memory_kb_of(&self.all[key]) * PARTS_OF_KB).round() as u64;
         self.memory_parts += memory_parts;
         let invocation = &mut self.all[key];
@@ -223,7 +224,7 @@
     }
 
     /// Removes an invocation from the indexes and sums of its state.
-    fn unlink(&mut self, key: usize) {
+    fn remove_from_indexes(&mut self, key: usize) {
         let invocation = &self.all[key];
         self.memory_parts -= invocation.memory_parts;
         self.counts[invocation.state as usize] -= 1;
@@ -236,18 +237,18 @@
         }
     }
 
-    /// Those that are not pending with their keys, in the order they came.
+    /// Iterates over the invocations that are not pending and their keys, in order of arrival.
     pub fn active(&self) -> impl DoubleEndedIterator<Item = (usize, &Invocation)> {
         self.active.values().map(|key| (*key, &self.all[*key]))
     }
 
-    /// The key of the first active one that fulfils the condition.
+    /// Returns the key of the earliest active invocation that fulfils the condition.
     pub fn first_active(&self, condition: impl Fn(&Invocation) -> bool) -> Option<usize> {
         let (key, _) = self.active().find(|(_, invocation)| condition(invocation))?;
         Some(key)
     }
 
-    /// Of the overdue pending ones and this active one, the key of the one that came first.
+    /// Returns the key of the earliest arrival among the overdue pending invocations and the `active` one.
     pub fn first_overdue(
         &mut self,
         now: Nanos,
@@ -260,12 +261,13 @@
         Some(first.key)
     }
 
-    /// The key of the first pending one that repeats another.
+    /// Returns the key of the earliest pending invocation that repeats another.
     pub fn first_pending_repeat(&self) -> Option<usize> {
         self.pending_repeats.first().map(|repeat| repeat.key)
     }
 
-    /// The key of the first that admission has not decided on; it counts as decided on now.
+    /// Returns the key of the earliest invocation that admission has not decided on, and marks the
+    /// invocation as decided.
     pub fn next_to_screen(&mut self) -> Option<usize> {
         while let Some(ArrivalKey { arrival_number, key }) = self.unscreened.pop_front() {
             let Some(invocation) = self.all.get_mut(key) else { continue };
@@ -277,18 +279,18 @@
         None
     }
 
-    /// How many are in one of these states.
+    /// Returns the number of invocations in any of these states.
     pub fn count(&self, states: &[InvocationState]) -> f64 {
         states.iter().map(|state| self.counts[*state as usize]).sum::<usize>() as f64
     }
 
-    /// Since when the one is on the cores that has been there for the longest.
+    /// Returns the time at which the longest-running of the current runs entered the cores.
     pub fn oldest_run(&self) -> Option<Nanos> {
-        let running = self.active().filter(|(_, one)| one.state == InvocationState::Running);
-        running.map(|(_, one)| one.state_since).min()
+        let running = self.active().filter(|(_, invocation)| invocation.state == InvocationState::Running);
+        running.map(|(_, invocation)| invocation.state_since).min()
     }
 
-    /// Memory of an invocation in its state, KB.
+    /// Returns the memory of an invocation in its current state, KB.
     fn memory_kb_of(&self, invocation: &Invocation) -> f64 {
         let is_paused = invocation.has_run && self.stopped_runs_pause;
         let is_waiting = matches!(invocation.state, InvocationState::Pending | InvocationState::Replaying);
@@ -296,13 +298,13 @@
         invocation.held_kb * factor
     }
 
-    /// Memory that a pending invocation takes in addition once it runs, KB.
+    /// Returns the additional memory that a pending invocation needs to run, KB.
     pub fn memory_kb_to_run(&self, key: usize) -> f64 {
         let invocation = &self.all[key];
         invocation.held_kb * self.run_memory_factor - self.memory_kb_of(invocation)
     }
 
-    /// Memory of all, KB.
+    /// Returns the memory of all invocations, KB.
     pub fn memory_kb(&self) -> f64 {
         self.memory_parts as f64 / PARTS_OF_KB
     }
--- a/crates/overload-control/src/largest.rs
+++ b/crates/overload-control/src/largest.rs
@@ -1,25 +1,26 @@
-//! The largest of many figures, each of which changes now and then.
+//! Maximum of a multiset of values that change over time.
 
 use std::collections::BTreeMap;
 
-/// How many figures have each value. The bits of figures of 0 or more order as the figures do.
+/// A multiset of non-negative values, as the count of each value. The bit patterns of non-negative
+/// floating-point numbers have the same order as the numbers.
 #[derive(Clone, Debug, Default)]
 pub struct Largest {
     counts_by_bits: BTreeMap<u64, usize>,
 }
 
 impl Largest {
-    /// The largest of them, 0 where there are none.
+    /// Returns the largest value, 0 if there is none.
     pub fn get(&self) -> f64 {
         self.counts_by_bits.last_key_value().map_or(0.0, |(bits, _)| f64::from_bits(*bits))
     }
 
-    /// Adds a figure of 0 or more.
-    pub fn add(&mut self, figure: f64) {
-        *self.counts_by_bits.entry(figure.to_bits()).or_default() += 1;
+    /// Adds a non-negative value.
+    pub fn add(&mut self, value: f64) {
+        *self.counts_by_bits.entry(value.to_bits()).or_default() += 1;
     }
 
-    /// Replaces one of the figures.
+    /// Replaces one of the values.
     pub fn replace(&mut self, before: f64, after: f64) {
         if let Some(count) = self.counts_by_bits.get_mut(&before.to_bits()) {
             *count -= 1;
@@ -32,9 +33,9 @@
 }
 
 impl FromIterator<f64> for Largest {
-    fn from_iter<I: IntoIterator<Item = f64>>(figures: I) -> Self {
+    fn from_iter<I: IntoIterator<Item = f64>>(values: I) -> Self {
         let mut all = Largest::default();
-        figures.into_iter().for_each(|figure| all.add(figure));
+        values.into_iter().for_each(|value| all.add(value));
         all
     }
 }
--- a/crates/overload-control/src/lib.rs
+++ b/crates/overload-control/src/lib.rs
@@ -1,9 +1,10 @@
-//! Overload control inside one server of a fleet: admission, scheduling, deadlines, downstream calls,
-//! health and graceful shutdown, decided from what this server alone observes.
+//! Overload control of one server of a fleet: admission, scheduling, deadlines, downstream calls, health
+//! and graceful shutdown. All decisions are based on the server's own measurements.
 //!
-//! A host makes a [`controller::Controller`] from a [`Deployment`], reports events to it (`on_arrival`,
-//! `on_run_finished`, ...) and passes a [`Host`] along, which carries out what is decided. Neither side
-//! knows a protocol. Times are nanoseconds of any clock that never goes back.
+//! A host creates a [`controller::Controller`] from a [`Deployment`] and reports events to it
+//! (`on_arrival`, `on_run_finished`, ...). With each event the host passes its implementation of [`Host`],
+//! which carries out the controller's decisions. The crate is independent of any network protocol. Times
+//! are nanoseconds of a monotonic clock with an arbitrary epoch.
 
 #![deny(missing_docs, clippy::too_many_lines)]
 
@@ -32,248 +33,252 @@
 mod tenant_quota;
 mod timers;
 
-/// Nanoseconds: a point in time on the host's clock, or a duration.
+/// A duration, or a point in time on the host's clock, in nanoseconds.
 pub type Nanos = u64;
 
-/// What the controller asks of the server that hosts it. Invocations are named by the ids they arrived with.
+/// Actions that the controller requires of the server that hosts it. An invocation is identified by
+/// [`Arrival::id`].
 pub trait Host {
-    /// Starts the run of a pending invocation, or resumes a paused one.
+    /// Starts the run of a pending invocation, or resumes a paused run.
     fn start_run(&mut self, invocation: u64);
     /// Preempts a run.
     fn stop_run(&mut self, invocation: u64);
-    /// Answers that nothing was done, or that doing it again is harmless: an idempotent invocation is
-    /// rejected even after its run was started. `retry_after` is when this server may be tried again, 0 for
-    /// no advice.
+    /// Rejects an invocation: it never ran, or it is idempotent, so that the caller may safely repeat it.
+    /// `retry_after` is the delay after which the caller may retry at this server, 0 for no advice.
     ///
-    /// `no_retry`: no other server should be tried, for one of three reasons. The rejection carries a promise
-    /// of admission here; the latency objective has passed; or retries elsewhere would only add to an
-    /// overload of the fleet.
+    /// `no_retry` tells the caller not to retry at another server, for one of three reasons: the rejection
+    /// carries a promise of admission by this server, the latency objective has passed, or retries would
+    /// add to an overload of the fleet.
     fn reject(&mut self, invocation: u64, no_retry: bool, retry_after: Nanos);
-    /// Announces a promise: the caller that returns with the ticket after the advised time is admitted.
-    /// Called right before the answer to the same invocation, at most once. A `reject` carries the ticket to
-    /// the caller; a `fail` does not, and the host drops the ticket. A host whose protocol has no tickets
-    /// ignores the call.
+    /// Announces a promise of admission: a caller that returns with `_ticket` after the advised delay is
+    /// admitted. Called at most once for an invocation, immediately before its answer. The host sends the
+    /// ticket with a `reject` and discards it with a `fail`. A host whose protocol has no tickets ignores
+    /// the call.
     fn promise_admission(&mut self, _invocation: u64, _ticket: u64) {}
-    /// Answers with an error.
+    /// Answers an invocation with an error.
     fn fail(&mut self, invocation: u64);
-    /// Whether the fleet's shared state (call budgets, ejected services) permits the downstream call of this
-    /// invocation, while so many runs (`waiting`) stand at theirs.
+    /// Returns whether the fleet's shared state (call budgets, ejected services) permits the downstream
+    /// call of an invocation. `_waiting` is the number of runs that currently wait to make a call.
     fn may_start_call(&mut self, _invocation: u64, _waiting: usize) -> bool {
         true
     }
-    /// Makes the downstream call that a run waits for, to be given up after `timeout`.
+    /// Makes the downstream call that a run waits for; the host abandons the call after `timeout`.
     fn start_call(&mut self, invocation: u64, timeout: Nanos);
-    /// Resumes a run without its downstream call, for a degraded answer.
+    /// Resumes a run without its downstream call; the run gives a degraded answer.
     fn skip_call(&mut self, invocation: u64);
     /// Remembers the idempotency key of an invocation for `lifetime`. A host that stored the key before it
-    /// reported the arrival has nothing to do.
+    /// reported the arrival ignores the call.
     fn remember_key(&mut self, invocation: u64, lifetime: Nanos);
-    /// Forgets the idempotency key of an invocation, which had no effect.
+    /// Forgets the idempotency key of an invocation that never ran.
     fn forget_key(&mut self, invocation: u64);
-    /// Answers a repeat with the result of the invocation that it repeats.
+    /// Answers a repeat with the result of the original invocation.
     fn replay_result(&mut self, invocation: u64);
-    /// Sets the answer to health checks: whether the server is ready, that is healthy and wants arrivals.
-    /// `cached` asks to answer them without the work of a check; a host whose checks cost nothing ignores it.
+    /// Sets the response to health checks: `healthy` if the server is ready, that is healthy and wants
+    /// arrivals. If `cached`, the host responds from this value without performing a check; a host whose
+    /// checks cost nothing ignores the flag.
     fn set_health(&mut self, healthy: bool, cached: bool);
-    /// Sets the load advertised with each answer, in the unit of the deployment's [`Advertisement`].
+    /// Sets the load advertised with each answer, in the unit given by [`Advertisement`].
     fn advertise_load(&mut self, load: f64);
-    /// Closes each connection that has been idle for at least `after`. Where the protocol lets the peer
-    /// close, the host asks it to make no new call on the connection instead.
+    /// Closes connections that have been idle for at least `after`. If the protocol lets the peer close a
+    /// connection, the host instead asks the peer to make no new calls on it.
     fn close_idle_connections(&mut self, after: Nanos);
-    /// Calls [`controller::Controller::on_timer`] with this timer after a while.
+    /// Schedules a call of [`controller::Controller::on_timer`] with `timer`, to be made `after` this
+    /// duration.
     fn set_timer(&mut self, after: Nanos, timer: u32);
     /// Writes a log line.
     fn log(&mut self, line: &str);
 }
 
-/// Utilization of the cores to steer to unless the settings say otherwise.
+/// Default target utilization of the cores.
 pub const TARGET_UTILIZATION: f64 = 0.9;
 
-/// The settings that decisions read.
+/// Settings of the controller.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// The operations that invocations may ask for, by index.
+    /// Operations that the server offers; an operation is identified by its index.
     pub operations: Vec<Operation>,
-    /// Invocations a second that the whole fleet grants each tenant, by index.
+    /// Allowance of each tenant in the whole fleet, in invocations per second, by tenant index.
     pub tenant_allowance: Vec<f64>,
-    /// Ratio of the priority weight that an invocation over its tenant's quota keeps.
+    /// Factor applied to the priority weight of an invocation whose tenant is over its quota.
     pub over_quota_value_ratio: f64,
-    /// Fair queueing among tenants that become known as they come; `None` where they are not told apart.
+    /// Settings of fair queueing among tenants that are not listed in advance; `None` turns it off.
     pub fair_queueing: Option<meadowstream_fair_queueing::Settings>,
-    /// Servers of this tier listed at start, 1 or more.
+    /// Number of servers of this tier in the configuration at start, 1 or more.
     pub peers: f64,
-    /// Callers of this tier at start, 1 or more.
+    /// Number of callers of this tier at start, 1 or more.
     pub callers: f64,
-    /// Invocations here are downstream calls of a tier above, which has already worked for them.
+    /// Whether invocations here are downstream calls of a tier above, whose work is lost if they are
+    /// rejected.
     pub is_downstream_tier: bool,
-    /// Cores of this server, 1 or more.
+    /// Number of cores of this server, 1 or more.
     pub cores: f64,
-    /// Utilization of the cores to steer to, from 0 to 1.
+    /// Target utilization of the cores, from 0 to 1.
     pub target_utilization: f64,
-    /// Memory for invocations and idempotency entries, KB.
+    /// Memory available to invocations and idempotency keys, KB.
     pub memory_kb: f64,
-    /// Memory of a running invocation as a multiple of that of a pending one.
+    /// Memory of a running invocation as a multiple of its memory while pending.
     pub run_memory_factor: f64,
-    /// Memory of a remembered idempotency key, KB.
+    /// Memory of one remembered idempotency key, KB.
     pub idempotency_entry_kb: f64,
-    /// What stopping a run does to its work.
+    /// Whether runs can be stopped, and whether a stopped run loses its work.
     pub preemption: Preemption,
-    /// What the runs call.
+    /// Target of the downstream calls.
     pub downstream: Downstream,
     /// Unit of the advertised load.
     pub advertisement: Advertisement,
-    /// Longest Retry-After, 0 where none may be given.
+    /// Maximum Retry-After; 0 disables Retry-After.
     pub retry_after_max: Nanos,
-    /// After this callers close idle connections by themselves.
+    /// Idle time after which callers close connections themselves.
     pub idle_timeout_max: Nanos,
     /// Whether callers mark retries and hedged requests.
     pub retries_marked: bool,
-    /// After the drain notice, how long arrivals are still served.
+    /// Time after the drain notice during which arrivals are still served.
     pub drain_grace: Nanos,
-    /// Time reserved for an answer to reach its caller before the process stops.
+    /// Time reserved before the process stops for an answer to reach its caller.
     pub answer_grace: Nanos,
-    /// Runs that a warm server survives, as a multiple of its cores.
+    /// Number of concurrent runs that a warm server survives, as a multiple of its cores.
     pub survivable_concurrency_ratio: f64,
-    /// The server started cold and warms up.
+    /// Whether the server started cold and has to warm up.
     pub starts_cold: bool,
-    /// Speed of a cold server at its start, as a ratio of full speed.
+    /// Initial speed of a cold server as a ratio of full speed.
     pub cold_speed_ratio: f64,
-    /// How long a cold server takes to reach full speed.
+    /// Time that a cold server takes to reach full speed.
     pub warm_up: Nanos,
 }
 
-/// One kind of work that callers ask for.
+/// A kind of request that the server processes.
 #[derive(Clone, Debug)]
 pub struct Operation {
-    /// What running it twice does.
+    /// Whether running the operation twice is harmful.
     pub effect: Effect,
-    /// Time within which an answer has its full value.
+    /// Latency objective: an answer within this time has its full value.
     pub latency_objective: Nanos,
-    /// How long callers wait for an answer.
+    /// Client timeout: the caller gives up after this time if its request carries no deadline.
     pub client_timeout: Nanos,
-    /// How long an idempotency key is remembered.
+    /// Time for which an idempotency key is remembered.
     pub idempotency_window: Nanos,
-    /// Value of an answer to the operator; invocations of higher weight go first.
+    /// Value of an answer to the operator; higher weights have priority.
     pub priority_weight: f64,
-    /// Value of an answer after the latency objective.
+    /// Value of an answer given after the latency objective.
     pub late_value: f64,
-    /// Ratio of its value that an answer keeps when its downstream call was skipped; 0 where it needs the
-    /// call.
+    /// Ratio of its value that an answer keeps if the downstream call was skipped; 0 if the call is
+    /// required.
     pub degraded_value_ratio: f64,
-    /// Whether its runs may make downstream calls.
+    /// Whether runs of the operation may make downstream calls.
     pub makes_calls: bool,
 }
 
-/// What running an operation twice does.
+/// Effect of running an operation more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// The same as running it once.
+    /// Equal to running it once.
     Idempotent,
-    /// The same as running it once, while its idempotency key is remembered.
+    /// Equal to running it once, as long as its idempotency key is remembered.
     IdempotentWithKey,
-    /// Its effect again.
+    /// Each run takes effect again.
     NonIdempotent,
 }
 
-/// What stopping a run does to its work.
+/// Consequence of stopping a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Preemption {
     /// Runs cannot be stopped.
     Unsupported,
-    /// The work is lost and the invocation is pending again.
+    /// The work is lost and the invocation becomes pending again.
     Discards,
-    /// The run keeps its progress and its memory.
+    /// The run keeps its progress and its memory, and can be resumed.
     Pauses,
 }
 
-/// What the runs of this server call.
+/// Target of the downstream calls of this server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Downstream {
-    /// Nothing.
+    /// No downstream calls are made.
     None,
     /// A tier of servers that control their own load.
     Tier,
-    /// One dependency that all servers share.
+    /// One dependency shared by all servers.
     Shared {
-        /// Mean number of concurrent calls that this server may have there.
+        /// Mean number of concurrent calls that this server may have at the dependency.
         quota: f64,
-        /// How long a call that was given up still occupies the dependency.
+        /// Time for which an abandoned call still occupies the dependency.
         linger: Nanos,
-        /// Span over which the mean is taken.
+        /// Period over which the mean is taken.
         window: Nanos,
     },
 }
 
-/// What the load advertised with answers means to callers.
+/// Meaning of the load that is advertised with answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Advertisement {
-    /// None is advertised.
+    /// No load is advertised.
     None,
-    /// Lowest rank to be sent: 0 while arrivals are wanted, which is all ranks, and 1 while they are not.
+    /// Lowest rank that callers should send: 0, which is all ranks, while arrivals are wanted, and
+    /// otherwise 1.
     MinimumRank,
-    /// Invocations that a caller may have here at once.
+    /// Number of concurrent invocations that a caller may have at this server.
     ConcurrencyAllowance,
     /// Load balancing weight, from 0 to 1.
     Weight,
 }
 
-/// Who sent an invocation, where tenants become known as they come.
+/// Identity of the sender of an invocation, used by fair queueing.
 #[derive(Clone, Debug, Default)]
 pub struct Sender {
     /// Name of the tenant.
     pub tenant: Vec<u8>,
-    /// Where it comes from, as far as that cannot be forged.
+    /// Network origin of the invocation, derived from data that the sender cannot forge.
     pub origin: u64,
-    /// The ticket of an earlier promise of admission.
+    /// Ticket of an earlier promise of admission.
     pub ticket: Option<u64>,
 }
 
-/// An invocation as it is read.
+/// An invocation that the host has just read.
 #[derive(Clone, Debug, Default)]
 pub struct Arrival {
-    /// Unique among open invocations.
+    /// Identifier that is unique among open invocations.
     pub id: u64,
     /// Index into [`Deployment::operations`].
     pub operation: usize,
-    /// Index into [`Deployment::tenant_allowance`]; of no meaning where that is empty.
+    /// Index into [`Deployment::tenant_allowance`]; ignored if that is empty.
     pub tenant: usize,
-    /// Who sent it, where known.
+    /// Sender of the invocation, if known.
     pub sender: Option<Sender>,
-    /// Time since it reached the machine.
+    /// Time since the invocation reached the machine.
     pub age: Nanos,
-    /// How long the caller still waits, where it says so.
+    /// Time until the caller's deadline, if the request carries one.
     pub remaining_deadline: Option<Nanos>,
-    /// The invocation whose idempotency key it carries, where that is remembered.
+    /// Id of the earlier invocation with the same idempotency key, if that key is remembered.
     pub repeats: Option<u64>,
-    /// The host had no memory to store its idempotency key.
+    /// Whether the host lacked the memory to store the idempotency key.
     pub key_not_stored: bool,
-    /// Marked as a retry or a hedged request.
+    /// Whether the caller marked the invocation as a retry or a hedged request.
     pub is_marked_retry: bool,
-    /// Memory that it takes while it is pending, KB.
+    /// Memory of the invocation while it is pending, KB.
     pub held_kb: f64,
-    /// The caller's estimate of its time on a core, where there is one.
+    /// The caller's estimate of the core time that the invocation takes.
     pub cost_hint: Option<Nanos>,
 }
 
-/// What the server measures of itself, where it does.
+/// Measurements of the server; `None` if the host cannot take one.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Gauges {
-    /// Busy share of the cores over the last control period, from 0 to 1.
+    /// Utilization of the cores during the last control period, from 0 to 1.
     pub utilization: Option<f64>,
-    /// Threads that want a core now: runs, reading, health checks.
+    /// Number of threads that are running or ready to run: runs, reading, health checks.
     pub runnable: Option<f64>,
 }
 
-/// How a run or a downstream call ended.
+/// Outcome of a run or of a downstream call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// With a result.
+    /// It returned a result.
     Succeeded,
-    /// With an error.
+    /// It returned an error.
     Failed,
-    /// It may have had its effect.
+    /// No answer was received; it may have taken effect.
     Unknown,
-    /// It is certain that nothing was done.
+    /// It was rejected and certainly did not take effect.
     NeverRan,
     /// It was stopped.
     Cancelled,
--- a/crates/overload-control/src/linear_quadratic.rs
+++ b/crates/overload-control/src/linear_quadratic.rs
@@ -1,19 +1,22 @@
-//! Linear-quadratic regulation of `y(k) + a y(k-1) = b1 u1(k-1) + b2 u2(k-1)`: gains by Riccati iteration,
-//! the plant by recursive least squares. Sums only, no decision.
+//! Linear-quadratic regulation of `y(k) + a y(k-1) = b1 u1(k-1) + b2 u2(k-1)`. The gains are computed by
+//! Riccati iteration, and the plant is estimated by recursive least squares.
 //!
-//! `y` is the utilization, `u1` and `u2` are the refusal time ratios of premium and basic.
+//! `y` is the utilization; `u1` and `u2` are the refusal time ratios of premium and basic.
 
-/// Refusal time ratios: the share of a control period in which arrivals of a class are shed, from 0 to 1.
+/// Refusal time ratios by class: the share of a control period, from 0 to 1, in which arrivals are
+/// rejected.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RefusalRatios {
+    /// Refusal time ratio of premium.
     pub premium: f64,
+    /// Refusal time ratio of basic.
     pub basic: f64,
 }
 
-/// The coefficients of the model: `a`, `b1` and `b2`.
+/// Coefficients of the model: `a`, `b1` and `b2`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Plant {
-    /// Negative share of the utilization that lasts into the next period (`a`).
+    /// Negated share of the utilization that carries over to the next period (`a`).
     pub a: f64,
     /// Effect of refusing premium on the utilization (`b1`), negative.
     pub premium: f64,
@@ -21,22 +24,24 @@
     pub basic: f64,
 }
 
-/// What a deviation costs: the diagonals of the weight matrices `Q` and `R`.
+/// Cost weights: the diagonals of the weight matrices `Q` and `R`.
 #[derive(Clone, Copy, Debug)]
 pub struct Weights {
-    /// Of the error of the utilization and of its running sum (`Q`).
+    /// Weight of the utilization error (first diagonal element of `Q`).
     pub error: f64,
+    /// Weight of the running sum of the error (second diagonal element of `Q`).
     pub error_sum: f64,
-    /// Of refusing premium and basic (`R`).
+    /// Weight of refusing premium (first diagonal element of `R`).
     pub premium: f64,
+    /// Weight of refusing basic (second diagonal element of `R`).
     pub basic: f64,
 }
 
-/// When the Riccati iteration ends.
+/// Termination conditions of the Riccati iteration.
 #[derive(Clone, Copy, Debug)]
 pub struct Iteration {
     pub steps_max: usize,
-    /// Largest move of a gain in one step that counts as settled.
+    /// Convergence tolerance: the iteration ends once no gain changes by this much in one step.
     pub tolerance: f64,
 }
 
@@ -73,12 +78,12 @@
     [[x[1][1] / determinant, -x[0][1] / determinant], [-x[1][0] / determinant, x[0][0] / determinant]]
 }
 
-fn largest_move(before: &Matrix2, after: &Matrix2) -> f64 {
+fn largest_change(before: &Matrix2, after: &Matrix2) -> f64 {
     let pairs = after.iter().flatten().zip(before.iter().flatten());
     pairs.map(|(x, y)| (x - y).abs()).fold(0.0, f64::max)
 }
 
-/// The optimal gains; `None` where the iteration does not settle on finite ones.
+/// Computes the optimal gains; `None` if the iteration does not converge to finite gains.
 pub fn gains(plant: &Plant, weights: &Weights, iteration: &Iteration) -> Option<Gains> {
     let a: Matrix2 = [[-plant.a, 0.0], [-plant.a, 1.0]];
     let b: Matrix2 = [[plant.premium, plant.basic], [plant.premium, plant.basic]];
@@ -98,8 +103,8 @@
         if !k.iter().flatten().all(|gain| gain.is_finite()) {
             return None;
         }
-        if largest_move(&before, &k) < iteration.tolerance {
-            // The optimal input is -k x; refusing lowers the utilization, so -k is positive.
+        if largest_change(&before, &k) < iteration.tolerance {
+            // The optimal input is -k x. Refusing lowers the utilization, so -k is positive.
             let [premium, basic] =
                 k.map(|[error, error_sum]| ClassGains { error: -error, error_sum: -error_sum });
             return Some(Gains { premium, basic });
@@ -109,42 +114,46 @@
     None
 }
 
-/// Estimates (a, b1, b2) by recursive least squares with forgetting.
+/// Estimates `a`, `b1` and `b2` by recursive least squares with exponential forgetting.
 #[derive(Clone, Debug)]
 pub struct PlantEstimator {
-    /// The estimate, and the covariance of its errors.
+    /// Current estimate of the coefficients.
     theta: [f64; 3],
+    /// Covariance of the estimation errors.
     covariance: [[f64; 3]; 3],
     forgetting: f64,
 }
 
 impl PlantEstimator {
-    /// `doubt` is the variance of each coefficient of the prior; `forgetting` is the weight that an
-    /// observation keeps with each one after it, from 0 to 1.
-    pub fn new(prior: &Plant, doubt: f64, forgetting: f64) -> Self {
-        let covariance = std::array::from_fn(|i| std::array::from_fn(|j| if i == j { doubt } else { 0.0 }));
+    /// Creates an estimator that starts at `prior`, with `prior_variance` as the variance of each
+    /// coefficient. `forgetting`, from 0 to 1, is the factor by which each new observation reduces the
+    /// weight of the earlier ones.
+    pub fn new(prior: &Plant, prior_variance: f64, forgetting: f64) -> Self {
+        let covariance =
+            std::array::from_fn(|i| std::array::from_fn(|j| if i == j { prior_variance } else { 0.0 }));
         Self { theta: [prior.a, prior.premium, prior.basic], covariance, forgetting }
     }
 
-    /// Takes in a period: the utilization and the ratios at its start, and the utilization at its end.
-    pub fn observe(&mut self, before: f64, ratios: RefusalRatios, after: f64) {
-        let phi = [-before, ratios.premium, ratios.basic];
+    /// Updates the estimate with one period: the utilization and refusal ratios at its start, and the
+    /// utilization at its end.
+    pub fn observe(&mut self, utilization_before: f64, ratios: RefusalRatios, utilization_after: f64) {
+        let phi = [-utilization_before, ratios.premium, ratios.basic];
         let covariance_phi: [f64; 3] =
             std::array::from_fn(|i| (0..3).map(|j| self.covariance[i][j] * phi[j]).sum());
         let denominator = self.forgetting + (0..3).map(|i| phi[i] * covariance_phi[i]).sum::<f64>();
-        let miss = after - (0..3).map(|i| phi[i] * self.theta[i]).sum::<f64>();
+        let prediction_error = utilization_after - (0..3).map(|i| phi[i] * self.theta[i]).sum::<f64>();
         for (theta, x) in self.theta.iter_mut().zip(covariance_phi) {
-            *theta += x / denominator * miss;
+            *theta += x / denominator * prediction_error;
         }
         let gain = covariance_phi.map(|x| x / denominator);
-        for (row, lead) in self.covariance.iter_mut().zip(gain) {
+        for (row, row_gain) in self.covariance.iter_mut().zip(gain) {
             for (cell, x) in row.iter_mut().zip(covariance_phi) {
-                *cell = (*cell - lead * x) / self.forgetting;
+                *cell = (*cell - row_gain * x) / self.forgetting;
             }
         }
     }
 
-    /// The present estimate.
+    /// Returns the current estimate.
     pub fn plant(&self) -> Plant {
         let [a, premium, basic] = self.theta;
         Plant { a, premium, basic }
--- a/crates/overload-control/src/log_lines.rs
+++ b/crates/overload-control/src/log_lines.rs
@@ -1,9 +1,9 @@
-//! The controller's log lines, which report changes of state only; `docs/on-call.md` explains them.
+//! Log lines of the controller. Only state changes are logged; `docs/on-call.md` explains each line.
 
 pub const SHEDDING_BEGAN: &str = "load shedding began";
 pub const SHEDDING_ENDED: &str = "load shedding ended";
-/// Ready again: health checks succeed.
+/// The server is ready again: health checks succeed.
 pub const HEALTHY: &str = "healthy";
-/// Not ready: health checks fail, since the server is unhealthy or draining.
+/// The server is not ready: health checks fail because it is unhealthy or draining.
 pub const UNHEALTHY: &str = "unhealthy";
 pub const DRAINING_BEGAN: &str = "draining began";
--- a/crates/overload-control/src/memory_limit.rs
+++ b/crates/overload-control/src/memory_limit.rs
@@ -1,20 +1,20 @@
-//! The memory limit: pending and running invocations and idempotency keys together stay within it.
+//! The memory limit for pending invocations, running invocations and idempotency keys together.
 
-/// Share of the memory that is used.
+/// Share of the available memory that may be used.
 const USED_SHARE: f64 = 0.85;
 
-/// The limit, of the memory that the settings grant.
+/// Limit derived from the memory that the settings grant.
 pub struct MemoryLimit {
     memory_kb: f64,
 }
 
 impl MemoryLimit {
-    /// Of so much memory, KB.
+    /// Creates the limit for `memory_kb` of available memory.
     pub fn new(memory_kb: f64) -> Self {
         Self { memory_kb }
     }
 
-    /// Whether so much is over the limit, KB.
+    /// Whether `needed_kb` exceeds the limit.
     pub fn is_exceeded(&self, needed_kb: f64) -> bool {
         needed_kb > self.memory_kb * USED_SHARE
     }
--- a/crates/overload-control/src/operation_times.rs
+++ b/crates/overload-control/src/operation_times.rs
@@ -1,4 +1,4 @@
-//! What runs of each operation usually take, learned from those that succeeded.
+//! Usual run times of each operation, learned from successful runs.
 
 use crate::decaying_mean::DecayingMean;
 use crate::largest::Largest;
@@ -8,20 +8,21 @@
 
 /// Half-life of learned times.
 pub const TIMES_HALF_LIFE: Nanos = CONTROL_PERIOD * 16;
-/// Before anything is learned a run is taken to need this share of its latency objective.
-const FIRST_GUESS_SHARE: f64 = 0.15;
-/// Growth of the lowest time with each run, so that it follows a lasting change.
+/// Initial estimate of a run time, as a share of the latency objective of the operation.
+const INITIAL_TIME_SHARE: f64 = 0.15;
+/// Factor by which the lowest core time grows with each run, so that it adapts to a lasting change.
 const LOWEST_TIME_GROWTH: f64 = 1.005;
-/// Ratio of usual to lowest time on a core from which runs slow each other down.
+/// Ratio of usual to lowest core time above which runs slow each other down.
 const SLOWED_RATIO: f64 = 1.3;
 
 struct OperationTime {
-    /// Time on a core, and from start to end, ns.
+    /// Core time, ns.
     core: DecayingMean,
+    /// Time from start to end, ns.
     elapsed: DecayingMean,
-    /// Time on a core where runs do not disturb each other, ns.
+    /// Core time of runs that do not slow each other down, ns.
     lowest: f64,
-    /// Callers' estimates, ns.
+    /// Cost hints of callers, ns.
     hint: DecayingMean,
 }
 
@@ -39,11 +40,11 @@
 }
 
 impl OperationTimes {
-    /// First guesses by the latency objectives.
+    /// Creates the times with initial estimates derived from the latency objectives.
     pub fn new(operations: &[Operation], now: Nanos) -> Self {
         let first = |operation: &Operation| {
-            let guess = operation.latency_objective as f64 * FIRST_GUESS_SHARE;
-            let time = DecayingMean::starting_at(TIMES_HALF_LIFE, now, guess, 1.0);
+            let initial_ns = operation.latency_objective as f64 * INITIAL_TIME_SHARE;
+            let time = DecayingMean::starting_at(TIMES_HALF_LIFE, now, initial_ns, 1.0);
             let hint = DecayingMean::new(TIMES_HALF_LIFE, now);
             OperationTime { core: time.clone(), elapsed: time, lowest: f64::INFINITY, hint }
         };
@@ -53,17 +54,17 @@
         Self { learned, usual, core_times }
     }
 
-    /// By operation.
+    /// Returns the usual times, indexed by operation.
     pub fn usual(&self) -> &[UsualTimes] {
         &self.usual
     }
 
-    /// The longest usual time on a core of all operations, ns.
+    /// Returns the longest usual core time of all operations, ns.
     pub fn longest_core_ns(&self) -> f64 {
         self.core_times.get()
     }
 
-    /// The cost of an invocation as a ratio to the usual one of its operation, by the caller's hint.
+    /// Returns the ratio of a caller's cost hint to the mean hint of the operation; 1 without a hint.
     pub fn cost_ratio(&mut self, now: Nanos, operation: usize, hint: Option<Nanos>) -> f64 {
         let hints = &mut self.learned[operation].hint;
         let Some(hint) = hint else { return 1.0 };
@@ -71,7 +72,7 @@
         hint as f64 / hints.mean().max(1.0)
     }
 
-    /// A run has succeeded after this time on a core, and this time from start to end.
+    /// Records the core time and the time from start to end of a successful run.
     pub fn observe(&mut self, now: Nanos, operation: usize, core: Nanos, elapsed: Nanos) {
         let learned = &mut self.learned[operation];
         learned.core.add(now, core as f64);
--- a/crates/overload-control/src/reading.rs
+++ b/crates/overload-control/src/reading.rs
@@ -1,15 +1,15 @@
-//! The cost of reading arrivals: how long they lie unread, and the cores that reading takes.
+//! Cost of reading arrivals: the delay before an arrival is read, and the cores that reading uses.
 
 use crate::Nanos;
 use crate::decaying_mean::DecayingMean;
 use crate::regulator::CONTROL_PERIOD;
 
-/// Time unread that is ordinary, as a share of the longest usual run.
+/// Normal reading delay, as a share of the longest usual core time of a run.
 const ORDINARY_DELAY_SHARE: f64 = 0.5;
-/// Time unread that is a flood, as a share of the shortest latency objective.
+/// Reading delay above which the server is flooded, as a share of the shortest latency objective.
 const FLOOD_DELAY_SHARE: f64 = 0.25;
 
-/// What is observed of reading.
+/// Measurements of reading.
 pub struct Reading {
     delay: DecayingMean,
     threads: DecayingMean,
@@ -17,7 +17,7 @@
 }
 
 impl Reading {
-    /// Nothing observed yet; the shortest latency objective says what is a flood.
+    /// Creates the state without observations; the flood threshold derives from `shortest_objective`.
     pub fn new(shortest_objective: Nanos, now: Nanos) -> Self {
         Self {
             delay: DecayingMean::new(CONTROL_PERIOD / 2, now),
@@ -26,32 +26,32 @@
         }
     }
 
-    /// An arrival was read this long after it reached the machine.
+    /// Records that an arrival was read `delay` after it reached the machine.
     pub fn observe_delay(&mut self, now: Nanos, delay: Nanos) {
         self.delay.add(now, delay as f64);
     }
 
-    /// So many threads other than runs wanted a core.
+    /// Records the number of threads other than runs that were running or ready to run.
     pub fn observe_threads(&mut self, now: Nanos, threads: f64) {
         self.threads.add(now, threads);
     }
 
-    /// Cores that reading takes, as the mean of the last periods.
+    /// Returns the number of cores that reading uses, as a decaying mean over the last control periods.
     pub fn threads(&self) -> f64 {
         self.threads.mean()
     }
 
-    /// How long arrivals lie unread of late, ns; fades where none come.
+    /// Returns the recent mean reading delay, ns; it decays to 0 without arrivals.
     fn delay(&self, now: Nanos) -> f64 {
         self.delay.mean() * self.delay.weight(now).min(1.0)
     }
 
-    /// Time unread beyond what is ordinary, ns.
+    /// Returns the reading delay in excess of the normal delay, ns.
     pub fn excess_delay(&self, now: Nanos, longest_core_ns: f64) -> f64 {
         (self.delay(now) - longest_core_ns * ORDINARY_DELAY_SHARE).max(0.0)
     }
 
-    /// Whether reading alone overloads the server: only callers that stay away can help it.
+    /// Whether reading alone overloads the server. The server then recovers only if callers send less.
     pub fn is_flooded(&self, now: Nanos) -> bool {
         self.delay(now) > FLOOD_DELAY_SHARE * self.shortest_objective as f64
     }
--- a/crates/overload-control/src/regulator.rs
+++ b/crates/overload-control/src/regulator.rs
@@ -1,25 +1,27 @@
-//! The regulator: once a control period, from the measured utilization to the refusal time ratios (rtr).
+//! The regulator: computes the refusal time ratios (rtr) from the measured utilization, once per control
+//! period.
 
 use crate::Nanos;
 use crate::linear_quadratic::{self, Gains, Iteration, Plant, PlantEstimator, RefusalRatios, Weights};
 
-/// The control period: the span between two steps of the regulator, and the span that gauges look back over.
+/// Interval between two steps of the regulator, which is also the interval over which gauges are measured.
 pub const CONTROL_PERIOD: Nanos = 500_000_000;
 
-/// Error and running sum alike; refusing premium costs 100 times as much as refusing basic. As in
-/// IAMS (Jiang, Meng, Ren and Zhan).
+/// The error and its running sum have equal weight, and refusing premium costs 100 times as much as
+/// refusing basic, as in IAMS (Jiang, Meng, Ren and Zhan).
 const WEIGHTS: Weights = Weights { error: 1.0, error_sum: 1.0, premium: 0.1, basic: 0.001 };
 const ITERATION: Iteration = Iteration { steps_max: 200, tolerance: 1e-6 };
-/// Variance of the prior plant's coefficients.
+/// Variance of the coefficients of the prior plant.
 const PRIOR_VARIANCE: f64 = 1.0;
-/// Weight that an observation keeps from one period to the next.
+/// Ratio of its weight that an observation keeps from one period to the next.
 const FORGETTING_RATIO: f64 = 0.97;
-/// Variation of the utilization, summed up while basic is refused, from which the estimate is used.
+/// Minimum decaying sum of the variation of the utilization while basic was refused. Below it the estimate
+/// of the plant is not used.
 const VARIATION_MIN: f64 = 0.5;
-/// Range of plausible effects of refusing on the utilization.
+/// Plausible range of the effect that refusing a class has on the utilization.
 const PLAUSIBLE_EFFECTS: std::ops::Range<f64> = -2.0..-0.2;
 
-/// A change of whether basic is refused at all.
+/// Start or end of load shedding, that is of refusing basic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shedding {
     Began,
@@ -28,18 +30,18 @@
 
 /// State of the regulator.
 pub struct Regulator {
-    /// Running sum of the error, which makes up for a lasting one.
+    /// Running sum of the error (integral term), which compensates a lasting error.
     error_sum: f64,
     ratios: RefusalRatios,
-    /// The utilization at the last step.
+    /// Utilization at the last step.
     utilization: f64,
     estimator: PlantEstimator,
-    /// How much the utilization varied of late while basic was refused.
+    /// Decaying sum of the variation of the utilization while basic was refused.
     variation: f64,
 }
 
 impl Regulator {
-    /// Sheds nothing yet.
+    /// Creates a regulator that does not shed load.
     pub fn new(target_utilization: f64) -> Self {
         let prior = prior_plant(target_utilization);
         Self {
@@ -51,25 +53,26 @@
         }
     }
 
-    /// The refusal time ratios of this period.
+    /// Returns the refusal time ratios of the current control period.
     pub fn ratios(&self) -> RefusalRatios {
         self.ratios
     }
 
-    /// The utilization at the last step.
+    /// Returns the utilization at the last step.
     pub fn utilization(&self) -> f64 {
         self.utilization
     }
 
-    /// One step. `backlog` is the work that the gauge cannot show, since utilization ends at 1, in periods of
-    /// all cores. It adds to the running sum only while it lasts.
+    /// Runs one step. `backlog`, in control periods of all cores, is work that the gauge cannot show
+    /// because utilization is capped at 1. It raises the error sum only in this step and does not
+    /// accumulate.
     pub fn step(&mut self, utilization: f64, target: f64, backlog: f64) -> Option<Shedding> {
         let error = utilization - target;
         self.observe(utilization);
         let gains = self.gains(utilization, target);
         let is_saturated_high = self.ratios.basic >= 1.0 && error > 0.0;
         let is_saturated_low = self.ratios.basic <= 0.0 && error < 0.0;
-        // Anti-windup: at a limit the sum stands still.
+        // Anti-windup: the sum does not change while the ratio is at its limit.
         self.error_sum += if is_saturated_high || is_saturated_low { 0.0 } else { error };
         let sum_gain = gains.basic.error_sum;
         self.error_sum = self.error_sum.clamp(0.0, if sum_gain > 0.0 { 1.0 / sum_gain } else { 0.0 });
@@ -102,8 +105,8 @@
         gains(&plant).or_else(|| gains(&prior)).unwrap_or_default()
     }
 
-    /// Retries, other processes on the machine or a cold start distort the estimate: it is not used where it
-    /// is unstable or of the wrong sign.
+    /// Whether the estimated plant can be used: it is stable, and its effects have the right sign and size.
+    /// Retries, other processes on the machine or a cold start distort the estimate.
     fn is_plausible(&self, plant: &Plant) -> bool {
         self.variation > VARIATION_MIN
             && plant.a.abs() < 1.0
@@ -112,7 +115,8 @@
     }
 }
 
-/// Before anything is learned: refusing everything takes all load away within a period.
+/// Returns the plant assumed before any observation: refusing all arrivals removes the whole load within
+/// one period.
 fn prior_plant(load: f64) -> Plant {
     Plant { a: 0.0, premium: -load, basic: -load }
 }
--- a/crates/overload-control/src/scheduling.rs
+++ b/crates/overload-control/src/scheduling.rs
@@ -1,24 +1,26 @@
-//! Whether one more run may start.
+//! Decides whether another run may start.
 
-/// Reading takes its place under the concurrency limit, up to this share of the cores.
+/// Maximum share of the cores by which reading reduces the concurrency limit.
 const READING_SHARE_MAX: f64 = 0.25;
 
-/// What limits the runs of a server.
+/// Limits on the runs of a server.
 pub struct RunLimits {
-    /// The learned concurrency limit.
+    /// Learned concurrency limit.
     pub concurrency: f64,
-    /// Runs that may be open at once.
+    /// Maximum number of open runs, including runs at downstream calls.
     pub survivable: f64,
-    /// Cores that reading takes.
+    /// Number of cores that reading uses.
     pub reading_threads: f64,
-    /// Of the server.
+    /// Number of cores of the server.
     pub cores: f64,
-    /// In a downstream tier reading takes no place: a refused call throws away work of the tier above.
+    /// Whether this is a downstream tier, in which reading does not reduce the limit: rejecting a call
+    /// wastes work of the tier above.
     pub is_downstream_tier: bool,
 }
 
 impl RunLimits {
-    /// Whether one more may start beside so many on the cores, and so many open, at downstream calls too.
+    /// Whether another run may start, given the number of runs on the cores and the number of open runs,
+    /// which includes runs at downstream calls.
     pub fn admit(&self, running: f64, open: f64) -> bool {
         let share_max = if self.is_downstream_tier { 0.0 } else { READING_SHARE_MAX };
         let reading = self.reading_threads.min(self.cores * share_max);
--- a/crates/overload-control/src/tenant_quota.rs
+++ b/crates/overload-control/src/tenant_quota.rs
@@ -1,26 +1,26 @@
-//! Quotas of tenants: by the fleet's allowance where tenants are listed in the settings, by fair queueing
-//! where they become known as they come.
+//! Tenant quotas. Tenants listed in the settings share the fleet's allowance by token buckets; tenants that
+//! are not listed are subject to fair queueing.
 
 use crate::invocations::Invocation;
 use crate::{Arrival, Deployment, Nanos};
 use meadowstream_fair_queueing::{Admission as FairAdmission, FairScheduler, ServiceOutcome, TenantKey};
 
-/// Seconds of its allowance that a tenant may send at once.
+/// Maximum burst of a tenant, in seconds of its allowance.
 const BURST_SECONDS: f64 = 15.0;
-/// Work of a tenant within its quota that may be in the server, as a share of what is done in the shortest
-/// latency objective.
+/// Maximum work in the server of a tenant within its quota, as a share of the work that the server does
+/// within the shortest latency objective.
 const IN_SERVER_SHARE: f64 = 0.25;
 
-/// A token bucket: one token for each invocation.
+/// A token bucket; each invocation takes one token.
 struct TokenBucket {
-    /// Tokens a second.
+    /// Tokens per second.
     rate: f64,
     tokens: f64,
     updated: Nanos,
 }
 
 impl TokenBucket {
-    /// Takes a token; false where there is none.
+    /// Takes a token; returns false if none is left.
     fn take(&mut self, now: Nanos) -> bool {
         let seconds = (now - self.updated) as f64 / 1e9;
         self.tokens = (self.tokens + self.rate * seconds).min((self.rate * BURST_SECONDS).max(1.0));
@@ -31,20 +31,20 @@
     }
 }
 
-/// What a tenant is told with a rejection.
+/// Retry advice sent to the caller with a rejection.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryAdvice {
-    /// Time until the caller is to return.
+    /// Time after which the caller should retry.
     pub retry_after: Nanos,
-    /// The ticket of a promise of admission at that time.
+    /// Ticket of a promise of admission at that time.
     pub ticket: Option<u64>,
 }
 
-/// Where an arrival stands among tenants.
-pub struct Standing {
-    /// How fair queueing admitted it, where tenants are told apart as they come.
+/// Result of checking an arrival against the quota of its tenant.
+pub struct QuotaDecision {
+    /// Admission by the fair queueing scheduler; `None` without fair queueing.
     pub fair_admission: Option<FairAdmission>,
-    /// Its tenant has used up its quota.
+    /// Whether the tenant has used up its quota.
     pub is_over_quota: bool,
 }
 
@@ -55,7 +55,7 @@
 }
 
 impl TenantQuotas {
-    /// All quotas are unused.
+    /// Creates the quotas; each bucket starts with one second of the tenant's allowance at this server.
     pub fn new(deployment: &Deployment, seed: u64, now: Nanos) -> Self {
         let bucket = |allowance: &f64| {
             let rate = allowance / deployment.peers;
@@ -68,28 +68,28 @@
         Self { buckets: deployment.tenant_allowance.iter().map(bucket).collect(), fair }
     }
 
-    /// An invocation has come that will take this much core time, ns.
-    pub fn on_arrival(&mut self, now: Nanos, arrival: &Arrival, work: f64) -> Standing {
+    /// Checks an arrival that is expected to take `work` ns of core time.
+    pub fn on_arrival(&mut self, now: Nanos, arrival: &Arrival, work: f64) -> QuotaDecision {
         let has_token = match self.buckets.get_mut(arrival.tenant) {
             Some(bucket) => bucket.take(now),
             None => true,
         };
         let Some((fair, sender)) = self.fair.as_mut().zip(arrival.sender.as_ref()) else {
-            return Standing { fair_admission: None, is_over_quota: !has_token };
+            return QuotaDecision { fair_admission: None, is_over_quota: !has_token };
         };
         let tenant = TenantKey { name: &sender.tenant, origin: sender.origin };
         let admission = fair.arrive(now, tenant, work, sender.ticket);
-        Standing { fair_admission: Some(admission), is_over_quota: admission.surplus }
+        QuotaDecision { fair_admission: Some(admission), is_over_quota: admission.surplus }
     }
 
-    /// The run of an invocation starts.
+    /// Notes that the run of an invocation has started.
     pub fn on_run_started(&mut self, invocation: &Invocation) {
         if let (Some(fair), Some(admission)) = (&mut self.fair, &invocation.fair_admission) {
             fair.start_service(admission);
         }
     }
 
-    /// An invocation leaves the server.
+    /// Notes that an invocation has left the server.
     pub fn on_end(&mut self, now: Nanos, invocation: &Invocation) {
         if let (Some(fair), Some(admission)) = (&mut self.fair, &invocation.fair_admission) {
             let outcome = if invocation.has_run {
@@ -101,30 +101,30 @@
         }
     }
 
-    /// Ends an invocation that never ran and advises its tenant when its quota has capacity again, after
-    /// `least` at the earliest, with a promise of admission where one can be made. `None`, and nothing is
-    /// done, where there is no fair queueing or the invocation has run.
+    /// Ends an invocation that never ran and returns the time, `promise_after` from now at the earliest, at
+    /// which its tenant's quota has capacity again. The advice includes a promise of admission if one can
+    /// be made. Does nothing and returns `None` without fair queueing, or if the invocation has run.
     pub fn end_with_promise(
         &mut self,
         now: Nanos,
         invocation: &mut Invocation,
-        least: Nanos,
+        promise_after: Nanos,
     ) -> Option<RetryAdvice> {
         let fair = self.fair.as_mut()?;
         let admission = invocation.fair_admission.take_if(|_| !invocation.has_run)?;
         fair.end(now, &admission, ServiceOutcome::NeverRan);
-        let advice = fair.promise(now, &admission, least);
+        let advice = fair.promise(now, &admission, promise_after);
         Some(RetryAdvice { retry_after: advice.retry_after, ticket: advice.ticket })
     }
 
-    /// Follows the capacity, in cores.
+    /// Updates the server's capacity, in cores.
     pub fn set_capacity(&mut self, now: Nanos, capacity: f64, shortest_objective: Nanos) {
         if let Some(fair) = &mut self.fair {
             fair.update_fair_rate(now, capacity, capacity * shortest_objective as f64 * IN_SERVER_SHARE);
         }
     }
 
-    /// The fair queue, where tenants are told apart as they come.
+    /// Returns the fair queueing scheduler; `None` if fair queueing is off.
     pub fn fair_queue(&mut self) -> Option<&mut FairScheduler> {
         self.fair.as_mut()
     }
--- a/crates/overload-control/src/timers.rs
+++ b/crates/overload-control/src/timers.rs
@@ -2,30 +2,31 @@
 
 use crate::{Host, Nanos};
 
-/// Goes off once a control period; gauges are wanted with it.
+/// Timer that expires once per control period; gauges are reported with it.
 pub const CONTROL_TIMER: u32 = 0;
-/// Goes off at the next deadline, backoff's end or refill of the call budget.
+/// Timer that expires at the next deadline, end of a backoff, or refill of the call budget.
 const DEADLINE_TIMER: u32 = 1;
 
-/// The deadline timer.
+/// State of the deadline timer.
 pub struct Timers {
     deadline_at: Nanos,
 }
 
 impl Timers {
-    /// The deadline timer is not set.
+    /// Creates the state with the deadline timer not set.
     pub fn new() -> Self {
         Self { deadline_at: Nanos::MAX }
     }
 
-    /// The deadline timer may have gone off.
+    /// Clears the deadline timer if it has expired.
     pub fn on_timer(&mut self, now: Nanos) {
         if now >= self.deadline_at {
             self.deadline_at = Nanos::MAX;
         }
     }
 
-    /// Sets the deadline timer unless it goes off earlier; true where it was set.
+    /// Sets the deadline timer to `at` unless it is already set to an earlier time; returns whether it was
+    /// set.
     pub fn set_deadline(&mut self, now: Nanos, at: Nanos, host: &mut dyn Host) -> bool {
         let is_earlier = at < self.deadline_at;
         if is_earlier {
