--- a/crates/overload-control/benches/arrival.rs
+++ b/crates/overload-control/benches/arrival.rs
@@ -1,4 +1,5 @@
-//! What an arrival costs the whole module while many are held: it comes, is judged, and its caller goes.
+//! Benchmark of the whole controller with many pending invocations: an invocation arrives, admission
+//! decides on it, and its caller cancels it.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use meadowstream_overload_control::controller::Controller;
@@ -10,28 +11,28 @@
 const HOUR: Nanos = 3_600_000_000_000;
 const MS: Nanos = 1_000_000;
 
-struct Nobody;
+struct DiscardingHost;
 
-impl Host for Nobody {
-    fn start_run(&mut self, _inv: u64) {}
-    fn stop_run(&mut self, _inv: u64) {}
-    fn reject(&mut self, _inv: u64, _no_retry: bool, _retry_after: Nanos) {
-        panic!("all have room and time")
+impl Host for DiscardingHost {
+    fn start_run(&mut self, _id: u64) {}
+    fn stop_run(&mut self, _id: u64) {}
+    fn reject(&mut self, _id: u64, _no_retry: bool, _retry_after: Nanos) {
+        panic!("every invocation fits the memory and its deadline")
     }
-    fn fail(&mut self, _inv: u64) {}
-    fn start_call(&mut self, _inv: u64, _timeout: Nanos) {}
-    fn skip_call(&mut self, _inv: u64) {}
-    fn remember_key(&mut self, _inv: u64, _life: Nanos) {}
-    fn forget_key(&mut self, _inv: u64) {}
-    fn replay_result(&mut self, _inv: u64) {}
-    fn set_health(&mut self, _good: bool, _stored: bool) {}
+    fn fail(&mut self, _id: u64) {}
+    fn start_call(&mut self, _id: u64, _timeout: Nanos) {}
+    fn skip_call(&mut self, _id: u64) {}
+    fn remember_key(&mut self, _id: u64, _lifetime: Nanos) {}
+    fn forget_key(&mut self, _id: u64) {}
+    fn replay_result(&mut self, _id: u64) {}
+    fn set_health(&mut self, _healthy: bool, _cached: bool) {}
     fn advertise_load(&mut self, _value: f64) {}
     fn close_idle_connections(&mut self, _after: Nanos) {}
-    fn set_timer(&mut self, _after: Nanos, _token: u32) {}
+    fn set_timer(&mut self, _after: Nanos, _timer: u32) {}
     fn log(&mut self, _line: &str) {}
 }
 
-fn site() -> Deployment {
+fn deployment() -> Deployment {
     let operation = |priority_weight| Operation {
         effect: Effect::Idempotent,
         latency_objective: HOUR,
@@ -72,24 +73,26 @@
 
 fn arrivals(c: &mut Criterion) {
     let mut group = c.benchmark_group("module");
-    for held in [100u64, 1_000, 10_000, 100_000] {
-        let mut controller = Controller::new(site(), 1, START, &mut Nobody);
+    for pending in [100u64, 1_000, 10_000, 100_000] {
+        let mut controller = Controller::new(deployment(), 1, START, &mut DiscardingHost);
         let arrival = |id| Arrival { id, operation: (id % 2) as usize, held_kb: 1.0, ..Arrival::default() };
-        // An hour of runs of 1 ms, so that what is learned lets all that are held be done in time.
+        // Invocations with runs of 1 ms for an hour: by the learned times all pending invocations then meet
+        // their deadlines.
         for id in 1..=1000 {
             let now = START + id * HOUR / 1000;
-            controller.on_arrival(now, arrival(id), &mut Nobody);
-            controller.on_run_finished(now + MS, id, Outcome::Succeeded, &mut Nobody);
+            controller.on_arrival(now, arrival(id), &mut DiscardingHost);
+            controller.on_run_finished(now + MS, id, Outcome::Succeeded, &mut DiscardingHost);
         }
         let start = START + 2 * HOUR;
-        (0..held).for_each(|id| controller.on_arrival(start + id, arrival(10_000 + id), &mut Nobody));
-        let mut id = 10_000 + held;
+        (0..pending)
+            .for_each(|id| controller.on_arrival(start + id, arrival(10_000 + id), &mut DiscardingHost));
+        let mut id = 10_000 + pending;
         group.sample_size(20);
-        group.bench_function(BenchmarkId::from_parameter(held), |b| {
+        group.bench_function(BenchmarkId::from_parameter(pending), |b| {
             b.iter(|| {
                 id += 1;
-                controller.on_arrival(start + id, arrival(id), &mut Nobody);
-                controller.on_caller_gone(start + id, id, &mut Nobody);
+                controller.on_arrival(start + id, arrival(id), &mut DiscardingHost);
+                controller.on_caller_gone(start + id, id, &mut DiscardingHost);
             })
         });
     }
--- a/crates/overload-control/tests/days.rs
+++ b/crates/overload-control/tests/days.rs
@@ -1,7 +1,8 @@
-//! Random days through the controller, with all that it decides written down and hashed, call for call and in
-//! order, so that a change inside which is meant to decide the same can be seen to. Until the move the hashes
-//! were those of version 0.2.0, whose pending queue was a plain vector. A change of `policy` that is meant to
-//! decide otherwise takes new ones, and its commit says why.
+//! Regression tests: random ten-second runs of the controller, compared with recorded hashes.
+//!
+//! Every action of the controller is hashed in order, so that a refactoring can be shown to leave all
+//! decisions unchanged. The first recorded hashes were those of version 0.2.0, which kept the pending queue in
+//! a plain vector. A commit that intentionally changes decisions records new hashes and gives the reason.
 
 use meadowstream_overload_control::{
     Advertisement, Arrival, Deployment, Downstream, Effect, Gauges, Host, Nanos, Operation, Outcome,
@@ -14,7 +15,7 @@
 use std::hash::Hasher;
 
 const MS: Nanos = 1_000_000;
-/// The clock counts from 1970, as on a real server.
+/// Start of the clock: a time counted from 1970, as on a real server.
 const START: Nanos = 1_790_000_000_000_000_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -27,104 +28,105 @@
     DrainNotice,
 }
 
-struct World {
+struct SimulatedHost {
     now: Nanos,
     rng: ChaCha8Rng,
-    coming: BTreeMap<(Nanos, u64), Event>,
-    numbers: u64,
+    events: BTreeMap<(Nanos, u64), Event>,
+    event_number: u64,
     runs: BTreeMap<u64, Nanos>,
-    calls: bool,
-    /// Tenants are told apart as they come, and the fleet's shared state withholds calls now and then.
-    is_shared: bool,
+    makes_calls: bool,
+    /// Whether fair queueing is on and the fleet's shared state sometimes withholds calls.
+    uses_shared_state: bool,
     tickets: Vec<u64>,
     decisions: SipHasher13,
-    count: u64,
+    decision_count: u64,
 }
 
-impl World {
-    fn after(&mut self, span: Nanos, event: Event) {
-        self.numbers += 1;
-        self.coming.insert((self.now + span, self.numbers), event);
+impl SimulatedHost {
+    fn schedule(&mut self, delay: Nanos, event: Event) {
+        self.event_number += 1;
+        self.events.insert((self.now + delay, self.event_number), event);
     }
 
-    fn record(&mut self, what: &str, numbers: &[u64]) {
-        self.decisions.write(what.as_bytes());
+    fn record(&mut self, action: &str, numbers: &[u64]) {
+        self.decisions.write(action.as_bytes());
         numbers.iter().for_each(|n| self.decisions.write_u64(*n));
         self.decisions.write_u64(self.now);
-        self.count += 1;
+        self.decision_count += 1;
     }
 }
 
-impl Host for World {
-    fn start_run(&mut self, inv: u64) {
-        self.record("run", &[inv]);
+impl Host for SimulatedHost {
+    fn start_run(&mut self, id: u64) {
+        self.record("run", &[id]);
         let work = self.rng.random_range(2..60) * MS / 2;
-        self.runs.insert(inv, work);
-        let event = if self.calls && self.rng.random_bool(0.4) {
-            Event::CallNeeded(inv)
+        self.runs.insert(id, work);
+        let event = if self.makes_calls && self.rng.random_bool(0.4) {
+            Event::CallNeeded(id)
         } else {
-            Event::RunFinished(inv)
+            Event::RunFinished(id)
         };
-        self.after(work, event);
+        self.schedule(work, event);
     }
-    fn stop_run(&mut self, inv: u64) {
-        self.record("stop", &[inv]);
-        self.coming
-            .retain(|_, event| !matches!(event, Event::RunFinished(i) | Event::CallNeeded(i) if *i == inv));
-        self.runs.insert(inv, 0);
-        self.after(MS, Event::RunFinished(inv));
+    fn stop_run(&mut self, id: u64) {
+        self.record("stop", &[id]);
+        self.events
+            .retain(|_, event| !matches!(event, Event::RunFinished(i) | Event::CallNeeded(i) if *i == id));
+        self.runs.insert(id, 0);
+        self.schedule(MS, Event::RunFinished(id));
     }
-    fn reject(&mut self, inv: u64, no_retry: bool, retry_after: Nanos) {
-        self.record("throttle", &[inv, u64::from(no_retry), retry_after]);
+    fn reject(&mut self, id: u64, no_retry: bool, retry_after: Nanos) {
+        self.record("throttle", &[id, u64::from(no_retry), retry_after]);
     }
-    fn promise_admission(&mut self, inv: u64, ticket: u64) {
-        self.record("promise", &[inv, ticket]);
+    fn promise_admission(&mut self, id: u64, ticket: u64) {
+        self.record("promise", &[id, ticket]);
         self.tickets.push(ticket);
     }
-    fn may_start_call(&mut self, inv: u64, waiting: usize) -> bool {
-        let withheld = self.is_shared && (inv + self.now / (200 * MS)).is_multiple_of(3);
-        if self.is_shared {
-            self.record("may call", &[inv, waiting as u64]);
+    fn may_start_call(&mut self, id: u64, waiting: usize) -> bool {
+        let is_withheld = self.uses_shared_state && (id + self.now / (200 * MS)).is_multiple_of(3);
+        if self.uses_shared_state {
+            self.record("may call", &[id, waiting as u64]);
         }
-        !withheld
+        !is_withheld
     }
-    fn fail(&mut self, inv: u64) {
-        self.record("give up", &[inv]);
+    fn fail(&mut self, id: u64) {
+        self.record("give up", &[id]);
     }
-    fn start_call(&mut self, inv: u64, timeout: Nanos) {
-        self.record("call", &[inv, timeout]);
-        let takes = self.rng.random_range(1..80) * MS;
-        self.after(takes, Event::CallFinished(inv));
+    fn start_call(&mut self, id: u64, timeout: Nanos) {
+        self.record("call", &[id, timeout]);
+        let duration = self.rng.random_range(1..80) * MS;
+        self.schedule(duration, Event::CallFinished(id));
     }
-    fn skip_call(&mut self, inv: u64) {
-        self.record("skip", &[inv]);
-        self.after(MS, Event::RunFinished(inv));
+    fn skip_call(&mut self, id: u64) {
+        self.record("skip", &[id]);
+        self.schedule(MS, Event::RunFinished(id));
     }
-    fn remember_key(&mut self, inv: u64, life: Nanos) {
-        self.record("remember", &[inv, life]);
+    fn remember_key(&mut self, id: u64, lifetime: Nanos) {
+        self.record("remember", &[id, lifetime]);
     }
-    fn forget_key(&mut self, inv: u64) {
-        self.record("forget", &[inv]);
+    fn forget_key(&mut self, id: u64) {
+        self.record("forget", &[id]);
     }
-    fn replay_result(&mut self, inv: u64) {
-        self.record("reuse", &[inv]);
-        self.after(MS, Event::RunFinished(inv));
+    fn replay_result(&mut self, id: u64) {
+        self.record("reuse", &[id]);
+        self.schedule(MS, Event::RunFinished(id));
     }
-    fn set_health(&mut self, good: bool, stored: bool) {
-        self.record("health", &[u64::from(good), u64::from(stored)]);
+    fn set_health(&mut self, healthy: bool, cached: bool) {
+        self.record("health", &[u64::from(healthy), u64::from(cached)]);
     }
     fn advertise_load(&mut self, value: f64) {
-        // Sums over the pending queue are added up in another order now: the last bits differ.
+        // Rounded: the order of summation over the pending queue has changed since the hashes were
+        // recorded, which changes the last bits of the sums.
         self.record("advertise", &[(value * 1e9).round() as u64]);
     }
     fn close_idle_connections(&mut self, after: Nanos) {
         self.record("idle", &[after]);
     }
-    fn set_timer(&mut self, after: Nanos, token: u32) {
-        self.record("wake", &[after, u64::from(token)]);
-        self.after(after, Event::Timer(token));
+    fn set_timer(&mut self, after: Nanos, timer: u32) {
+        self.record("wake", &[after, u64::from(timer)]);
+        self.schedule(after, Event::Timer(timer));
     }
-    /// The hashes were taken of the texts that log lines had before.
+    /// Hashes the texts that the log lines had when the hashes were recorded.
     fn log(&mut self, line: &str) {
         let hashed = match line {
             "load shedding began" => "refusing begins",
@@ -137,7 +139,7 @@
     }
 }
 
-fn site(rng: &mut ChaCha8Rng) -> Deployment {
+fn deployment(rng: &mut ChaCha8Rng) -> Deployment {
     let operations = rng.random_range(1..4);
     let effects = [Effect::Idempotent, Effect::Idempotent, Effect::IdempotentWithKey, Effect::NonIdempotent];
     let operation = |rng: &mut ChaCha8Rng| Operation {
@@ -150,7 +152,7 @@
         degraded_value_ratio: [0.0, 0.0, 0.5][rng.random_range(0..3)],
         makes_calls: true,
     };
-    let belows = [
+    let downstreams = [
         Downstream::Tier,
         Downstream::Tier,
         Downstream::None,
@@ -171,7 +173,7 @@
         idempotency_entry_kb: 2.0,
         preemption: [Preemption::Unsupported, Preemption::Discards, Preemption::Pauses]
             [rng.random_range(0..3)],
-        downstream: belows[rng.random_range(0..4)],
+        downstream: downstreams[rng.random_range(0..4)],
         advertisement: [
             Advertisement::Weight,
             Advertisement::ConcurrencyAllowance,
@@ -190,55 +192,57 @@
     }
 }
 
-/// Three names send most, and every fifth invocation comes with a ticket that was promised.
+/// Generates a sender: three tenants send most invocations, and every fifth invocation uses a ticket that
+/// the controller promised.
 fn sender(id: u64, tickets: &mut Vec<u64>) -> Sender {
     let tenant = [0, 0, 0, 1, 1, 2, id][(id % 7) as usize];
     let ticket = if id.is_multiple_of(5) { tickets.pop() } else { None };
     Sender { tenant: tenant.to_string().into_bytes(), origin: tenant % 3, ticket }
 }
 
-/// Ten seconds under a load that comes and goes; the count of all that was decided, and its hash.
-fn day(seed: u64, is_shared: bool) -> (u64, u64) {
+/// Runs the controller for ten seconds under a varying load; returns the number of its actions and their
+/// hash.
+fn run_day(seed: u64, uses_shared_state: bool) -> (u64, u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut site = site(&mut rng);
-    if is_shared {
-        site.fair_queueing = Some(meadowstream_fair_queueing::Settings::default());
+    let mut deployment = deployment(&mut rng);
+    if uses_shared_state {
+        deployment.fair_queueing = Some(meadowstream_fair_queueing::Settings::default());
     }
-    let (operations, tenants) = (site.operations.len(), site.tenant_allowance.len());
-    let gap = 16 * MS / site.cores as u64;
-    let mut world = World {
+    let (operations, tenants) = (deployment.operations.len(), deployment.tenant_allowance.len());
+    let arrival_gap = 16 * MS / deployment.cores as u64;
+    let mut host = SimulatedHost {
         now: START,
         rng,
-        coming: BTreeMap::new(),
-        numbers: 0,
+        events: BTreeMap::new(),
+        event_number: 0,
         runs: BTreeMap::new(),
-        calls: site.downstream != Downstream::None,
-        is_shared,
+        makes_calls: deployment.downstream != Downstream::None,
+        uses_shared_state,
         tickets: Vec::new(),
         decisions: SipHasher13::new_with_keys(1, 2),
-        count: 0,
+        decision_count: 0,
     };
-    let cores = site.cores;
-    let mut controller = Controller::new(site, seed, START, &mut world);
-    world.after(MS, Event::Arrival);
+    let cores = deployment.cores;
+    let mut controller = Controller::new(deployment, seed, START, &mut host);
+    host.schedule(MS, Event::Arrival);
     if seed.is_multiple_of(3) {
-        world.after(8000 * MS, Event::DrainNotice);
+        host.schedule(8000 * MS, Event::DrainNotice);
     }
     let mut id = 0u64;
-    while let Some(((at, _), event)) = world.coming.pop_first() {
+    while let Some(((at, _), event)) = host.events.pop_first() {
         if at > START + 12_000 * MS {
             break;
         }
-        world.now = at;
+        host.now = at;
         match event {
             Event::Arrival => {
                 id += 1;
-                let rng = &mut world.rng;
+                let rng = &mut host.rng;
                 let arrival = Arrival {
                     id,
                     operation: rng.random_range(0..operations),
                     tenant: if tenants > 0 { rng.random_range(0..tenants) } else { 0 },
-                    sender: is_shared.then(|| sender(id, &mut world.tickets)),
+                    sender: uses_shared_state.then(|| sender(id, &mut host.tickets)),
                     age: rng.random_range(0..20) * MS,
                     remaining_deadline: rng.random_bool(0.2).then(|| rng.random_range(1..2000) * MS),
                     repeats: (id > 5 && rng.random_bool(0.05)).then(|| id - 4),
@@ -247,48 +251,49 @@
                     held_kb: rng.random_range(4..120) as f64 / 4.0,
                     cost_hint: rng.random_bool(0.5).then(|| rng.random_range(1..50) * MS),
                 };
-                controller.on_arrival(at, arrival, &mut world);
-                // From half of what the cores do to three times as much, in waves of three seconds.
+                controller.on_arrival(at, arrival, &mut host);
+                // The load ranges from half of the capacity of the cores to three times that capacity, and
+                // changes every 1.5 s.
                 let loads = [4, 2, 1, 8];
                 let load = loads[((at - START) / (1500 * MS)) as usize % 4];
-                let next = world.rng.random_range(0..gap * load / 2 + 1);
+                let next = host.rng.random_range(0..arrival_gap * load / 2 + 1);
                 if at < START + 10_000 * MS {
-                    world.after(next, Event::Arrival);
+                    host.schedule(next, Event::Arrival);
                 }
             }
-            Event::RunFinished(inv) => {
-                let work = world.runs.remove(&inv);
-                let ending = match work {
+            Event::RunFinished(id) => {
+                let work = host.runs.remove(&id);
+                let outcome = match work {
                     Some(0) => Outcome::Cancelled,
-                    _ if world.rng.random_bool(0.03) => Outcome::Failed,
+                    _ if host.rng.random_bool(0.03) => Outcome::Failed,
                     _ => Outcome::Succeeded,
                 };
-                controller.on_run_finished(at, inv, ending, &mut world);
+                controller.on_run_finished(at, id, outcome, &mut host);
             }
-            Event::CallNeeded(inv) => controller.on_call_needed(at, inv, &mut world),
-            Event::CallFinished(inv) => {
-                let endings = [Outcome::Succeeded, Outcome::Succeeded, Outcome::NeverRan, Outcome::Unknown];
-                let ending = endings[world.rng.random_range(0..4)];
-                if ending == Outcome::Succeeded {
-                    let rest = world.rng.random_range(1..10) * MS;
-                    world.after(rest, Event::RunFinished(inv));
+            Event::CallNeeded(id) => controller.on_call_needed(at, id, &mut host),
+            Event::CallFinished(id) => {
+                let outcomes = [Outcome::Succeeded, Outcome::Succeeded, Outcome::NeverRan, Outcome::Unknown];
+                let outcome = outcomes[host.rng.random_range(0..4)];
+                if outcome == Outcome::Succeeded {
+                    let run_time_left = host.rng.random_range(1..10) * MS;
+                    host.schedule(run_time_left, Event::RunFinished(id));
                 }
-                controller.on_call_finished(at, inv, ending, 20 * MS, &mut world);
+                controller.on_call_finished(at, id, outcome, 20 * MS, &mut host);
             }
-            Event::Timer(token) => {
-                let busy = (world.runs.len() as f64 / cores).min(1.0);
+            Event::Timer(timer) => {
+                let utilization = (host.runs.len() as f64 / cores).min(1.0);
                 let gauges =
-                    Gauges { utilization: Some(busy), runnable: Some(world.runs.len() as f64 + 0.5) };
-                controller.on_timer(at, token, gauges, &mut world);
+                    Gauges { utilization: Some(utilization), runnable: Some(host.runs.len() as f64 + 0.5) };
+                controller.on_timer(at, timer, gauges, &mut host);
             }
-            Event::DrainNotice => controller.on_drain_notice(at, at, 3000 * MS, &mut world),
+            Event::DrainNotice => controller.on_drain_notice(at, at, 3000 * MS, &mut host),
         }
     }
-    (world.count, world.decisions.finish())
+    (host.decision_count, host.decisions.finish())
 }
 
-/// Decided in each day from 0 on, and the hash of all.
-const AS_BEFORE: &[(u64, u64)] = &[
+/// Number of actions and their hash for each seed, starting at 0.
+const RECORDED_DAYS: &[(u64, u64)] = &[
     (10962, 0xfc5a4a76c6e43f98),
     (10063, 0x075e45d9310accc1),
     (3807, 0x5e63dff99ad75772),
@@ -316,15 +321,15 @@
 ];
 
 #[test]
-fn decides_as_before() {
-    for (seed, before) in AS_BEFORE.iter().enumerate() {
-        assert_eq!(day(seed as u64, false), *before, "day {seed}");
+fn decisions_match_recorded_hashes() {
+    for (seed, recorded) in RECORDED_DAYS.iter().enumerate() {
+        assert_eq!(run_day(seed as u64, false), *recorded, "day {seed}");
     }
 }
 
-/// The same with tenants that are told apart as they come and calls that are withheld, written down before
+/// Number of actions and their hash for each seed with fair queueing and withheld calls, recorded before
 /// the controller was split into modules.
-const SHARED_AS_BEFORE: &[(u64, u64)] = &[
+const SHARED_STATE_DAYS: &[(u64, u64)] = &[
     (12013, 0x8be4550621d9e9fb),
     (11319, 0xbfd87fab2f7ad61f),
     (3999, 0xf010b1a4ea71f002),
@@ -352,18 +357,18 @@
 ];
 
 #[test]
-fn decides_as_before_with_fair_queueing_and_withheld_calls() {
-    for (seed, before) in SHARED_AS_BEFORE.iter().enumerate() {
-        assert_eq!(day(seed as u64, true), *before, "day {seed}");
+fn decisions_match_recorded_hashes_with_fair_queueing_and_withheld_calls() {
+    for (seed, recorded) in SHARED_STATE_DAYS.iter().enumerate() {
+        assert_eq!(run_day(seed as u64, true), *recorded, "day {seed}");
     }
 }
 
 #[test]
-#[ignore = "prints what stands in both tables, for a change that is meant to decide otherwise"]
+#[ignore = "prints new contents of both tables, for a change that intentionally alters decisions"]
 fn print_hashes() {
-    for is_shared in [false, true] {
+    for uses_shared_state in [false, true] {
         for seed in 0..24 {
-            let (count, hash) = day(seed, is_shared);
+            let (count, hash) = run_day(seed, uses_shared_state);
             println!("    ({count}, 0x{hash:016x}),");
         }
     }
--- a/crates/overload-control/tests/operations.rs
+++ b/crates/overload-control/tests/operations.rs
@@ -1,5 +1,5 @@
-//! Many operations: what one decision costs does not grow with them, and what is kept of all of them at once
-//! follows what each is learned to take.
+//! Tests with many operations: the cost of a decision does not grow with their number, and values computed
+//! over all operations follow the learned times of each.
 
 use meadowstream_overload_control::controller::{CONTROL_TIMER, Controller};
 use meadowstream_overload_control::{
@@ -14,25 +14,25 @@
 const HOUR: Nanos = 3_600 * SECOND;
 const OBJECTIVE: Nanos = 2 * SECOND;
 
-/// Remembers whether the server was last said to be healthy.
-struct Health(bool);
+/// Host that records the last reported health.
+struct HealthRecorder(bool);
 
-impl Host for Health {
-    fn start_run(&mut self, _inv: u64) {}
-    fn stop_run(&mut self, _inv: u64) {}
-    fn reject(&mut self, _inv: u64, _no_retry: bool, _retry_after: Nanos) {}
-    fn fail(&mut self, _inv: u64) {}
-    fn start_call(&mut self, _inv: u64, _timeout: Nanos) {}
-    fn skip_call(&mut self, _inv: u64) {}
-    fn remember_key(&mut self, _inv: u64, _life: Nanos) {}
-    fn forget_key(&mut self, _inv: u64) {}
-    fn replay_result(&mut self, _inv: u64) {}
-    fn set_health(&mut self, good: bool, _stored: bool) {
-        self.0 = good;
+impl Host for HealthRecorder {
+    fn start_run(&mut self, _id: u64) {}
+    fn stop_run(&mut self, _id: u64) {}
+    fn reject(&mut self, _id: u64, _no_retry: bool, _retry_after: Nanos) {}
+    fn fail(&mut self, _id: u64) {}
+    fn start_call(&mut self, _id: u64, _timeout: Nanos) {}
+    fn skip_call(&mut self, _id: u64) {}
+    fn remember_key(&mut self, _id: u64, _lifetime: Nanos) {}
+    fn forget_key(&mut self, _id: u64) {}
+    fn replay_result(&mut self, _id: u64) {}
+    fn set_health(&mut self, healthy: bool, _cached: bool) {
+        self.0 = healthy;
     }
     fn advertise_load(&mut self, _value: f64) {}
     fn close_idle_connections(&mut self, _after: Nanos) {}
-    fn set_timer(&mut self, _after: Nanos, _token: u32) {}
+    fn set_timer(&mut self, _after: Nanos, _timer: u32) {}
     fn log(&mut self, _line: &str) {}
 }
 
@@ -47,7 +47,7 @@
         degraded_value_ratio: 0.0,
         makes_calls: true,
     };
-    let site = Deployment {
+    let deployment = Deployment {
         operations: vec![operation; operations],
         tenant_allowance: Vec::new(),
         over_quota_value_ratio: 1.0,
@@ -73,25 +73,26 @@
         target_utilization: 0.9,
         warm_up: 1,
     };
-    Controller::new(site, 1, START, &mut Health(true))
+    Controller::new(deployment, 1, START, &mut HealthRecorder(true))
 }
 
-fn run_one(controller: &mut Controller, at: Nanos, id: u64, operation: usize, took: Nanos) {
+fn run_invocation(controller: &mut Controller, at: Nanos, id: u64, operation: usize, duration: Nanos) {
     let arrival = Arrival { id, operation, held_kb: 1.0, ..Arrival::default() };
-    controller.on_arrival(at, arrival, &mut Health(true));
-    controller.on_run_finished(at + took, id, Outcome::Succeeded, &mut Health(true));
+    controller.on_arrival(at, arrival, &mut HealthRecorder(true));
+    controller.on_run_finished(at + duration, id, Outcome::Succeeded, &mut HealthRecorder(true));
 }
 
-/// The quickest of a few rounds: what else the machine does only makes some of them slower.
+/// Returns the time of the fastest of several rounds, since other load on the machine only makes rounds
+/// slower.
 fn quickest_round(operations: usize) -> Duration {
     const ROUNDS: u64 = 7;
     const RUNS: u64 = 200;
     let mut controller = controller(operations);
     let mut round = |round: u64| {
-        let began = Instant::now();
+        let started = Instant::now();
         for run in 0..RUNS {
             let id = round * RUNS + run + 1;
-            run_one(
+            run_invocation(
                 &mut controller,
                 START + id * 10 * MILLISECOND,
                 id,
@@ -99,28 +100,28 @@
                 MILLISECOND,
             );
         }
-        began.elapsed()
+        started.elapsed()
     };
-    (0..ROUNDS).map(&mut round).min().expect("rounds")
+    (0..ROUNDS).map(&mut round).min().expect("at least one round")
 }
 
 #[test]
-fn a_decision_costs_the_same_with_thousands_of_operations() {
+fn decision_cost_does_not_grow_with_operations() {
     let (few, many) = (quickest_round(60), quickest_round(6_200));
     eprintln!("200 runs: {few:?} with 60 operations, {many:?} with 6,200");
     assert!(many < few * 8, "200 runs: {few:?} with 60 operations, {many:?} with 6,200");
 }
 
-/// Runs are taken to stand still after six times the longest usual one; that follows an operation that was
-/// the longest and is no more.
+/// A server counts as stalled after six times the longest usual run. That limit must fall again once the
+/// operation with the longest runs has become faster.
 #[test]
-fn the_stall_time_falls_with_the_longest_usual_run() {
+fn stall_time_follows_the_longest_usual_run() {
     let mut controller = controller(2);
     let (mut at, mut id) = (START, 0);
-    let mut runs = |controller: &mut Controller, operation: usize, took: Nanos| {
+    let mut runs = |controller: &mut Controller, operation: usize, duration: Nanos| {
         for _ in 0..300 {
             id += 1;
-            run_one(controller, at, id, operation, took);
+            run_invocation(controller, at, id, operation, duration);
             at += SECOND;
         }
         at
@@ -128,11 +129,11 @@
     runs(&mut controller, 0, MILLISECOND);
     runs(&mut controller, 1, 400 * MILLISECOND);
     let now = runs(&mut controller, 1, 2 * MILLISECOND);
-    let stuck = Arrival { id: 1_000_000, operation: 0, held_kb: 1.0, ..Arrival::default() };
-    let mut host = Health(true);
-    controller.on_arrival(now, stuck, &mut host);
+    let stalled = Arrival { id: 1_000_000, operation: 0, held_kb: 1.0, ..Arrival::default() };
+    let mut host = HealthRecorder(true);
+    controller.on_arrival(now, stalled, &mut host);
     controller.on_timer(now + 10 * MILLISECOND, CONTROL_TIMER, Gauges::default(), &mut host);
-    assert!(host.0, "ten milliseconds are under six times two");
+    assert!(host.0, "10 ms without progress are less than six usual runs of 2 ms");
     controller.on_timer(now + 60 * MILLISECOND, CONTROL_TIMER, Gauges::default(), &mut host);
-    assert!(!host.0, "sixty milliseconds are thirty usual runs: nothing moves");
+    assert!(!host.0, "60 ms without progress are 30 usual runs of 2 ms: the server has stalled");
 }
--- a/crates/overload-control/tests/scenarios.rs
+++ b/crates/overload-control/tests/scenarios.rs
@@ -1,16 +1,20 @@
-//! Plays the scenario files against the controller alone. The notation, a line a step:
+//! Runs the scenario files against the controller alone. Each line of a file is one step:
 //!
-//! - first `site NAME VALUE` to change the deployment, `operation NAME=VALUE ...` (a patient one where none
-//!   is given) and `tenant PER_SECOND` to add one; the server starts with what comes next.
-//! - `busy X` and `wanting X` set gauges; `wait MS` lets time pass; `repeat N STEP`, `repeat N` ... `end`.
-//! - `arrive NAME=VALUE ...` (ids count from 1), `finish ID|all|first [ok|error|cancelled]`,
-//!   `needs ID`, `called ID ok|error|unknown|never_ran [MS]`, `leave MS`, `gone ID`.
-//! - `expect WHAT [opN|ID] = | < | > NUMBER` counts results since the start or the last `forget`.
-//!   WHAT is run, throttle, promise,
-//!   give_up, answer, stop, call, remember, forget, reuse, unhealthy, advert (its
-//!   last value in hundredths), away (longest advice in ms), last (throttled ones that are not to be tried
-//!   elsewhere), patience (ms of the last call's time-out), idle (ms that idle connections may stay), most
-//!   (runs open at once).
+//! - `site NAME VALUE` changes the deployment, `operation NAME=VALUE ...` adds an operation (by default there
+//!   is one with long deadlines), and `tenant PER_SECOND` adds a tenant. The controller is created at the
+//!   first `wait` or event.
+//! - `busy X` sets the utilization gauge, `wanting X` the number of runnable threads, and `room N` the number
+//!   of downstream calls that the fleet's budget permits at once.
+//! - `wait MS` advances the time; `repeat N STEP` repeats one step, and `repeat N` ... `end` several.
+//! - Events: `arrive NAME=VALUE ...` (ids are assigned from 1), `finish ID|all|first [ok|error|cancelled]`,
+//!   `needs ID` (a run has reached its downstream call), `called ID ok|error|unknown|never_ran [MS]` (the call
+//!   has ended), `leave MS` (drain notice) and `gone ID` (the caller cancelled).
+//! - `expect WHAT [opN|ID] = | < | > NUMBER` compares the number of actions since the start or the last
+//!   `forget` step, for one operation or invocation if given. WHAT is an action: run, throttle, promise,
+//!   give_up, answer, stop, call, remember, forget, reuse, healthy, unhealthy, or last (rejections that
+//!   advise against a retry elsewhere). WHAT may also be a value: advert (last advertised load, hundredths),
+//!   away (longest Retry-After, ms), patience (timeout of the last call, ms), idle (timeout of idle
+//!   connections, ms) or most (maximum number of concurrent runs).
 
 use meadowstream_overload_control::{
     Advertisement, Arrival, Deployment, Downstream, Effect, Gauges, Host, Nanos, Operation, Outcome,
@@ -24,87 +28,88 @@
 #[derive(Default)]
 struct Recorder {
     now: Nanos,
-    results: Vec<(&'static str, u64)>,
-    wakes: Vec<(Nanos, u32)>,
+    actions: Vec<(&'static str, u64)>,
+    timers: Vec<(Nanos, u32)>,
     running: Vec<u64>,
-    most: usize,
-    away: Nanos,
-    advert: f64,
-    idle: Nanos,
-    patience: Nanos,
-    /// Calls that the fleet's budget has used up here, of how many, where there is one.
-    out: usize,
-    room: Option<usize>,
+    running_max: usize,
+    retry_after_max: Nanos,
+    advertised_load: f64,
+    idle_timeout: Nanos,
+    call_timeout: Nanos,
+    /// Number of downstream calls in progress.
+    open_calls: usize,
+    /// Number of concurrent calls that the fleet's budget permits; `None` without a budget.
+    call_limit: Option<usize>,
 }
 
 impl Recorder {
-    fn note(&mut self, what: &'static str, inv: u64) {
-        self.results.push((what, inv));
+    fn record(&mut self, action: &'static str, id: u64) {
+        self.actions.push((action, id));
     }
 
-    fn answered(&mut self, what: &'static str, inv: u64) {
-        self.note(what, inv);
-        self.note("answer", inv);
+    fn record_answer(&mut self, action: &'static str, id: u64) {
+        self.record(action, id);
+        self.record("answer", id);
     }
 }
 
-macro_rules! noted {
-    ($($method:ident $word:literal)*) => { $(fn $method(&mut self, inv: u64) { self.note($word, inv); })* };
+macro_rules! record_actions {
+    ($($method:ident $word:literal)*) => { $(fn $method(&mut self, id: u64) { self.record($word, id); })* };
 }
 
 impl Host for Recorder {
-    noted! { stop_run "stop" skip_call "skip_call" forget_key "forget" replay_result "reuse" }
-    fn start_run(&mut self, inv: u64) {
-        assert!(!self.running.contains(&inv), "{inv} runs already");
-        self.running.push(inv);
-        self.most = self.most.max(self.running.len());
-        self.note("run", inv);
+    record_actions! { stop_run "stop" skip_call "skip_call" forget_key "forget" replay_result "reuse" }
+    fn start_run(&mut self, id: u64) {
+        assert!(!self.running.contains(&id), "invocation {id} is already running");
+        self.running.push(id);
+        self.running_max = self.running_max.max(self.running.len());
+        self.record("run", id);
     }
-    fn reject(&mut self, inv: u64, no_retry: bool, retry_after: Nanos) {
+    fn reject(&mut self, id: u64, no_retry: bool, retry_after: Nanos) {
         if no_retry {
-            self.note("last", inv);
+            self.record("last", id);
         }
-        self.away = self.away.max(retry_after);
-        self.answered("throttle", inv);
+        self.retry_after_max = self.retry_after_max.max(retry_after);
+        self.record_answer("throttle", id);
     }
-    fn promise_admission(&mut self, inv: u64, _ticket: u64) {
-        self.note("promise", inv);
+    fn promise_admission(&mut self, id: u64, _ticket: u64) {
+        self.record("promise", id);
     }
-    fn fail(&mut self, inv: u64) {
-        self.answered("give_up", inv);
+    fn fail(&mut self, id: u64) {
+        self.record_answer("give_up", id);
     }
-    fn may_start_call(&mut self, _inv: u64, _waiting: usize) -> bool {
-        self.room.is_none_or(|room| self.out < room)
+    fn may_start_call(&mut self, _id: u64, _waiting: usize) -> bool {
+        self.call_limit.is_none_or(|limit| self.open_calls < limit)
     }
-    fn start_call(&mut self, inv: u64, timeout: Nanos) {
-        self.out += 1;
-        self.patience = timeout;
-        self.note("call", inv);
+    fn start_call(&mut self, id: u64, timeout: Nanos) {
+        self.open_calls += 1;
+        self.call_timeout = timeout;
+        self.record("call", id);
     }
-    fn remember_key(&mut self, inv: u64, _life: Nanos) {
-        self.note("remember", inv);
+    fn remember_key(&mut self, id: u64, _lifetime: Nanos) {
+        self.record("remember", id);
     }
-    fn set_health(&mut self, good: bool, _stored: bool) {
-        self.note(if good { "healthy" } else { "unhealthy" }, 0);
+    fn set_health(&mut self, healthy: bool, _cached: bool) {
+        self.record(if healthy { "healthy" } else { "unhealthy" }, 0);
     }
     fn advertise_load(&mut self, value: f64) {
-        self.advert = value;
+        self.advertised_load = value;
     }
     fn close_idle_connections(&mut self, after: Nanos) {
-        self.idle = after;
+        self.idle_timeout = after;
     }
-    fn set_timer(&mut self, after: Nanos, token: u32) {
-        self.wakes.push((self.now + after, token));
+    fn set_timer(&mut self, after: Nanos, timer: u32) {
+        self.timers.push((self.now + after, timer));
     }
     fn log(&mut self, _line: &str) {}
 }
 
-struct Stage {
-    site: Deployment,
+struct Scenario {
+    deployment: Deployment,
     controller: Option<Controller>,
-    seen: Recorder,
-    busy: f64,
-    wanting: f64,
+    recorder: Recorder,
+    utilization: f64,
+    runnable: f64,
     operations: BTreeMap<u64, usize>,
 }
 
@@ -112,25 +117,25 @@
     text.parse().unwrap_or_else(|_| panic!("not a number: {text}"))
 }
 
-fn ending(text: &str) -> Outcome {
+fn outcome(text: &str) -> Outcome {
     match text {
         "ok" => Outcome::Succeeded,
         "error" => Outcome::Failed,
         "unknown" => Outcome::Unknown,
         "never_ran" => Outcome::NeverRan,
         "cancelled" => Outcome::Cancelled,
-        other => panic!("unknown ending {other}"),
+        other => panic!("unknown outcome {other}"),
     }
 }
 
-/// What stands after `name=` among the words.
-fn given<'a>(words: &[&'a str], name: &str) -> Option<&'a str> {
+/// Returns the value of the word `name=value`.
+fn value_of<'a>(words: &[&'a str], name: &str) -> Option<&'a str> {
     words.iter().find_map(|word| word.strip_prefix(name)?.strip_prefix('='))
 }
 
-impl Stage {
+impl Scenario {
     fn new() -> Self {
-        let site = Deployment {
+        let deployment = Deployment {
             operations: Vec::new(),
             tenant_allowance: Vec::new(),
             over_quota_value_ratio: 0.1,
@@ -157,42 +162,42 @@
             warm_up: 10_000 * MS,
         };
         Self {
-            site,
+            deployment,
             controller: None,
-            seen: Recorder::default(),
-            busy: 0.5,
-            wanting: 0.0,
+            recorder: Recorder::default(),
+            utilization: 0.5,
+            runnable: 0.0,
             operations: BTreeMap::new(),
         }
     }
 
-    fn tune(&mut self, name: &str, value: &str) {
-        let site = &mut self.site;
+    fn configure(&mut self, name: &str, value: &str) {
+        let deployment = &mut self.deployment;
         match name {
-            "peers" => site.peers = number(value),
-            "cores" => site.cores = number(value),
-            "entry_kb" => site.idempotency_entry_kb = number(value),
-            "memory_kb" => site.memory_kb = number(value),
-            "crowd" => site.survivable_concurrency_ratio = number(value),
-            "cold" => site.starts_cold = value == "yes",
-            "called" => site.is_downstream_tier = value == "yes",
-            "marks" => site.retries_marked = value == "yes",
-            "pauses" => site.preemption = Preemption::Pauses,
-            "callers" => site.callers = number(value),
-            "fair" => site.fair_queueing = Some(meadowstream_fair_queueing::Settings::default()),
-            "weight" => site.advertisement = Advertisement::Weight,
+            "peers" => deployment.peers = number(value),
+            "cores" => deployment.cores = number(value),
+            "entry_kb" => deployment.idempotency_entry_kb = number(value),
+            "memory_kb" => deployment.memory_kb = number(value),
+            "crowd" => deployment.survivable_concurrency_ratio = number(value),
+            "cold" => deployment.starts_cold = value == "yes",
+            "called" => deployment.is_downstream_tier = value == "yes",
+            "marks" => deployment.retries_marked = value == "yes",
+            "pauses" => deployment.preemption = Preemption::Pauses,
+            "callers" => deployment.callers = number(value),
+            "fair" => deployment.fair_queueing = Some(meadowstream_fair_queueing::Settings::default()),
+            "weight" => deployment.advertisement = Advertisement::Weight,
             "dependency" => {
-                site.downstream =
+                deployment.downstream =
                     Downstream::Shared { quota: number(value), linger: 200 * MS, window: 5000 * MS }
             }
-            other => panic!("unknown site value {other}"),
+            other => panic!("unknown deployment value {other}"),
         }
     }
 
     fn add_operation(&mut self, words: &[&str]) {
-        let get = |name: &str, absent: f64| given(words, name).map_or(absent, number);
-        self.site.operations.push(Operation {
-            effect: match given(words, "effect").unwrap_or("idempotent") {
+        let get = |name: &str, absent: f64| value_of(words, name).map_or(absent, number);
+        self.deployment.operations.push(Operation {
+            effect: match value_of(words, "effect").unwrap_or("idempotent") {
                 "idempotent" => Effect::Idempotent,
                 "tokened" => Effect::IdempotentWithKey,
                 "non-idempotent" => Effect::NonIdempotent,
@@ -204,134 +209,142 @@
             priority_weight: get("value", 1.0),
             late_value: get("late", 0.0),
             degraded_value_ratio: get("without", 0.0),
-            makes_calls: given(words, "calls") != Some("no"),
+            makes_calls: value_of(words, "calls") != Some("no"),
         });
     }
 
-    fn wait(&mut self, span: Nanos) {
-        let end = self.seen.now + span;
-        while let Some(next) = self.seen.wakes.iter().copied().filter(|(at, _)| *at <= end).min() {
-            self.seen.wakes.retain(|wake| *wake != next);
-            self.seen.now = next.0;
+    fn wait(&mut self, duration: Nanos) {
+        let end = self.recorder.now + duration;
+        while let Some(next) = self.recorder.timers.iter().copied().filter(|(at, _)| *at <= end).min() {
+            self.recorder.timers.retain(|timer| *timer != next);
+            self.recorder.now = next.0;
             let controller = self.controller.as_mut().expect("started");
-            let gauges = Gauges { utilization: Some(self.busy), runnable: Some(self.wanting) };
-            controller.on_timer(next.0, next.1, gauges, &mut self.seen);
+            let gauges = Gauges { utilization: Some(self.utilization), runnable: Some(self.runnable) };
+            controller.on_timer(next.0, next.1, gauges, &mut self.recorder);
         }
-        self.seen.now = end;
+        self.recorder.now = end;
     }
 
     fn step(&mut self, words: &[&str]) {
         match words[0] {
-            "site" => self.tune(words[1], words[2]),
+            "site" => self.configure(words[1], words[2]),
             "operation" => self.add_operation(&words[1..]),
-            "tenant" => self.site.tenant_allowance.push(number(words[1])),
-            "busy" => self.busy = number(words[1]),
-            "wanting" => self.wanting = number(words[1]),
-            "room" => self.seen.room = Some(number(words[1]) as usize),
-            "forget" => self.seen.results.clear(),
+            "tenant" => self.deployment.tenant_allowance.push(number(words[1])),
+            "busy" => self.utilization = number(words[1]),
+            "wanting" => self.runnable = number(words[1]),
+            "room" => self.recorder.call_limit = Some(number(words[1]) as usize),
+            "forget" => self.recorder.actions.clear(),
             "expect" => self.expect(&words[1..]),
             _ => {
-                if self.site.operations.is_empty() {
+                if self.deployment.operations.is_empty() {
                     self.add_operation(&["objective=9000", "timeout=20000"]);
                 }
                 if self.controller.is_none() {
-                    self.controller = Some(Controller::new(self.site.clone(), 7, 0, &mut self.seen));
+                    self.controller =
+                        Some(Controller::new(self.deployment.clone(), 7, 0, &mut self.recorder));
                 }
-                self.happens(words);
+                self.apply_event(words);
             }
         }
     }
 
-    fn happens(&mut self, words: &[&str]) {
+    fn apply_event(&mut self, words: &[&str]) {
         if words[0] == "wait" {
             return self.wait(number(words[1]) as Nanos * MS);
         }
-        let now = self.seen.now;
+        let now = self.recorder.now;
         let id = || number(words[1]) as u64;
         let controller = self.controller.as_mut().expect("started");
         match words[0] {
             "arrive" => {
-                let get = |name: &str, absent: f64| given(words, name).map_or(absent, number);
+                let get = |name: &str, absent: f64| value_of(words, name).map_or(absent, number);
                 let arrival = Arrival {
                     id: self.operations.len() as u64 + 1,
                     operation: get("op", 0.0) as usize,
                     tenant: get("tenant", 0.0) as usize,
-                    sender: given(words, "name")
+                    sender: value_of(words, "name")
                         .map(|name| Sender { tenant: name.into(), ..Sender::default() }),
                     age: get("age", 0.0) as Nanos * MS,
-                    remaining_deadline: given(words, "patience").map(|text| number(text) as Nanos * MS),
-                    repeats: given(words, "repeats").map(|text| number(text) as u64),
-                    key_not_stored: given(words, "unkept").is_some(),
-                    is_marked_retry: given(words, "retry").is_some(),
+                    remaining_deadline: value_of(words, "patience").map(|text| number(text) as Nanos * MS),
+                    repeats: value_of(words, "repeats").map(|text| number(text) as u64),
+                    key_not_stored: value_of(words, "unkept").is_some(),
+                    is_marked_retry: value_of(words, "retry").is_some(),
                     held_kb: get("kb", 10.0),
-                    cost_hint: given(words, "hint").map(|text| number(text) as Nanos * MS),
+                    cost_hint: value_of(words, "hint").map(|text| number(text) as Nanos * MS),
                 };
                 self.operations.insert(arrival.id, arrival.operation);
-                controller.on_arrival(now, arrival, &mut self.seen);
+                controller.on_arrival(now, arrival, &mut self.recorder);
             }
             "finish" => {
-                let ending = ending(words.get(2).unwrap_or(&"ok"));
+                let outcome = outcome(words.get(2).unwrap_or(&"ok"));
                 let which: Vec<u64> = match words[1] {
-                    "all" => self.seen.running.clone(),
-                    "first" => self.seen.running.first().copied().into_iter().collect(),
+                    "all" => self.recorder.running.clone(),
+                    "first" => self.recorder.running.first().copied().into_iter().collect(),
                     _ => vec![id()],
                 };
                 for id in which {
-                    self.seen.running.retain(|other| *other != id);
-                    if ending != Outcome::Cancelled && !self.seen.results.contains(&("answer", id)) {
-                        self.seen.note("answer", id);
+                    self.recorder.running.retain(|other| *other != id);
+                    if outcome != Outcome::Cancelled && !self.recorder.actions.contains(&("answer", id)) {
+                        self.recorder.record("answer", id);
                     }
-                    controller.on_run_finished(now, id, ending, &mut self.seen);
+                    controller.on_run_finished(now, id, outcome, &mut self.recorder);
                 }
             }
-            "needs" => controller.on_call_needed(now, id(), &mut self.seen),
+            "needs" => controller.on_call_needed(now, id(), &mut self.recorder),
             "called" => {
-                self.seen.out -= 1;
-                let took = words.get(3).map_or(MS, |ms| number(ms) as Nanos * MS);
-                controller.on_call_finished(now, id(), ending(words[2]), took, &mut self.seen);
+                self.recorder.open_calls -= 1;
+                let duration = words.get(3).map_or(MS, |ms| number(ms) as Nanos * MS);
+                controller.on_call_finished(now, id(), outcome(words[2]), duration, &mut self.recorder);
             }
-            "leave" => controller.on_drain_notice(now, now, number(words[1]) as Nanos * MS, &mut self.seen),
-            "gone" => controller.on_caller_gone(now, id(), &mut self.seen),
+            "leave" => {
+                controller.on_drain_notice(now, now, number(words[1]) as Nanos * MS, &mut self.recorder)
+            }
+            "gone" => controller.on_caller_gone(now, id(), &mut self.recorder),
             other => panic!("unknown step {other}"),
         }
     }
 
     fn expect(&self, words: &[&str]) {
-        let (what, of, compare, wanted) = match words {
-            [what, compare, wanted] => (*what, "", *compare, number(wanted)),
-            [what, of, compare, wanted] => (*what, *of, *compare, number(wanted)),
+        let (quantity, subject, compare, expected) = match words {
+            [quantity, compare, expected] => (*quantity, "", *compare, number(expected)),
+            [quantity, subject, compare, expected] => (*quantity, *subject, *compare, number(expected)),
             _ => panic!("expect {words:?}"),
         };
-        let meant = |inv: u64| match of.strip_prefix("op") {
-            Some(operation) => self.operations.get(&inv) == Some(&(number(operation) as usize)),
-            None => of.is_empty() || number(of) as u64 == inv,
+        let is_subject = |id: u64| match subject.strip_prefix("op") {
+            Some(operation) => self.operations.get(&id) == Some(&(number(operation) as usize)),
+            None => subject.is_empty() || number(subject) as u64 == id,
         };
-        let found = match what {
-            "advert" => (self.seen.advert * 100.0).round(),
-            "away" => (self.seen.away / MS) as f64,
-            "patience" => (self.seen.patience / MS) as f64,
-            "idle" => (self.seen.idle / MS) as f64,
-            "most" => self.seen.most as f64,
-            _ => self.seen.results.iter().filter(|(is, inv)| *is == what && meant(*inv)).count() as f64,
+        let found = match quantity {
+            "advert" => (self.recorder.advertised_load * 100.0).round(),
+            "away" => (self.recorder.retry_after_max / MS) as f64,
+            "patience" => (self.recorder.call_timeout / MS) as f64,
+            "idle" => (self.recorder.idle_timeout / MS) as f64,
+            "most" => self.recorder.running_max as f64,
+            _ => self
+                .recorder
+                .actions
+                .iter()
+                .filter(|(action, id)| *action == quantity && is_subject(*id))
+                .count() as f64,
         };
         let holds = match compare {
-            "=" => found == wanted,
-            "<" => found < wanted,
-            ">" => found > wanted,
+            "=" => found == expected,
+            "<" => found < expected,
+            ">" => found > expected,
             other => panic!("unknown comparison {other}"),
         };
         assert!(holds, "expected {words:?}, found {found}");
     }
 
-    fn play(&mut self, lines: &[Vec<&str>]) {
+    fn run(&mut self, lines: &[Vec<&str>]) {
         let mut i = 0;
         while i < lines.len() {
             if lines[i][0] == "repeat" && lines[i].len() > 2 {
                 (0..number(lines[i][1]) as usize).for_each(|_| self.step(&lines[i][2..]));
             } else if lines[i][0] == "repeat" {
-                let end = i + lines[i..].iter().position(|line| line[0] == "end").expect("repeat has an end");
+                let end = i + lines[i..].iter().position(|line| line[0] == "end").expect("`repeat` without `end`");
                 for _ in 0..number(lines[i][1]) as usize {
-                    self.play(&lines[i + 1..end]);
+                    self.run(&lines[i + 1..end]);
                 }
                 i = end;
             } else {
@@ -390,5 +403,5 @@
     let text: &'static str = text.leak();
     let lines: Vec<_> =
         text.lines().filter(|line| !line.is_empty() && !line.starts_with('#')).map(words).collect();
-    Stage::new().play(&lines);
+    Scenario::new().run(&lines);
 }
