--- a/crates/overload-control/tests/days.rs
+++ b/crates/overload-control/tests/days.rs
@@ -1,8 +1,8 @@
 //! Regression tests: random ten-second runs of the controller, compared with recorded hashes.
 //!
 //! Every action of the controller is hashed in order, so that a refactoring can be shown to leave all
-//! decisions unchanged. The first recorded hashes were those of version 0.2.0, which kept the pending queue in
-//! a plain vector. A commit that intentionally changes decisions records new hashes and gives the reason.
+//! decisions unchanged. The first recorded hashes were those of version 0.2.0, which kept the pending queue
+//! in a plain vector. A commit that intentionally changes decisions records new hashes and gives the reason.
 
 use meadowstream_overload_control::{
     Advertisement, Arrival, Deployment, Downstream, Effect, Gauges, Host, Nanos, Operation, Outcome,
--- a/crates/overload-control/tests/scenarios.rs
+++ b/crates/overload-control/tests/scenarios.rs
@@ -7,8 +7,8 @@
 //!   of downstream calls that the fleet's budget permits at once.
 //! - `wait MS` advances the time; `repeat N STEP` repeats one step, and `repeat N` ... `end` several.
 //! - Events: `arrive NAME=VALUE ...` (ids are assigned from 1), `finish ID|all|first [ok|error|cancelled]`,
-//!   `needs ID` (a run has reached its downstream call), `called ID ok|error|unknown|never_ran [MS]` (the call
-//!   has ended), `leave MS` (drain notice) and `gone ID` (the caller cancelled).
+//!   `needs ID` (a run has reached its downstream call), `called ID ok|error|unknown|never_ran [MS]` (the
+//!   call has ended), `leave MS` (drain notice) and `gone ID` (the caller cancelled).
 //! - `expect WHAT [opN|ID] = | < | > NUMBER` compares the number of actions since the start or the last
 //!   `forget` step, for one operation or invocation if given. WHAT is an action: run, throttle, promise,
 //!   give_up, answer, stop, call, remember, forget, reuse, healthy, unhealthy, or last (rejections that
@@ -107,7 +107,7 @@
 struct Scenario {
     deployment: Deployment,
     controller: Option<Controller>,
-    recorder: Recorder,
+    host: Recorder,
     utilization: f64,
     runnable: f64,
     operations: BTreeMap<u64, usize>,
@@ -164,7 +164,7 @@
         Self {
             deployment,
             controller: None,
-            recorder: Recorder::default(),
+            host: Recorder::default(),
             utilization: 0.5,
             runnable: 0.0,
             operations: BTreeMap::new(),
@@ -214,15 +214,15 @@
     }
 
     fn wait(&mut self, duration: Nanos) {
-        let end = self.recorder.now + duration;
-        while let Some(next) = self.recorder.timers.iter().copied().filter(|(at, _)| *at <= end).min() {
-            self.recorder.timers.retain(|timer| *timer != next);
-            self.recorder.now = next.0;
-            let controller = self.controller.as_mut().expect("started");
+        let end = self.host.now + duration;
+        while let Some(next) = self.host.timers.iter().copied().filter(|(at, _)| *at <= end).min() {
+            self.host.timers.retain(|timer| *timer != next);
+            self.host.now = next.0;
+            let controller = self.controller.as_mut().expect("controller exists");
             let gauges = Gauges { utilization: Some(self.utilization), runnable: Some(self.runnable) };
-            controller.on_timer(next.0, next.1, gauges, &mut self.recorder);
+            controller.on_timer(next.0, next.1, gauges, &mut self.host);
         }
-        self.recorder.now = end;
+        self.host.now = end;
     }
 
     fn step(&mut self, words: &[&str]) {
@@ -232,16 +232,15 @@
             "tenant" => self.deployment.tenant_allowance.push(number(words[1])),
             "busy" => self.utilization = number(words[1]),
             "wanting" => self.runnable = number(words[1]),
-            "room" => self.recorder.call_limit = Some(number(words[1]) as usize),
-            "forget" => self.recorder.actions.clear(),
+            "room" => self.host.call_limit = Some(number(words[1]) as usize),
+            "forget" => self.host.actions.clear(),
             "expect" => self.expect(&words[1..]),
             _ => {
                 if self.deployment.operations.is_empty() {
                     self.add_operation(&["objective=9000", "timeout=20000"]);
                 }
                 if self.controller.is_none() {
-                    self.controller =
-                        Some(Controller::new(self.deployment.clone(), 7, 0, &mut self.recorder));
+                    self.controller = Some(Controller::new(self.deployment.clone(), 7, 0, &mut self.host));
                 }
                 self.apply_event(words);
             }
@@ -252,9 +251,9 @@
         if words[0] == "wait" {
             return self.wait(number(words[1]) as Nanos * MS);
         }
-        let now = self.recorder.now;
+        let now = self.host.now;
         let id = || number(words[1]) as u64;
-        let controller = self.controller.as_mut().expect("started");
+        let controller = self.controller.as_mut().expect("controller exists");
         match words[0] {
             "arrive" => {
                 let get = |name: &str, absent: f64| value_of(words, name).map_or(absent, number);
@@ -273,33 +272,31 @@
                     cost_hint: value_of(words, "hint").map(|text| number(text) as Nanos * MS),
                 };
                 self.operations.insert(arrival.id, arrival.operation);
-                controller.on_arrival(now, arrival, &mut self.recorder);
+                controller.on_arrival(now, arrival, &mut self.host);
             }
             "finish" => {
                 let outcome = outcome(words.get(2).unwrap_or(&"ok"));
                 let which: Vec<u64> = match words[1] {
-                    "all" => self.recorder.running.clone(),
-                    "first" => self.recorder.running.first().copied().into_iter().collect(),
+                    "all" => self.host.running.clone(),
+                    "first" => self.host.running.first().copied().into_iter().collect(),
                     _ => vec![id()],
                 };
                 for id in which {
-                    self.recorder.running.retain(|other| *other != id);
-                    if outcome != Outcome::Cancelled && !self.recorder.actions.contains(&("answer", id)) {
-                        self.recorder.record("answer", id);
+                    self.host.running.retain(|other| *other != id);
+                    if outcome != Outcome::Cancelled && !self.host.actions.contains(&("answer", id)) {
+                        self.host.record("answer", id);
                     }
-                    controller.on_run_finished(now, id, outcome, &mut self.recorder);
+                    controller.on_run_finished(now, id, outcome, &mut self.host);
                 }
             }
-            "needs" => controller.on_call_needed(now, id(), &mut self.recorder),
+            "needs" => controller.on_call_needed(now, id(), &mut self.host),
             "called" => {
-                self.recorder.open_calls -= 1;
+                self.host.open_calls -= 1;
                 let duration = words.get(3).map_or(MS, |ms| number(ms) as Nanos * MS);
-                controller.on_call_finished(now, id(), outcome(words[2]), duration, &mut self.recorder);
+                controller.on_call_finished(now, id(), outcome(words[2]), duration, &mut self.host);
             }
-            "leave" => {
-                controller.on_drain_notice(now, now, number(words[1]) as Nanos * MS, &mut self.recorder)
-            }
-            "gone" => controller.on_caller_gone(now, id(), &mut self.recorder),
+            "leave" => controller.on_drain_notice(now, now, number(words[1]) as Nanos * MS, &mut self.host),
+            "gone" => controller.on_caller_gone(now, id(), &mut self.host),
             other => panic!("unknown step {other}"),
         }
     }
@@ -315,17 +312,13 @@
             None => subject.is_empty() || number(subject) as u64 == id,
         };
         let found = match quantity {
-            "advert" => (self.recorder.advertised_load * 100.0).round(),
-            "away" => (self.recorder.retry_after_max / MS) as f64,
-            "patience" => (self.recorder.call_timeout / MS) as f64,
-            "idle" => (self.recorder.idle_timeout / MS) as f64,
-            "most" => self.recorder.running_max as f64,
-            _ => self
-                .recorder
-                .actions
-                .iter()
-                .filter(|(action, id)| *action == quantity && is_subject(*id))
-                .count() as f64,
+            "advert" => (self.host.advertised_load * 100.0).round(),
+            "away" => (self.host.retry_after_max / MS) as f64,
+            "patience" => (self.host.call_timeout / MS) as f64,
+            "idle" => (self.host.idle_timeout / MS) as f64,
+            "most" => self.host.running_max as f64,
+            _ => self.host.actions.iter().filter(|(name, id)| *name == quantity && is_subject(*id)).count()
+                as f64,
         };
         let holds = match compare {
             "=" => found == expected,
@@ -342,7 +335,7 @@
             if lines[i][0] == "repeat" && lines[i].len() > 2 {
                 (0..number(lines[i][1]) as usize).for_each(|_| self.step(&lines[i][2..]));
             } else if lines[i][0] == "repeat" {
-                let end = i + lines[i..].iter().position(|line| line[0] == "end").expect("`repeat` without `end`");
+                let end = i + lines[i..].iter().position(|line| line[0] == "end").expect("end of repeat");
                 for _ in 0..number(lines[i][1]) as usize {
                     self.run(&lines[i + 1..end]);
                 }
