--- a/crates/pending-queue/benches/pending_queue.rs
+++ b/crates/pending-queue/benches/pending_queue.rs
@@ -1,5 +1,5 @@
-//! An arrival at a full queue, with all that the module asks after it: the index against the vector that is
-//! walked and sorted.
+//! Benchmark of an arrival at a full queue with the queries that the controller makes after it, for the
+//! queue and for a vector that is sorted and walked.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use meadowstream_pending_queue::{Capacity, Entry, PendingQueue, UsualTimes};
@@ -8,7 +8,7 @@
 
 const START: u64 = 1_790_000_000_000_000_000;
 
-/// What a server has learned, and what it can run.
+/// Learned times and limits of a server.
 struct Server {
     usual: Vec<UsualTimes>,
     limit: f64,
@@ -21,7 +21,7 @@
     }
 }
 
-fn entry(seq: u64, held: u64) -> Entry {
+fn entry(seq: u64, pending: u64) -> Entry {
     let arrived = START + seq * 1000;
     Entry {
         arrival_number: seq,
@@ -29,7 +29,7 @@
         id: seq,
         rank: (seq % 2) as usize,
         arrived,
-        deadline: arrived + held * 2_000_000 + 50_000_000,
+        deadline: arrived + pending * 2_000_000 + 50_000_000,
         cost_ratio: 1.0,
         ..Entry::default()
     }
@@ -39,7 +39,7 @@
     Server { usual: vec![UsualTimes { core_ns: 1e6, elapsed_ns: 2e6 }], limit: 1.0, free: 0 }
 }
 
-fn plain(entries: &[Entry], now: u64, server: &Server) -> (Option<usize>, Option<u64>, Option<usize>) {
+fn scan_vector(entries: &[Entry], now: u64, server: &Server) -> (Option<usize>, Option<u64>, Option<usize>) {
     let mut order: Vec<&Entry> = entries.iter().collect();
     order.sort_by_key(|e| (Reverse(e.rank), e.deadline, e.id));
     let (mut ahead, mut late) = (0.0, None);
@@ -58,13 +58,13 @@
 fn arrivals(c: &mut Criterion) {
     let mut group = c.benchmark_group("arrival");
     let server = server();
-    for held in [100u64, 1_000, 10_000, 100_000] {
+    for pending in [100u64, 1_000, 10_000, 100_000] {
         let mut queue = PendingQueue::new(2, 1);
-        (0..held).for_each(|seq| queue.insert(entry(seq, held)));
-        let mut seq = held;
-        group.bench_function(BenchmarkId::new("index", held), |b| {
+        (0..pending).for_each(|seq| queue.insert(entry(seq, pending)));
+        let mut seq = pending;
+        group.bench_function(BenchmarkId::new("index", pending), |b| {
             b.iter(|| {
-                let new = entry(seq, held);
+                let new = entry(seq, pending);
                 seq += 1;
                 queue.insert(new);
                 black_box(queue.to_reject_for_deadlines(START, &server.capacity()));
@@ -74,16 +74,16 @@
                 queue.remove(&next)
             })
         });
-        let mut entries: Vec<Entry> = (0..held).map(|seq| entry(seq, held)).collect();
-        let mut seq = held;
-        if held > 10_000 {
+        let mut entries: Vec<Entry> = (0..pending).map(|seq| entry(seq, pending)).collect();
+        let mut seq = pending;
+        if pending > 10_000 {
             group.sample_size(10);
         }
-        group.bench_function(BenchmarkId::new("vector", held), |b| {
+        group.bench_function(BenchmarkId::new("vector", pending), |b| {
             b.iter(|| {
-                entries.push(entry(seq, held));
+                entries.push(entry(seq, pending));
                 seq += 1;
-                let (.., next) = black_box(plain(&entries, START, &server));
+                let (.., next) = black_box(scan_vector(&entries, START, &server));
                 let at = entries.iter().position(|e| Some(e.key) == next).unwrap();
                 entries.remove(at)
             })
--- a/crates/pending-queue/src/expiring_keys.rs
+++ b/crates/pending-queue/src/expiring_keys.rs
@@ -1,16 +1,16 @@
-//! Keys that expire: what has expired is found without looking at the rest.
+//! A set of keys with expiry times. Expired keys are found without visiting the others.
 
 use crate::Nanos;
 use std::collections::{BTreeSet, HashMap};
 
-/// When a key expires; ordered by that time.
+/// The expiry time of a key; ordered by time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Expiry {
     at: Nanos,
     key: u64,
 }
 
-/// Keys, each with the time at which it expires.
+/// A set of keys, each with its expiry time.
 #[derive(Debug, Default)]
 pub struct ExpiringKeys {
     expiry_times: HashMap<u64, Nanos>,
@@ -18,17 +18,17 @@
 }
 
 impl ExpiringKeys {
-    /// Keys that have not expired.
+    /// Returns the number of keys that have not been removed.
     pub fn len(&self) -> usize {
         self.expiry_times.len()
     }
 
-    /// Whether there are none.
+    /// Whether the set has no keys.
     pub fn is_empty(&self) -> bool {
         self.expiry_times.is_empty()
     }
 
-    /// Adds a key that expires at this time; a key that is there already gets the new time.
+    /// Adds a key that expires at time `at`, or changes the expiry time of an existing key.
     pub fn insert(&mut self, key: u64, at: Nanos) {
         self.remove(key);
         self.expiry_times.insert(key, at);
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Removes all keys that expire at `now` or before.
+    /// Removes all keys that expire at or before `now`.
     pub fn expire(&mut self, now: Nanos) {
         while let Some(expiry) = self.by_time.first().copied().filter(|expiry| expiry.at <= now) {
             self.remove(expiry.key);
--- a/crates/pending-queue/src/late_search.rs
+++ b/crates/pending-queue/src/late_search.rs
@@ -1,63 +1,65 @@
-//! The search for the first entry that would end after its deadline.
+//! Search for the first late entry: the first that would end after its deadline.
 //!
-//! A node of the tree that is in time even with the growth of all times since the reference is passed over.
-//! Others are descended into, and an entry is judged by the present times alone, so the result is exact.
+//! The search skips a tree node whose entries end in time even under the maximum growth of the usual times
+//! since the reference, and descends into all other nodes. Individual entries are checked against the
+//! present times only, so the result is exact.
 
 use crate::reference_times::ReferenceTimes;
 use crate::sum_tree::{Block, SumTree};
 use crate::{Capacity, Nanos};
 
-/// Rounding of points in time as floating numbers, in nanoseconds, on a clock that counts from 1970: eight
-/// times the 256 ns between neighbours there, for the several roundings of a sum.
+/// Bound on the rounding error of a time in floating point, in nanoseconds, on a clock that counts from
+/// 1970. Adjacent floating-point numbers are 256 ns apart there; the bound is eight times that, because a
+/// sum is rounded several times.
 const ROUNDING_NS: f64 = 2048.0;
 
-/// A block and an index in it.
+/// Location of an entry: a block and an index in the block.
 #[derive(Clone, Copy, Debug)]
-pub struct Place {
+pub struct EntryIndex {
     /// Index of the block.
     pub block: usize,
     /// Index in the block.
     pub index: usize,
 }
 
-/// What runs before: work in nanoseconds of one core, and the number of entries.
+/// Entries that run before a given one: their work and their number.
 #[derive(Clone, Copy, Debug)]
-pub struct Ahead {
-    /// Nanoseconds of one core.
+pub struct QueuedAhead {
+    /// Work in nanoseconds of one core.
     pub work: f64,
-    /// How many run before.
+    /// Number of entries.
     pub entries: usize,
 }
 
-/// The first late entry, and how many sums and entries were looked at for it.
-pub struct Found {
-    /// `None` where all end in time.
-    pub place: Option<Place>,
-    /// Sums and entries that were looked at.
+/// Result of a search for the first late entry.
+pub struct SearchResult {
+    /// Location of the first late entry; `None` if all entries end in time.
+    pub entry: Option<EntryIndex>,
+    /// Number of summaries and entries inspected.
     pub inspected: u64,
 }
 
-/// A search under way: what has been passed is added to `ahead` at the present times.
+/// State of a search. Skipped entries are added to `ahead` at the present usual times.
 pub struct LateSearch<'a> {
-    /// Of the queue that is searched.
+    /// Tree of summaries of the queue to search.
     pub tree: &'a SumTree,
-    /// Of the queue that is searched.
+    /// Blocks of the queue to search.
     pub blocks: &'a [Block],
-    /// When the first of all would start.
+    /// Time at which the first entry of all ranks would start.
     pub now: Nanos,
-    /// What runs before the node that is looked at.
-    pub ahead: Ahead,
-    /// The present usual times and limits.
+    /// Entries that run before the node being searched.
+    pub ahead: QueuedAhead,
+    /// Present usual times and limits.
     pub capacity: &'a Capacity<'a>,
-    /// What the lateness in the tree is kept for.
+    /// Reference times for which the tree stores lateness.
     pub reference: &'a ReferenceTimes,
-    /// Sums and entries that were looked at.
+    /// Number of summaries and entries inspected.
     pub inspected: u64,
 }
 
 impl LateSearch<'_> {
-    /// Searches the entries under this node.
-    pub fn under(&mut self, node: usize) -> Option<Place> {
+    /// Searches the entries below a tree node.
+    pub fn search_node(&mut self, node: usize) -> Option<EntryIndex> {
         self.inspected += 1;
         if self.is_in_time(node) {
             let summary = self.tree.node(node);
@@ -66,23 +68,24 @@
             return None;
         }
         match self.tree.block_of(node) {
-            None => self.under(2 * node).or_else(|| self.under(2 * node + 1)),
-            Some(block) => self.within(block),
+            None => self.search_node(2 * node).or_else(|| self.search_node(2 * node + 1)),
+            Some(block) => self.search_block(block),
         }
     }
 
-    /// Whether all entries under a node surely end in time or may start at once.
+    /// Whether all entries below a node certainly end in time or may start immediately.
     fn is_in_time(&self, node: usize) -> bool {
         let summary = self.tree.node(node);
         let growth = self.reference.growth();
-        let lateness_max = summary.lateness + growth.queue * summary.work + growth.elapsed * summary.longest;
+        let lateness_max =
+            summary.lateness + growth.queue * summary.work + growth.elapsed * summary.longest_elapsed;
         let begins = self.now as f64 + self.ahead.work / self.capacity.concurrency_limit;
         summary.count == 0
             || self.ahead.entries + summary.count <= self.capacity.free_slots
             || begins + lateness_max + ROUNDING_NS < 0.0
     }
 
-    fn within(&mut self, block: usize) -> Option<Place> {
+    fn search_block(&mut self, block: usize) -> Option<EntryIndex> {
         for (index, entry) in self.blocks[block].iter().enumerate() {
             self.inspected += 1;
             let usual = &self.capacity.usual_times[entry.operation];
@@ -91,7 +94,7 @@
                 + usual.elapsed_ns * entry.cost_ratio;
             self.ahead.work += usual.core_ns * entry.cost_ratio;
             if end > entry.deadline as f64 && self.ahead.entries >= self.capacity.free_slots {
-                return Some(Place { block, index });
+                return Some(EntryIndex { block, index });
             }
             self.ahead.entries += 1;
         }
--- a/crates/pending-queue/src/lib.rs
+++ b/crates/pending-queue/src/lib.rs
@@ -1,10 +1,11 @@
-//! The pending queue of a server: invocations that were admitted and wait for a core.
+//! The pending queue of a server: admitted invocations that wait for a core.
 //!
-//! A [`PendingQueue`] keeps [`Entry`]s in the order they will run, in one queue for each rank, and beside
-//! them their deadlines by operation. It decides nothing: the controller asks what runs next, what is
-//! overdue, what has the lowest priority, how much work is queued, and which entry is the first that cannot
-//! meet its deadline. None of these walks all entries; `docs/pending-queue.md` gives the costs.
-//! Times are nanoseconds of one clock that never goes back; work is nanoseconds of one core.
+//! A [`PendingQueue`] keeps [`Entry`]s in the order in which they will run, in one queue per rank, together
+//! with their deadlines by operation. The controller makes the decisions. It queries the queue for the next
+//! entry to run, overdue entries, the entry of the lowest priority, the queued work, and the entry to
+//! reject so that the others meet their deadlines. None of these queries walks all entries;
+//! `docs/pending-queue.md` lists the costs. Times are nanoseconds of a single monotonic clock; work is
+//! nanoseconds of one core.
 
 #![deny(missing_docs, clippy::too_many_lines)]
 
@@ -16,93 +17,95 @@
 mod sum_tree;
 mod summary;
 
-use late_search::Ahead;
+use late_search::QueuedAhead;
 use priority_class_queue::PriorityClassQueue;
 use reference_times::ReferenceTimes;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Nanoseconds: a point in time, or a duration.
+/// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
 
-/// An invocation that waits. Its place is found by its values, so a removal needs the entry as inserted.
+/// An invocation that waits. An entry is located by its values, so removing it requires the same values as
+/// inserting it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Entry {
-    /// Counts arrivals: a later one has a higher number, and no two have the same.
+    /// Unique number that increases with each arrival.
     pub arrival_number: u64,
-    /// Where the owner keeps the invocation.
+    /// Key under which the owner of the queue stores the invocation.
     pub key: usize,
-    /// Of entries equal in all else the lower id runs first.
+    /// Id of the invocation; among entries with equal tag and deadline the lowest id runs first.
     pub id: u64,
     /// Index of the operation.
     pub operation: usize,
-    /// Number of its priority class; higher ranks run first.
+    /// Index of the priority class; higher ranks run first.
     pub rank: usize,
-    /// Start tag of fair queueing within the rank, the lower one runs first; the same for all where tenants
-    /// are not told apart.
+    /// Start tag of fair queueing within the rank; the lowest tag runs first. Constant without fair
+    /// queueing.
     pub start_tag: u64,
-    /// It was promised admission: it is rejected only after all others.
+    /// Whether the invocation was promised admission: it is rejected only after all others.
     pub promised: bool,
-    /// When it reached the machine.
+    /// Time at which the invocation reached the machine.
     pub arrived: Nanos,
-    /// Until when its answer is of use; of entries with the same tag the earlier one runs first.
+    /// Objective deadline; among entries with equal tags the earliest deadline runs first.
     pub deadline: Nanos,
-    /// Its cost as a ratio to the usual cost of its operation.
+    /// Estimated cost as a ratio to the usual cost of the operation.
     pub cost_ratio: f64,
 }
 
-/// What a run of an operation usually takes, in nanoseconds.
+/// Usual times of a run of an operation, in nanoseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct UsualTimes {
-    /// Time on a core.
+    /// Core time.
     pub core_ns: f64,
-    /// Time from start to end, downstream calls included.
+    /// Time from start to end, including downstream calls.
     pub elapsed_ns: f64,
 }
 
-/// What the server can run, as far as deadlines depend on it.
+/// Capacity of the server, as used to predict when entries end.
 #[derive(Clone, Copy, Debug)]
 pub struct Capacity<'a> {
-    /// By operation.
+    /// Usual times, indexed by operation.
     pub usual_times: &'a [UsualTimes],
-    /// Runs that go on side by side, 1 or more.
+    /// Limit on concurrent runs, 1 or more.
     pub concurrency_limit: f64,
-    /// Runs that may start at once.
+    /// Number of runs that may start immediately.
     pub free_slots: usize,
 }
 
-/// A deadline with the arrival that it belongs to, ordered by the deadline.
+/// The deadline of an entry; ordered by deadline, then by arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Deadline {
-    deadline: Nanos,
+    at: Nanos,
     arrival_number: u64,
     key: usize,
 }
 
 impl Deadline {
     fn of(entry: &Entry) -> Self {
-        Self { deadline: entry.deadline, arrival_number: entry.arrival_number, key: entry.key }
+        Self { at: entry.deadline, arrival_number: entry.arrival_number, key: entry.key }
     }
 }
 
-/// An entry found by its arrival; ordered as they came.
+/// Identifies an entry; ordered by arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ArrivalKey {
-    /// As in [`Entry::arrival_number`].
+    /// Same as [`Entry::arrival_number`].
     pub arrival_number: u64,
-    /// As in [`Entry::key`].
+    /// Same as [`Entry::key`].
     pub key: usize,
 }
 
-/// Admitted invocations in the order they will run.
+/// Admitted invocations in the order in which they will run.
 #[derive(Debug, Default)]
 pub struct PendingQueue {
-    /// One queue for each priority class, by rank.
+    /// One queue for each priority class, indexed by rank.
     classes: Vec<PriorityClassQueue>,
-    /// By operation, and only of operations that have entries: a look at them costs what waits.
+    /// Deadlines by operation. Contains only operations that have entries, so that the cost of a search
+    /// depends on the entries and not on the number of operations.
     deadlines: BTreeMap<usize, BTreeSet<Deadline>>,
-    /// Found to be overdue and not removed yet.
+    /// Entries known to be overdue that have not been removed yet.
     overdue: BTreeSet<ArrivalKey>,
-    /// `overdue` has entries that were marked, so the deadlines are still to be searched.
+    /// Whether `overdue` contains marked entries while the deadlines have not been searched yet.
     has_unsearched_deadlines: bool,
     reference: ReferenceTimes,
     len: usize,
@@ -110,7 +113,7 @@
 }
 
 impl PendingQueue {
-    /// A queue for ranks under `ranks` and operations under `operations`.
+    /// Creates a queue for ranks below `ranks` and operations below `operations`.
     pub fn new(ranks: usize, operations: usize) -> Self {
         Self {
             classes: (0..ranks).map(|_| PriorityClassQueue::new()).collect(),
@@ -119,24 +122,24 @@
         }
     }
 
-    /// Entries in the queue.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether nothing waits.
+    /// Whether the queue has no entries.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Adds an entry at its place.
+    /// Inserts an entry in run order.
     pub fn insert(&mut self, entry: Entry) {
         self.len += 1;
         self.deadlines.entry(entry.operation).or_default().insert(Deadline::of(&entry));
         self.classes[entry.rank].insert(entry, &self.reference);
     }
 
-    /// Removes an entry; false where it was not in the queue.
+    /// Removes an entry; returns false if it was not in the queue.
     pub fn remove(&mut self, entry: &Entry) -> bool {
         let found = self.classes[entry.rank].remove(entry, &self.reference);
         if found {
@@ -155,77 +158,83 @@
         }
     }
 
-    /// Makes an entry overdue before its deadline.
+    /// Marks an entry as overdue before its deadline.
     pub fn mark_overdue(&mut self, entry: &Entry) {
         self.overdue.insert(ArrivalKey { arrival_number: entry.arrival_number, key: entry.key });
         self.has_unsearched_deadlines = true;
     }
 
-    /// The entry that runs next.
+    /// Returns the entry that runs next.
     pub fn next_to_run(&self) -> Option<&Entry> {
         self.classes.iter().rev().find_map(PriorityClassQueue::first)
     }
 
-    /// The entry that runs next among the operations that `is_wanted` accepts; walks the entries that run
-    /// before it.
+    /// Returns the entry that runs next among the operations that `is_wanted` accepts. Walks the entries
+    /// that run before it.
     pub fn next_to_run_among(&self, is_wanted: impl Fn(usize) -> bool) -> Option<&Entry> {
         self.deadlines.keys().find(|operation| is_wanted(**operation))?;
         self.iter().find(|entry| is_wanted(entry.operation))
     }
 
-    /// The earliest time at which an entry becomes overdue. `latest_start` gives that time for an operation
-    /// and a deadline.
+    /// Returns the earliest time at which an entry becomes overdue. `latest_start` maps an operation and a
+    /// deadline to the latest start of the entry.
     pub fn next_overdue_at(&self, latest_start: impl Fn(usize, Nanos) -> Nanos) -> Option<Nanos> {
         let earliest = self.deadlines.iter().filter_map(|(operation, deadlines)| {
             let first = deadlines.first()?;
-            Some(latest_start(*operation, first.deadline))
+            Some(latest_start(*operation, first.at))
         });
         earliest.min()
     }
 
-    /// Of all entries whose latest start has passed by `now`, the one that came first. `latest_start` must
-    /// grow with the deadline, and must not change until all overdue entries have been removed.
+    /// Returns the earliest arrival among the entries whose latest start is at or before `now`.
+    /// `latest_start` must increase monotonically with the deadline, and must not change until all overdue
+    /// entries have been removed.
     pub fn first_overdue(
         &mut self,
         now: Nanos,
         latest_start: impl Fn(usize, Nanos) -> Nanos,
     ) -> Option<ArrivalKey> {
-        // The flag is not read while `overdue` is empty: a search is due then anyway, and a flag that was set
-        // for an entry removed since stays for the next call.
+        // If `overdue` is empty, the deadlines are searched without reading or clearing the flag. A flag
+        // that was set for an entry removed since remains set for the next call.
         let must_search = self.overdue.is_empty() || std::mem::take(&mut self.has_unsearched_deadlines);
         if must_search {
             for (operation, deadlines) in &self.deadlines {
                 let overdue =
-                    deadlines.iter().take_while(|one| latest_start(*operation, one.deadline) <= now);
-                let arrivals =
-                    overdue.map(|one| ArrivalKey { arrival_number: one.arrival_number, key: one.key });
+                    deadlines.iter().take_while(|deadline| latest_start(*operation, deadline.at) <= now);
+                let arrivals = overdue.map(|deadline| ArrivalKey {
+                    arrival_number: deadline.arrival_number,
+                    key: deadline.key,
+                });
                 self.overdue.extend(arrivals);
             }
         }
         self.overdue.first().copied()
     }
 
-    /// The key of the entry to reject first when memory is short: of the lowest rank the one with the
-    /// highest start tag, of equals the newest; entries that were promised admission come last.
+    /// Returns the key of the entry to reject first when memory is short: of the lowest rank the entry with
+    /// the highest start tag, and among equal tags the newest. Entries that were promised admission are
+    /// rejected last.
     pub fn lowest_priority(&self) -> Option<usize> {
         self.classes.iter().find_map(PriorityClassQueue::first_to_reject_for_memory)
     }
 
-    /// Usual work of all entries, in nanoseconds of one core.
+    /// Returns the usual work of all entries, in nanoseconds of one core.
     pub fn queued_work(&self, usual_times: &[UsualTimes]) -> f64 {
         self.classes.iter().map(|class| class.work(usual_times)).sum()
     }
 
-    /// Usual work that runs before this entry, which need not be in the queue; nanoseconds of one core.
+    /// Returns the usual work that runs before `entry`, which need not be in the queue; in nanoseconds of
+    /// one core.
     pub fn work_ahead(&self, entry: &Entry, usual_times: &[UsualTimes]) -> f64 {
         let above: f64 = self.classes[entry.rank + 1..].iter().map(|class| class.work(usual_times)).sum();
         above + self.classes[entry.rank].work_before(entry, usual_times)
     }
 
-    /// Finds the first entry, in the order they will run, that would end after its deadline though it is not
-    /// among those that may start at once. Returns the key of the entry to reject so that the others can be
-    /// in time: of those up to it in its rank, which is the lowest among them, the one with the highest start
-    /// tag, of equals the one that arrived last.
+    /// Finds the first late entry in run order: an entry that would end after its deadline and is not among
+    /// those that may start immediately. Returns the key of the entry to reject so that the others can meet
+    /// their deadlines. The candidates are the late entry and the entries that run before it in its rank,
+    /// the lowest rank of all that run before it. The entry with the highest start tag is rejected, and
+    /// among equal tags the latest arrival.
     pub fn to_reject_for_deadlines(&mut self, now: Nanos, capacity: &Capacity) -> Option<usize> {
         if self.len <= capacity.free_slots {
             return None;
@@ -234,12 +243,12 @@
             self.inspected += self.len as u64;
             self.classes.iter_mut().for_each(|class| class.rebuild(&self.reference));
         }
-        let mut ahead = Ahead { work: 0.0, entries: 0 };
+        let mut ahead = QueuedAhead { work: 0.0, entries: 0 };
         for class in self.classes.iter().rev() {
             let found = class.first_late(now, ahead, capacity, &self.reference);
             self.inspected += found.inspected;
-            if let Some(place) = found.place {
-                return Some(class.first_to_reject_up_to(place));
+            if let Some(entry) = found.entry {
+                return Some(class.first_to_reject_up_to(entry));
             }
             ahead.work += class.work(capacity.usual_times);
             ahead.entries += class.len();
@@ -247,13 +256,13 @@
         None
     }
 
-    /// Sums and entries that all searches for late entries have looked at since the start, for tests of
-    /// their cost.
+    /// Returns the number of summaries and entries inspected by all searches for late entries so far, for
+    /// tests of the search cost.
     pub fn inspected(&self) -> u64 {
         self.inspected
     }
 
-    /// Entries in the order they will run.
+    /// Iterates over the entries in run order.
     pub fn iter(&self) -> impl Iterator<Item = &Entry> {
         self.classes.iter().rev().flat_map(PriorityClassQueue::iter)
     }
--- a/crates/pending-queue/src/order.rs
+++ b/crates/pending-queue/src/order.rs
@@ -1,9 +1,9 @@
-//! The orders in which entries run and are rejected. The order of the fields is the rule: the first in which
-//! two entries differ decides.
+//! Sort orders in which entries run and are rejected. Each struct compares its fields in declaration order:
+//! the first field in which two entries differ decides.
 
 use crate::{Entry, Nanos};
 
-/// Order of running within a rank: the lowest runs first.
+/// Run order within a rank: the lowest runs first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RunOrder {
     start_tag: u64,
@@ -13,7 +13,7 @@
 }
 
 impl RunOrder {
-    /// The place of an entry in this order.
+    /// Returns the sort key of an entry.
     pub fn of(entry: &Entry) -> Self {
         Self {
             start_tag: entry.start_tag,
@@ -30,12 +30,12 @@
     not_promised: bool,
     start_tag: u64,
     arrival_number: u64,
-    /// Where the owner keeps the invocation.
+    /// Same as [`Entry::key`].
     pub key: usize,
 }
 
 impl MemoryOrder {
-    /// The place of an entry in this order.
+    /// Returns the sort key of an entry.
     pub fn of(entry: &Entry) -> Self {
         Self {
             not_promised: !entry.promised,
@@ -53,12 +53,12 @@
     start_tag: u64,
     arrived: Nanos,
     arrival_number: u64,
-    /// Where the owner keeps the invocation.
+    /// Same as [`Entry::key`].
     pub key: usize,
 }
 
 impl DeadlineOrder {
-    /// The place of an entry in this order.
+    /// Returns the sort key of an entry.
     pub fn of(entry: &Entry) -> Self {
         Self {
             not_promised: !entry.promised,
--- a/crates/pending-queue/src/priority_class_queue.rs
+++ b/crates/pending-queue/src/priority_class_queue.rs
@@ -1,47 +1,47 @@
-//! The queue of one rank (a priority class): entries in the order they will run, in blocks, with a tree of
-//! sums over the blocks.
+//! The queue of one rank (a priority class): entries in run order, stored in blocks, with a tree of
+//! summaries over the blocks.
 
-use crate::late_search::{Ahead, Found, LateSearch, Place};
+use crate::late_search::{EntryIndex, LateSearch, QueuedAhead, SearchResult};
 use crate::order::{DeadlineOrder, RunOrder};
 use crate::reference_times::ReferenceTimes;
 use crate::sum_tree::{Block, SumTree};
 use crate::{Capacity, Entry, Nanos, UsualTimes};
 
-/// Most entries of a block: what one insertion may move and look through.
+/// Maximum number of entries in a block, which bounds the entries that one insertion moves and searches.
 const BLOCK_ENTRIES_MAX: usize = 64;
 
 /// The entries of one rank.
 #[derive(Debug)]
 pub struct PriorityClassQueue {
-    /// None of them empty.
+    /// Blocks in run order; no block is empty.
     blocks: Vec<Block>,
     tree: SumTree,
 }
 
-/// The last block that begins at or before some entry, and the index in it at which the entry stands (`Ok`)
-/// or would be inserted (`Err`).
+/// Location of an entry in run order. `block` is the last block that begins at or before the entry. `index`
+/// is the index of the entry in that block (`Ok`), or the index at which to insert it (`Err`).
 struct Position {
     block: usize,
     index: Result<usize, usize>,
 }
 
 impl PriorityClassQueue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new() -> Self {
         Self { blocks: Vec::new(), tree: SumTree::new() }
     }
 
-    /// Entries in the queue.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.tree.root().count
     }
 
-    /// The entry that runs next.
+    /// Returns the entry that runs next.
     pub fn first(&self) -> Option<&Entry> {
         self.blocks.first().map(|block| &block[0])
     }
 
-    /// Entries in the order they will run.
+    /// Iterates over the entries in run order.
     pub fn iter(&self) -> impl Iterator<Item = &Entry> {
         self.blocks.iter().flatten()
     }
@@ -57,7 +57,7 @@
         Position { block, index }
     }
 
-    /// Adds an entry at its place; splits its block where that is full.
+    /// Inserts an entry in run order; splits its block if the block is full.
     pub fn insert(&mut self, entry: Entry, reference: &ReferenceTimes) {
         let Position { block, index } = self.position(&entry);
         let index = index.unwrap_or_else(|index| index);
@@ -73,9 +73,10 @@
         }
     }
 
-    /// Splits a full block and inserts the entry at this index of the former block.
+    /// Splits a full block and inserts the entry at `index`, counted in the block before the split.
     fn split(&mut self, block: usize, index: usize, entry: Entry) {
-        // At the very end a new block begins, so that what comes in order fills its blocks.
+        // An entry at the end of the last block starts a new block, so that entries inserted in order fill
+        // their blocks.
         let at_end = index == BLOCK_ENTRIES_MAX && block + 1 == self.blocks.len();
         let kept = if at_end { BLOCK_ENTRIES_MAX } else { BLOCK_ENTRIES_MAX / 2 };
         let mut second = self.blocks[block].split_off(kept);
@@ -88,7 +89,7 @@
         self.blocks.insert(block + 1, second);
     }
 
-    /// False where the entry is not in the queue.
+    /// Removes an entry; returns false if it is not in the queue.
     pub fn remove(&mut self, entry: &Entry, reference: &ReferenceTimes) -> bool {
         let Position { block, index: Ok(index) } = self.position(entry) else { return false };
         self.blocks[block].remove(index);
@@ -101,17 +102,17 @@
         true
     }
 
-    /// Computes all sums anew, for the present reference times.
+    /// Recomputes all summaries for the current reference times.
     pub fn rebuild(&mut self, reference: &ReferenceTimes) {
         self.tree.rebuild(&self.blocks, reference);
     }
 
-    /// Usual work of all entries, in nanoseconds of one core.
+    /// Returns the usual work of all entries, in nanoseconds of one core.
     pub fn work(&self, usual_times: &[UsualTimes]) -> f64 {
         self.tree.root().work_at(usual_times)
     }
 
-    /// Usual work of the entries before this one, which need not be in the queue.
+    /// Returns the usual work of the entries before `entry`, which need not be in the queue.
     pub fn work_before(&self, entry: &Entry, usual_times: &[UsualTimes]) -> f64 {
         let Position { block, index } = self.position(entry);
         let Some(entries) = self.blocks.get(block) else { return 0.0 };
@@ -124,30 +125,31 @@
         work
     }
 
-    /// The key of the entry to reject first when memory is short.
+    /// Returns the key of the entry to reject first when memory is short.
     pub fn first_to_reject_for_memory(&self) -> Option<usize> {
         (!self.blocks.is_empty()).then(|| self.tree.root().first_to_reject_for_memory.key)
     }
 
-    /// The first entry that would end after its deadline, with this `ahead` of it in higher ranks.
+    /// Finds the first entry that would end after its deadline, where `ahead` are the entries of higher
+    /// ranks.
     pub fn first_late(
         &self,
         now: Nanos,
-        ahead: Ahead,
+        ahead: QueuedAhead,
         capacity: &Capacity,
         reference: &ReferenceTimes,
-    ) -> Found {
+    ) -> SearchResult {
         let (tree, blocks) = (&self.tree, self.blocks.as_slice());
         let mut search = LateSearch { tree, blocks, now, ahead, capacity, reference, inspected: 0 };
-        let place = if self.blocks.is_empty() { None } else { search.under(1) };
-        Found { place, inspected: search.inspected }
+        let entry = if self.blocks.is_empty() { None } else { search.search_node(1) };
+        SearchResult { entry, inspected: search.inspected }
     }
 
-    /// The key of the entry to reject for a late one at this place: of all up to it the one with the highest
-    /// start tag that arrived last.
-    pub fn first_to_reject_up_to(&self, place: Place) -> usize {
-        let within = self.blocks[place.block][..=place.index].iter().map(DeadlineOrder::of);
-        let before = self.tree.before(place.block).map(|summary| summary.first_to_reject_for_deadline);
+    /// Returns the key of the entry to reject because of a late entry: among the late entry and those
+    /// before it, the one with the highest start tag, and among equal tags the latest arrival.
+    pub fn first_to_reject_up_to(&self, entry: EntryIndex) -> usize {
+        let within = self.blocks[entry.block][..=entry.index].iter().map(DeadlineOrder::of);
+        let before = self.tree.before(entry.block).map(|summary| summary.first_to_reject_for_deadline);
         within.chain(before).max().unwrap_or_default().key
     }
 }
--- a/crates/pending-queue/src/reference_times.rs
+++ b/crates/pending-queue/src/reference_times.rs
@@ -1,57 +1,58 @@
-//! The usual times that lateness is kept for.
+//! Reference times: the usual times for which the tree of summaries stores lateness.
 //!
-//! Lateness depends on usual times and the concurrency limit, which move with every run that ends. It is
-//! therefore kept for reference times of some time ago, and the growth since bounds its error.
+//! Lateness depends on the usual times and the concurrency limit, which change whenever a run ends. The
+//! tree therefore stores lateness for earlier reference times, and the growth of the times since then
+//! bounds the error.
 
 use crate::{Capacity, Entry, UsualTimes};
 
-/// Share by which a usual time may move before all lateness is computed anew.
+/// Maximum relative change of a usual time before all lateness is recomputed.
 const DRIFT_MAX: f64 = 0.02;
 
-/// Reference times, and how far the present ones have grown beyond them.
+/// Reference times and the growth of the present times beyond them.
 #[derive(Clone, Debug, Default)]
 pub struct ReferenceTimes {
-    /// By operation.
+    /// Reference times, indexed by operation.
     reference: Vec<RunTimes>,
-    /// By operation.
+    /// Present times, indexed by operation.
     present: Vec<RunTimes>,
     growth: Growth,
 }
 
-/// What a run of an operation usually adds to the queue's delay and its own, in nanoseconds.
+/// Delay that a run of an operation usually adds to the queue, and its own duration, in nanoseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RunTimes {
-    /// Time for which it holds up the runs behind it: its time on a core over the concurrency limit.
+    /// Delay of the runs behind this one: core time divided by the concurrency limit.
     pub queue_ns: f64,
-    /// Time from start to end, downstream calls included.
+    /// Time from start to end, including downstream calls.
     pub elapsed_ns: f64,
 }
 
-/// The most by which one of the times has grown, as a share of its reference; 0 or more.
+/// Maximum growth of any time, as a share of its reference; 0 or more.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Growth {
-    /// Of core times over the concurrency limit.
+    /// Growth of core times divided by the concurrency limit.
     pub queue: f64,
-    /// Of times from start to end.
+    /// Growth of times from start to end.
     pub elapsed: f64,
 }
 
-fn share_grown(reference: f64, present: f64) -> f64 {
+fn relative_growth(reference: f64, present: f64) -> f64 {
     if present == reference { 0.0 } else { present / reference - 1.0 }
 }
 
-fn largest(shares: &[f64]) -> f64 {
+fn max_of(shares: &[f64]) -> f64 {
     shares.iter().copied().fold(0.0, f64::max)
 }
 
 impl ReferenceTimes {
-    /// References of 0, so that the first update replaces them all.
+    /// Creates reference times of 0, so that the first update replaces all of them.
     pub fn new(operations: usize) -> Self {
         let none = vec![RunTimes::default(); operations];
         Self { reference: none.clone(), present: none, ..Self::default() }
     }
 
-    /// Takes over the present times; true where all lateness is to be computed anew.
+    /// Updates the present times; returns true if all lateness has to be recomputed.
     pub fn update(&mut self, capacity: &Capacity) -> bool {
         let limit = capacity.concurrency_limit;
         let present =
@@ -59,25 +60,28 @@
         self.present.clear();
         self.present.extend(capacity.usual_times.iter().map(present));
         let pairs = || self.reference.iter().zip(&self.present);
-        let queue: Vec<f64> = pairs().map(|(then, now)| share_grown(then.queue_ns, now.queue_ns)).collect();
-        let elapsed: Vec<f64> =
-            pairs().map(|(then, now)| share_grown(then.elapsed_ns, now.elapsed_ns)).collect();
-        let moved = queue.iter().chain(&elapsed).any(|share| share.is_nan() || share.abs() > DRIFT_MAX);
-        if moved {
+        let queue: Vec<f64> = pairs()
+            .map(|(reference, present)| relative_growth(reference.queue_ns, present.queue_ns))
+            .collect();
+        let elapsed: Vec<f64> = pairs()
+            .map(|(reference, present)| relative_growth(reference.elapsed_ns, present.elapsed_ns))
+            .collect();
+        let is_outdated = queue.iter().chain(&elapsed).any(|share| share.is_nan() || share.abs() > DRIFT_MAX);
+        if is_outdated {
             self.reference.clone_from(&self.present);
             self.growth = Growth::default();
         } else {
-            self.growth = Growth { queue: largest(&queue), elapsed: largest(&elapsed) };
+            self.growth = Growth { queue: max_of(&queue), elapsed: max_of(&elapsed) };
         }
-        moved
+        is_outdated
     }
 
-    /// Reference times of an entry's operation.
+    /// Returns the reference times of the entry's operation.
     pub fn of(&self, entry: &Entry) -> &RunTimes {
         &self.reference[entry.operation]
     }
 
-    /// The growth since the reference, as of the last update.
+    /// Returns the growth beyond the reference as of the last update.
     pub fn growth(&self) -> Growth {
         self.growth
     }
--- a/crates/pending-queue/src/sum_tree.rs
+++ b/crates/pending-queue/src/sum_tree.rs
@@ -4,11 +4,11 @@
 use crate::reference_times::ReferenceTimes;
 use crate::summary::Summary;
 
-/// A block of entries, in the order they will run.
+/// A block of entries in run order.
 pub type Block = Vec<Entry>;
 
-/// Laid out flat: node 1 is the root, the children of node n are 2n and 2n + 1, and the leaf of a block
-/// stands at `leaves` plus the block's index.
+/// The tree in a flat layout: node 1 is the root, the children of node n are 2n and 2n + 1, and the leaf of
+/// a block has the index `leaves` plus the index of the block.
 #[derive(Debug, Default)]
 pub struct SumTree {
     nodes: Vec<Summary>,
@@ -16,7 +16,7 @@
 }
 
 impl SumTree {
-    /// The tree of no blocks.
+    /// Creates the tree of a queue without blocks.
     pub fn new() -> Self {
         let mut tree = Self::default();
         tree.resize(0);
@@ -25,25 +25,26 @@
 
     fn resize(&mut self, blocks: usize) {
         self.leaves = blocks.next_power_of_two();
-        self.nodes.resize_with(2 * self.leaves, Summary::of_none);
+        self.nodes.resize_with(2 * self.leaves, Summary::empty);
     }
 
-    /// The summary of all blocks.
+    /// Returns the summary of all blocks.
     pub fn root(&self) -> &Summary {
         &self.nodes[1]
     }
 
-    /// The summary of the blocks under a node.
+    /// Returns the summary of the blocks below a node.
     pub fn node(&self, node: usize) -> &Summary {
         &self.nodes[node]
     }
 
-    /// The block whose leaf this node is; `None` for an inner node.
+    /// Returns the index of the block whose leaf this node is; `None` for an inner node.
     pub fn block_of(&self, node: usize) -> Option<usize> {
         node.checked_sub(self.leaves)
     }
 
-    /// Summaries that together cover all blocks before this one, from the nearest to the farthest.
+    /// Iterates over summaries that together cover all blocks before `block`, from the nearest to the
+    /// farthest.
     pub fn before(&self, block: usize) -> impl Iterator<Item = &Summary> {
         let mut node = self.leaves + block;
         std::iter::from_fn(move || {
@@ -58,7 +59,7 @@
         })
     }
 
-    /// Computes all summaries anew.
+    /// Recomputes all summaries.
     pub fn rebuild(&mut self, blocks: &[Block], reference: &ReferenceTimes) {
         self.resize(blocks.len());
         for i in 0..self.leaves {
@@ -68,7 +69,7 @@
         self.join_above(0, self.leaves);
     }
 
-    /// The entries of a block have changed.
+    /// Recomputes the summaries that include `block`, after its entries have changed.
     pub fn update(&mut self, blocks: &[Block], block: usize, reference: &ReferenceTimes) {
         let mut node = self.leaves + block;
         self.nodes[node].summarize(&blocks[block], reference);
@@ -78,10 +79,10 @@
         }
     }
 
-    /// A block was inserted behind this one, which was split.
+    /// Updates the tree after `block` was split and the new block was inserted behind it.
     pub fn block_inserted(&mut self, blocks: &[Block], block: usize, reference: &ReferenceTimes) {
         let count = blocks.len();
-        if self.has_wrong_size(count) {
+        if self.needs_resize(count) {
             return self.rebuild(blocks, reference);
         }
         let from = self.leaves + block;
@@ -92,10 +93,10 @@
         self.join_above(block, count + 1);
     }
 
-    /// The block that had this index was removed.
+    /// Updates the tree after the block with this index was removed.
     pub fn block_removed(&mut self, blocks: &[Block], block: usize, reference: &ReferenceTimes) {
         let count = blocks.len();
-        if self.has_wrong_size(count) {
+        if self.needs_resize(count) {
             return self.rebuild(blocks, reference);
         }
         let from = self.leaves + block;
@@ -104,11 +105,11 @@
         self.join_above(block, count + 1);
     }
 
-    fn has_wrong_size(&self, blocks: usize) -> bool {
+    fn needs_resize(&self, blocks: usize) -> bool {
         blocks > self.leaves || blocks * 4 < self.leaves
     }
 
-    /// Joins anew what lies above the leaves from one block to before another.
+    /// Recomputes the inner nodes above the leaves of blocks `from..to`.
     fn join_above(&mut self, from: usize, to: usize) {
         let (mut low, mut high) = (self.leaves + from, self.leaves + to.min(self.leaves) - 1);
         while low > 1 {
--- a/crates/pending-queue/src/summary.rs
+++ b/crates/pending-queue/src/summary.rs
@@ -1,4 +1,4 @@
-//! What is known of some entries that stand in a row: a node of the tree of sums.
+//! Summary of consecutive entries; one is stored in each node of the tree.
 
 use crate::order::{DeadlineOrder, MemoryOrder};
 use crate::reference_times::ReferenceTimes;
@@ -12,8 +12,8 @@
     cost_ratio: f64,
 }
 
-/// Cost ratios summed up by operation, in the order of operations: only of those that have entries, so that
-/// a sum costs what stands in it, however many operations there are.
+/// Sums of cost ratios, sorted by operation. Contains only operations that have entries, so that the cost
+/// of computing a sum does not depend on the number of operations.
 #[derive(Clone, Debug, Default)]
 struct OperationCosts(Vec<OperationCost>);
 
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Becomes the sums of two together, in the memory that it has.
+    /// Sets this to the sums of `left` and `right`, reusing the allocated memory.
     fn join(&mut self, left: &Self, right: &Self) {
         self.0.clear();
         let (mut left, mut right) = (left.0.as_slice(), right.0.as_slice());
@@ -51,33 +51,34 @@
     }
 }
 
-/// Sums of entries that stand in a row.
+/// Sums and maxima over consecutive entries.
 #[derive(Clone, Debug, Default)]
 pub struct Summary {
-    /// How many entries there are.
+    /// Number of entries.
     pub count: usize,
     costs: OperationCosts,
-    /// At the reference times, ns: work over the concurrency limit, and the longest elapsed time.
+    /// Sum of the work divided by the concurrency limit, at the reference times, ns.
     pub work: f64,
-    pub longest: f64,
-    /// At the reference times: the most by which one of them would end after its deadline, if the first of
-    /// them began at 0 on the clock; ns.
+    /// Longest time from start to end of an entry, at the reference times, ns.
+    pub longest_elapsed: f64,
+    /// Maximum time by which an entry would end after its deadline if the first entry started at time 0, at
+    /// the reference times, ns.
     pub lateness: f64,
     pub first_to_reject_for_deadline: DeadlineOrder,
     pub first_to_reject_for_memory: MemoryOrder,
 }
 
 impl Summary {
-    /// The summary of no entries.
-    pub fn of_none() -> Self {
+    /// Creates the summary of no entries.
+    pub fn empty() -> Self {
         Self { lateness: f64::NEG_INFINITY, ..Self::default() }
     }
 
-    /// Becomes the summary of these entries.
+    /// Sets this to the summary of `entries`.
     pub fn summarize(&mut self, entries: &[Entry], reference: &ReferenceTimes) {
         self.costs.0.clear();
         self.count = entries.len();
-        (self.work, self.longest, self.lateness) = (0.0, 0.0, f64::NEG_INFINITY);
+        (self.work, self.longest_elapsed, self.lateness) = (0.0, 0.0, f64::NEG_INFINITY);
         self.first_to_reject_for_deadline = DeadlineOrder::default();
         self.first_to_reject_for_memory = MemoryOrder::default();
         for entry in entries {
@@ -85,7 +86,7 @@
             let elapsed = usual.elapsed_ns * entry.cost_ratio;
             self.lateness = self.lateness.max(self.work + elapsed - entry.deadline as f64);
             self.work += usual.queue_ns * entry.cost_ratio;
-            self.longest = self.longest.max(elapsed);
+            self.longest_elapsed = self.longest_elapsed.max(elapsed);
             self.costs.add(entry.operation, entry.cost_ratio);
             self.first_to_reject_for_deadline =
                 self.first_to_reject_for_deadline.max(DeadlineOrder::of(entry));
@@ -93,12 +94,12 @@
         }
     }
 
-    /// Becomes the summary of two rows, the right one behind the left one.
+    /// Sets this to the summary of `left` followed by `right`.
     pub fn join(&mut self, left: &Summary, right: &Summary) {
         self.count = left.count + right.count;
         self.costs.join(&left.costs, &right.costs);
         self.work = left.work + right.work;
-        self.longest = left.longest.max(right.longest);
+        self.longest_elapsed = left.longest_elapsed.max(right.longest_elapsed);
         self.lateness = left.lateness.max(left.work + right.lateness);
         self.first_to_reject_for_deadline =
             left.first_to_reject_for_deadline.max(right.first_to_reject_for_deadline);
@@ -106,7 +107,7 @@
             left.first_to_reject_for_memory.max(right.first_to_reject_for_memory);
     }
 
-    /// Work at these usual times, in nanoseconds of one core.
+    /// Returns the work at the given usual times, in nanoseconds of one core.
     pub fn work_at(&self, usual_times: &[UsualTimes]) -> f64 {
         self.costs.0.iter().map(|cost| cost.cost_ratio * usual_times[cost.operation].core_ns).sum()
     }
