--- a/crates/capacity/src/at_rest.rs
+++ b/crates/capacity/src/at_rest.rs
@@ -145,6 +145,6 @@
         };
         (0..fleet.len()).all(holds_total)
     };
-    let took = fleet.run_until_done(SECOND_NS, limit_seconds * SECOND_NS, is_exact);
-    Ok(took.map(|took| took as f64 / SECOND_NS as f64))
+    let elapsed_ns = fleet.run_until_done(SECOND_NS, limit_seconds * SECOND_NS, is_exact);
+    Ok(elapsed_ns.map(|elapsed_ns| elapsed_ns as f64 / SECOND_NS as f64))
 }
--- a/crates/capacity/src/day/run.rs
+++ b/crates/capacity/src/day/run.rs
@@ -208,8 +208,8 @@
         self.remove_receivers(|receiver| *receiver == server);
     }
 
-    /// Starts a server that is not running, with its disk or an empty one, and records its return unless a
-    /// network partition cuts it off.
+    /// Starts a server if it is not running, with an empty disk if `had_empty_disk` is true. Records the
+    /// server's return unless a network partition cuts it off.
     fn restart(&mut self, server: usize, had_empty_disk: bool) {
         if self.fleet.member(server).is_some() {
             return;
--- a/crates/capacity/src/fleet.rs
+++ b/crates/capacity/src/fleet.rs
@@ -24,7 +24,7 @@
     datagram: Vec<u8>,
 }
 
-/// Simulated time at which a server must be advanced.
+/// Timer of a server: the simulated time at which the server must be advanced.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Timer {
     at: Nanos,
--- a/crates/capacity/src/process.rs
+++ b/crates/capacity/src/process.rs
@@ -99,7 +99,8 @@
         0 => Ok(()),
         _ => Err(std::io::Error::last_os_error()),
     };
-    // SAFETY: between fork and exec only one system call is made, which allocates nothing and takes no lock.
+    // SAFETY: `request` runs between fork and exec. It makes only one system call, which neither allocates
+    // memory nor takes a lock.
     unsafe { command.pre_exec(request) };
 }
 
