--- a/crates/rate-limit/src/lib.rs
+++ b/crates/rate-limit/src/lib.rs
@@ -1,31 +1,32 @@
-//! A bound on the amount used in any second, such as bytes put on a network, on the caller's clock.
+//! Rate limit for any one-second window, such as bytes sent over a network. The caller supplies the time.
 #![deny(missing_docs, clippy::too_many_lines)]
 
-/// Nanoseconds by a clock that does not go back.
+/// A time in nanoseconds on a monotonic clock.
 pub type Nanos = u64;
 
 const SECOND_NS: Nanos = 1_000_000_000;
-/// Slots that a second is divided into.
+/// Number of slots per second.
 const SLOTS_PER_SECOND: usize = 20;
 const SLOT_NS: Nanos = SECOND_NS / SLOTS_PER_SECOND as Nanos;
-/// Any second touches one slot more than it is long.
+/// Number of slots kept: a window of one second overlaps one slot more than fit in a second.
 const SLOTS: usize = SLOTS_PER_SECOND + 1;
 
-/// A rate limit over a sliding window of a second, counted in slots of 50 ms in constant memory.
+/// A rate limit over a sliding window of one second, counted in slots of 50 ms in constant memory.
 ///
-/// The amounts acquired by [`SlidingWindow::try_acquire`] alone never pass the limit in any second, wherever
-/// that second begins; a token bucket would allow its depth more. An amount becomes available again at most
-/// one slot after its second has passed. A clock that goes back frees nothing.
+/// The amounts acquired by [`SlidingWindow::try_acquire`] alone never exceed the limit in any second,
+/// regardless of where that second begins; a token bucket would allow its depth in addition. An amount
+/// becomes available again at most one slot after its second has passed. A clock that goes back frees
+/// nothing.
 #[derive(Clone, Copy, Debug)]
 pub struct SlidingWindow {
     limit: u64,
-    /// Amounts by slot; slot `n`, counted from time 0, is at `n % SLOTS`.
+    /// Amount used in each slot; slot `n`, counted from time 0, is stored at index `n % SLOTS`.
     used: [u64; SLOTS],
     current_slot: u64,
 }
 
 impl SlidingWindow {
-    /// A window that allows `limit` in any second, with nothing used yet.
+    /// Creates a window that allows `limit` in any second, with nothing used.
     pub fn new(limit: u64, now: Nanos) -> SlidingWindow {
         SlidingWindow { limit, used: [0; SLOTS], current_slot: now / SLOT_NS }
     }
@@ -44,20 +45,20 @@
         self.current_slot = self.current_slot.max(slot);
     }
 
-    /// The amount that can be acquired now.
+    /// Returns the amount that can be acquired now.
     pub fn available(&mut self, now: Nanos) -> u64 {
         self.advance(now);
         self.limit.saturating_sub(self.used.iter().sum())
     }
 
-    /// Counts an amount that is used whether it is available or not: for what cannot wait.
+    /// Counts an amount as used even if it exceeds the limit, for uses that cannot be delayed.
     pub fn force_acquire(&mut self, amount: u64, now: Nanos) {
         self.advance(now);
         let used = &mut self.used[index(self.current_slot)];
         *used = used.saturating_add(amount);
     }
 
-    /// Acquires the whole amount if it is available; whether it was.
+    /// Acquires the whole amount if it is available; returns whether it was.
     pub fn try_acquire(&mut self, amount: u64, now: Nanos) -> bool {
         let is_available = amount <= self.available(now);
         if is_available {
--- a/crates/rate-limit/tests/sliding_window.rs
+++ b/crates/rate-limit/tests/sliding_window.rs
@@ -1,4 +1,4 @@
-//! The limit over any second, forced amounts, and a clock that stands still or goes back.
+//! Tests of the limit over any second, of forced amounts, and of a clock that stands still or goes back.
 
 use meadowstream_rate_limit::{Nanos, SlidingWindow};
 use proptest::prelude::*;
@@ -10,7 +10,8 @@
     let mut window = SlidingWindow::new(100, 0);
     assert!(window.try_acquire(60, 0) && window.try_acquire(40, SECOND / 2));
     assert!(!window.try_acquire(1, SECOND - 1));
-    // The slot of the first is over at a twentieth, and counts for a second from then.
+    // The first amount is in a slot of a twentieth of a second, and counts for one second after the end of
+    // that slot.
     assert!(!window.try_acquire(1, SECOND + SECOND / 20 - 1));
     assert!(window.try_acquire(60, SECOND + SECOND / 20));
     assert_eq!(window.available(SECOND + SECOND / 20), 0);
@@ -26,7 +27,7 @@
 }
 
 #[test]
-fn a_clock_that_goes_back_forgets_nothing() {
+fn a_clock_that_goes_back_frees_nothing() {
     let mut window = SlidingWindow::new(100, 10 * SECOND);
     assert!(window.try_acquire(100, 10 * SECOND));
     assert!(!window.try_acquire(1, 0));
@@ -34,7 +35,7 @@
 }
 
 #[test]
-fn a_long_pause_forgets_all() {
+fn a_long_pause_frees_everything() {
     let mut window = SlidingWindow::new(100, 0);
     (0..20).for_each(|slot| window.force_acquire(100, slot * SECOND / 20));
     assert_eq!(window.available(u64::MAX), 100);
@@ -42,24 +43,24 @@
 
 proptest! {
     #[test]
-    fn no_second_takes_more_than_the_limit(
+    fn no_second_exceeds_the_limit(
         steps in proptest::collection::vec((0u64..SECOND / 2, 0u64..50), 1..200),
         limit in 1u64..400,
         start in any::<u32>(),
     ) {
         let mut now = u64::from(start);
         let mut window = SlidingWindow::new(limit, now);
-        let mut taken = Vec::new();
+        let mut acquired = Vec::new();
         for (gap, amount) in steps {
             now += gap;
             if window.try_acquire(amount, now) {
-                taken.push((now, amount));
+                acquired.push((now, amount));
             }
         }
-        for (from, _) in &taken {
-            let within = taken.iter().filter(|(at, _)| at >= from && *at < from + SECOND);
+        for (from, _) in &acquired {
+            let within = acquired.iter().filter(|(at, _)| at >= from && *at < from + SECOND);
             let sum: u64 = within.map(|(_, amount)| amount).sum();
-            prop_assert!(sum <= limit, "{} of {}", sum, limit);
+            prop_assert!(sum <= limit, "acquired {}, limit {}", sum, limit);
         }
     }
 }
--- a/crates/routing/src/choice.rs
+++ b/crates/routing/src/choice.rs
@@ -1,19 +1,20 @@
 //! Power of two choices (Mitzenmacher, The Power of Two Choices in Randomized Load Balancing, 2001): of two
-//! services drawn at random the less loaded one is chosen. Many servers then do not all choose the same one.
+//! services drawn at random, the less loaded one is chosen. This keeps many servers from all choosing the
+//! same service.
 
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::Rng;
 
-/// Load of a service; a smaller one is chosen over a larger one.
+/// Load of a service, ordered by preference: the smaller load is chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Load {
-    /// Unhealthy by this server's own calls, which counts for more than any number of calls.
+    /// Whether this server's own calls found the service unhealthy; outweighs any number of calls.
     pub locally_unhealthy: bool,
-    /// Calls of this server that have not ended.
+    /// Number of this server's calls to the service that have not ended.
     pub outstanding: u64,
 }
 
-/// Chooses one of the candidates, of which there must be one; two draws at most.
+/// Chooses one of the candidates using at most two random draws. Requires at least one candidate.
 pub(crate) fn less_loaded_of_two(
     rng: &mut ChaCha8Rng,
     candidates: &[usize],
@@ -27,7 +28,7 @@
     if load(second) < load(first) { second } else { first }
 }
 
-/// A number under `bound`; 0 without a draw where that is 0.
+/// Returns a random number below `bound`. If `bound` is 0, returns 0 without a draw.
 pub(crate) fn random_below(rng: &mut ChaCha8Rng, bound: u64) -> u64 {
     if bound == 0 { 0 } else { rng.next_u64() % bound }
 }
--- a/crates/routing/src/health.rs
+++ b/crates/routing/src/health.rs
@@ -1,18 +1,18 @@
-//! Health of a service as routing sees it.
+//! Health of a service as an input of routing.
 
-/// What is known of a service now.
+/// Current health of a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HealthView {
-    /// Ejected by the fleet, or by this server alone where it receives no reports.
+    /// Whether the fleet has ejected the service, or this server alone while it receives no reports.
     pub ejected: bool,
-    /// Unhealthy by this server's own calls.
+    /// Whether this server's own calls found the service unhealthy.
     pub locally_unhealthy: bool,
-    /// This server is one of those that probe the service.
+    /// Whether this server is one of the probers of the service.
     pub is_prober: bool,
 }
 
 impl HealthView {
-    /// Whether the service is ejected or found unhealthy by this server.
+    /// Whether the service is ejected or locally unhealthy.
     pub fn is_unhealthy(self) -> bool {
         self.ejected || self.locally_unhealthy
     }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,13 +1,15 @@
-//! Which service of a tier a call goes to, without I/O: time, the seed and the health of each service go in,
-//! a service comes out. `docs/shared-state.md` names the alternatives considered.
+//! Chooses the service of a tier that receives a call. The crate performs no I/O: its inputs are the time,
+//! a seed and the health of each service. `docs/shared-state.md` lists the alternatives considered.
 //!
-//! - [`choice`]: of two services drawn at random the one with fewer outstanding calls is chosen.
-//! - [`health`]: services that the fleet has ejected get no ordinary call; one that this server alone finds
-//!   unhealthy is chosen only over another such. A service that fails at once always has few outstanding
-//!   calls and would draw all of them otherwise.
-//! - [`probing`]: both kinds are probed by idempotent calls, one at a time, so that their recovery is seen.
-//! - [`slow_start`]: a service that has recovered gets its share of calls back little by little.
-//! - [`router`]: applies these in this order. A retry goes to another service than the attempt before it.
+//! - [`choice`]: of two services drawn at random, the one with fewer outstanding calls is chosen.
+//! - [`health`]: a service ejected by the fleet gets no ordinary calls. A service that only this server
+//!   finds unhealthy is chosen only over another unhealthy one; otherwise a service that fails immediately,
+//!   and therefore has few outstanding calls, would attract all calls.
+//! - [`probing`]: idempotent calls probe unhealthy services of both kinds, one at a time, to detect their
+//!   recovery.
+//! - [`slow_start`]: a service that has recovered regains its share of calls gradually.
+//! - [`router`]: applies these modules in this order. A retry goes to a different service than the previous
+//!   attempt.
 #![deny(missing_docs, clippy::too_many_lines)]
 
 pub mod choice;
@@ -21,5 +23,5 @@
 pub use router::{CallPreference, Choice, Router, RouterCounters};
 pub use settings::{Settings, SettingsError};
 
-/// Nanoseconds: a point in time or a duration.
+/// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
--- a/crates/routing/src/probing.rs
+++ b/crates/routing/src/probing.rs
@@ -1,9 +1,9 @@
-//! When a service that is unhealthy is probed. Without probes nobody would learn that it has recovered, and
-//! the evidence of all servers would fade at the same time.
+//! Schedule of probes to an unhealthy service. Without probes no server would detect its recovery, and the
+//! evidence of all servers would expire at the same time.
 
 use crate::Nanos;
 
-/// Probes of one service by this server: one at a time, and one an interval.
+/// Probes of one service by this server: at most one at a time and one per interval.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ProbeSchedule {
     in_progress: bool,
@@ -11,13 +11,13 @@
 }
 
 impl ProbeSchedule {
-    /// The service has become unhealthy: the first probe is due after `delay`, a random part of the interval,
-    /// so that the probes of a fleet do not come at the same time.
+    /// Starts probing a service that has become unhealthy. The first probe is due after `delay`, a random
+    /// part of the interval, so that the servers of a fleet do not probe at the same time.
     pub fn begin(&mut self, now: Nanos, delay: Nanos) {
         self.next_at = now + delay;
     }
 
-    /// When the next probe is due; `None` while one is in progress.
+    /// Returns the time at which the next probe is due; `None` while one is in progress.
     pub fn next_at(&self) -> Option<Nanos> {
         (!self.in_progress).then_some(self.next_at)
     }
@@ -27,13 +27,13 @@
         self.next_at().is_some_and(|at| at <= now)
     }
 
-    /// A probe is sent.
+    /// Marks a probe as in progress and schedules the next one.
     pub fn start(&mut self, now: Nanos, interval: Nanos) {
         self.in_progress = true;
         self.next_at = now + interval;
     }
 
-    /// The probe has ended.
+    /// Marks the probe as ended.
     pub fn end(&mut self) {
         self.in_progress = false;
     }
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -9,32 +9,33 @@
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
 
-/// The service chosen for a call; given back to [`Router::release`].
+/// The service chosen for a call; pass it to [`Router::release`] when the call ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Choice {
     /// Index of the service.
     pub service: usize,
-    /// The call is a probe of an unhealthy service.
+    /// Whether the call is a probe of an unhealthy service.
     pub is_probe: bool,
 }
 
-/// What a call needs of its service.
+/// Constraints of a call on the choice of its service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallPreference {
-    /// The service of its last attempt, which is avoided.
+    /// Service of the previous attempt, which is avoided.
     pub last_service: Option<usize>,
-    /// It may go to a service that is likely to fail it: it is idempotent, and this is its first attempt.
+    /// Whether the call may go to a service that is likely to fail it: the call is idempotent, and this is
+    /// its first attempt.
     pub may_probe: bool,
 }
 
-/// Calls since the start.
+/// Numbers of calls since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RouterCounters {
-    /// Ordinary calls.
+    /// Number of ordinary calls.
     pub calls: u64,
-    /// Probes.
+    /// Number of probes.
     pub probes: u64,
-    /// Calls for which no service was chosen: all were ejected and no probe was due.
+    /// Number of calls without a service: all services were ejected and no probe was due.
     pub unroutable: u64,
 }
 
@@ -56,11 +57,11 @@
     }
 }
 
-/// A service that may get an ordinary call.
+/// A service that is eligible for an ordinary call.
 #[derive(Clone, Copy, Debug)]
 struct Candidate {
     service: usize,
-    /// See [`SlowStart::ratio`].
+    /// Fraction of a full share of calls; see [`SlowStart::ratio`].
     ratio: f64,
 }
 
@@ -76,15 +77,15 @@
     settings: Settings,
     services: Vec<Service>,
     rng: ChaCha8Rng,
-    /// Calls since the start.
+    /// Numbers of calls since the start.
     pub counters: RouterCounters,
 }
 
 impl Router {
-    /// A router whose random choices come from `seed`.
+    /// Creates a router whose random choices are derived from `seed`.
     ///
     /// # Errors
-    /// A setting that cannot be used.
+    /// Returns an error if a setting is invalid.
     pub fn new(settings: Settings, seed: u64) -> Result<Router, SettingsError> {
         settings.check()?;
         Ok(Router {
@@ -95,7 +96,7 @@
         })
     }
 
-    /// Takes the health of each service from `now` on, in their order.
+    /// Updates the health of all services as of `now`; `views` are in the order of the services.
     pub fn update_health(&mut self, now: Nanos, views: impl IntoIterator<Item = HealthView>) {
         for (service, view) in self.services.iter_mut().zip(views) {
             let probe_delay = random_below(&mut self.rng, self.settings.probe_interval) + 1;
@@ -116,7 +117,7 @@
         any_open || (preference.may_probe && self.due_probe(now).is_some())
     }
 
-    /// When the next probe of this server is due, where all services are ejected.
+    /// Returns the time of this server's next probe if all services are ejected, otherwise `None`.
     pub fn next_probe_at(&self) -> Option<Nanos> {
         if self.services.iter().any(|service| !service.health.ejected) {
             return None;
@@ -125,8 +126,8 @@
         probed.filter_map(|service| service.probes.next_at()).min()
     }
 
-    /// Chooses a service for one call, which is outstanding until [`Router::release`]. A probe that is due
-    /// comes first. `None` where all services are ejected and no probe is due.
+    /// Chooses a service for a call, which counts as outstanding until [`Router::release`]. A due probe
+    /// takes precedence. Returns `None` if all services are ejected and no probe is due.
     pub fn choose(&mut self, now: Nanos, preference: CallPreference) -> Option<Choice> {
         if preference.may_probe
             && let Some(service) = self.due_probe(now)
@@ -143,7 +144,7 @@
         Some(Choice { service, is_probe: false })
     }
 
-    /// The call has ended or was abandoned.
+    /// Notes that a call has ended or was abandoned.
     pub fn release(&mut self, choice: Choice) {
         let Some(service) = self.services.get_mut(choice.service) else { return };
         service.outstanding = service.outstanding.saturating_sub(1);
@@ -152,12 +153,12 @@
         }
     }
 
-    /// Calls to a service that have not ended.
+    /// Returns the number of calls to a service that have not ended.
     pub fn outstanding(&self, service: usize) -> u64 {
         self.services.get(service).map_or(0, |service| service.outstanding)
     }
 
-    /// The service whose probe has been due for longest.
+    /// Returns the service whose probe has been due for the longest time.
     fn due_probe(&self, now: Nanos) -> Option<usize> {
         let due = self.services.iter().enumerate().filter(|(_, service)| service.probe_is_due(now));
         due.min_by_key(|(_, service)| service.probes.next_at()).map(|(index, _)| index)
@@ -171,7 +172,7 @@
         Choice { service: index, is_probe: true }
     }
 
-    /// Services that are not ejected; without the last one where there is another.
+    /// Returns the services that are not ejected, without `last_service` if there is another one.
     fn candidates(&self, now: Nanos, last_service: Option<usize>) -> Vec<Candidate> {
         let mut candidates = Vec::with_capacity(self.services.len());
         for (index, service) in self.services.iter().enumerate() {
@@ -186,8 +187,8 @@
         candidates
     }
 
-    /// One of two warm services, unless a service in slow start is owed the call. Where none is warm, one of
-    /// two of all.
+    /// Chooses one of two warm services, unless a service in slow start is owed the call. If no service is
+    /// warm, chooses one of two among all candidates.
     fn choose_candidate(&mut self, candidates: &[Candidate]) -> Option<usize> {
         let warm: Vec<usize> =
             candidates.iter().filter(|candidate| candidate.is_warm()).map(|warm| warm.service).collect();
@@ -204,8 +205,8 @@
         Some(self.owed_service(candidates, usual).unwrap_or(usual))
     }
 
-    /// Adds the parts of this call to the services in slow start, and returns the least loaded of those that
-    /// are owed a whole call and are not more loaded than the `usual` choice.
+    /// Credits each service in slow start with its share of this call. Of the services that are owed a
+    /// whole call and are not more loaded than the `usual` choice, returns the least loaded one.
     fn owed_service(&mut self, candidates: &[Candidate], usual: usize) -> Option<usize> {
         let usual_load = self.services[usual].load();
         let mut owed: Option<usize> = None;
--- a/crates/routing/src/settings.rs
+++ b/crates/routing/src/settings.rs
@@ -1,35 +1,35 @@
-//! Settings of routing and their check.
+//! Routing settings and their validation.
 
 use crate::Nanos;
 use thiserror::Error;
 
-/// Settings of routing in one tier; durations are nanoseconds.
+/// Settings of routing to one tier; durations are in nanoseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Services of the tier; at least 1.
+    /// Number of services of the tier; at least 1.
     pub services: usize,
     /// Time between two probes of an unhealthy service by this server; above 0.
     pub probe_interval: Nanos,
-    /// How long a service that has recovered takes to get its whole share of calls; 0 for at once.
+    /// Time in which a recovered service regains its full share of calls; 0 turns slow start off.
     pub slow_start: Nanos,
 }
 
-/// A setting that cannot be used.
+/// Reason why the settings are invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum SettingsError {
-    /// The tier has no service.
-    #[error("service: at least one, not {0}")]
+    /// The tier has no services.
+    #[error("service: at least one is required, got {0}")]
     Services(usize),
-    /// There would be no time between probes.
-    #[error("probes: above 0 ns apart, not {0}")]
+    /// The probe interval is 0.
+    #[error("probes: the interval must be above 0 ns, got {0} ns")]
     ProbeInterval(Nanos),
 }
 
 impl Settings {
-    /// Checks each setting.
+    /// Validates the settings.
     ///
     /// # Errors
-    /// The first setting that cannot be used.
+    /// Returns the first setting that is invalid.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.services == 0 {
             return Err(SettingsError::Services(self.services));
--- a/crates/routing/tests/tier.rs
+++ b/crates/routing/tests/tier.rs
@@ -1,6 +1,9 @@
-//! A fleet of servers over a tier of services in simulated time: routing with the judgements of
-//! `shared-state`, reports told to three others a period over a network that loses some. Deterministic.
-//! `cargo test -p meadowstream-routing --release -- --nocapture` prints the figures of docs/shared-state.md.
+//! Routing and outlier detection in a simulated fleet of servers that call a tier of services.
+//!
+//! Each server detects outliers with `shared-state`, and sends its reports to three other servers in each
+//! gossip period over a network that loses some of them. The simulation is deterministic.
+//! `cargo test -p meadowstream-routing --release -- --nocapture` prints the figures quoted in
+//! docs/shared-state.md.
 
 use meadowstream_routing::{CallPreference, Choice, HealthView, Router, Settings};
 use meadowstream_shared_state::ServerId;
@@ -18,42 +21,44 @@
 
 #[derive(Clone, Copy, PartialEq)]
 enum Health {
-    Well,
-    /// Fails at once.
+    Healthy,
+    /// Fails calls immediately.
     Failing,
-    /// Answers well after so long.
+    /// Succeeds after this additional delay, ns.
     Slow(u64),
 }
 
-/// A call under way: when it ends, of whom, where, whether a probe, whether good, how long it takes.
-type Open = (u64, usize, usize, bool, bool, u64);
+/// A call in progress: end time, server, service, whether it is a probe, whether it succeeds, duration.
+type OpenCall = (u64, usize, usize, bool, bool, u64);
 
 struct Fleet {
-    judges: Vec<OutlierDetector>,
+    detectors: Vec<OutlierDetector>,
     routers: Vec<Router>,
     health: Vec<Health>,
-    /// Services that a server cannot reach though they are well.
-    unreached: Vec<(usize, usize)>,
+    /// Pairs of a server and a healthy service that it cannot reach.
+    unreachable: Vec<(usize, usize)>,
     rng: ChaCha8Rng,
     now: u64,
 
-    open: BinaryHeap<Reverse<Open>>,
-    /// Calls and failures since these were last set to 0, by service.
+    open_calls: BinaryHeap<Reverse<OpenCall>>,
+    /// Number of calls to each service since the last reset.
     calls: Vec<u64>,
+    /// Number of failed calls to all services since the last reset.
     failed: u64,
-    most_ejected: usize,
-    /// Judgements of a server's own count for its routing.
-    own_counts: bool,
-    probes: bool,
-    /// Each server probes by itself, as if it were alone.
-    all_probe: bool,
-    /// Servers that neither call nor tell.
-    cut: Vec<usize>,
+    /// Maximum number of services that a server had ejected at one time.
+    ejected_max: usize,
+    /// Whether routing takes into account the health found by the server's own calls.
+    uses_own_evidence: bool,
+    is_probing: bool,
+    /// Whether every server is a prober, instead of the servers that outlier detection selects.
+    all_servers_probe: bool,
+    /// Servers that make no calls and send no reports.
+    partitioned: Vec<usize>,
 }
 
 impl Fleet {
     fn new(servers: usize, services: usize, share: usize, reports: usize, seed: u64) -> Fleet {
-        let judge = |i: usize| {
+        let detector = |i: usize| {
             let services = (0..services).map(|s| format!("bank-{s}")).collect();
             let settings = outlier_detection::Settings {
                 services,
@@ -65,66 +70,70 @@
         };
         let settings = Settings { services, probe_interval: EXPIRY / 8, slow_start: EXPIRY };
         Fleet {
-            judges: (0..servers).map(judge).collect(),
+            detectors: (0..servers).map(detector).collect(),
             routers: (0..servers).map(|i| Router::new(settings, seed + i as u64).unwrap()).collect(),
-            health: vec![Health::Well; services],
-            unreached: Vec::new(),
+            health: vec![Health::Healthy; services],
+            unreachable: Vec::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: 0,
-            open: BinaryHeap::new(),
+            open_calls: BinaryHeap::new(),
             calls: vec![0; services],
             failed: 0,
-            most_ejected: 0,
-            own_counts: true,
-            probes: true,
-            all_probe: false,
-            cut: Vec::new(),
+            ejected_max: 0,
+            uses_own_evidence: true,
+            is_probing: true,
+            all_servers_probe: false,
+            partitioned: Vec::new(),
         }
     }
 
-    fn below(&mut self, most: u64) -> u64 {
-        self.rng.next_u64() % most
+    fn random_below(&mut self, bound: u64) -> u64 {
+        self.rng.next_u64() % bound
     }
 
-    /// Each server makes a call every ten milliseconds or so, and tells three others once a period.
-    fn play(&mut self, span: u64) {
-        let until = self.now + span;
+    /// Advances the simulation. Each server makes a call every 10 ms on average, and sends its reports to
+    /// three other servers once per gossip period.
+    fn advance(&mut self, duration: u64) {
+        let until = self.now + duration;
         while self.now < until {
             self.now += MS;
-            while self.open.peek().is_some_and(|Reverse(call)| call.0 <= self.now) {
-                let Reverse((at, i, service, probe, good, took)) = self.open.pop().unwrap();
-                self.routers[i].release(Choice { service, is_probe: probe });
-                self.judges[i].record_call(Time::both(at), service, good, took);
-                self.failed += u64::from(!good);
+            while self.open_calls.peek().is_some_and(|Reverse(call)| call.0 <= self.now) {
+                let Reverse((at, i, service, is_probe, succeeded, call_time)) =
+                    self.open_calls.pop().unwrap();
+                self.routers[i].release(Choice { service, is_probe });
+                self.detectors[i].record_call(Time::both(at), service, succeeded, call_time);
+                self.failed += u64::from(!succeeded);
             }
             let time = Time::both(self.now);
-            for i in 0..self.judges.len() {
+            for i in 0..self.detectors.len() {
                 if self.now.is_multiple_of(20 * MS) {
-                    let ejected = self.judges[i].ejected(time);
-                    self.most_ejected = self.most_ejected.max(ejected.len());
-                    let own =
-                        |s| self.own_counts && self.judges[i].local_health(time, s) != ServiceHealth::Healthy;
-                    let judged = (0..self.health.len()).map(|s| HealthView {
+                    let ejected = self.detectors[i].ejected(time);
+                    self.ejected_max = self.ejected_max.max(ejected.len());
+                    let is_locally_unhealthy = |s| {
+                        self.uses_own_evidence
+                            && self.detectors[i].local_health(time, s) != ServiceHealth::Healthy
+                    };
+                    let health_views = (0..self.health.len()).map(|s| HealthView {
                         ejected: ejected.contains(&s),
-                        locally_unhealthy: own(s),
-                        is_prober: self.all_probe || self.judges[i].is_prober(time, s),
+                        locally_unhealthy: is_locally_unhealthy(s),
+                        is_prober: self.all_servers_probe || self.detectors[i].is_prober(time, s),
                     });
-                    let judged: Vec<HealthView> = judged.collect();
-                    self.routers[i].update_health(self.now, judged);
+                    let health_views: Vec<HealthView> = health_views.collect();
+                    self.routers[i].update_health(self.now, health_views);
                 }
-                if self.cut.contains(&i) {
+                if self.partitioned.contains(&i) {
                     continue;
                 }
                 if (self.now + i as u64 * MS).is_multiple_of(GOSSIP) {
-                    let reports = self.judges[i].reports(time);
+                    let reports = self.detectors[i].reports(time);
                     for _ in 0..3 {
-                        let to = self.below(self.judges.len() as u64) as usize;
-                        if to != i && self.below(10) > 0 {
-                            self.judges[to].merge_reports(time, &reports);
+                        let to = self.random_below(self.detectors.len() as u64) as usize;
+                        if to != i && self.random_below(10) > 0 {
+                            self.detectors[to].merge_reports(time, &reports);
                         }
                     }
                 }
-                if self.below(10) == 0 {
+                if self.random_below(10) == 0 {
                     self.call(i);
                 }
             }
@@ -132,44 +141,45 @@
     }
 
     fn call(&mut self, i: usize) {
-        let wish = CallPreference { last_service: None, may_probe: self.probes };
-        let Some(Choice { service, is_probe: probe }) = self.routers[i].choose(self.now, wish) else {
+        let preference = CallPreference { last_service: None, may_probe: self.is_probing };
+        let Some(Choice { service, is_probe }) = self.routers[i].choose(self.now, preference) else {
             return;
         };
         self.calls[service] += 1;
-        let usual = 10 * MS + self.below(20 * MS);
-        let (good, took) = match self.health[service] {
-            _ if self.unreached.contains(&(i, service)) => (false, MS),
-            Health::Well => (true, usual),
+        let usual = 10 * MS + self.random_below(20 * MS);
+        let (succeeded, call_time) = match self.health[service] {
+            _ if self.unreachable.contains(&(i, service)) => (false, MS),
+            Health::Healthy => (true, usual),
             Health::Failing => (false, MS),
-            Health::Slow(more) => (true, usual + more),
+            Health::Slow(delay) => (true, usual + delay),
         };
-        self.open.push(Reverse((self.now + took, i, service, probe, good, took)));
+        self.open_calls.push(Reverse((self.now + call_time, i, service, is_probe, succeeded, call_time)));
     }
 
-    fn ejects(&self, i: usize, service: usize) -> bool {
-        self.judges[i].ejected(Time::both(self.now)).contains(&service)
+    fn is_ejected_by(&self, i: usize, service: usize) -> bool {
+        self.detectors[i].ejected(Time::both(self.now)).contains(&service)
     }
 
-    /// Until all servers hold that of a service.
-    fn until(&mut self, service: usize, ejected: bool, limit: u64) -> Option<u64> {
-        let began = self.now;
-        while self.now - began <= limit {
-            if (0..self.judges.len()).all(|i| self.ejects(i, service) == ejected) {
-                return Some(self.now - began);
+    /// Returns the time until all servers have ejected a service, or until none has; `None` after `limit`.
+    fn time_until(&mut self, service: usize, ejected: bool, limit: u64) -> Option<u64> {
+        let started = self.now;
+        while self.now - started <= limit {
+            if (0..self.detectors.len()).all(|i| self.is_ejected_by(i, service) == ejected) {
+                return Some(self.now - started);
             }
-            self.play(20 * MS);
+            self.advance(20 * MS);
         }
         None
     }
 
-    /// Share of the calls of the next `span` that go to a service, and of those that fail.
-    fn shares(&mut self, service: usize, span: u64) -> (f64, f64) {
+    /// Of the calls during the next `duration`, returns the share that goes to a service and the share that
+    /// fails.
+    fn shares(&mut self, service: usize, duration: u64) -> (f64, f64) {
         self.calls.fill(0);
         self.failed = 0;
-        self.play(span);
-        let all = self.calls.iter().sum::<u64>() as f64;
-        (self.calls[service] as f64 / all, self.failed as f64 / all)
+        self.advance(duration);
+        let total = self.calls.iter().sum::<u64>() as f64;
+        (self.calls[service] as f64 / total, self.failed as f64 / total)
     }
 }
 
@@ -178,194 +188,210 @@
 }
 
 #[test]
-fn one_of_twenty_fails_and_comes_back_for_a_hundred_servers() {
+fn one_of_twenty_services_fails_and_recovers_for_a_hundred_servers() {
     let mut fleet = Fleet::new(100, 20, 500, 3, 1);
-    fleet.play(3 * S);
+    fleet.advance(3 * S);
     fleet.health[4] = Health::Failing;
-    let out = fleet.until(4, true, 10 * S);
-    let (to_it, failed) = fleet.shares(4, 5 * S);
-    fleet.health[4] = Health::Well;
-    let back = fleet.until(4, false, 20 * S);
-    let (first, _) = fleet.shares(4, S / 4);
-    fleet.play(5 * S);
-    let (part, _) = fleet.shares(4, 5 * S);
+    let ejection = fleet.time_until(4, true, 10 * S);
+    let (to_service, failed) = fleet.shares(4, 5 * S);
+    fleet.health[4] = Health::Healthy;
+    let recovery = fleet.time_until(4, false, 20 * S);
+    let (share_at_first, _) = fleet.shares(4, S / 4);
+    fleet.advance(5 * S);
+    let (share_later, _) = fleet.shares(4, 5 * S);
     println!(
-        "100 servers, 20 services: failing out everywhere {:.2} s, then {to_it:.4} of calls and {failed:.4} \
-         failed; back {:.2} s, {first:.4} of calls at first, {part:.4} after",
-        seconds(out),
-        seconds(back)
+        "100 servers, 20 services: failing service ejected by all in {:.2} s, then {to_service:.4} of calls \
+         and {failed:.4} failed; recovered in {:.2} s, {share_at_first:.4} of calls at first, \
+         {share_later:.4} later",
+        seconds(ejection),
+        seconds(recovery)
     );
-    assert!(out.is_some_and(|t| t <= 2 * S), "{out:?}");
-    assert!(to_it <= 0.06 && failed <= 0.06, "{to_it} {failed}");
-    assert!(back.is_some_and(|t| t <= 4 * EXPIRY), "{back:?}");
-    assert!(first <= 0.03, "all at once: {first}");
-    assert!((0.04..0.06).contains(&part), "{part}");
+    assert!(ejection.is_some_and(|t| t <= 2 * S), "{ejection:?}");
+    assert!(to_service <= 0.06 && failed <= 0.06, "to the service {to_service}, failed {failed}");
+    assert!(recovery.is_some_and(|t| t <= 4 * EXPIRY), "{recovery:?}");
+    assert!(share_at_first <= 0.03, "too many calls right after the recovery: {share_at_first}");
+    assert!((0.04..0.06).contains(&share_later), "{share_later}");
 }
 
-/// A service that answers, only late, is found by the fleet too.
+/// The fleet also detects a service that succeeds but is slow.
 #[test]
-fn a_slow_one_is_found() {
+fn a_slow_service_is_ejected() {
     let mut fleet = Fleet::new(20, 8, 500, 2, 2);
-    fleet.play(3 * S);
+    fleet.advance(3 * S);
     fleet.health[2] = Health::Slow(400 * MS);
-    let out = fleet.until(2, true, 10 * S);
-    println!("20 servers, 8 services: slow one out everywhere {:.2} s", seconds(out));
-    assert!(out.is_some_and(|t| t <= 6 * S), "{out:?}");
+    let ejection = fleet.time_until(2, true, 10 * S);
+    println!("20 servers, 8 services: slow service ejected by all in {:.2} s", seconds(ejection));
+    assert!(ejection.is_some_and(|t| t <= 6 * S), "{ejection:?}");
 }
 
-/// Three quarters of the tier fail: at most half of it is ever ejected, by any server at any time.
+/// Three quarters of the tier fail: no server ever ejects more than half of it, the configured share.
 #[test]
-fn never_more_than_the_share_is_ejected() {
+fn no_more_than_the_configured_share_is_ejected() {
     let mut fleet = Fleet::new(30, 8, 500, 2, 3);
-    fleet.play(2 * S);
+    fleet.advance(2 * S);
     (0..6).for_each(|s| fleet.health[s] = Health::Failing);
-    fleet.play(10 * S);
-    assert_eq!(fleet.most_ejected, 4);
+    fleet.advance(10 * S);
+    assert_eq!(fleet.ejected_max, 4);
     assert_eq!(fleet.routers.iter().map(|r| r.counters.unroutable).sum::<u64>(), 0);
-    let mut all = Fleet::new(30, 8, 1000, 2, 3);
-    all.play(2 * S);
-    all.health.fill(Health::Failing);
-    all.play(6 * S);
-    // With the whole tier allowed to go, calls are held back but for the probes that end it.
-    assert!(all.routers.iter().all(|r| r.counters.unroutable > 0));
-    all.health.fill(Health::Well);
-    all.play(10 * S);
-    assert!((0..30).all(|i| (0..8).all(|s| !all.ejects(i, s))));
+    let mut unlimited = Fleet::new(30, 8, 1000, 2, 3);
+    unlimited.advance(2 * S);
+    unlimited.health.fill(Health::Failing);
+    unlimited.advance(6 * S);
+    // If the whole tier may be ejected, only probes are routed, until they detect the recovery.
+    assert!(unlimited.routers.iter().all(|r| r.counters.unroutable > 0));
+    unlimited.health.fill(Health::Healthy);
+    unlimited.advance(10 * S);
+    assert!((0..30).all(|i| (0..8).all(|s| !unlimited.is_ejected_by(i, s))));
 }
 
-/// One server cannot reach a service that all others can: it is not ejected, and that server's own calls go
-/// round it. Without its own evidence its calls fall into the hole, since what fails at once is never busy.
+/// One server cannot reach a service that all others can. The service is not ejected, and the server avoids
+/// it because of its own evidence. Without that evidence the service would attract the server's calls,
+/// since a service that fails immediately has few outstanding calls.
 #[test]
-fn a_service_unreached_by_one_server_is_not_ejected() {
-    let play = |own_counts| {
+fn a_service_unreachable_by_one_server_is_not_ejected() {
+    let simulate = |uses_own_evidence| {
         let mut fleet = Fleet::new(20, 8, 500, 2, 4);
-        fleet.own_counts = own_counts;
-        fleet.unreached.push((7, 3));
-        fleet.play(2 * S);
-        (fleet.failed, fleet.most_ejected) = (0, 0);
-        fleet.play(10 * S);
-        assert_eq!(fleet.most_ejected, 0);
-        // A tenth of a thousand calls a second are one server's.
+        fleet.uses_own_evidence = uses_own_evidence;
+        fleet.unreachable.push((7, 3));
+        fleet.advance(2 * S);
+        (fleet.failed, fleet.ejected_max) = (0, 0);
+        fleet.advance(10 * S);
+        assert_eq!(fleet.ejected_max, 0);
+        // One server makes about 100 calls per second, so about 1,000 in these 10 s.
         fleet.failed
     };
-    let (with, without) = (play(true), play(false));
+    let (with, without) = (simulate(true), simulate(false));
     println!(
-        "unreached by one of 20: {with} of its 1,000 calls failed in 10 s, {without} without its own evidence"
+        "unreachable by one of 20: {with} of its 1,000 calls failed in 10 s, {without} without own evidence"
     );
-    assert!(with <= 60 && without >= 120, "{with} {without}");
+    assert!(with <= 60 && without >= 120, "failed with own evidence {with}, without {without}");
 }
 
-/// Without probes the evidence fades, and a service that fails still is let in by all time and again.
+/// Without probes the evidence expires, and all servers repeatedly send calls to a service that still fails.
 #[test]
-fn probes_keep_a_failing_service_out() {
-    let play = |probes| {
+fn probes_keep_a_failing_service_ejected() {
+    let simulate = |is_probing| {
         let mut fleet = Fleet::new(20, 8, 500, 2, 5);
-        fleet.probes = probes;
-        fleet.play(2 * S);
+        fleet.is_probing = is_probing;
+        fleet.advance(2 * S);
         fleet.health[1] = Health::Failing;
-        fleet.until(1, true, 5 * S).expect("out");
-        let mut back = 0;
+        fleet.time_until(1, true, 5 * S).expect("the failing service is ejected");
+        let mut not_ejected = 0;
         for _ in 0..1000 {
-            fleet.play(20 * MS);
-            back += (0..20).filter(|i| !fleet.ejects(*i, 1)).count();
+            fleet.advance(20 * MS);
+            not_ejected += (0..20).filter(|i| !fleet.is_ejected_by(*i, 1)).count();
         }
-        back as f64 / 20_000.0
+        not_ejected as f64 / 20_000.0
     };
-    let (with, without) = (play(true), play(false));
-    println!("a service that goes on failing was let in {with:.3} of the time, {without:.3} without probes");
-    assert!(with <= 0.01 && without >= 0.05, "{with} {without}");
+    let (with, without) = (simulate(true), simulate(false));
+    println!("a failing service was not ejected {with:.3} of the time, {without:.3} without probes");
+    assert!(with <= 0.01 && without >= 0.05, "not ejected with probes {with}, without {without}");
 }
 
 #[test]
-fn retries_go_elsewhere_and_load_is_even() {
+fn retries_use_another_service_and_load_is_even() {
     let settings = Settings { services: 3, probe_interval: S, slow_start: S };
     let mut router = Router::new(settings, 9).unwrap();
     for _ in 0..1000 {
-        let again = router.choose(0, CallPreference { last_service: Some(1), may_probe: true }).unwrap();
-        assert_ne!(again.service, 1);
-        router.release(again);
+        let retry = router.choose(0, CallPreference { last_service: Some(1), may_probe: true }).unwrap();
+        assert_ne!(retry.service, 1);
+        router.release(retry);
     }
-    let all: Vec<Choice> = (0..300).map(|_| router.choose(0, CallPreference::default()).unwrap()).collect();
+    let choices: Vec<Choice> =
+        (0..300).map(|_| router.choose(0, CallPreference::default()).unwrap()).collect();
     assert!((0..3).all(|s| (95..=105).contains(&router.outstanding(s))), "{:?}", router.outstanding(0));
-    all.into_iter().for_each(|chosen| router.release(chosen));
-    // One service alone is asked again, ejected or not by this server's own word.
-    let mut one = Router::new(Settings { services: 1, ..settings }, 9).unwrap();
-    one.update_health(0, [HealthView { ejected: false, locally_unhealthy: true, is_prober: true }]);
+    choices.into_iter().for_each(|choice| router.release(choice));
+    // The only service of a tier gets the retry, even if this server finds it unhealthy.
+    let mut single = Router::new(Settings { services: 1, ..settings }, 9).unwrap();
+    single.update_health(0, [HealthView { ejected: false, locally_unhealthy: true, is_prober: true }]);
     assert_eq!(
-        one.choose(0, CallPreference { last_service: Some(0), may_probe: false }).map(|c| c.service),
+        single.choose(0, CallPreference { last_service: Some(0), may_probe: false }).map(|c| c.service),
         Some(0)
     );
     assert!(Router::new(Settings { services: 0, ..settings }, 1).is_err());
 }
 
-/// While the only service is ejected, a call that may not be repeated waits, and one that may goes as a
+/// While the only service is ejected, a non-idempotent call waits, and an idempotent one is sent as a
 /// probe, one at a time.
 #[test]
-fn probes_go_one_at_a_time_and_only_with_what_may_be_repeated() {
+fn probes_are_idempotent_and_sent_one_at_a_time() {
     let mut router = Router::new(Settings { services: 1, probe_interval: S, slow_start: S }, 1).unwrap();
     router.update_health(0, [HealthView { ejected: true, locally_unhealthy: true, is_prober: true }]);
-    let (may, not) = (CallPreference { last_service: None, may_probe: true }, CallPreference::default());
+    let (idempotent, non_idempotent) =
+        (CallPreference { last_service: None, may_probe: true }, CallPreference::default());
     let due = router.next_probe_at().unwrap();
-    assert!((1..=S).contains(&due) && !router.can_route(due - 1, may) && router.can_route(due, may));
-    assert!(!router.can_route(due, not) && router.choose(due, not).is_none());
-    let probe = router.choose(due, may).unwrap();
-    assert!(probe.is_probe && router.choose(due + 5 * S, may).is_none(), "the first is still out");
+    assert!(
+        (1..=S).contains(&due) && !router.can_route(due - 1, idempotent) && router.can_route(due, idempotent)
+    );
+    assert!(!router.can_route(due, non_idempotent) && router.choose(due, non_idempotent).is_none());
+    let probe = router.choose(due, idempotent).unwrap();
+    assert!(
+        probe.is_probe && router.choose(due + 5 * S, idempotent).is_none(),
+        "the first probe is still in progress"
+    );
     router.release(probe);
-    assert!(router.choose(due + 5 * S, may).is_some_and(|next| next.is_probe));
+    assert!(router.choose(due + 5 * S, idempotent).is_some_and(|next| next.is_probe));
     router.update_health(due + 6 * S, [HealthView::default()]);
-    assert!(router.can_route(due + 6 * S, not) && router.next_probe_at().is_none());
+    assert!(router.can_route(due + 6 * S, non_idempotent) && router.next_probe_at().is_none());
 }
 
-/// A service that is out, or just started and cold, stands the probes of a few servers and not those of all:
-/// their sum is the same for a large fleet, and beyond it only 2 * root of N + 2 are chance.
+/// An ejected service, or one that has just started and is cold, withstands the probes of a few servers but
+/// not those of all servers. The number of probes N is the same for a large fleet; up to 2 * sqrt(N) + 2
+/// more are attributed to random variation.
 #[test]
-fn the_sum_of_probes_does_not_grow_with_the_fleet() {
-    let most = |servers: usize, all_probe: bool| {
+fn the_number_of_probes_does_not_grow_with_the_fleet() {
+    let probes_max = |servers: usize, all_servers_probe: bool| {
         let mut fleet = Fleet::new(servers, 20, 300, 3, 11);
-        fleet.all_probe = all_probe;
-        fleet.play(2 * S);
+        fleet.all_servers_probe = all_servers_probe;
+        fleet.advance(2 * S);
         fleet.health[4] = Health::Failing;
-        fleet.until(4, true, 10 * S).expect("out");
-        let mut most = 0;
+        fleet.time_until(4, true, 10 * S).expect("the failing service is ejected");
+        let mut probes = 0;
         for second in 0..20 {
             fleet.calls.fill(0);
-            fleet.play(S);
-            // What was under way as it went out, and servers that take over from each other, come first.
-            most = if second < 4 { 0 } else { most.max(fleet.calls[4]) };
+            fleet.advance(S);
+            // The first 4 s are not counted: calls from before the ejection end, and probers are replaced.
+            probes = if second < 4 { 0 } else { probes.max(fleet.calls[4]) };
         }
-        assert!((0..servers).all(|i| fleet.ejects(i, 4)), "it stays out");
-        most as f64
+        assert!((0..servers).all(|i| fleet.is_ejected_by(i, 4)), "the service stays ejected");
+        probes as f64
     };
-    // Two for each report wanted, eight times in the time that a report counts.
-    let n = 2.0 * 3.0 * 8.0 * S as f64 / EXPIRY as f64;
+    // Two probers per required report, and eight probes by each within the expiry time of a report.
+    let expected = 2.0 * 3.0 * 8.0 * S as f64 / EXPIRY as f64;
     for servers in [20, 30, 100] {
-        let got = most(servers, false);
-        println!("{servers} servers: {got} probes in a second at most, {n} are meant");
-        assert!(got <= n + 2.0 * n.sqrt() + 2.0, "{servers} servers: {got}");
+        let got = probes_max(servers, false);
+        println!("{servers} servers: at most {got} probes per second, {expected} expected");
+        assert!(got <= expected + 2.0 * expected.sqrt() + 2.0, "{servers} servers: {got} probes per second");
         assert!(got > 0.0);
     }
-    let all = most(30, true);
-    println!("30 servers that each probe by themselves: {all}");
-    assert!(all > n + 2.0 * n.sqrt() + 2.0, "{all}");
+    let all = probes_max(30, true);
+    println!("30 servers that all probe: {all} probes per second");
+    assert!(
+        all > expected + 2.0 * expected.sqrt() + 2.0,
+        "30 servers that all probe: {all} probes per second"
+    );
 }
 
 #[test]
 fn lost_probers_are_replaced() {
     let mut fleet = Fleet::new(30, 8, 500, 2, 3);
-    fleet.play(2 * S);
+    fleet.advance(2 * S);
     fleet.health[1] = Health::Failing;
-    fleet.until(1, true, 5 * S).expect("out");
-    fleet.play(6 * S);
+    fleet.time_until(1, true, 5 * S).expect("the failing service is ejected");
+    fleet.advance(6 * S);
     let time = Time::both(fleet.now);
-    let probe: Vec<usize> = (0..30).filter(|i| fleet.judges[*i].is_prober(time, 1)).collect();
-    assert!((1..=6).contains(&probe.len()), "{probe:?}");
-    // Cut from the rest: they call nobody and are not heard.
-    fleet.cut = probe;
-    fleet.health[1] = Health::Well;
-    let back = fleet.now;
-    while (0..30).any(|i| !fleet.cut.contains(&i) && fleet.ejects(i, 1)) {
-        assert!(fleet.now - back < 10 * S, "never back");
-        fleet.play(20 * MS);
+    let probers: Vec<usize> = (0..30).filter(|i| fleet.detectors[*i].is_prober(time, 1)).collect();
+    assert!((1..=6).contains(&probers.len()), "probers {probers:?}");
+    // The probers are partitioned: they make no calls, and no reports of theirs are received.
+    fleet.partitioned = probers;
+    fleet.health[1] = Health::Healthy;
+    let recovered_at = fleet.now;
+    while (0..30).any(|i| !fleet.partitioned.contains(&i) && fleet.is_ejected_by(i, 1)) {
+        assert!(fleet.now - recovered_at < 10 * S, "the recovery is not detected");
+        fleet.advance(20 * MS);
     }
-    println!("back {:.2} s after those that probed were lost", (fleet.now - back) as f64 / S as f64);
+    println!(
+        "recovery detected {:.2} s after the probers were lost",
+        (fleet.now - recovered_at) as f64 / S as f64
+    );
 }
