--- a/crates/overload-control/src/admission.rs
+++ b/crates/overload-control/src/admission.rs
@@ -61,7 +61,7 @@
 }
 
 impl Admission {
-    /// Creates the state, with the first control period starting at `now`.
+    /// Creates the admission state; the first control period starts at `now`.
     pub fn new(now: Nanos) -> Self {
         Self { period_start: now, spares_operations_without_calls: false }
     }
--- a/crates/overload-control/src/call_budget.rs
+++ b/crates/overload-control/src/call_budget.rs
@@ -21,11 +21,12 @@
 
 /// Budget requested for one call.
 pub struct Request {
-    /// Timeout of the call by its deadline and its retries.
+    /// Requested timeout: the time until the result is no longer useful, or the attempt timeout of a call
+    /// that may be repeated if that is shorter.
     pub timeout: Nanos,
-    /// Timeout of this attempt if the call may be repeated, ns; 0 before any call time is learned.
+    /// Timeout of this attempt for a call that may be repeated, ns; 0 before any call time is learned.
     pub attempt_timeout_ns: f64,
-    /// Half of the attempt timeout of the first attempt, ns; 0 before any call time is learned.
+    /// Half of the timeout of a first attempt, ns; 0 before any call time is learned.
     pub base_timeout_ns: f64,
     /// Whether the run has the highest rank.
     pub is_top_rank: bool,
--- a/crates/overload-control/src/controller/rules.rs
+++ b/crates/overload-control/src/controller/rules.rs
@@ -41,9 +41,9 @@
         Some(())
     }
 
-    /// Rejects an arrival if the refusal window of its rank, at the start of the control period, is still
-    /// open. This is the actuator of IAMS (Jiang, Meng, Ren and Zhan). While downstream calls are saturated
-    /// and the cores are not, operations without downstream calls are exempt.
+    /// Rejects an arrival during the refusal window of its rank, which is the first part of the control
+    /// period. This is the actuator of IAMS (Jiang, Meng, Ren and Zhan). While downstream calls are
+    /// saturated and the cores are not, operations without downstream calls are exempt.
     pub(super) fn reject_in_refusal_window(&mut self, host: &mut dyn Host) -> Option<()> {
         let key = self.invocations.next_to_screen()?;
         let (rank, operation) = (self.invocations[key].rank, self.invocations[key].operation);
--- a/crates/overload-control/src/decaying_mean.rs
+++ b/crates/overload-control/src/decaying_mean.rs
@@ -40,7 +40,7 @@
         if self.weight > 0.0 { self.sum / self.weight } else { 0.0 }
     }
 
-    /// Returns the decayed number of observations.
+    /// Returns the number of observations, each weighted by its decay.
     pub fn weight(&self, now: Nanos) -> f64 {
         self.weight * self.remaining_ratio(now)
     }
--- a/crates/overload-control/src/downstream_calls.rs
+++ b/crates/overload-control/src/downstream_calls.rs
@@ -5,13 +5,13 @@
 use crate::operation_times::TIMES_HALF_LIFE;
 use crate::{Deployment, Nanos, Outcome};
 
-/// Additive increase of the limit, as a share of the core count, when a full set of calls succeeds while
-/// the limit is reached.
+/// Increase of the limit, as a share of the core count, after as many successful calls as the limit
+/// permits. Only successes while the limit is reached are counted.
 const LIMIT_GROWTH: f64 = 0.1;
 /// Factor by which each rejected call reduces the limit.
 const LIMIT_CUT_RATIO: f64 = 0.93;
-/// Base timeout of a call that may be repeated, in usual call times. The first attempt has twice the base
-/// timeout, and each further attempt twice the timeout of the previous one.
+/// Base timeout of a call that may be repeated, as a multiple of the usual call time. The first attempt has
+/// twice the base timeout, and each further attempt twice the timeout of the previous one.
 const BASE_TIMEOUT_RATIO: f64 = 2.0;
 /// Number of attempts after which the timeout no longer doubles.
 const DOUBLINGS_MAX: u32 = 8;
@@ -53,7 +53,7 @@
 }
 
 impl DownstreamCalls {
-    /// Creates the state; the limit on calls starts at the core count.
+    /// Creates the state of the calls; their limit starts at the core count.
     pub fn new(deployment: &Deployment, now: Nanos) -> Self {
         Self {
             cores: deployment.cores,
--- a/crates/overload-control/src/draining.rs
+++ b/crates/overload-control/src/draining.rs
@@ -3,10 +3,10 @@
 
 use crate::{Deployment, Nanos};
 
-/// The last answers are given this many answer graces before the process stops.
+/// Number of answer graces between the last answers and the stop of the process.
 const ANSWER_GRACE_COUNT: u64 = 2;
 
-/// Deadlines that follow from the drain notice.
+/// Times that follow from the drain notice.
 #[derive(Clone, Copy, Debug)]
 struct Notice {
     /// Invocations that reach the machine after this time are not run.
--- a/crates/overload-control/src/health.rs
+++ b/crates/overload-control/src/health.rs
@@ -11,11 +11,11 @@
 const FAILING_SHARE_MAX: f64 = 0.9;
 /// Number of observed runs required before failures are taken into account.
 const RUNS_MIN: f64 = 2.0;
-/// The server counts as stalled after this multiple of the longest usual core time without progress on the
-/// cores.
+/// A server counts as stalled if its cores make no progress for this multiple of the longest usual core
+/// time.
 const STALL_RATIO: f64 = 6.0;
 
-/// State of the health evaluation.
+/// Health and readiness of the server.
 pub struct Health {
     /// Share of runs that failed. Its half-life is shorter than that of run times, because a failing server
     /// continues to receive arrivals until the failures are detected.
@@ -27,18 +27,18 @@
 }
 
 impl Health {
-    /// Creates the state of a healthy server.
+    /// Creates the health of a server without failures.
     pub fn new(now: Nanos) -> Self {
         let failing = DecayingMean::new(TIMES_HALF_LIFE / 4, now);
         Self { failing, last_progress: now, is_ready: true }
     }
 
-    /// Notes that a run ended without being stopped.
+    /// Records that a run ended without being stopped, and whether it failed.
     pub fn observe_run(&mut self, now: Nanos, failed: bool) {
         self.failing.add(now, f64::from(failed));
     }
 
-    /// Notes that a run has left the cores.
+    /// Records that a run has left the cores.
     pub fn observe_progress(&mut self, now: Nanos) {
         self.last_progress = now;
     }
--- a/crates/overload-control/src/idle_connections.rs
+++ b/crates/overload-control/src/idle_connections.rs
@@ -3,18 +3,17 @@
 use crate::Nanos;
 use crate::regulator::CONTROL_PERIOD;
 
-/// Connections are kept open if a caller returns at least this often before it would close its own
-/// connection.
+/// Number of times that a caller must return within `timeout_max` for its connections to be kept open.
 const RETURNS_MIN: f64 = 4.0;
-/// If callers return less often, the timeout falls with this power of their return rate: half the returns
-/// leave a sixteenth of the timeout.
+/// If callers return less often than `RETURNS_MIN`, the timeout falls with this power of their return rate:
+/// half the returns leave a sixteenth of the timeout.
 const RETURNS_EXPONENT: i32 = 4;
 /// Minimum timeout, as a share of the control period.
 const TIMEOUT_MIN_SHARE: f64 = 0.02;
 /// Utilization up to which the cores count as idle.
 const IDLE_UTILIZATION: f64 = 0.25;
 
-/// State of the timeout computation.
+/// Computes the timeout of idle connections.
 pub struct IdleConnections {
     /// Whether all connections are kept open.
     keeps_all: bool,
--- a/crates/overload-control/src/lib.rs
+++ b/crates/overload-control/src/lib.rs
@@ -82,8 +82,8 @@
     /// Closes connections that have been idle for at least `after`. If the protocol lets the peer close a
     /// connection, the host instead asks the peer to make no new calls on it.
     fn close_idle_connections(&mut self, after: Nanos);
-    /// Schedules a call of [`controller::Controller::on_timer`] with `timer`, to be made `after` this
-    /// duration.
+    /// Schedules a call of [`controller::Controller::on_timer`] with `timer` once the duration `after` has
+    /// elapsed.
     fn set_timer(&mut self, after: Nanos, timer: u32);
     /// Writes a log line.
     fn log(&mut self, line: &str);
@@ -99,7 +99,7 @@
     pub operations: Vec<Operation>,
     /// Allowance of each tenant in the whole fleet, in invocations per second, by tenant index.
     pub tenant_allowance: Vec<f64>,
-    /// Factor applied to the priority weight of an invocation whose tenant is over its quota.
+    /// Factor by which the priority weight of an invocation is multiplied if its tenant is over its quota.
     pub over_quota_value_ratio: f64,
     /// Settings of fair queueing among tenants that are not listed in advance; `None` turns it off.
     pub fair_queueing: Option<meadowstream_fair_queueing::Settings>,
@@ -107,8 +107,8 @@
     pub peers: f64,
     /// Number of callers of this tier at start, 1 or more.
     pub callers: f64,
-    /// Whether invocations here are downstream calls of a tier above, whose work is lost if they are
-    /// rejected.
+    /// Whether invocations here are downstream calls of another tier. Rejecting such a call wastes the work
+    /// that the other tier has already done.
     pub is_downstream_tier: bool,
     /// Number of cores of this server, 1 or more.
     pub cores: f64,
@@ -134,7 +134,7 @@
     pub retries_marked: bool,
     /// Time after the drain notice during which arrivals are still served.
     pub drain_grace: Nanos,
-    /// Time reserved before the process stops for an answer to reach its caller.
+    /// Time that an answer needs to reach its caller, reserved before the process stops.
     pub answer_grace: Nanos,
     /// Number of concurrent runs that a warm server survives, as a multiple of its cores.
     pub survivable_concurrency_ratio: f64,
@@ -171,9 +171,9 @@
 /// Effect of running an operation more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Equal to running it once.
+    /// Repeated runs have the same effect as one run.
     Idempotent,
-    /// Equal to running it once, as long as its idempotency key is remembered.
+    /// Repeated runs have the same effect as one run while the idempotency key is remembered.
     IdempotentWithKey,
     /// Each run takes effect again.
     NonIdempotent,
@@ -272,14 +272,14 @@
 /// Outcome of a run or of a downstream call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It returned a result.
+    /// The run or call returned a result.
     Succeeded,
-    /// It returned an error.
+    /// The run or call returned an error.
     Failed,
-    /// No answer was received; it may have taken effect.
+    /// No answer was received; the run or call may have taken effect.
     Unknown,
-    /// It was rejected and certainly did not take effect.
+    /// The run or call certainly did not take effect.
     NeverRan,
-    /// It was stopped.
+    /// The run or call was stopped.
     Cancelled,
 }
--- a/crates/overload-control/src/reading.rs
+++ b/crates/overload-control/src/reading.rs
@@ -9,7 +9,7 @@
 /// Reading delay above which the server is flooded, as a share of the shortest latency objective.
 const FLOOD_DELAY_SHARE: f64 = 0.25;
 
-/// Measurements of reading.
+/// Measurements of the cost of reading arrivals.
 pub struct Reading {
     delay: DecayingMean,
     threads: DecayingMean,
@@ -17,7 +17,8 @@
 }
 
 impl Reading {
-    /// Creates the state without observations; the flood threshold derives from `shortest_objective`.
+    /// Creates the measurements without observations. The flood threshold is derived from
+    /// `shortest_objective`.
     pub fn new(shortest_objective: Nanos, now: Nanos) -> Self {
         Self {
             delay: DecayingMean::new(CONTROL_PERIOD / 2, now),
--- a/crates/overload-control/src/regulator.rs
+++ b/crates/overload-control/src/regulator.rs
@@ -13,10 +13,10 @@
 const ITERATION: Iteration = Iteration { steps_max: 200, tolerance: 1e-6 };
 /// Variance of the coefficients of the prior plant.
 const PRIOR_VARIANCE: f64 = 1.0;
-/// Ratio of its weight that an observation keeps from one period to the next.
+/// Factor by which the weight of an observation decays in one control period.
 const FORGETTING_RATIO: f64 = 0.97;
-/// Minimum decaying sum of the variation of the utilization while basic was refused. Below it the estimate
-/// of the plant is not used.
+/// The estimated plant is used only if the utilization has varied at least this much. The variation is a
+/// decaying sum over the control periods in which basic was refused.
 const VARIATION_MIN: f64 = 0.5;
 /// Plausible range of the effect that refusing a class has on the utilization.
 const PLAUSIBLE_EFFECTS: std::ops::Range<f64> = -2.0..-0.2;
@@ -36,7 +36,7 @@
     /// Utilization at the last step.
     utilization: f64,
     estimator: PlantEstimator,
-    /// Decaying sum of the variation of the utilization while basic was refused.
+    /// Decaying sum of the changes of the utilization in control periods in which basic was refused.
     variation: f64,
 }
 
--- a/crates/overload-control/src/retries.rs
+++ b/crates/overload-control/src/retries.rs
@@ -9,7 +9,7 @@
 /// not mark retries, the refusal time ratio of basic is compared instead.
 const PRESSURE_MAX: f64 = 0.3;
 
-/// Measurements of retries.
+/// Measurements of retries by callers.
 pub struct Retries {
     /// Rate of arrivals and the share of them that is marked. The half-life is a few control periods, to
     /// react within seconds.
@@ -19,7 +19,7 @@
 }
 
 impl Retries {
-    /// Creates the state without observations.
+    /// Creates the measurements of retries without observations.
     pub fn new(are_marked: bool, now: Nanos) -> Self {
         Self { marked: DecayingMean::new(CONTROL_PERIOD * 4, now), are_marked }
     }
--- a/crates/overload-control/src/tenant_quota.rs
+++ b/crates/overload-control/src/tenant_quota.rs
@@ -1,5 +1,5 @@
-//! Tenant quotas. Tenants listed in the settings share the fleet's allowance by token buckets; tenants that
-//! are not listed are subject to fair queueing.
+//! Tenant quotas. A tenant listed in the settings has a token bucket, filled at this server's part of the
+//! fleet's allowance. Tenants that are not listed are subject to fair queueing.
 
 use crate::invocations::Invocation;
 use crate::{Arrival, Deployment, Nanos};
@@ -82,14 +82,14 @@
         QuotaDecision { fair_admission: Some(admission), is_over_quota: admission.surplus }
     }
 
-    /// Notes that the run of an invocation has started.
+    /// Informs fair queueing that the run of an invocation has started.
     pub fn on_run_started(&mut self, invocation: &Invocation) {
         if let (Some(fair), Some(admission)) = (&mut self.fair, &invocation.fair_admission) {
             fair.start_service(admission);
         }
     }
 
-    /// Notes that an invocation has left the server.
+    /// Informs fair queueing that an invocation has left the server.
     pub fn on_end(&mut self, now: Nanos, invocation: &Invocation) {
         if let (Some(fair), Some(admission)) = (&mut self.fair, &invocation.fair_admission) {
             let outcome = if invocation.has_run {
@@ -117,7 +117,7 @@
         Some(RetryAdvice { retry_after: advice.retry_after, ticket: advice.ticket })
     }
 
-    /// Updates the server's capacity, in cores.
+    /// Updates the capacity of the server for fair queueing, in cores.
     pub fn set_capacity(&mut self, now: Nanos, capacity: f64, shortest_objective: Nanos) {
         if let Some(fair) = &mut self.fair {
             fair.update_fair_rate(now, capacity, capacity * shortest_objective as f64 * IN_SERVER_SHARE);
--- a/crates/overload-control/src/timers.rs
+++ b/crates/overload-control/src/timers.rs
@@ -13,7 +13,7 @@
 }
 
 impl Timers {
-    /// Creates the state with the deadline timer not set.
+    /// Creates a deadline timer that is not set.
     pub fn new() -> Self {
         Self { deadline_at: Nanos::MAX }
     }
--- a/crates/pending-queue/src/late_search.rs
+++ b/crates/pending-queue/src/late_search.rs
@@ -45,7 +45,7 @@
     pub tree: &'a SumTree,
     /// Blocks of the queue to search.
     pub blocks: &'a [Block],
-    /// Time at which the first entry of all ranks would start.
+    /// Time at which the first entry in run order would start.
     pub now: Nanos,
     /// Entries that run before the node being searched.
     pub ahead: QueuedAhead,
--- a/crates/pending-queue/src/lib.rs
+++ b/crates/pending-queue/src/lib.rs
@@ -86,7 +86,7 @@
     }
 }
 
-/// Identifies an entry; ordered by arrival.
+/// Identifies an entry by its arrival number and key; ordered by arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ArrivalKey {
     /// Same as [`Entry::arrival_number`].
@@ -232,9 +232,9 @@
 
     /// Finds the first late entry in run order: an entry that would end after its deadline and is not among
     /// those that may start immediately. Returns the key of the entry to reject so that the others can meet
-    /// their deadlines. The candidates are the late entry and the entries that run before it in its rank,
-    /// the lowest rank of all that run before it. The entry with the highest start tag is rejected, and
-    /// among equal tags the latest arrival.
+    /// their deadlines. The candidates are the late entry and the entries that run before it in the same
+    /// rank; entries of higher ranks are not rejected. Of the candidates, the one with the highest start
+    /// tag is rejected, and among equal tags the latest arrival.
     pub fn to_reject_for_deadlines(&mut self, now: Nanos, capacity: &Capacity) -> Option<usize> {
         if self.len <= capacity.free_slots {
             return None;
--- a/crates/pending-queue/src/reference_times.rs
+++ b/crates/pending-queue/src/reference_times.rs
@@ -28,12 +28,13 @@
     pub elapsed_ns: f64,
 }
 
-/// Maximum growth of any time, as a share of its reference; 0 or more.
+/// Growth of the usual times since the reference, as a share of the reference. Each field is the maximum
+/// over all operations, 0 or more.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Growth {
-    /// Growth of core times divided by the concurrency limit.
+    /// Growth of the delay of runs behind a run, that is of the core time divided by the concurrency limit.
     pub queue: f64,
-    /// Growth of times from start to end.
+    /// Growth of the time from start to end of a run.
     pub elapsed: f64,
 }
 
--- a/crates/pending-queue/src/summary.rs
+++ b/crates/pending-queue/src/summary.rs
@@ -57,7 +57,8 @@
     /// Number of entries.
     pub count: usize,
     costs: OperationCosts,
-    /// Sum of the work divided by the concurrency limit, at the reference times, ns.
+    /// Total time for which the entries delay later ones, at the reference times, ns: work divided by the
+    /// concurrency limit.
     pub work: f64,
     /// Longest time from start to end of an entry, at the reference times, ns.
     pub longest_elapsed: f64,
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -28,7 +28,7 @@
     pub may_probe: bool,
 }
 
-/// Numbers of calls since the start.
+/// Counters of calls since the router was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RouterCounters {
     /// Number of ordinary calls.
@@ -77,7 +77,7 @@
     settings: Settings,
     services: Vec<Service>,
     rng: ChaCha8Rng,
-    /// Numbers of calls since the start.
+    /// Counters of calls since the router was created.
     pub counters: RouterCounters,
 }
 
@@ -96,7 +96,7 @@
         })
     }
 
-    /// Updates the health of all services as of `now`; `views` are in the order of the services.
+    /// Updates the health of all services as of `now`. The order of `views` is that of the services.
     pub fn update_health(&mut self, now: Nanos, views: impl IntoIterator<Item = HealthView>) {
         for (service, view) in self.services.iter_mut().zip(views) {
             let probe_delay = random_below(&mut self.rng, self.settings.probe_interval) + 1;
@@ -144,7 +144,7 @@
         Some(Choice { service, is_probe: false })
     }
 
-    /// Notes that a call has ended or was abandoned.
+    /// Releases a service after its call has ended or was abandoned.
     pub fn release(&mut self, choice: Choice) {
         let Some(service) = self.services.get_mut(choice.service) else { return };
         service.outstanding = service.outstanding.saturating_sub(1);
--- a/crates/routing/tests/ramp.rs
+++ b/crates/routing/tests/ramp.rs
@@ -111,7 +111,7 @@
                 worst = worst.max(*calls as f64 / calls_max);
                 assert!(
                     *calls as f64 <= calls_max,
-                    "{servers} servers, seed {seed}, window {window}: {calls} calls, max {calls_max:.1}: {:?}",
+                    "{servers} servers, seed {seed}, window {window}: {calls} of {calls_max:.1} calls: {:?}",
                     simulation.calls_per_window
                 );
             }
