--- a/crates/overload-control/src/call_budget.rs
+++ b/crates/overload-control/src/call_budget.rs
@@ -81,8 +81,8 @@
         Some(timeout)
     }
 
-    /// Returns the unused budget of an ended call. The linger time is not returned for an abandoned call,
-    /// which still occupies the dependency.
+    /// Returns the unused budget of an ended call. The linger time of an abandoned call is not returned,
+    /// because the call still occupies the dependency.
     pub fn refund(&mut self, timeout: Nanos, duration: Nanos, outcome: Outcome) {
         let linger = if outcome == Outcome::Unknown { 0 } else { self.linger };
         self.available_ns += (timeout + linger) as f64 - duration as f64;
--- a/crates/overload-control/src/controller/rules.rs
+++ b/crates/overload-control/src/controller/rules.rs
@@ -229,10 +229,11 @@
         self.reject_or_fail(key, retry_after, retry_after, host);
     }
 
-    /// Rejects the invocation if it has not run or is idempotent, otherwise fails it. A promise of
-    /// admission takes effect after `promise_after` at the earliest. The caller is told not to retry
-    /// elsewhere if it has a promise from this server, if its latency objective has passed, or if retries
-    /// would add to an overload of the fleet.
+    /// Rejects the invocation if it is idempotent or certainly had no effect, otherwise fails it; the
+    /// effect of a repeat may have come from the original invocation. A promise of admission takes effect
+    /// after `promise_after` at the earliest. The caller is told not to retry elsewhere if it has a promise
+    /// from this server, if its latency objective has passed, or if retries would add to an overload of the
+    /// fleet.
     fn reject_or_fail(&mut self, key: usize, retry_after: Nanos, promise_after: Nanos, host: &mut dyn Host) {
         let are_retries_harmful = self.retries.are_harmful(self.regulator.ratios().basic);
         let advice = self.issue_retry_advice(key, retry_after, promise_after, host);
--- a/crates/overload-control/src/lib.rs
+++ b/crates/overload-control/src/lib.rs
@@ -43,8 +43,9 @@
     fn start_run(&mut self, invocation: u64);
     /// Preempts a run.
     fn stop_run(&mut self, invocation: u64);
-    /// Rejects an invocation: it never ran, or it is idempotent, so that the caller may safely repeat it.
-    /// `retry_after` is the delay after which the caller may retry at this server, 0 for no advice.
+    /// Rejects an invocation that had no effect or is idempotent, so that the caller may safely repeat it;
+    /// an idempotent one may have run. `retry_after` is the delay after which the caller may retry at this
+    /// server, 0 for no advice.
     ///
     /// `no_retry` tells the caller not to retry at another server, for one of three reasons: the rejection
     /// carries a promise of admission by this server, the latency objective has passed, or retries would
