--- a/crates/server/src/calls/pool.rs
+++ b/crates/server/src/calls/pool.rs
@@ -8,10 +8,10 @@
 use std::time::{Duration, Instant};
 
 /// An idle connection is closed after half of the 10 s after which the other side closes it.
-const KEEP_IDLE_FOR: Duration = Duration::from_secs(5);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 /// A connection is used again only after this time: a duplicate of its last reply may still come, and the
 /// next call would take it for its own.
-const QUIET_FOR: Duration = Duration::from_millis(20);
+const REUSE_DELAY: Duration = Duration::from_millis(20);
 /// Pause before the next attempt to get a descriptor.
 pub const DESCRIPTOR_RETRY_AFTER: Duration = Duration::from_millis(2);
 
@@ -40,18 +40,18 @@
     pub async fn connect(
         &self,
         to: SocketAddr,
-        fresh: bool,
+        needs_new_connection: bool,
         descriptors: &Descriptors,
     ) -> std::io::Result<Pooled> {
         loop {
-            if !fresh && let Some(pooled) = self.reuse(to, Instant::now()) {
+            if !needs_new_connection && let Some(pooled) = self.reuse(to, Instant::now()) {
                 return Ok(pooled);
             }
             if let Some(descriptor) = descriptors.for_call() {
                 let stream = Async::<TcpStream>::connect(to).await?;
                 return Ok(Pooled { stream, to, _descriptor: descriptor });
             }
-            if !fresh || self.idle.borrow_mut().pop().is_none() {
+            if !needs_new_connection || self.idle.borrow_mut().pop().is_none() {
                 Timer::after(DESCRIPTOR_RETRY_AFTER).await;
             }
         }
@@ -71,10 +71,11 @@
     /// The connection used last, unless the other side has closed it or sent something unasked. Those to
     /// other services stay; where a reload has left them without use they are closed as they grow old.
     fn reuse(&self, to: SocketAddr, now: Instant) -> Option<Pooled> {
-        self.close_old();
+        self.close_expired();
         let mut idle = self.idle.borrow_mut();
         loop {
-            let fits = |one: &Idle| one.connection.to == to && now.duration_since(one.since) >= QUIET_FOR;
+            let fits =
+                |idle: &Idle| idle.connection.to == to && now.duration_since(idle.since) >= REUSE_DELAY;
             let last = idle.iter().rposition(fits)?;
             let pooled = idle.remove(last).connection;
             let peeked = pooled.stream.get_ref().peek(&mut [0]);
@@ -86,13 +87,13 @@
 
     /// Keeps a connection for the next call.
     pub fn give_back(&self, connection: Pooled) {
-        self.close_old();
+        self.close_expired();
         self.idle.borrow_mut().push(Idle { connection, since: Instant::now() });
     }
 
     /// Closes connections that were idle for long.
-    pub fn close_old(&self) {
-        self.idle.borrow_mut().retain(|one| one.since.elapsed() < KEEP_IDLE_FOR);
+    pub fn close_expired(&self) {
+        self.idle.borrow_mut().retain(|idle| idle.since.elapsed() < IDLE_TIMEOUT);
     }
 
     /// Closes all idle connections.
--- a/crates/server/src/calls/task.rs
+++ b/crates/server/src/calls/task.rs
@@ -31,7 +31,7 @@
     /// The body of the request.
     pub body: Vec<u8>,
     /// It gets a connection of its own: it must not be lost on one that the other side is about to close.
-    pub fresh: bool,
+    pub needs_new_connection: bool,
 }
 
 impl Call {
@@ -52,23 +52,23 @@
 struct Exchanged {
     reply: http::Reply,
     /// Nothing came behind the reply.
-    is_alone: bool,
+    has_no_trailing_bytes: bool,
 }
 
 /// Makes a call and sends its end to the event loop. A reply that has come is taken even where the call's
 /// time is over by then, so the exchange is looked at before the timer.
 pub async fn make(server: Rc<Server>, to: SocketAddr, call: Call) {
-    let begun = server.clock.now();
+    let started_at = server.clock.now();
     // Until the first byte is written it is certain that nothing ran, whatever goes wrong.
     let written = Cell::new(false);
     let failed = || (if written.get() { Outcome::Unknown } else { Outcome::NeverRan }, Vec::new());
-    let late = async {
-        Timer::after(Duration::from_nanos(call.time_left(begun).unwrap_or(0))).await;
+    let timeout = async {
+        Timer::after(Duration::from_nanos(call.time_left(started_at).unwrap_or(0))).await;
         failed()
     };
     let exchanged = async { exchange(&server, to, &call, &written).await.unwrap_or_else(|_| failed()) };
-    let (outcome, reply) = future::or(exchanged, late).await;
-    let took = server.clock.now() - begun;
+    let (outcome, reply) = future::or(exchanged, timeout).await;
+    let took = server.clock.now() - started_at;
     let (number, reference) = (call.number, format!("{:016x}", call.reference));
     debug!(number, reference, ?outcome, took_us = took / 1_000, "call ended");
     let (invocation, number) = (call.invocation, call.number);
@@ -82,11 +82,11 @@
     call: &Call,
     written: &Cell<bool>,
 ) -> Result<(Outcome, Vec<u8>)> {
-    let pooled = server.pool.connect(to, call.fresh, &server.descriptors).await?;
+    let pooled = server.pool.connect(to, call.needs_new_connection, &server.descriptors).await?;
     let _ = pooled.stream.get_ref().set_nodelay(true);
     send(server, &pooled.stream, to, call, written).await?;
-    let Exchanged { reply, is_alone } = receive_reply(&pooled.stream).await?;
-    if reply.is_reusable && is_alone {
+    let Exchanged { reply, has_no_trailing_bytes } = receive_reply(&pooled.stream).await?;
+    if reply.is_reusable && has_no_trailing_bytes {
         server.pool.give_back(pooled);
     }
     Ok((reply.outcome, reply.body))
@@ -124,7 +124,7 @@
             Parsed::Incomplete => {}
             Parsed::Complete(reply, length) => {
                 ring.drop_front(length);
-                return Ok(Exchanged { reply, is_alone: ring.is_empty() });
+                return Ok(Exchanged { reply, has_no_trailing_bytes: ring.is_empty() });
             }
             Parsed::Malformed(error) => return Err(std::io::Error::new(ErrorKind::InvalidData, error)),
         }
--- a/crates/server/src/connection/accept.rs
+++ b/crates/server/src/connection/accept.rs
@@ -43,7 +43,7 @@
         match next_stream(&server, &listener).await {
             None => {}
             Some(Ok(stream)) => {
-                exhausted &= server.descriptors.mostly_taken();
+                exhausted &= server.descriptors.connections_exceed_half();
                 task::spawn(&server, stream, descriptor);
             }
             Some(Err(error)) => {
@@ -60,12 +60,12 @@
     server: &Server,
     listener: &Async<TcpListener>,
 ) -> Option<std::io::Result<Async<TcpStream>>> {
-    let look = async {
+    let recheck = async {
         drain::next_look(server).await;
         None
     };
     let accepted = async { Some(listener.accept().await.map(|(stream, _)| stream)) };
-    future::or(look, accepted).await
+    future::or(recheck, accepted).await
 }
 
 /// Accepts what waits in the kernel's queue, as far as there are descriptors, before the listener closes: a
--- a/crates/server/src/connection/request.rs
+++ b/crates/server/src/connection/request.rs
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 
 /// Where a caller states how long it waits, in milliseconds.
-const PATIENCE_FIELD: &str = "allow";
+const CLIENT_TIMEOUT_FIELD: &str = "allow";
 /// Where a caller marks a retry, by anything but 0.
 const RETRY_FIELD: &str = "dup";
 
@@ -36,8 +36,8 @@
     #[error("unknown tenant {0:?}")]
     UnknownTenant(Option<String>),
     /// The stated patience is no number of milliseconds.
-    #[error("bad {PATIENCE_FIELD} {0:?}")]
-    BadPatience(String),
+    #[error("bad {CLIENT_TIMEOUT_FIELD} {0:?}")]
+    BadClientTimeout(String),
     /// Without its key a repeat cannot be told from a new call.
     #[error("a call that is idempotent with a key without its key")]
     MissingKey,
@@ -68,11 +68,11 @@
             tag: call.tag,
             operation,
             reference: call.reference,
-            since_unix_ms: call.since_unix_ms,
+            arrival_unix_ms: call.arrival_unix_ms,
             held_kb: call.held_kb,
             idempotency_key: self.idempotency_key(operation, call)?,
             tenant: self.tenant(call)?,
-            patience: self.patience(call)?,
+            client_timeout: self.client_timeout(call)?,
             marked_retry: call.field(RETRY_FIELD).is_some_and(|mark| mark != "0"),
             body: call.body.to_vec(),
             sender: self.sender(call),
@@ -86,7 +86,7 @@
     }
 
     fn check_age(&self, call: &rpc::Call) -> Result<(), RequestError> {
-        let age_ns = self.clock.age(call.since_unix_ms);
+        let age_ns = self.clock.age(call.arrival_unix_ms);
         let limit_ns = self.configuration.longest_client_timeout();
         if age_ns.unsigned_abs() > limit_ns {
             return Err(RequestError::SinceOutOfRange { age_ns, limit_ns });
@@ -106,13 +106,13 @@
     }
 
     /// How long its caller waited when it reached the machine, where callers say so.
-    fn patience(&self, call: &rpc::Call) -> Result<Option<Nanos>, RequestError> {
+    fn client_timeout(&self, call: &rpc::Call) -> Result<Option<Nanos>, RequestError> {
         if !self.configuration.settings.passes_deadline {
             return Ok(None);
         }
-        let Some(text) = call.field(PATIENCE_FIELD) else { return Ok(None) };
+        let Some(text) = call.field(CLIENT_TIMEOUT_FIELD) else { return Ok(None) };
         let stated_ms = decimal::<u32>(text.as_bytes());
-        let stated_ms = stated_ms.ok_or_else(|| RequestError::BadPatience(text.to_string()))?;
+        let stated_ms = stated_ms.ok_or_else(|| RequestError::BadClientTimeout(text.to_string()))?;
         Ok(Some(u64::from(stated_ms) * 1_000_000))
     }
 
--- a/crates/server/src/connection/state.rs
+++ b/crates/server/src/connection/state.rs
@@ -19,7 +19,7 @@
 /// An answer to each open call, and the request for no new call.
 const OUTGOING_MAX_BYTES: usize = (OPEN_CALLS_MAX + 1) * ANSWER_MAX_BYTES;
 /// The first command, and each one begun, is complete within this part of the shortest client timeout.
-const COMMAND_TIMEOUT_PART: u64 = 2;
+const COMMAND_TIMEOUT_DIVISOR: u64 = 2;
 
 /// What the deployment sets for all connections.
 #[derive(Clone, Copy, Debug)]
@@ -163,7 +163,7 @@
     pub fn handle_bytes(&mut self, now: Nanos, bytes: &[u8]) {
         // The caller reads no more than fits.
         let _ = self.incoming.put(bytes);
-        self.incoming.straighten();
+        self.incoming.make_contiguous();
         self.connection.last_used.set(now);
     }
 
@@ -308,7 +308,7 @@
             return None;
         }
         let drained = self.connection.draining.get().then_some(last_used + self.settings.linger);
-        let allowed = self.settings.shortest_client_timeout / COMMAND_TIMEOUT_PART;
+        let allowed = self.settings.shortest_client_timeout / COMMAND_TIMEOUT_DIVISOR;
         let silent = self.command_due_since.map(|since| since + allowed);
         drained.into_iter().chain(silent).min()
     }
--- a/crates/server/src/connection/state/tests.rs
+++ b/crates/server/src/connection/state/tests.rs
@@ -14,7 +14,7 @@
 /// Enough for every connection that a test opens.
 const BUDGET_BYTES: usize = 1 << 20;
 
-struct Played {
+struct TestConnection {
     state: ConnectionState,
     connections: Connections,
     connection: Rc<Connection>,
@@ -22,16 +22,16 @@
     budget: Rc<BufferBudget>,
 }
 
-fn opened_with(settings: ConnectionSettings, budget_bytes: usize) -> Played {
+fn open_connection_with(settings: ConnectionSettings, budget_bytes: usize) -> TestConnection {
     let connections = Connections::default();
     let (connection, notifications) = connections.open(0);
     let budget = BufferBudget::new(budget_bytes);
     let state = ConnectionState::new(settings, connection.clone(), BufferReservation::new(budget.clone()), 0);
-    Played { state, connections, connection, notifications, budget }
+    TestConnection { state, connections, connection, notifications, budget }
 }
 
-fn opened() -> Played {
-    opened_with(SETTINGS, BUDGET_BYTES)
+fn open_connection() -> TestConnection {
+    open_connection_with(SETTINGS, BUDGET_BYTES)
 }
 
 /// A command in the words of the wire.
@@ -46,7 +46,7 @@
     command(&["RPC.CALL", &tag.to_string(), "checkout", "ref=000000000000000a,since=1,room=1", "body"])
 }
 
-impl Played {
+impl TestConnection {
     /// The next event, with every call of a known operation decoded.
     fn poll(&mut self, now: Nanos) -> Option<ReceivedEvent> {
         let connection = self.connection.clone();
@@ -56,10 +56,10 @@
                 tag: call.tag,
                 operation: 0,
                 reference: call.reference,
-                since_unix_ms: call.since_unix_ms,
+                arrival_unix_ms: call.arrival_unix_ms,
                 held_kb: call.held_kb,
                 tenant: 0,
-                patience: None,
+                client_timeout: None,
                 marked_retry: false,
                 body: call.body.to_vec(),
                 idempotency_key: None,
@@ -93,204 +93,203 @@
 
 #[test]
 fn a_call_in_pieces_becomes_one_request_once_it_is_complete() {
-    let mut played = opened();
+    let mut test = open_connection();
     let bytes = call(7);
     for (at, byte) in bytes.iter().enumerate() {
-        assert!(played.poll(at as Nanos).is_none(), "after {at} bytes");
-        played.state.handle_bytes(at as Nanos, &[*byte]);
+        assert!(test.poll(at as Nanos).is_none(), "after {at} bytes");
+        test.state.handle_bytes(at as Nanos, &[*byte]);
     }
-    let Some(ReceivedEvent::Request(request)) = played.poll(500) else { panic!("no request") };
+    let Some(ReceivedEvent::Request(request)) = test.poll(500) else { panic!("no request") };
     assert_eq!((request.tag, request.reference, request.body.as_slice()), (7, 0xa, &b"body"[..]));
-    assert_eq!(played.connection.open_calls.get(), 1);
-    assert!(played.poll(500).is_none());
+    assert_eq!(test.connection.open_calls.get(), 1);
+    assert!(test.poll(500).is_none());
 }
 
 #[test]
 fn commands_that_come_together_are_handled_in_their_order() {
-    let mut played = opened();
+    let mut test = open_connection();
     let together = [call(1), command(&["RPC.HEALTH", "2"]), call(3)].concat();
-    played.state.handle_bytes(0, &together);
-    assert!(matches!(played.poll(0), Some(ReceivedEvent::Request(request)) if request.tag == 1));
-    assert!(matches!(played.poll(0), Some(ReceivedEvent::HealthCheck { tag: 2 })));
-    assert!(matches!(played.poll(0), Some(ReceivedEvent::Request(request)) if request.tag == 3));
-    assert!(played.poll(0).is_none());
+    test.state.handle_bytes(0, &together);
+    assert!(matches!(test.poll(0), Some(ReceivedEvent::Request(request)) if request.tag == 1));
+    assert!(matches!(test.poll(0), Some(ReceivedEvent::HealthCheck { tag: 2 })));
+    assert!(matches!(test.poll(0), Some(ReceivedEvent::Request(request)) if request.tag == 3));
+    assert!(test.poll(0).is_none());
 }
 
 #[test]
 fn an_answer_closes_its_call_and_is_sent_as_it_was_queued() {
-    let mut played = opened();
-    played.open_call(10, 7);
-    assert!(played.state.close_call(7));
+    let mut test = open_connection();
+    test.open_call(10, 7);
+    assert!(test.state.close_call(7));
     let answer = rpc::Answer::Succeeded(b"done".to_vec());
-    played.state.queue_answer(20, 7, &answer, Some(0.5)).unwrap();
-    assert_eq!(played.connection.open_calls.get(), 0);
+    test.state.queue_answer(20, 7, &answer, Some(0.5)).unwrap();
+    assert_eq!(test.connection.open_calls.get(), 0);
     let expected = answered(7, &answer);
     let (first, rest) = expected.split_at(3);
-    assert_eq!(&played.state.poll_transmit()[..3], first);
-    played.state.handle_transmitted(30, 3);
-    assert_eq!(played.transmit_all(40), rest);
-    assert_eq!(played.connection.last_used.get(), 40);
-    assert!(!played.state.is_finished(), "the peer may send another call");
+    assert_eq!(&test.state.poll_transmit()[..3], first);
+    test.state.handle_transmitted(30, 3);
+    assert_eq!(test.transmit_all(40), rest);
+    assert_eq!(test.connection.last_used.get(), 40);
+    assert!(!test.state.is_finished(), "the peer may send another call");
 }
 
 #[test]
 fn a_cancelled_call_is_not_answered() {
-    let mut played = opened();
-    played.open_call(0, 7);
-    played.state.handle_bytes(0, &command(&["RPC.CANCEL", "7"]));
-    assert!(matches!(played.poll(0), Some(ReceivedEvent::Cancelled { tag: 7, was_open: true })));
-    assert!(!played.state.close_call(7));
-    played.state.handle_bytes(0, &command(&["RPC.CANCEL", "7"]));
-    assert!(matches!(played.poll(0), Some(ReceivedEvent::Cancelled { tag: 7, was_open: false })));
+    let mut test = open_connection();
+    test.open_call(0, 7);
+    test.state.handle_bytes(0, &command(&["RPC.CANCEL", "7"]));
+    assert!(matches!(test.poll(0), Some(ReceivedEvent::Cancelled { tag: 7, was_open: true })));
+    assert!(!test.state.close_call(7));
+    test.state.handle_bytes(0, &command(&["RPC.CANCEL", "7"]));
+    assert!(matches!(test.poll(0), Some(ReceivedEvent::Cancelled { tag: 7, was_open: false })));
 }
 
 #[test]
 fn cancelling_where_it_is_not_in_use_is_invalid() {
-    let mut played = opened_with(ConnectionSettings { cancellation: false, ..SETTINGS }, BUDGET_BYTES);
-    played.open_call(0, 7);
-    played.state.handle_bytes(0, &command(&["RPC.CANCEL", "7"]));
-    let Some(ReceivedEvent::Invalid { answer_to, error }) = played.poll(0) else { panic!("not invalid") };
+    let mut test = open_connection_with(ConnectionSettings { cancellation: false, ..SETTINGS }, BUDGET_BYTES);
+    test.open_call(0, 7);
+    test.state.handle_bytes(0, &command(&["RPC.CANCEL", "7"]));
+    let Some(ReceivedEvent::Invalid { answer_to, error }) = test.poll(0) else { panic!("not invalid") };
     assert_eq!((answer_to, error), (None, InvalidCommand::CancellationUnused));
-    assert!(played.state.close_call(7), "the call stays open");
+    assert!(test.state.close_call(7), "the call stays open");
 }
 
 #[test]
 fn an_invalid_command_is_answered_unless_an_open_call_has_its_tag() {
-    let mut played = opened();
-    played.open_call(0, 7);
-    played.state.handle_bytes(0, &call(7));
-    let Some(ReceivedEvent::Invalid { answer_to, error }) = played.poll(0) else { panic!("not invalid") };
+    let mut test = open_connection();
+    test.open_call(0, 7);
+    test.state.handle_bytes(0, &call(7));
+    let Some(ReceivedEvent::Invalid { answer_to, error }) = test.poll(0) else { panic!("not invalid") };
     assert_eq!((answer_to, error), (None, InvalidCommand::TagInUse(7)));
-    played
-        .state
+    test.state
         .handle_bytes(0, &command(&["RPC.CALL", "8", "none", "ref=000000000000000a,since=1,room=1", ""]));
-    let Some(ReceivedEvent::Invalid { answer_to, error }) = played.poll(0) else { panic!("not invalid") };
+    let Some(ReceivedEvent::Invalid { answer_to, error }) = test.poll(0) else { panic!("not invalid") };
     assert_eq!(answer_to, Some(8));
     assert_eq!(error.to_string(), "unknown operation \"none\"");
-    played.state.handle_bytes(0, &command(&["RPC.CALL", "0", "checkout", "", ""]));
-    assert!(matches!(played.poll(0), Some(ReceivedEvent::Invalid { answer_to: None, .. })));
+    test.state.handle_bytes(0, &command(&["RPC.CALL", "0", "checkout", "", ""]));
+    assert!(matches!(test.poll(0), Some(ReceivedEvent::Invalid { answer_to: None, .. })));
 }
 
 #[test]
 fn after_malformed_bytes_nothing_is_read_and_open_calls_are_still_answered() {
-    let mut played = opened();
-    played.open_call(0, 7);
-    played.state.handle_bytes(0, b"+OK\r\n");
-    assert!(matches!(played.poll(0), Some(ReceivedEvent::Malformed(_))));
-    assert!(played.poll(0).is_none() && !played.state.wants_read() && !played.state.is_finished());
-    assert!(played.state.close_call(7));
-    played.state.queue_answer(0, 7, &rpc::Answer::Failed, Some(0.5)).unwrap();
-    assert!(!played.state.is_finished());
-    assert_eq!(played.transmit_all(0), answered(7, &rpc::Answer::Failed));
-    assert!(played.state.is_finished() && !played.state.peer_closed());
+    let mut test = open_connection();
+    test.open_call(0, 7);
+    test.state.handle_bytes(0, b"+OK\r\n");
+    assert!(matches!(test.poll(0), Some(ReceivedEvent::Malformed(_))));
+    assert!(test.poll(0).is_none() && !test.state.wants_read() && !test.state.is_finished());
+    assert!(test.state.close_call(7));
+    test.state.queue_answer(0, 7, &rpc::Answer::Failed, Some(0.5)).unwrap();
+    assert!(!test.state.is_finished());
+    assert_eq!(test.transmit_all(0), answered(7, &rpc::Answer::Failed));
+    assert!(test.state.is_finished() && !test.state.peer_closed());
 }
 
 #[test]
 fn a_peer_that_closes_its_side_still_gets_its_answers() {
-    let mut played = opened();
-    played.open_call(0, 7);
-    played.state.handle_end_of_stream();
-    assert!(played.state.peer_closed() && !played.state.is_finished());
-    assert!(played.state.close_call(7));
-    assert!(played.state.is_finished());
+    let mut test = open_connection();
+    test.open_call(0, 7);
+    test.state.handle_end_of_stream();
+    assert!(test.state.peer_closed() && !test.state.is_finished());
+    assert!(test.state.close_call(7));
+    assert!(test.state.is_finished());
 }
 
 #[test]
 fn a_connection_without_a_command_expires_after_half_the_shortest_client_timeout() {
-    let played = opened();
-    assert_eq!(played.state.poll_timeout(), Some(500));
-    assert_eq!(played.state.handle_timeout(499), Expiry::NotYet);
-    assert_eq!(played.state.handle_timeout(500), Expiry::PeerIdle);
+    let test = open_connection();
+    assert_eq!(test.state.poll_timeout(), Some(500));
+    assert_eq!(test.state.handle_timeout(499), Expiry::NotYet);
+    assert_eq!(test.state.handle_timeout(500), Expiry::PeerIdle);
 }
 
 #[test]
 fn a_command_that_has_begun_is_due_from_its_first_look_and_bytes_do_not_extend_it() {
-    let mut played = opened();
-    played.open_call(0, 7);
-    assert_eq!(played.state.poll_timeout(), None, "an open call keeps the connection");
-    assert!(played.state.close_call(7));
-    assert_eq!(played.state.poll_timeout(), None, "an idle connection may stay");
-    played.state.handle_bytes(600, b"*5\r\n");
-    assert!(played.poll(600).is_none());
-    played.state.handle_bytes(900, b"$8\r\n");
-    assert!(played.poll(900).is_none());
-    assert_eq!(played.state.poll_timeout(), Some(1_100));
+    let mut test = open_connection();
+    test.open_call(0, 7);
+    assert_eq!(test.state.poll_timeout(), None, "an open call keeps the connection");
+    assert!(test.state.close_call(7));
+    assert_eq!(test.state.poll_timeout(), None, "an idle connection may stay");
+    test.state.handle_bytes(600, b"*5\r\n");
+    assert!(test.poll(600).is_none());
+    test.state.handle_bytes(900, b"$8\r\n");
+    assert!(test.poll(900).is_none());
+    assert_eq!(test.state.poll_timeout(), Some(1_100));
 }
 
 #[test]
 fn a_peer_that_does_not_read_is_given_up_after_the_longest_client_timeout() {
-    let mut played = opened();
-    played.state.handle_bytes(0, &command(&["RPC.HEALTH", "2"]));
-    assert!(matches!(played.poll(0), Some(ReceivedEvent::HealthCheck { tag: 2 })));
-    played.state.queue_answer(50, 2, &rpc::Answer::Health(true), None).unwrap();
-    assert_eq!(played.state.poll_timeout(), Some(8_050));
-    played.state.handle_transmitted(100, 1);
-    assert_eq!(played.state.handle_timeout(8_099), Expiry::NotYet);
-    assert_eq!(played.state.handle_timeout(8_100), Expiry::PeerNotReading);
+    let mut test = open_connection();
+    test.state.handle_bytes(0, &command(&["RPC.HEALTH", "2"]));
+    assert!(matches!(test.poll(0), Some(ReceivedEvent::HealthCheck { tag: 2 })));
+    test.state.queue_answer(50, 2, &rpc::Answer::Health(true), None).unwrap();
+    assert_eq!(test.state.poll_timeout(), Some(8_050));
+    test.state.handle_transmitted(100, 1);
+    assert_eq!(test.state.handle_timeout(8_099), Expiry::NotYet);
+    assert_eq!(test.state.handle_timeout(8_100), Expiry::PeerNotReading);
 }
 
 #[test]
 fn a_draining_connection_lingers_once_it_is_idle() {
-    let mut played = opened();
-    played.open_call(0, 7);
-    played.connection.drain();
-    assert!(matches!(played.notifications.try_recv(), Ok(Notification::Drain)));
-    played.state.queue_drain(10).unwrap();
-    assert_eq!(played.transmit_all(20), b"*2\r\n$1\r\n0\r\n$6\r\nenough\r\n");
-    assert_eq!(played.state.poll_timeout(), None);
-    assert!(played.state.close_call(7));
-    assert_eq!(played.state.poll_timeout(), Some(320));
-    assert_eq!(played.state.handle_timeout(320), Expiry::PeerIdle);
+    let mut test = open_connection();
+    test.open_call(0, 7);
+    test.connection.drain();
+    assert!(matches!(test.notifications.try_recv(), Ok(Notification::Drain)));
+    test.state.queue_drain(10).unwrap();
+    assert_eq!(test.transmit_all(20), b"*2\r\n$1\r\n0\r\n$6\r\nenough\r\n");
+    assert_eq!(test.state.poll_timeout(), None);
+    assert!(test.state.close_call(7));
+    assert_eq!(test.state.poll_timeout(), Some(320));
+    assert_eq!(test.state.handle_timeout(320), Expiry::PeerIdle);
 }
 
 #[test]
 fn an_idle_connection_asked_to_close_is_finished_unless_a_command_comes() {
-    let mut played = opened();
-    assert!(!played.connections.close_one_idle(49_999_999));
-    assert!(played.connections.close_one_idle(50_000_000));
-    assert!(played.state.is_finished());
-    played.state.handle_bytes(50_000_000, &call(7));
-    assert!(matches!(played.poll(50_000_000), Some(ReceivedEvent::Request(_))));
-    assert!(!played.state.is_finished());
+    let mut test = open_connection();
+    assert!(!test.connections.close_one_idle(49_999_999));
+    assert!(test.connections.close_one_idle(50_000_000));
+    assert!(test.state.is_finished());
+    test.state.handle_bytes(50_000_000, &call(7));
+    assert!(matches!(test.poll(50_000_000), Some(ReceivedEvent::Request(_))));
+    assert!(!test.state.is_finished());
 }
 
 #[test]
 fn calls_beyond_the_most_that_may_be_open_stay_unread() {
-    let mut played = opened();
+    let mut test = open_connection();
     for tag in 1..=OPEN_CALLS_MAX as u64 {
-        played.open_call(0, tag);
+        test.open_call(0, tag);
     }
-    played.state.handle_bytes(0, &call(99));
-    assert!(played.poll(0).is_none() && !played.state.wants_read() && !played.state.waits_for_buffers());
-    assert!(played.state.close_call(1));
-    assert!(matches!(played.poll(0), Some(ReceivedEvent::Request(request)) if request.tag == 99));
+    test.state.handle_bytes(0, &call(99));
+    assert!(test.poll(0).is_none() && !test.state.wants_read() && !test.state.waits_for_buffers());
+    assert!(test.state.close_call(1));
+    assert!(matches!(test.poll(0), Some(ReceivedEvent::Request(request)) if request.tag == 99));
 }
 
 #[test]
 fn a_spent_buffer_budget_holds_reading_back_until_bytes_are_given_back() {
-    let mut played = opened_with(SETTINGS, 1);
-    let mut other = BufferReservation::new(played.budget.clone());
+    let mut test = open_connection_with(SETTINGS, 1);
+    let mut other = BufferReservation::new(test.budget.clone());
     other.resize(1);
-    played.state.handle_bytes(0, &call(7));
-    assert!(played.poll(0).is_none() && played.state.waits_for_buffers() && !played.state.wants_read());
+    test.state.handle_bytes(0, &call(7));
+    assert!(test.poll(0).is_none() && test.state.waits_for_buffers() && !test.state.wants_read());
     drop(other);
-    assert!(!played.state.waits_for_buffers());
-    assert!(matches!(played.poll(0), Some(ReceivedEvent::Request(_))));
-    assert!(played.state.waits_for_buffers(), "the open call and its answer are reserved");
-    drop(played.state);
-    assert!(played.budget.has_capacity());
+    assert!(!test.state.waits_for_buffers());
+    assert!(matches!(test.poll(0), Some(ReceivedEvent::Request(_))));
+    assert!(test.state.waits_for_buffers(), "the open call and its answer are reserved");
+    drop(test.state);
+    assert!(test.budget.has_capacity());
 }
 
 #[test]
 fn answers_that_do_not_fit_are_an_error_and_queue_nothing() {
-    let mut played = opened();
+    let mut test = open_connection();
     let answer = rpc::Answer::Succeeded(vec![b'x'; resp::WORD_MAX]);
     let mut queued = 0;
-    while played.state.queue_answer(0, 7, &answer, None).is_ok() {
+    while test.state.queue_answer(0, 7, &answer, None).is_ok() {
         queued += 1;
     }
     assert!(queued >= OPEN_CALLS_MAX);
-    let error = played.state.queue_answer(0, 7, &answer, None).unwrap_err();
+    let error = test.state.queue_answer(0, 7, &answer, None).unwrap_err();
     assert!(error.bytes > resp::WORD_MAX);
-    assert_eq!(played.transmit_all(0).len() % error.bytes, 0);
+    assert_eq!(test.transmit_all(0).len() % error.bytes, 0);
 }
--- a/crates/server/src/connection/table.rs
+++ b/crates/server/src/connection/table.rs
@@ -10,9 +10,9 @@
 /// Calls that may be open on one connection; further ones stay unread.
 pub const OPEN_CALLS_MAX: usize = 32;
 /// A connection that has brought nothing may be closed for another one after this time without use.
-const UNUSED_CLOSES_AFTER_NS: Nanos = 50_000_000;
+const UNUSED_TIMEOUT_NS: Nanos = 50_000_000;
 /// The same for one that has brought a command before.
-const IDLE_CLOSES_AFTER_NS: Nanos = 500_000_000;
+const IDLE_TIMEOUT_NS: Nanos = 500_000_000;
 
 /// What other tasks send to the task of a connection.
 pub enum Notification {
@@ -82,7 +82,7 @@
 
     /// Whether it has been without use for so long that another connection may have its descriptor.
     fn may_be_closed(&self, now: Nanos) -> bool {
-        let keep_for = if self.has_received.get() { IDLE_CLOSES_AFTER_NS } else { UNUSED_CLOSES_AFTER_NS };
+        let keep_for = if self.has_received.get() { IDLE_TIMEOUT_NS } else { UNUSED_TIMEOUT_NS };
         !self.closes_if_idle.get() && self.open_calls.get() == 0 && self.last_used.get() + keep_for <= now
     }
 }
--- a/crates/server/src/connection/task.rs
+++ b/crates/server/src/connection/task.rs
@@ -21,7 +21,7 @@
 const BUFFERS_RETRY_AFTER: Duration = Duration::from_millis(10);
 /// A connection lingers for this part of the time from the notice to leave to the stop. It may linger twice,
 /// idle and then in its close, and both have to end before the stop.
-const LINGER_PART: u64 = 8;
+const LINGER_DIVISOR: u64 = 8;
 /// Read at once.
 const READ_MAX_BYTES: usize = 8 * 1024;
 
@@ -74,7 +74,7 @@
     ConnectionSettings {
         longest_client_timeout: configuration.longest_client_timeout(),
         shortest_client_timeout: configuration.shortest_client_timeout(),
-        linger: configuration.stop_ms * 1_000_000 / LINGER_PART,
+        linger: configuration.stop_ms * 1_000_000 / LINGER_DIVISOR,
         cancellation: configuration.settings.notifies_cancellation,
     }
 }
--- a/crates/server/src/event.rs
+++ b/crates/server/src/event.rs
@@ -18,13 +18,13 @@
     /// The caller's number for the invocation over all its attempts.
     pub reference: u64,
     /// When it reached the machine, in Unix milliseconds.
-    pub since_unix_ms: u64,
+    pub arrival_unix_ms: u64,
     /// Memory that it reserves while it runs, in kilobytes.
     pub held_kb: f64,
     /// Place of its tenant in the settings; 0 where these name no tenants.
     pub tenant: usize,
     /// How long its caller waits from then on, where callers say so.
-    pub patience: Option<Nanos>,
+    pub client_timeout: Option<Nanos>,
     /// Its caller has marked it as a retry.
     pub marked_retry: bool,
     /// What the operation is applied to.
@@ -84,9 +84,9 @@
     /// The log is to show the tenants with the highest demand.
     LogTenants,
     /// A part of a change of weights and shares.
-    Retune(Box<SettingsChange>),
+    ReconfigureFairQueueing(Box<SettingsChange>),
     /// Every event sent before this one has been handled once it is signalled.
-    Processed(Sender<()>),
+    Barrier(Sender<()>),
     /// The utilization of the cores to steer to from now on.
     SetTargetUtilization(f64),
     /// The server is to drain and end.
--- a/crates/server/src/event_loop/actions.rs
+++ b/crates/server/src/event_loop/actions.rs
@@ -48,7 +48,7 @@
     /// The ticket for the rejection that comes next.
     pub promised: Option<PromisedAdmission>,
     /// Invocations that ended since an action was not possible; the controller is notified next.
-    pub not_possible: Vec<u64>,
+    pub unsupported: Vec<u64>,
     /// Repeats that were answered; the controller is notified next.
     pub replayed: Vec<Replayed>,
     /// Number of the last downstream call.
@@ -72,7 +72,7 @@
             session: InterpreterSession::default(),
             timers: TimerQueue::default(),
             promised: None,
-            not_possible: Vec::new(),
+            unsupported: Vec::new(),
             replayed: Vec::new(),
             last_call: 0,
         }
@@ -85,7 +85,7 @@
 
     /// Requests the gauges for a timer of the controller.
     pub fn request_gauges(&mut self, timer: u32) {
-        self.server.pool.close_old();
+        self.server.pool.close_expired();
         self.server.counters.gauges_asked.add();
         let nonce = self.session.request_gauges(timer);
         self.set_timer_after(GAUGES_TIMEOUT_NS, Timer::GaugesOverdue { nonce });
@@ -110,8 +110,8 @@
                 lines.push(sent.line.clone());
                 invocation.was_resent = true;
             }
-            if let Some(sent_on) = invocation.stop_sent_on.as_mut().filter(|sent_on| **sent_on < link) {
-                *sent_on = link;
+            if let Some(last_link) = invocation.stop_link.as_mut().filter(|last_link| **last_link < link) {
+                *last_link = link;
                 lines.push(interpreter::stop(invocation.reference));
             }
         }
@@ -163,7 +163,7 @@
         };
         let line = interpreter::stop(invocation.reference);
         self.server.counters.stops_sent.add();
-        invocation.stop_sent_on = Some(self.session.send(line));
+        invocation.stop_link = Some(self.session.send(line));
     }
 
     /// A run has ended; repeats that wait for it are answered with it.
@@ -182,7 +182,7 @@
         if let Some(invocation) = self.invocations.get(id) {
             invocation.is_running = false;
             invocation.unconfirmed = None;
-            invocation.stop_sent_on = None;
+            invocation.stop_link = None;
         }
     }
 
@@ -215,10 +215,10 @@
 
     /// Settings that ask for what the wire cannot carry are refused at the start. Should the controller ask
     /// for it all the same, the invocation ends with an error.
-    pub fn fail_as_not_possible(&mut self, id: u64, what: &str) {
+    pub fn fail_as_unsupported(&mut self, id: u64, what: &str) {
         warn!(what, "not on this wire");
         self.answer(id, Answer::Failed);
         self.stop(id);
-        self.not_possible.push(id);
+        self.unsupported.push(id);
     }
 }
--- a/crates/server/src/event_loop/answers.rs
+++ b/crates/server/src/event_loop/answers.rs
@@ -25,7 +25,7 @@
         Answer::Rejected { .. } => Answered::Rejected,
         _ => Answered::Failed,
     };
-    let latency = server.clock.age(invocation.since_unix_ms).max(0) as Nanos;
+    let latency = server.clock.age(invocation.arrival_unix_ms).max(0) as Nanos;
     let operations = &server.configuration.settings.deployment.operations;
     let late = latency > operations[invocation.operation].client_timeout;
     rollout.record.answered(invocation.operation, outcome, latency, late);
--- a/crates/server/src/event_loop/arrivals.rs
+++ b/crates/server/src/event_loop/arrivals.rs
@@ -11,7 +11,7 @@
 use std::hash::Hasher;
 
 /// The key of a request, and the hash of its body: another body with the key is no repeat.
-struct KeyedBody {
+struct KeyWithBodyHash {
     key: Vec<u8>,
     body_hash: u64,
 }
@@ -23,14 +23,14 @@
     pub fn register(&mut self, mut request: Request, has_controller: bool) -> Option<Arrival> {
         let now = self.server.clock.now();
         let mut arrival = self.describe(&request);
-        let keyed = request.idempotency_key.take().map(|key| self.keyed_body(key, &request.body));
+        let keyed = request.idempotency_key.take().map(|key| self.key_with_body_hash(key, &request.body));
         let lookup = keyed.as_ref().map(|keyed| {
-            let reached = now.saturating_sub(arrival.age);
-            self.idempotency.find(now, reached, request.operation, &keyed.key, keyed.body_hash)
+            let arrived_at = now.saturating_sub(arrival.age);
+            self.idempotency.find(now, arrived_at, request.operation, &keyed.key, keyed.body_hash)
         });
         let repeat_of = self.count_lookup(lookup);
         let (operation, tag, connection) = (request.operation, request.tag, request.connection.clone());
-        if lookup == Some(Lookup::OtherBody) {
+        if lookup == Some(Lookup::BodyMismatch) {
             self.fail_unregistered(&connection, tag);
             return None;
         }
@@ -47,18 +47,18 @@
         }
         arrival.id = id;
         arrival.repeats = repeat_of;
-        arrival.key_not_stored = lookup == Some(Lookup::Full);
+        arrival.key_not_stored = lookup == Some(Lookup::TableFull);
         Some(arrival)
     }
 
     fn describe(&self, request: &Request) -> Arrival {
-        let age = self.server.clock.age(request.since_unix_ms).max(0) as Nanos;
+        let age = self.server.clock.age(request.arrival_unix_ms).max(0) as Nanos;
         Arrival {
             operation: request.operation,
             tenant: request.tenant,
             sender: request.sender.clone(),
             age,
-            remaining_deadline: request.patience.map(|stated| stated.saturating_sub(age).max(1)),
+            remaining_deadline: request.client_timeout.map(|stated| stated.saturating_sub(age).max(1)),
             is_marked_retry: request.marked_retry,
             held_kb: request.held_kb,
             ..Arrival::default()
@@ -66,10 +66,10 @@
     }
 
     /// Callers choose the bodies, so the hash is seeded.
-    fn keyed_body(&self, key: Vec<u8>, body: &[u8]) -> KeyedBody {
+    fn key_with_body_hash(&self, key: Vec<u8>, body: &[u8]) -> KeyWithBodyHash {
         let mut hasher = SipHasher13::new_with_keys(self.server.configuration.seed, 0);
         hasher.write(body);
-        KeyedBody { key, body_hash: hasher.finish() }
+        KeyWithBodyHash { key, body_hash: hasher.finish() }
     }
 
     /// Counts what was found of a key. Returns the invocation that is repeated.
@@ -80,8 +80,8 @@
                 counters.repeats.add();
                 return Some(original);
             }
-            Lookup::OtherBody => counters.tokens_other.add(),
-            Lookup::Full => counters.tokens_full.add(),
+            Lookup::BodyMismatch => counters.tokens_other.add(),
+            Lookup::TableFull => counters.tokens_full.add(),
             Lookup::New => {}
         }
         None
@@ -89,10 +89,10 @@
 
     /// The window counts from the time of reading: it must not end too early for a caller whose clock is
     /// behind.
-    fn keep_key(&mut self, id: u64, operation: usize, keyed: &KeyedBody, now: Nanos) {
+    fn keep_key(&mut self, id: u64, operation: usize, keyed: &KeyWithBodyHash, now: Nanos) {
         let operations = &self.server.configuration.settings.deployment.operations;
-        let until = now + operations[operation].idempotency_window;
-        self.idempotency.insert(id, operation, &keyed.key, keyed.body_hash, until);
+        let window_end = now + operations[operation].idempotency_window;
+        self.idempotency.insert(id, operation, &keyed.key, keyed.body_hash, window_end);
     }
 
     fn fail_unregistered(&self, connection: &Connection, tag: u64) {
--- a/crates/server/src/event_loop/downstream.rs
+++ b/crates/server/src/event_loop/downstream.rs
@@ -21,7 +21,7 @@
     /// Makes the call that a run waits for.
     pub fn start(&mut self, id: u64, timeout: Nanos) {
         let Some(records) = self.server.configuration.addresses.get().records else {
-            return self.fail_as_not_possible(id, "a call");
+            return self.fail_as_unsupported(id, "a call");
         };
         self.last_call += 1;
         let number = self.last_call;
@@ -29,7 +29,7 @@
         let Some(invocation) = self.invocations.get(id) else { return };
         let (reference, body) = (invocation.reference, invocation.call_body.clone());
         let operations = &self.server.configuration.settings.deployment.operations;
-        let fresh = operations[invocation.operation].effect != Effect::Idempotent;
+        let needs_new_connection = operations[invocation.operation].effect != Effect::Idempotent;
         let started = match &self.server.shared {
             Some(shared) => shared.start_call(number, timeout, preference),
             None => StartedCall { timeout, destination: None },
@@ -44,7 +44,8 @@
             "call permitted"
         );
         let permitted_at = self.server.clock.now();
-        let call = Call { invocation: id, number, reference, permitted_at, timeout, body, fresh };
+        let call =
+            Call { invocation: id, number, reference, permitted_at, timeout, body, needs_new_connection };
         let task = self.server.executor.spawn(call::make(self.server.clone(), to, call));
         invocation.call = Some(RunningCall { number, _task: task });
         self.server.counters.calls.add();
@@ -53,7 +54,7 @@
     /// Resumes a run with the reply that the options state for calls that are left out.
     pub fn skip(&mut self, id: u64) {
         let reply = self.server.configuration.options.borrow().skipped_call_reply.clone();
-        let Some(reply) = reply else { return self.fail_as_not_possible(id, "leaving a call out") };
+        let Some(reply) = reply else { return self.fail_as_unsupported(id, "leaving a call out") };
         if let Some(line) = self.resume_line(id, reply.as_bytes()) {
             self.server.counters.calls_left_out.add();
             self.send_for_run(id, line);
--- a/crates/server/src/event_loop/host.rs
+++ b/crates/server/src/event_loop/host.rs
@@ -57,7 +57,7 @@
 
     fn replay_result(&mut self, id: u64) {
         let Some(original) = self.invocations.get(id).and_then(|invocation| invocation.repeat_of) else {
-            return self.fail_as_not_possible(id, "answering a repeat from its forerunner");
+            return self.fail_as_unsupported(id, "answering a repeat from its forerunner");
         };
         match self.idempotency.replay(original, id) {
             Replay::Pending => {}
--- a/crates/server/src/event_loop/interpreter_session.rs
+++ b/crates/server/src/event_loop/interpreter_session.rs
@@ -53,14 +53,14 @@
     pub fn send_replay_fence(&mut self) {
         let nonce = self.next_nonce();
         self.replay_fence = Some(nonce);
-        self.send(interpreter::ask_gauges(nonce));
+        self.send(interpreter::request_gauges(nonce));
     }
 
     /// Requests the gauges for a timer of the controller. Returns the nonce of the request.
     pub fn request_gauges(&mut self, timer: u32) -> u64 {
         let nonce = self.next_nonce();
         self.gauges_request = Some(GaugesRequest { nonce, timer });
-        self.send(interpreter::ask_gauges(nonce));
+        self.send(interpreter::request_gauges(nonce));
         nonce
     }
 
--- a/crates/server/src/event_loop/mod.rs
+++ b/crates/server/src/event_loop/mod.rs
@@ -23,7 +23,7 @@
 use tracing::{debug, info};
 
 /// A timer that the controller has not set: it looks at everything again.
-const UNSET_TIMER: u32 = u32::MAX;
+const RECHECK_TIMER: u32 = u32::MAX;
 
 /// The event loop.
 pub struct EventLoop {
@@ -50,7 +50,7 @@
             }
             set_for = next;
             if events.is_empty() {
-                self.note_wait();
+                self.record_idle();
             }
             let due = async {
                 (&mut timer).await;
@@ -68,8 +68,8 @@
         let Some(controller) = &mut self.controller else { return };
         let actions = &mut self.actions;
         act(controller, actions.server.clock.now(), actions);
-        while !actions.not_possible.is_empty() || !actions.replayed.is_empty() {
-            if let Some(id) = actions.not_possible.pop() {
+        while !actions.unsupported.is_empty() || !actions.replayed.is_empty() {
+            if let Some(id) = actions.unsupported.pop() {
                 controller.on_caller_gone(actions.server.clock.now(), id, actions);
             }
             if let Some(Replayed { invocation, outcome }) = actions.replayed.pop() {
@@ -126,10 +126,10 @@
                     });
                 }
             }
-            Event::DownstreamCapacity => self.on_timer(UNSET_TIMER, Gauges::default()),
+            Event::DownstreamCapacity => self.on_timer(RECHECK_TIMER, Gauges::default()),
             Event::LogTenants => self.log_tenants(),
-            Event::Retune(change) => self.retune(change),
-            Event::Processed(done) => {
+            Event::ReconfigureFairQueueing(change) => self.retune(change),
+            Event::Barrier(done) => {
                 let _ = done.try_send(());
             }
             Event::SetTargetUtilization(target) => {
@@ -170,7 +170,7 @@
     }
 
     /// The queue is empty, so that the thread does what else there is before the next event.
-    fn note_wait(&self) {
+    fn record_idle(&self) {
         let mut pauses = self.actions.server.change_pauses.get();
         pauses.interrupt();
         self.actions.server.change_pauses.set(pauses);
@@ -232,10 +232,10 @@
                     self.handle_run_end(id, outcome, result);
                 }
             }
-            Notice::Awaits { task, body } => self.handle_call_needed(task, body),
+            Notice::AwaitsCall { task, body } => self.handle_call_needed(task, body),
             Notice::Gauges { nonce, readings } => self.handle_gauges(nonce, &readings),
-            Notice::NotDone { command, task } => self.handle_not_done(&command, task),
-            Notice::Banner { .. } | Notice::Remark => {}
+            Notice::CommandFailed { command, task } => self.handle_command_failed(&command, task),
+            Notice::Banner { .. } | Notice::Trace => {}
         }
     }
 
@@ -261,7 +261,7 @@
         }
     }
 
-    fn handle_not_done(&mut self, command: &str, task: Option<u64>) {
+    fn handle_command_failed(&mut self, command: &str, task: Option<u64>) {
         self.actions.server.counters.commands_not_done.add();
         debug!(command, task = task.map(|id| format!("{id:016x}")), "the interpreter did not do it");
         let id = task.and_then(|task| self.actions.invocations.find(task));
--- a/crates/server/src/event_loop/timers.rs
+++ b/crates/server/src/event_loop/timers.rs
@@ -19,7 +19,7 @@
 /// Ordered by time, then by the order in which they were set.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Entry {
-    at: Nanos,
+    fires_at: Nanos,
     sequence: u64,
     timer: Timer,
 }
@@ -33,14 +33,14 @@
 
 impl TimerQueue {
     /// Sets a timer that fires once.
-    pub fn set(&mut self, at: Nanos, timer: Timer) {
+    pub fn set(&mut self, fires_at: Nanos, timer: Timer) {
         self.last_sequence += 1;
-        self.entries.push(Reverse(Entry { at, sequence: self.last_sequence, timer }));
+        self.entries.push(Reverse(Entry { fires_at, sequence: self.last_sequence, timer }));
     }
 
     /// When the next one fires.
     pub fn next_at(&self) -> Option<Nanos> {
-        self.entries.peek().map(|Reverse(entry)| entry.at)
+        self.entries.peek().map(|Reverse(entry)| entry.fires_at)
     }
 
     /// Removes the next one that is due.
--- a/crates/server/src/fleet/membership.rs
+++ b/crates/server/src/fleet/membership.rs
@@ -134,7 +134,7 @@
             Wake::Due
         };
         let leave = async {
-            let _ = self.server.left.recv().await;
+            let _ = self.server.leave_signal.recv().await;
             Wake::Leave
         };
         future::or(datagram, future::or(timer, leave)).await
--- a/crates/server/src/interpreter/link.rs
+++ b/crates/server/src/interpreter/link.rs
@@ -28,11 +28,11 @@
 /// Longest pause between attempts.
 const BACKOFF_MAX: Duration = Duration::from_millis(160);
 /// Part of the time until the server must be ready that is allowed for the first attempt to connect.
-const CONNECT_PART: u32 = 10;
+const CONNECT_DIVISOR: u32 = 10;
 /// The same for the banner.
-const BANNER_PART: u32 = 5;
+const BANNER_DIVISOR: u32 = 5;
 /// A link on which nothing has come for so many control periods is given up: gauges are requested in each.
-const SILENT_PERIODS: usize = 4;
+const SILENT_PERIODS_MAX: usize = 4;
 
 /// Keeps a link to the interpreter for as long as the server runs.
 pub async fn run(server: Rc<Server>) {
@@ -40,11 +40,12 @@
     let mut backoff = BACKOFF;
     loop {
         let mut linked = false;
-        let moved = async {
-            let _ = server.interpreter_moved.1.recv().await;
+        let address_changed = async {
+            let _ = server.interpreter_address_changed.1.recv().await;
             Err(Error::other("the interpreter has another address"))
         };
-        if let Err(error) = future::or(moved, session(&server, &mut incarnation, &mut linked)).await {
+        if let Err(error) = future::or(address_changed, session(&server, &mut incarnation, &mut linked)).await
+        {
             if linked {
                 warn!(%error, last_read = incarnation.last_read, "link to the interpreter lost");
             }
@@ -62,19 +63,19 @@
     error.kind() == ErrorKind::TimedOut
 }
 
-async fn within<T>(limit: Duration, work: impl Future<Output = Result<T>>) -> Result<T> {
-    let late = async {
+async fn with_timeout<T>(limit: Duration, work: impl Future<Output = Result<T>>) -> Result<T> {
+    let timeout = async {
         Timer::after(limit).await;
         Err(ErrorKind::TimedOut.into())
     };
-    future::or(work, late).await
+    future::or(work, timeout).await
 }
 
 /// Waits for bytes until so many periods have brought none. They are counted one by one: after a standstill
 /// of the machine all are over at once, though nothing was requested in them.
-async fn receive_or_give_up(stream: &Async<TcpStream>, ring: &mut Ring) -> Result<()> {
-    for _ in 0..SILENT_PERIODS {
-        match within(Duration::from_nanos(CONTROL_PERIOD), receive(stream, ring)).await {
+async fn receive_or_time_out(stream: &Async<TcpStream>, ring: &mut Ring) -> Result<()> {
+    for _ in 0..SILENT_PERIODS_MAX {
+        match with_timeout(Duration::from_nanos(CONTROL_PERIOD), receive(stream, ring)).await {
             Err(error) if is_timeout(&error) => {}
             received => return received,
         }
@@ -86,7 +87,7 @@
 async fn session(server: &Server, incarnation: &mut Incarnation, linked: &mut bool) -> Result<()> {
     let address = server.configuration.addresses.get().interpreter;
     let connecting = Async::<TcpStream>::connect(address);
-    let stream = within(incarnation.time_allowance(CONNECT_PART), connecting).await?;
+    let stream = with_timeout(incarnation.time_allowance(CONNECT_DIVISOR), connecting).await?;
     stream.get_ref().set_nodelay(true)?;
     let requested = server.clock.now();
     (&stream).write_all(&interpreter::connect(incarnation.last_read)).await?;
@@ -111,10 +112,10 @@
         let counters = &self.server.counters;
         loop {
             if *linked {
-                receive_or_give_up(self.stream, &mut ring).await?;
+                receive_or_time_out(self.stream, &mut ring).await?;
             } else {
-                let allowance = incarnation.time_allowance(BANNER_PART);
-                within(allowance, receive(self.stream, &mut ring)).await?;
+                let allowance = incarnation.time_allowance(BANNER_DIVISOR);
+                with_timeout(allowance, receive(self.stream, &mut ring)).await?;
             }
             while let Some(line) = reader.read(ring.front(), &mut incarnation.last_read, counters) {
                 ring.drop_front(line.length);
@@ -130,7 +131,7 @@
         let Notice::Banner { cold, age } = notice else { return Event::Notice(notice) };
         *linked = true;
         self.server.counters.links.add();
-        let restarted = incarnation.is_restarted(self.requested, self.server.clock.now(), age);
+        let restarted = incarnation.detect_restart(self.requested, self.server.clock.now(), age);
         Event::Linked { cold, age, restarted, commands: self.commands.clone() }
     }
 }
--- a/crates/server/src/interpreter/reader.rs
+++ b/crates/server/src/interpreter/reader.rs
@@ -18,7 +18,7 @@
 #[derive(Default)]
 pub struct NoticeReader {
     /// The bytes up to the next line end belong to a line that is too long.
-    skips_line: bool,
+    skipping_line: bool,
 }
 
 impl NoticeReader {
@@ -33,7 +33,7 @@
                 return Some(self.skip(bytes));
             }
         };
-        if std::mem::take(&mut self.skips_line) {
+        if std::mem::take(&mut self.skipping_line) {
             return Some(ReadLine { notice: None, length });
         }
         counters.notices.add();
@@ -55,7 +55,7 @@
     /// Drops what is here of a line that is too long.
     fn skip(&mut self, bytes: &[u8]) -> ReadLine {
         let end = bytes.iter().position(|byte| *byte == b'\n').map(|end| end + 1);
-        self.skips_line = end.is_none();
+        self.skipping_line = end.is_none();
         ReadLine { notice: None, length: end.unwrap_or(bytes.len()) }
     }
 }
--- a/crates/server/src/lifecycle/catalog.rs
+++ b/crates/server/src/lifecycle/catalog.rs
@@ -21,7 +21,7 @@
         Err(error) => return warn!(%error, "no socket for the catalog"),
     };
     let mut has_failed = false;
-    while !server.leaves() {
+    while !server.is_leaving() {
         if server.counters.links.get() == 0 {
             Timer::after(LOOK_EVERY).await;
             continue;
--- a/crates/server/src/lifecycle/drain.rs
+++ b/crates/server/src/lifecycle/drain.rs
@@ -39,7 +39,7 @@
 /// Returns when it is time to look whether the drain is over: at once when the server starts to leave, and
 /// regularly from then on.
 pub async fn next_look(server: &Server) {
-    if server.left.recv().await.is_err() {
+    if server.leave_signal.recv().await.is_err() {
         Timer::after(LOOK_EVERY).await;
     }
 }
--- a/crates/server/src/lifecycle/reload.rs
+++ b/crates/server/src/lifecycle/reload.rs
@@ -209,7 +209,7 @@
         server.pool.close_all();
     }
     if addresses.interpreter != old_addresses.interpreter {
-        let _ = server.interpreter_moved.0.try_send(());
+        let _ = server.interpreter_address_changed.0.try_send(());
     }
     announce(server, retunes).await;
     Ok(())
@@ -218,7 +218,7 @@
 /// Waits until the event loop has handled all events so far.
 async fn processed(server: &Server) {
     let (done, is_done) = async_channel::bounded(1);
-    let _ = server.events.send(Event::Processed(done)).await;
+    let _ = server.events.send(Event::Barrier(done)).await;
     let _ = is_done.recv().await;
 }
 
@@ -238,7 +238,7 @@
     }
     let parts = retunes.len();
     for retune in retunes {
-        let _ = server.events.send(Event::Retune(Box::new(retune))).await;
+        let _ = server.events.send(Event::ReconfigureFairQueueing(Box::new(retune))).await;
         processed(server).await;
         // The sockets are looked at, and whatever has come is served, before the next part.
         Timer::after(PART_INTERVAL).await;
--- a/crates/server/src/lifecycle/start.rs
+++ b/crates/server/src/lifecycle/start.rs
@@ -99,7 +99,7 @@
 ) -> Result<(), StartError> {
     let signals = signals::subscribe().map_err(StartError::Signals)?;
     let listener = listen(&configuration)?;
-    let descriptors = Descriptors::within(configuration.sockets)?;
+    let descriptors = Descriptors::with_limit(configuration.sockets)?;
     let membership = configuration.membership.as_ref().map(bind_membership).transpose()?;
     let opened = Opened { signals, listener, membership };
     for note in &configuration.notes {
@@ -139,7 +139,7 @@
     // The start time in Unix nanoseconds: a restart under the old name has a higher incarnation.
     let incarnation = clock.now();
     let (events, events_received) = async_channel::bounded::<Event>(EVENTS_MAX);
-    let (stay, left) = async_channel::bounded(1);
+    let (stay, leave_signal) = async_channel::bounded(1);
     let (leave, leave_requests) = async_channel::bounded(1);
     let shared = shared(&configuration, incarnation).map_err(StartError::SharedState)?;
     let rollout = rollout(&configuration, incarnation, leave).map_err(StartError::Rollout)?;
@@ -156,9 +156,9 @@
         descriptors,
         buffers,
         drain: DrainState::default(),
-        interpreter_moved: async_channel::bounded(1),
+        interpreter_address_changed: async_channel::bounded(1),
         counters: Counters::default(),
-        left,
+        leave_signal,
         shared,
         rollout,
         changes: Changes::default(),
--- a/crates/server/src/resources/descriptors.rs
+++ b/crates/server/src/resources/descriptors.rs
@@ -5,13 +5,13 @@
 use std::rc::Rc;
 
 /// Opened after the start beside those counted here: the interpreter's link and the catalog's socket.
-const OPENED_LATER: usize = 2;
+const OPENED_AFTER_START: usize = 2;
 /// Taken for open at the start where that cannot be counted.
-const OPEN_AT_START: usize = 13;
+const OPEN_AT_START_FALLBACK: usize = 13;
 /// Part of the descriptors that connections never use. Downstream calls leave half of it to connections.
-const RESERVE_PART: usize = 8;
+const RESERVE_DIVISOR: usize = 8;
 /// The least of that reserve.
-const RESERVE_LEAST: usize = 2;
+const RESERVE_MIN: usize = 2;
 
 /// The limit leaves no descriptor for callers.
 #[derive(Debug, thiserror::Error)]
@@ -44,18 +44,19 @@
 
 impl Descriptors {
     /// What the process's limit leaves beside the descriptors that are open now.
-    pub fn within(limit: usize) -> Result<Self, TooFewDescriptors> {
-        let open = std::fs::read_dir("/proc/self/fd").map_or(OPEN_AT_START, |entries| entries.count() - 1);
-        let in_use = open + OPENED_LATER;
+    pub fn with_limit(limit: usize) -> Result<Self, TooFewDescriptors> {
+        let open =
+            std::fs::read_dir("/proc/self/fd").map_or(OPEN_AT_START_FALLBACK, |entries| entries.count() - 1);
+        let in_use = open + OPENED_AFTER_START;
         let left = limit.saturating_sub(in_use);
-        if left <= RESERVE_LEAST {
+        if left <= RESERVE_MIN {
             return Err(TooFewDescriptors { limit, in_use });
         }
         Ok(Self { limit: left, in_use: Rc::default() })
     }
 
     fn reserve(&self) -> usize {
-        (self.limit / RESERVE_PART).max(RESERVE_LEAST)
+        (self.limit / RESERVE_DIVISOR).max(RESERVE_MIN)
     }
 
     /// One for a connection, if there is one.
@@ -65,7 +66,7 @@
     }
 
     /// Whether connections use more than half of all.
-    pub fn mostly_taken(&self) -> bool {
+    pub fn connections_exceed_half(&self) -> bool {
         2 * self.in_use.connections.get() > self.limit
     }
 
--- a/crates/server/src/resources/descriptors/tests.rs
+++ b/crates/server/src/resources/descriptors/tests.rs
@@ -7,49 +7,54 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 
-async fn within(limit: Duration, what: impl Future<Output = Descriptor>) -> Option<Descriptor> {
-    let late = async {
+async fn with_timeout(limit: Duration, work: impl Future<Output = Descriptor>) -> Option<Descriptor> {
+    let timeout = async {
         Timer::after(limit).await;
         None
     };
-    or(async { Some(what.await) }, late).await
+    or(async { Some(work.await) }, timeout).await
 }
 
 /// Descriptors for eight, whatever the process that tests holds open.
-fn eight() -> Descriptors {
+fn eight_descriptors() -> Descriptors {
     let open = std::fs::read_dir("/proc/self/fd").unwrap().count() - 1;
-    let descriptors = Descriptors::within(open + 64).unwrap();
+    let descriptors = Descriptors::with_limit(open + 64).unwrap();
     Descriptors { limit: 8, ..descriptors }
 }
 
 #[test]
 fn a_file_waits_for_a_place_and_takes_none_that_is_not_there() {
-    let (descriptors, pool) = (eight(), Pool::default());
+    let (descriptors, pool) = (eight_descriptors(), Pool::default());
     let mut held: Vec<Descriptor> = std::iter::from_fn(|| descriptors.for_connection()).collect();
     held.extend(std::iter::from_fn(|| descriptors.for_call()));
     let all = descriptors.in_use.all.get();
     assert!(
-        block_on(within(20 * DESCRIPTOR_RETRY_AFTER, pool.descriptor_for_file(&descriptors))).is_none(),
+        block_on(with_timeout(20 * DESCRIPTOR_RETRY_AFTER, pool.descriptor_for_file(&descriptors))).is_none(),
         "{all} of 8 in use"
     );
     assert_eq!(descriptors.in_use.all.get(), all);
     drop(held.pop());
-    let place = block_on(within(20 * DESCRIPTOR_RETRY_AFTER, pool.descriptor_for_file(&descriptors)));
-    assert!(place.is_some());
+    let descriptor =
+        block_on(with_timeout(20 * DESCRIPTOR_RETRY_AFTER, pool.descriptor_for_file(&descriptors)));
+    assert!(descriptor.is_some());
     assert_eq!(descriptors.in_use.all.get(), all);
 }
 
 #[test]
 fn call_connections_at_rest_make_room_for_a_file() {
-    let (descriptors, pool) = (eight(), Pool::default());
+    let (descriptors, pool) = (eight_descriptors(), Pool::default());
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let to = listener.local_addr().unwrap();
-    let mut rest = Vec::new();
+    let mut idle = Vec::new();
     while descriptors.for_call().is_some() {
-        rest.push(block_on(pool.connect(to, true, &descriptors)).unwrap());
+        idle.push(block_on(pool.connect(to, true, &descriptors)).unwrap());
     }
-    assert!(block_on(within(20 * DESCRIPTOR_RETRY_AFTER, pool.descriptor_for_file(&descriptors))).is_none());
-    rest.into_iter().for_each(|pooled| pool.give_back(pooled));
-    assert!(block_on(within(20 * DESCRIPTOR_RETRY_AFTER, pool.descriptor_for_file(&descriptors))).is_some());
+    assert!(
+        block_on(with_timeout(20 * DESCRIPTOR_RETRY_AFTER, pool.descriptor_for_file(&descriptors))).is_none()
+    );
+    idle.into_iter().for_each(|pooled| pool.give_back(pooled));
+    assert!(
+        block_on(with_timeout(20 * DESCRIPTOR_RETRY_AFTER, pool.descriptor_for_file(&descriptors))).is_some()
+    );
     let _: Vec<TcpStream> = listener.incoming().take(1).map_while(Result::ok).collect();
 }
--- a/crates/server/src/resources/idempotency.rs
+++ b/crates/server/src/resources/idempotency.rs
@@ -32,7 +32,7 @@
     /// A call with the key and another body is no repeat.
     body_hash: u64,
     /// Calls with the key that reached the machine before this are repeats of it.
-    until: Nanos,
+    window_end: Nanos,
     state: EntryState,
 }
 
@@ -44,9 +44,9 @@
     /// It is that of this invocation.
     Repeat(u64),
     /// It is in use with another body.
-    OtherBody,
+    BodyMismatch,
     /// It has not been used, and no more keys can be remembered: the invocation must not run.
-    Full,
+    TableFull,
 }
 
 /// How a repeat is answered.
@@ -65,7 +65,7 @@
     entries: HashMap<u64, Entry>,
     by_key: HashMap<Key, u64>,
     /// When each may be dropped, and which it is.
-    by_end: BTreeSet<(Nanos, u64)>,
+    by_expiry: BTreeSet<(Nanos, u64)>,
     /// Invocations whose results are kept, the oldest first.
     results: VecDeque<u64>,
     result_bytes: usize,
@@ -81,7 +81,7 @@
         Self {
             entries: HashMap::new(),
             by_key: HashMap::new(),
-            by_end: BTreeSet::new(),
+            by_expiry: BTreeSet::new(),
             results: VecDeque::new(),
             result_bytes: 0,
             entries_max,
@@ -94,48 +94,58 @@
     pub fn find(
         &mut self,
         now: Nanos,
-        reached: Nanos,
+        arrived_at: Nanos,
         operation: usize,
         key: &[u8],
         body_hash: u64,
     ) -> Lookup {
         self.expire(now);
-        let found =
-            self.by_key.get(&Key { operation, key: key.to_vec() }).map(|inv| (*inv, &self.entries[inv]));
+        let found = self
+            .by_key
+            .get(&Key { operation, key: key.to_vec() })
+            .map(|invocation| (*invocation, &self.entries[invocation]));
         match found {
-            Some((inv, entry)) if reached < entry.until => {
+            Some((invocation, entry)) if arrived_at < entry.window_end => {
                 if entry.body_hash == body_hash {
-                    Lookup::Repeat(inv)
+                    Lookup::Repeat(invocation)
                 } else {
-                    Lookup::OtherBody
+                    Lookup::BodyMismatch
                 }
             }
             // Its window is over though it is still remembered; the new one takes its place.
-            _ if self.entries.len() >= self.entries_max => Lookup::Full,
+            _ if self.entries.len() >= self.entries_max => Lookup::TableFull,
             _ => Lookup::New,
         }
     }
 
     /// Calls with this key that reach the machine before `until` are repeats of this invocation.
-    pub fn insert(&mut self, inv: u64, operation: usize, key: &[u8], body_hash: u64, until: Nanos) {
+    pub fn insert(
+        &mut self,
+        invocation: u64,
+        operation: usize,
+        key: &[u8],
+        body_hash: u64,
+        window_end: Nanos,
+    ) {
         let key = Key { operation, key: key.to_vec() };
-        self.by_key.insert(key.clone(), inv);
-        self.by_end.insert((until.saturating_add(self.unread_max), inv));
-        self.entries.insert(inv, Entry { key, body_hash, until, state: EntryState::Open(Vec::new()) });
+        self.by_key.insert(key.clone(), invocation);
+        self.by_expiry.insert((window_end.saturating_add(self.unread_max), invocation));
+        self.entries
+            .insert(invocation, Entry { key, body_hash, window_end, state: EntryState::Open(Vec::new()) });
     }
 
     /// Makes the key of an invocation new again, as it never ran. Returns the repeats that wait for it.
-    pub fn forget(&mut self, inv: u64) -> Vec<u64> {
-        let Some(entry) = self.entries.remove(&inv) else { return Vec::new() };
-        self.by_end.remove(&(entry.until.saturating_add(self.unread_max), inv));
-        if self.by_key.get(&entry.key) == Some(&inv) {
+    pub fn forget(&mut self, invocation: u64) -> Vec<u64> {
+        let Some(entry) = self.entries.remove(&invocation) else { return Vec::new() };
+        self.by_expiry.remove(&(entry.window_end.saturating_add(self.unread_max), invocation));
+        if self.by_key.get(&entry.key) == Some(&invocation) {
             self.by_key.remove(&entry.key);
         }
         match entry.state {
             EntryState::Open(waiting) => waiting,
             EntryState::Succeeded(result) => {
                 self.result_bytes -= result.len();
-                self.results.retain(|other| *other != inv);
+                self.results.retain(|other| *other != invocation);
                 Vec::new()
             }
             EntryState::Failed => Vec::new(),
@@ -163,13 +173,13 @@
     }
 
     /// A run has ended, with a result where it succeeded. Returns the repeats that wait for it.
-    pub fn run_ended(&mut self, inv: u64, result: Option<&[u8]>) -> Vec<u64> {
-        let Some(entry) = self.entries.get_mut(&inv) else { return Vec::new() };
+    pub fn run_ended(&mut self, invocation: u64, result: Option<&[u8]>) -> Vec<u64> {
+        let Some(entry) = self.entries.get_mut(&invocation) else { return Vec::new() };
         let state = result.map_or(EntryState::Failed, |result| EntryState::Succeeded(result.to_vec()));
         let EntryState::Open(waiting) = std::mem::replace(&mut entry.state, state) else { return Vec::new() };
         if let Some(result) = result {
             self.result_bytes += result.len();
-            self.results.push_back(inv);
+            self.results.push_back(invocation);
         }
         self.evict_results();
         waiting
@@ -190,10 +200,10 @@
 
     /// Drops the keys that no repeat can have any more. One whose run goes on stays until that ends.
     fn expire(&mut self, now: Nanos) {
-        let over: Vec<u64> = self.by_end.range(..(now, 0)).map(|(_, inv)| *inv).collect();
-        for inv in over {
-            if !matches!(self.entries[&inv].state, EntryState::Open(_)) {
-                self.forget(inv);
+        let expired: Vec<u64> = self.by_expiry.range(..(now, 0)).map(|(_, invocation)| *invocation).collect();
+        for invocation in expired {
+            if !matches!(self.entries[&invocation].state, EntryState::Open(_)) {
+                self.forget(invocation);
             }
         }
     }
--- a/crates/server/src/resources/invocations.rs
+++ b/crates/server/src/resources/invocations.rs
@@ -15,7 +15,7 @@
     /// Its tenant, where the fleet counts that one by name.
     pub counted_tenant: Option<String>,
     /// When it reached the machine, in Unix milliseconds.
-    pub since_unix_ms: u64,
+    pub arrival_unix_ms: u64,
     /// What the operation is applied to.
     pub body: Vec<u8>,
     /// Where its answer goes.
@@ -33,7 +33,7 @@
     /// A command for it went out on more than one link.
     pub was_resent: bool,
     /// The link on which a stop that is not confirmed was sent.
-    pub stop_sent_on: Option<u64>,
+    pub stop_link: Option<u64>,
     /// The body of the downstream call that the run waits for.
     pub call_body: Vec<u8>,
     /// The run waits for a downstream call.
@@ -51,7 +51,7 @@
             reference: request.reference,
             operation: request.operation,
             counted_tenant,
-            since_unix_ms: request.since_unix_ms,
+            arrival_unix_ms: request.arrival_unix_ms,
             body: request.body,
             connection: request.connection,
             tag: request.tag,
@@ -60,7 +60,7 @@
             is_running: false,
             unconfirmed: None,
             was_resent: false,
-            stop_sent_on: None,
+            stop_link: None,
             call_body: Vec::new(),
             awaits_call: false,
             call: None,
@@ -128,7 +128,8 @@
 
     /// Those of a connection that are not answered.
     pub fn open_on(&self, connection: u64) -> Vec<u64> {
-        let is_open = |one: &Invocation| !one.is_answered && one.connection.id == connection;
+        let is_open =
+            |invocation: &Invocation| !invocation.is_answered && invocation.connection.id == connection;
         let open = self.all.iter().filter(|(_, invocation)| is_open(invocation));
         open.map(|(id, _)| *id).collect()
     }
@@ -141,7 +142,7 @@
 
     /// Removes one that is answered and does not run.
     pub fn release(&mut self, id: u64) {
-        let is_over = |one: &Invocation| one.is_answered && !one.is_running;
+        let is_over = |invocation: &Invocation| invocation.is_answered && !invocation.is_running;
         if self.all.get(&id).is_some_and(is_over)
             && let Some(released) = self.all.remove(&id)
         {
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -48,11 +48,11 @@
     /// Memory for the buffers of connections.
     pub buffers: Rc<BufferBudget>,
     /// Notifies the link that the interpreter has another address.
-    pub interpreter_moved: (Sender<()>, Receiver<()>),
+    pub interpreter_address_changed: (Sender<()>, Receiver<()>),
     /// How far the drain has come.
     pub drain: DrainState,
     /// Closed once the server is to leave.
-    pub left: Receiver<()>,
+    pub leave_signal: Receiver<()>,
     /// State shared with other servers, where the options say so.
     pub shared: Option<Shared>,
     /// This server's part in rollouts, where the options say so.
@@ -65,8 +65,8 @@
 
 impl Server {
     /// Whether it was told to leave.
-    pub fn leaves(&self) -> bool {
-        self.left.is_closed()
+    pub fn is_leaving(&self) -> bool {
+        self.leave_signal.is_closed()
     }
 }
 
@@ -83,6 +83,6 @@
         return Err(ErrorKind::UnexpectedEof.into());
     }
     let _ = ring.put(&chunk[..count]);
-    ring.straighten();
+    ring.make_contiguous();
     Ok(())
 }
--- a/crates/server/src/wire/interpreter.rs
+++ b/crates/server/src/wire/interpreter.rs
@@ -30,7 +30,7 @@
         result: Vec<u8>,
     },
     /// A run waits for a downstream call.
-    Awaits {
+    AwaitsCall {
         /// The reference of the invocation.
         task: u64,
         /// The body of the call.
@@ -44,14 +44,14 @@
         readings: Vec<f64>,
     },
     /// A command was not carried out.
-    NotDone {
+    CommandFailed {
         /// Its verb.
         command: String,
         /// The reference of its invocation, where it has one.
         task: Option<u64>,
     },
     /// A remark for its own log.
-    Remark,
+    Trace,
 }
 
 /// Why a line is no notice.
@@ -104,13 +104,13 @@
     let notice = match text(&object, "verb")? {
         "BANNER" => banner(&object)?,
         "VALUE" => ended(&object)?,
-        "AWAIT" => Notice::Awaits { task: task(&object)?, body: body(&object)? },
+        "AWAIT" => Notice::AwaitsCall { task: task(&object)?, body: body(&object)? },
         "TOPS" => gauges(&object)?,
         "ERROR" => {
             let command = text(&object, "outcome").unwrap_or("").to_string();
-            Notice::NotDone { command, task: task(&object).ok() }
+            Notice::CommandFailed { command, task: task(&object).ok() }
         }
-        "TRACE" => Notice::Remark,
+        "TRACE" => Notice::Trace,
         other => return Err(NoticeError::UnknownVerb(other.to_string())),
     };
     Ok((object["index"].as_u64(), notice))
@@ -189,6 +189,6 @@
 }
 
 /// Requests the gauges.
-pub fn ask_gauges(nonce: u64) -> Vec<u8> {
+pub fn request_gauges(nonce: u64) -> Vec<u8> {
     command(&json!({"verb": "TOP", "nonce": nonce.to_string()}))
 }
--- a/crates/server/src/wire/ring.rs
+++ b/crates/server/src/wire/ring.rs
@@ -44,7 +44,7 @@
     }
 
     /// Makes all bytes contiguous, so that `front` returns them all.
-    pub fn straighten(&mut self) {
+    pub fn make_contiguous(&mut self) {
         self.bytes.make_contiguous();
     }
 
--- a/crates/server/src/wire/rpc.rs
+++ b/crates/server/src/wire/rpc.rs
@@ -75,7 +75,7 @@
     /// The caller's number for the invocation over all its attempts.
     pub reference: u64,
     /// When it reached the machine, in Unix milliseconds.
-    pub since_unix_ms: u64,
+    pub arrival_unix_ms: u64,
     /// Memory reserved for it, in kilobytes.
     pub held_kb: f64,
     /// What the operation is applied to.
@@ -138,7 +138,7 @@
         tag,
         operation,
         reference: required(fields, "ref", hex)?,
-        since_unix_ms: required(fields, "since", |text| decimal(text.as_bytes()))?,
+        arrival_unix_ms: required(fields, "since", |text| decimal(text.as_bytes()))?,
         held_kb: required(fields, "room", held_kb)?,
         body,
         sender: number,
--- a/crates/server/src/wire/tests.rs
+++ b/crates/server/src/wire/tests.rs
@@ -16,24 +16,24 @@
 }
 
 /// A whole message is taken whatever follows it, and every cut of it waits for more.
-fn whole_or_more(message: &[u8], parse: impl Fn(&[u8]) -> Parsed<()>) {
+fn assert_prefixes_incomplete(message: &[u8], parse: impl Fn(&[u8]) -> Parsed<()>) {
     for end in 0..message.len() {
         assert!(matches!(parse(&message[..end]), Parsed::Incomplete), "cut at {end}");
     }
-    for behind in [&b""[..], b"*", b"HTTP", b"\r\n{"] {
-        let Parsed::Complete(_, used) = parse(&[message, behind].concat()) else { panic!("not taken") };
+    for suffix in [&b""[..], b"*", b"HTTP", b"\r\n{"] {
+        let Parsed::Complete(_, used) = parse(&[message, suffix].concat()) else { panic!("not taken") };
         assert_eq!(used, message.len());
     }
 }
 
 /// Every byte in turn replaced by each of some, and every cut of that: no panic, nothing beyond the end.
-fn never_panics(message: &[u8], parse: impl Fn(&[u8]) -> Parsed<()>) {
+fn assert_mutations_do_not_panic(message: &[u8], parse: impl Fn(&[u8]) -> Parsed<()>) {
     for at in 0..message.len() {
         for byte in [0, b'\r', b'\n', b'-', b'9', b'$', b'"', b':', 0xff] {
-            let mut bent = message.to_vec();
-            bent[at] = byte;
-            for end in at..=bent.len() {
-                if let Parsed::Complete(_, used) = parse(&bent[..end]) {
+            let mut mutated = message.to_vec();
+            mutated[at] = byte;
+            for end in at..=mutated.len() {
+                if let Parsed::Complete(_, used) = parse(&mutated[..end]) {
                     assert!(used <= end);
                 }
             }
@@ -48,8 +48,8 @@
 
 #[test]
 fn arrays() {
-    whole_or_more(ARRAY, |bytes| extent(resp::array(bytes)));
-    never_panics(ARRAY, |bytes| extent(resp::array(bytes)));
+    assert_prefixes_incomplete(ARRAY, |bytes| extent(resp::array(bytes)));
+    assert_mutations_do_not_panic(ARRAY, |bytes| extent(resp::array(bytes)));
     assert_eq!(resp::array(ARRAY), Parsed::Complete(vec![&b"RPC.CALL"[..], b"7", b"a\r\nb"], ARRAY.len()));
     let mut written = Vec::new();
     resp::put_array(&mut written, &[b"RPC.CALL", b"7", b"a\r\nb"]);
@@ -85,7 +85,7 @@
         tag: 7,
         operation: "checkout",
         reference: 0x9b1f_03aa_5c7e_2d41,
-        since_unix_ms: 1_764_576_000_123,
+        arrival_unix_ms: 1_764_576_000_123,
         held_kb: 24.5,
         body: b"\0\xff",
         sender: Some(4),
@@ -134,25 +134,25 @@
         answer(rpc::Answer::Succeeded(b"hi".to_vec()), Some(0.5)),
         ["7", "good", "pressure=0.5", "hi"]
     );
-    let throttled = rpc::Answer::Rejected { no_retry: true, retry_after: 1_000_001, ticket: None };
-    assert_eq!(answer(throttled, Some(0.0)), ["7", "refused", "pressure=0,cooldown=2,nowhere=1", ""]);
-    let throttled = rpc::Answer::Rejected { no_retry: false, retry_after: 5_000_000, ticket: Some(10) };
-    assert_eq!(answer(throttled, None), ["7", "refused", "cooldown=5,ticket=000000000000000a", ""]);
-    let throttled = rpc::Answer::Rejected { no_retry: false, retry_after: 0, ticket: None };
-    assert_eq!(answer(throttled, None), ["7", "refused", "", ""]);
+    let rejected = rpc::Answer::Rejected { no_retry: true, retry_after: 1_000_001, ticket: None };
+    assert_eq!(answer(rejected, Some(0.0)), ["7", "refused", "pressure=0,cooldown=2,nowhere=1", ""]);
+    let rejected = rpc::Answer::Rejected { no_retry: false, retry_after: 5_000_000, ticket: Some(10) };
+    assert_eq!(answer(rejected, None), ["7", "refused", "cooldown=5,ticket=000000000000000a", ""]);
+    let rejected = rpc::Answer::Rejected { no_retry: false, retry_after: 0, ticket: None };
+    assert_eq!(answer(rejected, None), ["7", "refused", "", ""]);
     assert_eq!(answer(rpc::Answer::Health(false), None), ["7", "unfit", "", ""]);
 }
 
 #[test]
 fn replies() {
-    whole_or_more(REPLY, |bytes| extent(http::reply(bytes)));
-    never_panics(REPLY, |bytes| extent(http::reply(bytes)));
+    assert_prefixes_incomplete(REPLY, |bytes| extent(http::reply(bytes)));
+    assert_mutations_do_not_panic(REPLY, |bytes| extent(http::reply(bytes)));
 }
 
 #[test]
 fn heads_that_announce_a_reply_are_passed_over() {
     let early = [b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Wait\r\n\r\n", REPLY].concat();
-    whole_or_more(&early, |bytes| extent(http::reply(bytes)));
+    assert_prefixes_incomplete(&early, |bytes| extent(http::reply(bytes)));
     let Parsed::Complete(reply, _) = http::reply(&early) else { panic!("not taken") };
     assert_eq!((reply.outcome, reply.body), (Outcome::NeverRan, b"abc".to_vec()));
 }
@@ -199,8 +199,8 @@
 
 #[test]
 fn notices() {
-    whole_or_more(LINE, |bytes| extent(interpreter::line(bytes)));
-    never_panics(LINE, |bytes| {
+    assert_prefixes_incomplete(LINE, |bytes| extent(interpreter::line(bytes)));
+    assert_mutations_do_not_panic(LINE, |bytes| {
         if let Parsed::Complete(line, _) = interpreter::line(bytes) {
             let _ = interpreter::notice(line);
         }
@@ -228,7 +228,7 @@
     for round in 0..20u8 {
         assert!(ring.put(&[round, round + 1, round + 2]));
         assert!(!ring.put(&[0; 6]));
-        ring.straighten();
+        ring.make_contiguous();
         assert_eq!(ring.front(), [round, round + 1, round + 2]);
         ring.drop_front(3);
         assert!(ring.is_empty() && ring.free() == 8);
--- a/crates/server/src/wire/tests/outside_names.rs
+++ b/crates/server/src/wire/tests/outside_names.rs
@@ -14,7 +14,7 @@
     String::from_utf8(out).unwrap()
 }
 
-fn throttled(no_retry: bool, retry_after: u64, ticket: Option<u64>) -> rpc::Answer {
+fn rejected(no_retry: bool, retry_after: u64, ticket: Option<u64>) -> rpc::Answer {
     rpc::Answer::Rejected { no_retry, retry_after, ticket }
 }
 
@@ -23,19 +23,19 @@
     let cases = [
         (rpc::Answer::Succeeded(b"x".to_vec()), "good", "pressure=0.5", "x"),
         (
-            throttled(true, 1_000_001, Some(255)),
+            rejected(true, 1_000_001, Some(255)),
             "refused",
             "pressure=0.5,cooldown=2,nowhere=1,ticket=00000000000000ff",
             "",
         ),
-        (throttled(false, 0, None), "refused", "pressure=0.5", ""),
+        (rejected(false, 0, None), "refused", "pressure=0.5", ""),
         (rpc::Answer::Failed, "broken", "pressure=0.5", ""),
         (rpc::Answer::Health(true), "fit", "pressure=0.5", ""),
         (rpc::Answer::Health(false), "unfit", "pressure=0.5", ""),
     ];
-    for (given, word, fields, body) in cases {
-        let words = [("7"), word, fields, body].map(|one| format!("${}\r\n{one}\r\n", one.len()));
-        assert_eq!(answer(&given, Some(0.5)), format!("*4\r\n{}", words.concat()));
+    for (value, word, fields, body) in cases {
+        let words = [("7"), word, fields, body].map(|field| format!("${}\r\n{field}\r\n", field.len()));
+        assert_eq!(answer(&value, Some(0.5)), format!("*4\r\n{}", words.concat()));
     }
     assert!(!answer(&rpc::Answer::Failed, None).contains("pressure"));
 }
@@ -59,7 +59,7 @@
         ),
         (interpreter::stop(0xab), r#"{"task":"00000000000000ab","verb":"BREAK"}"#),
         (interpreter::resolve(0xab, b"hi"), r#"{"bytes":"aGk=","task":"00000000000000ab","verb":"RESOLVE"}"#),
-        (interpreter::ask_gauges(9), r#"{"nonce":"9","verb":"TOP"}"#),
+        (interpreter::request_gauges(9), r#"{"nonce":"9","verb":"TOP"}"#),
     ];
     for (line, expected) in lines {
         assert_eq!(String::from_utf8(line).unwrap(), format!("{expected}\n"));
@@ -85,7 +85,7 @@
         (r#"{"verb":"BANNER","outcome":"warm"}"#, Notice::Banner { cold: false, age: 0 }),
         (
             r#"{"verb":"AWAIT","task":"00000000000000ab","bytes":"aGk="}"#,
-            Notice::Awaits { task: 0xab, body: b"hi".to_vec() },
+            Notice::AwaitsCall { task: 0xab, body: b"hi".to_vec() },
         ),
         (
             r#"{"verb":"TOPS","nonce":"9","readings":[0.5,3]}"#,
@@ -93,9 +93,9 @@
         ),
         (
             r#"{"verb":"ERROR","outcome":"APPLY","task":"00000000000000ab"}"#,
-            Notice::NotDone { command: "APPLY".into(), task: Some(0xab) },
+            Notice::CommandFailed { command: "APPLY".into(), task: Some(0xab) },
         ),
-        (r#"{"verb":"TRACE"}"#, Notice::Remark),
+        (r#"{"verb":"TRACE"}"#, Notice::Trace),
     ];
     for (line, notice) in notices {
         assert_eq!(interpreter::notice(line.as_bytes()).unwrap(), (None, notice), "{line}");
