--- a/crates/server/src/calls/mod.rs
+++ b/crates/server/src/calls/mod.rs
@@ -1,4 +1,5 @@
-//! Calls to the service below: one task a call, and the connections they share.
+//! Calls to the downstream service: the task that makes each call, and the pool of connections that calls
+//! share.
 
 pub mod pool;
 pub mod task;
--- a/crates/server/src/calls/pool.rs
+++ b/crates/server/src/calls/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to the service below that wait for their next call.
+//! Pool of idle connections to downstream services.
 
 use crate::resources::descriptors::{Descriptor, Descriptors};
 use async_io::{Async, Timer};
@@ -7,17 +7,17 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// An idle connection is closed after half of the 10 s after which the other side closes it.
+/// Maximum time that a connection stays idle in the pool: half of the 10 s after which the service closes it.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// A connection is used again only after this time: a duplicate of its last reply may still come, and the
-/// next call would take it for its own.
+/// Minimum idle time before a connection is reused. A duplicate of its last reply may still arrive, and would
+/// be taken for the reply to the next call.
 const REUSE_DELAY: Duration = Duration::from_millis(20);
-/// Pause before the next attempt to get a descriptor.
+/// Delay before the next attempt to reserve a descriptor.
 pub const DESCRIPTOR_RETRY_AFTER: Duration = Duration::from_millis(2);
 
-/// A connection with its descriptor.
+/// A connection to a downstream service, with the file descriptor reserved for it.
 pub struct Pooled {
-    /// Its socket.
+    /// The connection's socket.
     pub stream: Async<TcpStream>,
     to: SocketAddr,
     _descriptor: Descriptor,
@@ -28,15 +28,16 @@
     since: Instant,
 }
 
-/// The connections that no call uses.
+/// Idle connections that are available for reuse.
 #[derive(Default)]
 pub struct Pool {
     idle: RefCell<Vec<Idle>>,
 }
 
 impl Pool {
-    /// The connection used last or, once there is a descriptor for it, a new one. With `fresh` it is always a
-    /// new one, and an idle one is closed for its descriptor.
+    /// Returns the most recently used idle connection to `to` or, once a descriptor is available, a new
+    /// connection. With `needs_new_connection` no idle connection is returned; if no descriptor is available,
+    /// an idle connection is closed to free one.
     pub async fn connect(
         &self,
         to: SocketAddr,
@@ -57,7 +58,8 @@
         }
     }
 
-    /// Waits for a descriptor for a file that is read at once; idle connections are closed for it.
+    /// Reserves a descriptor for reading a file, waiting for one if necessary. Idle connections are closed to
+    /// free one.
     pub async fn descriptor_for_file(&self, descriptors: &Descriptors) -> Descriptor {
         loop {
             if let Some(descriptor) = descriptors.for_call() {
@@ -68,8 +70,9 @@
         }
     }
 
-    /// The connection used last, unless the other side has closed it or sent something unasked. Those to
-    /// other services stay; where a reload has left them without use they are closed as they grow old.
+    /// Removes and returns the most recently used connection to `to`, discarding connections that the service
+    /// has closed or sent unexpected data on. Connections to other services stay in the pool; if a
+    /// configuration reload removed their service they are closed when their idle time is over.
     fn reuse(&self, to: SocketAddr, now: Instant) -> Option<Pooled> {
         self.close_expired();
         let mut idle = self.idle.borrow_mut();
@@ -85,13 +88,13 @@
         }
     }
 
-    /// Keeps a connection for the next call.
+    /// Returns a connection to the pool for reuse by a later call.
     pub fn give_back(&self, connection: Pooled) {
         self.close_expired();
         self.idle.borrow_mut().push(Idle { connection, since: Instant::now() });
     }
 
-    /// Closes connections that were idle for long.
+    /// Closes connections whose idle time is over.
     pub fn close_expired(&self) {
         self.idle.borrow_mut().retain(|idle| idle.since.elapsed() < IDLE_TIMEOUT);
     }
--- a/crates/server/src/calls/pool/tests.rs
+++ b/crates/server/src/calls/pool/tests.rs
@@ -1,4 +1,4 @@
-//! Which connections are used again, and when.
+//! Tests which connections are reused, and after what delay.
 
 use super::*;
 use std::net::TcpListener;
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn none_is_used_again_before_it_was_quiet_for_a_while() {
+fn connections_are_reused_only_after_the_reuse_delay() {
     let (_listener, to, pool, descriptors) = listening_pool();
     let pooled = futures_lite::future::block_on(pool.connect(to, false, &descriptors)).unwrap();
     pool.give_back(pooled);
@@ -20,11 +20,11 @@
 }
 
 #[test]
-fn a_call_that_must_not_be_lost_gets_a_connection_of_its_own() {
+fn a_call_that_needs_a_new_connection_does_not_reuse_an_idle_one() {
     let (_listener, to, pool, descriptors) = listening_pool();
     let pooled = futures_lite::future::block_on(pool.connect(to, false, &descriptors)).unwrap();
-    let used = pooled.stream.get_ref().local_addr().unwrap();
+    let idle_address = pooled.stream.get_ref().local_addr().unwrap();
     pool.idle.borrow_mut().push(Idle { connection: pooled, since: Instant::now() - 2 * REUSE_DELAY });
-    let fresh = futures_lite::future::block_on(pool.connect(to, true, &descriptors)).unwrap();
-    assert_ne!(fresh.stream.get_ref().local_addr().unwrap(), used);
+    let new = futures_lite::future::block_on(pool.connect(to, true, &descriptors)).unwrap();
+    assert_ne!(new.stream.get_ref().local_addr().unwrap(), idle_address);
 }
--- a/crates/server/src/calls/task.rs
+++ b/crates/server/src/calls/task.rs
@@ -1,4 +1,5 @@
-//! One call to the service below. Dropped, it is given up and its connection closes.
+//! The task that makes one call to the downstream service. Dropping the task abandons the call and closes its
+//! connection.
 
 use crate::event::Event;
 use crate::server::Server;
@@ -16,33 +17,34 @@
 use std::time::Duration;
 use tracing::debug;
 
-/// What is called, and for whom.
+/// Parameters of a downstream call.
 pub struct Call {
-    /// The invocation whose run waits for it.
+    /// Id of the invocation whose run waits for the call.
     pub invocation: u64,
-    /// Its number among all calls.
+    /// Number of the call, unique in this process.
     pub number: u64,
-    /// The caller's number for the invocation.
+    /// Reference of the invocation, chosen by its caller.
     pub reference: u64,
-    /// When it was permitted, by the server's clock.
+    /// Time of the permit, by the server's clock.
     pub permitted_at: Nanos,
-    /// The call is given up so long after that.
+    /// Time after the permit at which the call is abandoned.
     pub timeout: Nanos,
-    /// The body of the request.
+    /// Body of the request.
     pub body: Vec<u8>,
-    /// It gets a connection of its own: it must not be lost on one that the other side is about to close.
+    /// True if the call must not use an idle connection, on which it could be lost because the service is
+    /// about to close it.
     pub needs_new_connection: bool,
 }
 
 impl Call {
-    /// How much of its time is left; `None` once it is over.
+    /// Returns the remaining time until the call's timeout; `None` once it has passed.
     fn time_left(&self, now: Nanos) -> Option<Nanos> {
         let deadline = self.permitted_at.saturating_add(self.timeout);
         deadline.checked_sub(now).filter(|left| *left > 0)
     }
 
-    /// Whether bytes of it may be sent now. After a stop of the process a task may get here long after the
-    /// call was permitted, and before the timer that ends the call is looked at.
+    /// Returns whether bytes of the call may be sent now. If the process was stopped for a while, this task
+    /// may resume long after the permit, and before the timer that ends the call is checked.
     fn may_be_sent(&self, server: &Server) -> bool {
         let is_in_time = self.time_left(server.clock.now()).is_some();
         is_in_time && server.shared.as_ref().is_none_or(|shared| shared.permit_send(self.number))
@@ -51,15 +53,15 @@
 
 struct Exchanged {
     reply: http::Reply,
-    /// Nothing came behind the reply.
+    /// True if no bytes followed the reply.
     has_no_trailing_bytes: bool,
 }
 
-/// Makes a call and sends its end to the event loop. A reply that has come is taken even where the call's
-/// time is over by then, so the exchange is looked at before the timer.
+/// Makes a call and sends its outcome to the event loop. The exchange is polled before the timer, so that a
+/// reply that has already arrived is used even if the timeout has passed.
 pub async fn make(server: Rc<Server>, to: SocketAddr, call: Call) {
     let started_at = server.clock.now();
-    // Until the first byte is written it is certain that nothing ran, whatever goes wrong.
+    // Until the first byte is written, any error proves that the service did not run the call.
     let written = Cell::new(false);
     let failed = || (if written.get() { Outcome::Unknown } else { Outcome::NeverRan }, Vec::new());
     let timeout = async {
--- a/crates/server/src/connection/accept.rs
+++ b/crates/server/src/connection/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts connections until the server has drained.
+//! Accepts connections of balancers until the server has drained.
 
 use crate::connection::task;
 use crate::lifecycle::drain;
@@ -10,23 +10,23 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// Pause before the next attempt after a failure to accept.
+/// Delay before the next attempt after accepting a connection failed.
 const RETRY_AFTER: Duration = Duration::from_millis(10);
 
-/// What became of the connections that waited in the kernel's queue.
+/// Result of accepting the connections that wait in the kernel's queue.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Backlog {
-    /// None waited.
+    /// No connection was waiting.
     Empty,
-    /// All that waited are accepted.
+    /// All waiting connections were accepted.
     Accepted,
-    /// There are too few descriptors to accept all.
+    /// Connections may still be waiting, since there are too few descriptors to accept them all.
     Waiting,
 }
 
-/// Ends with the listener closed, once the drain is over or the stop is near. Until then connections are
-/// still accepted: callers notice late that a server leaves, and an answer here costs them less than a
-/// refused connection.
+/// Accepts connections until the drain is over or the stop is imminent, then closes the listener. New
+/// connections are accepted during the drain because callers notice late that a server is leaving, and an
+/// answer from this server costs them less than a refused connection.
 pub async fn accept(server: Rc<Server>, listener: Async<TcpListener>) {
     let mut exhausted = false;
     loop {
@@ -55,7 +55,7 @@
     }
 }
 
-/// The next connection; `None` where it is time to look whether the drain is over.
+/// Accepts the next connection. Returns `None` when it is time to check again whether the drain is over.
 async fn next_stream(
     server: &Server,
     listener: &Async<TcpListener>,
@@ -68,9 +68,9 @@
     future::or(recheck, accepted).await
 }
 
-/// Accepts what waits in the kernel's queue, as far as there are descriptors, before the listener closes: a
-/// close would reset these connections together with calls on them that nobody has read. Where nothing waits
-/// any more the listener closes with no step of another task between.
+/// Accepts the connections that wait in the kernel's queue, as far as descriptors are available. Closing the
+/// listener would reset these connections, and lose unread calls on them. When the queue is empty the
+/// listener is closed without yielding to another task.
 fn accept_backlog(server: &Rc<Server>, listener: &Async<TcpListener>) -> Backlog {
     let mut backlog = Backlog::Empty;
     while let Some(descriptor) = server.descriptors.for_connection() {
@@ -83,8 +83,8 @@
     Backlog::Waiting
 }
 
-/// Out of descriptors: an idle connection is closed; where there is none the pooled downstream connections
-/// are, and what the kernel accepted waits.
+/// Frees a descriptor by closing an idle connection. If there is none, closes the pooled downstream
+/// connections and pauses; connections accepted by the kernel wait meanwhile.
 async fn free_descriptor(server: &Server, exhausted: &mut bool) {
     if server.connections.close_one_idle(server.clock.now()) {
         return future::yield_now().await;
--- a/crates/server/src/connection/mod.rs
+++ b/crates/server/src/connection/mod.rs
@@ -1,4 +1,4 @@
-//! Connections of balancers: accepting them, the table of those that are open, and the task of each.
+//! Connections of balancers: the listener, the table of open connections, and the task of each connection.
 
 pub mod accept;
 mod request;
--- a/crates/server/src/connection/request.rs
+++ b/crates/server/src/connection/request.rs
@@ -1,4 +1,4 @@
-//! Turns a call as read from the wire into a request, by the settings of the deployment.
+//! Converts calls received from balancers into requests, by the settings of the deployment.
 
 use crate::configuration::Configuration;
 use crate::configuration::TENANT_FIELD;
@@ -13,53 +13,56 @@
 use std::net::IpAddr;
 use std::rc::Rc;
 
-/// Where a caller states how long it waits, in milliseconds.
+/// Field in which a caller states its timeout, in milliseconds.
 const CLIENT_TIMEOUT_FIELD: &str = "allow";
-/// Where a caller marks a retry, by anything but 0.
+/// Field that marks a call as a retry. Any value except 0 counts as the mark.
 const RETRY_FIELD: &str = "dup";
 
-/// Why a call cannot be carried out.
+/// Reason for rejecting a call.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum RequestError {
-    /// The settings name no such operation.
+    /// The settings do not define the operation.
     #[error("unknown operation {0:?}")]
     UnknownOperation(String),
-    /// The caller has given up on a call that old, or its time is still to come.
-    #[error("since is out of range: {age_ns} ns ago, {limit_ns} at most")]
+    /// The arrival time of the call is too far in the past or the future: older than the longest client
+    /// timeout, so that its caller has given up, or ahead of this clock by more than that.
+    #[error("since is out of range: {age_ns} ns ago, limit is {limit_ns} ns")]
     SinceOutOfRange {
-        /// Time since the call reached the machine; negative for a time to come.
+        /// Time since the call reached the machine, in nanoseconds; negative if the stated time is in the
+        /// future.
         age_ns: i64,
-        /// The longest time that any client waits.
+        /// The longest client timeout, in nanoseconds.
         limit_ns: Nanos,
     },
-    /// The settings have allowances of tenants and name no such tenant.
+    /// The settings define tenant allowances, but not for this tenant.
     #[error("unknown tenant {0:?}")]
     UnknownTenant(Option<String>),
-    /// The stated patience is no number of milliseconds.
+    /// The client timeout is not a whole number of milliseconds.
     #[error("bad {CLIENT_TIMEOUT_FIELD} {0:?}")]
     BadClientTimeout(String),
-    /// Without its key a repeat cannot be told from a new call.
-    #[error("a call that is idempotent with a key without its key")]
+    /// The operation is idempotent with a key, but the call has no key. Without it a repeated call cannot be
+    /// recognized.
+    #[error("missing idempotency key")]
     MissingKey,
-    /// The key is longer than what is kept of one.
-    #[error("a key of {0} bytes is too long, {KEY_MAX} at most")]
+    /// The idempotency key is longer than the maximum that is stored.
+    #[error("idempotency key is too long: {0} bytes, {KEY_MAX} at most")]
     KeyTooLong(usize),
 }
 
 /// Decodes the calls of one connection.
 pub struct RequestDecoder<'a> {
-    /// Names of operations and tenants, and where keys stand.
+    /// The configuration: names of operations and tenants, and the fields that hold keys and tenants.
     pub configuration: &'a Configuration,
-    /// For the age of calls.
+    /// The clock, used to compute the age of calls.
     pub clock: &'a Clock,
-    /// The connection that they come on.
+    /// The connection on which the calls are received.
     pub connection: &'a Rc<Connection>,
     /// The peer's address without its port.
     pub peer: IpAddr,
 }
 
 impl RequestDecoder<'_> {
-    /// The request that a call makes.
+    /// Converts a call into a request, or returns the reason for rejecting it.
     pub fn decode(&self, call: &rpc::Call) -> Result<Box<Request>, RequestError> {
         let operation = self.operation(call)?;
         self.check_age(call)?;
@@ -94,7 +97,8 @@
         Ok(())
     }
 
-    /// The tenant's place in the settings, where these have allowances and the options no way of their own.
+    /// Returns the index of the call's tenant in the settings. Returns 0 if the settings have no tenant
+    /// allowances, or if the options define another way of identifying tenants.
     fn tenant(&self, call: &rpc::Call) -> Result<usize, RequestError> {
         let names = &self.configuration.settings.tenant_names;
         if names.is_empty() || self.configuration.options.borrow().tenants.is_some() {
@@ -105,7 +109,7 @@
         place.ok_or_else(|| RequestError::UnknownTenant(named.map(str::to_string)))
     }
 
-    /// How long its caller waited when it reached the machine, where callers say so.
+    /// Returns the caller's timeout from the arrival of the call, if the settings say that callers state one.
     fn client_timeout(&self, call: &rpc::Call) -> Result<Option<Nanos>, RequestError> {
         if !self.configuration.settings.passes_deadline {
             return Ok(None);
@@ -130,7 +134,8 @@
         Ok(Some(key.into()))
     }
 
-    /// Who sends, as the options say that tenants are known; one that does not name itself has no name.
+    /// Returns the sender of a call, identified by the source configured in the options. The tenant name is
+    /// empty if the call does not state one.
     fn sender(&self, call: &rpc::Call) -> Option<Sender> {
         let options = self.configuration.options.borrow();
         let tenants = options.tenants.as_ref()?;
@@ -148,7 +153,8 @@
     }
 }
 
-/// A number for an address. Who has one IPv6 address usually has all that share its first half.
+/// Converts a peer's address to an origin number. Only the first half of an IPv6 address is used, since the
+/// owner of one address usually controls all addresses that share this half.
 fn peer_origin(peer: IpAddr) -> u64 {
     match peer {
         IpAddr::V4(address) => u64::from(address.to_bits()),
--- a/crates/server/src/connection/state.rs
+++ b/crates/server/src/connection/state.rs
@@ -1,9 +1,9 @@
 //! The state of a balancer's connection, without socket or clock.
 //!
-//! Bytes received go in by [`ConnectionState::handle_bytes`], and what they mean comes out of
-//! [`ConnectionState::poll_event`]. Answers go in by [`ConnectionState::queue_answer`], and the bytes to send
-//! come out of [`ConnectionState::poll_transmit`]. The caller passes the time and waits for
-//! [`ConnectionState::poll_timeout`].
+//! Received bytes are passed to [`ConnectionState::handle_bytes`], and the events parsed from them are
+//! returned by [`ConnectionState::poll_event`]. Answers are passed to [`ConnectionState::queue_answer`], and
+//! the bytes to send are returned by [`ConnectionState::poll_transmit`]. The caller provides the time and
+//! waits until [`ConnectionState::poll_timeout`].
 
 use crate::connection::request::RequestError;
 use crate::connection::table::{Connection, OPEN_CALLS_MAX};
@@ -14,90 +14,93 @@
 use meadowstream_overload_control::Nanos;
 use std::rc::Rc;
 
-/// Longest answer: its body, and the other words.
+/// Longest answer, in bytes: its body and the other words.
 const ANSWER_MAX_BYTES: usize = resp::WORD_MAX + 256;
-/// An answer to each open call, and the request for no new call.
+/// Capacity of the outgoing buffer, in bytes: an answer to each open call, and the drain request.
 const OUTGOING_MAX_BYTES: usize = (OPEN_CALLS_MAX + 1) * ANSWER_MAX_BYTES;
-/// The first command, and each one begun, is complete within this part of the shortest client timeout.
+/// Divisor of the shortest client timeout, which gives the time in which the first command, and each command
+/// that has begun, must become complete.
 const COMMAND_TIMEOUT_DIVISOR: u64 = 2;
 
-/// What the deployment sets for all connections.
+/// Settings of the deployment for all connections.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionSettings {
-    /// A peer that has read nothing for so long is given up.
+    /// Longest client timeout. A connection whose peer reads no bytes for this long is closed.
     pub longest_client_timeout: Nanos,
-    /// Half of it is the time for a command to become complete.
+    /// Shortest client timeout. A command must become complete within half of it.
     pub shortest_client_timeout: Nanos,
-    /// A draining connection without open calls is closed after this time without use.
+    /// Idle time after which a draining connection without open calls is closed.
     pub linger: Nanos,
-    /// Callers may cancel calls.
+    /// True if callers may cancel calls.
     pub cancellation: bool,
 }
 
-/// What has come on the connection.
+/// Event parsed from received bytes.
 pub enum ReceivedEvent {
-    /// A call, whose tag is open from now on.
+    /// A call. Its tag is open until the call is answered or cancelled.
     Request(Box<Request>),
-    /// A health check, to be answered under its tag.
+    /// A health check, which is answered under its tag.
     HealthCheck {
-        /// Its tag.
+        /// Tag of the health check.
         tag: u64,
     },
-    /// The caller has given up on a call.
+    /// The caller has cancelled a call.
     Cancelled {
-        /// The tag of the call.
+        /// Tag of the call.
         tag: u64,
-        /// Whether the call was open. Its answer may have crossed the cancellation.
+        /// True if the call was still open. False if its answer crossed the cancellation in transit.
         was_open: bool,
     },
-    /// A command that cannot be carried out.
+    /// A command that cannot be executed.
     Invalid {
-        /// The tag to answer with a failure; `None` where there is none, or an open call has it.
+        /// Tag under which to answer with a failure. `None` if the command has no valid tag, or an open call
+        /// has the same tag.
         answer_to: Option<u64>,
-        /// What is wrong with it.
+        /// Reason why the command is invalid.
         error: InvalidCommand,
     },
-    /// What comes is not RESP: nothing more is read.
+    /// The received bytes are not valid RESP, and reading stops.
     Malformed(ParseError),
 }
 
-/// Why a command cannot be carried out.
+/// Reason why a command cannot be executed.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum InvalidCommand {
-    /// The tag of a call or health check is that of an open call.
-    #[error("a tag that is open: {0}")]
+    /// An open call already has the tag of this call or health check.
+    #[error("tag is already open: {0}")]
     TagInUse(u64),
-    /// The settings say that callers do not cancel.
-    #[error("cancelling is not in use here")]
+    /// The command is a cancellation, which the settings disable.
+    #[error("cancellation is disabled")]
     CancellationUnused,
-    /// Its words make no command.
+    /// The words of the array are not a valid command.
     #[error(transparent)]
     Command(#[from] rpc::CommandError),
-    /// The deployment knows no such call.
+    /// The call does not match the settings of the deployment.
     #[error(transparent)]
     Request(#[from] RequestError),
 }
 
-/// The peer reads too slowly: an answer does not fit among those that wait to be sent.
+/// The outgoing buffer is full, because the peer reads too slowly.
 #[derive(Debug, PartialEq, thiserror::Error)]
-#[error("no space for {bytes} bytes more, of {OUTGOING_MAX_BYTES} that may wait to be sent")]
+#[error("outgoing buffer is full: {bytes} bytes do not fit, its limit is {OUTGOING_MAX_BYTES} bytes")]
 pub struct OutgoingFull {
-    /// Bytes that were to be queued.
+    /// Number of bytes that did not fit.
     pub bytes: usize,
 }
 
-/// Whether the connection has to end by now.
+/// Result of checking the connection's timeout.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Expiry {
-    /// It may stay.
+    /// The connection stays open.
     NotYet,
-    /// The peer does not read what is sent.
+    /// The connection ends because the peer does not read the bytes sent to it.
     PeerNotReading,
-    /// The peer has sent no complete command in time, or does not close a draining connection.
+    /// The connection ends because the peer has not sent a complete command in time, or has not closed a
+    /// draining connection.
     PeerIdle,
 }
 
-/// One connection.
+/// The state of one connection.
 pub struct ConnectionState {
     settings: ConnectionSettings,
     connection: Rc<Connection>,
@@ -105,15 +108,16 @@
     incoming: Ring,
     outgoing: Ring,
     open_tags: Vec<u64>,
-    /// Nothing more is read: the peer has closed its side, or what it sends is not RESP.
+    /// True if no more bytes are read, because the peer has closed its side or sent malformed data.
     reading_ended: bool,
     peer_closed: bool,
-    /// Since when a command is due that is not complete.
+    /// Time since which an incomplete command is pending, or the first command of a new connection is
+    /// awaited.
     command_due_since: Option<Nanos>,
 }
 
 impl ConnectionState {
-    /// A connection that was accepted now.
+    /// Creates the state of a connection that was accepted at `now`.
     pub fn new(
         settings: ConnectionSettings,
         connection: Rc<Connection>,
@@ -133,47 +137,48 @@
         }
     }
 
-    /// Bytes that may be received next, whatever else holds them back.
+    /// Returns the number of bytes that fit into the incoming buffer.
     pub fn receive_capacity(&self) -> usize {
         self.incoming.free()
     }
 
-    /// Whether to wait for bytes.
+    /// Returns whether the caller should wait for bytes.
     pub fn wants_read(&self) -> bool {
         !self.reading_ended && self.accepts_command() && self.receive_capacity() > 0
     }
 
-    /// Whether reading waits until other connections give buffers back.
+    /// Returns whether reading is suspended until other connections release buffer memory.
     pub fn waits_for_buffers(&self) -> bool {
         !self.reading_ended && !self.buffers.budget().has_capacity()
     }
 
-    /// The peer has closed its side.
+    /// Returns whether the peer has closed its side of the connection.
     pub fn peer_closed(&self) -> bool {
         self.peer_closed
     }
 
-    /// Everything that came is answered, and nothing more will come.
+    /// Returns whether the connection can be closed: no more commands are accepted, every call is answered
+    /// and all answers are sent.
     pub fn is_finished(&self) -> bool {
         let ends = self.reading_ended || self.connection.closes_if_idle.get();
         ends && self.open_tags.is_empty() && self.outgoing.is_empty()
     }
 
-    /// Bytes have been received, at most as many as [`Self::receive_capacity`].
+    /// Adds received bytes, at most [`Self::receive_capacity`] of them.
     pub fn handle_bytes(&mut self, now: Nanos, bytes: &[u8]) {
-        // The caller reads no more than fits.
+        // The caller reads no more bytes than fit.
         let _ = self.incoming.put(bytes);
         self.incoming.make_contiguous();
         self.connection.last_used.set(now);
     }
 
-    /// The peer has closed its side.
+    /// Handles the end of the stream: the peer has closed its side of the connection.
     pub fn handle_end_of_stream(&mut self) {
         self.reading_ended = true;
         self.peer_closed = true;
     }
 
-    /// The next event of what has been received. `decode` makes a request of a call.
+    /// Returns the next event parsed from the received bytes. `decode` converts a call into a request.
     pub fn poll_event(
         &mut self,
         now: Nanos,
@@ -230,7 +235,8 @@
         }
     }
 
-    /// An open call gets its own answer and no other.
+    /// Creates the event for an invalid command. The command is not answered if an open call has its tag,
+    /// since the caller would take the failure for the answer to that call.
     fn invalid(&self, tag: u64, error: InvalidCommand) -> ReceivedEvent {
         ReceivedEvent::Invalid { answer_to: (!self.is_open(tag)).then_some(tag), error }
     }
@@ -253,7 +259,8 @@
         self.open_tags.contains(&tag)
     }
 
-    /// A call gets its final answer. False where it is not open any more, since it was cancelled.
+    /// Closes a call that gets its final answer. Returns false if the call is not open, because it was
+    /// cancelled.
     pub fn close_call(&mut self, tag: u64) -> bool {
         let was_open = self.is_open(tag);
         self.open_tags.retain(|open| *open != tag);
@@ -261,7 +268,7 @@
         was_open
     }
 
-    /// Queues an answer with the advertised load that is in force.
+    /// Queues an answer, with the load that the server currently advertises.
     pub fn queue_answer(
         &mut self,
         now: Nanos,
@@ -274,7 +281,7 @@
         self.queue(now, &bytes)
     }
 
-    /// Queues the request for no new call on this connection.
+    /// Queues the request that the peer send no more calls on this connection.
     pub fn queue_drain(&mut self, now: Nanos) -> Result<(), OutgoingFull> {
         let mut bytes = Vec::new();
         rpc::put_drain(&mut bytes);
@@ -287,18 +294,18 @@
         if fits { Ok(()) } else { Err(OutgoingFull { bytes: bytes.len() }) }
     }
 
-    /// Bytes to be sent next; empty where there are none.
+    /// Returns the bytes to send next; empty if there are none.
     pub fn poll_transmit(&self) -> &[u8] {
         self.outgoing.front()
     }
 
-    /// So many bytes of [`Self::poll_transmit`] were sent.
+    /// Removes `count` bytes of [`Self::poll_transmit`] that were sent.
     pub fn handle_transmitted(&mut self, now: Nanos, count: usize) {
         self.outgoing.drop_front(count);
         self.connection.last_used.set(now);
     }
 
-    /// When the connection has to end, unless something happens before.
+    /// Returns the time at which the connection must end if nothing happens before.
     pub fn poll_timeout(&self) -> Option<Nanos> {
         let last_used = self.connection.last_used.get();
         if !self.outgoing.is_empty() {
@@ -313,7 +320,7 @@
         drained.into_iter().chain(silent).min()
     }
 
-    /// Whether the time of [`Self::poll_timeout`] has come, and why.
+    /// Returns whether the time of [`Self::poll_timeout`] has passed, and which kind of timeout it is.
     pub fn handle_timeout(&self, now: Nanos) -> Expiry {
         if self.poll_timeout().is_none_or(|end| now < end) {
             return Expiry::NotYet;
@@ -321,13 +328,15 @@
         if self.outgoing.is_empty() { Expiry::PeerIdle } else { Expiry::PeerNotReading }
     }
 
-    /// Counts what the buffers hold, and for each open call its body and its answer to come.
+    /// Updates the reserved memory: the bytes in the buffers, and the body and the future answer of each open
+    /// call.
     pub fn update_reservation(&mut self) {
         let to_come = self.open_tags.len() * 2 * ANSWER_MAX_BYTES;
         self.buffers.resize(self.incoming.len() + self.outgoing.len() + to_come);
     }
 
-    /// Whether an answer to every open call fits, and one to a further call.
+    /// Returns whether another command can be accepted: fewer than the maximum of calls are open, the
+    /// outgoing buffer has space for their answers and the next one, and buffer memory is available.
     fn accepts_command(&self) -> bool {
         let open = self.open_tags.len();
         let fits = self.outgoing.free() >= (open + 2) * ANSWER_MAX_BYTES;
--- a/crates/server/src/connection/state/tests.rs
+++ b/crates/server/src/connection/state/tests.rs
@@ -1,4 +1,4 @@
-//! The state of a connection, played without a socket: what is read, answered, and ended when.
+//! Tests the connection state without a socket: parsing, answers and timeouts.
 
 use super::*;
 use crate::connection::table::{Connections, Notification};
@@ -11,7 +11,7 @@
     linger: 300,
     cancellation: true,
 };
-/// Enough for every connection that a test opens.
+/// Buffer budget, in bytes, that is large enough for every connection of these tests.
 const BUDGET_BYTES: usize = 1 << 20;
 
 struct TestConnection {
@@ -34,7 +34,7 @@
     open_connection_with(SETTINGS, BUDGET_BYTES)
 }
 
-/// A command in the words of the wire.
+/// Encodes a command as a RESP array.
 fn command(words: &[&str]) -> Vec<u8> {
     let words: Vec<&[u8]> = words.iter().map(|word| word.as_bytes()).collect();
     let mut bytes = Vec::new();
@@ -47,7 +47,7 @@
 }
 
 impl TestConnection {
-    /// The next event, with every call of a known operation decoded.
+    /// Returns the next event. Calls of the operation `checkout` are decoded; others are unknown.
     fn poll(&mut self, now: Nanos) -> Option<ReceivedEvent> {
         let connection = self.connection.clone();
         self.state.poll_event(now, |call| match call.operation {
@@ -99,14 +99,14 @@
         assert!(test.poll(at as Nanos).is_none(), "after {at} bytes");
         test.state.handle_bytes(at as Nanos, &[*byte]);
     }
-    let Some(ReceivedEvent::Request(request)) = test.poll(500) else { panic!("no request") };
+    let Some(ReceivedEvent::Request(request)) = test.poll(500) else { panic!("expected a request") };
     assert_eq!((request.tag, request.reference, request.body.as_slice()), (7, 0xa, &b"body"[..]));
     assert_eq!(test.connection.open_calls.get(), 1);
     assert!(test.poll(500).is_none());
 }
 
 #[test]
-fn commands_that_come_together_are_handled_in_their_order() {
+fn commands_received_together_are_handled_in_order() {
     let mut test = open_connection();
     let together = [call(1), command(&["RPC.HEALTH", "2"]), call(3)].concat();
     test.state.handle_bytes(0, &together);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn an_answer_closes_its_call_and_is_sent_as_it_was_queued() {
+fn an_answer_closes_its_call_and_is_sent_unchanged() {
     let mut test = open_connection();
     test.open_call(10, 7);
     assert!(test.state.close_call(7));
@@ -145,11 +145,13 @@
 }
 
 #[test]
-fn cancelling_where_it_is_not_in_use_is_invalid() {
+fn cancellation_is_invalid_where_the_settings_disable_it() {
     let mut test = open_connection_with(ConnectionSettings { cancellation: false, ..SETTINGS }, BUDGET_BYTES);
     test.open_call(0, 7);
     test.state.handle_bytes(0, &command(&["RPC.CANCEL", "7"]));
-    let Some(ReceivedEvent::Invalid { answer_to, error }) = test.poll(0) else { panic!("not invalid") };
+    let Some(ReceivedEvent::Invalid { answer_to, error }) = test.poll(0) else {
+        panic!("expected an invalid command")
+    };
     assert_eq!((answer_to, error), (None, InvalidCommand::CancellationUnused));
     assert!(test.state.close_call(7), "the call stays open");
 }
@@ -159,11 +161,15 @@
     let mut test = open_connection();
     test.open_call(0, 7);
     test.state.handle_bytes(0, &call(7));
-    let Some(ReceivedEvent::Invalid { answer_to, error }) = test.poll(0) else { panic!("not invalid") };
+    let Some(ReceivedEvent::Invalid { answer_to, error }) = test.poll(0) else {
+        panic!("expected an invalid command")
+    };
     assert_eq!((answer_to, error), (None, InvalidCommand::TagInUse(7)));
     test.state
         .handle_bytes(0, &command(&["RPC.CALL", "8", "none", "ref=000000000000000a,since=1,room=1", ""]));
-    let Some(ReceivedEvent::Invalid { answer_to, error }) = test.poll(0) else { panic!("not invalid") };
+    let Some(ReceivedEvent::Invalid { answer_to, error }) = test.poll(0) else {
+        panic!("expected an invalid command")
+    };
     assert_eq!(answer_to, Some(8));
     assert_eq!(error.to_string(), "unknown operation \"none\"");
     test.state.handle_bytes(0, &command(&["RPC.CALL", "0", "checkout", "", ""]));
@@ -171,7 +177,7 @@
 }
 
 #[test]
-fn after_malformed_bytes_nothing_is_read_and_open_calls_are_still_answered() {
+fn after_malformed_bytes_reading_stops_and_open_calls_are_still_answered() {
     let mut test = open_connection();
     test.open_call(0, 7);
     test.state.handle_bytes(0, b"+OK\r\n");
@@ -203,12 +209,12 @@
 }
 
 #[test]
-fn a_command_that_has_begun_is_due_from_its_first_look_and_bytes_do_not_extend_it() {
+fn the_timeout_of_an_incomplete_command_starts_at_its_first_poll_and_is_not_extended() {
     let mut test = open_connection();
     test.open_call(0, 7);
-    assert_eq!(test.state.poll_timeout(), None, "an open call keeps the connection");
+    assert_eq!(test.state.poll_timeout(), None, "a connection with an open call does not expire");
     assert!(test.state.close_call(7));
-    assert_eq!(test.state.poll_timeout(), None, "an idle connection may stay");
+    assert_eq!(test.state.poll_timeout(), None, "an idle connection does not expire");
     test.state.handle_bytes(600, b"*5\r\n");
     assert!(test.poll(600).is_none());
     test.state.handle_bytes(900, b"$8\r\n");
@@ -217,7 +223,7 @@
 }
 
 #[test]
-fn a_peer_that_does_not_read_is_given_up_after_the_longest_client_timeout() {
+fn a_peer_that_does_not_read_is_disconnected_after_the_longest_client_timeout() {
     let mut test = open_connection();
     test.state.handle_bytes(0, &command(&["RPC.HEALTH", "2"]));
     assert!(matches!(test.poll(0), Some(ReceivedEvent::HealthCheck { tag: 2 })));
@@ -243,7 +249,7 @@
 }
 
 #[test]
-fn an_idle_connection_asked_to_close_is_finished_unless_a_command_comes() {
+fn an_idle_connection_asked_to_close_is_finished_unless_a_command_arrives() {
     let mut test = open_connection();
     assert!(!test.connections.close_one_idle(49_999_999));
     assert!(test.connections.close_one_idle(50_000_000));
@@ -254,7 +260,7 @@
 }
 
 #[test]
-fn calls_beyond_the_most_that_may_be_open_stay_unread() {
+fn calls_beyond_the_limit_of_open_calls_stay_unread() {
     let mut test = open_connection();
     for tag in 1..=OPEN_CALLS_MAX as u64 {
         test.open_call(0, tag);
@@ -266,7 +272,7 @@
 }
 
 #[test]
-fn a_spent_buffer_budget_holds_reading_back_until_bytes_are_given_back() {
+fn reading_is_suspended_while_the_buffer_budget_is_used_up() {
     let mut test = open_connection_with(SETTINGS, 1);
     let mut other = BufferReservation::new(test.budget.clone());
     other.resize(1);
--- a/crates/server/src/connection/table.rs
+++ b/crates/server/src/connection/table.rs
@@ -1,4 +1,4 @@
-//! The connections that are open, and the notifications sent to them.
+//! The table of open connections, and the notifications that other tasks send to them.
 
 use crate::wire::rpc::Answer;
 use async_channel::{Receiver, Sender};
@@ -7,41 +7,43 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Calls that may be open on one connection; further ones stay unread.
+/// Maximum number of open calls on one connection; further calls stay unread.
 pub const OPEN_CALLS_MAX: usize = 32;
-/// A connection that has brought nothing may be closed for another one after this time without use.
+/// Idle time, in nanoseconds, after which a connection that has never received a command may be closed to
+/// free its descriptor for a new connection.
 const UNUSED_TIMEOUT_NS: Nanos = 50_000_000;
-/// The same for one that has brought a command before.
+/// Idle time, in nanoseconds, after which a connection that has received a command may be closed to free its
+/// descriptor for a new connection.
 const IDLE_TIMEOUT_NS: Nanos = 500_000_000;
 
-/// What other tasks send to the task of a connection.
+/// Notification from another task to the task of a connection.
 pub enum Notification {
-    /// The final answer to a call.
+    /// A call has its final answer.
     Answer {
         /// The tag of the call.
         tag: u64,
-        /// The answer to it.
+        /// The final answer.
         answer: Answer,
     },
-    /// The peer is to send no new call on it.
+    /// Ask the peer to send no more calls on this connection.
     Drain,
-    /// Its descriptor is needed: it ends unless something has come on it.
+    /// Close the connection to free its descriptor, unless a command has arrived meanwhile.
     CloseIfIdle,
 }
 
-/// One open connection, as seen by the other tasks.
+/// An open connection, as seen by other tasks.
 pub struct Connection {
-    /// Its number in the table.
+    /// Number of the connection in the table.
     pub id: u64,
     notifications: Sender<Notification>,
-    /// Calls not answered yet.
+    /// Number of unanswered calls.
     pub open_calls: Cell<usize>,
-    /// When it last carried something.
+    /// Time at which bytes were last received, sent or queued.
     pub last_used: Cell<Nanos>,
     has_received: Cell<bool>,
-    /// Its peer was, or is about to be, asked for no new call.
+    /// True once the peer was asked, or is about to be asked, to send no more calls.
     pub draining: Cell<bool>,
-    /// It was asked to close, and no command has come on it since.
+    /// True if the connection was asked to close and no command has arrived since.
     pub closes_if_idle: Cell<bool>,
 }
 
@@ -58,18 +60,19 @@
         }
     }
 
-    /// False where the connection has gone. Its queue has space for one answer to each open call.
+    /// Sends a notification to the connection's task. Returns false if the connection has ended. The queue
+    /// has space for one answer to each open call.
     pub fn notify(&self, notification: Notification) -> bool {
         self.notifications.try_send(notification).is_ok()
     }
 
-    /// A complete command has come on it, so that it need not close for another one.
+    /// Records that a complete command was received, which cancels a request to close the connection.
     pub fn mark_received(&self) {
         self.has_received.set(true);
         self.closes_if_idle.set(false);
     }
 
-    /// Asks its peer, once, for no new call.
+    /// Asks the peer, once, to send no more calls.
     pub fn drain(&self) {
         if !self.draining.replace(true) {
             self.notify(Notification::Drain);
@@ -80,18 +83,18 @@
         self.open_calls.get() == 0 && self.last_used.get() <= since
     }
 
-    /// Whether it has been without use for so long that another connection may have its descriptor.
+    /// Returns whether the connection was idle long enough to be closed in favour of a new one.
     fn may_be_closed(&self, now: Nanos) -> bool {
         let keep_for = if self.has_received.get() { IDLE_TIMEOUT_NS } else { UNUSED_TIMEOUT_NS };
         !self.closes_if_idle.get() && self.open_calls.get() == 0 && self.last_used.get() + keep_for <= now
     }
 }
 
-/// What answers and health checks report of the server, as the controller last decided.
+/// Health and load of the server as last set by the controller, reported in answers and health checks.
 pub struct HealthStatus {
-    /// The answer to health checks.
+    /// Answer to health checks: true if healthy.
     pub healthy: Cell<bool>,
-    /// The load that each answer carries; `None` until the controller has set one.
+    /// Load that each answer advertises; `None` until the controller has set one.
     pub advertised_load: Cell<Option<f64>>,
 }
 
@@ -103,7 +106,7 @@
 }
 
 impl Connections {
-    /// Adds a connection; its task receives the notifications.
+    /// Adds a connection. Returns it with the queue from which its task receives notifications.
     pub fn open(&self, now: Nanos) -> (Rc<Connection>, Receiver<Notification>) {
         let (sender, notifications) = async_channel::bounded(OPEN_CALLS_MAX + 2);
         self.last_id.set(self.last_id.get() + 1);
@@ -117,19 +120,19 @@
         self.open.borrow_mut().remove(&id);
     }
 
-    /// Connections that are open.
+    /// Returns the number of open connections.
     pub fn count(&self) -> usize {
         self.open.borrow().len()
     }
 
-    /// Asks every peer for no new call.
+    /// Asks all peers to send no more calls.
     pub fn drain_all(&self) {
         for connection in self.open.borrow().values() {
             connection.drain();
         }
     }
 
-    /// Asks the peers of connections that are idle since that time for no new call.
+    /// Asks the peers of all connections that have been idle since `since` to send no more calls.
     pub fn drain_idle_since(&self, since: Nanos) {
         for connection in self.open.borrow().values() {
             if connection.is_idle_since(since) {
@@ -138,8 +141,8 @@
         }
     }
 
-    /// Closes one idle connection: one that never brought a command before others, and among equals the one
-    /// unused for longest. False where none may be closed yet.
+    /// Asks one idle connection to close, preferring connections that have never received a command, then the
+    /// one idle for longest. Returns false if no connection may be closed yet.
     pub fn close_one_idle(&self, now: Nanos) -> bool {
         let open = self.open.borrow();
         let closable = open.values().filter(|connection| connection.may_be_closed(now));
--- a/crates/server/src/connection/task.rs
+++ b/crates/server/src/connection/task.rs
@@ -1,4 +1,4 @@
-//! The task of one balancer's connection: moves bytes between the socket and the connection's state.
+//! The task of a balancer's connection, which moves bytes between the socket and the connection's state.
 
 use crate::connection::request::RequestDecoder;
 use crate::connection::state::{ConnectionSettings, ConnectionState, Expiry, OutgoingFull, ReceivedEvent};
@@ -17,12 +17,12 @@
 use std::time::{Duration, Instant};
 use tracing::debug;
 
-/// Pause before the next look whether other connections have given buffers back.
+/// Delay before checking again whether other connections have released buffer memory.
 const BUFFERS_RETRY_AFTER: Duration = Duration::from_millis(10);
-/// A connection lingers for this part of the time from the notice to leave to the stop. It may linger twice,
-/// idle and then in its close, and both have to end before the stop.
+/// Divisor of the time from the drain notice to the stop, which gives the linger time. A connection may
+/// linger twice, while it is idle and while it closes, and both must end before the stop.
 const LINGER_DIVISOR: u64 = 8;
-/// Read at once.
+/// Maximum number of bytes per read.
 const READ_MAX_BYTES: usize = 8 * 1024;
 
 struct ConnectionTask {
@@ -35,8 +35,8 @@
     state: ConnectionState,
 }
 
-/// Starts the task. The connection is counted from now on, before its task has run, so that the drain
-/// overlooks none that was accepted.
+/// Registers a connection and spawns its task. The connection is registered before the task first runs, so
+/// that the drain does not overlook an accepted connection.
 pub fn spawn(server: &Rc<Server>, stream: Async<TcpStream>, descriptor: Descriptor) {
     server.counters.connections_opened.add();
     let (connection, notifications) = server.connections.open(server.clock.now());
@@ -85,18 +85,18 @@
     }
 }
 
-/// Why a connection's task goes on.
+/// Reason for waking up the connection's task.
 enum Wake {
     Readable,
     Notified(Notification),
-    /// The time that the state gave has come.
+    /// The timeout requested by the connection's state has passed.
     Timeout,
-    /// Something else has changed.
+    /// Another condition has changed; the loop evaluates the state again.
     Other,
 }
 
 impl ConnectionTask {
-    /// Ends where the connection is to be closed; an error where it broke.
+    /// Serves the connection until it is to be closed. Returns an error if the connection broke.
     async fn run(&mut self) -> Result<()> {
         loop {
             while let Ok(notification) = self.notifications.try_recv() {
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Waits until there is something to do.
+    /// Waits for the next event of the connection.
     async fn wait(&self) -> Result<Wake> {
         let readable = async {
             if !self.state.wants_read() {
@@ -152,7 +152,7 @@
         future::or(notified, future::or(writable, passive)).await
     }
 
-    /// Whether the connection's time is over, what came in this very moment included.
+    /// Returns whether the connection has timed out, after handling the bytes that have already arrived.
     async fn has_expired(&mut self) -> Result<bool> {
         if !self.state.poll_transmit().is_empty() {
             return Err(ErrorKind::TimedOut.into());
@@ -173,7 +173,7 @@
                 }
                 self.answer(tag, &answer)
             }
-            // What has come by now is still accepted.
+            // Accept commands that have already arrived.
             Notification::CloseIfIdle => self.read(),
             Notification::Drain => {
                 self.server.counters.enough_sent.add();
@@ -187,7 +187,7 @@
         Ok(self.state.queue_answer(self.server.clock.now(), tag, answer, advertised_load)?)
     }
 
-    /// Hands on what the state makes of the bytes received.
+    /// Dispatches the events parsed from the received bytes.
     async fn dispatch_events(&mut self) -> Result<()> {
         loop {
             let decoder = RequestDecoder {
@@ -262,10 +262,11 @@
         Ok(())
     }
 
-    /// A lingering close of a connection that its peer has not ended: what still comes is read and dropped
-    /// until the peer ends or a while has passed. A close over unread bytes would reset the connection and
-    /// lose answers that are still on their way. The callers of what is dropped send it again elsewhere. A
-    /// connection whose descriptor is needed only drops what has come.
+    /// Closes the connection gracefully if its peer has not closed it: shuts down the sending side, then
+    /// reads and discards data until the peer closes or the linger time is over. Closing with unread bytes
+    /// would reset the connection and lose answers that are still in transit. Callers retry the discarded
+    /// calls on other servers. A connection that is closed to free its descriptor discards only the data that
+    /// has already arrived.
     async fn linger(&mut self) {
         let clock = &self.server.clock;
         let until = clock.instant(clock.now() + settings(&self.server).linger);
@@ -288,7 +289,7 @@
         }
     }
 
-    /// Waits for more to drop; false where the time is over or the connection broke.
+    /// Waits for more data to discard. Returns false if the linger time is over or the connection broke.
     async fn wait_to_linger(&self, until: Instant) -> bool {
         let readable = async { self.stream.readable().await.is_ok() };
         let notified = async { self.notifications.recv().await.is_ok() };
--- a/crates/server/src/event_loop/actions.rs
+++ b/crates/server/src/event_loop/actions.rs
@@ -1,4 +1,5 @@
-//! What the controller's decisions act on, and what follows for an invocation that is answered or ends.
+//! Executes the overload controller's actions, and updates the state of an invocation when it is answered or
+//! its run ends.
 
 use crate::connection::table::Notification;
 use crate::event_loop::answers;
@@ -14,49 +15,50 @@
 use std::rc::Rc;
 use tracing::warn;
 
-/// Gauges that have not come within this time after their request are done without.
+/// Time to wait for the interpreter's gauges. After this time the control period continues without them.
 const GAUGES_TIMEOUT_NS: Nanos = 250_000_000;
 
-/// The rejection that comes next for an invocation carries a ticket.
+/// An admission promised to the caller of the next rejected invocation. Its rejection carries the ticket.
 pub struct PromisedAdmission {
-    /// The invocation.
+    /// Id of the invocation to be rejected.
     pub invocation: u64,
-    /// The ticket that its caller is to return with.
+    /// Ticket that the caller sends with its next attempt to redeem the promise.
     pub ticket: u64,
 }
 
-/// A repeat that was answered from the invocation that it repeats.
+/// A repeated call that was answered with the outcome of the original invocation.
 pub struct Replayed {
-    /// The repeat.
+    /// Id of the repeated call's own invocation.
     pub invocation: u64,
-    /// How the other one ended.
+    /// Outcome of the original invocation.
     pub outcome: Outcome,
 }
 
-/// Carries out the actions of the controller (`impl Host`), and owns all that they act on.
+/// Executes the actions of the overload controller (`impl Host`) and owns the state that they change.
 pub struct ActionExecutor {
-    /// What all tasks share.
+    /// State shared by all tasks.
     pub server: Rc<Server>,
-    /// Invocations until they are answered and no longer run.
+    /// All invocations that are unanswered or still running.
     pub invocations: Invocations,
-    /// Keys of invocations, and the results of those that succeeded.
+    /// Idempotency keys, with the results of invocations that succeeded.
     pub idempotency: IdempotencyTable,
-    /// What is sent to the interpreter.
+    /// The session with the interpreter, through which commands are sent.
     pub session: InterpreterSession,
-    /// Timers of the controller and of requests.
+    /// Timers of the controller and of outstanding gauge requests.
     pub timers: TimerQueue,
-    /// The ticket for the rejection that comes next.
+    /// The ticket to include in the next rejection, if the controller promised an admission.
     pub promised: Option<PromisedAdmission>,
-    /// Invocations that ended since an action was not possible; the controller is notified next.
+    /// Invocations that failed because an action is not supported; the controller is notified after the
+    /// current action.
     pub unsupported: Vec<u64>,
-    /// Repeats that were answered; the controller is notified next.
+    /// Repeated calls that were answered; the controller is notified after the current action.
     pub replayed: Vec<Replayed>,
-    /// Number of the last downstream call.
+    /// Number of the most recent downstream call, counted from 1.
     pub last_call: u64,
 }
 
 impl ActionExecutor {
-    /// Without invocations, and without a link to the interpreter.
+    /// Creates an executor without invocations and without a link to the interpreter.
     pub fn new(server: Rc<Server>) -> Self {
         let idempotency = {
             let configuration = &server.configuration;
@@ -78,12 +80,12 @@
         }
     }
 
-    /// Sets a timer that fires after a while.
+    /// Sets a timer that fires `after` nanoseconds from now.
     pub fn set_timer_after(&mut self, after: Nanos, timer: Timer) {
         self.timers.set(self.server.clock.now() + after, timer);
     }
 
-    /// Requests the gauges for a timer of the controller.
+    /// Requests the interpreter's gauges, which the controller needs to handle its timer `timer`.
     pub fn request_gauges(&mut self, timer: u32) {
         self.server.pool.close_expired();
         self.server.counters.gauges_asked.add();
@@ -91,7 +93,8 @@
         self.set_timer_after(GAUGES_TIMEOUT_NS, Timer::GaugesOverdue { nonce });
     }
 
-    /// Sends a command that a run depends on, and keeps it until a notice shows that it was received.
+    /// Sends a command that a run depends on, and stores it until a notice from the interpreter confirms its
+    /// receipt.
     pub fn send_for_run(&mut self, invocation: u64, line: Vec<u8>) {
         let link = self.session.send(line.clone());
         if let Some(invocation) = self.invocations.get(invocation) {
@@ -99,8 +102,8 @@
         }
     }
 
-    /// Sends again the commands that a lost link may have swallowed. The interpreter ignores those that it
-    /// has received already.
+    /// Resends unconfirmed commands that may have been lost with an earlier link. The interpreter ignores
+    /// duplicates of commands that it has already received.
     pub fn resend_unconfirmed(&mut self) {
         let link = self.session.link();
         let mut lines = Vec::new();
@@ -121,7 +124,7 @@
         }
     }
 
-    /// Gives the final answer, unless one was given.
+    /// Sends the final answer to the caller, unless the invocation is already answered.
     pub fn answer(&mut self, id: u64, answer: Answer) {
         let Some(invocation) = self.invocations.get(id) else { return };
         if invocation.is_answered {
@@ -133,7 +136,8 @@
         self.close(id);
     }
 
-    /// No answer is owed any more: a downstream call is given up, and a run that waits for one is stopped.
+    /// Marks an invocation as needing no further answer: its downstream call is abandoned, and a run that
+    /// waits for such a call is stopped.
     pub fn close(&mut self, id: u64) {
         let Some(invocation) = self.invocations.get(id) else { return };
         invocation.is_answered = true;
@@ -141,22 +145,23 @@
             self.idempotency.stop_waiting(original, id);
         }
         self.abandon_call(id);
-        self.stop_at_call(id);
+        self.stop_run_awaiting_call(id);
         self.invocations.release(id);
     }
 
-    /// Stops a run that waits for a downstream call that will not be made: it would stay there for ever, and
-    /// count as one that waits. The result of a run that is idempotent with a key may still serve repeats.
-    fn stop_at_call(&mut self, id: u64) {
+    /// Stops a run that waits for a downstream call which will not be made. Otherwise the run would never
+    /// end, and the controller would keep counting it among the waiting runs. A run that is idempotent with a
+    /// key continues, since its result may still answer repeated calls.
+    fn stop_run_awaiting_call(&mut self, id: u64) {
         let Some(invocation) = self.invocations.get(id) else { return };
-        let waits = invocation.is_running && invocation.awaits_call;
+        let awaits_call = invocation.is_running && invocation.awaits_call;
         let operation = invocation.operation;
-        if waits && self.effect(operation) != Effect::IdempotentWithKey {
+        if awaits_call && self.effect(operation) != Effect::IdempotentWithKey {
             self.stop(id);
         }
     }
 
-    /// Asks the interpreter to stop a run.
+    /// Sends the interpreter a command to stop a run, if it is running.
     pub fn stop(&mut self, id: u64) {
         let Some(invocation) = self.invocations.get(id).filter(|invocation| invocation.is_running) else {
             return;
@@ -166,7 +171,7 @@
         invocation.stop_link = Some(self.session.send(line));
     }
 
-    /// A run has ended; repeats that wait for it are answered with it.
+    /// Handles the end of a run: answers its caller and all repeated calls that wait for its outcome.
     pub fn run_ended(&mut self, id: u64, outcome: Outcome, result: Vec<u8>) {
         self.server.counters.runs_ended.add();
         self.abandon_call(id);
@@ -186,37 +191,41 @@
         }
     }
 
-    /// Answers a repeat as the invocation that it repeats has ended: with a result where that succeeded.
+    /// Answers a repeated call when the original invocation has ended. `result` is `None` if the original
+    /// failed or its result is not available.
     pub fn answer_repeat(&mut self, id: u64, result: Option<Vec<u8>>) {
         let outcome = if result.is_some() { Outcome::Succeeded } else { Outcome::Failed };
         self.answer(id, result.map_or(Answer::Failed, Answer::Succeeded));
         self.replayed.push(Replayed { invocation: id, outcome });
     }
 
-    /// Makes the key of an invocation new again, with which repeats that wait for it fail.
+    /// Removes the key of an invocation from the table, so that the next call with this key runs again.
+    /// Repeated calls that wait for the invocation fail.
     pub fn forget(&mut self, id: u64) {
         for repeat in self.idempotency.forget(id) {
             self.answer_repeat(repeat, None);
         }
     }
 
-    /// The same for one that never ran: a call that a peer made up must not occupy the key of the true one.
-    /// Where its command went out more than once the first may have run.
+    /// Forgets the key of an invocation that never ran: a call forged by a peer must not block the key of the
+    /// genuine call. If a command of the invocation was sent again over a later link the key is kept, since
+    /// the first command may have started the run.
     pub fn forget_unless_resent(&mut self, id: u64) {
         if self.invocations.get(id).is_some_and(|invocation| !invocation.was_resent) {
             self.forget(id);
         }
     }
 
-    /// What running an operation twice does.
+    /// Returns whether an operation is idempotent, non-idempotent or idempotent with a key.
     pub fn effect(&self, operation: usize) -> Effect {
         self.server.configuration.settings.deployment.operations[operation].effect
     }
 
-    /// Settings that ask for what the wire cannot carry are refused at the start. Should the controller ask
-    /// for it all the same, the invocation ends with an error.
+    /// Fails an invocation because the configured protocols cannot express the action that the controller
+    /// requested. Settings that require such actions are rejected at startup, so this is not expected to
+    /// happen.
     pub fn fail_as_unsupported(&mut self, id: u64, what: &str) {
-        warn!(what, "not on this wire");
+        warn!(what, "cannot carry out an action of the controller");
         self.answer(id, Answer::Failed);
         self.stop(id);
         self.unsupported.push(id);
--- a/crates/server/src/event_loop/answers.rs
+++ b/crates/server/src/event_loop/answers.rs
@@ -1,4 +1,4 @@
-//! Counts what invocations were answered, for the log, for rollouts and for the fleet.
+//! Counts the final answers of invocations in the server's counters, for rollouts and for the fleet.
 
 use crate::fleet::interval_report::Answered;
 use crate::resources::invocations::Invocation;
@@ -6,7 +6,7 @@
 use crate::wire::rpc::Answer;
 use meadowstream_overload_control::Nanos;
 
-/// Records the final answer to an invocation wherever answers are counted.
+/// Records a final answer in the server's counters, in the rollout's records and in the fleet's counts.
 pub fn record(server: &Server, invocation: &Invocation, answer: &Answer) {
     let counters = &server.counters;
     match answer {
@@ -31,7 +31,7 @@
     rollout.record.answered(invocation.operation, outcome, latency, late);
 }
 
-/// The keys of the fleet's counts are words of the wire.
+/// Adds an answer to the counts shared by the fleet. Their names are part of the protocol between servers.
 fn count_for_fleet(server: &Server, invocation: &Invocation, answer: &Answer) {
     let Some(shared) = &server.shared else { return };
     let settings = &server.configuration.settings;
--- a/crates/server/src/event_loop/arrivals.rs
+++ b/crates/server/src/event_loop/arrivals.rs
@@ -1,4 +1,5 @@
-//! What becomes of a request before the controller decides: whether it repeats another, and may be taken in.
+//! Registers incoming requests before the controller decides about them: detects repeated calls and rejects
+//! requests that cannot be registered.
 
 use crate::connection::table::{Connection, Notification};
 use crate::event::Request;
@@ -10,16 +11,18 @@
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 
-/// The key of a request, and the hash of its body: another body with the key is no repeat.
+/// An idempotency key with the hash of the request's body. A request with the same key and a different body
+/// is not a repeat but an error.
 struct KeyWithBodyHash {
     key: Vec<u8>,
     body_hash: u64,
 }
 
 impl ActionExecutor {
-    /// Registers a request as an invocation and describes it to the controller. `None` where it failed: its
-    /// key is in use with another body, an invocation of its reference is not over, which the interpreter
-    /// would confuse with it, or the controller has not started.
+    /// Registers a request as an invocation and returns its description for the controller. Returns `None`
+    /// after failing the request if its key is in use with a different body, if an unfinished invocation has
+    /// the same reference (the interpreter could not tell the two apart), or if the controller has not
+    /// started.
     pub fn register(&mut self, mut request: Request, has_controller: bool) -> Option<Arrival> {
         let now = self.server.clock.now();
         let mut arrival = self.describe(&request);
@@ -65,14 +68,15 @@
         }
     }
 
-    /// Callers choose the bodies, so the hash is seeded.
+    /// Hashes a body with the configured seed, since callers choose the bodies and could otherwise construct
+    /// collisions.
     fn key_with_body_hash(&self, key: Vec<u8>, body: &[u8]) -> KeyWithBodyHash {
         let mut hasher = SipHasher13::new_with_keys(self.server.configuration.seed, 0);
         hasher.write(body);
         KeyWithBodyHash { key, body_hash: hasher.finish() }
     }
 
-    /// Counts what was found of a key. Returns the invocation that is repeated.
+    /// Counts the result of a key lookup. Returns the original invocation if the request is a repeat.
     fn count_lookup(&self, lookup: Option<Lookup>) -> Option<u64> {
         let counters = &self.server.counters;
         match lookup? {
@@ -87,8 +91,8 @@
         None
     }
 
-    /// The window counts from the time of reading: it must not end too early for a caller whose clock is
-    /// behind.
+    /// Stores the key of a new invocation. Its idempotency window starts when the request is read, not at the
+    /// stated arrival time, since the window would end too early for a caller whose clock is behind.
     fn keep_key(&mut self, id: u64, operation: usize, keyed: &KeyWithBodyHash, now: Nanos) {
         let operations = &self.server.configuration.settings.deployment.operations;
         let window_end = now + operations[operation].idempotency_window;
--- a/crates/server/src/event_loop/downstream.rs
+++ b/crates/server/src/event_loop/downstream.rs
@@ -1,4 +1,4 @@
-//! The downstream calls of invocations: where they go, and what their end means.
+//! Starts the downstream calls of invocations, and handles their ends.
 
 use crate::calls::task as call;
 use crate::calls::task::Call;
@@ -12,13 +12,14 @@
 use tracing::debug;
 
 impl ActionExecutor {
-    /// Whether the fleet permits the call of an invocation, while so many runs wait for theirs.
+    /// Returns whether the fleet's budget permits a downstream call for an invocation. `waiting` is the
+    /// number of runs that wait for a call.
     pub fn is_call_permitted(&mut self, id: u64, waiting: usize) -> bool {
         let preference = self.call_preference(id);
         self.server.shared.as_ref().is_none_or(|shared| shared.is_call_permitted(waiting, preference))
     }
 
-    /// Makes the call that a run waits for.
+    /// Starts the downstream call that a run waits for.
     pub fn start(&mut self, id: u64, timeout: Nanos) {
         let Some(records) = self.server.configuration.addresses.get().records else {
             return self.fail_as_unsupported(id, "a call");
@@ -51,17 +52,17 @@
         self.server.counters.calls.add();
     }
 
-    /// Resumes a run with the reply that the options state for calls that are left out.
+    /// Resumes a run without making its downstream call, with the reply configured for skipped calls.
     pub fn skip(&mut self, id: u64) {
         let reply = self.server.configuration.options.borrow().skipped_call_reply.clone();
-        let Some(reply) = reply else { return self.fail_as_unsupported(id, "leaving a call out") };
+        let Some(reply) = reply else { return self.fail_as_unsupported(id, "skipping a downstream call") };
         if let Some(line) = self.resume_line(id, reply.as_bytes()) {
             self.server.counters.calls_left_out.add();
             self.send_for_run(id, line);
         }
     }
 
-    /// A call has ended. False where it was given up before.
+    /// Handles the end of a downstream call. Returns false if the call was abandoned before.
     pub fn call_ended(&mut self, id: u64, number: u64, outcome: Outcome, reply: &[u8]) -> bool {
         let Some(invocation) = self.invocations.get(id) else { return false };
         if invocation.call.take_if(|call| call.number == number).is_none() {
@@ -77,7 +78,7 @@
         true
     }
 
-    /// Gives up the call of an invocation, if one is under way.
+    /// Abandons the downstream call of an invocation, if one is in progress.
     pub fn abandon_call(&mut self, id: u64) {
         let call = self.invocations.get(id).and_then(|invocation| invocation.call.take());
         let Some(call) = call else { return };
@@ -103,7 +104,7 @@
         }
     }
 
-    /// The command that resumes a run with a reply.
+    /// Builds the interpreter command that resumes a run with a reply.
     fn resume_line(&mut self, id: u64, reply: &[u8]) -> Option<Vec<u8>> {
         let invocation = self.invocations.get(id)?;
         invocation.call_body = Vec::new();
@@ -111,8 +112,8 @@
         Some(interpreter::resolve(invocation.reference, reply))
     }
 
-    /// What the call of an invocation needs of a service. Only first attempts of what is idempotent may be
-    /// spent on a health check.
+    /// Returns the routing preference of an invocation's downstream call. Only the first attempt of an
+    /// idempotent operation may be used to probe an unhealthy service.
     fn call_preference(&mut self, id: u64) -> CallPreference {
         let Some(invocation) = self.invocations.get(id) else { return CallPreference::default() };
         let (operation, last_service) = (invocation.operation, invocation.last_service);
--- a/crates/server/src/event_loop/host.rs
+++ b/crates/server/src/event_loop/host.rs
@@ -1,4 +1,4 @@
-//! The controller's actions, each carried out by the one who owns what it acts on.
+//! Implements the controller's actions by forwarding them to the component concerned.
 
 use crate::event_loop::actions::{ActionExecutor, PromisedAdmission};
 use crate::event_loop::timers::Timer;
@@ -48,7 +48,7 @@
         self.skip(id);
     }
 
-    /// The key has been kept since the arrival.
+    /// Does nothing: the key is already stored when the request arrives.
     fn remember_key(&mut self, _id: u64, _lifetime: Nanos) {}
 
     fn forget_key(&mut self, id: u64) {
@@ -57,7 +57,8 @@
 
     fn replay_result(&mut self, id: u64) {
         let Some(original) = self.invocations.get(id).and_then(|invocation| invocation.repeat_of) else {
-            return self.fail_as_unsupported(id, "answering a repeat from its forerunner");
+            return self
+                .fail_as_unsupported(id, "answering a call that is not a repeat from an earlier result");
         };
         match self.idempotency.replay(original, id) {
             Replay::Pending => {}
--- a/crates/server/src/event_loop/mod.rs
+++ b/crates/server/src/event_loop/mod.rs
@@ -1,4 +1,4 @@
-//! The one task that owns the controller: events and timers go in, and its actions are carried out.
+//! The event loop: the task that owns the controller, feeds it events and timers, and executes its actions.
 
 mod actions;
 mod answers;
@@ -22,23 +22,23 @@
 use std::rc::Rc;
 use tracing::{debug, info};
 
-/// A timer that the controller has not set: it looks at everything again.
+/// Number of a timer that the controller never sets. Firing it makes the controller re-evaluate its state.
 const RECHECK_TIMER: u32 = u32::MAX;
 
-/// The event loop.
+/// The event loop's state: the controller and the executor of its actions.
 pub struct EventLoop {
-    /// Started with the first link to the interpreter.
+    /// The overload controller, which is created when the first link to the interpreter is established.
     controller: Option<Controller>,
     actions: ActionExecutor,
 }
 
 impl EventLoop {
-    /// An event loop that waits for the first link to the interpreter.
+    /// Creates an event loop that waits for the first link to the interpreter.
     pub fn new(server: Rc<Server>) -> Self {
         Self { controller: None, actions: ActionExecutor::new(server) }
     }
 
-    /// Handles events and timers for as long as the server runs.
+    /// Handles events and timers until the server process exits.
     pub async fn run(mut self, events: Receiver<Event>) {
         let mut timer = async_io::Timer::never();
         let mut set_for = None;
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Lets the controller act, and notifies it of invocations that ended here meanwhile.
+    /// Calls the controller, then notifies it of invocations that ended while its actions were executed.
     fn with_controller(&mut self, act: impl FnOnce(&mut Controller, Nanos, &mut ActionExecutor)) {
         let Some(controller) = &mut self.controller else { return };
         let actions = &mut self.actions;
@@ -128,7 +128,7 @@
             }
             Event::DownstreamCapacity => self.on_timer(RECHECK_TIMER, Gauges::default()),
             Event::LogTenants => self.log_tenants(),
-            Event::ReconfigureFairQueueing(change) => self.retune(change),
+            Event::ReconfigureFairQueueing(change) => self.reconfigure_fair_queueing(change),
             Event::Barrier(done) => {
                 let _ = done.try_send(());
             }
@@ -150,7 +150,8 @@
         self.with_controller(|controller, now, actions| controller.on_caller_gone(now, id, actions));
     }
 
-    /// The grace counts from the notice, also where the controller starts after it.
+    /// Passes the drain notice to the controller. The grace period starts at the notice, even if the
+    /// controller is created later.
     fn handle_shutdown(&mut self) {
         let Some(noticed_at) = self.actions.server.drain.noticed_at() else { return };
         let grace = self.actions.server.configuration.stop_ms * 1_000_000;
@@ -159,8 +160,8 @@
         });
     }
 
-    /// Applies one part of a change of weights and shares, and notes how long that took.
-    fn retune(&mut self, change: Box<SettingsChange>) {
+    /// Applies one part of a change of tenant weights and shares, and records how long that took.
+    fn reconfigure_fair_queueing(&mut self, change: Box<SettingsChange>) {
         let stopwatch = Stopwatch::start();
         self.with_controller(|controller, now, _| controller.reconfigure_fair_queueing(now, &change));
         drop(change);
@@ -169,14 +170,15 @@
         self.actions.server.change_pauses.set(pauses);
     }
 
-    /// The queue is empty, so that the thread does what else there is before the next event.
+    /// Records that the event queue is empty. The thread runs other tasks before the next event, which ends
+    /// the current pause.
     fn record_idle(&self) {
         let mut pauses = self.actions.server.change_pauses.get();
         pauses.interrupt();
         self.actions.server.change_pauses.set(pauses);
     }
 
-    /// Logs the tenants with the highest demand, as many as the options say.
+    /// Logs the tenants with the highest demand, up to the number configured in the options.
     fn log_tenants(&mut self) {
         let options = self.actions.server.configuration.options.borrow();
         let Some(shown) = options.tenants.as_ref().map(|tenants| tenants.shown) else { return };
@@ -203,7 +205,8 @@
         self.handle_shutdown();
     }
 
-    /// Starts the controller by the options in force, which may have changed before the first link.
+    /// Creates the controller with the options currently in force, which may have changed since the server
+    /// started.
     fn start_controller(&mut self, cold: bool, age: Nanos) {
         let server = self.actions.server.clone();
         let configuration = &server.configuration;
@@ -217,8 +220,8 @@
         self.controller = Some(Controller::new(deployment, configuration.seed, started, &mut self.actions));
     }
 
-    /// The interpreter has started again and knows of no run: each counts as stopped unasked. The controller
-    /// holds what may run twice as pending again, and the rest ends with an error.
+    /// Cancels all runs after a restart of the interpreter, which no longer knows them. The controller makes
+    /// an invocation pending again if running it twice is safe; the others fail.
     fn cancel_all_runs(&mut self) {
         for id in self.actions.invocations.running() {
             self.handle_run_end(id, Outcome::Cancelled, Vec::new());
@@ -263,15 +266,20 @@
 
     fn handle_command_failed(&mut self, command: &str, task: Option<u64>) {
         self.actions.server.counters.commands_not_done.add();
-        debug!(command, task = task.map(|id| format!("{id:016x}")), "the interpreter did not do it");
+        debug!(
+            command,
+            task = task.map(|id| format!("{id:016x}")),
+            "the interpreter could not carry out a command"
+        );
         let id = task.and_then(|task| self.actions.invocations.find(task));
         if let Some(id) = id.filter(|_| command == "APPLY") {
             self.handle_run_end(id, Outcome::NeverRan, Vec::new());
         }
     }
 
-    /// One that never ran failed for its caller, since a retry would end in the same way. The controller
-    /// first takes its caller for gone, so that a call made up by a peer is no evidence that runs fail here.
+    /// Handles the end of a run. A run that never started fails for its caller, since a retry would end in
+    /// the same way. The controller is first told that the caller has disconnected, so that a call forged by
+    /// a peer does not count as evidence that runs fail on this server.
     fn handle_run_end(&mut self, id: u64, outcome: Outcome, result: Vec<u8>) {
         if outcome == Outcome::NeverRan {
             self.actions.forget_unless_resent(id);
--- a/crates/server/src/event_loop/timers/tests.rs
+++ b/crates/server/src/event_loop/timers/tests.rs
@@ -1,4 +1,4 @@
-//! Which timer fires when.
+//! Tests the firing order of timers.
 
 use super::*;
 
