--- a/crates/server/src/error.rs
+++ b/crates/server/src/error.rs
@@ -1,11 +1,11 @@
-//! What all errors have in common.
+//! Helpers for handling errors.
 
 use std::error::Error;
 
-/// An error of another crate, whose chain of causes is kept.
+/// A boxed error of any type, which keeps its chain of causes.
 pub type BoxError = Box<dyn Error + Send + Sync>;
 
-/// An error with its causes, in one line.
+/// Formats an error and its chain of causes as one line.
 pub fn with_causes(error: &dyn Error) -> String {
     let mut line = error.to_string();
     let mut cause = error.source();
--- a/crates/server/src/event.rs
+++ b/crates/server/src/event.rs
@@ -1,4 +1,4 @@
-//! What the event loop receives from the other tasks.
+//! Events that other tasks send to the event loop.
 
 use crate::connection::table::Connection;
 use crate::wire::interpreter::Notice;
@@ -7,88 +7,89 @@
 use meadowstream_overload_control::{Nanos, Outcome, Sender as TenantSender};
 use std::rc::Rc;
 
-/// An invocation as a balancer's connection has read it.
+/// A request for an operation, as parsed from a balancer's connection.
 pub struct Request {
-    /// Where its answer goes.
+    /// Connection on which to send the answer.
     pub connection: Rc<Connection>,
-    /// The caller's number for the call, unique among those open on its connection.
+    /// Tag of the call, chosen by the caller and unique among the open calls of its connection.
     pub tag: u64,
-    /// Place of its operation in the settings.
+    /// Index of the operation in the settings.
     pub operation: usize,
-    /// The caller's number for the invocation over all its attempts.
+    /// Reference of the invocation, chosen by the caller and the same for all its attempts.
     pub reference: u64,
-    /// When it reached the machine, in Unix milliseconds.
+    /// Time of arrival at this machine, in Unix milliseconds.
     pub arrival_unix_ms: u64,
-    /// Memory that it reserves while it runs, in kilobytes.
+    /// Memory that the run reserves, in kilobytes.
     pub held_kb: f64,
-    /// Place of its tenant in the settings; 0 where these name no tenants.
+    /// Index of the tenant in the settings; 0 if they define no tenants.
     pub tenant: usize,
-    /// How long its caller waits from then on, where callers say so.
+    /// Time that the caller waits from the arrival of the call, if callers state it.
     pub client_timeout: Option<Nanos>,
-    /// Its caller has marked it as a retry.
+    /// True if the caller has marked the call as a retry.
     pub marked_retry: bool,
-    /// What the operation is applied to.
+    /// Body of the call, the operation's input.
     pub body: Vec<u8>,
-    /// The key of an operation that is idempotent with a key.
+    /// Idempotency key, if the operation is idempotent with a key.
     pub idempotency_key: Option<Vec<u8>>,
-    /// Who sent it, where capacity is shared between tenants.
+    /// Sender of the call, if capacity is shared between tenants.
     pub sender: Option<TenantSender>,
 }
 
-/// Something that happened outside the event loop.
+/// An event from outside the event loop.
 pub enum Event {
-    /// An invocation has arrived.
+    /// A request has arrived.
     Arrived(Box<Request>),
-    /// A connection has broken: none of its callers waits for an answer.
+    /// A connection has broken. Its callers no longer wait for answers.
     ConnectionLost {
-        /// The connection's number in the table.
+        /// Number of the connection in the table.
         connection: u64,
     },
-    /// The caller has given up on one invocation.
+    /// A caller has cancelled an invocation.
     Cancelled {
-        /// The connection's number in the table.
+        /// Number of the connection in the table.
         connection: u64,
-        /// The tag of the call.
+        /// Tag of the call.
         tag: u64,
     },
-    /// The interpreter has accepted a link.
+    /// A link to the interpreter is established.
     Linked {
-        /// It is still warming up.
+        /// True if the interpreter is still warming up.
         cold: bool,
-        /// Time since its start.
+        /// Time since the interpreter started.
         age: Nanos,
-        /// It started after the previous link was made: its notices are numbered from 1 again.
+        /// True if the interpreter was restarted since the previous link. It then numbers its notices from 1
+        /// again.
         restarted: bool,
-        /// Where commands for it go.
+        /// Queue for commands to the interpreter.
         commands: Sender<Vec<u8>>,
     },
-    /// The link to the interpreter has ended.
+    /// The link to the interpreter is lost.
     LinkLost,
-    /// The interpreter has sent a notice.
+    /// A notice from the interpreter has arrived.
     Notice(Notice),
     /// A downstream call has ended.
     CallEnded {
-        /// The invocation that made it.
+        /// Id of the invocation that needed the call.
         invocation: u64,
-        /// The number of the call.
+        /// Number of the call.
         number: u64,
-        /// What is known of its effect.
+        /// Outcome of the call: whether it ran, as far as known.
         outcome: Outcome,
-        /// The body of the reply; empty without one.
+        /// Body of the reply; empty if there was no reply.
         reply: Vec<u8>,
-        /// From its start to its end.
+        /// Duration of the call.
         took: Nanos,
     },
-    /// The fleet's budget has capacity again for calls that the controller held back.
+    /// The fleet's budget has capacity again for calls that the controller has delayed.
     DownstreamCapacity,
-    /// The log is to show the tenants with the highest demand.
+    /// Log the tenants with the highest demand.
     LogTenants,
-    /// A part of a change of weights and shares.
+    /// Apply one part of a change of tenant weights and shares.
     ReconfigureFairQueueing(Box<SettingsChange>),
-    /// Every event sent before this one has been handled once it is signalled.
+    /// Signal the sender. All events sent before this one have been handled by then.
     Barrier(Sender<()>),
-    /// The utilization of the cores to steer to from now on.
+    /// Set the target utilization of the cores.
     SetTargetUtilization(f64),
-    /// The server is to drain and end.
+    /// Drain the server and stop.
     Shutdown,
 }
--- a/crates/server/src/interpreter/incarnation.rs
+++ b/crates/server/src/interpreter/incarnation.rs
@@ -1,41 +1,45 @@
-//! What is known of the interpreter over successive links.
+//! State about the interpreter that persists over successive links: its current incarnation and recent
+//! connection attempts.
 
 use meadowstream_overload_control::Nanos;
 use std::time::Duration;
 
-/// A server is to be ready within this time after its restart, whatever its interpreter does.
+/// Time after a restart within which a server must be ready, however slow its interpreter is.
 const READINESS_DEADLINE: Duration = Duration::from_secs(10);
-/// Banners state the start in whole milliseconds, by clocks that may drift apart: starts this close are one.
+/// Two start times closer together than this, in nanoseconds, are taken for the same start: banners state the
+/// start in whole milliseconds, and clocks may drift apart.
 const START_TOLERANCE_NS: Nanos = 1_000_000_000;
-/// Limit of the doubling of time allowances.
+/// Maximum number of times that a time allowance is doubled.
 const DOUBLINGS_MAX: u32 = 8;
 
-/// The interpreter's incarnation and how links to it went.
+/// The interpreter's incarnation, and the results of attempts to link to it.
 #[derive(Default)]
 pub struct Incarnation {
-    /// Number of the last notice that was read.
+    /// Index of the last notice that was read.
     pub last_read: u64,
-    /// When it started at the latest, as its banners said.
+    /// Latest possible start time of the interpreter, computed from its banners.
     started: Option<Nanos>,
-    /// Attempts since the last link for which the time allowance was too short.
+    /// Number of attempts since the last link that timed out.
     timeouts: u32,
 }
 
 impl Incarnation {
-    /// The time allowed for a step that gets this part of the whole at first. Each attempt that timed out
-    /// doubles it, so that an interpreter that is always slow gets a link in the end.
+    /// Returns the time allowed for one step of connecting, initially the readiness deadline divided by
+    /// `divisor`. Each attempt that timed out doubles this time, so that an interpreter that is always slow
+    /// is linked eventually.
     pub fn time_allowance(&self, divisor: u32) -> Duration {
         let doubled = (READINESS_DEADLINE / divisor).saturating_mul(1 << self.timeouts.min(DOUBLINGS_MAX));
         doubled.min(READINESS_DEADLINE)
     }
 
-    /// An attempt has ended without a link, or a link was lost.
+    /// Records the end of a link or of an attempt to establish one.
     pub fn record_end(&mut self, was_linked: bool, timed_out: bool) {
         self.timeouts = if was_linked { 0 } else { self.timeouts + u32::from(timed_out) };
     }
 
-    /// Whether a banner is that of an interpreter which started after the one before. It was requested and
-    /// read at these times, and states this age; the machine may have stood still between them.
+    /// Processes a banner that states the interpreter's `age`, and returns whether the interpreter was
+    /// restarted since the previous banner. `requested` and `read` are the times at which the banner was
+    /// requested and read; the difference may be large if the machine was suspended in between.
     pub fn detect_restart(&mut self, requested: Nanos, read: Nanos, age: Nanos) -> bool {
         let earliest = requested.saturating_sub(age);
         let latest = read.saturating_sub(age);
--- a/crates/server/src/interpreter/link.rs
+++ b/crates/server/src/interpreter/link.rs
@@ -1,4 +1,4 @@
-//! The link to the interpreter, which is made again after each break.
+//! The link to the interpreter, which is established again after each loss.
 
 use crate::event::Event;
 use crate::interpreter::incarnation::Incarnation;
@@ -19,22 +19,24 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// Commands that may wait to be written; the link to an interpreter that reads none is made again.
+/// Maximum number of commands that wait to be written. If an interpreter that does not read exceeds it, the
+/// link is closed and established again.
 const COMMANDS_MAX: usize = 4096;
-/// Bytes from which on no further command joins a write.
+/// Size of a write, in bytes, from which no further command is added to it.
 const WRITE_MAX_BYTES: usize = 64 * 1024;
-/// First pause between attempts; it doubles with each up to the longest.
+/// First delay between attempts to establish the link; each failed attempt doubles it up to the maximum.
 const BACKOFF: Duration = Duration::from_millis(5);
-/// Longest pause between attempts.
+/// Maximum delay between attempts.
 const BACKOFF_MAX: Duration = Duration::from_millis(160);
-/// Part of the time until the server must be ready that is allowed for the first attempt to connect.
+/// Divisor of the readiness deadline, which gives the time allowed for the first attempt to connect.
 const CONNECT_DIVISOR: u32 = 10;
-/// The same for the banner.
+/// Divisor of the readiness deadline, which gives the time allowed for the first banner.
 const BANNER_DIVISOR: u32 = 5;
-/// A link on which nothing has come for so many control periods is given up: gauges are requested in each.
+/// Number of control periods without received data after which the link is closed. Gauges are requested in
+/// every period, so a working link is never silent for this long.
 const SILENT_PERIODS_MAX: usize = 4;
 
-/// Keeps a link to the interpreter for as long as the server runs.
+/// Maintains a link to the interpreter until the server process exits.
 pub async fn run(server: Rc<Server>) {
     let mut incarnation = Incarnation::default();
     let mut backoff = BACKOFF;
@@ -42,7 +44,7 @@
         let mut linked = false;
         let address_changed = async {
             let _ = server.interpreter_address_changed.1.recv().await;
-            Err(Error::other("the interpreter has another address"))
+            Err(Error::other("the interpreter's address has changed"))
         };
         if let Err(error) = future::or(address_changed, session(&server, &mut incarnation, &mut linked)).await
         {
@@ -71,8 +73,9 @@
     future::or(work, timeout).await
 }
 
-/// Waits for bytes until so many periods have brought none. They are counted one by one: after a standstill
-/// of the machine all are over at once, though nothing was requested in them.
+/// Receives bytes, and times out after [`SILENT_PERIODS_MAX`] control periods without any. The periods are
+/// timed one by one: after a suspension of the machine a single long timer would expire at once, though no
+/// gauges were requested meanwhile.
 async fn receive_or_time_out(stream: &Async<TcpStream>, ring: &mut Ring) -> Result<()> {
     for _ in 0..SILENT_PERIODS_MAX {
         match with_timeout(Duration::from_nanos(CONTROL_PERIOD), receive(stream, ring)).await {
@@ -83,7 +86,7 @@
     Err(ErrorKind::TimedOut.into())
 }
 
-/// One link, from its connection to its end, which is an error always.
+/// Serves one link from connecting to its end, which is always reported as an error.
 async fn session(server: &Server, incarnation: &mut Incarnation, linked: &mut bool) -> Result<()> {
     let address = server.configuration.addresses.get().interpreter;
     let connecting = Async::<TcpStream>::connect(address);
@@ -96,12 +99,12 @@
     future::or(link.read(incarnation, linked), write(&stream, &queue)).await
 }
 
-/// A link whose banner is due or has come.
+/// A connected link, before or after its banner was received.
 struct Link<'a> {
     server: &'a Server,
     stream: &'a Async<TcpStream>,
     commands: Sender<Vec<u8>>,
-    /// When the banner was requested.
+    /// Time at which the banner was requested.
     requested: Nanos,
 }
 
@@ -136,7 +139,7 @@
     }
 }
 
-/// Writes commands; those that wait together go out in one write.
+/// Writes commands from the queue. Commands that are queued together are combined into one write.
 async fn write(mut stream: &Async<TcpStream>, queue: &Receiver<Vec<u8>>) -> Result<()> {
     while let Ok(mut batch) = queue.recv().await {
         while batch.len() < WRITE_MAX_BYTES
--- a/crates/server/src/interpreter/link/tests.rs
+++ b/crates/server/src/interpreter/link/tests.rs
@@ -1,17 +1,17 @@
-//! What is written on a link.
+//! Tests writing commands to a link.
 
 use super::*;
 use crate::wire::interpreter::resolve;
 use std::io::Read;
 use std::net::TcpListener;
 
-/// Longest reply of a downstream call, in bytes.
+/// Maximum length of a downstream call's reply, in bytes.
 const REPLY_BYTES: usize = 16 * 1024;
 
-/// A long reply was dropped where it did not fit beside those that waited with it, and its run waited for
-/// ever.
+/// A long reply used to be dropped if it did not fit into one write with the other queued commands. Its run
+/// then waited forever.
 #[test]
-fn long_replies_that_wait_together_are_all_written() {
+fn long_replies_queued_together_are_all_written() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut peer = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let stream = Async::<TcpStream>::new(listener.accept().unwrap().0).unwrap();
--- a/crates/server/src/interpreter/mod.rs
+++ b/crates/server/src/interpreter/mod.rs
@@ -1,4 +1,4 @@
-//! The link to the interpreter that runs the work.
+//! The connection to the interpreter, which runs the operations.
 
 mod incarnation;
 pub mod link;
--- a/crates/server/src/interpreter/reader.rs
+++ b/crates/server/src/interpreter/reader.rs
@@ -1,4 +1,4 @@
-//! Reads the interpreter's notices from the bytes of a link.
+//! Parses the interpreter's notices from the bytes received on a link.
 
 use crate::resources::counters::Counters;
 use crate::wire::Parsed;
@@ -6,24 +6,24 @@
 use crate::wire::interpreter::Notice;
 use tracing::warn;
 
-/// What the first bytes are.
+/// The first line of the received bytes.
 pub struct ReadLine {
-    /// The notice, where it is new and one that is known.
+    /// The notice, if the line holds a valid one that was not read before.
     pub notice: Option<Notice>,
-    /// Bytes that are done with.
+    /// Number of bytes that the line occupies, which the caller removes.
     pub length: usize,
 }
 
-/// Reads the lines of one link.
+/// Parser for the lines of one link.
 #[derive(Default)]
 pub struct NoticeReader {
-    /// The bytes up to the next line end belong to a line that is too long.
+    /// True while the rest of a line that is too long is being skipped.
     skipping_line: bool,
 }
 
 impl NoticeReader {
-    /// The next line; `None` where more bytes are needed. Notices up to `last_read` were read on an earlier
-    /// link.
+    /// Parses the next line, or returns `None` if more bytes are needed. Notices with an index up to
+    /// `last_read` were read on an earlier link and are ignored.
     pub fn read(&mut self, bytes: &[u8], last_read: &mut u64, counters: &Counters) -> Option<ReadLine> {
         let (line, length) = match interpreter::line(bytes) {
             Parsed::Incomplete => return None,
@@ -52,7 +52,7 @@
         Some(ReadLine { notice, length })
     }
 
-    /// Drops what is here of a line that is too long.
+    /// Skips the available bytes of a line that is too long.
     fn skip(&mut self, bytes: &[u8]) -> ReadLine {
         let end = bytes.iter().position(|byte| *byte == b'\n').map(|end| end + 1);
         self.skipping_line = end.is_none();
--- a/crates/server/src/resources/buffers.rs
+++ b/crates/server/src/resources/buffers.rs
@@ -1,44 +1,46 @@
-//! Memory that the buffers of all connections may fill together.
+//! Limits the memory that the buffers of all connections use together.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The bytes that all connections may buffer, and how many are reserved now.
+/// A limit on the buffered bytes of all connections, and the bytes currently reserved.
 pub struct BufferBudget {
     limit_bytes: usize,
     reserved_bytes: Cell<usize>,
 }
 
 impl BufferBudget {
-    /// A budget of so many bytes, of which none is reserved.
+    /// Creates a budget of `limit_bytes` bytes, none of them reserved.
     pub fn new(limit_bytes: usize) -> Rc<Self> {
         Rc::new(Self { limit_bytes, reserved_bytes: Cell::new(0) })
     }
 
-    /// Whether a connection may read more. Each holds little, but many may hold too much together.
+    /// Returns whether connections may read more data. One connection buffers little, but many together could
+    /// exceed the available memory.
     pub fn has_capacity(&self) -> bool {
         self.reserved_bytes.get() < self.limit_bytes
     }
 }
 
-/// The bytes of one connection, given back when it is dropped.
+/// The reservation of one connection, released when it is dropped.
 pub struct BufferReservation {
     budget: Rc<BufferBudget>,
     bytes: usize,
 }
 
 impl BufferReservation {
-    /// A reservation of no bytes yet.
+    /// Creates a reservation of 0 bytes.
     pub fn new(budget: Rc<BufferBudget>) -> Self {
         Self { budget, bytes: 0 }
     }
 
-    /// The budget that it is a part of.
+    /// Returns the budget that this reservation belongs to.
     pub fn budget(&self) -> &BufferBudget {
         &self.budget
     }
 
-    /// Sets the bytes that the connection holds. It may go beyond the limit: what was read must be kept.
+    /// Sets the number of bytes that the connection uses. The total may exceed the limit, because data that
+    /// was already read must be kept.
     pub fn resize(&mut self, bytes: usize) {
         let others = self.budget.reserved_bytes.get() - self.bytes;
         self.budget.reserved_bytes.set(others + bytes);
--- a/crates/server/src/resources/counters.rs
+++ b/crates/server/src/resources/counters.rs
@@ -1,11 +1,11 @@
-//! Counts of everything received, sent and answered since the start, as one line of the log shows them.
+//! Counters of events since startup, which the log shows in one line.
 
 use std::cell::Cell;
 use std::fmt;
 
 macro_rules! counters {
     ($($name:ident)*) => {
-        /// Counts since the start. Their names are those of the log (docs/on-call.md).
+        /// Counters since startup. Their names appear in the log (docs/on-call.md).
         #[derive(Default)]
         pub struct Counters {
             $(#[doc = concat!("The counter `", stringify!($name), "`.")] pub $name: Count),*
@@ -20,17 +20,17 @@
     };
 }
 
-/// A count.
+/// A counter.
 #[derive(Default)]
 pub struct Count(Cell<u64>);
 
 impl Count {
-    /// Counts one more.
+    /// Increments the counter by 1.
     pub fn add(&self) {
         self.0.set(self.0.get() + 1);
     }
 
-    /// The count so far.
+    /// Returns the current value.
     pub fn get(&self) -> u64 {
         self.0.get()
     }
--- a/crates/server/src/resources/descriptors.rs
+++ b/crates/server/src/resources/descriptors.rs
@@ -1,25 +1,27 @@
-//! The file descriptors that the server may hold, whose number the platform limits: each connection, each
-//! downstream call and each file that is read has one of them.
+//! Limits the file descriptors that the server uses, since the platform limits their number. Each connection,
+//! each downstream call and each file being read uses one.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Opened after the start beside those counted here: the interpreter's link and the catalog's socket.
+/// Number of descriptors that are opened after startup without being counted: the link to the interpreter and
+/// the socket of the service registry.
 const OPENED_AFTER_START: usize = 2;
-/// Taken for open at the start where that cannot be counted.
+/// Number of descriptors assumed to be open at startup if they cannot be counted.
 const OPEN_AT_START_FALLBACK: usize = 13;
-/// Part of the descriptors that connections never use. Downstream calls leave half of it to connections.
+/// Divisor of all descriptors, which gives the reserve that connections do not use. Downstream calls leave
+/// half of this reserve to connections.
 const RESERVE_DIVISOR: usize = 8;
-/// The least of that reserve.
+/// Minimum number of descriptors in the reserve.
 const RESERVE_MIN: usize = 2;
 
-/// The limit leaves no descriptor for callers.
+/// The limit is too low to leave descriptors for connections of callers.
 #[derive(Debug, thiserror::Error)]
-#[error("limits.sockets: {limit} are too few, {in_use} are in use")]
+#[error("limits.sockets: {limit} descriptors are too few, {in_use} are needed for other purposes")]
 pub struct TooFewDescriptors {
-    /// The limit.
+    /// The configured limit.
     pub limit: usize,
-    /// Descriptors that the server needs beside those of callers.
+    /// Number of descriptors that the server needs for other purposes.
     pub in_use: usize,
 }
 
@@ -29,21 +31,22 @@
     connections: Cell<usize>,
 }
 
-/// How many descriptors there are, and how many are in use.
+/// The number of available descriptors, and the number in use.
 pub struct Descriptors {
     limit: usize,
     in_use: Rc<InUse>,
 }
 
-/// The use of one descriptor, given back when it is dropped.
+/// A reserved descriptor, released when it is dropped.
 pub struct Descriptor {
     in_use: Rc<InUse>,
-    /// 1 for a connection, 0 for anything else.
+    /// Number of connections that the reservation counts as: 1 for a connection, 0 for a call or file.
     connections: usize,
 }
 
 impl Descriptors {
-    /// What the process's limit leaves beside the descriptors that are open now.
+    /// Creates the pool of descriptors that remain of the process's limit after subtracting those that are
+    /// already open.
     pub fn with_limit(limit: usize) -> Result<Self, TooFewDescriptors> {
         let open =
             std::fs::read_dir("/proc/self/fd").map_or(OPEN_AT_START_FALLBACK, |entries| entries.count() - 1);
@@ -59,19 +62,20 @@
         (self.limit / RESERVE_DIVISOR).max(RESERVE_MIN)
     }
 
-    /// One for a connection, if there is one.
+    /// Reserves a descriptor for a connection, or returns `None` if none is available.
     pub fn for_connection(&self) -> Option<Descriptor> {
         let within_part = self.in_use.connections.get() + self.reserve() < self.limit;
         (within_part && self.in_use.all.get() < self.limit).then(|| self.take(1))
     }
 
-    /// Whether connections use more than half of all.
+    /// Returns whether connections use more than half of all descriptors.
     pub fn connections_exceed_half(&self) -> bool {
         2 * self.in_use.connections.get() > self.limit
     }
 
-    /// One for a downstream call or a file, if there is one. These leave some to connections, since they can
-    /// wait and what the kernel has accepted cannot.
+    /// Reserves a descriptor for a downstream call or a file, or returns `None` if none is available. Some
+    /// descriptors are left to connections, because a call or file can wait but a connection already accepted
+    /// by the kernel cannot.
     pub fn for_call(&self) -> Option<Descriptor> {
         (self.in_use.all.get() + self.reserve() / 2 < self.limit).then(|| self.take(0))
     }
--- a/crates/server/src/resources/descriptors/tests.rs
+++ b/crates/server/src/resources/descriptors/tests.rs
@@ -1,4 +1,4 @@
-//! Who gets a place when few are left.
+//! Tests which requests get a descriptor when few are available.
 
 use super::*;
 use crate::calls::pool::{DESCRIPTOR_RETRY_AFTER, Pool};
@@ -15,7 +15,7 @@
     or(async { Some(work.await) }, timeout).await
 }
 
-/// Descriptors for eight, whatever the process that tests holds open.
+/// A pool of eight descriptors, independent of how many the test process has open.
 fn eight_descriptors() -> Descriptors {
     let open = std::fs::read_dir("/proc/self/fd").unwrap().count() - 1;
     let descriptors = Descriptors::with_limit(open + 64).unwrap();
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_file_waits_for_a_place_and_takes_none_that_is_not_there() {
+fn a_file_waits_for_a_descriptor_and_never_exceeds_the_limit() {
     let (descriptors, pool) = (eight_descriptors(), Pool::default());
     let mut held: Vec<Descriptor> = std::iter::from_fn(|| descriptors.for_connection()).collect();
     held.extend(std::iter::from_fn(|| descriptors.for_call()));
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn call_connections_at_rest_make_room_for_a_file() {
+fn idle_call_connections_are_closed_for_a_file() {
     let (descriptors, pool) = (eight_descriptors(), Pool::default());
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let to = listener.local_addr().unwrap();
--- a/crates/server/src/resources/idempotency.rs
+++ b/crates/server/src/resources/idempotency.rs
@@ -1,16 +1,17 @@
-//! The keys of invocations that are idempotent with a key, in bounded memory: which invocation came with a
-//! key, and how it ended, so that a repeat is answered from it and never run. Without I/O or clock.
+//! Stores the keys of invocations that are idempotent with a key, in bounded memory. Each key is stored with
+//! its invocation and the outcome, so that a repeated call is answered from the outcome and does not run. The
+//! table does no I/O and reads no clock.
 
 use meadowstream_overload_control::Nanos;
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
-/// Longest key, in bytes.
+/// Maximum length of a key, in bytes.
 pub const KEY_MAX: usize = 128;
-/// Most memory of an entry beside its result: the key twice and places in the tables. The repeats that wait
-/// for it are counted with their connections.
+/// Maximum memory of an entry without its result, in bytes: two copies of the key, and the slots in the maps.
+/// Waiting repeated calls are counted with their connections.
 pub const ENTRY_BYTES: usize = 2 * KEY_MAX + 256;
 
-/// A key counts for one operation.
+/// An idempotency key, which is scoped to an operation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Key {
     operation: usize,
@@ -19,64 +20,66 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum EntryState {
-    /// It is pending or runs; these repeats wait for it.
+    /// The invocation is pending or running; these repeated calls wait for its outcome.
     Open(Vec<u64>),
-    /// It succeeded with this result.
+    /// The invocation succeeded with this result.
     Succeeded(Vec<u8>),
-    /// It failed, or its result was evicted. It may have had its effect.
+    /// The invocation failed, or its result was evicted. It may have had its effect.
     Failed,
 }
 
 struct Entry {
     key: Key,
-    /// A call with the key and another body is no repeat.
+    /// Hash of the invocation's body. A call with the same key and a different body is not a repeat.
     body_hash: u64,
-    /// Calls with the key that reached the machine before this are repeats of it.
+    /// End of the idempotency window. Calls with the key that arrived before this time are repeats.
     window_end: Nanos,
     state: EntryState,
 }
 
-/// What is known of a key.
+/// Result of looking up a key.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Lookup {
-    /// It has not been used.
+    /// The key is not in use.
     New,
-    /// It is that of this invocation.
+    /// The key belongs to this invocation, with the same body.
     Repeat(u64),
-    /// It is in use with another body.
+    /// The key is in use with a different body.
     BodyMismatch,
-    /// It has not been used, and no more keys can be remembered: the invocation must not run.
+    /// The key is not in use, but the table is full. The invocation must not run, since its key could not be
+    /// stored.
     TableFull,
 }
 
-/// How a repeat is answered.
+/// Answer to a repeated call.
 #[derive(Debug, PartialEq)]
 pub enum Replay {
-    /// When the invocation that it repeats has ended.
+    /// The original invocation has not ended; the repeated call waits for it.
     Pending,
-    /// With its result.
+    /// The original invocation succeeded with this result.
     Result(Vec<u8>),
-    /// With a failure.
+    /// The original invocation failed.
     Failed,
 }
 
-/// All keys that are remembered.
+/// The stored keys, bounded in number and in the size of their results.
 pub struct IdempotencyTable {
     entries: HashMap<u64, Entry>,
     by_key: HashMap<Key, u64>,
-    /// When each may be dropped, and which it is.
+    /// Expiry time and invocation of each entry.
     by_expiry: BTreeSet<(Nanos, u64)>,
-    /// Invocations whose results are kept, the oldest first.
+    /// Invocations whose results are stored, oldest first.
     results: VecDeque<u64>,
     result_bytes: usize,
     entries_max: usize,
     result_bytes_max: usize,
-    /// Longest time that a call may stay unread after it reached the machine.
+    /// Maximum time between the arrival of a call and its lookup. Entries are kept this long after their
+    /// window ends.
     unread_max: Nanos,
 }
 
 impl IdempotencyTable {
-    /// An empty table for so many keys and bytes of results.
+    /// Creates an empty table with limits on the number of keys and the total size of results in bytes.
     pub fn new(entries_max: usize, result_bytes_max: usize, unread_max: Nanos) -> Self {
         Self {
             entries: HashMap::new(),
@@ -90,7 +93,7 @@
         }
     }
 
-    /// What is known of the key of a call that reached the machine at `reached`.
+    /// Looks up the key of a call that arrived at `arrived_at`.
     pub fn find(
         &mut self,
         now: Nanos,
@@ -112,13 +115,14 @@
                     Lookup::BodyMismatch
                 }
             }
-            // Its window is over though it is still remembered; the new one takes its place.
+            // The window of a stored entry may have ended; a new invocation then replaces the key's entry.
             _ if self.entries.len() >= self.entries_max => Lookup::TableFull,
             _ => Lookup::New,
         }
     }
 
-    /// Calls with this key that reach the machine before `until` are repeats of this invocation.
+    /// Stores the key of an invocation. Calls with this key that arrive before `window_end` are repeats of
+    /// it.
     pub fn insert(
         &mut self,
         invocation: u64,
@@ -134,7 +138,8 @@
             .insert(invocation, Entry { key, body_hash, window_end, state: EntryState::Open(Vec::new()) });
     }
 
-    /// Makes the key of an invocation new again, as it never ran. Returns the repeats that wait for it.
+    /// Removes the key of an invocation, for example because it never ran. Returns the repeated calls that
+    /// wait for it.
     pub fn forget(&mut self, invocation: u64) -> Vec<u64> {
         let Some(entry) = self.entries.remove(&invocation) else { return Vec::new() };
         self.by_expiry.remove(&(entry.window_end.saturating_add(self.unread_max), invocation));
@@ -152,7 +157,8 @@
         }
     }
 
-    /// How a repeat is answered. One that is to wait is returned when the run of the original ends.
+    /// Returns the answer to a repeated call. If it has to wait, [`Self::run_ended`] returns it when the
+    /// original's run ends.
     pub fn replay(&mut self, original: u64, repeat: u64) -> Replay {
         match self.entries.get_mut(&original).map(|entry| &mut entry.state) {
             Some(EntryState::Open(waiting)) => {
@@ -164,7 +170,7 @@
         }
     }
 
-    /// A repeat is over and does not wait any more.
+    /// Removes a repeated call that no longer waits for the original invocation.
     pub fn stop_waiting(&mut self, original: u64, repeat: u64) {
         if let Some(EntryState::Open(waiting)) = self.entries.get_mut(&original).map(|entry| &mut entry.state)
         {
@@ -172,7 +178,8 @@
         }
     }
 
-    /// A run has ended, with a result where it succeeded. Returns the repeats that wait for it.
+    /// Records the end of a run, with its result if it succeeded. Returns the repeated calls that wait for
+    /// it.
     pub fn run_ended(&mut self, invocation: u64, result: Option<&[u8]>) -> Vec<u64> {
         let Some(entry) = self.entries.get_mut(&invocation) else { return Vec::new() };
         let state = result.map_or(EntryState::Failed, |result| EntryState::Succeeded(result.to_vec()));
@@ -185,7 +192,8 @@
         waiting
     }
 
-    /// Drops the oldest results over the limit, not their keys: they must not run again.
+    /// Evicts the oldest results while their total size exceeds the limit. Their keys stay, since these
+    /// invocations must not run again.
     fn evict_results(&mut self) {
         while self.result_bytes > self.result_bytes_max {
             let Some(oldest) = self.results.pop_front() else { break };
@@ -198,7 +206,8 @@
         }
     }
 
-    /// Drops the keys that no repeat can have any more. One whose run goes on stays until that ends.
+    /// Removes expired keys, which no repeated call can match any more. The key of an unfinished invocation
+    /// stays until its run ends.
     fn expire(&mut self, now: Nanos) {
         let expired: Vec<u64> = self.by_expiry.range(..(now, 0)).map(|(_, invocation)| *invocation).collect();
         for invocation in expired {
--- a/crates/server/src/resources/idempotency/tests.rs
+++ b/crates/server/src/resources/idempotency/tests.rs
@@ -1,4 +1,4 @@
-//! What becomes of repeats, played without a server.
+//! Tests the answers to repeated calls, without a server.
 
 use super::*;
 
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_repeat_waits_and_hears_what_its_forerunner_heard() {
+fn a_repeat_waits_and_gets_the_result_of_the_original() {
     let mut table = table(4, 64);
     assert_eq!(table.find(0, 0, 1, b"t", 7), Lookup::New);
     table.insert(1, 1, b"t", 7, WINDOW_END);
@@ -24,31 +24,31 @@
 }
 
 #[test]
-fn the_window_counts_from_when_one_reached_the_machine() {
+fn a_call_that_arrived_within_the_window_is_a_repeat_even_if_read_later() {
     let mut table = table(4, 64);
     table.insert(1, 0, b"t", 7, WINDOW_END);
     table.run_ended(1, None);
-    // Read after the window, but here before its end.
+    // Looked up after the window, but arrived before its end.
     assert_eq!(table.find(WINDOW_END + 5, WINDOW_END - 1, 0, b"t", 7), Lookup::Repeat(1));
     assert_eq!(table.find(WINDOW_END + 5, WINDOW_END, 0, b"t", 7), Lookup::New);
     assert_eq!(table.find(WINDOW_END + 11, WINDOW_END - 1, 0, b"t", 7), Lookup::New);
 }
 
 #[test]
-fn a_full_table_takes_none_and_a_run_is_never_dropped() {
+fn a_full_table_accepts_no_key_and_never_drops_a_running_one() {
     let mut table = table(2, 64);
     table.insert(1, 0, b"a", 7, WINDOW_END);
     table.insert(2, 0, b"b", 7, WINDOW_END);
     table.run_ended(2, None);
     assert_eq!(table.find(0, 0, 0, b"c", 7), Lookup::TableFull);
     assert_eq!(table.find(0, 0, 0, b"a", 7), Lookup::Repeat(1));
-    // The second is over; the first runs on.
+    // The second invocation has ended and expired; the first is still running.
     assert_eq!(table.find(WINDOW_END + 50, WINDOW_END + 50, 0, b"c", 7), Lookup::New);
     assert_eq!(table.replay(1, 9), Replay::Pending);
 }
 
 #[test]
-fn results_give_way_but_not_that_they_ran() {
+fn evicting_a_result_keeps_its_key() {
     let mut table = table(4, 5);
     table.insert(1, 0, b"a", 7, WINDOW_END);
     table.insert(2, 0, b"b", 7, WINDOW_END);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn what_never_ran_is_new_again() {
+fn a_forgotten_key_can_be_used_again() {
     let mut table = table(4, 64);
     table.insert(1, 0, b"a", 7, WINDOW_END);
     table.replay(1, 2);
--- a/crates/server/src/resources/invocations.rs
+++ b/crates/server/src/resources/invocations.rs
@@ -1,4 +1,4 @@
-//! The invocations from their arrival until they are answered and no longer run.
+//! Table of invocations, from their arrival until they are answered and no longer run.
 
 use crate::connection::table::Connection;
 use crate::event::Request;
@@ -6,46 +6,46 @@
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
-/// One invocation.
+/// State of one invocation.
 pub struct Invocation {
-    /// The caller's number for it, by which the interpreter knows the run.
+    /// Reference chosen by the caller, which also identifies the run to the interpreter.
     pub reference: u64,
-    /// Place of its operation in the settings.
+    /// Index of the operation in the settings.
     pub operation: usize,
-    /// Its tenant, where the fleet counts that one by name.
+    /// Name of the tenant, if the fleet counts this tenant separately.
     pub counted_tenant: Option<String>,
-    /// When it reached the machine, in Unix milliseconds.
+    /// Time of arrival at this machine, in Unix milliseconds.
     pub arrival_unix_ms: u64,
-    /// What the operation is applied to.
+    /// Body of the call, the operation's input.
     pub body: Vec<u8>,
-    /// Where its answer goes.
+    /// Connection on which to send the answer.
     pub connection: Rc<Connection>,
-    /// The tag of its answer.
+    /// Tag of the call, which its answer carries.
     pub tag: u64,
-    /// The invocation that it repeats.
+    /// Id of the original invocation, if this one repeats another.
     pub repeat_of: Option<u64>,
-    /// It has its answer, or nobody waits for one.
+    /// True once the invocation is answered or abandoned by its caller.
     pub is_answered: bool,
-    /// Its run was started, and no notice has shown its end.
+    /// True while the run is started and no notice has reported its end.
     pub is_running: bool,
-    /// The command that the run depends on, until a notice shows that it was received.
+    /// Last command that the run depends on, until a notice confirms its receipt.
     pub unconfirmed: Option<SentCommand>,
-    /// A command for it went out on more than one link.
+    /// True if a command for the run was sent over more than one link.
     pub was_resent: bool,
-    /// The link on which a stop that is not confirmed was sent.
+    /// Number of the link that carried an unconfirmed stop command.
     pub stop_link: Option<u64>,
-    /// The body of the downstream call that the run waits for.
+    /// Body of the downstream call that the run waits for.
     pub call_body: Vec<u8>,
-    /// The run waits for a downstream call.
+    /// True while the run waits for a downstream call.
     pub awaits_call: bool,
-    /// The downstream call under way.
+    /// The downstream call in progress.
     pub call: Option<RunningCall>,
-    /// The service that its last downstream call went to.
+    /// Downstream service that received the most recent call of the invocation.
     pub last_service: Option<usize>,
 }
 
 impl Invocation {
-    /// One that has just arrived, with the name of its tenant where the fleet counts that by name.
+    /// Creates an invocation for a request that has just arrived.
     pub fn new(request: Request, counted_tenant: Option<String>) -> Self {
         Self {
             reference: request.reference,
@@ -69,23 +69,24 @@
     }
 }
 
-/// A command, and the last link that carried it.
+/// A sent command, with the most recent link that carried it.
 pub struct SentCommand {
-    /// The line of the command.
+    /// The encoded command.
     pub line: Vec<u8>,
-    /// Number of the link; 0 where there was none.
+    /// Number of the link; 0 if there was no link.
     pub link: u64,
 }
 
-/// A downstream call under way. Dropped, it is given up.
+/// A downstream call in progress. Dropping it abandons the call.
 pub struct RunningCall {
-    /// The number of the call.
+    /// Number of the downstream call.
     pub number: u64,
-    /// The task that makes it; a task that is dropped is cancelled.
+    /// The task that makes the call. Dropping the task cancels it.
     pub _task: Task<()>,
 }
 
-/// All invocations, by numbers of this process: references are chosen by peers and may repeat.
+/// All invocations, keyed by ids that this process assigns. References cannot serve as ids, because peers
+/// choose them and may repeat them.
 #[derive(Default)]
 pub struct Invocations {
     all: BTreeMap<u64, Invocation>,
@@ -94,7 +95,7 @@
 }
 
 impl Invocations {
-    /// Adds one; `None` where another of its reference is here.
+    /// Adds an invocation and returns its id, or `None` if another invocation has the same reference.
     pub fn insert(&mut self, invocation: Invocation) -> Option<u64> {
         if self.by_reference.contains_key(&invocation.reference) {
             return None;
@@ -105,28 +106,28 @@
         Some(self.last_id)
     }
 
-    /// The invocation of a reference.
+    /// Returns the id of the invocation with a reference.
     pub fn find(&self, reference: u64) -> Option<u64> {
         self.by_reference.get(&reference).copied()
     }
 
-    /// The one of this number.
+    /// Returns the invocation with an id.
     pub fn get(&mut self, id: u64) -> Option<&mut Invocation> {
         self.all.get_mut(&id)
     }
 
-    /// All of them, by their numbers.
+    /// Iterates over all invocations in the order of their ids.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Invocation> {
         self.all.values_mut()
     }
 
-    /// Those that run.
+    /// Returns the ids of all running invocations.
     pub fn running(&self) -> Vec<u64> {
         let running = self.all.iter().filter(|(_, invocation)| invocation.is_running);
         running.map(|(id, _)| *id).collect()
     }
 
-    /// Those of a connection that are not answered.
+    /// Returns the ids of a connection's unanswered invocations.
     pub fn open_on(&self, connection: u64) -> Vec<u64> {
         let is_open =
             |invocation: &Invocation| !invocation.is_answered && invocation.connection.id == connection;
@@ -134,13 +135,13 @@
         open.map(|(id, _)| *id).collect()
     }
 
-    /// The one of a connection that is not answered and has this tag.
+    /// Returns the id of a connection's unanswered invocation with a tag.
     pub fn find_open(&self, connection: u64, tag: u64) -> Option<u64> {
         let open = self.open_on(connection);
         open.into_iter().find(|id| self.all[id].tag == tag)
     }
 
-    /// Removes one that is answered and does not run.
+    /// Removes an invocation if it is answered and not running.
     pub fn release(&mut self, id: u64) {
         let is_over = |invocation: &Invocation| invocation.is_answered && !invocation.is_running;
         if self.all.get(&id).is_some_and(is_over)
--- a/crates/server/src/resources/mod.rs
+++ b/crates/server/src/resources/mod.rs
@@ -1,4 +1,4 @@
-//! What the server holds: each kind of resource has one owner and one place where it is given back.
+//! Resources of the server. Each kind of resource has a single owner, which allocates and releases it.
 
 pub mod buffers;
 pub mod counters;
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -1,4 +1,5 @@
-//! What the tasks share. They reach the overload controller by the queue of events only.
+//! State shared by the server's tasks. The overload controller is not part of it; tasks reach it through the
+//! queue of events.
 
 use crate::calls::pool::Pool;
 use crate::configuration::Configuration;
@@ -23,58 +24,59 @@
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// What all tasks of the one thread use.
+/// State shared by all tasks, which run on a single thread.
 pub struct Server {
-    /// What it was told at its start.
+    /// Configuration of the server.
     pub configuration: Configuration,
-    /// The time.
+    /// Clock of the server.
     pub clock: Clock,
-    /// Its start in Unix nanoseconds, which tells it from earlier servers of its name.
+    /// Start time of the process in Unix nanoseconds, which distinguishes it from earlier processes with the
+    /// same name.
     pub incarnation: u64,
-    /// Runs the tasks.
+    /// Executor of the tasks.
     pub executor: &'static LocalExecutor<'static>,
-    /// Where events for the event loop go.
+    /// Queue of events for the event loop.
     pub events: Sender<Event>,
-    /// The connections of balancers.
+    /// Open connections of balancers.
     pub connections: Connections,
-    /// What answers and health checks report.
+    /// Health and advertised load, which answers and health checks report.
     pub health: HealthStatus,
-    /// The descriptors in use.
+    /// Limit and use of file descriptors.
     pub descriptors: Descriptors,
-    /// Idle connections to the service below.
+    /// Pool of idle connections to downstream services.
     pub pool: Pool,
-    /// Counts for the log.
+    /// Counters for the log.
     pub counters: Counters,
-    /// Memory for the buffers of connections.
+    /// Limit and use of memory for the connections' buffers.
     pub buffers: Rc<BufferBudget>,
-    /// Notifies the link that the interpreter has another address.
+    /// Channel that notifies the link of a change of the interpreter's address.
     pub interpreter_address_changed: (Sender<()>, Receiver<()>),
-    /// How far the drain has come.
+    /// Progress of the drain.
     pub drain: DrainState,
-    /// Closed once the server is to leave.
+    /// Channel that is closed when the server must leave.
     pub leave_signal: Receiver<()>,
-    /// State shared with other servers, where the options say so.
+    /// State shared with the other servers of the fleet, if the options configure it.
     pub shared: Option<Shared>,
-    /// This server's part in rollouts, where the options say so.
+    /// State of rollouts on this server, if the options configure them.
     pub rollout: Option<Rollout>,
-    /// Changes of settings, one at a time.
+    /// Queue that applies changes of settings one at a time.
     pub changes: Changes,
-    /// Pauses of the serving thread by the last change of settings.
+    /// Pauses of the serving thread caused by the last change of settings.
     pub change_pauses: Cell<Pauses>,
 }
 
 impl Server {
-    /// Whether it was told to leave.
+    /// Returns whether the server was told to leave.
     pub fn is_leaving(&self) -> bool {
         self.leave_signal.is_closed()
     }
 }
 
-/// Bytes that are read at once.
+/// Maximum number of bytes per read.
 const READ_MAX_BYTES: usize = 8 * 1024;
 
-/// Waits for bytes and adds them to the ring, contiguous with what it holds. The end of the stream is an
-/// error.
+/// Waits for bytes and appends them to the ring, whose contents are contiguous afterwards. Returns an error
+/// at the end of the stream.
 pub async fn receive(mut stream: &Async<TcpStream>, ring: &mut Ring) -> Result<()> {
     let mut chunk = [0; READ_MAX_BYTES];
     let free = ring.free().min(chunk.len());
