--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -59,7 +59,7 @@
     pub shared: Option<Shared>,
     /// State of rollouts on this server, if the options configure them.
     pub rollout: Option<Rollout>,
-    /// Queue that applies changes of settings one at a time.
+    /// Serializes changes of settings, so that only one is applied at a time.
     pub changes: Changes,
     /// Pauses of the serving thread caused by the last change of settings.
     pub change_pauses: Cell<Pauses>,
--- a/crates/server/src/wire/http.rs
+++ b/crates/server/src/wire/http.rs
@@ -1,18 +1,18 @@
-//! Calls to the records service: HTTP/1.1, one at a time on a connection.
+//! Encoder and parser for calls to the records service, which are HTTP/1.1 requests without pipelining.
 
 use crate::wire::ParseError;
 use crate::wire::Parsed;
 use crate::wire::decimal;
 use meadowstream_overload_control::{Nanos, Outcome};
 
-/// Longest head of a reply, in bytes.
+/// Maximum length of a reply's head, in bytes.
 const HEAD_MAX: usize = 4096;
-/// Longest body of a reply, in bytes.
+/// Maximum length of a reply's body, in bytes.
 const BODY_MAX: usize = 16 * 1024;
-/// All that may come before a reply is complete: interim heads, its own head, its body.
+/// Maximum number of bytes received until a reply is complete: interim responses, head and body.
 pub const REPLY_MAX: usize = 2 * (HEAD_MAX + 4) + BODY_MAX;
 
-/// The request of a call.
+/// Encodes the request of a call.
 pub fn call(host: &str, reference: u64, timeout: Nanos, body: &[u8]) -> Vec<u8> {
     let head = format!(
         "POST /records/op HTTP/1.1\r\nHost: {host}\r\nOp-Of: {reference:016x}\r\nOp-Wait-Ms: {}\r\n\
@@ -23,18 +23,18 @@
     [head.as_bytes(), body].concat()
 }
 
-/// What a call returned.
+/// Reply to a call.
 #[derive(Debug, PartialEq)]
 pub struct Reply {
-    /// What the status proves of the call's effect.
+    /// Outcome of the call, as far as the status proves it.
     pub outcome: Outcome,
-    /// The body of the reply.
+    /// Body of the reply.
     pub body: Vec<u8>,
-    /// The connection may carry another call.
+    /// True if the connection can be reused for another call.
     pub is_reusable: bool,
 }
 
-/// A head up to the empty line, and where its body starts.
+/// A parsed head, and the offset at which its body starts.
 struct Head<'a> {
     status: u16,
     headers: Headers<'a>,
@@ -51,8 +51,9 @@
         self.values(name).next()
     }
 
-    /// The length of the body. A reply without a result may leave it out. Several must agree: a reply that
-    /// could be read in two ways may carry what no call returned.
+    /// Returns the length of the body. Only a reply without a result may omit it. Multiple Content-Length
+    /// headers must agree: a reply with ambiguous framing may contain data that is not part of any call's
+    /// reply.
     fn content_length(&self) -> Result<usize, ParseError> {
         if self.first("Transfer-Encoding").is_some() {
             return Err(ParseError::TransferEncoding);
@@ -63,8 +64,9 @@
         length.filter(|length| *length <= BODY_MAX).ok_or(ParseError::BadContentLength)
     }
 
-    /// Only 503 and 409 with their mark prove that nothing ran; after anything else it may have had its
-    /// effect.
+    /// Returns the outcome that the status proves. Only 503 and 409 with the header `Op-Not-Begun: 1` prove
+    /// that the call did not run. After any other error status it may have had its effect, except that 500
+    /// proves that it failed.
     fn outcome(&self) -> Outcome {
         let not_begun = matches!(self.status, 503 | 409) && self.first("Op-Not-Begun") == Some("1");
         match self.status {
@@ -76,7 +78,7 @@
     }
 }
 
-/// The first reply, after any interim heads of status 1xx.
+/// Parses the first reply, skipping interim responses with a status of 1xx.
 pub fn reply(bytes: &[u8]) -> Parsed<Reply> {
     let mut at = 0;
     loop {
--- a/crates/server/src/wire/interpreter.rs
+++ b/crates/server/src/wire/interpreter.rs
@@ -1,5 +1,5 @@
-//! The interpreter's lines: commands out and notices in, JSON objects with bodies in base64. The
-//! interpreter's own words stand in this module alone.
+//! Encoder for commands to the interpreter and parser for its notices: lines of JSON objects, with bodies in
+//! base64. The words of the protocol appear only in this module.
 
 use crate::wire::ParseError;
 use crate::wire::Parsed;
@@ -7,89 +7,89 @@
 use meadowstream_overload_control::{Nanos, Outcome};
 use serde_json::{Value, json};
 
-/// A longer line is ignored, in bytes.
+/// Maximum length of a line, in bytes. Longer lines are ignored.
 pub const LINE_MAX: usize = 16 * 1024;
 
-/// What the interpreter sends.
+/// Notice sent by the interpreter.
 #[derive(Debug, PartialEq)]
 pub enum Notice {
-    /// The first line on a link.
+    /// The interpreter has accepted a link. This is the first notice on each link.
     Banner {
-        /// It is still warming up.
+        /// True if the interpreter is still warming up.
         cold: bool,
-        /// Time since its start.
+        /// Time since the interpreter started.
         age: Nanos,
     },
     /// A run has ended.
     Ended {
-        /// The reference of the invocation.
+        /// Reference of the invocation.
         task: u64,
-        /// How it ended.
+        /// Outcome of the run.
         outcome: Outcome,
-        /// Its result, where it succeeded.
+        /// Result of the run; empty unless it succeeded.
         result: Vec<u8>,
     },
     /// A run waits for a downstream call.
     AwaitsCall {
-        /// The reference of the invocation.
+        /// Reference of the invocation.
         task: u64,
-        /// The body of the call.
+        /// Body of the call.
         body: Vec<u8>,
     },
-    /// The gauges, as requested.
+    /// The response to a request for gauges.
     Gauges {
-        /// The nonce of the request.
+        /// Nonce of the request.
         nonce: u64,
-        /// One value for each gauge that the settings name.
+        /// Values of the gauges, in the order in which the settings name them.
         readings: Vec<f64>,
     },
-    /// A command was not carried out.
+    /// The interpreter could not carry out a command.
     CommandFailed {
-        /// Its verb.
+        /// Verb of the command.
         command: String,
-        /// The reference of its invocation, where it has one.
+        /// Reference of the invocation that the command named, if any.
         task: Option<u64>,
     },
-    /// A remark for its own log.
+    /// A trace message, which the server ignores.
     Trace,
 }
 
-/// Why a line is no notice.
+/// Reason why a line is not a valid notice.
 #[derive(Debug, thiserror::Error)]
 pub enum NoticeError {
-    /// The line is not JSON.
+    /// The line is not valid JSON.
     #[error("not JSON: {0}")]
     Json(#[from] serde_json::Error),
-    /// A field is missing or no string.
-    #[error("{0} is no text")]
+    /// A field is missing or is not a string.
+    #[error("{0} is missing or not a string")]
     NotText(&'static str),
-    /// The body is not base64.
-    #[error("bytes are not base64: {0}")]
+    /// The body is not valid base64.
+    #[error("invalid base64: {0}")]
     Base64(#[from] base64::DecodeError),
-    /// The interpreter is neither cold nor warm.
+    /// The state in a banner is neither cold nor warm.
     #[error("unknown state {0:?}")]
     UnknownState(String),
-    /// A run ended in no known way.
-    #[error("unknown end {0:?}")]
+    /// The outcome of a run is unknown.
+    #[error("unknown outcome {0:?}")]
     UnknownEnd(String),
-    /// The verb is none that is known.
+    /// The verb is unknown.
     #[error("unknown verb {0:?}")]
     UnknownVerb(String),
-    /// The gauges are no list.
-    #[error("readings are no list")]
+    /// The gauge readings are not a list.
+    #[error("readings are not a list")]
     ReadingsNotList,
-    /// A gauge is no number.
-    #[error("a reading is no number")]
+    /// A gauge reading is not a number.
+    #[error("a reading is not a number")]
     ReadingNotNumber,
-    /// The nonce is no number.
-    #[error("an unknown nonce {0:?}")]
+    /// The nonce is not a number.
+    #[error("nonce {0:?} is not a number")]
     UnknownNonce(String),
-    /// A reference is not 16 hexadecimal digits.
-    #[error("task {0:?} is no id")]
+    /// The reference of an invocation is not 16 hexadecimal digits.
+    #[error("task {0:?} is not 16 hexadecimal digits")]
     BadTask(String),
 }
 
-/// The first line, without its end.
+/// Returns the first line without its line end.
 pub fn line(bytes: &[u8]) -> Parsed<&[u8]> {
     match bytes.iter().position(|byte| *byte == b'\n') {
         Some(end) if end <= LINE_MAX => Parsed::Complete(&bytes[..end], end + 1),
@@ -98,7 +98,7 @@
     }
 }
 
-/// A notice, and its number where it has one.
+/// Parses a notice. Returns it with its index, if it has one.
 pub fn notice(line: &[u8]) -> Result<(Option<u64>, Notice), NoticeError> {
     let object: Value = serde_json::from_slice(line)?;
     let notice = match text(&object, "verb")? {
@@ -166,29 +166,29 @@
     line
 }
 
-/// Opens a link; notices up to this number were read before.
+/// Encodes the command that opens a link. The interpreter replays notices with an index after `last_read`.
 pub fn connect(last_read: u64) -> Vec<u8> {
     command(&json!({"verb": "CONNECT", "index": last_read}))
 }
 
-/// Starts a run, or resumes one that was stopped.
+/// Encodes the command that starts a run, or resumes one that was stopped.
 pub fn apply(task: u64, operation: &str, body: &[u8]) -> Vec<u8> {
     let (task, bytes) = (format!("{task:016x}"), STANDARD.encode(body));
     command(&json!({"verb": "APPLY", "task": task, "handler": operation, "bytes": bytes}))
 }
 
-/// Stops a run.
+/// Encodes the command that stops a run.
 pub fn stop(task: u64) -> Vec<u8> {
     command(&json!({"verb": "BREAK", "task": format!("{task:016x}")}))
 }
 
-/// Resumes a run with the reply to its downstream call.
+/// Encodes the command that resumes a run with the reply to its downstream call.
 pub fn resolve(task: u64, reply: &[u8]) -> Vec<u8> {
     let (task, bytes) = (format!("{task:016x}"), STANDARD.encode(reply));
     command(&json!({"verb": "RESOLVE", "task": task, "bytes": bytes}))
 }
 
-/// Requests the gauges.
+/// Encodes a request for the gauges.
 pub fn request_gauges(nonce: u64) -> Vec<u8> {
     command(&json!({"verb": "TOP", "nonce": nonce.to_string()}))
 }
--- a/crates/server/src/wire/mod.rs
+++ b/crates/server/src/wire/mod.rs
@@ -1,5 +1,5 @@
-//! Parsers and writers of the protocols, which know bytes alone. Each parser is given what has come so far,
-//! reports how much of it one message took, and is bounded.
+//! Parsers and encoders of the protocols, without I/O. Each parser takes the bytes received so far, reports
+//! how many of them a message occupies, and limits the size of a message.
 
 pub mod catalog;
 pub mod http;
@@ -12,70 +12,70 @@
 
 use std::str::FromStr;
 
-/// What a parser makes of the bytes that have come so far.
+/// Result of parsing the bytes received so far.
 #[derive(Debug, PartialEq)]
 pub enum Parsed<T> {
-    /// More bytes are needed.
+    /// The message is incomplete; more bytes are needed.
     Incomplete,
-    /// A complete message and the number of bytes it took.
+    /// A complete message, and the number of bytes that it occupies.
     Complete(T, usize),
-    /// No continuation can make a message of this.
+    /// The bytes are not the start of a valid message.
     Malformed(ParseError),
 }
 
-/// Why bytes are no message.
+/// Reason why bytes are not a valid message.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub enum ParseError {
-    /// RESP: the value is of another type than the one expected.
-    #[error("an unexpected type of value: {found:?}, not {expected:?}")]
+    /// RESP: the value has a different type than expected.
+    #[error("unexpected type byte {found:?}, expected {expected:?}")]
     UnexpectedType {
-        /// The byte that marks its type.
+        /// The type byte that was found.
         found: char,
-        /// The mark of the expected type.
+        /// The expected type byte.
         expected: char,
     },
-    /// RESP: a line that gives a number has no end in sight.
-    #[error("an endless number")]
+    /// RESP: a line that holds a number is too long.
+    #[error("a number is too long")]
     EndlessNumber,
-    /// RESP: a line that gives a number holds something else.
-    #[error("no number where one is due")]
+    /// RESP: a line that should hold a number holds something else.
+    #[error("expected a number")]
     NotANumber,
-    /// RESP: the array has no words or more than are accepted.
-    #[error("an array of no or too many words: {0}")]
+    /// RESP: the array has no words, or more than are accepted.
+    #[error("unsupported array length: {0}")]
     ArrayLength(usize),
-    /// RESP: a word is longer than any that is accepted.
-    #[error("a word that is too long: {0} bytes")]
+    /// RESP: a word is longer than accepted.
+    #[error("a word is too long: {0} bytes")]
     WordTooLong(usize),
-    /// RESP: a word is not followed by a line end.
-    #[error("a word of another length than announced: {0}")]
+    /// RESP: a word is not followed by a line end, so its length differs from the announced one.
+    #[error("a word differs from its announced length of {0} bytes")]
     WordLength(usize),
-    /// HTTP: the head has no end in sight.
-    #[error("an endless head")]
+    /// HTTP: the head is too long.
+    #[error("the head is too long")]
     EndlessHead,
-    /// HTTP: interim heads do not end.
-    #[error("endless heads before the reply")]
+    /// HTTP: the interim responses before the reply are too long.
+    #[error("interim responses are too long")]
     EndlessInterimHeads,
-    /// HTTP: the head is not UTF-8.
-    #[error("a head that is no text")]
+    /// HTTP: the head is not valid UTF-8.
+    #[error("the head is not UTF-8")]
     HeadNotText,
-    /// HTTP: the first line is no status line.
-    #[error("no status line of HTTP/1.1")]
+    /// HTTP: the first line is not a status line of HTTP/1.1.
+    #[error("invalid status line")]
     BadStatusLine,
-    /// HTTP: a line of the head has no name and colon.
-    #[error("a header that is none")]
+    /// HTTP: a header line has no name or no colon.
+    #[error("invalid header line")]
     BadHeader,
-    /// HTTP: the body has a transfer encoding in place of a length.
-    #[error("a body of no stated length")]
+    /// HTTP: the body has a transfer encoding instead of a length.
+    #[error("transfer encodings are not supported")]
     TransferEncoding,
-    /// HTTP: the length of the body is missing, ambiguous, no number, or too large.
-    #[error("a body of no good length")]
+    /// HTTP: the length of the body is missing, ambiguous, not a number or too large.
+    #[error("missing or invalid content length")]
     BadContentLength,
-    /// Interpreter: the line is longer than any that is accepted.
-    #[error("a line that is too long")]
+    /// Interpreter: the line is longer than accepted.
+    #[error("the line is too long")]
     LineTooLong,
 }
 
-/// Digits alone: no sign, nothing before or behind them.
+/// Parses a decimal number that consists of digits only, without sign or spaces.
 pub fn decimal<T: FromStr>(word: &[u8]) -> Option<T> {
     let digits = word.iter().all(u8::is_ascii_digit);
     std::str::from_utf8(word).ok().filter(|_| digits).and_then(|text| text.parse().ok())
--- a/crates/server/src/wire/resp.rs
+++ b/crates/server/src/wire/resp.rs
@@ -1,19 +1,19 @@
-//! RESP arrays of bulk strings.
+//! Parser and encoder for RESP arrays of bulk strings.
 
 use crate::wire::ParseError;
 use crate::wire::Parsed;
 use crate::wire::decimal;
 
-/// Longest bulk string, in bytes.
+/// Maximum length of a bulk string, in bytes.
 pub const WORD_MAX: usize = 4096;
-/// Most bulk strings in an array.
+/// Maximum number of bulk strings in an array.
 pub const WORDS_MAX: usize = 8;
-/// Longest line that gives a number, its end included.
+/// Maximum length of a line that holds a number, in bytes, including the line end.
 const NUMBER_MAX: usize = 12;
-/// No array that is accepted is longer than this, in bytes.
+/// Maximum length of an encoded array, in bytes.
 pub const ARRAY_MAX: usize = NUMBER_MAX + WORDS_MAX * (NUMBER_MAX + WORD_MAX + 2);
 
-/// The number on a line that starts with `mark`, and where the line ends.
+/// Parses the number on the line at `at` that starts with `mark`. Returns it with the end of the line.
 fn number(bytes: &[u8], at: usize, mark: u8) -> Parsed<usize> {
     let line = &bytes[at..];
     let Some(first) = line.first() else { return Parsed::Incomplete };
@@ -32,7 +32,7 @@
     }
 }
 
-/// The bulk string that starts at `at`, and where it ends.
+/// Parses the bulk string at `at`. Returns it with its end.
 fn word(bytes: &[u8], at: usize) -> Parsed<&[u8]> {
     let (length, start) = match number(bytes, at, b'$') {
         Parsed::Complete(length, start) => (length, start),
@@ -50,7 +50,7 @@
     Parsed::Complete(&bytes[start..end], end + 2)
 }
 
-/// The words of the first array.
+/// Parses the first array into its words.
 pub fn array(bytes: &[u8]) -> Parsed<Vec<&[u8]>> {
     let (count, mut at) = match number(bytes, 0, b'*') {
         Parsed::Complete(count, at) => (count, at),
@@ -74,7 +74,7 @@
     Parsed::Complete(words, at)
 }
 
-/// Appends an array of these words.
+/// Appends an encoded array of `words`.
 pub fn put_array(out: &mut Vec<u8>, words: &[&[u8]]) {
     out.extend_from_slice(format!("*{}\r\n", words.len()).as_bytes());
     for word in words {
--- a/crates/server/src/wire/rpc.rs
+++ b/crates/server/src/wire/rpc.rs
@@ -1,95 +1,95 @@
-//! The calls that balancers make and the answers to them, as words of RESP arrays. The protocol's own words
-//! stand in this module alone.
+//! Parser for the commands of balancers and encoder for the answers, which are RESP arrays. The words of the
+//! protocol appear only in this module.
 
 use crate::wire::decimal;
 use crate::wire::resp;
 use meadowstream_overload_control::Nanos;
 
-/// Longest body of a call, in bytes.
+/// Maximum length of a call's body, in bytes.
 const BODY_MAX: usize = 2048;
-/// The memory reserved for one call is less than this, in kilobytes.
+/// Exclusive upper bound of the memory reserved for one call, in kilobytes.
 const HELD_MAX_KB: f64 = 2000.0;
 
-/// What a balancer sends.
+/// Command sent by a balancer.
 #[derive(Debug, PartialEq)]
 pub enum Command<'a> {
-    /// An operation is to be run.
+    /// A call of an operation.
     Call(Call<'a>),
     /// A health check.
     Health {
-        /// Its tag.
+        /// Tag of the health check.
         tag: u64,
     },
-    /// The caller has given up on the call of this tag.
+    /// A cancellation: the caller has abandoned a call.
     Cancel {
-        /// The tag of the call.
+        /// Tag of the call.
         tag: u64,
     },
-    /// Not to be carried out; it is answered where its tag is known.
+    /// A command that cannot be executed. It is answered if its tag is known.
     Invalid {
-        /// Its tag, where it has one.
+        /// Tag of the command, if it is valid.
         tag: Option<u64>,
-        /// What is wrong with it.
+        /// Reason why the command is invalid.
         error: CommandError,
     },
 }
 
-/// Why words make no command.
+/// Reason why the words of an array are not a valid command.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum CommandError {
-    /// The second word is no number above 0.
+    /// The second word is not a positive number.
     #[error("no tag")]
     MissingTag,
-    /// The first word names no command.
+    /// The first word is not a known command.
     #[error("unknown command {0:?}")]
     UnknownCommand(String),
-    /// A call has more or fewer words.
+    /// A call does not have five words.
     #[error("a call has five words, not {0}")]
     WordCount(usize),
-    /// The name of the operation is not UTF-8.
-    #[error("operation is no text")]
+    /// The name of the operation is not valid UTF-8.
+    #[error("operation is not UTF-8")]
     OperationNotText,
-    /// The fields are not UTF-8.
-    #[error("fields are no text")]
+    /// The fields are not valid UTF-8.
+    #[error("fields are not UTF-8")]
     FieldsNotText,
-    /// The body is longer than any that is accepted.
+    /// The body is longer than accepted.
     #[error("body is too long: {0} bytes, {BODY_MAX} at most")]
     BodyTooLong(usize),
-    /// A field is missing where it must be given, or its value is none of its range.
+    /// A required field is missing, or a field's value is invalid or out of range.
     #[error("bad {field}: {value:?}")]
     BadField {
-        /// The name of the field.
+        /// Name of the field.
         field: &'static str,
-        /// Its value, where it is given.
+        /// Value of the field, if it is present.
         value: Option<String>,
     },
 }
 
-/// An operation to be run.
+/// A call of an operation.
 #[derive(Debug, PartialEq)]
 pub struct Call<'a> {
-    /// The caller's number for it, unique among those open on its connection.
+    /// Tag of the call, chosen by the caller and unique among the open calls of its connection.
     pub tag: u64,
-    /// The name of the operation.
+    /// Name of the operation.
     pub operation: &'a str,
-    /// The caller's number for the invocation over all its attempts.
+    /// Reference of the invocation, chosen by the caller and the same for all its attempts.
     pub reference: u64,
-    /// When it reached the machine, in Unix milliseconds.
+    /// Time of arrival at this machine, in Unix milliseconds.
     pub arrival_unix_ms: u64,
-    /// Memory reserved for it, in kilobytes.
+    /// Memory that the run reserves, in kilobytes.
     pub held_kb: f64,
-    /// What the operation is applied to.
+    /// Body of the call, the operation's input.
     pub body: &'a [u8],
-    /// The number of the balancer.
+    /// Number of the balancer that sent the call.
     pub sender: Option<u64>,
-    /// Names a promise that was given with a Retry-After.
+    /// Ticket of a promise of admission that the caller received with a Retry-After.
     pub ticket: Option<u64>,
-    /// All its fields as they came.
+    /// All fields of the call, not decoded.
     pub fields: &'a str,
 }
 
 impl<'a> Call<'a> {
-    /// The value of a field.
+    /// Returns the value of a field.
     pub fn field(&self, name: &str) -> Option<&'a str> {
         field(self.fields, name)
     }
@@ -100,13 +100,13 @@
     pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
 }
 
-/// Sixteen hexadecimal digits.
+/// Parses a number of exactly 16 hexadecimal digits.
 fn hex(text: &str) -> Option<u64> {
     let complete = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
     u64::from_str_radix(text, 16).ok().filter(|_| complete)
 }
 
-/// The command that the words of an array make.
+/// Parses the words of an array into a command.
 pub fn command<'a>(words: &[&'a [u8]]) -> Command<'a> {
     let tag = words.get(1).and_then(|word| decimal::<u64>(word)).filter(|tag| *tag > 0);
     let invalid = |error| Command::Invalid { tag, error };
@@ -142,7 +142,7 @@
         held_kb: required(fields, "room", held_kb)?,
         body,
         sender: number,
-        // Another installation may mean something else by this word: then it is no ticket.
+        // Other deployments may use this field for something else, so an invalid ticket is ignored.
         ticket: field(fields, "ticket").and_then(hex),
         fields,
     })
@@ -160,7 +160,7 @@
     field(fields, name).and_then(read).ok_or_else(|| bad_field(fields, name))
 }
 
-/// The caller's own priority is not used, but has to be one.
+/// Validates the caller's own priority rank, which is otherwise unused.
 fn check_rank(fields: &str) -> Result<(), CommandError> {
     let rank = field(fields, "class_rank").map_or(Ok(0.0), str::parse::<f64>);
     let valid = rank.is_ok_and(|rank| (0.0..1.0).contains(&rank));
@@ -171,23 +171,24 @@
     text.parse().ok().filter(|kb| *kb > 0.0 && *kb < HELD_MAX_KB)
 }
 
-/// A final answer to a call, or the answer to a health check.
+/// Final answer to a call, or answer to a health check.
 #[derive(Debug, PartialEq)]
 pub enum Answer {
-    /// The result of the run.
+    /// The run succeeded with this result.
     Succeeded(Vec<u8>),
-    /// Nothing was done.
+    /// The call was rejected and not run.
     Rejected {
-        /// No other server would accept it.
+        /// True if every other server would reject the call, too.
         no_retry: bool,
-        /// How long the caller is asked to wait; a promise, where there is a ticket. 0 for none.
+        /// Time that the caller is asked to wait before a retry, 0 for none. With a ticket it is a promise of
+        /// admission.
         retry_after: Nanos,
-        /// Names the promise when the caller comes back.
+        /// Ticket that redeems the promise.
         ticket: Option<u64>,
     },
-    /// It failed, perhaps after it had its effect.
+    /// The call failed, possibly after it had its effect.
     Failed,
-    /// Whether the server is healthy.
+    /// Health of the server: true if healthy.
     Health(bool),
 }
 
@@ -203,7 +204,7 @@
     }
 }
 
-/// Appends an answer with the advertised load that is in force.
+/// Appends an encoded answer, with the load that the server advertises.
 pub fn put_answer(out: &mut Vec<u8>, tag: u64, answer: &Answer, advertised_load: Option<f64>) {
     let mut fields = Vec::new();
     if let Some(load) = advertised_load {
@@ -225,7 +226,7 @@
     resp::put_array(out, &[tag.as_bytes(), answer.word().as_bytes(), fields.as_bytes(), body]);
 }
 
-/// Appends the request that no new call come on this connection.
+/// Appends the encoded request that the peer send no more calls on this connection.
 pub fn put_drain(out: &mut Vec<u8>) {
     resp::put_array(out, &[b"0", b"enough"]);
 }
--- a/crates/server/src/wire/tests.rs
+++ b/crates/server/src/wire/tests.rs
@@ -1,4 +1,4 @@
-//! The parsers on whole, cut, malformed and oversized input. None may panic on anything.
+//! Tests the parsers on complete, truncated, malformed and oversized input. No input may make them panic.
 
 mod outside_names;
 
@@ -6,7 +6,7 @@
 use meadowstream_overload_control::Outcome;
 use test_case::test_case;
 
-/// What is read does not matter where only its extent is looked at.
+/// Drops the parsed value, for checks of the message's length alone.
 fn extent<T>(parsed: Parsed<T>) -> Parsed<()> {
     match parsed {
         Parsed::Complete(_, used) => Parsed::Complete((), used),
@@ -15,18 +15,21 @@
     }
 }
 
-/// A whole message is taken whatever follows it, and every cut of it waits for more.
+/// Checks that a message is parsed whatever follows it, and that each proper prefix of it is incomplete.
 fn assert_prefixes_incomplete(message: &[u8], parse: impl Fn(&[u8]) -> Parsed<()>) {
     for end in 0..message.len() {
         assert!(matches!(parse(&message[..end]), Parsed::Incomplete), "cut at {end}");
     }
     for suffix in [&b""[..], b"*", b"HTTP", b"\r\n{"] {
-        let Parsed::Complete(_, used) = parse(&[message, suffix].concat()) else { panic!("not taken") };
+        let Parsed::Complete(_, used) = parse(&[message, suffix].concat()) else {
+            panic!("expected a complete message")
+        };
         assert_eq!(used, message.len());
     }
 }
 
-/// Every byte in turn replaced by each of some, and every cut of that: no panic, nothing beyond the end.
+/// Replaces each byte in turn with several others, and parses every prefix that contains the replacement.
+/// Checks that the parser does not panic or report a length beyond the input.
 fn assert_mutations_do_not_panic(message: &[u8], parse: impl Fn(&[u8]) -> Parsed<()>) {
     for at in 0..message.len() {
         for byte in [0, b'\r', b'\n', b'-', b'9', b'$', b'"', b':', 0xff] {
@@ -47,7 +50,7 @@
     \"spent\":2,\"bytes\":\"aGk=\"}\n";
 
 #[test]
-fn arrays() {
+fn arrays_are_parsed_and_encoded() {
     assert_prefixes_incomplete(ARRAY, |bytes| extent(resp::array(bytes)));
     assert_mutations_do_not_panic(ARRAY, |bytes| extent(resp::array(bytes)));
     assert_eq!(resp::array(ARRAY), Parsed::Complete(vec![&b"RPC.CALL"[..], b"7", b"a\r\nb"], ARRAY.len()));
@@ -56,21 +59,21 @@
     assert_eq!(written, ARRAY);
 }
 
-#[test_case(b"+OK\r\n"; "another type")]
+#[test_case(b"+OK\r\n"; "unexpected type")]
 #[test_case(b"*0\r\n"; "no word")]
 #[test_case(b"*9\r\n"; "too many words")]
-#[test_case(b"*1\n"; "a bare line end")]
+#[test_case(b"*1\n"; "line end without carriage return")]
 #[test_case(b"*-1\r\n"; "a negative count")]
 #[test_case(b"*1\r\n$-1\r\n"; "a null word")]
 #[test_case(b"*1\r\n$4097\r\n"; "a word too long")]
-#[test_case(b"*1\r\n$99999999999"; "an endless number")]
-#[test_case(b"*1\r\n$2\r\nabc\r\n"; "another length than announced")]
-fn malformed_arrays(bytes: &[u8]) {
+#[test_case(b"*1\r\n$99999999999"; "number too long")]
+#[test_case(b"*1\r\n$2\r\nabc\r\n"; "length differs from announcement")]
+fn malformed_arrays_are_rejected(bytes: &[u8]) {
     assert!(matches!(resp::array(bytes), Parsed::Malformed(_)));
 }
 
 #[test]
-fn an_array_as_long_as_any_fits_the_ring() {
+fn the_longest_array_fits_the_ring() {
     let mut written = Vec::new();
     resp::put_array(&mut written, &[&[b'x'; resp::WORD_MAX][..]; resp::WORDS_MAX]);
     assert!(Ring::new(resp::ARRAY_MAX).put(&written));
@@ -78,7 +81,7 @@
 }
 
 #[test]
-fn calls() {
+fn calls_and_health_checks_are_parsed() {
     let fields: &[u8] =
         b"x,room=24.5,new=,ref=9b1f03aa5c7e2d41,since=1764576000123,sender=4,ticket=00000000000000ff";
     let call = rpc::Call {
@@ -93,7 +96,7 @@
         fields: "",
     };
     let words = [&b"RPC.CALL"[..], b"7", b"checkout", fields, b"\0\xff"];
-    let rpc::Command::Call(read) = rpc::command(&words) else { panic!("no call") };
+    let rpc::Command::Call(read) = rpc::command(&words) else { panic!("expected a call") };
     assert_eq!((read.field("new"), read.field("x"), read.field("room")), (Some(""), None, Some("24.5")));
     assert_eq!(rpc::Call { fields: "", ..read }, call);
     assert_eq!(rpc::command(&[b"RPC.HEALTH", b"8", b""]), rpc::Command::Health { tag: 8 });
@@ -110,7 +113,7 @@
 #[test_case("ref=9b1f03aa5c7e2d41,since=1,room=1,class_rank=-0.5"; "negative rank")]
 #[test_case("ref=9b1f03aa5c7e2d41,since=1,room=1,class_rank=high"; "rank is no number")]
 #[test_case("ref=9b1f03aa5c7e2d41,since=1,room=1,sender=x"; "sender is no number")]
-fn bad_fields(fields: &str) {
+fn calls_with_bad_fields_are_invalid(fields: &str) {
     let words = [&b"RPC.CALL"[..], b"7", b"checkout", fields.as_bytes(), b""];
     assert!(matches!(rpc::command(&words), rpc::Command::Invalid { tag: Some(7), .. }));
 }
@@ -118,16 +121,16 @@
 #[test_case(&[b"RPC.CALL"]; "no tag")]
 #[test_case(&[b"RPC.CALL", b"0", b"x", b"", b""]; "tag 0")]
 #[test_case(&[b"RPC.CALL", b"+1", b"x", b"", b""]; "signed tag")]
-fn unknown_tags(words: &[&[u8]]) {
+fn commands_without_a_valid_tag_are_invalid(words: &[&[u8]]) {
     assert!(matches!(rpc::command(words), rpc::Command::Invalid { tag: None, .. }));
 }
 
 #[test]
-fn answers() {
+fn answers_are_encoded() {
     let answer = |answer, advertised| {
         let mut out = Vec::new();
         rpc::put_answer(&mut out, 7, &answer, advertised);
-        let Parsed::Complete(words, _) = resp::array(&out) else { panic!("no array") };
+        let Parsed::Complete(words, _) = resp::array(&out) else { panic!("expected an array") };
         words.iter().map(|word| String::from_utf8_lossy(word).into_owned()).collect::<Vec<_>>()
     };
     assert_eq!(
@@ -144,16 +147,16 @@
 }
 
 #[test]
-fn replies() {
+fn replies_are_parsed() {
     assert_prefixes_incomplete(REPLY, |bytes| extent(http::reply(bytes)));
     assert_mutations_do_not_panic(REPLY, |bytes| extent(http::reply(bytes)));
 }
 
 #[test]
-fn heads_that_announce_a_reply_are_passed_over() {
+fn interim_responses_are_skipped() {
     let early = [b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Wait\r\n\r\n", REPLY].concat();
     assert_prefixes_incomplete(&early, |bytes| extent(http::reply(bytes)));
-    let Parsed::Complete(reply, _) = http::reply(&early) else { panic!("not taken") };
+    let Parsed::Complete(reply, _) = http::reply(&early) else { panic!("expected a complete message") };
     assert_eq!((reply.outcome, reply.body), (Outcome::NeverRan, b"abc".to_vec()));
 }
 
@@ -165,30 +168,32 @@
 #[test_case("500", "Op-Not-Begun: 1\r\n", Outcome::Failed)]
 #[test_case("504", "", Outcome::Unknown; "504")]
 #[test_case("418", "", Outcome::Unknown; "any other")]
-fn what_replies_prove(status: &str, header: &str, outcome: Outcome) {
+fn replies_prove_their_outcome(status: &str, header: &str, outcome: Outcome) {
     let reply = format!("HTTP/1.1 {status} X\r\n{header}Content-Length: 2\r\n\r\nhi");
-    let Parsed::Complete(reply, _) = http::reply(reply.as_bytes()) else { panic!("not taken") };
+    let Parsed::Complete(reply, _) = http::reply(reply.as_bytes()) else {
+        panic!("expected a complete message")
+    };
     assert_eq!((reply.outcome, reply.body, reply.is_reusable), (outcome, b"hi".to_vec(), true));
 }
 
-#[test_case(b"HTTP/1.0 200 OK\r\n\r\n"; "another version")]
+#[test_case(b"HTTP/1.0 200 OK\r\n\r\n"; "unsupported version")]
 #[test_case(b"HTTP/1.1 2x0 OK\r\n\r\n"; "no status")]
 #[test_case(b"HTTP/1.1 200 OK\r\nContent-Length: 99999\r\n\r\n"; "a body too long")]
 #[test_case(b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n"; "a negative length")]
-#[test_case(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"; "no stated length")]
+#[test_case(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"; "transfer encoding")]
 #[test_case(b"HTTP/1.1 +20 OK\r\nContent-Length: 0\r\n\r\n"; "a signed status")]
 #[test_case(b"HTTP/1.1 200 OK\r\nContent-Length: +2\r\n\r\nhi"; "a signed length")]
 #[test_case(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nhi"; "two lengths")]
-#[test_case(b"HTTP/1.1 200 OK\r\n\r\nhi"; "a result of no length")]
-#[test_case(b"HTTP/1.1 200 OK\r\nnoise\r\nContent-Length: 2\r\n\r\nhi"; "a header that is none")]
-#[test_case(&b"HTTP/1.1 102 Wait\r\n\r\n".repeat(200); "endless heads before it")]
-#[test_case(&[b'x'; http::REPLY_MAX]; "an endless head")]
-fn malformed_replies(bytes: &[u8]) {
+#[test_case(b"HTTP/1.1 200 OK\r\n\r\nhi"; "a result without length")]
+#[test_case(b"HTTP/1.1 200 OK\r\nnoise\r\nContent-Length: 2\r\n\r\nhi"; "invalid header")]
+#[test_case(&b"HTTP/1.1 102 Wait\r\n\r\n".repeat(200); "interim responses too long")]
+#[test_case(&[b'x'; http::REPLY_MAX]; "head too long")]
+fn malformed_replies_are_rejected(bytes: &[u8]) {
     assert!(matches!(http::reply(bytes), Parsed::Malformed(_)));
 }
 
 #[test]
-fn a_call_states_what_it_is_for() {
+fn a_call_names_its_invocation_and_timeout() {
     let call = http::call("127.0.0.1:1", 0xab, 250_000_001, b"body");
     let text = String::from_utf8(call).unwrap();
     assert!(
@@ -198,7 +203,7 @@
 }
 
 #[test]
-fn notices() {
+fn notices_are_parsed() {
     assert_prefixes_incomplete(LINE, |bytes| extent(interpreter::line(bytes)));
     assert_mutations_do_not_panic(LINE, |bytes| {
         if let Parsed::Complete(line, _) = interpreter::line(bytes) {
@@ -218,7 +223,7 @@
 #[test_case(r#"{"verb":"VALUE","task":"00000000000000ab","outcome":"ok","bytes":"*"}"#; "no base64")]
 #[test_case(r#"{"verb":"BANNER","outcome":"hot"}"#; "unknown state")]
 #[test_case(r#"{"verb":"TOPS","nonce":"1","readings":[1,"x"]}"#; "a reading that is no number")]
-fn bad_notices(line: &str) {
+fn bad_notices_are_rejected(line: &str) {
     assert!(interpreter::notice(line.as_bytes()).is_err());
 }
 
--- a/crates/server/src/wire/tests/outside_names.rs
+++ b/crates/server/src/wire/tests/outside_names.rs
@@ -1,4 +1,4 @@
-//! The words of the protocols are those of release 0.2.0 (commit 22d0bb6).
+//! Checks that the words of the protocols are the same as in release 0.2.0 (commit 22d0bb6).
 
 use crate::wire::catalog;
 use crate::wire::http;
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn the_interpreter_is_spoken_to_in_the_same_lines() {
+fn commands_to_the_interpreter_have_the_same_lines() {
     let lines = [
         (interpreter::connect(3), r#"{"index":3,"verb":"CONNECT"}"#),
         (
@@ -70,7 +70,7 @@
 #[test_case("failed", Outcome::Failed, b"")]
 #[test_case("halted", Outcome::Cancelled, b"")]
 #[test_case("void", Outcome::NeverRan, b"")]
-fn ends_of_runs_have_the_same_words(word: &str, outcome: Outcome, result: &[u8]) {
+fn outcomes_of_runs_have_the_same_words(word: &str, outcome: Outcome, result: &[u8]) {
     let line = format!(
         r#"{{"verb":"VALUE","index":3,"task":"00000000000000ab","outcome":"{word}","bytes":"aGk="}}"#
     );
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn records_and_catalog_are_spoken_to_in_the_same_lines() {
+fn messages_to_records_and_catalog_are_the_same() {
     let call = http::call("records:80", 0xab, 1_000_001, b"hi");
     assert_eq!(
         String::from_utf8(call).unwrap(),
