--- a/crates/server/src/calls/pool.rs
+++ b/crates/server/src/calls/pool.rs
@@ -16,7 +16,7 @@
 pub const DESCRIPTOR_RETRY_AFTER: Duration = Duration::from_millis(2);
 
 /// A connection to a downstream service, with the file descriptor reserved for it.
-pub struct Pooled {
+pub struct PooledConnection {
     /// The connection's socket.
     pub stream: Async<TcpStream>,
     to: SocketAddr,
@@ -24,7 +24,7 @@
 }
 
 struct Idle {
-    connection: Pooled,
+    connection: PooledConnection,
     since: Instant,
 }
 
@@ -43,14 +43,14 @@
         to: SocketAddr,
         needs_new_connection: bool,
         descriptors: &Descriptors,
-    ) -> std::io::Result<Pooled> {
+    ) -> std::io::Result<PooledConnection> {
         loop {
             if !needs_new_connection && let Some(pooled) = self.reuse(to, Instant::now()) {
                 return Ok(pooled);
             }
-            if let Some(descriptor) = descriptors.for_call() {
+            if let Some(descriptor) = descriptors.reserve_for_call() {
                 let stream = Async::<TcpStream>::connect(to).await?;
-                return Ok(Pooled { stream, to, _descriptor: descriptor });
+                return Ok(PooledConnection { stream, to, _descriptor: descriptor });
             }
             if !needs_new_connection || self.idle.borrow_mut().pop().is_none() {
                 Timer::after(DESCRIPTOR_RETRY_AFTER).await;
@@ -62,7 +62,7 @@
     /// free one.
     pub async fn descriptor_for_file(&self, descriptors: &Descriptors) -> Descriptor {
         loop {
-            if let Some(descriptor) = descriptors.for_call() {
+            if let Some(descriptor) = descriptors.reserve_for_call() {
                 return descriptor;
             }
             self.close_all();
@@ -73,7 +73,7 @@
     /// Removes and returns the most recently used connection to `to`, discarding connections that the service
     /// has closed or sent unexpected data on. Connections to other services stay in the pool; if a
     /// configuration reload removed their service they are closed when their idle time is over.
-    fn reuse(&self, to: SocketAddr, now: Instant) -> Option<Pooled> {
+    fn reuse(&self, to: SocketAddr, now: Instant) -> Option<PooledConnection> {
         self.close_expired();
         let mut idle = self.idle.borrow_mut();
         loop {
@@ -89,7 +89,7 @@
     }
 
     /// Returns a connection to the pool for reuse by a later call.
-    pub fn give_back(&self, connection: Pooled) {
+    pub fn return_connection(&self, connection: PooledConnection) {
         self.close_expired();
         self.idle.borrow_mut().push(Idle { connection, since: Instant::now() });
     }
--- a/crates/server/src/calls/pool/tests.rs
+++ b/crates/server/src/calls/pool/tests.rs
@@ -13,7 +13,7 @@
 fn connections_are_reused_only_after_the_reuse_delay() {
     let (_listener, to, pool, descriptors) = listening_pool();
     let pooled = futures_lite::future::block_on(pool.connect(to, false, &descriptors)).unwrap();
-    pool.give_back(pooled);
+    pool.return_connection(pooled);
     let since = pool.idle.borrow()[0].since;
     assert!(pool.reuse(to, since + REUSE_DELAY / 2).is_none());
     assert!(pool.reuse(to, since + REUSE_DELAY).is_some());
--- a/crates/server/src/calls/task.rs
+++ b/crates/server/src/calls/task.rs
@@ -51,7 +51,7 @@
     }
 }
 
-struct Exchanged {
+struct ReceivedReply {
     reply: http::Reply,
     /// True if no bytes followed the reply.
     has_no_trailing_bytes: bool,
@@ -87,9 +87,9 @@
     let pooled = server.pool.connect(to, call.needs_new_connection, &server.descriptors).await?;
     let _ = pooled.stream.get_ref().set_nodelay(true);
     send(server, &pooled.stream, to, call, written).await?;
-    let Exchanged { reply, has_no_trailing_bytes } = receive_reply(&pooled.stream).await?;
+    let ReceivedReply { reply, has_no_trailing_bytes } = receive_reply(&pooled.stream).await?;
     if reply.is_reusable && has_no_trailing_bytes {
-        server.pool.give_back(pooled);
+        server.pool.return_connection(pooled);
     }
     Ok((reply.outcome, reply.body))
 }
@@ -118,7 +118,7 @@
     Ok(())
 }
 
-async fn receive_reply(stream: &Async<TcpStream>) -> Result<Exchanged> {
+async fn receive_reply(stream: &Async<TcpStream>) -> Result<ReceivedReply> {
     let mut ring = Ring::new(http::REPLY_MAX);
     loop {
         receive(stream, &mut ring).await?;
@@ -126,7 +126,7 @@
             Parsed::Incomplete => {}
             Parsed::Complete(reply, length) => {
                 ring.drop_front(length);
-                return Ok(Exchanged { reply, has_no_trailing_bytes: ring.is_empty() });
+                return Ok(ReceivedReply { reply, has_no_trailing_bytes: ring.is_empty() });
             }
             Parsed::Malformed(error) => return Err(std::io::Error::new(ErrorKind::InvalidData, error)),
         }
--- a/crates/server/src/connection/accept.rs
+++ b/crates/server/src/connection/accept.rs
@@ -36,7 +36,7 @@
         if !server.drain.accepts_connections() && accept_backlog(&server, &listener) != Backlog::Waiting {
             return;
         }
-        let Some(descriptor) = server.descriptors.for_connection() else {
+        let Some(descriptor) = server.descriptors.reserve_for_connection() else {
             free_descriptor(&server, &mut exhausted).await;
             continue;
         };
@@ -73,7 +73,7 @@
 /// listener is closed without yielding to another task.
 fn accept_backlog(server: &Rc<Server>, listener: &Async<TcpListener>) -> Backlog {
     let mut backlog = Backlog::Empty;
-    while let Some(descriptor) = server.descriptors.for_connection() {
+    while let Some(descriptor) = server.descriptors.reserve_for_connection() {
         let Ok(stream) = listener.get_ref().accept().and_then(|(stream, _)| Async::new(stream)) else {
             return backlog;
         };
--- a/crates/server/src/connection/request.rs
+++ b/crates/server/src/connection/request.rs
@@ -84,8 +84,8 @@
 
     fn operation(&self, call: &rpc::Call) -> Result<usize, RequestError> {
         let names = &self.configuration.settings.operation_names;
-        let place = names.iter().position(|name| name == call.operation);
-        place.ok_or_else(|| RequestError::UnknownOperation(call.operation.to_string()))
+        let index = names.iter().position(|name| name == call.operation);
+        index.ok_or_else(|| RequestError::UnknownOperation(call.operation.to_string()))
     }
 
     fn check_age(&self, call: &rpc::Call) -> Result<(), RequestError> {
@@ -105,8 +105,8 @@
             return Ok(0);
         }
         let named = call.field(TENANT_FIELD);
-        let place = named.and_then(|tenant| names.iter().position(|name| name == tenant));
-        place.ok_or_else(|| RequestError::UnknownTenant(named.map(str::to_string)))
+        let index = named.and_then(|tenant| names.iter().position(|name| name == tenant));
+        index.ok_or_else(|| RequestError::UnknownTenant(named.map(str::to_string)))
     }
 
     /// Returns the caller's timeout from the arrival of the call, if the settings say that callers state one.
--- a/crates/server/src/connection/state.rs
+++ b/crates/server/src/connection/state.rs
@@ -18,8 +18,8 @@
 const ANSWER_MAX_BYTES: usize = resp::WORD_MAX + 256;
 /// Capacity of the outgoing buffer, in bytes: an answer to each open call, and the drain request.
 const OUTGOING_MAX_BYTES: usize = (OPEN_CALLS_MAX + 1) * ANSWER_MAX_BYTES;
-/// Divisor of the shortest client timeout, which gives the time in which the first command, and each command
-/// that has begun, must become complete.
+/// The first command, and each command that has begun, must become complete within the shortest client
+/// timeout divided by this number.
 const COMMAND_TIMEOUT_DIVISOR: u64 = 2;
 
 /// Settings of the deployment for all connections.
@@ -48,7 +48,8 @@
     Cancelled {
         /// Tag of the call.
         tag: u64,
-        /// True if the call was still open. False if its answer crossed the cancellation in transit.
+        /// True if the call was still open. False, for example, if its answer and the cancellation crossed in
+        /// transit.
         was_open: bool,
     },
     /// A command that cannot be executed.
@@ -259,7 +260,7 @@
         self.open_tags.contains(&tag)
     }
 
-    /// Closes a call that gets its final answer. Returns false if the call is not open, because it was
+    /// Closes a call that gets its final answer. Returns false if the call is no longer open because it was
     /// cancelled.
     pub fn close_call(&mut self, tag: u64) -> bool {
         let was_open = self.is_open(tag);
@@ -331,8 +332,8 @@
     /// Updates the reserved memory: the bytes in the buffers, and the body and the future answer of each open
     /// call.
     pub fn update_reservation(&mut self) {
-        let to_come = self.open_tags.len() * 2 * ANSWER_MAX_BYTES;
-        self.buffers.resize(self.incoming.len() + self.outgoing.len() + to_come);
+        let pending_bytes = self.open_tags.len() * 2 * ANSWER_MAX_BYTES;
+        self.buffers.resize(self.incoming.len() + self.outgoing.len() + pending_bytes);
     }
 
     /// Returns whether another command can be accepted: fewer than the maximum of calls are open, the
--- a/crates/server/src/connection/task.rs
+++ b/crates/server/src/connection/task.rs
@@ -19,7 +19,7 @@
 
 /// Delay before checking again whether other connections have released buffer memory.
 const BUFFERS_RETRY_AFTER: Duration = Duration::from_millis(10);
-/// Divisor of the time from the drain notice to the stop, which gives the linger time. A connection may
+/// The linger time is the time from the drain notice to the stop divided by this number. A connection may
 /// linger twice, while it is idle and while it closes, and both must end before the stop.
 const LINGER_DIVISOR: u64 = 8;
 /// Maximum number of bytes per read.
@@ -280,7 +280,7 @@
                 Ok(_) => future::yield_now().await,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                    if self.connection.closes_if_idle.get() || !self.wait_to_linger(until).await {
+                    if self.connection.closes_if_idle.get() || !self.wait_for_discardable_data(until).await {
                         return;
                     }
                 }
@@ -290,7 +290,7 @@
     }
 
     /// Waits for more data to discard. Returns false if the linger time is over or the connection broke.
-    async fn wait_to_linger(&self, until: Instant) -> bool {
+    async fn wait_for_discardable_data(&self, until: Instant) -> bool {
         let readable = async { self.stream.readable().await.is_ok() };
         let notified = async { self.notifications.recv().await.is_ok() };
         let late = async {
--- a/crates/server/src/event_loop/arrivals.rs
+++ b/crates/server/src/event_loop/arrivals.rs
@@ -46,7 +46,7 @@
             return None;
         };
         if let Some(keyed) = keyed.filter(|_| lookup == Some(Lookup::New)) {
-            self.keep_key(id, operation, &keyed, now);
+            self.store_key(id, operation, &keyed, now);
         }
         arrival.id = id;
         arrival.repeats = repeat_of;
@@ -93,7 +93,7 @@
 
     /// Stores the key of a new invocation. Its idempotency window starts when the request is read, not at the
     /// stated arrival time, since the window would end too early for a caller whose clock is behind.
-    fn keep_key(&mut self, id: u64, operation: usize, keyed: &KeyWithBodyHash, now: Nanos) {
+    fn store_key(&mut self, id: u64, operation: usize, keyed: &KeyWithBodyHash, now: Nanos) {
         let operations = &self.server.configuration.settings.deployment.operations;
         let window_end = now + operations[operation].idempotency_window;
         self.idempotency.insert(id, operation, &keyed.key, keyed.body_hash, window_end);
--- a/crates/server/src/event_loop/mod.rs
+++ b/crates/server/src/event_loop/mod.rs
@@ -27,7 +27,7 @@
 
 /// The event loop's state: the controller and the executor of its actions.
 pub struct EventLoop {
-    /// The overload controller, which is created when the first link to the interpreter is established.
+    /// The overload controller; `None` until the first link to the interpreter is established.
     controller: Option<Controller>,
     actions: ActionExecutor,
 }
@@ -257,7 +257,7 @@
             self.actions.resend_unconfirmed();
         } else if let Some(timer) = self.actions.session.end_gauges_request(nonce) {
             let settings = &self.actions.server.configuration.settings;
-            let reading = |place: Option<usize>| place.and_then(|place| readings.get(place).copied());
+            let reading = |index: Option<usize>| index.and_then(|index| readings.get(index).copied());
             let utilization = reading(settings.utilization_gauge);
             let runnable = reading(settings.runnable_gauge);
             self.on_timer(timer, Gauges { utilization, runnable });
--- a/crates/server/src/interpreter/incarnation.rs
+++ b/crates/server/src/interpreter/incarnation.rs
@@ -19,7 +19,7 @@
     pub last_read: u64,
     /// Latest possible start time of the interpreter, computed from its banners.
     started: Option<Nanos>,
-    /// Number of attempts since the last link that timed out.
+    /// Number of attempts that have timed out since the last link.
     timeouts: u32,
 }
 
--- a/crates/server/src/interpreter/link.rs
+++ b/crates/server/src/interpreter/link.rs
@@ -28,9 +28,9 @@
 const BACKOFF: Duration = Duration::from_millis(5);
 /// Maximum delay between attempts.
 const BACKOFF_MAX: Duration = Duration::from_millis(160);
-/// Divisor of the readiness deadline, which gives the time allowed for the first attempt to connect.
+/// The first attempt to connect must succeed within the readiness deadline divided by this number.
 const CONNECT_DIVISOR: u32 = 10;
-/// Divisor of the readiness deadline, which gives the time allowed for the first banner.
+/// The banner of the first attempt must arrive within the readiness deadline divided by this number.
 const BANNER_DIVISOR: u32 = 5;
 /// Number of control periods without received data after which the link is closed. Gauges are requested in
 /// every period, so a working link is never silent for this long.
--- a/crates/server/src/resources/descriptors.rs
+++ b/crates/server/src/resources/descriptors.rs
@@ -9,8 +9,8 @@
 const OPENED_AFTER_START: usize = 2;
 /// Number of descriptors assumed to be open at startup if they cannot be counted.
 const OPEN_AT_START_FALLBACK: usize = 13;
-/// Divisor of all descriptors, which gives the reserve that connections do not use. Downstream calls leave
-/// half of this reserve to connections.
+/// Connections do not use a reserve, which is the number of all descriptors divided by this number.
+/// Downstream calls leave half of the reserve to connections.
 const RESERVE_DIVISOR: usize = 8;
 /// Minimum number of descriptors in the reserve.
 const RESERVE_MIN: usize = 2;
@@ -58,13 +58,13 @@
         Ok(Self { limit: left, in_use: Rc::default() })
     }
 
-    fn reserve(&self) -> usize {
+    fn reserve_size(&self) -> usize {
         (self.limit / RESERVE_DIVISOR).max(RESERVE_MIN)
     }
 
     /// Reserves a descriptor for a connection, or returns `None` if none is available.
-    pub fn for_connection(&self) -> Option<Descriptor> {
-        let within_part = self.in_use.connections.get() + self.reserve() < self.limit;
+    pub fn reserve_for_connection(&self) -> Option<Descriptor> {
+        let within_part = self.in_use.connections.get() + self.reserve_size() < self.limit;
         (within_part && self.in_use.all.get() < self.limit).then(|| self.take(1))
     }
 
@@ -76,8 +76,8 @@
     /// Reserves a descriptor for a downstream call or a file, or returns `None` if none is available. Some
     /// descriptors are left to connections, because a call or file can wait but a connection already accepted
     /// by the kernel cannot.
-    pub fn for_call(&self) -> Option<Descriptor> {
-        (self.in_use.all.get() + self.reserve() / 2 < self.limit).then(|| self.take(0))
+    pub fn reserve_for_call(&self) -> Option<Descriptor> {
+        (self.in_use.all.get() + self.reserve_size() / 2 < self.limit).then(|| self.take(0))
     }
 
     fn take(&self, connections: usize) -> Descriptor {
--- a/crates/server/src/resources/descriptors/tests.rs
+++ b/crates/server/src/resources/descriptors/tests.rs
@@ -25,15 +25,15 @@
 #[test]
 fn a_file_waits_for_a_descriptor_and_never_exceeds_the_limit() {
     let (descriptors, pool) = (eight_descriptors(), Pool::default());
-    let mut held: Vec<Descriptor> = std::iter::from_fn(|| descriptors.for_connection()).collect();
-    held.extend(std::iter::from_fn(|| descriptors.for_call()));
+    let mut reserved: Vec<Descriptor> = std::iter::from_fn(|| descriptors.reserve_for_connection()).collect();
+    reserved.extend(std::iter::from_fn(|| descriptors.reserve_for_call()));
     let all = descriptors.in_use.all.get();
     assert!(
         block_on(with_timeout(20 * DESCRIPTOR_RETRY_AFTER, pool.descriptor_for_file(&descriptors))).is_none(),
         "{all} of 8 in use"
     );
     assert_eq!(descriptors.in_use.all.get(), all);
-    drop(held.pop());
+    drop(reserved.pop());
     let descriptor =
         block_on(with_timeout(20 * DESCRIPTOR_RETRY_AFTER, pool.descriptor_for_file(&descriptors)));
     assert!(descriptor.is_some());
@@ -46,13 +46,13 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let to = listener.local_addr().unwrap();
     let mut idle = Vec::new();
-    while descriptors.for_call().is_some() {
+    while descriptors.reserve_for_call().is_some() {
         idle.push(block_on(pool.connect(to, true, &descriptors)).unwrap());
     }
     assert!(
         block_on(with_timeout(20 * DESCRIPTOR_RETRY_AFTER, pool.descriptor_for_file(&descriptors))).is_none()
     );
-    idle.into_iter().for_each(|pooled| pool.give_back(pooled));
+    idle.into_iter().for_each(|pooled| pool.return_connection(pooled));
     assert!(
         block_on(with_timeout(20 * DESCRIPTOR_RETRY_AFTER, pool.descriptor_for_file(&descriptors))).is_some()
     );
--- a/crates/server/src/wire/http.rs
+++ b/crates/server/src/wire/http.rs
@@ -65,8 +65,8 @@
     }
 
     /// Returns the outcome that the status proves. Only 503 and 409 with the header `Op-Not-Begun: 1` prove
-    /// that the call did not run. After any other error status it may have had its effect, except that 500
-    /// proves that it failed.
+    /// that the call did not run. After any other error status, including 500, the call may have had its
+    /// effect.
     fn outcome(&self) -> Outcome {
         let not_begun = matches!(self.status, 503 | 409) && self.first("Op-Not-Begun") == Some("1");
         match self.status {
--- a/crates/server/src/wire/rpc.rs
+++ b/crates/server/src/wire/rpc.rs
@@ -8,7 +8,7 @@
 /// Maximum length of a call's body, in bytes.
 const BODY_MAX: usize = 2048;
 /// Exclusive upper bound of the memory reserved for one call, in kilobytes.
-const HELD_MAX_KB: f64 = 2000.0;
+const RESERVED_MAX_KB: f64 = 2000.0;
 
 /// Command sent by a balancer.
 #[derive(Debug, PartialEq)]
@@ -168,7 +168,7 @@
 }
 
 fn held_kb(text: &str) -> Option<f64> {
-    text.parse().ok().filter(|kb| *kb > 0.0 && *kb < HELD_MAX_KB)
+    text.parse().ok().filter(|kb| *kb > 0.0 && *kb < RESERVED_MAX_KB)
 }
 
 /// Final answer to a call, or answer to a health check.
--- a/crates/server/src/wire/tests.rs
+++ b/crates/server/src/wire/tests.rs
@@ -154,9 +154,12 @@
 
 #[test]
 fn interim_responses_are_skipped() {
-    let early = [b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Wait\r\n\r\n", REPLY].concat();
-    assert_prefixes_incomplete(&early, |bytes| extent(http::reply(bytes)));
-    let Parsed::Complete(reply, _) = http::reply(&early) else { panic!("expected a complete message") };
+    let with_interim =
+        [b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Wait\r\n\r\n", REPLY].concat();
+    assert_prefixes_incomplete(&with_interim, |bytes| extent(http::reply(bytes)));
+    let Parsed::Complete(reply, _) = http::reply(&with_interim) else {
+        panic!("expected a complete message")
+    };
     assert_eq!((reply.outcome, reply.body), (Outcome::NeverRan, b"abc".to_vec()));
 }
 
