--- a/crates/server/src/calls/task.rs
+++ b/crates/server/src/calls/task.rs
@@ -70,11 +70,11 @@
     };
     let exchanged = async { exchange(&server, to, &call, &written).await.unwrap_or_else(|_| failed()) };
     let (outcome, reply) = future::or(exchanged, timeout).await;
-    let took = server.clock.now() - started_at;
+    let duration = server.clock.now() - started_at;
     let (number, reference) = (call.number, format!("{:016x}", call.reference));
-    debug!(number, reference, ?outcome, took_us = took / 1_000, "call ended");
+    debug!(number, reference, ?outcome, took_us = duration / 1_000, "call ended");
     let (invocation, number) = (call.invocation, call.number);
-    let ended = Event::CallEnded { invocation, number, outcome, reply, took };
+    let ended = Event::CallEnded { invocation, number, outcome, reply, duration };
     let _ = server.events.send(ended).await;
 }
 
--- a/crates/server/src/connection/task.rs
+++ b/crates/server/src/connection/task.rs
@@ -269,18 +269,19 @@
     /// has already arrived.
     async fn linger(&mut self) {
         let clock = &self.server.clock;
-        let until = clock.instant(clock.now() + settings(&self.server).linger);
+        let deadline = clock.instant(clock.now() + settings(&self.server).linger);
         if self.state.peer_closed() || self.stream.get_ref().shutdown(Shutdown::Write).is_err() {
             return;
         }
         let mut chunk = [0; READ_MAX_BYTES];
-        while clock.instant(clock.now()) < until {
+        while clock.instant(clock.now()) < deadline {
             match self.stream.get_ref().read(&mut chunk) {
                 Ok(0) => return,
                 Ok(_) => future::yield_now().await,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                    if self.connection.closes_if_idle.get() || !self.wait_for_discardable_data(until).await {
+                    if self.connection.closes_if_idle.get() || !self.wait_for_discardable_data(deadline).await
+                    {
                         return;
                     }
                 }
@@ -290,11 +291,11 @@
     }
 
     /// Waits for more data to discard. Returns false if the linger time is over or the connection broke.
-    async fn wait_for_discardable_data(&self, until: Instant) -> bool {
+    async fn wait_for_discardable_data(&self, deadline: Instant) -> bool {
         let readable = async { self.stream.readable().await.is_ok() };
         let notified = async { self.notifications.recv().await.is_ok() };
         let late = async {
-            Timer::at(until).await;
+            Timer::at(deadline).await;
             false
         };
         future::or(readable, future::or(notified, late)).await
--- a/crates/server/src/event.rs
+++ b/crates/server/src/event.rs
@@ -73,12 +73,12 @@
         invocation: u64,
         /// Number of the call.
         number: u64,
-        /// Outcome of the call: whether it ran, as far as known.
+        /// Outcome of the call, as far as it is known.
         outcome: Outcome,
         /// Body of the reply; empty if there was no reply.
         reply: Vec<u8>,
-        /// Duration of the call.
-        took: Nanos,
+        /// Duration of the call, in nanoseconds.
+        duration: Nanos,
     },
     /// The fleet's budget has capacity again for calls that the controller has delayed.
     DownstreamCapacity,
--- a/crates/server/src/event_loop/mod.rs
+++ b/crates/server/src/event_loop/mod.rs
@@ -119,10 +119,10 @@
             }
             Event::LinkLost => self.actions.session.clear_link(),
             Event::Notice(notice) => self.handle_notice(notice),
-            Event::CallEnded { invocation, number, outcome, reply, took } => {
+            Event::CallEnded { invocation, number, outcome, reply, duration } => {
                 if self.actions.call_ended(invocation, number, outcome, &reply) {
                     self.with_controller(|controller, now, actions| {
-                        controller.on_call_finished(now, invocation, outcome, took, actions);
+                        controller.on_call_finished(now, invocation, outcome, duration, actions);
                     });
                 }
             }
--- a/crates/server/src/wire/http.rs
+++ b/crates/server/src/wire/http.rs
@@ -88,7 +88,7 @@
             Parsed::Malformed(error) => return Parsed::Malformed(error),
         };
         if !(100..200).contains(&head.status) {
-            return reply_with(&head, bytes, at + head.body_start);
+            return reply_after_head(&head, bytes, at + head.body_start);
         }
         at += head.body_start;
         if at > HEAD_MAX {
@@ -97,7 +97,7 @@
     }
 }
 
-fn reply_with(head: &Head, bytes: &[u8], start: usize) -> Parsed<Reply> {
+fn reply_after_head(head: &Head, bytes: &[u8], start: usize) -> Parsed<Reply> {
     let length = match head.content_length() {
         Ok(length) => length,
         Err(error) => return Parsed::Malformed(error),
--- a/crates/server/src/wire/tests.rs
+++ b/crates/server/src/wire/tests.rs
@@ -7,7 +7,7 @@
 use test_case::test_case;
 
 /// Drops the parsed value, for checks of the message's length alone.
-fn extent<T>(parsed: Parsed<T>) -> Parsed<()> {
+fn length_only<T>(parsed: Parsed<T>) -> Parsed<()> {
     match parsed {
         Parsed::Complete(_, used) => Parsed::Complete((), used),
         Parsed::Incomplete => Parsed::Incomplete,
@@ -51,8 +51,8 @@
 
 #[test]
 fn arrays_are_parsed_and_encoded() {
-    assert_prefixes_incomplete(ARRAY, |bytes| extent(resp::array(bytes)));
-    assert_mutations_do_not_panic(ARRAY, |bytes| extent(resp::array(bytes)));
+    assert_prefixes_incomplete(ARRAY, |bytes| length_only(resp::array(bytes)));
+    assert_mutations_do_not_panic(ARRAY, |bytes| length_only(resp::array(bytes)));
     assert_eq!(resp::array(ARRAY), Parsed::Complete(vec![&b"RPC.CALL"[..], b"7", b"a\r\nb"], ARRAY.len()));
     let mut written = Vec::new();
     resp::put_array(&mut written, &[b"RPC.CALL", b"7", b"a\r\nb"]);
@@ -148,15 +148,15 @@
 
 #[test]
 fn replies_are_parsed() {
-    assert_prefixes_incomplete(REPLY, |bytes| extent(http::reply(bytes)));
-    assert_mutations_do_not_panic(REPLY, |bytes| extent(http::reply(bytes)));
+    assert_prefixes_incomplete(REPLY, |bytes| length_only(http::reply(bytes)));
+    assert_mutations_do_not_panic(REPLY, |bytes| length_only(http::reply(bytes)));
 }
 
 #[test]
 fn interim_responses_are_skipped() {
     let with_interim =
         [b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Wait\r\n\r\n", REPLY].concat();
-    assert_prefixes_incomplete(&with_interim, |bytes| extent(http::reply(bytes)));
+    assert_prefixes_incomplete(&with_interim, |bytes| length_only(http::reply(bytes)));
     let Parsed::Complete(reply, _) = http::reply(&with_interim) else {
         panic!("expected a complete message")
     };
@@ -207,12 +207,12 @@
 
 #[test]
 fn notices_are_parsed() {
-    assert_prefixes_incomplete(LINE, |bytes| extent(interpreter::line(bytes)));
+    assert_prefixes_incomplete(LINE, |bytes| length_only(interpreter::line(bytes)));
     assert_mutations_do_not_panic(LINE, |bytes| {
         if let Parsed::Complete(line, _) = interpreter::line(bytes) {
             let _ = interpreter::notice(line);
         }
-        extent(interpreter::line(bytes))
+        length_only(interpreter::line(bytes))
     });
     let ended =
         interpreter::Notice::Ended { task: 0xab, outcome: Outcome::Succeeded, result: b"hi".to_vec() };
