--- a/crates/server/src/event_loop/downstream.rs
+++ b/crates/server/src/event_loop/downstream.rs
@@ -113,7 +113,7 @@
     }
 
     /// Returns the routing preference of an invocation's downstream call. Only the first attempt of an
-    /// idempotent operation may be used to probe an unhealthy service.
+    /// idempotent operation may double as a health probe of a service.
     fn call_preference(&mut self, id: u64) -> CallPreference {
         let Some(invocation) = self.invocations.get(id) else { return CallPreference::default() };
         let (operation, last_service) = (invocation.operation, invocation.last_service);
