--- a/crates/server/src/event_loop/arrivals.rs
+++ b/crates/server/src/event_loop/arrivals.rs
@@ -1,4 +1,5 @@
-//! What becomes of a request before the controller decides: whether it repeats another, and may be taken in.
+//! Registers incoming requests before the controller decides about them: detects repeated calls and rejects
+//! requests that cannot be registered.
 
 use crate::connection::table::{Connection, Notification};
 use crate::event::Request;
@@ -10,27 +11,29 @@
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 
-/// The key of a request, and the hash of its body: another body with the key is no repeat.
-struct KeyedBody {
+/// An idempotency key with the hash of the request's body. A request with the same key and a different body
+/// is not a repeat but an error.
+struct KeyWithBodyHash {
     key: Vec<u8>,
     body_hash: u64,
 }
 
 impl ActionExecutor {
-    /// Registers a request as an invocation and describes it to the controller. `None` where it failed: its
-    /// key is in use with another body, an invocation of its reference is not over, which the interpreter
-    /// would confuse with it, or the controller has not started.
+    /// Registers a request as an invocation and returns its description for the controller. Returns `None`
+    /// after failing the request if its key is in use with a different body, if an unfinished invocation has
+    /// the same reference (the interpreter could not tell the two apart), or if the controller has not
+    /// started.
     pub fn register(&mut self, mut request: Request, has_controller: bool) -> Option<Arrival> {
         let now = self.server.clock.now();
         let mut arrival = self.describe(&request);
-        let keyed = request.idempotency_key.take().map(|key| self.keyed_body(key, &request.body));
+        let keyed = request.idempotency_key.take().map(|key| self.key_with_body_hash(key, &request.body));
         let lookup = keyed.as_ref().map(|keyed| {
-            let reached = now.saturating_sub(arrival.age);
-            self.idempotency.find(now, reached, request.operation, &keyed.key, keyed.body_hash)
+            let arrived_at = now.saturating_sub(arrival.age);
+            self.idempotency.find(now, arrived_at, request.operation, &keyed.key, keyed.body_hash)
         });
         let repeat_of = self.count_lookup(lookup);
         let (operation, tag, connection) = (request.operation, request.tag, request.connection.clone());
-        if lookup == Some(Lookup::OtherBody) {
+        if lookup == Some(Lookup::BodyMismatch) {
             self.fail_unregistered(&connection, tag);
             return None;
         }
@@ -43,36 +46,37 @@
             return None;
         };
         if let Some(keyed) = keyed.filter(|_| lookup == Some(Lookup::New)) {
-            self.keep_key(id, operation, &keyed, now);
+            self.store_key(id, operation, &keyed, now);
         }
         arrival.id = id;
         arrival.repeats = repeat_of;
-        arrival.key_not_stored = lookup == Some(Lookup::Full);
+        arrival.key_not_stored = lookup == Some(Lookup::TableFull);
         Some(arrival)
     }
 
     fn describe(&self, request: &Request) -> Arrival {
-        let age = self.server.clock.age(request.since_unix_ms).max(0) as Nanos;
+        let age = self.server.clock.age(request.arrival_unix_ms).max(0) as Nanos;
         Arrival {
             operation: request.operation,
             tenant: request.tenant,
             sender: request.sender.clone(),
             age,
-            remaining_deadline: request.patience.map(|stated| stated.saturating_sub(age).max(1)),
+            remaining_deadline: request.client_timeout.map(|stated| stated.saturating_sub(age).max(1)),
             is_marked_retry: request.marked_retry,
             held_kb: request.held_kb,
             ..Arrival::default()
         }
     }
 
-    /// Callers choose the bodies, so the hash is seeded.
-    fn keyed_body(&self, key: Vec<u8>, body: &[u8]) -> KeyedBody {
+    /// Hashes a body with the configured seed, since callers choose the bodies and could otherwise construct
+    /// collisions.
+    fn key_with_body_hash(&self, key: Vec<u8>, body: &[u8]) -> KeyWithBodyHash {
         let mut hasher = SipHasher13::new_with_keys(self.server.configuration.seed, 0);
         hasher.write(body);
-        KeyedBody { key, body_hash: hasher.finish() }
+        KeyWithBodyHash { key, body_hash: hasher.finish() }
     }
 
-    /// Counts what was found of a key. Returns the invocation that is repeated.
+    /// Counts the result of a key lookup. Returns the original invocation if the request is a repeat.
     fn count_lookup(&self, lookup: Option<Lookup>) -> Option<u64> {
         let counters = &self.server.counters;
         match lookup? {
@@ -80,19 +84,19 @@
                 counters.repeats.add();
                 return Some(original);
             }
-            Lookup::OtherBody => counters.tokens_other.add(),
-            Lookup::Full => counters.tokens_full.add(),
+            Lookup::BodyMismatch => counters.tokens_other.add(),
+            Lookup::TableFull => counters.tokens_full.add(),
             Lookup::New => {}
         }
         None
     }
 
-    /// The window counts from the time of reading: it must not end too early for a caller whose clock is
-    /// behind.
-    fn keep_key(&mut self, id: u64, operation: usize, keyed: &KeyedBody, now: Nanos) {
+    /// Stores the key of a new invocation. Its idempotency window starts when the request is read, not at the
+    /// stated arrival time, since the window would end too early for a caller whose clock is behind.
+    fn store_key(&mut self, id: u64, operation: usize, keyed: &KeyWithBodyHash, now: Nanos) {
         let operations = &self.server.configuration.settings.deployment.operations;
-        let until = now + operations[operation].idempotency_window;
-        self.idempotency.insert(id, operation, &keyed.key, keyed.body_hash, until);
+        let window_end = now + operations[operation].idempotency_window;
+        self.idempotency.insert(id, operation, &keyed.key, keyed.body_hash, window_end);
     }
 
     fn fail_unregistered(&self, connection: &Connection, tag: u64) {
--- a/crates/server/src/interpreter/link.rs
+++ b/crates/server/src/interpreter/link.rs
@@ -1,4 +1,4 @@
-//! The link to the interpreter, which is made again after each break.
+//! The link to the interpreter, which is established again after each loss.
 
 use crate::event::Event;
 use crate::interpreter::incarnation::Incarnation;
@@ -19,32 +19,35 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// Commands that may wait to be written; the link to an interpreter that reads none is made again.
+/// Maximum number of commands that wait to be written. If an interpreter that does not read exceeds it, the
+/// link is closed and established again.
 const COMMANDS_MAX: usize = 4096;
-/// Bytes from which on no further command joins a write.
+/// Size of a write, in bytes, from which no further command is added to it.
 const WRITE_MAX_BYTES: usize = 64 * 1024;
-/// First pause between attempts; it doubles with each up to the longest.
+/// First delay between attempts to establish the link; each failed attempt doubles it up to the maximum.
 const BACKOFF: Duration = Duration::from_millis(5);
-/// Longest pause between attempts.
+/// Maximum delay between attempts.
 const BACKOFF_MAX: Duration = Duration::from_millis(160);
-/// Part of the time until the server must be ready that is allowed for the first attempt to connect.
-const CONNECT_PART: u32 = 10;
-/// The same for the banner.
-const BANNER_PART: u32 = 5;
-/// A link on which nothing has come for so many control periods is given up: gauges are requested in each.
-const SILENT_PERIODS: usize = 4;
+/// The first attempt to connect must succeed within the readiness deadline divided by this number.
+const CONNECT_DIVISOR: u32 = 10;
+/// The banner of the first attempt must arrive within the readiness deadline divided by this number.
+const BANNER_DIVISOR: u32 = 5;
+/// Number of control periods without received data after which the link is closed. Gauges are requested in
+/// every period, so a working link is never silent for this long.
+const SILENT_PERIODS_MAX: usize = 4;
 
-/// Keeps a link to the interpreter for as long as the server runs.
+/// Maintains a link to the interpreter until the server process exits.
 pub async fn run(server: Rc<Server>) {
     let mut incarnation = Incarnation::default();
     let mut backoff = BACKOFF;
     loop {
         let mut linked = false;
-        let moved = async {
-            let _ = server.interpreter_moved.1.recv().await;
-            Err(Error::other("the interpreter has another address"))
+        let address_changed = async {
+            let _ = server.interpreter_address_changed.1.recv().await;
+            Err(Error::other("the interpreter's address has changed"))
         };
-        if let Err(error) = future::or(moved, session(&server, &mut incarnation, &mut linked)).await {
+        if let Err(error) = future::or(address_changed, session(&server, &mut incarnation, &mut linked)).await
+        {
             if linked {
                 warn!(%error, last_read = incarnation.last_read, "link to the interpreter lost");
             }
@@ -62,19 +65,20 @@
     error.kind() == ErrorKind::TimedOut
 }
 
-async fn within<T>(limit: Duration, work: impl Future<Output = Result<T>>) -> Result<T> {
-    let late = async {
+async fn with_timeout<T>(limit: Duration, work: impl Future<Output = Result<T>>) -> Result<T> {
+    let timeout = async {
         Timer::after(limit).await;
         Err(ErrorKind::TimedOut.into())
     };
-    future::or(work, late).await
+    future::or(work, timeout).await
 }
 
-/// Waits for bytes until so many periods have brought none. They are counted one by one: after a standstill
-/// of the machine all are over at once, though nothing was requested in them.
-async fn receive_or_give_up(stream: &Async<TcpStream>, ring: &mut Ring) -> Result<()> {
-    for _ in 0..SILENT_PERIODS {
-        match within(Duration::from_nanos(CONTROL_PERIOD), receive(stream, ring)).await {
+/// Receives bytes, and times out after [`SILENT_PERIODS_MAX`] control periods without any. The periods are
+/// timed one by one: after a suspension of the machine a single long timer would expire at once, though no
+/// gauges were requested meanwhile.
+async fn receive_or_time_out(stream: &Async<TcpStream>, ring: &mut Ring) -> Result<()> {
+    for _ in 0..SILENT_PERIODS_MAX {
+        match with_timeout(Duration::from_nanos(CONTROL_PERIOD), receive(stream, ring)).await {
             Err(error) if is_timeout(&error) => {}
             received => return received,
         }
@@ -82,11 +86,11 @@
     Err(ErrorKind::TimedOut.into())
 }
 
-/// One link, from its connection to its end, which is an error always.
+/// Serves one link from connecting to its end, which is always reported as an error.
 async fn session(server: &Server, incarnation: &mut Incarnation, linked: &mut bool) -> Result<()> {
     let address = server.configuration.addresses.get().interpreter;
     let connecting = Async::<TcpStream>::connect(address);
-    let stream = within(incarnation.time_allowance(CONNECT_PART), connecting).await?;
+    let stream = with_timeout(incarnation.time_allowance(CONNECT_DIVISOR), connecting).await?;
     stream.get_ref().set_nodelay(true)?;
     let requested = server.clock.now();
     (&stream).write_all(&interpreter::connect(incarnation.last_read)).await?;
@@ -95,12 +99,12 @@
     future::or(link.read(incarnation, linked), write(&stream, &queue)).await
 }
 
-/// A link whose banner is due or has come.
+/// A connected link, before or after its banner was received.
 struct Link<'a> {
     server: &'a Server,
     stream: &'a Async<TcpStream>,
     commands: Sender<Vec<u8>>,
-    /// When the banner was requested.
+    /// Time at which the banner was requested.
     requested: Nanos,
 }
 
@@ -111,10 +115,10 @@
         let counters = &self.server.counters;
         loop {
             if *linked {
-                receive_or_give_up(self.stream, &mut ring).await?;
+                receive_or_time_out(self.stream, &mut ring).await?;
             } else {
-                let allowance = incarnation.time_allowance(BANNER_PART);
-                within(allowance, receive(self.stream, &mut ring)).await?;
+                let allowance = incarnation.time_allowance(BANNER_DIVISOR);
+                with_timeout(allowance, receive(self.stream, &mut ring)).await?;
             }
             while let Some(line) = reader.read(ring.front(), &mut incarnation.last_read, counters) {
                 ring.drop_front(line.length);
@@ -130,12 +134,12 @@
         let Notice::Banner { cold, age } = notice else { return Event::Notice(notice) };
         *linked = true;
         self.server.counters.links.add();
-        let restarted = incarnation.is_restarted(self.requested, self.server.clock.now(), age);
+        let restarted = incarnation.detect_restart(self.requested, self.server.clock.now(), age);
         Event::Linked { cold, age, restarted, commands: self.commands.clone() }
     }
 }
 
-/// Writes commands; those that wait together go out in one write.
+/// Writes commands from the queue. Commands that are queued together are combined into one write.
 async fn write(mut stream: &Async<TcpStream>, queue: &Receiver<Vec<u8>>) -> Result<()> {
     while let Ok(mut batch) = queue.recv().await {
         while batch.len() < WRITE_MAX_BYTES
