--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -1,13 +1,16 @@
-//! Configuration of a fleet without I/O: time, the seed, the living members and messages are arguments;
-//! messages to send, state to write to disk and revisions to apply are results.
+//! Replicated configuration of a fleet, as state machines without I/O. Callers pass in the time, a seed, the
+//! names of the alive members and the received messages; the state machines return messages to send, state to
+//! write to disk and revisions to apply.
 //!
-//! - [`replica`]: machines set aside for control keep an ordered log of changes; a majority commits them.
-//! - [`member`]: every server holds the end of the committed log, spreads it by gossip, and reports what it
-//!   has applied.
-//! - [`committed_log`], [`state`], [`snapshot_transfer`]: the log's last entries, its content, and
-//!   checkpoints for members that lag far.
+//! - [`replica`]: the consensus protocol. Dedicated control machines keep an ordered log of changes; a change
+//!   is committed once a majority of them has stored it.
+//! - [`member`]: the part that every server runs. A member holds the end of the committed log, spreads it by
+//!   gossip, and reports the revisions that it has applied.
+//! - [`committed_log`], [`state`], [`snapshot_transfer`]: the last entries of the log, the configuration that
+//!   they result in, and the transfer of checkpoints to members that lag too far for single entries.
 //!
-//! `docs/replication.md` describes the protocol, the alternatives, and what is promised under which fault.
+//! `docs/replication.md` describes the protocol, the alternatives that were considered, and the guarantees
+//! under each kind of fault.
 
 #![deny(missing_docs, clippy::too_many_lines)]
 
--- a/crates/replication/src/member/applier.rs
+++ b/crates/replication/src/member/applier.rs
@@ -1,29 +1,30 @@
-//! Which revision the host is to apply next, and what became of those before.
+//! Selects the revision that the host applies next, and records which revisions it applied or rejected.
 
 use crate::committed_log::CommittedLog;
 use crate::message::{REASON_BYTES_MAX, Rejection};
 use crate::snapshot::Snapshot;
 use crate::time::{Nanos, SECOND_NS};
 
-/// For so long after it first learns of a revision, a member learns from others how far the log goes.
+/// Time, from when a member first learns of a revision, in which it raises its catch-up target to the log
+/// ends that other members report.
 const CATCH_UP_NS: Nanos = 2 * SECOND_NS;
-/// Longest encoding of a character, in bytes.
+/// Maximum UTF-8 length of a character, in bytes.
 const CHARACTER_BYTES_MAX: usize = 4;
 
-/// One revision at a time is applied by the host, which may reject it.
+/// Hands revisions to the host one at a time. The host applies or rejects each.
 #[derive(Debug, Default)]
 pub(super) struct Applier {
-    /// The last revision applied since the start; never falls.
+    /// Number of the last revision applied since the start; never decreases.
     applied: u64,
-    /// The revision that the host is applying.
+    /// Number of the revision that the host is applying.
     applying: Option<u64>,
-    /// The last revision rejected, unless a later one was applied.
+    /// The last rejected revision, unless a later one was applied.
     rejected: Option<Rejection>,
-    /// The log held a revision from disk at the start.
+    /// Whether the log held a revision from disk at the start.
     started_from_disk: bool,
-    /// The highest number learnt from others in the first moments.
+    /// Highest log end that other members reported during the catch-up period.
     catch_up_target: u64,
-    /// When these end; 0 until something is learnt.
+    /// End of the catch-up period; 0 until another member reports a revision.
     catch_up_until: Nanos,
 }
 
@@ -40,8 +41,9 @@
         self.rejected.as_ref()
     }
 
-    /// Another member holds the log up to a number. Only what is learnt in the first moments is waited for:
-    /// while changes keep coming, a later target would never be reached.
+    /// Records that another member holds the log up to `number`. The catch-up target is raised only during
+    /// the catch-up period: under a steady stream of changes, a target that keeps rising would never be
+    /// reached.
     pub(super) fn on_newest_number(&mut self, number: u64, now: Nanos) {
         if self.catch_up_until == 0 && number > 0 {
             self.catch_up_until = now + CATCH_UP_NS;
@@ -51,11 +53,12 @@
         }
     }
 
-    /// The newest complete revision, where it is to be applied now. It is returned once, and no other until
-    /// its outcome is known.
+    /// Returns the newest complete revision if the host is to apply it now. Each revision is returned once,
+    /// and the next one only after the host has applied or rejected it.
     ///
-    /// A member that started with an empty disk first catches up: what it had applied before its restart may
-    /// be newer than what comes first, and no server goes back to an older revision.
+    /// A member that started with an empty disk first catches up with the others. Before its restart it may
+    /// have applied a newer revision than the first one that it receives, and no server may go back to an
+    /// older revision.
     pub(super) fn next(&mut self, log: &CommittedLog) -> Option<Snapshot> {
         let catches_up = log.number() < self.catch_up_target && !self.started_from_disk;
         if self.applied == 0 && catches_up {
@@ -70,14 +73,14 @@
         Some(complete.clone())
     }
 
-    /// The host has applied a revision.
+    /// Records that the host has applied a revision.
     pub(super) fn on_applied(&mut self, number: u64) {
         self.applying = None;
         self.applied = self.applied.max(number);
         self.rejected.take_if(|rejection| rejection.number <= number);
     }
 
-    /// The host has rejected a revision, which is not offered again.
+    /// Records that the host has rejected a revision, which is not handed to it again.
     pub(super) fn on_rejected(&mut self, number: u64, reason: &str) {
         self.applying = None;
         let reason = reason.chars().take(REASON_BYTES_MAX / CHARACTER_BYTES_MAX).collect();
--- a/crates/replication/src/member/control.rs
+++ b/crates/replication/src/member/control.rs
@@ -1,5 +1,5 @@
-//! The part of a member that control machines alone have: it drives the replica, takes what is committed into
-//! the log, and on the leader states how fresh the log is and polls members for reports.
+//! The part of a member that only control machines have. It drives the replica and appends committed entries
+//! to the log. On the leader it also publishes the freshness of the log and polls members for reports.
 
 use super::{EntrySource, Member};
 use crate::committed_log::CHECKPOINT_INTERVAL;
@@ -11,27 +11,27 @@
 use crate::snapshot::Snapshot;
 use crate::time::{MILLISECOND_NS, Nanos, SECOND_NS};
 
-/// The leader states how fresh the log is at this interval.
+/// Interval at which the leader updates its [`Freshness`] statement.
 const FRESHNESS_INTERVAL_NS: Nanos = SECOND_NS;
-/// The leader has a round of polls at this interval: in each it polls those lagging members whose turn it is,
-/// see [`ProgressTracker::poll`].
+/// Interval between the leader's poll rounds. Each round polls the lagging members selected by
+/// [`ProgressTracker::poll`].
 const POLL_ROUND_INTERVAL_NS: Nanos = 200 * MILLISECOND_NS;
 
-/// What a control machine has besides the rest of a member.
+/// State that a member has only on a control machine.
 pub(super) struct Control {
     pub(super) replica: Replica,
     pub(super) progress: ProgressTracker,
     pub(super) requests: Requests,
-    /// When the leader next states how fresh the log is.
+    /// When the leader next updates its freshness statement.
     freshness_due: Nanos,
     /// When the leader next polls lagging members.
     poll_due: Nanos,
-    /// The committed number that is on disk.
+    /// Number of the last complete committed change on disk.
     persisted_number: u64,
 }
 
 impl Control {
-    /// `persisted_number` is the committed number that was read from disk.
+    /// Creates the state. `persisted_number` is the number of the committed revision that was read from disk.
     pub(super) fn new(replica: Replica, persisted_number: u64, now: Nanos) -> Control {
         Control {
             replica,
@@ -43,8 +43,8 @@
         }
     }
 
-    /// When the replica, or on the leader a statement or a round of polls, is due: a time in nanoseconds that
-    /// may have passed; [`Nanos::MAX`] where nothing is.
+    /// When the next work is due, in nanoseconds: that of the replica and, on the leader, the next freshness
+    /// statement or poll round. The time may have passed already; [`Nanos::MAX`] if nothing is due.
     pub(super) fn next_due(&self) -> Nanos {
         let due = self.replica.next_due();
         if self.replica.is_leader() { due.min(self.freshness_due).min(self.poll_due) } else { due }
@@ -52,7 +52,7 @@
 }
 
 impl Member {
-    /// Does what is due on a control machine.
+    /// Performs the work that is due on a control machine.
     pub(super) fn advance_control(&mut self, now: Nanos) {
         let Some(control) = &mut self.control else { return };
         control.replica.advance(now, &self.log);
@@ -65,7 +65,7 @@
         self.advance_commit(now);
     }
 
-    /// On the leader: polls members that lag for their reports.
+    /// On the leader: polls lagging members for their reports.
     fn poll_lagging(&mut self, now: Nanos) {
         let Some(control) = &mut self.control else { return };
         if !control.replica.is_leader() || now < control.poll_due {
@@ -80,7 +80,8 @@
         }
     }
 
-    /// Takes newly committed entries into the log, pushes them, and answers operators.
+    /// Appends newly committed entries to the log, pushes them to other members, answers operators' requests,
+    /// and sends the replica's messages.
     pub(super) fn advance_commit(&mut self, now: Nanos) {
         let Some(control) = &mut self.control else { return };
         let committed = control.replica.newly_committed(&self.log);
@@ -89,7 +90,7 @@
         self.send_replica_messages();
     }
 
-    /// Messages between replicas are sent only once all that they rest on is on disk.
+    /// Sends the replica's messages, unless state that they depend on is not on disk yet.
     fn send_replica_messages(&mut self) {
         let Some(control) = &mut self.control else { return };
         if control.replica.is_unsaved() {
@@ -100,21 +101,22 @@
         }
     }
 
-    /// Hands a message between replicas to the replica, and carries out what follows from it.
+    /// Passes a message from another replica to this one, and appends the entries that it commits.
     pub(super) fn on_replica_message(&mut self, now: Nanos, from: &str, message: Message) {
         let Some(control) = &mut self.control else { return };
         let is_from_leader = matches!(message, Message::Append { .. });
         let committed = control.replica.receive(now, from, message, &self.log);
         if is_from_leader {
-            // Also from a leader of an earlier epoch: this is only a hint where reports and operators go, and
-            // who does not lead answers an operator with its own hint.
+            // The sender may be the leader of an earlier epoch. That is harmless: the field is only a hint
+            // where to send reports and operators' requests, and a replica that is not the leader answers an
+            // operator with its own hint.
             self.leader = Some(from.to_string());
         }
         self.append_committed(now, &committed, EntrySource::OtherMember);
         self.advance_commit(now);
     }
 
-    /// What is to be on disk once `snapshot` is applied.
+    /// The state that the host writes to disk when it applies `snapshot`.
     pub fn state_to_persist(&self, snapshot: &Snapshot) -> PersistedState {
         match &self.control {
             Some(control) => control.replica.state_to_persist(&self.log),
@@ -122,7 +124,8 @@
         }
     }
 
-    /// What a control machine is to write to disk now, as a whole or not at all; `None` on a server.
+    /// The state that a control machine must write to disk now, atomically; `None` if no write is needed, and
+    /// always `None` on a server.
     pub fn unsaved_state(&self) -> Option<PersistedState> {
         let control = self.control.as_ref()?;
         let is_behind = self.log.number() >= control.persisted_number + CHECKPOINT_INTERVAL;
@@ -130,7 +133,7 @@
         is_wanted.then(|| control.replica.state_to_persist(&self.log))
     }
 
-    /// The state is on disk: messages that rest on it may be sent.
+    /// Records that `state` is on disk, and sends the messages that were waiting for it.
     pub fn on_persisted(&mut self, state: &PersistedState, now: Nanos) {
         let Some(control) = &mut self.control else { return };
         control.persisted_number = state.committed.number();
@@ -138,7 +141,8 @@
         self.advance_commit(now);
     }
 
-    /// The state could not be written: messages that rest on it are dropped, and this replica does not lead.
+    /// Handles a failed write: drops the messages that depend on the unwritten state, and gives up the lease,
+    /// so that this replica does not lead.
     pub fn on_persist_failed(&mut self) {
         if let Some(control) = &mut self.control {
             control.replica.drop_outgoing();
--- a/crates/replication/src/member/gossip.rs
+++ b/crates/replication/src/member/gossip.rs
@@ -1,5 +1,5 @@
-//! How committed entries spread: pushed to a few members by each that did not hold them, and pulled by all
-//! from one member in turn, which repairs what pushes miss (anti-entropy).
+//! Gossip of committed entries. Each member that receives a new entry pushes it to a few others. In addition,
+//! every member regularly pulls from a random member, which repairs missed pushes (anti-entropy).
 
 use super::{EntrySource, Member};
 use crate::entry::Entry;
@@ -7,21 +7,24 @@
 use crate::time::Nanos;
 use rand_chacha::rand_core::Rng;
 
-/// Members of each zone that the leader pushes to.
+/// Number of members per zone to which the leader pushes.
 const LEADER_FANOUT: usize = 2;
-/// Members of its own zone that any other pushes to.
+/// Number of members of its own zone to which any other member pushes.
 const ZONE_FANOUT: usize = 3;
-/// One pull in so many goes to any member of the fleet, the others to one of the zone.
+/// On average, one pull out of this many goes to a member anywhere in the fleet, the others to a member of
+/// the same zone.
 const PULL_ANYWHERE_EVERY: u64 = 4;
-/// Most messages of entries that answer one digest.
+/// Maximum number of [`Message::Entries`] sent in answer to one digest.
 const ANSWER_MESSAGES_MAX: usize = 3;
-/// A sender whose freshness is older by so much is sent this member's.
+/// If a digest's freshness is older than this member's by more than this many milliseconds, this member
+/// answers with its own digest.
 const FRESHNESS_LAG_MS: u64 = 1_500;
-/// Most bytes of entries in one [`Message::Entries`], whose head has a leader's name and numbers.
+/// Maximum bytes of entries in one [`Message::Entries`]; the rest of the body is left for the message header,
+/// which holds the leader's name and numbers.
 const GOSSIP_ENTRIES_BYTES_MAX: usize = BODY_BYTES_MAX - 2 * NAME_BYTES_MAX;
 
 impl Member {
-    /// Handles a message by which members spread the log.
+    /// Handles a gossip message.
     pub(super) fn on_gossip(&mut self, now: Nanos, from: &str, message: Message) {
         match message {
             Message::Digest { number, freshness, location, neighbours, wants_reply } => {
@@ -49,13 +52,13 @@
         }
     }
 
-    /// The leader's push of newly committed entries.
+    /// On the leader: pushes newly committed entries to members of every zone.
     pub(super) fn push_to_each_zone(&mut self, entries: &[Entry], now: Nanos) {
         let to = self.peers.sample_each_zone(LEADER_FANOUT, &mut self.rng);
         self.push(&to, entries, now);
     }
 
-    /// The push of a member that did not hold the entries before.
+    /// Pushes entries that are new to this member to other members of its zone.
     fn push_in_zone(&mut self, entries: &[Entry], now: Nanos) {
         let to = self.peers.sample_zone(&self.settings.location, ZONE_FANOUT, &mut self.rng);
         self.push(&to, entries, now);
@@ -74,7 +77,8 @@
         Message::Entries { entries, leader: self.leader.clone(), pushed, newest: self.log.number() }
     }
 
-    /// A member of the zone or, at times and where none is known, any member, so that zones reach each other.
+    /// Picks a random member to exchange data with: usually one of this member's zone. Sometimes, and if none
+    /// in the zone is known, one of the whole fleet, so that entries also spread between zones.
     pub(super) fn pick_neighbour(&mut self) -> Option<String> {
         let anywhere = self.rng.next_u64().is_multiple_of(PULL_ANYWHERE_EVERY);
         if !anywhere {
@@ -86,7 +90,7 @@
         self.peers.sample_any(&mut self.rng)
     }
 
-    /// Sends a digest to one member, which answers with the entries that this one lacks.
+    /// Sends a digest to a random member, which answers with the entries that this member lacks.
     pub(super) fn pull(&mut self, now: Nanos) {
         if let Some(name) = self.pick_neighbour() {
             self.send_digest(&name, true, now);
@@ -100,14 +104,15 @@
         self.send(to, &Message::Digest { number, freshness, location, neighbours, wants_reply }, now);
     }
 
-    /// A statement about a longer log says nothing about the entries held here.
+    /// Adopts a newer freshness statement, unless it refers to a log end that this member has not reached: it
+    /// would say nothing about the entries held here.
     fn on_freshness(&mut self, freshness: Freshness) {
         if freshness.number <= self.log.number() && freshness.at_ms > self.freshness.at_ms {
             self.freshness = freshness;
         }
     }
 
-    /// Answers a digest with the entries that its sender lacks, or where this member lags with a digest.
+    /// Answers a digest with the entries that its sender lacks or, if this member lags, with its own digest.
     fn answer_digest(
         &mut self,
         from: &str,
@@ -126,7 +131,7 @@
         }
     }
 
-    /// Sends a member the entries that it lacks, or offers a checkpoint where they are not held any more.
+    /// Sends a member the entries after `number`, or offers a checkpoint if they are not held any more.
     fn send_entries_after(&mut self, to: &str, number: u64, now: Nanos) {
         let Some(entries) = self.log.entries_after(number) else {
             if let Some(checkpoint) = self.log.newest_checkpoint() {
@@ -136,7 +141,7 @@
             }
             return;
         };
-        // Each entry takes a byte at least, so that more do not fit the answers.
+        // Every entry takes at least one byte, so no more entries than this fit into the answers.
         let entries: Vec<Entry> = entries.take(ANSWER_MESSAGES_MAX * BODY_BYTES_MAX).cloned().collect();
         for batch in batches(&entries).into_iter().take(ANSWER_MESSAGES_MAX) {
             let message = self.entries_message(batch, false);
@@ -144,7 +149,8 @@
         }
     }
 
-    /// Appends entries; pushes new ones on where they were pushed, else asks their sender for more.
+    /// Appends received entries. Forwards new entries to other members if they were pushed; otherwise
+    /// requests more from the sender.
     fn on_entries(
         &mut self,
         now: Nanos,
@@ -173,7 +179,7 @@
     }
 }
 
-/// The entries in as few messages as hold them.
+/// Groups the entries, in order, into batches that each fit into one message.
 fn batches(entries: &[Entry]) -> Vec<Vec<Entry>> {
     let mut batches = Vec::new();
     let mut batch: Vec<Entry> = Vec::new();
--- a/crates/replication/src/member/mod.rs
+++ b/crates/replication/src/member/mod.rs
@@ -1,10 +1,10 @@
-//! One member: it holds the end of the committed log, spreads it by gossip, fetches a checkpoint where it
-//! lags far, hands complete revisions to its host, and reports what was applied. On a control machine it
-//! drives a [`Replica`] too.
+//! One member of the fleet. It holds the end of the committed log, spreads it by gossip, fetches a checkpoint
+//! if it lags too far for single entries, hands complete revisions to its host, and reports the applied
+//! revisions to the leader. On a control machine it also drives a [`Replica`].
 //!
 //! The host calls [`Member::receive`] for each message and [`Member::advance`] at [`Member::next_due`]. After
-//! each call it writes [`Member::unsaved_state`], applies [`Member::next_to_apply`] and sends
-//! [`Member::take_outgoing`].
+//! each call the host writes [`Member::unsaved_state`] to disk, applies [`Member::next_to_apply`], and sends
+//! the messages of [`Member::take_outgoing`].
 
 mod applier;
 mod control;
@@ -35,41 +35,43 @@
 pub use settings::{Settings, SettingsError};
 use std::sync::Arc;
 
-/// A control machine may send so many times as many bytes as a server: it has nothing else to send.
+/// Factor by which the byte budget of a control machine exceeds that of a server. A control machine serves no
+/// other traffic.
 const CONTROL_BYTES_FACTOR: u64 = 16;
 
-/// Counts from the start.
+/// Counters of a member since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct Counts {
     /// Messages sent.
     pub sent: u64,
-    /// Their bytes, without envelopes.
+    /// Bytes of the messages sent, without envelopes.
     pub sent_bytes: u64,
-    /// Messages not sent since the budget of bytes was spent.
+    /// Messages not sent because the byte budget was used up.
     pub over_budget: u64,
-    /// Bodies received that are no message or out of bounds.
+    /// Received bodies that could not be decoded or were out of bounds.
     pub malformed: u64,
-    /// Entries or checkpoints received whose content did not have its hash.
+    /// Received entries and checkpoints that were invalid, such as those whose content does not match their
+    /// hash.
     pub mismatched: u64,
-    /// Transfers of checkpoints begun.
+    /// Checkpoint transfers started.
     pub transfers: u64,
 }
 
-/// How committed entries came to a member.
+/// Source of the committed entries that a member appends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EntrySource {
-    /// This member's own replica leads and counted a majority.
+    /// This member's replica leads, and a majority has stored the entries.
     OwnMajority,
-    /// Another member sent them as committed, by gossip or as the leader.
+    /// Another member sent the entries as committed, by gossip or as the leader.
     OtherMember,
 }
 
 /// An encoded message to another member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
-    /// The member's name.
+    /// Name of the receiving member.
     pub to: String,
-    /// The bytes.
+    /// The encoded message.
     pub body: Vec<u8>,
 }
 
@@ -79,35 +81,35 @@
     settings: Settings,
     log: CommittedLog,
     peers: Peers,
-    /// Of bytes sent; messages between replicas are not limited.
+    /// Limits the bytes sent. Messages between replicas are exempt.
     budget: SlidingWindow,
-    /// While a checkpoint is fetched.
+    /// The checkpoint transfer in progress.
     transfer: Option<SnapshotTransfer>,
     /// No chunk is requested before this time.
     chunk_due: Nanos,
-    /// On control machines.
+    /// State of a control machine; `None` on a server.
     control: Option<Control>,
-    /// The latest statement of a leader whose number this member has reached.
+    /// The latest freshness statement of a leader among those whose log end this member has reached.
     freshness: Freshness,
     applier: Applier,
     /// The last known leader.
     leader: Option<String>,
-    /// When the next digest is sent.
+    /// When the next pull (a digest sent to a random member) is due.
     pull_due: Nanos,
-    /// When the next report is sent.
+    /// When the next report is due.
     report_due: Nanos,
     outgoing: Vec<Outgoing>,
-    /// Counts from the start.
+    /// Counters since the start.
     pub counts: Counts,
     rng: ChaCha8Rng,
 }
 
 impl Member {
-    /// A member that continues from what was on its disk: a control machine's [`Member::unsaved_state`], a
-    /// server's [`Member::state_to_persist`].
+    /// Creates a member that continues from the state on its disk, which [`Member::unsaved_state`] returned
+    /// on a control machine and [`Member::state_to_persist`] on a server.
     ///
     /// # Errors
-    /// Where a setting is out of bounds.
+    /// If a setting is out of bounds.
     pub fn new(
         name: &str,
         settings: Settings,
@@ -126,7 +128,7 @@
         let control = is_replica.then(|| Control::new(replica, log.number(), now));
         let bytes_factor = if is_replica { CONTROL_BYTES_FACTOR } else { 1 };
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        // Members that start together do not pull together.
+        // A random first pull prevents members that start together from pulling at the same time.
         let first_pull = rng.next_u64() % settings.pull_period;
         Ok(Member {
             name: name.to_string(),
@@ -153,12 +155,12 @@
         self.log.revision()
     }
 
-    /// The committed log as far as it is held here.
+    /// The part of the committed log that this member holds.
     pub fn log(&self) -> &CommittedLog {
         &self.log
     }
 
-    /// Number of the last revision that was applied since the start; 0 where none was.
+    /// Number of the last revision applied since the start; 0 if none was.
     pub fn applied(&self) -> u64 {
         self.applier.applied()
     }
@@ -168,7 +170,7 @@
         self.applier.rejected()
     }
 
-    /// Whether this member leads the log.
+    /// Whether this member is the leader of the log.
     pub fn is_leader(&self) -> bool {
         self.control.as_ref().is_some_and(|control| control.replica.is_leader())
     }
@@ -183,10 +185,10 @@
         self.leader.as_deref()
     }
 
-    /// For how long this member may have missed a revision, in nanoseconds: the time since the latest
-    /// statement of a leader that the log ended no further than it does here. `None` where there was none.
-    /// The statement has the time of the leader's clock, so that the difference between the clocks goes into
-    /// the age; it is never under 0.
+    /// Longest time, in nanoseconds, for which this member may have been missing a revision: the time since
+    /// the latest freshness statement whose log end this member has reached. `None` before the first such
+    /// statement. The statement carries the time of the leader's clock, so the age includes any difference
+    /// between the two clocks, but is never negative.
     pub fn age(&self, now: Nanos) -> Option<Nanos> {
         let stated_at = self.freshness.at_ms * MILLISECOND_NS;
         (stated_at > 0).then(|| now.saturating_sub(stated_at))
@@ -196,7 +198,7 @@
         self.control.as_ref().map(|control| &control.progress)
     }
 
-    /// On a control machine: number of members that take part, this one not counted.
+    /// On a control machine: number of other members that participate in replication.
     pub fn members(&self) -> usize {
         self.members_except(&self.name)
     }
@@ -206,30 +208,30 @@
         self.progress().map_or(0, |progress| progress.count(others))
     }
 
-    /// On a control machine: the members that have not applied the newest revision, as far as they have
-    /// reported.
+    /// On a control machine: the members that, according to their reports, have not applied the newest
+    /// revision.
     pub fn lagging(&self) -> Vec<LaggingMember> {
         let newest = self.log.complete().number();
         self.progress().map_or(Vec::new(), |progress| progress.lagging(self.peers.others(), newest))
     }
 
-    /// While a checkpoint is fetched: number of its pairs that have come.
+    /// Number of pairs received in the checkpoint transfer in progress; `None` if there is none.
     pub fn transferred_pairs(&self) -> Option<usize> {
         self.transfer.as_ref().map(SnapshotTransfer::pairs)
     }
 
-    /// Whether this control machine holds the lease on leading the log.
+    /// Sets whether this control machine holds the lease on leadership of the log. Does nothing on a server.
     pub fn set_holds_lease(&mut self, holds: bool) {
         if let Some(control) = &mut self.control {
             control.replica.set_holds_lease(holds);
         }
     }
 
-    /// Appends a change to the log. Returns the number that it is committed at, if this member stays the
-    /// leader.
+    /// Appends a change to the log. Returns the number of the change's last entry; the change is committed
+    /// under this number if this member remains the leader.
     ///
     /// # Errors
-    /// Where this member does not lead, or the change cannot be appended.
+    /// If this member is not the leader, or the change cannot be appended.
     pub fn propose(&mut self, changes: Vec<Change>, now: Nanos) -> Result<u64, ProposeError> {
         let control = self.control.as_mut().ok_or(ProposeError::NotLeader)?;
         let number = control.replica.propose(changes, now, &self.log);
@@ -237,13 +239,14 @@
         number
     }
 
-    /// The revision that the host is to check and apply now. It is returned once; the host answers with
-    /// [`Member::on_applied`] or [`Member::on_rejected`] before it is given another.
+    /// Returns the revision that the host is to check and apply now, if any. Each revision is returned once.
+    /// The host must answer with [`Member::on_applied`] or [`Member::on_rejected`] before it receives the
+    /// next one.
     pub fn next_to_apply(&mut self) -> Option<Snapshot> {
         self.applier.next(&self.log)
     }
 
-    /// Does what is due. `alive` are the names of the fleet's living members, sorted.
+    /// Performs all work that is due. `alive` lists the names of the alive members, sorted.
     pub fn advance(&mut self, now: Nanos, alive: &Arc<Vec<String>>) {
         self.peers.set_alive(alive, now);
         self.advance_control(now);
@@ -259,7 +262,7 @@
         self.fetch_chunk(now);
     }
 
-    /// When [`Member::advance`] is wanted next, in nanoseconds: a time that may have passed, for at once.
+    /// When [`Member::advance`] is next to be called, in nanoseconds. A time in the past means now.
     pub fn next_due(&self) -> Nanos {
         let mut due = self.pull_due.min(self.report_due);
         if let Some(transfer) = &self.transfer {
@@ -271,8 +274,8 @@
         due
     }
 
-    /// Appends committed entries; returns whether any was new. The leader pushes on those that it has
-    /// committed itself.
+    /// Appends committed entries to the log. Returns whether any of them was new. The leader pushes the
+    /// entries that it has committed itself to other members.
     fn append_committed(&mut self, now: Nanos, entries: &[Entry], source: EntrySource) -> bool {
         let mut appended: Vec<Entry> = Vec::new();
         for entry in entries {
@@ -299,7 +302,7 @@
         true
     }
 
-    /// Sends within the budget of bytes.
+    /// Queues a message for sending, or drops and counts it if the byte budget is used up.
     fn send(&mut self, to: &str, message: &Message, now: Nanos) {
         let body = message.encode();
         if !self.budget.try_acquire(body.len() as u64, now) {
@@ -315,13 +318,13 @@
         self.outgoing.push(Outgoing { to: to.to_string(), body });
     }
 
-    /// Messages to send, each returned once.
+    /// Removes and returns the queued messages.
     pub fn take_outgoing(&mut self) -> Vec<Outgoing> {
         std::mem::take(&mut self.outgoing)
     }
 
-    /// Handles a body that an authenticated member has sent. A body out of bounds is counted and changes
-    /// nothing else.
+    /// Handles a message body from an authenticated member. A body that cannot be decoded or is out of bounds
+    /// is counted and otherwise ignored.
     pub fn receive(&mut self, now: Nanos, from: &str, body: &[u8]) {
         let Some(message) = Message::decode(body) else {
             self.counts.malformed += 1;
--- a/crates/replication/src/member/operator.rs
+++ b/crates/replication/src/member/operator.rs
@@ -1,5 +1,5 @@
-//! Operators' requests to the leader: a change, a change to take back, which members lag. A change is
-//! answered once it is committed.
+//! Operators' requests to the leader: submit a change, revert a change, and list the lagging members. A
+//! change is answered once it is committed.
 
 use super::Member;
 use crate::change::Change;
@@ -11,26 +11,26 @@
 use crate::time::Nanos;
 use std::collections::BTreeSet;
 
-/// Most lagging members that one status names.
+/// Maximum number of lagging members listed in one status.
 const SUMMARIES_MAX: usize = 8;
-/// Longest part of a reason in a status, in characters.
+/// Number of characters to which a rejection reason is truncated in a status.
 const SUMMARY_REASON_CHARACTERS: usize = 32;
 
-/// A change that cannot be taken back.
+/// Reason why a change cannot be reverted.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 enum RevertError {
-    /// The log holds no complete change that ends there.
+    /// The log holds no complete change whose last entry has this number.
     #[error("no change that is still held ends at {number}")]
     NotHeld { number: u64 },
-    /// The content before the change is older than the entries held.
+    /// The configuration before the change can no longer be reconstructed from the entries held.
     #[error("what stood before it is not held any more")]
     BaseNotHeld,
-    /// To take the change back would undo a later one too.
+    /// A later change set one of the same keys, and reverting would undo it too.
     #[error("{key:?} was changed again by {number}")]
     ChangedSince { key: String, number: u64 },
 }
 
-/// A request that is not carried out; its text is the answer to the operator.
+/// Reason why a request is not carried out; its message is sent to the operator.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 enum RequestError {
     #[error(transparent)]
@@ -39,8 +39,8 @@
     Propose(#[from] ProposeError),
 }
 
-/// The change that takes back the one whose last entry has this number: the values from before it, of the
-/// keys that it named.
+/// Returns the change that reverts the change whose last entry is `number`: it restores the previous value of
+/// each key that the change set or removed.
 fn revert(log: &CommittedLog, number: u64) -> Result<Vec<Change>, RevertError> {
     let entries = log.change_at(number).ok_or(RevertError::NotHeld { number })?;
     let first = entries.first().map_or(number, |entry| entry.number());
@@ -66,7 +66,8 @@
 }
 
 impl Member {
-    /// Carries out a request on the leader; a repeated one is answered as before.
+    /// Carries out an operator's request if this member is the leader. A repeated request receives the same
+    /// answer again and is not carried out twice.
     pub(super) fn on_operator_request(&mut self, now: Nanos, from: &str, message: Message) {
         let request = match &message {
             Message::Submit { request, .. }
@@ -102,7 +103,8 @@
         }
     }
 
-    /// A request's change is in the log, or is answered with the reason that it is not.
+    /// Handles the result of a proposed change: remembers the request until its change is committed, or
+    /// answers it with the reason for the failure.
     fn on_proposed(&mut self, request: RequestId, outcome: Result<u64, RequestError>, now: Nanos) {
         let Some(control) = &mut self.control else { return };
         match outcome {
@@ -121,7 +123,8 @@
         self.send(&to, &Message::Submitted { request, outcome }, now);
     }
 
-    /// Answers requests whose change is committed; once this member does not lead any more, all of them.
+    /// Answers the requests whose changes are committed. If this member is no longer the leader, answers all
+    /// pending requests with [`Message::NotLeader`].
     pub(super) fn answer_requests(&mut self, now: Nanos) {
         let Some(control) = &mut self.control else { return };
         if control.replica.is_leader() {
@@ -137,7 +140,7 @@
     }
 
     fn send_status(&mut self, to: &str, request: RequestId, now: Nanos) {
-        // The operator's command is a member too, but applies nothing.
+        // The operator's command is a member too, but applies no revisions, so the status leaves it out.
         let members = self.members_except(to);
         let mut lagging = self.lagging();
         lagging.retain(|member| member.name != to);
--- a/crates/replication/src/member/reports.rs
+++ b/crates/replication/src/member/reports.rs
@@ -1,35 +1,36 @@
-//! What the host has applied or rejected, and the reports of it to the leader.
+//! Reports to the leader of the revisions that the host has applied or rejected.
 
 use super::Member;
 use crate::message::{Message, Report};
 use crate::time::{MILLISECOND_NS, Nanos, SECOND_NS};
 use rand_chacha::rand_core::Rng;
 
-/// A report is repeated at this interval.
+/// Interval between regular reports.
 pub(super) const REPORT_INTERVAL_NS: Nanos = 10 * SECOND_NS;
-/// A new outcome is reported within this time, at random so that members do not report all at once.
+/// Longest delay before a newly applied or rejected revision is reported. The delay is random, so that
+/// members do not all report at the same time.
 const REPORT_WITHIN_NS: Nanos = 200 * MILLISECOND_NS;
 
 impl Member {
-    /// The host has applied a revision.
+    /// Records that the host has applied a revision.
     pub fn on_applied(&mut self, number: u64, now: Nanos) {
         self.applier.on_applied(number);
         self.report_soon(now);
     }
 
-    /// The host has rejected a revision for a reason, which is cut to its longest length. The revision is not
-    /// offered again.
+    /// Records that the host has rejected a revision. `reason` is truncated to its maximum length. The
+    /// revision is not handed to the host again.
     pub fn on_rejected(&mut self, number: u64, reason: &str, now: Nanos) {
         self.applier.on_rejected(number, reason);
         self.report_soon(now);
     }
 
-    /// A new outcome is not left to the next regular report.
+    /// Brings the next report forward, so that a new outcome does not wait for the regular interval.
     fn report_soon(&mut self, now: Nanos) {
         self.report_due = self.report_due.min(now + self.rng.next_u64() % REPORT_WITHIN_NS);
     }
 
-    /// To the leader, or to any replica where none is known.
+    /// Sends a report to the leader, or to a random replica if no alive leader is known.
     pub(super) fn send_report(&mut self, now: Nanos) {
         let leader = self.leader.clone().filter(|name| self.peers.is_alive(name));
         let replicas = &self.settings.replicas;
@@ -48,7 +49,7 @@
         }
     }
 
-    /// On a control machine: a member has reported.
+    /// On a control machine: records a member's report.
     pub(super) fn on_report(&mut self, from: &str, report: Report) {
         if let Some(control) = &mut self.control {
             control.progress.on_report(from, report);
--- a/crates/replication/src/member/settings.rs
+++ b/crates/replication/src/member/settings.rs
@@ -1,10 +1,10 @@
-//! Settings of a member, and their bounds.
+//! Settings of a member and their allowed ranges.
 
 use crate::message::{BODY_BYTES_MAX, Location};
 use crate::time::{MILLISECOND_NS, Nanos};
 use std::collections::BTreeSet;
 
-/// Most control machines that keep the log.
+/// Maximum number of control machines that keep the log.
 const REPLICAS_MAX: usize = 9;
 const PULL_PERIOD_MIN_MS: u64 = 10;
 const BYTES_PER_SECOND_MIN: u64 = 2 * BODY_BYTES_MAX as u64;
@@ -14,41 +14,41 @@
 pub struct Settings {
     /// The member's region and zone.
     pub location: Location,
-    /// Names of the control machines that keep the log: 1, 3, 5, 7 or 9.
+    /// Names of the control machines that keep the log: 1, 3, 5, 7 or 9 names.
     pub replicas: Vec<String>,
-    /// Mean time between two pulls, in nanoseconds; each is up to a quarter longer or shorter.
+    /// Mean time between two pulls, in nanoseconds. The actual time varies by up to a quarter either way.
     pub pull_period: Nanos,
-    /// Most bytes that a server sends in a second.
+    /// Maximum number of bytes that a server sends per second.
     pub bytes_per_second: u64,
 }
 
-/// A setting that is out of bounds. The text names it as the options file does.
+/// A setting that is out of bounds. The message uses the setting's name in the options file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// An even number of replicas, too many, or two of one name.
+    /// The number of replicas is even or too large, or two replicas have the same name.
     #[error("replica: 1, 3, 5, 7 or 9 different names, not {names}")]
     Replicas {
-        /// Number of names given.
+        /// Number of configured names.
         names: usize,
     },
-    /// Pulls that would follow each other too fast.
+    /// The pull period is too short.
     #[error("pull-ms: {PULL_PERIOD_MIN_MS} at least")]
     PullPeriod,
-    /// Less than two messages a second.
+    /// The byte rate is too low to send two messages of maximum size per second.
     #[error("bytes-a-second: {BYTES_PER_SECOND_MIN} at least")]
     BytesPerSecond,
 }
 
 impl Settings {
-    /// Settings with a pull every 500 ms and 12,000 bytes a second.
+    /// Creates settings with the defaults: a pull every 500 ms and 12,000 bytes per second.
     pub fn new(location: Location, replicas: Vec<String>) -> Settings {
         Settings { location, replicas, pull_period: 500 * MILLISECOND_NS, bytes_per_second: 12_000 }
     }
 
-    /// Checks all bounds.
+    /// Checks that all settings are within their bounds.
     ///
     /// # Errors
-    /// For the first setting that is out of bounds.
+    /// Names the first setting that is out of bounds.
     pub fn check(&self) -> Result<(), SettingsError> {
         let names = self.replicas.len();
         let distinct: BTreeSet<&String> = self.replicas.iter().collect();
--- a/crates/replication/src/member/snapshot_fetch.rs
+++ b/crates/replication/src/member/snapshot_fetch.rs
@@ -1,5 +1,5 @@
-//! Fetching a checkpoint where this member lags more than the entries of others reach, and serving chunks to
-//! members that do.
+//! Fetches a checkpoint if this member needs entries that the others no longer hold, and serves chunks of
+//! checkpoints to other members.
 
 use super::Member;
 use crate::change::KEY_BYTES_MAX;
@@ -11,20 +11,22 @@
 use crate::state::{Chunk, Pair, Text};
 use crate::time::{MILLISECOND_NS, Nanos};
 
-/// Where the budget of bytes is spent, a chunk is requested so much later.
+/// Delay before the next chunk request if the byte budget is used up.
 const CHUNK_RETRY_NS: Nanos = 100 * MILLISECOND_NS;
-/// Bytes of pairs in one chunk; the head of the message holds a key too.
+/// Maximum bytes of pairs in one chunk; the rest of the body is left for the message header, which contains a
+/// key.
 const CHUNK_BYTES_MAX: usize = BODY_BYTES_MAX - 2 * KEY_BYTES_MAX;
 
 impl Member {
-    /// Requests the next chunk, where a transfer is under way and the budget allows it.
+    /// Requests the next chunk if a transfer is in progress, the request is due and the byte budget allows
+    /// it.
     pub(super) fn fetch_chunk(&mut self, now: Nanos) {
         self.transfer.take_if(|transfer| transfer.is_given_up());
         let Some(transfer) = &self.transfer else { return };
         if now < self.chunk_due || !transfer.is_due(now) {
             return;
         }
-        // A chunk that comes in counts as one that goes out.
+        // A received chunk counts against the budget like a sent message.
         if !self.budget.try_acquire(BODY_BYTES_MAX as u64, now) {
             self.chunk_due = now + CHUNK_RETRY_NS;
             return;
@@ -37,7 +39,8 @@
         self.send(&source, &Message::FetchChunk { checkpoint, after }, now);
     }
 
-    /// Begins a transfer. One under way continues unless the offered checkpoint is far newer.
+    /// Starts a transfer of the offered checkpoint if it is newer than the log. A transfer in progress is
+    /// replaced only if the offered checkpoint is newer than its target by more than one checkpoint interval.
     pub(super) fn on_snapshot_offer(&mut self, from: &str, checkpoint: Revision, now: Nanos) {
         let number = checkpoint.number();
         let is_outdated =
@@ -49,7 +52,7 @@
         }
     }
 
-    /// Serves a chunk, or offers a newer checkpoint where the requested one is not held any more.
+    /// Sends the requested chunk, or offers a newer checkpoint if the requested one is not held any more.
     pub(super) fn on_fetch_chunk(&mut self, from: &str, number: u64, after: Option<Text>, now: Nanos) {
         let Some(checkpoint) = self.log.snapshot(number) else {
             let newer = self.log.newest_checkpoint().filter(|newest| newest.number() > number);
@@ -64,7 +67,7 @@
         self.send(from, &Message::SnapshotChunk { checkpoint: number, after, pairs, last: is_last }, now);
     }
 
-    /// Adds a chunk to the transfer under way.
+    /// Adds a received chunk to the transfer in progress.
     pub(super) fn on_snapshot_chunk(
         &mut self,
         checkpoint: u64,
@@ -88,7 +91,7 @@
         }
     }
 
-    /// Continues from a snapshot, unless the log has reached it meanwhile.
+    /// Replaces the log with the transferred snapshot, unless the log has reached it in the meantime.
     fn install_snapshot(&mut self, snapshot: Snapshot, now: Nanos) {
         if snapshot.number() <= self.log.number() {
             return;
--- a/crates/replication/src/replica/acceptor.rs
+++ b/crates/replication/src/replica/acceptor.rs
@@ -1,4 +1,4 @@
-//! The part of the replicas that do not lead: promising epochs and storing the leader's entries.
+//! Acceptor role of a replica: promises epochs to candidates and stores the leader's entries.
 
 use super::{Replica, Role};
 use crate::committed_log::CommittedLog;
@@ -15,13 +15,15 @@
 }
 
 impl Replica {
-    /// Promises a candidate's epoch, unless a later one was promised, and shows it the log after a number.
+    /// Promises the candidate's epoch and sends it the log entries after number `after`. Rejects the request
+    /// if a later epoch is already promised.
     pub(super) fn on_prepare(&mut self, from: &str, epoch: u64, after: u64, log: &CommittedLog) {
         if epoch < self.promised {
             return self.send(from, Message::EpochRejected { promised: self.promised });
         }
         self.adopt_epoch(epoch);
-        // The log before the entries held here comes to the candidate by gossip; it asks again after that.
+        // This replica no longer holds entries that far back. The candidate receives them by gossip and then
+        // repeats its request.
         if self.position(after, log).is_none() && after < log.number() {
             return;
         }
@@ -30,7 +32,8 @@
         self.send(from, Message::Promise { epoch, last, after, entries });
     }
 
-    /// Stores the leader's entries. Returns those that the leader says are committed, in order.
+    /// Stores the leader's entries. Returns, in order, the stored entries that the leader reports as
+    /// committed.
     pub(super) fn on_append(&mut self, from: &str, request: AppendRequest, log: &CommittedLog) -> Vec<Entry> {
         let AppendRequest { epoch, previous, entries, committed } = request;
         if epoch < self.promised {
@@ -52,14 +55,16 @@
         self.uncommitted.iter().take_while(is_committed).cloned().collect()
     }
 
-    /// Whether this replica's log has an entry at this position; all committed logs agree.
+    /// Whether this replica's log contains `position`. A committed number needs no comparison of epochs,
+    /// because committed logs are the same on all replicas.
     fn holds(&self, position: Position, log: &CommittedLog) -> bool {
         let is_committed = position.number <= log.number();
         let agrees = is_committed || self.position(position.number, log) == Some(position);
         agrees && position.number <= self.last_position(log).number
     }
 
-    /// Stores entries that follow `previous`. Returns the last number up to which the log matches them.
+    /// Stores the leader's entries, which follow number `previous`. Returns the last number up to which this
+    /// log matches the leader's.
     fn store_entries(&mut self, previous: u64, entries: Vec<Entry>, log: &CommittedLog) -> u64 {
         let mut matched = previous;
         for entry in entries {
@@ -71,7 +76,8 @@
             if number <= log.number() || self.position(number, log) == Some(entry.position()) {
                 continue;
             }
-            // An entry that differs was never committed, nor were those after it.
+            // A stored entry that differs from the leader's was never committed, and neither was any entry
+            // after it.
             self.uncommitted.truncate((number - log.number() - 1) as usize);
             self.uncommitted.push(entry);
             self.is_unsaved = true;
--- a/crates/replication/src/replica/election.rs
+++ b/crates/replication/src/replica/election.rs
@@ -1,4 +1,4 @@
-//! The candidate's part: how a replica with the lease becomes leader (phase 1 of Paxos).
+//! Candidate role of a replica: the election by which the holder of the lease becomes leader (Paxos phase 1).
 
 use super::leader::Leader;
 use super::{REPEAT_AFTER_NS, Replica, Role};
@@ -11,40 +11,40 @@
 use crate::time::Nanos;
 use std::collections::BTreeMap;
 
-/// A candidate that has repeated its requests so often starts again with a later epoch.
+/// Number of times that a candidate repeats its requests before it restarts the election with a later epoch.
 const REPEATS_MAX: u32 = 10;
 
-/// What a replica has shown of its log.
+/// The log of a replica that has promised the candidate's epoch, as far as the candidate has received it.
 #[derive(Debug)]
 struct PromisedLog {
-    /// The end of its log.
+    /// Position of the last entry of the replica's log.
     last: Position,
-    /// Its entries after this candidate's committed end, as far as they have come. Each message begins where
-    /// the one before it ended; that its own entries follow one another is left to the replica that sent
-    /// them.
+    /// The replica's entries after the candidate's committed log, as far as received. The candidate checks
+    /// that each message starts where the previous one ended, and relies on the sending replica for entries
+    /// without gaps within a message.
     entries: Vec<Entry>,
 }
 
 impl PromisedLog {
-    /// The last number that has come.
+    /// Number of the last entry received.
     fn reached(&self, log: &CommittedLog) -> u64 {
         self.entries.last().map_or(log.number(), Entry::number)
     }
 }
 
-/// A replica that has taken an epoch and waits for a majority's promises.
+/// State of a replica that has chosen an epoch and waits for promises from a majority.
 #[derive(Debug)]
 pub(super) struct Candidate {
-    /// By the name of the replica; its own included.
+    /// Promises received, by replica name; includes the candidate's promise to itself.
     promises: BTreeMap<String, PromisedLog>,
     /// When promises were last requested.
     requested_at: Nanos,
-    /// How often the requests were repeated.
+    /// Number of times that the requests were repeated.
     repeats: u32,
 }
 
 impl Candidate {
-    /// When requests are repeated, in nanoseconds.
+    /// Time at which the requests are to be repeated, in nanoseconds.
     pub(super) fn next_due(&self) -> Nanos {
         self.requested_at + REPEAT_AFTER_NS
     }
@@ -58,23 +58,25 @@
     pub(super) entries: Vec<Entry>,
 }
 
-/// The end of a log, which may lack the rest of its last change.
+/// State at the end of a log whose last change may be incomplete.
 struct LogEnd {
-    /// Content after the last entry.
+    /// State after the last entry.
     state: State,
-    /// Changes that bring it back to the end of the last complete change.
+    /// Changes that undo the incomplete change; empty if the last change is complete.
     undo: Vec<Change>,
 }
 
 impl Replica {
-    /// The next epoch that is this replica's own: no two replicas ever take the same one.
+    /// The next epoch reserved for this replica. Each replica takes every n-th epoch, where n is the number
+    /// of replicas, so that no two replicas ever choose the same epoch.
     fn next_epoch(&self) -> u64 {
         let count = self.replicas.len() as u64;
         let own = self.replicas.iter().position(|replica| *replica == self.name).unwrap_or(0) as u64;
         (self.promised / count + 1) * count + own
     }
 
-    /// Takes an epoch, promises it to itself, and requests the others' promises.
+    /// Starts an election: chooses a new epoch, promises it to itself, and requests promises from the other
+    /// replicas.
     pub(super) fn campaign(&mut self, now: Nanos, log: &CommittedLog) {
         self.promised = self.next_epoch();
         self.is_unsaved = true;
@@ -85,7 +87,7 @@
         self.lead_if_promised(now, log);
     }
 
-    /// Repeats requests that are due, or gives up this epoch.
+    /// Repeats the requests for promises when due. Abandons the epoch after [`REPEATS_MAX`] repetitions.
     pub(super) fn repeat_campaign(&mut self, now: Nanos, log: &CommittedLog) {
         let Role::Candidate(candidate) = &mut self.role else { return };
         if candidate.repeats >= REPEATS_MAX {
@@ -97,7 +99,8 @@
         }
     }
 
-    /// Requests promises, and from those that have promised the rest of their logs.
+    /// Requests a promise from each replica that has not given one, and the rest of the log from each replica
+    /// that has promised but not yet sent its whole log.
     fn send_prepares(&mut self, log: &CommittedLog) {
         let Role::Candidate(candidate) = &self.role else { return };
         let mut requests = Vec::new();
@@ -114,7 +117,8 @@
         }
     }
 
-    /// Adds what a replica has shown of its log. One whose log is not complete here yet is asked again.
+    /// Records a replica's promise and the log entries that came with it. Requests the rest of the log if it
+    /// is not complete yet.
     pub(super) fn on_promise(&mut self, now: Nanos, from: &str, promise: Promise, log: &CommittedLog) {
         let Role::Candidate(candidate) = &mut self.role else { return };
         let Promise { epoch, last, after, entries } = promise;
@@ -124,19 +128,20 @@
         let empty = || PromisedLog { last, entries: Vec::new() };
         let known = candidate.promises.entry(from.to_string()).or_insert_with(empty);
         if known.last != last {
-            // Its log has been replaced by what was committed.
+            // The replica's log has changed since its last message: committed entries replaced its own.
             *known = empty();
         }
         if after == known.reached(log) {
             known.entries.extend(entries);
         }
-        // Entries that have been committed meanwhile are in the committed log.
+        // Entries committed since the last message are in the committed log already.
         known.entries.retain(|entry| entry.number() > log.number());
         self.send_prepares(log);
         self.lead_if_promised(now, log);
     }
 
-    /// Becomes the leader where a majority has promised and all of the furthest log among theirs has come.
+    /// Becomes the leader once a majority has promised and the most advanced log among the promises, the one
+    /// with the highest last position, has been received in full.
     fn lead_if_promised(&mut self, now: Nanos, log: &CommittedLog) {
         let Role::Candidate(candidate) = &self.role else { return };
         if candidate.promises.len() < self.majority() {
@@ -153,13 +158,14 @@
         self.uncommitted = entries;
         let LogEnd { state, undo } = self.log_end(log);
         self.role = Role::Leader(Leader::new(state));
-        // An entry of the leader's own epoch is what commits those before it (Raft, 5.4.2). It undoes a
-        // change whose last entry its leader never appended.
+        // Earlier entries are committed only by an entry of the leader's own epoch (Raft, section 5.4.2), so
+        // the leader appends one at once. That entry also undoes an incomplete change, whose last entries
+        // the previous leader never appended.
         self.append_parts(split(undo), log);
         self.replicate(now, log);
     }
 
-    /// The end of this replica's log, uncommitted entries included.
+    /// State at the end of this replica's log, including uncommitted entries.
     fn log_end(&self, log: &CommittedLog) -> LogEnd {
         let mut complete = log.complete().state.clone();
         let mut state = complete.clone();
--- a/crates/replication/src/replica/leader.rs
+++ b/crates/replication/src/replica/leader.rs
@@ -1,5 +1,5 @@
-//! The leader's part: appending entries, replicating them, and counting which are committed (phase 2 of
-//! Paxos, log replication of Raft).
+//! Leader role of a replica: appends entries, replicates them, and determines which are committed (Paxos
+//! phase 2, Raft log replication).
 
 use super::{ProposeError, REPEAT_AFTER_NS, Replica, Role};
 use crate::change::Change;
@@ -11,33 +11,34 @@
 use crate::time::{Nanos, SECOND_NS};
 use std::collections::BTreeMap;
 
-/// Most entries that wait for a majority.
+/// Maximum number of uncommitted entries; further changes are rejected as [`ProposeError::Busy`].
 const UNCOMMITTED_MAX: usize = 128;
-/// Each replica is sent a message this often at the least.
+/// Longest time between two messages from the leader to a replica.
 const HEARTBEAT_NS: Nanos = SECOND_NS;
 
-/// What the leader knows of one replica.
+/// Replication progress of one replica, as known to the leader.
 #[derive(Debug, Default)]
 struct FollowerProgress {
-    /// The replica has stored the leader's log up to this number. The leader's own is what it has on disk.
+    /// Number up to which the replica has stored the leader's log; for the leader itself, the number up to
+    /// which its log is on disk.
     matched: Option<u64>,
-    /// When it was last sent entries; `None` where new entries wait to be sent.
+    /// When entries were last sent to the replica; `None` if new entries are to be sent at once.
     sent_at: Option<Nanos>,
 }
 
-/// The state of a replica that leads.
+/// State of a replica in the leader role.
 #[derive(Debug)]
 pub(super) struct Leader {
-    /// By the name of the replica; the leader's own included.
+    /// Progress by replica name, including the leader's own.
     progress: BTreeMap<String, FollowerProgress>,
-    /// Content after the last entry of its log.
+    /// State after the last entry of the leader's log.
     end_state: State,
-    /// Number of the last entry that it appended.
+    /// Number of the last entry that this leader appended.
     last_number: u64,
 }
 
 impl Leader {
-    /// A leader whose log ends with this content.
+    /// Creates the leader state for a log that ends with the state `end_state`.
     pub(super) fn new(end_state: State) -> Leader {
         Leader { progress: BTreeMap::new(), end_state, last_number: 0 }
     }
@@ -50,13 +51,13 @@
         self.progress.get(replica)?.matched
     }
 
-    /// A replica has stored the leader's log up to a number.
+    /// Records that a replica has stored the leader's log up to `number`.
     pub(super) fn set_matched(&mut self, replica: &str, number: u64) {
         self.progress_mut(replica).matched = Some(number);
     }
 
-    /// When a replica is to be sent to again, in nanoseconds: soon where it lacks entries, else for a
-    /// heartbeat; 0 for at once.
+    /// When the next message to a replica is due, in nanoseconds: after the retry interval if the replica
+    /// lacks entries, otherwise after the heartbeat interval; 0 means now.
     pub(super) fn next_due(&self, replica: &str) -> Nanos {
         let Some(progress) = self.progress.get(replica) else { return 0 };
         let Some(sent_at) = progress.sent_at else { return 0 };
@@ -66,12 +67,11 @@
 }
 
 impl Replica {
-    /// Appends a change to the log and sends it to the other replicas. Returns the number that it is
-    /// committed at, if this replica stays the leader.
+    /// Appends a change to the log and sends it to the other replicas. Returns the number of the change's
+    /// last entry; the change is committed under this number if this replica remains the leader.
     ///
     /// # Errors
-    /// Where this replica does not lead, too many entries wait for a majority, or the change is out of
-    /// bounds.
+    /// If this replica is not the leader, too many entries are uncommitted, or the change is out of bounds.
     pub fn propose(
         &mut self,
         changes: Vec<Change>,
@@ -98,7 +98,7 @@
         Ok(self.last_position(log).number)
     }
 
-    /// Appends the parts of one change, an entry each; all but the last are partial.
+    /// Appends one entry for each part of a change; all entries but the last are marked partial.
     pub(super) fn append_parts(&mut self, parts: Vec<Vec<Change>>, log: &CommittedLog) {
         let count = parts.len();
         for (part, changes) in (1..).zip(parts) {
@@ -118,7 +118,7 @@
         self.is_unsaved = true;
     }
 
-    /// Sends each replica that is due the entries that it lacks, or a heartbeat.
+    /// Sends the missing entries, or a heartbeat, to each replica whose next message is due.
     pub(super) fn replicate(&mut self, now: Nanos, log: &CommittedLog) {
         let others: Vec<String> = self.others().cloned().collect();
         for replica in others {
@@ -133,10 +133,10 @@
         }
     }
 
-    /// Sends a replica the entries after the number up to which its log is known to match.
+    /// Sends a replica the entries after number `matched`, up to which its log is known to match.
     fn send_append(&mut self, replica: &str, matched: u64, log: &CommittedLog) {
-        // A replica that lags more than the entries held here is sent the end alone; what is committed comes
-        // to it by gossip, as to all members.
+        // If the replica lags behind the oldest entry held here, send only the uncommitted entries: like
+        // every member, the replica receives committed entries by gossip.
         let matched = if self.position(matched, log).is_some() { matched } else { log.number() };
         let Some(previous) = self.position(matched, log) else { return };
         let entries = self.entries_after(matched, log);
@@ -144,10 +144,11 @@
         self.send(replica, Message::Append { epoch, previous, entries, committed });
     }
 
-    /// The uncommitted entries that a majority has stored, in order; none on a follower.
+    /// Returns, in order, the uncommitted entries that have become committed; none unless this replica leads.
     ///
-    /// Copies of an entry of an earlier epoch prove nothing, since a leader with another entry of an epoch
-    /// between may replace it. It is committed with the first entry of this leader's own epoch.
+    /// An entry of an earlier epoch is not committed by being stored on a majority, since a leader with a
+    /// different entry from an epoch in between may still replace it. Such an entry is committed together
+    /// with the first entry of this leader's own epoch.
     pub fn newly_committed(&self, log: &CommittedLog) -> Vec<Entry> {
         let Role::Leader(leader) = &self.role else { return Vec::new() };
         let matched = |replica: &String| leader.matched(replica).unwrap_or(0);
@@ -162,7 +163,7 @@
         self.uncommitted.iter().take_while(is_stored).cloned().collect()
     }
 
-    /// A replica has stored entries; it is sent the next ones at once.
+    /// Handles a replica's acknowledgement that it has stored entries, and sends the next ones at once.
     pub(super) fn on_appended(
         &mut self,
         now: Nanos,
@@ -185,9 +186,11 @@
         }
     }
 
-    /// A replica lacks the entry before those sent; it is sent entries from further back.
+    /// Handles a rejection from a replica that lacks the entry preceding the sent ones: sends entries from
+    /// further back.
     pub(super) fn on_append_rejected(&mut self, from: &str, epoch: u64, matched: u64, log: &CommittedLog) {
-        // Entries that are not held any more come to it by gossip; the next heartbeat finds it further on.
+        // If the leader no longer holds the entry at `matched`, the replica catches up by gossip and the next
+        // heartbeat succeeds.
         let is_held = self.position(matched, log).is_some();
         if epoch == self.promised && self.is_leader() && is_held {
             self.send_append(from, matched, log);
--- a/crates/replication/src/replica/mod.rs
+++ b/crates/replication/src/replica/mod.rs
@@ -1,14 +1,14 @@
-//! One replica of the log, on a machine set aside for control: the part that decides what is committed.
+//! One replica of the log, on a dedicated control machine. The replicas decide which entries are committed.
 //!
-//! The protocol is that of Raft with elections as in Paxos. A lease, held outside, says which replica tries
-//! to lead; it bears on progress only. A candidate takes an epoch of its own, requests the promises of a
-//! majority, and adopts the furthest log among them (`election`). The leader appends entries in its epoch and
-//! counts one as committed once a majority has stored it (`leader`). The other replicas promise and store
-//! (`acceptor`).
+//! The protocol is Raft with Paxos-style elections. An external lease selects the replica that tries to lead;
+//! the lease affects liveness only, never safety. A candidate chooses an epoch reserved for it, requests
+//! promises from a majority, and adopts the most advanced log among them (`election`). The leader appends
+//! entries in its epoch and treats an entry as committed once a majority has stored it (`leader`). The other
+//! replicas promise epochs and store entries (`acceptor`).
 //!
-//! Invariant: no two contents are ever committed under one number, whichever replicas crash, pause or are cut
-//! off, and whether or not two believe that they hold the lease. To keep it, whatever a message rests on is
-//! on disk before the message is sent.
+//! Invariant: no two different contents are ever committed under one number, no matter which replicas crash,
+//! pause or are partitioned, and even if two replicas believe that they hold the lease. The invariant
+//! requires that all state a message depends on is on disk before the message is sent.
 
 mod acceptor;
 mod election;
@@ -26,21 +26,21 @@
 use election::{Candidate, Promise};
 use leader::Leader;
 
-/// A request to a replica is repeated after so long without an answer.
+/// Time after which an unanswered request to a replica is repeated.
 const REPEAT_AFTER_NS: Nanos = 300 * MILLISECOND_NS;
-/// Most bytes of entries in one message between replicas: more than the longest entry, and within
-/// [`crate::message::BODY_BYTES_MAX`] with the head, which takes 43 at most (four integers of 10 bytes, the
-/// variant, the number of entries).
+/// Maximum bytes of entries in one message between replicas. The limit exceeds the longest entry. Together
+/// with the message header it stays within [`crate::message::BODY_BYTES_MAX`]: the header takes at most 43
+/// bytes (four integers of up to 10 bytes each, the variant, and the number of entries).
 const REPLICA_ENTRIES_BYTES_MAX: usize = 960;
 
-/// A change that was not appended to the log.
+/// Reason why a change was not appended to the log.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProposeError {
-    /// Another replica leads, or none. The text calls the leader the publisher, as the operator's command
-    /// does.
+    /// This replica is not the leader. The message says "publisher" because the operator's command uses that
+    /// term for the leader.
     #[error("not the publisher any more")]
     NotLeader,
-    /// Too many entries wait for a majority.
+    /// Too many entries are uncommitted.
     #[error("too much waits to be committed: try again")]
     Busy,
     /// A key or a value is out of bounds.
@@ -49,7 +49,7 @@
     /// The configuration would have more than [`KEYS_MAX`] keys.
     #[error("{keys} keys are more than {KEYS_MAX}")]
     TooManyKeys {
-        /// Keys of the content with the change.
+        /// Number of keys that the configuration would have with the change.
         keys: usize,
     },
 }
@@ -57,45 +57,46 @@
 /// A message to another replica.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReplicaMessage {
-    /// The replica's name.
+    /// Name of the receiving replica.
     pub to: String,
-    /// What it is sent.
+    /// The message.
     pub message: Message,
 }
 
-/// What a replica does in its epoch.
+/// Role of a replica in its current epoch.
 #[derive(Debug)]
 enum Role {
     /// Promises epochs and stores the leader's entries.
     Follower,
-    /// Waits for a majority's promises.
+    /// Waits for promises from a majority.
     Candidate(Candidate),
-    /// Appends entries.
+    /// Appends and replicates entries.
     Leader(Leader),
 }
 
-/// A replica. Its log is the [`CommittedLog`], which the member owns and passes in, and the entries after it.
+/// A replica of the log. The log consists of the [`CommittedLog`], which the member owns and passes to each
+/// call, followed by the replica's uncommitted entries.
 #[derive(Debug)]
 pub struct Replica {
     name: String,
-    /// Names of all replicas, this one included.
+    /// Names of all replicas, including this one.
     replicas: Vec<String>,
-    /// The replica takes part in no epoch before this one; that of a candidate or leader is its own. Never
-    /// falls.
+    /// Highest promised epoch: the replica rejects messages of earlier epochs. A candidate or leader has
+    /// promised its own epoch. Never decreases.
     promised: u64,
-    /// Entries after the committed end, without gaps.
+    /// Entries after the committed log, without gaps.
     uncommitted: Vec<Entry>,
     role: Role,
-    /// Whether this replica is to lead.
+    /// Whether this replica holds the lease and so tries to become or remain the leader.
     holds_lease: bool,
-    /// `promised` or `uncommitted` differ from what is on disk: no message may be sent.
+    /// Whether `promised` or `uncommitted` differ from the state on disk. While true, no message may be sent.
     is_unsaved: bool,
-    /// Messages to send once all is on disk.
+    /// Messages to send once the state is on disk.
     outgoing: Vec<ReplicaMessage>,
 }
 
 impl Replica {
-    /// A follower with an empty log. `replicas` are the names of all, this one's included.
+    /// Creates a follower with an empty log. `replicas` lists the names of all replicas, including `name`.
     pub fn new(name: &str, replicas: Vec<String>) -> Replica {
         Replica {
             name: name.to_string(),
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Continues from what was on disk; the committed part is in the member's log.
+    /// Restores the state read from disk. The committed entries are restored separately, in the member's log.
     pub fn restore(&mut self, promised: u64, uncommitted: Vec<Entry>) {
         self.promised = promised;
         self.uncommitted = uncommitted;
@@ -123,17 +124,19 @@
         self.replicas.iter().filter(|replica| **replica != self.name)
     }
 
-    /// Any two majorities have a replica in common.
+    /// Number of replicas that form a majority. Any two majorities have a replica in common.
     fn majority(&self) -> usize {
         self.replicas.len() / 2 + 1
     }
 
-    /// Whether a majority has promised this replica's epoch, as far as it knows.
+    /// Whether this replica considers itself the leader: a majority has promised its epoch, and it has not
+    /// learned of a later one.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
-    /// Without the lease a leader becomes a follower; entries that it has begun are completed by the next.
+    /// Sets whether this replica holds the lease. Without it a leader steps down to follower; the next leader
+    /// completes the entries that were being replicated.
     pub fn set_holds_lease(&mut self, holds: bool) {
         self.holds_lease = holds;
         if !holds {
@@ -141,12 +144,13 @@
         }
     }
 
-    /// The end of this replica's log, committed or not.
+    /// Position of the last entry of this replica's log, committed or not.
     fn last_position(&self, log: &CommittedLog) -> Position {
         self.uncommitted.last().map_or(log.revision().position, Entry::position)
     }
 
-    /// The position at a number of this replica's log, committed or not.
+    /// Position of the entry with this number in this replica's log, committed or not; `None` if the entry is
+    /// not held.
     fn position(&self, number: u64, log: &CommittedLog) -> Option<Position> {
         match number.checked_sub(log.number() + 1) {
             None => log.position(number),
@@ -154,8 +158,9 @@
         }
     }
 
-    /// The committed log has grown, by this replica or by gossip. Entries at its numbers are dropped; where
-    /// the committed ones differ, so are all that follow.
+    /// Updates the uncommitted entries after the committed log has grown, through this replica or by gossip.
+    /// Drops entries whose numbers are now committed. If the committed entry at the end differs from the one
+    /// stored here, drops all later entries too.
     pub fn follow(&mut self, log: &CommittedLog) {
         let end = log.revision().position;
         let Some(first) = self.uncommitted.first() else { return };
@@ -165,12 +170,13 @@
         let agrees = self.uncommitted.iter().any(|entry| entry.position() == end);
         self.uncommitted.retain(|entry| agrees && entry.number() > end.number);
         if !agrees {
-            // Entries of another leader were committed in their place.
+            // Another leader's entries were committed under the same numbers.
             self.role = Role::Follower;
         }
     }
 
-    /// Does what is due: a campaign, repeated requests, heartbeats.
+    /// Performs the work that is due for the current role: starts an election, repeats requests, or sends
+    /// entries and heartbeats. Does nothing without the lease.
     pub fn advance(&mut self, now: Nanos, log: &CommittedLog) {
         if !self.holds_lease {
             return;
@@ -182,7 +188,7 @@
         }
     }
 
-    /// When [`Replica::advance`] is wanted next, in nanoseconds: 0 for at once, [`Nanos::MAX`] for never.
+    /// When [`Replica::advance`] is next to be called, in nanoseconds: 0 means now, [`Nanos::MAX`] never.
     pub fn next_due(&self) -> Nanos {
         match &self.role {
             Role::Follower if self.holds_lease => 0,
@@ -194,33 +200,35 @@
         }
     }
 
-    /// What [`Replica::state_to_persist`] returned last is on disk.
+    /// Records that the state last returned by [`Replica::state_to_persist`] is on disk.
     pub fn on_persisted(&mut self, log: &CommittedLog) {
         self.is_unsaved = false;
         let last = self.last_position(log).number;
         if let Role::Leader(leader) = &mut self.role {
-            // The leader's own copy counts for the majority only now.
+            // The leader's own copy counts towards the majority only once it is on disk.
             leader.set_matched(&self.name, last);
         }
     }
 
-    /// Whether something is to be on disk before messages are sent.
+    /// Whether the state must be written to disk before messages are sent.
     pub fn is_unsaved(&self) -> bool {
         self.is_unsaved
     }
 
-    /// What is to be on disk.
+    /// The state to write to disk.
     pub fn state_to_persist(&self, log: &CommittedLog) -> PersistedState {
         let entries = log.incomplete().chain(&self.uncommitted).cloned().collect();
         PersistedState { promised: self.promised, committed: log.complete().clone(), entries }
     }
 
-    /// Drops messages that rest on what could not be written. Their receivers ask again.
+    /// Drops the queued messages, which depend on state that could not be written. Their receivers repeat
+    /// their requests.
     pub fn drop_outgoing(&mut self) {
         self.outgoing.clear();
     }
 
-    /// Messages to send, each returned once. Only to be sent while nothing is unsaved.
+    /// Removes and returns the queued messages. The caller may send them only while
+    /// [`Replica::is_unsaved`] is false.
     pub fn take_outgoing(&mut self) -> Vec<ReplicaMessage> {
         std::mem::take(&mut self.outgoing)
     }
@@ -229,8 +237,8 @@
         self.outgoing.push(ReplicaMessage { to: to.to_string(), message });
     }
 
-    /// Handles a message between replicas; those of other members are ignored. Returns entries that the
-    /// leader says are committed, in order.
+    /// Handles a message from another replica; messages from members that are not replicas are ignored.
+    /// Returns, in order, the entries that the leader reports as committed.
     pub fn receive(&mut self, now: Nanos, from: &str, message: Message, log: &CommittedLog) -> Vec<Entry> {
         if !self.is_replica(from) {
             return Vec::new();
@@ -254,7 +262,7 @@
         Vec::new()
     }
 
-    /// A later epoch ends this replica's own candidacy or leadership.
+    /// Promises `epoch` if it is later than the promised one, and steps down to follower.
     fn adopt_epoch(&mut self, epoch: u64) {
         if epoch > self.promised {
             self.promised = epoch;
@@ -263,7 +271,7 @@
         }
     }
 
-    /// Entries of this replica's log after a number, as many as fit one message.
+    /// Entries of this replica's log after `number`, as many as fit into one message.
     fn entries_after(&self, number: u64, log: &CommittedLog) -> Vec<Entry> {
         let mut entries = Vec::new();
         let mut bytes = 0;
--- a/crates/replication/src/time.rs
+++ b/crates/replication/src/time.rs
@@ -1,6 +1,6 @@
 //! Units of time.
 
-/// Nanoseconds since the Unix epoch, by a clock that does not go back; also a span of nanoseconds.
+/// Nanoseconds since the Unix epoch on a monotonic clock; also a duration in nanoseconds.
 pub type Nanos = u64;
 
 /// One millisecond in nanoseconds.
