--- a/crates/replication/src/change.rs
+++ b/crates/replication/src/change.rs
@@ -1,4 +1,4 @@
-//! A change of one key of the configuration, and its bounds.
+//! A change to one key of the configuration, with its length limits.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,16 +7,16 @@
 /// Longest value, in bytes.
 pub const VALUE_BYTES_MAX: usize = 512;
 
-/// One key set, or removed where the value is absent.
+/// A change to one key: sets it to a value, or removes it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// The key, 1 to [`KEY_BYTES_MAX`] bytes.
+    /// The key, of 1 to [`KEY_BYTES_MAX`] bytes.
     pub key: String,
-    /// The new value, at most [`VALUE_BYTES_MAX`] bytes; `None` removes the key.
+    /// The new value, of at most [`VALUE_BYTES_MAX`] bytes; `None` removes the key.
     pub value: Option<String>,
 }
 
-/// A change whose key or value is out of bounds.
+/// Reason why a change is invalid: its key or value is out of bounds.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ChangeError {
     /// The key is empty or too long.
@@ -28,7 +28,7 @@
     /// The value is too long.
     #[error("{key:?}: a value of {VALUE_BYTES_MAX} bytes at most, not {bytes}")]
     ValueLength {
-        /// The key whose value it is.
+        /// The key with this value.
         key: String,
         /// Length of the value, in bytes.
         bytes: usize,
@@ -36,20 +36,20 @@
 }
 
 impl Change {
-    /// Sets a key to a value.
+    /// Creates a change that sets a key to a value.
     pub fn set(key: &str, value: &str) -> Change {
         Change { key: key.to_string(), value: Some(value.to_string()) }
     }
 
-    /// Removes a key.
+    /// Creates a change that removes a key.
     pub fn remove(key: &str) -> Change {
         Change { key: key.to_string(), value: None }
     }
 
-    /// Checks the lengths of key and value.
+    /// Checks the lengths of the key and the value.
     ///
     /// # Errors
-    /// Where one of them is out of bounds.
+    /// If either length is out of bounds.
     pub fn check(&self) -> Result<(), ChangeError> {
         if self.key.is_empty() || self.key.len() > KEY_BYTES_MAX {
             return Err(ChangeError::KeyLength { bytes: self.key.len() });
--- a/crates/replication/src/codec.rs
+++ b/crates/replication/src/codec.rs
@@ -1,14 +1,14 @@
-//! Encoding of messages, and those bounds of a received one that are checked when it is read.
+//! Encoding and decoding of messages, and the bounds that are checked when a message is decoded.
 
 use crate::message::{BODY_BYTES_MAX, Message, NAME_BYTES_MAX, NEIGHBOURS_MAX, REASON_BYTES_MAX};
 
 impl Message {
-    /// The bytes of a body.
+    /// Encodes the message as the bytes of a body.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_allocvec(self).expect("a message holds nothing that postcard cannot encode")
     }
 
-    /// Reads a body; `None` for anything but exactly one message within its bounds.
+    /// Decodes a body. Returns `None` unless the body is exactly one message within its bounds.
     pub fn decode(body: &[u8]) -> Option<Message> {
         if body.len() > BODY_BYTES_MAX {
             return None;
@@ -25,7 +25,7 @@
                     && is_name(&location.region)
                     && is_name(&location.zone)
             }
-            // The location is bounded by the body alone.
+            // The length of the location is limited only by that of the body.
             Message::Report { report, .. } => {
                 let rejected = report.rejected.as_ref();
                 rejected.is_none_or(|rejection| rejection.reason.len() <= REASON_BYTES_MAX)
@@ -34,18 +34,18 @@
             Message::Submit { request, changes, .. } => {
                 is_name(&request.from) && changes.iter().all(|change| change.check().is_ok())
             }
-            // Entries are checked where they are appended: by the acceptor, and by the committed log.
+            // Entries are checked when they are appended, by the acceptor and by the committed log.
             Message::Promise { .. } | Message::Append { .. } => true,
-            // Pairs are checked where they are added to the transfer, keys are only compared.
+            // Pairs are checked when they are added to the transfer; the key `after` is only compared.
             Message::FetchChunk { .. } | Message::SnapshotChunk { .. } => true,
-            // Numbers alone.
+            // These contain only numbers.
             Message::SnapshotOffer { .. }
             | Message::PollReport
             | Message::Prepare { .. }
             | Message::EpochRejected { .. }
             | Message::Appended { .. }
             | Message::AppendRejected { .. } => true,
-            // Names and texts in these are bounded by the body alone.
+            // The lengths of names and texts in these are limited only by that of the body.
             Message::Revert { .. }
             | Message::Submitted { .. }
             | Message::NotLeader { .. }
@@ -55,7 +55,7 @@
     }
 }
 
-/// Whether a text is short enough for a name.
+/// Whether a text does not exceed the maximum length of a name.
 fn is_name(text: &str) -> bool {
     text.len() <= NAME_BYTES_MAX
 }
--- a/crates/replication/src/committed_log.rs
+++ b/crates/replication/src/committed_log.rs
@@ -1,7 +1,7 @@
-//! What one member holds of the committed log: the content at its end, the last entries for members that lag
-//! a little, and two checkpoints for those that lag more.
+//! The part of the committed log that one member holds: the content at its end, the last entries for members
+//! that lag a little, and two checkpoints for members that lag further.
 //!
-//! Checkpoints stand at the same numbers on all members, so that a transfer begun from one member continues
+//! Checkpoints have the same numbers on all members, so that a transfer started from one member can continue
 //! from another.
 
 use crate::entry::Entry;
@@ -10,19 +10,20 @@
 use crate::state::{KEYS_MAX, State};
 use std::collections::VecDeque;
 
-/// The first complete change in each block of so many numbers is a checkpoint.
+/// Number of entries per checkpoint: the log is divided into blocks of this many numbers, and a checkpoint is
+/// taken at the first complete change in each block.
 pub const CHECKPOINT_INTERVAL: u64 = 256;
 
-/// An entry that cannot follow the end of the log.
+/// Reason why an entry cannot be appended to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EntryError {
-    /// It is too long, or one of its changes is out of bounds.
+    /// The entry is too long, or one of its changes is out of bounds.
     #[error("entry {number} is out of bounds")]
     OutOfBounds {
         /// The entry's number.
         number: u64,
     },
-    /// Epochs never fall along the log.
+    /// The entry's epoch is lower than that of the last entry. Epochs never decrease along the log.
     #[error("entry {number}: epoch {epoch} is before epoch {last} at the end of the log")]
     EpochFalls {
         /// The entry's number.
@@ -32,7 +33,7 @@
         /// The epoch at the end of the log.
         last: u64,
     },
-    /// The content after its changes does not have its hash.
+    /// The content after the entry's changes does not match the entry's hash.
     #[error("entry {number}: the content after its changes does not have its hash")]
     HashMismatch {
         /// The entry's number.
@@ -43,65 +44,66 @@
     TooManyKeys {
         /// The entry's number.
         number: u64,
-        /// Keys of the content after its changes.
+        /// Number of keys after the entry's changes.
         keys: usize,
     },
 }
 
-/// What became of a valid entry that was offered to the log.
+/// Result of appending an entry to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AppendOutcome {
-    /// It is the log's new end.
+    /// The entry was appended.
     Appended,
-    /// The log held its number already; nothing changed.
+    /// The log already contains an entry with this number; nothing changed.
     Known,
-    /// Entries before it are missing; nothing changed.
+    /// Entries between the end of the log and this entry are missing; nothing changed.
     Gap,
 }
 
-/// The committed log as one member holds it. `base` <= `complete` <= `end`, by their numbers.
+/// The committed log as one member holds it. The numbers satisfy `base` <= `complete` <= `end`.
 #[derive(Clone, Debug, Default)]
 pub struct CommittedLog {
-    /// The content after the last committed entry.
+    /// Content after the last committed entry.
     end: Snapshot,
-    /// The content after the last complete change: what may be applied.
+    /// Content after the last complete change. The host may apply this content, but not that of `end`, which
+    /// may contain an incomplete change.
     complete: Snapshot,
-    /// What the first entry of the tail follows.
+    /// Content before the first entry of `tail`.
     base: Snapshot,
     /// All entries after `base`, without gaps.
     tail: VecDeque<Entry>,
-    /// The last two checkpoints, the newer first.
+    /// The last two checkpoints, newer first.
     checkpoints: [Option<Snapshot>; 2],
 }
 
 impl CommittedLog {
-    /// A log that continues from a snapshot, read from disk or transferred.
+    /// Creates a log that continues from a snapshot, which was read from disk or transferred.
     pub fn from_snapshot(snapshot: Snapshot) -> CommittedLog {
         let (end, complete) = (snapshot.clone(), snapshot.clone());
         CommittedLog { end, complete, base: snapshot, ..CommittedLog::default() }
     }
 
-    /// The revision at the end.
+    /// Revision at the end of the log.
     pub fn revision(&self) -> Revision {
         self.end.revision
     }
 
-    /// The number at the end; 0 where nothing is committed.
+    /// Number of the last entry; 0 if nothing is committed.
     pub fn number(&self) -> u64 {
         self.end.number()
     }
 
-    /// The content at the end.
+    /// Content at the end of the log.
     pub fn state(&self) -> &State {
         &self.end.state
     }
 
-    /// The last complete change and its content.
+    /// Snapshot of the content after the last complete change.
     pub fn complete(&self) -> &Snapshot {
         &self.complete
     }
 
-    /// The position of the entry with this number, where it is held.
+    /// Position of the entry with this number; `None` if the entry is not held.
     pub fn position(&self, number: u64) -> Option<Position> {
         if number == self.number() {
             return Some(self.end.revision.position);
@@ -111,10 +113,12 @@
         self.tail.get(index as usize).map(Entry::position)
     }
 
-    /// Appends a committed entry. One whose number is known changes nothing, whatever its content.
+    /// Appends a committed entry. An entry whose number the log already contains is ignored without comparing
+    /// its content.
     ///
     /// # Errors
-    /// Where the entry is out of bounds, or its hash or its epoch does not follow the end of the log.
+    /// If the entry is out of bounds, its epoch is lower than that of the last entry, or its hash does not
+    /// match the resulting content.
     pub fn append(&mut self, entry: &Entry) -> Result<AppendOutcome, EntryError> {
         let number = entry.number();
         if number <= self.number() {
@@ -133,7 +137,7 @@
         Ok(AppendOutcome::Appended)
     }
 
-    /// The content after an entry that follows the end.
+    /// Checks an entry that follows the end of the log, and returns the content after it.
     fn state_after(&self, entry: &Entry) -> Result<State, EntryError> {
         let Position { epoch, number } = entry.position();
         if !entry.is_within_bounds() {
@@ -154,7 +158,8 @@
         Ok(state)
     }
 
-    /// Depends on numbers alone, so that all members have the same checkpoints.
+    /// Takes a checkpoint at the first complete change of a block. The decision depends only on entry
+    /// numbers, so that all members have the same checkpoints.
     fn checkpoint_if_due(&mut self) {
         let last = self.checkpoints[0].as_ref().unwrap_or(&self.base).number();
         if self.number() / CHECKPOINT_INTERVAL > last / CHECKPOINT_INTERVAL {
@@ -164,7 +169,7 @@
         }
     }
 
-    /// Drops entries before the older checkpoint: a member that lacks them fetches a checkpoint instead.
+    /// Drops the entries up to the older checkpoint. A member that lacks them fetches a checkpoint instead.
     fn trim(&mut self) {
         let [_, Some(older)] = &self.checkpoints else { return };
         if older.number() < self.base.number() {
@@ -177,7 +182,7 @@
         }
     }
 
-    /// The content at a number, as far back as entries are held.
+    /// Content after the entry with this number; `None` if the entries held do not reach back that far.
     pub fn state_at(&self, number: u64) -> Option<State> {
         if number < self.base.number() || number > self.number() {
             return None;
@@ -189,7 +194,8 @@
         Some(state)
     }
 
-    /// All entries of the change whose last entry has this number.
+    /// All entries of the change whose last entry has this number; `None` if no complete change ends there or
+    /// it is not held any more.
     pub fn change_at(&self, number: u64) -> Option<Vec<&Entry>> {
         let end = self.tail.iter().position(|entry| entry.number() == number)?;
         if self.tail[end].partial {
@@ -199,32 +205,32 @@
         Some(self.tail.range(end - parts..=end).collect())
     }
 
-    /// The entries after a number, where all of them are still held.
+    /// The entries after `number`; `None` if some of them are not held any more.
     pub fn entries_after(&self, number: u64) -> Option<impl Iterator<Item = &Entry>> {
         let missing = self.number().checked_sub(number)? as usize;
         (missing <= self.tail.len()).then(|| self.tail.iter().skip(self.tail.len() - missing))
     }
 
-    /// The snapshot for a member that lags more than the entries reach: the newest checkpoint or, where none
-    /// came since this member's start, the one that it started from.
+    /// Snapshot to offer to a member that lags behind the oldest entry held: the newest checkpoint or, if
+    /// none was taken since this member started, the snapshot that it started from.
     pub fn newest_checkpoint(&self) -> Option<&Snapshot> {
         let base = Some(&self.base).filter(|base| base.number() > 0);
         self.checkpoints[0].as_ref().or(base)
     }
 
-    /// The snapshot with this number, where it is held.
+    /// The checkpoint or starting snapshot with this number, if it is held.
     pub fn snapshot(&self, number: u64) -> Option<&Snapshot> {
         let held = self.checkpoints.iter().flatten().chain([&self.base]);
         held.into_iter().find(|snapshot| snapshot.number() == number && number > 0)
     }
 
-    /// Entries of a change whose last entry has not come yet.
+    /// Entries after the last complete change: those of a change whose last entry is not committed yet.
     pub fn incomplete(&self) -> impl Iterator<Item = &Entry> {
         let complete = self.complete.number();
         self.tail.iter().filter(move |entry| entry.number() > complete)
     }
 
-    /// All entries held, in order.
+    /// All entries held, in order of their numbers.
     pub fn tail(&self) -> impl Iterator<Item = &Entry> {
         self.tail.iter()
     }
--- a/crates/replication/src/content_hash.rs
+++ b/crates/replication/src/content_hash.rs
@@ -1,22 +1,22 @@
-//! A hash of the whole content that is updated with each changed key.
+//! A hash of the whole configuration that is updated incrementally with each changed key.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// A SHA-256 digest is four lanes of 64 bits.
+/// Number of 64-bit lanes in a SHA-256 digest.
 const LANES: usize = 4;
 const LANE_BYTES: usize = 8;
 
-/// The lane-wise wrapping sum of the SHA-256 digests of all pairs of key and value.
+/// Lane-wise wrapping sum of the SHA-256 digests of all key-value pairs.
 ///
-/// An update takes time independent of the size of the content. Contents that differ by accident or fault
-/// differ in their hash. It is no protection against a holder of the fleet's key, who may send any content:
-/// datagrams are authenticated by that key.
+/// The time of an update does not depend on the size of the content. The hash detects contents that differ by
+/// accident or through a fault. It does not protect against an attacker who holds the fleet's key: that key
+/// authenticates datagrams, so its holder can send any content.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ContentHash([u64; LANES]);
 
 impl ContentHash {
-    /// The digest of a pair; the length of the key separates it from the value.
+    /// Digest of a pair. The hashed length of the key separates key and value unambiguously.
     fn of_pair(key: &str, value: &str) -> [u64; LANES] {
         let mut hasher = Sha256::new();
         hasher.update((key.len() as u64).to_le_bytes());
@@ -30,14 +30,14 @@
         })
     }
 
-    /// Adds a pair that is not in the content yet.
+    /// Updates the hash for a pair added to the content.
     pub(crate) fn add(&mut self, key: &str, value: &str) {
         for (lane, added) in self.0.iter_mut().zip(Self::of_pair(key, value)) {
             *lane = lane.wrapping_add(added);
         }
     }
 
-    /// Removes a pair that is in the content.
+    /// Updates the hash for a pair removed from the content. The pair must have been added before.
     pub(crate) fn remove(&mut self, key: &str, value: &str) {
         for (lane, removed) in self.0.iter_mut().zip(Self::of_pair(key, value)) {
             *lane = lane.wrapping_sub(removed);
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -1,8 +1,8 @@
-//! Messages between members, in bodies of at most [`BODY_BYTES_MAX`] bytes. Senders are authenticated by the
-//! datagram; bounds are checked all the same, some when a message is read (`codec`), others where its content
-//! is used.
+//! Messages between members, encoded in bodies of at most [`BODY_BYTES_MAX`] bytes. The datagram layer
+//! authenticates senders. Bounds are checked nevertheless, some when a message is decoded (`codec`) and
+//! others where its content is used.
 //!
-//! The encoding numbers variants and fields by their position: their order and types never change.
+//! The encoding identifies variants and fields by their position, so their order and types must never change.
 
 use crate::change::Change;
 use crate::entry::Entry;
@@ -10,21 +10,21 @@
 use crate::state::{Pair, Text};
 use serde::{Deserialize, Serialize};
 
-/// Longest encoded message, in bytes: with its envelopes it fits a datagram of 1,400 bytes.
+/// Longest encoded message, in bytes. With its envelopes it fits into a datagram of 1,400 bytes.
 pub const BODY_BYTES_MAX: usize = 1_100;
 /// Longest name of a member, a region or a zone, in bytes.
 pub const NAME_BYTES_MAX: usize = 64;
-/// Most neighbours that one message names.
+/// Maximum number of neighbours listed in one digest.
 pub const NEIGHBOURS_MAX: usize = 3;
-/// Longest reason of a rejection, in bytes.
+/// Longest reason for a rejection, in bytes.
 pub const REASON_BYTES_MAX: usize = 200;
 
-/// A leader's statement that its log ended with a number at a time.
+/// A leader's statement of where its committed log ended at a given time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Freshness {
-    /// Unix milliseconds by the leader's clock; 0 where no leader has spoken yet.
+    /// Unix time in milliseconds by the leader's clock; 0 if no leader has made a statement yet.
     pub at_ms: u64,
-    /// The end of its committed log then.
+    /// Number of the last committed entry at that time.
     pub number: u64,
 }
 
@@ -33,222 +33,223 @@
 pub struct Location {
     /// Name of the region.
     pub region: String,
-    /// Name of the zone, within its region.
+    /// Name of the zone within the region.
     pub zone: String,
 }
 
-/// Identifies an operator's request, so that a repetition of it is not carried out again.
+/// Identifier of an operator's request, by which the leader recognizes and deduplicates a repeated request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RequestId {
     /// Name of the member that sent the request.
     pub from: String,
-    /// The sender's own number of it.
+    /// Number of the request, assigned by the sender.
     pub number: u64,
 }
 
-/// A revision that a member did not apply.
+/// A member's rejection of a revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rejection {
-    /// The revision's number.
+    /// Number of the rejected revision.
     pub number: u64,
-    /// The member's reason.
+    /// Why the member rejected the revision.
     pub reason: String,
 }
 
-/// What a member has applied, reported to the leader.
+/// A member's report to the leader of its progress.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// The last revision that it applied.
+    /// Number of the last revision that the member applied.
     pub applied: u64,
-    /// The end of the committed log that it holds.
+    /// Number at the end of the committed log that the member holds.
     pub committed: u64,
-    /// The last revision that it rejected.
+    /// The last rejected revision, unless a later one was applied.
     pub rejected: Option<Rejection>,
 }
 
-/// What became of an operator's change.
+/// Outcome of an operator's change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RequestOutcome {
-    /// It is committed.
+    /// The change is committed.
     Committed {
-        /// Number of its last entry.
+        /// Number of the change's last entry.
         number: u64,
     },
-    /// It was not carried out.
+    /// The change was not carried out.
     Rejected {
-        /// The leader's reason, for the operator.
+        /// The leader's reason, as text for the operator.
         reason: String,
     },
 }
 
-/// A member that has not applied the newest revision, as a status names it.
+/// An entry of [`Message::Status`] for a member that has not applied the newest revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LaggingSummary {
     /// The member's name.
     pub name: String,
-    /// The last revision that it applied; 0 where it has not reported yet.
+    /// Number of the last revision that the member applied; 0 if it has not reported yet.
     pub applied: u64,
-    /// The start of its reason for rejecting a revision; empty where it rejected none.
+    /// The start of the member's reason for rejecting a revision; empty if it rejected none.
     pub reason: String,
 }
 
 /// A message between members.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Anti-entropy: what the sender holds. A receiver that holds more answers with entries or an offer.
+    /// Anti-entropy: summarizes the log that the sender holds. A receiver that holds more answers with
+    /// `Entries` or a `SnapshotOffer`.
     Digest {
-        /// The end of the sender's committed log.
+        /// Number at the end of the sender's committed log.
         number: u64,
-        /// The latest statement of a leader that the sender has.
+        /// The sender's latest freshness statement.
         freshness: Freshness,
-        /// Where the sender is.
+        /// Region and zone of the sender.
         location: Location,
-        /// Some others of the same zone, so that members of a zone find each other.
+        /// Some other members of the sender's zone, so that members of a zone discover each other.
         neighbours: Vec<String>,
-        /// A receiver that holds less, or has a fresher statement, answers with a digest of its own.
+        /// Whether a receiver that holds less, or has a fresher statement, answers with its own digest.
         wants_reply: bool,
     },
-    /// Committed entries in order.
+    /// Transfers committed entries.
     Entries {
-        /// Without gaps.
+        /// The entries, in order and without gaps.
         entries: Vec<Entry>,
         /// The last known leader.
         leader: Option<String>,
-        /// A receiver that did not hold them pushes them on.
+        /// Whether the receiver pushes entries that are new to it to further members.
         pushed: bool,
-        /// The end of the sender's committed log.
+        /// Number at the end of the sender's committed log.
         newest: u64,
     },
-    /// The sender holds a checkpoint that the receiver needs.
+    /// Offers a checkpoint to a receiver that lags too far for single entries.
     SnapshotOffer {
-        /// The checkpoint's revision.
+        /// Revision of the checkpoint.
         checkpoint: Revision,
-        /// The end of the sender's committed log.
+        /// Number at the end of the sender's committed log.
         newest: u64,
     },
-    /// Requests the pairs of a checkpoint that follow a key.
+    /// Requests the next pairs of a checkpoint.
     FetchChunk {
-        /// The checkpoint's number.
+        /// Number of the checkpoint.
         checkpoint: u64,
-        /// `None` for the first pairs.
+        /// The key after which the requested pairs begin; `None` for the first pairs.
         after: Option<Text>,
     },
-    /// Pairs of a checkpoint.
+    /// Answers `FetchChunk` with pairs of a checkpoint.
     SnapshotChunk {
-        /// The checkpoint's number.
+        /// Number of the checkpoint.
         checkpoint: u64,
-        /// The key that they follow, as requested.
+        /// The key after which the pairs begin, as requested.
         after: Option<Text>,
-        /// In the order of keys.
+        /// The pairs, ordered by key.
         pairs: Vec<Pair>,
-        /// The checkpoint ends with them.
+        /// Whether these are the last pairs of the checkpoint.
         last: bool,
     },
-    /// What the sender has applied, to the leader.
+    /// Reports the sender's progress to the leader.
     Report {
-        /// What it has applied.
+        /// The report.
         report: Report,
-        /// Where the sender is.
+        /// Region and zone of the sender.
         location: Location,
     },
-    /// The leader polls for a report.
+    /// The leader's request for a report.
     PollReport,
-    /// Between replicas: a candidate requests a promise for its epoch, and the log after a number.
+    /// Between replicas: a candidate requests a promise of its epoch, and log entries.
     Prepare {
         /// The candidate's epoch.
         epoch: u64,
-        /// Entries after this number are wanted.
+        /// Number after which the requested entries begin.
         after: u64,
     },
-    /// The replica takes part in no earlier epoch any more.
+    /// Between replicas: promises to reject all earlier epochs, and sends log entries to the candidate.
     Promise {
         /// The candidate's epoch.
         epoch: u64,
-        /// The end of the replica's log, committed or not.
+        /// Position of the last entry of the replica's log, committed or not.
         last: Position,
-        /// The number that the entries follow.
+        /// Number after which the entries begin.
         after: u64,
-        /// As many as fit the message.
+        /// Entries of the replica's log, as many as fit into the message.
         entries: Vec<Entry>,
     },
-    /// The replica has promised a later epoch.
+    /// Between replicas: rejects a message because the replica has promised a later epoch.
     EpochRejected {
-        /// That epoch.
+        /// The promised epoch.
         promised: u64,
     },
-    /// The leader's entries, or a heartbeat where there are none.
+    /// Between replicas: the leader's entries, or a heartbeat if there are none.
     Append {
         /// The leader's epoch.
         epoch: u64,
-        /// The position that the entries follow.
+        /// Position of the entry that precedes `entries`.
         previous: Position,
-        /// As many as fit the message.
+        /// Entries to store, as many as fit into the message.
         entries: Vec<Entry>,
-        /// The end of the leader's committed log.
+        /// Number at the end of the leader's committed log.
         committed: u64,
     },
-    /// The replica's log matches the leader's.
+    /// Between replicas: acknowledges `Append`. The replica's log matches the leader's up to `number`.
     Appended {
         /// The leader's epoch.
         epoch: u64,
-        /// Up to this number.
+        /// Number up to which the logs match.
         number: u64,
     },
-    /// The replica does not hold the entry at `previous`.
+    /// Between replicas: rejects `Append` because the replica's log lacks the entry at `previous`.
     AppendRejected {
         /// The leader's epoch.
         epoch: u64,
-        /// The logs may match up to this number.
+        /// Highest number up to which the logs may match.
         matched: u64,
     },
-    /// One part of an operator's change, to the leader.
+    /// An operator's change to the leader, or one part of it.
     Submit {
-        /// The same for all parts.
+        /// Identifier of the request; the same in all parts.
         request: RequestId,
-        /// Which part this is, from 0.
+        /// Index of this part, from 0.
         part: u32,
         /// Number of parts.
         parts: u32,
         /// Changes of this part.
         changes: Vec<Change>,
     },
-    /// An operator asks the leader to take a change back.
+    /// An operator's request to the leader to revert a change.
     Revert {
-        /// Identifies the request.
+        /// Identifier of the request.
         request: RequestId,
-        /// Number of the change's last entry.
+        /// Number of the last entry of the change to revert.
         number: u64,
     },
     /// The leader's answer to `Submit` and `Revert`.
     Submitted {
-        /// The request that it answers.
+        /// Identifier of the answered request.
         request: RequestId,
-        /// What became of it.
+        /// Outcome of the request.
         outcome: RequestOutcome,
     },
-    /// This replica is not the leader.
+    /// Answer to an operator's request from a replica that is not the leader.
     NotLeader {
-        /// The request that it answers.
+        /// Identifier of the answered request.
         request: RequestId,
-        /// The leader, where it is known.
+        /// Name of the leader, if known.
         leader: Option<String>,
     },
-    /// An operator polls which members have applied the newest revision.
+    /// An operator's request for the number of members that have applied the newest revision.
     PollStatus {
-        /// Identifies the request.
+        /// Identifier of the request.
         request: RequestId,
     },
     /// The leader's answer to `PollStatus`.
     Status {
-        /// The request that it answers.
+        /// Identifier of the answered request.
         request: RequestId,
-        /// The newest complete revision.
+        /// Number of the newest complete revision.
         number: u64,
-        /// Members that take part.
+        /// Number of members that participate in replication.
         members: u32,
-        /// Those of them that have applied it.
+        /// Number of participating members that have applied the newest revision.
         applied: u32,
-        /// Some of those that have not.
+        /// Some of the participating members that have not applied the newest revision.
         lagging: Vec<LaggingSummary>,
     },
 }
--- a/crates/replication/src/peers.rs
+++ b/crates/replication/src/peers.rs
@@ -1,4 +1,4 @@
-//! Regions and zones of the living members, by which gossip chooses whom to send to.
+//! The alive members with their regions and zones, from which gossip selects its targets.
 
 use crate::message::Location;
 use crate::time::{Nanos, SECOND_NS};
@@ -7,31 +7,32 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// Members that the view does not hold are forgotten at this interval.
+/// Interval at which the locations of members that are not alive any more are removed.
 const FORGET_INTERVAL_NS: Nanos = 60 * SECOND_NS;
-/// Random draws for each member that is wanted.
+/// Maximum number of random draws per requested member of a sample.
 const DRAWS_PER_MEMBER: usize = 8;
 
-/// The living members and where they are, as far as they or their neighbours have said so.
+/// The alive members, with their locations as far as known from their own or their neighbours' messages.
 #[derive(Debug, Default)]
 pub struct Peers {
-    /// This member's name.
+    /// Name of this member.
     name: String,
-    /// Names of the living, this member's included, sorted.
+    /// Names of the alive members, including this one, sorted.
     alive: Arc<Vec<String>>,
     locations: HashMap<String, Location>,
-    /// Members by location; a member is in it exactly where it is in `locations`.
+    /// Members by location. Contains exactly the members in `locations`.
     zones: BTreeMap<Location, Vec<String>>,
     forget_due: Nanos,
 }
 
 impl Peers {
-    /// No others are known. `name` is this member's.
+    /// Creates an empty set of peers. `name` is the name of this member.
     pub fn new(name: &str) -> Peers {
         Peers { name: name.to_string(), ..Peers::default() }
     }
 
-    /// The fleet's view: the names of the living, sorted.
+    /// Sets the names of the alive members, sorted, as the membership view lists them. Regularly removes the
+    /// locations of members that are not alive any more.
     pub fn set_alive(&mut self, alive: &Arc<Vec<String>>, now: Nanos) {
         if !Arc::ptr_eq(&self.alive, alive) {
             self.alive = alive.clone();
@@ -44,7 +45,7 @@
         dead.iter().for_each(|name| self.forget(name));
     }
 
-    /// Whether the view holds a member.
+    /// Whether a member is alive according to the membership view.
     pub fn is_alive(&self, name: &str) -> bool {
         self.alive.binary_search_by(|other| other.as_str().cmp(name)).is_ok()
     }
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Where a living member is, as it or a neighbour of it says.
+    /// Records the location of an alive member, as the member or one of its neighbours stated it.
     pub fn record_location(&mut self, name: &str, location: &Location) {
         if name == self.name || !self.is_alive(name) || self.locations.get(name) == Some(location) {
             return;
@@ -69,13 +70,14 @@
         self.zones.entry(location.clone()).or_default().push(name.to_string());
     }
 
-    /// The living but for this member.
+    /// Names of the alive members except this one.
     pub fn others(&self) -> impl Iterator<Item = &String> {
         self.alive.iter().filter(|name| **name != self.name)
     }
 
-    /// At most `count` different living members of a zone, at random. The number of draws is bounded, so that
-    /// the time does not grow with the zone; where many have died fewer are found.
+    /// Returns a random sample of at most `count` different alive members of a zone. The number of draws is
+    /// bounded, so that the time does not grow with the size of the zone. The sample may therefore be smaller
+    /// if many members of the zone have died.
     pub fn sample_zone(&self, zone: &Location, count: usize, rng: &mut ChaCha8Rng) -> Vec<String> {
         let Some(members) = self.zones.get(zone) else { return Vec::new() };
         let mut sample: Vec<String> = Vec::new();
@@ -91,12 +93,12 @@
         sample
     }
 
-    /// One of all the living at random; `None` where this member itself was drawn.
+    /// Returns a random alive member of the fleet; `None` if this member itself was drawn.
     pub fn sample_any(&self, rng: &mut ChaCha8Rng) -> Option<String> {
         pick(&self.alive, rng).filter(|name| **name != self.name).cloned()
     }
 
-    /// At most `count` members of each known zone.
+    /// Returns a random sample of at most `count` alive members of each known zone.
     pub fn sample_each_zone(&self, count: usize, rng: &mut ChaCha8Rng) -> Vec<String> {
         self.zones.keys().flat_map(|zone| self.sample_zone(zone, count, rng)).collect()
     }
--- a/crates/replication/src/persistence.rs
+++ b/crates/replication/src/persistence.rs
@@ -1,47 +1,47 @@
-//! What a member keeps on disk, and its file form: a head with version, length and checksum, then the encoded
-//! state. A file that is cut short, of another version or changed anywhere is rejected.
+//! The state that a member keeps on disk, and its file format: a header with version, length and checksum,
+//! followed by the encoded state. A file that is truncated, modified or of another version is rejected.
 
 use crate::entry::Entry;
 use crate::snapshot::Snapshot;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Begins every file; its last byte is the version.
+/// First bytes of every file; the last of them is the format version.
 const MAGIC: [u8; 8] = *b"MSREPL\0\x01";
 const LENGTH_BYTES: usize = 8;
 const CHECKSUM_BYTES: usize = 32;
 const HEAD_BYTES: usize = MAGIC.len() + LENGTH_BYTES + CHECKSUM_BYTES;
 
-/// What a member keeps on disk, written as a whole. A server keeps `committed` alone.
+/// The state that a member keeps on disk, always written as a whole. A server uses only `committed`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PersistedState {
-    /// The replica takes part in no epoch before this one.
+    /// Highest epoch that the replica has promised; it rejects earlier epochs.
     pub promised: u64,
-    /// The last complete change that is known to be committed.
+    /// State after the last complete change known to be committed.
     pub committed: Snapshot,
-    /// Entries after it. Which of them are committed is learnt anew after a restart.
+    /// Entries after `committed`. After a restart, the replica learns again which of them are committed.
     pub entries: Vec<Entry>,
 }
 
-/// A file that cannot be used.
+/// Reason why a file cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// Not a file of this program, or of a version that this build does not know.
+    /// The file was not written by this program, or its format version is unknown to this build.
     #[error("no file of this version")]
     Version,
-    /// Shorter or longer than its head says.
+    /// The file is shorter or longer than its header states.
     #[error("cut short or with bytes left over")]
     Length,
-    /// Its bytes were changed.
+    /// The content of the file does not match its checksum.
     #[error("its checksum is wrong")]
     Checksum,
-    /// The checksum is right, but the bytes are no state of this build, or the content does not have its
-    /// hash.
+    /// The checksum matches, but the bytes cannot be decoded as a state, or the committed content does not
+    /// match its hash.
     #[error("its content is not what its hash says")]
     Content,
 }
 
-/// The bytes of a file.
+/// Encodes a state as the bytes of a file.
 pub fn encode(state: &PersistedState) -> Vec<u8> {
     let body = postcard::to_allocvec(state).expect("a state holds nothing that postcard cannot encode");
     let mut bytes = Vec::with_capacity(HEAD_BYTES + body.len());
@@ -52,10 +52,10 @@
     bytes
 }
 
-/// Reads the bytes of a file.
+/// Decodes the bytes of a file.
 ///
 /// # Errors
-/// Where they are not exactly what [`encode`] writes for a state whose content has its hash.
+/// If the bytes are not exactly those that [`encode`] writes for a state whose content matches its hash.
 pub fn decode(bytes: &[u8]) -> Result<PersistedState, DecodeError> {
     if bytes.len() < HEAD_BYTES {
         let is_ours = bytes.starts_with(&MAGIC);
--- a/crates/replication/src/progress.rs
+++ b/crates/replication/src/progress.rs
@@ -1,33 +1,35 @@
-//! Which revision each member has applied, as members report it to a replica, and which of them lag. A member
-//! of the fleet that has not reported is polled; one that does not answer takes no part: it is a server
-//! without replicated configuration, or an operator's command.
+//! Tracks on a replica which revision each member has applied, from the members' reports, and which members
+//! lag. A member of the fleet that has not reported is polled. A member that never answers is treated as
+//! non-participating: it is a server without replicated configuration, or an operator's command.
 
 use crate::message::{Rejection, Report};
 use crate::time::{Nanos, SECOND_NS};
 use std::collections::BTreeMap;
 
-/// A member that has not answered a poll is polled again after this long.
+/// Interval at which a member that has not answered a poll is polled again.
 const REPOLL_UNANSWERED_INTERVAL_NS: Nanos = 2 * SECOND_NS;
-/// One that takes no part is polled at this interval: it may have been restarted with other settings.
+/// Interval at which a non-participating member is polled, since it may have been restarted with other
+/// settings.
 const SILENT_POLL_INTERVAL_NS: Nanos = 60 * SECOND_NS;
-/// Unanswered polls after which a member that never reported takes no part.
+/// Number of unanswered polls after which a member that never reported is treated as non-participating.
 const SILENT_AFTER_POLLS: u32 = 3;
-/// Most members polled at once.
+/// Maximum number of members polled in one round.
 const POLLS_AT_ONCE_MAX: usize = 32;
-/// Revisions whose time of commitment is remembered.
+/// Number of revisions whose commit times are kept.
 const COMMIT_TIMES_MAX: usize = 1024;
 
-/// What is known of one member.
+/// Progress of one member.
 #[derive(Clone, Debug, Default)]
 struct MemberProgress {
+    /// The member's last report.
     report: Option<Report>,
     polled_at: Nanos,
-    /// Polls since its last report.
+    /// Number of polls since the member's last report.
     unanswered: u32,
 }
 
 impl MemberProgress {
-    /// Whether the member takes no part.
+    /// Whether the member is treated as non-participating.
     fn is_silent(&self) -> bool {
         self.report.is_none() && self.unanswered >= SILENT_AFTER_POLLS
     }
@@ -38,36 +40,37 @@
     }
 }
 
-/// What a replica knows of the members' progress.
+/// The members' progress as known to a replica.
 #[derive(Debug, Default)]
 pub struct ProgressTracker {
     members: BTreeMap<String, MemberProgress>,
-    /// When each of the last revisions was committed here, by number.
+    /// Times at which the latest revisions became committed on this replica, by revision number.
     committed_at: BTreeMap<u64, Nanos>,
 }
 
 /// A member that has not applied the newest revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LaggingMember {
-    /// Its name.
+    /// The member's name.
     pub name: String,
-    /// The last revision that it applied; `None` where it has not reported yet.
+    /// Number of the last revision that the member applied; `None` if it has not reported yet.
     pub applied: Option<u64>,
-    /// When the oldest revision that it lacks was committed here, in Unix nanoseconds; 0 where unknown.
+    /// When the oldest revision that the member lacks became committed on this replica, in Unix nanoseconds;
+    /// 0 if unknown.
     pub since: Nanos,
-    /// The last revision that it rejected.
+    /// The last rejected revision, unless a later one was applied.
     pub rejected: Option<Rejection>,
 }
 
 impl ProgressTracker {
-    /// A member has reported.
+    /// Records a member's report.
     pub fn on_report(&mut self, name: &str, report: Report) {
         let member = self.members.entry(name.to_string()).or_default();
         member.report = Some(report);
         member.unanswered = 0;
     }
 
-    /// A revision was committed here.
+    /// Records that a revision became committed on this replica.
     pub fn on_commit(&mut self, number: u64, now: Nanos) {
         self.committed_at.entry(number).or_insert(now);
         while self.committed_at.len() > COMMIT_TIMES_MAX {
@@ -75,7 +78,7 @@
         }
     }
 
-    /// Forgets the members that are not alive.
+    /// Removes the members that are not alive.
     pub fn retain(&mut self, is_alive: impl Fn(&str) -> bool) {
         self.members.retain(|name, _| is_alive(name));
     }
@@ -84,17 +87,18 @@
         self.members.get(name).is_none_or(|member| !member.is_silent())
     }
 
-    /// How many of the living take part, or may.
+    /// Number of alive members that participate in replication. Members not yet known to be non-participating
+    /// count as participating.
     pub fn count<'a>(&self, alive: impl Iterator<Item = &'a String>) -> usize {
         alive.filter(|name| self.takes_part(name)).count()
     }
 
-    /// The living that take part and have not applied `number`.
+    /// The alive members that participate in replication and have not applied revision `number`.
     pub fn lagging<'a>(&self, alive: impl Iterator<Item = &'a String>, number: u64) -> Vec<LaggingMember> {
         alive.filter(|name| self.takes_part(name)).filter_map(|name| self.lag_of(name, number)).collect()
     }
 
-    /// `None` where the member has applied `number`.
+    /// The member's lag behind revision `number`; `None` if the member has applied that revision.
     fn lag_of(&self, name: &str, number: u64) -> Option<LaggingMember> {
         let report = self.members.get(name).and_then(|member| member.report.as_ref());
         let applied = report.map(|report| report.applied);
@@ -110,7 +114,7 @@
         })
     }
 
-    /// The members to poll now for a report; they count as polled.
+    /// Selects the members to poll for a report now, and records them as polled.
     pub fn poll<'a>(
         &mut self,
         alive: impl Iterator<Item = &'a String>,
--- a/crates/replication/src/requests.rs
+++ b/crates/replication/src/requests.rs
@@ -1,25 +1,25 @@
-//! Operators' requests to the leader. A request may be repeated: its identity tells repetitions from new
-//! ones.
+//! Operators' requests to the leader. An operator may repeat a request; the request identifier distinguishes
+//! repetitions from new requests.
 
 use crate::change::Change;
 use crate::entry::PARTS_MAX;
 use crate::message::{RequestId, RequestOutcome};
 use std::collections::{HashMap, VecDeque};
 
-/// Requests whose outcome is remembered.
+/// Number of requests whose outcomes are kept.
 const OUTCOMES_MAX: usize = 256;
-/// Most changes that are assembled from parts at once.
+/// Maximum number of changes that are being assembled from parts at the same time.
 const ASSEMBLING_MAX: usize = 16;
 
-/// A change in the log that is not committed yet.
+/// A request whose change is in the log but not committed yet.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingRequest {
     pub(crate) request: RequestId,
-    /// The number that it is committed at.
+    /// Number of the change's last entry. The change is committed once the committed log reaches it.
     pub(crate) number: u64,
 }
 
-/// An outcome that was sent to the operator.
+/// A request that was answered, with the outcome sent to the operator.
 #[derive(Debug)]
 struct AnsweredRequest {
     request: RequestId,
@@ -29,17 +29,17 @@
 /// The requests that a leader has received.
 #[derive(Debug, Default)]
 pub(crate) struct Requests {
-    /// Parts that have come, by their index.
+    /// Received parts of incomplete requests, by part index.
     assembling: HashMap<RequestId, Vec<Option<Vec<Change>>>>,
-    /// Changes in the log that are not committed yet.
+    /// Requests whose changes are in the log but not committed yet.
     pending: Vec<PendingRequest>,
-    /// The last ones, in the order of their answers.
+    /// The most recently answered requests, oldest first.
     answered: VecDeque<AnsweredRequest>,
 }
 
 impl Requests {
-    /// Adds one part of a change. Returns the whole change once all `parts` have come; `None` before that,
-    /// and for a part that is out of bounds.
+    /// Adds one part of a change. Returns the whole change once all `parts` have been received; `None` before
+    /// that, and for a part that is out of bounds or exceeds the number of changes assembled at once.
     pub(crate) fn assemble(
         &mut self,
         request: &RequestId,
@@ -62,22 +62,22 @@
         Some(received.into_iter().flatten().flatten().collect())
     }
 
-    /// What a request was answered, where it is remembered.
+    /// The outcome that a request was answered with, if it is still kept.
     pub(crate) fn outcome(&self, request: &RequestId) -> Option<&RequestOutcome> {
         self.answered.iter().find(|answered| answered.request == *request).map(|answered| &answered.outcome)
     }
 
-    /// Whether the request's change is in the log and not committed.
+    /// Whether the request's change is in the log but not committed yet.
     pub(crate) fn is_pending(&self, request: &RequestId) -> bool {
         self.pending.iter().any(|pending| pending.request == *request)
     }
 
-    /// The request's change is in the log.
+    /// Adds a request whose change was appended to the log.
     pub(crate) fn add_pending(&mut self, pending: PendingRequest) {
         self.pending.push(pending);
     }
 
-    /// Remembers what a request was answered.
+    /// Records the outcome that a request was answered with.
     pub(crate) fn record_outcome(&mut self, request: RequestId, outcome: RequestOutcome) {
         if self.answered.len() == OUTCOMES_MAX {
             self.answered.pop_front();
@@ -85,12 +85,13 @@
         self.answered.push_back(AnsweredRequest { request, outcome });
     }
 
-    /// Removes the pending requests that are committed, which is up to `committed`.
+    /// Removes and returns the pending requests whose changes are committed. `committed` is the number at the
+    /// end of the committed log.
     pub(crate) fn take_committed(&mut self, committed: u64) -> Vec<PendingRequest> {
         self.pending.extract_if(.., |pending| pending.number <= committed).collect()
     }
 
-    /// Removes all pending requests.
+    /// Removes and returns all pending requests.
     pub(crate) fn take_all(&mut self) -> Vec<PendingRequest> {
         std::mem::take(&mut self.pending)
     }
--- a/crates/replication/src/revision.rs
+++ b/crates/replication/src/revision.rs
@@ -1,30 +1,30 @@
-//! Positions in the log, and the content at a position.
+//! Positions in the log, and revisions: positions with the hash of the content there.
 
 use crate::content_hash::ContentHash;
 use serde::{Deserialize, Serialize};
 
-/// A position in the log. Positions compare by epoch first: the log whose last position is highest is the
-/// furthest one.
+/// A position in the log. Positions are compared by epoch first, then by number. Of several logs, the one
+/// with the highest last position is the most advanced.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Position {
-    /// That of the leader that made the entry: the ballot of Paxos, the term of Raft. It never falls along
-    /// the log.
+    /// Epoch of the leader that created the entry: the ballot in Paxos, the term in Raft. Never decreases
+    /// from one entry to the next.
     pub epoch: u64,
-    /// Rises by one from entry to entry, from 1: the index of Raft.
+    /// Number of the entry: 1 for the first, and one more for each further entry. The index in Raft.
     pub number: u64,
 }
 
-/// A position and the content there.
+/// A position with the hash of the content at that position.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Revision {
-    /// Where in the log.
+    /// Position in the log.
     pub position: Position,
-    /// Of the content after all entries up to the position.
+    /// Hash of the content after all entries up to and including the position.
     pub hash: ContentHash,
 }
 
 impl Revision {
-    /// The number of its position.
+    /// Number of the position.
     pub fn number(&self) -> u64 {
         self.position.number
     }
--- a/crates/replication/src/snapshot_transfer.rs
+++ b/crates/replication/src/snapshot_transfer.rs
@@ -1,5 +1,5 @@
-//! The transfer of a checkpoint to a member that lags more than the entries of others reach: chunks in the
-//! order of keys, each from any member that holds the checkpoint.
+//! Transfer of a checkpoint to a member that needs entries that the others no longer hold. The checkpoint is
+//! fetched in chunks ordered by key; each chunk may come from any member that holds the checkpoint.
 
 use crate::change::{KEY_BYTES_MAX, VALUE_BYTES_MAX};
 use crate::revision::Revision;
@@ -7,49 +7,54 @@
 use crate::state::{Chunk, KEYS_MAX, Pair, State, Text};
 use crate::time::{Nanos, SECOND_NS};
 
-/// A chunk that has not come after so long is requested again, from another member.
+/// Time after which an unanswered request for a chunk is repeated to another member.
 const CHUNK_TIMEOUT_NS: Nanos = SECOND_NS;
-/// Unanswered requests after which the transfer is given up; another offer begins a new one.
+/// Maximum number of consecutive unanswered requests. After more, the transfer is abandoned; the next offer
+/// starts a new one.
 const ATTEMPTS_MAX: u32 = 16;
 
-/// A request for a chunk that has not been answered.
+/// A request for a chunk that has not been answered yet.
 #[derive(Debug)]
 struct PendingRequest {
-    /// The member that it was sent to.
+    /// The member that the request was sent to.
     source: String,
     sent_at: Nanos,
 }
 
-/// A transfer under way.
+/// A checkpoint transfer in progress.
 #[derive(Debug)]
 pub struct SnapshotTransfer {
+    /// Revision of the checkpoint.
     target: Revision,
-    /// The member to request from: the one that offered or answered last. `None` once it has not answered.
+    /// The member to send the next request to: the last one that offered the checkpoint or sent a chunk of
+    /// it.
+    /// `None` after it has left a request unanswered.
     source: Option<String>,
-    /// Requests since the last chunk.
+    /// Number of requests since the last chunk was received.
     attempts: u32,
-    /// The pairs that have come.
+    /// The pairs received so far.
     state: State,
-    /// The last key that has come.
+    /// The last key received.
     after: Option<Text>,
     pending: Option<PendingRequest>,
 }
 
-/// What a chunk did to a transfer.
+/// Result of adding a chunk to a transfer.
 #[derive(Debug, PartialEq)]
 pub enum ChunkOutcome {
-    /// It is not the chunk that was requested; nothing changed.
+    /// The chunk is not the requested one; the transfer is unchanged.
     Ignored,
-    /// More chunks follow.
+    /// The chunk was added, and more chunks follow.
     Continue,
-    /// The checkpoint is complete and has its hash.
+    /// The checkpoint is complete and matches its hash.
     Complete(Snapshot),
-    /// The content breaks a bound or does not have its hash: the transfer cannot continue.
+    /// The transfer cannot continue: a pair is out of order or out of bounds, the chunk is empty although
+    /// more follow, or the complete content does not match its hash.
     Invalid,
 }
 
 impl SnapshotTransfer {
-    /// A transfer of the checkpoint `target`, which the member `source` has offered.
+    /// Starts a transfer of the checkpoint `target`, which the member `source` has offered.
     pub fn new(target: Revision, source: &str) -> SnapshotTransfer {
         SnapshotTransfer {
             target,
@@ -61,37 +66,38 @@
         }
     }
 
-    /// The checkpoint's revision.
+    /// Revision of the checkpoint.
     pub fn target(&self) -> Revision {
         self.target
     }
 
-    /// Number of pairs that have come.
+    /// Number of pairs received so far.
     pub fn pairs(&self) -> usize {
         self.state.len()
     }
 
-    /// Whether the next chunk is to be requested now.
+    /// Whether the next request for a chunk is due.
     pub fn is_due(&self, now: Nanos) -> bool {
         now >= self.next_due()
     }
 
-    /// When the next chunk is to be requested, in nanoseconds; 0 for at once.
+    /// When the next request for a chunk is due, in nanoseconds; 0 means now.
     pub fn next_due(&self) -> Nanos {
         self.pending.as_ref().map_or(0, |pending| pending.sent_at + CHUNK_TIMEOUT_NS)
     }
 
-    /// The member to request the next chunk from; `None` where any may be tried.
+    /// The member to request the next chunk from; `None` if the caller may choose any member.
     pub fn source(&self) -> Option<&String> {
         self.source.as_ref()
     }
 
-    /// Whether no member seems to hold the checkpoint any more.
+    /// Whether the transfer is abandoned: so many requests were unanswered that probably no member holds the
+    /// checkpoint any more.
     pub fn is_given_up(&self) -> bool {
         self.attempts > ATTEMPTS_MAX
     }
 
-    /// Notes a request to `source`. Returns the key after which the next chunk begins.
+    /// Records that a request is sent to `source`. Returns the key after which the requested chunk begins.
     pub fn request_chunk(&mut self, source: &str, now: Nanos) -> Option<Text> {
         if self.pending.is_some() {
             self.source = None;
@@ -101,7 +107,7 @@
         self.after.clone()
     }
 
-    /// Adds a chunk of the checkpoint with this number that follows the key `after`.
+    /// Adds a chunk that begins after the key `after`. `checkpoint` is the number of the chunk's checkpoint.
     pub fn on_chunk(&mut self, checkpoint: u64, after: &Option<Text>, chunk: &Chunk) -> ChunkOutcome {
         if checkpoint != self.target.number() || *after != self.after {
             return ChunkOutcome::Ignored;
@@ -113,7 +119,7 @@
             self.state.set(&pair.key, &pair.value);
             self.after = Some(pair.key.clone());
         }
-        // The member that answered holds the checkpoint; most neighbours do not.
+        // Keep requesting from the member that answered: it holds the checkpoint, while most others do not.
         self.source = self.pending.take().map(|pending| pending.source);
         self.attempts = 0;
         if chunk.is_last {
@@ -122,8 +128,9 @@
         if chunk.pairs.is_empty() { ChunkOutcome::Invalid } else { ChunkOutcome::Continue }
     }
 
-    /// Whether a pair follows the last one and is within bounds: those of [`crate::change::Change::check`]
-    /// but for the empty key, which no committed content has; a checkpoint with one fails by its hash.
+    /// Whether a pair follows the last one and is within bounds. The bounds are those of
+    /// [`crate::change::Change::check`], except that an empty key is accepted here: no committed content has
+    /// one, so a checkpoint with an empty key fails the comparison of its hash.
     fn may_add(&self, Pair { key, value }: &Pair) -> bool {
         self.after.as_ref().is_none_or(|before| before < key)
             && key.len() <= KEY_BYTES_MAX
@@ -131,7 +138,7 @@
             && self.state.len() < KEYS_MAX
     }
 
-    /// Checks the hash of the whole content.
+    /// Completes the transfer if the received content matches the checkpoint's hash.
     fn complete(&mut self) -> ChunkOutcome {
         if self.state.hash() != self.target.hash {
             return ChunkOutcome::Invalid;
--- a/crates/replication/src/state.rs
+++ b/crates/replication/src/state.rs
@@ -1,5 +1,5 @@
-//! The content of the configuration: keys with their values, in a persistent map, so that a copy for a
-//! checkpoint or for a check on another thread shares its memory.
+//! The content of the configuration: a map of keys to values. The map is a persistent data structure, so that
+//! a copy for a checkpoint or for a check on another thread shares memory with the original.
 
 use crate::change::Change;
 use crate::content_hash::ContentHash;
@@ -11,26 +11,26 @@
 /// A key or a value, shared between copies of the content.
 pub type Text = Arc<str>;
 
-/// Most keys of one configuration.
+/// Maximum number of keys in one configuration.
 pub const KEYS_MAX: usize = 100_000;
-/// Bytes that the length of a key or a value takes at most as it is encoded.
+/// Maximum encoded size of the length prefix of a key or value, in bytes.
 const LENGTH_BYTES: usize = 2;
 
-/// A key with its value. Its encoding is that of the pair.
+/// A key with its value. The encoding is the same as that of a tuple `(key, value)`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pair {
     /// The key.
     pub key: Text,
-    /// Its value.
+    /// The value.
     pub value: Text,
 }
 
-/// Consecutive pairs of a content, in the order of keys.
+/// A range of consecutive pairs of a [`State`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Chunk {
-    /// The pairs.
+    /// The pairs, ordered by key.
     pub pairs: Vec<Pair>,
-    /// No pair follows these.
+    /// Whether these are the last pairs of the state.
     pub is_last: bool,
 }
 
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct State {
     pairs: OrdMap<Text, Text>,
-    /// Always that of `pairs`.
+    /// Hash of `pairs`, updated with every change.
     hash: ContentHash,
 }
 
@@ -53,22 +53,22 @@
         self.pairs.len()
     }
 
-    /// Whether there is no key.
+    /// Whether the state has no keys.
     pub fn is_empty(&self) -> bool {
         self.pairs.is_empty()
     }
 
-    /// The value of a key.
+    /// The value of a key, if the key exists.
     pub fn get(&self, key: &str) -> Option<&str> {
         self.pairs.get(key).map(|value| &**value)
     }
 
-    /// Keys with their values, in the order of keys.
+    /// All keys with their values, ordered by key.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
         self.pairs.iter().map(|(key, value)| (&**key, &**value))
     }
 
-    /// Sets a key.
+    /// Sets a key to a value.
     pub fn set(&mut self, key: &str, value: &str) {
         let before = self.pairs.insert(key.into(), value.into());
         if let Some(before) = before {
@@ -77,14 +77,14 @@
         self.hash.add(key, value);
     }
 
-    /// Removes a key, where it is there.
+    /// Removes a key if it exists.
     pub fn remove(&mut self, key: &str) {
         if let Some(before) = self.pairs.remove(key) {
             self.hash.remove(key, &before);
         }
     }
 
-    /// Applies changes in their order.
+    /// Applies changes in order.
     pub fn apply(&mut self, changes: &[Change]) {
         for Change { key, value } in changes {
             match value {
@@ -94,18 +94,18 @@
         }
     }
 
-    /// The changes that bring the keys of `changes` back to their values here.
+    /// Returns the changes that reset all keys of `changes` to their values in this state.
     pub fn inverse(&self, changes: &[Change]) -> Vec<Change> {
         changes.iter().map(|change| self.restoring(&change.key)).collect()
     }
 
-    /// The change that brings a key back to its value here.
+    /// Returns the change that resets a key to its value in this state, or removes it if it has none.
     pub fn restoring(&self, key: &str) -> Change {
         Change { key: key.to_string(), value: self.get(key).map(str::to_string) }
     }
 
-    /// The pairs that follow `after`, from the first where it is `None`, as many as take `bytes_max` bytes
-    /// encoded.
+    /// Returns the pairs that follow the key `after`, or the first pairs if it is `None`, as many as fit into
+    /// `bytes_max` encoded bytes.
     pub fn chunk(&self, after: Option<&Text>, bytes_max: usize) -> Chunk {
         let start = after.map_or(Bound::Unbounded, |key| Bound::Excluded(key.clone()));
         let mut rest = self.pairs.range((start, Bound::Unbounded)).peekable();
@@ -123,7 +123,7 @@
     }
 }
 
-/// The form on disk; in datagrams content travels in chunks.
+/// Serialized form of a [`State`] on disk. In datagrams a state is sent in chunks instead.
 #[derive(Serialize, Deserialize)]
 struct Pairs(Vec<Pair>);
 
