--- a/crates/replication/src/member/operator.rs
+++ b/crates/replication/src/member/operator.rs
@@ -23,7 +23,7 @@
     #[error("no change that is still held ends at {number}")]
     NotHeld { number: u64 },
     /// The configuration before the change can no longer be reconstructed from the entries held.
-    #[error("what stood before it is not held any more")]
+    #[error("the configuration before the change is not held any more")]
     BaseNotHeld,
     /// A later change set one of the same keys, and reverting would undo it too.
     #[error("{key:?} was changed again by {number}")]
@@ -53,7 +53,7 @@
             return Err(RevertError::ChangedSince { key, number });
         }
     }
-    Ok(keys.into_iter().map(|key| before.restoring(key)).collect())
+    Ok(keys.into_iter().map(|key| before.restore_change(key)).collect())
 }
 
 fn summary(member: &LaggingMember) -> LaggingSummary {
--- a/crates/replication/src/member/snapshot_fetch.rs
+++ b/crates/replication/src/member/snapshot_fetch.rs
@@ -21,7 +21,7 @@
     /// Requests the next chunk if a transfer is in progress, the request is due and the byte budget allows
     /// it.
     pub(super) fn fetch_chunk(&mut self, now: Nanos) {
-        self.transfer.take_if(|transfer| transfer.is_given_up());
+        self.transfer.take_if(|transfer| transfer.is_abandoned());
         let Some(transfer) = &self.transfer else { return };
         if now < self.chunk_due || !transfer.is_due(now) {
             return;
--- a/crates/replication/src/persistence.rs
+++ b/crates/replication/src/persistence.rs
@@ -27,17 +27,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
     /// The file was not written by this program, or its format version is unknown to this build.
-    #[error("no file of this version")]
+    #[error("unknown file format or version")]
     Version,
     /// The file is shorter or longer than its header states.
-    #[error("cut short or with bytes left over")]
+    #[error("cut short, or with extra bytes")]
     Length,
     /// The content of the file does not match its checksum.
-    #[error("its checksum is wrong")]
+    #[error("the checksum does not match")]
     Checksum,
     /// The checksum matches, but the bytes cannot be decoded as a state, or the committed content does not
     /// match its hash.
-    #[error("its content is not what its hash says")]
+    #[error("the content cannot be decoded or does not match its hash")]
     Content,
 }
 
--- a/crates/replication/src/progress.rs
+++ b/crates/replication/src/progress.rs
@@ -7,12 +7,12 @@
 use std::collections::BTreeMap;
 
 /// Interval at which a member that has not answered a poll is polled again.
-const REPOLL_UNANSWERED_INTERVAL_NS: Nanos = 2 * SECOND_NS;
+const UNANSWERED_POLL_INTERVAL_NS: Nanos = 2 * SECOND_NS;
 /// Interval at which a non-participating member is polled, since it may have been restarted with other
 /// settings.
-const SILENT_POLL_INTERVAL_NS: Nanos = 60 * SECOND_NS;
+const NON_PARTICIPATING_POLL_INTERVAL_NS: Nanos = 60 * SECOND_NS;
 /// Number of unanswered polls after which a member that never reported is treated as non-participating.
-const SILENT_AFTER_POLLS: u32 = 3;
+const NON_PARTICIPATING_AFTER_POLLS: u32 = 3;
 /// Maximum number of members polled in one round.
 const POLLS_AT_ONCE_MAX: usize = 32;
 /// Number of revisions whose commit times are kept.
@@ -30,12 +30,16 @@
 
 impl MemberProgress {
     /// Whether the member is treated as non-participating.
-    fn is_silent(&self) -> bool {
-        self.report.is_none() && self.unanswered >= SILENT_AFTER_POLLS
+    fn is_non_participating(&self) -> bool {
+        self.report.is_none() && self.unanswered >= NON_PARTICIPATING_AFTER_POLLS
     }
 
     fn may_be_polled(&self, now: Nanos) -> bool {
-        let interval = if self.is_silent() { SILENT_POLL_INTERVAL_NS } else { REPOLL_UNANSWERED_INTERVAL_NS };
+        let interval = if self.is_non_participating() {
+            NON_PARTICIPATING_POLL_INTERVAL_NS
+        } else {
+            UNANSWERED_POLL_INTERVAL_NS
+        };
         self.unanswered == 0 || now >= self.polled_at + interval
     }
 }
@@ -83,19 +87,19 @@
         self.members.retain(|name, _| is_alive(name));
     }
 
-    fn takes_part(&self, name: &str) -> bool {
-        self.members.get(name).is_none_or(|member| !member.is_silent())
+    fn participates(&self, name: &str) -> bool {
+        self.members.get(name).is_none_or(|member| !member.is_non_participating())
     }
 
     /// Number of alive members that participate in replication. Members not yet known to be non-participating
     /// count as participating.
     pub fn count<'a>(&self, alive: impl Iterator<Item = &'a String>) -> usize {
-        alive.filter(|name| self.takes_part(name)).count()
+        alive.filter(|name| self.participates(name)).count()
     }
 
     /// The alive members that participate in replication and have not applied revision `number`.
     pub fn lagging<'a>(&self, alive: impl Iterator<Item = &'a String>, number: u64) -> Vec<LaggingMember> {
-        alive.filter(|name| self.takes_part(name)).filter_map(|name| self.lag_of(name, number)).collect()
+        alive.filter(|name| self.participates(name)).filter_map(|name| self.lag_of(name, number)).collect()
     }
 
     /// The member's lag behind revision `number`; `None` if the member has applied that revision.
--- a/crates/replication/src/simulation/event.rs
+++ b/crates/replication/src/simulation/event.rs
@@ -1,15 +1,16 @@
-//! What happens in a simulated fleet.
+//! Events of a simulated fleet.
 
 use crate::snapshot::Snapshot;
 
-/// Something that happens at a time. `incarnation` is that of the node when it was scheduled.
+/// A scheduled event. `incarnation` is the node's incarnation at the time of scheduling, so that an event
+/// from before a restart of the node can be ignored.
 pub(super) enum Event {
-    /// A message arrives.
+    /// A message is delivered to the node `to`.
     Message { to: usize, from: usize, body: Vec<u8> },
-    /// A member is to be advanced.
+    /// A node's member is to be advanced.
     Due { node: usize, incarnation: u64 },
-    /// A server has checked and written a revision.
+    /// A node's host has checked a revision and is ready to write and apply it.
     Applied { node: usize, incarnation: u64, snapshot: Box<Snapshot> },
-    /// The fleet's view and the lease follow what has happened.
+    /// The membership view and the lease are updated to the current state of the nodes.
     View,
 }
--- a/crates/replication/src/simulation/event_queue.rs
+++ b/crates/replication/src/simulation/event_queue.rs
@@ -1,12 +1,14 @@
-//! Events in the order of simulated time; those of one time in the order in which they were scheduled.
+//! Queue of events ordered by simulated time. Events with the same time keep the order in which they were
+//! scheduled.
 
 use crate::time::Nanos;
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// An event with its time. Sequence numbers are unique.
+/// An event with its time.
 struct Scheduled<E> {
     at: Nanos,
+    /// Unique number that orders events with the same time.
     sequence: u64,
     event: E,
 }
@@ -31,9 +33,10 @@
     }
 }
 
-/// The events to come.
+/// Queue of scheduled events, earliest first.
 pub struct EventQueue<E> {
     events: BinaryHeap<Reverse<Scheduled<E>>>,
+    /// Sequence number of the last event added.
     sequence: u64,
 }
 
@@ -44,18 +47,18 @@
 }
 
 impl<E> EventQueue<E> {
-    /// Adds an event at a time in nanoseconds.
+    /// Schedules an event at the time `at`, in nanoseconds.
     pub fn push(&mut self, at: Nanos, event: E) {
         self.sequence += 1;
         self.events.push(Reverse(Scheduled { at, sequence: self.sequence, event }));
     }
 
-    /// The time of the next event, in nanoseconds.
+    /// Time of the next event, in nanoseconds; `None` if the queue is empty.
     pub fn next_at(&self) -> Option<Nanos> {
         self.events.peek().map(|Reverse(next)| next.at)
     }
 
-    /// Removes the next event, with its time, where it is due by `until`.
+    /// Removes and returns the next event with its time, if it is due by `until`.
     pub fn pop_until(&mut self, until: Nanos) -> Option<(Nanos, E)> {
         if self.next_at()? > until {
             return None;
--- a/crates/replication/src/simulation/host.rs
+++ b/crates/replication/src/simulation/host.rs
@@ -1,5 +1,6 @@
-//! What the host of a member does: it advances the member, writes its state, applies revisions, and checks
-//! that none is older than one before and that no number has two contents.
+//! The simulated host of a member. It advances the member, writes the member's state to disk and applies
+//! revisions. It also checks two invariants: no host applies an older revision after a newer one, and no
+//! revision number has two different contents.
 
 use super::event::Event;
 use super::node::Disk;
@@ -8,14 +9,14 @@
 use crate::time::MILLISECOND_NS;
 
 impl Fleet {
-    /// Lets an event happen.
+    /// Processes an event.
     pub(super) fn handle(&mut self, event: Event) {
         match event {
             Event::View => self.update_view(),
             Event::Message { to, from, body } => {
                 let Some(member) = &mut self.nodes[to].member else { return };
                 member.receive(self.now, &member_name(from), &body);
-                self.serve(to);
+                self.run_host(to);
             }
             Event::Due { node, incarnation } => self.on_due(node, incarnation),
             Event::Applied { node, incarnation, snapshot } => {
@@ -26,7 +27,7 @@
         }
     }
 
-    /// Advances a member, unless it was restarted or scheduled anew since.
+    /// Advances a node's member, unless the node was restarted or rescheduled since the event was scheduled.
     fn on_due(&mut self, index: usize, incarnation: u64) {
         let node = &mut self.nodes[index];
         if node.incarnation != incarnation || node.due != self.now {
@@ -36,11 +37,12 @@
         node.due = crate::Nanos::MAX;
         let view = self.views.get(&node.group).cloned().unwrap_or_default();
         member.advance(self.now, &view);
-        self.serve(index);
+        self.run_host(index);
     }
 
-    /// What a host does after each call of its member: write, apply, send, and schedule the next call.
-    pub(super) fn serve(&mut self, index: usize) {
+    /// Does the host's work after each call of a member: writes the state, starts applying a revision, sends
+    /// messages, and schedules the next call.
+    pub(super) fn run_host(&mut self, index: usize) {
         let now = self.now;
         let node = &mut self.nodes[index];
         let Some(member) = &mut node.member else { return };
@@ -72,7 +74,7 @@
         }
     }
 
-    /// A server has checked a revision: it writes and applies it, or rejects it.
+    /// Completes the host's check of a revision: writes and applies it, or rejects it.
     fn on_applied(&mut self, index: usize, snapshot: Snapshot) {
         let node = &mut self.nodes[index];
         let Some(member) = &mut node.member else { return };
@@ -87,16 +89,16 @@
             member.on_rejected(number, "the disk is full", self.now);
         } else {
             let highest = node.highest_applied;
-            assert!(number >= highest, "s{index} went back from {highest} to {number}");
+            assert!(number >= highest, "s{index} applied revision {number} after revision {highest}");
             node.highest_applied = number;
             node.disk = Some(Disk::Complete(member.state_to_persist(&snapshot)));
             member.on_applied(number, self.now);
             let content = *self.contents.entry(number).or_insert(snapshot.revision.hash);
-            assert_eq!(content, snapshot.revision.hash, "two contents under number {number}");
+            assert_eq!(content, snapshot.revision.hash, "two different contents for revision {number}");
             if number > highest {
                 self.applied.push(AppliedRevision { at: self.now, node: index, number });
             }
         }
-        self.serve(index);
+        self.run_host(index);
     }
 }
--- a/crates/replication/src/simulation/mod.rs
+++ b/crates/replication/src/simulation/mod.rs
@@ -1,9 +1,10 @@
-//! Test harness: a fleet of [`Member`]s with disks on a simulated network in simulated time, deterministic
-//! from its seed. No I/O.
+//! Test harness: a simulated fleet of [`Member`]s with disks and a network, in simulated time. A run is
+//! deterministic for a given seed and does no I/O.
 //!
-//! At every step it checks what must never happen: two contents under one number, and a server that goes back
-//! to an older revision. Messages are lost, doubled, delayed and reordered as the [`Layout`] says; `faults`
-//! lists what else may happen. The fleet's view and the lease follow the simulated facts with a lag.
+//! At every step the harness checks two invariants: no revision number has two different contents, and no
+//! server goes back to an older revision. The [`Layout`] determines how messages are lost, duplicated,
+//! delayed and reordered; `faults` contains the other faults that can be injected. The membership view and
+//! the lease reflect changes after a lag.
 
 mod event;
 mod event_queue;
@@ -26,48 +27,49 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
 
-/// [`Fleet::run_until`] looks this often.
-const LOOK_INTERVAL_NS: Nanos = 10 * MILLISECOND_NS;
+/// Interval of simulated time at which [`Fleet::run_until`] evaluates its condition.
+const CHECK_INTERVAL_NS: Nanos = 10 * MILLISECOND_NS;
 
 /// A revision that a node applied for the first time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AppliedRevision {
-    /// When, in Unix nanoseconds.
+    /// Time of applying, in Unix nanoseconds.
     pub at: Nanos,
-    /// The node.
+    /// Index of the node.
     pub node: usize,
-    /// The revision's number.
+    /// Number of the revision.
     pub number: u64,
 }
 
 /// A simulated fleet.
 pub struct Fleet {
-    /// As given at the start.
+    /// Configuration of the fleet.
     pub layout: Layout,
     nodes: Vec<Node>,
-    /// Nodes by the names of their members.
+    /// Indices of the nodes by the names of their members.
     names: HashMap<String, usize>,
-    /// Pairs of groups between which messages are lost.
+    /// Pairs of groups between which the network is partitioned.
     cuts: HashSet<(u32, u32)>,
-    /// The sorted names of the living that each group reaches.
+    /// Membership view of each group: the sorted names of the alive members that the group reaches.
     views: HashMap<u32, Arc<Vec<String>>>,
     queue: EventQueue<Event>,
     now: Nanos,
     rng: ChaCha8Rng,
-    /// The lease stays as [`Fleet::set_holds_lease`] says; otherwise it goes to one replica by the view.
-    pub lease_by_hand: bool,
-    /// Contents by number, of all revisions ever applied.
+    /// Whether only [`Fleet::set_holds_lease`] grants and ends the lease. If false, every update of the
+    /// membership view also assigns the lease to one replica.
+    pub manual_lease: bool,
+    /// Content hashes of all revisions ever applied, by revision number.
     contents: BTreeMap<u64, ContentHash>,
-    /// Revisions as nodes applied them, in order of time.
+    /// All revisions applied by nodes, ordered by time.
     pub applied: Vec<AppliedRevision>,
     /// Bytes of all messages sent, without envelopes.
     pub sent_bytes: u64,
-    /// Messages sent.
+    /// Number of messages sent.
     pub messages: u64,
 }
 
 impl Fleet {
-    /// A fleet of which no node is started. The first nodes are the replicas.
+    /// Creates a fleet whose nodes are not started yet. The nodes with the lowest indices are the replicas.
     pub fn new(layout: Layout, seed: u64) -> Fleet {
         Fleet {
             nodes: (0..layout.size).map(|_| Node::new()).collect(),
@@ -77,7 +79,7 @@
             queue: EventQueue::default(),
             now: START_NS,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            lease_by_hand: false,
+            manual_lease: false,
             contents: BTreeMap::new(),
             applied: Vec::new(),
             sent_bytes: 0,
@@ -86,7 +88,7 @@
         }
     }
 
-    /// A fleet of which all nodes are started and in the view.
+    /// Creates a fleet whose nodes are all started and listed in the membership view.
     pub fn started(layout: Layout, seed: u64) -> Fleet {
         let mut fleet = Fleet::new(layout, seed);
         (0..fleet.nodes.len()).for_each(|node| fleet.start(node));
@@ -99,17 +101,17 @@
         self.now
     }
 
-    /// A node's member, while it runs.
+    /// The member of a node; `None` if the node is not running.
     pub fn member(&self, node: usize) -> Option<&Member> {
         self.nodes[node].member.as_ref()
     }
 
-    /// The nodes that run.
+    /// Indices of the running nodes.
     pub fn running(&self) -> Vec<usize> {
         (0..self.nodes.len()).filter(|node| self.nodes[*node].member.is_some()).collect()
     }
 
-    /// Starts a node with what is on its disk.
+    /// Starts a node with the state on its disk.
     pub fn start(&mut self, index: usize) {
         let replicas = (0..self.layout.replicas).map(member_name).collect();
         let defaults = Settings::new((self.layout.location)(index), replicas);
@@ -124,38 +126,40 @@
         }
         node.member = Some(member);
         node.incarnation += 1;
-        self.serve(index);
+        self.run_host(index);
         self.schedule_view();
     }
 
-    /// Gives a replica the lease, or ends it.
+    /// Grants a replica the lease, or ends its lease.
     pub fn set_holds_lease(&mut self, node: usize, holds: bool) {
         if let Some(member) = &mut self.nodes[node].member {
             member.set_holds_lease(holds);
         }
-        self.serve(node);
+        self.run_host(node);
     }
 
-    /// The first node whose member leads.
+    /// Index of the first node whose member is the leader.
     pub fn leader(&self) -> Option<usize> {
         (0..self.layout.replicas).find(|node| self.member(*node).is_some_and(Member::is_leader))
     }
 
-    /// Proposes a change to the leader; its number, where there is one that accepts it.
+    /// Proposes a change to the leader. Returns the number of the change, or `None` if there is no leader or
+    /// it rejects the change.
     pub fn propose(&mut self, changes: Vec<Change>) -> Option<u64> {
         let node = self.leader()?;
         self.propose_at(node, changes)
     }
 
-    /// Proposes a change to a node; its number, where the node leads and accepts it.
+    /// Proposes a change to a node. Returns the number of the change, or `None` if the node is not the leader
+    /// or rejects the change.
     pub fn propose_at(&mut self, node: usize, changes: Vec<Change>) -> Option<u64> {
         let now = self.now;
         let number = self.nodes[node].member.as_mut()?.propose(changes, now).ok();
-        self.serve(node);
+        self.run_host(node);
         number
     }
 
-    /// `after` is a span in nanoseconds from now.
+    /// Schedules an event `after` nanoseconds from now.
     fn schedule(&mut self, after: Nanos, event: Event) {
         self.queue.push(self.now + after, event);
     }
@@ -164,7 +168,7 @@
         self.schedule(self.layout.view_lag, Event::View);
     }
 
-    /// Plays for a span of nanoseconds.
+    /// Runs the simulation for a duration in nanoseconds.
     pub fn run_for(&mut self, span: Nanos) {
         let until = self.now + span;
         while let Some((at, event)) = self.queue.pop_until(until) {
@@ -174,19 +178,21 @@
         self.now = until;
     }
 
-    /// Plays until `is_done`; how long it took, in nanoseconds, or `None` where it took longer than `limit`.
+    /// Runs the simulation until `is_done` returns true. Returns the elapsed simulated time in nanoseconds,
+    /// or
+    /// `None` if it would exceed `limit`.
     pub fn run_until(&mut self, limit: Nanos, mut is_done: impl FnMut(&Fleet) -> bool) -> Option<Nanos> {
         let started_at = self.now;
         while self.now - started_at <= limit {
             if is_done(self) {
                 return Some(self.now - started_at);
             }
-            self.run_for(LOOK_INTERVAL_NS);
+            self.run_for(CHECK_INTERVAL_NS);
         }
         None
     }
 
-    /// Whether all of these that run have applied `number` or a later revision.
+    /// Whether all running nodes among `nodes` have applied the revision `number` or a later one.
     pub fn all_applied(&self, nodes: &[usize], number: u64) -> bool {
         nodes.iter().filter_map(|node| self.member(*node)).all(|member| member.applied() >= number)
     }
--- a/crates/replication/src/simulation/network.rs
+++ b/crates/replication/src/simulation/network.rs
@@ -1,4 +1,4 @@
-//! The network between the nodes, the fleet's view, and the lease on leading.
+//! The simulated network, membership view, and lease on leadership.
 
 use super::event::Event;
 use super::{Delay, Fleet, member_name};
@@ -8,17 +8,17 @@
 use std::sync::Arc;
 
 impl Fleet {
-    /// Whether no cut is between two nodes.
+    /// Whether the network delivers messages from one node to another, that is, no partition separates them.
     fn reaches(&self, from: usize, to: usize) -> bool {
         !self.cuts.contains(&(self.nodes[from].group, self.nodes[to].group))
     }
 
-    /// Draws whether something with a share of 0 to 1 happens.
-    fn chance(&mut self, share: f64) -> bool {
+    /// Returns true at random with the probability `share`, 0 to 1.
+    fn draw_with_probability(&mut self, share: f64) -> bool {
         share > 0.0 && (self.rng.next_u64() as f64 / u64::MAX as f64) < share
     }
 
-    /// Sends a message: lost, doubled and delayed as the layout says.
+    /// Sends a message, which is lost, duplicated and delayed according to the layout.
     pub(super) fn send(&mut self, from: usize, outgoing: Outgoing) {
         let Outgoing { to, body } = outgoing;
         self.messages += 1;
@@ -27,9 +27,9 @@
         if !self.reaches(from, to) {
             return;
         }
-        let copies = if self.chance(self.layout.duplicate) { 2 } else { 1 };
+        let copies = if self.draw_with_probability(self.layout.duplicate) { 2 } else { 1 };
         for _ in 0..copies {
-            if self.chance(self.layout.loss) {
+            if self.draw_with_probability(self.layout.loss) {
                 continue;
             }
             let Delay { least, jitter } = (self.layout.delay)(from, to);
@@ -38,7 +38,8 @@
         }
     }
 
-    /// Every group sees the living that it reaches, and the lease goes to a replica that reaches a majority.
+    /// Updates the membership view of each group to the alive members that the group reaches, and assigns the
+    /// lease unless it is managed manually.
     pub(super) fn update_view(&mut self) {
         let groups: HashSet<u32> = self.nodes.iter().map(|node| node.group).collect();
         for group in groups {
@@ -48,13 +49,13 @@
             names.sort_unstable();
             self.views.insert(group, Arc::new(names));
         }
-        if !self.lease_by_hand {
-            self.move_lease();
+        if !self.manual_lease {
+            self.assign_lease();
         }
     }
 
-    /// Gives the lease to the first replica that reaches a majority and can write to its disk.
-    fn move_lease(&mut self) {
+    /// Assigns the lease to the first replica that reaches a majority and can write to its disk.
+    fn assign_lease(&mut self) {
         let living: Vec<usize> =
             (0..self.layout.replicas).filter(|replica| self.nodes[*replica].member.is_some()).collect();
         let majority = self.layout.replicas / 2 + 1;
--- a/crates/replication/src/simulation/node.rs
+++ b/crates/replication/src/simulation/node.rs
@@ -1,19 +1,19 @@
-//! One node: its member while it runs, and the disk that outlives it.
+//! A node of the simulated fleet: its member, and a disk that survives restarts of the member.
 
 use crate::member::Member;
 use crate::persistence::{self, PersistedState};
 use crate::time::Nanos;
 
-/// What is on a disk.
+/// The file on a node's disk.
 pub(super) enum Disk {
-    /// A complete file, kept decoded.
+    /// A complete file, kept in decoded form.
     Complete(PersistedState),
-    /// The bytes of a file that was cut.
+    /// The bytes of a truncated file.
     Truncated(Vec<u8>),
 }
 
 impl Disk {
-    /// `None` where the file cannot be used.
+    /// Decodes the file; `None` if it cannot be used.
     pub(super) fn read(&self) -> Option<PersistedState> {
         match self {
             Disk::Complete(state) => Some(state.clone()),
@@ -24,25 +24,26 @@
 
 /// One node of the fleet.
 pub(super) struct Node {
-    /// `None` while it does not run.
+    /// The node's member; `None` if the node is not running.
     pub(super) member: Option<Member>,
-    /// Number of its starts.
+    /// Number of times that the node was started.
     pub(super) incarnation: u64,
     pub(super) disk: Option<Disk>,
-    /// Nothing can be written.
+    /// Whether writes to the disk fail.
     pub(super) is_disk_full: bool,
-    /// Revisions with a key that begins so are rejected, as by a server that does not know an element.
+    /// Revisions that contain a key with this prefix are rejected, as by a server that does not know a
+    /// configuration element.
     pub(super) rejected_prefix: Option<String>,
-    /// The last revision ever applied, over all incarnations.
+    /// Number of the newest revision ever applied, in any incarnation.
     pub(super) highest_applied: u64,
-    /// The side of a cut that it is on.
+    /// Group of the node; the network can be partitioned between groups.
     pub(super) group: u32,
-    /// When it is next advanced, as scheduled; [`Nanos::MAX`] where it is not.
+    /// Scheduled time of the next call of [`Member::advance`]; [`Nanos::MAX`] if none is scheduled.
     pub(super) due: Nanos,
 }
 
 impl Node {
-    /// A node that was never started.
+    /// Creates a node that was never started.
     pub(super) fn new() -> Node {
         Node {
             member: None,
@@ -56,7 +57,7 @@
         }
     }
 
-    /// The usable content of its disk.
+    /// Reads the state on the node's disk; `None` if there is no usable file.
     pub(super) fn read_disk(&self) -> Option<PersistedState> {
         self.disk.as_ref().and_then(Disk::read)
     }
--- a/crates/replication/src/snapshot_transfer.rs
+++ b/crates/replication/src/snapshot_transfer.rs
@@ -93,7 +93,7 @@
 
     /// Whether the transfer is abandoned: so many requests were unanswered that probably no member holds the
     /// checkpoint any more.
-    pub fn is_given_up(&self) -> bool {
+    pub fn is_abandoned(&self) -> bool {
         self.attempts > ATTEMPTS_MAX
     }
 
--- a/crates/replication/src/state.rs
+++ b/crates/replication/src/state.rs
@@ -96,11 +96,11 @@
 
     /// Returns the changes that reset all keys of `changes` to their values in this state.
     pub fn inverse(&self, changes: &[Change]) -> Vec<Change> {
-        changes.iter().map(|change| self.restoring(&change.key)).collect()
+        changes.iter().map(|change| self.restore_change(&change.key)).collect()
     }
 
     /// Returns the change that resets a key to its value in this state, or removes it if it has none.
-    pub fn restoring(&self, key: &str) -> Change {
+    pub fn restore_change(&self, key: &str) -> Change {
         Change { key: key.to_string(), value: self.get(key).map(str::to_string) }
     }
 
--- a/crates/replication/tests/fleet.rs
+++ b/crates/replication/tests/fleet.rs
@@ -192,7 +192,7 @@
 #[test]
 fn of_two_leaders_at_once_one_commits() {
     let mut fleet = Fleet::new(layout(), 6);
-    fleet.lease_by_hand = true;
+    fleet.manual_lease = true;
     all().into_iter().for_each(|node| fleet.start(node));
     fleet.run_for(10 * S);
     for n in 0..20 {
@@ -440,7 +440,7 @@
 /// Random faults, changes and moves of the lease; once all is well again, all members hold the same content.
 fn play_chaos(seed: u64, steps: &[(u8, u8)]) {
     let mut fleet = Fleet::new(Layout { loss: 0.05, duplicate: 0.05, ..layout() }, seed);
-    fleet.lease_by_hand = true;
+    fleet.manual_lease = true;
     all().into_iter().for_each(|node| fleet.start(node));
     fleet.run_for(3 * S);
     for (n, (what, who)) in steps.iter().enumerate() {
@@ -499,7 +499,7 @@
         let alone =
             Layout { size: REPLICAS, delay: scattered, view_lag: MS, apply_time: MS, loss: 0.05, ..layout() };
         let mut fleet = Fleet::new(alone, seed);
-        fleet.lease_by_hand = true;
+        fleet.manual_lease = true;
         (0..REPLICAS).for_each(|node| fleet.start(node));
         for step in 0..150 {
             let node = rng.below(REPLICAS);
