--- a/crates/replication/tests/errors.rs
+++ b/crates/replication/tests/errors.rs
@@ -1,4 +1,5 @@
-//! Bad input is rejected with a text that names the value and its place, as release 0.2.0 did.
+//! Invalid settings and changes are rejected with the same error texts as in release 0.2.0. Each text names
+//! the invalid value and the setting or key it belongs to.
 
 use meadowstream_replication::change::{Change, ChangeError, KEY_BYTES_MAX, VALUE_BYTES_MAX};
 use meadowstream_replication::member::{Member, Settings, SettingsError};
--- a/crates/replication/tests/fixed_bytes.rs
+++ b/crates/replication/tests/fixed_bytes.rs
@@ -1,5 +1,6 @@
-//! Messages and stored files have the bytes that release 0.2.0 (commit 22d0bb6) wrote, and are read back to
-//! the same. A server's last good revision and a replica's checkpoint are files of one form.
+//! Compatibility with release 0.2.0 (commit 22d0bb6): messages and stored files are encoded to the same
+//! bytes, and the recorded bytes are decoded to the same values. A server's last applied revision and a
+//! replica's state use the same file format.
 
 use meadowstream_replication::change::Change;
 use meadowstream_replication::entry::Entry;
@@ -15,7 +16,7 @@
 
 const AT: Position = Position { epoch: 3, number: 300 };
 
-/// A content with a key set, one set twice and one removed.
+/// A state with one key set once, one set twice, and one removed.
 fn state() -> State {
     let mut state = State::default();
     state.apply(&[
@@ -151,9 +152,10 @@
 fn recorded_messages_are_read_and_written_to_the_same_bytes() {
     let fixtures = load("messages");
     for (name, message) in messages() {
-        let read = Message::decode(fixtures.bytes(name)).unwrap_or_else(|| panic!("{name} is not read"));
-        assert_eq!(read, message, "{name}");
-        assert_eq!(read.encode(), fixtures.bytes(name), "{name}");
+        let decoded =
+            Message::decode(fixtures.bytes(name)).unwrap_or_else(|| panic!("{name} cannot be decoded"));
+        assert_eq!(decoded, message, "{name}");
+        assert_eq!(decoded.encode(), fixtures.bytes(name), "{name}");
     }
 }
 
@@ -161,11 +163,12 @@
 fn files_have_the_bytes_of_release_0_2_and_are_read_back() {
     let files = [("checkpoint", saved()), ("last-good", last_good()), ("empty", PersistedState::default())];
     let fixtures = load("files");
-    fixtures.verify(&files.iter().map(|(name, one)| (*name, persistence::encode(one))).collect::<Vec<_>>());
-    for (name, saved) in &files {
-        let read = persistence::decode(fixtures.bytes(name)).unwrap();
-        assert_eq!(read, *saved, "{name}");
-        assert_eq!(persistence::encode(&read), fixtures.bytes(name), "{name}");
+    let encode = |(name, state): &(&'static str, PersistedState)| (*name, persistence::encode(state));
+    fixtures.verify(&files.iter().map(encode).collect::<Vec<_>>());
+    for (name, state) in &files {
+        let decoded = persistence::decode(fixtures.bytes(name)).unwrap();
+        assert_eq!(decoded, *state, "{name}");
+        assert_eq!(persistence::encode(&decoded), fixtures.bytes(name), "{name}");
     }
 }
 
--- a/crates/replication/tests/operator.rs
+++ b/crates/replication/tests/operator.rs
@@ -1,4 +1,5 @@
-//! Operators' requests to a fleet of one replica: what each is answered, with the texts of release 0.2.0.
+//! Operators' requests to a fleet with a single replica, and the answers to them, whose texts are those of
+//! release 0.2.0.
 
 use meadowstream_replication::change::Change;
 use meadowstream_replication::member::{Member, Settings};
@@ -9,7 +10,7 @@
 const NOW: u64 = 1_700_000_000_000_000_000;
 const OPERATOR: &str = "publish-1";
 
-/// Writes what is to be on disk and returns the answers to the operator.
+/// Persists the member's state and returns the queued messages to the operator.
 fn answers(member: &mut Member) -> Vec<Message> {
     while let Some(state) = member.unsaved_state() {
         member.on_persisted(&state, NOW);
@@ -21,7 +22,7 @@
         .collect()
 }
 
-/// The only replica of a fleet with one server and an operator's command; it leads.
+/// The leader of a fleet that consists of one replica, one server, and an operator's command.
 fn leader() -> Member {
     let settings = Settings::new(Location::default(), vec!["c0".to_string()]);
     let mut member = Member::new("c0", settings, 1, NOW, None).unwrap();
@@ -37,15 +38,15 @@
     RequestId { from: OPERATOR.to_string(), number }
 }
 
-/// What a message of the operator is answered.
-fn ask(member: &mut Member, message: &Message) -> Vec<Message> {
+/// Delivers a message from the operator and returns the answers.
+fn send_request(member: &mut Member, message: &Message) -> Vec<Message> {
     member.receive(NOW, OPERATOR, &message.encode());
     answers(member)
 }
 
 fn submit(member: &mut Member, number: u64, key: &str, value: &str) -> Vec<Message> {
     let changes = vec![Change::set(key, value)];
-    ask(member, &Message::Submit { request: request(number), part: 0, parts: 1, changes })
+    send_request(member, &Message::Submit { request: request(number), part: 0, parts: 1, changes })
 }
 
 fn committed(number: u64, at: u64) -> Vec<Message> {
@@ -58,7 +59,7 @@
     vec![Message::Submitted { request: request(number), outcome }]
 }
 
-/// The leader's first entry has number 1.
+/// The change has number 2, since the leader appends entry 1 when it is elected.
 #[test]
 fn a_change_is_answered_once_it_is_committed_and_a_repetition_commits_nothing() {
     let mut member = leader();
@@ -69,7 +70,7 @@
 }
 
 #[test]
-fn a_change_in_parts_is_committed_once_all_have_come() {
+fn a_change_in_parts_is_committed_once_all_parts_are_received() {
     let mut member = leader();
     let part = |part, key| Message::Submit {
         request: request(1),
@@ -77,18 +78,19 @@
         parts: 2,
         changes: vec![Change::set(key, "1")],
     };
-    assert_eq!(ask(&mut member, &part(1, "b")), []);
-    assert_eq!(ask(&mut member, &part(2, "c")), [], "there is no third part");
-    assert_eq!(ask(&mut member, &part(0, "a")), committed(1, 2));
+    assert_eq!(send_request(&mut member, &part(1, "b")), []);
+    assert_eq!(send_request(&mut member, &part(2, "c")), [], "a third of two parts is ignored");
+    assert_eq!(send_request(&mut member, &part(0, "a")), committed(1, 2));
     assert_eq!(member.log().state().iter().collect::<Vec<_>>(), [("a", "1"), ("b", "1")]);
 }
 
 #[test]
-fn a_revert_brings_back_the_values_before_the_change() {
+fn a_revert_restores_the_values_before_the_change() {
     let mut member = leader();
     submit(&mut member, 1, "k", "1");
     submit(&mut member, 2, "k", "2");
-    assert_eq!(ask(&mut member, &Message::Revert { request: request(3), number: 3 }), committed(3, 4));
+    let revert = Message::Revert { request: request(3), number: 3 };
+    assert_eq!(send_request(&mut member, &revert), committed(3, 4));
     assert_eq!(member.log().state().get("k"), Some("1"));
 }
 
@@ -99,21 +101,22 @@
     submit(&mut member, 1, "k", "1");
     submit(&mut member, 2, "k", "2");
     let revert = Message::Revert { request: request(3), number };
-    assert_eq!(ask(&mut member, &revert), rejected(3, reason));
-    assert_eq!(ask(&mut member, &revert), rejected(3, reason));
+    assert_eq!(send_request(&mut member, &revert), rejected(3, reason));
+    assert_eq!(send_request(&mut member, &revert), rejected(3, reason));
     assert_eq!(member.revision().number(), 3);
 }
 
-/// The operator's command takes no part; the server does until it has left polls unanswered.
+/// The status counts the server, which has reported, but not the operator's command, which applies no
+/// revisions.
 #[test]
-fn a_status_names_the_members_that_lag_and_the_start_of_their_reason() {
+fn a_status_lists_the_lagging_members_with_the_start_of_their_reason() {
     let mut member = leader();
     submit(&mut member, 1, "k", "1");
     let reason = "a reason that is longer than a status shows".to_string();
     let rejection = Some(Rejection { number: 2, reason });
     let report = Report { applied: 1, committed: 2, rejected: rejection };
     member.receive(NOW, "s1", &Message::Report { report, location: Location::default() }.encode());
-    let status = ask(&mut member, &Message::PollStatus { request: request(2) });
+    let status = send_request(&mut member, &Message::PollStatus { request: request(2) });
     let [Message::Status { number: 2, members: 1, applied: 0, lagging, .. }] = &status[..] else {
         panic!("{status:?}")
     };
@@ -122,7 +125,7 @@
 }
 
 #[test]
-fn a_replica_that_does_not_lead_names_no_leader_but_the_last_known() {
+fn a_replica_that_is_not_the_leader_answers_with_the_last_known_leader() {
     let mut member = leader();
     member.set_holds_lease(false);
     let expected = Message::NotLeader { request: request(1), leader: None };
--- a/crates/replication/tests/persistence.rs
+++ b/crates/replication/tests/persistence.rs
@@ -1,4 +1,4 @@
-//! Files that cannot be used are rejected with the reason.
+//! Encoding of state files: valid files are decoded, and invalid ones are rejected with the matching error.
 
 use meadowstream_replication::persistence::PersistedState;
 use meadowstream_replication::persistence::{DecodeError, decode, encode};
@@ -15,18 +15,18 @@
 }
 
 #[test]
-fn what_was_written_is_read() {
+fn a_written_state_is_read_back() {
     assert_eq!(decode(&encode(&saved())), Ok(saved()));
 }
 
 #[test]
-fn every_cut_and_every_changed_byte_is_found() {
+fn every_truncation_and_every_changed_byte_is_detected() {
     let bytes = encode(&saved());
-    (0..bytes.len()).for_each(|len| assert!(decode(&bytes[..len]).is_err(), "cut to {len}"));
+    (0..bytes.len()).for_each(|len| assert!(decode(&bytes[..len]).is_err(), "truncated to {len} bytes"));
     for at in 0..bytes.len() {
         let mut changed = bytes.clone();
         changed[at] ^= 1;
-        assert!(decode(&changed).is_err(), "byte {at}");
+        assert!(decode(&changed).is_err(), "changed byte {at}");
     }
 }
 
@@ -40,7 +40,7 @@
     let mut changed = bytes.clone();
     *changed.last_mut().unwrap() ^= 1;
     assert_eq!(decode(&changed), Err(DecodeError::Checksum));
-    let mut strange = saved();
-    strange.committed.revision.hash = State::default().hash();
-    assert_eq!(decode(&encode(&strange)), Err(DecodeError::Content));
+    let mut with_wrong_hash = saved();
+    with_wrong_hash.committed.revision.hash = State::default().hash();
+    assert_eq!(decode(&encode(&with_wrong_hash)), Err(DecodeError::Content));
 }
--- a/crates/replication/tests/replica.rs
+++ b/crates/replication/tests/replica.rs
@@ -1,5 +1,5 @@
-//! One replica by itself, message by message: what it sends only once its state is on disk, and what it
-//! counts as committed.
+//! Tests of a single replica, message by message: which messages it sends only after its state is on disk,
+//! and which entries it treats as committed.
 
 use meadowstream_replication::change::Change;
 use meadowstream_replication::entry::Entry;
@@ -16,14 +16,14 @@
     Member::new("s0", Settings::new(Location::default(), replicas), 1, NOW, disk).unwrap()
 }
 
-/// Messages between replicas that go out now.
+/// The messages between replicas among the queued ones.
 fn replica_messages(member: &mut Member) -> Vec<Message> {
-    let all = member.take_outgoing().into_iter().filter_map(|one| Message::decode(&one.body));
+    let all = member.take_outgoing().into_iter().filter_map(|outgoing| Message::decode(&outgoing.body));
     all.filter(|message| !matches!(message, Message::Digest { .. } | Message::Report { .. })).collect()
 }
 
 fn persist(member: &mut Member) -> PersistedState {
-    let saved = member.unsaved_state().expect("something to save");
+    let saved = member.unsaved_state().expect("the state has changed");
     member.on_persisted(&saved, NOW);
     saved
 }
@@ -43,23 +43,23 @@
     }
 }
 
-/// Otherwise a replica that forgets its promise with a restart would store for an earlier leader what the
-/// later one does not know of.
+/// A replica that lost its promise in a restart would store entries of an earlier leader that the later
+/// leader does not know about.
 #[test]
-fn a_promise_is_on_disk_before_it_is_given() {
+fn a_promise_is_on_disk_before_it_is_sent() {
     let mut member = replica(None);
     deliver(&mut member, "s1", Message::Prepare { epoch: 7, after: 0 });
-    assert!(replica_messages(&mut member).is_empty(), "nothing is promised before it is written");
+    assert!(replica_messages(&mut member).is_empty(), "no promise is sent before it is on disk");
     assert_eq!(persist(&mut member).promised, 7);
     assert!(matches!(replica_messages(&mut member)[..], [Message::Promise { epoch: 7, .. }]));
-    let mut again = replica(Some(PersistedState { promised: 7, ..PersistedState::default() }));
+    let mut restarted = replica(Some(PersistedState { promised: 7, ..PersistedState::default() }));
     deliver(
-        &mut again,
+        &mut restarted,
         "s2",
         Message::Append { epoch: 5, previous: Position::default(), entries: vec![entry(5, 1)], committed: 1 },
     );
-    assert!(matches!(replica_messages(&mut again)[..], [Message::EpochRejected { promised: 7 }]));
-    assert_eq!(again.revision().position.number, 0);
+    assert!(matches!(replica_messages(&mut restarted)[..], [Message::EpochRejected { promised: 7 }]));
+    assert_eq!(restarted.revision().position.number, 0);
 }
 
 #[test]
@@ -74,7 +74,7 @@
     assert!(matches!(replica_messages(&mut member)[..], [Message::Appended { epoch: 4, number: 1 }]));
 }
 
-/// A leader of this epoch, with what was on its disk.
+/// A replica started with the state `disk` and elected leader, and its epoch.
 fn leader(disk: Option<PersistedState>) -> (Member, u64) {
     let mut member = replica(disk);
     member.set_holds_lease(true);
@@ -88,25 +88,26 @@
     (member, epoch)
 }
 
-/// One other's acknowledgement and the leader's own disk are a majority, one without the other is none.
+/// Of three replicas, the leader and one other form a majority. The leader counts only once its entry is on
+/// disk.
 #[test]
 fn a_leader_s_own_entry_counts_once_it_is_on_disk() {
     let (mut member, epoch) = leader(None);
     deliver(&mut member, "s1", Message::Appended { epoch, number: 1 });
-    assert_eq!(member.revision().position.number, 0, "its own is not on disk yet");
+    assert_eq!(member.revision().position.number, 0, "the leader's own entry is not on disk yet");
     persist(&mut member);
     assert_eq!(member.revision().position, Position { epoch, number: 1 });
 }
 
-/// Otherwise an entry of an earlier epoch that a majority stores would count as committed, and a leader with
-/// another entry of an epoch between would replace it.
+/// If an entry of an earlier epoch were committed as soon as a majority stores it, a leader with a different
+/// entry from an epoch in between could still replace it.
 #[test]
-fn an_entry_of_an_earlier_epoch_is_committed_by_one_of_its_own_alone() {
+fn an_entry_of_an_earlier_epoch_is_committed_only_by_an_entry_of_the_leader_s_own_epoch() {
     let disk = PersistedState { promised: 1, entries: vec![entry(1, 1)], ..PersistedState::default() };
     let (mut member, epoch) = leader(Some(disk));
     persist(&mut member);
     deliver(&mut member, "s1", Message::Appended { epoch, number: 1 });
-    assert_eq!(member.revision().position.number, 0, "an entry of epoch 1 is not committed by its copies");
+    assert_eq!(member.revision().position.number, 0, "a majority alone does not commit an entry of epoch 1");
     deliver(&mut member, "s1", Message::Appended { epoch, number: 2 });
     assert_eq!(member.revision().position, Position { epoch, number: 2 });
 }
--- a/crates/replication/tests/snapshot_transfer.rs
+++ b/crates/replication/tests/snapshot_transfer.rs
@@ -1,4 +1,4 @@
-//! Which member the next chunk of a checkpoint is requested from.
+//! Selection of the member from which the next chunk of a checkpoint is requested.
 
 use meadowstream_replication::revision::{Position, Revision};
 use meadowstream_replication::snapshot_transfer::{ChunkOutcome, SnapshotTransfer};
@@ -24,14 +24,14 @@
 }
 
 #[test]
-fn the_member_that_answered_in_place_of_a_lost_source_is_asked_again() {
+fn the_member_that_answered_instead_of_a_lost_source_is_the_next_source() {
     let mut transfer = transfer(&content());
     assert_eq!(transfer.source().map(String::as_str), Some("offerer"));
     let after = transfer.request_chunk("offerer", 0);
-    // No answer: the next request goes to a member that may not hold the checkpoint.
+    // The offering member does not answer, so the next request goes to another member.
     assert!(!transfer.is_due(SECOND / 2) && transfer.is_due(SECOND));
-    let again = transfer.request_chunk("neighbour", SECOND);
-    assert_eq!((after, again, transfer.source()), (None, None, None));
+    let after_repeated = transfer.request_chunk("neighbour", SECOND);
+    assert_eq!((after, after_repeated, transfer.source()), (None, None, None));
     assert_eq!(transfer.on_chunk(NUMBER, &None, &chunk("a", false)), ChunkOutcome::Continue);
     assert_eq!(transfer.source().map(String::as_str), Some("neighbour"));
     assert_eq!(transfer.request_chunk("neighbour", SECOND), Some(Text::from("a")));
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_chunk_that_was_not_requested_names_no_source() {
+fn a_chunk_that_was_not_requested_does_not_set_the_source() {
     let mut transfer = transfer(&content());
     transfer.request_chunk("offerer", 0);
     transfer.request_chunk("neighbour", SECOND);
