--- a/crates/membership/src/directory.rs
+++ b/crates/membership/src/directory.rs
@@ -1,6 +1,6 @@
-//! Names and addresses of the members that are not down, for callers that send to members by name. It is read
-//! again only when the view has changed, since a lookup in foca's list is linear in the fleet's size
-//! (`docs/CAPACITY.md`).
+//! Directory of the names and addresses of the members that are not down, for callers that address members by
+//! name. The directory caches the view, since a lookup in foca's member list takes time linear in the size of
+//! the fleet (`docs/CAPACITY.md`). It is rebuilt only after the view has changed.
 
 use crate::{Membership, Nanos};
 use foca::State;
@@ -8,38 +8,38 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Longest time between two readings of the view, in case a change was not noticed.
+/// Age at which the directory is rebuilt even without a noticed change of the view, in case one was missed.
 const AGE_MAX_NS: Nanos = 10_000_000_000;
 
-/// Addresses of the members alive or suspect, by name.
+/// Addresses of the alive and suspect members, by name.
 #[derive(Debug, Default)]
 pub struct Directory {
     names: Arc<Vec<String>>,
     addresses: HashMap<String, SocketAddr>,
-    last_read: Option<Reading>,
+    built_from: Option<ViewVersion>,
 }
 
-/// The view that a directory was read from.
+/// Identifies the state of the view from which a directory was built.
 #[derive(Debug)]
-struct Reading {
+struct ViewVersion {
     last_change: Nanos,
     active_members: usize,
-    read_at: Nanos,
+    built_at: Nanos,
 }
 
 impl Directory {
-    /// Reads the view again if it has changed; true where it was read.
+    /// Rebuilds the directory if the view has changed. Returns whether the directory was rebuilt.
     pub fn refresh(&mut self, membership: &Membership, now: Nanos) -> bool {
         let (last_change, active_members) = (membership.last_change(), membership.active_members());
-        let is_current = self.last_read.as_ref().is_some_and(|reading| {
-            reading.last_change == last_change
-                && reading.active_members == active_members
-                && now < reading.read_at.saturating_add(AGE_MAX_NS)
+        let is_current = self.built_from.as_ref().is_some_and(|version| {
+            version.last_change == last_change
+                && version.active_members == active_members
+                && now < version.built_at.saturating_add(AGE_MAX_NS)
         });
         if is_current {
             return false;
         }
-        self.last_read = Some(Reading { last_change, active_members, read_at: now });
+        self.built_from = Some(ViewVersion { last_change, active_members, built_at: now });
         let members = membership.foca.iter_members().filter(|member| member.state() != State::Down);
         self.addresses = members.map(|member| (member.id().name.clone(), member.id().addr)).collect();
         let mut names: Vec<String> = self.addresses.keys().cloned().collect();
@@ -48,12 +48,12 @@
         true
     }
 
-    /// Names of the members alive or suspect, this server excluded, sorted.
+    /// Names of the alive and suspect members, excluding this server, sorted.
     pub fn names(&self) -> &Arc<Vec<String>> {
         &self.names
     }
 
-    /// Address of a member alive or suspect.
+    /// Address of an alive or suspect member; `None` for any other name.
     pub fn address(&self, name: &str) -> Option<SocketAddr> {
         self.addresses.get(name).copied()
     }
--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -1,5 +1,6 @@
-//! Sending within the bound on bytes a second. Gossip and lists of members wait for the budget; probes, their
-//! answers and verdicts are charged to it but never wait, so that failure detection keeps its time.
+//! Sending of datagrams within a budget of bytes per second. Gossip and lists of members are postponed when
+//! the budget is used up. Probes, their answers and verdicts are charged to the budget but always sent at
+//! once, so that failure detection is not delayed.
 
 use crate::envelope::{ENVELOPE_BYTES, PayloadKind};
 use crate::settings::{GOSSIP_MEMBERS, Settings};
@@ -7,16 +8,16 @@
 use meadowstream_rate_limit::SlidingWindow;
 use std::net::SocketAddr;
 
-/// Estimated size of one update of a member in a packet of gossip.
+/// Estimated size of one member update in a gossip packet, in bytes.
 const UPDATE_BYTES: usize = 64;
-/// The budget is divided by this for the part that only probes, answers and verdicts may use.
+/// Divisor of the budget that yields the reserve, which only probes, their answers and verdicts may use.
 const RESERVE_DIVISOR: u64 = 8;
 
-/// Bytes that the view's own datagrams may take in any second.
+/// Budget of bytes per second for the datagrams of the membership protocol.
 pub(crate) struct SendBudget {
     window: SlidingWindow,
     bytes_per_second: u64,
-    /// Longest body of a packet of gossip, in bytes.
+    /// Longest body of a gossip packet, in bytes.
     gossip_packet_bytes: usize,
     gossip_period: Nanos,
 }
@@ -35,7 +36,8 @@
         self.gossip_period
     }
 
-    /// Bytes that datagrams which may wait can take now, outside the reserve.
+    /// Number of bytes currently available to datagrams that can be postponed: the budget without the
+    /// reserve.
     pub(crate) fn available(&mut self, now: Nanos) -> u64 {
         self.window.available(now).saturating_sub(self.bytes_per_second / RESERVE_DIVISOR)
     }
@@ -44,7 +46,8 @@
         self.window.force_acquire(bytes, now);
     }
 
-    /// Whether a round of gossip with so many updates fits; with few updates its packets are short.
+    /// Whether the budget allows a gossip round with this number of updates. Packets with few updates are
+    /// short.
     fn allows_gossip(&mut self, updates: usize, now: Nanos) -> bool {
         let body = (UPDATE_BYTES * (updates + 1)).min(self.gossip_packet_bytes);
         let round = GOSSIP_MEMBERS * (body + ENVELOPE_BYTES);
@@ -57,7 +60,8 @@
         self.budget.allows_gossip(self.foca.updates_backlog(), self.now)
     }
 
-    /// Seals a body and queues the datagram. Shared state is not charged: its sender has a budget of its own.
+    /// Seals a body and queues the datagram. Shared state is not charged to the budget, because its sender
+    /// has a budget of its own.
     pub(crate) fn send(&mut self, to: SocketAddr, kind: PayloadKind, body: &[u8]) {
         self.sequence += 1;
         let incarnation = self.identity().incarnation;
--- a/crates/membership/src/envelope.rs
+++ b/crates/membership/src/envelope.rs
@@ -1,6 +1,6 @@
-//! The datagram around each message: versioned, length-checked, numbered against replays, and authenticated
-//! by HMAC-SHA256 over the fleet's name and every byte before the tag. Peers are untrusted: a datagram that
-//! fails a check is dropped with a reason that is counted, and never causes a panic.
+//! The datagram format that encloses each message. Datagrams carry a version, a length, a sequence number
+//! against replays, and an HMAC-SHA256 tag over the fleet's name and all bytes before the tag. Peers are
+//! untrusted: a datagram that fails a check is dropped and counted by reason, and never causes a panic.
 //!
 //! Layout of version 1, integers little-endian (a header of 30 bytes, the body, a tag of 32 bytes):
 //!
@@ -9,31 +9,31 @@
 //! | 0..2 | `MS`, the magic |
 //! | 2 | version, 1 |
 //! | 3 | kind of payload: 0 SWIM, 1 anti-entropy, 2 shared state |
-//! | 4..12 | fleet mark: the first 8 bytes of SHA-256 of the fleet's name |
+//! | 4..12 | fleet mark: the first 8 bytes of the SHA-256 digest of the fleet's name |
 //! | 12..20 | the sender's incarnation |
 //! | 20..28 | the sender's sequence number within that incarnation |
-//! | 28..30 | length of the body in bytes |
-//! | 30..30+len | the body in postcard: of foca, of [`crate::messages`], or of shared state |
-//! | then 32 | HMAC-SHA256(key, fleet name, bytes 0..30+len) |
+//! | 28..30 | length `len` of the body in bytes |
+//! | 30..30+len | the body in postcard: a message of foca, of [`crate::messages`], or of shared state |
+//! | next 32 | the tag: HMAC-SHA256(key, fleet name, bytes 0..30+len) |
 
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::{Digest, Sha256};
 use std::ops::Range;
 
-/// First bytes of each datagram.
+/// First bytes of every datagram.
 pub const MAGIC: [u8; 2] = *b"MS";
-/// Version of the layout that this build reads and writes.
+/// Version of the datagram layout that this build reads and writes.
 pub const VERSION: u8 = 1;
 
-/// Kind of the payload in a datagram's body. A kind that a build does not know is dropped as
-/// [`DropReason::Version`], so that an older server goes on working beside a newer one.
+/// Kind of the payload in a datagram's body. A build drops datagrams with an unknown kind as
+/// [`DropReason::Version`], so that older and newer servers can work in the same fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PayloadKind {
-    /// A message of foca's.
+    /// A message of foca.
     Swim = 0,
     /// An [`crate::messages::AntiEntropyMessage`].
     AntiEntropy = 1,
-    /// A body of shared state, which this crate transports unread.
+    /// A body of shared state, whose content this crate does not interpret.
     SharedState = 2,
 }
 
@@ -45,11 +45,11 @@
     }
 }
 
-/// Bytes before the body.
+/// Size of the header before the body, in bytes.
 pub const HEADER_BYTES: usize = 30;
-/// Bytes of the tag behind the body.
+/// Size of the tag after the body, in bytes.
 pub const TAG_BYTES: usize = 32;
-/// Bytes that a datagram has beside its body.
+/// Size of the header and the tag together, in bytes.
 pub const ENVELOPE_BYTES: usize = HEADER_BYTES + TAG_BYTES;
 /// Largest UDP payload over IPv4, in bytes.
 pub const DATAGRAM_BYTES_MAX: usize = 65_507;
@@ -71,33 +71,33 @@
     /// Longer than the settings or UDP allow.
     #[error("longer than the settings or UDP allow")]
     Oversized,
-    /// Another magic.
+    /// Does not start with [`MAGIC`].
     #[error("not a datagram of this protocol")]
     Magic,
-    /// A version or a kind of payload that this build does not know.
-    #[error("a version or kind of payload that this build does not know")]
+    /// The version or the kind of payload is unknown to this build.
+    #[error("the version or the kind of payload is unknown to this build")]
     Version,
-    /// The declared length of the body is not the length received.
+    /// The length of the body in the header does not match the size of the datagram.
     #[error("the declared length is not the length received")]
     Length,
-    /// The mark of another fleet.
-    #[error("of another fleet")]
+    /// The fleet mark is that of another fleet.
+    #[error("the datagram belongs to another fleet")]
     Fleet,
-    /// The tag does not match: forged, corrupted, or sealed with another key.
+    /// The tag does not match: the datagram is forged, corrupted, or sealed with another key.
     #[error("the tag does not match")]
     Tag,
-    /// A sequence number already accepted or too old, or an incarnation older than one seen from that
-    /// address.
+    /// The sequence number was already accepted or is too old, or the incarnation is older than one already
+    /// received from the address.
     #[error("a replay")]
     Replay,
-    /// Authentic, but dropped behind the envelope: foca or anti-entropy rejected its payload, or too many
-    /// bodies of shared state wait for the caller, which is no fault of the sender's.
+    /// The datagram is authentic, but its payload was dropped: foca or anti-entropy rejected it, or too many
+    /// bodies of shared state wait for the caller, which is not the sender's fault.
     #[error("the payload was rejected")]
     Protocol,
 }
 
 impl DropReason {
-    /// Every reason, in the order of the counts in the log.
+    /// All reasons, in the order in which the log lists their counts.
     pub const ALL: [DropReason; 9] = [
         DropReason::Short,
         DropReason::Oversized,
@@ -121,8 +121,8 @@
 }
 
 impl Sealer {
-    /// A sealer for bodies of at most `body_max` bytes, itself at most [`DATAGRAM_BYTES_MAX`] less
-    /// [`ENVELOPE_BYTES`].
+    /// Creates a sealer for bodies of at most `body_max` bytes. A larger limit is reduced to
+    /// [`DATAGRAM_BYTES_MAX`] minus [`ENVELOPE_BYTES`].
     pub fn new(fleet: &str, key: &[u8], body_max: usize) -> Sealer {
         let digest = Sha256::digest(fleet.as_bytes());
         let mut fleet_mark = [0; 8];
@@ -132,12 +132,12 @@
         Sealer { fleet: fleet.as_bytes().to_vec(), fleet_mark, key, body_max }
     }
 
-    /// Longest body that is sealed or opened, in bytes.
+    /// Maximum size of a body that is sealed or opened, in bytes.
     pub fn body_max(&self) -> usize {
         self.body_max
     }
 
-    /// The HMAC over the fleet's name and `bytes`.
+    /// Computes the HMAC over the fleet's name and `bytes`.
     fn authenticate(&self, bytes: &[u8]) -> Hmac<Sha256> {
         let mut mac = self.key.clone();
         mac.update(&(self.fleet.len() as u32).to_le_bytes());
@@ -146,7 +146,7 @@
         mac
     }
 
-    /// The datagram for `body`; `None` where the body is longer than allowed.
+    /// Encloses a body in an authenticated datagram. Returns `None` if the body is longer than allowed.
     pub fn seal(&self, kind: PayloadKind, incarnation: u64, sequence: u64, body: &[u8]) -> Option<Vec<u8>> {
         if body.len() > self.body_max {
             return None;
@@ -165,7 +165,10 @@
         Some(datagram)
     }
 
-    /// The content of a datagram that passes every check but the one for replays.
+    /// Checks a datagram and returns its content. The check for replays is left to the caller.
+    ///
+    /// # Errors
+    /// The first check that the datagram fails.
     pub fn open<'a>(&self, datagram: &'a [u8]) -> Result<OpenedDatagram<'a>, DropReason> {
         if datagram.len() > self.body_max + ENVELOPE_BYTES {
             return Err(DropReason::Oversized);
@@ -201,7 +204,7 @@
 }
 
 fn read_u64(datagram: &[u8], range: Range<usize>) -> u64 {
-    let bytes = datagram[range].try_into().expect("the ranges of the header's numbers are 8 bytes long");
+    let bytes = datagram[range].try_into().expect("both numeric ranges of the header are 8 bytes long");
     u64::from_le_bytes(bytes)
 }
 
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -7,17 +7,18 @@
 /// Longest name of a member, in bytes.
 pub const NAME_BYTES_MAX: usize = 64;
 
-/// Identity of a member. Two identities at one address are one member, of which the higher incarnation wins:
-/// a server restarted under its old name and address replaces its earlier incarnation as soon as it is heard
-/// of.
+/// Identity of a member. Two identities with the same address are the same member, and the higher incarnation
+/// wins. A server that restarts under its old name and address therefore replaces its earlier incarnation in
+/// another member's view as soon as that member learns of the new one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MemberId {
-    /// Name of the server, 1 to [`NAME_BYTES_MAX`] bytes; empty where only the address of a seed is known.
+    /// Name of the server, of 1 to [`NAME_BYTES_MAX`] bytes; empty for a seed of which only the address is
+    /// known.
     pub name: String,
-    /// Address that its datagrams go to.
+    /// Address to which datagrams for the member are sent.
     pub addr: SocketAddr,
-    /// One start of the process: its start time in nanoseconds since the epoch. It is raised by one when the
-    /// fleet has declared this identity down while the process lived.
+    /// Identifies one start of the process: the start time in nanoseconds since the Unix epoch. Incremented
+    /// by one when the fleet has declared this identity down although the process is running.
     pub incarnation: u64,
 }
 
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,20 +1,20 @@
-//! The fleet's view as each server keeps it: SWIM with suspicion and piggybacked updates, by the `foca`
-//! crate.
+//! Fleet membership: each server's view of the members of the fleet. The protocol is SWIM with suspicion and
+//! piggybacked updates, as implemented by the `foca` crate.
 //!
-//! [`Membership`] is a state machine without I/O or clock. Datagrams and the time go in by
-//! [`Membership::handle_datagram`] and [`Membership::handle_timeout`]; datagrams to send, changes of the view
-//! and bodies of shared state come out by [`Membership::take_transmits`], [`Membership::take_changes`] and
-//! [`Membership::take_shared_state`]; [`Membership::poll_timeout`] names the next deadline. Times are whole
-//! nanoseconds of the caller's clock.
+//! [`Membership`] is a state machine without I/O or clock. The caller passes in received datagrams and the
+//! time with [`Membership::handle_datagram`] and [`Membership::handle_timeout`]. It takes out datagrams to
+//! send, changes of the view and received bodies of shared state with [`Membership::take_transmits`],
+//! [`Membership::take_changes`] and [`Membership::take_shared_state`]. [`Membership::poll_timeout`] returns
+//! the next deadline. Times are whole nanoseconds of the caller's clock.
 //!
-//! What this crate adds to foca:
+//! This crate adds to foca:
 //!
-//! - [`MemberId`]: name, address and incarnation; at one address the later incarnation wins;
-//! - [`envelope`] and [`replay_window`]: an authenticated, versioned and numbered datagram;
-//! - [`messages`] and [`digest`]: anti-entropy between views, and verdicts sent to the member concerned;
-//! - a bound on the bytes sent in a second, a timer queue, and counts of dropped datagrams by reason.
+//! - [`MemberId`]: a member's name, address and incarnation; at one address the later incarnation wins;
+//! - [`envelope`] and [`replay_window`]: authenticated, versioned and numbered datagrams;
+//! - [`messages`] and [`digest`]: anti-entropy between views, and verdicts sent to the affected members;
+//! - a limit on the bytes sent per second, a timer queue, and counts of dropped datagrams by reason.
 //!
-//! `docs/membership.md` has the design, the alternatives and the bounds.
+//! `docs/membership.md` describes the design, the alternatives that were considered, and the bounds.
 #![deny(missing_docs, clippy::too_many_lines)]
 
 mod anti_entropy;
@@ -49,19 +49,19 @@
 use suspicion::Suspicions;
 use view::StateSince;
 
-/// Nanoseconds by the caller's clock, which does not go back.
+/// Nanoseconds of the caller's monotonic clock; also a duration in nanoseconds.
 pub type Nanos = u64;
 
-/// Why a [`Membership`] cannot be made.
+/// Reason why a [`Membership`] cannot be created.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum MembershipError {
-    /// A setting that cannot be used.
+    /// A setting is invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// The member's own name is empty or too long.
     #[error("name: 1 to {NAME_BYTES_MAX} bytes, not {bytes}")]
     Name {
-        /// Length of the name given.
+        /// Length of the name, in bytes.
         bytes: usize,
     },
 }
@@ -69,62 +69,67 @@
 /// A datagram to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Transmit {
-    /// Address that the datagram goes to.
+    /// Destination address.
     pub to: SocketAddr,
-    /// The datagram, sealed.
+    /// The sealed datagram.
     pub datagram: Vec<u8>,
 }
 
-/// Timers fire in the order of their deadline, and of their scheduling where that is the same.
+/// Key that orders timers by deadline. Timers with the same deadline fire in the order of their scheduling.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct TimerKey {
     deadline: Nanos,
     sequence: u64,
 }
 
-/// The membership of one server.
+/// One server's view of the fleet, and its part in the membership protocol.
 pub struct Membership {
     foca: Foca<MemberId, PostcardCodec, ChaCha8Rng, foca::NoCustomBroadcast>,
-    /// The latest time that the caller has given.
+    /// The latest time passed in by the caller.
     now: Nanos,
     rng: ChaCha8Rng,
     probe_period: Nanos,
     announce_period: Nanos,
 
-    // What is due when.
+    // Timers and deadlines.
     timers: BTreeMap<TimerKey, Timer<MemberId>>,
-    /// Number of the last timer scheduled.
+    /// Sequence number of the last timer scheduled.
     timer_sequence: u64,
-    /// When the view is next compared with another member's.
+    /// When this member next compares its view with another member's.
     anti_entropy_at: Nanos,
     rejoin: SeedRejoin,
     suspicions: Suspicions,
 
-    // Datagrams in and out.
+    // Incoming and outgoing datagrams.
     sealer: Sealer,
     replay_windows: ReplayWindows,
-    /// Number of the last datagram sealed under the present incarnation.
+    /// Sequence number of the last datagram sealed in the current incarnation.
     sequence: u64,
     budget: SendBudget,
     transmits: Vec<Transmit>,
-    /// Bodies of shared state received and not yet taken by the caller.
+    /// Received bodies of shared state that the caller has not taken yet.
     shared_state_bodies: Vec<Vec<u8>>,
 
-    // The view as the caller reads it.
+    // The view as presented to the caller.
     changes: Vec<ViewChange>,
     state_since: HashMap<SocketAddr, StateSince>,
     last_change: Nanos,
     counts: Counts,
 }
 
-/// Replay windows kept for each expected member: some for addresses that members have left.
+/// Number of replay windows kept per expected member. More than one, because addresses that members no longer
+/// use keep their windows for a while.
 const REPLAY_WINDOWS_PER_MEMBER: usize = 4;
 const REPLAY_WINDOWS_MIN: usize = 64;
-/// Sets the random draws of this crate apart from foca's, which start from the same seed.
+/// Combined with the seed by exclusive or, so that this crate's random numbers differ from foca's, which are
+/// generated from the same seed.
 const RNG_STREAM: u64 = 0x0065_7863_6861_6e67;
 
 impl Membership {
-    /// A member that knows no other yet. An error names the setting that cannot be used.
+    /// Creates a member that does not know any other member yet.
+    ///
+    /// # Errors
+    /// If a setting or the length of the member's name is invalid.
     pub fn new(me: MemberId, settings: &Settings, seed: u64, now: Nanos) -> Result<Self, MembershipError> {
         settings.check()?;
         let bytes = me.name.len();
@@ -156,7 +161,7 @@
         })
     }
 
-    /// This server's own identity, with its present incarnation.
+    /// This server's own identity, with its current incarnation.
     pub fn identity(&self) -> &MemberId {
         self.foca.identity()
     }
--- a/crates/membership/src/messages.rs
+++ b/crates/membership/src/messages.rs
@@ -1,64 +1,67 @@
-//! Messages that members exchange beside SWIM's, where gossip alone does not make views agree:
+//! Messages that members exchange in addition to those of SWIM, for cases in which gossip alone does not make
+//! the views agree:
 //!
-//! - **Anti-entropy.** Once an announce period each member sends one other (alive or down) the digest of its
-//!   view. Where the digests differ, both send the members of the differing buckets. Two views that agree
-//!   cost one datagram.
-//! - **Verdicts on a member that is down.** A member that holds another down, and receives it as alive in a
-//!   list of members, notifies both: the one that is down takes its next incarnation, the one that sent
-//!   the list suspects it.
-//! - **Verdicts on a suspect.** The prober notifies its suspect several times within the suspicion, and the
-//!   suspect answers, so that a refutation does not depend on gossip.
+//! - **Anti-entropy.** Once per announce period each member sends a digest of its view to one other member,
+//!   alive or down. If the digests differ, both members send each other the members of the differing buckets.
+//!   If the views agree, the comparison costs one datagram.
+//! - **Verdicts on a member that is down.** When the receiver of a list finds a member in it that the
+//!   receiver has recorded as down, it sends a verdict on that member to the member itself and to the sender
+//!   of the list. The member itself takes its next incarnation, and the sender of the list suspects it.
+//! - **Verdicts on a suspect.** The prober notifies its suspect several times within the suspicion time, and
+//!   the suspect answers directly, so that a refutation does not depend on gossip.
 
 use crate::MemberId;
 use crate::digest::BUCKETS;
 use foca::Member;
 use serde::{Deserialize, Serialize};
 
-/// Datagrams of members that one digest is answered with, at most.
+/// Maximum number of datagrams with members that are sent in answer to one digest.
 pub const ANSWERS_MAX: usize = 64;
-/// Bytes of a list's length in postcard beyond that of an empty list, with a byte to spare.
+/// Bytes reserved for the encoded length of a list, in addition to the length prefix of an empty list. One
+/// byte more than needed.
 const LIST_LENGTH_BYTES: usize = 4;
 
-/// A message with its sender.
+/// An anti-entropy message with its sender.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AntiEntropyMessage {
     /// The sender; answers go to its address.
     pub from: MemberId,
-    /// What it sends.
+    /// The content of the message.
     pub payload: AntiEntropyPayload,
 }
 
-/// The messages. postcard numbers variants and fields by position: their order is the wire format.
+/// Payload of an anti-entropy message. postcard identifies variants and fields by their position, so their
+/// order is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum AntiEntropyPayload {
     /// The digest of the sender's view.
     Digest {
-        /// A hash for each of [`BUCKETS`] buckets.
+        /// One hash for each of the [`BUCKETS`] buckets.
         bucket_hashes: Vec<u32>,
     },
-    /// Members alive or suspect in the sender's view, of buckets that differ.
+    /// Alive and suspect members in the sender's view, from buckets in which the views differ.
     Members {
-        /// A bit for each bucket of which the receiver is to send its own members.
+        /// Bit set of the buckets whose members the receiver is requested to send.
         requested_buckets: u64,
-        /// The sender's members.
+        /// The members in the sender's view.
         members: Vec<Member<MemberId>>,
     },
-    /// The sender holds this member suspect or down. The member itself may refute it; another member that
-    /// holds it alive suspects it where it is down.
+    /// A member that the sender has recorded as suspect or down. The member itself can refute the verdict. If
+    /// the member is down, any other receiver that has recorded it as alive suspects it.
     Verdict {
-        /// The member in the state that the sender holds it in.
+        /// The member with its state in the sender's view.
         member: Member<MemberId>,
     },
 }
 
 impl AntiEntropyMessage {
-    /// The message in postcard.
+    /// Encodes the message with postcard.
     pub fn encode(&self) -> Vec<u8> {
-        postcard::to_allocvec(self).expect("every type of a message is one that postcard writes")
+        postcard::to_allocvec(self).expect("postcard can encode every type in a message")
     }
 
-    /// Reads a message; `None` where the bytes are truncated, have a rest behind the message, or are a digest
-    /// of another size.
+    /// Decodes a message. Returns `None` if the bytes are truncated, invalid or followed by other bytes, or
+    /// contain a digest with a wrong number of buckets.
     pub fn decode(bytes: &[u8]) -> Option<AntiEntropyMessage> {
         let (message, rest) = postcard::take_from_bytes::<AntiEntropyMessage>(bytes).ok()?;
         if !rest.is_empty() {
@@ -71,16 +74,16 @@
     }
 }
 
-/// Encoded messages that hold the members in as few datagrams as possible, each body within `body_max` bytes.
-/// The first one carries the requested buckets. At most [`ANSWERS_MAX`] are made; members beyond them wait
-/// for a later exchange.
+/// Encodes `members` as [`AntiEntropyPayload::Members`] messages, filling each body up to `body_max` bytes.
+/// The first message carries `requested_buckets`. At most [`ANSWERS_MAX`] messages are returned; members that
+/// do not fit into them are left to a later exchange.
 pub fn encode_members(
     from: &MemberId,
     requested_buckets: u64,
     members: &[Member<MemberId>],
     body_max: usize,
 ) -> Vec<Vec<u8>> {
-    // The head of the longest encoding, whatever the first one requests.
+    // The longest possible header, so that any value of `requested_buckets` fits.
     let head_bytes = encode_list(from, u64::MAX, Vec::new()).len() + LIST_LENGTH_BYTES;
     let list_bytes_max = body_max.saturating_sub(head_bytes);
     let mut bodies = Vec::new();
@@ -111,5 +114,5 @@
 }
 
 fn encoded_len(member: &Member<MemberId>) -> usize {
-    postcard::to_allocvec(member).expect("every type of a member is one that postcard writes").len()
+    postcard::to_allocvec(member).expect("postcard can encode every type in a member").len()
 }
--- a/crates/membership/src/rejoin.rs
+++ b/crates/membership/src/rejoin.rs
@@ -1,17 +1,18 @@
-//! Announces to the seeds: at the start, and again while no member is known, since the first announce may be
-//! lost on the way.
+//! Announcements to the seeds: at the start, and repeatedly while no other member is known, since the first
+//! announcement may be lost.
 
 use crate::runtime::FocaEffects;
 use crate::{MemberId, Membership, Nanos};
 use std::net::SocketAddr;
 
-/// The seeds, and when they are next announced to.
+/// The seeds, and the schedule of announcements to them.
 pub(crate) struct SeedRejoin {
-    /// Addresses of the seeds, this server's own excluded.
+    /// Addresses of the seeds, excluding this server's own.
     pub(crate) seeds: Vec<SocketAddr>,
-    /// When to look again whether any member is known; absent before the join and without seeds.
+    /// When to check again whether any other member is known; `None` before the join and if there are no
+    /// seeds.
     at: Option<Nanos>,
-    /// Backoff before the next announce.
+    /// Delay before the next announcement.
     backoff: Nanos,
 }
 
@@ -31,7 +32,8 @@
 }
 
 impl Membership {
-    /// Announces to the seeds again, with a doubled backoff, while no member is known.
+    /// If the check is due and no other member is known, announces to the seeds again and doubles the
+    /// backoff.
     pub(crate) fn rejoin_if_due(&mut self) {
         if self.rejoin.at.is_none_or(|at| at > self.now) {
             return;
@@ -53,11 +55,11 @@
         }
     }
 
-    /// Announces this server to an address whose member is not known yet.
+    /// Announces this server to the member at an address whose identity is not known yet.
     pub(crate) fn announce_to(&mut self, addr: SocketAddr) {
         let unknown = MemberId { name: String::new(), addr, incarnation: 0 };
         let mut effects = FocaEffects::default();
-        // Best effort: while no member is known the announcement is repeated.
+        // Best effort: the announcement is repeated while no other member is known.
         let _ = self.foca.announce(unknown, &mut effects);
         self.apply(effects);
     }
--- a/crates/membership/src/runtime.rs
+++ b/crates/membership/src/runtime.rs
@@ -1,4 +1,4 @@
-//! What foca asks of its host while it handles an event, and how it is carried out.
+//! The effects that foca requests while it handles an event, and their execution.
 
 use crate::envelope::PayloadKind;
 use crate::identity::MemberId;
@@ -7,7 +7,7 @@
 use foca::{Notification, Runtime, Timer};
 use std::time::Duration;
 
-/// Packets, timers and changes of the view that one call of foca asked for.
+/// Packets to send, timers to schedule, and changes of the view that one call of foca produced.
 #[derive(Default)]
 pub(crate) struct FocaEffects {
     packets: Vec<(MemberId, Vec<u8>)>,
@@ -24,7 +24,7 @@
             Notification::Active => Change::Active,
             Notification::Idle => Change::Idle,
             Notification::Rejoin(id) => Change::Rejoined(id.clone()),
-            // `Defunct` does not occur: identities renew themselves.
+            // `Defunct` does not occur, because `MemberId::renew` always returns a new identity.
             _ => return,
         });
     }
@@ -39,13 +39,14 @@
 }
 
 impl Membership {
-    /// Carries out what foca asked for.
+    /// Executes the effects that foca requested.
     pub(crate) fn apply(&mut self, effects: FocaEffects) {
         for (after, timer) in effects.timers {
             let after = u64::try_from(after.as_nanos()).unwrap_or(u64::MAX);
             let deadline = self.now.saturating_add(after);
             if let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = &timer {
-                // foca leaves the decision to the prober, so the prober notifies the suspect.
+                // In foca only the prober decides whether a suspect is down, so the prober also notifies the
+                // suspect.
                 self.suspicions.raise(member_id.clone(), *incarnation, self.now, deadline);
             }
             self.schedule(deadline, timer);
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a member, their bounds, and foca's configuration made from them.
+//! Settings of a member, their allowed ranges, and the foca configuration derived from them.
 
 use crate::Nanos;
 use crate::envelope::{DATAGRAM_BYTES_MAX, ENVELOPE_BYTES};
@@ -10,129 +10,138 @@
 const SECOND_NS: Nanos = 1_000_000_000;
 const MILLISECOND_NS: Nanos = 1_000_000;
 
-/// Default of [`Settings::bytes_per_second`]: above what a member of a fleet of a thousand sends, so that
-/// views agree soonest. A smaller figure bounds the load on the network, and views of a large fleet agree
-/// later.
+/// Default of [`Settings::bytes_per_second`]. The value exceeds the traffic of a member in a fleet of 1,000
+/// members, so that it does not delay the agreement of views. A smaller value limits the load on the network,
+/// but the views of a large fleet then agree later.
 pub const DEFAULT_BYTES_PER_SECOND: u64 = 200_000;
-/// Smallest body of a datagram, in bytes: it holds two members with the longest names.
+/// Smallest allowed value of [`Settings::packet_max`], in bytes. A body of this size holds two members with
+/// names of maximum length.
 const PACKET_BYTES_MIN: usize = 256;
-/// Largest body of a datagram, in bytes.
+/// Largest allowed value of [`Settings::packet_max`], in bytes.
 const PACKET_BYTES_MAX: usize = DATAGRAM_BYTES_MAX - ENVELOPE_BYTES;
-/// Full datagrams that a second must have capacity for.
+/// Minimum number of datagrams of maximum size that the budget of bytes per second must allow.
 const PACKETS_PER_SECOND_MIN: usize = 4;
 const KEY_BYTES_MIN: usize = 16;
 const PROBE_PERIOD_MIN_NS: Nanos = 10 * MILLISECOND_NS;
 const SUSPICION_MULTIPLIER_MAX: u32 = 60;
 
-/// Members that foca gossips to in one round.
+/// Number of members to which foca gossips in one round.
 pub(crate) const GOSSIP_MEMBERS: usize = 3;
-/// Members that an announce goes to once an announce period: of those alive, and of those down.
+/// Number of alive members to which a member announces itself once per announce period.
 const ANNOUNCE_MEMBERS: usize = 1;
+/// Number of members recorded as down to which a member announces itself once per announce period.
 const ANNOUNCE_DOWN_MEMBERS: usize = 2;
-/// Members asked to probe another one that did not answer (`k` of the SWIM paper).
+/// Number of members requested to probe a member that did not answer a direct probe (`k` in the SWIM paper).
 const INDIRECT_PROBES: usize = 3;
-/// Transmissions of an update for each decade of members (`lambda` of the SWIM paper).
+/// Factor of the decimal logarithm of the fleet's size that yields the number of transmissions of an update
+/// (`lambda` in the SWIM paper).
 const TRANSMISSIONS_PER_LOG10: f64 = 4.0;
-/// Members down are forgotten after so many suspicion times, which bounds memory by the live fleet.
-const FORGET_SUSPICIONS: u64 = 30;
+/// Number of suspicion times after which a member that is down is removed from the view. The removal keeps
+/// memory proportional to the size of the live fleet.
+const REMOVE_AFTER_SUSPICION_TIMES: u64 = 30;
 
-/// Settings of a member. Times are in nanoseconds; [`Settings::check`] has the bounds.
+/// Settings of a member. Times are in nanoseconds. [`Settings::check`] enforces the allowed ranges.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Name of the fleet; datagrams of another one are dropped.
+    /// Name of the fleet. Datagrams of other fleets are dropped.
     pub fleet: String,
-    /// Secret that authenticates the fleet's datagrams, in bytes.
+    /// Secret key that authenticates the fleet's datagrams.
     pub key: Vec<u8>,
-    /// How often a member probes another.
+    /// Interval at which a member probes another member.
     pub probe_period: Nanos,
-    /// How long a direct probe waits before others are asked to probe; below the probe period.
+    /// Time to wait for the answer to a direct probe before other members are requested to probe. Must be
+    /// shorter than the probe period.
     pub probe_rtt: Nanos,
-    /// Suspicion time in probe periods: a suspect that does not refute it is declared down.
+    /// Suspicion time in probe periods. A suspect that does not refute the suspicion within this time is
+    /// declared down.
     pub suspicion_multiplier: u32,
-    /// Largest body of a datagram, in bytes. Bodies of gossip may be shorter, see
+    /// Maximum size of a datagram's body, in bytes. Bodies of gossip may be limited further, see
     /// [`Settings::bytes_per_second`].
     pub packet_max: usize,
-    /// Fleet size that the dissemination is tuned for: updates are sent about 4 log10(n + 1) times.
+    /// Expected number n of members in the fleet, from which the number of transmissions of an update is
+    /// derived: about 4 log10(n + 1).
     pub expected_members: u32,
-    /// How often a member gossips to three others.
+    /// Interval at which a member gossips to three others.
     pub gossip_period: Nanos,
-    /// How often a member announces itself to another again, and compares its view with another's.
+    /// Interval at which a member announces itself to other members again, and compares its view with that of
+    /// another member.
     pub announce_period: Nanos,
-    /// Bytes that the view's own datagrams take in any second, shared state not counted. Gossip in full
-    /// packets takes half of them. Gossip and lists of members wait for capacity; probes, their answers and
-    /// verdicts do not.
+    /// Budget of bytes per second for the datagrams of the membership protocol; shared state is not included.
+    /// Gossip in packets of maximum size takes half of the budget. Gossip and lists of members are postponed
+    /// when the budget is used up; probes, their answers and verdicts are not.
     pub bytes_per_second: u64,
 }
 
-/// A setting that cannot be used. The text begins with the field's name, in hyphens; periods are in
-/// nanoseconds. The attributes of the options file have units in their names (`probe-period-ms`).
+/// An invalid setting. The message starts with the name of the field, spelled with hyphens. Periods are in
+/// nanoseconds, while the attributes of the options file have the unit in their names (`probe-period-ms`).
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
     /// The fleet's name is empty or too long.
     #[error("fleet: a name of 1 to {NAME_BYTES_MAX} bytes, not {bytes}")]
     Fleet {
-        /// Length of the name given.
+        /// Length of the name, in bytes.
         bytes: usize,
     },
     /// The key is too short.
     #[error("key: at least {KEY_BYTES_MIN} bytes, not {bytes}")]
     Key {
-        /// Length of the key given.
+        /// Length of the key, in bytes.
         bytes: usize,
     },
-    /// Probes follow too fast on each other.
-    #[error("probe-period: at least 10 ms, not {given} ns")]
+    /// The probe period is too short.
+    #[error("probe-period: at least 10 ms, not {actual} ns")]
     ProbePeriod {
-        /// The period given, in nanoseconds.
-        given: Nanos,
+        /// The configured period, in nanoseconds.
+        actual: Nanos,
     },
-    /// The wait for a direct probe is zero or not below the probe period.
-    #[error("probe-rtt: above 0 and under the probe period of {probe_period} ns, not {given} ns")]
+    /// The wait for the answer to a direct probe is zero or not shorter than the probe period.
+    #[error("probe-rtt: above 0 and under the probe period of {probe_period} ns, not {actual} ns")]
     ProbeRtt {
-        /// The wait given, in nanoseconds.
-        given: Nanos,
-        /// The probe period, in nanoseconds.
+        /// The configured wait, in nanoseconds.
+        actual: Nanos,
+        /// The configured probe period, in nanoseconds.
         probe_period: Nanos,
     },
-    /// The suspicion is too short or too long.
-    #[error("suspicion-multiplier: 1 to {SUSPICION_MULTIPLIER_MAX}, not {given}")]
+    /// The suspicion time is too short or too long.
+    #[error("suspicion-multiplier: 1 to {SUSPICION_MULTIPLIER_MAX}, not {actual}")]
     SuspicionMultiplier {
-        /// The multiplier given.
-        given: u32,
+        /// The configured multiplier.
+        actual: u32,
     },
-    /// The body of a datagram is too short or too long.
-    #[error("packet-max: 256 to 65,445 bytes, not {given}")]
+    /// The maximum size of a datagram's body is too small or too large.
+    #[error("packet-max: 256 to 65,445 bytes, not {actual}")]
     PacketMax {
-        /// The size given, in bytes.
-        given: usize,
+        /// The configured size, in bytes.
+        actual: usize,
     },
-    /// A second has no capacity for a few full datagrams.
-    #[error("bytes-a-second: {least} at least with packets of {packet_max}, not {given}")]
+    /// The budget of bytes per second does not allow four datagrams of maximum size.
+    #[error("bytes-a-second: {min} at least with packets of {packet_max}, not {actual}")]
     BytesPerSecond {
-        /// The bound given, in bytes.
-        given: u64,
-        /// The least bound with datagrams of this size.
-        least: u64,
-        /// Largest body of a datagram, in bytes.
+        /// The configured budget, in bytes per second.
+        actual: u64,
+        /// The minimum budget for datagrams of this size, in bytes per second.
+        min: u64,
+        /// The configured maximum size of a datagram's body, in bytes.
         packet_max: usize,
     },
-    /// A fleet of no member, or a period of no time.
+    /// The expected number of members or a period is zero.
     #[error(
         "expected-members, gossip-period and announce-period: above 0, not {expected_members}, \
          {gossip_period} ns and {announce_period} ns"
     )]
     Zero {
-        /// Members given.
+        /// The configured number of members.
         expected_members: u32,
-        /// Gossip period given, in nanoseconds.
+        /// The configured gossip period, in nanoseconds.
         gossip_period: Nanos,
-        /// Announce period given, in nanoseconds.
+        /// The configured announce period, in nanoseconds.
         announce_period: Nanos,
     },
 }
 
 impl Settings {
-    /// Defaults for a fleet on one network: a probe a second, suspicion of four periods.
+    /// Creates settings with defaults for a fleet on a local network: one probe per second, and a suspicion
+    /// time of four probe periods.
     pub fn lan(fleet: &str, key: &[u8]) -> Settings {
         Settings {
             fleet: fleet.to_string(),
@@ -148,12 +157,15 @@
         }
     }
 
-    /// Suspicion time in nanoseconds: probe period times multiplier.
+    /// Suspicion time in nanoseconds: the probe period times the multiplier.
     pub fn suspicion(&self) -> Nanos {
         self.probe_period.saturating_mul(self.suspicion_multiplier as u64)
     }
 
-    /// The first setting that cannot be used, if there is one.
+    /// Checks that all settings are within their allowed ranges.
+    ///
+    /// # Errors
+    /// Names the first invalid setting.
     pub fn check(&self) -> Result<(), SettingsError> {
         self.check_fleet()?;
         self.check_probes()?;
@@ -181,13 +193,13 @@
     fn check_probes(&self) -> Result<(), SettingsError> {
         let (probe_period, probe_rtt) = (self.probe_period, self.probe_rtt);
         if probe_period < PROBE_PERIOD_MIN_NS {
-            return Err(SettingsError::ProbePeriod { given: probe_period });
+            return Err(SettingsError::ProbePeriod { actual: probe_period });
         }
         if probe_rtt == 0 || probe_rtt >= probe_period {
-            return Err(SettingsError::ProbeRtt { given: probe_rtt, probe_period });
+            return Err(SettingsError::ProbeRtt { actual: probe_rtt, probe_period });
         }
         if !(1..=SUSPICION_MULTIPLIER_MAX).contains(&self.suspicion_multiplier) {
-            return Err(SettingsError::SuspicionMultiplier { given: self.suspicion_multiplier });
+            return Err(SettingsError::SuspicionMultiplier { actual: self.suspicion_multiplier });
         }
         Ok(())
     }
@@ -195,35 +207,37 @@
     fn check_datagrams(&self) -> Result<(), SettingsError> {
         let packet_max = self.packet_max;
         if !(PACKET_BYTES_MIN..=PACKET_BYTES_MAX).contains(&packet_max) {
-            return Err(SettingsError::PacketMax { given: packet_max });
+            return Err(SettingsError::PacketMax { actual: packet_max });
         }
-        let least = (PACKETS_PER_SECOND_MIN * (packet_max + ENVELOPE_BYTES)) as u64;
-        if self.bytes_per_second < least {
-            return Err(SettingsError::BytesPerSecond { given: self.bytes_per_second, least, packet_max });
+        let min = (PACKETS_PER_SECOND_MIN * (packet_max + ENVELOPE_BYTES)) as u64;
+        if self.bytes_per_second < min {
+            return Err(SettingsError::BytesPerSecond { actual: self.bytes_per_second, min, packet_max });
         }
         Ok(())
     }
 
-    /// Longest body of gossip, probes and their answers, in bytes: so short that gossip in full packets takes
-    /// half of the bytes of a second and leaves the other half to probes and lists of members.
+    /// Maximum body size of gossip, probes and their answers, in bytes. The size is limited so that gossip in
+    /// packets of maximum size takes at most half of the budget, and leaves the other half to probes and
+    /// lists of members.
     pub(crate) fn gossip_packet_bytes(&self) -> usize {
         let packets_per_second = GOSSIP_MEMBERS as u64 * SECOND_NS.div_ceil(self.gossip_period);
         let datagram_bytes = (self.bytes_per_second / (2 * packets_per_second)) as usize;
         datagram_bytes.saturating_sub(ENVELOPE_BYTES).clamp(PACKET_BYTES_MIN, self.packet_max)
     }
 
+    /// The foca configuration for these settings, which must have passed [`Settings::check`].
     pub(crate) fn foca(&self) -> Config {
         let decades = (f64::from(self.expected_members) + 1.0).log10();
         let transmissions = (TRANSMISSIONS_PER_LOG10 * decades).ceil().clamp(1.0, 255.0) as u8;
-        let forget_after = self.suspicion().saturating_mul(FORGET_SUSPICIONS);
+        let remove_after = self.suspicion().saturating_mul(REMOVE_AFTER_SUSPICION_TIMES);
         Config {
             probe_period: Duration::from_nanos(self.probe_period),
             probe_rtt: Duration::from_nanos(self.probe_rtt),
-            num_indirect_probes: count(INDIRECT_PROBES),
-            max_transmissions: NonZeroU8::new(transmissions).expect("clamped to 1 at least"),
+            num_indirect_probes: non_zero(INDIRECT_PROBES),
+            max_transmissions: NonZeroU8::new(transmissions).expect("clamped to at least 1"),
             suspect_to_down_after: Duration::from_nanos(self.suspicion()),
-            remove_down_after: Some(Duration::from_nanos(forget_after)),
-            max_packet_size: count(self.gossip_packet_bytes()),
+            remove_down_after: Some(Duration::from_nanos(remove_after)),
+            max_packet_size: non_zero(self.gossip_packet_bytes()),
             notify_down_members: true,
             periodic_announce: periodic(self.announce_period, ANNOUNCE_MEMBERS),
             periodic_announce_to_down_members: periodic(self.announce_period, ANNOUNCE_DOWN_MEMBERS),
@@ -232,10 +246,10 @@
     }
 }
 
-fn count(value: usize) -> NonZeroUsize {
+fn non_zero(value: usize) -> NonZeroUsize {
     NonZeroUsize::new(value).expect("constants and checked sizes are above 0")
 }
 
 fn periodic(period: Nanos, members: usize) -> Option<PeriodicParams> {
-    Some(PeriodicParams { frequency: Duration::from_nanos(period), num_members: count(members) })
+    Some(PeriodicParams { frequency: Duration::from_nanos(period), num_members: non_zero(members) })
 }
--- a/crates/membership/src/simulation/mod.rs
+++ b/crates/membership/src/simulation/mod.rs
@@ -1,6 +1,6 @@
-//! A fleet of members on a simulated network in simulated time, deterministic from its seed: loss, delay and
-//! jitter, duplication, one-way and two-way partitions, crashes, stalls and restarts. For tests and for the
-//! figures of `docs/membership.md`; no I/O.
+//! Simulation of a fleet of members with a network, in simulated time and without I/O. A run is deterministic
+//! for a given seed. It can include packet loss, delay, jitter, duplication, one-way and two-way partitions,
+//! crashes, stalls and restarts. Used by tests and to produce the figures in `docs/membership.md`.
 
 mod network;
 mod parallel;
@@ -15,29 +15,29 @@
 use std::collections::BinaryHeap;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
-/// Simulated members have addresses 127.1.0.0 to 127.1.255.255 at this port.
+/// Port of the simulated members, whose addresses are 127.1.0.0 to 127.1.255.255.
 const PORT: u16 = 7000;
 const NETWORK: [u8; 2] = [127, 1];
 
-/// A deadline of a member.
+/// Time at which a member's [`Membership::handle_timeout`] is to be called.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Timeout {
     at: Nanos,
     member: usize,
 }
 
-/// Members by index, the network between them, and the simulated time.
+/// A simulated fleet: members by index, the network between them, and the simulated time.
 pub struct SimulatedFleet {
     settings: Settings,
     seed: u64,
     now: Nanos,
     processes: Vec<Process>,
     network: Network,
-    /// Deadlines of the members; those that a later event has moved are passed over.
+    /// Deadlines of the members. Outdated entries, of deadlines that a later event has changed, are skipped.
     timeouts: BinaryHeap<Reverse<Timeout>>,
-    /// Threads that play members. One plays event by event. More play in windows of the network's least
-    /// delay, within which no member receives what another sends, so that the outcome is the same for any
-    /// number; they require a delay above 0.
+    /// Number of threads that run members. With one thread, the fleet runs event by event. With more, it runs
+    /// in windows as long as the network's minimum delay, which must be above 0. No datagram sent within a
+    /// window arrives in the same window, so the result does not depend on the number of threads.
     pub threads: usize,
     /// Datagrams sent since the start.
     pub sent: u64,
@@ -46,7 +46,7 @@
 }
 
 impl SimulatedFleet {
-    /// A fleet of `members`, none of them started.
+    /// Creates a fleet of `members` members, none of which is started.
     pub fn new(
         members: usize,
         settings: Settings,
@@ -66,17 +66,17 @@
         }
     }
 
-    /// Number of members, started or not.
+    /// Number of members, whether started or not.
     pub fn len(&self) -> usize {
         self.processes.len()
     }
 
-    /// Whether the fleet has no member.
+    /// Whether the fleet has no members.
     pub fn is_empty(&self) -> bool {
         self.processes.is_empty()
     }
 
-    /// The simulated time in nanoseconds since the start.
+    /// Simulated time since the start, in nanoseconds.
     pub fn now(&self) -> Nanos {
         self.now
     }
@@ -88,7 +88,7 @@
         SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::new(first, second, high, low), PORT))
     }
 
-    /// The member that has an address.
+    /// Index of the member with an address; `None` if the address is not one of a simulated member.
     fn member_at(addr: SocketAddr) -> Option<usize> {
         let SocketAddr::V4(addr) = addr else { return None };
         let [first, second, high, low] = addr.ip().octets();
@@ -96,18 +96,17 @@
         is_member.then(|| usize::from(u16::from_be_bytes([high, low])))
     }
 
-    /// Seed of the random draws of one member in one incarnation.
+    /// Seed of the random numbers of one member in one incarnation.
     fn member_seed(&self, member: usize, incarnation: u64) -> u64 {
         self.seed ^ ((member as u64) << 20) ^ incarnation
     }
 
     fn new_membership(&self, name: String, member: usize, incarnation: u64, seed: u64) -> Membership {
         let me = MemberId { name, addr: SimulatedFleet::addr(member), incarnation };
-        Membership::new(me, &self.settings, seed, self.now)
-            .expect("the caller gives settings that can be used")
+        Membership::new(me, &self.settings, seed, self.now).expect("the caller passes valid settings")
     }
 
-    /// Starts a member, or starts it again with a higher incarnation, and announces it to the seeds.
+    /// Starts a member, or restarts it with the next incarnation, and announces it to the seeds.
     pub fn start(&mut self, member: usize, seeds: &[usize]) {
         let incarnation = self.processes[member].incarnation + 1;
         let seed = self.member_seed(member, incarnation);
@@ -118,43 +117,46 @@
         self.finish_event(member);
     }
 
-    /// Kills a member without notice (SIGKILL).
+    /// Kills a member's process without a chance to leave the fleet (SIGKILL).
     pub fn crash(&mut self, member: usize) {
         self.processes[member].crash();
     }
 
-    /// Stops a member's timers and reading (SIGSTOP); its socket buffers a few datagrams.
+    /// Stalls a member's process (SIGSTOP): its timers do not fire, and its socket buffers a limited number
+    /// of datagrams.
     pub fn stall(&mut self, member: usize) {
         self.processes[member].is_stalled = true;
     }
 
-    /// Continues a stalled member (SIGCONT): late timers fire and buffered datagrams are read.
+    /// Continues a stalled member (SIGCONT): overdue timers fire, and buffered datagrams are handled.
     pub fn resume(&mut self, member: usize) {
         self.processes[member].resume(self.now);
         self.finish_event(member);
     }
 
-    /// Puts a member in a group, all being in group 0 at first; see [`SimulatedFleet::cut_one_way`].
+    /// Assigns a member to a group, see [`SimulatedFleet::cut_one_way`]. Initially all members are in group
+    /// 0.
     pub fn assign_group(&mut self, member: usize, group: u32) {
         self.network.assign_group(member, group);
     }
 
-    /// Loses all datagrams from one group to another from now on, one way.
+    /// Partitions the network in one direction: all datagrams from group `from` to group `to` are lost until
+    /// [`SimulatedFleet::heal`].
     pub fn cut_one_way(&mut self, from: u32, to: u32) {
         self.network.cut_one_way(from, to);
     }
 
-    /// Ends every cut.
+    /// Ends all partitions.
     pub fn heal(&mut self) {
         self.network.heal();
     }
 
-    /// A member, where its process exists.
+    /// A member; `None` if its process does not exist.
     pub fn member(&self, member: usize) -> Option<&Membership> {
         self.processes[member].membership.as_ref()
     }
 
-    /// A member, where its process exists.
+    /// A member, mutably; `None` if its process does not exist.
     pub fn member_mut(&mut self, member: usize) -> Option<&mut Membership> {
         self.processes[member].membership.as_mut()
     }
@@ -164,7 +166,7 @@
         self.processes[member].is_running()
     }
 
-    /// Sends what a member has to send after an event, and notes its next deadline.
+    /// After an event of a member: sends the datagrams that it has queued, and schedules its next deadline.
     fn finish_event(&mut self, member: usize) {
         let Some(membership) = self.member_mut(member) else { return };
         let transmits = membership.take_transmits();
@@ -184,15 +186,15 @@
         }
     }
 
-    /// When the next event is: a datagram's arrival or a deadline.
+    /// Time of the next event, which is either the arrival of a datagram or a deadline.
     fn next_event(&self) -> Option<Nanos> {
         let timeout = self.timeouts.peek().map(|Reverse(timeout)| timeout.at);
         self.network.next_arrival().into_iter().chain(timeout).min()
     }
 
-    /// Plays every event up to `until`.
+    /// Runs the simulation up to and including the time `until`.
     pub fn run_until(&mut self, until: Nanos) {
-        if self.threads > 1 && self.network.least_delay() > 0 {
+        if self.threads > 1 && self.network.min_delay() > 0 {
             self.run_windows(until);
         } else {
             self.run_events(until);
@@ -200,7 +202,7 @@
         self.now = self.now.max(until);
     }
 
-    /// Plays event by event; of those at one time arrivals come first.
+    /// Runs event by event. At the same time, arrivals are processed before deadlines.
     fn run_events(&mut self, until: Nanos) {
         while let Some(next) = self.next_event().filter(|next| *next <= until) {
             self.now = self.now.max(next);
@@ -215,7 +217,7 @@
         }
     }
 
-    /// Plays the earliest deadline, where its member still has it.
+    /// Processes the earliest scheduled deadline, unless it is outdated or its member is not running.
     fn fire_timeout(&mut self) {
         let Some(Reverse(Timeout { at, member })) = self.timeouts.pop() else { return };
         let process = &mut self.processes[member];
@@ -228,11 +230,11 @@
         self.finish_event(member);
     }
 
-    /// Whether each of these members that runs has exactly the others of them as members alive or suspect,
-    /// each in its present incarnation.
+    /// Whether the views of all running members among `members` agree: each must list exactly the other
+    /// `members` as alive or suspect, with their current incarnations.
     pub fn views_agree(&self, members: &[usize]) -> bool {
-        let present = |member: &usize| self.processes[*member].present_incarnation();
-        let identity = |member: &usize| (SimulatedFleet::addr(*member), present(member));
+        let current = |member: &usize| self.processes[*member].current_incarnation();
+        let identity = |member: &usize| (SimulatedFleet::addr(*member), current(member));
         let mut expected: Vec<(SocketAddr, u64)> = members.iter().map(identity).collect();
         expected.sort();
         let has_expected = |member: &usize| {
@@ -245,7 +247,8 @@
         parallel::all(members, self.threads, &has_expected)
     }
 
-    /// Plays in steps until the views of `members` agree or `limit` has passed; the time it took, if they do.
+    /// Runs the simulation until the views of `members` agree, which is checked at intervals of `step`.
+    /// Returns the elapsed simulated time, or `None` if the views do not agree within `limit`.
     pub fn run_until_views_agree(&mut self, members: &[usize], step: Nanos, limit: Nanos) -> Option<Nanos> {
         let start = self.now;
         while self.now - start <= limit {
--- a/crates/membership/src/simulation/network.rs
+++ b/crates/membership/src/simulation/network.rs
@@ -1,4 +1,4 @@
-//! The simulated network: which datagrams are lost, delayed or doubled, and which are on their way.
+//! The simulated network: loses, delays and duplicates datagrams, and holds those in flight.
 
 use crate::Nanos;
 use rand_chacha::ChaCha8Rng;
@@ -7,20 +7,21 @@
 use std::collections::{BinaryHeap, HashSet};
 use std::net::SocketAddr;
 
-/// What the network does to each datagram.
+/// Loss, delay and duplication that the network applies to every datagram.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NetworkConditions {
     /// Share of datagrams lost, 0 to 1.
     pub loss: f64,
-    /// Least delay in nanoseconds.
+    /// Minimum delay in nanoseconds.
     pub delay: Nanos,
-    /// Most that is added to the delay at random, in nanoseconds.
+    /// Upper bound of the random delay added to the minimum, in nanoseconds.
     pub jitter: Nanos,
-    /// Share of datagrams that arrive twice, 0 to 1.
+    /// Share of datagrams that are duplicated, 0 to 1.
     pub duplicate: f64,
 }
 
-/// A datagram on its way. Those that arrive at one time do so in the order of their sending.
+/// A datagram in flight. Datagrams with the same arrival time are delivered in the order in which they were
+/// sent.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Delivery {
     pub(super) at: Nanos,
@@ -31,14 +32,14 @@
     pub(super) datagram: Vec<u8>,
 }
 
-/// The datagrams on their way, and the directions that are cut.
+/// The state of the network: datagrams in flight, and partitions.
 pub(super) struct Network {
     conditions: NetworkConditions,
-    on_the_way: BinaryHeap<Reverse<Delivery>>,
+    in_flight: BinaryHeap<Reverse<Delivery>>,
     sequence: u64,
     /// Group of each member.
     groups: Vec<u32>,
-    /// Pairs of groups of which the second receives nothing from the first.
+    /// One-way partitions: pairs of groups of which the second receives no datagrams from the first.
     cuts: HashSet<(u32, u32)>,
     rng: ChaCha8Rng,
 }
@@ -47,7 +48,7 @@
     pub(super) fn new(members: usize, seed: u64, conditions: NetworkConditions) -> Network {
         Network {
             conditions,
-            on_the_way: BinaryHeap::new(),
+            in_flight: BinaryHeap::new(),
             sequence: 0,
             groups: vec![0; members],
             cuts: HashSet::new(),
@@ -67,25 +68,25 @@
         self.cuts.clear();
     }
 
-    /// Least time between the sending of a datagram and its arrival.
-    pub(super) fn least_delay(&self) -> Nanos {
+    /// Minimum time between the sending of a datagram and its arrival.
+    pub(super) fn min_delay(&self) -> Nanos {
         self.conditions.delay
     }
 
-    /// When the next datagram arrives.
+    /// Arrival time of the next datagram; `None` if none is in flight.
     pub(super) fn next_arrival(&self) -> Option<Nanos> {
-        self.on_the_way.peek().map(|Reverse(delivery)| delivery.at)
+        self.in_flight.peek().map(|Reverse(delivery)| delivery.at)
     }
 
-    /// The next datagram, where it arrives before `end`.
+    /// Removes and returns the next datagram, if it arrives before `end`.
     pub(super) fn pop_before(&mut self, end: Nanos) -> Option<Delivery> {
         if self.next_arrival().is_none_or(|at| at >= end) {
             return None;
         }
-        self.on_the_way.pop().map(|Reverse(delivery)| delivery)
+        self.in_flight.pop().map(|Reverse(delivery)| delivery)
     }
 
-    /// Sends a datagram at `now` from one member to another.
+    /// Sends a datagram from one member to another at the time `now`. The datagram may be lost or duplicated.
     pub(super) fn send(
         &mut self,
         now: Nanos,
@@ -102,10 +103,10 @@
             if self.draw(loss) {
                 continue;
             }
-            let late = if jitter > 0 { self.rng.next_u64() % jitter } else { 0 };
+            let random_delay = if jitter > 0 { self.rng.next_u64() % jitter } else { 0 };
             self.sequence += 1;
-            self.on_the_way.push(Reverse(Delivery {
-                at: now + delay + late,
+            self.in_flight.push(Reverse(Delivery {
+                at: now + delay + random_delay,
                 sequence: self.sequence,
                 to,
                 from: from_addr,
@@ -114,7 +115,8 @@
         }
     }
 
-    /// True with the given probability; draws no number where that is 0.
+    /// Returns true with the given probability. Does not use the random number generator if the probability
+    /// is 0.
     fn draw(&mut self, probability: f64) -> bool {
         probability > 0.0 && (self.rng.next_u64() as f64 / u64::MAX as f64) < probability
     }
--- a/crates/membership/src/simulation/parallel.rs
+++ b/crates/membership/src/simulation/parallel.rs
@@ -1,5 +1,5 @@
-//! Members played side by side over several threads, for fleets of thousands. The outcome does not depend on
-//! the number of threads.
+//! Parallel simulation of members on several threads, for fleets of thousands of members. The result does not
+//! depend on the number of threads.
 
 use super::process::{Arrival, Process, Sent};
 use super::{SimulatedFleet, Timeout};
@@ -8,25 +8,25 @@
 use std::collections::BTreeMap;
 use std::thread;
 
-/// Least number of members that a thread is given: fewer do not pay for its start.
+/// Minimum number of members assigned to a thread. With fewer, starting the thread costs more than it saves.
 const MEMBERS_PER_THREAD_MIN: usize = 4;
 
 const FIRST_INCARNATION: u64 = 1;
 
-/// A member with what arrives at it within a window.
+/// A member to run for one window, with the datagrams that arrive at it within the window.
 struct WindowTask<'a> {
     member: usize,
     process: &'a mut Process,
     arrivals: Vec<Arrival>,
 }
 
-/// What one member sent at one time.
+/// Datagrams that one member sent at one time.
 struct SentByMember {
     member: usize,
     sent: Sent,
 }
 
-/// What members did within a window.
+/// Datagrams that members sent within a window, and their next deadlines.
 #[derive(Default)]
 struct WindowOutcome {
     sent: Vec<SentByMember>,
@@ -34,12 +34,12 @@
 }
 
 impl WindowTask<'_> {
-    fn play(&mut self, now: Nanos, end: Nanos, outcome: &mut WindowOutcome) {
+    fn run(&mut self, now: Nanos, end: Nanos, outcome: &mut WindowOutcome) {
         let arrivals = std::mem::take(&mut self.arrivals);
-        for sent in self.process.play_window(now, end, arrivals) {
+        for sent in self.process.run_window(now, end, arrivals) {
             outcome.sent.push(SentByMember { member: self.member, sent });
         }
-        // A stalled member has its deadline noted again when it resumes.
+        // The deadline of a stalled member is scheduled again when the member resumes.
         if self.process.is_running() {
             let timeout = self.process.next_timeout();
             outcome.timeouts.extend(timeout.map(|at| Timeout { at, member: self.member }));
@@ -48,8 +48,8 @@
 }
 
 impl SimulatedFleet {
-    /// Starts all members with the whole fleet known to each already: the join of many thousands takes the
-    /// square of their number.
+    /// Starts all members with complete views of the fleet. This saves the join of a large fleet, whose cost
+    /// grows with the square of the number of members.
     pub fn start_with_complete_views(&mut self) {
         let count = self.processes.len();
         let share = count.div_ceil(self.threads.max(1)).max(1);
@@ -85,14 +85,14 @@
         membership
     }
 
-    /// Plays in windows of the network's least delay: the arrivals of a window are sorted to their members,
-    /// which are played side by side, and what they send is put on the network in the order of time and
-    /// member.
+    /// Runs the simulation in windows as long as the network's minimum delay. For each window, arriving
+    /// datagrams are assigned to their members, the members run in parallel, and the datagrams that they send
+    /// are passed to the network ordered by time and member.
     pub(super) fn run_windows(&mut self, until: Nanos) {
         while let Some(next) = self.next_event().filter(|next| *next <= until) {
             let now = self.now;
-            let end = (next.max(now) + self.network.least_delay()).min(until + 1);
-            let outcome = self.play_window(now, end);
+            let end = (next.max(now) + self.network.min_delay()).min(until + 1);
+            let outcome = self.run_window(now, end);
             for SentByMember { member, sent } in outcome.sent {
                 self.now = sent.at;
                 self.send(member, sent.transmits);
@@ -102,7 +102,7 @@
         }
     }
 
-    fn play_window(&mut self, now: Nanos, end: Nanos) -> WindowOutcome {
+    fn run_window(&mut self, now: Nanos, end: Nanos) -> WindowOutcome {
         let mut arrivals = self.arrivals_before(end);
         let mut tasks = Vec::new();
         for (member, process) in self.processes.iter_mut().enumerate() {
@@ -110,12 +110,13 @@
                 tasks.push(WindowTask { member, process, arrivals });
             }
         }
-        let mut outcome = play_tasks(tasks, self.threads, now, end);
+        let mut outcome = run_tasks(tasks, self.threads, now, end);
         outcome.sent.sort_by_key(|sent| (sent.sent.at, sent.member));
         outcome
     }
 
-    /// What arrives before `end`, by member; empty for one that has only a deadline before it.
+    /// Datagrams that arrive before `end`, by receiving member. The list is empty for a member that receives
+    /// none but has a deadline before `end`.
     fn arrivals_before(&mut self, end: Nanos) -> BTreeMap<usize, Vec<Arrival>> {
         let mut arrivals: BTreeMap<usize, Vec<Arrival>> = BTreeMap::new();
         while let Some(delivery) = self.network.pop_before(end) {
@@ -131,23 +132,23 @@
     }
 }
 
-/// Plays each member's window; the outcomes are in the order of the members.
-fn play_tasks(mut tasks: Vec<WindowTask>, threads: usize, now: Nanos, end: Nanos) -> WindowOutcome {
+/// Runs the window of each member. The outcomes are ordered by member.
+fn run_tasks(mut tasks: Vec<WindowTask>, threads: usize, now: Nanos, end: Nanos) -> WindowOutcome {
     let share = tasks.len().div_ceil(threads).max(MEMBERS_PER_THREAD_MIN);
-    let play = |part: &mut [WindowTask]| {
+    let run = |part: &mut [WindowTask]| {
         let mut outcome = WindowOutcome::default();
         for task in part {
-            task.play(now, end, &mut outcome);
+            task.run(now, end, &mut outcome);
         }
         outcome
     };
     let mut whole = WindowOutcome::default();
     thread::scope(|scope| {
         let mut parts = tasks.chunks_mut(share);
-        // This thread plays the first part itself.
+        // The current thread runs the first part itself.
         let first = parts.next();
-        let others: Vec<_> = parts.map(|part| scope.spawn(move || play(part))).collect();
-        let mut outcomes: Vec<WindowOutcome> = first.map(play).into_iter().collect();
+        let others: Vec<_> = parts.map(|part| scope.spawn(move || run(part))).collect();
+        let mut outcomes: Vec<WindowOutcome> = first.map(run).into_iter().collect();
         for other in others {
             outcomes.push(other.join().expect("a member does not panic"));
         }
@@ -159,7 +160,7 @@
     whole
 }
 
-/// Whether the predicate holds for all members, looked at over several threads.
+/// Whether the predicate holds for all members; evaluated on several threads.
 pub(super) fn all(members: &[usize], threads: usize, holds: &(impl Fn(&usize) -> bool + Sync)) -> bool {
     let share = members.len().div_ceil(threads).max(1);
     thread::scope(|scope| {
--- a/crates/membership/src/simulation/process.rs
+++ b/crates/membership/src/simulation/process.rs
@@ -1,9 +1,10 @@
-//! One simulated process: it runs, is stalled, or is gone.
+//! A simulated process of one member. It is running, stalled, or not existing.
 
 use crate::{Membership, Nanos, Transmit};
 use std::net::SocketAddr;
 
-/// Datagrams that a stalled process's socket buffers; later ones are lost, as by a full receive buffer.
+/// Maximum number of datagrams that the socket of a stalled process buffers. Further datagrams are lost, as
+/// with a full receive buffer of the operating system.
 const SOCKET_BUFFER_MAX: usize = 256;
 
 /// A datagram that arrives at a process.
@@ -13,7 +14,7 @@
     pub(super) datagram: Vec<u8>,
 }
 
-/// What a process sent at one time.
+/// Datagrams that a process sent at one time.
 pub(super) struct Sent {
     pub(super) at: Nanos,
     pub(super) transmits: Vec<Transmit>,
@@ -21,10 +22,10 @@
 
 #[derive(Default)]
 pub(super) struct Process {
-    /// Absent while the process does not exist.
+    /// The process's membership state; `None` while the process does not exist.
     pub(super) membership: Option<Membership>,
     pub(super) is_stalled: bool,
-    /// The incarnation of its latest start.
+    /// The incarnation with which the process was last started.
     pub(super) incarnation: u64,
     socket_buffer: Vec<(SocketAddr, Vec<u8>)>,
 }
@@ -42,7 +43,7 @@
         self.socket_buffer.clear();
     }
 
-    /// Continues after a stall: late timers fire, then the buffered datagrams are read.
+    /// Continues a stalled process: overdue timers fire first, then the buffered datagrams are handled.
     pub(super) fn resume(&mut self, now: Nanos) {
         self.is_stalled = false;
         let buffered = std::mem::take(&mut self.socket_buffer);
@@ -57,17 +58,18 @@
         self.membership.is_some() && !self.is_stalled
     }
 
-    /// When it has to be called next, where it exists.
+    /// Next deadline of the member; `None` if the process does not exist.
     pub(super) fn next_timeout(&self) -> Option<Nanos> {
         self.membership.as_ref().and_then(Membership::poll_timeout)
     }
 
-    /// The incarnation that it goes by now, which a refuted death raises.
-    pub(super) fn present_incarnation(&self) -> u64 {
+    /// The member's current incarnation. It is higher than that of the last start if the member was wrongly
+    /// declared down and has rejoined.
+    pub(super) fn current_incarnation(&self) -> u64 {
         self.membership.as_ref().map_or(self.incarnation, |membership| membership.identity().incarnation)
     }
 
-    /// Handles a datagram, or buffers it while the process is stalled; true where it was handled.
+    /// Handles a datagram, or buffers it if the process is stalled. Returns whether the datagram was handled.
     pub(super) fn receive(&mut self, from: SocketAddr, datagram: Vec<u8>, now: Nanos) -> bool {
         let Some(membership) = self.membership.as_mut() else { return false };
         if !self.is_stalled {
@@ -80,9 +82,9 @@
         false
     }
 
-    /// Plays the arrivals of a window, in the order of their time, and the timers that are due before its
-    /// end. Returns what it sent.
-    pub(super) fn play_window(&mut self, now: Nanos, end: Nanos, arrivals: Vec<Arrival>) -> Vec<Sent> {
+    /// Runs the process for one window: handles arriving datagrams and due timers in order of time until
+    /// `end`. Returns the datagrams sent.
+    pub(super) fn run_window(&mut self, now: Nanos, end: Nanos, arrivals: Vec<Arrival>) -> Vec<Sent> {
         if self.is_stalled {
             for arrival in arrivals {
                 self.receive(arrival.from, arrival.datagram, arrival.at);
--- a/crates/membership/src/state_machine.rs
+++ b/crates/membership/src/state_machine.rs
@@ -1,4 +1,4 @@
-//! The entry points of the state machine: what the caller reports, and what it takes to carry out.
+//! The entry points of the state machine: inputs from the caller, and the outputs that the caller takes.
 
 use crate::envelope::{DropReason, PayloadKind};
 use crate::messages::AntiEntropyMessage;
@@ -8,13 +8,13 @@
 use foca::{Member, Timer};
 use std::net::SocketAddr;
 
-/// Bodies of shared state that may wait for the caller; further ones are dropped.
+/// Maximum number of received bodies of shared state that wait for the caller. Further bodies are dropped.
 const SHARED_STATE_BODIES_MAX: usize = 1024;
 
 impl Membership {
-    /// Announces this server to the seeds, of which only the addresses are known. While it then knows no
-    /// member it announces itself again, first after a probe period, then after twice as long each time, up
-    /// to the announce period.
+    /// Joins the fleet by announcing this server to the seeds, of which only the addresses are known. While
+    /// this server knows no other member, it repeats the announcement: first after a probe period, then with
+    /// the interval doubling up to the announce period.
     pub fn join(&mut self, seeds: &[SocketAddr], now: Nanos) {
         self.now = self.now.max(now);
         let own = self.identity().addr;
@@ -23,28 +23,34 @@
         self.announce_to_seeds();
     }
 
-    /// Adds members as alive without gossiping about them, as a server does that has kept its view over a
-    /// restart. Probes and gossip correct what no longer holds.
+    /// Adds members as alive without gossiping about them. A server that has kept its view across a restart
+    /// uses this to restore it. Probes and gossip correct entries that are out of date.
     pub fn restore(&mut self, members: impl Iterator<Item = MemberId>, now: Nanos) {
         self.now = self.now.max(now);
         let own = self.identity().addr;
         let mut effects = FocaEffects::default();
         let others = members.filter(|id| id.addr != own).map(Member::alive);
-        // foca reports what it could not apply; a member left out is learnt from others again.
+        // The result reports members that foca could not apply. It can be ignored, because this server learns
+        // of them again from other members.
         let _ = self.foca.apply_many(others, false, &mut effects);
         self.apply(effects);
     }
 
-    /// Tells the fleet that this server leaves; the others see it down at once rather than after a suspicion.
+    /// Announces to the fleet that this server leaves, so that the others record it as down at once instead
+    /// of after the suspicion time.
     pub fn leave(&mut self, now: Nanos) {
         self.now = self.now.max(now);
         let mut effects = FocaEffects::default();
-        // Best effort: members that receive nothing find this server down by their probes.
+        // Best effort: members that do not receive the announcement detect by their probes that this server
+        // is down.
         let _ = self.foca.leave_cluster(&mut effects);
         self.apply(effects);
     }
 
-    /// Handles a datagram received from `from`. An error says why it was dropped, which is counted too.
+    /// Handles a datagram received from `from`.
+    ///
+    /// # Errors
+    /// The reason if the datagram is dropped. Dropped datagrams are also counted by reason.
     pub fn handle_datagram(
         &mut self,
         from: SocketAddr,
@@ -89,7 +95,7 @@
         handled.map_err(|_| DropReason::Protocol)
     }
 
-    /// Does everything whose deadline is at or before `now`.
+    /// Performs all work whose deadline is at or before `now`.
     pub fn handle_timeout(&mut self, now: Nanos) {
         self.now = self.now.max(now);
         self.rejoin_if_due();
@@ -101,7 +107,8 @@
         self.notify_suspects();
     }
 
-    /// Fires foca's timers. A round of gossip beyond the send budget is put off by a gossip period.
+    /// Fires foca's timers that are due. A gossip round that exceeds the send budget is postponed by one
+    /// gossip period.
     fn fire_timers(&mut self) {
         while let Some(entry) = self.timers.first_entry() {
             if entry.key().deadline > self.now {
@@ -113,15 +120,15 @@
                 continue;
             }
             let mut effects = FocaEffects::default();
-            // Nothing is to be repeated after an error: foca begins the next probe round by itself.
+            // Errors can be ignored: foca starts the next probe round by itself.
             let _ = self.foca.handle_timer(timer, &mut effects);
             self.apply(effects);
         }
     }
 
-    /// When [`Membership::handle_timeout`] is next to be called.
-    /// There is always one, that of anti-entropy at the latest; the `Option` is for callers that chain
-    /// several.
+    /// When [`Membership::handle_timeout`] is next to be called. Never `None`, since there is always a
+    /// deadline for the next anti-entropy exchange; the `Option` makes it easy to combine the deadline with
+    /// others.
     pub fn poll_timeout(&self) -> Option<Nanos> {
         let timer = self.timers.keys().next().map(|key| key.deadline);
         let deadlines =
@@ -129,29 +136,29 @@
         deadlines.into_iter().flatten().min()
     }
 
-    /// Sends a body of shared state, which this crate only transports. Bodies longer than
-    /// [`Membership::body_max`] are counted as unsendable and dropped.
+    /// Sends a body of shared state, whose content this crate does not interpret. A body longer than
+    /// [`Membership::body_max`] is dropped and counted as unsendable.
     pub fn send_shared_state(&mut self, to: SocketAddr, body: &[u8], now: Nanos) {
         self.now = self.now.max(now);
         self.send(to, PayloadKind::SharedState, body);
     }
 
-    /// Bodies of shared state received since the last call.
+    /// Removes and returns the bodies of shared state received since the last call.
     pub fn take_shared_state(&mut self) -> Vec<Vec<u8>> {
         std::mem::take(&mut self.shared_state_bodies)
     }
 
-    /// Longest body that [`Membership::send_shared_state`] sends, in bytes.
+    /// Maximum length of a body passed to [`Membership::send_shared_state`], in bytes.
     pub fn body_max(&self) -> usize {
         self.sealer.body_max()
     }
 
-    /// Datagrams to send since the last call.
+    /// Removes and returns the datagrams to send.
     pub fn take_transmits(&mut self) -> Vec<Transmit> {
         std::mem::take(&mut self.transmits)
     }
 
-    /// Changes of the view since the last call.
+    /// Removes and returns the changes of the view since the last call.
     pub fn take_changes(&mut self) -> Vec<ViewChange> {
         std::mem::take(&mut self.changes)
     }
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -1,4 +1,5 @@
-//! Suspicion: the prober notifies its suspect, and every member ends a suspicion that the prober did not end.
+//! Suspicions: the prober notifies its suspect directly, and every member ends suspicions that their prober
+//! did not end.
 
 use crate::identity::MemberId;
 use crate::runtime::FocaEffects;
@@ -7,24 +8,26 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// Notifications of a suspect within one suspicion time. With 20% loss each way, the chance that none is
-/// answered is 0.36^8, under 1 in 3,000.
+/// Number of notifications sent to a suspect within one suspicion time. With 20% loss in each direction, the
+/// probability that none of them is answered is 0.36^8, less than 1 in 3,000.
 const NOTIFICATIONS: u64 = 8;
-/// A suspicion ends after so many suspicion times in every view; the prober's own timer ends it after one.
+/// Number of suspicion times after which every member ends a suspicion. The prober's own timer ends it after
+/// one.
 const EXPIRY_FACTOR: u64 = 2;
 
-/// A suspicion that this member's own probe raised.
+/// A suspicion raised by this member's own probe.
 struct RaisedSuspicion {
     suspect: MemberId,
     /// The suspect's SWIM incarnation: the number of suspicions that it has refuted.
     refutations: u16,
-    /// When the suspect is next notified.
+    /// When the next notification of the suspect is due.
     notify_at: Nanos,
     /// When foca declares the suspect down.
     ends_at: Nanos,
 }
 
-/// A suspicion as any member holds it: raised again after a refutation, it is another one.
+/// Identifies a suspicion, raised by any member. A suspicion that is raised again after a refutation is a
+/// different one, since the number of refutations has changed.
 #[derive(PartialEq, Eq, Hash)]
 struct SuspicionKey {
     addr: SocketAddr,
@@ -32,14 +35,14 @@
     refutations: u16,
 }
 
-/// The suspicions that this member knows of.
+/// The suspicions known to this member.
 pub(crate) struct Suspicions {
-    /// How long foca leaves a suspect to refute its suspicion.
+    /// Suspicion time: how long a suspect has to refute its suspicion before foca declares it down.
     duration: Nanos,
     raised: Vec<RaisedSuspicion>,
-    /// When each suspicion was first seen, by this member or another.
+    /// When this member first observed each suspicion, whether raised by itself or by another member.
     first_seen: HashMap<SuspicionKey, Nanos>,
-    /// When [`Membership::expire_suspicions_if_due`] last looked.
+    /// When [`Membership::expire_suspicions_if_due`] last checked for expired suspicions.
     checked_at: Nanos,
 }
 
@@ -48,20 +51,21 @@
         Suspicions { duration, raised: Vec::new(), first_seen: HashMap::new(), checked_at: now }
     }
 
-    /// Notes a suspicion raised by this member; the suspect is notified at once and then periodically.
+    /// Records a suspicion raised by this member. The suspect is notified at once and then periodically.
     pub(crate) fn raise(&mut self, suspect: MemberId, refutations: u16, now: Nanos, ends_at: Nanos) {
         self.raised.push(RaisedSuspicion { suspect, refutations, notify_at: now, ends_at });
     }
 
-    /// When the next suspect is to be notified, or a raised suspicion ends.
+    /// When the next notification of a suspect is due or the next raised suspicion ends.
     pub(crate) fn deadline(&self) -> Option<Nanos> {
         self.raised.iter().map(|raised| raised.notify_at.min(raised.ends_at)).min()
     }
 }
 
 impl Membership {
-    /// Notifies the suspects of this member's own probes until they are no longer suspect. Gossip sends each
-    /// update a fixed number of times, so under loss some suspects would never learn of their suspicion.
+    /// Notifies the members that this member's own probes made suspect, until they are no longer suspect.
+    /// Gossip alone is not enough: each update is sent a fixed number of times, so with packet loss some
+    /// suspects would never learn that they are suspected.
     pub(crate) fn notify_suspects(&mut self) {
         let now = self.now;
         if self.suspicions.deadline().is_none_or(|deadline| deadline > now) {
@@ -90,10 +94,10 @@
         }
     }
 
-    /// Declares down each member that has been suspect for twice the suspicion time. foca leaves the timeout
-    /// to the prober; when the prober crashes or takes a new incarnation its timer is lost, and the suspect
-    /// would stay suspect in every view. In SWIM each member times out a suspicion by itself; twice the time
-    /// lets the prober act first.
+    /// Declares down every member that has been suspect for twice the suspicion time. In foca only the prober
+    /// times out a suspicion. If the prober crashes or takes a new incarnation, its timer is lost, and the
+    /// suspect would remain suspect in every view. As in SWIM, each member therefore times out suspicions by
+    /// itself; waiting for twice the suspicion time lets the prober act first.
     fn expire_suspicions(&mut self) {
         let mut expired = Vec::new();
         let mut first_seen = HashMap::new();
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,4 +1,5 @@
-//! The view as the caller reads it: members with their states, changes, counts.
+//! The view as presented to the caller: members with their states, changes of the view, and counts of
+//! datagrams.
 
 use crate::envelope::DropReason;
 use crate::identity::MemberId;
@@ -15,24 +16,25 @@
     pub name: String,
     /// The member's address.
     pub addr: SocketAddr,
-    /// The member's incarnation: one start of its process.
+    /// The member's incarnation, which identifies one start of its process.
     pub incarnation: u64,
-    /// The SWIM incarnation that foca keeps, raised each time the member refutes a suspicion.
+    /// The SWIM incarnation kept by foca: the number of suspicions that the member has refuted.
     pub refutations: u16,
     /// The member's state.
     pub state: MemberState,
-    /// When this server first saw the present state of this incarnation, in nanoseconds.
+    /// When this server first observed the member in this state and incarnation, in nanoseconds.
     pub since: Nanos,
 }
 
 /// State of a member, as in SWIM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize)]
 pub enum MemberState {
-    /// It answers probes, or has refuted a suspicion.
+    /// The member answers probes, or has refuted a suspicion.
     Alive,
-    /// It did not answer a probe and has the suspicion time to refute that.
+    /// The member did not answer a probe. It is declared down unless it refutes the suspicion within the
+    /// suspicion time.
     Suspect,
-    /// It left or did not refute a suspicion; it is forgotten after a while.
+    /// The member left, or did not refute a suspicion in time. It is removed from the view after a while.
     Down,
 }
 
@@ -46,10 +48,10 @@
     }
 }
 
-/// A change of the view, and when this server learnt of it.
+/// A change of the view with its time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ViewChange {
-    /// When this server learnt of the change, in nanoseconds.
+    /// When this server learned of the change, in nanoseconds.
     pub at: Nanos,
     /// The change.
     pub change: Change,
@@ -58,27 +60,28 @@
 /// A change of the view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A member joined or came back.
+    /// A member joined, or is alive again after it was down.
     Up(MemberId),
     /// A member left or was declared down.
     Down(MemberId),
     /// A member was replaced by a later incarnation at the same address.
     Renamed {
-        /// The identity before.
+        /// The previous identity.
         old: MemberId,
-        /// The identity now.
+        /// The new identity.
         new: MemberId,
     },
-    /// This server knows one other member at least.
+    /// This server now knows at least one other member that is not down.
     Active,
-    /// This server knows no member that is not down.
+    /// This server no longer knows any other member except members that are down.
     Idle,
-    /// The fleet declared this server down, and it took this higher incarnation.
+    /// The fleet had declared this server down, and the server rejoined with this identity of a higher
+    /// incarnation.
     Rejoined(MemberId),
 }
 
 impl Change {
-    /// Whether a member came, went or was renamed.
+    /// Whether a member joined, left, was renamed or rejoined.
     pub(crate) fn alters_members(&self) -> bool {
         match self {
             Change::Up(_) | Change::Down(_) | Change::Renamed { .. } | Change::Rejoined(_) => true,
@@ -94,7 +97,7 @@
     pub sent: u64,
     /// Bytes of the datagrams sent, envelopes included.
     pub sent_bytes: u64,
-    /// Datagrams received, those dropped included.
+    /// Datagrams received, including dropped ones.
     pub received: u64,
     /// Bytes of the datagrams received.
     pub received_bytes: u64,
@@ -109,23 +112,23 @@
         self.dropped[index_of(reason)] += 1;
     }
 
-    /// Datagrams dropped for one reason.
+    /// Number of datagrams dropped for one reason.
     pub fn dropped(&self, reason: DropReason) -> u64 {
         self.dropped[index_of(reason)]
     }
 
-    /// Datagrams dropped for any reason.
+    /// Number of datagrams dropped for any reason.
     pub fn dropped_all(&self) -> u64 {
         self.dropped.iter().sum()
     }
 }
 
 fn index_of(reason: DropReason) -> usize {
-    let index = DropReason::ALL.iter().position(|one| *one == reason);
+    let index = DropReason::ALL.iter().position(|other| *other == reason);
     index.expect("DropReason::ALL has every reason")
 }
 
-/// The state in which a member was last read, and since when.
+/// A member's last observed incarnation and state, and when this combination was first observed.
 pub(crate) struct StateSince {
     incarnation: u64,
     state: MemberState,
@@ -133,12 +136,11 @@
 }
 
 impl Membership {
-    /// Observes the view: dates each change of state to this call where it is the first to see it, moves
-    /// [`Membership::last_change`] along, and forgets the dates of members that are gone. To be called once a
-    /// probe period.
+    /// Returns all members known to this server except itself, ordered by address. Members that are down are
+    /// included until they are removed.
     ///
-    /// Returns every member that this server knows of, down ones until they are forgotten, without itself, by
-    /// address.
+    /// The call also detects changes of state since the previous call. Each is recorded with the time `now`
+    /// and updates [`Membership::last_change`]. It is to be called once per probe period.
     pub fn observe_view(&mut self, now: Nanos) -> Vec<MemberStatus> {
         self.now = self.now.max(now);
         let mut view: Vec<MemberStatus> = Vec::with_capacity(self.foca.iter_membership_state().len());
@@ -164,12 +166,12 @@
         view
     }
 
-    /// Number of members alive or suspect, this server excluded.
+    /// Number of alive and suspect members, excluding this server.
     pub fn active_members(&self) -> usize {
         self.foca.num_members()
     }
 
-    /// Addresses of the members alive, this server excluded, sorted.
+    /// Addresses of the alive members, excluding this server, sorted.
     pub fn alive_addresses(&self) -> Vec<SocketAddr> {
         let alive = self.foca.iter_members().filter(|member| member.state() == State::Alive);
         let mut addresses: Vec<SocketAddr> = alive.map(|member| member.id().addr).collect();
@@ -177,7 +179,7 @@
         addresses
     }
 
-    /// Address and incarnation of the members alive or suspect, this server excluded, sorted.
+    /// Addresses and incarnations of the alive and suspect members, excluding this server, sorted.
     pub fn members(&self) -> Vec<(SocketAddr, u64)> {
         let ids = self.foca.iter_members().map(|member| member.id());
         let mut members: Vec<(SocketAddr, u64)> = ids.map(|id| (id.addr, id.incarnation)).collect();
@@ -185,7 +187,7 @@
         members
     }
 
-    /// When the view last changed: a member came, went, was renamed or changed its state.
+    /// When the view last changed: a member joined, left, was renamed or changed its state.
     pub fn last_change(&self) -> Nanos {
         self.last_change
     }
@@ -196,8 +198,8 @@
     }
 }
 
-/// Since when the member has been in this state and incarnation, and whether that is a change seen now. A
-/// member seen for the first time is dated to `now` without a change.
+/// Returns when the member was first observed in this state and incarnation, and whether either has changed
+/// since the previous observation. A member observed for the first time does not count as changed.
 fn date_state(
     state_since: &mut HashMap<SocketAddr, StateSince>,
     id: &MemberId,
