--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -50,8 +50,8 @@
         requested_buckets: u64,
         members: Vec<Member<MemberId>>,
     ) -> Result<(), DropReason> {
-        // A list may contain only alive and suspect members. That a member is down is spread by gossip or a
-        // verdict, which the member itself can refute.
+        // A list may contain only alive and suspect members. Members that are down are reported by gossip or
+        // verdicts, which the member itself can refute.
         if members.iter().any(|member| !has_valid_name(member.id()) || member.state() == State::Down) {
             return Err(DropReason::Protocol);
         }
@@ -159,7 +159,8 @@
         self.apply(effects);
     }
 
-    /// Sends a verdict to the address `to`: a member, which may be the receiver, with its state in this view.
+    /// Sends a verdict on `member` to the address `to`. The receiver may be `member` itself or another
+    /// member.
     pub(crate) fn send_verdict(&mut self, to: SocketAddr, member: Member<MemberId>) {
         self.send_payload(to, AntiEntropyPayload::Verdict { member });
     }
--- a/crates/membership/src/directory.rs
+++ b/crates/membership/src/directory.rs
@@ -1,6 +1,6 @@
 //! Directory of the names and addresses of the members that are not down, for callers that address members by
 //! name. The directory caches the view, since a lookup in foca's member list takes time linear in the size of
-//! the fleet (`docs/CAPACITY.md`). It is rebuilt only after the view has changed.
+//! the fleet (`docs/CAPACITY.md`). The cache is rebuilt only after the view has changed.
 
 use crate::{Membership, Nanos};
 use foca::State;
--- a/crates/membership/src/envelope.rs
+++ b/crates/membership/src/envelope.rs
@@ -29,7 +29,7 @@
 /// [`DropReason::Version`], so that older and newer servers can work in the same fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PayloadKind {
-    /// A message of foca.
+    /// A SWIM message, encoded by foca.
     Swim = 0,
     /// An [`crate::messages::AntiEntropyMessage`].
     AntiEntropy = 1,
@@ -168,7 +168,7 @@
     /// Checks a datagram and returns its content. The check for replays is left to the caller.
     ///
     /// # Errors
-    /// The first check that the datagram fails.
+    /// The reason that belongs to the first check that the datagram fails.
     pub fn open<'a>(&self, datagram: &'a [u8]) -> Result<OpenedDatagram<'a>, DropReason> {
         if datagram.len() > self.body_max + ENVELOPE_BYTES {
             return Err(DropReason::Oversized);
--- a/crates/membership/src/rejoin.rs
+++ b/crates/membership/src/rejoin.rs
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Announces this server to the member at an address whose identity is not known yet.
+    /// Announces this server to the member at `addr`, whose name and incarnation are not known yet.
     pub(crate) fn announce_to(&mut self, addr: SocketAddr) {
         let unknown = MemberId { name: String::new(), addr, incarnation: 0 };
         let mut effects = FocaEffects::default();
--- a/crates/membership/src/simulation/mod.rs
+++ b/crates/membership/src/simulation/mod.rs
@@ -202,7 +202,7 @@
         self.now = self.now.max(until);
     }
 
-    /// Runs event by event. At the same time, arrivals are processed before deadlines.
+    /// Runs event by event. If an arrival and a deadline have the same time, the arrival is processed first.
     fn run_events(&mut self, until: Nanos) {
         while let Some(next) = self.next_event().filter(|next| *next <= until) {
             self.now = self.now.max(next);
--- a/crates/membership/src/simulation/process.rs
+++ b/crates/membership/src/simulation/process.rs
@@ -1,4 +1,4 @@
-//! A simulated process of one member. It is running, stalled, or not existing.
+//! The simulated process of one member, which is running, is stalled, or does not exist.
 
 use crate::{Membership, Nanos, Transmit};
 use std::net::SocketAddr;
--- a/crates/replication/src/change.rs
+++ b/crates/replication/src/change.rs
@@ -28,7 +28,7 @@
     /// The value is too long.
     #[error("{key:?}: a value of {VALUE_BYTES_MAX} bytes at most, not {bytes}")]
     ValueLength {
-        /// The key with this value.
+        /// The key whose value is too long.
         key: String,
         /// Length of the value, in bytes.
         bytes: usize,
--- a/crates/replication/src/codec.rs
+++ b/crates/replication/src/codec.rs
@@ -55,7 +55,7 @@
     }
 }
 
-/// Whether a text does not exceed the maximum length of a name.
+/// Whether a text is short enough to be a name.
 fn is_name(text: &str) -> bool {
     text.len() <= NAME_BYTES_MAX
 }
--- a/crates/replication/src/committed_log.rs
+++ b/crates/replication/src/committed_log.rs
@@ -1,5 +1,5 @@
-//! The part of the committed log that one member holds: the content at its end, the last entries for members
-//! that lag a little, and two checkpoints for members that lag further.
+//! The part of the committed log that one member holds: the configuration at its end, the last entries for
+//! members that lag a little, and two checkpoints for members that lag further.
 //!
 //! Checkpoints have the same numbers on all members, so that a transfer started from one member can continue
 //! from another.
@@ -10,8 +10,8 @@
 use crate::state::{KEYS_MAX, State};
 use std::collections::VecDeque;
 
-/// Number of entries per checkpoint: the log is divided into blocks of this many numbers, and a checkpoint is
-/// taken at the first complete change in each block.
+/// Interval between checkpoints, in entries. The log is divided into blocks of this many entries, and a
+/// checkpoint is taken at the first complete change in each block.
 pub const CHECKPOINT_INTERVAL: u64 = 256;
 
 /// Reason why an entry cannot be appended to the log.
@@ -63,12 +63,12 @@
 /// The committed log as one member holds it. The numbers satisfy `base` <= `complete` <= `end`.
 #[derive(Clone, Debug, Default)]
 pub struct CommittedLog {
-    /// Content after the last committed entry.
+    /// The configuration after the last committed entry.
     end: Snapshot,
-    /// Content after the last complete change. The host may apply this content, but not that of `end`, which
+    /// The configuration after the last complete change. The host may apply this one, but not `end`, which
     /// may contain an incomplete change.
     complete: Snapshot,
-    /// Content before the first entry of `tail`.
+    /// The configuration before the first entry of `tail`.
     base: Snapshot,
     /// All entries after `base`, without gaps.
     tail: VecDeque<Entry>,
@@ -93,12 +93,12 @@
         self.end.number()
     }
 
-    /// Content at the end of the log.
+    /// Content of the configuration at the end of the log.
     pub fn state(&self) -> &State {
         &self.end.state
     }
 
-    /// Snapshot of the content after the last complete change.
+    /// Snapshot of the configuration after the last complete change.
     pub fn complete(&self) -> &Snapshot {
         &self.complete
     }
@@ -182,7 +182,8 @@
         }
     }
 
-    /// Content after the entry with this number; `None` if the entries held do not reach back that far.
+    /// Content of the configuration after the entry with this number; `None` if the log does not contain the
+    /// number or the entries held do not reach back that far.
     pub fn state_at(&self, number: u64) -> Option<State> {
         if number < self.base.number() || number > self.number() {
             return None;
--- a/crates/replication/src/entry.rs
+++ b/crates/replication/src/entry.rs
@@ -17,7 +17,7 @@
 /// One entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Position of the entry, and the hash of the content after the entry is applied.
+    /// Position of the entry, and the hash of the configuration after the entry is applied.
     pub revision: Revision,
     /// The changes to keys, in the order in which they are applied.
     pub changes: Vec<Change>,
--- a/crates/replication/src/member/applier.rs
+++ b/crates/replication/src/member/applier.rs
@@ -5,8 +5,9 @@
 use crate::snapshot::Snapshot;
 use crate::time::{Nanos, SECOND_NS};
 
-/// Time, from when a member first learns of a revision, in which it raises its catch-up target to the log
-/// ends that other members report.
+/// Duration of the catch-up period, which starts when a member first learns of a revision from another
+/// member. During this period the member raises its catch-up target to the highest log end that others
+/// report.
 const CATCH_UP_NS: Nanos = 2 * SECOND_NS;
 /// Maximum UTF-8 length of a character, in bytes.
 const CHARACTER_BYTES_MAX: usize = 4;
--- a/crates/replication/src/member/mod.rs
+++ b/crates/replication/src/member/mod.rs
@@ -35,8 +35,8 @@
 pub use settings::{Settings, SettingsError};
 use std::sync::Arc;
 
-/// Factor by which the byte budget of a control machine exceeds that of a server. A control machine serves no
-/// other traffic.
+/// Factor by which the byte budget of a control machine exceeds that of a server. A control machine sends
+/// nothing else.
 const CONTROL_BYTES_FACTOR: u64 = 16;
 
 /// Counters of a member since its start.
@@ -215,7 +215,7 @@
         self.progress().map_or(Vec::new(), |progress| progress.lagging(self.peers.others(), newest))
     }
 
-    /// Number of pairs received in the checkpoint transfer in progress; `None` if there is none.
+    /// Number of key-value pairs received in the checkpoint transfer in progress; `None` if there is none.
     pub fn transferred_pairs(&self) -> Option<usize> {
         self.transfer.as_ref().map(SnapshotTransfer::pairs)
     }
--- a/crates/replication/src/member/snapshot_fetch.rs
+++ b/crates/replication/src/member/snapshot_fetch.rs
@@ -13,8 +13,8 @@
 
 /// Delay before the next chunk request if the byte budget is used up.
 const CHUNK_RETRY_NS: Nanos = 100 * MILLISECOND_NS;
-/// Maximum bytes of pairs in one chunk; the rest of the body is left for the message header, which contains a
-/// key.
+/// Maximum bytes of key-value pairs in one chunk; the rest of the body is left for the message header, which
+/// contains a key.
 const CHUNK_BYTES_MAX: usize = BODY_BYTES_MAX - 2 * KEY_BYTES_MAX;
 
 impl Member {
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -60,7 +60,7 @@
 pub struct Report {
     /// Number of the last revision that the member applied.
     pub applied: u64,
-    /// Number at the end of the committed log that the member holds.
+    /// Number of the last entry in the member's committed log.
     pub committed: u64,
     /// The last rejected revision, unless a later one was applied.
     pub rejected: Option<Rejection>,
@@ -98,7 +98,7 @@
     /// Anti-entropy: summarizes the log that the sender holds. A receiver that holds more answers with
     /// `Entries` or a `SnapshotOffer`.
     Digest {
-        /// Number at the end of the sender's committed log.
+        /// Number of the last entry in the sender's committed log.
         number: u64,
         /// The sender's latest freshness statement.
         freshness: Freshness,
@@ -115,26 +115,26 @@
         entries: Vec<Entry>,
         /// The last known leader.
         leader: Option<String>,
-        /// Whether the receiver pushes entries that are new to it to further members.
+        /// Whether the receiver forwards new entries to further members.
         pushed: bool,
-        /// Number at the end of the sender's committed log.
+        /// Number of the last entry in the sender's committed log.
         newest: u64,
     },
     /// Offers a checkpoint to a receiver that lags too far for single entries.
     SnapshotOffer {
         /// Revision of the checkpoint.
         checkpoint: Revision,
-        /// Number at the end of the sender's committed log.
+        /// Number of the last entry in the sender's committed log.
         newest: u64,
     },
-    /// Requests the next pairs of a checkpoint.
+    /// Requests the next key-value pairs of a checkpoint.
     FetchChunk {
         /// Number of the checkpoint.
         checkpoint: u64,
         /// The key after which the requested pairs begin; `None` for the first pairs.
         after: Option<Text>,
     },
-    /// Answers `FetchChunk` with pairs of a checkpoint.
+    /// Answers `FetchChunk` with key-value pairs of a checkpoint.
     SnapshotChunk {
         /// Number of the checkpoint.
         checkpoint: u64,
@@ -152,7 +152,7 @@
         /// Region and zone of the sender.
         location: Location,
     },
-    /// The leader's request for a report.
+    /// The leader's request for a member's progress report.
     PollReport,
     /// Between replicas: a candidate requests a promise of its epoch, and log entries.
     Prepare {
@@ -185,7 +185,7 @@
         previous: Position,
         /// Entries to store, as many as fit into the message.
         entries: Vec<Entry>,
-        /// Number at the end of the leader's committed log.
+        /// Number of the last entry in the leader's committed log.
         committed: u64,
     },
     /// Between replicas: acknowledges `Append`. The replica's log matches the leader's up to `number`.
@@ -234,7 +234,8 @@
         /// Name of the leader, if known.
         leader: Option<String>,
     },
-    /// An operator's request for the number of members that have applied the newest revision.
+    /// An operator's request for the number of members that have applied the newest revision, and for the
+    /// members that lag.
     PollStatus {
         /// Identifier of the request.
         request: RequestId,
--- a/crates/replication/src/replica/leader.rs
+++ b/crates/replication/src/replica/leader.rs
@@ -22,7 +22,7 @@
     /// Number up to which the replica has stored the leader's log; for the leader itself, the number up to
     /// which its log is on disk.
     matched: Option<u64>,
-    /// When entries were last sent to the replica; `None` if new entries are to be sent at once.
+    /// When entries were last sent to the replica; `None` if a message is to be sent at once.
     sent_at: Option<Nanos>,
 }
 
--- a/crates/replication/src/revision.rs
+++ b/crates/replication/src/revision.rs
@@ -1,4 +1,4 @@
-//! Positions in the log, and revisions: positions with the hash of the content there.
+//! Positions in the log, and revisions, which are positions with the hash of the configuration there.
 
 use crate::content_hash::ContentHash;
 use serde::{Deserialize, Serialize};
@@ -14,12 +14,12 @@
     pub number: u64,
 }
 
-/// A position with the hash of the content at that position.
+/// A position in the log with the hash of the configuration at that position.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Revision {
     /// Position in the log.
     pub position: Position,
-    /// Hash of the content after all entries up to and including the position.
+    /// Hash of the configuration's content after all entries up to and including the position.
     pub hash: ContentHash,
 }
 
--- a/crates/replication/src/snapshot_transfer.rs
+++ b/crates/replication/src/snapshot_transfer.rs
@@ -26,13 +26,12 @@
 pub struct SnapshotTransfer {
     /// Revision of the checkpoint.
     target: Revision,
-    /// The member to send the next request to: the last one that offered the checkpoint or sent a chunk of
-    /// it.
-    /// `None` after it has left a request unanswered.
+    /// The member to send the next request to, which is the last member that offered the checkpoint or sent a
+    /// chunk. `None` after that member has left a request unanswered.
     source: Option<String>,
     /// Number of requests since the last chunk was received.
     attempts: u32,
-    /// The pairs received so far.
+    /// The key-value pairs received so far.
     state: State,
     /// The last key received.
     after: Option<Text>,
@@ -71,7 +70,7 @@
         self.target
     }
 
-    /// Number of pairs received so far.
+    /// Number of key-value pairs received so far.
     pub fn pairs(&self) -> usize {
         self.state.len()
     }
