--- a/crates/capacity/src/tenants.rs
+++ b/crates/capacity/src/tenants.rs
@@ -54,7 +54,7 @@
         let (name, _) = &named[arrival.wrapping_mul(STRIDE) % tenants];
         let admission = fair.arrive(now, TenantKey { name, origin: 1 }, WORK_NS, None);
         fair.start_service(&admission);
-        fair.end(now, &admission, ServiceOutcome::Ran(WORK_NS as u64));
+        fair.end_service(now, &admission, ServiceOutcome::Ran(WORK_NS as u64));
     };
     (0..tenants).for_each(&mut arrive);
     let started_at = thread_time();
--- a/crates/fair-queueing/benches/fair.rs
+++ b/crates/fair-queueing/benches/fair.rs
@@ -1,29 +1,30 @@
-//! An arrival among many tenants: the bounded core against a plain map of queues that knows each of them.
+//! Cost of one arrival among many tenants: the bounded scheduler compared with a map that has a queue for
+//! every tenant.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use meadowstream_fair_queueing::{FairScheduler, ServiceOutcome, Settings, TenantKey};
 use std::collections::{HashMap, VecDeque};
 use std::hint::black_box;
 
-/// Deficit round robin over a map of queues, one for each name.
+/// Deficit round robin over a map of queues, one queue for each tenant name.
 #[derive(Default)]
-struct Queues {
+struct DeficitRoundRobin {
     queues: HashMap<Vec<u8>, (VecDeque<u64>, f64)>,
-    turn: VecDeque<Vec<u8>>,
+    rotation: VecDeque<Vec<u8>>,
 }
 
-impl Queues {
-    fn arrived(&mut self, name: &[u8], work: u64) {
+impl DeficitRoundRobin {
+    fn enqueue(&mut self, name: &[u8], work: u64) {
         let queue = self.queues.entry(name.to_vec()).or_default();
         if queue.0.is_empty() {
-            self.turn.push_back(name.to_vec());
+            self.rotation.push_back(name.to_vec());
         }
         queue.0.push_back(work);
     }
 
     fn next(&mut self) -> Option<u64> {
         loop {
-            let name = self.turn.pop_front()?;
+            let name = self.rotation.pop_front()?;
             let (queue, deficit) = self.queues.get_mut(&name)?;
             *deficit += 1e6;
             let next = queue.front().copied()?;
@@ -33,11 +34,11 @@
                 if queue.is_empty() {
                     *deficit = 0.0;
                 } else {
-                    self.turn.push_back(name);
+                    self.rotation.push_back(name);
                 }
                 return Some(next);
             }
-            self.turn.push_back(name);
+            self.rotation.push_back(name);
         }
     }
 }
@@ -56,7 +57,7 @@
             if n.is_multiple_of(100_000) {
                 fair.update_fair_rate(n * 1000, 3.6, f64::INFINITY);
             }
-            fair.end(
+            fair.end_service(
                 n * 1000 + 500,
                 &admission,
                 if admission.surplus { ServiceOutcome::NeverRan } else { ServiceOutcome::Ran(900_000) },
@@ -67,13 +68,13 @@
             arrive();
         });
         group.bench_function(BenchmarkId::new("fair", tenants), |b| b.iter(|| black_box(arrive())));
-        let mut queues = Queues::default();
-        (0..tenants).for_each(|n| queues.arrived(&name(n), 1_000_000));
+        let mut queues = DeficitRoundRobin::default();
+        (0..tenants).for_each(|n| queues.enqueue(&name(n), 1_000_000));
         let mut n = tenants;
         group.bench_function(BenchmarkId::new("map of queues", tenants), |b| {
             b.iter(|| {
                 n += 1;
-                queues.arrived(&name(n), 1_000_000);
+                queues.enqueue(&name(n), 1_000_000);
                 black_box(queues.next())
             })
         });
--- a/crates/fair-queueing/src/account.rs
+++ b/crates/fair-queueing/src/account.rs
@@ -1,40 +1,41 @@
-//! What is kept of one tenant.
+//! Usage record of one tenant.
 
 use crate::Nanos;
 use crate::demand::DecayingRate;
 use crate::learned_ratio::LearnedRatio;
 use crate::queue_order::QueueTails;
 
-/// Bytes of a name that are kept for operators.
+/// Maximum length of the stored prefix of a tenant's name, in bytes. The prefix is only displayed to
+/// operators.
 const NAME_BYTES: usize = 48;
 
-/// The account of one tenant.
+/// Usage record of one established tenant.
 #[derive(Clone, Debug)]
 pub struct Account {
-    /// Virtual time up to which it has used its share.
+    /// Virtual time up to which the tenant has used its share.
     pub finish: f64,
-    /// Where its queues end.
+    /// Tails of the tenant's queues.
     pub tails: QueueTails,
-    /// Virtual time up to which its share is promised.
+    /// Virtual time up to which the tenant's share is promised.
     pub booked_until: f64,
-    /// Its weight.
+    /// Weight of the tenant.
     pub weight: f64,
-    /// Its work as a ratio to the usual work of its operations.
+    /// Learned ratio of the tenant's work to the usual work of its operations.
     pub ratio: LearnedRatio,
-    /// Whether the settings name it: its account then stays.
+    /// Whether the settings name this tenant. The account of a named tenant is never evicted.
     pub named: bool,
-    /// Its arrivals within its share.
+    /// Number of arrivals within the tenant's share.
     pub within: u64,
-    /// Its arrivals beyond it.
+    /// Number of arrivals beyond the tenant's share.
     pub surplus: u64,
     demand: DecayingRate,
     name: [u8; NAME_BYTES],
-    /// Length of the whole name, in bytes.
+    /// Length of the full name, in bytes; the stored prefix may be shorter.
     name_length: u16,
 }
 
 impl Account {
-    /// The account of a tenant that has used its share up to `finish`.
+    /// Creates an account for a tenant that has used its share up to `finish`.
     pub fn new(name: &[u8], weight: f64, finish: f64, now: Nanos) -> Self {
         let mut kept_name = [0; NAME_BYTES];
         let prefix = &name[..name.len().min(NAME_BYTES)];
@@ -56,17 +57,18 @@
         }
     }
 
-    /// The tenant asks for work, in nanoseconds of one core.
+    /// Records demand for work, in nanoseconds of one core.
     pub fn record_demand(&mut self, now: Nanos, work: f64) {
         self.demand.add(now, work);
     }
 
-    /// Recent demand, in cores.
+    /// Returns the tenant's recent demand, in cores.
     pub fn demand(&self, now: Nanos) -> f64 {
         self.demand.cores(now)
     }
 
-    /// The name for operators: escaped where it is not plain text, cut where it is long.
+    /// Returns the name for display to operators: non-ASCII and control bytes are escaped, and a long name is
+    /// truncated.
     pub fn display_name(&self) -> String {
         let length = usize::from(self.name_length);
         let text = self.name[..length.min(NAME_BYTES)].escape_ascii().to_string();
--- a/crates/fair-queueing/src/accounts.rs
+++ b/crates/fair-queueing/src/accounts.rs
@@ -1,8 +1,8 @@
-//! Accounts of tenants, up to a limit, with a list in the order of their last use (LRU) through all that may
-//! be evicted.
+//! Accounts of tenants, up to a limit. The accounts that may be evicted are in a list ordered by last use
+//! (LRU).
 //!
-//! Invariant: an account is evicted only if its tenant is not ahead of its share, so that nothing that was
-//! used is forgotten with it.
+//! Invariant: an account is evicted only if its tenant's finish is not ahead of virtual time, so that
+//! evicting it loses no recorded usage.
 
 use crate::Nanos;
 use crate::account::Account;
@@ -11,24 +11,24 @@
 use crate::tenant::Fingerprint;
 use std::collections::HashMap;
 
-/// An account unused for this long may be evicted, in nanoseconds.
+/// Idle time after which an account may be evicted, in nanoseconds.
 const IDLE_NS: Nanos = 10_000_000_000;
-/// Index of no entry.
+/// Index that marks the end of the list.
 const NONE: u32 = u32::MAX;
 
-/// An account, until its slot is given to another tenant.
+/// Reference to an account, valid until its slot is reassigned to another tenant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Slot {
     index: u32,
     serial: u32,
 }
 
-/// A slot for a new account.
+/// Result of inserting an account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Insertion {
-    /// The slot.
+    /// Slot of the new account.
     pub slot: Slot,
-    /// Whether another tenant lost its account for it.
+    /// Whether another tenant's account was evicted to free the slot.
     pub evicted: bool,
 }
 
@@ -36,15 +36,15 @@
 struct Entry {
     account: Account,
     fingerprint: Fingerprint,
-    /// Distinguishes the accounts that have had this slot.
+    /// Serial number of the account, which distinguishes it from earlier accounts in the same slot.
     serial: u32,
     used_at: Nanos,
-    /// Neighbours in the list by last use.
+    /// Index of the next more recently used entry; `older` is the index of the next less recently used one.
     newer: u32,
     older: u32,
 }
 
-/// The accounts.
+/// Accounts of established tenants.
 #[derive(Debug)]
 pub struct Accounts {
     limit: usize,
@@ -56,7 +56,7 @@
 }
 
 impl Accounts {
-    /// At most `limit` accounts.
+    /// Creates a table of at most `limit` accounts.
     pub fn new(limit: usize) -> Self {
         Self {
             limit: limit.min(NONE as usize - 1),
@@ -68,28 +68,29 @@
         }
     }
 
-    /// Most bytes that so many accounts take.
+    /// Returns the most bytes that a table of `limit` accounts takes.
     pub fn bytes_max(limit: usize) -> usize {
         2 * limit * size_of::<Entry>() + memory::map_bytes_max::<Fingerprint, u32>(limit)
     }
 
-    /// Bytes held now.
+    /// Returns the bytes in use.
     pub fn bytes(&self) -> usize {
         self.entries.capacity() * size_of::<Entry>() + memory::map_bytes(&self.indices)
     }
 
-    /// Number of accounts.
+    /// Returns the number of accounts.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether there are no accounts.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Names a tenant: its account is never evicted. One that it has already keeps what it has used. There is
-    /// a slot for it, since the settings allow half as many named tenants as accounts.
+    /// Marks a tenant as named, so that its account is never evicted. An existing account keeps its recorded
+    /// usage. A slot is always available, since the settings allow at most half as many named tenants as
+    /// accounts.
     pub fn pin(&mut self, fingerprint: Fingerprint, mut account: Account) {
         account.named = true;
         if let Some(index) = self.indices.get(&fingerprint).copied() {
@@ -107,7 +108,7 @@
         }
     }
 
-    /// A tenant is no longer named; others stay as they are.
+    /// Removes a tenant's named mark; has no effect if the tenant is not named.
     pub fn unpin(&mut self, fingerprint: Fingerprint, weight: f64, now: Nanos) {
         let Some(index) = self.indices.get(&fingerprint).copied() else { return };
         let entry = &mut self.entries[index as usize];
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Puts an account first in the list by last use; named ones stand in no list.
+    /// Inserts an account at the head of the LRU list. Accounts of named tenants are not in the list.
     fn link_newest(&mut self, index: u32) {
         let previous = self.newest;
         let entry = &mut self.entries[index as usize];
@@ -170,7 +171,7 @@
         self.newest = index;
     }
 
-    /// The account of a tenant, which is in use now.
+    /// Returns a tenant's account, if any, and marks it as used now.
     pub fn find(&mut self, fingerprint: Fingerprint, now: Nanos) -> Option<Slot> {
         let index = *self.indices.get(&fingerprint)?;
         let entry = &mut self.entries[index as usize];
@@ -183,15 +184,16 @@
         Some(slot)
     }
 
-    /// The account in a slot; `None` where another tenant has it now.
+    /// Returns the account in a slot, or `None` if the slot has been reassigned to another tenant.
     pub fn get_mut(&mut self, slot: Slot) -> Option<&mut Account> {
         let entry = self.entries.get_mut(slot.index as usize)?;
         (entry.serial == slot.serial).then_some(&mut entry.account)
     }
 
-    /// Inserts an account, in a free slot or in that of the one unused for longest. That one is evicted only
-    /// if it is not ahead of `virtual_time`, and idle or the new one `over_share`, which must be watched more
-    /// closely: no number of new tenants takes accounts from those in use. `None` where none may be evicted.
+    /// Inserts an account in a free slot or in the slot of the least recently used account. That account is
+    /// evicted only if its finish is not ahead of `virtual_time`, and only if it is idle or the new tenant is
+    /// `over_share` and so needs its use tracked exactly. New tenants alone therefore cannot evict accounts
+    /// in use. Returns `None` if no account may be evicted.
     pub fn insert(
         &mut self,
         fingerprint: Fingerprint,
@@ -216,7 +218,7 @@
         Some(Insertion { slot, evicted: true })
     }
 
-    /// Recent demand of each tenant.
+    /// Returns the recent demand of each tenant with an account.
     pub fn demands(&self, now: Nanos) -> impl Iterator<Item = Demand> {
         self.entries.iter().map(move |entry| Demand {
             cores: entry.account.demand(now),
@@ -225,7 +227,7 @@
         })
     }
 
-    /// The `limit` accounts with most recent demand, the largest first.
+    /// Returns the `limit` accounts with the highest recent demand, in descending order.
     pub fn by_demand(&self, now: Nanos, limit: usize) -> Vec<&Account> {
         let mut accounts: Vec<&Account> = self.entries.iter().map(|entry| &entry.account).collect();
         let larger = |a: &&Account, b: &&Account| b.demand(now).total_cmp(&a.demand(now));
--- a/crates/fair-queueing/src/counters.rs
+++ b/crates/fair-queueing/src/counters.rs
@@ -1,47 +1,49 @@
-//! What operators see of fair queueing.
+//! Counters and tenant statistics for operators.
 
-/// Events since the start.
+/// Counters of scheduling events since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SchedulerCounters {
     /// Arrivals within their tenant's share.
     pub within: u64,
-    /// Arrivals beyond it.
+    /// Arrivals beyond their tenant's share.
     pub surplus: u64,
-    /// Arrivals whose name was not known yet.
+    /// Arrivals with a name that was not yet established.
     pub newcomers: u64,
-    /// Arrivals of known names without an account.
+    /// Arrivals with an established name but without an account.
     pub sketched: u64,
-    /// Accounts given to another tenant.
+    /// Accounts evicted to make space for another tenant.
     pub evicted: u64,
     /// Promises made.
     pub promised: u64,
-    /// Returns admitted as promised.
+    /// Returns admitted because of a promise.
     pub kept: u64,
-    /// Returns in time whose promise did not hold, since the server was far worse off than foreseen.
+    /// Returns in time whose promise was not honoured because virtual time advanced much more slowly than
+    /// predicted.
     pub broken: u64,
     /// Returns before the promised time.
     pub early: u64,
-    /// Returns with a ticket that does not stand: too late, used before, never given, or another tenant's.
+    /// Returns with an invalid ticket: expired, already used, never issued, or issued to another tenant.
     pub unknown: u64,
-    /// Promises for which nobody returned in time.
+    /// Promises that expired without a return.
     pub lapsed: u64,
-    /// Rejections without a promise: its time would have been too long, or too many promises stood.
+    /// Rejections without a promise, because the wait would have been too long or too many promises were
+    /// active.
     pub unpromised: u64,
 }
 
-/// One of the tenants with most demand.
+/// Statistics of one of the tenants with the highest demand.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TopTenant {
-    /// Its name as text, cut and escaped.
+    /// Name of the tenant as text, escaped and truncated.
     pub name: String,
-    /// Its weight.
+    /// Weight of the tenant.
     pub weight: f64,
-    /// Its recent demand, in cores.
+    /// Recent demand of the tenant, in cores.
     pub demand: f64,
-    /// How far its finish is ahead, in seconds of its share.
+    /// How far the tenant's finish is ahead of virtual time, in seconds of its share.
     pub ahead: f64,
-    /// Its arrivals within its share.
+    /// Number of arrivals within the tenant's share.
     pub within: u64,
-    /// Its arrivals beyond it.
+    /// Number of arrivals beyond the tenant's share.
     pub surplus: u64,
 }
--- a/crates/fair-queueing/src/demand.rs
+++ b/crates/fair-queueing/src/demand.rs
@@ -2,10 +2,10 @@
 
 use crate::Nanos;
 
-/// Work that has been asked for counts half after this time, in nanoseconds.
+/// Half-life of the recorded demand, in nanoseconds.
 pub const HALF_LIFE_NS: Nanos = 2_000_000_000;
 
-/// A rate of work, from a decaying sum.
+/// A rate of work, computed from an exponentially decaying sum.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DecayingRate {
     sum: f32,
@@ -24,19 +24,19 @@
         self.updated_at = self.updated_at.max(now);
     }
 
-    /// Work a second, in cores: the rate of a steady flow with this sum.
+    /// Returns the rate in cores: the steady demand that would produce the current sum.
     pub fn cores(&self, now: Nanos) -> f64 {
         self.remaining(now) * std::f64::consts::LN_2 / HALF_LIFE_NS as f64
     }
 }
 
-/// Demand of tenants of which each asks for the same.
+/// Demand of a group of tenants with equal demand and weight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Demand {
-    /// What each asks for, in cores.
+    /// Demand of each tenant, in cores.
     pub cores: f64,
-    /// The weight of each.
+    /// Weight of each tenant.
     pub weight: f64,
-    /// How many tenants there are.
+    /// Number of tenants in the group.
     pub tenants: f64,
 }
--- a/crates/fair-queueing/src/fair_rate.rs
+++ b/crates/fair-queueing/src/fair_rate.rs
@@ -1,33 +1,34 @@
-//! The max-min fair rate of a unit of weight, and the virtual time that advances at it.
+//! The max-min fair rate of a unit of weight, and the virtual time that advances at this rate.
 //!
-//! The rate is such that all capacity is given out and no tenant gets more than it asks for. It is found by
-//! filling up (Bertsekas and Gallager, Data Networks, 1992, 6.5.2), beginning with those that ask for least.
+//! At this rate all capacity is allocated, and no tenant gets more than its demand. It is computed by
+//! progressive filling (Bertsekas and Gallager, Data Networks, 1992, 6.5.2), in ascending order of demand per
+//! unit of weight.
 
 use crate::Nanos;
 use crate::demand::{DecayingRate, Demand, HALF_LIFE_NS};
 use crate::hyperloglog::WindowedCount;
 use crate::tenant::Fingerprint;
 
-/// Virtual time advances so much faster while there is capacity for all: what a tenant used beyond its share
-/// then is soon forgiven.
+/// Speedup of virtual time while there is capacity for all demand, so that use beyond a tenant's share during
+/// that time is soon no longer held against it.
 const UNDERLOAD_SPEEDUP: f64 = 16.0;
-/// Weight of a new value in the average weight of sketched tenants.
+/// Weight of a new observation in the moving average of sketched tenants' weights.
 const WEIGHT_SMOOTHING: f64 = 0.01;
-/// Names of sketched tenants are counted over windows of this length.
+/// Length of the window in which the names of sketched tenants are counted, in nanoseconds.
 const NAME_WINDOW_NS: Nanos = 16 * HALF_LIFE_NS;
-/// A clock that jumps advances virtual time by no more than this.
+/// Maximum advance for a single clock reading, in nanoseconds, which bounds the effect of a clock jump.
 const CLOCK_JUMP_MAX_NS: Nanos = 1_000_000_000;
-/// Registers of the count of sketched tenants.
+/// Registers of the HyperLogLog estimator of sketched tenants' names.
 const NAME_REGISTERS: usize = 1024;
 
-/// The fair rate and the virtual time.
+/// Fair rate of a unit of weight, and the virtual time.
 #[derive(Debug)]
 pub struct FairRate {
-    /// In nanoseconds of one core for a unit of weight.
+    /// Virtual time, in nanoseconds of one core per unit of weight.
     virtual_time: f64,
-    /// The latest time there was.
+    /// Latest time that was passed in, in nanoseconds.
     now: Nanos,
-    /// Cores for a unit of weight; the whole capacity while there is enough for all.
+    /// Fair rate in cores per unit of weight; the total capacity while there is capacity for all demand.
     cores: f64,
     is_underloaded: bool,
     sketched_demand: DecayingRate,
@@ -36,7 +37,7 @@
 }
 
 impl FairRate {
-    /// The rate is `cores` at first, as if there were capacity for all.
+    /// Creates a fair rate of `cores`, as if there were capacity for all demand.
     pub fn new(cores: f64, now: Nanos) -> Self {
         Self {
             virtual_time: 0.0,
@@ -49,17 +50,18 @@
         }
     }
 
-    /// The virtual time, in nanoseconds of one core for a unit of weight.
+    /// Returns the virtual time, in nanoseconds of one core per unit of weight.
     pub fn virtual_time(&self) -> f64 {
         self.virtual_time
     }
 
-    /// The rate of a unit of weight, in cores.
+    /// Returns the fair rate of a unit of weight, in cores.
     pub fn cores(&self) -> f64 {
         self.cores
     }
 
-    /// Advances to `now`; a clock that stands still or goes back advances nothing. Returns the latest time.
+    /// Advances virtual time to `now` and returns the latest time seen. A clock that stops or goes back does
+    /// not advance virtual time.
     pub fn advance(&mut self, now: Nanos) -> Nanos {
         let passed = now.saturating_sub(self.now).min(CLOCK_JUMP_MAX_NS) as f64;
         self.virtual_time += passed * self.cores * if self.is_underloaded { UNDERLOAD_SPEEDUP } else { 1.0 };
@@ -67,7 +69,7 @@
         self.now
     }
 
-    /// A tenant without an account has asked for work, in nanoseconds of one core.
+    /// Records that a tenant without an account has demanded work, in nanoseconds of one core.
     pub fn record_sketched_demand(&mut self, now: Nanos, fingerprint: Fingerprint, weight: f64, work: f64) {
         self.sketched_demand.add(now, work);
         self.sketched_weight += WEIGHT_SMOOTHING * (weight - self.sketched_weight);
@@ -75,34 +77,34 @@
         self.sketched_names.add(fingerprint);
     }
 
-    /// Demand of all tenants without an account, taken for equals.
+    /// Returns the demand of all tenants without an account, which are treated as equal.
     fn sketched(&self, now: Nanos) -> Demand {
         let tenants = self.sketched_names.estimate();
         let cores = self.sketched_demand.cores(now) / tenants;
         Demand { cores, weight: self.sketched_weight, tenants }
     }
 
-    /// Finds the rate for the demands, to which those of tenants without an account are added. `capacity` is
-    /// what is to be given out, in cores.
+    /// Computes the fair rate for the given demands and for those of tenants without an account. `capacity`
+    /// is the capacity to allocate, in cores.
     pub fn update(&mut self, now: Nanos, capacity: f64, demands: impl Iterator<Item = Demand>) {
         let capacity = capacity.max(f64::MIN_POSITIVE);
-        let rate = Self::fill(capacity, demands.chain([self.sketched(now)]));
+        let rate = Self::progressive_filling(capacity, demands.chain([self.sketched(now)]));
         self.is_underloaded = rate >= capacity;
         self.cores = rate;
     }
 
-    fn fill(capacity: f64, demands: impl Iterator<Item = Demand>) -> f64 {
+    fn progressive_filling(capacity: f64, demands: impl Iterator<Item = Demand>) -> f64 {
         let mut demands: Vec<Demand> = demands.filter(|demand| demand.cores > 0.0).collect();
         demands.sort_unstable_by(|a, b| (a.cores / a.weight).total_cmp(&(b.cores / b.weight)));
-        let mut left = capacity;
-        let mut weight: f64 = demands.iter().map(|demand| demand.weight * demand.tenants).sum();
+        let mut remaining_capacity = capacity;
+        let mut remaining_weight: f64 = demands.iter().map(|demand| demand.weight * demand.tenants).sum();
         for demand in demands {
-            let rate = left / weight;
+            let rate = remaining_capacity / remaining_weight;
             if demand.cores / demand.weight > rate {
                 return rate.min(capacity);
             }
-            left -= demand.cores * demand.tenants;
-            weight -= demand.weight * demand.tenants;
+            remaining_capacity -= demand.cores * demand.tenants;
+            remaining_weight -= demand.weight * demand.tenants;
         }
         capacity
     }
--- a/crates/fair-queueing/src/finish_sketch.rs
+++ b/crates/fair-queueing/src/finish_sketch.rs
@@ -1,25 +1,26 @@
-//! Finishes of tenants without an account, in fixed memory: a sketch of hashed cells like count-min (Cormode
-//! and Muthukrishnan, 2005), whose cells hold the largest finish of all tenants that share them instead of a
-//! sum.
+//! Finishes of tenants without an account, in fixed memory: a sketch of hashed cells similar to count-min
+//! (Cormode and Muthukrishnan, 2005). Each cell holds the largest finish of the tenants that share it, rather
+//! than a sum.
 //!
-//! Invariant: the finish of a tenant, the least over its cells, is never under what the tenant has used; it
-//! is over it where all of its cells are shared with tenants that have used more.
+//! Invariant: the estimated finish of a tenant, the minimum over its cells, is never lower than its real
+//! finish. The estimate is higher only if the tenant shares each of its cells with a tenant that has used
+//! more.
 
 use crate::tenant::Fingerprint;
 
-/// Cells of one tenant.
+/// Number of cells that each tenant hashes to.
 const CELLS_PER_TENANT: usize = 3;
-/// Unit of a cell in nanoseconds of virtual time, so that a cell takes 4 bytes.
+/// Unit of a cell's value, in nanoseconds of virtual time. With this unit a cell takes 4 bytes.
 const UNIT_NS: f64 = 16_384.0;
-/// Sweeps in which every cell is visited once.
+/// Number of calls of [`FinishSketch::sweep`] that visit every cell once.
 const SWEEPS_PER_ROUND: usize = 256;
-/// Fewest cells.
+/// Minimum number of cells.
 const CELLS_MIN: usize = 64;
 
-/// The sketch.
+/// Sketch of the finishes of tenants without an account.
 #[derive(Debug)]
 pub struct FinishSketch {
-    /// Finishes in units, modulo 2^32.
+    /// Finishes in units of [`UNIT_NS`], modulo 2^32.
     cells: Vec<u32>,
     next_swept: usize,
 }
@@ -28,13 +29,14 @@
     (virtual_time / UNIT_NS) as u64 as u32
 }
 
-/// How far a cell lies ahead of the present, in units; under 0 it lies behind.
-fn units_ahead(cell: u32, present: u32) -> i32 {
-    cell.wrapping_sub(present) as i32
+/// Returns how far a cell is ahead of the current virtual time, in units of [`UNIT_NS`]; negative if the cell
+/// is behind.
+fn units_ahead(cell: u32, now_units: u32) -> i32 {
+    cell.wrapping_sub(now_units) as i32
 }
 
 impl FinishSketch {
-    /// A sketch with so many cells, rounded up to a power of two.
+    /// Creates a sketch with the given number of cells, rounded up to a power of two.
     pub fn new(cells: usize) -> Self {
         Self { cells: vec![0; Self::rounded(cells)], next_swept: 0 }
     }
@@ -43,18 +45,18 @@
         cells.max(CELLS_MIN).next_power_of_two()
     }
 
-    /// Bytes that a sketch with so many cells takes.
+    /// Returns the bytes that a sketch with this number of cells takes.
     pub fn bytes_max(cells: usize) -> usize {
         Self::rounded(cells) * size_of::<u32>()
     }
 
-    /// Bytes held now.
+    /// Returns the bytes in use.
     pub fn bytes(&self) -> usize {
         self.cells.capacity() * size_of::<u32>()
     }
 
-    /// Indices of a tenant's cells. Two halves of the fingerprint stand for any number of hashes (Kirsch and
-    /// Mitzenmacher, 2006).
+    /// Returns the indices of a tenant's cells. Any number of hashes can be derived from two independent
+    /// ones, here the two halves of the fingerprint (Kirsch and Mitzenmacher, 2006).
     fn cells_of(&self, fingerprint: Fingerprint) -> [usize; CELLS_PER_TENANT] {
         let (first, second) = (fingerprint.low_half(), fingerprint.high_half() | 1);
         std::array::from_fn(|i| {
@@ -63,39 +65,39 @@
         })
     }
 
-    /// Upper bound of the virtual time up to which the tenant has used its share; the present where that lies
-    /// behind it.
-    pub fn finish(&self, fingerprint: Fingerprint, present: f64) -> f64 {
-        let present_units = to_units(present);
-        let ahead = self.cells_of(fingerprint).map(|cell| units_ahead(self.cells[cell], present_units));
+    /// Returns an upper bound of the virtual time up to which the tenant has used its share, or
+    /// `virtual_time` if that is later.
+    pub fn finish(&self, fingerprint: Fingerprint, virtual_time: f64) -> f64 {
+        let now_units = to_units(virtual_time);
+        let ahead = self.cells_of(fingerprint).map(|cell| units_ahead(self.cells[cell], now_units));
         match ahead.into_iter().min() {
-            Some(least) if least > 0 => ((present / UNIT_NS).floor() + f64::from(least)) * UNIT_NS,
-            _ => present,
+            Some(least) if least > 0 => ((virtual_time / UNIT_NS).floor() + f64::from(least)) * UNIT_NS,
+            _ => virtual_time,
         }
     }
 
-    /// The tenant has used its share up to `finish`.
-    pub fn raise(&mut self, fingerprint: Fingerprint, finish: f64, present: f64) {
-        let present_units = to_units(present);
-        let to = ((finish - present) / UNIT_NS).ceil().clamp(0.0, f64::from(i32::MAX)) as i32;
+    /// Records that the tenant has used its share up to `finish`.
+    pub fn raise(&mut self, fingerprint: Fingerprint, finish: f64, virtual_time: f64) {
+        let now_units = to_units(virtual_time);
+        let to = ((finish - virtual_time) / UNIT_NS).ceil().clamp(0.0, f64::from(i32::MAX)) as i32;
         for index in self.cells_of(fingerprint) {
             let cell = &mut self.cells[index];
-            let ahead = units_ahead(*cell, present_units).max(to).max(0);
-            *cell = present_units.wrapping_add(ahead as u32);
+            let ahead = units_ahead(*cell, now_units).max(to).max(0);
+            *cell = now_units.wrapping_add(ahead as u32);
         }
     }
 
-    /// Brings the next of the cells that lie behind up to the present. A cell left behind would seem to lie
-    /// ahead once virtual time had advanced by 2^31 units (35,184 s of one core) since; a round over all
-    /// cells takes `SWEEPS_PER_ROUND` calls, 128 s where the owner calls once in a control period of 500
-    /// ms.
-    pub fn sweep(&mut self, present: f64) {
-        let present_units = to_units(present);
+    /// Advances a part of the cells to the current virtual time where they are behind it. Without this, a
+    /// cell would appear to be ahead again once virtual time has advanced 2^31 units (35,184 s of one core)
+    /// past it. A full round takes `SWEEPS_PER_ROUND` calls: 128 s if the owner calls this method once per
+    /// control period of 500 ms.
+    pub fn sweep(&mut self, virtual_time: f64) {
+        let now_units = to_units(virtual_time);
         let cells = self.cells.len();
         for _ in 0..cells.div_ceil(SWEEPS_PER_ROUND) {
             let cell = &mut self.cells[self.next_swept];
-            if units_ahead(*cell, present_units) < 0 {
-                *cell = present_units;
+            if units_ahead(*cell, now_units) < 0 {
+                *cell = now_units;
             }
             self.next_swept = (self.next_swept + 1) % cells;
         }
--- a/crates/fair-queueing/src/hyperloglog.rs
+++ b/crates/fair-queueing/src/hyperloglog.rs
@@ -1,13 +1,14 @@
-//! Estimates how many different names were seen, in fixed memory (HyperLogLog; Flajolet, Fusy, Gandouet and
-//! Meunier, 2007). The standard error is about 1.04 over the root of the number of registers.
+//! Estimates the number of distinct names seen, in fixed memory (HyperLogLog; Flajolet, Fusy, Gandouet and
+//! Meunier, 2007). The standard error is about 1.04 divided by the square root of the number of registers.
 
 use crate::Nanos;
 use crate::tenant::Fingerprint;
 
-/// Estimates below this many times the registers are made by counting empty ones (linear counting).
+/// Estimates below this multiple of the number of registers use the count of empty registers instead (linear
+/// counting).
 const LINEAR_COUNTING_MAX: f64 = 2.5;
 
-/// An estimator with `N` registers of a byte.
+/// A HyperLogLog estimator with `N` one-byte registers.
 #[derive(Clone, Debug)]
 pub struct HyperLogLog<const N: usize> {
     registers: [u8; N],
@@ -20,19 +21,19 @@
 }
 
 impl<const N: usize> HyperLogLog<N> {
-    /// Adds a name by its fingerprint; one that was added before changes nothing.
+    /// Adds a name by its fingerprint. Adding the same name again has no effect.
     pub fn add(&mut self, fingerprint: Fingerprint) {
         let register = fingerprint.high_half() as usize % N;
         let rank = fingerprint.low_half().leading_zeros() as u8 + 1;
         self.registers[register] = self.registers[register].max(rank);
     }
 
-    /// Forgets all names.
+    /// Resets the estimator to no names.
     pub fn clear(&mut self) {
         self.registers.fill(0);
     }
 
-    /// The estimated number of names.
+    /// Returns the estimated number of distinct names.
     pub fn estimate(&self) -> f64 {
         let registers = N as f64;
         let empty = self.registers.iter().filter(|rank| **rank == 0).count();
@@ -47,38 +48,39 @@
     }
 }
 
-/// Number of different names in the present window of time or the one before it, whichever is larger.
+/// Number of distinct names in the current or the previous time window, whichever is larger.
 #[derive(Clone, Debug, Default)]
 pub struct WindowedCount<const N: usize> {
-    present: HyperLogLog<N>,
+    current: HyperLogLog<N>,
     previous: HyperLogLog<N>,
     began_at: Nanos,
 }
 
 impl<const N: usize> WindowedCount<N> {
-    /// An empty window that begins now.
+    /// Creates a count whose first window begins at `now`.
     pub fn new(now: Nanos) -> Self {
         Self { began_at: now, ..Self::default() }
     }
 
-    /// Begins another window where the present one has lasted `window` nanoseconds; returns whether it did.
+    /// Begins a new window if the current one has lasted more than `window` nanoseconds. Returns whether it
+    /// did.
     pub fn rotate(&mut self, now: Nanos, window: Nanos) -> bool {
         if now.saturating_sub(self.began_at) <= window {
             return false;
         }
-        std::mem::swap(&mut self.present, &mut self.previous);
-        self.present.clear();
+        std::mem::swap(&mut self.current, &mut self.previous);
+        self.current.clear();
         self.began_at = now;
         true
     }
 
-    /// Adds a name, by its fingerprint, to the present window.
+    /// Adds a name, by its fingerprint, to the current window.
     pub fn add(&mut self, fingerprint: Fingerprint) {
-        self.present.add(fingerprint);
+        self.current.add(fingerprint);
     }
 
-    /// The estimated number of names, 1 at least.
+    /// Returns the estimated number of distinct names, at least 1.
     pub fn estimate(&self) -> f64 {
-        self.present.estimate().max(self.previous.estimate()).max(1.0)
+        self.current.estimate().max(self.previous.estimate()).max(1.0)
     }
 }
--- a/crates/fair-queueing/src/known_names.rs
+++ b/crates/fair-queueing/src/known_names.rs
@@ -1,25 +1,27 @@
-//! Which names have been seen, and since when: a set-associative table of short tags of their fingerprints.
+//! Names seen recently and the time of their first visit: a set-associative table of short tags derived from
+//! their fingerprints.
 //!
-//! A name that has been seen often enough is evicted by time alone, not by any number of new names.
+//! A name with enough visits is evicted only after it has been unused for long, however many new names
+//! arrive.
 //!
-//! Times are kept in steps of 250 ms that wrap round. The last visit has 12 bits: a name unused for 1,024 s
-//! or a multiple of it seems to have been used just now. The first visit has 16 bits: the time since then
-//! begins at 0 again after 16,384 s.
+//! Times are stored in steps of 250 ms that wrap around. The last visit has 12 bits, so a name that has been
+//! unused for 1,024 s, or a multiple of that, appears to have been used just now. The first visit has 16
+//! bits, so the time since the first visit restarts at 0 after 16,384 s.
 
 use crate::Nanos;
 use crate::tenant::Fingerprint;
 
-/// Records in one set.
+/// Number of records in one set.
 const WAYS: usize = 16;
-/// Resolution of the times kept, in nanoseconds.
+/// Resolution of the stored times, in nanoseconds.
 const STEP_NS: Nanos = 250_000_000;
-/// Visits are counted up to here; 0 stands for a free record.
+/// Maximum stored number of visits; 0 marks a free record.
 const VISITS_MAX: u16 = 15;
-/// Bits of [`NameRecord::last_visit_and_count`] that count visits.
+/// Number of bits of [`NameRecord::last_visit_and_count`] that hold the visit count.
 const VISITS_BITS: u16 = 4;
-/// Steps are kept modulo 2^12 beside the count of visits.
+/// Mask of the last visit's step, which is stored modulo 2^12 next to the visit count.
 const STEP_MASK: u16 = 0xfff;
-/// A name with enough visits may be evicted after so long without another, in nanoseconds.
+/// Time without a visit after which a name with enough visits may be evicted, in nanoseconds.
 const UNUSED_MAX_NS: Nanos = 300_000_000_000;
 const UNUSED_MAX_STEPS: u16 = (UNUSED_MAX_NS / STEP_NS) as u16;
 
@@ -28,7 +30,7 @@
     tag: u32,
     /// Step of the first visit.
     first_visit: u16,
-    /// Step of the last visit in twelve bits, and the number of visits in four.
+    /// Step of the last visit in the upper 12 bits, and the number of visits in the lower 4.
     last_visit_and_count: u16,
 }
 
@@ -50,25 +52,26 @@
     }
 }
 
-/// What was recorded of a name before a visit; nothing where it is not in the table.
+/// Record of a name before a visit; all zero if the name was not in the table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NameHistory {
-    /// Earlier visits, counted up to 15.
+    /// Number of earlier visits, at most 15.
     pub visits: u8,
-    /// Time since the first of them, in nanoseconds.
+    /// Time since the first visit, in nanoseconds.
     pub since_first_visit: Nanos,
 }
 
-/// The table.
+/// Table of recently seen names.
 #[derive(Debug)]
 pub struct KnownNames {
     sets: Vec<[NameRecord; WAYS]>,
-    /// Visits after which a name stays until it has been unused for long.
+    /// Number of visits after which a name is evicted only once it has been unused for long.
     kept_visits: u16,
 }
 
 impl KnownNames {
-    /// A table of so many names, rounded up; one with `kept_visits` visits is evicted by time alone.
+    /// Creates a table for this many names, rounded up. A name with at least `kept_visits` visits is evicted
+    /// only once it has been unused for long.
     pub fn new(names: usize, kept_visits: u8) -> Self {
         let sets = vec![[NameRecord::default(); WAYS]; Self::sets(names)];
         Self { sets, kept_visits: u16::from(kept_visits) }
@@ -78,17 +81,17 @@
         names.div_ceil(WAYS).next_power_of_two()
     }
 
-    /// Bytes that a table of so many names takes.
+    /// Returns the bytes that a table for this many names takes.
     pub fn bytes_max(names: usize) -> usize {
         Self::sets(names) * size_of::<[NameRecord; WAYS]>()
     }
 
-    /// Bytes held now.
+    /// Returns the bytes in use.
     pub fn bytes(&self) -> usize {
         self.sets.capacity() * size_of::<[NameRecord; WAYS]>()
     }
 
-    /// Records a visit, and returns what was known before it.
+    /// Records a visit and returns the record before it.
     pub fn visit(&mut self, fingerprint: Fingerprint, now: Nanos) -> NameHistory {
         let step = (now / STEP_NS) as u16;
         let sets = self.sets.len();
@@ -101,14 +104,14 @@
             record.last_visit_and_count = NameRecord::pack(step, record.visits() + 1);
             return before;
         }
-        Self::replace_least(set, self.kept_visits, NameRecord::new(tag, step), step);
+        Self::replace_least_visited(set, self.kept_visits, NameRecord::new(tag, step), step);
         NameHistory::default()
     }
 
-    /// Puts a record in the place of the one with the fewest visits, of equals of the one unused for longest.
-    /// One with enough visits stays until it has been unused for long; until then the new name is not
-    /// recorded.
-    fn replace_least(set: &mut [NameRecord; WAYS], kept_visits: u16, new: NameRecord, step: u16) {
+    /// Replaces the record with the fewest visits, and among equals the one unused for longest. A record with
+    /// enough visits is replaced only once it has been unused for long; if all are such records and in use,
+    /// the new name is not stored.
+    fn replace_least_visited(set: &mut [NameRecord; WAYS], kept_visits: u16, new: NameRecord, step: u16) {
         let rank = |record: &&mut NameRecord| (record.visits().min(kept_visits), !record.steps_unused(step));
         let Some(least) = set.iter_mut().min_by_key(rank) else { return };
         if least.visits() < kept_visits || least.steps_unused(step) > UNUSED_MAX_STEPS {
--- a/crates/fair-queueing/src/learned_ratio.rs
+++ b/crates/fair-queueing/src/learned_ratio.rs
@@ -1,12 +1,12 @@
-//! How a tenant's work compares with what its operations usually take.
+//! Learned ratio of a tenant's work to the usual work of its operations.
 
-/// Weight of a new value in the exponential moving average.
+/// Weight of a new observation in the exponential moving average.
 const SMOOTHING: f64 = 0.2;
-/// Bounds of the ratio.
+/// Lower bound of the ratio; `RATIO_MAX` is the upper bound.
 const RATIO_MIN: f64 = 1e-3;
 const RATIO_MAX: f64 = 1e3;
 
-/// Learned ratio of the work used to the usual work.
+/// Moving average of the ratio of the work used to the usual work.
 #[derive(Clone, Copy, Debug)]
 pub struct LearnedRatio(f64);
 
@@ -17,12 +17,12 @@
 }
 
 impl LearnedRatio {
-    /// The ratio.
+    /// Returns the current ratio.
     pub fn get(self) -> f64 {
         self.0
     }
 
-    /// Takes an observed ratio into the average.
+    /// Adds an observed ratio to the moving average.
     pub fn learn(&mut self, observed: f64) {
         self.0 = (self.0 + SMOOTHING * (observed - self.0)).clamp(RATIO_MIN, RATIO_MAX);
     }
--- a/crates/fair-queueing/src/lib.rs
+++ b/crates/fair-queueing/src/lib.rs
@@ -1,22 +1,25 @@
-//! Start-time fair queueing among tenants (Goyal, Vin and Cheng, 1996) in bounded memory for any number of
-//! them, with promised admissions.
+//! Start-time fair queueing among tenants (Goyal, Vin and Cheng, 1996) in bounded memory, however many
+//! tenants there are, with promises of admission for rejected arrivals.
 //!
-//! The crate decides nothing. [`FairScheduler`] says of each arrival whether it lies within its tenant's
-//! share and where it stands in fair order, and of one that is rejected when its tenant will have capacity
-//! for it again.
+//! The crate only advises; its caller admits and rejects. For each arrival, [`FairScheduler`] reports whether
+//! it is within its tenant's share and its start tag in the fair order. For a rejected arrival, it reports
+//! when the tenant will have capacity again.
 //!
-//! - [`fair_rate`]: the max-min fair rate of a unit of weight, and the virtual time that advances at it.
-//! - [`usage`]: up to which virtual time each tenant has used its share (its finish), and where its queues
-//!   end. Tenants seen for long enough have an account of their own ([`accounts`]); those beyond the accounts
-//!   share cells that never say less than they have used ([`finish_sketch`]); names that are new share one
-//!   record for each origin, which cannot be made up ([`origins`]).
-//! - [`known_names`] and [`hyperloglog`]: which names have been seen, and how many.
-//! - [`promises`] and [`timer_wheel`]: when a rejected arrival may come back, and the ticket that stands for
-//!   it.
+//! - [`fair_rate`]: the max-min fair rate of a unit of weight, and the virtual time that advances at this
+//!   rate.
+//! - [`usage`]: the virtual time up to which each tenant has used its share (its finish), and the tails of
+//!   its queues. Established tenants have an account each ([`accounts`]). Established tenants without a free
+//!   account share the cells of a sketch, which never underestimates their use ([`finish_sketch`]). Tenants
+//!   with new names share one record for each origin, since a sender can invent names but not its origin
+//!   ([`origins`]).
+//! - [`known_names`] and [`hyperloglog`]: the set of names seen, and estimates of the number of distinct
+//!   names.
+//! - [`promises`] and [`timer_wheel`]: the time at which a rejected arrival may return, and the ticket that
+//!   identifies its promise.
 //! - [`reconfiguration`]: changes of settings while the server runs.
 //!
-//! `docs/fair-queues.md` names the alternatives considered. Times are nanoseconds, work is nanoseconds of one
-//! core, and virtual time is nanoseconds of one core for a unit of weight.
+//! `docs/fair-queues.md` names the alternatives considered. Times are in nanoseconds, work is in nanoseconds
+//! of one core, and virtual time is in nanoseconds of one core per unit of weight.
 #![deny(missing_docs, clippy::too_many_lines)]
 
 pub mod account;
@@ -41,9 +44,9 @@
 
 pub use counters::{SchedulerCounters, TopTenant};
 pub use reconfiguration::SettingsChange;
-pub use scheduler::{Admission, FairScheduler, ReturnAdvice, ServiceOutcome};
+pub use scheduler::{Admission, FairScheduler, RetryAdvice, ServiceOutcome};
 pub use settings::{Settings, SettingsError};
 pub use tenant::{Fingerprint, NamedTenant, TenantKey};
 
-/// Nanoseconds: a point in time or a duration.
+/// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
--- a/crates/fair-queueing/src/memory.rs
+++ b/crates/fair-queueing/src/memory.rs
@@ -1,27 +1,27 @@
-//! Bytes that the standard library's hash maps take, which have no call that tells them.
+//! Estimates the memory of the standard library's hash maps, which do not report it.
 //!
-//! Assumes its present layout (a SwissTable): an array of buckets and one control byte for each, of which at
-//! most 7 in 8 are filled, so that `capacity` entries stand in 8/7 as many buckets.
+//! Assumes the current layout of `HashMap` (a SwissTable): an array of buckets with one control byte each. At
+//! most 7 of 8 buckets are filled, so a map with capacity for `n` entries has 8/7 `n` buckets.
 
 use std::collections::HashMap;
 
-/// Buckets for every 7 entries of a map's capacity.
+/// Number of buckets for every 7 entries of a map's capacity.
 const BUCKETS_PER_7_ENTRIES: usize = 8;
-/// Control bytes behind the last bucket and the rounding of small maps, in bytes.
+/// Bytes added for the control bytes after the last bucket and for the rounding up of small maps.
 const FIXED_BYTES: usize = 64;
-/// Entries of capacity for each entry held: a map that is full doubles.
+/// Growth factor of a full map: its capacity doubles.
 const GROWTH: usize = 2;
 
 fn bucket_bytes<K, V>() -> usize {
     size_of::<(K, V)>() + 1
 }
 
-/// Most bytes that a map of so many entries takes.
+/// Returns the most bytes that a map with this many entries takes.
 pub(crate) fn map_bytes_max<K, V>(entries: usize) -> usize {
     GROWTH * entries * bucket_bytes::<K, V>() * BUCKETS_PER_7_ENTRIES / 7 + FIXED_BYTES
 }
 
-/// Bytes that a map holds now.
+/// Returns the bytes that a map uses now.
 pub(crate) fn map_bytes<K, V>(map: &HashMap<K, V>) -> usize {
     map.capacity() * BUCKETS_PER_7_ENTRIES / 7 * bucket_bytes::<K, V>()
 }
--- a/crates/fair-queueing/src/origins.rs
+++ b/crates/fair-queueing/src/origins.rs
@@ -1,9 +1,9 @@
-//! Where calls come from: a connection's peer, or a sender that the operator trusts. Origins cannot be made
-//! up.
+//! Shares of new tenants, kept by origin: the connection's peer or a sender that the operator trusts. A
+//! sender cannot forge its origin.
 //!
-//! Names that have not been seen for long share one [`Origin`], as one tenant would, and where an origin
-//! brings more names than it may, each of them weighs less. Made-up names thus bring nobody more than one
-//! tenant's share.
+//! All new names from the same origin share one [`Origin`] record, as if they were a single tenant. If an
+//! origin sends more distinct names than allowed, the weight of each name decreases. Inventing names
+//! therefore gains a sender no more than one tenant's share.
 
 use crate::Nanos;
 use crate::demand::{DecayingRate, Demand};
@@ -14,33 +14,33 @@
 use crate::tenant::Fingerprint;
 use std::collections::HashMap;
 
-/// An origin unused for this long may lose its slot to another, in nanoseconds.
+/// Idle time after which an origin's slot may be reassigned to another origin, in nanoseconds.
 const IDLE_NS: Nanos = 60_000_000_000;
-/// Names of an origin are counted over windows of so many times the probation.
+/// Length of the window in which the names of an origin are counted, as a multiple of the probation.
 const WINDOW_PROBATIONS: u64 = 8;
-/// The names are estimated again for one name in so many.
+/// The estimated number of names is updated for one in this many names.
 const NAMES_PER_ESTIMATE: u64 = 16;
-/// Registers of the count of an origin's names.
+/// Registers of the HyperLogLog estimator of an origin's names.
 const NAME_REGISTERS: usize = 64;
-/// Spreads origins beyond the limit over the slots (Fibonacci hashing).
+/// Multiplier that spreads the origins beyond the limit over the existing slots (Fibonacci hashing).
 const HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// What the newcomers of one origin have used together.
+/// Usage shared by all newcomers of one origin.
 #[derive(Debug, Default)]
 pub struct Origin {
     id: u64,
-    /// Virtual time up to which they have used their share.
+    /// Virtual time up to which the newcomers have used their shared share.
     pub finish: f64,
-    /// Where their queues end.
+    /// Tails of the newcomers' queues.
     pub tails: QueueTails,
-    /// Virtual time up to which their share is promised.
+    /// Virtual time up to which the newcomers' share is promised.
     pub booked_until: f64,
-    /// Their work as a ratio to the usual work.
+    /// Learned ratio of the newcomers' work to the usual work of their operations.
     pub ratio: LearnedRatio,
     demand: DecayingRate,
     used_at: Nanos,
     names: WindowedCount<NAME_REGISTERS>,
-    /// The last estimate of [`Origin::names`]; 0 where there is none of this window.
+    /// Latest estimate of [`Origin::names`]; 0 if there is none yet in the current window.
     estimated_names: f64,
 }
 
@@ -50,19 +50,20 @@
     }
 }
 
-/// All origins, up to a limit.
+/// Table of origins, up to a limit.
 #[derive(Debug)]
 pub struct Origins {
     limit: usize,
     names_per_origin: f64,
-    /// Window of the counts of names, in nanoseconds.
+    /// Length of the window in which names are counted, in nanoseconds.
     window: Nanos,
     origins: Vec<Origin>,
     indices: HashMap<u64, usize>,
 }
 
 impl Origins {
-    /// At most `limit` origins, of which each may have `names_per_origin` names at full weight.
+    /// Creates a table of at most `limit` origins. Each origin may have `names_per_origin` names at full
+    /// weight.
     pub fn new(limit: usize, names_per_origin: f64, probation: Nanos) -> Self {
         Self {
             limit: limit.max(1),
@@ -73,22 +74,23 @@
         }
     }
 
-    /// Most bytes that so many origins take.
+    /// Returns the most bytes that a table of `limit` origins takes.
     pub fn bytes_max(limit: usize) -> usize {
         2 * limit.max(4) * size_of::<Origin>() + memory::map_bytes_max::<u64, usize>(limit)
     }
 
-    /// Bytes held now.
+    /// Returns the bytes in use.
     pub fn bytes(&self) -> usize {
         self.origins.capacity() * size_of::<Origin>() + memory::map_bytes(&self.indices)
     }
 
-    /// Sets how many names an origin may have at full weight.
+    /// Sets the number of names of one origin that have full weight.
     pub fn set_names_per_origin(&mut self, names: f64) {
         self.names_per_origin = names;
     }
 
-    /// Index of an origin's slot. Origins beyond the limit share slots, each always the same one.
+    /// Returns the index of an origin's slot. Origins beyond the limit share existing slots; an origin always
+    /// maps to the same slot.
     fn find_or_insert(&mut self, id: u64, now: Nanos) -> usize {
         if let Some(index) = self.indices.get(&id) {
             self.origins[*index].used_at = now;
@@ -106,7 +108,7 @@
         index
     }
 
-    /// Gives a slot to another origin; what has been used of its share stays with the slot.
+    /// Reassigns a slot to another origin. The used share stays charged to the slot.
     fn replace(&mut self, index: usize, id: u64, now: Nanos) {
         let origin = &mut self.origins[index];
         self.indices.remove(&origin.id);
@@ -115,7 +117,7 @@
         self.indices.insert(id, index);
     }
 
-    /// Part of its weight that a name of this origin counts with, 1 at most.
+    /// Returns the factor by which the weight of a name from this origin is multiplied, at most 1.
     pub fn weight_ratio(&mut self, id: u64, fingerprint: Fingerprint, now: Nanos) -> f64 {
         let (window, names_per_origin) = (self.window, self.names_per_origin);
         let index = self.find_or_insert(id, now);
@@ -130,8 +132,8 @@
         (names_per_origin / origin.estimated_names).min(1.0)
     }
 
-    /// A newcomer of this origin asks for work: returns the index of the origin's slot, and the work
-    /// corrected by the ratio of its newcomers.
+    /// Records the demand of a newcomer of this origin. Returns the index of the origin's slot, and the work
+    /// multiplied by the learned ratio of the origin's newcomers.
     pub fn record_newcomer(&mut self, id: u64, now: Nanos, work: f64) -> (usize, f64) {
         let index = self.find_or_insert(id, now);
         let origin = &mut self.origins[index];
@@ -140,17 +142,17 @@
         (index, estimated_work)
     }
 
-    /// The origin at an index that [`Origins::record_newcomer`] has returned.
+    /// Returns the origin at an index returned by [`Origins::record_newcomer`].
     pub fn get(&self, index: usize) -> &Origin {
         &self.origins[index]
     }
 
-    /// The same, to change.
+    /// Mutable variant of [`Origins::get`].
     pub fn get_mut(&mut self, index: usize) -> &mut Origin {
         &mut self.origins[index]
     }
 
-    /// Recent demand of the newcomers of each origin.
+    /// Returns the recent demand of the newcomers of each origin.
     pub fn demands(&self, now: Nanos, weight: f64) -> impl Iterator<Item = Demand> {
         self.origins.iter().map(move |origin| Demand {
             cores: origin.demand.cores(now),
--- a/crates/fair-queueing/src/promises.rs
+++ b/crates/fair-queueing/src/promises.rs
@@ -1,5 +1,6 @@
-//! Promises: a rejected arrival that is told when to come back is admitted then, and a little longer. A
-//! ticket that cannot be guessed stands for it; it is good once, for its tenant, from any connection.
+//! Promises of admission. A rejected arrival that returns at the promised time, or within a grace period
+//! after it, is admitted. Each promise has an unguessable ticket, which its tenant can redeem once, from any
+//! connection.
 
 use crate::Nanos;
 use crate::memory;
@@ -9,65 +10,67 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::HashMap;
 
-/// Random part added to a promised time, as a share of it: those rejected together do not return together.
+/// Maximum random extension of a promised wait, as a ratio of the wait. It spreads the returns of arrivals
+/// that were rejected together.
 const SPREAD_RATIO: f64 = 0.25;
-/// The random part is at least this share of the longest time that may be promised.
+/// Minimum range of the random extension, as a ratio of the longest wait that may be promised.
 const SPREAD_LEAST_RATIO: f64 = 0.02;
-/// Promised times are whole milliseconds, in nanoseconds.
+/// Promised waits are rounded up to a multiple of this, in nanoseconds.
 const RESOLUTION_NS: Nanos = 1_000_000;
-/// Distinguishes the tickets' random numbers from others of the same seed ("ticket").
+/// Value mixed into the seed so that ticket numbers differ from other random numbers of the same seed
+/// ("ticket" in ASCII).
 const TICKET_SEED: u64 = 0x7469_636b_6574;
 
-/// What was promised; virtual times are of the fair rate.
+/// A promise of admission. Virtual times are those of the fair rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Promise {
-    /// The tenant.
+    /// Fingerprint of the tenant.
     pub tenant: Fingerprint,
-    /// Estimated work, in nanoseconds of one core.
+    /// Estimated work of the arrival, in nanoseconds of one core.
     pub work: f64,
-    /// Start tag in the order.
+    /// Start tag of the arrival.
     pub start_tag: f64,
-    /// Virtual time at which its part of its tenant's share begins.
+    /// Virtual time at which the arrival's part of the tenant's share begins.
     pub booked_start: f64,
-    /// How far virtual time was to advance until the return, in nanoseconds of one core for a unit of weight.
+    /// Predicted advance of virtual time until the return, in nanoseconds of one core per unit of weight.
     pub expected_advance: f64,
 }
 
-/// What becomes of a return with a ticket.
+/// Result of redeeming a ticket.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Redemption {
-    /// It is as promised.
+    /// The return is in time, and the promise applies.
     InTime(Promise),
-    /// It is before the promised time; the promise is lost.
+    /// The return is too early; the promise is lost.
     Early,
-    /// The ticket does not stand: too late, used before, never given, or another tenant's.
+    /// The ticket is invalid: expired, already used, never issued, or issued to another tenant.
     Unknown,
 }
 
-/// The time to stay away, in nanoseconds, and the ticket to come back with.
+/// A promised wait and its ticket number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ticket {
-    /// How long to stay away, in nanoseconds.
+    /// Time until the promised return, in nanoseconds.
     pub wait: Nanos,
-    /// The ticket's number, above 0.
+    /// Number of the ticket, greater than 0.
     pub number: u64,
 }
 
 #[derive(Debug)]
-struct StandingPromise {
+struct ActivePromise {
     promise: Promise,
-    /// The ticket's number; 0 once it has been used.
+    /// Number of the ticket; 0 once it has been used.
     ticket: u64,
     valid_from: Nanos,
 }
 
-/// The promises that stand, up to a limit.
+/// Active promises, up to a limit.
 #[derive(Debug)]
 pub struct Promises {
     limit: usize,
     longest: Nanos,
     return_grace: Nanos,
-    slots: Vec<Option<StandingPromise>>,
+    slots: Vec<Option<ActivePromise>>,
     free: Vec<u32>,
     tickets: HashMap<u64, u32>,
     expiries: TimerWheel,
@@ -75,8 +78,8 @@
 }
 
 impl Promises {
-    /// At most `limit` promises of up to `longest` nanoseconds; a return is in time for `return_grace`
-    /// nanoseconds.
+    /// Creates a table of at most `limit` promises with waits of up to `longest` nanoseconds. A return is in
+    /// time until `return_grace` nanoseconds after the promised time.
     pub fn new(limit: usize, longest: Nanos, return_grace: Nanos, seed: u64, now: Nanos) -> Self {
         Self {
             limit: limit.min(u32::MAX as usize),
@@ -90,33 +93,33 @@
         }
     }
 
-    /// Most bytes that so many promises take.
+    /// Returns the most bytes that a table of `limit` promises takes.
     pub fn bytes_max(limit: usize) -> usize {
-        let slot_bytes = size_of::<Option<StandingPromise>>() + size_of::<u32>();
+        let slot_bytes = size_of::<Option<ActivePromise>>() + size_of::<u32>();
         let map = memory::map_bytes_max::<u64, u32>(limit);
         2 * limit.max(4) * slot_bytes + map + TimerWheel::bytes_max(2 * limit)
     }
 
-    /// Bytes held now.
+    /// Returns the bytes in use.
     pub fn bytes(&self) -> usize {
-        self.slots.capacity() * size_of::<Option<StandingPromise>>()
+        self.slots.capacity() * size_of::<Option<ActivePromise>>()
             + self.free.capacity() * size_of::<u32>()
             + memory::map_bytes(&self.tickets)
             + self.expiries.bytes()
     }
 
-    /// Number of promises that stand.
+    /// Returns the number of active promises.
     pub fn len(&self) -> usize {
         self.tickets.len()
     }
 
-    /// Whether none stands.
+    /// Returns whether no promise is active.
     pub fn is_empty(&self) -> bool {
         self.tickets.is_empty()
     }
 
-    /// Makes a promise for a return after `wait` nanoseconds, to which a random part is added; `None` where
-    /// that would be over the longest time, or no slot is free.
+    /// Issues a promise for a return after `wait` nanoseconds plus a random extension. Returns `None` if the
+    /// total would exceed the longest wait, or if no slot is free.
     pub fn make(&mut self, now: Nanos, wait: f64, promise: Promise) -> Option<Ticket> {
         let spread = (wait * SPREAD_RATIO).max(self.longest as f64 * SPREAD_LEAST_RATIO);
         let wait = wait + spread * self.rng.random_range(0.0..1.0);
@@ -124,11 +127,11 @@
             return None;
         }
         let index = self.free_slot()?;
-        // Rounded up, so that nobody who waits as told is early.
+        // Rounded up, so that a caller that waits exactly as long as instructed is not early.
         let wait = (wait as Nanos).max(1).div_ceil(RESOLUTION_NS) * RESOLUTION_NS;
         let number = self.rng.random::<u64>().max(1);
-        let standing = StandingPromise { promise, ticket: number, valid_from: now + wait };
-        self.slots[index as usize] = Some(standing);
+        let active = ActivePromise { promise, ticket: number, valid_from: now + wait };
+        self.slots[index as usize] = Some(active);
         self.tickets.insert(number, index);
         self.expiries.insert(now + wait + self.return_grace, index);
         Some(Ticket { wait, number })
@@ -145,16 +148,17 @@
         Some(self.slots.len() as u32 - 1)
     }
 
-    /// A tenant returns with a ticket, which is used up whatever becomes of it; another tenant's stays good.
-    /// The slot is freed when its timer expires, so that no number is in two timers.
+    /// Redeems a ticket on its tenant's return. The ticket is then used up, whatever the result; a ticket
+    /// presented by another tenant remains valid. The slot is freed only when its timer expires, so that a
+    /// slot index is never in two timers.
     pub fn redeem(&mut self, now: Nanos, ticket: u64, tenant: Fingerprint) -> Redemption {
         let Some(index) = self.tickets.get(&ticket).copied() else { return Redemption::Unknown };
-        let standing = self.slots[index as usize].as_mut();
-        let Some(standing) = standing.filter(|standing| standing.promise.tenant == tenant) else {
+        let active = self.slots[index as usize].as_mut();
+        let Some(active) = active.filter(|active| active.promise.tenant == tenant) else {
             return Redemption::Unknown;
         };
-        standing.ticket = 0;
-        let (promise, valid_from) = (standing.promise, standing.valid_from);
+        active.ticket = 0;
+        let (promise, valid_from) = (active.promise, active.valid_from);
         self.tickets.remove(&ticket);
         if now < valid_from {
             Redemption::Early
@@ -165,14 +169,14 @@
         }
     }
 
-    /// Frees the slots whose time has passed; returns how many promises have lapsed.
+    /// Frees the slots whose timers have expired. Returns the number of promises that lapsed.
     pub fn expire(&mut self, now: Nanos) -> u64 {
         let Self { expiries, slots, tickets, free, .. } = self;
         let mut lapsed = 0;
         expiries.expire(now, |index| {
-            if let Some(standing) = slots[index as usize].take() {
+            if let Some(active) = slots[index as usize].take() {
                 free.push(index);
-                lapsed += u64::from(tickets.remove(&standing.ticket).is_some());
+                lapsed += u64::from(tickets.remove(&active.ticket).is_some());
             }
         });
         lapsed
--- a/crates/fair-queueing/src/queue_order.rs
+++ b/crates/fair-queueing/src/queue_order.rs
@@ -1,45 +1,46 @@
 //! Order of start-time fair queueing: each arrival has a start tag, and lower tags are served first.
 //!
-//! Arrivals within their tenant's share and those beyond it have queues of their own: a tenant's surplus
-//! waits for the arrivals of others, and among surplus those go first whose tenant has borrowed less.
+//! Each tenant has two queues, one for arrivals within its share and one for its surplus. Surplus arrivals
+//! wait until other tenants' arrivals within their shares are served. Among surplus arrivals, those of the
+//! tenant that has borrowed least are served first.
 
-/// A value for each of the two queues.
+/// One value for each of a tenant's two queues.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PerQueue {
-    /// Of the queue of arrivals within their tenant's share.
+    /// Value for the queue of arrivals within the tenant's share.
     pub within: f64,
-    /// Of the queue of arrivals beyond it.
+    /// Value for the queue of arrivals beyond the tenant's share.
     pub surplus: f64,
 }
 
 impl PerQueue {
-    /// The value of one of them.
+    /// Returns the value for the surplus queue, or for the other queue if `surplus` is false.
     pub fn get(&self, surplus: bool) -> f64 {
         if surplus { self.surplus } else { self.within }
     }
 
-    /// The value of one of them, to change.
+    /// Mutable variant of [`PerQueue::get`].
     pub fn get_mut(&mut self, surplus: bool) -> &mut f64 {
         if surplus { &mut self.surplus } else { &mut self.within }
     }
 }
 
-/// Start tags after which a tenant's next arrivals come, in nanoseconds of one core for a unit of weight.
+/// Start tags for the next arrivals in a tenant's queues, in nanoseconds of one core per unit of weight.
 pub type QueueTails = PerQueue;
 
-/// Start tags of the latest arrivals that came to be served.
+/// Highest start tags served so far, one for each queue.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServiceClock {
     tags: PerQueue,
 }
 
 impl ServiceClock {
-    /// The tag that the queue has come to.
+    /// Returns the highest start tag served so far from one of the queues.
     pub fn tag(&self, surplus: bool) -> f64 {
         self.tags.get(surplus)
     }
 
-    /// An arrival with this start tag is served; the clock does not go back.
+    /// Records that an arrival with this start tag is served. The clock never goes back.
     pub fn advance(&mut self, surplus: bool, start_tag: u64) {
         let tag = self.tags.get_mut(surplus);
         *tag = tag.max(start_tag as f64);
--- a/crates/fair-queueing/src/reconfiguration.rs
+++ b/crates/fair-queueing/src/reconfiguration.rs
@@ -1,20 +1,20 @@
-//! Changes of settings while a server runs, in parts of bounded size: the deciding thread takes one part at a
-//! time between arrivals.
+//! Changes of settings while the server runs, split into parts of bounded size. The scheduler thread applies
+//! one part at a time between arrivals.
 
 use crate::Nanos;
 use crate::settings::Settings;
 use crate::tenant::NamedTenant;
 use std::collections::HashMap;
 
-/// Most names in one part, which bounds how long it takes (`docs/CAPACITY.md`).
+/// Maximum number of names in one part, which bounds the time to apply it (`docs/CAPACITY.md`).
 const NAMES_PER_PART: usize = 256;
 
 /// One part of a change of settings.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SettingsChange {
-    /// Tenants that are no longer named.
+    /// Tenants that the new settings no longer name.
     pub unnamed: Vec<Vec<u8>>,
-    /// Tenants that are named from now on or have another weight.
+    /// Tenants that are newly named or have a different weight.
     pub named: Vec<NamedTenant>,
     /// See [`Settings::names_per_origin`].
     pub names_per_origin: f64,
@@ -27,9 +27,9 @@
 }
 
 impl SettingsChange {
-    /// The parts that lead from `old` to `new`, at least one. Those that take names away come first, since
-    /// the limit is checked without them. Takes time in proportion to both lists of names: not for the
-    /// deciding thread.
+    /// Returns the parts that change `old` into `new`, at least one. Parts that remove names come first,
+    /// since the limit on named tenants applies to the remaining ones. The time is proportional to the length
+    /// of both lists of names, so this must not run on the scheduler thread.
     pub fn between(old: &Settings, new: &Settings) -> Vec<SettingsChange> {
         let old_weights = weights(old);
         let new_weights = weights(new);
--- a/crates/fair-queueing/src/scheduler.rs
+++ b/crates/fair-queueing/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduler: classifies arrivals, orders them and makes promises.
+//! Scheduler that classifies arrivals, assigns their start tags and issues promises.
 
 use crate::Nanos;
 use crate::account::Account;
@@ -9,53 +9,55 @@
 use crate::reconfiguration::SettingsChange;
 use crate::settings::Settings;
 use crate::tenant::{Fingerprint, FingerprintKey, TenantKey};
-use crate::usage::{Located, Present, Usage, UsageLocation};
+use crate::usage::{LocatedArrival, RateSnapshot, Usage, UsageLocation};
 
-/// A promise does not hold where virtual time has fallen short by more than this share of the expected
-/// advance.
+/// Maximum shortfall of virtual time at a return, as a ratio of the predicted advance. With a larger
+/// shortfall, the promise is not honoured.
 const SHORTFALL_MAX_RATIO: f64 = 0.5;
-/// Least work of an arrival, in nanoseconds of one core.
+/// Minimum work of an arrival, in nanoseconds of one core.
 const WORK_MIN: f64 = 1.0;
 const SECOND_NS: f64 = 1e9;
 
-/// What was decided of one arrival; its owner keeps it and gives it back when the arrival is over.
+/// Classification of one arrival. The caller keeps it and passes it to [`FairScheduler::end_service`] at the
+/// end.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Admission {
-    /// Start tag of start-time fair queueing, in nanoseconds of one core for a unit of weight: lower ones
-    /// first.
+    /// Start tag of start-time fair queueing, in nanoseconds of one core per unit of weight. Lower tags are
+    /// served first.
     pub start_tag: u64,
-    /// It is beyond its tenant's share.
+    /// Whether the arrival is beyond its tenant's share.
     pub surplus: bool,
-    /// It returned as promised, and the promise holds.
+    /// Whether the arrival redeemed a promise and the promise was honoured.
     pub promised: bool,
     location: UsageLocation,
     tenant: Fingerprint,
     weight: f64,
-    /// Usual work of its operation; this and the other work, in nanoseconds of one core.
+    /// Usual work of the operation, in nanoseconds of one core, as are the other amounts of work.
     usual_work: f64,
-    /// Work estimated from its tenant's past.
+    /// Work estimated from the tenant's previous invocations.
     estimated_work: f64,
-    /// Work charged to its tenant's share.
+    /// Work charged to the tenant's share.
     charged_work: f64,
-    /// Span of start tags that it takes in its tenant's queue: its estimated work over its weight.
+    /// Span of start tags that the arrival occupies in its tenant's queue: its estimated work divided by its
+    /// weight.
     queued_span: f64,
 }
 
-/// How an arrival ended.
+/// Outcome of an arrival.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ServiceOutcome {
-    /// It ran for so many nanoseconds of one core.
+    /// The arrival ran and used this many nanoseconds of one core.
     Ran(Nanos),
-    /// It never ran.
+    /// The arrival never ran.
     NeverRan,
 }
 
-/// What a rejected arrival is told.
+/// Retry advice for a rejected arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ReturnAdvice {
-    /// How long to stay away, in nanoseconds.
+pub struct RetryAdvice {
+    /// Time to wait before the retry, in nanoseconds.
     pub retry_after: Nanos,
-    /// The ticket of the promise; `None` where nothing is promised.
+    /// Ticket of the promise; `None` if no promise was issued.
     pub ticket: Option<u64>,
 }
 
@@ -66,16 +68,17 @@
     rate: FairRate,
     usage: Usage,
     promises: Promises,
-    /// Most work of a tenant of weight 1 that may be admitted ahead of virtual time, whatever the rate;
-    /// nanoseconds of one core.
+    /// Maximum work that a tenant of weight 1 may have admitted ahead of virtual time, whatever the fair
+    /// rate, in nanoseconds of one core.
     allowance_max: f64,
     served: ServiceClock,
-    /// Events since the start.
+    /// Counters of scheduling events since the start.
     pub counters: SchedulerCounters,
 }
 
 impl FairScheduler {
-    /// `cores` is the most that all tenants may have together. All random choices come from `seed`.
+    /// Creates a scheduler. `cores` is the capacity shared by all tenants, and `seed` determines all random
+    /// choices.
     pub fn new(settings: Settings, cores: f64, seed: u64, now: Nanos) -> Self {
         let (longest, grace) = (settings.promise_max, settings.return_grace);
         let mut scheduler = Self {
@@ -88,7 +91,7 @@
             counters: SchedulerCounters::default(),
             settings,
         };
-        // Named tenants have accounts from here on; the list stays with its owner.
+        // The accounts of named tenants are created here, so the list itself is no longer needed.
         for (name, weight) in std::mem::take(&mut scheduler.settings.named).iter() {
             scheduler.pin(name, *weight, 0.0, now);
         }
@@ -100,23 +103,23 @@
         self.usage.accounts.pin(tenant, Account::new(name, weight, finish, now));
     }
 
-    /// Advances to `now`; returns the latest time there was.
+    /// Advances virtual time to `now` and expires promises. Returns the latest time seen.
     fn advance(&mut self, now: Nanos) -> Nanos {
         let now = self.rate.advance(now);
         self.counters.lapsed += self.promises.expire(now);
         now
     }
 
-    /// Classifies an arrival that will usually need `work` nanoseconds of one core; `ticket` is that of a
-    /// promise.
+    /// Classifies an arrival of an operation that usually needs `work` nanoseconds of one core. `ticket` is
+    /// the ticket of a promise, if the caller sent one.
     pub fn arrive(&mut self, now: Nanos, key: TenantKey<'_>, work: f64, ticket: Option<u64>) -> Admission {
         let now = self.advance(now);
         let tenant = self.fingerprints.fingerprint(key.name);
         let usual_work = work.max(WORK_MIN);
         let virtual_time = self.rate.virtual_time();
-        let present = Present { now, virtual_time, allowance: self.allowance() };
-        let Located { location, weight, estimated_work } =
-            self.usage.locate(present, tenant, &key, usual_work, &self.settings, &mut self.counters);
+        let snapshot = RateSnapshot { now, virtual_time, allowance: self.allowance() };
+        let LocatedArrival { location, weight, estimated_work } =
+            self.usage.locate(snapshot, tenant, &key, usual_work, &self.settings, &mut self.counters);
         if location == UsageLocation::Sketch {
             self.rate.record_sketched_demand(now, tenant, weight, estimated_work);
         }
@@ -128,7 +131,7 @@
         }
     }
 
-    /// The promise of a ticket, if it holds.
+    /// Redeems a ticket. Returns its promise if the ticket is valid and the promise can be honoured.
     fn redeem(&mut self, now: Nanos, ticket: u64, tenant: Fingerprint) -> Option<Promise> {
         match self.promises.redeem(now, ticket, tenant) {
             Redemption::InTime(promise) => {
@@ -145,25 +148,26 @@
         None
     }
 
-    /// Decides whether an arrival is within its tenant's share, charges it if so, and gives it its start tag.
+    /// Decides whether an arrival is within its tenant's share, charges the share if so, and assigns the
+    /// start tag.
     fn classify(&mut self, mut admission: Admission) -> Admission {
         let virtual_time = self.rate.virtual_time();
-        let begins = self.begins(&admission);
-        admission.surplus = begins - virtual_time > self.allowance();
+        let start = self.share_start(&admission);
+        admission.surplus = start - virtual_time > self.allowance();
         self.usage.count(admission.location, admission.surplus);
         if admission.surplus {
             self.counters.surplus += 1;
         } else {
             self.counters.within += 1;
             admission.charged_work = admission.estimated_work;
-            self.charge(&admission, begins, admission.estimated_work);
+            self.charge(&admission, start, admission.estimated_work);
         }
-        self.enqueue(&mut admission, begins - virtual_time);
+        self.enqueue(&mut admission, start - virtual_time);
         admission
     }
 
-    /// Admits a return as promised: it has queued since its rejection, ahead of what its tenant has sent
-    /// later.
+    /// Admits an arrival that redeems a promise. Its start tag is that of its rejected attempt, so it
+    /// precedes later arrivals of its tenant.
     fn admit_as_promised(&mut self, mut admission: Admission, promise: &Promise) -> Admission {
         self.counters.within += 1;
         self.usage.count(admission.location, false);
@@ -176,15 +180,15 @@
         if let Some(tails) = self.usage.tails_mut(admission.location) {
             tails.within = tails.within.max(start_tag) + admission.queued_span;
         }
-        // In the sketch it was charged when it was promised.
+        // A tenant in the sketch was charged when the promise was issued.
         if admission.location != UsageLocation::Sketch {
-            let begins = self.begins(&admission);
-            self.charge(&admission, begins, promise.work);
+            let start = self.share_start(&admission);
+            self.charge(&admission, start, promise.work);
         }
         admission
     }
 
-    /// How far ahead of virtual time a finish may lie within the share.
+    /// Returns the maximum distance of a finish ahead of virtual time for an arrival within the share.
     fn allowance(&self) -> f64 {
         (self.rate.cores() * self.settings.burst as f64).min(self.allowance_max)
     }
@@ -193,24 +197,26 @@
         self.usage.finish(admission.location, admission.tenant, self.rate.virtual_time())
     }
 
-    /// Virtual time at which an arrival begins in its tenant's share; time without use gives no credit.
-    fn begins(&mut self, admission: &Admission) -> f64 {
+    /// Returns the virtual time at which an arrival's part of its tenant's share begins, which is never in
+    /// the past: idle time earns no credit.
+    fn share_start(&mut self, admission: &Admission) -> f64 {
         self.finish(admission).max(self.rate.virtual_time())
     }
 
-    /// Moves its tenant's finish on by work from where it begins; work under 0 is given back where that can
-    /// be done.
-    fn charge(&mut self, admission: &Admission, begins: f64, work: f64) {
-        let finish = begins + work / admission.weight;
+    /// Charges work to the arrival's tenant, from the virtual time `start` on. Negative work is a refund,
+    /// which the sketch ignores.
+    fn charge(&mut self, admission: &Admission, start: f64, work: f64) {
+        let finish = start + work / admission.weight;
         self.usage.set_finish(admission.location, admission.tenant, finish, self.rate.virtual_time());
     }
 
-    /// Gives an arrival its start tag: behind what its tenant has queued already, else at the tag served
-    /// last.
+    /// Assigns the start tag of an arrival: the tail of its tenant's queue, or the latest tag served if that
+    /// is higher.
     fn enqueue(&mut self, admission: &mut Admission, ahead: f64) {
         let served = self.served.tag(admission.surplus);
         let Some(tails) = self.usage.tails_mut(admission.location) else {
-            // The sketch keeps no queues: a tenant ahead of its share stands back by as much.
+            // The sketch stores no queue tails, so the tag is delayed by the tenant's distance ahead of
+            // virtual time.
             admission.start_tag = (served + ahead) as u64;
             return;
         };
@@ -221,13 +227,13 @@
         *tail = start_tag + admission.queued_span;
     }
 
-    /// An arrival begins to be served.
+    /// Records that an arrival begins to be served.
     pub fn start_service(&mut self, admission: &Admission) {
         self.served.advance(admission.surplus, admission.start_tag);
     }
 
-    /// An arrival is over: what it was charged is corrected by what it used.
-    pub fn end(&mut self, now: Nanos, admission: &Admission, outcome: ServiceOutcome) {
+    /// Ends an arrival and corrects its charge by the work that it really used.
+    pub fn end_service(&mut self, now: Nanos, admission: &Admission, outcome: ServiceOutcome) {
         self.advance(now);
         let used = match outcome {
             ServiceOutcome::Ran(work) => work as f64,
@@ -248,35 +254,36 @@
         }
     }
 
-    /// Learns how the work used compares with the usual work. The account may have been evicted while it ran;
-    /// then there is nothing to learn for, nor a queue.
+    /// Updates the learned ratio of the work used to the usual work. If the account was evicted during the
+    /// run, there is no ratio to update.
     fn learn_ratio(&mut self, admission: &Admission, used: f64) {
         if let Some(ratio) = self.usage.ratio_mut(admission.location) {
             ratio.learn(used / admission.usual_work);
         }
     }
 
-    /// One that never ran gives its span in its tenant's queue back.
+    /// Releases the queue span of an arrival that never ran. If its account was evicted, there is no queue to
+    /// shorten.
     fn shorten_queue(&mut self, admission: &Admission) {
         if let Some(tails) = self.usage.tails_mut(admission.location) {
             *tails.get_mut(admission.surplus) -= admission.queued_span;
         }
     }
 
-    /// What a rejected arrival is told: when its tenant will have capacity for it, but `least` nanoseconds at
-    /// least, and the ticket to come back with. Nothing is promised where the time would be too long or too
-    /// many promises stand.
+    /// Returns retry advice for a rejected arrival. The wait lasts until the tenant will have capacity for
+    /// the arrival, but at least `wait_min` nanoseconds. No promise is issued if the wait would be too long
+    /// or too many promises are active.
     ///
-    /// Promises to a tenant follow one another at its fair rate, so that whoever asks again gets a later one.
-    /// They are charged on return: one for which nobody returns costs its tenant nothing. Those in the sketch
-    /// are charged when they are made, and what nobody returns for stays charged.
-    pub fn promise(&mut self, now: Nanos, admission: &Admission, least: Nanos) -> ReturnAdvice {
+    /// Promises to the same tenant are spaced at its fair rate, so a caller that asks again gets a later one.
+    /// The tenant is charged when a promise is redeemed, so a lapsed promise costs the tenant nothing.
+    /// Tenants in the sketch are charged when the promise is issued, and lapsed promises are not refunded.
+    pub fn promise(&mut self, now: Nanos, admission: &Admission, wait_min: Nanos) -> RetryAdvice {
         let now = self.advance(now);
         let (virtual_time, cores) = (self.rate.virtual_time(), self.rate.cores());
         let free_from = self.finish(admission) - self.allowance();
         let booked_until = self.usage.booked_until_mut(admission.location).map(|booked_until| *booked_until);
         let booked_start = booked_until.map_or(free_from, |until| until.max(free_from)).max(virtual_time);
-        let wait = ((booked_start - virtual_time) / cores).max(least as f64);
+        let wait = ((booked_start - virtual_time) / cores).max(wait_min as f64);
         let tail = self.usage.tails_mut(admission.location).map_or(0.0, |tails| tails.within);
         let promise = Promise {
             tenant: admission.tenant,
@@ -289,15 +296,15 @@
             self.counters.unpromised += 1;
             let longest = self.settings.promise_max as f64;
             let retry_after = wait.clamp(longest / 2.0, longest) as Nanos;
-            return ReturnAdvice { retry_after, ticket: None };
+            return RetryAdvice { retry_after, ticket: None };
         };
         self.counters.promised += 1;
         self.book(admission, booked_start);
-        ReturnAdvice { retry_after: ticket.wait, ticket: Some(ticket.number) }
+        RetryAdvice { retry_after: ticket.wait, ticket: Some(ticket.number) }
     }
 
-    /// Books a promise from where it begins in its tenant's share. The sketch keeps no bookings: there the
-    /// work is charged at once.
+    /// Books the part of the tenant's share that a promise covers. The sketch stores no bookings, so the work
+    /// is charged at once.
     fn book(&mut self, admission: &Admission, booked_start: f64) {
         match self.usage.booked_until_mut(admission.location) {
             Some(booked_until) => *booked_until = booked_start + admission.estimated_work / admission.weight,
@@ -305,8 +312,8 @@
         }
     }
 
-    /// Takes one part of a change of settings; limits stay as they are until a restart. The time it takes
-    /// grows with the names in the part alone.
+    /// Applies one part of a change of settings. Limits do not change until a restart. The time depends only
+    /// on the number of names in the part.
     pub fn reconfigure(&mut self, change: &SettingsChange, now: Nanos) {
         let now = self.advance(now);
         for name in &change.unnamed {
@@ -323,9 +330,10 @@
         self.settings.probation = change.probation;
     }
 
-    /// Finds the fair rate anew for the recent demands, once a control period. `capacity` is the work a
-    /// second that is to be given out, in cores; `allowance_max` the work that a tenant of weight 1 may have
-    /// admitted: an arrival that is admitted and then rejected for want of time would be charged to nobody.
+    /// Recomputes the fair rate from the recent demands, once per control period. `capacity` is the capacity
+    /// to allocate, in cores. `allowance_max` is the maximum work that a tenant of weight 1 may have admitted
+    /// ahead of virtual time. Without this bound, an arrival could be admitted and later rejected because its
+    /// deadline is too close, and its work would be charged to no tenant.
     pub fn update_fair_rate(&mut self, now: Nanos, capacity: f64, allowance_max: f64) {
         self.allowance_max = allowance_max;
         let now = self.advance(now);
@@ -333,27 +341,27 @@
         self.usage.sweep(self.rate.virtual_time());
     }
 
-    /// The fair rate of a unit of weight, in cores.
+    /// Returns the fair rate of a unit of weight, in cores.
     pub fn fair_rate(&self) -> f64 {
         self.rate.cores()
     }
 
-    /// Tenants with an account.
+    /// Returns the number of tenants with an account.
     pub fn accounts(&self) -> usize {
         self.usage.accounts.len()
     }
 
-    /// Promises that stand.
+    /// Returns the number of active promises.
     pub fn promises(&self) -> usize {
         self.promises.len()
     }
 
-    /// Bytes held now; never over [`Settings::bytes_max`].
+    /// Returns the bytes in use, at most [`Settings::bytes_max`].
     pub fn bytes(&self) -> usize {
         self.usage.bytes() + self.promises.bytes() + size_of::<FairScheduler>()
     }
 
-    /// The `limit` tenants with most recent demand.
+    /// Returns the `limit` tenants with the highest recent demand.
     pub fn top_tenants(&mut self, now: Nanos, limit: usize) -> Vec<TopTenant> {
         let now = self.advance(now);
         let (virtual_time, cores) = (self.rate.virtual_time(), self.rate.cores());
@@ -373,7 +381,7 @@
 }
 
 impl Settings {
-    /// All bytes that a [`FairScheduler`] with these settings may ever hold.
+    /// Returns the most bytes that a [`FairScheduler`] with these settings can use.
     pub fn bytes_max(&self) -> usize {
         self.parts_bytes_max() + size_of::<FairScheduler>()
     }
--- a/crates/fair-queueing/src/settings.rs
+++ b/crates/fair-queueing/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of fair queueing and their check.
+//! Settings of fair queueing and their validation.
 
 use crate::Nanos;
 use crate::accounts::Accounts;
@@ -11,72 +11,75 @@
 use thiserror::Error;
 
 const SECOND_NS: Nanos = 1_000_000_000;
-/// Accounts that are never given to named tenants.
+/// Number of accounts reserved for tenants that are not named.
 const UNNAMED_ACCOUNTS: usize = 16;
-/// Fewest cells of the sketch.
-const CELLS_LEAST: usize = 64;
-/// Cells of the sketch for each known name.
+/// Minimum number of cells of the sketch.
+const CELLS_MIN: usize = 64;
+/// Number of sketch cells for each name in the table of known names.
 const CELLS_PER_KNOWN_NAME: usize = 4;
 
-/// Settings of fair queueing. The limits bound all memory; nothing that peers choose takes more.
+/// Settings of fair queueing. The limits bound all memory use, independently of the input from peers.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Tenants with an account of their own.
+    /// Maximum number of tenants with their own account.
     pub accounts: usize,
-    /// Cells of the sketch for all others, rounded up to a power of two; a quarter as many names are known.
+    /// Number of cells of the sketch for all other tenants, rounded up to a power of two. The table of known
+    /// names holds a quarter as many names.
     pub cells: usize,
-    /// Origins told apart; those beyond them share places.
+    /// Maximum number of origins with a slot of their own; further origins share these slots.
     pub origins: usize,
-    /// Promises that may stand at the same time.
+    /// Maximum number of promises that are active at the same time.
     pub promises: usize,
-    /// Names of one origin beyond which each of them weighs less, so that more names bring it no more.
+    /// Number of names of one origin at full weight. With more names, the weight of each decreases, so that
+    /// an origin gains nothing from additional names.
     pub names_per_origin: f64,
-    /// Weight of a tenant that is not named.
+    /// Weight of tenants that are not named.
     pub default_weight: f64,
-    /// Named tenants and their weights; they have accounts from the start.
+    /// Named tenants and their weights. Each has an account from the start.
     pub named: Arc<[NamedTenant]>,
-    /// How much of its share a tenant may use at once, in nanoseconds of its share.
+    /// Amount of its share that a tenant may use at once, in nanoseconds of its share.
     pub burst: Nanos,
-    /// A name counts as known once it has been seen several times over so many nanoseconds.
+    /// Minimum time from a name's first visit, in nanoseconds, before repeated visits make the name
+    /// established.
     pub probation: Nanos,
-    /// Longest time that may be promised, in nanoseconds.
+    /// Longest wait that may be promised, in nanoseconds.
     pub promise_max: Nanos,
-    /// How long after the promised time a return is still as promised, in nanoseconds.
+    /// Time after the promised return during which the promise still applies, in nanoseconds.
     pub return_grace: Nanos,
 }
 
-/// A setting that cannot be used.
+/// An invalid setting.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum SettingsError {
     /// The weight of a named tenant is not a finite number above 0.
-    #[error("weight: {weight} of {name:?} is no weight")]
+    #[error("weight: {weight} of {name:?} is not a finite number above 0")]
     Weight {
         /// Name of the tenant.
         name: String,
-        /// Its weight.
+        /// Configured weight.
         weight: f64,
     },
     /// The default weight is not a finite number above 0.
-    #[error("default: {weight} is no weight")]
+    #[error("default: {weight} is not a finite number above 0")]
     DefaultWeight {
-        /// The weight.
+        /// Configured weight.
         weight: f64,
     },
-    /// Fewer than one name for each origin, or no number.
-    #[error("names: {names} is under 1")]
+    /// The number of names per origin is less than 1 or not finite.
+    #[error("names: {names} is not a finite number of at least 1")]
     NamesPerOrigin {
-        /// The number of names.
+        /// Configured number of names.
         names: f64,
     },
-    /// A limit is too low.
-    #[error("{attribute}: {given} is under {least}")]
+    /// A limit is less than its minimum.
+    #[error("{attribute}: {given} is less than the minimum of {minimum}")]
     Limit {
-        /// Which limit: `accounts`, `cells`, `origins` or `promises`.
+        /// Attribute of the limit: `accounts`, `cells`, `origins` or `promises`.
         attribute: &'static str,
-        /// The limit given.
+        /// Configured value.
         given: usize,
-        /// Its least value.
-        least: usize,
+        /// Minimum value.
+        minimum: usize,
     },
 }
 
@@ -102,7 +105,7 @@
     /// Checks each setting.
     ///
     /// # Errors
-    /// The first setting that cannot be used.
+    /// Returns the first invalid setting.
     pub fn check(&self) -> Result<(), SettingsError> {
         if let Some((name, weight)) = self.named.iter().find(|(_, weight)| !is_weight(*weight)) {
             let name = String::from_utf8_lossy(name).into_owned();
@@ -114,24 +117,25 @@
         if !self.names_per_origin.is_finite() || self.names_per_origin < 1.0 {
             return Err(SettingsError::NamesPerOrigin { names: self.names_per_origin });
         }
-        let accounts_least = 2 * self.named.len() + UNNAMED_ACCOUNTS;
-        check_limit("accounts", self.accounts, accounts_least)?;
-        check_limit("cells", self.cells, CELLS_LEAST)?;
+        let accounts_min = 2 * self.named.len() + UNNAMED_ACCOUNTS;
+        check_limit("accounts", self.accounts, accounts_min)?;
+        check_limit("cells", self.cells, CELLS_MIN)?;
         check_limit("origins", self.origins, 1)?;
         check_limit("promises", self.promises, 1)
     }
 
-    /// How many tenants may be named: half of the accounts stay for those that are not.
+    /// Returns the maximum number of named tenants. At least half of the accounts are reserved for other
+    /// tenants.
     pub fn named_max(&self) -> usize {
         self.accounts.saturating_sub(UNNAMED_ACCOUNTS) / 2
     }
 
-    /// Names that are known at the same time.
+    /// Returns the number of names in the table of known names.
     pub(crate) fn known_names(&self) -> usize {
         self.cells / CELLS_PER_KNOWN_NAME
     }
 
-    /// All bytes that the parts of a scheduler with these settings may ever hold.
+    /// Returns the most bytes that all parts of a scheduler with these settings can use.
     pub(crate) fn parts_bytes_max(&self) -> usize {
         Accounts::bytes_max(self.accounts)
             + FinishSketch::bytes_max(self.cells)
@@ -145,9 +149,9 @@
     weight.is_finite() && weight > 0.0
 }
 
-fn check_limit(attribute: &'static str, given: usize, least: usize) -> Result<(), SettingsError> {
-    if given < least {
-        return Err(SettingsError::Limit { attribute, given, least });
+fn check_limit(attribute: &'static str, given: usize, minimum: usize) -> Result<(), SettingsError> {
+    if given < minimum {
+        return Err(SettingsError::Limit { attribute, given, minimum });
     }
     Ok(())
 }
--- a/crates/fair-queueing/src/timer_wheel.rs
+++ b/crates/fair-queueing/src/timer_wheel.rs
@@ -1,10 +1,10 @@
-//! A hashed timer wheel (Varghese and Lauck, 1987): finds what has expired without a look at later timers.
-//! Good for timers up to a stated span; those beyond it stay in their slot for another round.
+//! A hashed timer wheel (Varghese and Lauck, 1987), which finds expired timers without scanning later ones.
+//! Timers beyond the wheel's time span stay in their slot for another rotation of the wheel.
 
 use crate::Nanos;
 
 const SLOTS: usize = 256;
-/// A slot that is empty gives its memory back above this many timers.
+/// An empty slot with capacity for more than this many timers frees its memory.
 const IDLE_CAPACITY: usize = 8;
 
 #[derive(Clone, Copy, Debug)]
@@ -13,42 +13,43 @@
     id: u32,
 }
 
-/// Timers of which each has a number.
+/// A set of timers, each identified by a number.
 #[derive(Debug)]
 pub struct TimerWheel {
     slots: Vec<Vec<Timer>>,
-    /// Time that one slot stands for, in nanoseconds.
+    /// Duration of one slot, in nanoseconds.
     tick: Nanos,
-    /// All ticks before this one have been looked at.
+    /// First tick that has not been fully processed.
     current_tick: u64,
 }
 
 impl TimerWheel {
-    /// A wheel for timers of up to `span` nanoseconds.
+    /// Creates a wheel for timers that expire within `span` nanoseconds.
     pub fn new(span: Nanos, now: Nanos) -> Self {
         let tick = (span / (SLOTS as u64 - 2)).max(1);
         Self { slots: vec![Vec::new(); SLOTS], tick, current_tick: now / tick }
     }
 
-    /// Most bytes that a wheel of this many timers takes; each may take twice its size while a slot grows.
+    /// Returns the most bytes that a wheel with this many timers takes. A timer may take twice its size while
+    /// the vector of its slot grows.
     pub fn bytes_max(timers: usize) -> usize {
         let least = 4 * SLOTS;
         SLOTS * size_of::<Vec<Timer>>() + 2 * (timers + least) * size_of::<Timer>()
     }
 
-    /// Bytes held now.
+    /// Returns the bytes in use.
     pub fn bytes(&self) -> usize {
         let timers: usize = self.slots.iter().map(Vec::capacity).sum();
         SLOTS * size_of::<Vec<Timer>>() + timers * size_of::<Timer>()
     }
 
-    /// Adds a timer.
+    /// Adds a timer that expires at `expires_at`.
     pub fn insert(&mut self, expires_at: Nanos, id: u32) {
         let tick = (expires_at / self.tick).max(self.current_tick);
         self.slots[tick as usize % SLOTS].push(Timer { expires_at, id });
     }
 
-    /// Removes all timers that have expired by now and hands out their numbers.
+    /// Removes all timers that have expired at `now`, and calls `expired` with the number of each.
     pub fn expire(&mut self, now: Nanos, mut expired: impl FnMut(u32)) {
         let to = now / self.tick;
         if to < self.current_tick {
--- a/crates/fair-queueing/src/usage.rs
+++ b/crates/fair-queueing/src/usage.rs
@@ -1,4 +1,4 @@
-//! What each tenant has used of its share, wherever that is kept.
+//! Usage of every tenant, in an account, in the record of its origin's newcomers or in the sketch.
 
 use crate::Nanos;
 use crate::account::Account;
@@ -13,60 +13,62 @@
 use crate::settings::Settings;
 use crate::tenant::{Fingerprint, TenantKey};
 
-/// Visits after which a name is known, if the probation has passed since the first.
+/// Number of visits after which a name is established, provided that the probation has passed since the
+/// first.
 const KNOWN_VISITS: u8 = 3;
 
-/// Where the use of a tenant is kept.
+/// Location of a tenant's usage record.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum UsageLocation {
-    /// Nowhere.
+    /// Not recorded.
     #[default]
-    Nowhere,
-    /// In an account of its own.
+    Untracked,
+    /// In the tenant's own account.
     Account(Slot),
-    /// In the record that the newcomers of its origin share, by the index of the origin.
+    /// In the record shared by the newcomers of the tenant's origin; the value is the index of the origin.
     Newcomers(usize),
     /// In the cells of the sketch.
     Sketch,
 }
 
-/// An arrival with what is known of its tenant.
+/// Weight and estimated work of an arrival, and the location of its tenant's usage record.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Located {
-    /// Where the use of its tenant is kept.
+pub struct LocatedArrival {
+    /// Location of the tenant's usage record.
     pub location: UsageLocation,
-    /// The weight that it counts with.
+    /// Effective weight of the arrival.
     pub weight: f64,
-    /// Its work as estimated from its tenant's past, in nanoseconds of one core.
+    /// Work estimated from the tenant's previous invocations, in nanoseconds of one core.
     pub estimated_work: f64,
 }
 
-/// The present of the fair rate.
+/// State of the fair rate at one point in time.
 #[derive(Clone, Copy, Debug)]
-pub struct Present {
-    /// The time, in nanoseconds.
+pub struct RateSnapshot {
+    /// Time of the snapshot, in nanoseconds.
     pub now: Nanos,
-    /// The virtual time, in nanoseconds of one core for a unit of weight.
+    /// Virtual time, in nanoseconds of one core per unit of weight.
     pub virtual_time: f64,
-    /// How far ahead of virtual time a finish may lie within the share, in the same unit.
+    /// Maximum distance of a finish ahead of virtual time for an arrival within the share, in the unit of
+    /// `virtual_time`.
     pub allowance: f64,
 }
 
-/// Use of all tenants.
+/// Usage records of all tenants.
 #[derive(Debug)]
 pub struct Usage {
-    /// Tenants with an account.
+    /// Accounts of established tenants.
     pub accounts: Accounts,
-    /// Newcomers of each origin.
+    /// Records of the newcomers of each origin.
     pub origins: Origins,
     sketch: FinishSketch,
     known_names: KnownNames,
-    /// Ratio of all tenants in the sketch together.
+    /// Learned ratio shared by all tenants in the sketch.
     sketched_ratio: LearnedRatio,
 }
 
 impl Usage {
-    /// Nothing is used at first.
+    /// Creates records without any usage.
     pub fn new(settings: &Settings) -> Self {
         Self {
             accounts: Accounts::new(settings.accounts),
@@ -77,23 +79,24 @@
         }
     }
 
-    /// Bytes held now.
+    /// Returns the bytes in use.
     pub fn bytes(&self) -> usize {
         self.accounts.bytes() + self.sketch.bytes() + self.known_names.bytes() + self.origins.bytes()
     }
 
-    /// Records an arrival and finds where its tenant's use is kept: its account, the record that newcomers of
-    /// its origin share until its name is known, a new account, or the sketch.
+    /// Records an arrival and finds its tenant's usage record. In order of preference this is the tenant's
+    /// account, the record of its origin's newcomers (until the name is established), a new account, or the
+    /// sketch.
     pub fn locate(
         &mut self,
-        present: Present,
+        snapshot: RateSnapshot,
         fingerprint: Fingerprint,
         tenant: &TenantKey<'_>,
         work: f64,
         settings: &Settings,
         counters: &mut SchedulerCounters,
-    ) -> Located {
-        let now = present.now;
+    ) -> LocatedArrival {
+        let now = snapshot.now;
         if let Some(located) = self.locate_account(now, fingerprint, tenant, work, settings.default_weight) {
             return located;
         }
@@ -103,9 +106,9 @@
             counters.newcomers += 1;
             let (index, estimated_work) = self.origins.record_newcomer(tenant.origin, now, work);
             let location = UsageLocation::Newcomers(index);
-            return Located { location, weight: settings.default_weight, estimated_work };
+            return LocatedArrival { location, weight: settings.default_weight, estimated_work };
         }
-        self.open_account(present, fingerprint, tenant, weight, work, counters)
+        self.open_account(snapshot, fingerprint, tenant, weight, work, counters)
     }
 
     fn locate_account(
@@ -115,7 +118,7 @@
         tenant: &TenantKey<'_>,
         work: f64,
         default_weight: f64,
-    ) -> Option<Located> {
+    ) -> Option<LocatedArrival> {
         let slot = self.accounts.find(fingerprint, now)?;
         let account = self.accounts.get_mut(slot)?;
         let estimated_work = work * account.ratio.get();
@@ -123,20 +126,25 @@
         if !account.named {
             account.weight = default_weight * self.origins.weight_ratio(tenant.origin, fingerprint, now);
         }
-        Some(Located { location: UsageLocation::Account(slot), weight: account.weight, estimated_work })
+        Some(LocatedArrival {
+            location: UsageLocation::Account(slot),
+            weight: account.weight,
+            estimated_work,
+        })
     }
 
-    /// Opens an account for a name that has become known; where there is none, the sketch keeps its use.
+    /// Opens an account for a name that has become established. If no account is available, the sketch
+    /// records its usage.
     fn open_account(
         &mut self,
-        present: Present,
+        snapshot: RateSnapshot,
         fingerprint: Fingerprint,
         tenant: &TenantKey<'_>,
         weight: f64,
         work: f64,
         counters: &mut SchedulerCounters,
-    ) -> Located {
-        let Present { now, virtual_time, allowance } = present;
+    ) -> LocatedArrival {
+        let RateSnapshot { now, virtual_time, allowance } = snapshot;
         let finish = self.sketch.finish(fingerprint, virtual_time);
         let mut account = Account::new(tenant.name, weight, finish, now);
         account.record_demand(now, work);
@@ -145,13 +153,13 @@
         else {
             counters.sketched += 1;
             let estimated_work = work * self.sketched_ratio.get();
-            return Located { location: UsageLocation::Sketch, weight, estimated_work };
+            return LocatedArrival { location: UsageLocation::Sketch, weight, estimated_work };
         };
         counters.evicted += u64::from(insertion.evicted);
-        Located { location: UsageLocation::Account(insertion.slot), weight, estimated_work: work }
+        LocatedArrival { location: UsageLocation::Account(insertion.slot), weight, estimated_work: work }
     }
 
-    /// Virtual time up to which a tenant has used its share.
+    /// Returns the virtual time up to which a tenant has used its share.
     pub fn finish(&mut self, location: UsageLocation, fingerprint: Fingerprint, virtual_time: f64) -> f64 {
         match location {
             UsageLocation::Account(slot) => {
@@ -159,11 +167,11 @@
             }
             UsageLocation::Newcomers(index) => self.origins.get(index).finish,
             UsageLocation::Sketch => self.sketch.finish(fingerprint, virtual_time),
-            UsageLocation::Nowhere => virtual_time,
+            UsageLocation::Untracked => virtual_time,
         }
     }
 
-    /// Sets up to which virtual time a tenant has used its share; the sketch can only raise it.
+    /// Sets the virtual time up to which a tenant has used its share. In the sketch, this can only be raised.
     pub fn set_finish(
         &mut self,
         location: UsageLocation,
@@ -179,41 +187,42 @@
             }
             UsageLocation::Newcomers(index) => self.origins.get_mut(index).finish = finish,
             UsageLocation::Sketch => self.sketch.raise(fingerprint, finish, virtual_time),
-            UsageLocation::Nowhere => {}
+            UsageLocation::Untracked => {}
         }
     }
 
-    /// Where the tenant's queues end; the sketch keeps none.
+    /// Returns the tails of the tenant's queues; `None` for the sketch, which does not store them.
     pub fn tails_mut(&mut self, location: UsageLocation) -> Option<&mut QueueTails> {
         match location {
             UsageLocation::Account(slot) => self.accounts.get_mut(slot).map(|account| &mut account.tails),
             UsageLocation::Newcomers(index) => Some(&mut self.origins.get_mut(index).tails),
-            UsageLocation::Sketch | UsageLocation::Nowhere => None,
+            UsageLocation::Sketch | UsageLocation::Untracked => None,
         }
     }
 
-    /// Virtual time up to which the tenant's share is promised; the sketch keeps none.
+    /// Returns the virtual time up to which the tenant's share is promised; `None` for the sketch, which does
+    /// not store it.
     pub fn booked_until_mut(&mut self, location: UsageLocation) -> Option<&mut f64> {
         match location {
             UsageLocation::Account(slot) => {
                 self.accounts.get_mut(slot).map(|account| &mut account.booked_until)
             }
             UsageLocation::Newcomers(index) => Some(&mut self.origins.get_mut(index).booked_until),
-            UsageLocation::Sketch | UsageLocation::Nowhere => None,
+            UsageLocation::Sketch | UsageLocation::Untracked => None,
         }
     }
 
-    /// The learned ratio that the tenant's work is estimated with.
+    /// Returns the learned ratio used to estimate the tenant's work.
     pub fn ratio_mut(&mut self, location: UsageLocation) -> Option<&mut LearnedRatio> {
         match location {
             UsageLocation::Account(slot) => self.accounts.get_mut(slot).map(|account| &mut account.ratio),
             UsageLocation::Newcomers(index) => Some(&mut self.origins.get_mut(index).ratio),
             UsageLocation::Sketch => Some(&mut self.sketched_ratio),
-            UsageLocation::Nowhere => None,
+            UsageLocation::Untracked => None,
         }
     }
 
-    /// Counts an arrival in its tenant's account, if it has one.
+    /// Counts an arrival in its tenant's account, if the tenant has one.
     pub fn count(&mut self, location: UsageLocation, surplus: bool) {
         if let UsageLocation::Account(slot) = location
             && let Some(account) = self.accounts.get_mut(slot)
@@ -223,12 +232,12 @@
         }
     }
 
-    /// Recent demand of all tenants with an account and of the newcomers of each origin.
+    /// Returns the recent demand of each tenant with an account and of the newcomers of each origin.
     pub fn demands(&self, now: Nanos, newcomers_weight: f64) -> impl Iterator<Item = Demand> {
         self.accounts.demands(now).chain(self.origins.demands(now, newcomers_weight))
     }
 
-    /// Does the sketch's periodic work.
+    /// Runs the periodic maintenance of the sketch.
     pub fn sweep(&mut self, virtual_time: f64) {
         self.sketch.sweep(virtual_time);
     }
--- a/crates/overload-control/src/tenant_quota.rs
+++ b/crates/overload-control/src/tenant_quota.rs
@@ -97,7 +97,7 @@
             } else {
                 ServiceOutcome::NeverRan
             };
-            fair.end(now, admission, outcome);
+            fair.end_service(now, admission, outcome);
         }
     }
 
@@ -112,7 +112,7 @@
     ) -> Option<RetryAdvice> {
         let fair = self.fair.as_mut()?;
         let admission = invocation.fair_admission.take_if(|_| !invocation.has_run)?;
-        fair.end(now, &admission, ServiceOutcome::NeverRan);
+        fair.end_service(now, &admission, ServiceOutcome::NeverRan);
         let advice = fair.promise(now, &admission, least);
         Some(RetryAdvice { retry_after: advice.retry_after, ticket: advice.ticket })
     }
