--- a/crates/server/src/fleet/shared_state.rs
+++ b/crates/server/src/fleet/shared_state.rs
@@ -131,7 +131,7 @@
         let Some(budget) = calls(state) else { return true };
         let may = budget.may_acquire(time, permits.in_use(time));
         if !may {
-            permits.refuse(time, waiting as u64);
+            permits.record_refusal(time, waiting as u64);
             *has_refused = true;
         }
         may
@@ -299,7 +299,7 @@
     fn state_demand(&mut self, time: Time) {
         for budget in self.state.budgets.iter_mut().filter(|budget| !is_lease(budget)) {
             let lately = 2 * budget.settings().refresh_interval;
-            let (wanted, in_use) = (self.permits.wanted(time, lately), self.permits.in_use(time));
+            let (wanted, in_use) = (self.permits.demand(time, lately), self.permits.in_use(time));
             budget.set_demand(wanted, in_use);
         }
     }
--- a/crates/shared-state/src/budget/election.rs
+++ b/crates/shared-state/src/budget/election.rs
@@ -1,9 +1,9 @@
-//! Election of the grantor among the voters.
+//! Election of the grantor by the voters.
 //!
 //! Invariant: at most one server is the grantor at a time. A voter gives its vote to one server and to no
-//! other until the term and the drift margin have passed by its slow clock; a candidate counts its term from
-//! the time of its request, by its fast clock, so that it leaves office before its votes are free again.
-//! Votes are not stored: a voter that has started again waits for as long as a vote of its earlier
+//! other until the term and the drift margin have passed by its slow clock. A candidate counts its term from
+//! the time of its request, by its fast clock, so its term ends before its voters can vote for another
+//! server. Votes are not stored. A restarted voter therefore waits for as long as a vote of its earlier
 //! incarnation may last.
 
 use super::grantor::LeaseTable;
@@ -13,47 +13,47 @@
 use crate::server_id::ServerId;
 use std::collections::{BTreeSet, VecDeque};
 
-/// Ballots whose votes still count. More than one, so that a majority is reached over a slow and lossy
-/// network.
+/// Number of recent ballots whose votes are still counted. It is greater than 1 so that a majority can be
+/// reached over a slow and lossy network.
 const BALLOTS_MAX: usize = 8;
 
-/// The vote of this server.
+/// Vote given by this server.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Vote {
     candidate: ServerId,
-    /// By the slow clock.
+    /// End of the vote, by the slow clock.
     expires_at: Nanos,
 }
 
-/// One request for votes.
+/// A ballot: one request for votes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Ballot {
     number: u64,
-    /// By the fast clock.
+    /// Time of the request, by the fast clock.
     requested_at: Nanos,
-    /// Names of the voters that gave their vote.
+    /// Names of the voters that granted their vote.
     votes: BTreeSet<String>,
 }
 
-/// State of a candidate, and of the same server as the grantor once it is elected: the term, the ballots and
-/// an empty table of leases are those that it stood with.
+/// State of a candidate, kept when it is elected as the grantor. The term, the ballots and the empty table of
+/// leases are those created when it became a candidate.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct GrantorState {
     pub term: Term,
-    /// The latest is the last one.
+    /// Recent ballots, the latest last.
     ballots: VecDeque<Ballot>,
-    /// End of office by the fast clock; `None` for a candidate.
+    /// End of the term of office, by the fast clock; `None` for a candidate.
     elected_until: Option<Nanos>,
     pub leases: LeaseTable,
 }
 
 impl GrantorState {
-    /// When the latest ballot was called, by the fast clock.
+    /// Returns the time of the latest ballot, by the fast clock.
     fn last_requested_at(&self) -> Nanos {
         self.ballots.back().map_or(0, |ballot| ballot.requested_at)
     }
 
-    /// Whether a candidate has failed or a grantor's office has ended.
+    /// Returns whether the candidacy has failed or the grantor's term of office has ended.
     fn is_over(&self, time: Time, settings: &BudgetSettings) -> bool {
         match self.elected_until {
             Some(until) => time.fast >= until,
@@ -61,35 +61,35 @@
         }
     }
 
-    /// Whether a grantor asks for its votes again.
+    /// Returns whether the grantor must request its votes again.
     fn renewal_is_due(&self, time: Time, settings: &BudgetSettings) -> bool {
         let interval = (settings.term_duration / 8).max(1);
         self.elected_until.is_some() && time.fast >= self.last_requested_at() + interval
     }
 }
 
-/// What a vote has brought.
+/// Result of counting a vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum VoteCount {
-    /// No majority, or nothing new.
+    /// No majority, or no change.
     Unchanged,
-    /// The candidate is the grantor now.
+    /// The candidate has become the grantor.
     Elected,
-    /// The grantor's office lasts longer.
+    /// The grantor's term of office has been extended.
     Extended,
 }
 
-/// One server's part in elections; it votes and stands where its name is among the voters.
+/// One server's part in elections. It votes and becomes a candidate only if its name is among the voters.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Election {
-    /// Place among the voters, if any.
+    /// Index among the voters, if this server is one.
     rank: Option<u64>,
-    /// It neither votes nor stands before, by the slow clock.
+    /// Time, by the slow clock, before which this server neither votes nor becomes a candidate.
     votes_from: Nanos,
     vote: Option<Vote>,
     grantor_state: Option<GrantorState>,
     last_ballot: u64,
-    /// When a grantor or candidate was last known of, by the fast clock.
+    /// Time at which a grantor or candidate was last known, by the fast clock.
     grantor_seen_at: Nanos,
 }
 
@@ -109,34 +109,35 @@
         self.rank.is_some()
     }
 
-    /// Notes that another server is the grantor.
+    /// Records that another server is the grantor.
     pub fn note_grantor(&mut self, time: Time) {
         self.grantor_seen_at = time.fast;
     }
 
-    /// Whether this server is the grantor now.
+    /// Returns whether this server is the grantor now.
     pub fn is_grantor(&self, time: Time) -> bool {
         let until = self.grantor_state.as_ref().and_then(|state| state.elected_until);
         until.is_some_and(|until| time.fast < until)
     }
 
-    /// State of the candidate or grantor that this server is.
+    /// Returns this server's state as a candidate or grantor, if it is one.
     pub fn grantor_state(&self) -> Option<&GrantorState> {
         self.grantor_state.as_ref()
     }
 
-    /// The same, to change.
+    /// Mutable variant of [`Election::grantor_state`].
     pub fn grantor_state_mut(&mut self) -> Option<&mut GrantorState> {
         self.grantor_state.as_mut()
     }
 
-    /// Name of the server that has this one's vote.
+    /// Returns the name of the server that holds this server's vote.
     pub fn voted_for(&self, time: Time) -> Option<&str> {
         let vote = self.vote.as_ref().filter(|vote| time.slow < vote.expires_at)?;
         Some(&vote.candidate.name)
     }
 
-    /// Leaves an office that is over, and opens a ballot where one is due: returns its number.
+    /// Ends an expired term or candidacy, and opens a ballot if one is due. Returns the number of the new
+    /// ballot.
     pub fn advance(&mut self, time: Time, settings: &BudgetSettings, incarnation: u64) -> Option<u64> {
         if self.grantor_state.as_ref().is_some_and(|state| state.is_over(time, settings)) {
             self.grantor_state = None;
@@ -145,16 +146,16 @@
         let rank = self.rank?;
         let due = match &self.grantor_state {
             Some(state) => state.renewal_is_due(time, settings),
-            None => self.may_stand(time, settings, rank),
+            None => self.may_become_candidate(time, settings, rank),
         };
         due.then(|| self.open_ballot(time, incarnation, rank))
     }
 
-    /// Whether no grantor has been known of for a term. Voters of a higher rank wait longer, so that they do
-    /// not all stand at once.
-    fn may_stand(&self, time: Time, settings: &BudgetSettings, rank: u64) -> bool {
-        let patience = settings.term_duration + rank * settings.term_duration / 2;
-        time.slow >= self.votes_from && time.fast >= self.grantor_seen_at + patience
+    /// Returns whether no grantor has been known for a term. Voters with a higher rank wait longer, so that
+    /// the voters do not all become candidates at the same time.
+    fn may_become_candidate(&self, time: Time, settings: &BudgetSettings, rank: u64) -> bool {
+        let wait = settings.term_duration + rank * settings.term_duration / 2;
+        time.slow >= self.votes_from && time.fast >= self.grantor_seen_at + wait
     }
 
     fn open_ballot(&mut self, time: Time, incarnation: u64, rank: u64) -> u64 {
@@ -173,7 +174,8 @@
         number
     }
 
-    /// Gives this server's vote to a candidate for a term, unless another one has it.
+    /// Votes for a candidate for one term, unless another candidate holds this server's vote. Returns whether
+    /// the vote was granted.
     pub fn vote_for(&mut self, time: Time, settings: &BudgetSettings, candidate: &ServerId) -> bool {
         let free = match &self.vote {
             Some(vote) => vote.candidate == *candidate || time.slow >= vote.expires_at,
@@ -188,7 +190,8 @@
         granted
     }
 
-    /// Counts a vote for one of the last ballots. Office lasts for a term from the time of that ballot.
+    /// Counts a vote for one of the recent ballots. With a majority, the term of office lasts for one term
+    /// duration from the time of that ballot.
     pub fn count_vote(
         &mut self,
         time: Time,
--- a/crates/shared-state/src/budget/holder.rs
+++ b/crates/shared-state/src/budget/holder.rs
@@ -1,80 +1,83 @@
-//! A holder's lease and its requests.
+//! A holder's lease and its lease requests.
 //!
-//! Invariant: a lease ends at its holder before it ends in the grantor's table. The holder counts it from the
-//! time of its request, by its fast clock; the grantor from the time of the grant, by its slow clock.
+//! Invariant: a lease ends at its holder before it ends in the grantor's table. The holder counts the lease
+//! from the time of its request, by its fast clock; the grantor counts it from the time of the grant, by its
+//! slow clock.
 
 use super::message::{BudgetMessage, GrantId};
 use super::settings::BudgetSettings;
 use crate::clock::{Nanos, Time};
 use std::collections::VecDeque;
 
-/// Requests whose time is remembered, to date the grants that answer them.
+/// Number of recent requests whose send times are stored. A grant begins at the send time of the request that
+/// it answers.
 const REQUESTS_MAX: usize = 8;
-/// Requests without an answer after which the grantor is no longer taken to be known.
+/// Number of consecutive requests without a reply after which the grantor counts as unknown.
 const UNANSWERED_MAX: u32 = 2;
 
 /// Units that a server may use now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Allowance {
-    /// Units by its floor.
+    /// Units of the server's floor.
     pub floor: u64,
-    /// Units by its lease.
+    /// Units of the server's lease.
     pub leased: u64,
-    /// How long the lease still lasts by the fast clock, in nanoseconds; 0 where there is none.
+    /// Remaining time of the lease by the fast clock, in nanoseconds; 0 without a lease.
     pub remaining: Nanos,
 }
 
-/// The lease that a server holds.
+/// Lease that a server holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Lease {
     grant: GrantId,
     amount: u64,
-    /// By the fast clock.
+    /// End of the lease, by the fast clock.
     ends_at: Nanos,
 }
 
-/// A request for a lease that may still be answered.
+/// A lease request that may still be answered.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct SentRequest {
     number: u64,
-    /// By the fast clock.
+    /// Send time of the request, by the fast clock.
     sent_at: Nanos,
 }
 
-/// A grant as it came.
+/// A grant as received, with its sender.
 pub(super) struct ReceivedGrant<'a> {
     /// Name of the sender.
     pub from: &'a str,
-    /// Whether it is for this incarnation.
-    pub is_for_me: bool,
-    /// Number of the request that it answers.
+    /// Whether the grant is for this incarnation of the server.
+    pub is_for_this_incarnation: bool,
+    /// Number of the request that the grant answers.
     pub request: u64,
     pub id: GrantId,
     pub amount: u64,
 }
 
-/// Why a grant is dropped.
+/// Reason for dropping a grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DroppedGrant {
-    /// It answers no request of this incarnation: its time cannot be told.
+    /// The grant answers no known request of this incarnation, so its start time is unknown.
     Unsolicited,
-    /// It passes what may be leased, or its sender is no voter.
+    /// The grant exceeds the units that may be leased, or its sender is not a voter.
     Excessive,
-    /// It had ended when it came; or this server holds a lease that is not older than it, or is of another
-    /// term. Terms have no order in time, so that one of another term is adopted only once the held lease has
+    /// The grant had already ended, or this server holds a lease of another term or one at least as recent.
+    /// Terms are not ordered in time, so a grant of another term is adopted only after the held lease has
     /// ended.
     Stale,
 }
 
-/// One server's part as a holder.
+/// One server's part of a budget as a lease holder.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Holder {
-    /// The floor is not used before, by the slow clock: an earlier incarnation may still use it.
+    /// Time, by the slow clock, before which the floor is not used, since an earlier incarnation may still
+    /// use it.
     floor_from: Nanos,
     lease: Lease,
     requests: VecDeque<SentRequest>,
     last_number: u64,
-    /// By the fast clock.
+    /// Time of the next request, by the fast clock.
     next_request_at: Nanos,
     wanted: u64,
     in_use: u64,
@@ -97,7 +100,7 @@
         }
     }
 
-    /// Sets what the next request asks for; units include the floor.
+    /// Sets the demand that the next request reports. Both amounts include the floor.
     pub fn set_demand(&mut self, settings: &BudgetSettings, wanted: u64, in_use: u64) {
         self.wanted = wanted.saturating_sub(settings.floor).min(settings.leasable());
         self.in_use = in_use.saturating_sub(settings.floor);
@@ -114,19 +117,19 @@
         self.grantor.as_deref()
     }
 
-    /// Takes a server for the grantor, which requests go to from now on.
+    /// Sets the server to which requests are sent as the grantor; `None` if unknown.
     pub fn set_grantor(&mut self, grantor: Option<String>) {
         self.grantor = grantor;
     }
 
-    /// Notes an answer that names the grantor, or none.
+    /// Handles a redirect to the grantor, or to none if the sender does not know it.
     pub fn redirect(&mut self, grantor: Option<String>) {
         self.unanswered = 0;
         self.grantor = grantor;
     }
 
-    /// The next request where one is due, and the server that it goes to: the grantor where it is known, else
-    /// the voter that `draw` picks.
+    /// Returns the next request and its receiver if a request is due. The receiver is the grantor if known,
+    /// otherwise the voter selected by `draw`.
     pub fn next_request(
         &mut self,
         settings: &BudgetSettings,
@@ -157,8 +160,8 @@
         Some((to, request))
     }
 
-    /// Adopts a grant as the lease, dated from its request. While a lease is held only a later grant of its
-    /// term takes its place.
+    /// Adopts a grant as the lease, beginning at the time of its request. While a lease is held, only a later
+    /// grant of the same term replaces it.
     pub fn adopt(
         &mut self,
         settings: &BudgetSettings,
@@ -166,7 +169,7 @@
         grant: &ReceivedGrant<'_>,
     ) -> Result<(), DroppedGrant> {
         let request = self.requests.iter().find(|request| request.number == grant.request);
-        let Some(request) = request.filter(|_| grant.is_for_me) else {
+        let Some(request) = request.filter(|_| grant.is_for_this_incarnation) else {
             return Err(DroppedGrant::Unsolicited);
         };
         if grant.amount > settings.leasable() || !settings.is_voter(grant.from) {
--- a/crates/shared-state/src/budget/message.rs
+++ b/crates/shared-state/src/budget/message.rs
@@ -1,83 +1,85 @@
-//! Messages between the servers that share a budget. They are serialized by position (postcard): the order of
-//! variants and fields is part of the wire format.
+//! Messages between the servers that share a budget. They are serialized by position (postcard), so the order
+//! of variants and fields is part of the wire format.
 
 use serde::{Deserialize, Serialize};
 
-/// Identifies one term of office, unlike every other: the grantor's incarnation, its rank among the voters
-/// and how often it has stood. Terms have no order in time: the leases of one have ended before the next
-/// grants.
+/// Unique identifier of a term of office: the grantor's incarnation, its rank among the voters and the number
+/// of its ballot. Terms are not ordered in time, but all leases of one term end before the next term grants
+/// any.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Term {
-    /// The grantor's start, in nanoseconds since the epoch.
+    /// Start time of the grantor's process, in nanoseconds since the Unix epoch.
     pub incarnation: u64,
-    /// Place of the grantor among the voters, from 0.
+    /// Index of the grantor among the voters, from 0.
     pub rank: u64,
-    /// Number of the ballot that this incarnation of the grantor stood with.
+    /// Number of the ballot with which the grantor became a candidate.
     pub election: u64,
 }
 
-/// Identifies a grant.
+/// Unique identifier of a grant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct GrantId {
-    /// The term in which it was granted.
+    /// Term in which the lease was granted.
     pub term: Term,
-    /// Its number in that term; later grants have higher ones.
+    /// Number of the grant in that term; later grants have higher numbers.
     pub number: u64,
 }
 
 /// A message about one budget.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum BudgetMessage {
-    /// To a voter: asks for its vote, so that the sender becomes or stays the grantor.
+    /// Requests a vote from a voter, so that the sender becomes or remains the grantor.
     VoteRequest {
         /// Number of the ballot, unique in the sender's incarnation.
         ballot: u64,
     },
-    /// Answer to a [`BudgetMessage::VoteRequest`].
+    /// Reply to a [`BudgetMessage::VoteRequest`].
     VoteResponse {
-        /// Incarnation of the candidate that asked.
+        /// Incarnation of the candidate that sent the request.
         incarnation: u64,
-        /// Number of the ballot that the request was for.
+        /// Number of the ballot in the request.
         ballot: u64,
-        /// Whether the vote goes to the candidate.
+        /// Whether the vote is granted to the candidate.
         granted: bool,
     },
-    /// To the grantor: asks for a lease. Amounts are units beyond the floor.
+    /// Requests a lease from the grantor. Amounts are units beyond the floor.
     LeaseRequest {
         /// Number of the request, unique in the sender's incarnation.
         number: u64,
         /// Units that the sender wants.
         wanted: u64,
-        /// Units that it uses.
+        /// Units that the sender uses.
         in_use: u64,
-        /// The grant that its present lease came with.
+        /// Identifier of the grant of the sender's current lease.
         adopted: GrantId,
     },
-    /// Answer to a [`BudgetMessage::LeaseRequest`]: a lease from the time of the request on.
+    /// Reply to a [`BudgetMessage::LeaseRequest`] that grants a lease, which begins at the time of the
+    /// request.
     LeaseGrant {
-        /// Incarnation of the server that asked.
+        /// Incarnation of the server that sent the request.
         incarnation: u64,
-        /// Number of the request that it answers.
+        /// Number of the request that this message answers.
         request_number: u64,
-        /// The grantor's term.
+        /// Term of the grantor.
         term: Term,
         /// Number of the grant in that term.
         grant_number: u64,
         /// Units granted beyond the floor.
         amount: u64,
     },
-    /// Answer to a [`BudgetMessage::LeaseRequest`] that the sender does not grant.
+    /// Reply to a [`BudgetMessage::LeaseRequest`] from a server that does not grant it.
     Redirect {
-        /// The grantor, if known; the sender itself where it grants nothing yet.
+        /// Name of the grantor, if known. It is the sender of this message if the sender is the grantor but
+        /// does not grant leases yet.
         grantor: Option<String>,
     },
 }
 
-/// A message and the server that it goes to.
+/// A message and its receiver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
-    /// Name of the receiver.
+    /// Name of the receiving server.
     pub to: String,
-    /// What it is to receive.
+    /// Message to send.
     pub message: BudgetMessage,
 }
--- a/crates/shared-state/src/budget/mod.rs
+++ b/crates/shared-state/src/budget/mod.rs
@@ -1,16 +1,17 @@
-//! A budget of the whole fleet (units at once, or units a second) split into leases. Every server may use its
-//! floor at any time; beyond that only what it holds by a lease that has not ended by its own clock.
+//! A budget of the whole fleet (concurrent units, or units per second), divided into leases. Each server may
+//! use its floor at any time. Beyond the floor it may use only its lease, until the lease ends by its own
+//! clock.
 //!
 //! - [`settings`]: total, floors, voters and durations.
-//! - [`message`]: what servers send each other.
-//! - `election`: the voters elect one grantor at a time, each term by a majority.
-//! - `grantor`: the grantor's table of leases. A new grantor grants nothing until every lease of earlier ones
-//!   has ended.
-//! - `holder`: a lease as its holder sees it, and the requests that renew it.
+//! - [`message`]: messages between servers.
+//! - `election`: the voters elect one grantor at a time, for a term, by majority.
+//! - `grantor`: the grantor's table of leases. A new grantor grants nothing until every lease of earlier
+//!   grantors has ended.
+//! - `holder`: the lease as its holder sees it, and the requests that renew it.
 //!
-//! Invariant: at every moment the floors of all servers and all leases together are at most the total,
-//! whatever messages are lost, duplicated, late or out of order and whichever server stops. `tests/model.rs`
-//! checks the nearest interleavings of a small fleet; `docs/shared-state.md` states the bounds.
+//! Invariant: at any time, the floors of all servers and all leases together are at most the total, whatever
+//! messages are lost, duplicated, delayed or reordered and whichever servers stop. `tests/model.rs` checks
+//! the interleavings of a small fleet up to a limited depth; `docs/shared-state.md` states the bounds.
 
 pub mod counters;
 mod election;
@@ -30,23 +31,23 @@
 pub use message::{BudgetMessage, GrantId, Outgoing, Term};
 pub use settings::{BudgetSettings, BudgetSettingsError};
 
-/// One server's part in one budget: a state machine without I/O. Readings of the clocks and messages go in,
-/// messages to send come out.
+/// One server's part of one budget: a state machine without I/O. Its inputs are clock readings and received
+/// messages; its outputs are messages to send.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Budget {
     id: ServerId,
     settings: BudgetSettings,
     election: Election,
     holder: Holder,
-    /// Counters since the start.
+    /// Counters of events since the start.
     pub counters: BudgetCounters,
 }
 
 impl Budget {
-    /// The part of the server `id`, from `time` on.
+    /// Creates the part of the server `id`, starting at `time`.
     ///
     /// # Errors
-    /// A setting that cannot be used.
+    /// Returns the first invalid setting.
     pub fn new(id: ServerId, settings: BudgetSettings, time: Time) -> Result<Budget, BudgetSettingsError> {
         settings.check()?;
         Ok(Budget {
@@ -58,16 +59,17 @@
         })
     }
 
-    /// The settings in force.
+    /// Returns the current settings.
     pub fn settings(&self) -> &BudgetSettings {
         &self.settings
     }
 
-    /// Takes another total, in units. A smaller one holds once the present leases have ended or shrunk, one
-    /// lease at the latest.
+    /// Sets a new total, in units. A smaller total takes effect once the current leases have ended or shrunk,
+    /// after one lease duration at most.
     ///
     /// # Errors
-    /// The total is out of range or the floors pass it; the old one stays.
+    /// Returns an error and keeps the old total if the new one is out of range or less than the sum of the
+    /// floors.
     pub fn set_total(&mut self, total: u64) -> Result<(), BudgetSettingsError> {
         let settings = BudgetSettings { total, ..self.settings.clone() };
         settings.check()?;
@@ -75,27 +77,28 @@
         Ok(())
     }
 
-    /// Sets what this server wants and uses, in units, its floor included.
+    /// Sets the units that this server wants and those that it uses, both including its floor.
     pub fn set_demand(&mut self, wanted: u64, in_use: u64) {
         self.holder.set_demand(&self.settings, wanted, in_use);
     }
 
-    /// What this server may use now.
+    /// Returns the units that this server may use now.
     pub fn allowance(&self, time: Time) -> Allowance {
         self.holder.allowance(&self.settings, time)
     }
 
-    /// Whether one more unit may be acquired while `in_use` are in use. Units of the lease are acquired only
-    /// while the lease outlasts their longest use.
+    /// Returns whether one more unit may be acquired while `in_use` units are in use. Units of the lease may
+    /// be acquired only while the lease lasts longer than the longest use of a unit.
     pub fn may_acquire(&self, time: Time, in_use: u64) -> bool {
         let allowance = self.allowance(time);
         let leased = if allowance.remaining > self.settings.use_max { allowance.leased } else { 0 };
         in_use < allowance.floor + leased
     }
 
-    /// Until when, by the fast clock, the call of a unit that is acquired now may be sent, while `in_use` are
-    /// in use. A unit of the floor has no end. One of the lease has to be sent while the lease outlasts its
-    /// longest use: the service is done with it before the lease is granted again.
+    /// Returns the latest time, by the fast clock, at which the call of a unit acquired now may be sent while
+    /// `in_use` units are in use. For a unit of the floor there is no limit. For a unit of the lease, the
+    /// lease must last longer than the longest use of a unit, so that the service has finished the call
+    /// before the lease is granted again.
     pub fn send_by(&self, time: Time, in_use: u64) -> Nanos {
         let allowance = self.allowance(time);
         if in_use < allowance.floor {
@@ -104,22 +107,22 @@
         time.fast + allowance.remaining.saturating_sub(self.settings.use_max)
     }
 
-    /// Whether this server is the grantor now.
+    /// Returns whether this server is the grantor now.
     pub fn is_grantor(&self, time: Time) -> bool {
         self.election.is_grantor(time)
     }
 
-    /// Name of the grantor, as far as this server knows.
+    /// Returns the name of the grantor, if known to this server.
     pub fn grantor(&self) -> Option<&str> {
         self.holder.grantor()
     }
 
-    /// Units that may be in use by leases that this server has granted.
+    /// Returns the units that may be in use under leases granted by this server.
     pub fn outstanding(&self) -> u64 {
         self.election.grantor_state().map_or(0, |state| state.leases.outstanding())
     }
 
-    /// Lets a new grantor grant at once; for the model check alone, which must find the fault.
+    /// Lets a new grantor grant immediately. Only for the model check, which must detect this fault.
     #[doc(hidden)]
     pub fn skip_grant_wait(&mut self) {
         if let Some(state) = self.election.grantor_state_mut() {
@@ -127,8 +130,8 @@
         }
     }
 
-    /// Does what is due by `time`. `draw` is any number and picks the voter that a request goes to where the
-    /// grantor is not known.
+    /// Performs all actions that are due at `time`. `draw` is a random number that selects the voter to
+    /// receive a request while the grantor is unknown.
     pub fn advance(&mut self, time: Time, draw: u64) -> Vec<Outgoing> {
         let mut outgoing = Vec::new();
         if let Some(ballot) = self.election.advance(time, &self.settings, self.id.incarnation) {
@@ -145,7 +148,7 @@
         outgoing
     }
 
-    /// Asks the other voters for their votes and counts this server's own.
+    /// Requests the votes of the other voters and counts this server's own.
     fn request_votes(&mut self, time: Time, ballot: u64, outgoing: &mut Vec<Outgoing>) {
         for voter in self.settings.voters.iter().filter(|voter| **voter != self.id.name) {
             let message = BudgetMessage::VoteRequest { ballot };
@@ -166,16 +169,16 @@
         self.holder.set_grantor(Some(self.id.name.clone()));
     }
 
-    /// Handles one message of this budget; answers go to its sender.
+    /// Handles a message about this budget. Replies go to its sender.
     pub fn receive(&mut self, time: Time, from: &ServerId, message: BudgetMessage) -> Vec<Outgoing> {
-        let Some(answer) = self.answer(time, from, message) else { return Vec::new() };
+        let Some(reply) = self.reply(time, from, message) else { return Vec::new() };
         if *from == self.id {
-            return self.receive(time, from, answer);
+            return self.receive(time, from, reply);
         }
-        vec![Outgoing { to: from.name.clone(), message: answer }]
+        vec![Outgoing { to: from.name.clone(), message: reply }]
     }
 
-    fn answer(&mut self, time: Time, from: &ServerId, message: BudgetMessage) -> Option<BudgetMessage> {
+    fn reply(&mut self, time: Time, from: &ServerId, message: BudgetMessage) -> Option<BudgetMessage> {
         match message {
             BudgetMessage::VoteRequest { ballot } => self.handle_vote_request(time, from, ballot),
             BudgetMessage::VoteResponse { incarnation, ballot, granted } => {
@@ -194,7 +197,7 @@
                     time,
                     &ReceivedGrant {
                         from: &from.name,
-                        is_for_me: incarnation == self.id.incarnation,
+                        is_for_this_incarnation: incarnation == self.id.incarnation,
                         request: request_number,
                         id: GrantId { term, number: grant_number },
                         amount,
@@ -258,7 +261,8 @@
         }
     }
 
-    /// A grantor that names itself is in office and grants later.
+    /// Handles a reply that redirects to the grantor. A redirect that names its sender means that the sender
+    /// is the grantor but does not grant leases yet.
     fn handle_redirect(&mut self, time: Time, grantor: Option<String>) {
         let grantor = grantor.filter(|name| self.settings.is_voter(name));
         if grantor.is_some() {
--- a/crates/shared-state/src/budget/settings.rs
+++ b/crates/shared-state/src/budget/settings.rs
@@ -1,45 +1,46 @@
-//! Settings of one budget and their check.
+//! Settings of one budget and their validation.
 
 use crate::NAME_MAX;
 use crate::clock::Nanos;
 use std::collections::BTreeSet;
 use thiserror::Error;
 
-/// Largest total of a budget, in units, as a power of 2.
+/// Maximum total of a budget, in units, as a power of 2.
 const TOTAL_MAX_LOG2: u32 = 40;
 const TOTAL_MAX: u64 = 1 << TOTAL_MAX_LOG2;
-/// Most servers that may share a budget.
+/// Maximum number of servers that share a budget.
 const SERVERS_MAX: u64 = 100_000;
-/// Most voters of a budget.
+/// Maximum number of voters of a budget.
 const VOTERS_MAX: usize = 9;
 
-/// Settings of one budget; durations are nanoseconds. They are the same on every server but for `total`,
-/// which a reload may change.
+/// Settings of one budget; durations are in nanoseconds. They are equal on all servers, except that a reload
+/// may change `total` on one server before another.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct BudgetSettings {
     /// Name of the budget, 1 to 64 bytes.
     pub name: String,
-    /// Units that the whole fleet may use at once.
+    /// Units that the whole fleet may use at the same time.
     pub total: u64,
     /// Units that each server may use without a lease.
     pub floor: u64,
-    /// Most servers that run at the same time; the floors of all of them are set aside.
+    /// Maximum number of servers that run at the same time. The floors of this many servers are reserved.
     pub servers_max: u64,
-    /// Names of the servers that elect the grantor; an odd number of them.
+    /// Names of the servers that elect the grantor; an odd number of distinct names.
     pub voters: Vec<String>,
-    /// How long a lease lasts, counted by its holder from the request.
+    /// Duration of a lease, counted by its holder from the time of the request.
     pub lease_duration: Nanos,
     /// Time between two requests of a holder.
     pub refresh_interval: Nanos,
-    /// How long a grantor stays in office after a majority's votes.
+    /// Duration of a grantor's term of office after the votes of a majority.
     pub term_duration: Nanos,
-    /// Added to a duration before another server's clock is taken to have passed it.
+    /// Safety margin added to a duration that is measured on behalf of another server, since the two servers'
+    /// clocks may drift apart.
     pub drift_margin: Nanos,
-    /// Longest time that a unit stays in use once acquired; 0 for units a second.
+    /// Maximum time that an acquired unit stays in use; 0 for units per second.
     pub use_max: Nanos,
 }
 
-/// A setting of a budget that cannot be used.
+/// An invalid setting of a budget.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum BudgetSettingsError {
     /// The name is empty or too long.
@@ -51,54 +52,54 @@
     /// The total is 0 or too large.
     #[error("total: 1 to 2^{TOTAL_MAX_LOG2}, not {total}")]
     Total {
-        /// The total given, in units.
+        /// Configured total, in units.
         total: u64,
     },
-    /// No servers, or too many.
+    /// The number of servers is 0 or too large.
     #[error("servers: 1 to {SERVERS_MAX}, not {servers}")]
     Servers {
-        /// The number of servers given.
+        /// Configured number of servers.
         servers: u64,
     },
-    /// The floors of all servers pass the total.
-    #[error("floor: {servers} servers' floors are {floors}, over total {total}")]
+    /// The sum of the floors of all servers exceeds the total.
+    #[error("floor: {servers} servers' floors are {floors}, more than the total of {total}")]
     Floor {
-        /// The number of servers.
+        /// Configured number of servers.
         servers: u64,
-        /// The sum of their floors, in units.
+        /// Sum of the servers' floors, in units.
         floors: u64,
-        /// The total, in units.
+        /// Configured total, in units.
         total: u64,
     },
-    /// The number of voters is even or over `VOTERS_MAX`, which the text spells out, or a name is given
-    /// twice.
+    /// The number of voters is even or over `VOTERS_MAX`, or a name is repeated. The error text lists the
+    /// valid numbers.
     #[error("voter: 1, 3, 5, 7 or 9 different names, not {}", names.len())]
     Voters {
-        /// The names given.
+        /// Configured names.
         names: Vec<String>,
     },
-    /// A duration derived from the lease is 0.
-    #[error("lease-ms: {lease_duration} ns are too short")]
+    /// A duration derived from the lease duration is 0.
+    #[error("lease-ms: {lease_duration} ns is too short")]
     LeaseTooShort {
-        /// The lease, in nanoseconds.
+        /// Configured lease duration, in nanoseconds.
         lease_duration: Nanos,
     },
-    /// A unit may stay in use for longer than a lease allows.
+    /// A unit may stay in use for longer than the lease duration allows.
     #[error(
         "use-most-ms: a lease must outlast it by three eighths of the lease; {use_max} ns of \
          {lease_duration} ns"
     )]
     UseTooLong {
-        /// Longest use of a unit, in nanoseconds.
+        /// Configured maximum time that a unit stays in use, in nanoseconds.
         use_max: Nanos,
-        /// The lease, in nanoseconds.
+        /// Configured lease duration, in nanoseconds.
         lease_duration: Nanos,
     },
 }
 
 impl BudgetSettings {
-    /// Settings with the given lease, the other durations in proportion to it. The drift margin is enough for
-    /// clocks whose rates differ by a fiftieth.
+    /// Creates settings in which the other durations are fixed proportions of the lease duration. The drift
+    /// margin is sufficient for clocks whose rates differ by up to 2 %.
     pub fn new(
         name: &str,
         total: u64,
@@ -125,7 +126,7 @@
     /// Checks each setting.
     ///
     /// # Errors
-    /// The first setting that cannot be used.
+    /// Returns the first invalid setting.
     pub fn check(&self) -> Result<(), BudgetSettingsError> {
         if self.name.is_empty() || self.name.len() > NAME_MAX {
             return Err(BudgetSettingsError::Name { length: self.name.len() });
@@ -164,22 +165,22 @@
         Ok(())
     }
 
-    /// Units set aside for the floors of all servers.
+    /// Returns the units reserved for the floors of all servers.
     fn floors(&self) -> u64 {
         self.floor.saturating_mul(self.servers_max)
     }
 
-    /// Units that may be leased: the total less all floors.
+    /// Returns the units that may be leased: the total minus all floors.
     pub fn leasable(&self) -> u64 {
         self.total.saturating_sub(self.floors())
     }
 
-    /// Votes that make a grantor.
+    /// Returns the number of votes needed to become the grantor.
     pub(super) fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Whether the server of this name elects the grantor.
+    /// Returns whether the server with this name is a voter.
     pub(super) fn is_voter(&self, name: &str) -> bool {
         self.voters.iter().any(|voter| voter == name)
     }
--- a/crates/shared-state/src/clock.rs
+++ b/crates/shared-state/src/clock.rs
@@ -1,52 +1,56 @@
-//! Time on which leases may be built although a clock stands still or jumps.
+//! Time for leases that remains safe if one clock stops or jumps.
 //!
-//! Each reading takes the monotonic and the wall clock. What this server may still use is measured by
-//! whichever went further (the fast clock), what others may still use by whichever went less (the slow
-//! clock). One broken clock then ends a lease early or reclaims one late, and the sum in use stays within the
-//! budget. Both clocks broken the same way at once are not covered.
+//! Each reading includes the monotonic and the wall clock. The fast clock advances by the larger advance of
+//! the two and ends what this server itself may still use. The slow clock advances by the smaller one and
+//! ends what other servers may still use. One broken clock therefore ends a lease too early or reclaims one
+//! too late, and the units in use stay within the budget. Two clocks that fail in the same way at the same
+//! time are not covered.
 
-/// Nanoseconds: a point in time or a duration.
+/// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
 
-/// Difference between the clocks over the span between two readings from which it is counted, in nanoseconds.
+/// Minimum difference between the advances of the two clocks between two readings that counts as a
+/// disagreement, in nanoseconds.
 const DISAGREEMENT_NS: Nanos = 1_000_000_000;
 
-/// One reading of both clocks, in nanoseconds from any starting point of each.
+/// One reading of both clocks, in nanoseconds since an arbitrary start of each clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Reading {
-    /// The monotonic clock.
+    /// Value of the monotonic clock.
     pub monotonic: Nanos,
-    /// The wall clock, in nanoseconds since the epoch.
+    /// Value of the wall clock, in nanoseconds since the Unix epoch.
     pub wall: Nanos,
 }
 
-/// Time passed since the first reading, in nanoseconds. Only differences of the same bound mean anything.
+/// Bounds of the time elapsed since the first reading, in nanoseconds. Only differences between values of the
+/// same bound are meaningful.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Time {
-    /// Upper bound: ends what this server holds.
+    /// Upper bound of the elapsed time, used to end what this server holds.
     pub fast: Nanos,
-    /// Lower bound: ends what other servers hold.
+    /// Lower bound of the elapsed time, used to end what other servers hold.
     pub slow: Nanos,
 }
 
 impl Time {
-    /// Time by two clocks that agree.
+    /// Returns the time shown by two clocks that agree.
     pub fn both(at: Nanos) -> Time {
         Time { fast: at, slow: at }
     }
 }
 
-/// Turns readings of the two clocks into bounds of the time passed.
+/// Converts readings of the two clocks into bounds of the elapsed time.
 #[derive(Clone, Debug, Default)]
 pub struct DriftClock {
     last: Option<Reading>,
     time: Time,
-    /// Readings at which the clocks differed by more than a second over the span since the reading before.
+    /// Number of readings at which the clocks' advances since the previous reading differed by more than a
+    /// second.
     pub disagreements: u64,
 }
 
 impl DriftClock {
-    /// The time as of this reading. A clock that went back counts as one that stood still.
+    /// Returns the time at this reading. A clock that went back counts as one that did not advance.
     pub fn read(&mut self, reading: Reading) -> Time {
         if let Some(last) = self.last {
             let monotonic = reading.monotonic.saturating_sub(last.monotonic);
--- a/crates/shared-state/src/counters.rs
+++ b/crates/shared-state/src/counters.rs
@@ -1,12 +1,12 @@
 //! Counters of the whole fleet: a state-based CRDT of grow-only counters (G-Counter; Shapiro and others,
 //! 2011).
 //!
-//! Each server raises only its own row. Rows merge by the larger count of each key, so that it does not
-//! matter how often, in which order and from whom a row comes. A total is the sum over all rows, exact once
-//! all rows have been received.
+//! Each server increments only its own row. Rows are merged by taking the larger count of each key, so that
+//! the result does not depend on how often, in which order or from which server a row is received. A total is
+//! the sum over all rows, and is exact once all rows have been received.
 //!
-//! Peers are trusted within bounds: a row grows no faster than [`Limits::rate_max`] allows since its server's
-//! start, the numbers of rows and keys are bounded, and no message raises a server's own row.
+//! Trust in peers is limited: a row may grow no faster than [`Limits::rate_max`] since the start of its
+//! server, the numbers of rows and keys are bounded, and no message can increase a server's own row.
 
 use crate::NAME_MAX;
 use crate::clock::Nanos;
@@ -16,11 +16,11 @@
 use std::ops::Bound;
 use thiserror::Error;
 
-/// Name of what is counted, 1 to 64 bytes, such as `succeeded/basic/tenant`.
+/// Name of a counter, 1 to 64 bytes, such as `succeeded/basic/tenant`.
 pub type Key = String;
 
 const SECOND_NS: Nanos = 1_000_000_000;
-/// A peer's clock may be ahead by this many seconds.
+/// Tolerance for a peer's clock that is ahead of this server's, in seconds.
 const CLOCK_AHEAD_S: u64 = 60;
 
 /// Counts of one incarnation of a server.
@@ -31,12 +31,12 @@
 }
 
 impl CounterRow {
-    /// Version of the row: the sum of its counts, which grows with each of them.
+    /// Returns the version of the row: the sum of its counts, which grows with each increment.
     pub fn version(&self) -> u64 {
         self.counts.values().fold(0, |sum, count| sum.saturating_add(*count))
     }
 
-    /// Takes the larger count of each key; returns whether any count grew.
+    /// Merges another row by taking the larger count of each key. Returns whether any count grew.
     pub fn merge(&mut self, other: &CounterRow) -> bool {
         let mut grew = false;
         for (key, count) in &other.counts {
@@ -60,19 +60,19 @@
     }
 }
 
-/// Incarnations of servers with their rows.
+/// Incarnations of servers, each with its row.
 pub type Rows = Vec<(ServerId, CounterRow)>;
-/// Incarnations of servers with the versions of their rows.
+/// Incarnations of servers, each with the version of its row.
 pub type Versions = Vec<(ServerId, u64)>;
 
-/// Bounds of what peers may make a server remember.
+/// Bounds of the state that peers can make a server store.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Most incarnations of servers that are remembered.
+    /// Maximum number of server incarnations stored.
     pub rows: usize,
-    /// Most keys of each row.
+    /// Maximum number of keys in each row.
     pub keys: usize,
-    /// Most that one key grows by in a second of its server's life.
+    /// Maximum growth of one key per second since the start of its server.
     pub rate_max: u64,
 }
 
@@ -82,29 +82,29 @@
     }
 }
 
-/// Why a received row is rejected.
+/// Reason for rejecting a received row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RejectedRow {
-    /// More rows or keys than the limits allow, or a name that is empty or too long.
-    #[error("row: too many rows or keys, or a name that is not of 1 to {NAME_MAX} bytes")]
+    /// The row or its keys exceed the limits, or a name is empty or too long.
+    #[error("row: too many rows or keys, or a name not of 1 to {NAME_MAX} bytes")]
     Full,
-    /// More than the server can have counted since its start.
-    #[error("row: more than its server can have counted since its start")]
+    /// A count is larger than the server can have reached since its start.
+    #[error("row: a count is larger than its server can have reached since its start")]
     Implausible,
-    /// It is for this server's own incarnation and ahead of its counts: another server has the same name and
-    /// incarnation, or this one has started again with old counts. It must take a later incarnation.
+    /// The row is for this server's own incarnation and ahead of its counts: another server has the same name
+    /// and incarnation, or this server has restarted with old counts. It must switch to a later incarnation.
     #[error("row: ahead of this server's own counts")]
     Own,
 }
 
-/// Rows rejected since the start, by reason.
+/// Number of rows rejected since the start, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct RejectedRows {
-    /// See [`RejectedRow::Full`].
+    /// Rows rejected as [`RejectedRow::Full`].
     pub full: u64,
-    /// See [`RejectedRow::Implausible`].
+    /// Rows rejected as [`RejectedRow::Implausible`].
     pub implausible: u64,
-    /// See [`RejectedRow::Own`].
+    /// Rows rejected as [`RejectedRow::Own`].
     pub own: u64,
 }
 
@@ -118,44 +118,45 @@
     }
 }
 
-/// A part of what a server knows, for comparison with another's.
+/// Versions of a range of a server's rows, for comparison with another server's.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Digest {
-    /// Versions of the rows of the part.
+    /// Versions of the rows in the range.
     pub versions: Versions,
-    /// First incarnation after the part; `None` where it reaches to the end.
+    /// First incarnation after the range; `None` if the range extends to the last row.
     pub end: Option<ServerId>,
 }
 
-/// What two servers' knowledge of the same part differs in.
+/// Differences between two servers' rows in the same range.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Comparison {
-    /// Rows of which the other server knows less.
+    /// Rows that are newer here than at the other server.
     pub newer: Rows,
-    /// This server's versions of the part.
+    /// This server's versions of the rows in the range.
     pub versions: Versions,
 }
 
-/// One server's view of the fleet's counters.
+/// One server's copy of the fleet's counters.
 #[derive(Clone, Debug)]
 pub struct FleetCounters {
-    /// The incarnation that this server's present row has; later than the server's own once renewed.
+    /// Identity of this server's current row. Its incarnation is later than the server's own after
+    /// [`FleetCounters::renew`].
     id: ServerId,
     rows: BTreeMap<ServerId, CounterRow>,
     limits: Limits,
-    /// Rows rejected since the start.
+    /// Number of rows rejected since the start, by reason.
     pub rejected: RejectedRows,
 }
 
 impl FleetCounters {
-    /// Counters of the server `id`, from 0.
+    /// Creates the counters of the server `id`, all at 0.
     pub fn new(id: ServerId, limits: Limits) -> FleetCounters {
         let rows = BTreeMap::from([(id.clone(), CounterRow::default())]);
         FleetCounters { id, rows, limits, rejected: RejectedRows::default() }
     }
 
-    /// Adds to a key of this server's row. Returns whether it was counted: a key beyond the limit or with an
-    /// invalid name is not.
+    /// Adds to a key of this server's row. Returns whether the amount was counted: a new key is ignored if
+    /// the row is full or the key's length is invalid.
     pub fn add(&mut self, key: &str, count: u64) -> bool {
         let keys_max = self.limits.keys;
         let row = self.rows.get_mut(&self.id).expect("new and renew insert this server's own row");
@@ -170,11 +171,11 @@
         fits
     }
 
-    /// Merges a received row of the server `of`; `wall` is the wall clock, in nanoseconds since the epoch.
-    /// Returns whether anything was new.
+    /// Merges a received row of the server `of`. `wall` is the wall clock, in nanoseconds since the epoch.
+    /// Returns whether any count grew.
     ///
     /// # Errors
-    /// The row is outside its bounds; it is counted in [`FleetCounters::rejected`].
+    /// Returns the reason if the row is rejected, and counts it in [`FleetCounters::rejected`].
     pub fn merge(&mut self, of: &ServerId, row: &CounterRow, wall: Nanos) -> Result<bool, RejectedRow> {
         let checked = if *of == self.id { self.check_own(row) } else { self.check(of, row, wall) };
         if let Err(reason) = checked {
@@ -212,7 +213,7 @@
         Ok(())
     }
 
-    /// The versions of at most `rows_max` rows from the one at index `start` on.
+    /// Returns the versions of at most `rows_max` rows, beginning at index `start`.
     pub fn digest(&self, start: usize, rows_max: usize) -> Digest {
         let mut rows = self.rows.iter().skip(start);
         let part = rows.by_ref().take(rows_max);
@@ -220,7 +221,7 @@
         Digest { versions, end: rows.next().map(|(server, _)| server.clone()) }
     }
 
-    /// Rows from `start` to before `end`, either open where absent.
+    /// Returns the rows from `start` to before `end`. An absent bound leaves that side open.
     fn range<'a>(
         &'a self,
         start: &'a Option<ServerId>,
@@ -231,7 +232,7 @@
         rows.take_while(|(server, _)| end.as_ref().is_none_or(|end| *server < end))
     }
 
-    /// Compares the part from `start` to before `end` with another server's versions of it.
+    /// Compares the rows from `start` to before `end` with another server's versions of them.
     pub fn compare(
         &self,
         start: &Option<ServerId>,
@@ -253,12 +254,12 @@
         Comparison { newer, versions }
     }
 
-    /// The fleet's total of a key, as far as received.
+    /// Returns the fleet's total of a key, based on the rows received so far.
     pub fn total(&self, key: &str) -> u64 {
         self.rows.values().fold(0, |sum, row| sum.saturating_add(row.get(key)))
     }
 
-    /// All totals, in the order of their keys.
+    /// Returns all totals, in the order of their keys.
     pub fn totals(&self) -> BTreeMap<&str, u64> {
         let mut totals: BTreeMap<&str, u64> = BTreeMap::new();
         for (key, count) in self.rows.values().flat_map(|row| &row.counts) {
@@ -268,12 +269,12 @@
         totals
     }
 
-    /// Incarnations of servers that are remembered.
+    /// Returns the number of server incarnations stored.
     pub fn rows(&self) -> usize {
         self.rows.len()
     }
 
-    /// Takes a later incarnation; the old row stays, as that of an incarnation that has ended.
+    /// Switches to a later incarnation. The old row remains, as that of an incarnation that has ended.
     pub fn renew(&mut self, incarnation: u64) {
         self.id.incarnation = incarnation;
         self.rows.entry(self.id.clone()).or_default();
--- a/crates/shared-state/src/lib.rs
+++ b/crates/shared-state/src/lib.rs
@@ -1,15 +1,16 @@
-//! State that the servers of a fleet share, without I/O: readings of the clocks, the seed, the living members
-//! and messages go in; messages to send, allowances, totals and the health of services come out.
+//! State shared by the servers of a fleet, without I/O. The inputs are clock readings, a seed, the members
+//! that are alive and received messages; the outputs are messages to send, allowances, totals and the health
+//! of services.
 //!
-//! - [`budget`]: a total of the fleet split into leases; the sum in use never passes it.
+//! - [`budget`]: a total for the whole fleet, divided into leases; the units in use never exceed it.
 //! - [`counters`]: totals over the fleet as a CRDT; exact once all rows have been received.
-//! - [`outlier_detection`]: which services below are slow or failing for several servers.
-//! - [`permits`]: units of a budget that one server uses.
-//! - [`clock`]: bounds of the time passed by two clocks, one of which may be wrong.
-//! - [`state`]: one server's part in all of these.
+//! - [`outlier_detection`]: detection of downstream services that several servers find slow or failing.
+//! - [`permits`]: units of a budget in use at one server.
+//! - [`clock`]: bounds of elapsed time from two clocks, one of which may be wrong.
+//! - [`state`]: one server's part of all of these.
 //! - [`simulation`]: a fleet in simulated time, for tests.
 //!
-//! `docs/shared-state.md` names the alternatives considered and what is promised under partition.
+//! `docs/shared-state.md` names the alternatives considered and the guarantees under partition.
 #![deny(missing_docs, clippy::too_many_lines)]
 
 pub mod budget;
@@ -31,5 +32,5 @@
 pub use settings::{Settings, SettingsError};
 pub use state::{MessageCounters, ReceivedOther, SharedState};
 
-/// Longest name of a server, key, service or budget, in bytes.
+/// Maximum length of the name of a server, key, service or budget, in bytes.
 pub const NAME_MAX: usize = 64;
--- a/crates/shared-state/src/message.rs
+++ b/crates/shared-state/src/message.rs
@@ -1,5 +1,5 @@
-//! Messages between the servers of a fleet. They are serialized by position (postcard): the order of variants
-//! and fields is part of the wire format.
+//! Messages between the servers of a fleet. They are serialized by position (postcard), so the order of
+//! variants and fields is part of the wire format.
 
 use crate::NAME_MAX;
 use crate::budget::BudgetMessage;
@@ -9,105 +9,105 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Topic of [`Payload::Other`]: orders of a rollout's coordinator to a server.
+/// Topic of [`Payload::Other`] for orders from a rollout's coordinator to a server.
 pub const ROLLOUT_ORDERS: u16 = 1;
-/// Topic of [`Payload::Other`]: a server's reports to the coordinator.
+/// Topic of [`Payload::Other`] for reports from a server to the rollout's coordinator.
 pub const ROLLOUT_REPORTS: u16 = 2;
-/// Topic of [`Payload::Other`]: which program and configuration each server runs.
+/// Topic of [`Payload::Other`] for announcements of the program and configuration that a server runs.
 pub const VERSION_ANNOUNCEMENTS: u16 = 3;
-/// Topic of [`Payload::Other`]: replication of the configuration.
+/// Topic of [`Payload::Other`] for replication of the configuration.
 pub const REPLICATION: u16 = 4;
 
-/// A message and its sender.
+/// A message with its sender.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Message {
-    /// The sender.
+    /// Server that sends the message.
     pub from: ServerId,
-    /// What it sends.
+    /// Content of the message.
     pub payload: Payload,
 }
 
-/// What a message carries.
+/// Content of a message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Payload {
     /// A message about one budget.
     Budget {
         /// Name of the budget.
         name: String,
-        /// The message.
+        /// Message to the server's part of that budget.
         message: BudgetMessage,
     },
-    /// What the sender knows of the counters of a part of all incarnations.
+    /// Versions of the sender's counter rows in a range of incarnations.
     Digest {
-        /// First incarnation of the part; `None` for the beginning.
+        /// First incarnation of the range; `None` if the range begins with the first row.
         start: Option<ServerId>,
-        /// First incarnation after the part; `None` for the end.
+        /// First incarnation after the range; `None` if the range extends to the last row.
         end: Option<ServerId>,
-        /// Versions of the rows in the part.
+        /// Versions of the rows in the range.
         versions: Vec<(ServerId, u64)>,
-        /// Whether the sender asks for the receiver's digest of the part.
+        /// Whether the receiver should reply with its own digest of the range.
         wants_reply: bool,
     },
-    /// Rows of counters.
+    /// Counter rows.
     Rows(Vec<(ServerId, CounterRow)>),
-    /// Reports on services.
+    /// Reports on the health of services.
     Reports(Vec<Report>),
-    /// A message of another part of the program, which this crate only carries. Unknown topics are ignored,
-    /// so that later releases may add some.
+    /// A message of another part of the program, which this crate only transports. Unknown topics are
+    /// ignored, so that later releases can add topics.
     Other {
-        /// Which part of the program it is for.
+        /// Topic: the part of the program that handles the message.
         topic: u16,
-        /// The message as that part encodes it.
+        /// Message in the encoding of that part.
         body: Vec<u8>,
     },
 }
 
-/// Why a received message is dropped.
+/// Reason for dropping a received message.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ReceiveError {
-    /// The bytes are no message.
-    #[error("no message in {length} bytes")]
+    /// The bytes cannot be decoded as a message.
+    #[error("{length} bytes cannot be decoded as a message")]
     Malformed {
         /// Length of the body, in bytes.
         length: usize,
-        /// What the decoder found.
+        /// Error of the decoder.
         source: postcard::Error,
     },
-    /// Bytes follow the message.
-    #[error("{count} bytes left over after the message")]
+    /// Extra bytes follow the message.
+    #[error("{count} extra bytes after the message")]
     TrailingBytes {
-        /// How many.
+        /// Number of extra bytes.
         count: usize,
     },
-    /// The name of the sender is empty or too long.
-    #[error("a sender's name of 1 to {NAME_MAX} bytes, not of {length}")]
+    /// The sender's name is empty or too long.
+    #[error("the sender's name must have 1 to {NAME_MAX} bytes, not {length}")]
     SenderName {
         /// Length of the name, in bytes.
         length: usize,
     },
-    /// This server has no budget of that name.
-    #[error("a budget not known here: {name:?}")]
+    /// This server has no budget with this name.
+    #[error("unknown budget {name:?}")]
     UnknownBudget {
-        /// The name.
+        /// Name of the budget.
         name: String,
     },
-    /// Too many messages of other topics wait.
-    #[error("no capacity for a message of topic {topic}: {waiting} wait")]
+    /// The queue of received messages of other topics is full.
+    #[error("message of topic {topic} dropped: {waiting} messages are queued")]
     TooManyWaiting {
-        /// The topic.
+        /// Topic of the dropped message.
         topic: u16,
-        /// Messages of other topics that wait.
+        /// Number of queued messages of other topics.
         waiting: usize,
     },
 }
 
 impl Message {
-    /// Bytes of the message as it is sent.
+    /// Encodes the message for sending.
     pub(crate) fn encode(&self) -> Vec<u8> {
-        postcard::to_allocvec(self).expect("writing the message's types to a vector does not fail")
+        postcard::to_allocvec(self).expect("serializing these types to a vector cannot fail")
     }
 
-    /// Reads a whole body and checks the sender's name.
+    /// Decodes a whole message body and validates the sender's name.
     pub(crate) fn decode(body: &[u8]) -> Result<Message, ReceiveError> {
         let (message, rest) = postcard::take_from_bytes::<Message>(body)
             .map_err(|source| ReceiveError::Malformed { length: body.len(), source })?;
--- a/crates/shared-state/src/outlier_detection/evidence.rs
+++ b/crates/shared-state/src/outlier_detection/evidence.rs
@@ -1,14 +1,14 @@
-//! What one server's own calls say of each service: decaying sums of calls, failures and durations.
+//! Evidence on each service from one server's own calls: decaying sums of calls, failures and durations.
 
 use super::report::ServiceHealth;
 use crate::clock::Nanos;
 
-/// Fewest calls, decayed, on which a service is found unhealthy.
+/// Minimum decayed number of calls before a service can be found unhealthy.
 const CALLS_MIN: f64 = 5.0;
-/// Share of failed calls from which a service is failing.
+/// Ratio of failed calls at or above which a service counts as failing.
 const FAILING_SHARE: f64 = 0.5;
-/// A service is slow whose mean duration is over this many times the median of the others; an abandoned call,
-/// over this many times the mean of all.
+/// A service is slow if its mean duration exceeds the median of the other services' mean durations by this
+/// factor. An abandoned call is slow if its duration exceeds the mean of all calls by this factor.
 const SLOW_RATIO: f64 = 4.0;
 
 /// Decayed sums of the calls to one service.
@@ -22,7 +22,7 @@
 }
 
 impl CallStatistics {
-    /// The same as of `now`.
+    /// Returns the statistics decayed to the time `now`.
     fn decayed(mut self, now: Nanos, half_life: Nanos) -> CallStatistics {
         let remaining = (-(now.saturating_sub(self.updated_at) as f64) / half_life as f64).exp2();
         self.calls *= remaining;
@@ -37,7 +37,7 @@
     }
 }
 
-/// Evidence on all services of a tier; times are nanoseconds of the fast clock.
+/// Evidence on all services of a tier. Times are in nanoseconds of the fast clock.
 #[derive(Clone, Debug)]
 pub(super) struct Evidence {
     services: Vec<CallStatistics>,
@@ -49,7 +49,7 @@
         Evidence { services: vec![CallStatistics::default(); services], half_life }
     }
 
-    /// Services of the tier.
+    /// Returns the number of services in the tier.
     pub fn services(&self) -> usize {
         self.services.len()
     }
@@ -63,12 +63,13 @@
         statistics.duration += duration as f64;
     }
 
-    /// Whether a call of this duration took longer than [`SLOW_RATIO`] times the mean of all calls. This is
-    /// not the rule of [`Evidence::health`], which compares a service's mean with the median of the others:
-    /// here one call is judged and no service left out, so that a call is found slow even where a single
-    /// service has enough calls. False where none has.
+    /// Returns whether a call of this duration took longer than [`SLOW_RATIO`] times the mean of all calls.
     ///
-    /// Sums count as of the last call to their service.
+    /// The comparison differs from [`Evidence::health`], which compares a service's mean duration with the
+    /// median of the other services. Here a single call is judged against all services, so that a slow call
+    /// is detected even if only one service has enough calls. Returns false if no service has enough calls.
+    ///
+    /// The sums are not decayed to the present; they are those at the latest call to each service.
     pub fn is_slow(&self, duration: Nanos) -> bool {
         let (mut calls, mut total_duration) = (0.0, 0.0);
         for statistics in self.services.iter().filter(|statistics| statistics.calls >= CALLS_MIN) {
@@ -78,7 +79,7 @@
         calls > 0.0 && duration as f64 > total_duration / calls * SLOW_RATIO
     }
 
-    /// Health of a service by these calls; healthy where they are too few.
+    /// Returns the health of a service based on these calls; healthy if there are too few calls.
     pub fn health(&self, now: Nanos, service: usize) -> ServiceHealth {
         let Some(statistics) = self.services.get(service) else { return ServiceHealth::Healthy };
         let statistics = statistics.decayed(now, self.half_life);
@@ -94,7 +95,8 @@
         ServiceHealth::Healthy
     }
 
-    /// Median of the other services' mean durations, in nanoseconds; infinite where there are too few calls.
+    /// Returns the median of the other services' mean durations, in nanoseconds, or infinity if none of them
+    /// has enough calls.
     fn median_duration_of_others(&self, now: Nanos, service: usize) -> f64 {
         let mut durations = Vec::new();
         for (index, statistics) in self.services.iter().enumerate() {
--- a/crates/shared-state/src/outlier_detection/mod.rs
+++ b/crates/shared-state/src/outlier_detection/mod.rs
@@ -1,10 +1,10 @@
-//! Outlier detection over the services of a tier: which of them the fleet finds slow or failing, and which
-//! are ejected.
+//! Outlier detection for the services of a tier: detects services that the fleet finds slow or failing, and
+//! ejects them.
 //!
-//! Each server has evidence from its own calls. It reports what it finds; a report counts for a while. A
-//! service is ejected once enough servers find it unhealthy at the same time; a server that receives no
-//! reports relies on its own evidence. Invariant: at most the configured part of a tier is ejected, so that a
-//! fault of the callers or of the network does not take the whole tier away.
+//! Each server collects evidence from its own calls and reports its findings to the others; a report expires
+//! after some time. A service is ejected once enough servers find it unhealthy at the same time. A server
+//! that receives no reports relies on its own evidence. Invariant: at most the configured share of a tier is
+//! ejected, so that a fault of the callers or of the network does not remove the whole tier.
 
 mod evidence;
 pub mod report;
@@ -18,38 +18,40 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// Servers that probe a service, for each server that must find it unhealthy: one may be lost or slow.
+/// Number of servers that probe an ejected service, per accuser required for the ejection. The value exceeds
+/// 1 because a prober may be lost or slow.
 const PROBERS_PER_ACCUSER: usize = 2;
-/// Reporters remembered for each service.
+/// Maximum number of reporters stored per service.
 const REPORTERS_MAX: usize = 1024;
 
-/// The service and the name of the server that reports on it.
+/// Index of the service, and name of the server that reports on it.
 type ReportKey = (u32, String);
 
-/// A report of another server.
+/// A report received from another server.
 #[derive(Clone, Copy, Debug)]
 struct ReceivedReport {
     incarnation: u64,
     health: ServiceHealth,
-    /// By the fast clock.
+    /// Expiry of the report, by the fast clock.
     expires_at: Nanos,
 }
 
-/// One server's part in outlier detection.
+/// One server's part of outlier detection.
 #[derive(Clone, Debug)]
 pub struct OutlierDetector {
     id: ServerId,
     settings: Settings,
     evidence: Evidence,
     reports: BTreeMap<ReportKey, ReceivedReport>,
-    /// When a report of another server was last received, by the fast clock.
+    /// Time at which another server's report was last received, by the fast clock.
     received_at: Option<Nanos>,
-    /// Reports dropped: of unknown services, too old, of an invalid name, or beyond the number remembered.
+    /// Number of reports dropped because of an unknown service, their age, an invalid name, or the limit on
+    /// stored reports.
     pub rejected: u64,
 }
 
-/// Order of the probers of a service, the same on all servers and builds: FNV-1a of the service's index and
-/// the server's name.
+/// Rank of a server among the probers of a service: FNV-1a of the service's index and the server's name. It
+/// is the same on all servers and in all builds.
 fn prober_rank(service: usize, name: &str) -> u64 {
     const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const FNV_PRIME: u64 = 0x0100_0000_01b3;
@@ -58,10 +60,10 @@
 }
 
 impl OutlierDetector {
-    /// The part of the server `id`.
+    /// Creates the detector of the server `id`.
     ///
     /// # Errors
-    /// A setting that cannot be used.
+    /// Returns the first invalid setting.
     pub fn new(id: ServerId, settings: Settings) -> Result<OutlierDetector, SettingsError> {
         settings.check()?;
         let evidence = Evidence::new(settings.services.len(), settings.expiry);
@@ -75,31 +77,33 @@
         })
     }
 
-    /// The settings in force.
+    /// Returns the current settings.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// Records a call of this server that has ended after `duration` nanoseconds.
+    /// Records a call of this server that ended after `duration` nanoseconds.
     pub fn record_call(&mut self, time: Time, service: usize, succeeded: bool, duration: Nanos) {
         self.evidence.record_call(time.fast, service, succeeded, duration);
     }
 
-    /// Records a call of this server that was abandoned after `duration` nanoseconds: a failure if a healthy
-    /// service would have answered by then. A service that never answers has only such calls.
+    /// Records a call of this server that was abandoned after `duration` nanoseconds. The call counts as a
+    /// failure if a healthy service would have answered by then. Without this rule, a service that never
+    /// answers would have no recorded calls.
     pub fn record_abandoned_call(&mut self, time: Time, service: usize, duration: Nanos) {
         if self.evidence.is_slow(duration) {
             self.record_call(time, service, false, duration);
         }
     }
 
-    /// Health of a service by this server's own calls.
+    /// Returns the health of a service based on this server's own calls.
     pub fn local_health(&self, time: Time, service: usize) -> ServiceHealth {
         self.evidence.health(time.fast, service)
     }
 
-    /// Reports to send: this server's own, healthy services included, so that others know that it is reached;
-    /// and those received, for servers that the reporter does not reach.
+    /// Returns the reports to send. They include this server's own reports, also on healthy services, which
+    /// show the others that this server is reachable. They also include unexpired reports of other servers,
+    /// for servers that those reporters cannot reach.
     pub fn reports(&self, time: Time) -> Vec<Report> {
         let own = (0..self.evidence.services()).map(|service| Report {
             by: self.id.clone(),
@@ -122,7 +126,8 @@
         reports
     }
 
-    /// Merges reports of other servers. Of each reporter the latest report of its latest incarnation counts.
+    /// Merges reports of other servers. For each reporter, the latest report of its latest incarnation is
+    /// kept.
     pub fn merge_reports(&mut self, time: Time, reports: &[Report]) {
         self.reports.retain(|_, report| time.fast < report.expires_at);
         for report in reports {
@@ -158,12 +163,12 @@
         }
     }
 
-    /// Whether no report has been received for as long as one counts.
+    /// Returns whether no report has been received for the expiry time of a report.
     pub fn is_isolated(&self, time: Time) -> bool {
         self.received_at.is_none_or(|at| time.fast >= at + self.settings.expiry)
     }
 
-    /// Number of servers that find a service unhealthy, this one included.
+    /// Returns the number of servers that find a service unhealthy, including this one.
     pub fn accusers(&self, time: Time, service: usize) -> usize {
         self.other_accusers(time, service).count() + usize::from(self.accuses(time, service))
     }
@@ -172,7 +177,7 @@
         self.local_health(time, service) != ServiceHealth::Healthy
     }
 
-    /// Names of the other servers that find a service unhealthy.
+    /// Returns the names of the other servers that find a service unhealthy.
     fn other_accusers(&self, time: Time, service: usize) -> impl Iterator<Item = &str> {
         let service = service as u32;
         let reports = self.reports.range((service, String::new())..);
@@ -183,9 +188,10 @@
         accusations.map(|((_, name), _)| name.as_str())
     }
 
-    /// Whether this server probes a service that is ejected, for the whole fleet: a few of its accusers do,
-    /// by a rank of their own for each service, since the probes of a whole fleet are more than a service
-    /// that warms up stands. Where a prober is lost, the next takes its place once its report has expired.
+    /// Returns whether this server probes an ejected service on behalf of the fleet. Only a few of its
+    /// accusers do, in the order of their ranks for this service, since probes from a whole fleet would
+    /// overload a service that is warming up. If a prober is lost, the next in rank replaces it once the lost
+    /// prober's report has expired.
     pub fn is_prober(&self, time: Time, service: usize) -> bool {
         let own_rank = prober_rank(service, &self.id.name);
         let others = self.other_accusers(time, service);
@@ -194,8 +200,8 @@
             && ranked_before.count() < PROBERS_PER_ACCUSER * self.settings.accusers_min
     }
 
-    /// Indices of the services ejected now: those with most accusers first, within the configured part. For
-    /// an isolated server its own evidence is enough.
+    /// Returns the indices of the services ejected now, within the configured share of the tier; those with
+    /// the most accusers come first. An isolated server ejects services on its own evidence alone.
     pub fn ejected(&self, time: Time) -> Vec<usize> {
         let accusers_min = if self.is_isolated(time) { 1 } else { self.settings.accusers_min };
         let mut accused = Vec::new();
--- a/crates/shared-state/src/outlier_detection/report.rs
+++ b/crates/shared-state/src/outlier_detection/report.rs
@@ -1,4 +1,4 @@
-//! What servers report to each other of a service.
+//! Reports that servers exchange on the health of services.
 
 use crate::clock::Nanos;
 use crate::server_id::ServerId;
@@ -7,25 +7,26 @@
 /// Health of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ServiceHealth {
-    /// Neither of the others, or not known.
+    /// Neither slow nor failing, or unknown.
     #[serde(rename = "Good")]
     Healthy,
-    /// Its calls take many times as long as those of the tier's other services.
+    /// Calls take many times as long as those of the tier's other services.
     Slow,
-    /// Many of its calls fail.
+    /// Many calls fail.
     Failing,
 }
 
-/// What one server finds of one service. Serialized by position: the order of fields is part of the wire
+/// A server's finding on one service. Serialized by position, so the order of fields is part of the wire
 /// format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// The server that finds so.
+    /// Server that made the finding.
     pub by: ServerId,
     /// Index of the service in the settings.
     pub service: u32,
-    /// What it finds.
+    /// Health found by the server.
     pub health: ServiceHealth,
-    /// How long ago, in nanoseconds: no clocks of two servers are compared.
+    /// Age of the report, in nanoseconds. An age is sent instead of a time because the clocks of two servers
+    /// are never compared.
     pub age: Nanos,
 }
--- a/crates/shared-state/src/outlier_detection/settings.rs
+++ b/crates/shared-state/src/outlier_detection/settings.rs
@@ -1,50 +1,50 @@
-//! Settings of outlier detection and their check.
+//! Settings of outlier detection and their validation.
 
 use crate::NAME_MAX;
 use crate::clock::Nanos;
 use crate::server_id::is_valid_name;
 use thiserror::Error;
 
-/// Most services of a tier.
+/// Maximum number of services in a tier.
 const SERVICES_MAX: usize = 256;
-/// The whole of a tier, in thousandths.
+/// A whole tier, in thousandths.
 const WHOLE_THOUSANDTHS: usize = 1000;
 
 /// Settings of outlier detection in one tier of services.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// The tier's services by name, each once; at most 256.
+    /// Distinct names of the tier's services; at most 256.
     pub services: Vec<String>,
-    /// Servers that must find a service unhealthy before it is ejected; at least 1.
+    /// Number of servers that must find a service unhealthy before it is ejected; at least 1.
     pub accusers_min: usize,
-    /// Largest part of the tier that is ejected at the same time, in thousandths.
+    /// Maximum share of the tier that is ejected at the same time, in thousandths.
     pub max_ejected_thousandths: usize,
-    /// How long a received report counts, and also the half-life of this server's own evidence, in
-    /// nanoseconds; above 0. One setting serves both, so that a report lapses as the evidence behind it
-    /// fades.
+    /// Expiry time of a received report, and also the half-life of this server's own evidence, in
+    /// nanoseconds; greater than 0. Both are one setting, so that a report expires as the evidence behind it
+    /// decays.
     pub expiry: Nanos,
 }
 
-/// A setting of outlier detection that cannot be used.
+/// An invalid setting of outlier detection.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SettingsError {
     /// Too many services.
     #[error("service: at most {SERVICES_MAX}, not {0}")]
     TooManyServices(usize),
-    /// A service is given twice.
-    #[error("service: {0:?} is given twice, each name once")]
+    /// A service is listed twice.
+    #[error("service: {0:?} is given twice, names must be distinct")]
     RepeatedService(String),
     /// The name of a service is empty or too long.
     #[error("service: name: 1 to {NAME_MAX} bytes, not {0:?}")]
     ServiceName(String),
-    /// No accusers are asked for; `reports` is the name in the options file.
-    #[error("reports: 1 at least, not {0}")]
+    /// The required number of accusers is 0. The option is named `reports` in the options file.
+    #[error("reports: must be at least 1, not {0}")]
     Reports(usize),
-    /// The part to eject is over the whole.
-    #[error("eject-share: 0 to 1, not {0} thousandths")]
+    /// The maximum ejected share is greater than the whole tier.
+    #[error("eject-share: must be within 0 and 1, not {0} thousandths")]
     EjectShare(usize),
-    /// Reports would not count at all.
-    #[error("expiry-ms: above 0, not {0} ns")]
+    /// The expiry time is 0, so that no report would ever be used.
+    #[error("expiry-ms: must be greater than 0, not {0} ns")]
     Expiry(Nanos),
 }
 
@@ -52,7 +52,7 @@
     /// Checks each setting.
     ///
     /// # Errors
-    /// The first setting that cannot be used.
+    /// Returns the first invalid setting.
     pub fn check(&self) -> Result<(), SettingsError> {
         self.check_services()?;
         if self.accusers_min == 0 {
@@ -82,7 +82,7 @@
         Ok(())
     }
 
-    /// Most services that may be ejected at the same time.
+    /// Returns the maximum number of services that may be ejected at the same time.
     pub fn ejected_max(&self) -> usize {
         self.services.len() * self.max_ejected_thousandths / WHOLE_THOUSANDTHS
     }
--- a/crates/shared-state/src/packing.rs
+++ b/crates/shared-state/src/packing.rs
@@ -1,10 +1,11 @@
-//! Splits lists so that each part fits a message.
+//! Splits lists into parts that fit into a message.
 
 use crate::counters::CounterRow;
 use crate::server_id::ServerId;
 use serde::Serialize;
 
-/// Splits the items into lists of at most `size_max` bytes each, or of one item.
+/// Splits the items into lists of at most `size_max` encoded bytes each. A larger item gets a list of its
+/// own.
 pub(crate) fn pack<T: Clone + Serialize>(items: &[T], size_max: usize) -> Vec<Vec<T>> {
     let mut parts: Vec<Vec<T>> = Vec::new();
     let mut part: Vec<T> = Vec::new();
@@ -24,8 +25,8 @@
     parts
 }
 
-/// Splits a row into parts of at most `size_max` bytes. Rows merge key by key, so that the parts say the same
-/// as the whole.
+/// Splits a row into rows of at most `size_max` encoded bytes. Rows are merged key by key, so the parts have
+/// the same effect as the whole row.
 pub(crate) fn split_row(server: &ServerId, row: &CounterRow, size_max: usize) -> Vec<(ServerId, CounterRow)> {
     let counts: Vec<(&String, &u64)> = row.counts.iter().collect();
     let mut rows = Vec::new();
@@ -37,5 +38,5 @@
 }
 
 fn encoded_size<T: Serialize>(item: &T) -> usize {
-    postcard::to_allocvec(item).expect("writing an item to a vector does not fail").len()
+    postcard::to_allocvec(item).expect("serializing an item to a vector cannot fail").len()
 }
--- a/crates/shared-state/src/settings.rs
+++ b/crates/shared-state/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of all that is shared and their check.
+//! Settings of the shared state and their validation.
 
 use crate::budget::{BudgetSettings, BudgetSettingsError};
 use crate::clock::Nanos;
@@ -6,54 +6,54 @@
 use crate::outlier_detection;
 use thiserror::Error;
 
-/// Smallest limit of a message's size, in bytes.
-const BODY_MAX_LEAST: usize = 512;
+/// Minimum value of [`Settings::body_max`], in bytes.
+const BODY_MAX_MIN: usize = 512;
 
-/// Settings of all that one server shares with the others.
+/// Settings of one server's shared state.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Budgets, each with a name of its own.
+    /// Budgets, each with a unique name.
     pub budgets: Vec<BudgetSettings>,
     /// Limits of the fleet's counters.
     pub counters: Limits,
-    /// Outlier detection in the tier of services below, if any.
+    /// Settings of outlier detection in the tier of downstream services, if enabled.
     pub outlier_detection: Option<outlier_detection::Settings>,
-    /// Time between two rounds of gossip, in nanoseconds; above 0.
+    /// Mean time between two rounds of gossip, in nanoseconds; greater than 0.
     pub gossip_interval: Nanos,
-    /// Longest body of a message, in bytes; 512 at least.
+    /// Maximum size of a message body, in bytes; at least 512.
     pub body_max: usize,
 }
 
-/// A setting that cannot be used.
+/// An invalid setting.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SettingsError {
-    /// A setting of a budget.
+    /// A setting of a budget is invalid.
     #[error("budget {name:?}: {fault}")]
     Budget {
         /// Name of the budget.
         name: String,
-        /// The setting.
+        /// Validation error of the budget.
         fault: BudgetSettingsError,
     },
     /// Two budgets have the same name.
     #[error("budget {name:?}: given twice")]
     RepeatedBudget {
-        /// The name.
+        /// Repeated name.
         name: String,
     },
-    /// A setting of outlier detection.
+    /// A setting of outlier detection is invalid.
     #[error(transparent)]
     OutlierDetection(#[from] outlier_detection::SettingsError),
-    /// There would be no time between rounds of gossip.
-    #[error("gossip-ms: above 0, not {interval} ns")]
+    /// The interval between rounds of gossip is 0.
+    #[error("gossip-ms: must be greater than 0, not {interval} ns")]
     GossipInterval {
-        /// The interval, in nanoseconds.
+        /// Configured interval, in nanoseconds.
         interval: Nanos,
     },
-    /// Messages would be too small.
-    #[error("bodies of {BODY_MAX_LEAST} bytes at least, not {body_max}")]
+    /// The maximum size of a message body is too small.
+    #[error("the maximum body size must be at least {BODY_MAX_MIN} bytes, not {body_max}")]
     BodyMax {
-        /// The limit, in bytes.
+        /// Configured limit, in bytes.
         body_max: usize,
     },
 }
@@ -62,7 +62,7 @@
     /// Checks each setting.
     ///
     /// # Errors
-    /// The first setting that cannot be used.
+    /// Returns the first invalid setting.
     pub fn check(&self) -> Result<(), SettingsError> {
         for (index, budget) in self.budgets.iter().enumerate() {
             let name = || budget.name.clone();
@@ -77,7 +77,7 @@
         if self.gossip_interval == 0 {
             return Err(SettingsError::GossipInterval { interval: self.gossip_interval });
         }
-        if self.body_max < BODY_MAX_LEAST {
+        if self.body_max < BODY_MAX_MIN {
             return Err(SettingsError::BodyMax { body_max: self.body_max });
         }
         Ok(())
--- a/crates/shared-state/src/simulation/events.rs
+++ b/crates/shared-state/src/simulation/events.rs
@@ -1,24 +1,26 @@
-//! Events in the order of their times; of equal times in the order in which they were scheduled.
+//! Queue of simulation events in the order of their times. Events at the same time are in the order in which
+//! they were scheduled.
 
 use crate::clock::Nanos;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-/// What happens to a server, given by its index. An incarnation is counted from 1 for each server.
+/// A simulation event. Servers are identified by their index, and incarnations of each server are counted
+/// from 1.
 pub(super) enum Event {
-    /// A message arrives.
+    /// A message arrives at a server.
     Message { to: usize, body: Vec<u8> },
-    /// A server does what is due.
+    /// A server performs its due actions.
     Advance { server: usize, incarnation: u64 },
-    /// A server is asked for a call to the dependency.
+    /// A server receives a request that needs a call to the dependency.
     Arrival { server: usize, incarnation: u64 },
-    /// A call that was permitted is sent.
+    /// A server sends a permitted call.
     Send { server: usize, incarnation: u64, call: u64 },
     /// A call to the dependency ends.
     CallEnd { server: usize, incarnation: u64, call: u64 },
 }
 
-/// Events to come.
+/// Queue of scheduled events.
 #[derive(Default)]
 pub(super) struct EventQueue {
     /// Time and number of each event, the earliest first.
@@ -34,7 +36,7 @@
         self.events.insert(self.last_number, event);
     }
 
-    /// The next event up to `until`, and its time.
+    /// Removes and returns the next event with a time up to `until`, together with its time.
     pub fn pop(&mut self, until: Nanos) -> Option<(Nanos, Event)> {
         let Reverse((at, number)) = self.order.peek().copied()?;
         if at > until {
--- a/crates/shared-state/src/simulation/mod.rs
+++ b/crates/shared-state/src/simulation/mod.rs
@@ -1,6 +1,6 @@
-//! A fleet of [`SharedState`]s on a simulated network in simulated time, deterministic from its seed, around
-//! one dependency that counts at every moment how many calls are in progress. For tests and the figures of
-//! `docs/shared-state.md`.
+//! A fleet of [`SharedState`]s on a simulated network in simulated time, deterministic from its seed. The
+//! servers call one dependency, which counts the calls in progress at any time. Used by tests and for the
+//! figures in `docs/shared-state.md`.
 
 mod clocks;
 mod events;
@@ -21,18 +21,21 @@
 use std::collections::{BTreeMap, HashMap};
 
 const MILLISECOND_NS: Nanos = 1_000_000;
-/// How long a call to the dependency takes at first, in nanoseconds.
+/// Default duration of a call to the dependency, in nanoseconds.
 const CALL_DURATION_NS: Nanos = 50 * MILLISECOND_NS;
-/// Events of a server that starts begin within so long, and a server without demand looks again after it.
+/// Range of the random delay before a started server's first events, and interval at which a server without
+/// demand checks for new demand, in nanoseconds.
 const IDLE_INTERVAL_NS: Nanos = 50 * MILLISECOND_NS;
-/// Up to so many servers each is advanced more often and knows all that live.
+/// Maximum number of servers of a small fleet. In a small fleet, servers advance more often and know all
+/// members that are alive.
 const SMALL_FLEET: usize = 64;
 const SMALL_FLEET_INTERVAL_NS: Nanos = 25 * MILLISECOND_NS;
 const LARGE_FLEET_INTERVAL_NS: Nanos = 100 * MILLISECOND_NS;
-/// Members that a server of a large fleet knows of at a time.
+/// Number of random members that a server of a large fleet knows at a time.
 const LARGE_FLEET_MEMBERS: usize = 4;
 
-/// The fleet, its network and the dependency. Servers are given by their index; server `i` is named `s{i}`.
+/// The fleet, its network and the dependency. Servers are identified by their index; server `i` is named
+/// `s{i}`.
 pub struct Fleet {
     settings: Settings,
     servers: Vec<Server>,
@@ -40,31 +43,31 @@
     partitions: Partitions,
     events: EventQueue,
     random: Random,
-    /// True time since the start, in nanoseconds.
+    /// True time since the start of the simulation, in nanoseconds.
     now: Nanos,
-    /// How the network treats messages.
+    /// Faults and delays of the network.
     pub network: NetworkFaults,
-    /// How long a call to the dependency takes, in nanoseconds.
+    /// Duration of a call to the dependency, in nanoseconds.
     pub call_duration: Nanos,
-    /// How long a server takes to send a call once it is permitted, in nanoseconds.
+    /// Delay between the permit of a call and its sending, in nanoseconds.
     pub send_delay: Nanos,
-    /// Calls that were permitted and not sent, since the server was stopped in between.
+    /// Number of permitted calls that were not sent because the server was stopped in between.
     pub withheld: u64,
-    /// Calls in progress at the dependency.
+    /// Number of calls in progress at the dependency.
     pub in_use: u64,
-    /// Most calls that were ever in progress at the same time.
+    /// Maximum number of calls in progress at the same time.
     pub in_use_max: u64,
-    /// Calls in progress, integrated over time, since [`Fleet::mean_use`] was last called.
+    /// Integral over time of the calls in progress since the last call of [`Fleet::mean_use`].
     use_integral: u128,
     calls: u64,
-    /// Calls refused by the servers.
+    /// Number of calls refused by the servers.
     pub refused: u64,
-    /// Calls that the dependency received, by server.
+    /// Number of calls that the dependency received, by server.
     pub served: BTreeMap<usize, u64>,
 }
 
 impl Fleet {
-    /// A fleet of `servers` servers, none of which runs.
+    /// Creates a fleet of `servers` servers, none of which is running.
     pub fn new(servers: usize, settings: Settings, seed: u64, network: NetworkFaults) -> Fleet {
         Fleet {
             settings,
@@ -87,7 +90,7 @@
         }
     }
 
-    /// True time since the start, in nanoseconds.
+    /// Returns the true time since the start of the simulation, in nanoseconds.
     pub fn now(&self) -> Nanos {
         self.now
     }
@@ -95,11 +98,11 @@
     /// Starts a server.
     pub fn start(&mut self, index: usize) {
         let incarnation = self.servers[index].clocks.read(self.now).wall;
-        self.start_as(index, ServerId { name: name(index), incarnation });
+        self.start_with_id(index, ServerId { name: name(index), incarnation });
     }
 
     /// Starts a server with the given identity, such as that of an earlier incarnation.
-    pub fn start_as(&mut self, index: usize, id: ServerId) {
+    pub fn start_with_id(&mut self, index: usize, id: ServerId) {
         let reading = self.servers[index].clocks.read(self.now);
         let seed = self.random.next_u64();
         let state = SharedState::new(id, self.settings.clone(), seed, reading)
@@ -110,64 +113,65 @@
         self.schedule(first, Event::Arrival { server: index, incarnation });
     }
 
-    /// Kills a server. Its calls to the dependency go on until they end there.
+    /// Kills a server. Its calls continue at the dependency until they end there.
     pub fn crash(&mut self, index: usize) {
         self.servers[index].state = None;
     }
 
-    /// Stops a server's process, or lets it go on.
-    pub fn stall(&mut self, index: usize, stalled: bool) {
-        self.servers[index].stalled = stalled;
+    /// Suspends or resumes a server's process.
+    pub fn set_suspended(&mut self, index: usize, suspended: bool) {
+        self.servers[index].suspended = suspended;
     }
 
-    /// Lets a server's clocks run otherwise from now on.
+    /// Sets the rates of a server's clocks from now on.
     pub fn set_clocks(&mut self, index: usize, rates: ClockRates) {
         self.servers[index].clocks.set_rates(self.now, rates);
     }
 
-    /// Sets how many calls a second a server is asked for.
-    pub fn demand(&mut self, index: usize, calls_per_second: f64) {
+    /// Sets the demand at a server, in calls per second.
+    pub fn set_demand(&mut self, index: usize, calls_per_second: f64) {
         self.servers[index].demand = calls_per_second;
     }
 
-    /// Puts a server in a group of the network; all begin in group 0.
-    pub fn group(&mut self, index: usize, group: u32) {
+    /// Assigns a server to a network group. All servers start in group 0.
+    pub fn set_group(&mut self, index: usize, group: u32) {
         self.servers[index].group = group;
     }
 
-    /// Cuts two groups apart.
+    /// Disconnects two groups from each other.
     pub fn partition(&mut self, group: u32, other: u32) {
         self.partitions.cut(group, other);
     }
 
-    /// Joins all groups.
+    /// Reconnects all groups.
     pub fn heal(&mut self) {
         self.partitions.heal();
     }
 
-    /// State of a server that runs.
+    /// Returns the state of a running server.
     pub fn state(&self, index: usize) -> Option<&SharedState> {
         self.servers[index].state.as_ref()
     }
 
-    /// The same, to change.
+    /// Mutable variant of [`Fleet::state`].
     pub fn state_mut(&mut self, index: usize) -> Option<&mut SharedState> {
         self.servers[index].state.as_mut()
     }
 
-    /// Delivers a body to a server now, as if a peer had sent it.
+    /// Delivers a message body to a server now, as if a peer had sent it.
     pub fn inject(&mut self, to: usize, body: Vec<u8>) {
         self.schedule(0, Event::Message { to, body });
     }
 
-    /// Mean number of calls in progress from `since`, when this was last called, until now.
+    /// Returns the mean number of calls in progress between `since`, the time of the previous call of this
+    /// method, and now.
     pub fn mean_use(&mut self, since: Nanos) -> f64 {
         let mean = self.use_integral as f64 / (self.now - since).max(1) as f64;
         self.use_integral = 0;
         mean
     }
 
-    /// Plays up to a point in true time.
+    /// Runs the simulation up to a point in true time.
     pub fn run_until(&mut self, until: Nanos) {
         while let Some((at, event)) = self.events.pop(until) {
             self.pass_time(at);
@@ -189,7 +193,7 @@
         self.partitions.are_connected(self.servers[from].group, self.servers[to].group)
     }
 
-    /// Puts a server's outgoing messages on the network.
+    /// Passes a server's outgoing messages to the network.
     fn send_outgoing(&mut self, from: usize) {
         let Some(state) = self.servers[from].state.as_mut() else { return };
         for (name, body) in state.take_outgoing() {
@@ -238,8 +242,8 @@
         }
     }
 
-    /// Members that a server holds alive: in a small fleet those that it reaches, as an ideal membership
-    /// would say; in a large one a few at random.
+    /// Returns the members that a server considers alive. In a small fleet these are all running servers that
+    /// it reaches, as with an ideal membership; in a large fleet, a few at random.
     fn living_members(&mut self, index: usize) -> Vec<String> {
         let mut members = Vec::new();
         if self.servers.len() <= SMALL_FLEET {
@@ -268,7 +272,7 @@
         }
     }
 
-    /// Calls the dependency, if the server's budget allows it.
+    /// Calls the dependency if the server's budget permits it.
     fn call(&mut self, server: usize, incarnation: u64) {
         let call = self.calls + 1;
         match self.servers[server].try_call(self.now, call) {
@@ -287,13 +291,13 @@
         }
     }
 
-    /// Sends a call that was permitted. A process that is stopped sends it once it goes on; with one that has
-    /// ended it is gone.
+    /// Sends a permitted call. A suspended process sends the call after it resumes; the calls of an ended
+    /// process are dropped.
     fn send(&mut self, server: usize, incarnation: u64, call: u64) {
         if self.servers[server].incarnation != incarnation {
             return;
         }
-        if self.servers[server].stalled {
+        if self.servers[server].suspended {
             return self.schedule(MILLISECOND_NS, Event::Send { server, incarnation, call });
         }
         if !self.servers[server].permit_send(self.now, call) {
--- a/crates/shared-state/src/simulation/network.rs
+++ b/crates/shared-state/src/simulation/network.rs
@@ -1,24 +1,24 @@
-//! A network that loses, duplicates, delays and reorders messages, and that can be partitioned.
+//! Simulated network that loses, duplicates, delays and reorders messages, and that can be partitioned.
 
 use super::random::Random;
 use crate::clock::Nanos;
 use std::collections::HashSet;
 
-/// How the network treats messages.
+/// Faults and delays of the network.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NetworkFaults {
-    /// Share of messages lost, 0 to 1.
+    /// Ratio of messages that are lost, 0 to 1.
     pub loss: f64,
-    /// Share of messages that arrive twice, 0 to 1.
+    /// Ratio of messages that are duplicated, 0 to 1.
     pub duplicate: f64,
-    /// Least delay, in nanoseconds.
+    /// Minimum delay, in nanoseconds.
     pub delay: Nanos,
-    /// Most that is added to the delay at random, in nanoseconds; enough of it reorders messages.
+    /// Maximum random addition to the delay, in nanoseconds; a large value reorders messages.
     pub jitter: Nanos,
 }
 
 impl NetworkFaults {
-    /// Delays of the copies of one message that arrive.
+    /// Returns the delay of each copy of one message that arrives.
     pub(super) fn delays(&self, random: &mut Random) -> Vec<Nanos> {
         let copies = if random.chance(self.duplicate) { 2 } else { 1 };
         let mut delays = Vec::new();
@@ -31,19 +31,19 @@
     }
 }
 
-/// Which groups of servers do not reach each other.
+/// Pairs of server groups that cannot reach each other.
 #[derive(Default)]
 pub(super) struct Partitions {
     cut: HashSet<(u32, u32)>,
 }
 
 impl Partitions {
-    /// Cuts two groups apart.
+    /// Disconnects two groups from each other.
     pub fn cut(&mut self, group: u32, other: u32) {
         self.cut.extend([(group, other), (other, group)]);
     }
 
-    /// Joins all groups.
+    /// Reconnects all groups.
     pub fn heal(&mut self) {
         self.cut.clear();
     }
--- a/crates/shared-state/src/simulation/random.rs
+++ b/crates/shared-state/src/simulation/random.rs
@@ -1,4 +1,4 @@
-//! Random draws from the simulation's seed.
+//! Random numbers derived from the simulation's seed.
 
 use crate::clock::Nanos;
 use rand_chacha::ChaCha8Rng;
@@ -6,7 +6,7 @@
 
 const SECOND_NS: f64 = 1e9;
 
-/// The simulation's random numbers.
+/// Random number generator of the simulation.
 pub(super) struct Random(ChaCha8Rng);
 
 impl Random {
@@ -18,23 +18,23 @@
         self.0.next_u64()
     }
 
-    /// A number under `bound`; 0 without a draw where that is 0.
+    /// Returns a random number less than `bound`. Returns 0 without a draw if `bound` is 0.
     pub fn below(&mut self, bound: u64) -> u64 {
         if bound == 0 { 0 } else { self.next_u64() % bound }
     }
 
-    /// True with the given probability; without a draw where that is 0.
+    /// Returns true with the given probability. Returns false without a draw if the probability is 0.
     pub fn chance(&mut self, probability: f64) -> bool {
         probability > 0.0 && self.fraction() < probability
     }
 
-    /// Time to the next arrival of a Poisson process, in nanoseconds.
+    /// Returns the time to the next arrival of a Poisson process, in nanoseconds.
     pub fn interarrival(&mut self, per_second: f64) -> Nanos {
         let fraction = self.fraction().max(1e-12);
         (-fraction.ln() / per_second * SECOND_NS) as Nanos
     }
 
-    /// 0 to 1.
+    /// Returns a random number from 0 to 1.
     fn fraction(&mut self) -> f64 {
         self.next_u64() as f64 / u64::MAX as f64
     }
--- a/crates/shared-state/src/state.rs
+++ b/crates/shared-state/src/state.rs
@@ -1,5 +1,5 @@
-//! One server's part in all that is shared: hands messages to the budgets, counters and outlier detection,
-//! and gossips for them.
+//! One server's part of the shared state: dispatches messages to the budgets, counters and outlier detection,
+//! and gossips on their behalf.
 
 use crate::NAME_MAX;
 use crate::budget::{Budget, Outgoing};
@@ -14,77 +14,78 @@
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use serde::Serialize;
 
-/// Versions in one digest: with names of 64 bytes and 20 bytes of numbers, so many fit a body of 1,400 bytes.
-/// The number does not follow [`Settings::body_max`]: where that is smaller, a digest of servers with long
-/// names may be longer than it, and the transport drops it.
+/// Maximum number of row versions in one digest. With names of 64 bytes and 20 bytes of numbers each, this
+/// many fit in a body of 1,400 bytes. The number does not depend on [`Settings::body_max`]: if that is
+/// smaller, a digest of servers with long names may exceed it, and the transport drops the message.
 const DIGEST_ROWS_MAX: usize = 16;
-/// Most datagrams of rows that answer one digest.
+/// Maximum number of datagrams with rows in reply to one digest.
 const ROW_DATAGRAMS_MAX: usize = 32;
-/// Members that reports are sent to in each round of gossip.
+/// Number of members that receive reports in each round of gossip.
 const REPORT_FANOUT: usize = 3;
-/// Most messages of other topics that wait for [`SharedState::take_received`].
-const OTHERS_MAX: usize = 1024;
-/// Bytes of a message beside its list: numbers and lengths.
+/// Maximum number of messages of other topics that are queued for [`SharedState::take_received`].
+const RECEIVED_OTHERS_MAX: usize = 1024;
+/// Upper bound of the bytes of a message apart from its list and names: numbers and lengths.
 const HEADER_BYTES: usize = 64;
-/// Names in a message beside its list.
+/// Maximum number of names in a message outside its list.
 const HEADER_NAMES: usize = 4;
 
-/// Messages since the start.
+/// Counters of messages since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct MessageCounters {
     /// Messages sent.
     pub sent: u64,
-    /// Bytes of their bodies.
+    /// Total size of the bodies of sent messages, in bytes.
     pub sent_bytes: u64,
     /// Messages received.
     pub received: u64,
-    /// Of these, dropped for any reason of [`ReceiveError`]: bytes that are no message, but also messages
-    /// about a budget that this server does not have, and those of other topics while too many wait.
+    /// Received messages that were dropped for any reason in [`ReceiveError`]. Besides undecodable bytes,
+    /// these include messages about a budget that this server does not have, and messages of other topics
+    /// while the queue is full.
     pub malformed: u64,
 }
 
-/// A message of another topic that has been received.
+/// A received message of another topic.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedOther {
-    /// The sender.
+    /// Server that sent the message.
     pub from: ServerId,
-    /// Which part of the program it is for.
+    /// Topic: the part of the program that handles the message.
     pub topic: u16,
-    /// The message as that part encodes it.
+    /// Message in the encoding of that part.
     pub body: Vec<u8>,
 }
 
-/// One server's part in all that is shared: a state machine without I/O. Readings of the clocks, the living
-/// members and messages go in; messages to send come out.
+/// One server's part of the shared state: a state machine without I/O. Its inputs are clock readings, the
+/// members that are alive and received messages; its outputs are messages to send.
 pub struct SharedState {
-    /// The identity that messages, budgets and reports carry, the same from start to end. The counters' own
-    /// may have a later incarnation, see [`FleetCounters::renew`].
+    /// Identity of this server in messages, budgets and reports, which never changes. The counters may use a
+    /// later incarnation, see [`FleetCounters::renew`].
     id: ServerId,
     settings: Settings,
     clock: DriftClock,
     time: Time,
-    /// The wall clock at the last reading, in nanoseconds since the epoch.
+    /// Wall clock at the last reading, in nanoseconds since the epoch.
     wall: Nanos,
     /// Budgets, in the order of the settings.
     pub budgets: Vec<Budget>,
-    /// The fleet's counters.
+    /// Counters of the whole fleet.
     pub counters: FleetCounters,
-    /// Outlier detection in the tier below, if any.
+    /// Outlier detection in the tier of downstream services, if configured.
     pub outlier_detector: Option<OutlierDetector>,
-    /// By the fast clock.
+    /// Time of the next round of gossip, by the fast clock.
     next_gossip_at: Nanos,
     rng: ChaCha8Rng,
     outgoing: Vec<(String, Vec<u8>)>,
     received_others: Vec<ReceivedOther>,
-    /// Messages since the start.
+    /// Counters of messages since the start.
     pub messages: MessageCounters,
 }
 
 impl SharedState {
-    /// The part of the server `id`. All random choices come from `seed`.
+    /// Creates the state of the server `id`. `seed` determines all random choices.
     ///
     /// # Errors
-    /// A setting that cannot be used.
+    /// Returns the first invalid setting.
     pub fn new(
         id: ServerId,
         settings: Settings,
@@ -118,29 +119,30 @@
         })
     }
 
-    /// This server.
+    /// Returns the identity of this server.
     pub fn id(&self) -> &ServerId {
         &self.id
     }
 
-    /// Takes a reading of the clocks, and returns the time.
+    /// Records a reading of the clocks and returns the resulting time.
     pub fn read_clocks(&mut self, reading: Reading) -> Time {
         self.time = self.clock.read(reading);
         self.wall = reading.wall;
         self.time
     }
 
-    /// The time of the last reading.
+    /// Returns the time of the last reading.
     pub fn time(&self) -> Time {
         self.time
     }
 
-    /// Readings at which the two clocks disagreed.
+    /// Returns the number of readings at which the two clocks disagreed.
     pub fn clock_disagreements(&self) -> u64 {
         self.clock.disagreements
     }
 
-    /// Does what is due; `alive` are the names of the other members that the fleet's view holds alive.
+    /// Performs all actions that are due. `alive` lists the names of the other members that the membership
+    /// considers alive.
     pub fn advance(&mut self, reading: Reading, alive: &[String]) {
         let time = self.read_clocks(reading);
         for index in 0..self.budgets.len() {
@@ -156,13 +158,13 @@
         }
     }
 
-    /// When [`SharedState::advance`] is to be called again, in nanoseconds from now at most.
+    /// Returns the maximum time until the next call of [`SharedState::advance`], in nanoseconds.
     pub fn due_in(&self) -> Nanos {
         let requests = self.budgets.iter().map(|budget| budget.settings().refresh_interval / 2).min();
         requests.unwrap_or(Nanos::MAX).min(self.settings.gossip_interval / 2).max(1)
     }
 
-    /// A number under `bound`; 0 where that is 0.
+    /// Returns a random number less than `bound`, or 0 if `bound` is 0.
     fn random_below(&mut self, bound: u64) -> u64 {
         if bound == 0 { 0 } else { self.rng.next_u64() % bound }
     }
@@ -171,7 +173,7 @@
         alive[self.random_below(alive.len() as u64) as usize].clone()
     }
 
-    /// Sends a digest to one member and reports to a few.
+    /// Sends a digest to one random member, and reports to a few.
     fn gossip(&mut self, alive: &[String]) {
         if alive.is_empty() {
             return;
@@ -188,12 +190,12 @@
         }
     }
 
-    /// Bytes that a list in a message may take.
+    /// Returns the maximum size of the list in a message, in bytes.
     fn list_size_max(&self) -> usize {
         self.settings.body_max - HEADER_NAMES * NAME_MAX - HEADER_BYTES
     }
 
-    /// Sends a digest of one part of all rows, another part each time: the cost of a round does not grow with
+    /// Sends a digest of a randomly chosen part of the rows, so that the cost of a round does not grow with
     /// the fleet.
     fn send_digest(&mut self, to: &str) {
         let parts = self.counters.rows().div_ceil(DIGEST_ROWS_MAX) as u64;
@@ -219,25 +221,25 @@
         self.outgoing.push((to.to_string(), body));
     }
 
-    /// Sends a message of another topic.
+    /// Queues a message of another topic for sending.
     pub fn send_other(&mut self, to: &str, topic: u16, body: Vec<u8>) {
         self.send(to, Payload::Other { topic, body });
     }
 
-    /// Messages of other topics received since the last call.
+    /// Returns the messages of other topics received since the last call.
     pub fn take_received(&mut self) -> Vec<ReceivedOther> {
         std::mem::take(&mut self.received_others)
     }
 
-    /// Messages to send since the last call, each with the name of the member that it goes to.
+    /// Returns the messages to send since the last call, each with the name of the receiving member.
     pub fn take_outgoing(&mut self) -> Vec<(String, Vec<u8>)> {
         std::mem::take(&mut self.outgoing)
     }
 
-    /// Handles a message that an authenticated peer has sent.
+    /// Handles a message from an authenticated peer.
     ///
     /// # Errors
-    /// The message is dropped and counted.
+    /// Returns the reason why the message was dropped; the message is also counted.
     pub fn receive(&mut self, reading: Reading, body: &[u8]) -> Result<(), ReceiveError> {
         let time = self.read_clocks(reading);
         self.messages.received += 1;
@@ -266,7 +268,7 @@
             }
             Payload::Other { topic, body } => {
                 let waiting = self.received_others.len();
-                if waiting >= OTHERS_MAX {
+                if waiting >= RECEIVED_OTHERS_MAX {
                     return Err(ReceiveError::TooManyWaiting { topic, waiting });
                 }
                 self.received_others.push(ReceivedOther { from, topic, body });
@@ -275,8 +277,8 @@
         Ok(())
     }
 
-    /// Answers a digest with the rows of which its sender knows less, and with this server's digest of the
-    /// same part, as far as one message holds it.
+    /// Replies to a digest with the rows that are newer here than at the sender, and, if requested, with this
+    /// server's digest of the same range, limited to one message.
     fn handle_digest(
         &mut self,
         from: &ServerId,
@@ -303,8 +305,8 @@
         }
     }
 
-    /// Merges rows. A row of this server's own that is ahead of its counts makes the counters alone take a
-    /// later incarnation, so that what they count from now on is not hidden below the old counts.
+    /// Merges received rows. If a received row of this server itself is ahead of the local counts, the
+    /// counters switch to a later incarnation, so that new counts are not hidden by the larger old ones.
     fn merge_rows(&mut self, rows: &[(ServerId, CounterRow)]) {
         for (server, row) in rows {
             if self.counters.merge(server, row, self.wall) == Err(RejectedRow::Own) {
--- a/crates/shared-state/tests/clock.rs
+++ b/crates/shared-state/tests/clock.rs
@@ -1,16 +1,16 @@
-//! Bounds of the time passed by two clocks, one of which is wrong.
+//! Bounds of the elapsed time from two clocks, one of which is wrong.
 
 use meadowstream_shared_state::clock::{DriftClock, Reading, Time};
 
 const S: u64 = 1_000_000_000;
 
 #[test]
-fn two_clocks_bound_the_time_passed() {
+fn two_clocks_bound_the_elapsed_time() {
     let mut clock = DriftClock::default();
     let read = |clock: &mut DriftClock, monotonic, wall| clock.read(Reading { monotonic, wall });
     assert_eq!(read(&mut clock, 100, 900), Time { fast: 0, slow: 0 });
     assert_eq!(read(&mut clock, 110, 910), Time { fast: 10, slow: 10 });
-    // One stands still; one leaps back; one leaps ahead by an hour.
+    // The monotonic clock stops; then the wall clock jumps back; then it jumps ahead by an hour.
     assert_eq!(read(&mut clock, 110, 920), Time { fast: 20, slow: 10 });
     assert_eq!(read(&mut clock, 120, 500), Time { fast: 30, slow: 10 });
     assert_eq!(read(&mut clock, 130, 3600 * S), Time { fast: 30 + 3600 * S - 500, slow: 20 });
--- a/crates/shared-state/tests/counters.rs
+++ b/crates/shared-state/tests/counters.rs
@@ -1,4 +1,4 @@
-//! The laws of the fleet's counters, and the bounds of what peers may add to them.
+//! Algebraic laws of the fleet's counters, and the limits on what peers can add to them.
 
 use meadowstream_shared_state::ServerId;
 use meadowstream_shared_state::counters::{CounterRow, FleetCounters, Limits, RejectedRow};
@@ -16,11 +16,11 @@
 }
 
 fn merged(rows: &[&CounterRow]) -> BTreeMap<String, u64> {
-    let mut all = CounterRow::default();
+    let mut merged = CounterRow::default();
     rows.iter().for_each(|row| {
-        all.merge(row);
+        merged.merge(row);
     });
-    all.counts
+    merged.counts
 }
 
 proptest! {
@@ -35,7 +35,8 @@
         prop_assert!(ab.version() >= a.version().max(b.version()));
     }
 
-    /// Any bytes and any rows: bounded, counted, never a panic, and nobody raises another's own row.
+    /// Arbitrary rows from peers never cause a panic: the stored rows and keys are bounded, implausible
+    /// counts are rejected, and no peer can raise this server's own row.
     #[test]
     fn rows_of_peers_are_bounded(
         names in proptest::collection::vec("[a-z]{0,80}", 0..60),
@@ -47,12 +48,12 @@
         for (i, name) in names.iter().enumerate() {
             let of = ServerId { name: format!("s{}", i % 20), incarnation: 1 };
             let row = CounterRow { counts: BTreeMap::from([(name.clone(), count)]) };
-            let taken = counts.merge(&of, &row, 61 * S);
-            prop_assert!(count <= 121_000 || i % 20 == 0 || taken.is_err());
+            let result = counts.merge(&of, &row, 61 * S);
+            prop_assert!(count <= 121_000 || i % 20 == 0 || result.is_err());
         }
         prop_assert!(counts.rows() <= 8 && counts.totals().len() <= 8 * 4 + 1);
-        let more = CounterRow { counts: BTreeMap::from([("mine".into(), 6)]) };
-        prop_assert_eq!(counts.merge(&server(0), &more, 0), Err(RejectedRow::Own));
+        let own_row_ahead = CounterRow { counts: BTreeMap::from([("mine".into(), 6)]) };
+        prop_assert_eq!(counts.merge(&server(0), &own_row_ahead, 0), Err(RejectedRow::Own));
         prop_assert_eq!(counts.total("mine"), 5);
     }
 }
--- a/crates/shared-state/tests/fixed_bytes.rs
+++ b/crates/shared-state/tests/fixed_bytes.rs
@@ -1,4 +1,5 @@
-//! Messages have the bytes that release 0.2.0 (commit 22d0bb6) wrote, and are read back to the same.
+//! Messages are encoded to the same bytes as in release 0.2.0 (commit 22d0bb6), and those bytes are decoded
+//! to the same messages.
 
 use meadowstream_shared_state::budget::{BudgetMessage, GrantId, Term};
 use meadowstream_shared_state::counters::CounterRow;
@@ -26,7 +27,7 @@
     }
 }
 
-fn contents() -> Vec<(&'static str, Payload)> {
+fn payloads() -> Vec<(&'static str, Payload)> {
     let term = Term { incarnation: 1_700_000_000_000_000_001, rank: 2, election: 3 };
     let versions = vec![(server("s1"), 17), (server("s2"), 400)];
     let reports = vec![
@@ -85,7 +86,7 @@
 }
 
 fn messages() -> Vec<(&'static str, Message)> {
-    contents().into_iter().map(|(name, payload)| (name, Message { from: server("s0"), payload })).collect()
+    payloads().into_iter().map(|(name, payload)| (name, Message { from: server("s0"), payload })).collect()
 }
 
 fn fixtures() -> Fixtures {
@@ -93,19 +94,20 @@
 }
 
 #[test]
-fn messages_have_the_bytes_of_release_0_2() {
-    let encoded = messages().into_iter().map(|(name, one)| (name, postcard::to_allocvec(&one).unwrap()));
+fn messages_are_encoded_as_in_release_0_2() {
+    let encoded =
+        messages().into_iter().map(|(name, message)| (name, postcard::to_allocvec(&message).unwrap()));
     fixtures().verify(&encoded.collect::<Vec<_>>());
 }
 
 #[test]
-fn recorded_messages_are_read_and_written_to_the_same_bytes() {
+fn recorded_messages_survive_decoding_and_encoding() {
     let fixtures = fixtures();
     for (name, message) in messages() {
         let bytes = fixtures.bytes(name);
-        let (read, rest) = postcard::take_from_bytes::<Message>(bytes).unwrap();
+        let (decoded, rest) = postcard::take_from_bytes::<Message>(bytes).unwrap();
         assert!(rest.is_empty(), "{name}");
-        assert_eq!(read, message, "{name}");
-        assert_eq!(postcard::to_allocvec(&read).unwrap(), bytes, "{name}");
+        assert_eq!(decoded, message, "{name}");
+        assert_eq!(postcard::to_allocvec(&decoded).unwrap(), bytes, "{name}");
     }
 }
--- a/crates/shared-state/tests/fleet.rs
+++ b/crates/shared-state/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Hard cases of shared state in simulated time: what the dependency sees at once is counted there, not by
-//! the servers' word. Each deterministic from its seed.
+//! Fault scenarios for the shared state in simulated time. The dependency itself counts the calls in
+//! progress, independently of the servers' own counts. Each test is deterministic from its seed.
 
 use meadowstream_shared_state::budget::{BudgetMessage, BudgetSettings, GrantId, Term};
 use meadowstream_shared_state::clock::Nanos;
@@ -29,26 +29,29 @@
     NetworkFaults { delay: MS, jitter: 2 * MS, ..NetworkFaults::default() }
 }
 
-/// Five servers, each asked for ten times its part, after their first leases.
-fn flooded(seed: u64, net: NetworkFaults) -> Fleet {
-    let mut fleet = Fleet::new(8, settings(TOTAL, 2, 8), seed, net);
+/// Creates a fleet of five running servers, each with ten times the demand of its share, and runs it until
+/// they have their first leases.
+fn overloaded_fleet(seed: u64, network: NetworkFaults) -> Fleet {
+    let mut fleet = Fleet::new(8, settings(TOTAL, 2, 8), seed, network);
     for i in 0..5 {
         fleet.start(i);
-        fleet.demand(i, 4_000.0);
+        fleet.set_demand(i, 4_000.0);
     }
     fleet.run_until(20 * S);
     fleet
 }
 
-/// Never more than the budget at once, and so much of it used in the mean since then.
-fn holds(fleet: &mut Fleet, since: Nanos, share: f64) {
+/// Asserts that the budget was never exceeded, and that at least the given share of it was used in the mean
+/// since `since`.
+fn assert_budget_used(fleet: &mut Fleet, since: Nanos, share: f64) {
     let mean = fleet.mean_use(since) / TOTAL as f64;
-    assert!(fleet.in_use_max <= TOTAL, "{} at once of {TOTAL}", fleet.in_use_max);
-    assert!(mean >= share, "{mean} of the budget used, wants {share}");
+    assert!(fleet.in_use_max <= TOTAL, "{} units in use of {TOTAL}", fleet.in_use_max);
+    assert!(mean >= share, "{mean} of the budget used, expected at least {share}");
 }
 
-/// From now on for so long.
-fn play(fleet: &mut Fleet, span: Nanos) -> Nanos {
+/// Runs the fleet for `span` nanoseconds and returns the start time. The mean use is measured from this time
+/// on.
+fn run_for(fleet: &mut Fleet, span: Nanos) -> Nanos {
     let since = fleet.now();
     fleet.mean_use(since);
     fleet.run_until(since + span);
@@ -56,179 +59,186 @@
 }
 
 #[test]
-fn the_budget_is_used_and_never_passed_where_all_hear_each_other() {
-    let mut fleet = flooded(1, lan());
-    let since = play(&mut fleet, 60 * S);
-    // Three floors of the plan's eight servers have nobody: 6 of 100.
-    holds(&mut fleet, since, 0.9);
+fn a_connected_fleet_uses_the_budget_and_never_exceeds_it() {
+    let mut fleet = overloaded_fleet(1, lan());
+    let since = run_for(&mut fleet, 60 * S);
+    // Three of the eight configured servers do not run; their floors are 6 of 100 units.
+    assert_budget_used(&mut fleet, since, 0.9);
 }
 
-#[test_case(0.0, 0.0, 2 ; "a clean network")]
-#[test_case(0.1, 0.3, 300 ; "loss, doubles and reordering")]
-fn a_partition_for_a_minute_under_a_flood(loss: f64, duplicate: f64, jitter: u64) {
-    let net = NetworkFaults { loss, duplicate, delay: MS, jitter: jitter * MS };
-    let mut fleet = flooded(2, net);
-    (0..2).for_each(|i| fleet.group(i, 1));
+#[test_case(0.0, 0.0, 2 ; "a network without faults")]
+#[test_case(0.1, 0.3, 300 ; "loss, duplication and reordering")]
+fn a_partition_of_a_minute_under_overload(loss: f64, duplicate: f64, jitter: u64) {
+    let network = NetworkFaults { loss, duplicate, delay: MS, jitter: jitter * MS };
+    let mut fleet = overloaded_fleet(2, network);
+    (0..2).for_each(|i| fleet.set_group(i, 1));
     fleet.partition(0, 1);
-    play(&mut fleet, 20 * S);
-    // The three of a majority share all but the floors of others; the two have their floors.
-    let since = play(&mut fleet, 40 * S);
-    holds(&mut fleet, since, 0.8);
-    let uses = |fleet: &mut Fleet, i: usize| {
-        let budget = &fleet.state(i).expect("runs").budgets[0];
+    run_for(&mut fleet, 20 * S);
+    // The majority of three servers shares everything but the floors of the others; the minority of two has
+    // only its floors.
+    let since = run_for(&mut fleet, 40 * S);
+    assert_budget_used(&mut fleet, since, 0.8);
+    let floor = |fleet: &mut Fleet, i: usize| {
+        let budget = &fleet.state(i).expect("a running server").budgets[0];
         let time = meadowstream_shared_state::clock::Time { fast: Nanos::MAX / 2, slow: Nanos::MAX / 2 };
         budget.allowance(time).floor
     };
-    assert_eq!((uses(&mut fleet, 0), uses(&mut fleet, 1)), (2, 2));
+    assert_eq!((floor(&mut fleet, 0), floor(&mut fleet, 1)), (2, 2));
     fleet.heal();
-    play(&mut fleet, 20 * S);
-    let since = play(&mut fleet, 30 * S);
-    holds(&mut fleet, since, if loss > 0.0 { 0.85 } else { 0.9 });
+    run_for(&mut fleet, 20 * S);
+    let since = run_for(&mut fleet, 30 * S);
+    assert_budget_used(&mut fleet, since, if loss > 0.0 { 0.85 } else { 0.9 });
 }
 
 #[test]
 fn the_lease_of_a_crashed_holder_is_granted_again() {
-    let mut fleet = flooded(3, lan());
+    let mut fleet = overloaded_fleet(3, lan());
     for i in 0..4 {
-        fleet.demand(i, 20.0);
+        fleet.set_demand(i, 20.0);
     }
-    play(&mut fleet, 10 * S);
-    let since = play(&mut fleet, 5 * S);
-    // One holds most of it, and the others want it once that one is dead.
-    holds(&mut fleet, since, 0.7);
+    run_for(&mut fleet, 10 * S);
+    let since = run_for(&mut fleet, 5 * S);
+    // Server 4 holds most of the budget; after its crash, the others have demand for it.
+    assert_budget_used(&mut fleet, since, 0.7);
     fleet.crash(4);
-    (0..4).for_each(|i| fleet.demand(i, 4_000.0));
-    play(&mut fleet, LEASE + LEASE / 50 + 3 * S);
-    let since = play(&mut fleet, 20 * S);
-    holds(&mut fleet, since, 0.85);
+    (0..4).for_each(|i| fleet.set_demand(i, 4_000.0));
+    run_for(&mut fleet, LEASE + LEASE / 50 + 3 * S);
+    let since = run_for(&mut fleet, 20 * S);
+    assert_budget_used(&mut fleet, since, 0.85);
 }
 
-/// The grantor, whichever it is, crashes; another is elected, and the budget is used again once every lease
-/// of the old one has ended.
+/// The grantor crashes. Another is elected, and the budget is used again once every lease of the crashed one
+/// has ended.
 #[test]
-fn a_crashed_grantor_is_followed_by_another() {
-    let mut fleet = flooded(4, lan());
-    let grantor = fleet.state(4).expect("runs").budgets[0].grantor().expect("known").to_string();
+fn a_crashed_grantor_is_replaced() {
+    let mut fleet = overloaded_fleet(4, lan());
+    let grantor = fleet.state(4).expect("a running server").budgets[0].grantor().expect("known").to_string();
     fleet.crash(grantor[1..].parse().unwrap());
-    play(&mut fleet, 4 * LEASE);
-    let since = play(&mut fleet, 20 * S);
-    holds(&mut fleet, since, 0.85);
+    run_for(&mut fleet, 4 * LEASE);
+    let since = run_for(&mut fleet, 20 * S);
+    assert_budget_used(&mut fleet, since, 0.85);
 }
 
-/// Guards against calls that are permitted before a process stops and sent after it, when the lease is
-/// another's: a server stops for two leases while calls of it stand between permit and write.
+/// Calls that were permitted before a process was suspended must not be sent after it resumes, when the units
+/// of its lease may belong to another server. Each server in turn is suspended for two lease durations, with
+/// calls between permit and write.
 #[test_case(7)]
 #[test_case(8)]
 #[test_case(9)]
-fn a_call_permitted_before_a_stop_is_not_sent_after_its_lease(seed: u64) {
-    let mut fleet = flooded(seed, lan());
+fn a_call_permitted_before_a_suspension_is_not_sent_after_the_lease(seed: u64) {
+    let mut fleet = overloaded_fleet(seed, lan());
     (5..8).for_each(|i| {
         fleet.start(i);
-        fleet.demand(i, 4_000.0);
+        fleet.set_demand(i, 4_000.0);
     });
-    play(&mut fleet, 3 * LEASE);
+    run_for(&mut fleet, 3 * LEASE);
     for round in 0..12 {
-        let stopped = 1 + round % 7;
+        let suspended = 1 + round % 7;
         fleet.send_delay = 100 * MS;
-        play(&mut fleet, 100 * MS);
-        fleet.stall(stopped, true);
+        run_for(&mut fleet, 100 * MS);
+        fleet.set_suspended(suspended, true);
         fleet.send_delay = 0;
-        play(&mut fleet, 2 * LEASE);
-        fleet.stall(stopped, false);
-        play(&mut fleet, LEASE);
+        run_for(&mut fleet, 2 * LEASE);
+        fleet.set_suspended(suspended, false);
+        run_for(&mut fleet, LEASE);
     }
-    assert!(fleet.in_use_max <= TOTAL, "{} at once of {TOTAL}", fleet.in_use_max);
-    assert!(fleet.withheld > 0, "no call stood between permit and write when a process stopped");
-    let since = play(&mut fleet, 10 * S);
-    holds(&mut fleet, since, 0.9);
+    assert!(fleet.in_use_max <= TOTAL, "{} units in use of {TOTAL}", fleet.in_use_max);
+    assert!(fleet.withheld > 0, "no call was between permit and write when a process was suspended");
+    let since = run_for(&mut fleet, 10 * S);
+    assert_budget_used(&mut fleet, since, 0.9);
 }
 
-#[test_case(0, 1000, 0 ; "the monotonic clock stands still")]
-#[test_case(1000, 0, 0 ; "the wall clock stands still")]
-#[test_case(1000, 1000, 3600 ; "the wall clock leaps an hour ahead")]
-#[test_case(1000, 1000, -3600 ; "the wall clock leaps an hour back")]
-#[test_case(1000, 100_000, 0 ; "the wall clock races")]
-#[test_case(50_000, 1000, 0 ; "the monotonic clock races")]
-fn one_broken_clock_never_passes_the_budget(monotonic_rate: u64, wall_rate: u64, leap_s: i64) {
+#[test_case(0, 1000, 0 ; "the monotonic clock stops")]
+#[test_case(1000, 0, 0 ; "the wall clock stops")]
+#[test_case(1000, 1000, 3600 ; "the wall clock jumps an hour ahead")]
+#[test_case(1000, 1000, -3600 ; "the wall clock jumps an hour back")]
+#[test_case(1000, 100_000, 0 ; "the wall clock runs too fast")]
+#[test_case(50_000, 1000, 0 ; "the monotonic clock runs too fast")]
+fn a_single_broken_clock_never_exceeds_the_budget(monotonic_rate: u64, wall_rate: u64, offset_s: i64) {
     for broken in 0..5 {
-        let mut fleet = flooded(5, lan());
-        let wall_leap = leap_s * S as i64;
-        fleet.set_clocks(broken, ClockRates { monotonic_rate, wall_rate, wall_leap });
-        play(&mut fleet, 15 * S);
-        // Cut off as well: what it holds must end although its clock does not show it.
-        fleet.group(broken, 1);
+        let mut fleet = overloaded_fleet(5, lan());
+        let wall_offset = offset_s * S as i64;
+        fleet.set_clocks(broken, ClockRates { monotonic_rate, wall_rate, wall_offset });
+        run_for(&mut fleet, 15 * S);
+        // The server is also partitioned off. Its lease must end although its own clock does not show it.
+        fleet.set_group(broken, 1);
         fleet.partition(0, 1);
-        let since = play(&mut fleet, 30 * S);
-        holds(&mut fleet, since, 0.0);
-        let others: u64 = (0..5).map(|i| fleet.served.get(&i).copied().unwrap_or(0)).sum();
-        assert!(others > 0);
+        let since = run_for(&mut fleet, 30 * S);
+        assert_budget_used(&mut fleet, since, 0.0);
+        let served: u64 = (0..5).map(|i| fleet.served.get(&i).copied().unwrap_or(0)).sum();
+        assert!(served > 0);
     }
 }
 
 #[test]
-fn servers_that_join_amid_a_flood_get_their_part() {
-    let mut fleet = flooded(6, lan());
+fn servers_that_join_under_overload_get_their_share() {
+    let mut fleet = overloaded_fleet(6, lan());
     for i in 5..8 {
         fleet.start(i);
-        fleet.demand(i, 4_000.0);
+        fleet.set_demand(i, 4_000.0);
     }
-    play(&mut fleet, 2 * LEASE);
+    run_for(&mut fleet, 2 * LEASE);
     fleet.served.clear();
-    let since = play(&mut fleet, 20 * S);
-    holds(&mut fleet, since, 0.93);
+    let since = run_for(&mut fleet, 20 * S);
+    assert_budget_used(&mut fleet, since, 0.93);
     let (least, most) = (fleet.served.values().min().unwrap(), fleet.served.values().max().unwrap());
-    assert!(*least as f64 > 0.8 * *most as f64, "even parts: {:?}", fleet.served);
+    assert!(*least as f64 > 0.8 * *most as f64, "uneven shares: {:?}", fleet.served);
 }
 
-/// A process stopped for longer than its lease: it uses none of it when it goes on.
+/// A process suspended for longer than its lease must not use that lease after it resumes.
 #[test]
-fn a_stalled_holder_goes_on_without_its_lease() {
-    let mut fleet = flooded(7, lan());
+fn a_suspended_holder_resumes_without_its_lease() {
+    let mut fleet = overloaded_fleet(7, lan());
     for i in 0..5 {
-        fleet.stall(i, true);
-        play(&mut fleet, 3 * LEASE);
-        fleet.stall(i, false);
-        play(&mut fleet, 2 * LEASE);
+        fleet.set_suspended(i, true);
+        run_for(&mut fleet, 3 * LEASE);
+        fleet.set_suspended(i, false);
+        run_for(&mut fleet, 2 * LEASE);
     }
-    assert!(fleet.in_use_max <= TOTAL, "{} at once", fleet.in_use_max);
+    assert!(fleet.in_use_max <= TOTAL, "{} units in use", fleet.in_use_max);
 }
 
-/// Restarted at once, over and over: neither its floor nor its lease is used twice.
+/// A server that is restarted repeatedly without a delay must not use its floor or its lease twice.
 #[test]
-fn a_server_restarted_over_and_over_uses_nothing_twice() {
-    let mut fleet = flooded(8, lan());
+fn a_repeatedly_restarted_server_uses_no_unit_twice() {
+    let mut fleet = overloaded_fleet(8, lan());
     for round in 0..40 {
         let i = round % 5;
         fleet.crash(i);
         fleet.start(i);
-        play(&mut fleet, 300 * MS);
+        run_for(&mut fleet, 300 * MS);
     }
-    assert!(fleet.in_use_max <= TOTAL, "{} at once", fleet.in_use_max);
-    play(&mut fleet, 4 * LEASE);
-    let since = play(&mut fleet, 20 * S);
-    holds(&mut fleet, since, 0.9);
+    assert!(fleet.in_use_max <= TOTAL, "{} units in use", fleet.in_use_max);
+    run_for(&mut fleet, 4 * LEASE);
+    let since = run_for(&mut fleet, 20 * S);
+    assert_budget_used(&mut fleet, since, 0.9);
 }
 
 #[test]
-fn a_smaller_budget_holds_after_a_lease_and_a_larger_one_is_used() {
-    let mut fleet = flooded(9, lan());
+fn a_smaller_total_applies_after_one_lease_and_a_larger_one_is_used() {
+    let mut fleet = overloaded_fleet(9, lan());
     for i in 0..5 {
-        fleet.state_mut(i).expect("runs").budgets[0].set_total(40).expect("good");
+        fleet.state_mut(i).expect("a running server").budgets[0].set_total(40).expect("a valid total");
     }
-    play(&mut fleet, LEASE + LEASE / 50);
+    run_for(&mut fleet, LEASE + LEASE / 50);
     fleet.in_use_max = 0;
-    let since = play(&mut fleet, 20 * S);
+    let since = run_for(&mut fleet, 20 * S);
     let mean = fleet.mean_use(since);
-    assert!(fleet.in_use_max <= 40 && mean > 30.0, "{} at once, {mean} in the mean", fleet.in_use_max);
+    assert!(fleet.in_use_max <= 40 && mean > 30.0, "{} units in use, {mean} in the mean", fleet.in_use_max);
     for i in 0..5 {
-        fleet.state_mut(i).expect("runs").budgets[0].set_total(100).expect("good");
+        fleet.state_mut(i).expect("a running server").budgets[0].set_total(100).expect("a valid total");
     }
-    play(&mut fleet, 2 * LEASE);
-    let since = play(&mut fleet, 20 * S);
-    holds(&mut fleet, since, 0.9);
-    let fault =
-        fleet.state_mut(0).expect("runs").budgets[0].set_total(15).expect_err("floors are 16").to_string();
-    assert!(fault.contains("floor") && fleet.state(0).expect("runs").budgets[0].settings().total == 100);
+    run_for(&mut fleet, 2 * LEASE);
+    let since = run_for(&mut fleet, 20 * S);
+    assert_budget_used(&mut fleet, since, 0.9);
+    let fault = fleet.state_mut(0).expect("a running server").budgets[0]
+        .set_total(15)
+        .expect_err("the floors sum to 16")
+        .to_string();
+    assert!(
+        fault.contains("floor")
+            && fleet.state(0).expect("a running server").budgets[0].settings().total == 100
+    );
 }
 
 fn body(from: &str, payload: Payload) -> Vec<u8> {
@@ -236,17 +246,17 @@
     postcard::to_allocvec(&Message { from, payload }).unwrap()
 }
 
-/// A peer that has the key and lies: grants never asked for or beyond all there is, claims of leases, huge
-/// wants, huge counts. Each refused and counted, and the budget holds.
+/// A malicious peer that has the key sends unsolicited and excessive grants, false reports of adopted leases,
+/// huge demands and huge counts. Each must be rejected and counted, and the budget must not be exceeded.
 #[test]
-fn a_lying_peer_gains_nothing() {
-    let mut fleet = flooded(10, lan());
+fn a_malicious_peer_gains_nothing() {
+    let mut fleet = overloaded_fleet(10, lan());
     let budget = |message: BudgetMessage| Payload::Budget { name: "records".into(), message };
     let term = Term { incarnation: EPOCH, rank: 1, election: 1 };
-    let me = fleet.state(4).expect("runs").id().clone();
+    let victim = fleet.state(4).expect("a running server").id().clone();
     for number in 0..500 {
         let grant = BudgetMessage::LeaseGrant {
-            incarnation: me.incarnation,
+            incarnation: victim.incarnation,
             request_number: number,
             term,
             grant_number: u64::MAX,
@@ -264,108 +274,118 @@
         }
     }
     let huge = CounterRow { counts: BTreeMap::from([("calls".into(), u64::MAX)]) };
-    let liar = ServerId { name: "s7".into(), incarnation: EPOCH };
-    let rows = Payload::Rows(vec![(liar, huge.clone()), (me.clone(), huge)]);
+    let malicious_peer = ServerId { name: "s7".into(), incarnation: EPOCH };
+    let rows = Payload::Rows(vec![(malicious_peer, huge.clone()), (victim.clone(), huge)]);
     fleet.inject(4, body("s7", rows));
     fleet.inject(4, b"no message at all".to_vec());
     fleet.inject(4, body("", Payload::Rows(Vec::new())));
-    let since = play(&mut fleet, 20 * S);
-    // What the liar asked for it was given within its part, for a lease time.
-    holds(&mut fleet, since, 0.7);
-    let state = fleet.state(4).expect("runs");
+    let since = run_for(&mut fleet, 20 * S);
+    // The malicious peer gets leases within its fair share for one lease duration.
+    assert_budget_used(&mut fleet, since, 0.7);
+    let state = fleet.state(4).expect("a running server");
     let counts = state.budgets[0].counters;
     assert!(counts.unsolicited > 0 && counts.excessive > 0, "{counts:?}");
-    let absurd: u64 = (0..5).map(|i| fleet.state(i).expect("runs").budgets[0].counters.invalid).sum();
-    assert!(absurd >= 500, "{absurd}");
-    let state = fleet.state(4).expect("runs");
+    let invalid: u64 =
+        (0..5).map(|i| fleet.state(i).expect("a running server").budgets[0].counters.invalid).sum();
+    assert!(invalid >= 500, "{invalid}");
+    let state = fleet.state(4).expect("a running server");
     let rejected = RejectedRows { full: 0, implausible: 1, own: 1 };
     assert_eq!((state.counters.rejected, state.messages.malformed), (rejected, 2));
 }
 
-fn exact(fleet: &Fleet, who: &[usize]) {
-    let all: u64 = fleet.served.values().sum();
-    for &i in who {
-        let total = fleet.state(i).expect("runs").counters.total("calls");
-        assert_eq!(total, all, "s{i} against what the dependency got");
+fn assert_exact_totals(fleet: &Fleet, servers: &[usize]) {
+    let served: u64 = fleet.served.values().sum();
+    for &i in servers {
+        let total = fleet.state(i).expect("a running server").counters.total("calls");
+        assert_eq!(total, served, "total at s{i} and calls received by the dependency");
     }
 }
 
 #[test]
-fn counts_after_a_heal_are_exactly_what_the_dependency_got() {
-    let net = NetworkFaults { loss: 0.1, duplicate: 0.3, delay: MS, jitter: 300 * MS };
-    let mut fleet = flooded(11, net);
-    (0..2).for_each(|i| fleet.group(i, 1));
+fn totals_after_a_healed_partition_equal_the_calls_received() {
+    let network = NetworkFaults { loss: 0.1, duplicate: 0.3, delay: MS, jitter: 300 * MS };
+    let mut fleet = overloaded_fleet(11, network);
+    (0..2).for_each(|i| fleet.set_group(i, 1));
     fleet.partition(0, 1);
-    play(&mut fleet, 60 * S);
-    let all: u64 = fleet.served.values().sum();
-    assert!(fleet.state(0).expect("runs").counters.total("calls") < all, "cut off, it cannot know");
+    run_for(&mut fleet, 60 * S);
+    let served: u64 = fleet.served.values().sum();
+    assert!(
+        fleet.state(0).expect("a running server").counters.total("calls") < served,
+        "a partitioned server lacks counts"
+    );
     fleet.heal();
-    (0..5).for_each(|i| fleet.demand(i, 0.0));
-    play(&mut fleet, 20 * S);
-    exact(&fleet, &[0, 1, 2, 3, 4]);
+    (0..5).for_each(|i| fleet.set_demand(i, 0.0));
+    run_for(&mut fleet, 20 * S);
+    assert_exact_totals(&fleet, &[0, 1, 2, 3, 4]);
 }
 
-/// A server is back with the incarnation it had before and counts from nothing: what it counts anew is not
-/// hidden below what the others remember of it.
+/// A server restarts with its earlier incarnation and with counts from 0. Its new counts must not be hidden
+/// by the larger counts that the others have stored for it.
 #[test]
 fn a_restart_with_an_old_incarnation_loses_no_counts() {
-    let mut fleet = flooded(12, lan());
-    let was = fleet.state(4).expect("runs").id().clone();
-    (0..5).for_each(|i| fleet.demand(i, 0.0));
-    play(&mut fleet, 10 * S);
-    exact(&fleet, &[0, 4]);
+    let mut fleet = overloaded_fleet(12, lan());
+    let old_id = fleet.state(4).expect("a running server").id().clone();
+    (0..5).for_each(|i| fleet.set_demand(i, 0.0));
+    run_for(&mut fleet, 10 * S);
+    assert_exact_totals(&fleet, &[0, 4]);
     fleet.crash(4);
-    fleet.start_as(4, was.clone());
-    play(&mut fleet, 5 * S);
-    (0..5).for_each(|i| fleet.demand(i, 500.0));
-    play(&mut fleet, 20 * S);
-    (0..5).for_each(|i| fleet.demand(i, 0.0));
-    play(&mut fleet, 20 * S);
-    exact(&fleet, &[0, 1, 2, 3, 4]);
-    assert!(fleet.state(4).expect("runs").counters.rejected.own > 0, "its own old row came back to it");
+    fleet.start_with_id(4, old_id.clone());
+    run_for(&mut fleet, 5 * S);
+    (0..5).for_each(|i| fleet.set_demand(i, 500.0));
+    run_for(&mut fleet, 20 * S);
+    (0..5).for_each(|i| fleet.set_demand(i, 0.0));
+    run_for(&mut fleet, 20 * S);
+    assert_exact_totals(&fleet, &[0, 1, 2, 3, 4]);
+    assert!(
+        fleet.state(4).expect("a running server").counters.rejected.own > 0,
+        "the server received its own old row"
+    );
 }
 
-/// `cargo test -p meadowstream-shared-state --release --test fleet -- --ignored --nocapture`
-/// prints the figures.
-/// A thousand servers, all asked for more than their part: the share of the budget that is used, and that
-/// nothing is ever beyond it, through a crash of a tenth of them. Figures in docs/shared-state.md.
+/// A thousand servers, all with more demand than their share. Measures the used share of the budget and
+/// asserts that the budget is never exceeded, also while a tenth of the servers crash. The figures are in
+/// docs/shared-state.md.
+///
+/// Prints the figures with `cargo test -p meadowstream-shared-state --release --test fleet -- --ignored
+/// --nocapture`.
 #[test]
 #[ignore]
-fn a_thousand_servers_use_the_budget_and_never_pass_it() {
+fn a_thousand_servers_use_the_budget_and_never_exceed_it() {
     let (n, total) = (1000, 10_000);
     let mut fleet = Fleet::new(n, settings(total, 1, n as u64), 13, lan());
     fleet.call_duration = 180 * MS;
     for i in 0..n {
         fleet.start(i);
-        fleet.demand(i, 110.0);
+        fleet.set_demand(i, 110.0);
     }
     fleet.run_until(12 * S);
-    let since = play(&mut fleet, 6 * S);
+    let since = run_for(&mut fleet, 6 * S);
     let even = fleet.mean_use(since) / total as f64;
-    // A tenth wants five times its part, the others under half of theirs.
-    (0..n).for_each(|i| fleet.demand(i, if i % 10 == 0 { 300.0 } else { 20.0 }));
-    play(&mut fleet, 2 * LEASE);
-    let since = play(&mut fleet, 6 * S);
+    // A tenth of the servers have five times their share of demand, the others less than half of their
+    // shares.
+    (0..n).for_each(|i| fleet.set_demand(i, if i % 10 == 0 { 300.0 } else { 20.0 }));
+    run_for(&mut fleet, 2 * LEASE);
+    let since = run_for(&mut fleet, 6 * S);
     let uneven = fleet.mean_use(since) / total as f64;
     (500..600).for_each(|i| fleet.crash(i));
-    (0..n).for_each(|i| fleet.demand(i, 110.0));
-    play(&mut fleet, 2 * LEASE);
-    let since = play(&mut fleet, 6 * S);
+    (0..n).for_each(|i| fleet.set_demand(i, 110.0));
+    run_for(&mut fleet, 2 * LEASE);
+    let since = run_for(&mut fleet, 6 * S);
     let crashed = fleet.mean_use(since) / total as f64;
     let sent: u64 = (0..n).filter_map(|i| fleet.state(i)).map(|state| state.messages.sent_bytes).sum();
     let rate = sent as f64 / n as f64 / (fleet.now() as f64 / 1e9);
     eprintln!(
-        "share used: all asked alike {even:.3}, unevenly {uneven:.3}, a tenth crashed {crashed:.3}; most at \
-         once {} of {total}; {rate:.0} bytes sent per server and second",
+        "share used: even demand {even:.3}, uneven demand {uneven:.3}, a tenth crashed {crashed:.3}; at most \
+         {} of {total} units in use; {rate:.0} bytes sent per server and second",
         fleet.in_use_max
     );
-    assert!(fleet.in_use_max <= total, "{} at once", fleet.in_use_max);
+    assert!(fleet.in_use_max <= total, "{} units in use", fleet.in_use_max);
     assert!(even >= 0.9 && uneven >= 0.6 && crashed >= 0.85, "{even} {uneven} {crashed}");
 }
 
-/// The messages as the release before had them, written out: what it sends is read here, what it does not
-/// know it refuses whole, counts as malformed and goes on.
-mod release_before {
+/// Message types of the previous release. This release must read the messages of the previous one. The
+/// previous release rejects a message that it does not know as a whole, counts it as malformed and continues.
+mod previous_release {
     use meadowstream_shared_state::ServerId;
     use meadowstream_shared_state::budget::BudgetMessage;
     use meadowstream_shared_state::counters::CounterRow;
@@ -396,20 +416,20 @@
 }
 
 #[test]
-fn the_release_before_and_this_one_understand_each_other() {
+fn the_previous_and_this_release_are_compatible() {
     use meadowstream_shared_state::outlier_detection::{Report, ServiceHealth};
     use meadowstream_shared_state::{Message, Payload, ROLLOUT_ORDERS};
     let from = ServerId { name: "s1".into(), incarnation: 7 };
     let report = Report { by: from.clone(), service: 1, health: ServiceHealth::Slow, age: 3 };
-    let old = release_before::Message {
+    let old = previous_release::Message {
         from: from.clone(),
-        payload: release_before::Payload::Reports(vec![report.clone()]),
+        payload: previous_release::Payload::Reports(vec![report.clone()]),
     };
     let read: Message = postcard::from_bytes(&postcard::to_allocvec(&old).unwrap()).unwrap();
     assert_eq!(read, Message { from: from.clone(), payload: Payload::Reports(vec![report.clone()]) });
     let new = postcard::to_allocvec(&read).unwrap();
-    assert_eq!(postcard::from_bytes::<release_before::Message>(&new), Ok(old));
+    assert_eq!(postcard::from_bytes::<previous_release::Message>(&new), Ok(old));
     let later = Message { from, payload: Payload::Other { topic: ROLLOUT_ORDERS, body: vec![1, 2, 3] } };
     let later = postcard::to_allocvec(&later).unwrap();
-    assert!(postcard::from_bytes::<release_before::Message>(&later).is_err());
+    assert!(postcard::from_bytes::<previous_release::Message>(&later).is_err());
 }
--- a/crates/shared-state/tests/model.rs
+++ b/crates/shared-state/tests/model.rs
@@ -1,8 +1,8 @@
-//! Interleavings of a small fleet's lease protocol, the nearest two million: messages lost,
-//! doubled and out of order, servers killed
-//! and started again, and clocks that differ by the stated margin at most. The machines are the real ones.
-//! In no state may the units that servers could take sum past the budget. `cargo test -p
-//! meadowstream-shared-state --release --test model -- --nocapture` prints the numbers of states.
+//! Model check of the lease protocol in a small fleet: explores the nearest two million states, with messages
+//! lost, duplicated and reordered, servers killed and restarted, and clocks that differ by at most the stated
+//! margin. The model runs the real state machines. In no state may the units that the servers can use sum to
+//! more than the budget. `cargo test -p meadowstream-shared-state --release --test model -- --nocapture`
+//! prints the numbers of states.
 
 use meadowstream_shared_state::ServerId;
 use meadowstream_shared_state::budget::{Budget, BudgetCounters, BudgetMessage, BudgetSettings, Outgoing};
@@ -12,32 +12,33 @@
 
 const TOTAL: u64 = 3;
 
-/// Faults put in on purpose, which the checker must find.
+/// Faults injected on purpose, which the checker must find.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     None,
-    /// The margin is that of clocks which differ by half as much.
+    /// The drift margin is half of what the clocks need.
     NoMargin,
-    /// One started again votes at once and, elected, gives at once: promises and leases of before are
-    /// forgotten.
-    GivesAtOnce,
+    /// A restarted server votes immediately and, once elected, grants immediately, without regard to earlier
+    /// votes and leases.
+    NoWait,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct World {
+struct FleetState {
     servers: Vec<Option<Budget>>,
     clocks: Vec<u64>,
-    lives: Vec<u64>,
-    /// From whom, to which server, what: a set, so that what was sent may come at any later time, more than
-    /// once or never.
+    incarnations: Vec<u64>,
+    /// Messages as (sender, receiver, content). A set, so that a sent message may be delivered at any later
+    /// time, more than once or never.
     sent: BTreeSet<(ServerId, usize, BudgetMessage)>,
-    /// Starts from which what was delivered already cannot matter any more are left to the checker.
+    /// Number of servers killed so far. States after a restart are not pruned, even where the messages
+    /// delivered before it can no longer have an effect.
     kills: u8,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum Step {
-    /// One server's clock goes on by a tick and it does what is due.
+enum FleetAction {
+    /// A server's clock advances by a tick, and the server performs its due actions.
     Tick(usize),
     Deliver(ServerId, usize, BudgetMessage),
     Lose(ServerId, usize, BudgetMessage),
@@ -45,108 +46,114 @@
     Start(usize),
 }
 
-struct Leases {
+struct LeaseModel {
     fault: Fault,
-    /// Ticks of a lease and a term. Clocks are apart by one tick at most either way, so that one may pass the
-    /// other by two over any span, which is the margin.
+    /// Duration of a lease, in ticks. Clocks differ by at most one tick in either direction, so over any span
+    /// one clock may advance by two ticks more than the other. This is the drift margin.
     lease: u64,
     term: u64,
     servers: usize,
     voters: usize,
-    /// Bounds of the search: ticks of a clock, messages under way, servers killed.
+    /// Bounds of the search: ticks of each clock, messages in transit and servers killed.
     ticks: u64,
-    under_way: usize,
+    in_transit: usize,
     kills: u8,
 }
 
-impl Leases {
-    fn budget(&self, i: usize, life: u64, clock: u64) -> Budget {
+impl LeaseModel {
+    fn budget(&self, i: usize, incarnation: u64, clock: u64) -> Budget {
         let voters = (0..self.voters).map(|i| format!("s{i}")).collect();
-        let mut plan = BudgetSettings::new("b", TOTAL, 0, self.servers as u64, voters, self.lease, 0);
-        (plan.refresh_interval, plan.term_duration, plan.drift_margin) = (1, self.term, 2);
+        let mut settings = BudgetSettings::new("b", TOTAL, 0, self.servers as u64, voters, self.lease, 0);
+        (settings.refresh_interval, settings.term_duration, settings.drift_margin) = (1, self.term, 2);
         if self.fault == Fault::NoMargin {
-            plan.drift_margin = 1;
+            settings.drift_margin = 1;
         }
-        let me = ServerId { name: format!("s{i}"), incarnation: life };
+        let id = ServerId { name: format!("s{i}"), incarnation };
         let mut time = Time::both(clock + 10);
-        if life == 0 || self.fault == Fault::GivesAtOnce {
-            // At the first start of all nobody has promised anything.
+        if incarnation == 0 || self.fault == Fault::NoWait {
+            // At the first start of the fleet there are no earlier votes or leases.
             time.slow = 0;
         }
-        let mut budget = Budget::new(me, plan, time).expect("a good plan");
+        let mut budget = Budget::new(id, settings, time).expect("valid settings");
         budget.set_demand(TOTAL, 0);
         budget
     }
 
-    fn time(&self, world: &World, i: usize) -> Time {
+    fn time(&self, state: &FleetState, i: usize) -> Time {
         let _ = self;
-        Time::both(world.clocks[i] + 10)
+        Time::both(state.clocks[i] + 10)
     }
 
-    fn post(&self, world: &mut World, from: usize, outgoing: Vec<Outgoing>) {
-        let me = ServerId { name: format!("s{from}"), incarnation: world.lives[from] };
+    fn send(&self, state: &mut FleetState, from: usize, outgoing: Vec<Outgoing>) {
+        let sender = ServerId { name: format!("s{from}"), incarnation: state.incarnations[from] };
         for Outgoing { to, message } in outgoing {
             let to: usize = to[1..].parse().expect("a number");
-            if world.sent.len() < self.under_way {
-                world.sent.insert((me.clone(), to, message));
+            if state.sent.len() < self.in_transit {
+                state.sent.insert((sender.clone(), to, message));
             }
         }
     }
 
-    /// Units that the servers could take now, each by its own clock.
-    fn could_take(&self, world: &World) -> u64 {
-        let could = |(i, budget): (usize, &Option<Budget>)| {
+    /// Returns the units that the servers may use now, each by its own clock.
+    fn usable_units(&self, state: &FleetState) -> u64 {
+        let usable = |(i, budget): (usize, &Option<Budget>)| {
             let budget = budget.as_ref()?;
-            let time = Time { fast: world.clocks[i] + 10, slow: world.clocks[i] + 10 };
-            let ceiling = budget.allowance(time);
-            Some(ceiling.leased)
+            let time = Time { fast: state.clocks[i] + 10, slow: state.clocks[i] + 10 };
+            let allowance = budget.allowance(time);
+            Some(allowance.leased)
         };
-        world.servers.iter().enumerate().filter_map(could).sum()
+        state.servers.iter().enumerate().filter_map(usable).sum()
     }
 }
 
-impl Model for Leases {
-    type State = World;
-    type Action = Step;
+impl Model for LeaseModel {
+    type State = FleetState;
+    type Action = FleetAction;
 
-    fn init_states(&self) -> Vec<World> {
+    fn init_states(&self) -> Vec<FleetState> {
         let clocks = vec![0; self.servers];
         let servers = (0..self.servers).map(|i| Some(self.budget(i, 0, 0))).collect();
-        vec![World { servers, lives: vec![0; self.servers], clocks, sent: BTreeSet::new(), kills: 0 }]
+        vec![FleetState {
+            servers,
+            incarnations: vec![0; self.servers],
+            clocks,
+            sent: BTreeSet::new(),
+            kills: 0,
+        }]
     }
 
-    fn actions(&self, world: &World, steps: &mut Vec<Step>) {
-        let least = *world.clocks.iter().min().expect("some");
+    fn actions(&self, state: &FleetState, actions: &mut Vec<FleetAction>) {
+        let least = *state.clocks.iter().min().expect("at least one server");
         for i in 0..self.servers {
-            if world.clocks[i] <= least && world.clocks[i] < self.ticks {
-                steps.push(Step::Tick(i));
+            if state.clocks[i] <= least && state.clocks[i] < self.ticks {
+                actions.push(FleetAction::Tick(i));
             }
-            match &world.servers[i] {
-                Some(_) if world.kills < self.kills => steps.push(Step::Kill(i)),
-                None => steps.push(Step::Start(i)),
+            match &state.servers[i] {
+                Some(_) if state.kills < self.kills => actions.push(FleetAction::Kill(i)),
+                None => actions.push(FleetAction::Start(i)),
                 Some(_) => {}
             }
         }
-        for (from, to, message) in &world.sent {
-            if world.servers[*to].is_some() {
-                steps.push(Step::Deliver(from.clone(), *to, message.clone()));
+        for (from, to, message) in &state.sent {
+            if state.servers[*to].is_some() {
+                actions.push(FleetAction::Deliver(from.clone(), *to, message.clone()));
             }
-            steps.push(Step::Lose(from.clone(), *to, message.clone()));
+            actions.push(FleetAction::Lose(from.clone(), *to, message.clone()));
         }
     }
 
-    fn next_state(&self, world: &World, step: Step) -> Option<World> {
-        let mut next = world.clone();
-        match step {
-            Step::Tick(i) => {
+    fn next_state(&self, state: &FleetState, action: FleetAction) -> Option<FleetState> {
+        let mut next = state.clone();
+        match action {
+            FleetAction::Tick(i) => {
                 next.clocks[i] += 1;
                 let time = self.time(&next, i);
                 if let Some(budget) = &mut next.servers[i] {
                     let out = budget.advance(time, 0);
-                    self.post(&mut next, i, out);
+                    self.send(&mut next, i, out);
                 }
             }
-            Step::Deliver(from, to, message) => {
+            FleetAction::Deliver(from, to, message) => {
                 let time = self.time(&next, to);
                 let budget = next.servers[to].as_mut()?;
                 let before = budget.clone();
@@ -154,104 +161,110 @@
                 if *budget == before && out.is_empty() {
                     return None;
                 }
-                self.post(&mut next, to, out);
+                self.send(&mut next, to, out);
             }
-            Step::Lose(from, to, message) => {
+            FleetAction::Lose(from, to, message) => {
                 next.sent.remove(&(from, to, message));
             }
-            Step::Kill(i) => {
+            FleetAction::Kill(i) => {
                 next.servers[i] = None;
                 next.kills += 1;
             }
-            Step::Start(i) => {
-                next.lives[i] += 1;
-                let (life, clock) = (next.lives[i], next.clocks[i]);
-                next.servers[i] = Some(self.budget(i, life, clock));
+            FleetAction::Start(i) => {
+                next.incarnations[i] += 1;
+                let (incarnation, clock) = (next.incarnations[i], next.clocks[i]);
+                next.servers[i] = Some(self.budget(i, incarnation, clock));
             }
         }
-        // Before the first kill nobody gave before: the wait is left out, so that the search goes further.
-        if self.fault == Fault::GivesAtOnce || next.kills == 0 {
+        // Before the first kill there are no earlier leases, so the wait of a new grantor is skipped to
+        // search deeper.
+        if self.fault == Fault::NoWait || next.kills == 0 {
             next.servers.iter_mut().flatten().for_each(Budget::skip_grant_wait);
         }
-        // BudgetCounters decide nothing and would tell states apart that are the same.
+        // Counters do not affect behaviour, but would make equal states distinct. Only whether a grant was
+        // sent is kept, for the properties.
         for budget in next.servers.iter_mut().flatten() {
-            let given = budget.counters.grants_sent.min(1);
-            budget.counters = BudgetCounters { grants_sent: given, ..BudgetCounters::default() };
+            let grants_sent = budget.counters.grants_sent.min(1);
+            budget.counters = BudgetCounters { grants_sent, ..BudgetCounters::default() };
         }
         Some(next)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("leases sum to the budget at most", |model: &Leases, world: &World| {
-                model.could_take(world) <= TOTAL
+            Property::always(LEASES_WITHIN_BUDGET, |model: &LeaseModel, state: &FleetState| {
+                model.usable_units(state) <= TOTAL
             }),
-            Property::sometimes("one holds a lease", |model: &Leases, world: &World| {
-                model.could_take(world) > 0
+            Property::sometimes("a server holds a lease", |model: &LeaseModel, state: &FleetState| {
+                model.usable_units(state) > 0
             }),
-            Property::sometimes("two hold leases at once", |model: &Leases, world: &World| {
-                let holds = |(i, budget): (usize, &Option<Budget>)| {
-                    let at = Time::both(world.clocks[i] + 10);
-                    budget.as_ref().is_some_and(|budget| budget.allowance(at).leased > 0)
-                };
-                let _ = model;
-                world.servers.iter().enumerate().filter(|each| holds(*each)).count() >= 2
-            }),
-            Property::sometimes("a second grantor gives", |_: &Leases, world: &World| {
-                let gave = |budget: &Budget| budget.counters.grants_sent > 0;
-                world.servers.iter().flatten().filter(|budget| gave(budget)).count() >= 2
+            Property::sometimes(
+                "two servers hold leases at once",
+                |model: &LeaseModel, state: &FleetState| {
+                    let holds = |(i, budget): (usize, &Option<Budget>)| {
+                        let at = Time::both(state.clocks[i] + 10);
+                        budget.as_ref().is_some_and(|budget| budget.allowance(at).leased > 0)
+                    };
+                    let _ = model;
+                    state.servers.iter().enumerate().filter(|each| holds(*each)).count() >= 2
+                },
+            ),
+            Property::sometimes("a second grantor grants", |_: &LeaseModel, state: &FleetState| {
+                let has_granted = |budget: &Budget| budget.counters.grants_sent > 0;
+                state.servers.iter().flatten().filter(|budget| has_granted(budget)).count() >= 2
             }),
         ]
     }
 }
 
-/// States come to at most, the same ones counted each time; the nearest first.
-const MOST: usize = 2_000_000;
+/// Maximum number of states generated, nearest first. A state is counted each time it is reached.
+const STATES_MAX: usize = 2_000_000;
 
-fn check(model: Leases, what: &str) -> (usize, Vec<&'static str>) {
-    // Whoever looks for a fault looks until it is found.
-    let most = if model.fault == Fault::None { MOST } else { 4 * MOST };
-    let done = HasDiscoveries::AnyOf(std::iter::once(BROKEN).collect());
+fn check(model: LeaseModel, label: &str) -> (usize, Vec<&'static str>) {
+    // A search for an injected fault continues until it is found, up to four times as many states.
+    let states_max = if model.fault == Fault::None { STATES_MAX } else { 4 * STATES_MAX };
+    let done = HasDiscoveries::AnyOf(std::iter::once(LEASES_WITHIN_BUDGET).collect());
     let began = std::time::Instant::now();
-    let checker = model.checker().threads(4).target_state_count(most).finish_when(done).spawn_bfs().join();
+    let checker =
+        model.checker().threads(4).target_state_count(states_max).finish_when(done).spawn_bfs().join();
     let found = checker.discoveries().keys().copied().collect::<Vec<_>>();
     let states = checker.unique_state_count();
-    eprintln!("{what}: {states} states in {:?}, found {found:?}", began.elapsed());
+    eprintln!("{label}: {states} states in {:?}, found {found:?}", began.elapsed());
     (states, found)
 }
 
-const BROKEN: &str = "leases sum to the budget at most";
+const LEASES_WITHIN_BUDGET: &str = "leases sum to the budget at most";
 
-fn small(fault: Fault) -> Leases {
-    Leases { fault, lease: 3, term: 2, servers: 2, voters: 1, ticks: 6, under_way: 2, kills: 1 }
+fn small(fault: Fault) -> LeaseModel {
+    LeaseModel { fault, lease: 3, term: 2, servers: 2, voters: 1, ticks: 6, in_transit: 2, kills: 1 }
 }
 
 #[test]
-fn two_servers_and_one_voter_pass_the_budget_in_none_of_the_nearest_states() {
+fn two_servers_and_one_voter_exceed_the_budget_in_none_of_the_nearest_states() {
     let (states, found) = check(small(Fault::None), "two servers, one voter, a kill");
     assert!(states > 100_000, "{states} states");
-    assert!(!found.contains(&BROKEN), "{found:?}");
-    assert!(found.contains(&"two hold leases at once"), "{found:?}");
+    assert!(!found.contains(&LEASES_WITHIN_BUDGET), "{found:?}");
+    assert!(found.contains(&"two servers hold leases at once"), "{found:?}");
 }
 
-/// Three voters elect by a majority; the search is cut at so many states, nearest first.
+/// Three voters elect the grantor by majority. The search is limited to the nearest states.
 #[test]
-fn three_voters_pass_it_in_none_of_the_nearest_states() {
-    let model = Leases { servers: 3, voters: 3, under_way: 4, ticks: 5, ..small(Fault::None) };
+fn three_voters_exceed_the_budget_in_none_of_the_nearest_states() {
+    let model = LeaseModel { servers: 3, voters: 3, in_transit: 4, ticks: 5, ..small(Fault::None) };
     let (states, found) = check(model, "three servers, three voters, a kill");
-    assert!(states > 100_000 && !found.contains(&BROKEN), "{states} states, {found:?}");
-    assert!(found.contains(&"one holds a lease"), "{found:?}");
+    assert!(states > 100_000 && !found.contains(&LEASES_WITHIN_BUDGET), "{states} states, {found:?}");
+    assert!(found.contains(&"a server holds a lease"), "{found:?}");
 }
 
 #[test]
-fn too_small_a_margin_is_found() {
-    let (_, found) = check(small(Fault::NoMargin), "a margin too small");
-    assert!(found.contains(&BROKEN), "{found:?}");
+fn a_too_small_drift_margin_is_detected() {
+    let (_, found) = check(small(Fault::NoMargin), "drift margin too small");
+    assert!(found.contains(&LEASES_WITHIN_BUDGET), "{found:?}");
 }
 
 #[test]
-fn a_new_grantor_that_does_not_wait_is_found() {
-    let model = Leases { lease: 8, ticks: 7, ..small(Fault::GivesAtOnce) };
-    let (_, found) = check(model, "a new grantor that gives at once");
-    assert!(found.contains(&BROKEN), "{found:?}");
+fn a_new_grantor_that_does_not_wait_is_detected() {
+    let model = LeaseModel { lease: 8, ticks: 7, ..small(Fault::NoWait) };
+    let (_, found) = check(model, "a new grantor that does not wait");
+    assert!(found.contains(&LEASES_WITHIN_BUDGET), "{found:?}");
 }
--- a/crates/shared-state/tests/outlier_detection.rs
+++ b/crates/shared-state/tests/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: when a service is ejected, and which reports count.
+//! Outlier detection: the conditions for the ejection of a service, and the validation of reports.
 
 use meadowstream_shared_state::ServerId;
 use meadowstream_shared_state::clock::Time;
@@ -19,9 +19,9 @@
     (0..n).map(|i| OutlierDetector::new(server(i), settings(services, share)).unwrap()).collect()
 }
 
-/// So many calls of one server to a service.
-fn calls(detector: &mut OutlierDetector, at: u64, service: usize, good: bool, took: u64) {
-    (0..10).for_each(|_| detector.record_call(Time::both(at), service, good, took));
+/// Records ten calls of one server to a service.
+fn record_calls(detector: &mut OutlierDetector, at: u64, service: usize, succeeded: bool, duration: u64) {
+    (0..10).for_each(|_| detector.record_call(Time::both(at), service, succeeded, duration));
 }
 
 fn gossip(detectors: &mut [OutlierDetector], from: usize, to: usize, at: u64) {
@@ -32,22 +32,23 @@
 #[test]
 fn two_accusers_eject_a_service_and_one_does_not() {
     let mut fleet = detectors(4, 4, 500);
-    calls(&mut fleet[0], 0, 1, false, S);
+    record_calls(&mut fleet[0], 0, 1, false, S);
     for to in 1..4 {
         gossip(&mut fleet, 0, to, S / 10);
     }
-    // The accuser has heard others, who find nothing.
+    // The accuser receives a report from another server, which finds every service healthy.
     gossip(&mut fleet, 2, 0, S / 10);
     assert!(fleet.iter().all(|detector| detector.ejected(Time::both(S / 10)).is_empty()));
-    calls(&mut fleet[1], 0, 1, false, S);
-    // Told to one and by that one to the next: reports are relayed.
+    record_calls(&mut fleet[1], 0, 1, false, S);
+    // The report is relayed from server to server.
     gossip(&mut fleet, 1, 2, S / 5);
     gossip(&mut fleet, 2, 3, S / 5);
     gossip(&mut fleet, 3, 0, S / 5);
     for detector in &fleet {
         assert_eq!(detector.ejected(Time::both(S / 5)), [1]);
     }
-    // Nobody says so any more: it comes back, and one cut off goes by its own evidence.
+    // Without new reports the service is no longer ejected. The server counts as isolated and relies on its
+    // own evidence.
     let late = Time::both(12 * S);
     assert!(fleet[3].ejected(late).is_empty() && fleet[3].is_isolated(late));
 }
@@ -55,26 +56,27 @@
 #[test]
 fn an_isolated_server_relies_on_its_own_evidence() {
     let mut detector = detectors(1, 4, 500).remove(0);
-    calls(&mut detector, 0, 2, false, S);
+    record_calls(&mut detector, 0, 2, false, S);
     assert_eq!(detector.ejected(Time::both(1)), [2]);
-    (0..4).for_each(|service| calls(&mut detector, 0, service, true, if service == 3 { 9 * S } else { S }));
+    (0..4).for_each(|service| {
+        record_calls(&mut detector, 0, service, true, if service == 3 { 9 * S } else { S })
+    });
     assert_eq!(detector.local_health(Time::both(1), 3), ServiceHealth::Slow);
 }
 
-/// Whatever is reported: a network fault that makes every server accuse every service leaves most of the
-/// tier in use.
+/// A network fault that makes every server accuse every service must leave most of the tier in use.
 #[test]
-fn never_more_than_the_share_of_a_tier_is_ejected() {
-    for (services, share, most) in [(4, 500, 2), (3, 340, 1), (2, 340, 0), (10, 300, 3), (1, 1000, 1)] {
+fn at_most_the_configured_share_of_a_tier_is_ejected() {
+    for (services, share, ejected) in [(4, 500, 2), (3, 340, 1), (2, 340, 0), (10, 300, 3), (1, 1000, 1)] {
         let mut fleet = detectors(5, services, share);
         for detector in &mut fleet {
-            (0..services).for_each(|service| calls(detector, 0, service, false, S));
+            (0..services).for_each(|service| record_calls(detector, 0, service, false, S));
         }
         for from in 0..5 {
             (0..5).filter(|to| *to != from).for_each(|to| gossip(&mut fleet, from, to, 1));
         }
         for detector in &fleet {
-            assert_eq!(detector.ejected(Time::both(1)).len(), most, "{services} services");
+            assert_eq!(detector.ejected(Time::both(1)).len(), ejected, "{services} services");
         }
     }
 }
@@ -98,21 +100,21 @@
         Time::both(1),
         &[report(2, 0, ServiceHealth::Healthy, S), report(1, 0, ServiceHealth::Failing, 0)],
     );
-    assert_eq!(detector.accusers(Time::both(1), 0), 0, "a report of its life before");
+    assert_eq!(detector.accusers(Time::both(1), 0), 0, "a report of an earlier incarnation");
     detector.merge_reports(Time::both(2), &[report(2, 0, ServiceHealth::Failing, 2 * S)]);
-    assert_eq!(detector.accusers(Time::both(2), 0), 0, "older than what is known");
+    assert_eq!(detector.accusers(Time::both(2), 0), 0, "a report older than the stored one");
     detector.merge_reports(Time::both(2), &[report(2, 0, ServiceHealth::Failing, 0)]);
     assert_eq!(detector.accusers(Time::both(2), 0), 1);
 }
 
 #[test]
-fn bad_settings_name_their_place() {
-    let bad = |change: fn(&mut Settings)| {
-        let mut given = settings(2, 500);
-        change(&mut given);
-        given.check().unwrap_err().to_string()
+fn errors_name_the_invalid_setting() {
+    let error = |change: fn(&mut Settings)| {
+        let mut invalid = settings(2, 500);
+        change(&mut invalid);
+        invalid.check().unwrap_err().to_string()
     };
-    assert!(bad(|s| s.services[1] = "bank-0".into()).contains("service"));
-    assert!(bad(|s| s.accusers_min = 0).contains("reports"));
-    assert!(bad(|s| s.max_ejected_thousandths = 1001).contains("eject-share"));
+    assert!(error(|s| s.services[1] = "bank-0".into()).contains("service"));
+    assert!(error(|s| s.accusers_min = 0).contains("reports"));
+    assert!(error(|s| s.max_ejected_thousandths = 1001).contains("eject-share"));
 }
