--- a/crates/fair-queueing/src/accounts.rs
+++ b/crates/fair-queueing/src/accounts.rs
@@ -39,8 +39,9 @@
     /// Serial number of the account, which distinguishes it from earlier accounts in the same slot.
     serial: u32,
     used_at: Nanos,
-    /// Index of the next more recently used entry; `older` is the index of the next less recently used one.
+    /// Index of the next more recently used entry in the LRU list.
     newer: u32,
+    /// Index of the next less recently used entry in the LRU list.
     older: u32,
 }
 
@@ -108,7 +109,8 @@
         }
     }
 
-    /// Removes a tenant's named mark; has no effect if the tenant is not named.
+    /// Removes a tenant's named mark, so that its account may be evicted again. No effect if the tenant is
+    /// not named.
     pub fn unpin(&mut self, fingerprint: Fingerprint, weight: f64, now: Nanos) {
         let Some(index) = self.indices.get(&fingerprint).copied() else { return };
         let entry = &mut self.entries[index as usize];
--- a/crates/fair-queueing/src/finish_sketch.rs
+++ b/crates/fair-queueing/src/finish_sketch.rs
@@ -55,8 +55,8 @@
         self.cells.capacity() * size_of::<u32>()
     }
 
-    /// Returns the indices of a tenant's cells. Any number of hashes can be derived from two independent
-    /// ones, here the two halves of the fingerprint (Kirsch and Mitzenmacher, 2006).
+    /// Returns the indices of a tenant's cells. Two independent hashes, here the two halves of the
+    /// fingerprint, yield any number of hashes (Kirsch and Mitzenmacher, 2006).
     fn cells_of(&self, fingerprint: Fingerprint) -> [usize; CELLS_PER_TENANT] {
         let (first, second) = (fingerprint.low_half(), fingerprint.high_half() | 1);
         std::array::from_fn(|i| {
--- a/crates/fair-queueing/src/known_names.rs
+++ b/crates/fair-queueing/src/known_names.rs
@@ -1,8 +1,7 @@
-//! Names seen recently and the time of their first visit: a set-associative table of short tags derived from
-//! their fingerprints.
+//! Recently seen names and the times of their first visits: a set-associative table of short tags derived
+//! from the names' fingerprints.
 //!
-//! A name with enough visits is evicted only after it has been unused for long, however many new names
-//! arrive.
+//! A name with enough visits is evicted only after 300 s without a visit, however many new names arrive.
 //!
 //! Times are stored in steps of 250 ms that wrap around. The last visit has 12 bits, so a name that has been
 //! unused for 1,024 s, or a multiple of that, appears to have been used just now. The first visit has 16
@@ -65,13 +64,13 @@
 #[derive(Debug)]
 pub struct KnownNames {
     sets: Vec<[NameRecord; WAYS]>,
-    /// Number of visits after which a name is evicted only once it has been unused for long.
+    /// Number of visits after which a name is evicted only after [`UNUSED_MAX_NS`] without another visit.
     kept_visits: u16,
 }
 
 impl KnownNames {
     /// Creates a table for this many names, rounded up. A name with at least `kept_visits` visits is evicted
-    /// only once it has been unused for long.
+    /// only after 300 s without another visit.
     pub fn new(names: usize, kept_visits: u8) -> Self {
         let sets = vec![[NameRecord::default(); WAYS]; Self::sets(names)];
         Self { sets, kept_visits: u16::from(kept_visits) }
@@ -109,8 +108,8 @@
     }
 
     /// Replaces the record with the fewest visits, and among equals the one unused for longest. A record with
-    /// enough visits is replaced only once it has been unused for long; if all are such records and in use,
-    /// the new name is not stored.
+    /// at least `kept_visits` visits is replaced only after [`UNUSED_MAX_NS`] without a visit. If no record
+    /// may be replaced, the new name is not stored.
     fn replace_least_visited(set: &mut [NameRecord; WAYS], kept_visits: u16, new: NameRecord, step: u16) {
         let rank = |record: &&mut NameRecord| (record.visits().min(kept_visits), !record.steps_unused(step));
         let Some(least) = set.iter_mut().min_by_key(rank) else { return };
--- a/crates/fair-queueing/src/origins.rs
+++ b/crates/fair-queueing/src/origins.rs
@@ -22,14 +22,14 @@
 const NAMES_PER_ESTIMATE: u64 = 16;
 /// Registers of the HyperLogLog estimator of an origin's names.
 const NAME_REGISTERS: usize = 64;
-/// Multiplier that spreads the origins beyond the limit over the existing slots (Fibonacci hashing).
+/// Multiplier of the hash that assigns the origins beyond the limit to existing slots (Fibonacci hashing).
 const HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// Usage shared by all newcomers of one origin.
 #[derive(Debug, Default)]
 pub struct Origin {
     id: u64,
-    /// Virtual time up to which the newcomers have used their shared share.
+    /// Virtual time up to which the newcomers have used their common share.
     pub finish: f64,
     /// Tails of the newcomers' queues.
     pub tails: QueueTails,
--- a/crates/fair-queueing/src/promises.rs
+++ b/crates/fair-queueing/src/promises.rs
@@ -10,8 +10,8 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::HashMap;
 
-/// Maximum random extension of a promised wait, as a ratio of the wait. It spreads the returns of arrivals
-/// that were rejected together.
+/// Maximum random extension of a promised wait, as a ratio of the wait. The extension spreads the returns of
+/// arrivals that were rejected together.
 const SPREAD_RATIO: f64 = 0.25;
 /// Minimum range of the random extension, as a ratio of the longest wait that may be promised.
 const SPREAD_LEAST_RATIO: f64 = 0.02;
--- a/crates/fair-queueing/src/reconfiguration.rs
+++ b/crates/fair-queueing/src/reconfiguration.rs
@@ -16,13 +16,13 @@
     pub unnamed: Vec<Vec<u8>>,
     /// Tenants that are newly named or have a different weight.
     pub named: Vec<NamedTenant>,
-    /// See [`Settings::names_per_origin`].
+    /// New value of [`Settings::names_per_origin`].
     pub names_per_origin: f64,
-    /// See [`Settings::default_weight`].
+    /// New value of [`Settings::default_weight`].
     pub default_weight: f64,
-    /// See [`Settings::burst`].
+    /// New value of [`Settings::burst`].
     pub burst: Nanos,
-    /// See [`Settings::probation`].
+    /// New value of [`Settings::probation`].
     pub probation: Nanos,
 }
 
--- a/crates/fair-queueing/src/scheduler.rs
+++ b/crates/fair-queueing/src/scheduler.rs
@@ -11,8 +11,8 @@
 use crate::tenant::{Fingerprint, FingerprintKey, TenantKey};
 use crate::usage::{LocatedArrival, RateSnapshot, Usage, UsageLocation};
 
-/// Maximum shortfall of virtual time at a return, as a ratio of the predicted advance. With a larger
-/// shortfall, the promise is not honoured.
+/// A promise is honoured only if virtual time falls short of the promised start by at most this ratio of the
+/// predicted advance.
 const SHORTFALL_MAX_RATIO: f64 = 0.5;
 /// Minimum work of an arrival, in nanoseconds of one core.
 const WORK_MIN: f64 = 1.0;
--- a/crates/fair-queueing/src/settings.rs
+++ b/crates/fair-queueing/src/settings.rs
@@ -72,7 +72,7 @@
         names: f64,
     },
     /// A limit is less than its minimum.
-    #[error("{attribute}: {given} is less than the minimum of {minimum}")]
+    #[error("{attribute}: {given} is under {minimum}")]
     Limit {
         /// Attribute of the limit: `accounts`, `cells`, `origins` or `promises`.
         attribute: &'static str,
--- a/crates/fair-queueing/src/usage.rs
+++ b/crates/fair-queueing/src/usage.rs
@@ -20,7 +20,7 @@
 /// Location of a tenant's usage record.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum UsageLocation {
-    /// Not recorded.
+    /// The usage is not recorded; the default before an arrival is located.
     #[default]
     Untracked,
     /// In the tenant's own account.
@@ -200,8 +200,8 @@
         }
     }
 
-    /// Returns the virtual time up to which the tenant's share is promised; `None` for the sketch, which does
-    /// not store it.
+    /// Returns the virtual time up to which the tenant's share is promised; `None` for the sketch, which
+    /// stores no promises.
     pub fn booked_until_mut(&mut self, location: UsageLocation) -> Option<&mut f64> {
         match location {
             UsageLocation::Account(slot) => {
--- a/crates/fair-queueing/tests/shares.rs
+++ b/crates/fair-queueing/tests/shares.rs
@@ -148,7 +148,7 @@
     let used = simulate(&[honest, flood], 4.0, 60, settings);
     let demanded = 100.0 * 0.01 * counted_seconds(60);
     assert!(total(&used[0]) > 0.95 * demanded, "{} of {demanded}", total(&used[0]));
-    // At most the share of as many honest names as an origin may have at full weight.
+    // Upper bound: the share of as many honest names as an origin may have at full weight.
     let share = 4.0 * 0.9 * counted_seconds(60) - demanded;
     assert!(total(&used[1]) < 1.1 * share, "{} of {share}", total(&used[1]));
 }
@@ -197,8 +197,8 @@
         step(&mut fair, loud, 4 * MS);
     });
     let at_once = (0..4000).filter(|_| step(&mut fair, quiet, 1000)).count();
-    // It may use the burst of fifteen seconds of its share at once, but not the share that it left unused in
-    // the four minutes.
+    // The quiet tenant may use the burst of fifteen seconds of its share at once, but not the share that it
+    // left unused in the four minutes.
     let most = 15.0 * 0.9 / 0.01;
     assert!(at_once > 300 && (at_once as f64) < 1.1 * most, "{at_once} of {most}");
 }
@@ -215,7 +215,7 @@
     let after = within(&mut fair, 3600 * SECOND, 1000);
     assert!(after <= 102, "{after} admitted after a jump of an hour");
     assert_eq!(within(&mut fair, 5 * SECOND, 1000), 0, "the clock went back");
-    // A jump must not reduce the charge for use beyond the share either.
+    // A jump of the clock must not reduce the charge for use beyond the share either.
     let start = 3600 * SECOND;
     fair.update_fair_rate(start, 0.01, f64::INFINITY);
     let admission = fair.arrive(start + 100 * SECOND, tenant, 10e6, None);
@@ -320,8 +320,8 @@
     let mut fair = FairScheduler::new(settings, 40.0, 3, 0);
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     let mut used = vec![0u32; tenants as usize];
-    // 36 cores are allocated and an invocation takes 1 ms, so 36,000 invocations a second are within shares;
-    // 72,000 a second arrive.
+    // Of 40 cores, 36 are allocated. An invocation takes 1 ms, so 36,000 invocations a second are within
+    // shares, and 72,000 a second arrive.
     let gap = SECOND / 72_000;
     let (mut now, mut period) = (0, 0);
     for n in 0..41_000_000u64 {
--- a/crates/routing/tests/tier.rs
+++ b/crates/routing/tests/tier.rs
@@ -94,10 +94,10 @@
             while self.open.peek().is_some_and(|Reverse(call)| call.0 <= self.now) {
                 let Reverse((at, i, service, probe, good, took)) = self.open.pop().unwrap();
                 self.routers[i].release(Choice { service, is_probe: probe });
-                self.judges[i].record_call(Time::both(at), service, good, took);
+                self.judges[i].record_call(Time::from_agreeing_clocks(at), service, good, took);
                 self.failed += u64::from(!good);
             }
-            let time = Time::both(self.now);
+            let time = Time::from_agreeing_clocks(self.now);
             for i in 0..self.judges.len() {
                 if self.now.is_multiple_of(20 * MS) {
                     let ejected = self.judges[i].ejected(time);
@@ -148,7 +148,7 @@
     }
 
     fn ejects(&self, i: usize, service: usize) -> bool {
-        self.judges[i].ejected(Time::both(self.now)).contains(&service)
+        self.judges[i].ejected(Time::from_agreeing_clocks(self.now)).contains(&service)
     }
 
     /// Until all servers hold that of a service.
@@ -356,7 +356,7 @@
     fleet.health[1] = Health::Failing;
     fleet.until(1, true, 5 * S).expect("out");
     fleet.play(6 * S);
-    let time = Time::both(fleet.now);
+    let time = Time::from_agreeing_clocks(fleet.now);
     let probe: Vec<usize> = (0..30).filter(|i| fleet.judges[*i].is_prober(time, 1)).collect();
     assert!((1..=6).contains(&probe.len()), "{probe:?}");
     // Cut from the rest: they call nobody and are not heard.
--- a/crates/shared-state/src/budget/election.rs
+++ b/crates/shared-state/src/budget/election.rs
@@ -71,7 +71,7 @@
 /// Result of counting a vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum VoteCount {
-    /// No majority, or no change.
+    /// The vote gives no majority, or changes nothing.
     Unchanged,
     /// The candidate has become the grantor.
     Elected,
@@ -89,7 +89,7 @@
     vote: Option<Vote>,
     grantor_state: Option<GrantorState>,
     last_ballot: u64,
-    /// Time at which a grantor or candidate was last known, by the fast clock.
+    /// Time at which this server last knew of a grantor or candidate, by the fast clock.
     grantor_seen_at: Nanos,
 }
 
@@ -110,7 +110,7 @@
     }
 
     /// Records that another server is the grantor.
-    pub fn note_grantor(&mut self, time: Time) {
+    pub fn record_grantor(&mut self, time: Time) {
         self.grantor_seen_at = time.fast;
     }
 
@@ -151,8 +151,8 @@
         due.then(|| self.open_ballot(time, incarnation, rank))
     }
 
-    /// Returns whether no grantor has been known for a term. Voters with a higher rank wait longer, so that
-    /// the voters do not all become candidates at the same time.
+    /// Returns whether no grantor has been known for at least a term. Voters with a higher rank wait longer,
+    /// so that the voters do not all become candidates at the same time.
     fn may_become_candidate(&self, time: Time, settings: &BudgetSettings, rank: u64) -> bool {
         let wait = settings.term_duration + rank * settings.term_duration / 2;
         time.slow >= self.votes_from && time.fast >= self.grantor_seen_at + wait
--- a/crates/shared-state/src/budget/holder.rs
+++ b/crates/shared-state/src/budget/holder.rs
@@ -9,8 +9,8 @@
 use crate::clock::{Nanos, Time};
 use std::collections::VecDeque;
 
-/// Number of recent requests whose send times are stored. A grant begins at the send time of the request that
-/// it answers.
+/// Number of recent requests whose send times are stored. A lease begins at the send time of the request that
+/// its grant answers.
 const REQUESTS_MAX: usize = 8;
 /// Number of consecutive requests without a reply after which the grantor counts as unknown.
 const UNANSWERED_MAX: u32 = 2;
@@ -117,12 +117,12 @@
         self.grantor.as_deref()
     }
 
-    /// Sets the server to which requests are sent as the grantor; `None` if unknown.
+    /// Sets the server that receives requests as the grantor; `None` if the grantor is unknown.
     pub fn set_grantor(&mut self, grantor: Option<String>) {
         self.grantor = grantor;
     }
 
-    /// Handles a redirect to the grantor, or to none if the sender does not know it.
+    /// Handles a redirect to the grantor; `None` if the sender of the redirect does not know the grantor.
     pub fn redirect(&mut self, grantor: Option<String>) {
         self.unanswered = 0;
         self.grantor = grantor;
--- a/crates/shared-state/src/budget/mod.rs
+++ b/crates/shared-state/src/budget/mod.rs
@@ -253,7 +253,7 @@
         match self.holder.adopt(&self.settings, time, grant) {
             Ok(()) => {
                 self.counters.grants_adopted += 1;
-                self.election.note_grantor(time);
+                self.election.record_grantor(time);
             }
             Err(DroppedGrant::Unsolicited) => self.counters.unsolicited += 1,
             Err(DroppedGrant::Excessive) => self.counters.excessive += 1,
@@ -266,7 +266,7 @@
     fn handle_redirect(&mut self, time: Time, grantor: Option<String>) {
         let grantor = grantor.filter(|name| self.settings.is_voter(name));
         if grantor.is_some() {
-            self.election.note_grantor(time);
+            self.election.record_grantor(time);
         }
         self.holder.redirect(grantor);
     }
--- a/crates/shared-state/src/budget/settings.rs
+++ b/crates/shared-state/src/budget/settings.rs
@@ -13,8 +13,8 @@
 /// Maximum number of voters of a budget.
 const VOTERS_MAX: usize = 9;
 
-/// Settings of one budget; durations are in nanoseconds. They are equal on all servers, except that a reload
-/// may change `total` on one server before another.
+/// Settings of one budget; durations are in nanoseconds. All servers have the same settings, except for
+/// `total`, which a reload may change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct BudgetSettings {
     /// Name of the budget, 1 to 64 bytes.
@@ -33,8 +33,8 @@
     pub refresh_interval: Nanos,
     /// Duration of a grantor's term of office after the votes of a majority.
     pub term_duration: Nanos,
-    /// Safety margin added to a duration that is measured on behalf of another server, since the two servers'
-    /// clocks may drift apart.
+    /// Safety margin added to a duration before it counts as passed at another server, since the clocks of
+    /// the two servers may run at different rates.
     pub drift_margin: Nanos,
     /// Maximum time that an acquired unit stays in use; 0 for units per second.
     pub use_max: Nanos,
--- a/crates/shared-state/src/clock.rs
+++ b/crates/shared-state/src/clock.rs
@@ -2,14 +2,14 @@
 //!
 //! Each reading includes the monotonic and the wall clock. The fast clock advances by the larger advance of
 //! the two and ends what this server itself may still use. The slow clock advances by the smaller one and
-//! ends what other servers may still use. One broken clock therefore ends a lease too early or reclaims one
-//! too late, and the units in use stay within the budget. Two clocks that fail in the same way at the same
-//! time are not covered.
+//! ends what other servers may still use. A single broken clock can therefore end this server's lease too
+//! early, or reclaim another server's lease too late, and the units in use stay within the budget. Two clocks
+//! that fail in the same way at the same time are not covered.
 
 /// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
 
-/// Minimum difference between the advances of the two clocks between two readings that counts as a
+/// Difference between the two clocks' advances since the previous reading above which a reading counts as a
 /// disagreement, in nanoseconds.
 const DISAGREEMENT_NS: Nanos = 1_000_000_000;
 
@@ -34,7 +34,7 @@
 
 impl Time {
     /// Returns the time shown by two clocks that agree.
-    pub fn both(at: Nanos) -> Time {
+    pub fn from_agreeing_clocks(at: Nanos) -> Time {
         Time { fast: at, slow: at }
     }
 }
--- a/crates/shared-state/src/counters.rs
+++ b/crates/shared-state/src/counters.rs
@@ -171,8 +171,8 @@
         fits
     }
 
-    /// Merges a received row of the server `of`. `wall` is the wall clock, in nanoseconds since the epoch.
-    /// Returns whether any count grew.
+    /// Merges a received row of the server `of`. `wall` is the wall clock, in nanoseconds since the Unix
+    /// epoch. Returns whether any count grew.
     ///
     /// # Errors
     /// Returns the reason if the row is rejected, and counts it in [`FleetCounters::rejected`].
@@ -221,7 +221,7 @@
         Digest { versions, end: rows.next().map(|(server, _)| server.clone()) }
     }
 
-    /// Returns the rows from `start` to before `end`. An absent bound leaves that side open.
+    /// Returns the rows from `start` (inclusive) to `end` (exclusive). An absent bound leaves that side open.
     fn range<'a>(
         &'a self,
         start: &'a Option<ServerId>,
@@ -232,20 +232,21 @@
         rows.take_while(|(server, _)| end.as_ref().is_none_or(|end| *server < end))
     }
 
-    /// Compares the rows from `start` to before `end` with another server's versions of them.
+    /// Compares this server's rows from `start` (inclusive) to `end` (exclusive) with another server's
+    /// versions of them.
     pub fn compare(
         &self,
         start: &Option<ServerId>,
         end: &Option<ServerId>,
-        theirs: &[(ServerId, u64)],
+        other_versions: &[(ServerId, u64)],
     ) -> Comparison {
-        let theirs: BTreeMap<&ServerId, u64> =
-            theirs.iter().map(|(server, version)| (server, *version)).collect();
+        let other_versions: BTreeMap<&ServerId, u64> =
+            other_versions.iter().map(|(server, version)| (server, *version)).collect();
         let mut newer = Vec::new();
         let mut versions = Vec::new();
         for (server, row) in self.range(start, end) {
             let version = row.version();
-            let is_newer = theirs.get(server).is_none_or(|known| version > *known);
+            let is_newer = other_versions.get(server).is_none_or(|known| version > *known);
             if is_newer && !row.counts.is_empty() {
                 newer.push((server.clone(), row.clone()));
             }
--- a/crates/shared-state/src/message.rs
+++ b/crates/shared-state/src/message.rs
@@ -91,12 +91,12 @@
         /// Name of the budget.
         name: String,
     },
-    /// The queue of received messages of other topics is full.
+    /// The queue of received [`Payload::Other`] messages is full.
     #[error("message of topic {topic} dropped: {waiting} messages are queued")]
     TooManyWaiting {
         /// Topic of the dropped message.
         topic: u16,
-        /// Number of queued messages of other topics.
+        /// Number of messages in the queue.
         waiting: usize,
     },
 }
--- a/crates/shared-state/src/outlier_detection/evidence.rs
+++ b/crates/shared-state/src/outlier_detection/evidence.rs
@@ -5,7 +5,7 @@
 
 /// Minimum decayed number of calls before a service can be found unhealthy.
 const CALLS_MIN: f64 = 5.0;
-/// Ratio of failed calls at or above which a service counts as failing.
+/// Ratio of failed calls to all calls at or above which a service counts as failing.
 const FAILING_SHARE: f64 = 0.5;
 /// A service is slow if its mean duration exceeds the median of the other services' mean durations by this
 /// factor. An abandoned call is slow if its duration exceeds the mean of all calls by this factor.
--- a/crates/shared-state/src/outlier_detection/mod.rs
+++ b/crates/shared-state/src/outlier_detection/mod.rs
@@ -163,7 +163,8 @@
         }
     }
 
-    /// Returns whether no report has been received for the expiry time of a report.
+    /// Returns whether this server has received no reports of other servers for at least
+    /// [`Settings::expiry`].
     pub fn is_isolated(&self, time: Time) -> bool {
         self.received_at.is_none_or(|at| time.fast >= at + self.settings.expiry)
     }
--- a/crates/shared-state/src/permits.rs
+++ b/crates/shared-state/src/permits.rs
@@ -55,8 +55,8 @@
     }
 
     /// Returns whether data of an open call may be sent now, and records the write. Must be called
-    /// immediately before each write: a process may be stopped between the permit and the write until after
-    /// the lease has ended, when the unit may belong to another server.
+    /// immediately before each write, because a process may be suspended between the permit and the write for
+    /// longer than the lease lasts, and the unit may then belong to another server.
     pub fn permit_send(&mut self, time: Time, call: u64) -> bool {
         let Some(open) = self.open.get_mut(&call).filter(|open| time.fast <= open.send_by) else {
             return false;
--- a/crates/shared-state/src/simulation/mod.rs
+++ b/crates/shared-state/src/simulation/mod.rs
@@ -51,7 +51,7 @@
     pub call_duration: Nanos,
     /// Delay between the permit of a call and its sending, in nanoseconds.
     pub send_delay: Nanos,
-    /// Number of permitted calls that were not sent because the server was stopped in between.
+    /// Number of permitted calls that were never sent because the server was suspended before sending them.
     pub withheld: u64,
     /// Number of calls in progress at the dependency.
     pub in_use: u64,
--- a/crates/shared-state/src/state.rs
+++ b/crates/shared-state/src/state.rs
@@ -22,7 +22,7 @@
 const ROW_DATAGRAMS_MAX: usize = 32;
 /// Number of members that receive reports in each round of gossip.
 const REPORT_FANOUT: usize = 3;
-/// Maximum number of messages of other topics that are queued for [`SharedState::take_received`].
+/// Maximum number of received [`Payload::Other`] messages queued for [`SharedState::take_received`].
 const RECEIVED_OTHERS_MAX: usize = 1024;
 /// Upper bound of the bytes of a message apart from its list and names: numbers and lengths.
 const HEADER_BYTES: usize = 64;
@@ -39,12 +39,12 @@
     /// Messages received.
     pub received: u64,
     /// Received messages that were dropped for any reason in [`ReceiveError`]. Besides undecodable bytes,
-    /// these include messages about a budget that this server does not have, and messages of other topics
-    /// while the queue is full.
+    /// these include messages about a budget that this server does not have, and [`Payload::Other`] messages
+    /// received while the queue is full.
     pub malformed: u64,
 }
 
-/// A received message of another topic.
+/// A received [`Payload::Other`] message, for another part of the program.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedOther {
     /// Server that sent the message.
@@ -64,7 +64,7 @@
     settings: Settings,
     clock: DriftClock,
     time: Time,
-    /// Wall clock at the last reading, in nanoseconds since the epoch.
+    /// Wall clock at the last reading, in nanoseconds since the Unix epoch.
     wall: Nanos,
     /// Budgets, in the order of the settings.
     pub budgets: Vec<Budget>,
@@ -141,8 +141,8 @@
         self.clock.disagreements
     }
 
-    /// Performs all actions that are due. `alive` lists the names of the other members that the membership
-    /// considers alive.
+    /// Performs all actions that are due. `alive` lists the names of the other members that are alive
+    /// according to the membership.
     pub fn advance(&mut self, reading: Reading, alive: &[String]) {
         let time = self.read_clocks(reading);
         for index in 0..self.budgets.len() {
@@ -221,12 +221,12 @@
         self.outgoing.push((to.to_string(), body));
     }
 
-    /// Queues a message of another topic for sending.
+    /// Queues a [`Payload::Other`] message for sending to the member `to`.
     pub fn send_other(&mut self, to: &str, topic: u16, body: Vec<u8>) {
         self.send(to, Payload::Other { topic, body });
     }
 
-    /// Returns the messages of other topics received since the last call.
+    /// Returns the [`Payload::Other`] messages received since the last call.
     pub fn take_received(&mut self) -> Vec<ReceivedOther> {
         std::mem::take(&mut self.received_others)
     }
@@ -284,10 +284,10 @@
         from: &ServerId,
         start: Option<ServerId>,
         end: Option<ServerId>,
-        theirs: &[(ServerId, u64)],
+        sender_versions: &[(ServerId, u64)],
         wants_reply: bool,
     ) {
-        let comparison = self.counters.compare(&start, &end, theirs);
+        let comparison = self.counters.compare(&start, &end, sender_versions);
         let size_max = self.list_size_max();
         let mut rows = Vec::new();
         for (server, row) in &comparison.newer {
--- a/crates/shared-state/tests/model.rs
+++ b/crates/shared-state/tests/model.rs
@@ -16,8 +16,8 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     None,
-    /// The drift margin is half of what the clocks need.
-    NoMargin,
+    /// The drift margin is one tick, half of what the clocks need.
+    HalfMargin,
     /// A restarted server votes immediately and, once elected, grants immediately, without regard to earlier
     /// votes and leases.
     NoWait,
@@ -38,7 +38,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum FleetAction {
-    /// A server's clock advances by a tick, and the server performs its due actions.
+    /// A server's clock advances by one tick, and the server performs its due actions.
     Tick(usize),
     Deliver(ServerId, usize, BudgetMessage),
     Lose(ServerId, usize, BudgetMessage),
@@ -65,11 +65,11 @@
         let voters = (0..self.voters).map(|i| format!("s{i}")).collect();
         let mut settings = BudgetSettings::new("b", TOTAL, 0, self.servers as u64, voters, self.lease, 0);
         (settings.refresh_interval, settings.term_duration, settings.drift_margin) = (1, self.term, 2);
-        if self.fault == Fault::NoMargin {
+        if self.fault == Fault::HalfMargin {
             settings.drift_margin = 1;
         }
         let id = ServerId { name: format!("s{i}"), incarnation };
-        let mut time = Time::both(clock + 10);
+        let mut time = Time::from_agreeing_clocks(clock + 10);
         if incarnation == 0 || self.fault == Fault::NoWait {
             // At the first start of the fleet there are no earlier votes or leases.
             time.slow = 0;
@@ -81,7 +81,7 @@
 
     fn time(&self, state: &FleetState, i: usize) -> Time {
         let _ = self;
-        Time::both(state.clocks[i] + 10)
+        Time::from_agreeing_clocks(state.clocks[i] + 10)
     }
 
     fn send(&self, state: &mut FleetState, from: usize, outgoing: Vec<Outgoing>) {
@@ -202,7 +202,7 @@
                 "two servers hold leases at once",
                 |model: &LeaseModel, state: &FleetState| {
                     let holds = |(i, budget): (usize, &Option<Budget>)| {
-                        let at = Time::both(state.clocks[i] + 10);
+                        let at = Time::from_agreeing_clocks(state.clocks[i] + 10);
                         budget.as_ref().is_some_and(|budget| budget.allowance(at).leased > 0)
                     };
                     let _ = model;
@@ -258,7 +258,7 @@
 
 #[test]
 fn a_too_small_drift_margin_is_detected() {
-    let (_, found) = check(small(Fault::NoMargin), "drift margin too small");
+    let (_, found) = check(small(Fault::HalfMargin), "drift margin too small");
     assert!(found.contains(&LEASES_WITHIN_BUDGET), "{found:?}");
 }
 
--- a/crates/shared-state/tests/outlier_detection.rs
+++ b/crates/shared-state/tests/outlier_detection.rs
@@ -21,12 +21,12 @@
 
 /// Records ten calls of one server to a service.
 fn record_calls(detector: &mut OutlierDetector, at: u64, service: usize, succeeded: bool, duration: u64) {
-    (0..10).for_each(|_| detector.record_call(Time::both(at), service, succeeded, duration));
+    (0..10).for_each(|_| detector.record_call(Time::from_agreeing_clocks(at), service, succeeded, duration));
 }
 
 fn gossip(detectors: &mut [OutlierDetector], from: usize, to: usize, at: u64) {
-    let reports = detectors[from].reports(Time::both(at));
-    detectors[to].merge_reports(Time::both(at), &reports);
+    let reports = detectors[from].reports(Time::from_agreeing_clocks(at));
+    detectors[to].merge_reports(Time::from_agreeing_clocks(at), &reports);
 }
 
 #[test]
@@ -38,18 +38,18 @@
     }
     // The accuser receives a report from another server, which finds every service healthy.
     gossip(&mut fleet, 2, 0, S / 10);
-    assert!(fleet.iter().all(|detector| detector.ejected(Time::both(S / 10)).is_empty()));
+    assert!(fleet.iter().all(|detector| detector.ejected(Time::from_agreeing_clocks(S / 10)).is_empty()));
     record_calls(&mut fleet[1], 0, 1, false, S);
     // The report is relayed from server to server.
     gossip(&mut fleet, 1, 2, S / 5);
     gossip(&mut fleet, 2, 3, S / 5);
     gossip(&mut fleet, 3, 0, S / 5);
     for detector in &fleet {
-        assert_eq!(detector.ejected(Time::both(S / 5)), [1]);
+        assert_eq!(detector.ejected(Time::from_agreeing_clocks(S / 5)), [1]);
     }
     // Without new reports the service is no longer ejected. The server counts as isolated and relies on its
     // own evidence.
-    let late = Time::both(12 * S);
+    let late = Time::from_agreeing_clocks(12 * S);
     assert!(fleet[3].ejected(late).is_empty() && fleet[3].is_isolated(late));
 }
 
@@ -57,11 +57,11 @@
 fn an_isolated_server_relies_on_its_own_evidence() {
     let mut detector = detectors(1, 4, 500).remove(0);
     record_calls(&mut detector, 0, 2, false, S);
-    assert_eq!(detector.ejected(Time::both(1)), [2]);
+    assert_eq!(detector.ejected(Time::from_agreeing_clocks(1)), [2]);
     (0..4).for_each(|service| {
         record_calls(&mut detector, 0, service, true, if service == 3 { 9 * S } else { S })
     });
-    assert_eq!(detector.local_health(Time::both(1), 3), ServiceHealth::Slow);
+    assert_eq!(detector.local_health(Time::from_agreeing_clocks(1), 3), ServiceHealth::Slow);
 }
 
 /// A network fault that makes every server accuse every service must leave most of the tier in use.
@@ -76,7 +76,7 @@
             (0..5).filter(|to| *to != from).for_each(|to| gossip(&mut fleet, from, to, 1));
         }
         for detector in &fleet {
-            assert_eq!(detector.ejected(Time::both(1)).len(), ejected, "{services} services");
+            assert_eq!(detector.ejected(Time::from_agreeing_clocks(1)).len(), ejected, "{services} services");
         }
     }
 }
@@ -92,19 +92,19 @@
     };
     let nameless = Report { by: ServerId::default(), ..report(1, 0, ServiceHealth::Failing, 0) };
     detector.merge_reports(
-        Time::both(1),
+        Time::from_agreeing_clocks(1),
         &[report(1, 9, ServiceHealth::Failing, 0), report(1, 0, ServiceHealth::Failing, 6 * S), nameless],
     );
     assert_eq!(detector.rejected, 3);
     detector.merge_reports(
-        Time::both(1),
+        Time::from_agreeing_clocks(1),
         &[report(2, 0, ServiceHealth::Healthy, S), report(1, 0, ServiceHealth::Failing, 0)],
     );
-    assert_eq!(detector.accusers(Time::both(1), 0), 0, "a report of an earlier incarnation");
-    detector.merge_reports(Time::both(2), &[report(2, 0, ServiceHealth::Failing, 2 * S)]);
-    assert_eq!(detector.accusers(Time::both(2), 0), 0, "a report older than the stored one");
-    detector.merge_reports(Time::both(2), &[report(2, 0, ServiceHealth::Failing, 0)]);
-    assert_eq!(detector.accusers(Time::both(2), 0), 1);
+    assert_eq!(detector.accusers(Time::from_agreeing_clocks(1), 0), 0, "a report of an earlier incarnation");
+    detector.merge_reports(Time::from_agreeing_clocks(2), &[report(2, 0, ServiceHealth::Failing, 2 * S)]);
+    assert_eq!(detector.accusers(Time::from_agreeing_clocks(2), 0), 0, "a report older than the stored one");
+    detector.merge_reports(Time::from_agreeing_clocks(2), &[report(2, 0, ServiceHealth::Failing, 0)]);
+    assert_eq!(detector.accusers(Time::from_agreeing_clocks(2), 0), 1);
 }
 
 #[test]
