--- a/crates/fair-queueing/src/known_names.rs
+++ b/crates/fair-queueing/src/known_names.rs
@@ -112,9 +112,9 @@
     /// may be replaced, the new name is not stored.
     fn replace_least_visited(set: &mut [NameRecord; WAYS], kept_visits: u16, new: NameRecord, step: u16) {
         let rank = |record: &&mut NameRecord| (record.visits().min(kept_visits), !record.steps_unused(step));
-        let Some(least) = set.iter_mut().min_by_key(rank) else { return };
-        if least.visits() < kept_visits || least.steps_unused(step) > UNUSED_MAX_STEPS {
-            *least = new;
+        let Some(least_visited) = set.iter_mut().min_by_key(rank) else { return };
+        if least_visited.visits() < kept_visits || least_visited.steps_unused(step) > UNUSED_MAX_STEPS {
+            *least_visited = new;
         }
     }
 }
--- a/crates/fair-queueing/src/promises.rs
+++ b/crates/fair-queueing/src/promises.rs
@@ -14,7 +14,7 @@
 /// arrivals that were rejected together.
 const SPREAD_RATIO: f64 = 0.25;
 /// Minimum range of the random extension, as a ratio of the longest wait that may be promised.
-const SPREAD_LEAST_RATIO: f64 = 0.02;
+const SPREAD_MIN_RATIO: f64 = 0.02;
 /// Promised waits are rounded up to a multiple of this, in nanoseconds.
 const RESOLUTION_NS: Nanos = 1_000_000;
 /// Value mixed into the seed so that ticket numbers differ from other random numbers of the same seed
@@ -121,7 +121,7 @@
     /// Issues a promise for a return after `wait` nanoseconds plus a random extension. Returns `None` if the
     /// total would exceed the longest wait, or if no slot is free.
     pub fn make(&mut self, now: Nanos, wait: f64, promise: Promise) -> Option<Ticket> {
-        let spread = (wait * SPREAD_RATIO).max(self.longest as f64 * SPREAD_LEAST_RATIO);
+        let spread = (wait * SPREAD_RATIO).max(self.longest as f64 * SPREAD_MIN_RATIO);
         let wait = wait + spread * self.rng.random_range(0.0..1.0);
         if wait > self.longest as f64 {
             return None;
--- a/crates/fair-queueing/src/settings.rs
+++ b/crates/fair-queueing/src/settings.rs
@@ -72,12 +72,12 @@
         names: f64,
     },
     /// A limit is less than its minimum.
-    #[error("{attribute}: {given} is under {minimum}")]
+    #[error("{attribute}: {value} is under {minimum}")]
     Limit {
         /// Attribute of the limit: `accounts`, `cells`, `origins` or `promises`.
         attribute: &'static str,
         /// Configured value.
-        given: usize,
+        value: usize,
         /// Minimum value.
         minimum: usize,
     },
@@ -149,9 +149,9 @@
     weight.is_finite() && weight > 0.0
 }
 
-fn check_limit(attribute: &'static str, given: usize, minimum: usize) -> Result<(), SettingsError> {
-    if given < minimum {
-        return Err(SettingsError::Limit { attribute, given, minimum });
+fn check_limit(attribute: &'static str, value: usize, minimum: usize) -> Result<(), SettingsError> {
+    if value < minimum {
+        return Err(SettingsError::Limit { attribute, value, minimum });
     }
     Ok(())
 }
--- a/crates/fair-queueing/src/timer_wheel.rs
+++ b/crates/fair-queueing/src/timer_wheel.rs
@@ -33,8 +33,8 @@
     /// Returns the most bytes that a wheel with this many timers takes. A timer may take twice its size while
     /// the vector of its slot grows.
     pub fn bytes_max(timers: usize) -> usize {
-        let least = 4 * SLOTS;
-        SLOTS * size_of::<Vec<Timer>>() + 2 * (timers + least) * size_of::<Timer>()
+        let minimum_capacity = 4 * SLOTS;
+        SLOTS * size_of::<Vec<Timer>>() + 2 * (timers + minimum_capacity) * size_of::<Timer>()
     }
 
     /// Returns the bytes in use.
--- a/crates/fair-queueing/tests/promises.rs
+++ b/crates/fair-queueing/tests/promises.rs
@@ -92,8 +92,8 @@
     let (mut fair, now) = scheduler_with_used_up_share(settings());
     let admission = reject(&mut fair, now);
     let (wait, ticket) = request_promise(&mut fair, now, &admission).unwrap();
-    let thief = TenantKey { name: b"thief", origin: 1 };
-    assert!(!fair.arrive(now + wait, thief, 10e6, Some(ticket)).promised);
+    let other_tenant = TenantKey { name: b"thief", origin: 1 };
+    assert!(!fair.arrive(now + wait, other_tenant, 10e6, Some(ticket)).promised);
     let other_origin = TenantKey { origin: 99, ..FLOODING };
     assert!(
         fair.arrive(now + wait, other_origin, 10e6, Some(ticket)).promised,
--- a/crates/fair-queueing/tests/shares.rs
+++ b/crates/fair-queueing/tests/shares.rs
@@ -92,7 +92,7 @@
     used.iter().sum()
 }
 
-/// Length of the counted part of a run, the last two thirds, in seconds.
+/// Returns the length of the counted part of a run, its last two thirds, in seconds.
 fn counted_seconds(seconds: u64) -> f64 {
     (seconds - seconds / 3) as f64
 }
--- a/crates/shared-state/src/budget/grantor.rs
+++ b/crates/shared-state/src/budget/grantor.rs
@@ -1,9 +1,8 @@
 //! The grantor's table of leases.
 //!
-//! Invariant: for each holder, take the largest of its grants that may still be in use; the sum of these is
-//! at most the number of units that may be leased. A grant may be in use until its holder reports that it has
-//! adopted a later grant and uses no more units than that one, or until the lease duration and the drift
-//! margin have passed by the slow clock.
+//! Invariant: the largest possibly active grants of all holders sum to at most the units that may be leased.
+//! A grant is possibly active until its holder reports that it has adopted a later grant and uses no more
+//! units than that one, or until the lease duration and the drift margin have passed by the slow clock.
 
 use super::counters::BudgetCounters;
 use super::fair_share::{Demand, fair_share};
--- a/crates/shared-state/src/budget/settings.rs
+++ b/crates/shared-state/src/budget/settings.rs
@@ -86,7 +86,7 @@
     },
     /// A unit may stay in use for longer than the lease duration allows.
     #[error(
-        "use-most-ms: a lease must outlast it by three eighths of the lease; {use_max} ns of \
+        "use-most-ms: the lease must be longer by three eighths of its duration; {use_max} ns of \
          {lease_duration} ns"
     )]
     UseTooLong {
--- a/crates/shared-state/src/clock.rs
+++ b/crates/shared-state/src/clock.rs
@@ -55,10 +55,10 @@
         if let Some(last) = self.last {
             let monotonic = reading.monotonic.saturating_sub(last.monotonic);
             let wall = reading.wall.saturating_sub(last.wall);
-            let (least, most) = (monotonic.min(wall), monotonic.max(wall));
-            self.disagreements += u64::from(most - least > DISAGREEMENT_NS);
-            self.time.fast = self.time.fast.saturating_add(most);
-            self.time.slow = self.time.slow.saturating_add(least);
+            let (smaller, larger) = (monotonic.min(wall), monotonic.max(wall));
+            self.disagreements += u64::from(larger - smaller > DISAGREEMENT_NS);
+            self.time.fast = self.time.fast.saturating_add(larger);
+            self.time.slow = self.time.slow.saturating_add(smaller);
         }
         self.last = Some(reading);
         self.time
--- a/crates/shared-state/tests/fleet.rs
+++ b/crates/shared-state/tests/fleet.rs
@@ -280,7 +280,7 @@
     fleet.inject(4, b"no message at all".to_vec());
     fleet.inject(4, body("", Payload::Rows(Vec::new())));
     let since = run_for(&mut fleet, 20 * S);
-    // The malicious peer gets leases within its fair share for one lease duration.
+    // The malicious peer gets leases within its fair share, each for one lease duration.
     assert_budget_used(&mut fleet, since, 0.7);
     let state = fleet.state(4).expect("a running server");
     let counts = state.budgets[0].counters;
@@ -383,8 +383,8 @@
     assert!(even >= 0.9 && uneven >= 0.6 && crashed >= 0.85, "{even} {uneven} {crashed}");
 }
 
-/// Message types of the previous release. This release must read the messages of the previous one. The
-/// previous release rejects a message that it does not know as a whole, counts it as malformed and continues.
+/// Message types of the previous release. This release must read messages of the previous one. The previous
+/// release rejects a message of an unknown type as a whole, counts it as malformed and continues.
 mod previous_release {
     use meadowstream_shared_state::ServerId;
     use meadowstream_shared_state::budget::BudgetMessage;
--- a/crates/shared-state/tests/model.rs
+++ b/crates/shared-state/tests/model.rs
@@ -123,9 +123,9 @@
     }
 
     fn actions(&self, state: &FleetState, actions: &mut Vec<FleetAction>) {
-        let least = *state.clocks.iter().min().expect("at least one server");
+        let slowest = *state.clocks.iter().min().expect("at least one server");
         for i in 0..self.servers {
-            if state.clocks[i] <= least && state.clocks[i] < self.ticks {
+            if state.clocks[i] <= slowest && state.clocks[i] < self.ticks {
                 actions.push(FleetAction::Tick(i));
             }
             match &state.servers[i] {
