--- a/crates/routing/tests/tier.rs
+++ b/crates/routing/tests/tier.rs
@@ -101,10 +101,10 @@
                 let Reverse((at, i, service, is_probe, succeeded, call_time)) =
                     self.open_calls.pop().unwrap();
                 self.routers[i].release(Choice { service, is_probe });
-                self.detectors[i].record_call(Time::both(at), service, succeeded, call_time);
+                self.detectors[i].record_call(Time::from_agreeing_clocks(at), service, succeeded, call_time);
                 self.failed += u64::from(!succeeded);
             }
-            let time = Time::both(self.now);
+            let time = Time::from_agreeing_clocks(self.now);
             for i in 0..self.detectors.len() {
                 if self.now.is_multiple_of(20 * MS) {
                     let ejected = self.detectors[i].ejected(time);
@@ -157,7 +157,7 @@
     }
 
     fn is_ejected_by(&self, i: usize, service: usize) -> bool {
-        self.detectors[i].ejected(Time::both(self.now)).contains(&service)
+        self.detectors[i].ejected(Time::from_agreeing_clocks(self.now)).contains(&service)
     }
 
     /// Returns the time until all servers have ejected a service, or until none has; `None` after `limit`.
@@ -379,7 +379,7 @@
     fleet.health[1] = Health::Failing;
     fleet.time_until(1, true, 5 * S).expect("the failing service is ejected");
     fleet.advance(6 * S);
-    let time = Time::both(fleet.now);
+    let time = Time::from_agreeing_clocks(fleet.now);
     let probers: Vec<usize> = (0..30).filter(|i| fleet.detectors[*i].is_prober(time, 1)).collect();
     assert!((1..=6).contains(&probers.len()), "probers {probers:?}");
     // The probers are partitioned: they make no calls, and no reports of theirs are received.
