--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -56,7 +56,7 @@
         json: Option<PathBuf>,
     },
     /// Bring a change to the fleet in stages.
-    Rollout(coordinator::Given),
+    Rollout(coordinator::RolloutArguments),
     /// Say how far a rollout is.
     RolloutStatus {
         /// The coordinator's state file.
@@ -75,7 +75,7 @@
         log: LogFormat,
     },
     /// Publish a change, revert one, or say who has the newest.
-    Publish(publish::Given),
+    Publish(publish::PublishArguments),
     /// Print the version.
     Version,
 }
@@ -179,14 +179,14 @@
         Some(_) => arguments.free_from_os_str(path).context("rollout: name a plan")?,
         None => first.clone(),
     };
-    let state = state.unwrap_or_else(|| coordinator::state_of(&plan));
+    let state = state.unwrap_or_else(|| coordinator::default_state_path(&plan));
     match subcommand {
         Some("status") => Ok(Command::RolloutStatus { state }),
         Some(_) => Ok(Command::RolloutAbort { state }),
         None => {
             let options = options.context("rollout: --options is to name the fleet's settings")?;
             let wait = Duration::from_secs(wait_s.unwrap_or(ROLLOUT_WAIT_S));
-            Ok(Command::Rollout(coordinator::Given { plan, options, state, wait }))
+            Ok(Command::Rollout(coordinator::RolloutArguments { plan, options, state, wait }))
         }
     }
 }
@@ -201,23 +201,23 @@
     let options = arguments.opt_value_from_os_str("--options", path)?;
     let options = options.context("publish: --options is to name the fleet's settings")?;
     let wait_s: Option<u64> = arguments.opt_value_from_str("--wait")?;
-    let wait = wait_s.map_or(publish::WAIT_USUAL, Duration::from_secs);
+    let wait = wait_s.map_or(publish::DEFAULT_WAIT, Duration::from_secs);
     let mut words: Vec<String> = Vec::new();
     while let Some(word) = arguments.opt_free_from_str()? {
         words.push(word);
     }
-    Ok(Command::Publish(publish::Given { ask: parse_publish_words(&words)?, options, wait }))
+    Ok(Command::Publish(publish::PublishArguments { request: parse_publish_words(&words)?, options, wait }))
 }
 
 /// `CHANGE`, `revert NUMBER` or `status`.
-fn parse_publish_words(words: &[String]) -> Result<publish::Ask> {
+fn parse_publish_words(words: &[String]) -> Result<publish::PublishRequest> {
     match words {
-        [word] if word == "status" => Ok(publish::Ask::Status),
+        [word] if word == "status" => Ok(publish::PublishRequest::Status),
         [word, number] if word == "revert" => {
             let number = number.parse().with_context(|| format!("revert: {number:?} is no number"))?;
-            Ok(publish::Ask::Revert(number))
+            Ok(publish::PublishRequest::Revert(number))
         }
-        [file] => Ok(publish::Ask::Publish(Path::new(file).to_path_buf())),
+        [file] => Ok(publish::PublishRequest::Publish(Path::new(file).to_path_buf())),
         _ => bail!("publish: name the file of a change, or status, or revert NUMBER"),
     }
 }
--- a/crates/server/src/configuration/fleet.rs
+++ b/crates/server/src/configuration/fleet.rs
@@ -19,7 +19,7 @@
 
 /// How a process takes part in the fleet.
 #[derive(Clone, Debug)]
-pub struct Fleet {
+pub struct FleetSettings {
     /// Where it receives datagrams.
     pub bind: SocketAddr,
     /// The address that others send to, where it is another one.
@@ -62,7 +62,7 @@
 }
 
 /// The settings of a member that shares nothing yet. `server` is its name unless the options name it.
-pub fn fleet(given: &Membership, server: &str, options: &Path) -> Result<Fleet, FleetError> {
+pub fn fleet_settings(given: &Membership, server: &str, options: &Path) -> Result<FleetSettings, FleetError> {
     let key_file = options.parent().unwrap_or(Path::new(".")).join(&given.key_file);
     let mut settings = MembershipSettings::lan(&given.fleet, &membership_key::read(&key_file)?);
     settings.probe_period = given.probe_period;
@@ -77,7 +77,7 @@
     if name.len() > NAME_BYTES_MAX {
         return Err(FleetError::NameTooLong(name));
     }
-    Ok(Fleet {
+    Ok(FleetSettings {
         bind: given.bind,
         advertise: given.advertise,
         name,
@@ -89,7 +89,10 @@
 }
 
 /// The settings of what is shared; `None` where the options name nothing. A body has so many bytes at most.
-pub fn shared(options: &Options, body_max: usize) -> Result<Option<SharedSettings>, FleetError> {
+pub fn shared_state_settings(
+    options: &Options,
+    body_max: usize,
+) -> Result<Option<SharedSettings>, FleetError> {
     let given = options.shared_state.as_ref();
     let element = match (given, &options.rollout, &options.replication) {
         (Some(_), _, _) => "shared-state",
--- a/crates/server/src/configuration/load.rs
+++ b/crates/server/src/configuration/load.rs
@@ -2,7 +2,7 @@
 
 use crate::configuration::candidate::{AdoptedBefore, Candidate, read_change};
 use crate::configuration::error::LoadError;
-use crate::configuration::fleet::{fleet, shared};
+use crate::configuration::fleet::{fleet_settings, shared_state_settings};
 use crate::configuration::persisted_revision;
 use crate::configuration::{Configuration, platform_file};
 use crate::error::{BoxError, with_causes};
@@ -127,8 +127,8 @@
 
     fn apply_fleet(&mut self, options: &Options, path: &Path) -> Result<(), LoadError> {
         let Some(given) = &options.membership else { return Ok(()) };
-        let mut fleet = fleet(given, &self.name, path)?;
-        fleet.shared = shared(options, fleet.settings.packet_max)?;
+        let mut fleet = fleet_settings(given, &self.name, path)?;
+        fleet.shared = shared_state_settings(options, fleet.settings.packet_max)?;
         if let Some(tier) = options.shared_state.as_ref().and_then(|shared| shared.tier.as_ref()) {
             if self.addresses.get().records.is_none() {
                 return Err(LoadError::TierWithoutRecords);
--- a/crates/server/src/configuration/mod.rs
+++ b/crates/server/src/configuration/mod.rs
@@ -16,7 +16,7 @@
 pub use load::Layers;
 
 use candidate::Candidate;
-use fleet::Fleet;
+use fleet::FleetSettings;
 use meadowstream_configuration::Options;
 use meadowstream_deployment_settings::DeploymentSettings;
 use meadowstream_overload_control::Nanos;
@@ -70,7 +70,7 @@
     /// The revision of replicated configuration that is in force, if any.
     pub replicated: RefCell<Option<Snapshot>>,
     /// How the server takes part in the fleet, where the options have `<membership>`.
-    pub membership: Option<Fleet>,
+    pub membership: Option<FleetSettings>,
 }
 
 impl Configuration {
--- a/crates/server/src/connection/accept.rs
+++ b/crates/server/src/connection/accept.rs
@@ -61,7 +61,7 @@
     listener: &Async<TcpListener>,
 ) -> Option<std::io::Result<Async<TcpStream>>> {
     let look = async {
-        drain::next_look(server).await;
+        drain::wait_for_next_check(server).await;
         None
     };
     let accepted = async { Some(listener.accept().await.map(|(stream, _)| stream)) };
--- a/crates/server/src/event_loop/answers.rs
+++ b/crates/server/src/event_loop/answers.rs
@@ -1,6 +1,6 @@
 //! Counts what invocations were answered, for the log, for rollouts and for the fleet.
 
-use crate::fleet::interval_report::Answered;
+use crate::fleet::interval_report::AnswerOutcome;
 use crate::resources::invocations::Invocation;
 use crate::server::Server;
 use crate::wire::rpc::Answer;
@@ -21,14 +21,14 @@
 fn record_for_rollout(server: &Server, invocation: &Invocation, answer: &Answer) {
     let Some(rollout) = &server.rollout else { return };
     let outcome = match answer {
-        Answer::Succeeded(_) => Answered::Succeeded,
-        Answer::Rejected { .. } => Answered::Rejected,
-        _ => Answered::Failed,
+        Answer::Succeeded(_) => AnswerOutcome::Succeeded,
+        Answer::Rejected { .. } => AnswerOutcome::Rejected,
+        _ => AnswerOutcome::Failed,
     };
     let latency = server.clock.age(invocation.since_unix_ms).max(0) as Nanos;
     let operations = &server.configuration.settings.deployment.operations;
     let late = latency > operations[invocation.operation].client_timeout;
-    rollout.record.answered(invocation.operation, outcome, latency, late);
+    rollout.recorder.record_answer(invocation.operation, outcome, latency, late);
 }
 
 /// The keys of the fleet's counts are words of the wire.
--- a/crates/server/src/fleet/control_machine.rs
+++ b/crates/server/src/fleet/control_machine.rs
@@ -2,10 +2,10 @@
 //! keeps the log of configuration with the other control machines, and publishes while it holds the lease.
 
 use crate::configuration::fleet;
-use crate::configuration::fleet::Fleet;
+use crate::configuration::fleet::FleetSettings;
 use crate::configuration::leases::PUBLISHING;
 use crate::configuration::persisted_revision;
-use crate::fleet::joined::Joined;
+use crate::fleet::joined::NonServingMember;
 use crate::fleet::replication::settings;
 use crate::lifecycle::files;
 use anyhow::{Context, Result, anyhow, ensure};
@@ -29,7 +29,7 @@
 /// What a fleet member that serves nothing reads of an options file.
 pub struct Read {
     /// Its part in the fleet.
-    pub fleet: Fleet,
+    pub fleet: FleetSettings,
     /// The replication of configuration.
     pub replication: Given,
     /// Where the log is kept.
@@ -43,13 +43,13 @@
     let replication =
         options.replication.clone().with_context(|| format!("{shown}: <replication> is missing"))?;
     let own = options.membership.as_ref().with_context(|| format!("{shown}: <membership> is missing"))?;
-    let mut fleet = fleet::fleet(own, name.unwrap_or(""), path)?;
+    let mut fleet = fleet::fleet_settings(own, name.unwrap_or(""), path)?;
     if let Some(name) = name {
         fleet.name = name.to_string();
     }
     ensure!(!fleet.name.is_empty(), "{shown}: <membership>: name is missing");
     let alone = Options { shared_state: None, rollout: None, ..options };
-    fleet.shared = fleet::shared(&alone, fleet.settings.packet_max)?;
+    fleet.shared = fleet::shared_state_settings(&alone, fleet.settings.packet_max)?;
     settings(&replication).check().map_err(|fault| anyhow!("{shown}: <replication>: {fault}"))?;
     let file = path.parent().unwrap_or(Path::new(".")).join(&replication.file);
     Ok(Read { fleet, replication, file })
@@ -125,7 +125,7 @@
     let mut signals = Signals::new([Signal::Term, Signal::Int])?;
     // A log that cannot be read must not be begun anew: it may hold what others count on.
     let disk = persisted_revision::read(&read.file).context("<replication>: file")?;
-    let mut joined = Joined::join(&read.fleet)?;
+    let mut joined = NonServingMember::join(&read.fleet)?;
     let (incarnation, name) = (joined.incarnation, read.fleet.name.clone());
     let member = Member::new(&name, settings(&read.replication), incarnation, incarnation, disk);
     let member = member.map_err(|fault| anyhow!("<replication>: {fault}"))?;
--- a/crates/server/src/fleet/coordinator.rs
+++ b/crates/server/src/fleet/coordinator.rs
@@ -5,9 +5,9 @@
 use crate::configuration::candidate;
 use crate::configuration::candidate::hash_of;
 use crate::configuration::fleet;
-use crate::configuration::fleet::Fleet;
+use crate::configuration::fleet::FleetSettings;
 use crate::configuration::leases::ROLLOUTS;
-use crate::fleet::joined::Joined;
+use crate::fleet::joined::NonServingMember;
 use crate::lifecycle::files;
 use anyhow::{Context, Result, anyhow, bail, ensure};
 use meadowstream_configuration::{Options, PlanFile};
@@ -23,7 +23,7 @@
 const NAME_PREFIX: &str = "rollout-";
 
 /// What `rollout` is given.
-pub struct Given {
+pub struct RolloutArguments {
     /// The file of the plan.
     pub plan: PathBuf,
     /// The options file of the fleet.
@@ -35,13 +35,13 @@
 }
 
 /// The file of the state of a plan, unless another is given.
-pub fn state_of(plan: &Path) -> PathBuf {
+pub fn default_state_path(plan: &Path) -> PathBuf {
     let mut state = plan.as_os_str().to_os_string();
     state.push(".state");
     PathBuf::from(state)
 }
 
-fn abort_of(state: &Path) -> PathBuf {
+fn abort_path(state: &Path) -> PathBuf {
     let mut abort = state.as_os_str().to_os_string();
     abort.push(".abort");
     PathBuf::from(abort)
@@ -89,52 +89,52 @@
 pub fn abort(state: &Path) -> Result<()> {
     let saved = read_state(state)?.with_context(|| format!("{}: nothing has begun", state.display()))?;
     ensure!(!saved.phase.is_over(), "the plan has ended already: {}", said(&saved.phase));
-    files::write(&abort_of(state), b"abort\n").context("cannot write")?;
+    files::write(&abort_path(state), b"abort\n").context("cannot write")?;
     println!("the coordinator will roll back; one that does not run does so when it is started again");
     Ok(())
 }
 
 /// Reads all it is given and refuses what cannot be done before the fleet hears of it.
-fn prepare(given: &Given) -> Result<(Plan, Fleet)> {
-    let file = PlanFile::load(&given.plan)?;
-    let candidate = given.plan.parent().unwrap_or(Path::new(".")).join(&file.candidate);
+fn prepare(arguments: &RolloutArguments) -> Result<(Plan, FleetSettings)> {
+    let file = PlanFile::load(&arguments.plan)?;
+    let candidate = arguments.plan.parent().unwrap_or(Path::new(".")).join(&file.candidate);
     let bytes = std::fs::read(&candidate).with_context(|| format!("cannot read {}", candidate.display()))?;
     if file.plan.kind == ChangeKind::Settings {
         candidate::read_change(&candidate)?;
     }
     let plan = Plan { candidate: hash_of(&bytes), ..file.plan };
-    let options = Options::load(&given.options)?;
+    let options = Options::load(&arguments.options)?;
     let own = options.membership.as_ref();
-    let own = own.with_context(|| format!("{}: <membership> is missing", given.options.display()))?;
-    ensure!(options.rollout.is_some(), "{}: <rollout> is missing", given.options.display());
+    let own = own.with_context(|| format!("{}: <membership> is missing", arguments.options.display()))?;
+    ensure!(options.rollout.is_some(), "{}: <rollout> is missing", arguments.options.display());
     let name = format!("{NAME_PREFIX}{:08x}", hash_of(plan.name.as_bytes()) as u32);
-    let mut fleet = fleet::fleet(own, &name, &given.options)?;
+    let mut fleet = fleet::fleet_settings(own, &name, &arguments.options)?;
     fleet.name = name;
     // It takes no part in what else is shared.
     let alone = Options { shared_state: None, replication: None, ..options };
-    fleet.shared = fleet::shared(&alone, fleet.settings.packet_max)?;
+    fleet.shared = fleet::shared_state_settings(&alone, fleet.settings.packet_max)?;
     Ok((plan, fleet))
 }
 
 /// Coordinates a rollout to its end; an error unless every stage is done.
-pub fn run(given: &Given) -> Result<()> {
-    let (plan, fleet) = prepare(given)?;
-    let lock = std::fs::File::options().create(true).append(true).open(state_lock(&given.state))?;
+pub fn run(arguments: &RolloutArguments) -> Result<()> {
+    let (plan, fleet) = prepare(arguments)?;
+    let lock = std::fs::File::options().create(true).append(true).open(lock_path(&arguments.state))?;
     let alone = rustix::fs::flock(&lock, rustix::fs::FlockOperation::NonBlockingLockExclusive);
-    ensure!(alone.is_ok(), "{}: another coordinator goes by this state", given.state.display());
-    let saved = read_state(&given.state)?;
+    ensure!(alone.is_ok(), "{}: another coordinator goes by this state", arguments.state.display());
+    let saved = read_state(&arguments.state)?;
     if let Some(ended) = saved.as_ref().filter(|saved| saved.phase.is_over()) {
-        let (state, said) = (given.state.display(), said(&ended.phase));
+        let (state, said) = (arguments.state.display(), said(&ended.phase));
         bail!("this plan has ended ({said}); remove {state} to begin it anew");
     }
-    let phase = async_io::block_on(coordinate(given, plan, saved, &fleet))?;
+    let phase = async_io::block_on(coordinate(arguments, plan, saved, &fleet))?;
     match phase {
         Phase::Done => Ok(()),
         other => Err(anyhow!("{}", said(&other))),
     }
 }
 
-fn state_lock(state: &Path) -> PathBuf {
+fn lock_path(state: &Path) -> PathBuf {
     let mut lock = state.as_os_str().to_os_string();
     lock.push(".lock");
     PathBuf::from(lock)
@@ -142,8 +142,8 @@
 
 /// A coordinator and its place in the fleet.
 struct Coordination<'a> {
-    given: &'a Given,
-    joined: Joined,
+    arguments: &'a RolloutArguments,
+    joined: NonServingMember,
     coordinator: Coordinator,
     /// Length of an interval, in nanoseconds.
     interval: u64,
@@ -151,17 +151,17 @@
 }
 
 async fn coordinate(
-    given: &Given,
+    arguments: &RolloutArguments,
     plan: Plan,
     saved: Option<PersistedState>,
-    fleet: &Fleet,
+    fleet: &FleetSettings,
 ) -> Result<Phase> {
-    let joined = Joined::join(fleet)?;
+    let joined = NonServingMember::join(fleet)?;
     let (interval, resumes) = (plan.interval, saved.is_some());
     let coordinator = Coordinator::new(plan, saved, joined.incarnation, joined.now());
     let coordinator = coordinator.map_err(|fault| anyhow!(fault))?;
     let next_interval = joined.now() + interval;
-    let mut coordination = Coordination { given, joined, coordinator, interval, next_interval };
+    let mut coordination = Coordination { arguments, joined, coordinator, interval, next_interval };
     coordination.print(if resumes { "goes on from its state" } else { "joins the fleet" });
     coordination.run().await
 }
@@ -192,18 +192,18 @@
     }
 
     fn handle_interval(&mut self, now: u64, has_lease: bool) -> Result<()> {
-        if abort_of(&self.given.state).exists() {
+        if abort_path(&self.arguments.state).exists() {
             let actions = self.coordinator.handle_abort(now);
             self.carry_out(actions)?;
-            let _ = std::fs::remove_file(abort_of(&self.given.state));
+            let _ = std::fs::remove_file(abort_path(&self.arguments.state));
         }
         let has_begun = self.coordinator.state().phase != Phase::Waiting;
         let waited = Duration::from_nanos(now - self.joined.incarnation);
         ensure!(
-            has_lease || has_begun || waited < self.given.wait,
+            has_lease || has_begun || waited < self.arguments.wait,
             "no lease on rollouts within {:?}: another plan \
             holds it, or no majority of <voter>s is heard",
-            self.given.wait
+            self.arguments.wait
         );
         let view = fleet_view(&mut self.joined.membership, now);
         let actions = self.coordinator.handle_interval(now, &view, has_lease);
@@ -229,7 +229,7 @@
             match action {
                 Action::Save(saved) => {
                     let text = serde_json::to_string_pretty(&saved)?;
-                    let path = &self.given.state;
+                    let path = &self.arguments.state;
                     files::write(path, text.as_bytes())
                         .with_context(|| format!("cannot write {}", path.display()))?;
                 }
--- a/crates/server/src/fleet/interval_report.rs
+++ b/crates/server/src/fleet/interval_report.rs
@@ -14,7 +14,7 @@
 
 /// What an invocation was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answered {
+pub enum AnswerOutcome {
     /// With its result.
     Succeeded,
     /// That nothing was done.
@@ -34,13 +34,13 @@
 pub struct HistogramError(hdrhistogram::errors::CreationError);
 
 /// One class for each operation, the first ones of the settings where there are more than a report holds.
-pub struct Record {
+pub struct AnswerRecorder {
     classes: RefCell<Vec<Class>>,
 }
 
-impl Record {
+impl AnswerRecorder {
     /// An empty record of these operations.
-    pub fn new(operations: &[String]) -> Result<Record, HistogramError> {
+    pub fn new(operations: &[String]) -> Result<AnswerRecorder, HistogramError> {
         let class = |name: &String| {
             let latency = Histogram::new_with_bounds(1, LATENCY_MAX_US, 2).map_err(HistogramError)?;
             let class = name.chars().take(NAME_MAX).collect();
@@ -48,19 +48,19 @@
         };
         let classes =
             operations.iter().take(CLASSES_MAX).map(class).collect::<Result<_, HistogramError>>()?;
-        Ok(Record { classes: RefCell::new(classes) })
+        Ok(AnswerRecorder { classes: RefCell::new(classes) })
     }
 
     /// Records an answer after so many nanoseconds; `late` where its caller had given up by then.
-    pub fn answered(&self, operation: usize, outcome: Answered, latency_ns: u64, late: bool) {
+    pub fn record_answer(&self, operation: usize, outcome: AnswerOutcome, latency_ns: u64, late: bool) {
         let mut classes = self.classes.borrow_mut();
         let Some(Class { figures, latency }) = classes.get_mut(operation) else { return };
         figures.answered += 1;
         figures.late += u64::from(late);
         match outcome {
-            Answered::Succeeded => latency.saturating_record((latency_ns / 1000).max(1)),
-            Answered::Rejected => figures.throttled += 1,
-            Answered::Failed => figures.errored += 1,
+            AnswerOutcome::Succeeded => latency.saturating_record((latency_ns / 1000).max(1)),
+            AnswerOutcome::Rejected => figures.throttled += 1,
+            AnswerOutcome::Failed => figures.errored += 1,
         }
     }
 
--- a/crates/server/src/fleet/joined.rs
+++ b/crates/server/src/fleet/joined.rs
@@ -2,7 +2,7 @@
 //! operator's command. It has the fleet's view and the shared state, and returns the messages of other
 //! topics.
 
-use crate::configuration::fleet::Fleet;
+use crate::configuration::fleet::FleetSettings;
 use crate::fleet::membership::bind;
 use crate::lifecycle::clock::Clock;
 use anyhow::{Context, Result, anyhow};
@@ -26,7 +26,7 @@
 }
 
 /// The process as a member of the fleet.
-pub struct Joined {
+pub struct NonServingMember {
     /// The time.
     pub clock: Clock,
     socket: Async<UdpSocket>,
@@ -42,9 +42,9 @@
     buffer: Vec<u8>,
 }
 
-impl Joined {
+impl NonServingMember {
     /// Binds its address and joins by the seeds.
-    pub fn join(fleet: &Fleet) -> Result<Joined> {
+    pub fn join(fleet: &FleetSettings) -> Result<NonServingMember> {
         let clock = Clock::start();
         let socket = bind(fleet).with_context(|| format!("<membership>: cannot bind {}", fleet.bind))?;
         let bound = socket.get_ref().local_addr()?;
@@ -60,7 +60,7 @@
         let shared = SharedState::new(who, settings, incarnation, reading).map_err(|fault| anyhow!(fault))?;
         tracing::info!(target: "fleet", member = name, %addr, %bound, incarnation, "joining");
         let buffer = vec![0; DATAGRAM_BYTES_MAX + 1];
-        Ok(Joined {
+        Ok(NonServingMember {
             clock,
             socket,
             membership,
--- a/crates/server/src/fleet/membership.rs
+++ b/crates/server/src/fleet/membership.rs
@@ -1,7 +1,7 @@
 //! The membership task: it owns the membership protocol's state and its UDP socket, feeds it datagrams and
 //! time, sends what it transmits, and logs how the view stands.
 
-use crate::configuration::fleet::Fleet;
+use crate::configuration::fleet::FleetSettings;
 use crate::fleet::replication::{Replication, ReplicationError};
 use crate::fleet::sharing::Sharing;
 use crate::fleet::view_log::{ViewLog, log_change};
@@ -24,12 +24,12 @@
 }
 
 /// Binds the socket.
-pub fn bind(fleet: &Fleet) -> std::io::Result<Async<UdpSocket>> {
+pub fn bind(fleet: &FleetSettings) -> std::io::Result<Async<UdpSocket>> {
     Async::<UdpSocket>::bind(fleet.bind)
 }
 
 /// Runs until the server leaves, of which the fleet is then notified, so that it is seen down at once.
-pub async fn run(server: Rc<Server>, socket: Async<UdpSocket>, fleet: Fleet) {
+pub async fn run(server: Rc<Server>, socket: Async<UdpSocket>, fleet: FleetSettings) {
     let Some(membership) = start(&server, &socket, &fleet) else { return };
     let now = server.clock.now();
     let replication = match replication(&server, &fleet, now) {
@@ -45,7 +45,7 @@
 }
 
 /// The state of the protocol; `None`, with a line in the log, where a setting is out of its range.
-fn start(server: &Server, socket: &Async<UdpSocket>, fleet: &Fleet) -> Option<Membership> {
+fn start(server: &Server, socket: &Async<UdpSocket>, fleet: &FleetSettings) -> Option<Membership> {
     let bound = socket.get_ref().local_addr().unwrap_or(fleet.bind);
     let addr = fleet.advertise.unwrap_or(bound);
     let incarnation = server.incarnation;
@@ -66,7 +66,11 @@
 }
 
 /// This server's part in replicated configuration, where the options say so.
-fn replication(server: &Server, fleet: &Fleet, now: Nanos) -> Result<Option<Replication>, ReplicationError> {
+fn replication(
+    server: &Server,
+    fleet: &FleetSettings,
+    now: Nanos,
+) -> Result<Option<Replication>, ReplicationError> {
     let options = server.configuration.options.borrow().clone();
     let Some(given) = &options.replication else { return Ok(None) };
     let Some(file) = server.configuration.replication_file() else { return Ok(None) };
@@ -84,7 +88,7 @@
 }
 
 impl MembershipTask {
-    async fn run(&mut self, fleet: &Fleet) {
+    async fn run(&mut self, fleet: &FleetSettings) {
         // One byte more than the protocol sends, so that an oversized datagram is seen as such.
         let mut buffer = vec![0; DATAGRAM_BYTES_MAX + 1];
         loop {
@@ -109,7 +113,7 @@
         }
     }
 
-    fn log(&mut self, fleet: &Fleet) {
+    fn log(&mut self, fleet: &FleetSettings) {
         for change in self.membership.take_changes() {
             log_change(&change);
         }
--- a/crates/server/src/fleet/publish.rs
+++ b/crates/server/src/fleet/publish.rs
@@ -2,7 +2,7 @@
 //! publisher, or reverts one, and prints which members have it in force.
 
 use crate::fleet::control_machine as control;
-use crate::fleet::joined::Joined;
+use crate::fleet::joined::NonServingMember;
 use anyhow::{Context, Result, bail, ensure};
 use meadowstream_configuration::change::load_change;
 use meadowstream_replication::change::Change;
@@ -18,7 +18,7 @@
 const REPEAT_AFTER_NS: u64 = 300_000_000;
 
 /// What is requested.
-pub enum Ask {
+pub enum PublishRequest {
     /// The change in this file.
     Publish(PathBuf),
     /// That the revision of this number be reverted.
@@ -28,9 +28,9 @@
 }
 
 /// What `publish` is given.
-pub struct Given {
+pub struct PublishArguments {
     /// What is requested.
-    pub ask: Ask,
+    pub request: PublishRequest,
     /// The options file of the fleet.
     pub options: PathBuf,
     /// How long all this may take.
@@ -38,11 +38,13 @@
 }
 
 /// Reads all it is given and refuses what cannot be done before the fleet hears of it.
-fn questions(given: &Given, request: &RequestId) -> Result<Vec<Message>> {
-    match &given.ask {
-        Ask::Status => Ok(Vec::new()),
-        Ask::Revert(number) => Ok(vec![Message::Revert { request: request.clone(), number: *number }]),
-        Ask::Publish(file) => {
+fn questions(arguments: &PublishArguments, request: &RequestId) -> Result<Vec<Message>> {
+    match &arguments.request {
+        PublishRequest::Status => Ok(Vec::new()),
+        PublishRequest::Revert(number) => {
+            Ok(vec![Message::Revert { request: request.clone(), number: *number }])
+        }
+        PublishRequest::Publish(file) => {
             let changes: Vec<Change> =
                 load_change(file)?.into_iter().map(|one| Change { key: one.key, value: one.value }).collect();
             if let Err(fault) = changes.iter().try_for_each(Change::check) {
@@ -63,19 +65,19 @@
 }
 
 /// Carries out the command; an error where the members do not confirm it in time.
-pub fn run(given: &Given) -> Result<()> {
+pub fn run(arguments: &PublishArguments) -> Result<()> {
     let life = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH)?.as_nanos() as u64;
     let name = format!("{NAME_PREFIX}{:08x}", (life / 1000) as u32);
-    let read = control::read(&given.options, Some(&name))?;
+    let read = control::read(&arguments.options, Some(&name))?;
     let replicas = read.replication.replicas.clone();
     let request = RequestId { from: name, number: 1 };
-    let questions = questions(given, &request)?;
-    let joined = Joined::join(&read.fleet)?;
-    async_io::block_on(ask(joined, questions, request, replicas, given.wait))
+    let questions = questions(arguments, &request)?;
+    let joined = NonServingMember::join(&read.fleet)?;
+    async_io::block_on(ask(joined, questions, request, replicas, arguments.wait))
 }
 
 struct Asking {
-    joined: Joined,
+    joined: NonServingMember,
     replicas: Vec<String>,
     /// Who is asked; the next one where it is not the publisher.
     publisher: usize,
@@ -83,7 +85,7 @@
 }
 
 async fn ask(
-    joined: Joined,
+    joined: NonServingMember,
     questions: Vec<Message>,
     request: RequestId,
     replicas: Vec<String>,
@@ -184,4 +186,4 @@
 }
 
 /// The options that a `publish` without `--wait` waits for.
-pub const WAIT_USUAL: Duration = Duration::from_secs(10);
+pub const DEFAULT_WAIT: Duration = Duration::from_secs(10);
--- a/crates/server/src/fleet/replication.rs
+++ b/crates/server/src/fleet/replication.rs
@@ -3,7 +3,7 @@
 //! reported.
 
 use crate::error::with_causes;
-use crate::fleet::shared_state::Shared;
+use crate::fleet::shared_state::LocalSharedState;
 use crate::lifecycle::reload;
 use crate::server::Server;
 use async_channel::{Receiver, Sender};
@@ -107,7 +107,13 @@
     }
 
     /// Does what is due and sends what is to be sent.
-    pub fn advance(&mut self, server: &Rc<Server>, shared: &Shared, directory: &Directory, now: Nanos) {
+    pub fn advance(
+        &mut self,
+        server: &Rc<Server>,
+        shared: &LocalSharedState,
+        directory: &Directory,
+        now: Nanos,
+    ) {
         while let Ok(Outcome { number, rejected }) = self.outcomes.1.try_recv() {
             self.is_checking = false;
             match rejected {
--- a/crates/server/src/fleet/rollout.rs
+++ b/crates/server/src/fleet/rollout.rs
@@ -80,7 +80,7 @@
     rollout.intervals.set(rollout.intervals.get() + 1);
     let refused = rollout.refused.borrow().clone();
     // One datagram does not hold both a reason and figures.
-    let classes = if refused.is_some() { Vec::new() } else { rollout.record.take() };
+    let classes = if refused.is_some() { Vec::new() } else { rollout.recorder.take() };
     Some(Report { classes, ..rollout.report(&order, program, refused) })
 }
 
@@ -129,7 +129,7 @@
             let settings = format!("{settings:016x}");
             info!(target: "fleet", adopted = adopt.is_some(), settings, "settings");
             // Figures under the settings before are not reported as those of these.
-            rollout.record.take();
+            rollout.recorder.take();
         }
         Err(error) => refuse(rollout, &error),
     }
--- a/crates/server/src/fleet/rollout_state.rs
+++ b/crates/server/src/fleet/rollout_state.rs
@@ -1,7 +1,7 @@
 //! What this server has adopted of a rollout, and what its reports say.
 
 use crate::configuration::candidate::Candidate;
-use crate::fleet::interval_report::{HistogramError, Record};
+use crate::fleet::interval_report::{AnswerRecorder, HistogramError};
 use async_channel::Sender;
 use meadowstream_rollout::version_table::{ServerVersion, VersionTable};
 use meadowstream_rollout::wire::{Order, Report};
@@ -47,7 +47,7 @@
 /// This server's part in rollouts.
 pub struct Rollout {
     /// What invocations were answered since the last report.
-    pub record: Record,
+    pub recorder: AnswerRecorder,
     /// What may be adopted.
     pub candidate: Candidate,
     /// What each server of the fleet runs.
@@ -90,7 +90,7 @@
         let (name, incarnation) = (me.name, me.incarnation);
         let own = ServerVersion { name, incarnation, sequence: 0, version, settings_hash };
         Ok(Rollout {
-            record: Record::new(operations)?,
+            recorder: AnswerRecorder::new(operations)?,
             versions: RefCell::new(VersionTable::new(own, SERVER_VERSIONS_MAX)),
             program: Cell::new(program),
             leave,
--- a/crates/server/src/fleet/shared_state.rs
+++ b/crates/server/src/fleet/shared_state.rs
@@ -27,7 +27,7 @@
 }
 
 /// What this server shares with the others.
-pub struct Shared {
+pub struct LocalSharedState {
     inner: RefCell<Inner>,
     /// Tenants that are counted by name: those in the options.
     named: RefCell<TenantNames>,
@@ -88,14 +88,14 @@
     pub has_capacity: bool,
 }
 
-impl Shared {
+impl LocalSharedState {
     /// `tier` has the addresses of the services of the settings, in their order.
     pub fn new(
         me: ServerId,
         settings: &Settings,
         tier: &[SocketAddr],
         seed: u64,
-    ) -> Result<Shared, SharedStateError> {
+    ) -> Result<LocalSharedState, SharedStateError> {
         let began = Instant::now();
         let reading = Reading { monotonic: 0, wall: wall() };
         let state = SharedState::new(me, settings.clone(), seed, reading)?;
@@ -110,7 +110,7 @@
             counted: [0; 4],
             uncounted: 0,
         };
-        Ok(Shared { inner: RefCell::new(inner), named: RefCell::default(), began })
+        Ok(LocalSharedState { inner: RefCell::new(inner), named: RefCell::default(), began })
     }
 
     fn reading(&self) -> Reading {
--- a/crates/server/src/fleet/sharing.rs
+++ b/crates/server/src/fleet/sharing.rs
@@ -4,7 +4,7 @@
 use crate::event::Event;
 use crate::fleet::replication::Replication;
 use crate::fleet::rollout;
-use crate::fleet::shared_state::{Shared, SharedStatus};
+use crate::fleet::shared_state::{LocalSharedState, SharedStatus};
 use crate::server::Server;
 use meadowstream_membership::directory::Directory;
 use meadowstream_membership::{Membership, Nanos};
@@ -69,7 +69,7 @@
     fn handle(
         &mut self,
         server: &Rc<Server>,
-        shared: &Shared,
+        shared: &LocalSharedState,
         from: &ServerId,
         topic: u16,
         body: &[u8],
@@ -95,7 +95,7 @@
     }
 
     /// Announces versions to the member whose turn it is, from a place in the order that differs by server.
-    fn announce_versions(&mut self, server: &Server, shared: &Shared, now: Nanos) {
+    fn announce_versions(&mut self, server: &Server, shared: &LocalSharedState, now: Nanos) {
         let Some(rollout) = &server.rollout else { return };
         if now < self.announced_at + ANNOUNCE_EVERY_NS {
             return;
@@ -112,7 +112,13 @@
         shared.send_other(member, VERSION_ANNOUNCEMENTS, wire::encode(&versions.announcement(now)));
     }
 
-    fn advance_shared(&self, server: &Server, shared: &Shared, membership: &mut Membership, now: Nanos) {
+    fn advance_shared(
+        &self,
+        server: &Server,
+        shared: &LocalSharedState,
+        membership: &mut Membership,
+        now: Nanos,
+    ) {
         let advanced = shared.advance(self.directory.names(), &server.counters);
         for (name, body) in advanced.outgoing {
             if let Some(to) = self.directory.address(&name) {
@@ -126,7 +132,7 @@
     }
 
     /// Logs the shared state where leases or ejected services have changed, and regularly.
-    fn log(&mut self, shared: &Shared, now: Nanos) {
+    fn log(&mut self, shared: &LocalSharedState, now: Nanos) {
         let status = shared.status();
         let changes = |s: &SharedStatus| (s.floor, s.leased, s.gives, s.ejected.clone());
         if changes(&status) == changes(&self.logged) && now < self.logged_at + LOG_EVERY_NS {
--- a/crates/server/src/lifecycle/changes.rs
+++ b/crates/server/src/lifecycle/changes.rs
@@ -13,5 +13,5 @@
     /// Held during a change.
     pub lock: async_lock::Mutex<()>,
     /// A reload waits that has read nothing yet: it will see what any further signal is about.
-    pub reload_waits: Cell<bool>,
+    pub reload_pending: Cell<bool>,
 }
--- a/crates/server/src/lifecycle/drain.rs
+++ b/crates/server/src/lifecycle/drain.rs
@@ -38,7 +38,7 @@
 
 /// Returns when it is time to look whether the drain is over: at once when the server starts to leave, and
 /// regularly from then on.
-pub async fn next_look(server: &Server) {
+pub async fn wait_for_next_check(server: &Server) {
     if server.left.recv().await.is_err() {
         Timer::after(LOOK_EVERY).await;
     }
@@ -47,6 +47,6 @@
 /// Waits for what came last, when the listener is closed already.
 pub async fn finish(server: &Server) {
     while !is_over(server) {
-        next_look(server).await;
+        wait_for_next_check(server).await;
     }
 }
--- a/crates/server/src/lifecycle/reload.rs
+++ b/crates/server/src/lifecycle/reload.rs
@@ -111,7 +111,7 @@
             let new = configuration.options.borrow();
             if let Some((before, after)) = changed_tenants(&self.in_force, &new)? {
                 retunes = SettingsChange::between(&before.fair, &after.fair);
-                tenant_names = Some(names_of(after));
+                tenant_names = Some(named_tenants(after));
             }
         }
         if let Some((file, saved)) = self.write {
@@ -123,18 +123,18 @@
 }
 
 /// The names of the tenants that are counted by name.
-pub fn names_of(tenants: &Tenants) -> TenantNames {
+pub fn named_tenants(tenants: &Tenants) -> TenantNames {
     Arc::new(tenants.fair.named.iter().map(|(name, _)| name.clone()).collect())
 }
 
 /// Reads the files again and puts them in force; files that cannot be used change nothing. Connections to
 /// addresses that are the same stay. Signals that come while a reload waits are one with it.
 pub async fn reload(server: Rc<Server>) {
-    if server.changes.reload_waits.replace(true) {
+    if server.changes.reload_pending.replace(true) {
         return;
     }
     let _turn = server.changes.lock.lock().await;
-    server.changes.reload_waits.set(false);
+    server.changes.reload_pending.set(false);
     let (change, replicated) = (adopted(&server), server.configuration.replicated.borrow().clone());
     if let Err(error) = apply(&server, change, replicated, None).await {
         server.counters.reloads_refused.add();
--- a/crates/server/src/lifecycle/reload_check.rs
+++ b/crates/server/src/lifecycle/reload_check.rs
@@ -1,7 +1,7 @@
 //! What a change of settings while the server runs may not touch.
 
 use crate::configuration::Configuration;
-use crate::configuration::fleet::Fleet;
+use crate::configuration::fleet::FleetSettings;
 use meadowstream_configuration::{Options, Tenants};
 use meadowstream_shared_state::budget::BudgetSettings;
 
@@ -57,7 +57,7 @@
         && old.replication == new.replication
 }
 
-fn has_same_membership(old: Option<&Fleet>, new: Option<&Fleet>) -> bool {
+fn has_same_membership(old: Option<&FleetSettings>, new: Option<&FleetSettings>) -> bool {
     let (Some(old), Some(new)) = (old, new) else { return old.is_some() == new.is_some() };
     old.bind == new.bind
         && old.advertise == new.advertise
@@ -67,7 +67,7 @@
 }
 
 /// The total of a budget may change while leases stand.
-fn has_same_shared_state(old: Option<&Fleet>, new: Option<&Fleet>) -> bool {
+fn has_same_shared_state(old: Option<&FleetSettings>, new: Option<&FleetSettings>) -> bool {
     let (Some(old), Some(new)) = (old, new) else { return old.is_some() == new.is_some() };
     if old.tier != new.tier {
         return false;
--- a/crates/server/src/lifecycle/start.rs
+++ b/crates/server/src/lifecycle/start.rs
@@ -2,7 +2,7 @@
 
 use crate::calls::pool::Pool;
 use crate::configuration::Configuration;
-use crate::configuration::fleet::Fleet;
+use crate::configuration::fleet::FleetSettings;
 use crate::connection::accept;
 use crate::connection::table::{Connections, HealthStatus};
 use crate::event::Event;
@@ -10,7 +10,7 @@
 use crate::fleet::membership;
 use crate::fleet::rollout;
 use crate::fleet::rollout_state::{Rollout, RolloutError};
-use crate::fleet::shared_state::{Shared, SharedStateError};
+use crate::fleet::shared_state::{LocalSharedState, SharedStateError};
 use crate::interpreter::link;
 use crate::lifecycle::changes::Changes;
 use crate::lifecycle::clock::Clock;
@@ -126,7 +126,7 @@
     Ok(listener)
 }
 
-fn bind_membership(fleet: &Fleet) -> Result<Async<UdpSocket>, StartError> {
+fn bind_membership(fleet: &FleetSettings) -> Result<Async<UdpSocket>, StartError> {
     membership::bind(fleet).map_err(|error| StartError::BindMembership { address: fleet.bind, error })
 }
 
@@ -167,13 +167,16 @@
     Ok((Rc::new(server), Channels { events: events_received, leave_requests, stay }))
 }
 
-fn shared(configuration: &Configuration, incarnation: u64) -> Result<Option<Shared>, SharedStateError> {
+fn shared(
+    configuration: &Configuration,
+    incarnation: u64,
+) -> Result<Option<LocalSharedState>, SharedStateError> {
     let Some(fleet) = &configuration.membership else { return Ok(None) };
     let Some(settings) = &fleet.shared else { return Ok(None) };
     let me = ServerId { name: fleet.name.clone(), incarnation };
-    let shared = Shared::new(me, settings, &fleet.tier, configuration.seed ^ incarnation)?;
+    let shared = LocalSharedState::new(me, settings, &fleet.tier, configuration.seed ^ incarnation)?;
     if let Some(tenants) = &configuration.options.borrow().tenants {
-        shared.name_tenants(reload::names_of(tenants));
+        shared.name_tenants(reload::named_tenants(tenants));
     }
     Ok(Some(shared))
 }
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -5,7 +5,7 @@
 use crate::connection::table::{Connections, HealthStatus};
 use crate::event::Event;
 use crate::fleet::rollout_state::Rollout;
-use crate::fleet::shared_state::Shared;
+use crate::fleet::shared_state::LocalSharedState;
 use crate::lifecycle::changes::Changes;
 use crate::lifecycle::clock::Clock;
 use crate::lifecycle::drain_state::DrainState;
@@ -54,7 +54,7 @@
     /// Closed once the server is to leave.
     pub left: Receiver<()>,
     /// State shared with other servers, where the options say so.
-    pub shared: Option<Shared>,
+    pub shared: Option<LocalSharedState>,
     /// This server's part in rollouts, where the options say so.
     pub rollout: Option<Rollout>,
     /// Changes of settings, one at a time.
