--- a/crates/server/src/fleet/coordinator.rs
+++ b/crates/server/src/fleet/coordinator.rs
@@ -1,6 +1,5 @@
-//! `meadowstream rollout`: the coordinator of one rollout. It is a member of the fleet that serves nothing,
-//! holds the lease on rollouts, sends orders and receives reports in each interval, and keeps its state on
-//! disk.
+//! `meadowstream rollout`: the coordinator of one rollout. This member of the fleet serves no callers. It
+//! holds the rollout lease, sends orders and receives reports in each interval, and saves its state to disk.
 
 use crate::configuration::candidate;
 use crate::configuration::candidate::hash_of;
@@ -19,22 +18,22 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Names of members that are coordinators begin with this; no rollout reaches them.
+/// Prefix of the member names of coordinators. Rollouts ignore members with this prefix.
 const NAME_PREFIX: &str = "rollout-";
 
-/// What `rollout` is given.
+/// Arguments of the `rollout` command.
 pub struct RolloutArguments {
-    /// The file of the plan.
+    /// Path of the plan file.
     pub plan: PathBuf,
-    /// The options file of the fleet.
+    /// Path of the options file that describes the fleet.
     pub options: PathBuf,
-    /// The file of the coordinator's state.
+    /// Path of the coordinator's state file.
     pub state: PathBuf,
-    /// How long it waits for the lease before anything has begun.
+    /// Longest wait for the rollout lease before the first stage begins.
     pub wait: Duration,
 }
 
-/// The file of the state of a plan, unless another is given.
+/// Path of the state file of a plan when the command line names none: the plan's path with `.state` appended.
 pub fn default_state_path(plan: &Path) -> PathBuf {
     let mut state = plan.as_os_str().to_os_string();
     state.push(".state");
@@ -47,28 +46,28 @@
     PathBuf::from(abort)
 }
 
-/// `None` where there is no state yet.
+/// Reads the coordinator's state file. Returns `None` if the file does not exist.
 fn read_state(path: &Path) -> Result<Option<PersistedState>> {
     let text = match std::fs::read_to_string(path) {
         Err(error) if error.kind() == std::io::ErrorKind::NotFound => return Ok(None),
         text => text.with_context(|| format!("cannot read {}", path.display()))?,
     };
-    let saved =
-        serde_json::from_str(&text).with_context(|| format!("{}: no state of a rollout", path.display()))?;
+    let saved = serde_json::from_str(&text)
+        .with_context(|| format!("{}: not a rollout state file", path.display()))?;
     Ok(Some(saved))
 }
 
-/// Prints how far a rollout has come.
+/// Prints the progress of a rollout from its state file.
 pub fn status(state: &Path) -> Result<()> {
     let saved = read_state(state)?.with_context(|| format!("{}: nothing has begun", state.display()))?;
     let changed: Vec<&str> = saved.changed.iter().map(String::as_str).collect();
     println!("plan {:?}, settings {:016x}, stage {}", saved.plan, saved.candidate, saved.stage + 1);
-    println!("{}", said(&saved.phase));
-    println!("{} servers go by the change: {}", changed.len(), changed.join(", "));
+    println!("{}", describe_phase(&saved.phase));
+    println!("{} servers have adopted the change: {}", changed.len(), changed.join(", "));
     Ok(())
 }
 
-fn said(phase: &Phase) -> String {
+fn describe_phase(phase: &Phase) -> String {
     match phase {
         Phase::Waiting => "waiting".into(),
         Phase::Applying => "applying".into(),
@@ -85,16 +84,18 @@
     }
 }
 
-/// Asks the coordinator, the one that runs or the next that goes on from the state, to roll back.
+/// Requests a rollback through a file beside the state. A running coordinator reads the file in its next
+/// interval; otherwise the next coordinator that resumes from this state does.
 pub fn abort(state: &Path) -> Result<()> {
     let saved = read_state(state)?.with_context(|| format!("{}: nothing has begun", state.display()))?;
-    ensure!(!saved.phase.is_over(), "the plan has ended already: {}", said(&saved.phase));
+    ensure!(!saved.phase.is_over(), "the plan has ended already: {}", describe_phase(&saved.phase));
     files::write(&abort_path(state), b"abort\n").context("cannot write")?;
-    println!("the coordinator will roll back; one that does not run does so when it is started again");
+    println!("the coordinator will roll back; if it is not running, it does so when it is started again");
     Ok(())
 }
 
-/// Reads all it is given and refuses what cannot be done before the fleet hears of it.
+/// Reads the plan, the candidate and the options. Errors in them are reported before the process joins the
+/// fleet.
 fn prepare(arguments: &RolloutArguments) -> Result<(Plan, FleetSettings)> {
     let file = PlanFile::load(&arguments.plan)?;
     let candidate = arguments.plan.parent().unwrap_or(Path::new(".")).join(&file.candidate);
@@ -110,27 +111,27 @@
     let name = format!("{NAME_PREFIX}{:08x}", hash_of(plan.name.as_bytes()) as u32);
     let mut fleet = fleet::fleet_settings(own, &name, &arguments.options)?;
     fleet.name = name;
-    // It takes no part in what else is shared.
-    let alone = Options { shared_state: None, replication: None, ..options };
-    fleet.shared = fleet::shared_state_settings(&alone, fleet.settings.packet_max)?;
+    // The coordinator takes no part in the shared call budget or in replicated configuration.
+    let rollout_only = Options { shared_state: None, replication: None, ..options };
+    fleet.shared = fleet::shared_state_settings(&rollout_only, fleet.settings.packet_max)?;
     Ok((plan, fleet))
 }
 
-/// Coordinates a rollout to its end; an error unless every stage is done.
+/// Coordinates a rollout until it ends. Returns an error unless every stage was completed.
 pub fn run(arguments: &RolloutArguments) -> Result<()> {
     let (plan, fleet) = prepare(arguments)?;
     let lock = std::fs::File::options().create(true).append(true).open(lock_path(&arguments.state))?;
-    let alone = rustix::fs::flock(&lock, rustix::fs::FlockOperation::NonBlockingLockExclusive);
-    ensure!(alone.is_ok(), "{}: another coordinator goes by this state", arguments.state.display());
+    let locked = rustix::fs::flock(&lock, rustix::fs::FlockOperation::NonBlockingLockExclusive);
+    ensure!(locked.is_ok(), "{}: another coordinator is using this state", arguments.state.display());
     let saved = read_state(&arguments.state)?;
     if let Some(ended) = saved.as_ref().filter(|saved| saved.phase.is_over()) {
-        let (state, said) = (arguments.state.display(), said(&ended.phase));
-        bail!("this plan has ended ({said}); remove {state} to begin it anew");
+        let (state, outcome) = (arguments.state.display(), describe_phase(&ended.phase));
+        bail!("this plan has ended ({outcome}); remove {state} to start it again");
     }
     let phase = async_io::block_on(coordinate(arguments, plan, saved, &fleet))?;
     match phase {
         Phase::Done => Ok(()),
-        other => Err(anyhow!("{}", said(&other))),
+        other => Err(anyhow!("{}", describe_phase(&other))),
     }
 }
 
@@ -140,13 +141,14 @@
     PathBuf::from(lock)
 }
 
-/// A coordinator and its place in the fleet.
+/// A running coordinator and its membership in the fleet.
 struct Coordination<'a> {
     arguments: &'a RolloutArguments,
-    joined: NonServingMember,
+    fleet_member: NonServingMember,
     coordinator: Coordinator,
     /// Length of an interval, in nanoseconds.
     interval: u64,
+    /// Start of the next interval, in Unix nanoseconds.
     next_interval: u64,
 }
 
@@ -156,35 +158,35 @@
     saved: Option<PersistedState>,
     fleet: &FleetSettings,
 ) -> Result<Phase> {
-    let joined = NonServingMember::join(fleet)?;
+    let fleet_member = NonServingMember::join(fleet)?;
     let (interval, resumes) = (plan.interval, saved.is_some());
-    let coordinator = Coordinator::new(plan, saved, joined.incarnation, joined.now());
+    let coordinator = Coordinator::new(plan, saved, fleet_member.incarnation, fleet_member.now());
     let coordinator = coordinator.map_err(|fault| anyhow!(fault))?;
-    let next_interval = joined.now() + interval;
-    let mut coordination = Coordination { arguments, joined, coordinator, interval, next_interval };
+    let next_interval = fleet_member.now() + interval;
+    let mut coordination = Coordination { arguments, fleet_member, coordinator, interval, next_interval };
     coordination.print(if resumes { "goes on from its state" } else { "joins the fleet" });
     coordination.run().await
 }
 
 impl Coordination<'_> {
-    /// Prints a line with the time since the start.
+    /// Prints a line with the time since the start of this process, in seconds.
     fn print(&self, line: &str) {
-        let elapsed_ns = self.joined.now() - self.joined.incarnation;
+        let elapsed_ns = self.fleet_member.now() - self.fleet_member.incarnation;
         println!("{:8.1} s  {line}", elapsed_ns as f64 / 1e9);
     }
 
     async fn run(&mut self) -> Result<Phase> {
         loop {
-            let now = self.joined.now();
-            let has_lease = self.joined.lease(ROLLOUTS, true);
+            let now = self.fleet_member.now();
+            let has_lease = self.fleet_member.request_lease(ROLLOUTS, true);
             if now >= self.next_interval {
                 self.next_interval = now + self.interval;
                 self.handle_interval(now, has_lease)?;
             }
             if self.coordinator.state().phase.is_over() {
-                // The last orders go out before it leaves.
-                self.joined.turn(self.joined.now()).await;
-                self.joined.leave().await;
+                // Sends the last orders before leaving the fleet.
+                self.fleet_member.step(self.fleet_member.now()).await;
+                self.fleet_member.leave().await;
                 return Ok(self.coordinator.state().phase.clone());
             }
             self.receive_reports().await;
@@ -198,32 +200,32 @@
             let _ = std::fs::remove_file(abort_path(&self.arguments.state));
         }
         let has_begun = self.coordinator.state().phase != Phase::Waiting;
-        let waited = Duration::from_nanos(now - self.joined.incarnation);
+        let waited = Duration::from_nanos(now - self.fleet_member.incarnation);
         ensure!(
             has_lease || has_begun || waited < self.arguments.wait,
             "no lease on rollouts within {:?}: another plan \
-            holds it, or no majority of <voter>s is heard",
+            holds it, or no majority of <voter>s is reachable",
             self.arguments.wait
         );
-        let view = fleet_view(&mut self.joined.membership, now);
+        let view = fleet_view(&mut self.fleet_member.membership, now);
         let actions = self.coordinator.handle_interval(now, &view, has_lease);
         self.carry_out(actions)
     }
 
     async fn receive_reports(&mut self) {
-        for message in self.joined.turn(self.next_interval).await {
+        for message in self.fleet_member.step(self.next_interval).await {
             if message.topic == ROLLOUT_REPORTS
                 && let Some(report) = wire::decode(&message.body)
             {
-                let now = self.joined.now();
+                let now = self.fleet_member.now();
                 self.coordinator.handle_report(now, &message.from.name, report);
             }
         }
     }
 
-    /// Carries out actions in their order: the state is saved before the orders that follow from it are sent.
-    /// A state that cannot be written ends the coordinator, and the servers stay as they are until it is
-    /// started again.
+    /// Carries out actions in order: the state is saved before the orders that depend on it are sent. If the
+    /// state cannot be written, the coordinator exits, and each server keeps its current version until the
+    /// coordinator is started again.
     fn carry_out(&mut self, actions: Vec<Action>) -> Result<()> {
         for action in actions {
             match action {
@@ -234,7 +236,7 @@
                         .with_context(|| format!("cannot write {}", path.display()))?;
                 }
                 Action::SendOrder { server, order } => {
-                    self.joined.send(&server, ROLLOUT_ORDERS, wire::encode(&order));
+                    self.fleet_member.send(&server, ROLLOUT_ORDERS, wire::encode(&order));
                 }
                 Action::Notify { message } => self.print(&message),
             }
@@ -243,7 +245,7 @@
     }
 }
 
-/// The servers of the fleet.
+/// The servers of the fleet, alive and missing, without the coordinators.
 fn fleet_view(membership: &mut Membership, now: u64) -> FleetView {
     let mut view =
         FleetView { settled_for: now.saturating_sub(membership.last_change()), ..FleetView::default() };
@@ -252,7 +254,8 @@
     {
         match member.state {
             MemberState::Alive => view.alive.push(member.name),
-            // A member that is down is waited for until it is forgotten: a partition looks the same.
+            // A member that is down counts as missing until the membership forgets it, because the member may
+            // be alive behind a network partition.
             MemberState::Suspect | MemberState::Down => view.missing.push(member.name),
         }
     }
--- a/crates/server/src/fleet/interval_report.rs
+++ b/crates/server/src/fleet/interval_report.rs
@@ -1,25 +1,25 @@
-//! What this server has answered in each class of invocations since its last report, for a rollout's
-//! coordinator to compare.
+//! Answers of this server by class of invocations since its last report. A rollout's coordinator compares
+//! these figures between servers with and without the change.
 
 use hdrhistogram::Histogram;
 use meadowstream_rollout::metrics::IntervalMetrics;
 use meadowstream_rollout::wire::CLASSES_MAX;
 use std::cell::RefCell;
 
-/// Longest latency that is recorded, in microseconds; longer ones count as this.
+/// Upper bound of recorded latencies, in microseconds; longer latencies are recorded as this value.
 const LATENCY_MAX_US: u64 = 60_000_000;
 
-/// Characters of an operation's name in a report, so that all classes fit a datagram.
+/// Operation names in a report are cut to this number of characters, so that all classes fit in one datagram.
 const NAME_MAX: usize = 32;
 
-/// What an invocation was answered.
+/// Outcome of an invocation, as its answer reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerOutcome {
-    /// With its result.
+    /// The invocation succeeded, and the answer carries its result.
     Succeeded,
-    /// That nothing was done.
+    /// The invocation was rejected without having run.
     Rejected,
-    /// With a failure.
+    /// The invocation failed.
     Failed,
 }
 
@@ -28,18 +28,19 @@
     latency: Histogram<u64>,
 }
 
-/// A histogram of latencies cannot be made.
+/// A latency histogram cannot be created.
 #[derive(Debug, thiserror::Error)]
-#[error("no histogram of latencies: {0}")]
+#[error("cannot create a latency histogram: {0}")]
 pub struct HistogramError(hdrhistogram::errors::CreationError);
 
-/// One class for each operation, the first ones of the settings where there are more than a report holds.
+/// Records answers in one class per operation. If there are more operations than a report can hold, only the
+/// first ones in the settings are recorded.
 pub struct AnswerRecorder {
     classes: RefCell<Vec<Class>>,
 }
 
 impl AnswerRecorder {
-    /// An empty record of these operations.
+    /// Creates an empty record for operations with these names.
     pub fn new(operations: &[String]) -> Result<AnswerRecorder, HistogramError> {
         let class = |name: &String| {
             let latency = Histogram::new_with_bounds(1, LATENCY_MAX_US, 2).map_err(HistogramError)?;
@@ -51,7 +52,8 @@
         Ok(AnswerRecorder { classes: RefCell::new(classes) })
     }
 
-    /// Records an answer after so many nanoseconds; `late` where its caller had given up by then.
+    /// Records an answer sent `latency_ns` nanoseconds after its invocation. `late` is true if the caller's
+    /// timeout had passed by then.
     pub fn record_answer(&self, operation: usize, outcome: AnswerOutcome, latency_ns: u64, late: bool) {
         let mut classes = self.classes.borrow_mut();
         let Some(Class { figures, latency }) = classes.get_mut(operation) else { return };
@@ -64,7 +66,7 @@
         }
     }
 
-    /// Everything recorded since the last time.
+    /// Returns the figures recorded since the previous call, and resets them.
     pub fn take(&self) -> Vec<IntervalMetrics> {
         let taken = |Class { figures, latency }: &mut Class| {
             let p95_us = if latency.is_empty() { 0 } else { latency.value_at_quantile(0.95) };
--- a/crates/server/src/fleet/joined.rs
+++ b/crates/server/src/fleet/joined.rs
@@ -1,6 +1,6 @@
-//! A process that is a member of the fleet and serves nothing: a coordinator, a control machine, an
-//! operator's command. It has the fleet's view and the shared state, and returns the messages of other
-//! topics.
+//! A process that joins the fleet without serving callers: a rollout coordinator, a control machine, or an
+//! operator's command. It runs the membership protocol and the shared state, and returns messages of all
+//! other topics to its caller.
 
 use crate::configuration::fleet::FleetSettings;
 use crate::fleet::membership::bind;
@@ -15,35 +15,35 @@
 use meadowstream_shared_state::{ServerId, SharedState};
 use std::net::{SocketAddr, UdpSocket};
 
-/// A body of a topic that another member has sent.
+/// A message of a topic, received from another member.
 pub struct TopicMessage {
-    /// The sender.
+    /// The member that sent the message.
     pub from: ServerId,
-    /// The topic.
+    /// Topic number, which determines the encoding of the body.
     pub topic: u16,
-    /// The message, encoded as its topic says.
+    /// The encoded message.
     pub body: Vec<u8>,
 }
 
-/// The process as a member of the fleet.
+/// A member of the fleet that serves no callers.
 pub struct NonServingMember {
-    /// The time.
+    /// The process's clock, in Unix nanoseconds.
     pub clock: Clock,
     socket: Async<UdpSocket>,
     /// The state of the membership protocol.
     pub membership: Membership,
-    /// The state shared with other members.
+    /// The state shared with other members, including the leases.
     pub shared: SharedState,
-    /// Members that are alive, with their addresses.
+    /// Names and addresses of the members that are alive.
     pub directory: Directory,
-    /// Its start, in Unix nanoseconds.
+    /// Start time of this process, in Unix nanoseconds.
     pub incarnation: u64,
-    due: u64,
+    shared_state_due: u64,
     buffer: Vec<u8>,
 }
 
 impl NonServingMember {
-    /// Binds its address and joins by the seeds.
+    /// Binds the UDP socket and joins the fleet through the seed members.
     pub fn join(fleet: &FleetSettings) -> Result<NonServingMember> {
         let clock = Clock::start();
         let socket = bind(fleet).with_context(|| format!("<membership>: cannot bind {}", fleet.bind))?;
@@ -55,9 +55,10 @@
         let mut membership = membership.map_err(|fault| anyhow!("<membership>: {fault}"))?;
         membership.join(&fleet.seeds, incarnation);
         let settings = fleet.shared.clone().context("<replication> or <rollout> is missing")?;
-        let who = ServerId { name: name.clone(), incarnation };
+        let server_id = ServerId { name: name.clone(), incarnation };
         let reading = Reading { monotonic: 0, wall: incarnation };
-        let shared = SharedState::new(who, settings, incarnation, reading).map_err(|fault| anyhow!(fault))?;
+        let shared =
+            SharedState::new(server_id, settings, incarnation, reading).map_err(|fault| anyhow!(fault))?;
         tracing::info!(target: "fleet", member = name, %addr, %bound, incarnation, "joining");
         let buffer = vec![0; DATAGRAM_BYTES_MAX + 1];
         Ok(NonServingMember {
@@ -67,12 +68,12 @@
             shared,
             directory: Directory::default(),
             incarnation,
-            due: incarnation,
+            shared_state_due: incarnation,
             buffer,
         })
     }
 
-    /// The time, in Unix nanoseconds.
+    /// Current time, in Unix nanoseconds.
     pub fn now(&self) -> u64 {
         self.clock.now()
     }
@@ -81,8 +82,9 @@
         Reading { monotonic: self.now() - self.incarnation, wall: self.now() }
     }
 
-    /// Sets whether it wants the lease of this name. True where it holds it now.
-    pub fn lease(&mut self, name: &str, wants: bool) -> bool {
+    /// Requests the named lease, or gives up the request if `wants` is false. Returns true if this process
+    /// requests the lease and holds it now.
+    pub fn request_lease(&mut self, name: &str, wants: bool) -> bool {
         let time = self.shared.read_clocks(self.reading());
         let lease = self.shared.budgets.iter_mut().find(|budget| budget.settings().name == name);
         lease.is_some_and(|lease| {
@@ -91,18 +93,18 @@
         })
     }
 
-    /// Sends a message of a topic to a member, by name.
+    /// Sends a message of a topic to the named member.
     pub fn send(&mut self, to: &str, topic: u16, body: Vec<u8>) {
         self.shared.send_other(to, topic, body);
     }
 
-    /// Does what is due, sends what is to be sent, and waits for one datagram or until `wake`. Returns the
-    /// messages of other topics.
-    pub async fn turn(&mut self, wake: u64) -> Vec<TopicMessage> {
+    /// Performs due work, sends pending datagrams, and waits for one datagram, the next timer or the time
+    /// `wake`, whichever is first. Returns the messages received on topics other than the shared state.
+    pub async fn step(&mut self, wake: u64) -> Vec<TopicMessage> {
         let now = self.now();
         self.directory.refresh(&self.membership, now);
-        if now >= self.due {
-            self.due = now + self.shared.due_in();
+        if now >= self.shared_state_due {
+            self.shared_state_due = now + self.shared.due_in();
             let reading = self.reading();
             self.shared.advance(reading, self.directory.names());
         }
@@ -113,12 +115,13 @@
         }
         self.flush().await;
         self.membership.take_changes();
-        let wake = self.membership.poll_timeout().unwrap_or(u64::MAX).min(self.due).min(wake);
+        let timeout = self.membership.poll_timeout().unwrap_or(u64::MAX);
+        let wake = timeout.min(self.shared_state_due).min(wake);
         let timer = Timer::at(self.clock.instant(wake));
-        let came = receive(&self.socket, &mut self.buffer, timer).await;
+        let received = receive(&self.socket, &mut self.buffer, timer).await;
         let now = self.now();
-        if let Some((count, from)) = came {
-            let _ = self.membership.handle_datagram(from, &self.buffer[..count], now);
+        if let Some((length, from)) = received {
+            let _ = self.membership.handle_datagram(from, &self.buffer[..length], now);
             let reading = self.reading();
             for body in self.membership.take_shared_state() {
                 let _ = self.shared.receive(reading, &body);
@@ -135,7 +138,7 @@
         }
     }
 
-    /// Notifies the fleet that it leaves.
+    /// Notifies the other members that this process leaves the fleet.
     pub async fn leave(&mut self) {
         let now = self.now();
         self.membership.leave(now);
@@ -145,9 +148,9 @@
 
 async fn receive(socket: &Async<UdpSocket>, buffer: &mut [u8], timer: Timer) -> Option<(usize, SocketAddr)> {
     let datagram = async { socket.recv_from(buffer).await.ok() };
-    let over = async {
+    let timeout = async {
         timer.await;
         None
     };
-    future::or(datagram, over).await
+    future::or(datagram, timeout).await
 }
--- a/crates/server/src/fleet/membership.rs
+++ b/crates/server/src/fleet/membership.rs
@@ -1,5 +1,5 @@
-//! The membership task: it owns the membership protocol's state and its UDP socket, feeds it datagrams and
-//! time, sends what it transmits, and logs how the view stands.
+//! The membership task: owns the state of the membership protocol and its UDP socket, passes received
+//! datagrams and the current time to the protocol, sends its outgoing datagrams, and logs the fleet view.
 
 use crate::configuration::fleet::FleetSettings;
 use crate::fleet::replication::{Replication, ReplicationError};
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 use tracing::{debug, info, warn};
 
-/// Why the task goes on.
+/// Event that ends a wait of the membership task.
 enum Wake {
     Datagram { length: usize, from: SocketAddr },
     Due,
@@ -23,12 +23,13 @@
     ReceiveFailed(Error),
 }
 
-/// Binds the socket.
+/// Binds the UDP socket for messages between members.
 pub fn bind(fleet: &FleetSettings) -> std::io::Result<Async<UdpSocket>> {
     Async::<UdpSocket>::bind(fleet.bind)
 }
 
-/// Runs until the server leaves, of which the fleet is then notified, so that it is seen down at once.
+/// Runs the membership task until the server leaves. The task then notifies the fleet, so that other members
+/// see the server as down at once.
 pub async fn run(server: Rc<Server>, socket: Async<UdpSocket>, fleet: FleetSettings) {
     let Some(membership) = start(&server, &socket, &fleet) else { return };
     let now = server.clock.now();
@@ -44,7 +45,8 @@
     info!(target: "fleet", member = fleet.name, "left the fleet");
 }
 
-/// The state of the protocol; `None`, with a line in the log, where a setting is out of its range.
+/// Creates the state of the membership protocol. Logs a warning and returns `None` if a setting is out of
+/// range.
 fn start(server: &Server, socket: &Async<UdpSocket>, fleet: &FleetSettings) -> Option<Membership> {
     let bound = socket.get_ref().local_addr().unwrap_or(fleet.bind);
     let addr = fleet.advertise.unwrap_or(bound);
@@ -65,16 +67,16 @@
     }
 }
 
-/// This server's part in replicated configuration, where the options say so.
+/// Creates the client of replicated configuration, if the options enable it.
 fn replication(
     server: &Server,
     fleet: &FleetSettings,
     now: Nanos,
 ) -> Result<Option<Replication>, ReplicationError> {
     let options = server.configuration.options.borrow().clone();
-    let Some(given) = &options.replication else { return Ok(None) };
+    let Some(replication) = &options.replication else { return Ok(None) };
     let Some(file) = server.configuration.replication_file() else { return Ok(None) };
-    Replication::new(server, given, &fleet.name, file, now).map(Some)
+    Replication::new(server, replication, &fleet.name, file, now).map(Some)
 }
 
 struct MembershipTask {
@@ -83,13 +85,14 @@
     membership: Membership,
     sharing: Sharing,
     view_log: ViewLog,
-    /// When the view is next compared with the one in the log.
+    /// Time at which the view is next compared with the one logged last, in Unix nanoseconds.
     next_view: Nanos,
 }
 
 impl MembershipTask {
     async fn run(&mut self, fleet: &FleetSettings) {
-        // One byte more than the protocol sends, so that an oversized datagram is seen as such.
+        // One byte more than the longest datagram of the protocol, so that an oversized datagram is detected
+        // and not silently truncated.
         let mut buffer = vec![0; DATAGRAM_BYTES_MAX + 1];
         loop {
             let now = self.server.clock.now();
@@ -107,7 +110,8 @@
                     self.membership.leave(self.server.clock.now());
                     return self.transmit().await;
                 }
-                // Some systems report the ICMP refusal of an earlier datagram here; the socket stays.
+                // Some systems report an ICMP rejection of an earlier datagram as a receive error; the socket
+                // is still usable.
                 Wake::ReceiveFailed(error) => debug!(target: "fleet", %error, "receive"),
             }
         }
--- a/crates/server/src/fleet/mod.rs
+++ b/crates/server/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! What the servers of a fleet do together: membership, shared state, replicated configuration, and changes
-//! in stages. Each is off unless the options turn it on.
+//! Cooperation between the servers of a fleet: membership, shared state, replicated configuration, and staged
+//! rollouts. Each feature is off unless the options turn it on.
 
 pub mod control_machine;
 pub mod coordinator;
--- a/crates/server/src/fleet/publish.rs
+++ b/crates/server/src/fleet/publish.rs
@@ -1,5 +1,6 @@
-//! `meadowstream publish`: an operator's command. It joins the fleet for a moment, submits a change to the
-//! publisher, or reverts one, and prints which members have it in force.
+//! `meadowstream publish`: an operator's command. It joins the fleet while it runs, submits or reverts a
+//! change at the publisher of replicated configuration, and prints which members have the newest revision in
+//! force.
 
 use crate::fleet::control_machine as control;
 use crate::fleet::joined::NonServingMember;
@@ -12,33 +13,34 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Names of members that are operators' commands begin with this.
+/// Prefix of the member names of `publish` commands.
 const NAME_PREFIX: &str = "publish-";
-/// A request is repeated after so long without an answer.
+/// Time without an answer after which a request is sent again.
 const REPEAT_AFTER_NS: u64 = 300_000_000;
 
-/// What is requested.
+/// Action requested on the command line.
 pub enum PublishRequest {
-    /// The change in this file.
+    /// Publish the change in this file.
     Publish(PathBuf),
-    /// That the revision of this number be reverted.
+    /// Revert the revision with this number.
     Revert(u64),
-    /// Only the status.
+    /// Print the status only.
     Status,
 }
 
-/// What `publish` is given.
+/// Arguments of the `publish` command.
 pub struct PublishArguments {
-    /// What is requested.
+    /// The action to perform.
     pub request: PublishRequest,
-    /// The options file of the fleet.
+    /// Path of the options file that describes the fleet.
     pub options: PathBuf,
-    /// How long all this may take.
+    /// Time limit of the whole command.
     pub wait: Duration,
 }
 
-/// Reads all it is given and refuses what cannot be done before the fleet hears of it.
-fn questions(arguments: &PublishArguments, request: &RequestId) -> Result<Vec<Message>> {
+/// Builds the messages to the publisher; none for a status request. A change file with errors is refused
+/// before the process joins the fleet.
+fn messages(arguments: &PublishArguments, request: &RequestId) -> Result<Vec<Message>> {
     match &arguments.request {
         PublishRequest::Status => Ok(Vec::new()),
         PublishRequest::Revert(number) => {
@@ -46,7 +48,7 @@
         }
         PublishRequest::Publish(file) => {
             let changes: Vec<Change> =
-                load_change(file)?.into_iter().map(|one| Change { key: one.key, value: one.value }).collect();
+                load_change(file)?.into_iter().map(|set| Change { key: set.key, value: set.value }).collect();
             if let Err(fault) = changes.iter().try_for_each(Change::check) {
                 bail!("{}: {fault}", file.display());
             }
@@ -54,7 +56,7 @@
             let count = parts.len() as u32;
             ensure!(
                 count <= PARTS_MAX,
-                "{}: takes {count} parts, of which a change may have {PARTS_MAX}: publish it in several",
+                "{}: needs {count} parts, but a change may have {PARTS_MAX} at most: split it into several",
                 file.display()
             );
             let submit =
@@ -64,83 +66,88 @@
     }
 }
 
-/// Carries out the command; an error where the members do not confirm it in time.
+/// Runs the command. Returns an error if the members do not confirm the change in time.
 pub fn run(arguments: &PublishArguments) -> Result<()> {
-    let life = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH)?.as_nanos() as u64;
-    let name = format!("{NAME_PREFIX}{:08x}", (life / 1000) as u32);
-    let read = control::read(&arguments.options, Some(&name))?;
-    let replicas = read.replication.replicas.clone();
+    let started = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH)?.as_nanos() as u64;
+    let name = format!("{NAME_PREFIX}{:08x}", (started / 1000) as u32);
+    let settings = control::read_settings(&arguments.options, Some(&name))?;
+    let replicas = settings.replication.replicas.clone();
     let request = RequestId { from: name, number: 1 };
-    let questions = questions(arguments, &request)?;
-    let joined = NonServingMember::join(&read.fleet)?;
-    async_io::block_on(ask(joined, questions, request, replicas, arguments.wait))
+    let messages = messages(arguments, &request)?;
+    let fleet_member = NonServingMember::join(&settings.fleet)?;
+    async_io::block_on(submit(fleet_member, messages, request, replicas, arguments.wait))
 }
 
-struct Asking {
-    joined: NonServingMember,
+struct PublishSession {
+    fleet_member: NonServingMember,
     replicas: Vec<String>,
-    /// Who is asked; the next one where it is not the publisher.
+    /// Index of the replica that is assumed to be the publisher, modulo the number of replicas.
     publisher: usize,
-    end: u64,
+    /// Time limit of the command, in Unix nanoseconds.
+    deadline: u64,
 }
 
-async fn ask(
-    joined: NonServingMember,
-    questions: Vec<Message>,
+async fn submit(
+    fleet_member: NonServingMember,
+    messages: Vec<Message>,
     request: RequestId,
     replicas: Vec<String>,
     wait: Duration,
 ) -> Result<()> {
-    let end = joined.now() + wait.as_nanos() as u64;
-    let mut asking = Asking { joined, replicas, publisher: 0, end };
-    let done = asking.all(questions, request).await;
-    asking.joined.leave().await;
-    done
+    let deadline = fleet_member.now() + wait.as_nanos() as u64;
+    let mut session = PublishSession { fleet_member, replicas, publisher: 0, deadline };
+    let result = session.run(messages, request).await;
+    session.fleet_member.leave().await;
+    result
 }
 
-impl Asking {
-    async fn all(&mut self, questions: Vec<Message>, request: RequestId) -> Result<()> {
+impl PublishSession {
+    async fn run(&mut self, messages: Vec<Message>, request: RequestId) -> Result<()> {
         let mut wanted = 0;
-        if !questions.is_empty() {
-            let answer = self.answer(&questions, &request).await?;
+        if !messages.is_empty() {
+            let answer = self.request(&messages, &request).await?;
             let answer =
                 answer.context("no publisher has answered: is a majority of <replica>s reachable?")?;
-            let Message::Submitted { outcome, .. } = answer else { bail!("an answer to another question") };
+            let Message::Submitted { outcome, .. } = answer else {
+                bail!("the publisher sent an unexpected answer")
+            };
             wanted = match outcome {
                 RequestOutcome::Committed { number } => number,
                 RequestOutcome::Rejected { reason } => bail!("refused: {reason}"),
             };
             println!("committed as revision {wanted}");
         }
-        self.until_in_force(request, wanted, !questions.is_empty()).await
+        self.wait_until_in_force(request, wanted, !messages.is_empty()).await
     }
 
-    /// Asks until somebody answers or the time is over.
-    async fn answer(&mut self, questions: &[Message], request: &RequestId) -> Result<Option<Message>> {
+    /// Sends the messages to the publisher until it answers the request. Returns `None` if the deadline
+    /// passes.
+    async fn request(&mut self, messages: &[Message], request: &RequestId) -> Result<Option<Message>> {
         let mut next = 0;
-        while self.joined.now() < self.end {
-            let now = self.joined.now();
+        while self.fleet_member.now() < self.deadline {
+            let now = self.fleet_member.now();
             if now >= next {
                 next = now + REPEAT_AFTER_NS;
                 let to = self.replicas[self.publisher % self.replicas.len()].clone();
-                let known = self.joined.directory.address(&to).is_some();
+                let known = self.fleet_member.directory.address(&to).is_some();
                 if !known {
                     self.publisher += 1;
                 }
-                questions.iter().for_each(|question| self.joined.send(&to, REPLICATION, question.encode()));
+                messages
+                    .iter()
+                    .for_each(|message| self.fleet_member.send(&to, REPLICATION, message.encode()));
             }
-            for said in self.joined.turn(next.min(self.end)).await {
-                let Some(message) = Message::decode(&said.body).filter(|_| said.topic == REPLICATION) else {
-                    continue;
-                };
+            for received in self.fleet_member.step(next.min(self.deadline)).await {
+                let message = Message::decode(&received.body).filter(|_| received.topic == REPLICATION);
+                let Some(message) = message else { continue };
                 match message {
-                    Message::NotLeader { request: of, leader: publisher } if of == *request => {
-                        let named =
-                            publisher.and_then(|name| self.replicas.iter().position(|one| *one == name));
-                        self.publisher = named.unwrap_or(self.publisher + 1);
+                    Message::NotLeader { request: id, leader } if id == *request => {
+                        let index =
+                            leader.and_then(|name| self.replicas.iter().position(|replica| *replica == name));
+                        self.publisher = index.unwrap_or(self.publisher + 1);
                     }
-                    Message::Submitted { request: ref of, .. } | Message::Status { request: ref of, .. }
-                        if of == request =>
+                    Message::Submitted { request: ref id, .. } | Message::Status { request: ref id, .. }
+                        if id == request =>
                     {
                         return Ok(Some(message));
                     }
@@ -151,39 +158,41 @@
         Ok(None)
     }
 
-    /// Says who goes by the newest revision; where a change was published, until all do.
-    async fn until_in_force(&mut self, request: RequestId, wanted: u64, waits: bool) -> Result<()> {
-        let mut said = String::new();
-        let mut asked = request.number;
+    /// Prints which members have the newest revision in force. If `waits` is true, first waits until all
+    /// members have a revision numbered `wanted` or later in force.
+    async fn wait_until_in_force(&mut self, request: RequestId, wanted: u64, waits: bool) -> Result<()> {
+        let mut status = String::new();
+        let mut request_number = request.number;
         loop {
-            asked += 1;
-            let request = RequestId { from: request.from.clone(), number: asked };
-            let question = [Message::PollStatus { request: request.clone() }];
-            let answer = self.answer(&question, &request).await?;
+            request_number += 1;
+            let request = RequestId { from: request.from.clone(), number: request_number };
+            let message = [Message::PollStatus { request: request.clone() }];
+            let answer = self.request(&message, &request).await?;
             let Some(Message::Status { number, members, applied: in_force, lagging, .. }) = answer else {
-                bail!("not all go by it yet: {said}");
+                bail!("not all members have the revision in force yet: {status}");
             };
-            said = format!("revision {number}: {in_force} of {members} members go by it");
-            let tell = |LaggingSummary { name, applied, reason }: &LaggingSummary| match reason.is_empty() {
+            status = format!("revision {number}: {in_force} of {members} members go by it");
+            let describe = |LaggingSummary { name, applied, reason }: &LaggingSummary| match reason.is_empty()
+            {
                 true => format!("{name} goes by {applied}"),
                 false => format!("{name} goes by {applied} and refused: {reason}"),
             };
-            let lacking: Vec<String> = lagging.iter().map(tell).collect();
-            if !lacking.is_empty() {
-                said.push_str(&format!("; {}", lacking.join(", ")));
+            let descriptions: Vec<String> = lagging.iter().map(describe).collect();
+            if !descriptions.is_empty() {
+                status.push_str(&format!("; {}", descriptions.join(", ")));
             }
             let all = in_force == members && number >= wanted;
-            let refused = lagging.iter().any(|one| !one.reason.is_empty());
+            let refused = lagging.iter().any(|member| !member.reason.is_empty());
             if all || !waits {
-                println!("{said}");
+                println!("{status}");
                 return Ok(());
             }
-            ensure!(!refused || self.joined.now() + REPEAT_AFTER_NS < self.end, "{said}");
-            let pause = self.joined.now() + REPEAT_AFTER_NS / 3;
-            self.joined.turn(pause).await;
+            ensure!(!refused || self.fleet_member.now() + REPEAT_AFTER_NS < self.deadline, "{status}");
+            let pause = self.fleet_member.now() + REPEAT_AFTER_NS / 3;
+            self.fleet_member.step(pause).await;
         }
     }
 }
 
-/// The options that a `publish` without `--wait` waits for.
+/// Time limit of a `publish` command without `--wait`.
 pub const DEFAULT_WAIT: Duration = Duration::from_secs(10);
--- a/crates/server/src/fleet/replication.rs
+++ b/crates/server/src/fleet/replication.rs
@@ -1,13 +1,13 @@
-//! This server's part in replicated configuration: the pure core is driven by the fleet's task; a revision
-//! is checked and written to disk on the blocking pool before it is in force, and what becomes of it is
-//! reported.
+//! Replicated configuration on a server. The membership task drives the protocol. Each revision is checked
+//! and written to disk on the blocking pool before it takes effect, and the outcome is reported to the
+//! publisher.
 
 use crate::error::with_causes;
 use crate::fleet::shared_state::LocalSharedState;
 use crate::lifecycle::reload;
 use crate::server::Server;
 use async_channel::{Receiver, Sender};
-use meadowstream_configuration::Replication as Given;
+use meadowstream_configuration::Replication as ReplicationOptions;
 use meadowstream_membership::Nanos;
 use meadowstream_membership::directory::Directory;
 use meadowstream_replication::member::{Member, Settings};
@@ -19,16 +19,16 @@
 use std::rc::Rc;
 use tracing::{info, warn};
 
-/// Interval between looks for the outcome of a revision that is being checked.
-const OUTCOME_LOOK_EVERY_NS: Nanos = 10_000_000;
-/// The status is logged this often where nothing changes.
+/// Polling interval for the outcome of a revision that is being checked.
+const OUTCOME_POLL_INTERVAL_NS: Nanos = 10_000_000;
+/// Interval at which an unchanged status is logged.
 const LOG_EVERY_NS: Nanos = 10_000_000_000;
 
-/// What became of a revision.
+/// Outcome of applying a revision.
 struct Outcome {
     /// Number of the revision.
     number: u64,
-    /// Why it was rejected, where it was.
+    /// Reason of the rejection, or `None` if the revision is in force.
     rejected: Option<String>,
 }
 
@@ -40,18 +40,18 @@
     stale: bool,
 }
 
-/// Why the server cannot take part in replicated configuration.
+/// Error that keeps a server from taking part in replicated configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum ReplicationError {
     /// A server is named as a replica of the log.
-    #[error("replica: {0:?} serves; the log is kept by `meadowstream control`")]
+    #[error("replica: {0:?} is a server; only `meadowstream control` stores the log")]
     ServingReplica(String),
-    /// A setting is out of its range.
+    /// A setting is out of range.
     #[error(transparent)]
     Settings(#[from] meadowstream_replication::member::SettingsError),
 }
 
-/// This server's part in replicated configuration.
+/// Replicated configuration on this server.
 pub struct Replication {
     member: Member,
     file: PathBuf,
@@ -62,38 +62,40 @@
     logged_at: Nanos,
 }
 
-/// The settings of a member that the options describe.
-pub fn settings(given: &Given) -> Settings {
-    let location = Location { region: given.region.clone(), zone: given.zone.clone() };
+/// Settings of a member from the `<replication>` element.
+pub fn replication_settings(options: &ReplicationOptions) -> Settings {
+    let location = Location { region: options.region.clone(), zone: options.zone.clone() };
     Settings {
-        pull_period: given.pull_period,
-        bytes_per_second: given.bytes_a_second,
-        ..Settings::new(location, given.replicas.clone())
+        pull_period: options.pull_period,
+        bytes_per_second: options.bytes_a_second,
+        ..Settings::new(location, options.replicas.clone())
     }
 }
 
 impl Replication {
-    /// A revision that the server has started by is in force already. `Err` names a bad setting.
+    /// Starts from the revision in the server's configuration, if any; this revision is in force already.
+    /// Returns an error if a setting is invalid.
     pub fn new(
         server: &Server,
-        given: &Given,
+        options: &ReplicationOptions,
         name: &str,
         file: PathBuf,
         now: Nanos,
     ) -> Result<Replication, ReplicationError> {
-        if given.replicas.iter().any(|replica| replica == name) {
+        if options.replicas.iter().any(|replica| replica == name) {
             return Err(ReplicationError::ServingReplica(name.to_string()));
         }
-        let standing = server.configuration.replicated.borrow().clone();
-        let disk = standing.map(|committed| PersistedState { committed, ..PersistedState::default() });
-        let mut member = Member::new(name, settings(given), server.configuration.seed ^ now, now, disk)?;
-        if let Some(standing) = member.next_to_apply() {
-            member.on_applied(standing.number(), now);
+        let in_force = server.configuration.replicated.borrow().clone();
+        let disk = in_force.map(|committed| PersistedState { committed, ..PersistedState::default() });
+        let mut member =
+            Member::new(name, replication_settings(options), server.configuration.seed ^ now, now, disk)?;
+        if let Some(in_force) = member.next_to_apply() {
+            member.on_applied(in_force.number(), now);
         }
         Ok(Replication {
             member,
             file,
-            stale_after: given.stale_after,
+            stale_after: options.stale_after,
             outcomes: async_channel::unbounded(),
             is_checking: false,
             logged: ReplicationStatus::default(),
@@ -101,12 +103,12 @@
         })
     }
 
-    /// Receives a message of another member.
+    /// Handles a message from another member.
     pub fn receive(&mut self, from: &str, body: &[u8], now: Nanos) {
         self.member.receive(now, from, body);
     }
 
-    /// Does what is due and sends what is to be sent.
+    /// Handles outcomes of checked revisions, performs due work, and sends pending messages.
     pub fn advance(
         &mut self,
         server: &Rc<Server>,
@@ -130,9 +132,9 @@
         if let Some(snapshot) = self.member.next_to_apply() {
             self.is_checking = true;
             let saved = self.member.state_to_persist(&snapshot);
-            let put =
+            let task =
                 put_in_force(server.clone(), snapshot, saved, self.file.clone(), self.outcomes.0.clone());
-            server.executor.spawn(put).detach();
+            server.executor.spawn(task).detach();
         }
         for outgoing in self.member.take_outgoing() {
             shared.send_other(&outgoing.to, REPLICATION, outgoing.body);
@@ -140,9 +142,9 @@
         self.log(now);
     }
 
-    /// When [`Replication::advance`] is due again.
+    /// Time at which [`Replication::advance`] is due again, in Unix nanoseconds.
     pub fn due(&self, now: Nanos) -> Nanos {
-        let outcome = if self.is_checking { now + OUTCOME_LOOK_EVERY_NS } else { Nanos::MAX };
+        let outcome = if self.is_checking { now + OUTCOME_POLL_INTERVAL_NS } else { Nanos::MAX };
         self.member.next_due().min(outcome)
     }
 
@@ -159,7 +161,9 @@
         }
         let age_ms = age.map_or(-1, |age| (age / 1_000_000) as i64);
         let ReplicationStatus { in_force, held, refused, stale } = &status;
-        let refused = refused.as_ref().map_or(String::new(), |one| format!("{}: {}", one.number, one.reason));
+        let refused = refused
+            .as_ref()
+            .map_or(String::new(), |rejection| format!("{}: {}", rejection.number, rejection.reason));
         let publisher = self.member.leader().unwrap_or("");
         let fetched = self.member.transferred_pairs().unwrap_or(0);
         let counts = serde_json::to_string(&self.member.counts).unwrap_or_default();
@@ -173,7 +177,7 @@
     }
 }
 
-/// Checks a revision, writes it, and goes by it.
+/// Checks a revision, writes it to disk, puts it in force, and reports the outcome.
 async fn put_in_force(
     server: Rc<Server>,
     snapshot: Snapshot,
--- a/crates/server/src/fleet/rollout.rs
+++ b/crates/server/src/fleet/rollout.rs
@@ -1,6 +1,6 @@
-//! Carries out a rollout's orders on this server: it adopts the settings or the program of the change, or
-//! returns to its own, and reports what it runs. What it has adopted is on disk before it is reported, so
-//! that a crash does not change it.
+//! Carries out a rollout's orders on this server: adopts the settings or the program of the change, or
+//! returns to the server's own, and reports which version the server runs. An adopted change is marked on
+//! disk before it is reported, so that it survives a crash.
 
 use crate::configuration::candidate::hash_of;
 use crate::error::with_causes;
@@ -16,19 +16,19 @@
 use std::rc::Rc;
 use tracing::{info, warn};
 
-/// Longest reason of a refusal in a report, in characters.
+/// Upper limit of the length of a refusal reason in a report, in characters.
 const REASON_MAX: usize = 200;
 
-/// Why an order of a rollout was refused; the server runs what it ran before.
+/// Error for which a rollout's order is refused. The server keeps its previous settings and program.
 #[derive(Debug, thiserror::Error)]
 enum AdoptError {
-    #[error("cannot take back the mark on disk")]
+    #[error("cannot remove the file that marks the settings as adopted")]
     RemoveMark(#[source] Error),
-    #[error("cannot put the mark on disk")]
+    #[error("cannot write the file that marks the settings as adopted")]
     WriteMark(#[source] Error),
     #[error(transparent)]
     Reload(#[from] ReloadError),
-    #[error("<rollout>: program is not in the options")]
+    #[error("<rollout>: the options name no program")]
     NoProgram,
     #[error("cannot read {path}")]
     ReadProgram {
@@ -42,8 +42,8 @@
     ProgramMark(Error),
 }
 
-/// Reads the program's own file where a rollout may change it. It is large, so it is read on the blocking
-/// pool after the start, and callers of a restarted server do not wait for it.
+/// Hashes the file of the running program, if a rollout may replace it. The file is large, so it is read on
+/// the blocking pool after the start, and callers of a restarted server do not wait for it.
 pub async fn read_program(server: Rc<Server>) {
     let Some(rollout) = server.rollout.as_ref().filter(|rollout| rollout.program.get().is_none()) else {
         return;
@@ -56,12 +56,14 @@
     });
     match read.await {
         Ok(program) => rollout.program.set(Some(program)),
-        Err(error) => warn!(target: "fleet", %error, "cannot read this program: no order on it is answered"),
+        Err(error) => warn!(target: "fleet", %error,
+            "cannot read the file of the running program; orders to change the program are not answered"),
     }
 }
 
-/// Handles an order that an authenticated member has sent. `None` where there is nothing to answer: it is
-/// stale or a duplicate, or on a program that has not been read yet, which the coordinator orders again.
+/// Handles an order from an authenticated member, and returns the report to answer with. Returns `None` for
+/// an order that is stale or a duplicate, and for an order to change the program while the running program's
+/// file has not been read yet; the coordinator repeats such an order.
 pub fn handle_order(server: &Rc<Server>, rollout: &Rollout, order: Order) -> Option<Report> {
     let now = server.clock.now();
     if rollout.is_stale(&order) {
@@ -79,7 +81,7 @@
     start_change(server, rollout, &order, program);
     rollout.intervals.set(rollout.intervals.get() + 1);
     let refused = rollout.refused.borrow().clone();
-    // One datagram does not hold both a reason and figures.
+    // A refusal reason and the figures of all classes do not fit in one datagram together.
     let classes = if refused.is_some() { Vec::new() } else { rollout.recorder.take() };
     Some(Report { classes, ..rollout.report(&order, program, refused) })
 }
@@ -93,7 +95,7 @@
     *last = LastOrder { plan: order.plan.clone(), incarnation, sequence, at: now };
 }
 
-/// Starts the change that an order asks for, unless it is made already.
+/// Starts the change that an order requests, unless it is already made or another change is in progress.
 fn start_change(server: &Rc<Server>, rollout: &Rollout, order: &Order, program: Option<OwnProgram>) {
     let (kind, adopt) = (order.kind, order.adopt);
     let is_made = match program {
@@ -113,7 +115,7 @@
     server.executor.spawn(task).detach();
 }
 
-/// Adopts the settings of a rollout, or the server's own again.
+/// Adopts the settings of a rollout, or returns to the server's own settings.
 async fn change_settings(server: Rc<Server>, adopt: Option<u64>) {
     let Some(rollout) = &server.rollout else { return };
     let changed = match adopt {
@@ -128,7 +130,7 @@
             rollout.versions.borrow_mut().set_settings(settings);
             let settings = format!("{settings:016x}");
             info!(target: "fleet", adopted = adopt.is_some(), settings, "settings");
-            // Figures under the settings before are not reported as those of these.
+            // Discards the figures recorded under the previous settings.
             rollout.recorder.take();
         }
         Err(error) => refuse(rollout, &error),
@@ -136,7 +138,8 @@
     rollout.is_changing.set(false);
 }
 
-/// The mark goes first: after a crash between both steps the server starts with its own settings.
+/// Returns to the server's own settings. The mark is removed first: after a crash between the two steps, the
+/// server starts with its own settings.
 async fn adopt_own(server: &Rc<Server>, rollout: &Rollout) -> Result<(), AdoptError> {
     let mark = rollout.candidate.mark.clone();
     let removed = blocking::unblock(move || files::remove(&mark)).await;
@@ -144,7 +147,8 @@
     Ok(reload::adopt(server, None).await?)
 }
 
-/// The mark is written last: after a crash between both steps the server starts with its own settings.
+/// Adopts the settings of a rollout. The mark is written last: after a crash between the two steps, the
+/// server starts with its own settings.
 async fn adopt_candidate(server: &Rc<Server>, rollout: &Rollout, hash: u64) -> Result<(), AdoptError> {
     reload::adopt(server, Some(hash)).await?;
     let mark = rollout.candidate.mark.clone();
@@ -153,8 +157,8 @@
     written.map_err(AdoptError::WriteMark)
 }
 
-/// Names the program to be started next in the mark, or removes the mark, and has the server leave as at a
-/// SIGTERM. The next incarnation reports what it runs.
+/// Names the next program to start in the program mark, or removes the mark, and makes the server leave as it
+/// does on SIGTERM. The next incarnation of the server reports the program that it runs.
 async fn change_program(server: Rc<Server>, adopt: Option<u64>) {
     let Some(rollout) = &server.rollout else { return };
     let mark = rollout.candidate.program_mark.clone();
@@ -163,8 +167,8 @@
     match changed {
         Ok(()) => {
             info!(target: "fleet", program = adopt.is_some(), "ends for another program");
-            let stop = server.configuration.stop_ms * 1_000_000;
-            server.drain.end_by(server.clock.now() + stop);
+            let stop_ns = server.configuration.stop_ms * 1_000_000;
+            server.drain.end_by(server.clock.now() + stop_ns);
             let _ = rollout.leave.try_send(());
         }
         Err(error) => {
@@ -191,6 +195,6 @@
 
 fn refuse(rollout: &Rollout, error: &AdoptError) {
     let why: String = with_causes(error).chars().take(REASON_MAX).collect();
-    warn!(target: "fleet", why, "an order of a rollout was refused");
+    warn!(target: "fleet", why, "refused an order of a rollout");
     *rollout.refused.borrow_mut() = Some(why);
 }
--- a/crates/server/src/fleet/rollout_state.rs
+++ b/crates/server/src/fleet/rollout_state.rs
@@ -1,4 +1,4 @@
-//! What this server has adopted of a rollout, and what its reports say.
+//! Rollout state of this server: the adopted change, the last order, and the contents of reports.
 
 use crate::configuration::candidate::Candidate;
 use crate::fleet::interval_report::{AnswerRecorder, HistogramError};
@@ -8,70 +8,71 @@
 use meadowstream_shared_state::ServerId;
 use std::cell::{Cell, RefCell};
 
-/// Servers whose versions are remembered.
+/// Maximum number of servers in the version table.
 const SERVER_VERSIONS_MAX: usize = 4096;
 
-/// Why the server cannot take part in rollouts.
+/// Error that keeps the server from taking part in rollouts.
 #[derive(Debug, thiserror::Error)]
 pub enum RolloutError {
-    /// A rollout may change the program, and its own file cannot be read.
+    /// A rollout may change the program, but the file of the running program cannot be read.
     #[error("cannot read this program: {0}")]
     ReadProgram(std::io::Error),
-    /// The record of answers cannot be made.
+    /// The recorder of answers cannot be created.
     #[error(transparent)]
     Record(#[from] HistogramError),
 }
 
-/// Hash of this program's own file, and whether it is one that a rollout named.
+/// Identity of the running program.
 #[derive(Clone, Copy, Debug)]
 pub struct OwnProgram {
-    /// The hash.
+    /// Hash of the program's file.
     pub hash: u64,
-    /// It was named by a rollout.
+    /// Whether the program mark, which a rollout writes, names this program.
     pub adopted: bool,
 }
 
 /// The last order that was accepted.
 #[derive(Default)]
 pub struct LastOrder {
-    /// The name of its plan.
+    /// Name of the order's plan.
     pub plan: String,
-    /// The incarnation of the coordinator.
+    /// Incarnation of the coordinator.
     pub incarnation: u64,
-    /// Its number within the incarnation.
+    /// Sequence number of the order within the coordinator's incarnation.
     pub sequence: u64,
-    /// When it was accepted.
+    /// Time at which the order was accepted, in Unix nanoseconds.
     pub at: u64,
 }
 
-/// This server's part in rollouts.
+/// Rollout state of this server.
 pub struct Rollout {
-    /// What invocations were answered since the last report.
+    /// Records the answers since the last report.
     pub recorder: AnswerRecorder,
-    /// What may be adopted.
+    /// Files of the settings and the program that a rollout may have this server adopt.
     pub candidate: Candidate,
-    /// What each server of the fleet runs.
+    /// Program version and settings hash of each known server.
     pub versions: RefCell<VersionTable>,
-    /// `None` until its file has been read; a hash of 0 where no rollout changes the program.
+    /// The running program: `None` until its file has been read, with a hash of 0 if no rollout may change
+    /// it.
     pub program: Cell<Option<OwnProgram>>,
-    /// Signalled once the server is to end for another program to be started.
+    /// Signalled when the server must exit for another program to be started.
     pub leave: Sender<()>,
-    /// A plan that is under way here is not given up for another within this time of its last order.
+    /// Time after the last order of a plan during which orders of other plans are refused, in nanoseconds.
     pub lease: u64,
     /// The last order that was accepted.
     pub last_order: RefCell<LastOrder>,
-    /// Hash of the settings that are adopted, as it stands on disk.
+    /// Hash of the adopted settings, as marked on disk; `None` if the server runs its own settings.
     pub adopted: Cell<Option<u64>>,
-    /// Why the last change was refused.
+    /// Reason for refusing the last change, if it was refused.
     pub refused: RefCell<Option<String>>,
-    /// A change is being made.
+    /// Whether a change is in progress.
     pub is_changing: Cell<bool>,
-    /// Number of the last interval that was reported.
+    /// Number of the last reported interval.
     pub intervals: Cell<u64>,
 }
 
 impl Rollout {
-    /// As found at the start.
+    /// Creates the state at the start of the server. `lease` is in nanoseconds.
     pub fn new(
         candidate: Candidate,
         me: ServerId,
@@ -104,20 +105,22 @@
         })
     }
 
-    /// Whether an order was accepted before, or one that was sent after it.
+    /// Returns whether this order, or one that was sent after it, has already been accepted.
     pub fn is_stale(&self, order: &Order) -> bool {
         let last = self.last_order.borrow();
         (order.incarnation, order.sequence) <= (last.incarnation, last.sequence)
     }
 
-    /// The plan that the order would interrupt. Another coordinator may believe that it holds the lease.
+    /// Returns the plan in progress that the order would interrupt, if any. A second coordinator can send
+    /// such an order if it wrongly believes that it holds the lease.
     pub fn plan_under_way(&self, order: &Order, now: u64) -> Option<String> {
         let last = self.last_order.borrow();
         let under_way = self.adopted.get().is_some() && now < last.at + self.lease;
         (under_way && order.plan != last.plan).then(|| last.plan.clone())
     }
 
-    /// The answer to an order, without figures. `program` is given for an order on the program.
+    /// Builds the report that answers an order, without figures. `program` is set for an order to change the
+    /// program.
     pub fn report(&self, order: &Order, program: Option<OwnProgram>, refused: Option<String>) -> Report {
         let settings = self.adopted.get();
         let (running_hash, adopted) = match program {
--- a/crates/server/src/fleet/shared_state.rs
+++ b/crates/server/src/fleet/shared_state.rs
@@ -1,6 +1,6 @@
-//! The state that this server shares with others: the library's state, this server's calls against the
-//! fleet's budget, and readings of both clocks. The membership task and the event loop use it, on the one
-//! thread.
+//! The state that this server shares with the fleet: the protocol's state, the downstream calls of this
+//! server that use the fleet's call budget, and the clocks. The membership task and the event loop, which run
+//! on the same thread, both use it.
 
 use crate::configuration::leases::LEASES;
 use crate::fleet::tier::{CallEvidence, Tier, TierStatus};
@@ -15,92 +15,96 @@
 use std::net::SocketAddr;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Why the shared state cannot be set up.
+/// Error in the settings of the shared state.
 #[derive(Debug, thiserror::Error)]
 pub enum SharedStateError {
-    /// A setting of the shared state is out of its range.
+    /// A setting of the shared state is out of range.
     #[error(transparent)]
     Settings(#[from] meadowstream_shared_state::SettingsError),
-    /// A setting of the routing is out of its range.
+    /// A setting of the router is out of range.
     #[error(transparent)]
     Routing(#[from] meadowstream_routing::SettingsError),
 }
 
-/// What this server shares with the others.
+/// This server's copy of the state shared with the fleet.
 pub struct LocalSharedState {
     inner: RefCell<Inner>,
-    /// Tenants that are counted by name: those in the options.
-    named: RefCell<TenantNames>,
-    began: Instant,
+    /// Names of the tenants in the options, which are the tenants counted by name.
+    named_tenants: RefCell<TenantNames>,
+    started: Instant,
 }
 
 struct Inner {
     state: SharedState,
     permits: Permits,
-    /// The services below, where there are several.
+    /// The downstream services, if there are several.
     tier: Option<Tier>,
-    /// A call was refused, and the controller is to be notified once one may go out.
+    /// Whether a call was refused and the controller must be notified when a call is permitted again.
     has_refused: bool,
-    /// What was counted of this server so far, in the order of [`COUNTED`].
+    /// Values of this server's counters that are already added to the fleet's counts, in the order of
+    /// [`COUNTER_KEYS`].
     counted: [u64; 4],
-    /// Counts for which there was no key left.
+    /// Number of counts that were dropped because no key was free.
     uncounted: u64,
 }
 
-/// Budget and tier as the log shows them.
+/// Status of the call budget and of the ejected services, for the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SharedStatus {
-    /// What every server may use without a lease.
+    /// Units of the budget that every server may use without a lease.
     pub floor: u64,
-    /// What is leased to this server beyond that.
+    /// Units leased to this server in addition to the floor.
     pub leased: u64,
-    /// Calls in flight.
-    pub uses: u64,
-    /// This server grants leases.
-    pub gives: bool,
-    /// What it has granted.
+    /// Units in use by calls of this server.
+    pub in_use: u64,
+    /// Whether this server is the grantor of leases.
+    pub is_grantor: bool,
+    /// Units that this server has granted to others.
     pub outstanding: u64,
-    /// Services below that are ejected, by name.
+    /// Names of the ejected services.
     pub ejected: Vec<String>,
 }
 
-/// Where a call goes, in place of the address of the configuration.
+/// The service that a call is routed to, in place of the address in the configuration.
 pub struct Destination {
-    /// The service, by its place in the settings.
+    /// Index of the service in the settings.
     pub service: usize,
-    /// Its address.
+    /// Address of the service.
     pub address: SocketAddr,
 }
 
-/// A call that may go out.
+/// A permitted call.
 pub struct StartedCall {
-    /// It is given up after this time, in nanoseconds.
+    /// Timeout of the call, in nanoseconds.
     pub timeout: u64,
-    /// Where it goes, if to one of a tier.
+    /// The chosen service, if there are several.
     pub destination: Option<Destination>,
 }
 
-/// What follows from advancing the state.
+/// Result of [`LocalSharedState::advance`].
 pub struct Advanced {
-    /// Messages to members, by name.
+    /// Messages to send, each with the name of the receiving member.
     pub outgoing: Vec<(String, Vec<u8>)>,
-    /// A call was refused before and may go out now.
+    /// Whether a call is permitted now after calls have been refused.
     pub has_capacity: bool,
 }
 
 impl LocalSharedState {
-    /// `tier` has the addresses of the services of the settings, in their order.
+    /// Creates the shared state. `tier` holds the addresses of the downstream services, in the order in which
+    /// the settings name them.
     pub fn new(
         me: ServerId,
         settings: &Settings,
         tier: &[SocketAddr],
         seed: u64,
     ) -> Result<LocalSharedState, SharedStateError> {
-        let began = Instant::now();
-        let reading = Reading { monotonic: 0, wall: wall() };
+        let started = Instant::now();
+        let reading = Reading { monotonic: 0, wall: unix_time_ns() };
         let state = SharedState::new(me, settings.clone(), seed, reading)?;
-        let tier =
-            settings.outlier_detection.as_ref().map(|judge| Tier::new(tier.to_vec(), judge.expiry, seed));
+        let tier = settings
+            .outlier_detection
+            .as_ref()
+            .map(|detection| Tier::new(tier.to_vec(), detection.expiry, seed));
         let tier = tier.transpose()?;
         let inner = Inner {
             state,
@@ -110,15 +114,15 @@
             counted: [0; 4],
             uncounted: 0,
         };
-        Ok(LocalSharedState { inner: RefCell::new(inner), named: RefCell::default(), began })
+        Ok(LocalSharedState { inner: RefCell::new(inner), named_tenants: RefCell::default(), started })
     }
 
     fn reading(&self) -> Reading {
-        Reading { monotonic: self.began.elapsed().as_nanos() as u64, wall: wall() }
+        Reading { monotonic: self.started.elapsed().as_nanos() as u64, wall: unix_time_ns() }
     }
 
-    /// Whether one more call may go out by the budget and by the health of the services below; where not, so
-    /// many wait.
+    /// Returns whether the call budget and the health of the downstream services permit one more call. If
+    /// not, the `waiting` calls count towards the demand for leases.
     pub fn is_call_permitted(&self, waiting: usize, preference: CallPreference) -> bool {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
@@ -129,15 +133,15 @@
             return false;
         }
         let Some(budget) = calls(state) else { return true };
-        let may = budget.may_acquire(time, permits.in_use(time));
-        if !may {
+        let is_permitted = budget.may_acquire(time, permits.in_use(time));
+        if !is_permitted {
             permits.refuse(time, waiting as u64);
             *has_refused = true;
         }
-        may
+        is_permitted
     }
 
-    /// A call goes out; `timeout` is the longest that it may take, in nanoseconds.
+    /// Starts a call with a timeout of at most `timeout` nanoseconds.
     pub fn start_call(&self, number: u64, timeout: u64, preference: CallPreference) -> StartedCall {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
@@ -151,8 +155,8 @@
         StartedCall { timeout, destination }
     }
 
-    /// Whether bytes of a call may be sent now; to be asked right before each write. While the process was
-    /// stopped, the lease that permitted the call may have become another server's.
+    /// Returns whether bytes of a call may be sent now. Must be called directly before each write: while the
+    /// process was stopped, the lease that permitted the call may have passed to another server.
     pub fn permit_send(&self, number: u64) -> bool {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
@@ -160,8 +164,9 @@
         inner.permits.permit_send(time, number)
     }
 
-    /// A call is over here; `is_over_below` where the service is known to be done with it.
-    pub fn end_call(&self, number: u64, is_over_below: bool, evidence: CallEvidence) {
+    /// Ends a call on this server. `is_finished_downstream` is true if the service is known to have finished
+    /// it, too.
+    pub fn end_call(&self, number: u64, is_finished_downstream: bool, evidence: CallEvidence) {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
         let time = inner.state.read_clocks(reading);
@@ -170,22 +175,22 @@
             tier.end_call(reading.monotonic, time, number, evidence, detector);
         }
         let use_max = calls(&inner.state).map_or(0, |budget| budget.settings().use_max);
-        inner.permits.release(number, is_over_below, use_max);
+        inner.permits.release(number, is_finished_downstream, use_max);
     }
 
-    /// Counts these tenants by name from now on; returns those that were so far.
-    pub fn name_tenants(&self, names: TenantNames) -> TenantNames {
-        self.named.replace(names)
+    /// Sets the tenants that are counted by name, and returns the previous set.
+    pub fn set_named_tenants(&self, names: TenantNames) -> TenantNames {
+        self.named_tenants.replace(names)
     }
 
-    /// The tenant's name in keys of counts; `None` for those that are not counted by name, so that peers
-    /// cannot make up keys.
+    /// Returns the tenant's name as it appears in keys of counts. Returns `None` for a tenant that is not
+    /// counted by name, so that callers cannot create arbitrary keys.
     pub fn tenant(&self, name: &[u8]) -> Option<String> {
-        self.named.borrow().contains(name).then(|| String::from_utf8_lossy(name).into_owned())
+        self.named_tenants.borrow().contains(name).then(|| String::from_utf8_lossy(name).into_owned())
     }
 
-    /// Adds to the fleet's counts `what/operation` and, for a named tenant, `what/operation/tenant`. Where no
-    /// key is left nothing is counted, and the log shows how often.
+    /// Adds `amount` to the fleet's counts `what/operation` and, for a named tenant, `what/operation/tenant`.
+    /// If no key is free, the amount is dropped; the log shows the number of such drops.
     pub fn count(&self, what: &str, operation: &str, tenant: Option<&str>, amount: u64) {
         let mut inner = self.inner.borrow_mut();
         let of_all = format!("{what}/{operation}");
@@ -196,14 +201,14 @@
         }
     }
 
-    /// Sets the total of the budget; an error leaves the old one.
+    /// Sets the total of the call budget; after an error the previous total stays.
     pub fn set_total(&self, total: u64) -> Result<(), BudgetSettingsError> {
         let mut inner = self.inner.borrow_mut();
         let mut calls = inner.state.budgets.iter_mut().filter(|budget| !is_lease(budget));
         calls.try_for_each(|budget| budget.set_total(total))
     }
 
-    /// Receives messages of other members.
+    /// Handles messages from other members.
     pub fn receive(&self, bodies: Vec<Vec<u8>>) {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
@@ -214,24 +219,24 @@
         }
     }
 
-    /// Bodies of other topics that came, each with its sender.
+    /// Returns the received messages of other topics: sender, topic and body.
     pub fn take_received(&self) -> Vec<(ServerId, u16, Vec<u8>)> {
         let received = self.inner.borrow_mut().state.take_received();
         received.into_iter().map(|other| (other.from, other.topic, other.body)).collect()
     }
 
-    /// Sends a body of another topic to a member, by name.
+    /// Sends a message of another topic to the named member.
     pub fn send_other(&self, to: &str, topic: u16, body: Vec<u8>) {
         self.inner.borrow_mut().state.send_other(to, topic, body);
     }
 
-    /// Does what is due, with these members alive.
+    /// Performs due work. `alive` names the members that are alive.
     pub fn advance(&self, alive: &[String], counters: &Counters) -> Advanced {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
         let time = inner.state.read_clocks(reading);
-        inner.count_own(counters);
-        inner.state_demand(time);
+        inner.add_local_counts(counters);
+        inner.update_demand(time);
         inner.state.advance(reading, alive);
         inner.update_health(reading.monotonic, time);
         let has_capacity = inner.has_refused && inner.has_capacity(reading.monotonic, time);
@@ -239,33 +244,33 @@
         Advanced { outgoing: inner.state.take_outgoing(), has_capacity }
     }
 
-    /// Nanoseconds until [`Self::advance`] is due, at most.
+    /// Time until [`Self::advance`] is due, in nanoseconds.
     pub fn due_in(&self) -> u64 {
         self.inner.borrow().state.due_in()
     }
 
-    /// Budget and tier as the log shows them.
+    /// Returns the status of the call budget and of the ejected services, for the log.
     pub fn status(&self) -> SharedStatus {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
         let Inner { state, permits, tier, .. } = &mut *inner;
         let time = state.read_clocks(reading);
-        let names = state.outlier_detector.as_ref().map(|judge| &judge.settings().services);
+        let names = state.outlier_detector.as_ref().map(|detector| &detector.settings().services);
         let ejected = tier.iter().flat_map(|tier| &tier.ejected);
         let ejected = ejected.filter_map(|i| names?.get(*i).cloned()).collect();
         let Some(budget) = calls(state) else { return SharedStatus { ejected, ..SharedStatus::default() } };
-        let ceiling = budget.allowance(time);
+        let allowance = budget.allowance(time);
         SharedStatus {
-            floor: ceiling.floor,
-            leased: ceiling.leased,
-            uses: permits.in_use(time),
-            gives: budget.is_grantor(time),
+            floor: allowance.floor,
+            leased: allowance.leased,
+            in_use: permits.in_use(time),
+            is_grantor: budget.is_grantor(time),
             outstanding: budget.outstanding(),
             ejected,
         }
     }
 
-    /// The tier as the log shows it.
+    /// Returns the status of the downstream services, for the log.
     pub fn tier_status(&self) -> TierStatus {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
@@ -274,32 +279,33 @@
         tier.map_or_else(TierStatus::default, |(tier, detector)| tier.status(time, detector))
     }
 
-    /// The fleet's totals and what was refused, as JSON for the log.
+    /// Returns two JSON texts for the log: the fleet's totals, and counts of messages, of the budget, of
+    /// rejected counter rows, of clock disagreements and of dropped counts.
     pub fn totals(&self) -> (String, String) {
         let inner = self.inner.borrow();
         let totals = serde_json::to_string(&inner.state.counters.totals()).unwrap_or_default();
         let budget = calls(&inner.state).map(|budget| budget.counters);
-        let (refused, apart) = (inner.state.counters.rejected, inner.state.clock_disagreements());
-        let tally = (inner.state.messages, budget, refused, apart, inner.uncounted);
+        let (rejected, disagreements) = (inner.state.counters.rejected, inner.state.clock_disagreements());
+        let tally = (inner.state.messages, budget, rejected, disagreements, inner.uncounted);
         (totals, serde_json::to_string(&tally).unwrap_or_default())
     }
 }
 
 impl Inner {
-    /// Adds this server's own counts to those of the fleet.
-    fn count_own(&mut self, counters: &Counters) {
-        let now = [&counters.invocations, &counters.succeeded, &counters.throttled, &counters.errored];
-        for ((key, now), counted) in COUNTED.iter().zip(now).zip(&mut self.counted) {
-            self.state.counters.add(key, now.get() - *counted);
-            *counted = now.get();
+    /// Adds the changes of this server's counters since the previous call to the fleet's counts.
+    fn add_local_counts(&mut self, counters: &Counters) {
+        let values = [&counters.invocations, &counters.succeeded, &counters.throttled, &counters.errored];
+        for ((key, value), counted) in COUNTER_KEYS.iter().zip(values).zip(&mut self.counted) {
+            self.state.counters.add(key, value.get() - *counted);
+            *counted = value.get();
         }
     }
 
-    /// Tells the budget what this server uses and would use.
-    fn state_demand(&mut self, time: Time) {
+    /// Updates the units that this server requests and uses in the call budget.
+    fn update_demand(&mut self, time: Time) {
         for budget in self.state.budgets.iter_mut().filter(|budget| !is_lease(budget)) {
-            let lately = 2 * budget.settings().refresh_interval;
-            let (wanted, in_use) = (self.permits.wanted(time, lately), self.permits.in_use(time));
+            let recent = 2 * budget.settings().refresh_interval;
+            let (wanted, in_use) = (self.permits.wanted(time, recent), self.permits.in_use(time));
             budget.set_demand(wanted, in_use);
         }
     }
@@ -317,7 +323,8 @@
         }
     }
 
-    /// Whether a call that may be spent on a health check could go out.
+    /// Returns whether a call would be permitted, including a call that may serve as a health check of an
+    /// ejected service.
     fn has_capacity(&mut self, now: u64, time: Time) -> bool {
         let preference = CallPreference { last_service: None, may_probe: true };
         let is_routable = self.tier.as_ref().is_none_or(|tier| tier.can_route(now, preference));
@@ -330,14 +337,14 @@
     LEASES.contains(&budget.settings().name.as_str())
 }
 
-/// The budget of downstream calls.
+/// Returns the budget of downstream calls.
 fn calls(state: &SharedState) -> Option<&Budget> {
     state.budgets.iter().find(|budget| !is_lease(budget))
 }
 
-/// Keys of the counts of every server, which are words of the wire.
-const COUNTED: [&str; 4] = ["invocations", "succeeded", "throttled", "errored"];
+/// Keys of the counts that every server reports. They are part of the wire format.
+const COUNTER_KEYS: [&str; 4] = ["invocations", "succeeded", "throttled", "errored"];
 
-fn wall() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_nanos() as u64)
+fn unix_time_ns() -> u64 {
+    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |elapsed| elapsed.as_nanos() as u64)
 }
--- a/crates/server/src/fleet/sharing.rs
+++ b/crates/server/src/fleet/sharing.rs
@@ -15,18 +15,18 @@
 use std::rc::Rc;
 use tracing::info;
 
-/// This server announces its version, and those it knows, to one member at a time this often.
+/// Interval at which this server announces its version, and the versions it knows, to one other member.
 const ANNOUNCE_EVERY_NS: Nanos = 200_000_000;
-/// The shared state is logged at least this often.
+/// Longest time between two log lines of the shared state.
 const LOG_EVERY_NS: Nanos = 500_000_000;
 
-/// What the task keeps of it.
+/// State that the membership task keeps between two calls of [`Sharing::advance`].
 #[derive(Default)]
 pub struct Sharing {
-    /// This server's part in replicated configuration, where the options say so.
+    /// Client of replicated configuration, if the options enable it.
     replication: Option<Replication>,
     directory: Directory,
-    /// When [`Sharing::advance`] has something to do, unless a message comes before.
+    /// Time at which [`Sharing::advance`] is due if no message arrives earlier, in Unix nanoseconds.
     pub due: Nanos,
     logged: SharedStatus,
     logged_at: Nanos,
@@ -34,12 +34,12 @@
 }
 
 impl Sharing {
-    /// Nothing is due or logged yet.
+    /// Creates the state at the start of the task.
     pub fn new(replication: Option<Replication>) -> Self {
         Self { replication, ..Self::default() }
     }
 
-    /// Handles the messages that have come, and does what is due.
+    /// Handles received messages, and performs due work.
     pub fn advance(&mut self, server: &Rc<Server>, membership: &mut Membership, now: Nanos) {
         let Some(shared) = &server.shared else {
             self.due = Nanos::MAX;
@@ -94,7 +94,8 @@
         }
     }
 
-    /// Announces versions to the member whose turn it is, from a place in the order that differs by server.
+    /// Announces versions to one member after another in round-robin order. The first member depends on the
+    /// server's incarnation, so that servers do not all announce to the same member at once.
     fn announce_versions(&mut self, server: &Server, shared: &LocalSharedState, now: Nanos) {
         let Some(rollout) = &server.rollout else { return };
         if now < self.announced_at + ANNOUNCE_EVERY_NS {
@@ -107,8 +108,8 @@
         if alive.is_empty() {
             return;
         }
-        let turn = (now / ANNOUNCE_EVERY_NS).wrapping_add(versions.own().incarnation);
-        let member = &alive[turn as usize % alive.len()];
+        let round = (now / ANNOUNCE_EVERY_NS).wrapping_add(versions.own().incarnation);
+        let member = &alive[round as usize % alive.len()];
         shared.send_other(member, VERSION_ANNOUNCEMENTS, wire::encode(&versions.announcement(now)));
     }
 
@@ -126,23 +127,24 @@
             }
         }
         if advanced.has_capacity {
-            // A full queue means that the controller will look at everything anyway.
+            // If the queue is full, the event may be dropped: the controller has events to process anyway,
+            // and checks for capacity then.
             let _ = server.events.try_send(Event::DownstreamCapacity);
         }
     }
 
-    /// Logs the shared state where leases or ejected services have changed, and regularly.
+    /// Logs the shared state when the leases or the ejected services have changed, and at regular intervals.
     fn log(&mut self, shared: &LocalSharedState, now: Nanos) {
         let status = shared.status();
-        let changes = |s: &SharedStatus| (s.floor, s.leased, s.gives, s.ejected.clone());
-        if changes(&status) == changes(&self.logged) && now < self.logged_at + LOG_EVERY_NS {
+        let compared = |s: &SharedStatus| (s.floor, s.leased, s.is_grantor, s.ejected.clone());
+        if compared(&status) == compared(&self.logged) && now < self.logged_at + LOG_EVERY_NS {
             return;
         }
         let (totals, tally) = shared.totals();
         let tier = shared.tier_status();
         let ejected = serde_json::to_string(&status.ejected).unwrap_or_default();
-        info!(target: "fleet", floor = status.floor, leased = status.leased, uses = status.uses,
-            gives = status.gives, outstanding = status.outstanding, ejected, services = tier.services,
+        info!(target: "fleet", floor = status.floor, leased = status.leased, uses = status.in_use,
+            gives = status.is_grantor, outstanding = status.outstanding, ejected, services = tier.services,
             routed = tier.routed, totals, tally, "shared");
         (self.logged, self.logged_at) = (status, now);
     }
--- a/crates/server/src/fleet/tier.rs
+++ b/crates/server/src/fleet/tier.rs
@@ -1,5 +1,6 @@
-//! The services of the tier below, as this server calls them: which one each call in flight went to, and how
-//! healthy each is. The router chooses; the evidence and the fleet's reports are in the outlier detector.
+//! The downstream services that this server calls when there are several: the service of each call in flight,
+//! and the health of each service. The router chooses a service for each call; the outlier detector holds
+//! this server's evidence of failures and the reports of the other servers.
 
 use meadowstream_routing::{CallPreference, Choice, HealthView, Router, Settings, SettingsError};
 use meadowstream_shared_state::clock::Time;
@@ -8,39 +9,39 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// Health checks of an ejected service within the time that a report counts. Evidence halves in that time, so
-/// that this many keep it above the least that a service is judged by.
+/// Health checks of an ejected service within the expiry time of a report. Evidence halves in that time; this
+/// number of checks keeps it above the minimum that the outlier detector needs to judge a service.
 const PROBES_PER_EXPIRY: u64 = 8;
 
-/// A call that has gone out.
+/// A call in flight.
 struct InFlight {
     choice: Choice,
-    /// When it went out, in nanoseconds of the monotonic clock.
+    /// Start time of the call, in nanoseconds of the monotonic clock.
     started: u64,
 }
 
-/// The services below.
+/// The downstream services and the calls in flight to them.
 pub struct Tier {
     addresses: Vec<SocketAddr>,
     router: Router,
-    /// By the numbers of calls.
+    /// Calls in flight, by call number.
     in_flight: HashMap<u64, InFlight>,
-    /// Services that were ejected at the last update.
+    /// Indexes of the services that were ejected at the last update.
     pub ejected: Vec<usize>,
 }
 
-/// What the end of a call shows of its service.
+/// Evidence about a service's health from the end of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallEvidence {
-    /// It succeeded.
+    /// The call succeeded.
     Succeeded,
-    /// It failed.
+    /// The call failed.
     Failed,
-    /// It was given up before its end.
+    /// The call was abandoned before it ended.
     Abandoned,
 }
 
-/// A service as the log shows it.
+/// Status of one service, for the log.
 #[derive(Serialize)]
 struct ServiceStatus<'a> {
     service: &'a str,
@@ -49,17 +50,17 @@
     outstanding: u64,
 }
 
-/// The tier as the log shows it, in JSON; empty without a tier.
+/// Status of the tier as JSON, for the log; empty strings without a tier.
 #[derive(Default)]
 pub struct TierStatus {
-    /// Calls, health checks, and calls that could be routed nowhere.
+    /// Numbers of calls, of health checks, and of calls for which no service was available.
     pub routed: String,
     /// The status of each service.
     pub services: String,
 }
 
 impl Tier {
-    /// Reports on health expire after `expiry` nanoseconds.
+    /// Creates a tier with services at these addresses. Health reports expire after `expiry` nanoseconds.
     pub fn new(addresses: Vec<SocketAddr>, expiry: u64, seed: u64) -> Result<Tier, SettingsError> {
         let probe_interval = (expiry / PROBES_PER_EXPIRY).max(1);
         let settings = Settings { services: addresses.len(), probe_interval, slow_start: expiry };
@@ -67,7 +68,8 @@
         Ok(Tier { router, addresses, in_flight: HashMap::new(), ejected: Vec::new() })
     }
 
-    /// Routes by the health of the services from now on. True where others are ejected than before.
+    /// Passes the health of the services to the router. Returns true if the set of ejected services has
+    /// changed.
     pub fn update_health(&mut self, now: u64, time: Time, detector: &OutlierDetector) -> bool {
         let ejected = detector.ejected(time);
         let view = |service| HealthView {
@@ -82,13 +84,13 @@
         changed
     }
 
-    /// Whether a call could go to some service.
+    /// Returns whether a service is available for a call.
     pub fn can_route(&self, now: u64, preference: CallPreference) -> bool {
         self.router.can_route(now, preference)
     }
 
-    /// The service that a call goes to, and its address. A call that is made although every service is
-    /// ejected goes to the first.
+    /// Chooses a service for a call, and returns its index and address. If no service is available, the call
+    /// is routed to the first one.
     pub fn start_call(&mut self, now: u64, number: u64, preference: CallPreference) -> (usize, SocketAddr) {
         let first = Choice { service: 0, is_probe: false };
         let choice = self.router.choose(now, preference).unwrap_or(first);
@@ -97,7 +99,7 @@
         (service, self.addresses[service])
     }
 
-    /// A call is over, with evidence for or against its service.
+    /// Ends a call, and records its evidence for or against the health of its service.
     pub fn end_call(
         &mut self,
         now: u64,
@@ -117,7 +119,7 @@
         }
     }
 
-    /// The tier as the log shows it.
+    /// Returns the status of the tier, for the log.
     pub fn status(&self, time: Time, detector: &OutlierDetector) -> TierStatus {
         let names = detector.settings().services.iter().map(String::as_str);
         let status = |(service, name)| ServiceStatus {
--- a/crates/server/src/fleet/view_log.rs
+++ b/crates/server/src/fleet/view_log.rs
@@ -1,4 +1,5 @@
-//! The fleet's view in the log: changes as they come, and the whole view where it has changed.
+//! Logs the fleet view: each change as it occurs, and the whole view when it has changed and at regular
+//! intervals.
 
 use crate::server::Server;
 use meadowstream_membership::{Change, MemberState, MemberStatus, Membership, Nanos, ViewChange};
@@ -6,7 +7,7 @@
 use std::net::SocketAddr;
 use tracing::info;
 
-/// What of a member decides whether the view has changed.
+/// Properties of a member that are compared to detect a change of the view.
 #[derive(PartialEq, Eq)]
 struct MemberLine {
     address: SocketAddr,
@@ -14,7 +15,7 @@
     state: MemberState,
 }
 
-/// The view as it was logged last.
+/// The view that was logged last.
 #[derive(Default)]
 pub struct ViewLog {
     members: Option<Vec<MemberLine>>,
@@ -23,9 +24,9 @@
 }
 
 impl ViewLog {
-    /// Logs the view where it or the count of dropped datagrams has changed, and after an announce period
-    /// even where not: the log drops a line that finds its pipe full, and a reader must not be left with a
-    /// view of the past.
+    /// Logs the view if it or the count of dropped datagrams has changed, and at least once per announce
+    /// period: a log line is dropped when the log's pipe is full, and its reader must not be left with an
+    /// outdated view.
     pub fn update(
         &mut self,
         server: &Server,
@@ -67,8 +68,8 @@
     }
 }
 
-/// The version and the hash of the settings of this server and each of the view, by name, as far as known;
-/// empty where the options have no `<rollout>`.
+/// Program version and settings hash of this server and of each server in the view, as far as known, as a
+/// JSON object by server name; empty if the options have no `<rollout>`.
 fn versions(server: &Server, view: &[MemberStatus]) -> String {
     let Some(rollout) = &server.rollout else { return String::new() };
     let versions = rollout.versions.borrow();
@@ -80,7 +81,8 @@
     serde_json::to_string(&known).unwrap_or_default()
 }
 
-/// One line for the whole view: each member with its state and since when, the drops by reason.
+/// Logs the whole view in one line: each member with its state and the time at which the state began, and the
+/// dropped datagrams by reason.
 fn log_view(membership: &Membership, view: &[MemberStatus], runs: &str, now: Nanos) {
     let count = |state| view.iter().filter(|status| status.state == state).count();
     let members = serde_json::to_string(view).unwrap_or_default();
--- a/crates/server/src/lifecycle/reload.rs
+++ b/crates/server/src/lifecycle/reload.rs
@@ -199,7 +199,7 @@
     let new_options = new.options.borrow().clone();
     let old_options = configuration.options.replace(new_options);
     let unused_names = match (&server.shared, tenant_names) {
-        (Some(shared), Some(names)) => Some(shared.name_tenants(names)),
+        (Some(shared), Some(names)) => Some(shared.set_named_tenants(names)),
         (_, names) => names,
     };
     server.change_pauses.set(Pauses::after_swap(stopwatch.elapsed()));
--- a/crates/server/src/lifecycle/start.rs
+++ b/crates/server/src/lifecycle/start.rs
@@ -176,7 +176,7 @@
     let me = ServerId { name: fleet.name.clone(), incarnation };
     let shared = LocalSharedState::new(me, settings, &fleet.tier, configuration.seed ^ incarnation)?;
     if let Some(tenants) = &configuration.options.borrow().tenants {
-        shared.name_tenants(reload::named_tenants(tenants));
+        shared.set_named_tenants(reload::named_tenants(tenants));
     }
     Ok(Some(shared))
 }
