--- a/crates/server/src/lifecycle/catalog.rs
+++ b/crates/server/src/lifecycle/catalog.rs
@@ -1,4 +1,5 @@
-//! Reports to the service registry, from the interpreter's start to the notice to leave.
+//! Reports the server's health to the service registry, from the first link to the interpreter until the
+//! notice to leave.
 
 use crate::server::Server;
 use crate::wire::catalog;
@@ -8,26 +9,27 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// A tenth of the 3 s after which the registry forgets a server, as reports may be lost.
+/// Interval between reports: a tenth of the 3 s after which the registry forgets a server, because reports
+/// can be lost.
 const REPORT_EVERY: Duration = Duration::from_millis(300);
-/// Pause between looks whether there has been a link to the interpreter.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+/// Interval between checks for the first link to the interpreter.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Reports until the server leaves.
+/// Sends reports to the service registry until the server leaves.
 pub async fn report(server: Rc<Server>) {
-    let any = SocketAddr::new(server.configuration.listen.ip(), 0);
-    let socket = match Async::<UdpSocket>::bind(any) {
+    let any_port = SocketAddr::new(server.configuration.listen.ip(), 0);
+    let socket = match Async::<UdpSocket>::bind(any_port) {
         Ok(socket) => socket,
-        Err(error) => return warn!(%error, "no socket for the catalog"),
+        Err(error) => return warn!(%error, "cannot open a socket for reports to the catalog"),
     };
     let mut has_failed = false;
     while !server.leaves() {
         if server.counters.links.get() == 0 {
-            Timer::after(LOOK_EVERY).await;
+            Timer::after(POLL_INTERVAL).await;
             continue;
         }
         let report = catalog::report(&server.configuration.name, server.health.healthy.get());
-        // A report that cannot be sent at once is dropped.
+        // The send does not block: a report that cannot be sent at once is dropped.
         let sent = socket.get_ref().send_to(report.as_bytes(), server.configuration.addresses.get().catalog);
         if let (Err(error), false) = (&sent, has_failed) {
             warn!(%error, "cannot report to the catalog");
--- a/crates/server/src/lifecycle/changes.rs
+++ b/crates/server/src/lifecycle/changes.rs
@@ -1,17 +1,18 @@
-//! Changes of settings wait for each other here.
+//! Serializes changes of settings.
 
 use std::cell::Cell;
 use std::collections::HashSet;
 use std::sync::Arc;
 
-/// Names of tenants that are counted by name.
+/// Names of the tenants that are counted by name.
 pub type TenantNames = Arc<HashSet<Vec<u8>>>;
 
-/// One change of settings is made at a time.
+/// State that lets only one change of settings run at a time.
 #[derive(Default)]
 pub struct Changes {
-    /// Held during a change.
+    /// Held while a change runs.
     pub lock: async_lock::Mutex<()>,
-    /// A reload waits that has read nothing yet: it will see what any further signal is about.
+    /// Whether a reload waits for the lock and has not read any file yet. Further reload signals are then
+    /// merged into it, because it will read the files as they are by then.
     pub reload_pending: Cell<bool>,
 }
--- a/crates/server/src/lifecycle/clock.rs
+++ b/crates/server/src/lifecycle/clock.rs
@@ -1,12 +1,12 @@
-//! The server's clock: Unix nanoseconds at the start, and monotonic from then on.
+//! The server's clock: counts Unix nanoseconds from the wall clock at the start, and advances monotonically.
 
 use meadowstream_overload_control::Nanos;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The server's clock.
+/// The server's monotonic clock, in Unix nanoseconds.
 pub struct Clock {
     started: Instant,
-    /// Unix time of the start.
+    /// Wall-clock time at the start, in Unix nanoseconds.
     started_unix: Nanos,
 }
 
@@ -15,22 +15,23 @@
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Starts a clock at the current wall-clock time.
     pub fn start() -> Self {
         Self { started: Instant::now(), started_unix: unix() }
     }
 
-    /// The time now.
+    /// Returns the current time, in Unix nanoseconds.
     pub fn now(&self) -> Nanos {
         self.started_unix + self.started.elapsed().as_nanos() as Nanos
     }
 
-    /// The instant of a time of this clock.
+    /// Converts a time of this clock to an [`Instant`].
     pub fn instant(&self, at: Nanos) -> Instant {
         self.started + Duration::from_nanos(at.saturating_sub(self.started_unix))
     }
 
-    /// Nanoseconds since a Unix time in milliseconds by the wall clock; negative for a time to come.
+    /// Returns the nanoseconds between a Unix time in milliseconds and the current wall-clock time; negative
+    /// if the former is in the future.
     pub fn age(&self, since_ms: u64) -> i64 {
         let since = i64::try_from(since_ms).unwrap_or(i64::MAX).saturating_mul(1_000_000);
         (unix() as i64).saturating_sub(since)
--- a/crates/server/src/lifecycle/drain.rs
+++ b/crates/server/src/lifecycle/drain.rs
@@ -1,4 +1,4 @@
-//! The drain: when a server that was told to leave may end.
+//! The drain of a server that has been notified to leave: its phases, and the condition for its end.
 
 use crate::lifecycle::drain_state::Phase;
 use crate::server::Server;
@@ -6,15 +6,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Pause between looks whether the drain is over.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+/// Interval between checks for the end of the drain.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Connections are accepted for so many eighths of the time to the stop. Callers that have not heard of the
-/// leave come until the end, where an answer costs them less than a refused connection; but what they send
-/// right before the stop could not be answered any more.
+/// Eighths of the time between notice and stop during which connections are accepted. Callers that are not
+/// yet aware of the drain connect until the end, and an answer costs them less than a refused connection; but
+/// invocations that arrive just before the stop could no longer be answered.
 const ACCEPTING_EIGHTHS: u32 = 7;
 
-/// Takes the drain through its phases. The grace ends half way to the stop at the latest.
+/// Enters the phases of the drain one after the other. The grace ends halfway between notice and stop at the
+/// latest.
 pub async fn run(server: Rc<Server>) {
     let stop = Duration::from_millis(server.configuration.stop_ms);
     let grace = Duration::from_nanos(server.configuration.settings.deployment.drain_grace);
@@ -25,26 +26,27 @@
     server.connections.drain_all();
     Timer::at(noticed_at + accepting).await;
     server.drain.enter(Phase::Closing);
-    // Those that came since and rest.
+    // Drains the idle connections accepted since the end of the grace.
     server.connections.drain_all();
 }
 
-/// Whether no connection is left that could bring a call. Each is asked for no new call at the end of the
-/// grace or with its next answer, and its peer closes it when everything on it is answered.
+/// Returns whether the server may exit: no connection is left that could carry an invocation, or the time set
+/// with `DrainState::end_by` has passed. Each peer is asked to send no further invocations at the end of the
+/// grace or with its next answer, and closes its connection when everything on it is answered.
 pub fn is_over(server: &Server) -> bool {
     let is_empty = server.connections.count() == 0 && server.events.is_empty();
     (server.drain.is_grace_over() && is_empty) || server.drain.has_stopped(server.clock.now())
 }
 
-/// Returns when it is time to look whether the drain is over: at once when the server starts to leave, and
-/// regularly from then on.
+/// Waits until [`is_over`] is to be checked next: until the server starts to leave, and from then on for one
+/// poll interval.
 pub async fn wait_for_next_check(server: &Server) {
     if server.left.recv().await.is_err() {
-        Timer::after(LOOK_EVERY).await;
+        Timer::after(POLL_INTERVAL).await;
     }
 }
 
-/// Waits for what came last, when the listener is closed already.
+/// Waits for the end of the drain after the listener is closed.
 pub async fn finish(server: &Server) {
     while !is_over(server) {
         wait_for_next_check(server).await;
--- a/crates/server/src/lifecycle/drain_state.rs
+++ b/crates/server/src/lifecycle/drain_state.rs
@@ -1,20 +1,20 @@
-//! How far a server is on its way from the notice to leave to its end.
+//! Progress of a server's drain, from the notice to leave until the process exits.
 
 use meadowstream_overload_control::Nanos;
 use std::cell::Cell;
 
-/// How far the drain has come; it goes one way.
+/// Phase of the drain. Phases are entered in the order of the variants.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// No notice to leave has come.
+    /// The server has received no notice to leave.
     #[default]
     Serving,
-    /// Arrivals are still run: callers notice late that a server leaves, and the servers that stay would miss
-    /// its capacity.
+    /// Invocations are still admitted: callers notice late that a server is leaving, and the remaining
+    /// servers would lack its capacity.
     Grace,
-    /// No call is wanted any more; callers that come are answered.
+    /// New invocations are rejected; connections are still accepted, so that their callers receive an answer.
     Rejecting,
-    /// The stop is so near that no further connection is accepted.
+    /// The stop is so close that no more connections are accepted.
     Closing,
 }
 
@@ -22,45 +22,46 @@
 #[derive(Default)]
 pub struct DrainState {
     phase: Cell<Phase>,
-    /// When the notice to leave came.
+    /// Time of the notice to leave.
     noticed_at: Cell<Option<Nanos>>,
-    /// When the process ends at the latest, where it leaves of its own accord and nobody else ends it.
+    /// Latest time at which the process exits if it leaves for another program. No supervisor stops it then.
     ends_by: Cell<Option<Nanos>>,
 }
 
 impl DrainState {
-    /// The notice to leave has come.
+    /// Begins the drain at the notice to leave.
     pub fn begin(&self, now: Nanos) {
         self.noticed_at.set(Some(now));
         self.phase.set(Phase::Grace);
     }
 
-    /// The drain has come to a phase.
+    /// Enters a phase.
     pub fn enter(&self, phase: Phase) {
         self.phase.set(phase);
     }
 
-    /// When the notice to leave came.
+    /// Returns the time of the notice to leave, if the server has received it.
     pub fn noticed_at(&self) -> Option<Nanos> {
         self.noticed_at.get()
     }
 
-    /// Whether no call is wanted any more.
+    /// Returns whether the grace is over and new invocations are rejected.
     pub fn is_grace_over(&self) -> bool {
         self.phase.get() >= Phase::Rejecting
     }
 
-    /// Whether further connections are accepted.
+    /// Returns whether more connections are accepted.
     pub fn accepts_connections(&self) -> bool {
         self.phase.get() < Phase::Closing
     }
 
-    /// The process leaves of its own accord and ends then at the latest.
+    /// Sets the latest time at which the process exits. Used when the process leaves without a supervisor
+    /// that would stop it.
     pub fn end_by(&self, at: Nanos) {
         self.ends_by.set(Some(at));
     }
 
-    /// Whether that time has come.
+    /// Returns whether the time set by [`DrainState::end_by`] has been reached.
     pub fn has_stopped(&self, now: Nanos) -> bool {
         self.ends_by.get().is_some_and(|at| now >= at)
     }
--- a/crates/server/src/lifecycle/files.rs
+++ b/crates/server/src/lifecycle/files.rs
@@ -1,29 +1,30 @@
-//! Durable files that are complete or not there at all.
+//! Writes and removes files durably and atomically: a crash leaves either the old or the complete new file.
 
 use std::io::{ErrorKind, Result, Write};
 use std::path::{Path, PathBuf};
 
-/// Writes a file beside its place, syncs it and renames it into its place; then syncs the folder.
+/// Writes a file atomically: writes and syncs a temporary file with the suffix `.new`, renames it to `path`,
+/// and syncs the directory.
 pub fn write(path: &Path, bytes: &[u8]) -> Result<()> {
-    let mut beside = path.as_os_str().to_os_string();
-    beside.push(".new");
-    let beside = PathBuf::from(beside);
-    let mut file = std::fs::File::create(&beside)?;
+    let mut temporary = path.as_os_str().to_os_string();
+    temporary.push(".new");
+    let temporary = PathBuf::from(temporary);
+    let mut file = std::fs::File::create(&temporary)?;
     file.write_all(bytes)?;
     file.sync_all()?;
-    std::fs::rename(&beside, path)?;
-    sync_folder(path)
+    std::fs::rename(&temporary, path)?;
+    sync_directory(path)
 }
 
-/// Removes a file, if it is there, and syncs the folder.
+/// Removes a file if it exists, and syncs the directory.
 pub fn remove(path: &Path) -> Result<()> {
     match std::fs::remove_file(path) {
         Err(error) if error.kind() != ErrorKind::NotFound => Err(error),
-        _ => sync_folder(path),
+        _ => sync_directory(path),
     }
 }
 
-fn sync_folder(path: &Path) -> Result<()> {
-    let folder = path.parent().filter(|parent| !parent.as_os_str().is_empty());
-    std::fs::File::open(folder.unwrap_or(Path::new(".")))?.sync_all()
+fn sync_directory(path: &Path) -> Result<()> {
+    let directory = path.parent().filter(|parent| !parent.as_os_str().is_empty());
+    std::fs::File::open(directory.unwrap_or(Path::new(".")))?.sync_all()
 }
--- a/crates/server/src/lifecycle/mod.rs
+++ b/crates/server/src/lifecycle/mod.rs
@@ -1,4 +1,4 @@
-//! Start and stop: the tasks of the server, signals, reloads and the drain.
+//! Life cycle of the server: its start and tasks, signals, reloads, and the drain.
 
 pub mod catalog;
 pub mod changes;
--- a/crates/server/src/lifecycle/pause.rs
+++ b/crates/server/src/lifecycle/pause.rs
@@ -1,71 +1,73 @@
-//! How long a change of settings keeps the serving thread from its other work.
+//! Measures how long a change of settings keeps the serving thread from its other work.
 //!
-//! The time by the wall clock has in it what the thread waited for a core, which other processes decide; the
-//! thread's processor time is the change's own work.
+//! Wall-clock time includes the time that the thread waited for a core, which depends on other processes. The
+//! thread's processor time is the work of the change alone.
 
 use rustix::time::{ClockId, DynamicClockId, clock_gettime_dynamic};
 use std::time::{Duration, Instant};
 
-/// A span of work of one thread.
+/// Duration of a piece of work of one thread.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Span {
-    /// By the wall clock.
+    /// Wall-clock time.
     pub wall: Duration,
-    /// The thread's processor time.
+    /// Processor time of the thread.
     pub processor: Duration,
 }
 
 impl Span {
-    /// This span with another right after it.
+    /// Returns the sum of this span and one that directly follows it.
     pub fn followed_by(self, next: Span) -> Span {
         Span { wall: self.wall + next.wall, processor: self.processor + next.processor }
     }
 }
 
-/// Measures a span of work of the thread that started it.
+/// Measures the work of the current thread since the stopwatch was started.
 pub struct Stopwatch {
-    began: Instant,
+    started: Instant,
+    /// The thread's processor time at the start.
     processor: Duration,
 }
 
 impl Stopwatch {
-    /// Begins a span now.
+    /// Starts a measurement.
     pub fn start() -> Self {
-        Self { began: Instant::now(), processor: thread_processor_time() }
+        Self { started: Instant::now(), processor: thread_processor_time() }
     }
 
-    /// The span until now.
+    /// Returns the time since the start. Must be called on the thread that started the stopwatch.
     pub fn elapsed(&self) -> Span {
         let processor = thread_processor_time().saturating_sub(self.processor);
-        Span { wall: self.began.elapsed(), processor }
+        Span { wall: self.started.elapsed(), processor }
     }
 }
 
-/// Zero where the system does not tell.
+/// Returns the processor time of the current thread; zero if the system does not provide it.
 fn thread_processor_time() -> Duration {
     let time = clock_gettime_dynamic(DynamicClockId::Known(ClockId::ThreadCPUTime));
     time.ok().and_then(|time| Duration::try_from(time).ok()).unwrap_or(Duration::ZERO)
 }
 
-/// The longest pauses of one change.
+/// Longest pauses of the serving thread during one change of settings.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Pauses {
-    /// By the wall clock and by processor time, each the longest.
+    /// Longest pause by wall-clock time and by processor time; these can be two different pauses.
     pub longest: Span,
-    /// The part that took the most processor time; 0 is the swap, before the parts.
+    /// Number of the part with the most processor time; 0 is the swap of the configuration before the first
+    /// part.
     pub longest_part: usize,
     parts: usize,
-    /// Parts that the event loop has taken one after another, without having waited in between.
+    /// Time of the parts that the event loop has applied since it last waited for an event.
     uninterrupted: Span,
 }
 
 impl Pauses {
-    /// The pauses of a change whose swap has taken so long.
+    /// Starts with the time taken by the swap of the configuration.
     pub fn after_swap(swap: Span) -> Self {
         Self { longest: swap, ..Self::default() }
     }
 
-    /// The event loop has taken a part.
+    /// Adds a part that the event loop has applied.
     pub fn add_part(&mut self, part: Span) {
         self.parts += 1;
         self.uninterrupted = self.uninterrupted.followed_by(part);
@@ -76,7 +78,7 @@
         self.longest.processor = self.longest.processor.max(self.uninterrupted.processor);
     }
 
-    /// The event loop waits for its next event, and the thread does what else there is.
+    /// Ends the current pause: the event loop waits for its next event, and the thread runs other tasks.
     pub fn interrupt(&mut self) {
         self.uninterrupted = Span::default();
     }
--- a/crates/server/src/lifecycle/reload.rs
+++ b/crates/server/src/lifecycle/reload.rs
@@ -1,7 +1,7 @@
-//! A change of settings while the server runs. Files are read, checked and compared on the blocking pool; the
-//! serving thread only swaps what is ready and gives the event loop small parts of the change, so that its
-//! pauses do not grow with the files. One change is made at a time: files are read when the change before is
-//! in force, so that an older reading never follows a newer one.
+//! Changes of settings while the server runs. Files are read, checked and compared on the blocking pool. The
+//! serving thread only swaps in the prepared configuration and passes the change to the event loop in small
+//! parts, so that its pauses do not grow with the size of the files. Changes run one at a time: files are
+//! read only when the previous change is in force, so that an older version never replaces a newer one.
 
 use crate::configuration::Configuration;
 use crate::configuration::Layers;
@@ -27,72 +27,74 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// Pause between two parts of a change: 250 parts, of 64,000 tenants, take a twentieth of a second more.
+/// Delay between two parts of a change. For 250 parts, which a change of 64,000 tenants has, the delays add
+/// up to a twentieth of a second.
 const PART_INTERVAL: Duration = Duration::from_micros(200);
 
-/// Why a change of settings was refused; nothing has changed then.
+/// Error for which a change of settings is refused. The previous settings stay in force.
 #[derive(Debug, thiserror::Error)]
 pub enum ReloadError {
-    /// The settings of a rollout cannot be read.
+    /// The settings file of a rollout cannot be read.
     #[error("cannot read {path}")]
     Read {
-        /// Their file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why not.
+        /// Cause of the failure.
         #[source]
         error: std::io::Error,
     },
-    /// The settings of a rollout are others than were ordered.
+    /// The settings file of a rollout does not have the hash in the order.
     #[error("{path} has the hash {found:016x}, not {expected:016x}")]
     OtherHash {
-        /// Their file.
+        /// Path of the file.
         path: PathBuf,
-        /// Its hash.
+        /// Hash of the file.
         found: u64,
-        /// The hash that was ordered.
+        /// Hash in the order.
         expected: u64,
     },
     /// The configuration cannot be used.
     #[error(transparent)]
     Load(#[from] LoadError),
-    /// It changes what only a restart changes.
+    /// The change affects a setting that only a restart can change.
     #[error(transparent)]
     RestartRequired(#[from] RestartRequired),
-    /// The revision cannot be written to disk.
+    /// The revision of replicated configuration cannot be written to disk.
     #[error("cannot write {path}")]
     Write {
-        /// Its file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why not.
+        /// Cause of the failure.
         #[source]
         error: std::io::Error,
     },
-    /// The options have no rollouts.
-    #[error("<rollout> is not in the options")]
+    /// The options do not enable rollouts.
+    #[error("the options have no <rollout>")]
     NoRollout,
 }
 
-/// The files of a change to be read, and the options in force to compare them with.
+/// Files to read for a change, and the options in force to compare them with.
 struct Request {
     path: PathBuf,
     options_path: Option<PathBuf>,
-    /// The settings of a rollout and the hash they must have.
+    /// The settings file of a rollout, and the hash that it must have.
     change: Option<(PathBuf, u64)>,
     replicated: Option<Snapshot>,
-    /// What is to be on disk before the change is in force.
+    /// State to write to this file before the change takes effect.
     write: Option<(PathBuf, PersistedState)>,
     in_force: Arc<Options>,
 }
 
-/// A change that is read and checked; taking it over costs the serving thread no more than its parts.
+/// A change that has been read and checked. Applying it keeps the serving thread busy for one part at a time.
 struct Prepared {
     configuration: Configuration,
+    /// The change of the fair queue, in parts.
     retunes: Vec<SettingsChange>,
     tenant_names: Option<TenantNames>,
 }
 
 impl Request {
-    /// Reads and compares; runs on the blocking pool.
+    /// Reads and checks the files, and compares them with the options in force. Runs on the blocking pool.
     fn prepare(self) -> Result<Prepared, ReloadError> {
         let change = self.change.as_ref().map(|(path, _)| path.as_path());
         if let Some((path, hash)) = &self.change {
@@ -122,18 +124,18 @@
     }
 }
 
-/// The names of the tenants that are counted by name.
+/// Returns the names of the tenants that are counted by name.
 pub fn named_tenants(tenants: &Tenants) -> TenantNames {
     Arc::new(tenants.fair.named.iter().map(|(name, _)| name.clone()).collect())
 }
 
-/// Reads the files again and puts them in force; files that cannot be used change nothing. Connections to
-/// addresses that are the same stay. Signals that come while a reload waits are one with it.
+/// Reads the files again and puts them in force. If the files cannot be used, nothing changes. Connections to
+/// unchanged addresses stay open. Signals that arrive while a reload is pending are merged into it.
 pub async fn reload(server: Rc<Server>) {
     if server.changes.reload_pending.replace(true) {
         return;
     }
-    let _turn = server.changes.lock.lock().await;
+    let _guard = server.changes.lock.lock().await;
     server.changes.reload_pending.set(false);
     let (change, replicated) = (adopted(&server), server.configuration.replicated.borrow().clone());
     if let Err(error) = apply(&server, change, replicated, None).await {
@@ -142,26 +144,28 @@
     }
 }
 
-/// The settings of a rollout that the server has adopted, and their hash.
+/// Returns the settings file of a rollout that the server has adopted, if any, and its hash.
 fn adopted(server: &Server) -> Option<(PathBuf, u64)> {
     let candidate = server.configuration.candidate.borrow().clone()?;
     Some((candidate.path, candidate.adopted?))
 }
 
-/// Puts a revision of replicated configuration in force once it is on disk; an error leaves all as it is.
+/// Writes a revision of replicated configuration to disk and puts it in force. After an error, the previous
+/// settings stay in force.
 pub async fn apply_replicated(
     server: &Rc<Server>,
     snapshot: Snapshot,
     saved: PersistedState,
     file: PathBuf,
 ) -> Result<(), ReloadError> {
-    let _turn = server.changes.lock.lock().await;
+    let _guard = server.changes.lock.lock().await;
     apply(server, adopted(server), Some(snapshot), Some((file, saved))).await
 }
 
-/// Adopts the settings of a rollout, by their hash, or the server's own again; an error leaves all as it is.
+/// Adopts the settings of a rollout with the hash `change`, or returns to the server's own settings if
+/// `change` is `None`. After an error, the previous settings stay in force.
 pub async fn adopt(server: &Rc<Server>, change: Option<u64>) -> Result<(), ReloadError> {
-    let _turn = server.changes.lock.lock().await;
+    let _guard = server.changes.lock.lock().await;
     let candidate = server.configuration.candidate.borrow().clone();
     let candidate = candidate.ok_or(ReloadError::NoRollout)?;
     let replicated = server.configuration.replicated.borrow().clone();
@@ -170,7 +174,7 @@
     Ok(())
 }
 
-/// Reads the files, checks that they can be taken over while the server runs, and puts them in force.
+/// Reads the files, checks that the change needs no restart, and puts it in force.
 async fn apply(
     server: &Rc<Server>,
     change: Option<(PathBuf, u64)>,
@@ -186,9 +190,9 @@
         write,
         in_force: configuration.options.borrow().clone(),
     };
-    let place = server.pool.descriptor_for_file(&server.descriptors).await;
+    let descriptor = server.pool.descriptor_for_file(&server.descriptors).await;
     let prepared = blocking::unblock(move || request.prepare()).await;
-    drop(place);
+    drop(descriptor);
     let Prepared { configuration: new, retunes, tenant_names } = prepared?;
     let stopwatch = Stopwatch::start();
     check_unchanged(configuration, &new)?;
@@ -203,7 +207,7 @@
         (_, names) => names,
     };
     server.change_pauses.set(Pauses::after_swap(stopwatch.elapsed()));
-    // Many thousand names are freed where nobody waits.
+    // Freeing thousands of names takes time, so it runs on the blocking pool.
     blocking::unblock(move || drop((new, old_options, unused_names))).detach();
     if addresses.records != old_addresses.records {
         server.pool.close_all();
@@ -211,22 +215,23 @@
     if addresses.interpreter != old_addresses.interpreter {
         let _ = server.interpreter_moved.0.try_send(());
     }
-    announce(server, retunes).await;
+    notify_event_loop(server, retunes).await;
     Ok(())
 }
 
-/// Waits until the event loop has handled all events so far.
-async fn processed(server: &Server) {
+/// Waits until the event loop has handled all events sent before.
+async fn wait_until_processed(server: &Server) {
     let (done, is_done) = async_channel::bounded(1);
     let _ = server.events.send(Event::Processed(done)).await;
     let _ = is_done.recv().await;
 }
 
-/// Puts the settings in force in the event loop and the shared state.
-async fn announce(server: &Server, retunes: Vec<SettingsChange>) {
+/// Puts the settings in force in the event loop and in the shared state, and logs the pauses of the serving
+/// thread.
+async fn notify_event_loop(server: &Server, retunes: Vec<SettingsChange>) {
     server.counters.reloads.add();
-    let reference = server.configuration.target_utilization.get();
-    let _ = server.events.send(Event::SetTargetUtilization(reference)).await;
+    let target = server.configuration.target_utilization.get();
+    let _ = server.events.send(Event::SetTargetUtilization(target)).await;
     let budget = |options: &Options| {
         options.shared_state.as_ref().and_then(|shared| Some(shared.budget.as_ref()?.total))
     };
@@ -239,11 +244,11 @@
     let parts = retunes.len();
     for retune in retunes {
         let _ = server.events.send(Event::Retune(Box::new(retune))).await;
-        processed(server).await;
-        // The sockets are looked at, and whatever has come is served, before the next part.
+        wait_until_processed(server).await;
+        // Lets the executor poll the sockets and serve pending requests before the next part.
         Timer::after(PART_INTERVAL).await;
     }
-    processed(server).await;
+    wait_until_processed(server).await;
     let Pauses { longest, longest_part, .. } = server.change_pauses.get();
     let (pause_us, processor_us) = (longest.wall.as_micros() as u64, longest.processor.as_micros() as u64);
     info!(addresses = ?server.configuration.addresses.get(), parts, longest_part, processor_us, pause_us,
--- a/crates/server/src/lifecycle/reload_check.rs
+++ b/crates/server/src/lifecycle/reload_check.rs
@@ -1,36 +1,36 @@
-//! What a change of settings while the server runs may not touch.
+//! Checks that a change of settings while the server runs affects no setting that requires a restart.
 
 use crate::configuration::Configuration;
 use crate::configuration::fleet::FleetSettings;
 use meadowstream_configuration::{Options, Tenants};
 use meadowstream_shared_state::budget::BudgetSettings;
 
-/// A setting that only a restart changes.
+/// A setting that only a restart can change, and that a change of settings would affect.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum RestartRequired {
-    /// The name or the address for callers.
-    #[error("name, listen: another takes a restart")]
+    /// The server's name or the address on which it accepts connections.
+    #[error("name, listen: a change takes a restart")]
     NameOrAddress,
-    /// Whether there is a service to call.
-    #[error("records: a call more or less takes a restart")]
+    /// The presence of a downstream service.
+    #[error("records: adding or removing it takes a restart")]
     Records,
-    /// An element of the options that is read at the start.
-    #[error("options: <tokens>, <calls>, <rollout>, <replication>: others take a restart")]
+    /// An element of the options that is only read at the start.
+    #[error("options: <tokens>, <calls>, <rollout>, <replication>: a change takes a restart")]
     Options,
     /// The membership.
-    #[error("options: <membership>: another takes a restart")]
+    #[error("options: <membership>: a change takes a restart")]
     Membership,
-    /// The shared state, but for the total of its budget.
-    #[error("options: <shared-state>: all but a total takes a restart")]
+    /// The shared state, except for the total of its budget.
+    #[error("options: <shared-state>: a change of anything but the total takes a restart")]
     SharedState,
-    /// Whether tenants are told apart.
+    /// The presence of `<tenants>`.
     #[error("tenants: telling them apart or not takes a restart")]
     Tenants,
-    /// How tenants are told apart.
-    #[error("tenants: this takes a restart")]
+    /// The source of a call's tenant, its origin, or the value of surplus.
+    #[error("tenants: a change of by, field, origin or surplus-value takes a restart")]
     TenantSource,
-    /// How much memory their accounts take.
-    #[error("ceilings: others take a restart")]
+    /// The memory limit of the tenants' accounts.
+    #[error("ceilings: a change takes a restart")]
     Ceilings,
 }
 
@@ -38,11 +38,11 @@
     if is_same { Ok(()) } else { Err(otherwise) }
 }
 
-/// Refuses a configuration in which anything differs that only a restart changes.
+/// Returns an error if the configurations differ in a setting that only a restart can change.
 pub fn check_unchanged(old: &Configuration, new: &Configuration) -> Result<(), RestartRequired> {
     let is_same = (&new.name, new.listen) == (&old.name, old.listen);
     require(is_same, RestartRequired::NameOrAddress)?;
-    let has_records = |one: &Configuration| one.addresses.get().records.is_some();
+    let has_records = |configuration: &Configuration| configuration.addresses.get().records.is_some();
     require(has_records(old) == has_records(new), RestartRequired::Records)?;
     require(has_same_options(&old.options.borrow(), &new.options.borrow()), RestartRequired::Options)?;
     let (old, new) = (old.membership.as_ref(), new.membership.as_ref());
@@ -66,7 +66,8 @@
         && old.settings == new.settings
 }
 
-/// The total of a budget may change while leases stand.
+/// Compares all settings of the shared state except the total of a budget, which may change while leases are
+/// held.
 fn has_same_shared_state(old: Option<&FleetSettings>, new: Option<&FleetSettings>) -> bool {
     let (Some(old), Some(new)) = (old, new) else { return old.is_some() == new.is_some() };
     if old.tier != new.tier {
@@ -81,8 +82,8 @@
         && old.outlier_detection == new.outlier_detection
 }
 
-/// The tenants before and after a change; `None` where they are not told apart. Weights and quotas may change
-/// while the server runs.
+/// Returns the settings of tenants before and after a change, or `None` if there are none. Weights and quotas
+/// may change while the server runs; other changes are an error.
 pub fn changed_tenants<'a>(
     old: &'a Options,
     new: &'a Options,
--- a/crates/server/src/lifecycle/signals.rs
+++ b/crates/server/src/lifecycle/signals.rs
@@ -1,4 +1,4 @@
-//! Signals: the notice to leave, a reload, and the request to log the counters.
+//! Signal handling: the notice to leave, a reload of the settings, and the request to log the counters.
 
 use crate::event::Event;
 use crate::lifecycle::drain;
@@ -10,18 +10,18 @@
 use std::rc::Rc;
 use tracing::info;
 
-/// Receives the signals that the server handles from now on.
+/// Subscribes to the signals that the server handles.
 pub fn subscribe() -> std::io::Result<Signals> {
     Signals::new([Signal::Term, Signal::Int, Signal::Usr1, Signal::Hup])
 }
 
-/// Handles signals for as long as the server runs. A leave request is the same as a SIGTERM. Closing `stay`
-/// notifies all tasks that the server leaves.
+/// Handles signals while the server runs. A leave request has the same effect as SIGTERM. Closing
+/// `leave_trigger` notifies all tasks that the server is leaving.
 pub async fn handle(
     server: Rc<Server>,
     mut signals: Signals,
     leave_requests: Receiver<()>,
-    stay: Sender<()>,
+    leave_trigger: Sender<()>,
 ) {
     loop {
         let requested = async {
@@ -37,7 +37,7 @@
                 let _ = server.events.send(Event::LogTenants).await;
             }
             Ok(Signal::Hup) => server.executor.spawn(reload::reload(server.clone())).detach(),
-            Ok(_) if stay.close() => {
+            Ok(_) if leave_trigger.close() => {
                 info!("told to leave");
                 server.drain.begin(server.clock.now());
                 let _ = server.events.send(Event::Shutdown).await;
--- a/crates/server/src/lifecycle/start.rs
+++ b/crates/server/src/lifecycle/start.rs
@@ -1,4 +1,4 @@
-//! The start: one thread, one executor, the tasks.
+//! Starts the server: opens its sockets, and runs all its tasks on a single-threaded executor.
 
 use crate::calls::pool::Pool;
 use crate::configuration::Configuration;
@@ -30,39 +30,40 @@
 use std::rc::Rc;
 use tracing::{info, warn};
 
-/// Events that may wait for the event loop; senders of more wait.
+/// Capacity of the event loop's queue; senders wait while it is full.
 const EVENTS_MAX: usize = 1024;
-/// Part of the memory limit that the buffers of connections may fill, with the answers that they are owed.
-const BUFFERS_PART: usize = 2;
+/// Divisor of the memory limit: the buffers of connections, including the space reserved for their pending
+/// answers, may use half of it.
+const BUFFERS_DIVISOR: usize = 2;
 
-/// Why the server cannot start.
+/// Error that keeps the server from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// Signals cannot be received.
+    /// The signal handlers cannot be installed.
     #[error(transparent)]
     Signals(std::io::Error),
-    /// The address for callers cannot be bound.
+    /// The listening socket for callers cannot be opened.
     #[error("cannot listen on {address}")]
     Listen {
-        /// The address.
+        /// Address of the listening socket.
         address: SocketAddr,
-        /// Why not.
+        /// Cause of the failure.
         #[source]
         error: std::io::Error,
     },
-    /// The limit of descriptors is too low.
+    /// The limit on file descriptors is too low.
     #[error(transparent)]
     Descriptors(#[from] TooFewDescriptors),
-    /// The address for other members cannot be bound.
+    /// The UDP socket for other members cannot be bound.
     #[error("<membership>: cannot bind {address}")]
     BindMembership {
-        /// The address.
+        /// Address of the UDP socket.
         address: SocketAddr,
-        /// Why not.
+        /// Cause of the failure.
         #[source]
         error: std::io::Error,
     },
-    /// The shared state cannot be set up.
+    /// The settings of the shared state are invalid.
     #[error("<shared-state>: {0}")]
     SharedState(SharedStateError),
     /// The server cannot take part in rollouts.
@@ -70,27 +71,28 @@
     Rollout(RolloutError),
 }
 
-/// What is opened before any task runs, so that a start that cannot succeed is refused.
-struct Opened {
+/// Resources that are opened before any task runs, so that a failure to open one of them stops the start.
+struct OpenedResources {
     signals: Signals,
     listener: Async<TcpListener>,
     membership: Option<Async<UdpSocket>>,
 }
 
-/// Ends of channels that the tasks receive from.
+/// Ends of channels that are passed to the tasks.
 struct Channels {
     events: Receiver<Event>,
     leave_requests: Receiver<()>,
-    /// Its closing notifies all tasks that the server leaves.
-    stay: async_channel::Sender<()>,
+    /// Closed to notify all tasks that the server is leaving.
+    leave_trigger: async_channel::Sender<()>,
 }
 
-/// Serves until the server has drained.
+/// Runs the server until it has drained.
 pub fn serve(configuration: Configuration) -> Result<(), StartError> {
     let executor: &'static LocalExecutor = Box::leak(Box::new(LocalExecutor::new()));
-    // A task like the others: what `run` itself is given is polled with each of their steps.
-    let all = executor.spawn(run(configuration, executor));
-    async_io::block_on(executor.run(all))
+    // The main future is spawned as a task as well: a future passed to `executor.run` directly would be
+    // polled again at every step of any other task.
+    let main = executor.spawn(run(configuration, executor));
+    async_io::block_on(executor.run(main))
 }
 
 async fn run(
@@ -101,7 +103,7 @@
     let listener = listen(&configuration)?;
     let descriptors = Descriptors::within(configuration.sockets)?;
     let membership = configuration.membership.as_ref().map(bind_membership).transpose()?;
-    let opened = Opened { signals, listener, membership };
+    let opened = OpenedResources { signals, listener, membership };
     for note in &configuration.notes {
         warn!("{note}");
     }
@@ -120,7 +122,7 @@
     let address = configuration.listen;
     let failed = |error| StartError::Listen { address, error };
     let listener = Async::<TcpListener>::bind(address).map_err(failed)?;
-    // The queue that the standard library asks for would drop what a burst opens beyond 128 at once.
+    // The standard library sets a backlog of 128; in a burst, connections beyond it would be dropped.
     let backlog = configuration.sockets.min(i32::MAX as usize) as i32;
     rustix::net::listen(listener.get_ref(), backlog).map_err(|error| failed(error.into()))?;
     Ok(listener)
@@ -136,14 +138,15 @@
     executor: &'static LocalExecutor<'static>,
 ) -> Result<(Rc<Server>, Channels), StartError> {
     let clock = Clock::start();
-    // The start time in Unix nanoseconds: a restart under the old name has a higher incarnation.
+    // The incarnation is the start time in Unix nanoseconds, so that a server restarted under the same name
+    // has a higher one.
     let incarnation = clock.now();
     let (events, events_received) = async_channel::bounded::<Event>(EVENTS_MAX);
-    let (stay, left) = async_channel::bounded(1);
+    let (leave_trigger, left) = async_channel::bounded(1);
     let (leave, leave_requests) = async_channel::bounded(1);
     let shared = shared(&configuration, incarnation).map_err(StartError::SharedState)?;
     let rollout = rollout(&configuration, incarnation, leave).map_err(StartError::Rollout)?;
-    let buffers = BufferBudget::new((configuration.memory_mb << 20) as usize / BUFFERS_PART);
+    let buffers = BufferBudget::new((configuration.memory_mb << 20) as usize / BUFFERS_DIVISOR);
     let server = Server {
         configuration,
         clock,
@@ -164,7 +167,7 @@
         changes: Changes::default(),
         change_pauses: Cell::default(),
     };
-    Ok((Rc::new(server), Channels { events: events_received, leave_requests, stay }))
+    Ok((Rc::new(server), Channels { events: events_received, leave_requests, leave_trigger }))
 }
 
 fn shared(
@@ -188,18 +191,18 @@
 ) -> Result<Option<Rollout>, RolloutError> {
     let Some(candidate) = configuration.candidate.borrow().clone() else { return Ok(None) };
     let options = configuration.options.borrow();
-    let Some(given) = &options.rollout else { return Ok(None) };
+    let Some(settings) = &options.rollout else { return Ok(None) };
     let name = configuration.membership.as_ref().map_or(String::new(), |fleet| fleet.name.clone());
     let me = ServerId { name, incarnation };
     let operations = &configuration.settings.operation_names;
-    Rollout::new(candidate, me, given.lease, operations, leave).map(Some)
+    Rollout::new(candidate, me, settings.lease, operations, leave).map(Some)
 }
 
-/// Starts all tasks but the one that accepts connections, whose listener is returned.
-fn spawn_tasks(server: &Rc<Server>, opened: Opened, channels: Channels) -> Async<TcpListener> {
-    let Channels { events, leave_requests, stay } = channels;
+/// Starts all tasks except the one that accepts connections. Returns the listener for this one.
+fn spawn_tasks(server: &Rc<Server>, opened: OpenedResources, channels: Channels) -> Async<TcpListener> {
+    let Channels { events, leave_requests, leave_trigger } = channels;
     let executor = server.executor;
-    executor.spawn(signals::handle(server.clone(), opened.signals, leave_requests, stay)).detach();
+    executor.spawn(signals::handle(server.clone(), opened.signals, leave_requests, leave_trigger)).detach();
     executor.spawn(link::run(server.clone())).detach();
     executor.spawn(rollout::read_program(server.clone())).detach();
     executor.spawn(catalog::report(server.clone())).detach();
