--- a/crates/server/src/configuration/candidate.rs
+++ b/crates/server/src/configuration/candidate.rs
@@ -1,88 +1,91 @@
-//! The settings and the program of a rollout, as files beside the server's own options.
+//! Candidate settings and candidate program of a rollout, which are files in the directory of the server's
+//! own options file.
 
 use crate::error::BoxError;
 use meadowstream_configuration::{Options, Rollout};
 use sha2::{Digest, Sha256};
 use std::path::{Path, PathBuf};
 
-/// What a rollout may have this server adopt.
+/// Files and hashes of the settings and the program that a rollout may have this server adopt.
 #[derive(Clone, Debug)]
 pub struct Candidate {
-    /// The file of its settings.
+    /// Path of the candidate settings file.
     pub path: PathBuf,
-    /// The file that says that the server has adopted them.
+    /// Path of the file that marks the candidate settings as adopted. It holds their hash.
     pub mark: PathBuf,
     /// Hash of the server's own options file.
     pub own: u64,
-    /// Hash of the settings, where the server has adopted them.
+    /// Hash of the candidate settings, if the server has adopted them.
     pub adopted: Option<u64>,
-    /// The program of a rollout.
+    /// Path of the candidate program, if the options name one.
     pub program: Option<PathBuf>,
-    /// The file that names it to whoever starts the server.
+    /// Path of the file that tells the server's supervisor which program to start next.
     pub program_mark: PathBuf,
 }
 
 impl Candidate {
-    /// What the options name, with nothing adopted.
+    /// Creates the candidate named in the options, with nothing adopted.
     pub fn new(rollout: &Rollout, options_path: &Path) -> std::io::Result<Self> {
         let folder = options_path.parent().unwrap_or(Path::new("."));
         Ok(Self {
             path: folder.join(&rollout.candidate),
-            mark: beside(options_path, ".adopted"),
+            mark: with_suffix(options_path, ".adopted"),
             own: hash_of(&std::fs::read(options_path)?),
             adopted: None,
             program: rollout.program.as_ref().map(|program| folder.join(program)),
-            program_mark: beside(options_path, ".program"),
+            program_mark: with_suffix(options_path, ".program"),
         })
     }
 
-    /// The hash in the mark, where the file of settings still has it.
+    /// Reads the mark, and compares its hash with that of the candidate settings file.
     pub fn adopted_before(&self) -> AdoptedBefore {
-        let Ok(mark) = std::fs::read_to_string(&self.mark) else { return AdoptedBefore::Nothing };
+        let Ok(mark) = std::fs::read_to_string(&self.mark) else { return AdoptedBefore::NotAdopted };
         let adopted = u64::from_str_radix(mark.trim(), 16).ok();
         let found = std::fs::read(&self.path).ok().map(|bytes| hash_of(&bytes));
         match adopted.filter(|_| adopted == found) {
-            Some(hash) => AdoptedBefore::Same(hash),
-            None => AdoptedBefore::Other,
+            Some(hash) => AdoptedBefore::Unchanged(hash),
+            None => AdoptedBefore::Changed,
         }
     }
 }
 
-/// Whether the server had adopted the settings of a rollout when it stopped.
+/// Candidate settings that the server had adopted before its last stop.
 pub enum AdoptedBefore {
-    /// It had not.
-    Nothing,
-    /// It had, and their file is the same.
-    Same(u64),
-    /// It had adopted settings that are not there any more.
-    Other,
+    /// The server had not adopted any.
+    NotAdopted,
+    /// The server had adopted them, and their file still has this hash.
+    Unchanged(u64),
+    /// The server had adopted them, but their file has changed or is missing.
+    Changed,
 }
 
-fn beside(path: &Path, suffix: &str) -> PathBuf {
+fn with_suffix(path: &Path, suffix: &str) -> PathBuf {
     let mut name = path.as_os_str().to_os_string();
     name.push(suffix);
     PathBuf::from(name)
 }
 
-/// What settings are known by: the first eight bytes of the SHA-256 of their file.
+/// Returns the hash that identifies settings and programs: the first eight bytes of the SHA-256 of their
+/// file.
 pub fn hash_of(bytes: &[u8]) -> u64 {
     let hash = Sha256::digest(bytes);
     let first = hash.first_chunk::<8>().expect("a SHA-256 hash has 32 bytes");
     u64::from_be_bytes(*first)
 }
 
-/// Why the settings of a rollout cannot be used.
+/// Error in the candidate settings of a rollout.
 #[derive(Debug, thiserror::Error)]
 pub enum CandidateError {
-    /// The file is no options file.
+    /// The file is not a valid options file.
     #[error(transparent)]
     Options(BoxError),
-    /// An element that only a restart changes.
-    #[error("{0}: a change cannot hold <membership>, <shared-state> or <rollout>")]
+    /// The file has an element that only a restart can change.
+    #[error("{0}: a change cannot contain <membership>, <shared-state> or <rollout>")]
     FixedElement(PathBuf),
 }
 
-/// Reads the settings of a rollout: an options file whose elements take the place of the server's own.
+/// Reads the candidate settings of a rollout: an options file whose elements replace those of the server's
+/// own.
 pub fn read_change(path: &Path) -> Result<Options, CandidateError> {
     let change = Options::load(path).map_err(|error| CandidateError::Options(error.into()))?;
     if change.membership.is_some() || change.rollout.is_some() || change.shared_state.is_some() {
--- a/crates/server/src/configuration/defaults.rs
+++ b/crates/server/src/configuration/defaults.rs
@@ -1,5 +1,6 @@
-//! What the deployment's settings ask for and the options do not describe: done in a default way that is
-//! noted, or refused where both contradict each other.
+//! Reconciles the deployment's settings with the options: fills in defaults, with a note, for features that
+//! the settings require and the options do not describe, and refuses settings and options that contradict
+//! each other.
 
 use crate::configuration::Configuration;
 use crate::resources::idempotency::ENTRY_BYTES;
@@ -8,35 +9,35 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Keys and results take this part of the memory at most.
-const KEYS_PART: usize = 4;
-/// The field of a call that holds its key unless the options name another.
+/// Divisor of the memory limit: cached idempotency keys and their results may use a quarter of it.
+const KEYS_DIVISOR: usize = 4;
+/// Default name of the call field that holds the idempotency key.
 const KEY_FIELD: &str = "replay";
-/// The field of a call that names its tenant unless the options name another.
+/// Default name of the call field that holds the tenant.
 pub const TENANT_FIELD: &str = "project";
 
-/// Why the settings of the deployment and the options do not fit together. One of them was probably left
-/// over from another deployment.
+/// Contradiction between the deployment's settings and the options. Usually one of the two belongs to another
+/// deployment.
 #[derive(Debug, thiserror::Error)]
 pub enum MismatchError {
-    /// There is nothing to call.
+    /// The settings name a downstream service, but its address is missing.
     #[error("records is missing, though settings: family-info.below names a tier or a dependency")]
     MissingRecords,
-    /// Keys are described and no operation has any.
+    /// The options describe idempotency keys, but no operation is idempotent with a key.
     #[error("options: <tokens>: no operation is by_key")]
     UnusedKeys,
-    /// The reply for calls left out is given and none may be.
+    /// The options define the reply to skipped calls, but no operation may skip calls.
     #[error("options: <calls>: no operation has a degraded-worth")]
     UnusedReply,
-    /// A share of a dependency is given and there is none.
+    /// The settings define a quota of a shared dependency, but there is no shared dependency.
     #[error("settings: family-info.dep-share: given, though family-info.below names no one_for_all")]
     UnusedQuota,
-    /// Keys and results take too much memory.
+    /// Idempotency keys and their results would use too much memory.
     #[error("options: <tokens>: {bytes} bytes in all, of limits.memory_mb {bytes_max} at most")]
     KeysTooLarge {
-        /// What they take.
+        /// Bytes that keys and results would use.
         bytes: usize,
-        /// What they may take.
+        /// Bytes that keys and results may use.
         bytes_max: usize,
     },
 }
@@ -49,26 +50,27 @@
     deployment.operations.iter().any(|operation| operation.degraded_value_ratio > 0.0)
 }
 
-/// A floor of ranks tells callers little where all operations have the same priority weight.
+/// Returns whether all operations have the same priority weight. An advertised minimum rank then gives
+/// callers little information.
 fn has_one_rank(deployment: &Deployment) -> bool {
     let weights = deployment.operations.iter().map(|operation| operation.priority_weight.to_bits());
     weights.collect::<BTreeSet<_>>().len() < 2
 }
 
 impl Configuration {
-    /// Bytes that keys and results may take.
+    /// Bytes that idempotency keys and their results may use.
     fn key_bytes_max(&self) -> usize {
-        (self.memory_mb << 20) as usize / KEYS_PART
+        (self.memory_mb << 20) as usize / KEYS_DIVISOR
     }
 
-    /// Fills in what neither the protocol nor the options describe, and notes it: that is no reason to refuse
-    /// a start.
+    /// Fills in defaults for features that neither the protocol nor the options describe, and adds a note for
+    /// each, because a missing description is no reason to refuse the start.
     pub(super) fn fill_defaults(&mut self) -> Result<(), MismatchError> {
-        // Keys are stored in this process under a limit of its own, not in the memory of the deployment.
+        // This process stores the keys under its own limit. They do not count as memory of the deployment.
         self.settings.deployment.idempotency_entry_kb = 0.0;
         self.default_keys();
         self.default_reply();
-        self.note_what_is_not_used();
+        self.note_unused_settings();
         let no_records = self.addresses.get().records.is_none();
         if no_records && self.settings.deployment.downstream != Downstream::None {
             return Err(MismatchError::MissingRecords);
@@ -80,7 +82,7 @@
         self.notes.push(format!("settings: {key}: {note}"));
     }
 
-    /// Half of the memory for entries, half for results.
+    /// Enables idempotency keys in the default field. Half of their memory is for entries, half for results.
     fn default_keys(&mut self) {
         let operations = &self.settings.deployment.operations;
         let keyed = operations.iter().position(|operation| operation.effect == Effect::IdempotentWithKey);
@@ -91,7 +93,7 @@
         Arc::make_mut(self.options.get_mut()).idempotency_keys = Some(keys);
         self.note(
             &format!("grades.{first}.effect"),
-            &format!("the token is read from the field {KEY_FIELD}"),
+            &format!("the idempotency key is read from the field {KEY_FIELD}"),
         );
     }
 
@@ -103,16 +105,16 @@
         for operation in &mut self.settings.deployment.operations {
             operation.degraded_value_ratio = 0.0;
         }
-        self.note("family-info.degraded-worth", "no call is left out, as <calls> does not say the reply");
+        self.note("family-info.degraded-worth", "no call is left out, because <calls> defines no reply");
     }
 
-    fn note_what_is_not_used(&mut self) {
+    fn note_unused_settings(&mut self) {
         let has_tenants = self.options.borrow().tenants.is_some();
         if !self.settings.deployment.tenant_allowance.is_empty() && !has_tenants {
             self.note("orgs", &format!("tenants are told apart by the field {TENANT_FIELD}"));
         }
         if self.settings.read_sharing_window > 0 {
-            self.note("family-info.share-for", "answers of reads are not shared: each runs");
+            self.note("family-info.share-for", "answers are not shared between reads; every read runs");
         }
         let deployment = &self.settings.deployment;
         if deployment.advertisement == Advertisement::MinimumRank && has_one_rank(deployment) {
@@ -120,7 +122,8 @@
         }
     }
 
-    /// Refuses options that the settings have no use for, and the reverse.
+    /// Returns an error for options that the settings do not use, and for settings that lack their
+    /// counterpart in the options.
     pub(super) fn check_consistency(&self) -> Result<(), MismatchError> {
         let (deployment, options) = (&self.settings.deployment, self.options.borrow());
         if options.idempotency_keys.is_some() && !has_keys(deployment) {
--- a/crates/server/src/configuration/error.rs
+++ b/crates/server/src/configuration/error.rs
@@ -1,4 +1,4 @@
-//! Why a configuration cannot be used.
+//! Errors of loading a configuration.
 
 use crate::configuration::candidate::CandidateError;
 use crate::configuration::defaults::MismatchError;
@@ -7,40 +7,40 @@
 use crate::error::BoxError;
 use std::path::PathBuf;
 
-/// Why a configuration cannot be used.
+/// Error for which a configuration cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
     /// The platform's file cannot be read.
     #[error("cannot read {path}")]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why not.
+        /// Cause of the failure.
         #[source]
         error: std::io::Error,
     },
-    /// The platform's file is wrong.
+    /// The content of the platform's file is invalid.
     #[error(transparent)]
     PlatformFile(#[from] PlatformFileError),
-    /// The options file is wrong.
+    /// The options file cannot be read or is invalid.
     #[error(transparent)]
     Options(BoxError),
-    /// The settings of a rollout are wrong.
+    /// The candidate settings of a rollout are invalid.
     #[error(transparent)]
     Candidate(#[from] CandidateError),
-    /// The options file could not be read a second time.
+    /// The options file cannot be read a second time, to compute its hash.
     #[error(transparent)]
     Hash(#[from] std::io::Error),
-    /// The replicated configuration does not fit over the options.
+    /// The replicated configuration cannot be applied to the options.
     #[error("replicated configuration")]
     Replicated(#[source] BoxError),
-    /// The options make no member of a fleet.
+    /// The fleet settings in the options are invalid.
     #[error(transparent)]
     Fleet(#[from] FleetError),
-    /// A tier is described and nothing is called.
+    /// The options describe a tier, but the platform's file names no downstream service.
     #[error("<tier>: the configuration names no records to call")]
     TierWithoutRecords,
-    /// Settings and options do not fit together.
+    /// The deployment's settings and the options contradict each other.
     #[error(transparent)]
     Mismatch(#[from] MismatchError),
 }
--- a/crates/server/src/configuration/fleet.rs
+++ b/crates/server/src/configuration/fleet.rs
@@ -1,4 +1,4 @@
-//! How a process takes part in the fleet, as the options say at its start; a reload does not change it.
+//! Fleet settings of a process. They are read from the options at the start and do not change in a reload.
 
 use crate::configuration::leases::{LEASES, PUBLISHING, ROLLOUTS};
 use crate::configuration::membership_key;
@@ -14,87 +14,93 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Interval of gossip of the shared state unless the options say otherwise.
+/// Default interval between gossip rounds of the shared state.
 const GOSSIP_INTERVAL_NS: u64 = 500_000_000;
 
-/// How a process takes part in the fleet.
+/// Fleet settings of a process.
 #[derive(Clone, Debug)]
 pub struct FleetSettings {
-    /// Where it receives datagrams.
+    /// Address of the UDP socket.
     pub bind: SocketAddr,
-    /// The address that others send to, where it is another one.
+    /// Address that other members send to, if it differs from `bind`.
     pub advertise: Option<SocketAddr>,
-    /// Its name in the fleet.
+    /// Name of this member.
     pub name: String,
-    /// Members that it joins by.
+    /// Addresses of the members through which the process joins the fleet.
     pub seeds: Vec<SocketAddr>,
-    /// Settings of the membership.
+    /// Settings of the membership protocol.
     pub settings: MembershipSettings,
-    /// Settings of the shared state, where anything is shared.
+    /// Settings of the shared state, if the options enable a feature that uses it.
     pub shared: Option<SharedSettings>,
-    /// Addresses of the services below, in the order of their names in the shared state.
+    /// Addresses of the downstream services, in the order of their names in the shared state.
     pub tier: Vec<SocketAddr>,
 }
 
-/// Why the options make no member of a fleet.
+/// Error in the fleet settings of the options.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
     /// The shared key cannot be used.
     #[error(transparent)]
     Key(#[from] KeyFileError),
-    /// A setting of the membership is out of its range.
+    /// A setting of the membership protocol is out of range.
     #[error("<membership>: {0}")]
     Membership(BoxError),
     /// The name is too long for a datagram.
     #[error("<membership>: name: over {NAME_BYTES_MAX} bytes: {0:?}")]
     NameTooLong(String),
-    /// The budget of calls has the name of a lease.
-    #[error("<shared-state>: budget: name: one of {LEASES:?} is that of a lease")]
-    NameOfLease,
-    /// A setting of the shared state is out of its range.
+    /// The call budget has a name that is reserved for a lease.
+    #[error("<shared-state>: budget: name: {LEASES:?} are reserved for leases")]
+    ReservedBudgetName,
+    /// A setting of the shared state is out of range.
     #[error("<{element}>: {error}")]
     SharedState {
-        /// The element that asks for the shared state.
+        /// Name of the element that enables the shared state.
         element: &'static str,
-        /// What is wrong.
+        /// The invalid setting.
         error: BoxError,
     },
 }
 
-/// The settings of a member that shares nothing yet. `server` is its name unless the options name it.
-pub fn fleet_settings(given: &Membership, server: &str, options: &Path) -> Result<FleetSettings, FleetError> {
-    let key_file = options.parent().unwrap_or(Path::new(".")).join(&given.key_file);
-    let mut settings = MembershipSettings::lan(&given.fleet, &membership_key::read(&key_file)?);
-    settings.probe_period = given.probe_period;
-    settings.probe_rtt = given.probe_rtt;
-    settings.suspicion_multiplier = given.suspicion_multiplier;
-    settings.expected_members = given.expected_members;
-    settings.gossip_period = given.gossip_period;
-    settings.announce_period = given.announce_period;
-    settings.bytes_per_second = given.bytes_a_second;
+/// Builds the fleet settings from `<membership>`, without the shared state. The member's name is `server`
+/// unless the options contain one. `options_path` is the path of the options file.
+pub fn fleet_settings(
+    membership: &Membership,
+    server: &str,
+    options_path: &Path,
+) -> Result<FleetSettings, FleetError> {
+    let key_file = options_path.parent().unwrap_or(Path::new(".")).join(&membership.key_file);
+    let mut settings = MembershipSettings::lan(&membership.fleet, &membership_key::read(&key_file)?);
+    settings.probe_period = membership.probe_period;
+    settings.probe_rtt = membership.probe_rtt;
+    settings.suspicion_multiplier = membership.suspicion_multiplier;
+    settings.expected_members = membership.expected_members;
+    settings.gossip_period = membership.gossip_period;
+    settings.announce_period = membership.announce_period;
+    settings.bytes_per_second = membership.bytes_a_second;
     settings.check().map_err(|error| FleetError::Membership(error.into()))?;
-    let name = given.name.clone().unwrap_or_else(|| server.to_string());
+    let name = membership.name.clone().unwrap_or_else(|| server.to_string());
     if name.len() > NAME_BYTES_MAX {
         return Err(FleetError::NameTooLong(name));
     }
     Ok(FleetSettings {
-        bind: given.bind,
-        advertise: given.advertise,
+        bind: membership.bind,
+        advertise: membership.advertise,
         name,
-        seeds: given.seeds.clone(),
+        seeds: membership.seeds.clone(),
         settings,
         shared: None,
         tier: Vec::new(),
     })
 }
 
-/// The settings of what is shared; `None` where the options name nothing. A body has so many bytes at most.
+/// Builds the settings of the shared state, or returns `None` if the options enable no feature that uses it.
+/// `body_max` is the size limit of a message, in bytes.
 pub fn shared_state_settings(
     options: &Options,
     body_max: usize,
 ) -> Result<Option<SharedSettings>, FleetError> {
-    let given = options.shared_state.as_ref();
-    let element = match (given, &options.rollout, &options.replication) {
+    let shared_state = options.shared_state.as_ref();
+    let element = match (shared_state, &options.rollout, &options.replication) {
         (Some(_), _, _) => "shared-state",
         (None, Some(_), _) => "rollout",
         (None, None, Some(_)) => "replication",
@@ -103,8 +109,8 @@
     let settings = SharedSettings {
         budgets: budgets(options)?,
         counters: Limits::default(),
-        outlier_detection: given.and_then(outlier_detection),
-        gossip_interval: given.map_or(GOSSIP_INTERVAL_NS, |given| given.gossip),
+        outlier_detection: shared_state.and_then(outlier_detection),
+        gossip_interval: shared_state.map_or(GOSSIP_INTERVAL_NS, |shared| shared.gossip),
         body_max,
     };
     let checked = settings.check();
@@ -112,14 +118,14 @@
     Ok(Some(settings))
 }
 
-/// The budget of downstream calls and the leases, in this order.
+/// Returns the budget of downstream calls, if any, followed by the leases.
 fn budgets(options: &Options) -> Result<Vec<BudgetSettings>, FleetError> {
     let mut budgets = Vec::new();
-    if let Some(calls) = options.shared_state.as_ref().and_then(|given| given.budget.as_ref()) {
+    if let Some(calls) = options.shared_state.as_ref().and_then(|shared| shared.budget.as_ref()) {
         if LEASES.contains(&calls.name.as_str()) {
-            return Err(FleetError::NameOfLease);
+            return Err(FleetError::ReservedBudgetName);
         }
-        budgets.push(budget_of_calls(calls));
+        budgets.push(call_budget(calls));
     }
     if let Some(rollout) = &options.rollout {
         let (servers, voters) = (rollout.servers, rollout.voters.clone());
@@ -132,21 +138,21 @@
     Ok(budgets)
 }
 
-fn budget_of_calls(given: &Budget) -> BudgetSettings {
-    let voters = given.voters.clone();
+fn call_budget(budget: &Budget) -> BudgetSettings {
+    let voters = budget.voters.clone();
     BudgetSettings::new(
-        &given.name,
-        given.total,
-        given.floor,
-        given.servers,
+        &budget.name,
+        budget.total,
+        budget.floor,
+        budget.servers,
         voters,
-        given.lease,
-        given.use_most,
+        budget.lease,
+        budget.use_most,
     )
 }
 
-fn outlier_detection(given: &SharedState) -> Option<OutlierSettings> {
-    let tier = given.tier.as_ref()?;
+fn outlier_detection(shared_state: &SharedState) -> Option<OutlierSettings> {
+    let tier = shared_state.tier.as_ref()?;
     Some(OutlierSettings {
         services: tier.services.iter().map(|service| service.name.clone()).collect(),
         accusers_min: tier.reports,
--- a/crates/server/src/configuration/leases.rs
+++ b/crates/server/src/configuration/leases.rs
@@ -1,9 +1,9 @@
-//! The names of leases: budgets of one unit, of which at most one process of the fleet holds each. A server
-//! only votes on them.
+//! Names of the leases. A lease is a budget of one unit, so at most one process of the fleet holds it.
+//! Servers vote on leases, but do not request them.
 
-/// Held by whoever coordinates a rollout.
+/// Lease held by the coordinator of a rollout.
 pub const ROLLOUTS: &str = "rollouts";
-/// Held by the publisher of replicated configuration.
+/// Lease held by the publisher of replicated configuration.
 pub const PUBLISHING: &str = "publishing";
-/// All of them.
+/// Names of all leases.
 pub const LEASES: [&str; 2] = [ROLLOUTS, PUBLISHING];
--- a/crates/server/src/configuration/load.rs
+++ b/crates/server/src/configuration/load.rs
@@ -1,4 +1,4 @@
-//! Reads a configuration: the platform's file, the options, and what lies over them.
+//! Loads a configuration from the platform's file, the options file, and the layers applied over it.
 
 use crate::configuration::candidate::{AdoptedBefore, Candidate, read_change};
 use crate::configuration::error::LoadError;
@@ -15,34 +15,37 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// What lies over a server's own options file, the later over the earlier.
+/// Layers applied over a server's own options file, in the order of the fields.
 #[derive(Clone, Copy, Default)]
 pub struct Layers<'a> {
-    /// The settings file of a rollout.
+    /// Path of the settings file of a rollout.
     pub change: Option<&'a Path>,
-    /// Replicated configuration.
+    /// State of the replicated configuration.
     pub replicated: Option<&'a State>,
 }
 
 impl Configuration {
-    /// The configuration at the start: by the last good revision of replicated configuration, if there is one
-    /// on the server's disk and it can be used.
+    /// Loads the configuration at the start of the server. Includes the last good revision of replicated
+    /// configuration if one is on the server's disk and can be used.
     pub fn load_at_start(path: &Path, options: Option<&Path>) -> Result<Self, LoadError> {
         let own = Self::load_adopted(path, options)?;
         let Some((file, options_path)) = own.replication_file().zip(options) else { return Ok(own) };
-        let started: Result<Self, BoxError> = match persisted_revision::read(&file) {
+        let with_revision: Result<Self, BoxError> = match persisted_revision::read(&file) {
             Ok(None) => return Ok(own),
             Ok(Some(saved)) => own.with_replicated(path, options_path, saved.committed).map_err(Into::into),
             Err(error) => Err(error.into()),
         };
-        match started {
-            Ok(started) => {
-                let number =
-                    started.replicated.borrow().as_ref().map_or(0, |one| one.revision.position.number);
+        match with_revision {
+            Ok(configuration) => {
+                let number = configuration
+                    .replicated
+                    .borrow()
+                    .as_ref()
+                    .map_or(0, |snapshot| snapshot.revision.position.number);
                 let written = std::fs::metadata(&file).and_then(|meta| meta.modified()).ok();
                 let written_s = written.and_then(|at| at.elapsed().ok()).map_or(0, |age| age.as_secs());
                 tracing::info!(target: "fleet", number, written_s, "starts by the configuration on its disk");
-                Ok(started)
+                Ok(configuration)
             }
             Err(error) => {
                 let why = with_causes(error.as_ref());
@@ -52,35 +55,35 @@
         }
     }
 
-    /// Where the last good revision is kept.
+    /// Returns the path of the file that stores the last good revision, if the options enable replication.
     pub fn replication_file(&self) -> Option<PathBuf> {
         let options = self.options.borrow();
         let folder = self.options_path.as_deref()?.parent().unwrap_or(Path::new("."));
-        options.replication.as_ref().map(|given| folder.join(&given.file))
+        options.replication.as_ref().map(|replication| folder.join(&replication.file))
     }
 
-    /// The same with a revision of replicated configuration over it.
+    /// Loads the configuration again with a revision of replicated configuration applied over the options.
     fn with_replicated(&self, path: &Path, options: &Path, snapshot: Snapshot) -> Result<Self, LoadError> {
         let candidate = self.candidate.borrow().clone();
         let adopted = candidate.as_ref().filter(|candidate| candidate.adopted.is_some());
         let change = adopted.map(|candidate| candidate.path.clone());
         let layers = Layers { change: change.as_deref(), replicated: Some(&snapshot.state) };
-        let over = Self::load(path, Some(options), layers)?;
-        *over.candidate.borrow_mut() = candidate;
-        *over.replicated.borrow_mut() = Some(snapshot);
-        Ok(over)
+        let configuration = Self::load(path, Some(options), layers)?;
+        *configuration.candidate.borrow_mut() = candidate;
+        *configuration.replicated.borrow_mut() = Some(snapshot);
+        Ok(configuration)
     }
 
-    /// With the settings of a rollout where the server had adopted them before, their file is the same and
-    /// they can be used.
+    /// Loads the configuration, with the settings of a rollout if the server had adopted them before its last
+    /// stop, their file has not changed, and they can be used.
     fn load_adopted(path: &Path, options: Option<&Path>) -> Result<Self, LoadError> {
         let own = Self::load(path, options, Layers::default())?;
         let candidate = own.candidate.borrow().clone();
         let Some(candidate) = candidate else { return Ok(own) };
         let why = match candidate.adopted_before() {
-            AdoptedBefore::Nothing => return Ok(own),
-            AdoptedBefore::Other => "another file".to_string(),
-            AdoptedBefore::Same(hash) => {
+            AdoptedBefore::NotAdopted => return Ok(own),
+            AdoptedBefore::Changed => "the settings file has changed or is missing".to_string(),
+            AdoptedBefore::Unchanged(hash) => {
                 let layers = Layers { change: Some(&candidate.path), replicated: None };
                 match Self::load(path, options, layers) {
                     Ok(changed) => {
@@ -92,11 +95,11 @@
                 }
             }
         };
-        tracing::warn!(target: "fleet", why, "starts by its own settings, not by those of the change");
+        tracing::warn!(target: "fleet", why, "starting without the adopted settings of a rollout");
         Ok(own)
     }
 
-    /// Reads the files and what lies over them.
+    /// Loads the configuration from the files and layers, with defaults filled in, and checks it.
     pub fn load(path: &Path, options: Option<&Path>, layers: Layers) -> Result<Self, LoadError> {
         let text = std::fs::read_to_string(path)
             .map_err(|error| LoadError::Read { path: path.to_path_buf(), error })?;
@@ -126,8 +129,8 @@
     }
 
     fn apply_fleet(&mut self, options: &Options, path: &Path) -> Result<(), LoadError> {
-        let Some(given) = &options.membership else { return Ok(()) };
-        let mut fleet = fleet_settings(given, &self.name, path)?;
+        let Some(membership) = &options.membership else { return Ok(()) };
+        let mut fleet = fleet_settings(membership, &self.name, path)?;
         fleet.shared = shared_state_settings(options, fleet.settings.packet_max)?;
         if let Some(tier) = options.shared_state.as_ref().and_then(|shared| shared.tier.as_ref()) {
             if self.addresses.get().records.is_none() {
@@ -140,7 +143,7 @@
     }
 }
 
-/// The server's own options with what lies over them.
+/// Reads the server's own options, and applies the layers over them.
 fn read_options(path: &Path, layers: Layers) -> Result<Options, LoadError> {
     let mut options = Options::load(path).map_err(|error| LoadError::Options(error.into()))?;
     if let Some(change) = layers.change {
--- a/crates/server/src/configuration/membership_key.rs
+++ b/crates/server/src/configuration/membership_key.rs
@@ -1,43 +1,43 @@
-//! The key that the members of a fleet share.
+//! Reads the secret key that the members of a fleet share.
 
 use std::io::Error;
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
 
-/// A shorter key is refused, in bytes.
+/// Minimum length of a key, in bytes.
 const KEY_MIN_BYTES: usize = 16;
-/// A longer file is refused, in bytes.
+/// Maximum size of a key file, in bytes.
 const KEY_FILE_MAX_BYTES: usize = 1024;
 
-/// Why the key file cannot be used.
+/// Error for which a key file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum KeyFileError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error("<membership>: key-file: cannot read {path}")]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why not.
+        /// Cause of the failure.
         #[source]
         error: Error,
     },
-    /// A key that others can read is no secret.
+    /// The file's group or other users have access to it, so the key is not secret.
     #[error("<membership>: key-file: {path} has mode {mode:o}; others may read it")]
     OthersMayRead {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The permissions of its owner, group and others.
+        /// Permission bits of the file.
         mode: u32,
     },
-    /// The file is longer than any key.
+    /// The file is larger than the maximum.
     #[error("<membership>: key-file: {0} is over {KEY_FILE_MAX_BYTES} bytes")]
     TooLong(PathBuf),
-    /// The key is too short.
+    /// The key is shorter than the minimum.
     #[error("<membership>: key-file: {0} holds under {KEY_MIN_BYTES} bytes")]
     TooShort(PathBuf),
 }
 
-/// Reads the key from a file that only its owner may read.
+/// Reads the key. The file must be accessible to its owner only.
 pub fn read(path: &Path) -> Result<Vec<u8>, KeyFileError> {
     let unreadable = |error| KeyFileError::Read { path: path.to_path_buf(), error };
     let metadata = std::fs::metadata(path).map_err(unreadable)?;
--- a/crates/server/src/configuration/mod.rs
+++ b/crates/server/src/configuration/mod.rs
@@ -1,5 +1,5 @@
-//! What a server is told at its start, by the platform's file and by its options, and what of it a reload
-//! changes.
+//! Configuration of a server from the platform's file and the options file, including the parts that a reload
+//! may change.
 
 pub mod candidate;
 mod defaults;
@@ -26,61 +26,61 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// Where the other parties are.
+/// Addresses of the processes that the server communicates with.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
-    /// The interpreter that runs the work.
+    /// Address of the interpreter, which runs the invocations.
     pub interpreter: SocketAddr,
-    /// The service registry.
+    /// Address of the service registry.
     pub catalog: SocketAddr,
-    /// The downstream service; the last tier calls none.
+    /// Address of the downstream service; `None` for the last tier, which has none.
     pub records: Option<SocketAddr>,
 }
 
-/// Everything that a server is told.
+/// Configuration of a server.
 pub struct Configuration {
-    /// The platform's file.
+    /// Path of the platform's file.
     pub path: PathBuf,
-    /// The server's name for the service registry.
+    /// Name of the server in the service registry.
     pub name: String,
-    /// Where it accepts connections.
+    /// Address on which the server accepts connections.
     pub listen: SocketAddr,
-    /// Where the other parties are; a reload may change them.
+    /// Addresses of the other processes; a reload may change them.
     pub addresses: Cell<Addresses>,
-    /// Seed of everything random.
+    /// Seed of all random number generators.
     pub seed: u64,
-    /// From the notice to leave to the stop, in milliseconds.
+    /// Time from the notice to leave to the stop, in milliseconds.
     pub stop_ms: u64,
     /// Memory limit, in MiB.
     pub memory_mb: u64,
-    /// Limit of descriptors.
+    /// Limit on open file descriptors.
     pub sockets: usize,
     /// Settings of the deployment.
     pub settings: DeploymentSettings,
-    /// What is done by default, for the log.
+    /// Notes for the log about defaults that were filled in and settings that have no effect.
     pub notes: Vec<String>,
-    /// This project's own settings.
+    /// Settings from the options file; all defaults without one.
     pub options: RefCell<Arc<Options>>,
-    /// The file of the options, where there is one.
+    /// Path of the options file, if any.
     pub options_path: Option<PathBuf>,
-    /// Utilization of the cores to steer to; a reload may change it.
+    /// Target utilization of the cores; a reload may change it.
     pub target_utilization: Cell<f64>,
-    /// What a rollout may have the server adopt, where the options name it.
+    /// Candidate of a rollout, if the options have `<rollout>`.
     pub candidate: RefCell<Option<Candidate>>,
-    /// The revision of replicated configuration that is in force, if any.
+    /// The revision of replicated configuration in force, if any.
     pub replicated: RefCell<Option<Snapshot>>,
-    /// How the server takes part in the fleet, where the options have `<membership>`.
+    /// Fleet settings, if the options have `<membership>`.
     pub membership: Option<FleetSettings>,
 }
 
 impl Configuration {
-    /// The longest time that the clients of any operation wait.
+    /// Returns the longest client timeout of all operations.
     pub fn longest_client_timeout(&self) -> Nanos {
         let operations = &self.settings.deployment.operations;
         operations.iter().map(|operation| operation.client_timeout).max().unwrap_or(0)
     }
 
-    /// The shortest time that the clients of any operation wait.
+    /// Returns the shortest client timeout of all operations.
     pub fn shortest_client_timeout(&self) -> Nanos {
         let operations = &self.settings.deployment.operations;
         operations.iter().map(|operation| operation.client_timeout).min().unwrap_or(0)
--- a/crates/server/src/configuration/persisted_revision.rs
+++ b/crates/server/src/configuration/persisted_revision.rs
@@ -1,27 +1,27 @@
-//! The last good revision of replicated configuration, as it stands on the server's disk.
+//! Reads the last good revision of replicated configuration from disk.
 
 use meadowstream_replication::persistence;
 use meadowstream_replication::persistence::{DecodeError, PersistedState};
 use std::io::ErrorKind;
 use std::path::{Path, PathBuf};
 
-/// Why the file cannot be used.
+/// Error for which the file of the revision cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum PersistedRevisionError {
-    /// It is there and cannot be read.
+    /// The file exists but cannot be read.
     #[error(transparent)]
     Read(#[from] std::io::Error),
-    /// It holds no revision.
+    /// The content of the file is not a valid revision.
     #[error("{path}: {error}")]
     Decode {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Cause of the failure.
         error: DecodeError,
     },
 }
 
-/// Reads the file; `Ok(None)` where there is none.
+/// Reads the file. Returns `Ok(None)` if the file does not exist.
 pub fn read(path: &Path) -> Result<Option<PersistedState>, PersistedRevisionError> {
     let bytes = match std::fs::read(path) {
         Err(error) if error.kind() == ErrorKind::NotFound => return Ok(None),
--- a/crates/server/src/configuration/platform_file.rs
+++ b/crates/server/src/configuration/platform_file.rs
@@ -1,4 +1,4 @@
-//! The JSON file that the platform gives a server at its start.
+//! Reads the JSON file that the platform passes to a server at its start.
 
 use crate::configuration::{Addresses, Configuration};
 use crate::error::BoxError;
@@ -9,83 +9,83 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Why the platform's file cannot be used. Each names the path of the value in the file.
+/// Error in the platform's file. Each error about a value contains the value's path in the file.
 #[derive(Debug, thiserror::Error)]
 pub enum PlatformFileError {
-    /// It is not JSON.
+    /// The file is not JSON.
     #[error("not JSON")]
     NotJson(#[source] serde_json::Error),
     /// A value is missing.
     #[error("{0} is missing")]
     Missing(&'static str),
-    /// A value is no string.
-    #[error("{0} is no text")]
-    NotText(&'static str),
-    /// A value is no whole number.
-    #[error("{0} is no whole number")]
-    NotWhole(&'static str),
-    /// A value is no address.
-    #[error("{place}: {value:?} is no address with a port")]
+    /// A value is not a string.
+    #[error("{0} is not a string")]
+    NotString(&'static str),
+    /// A value is not a non-negative integer.
+    #[error("{0} is not a non-negative integer")]
+    NotInteger(&'static str),
+    /// A value is not an IP address with a port.
+    #[error("{path}: {value:?} is not an address with a port")]
     NotAddress {
-        /// Where it stands.
-        place: &'static str,
-        /// The value.
+        /// Path of the value in the file.
+        path: &'static str,
+        /// The invalid value.
         value: String,
     },
-    /// The name is empty or has spaces.
+    /// The server's name is empty or contains white space.
     #[error("name: {0:?} is not one word")]
-    BadName(String),
-    /// The seed is no number.
+    InvalidName(String),
+    /// The seed is not a hexadecimal number.
     #[error("seed: {0:?} is not hexadecimal")]
-    BadSeed(String),
-    /// The deployment's settings cannot be used.
+    InvalidSeed(String),
+    /// The deployment's settings are invalid.
     #[error("settings")]
     Settings(#[source] BoxError),
 }
 
-/// The values of the file, by paths of names with dots between.
+/// The parsed file. Values are addressed by paths of keys separated by dots.
 struct PlatformFile(Value);
 
 impl PlatformFile {
-    fn at(&self, place: &'static str) -> Result<&Value, PlatformFileError> {
-        let found = place.split('.').try_fold(&self.0, |value, name| value.get(name));
-        found.ok_or(PlatformFileError::Missing(place))
+    fn value(&self, path: &'static str) -> Result<&Value, PlatformFileError> {
+        let found = path.split('.').try_fold(&self.0, |value, name| value.get(name));
+        found.ok_or(PlatformFileError::Missing(path))
     }
 
-    fn text(&self, place: &'static str) -> Result<&str, PlatformFileError> {
-        self.at(place)?.as_str().ok_or(PlatformFileError::NotText(place))
+    fn string(&self, path: &'static str) -> Result<&str, PlatformFileError> {
+        self.value(path)?.as_str().ok_or(PlatformFileError::NotString(path))
     }
 
-    fn whole(&self, place: &'static str) -> Result<u64, PlatformFileError> {
-        self.at(place)?.as_u64().ok_or(PlatformFileError::NotWhole(place))
+    fn integer(&self, path: &'static str) -> Result<u64, PlatformFileError> {
+        self.value(path)?.as_u64().ok_or(PlatformFileError::NotInteger(path))
     }
 
-    fn address(&self, place: &'static str) -> Result<SocketAddr, PlatformFileError> {
-        let value = self.text(place)?;
-        value.parse().map_err(|_| PlatformFileError::NotAddress { place, value: value.to_string() })
+    fn address(&self, path: &'static str) -> Result<SocketAddr, PlatformFileError> {
+        let value = self.string(path)?;
+        value.parse().map_err(|_| PlatformFileError::NotAddress { path, value: value.to_string() })
     }
 
-    /// An address that may be left out or null.
-    fn address_if_given(&self, place: &'static str) -> Result<Option<SocketAddr>, PlatformFileError> {
-        let given = self.at(place).is_ok_and(|value| !value.is_null());
-        if given { self.address(place).map(Some) } else { Ok(None) }
+    /// Reads an address that may be missing or null.
+    fn optional_address(&self, path: &'static str) -> Result<Option<SocketAddr>, PlatformFileError> {
+        let given = self.value(path).is_ok_and(|value| !value.is_null());
+        if given { self.address(path).map(Some) } else { Ok(None) }
     }
 
     fn name(&self) -> Result<String, PlatformFileError> {
-        let name = self.text("name")?;
+        let name = self.string("name")?;
         if name.is_empty() || name.contains(char::is_whitespace) {
-            return Err(PlatformFileError::BadName(name.to_string()));
+            return Err(PlatformFileError::InvalidName(name.to_string()));
         }
         Ok(name.to_string())
     }
 }
 
-/// The configuration of a server without options.
+/// Parses the platform's file into the configuration of a server without options.
 pub fn read(text: &str, path: &Path) -> Result<Configuration, PlatformFileError> {
     let file = PlatformFile(serde_json::from_str(text).map_err(PlatformFileError::NotJson)?);
-    let seed = file.text("seed")?;
+    let seed = file.string("seed")?;
     let name = file.name()?;
-    let settings = file.at("settings");
+    let settings = file.value("settings");
     Ok(Configuration {
         path: path.to_path_buf(),
         name,
@@ -93,12 +93,12 @@
         addresses: Cell::new(Addresses {
             interpreter: file.address("vm")?,
             catalog: file.address("directory")?,
-            records: file.address_if_given("records")?,
+            records: file.optional_address("records")?,
         }),
-        seed: u64::from_str_radix(seed, 16).map_err(|_| PlatformFileError::BadSeed(seed.to_string()))?,
-        stop_ms: file.whole("stop_ms")?,
-        memory_mb: file.whole("limits.memory_mb")?,
-        sockets: file.whole("limits.sockets")? as usize,
+        seed: u64::from_str_radix(seed, 16).map_err(|_| PlatformFileError::InvalidSeed(seed.to_string()))?,
+        stop_ms: file.integer("stop_ms")?,
+        memory_mb: file.integer("limits.memory_mb")?,
+        sockets: file.integer("limits.sockets")? as usize,
         settings: DeploymentSettings::from_json(settings?)
             .map_err(|error| PlatformFileError::Settings(error.into()))?,
         notes: Vec::new(),
