--- a/crates/configuration/src/change.rs
+++ b/crates/configuration/src/change.rs
@@ -1,37 +1,37 @@
-//! `<change>`: the file of a change that an operator publishes, and what the keys of a replicated
-//! configuration set.
+//! `<change>`: the file of a change that an operator publishes, and the settings that keys of replicated
+//! configuration refer to.
 
 use crate::error::{Fault, KeyError};
-use crate::options::{Options, UTILIZATION_LEAST, UTILIZATION_MOST};
-use crate::shared_state::TOTAL_MOST;
-use crate::tenants::{WEIGHT_LEAST, WEIGHT_MOST};
+use crate::options::{Options, UTILIZATION_MAX, UTILIZATION_MIN};
+use crate::shared_state::TOTAL_MAX;
+use crate::tenants::{WEIGHT_MAX, WEIGHT_MIN};
 use crate::xml::{Element, Result, in_file, parse, read_file};
 use meadowstream_fair_queueing::NamedTenant;
 use std::collections::{BTreeMap, HashMap};
 use std::path::Path;
 
-/// The attributes of `<set>` and `<remove>`.
+/// Attributes of `<set>` and `<remove>`.
 pub const ATTRIBUTES: &[&str] = &["key", "value"];
 
 const TENANT_WEIGHT: &str = "tenants/tenant/";
 const TARGET_UTILIZATION: &str = "control/reference";
 const BUDGET_TOTAL: &str = "shared-state/budget/total";
 
-/// One key of a change.
+/// Change of one key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyChange {
-    /// The key.
+    /// Key of the replicated configuration.
     pub key: String,
-    /// Its new value; `None` where the key is removed.
+    /// New value of the key, or `None` to remove the key.
     pub value: Option<String>,
 }
 
-/// Reads the file of a change to publish; an error names it, the line and the element.
+/// Reads the file of a change to publish. Errors contain the path, the line and the element.
 pub fn load_change(path: &Path) -> Result<Vec<KeyChange>> {
     in_file(path, read_change(&read_file(path)?))
 }
 
-/// Reads the text of a change. A key that is not known here is refused before any server has to.
+/// Reads the text of a change. An unknown key is an error here already, so that no server receives it.
 pub fn read_change(text: &str) -> Result<Vec<KeyChange>> {
     let document = parse(text)?;
     let root = Element::root(&document, "change", &[])?;
@@ -60,14 +60,14 @@
     Ok(KeyChange { key: key.to_string(), value: value.map(str::to_string) })
 }
 
-/// What a key of the replicated configuration sets.
+/// Setting that a key of the replicated configuration refers to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Setting<'a> {
     /// `tenants/tenant/NAME`: the weight of a named tenant.
     TenantWeight(&'a str),
-    /// `control/reference`: the busy share of the cores to steer to.
+    /// `control/reference`: the target utilization of the cores, as a ratio.
     TargetUtilization,
-    /// `shared-state/budget/total`: units of the budget of calls.
+    /// `shared-state/budget/total`: the number of units of the call budget.
     BudgetTotal,
 }
 
@@ -77,13 +77,13 @@
     KeyError { key: key.to_string(), fault }
 }
 
-fn number_within(key: &str, value: &str, least: f64, most: f64) -> KeyResult<f64> {
+fn number_within(key: &str, value: &str, min: f64, max: f64) -> KeyResult<f64> {
     let unreadable = || key_error(key, Fault::UnreadableValue(value.to_string()));
     let number: f64 = value.parse().map_err(|_| unreadable())?;
-    if number.is_finite() && (least..=most).contains(&number) {
+    if number.is_finite() && (min..=max).contains(&number) {
         return Ok(number);
     }
-    Err(key_error(key, Fault::ValueOutOfRange { value: number, least, most }))
+    Err(key_error(key, Fault::ValueOutOfRange { value: number, min, max }))
 }
 
 impl<'a> Setting<'a> {
@@ -98,16 +98,16 @@
         }
     }
 
-    /// The value as a number within the bounds of the setting.
+    /// Parses a value, and checks it against the bounds of the setting.
     fn number(&self, value: &str) -> KeyResult<f64> {
         match self {
             Setting::TenantWeight(name) => {
-                number_within(&format!("{TENANT_WEIGHT}{name}"), value, WEIGHT_LEAST, WEIGHT_MOST)
+                number_within(&format!("{TENANT_WEIGHT}{name}"), value, WEIGHT_MIN, WEIGHT_MAX)
             }
             Setting::TargetUtilization => {
-                number_within(TARGET_UTILIZATION, value, UTILIZATION_LEAST, UTILIZATION_MOST)
+                number_within(TARGET_UTILIZATION, value, UTILIZATION_MIN, UTILIZATION_MAX)
             }
-            Setting::BudgetTotal => number_within(BUDGET_TOTAL, value, 1.0, TOTAL_MOST as f64),
+            Setting::BudgetTotal => number_within(BUDGET_TOTAL, value, 1.0, TOTAL_MAX as f64),
         }
     }
 
@@ -116,8 +116,8 @@
     }
 }
 
-/// Lays a replicated configuration over a server's own options. An error names the key; the options are then
-/// in part changed and not to be used.
+/// Applies a replicated configuration over a server's own options. Errors contain the key. After an error,
+/// the options are partly changed and must not be used.
 pub fn overlay_replicated<'a>(
     options: &mut Options,
     pairs: impl Iterator<Item = (&'a str, &'a str)>,
@@ -140,7 +140,8 @@
     Ok(())
 }
 
-/// A total is a whole number, which a floating one does not hold exactly.
+/// Sets the total of the call budget. Parses the value as an integer, because a floating-point number does
+/// not represent every total exactly.
 fn set_budget_total(options: &mut Options, key: &str, value: &str) -> KeyResult<()> {
     let unreadable = || key_error(key, Fault::UnreadableValue(value.to_string()));
     let total = value.parse().map_err(|_| unreadable())?;
@@ -149,7 +150,8 @@
     Ok(())
 }
 
-/// Named tenants keep their order; those that the options do not name follow.
+/// Sets the weights of named tenants. Tenants in the options keep their order; tenants that the options do
+/// not name are appended.
 fn set_weights(options: &mut Options, weights: &BTreeMap<&str, f64>) -> KeyResult<()> {
     let tenants = options.tenants.as_mut();
     let fair = &mut tenants.ok_or_else(|| key_error(TENANT_WEIGHT, Fault::NoTenants))?.fair;
--- a/crates/configuration/src/error.rs
+++ b/crates/configuration/src/error.rs
@@ -1,86 +1,86 @@
-//! Why a file cannot be used: the file, the line and element, and what is wrong there.
+//! Errors of reading settings, with the file, the line and the element.
 
 use std::fmt;
 use std::path::PathBuf;
 
-/// Why settings cannot be read. The text of an error and of its sources is one line each.
+/// Error of reading settings. The texts of an error and of each of its sources are single lines.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigurationError {
-    /// What is wrong with the content of a file; the source says where.
+    /// The content of a file is invalid; the source contains the place.
     #[error("{}", .path.display())]
     File {
-        /// The file as it was named.
+        /// Path of the file, as passed by the caller.
         path: PathBuf,
-        /// What is wrong with its content.
+        /// The error in the content.
         #[source]
         source: Box<ConfigurationError>,
     },
-    /// The file cannot be read at all.
+    /// The file cannot be read.
     #[error("cannot read {}", .path.display())]
     Unreadable {
-        /// The file as it was named.
+        /// Path of the file, as passed by the caller.
         path: PathBuf,
-        /// What the system says.
+        /// Error of the operating system.
         #[source]
         source: std::io::Error,
     },
-    /// The file is longer than any that is read.
+    /// The file exceeds the size limit.
     #[error("{}: {bytes} bytes are more than {limit}", .path.display())]
     TooLong {
-        /// The file as it was named.
+        /// Path of the file, as passed by the caller.
         path: PathBuf,
-        /// Its size.
+        /// Size of the file, in bytes.
         bytes: u64,
-        /// The largest size that is read.
+        /// Maximum size of a file, in bytes.
         limit: u64,
     },
     /// The text is not well-formed XML.
     #[error("line {line}, column {column}: {fault}")]
     Malformed {
-        /// Line of the fault, from 1.
+        /// Line of the error, counted from 1.
         line: u32,
-        /// Column of the fault, from 1.
+        /// Column of the error, counted from 1.
         column: u32,
-        /// What the parser says.
+        /// Error of the XML parser.
         fault: roxmltree::Error,
     },
-    /// An element cannot be used.
+    /// An element is invalid.
     #[error("{place}: {fault}")]
     Element {
-        /// Where it stands.
+        /// Line and name of the element.
         place: Place,
-        /// What is wrong with it.
+        /// The fault in the element.
         fault: Box<Fault>,
     },
     /// An element conflicts with another one or lacks one that it needs.
     #[error("<{element}>: {fault}")]
     Options {
-        /// The element's name.
+        /// Name of the element.
         element: &'static str,
-        /// What is wrong.
+        /// The conflict or the missing element.
         fault: Fault,
     },
-    /// A key of replicated configuration cannot be used.
+    /// A key of replicated configuration or its value is invalid.
     #[error(transparent)]
     Key(#[from] KeyError),
 }
 
-/// A key of replicated configuration that cannot be used.
+/// Error in a key of replicated configuration or in its value.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{key}: {fault}")]
 pub struct KeyError {
     /// The key.
     pub key: String,
-    /// What is wrong with it or its value.
+    /// The fault in the key or its value.
     pub fault: Fault,
 }
 
-/// Where an element stands.
+/// Location of an element in a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Place {
-    /// Its line, from 1.
+    /// Line of the element, counted from 1.
     pub line: u32,
-    /// Its name.
+    /// Name of the element.
     pub element: String,
 }
 
@@ -90,9 +90,9 @@
     }
 }
 
-/// What is wrong with an element, an attribute or a value.
+/// Fault in an element, an attribute or a value.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-#[allow(missing_docs, reason = "the texts say what each variant and field is")]
+#[allow(missing_docs, reason = "the error texts document the variants and fields")]
 pub enum Fault {
     #[error("the root is to be <{element} xmlns={namespace:?}>")]
     Root { element: &'static str, namespace: &'static str },
@@ -112,10 +112,10 @@
     Unreadable { attribute: String, text: String },
     #[error("cannot read {0:?}")]
     UnreadableValue(String),
-    #[error("{attribute}: {value} is not within {least} and {most}")]
-    OutOfRange { attribute: String, value: String, least: String, most: String },
-    #[error("{value} is not within {least} and {most}")]
-    ValueOutOfRange { value: f64, least: f64, most: f64 },
+    #[error("{attribute}: {value} is not within {min} and {max}")]
+    OutOfRange { attribute: String, value: String, min: String, max: String },
+    #[error("{value} is not within {min} and {max}")]
+    ValueOutOfRange { value: f64, min: f64, max: f64 },
     #[error("{attribute}: unknown choice {choice:?}")]
     UnknownChoice { attribute: &'static str, choice: String },
     #[error("either {first} or {second}")]
@@ -124,18 +124,18 @@
     Stage { number: usize, fault: Box<Fault> },
     #[error("{attribute}: {text:?} is no address and port")]
     NoAddress { attribute: String, text: String },
-    #[error("{attribute}: 1 to {most} letters, digits, '-', '_' or '.'")]
-    NotPlain { attribute: String, most: usize },
-    #[error("{attribute}: 1 to {most} bytes, not {length}")]
-    Length { attribute: String, most: usize, length: usize },
-    #[error("{attribute}: over {most} bytes")]
-    TooLong { attribute: &'static str, most: usize },
+    #[error("{attribute}: 1 to {max} letters, digits, '-', '_' or '.'")]
+    NotPlain { attribute: String, max: usize },
+    #[error("{attribute}: 1 to {max} bytes, not {length}")]
+    Length { attribute: String, max: usize, length: usize },
+    #[error("{attribute}: over {max} bytes")]
+    TooLong { attribute: &'static str, max: usize },
     #[error("{attribute}: {value:?} is given twice")]
     ValueTwice { attribute: &'static str, value: String },
     #[error("name, address: {name:?} or {address} is given twice")]
     ServiceTwice { name: String, address: std::net::SocketAddr },
-    #[error("more than {most}{what}")]
-    TooMany { most: usize, what: &'static str },
+    #[error("more than {max}{what}")]
+    TooMany { max: usize, what: &'static str },
     #[error("field: {field:?} cannot name {what}")]
     FieldTaken { field: String, what: &'static str },
     #[error("by=\"field\" needs a field")]
@@ -154,8 +154,8 @@
     NoBudget,
     #[error("the options name no <tenants>")]
     NoTenants,
-    #[error("{limit} for {named} named tenants; {most} may be named")]
-    TooManyTenants { limit: String, named: usize, most: usize },
+    #[error("{limit} for {named} named tenants; {max} may be named")]
+    TooManyTenants { limit: String, named: usize, max: usize },
     #[error("{0}")]
     Key(Box<KeyError>),
     #[error("{0}")]
--- a/crates/configuration/src/idempotency_keys.rs
+++ b/crates/configuration/src/idempotency_keys.rs
@@ -1,22 +1,23 @@
-//! `<tokens>`: the field of a call that carries its idempotency key, and how many keys are cached.
+//! `<tokens>`: the call field that carries the idempotency key, and the size of the cache of keys and
+//! results.
 
 use crate::error::Fault;
 use crate::xml::{Element, Result};
 use roxmltree::{Document, Node};
 
-/// Longest name of a field, in bytes.
+/// Maximum length of a field name, in bytes.
 const FIELD_BYTES_MAX: usize = 64;
-/// Fields of a call that already mean something else.
+/// Fields of a call with another fixed meaning.
 const RESERVED_FIELDS: &[&str] = &["ref", "since", "room", "class_rank", "lookup", "ticket"];
 
-/// Where a call carries its idempotency key, and how much is remembered of such calls.
+/// Settings of idempotency keys: the call field that carries them, and the limits of their cache.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IdempotencyKeys {
-    /// The field of the call.
+    /// Name of the call field that carries the key.
     pub field: String,
-    /// Keys cached at once, 16 to 2^20; 4096 where absent.
+    /// Maximum number of cached keys, 16 to 2^20; default 4096.
     pub entries: usize,
-    /// Bytes of results cached, 4 KiB to 1 GiB; 1 MiB where absent.
+    /// Maximum size of the cached results in bytes, 4 KiB to 1 GiB; default 1 MiB.
     pub result_bytes: usize,
 }
 
@@ -29,7 +30,8 @@
     })
 }
 
-/// The field that an element names: one that means nothing else in a call.
+/// Reads the `field` attribute of an element. The field must not have another fixed meaning in a call. `what`
+/// is the value that the field carries, for the error text.
 pub(crate) fn free_field<'a>(element: &Element<'a, '_>, what: &'static str) -> Result<&'a str> {
     let field = element.required("field")?;
     let is_plain = field.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'_' || b == b'-');
--- a/crates/configuration/src/membership.rs
+++ b/crates/configuration/src/membership.rs
@@ -1,4 +1,4 @@
-//! `<membership>`: the fleet's view by SWIM over UDP.
+//! `<membership>`: settings of the SWIM membership protocol over UDP.
 
 use crate::error::Fault;
 use crate::xml::{Element, Result, milliseconds};
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The attributes of `<membership>`.
+/// Attributes of `<membership>`.
 pub const ATTRIBUTES: &[&str] = &[
     "bind",
     "advertise",
@@ -21,39 +21,40 @@
     "announce-period-ms",
     "bytes-a-second",
 ];
-/// Seeds named at most.
+/// Maximum number of seeds.
 const SEEDS_MAX: usize = 64;
-/// Longest name of a member or a fleet, in bytes.
+/// Maximum length of the name of a member or a fleet, in bytes.
 const NAME_BYTES_MAX: usize = 64;
 
-/// How this server takes part in the fleet's view (`docs/membership.md`). Times in nanoseconds.
+/// Settings of the membership protocol (`docs/membership.md`). Times are in nanoseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Membership {
-    /// The UDP address that this server listens on.
+    /// Address of the server's UDP socket.
     pub bind: SocketAddr,
-    /// The address that peers are told to send to, where it is not `bind` (behind a relay or a NAT).
+    /// Address that other members send to, if it differs from `bind` (behind a relay or a NAT).
     pub advertise: Option<SocketAddr>,
-    /// The member's name; the platform's name of the server where absent.
+    /// Name of this member; default is the server's name in the platform's file.
     pub name: Option<String>,
-    /// The fleet's name.
+    /// Name of the fleet.
     pub fleet: String,
-    /// The file that holds the fleet's shared key, as written (relative to the options file).
+    /// Path of the file with the fleet's shared key, as written (relative to the options file).
     pub key_file: PathBuf,
-    /// Members to join by, 64 at most.
+    /// Addresses of the members through which the server joins the fleet, 64 at most.
     pub seeds: Vec<SocketAddr>,
-    /// Between two probes; 1 s where absent.
+    /// Time between two probes; default 1 s.
     pub probe_period: u64,
-    /// How long a direct probe waits before others are asked to probe; two fifths of the period where absent.
+    /// Time to wait for the answer to a direct probe before other members are asked to probe; default two
+    /// fifths of the probe period.
     pub probe_rtt: u64,
-    /// Probe periods after which a suspect is declared down; 4 where absent.
+    /// Number of probe periods after which a suspect is declared down; default 4.
     pub suspicion_multiplier: u32,
-    /// Fleet size that dissemination is tuned for; 64 where absent.
+    /// Fleet size for which dissemination is configured; default 64.
     pub expected_members: u32,
-    /// Between two rounds of gossip; 200 ms where absent.
+    /// Time between two rounds of gossip; default 200 ms.
     pub gossip_period: u64,
-    /// Between two announcements; 10 s where absent.
+    /// Time between two announcements; default 10 s.
     pub announce_period: u64,
-    /// Bytes that the view's own datagrams take in any second; 200,000 where absent.
+    /// Limit on the bytes of membership datagrams sent in any second; default 200,000.
     pub bytes_a_second: u64,
 }
 
@@ -86,14 +87,14 @@
     })
 }
 
-/// Letters, digits and a few marks: names stand in log lines.
+/// Reads a name. Only letters, digits, `-`, `_` and `.` are allowed, because names appear in log lines.
 fn plain_name(element: &Element, attribute: &str) -> Result<String> {
     let text = element.required(attribute)?;
     let is_plain = text.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b));
     if is_plain && (1..=NAME_BYTES_MAX).contains(&text.len()) {
         return Ok(text.to_string());
     }
-    Err(element.error(Fault::NotPlain { attribute: attribute.to_string(), most: NAME_BYTES_MAX }))
+    Err(element.error(Fault::NotPlain { attribute: attribute.to_string(), max: NAME_BYTES_MAX }))
 }
 
 fn read_seeds<'d>(document: &Document<'d>, element: &Element<'_, 'd>) -> Result<Vec<SocketAddr>> {
@@ -101,7 +102,7 @@
     for child in element.children(&["seed"], &["seed"])? {
         let seed = Element::new(document, child, &["address"])?;
         if seeds.len() == SEEDS_MAX {
-            return Err(seed.error(Fault::TooMany { most: SEEDS_MAX, what: " seeds" }));
+            return Err(seed.error(Fault::TooMany { max: SEEDS_MAX, what: " seeds" }));
         }
         seeds.push(seed.address("address")?);
     }
--- a/crates/configuration/src/options.rs
+++ b/crates/configuration/src/options.rs
@@ -1,4 +1,4 @@
-//! A server's options file: the root `<meadowstream>`.
+//! The options file of a server, with the root element `<meadowstream>`.
 
 use crate::error::{ConfigurationError, Fault};
 use crate::idempotency_keys::{self, IdempotencyKeys};
@@ -11,42 +11,42 @@
 use roxmltree::{Document, Node};
 use std::path::Path;
 
-/// The elements of the root.
+/// Child elements of the root.
 const CHILDREN: &[&str] =
     &["tenants", "tokens", "calls", "membership", "shared-state", "rollout", "replication", "control"];
-/// Bounds of `<control reference>`, a share of the cores, and what a file without it means.
-pub(crate) const UTILIZATION_LEAST: f64 = 0.05;
-pub(crate) const UTILIZATION_MOST: f64 = 1.0;
+/// Bounds of `<control reference>`, as a ratio of the cores, and its default within `<control>`.
+pub(crate) const UTILIZATION_MIN: f64 = 0.05;
+pub(crate) const UTILIZATION_MAX: f64 = 1.0;
 const UTILIZATION_DEFAULT: f64 = 0.9;
 
-/// All that an options file may name; what is absent is off.
+/// Content of an options file. Features without an element are off.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
-    /// `<control reference>`: busy share of the cores to steer to, where it is not the default.
+    /// `<control reference>`: target utilization of the cores, as a ratio; `None` for the default.
     pub target_utilization: Option<f64>,
-    /// `<tenants>`: how tenants are told apart and what each gets.
+    /// `<tenants>`: identification of tenants, and their weights and quotas.
     pub tenants: Option<Tenants>,
-    /// `<tokens>`: where idempotency keys stand and how many are cached.
+    /// `<tokens>`: idempotency keys.
     pub idempotency_keys: Option<IdempotencyKeys>,
-    /// `<calls left-out>`: the reply that a run gets whose downstream call is skipped.
+    /// `<calls left-out>`: reply that a run receives in place of a skipped downstream call.
     pub skipped_call_reply: Option<String>,
-    /// `<membership>`: the fleet's view.
+    /// `<membership>`: membership of a fleet.
     pub membership: Option<Membership>,
-    /// `<shared-state>`: budgets and judgements that servers share; needs `membership`.
+    /// `<shared-state>`: call budget and outlier detection shared by the fleet; requires `membership`.
     pub shared_state: Option<SharedState>,
-    /// `<rollout>`: changes in stages; needs `membership`.
+    /// `<rollout>`: staged rollouts; requires `membership`.
     pub rollout: Option<Rollout>,
-    /// `<replication>`: replicated configuration; needs `membership`.
+    /// `<replication>`: replicated configuration; requires `membership`.
     pub replication: Option<Replication>,
 }
 
 impl Options {
-    /// Reads a file; an error names it, the line and the element.
+    /// Reads an options file. Errors contain the path, the line and the element.
     pub fn load(path: &Path) -> Result<Self> {
         in_file(path, Self::read(&read_file(path)?))
     }
 
-    /// Reads the text of a file; an error names the line and the element.
+    /// Reads the text of an options file. Errors contain the line and the element.
     pub fn read(text: &str) -> Result<Self> {
         let document = parse(text)?;
         let root = Element::root(&document, "meadowstream", &[])?;
@@ -76,7 +76,7 @@
         Ok(())
     }
 
-    /// One field of a call cannot be both the tenant and the key.
+    /// Checks that idempotency keys and tenants are read from different fields of a call.
     fn check_keys_and_tenants(&self) -> Result<()> {
         let Some(Tenants { source: TenantSource::Field(tenant), .. }) = &self.tenants else { return Ok(()) };
         match &self.idempotency_keys {
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Takes over what a change names; what it does not name stays.
+    /// Replaces the elements that a change contains. Other elements stay as they are.
     pub fn overlay(&mut self, change: Options) {
         fn replace<T>(own: &mut Option<T>, new: Option<T>) {
             if new.is_some() {
@@ -116,5 +116,5 @@
 
 fn read_target_utilization<'d>(document: &Document<'d>, node: Node<'_, 'd>) -> Result<f64> {
     let control = Element::new(document, node, &["reference"])?;
-    control.number("reference", UTILIZATION_DEFAULT, UTILIZATION_LEAST, UTILIZATION_MOST)
+    control.number("reference", UTILIZATION_DEFAULT, UTILIZATION_MIN, UTILIZATION_MAX)
 }
--- a/crates/configuration/src/plan.rs
+++ b/crates/configuration/src/plan.rs
@@ -1,4 +1,4 @@
-//! `<plan>`: the file of a change by stages, which the coordinator of a rollout reads.
+//! `<plan>`: the plan file of a rollout, which its coordinator reads.
 
 use crate::error::Fault;
 use crate::xml::{Element, Result, in_file, parse, read_file};
@@ -6,7 +6,7 @@
 use roxmltree::{Document, Node};
 use std::path::{Path, PathBuf};
 
-/// The attributes of `<plan>`.
+/// Attributes of `<plan>`.
 pub const PLAN: &[&str] = &[
     "name",
     "candidate",
@@ -22,27 +22,27 @@
     "latency",
     "alpha",
 ];
-/// The attributes of `<stage>`.
+/// Attributes of `<stage>`.
 pub const STAGE: &[&str] = &["servers", "share", "bake-ms"];
-/// Longest time that a stage is compared: a week.
+/// Maximum bake time of a stage, in milliseconds: one week.
 const BAKE_MS_MAX: usize = 604_800_000;
 
-/// A plan of a change by stages as its file has it (`docs/rollout.md`).
+/// Content of a plan file (`docs/rollout.md`).
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlanFile {
-    /// The file with the settings of the change or its program, as written (relative to the plan's file).
+    /// Path of the candidate settings or program, as written (relative to the plan file).
     pub candidate: PathBuf,
-    /// All but the candidate's hash, which is 0 here.
+    /// The plan, without the candidate's hash, which is 0 here.
     pub plan: Plan,
 }
 
 impl PlanFile {
-    /// Reads a file; an error names it, the line and the element.
+    /// Reads a plan file. Errors contain the path, the line and the element.
     pub fn load(path: &Path) -> Result<Self> {
         in_file(path, Self::read(&read_file(path)?))
     }
 
-    /// Reads the text of a file; an error names the line and the element, and the number of a stage.
+    /// Reads the text of a plan file. Errors contain the line, the element, and the number of the stage.
     pub fn read(text: &str) -> Result<Self> {
         let document = parse(text)?;
         let root = Element::root(&document, "plan", PLAN)?;
@@ -90,7 +90,7 @@
     })
 }
 
-/// The file of the change, and whether it is of settings or of the program.
+/// Reads the path of the candidate, and whether the candidate is a settings file or a program.
 fn read_candidate(root: &Element) -> Result<(PathBuf, ChangeKind)> {
     match (root.text("candidate"), root.text("program")) {
         (Some(settings), None) => Ok((PathBuf::from(settings), ChangeKind::Settings)),
--- a/crates/configuration/src/replication.rs
+++ b/crates/configuration/src/replication.rs
@@ -1,34 +1,34 @@
-//! `<replication>`: how a member takes part in replicated configuration.
+//! `<replication>`: settings of replicated configuration.
 
 use crate::error::Fault;
 use crate::xml::{Element, Result};
 use roxmltree::{Document, Node};
 use std::path::PathBuf;
 
-/// The attributes of `<replication>`.
+/// Attributes of `<replication>`.
 pub const ATTRIBUTES: &[&str] =
     &["region", "zone", "file", "pull-ms", "bytes-a-second", "stale-ms", "lease-ms"];
-/// Longest name of a region or a zone, in bytes.
+/// Maximum length of the name of a region or a zone, in bytes.
 const NAME_BYTES_MAX: usize = 64;
 
-/// How this member takes part in replicated configuration (`docs/replication.md`). Times in nanoseconds.
+/// Settings of replicated configuration (`docs/replication.md`). Times are in nanoseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Replication {
-    /// The region that this member runs in.
+    /// Region in which this member runs.
     pub region: String,
-    /// The zone of that region.
+    /// Zone of that region.
     pub zone: String,
-    /// The file that keeps the last good revision, as written (relative to the options file).
+    /// Path of the file that stores the last good revision, as written (relative to the options file).
     pub file: PathBuf,
-    /// Names of the control machines that keep the log.
+    /// Names of the control machines that store the log.
     pub replicas: Vec<String>,
-    /// Between two pulls; 500 ms where absent.
+    /// Time between two pulls; default 500 ms.
     pub pull_period: u64,
-    /// Bytes that a server sends for it a second, at the most; 12,000 where absent.
+    /// Limit on the bytes per second that a server sends for replication; default 12,000.
     pub bytes_a_second: u64,
-    /// Without a message from the leader for so long a server warns of it; 60 s where absent.
+    /// Time without a message from the leader after which a server logs a warning; default 60 s.
     pub stale_after: u64,
-    /// How long the leader's lease lasts; 4 s where absent.
+    /// Duration of the leader's lease; default 4 s.
     pub lease: u64,
 }
 
@@ -52,6 +52,6 @@
     if (1..=NAME_BYTES_MAX).contains(&name.len()) {
         return Ok(name.to_string());
     }
-    let (attribute, most, length) = (attribute.to_string(), NAME_BYTES_MAX, name.len());
-    Err(element.error(Fault::Length { attribute, most, length }))
+    let (attribute, max, length) = (attribute.to_string(), NAME_BYTES_MAX, name.len());
+    Err(element.error(Fault::Length { attribute, max, length }))
 }
--- a/crates/configuration/src/rollout.rs
+++ b/crates/configuration/src/rollout.rs
@@ -1,27 +1,28 @@
-//! `<rollout>`: how a server takes part in changes by stages.
+//! `<rollout>`: settings of staged rollouts on a server.
 
 use crate::xml::{Element, Result};
 use roxmltree::{Document, Node};
 use std::path::PathBuf;
 
-/// The attributes of `<rollout>`.
+/// Attributes of `<rollout>`.
 pub const ATTRIBUTES: &[&str] = &["candidate", "program", "servers", "lease-ms"];
-/// Servers that may run at once, at most.
+/// Maximum value of the `servers` attribute.
 const SERVERS_MAX: usize = 100_000;
 
-/// How this server takes part in changes by stages (`docs/rollout.md`).
+/// Settings of staged rollouts (`docs/rollout.md`).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rollout {
-    /// The file with the settings of a change, as written (relative to the options file).
+    /// Path of the candidate settings, as written (relative to the options file).
     pub candidate: PathBuf,
-    /// The program of a change, likewise. Where it is named, whoever starts this server starts what stands
-    /// in the file of its mark, and starts it again when it ends.
+    /// Path of the candidate program, as written (relative to the options file). If it is present, the
+    /// supervisor of this server must start the program named in the program mark, and start it again when it
+    /// exits.
     pub program: Option<PathBuf>,
-    /// Servers that run at once, coordinators included, at most.
+    /// Maximum number of servers that run at the same time, including coordinators.
     pub servers: u64,
-    /// Names of the members that elect the holder of the lease on rollouts.
+    /// Names of the members that elect the holder of the rollout lease.
     pub voters: Vec<String>,
-    /// How long that lease lasts, in nanoseconds; 4 s where absent.
+    /// Duration of the rollout lease, in nanoseconds; default 4 s.
     pub lease: u64,
 }
 
--- a/crates/configuration/src/shared_state.rs
+++ b/crates/configuration/src/shared_state.rs
@@ -1,76 +1,78 @@
-//! `<shared-state>`: a budget of calls and a judged tier that the servers of a fleet share.
+//! `<shared-state>`: settings of the call budget and the outlier detection that the servers of a fleet share.
 
 use crate::error::Fault;
 use crate::xml::{Element, Result};
 use roxmltree::{Document, Node};
 use std::net::SocketAddr;
 
-/// The attributes of `<budget>`.
+/// Attributes of `<budget>`.
 pub const BUDGET: &[&str] = &["name", "total", "floor", "servers", "lease-ms", "use-most-ms"];
-/// The attributes of `<tier>`.
+/// Attributes of `<tier>`.
 pub const TIER: &[&str] = &["reports", "eject-share", "expiry-ms"];
-/// Services of a tier named at most.
+/// Maximum number of services of a tier.
 const SERVICES_MAX: usize = 256;
-/// Longest name of a service, in bytes.
+/// Maximum length of the name of a service, in bytes.
 const NAME_BYTES_MAX: usize = 64;
-/// Largest total of a budget, in units.
-pub(crate) const TOTAL_MOST: usize = 1 << 40;
+/// Maximum total of a budget, in units.
+pub(crate) const TOTAL_MAX: usize = 1 << 40;
 
-/// What this server shares with the others of the fleet.
+/// Settings of the state shared by the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SharedState {
-    /// Nanoseconds between two rounds of gossip; 500 ms where absent.
-    pub gossip: u64,
-    /// The budget of calls, where there is one.
+    /// Time between two rounds of gossip, in nanoseconds; default 500 ms.
+    pub gossip_interval: u64,
+    /// The budget of downstream calls, if any.
     pub budget: Option<Budget>,
-    /// The services below that are judged, where they are.
+    /// The downstream services under outlier detection, if any.
     pub tier: Option<Tier>,
 }
 
-/// A budget of the whole fleet for calls to the service below (`docs/shared-state.md`). Times in nanoseconds.
+/// Budget of the whole fleet for calls to the downstream service (`docs/shared-state.md`). Times are in
+/// nanoseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Budget {
-    /// Its name in the fleet.
+    /// Name of the budget in the fleet.
     pub name: String,
-    /// Calls that the whole fleet may have in flight.
+    /// Number of calls that the whole fleet may have in flight.
     pub total: u64,
-    /// Calls that each server may have in flight without a lease; 0 where absent.
+    /// Number of calls that each server may have in flight without a lease; default 0.
     pub floor: u64,
-    /// Servers that may run at once, at most.
+    /// Maximum number of servers that run at the same time.
     pub servers: u64,
-    /// How long a lease lasts; 4 s where absent.
+    /// Duration of a lease; default 4 s.
     pub lease: u64,
-    /// Longest time that a call stays in flight; 1 s where absent.
-    pub use_most: u64,
-    /// Names of the members that elect who grants leases.
+    /// Maximum time that a call stays in flight; default 1 s.
+    pub use_max: u64,
+    /// Names of the members that elect the grantor of leases.
     pub voters: Vec<String>,
 }
 
-/// The services of the tier below, judged by the fleet (`docs/shared-state.md`).
+/// The services of the downstream tier, and the settings of their outlier detection (`docs/shared-state.md`).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Tier {
-    /// Servers that must find a service slow or failing, 1 to 1000; 2 where absent.
-    pub reports: usize,
-    /// Part of the tier that is ejected at most, in thousandths; 500 where absent.
-    pub share_thousandths: usize,
-    /// How long a report counts, in nanoseconds; 5 s where absent.
+    /// Number of servers that must report a service as slow or failing before it is ejected, 1 to 1000;
+    /// default 2.
+    pub accusers_min: usize,
+    /// Maximum part of the tier that is ejected, in thousandths; default 500.
+    pub max_ejected_thousandths: usize,
+    /// Time after which a report expires, in nanoseconds; default 5 s.
     pub expiry: u64,
-    /// The same on every server and in the same order.
+    /// The services. Every server must list the same services in the same order.
     pub services: Vec<TierService>,
 }
 
 /// One service of a tier.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TierService {
-    /// Its name, 1 to 64 bytes.
+    /// Name of the service, 1 to 64 bytes.
     pub name: String,
-    /// Where it listens.
+    /// Address on which the service listens.
     pub address: SocketAddr,
 }
 
 pub(crate) fn read<'d>(document: &Document<'d>, node: Node<'_, 'd>) -> Result<SharedState> {
     let element = Element::new(document, node, &["gossip-ms"])?;
-    let gossip = element.duration_ns("gossip-ms", 500, 10, 60_000)?;
+    let gossip_interval = element.duration_ns("gossip-ms", 500, 10, 60_000)?;
     let (mut budget, mut tier) = (None, None);
     for child in element.children(&["budget", "tier"], &[])? {
         match child.tag_name().name() {
@@ -78,20 +80,20 @@
             _ => tier = Some(read_tier(document, child)?),
         }
     }
-    Ok(SharedState { gossip, budget, tier })
+    Ok(SharedState { gossip_interval, budget, tier })
 }
 
 fn read_budget<'d>(document: &Document<'d>, node: Node<'_, 'd>) -> Result<Budget> {
     let element = Element::new(document, node, BUDGET)?;
-    let count = |attribute| element.required_whole(attribute, 1, TOTAL_MOST).map(|whole| whole as u64);
+    let count = |attribute| element.required_whole(attribute, 1, TOTAL_MAX).map(|whole| whole as u64);
     let voters = element.names_of_children("voter")?;
     Ok(Budget {
         name: element.required("name")?.to_string(),
         total: count("total")?,
         servers: count("servers")?,
-        floor: element.whole("floor", 0, 0, TOTAL_MOST)? as u64,
+        floor: element.whole("floor", 0, 0, TOTAL_MAX)? as u64,
         lease: element.duration_ns("lease-ms", 4_000, 100, 600_000)?,
-        use_most: element.duration_ns("use-most-ms", 1_000, 1, 600_000)?,
+        use_max: element.duration_ns("use-most-ms", 1_000, 1, 600_000)?,
         voters,
     })
 }
@@ -109,25 +111,25 @@
     }
     let share = element.number("eject-share", 0.5, 0.0, 1.0)?;
     Ok(Tier {
-        reports: element.whole("reports", 2, 1, 1000)?,
-        share_thousandths: (share * 1000.0).round() as usize,
+        accusers_min: element.whole("reports", 2, 1, 1000)?,
+        max_ejected_thousandths: (share * 1000.0).round() as usize,
         expiry: element.duration_ns("expiry-ms", 5_000, 100, 600_000)?,
         services,
     })
 }
 
-/// A service whose name and address none before it has.
-fn read_service(element: &Element, before: &[TierService]) -> Result<TierService> {
-    if before.len() == SERVICES_MAX {
-        return Err(element.error(Fault::TooMany { most: SERVICES_MAX, what: "" }));
+/// Reads a service. Its name and its address must differ from those of all previous services.
+fn read_service(element: &Element, previous: &[TierService]) -> Result<TierService> {
+    if previous.len() == SERVICES_MAX {
+        return Err(element.error(Fault::TooMany { max: SERVICES_MAX, what: "" }));
     }
     let name = element.required("name")?.to_string();
     if !(1..=NAME_BYTES_MAX).contains(&name.len()) {
-        let (attribute, most, length) = ("name".to_string(), NAME_BYTES_MAX, name.len());
-        return Err(element.error(Fault::Length { attribute, most, length }));
+        let (attribute, max, length) = ("name".to_string(), NAME_BYTES_MAX, name.len());
+        return Err(element.error(Fault::Length { attribute, max, length }));
     }
     let address = element.address("address")?;
-    if before.iter().any(|other| other.name == name || other.address == address) {
+    if previous.iter().any(|other| other.name == name || other.address == address) {
         return Err(element.error(Fault::ServiceTwice { name, address }));
     }
     Ok(TierService { name, address })
--- a/crates/configuration/src/tenants.rs
+++ b/crates/configuration/src/tenants.rs
@@ -1,4 +1,4 @@
-//! `<tenants>`: how tenants are told apart, and what each gets when there is not enough for all.
+//! `<tenants>`: identification of tenants, and the settings of fair queueing among them.
 
 use crate::error::Fault;
 use crate::idempotency_keys::free_field;
@@ -7,50 +7,50 @@
 use roxmltree::{Document, Node};
 use std::collections::HashSet;
 
-/// Longest name of a tenant, in bytes.
+/// Maximum length of a tenant's name, in bytes.
 const NAME_BYTES_MAX: usize = 2048;
-/// Bounds of a weight, a ratio.
-pub(crate) const WEIGHT_LEAST: f64 = 1e-3;
-pub(crate) const WEIGHT_MOST: f64 = 1e3;
+/// Bounds of a tenant's weight, which is a ratio.
+pub(crate) const WEIGHT_MIN: f64 = 1e-3;
+pub(crate) const WEIGHT_MAX: f64 = 1e3;
 
 const ATTRIBUTES: &[&str] = &["by", "field", "origin", "default-weight", "surplus-value", "shown"];
 const CEILINGS: &[&str] = &["accounts", "cells", "origins", "promises", "names-per-origin"];
 const SHARE: &[&str] = &["at-once-ms", "probation-ms", "late-ms"];
 
-/// What names the tenant of a call.
+/// Part of a call that identifies its tenant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TenantSource {
-    /// The number of the sender in the call.
+    /// The sender's number in the call.
     Sender,
-    /// The address of the peer, without its port.
+    /// The IP address of the peer.
     Peer,
-    /// This field of the call.
+    /// The call field with this name.
     Field(String),
 }
 
-/// What a tenant cannot make up; new names from one origin share one quota.
+/// Origin of a call, which a tenant cannot forge. All new tenant names from one origin share one quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
     /// The connection.
     Connection,
-    /// The address of the peer, without its port; the default.
+    /// The IP address of the peer; the default.
     Peer,
-    /// The sender's number, where senders are the operator's own.
+    /// The sender's number. Only suitable if all senders belong to the operator.
     Sender,
 }
 
-/// How tenants are told apart and served.
+/// Settings of tenants.
 #[derive(Clone, Debug)]
 pub struct Tenants {
-    /// What names the tenant of a call.
+    /// Part of a call that identifies its tenant.
     pub source: TenantSource,
-    /// What a tenant cannot make up.
+    /// Part of a call that a tenant cannot forge.
     pub origin: Origin,
-    /// Part of its priority weight that an invocation beyond its tenant's quota keeps, 0.1 where absent.
+    /// Ratio of its priority weight that an invocation beyond its tenant's quota keeps; default 0.1.
     pub surplus_value: f64,
-    /// Tenants counted by name, the heaviest first, 0 to 64; 8 where absent.
+    /// Number of tenants shown by name in the log, the heaviest first, 0 to 64; default 8.
     pub shown: usize,
-    /// Weights, quotas and ceilings of memory.
+    /// Settings of fair queueing: weights, quotas and memory limits.
     pub fair: Settings,
 }
 
@@ -58,7 +58,7 @@
     let element = Element::new(document, node, ATTRIBUTES)?;
     let source = read_source(&element)?;
     let origin = read_origin(&element)?;
-    let weight = element.number("default-weight", 1.0, WEIGHT_LEAST, WEIGHT_MOST)?;
+    let weight = element.number("default-weight", 1.0, WEIGHT_MIN, WEIGHT_MAX)?;
     let mut fair = Settings { default_weight: weight, ..Settings::default() };
     let children = element.children(&["ceilings", "share", "tenant"], &["tenant"])?;
     let (named, limits): (Vec<_>, Vec<_>) =
@@ -106,37 +106,38 @@
     element.error(Fault::UnknownChoice { attribute, choice: choice.to_string() })
 }
 
-/// The `<tenant>` elements in the order of the file, each name once, as many as `<ceilings accounts>` allows.
+/// Reads the `<tenant>` elements in the order of the file. Names must be unique, and their number is limited
+/// by `<ceilings accounts>`.
 fn read_named<'d>(
     document: &Document<'d>,
     elements: Vec<Node<'_, 'd>>,
     fair: &Settings,
 ) -> Result<Vec<NamedTenant>> {
-    let (most, count) = (fair.named_max(), elements.len());
+    let (max, count) = (fair.named_max(), elements.len());
     let mut named = Vec::with_capacity(count);
     let mut names = HashSet::with_capacity(count);
     for child in elements {
         let tenant = Element::new(document, child, &["name", "weight"])?;
         let name = tenant.required("name")?;
         if name.len() > NAME_BYTES_MAX {
-            return Err(tenant.error(Fault::TooLong { attribute: "name", most: NAME_BYTES_MAX }));
+            return Err(tenant.error(Fault::TooLong { attribute: "name", max: NAME_BYTES_MAX }));
         }
-        let weight = tenant.number("weight", fair.default_weight, WEIGHT_LEAST, WEIGHT_MOST)?;
+        let weight = tenant.number("weight", fair.default_weight, WEIGHT_MIN, WEIGHT_MAX)?;
         if !names.insert(name) {
             return Err(tenant.error(Fault::ValueTwice { attribute: "name", value: name.to_string() }));
         }
-        if named.len() == most {
-            return Err(tenant.error(too_many_tenants(fair, count, most)));
+        if named.len() == max {
+            return Err(tenant.error(too_many_tenants(fair, count, max)));
         }
         named.push((name.as_bytes().to_vec(), weight));
     }
     Ok(named)
 }
 
-fn too_many_tenants(fair: &Settings, named: usize, most: usize) -> Fault {
+fn too_many_tenants(fair: &Settings, named: usize, max: usize) -> Fault {
     let wanted = Settings { named: vec![(Vec::new(), 1.0); named].into(), ..fair.clone() };
     let limit = wanted.check().err().map(|fault| fault.to_string());
-    Fault::TooManyTenants { limit: limit.unwrap_or_default(), named, most }
+    Fault::TooManyTenants { limit: limit.unwrap_or_default(), named, max }
 }
 
 fn read_ceilings(element: &Element, fair: &mut Settings) -> Result<()> {
--- a/crates/configuration/src/xml.rs
+++ b/crates/configuration/src/xml.rs
@@ -1,4 +1,4 @@
-//! Elements whose attributes and children are all known, and errors that name their line.
+//! Strict reading of XML elements: unknown attributes and children are errors, and errors contain the line.
 
 use crate::error::{ConfigurationError, Fault, Place};
 use roxmltree::{Document, Node, ParsingOptions};
@@ -6,23 +6,23 @@
 use std::path::Path;
 use std::str::FromStr;
 
-/// The namespace of every element.
+/// Namespace of all elements.
 pub const NAMESPACE: &str = "urn:meadowstream:options:1";
-/// A longer file is not read.
+/// Maximum size of a file, in bytes.
 const FILE_BYTES_MAX: u64 = 4 << 20;
-/// Elements and texts of one file, at most.
+/// Maximum number of XML nodes in one file.
 const NODES_MAX: u32 = 200_000;
 const NANOS_PER_MS: u64 = 1_000_000;
 
-/// Whole milliseconds of a default that is in nanoseconds.
+/// Converts a duration in nanoseconds to whole milliseconds.
 pub(crate) fn milliseconds(duration_ns: u64) -> usize {
     (duration_ns / NANOS_PER_MS) as usize
 }
 
-/// What reading settings results in.
+/// Result of reading settings.
 pub(crate) type Result<T> = std::result::Result<T, ConfigurationError>;
 
-/// Reads a file that is not too long.
+/// Reads a text file of at most [`FILE_BYTES_MAX`] bytes.
 pub(crate) fn read_file(path: &Path) -> Result<String> {
     let unreadable = |source| ConfigurationError::Unreadable { path: path.to_path_buf(), source };
     let bytes = std::fs::metadata(path).map_err(unreadable)?.len();
@@ -33,7 +33,7 @@
     std::fs::read_to_string(path).map_err(unreadable)
 }
 
-/// Names the file in an error about its content.
+/// Adds the path of the file to an error about its content.
 pub(crate) fn in_file<T>(path: &Path, read: Result<T>) -> Result<T> {
     read.map_err(|source| ConfigurationError::File { path: path.to_path_buf(), source: Box::new(source) })
 }
@@ -46,23 +46,23 @@
     })
 }
 
-/// An element with all its attributes known.
+/// An element whose attributes are all known.
 pub(crate) struct Element<'a, 'd> {
     node: Node<'a, 'd>,
     document: &'a Document<'d>,
 }
 
 impl<'a, 'd> Element<'a, 'd> {
-    /// Refuses an attribute that is not among the known ones.
+    /// Wraps an element. An attribute that is not in `known` is an error.
     pub(crate) fn new(document: &'a Document<'d>, node: Node<'a, 'd>, known: &[&str]) -> Result<Self> {
         let element = Self { node, document };
-        match node.attributes().find(|given| !known.contains(&given.name())) {
+        match node.attributes().find(|attribute| !known.contains(&attribute.name())) {
             Some(unknown) => Err(element.error(Fault::UnknownAttribute(unknown.name().to_string()))),
             None => Ok(element),
         }
     }
 
-    /// The root of a document, which has to have this name.
+    /// Wraps the root element of a document. Another name or namespace is an error.
     pub(crate) fn root(document: &'a Document<'d>, name: &'static str, known: &[&str]) -> Result<Self> {
         let root = Self::new(document, document.root_element(), known)?;
         let tag = root.node.tag_name();
@@ -81,12 +81,13 @@
         Place { line, element: self.name().to_string() }
     }
 
-    /// An error that names this element and its line.
+    /// Creates an error with this element's name and line.
     pub(crate) fn error(&self, fault: Fault) -> ConfigurationError {
         ConfigurationError::Element { place: self.place(), fault: Box::new(fault) }
     }
 
-    /// The elements in it, each of one of these names; each name once but for `repeated`.
+    /// Returns the child elements. Their names must be in `known`, and only names in `repeated` may occur
+    /// more than once.
     pub(crate) fn children(&self, known: &[&str], repeated: &[&str]) -> Result<Vec<Node<'a, 'd>>> {
         let mut found: Vec<Node> = Vec::new();
         for child in self.node.children() {
@@ -106,26 +107,26 @@
         child: Node<'a, 'd>,
         known: &[&str],
         repeated: &[&str],
-        before: &[Node<'a, 'd>],
+        previous: &[Node<'a, 'd>],
     ) -> Result<()> {
         let name = child.tag_name().name();
-        // The line is counted from the start of the file, so only where an error needs it.
+        // Finding the line scans the file from its start, so it is done only for an error.
         let error = |fault| Self { node: child, document: self.document }.error(fault);
         if child.tag_name().namespace() != Some(NAMESPACE) || !known.contains(&name) {
             return Err(error(Fault::UnknownElement));
         }
-        if !repeated.contains(&name) && before.iter().any(|other| other.tag_name().name() == name) {
+        if !repeated.contains(&name) && previous.iter().any(|other| other.tag_name().name() == name) {
             return Err(error(Fault::ElementTwice));
         }
         Ok(())
     }
 
-    /// The value of an attribute, where it is given.
+    /// Returns the value of an attribute, if present.
     pub(crate) fn text(&self, attribute: &str) -> Option<&'a str> {
         self.node.attribute(attribute)
     }
 
-    /// The value of an attribute that has to be given.
+    /// Returns the value of a required attribute.
     pub(crate) fn required(&self, attribute: &str) -> Result<&'a str> {
         let missing = || self.error(Fault::Missing { name: attribute.to_string() });
         self.text(attribute).ok_or_else(missing)
@@ -137,59 +138,60 @@
         text.parse().map_err(|_| self.error(unreadable))
     }
 
-    /// A finite number within bounds.
-    pub(crate) fn number(&self, attribute: &str, default: f64, least: f64, most: f64) -> Result<f64> {
+    /// Reads a finite number within bounds.
+    pub(crate) fn number(&self, attribute: &str, default: f64, min: f64, max: f64) -> Result<f64> {
         let number: f64 = self.parsed(attribute, default)?;
-        if number.is_finite() && (least..=most).contains(&number) {
+        if number.is_finite() && (min..=max).contains(&number) {
             return Ok(number);
         }
-        Err(self.out_of_range(attribute, number, least, most))
+        Err(self.out_of_range(attribute, number, min, max))
     }
 
-    /// A whole number within bounds.
-    pub(crate) fn whole(&self, attribute: &str, default: usize, least: usize, most: usize) -> Result<usize> {
+    /// Reads a non-negative integer within bounds.
+    pub(crate) fn whole(&self, attribute: &str, default: usize, min: usize, max: usize) -> Result<usize> {
         let number: usize = self.parsed(attribute, default)?;
-        if (least..=most).contains(&number) {
+        if (min..=max).contains(&number) {
             return Ok(number);
         }
-        Err(self.out_of_range(attribute, number, least, most))
+        Err(self.out_of_range(attribute, number, min, max))
     }
 
-    fn out_of_range<T: ToString>(&self, attribute: &str, value: T, least: T, most: T) -> ConfigurationError {
+    fn out_of_range<T: ToString>(&self, attribute: &str, value: T, min: T, max: T) -> ConfigurationError {
         self.error(Fault::OutOfRange {
             attribute: attribute.to_string(),
             value: value.to_string(),
-            least: least.to_string(),
-            most: most.to_string(),
+            min: min.to_string(),
+            max: max.to_string(),
         })
     }
 
-    /// A whole number within bounds that has to be given.
-    pub(crate) fn required_whole(&self, attribute: &str, least: usize, most: usize) -> Result<usize> {
+    /// Reads a required non-negative integer within bounds.
+    pub(crate) fn required_whole(&self, attribute: &str, min: usize, max: usize) -> Result<usize> {
         self.required(attribute)?;
-        self.whole(attribute, least, least, most)
+        self.whole(attribute, min, min, max)
     }
 
-    /// A duration in nanoseconds. The file, the default and the bounds have milliseconds.
+    /// Reads a duration and returns it in nanoseconds. The value in the file, the default and the bounds are
+    /// in milliseconds.
     pub(crate) fn duration_ns(
         &self,
         attribute: &str,
         default_ms: usize,
-        least_ms: usize,
-        most_ms: usize,
+        min_ms: usize,
+        max_ms: usize,
     ) -> Result<u64> {
-        let ms = self.whole(attribute, default_ms, least_ms, most_ms)?;
+        let ms = self.whole(attribute, default_ms, min_ms, max_ms)?;
         Ok(ms as u64 * NANOS_PER_MS)
     }
 
-    /// An address with a port, which has to be given.
+    /// Reads a required IP address with a port.
     pub(crate) fn address(&self, attribute: &str) -> Result<SocketAddr> {
         let text = self.required(attribute)?;
         let fault = Fault::NoAddress { attribute: attribute.to_string(), text: text.to_string() };
         text.parse().map_err(|_| self.error(fault))
     }
 
-    /// The `name` attributes of all children, which are of one kind.
+    /// Returns the `name` attributes of all children, which must all be `kind` elements.
     pub(crate) fn names_of_children(&self, kind: &str) -> Result<Vec<String>> {
         let mut names = Vec::new();
         for child in self.children(&[kind], &[kind])? {
--- a/crates/configuration/tests/options.rs
+++ b/crates/configuration/tests/options.rs
@@ -1,4 +1,5 @@
-//! Files that are refused, each with the place named, and the example that is read.
+//! Tests of options files, plans and the schema: the example is read, and invalid files are refused with the
+//! place of the error.
 
 use meadowstream_configuration::{NAMESPACE, Options, Origin, TenantSource, attributes};
 use std::collections::BTreeSet;
@@ -63,7 +64,7 @@
 }
 
 #[test]
-fn refuses_another_root_and_more_named_ones_than_accounts() {
+fn refuses_another_root_and_more_named_tenants_than_accounts_allow() {
     for text in ["<meadowstream/>", "<other xmlns=\"urn:meadowstream:options:1\"/>"] {
         assert!(format!("{:#}", Options::read(text).unwrap_err()).contains("the root is to be"));
     }
@@ -73,24 +74,24 @@
     assert!(error.contains("accounts: 32 is under 56"), "{error}");
 }
 
-fn source_of_the_reader() -> String {
+fn reader_source_code() -> String {
     let folder = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("src");
     let files = std::fs::read_dir(folder).unwrap().map(|file| file.unwrap().path());
     files.map(|file| std::fs::read_to_string(file).unwrap()).collect()
 }
 
-/// Each attribute and element of the schema is understood, and no other.
+/// The reader accepts exactly the attributes of the schema, and knows each of its elements.
 #[test]
-fn the_schema_and_the_reader_know_the_same() {
+fn schema_and_reader_have_the_same_names() {
     let text = std::fs::read_to_string(deploy("meadowstream.xsd")).unwrap();
     let schema = roxmltree::Document::parse(&text).unwrap();
     let named = |tag: &str| -> BTreeSet<String> {
         let nodes = schema.descendants().filter(|node| node.tag_name().name() == tag);
         nodes.filter_map(|node| Some(node.attribute("name")?.to_string())).collect()
     };
-    let source = source_of_the_reader();
+    let source = reader_source_code();
     for name in named("attribute").union(&named("element")) {
-        assert!(source.contains(&format!("\"{name}\"")), "{name} is in the schema alone");
+        assert!(source.contains(&format!("\"{name}\"")), "{name} is only in the schema");
     }
     let known = ["by", "field", "origin", "default-weight", "surplus-value", "shown", "name", "weight"];
     let ceilings = ["accounts", "cells", "origins", "promises", "names-per-origin"];
@@ -146,15 +147,15 @@
 #[test_case("127.0.0.2:7946", "127.0.0.2", "line 4, <seed>: address" ; "seed without port")]
 #[test_case("probe-period-ms=\"500\"", "probe-period-ms=\"500\" colour=\"red\"", "unknown attribute"
     ; "unknown attribute")]
-fn bad_membership_is_named_by_line_and_element(from: &str, to: &str, said: &str) {
+fn errors_in_membership_contain_line_and_element(from: &str, to: &str, expected: &str) {
     let text = MEMBERSHIP_XML.replacen(from, to, 1);
     let fault = format!("{:#}", Options::read(&text).unwrap_err());
-    assert!(fault.contains(said), "{fault}");
+    assert!(fault.contains(expected), "{fault}");
 }
 
-/// A fault in what is shared is named with its line and element; the shape is the schema's.
+/// Errors in `<shared-state>` contain line and element, and the schema has the attributes of `<budget>`.
 #[test]
-fn shared_state_is_read_and_its_faults_are_named() {
+fn shared_state_is_read_and_its_errors_contain_line_and_element() {
     let file = |inside: &str| {
         format!(
             "<meadowstream xmlns=\"urn:meadowstream:options:1\">\n<membership bind=\"127.0.0.1:0\" \
@@ -167,7 +168,10 @@
     );
     let read = Options::read(&good).unwrap().shared_state.unwrap();
     let budget = read.budget.unwrap();
-    assert_eq!((read.gossip, budget.total, budget.floor, budget.lease), (500_000_000, 40, 0, 4_000_000_000));
+    assert_eq!(
+        (read.gossip_interval, budget.total, budget.floor, budget.lease),
+        (500_000_000, 40, 0, 4_000_000_000)
+    );
     for (inside, place) in [
         (
             "<shared-state><budget name=\"r\" servers=\"8\"/></shared-state>",
@@ -201,13 +205,15 @@
         let fault = format!("{:#}", Options::read(&file(inside)).unwrap_err());
         assert!(fault.contains(place), "{fault}");
     }
-    let alone = "<meadowstream xmlns=\"urn:meadowstream:options:1\"><shared-state/></meadowstream>";
-    assert!(Options::read(alone).unwrap_err().to_string().contains("goes with <membership>"));
+    let without_membership =
+        "<meadowstream xmlns=\"urn:meadowstream:options:1\"><shared-state/></meadowstream>";
+    assert!(Options::read(without_membership).unwrap_err().to_string().contains("goes with <membership>"));
     let schema = include_str!("../../../deploy/meadowstream.xsd");
-    let at = schema.find("complexType name=\"budget\"").expect("in the schema");
-    let shape = &schema[at..at + schema[at..].find("</xs:complexType>\n  <!--").expect("its end")];
+    let start = schema.find("complexType name=\"budget\"").expect("type budget in the schema");
+    let length = schema[start..].find("</xs:complexType>\n  <!--").expect("end of type budget");
+    let budget_type = &schema[start..start + length];
     for name in attributes::BUDGET {
-        assert!(shape.contains(&format!("attribute name=\"{name}\"")), "{name} is not in the schema");
+        assert!(budget_type.contains(&format!("attribute name=\"{name}\"")), "{name} is not in the schema");
     }
 }
 
@@ -218,7 +224,7 @@
 </plan>"#;
 
 #[test]
-fn a_plan_is_read_and_a_bad_one_refused_in_one_line_with_its_place() {
+fn a_plan_is_read_and_errors_in_plans_are_one_line_with_the_place() {
     let file = meadowstream_configuration::PlanFile::read(PLAN_XML).unwrap();
     assert_eq!((file.plan.stages.len(), file.plan.interval), (2, 500_000_000));
     for (from, to, place) in [
@@ -242,24 +248,24 @@
     }
 }
 
-/// The issue of capacity: reading took 36 to 42 s for 64,000 tenants, since the line of each was counted from
-/// the start of the file and each name compared with all before it. A debug build takes under 2 s now.
+/// Reading 64,000 tenants once took 36 to 42 s, because the line of each tenant was counted from the start of
+/// the file and each name was compared with all previous names. A debug build now takes under 2 s.
 #[test]
-fn reads_many_thousand_tenants_in_time_that_grows_with_the_file() {
-    let began = std::time::Instant::now();
+fn time_to_read_many_tenants_is_not_quadratic() {
+    let started = std::time::Instant::now();
     let tenants = Options::read(&many_tenants(64_000)).unwrap().tenants.unwrap();
     assert_eq!(tenants.fair.named.len(), 64_000);
-    assert!(began.elapsed() < std::time::Duration::from_secs(10), "{:?}", began.elapsed());
+    assert!(started.elapsed() < std::time::Duration::from_secs(10), "{:?}", started.elapsed());
 }
 
 #[test]
-fn one_tenant_more_than_the_accounts_allow_is_refused_with_its_place() {
+fn one_tenant_more_than_the_accounts_allow_is_refused_with_its_line() {
     let error = format!("{:#}", Options::read(&many_tenants(64_001)).unwrap_err());
-    // The root, <tenants> and <ceilings> have the first three lines.
+    // The first three lines are the root, <tenants> and <ceilings>.
     assert!(error.starts_with("line 64004, <tenant>: accounts: 128016 is under 128018"), "{error}");
 }
 
-/// With room for 64,000 named ones.
+/// An options file with `count` named tenants and enough accounts for 64,000.
 fn many_tenants(count: usize) -> String {
     let tenants: String = (0..count).map(|n| format!("<tenant name=\"tenant-{n}\"/>\n")).collect();
     file(&format!("<tenants by=\"peer\">\n<ceilings accounts=\"128016\"/>\n{tenants}</tenants>"))
--- a/crates/configuration/tests/outside_names.rs
+++ b/crates/configuration/tests/outside_names.rs
@@ -1,5 +1,5 @@
-//! Names that operators write are those of release 0.2.0 (commit 22d0bb6): each is still in the schema with
-//! its type and default, and a file that uses every one of them is read with the same meaning.
+//! Compatibility with files written for release 0.2.0 (commit 22d0bb6): each name of that release is still in
+//! the schema with its type and default, and a file that uses all of them is read with the same meaning.
 
 use meadowstream_configuration::change::{overlay_replicated, read_change};
 use meadowstream_configuration::{Options, Origin, PlanFile, TenantSource, Tenants, TierService};
@@ -14,27 +14,27 @@
 const EVERY_OPTION: &str = include_str!("fixtures/every-option.xml");
 const MILLISECOND: u64 = 1_000_000;
 
-/// One line for each element, attribute and choice of the schema, in the form of the fixture.
+/// Adds one line for each element, attribute and choice of the schema, in the format of the fixture.
 fn schema_lines(node: Node, path: &[String], lines: &mut BTreeSet<String>) {
     for child in node.children().filter(Node::is_element) {
-        let given = |name: &str| child.attribute(name).unwrap_or("-");
-        let deeper = |step: String| [path, &[step]].concat();
+        let attribute = |name: &str| child.attribute(name).unwrap_or("-");
+        let child_path = |step: String| [path, &[step]].concat();
         match (child.tag_name().name(), child.attribute("name")) {
             ("element", Some(name)) => {
-                let path = deeper(name.to_string());
-                let (kind, least, most) = (given("type"), given("minOccurs"), given("maxOccurs"));
-                lines.insert(format!("element {} type={kind} min={least} max={most}", path.join("/")));
+                let path = child_path(name.to_string());
+                let (kind, min, max) = (attribute("type"), attribute("minOccurs"), attribute("maxOccurs"));
+                lines.insert(format!("element {} type={kind} min={min} max={max}", path.join("/")));
                 schema_lines(child, &path, lines);
             }
-            ("complexType", Some(name)) => schema_lines(child, &deeper(format!("type:{name}")), lines),
+            ("complexType", Some(name)) => schema_lines(child, &child_path(format!("type:{name}")), lines),
             ("attribute", Some(name)) => {
-                let (kind, needed, usual) = (given("type"), given("use"), given("default"));
-                let at = path.join("/");
-                lines.insert(format!("attribute {at} @{name} type={kind} use={needed} default={usual}"));
-                schema_lines(child, &deeper(format!("@{name}")), lines);
+                let (kind, usage, default) = (attribute("type"), attribute("use"), attribute("default"));
+                let parent = path.join("/");
+                lines.insert(format!("attribute {parent} @{name} type={kind} use={usage} default={default}"));
+                schema_lines(child, &child_path(format!("@{name}")), lines);
             }
             ("enumeration", _) => {
-                lines.insert(format!("choice {} {}", path.join("/"), given("value")));
+                lines.insert(format!("choice {} {}", path.join("/"), attribute("value")));
             }
             _ => schema_lines(child, path, lines),
         }
@@ -42,12 +42,12 @@
 }
 
 #[test]
-fn every_name_of_the_schema_is_still_there() {
+fn the_schema_has_every_recorded_name() {
     let schema = Document::parse(SCHEMA).unwrap();
     let mut lines = BTreeSet::new();
     schema_lines(schema.root_element(), &[], &mut lines);
     for recorded in RECORDED.lines() {
-        assert!(lines.contains(recorded), "{recorded} is not in the schema any more");
+        assert!(lines.contains(recorded), "{recorded} is no longer in the schema");
     }
 }
 
@@ -89,13 +89,13 @@
 #[test]
 fn shared_state_means_the_same() {
     let shared = Options::read(EVERY_OPTION).unwrap().shared_state.unwrap();
-    assert_eq!(shared.gossip, 510 * MILLISECOND);
+    assert_eq!(shared.gossip_interval, 510 * MILLISECOND);
     let budget = shared.budget.unwrap();
     assert_eq!((budget.name.as_str(), budget.total, budget.floor, budget.servers), ("records", 400, 3, 8));
-    assert_eq!((budget.lease, budget.use_most), (4_100 * MILLISECOND, 1_100 * MILLISECOND));
+    assert_eq!((budget.lease, budget.use_max), (4_100 * MILLISECOND, 1_100 * MILLISECOND));
     assert_eq!(budget.voters, ["s1"]);
     let tier = shared.tier.unwrap();
-    assert_eq!((tier.reports, tier.share_thousandths, tier.expiry), (3, 250, 5_100 * MILLISECOND));
+    assert_eq!((tier.accusers_min, tier.max_ejected_thousandths, tier.expiry), (3, 250, 5_100 * MILLISECOND));
     let service = TierService { name: "r1".to_string(), address: "127.0.0.1:8900".parse().unwrap() };
     assert_eq!(tier.services, [service]);
 }
@@ -149,7 +149,7 @@
     </change>"#;
     let changes = read_change(change).unwrap();
     let set: Vec<(&str, &str)> =
-        changes.iter().filter_map(|one| Some((one.key.as_str(), one.value.as_deref()?))).collect();
+        changes.iter().filter_map(|set| Some((set.key.as_str(), set.value.as_deref()?))).collect();
     assert_eq!((changes.len(), set.len()), (4, 3));
     let mut options = Options::read(EVERY_OPTION).unwrap();
     overlay_replicated(&mut options, set.into_iter()).unwrap();
--- a/crates/configuration/tests/replicated_keys.rs
+++ b/crates/configuration/tests/replicated_keys.rs
@@ -1,4 +1,4 @@
-//! The element that turns replicated configuration on, files of changes, and what keys mean.
+//! Tests of the `<replication>` element, of change files, and of the keys of replicated configuration.
 
 use meadowstream_configuration::change::{overlay_replicated, read_change};
 use meadowstream_configuration::{NAMESPACE, Options};
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn goes_with_membership_alone() {
+fn requires_membership() {
     let text = options(r#"<replication region="r" zone="z" file="f"/>"#).replace(MEMBERSHIP, "");
     let error = format!("{:#}", Options::read(&text).unwrap_err());
     assert!(error.contains("goes with <membership>"), "{error}");
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn keys_lie_over_a_server_s_own_options() {
+fn keys_replace_a_server_s_own_options() {
     let own = r#"<tenants by="peer"><ceilings accounts="24"/><tenant name="a" weight="2"/></tenants>"#;
     let own = Options::read(&options(own)).unwrap();
     let mut read = own.clone();
@@ -77,7 +77,7 @@
     assert_eq!(read.target_utilization, Some(0.8));
     let named = &read.tenants.as_ref().unwrap().fair.named;
     assert_eq!(named.to_vec(), vec![(b"a".to_vec(), 5.0), (b"b".to_vec(), 3.0)]);
-    // More tenants than the accounts allow, an unknown key, no budget: refused with the key.
+    // More tenants than the accounts allow, an unknown key, and a missing budget are refused.
     let many: Vec<String> = (0..9).map(|n| format!("tenants/tenant/t{n}")).collect();
     let all = many.iter().map(|key| (key.as_str(), "1"));
     let refused = |pairs: Vec<(&str, &str)>| {
--- a/crates/server/src/configuration/fleet.rs
+++ b/crates/server/src/configuration/fleet.rs
@@ -110,7 +110,7 @@
         budgets: budgets(options)?,
         counters: Limits::default(),
         outlier_detection: shared_state.and_then(outlier_detection),
-        gossip_interval: shared_state.map_or(GOSSIP_INTERVAL_NS, |shared| shared.gossip),
+        gossip_interval: shared_state.map_or(GOSSIP_INTERVAL_NS, |shared| shared.gossip_interval),
         body_max,
     };
     let checked = settings.check();
@@ -147,7 +147,7 @@
         budget.servers,
         voters,
         budget.lease,
-        budget.use_most,
+        budget.use_max,
     )
 }
 
@@ -155,8 +155,8 @@
     let tier = shared_state.tier.as_ref()?;
     Some(OutlierSettings {
         services: tier.services.iter().map(|service| service.name.clone()).collect(),
-        accusers_min: tier.reports,
-        max_ejected_thousandths: tier.share_thousandths,
+        accusers_min: tier.accusers_min,
+        max_ejected_thousandths: tier.max_ejected_thousandths,
         expiry: tier.expiry,
     })
 }
