--- a/crates/deployment-settings/src/deployment.rs
+++ b/crates/deployment-settings/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The paths of the settings, and what they mean.
+//! Maps the paths of the platform's settings to [`DeploymentSettings`].
 
 use crate::values::{Values, unreadable};
 use crate::wire_words::{
@@ -7,7 +7,7 @@
 use crate::{DeploymentSettings, SettingsError};
 use meadowstream_overload_control::{Deployment, Downstream, Effect, Operation, TARGET_UTILIZATION};
 
-/// Ratios of value that degraded answers keep, by operation.
+/// Path of the degraded value ratios, a list by operation.
 const DEGRADED_VALUES: &str = "family-info.degraded-worth";
 
 /// Reads all settings.
@@ -35,7 +35,7 @@
     })
 }
 
-/// Names of the items of a list; their index where they have none.
+/// Returns the names of the items of a list. An item without a name is named by its index.
 fn names(values: &Values, list: &str, count: usize) -> Result<Vec<String>, SettingsError> {
     (0..count).map(|i| values.parse_or(&format!("{list}.{i}.name"), i.to_string())).collect()
 }
@@ -62,7 +62,7 @@
     })
 }
 
-/// From 0 to 1; 0 where the operation has no degraded answer.
+/// Reads the degraded value ratio of an operation, from 0 to 1; 0 if the operation has no degraded answer.
 fn degraded_value_ratio(values: &Values, operation: usize) -> Result<f64, SettingsError> {
     let ratios = values.list(DEGRADED_VALUES);
     let Some(text) = ratios.get(operation) else { return Ok(0.0) };
@@ -84,7 +84,8 @@
     })
 }
 
-/// Paths are read in a fixed order: of several faults the first in it is named.
+/// Reads the settings of the controller. Paths are read in a fixed order, so that of several invalid settings
+/// always the same one is reported.
 fn deployment(
     values: &Values,
     operations: Vec<Operation>,
--- a/crates/deployment-settings/src/error.rs
+++ b/crates/deployment-settings/src/error.rs
@@ -1,44 +1,44 @@
-//! Why settings cannot be read.
+//! Errors of reading settings.
 
 use thiserror::Error;
 
-/// Why settings cannot be read; each names the path and the value.
+/// Error of reading settings, with the path and the value.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum SettingsError {
-    /// A line is no pair of path and value.
+    /// A line does not have the form `path=value`.
     #[error("setting {line:?} has no '='")]
     NoSeparator {
-        /// The line.
+        /// The whole line.
         line: String,
     },
-    /// A required path is not there.
+    /// A required path is missing.
     #[error("setting {path} is missing")]
     Missing {
-        /// The path.
+        /// The missing path.
         path: String,
     },
-    /// The value is not of the path's type.
+    /// The value cannot be parsed as the type of its path.
     #[error("setting {path}: cannot read {value:?}")]
     Unreadable {
-        /// The path.
+        /// Path of the value.
         path: String,
-        /// The value as it stands there.
+        /// The value as written.
         value: String,
     },
-    /// The value is of the path's type, but outside its range.
+    /// The value has the type of its path, but is out of range.
     #[error("setting {path}: {value} is out of range")]
     OutOfRange {
-        /// The path.
+        /// Path of the value.
         path: String,
-        /// The value as it was understood.
+        /// The parsed value.
         value: String,
     },
-    /// The value is none of the path's words.
+    /// The value is not one of the choices of its path.
     #[error("setting {path}: unknown choice {value:?}")]
     UnknownChoice {
-        /// The path.
+        /// Path of the value.
         path: String,
-        /// The value as it stands there.
+        /// The value as written.
         value: String,
     },
     /// The deployment has no operation.
--- a/crates/deployment-settings/src/values.rs
+++ b/crates/deployment-settings/src/values.rs
@@ -1,4 +1,4 @@
-//! Settings by path, and their values by type.
+//! Settings by path, with accessors that parse values by type.
 
 use crate::SettingsError;
 use crate::wire_words::Words;
@@ -9,14 +9,14 @@
 
 const NS_PER_US: u64 = 1_000;
 
-/// The value of each path, as text.
+/// The settings: values as text, by path.
 #[derive(Default)]
 pub struct Values {
     by_path: HashMap<String, String>,
 }
 
 impl Values {
-    /// Splits `path=value` lines; of a path that stands twice the last counts.
+    /// Parses `path=value` lines. If a path occurs more than once, its last value is used.
     pub fn from_lines(text: &str) -> Result<Self, SettingsError> {
         let mut values = Self::default();
         for line in text.lines().filter(|line| !line.is_empty()) {
@@ -28,15 +28,15 @@
         Ok(values)
     }
 
-    /// Lays out nested JSON by path; `null` is absent.
+    /// Flattens nested JSON to paths. A `null` is treated as missing.
     pub fn from_json(settings: &Value) -> Self {
         let mut values = Self::default();
         values.flatten("", settings);
         values
     }
 
-    /// Adds what is nested under a path: lists of plain values are joined by commas, lists of objects
-    /// counted.
+    /// Adds the values nested under a path. A list of plain values becomes one comma-separated value. A list
+    /// of objects becomes one path prefix per item, and its length is stored under `count`.
     fn flatten(&mut self, path: &str, value: &Value) {
         match value {
             Value::Null => {}
@@ -61,12 +61,12 @@
         }
     }
 
-    /// Whether the path is there.
+    /// Returns whether the path is present.
     pub fn has(&self, path: &str) -> bool {
         self.by_path.contains_key(path)
     }
 
-    /// The value as it stands there.
+    /// Returns the value as written.
     pub fn text(&self, path: &str) -> Result<&str, SettingsError> {
         match self.by_path.get(path) {
             Some(text) => Ok(text),
@@ -74,46 +74,46 @@
         }
     }
 
-    /// The value as a `T`.
+    /// Parses the value as a `T`.
     pub fn parse<T: FromStr>(&self, path: &str) -> Result<T, SettingsError> {
         let text = self.text(path)?;
         text.parse().map_err(|_| unreadable(path, text))
     }
 
-    /// The value as a `T`, or `absent` where the path is not there.
-    pub fn parse_or<T: FromStr>(&self, path: &str, absent: T) -> Result<T, SettingsError> {
-        if self.has(path) { self.parse(path) } else { Ok(absent) }
+    /// Parses the value as a `T`, or returns `default` if the path is missing.
+    pub fn parse_or<T: FromStr>(&self, path: &str, default: T) -> Result<T, SettingsError> {
+        if self.has(path) { self.parse(path) } else { Ok(default) }
     }
 
-    /// A finite number of 0 or more.
+    /// Reads a finite number that is not negative.
     pub fn number(&self, path: &str) -> Result<f64, SettingsError> {
         let number: f64 = self.parse(path)?;
         if number.is_finite() && number >= 0.0 { Ok(number) } else { Err(out_of_range(path, number)) }
     }
 
-    /// A finite number of 0 or more; 0 where it is absent.
+    /// Reads a finite number that is not negative; 0 if the path is missing.
     pub fn number_or_zero(&self, path: &str) -> Result<f64, SettingsError> {
         if self.has(path) { self.number(path) } else { Ok(0.0) }
     }
 
-    /// A finite number above 0.
+    /// Reads a finite number above 0.
     pub fn positive_number(&self, path: &str) -> Result<f64, SettingsError> {
         let number = self.number(path)?;
         if number > 0.0 { Ok(number) } else { Err(out_of_range(path, number)) }
     }
 
-    /// A duration, which is stated in microseconds.
+    /// Reads a duration in microseconds, and returns it in nanoseconds.
     pub fn duration(&self, path: &str) -> Result<Nanos, SettingsError> {
         let micros: u64 = self.parse(path)?;
         micros.checked_mul(NS_PER_US).ok_or_else(|| out_of_range(path, micros))
     }
 
-    /// A duration, 0 where it is absent.
+    /// Reads a duration in microseconds, and returns it in nanoseconds; 0 if the path is missing.
     pub fn duration_or_zero(&self, path: &str) -> Result<Nanos, SettingsError> {
         if self.has(path) { self.duration(path) } else { Ok(0) }
     }
 
-    /// One of these words.
+    /// Reads a choice: one of these words.
     pub fn choice<T: Copy>(&self, path: &str, words: Words<T>) -> Result<T, SettingsError> {
         let text = self.text(path)?;
         match words.iter().find(|(word, _)| *word == text) {
@@ -122,7 +122,7 @@
         }
     }
 
-    /// The parts of a list, none where it is absent.
+    /// Returns the items of a comma-separated list; an empty list if the path is missing.
     pub fn list(&self, path: &str) -> Vec<&str> {
         match self.by_path.get(path) {
             Some(text) => text.split(',').filter(|part| !part.is_empty()).collect(),
@@ -131,7 +131,7 @@
     }
 }
 
-/// The error for a value that is not of the type of its path.
+/// Creates the error for a value that cannot be parsed as the type of its path.
 pub fn unreadable(path: &str, text: &str) -> SettingsError {
     SettingsError::Unreadable { path: path.to_string(), value: text.to_string() }
 }
@@ -144,7 +144,7 @@
     if path.is_empty() { name.to_string() } else { format!("{path}.{name}") }
 }
 
-/// Spaces and commas become `_`, as in the lines.
+/// Converts a plain JSON value to text. Spaces and commas become `_`, as in the `path=value` lines.
 fn plain_text(value: &Value) -> String {
     let text = value.as_str().map_or_else(|| value.to_string(), str::to_string);
     text.replace([' ', ','], "_")
--- a/crates/deployment-settings/src/wire_words.rs
+++ b/crates/deployment-settings/src/wire_words.rs
@@ -1,22 +1,22 @@
-//! The platform's words for choices.
+//! The platform's names for choices.
 
 use meadowstream_overload_control::{Advertisement, Effect, Preemption};
 
-/// Words with what they mean.
+/// Pairs of a word in the settings and its meaning.
 pub type Words<T> = &'static [(&'static str, T)];
 
-/// What running an operation twice does.
+/// Words for the effect of running an operation more than once.
 pub const EFFECTS: Words<Effect> = &[
     ("repeatable", Effect::Idempotent),
     ("by_key", Effect::IdempotentWithKey),
     ("once", Effect::NonIdempotent),
 ];
 
-/// What stopping a run does.
+/// Words for the effect of preempting a run.
 pub const PREEMPTIONS: Words<Preemption> =
     &[("off", Preemption::Unsupported), ("discard", Preemption::Discards), ("freeze", Preemption::Pauses)];
 
-/// What the advertised load means to callers.
+/// Words for the meaning of the advertised load.
 pub const ADVERTISEMENTS: Words<Advertisement> = &[
     ("off", Advertisement::None),
     ("floor", Advertisement::MinimumRank),
@@ -24,7 +24,8 @@
     ("weight", Advertisement::Weight),
 ];
 
-/// What runs call; the settings of a shared dependency stand beside.
+/// Kind of the downstream services that runs call. The settings of a shared dependency have paths of their
+/// own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DownstreamKind {
     None,
@@ -32,10 +33,10 @@
     Shared,
 }
 
-/// Words for what runs call.
+/// Words for the kind of downstream services.
 pub const DOWNSTREAMS: Words<DownstreamKind> =
     &[("off", DownstreamKind::None), ("tier", DownstreamKind::Tier), ("one_for_all", DownstreamKind::Shared)];
 
-/// Names of the gauges that the controller reads.
+/// Names of the gauges that the controller uses.
 pub const UTILIZATION_GAUGE: &str = "cpu_busy";
 pub const RUNNABLE_GAUGE: &str = "runnable";
--- a/crates/deployment-settings/tests/outside_names.rs
+++ b/crates/deployment-settings/tests/outside_names.rs
@@ -1,10 +1,11 @@
-//! The paths of the platform's settings are those of release 0.2.0 (commit 22d0bb6), with the same meaning.
+//! Compatibility with the platform's settings of release 0.2.0 (commit 22d0bb6): all paths are still read,
+//! with the same meaning.
 
 use meadowstream_deployment_settings::DeploymentSettings;
 use meadowstream_overload_control::{Advertisement, Downstream, Effect, Preemption};
 use test_case::test_case;
 
-/// Every path that is read.
+/// Settings with every path that is read.
 const EVERY_PATH: &str = "grades.count=2\ngrades.0.name=load\ngrades.0.effect=by_key\n\
     grades.0.target=2000000\ngrades.0.give-up=5000000\ngrades.0.window=6000000\ngrades.0.worth=2.5\n\
     grades.0.late-worth=0.5\ngrades.1.name=save\ngrades.1.effect=once\ngrades.1.target=1000000\n\
@@ -21,24 +22,24 @@
     contract.fall-multiple=8\ncontract.cold-from=0.23\ncontract.cold=17000000\n";
 const MICROSECOND: u64 = 1_000;
 
-fn every_path() -> DeploymentSettings {
+fn settings_with_every_path() -> DeploymentSettings {
     DeploymentSettings::from_lines(EVERY_PATH).unwrap()
 }
 
 #[test]
 fn operations_and_tenants_mean_the_same() {
-    let read = every_path();
-    let site = read.deployment;
-    let (load, save) = (&site.operations[0], &site.operations[1]);
+    let settings = settings_with_every_path();
+    let deployment = settings.deployment;
+    let (load, save) = (&deployment.operations[0], &deployment.operations[1]);
     assert_eq!((load.effect, save.effect), (Effect::IdempotentWithKey, Effect::NonIdempotent));
     assert_eq!(load.latency_objective, 2_000_000 * MICROSECOND);
     assert_eq!(load.client_timeout, 5_000_000 * MICROSECOND);
     assert_eq!(load.idempotency_window, 6_000_000 * MICROSECOND);
     assert_eq!((load.priority_weight, load.late_value), (2.5, 0.5));
     assert_eq!((load.degraded_value_ratio, load.makes_calls, save.makes_calls), (0.5, true, false));
-    assert_eq!(site.tenant_allowance, [30.0, 40.0]);
-    assert_eq!(site.over_quota_value_ratio, 0.25);
-    assert_eq!((read.operation_names, read.tenant_names), (words("load save"), words("red blue")));
+    assert_eq!(deployment.tenant_allowance, [30.0, 40.0]);
+    assert_eq!(deployment.over_quota_value_ratio, 0.25);
+    assert_eq!((settings.operation_names, settings.tenant_names), (words("load save"), words("red blue")));
 }
 
 fn words(text: &str) -> Vec<String> {
@@ -47,31 +48,39 @@
 
 #[test]
 fn sizes_and_times_mean_the_same() {
-    let site = every_path().deployment;
-    assert_eq!((site.peers, site.callers, site.is_downstream_tier), (11.0, 9.0, true));
+    let deployment = settings_with_every_path().deployment;
+    assert_eq!((deployment.peers, deployment.callers, deployment.is_downstream_tier), (11.0, 9.0, true));
     assert_eq!(
-        (site.cores, site.memory_kb, site.run_memory_factor, site.idempotency_entry_kb),
+        (
+            deployment.cores,
+            deployment.memory_kb,
+            deployment.run_memory_factor,
+            deployment.idempotency_entry_kb
+        ),
         (6.0, 22_548.0, 16.0, 7.0)
     );
-    assert_eq!((site.preemption, site.advertisement), (Preemption::Pauses, Advertisement::Weight));
-    let (linger, over) = (300_000 * MICROSECOND, 1_000_000 * MICROSECOND);
-    assert_eq!(site.downstream, Downstream::Shared { quota: 12.0, linger, window: over });
-    assert_eq!(site.retry_after_max, 3_000_000 * MICROSECOND);
-    assert_eq!(site.idle_timeout_max, 15_000_000 * MICROSECOND);
-    assert_eq!((site.retries_marked, site.starts_cold), (true, true));
-    assert_eq!(site.drain_grace, 2_500_000 * MICROSECOND);
-    assert_eq!(site.answer_grace, 60_000 * MICROSECOND);
-    assert_eq!((site.survivable_concurrency_ratio, site.cold_speed_ratio), (8.0, 0.23));
-    assert_eq!(site.warm_up, 17_000_000 * MICROSECOND);
+    assert_eq!(
+        (deployment.preemption, deployment.advertisement),
+        (Preemption::Pauses, Advertisement::Weight)
+    );
+    let (linger, window) = (300_000 * MICROSECOND, 1_000_000 * MICROSECOND);
+    assert_eq!(deployment.downstream, Downstream::Shared { quota: 12.0, linger, window });
+    assert_eq!(deployment.retry_after_max, 3_000_000 * MICROSECOND);
+    assert_eq!(deployment.idle_timeout_max, 15_000_000 * MICROSECOND);
+    assert_eq!((deployment.retries_marked, deployment.starts_cold), (true, true));
+    assert_eq!(deployment.drain_grace, 2_500_000 * MICROSECOND);
+    assert_eq!(deployment.answer_grace, 60_000 * MICROSECOND);
+    assert_eq!((deployment.survivable_concurrency_ratio, deployment.cold_speed_ratio), (8.0, 0.23));
+    assert_eq!(deployment.warm_up, 17_000_000 * MICROSECOND);
 }
 
 #[test]
-fn what_only_the_server_reads_means_the_same() {
-    let read = every_path();
-    assert_eq!((read.utilization_gauge, read.runnable_gauge), (Some(1), Some(2)));
-    assert_eq!(read.read_sharing_window, 50_000 * MICROSECOND);
-    assert!(read.notifies_cancellation && read.passes_deadline);
-    assert_eq!(read.dependency_quota, 12.0);
+fn settings_of_the_server_alone_mean_the_same() {
+    let settings = settings_with_every_path();
+    assert_eq!((settings.utilization_gauge, settings.runnable_gauge), (Some(1), Some(2)));
+    assert_eq!(settings.read_sharing_window, 50_000 * MICROSECOND);
+    assert!(settings.notifies_cancellation && settings.passes_deadline);
+    assert_eq!(settings.dependency_quota, 12.0);
 }
 
 fn with(path: &str, value: &str) -> DeploymentSettings {
@@ -86,7 +95,7 @@
 #[test_case("floor", Advertisement::MinimumRank)]
 #[test_case("allowance", Advertisement::ConcurrencyAllowance)]
 #[test_case("weight", Advertisement::Weight)]
-fn what_is_advertised_has_the_same_words(word: &str, advertisement: Advertisement) {
+fn advertised_load_has_the_same_words(word: &str, advertisement: Advertisement) {
     assert_eq!(with("family-info.say", word).deployment.advertisement, advertisement);
 }
 
@@ -99,7 +108,7 @@
 
 #[test_case("off", Downstream::None)]
 #[test_case("tier", Downstream::Tier)]
-fn what_lies_below_has_the_same_words(word: &str, downstream: Downstream) {
+fn downstream_kinds_have_the_same_words(word: &str, downstream: Downstream) {
     assert_eq!(with("family-info.below", word).deployment.downstream, downstream);
 }
 
@@ -110,14 +119,14 @@
     assert_eq!(with("grades.0.effect", word).deployment.operations[0].effect, effect);
 }
 
-/// The same paths nested, as the server's file has them.
+/// Settings as nested JSON, the format of the server's file, are read like `path=value` lines.
 #[test]
-fn nested_settings_are_the_same_paths() {
+fn nested_settings_are_read_like_lines() {
     let mut root = serde_json::json!({});
     for (path, value) in EVERY_PATH.lines().filter_map(|line| line.split_once('=')) {
         let pointer = path.split('.').collect::<Vec<_>>();
-        let place = pointer.iter().fold(&mut root, |object, name| &mut object[*name]);
-        *place = serde_json::Value::String(value.to_string());
+        let node = pointer.iter().fold(&mut root, |object, name| &mut object[*name]);
+        *node = serde_json::Value::String(value.to_string());
     }
     let lists = ["degraded-worth", "class-calls", "own-stats"];
     for name in lists {
@@ -125,5 +134,5 @@
         root["family-info"][name] = text.split(',').collect();
     }
     let nested = DeploymentSettings::from_json(&root).unwrap();
-    assert_eq!(format!("{:?}", nested.deployment), format!("{:?}", every_path().deployment));
+    assert_eq!(format!("{:?}", nested.deployment), format!("{:?}", settings_with_every_path().deployment));
 }
--- a/crates/deployment-settings/tests/settings.rs
+++ b/crates/deployment-settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! What is read of a deployment, from lines and from JSON, and what is refused.
+//! Tests of reading a deployment's settings from lines and from JSON, and of errors in them.
 
 use meadowstream_deployment_settings::DeploymentSettings;
 use meadowstream_overload_control::{Advertisement, Effect, Preemption};
@@ -13,19 +13,19 @@
     contract.cold-from=0.2\ncontract.cold=17000000\nsome.unknown=key\n";
 
 #[test]
-fn reads_what_decisions_need() {
-    let read = DeploymentSettings::from_lines(GOOD).unwrap();
-    let site = read.deployment;
+fn reads_the_settings_of_the_controller() {
+    let settings = DeploymentSettings::from_lines(GOOD).unwrap();
+    let deployment = settings.deployment;
     assert_eq!(
-        (site.operations[0].effect, site.operations[0].priority_weight),
+        (deployment.operations[0].effect, deployment.operations[0].priority_weight),
         (Effect::IdempotentWithKey, 2.5)
     );
-    assert_eq!(site.operations[0].latency_objective, 2_000_000_000);
+    assert_eq!(deployment.operations[0].latency_objective, 2_000_000_000);
     assert_eq!(
-        (site.preemption, site.advertisement, site.retry_after_max),
+        (deployment.preemption, deployment.advertisement, deployment.retry_after_max),
         (Preemption::Pauses, Advertisement::Weight, 0)
     );
-    assert_eq!((read.utilization_gauge, read.runnable_gauge), (Some(1), None));
+    assert_eq!((settings.utilization_gauge, settings.runnable_gauge), (Some(1), None));
 }
 
 #[test]
@@ -40,17 +40,17 @@
         "contract": {"drain-grace": 2_500_000, "grace-to-answer": 60_000, "fall-multiple": 8.0,
             "cold-from": 0.2, "cold": 17_000_000},
     });
-    let (read, same) =
+    let (settings, same) =
         (DeploymentSettings::from_json(&json).unwrap(), DeploymentSettings::from_lines(GOOD).unwrap());
-    assert_eq!(format!("{:?}", read.deployment), format!("{:?}", same.deployment));
+    assert_eq!(format!("{:?}", settings.deployment), format!("{:?}", same.deployment));
     assert_eq!(
-        (read.utilization_gauge, read.operation_names),
+        (settings.utilization_gauge, settings.operation_names),
         (same.utilization_gauge, same.operation_names)
     );
 }
 
 #[test]
-fn names_what_cannot_be_read() {
+fn errors_contain_the_path() {
     for line in GOOD.lines().filter(|line| !line.starts_with("some.") && !line.contains("own-stats")) {
         let path = line.split('=').next().unwrap();
         let without = GOOD.replace(&format!("{line}\n"), "");
@@ -58,7 +58,7 @@
         for config in [without, bad] {
             let error = DeploymentSettings::from_lines(&config)
                 .err()
-                .unwrap_or_else(|| panic!("{path} was not missed"));
+                .unwrap_or_else(|| panic!("no error without {path} or with an invalid value"));
             assert!(format!("{error:#}").contains(path), "{error:#}");
         }
     }
