--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -1,4 +1,4 @@
-//! Turns the words of the command line into a [`Command`].
+//! Parses the command line into a [`Command`].
 
 use anyhow::{Context, Result, bail, ensure};
 use meadowstream_capacity::report::{Options as CapacityOptions, SERVERS_LEAST, SERVERS_MOST};
@@ -9,78 +9,78 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Names the platform's file where `--config` does not.
+/// Environment variable that contains the path of the platform's file if `--config` is missing.
 const CONFIG_VARIABLE: &str = "ROUTER_CONFIG";
-/// Servers of the scale model where the command line names none.
+/// Default number of servers of the scale model.
 const CAPACITY_SERVERS: usize = 690;
-/// How long a rollout waits for its lease where the command line does not say.
+/// Default time that a rollout waits for its lease, in seconds.
 const ROLLOUT_WAIT_S: u64 = 120;
 
-/// What the command line asks for.
+/// Command requested on the command line, with its arguments.
 pub enum Command {
     /// Serve until a signal to stop.
     Serve {
-        /// The platform's file.
+        /// Path of the platform's file.
         config: PathBuf,
-        /// This project's own settings.
+        /// Path of the options file.
         options: Option<PathBuf>,
-        /// The form of log lines.
+        /// Format of log lines.
         log: LogFormat,
     },
-    /// Say whether a configuration can be served.
+    /// Check whether a configuration is valid.
     Check {
-        /// The platform's file.
+        /// Path of the platform's file.
         config: PathBuf,
-        /// This project's own settings.
+        /// Path of the options file.
         options: Option<PathBuf>,
     },
-    /// Play many tenants against this program on loopback.
+    /// Run an overload by many tenants against this program on loopback.
     Rehearse {
-        /// Light tenants beside the one that floods.
+        /// Number of light tenants in addition to the one that floods.
         tenants: usize,
-        /// Length of the play.
+        /// Duration of the run, in seconds.
         seconds: u64,
-        /// Whether the program's log of quotas is shown.
+        /// Whether the program's log lines about tenants are printed.
         shows_log: bool,
     },
-    /// Play faults between processes of this program.
+    /// Run a fleet of processes of this program with faults between them.
     FleetRehearse {
-        /// Processes to start.
+        /// Number of processes to start.
         servers: usize,
     },
-    /// Measure what a large fleet costs each server.
+    /// Measure the cost per server of a large fleet.
     FleetCapacity {
         /// Size, seed and length of the measurement.
         options: CapacityOptions,
-        /// Where the report is written, too.
+        /// Path of a file to which the report is written as JSON.
         json: Option<PathBuf>,
     },
-    /// Bring a change to the fleet in stages.
+    /// Roll a change out to the fleet in stages.
     Rollout(coordinator::RolloutArguments),
-    /// Say how far a rollout is.
+    /// Print the progress of a rollout.
     RolloutStatus {
-        /// The coordinator's state file.
+        /// Path of the coordinator's state file.
         state: PathBuf,
     },
-    /// Ask the coordinator of a rollout to roll back.
+    /// Request the coordinator of a rollout to roll back.
     RolloutAbort {
-        /// The coordinator's state file.
+        /// Path of the coordinator's state file.
         state: PathBuf,
     },
-    /// Keep the fleet's configuration with other control machines.
+    /// Run a control machine, which stores the fleet's configuration together with the others.
     Control {
-        /// This project's own settings.
+        /// Path of the options file.
         options: PathBuf,
-        /// The form of log lines.
+        /// Format of log lines.
         log: LogFormat,
     },
-    /// Publish a change, revert one, or say who has the newest.
+    /// Publish or revert a change of configuration, or print which members have the newest revision in force.
     Publish(publish::PublishArguments),
     /// Print the version.
     Version,
 }
 
-/// The form of log lines.
+/// Format of log lines.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum LogFormat {
     /// Lines of text.
@@ -93,7 +93,8 @@
     Ok(PathBuf::from(text))
 }
 
-/// The command, or `None` where the words name none. An error says what is wrong with its arguments.
+/// Parses a command and its arguments. Returns `None` for an unknown command, and an error for invalid
+/// arguments.
 pub fn parse(command: Option<&str>, mut arguments: Arguments) -> Result<Option<Command>> {
     let parsed = match command {
         Some("serve") => parse_serve(&mut arguments)?,
@@ -106,15 +107,15 @@
         Some("version") => Command::Version,
         _ => return Ok(None),
     };
-    let rest = arguments.finish();
-    ensure!(rest.is_empty(), "not understood: {rest:?}");
+    let unknown = arguments.finish();
+    ensure!(unknown.is_empty(), "not understood: {unknown:?}");
     Ok(Some(parsed))
 }
 
 fn parse_serve(arguments: &mut Arguments) -> Result<Command> {
     let options = arguments.opt_value_from_os_str("--options", path)?;
-    let given = arguments.opt_value_from_os_str("--config", path)?;
-    let config = given.or_else(|| std::env::var_os(CONFIG_VARIABLE).map(PathBuf::from));
+    let config = arguments.opt_value_from_os_str("--config", path)?;
+    let config = config.or_else(|| std::env::var_os(CONFIG_VARIABLE).map(PathBuf::from));
     let config = config.context("neither --config nor $ROUTER_CONFIG names a configuration")?;
     Ok(Command::Serve { config, options, log: parse_log_format(arguments)? })
 }
@@ -161,10 +162,10 @@
     let quick = arguments.contains("--quick");
     let seed: Option<u64> =
         arguments.opt_value_from_str("--seed").context("--seed: a whole number from 0 up")?;
-    let allowed = format!("--servers: a whole number within {SERVERS_LEAST} and {SERVERS_MOST}");
-    let servers: Option<usize> = arguments.opt_value_from_str("--servers").context(allowed.clone())?;
+    let requirement = format!("--servers: a whole number within {SERVERS_LEAST} and {SERVERS_MOST}");
+    let servers: Option<usize> = arguments.opt_value_from_str("--servers").context(requirement.clone())?;
     let servers = servers.unwrap_or(CAPACITY_SERVERS);
-    ensure!((SERVERS_LEAST..=SERVERS_MOST).contains(&servers), "{allowed}, not {servers}");
+    ensure!((SERVERS_LEAST..=SERVERS_MOST).contains(&servers), "{requirement}, not {servers}");
     let options = CapacityOptions { servers, seed: seed.unwrap_or(1), quick };
     Ok(Command::FleetCapacity { options, json })
 }
@@ -209,7 +210,7 @@
     Ok(Command::Publish(publish::PublishArguments { request: parse_publish_words(&words)?, options, wait }))
 }
 
-/// `CHANGE`, `revert NUMBER` or `status`.
+/// Parses the positional arguments of `publish`: `CHANGE`, `revert NUMBER` or `status`.
 fn parse_publish_words(words: &[String]) -> Result<publish::PublishRequest> {
     match words {
         [word] if word == "status" => Ok(publish::PublishRequest::Status),
--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -1,4 +1,4 @@
-//! Carries out a command.
+//! Runs the commands.
 
 use crate::arguments::{Command, LogFormat};
 use crate::log::NonBlockingStderr;
@@ -15,7 +15,7 @@
 
 const BYTES_PER_MIB: usize = 1 << 20;
 
-/// Carries a command out; an error is printed on one line and ends the program with 1.
+/// Runs a command. The caller prints an error on one line and exits with 1.
 pub fn run(command: Command) -> Result<()> {
     match command {
         Command::Serve { config, options, log } => {
@@ -58,7 +58,7 @@
     read.notes.iter().for_each(|note| println!("{note}"));
     if let Some(fair) = &read.settings.deployment.fair_queueing {
         let (named, most) = (fair.named.len(), fair.bytes_max().div_ceil(BYTES_PER_MIB));
-        println!("tenants are told apart, {named} of them by name, in {most} MiB at most");
+        println!("tenants are told apart, {named} of them by name, in {most} MiB of memory at most");
     }
     Ok(())
 }
@@ -73,27 +73,27 @@
     Ok(())
 }
 
-/// Plays a baseline phase of a third and an overload phase of two thirds, and prints a table by group of
-/// tenants.
+/// Runs a baseline phase for a third of the time and an overload phase for the rest, and prints a table by
+/// group of tenants.
 fn rehearse(tenants: usize, seconds: u64, shows_log: bool) -> Result<()> {
     let baseline = Duration::from_secs(seconds / 3);
     let plan = tenant_rehearsal::overload_plan(baseline, Duration::from_secs(seconds) - baseline, tenants);
     let (cores, all) = (plan.cores, tenants + 1);
     println!(
-        "{all} tenants at {cores} cores, asking for three times of what they can do, nine tenths by one\n"
+        "{all} tenants at {cores} cores, with three times the load that these can serve, nine tenths by one\n"
     );
     let report = tenant_rehearsal::play(&this_program()?, plan, |line| println!("{line}"))?;
     println!("\n{}", table(&report.groups));
-    println!("Of the overload phase alone; \"in time\" is within the objective from the first attempt,");
-    println!("\"kept\" the part of returns as advised that were admitted.");
-    println!("The program held {} MiB at most.", report.peak_kib >> 10);
+    println!("For the overload phase only. \"in time\": within the objective from the first attempt;");
+    println!("\"kept\": the part of the retries at the advised time that were admitted.");
+    println!("The program used {} MiB of memory at most.", report.peak_kib >> 10);
     if shows_log {
         println!("\n{}", report.tenant_lines.join("\n"));
     }
     Ok(())
 }
 
-/// Prints the table of costs; an error where a bound was passed.
+/// Measures the costs of a large fleet and prints their table. Returns an error if a cost exceeds its bound.
 fn measure_capacity(options: CapacityOptions, json: Option<PathBuf>) -> Result<()> {
     let report = report::run(&this_program()?, options, |line| println!("{line}"))?;
     println!("\n{}", report.table());
@@ -101,7 +101,7 @@
         let text = serde_json::to_string_pretty(&report)?;
         std::fs::write(path, text).with_context(|| format!("cannot write {}", path.display()))?;
     }
-    let passed = report.exceeded_bounds.len();
-    ensure!(passed == 0, "{passed} bounds were passed");
+    let exceeded = report.exceeded_bounds.len();
+    ensure!(exceeded == 0, "{exceeded} bounds were exceeded");
     Ok(())
 }
--- a/crates/cli/src/help.rs
+++ b/crates/cli/src/help.rs
@@ -1,101 +1,104 @@
-//! The help pages of the commands.
+//! Help texts of the commands.
 
-/// The page of the program: all commands.
+/// Overview of all commands.
 pub const OVERVIEW: &str = "\
 meadowstream: a server with overload control inside
 
   meadowstream serve [--config FILE]   serve until SIGTERM or SIGINT
-  meadowstream check FILE              say whether a configuration can be served
-  meadowstream rehearse                play many tenants and an overload on loopback
-  meadowstream fleet rehearse          play crashes, stalls and a partition between servers on loopback
-  meadowstream fleet capacity          measure what a fleet of hundreds of servers costs each of them
-  meadowstream rollout PLAN            bring a change of settings to the fleet in stages
-  meadowstream control                 keep the fleet's configuration with other control machines
-  meadowstream publish CHANGE          bring a change of configuration to all servers within seconds
-  meadowstream version                 say which version this is
+  meadowstream check FILE              check whether a configuration is valid
+  meadowstream rehearse                run an overload by many tenants on loopback
+  meadowstream fleet rehearse          run crashes, stalls and a partition between servers on loopback
+  meadowstream fleet capacity          measure the cost per server of a fleet of hundreds of servers
+  meadowstream rollout PLAN            roll a change of settings out to the fleet in stages
+  meadowstream control                 store the fleet's configuration with other control machines
+  meadowstream publish CHANGE          publish a change of configuration to all servers within seconds
+  meadowstream version                 print the version
 
-meadowstream COMMAND --help says more. Exit codes: 0 done, 1 failed, 2 wrong usage.
+See meadowstream COMMAND --help for details. Exit codes: 0 done, 1 failed, 2 wrong usage.
 ";
-/// The page of `serve`.
+/// Help text of `serve`.
 pub const SERVE: &str = "\
 meadowstream serve [--config FILE] [--options FILE] [--log json]
 
-Serves until SIGTERM or SIGINT, then answers all that has come and ends. FILE is what $ROUTER_CONFIG
-names where it is not given. The log goes to standard error; RUST_LOG=debug says more, and SIGUSR1 adds
-the counters to it, SIGHUP reads the files again. --options names a file of this project's own settings
-(deploy/meadowstream.xsd); without it tenants are not told apart, and the fleet's view is off.
---log json writes the log as JSON lines, one object a line.
+Serves until SIGTERM or SIGINT, then answers all pending requests and exits. Without --config, FILE is the
+value of $ROUTER_CONFIG. The log is written to standard error; RUST_LOG=debug makes it more detailed.
+SIGUSR1 logs the counters, SIGHUP reads the files again. --options names a file of this project's own
+settings (deploy/meadowstream.xsd); without it, tenants are not told apart, and fleet membership is off.
+--log json writes the log as JSON, one object per line.
 ";
-/// The page of `check`.
+/// Help text of `check`.
 pub const CHECK: &str = "\
 meadowstream check FILE [--options FILE]
 
-Reads a configuration as serve would and says what it would do, or names the part that cannot be served.
+Reads a configuration like serve, and prints what the server would do, or which part of the configuration is
+invalid.
 ";
-/// The page of `rehearse`.
+/// Help text of `rehearse`.
 pub const REHEARSE: &str = "\
 meadowstream rehearse [--tenants N] [--seconds N] [--log]
 
-Starts this program with test doubles for all it speaks to, on loopback, and plays an overload: N small
-tenants (200) and one that floods, for N seconds (20), the first third of them without it. Ends with a table
-of each group's share, latency and advice kept. --log shows what the program says of shares. Nothing else
-is needed.
+Starts this program on loopback, with test doubles for all other processes, and runs an overload for N
+seconds (default 20): N small tenants (default 200), and one tenant that floods after the first third of the
+time. Prints a table of each group's share, latency and kept advice. --log also prints the program's log lines
+about tenants. No other process or file is needed.
 ";
-/// The page of `fleet`.
+/// Help text of `fleet`.
 pub const FLEET: &str = "\
 meadowstream fleet rehearse [--servers N]
 
-Starts N processes of this program (5; 4 to 64) on loopback, each behind a fault relay, with the fleet's
-view on, and plays a join, a crash (SIGKILL), a stall (SIGSTOP, then SIGCONT), a partition into halves and
-its heal. Ends with a table of when each server's own log showed each change, and when the views agreed.
+Starts N processes of this program (default 5; 4 to 64) on loopback, each behind a relay that injects faults,
+with fleet membership on, and runs a join, a crash (SIGKILL), a stall (SIGSTOP, then SIGCONT), a partition
+into halves and its end. Prints a table of the times at which each server's log showed each change, and at
+which the views agreed.
 
 meadowstream fleet capacity [--servers N] [--quick] [--seed N] [--json FILE]
 
-Plays a scale model of N servers (690; 80 to 2000) in simulated time at five sizes, with failures, and
-measures real processes beside it: added time with 64,000 tenants, memory of connections, some dozens of
-processes. --quick ends within two minutes, the whole takes about a quarter of an hour. Prints a table of
-costs with their slopes (docs/CAPACITY.md); --json writes it to a file, too. Exit codes: 0 every bound holds,
-1 one was passed, 2 wrong usage.
+Runs a scale model of N servers (default 690; 80 to 2000) in simulated time at five sizes, with failures, and
+also measures real processes: added latency with 64,000 tenants, memory of connections, some dozens of
+processes. With --quick it takes up to two minutes, otherwise about a quarter of an hour. Prints a table of
+costs with their slopes (docs/CAPACITY.md); --json also writes it to a file. Exit codes: 0 every bound holds,
+1 a bound was exceeded, 2 wrong usage.
 ";
-/// The page of `rollout`.
+/// Help text of `rollout`.
 pub const ROLLOUT: &str = "\
 meadowstream rollout PLAN --options FILE [--state FILE] [--wait SECONDS]
 meadowstream rollout status PLAN [--state FILE]
 meadowstream rollout abort PLAN [--state FILE]
 
-Brings a change of settings to the servers in stages, compares those changed with the others, and rolls back
-by itself where they do worse (docs/rollout.md). PLAN is an XML file (deploy/meadowstream.xsd); the options
-name the fleet to join. Its state is kept beside the plan, or where --state says: one that was killed goes on
-from there when it is started again. It waits 120 seconds for the lease that one plan at a time holds.
-Exit codes: 0 all stages went through, 1 it was stopped or rolled back, or could not be done, 2 wrong usage.
+Rolls a change of settings out to the servers in stages, compares changed servers with the others, and rolls
+back automatically if they perform worse (docs/rollout.md). PLAN is an XML file (deploy/meadowstream.xsd); the
+options name the fleet to join. The state is saved to a file beside the plan, or to the file named by --state;
+a rollout that was killed resumes from it when it is started again. The lease on rollouts, which one plan at a
+time holds, is awaited for 120 seconds unless --wait names another time.
+Exit codes: 0 all stages completed, 1 stopped, rolled back or failed, 2 wrong usage.
 ";
-/// The page of `control`.
+/// Help text of `control`.
 pub const CONTROL: &str = "\
 meadowstream control --options FILE [--log json]
 
-Keeps the log of the fleet's configuration with the other <replica>s of the options, and publishes while it
-holds the lease (docs/replication.md). Serves nothing; runs until SIGTERM or SIGINT.
+Stores the log of the fleet's configuration together with the other <replica>s in the options, and publishes
+while it holds the lease (docs/replication.md). Serves no callers; runs until SIGTERM or SIGINT.
 ";
-/// The page of `publish`.
+/// Help text of `publish`.
 pub const PUBLISH: &str = "\
 meadowstream publish CHANGE --options FILE [--wait SECONDS]
 meadowstream publish revert NUMBER --options FILE [--wait SECONDS]
 meadowstream publish status --options FILE [--wait SECONDS]
 
-Hands a change (XML, deploy/meadowstream.xsd) to the publisher and waits until all servers go by it, or takes
-the change of a revision back, or says who goes by the newest. The options name the fleet to join; at most 10
-seconds are waited where --wait says nothing. Exit codes: 0 all go by it, 1 refused or not all do in time,
-2 wrong usage.
+Submits a change (XML, deploy/meadowstream.xsd) to the publisher and waits until all servers have it in force;
+or reverts the change of a revision; or prints which servers have the newest revision in force. The options
+name the fleet to join. The time limit is 10 seconds unless --wait names another one. Exit codes: 0 in force
+on all servers, 1 refused or not in force on all servers in time, 2 wrong usage.
 ";
-/// The page of `version`.
+/// Help text of `version`.
 pub const VERSION: &str = "\
 meadowstream version
 
 Prints the version.
 ";
 
-/// The page of a command, or the one of the program where there is no such command.
-pub fn page(command: Option<&str>) -> &'static str {
+/// Returns the help text of a command, or the overview if the command is unknown.
+pub fn help_text(command: Option<&str>) -> &'static str {
     match command {
         Some("serve") => SERVE,
         Some("check") => CHECK,
--- a/crates/cli/src/log.rs
+++ b/crates/cli/src/log.rs
@@ -1,14 +1,14 @@
-//! Where log lines go: standard error, but never waiting for its reader.
+//! Log output: writes lines to standard error without blocking.
 
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use std::io::{Result, Write, stderr};
 
 const NO_WAIT: Timespec = Timespec { tv_sec: 0, tv_nsec: 0 };
 
-/// Standard error for a program of one thread: with a full pipe that nobody reads the thread would block. A
-/// line for which the pipe is not ready is lost; lines are shorter than what a ready pipe takes at once. A
-/// line that cannot be written is lost as well: an error would make the log panic, and the task that logs
-/// with it.
+/// Writer to standard error that does not block. A full pipe without a reader would otherwise block the only
+/// thread of the program. A line is dropped if the pipe is not ready; a pipe that is ready accepts a whole
+/// line, because lines are short enough. A line that cannot be written is dropped as well, because an error
+/// would make the logging library panic, and with it the task that logs.
 pub struct NonBlockingStderr;
 
 impl Write for NonBlockingStderr {
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,7 +1,7 @@
-//! `meadowstream`: the command line, its help pages and exit codes.
+//! `meadowstream`: the command line, its help texts and exit codes.
 //!
-//! Exit codes: 0 done, 1 failed, 2 wrong usage. This program alone links the test doubles and the capacity
-//! measurements beside the server.
+//! Exit codes: 0 done, 1 failed, 2 wrong usage. Only this program links the test doubles and the capacity
+//! measurements in addition to the server.
 #![deny(missing_docs, clippy::too_many_lines)]
 
 mod arguments;
@@ -14,22 +14,22 @@
 const WRONG_USAGE: u8 = 2;
 
 fn main() -> ExitCode {
-    let mut words = pico_args::Arguments::from_env();
-    let wants_help = words.contains(["-h", "--help"]);
-    let name = words.subcommand().ok().flatten();
-    let page = help::page(name.as_deref());
+    let mut arguments = pico_args::Arguments::from_env();
+    let wants_help = arguments.contains(["-h", "--help"]);
+    let name = arguments.subcommand().ok().flatten();
+    let help_text = help::help_text(name.as_deref());
     if wants_help || name.as_deref() == Some("help") {
-        print!("{page}");
+        print!("{help_text}");
         return ExitCode::SUCCESS;
     }
-    let command = match arguments::parse(name.as_deref(), words) {
+    let command = match arguments::parse(name.as_deref(), arguments) {
         Ok(Some(command)) => command,
         Ok(None) => {
-            eprint!("{page}");
+            eprint!("{help_text}");
             return ExitCode::from(WRONG_USAGE);
         }
         Err(error) => {
-            eprint!("meadowstream: {error:#}\n\n{page}");
+            eprint!("meadowstream: {error:#}\n\n{help_text}");
             return ExitCode::from(WRONG_USAGE);
         }
     };
