--- a/crates/server/src/configuration/defaults.rs
+++ b/crates/server/src/configuration/defaults.rs
@@ -93,7 +93,7 @@
         Arc::make_mut(self.options.get_mut()).idempotency_keys = Some(keys);
         self.note(
             &format!("grades.{first}.effect"),
-            &format!("the idempotency key is read from the field {KEY_FIELD}"),
+            &format!("the token is read from the field {KEY_FIELD}"),
         );
     }
 
@@ -114,7 +114,7 @@
             self.note("orgs", &format!("tenants are told apart by the field {TENANT_FIELD}"));
         }
         if self.settings.read_sharing_window > 0 {
-            self.note("family-info.share-for", "answers are not shared between reads; every read runs");
+            self.note("family-info.share-for", "answers of reads are not shared: each runs");
         }
         let deployment = &self.settings.deployment;
         if deployment.advertisement == Advertisement::MinimumRank && has_one_rank(deployment) {
--- a/crates/server/src/configuration/load.rs
+++ b/crates/server/src/configuration/load.rs
@@ -95,7 +95,7 @@
                 }
             }
         };
-        tracing::warn!(target: "fleet", why, "starting without the adopted settings of a rollout");
+        tracing::warn!(target: "fleet", why, "starts by its own settings, not by those of the change");
         Ok(own)
     }
 
