--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -26,14 +26,14 @@
         Command::Rehearse { tenants, seconds, shows_log } => rehearse(tenants, seconds, shows_log),
         Command::FleetRehearse { servers } => rehearse_fleet(servers),
         Command::FleetCapacity { options, json } => measure_capacity(options, json),
-        Command::Rollout(given) => coordinator::run(&given),
+        Command::Rollout(arguments) => coordinator::run(&arguments),
         Command::RolloutStatus { state } => coordinator::status(&state),
         Command::RolloutAbort { state } => coordinator::abort(&state),
         Command::Control { options, log } => {
             start_log(log);
             control_machine::run(&options)
         }
-        Command::Publish(given) => publish::run(&given),
+        Command::Publish(arguments) => publish::run(&arguments),
         Command::Version => {
             println!("meadowstream {}", env!("CARGO_PKG_VERSION"));
             Ok(())
--- a/crates/server/src/configuration/candidate.rs
+++ b/crates/server/src/configuration/candidate.rs
@@ -14,7 +14,7 @@
     /// Path of the file that marks the candidate settings as adopted. It holds their hash.
     pub mark: PathBuf,
     /// Hash of the server's own options file.
-    pub own: u64,
+    pub own_hash: u64,
     /// Hash of the candidate settings, if the server has adopted them.
     pub adopted: Option<u64>,
     /// Path of the candidate program, if the options name one.
@@ -30,7 +30,7 @@
         Ok(Self {
             path: folder.join(&rollout.candidate),
             mark: with_suffix(options_path, ".adopted"),
-            own: hash_of(&std::fs::read(options_path)?),
+            own_hash: hash_of(&std::fs::read(options_path)?),
             adopted: None,
             program: rollout.program.as_ref().map(|program| folder.join(program)),
             program_mark: with_suffix(options_path, ".program"),
--- a/crates/server/src/fleet/control_machine.rs
+++ b/crates/server/src/fleet/control_machine.rs
@@ -70,7 +70,7 @@
     async_io::block_on(control(settings))
 }
 
-/// Status whose changes are logged.
+/// Values that are logged when one of them changes.
 #[derive(Default, PartialEq, Eq)]
 struct ControlStatus {
     is_leader: bool,
--- a/crates/server/src/fleet/coordinator.rs
+++ b/crates/server/src/fleet/coordinator.rs
@@ -105,11 +105,12 @@
     }
     let plan = Plan { candidate: hash_of(&bytes), ..file.plan };
     let options = Options::load(&arguments.options)?;
-    let own = options.membership.as_ref();
-    let own = own.with_context(|| format!("{}: <membership> is missing", arguments.options.display()))?;
+    let membership = options.membership.as_ref();
+    let membership =
+        membership.with_context(|| format!("{}: <membership> is missing", arguments.options.display()))?;
     ensure!(options.rollout.is_some(), "{}: <rollout> is missing", arguments.options.display());
     let name = format!("{NAME_PREFIX}{:08x}", hash_of(plan.name.as_bytes()) as u32);
-    let mut fleet = fleet::fleet_settings(own, &name, &arguments.options)?;
+    let mut fleet = fleet::fleet_settings(membership, &name, &arguments.options)?;
     fleet.name = name;
     // The coordinator takes no part in the shared call budget or in replicated configuration.
     let rollout_only = Options { shared_state: None, replication: None, ..options };
--- a/crates/server/src/fleet/joined.rs
+++ b/crates/server/src/fleet/joined.rs
@@ -98,8 +98,9 @@
         self.shared.send_other(to, topic, body);
     }
 
-    /// Performs due work, sends pending datagrams, and waits for one datagram, the next timer or the time
-    /// `wake`, whichever is first. Returns the messages received on topics other than the shared state.
+    /// Advances the shared state if it is due, sends pending datagrams, and waits for one datagram, the next
+    /// timer or the time `wake`, whichever is first. Returns the messages received on topics other than the
+    /// shared state.
     pub async fn step(&mut self, wake: u64) -> Vec<TopicMessage> {
         let now = self.now();
         self.directory.refresh(&self.membership, now);
--- a/crates/server/src/fleet/replication.rs
+++ b/crates/server/src/fleet/replication.rs
@@ -108,7 +108,8 @@
         self.member.receive(now, from, body);
     }
 
-    /// Handles outcomes of checked revisions, performs due work, and sends pending messages.
+    /// Handles outcomes of checked revisions, advances the protocol if it is due, starts to apply the next
+    /// revision, and sends pending messages.
     pub fn advance(
         &mut self,
         server: &Rc<Server>,
--- a/crates/server/src/fleet/rollout.rs
+++ b/crates/server/src/fleet/rollout.rs
@@ -126,7 +126,7 @@
         Ok(()) => {
             rollout.adopted.set(adopt);
             *rollout.refused.borrow_mut() = None;
-            let settings = adopt.unwrap_or(rollout.candidate.own);
+            let settings = adopt.unwrap_or(rollout.candidate.own_hash);
             rollout.versions.borrow_mut().set_settings(settings);
             let settings = format!("{settings:016x}");
             info!(target: "fleet", adopted = adopt.is_some(), settings, "settings");
--- a/crates/server/src/fleet/rollout_state.rs
+++ b/crates/server/src/fleet/rollout_state.rs
@@ -82,11 +82,11 @@
     ) -> Result<Rollout, RolloutError> {
         let may_change_program = candidate.program.is_some();
         if may_change_program {
-            let own = std::env::current_exe().and_then(std::fs::File::open);
-            own.map_err(RolloutError::ReadProgram)?;
+            let program_file = std::env::current_exe().and_then(std::fs::File::open);
+            program_file.map_err(RolloutError::ReadProgram)?;
         }
         let program = (!may_change_program).then_some(OwnProgram { hash: 0, adopted: false });
-        let settings_hash = candidate.adopted.unwrap_or(candidate.own);
+        let settings_hash = candidate.adopted.unwrap_or(candidate.own_hash);
         let version = env!("CARGO_PKG_VERSION").to_string();
         let (name, incarnation) = (me.name, me.incarnation);
         let own = ServerVersion { name, incarnation, sequence: 0, version, settings_hash };
@@ -124,7 +124,7 @@
     pub fn report(&self, order: &Order, program: Option<OwnProgram>, refused: Option<String>) -> Report {
         let settings = self.adopted.get();
         let (running_hash, adopted) = match program {
-            None => (settings.unwrap_or(self.candidate.own), settings.is_some()),
+            None => (settings.unwrap_or(self.candidate.own_hash), settings.is_some()),
             Some(program) => (program.hash, program.adopted),
         };
         Report {
--- a/crates/server/src/fleet/shared_state.rs
+++ b/crates/server/src/fleet/shared_state.rs
@@ -189,13 +189,13 @@
         self.named_tenants.borrow().contains(name).then(|| String::from_utf8_lossy(name).into_owned())
     }
 
-    /// Adds `amount` to the fleet's counts `what/operation` and, for a named tenant, `what/operation/tenant`.
+    /// Adds `amount` to the fleet's counts `kind/operation` and, for a named tenant, `kind/operation/tenant`.
     /// If no key is free, the amount is dropped; the log shows the number of such drops.
-    pub fn count(&self, what: &str, operation: &str, tenant: Option<&str>, amount: u64) {
+    pub fn count(&self, kind: &str, operation: &str, tenant: Option<&str>, amount: u64) {
         let mut inner = self.inner.borrow_mut();
-        let of_all = format!("{what}/{operation}");
-        let of_tenant = tenant.map(|tenant| format!("{of_all}/{tenant}"));
-        for key in std::iter::once(of_all).chain(of_tenant) {
+        let overall_key = format!("{kind}/{operation}");
+        let tenant_key = tenant.map(|tenant| format!("{overall_key}/{tenant}"));
+        for key in std::iter::once(overall_key).chain(tenant_key) {
             let counted = inner.state.counters.add(&key, amount);
             inner.uncounted += u64::from(!counted);
         }
@@ -230,7 +230,8 @@
         self.inner.borrow_mut().state.send_other(to, topic, body);
     }
 
-    /// Performs due work. `alive` names the members that are alive.
+    /// Updates counts and demand, advances the protocol, and collects its messages. `alive` holds the names
+    /// of the members that are alive.
     pub fn advance(&self, alive: &[String], counters: &Counters) -> Advanced {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
--- a/crates/server/src/fleet/sharing.rs
+++ b/crates/server/src/fleet/sharing.rs
@@ -39,7 +39,8 @@
         Self { replication, ..Self::default() }
     }
 
-    /// Handles received messages, and performs due work.
+    /// Handles received messages. If its time has come or messages were received, also advances replicated
+    /// configuration and shared state, announces versions, and logs the shared state.
     pub fn advance(&mut self, server: &Rc<Server>, membership: &mut Membership, now: Nanos) {
         let Some(shared) = &server.shared else {
             self.due = Nanos::MAX;
--- a/crates/server/src/fleet/view_log.rs
+++ b/crates/server/src/fleet/view_log.rs
@@ -53,7 +53,7 @@
 
 /// Logs one change of the view.
 pub fn log_change(ViewChange { at, change }: &ViewChange) {
-    let (what, id) = match change {
+    let (kind, id) = match change {
         Change::Up(id) => ("up", Some(id)),
         Change::Down(id) => ("down", Some(id)),
         Change::Renamed { new: id, .. } => ("renamed", Some(id)),
@@ -62,9 +62,9 @@
         Change::Idle => ("idle", None),
     };
     match id {
-        Some(id) => info!(target: "fleet", change = what, member = id.name, addr = %id.addr,
+        Some(id) => info!(target: "fleet", change = kind, member = id.name, addr = %id.addr,
             incarnation = id.incarnation, at, "member"),
-        None => info!(target: "fleet", change = what, at, "this server"),
+        None => info!(target: "fleet", change = kind, at, "this server"),
     }
 }
 
--- a/crates/server/src/lifecycle/drain_state.rs
+++ b/crates/server/src/lifecycle/drain_state.rs
@@ -18,7 +18,7 @@
     Closing,
 }
 
-/// The state of the drain.
+/// State of the drain: its phase, and the times of the notice and of the exit.
 #[derive(Default)]
 pub struct DrainState {
     phase: Cell<Phase>,
