--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -6,7 +6,7 @@
 use crate::connection::table::{Connections, HealthStatus};
 use crate::event::Event;
 use crate::fleet::rollout_state::Rollout;
-use crate::fleet::shared_state::Shared;
+use crate::fleet::shared_state::LocalSharedState;
 use crate::lifecycle::changes::Changes;
 use crate::lifecycle::clock::Clock;
 use crate::lifecycle::drain_state::DrainState;
@@ -56,7 +56,7 @@
     /// Channel that is closed when the server must leave.
     pub leave_signal: Receiver<()>,
     /// State shared with the other servers of the fleet, if the options configure it.
-    pub shared: Option<Shared>,
+    pub shared: Option<LocalSharedState>,
     /// State of rollouts on this server, if the options configure them.
     pub rollout: Option<Rollout>,
     /// Serializes changes of settings, so that only one is applied at a time.
