--- a/crates/configuration/src/plan.rs
+++ b/crates/configuration/src/plan.rs
@@ -2,7 +2,7 @@
 
 use crate::error::Fault;
 use crate::xml::{Element, Result, in_file, parse, read_file};
-use meadowstream_rollout::plan::{ChangeKind, OnRegression, Plan, Size, Stage, Thresholds};
+use meadowstream_rollout::plan::{ChangeKind, OnRegression, Plan, Stage, StageSize, Thresholds};
 use roxmltree::{Document, Node};
 use std::path::{Path, PathBuf};
 
@@ -114,8 +114,8 @@
         return Err(error(Fault::Missing { name: "bake-ms".to_string() }));
     }
     let size = match (stage.text("servers"), stage.text("share")) {
-        (Some(_), None) => Size::Servers(stage.parsed("servers", 0)?),
-        (None, Some(_)) => Size::Share(stage.parsed("share", 0.0)?),
+        (Some(_), None) => StageSize::Servers(stage.parsed("servers", 0)?),
+        (None, Some(_)) => StageSize::Share(stage.parsed("share", 0.0)?),
         _ => return Err(error(Fault::Either { first: "servers", second: "share" })),
     };
     Ok(Stage { size, bake_time: stage.duration_ns("bake-ms", 0, 0, BAKE_MS_MAX)? })
--- a/crates/configuration/tests/outside_names.rs
+++ b/crates/configuration/tests/outside_names.rs
@@ -4,7 +4,7 @@
 use meadowstream_configuration::change::{overlay_replicated, read_change};
 use meadowstream_configuration::{Options, Origin, PlanFile, TenantSource, Tenants, TierService};
 use meadowstream_fair_queueing::Settings;
-use meadowstream_rollout::plan::{ChangeKind, OnRegression, Size, Thresholds};
+use meadowstream_rollout::plan::{ChangeKind, OnRegression, StageSize, Thresholds};
 use roxmltree::{Document, Node};
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -132,7 +132,7 @@
     let expected = Thresholds { throttled: 0.03, errored: 0.04, late: 0.05, latency: 0.5, alpha: 0.02 };
     assert_eq!(plan.thresholds, expected);
     let stages: Vec<_> = plan.stages.iter().map(|stage| (stage.size, stage.bake_time)).collect();
-    let (first, second) = (Size::Servers(1), Size::Share(0.5));
+    let (first, second) = (StageSize::Servers(1), StageSize::Share(0.5));
     assert_eq!(stages, [(first, 60_000 * MILLISECOND), (second, 61_000 * MILLISECOND)]);
     let program = PLAN.replace("candidate=\"next.xml\" on-worse=\"stop\"", "program=\"next\"");
     let plan = PlanFile::read(&program).unwrap().plan;
--- a/crates/rollout/src/canary.rs
+++ b/crates/rollout/src/canary.rs
@@ -109,7 +109,7 @@
             for found in [compare(&strata.iter().collect::<Vec<_>>()), compare(&busier_half(strata))] {
                 let Some(found) = found else { continue };
                 let is_worse = found.p_value < significance
-                    && found.difference > thresholds.least_difference(series.metric);
+                    && found.difference > thresholds.min_difference(series.metric);
                 if is_worse && most_certain.is_none_or(|(_, known)| found.p_value < known.p_value) {
                     most_certain = Some((series, found));
                 }
--- a/crates/rollout/src/coordinator/baking.rs
+++ b/crates/rollout/src/coordinator/baking.rs
@@ -70,7 +70,7 @@
     /// every further one is [`Verdict::Pass`] without a comparison: the stage then goes on by its bake time
     /// and by failures alone.
     fn next_verdict(&mut self) -> Verdict {
-        let planned = self.plan.verdicts(self.state.stage);
+        let planned = self.plan.planned_verdicts(self.state.stage);
         let may_ask = self.verdicts < VERDICTS_FACTOR * planned;
         if self.canary.intervals() >= INTERVALS_MIN {
             self.verdicts += 1;
--- a/crates/rollout/src/coordinator/mod.rs
+++ b/crates/rollout/src/coordinator/mod.rs
@@ -61,24 +61,24 @@
     #[error(transparent)]
     Plan(#[from] PlanError),
     /// The saved state is that of another plan.
-    #[error("the state is that of plan {saved:?}, not {given:?}")]
+    #[error("the state is that of plan {saved:?}, not {requested:?}")]
     OtherPlan {
         /// Name of the plan in the state.
         saved: String,
-        /// Name of the plan given.
-        given: String,
+        /// Name of the requested plan.
+        requested: String,
     },
     /// The candidate changed while the plan was under way.
-    #[error("the candidate {given:016x} is not the one that the plan began with, {saved:016x}")]
+    #[error("the candidate {requested:016x} is not the one that the plan began with, {saved:016x}")]
     OtherCandidate {
         /// Hash of the candidate in the state.
         saved: u64,
-        /// Hash of the candidate given.
-        given: u64,
+        /// Hash of the requested candidate.
+        requested: u64,
     },
     /// The plan has fewer stages than the saved state has begun.
     #[error("the state is at stage {stage}, which the plan has not")]
-    NoSuchStage {
+    UnknownStage {
         /// Number of the stage in the state, from 1.
         stage: usize,
     },
@@ -170,7 +170,7 @@
     /// Handles the operator's request to abort: the change is rolled back.
     pub fn handle_abort(&mut self, now: Nanos) -> Vec<Action> {
         let mut actions = Vec::new();
-        if !self.state.phase.is_over() && !self.is_rolling_back() {
+        if !self.state.phase.has_ended() && !self.is_rolling_back() {
             self.roll_back(now, "aborted by the operator".into(), &mut actions);
         }
         actions
@@ -181,7 +181,7 @@
         let elapsed = now.saturating_sub(self.last_interval.unwrap_or(now));
         self.last_interval = Some(now);
         let mut actions = Vec::new();
-        if self.state.phase.is_over() {
+        if self.state.phase.has_ended() {
             return actions;
         }
         if !has_lease {
@@ -205,7 +205,7 @@
             Phase::RollingBack { reason } => self.handle_rolling_back(&interval, reason, &mut actions),
             Phase::Done | Phase::Stopped { .. } | Phase::RolledBack { .. } => {}
         }
-        if !self.state.phase.is_over() {
+        if !self.state.phase.has_ended() {
             self.send_orders(view, &mut actions);
         }
         actions
--- a/crates/rollout/src/coordinator/rollback.rs
+++ b/crates/rollout/src/coordinator/rollback.rs
@@ -41,7 +41,7 @@
         received.is_some_and(|one| one.received_at > self.phase_began && !one.report.adopted)
     }
 
-    /// Ends the plan in a phase for which [`Phase::is_over`] holds; callers pass no other.
+    /// Ends the plan in a phase for which [`Phase::has_ended`] holds; callers pass no other.
     pub(super) fn end(&mut self, phase: Phase, actions: &mut Vec<Action>) {
         let message = match &phase {
             Phase::Done => "done: all stages went through".to_string(),
--- a/crates/rollout/src/coordinator/stages.rs
+++ b/crates/rollout/src/coordinator/stages.rs
@@ -36,7 +36,7 @@
         view: &FleetView,
         actions: &mut Vec<Action>,
     ) {
-        let size = self.plan.stages[stage].size.of(view.alive.len());
+        let size = self.plan.stages[stage].size.server_count(view.alive.len());
         let chosen = self.choose_servers(size, view);
         self.state.changed.extend(chosen);
         self.state.stage = stage;
--- a/crates/rollout/src/coordinator/state.rs
+++ b/crates/rollout/src/coordinator/state.rs
@@ -43,7 +43,7 @@
 
 impl Phase {
     /// Whether the plan has ended.
-    pub fn is_over(&self) -> bool {
+    pub fn has_ended(&self) -> bool {
         matches!(self, Phase::Done | Phase::Stopped { .. } | Phase::RolledBack { .. })
     }
 }
@@ -81,15 +81,15 @@
     /// Whether the plan can be continued from this state.
     pub(super) fn check_belongs_to(&self, plan: &Plan) -> Result<(), CoordinatorError> {
         if self.plan != plan.name {
-            let (saved, given) = (self.plan.clone(), plan.name.clone());
-            return Err(CoordinatorError::OtherPlan { saved, given });
+            let (saved, requested) = (self.plan.clone(), plan.name.clone());
+            return Err(CoordinatorError::OtherPlan { saved, requested });
         }
-        if self.candidate != plan.candidate && !self.phase.is_over() {
-            let (saved, given) = (self.candidate, plan.candidate);
-            return Err(CoordinatorError::OtherCandidate { saved, given });
+        if self.candidate != plan.candidate && !self.phase.has_ended() {
+            let (saved, requested) = (self.candidate, plan.candidate);
+            return Err(CoordinatorError::OtherCandidate { saved, requested });
         }
         if self.stage >= plan.stages.len() {
-            return Err(CoordinatorError::NoSuchStage { stage: self.stage + 1 });
+            return Err(CoordinatorError::UnknownStage { stage: self.stage + 1 });
         }
         Ok(())
     }
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -28,28 +28,30 @@
 
 /// Servers changed at the end of a stage, those of the stages before included.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Size {
+pub enum StageSize {
     /// A number of servers, above 0.
     Servers(u32),
     /// Share of the servers, above 0 and at most 1; at least one server.
     Share(f64),
 }
 
-impl Size {
+impl StageSize {
     /// The number of servers out of all of them.
-    pub fn of(self, servers: usize) -> usize {
+    pub fn server_count(self, servers: usize) -> usize {
         match self {
-            Size::Servers(count) => (count as usize).min(servers),
-            Size::Share(share) => ((servers as f64 * share).ceil() as usize).clamp(1, servers.max(1)),
+            StageSize::Servers(count) => (count as usize).min(servers),
+            StageSize::Share(share) => ((servers as f64 * share).ceil() as usize).clamp(1, servers.max(1)),
         }
     }
 
     /// Whether it is larger than the size before; a number and a share are not compared.
-    fn exceeds(self, before: Size) -> bool {
+    fn exceeds(self, before: StageSize) -> bool {
         match (before, self) {
-            (Size::Servers(before), Size::Servers(now)) => now > before,
-            (Size::Share(before), Size::Share(now)) => now > before,
-            (Size::Servers(_), Size::Share(_)) | (Size::Share(_), Size::Servers(_)) => true,
+            (StageSize::Servers(before), StageSize::Servers(now)) => now > before,
+            (StageSize::Share(before), StageSize::Share(now)) => now > before,
+            (StageSize::Servers(_), StageSize::Share(_)) | (StageSize::Share(_), StageSize::Servers(_)) => {
+                true
+            }
         }
     }
 }
@@ -58,7 +60,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Stage {
     /// Servers changed at the end of the stage.
-    pub size: Size,
+    pub size: StageSize,
     /// How long the changed servers are compared before the next stage, in nanoseconds.
     pub bake_time: Nanos,
 }
@@ -95,7 +97,7 @@
 
 impl Thresholds {
     /// The threshold of a metric, in the metric's own unit.
-    pub fn least_difference(&self, metric: Metric) -> f64 {
+    pub fn min_difference(&self, metric: Metric) -> f64 {
         match metric {
             Metric::Throttled => self.throttled,
             Metric::Errored => self.errored,
@@ -215,12 +217,12 @@
         share: f64,
     },
     /// The bake time has too few intervals for a comparison.
-    #[error("bake-ms: at least {INTERVALS_MIN} intervals, {least_ms}, not {given_ms}")]
+    #[error("bake-ms: at least {INTERVALS_MIN} intervals, {min_ms}, not {bake_time_ms}")]
     BakeTime {
         /// The least bake time, in milliseconds.
-        least_ms: u64,
+        min_ms: u64,
         /// The bake time given, in milliseconds.
-        given_ms: u64,
+        bake_time_ms: u64,
     },
     /// The stage is not larger than the one before.
     #[error("not larger than the one before")]
@@ -251,14 +253,16 @@
     fn check_stage(&self, index: usize) -> Result<(), StageError> {
         let stage = &self.stages[index];
         match stage.size {
-            Size::Servers(0) => return Err(StageError::NoServers),
-            Size::Share(share) if !(share > 0.0 && share <= 1.0) => return Err(StageError::Share { share }),
-            Size::Servers(_) | Size::Share(_) => {}
+            StageSize::Servers(0) => return Err(StageError::NoServers),
+            StageSize::Share(share) if !(share > 0.0 && share <= 1.0) => {
+                return Err(StageError::Share { share });
+            }
+            StageSize::Servers(_) | StageSize::Share(_) => {}
         }
         let least = self.interval.saturating_mul(INTERVALS_MIN as u64);
         if stage.bake_time < least {
-            let (least_ms, given_ms) = (least / MILLISECOND_NS, stage.bake_time / MILLISECOND_NS);
-            return Err(StageError::BakeTime { least_ms, given_ms });
+            let (min_ms, bake_time_ms) = (least / MILLISECOND_NS, stage.bake_time / MILLISECOND_NS);
+            return Err(StageError::BakeTime { min_ms, bake_time_ms });
         }
         let before = index.checked_sub(1).map(|before| self.stages[before].size);
         if before.is_some_and(|before| !stage.size.exceeds(before)) {
@@ -268,7 +272,7 @@
     }
 
     /// Verdicts asked for in a stage: one an interval once there are enough intervals.
-    pub fn verdicts(&self, stage: usize) -> usize {
+    pub fn planned_verdicts(&self, stage: usize) -> usize {
         let intervals = (self.stages[stage].bake_time / self.interval) as usize;
         intervals.saturating_sub(INTERVALS_MIN) + 1
     }
--- a/crates/rollout/tests/rollouts.rs
+++ b/crates/rollout/tests/rollouts.rs
@@ -4,7 +4,7 @@
 
 use meadowstream_rollout::coordinator::{Action, Coordinator, FleetView, PersistedState, Phase};
 use meadowstream_rollout::metrics::IntervalMetrics;
-use meadowstream_rollout::plan::{ChangeKind, OnRegression, Plan, Size, Stage, Thresholds};
+use meadowstream_rollout::plan::{ChangeKind, OnRegression, Plan, Stage, StageSize, Thresholds};
 use meadowstream_rollout::wire::{self, Order, Report};
 use proptest::prelude::*;
 use rand_chacha::ChaCha8Rng;
@@ -70,10 +70,10 @@
         candidate: CANDIDATE,
         kind: ChangeKind::Settings,
         stages: vec![
-            stage(Size::Servers(1), 40),
-            stage(Size::Share(0.1), 40),
-            stage(Size::Share(0.5), 40),
-            stage(Size::Share(1.0), 20),
+            stage(StageSize::Servers(1), 40),
+            stage(StageSize::Share(0.1), 40),
+            stage(StageSize::Share(0.5), 40),
+            stage(StageSize::Share(1.0), 20),
         ],
         on_regression: OnRegression::RollBack,
         thresholds: Thresholds::default(),
@@ -239,7 +239,7 @@
     fn play(&mut self, coordinator: &mut Coordinator, intervals: usize) -> Phase {
         for _ in 0..intervals {
             self.step(coordinator);
-            if coordinator.state().phase.is_over() {
+            if coordinator.state().phase.has_ended() {
                 break;
             }
         }
@@ -501,11 +501,11 @@
     assert_eq!(fleet.servers.iter().filter(|server| server.adopted).count(), 1);
 }
 
-#[test_case(|p| p.stages[1].size = Size::Share(0.0), "stage 2: share: 0 is not above 0 and at most 1")]
-#[test_case(|p| p.stages[2].size = Size::Share(1.5), "stage 3: share: 1.5 is not above 0 and at most 1")]
-#[test_case(|p| p.stages[0].size = Size::Servers(0), "stage 1: servers: 0 changes nothing")]
+#[test_case(|p| p.stages[1].size = StageSize::Share(0.0), "stage 2: share: 0 is not above 0 and at most 1")]
+#[test_case(|p| p.stages[2].size = StageSize::Share(1.5), "stage 3: share: 1.5 is not above 0 and at most 1")]
+#[test_case(|p| p.stages[0].size = StageSize::Servers(0), "stage 1: servers: 0 changes nothing")]
 #[test_case(|p| p.stages[3].bake_time = 0, "stage 4: bake-ms: at least 6 intervals, 6000")]
-#[test_case(|p| p.stages[2].size = Size::Share(0.1), "stage 3: not larger than the one before")]
+#[test_case(|p| p.stages[2].size = StageSize::Share(0.1), "stage 3: not larger than the one before")]
 #[test_case(|p| p.stages.clear(), "stage: 1 to 32 of them, not 0")]
 #[test_case(|p| p.thresholds.alpha = 0.5, "alpha: 0.5 is not above 0 and at most 0.2")]
 #[test_case(|p| p.thresholds.late = f64::NAN, "throttled, errored, late: above 0")]
--- a/crates/server/src/fleet/coordinator.rs
+++ b/crates/server/src/fleet/coordinator.rs
@@ -88,7 +88,7 @@
 /// Asks the coordinator, the one that runs or the next that goes on from the state, to roll back.
 pub fn abort(state: &Path) -> Result<()> {
     let saved = read_state(state)?.with_context(|| format!("{}: nothing has begun", state.display()))?;
-    ensure!(!saved.phase.is_over(), "the plan has ended already: {}", said(&saved.phase));
+    ensure!(!saved.phase.has_ended(), "the plan has ended already: {}", said(&saved.phase));
     files::write(&abort_of(state), b"abort\n").context("cannot write")?;
     println!("the coordinator will roll back; one that does not run does so when it is started again");
     Ok(())
@@ -123,7 +123,7 @@
     let alone = rustix::fs::flock(&lock, rustix::fs::FlockOperation::NonBlockingLockExclusive);
     ensure!(alone.is_ok(), "{}: another coordinator goes by this state", given.state.display());
     let saved = read_state(&given.state)?;
-    if let Some(ended) = saved.as_ref().filter(|saved| saved.phase.is_over()) {
+    if let Some(ended) = saved.as_ref().filter(|saved| saved.phase.has_ended()) {
         let (state, said) = (given.state.display(), said(&ended.phase));
         bail!("this plan has ended ({said}); remove {state} to begin it anew");
     }
@@ -181,7 +181,7 @@
                 self.next_interval = now + self.interval;
                 self.handle_interval(now, has_lease)?;
             }
-            if self.coordinator.state().phase.is_over() {
+            if self.coordinator.state().phase.has_ended() {
                 // The last orders go out before it leaves.
                 self.joined.turn(self.joined.now()).await;
                 self.joined.leave().await;
