--- a/crates/rollout/src/baseline.rs
+++ b/crates/rollout/src/baseline.rs
@@ -1,24 +1,24 @@
-//! The baseline of each server: the mean of each metric before the change. Servers differ from each other for
-//! good, so each one's values are compared less its own baseline.
+//! Baseline of each server: the mean of each metric before the change. Servers differ permanently from each
+//! other, so the comparison subtracts each server's baseline from its values.
 
 use crate::metrics::{IntervalMetrics, Metric, Series, values};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Intervals that a server's baseline requires before a change begins.
+/// Number of intervals that each server's baseline must contain before the change begins.
 pub const BASELINE_INTERVALS_MIN: usize = 20;
-/// Values that a mean and its variance require.
+/// Least number of values for which a mean and its variance are computed.
 const VALUES_MIN: u32 = 3;
 
-/// The baselines of all servers. They are part of the coordinator's state file, whose names the attributes
-/// keep.
+/// Baselines of all servers, serialized into the coordinator's state file. The `serde` attributes keep the
+/// field names of that file.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Baselines {
     #[serde(rename = "of")]
     by_server: BTreeMap<String, Vec<SeriesSums>>,
 }
 
-/// Sums over the intervals of one server, for one class and metric.
+/// Running sums for one server, class and metric, one value per interval.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct SeriesSums {
     class: String,
@@ -35,41 +35,42 @@
     }
 }
 
-/// The baseline of one server for one class and metric.
+/// Baseline of one server for one class and metric.
 #[derive(Clone, Copy)]
 pub(crate) struct Baseline {
     pub(crate) mean: f64,
-    /// Variance of the mean, not of the values: the square of its standard error.
+    /// Variance of the mean rather than of the values, that is, the square of the standard error.
     pub(crate) mean_variance: f64,
 }
 
 impl Baselines {
-    /// Adds an interval of a server to its baseline.
+    /// Adds one interval of a server to the server's baseline.
     pub fn add(&mut self, server: &str, interval: &[IntervalMetrics]) {
-        let all = self.by_server.entry(server.to_string()).or_default();
+        let server_sums = self.by_server.entry(server.to_string()).or_default();
         for (series, value) in values(interval) {
-            let index = all.iter().position(|sums| sums.is_of(&series)).unwrap_or_else(|| {
-                all.push(SeriesSums {
+            let index = server_sums.iter().position(|sums| sums.is_of(&series)).unwrap_or_else(|| {
+                server_sums.push(SeriesSums {
                     class: series.class,
                     metric: Some(series.metric),
                     ..SeriesSums::default()
                 });
-                all.len() - 1
+                server_sums.len() - 1
             });
-            let sums = &mut all[index];
+            let sums = &mut server_sums[index];
             sums.sum += value;
             sums.sum_of_squares += value * value;
             sums.count += 1;
         }
     }
 
-    /// Intervals known of a server, of the class and metric that it has most of.
+    /// Number of intervals in a server's baseline, for the class and metric with the most values.
     pub fn intervals(&self, server: &str) -> usize {
-        let all = self.by_server.get(server).into_iter().flatten();
-        all.map(|sums| sums.count).max().unwrap_or(0) as usize
+        let server_sums = self.by_server.get(server).into_iter().flatten();
+        server_sums.map(|sums| sums.count).max().unwrap_or(0) as usize
     }
 
-    /// The baseline of a server; `None` with too few values.
+    /// Returns the baseline of a server for a class and metric, or `None` with fewer than [`VALUES_MIN`]
+    /// values.
     pub(crate) fn get(&self, server: &str, series: &Series) -> Option<Baseline> {
         let sums = self.by_server.get(server)?.iter().find(|sums| sums.is_of(series))?;
         if sums.count < VALUES_MIN {
--- a/crates/rollout/src/canary.rs
+++ b/crates/rollout/src/canary.rs
@@ -1,17 +1,19 @@
-//! The canary verdict: whether the changed servers do worse than the others in the same intervals.
+//! The canary verdict: whether the changed servers perform worse than the unchanged ones in the same
+//! intervals.
 //!
-//! Each interval gives one value of each server, class and metric, less the server's baseline. The values of
-//! both groups are compared by [`crate::rank_test`], over all intervals and over the busier half of them,
-//! since a change may do worse only under load. Two things bound the chance of a false stop in a stage by the
-//! plan's `alpha`, as far as the test's own p-values hold:
+//! Each interval yields one value per server, class and metric, minus the server's baseline.
+//! [`crate::rank_test`] compares the values of both groups, once over all intervals and once over the half
+//! with the most answers, since a change may perform worse only under load. Two measures limit the
+//! probability of a false stop in a stage to the plan's `alpha`, as far as the p-values of the test are
+//! correct:
 //!
-//! - it is divided among all comparisons of a stage (Bonferroni): one an interval, for each class and metric,
-//!   over all intervals and over the busier half;
-//! - a difference below the plan's thresholds is none, however certain.
+//! - `alpha` is divided by the number of comparisons in a stage (Bonferroni correction): per interval, class
+//!   and metric there is one over all intervals and one over the busier half;
+//! - a difference below the plan's thresholds is ignored, however small its p-value.
 //!
-//! The division is by the verdicts planned. Where intervals come sooner than the plan's, a stage may ask for
-//! up to four times as many, and its bound is four times `alpha`; and a coordinator that is started again
-//! bakes the stage anew, with the whole of `alpha`.
+//! The divisor counts the planned verdicts. If servers report more often than once per planned interval, a
+//! stage may evaluate up to four times as many verdicts, and the limit is then four times `alpha`. A
+//! restarted coordinator bakes the current stage again with the full `alpha`.
 
 use crate::baseline::Baselines;
 use crate::metrics::{IntervalMetrics, Metric, Series, values};
@@ -20,39 +22,39 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// The comparisons that one class and metric has at each verdict: all intervals, and the busier half.
+/// Comparisons per class and metric at each verdict: one over all intervals and one over the busier half.
 const COMPARISONS_PER_SERIES: usize = 2;
 
-/// What a stage has seen so far.
+/// Values collected in one stage.
 #[derive(Clone, Debug, Default)]
 pub struct Canary {
     strata: BTreeMap<Series, Vec<Stratum>>,
-    /// The present interval, which joins the others when it is closed.
-    present: BTreeMap<Series, Stratum>,
+    /// Values of the current interval; [`Canary::close_interval`] moves them to `strata`.
+    current: BTreeMap<Series, Stratum>,
 }
 
-/// Whether a change does worse.
+/// Result of comparing the changed servers with the unchanged ones.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// Too few intervals with values of both groups.
+    /// Too few intervals have values of both groups.
     InsufficientData,
-    /// No difference that is both certain and large enough.
+    /// No difference is both statistically significant and above its threshold.
     Pass,
-    /// The changed servers do worse.
+    /// The changed servers perform worse.
     Regression {
-        /// The class of invocations.
+        /// Class of invocations in which the changed servers perform worse.
         class: String,
-        /// The metric that is worse.
+        /// Metric that is worse.
         metric: Metric,
-        /// By how much: a difference of shares, or of logarithms of the latency.
+        /// Difference between the groups: of shares, or of the logarithms of the latency.
         difference: f64,
-        /// Probability of such values by chance.
+        /// Probability that chance alone gives a difference as large as this.
         p_value: f64,
     },
 }
 
 impl Canary {
-    /// Adds a server's report to the present interval. Values without a baseline are left out.
+    /// Adds a server's report to the current interval. Values without a baseline are ignored.
     pub fn add(
         &mut self,
         server: &str,
@@ -62,9 +64,9 @@
     ) {
         for (series, value) in values(interval) {
             let Some(baseline) = baselines.get(server, &series) else { continue };
-            let of_class = interval.iter().filter(|metrics| metrics.class == series.class);
-            let answered = of_class.map(|metrics| metrics.answered).sum::<u64>();
-            let stratum = self.present.entry(series).or_default();
+            let same_class = interval.iter().filter(|metrics| metrics.class == series.class);
+            let answered = same_class.map(|metrics| metrics.answered).sum::<u64>();
+            let stratum = self.current.entry(series).or_default();
             stratum.answered += answered;
             if is_changed {
                 stratum.changed.push(value - baseline.mean);
@@ -75,27 +77,27 @@
         }
     }
 
-    /// Ends the present interval and keeps what can be compared of it.
+    /// Closes the current interval and keeps each class and metric that has values of both groups.
     pub fn close_interval(&mut self) {
-        for (series, stratum) in std::mem::take(&mut self.present) {
+        for (series, stratum) in std::mem::take(&mut self.current) {
             if !stratum.changed.is_empty() && !stratum.unchanged.is_empty() {
                 self.strata.entry(series).or_default().push(stratum);
             }
         }
     }
 
-    /// Ends the present interval without keeping anything of it.
+    /// Drops all values of the current interval.
     pub fn discard_interval(&mut self) {
-        self.present.clear();
+        self.current.clear();
     }
 
-    /// Intervals that can be compared, of the class and metric that has most of them.
+    /// Number of comparable intervals, for the class and metric with the most.
     pub fn intervals(&self) -> usize {
         self.strata.values().map(Vec::len).max().unwrap_or(0)
     }
 
-    /// The verdict by all closed intervals. `verdicts` is the number of verdicts planned for the stage, among
-    /// which `alpha` is divided.
+    /// Computes the verdict over all closed intervals. `verdicts` is the number of verdicts planned for the
+    /// stage; the significance level is `alpha` divided by the number of all their comparisons.
     pub fn verdict(&self, thresholds: &Thresholds, verdicts: usize) -> Verdict {
         let has_enough = |strata: &Vec<Stratum>| strata.len() >= INTERVALS_MIN;
         let series: Vec<_> = self.strata.iter().filter(|(_, strata)| has_enough(strata)).collect();
@@ -104,18 +106,18 @@
         }
         let comparisons = COMPARISONS_PER_SERIES * verdicts.max(1) * series.len();
         let significance = thresholds.alpha / comparisons as f64;
-        let mut most_certain: Option<(&Series, Comparison)> = None;
+        let mut most_significant: Option<(&Series, Comparison)> = None;
         for (series, strata) in series {
             for found in [compare(&strata.iter().collect::<Vec<_>>()), compare(&busier_half(strata))] {
                 let Some(found) = found else { continue };
                 let is_worse = found.p_value < significance
                     && found.difference > thresholds.min_difference(series.metric);
-                if is_worse && most_certain.is_none_or(|(_, known)| found.p_value < known.p_value) {
-                    most_certain = Some((series, found));
+                if is_worse && most_significant.is_none_or(|(_, known)| found.p_value < known.p_value) {
+                    most_significant = Some((series, found));
                 }
             }
         }
-        match most_certain {
+        match most_significant {
             None => Verdict::Pass,
             Some((series, Comparison { difference, p_value })) => Verdict::Regression {
                 class: series.class.clone(),
@@ -127,7 +129,7 @@
     }
 }
 
-/// The half of the intervals with most answers, and as many as a comparison requires.
+/// Returns the half of the intervals with the most answers, but at least [`INTERVALS_MIN`] of them.
 fn busier_half(strata: &[Stratum]) -> Vec<&Stratum> {
     let mut busier: Vec<&Stratum> = strata.iter().collect();
     busier.sort_by_key(|stratum| Reverse(stratum.answered));
--- a/crates/rollout/src/coordinator/baking.rs
+++ b/crates/rollout/src/coordinator/baking.rs
@@ -1,16 +1,16 @@
-//! Baking: the changed servers of a stage are compared with the others until the stage's time is over.
+//! Baking: comparing the changed servers of a stage with the unchanged ones until the bake time is over.
 
 use super::{Action, Coordinator, Interval, Phase};
 use crate::Nanos;
 use crate::canary::{Canary, Verdict};
 use crate::plan::{INTERVALS_MIN, OnRegression};
 
-/// Without enough values for a comparison a stage ends after so many bake times.
+/// A stage without enough values for a comparison ends after this many bake times.
 const INSUFFICIENT_DATA_FACTOR: Nanos = 3;
-/// No further verdict is asked for after so many times the planned ones, since each adds to the chance of a
-/// false stop. The planned ones are not passed while each comes with an interval of bake time; where
-/// intervals come sooner than the plan's, more are asked for, and the bound on a false stop is up to this
-/// many times the plan's `alpha`.
+/// No more verdicts are computed in a stage after this many times the planned number, since each verdict adds
+/// to the probability of a false stop. If each verdict takes one interval of bake time, the planned number is
+/// not exceeded. If servers report more often, more verdicts are computed, and the probability of a false
+/// stop is limited to this many times the plan's `alpha`.
 const VERDICTS_FACTOR: usize = 4;
 
 impl Coordinator {
@@ -39,7 +39,7 @@
                 let reason = format!("{class}: {metric:?} worse by {difference:.3} (p {p_value:.1e})");
                 self.stop_or_roll_back(interval.now, reason, actions);
             }
-            // Where every server is changed there is none left to compare with.
+            // If all servers are changed, no unchanged server is left to compare with.
             Verdict::InsufficientData if has_unchanged => {
                 if self.baked < bake_time.saturating_mul(INSUFFICIENT_DATA_FACTOR) {
                     self.notify(actions, &format!("stage {}: too few answers to compare", stage + 1));
@@ -51,7 +51,8 @@
         }
     }
 
-    /// Adds what servers did in the interval; while the view is not settled that is no sign of the change.
+    /// Adds to the canary the new intervals of the servers that comply with their orders. If the view is not
+    /// settled, the values are dropped, since a membership change may have caused any difference.
     fn add_to_canary(&mut self, interval: &Interval) {
         for new in self.take_new_intervals(interval.view) {
             if self.complies(&new.server) {
@@ -66,25 +67,25 @@
         }
     }
 
-    /// The verdict of this interval. Once [`VERDICTS_FACTOR`] times the planned ones have been asked for,
-    /// every further one is [`Verdict::Pass`] without a comparison: the stage then goes on by its bake time
-    /// and by failures alone.
+    /// Computes the verdict of this interval. After [`VERDICTS_FACTOR`] times the planned number of verdicts
+    /// it returns [`Verdict::Pass`] without a comparison, and only the bake time and failures then affect the
+    /// stage.
     fn next_verdict(&mut self) -> Verdict {
         let planned = self.plan.planned_verdicts(self.state.stage);
-        let may_ask = self.verdicts < VERDICTS_FACTOR * planned;
+        let may_compare = self.verdicts < VERDICTS_FACTOR * planned;
         if self.canary.intervals() >= INTERVALS_MIN {
             self.verdicts += 1;
         }
-        if may_ask { self.canary.verdict(&self.plan.thresholds, planned) } else { Verdict::Pass }
+        if may_compare { self.canary.verdict(&self.plan.thresholds, planned) } else { Verdict::Pass }
     }
 
-    /// Goes on to the next stage once the bake time is over.
+    /// Begins the next stage once the bake time is over, or ends the plan after the last stage.
     fn handle_no_regression(&mut self, interval: &Interval, actions: &mut Vec<Action>) {
         let stage = self.state.stage;
         let bake_time = self.plan.stages[stage].bake_time;
         if self.baked < bake_time {
-            let (baked, of) = (seconds(self.baked), seconds(bake_time));
-            self.notify(actions, &format!("stage {}: baked {baked:.0} of {of:.0} s", stage + 1));
+            let (baked, planned) = (seconds(self.baked), seconds(bake_time));
+            self.notify(actions, &format!("stage {}: baked {baked:.0} of {planned:.0} s", stage + 1));
         } else if stage + 1 < self.plan.stages.len() {
             self.begin_stage(interval.now, stage + 1, interval.view, actions);
         } else {
@@ -92,8 +93,8 @@
         }
     }
 
-    /// Stops or rolls back, as the plan has it: the changed servers do worse, a server fails or never
-    /// reports, or there were too few values for a comparison.
+    /// Stops or rolls back, as the plan specifies. The causes are a regression, a failed server, a server
+    /// that sends no reports, and too few values for a comparison.
     pub(super) fn stop_or_roll_back(&mut self, now: Nanos, reason: String, actions: &mut Vec<Action>) {
         match self.plan.on_regression {
             OnRegression::Stop => self.end(Phase::Stopped { reason }, actions),
--- a/crates/rollout/src/coordinator/compliance.rs
+++ b/crates/rollout/src/coordinator/compliance.rs
@@ -1,18 +1,18 @@
-//! Whether servers do as ordered, by their reports, and which one fails to.
+//! Compliance of servers with their orders, according to their reports, and detection of failed servers.
 
 use super::{Coordinator, FleetView, Interval};
 use crate::Nanos;
 use crate::metrics::IntervalMetrics;
 use crate::wire::Report;
 
-/// A server is silent when it has answered none of so many of the latest orders.
+/// A server counts as silent if its latest report answers an order more than this many orders old.
 const SILENT_ORDERS: u64 = 2;
 
 /// The latest report of a server.
 pub(super) struct ReceivedReport {
     pub(super) received_at: Nanos,
     pub(super) report: Report,
-    /// The last interval of the server that was taken into account.
+    /// Number of the server's last interval that [`Coordinator::take_new_intervals`] returned.
     last_interval: Option<u64>,
 }
 
@@ -22,14 +22,14 @@
     }
 }
 
-/// What a server did in an interval that has not been taken into account before.
+/// Metrics of a server for an interval that was not processed before.
 pub(super) struct NewInterval {
     pub(super) server: String,
     pub(super) metrics: Vec<IntervalMetrics>,
 }
 
 impl Coordinator {
-    /// Whether a server's latest report says that it runs what it is ordered to.
+    /// Whether the latest report of a server says that it runs the settings or program ordered.
     pub(super) fn complies(&self, server: &str) -> bool {
         let Some(received) = self.reports.get(server) else { return false };
         if self.state.changed.contains(server) {
@@ -39,20 +39,22 @@
         }
     }
 
-    /// Whether a server has reported within the response timeout.
+    /// Whether a report of the server arrived within the response timeout.
     pub(super) fn has_recent_report(&self, now: Nanos, server: &str) -> bool {
         let received = self.reports.get(server);
         received.is_some_and(|received| now.saturating_sub(received.received_at) < self.plan.response_timeout)
     }
 
-    /// Whether a server has answered none of the latest orders.
+    /// Whether a server has never reported, or its latest report answers an order more than [`SILENT_ORDERS`]
+    /// orders old.
     fn is_silent(&self, server: &str) -> bool {
         let answered = self.reports.get(server).map(|received| received.report.order_sequence);
         answered.is_none_or(|answered| answered + SILENT_ORDERS < self.order_sequence)
     }
 
-    /// Counts the time in which each server could have done as ordered and has not. While the view is not
-    /// settled a server may be unreachable, which is not counted, except on the way back.
+    /// Adds the interval to the overdue time of each server that does not comply with its order or is silent.
+    /// While the view is not settled, a server may be unreachable, and the time is not counted, except during
+    /// a rollback.
     pub(super) fn count_overdue(&mut self, interval: &Interval) {
         let is_counted = interval.is_settled || self.is_rolling_back();
         for server in &interval.view.alive {
@@ -64,7 +66,7 @@
         }
     }
 
-    /// Counts how long changed servers are missing from the view and no others.
+    /// Measures how long only changed servers have been missing from the view.
     pub(super) fn count_changed_missing(&mut self, interval: &Interval) {
         let missing = &interval.view.missing;
         let only_changed = missing.iter().all(|server| self.state.changed.contains(server));
@@ -75,12 +77,13 @@
         }
     }
 
-    /// The failure of a server that has been overdue for the response timeout, if there is one.
+    /// Returns a message on a failed server: one that has been overdue for the response timeout, or a changed
+    /// one that has been missing as long.
     pub(super) fn find_failure(&self, view: &FleetView) -> Option<String> {
         let timeout = self.plan.response_timeout;
         if self.changed_missing_for >= timeout {
-            // A partition takes servers of both kinds; where only changed ones are missing, the change is the
-            // likely cause.
+            // A partition affects changed and unchanged servers. If only changed ones are missing, the change
+            // is the likely cause.
             return Some(format!("{} gone since the change", view.missing.join(", ")));
         }
         let (server, _) = self.overdue.iter().find(|(_, overdue)| **overdue >= timeout)?;
@@ -91,7 +94,7 @@
         })
     }
 
-    /// What each server alive did in an interval that it has reported since the last call.
+    /// Returns the metrics of each alive server that has reported a new interval since the last call.
     pub(super) fn take_new_intervals(&mut self, view: &FleetView) -> Vec<NewInterval> {
         let mut new = Vec::new();
         for server in &view.alive {
--- a/crates/rollout/src/coordinator/mod.rs
+++ b/crates/rollout/src/coordinator/mod.rs
@@ -1,13 +1,13 @@
 //! The coordinator of one plan, a state machine without I/O or clock.
 //!
-//! [`Coordinator::handle_interval`] is called once an interval with the time, the fleet's view and whether
-//! the coordinator holds the lease on rollouts; [`Coordinator::handle_report`] with each report that arrives.
-//! The actions to carry out come back, in order: the state is saved before the first order that follows from
-//! it.
+//! The caller calls [`Coordinator::handle_interval`] once per interval, with the time, the fleet's view and
+//! whether the coordinator holds the rollout lease, and [`Coordinator::handle_report`] for each report
+//! received. Both the interval handler and [`Coordinator::handle_abort`] return actions, which the caller
+//! must carry out in order: a state is always saved before the first order that depends on it.
 //!
-//! An order says what a server is to run, not what to do: orders are the same until the stage changes, so
-//! that the next one makes up for a lost one. A coordinator that is started again from its saved state sends
-//! the same orders, and bakes the stage anew.
+//! An order names the settings or program that a server must run, rather than a step to take. Orders
+//! therefore stay the same until the stage changes, and the next order makes up for a lost one. A coordinator
+//! that restarts from its saved state sends the same orders and bakes the current stage again.
 
 mod baking;
 mod compliance;
@@ -24,21 +24,21 @@
 use compliance::ReceivedReport;
 use std::collections::BTreeMap;
 
-/// The fleet as the coordinator's own view has it.
+/// Membership of the fleet as seen by the coordinator.
 #[derive(Clone, Debug, Default)]
 pub struct FleetView {
-    /// Names of the servers alive.
+    /// Names of the alive servers.
     pub alive: Vec<String>,
-    /// Names of the servers suspect, or down and not yet forgotten.
+    /// Names of the servers that are suspect, or down and not yet removed from the view.
     pub missing: Vec<String>,
-    /// How long the view has not changed, in nanoseconds.
+    /// Time since the last change of the view, in nanoseconds.
     pub settled_for: Nanos,
 }
 
-/// What the caller is to carry out, in the order given.
+/// An action for the caller. Actions must be carried out in the order returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Write the state durably to disk before anything that follows is done.
+    /// Save the state durably to disk before carrying out any later action.
     Save(Box<PersistedState>),
     /// Send an order to a server.
     SendOrder {
@@ -54,32 +54,32 @@
     },
 }
 
-/// Why a coordinator cannot be made.
+/// An error on creating a coordinator.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum CoordinatorError {
-    /// The plan cannot be carried out.
+    /// The plan is invalid.
     #[error(transparent)]
     Plan(#[from] PlanError),
-    /// The saved state is that of another plan.
-    #[error("the state is that of plan {saved:?}, not {requested:?}")]
+    /// The saved state belongs to another plan.
+    #[error("the saved state belongs to plan {saved:?}, not {requested:?}")]
     OtherPlan {
-        /// Name of the plan in the state.
+        /// Name of the plan in the saved state.
         saved: String,
         /// Name of the requested plan.
         requested: String,
     },
-    /// The candidate changed while the plan was under way.
-    #[error("the candidate {requested:016x} is not the one that the plan began with, {saved:016x}")]
+    /// The candidate differs from the one that the plan began with.
+    #[error("the candidate is {requested:016x}, but the plan began with candidate {saved:016x}")]
     OtherCandidate {
-        /// Hash of the candidate in the state.
+        /// Hash of the candidate in the saved state.
         saved: u64,
         /// Hash of the requested candidate.
         requested: u64,
     },
-    /// The plan has fewer stages than the saved state has begun.
-    #[error("the state is at stage {stage}, which the plan has not")]
+    /// The plan has fewer stages than the saved state has already begun.
+    #[error("the saved state is at stage {stage}, which the plan does not have")]
     UnknownStage {
-        /// Number of the stage in the state, from 1.
+        /// Number of the stage in the saved state, from 1.
         stage: usize,
     },
 }
@@ -87,39 +87,46 @@
 /// The coordinator of one plan.
 pub struct Coordinator {
     plan: Plan,
-    /// This coordinator's start in nanoseconds since the epoch.
+    /// Start time of this coordinator, in nanoseconds since the Unix epoch.
     incarnation: u64,
-    /// Number of the last order.
+    /// Sequence number of the last order.
     order_sequence: u64,
     state: PersistedState,
+    /// Time at which the current phase began.
     phase_began: Nanos,
-    /// Bake time that has counted in the present stage.
+    /// Time of the current stage that counts as baked.
     baked: Nanos,
-    /// Verdicts of the present stage for which there were enough intervals, those beyond the bound included.
+    /// Number of verdicts in the current stage that had enough intervals, including those skipped after the
+    /// limit.
     verdicts: usize,
+    /// Values collected in the current stage.
     canary: Canary,
-    /// How long each server has not done as ordered; time without lease or a settled view does not count.
+    /// Time for which each server has not complied with its orders. Time without the lease is not counted,
+    /// nor is time without a settled view, except during a rollback.
     overdue: BTreeMap<String, Nanos>,
-    /// How long changed servers have been missing from the view, and no others.
+    /// Time for which changed servers, and no others, have been missing from the view.
     changed_missing_for: Nanos,
     /// The latest report of each server.
     reports: BTreeMap<String, ReceivedReport>,
+    /// Time of the last call of [`Coordinator::handle_interval`].
     last_interval: Option<Nanos>,
+    /// The last message shown to the operator.
     last_message: String,
 }
 
-/// What is known at the end of an interval.
+/// Inputs at the end of an interval.
 struct Interval<'a> {
     now: Nanos,
-    /// Time since the interval before.
+    /// Time since the end of the previous interval.
     elapsed: Nanos,
     view: &'a FleetView,
-    /// Whether the view is complete and has not changed for long enough.
+    /// Whether no server is missing and the view has not changed for the settle time.
     is_settled: bool,
 }
 
 impl Coordinator {
-    /// Continues from the saved state of the same plan, or begins the plan.
+    /// Creates a coordinator that continues from the saved state of the plan, or begins the plan if `saved`
+    /// is `None`.
     pub fn new(
         plan: Plan,
         saved: Option<PersistedState>,
@@ -146,13 +153,13 @@
         })
     }
 
-    /// The present state, as it is saved.
+    /// Returns the current state, in the form in which it is saved.
     pub fn state(&self) -> &PersistedState {
         &self.state
     }
 
-    /// Handles a server's report. One that answers no order sent so far, or is not later than the latest of
-    /// that server, is dropped.
+    /// Handles a report of a server. Ignores a report with too many classes, and one whose order number has
+    /// not been used yet or is not higher than that of the server's latest report.
     pub fn handle_report(&mut self, now: Nanos, server: &str, report: Report) {
         let answers_an_order = (1..=self.order_sequence).contains(&report.order_sequence);
         if !answers_an_order || report.classes.len() > CLASSES_MAX {
@@ -167,7 +174,7 @@
         }
     }
 
-    /// Handles the operator's request to abort: the change is rolled back.
+    /// Handles the operator's request to abort by rolling back the change.
     pub fn handle_abort(&mut self, now: Nanos) -> Vec<Action> {
         let mut actions = Vec::new();
         if !self.state.phase.has_ended() && !self.is_rolling_back() {
@@ -185,11 +192,11 @@
             return actions;
         }
         if !has_lease {
-            // Another coordinator may hold the lease, and only its holder may order servers.
+            // Another coordinator may hold the lease, and only the holder may send orders.
             self.canary.discard_interval();
             self.notify(
                 &mut actions,
-                "waits for the lease on rollouts: another plan holds it, or no majority is heard",
+                "waits for the lease on rollouts: another plan holds it, or no majority is reachable",
             );
             return actions;
         }
@@ -211,7 +218,8 @@
         actions
     }
 
-    /// Orders each server in the view, those missing included, which may only be unreachable from here.
+    /// Sends an order to each server in the view, including missing servers, since a missing server may only
+    /// be unreachable for this coordinator.
     fn send_orders(&mut self, view: &FleetView, actions: &mut Vec<Action>) {
         self.order_sequence += 1;
         for server in view.alive.iter().chain(&view.missing) {
@@ -231,12 +239,12 @@
         matches!(self.state.phase, Phase::RollingBack { .. })
     }
 
-    /// Saves the state before what follows from it.
+    /// Adds the action that saves the state; called before adding any action that depends on that state.
     fn save(&self, actions: &mut Vec<Action>) {
         actions.push(Action::Save(Box::new(self.state.clone())));
     }
 
-    /// Shows a message to the operator unless it was the last one shown.
+    /// Shows a message to the operator, unless it equals the last one shown.
     fn notify(&mut self, actions: &mut Vec<Action>, message: &str) {
         if self.last_message != message {
             self.last_message = message.to_string();
--- a/crates/rollout/src/coordinator/rollback.rs
+++ b/crates/rollout/src/coordinator/rollback.rs
@@ -1,13 +1,13 @@
-//! The way back, and the end of a plan.
+//! Rolling back a change, and the end of a plan.
 
 use super::{Action, Coordinator, Interval, Phase};
 use crate::Nanos;
 
-/// The way back ends after so many response timeouts, whoever has not confirmed it.
+/// A rollback ends after this many response timeouts, even if some servers have not confirmed it.
 const ROLLBACK_TIMEOUT_FACTOR: Nanos = 2;
 
 impl Coordinator {
-    /// Orders every server back from now on.
+    /// Begins the rollback: from now on every server is ordered to run its own settings or program.
     pub(super) fn roll_back(&mut self, now: Nanos, reason: String, actions: &mut Vec<Action>) {
         self.state.changed.clear();
         self.state.phase = Phase::RollingBack { reason: reason.clone() };
@@ -17,8 +17,8 @@
         self.notify(actions, &format!("rolls back: {reason}"));
     }
 
-    /// Ends the way back when every server in the view has confirmed it, or after the timeout. A server that
-    /// is missing is ordered back when it returns in time.
+    /// Ends the rollback once every server in the view has confirmed it, or after the timeout. A missing
+    /// server that returns before the end still gets the order.
     pub(super) fn handle_rolling_back(
         &mut self,
         interval: &Interval,
@@ -27,7 +27,8 @@
     ) {
         let view = interval.view;
         let servers = view.alive.iter().chain(&view.missing);
-        let unconfirmed: Vec<String> = servers.filter(|server| !self.is_back(server)).cloned().collect();
+        let unconfirmed: Vec<String> =
+            servers.filter(|server| !self.has_confirmed_rollback(server)).cloned().collect();
         let timeout = self.plan.response_timeout.saturating_mul(ROLLBACK_TIMEOUT_FACTOR);
         let is_timed_out = interval.now.saturating_sub(self.phase_began) >= timeout;
         if unconfirmed.is_empty() || is_timed_out {
@@ -35,13 +36,13 @@
         }
     }
 
-    /// Whether a server has reported since the way back began that it does not run the change.
-    fn is_back(&self, server: &str) -> bool {
+    /// Whether a server has reported since the rollback began that it does not run the change.
+    fn has_confirmed_rollback(&self, server: &str) -> bool {
         let received = self.reports.get(server);
-        received.is_some_and(|one| one.received_at > self.phase_began && !one.report.adopted)
+        received.is_some_and(|latest| latest.received_at > self.phase_began && !latest.report.adopted)
     }
 
-    /// Ends the plan in a phase for which [`Phase::has_ended`] holds; callers pass no other.
+    /// Ends the plan with a final phase. `phase` must be one for which [`Phase::has_ended`] is true.
     pub(super) fn end(&mut self, phase: Phase, actions: &mut Vec<Action>) {
         let message = match &phase {
             Phase::Done => "done: all stages went through".to_string(),
--- a/crates/rollout/src/coordinator/stages.rs
+++ b/crates/rollout/src/coordinator/stages.rs
@@ -1,4 +1,4 @@
-//! Waiting for the baselines, the choice of a stage's servers, and the change applied on them.
+//! Measuring the baselines, choosing the servers of a stage, and applying the change to them.
 
 use super::{Action, Coordinator, FleetView, Interval, Phase};
 use crate::Nanos;
@@ -8,27 +8,28 @@
 use std::hash::{Hash, Hasher};
 
 impl Coordinator {
-    /// Learns the baselines, and begins the first stage once each server has one and runs its own settings.
+    /// Adds new intervals to the baselines. Begins the first stage once each server has a complete baseline
+    /// and runs its own settings or program.
     pub(super) fn handle_waiting(&mut self, interval: &Interval, actions: &mut Vec<Action>) {
         let view = interval.view;
         if !interval.is_settled {
-            return self.notify(actions, "waits until the fleet's view stands");
+            return self.notify(actions, "waits for the fleet's view to settle");
         }
         for new in self.take_new_intervals(view) {
             self.state.baselines.add(&new.server, &new.metrics);
         }
         if let Some(reason) = self.find_failure(view) {
-            // Nothing has been changed yet, so there is nothing to roll back.
+            // No server has been changed yet, so no rollback is necessary.
             return self.end(Phase::Stopped { reason }, actions);
         }
         let has_baseline = |server: &String| self.state.baselines.intervals(server) >= BASELINE_INTERVALS_MIN;
         if !view.alive.iter().all(|server| self.complies(server) && has_baseline(server)) {
-            return self.notify(actions, "learns what the servers do without the change");
+            return self.notify(actions, "measures the baseline of each server");
         }
         self.begin_stage(interval.now, 0, view, actions);
     }
 
-    /// Chooses the servers of a stage and saves them before they are ordered to the change.
+    /// Begins a stage: chooses its servers, and saves them before the first order to apply the change.
     pub(super) fn begin_stage(
         &mut self,
         now: Nanos,
@@ -60,8 +61,8 @@
         self.notify(actions, &message);
     }
 
-    /// Servers to change beside those that are changed already, in an order that depends on the plan's name,
-    /// so that two plans do not begin with the same server.
+    /// Chooses unchanged servers until `size` servers are changed. Their order depends on the plan's name, so
+    /// that different plans rarely begin with the same server.
     fn choose_servers(&self, size: usize, view: &FleetView) -> Vec<String> {
         let is_unchanged = |server: &&String| !self.state.changed.contains(*server);
         let mut unchanged: Vec<String> = view.alive.iter().filter(is_unchanged).cloned().collect();
@@ -70,10 +71,10 @@
         unchanged
     }
 
-    /// Begins to bake once all servers have reported that they do as ordered.
+    /// Begins baking once all servers have reported that they comply with their orders.
     pub(super) fn handle_applying(&mut self, interval: &Interval, actions: &mut Vec<Action>) {
         let view = interval.view;
-        // Intervals that ended before the stage bakes are not compared.
+        // Intervals that ended before baking began are not compared.
         self.take_new_intervals(view);
         if let Some(reason) = self.find_failure(view) {
             return self.stop_or_roll_back(interval.now, reason, actions);
@@ -95,7 +96,7 @@
     }
 }
 
-/// Position of a server in the order in which a plan changes them.
+/// Hash that determines the order in which a plan changes its servers.
 fn rank(plan: &str, server: &str) -> u64 {
     let mut hasher = SipHasher13::new();
     (plan, server).hash(&mut hasher);
--- a/crates/rollout/src/coordinator/state.rs
+++ b/crates/rollout/src/coordinator/state.rs
@@ -1,5 +1,5 @@
-//! The coordinator's state file: what a coordinator needs to continue a plan. The names in the file are those
-//! that the attributes give.
+//! State file of the coordinator, from which it continues a plan after a restart. The `serde` attributes keep
+//! the names used in the file.
 
 use super::CoordinatorError;
 use crate::baseline::Baselines;
@@ -10,32 +10,32 @@
 /// Phase of a plan.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Phase {
-    /// Waits for the lease, a settled view and the baseline of each server.
+    /// Waiting for the lease, a settled view and the baseline of each server.
     Waiting,
-    /// The servers of the stage are ordered to the change; not all have reported it.
+    /// The servers of the stage are ordered to apply the change; not all have reported that they run it.
     Applying,
-    /// The changed servers are compared with the others.
+    /// The changed servers are compared with the unchanged ones.
     Baking,
-    /// Every server is ordered back.
+    /// Every server is ordered to run its own settings or program again.
     RollingBack {
-        /// Why the change is rolled back.
+        /// Reason for the rollback.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// Ended: all stages went through.
+    /// Ended: all stages are complete.
     Done,
-    /// Ended: the servers changed so far stay changed.
+    /// Ended: the servers changed so far keep the change.
     Stopped {
-        /// Why the plan was stopped.
+        /// Reason for the stop.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// Ended: the servers were ordered back.
+    /// Ended: the change was rolled back.
     RolledBack {
-        /// Why the change was rolled back.
+        /// Reason for the rollback.
         #[serde(rename = "why")]
         reason: String,
-        /// Servers that have not reported that they went back.
+        /// Names of the servers that have not confirmed the rollback.
         #[serde(rename = "left")]
         unconfirmed: Vec<String>,
     },
@@ -48,25 +48,25 @@
     }
 }
 
-/// The state that a coordinator continues from.
+/// State that a restarted coordinator continues from.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PersistedState {
     /// Name of the plan.
     pub plan: String,
-    /// Hash of the settings or program of the change.
+    /// Hash of the new settings or program.
     pub candidate: u64,
-    /// Phase of the plan.
+    /// Current phase of the plan.
     pub phase: Phase,
-    /// Index of the present stage, from 0.
+    /// Index of the current stage, from 0.
     pub stage: usize,
-    /// Names of the servers that are to run the change.
+    /// Names of the servers that are ordered to run the change.
     pub changed: BTreeSet<String>,
-    /// What each server did before the change.
+    /// Baselines of the servers, measured before the change.
     pub baselines: Baselines,
 }
 
 impl PersistedState {
-    /// The state of a plan that has not begun.
+    /// Creates the state of a plan that has not begun.
     pub(super) fn new(plan: &Plan) -> PersistedState {
         PersistedState {
             plan: plan.name.clone(),
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Whether the plan can be continued from this state.
+    /// Checks that the plan can continue from this state.
     pub(super) fn check_belongs_to(&self, plan: &Plan) -> Result<(), CoordinatorError> {
         if self.plan != plan.name {
             let (saved, requested) = (self.plan.clone(), plan.name.clone());
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,16 +1,17 @@
-//! A change rolled out over a fleet in stages, without I/O: time (whole nanoseconds), the fleet's view and
-//! servers' reports go in; orders for the servers, and the state to be saved before they are sent, come out.
+//! Rolls out a change over a fleet in stages, without I/O. Inputs are the time in nanoseconds, the fleet's
+//! view and the servers' reports; outputs are orders for the servers, and the state to save before those
+//! orders are sent.
 //!
-//! - [`plan`]: the plan of a rollout: stages, bake times, thresholds.
-//! - [`coordinator`]: the state machine that carries out a plan. Each interval it orders every server to the
-//!   settings or program it is to run, so that a lost, doubled or late order does no harm, and a coordinator
-//!   that is started again continues from its saved state.
-//! - [`canary`]: the verdict whether changed servers do worse than the others in the same intervals, by the
-//!   [`metrics`] they report, the [`baseline`] of each server and a [`rank_test`].
-//! - [`version_table`]: what each server runs, known to every server.
-//! - [`wire`]: orders and reports as bytes.
+//! - [`plan`]: the plan of a rollout: stages, bake times and thresholds.
+//! - [`coordinator`]: the state machine that carries out a plan. In each interval it orders every server to
+//!   run certain settings or a certain program, so that a lost, duplicated or late order does no harm, and a
+//!   restarted coordinator continues from its saved state.
+//! - [`canary`]: the canary verdict: a comparison of changed and unchanged servers over the same intervals,
+//!   based on the [`metrics`] they report, the [`baseline`] of each server and a [`rank_test`].
+//! - [`version_table`]: the program version and settings of each server, replicated to every server.
+//! - [`wire`]: encoding of orders and reports.
 //!
-//! `docs/rollout.md` has the design, the alternatives and what was measured.
+//! Design, alternatives and measurements: `docs/rollout.md`.
 #![deny(missing_docs, clippy::too_many_lines)]
 
 pub mod baseline;
@@ -22,5 +23,5 @@
 pub mod version_table;
 pub mod wire;
 
-/// Nanoseconds by the caller's clock, which does not go back.
+/// Time in nanoseconds on the caller's monotonic clock.
 pub type Nanos = u64;
--- a/crates/rollout/src/metrics.rs
+++ b/crates/rollout/src/metrics.rs
@@ -1,45 +1,45 @@
-//! What a server did in one interval, and the values by which servers are compared.
+//! Metrics that a server reports for an interval, and the values derived from them for comparing servers.
 
 use serde::{Deserialize, Serialize};
 
-/// What one server did in one interval for one class of invocations.
+/// Metrics of one server for one class of invocations in one interval.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IntervalMetrics {
-    /// Name of the class: an operation.
+    /// Name of the class, which is the name of an operation.
     pub class: String,
-    /// Invocations answered, however.
+    /// Invocations answered, whatever the outcome.
     pub answered: u64,
-    /// Of those answered, rejected by admission control.
+    /// Answered invocations that admission control rejected.
     pub throttled: u64,
-    /// Of those answered, failed.
+    /// Answered invocations that failed.
     pub errored: u64,
-    /// Of those answered, answered after the client timeout.
+    /// Answered invocations whose answer followed after the client timeout.
     pub late: u64,
-    /// 95th percentile of the latency of those that succeeded, in microseconds; 0 where none did.
+    /// 95th percentile of the latency of the successful invocations, in microseconds; 0 without any.
     pub p95_us: u64,
 }
 
-/// Answers of a class in an interval below which their shares are left out.
+/// Least number of answers of a class in an interval for which shares are computed.
 const ANSWERS_MIN: u64 = 5;
 
-/// A value by which servers are compared. A larger one is worse.
+/// A metric for comparing servers. A larger value is worse.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Metric {
-    /// Share of answers throttled.
+    /// Share of answers that are rejections by admission control.
     Throttled,
-    /// Share of answers errored.
+    /// Share of answers that are failures.
     Errored,
-    /// Share of answers late.
+    /// Share of answers sent after the client timeout.
     Late,
-    /// Logarithm of the 95th percentile of latency, so that differences are ratios.
+    /// Logarithm of the 95th percentile of latency, so that differences express ratios.
     Latency,
 }
 
 impl Metric {
-    /// Every metric.
+    /// All metrics.
     pub const ALL: [Metric; 4] = [Metric::Throttled, Metric::Errored, Metric::Late, Metric::Latency];
 
-    /// The metric's value in an interval; `None` where there is too little to say.
+    /// Returns the metric's value in an interval, or `None` with too few answers or no latency.
     fn value(self, metrics: &IntervalMetrics) -> Option<f64> {
         let count = match self {
             Metric::Throttled => metrics.throttled,
@@ -51,14 +51,14 @@
     }
 }
 
-/// What is compared: a metric of a class of invocations.
+/// Key of a series of values: a metric of one class of invocations.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Series {
     pub(crate) class: String,
     pub(crate) metric: Metric,
 }
 
-/// The values of an interval, by class and metric.
+/// Returns the values of an interval with their class and metric.
 pub(crate) fn values(interval: &[IntervalMetrics]) -> Vec<(Series, f64)> {
     let mut values = Vec::new();
     for metrics in interval {
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -1,42 +1,44 @@
-//! The plan of a rollout: stages of growing size, each compared for a while, and how much worse is too much.
+//! The plan of a rollout: stages of growing size, the bake time of each, and the thresholds for a regression.
 
 use crate::Nanos;
 use crate::metrics::Metric;
 use serde::{Deserialize, Serialize};
 
+/// Nanoseconds per millisecond.
 const MILLISECOND_NS: Nanos = 1_000_000;
 
-/// Longest name of a plan, in bytes.
+/// Maximum length of a plan's name, in bytes.
 pub const NAME_BYTES_MAX: usize = 64;
-/// Stages of a plan, at most.
+/// Maximum number of stages in a plan.
 pub const STAGES_MAX: usize = 32;
-/// Intervals that a comparison requires.
+/// Least number of intervals for a comparison.
 pub const INTERVALS_MIN: usize = 6;
-/// Largest threshold of latency: the 95th percentile a hundred times higher.
+/// Largest latency threshold, as a relative increase of the 95th percentile.
 const LATENCY_MAX: f64 = 100.0;
+/// Largest probability of a false stop that a plan may set.
 const ALPHA_MAX: f64 = 0.2;
 
-/// What a change is of. Its variants are part of the wire format.
+/// Kind of the change: settings or program. The order of the variants is part of the wire format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChangeKind {
-    /// Settings, taken over by the running process.
+    /// New settings, which the running process applies.
     #[default]
     Settings,
-    /// The program: the process ends, and what supervises it starts the other program.
+    /// A new program: the process exits, and its supervisor starts the new program.
     Program,
 }
 
-/// Servers changed at the end of a stage, those of the stages before included.
+/// Number of changed servers at the end of a stage, including those of earlier stages.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum StageSize {
-    /// A number of servers, above 0.
+    /// Number of servers, above 0.
     Servers(u32),
-    /// Share of the servers, above 0 and at most 1; at least one server.
+    /// Share of the fleet, above 0 and at most 1, rounded up to at least one server.
     Share(f64),
 }
 
 impl StageSize {
-    /// The number of servers out of all of them.
+    /// Returns the number of servers to change in a fleet of `servers`.
     pub fn server_count(self, servers: usize) -> usize {
         match self {
             StageSize::Servers(count) => (count as usize).min(servers),
@@ -44,7 +46,8 @@
         }
     }
 
-    /// Whether it is larger than the size before; a number and a share are not compared.
+    /// Whether this size is larger than that of the stage before. A number and a share cannot be compared and
+    /// count as larger.
     fn exceeds(self, before: StageSize) -> bool {
         match (before, self) {
             (StageSize::Servers(before), StageSize::Servers(now)) => now > before,
@@ -56,36 +59,36 @@
     }
 }
 
-/// One stage of a plan.
+/// A stage of a plan.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Stage {
-    /// Servers changed at the end of the stage.
+    /// Number of changed servers at the end of the stage.
     pub size: StageSize,
-    /// How long the changed servers are compared before the next stage, in nanoseconds.
+    /// Time for which the changed servers are compared before the next stage, in nanoseconds.
     pub bake_time: Nanos,
 }
 
-/// What happens when the changed servers do worse.
+/// Reaction to a regression on the changed servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OnRegression {
-    /// The servers changed so far stay changed, and no further one is.
+    /// Keep the servers changed so far, and change no others.
     Stop,
-    /// Every server goes back.
+    /// Roll back every server.
     RollBack,
 }
 
-/// Differences that matter, however certain smaller ones are.
+/// Least differences that count as a regression; smaller ones are ignored even if they are significant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Thresholds {
-    /// Difference in the share of answers throttled, above 0 and at most 1.
+    /// Least difference in the share of rejected answers, above 0 and at most 1.
     pub throttled: f64,
-    /// Difference in the share of answers errored, above 0 and at most 1.
+    /// Least difference in the share of failed answers, above 0 and at most 1.
     pub errored: f64,
-    /// Difference in the share of answers late, above 0 and at most 1.
+    /// Least difference in the share of late answers, above 0 and at most 1.
     pub late: f64,
-    /// Share by which the 95th percentile of latency may be higher, above 0 and at most 100.
+    /// Least relative increase of the 95th percentile of latency, above 0 and at most 100.
     pub latency: f64,
-    /// Probability, over one whole stage, of stopping a change that makes no difference; at most 0.2.
+    /// Probability, over one whole stage, of stopping a change that has no effect; above 0 and at most 0.2.
     pub alpha: f64,
 }
 
@@ -96,7 +99,7 @@
 }
 
 impl Thresholds {
-    /// The threshold of a metric, in the metric's own unit.
+    /// Returns the threshold of a metric, in the unit of the metric's values.
     pub fn min_difference(&self, metric: Metric) -> f64 {
         match metric {
             Metric::Throttled => self.throttled,
@@ -120,117 +123,118 @@
     }
 }
 
-/// A plan, as its file gives it.
+/// The plan of one rollout, with the values of its plan file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
     /// Name of the plan, 1 to [`NAME_BYTES_MAX`] bytes.
     pub name: String,
-    /// The change: the hash of its settings or program.
+    /// Hash of the new settings or of the new program.
     pub candidate: u64,
-    /// What the change is of.
+    /// Kind of the change.
     pub kind: ChangeKind,
-    /// The stages, 1 to [`STAGES_MAX`], each larger than the one before.
+    /// Stages, 1 to [`STAGES_MAX`], each larger than the one before.
     pub stages: Vec<Stage>,
-    /// What happens when the changed servers do worse.
+    /// Reaction to a regression on the changed servers.
     pub on_regression: OnRegression,
-    /// How much worse is too much.
+    /// Least differences that count as a regression.
     pub thresholds: Thresholds,
-    /// How often servers are ordered and report, in nanoseconds; each report is one interval compared.
+    /// Interval between orders to a server, in nanoseconds. A server answers each order with the metrics of
+    /// one interval.
     pub interval: Nanos,
-    /// How long the view must not have changed for a stage to begin or time to count as baked, in
+    /// Time for which the fleet's view must be unchanged before a stage begins or time counts as baked, in
     /// nanoseconds.
     pub settle_time: Nanos,
-    /// How long the servers of a stage are not compared yet after they have changed, in nanoseconds: a
-    /// process that has just started is slower for a while, whatever its program.
+    /// Time after a change in which the servers of the stage are not compared, in nanoseconds. A process that
+    /// has just started is slower for a while, whatever its program.
     pub warm_up: Nanos,
-    /// How long a server may take to carry out an order, or to report at all, in nanoseconds.
+    /// Time in which a server must carry out an order and send a report, in nanoseconds.
     pub response_timeout: Nanos,
 }
 
-/// A plan that cannot be carried out. The text names the place as the plan's file does.
+/// An invalid plan. The message names elements and attributes as the plan file does.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum PlanError {
-    /// The name is empty or too long.
+    /// The plan's name is empty or too long.
     #[error("name: 1 to {NAME_BYTES_MAX} bytes, not {bytes}")]
     Name {
-        /// Length of the name given.
+        /// Length of the name, in bytes.
         bytes: usize,
     },
-    /// No stage, or too many.
-    #[error("stage: 1 to {STAGES_MAX} of them, not {count}")]
+    /// The plan has no stage or too many stages.
+    #[error("stage: 1 to {STAGES_MAX} stages, not {count}")]
     StageCount {
-        /// Number of stages given.
+        /// Number of stages.
         count: usize,
     },
-    /// The interval is zero, or longer than the time a server may take to respond.
+    /// The interval is zero, or longer than the response timeout.
     #[error(
-        "interval-ms: above 0; patience-ms: an interval at least; not {} and {}",
+        "interval-ms: must be above 0; patience-ms: must be at least interval-ms; not {} and {}",
         .interval / MILLISECOND_NS, .response_timeout / MILLISECOND_NS
     )]
     Interval {
-        /// The interval given, in nanoseconds.
+        /// The interval, in nanoseconds.
         interval: Nanos,
-        /// The response timeout given, in nanoseconds.
+        /// The response timeout, in nanoseconds.
         response_timeout: Nanos,
     },
-    /// A stage that cannot be carried out.
+    /// A stage is invalid.
     #[error("stage {number}: {fault}")]
     Stage {
         /// Number of the stage, from 1.
         number: usize,
-        /// What is wrong with it.
+        /// Fault of the stage.
         fault: StageError,
     },
-    /// A threshold out of its range.
+    /// A threshold is out of range.
     #[error(
         "throttled, errored, late: above 0 and at most 1; latency: at most {LATENCY_MAX}; \
          not {throttled}, {errored}, {late} and {latency}"
     )]
     Thresholds {
-        /// Threshold of the share throttled.
+        /// Threshold of the share of rejected answers.
         throttled: f64,
-        /// Threshold of the share errored.
+        /// Threshold of the share of failed answers.
         errored: f64,
-        /// Threshold of the share late.
+        /// Threshold of the share of late answers.
         late: f64,
-        /// Threshold of the latency.
+        /// Threshold of the latency, as a relative increase.
         latency: f64,
     },
-    /// The probability of a false stop is out of its range.
+    /// The probability of a false stop is out of range.
     #[error("alpha: {alpha} is not above 0 and at most {ALPHA_MAX}")]
     Alpha {
-        /// The probability given.
+        /// Value of `alpha` in the plan.
         alpha: f64,
     },
 }
 
-/// What is wrong with a stage.
+/// Fault of a single stage.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum StageError {
-    /// A stage of no servers.
+    /// The stage changes no servers.
     #[error("servers: 0 changes nothing")]
     NoServers,
-    /// A share out of its range.
+    /// The share of servers is out of range.
     #[error("share: {share} is not above 0 and at most 1")]
     Share {
-        /// The share given.
+        /// Share of servers in the plan.
         share: f64,
     },
-    /// The bake time has too few intervals for a comparison.
+    /// The bake time is too short for [`INTERVALS_MIN`] intervals.
     #[error("bake-ms: at least {INTERVALS_MIN} intervals, {min_ms}, not {bake_time_ms}")]
     BakeTime {
-        /// The least bake time, in milliseconds.
+        /// Least valid bake time, in milliseconds.
         min_ms: u64,
-        /// The bake time given, in milliseconds.
+        /// Bake time in the plan, in milliseconds.
         bake_time_ms: u64,
     },
-    /// The stage is not larger than the one before.
-    #[error("not larger than the one before")]
+    /// The stage is not larger than the stage before.
+    #[error("not larger than the stage before")]
     NotLarger,
 }
 
 impl Plan {
-    /// The first thing that keeps the plan from being carried out, if there is one.
+    /// Returns the first fault that makes the plan invalid.
     pub fn check(&self) -> Result<(), PlanError> {
         let bytes = self.name.len();
         if bytes == 0 || bytes > NAME_BYTES_MAX {
@@ -271,7 +275,7 @@
         Ok(())
     }
 
-    /// Verdicts asked for in a stage: one an interval once there are enough intervals.
+    /// Number of verdicts planned for a stage: one per interval, once there are [`INTERVALS_MIN`] intervals.
     pub fn planned_verdicts(&self, stage: usize) -> usize {
         let intervals = (self.stages[stage].bake_time / self.interval) as usize;
         intervals.saturating_sub(INTERVALS_MIN) + 1
--- a/crates/rollout/src/rank_test.rs
+++ b/crates/rollout/src/rank_test.rs
@@ -1,41 +1,44 @@
-//! The stratified rank sum test of van Elteren (1960): whether the values of one group are larger than those
-//! of another, compared within each stratum. Here a stratum is an interval, since load moves all servers of
-//! an interval together; its values are ranked by themselves, and the weighted rank sums are added up.
+//! Stratified rank sum test by van Elteren (1960). It tests whether the values of one group are larger than
+//! those of another, comparing them only within each stratum. A stratum here is an interval, since the load
+//! affects all servers of an interval alike. Values are ranked within their interval, and the weighted rank
+//! sums are added up.
 //!
-//! Intervals of one server are no independent draws. The variance of the sum is therefore the larger of the
-//! test's own and of an estimate that allows for autocorrelation (Newey and West 1987).
+//! Successive intervals of a server are not independent samples. The variance of the sum is therefore the
+//! larger of the test's own variance and an estimate that accounts for autocorrelation (Newey and West 1987).
 
-/// The values of one interval, of one class and metric, each less its server's baseline.
+/// Values of one class and metric in one interval, each minus the baseline of its server.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Stratum {
     /// Values of the changed servers.
     pub changed: Vec<f64>,
-    /// Values of the other servers.
+    /// Values of the unchanged servers.
     pub unchanged: Vec<f64>,
     /// Sum of the variances of the changed servers' baselines.
     pub baseline_variance: f64,
-    /// Answers of the class by all servers.
+    /// Number of answers of the class, over all servers.
     pub answered: u64,
 }
 
-/// Outcome of a comparison.
+/// Result of a comparison.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Comparison {
-    /// Mean difference, changed less unchanged servers, less twice the standard error of the baselines.
+    /// Mean of the changed servers minus that of the unchanged ones, minus twice the standard error of the
+    /// baselines.
     pub difference: f64,
-    /// One-sided p-value: the probability of such ranks against the changed servers by chance.
+    /// One-sided p-value: the probability that chance alone ranks the changed servers at least this high.
     pub p_value: f64,
 }
 
-/// Sum of the changed group's ranks within a stratum.
+/// Rank sum of the changed group within a stratum.
 #[derive(Debug, PartialEq)]
 struct RankSum {
     rank_sum: f64,
-    /// Sum of t^3 - t over groups of t equal values.
+    /// Sum of t^3 - t over all groups of t equal values.
     tie_correction: f64,
 }
 
-/// Compares both groups over all strata, each of which has values of both. `None` where all values are equal.
+/// Compares both groups over all strata. Each stratum must have values of both groups. Returns `None` if all
+/// values are equal.
 pub fn compare(strata: &[&Stratum]) -> Option<Comparison> {
     let mut statistics = Vec::with_capacity(strata.len());
     let mut variance = 0.0;
@@ -55,8 +58,8 @@
     })
 }
 
-/// The mean difference of the groups less twice the standard error of the changed servers' baselines: a
-/// baseline is a mean of few intervals, and its error stays in every difference.
+/// Returns the mean difference between the groups minus twice the standard error of the changed servers'
+/// baselines. A baseline is the mean of few intervals, and its error affects all differences of its server.
 fn mean_difference(strata: &[&Stratum]) -> f64 {
     let difference = |stratum: &&Stratum| mean(&stratum.changed) - mean(&stratum.unchanged);
     let standard_error = |stratum: &&Stratum| stratum.baseline_variance.sqrt() / stratum.changed.len() as f64;
@@ -69,7 +72,7 @@
     values.iter().sum::<f64>() / values.len() as f64
 }
 
-/// The sum of the changed group's ranks; equal values have the mean of their ranks.
+/// Computes the rank sum of the changed group. Equal values get the mean of their ranks.
 fn rank_sum(stratum: &Stratum) -> RankSum {
     struct Ranked {
         value: f64,
@@ -92,8 +95,8 @@
     sum
 }
 
-/// The variance of the sum of autocorrelated values (Newey and West 1987): autocovariances with Bartlett's
-/// weights, up to a lag of the root of their number.
+/// Estimates the variance of the sum of autocorrelated values (Newey and West 1987): autocovariances with
+/// Bartlett's weights, up to a lag of the square root of the number of values.
 fn newey_west_variance(values: &[f64]) -> f64 {
     let count = values.len();
     let mean = mean(values);
@@ -109,7 +112,7 @@
     autocovariance(0) + weighted.sum::<f64>()
 }
 
-/// The probability that a standard normal value is larger than `z`.
+/// Returns the probability that a standard normal variable is larger than `z`.
 fn upper_tail(z: f64) -> f64 {
     libm::erfc(z / std::f64::consts::SQRT_2) / 2.0
 }
--- a/crates/rollout/src/version_table.rs
+++ b/crates/rollout/src/version_table.rs
@@ -1,28 +1,29 @@
-//! What each server of the fleet runs, as every server knows it: the version of the program and the hash of
-//! the settings in force. Each server announces its own entry and passes on some of the others'; of two
-//! entries of one server the later one holds.
+//! Program version and settings hash of each server, replicated to every server. Each server announces its
+//! own entry and relays some entries of others. Of two entries for the same server, the later one replaces
+//! the other.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Entries of other servers in one announcement, at most.
+/// Maximum number of entries of other servers in one announcement.
 pub const RELAYED_MAX: usize = 8;
-/// Longest version, in bytes.
+/// Maximum length of a version, in bytes.
 pub const VERSION_BYTES_MAX: usize = 32;
+/// Maximum length of a server's name, in bytes.
 const NAME_BYTES_MAX: usize = 64;
 
-/// What one server runs.
+/// Entry of one server: its program version and the settings in use.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerVersion {
-    /// The server's name.
+    /// Name of the server.
     pub name: String,
-    /// The server's incarnation: one start of its process.
+    /// Incarnation of the server, which identifies one start of its process.
     pub incarnation: u64,
-    /// Counts the changes of settings within the incarnation.
+    /// Number of changes of the settings within the incarnation.
     pub sequence: u64,
-    /// Version of the program.
+    /// Version of the running program.
     pub version: String,
-    /// Hash of the settings in force.
+    /// Hash of the settings in use.
     pub settings_hash: u64,
 }
 
@@ -36,29 +37,31 @@
     }
 }
 
-/// The entries that one server knows.
+/// The entries that a server has received, and its own.
 #[derive(Clone, Debug)]
 pub struct VersionTable {
     own: ServerVersion,
-    /// Entries of the other servers, by name.
+    /// Entries of the other servers, by server name.
     others: BTreeMap<String, ServerVersion>,
     others_max: usize,
-    /// Entries rejected because a name or version was too long, or the table was full.
+    /// Number of entries rejected because the name was empty, the name or version was too long, or the table
+    /// was full.
     pub rejected: u64,
 }
 
 impl VersionTable {
-    /// A table with this server's own entry and none of at most `others_max` others.
+    /// Creates a table that contains the server's own entry and holds at most `others_max` entries of others.
     pub fn new(own: ServerVersion, others_max: usize) -> VersionTable {
         VersionTable { own, others: BTreeMap::new(), others_max, rejected: 0 }
     }
 
-    /// This server's own entry.
+    /// Returns the entry of this server.
     pub fn own(&self) -> &ServerVersion {
         &self.own
     }
 
-    /// Notes the settings that are in force on this server from now on.
+    /// Sets the hash of the settings now in use on this server, and increments the sequence number if the
+    /// hash changed.
     pub fn set_settings(&mut self, settings_hash: u64) {
         if self.own.settings_hash != settings_hash {
             self.own.settings_hash = settings_hash;
@@ -66,8 +69,8 @@
         }
     }
 
-    /// The entries to send to another server: its own, and up to [`RELAYED_MAX`] others in the order of their
-    /// names, beginning at the one that `draw` picks.
+    /// Returns the entries to send to another server: the own entry and up to [`RELAYED_MAX`] others in the
+    /// order of their names, starting at the one selected by the random number `draw`.
     pub fn announcement(&self, draw: u64) -> Vec<ServerVersion> {
         let count = self.others.len();
         let start = if count == 0 { 0 } else { (draw % count as u64) as usize };
@@ -75,7 +78,7 @@
         std::iter::once(&self.own).chain(relayed).cloned().collect()
     }
 
-    /// Merges the entries that another server has announced.
+    /// Merges the entries of an announcement. Entries for this server are ignored.
     pub fn merge(&mut self, announcement: Vec<ServerVersion>) {
         for entry in announcement.into_iter().take(RELAYED_MAX + 1) {
             if entry.name != self.own.name {
@@ -94,12 +97,13 @@
         }
     }
 
-    /// Forgets the other servers that the predicate does not hold for, such as those that left the view.
+    /// Removes the entries of other servers for which `keep` returns false, for example servers that left the
+    /// fleet's view.
     pub fn retain(&mut self, mut keep: impl FnMut(&str) -> bool) {
         self.others.retain(|name, _| keep(name));
     }
 
-    /// The entry of a server, this one included.
+    /// Returns the entry of a server, which may be this one.
     pub fn get(&self, name: &str) -> Option<&ServerVersion> {
         if name == self.own.name { Some(&self.own) } else { self.others.get(name) }
     }
--- a/crates/rollout/src/wire.rs
+++ b/crates/rollout/src/wire.rs
@@ -1,60 +1,63 @@
-//! Orders and reports as bytes: a version, then the fields of that version in postcard. Later versions add
-//! fields behind those of this one, and a reader skips what follows the fields it knows. [`decode`] rejects
-//! version 0, which there is not, and reads the same fields whatever other version it finds: a build of a
-//! later version has to choose the fields by the version, since a message of this one ends before them.
+//! Encoding of orders and reports: a version number, then the fields of that version in postcard. Later
+//! versions append fields, and a reader ignores the bytes after the fields that it knows. [`decode`] rejects
+//! version 0, which does not exist, and reads the same fields for every other version. A build of a later
+//! version must select the fields by the version number, since messages of version 1 end before the fields
+//! added later.
 //!
-//! postcard writes fields and variants by position: their order is the wire format.
+//! postcard encodes fields and variants by position, so their order is part of the wire format.
 
 use crate::metrics::IntervalMetrics;
 use crate::plan::ChangeKind;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-/// Version that this build writes.
+/// Version number written by this build.
 pub const VERSION: u16 = 1;
-/// Classes in one report, at most, so that it fits a datagram.
+/// Maximum number of classes in a report, so that the report fits into a datagram.
 pub const CLASSES_MAX: usize = 8;
 
-/// What the coordinator sends to each server in each interval; the server answers with a [`Report`].
+/// Order of the coordinator to one server, sent in each interval. The server answers with a [`Report`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
     /// Name of the plan.
     pub plan: String,
-    /// The coordinator's start in nanoseconds since the epoch; orders of an earlier incarnation are stale.
+    /// Start time of the coordinator, in nanoseconds since the Unix epoch. Servers ignore orders of earlier
+    /// incarnations.
     pub incarnation: u64,
-    /// Number of the order within the incarnation; one that arrives after a later one is stale.
+    /// Sequence number of the order within the incarnation. Servers ignore an order that arrives after one
+    /// with a higher number.
     pub sequence: u64,
-    /// What the change is of.
+    /// Kind of the change.
     pub kind: ChangeKind,
-    /// Hash of the settings or program to run; `None` for the server's own.
+    /// Hash of the settings or program to run; `None` selects the server's own.
     pub adopt: Option<u64>,
 }
 
-/// A server's answer to an order.
+/// Answer of a server to an order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Number of the order that it answers.
+    /// Sequence number of the answered order.
     pub order_sequence: u64,
-    /// Version of the program.
+    /// Version of the running program.
     pub version: String,
-    /// Hash of the settings or of the program in force, whichever the order is about.
+    /// Hash of the settings or program in use, depending on the kind of the change.
     pub running_hash: u64,
-    /// Whether these are the change of a plan.
+    /// Whether the server runs the settings or program of a plan instead of its own.
     pub adopted: bool,
-    /// Why the server does not carry out the order, where it does not.
+    /// Reason why the server does not carry out the order; `None` if it does.
     pub refused: Option<String>,
     /// Number of the server's last complete interval.
     pub interval: u64,
-    /// What the server did in that interval.
+    /// Metrics of that interval, one entry per class.
     pub classes: Vec<IntervalMetrics>,
 }
 
-/// The message with its version.
+/// Encodes a message, preceded by the version number.
 pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
-    postcard::to_allocvec(&(VERSION, message)).expect("every type of a message is one that postcard writes")
+    postcard::to_allocvec(&(VERSION, message)).expect("postcard can encode all types of the messages")
 }
 
-/// Reads a message; `None` where it is truncated or has no version.
+/// Decodes a message; `None` if it is truncated or has version 0.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
     let ((version, message), _fields_of_later_versions) =
         postcard::take_from_bytes::<(u16, T)>(bytes).ok()?;
--- a/crates/rollout/tests/fixed_bytes.rs
+++ b/crates/rollout/tests/fixed_bytes.rs
@@ -1,5 +1,5 @@
-//! Orders, reports and the coordinator's state file have the bytes that release 0.2.0 (commit 22d0bb6) wrote,
-//! and are read back to the same.
+//! Wire and file compatibility: orders, reports and the coordinator's state file must encode to the bytes
+//! recorded from release 0.2.0 (commit 22d0bb6) and decode to the same values.
 
 use meadowstream_rollout::baseline::Baselines;
 use meadowstream_rollout::coordinator::{PersistedState, Phase};
@@ -21,7 +21,7 @@
     }
 }
 
-fn figures(class: &str) -> IntervalMetrics {
+fn metrics(class: &str) -> IntervalMetrics {
     IntervalMetrics { class: class.into(), answered: 400, throttled: 30, errored: 2, late: 1, p95_us: 1 }
 }
 
@@ -33,11 +33,11 @@
         adopted: true,
         refused,
         interval: 17,
-        classes: vec![figures("load"), figures("save")],
+        classes: vec![metrics("load"), metrics("save")],
     }
 }
 
-fn about(name: &str) -> ServerVersion {
+fn server_version(name: &str) -> ServerVersion {
     ServerVersion {
         name: name.into(),
         incarnation: 1_700_000_000_000_000_000,
@@ -51,15 +51,16 @@
     Fixtures::load(format!("{}/tests/fixtures/{name}.txt", env!("CARGO_MANIFEST_DIR")))
 }
 
-/// Encodes samples of one type, compares them with the recorded bytes, and reads those back.
+/// Encodes samples of one type, compares them with the recorded bytes, and decodes those bytes again.
 fn verify<T: Serialize + DeserializeOwned + PartialEq + Debug>(file: &str, samples: &[(&str, T)]) {
     let fixtures = load(file);
-    let encoded: Vec<(&str, Vec<u8>)> = samples.iter().map(|(name, one)| (*name, encode(one))).collect();
+    let encoded: Vec<(&str, Vec<u8>)> =
+        samples.iter().map(|(name, sample)| (*name, encode(sample))).collect();
     fixtures.verify(&encoded);
     for (name, sample) in samples {
-        let read: T = decode(fixtures.bytes(name)).unwrap_or_else(|| panic!("{name} is not read"));
-        assert_eq!(read, *sample, "{name}");
-        assert_eq!(encode(&read), fixtures.bytes(name), "{name}");
+        let decoded: T = decode(fixtures.bytes(name)).unwrap_or_else(|| panic!("{name} cannot be decoded"));
+        assert_eq!(decoded, *sample, "{name}");
+        assert_eq!(encode(&decoded), fixtures.bytes(name), "{name}");
     }
 }
 
@@ -82,32 +83,32 @@
 }
 
 #[test]
-fn what_servers_run_has_the_bytes_of_release_0_2() {
-    verify("abouts", &[("two", vec![about("s0"), about("s1")]), ("nobody", Vec::new())]);
+fn server_versions_have_the_bytes_of_release_0_2() {
+    verify("abouts", &[("two", vec![server_version("s0"), server_version("s1")]), ("nobody", Vec::new())]);
 }
 
 fn baselines() -> Baselines {
     let mut baselines = Baselines::default();
-    baselines.add("s0", &[figures("load")]);
-    baselines.add("s0", &[figures("load")]);
-    baselines.add("s1", &[figures("save")]);
+    baselines.add("s0", &[metrics("load")]);
+    baselines.add("s0", &[metrics("load")]);
+    baselines.add("s1", &[metrics("save")]);
     baselines
 }
 
 fn phases() -> Vec<(&'static str, Phase)> {
-    let why = || "load: late by 0.02".to_string();
+    let reason = || "load: late by 0.02".to_string();
     vec![
         ("waiting", Phase::Waiting),
         ("applying", Phase::Applying),
         ("baking", Phase::Baking),
-        ("rolling-back", Phase::RollingBack { reason: why() }),
+        ("rolling-back", Phase::RollingBack { reason: reason() }),
         ("done", Phase::Done),
-        ("stopped", Phase::Stopped { reason: why() }),
-        ("rolled-back", Phase::RolledBack { reason: why(), unconfirmed: vec!["s3".into()] }),
+        ("stopped", Phase::Stopped { reason: reason() }),
+        ("rolled-back", Phase::RolledBack { reason: reason(), unconfirmed: vec!["s3".into()] }),
     ]
 }
 
-/// The state file of each phase, as the coordinator writes it: JSON in lines.
+/// The state file in each phase, as pretty-printed JSON.
 #[test]
 fn state_files_have_the_bytes_of_release_0_2() {
     let saved = |phase| PersistedState {
@@ -124,8 +125,8 @@
     let fixtures = load("state-files");
     fixtures.verify(&files.iter().map(|(name, saved)| (*name, text(saved))).collect::<Vec<_>>());
     for (name, saved) in &files {
-        let read: PersistedState = serde_json::from_slice(fixtures.bytes(name)).unwrap();
-        assert_eq!(read, *saved, "{name}");
-        assert_eq!(text(&read), fixtures.bytes(name), "{name}");
+        let decoded: PersistedState = serde_json::from_slice(fixtures.bytes(name)).unwrap();
+        assert_eq!(decoded, *saved, "{name}");
+        assert_eq!(text(&decoded), fixtures.bytes(name), "{name}");
     }
 }
--- a/crates/rollout/tests/rollouts.rs
+++ b/crates/rollout/tests/rollouts.rs
@@ -1,6 +1,7 @@
-//! Rollouts over a fleet in simulated time: servers that differ from each other for good, load that moves all
-//! of them together, noise that hangs together over time, orders and reports that get lost. Deterministic.
-//! `cargo test -p meadowstream-rollout -- --nocapture` prints the figures of docs/rollout.md.
+//! Rollouts over a fleet in simulated time. Servers differ permanently, load affects all of them at once,
+//! noise is autocorrelated, and orders and reports get lost. All draws come from fixed seeds. `cargo test -p
+//! meadowstream-rollout -- --nocapture` prints the rates of false stops and missed regressions listed in
+//! docs/rollout.md.
 
 use meadowstream_rollout::coordinator::{Action, Coordinator, FleetView, PersistedState, Phase};
 use meadowstream_rollout::metrics::IntervalMetrics;
@@ -16,31 +17,40 @@
 const CANDIDATE: u64 = 0xbeef;
 const OLD: u64 = 0xcafe;
 
-/// What the change does.
+/// Effect of the change on a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Change {
-    Nothing,
-    /// Part of the premium answers that are throttled more.
+    None,
+    /// Additional share of premium invocations that are rejected.
     ThrottlesPremium(f64),
-    /// The same of both classes, only while load is high.
+    /// Additional share of rejected invocations of both classes, only while load is high.
     UnderLoad(f64),
+    /// Factor of the latency.
     Slower(f64),
+    /// Additional share of invocations that fail.
     Errs(f64),
 }
 
 #[derive(Clone, Default)]
 struct Server {
+    /// Permanent difference of the server's latency from the others', as a logarithm.
     offset: f64,
     noise: f64,
     adopted: bool,
-    /// Intervals since it started: a process that is new is slower.
+    /// Intervals since the process started. A process that has just started is slower.
     age: u64,
-    last: (u64, u64),
+    /// Incarnation and sequence number of the last order.
+    last_order: (u64, u64),
+    /// Whether the server rejects the change.
     refuses: bool,
-    stuck: bool,
-    silent: bool,
-    dead: bool,
-    cut: bool,
+    /// Whether the server cannot return from the change to its own settings.
+    cannot_roll_back: bool,
+    /// Whether the server never reports.
+    is_silent: bool,
+    /// Whether the server is down and no longer in the view.
+    is_down: bool,
+    /// Whether the server is unreachable and missing from the view.
+    is_missing: bool,
 }
 
 struct Fleet {
@@ -51,15 +61,17 @@
     drift: f64,
     interval: u64,
     now: u64,
+    /// Time since the last change of the view, in nanoseconds.
     settled: u64,
+    /// Probability that an order or report is lost.
     loss: f64,
     saved: Option<PersistedState>,
     messages: Vec<String>,
-    /// Servers that ever went by the change.
-    touched: BTreeSet<usize>,
+    /// Servers that have run the change at any time.
+    ever_changed: BTreeSet<usize>,
     reports: Vec<(u64, String, Report)>,
     has_lease: bool,
-    /// A change takes a restart.
+    /// Whether applying the change restarts the server.
     restarts: bool,
 }
 
@@ -98,7 +110,7 @@
             loss: 0.05,
             saved: None,
             messages: Vec::new(),
-            touched: BTreeSet::new(),
+            ever_changed: BTreeSet::new(),
             reports: Vec::new(),
             has_lease: true,
             restarts: false,
@@ -114,7 +126,7 @@
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// The sum of twelve uniform draws: near enough to a normal one.
+    /// Sum of twelve uniform draws, which approximates a normal distribution.
     fn normal(&mut self) -> f64 {
         (0..12).map(|_| self.uniform()).sum::<f64>() - 6.0
     }
@@ -123,16 +135,16 @@
         (0..n).filter(|_| self.uniform() < p).count() as u64
     }
 
-    /// What server `i` has done in the interval before.
+    /// Draws the metrics of server `i` for the previous interval.
     fn interval_metrics(&mut self, i: usize) -> Vec<IntervalMetrics> {
         let draw = self.normal();
         let server = &mut self.servers[i];
-        // Half of the noise is that of the interval before.
+        // The noise is autocorrelated: 0.7 times that of the previous interval, plus 0.7 times a new draw.
         server.noise = 0.7 * server.noise + 0.7 * draw;
         let own = 0.1 * server.noise + server.offset + if server.age < 5 { 1.0 } else { 0.0 };
         server.age += 1;
         let (adopted, busy) = (server.adopted, 0.6 + 0.3 * self.load);
-        let (mut metrics, change) = (Vec::new(), if adopted { self.change } else { Change::Nothing });
+        let (mut metrics, change) = (Vec::new(), if adopted { self.change } else { Change::None });
         for (class, base) in [("basic", 0.06), ("premium", 0.01)] {
             let answered = 60 + (20.0 * busy) as u64;
             let mut throttled = base + 0.1 * (busy - 0.6).max(0.0) + 0.02 * own.abs();
@@ -152,38 +164,38 @@
         metrics
     }
 
-    fn lost(&mut self) -> bool {
+    fn is_lost(&mut self) -> bool {
         self.uniform() < self.loss
     }
 
-    /// One interval: orders to servers, and what they report until the next one.
-    fn step(&mut self, coordinator: &mut Coordinator) {
+    /// Simulates one interval: delivers the reports of the last one, then the coordinator's new orders.
+    fn run_interval(&mut self, coordinator: &mut Coordinator) {
         self.interval += 1;
         self.now += SECOND;
         self.settled += SECOND;
         let draw = self.normal();
         self.drift = 0.9 * self.drift + 0.1 * draw;
-        // Peaks every half a minute.
+        // Load has a peak about every 31 intervals.
         self.load = (self.drift + (self.interval as f64 / 5.0).sin()).clamp(-1.0, 1.5);
-        for (at, from, report) in std::mem::take(&mut self.reports) {
-            coordinator.handle_report(at, &from, report);
+        for (received_at, server, report) in std::mem::take(&mut self.reports) {
+            coordinator.handle_report(received_at, &server, report);
         }
         let name = |i: usize| format!("s{i}");
         let all = 0..self.servers.len();
         let view = FleetView {
             alive: all
                 .clone()
-                .filter(|i| !self.servers[*i].dead && !self.servers[*i].cut)
+                .filter(|i| !self.servers[*i].is_down && !self.servers[*i].is_missing)
                 .map(name)
                 .collect(),
-            missing: all.filter(|i| self.servers[*i].cut).map(name).collect(),
+            missing: all.filter(|i| self.servers[*i].is_missing).map(name).collect(),
             settled_for: self.settled,
         };
         let actions = coordinator.handle_interval(self.now, &view, self.has_lease);
         self.carry_out(actions);
     }
 
-    /// Carries actions out; a save stands before what follows from it.
+    /// Carries out actions in order. [`Fleet::deliver`] checks that the state was saved before the orders.
     fn carry_out(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
@@ -194,26 +206,32 @@
         }
     }
 
-    fn deliver(&mut self, to: String, order: Order) {
-        let i: usize = to[1..].parse().unwrap();
-        let changed = self.saved.as_ref().is_some_and(|saved| saved.changed.contains(&to));
-        assert_eq!(order.adopt.is_some(), changed, "an order that was not saved first");
-        let lost = self.lost();
+    fn deliver(&mut self, receiver: String, order: Order) {
+        let i: usize = receiver[1..].parse().unwrap();
+        let changed = self.saved.as_ref().is_some_and(|saved| saved.changed.contains(&receiver));
+        assert_eq!(
+            order.adopt.is_some(),
+            changed,
+            "an order was sent before the state it depends on was saved"
+        );
+        let is_lost = self.is_lost();
         let server = &mut self.servers[i];
         let order = wire::decode::<Order>(&wire::encode(&order)).unwrap();
-        if lost
-            || server.dead
-            || server.cut
-            || server.silent
-            || (order.incarnation, order.sequence) <= server.last
+        if is_lost
+            || server.is_down
+            || server.is_missing
+            || server.is_silent
+            || (order.incarnation, order.sequence) <= server.last_order
         {
             return;
         }
-        server.last = (order.incarnation, order.sequence);
+        server.last_order = (order.incarnation, order.sequence);
         let mut refused = None;
         match order.adopt {
             Some(_) if server.refuses => refused = Some("line 3, <control>: reference: 7".to_string()),
-            None if server.stuck && server.adopted => refused = Some("cannot read its own settings".into()),
+            None if server.cannot_roll_back && server.adopted => {
+                refused = Some("cannot read its own settings".into())
+            }
             adopt => {
                 if server.adopted != adopt.is_some() && self.restarts {
                     server.age = 0;
@@ -223,22 +241,21 @@
         }
         let adopted = server.adopted;
         if adopted {
-            self.touched.insert(i);
+            self.ever_changed.insert(i);
         }
         let classes = self.interval_metrics(i);
-        if self.lost() {
+        if self.is_lost() {
             return;
         }
-        let settings = if adopted { CANDIDATE } else { OLD };
+        let running_hash = if adopted { CANDIDATE } else { OLD };
         let (order_sequence, interval, version) = (order.sequence, self.interval, "0.2.0".to_string());
-        let report =
-            Report { order_sequence, version, running_hash: settings, adopted, refused, interval, classes };
-        self.reports.push((self.now + SECOND / 2, to, wire::decode(&wire::encode(&report)).unwrap()));
+        let report = Report { order_sequence, version, running_hash, adopted, refused, interval, classes };
+        self.reports.push((self.now + SECOND / 2, receiver, wire::decode(&wire::encode(&report)).unwrap()));
     }
 
-    fn play(&mut self, coordinator: &mut Coordinator, intervals: usize) -> Phase {
+    fn run(&mut self, coordinator: &mut Coordinator, intervals: usize) -> Phase {
         for _ in 0..intervals {
-            self.step(coordinator);
+            self.run_interval(coordinator);
             if coordinator.state().phase.has_ended() {
                 break;
             }
@@ -246,7 +263,7 @@
         coordinator.state().phase.clone()
     }
 
-    fn none_left_changed(&self) {
+    fn assert_none_changed(&self) {
         assert!(self.servers.iter().all(|server| !server.adopted), "{:?}", self.messages);
     }
 }
@@ -255,21 +272,22 @@
     Coordinator::new(plan, None, 1, 0).unwrap()
 }
 
-/// A hundred changes that do nothing, over thirty servers: each has four stages, of which three compare.
+/// A hundred rollouts of a change without effect over thirty servers. Three of the four stages have unchanged
+/// servers to compare with, so each rollout can have false stops.
 #[test]
-fn changes_that_do_nothing_go_through() {
+fn changes_without_effect_complete() {
     let mut stopped = Vec::new();
     for seed in 0..100 {
-        let mut fleet = Fleet::new(30, Change::Nothing, seed);
+        let mut fleet = Fleet::new(30, Change::None, seed);
         let mut coordinator = begin(plan());
-        match fleet.play(&mut coordinator, 600) {
+        match fleet.run(&mut coordinator, 600) {
             Phase::Done => assert!(fleet.servers.iter().all(|server| server.adopted)),
-            Phase::RolledBack { reason: why, .. } => stopped.push(why),
+            Phase::RolledBack { reason, .. } => stopped.push(reason),
             other => panic!("{other:?}: {:?}", fleet.messages),
         }
     }
     println!("A/A: {} of 100 stopped: {stopped:?}", stopped.len());
-    // None; 2 without taking the baselines' standard error off.
+    // 0 of 100 were stopped in this test; without subtracting the standard error of the baselines, 2 were.
     assert!(stopped.len() <= 1, "{stopped:?}");
 }
 
@@ -278,133 +296,137 @@
 #[test_case(Change::Slower(1.6), 30)]
 #[test_case(Change::Errs(0.04), 30)]
 #[test_case(Change::ThrottlesPremium(0.06), 6)]
-fn changes_that_do_worse_are_stopped(change: Change, servers: usize) {
-    let (mut missed, mut first, mut touched, mut took) = (0, 0, 0, 0);
+fn regressions_are_rolled_back(change: Change, servers: usize) {
+    let (mut missed, mut at_first_stage, mut changed_servers, mut seconds) = (0, 0, 0, 0);
     for seed in 0..25 {
         let mut fleet = Fleet::new(servers, change, 1000 + seed);
         let mut coordinator = begin(plan());
-        match fleet.play(&mut coordinator, 600) {
-            Phase::RolledBack { unconfirmed: left, .. } if left.is_empty() => {
-                fleet.none_left_changed();
-                first += usize::from(coordinator.state().stage == 0);
-                touched += fleet.touched.len();
-                took += fleet.interval;
+        match fleet.run(&mut coordinator, 600) {
+            Phase::RolledBack { unconfirmed, .. } if unconfirmed.is_empty() => {
+                fleet.assert_none_changed();
+                at_first_stage += usize::from(coordinator.state().stage == 0);
+                changed_servers += fleet.ever_changed.len();
+                seconds += fleet.interval;
             }
             _ => missed += 1,
         }
     }
     let caught = 25 - missed;
     println!(
-        "A/B {change:?}, {servers} servers: {missed} of 25 missed, {first} stopped at the first stage, \
-         {:.1} servers touched and {:.0} s from the start in the mean",
-        touched as f64 / caught.max(1) as f64,
-        took as f64 / caught.max(1) as f64
+        "A/B {change:?}, {servers} servers: {missed} of 25 missed, \
+         {at_first_stage} stopped at the first stage, \
+         {:.1} servers changed and {:.0} s from the start in the mean",
+        changed_servers as f64 / caught.max(1) as f64,
+        seconds as f64 / caught.max(1) as f64
     );
-    assert!(missed <= 1 && first >= 15, "{missed} missed, {first} at the first stage");
+    assert!(missed <= 1 && at_first_stage >= 15, "{missed} missed, {at_first_stage} at the first stage");
 }
 
-/// Without baselines a server that is slower for good would be taken for a bad change: the test's own ground.
+/// Half of the servers are permanently slower than the others. Without baselines, the comparison would
+/// attribute this difference to the change.
 #[test]
-fn servers_that_differ_for_good_are_no_sign() {
+fn permanent_differences_between_servers_are_no_regression() {
     for seed in 0..10 {
-        let mut fleet = Fleet::new(10, Change::Nothing, 300 + seed);
-        // Whichever is changed first: all even ones are half as fast again.
+        let mut fleet = Fleet::new(10, Change::None, 300 + seed);
+        // Servers with even numbers are slower by the same offset, whichever server is changed first.
         (0..10).step_by(2).for_each(|i| fleet.servers[i].offset += 0.5);
-        let phase = fleet.play(&mut begin(plan()), 600);
+        let phase = fleet.run(&mut begin(plan()), 600);
         assert_eq!(phase, Phase::Done, "{:?}", fleet.messages);
     }
 }
 
-/// A program that does nothing else, on processes that are slow for their first five seconds: taken for worse
-/// without a warm-up, and not with one.
+/// A new program without effect, on processes that are slower in the first five intervals after a start. The
+/// coordinator must report a regression without a warm-up and none with one.
 #[test]
-fn a_process_that_has_just_started_is_not_compared() {
-    for (warm_up, done) in [(0, false), (8 * SECOND, true)] {
-        let mut fleet = Fleet::new(12, Change::Nothing, 71);
+fn servers_are_not_compared_during_the_warm_up() {
+    for (warm_up, completes) in [(0, false), (8 * SECOND, true)] {
+        let mut fleet = Fleet::new(12, Change::None, 71);
         fleet.restarts = true;
-        let phase = fleet.play(&mut begin(Plan { warm_up, ..plan() }), 600);
-        assert_eq!(phase == Phase::Done, done, "{:?}", fleet.messages);
+        let phase = fleet.run(&mut begin(Plan { warm_up, ..plan() }), 600);
+        assert_eq!(phase == Phase::Done, completes, "{:?}", fleet.messages);
     }
 }
 
-/// Killed at any interval and started again from what was saved: the same end, and nothing is told that was
-/// not saved first ([`Fleet::deliver`] asserts it).
+/// The coordinator crashes at several intervals and restarts from its saved state. The outcome must be the
+/// same as without a crash, and no order may be sent before the state it depends on is saved, which
+/// [`Fleet::deliver`] checks.
 #[test]
-fn a_coordinator_that_crashes_goes_on() {
-    for (seed, at) in [5, 15, 30, 45, 60, 90, 120, 150].into_iter().enumerate() {
-        for change in [Change::Nothing, Change::ThrottlesPremium(0.2)] {
+fn a_restarted_coordinator_continues() {
+    for (seed, crash_interval) in [5, 15, 30, 45, 60, 90, 120, 150].into_iter().enumerate() {
+        for change in [Change::None, Change::ThrottlesPremium(0.2)] {
             let mut fleet = Fleet::new(12, change, 40 + seed as u64);
             let mut coordinator = begin(plan());
-            fleet.play(&mut coordinator, at);
+            fleet.run(&mut coordinator, crash_interval);
             let (stage, changed) = (coordinator.state().stage, coordinator.state().changed.clone());
             drop(coordinator);
-            let mut again = Coordinator::new(plan(), fleet.saved.clone(), 2, fleet.now).unwrap();
+            let mut restarted = Coordinator::new(plan(), fleet.saved.clone(), 2, fleet.now).unwrap();
             if fleet.saved.is_some() {
-                assert_eq!((again.state().stage, &again.state().changed), (stage, &changed));
+                assert_eq!((restarted.state().stage, &restarted.state().changed), (stage, &changed));
             }
-            let phase = fleet.play(&mut again, 900);
+            let phase = fleet.run(&mut restarted, 900);
             match change {
-                Change::Nothing => assert_eq!(phase, Phase::Done, "{:?}", fleet.messages),
+                Change::None => assert_eq!(phase, Phase::Done, "{:?}", fleet.messages),
                 _ => {
                     assert!(matches!(phase, Phase::RolledBack { .. }), "{phase:?}");
-                    fleet.none_left_changed();
+                    fleet.assert_none_changed();
                 }
             }
         }
     }
-    // A state of another plan, or of another candidate, is refused.
+    // A saved state of another plan or candidate is rejected.
     let saved = begin(plan()).state().clone();
     let other = Plan { name: "another".into(), ..plan() };
     assert!(
         Coordinator::new(other, Some(saved.clone()), 2, 0)
-            .is_err_and(|e| e.to_string().contains("that of plan"))
+            .is_err_and(|e| e.to_string().contains("belongs to plan"))
     );
     let other = Plan { candidate: 7, ..plan() };
     assert!(Coordinator::new(other, Some(saved), 2, 0).is_err_and(|e| e.to_string().contains("candidate")));
 }
 
-/// Part of the fleet is cut off in the second stage, where the change does harm to whoever looks: nothing is
-/// decided and nobody else is changed until the view stands again.
+/// Part of the fleet is partitioned away in the second stage. The stage must not end and no further server
+/// may be changed until the view has settled.
 #[test]
-fn a_partition_during_a_stage_makes_it_wait() {
-    let mut fleet = Fleet::new(10, Change::Nothing, 60);
+fn a_partition_suspends_the_stage() {
+    let mut fleet = Fleet::new(10, Change::None, 60);
     let mut coordinator = begin(plan());
     while coordinator.state().stage < 1 || coordinator.state().phase != Phase::Baking {
-        fleet.step(&mut coordinator);
+        fleet.run_interval(&mut coordinator);
     }
     let changed = coordinator.state().changed.clone();
-    (3..7).for_each(|i| fleet.servers[i].cut = true);
+    (3..7).for_each(|i| fleet.servers[i].is_missing = true);
     fleet.settled = 0;
-    fleet.play(&mut coordinator, 100);
+    fleet.run(&mut coordinator, 100);
     assert_eq!((&coordinator.state().changed, coordinator.state().stage), (&changed, 1));
     assert!(fleet.messages.iter().any(|message| message.contains("view moves")), "{:?}", fleet.messages);
-    (3..7).for_each(|i| fleet.servers[i].cut = false);
+    (3..7).for_each(|i| fleet.servers[i].is_missing = false);
     fleet.settled = 0;
-    assert_eq!(fleet.play(&mut coordinator, 600), Phase::Done, "{:?}", fleet.messages);
+    assert_eq!(fleet.run(&mut coordinator, 600), Phase::Done, "{:?}", fleet.messages);
 }
 
-/// A view that does not stand, or no lease: nobody is told to change, whatever the time.
+/// Without a settled view or without the lease, no server may be ordered to change, however long it takes.
 #[test]
-fn it_waits_for_the_view_and_for_the_lease() {
-    let mut fleet = Fleet::new(6, Change::Nothing, 61);
+fn no_server_is_changed_without_a_settled_view_and_the_lease() {
+    let mut fleet = Fleet::new(6, Change::None, 61);
     let mut coordinator = begin(plan());
     for _ in 0..60 {
         fleet.settled = 0;
-        fleet.step(&mut coordinator);
+        fleet.run_interval(&mut coordinator);
     }
     assert_eq!(coordinator.state().phase, Phase::Waiting);
     fleet.has_lease = false;
-    fleet.play(&mut coordinator, 60);
+    fleet.run(&mut coordinator, 60);
     assert!(
-        fleet.touched.is_empty()
+        fleet.ever_changed.is_empty()
             && fleet.messages.iter().any(|message| message.contains("waits for the lease"))
     );
     fleet.has_lease = true;
-    assert_eq!(fleet.play(&mut coordinator, 600), Phase::Done);
-    // The lease goes to another in the middle: no orders, no decisions.
-    let mut fleet = Fleet::new(6, Change::Nothing, 62);
+    assert_eq!(fleet.run(&mut coordinator, 600), Phase::Done);
+    // If another coordinator takes the lease during a plan, this one must send no orders and leave its state
+    // as it is.
+    let mut fleet = Fleet::new(6, Change::None, 62);
     let mut coordinator = begin(plan());
-    fleet.play(&mut coordinator, 40);
+    fleet.run(&mut coordinator, 40);
     let before = coordinator.state().clone();
     fleet.has_lease = false;
     let view = FleetView { alive: vec!["s0".into()], missing: Vec::new(), settled_for: 60 * SECOND };
@@ -414,90 +436,93 @@
 }
 
 #[test]
-fn a_server_that_never_reports_ends_it_before_anything_is_changed() {
-    let mut fleet = Fleet::new(6, Change::Nothing, 63);
-    fleet.servers[4].silent = true;
-    let phase = fleet.play(&mut begin(plan()), 100);
+fn a_server_that_never_reports_stops_the_plan_before_any_change() {
+    let mut fleet = Fleet::new(6, Change::None, 63);
+    fleet.servers[4].is_silent = true;
+    let phase = fleet.run(&mut begin(plan()), 100);
     assert_eq!(phase, Phase::Stopped { reason: "s4 never reports".into() });
-    assert!(fleet.touched.is_empty());
+    assert!(fleet.ever_changed.is_empty());
 }
 
 #[test]
-fn a_server_that_falls_silent_in_a_stage_rolls_it_back() {
-    let mut fleet = Fleet::new(6, Change::Nothing, 64);
+fn a_server_that_stops_reporting_causes_a_rollback() {
+    let mut fleet = Fleet::new(6, Change::None, 64);
     let mut coordinator = begin(plan());
     while coordinator.state().phase != Phase::Baking {
-        fleet.step(&mut coordinator);
+        fleet.run_interval(&mut coordinator);
     }
     let changed: usize = coordinator.state().changed.first().unwrap()[1..].parse().unwrap();
     let other = (changed + 1) % 6;
-    fleet.servers[other].silent = true;
-    let phase = fleet.play(&mut coordinator, 200);
-    let Phase::RolledBack { reason: why, unconfirmed: left } = phase else { panic!("{phase:?}") };
-    assert!(why.contains(&format!("s{other} does not report")), "{why}");
-    // It cannot be asked whether it went back, though it never was changed: that is said.
-    assert_eq!(left, vec![format!("s{other}")]);
-    fleet.none_left_changed();
+    fleet.servers[other].is_silent = true;
+    let phase = fleet.run(&mut coordinator, 200);
+    let Phase::RolledBack { reason, unconfirmed } = phase else { panic!("{phase:?}") };
+    assert!(reason.contains(&format!("s{other} does not report")), "{reason}");
+    // The silent server never ran the change, but cannot confirm that, and is listed as unconfirmed.
+    assert_eq!(unconfirmed, vec![format!("s{other}")]);
+    fleet.assert_none_changed();
 }
 
-/// The change crashes whoever goes by it: only changed servers are missing, which is no partition.
+/// The change crashes every server that runs it. Only changed servers are missing, which the coordinator must
+/// not take for a partition.
 #[test]
-fn a_change_that_crashes_its_server_is_rolled_back() {
-    let mut fleet = Fleet::new(6, Change::Nothing, 72);
+fn a_change_that_crashes_servers_is_rolled_back() {
+    let mut fleet = Fleet::new(6, Change::None, 72);
     let mut coordinator = begin(plan());
-    while fleet.touched.is_empty() {
-        fleet.step(&mut coordinator);
+    while fleet.ever_changed.is_empty() {
+        fleet.run_interval(&mut coordinator);
     }
-    let crashed = *fleet.touched.first().unwrap();
-    fleet.servers[crashed].cut = true;
+    let crashed = *fleet.ever_changed.first().unwrap();
+    fleet.servers[crashed].is_missing = true;
     fleet.settled = 0;
-    let before = fleet.interval;
-    let phase = fleet.play(&mut coordinator, 200);
-    let Phase::RolledBack { reason: why, unconfirmed: left } = phase else {
-        panic!("{phase:?}: {:?}", fleet.messages)
-    };
-    assert_eq!((why, left), (format!("s{crashed} gone since the change"), vec![format!("s{crashed}")]));
-    assert!(fleet.interval - before <= 35, "{}", fleet.interval - before);
+    let interval_of_crash = fleet.interval;
+    let phase = fleet.run(&mut coordinator, 200);
+    let Phase::RolledBack { reason, unconfirmed } = phase else { panic!("{phase:?}: {:?}", fleet.messages) };
+    assert_eq!(
+        (reason, unconfirmed),
+        (format!("s{crashed} gone since the change"), vec![format!("s{crashed}")])
+    );
+    assert!(fleet.interval - interval_of_crash <= 35, "{}", fleet.interval - interval_of_crash);
 }
 
 #[test]
-fn a_server_that_refuses_the_change_rolls_it_back_with_its_reason() {
-    let mut fleet = Fleet::new(6, Change::Nothing, 65);
+fn a_refused_change_is_rolled_back_with_the_reason() {
+    let mut fleet = Fleet::new(6, Change::None, 65);
     fleet.servers.iter_mut().for_each(|server| server.refuses = true);
-    let phase = fleet.play(&mut begin(plan()), 100);
-    let Phase::RolledBack { reason: why, unconfirmed: left } = phase else { panic!("{phase:?}") };
-    assert!(why.contains("refuses: line 3, <control>: reference: 7") && left.is_empty(), "{why}");
+    let phase = fleet.run(&mut begin(plan()), 100);
+    let Phase::RolledBack { reason, unconfirmed } = phase else { panic!("{phase:?}") };
+    assert!(
+        reason.contains("refuses: line 3, <control>: reference: 7") && unconfirmed.is_empty(),
+        "{reason}"
+    );
 }
 
 #[test]
-fn a_roll_back_that_fails_on_one_server_names_it() {
+fn a_failed_rollback_names_the_server() {
     let mut fleet = Fleet::new(6, Change::ThrottlesPremium(0.2), 66);
-    fleet.servers.iter_mut().for_each(|server| server.stuck = true);
-    let phase = fleet.play(&mut begin(plan()), 300);
-    let Phase::RolledBack { unconfirmed: left, .. } = phase else {
-        panic!("{phase:?}: {:?}", fleet.messages)
-    };
-    assert_eq!(left.len(), 1);
+    fleet.servers.iter_mut().for_each(|server| server.cannot_roll_back = true);
+    let phase = fleet.run(&mut begin(plan()), 300);
+    let Phase::RolledBack { unconfirmed, .. } = phase else { panic!("{phase:?}: {:?}", fleet.messages) };
+    assert_eq!(unconfirmed.len(), 1);
     assert!(fleet.messages.last().unwrap().contains("NOT CONFIRMED by"), "{:?}", fleet.messages);
 }
 
 #[test]
-fn an_abort_rolls_back_and_a_plan_may_stop_instead() {
-    let mut fleet = Fleet::new(6, Change::Nothing, 67);
+fn an_abort_rolls_back_and_a_plan_may_stop_on_a_regression() {
+    let mut fleet = Fleet::new(6, Change::None, 67);
     let mut coordinator = begin(plan());
     while coordinator.state().phase != Phase::Baking {
-        fleet.step(&mut coordinator);
+        fleet.run_interval(&mut coordinator);
     }
     let actions = coordinator.handle_abort(fleet.now);
     fleet.carry_out(actions);
     assert!(matches!(
-        fleet.play(&mut coordinator, 50),
-        Phase::RolledBack { unconfirmed: left, .. } if left.is_empty()
+        fleet.run(&mut coordinator, 50),
+        Phase::RolledBack { unconfirmed, .. } if unconfirmed.is_empty()
     ));
-    fleet.none_left_changed();
+    fleet.assert_none_changed();
     let mut fleet = Fleet::new(6, Change::ThrottlesPremium(0.2), 68);
     let mut coordinator = begin(Plan { on_regression: OnRegression::Stop, ..plan() });
-    assert!(matches!(fleet.play(&mut coordinator, 300), Phase::Stopped { .. }));
+    assert!(matches!(fleet.run(&mut coordinator, 300), Phase::Stopped { .. }));
     assert_eq!(fleet.servers.iter().filter(|server| server.adopted).count(), 1);
 }
 
@@ -505,32 +530,33 @@
 #[test_case(|p| p.stages[2].size = StageSize::Share(1.5), "stage 3: share: 1.5 is not above 0 and at most 1")]
 #[test_case(|p| p.stages[0].size = StageSize::Servers(0), "stage 1: servers: 0 changes nothing")]
 #[test_case(|p| p.stages[3].bake_time = 0, "stage 4: bake-ms: at least 6 intervals, 6000")]
-#[test_case(|p| p.stages[2].size = StageSize::Share(0.1), "stage 3: not larger than the one before")]
-#[test_case(|p| p.stages.clear(), "stage: 1 to 32 of them, not 0")]
+#[test_case(|p| p.stages[2].size = StageSize::Share(0.1), "stage 3: not larger than the stage before")]
+#[test_case(|p| p.stages.clear(), "stage: 1 to 32 stages, not 0")]
 #[test_case(|p| p.thresholds.alpha = 0.5, "alpha: 0.5 is not above 0 and at most 0.2")]
 #[test_case(|p| p.thresholds.late = f64::NAN, "throttled, errored, late: above 0")]
-fn a_bad_plan_is_refused_with_its_place(corrupt: fn(&mut Plan), place: &str) {
+fn an_invalid_plan_is_rejected_with_its_place(corrupt: fn(&mut Plan), place: &str) {
     let mut plan = plan();
     assert_eq!(plan.check(), Ok(()));
     corrupt(&mut plan);
-    let fault = Coordinator::new(plan, None, 1, 0).err().unwrap().to_string();
-    assert!(fault.starts_with(place) && !fault.contains('\n'), "{fault}");
+    let error = Coordinator::new(plan, None, 1, 0).err().unwrap().to_string();
+    assert!(error.starts_with(place) && !error.contains('\n'), "{error}");
 }
 
-/// A later release's report with fields that this one does not know, read here; and this one's by the last
-/// release's codec, which is written out as it stood.
+/// This release must decode a report of a later release, which has additional fields at the end, and ignore
+/// those fields.
 #[test]
-fn releases_understand_each_other() {
+fn fields_of_later_releases_are_ignored() {
     #[derive(serde::Serialize)]
-    struct Later(Report, String, Vec<u64>);
+    struct LaterReport(Report, String, Vec<u64>);
     let report = Report { order_sequence: 3, version: "0.3.0".into(), adopted: true, ..Report::default() };
-    let later = wire::encode(&Later(report.clone(), "a field of the next release".into(), vec![1, 2, 3]));
+    let later =
+        wire::encode(&LaterReport(report.clone(), "a field of the next release".into(), vec![1, 2, 3]));
     assert_eq!(wire::decode::<Report>(&later), Some(report));
 }
 
 proptest! {
     #[test]
-    fn arbitrary_bytes_do_no_harm(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let _ = wire::decode::<Order>(&bytes);
         if let Some(report) = wire::decode::<Report>(&bytes) {
             let mut coordinator = begin(plan());
