--- a/crates/simulator-adapter/src/codec.rs
+++ b/crates/simulator-adapter/src/codec.rs
@@ -1,7 +1,8 @@
-//! The simulator's wire: batches of event records come in, frames of action records go out.
+//! Codec of the simulator's protocol: the input is batches of event records, the output frames of action
+//! records.
 //!
-//! All integers are little-endian, all durations on the wire are microseconds. Each side's words are mapped
-//! to terms here and nowhere else.
+//! All integers are little-endian, and all durations on the wire are in microseconds. Only this module
+//! contains the numeric codes and field offsets of the protocol.
 
 mod batch;
 mod error;
--- a/crates/simulator-adapter/src/codec/batch.rs
+++ b/crates/simulator-adapter/src/codec/batch.rs
@@ -1,16 +1,17 @@
-//! Batches of event records, and the fields of a record.
+//! Batches of event records, and access to the fields of a record.
 
 use super::{EventError, FrameError};
 use meadowstream_overload_control::Nanos;
 use std::io::Read;
 
+/// Length of a batch's header, in bytes.
 const HEADER_BYTES: usize = 16;
-/// Bytes of an event record.
+/// Length of an event record, in bytes.
 pub const RECORD_BYTES: usize = 56;
-/// Longest batch that is read.
+/// Maximum length of a batch, in bytes.
 const BATCH_BYTES_MAX: usize = 1 << 30;
 
-/// Offsets of the header's fields.
+/// Offsets of the fields in the header of a batch.
 mod header {
     pub const RECORDS: usize = 0;
     pub const BATCH_BYTES: usize = 4;
@@ -19,35 +20,38 @@
 
 const NS_PER_US: u64 = 1_000;
 
-/// One batch: a header, records, and a tail that holds their texts. Its buffer is used again for the next.
+/// A batch: a header, the records, and a tail with the texts that the records refer to. The buffer is reused
+/// for the next batch.
 #[derive(Default)]
 pub struct Batch {
+    /// Bytes of the whole batch, with the header's bytes left at zero.
     frame: Vec<u8>,
-    /// Records in it.
+    /// Number of records in the batch.
     pub count: usize,
-    /// The simulated time of all its events.
+    /// Simulated time of all events in the batch.
     pub clock: Nanos,
 }
 
 impl Batch {
-    /// Reads the next batch; false at a clean end of input.
+    /// Reads the next batch. Returns false if the input ends before its first byte.
     pub fn read(&mut self, input: &mut impl Read) -> Result<bool, FrameError> {
         let mut header = [0; HEADER_BYTES];
         let mut bytes = 0;
         while bytes < HEADER_BYTES {
             match input.read(&mut header[bytes..]).map_err(FrameError::Read)? {
                 0 if bytes == 0 => return Ok(false),
-                0 => return Err(FrameError::HeaderCutOff { bytes }),
-                more => bytes += more,
+                0 => return Err(FrameError::HeaderTruncated { bytes }),
+                read => bytes += read,
             }
         }
         self.decode_header(&header)?;
         let bytes = self.frame.len();
         let body = &mut self.frame[HEADER_BYTES..];
-        input.read_exact(body).map_err(|source| FrameError::BodyCutOff { bytes, source })?;
+        input.read_exact(body).map_err(|source| FrameError::BodyTruncated { bytes, source })?;
         Ok(true)
     }
 
+    /// Decodes and checks the header, and resizes the buffer to the length of the batch.
     fn decode_header(&mut self, header: &[u8; HEADER_BYTES]) -> Result<(), FrameError> {
         let header = Record { record: header, tail: &[] };
         let records = header.u32(header::RECORDS) as usize;
@@ -66,7 +70,7 @@
         Ok(())
     }
 
-    /// The record with this index, which must be below the count.
+    /// Returns the record with the given index, which must be less than the number of records.
     pub fn record(&self, index: usize) -> Record<'_> {
         let start = HEADER_BYTES + index * RECORD_BYTES;
         Record {
@@ -76,7 +80,7 @@
     }
 }
 
-/// One record, read by the offsets of its fields, with the tail of its batch.
+/// A record, whose fields are read by offset, and the tail of its batch.
 #[derive(Clone, Copy)]
 pub struct Record<'a> {
     record: &'a [u8],
@@ -84,42 +88,48 @@
 }
 
 impl<'a> Record<'a> {
+    /// The `N` bytes from an offset on.
     fn bytes<const N: usize>(&self, offset: usize) -> [u8; N] {
-        self.record[offset..offset + N].try_into().expect("offsets are constants within a record")
+        self.record[offset..offset + N].try_into().expect("all offsets are constants within a record")
     }
 
-    /// The kind of event, one of [`super::code`].
+    /// Code of the event, one of [`super::code`].
     pub fn code(&self) -> u8 {
         self.u8(0)
     }
 
+    /// Unsigned integer of 8 bits.
     pub fn u8(&self, offset: usize) -> u8 {
         self.record[offset]
     }
 
+    /// Unsigned integer of 16 bits.
     pub fn u16(&self, offset: usize) -> u16 {
         u16::from_le_bytes(self.bytes(offset))
     }
 
+    /// Unsigned integer of 32 bits.
     pub fn u32(&self, offset: usize) -> u32 {
         u32::from_le_bytes(self.bytes(offset))
     }
 
+    /// Unsigned integer of 64 bits.
     pub fn u64(&self, offset: usize) -> u64 {
         u64::from_le_bytes(self.bytes(offset))
     }
 
-    /// A finite number of single precision.
+    /// A finite single-precision number.
     pub fn number(&self, offset: usize) -> Result<f64, EventError> {
         let number = f32::from_le_bytes(self.bytes(offset));
-        if number.is_finite() { Ok(f64::from(number)) } else { Err(EventError::NoNumber { offset, number }) }
+        if number.is_finite() { Ok(f64::from(number)) } else { Err(EventError::NotFinite { offset, number }) }
     }
 
+    /// Duration, converted from microseconds to nanoseconds.
     pub fn duration(&self, offset: usize) -> Nanos {
         u64::from(self.u32(offset)) * NS_PER_US
     }
 
-    /// A text in the tail: the field holds its offset there and its length.
+    /// Text in the tail of the batch; the field contains its offset in the tail and its length.
     pub fn text(&self, offset: usize) -> Result<&'a str, EventError> {
         let (start, len) = (self.u32(offset) as usize, self.u32(offset + 4) as usize);
         let end = start.checked_add(len).filter(|end| *end <= self.tail.len());
--- a/crates/simulator-adapter/src/codec/error.rs
+++ b/crates/simulator-adapter/src/codec/error.rs
@@ -1,16 +1,16 @@
-//! Why what comes in cannot be decoded.
+//! Errors on decoding batches and events.
 
 use thiserror::Error;
 
-/// Why a batch cannot be read.
+/// Error on reading a batch.
 #[derive(Debug, Error)]
 pub enum FrameError {
-    #[error("reading a batch")]
+    #[error("cannot read a batch")]
     Read(#[source] std::io::Error),
-    #[error("batch header cut off after {bytes} bytes")]
-    HeaderCutOff { bytes: usize },
-    #[error("batch of {bytes} bytes cut off")]
-    BodyCutOff {
+    #[error("batch header truncated after {bytes} bytes")]
+    HeaderTruncated { bytes: usize },
+    #[error("batch of {bytes} bytes is truncated")]
+    BodyTruncated {
         bytes: usize,
         #[source]
         source: std::io::Error,
@@ -23,19 +23,19 @@
     TooShort { bytes: usize, records: usize },
 }
 
-/// Why an event record cannot be decoded.
+/// Error on decoding an event record.
 #[derive(Debug, Error)]
 pub enum EventError {
     #[error("unknown event code {code}")]
     UnknownCode { code: u8 },
-    #[error("unknown outcome {code}")]
+    #[error("unknown outcome code {code}")]
     UnknownOutcome { code: u16 },
-    #[error("field at {offset}: {number} is no number")]
-    NoNumber { offset: usize, number: f32 },
+    #[error("field at {offset}: {number} is not a finite number")]
+    NotFinite { offset: usize, number: f32 },
     #[error("text at {offset}+{len} lies outside the tail")]
     TextOutsideTail { offset: usize, len: usize },
     #[error("text is not UTF-8")]
     TextNotUtf8(#[source] std::str::Utf8Error),
-    #[error("{count} gauges where {max} fit")]
+    #[error("{count} gauges, but at most {max} are allowed")]
     TooManyGauges { count: usize, max: usize },
 }
--- a/crates/simulator-adapter/src/codec/event.rs
+++ b/crates/simulator-adapter/src/codec/event.rs
@@ -1,9 +1,9 @@
-//! Typed events, decoded from records.
+//! Events, decoded from records.
 
 use super::{EventError, Record};
 use meadowstream_overload_control::{Arrival, Nanos, Outcome};
 
-/// Kinds of records.
+/// Codes of event records.
 pub mod code {
     pub const STARTED: u8 = 10;
     pub const ARRIVED: u8 = 20;
@@ -14,26 +14,27 @@
     pub const CALLER_GONE: u8 = 70;
     pub const TIMER: u8 = 80;
     pub const ENDED: u8 = 90;
-    /// Names the instance of the records that follow.
+    /// Selects the instance that the following records refer to.
     pub const INSTANCE: u8 = 100;
 }
 
-/// Offsets of fields in a record; 0 is the code.
+/// Offsets of the fields in a record. Offset 0 holds the code.
 mod offset {
     pub const INSTANCE: usize = 1;
     pub const SEED: usize = 1;
     pub const SETTINGS: usize = 9;
-    /// Of all events on an invocation.
+    /// Identifier of the invocation, in each event that concerns an invocation.
     pub const ID: usize = 1;
     pub const OUTCOME: usize = 9;
-    pub const CALL_TOOK: usize = 11;
+    /// Duration of a downstream call.
+    pub const CALL_DURATION: usize = 11;
     pub const DRAIN_GRACE: usize = 1;
     pub const TIMER: usize = 1;
     pub const GAUGE_COUNT: usize = 5;
     pub const GAUGES: usize = 6;
     pub const GAUGE_BYTES: usize = 4;
 
-    /// Of an arrival.
+    /// Offsets in the record of an arrival.
     pub mod arrival {
         pub const AGE: usize = 9;
         pub const REPEATS: usize = 13;
@@ -46,7 +47,7 @@
     }
 }
 
-/// How a run or a call ended. The protocol has several codes for some outcomes.
+/// Codes of the outcomes of runs and calls. Some outcomes have several codes.
 mod outcome_code {
     pub const SUCCEEDED: u16 = 0;
     pub const NEVER_RAN: [u16; 3] = [249, 252, 254];
@@ -55,14 +56,15 @@
     pub const FAILED: u16 = 255;
 }
 
-/// Bits of an arrival's flags.
+/// Bit of an arrival's flags: the record contains a cost hint.
 const HAS_COST_HINT: u8 = 1;
+/// Bit of an arrival's flags: the caller marked the request as a retry.
 const IS_MARKED_RETRY: u8 = 2;
 
-/// Most gauges that the protocol allows in a timer event; a record has space for more.
+/// Maximum number of gauges that the protocol allows in a timer event. A record has space for more.
 const GAUGES_MAX: usize = 4;
 
-/// The gauges of a timer event, in the order of the settings.
+/// Gauge readings of a timer event, in the order of the gauges in the settings.
 #[derive(Clone, Copy)]
 pub struct GaugeReadings<'a> {
     record: Record<'a>,
@@ -70,7 +72,7 @@
 }
 
 impl GaugeReadings<'_> {
-    /// The gauge with this index; `None` where there are fewer.
+    /// Returns the reading of the gauge with the given index; `None` if the event has fewer gauges.
     pub fn get(&self, index: usize) -> Result<Option<f64>, EventError> {
         if index >= self.count {
             return Ok(None);
@@ -79,30 +81,30 @@
     }
 }
 
-/// What happened to an instance.
+/// An event of one instance.
 pub enum Event<'a> {
-    /// It starts.
+    /// The instance starts.
     Started { seed: u64, settings: &'a str },
-    /// An invocation was read.
+    /// An invocation arrived.
     Arrived { arrival: Arrival },
-    /// A run has ended.
+    /// A run has finished.
     RunFinished { id: u64, outcome: Outcome },
-    /// A run has come to its downstream call.
+    /// A run has reached its downstream call.
     CallNeeded { id: u64 },
-    /// A downstream call has ended after this long.
-    CallFinished { id: u64, outcome: Outcome, took: Nanos },
-    /// The process stops after the grace.
+    /// A downstream call has finished; `duration` is its duration in nanoseconds.
+    CallFinished { id: u64, outcome: Outcome, duration: Nanos },
+    /// The server has been notified that it will be stopped after `grace`, in nanoseconds.
     DrainNotice { grace: Nanos },
-    /// Nobody waits for the answer any more.
+    /// The caller no longer waits for the answer.
     CallerGone { id: u64 },
-    /// A timer has gone off.
+    /// A timer has fired.
     Timer { timer: u32, gauges: GaugeReadings<'a> },
-    /// It ends.
+    /// The instance ends.
     Ended,
 }
 
 impl<'a> Event<'a> {
-    /// Decodes any record but one that names an instance.
+    /// Decodes a record of any code except [`code::INSTANCE`].
     pub fn decode(record: Record<'a>) -> Result<Self, EventError> {
         let id = record.u64(offset::ID);
         Ok(match record.code() {
@@ -112,9 +114,11 @@
             code::ARRIVED => Self::Arrived { arrival: arrival(record)? },
             code::RUN_FINISHED => Self::RunFinished { id, outcome: outcome(record)? },
             code::CALL_NEEDED => Self::CallNeeded { id },
-            code::CALL_FINISHED => {
-                Self::CallFinished { id, outcome: outcome(record)?, took: record.duration(offset::CALL_TOOK) }
-            }
+            code::CALL_FINISHED => Self::CallFinished {
+                id,
+                outcome: outcome(record)?,
+                duration: record.duration(offset::CALL_DURATION),
+            },
             code::DRAIN_NOTICE => Self::DrainNotice { grace: record.duration(offset::DRAIN_GRACE) },
             code::CALLER_GONE => Self::CallerGone { id },
             code::TIMER => Self::Timer { timer: record.u32(offset::TIMER), gauges: gauges(record)? },
@@ -123,7 +127,7 @@
         })
     }
 
-    /// The instance that a record of code [`code::INSTANCE`] names.
+    /// Returns the number of the instance that a record of code [`code::INSTANCE`] selects.
     pub fn instance(record: Record) -> u16 {
         record.u16(offset::INSTANCE)
     }
--- a/crates/simulator-adapter/src/codec/reply.rs
+++ b/crates/simulator-adapter/src/codec/reply.rs
@@ -1,12 +1,14 @@
-//! The reply to a batch: what instances decide, as action records.
+//! Reply to a batch: the actions decided by the instances, as records.
 
 use meadowstream_overload_control::{Host, Nanos};
 
+/// Length of a reply's header, in bytes.
 const HEADER_BYTES: usize = 8;
+/// Length of an action record, in bytes.
 const RECORD_BYTES: usize = 16;
 const NS_PER_US: u64 = 1_000;
 
-/// Kinds of action records.
+/// Codes of action records.
 mod code {
     pub const LOG: u8 = 10;
     pub const SET_TIMER: u8 = 20;
@@ -15,7 +17,7 @@
     pub const FORGET_KEY: u8 = 60;
     pub const FAIL: u8 = 70;
     pub const ADVERTISE_LOAD: u8 = 80;
-    /// Names the instance of the records that follow.
+    /// Selects the instance that the following records belong to.
     pub const INSTANCE: u8 = 90;
     pub const SKIP_CALL: u8 = 100;
     pub const START_RUN: u8 = 110;
@@ -26,23 +28,25 @@
     pub const START_CALL: u8 = 160;
 }
 
-/// The reply under way. As a [`Host`] it writes down what the selected instance decides.
+/// Collects the actions for one reply. Controllers use it as their [`Host`]; it records each action for the
+/// selected instance.
 #[derive(Default)]
 pub struct Reply {
     records: Vec<u8>,
     tail: Vec<u8>,
+    /// Instance that new actions belong to.
     selected: Option<u16>,
-    /// The instance that was named last in the records.
-    named: Option<u16>,
+    /// Instance of the last [`code::INSTANCE`] record in the reply.
+    recorded: Option<u16>,
 }
 
 impl Reply {
-    /// Actions are those of this instance from now on.
+    /// Selects the instance that the following actions belong to.
     pub fn select_instance(&mut self, instance: u16) {
         self.selected = Some(instance);
     }
 
-    /// Writes the frame into `out`; the next one starts empty.
+    /// Writes the reply as a frame into `out`, and resets the reply for the next batch.
     pub fn finish(&mut self, out: &mut Vec<u8>) {
         let bytes = HEADER_BYTES + self.records.len() + self.tail.len();
         let count = self.records.len() / RECORD_BYTES;
@@ -53,20 +57,22 @@
         out.extend_from_slice(&self.tail);
         self.records.clear();
         self.tail.clear();
-        (self.selected, self.named) = (None, None);
+        (self.selected, self.recorded) = (None, None);
     }
 
-    /// Adds an action of the selected instance.
+    /// Adds an action of the selected instance, preceded by a record that selects the instance if it differs
+    /// from the last one.
     fn push(&mut self, code: u8, fields: &[&[u8]]) {
-        if self.named != self.selected {
-            self.named = self.selected;
-            let instance = self.selected.expect("only a selected instance decides").to_le_bytes();
+        if self.recorded != self.selected {
+            self.recorded = self.selected;
+            let instance =
+                self.selected.expect("an instance is selected before its controller is called").to_le_bytes();
             self.push_record(code::INSTANCE, &[&instance]);
         }
         self.push_record(code, fields);
     }
 
-    /// Adds a record: its code, its fields one behind the other, and zeros.
+    /// Adds a record: its code, its fields without gaps, and zeros up to the length of a record.
     fn push_record(&mut self, code: u8, fields: &[&[u8]]) {
         let start = self.records.len();
         self.records.push(code);
@@ -77,8 +83,8 @@
     }
 }
 
-/// Whole microseconds, rounded up so that nothing comes due before its time. At most [`u32::MAX`] of them, 71
-/// minutes: what is further off comes due then.
+/// Duration in whole microseconds, rounded up so that nothing expires early. The protocol limits it to
+/// [`u32::MAX`] microseconds (71 minutes); a longer duration is shortened to that limit.
 fn micros(duration: Nanos) -> [u8; 4] {
     u32::try_from(duration.div_ceil(NS_PER_US)).unwrap_or(u32::MAX).to_le_bytes()
 }
--- a/crates/simulator-adapter/src/instances.rs
+++ b/crates/simulator-adapter/src/instances.rs
@@ -1,11 +1,11 @@
-//! The simulated servers: one isolated controller for each instance that has started.
+//! Simulated servers: one isolated controller for each running instance.
 
 use crate::codec::{Batch, Event, EventError, GaugeReadings, Record, Reply, code};
 use meadowstream_deployment_settings::{DeploymentSettings, SettingsError};
 use meadowstream_overload_control::{Arrival, Gauges, Nanos, controller::Controller};
 use thiserror::Error;
 
-/// Why an event cannot be handled.
+/// Error on handling an event.
 #[derive(Debug, Error)]
 pub enum InstanceError {
     #[error("event {code} for instance {instance}, which has not started")]
@@ -20,10 +20,10 @@
     Settings(#[from] SettingsError),
 }
 
-/// Why a batch cannot be handled, with the index of the record.
+/// Error on handling a batch, with the index of the record.
 #[derive(Debug, Error)]
 pub enum BatchError {
-    #[error("record {index}: no instance named before it")]
+    #[error("record {index}: no instance was selected before")]
     NoInstance { index: usize },
     #[error("record {index}")]
     Record {
@@ -33,17 +33,21 @@
     },
 }
 
-/// A simulated server.
+/// A simulated server: its controller, and limits for checking arrivals.
 struct Instance {
     controller: Controller,
+    /// Index of the gauge of the utilization.
     utilization_gauge: Option<usize>,
+    /// Index of the gauge of the number of runnable threads.
     runnable_gauge: Option<usize>,
+    /// Number of operations.
     operations: usize,
-    /// At least 1: without tenants all arrivals are those of tenant 0.
+    /// Number of tenants, at least 1: without tenants in the settings, all arrivals have tenant 0.
     tenants: usize,
 }
 
 impl Instance {
+    /// Starts an instance from the text of its settings.
     fn start(settings: &str, seed: u64, now: Nanos, reply: &mut Reply) -> Result<Self, SettingsError> {
         let settings = DeploymentSettings::from_lines(settings)?;
         Ok(Self {
@@ -55,6 +59,7 @@
         })
     }
 
+    /// Checks that the operation and tenant of an arrival exist.
     fn check(&self, arrival: &Arrival) -> Result<(), InstanceError> {
         if arrival.operation >= self.operations {
             return Err(InstanceError::UnknownOperation { operation: arrival.operation });
@@ -65,6 +70,7 @@
         Ok(())
     }
 
+    /// Selects the readings of the two gauges that the controller uses.
     fn gauges(&self, readings: GaugeReadings) -> Result<Gauges, EventError> {
         let reading = |index: Option<usize>| match index {
             Some(index) => readings.get(index),
@@ -73,7 +79,7 @@
         Ok(Gauges { utilization: reading(self.utilization_gauge)?, runnable: reading(self.runnable_gauge)? })
     }
 
-    /// Hands an event other than the start and the end to the controller.
+    /// Passes an event to the controller. Ignores the start and the end of an instance.
     fn handle(&mut self, event: Event, now: Nanos, reply: &mut Reply) -> Result<(), InstanceError> {
         match event {
             Event::Arrived { arrival } => {
@@ -82,8 +88,8 @@
             }
             Event::RunFinished { id, outcome } => self.controller.on_run_finished(now, id, outcome, reply),
             Event::CallNeeded { id } => self.controller.on_call_needed(now, id, reply),
-            Event::CallFinished { id, outcome, took } => {
-                self.controller.on_call_finished(now, id, outcome, took, reply);
+            Event::CallFinished { id, outcome, duration } => {
+                self.controller.on_call_finished(now, id, outcome, duration, reply);
             }
             Event::DrainNotice { grace } => self.controller.on_drain_notice(now, now, grace, reply),
             Event::CallerGone { id } => self.controller.on_caller_gone(now, id, reply),
@@ -97,30 +103,31 @@
     }
 }
 
-/// All instances, by number.
+/// All instances, indexed by number.
 #[derive(Default)]
 pub struct Instances {
     slots: Vec<Option<Instance>>,
 }
 
 impl Instances {
-    /// Handles the records of a batch in their order.
+    /// Handles the records of a batch in order.
     pub fn handle_batch(&mut self, batch: &Batch, reply: &mut Reply) -> Result<(), BatchError> {
-        let mut named = None;
+        let mut selected = None;
         for index in 0..batch.count {
             let record = batch.record(index);
             if record.code() == code::INSTANCE {
-                named = Some(Event::instance(record));
+                selected = Some(Event::instance(record));
                 continue;
             }
-            let instance = named.ok_or(BatchError::NoInstance { index })?;
+            let instance = selected.ok_or(BatchError::NoInstance { index })?;
             reply.select_instance(instance);
-            let handled = self.handle_record(instance, record, batch.clock, reply);
-            handled.map_err(|source| BatchError::Record { index, source })?;
+            let result = self.handle_record(instance, record, batch.clock, reply);
+            result.map_err(|source| BatchError::Record { index, source })?;
         }
         Ok(())
     }
 
+    /// Handles one event record of the instance with the given number.
     fn handle_record(
         &mut self,
         number: u16,
@@ -150,6 +157,7 @@
         Ok(())
     }
 
+    /// Returns the running instance of a slot.
     fn running(&mut self, slot: usize) -> Option<&mut Instance> {
         self.slots.get_mut(slot)?.as_mut()
     }
--- a/crates/simulator-adapter/tests/frames.rs
+++ b/crates/simulator-adapter/tests/frames.rs
@@ -1,14 +1,18 @@
-//! The program answers frames with the bytes that release 0.2.0 (commit 22d0bb6) answered.
-//!
-//! What is compared leaves out log records and their texts, which are no part of the protocol.
+//! Wire compatibility: the program must reply to recorded event frames with the bytes recorded from release
+//! 0.2.0 (commit 22d0bb6). Log records and their texts are not part of the protocol and are removed before
+//! the comparison.
 
 use meadowstream_wire_fixtures::Fixtures;
 use std::io::{Read, Write};
 use std::process::{Command, Stdio};
 
+/// Length of an event record, in bytes.
 const EVENT_BYTES: usize = 56;
-const REPLY_HEAD: usize = 8;
+/// Length of a reply's header, in bytes.
+const REPLY_HEADER_BYTES: usize = 8;
+/// Length of an action record, in bytes.
 const ACTION_BYTES: usize = 16;
+/// Code of a log record.
 const LOG: u8 = 10;
 
 const SETTINGS: &str = "grades.count=3\ngrades.0.effect=repeatable\ngrades.0.target=2000000\n\
@@ -22,26 +26,27 @@
     contract.drain-grace=2500000\ncontract.grace-to-answer=60000\ncontract.fall-multiple=8.0\n\
     contract.cold-from=0.2\ncontract.cold=17000000\n";
 
-/// One record of 56 bytes: its code, then fields at their offsets.
+/// An event record of 56 bytes: its code, then fields at the given offsets.
 fn record(code: u8, fields: &[(usize, &[u8])]) -> Vec<u8> {
     let mut record = vec![0; EVENT_BYTES];
     record[0] = code;
-    for (at, field) in fields {
-        record[*at..*at + field.len()].copy_from_slice(field);
+    for (offset, field) in fields {
+        record[*offset..*offset + field.len()].copy_from_slice(field);
     }
     record
 }
 
-fn instance(number: u16) -> Vec<u8> {
+fn select_instance(number: u16) -> Vec<u8> {
     record(100, &[(1, &number.to_le_bytes())])
 }
 
-fn started() -> Vec<u8> {
+fn instance_started() -> Vec<u8> {
     let text = [0_u32.to_le_bytes(), (SETTINGS.len() as u32).to_le_bytes()].concat();
     record(10, &[(1, &7_u64.to_le_bytes()), (9, &text)])
 }
 
-/// An invocation that arrived `age_us` ago; `repeats` is 0 where it repeats none.
+/// An arrival of an invocation that reached the server `age_us` microseconds ago. `repeats` is the earlier
+/// invocation with the same idempotency key, or 0.
 fn arrived(id: u64, operation: u8, age_us: u32, repeats: u64) -> Vec<u8> {
     record(
         20,
@@ -58,19 +63,19 @@
     )
 }
 
-fn finished(id: u64, outcome: u16) -> Vec<u8> {
+fn run_finished(id: u64, outcome: u16) -> Vec<u8> {
     record(30, &[(1, &id.to_le_bytes()), (9, &outcome.to_le_bytes())])
 }
 
-fn needs_call(id: u64) -> Vec<u8> {
+fn call_needed(id: u64) -> Vec<u8> {
     record(40, &[(1, &id.to_le_bytes())])
 }
 
-fn call_ended(id: u64, outcome: u16) -> Vec<u8> {
+fn call_finished(id: u64, outcome: u16) -> Vec<u8> {
     record(50, &[(1, &id.to_le_bytes()), (9, &outcome.to_le_bytes()), (11, &9_000_u32.to_le_bytes())])
 }
 
-fn told_to_leave() -> Vec<u8> {
+fn drain_notice() -> Vec<u8> {
     record(60, &[(1, &4_000_000_u32.to_le_bytes())])
 }
 
@@ -78,57 +83,65 @@
     record(70, &[(1, &id.to_le_bytes())])
 }
 
-fn woken(token: u32, busy: f32) -> Vec<u8> {
-    let gauges = [100_f32, busy, 3.0].map(f32::to_le_bytes).concat();
-    record(80, &[(1, &token.to_le_bytes()), (5, &[3]), (6, &gauges)])
+fn timer_fired(timer: u32, utilization: f32) -> Vec<u8> {
+    let gauges = [100_f32, utilization, 3.0].map(f32::to_le_bytes).concat();
+    record(80, &[(1, &timer.to_le_bytes()), (5, &[3]), (6, &gauges)])
 }
 
-fn ended() -> Vec<u8> {
+fn instance_ended() -> Vec<u8> {
     record(90, &[])
 }
 
-/// A frame of the records, at a time in microseconds.
+/// A batch of records and their tail, with the simulated time in microseconds.
 fn frame(clock_us: u64, records: &[Vec<u8>], tail: &str) -> Vec<u8> {
     let body = [records.concat().as_slice(), tail.as_bytes()].concat();
     let length = 16 + body.len() as u32;
-    let head = [(records.len() as u32).to_le_bytes(), length.to_le_bytes()].concat();
-    [head.as_slice(), &clock_us.to_le_bytes(), &body].concat()
+    let header = [(records.len() as u32).to_le_bytes(), length.to_le_bytes()].concat();
+    [header.as_slice(), &clock_us.to_le_bytes(), &body].concat()
 }
 
-/// Frames of every kind of event, with what two instances might see within a few seconds.
+/// Frames with every kind of event, as one instance may receive them within a few seconds.
 fn input() -> Vec<Vec<u8>> {
-    let flood = |first: u64| (first..first + 40).map(|id| arrived(id, (id % 3) as u8, 200, 0));
-    let with_instance = |records: Vec<Vec<u8>>| [vec![instance(3)], records].concat();
+    let overload = |first: u64| (first..first + 40).map(|id| arrived(id, (id % 3) as u8, 200, 0));
+    let with_instance = |records: Vec<Vec<u8>>| [vec![select_instance(3)], records].concat();
     let mut frames = vec![
-        frame(1_000, &[instance(3), started()], SETTINGS),
-        frame(2_000, &[instance(3), arrived(1, 0, 100, 0), arrived(2, 1, 100, 0), arrived(3, 2, 100, 0)], ""),
-        frame(12_000, &with_instance(vec![needs_call(1), needs_call(2), needs_call(3)]), ""),
-        frame(30_000, &with_instance(vec![call_ended(1, 0), call_ended(2, 252), call_ended(3, 253)]), ""),
-        frame(40_000, &with_instance(vec![finished(1, 0), finished(2, 0), finished(3, 255)]), ""),
+        frame(1_000, &[select_instance(3), instance_started()], SETTINGS),
+        frame(
+            2_000,
+            &[select_instance(3), arrived(1, 0, 100, 0), arrived(2, 1, 100, 0), arrived(3, 2, 100, 0)],
+            "",
+        ),
+        frame(12_000, &with_instance(vec![call_needed(1), call_needed(2), call_needed(3)]), ""),
+        frame(
+            30_000,
+            &with_instance(vec![call_finished(1, 0), call_finished(2, 252), call_finished(3, 253)]),
+            "",
+        ),
+        frame(40_000, &with_instance(vec![run_finished(1, 0), run_finished(2, 0), run_finished(3, 255)]), ""),
         frame(50_000, &with_instance(vec![arrived(4, 1, 0, 2), caller_gone(4)]), ""),
     ];
     for period in 1..=6_u64 {
-        let mut records = vec![woken(0, 5.9)];
-        records.extend(flood(100 * period));
+        let mut records = vec![timer_fired(0, 5.9)];
+        records.extend(overload(100 * period));
         frames.push(frame(500_000 * period, &with_instance(records), ""));
         let running = 100 * period..100 * period + 6;
         let outcomes = [0, 255, 254, 250, 251, 249];
-        let ends = running.zip(outcomes).map(|(id, outcome)| finished(id, outcome)).collect();
-        frames.push(frame(500_000 * period + 200_000, &with_instance(ends), ""));
+        let endings = running.zip(outcomes).map(|(id, outcome)| run_finished(id, outcome)).collect();
+        frames.push(frame(500_000 * period + 200_000, &with_instance(endings), ""));
     }
-    frames.push(frame(3_300_000, &with_instance(vec![told_to_leave()]), ""));
-    frames.push(frame(3_400_000, &with_instance(vec![woken(1, 4.0), arrived(900, 0, 0, 0)]), ""));
-    frames.push(frame(7_400_000, &with_instance(vec![woken(1, 1.0), ended()]), ""));
+    frames.push(frame(3_300_000, &with_instance(vec![drain_notice()]), ""));
+    frames.push(frame(3_400_000, &with_instance(vec![timer_fired(1, 4.0), arrived(900, 0, 0, 0)]), ""));
+    frames.push(frame(7_400_000, &with_instance(vec![timer_fired(1, 1.0), instance_ended()]), ""));
     frames
 }
 
-/// One reply of the program, without log records and texts.
+/// Reads a reply of the program, and removes the log records and texts from it.
 fn read_reply(output: &mut impl Read) -> Vec<u8> {
-    let mut head = [0; REPLY_HEAD];
-    output.read_exact(&mut head).unwrap();
-    let word = |at: usize| u32::from_le_bytes(head[at..at + 4].try_into().unwrap()) as usize;
+    let mut header = [0; REPLY_HEADER_BYTES];
+    output.read_exact(&mut header).unwrap();
+    let word = |offset: usize| u32::from_le_bytes(header[offset..offset + 4].try_into().unwrap()) as usize;
     let (length, count) = (word(0), word(4));
-    let mut body = vec![0; length - REPLY_HEAD];
+    let mut body = vec![0; length - REPLY_HEADER_BYTES];
     output.read_exact(&mut body).unwrap();
     let records = body[..count * ACTION_BYTES].chunks(ACTION_BYTES);
     records.filter(|record| record[0] != LOG).flatten().copied().collect()
@@ -141,21 +154,21 @@
         .stdout(Stdio::piped())
         .spawn()
         .unwrap();
-    let (mut to, mut from) = (program.stdin.take().unwrap(), program.stdout.take().unwrap());
-    let (mut asked, mut answered) = (Vec::new(), Vec::new());
+    let (mut input_pipe, mut output_pipe) = (program.stdin.take().unwrap(), program.stdout.take().unwrap());
+    let (mut sent, mut received) = (Vec::new(), Vec::new());
     for frame in input() {
-        to.write_all(&frame).unwrap();
-        asked.extend(frame);
-        answered.extend(read_reply(&mut from));
+        input_pipe.write_all(&frame).unwrap();
+        sent.extend(frame);
+        received.extend(read_reply(&mut output_pipe));
     }
-    drop(to);
+    drop(input_pipe);
     assert!(program.wait().unwrap().success());
     let fixtures = Fixtures::load(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/frames.txt"));
-    fixtures.verify(&[("input", asked), ("actions", answered)]);
+    fixtures.verify(&[("input", sent), ("actions", received)]);
 }
 
-/// What the program says on standard error to one frame that it cannot handle, and its exit code.
-fn refusal(frame: &[u8]) -> (String, Option<i32>) {
+/// Returns the program's standard error and exit code after one frame that it cannot handle.
+fn run_with_invalid_frame(frame: &[u8]) -> (String, Option<i32>) {
     let mut program = Command::new(env!("CARGO_BIN_EXE_meadowstream-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::null())
@@ -168,26 +181,29 @@
 }
 
 #[test]
-fn a_refusal_names_the_batch_the_record_and_the_value() {
-    let start = || vec![instance(3), started()];
+fn errors_name_the_batch_the_record_and_the_value() {
+    let start = || vec![select_instance(3), instance_started()];
     let after_start = |record: Vec<u8>| frame(1_000, &[start(), vec![record]].concat(), SETTINGS);
     let cases = [
-        (frame(1_000, &[started()], SETTINGS), "batch 0: record 0: no instance named before it"),
+        (frame(1_000, &[instance_started()], SETTINGS), "batch 0: record 0: no instance was selected before"),
         (
-            frame(1_000, &[instance(3), needs_call(1)], ""),
+            frame(1_000, &[select_instance(3), call_needed(1)], ""),
             "batch 0: record 1: event 40 for instance 3, which has not started",
         ),
         (after_start(arrived(1, 9, 0, 0)), "batch 0: record 2: unknown operation 9"),
-        (after_start(finished(1, 77)), "batch 0: record 2: unknown outcome 77"),
+        (after_start(run_finished(1, 77)), "batch 0: record 2: unknown outcome code 77"),
         (after_start(record(33, &[])), "batch 0: record 2: unknown event code 33"),
-        (after_start(record(80, &[(5, &[5])])), "batch 0: record 2: 5 gauges where 4 fit"),
+        (after_start(record(80, &[(5, &[5])])), "batch 0: record 2: 5 gauges, but at most 4 are allowed"),
         (
             frame(1_000, &start(), &SETTINGS.replace("cores=6", "cores=x")),
             "batch 0: record 1: setting family-info.cores: cannot read \"x\"",
         ),
-        (vec![0; 5], "batch 0: batch header cut off after 5 bytes"),
+        (vec![0; 5], "batch 0: batch header truncated after 5 bytes"),
     ];
     for (frame, text) in cases {
-        assert_eq!(refusal(&frame), (format!("meadowstream-simulator-adapter: {text}\n"), Some(1)));
+        assert_eq!(
+            run_with_invalid_frame(&frame),
+            (format!("meadowstream-simulator-adapter: {text}\n"), Some(1))
+        );
     }
 }
