--- a/crates/hot-restart/src/frames.rs
+++ b/crates/hot-restart/src/frames.rs
@@ -1,121 +1,124 @@
-//! Frames on the stream between predecessor and successor: the length of the message, its CRC-32, and the
-//! message in postcard. A reader accepts bytes in any pieces, buffers one frame at most, and trusts none of
-//! it.
+//! Frames on the stream between predecessor and successor. A frame consists of the length of the message, its
+//! CRC-32, and the message encoded with postcard. The reader accepts bytes in pieces of any size, buffers at
+//! most one frame, and checks everything it reads.
 
 use crate::Nanos;
 use serde::{Deserialize, Serialize};
 
-/// Longest message in bytes; longer state is sent in parts, and longer changes not at all.
+/// Maximum length of a message, in bytes. Larger state is sent in parts; larger changes cannot be sent.
 pub const MESSAGE_BYTES_MAX: usize = 256 * 1024;
-/// Length and checksum, little-endian, 4 bytes each.
+/// Length of a frame's header, in bytes: message length and checksum, 4 bytes each, little-endian.
 const HEADER_BYTES: usize = 8;
 
-/// An answer that the successor is about to give, so that the predecessor knows after a crash what callers
-/// may have received.
+/// An answer announced by the successor before sending it. If the successor crashes, the predecessor learns
+/// from the announcements which answers callers may have received.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AnnouncedAnswer {
-    /// The invocation answered.
+    /// Identifier of the answered invocation.
     pub invocation: u64,
-    /// Bytes that its connection had carried before the answer.
+    /// Number of bytes written to the invocation's connection before the answer.
     pub offset: u64,
-    /// The bytes of the answer.
+    /// Content of the answer.
     pub bytes: Vec<u8>,
 }
 
 impl AnnouncedAnswer {
-    /// What is still to be written where the connection has carried `carried` bytes in all. `None` where that
-    /// contradicts the announcement; the connection is then to be closed.
-    pub fn unwritten(&self, carried: u64) -> Option<&[u8]> {
-        let written = usize::try_from(carried.checked_sub(self.offset)?).ok()?;
+    /// Returns the part of the answer that remains to be written if `written_total` bytes have been written
+    /// to the connection in all. Returns `None` if that number contradicts the announcement; the connection
+    /// must then be closed.
+    pub fn unwritten(&self, written_total: u64) -> Option<&[u8]> {
+        let written = usize::try_from(written_total.checked_sub(self.offset)?).ok()?;
         self.bytes.get(written..)
     }
 }
 
-/// The messages. postcard numbers variants and fields by position: their order is the wire format.
+/// Messages between predecessor and successor. postcard encodes variants and fields by position, so their
+/// order is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Frame {
-    /// From the predecessor, first.
+    /// Sent first, by the predecessor.
     Offer {
-        /// Versions of the protocol that it speaks.
+        /// Protocol versions that the predecessor supports.
         versions: Vec<u16>,
-        /// Version of its program.
+        /// Version of the predecessor's program.
         build: String,
     },
-    /// From the successor, in answer to the offer.
+    /// Sent by the successor to accept the offer.
     Accept {
-        /// Version of the protocol that both speak from now on.
+        /// Protocol version to use from now on.
         version: u16,
     },
-    /// From the successor, in place of any answer: it does not go on.
+    /// Sent by the successor to abandon the upgrade, in place of any expected message.
     Refuse {
-        /// Why not.
+        /// Reason for the refusal.
         reason: String,
     },
-    /// From the predecessor: the configuration to check, and how much state follows.
+    /// Sent by the predecessor, with the digest of the configuration to check and the number of parts of the
+    /// state that follow.
     Prepare {
         /// Digest of the configuration.
         digest: u64,
         /// Number of parts of the state.
         parts: u32,
     },
-    /// From the successor: its configuration is the same and can be used.
+    /// Sent by the successor if its configuration is valid and equals the predecessor's.
     Prepared,
-    /// From the predecessor: a part of the state, which may still change.
+    /// Sent by the predecessor: a part of the state, which may still change after it is sent.
     State {
         /// Index of the part, from 0.
         part: u32,
-        /// The part.
+        /// Content of the part.
         bytes: Vec<u8>,
     },
-    /// From the successor: the state is loaded.
+    /// Sent by the successor once the state is loaded.
     Loaded,
-    /// From the predecessor, which has frozen: what has changed since the state was sent. It is one message,
-    /// so the caller must freeze while the changes, with the few bytes around them, fit
-    /// [`MESSAGE_BYTES_MAX`].
+    /// Sent by the predecessor after freezing: the changes since the state was sent. The changes form a
+    /// single message, so the caller must freeze while they still fit into [`MESSAGE_BYTES_MAX`] with a few
+    /// bytes of overhead.
     Switch {
-        /// The changes.
+        /// Content of the changes.
         changes: Vec<u8>,
     },
-    /// From the successor: it has taken over the changes.
+    /// Sent by the successor once the changes are applied.
     Confirmed,
-    /// From the predecessor: the successor is active from here on.
+    /// Sent by the predecessor to make the successor active.
     Release,
-    /// From the successor during the trial, before each answer.
+    /// Sent by the successor before each answer during the trial.
     Announce(AnnouncedAnswer),
-    /// From the successor: the trial is over.
+    /// Sent by the successor at the end of the trial.
     TrialOver,
-    /// From the predecessor: it takes nothing back any more.
+    /// Sent by the predecessor once it can no longer resume.
     Retired,
-    /// From the predecessor after the release: the request to drain is passed on.
+    /// Sent by the predecessor to forward a request to drain, after the release.
     Drain {
-        /// Time until the stop, in nanoseconds.
+        /// Time until the process is stopped, in nanoseconds.
         grace: Nanos,
     },
 }
 
-/// Why bytes are no frame, or a message cannot be one.
+/// Error on encoding or decoding a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// The message is longer than allowed.
-    #[error("a message of {bytes} bytes, over {MESSAGE_BYTES_MAX}")]
+    /// The message is longer than [`MESSAGE_BYTES_MAX`].
+    #[error("the message has {bytes} bytes, more than {MESSAGE_BYTES_MAX}")]
     TooLong {
-        /// Length of the message.
+        /// Length of the message, in bytes.
         bytes: usize,
     },
-    /// The message is not the one that was sent.
-    #[error("the checksum of the message is {computed:08x}, not {declared:08x}")]
+    /// The checksum does not match, so the message was damaged.
+    #[error("the checksum of the message is {computed:08x}, but the header says {declared:08x}")]
     Checksum {
-        /// The checksum in the frame's header.
+        /// Checksum in the frame's header.
         declared: u32,
-        /// The checksum of the message received.
+        /// Checksum computed over the received message.
         computed: u32,
     },
-    /// The message is none that this build knows, or has bytes behind it.
-    #[error("the message is none that this build knows")]
+    /// The message cannot be decoded by this build, or has bytes left over.
+    #[error("the message cannot be decoded by this build")]
     Encoding,
 }
 
-/// Appends a frame to `out`, which stays as it is where the message is too long.
+/// Encodes a frame and appends it to `out`. If the message is too long, `out` is not changed.
 pub fn encode(out: &mut Vec<u8>, frame: &Frame) -> Result<(), FrameError> {
     let message = postcard::to_allocvec(frame).map_err(|_| FrameError::Encoding)?;
     if message.len() > MESSAGE_BYTES_MAX {
@@ -127,36 +130,38 @@
     Ok(())
 }
 
-/// Reads frames from the bytes of a stream.
+/// Decodes frames from the bytes of a stream.
 #[derive(Debug, Default)]
 pub struct FrameReader {
     buffer: Vec<u8>,
-    /// The first error. Nothing is read after it, since the start of the next frame is not known.
-    failed: Option<FrameError>,
+    /// The first error. No frame is decoded after an error, since the start of the next frame is unknown.
+    first_error: Option<FrameError>,
 }
 
 impl FrameReader {
-    /// Bytes that can be pushed now: no more than one frame is buffered.
+    /// Number of bytes that [`FrameReader::push`] accepts now, so that at most one frame is buffered.
     pub fn capacity(&self) -> usize {
         (HEADER_BYTES + MESSAGE_BYTES_MAX).saturating_sub(self.buffer.len())
     }
 
-    /// Buffers bytes; those beyond [`FrameReader::capacity`] are dropped.
+    /// Buffers received bytes. Bytes beyond [`FrameReader::capacity`] are discarded.
     pub fn push(&mut self, bytes: &[u8]) {
         let count = bytes.len().min(self.capacity());
         self.buffer.extend_from_slice(&bytes[..count]);
     }
 
-    /// The next frame, `None` until it is complete. After an error the same error is returned again.
+    /// Returns the next frame, or `None` until it is complete. After an error, every call returns the same
+    /// error.
     pub fn next_frame(&mut self) -> Result<Option<Frame>, FrameError> {
-        let read = match self.failed {
+        let result = match self.first_error {
             Some(error) => Err(error),
             None => self.read_frame(),
         };
-        self.failed = read.as_ref().err().copied();
-        read
+        self.first_error = result.as_ref().err().copied();
+        result
     }
 
+    /// Decodes the frame at the start of the buffer and removes it from there.
     fn read_frame(&mut self) -> Result<Option<Frame>, FrameError> {
         let (Some(bytes), Some(declared)) = (self.header_word(0), self.header_word(4)) else {
             return Ok(None);
@@ -179,13 +184,13 @@
         Ok(Some(frame))
     }
 
-    /// A number of the header, `None` until its bytes are there.
+    /// Returns the number of 4 bytes at an offset in the header, or `None` until it has been received.
     fn header_word(&self, offset: usize) -> Option<u32> {
         let bytes = self.buffer.get(offset..offset + 4)?;
         Some(u32::from_le_bytes(bytes.try_into().ok()?))
     }
 
-    /// Whether a frame has begun that is not complete.
+    /// Whether the buffer contains the beginning of an incomplete frame.
     pub fn has_partial_frame(&self) -> bool {
         !self.buffer.is_empty()
     }
--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -1,62 +1,63 @@
-//! Hot restart: a running server (the predecessor) hands all it has to a new process (the successor), and
-//! takes it back if that fails. The protocol is two state machines without I/O or clock, [`predecessor`] and
-//! [`successor`], and the [`frames`] between them. Events and the time go in; actions to carry out come out.
+//! Hot restart: a running server (the predecessor) hands over all its state and connections to a new process
+//! (the successor), and resumes if the attempt fails. The protocol consists of two state machines without I/O
+//! or clock, [`predecessor`] and [`successor`], and the [`frames`] between them. Inputs are events and the
+//! time; outputs are actions for the caller.
 //!
-//! At each moment at most one process is active, that is, may answer, run, call, report and accept. The
-//! predecessor is active until it freezes for the switch, the successor from the release on. During a trial
-//! after the release the predecessor keeps all it handed over, and the successor announces each answer before
-//! it gives it. Before the release the predecessor resumes at once when the attempt fails, since the
-//! successor cannot have acted. After it, only when the successor is known to be dead and all its
-//! announcements are read.
+//! At any moment at most one process is active, that is, may answer, run, call, report and accept. The
+//! predecessor is active until it freezes for the switch, and the successor is active from the release on.
+//! During a trial after the release, the predecessor keeps everything it handed over, and the successor
+//! announces each answer before sending it. If the attempt fails before the release, the predecessor resumes
+//! at once, since the successor cannot have acted yet. After the release it resumes only when the successor
+//! is known to be dead and all its announcements have been read.
 //!
-//! `docs/upgrades.md` has the design and the alternatives. The server does not use this crate yet.
+//! Design and alternatives: `docs/upgrades.md`. The server does not use this crate yet.
 #![deny(missing_docs, clippy::too_many_lines)]
 
 pub mod frames;
 pub mod predecessor;
 pub mod successor;
 
-/// Nanoseconds by the caller's clock, which does not go back.
+/// Time in nanoseconds on the caller's monotonic clock.
 pub type Nanos = u64;
 
-/// Versions of the protocol that this build speaks, the latest last.
+/// Protocol versions that this build supports, in ascending order.
 pub const VERSIONS: &[u16] = &[1];
 
-/// Why an upgrade did not happen.
+/// Reason why an upgrade failed or was not started.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum AbortReason {
-    /// Another upgrade is under way.
-    #[error("another upgrade is under way")]
+    /// Another upgrade is in progress.
+    #[error("another upgrade is in progress")]
     Busy,
-    /// The last attempts failed, and the backoff is not over.
+    /// The last attempt failed, and the backoff has not expired.
     #[error("the last attempt failed; the next one is possible in {wait} ns")]
     Backoff {
-        /// Time until an attempt is possible, in nanoseconds.
+        /// Time until the next attempt is possible, in nanoseconds.
         wait: Nanos,
     },
     /// The server is draining.
     #[error("the server is draining")]
     Draining,
     /// The successor chose a version that was not offered.
-    #[error("the successor speaks version {version}, which was not offered")]
+    #[error("the successor chose version {version}, which was not offered")]
     Version {
         /// The version that the successor chose.
         version: u16,
     },
-    /// The successor refused, for a reason of its own: its configuration or the state it was sent, or the
-    /// predecessor did not do a step in time.
+    /// The successor refused, because of its configuration, because of the state it received, or because the
+    /// predecessor did not complete a step in time.
     #[error("the successor refused: {reason}")]
     Refused {
-        /// The successor's reason.
+        /// Reason that the successor gave.
         reason: String,
     },
-    /// The successor did not do its step in time.
+    /// The successor did not complete a step in time.
     #[error("the successor did not respond in time")]
     Timeout,
-    /// The successor exited, or its end of the stream was closed.
+    /// The successor exited or closed its end of the stream.
     #[error("the successor exited or closed the stream")]
-    SuccessorGone,
-    /// The successor sent bytes that are no frame, or a frame that is not expected.
-    #[error("the successor sent bytes that are no frame, or a frame that is not expected")]
+    SuccessorExited,
+    /// The successor sent bytes that are not a valid frame, or an unexpected frame.
+    #[error("the successor sent bytes that are not a valid frame, or an unexpected frame")]
     ProtocolViolation,
 }
--- a/crates/hot-restart/src/predecessor.rs
+++ b/crates/hot-restart/src/predecessor.rs
@@ -1,94 +1,95 @@
-//! The predecessor's side: it starts a successor, hands over, and takes back if the attempt fails.
+//! Predecessor's side of a hot restart: it starts a successor, hands over to it, and resumes if the attempt
+//! fails.
 
 use crate::frames::{AnnouncedAnswer, Frame};
 use crate::{AbortReason, Nanos, VERSIONS};
 
-/// Limits of an attempt, in nanoseconds.
+/// Time limits of an upgrade attempt, in nanoseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Limits {
-    /// Longest time of each step but the switch and the trial.
+    /// Time limit of each step except the switch and the trial.
     pub step: Nanos,
-    /// Longest time of the switch, in which no process is active.
+    /// Time limit of the switch, during which no process is active.
     pub switch: Nanos,
-    /// Length of the trial; the predecessor waits twice as long for its end.
+    /// Duration of the trial. The predecessor waits twice this time for the end of the trial.
     pub trial: Nanos,
-    /// Backoff after the first failure, doubled with each further one.
+    /// Backoff after the first failed attempt. It doubles with each further failure.
     pub backoff: Nanos,
-    /// Longest backoff.
+    /// Maximum backoff.
     pub backoff_max: Nanos,
 }
 
-/// The trial is over after so many of its lengths, whatever the successor says.
+/// The trial times out after this many times its duration.
 const TRIAL_TIMEOUT_FACTOR: Nanos = 2;
-/// Doublings of the backoff, at most.
+/// Maximum number of times that the backoff is doubled.
 const BACKOFF_DOUBLINGS_MAX: u32 = 20;
 
 /// Phase of the predecessor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
-    /// No upgrade is under way.
+    /// No upgrade is in progress.
     Serving,
-    /// The successor has been started and sent the offer.
+    /// The successor has been started, and the offer has been sent to it.
     Offered,
-    /// The successor checks its configuration.
+    /// The successor is checking its configuration.
     Preparing,
-    /// The successor loads the state.
+    /// The successor is loading the state.
     Loading,
-    /// Frozen: all is handed over, and no process is active until the successor confirms.
+    /// Frozen: everything is handed over, and no process is active until the successor confirms.
     Switching,
-    /// The successor is active; all that was handed over is kept.
+    /// The successor is active. The predecessor keeps everything it handed over.
     Trial,
-    /// The attempt failed: the successor is being killed, and its announcements are read to their end. Before
-    /// the release the predecessor is active meanwhile.
+    /// The attempt failed. The successor is being killed, and its announcements are read until the end of the
+    /// stream. The predecessor is active meanwhile if the release had not been sent.
     Aborting,
-    /// The upgrade succeeded; nothing is taken back any more.
+    /// The upgrade succeeded, and the predecessor can no longer resume.
     Retired,
 }
 
-/// What the predecessor is told.
+/// An input of the predecessor.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
     /// The operator requests an upgrade.
     UpgradeRequested,
-    /// A frame arrived.
+    /// A frame was received.
     Frame(Frame),
-    /// Bytes arrived that are no frame.
+    /// Bytes were received that are not a valid frame.
     InvalidFrame,
-    /// The stream has ended: no more will arrive.
+    /// The stream has ended; no more bytes will be received.
     StreamEnded,
-    /// The successor's process is known to be dead.
+    /// The successor's process has exited.
     SuccessorExited,
-    /// The server is to drain.
+    /// The server must drain.
     DrainRequested {
-        /// Time until the stop, in nanoseconds.
+        /// Time until the process is stopped, in nanoseconds.
         grace: Nanos,
     },
 }
 
-/// What the caller is to carry out, in the order given.
+/// An action for the caller. Actions must be carried out in the order returned.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Start the successor with one end of a stream.
+    /// Start the successor and give it one end of a new stream.
     StartSuccessor,
     /// Send a frame.
     Send(Frame),
-    /// Send the state in parts, each as [`Frame::State`].
+    /// Send the state in parts, each in a [`Frame::State`].
     SendState,
-    /// Stop being active, and send what has changed since the state as [`Frame::Switch`].
+    /// Become inactive, and send the changes since the state was sent in a [`Frame::Switch`].
     Freeze,
-    /// Kill the successor, and report [`Event::SuccessorExited`] when it is dead.
+    /// Kill the successor, and report [`Event::SuccessorExited`] once it is dead.
     KillSuccessor,
-    /// Take back all that was handed over, and be active again. Announced answers are completed and not given
-    /// again.
-    TakeBack(Vec<AnnouncedAnswer>),
-    /// Drain.
+    /// Resume with everything that was handed over. Finish writing the announced answers, and do not answer
+    /// those invocations again.
+    Resume(Vec<AnnouncedAnswer>),
+    /// Drain this process.
     Drain {
-        /// Time until the stop, in nanoseconds.
+        /// Time until the process is stopped, in nanoseconds.
         grace: Nanos,
     },
-    /// End this process; all is the successor's for good.
+    /// End this process; the successor has taken over permanently.
     Retire,
-    /// Tell whoever requested the upgrade that it did not happen.
+    /// Report to the requester that the upgrade did not happen.
     ReportFailure(AbortReason),
 }
 
@@ -97,29 +98,32 @@
 pub struct Predecessor {
     limits: Limits,
     phase: Phase,
-    /// When the present phase times out, where it does.
+    /// Time at which the current phase times out, if it has a timeout.
     deadline: Nanos,
+    /// Digest of the configuration.
     digest: u64,
+    /// Number of parts of the state.
     parts: u32,
-    /// Answers that the successor has announced.
+    /// Answers announced by the successor.
     announced: Vec<AnnouncedAnswer>,
-    /// Whether the release was sent: the successor may have acted.
+    /// Whether the release was sent, after which the successor may have acted.
     has_released: bool,
-    /// Whether the successor's process is dead.
-    successor_dead: bool,
-    /// Whether nothing more can be read from the successor.
+    /// Whether the successor's process has exited.
+    successor_exited: bool,
+    /// Whether the stream from the successor has ended.
     stream_ended: bool,
+    /// Reason why the current attempt is being aborted.
     abort_reason: Option<AbortReason>,
-    /// Failed attempts since the last success.
+    /// Number of failed attempts since the last success.
     failures: u32,
-    /// When the backoff is over.
-    not_before: Nanos,
-    /// The time until the stop, once a drain was requested.
+    /// Time at which the backoff expires.
+    backoff_until: Nanos,
+    /// Time until the process is stopped, in nanoseconds, once a drain was requested.
     drain_grace: Option<Nanos>,
 }
 
 impl Predecessor {
-    /// A predecessor that serves.
+    /// Creates a predecessor that is serving, with no upgrade in progress.
     pub fn new(limits: Limits) -> Self {
         Self {
             limits,
@@ -129,22 +133,21 @@
             parts: 0,
             announced: Vec::new(),
             has_released: false,
-            successor_dead: false,
+            successor_exited: false,
             stream_ended: false,
             abort_reason: None,
             failures: 0,
-            not_before: 0,
+            backoff_until: 0,
             drain_grace: None,
         }
     }
 
-    /// The present phase.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Sets what the next upgrade hands over: the configuration's digest and the number of parts of the
-    /// state.
+    /// Sets the digest of the configuration and the number of parts of the state for the next upgrade.
     pub fn set_offer(&mut self, digest: u64, parts: u32) {
         self.digest = digest;
         self.parts = parts;
@@ -159,7 +162,8 @@
         }
     }
 
-    /// When [`Predecessor::handle_timeout`] is to be called, where the phase has a timeout.
+    /// Returns the time at which [`Predecessor::handle_timeout`] must be called, if the current phase has a
+    /// timeout.
     pub fn poll_timeout(&self) -> Option<Nanos> {
         match self.phase {
             Phase::Serving | Phase::Aborting | Phase::Retired => None,
@@ -169,6 +173,7 @@
         }
     }
 
+    /// Enters a phase and sets its timeout.
     fn enter(&mut self, phase: Phase, now: Nanos) {
         let timeout = match phase {
             Phase::Switching => self.limits.switch,
@@ -179,7 +184,7 @@
         self.deadline = now.saturating_add(timeout);
     }
 
-    /// Ends the attempt where the phase's timeout has passed.
+    /// Aborts the attempt if the current phase has timed out.
     pub fn handle_timeout(&mut self, now: Nanos) -> Vec<Action> {
         match self.poll_timeout() {
             Some(deadline) if now >= deadline => self.abort(AbortReason::Timeout),
@@ -201,12 +206,13 @@
                 _ => self.handle_successor(now, event),
             },
         };
-        if self.phase == Phase::Aborting && self.successor_dead && self.stream_ended {
+        if self.phase == Phase::Aborting && self.successor_exited && self.stream_ended {
             actions.extend(self.finish_abort(now));
         }
         actions
     }
 
+    /// Starts an upgrade, or reports why none can be started.
     fn handle_upgrade_request(&mut self, now: Nanos) -> Vec<Action> {
         if self.phase != Phase::Serving {
             return vec![Action::ReportFailure(AbortReason::Busy)];
@@ -214,11 +220,11 @@
         if self.drain_grace.is_some() {
             return vec![Action::ReportFailure(AbortReason::Draining)];
         }
-        if now < self.not_before {
-            return vec![Action::ReportFailure(AbortReason::Backoff { wait: self.not_before - now })];
+        if now < self.backoff_until {
+            return vec![Action::ReportFailure(AbortReason::Backoff { wait: self.backoff_until - now })];
         }
         self.has_released = false;
-        self.successor_dead = false;
+        self.successor_exited = false;
         self.stream_ended = false;
         self.abort_reason = None;
         self.announced.clear();
@@ -228,14 +234,15 @@
         vec![Action::StartSuccessor, Action::Send(offer)]
     }
 
+    /// Drains the active process; before the release, aborts the attempt.
     fn handle_drain_request(&mut self, grace: Nanos) -> Vec<Action> {
         self.drain_grace = Some(grace);
         match self.phase {
             Phase::Serving => vec![Action::Drain { grace }],
-            // From the release on it is the successor that drains.
+            // After the release the successor is the process that drains.
             Phase::Trial => vec![Action::Send(Frame::Drain { grace })],
-            // Before it a draining server hands nothing over: the attempt ends, and this process drains.
-            // After a release it drains once all is taken back.
+            // Before the release the attempt is aborted and this process drains, since a draining server
+            // hands nothing over. After the release this process drains once it has resumed.
             _ => {
                 let is_aborting = self.phase == Phase::Aborting;
                 let mut actions = if is_aborting { Vec::new() } else { self.abort(AbortReason::Draining) };
@@ -247,23 +254,24 @@
         }
     }
 
-    /// Handles what the successor did while an attempt is under way.
+    /// Handles an event caused by the successor during an attempt.
     fn handle_successor(&mut self, now: Nanos, event: Event) -> Vec<Action> {
         match event {
             Event::Frame(frame) => self.handle_frame(now, frame),
             Event::SuccessorExited => {
-                self.successor_dead = true;
-                self.abort(AbortReason::SuccessorGone)
+                self.successor_exited = true;
+                self.abort(AbortReason::SuccessorExited)
             }
             Event::StreamEnded => {
                 self.stream_ended = true;
-                self.abort(AbortReason::SuccessorGone)
+                self.abort(AbortReason::SuccessorExited)
             }
             Event::InvalidFrame => self.abort(AbortReason::ProtocolViolation),
             Event::UpgradeRequested | Event::DrainRequested { .. } => Vec::new(),
         }
     }
 
+    /// Handles a frame; one that is not expected in the current phase aborts the attempt.
     fn handle_frame(&mut self, now: Nanos, frame: Frame) -> Vec<Action> {
         match (self.phase, frame) {
             (_, Frame::Refuse { reason }) => self.abort(AbortReason::Refused { reason }),
@@ -300,27 +308,29 @@
         }
     }
 
-    /// Ends the attempt: the successor is killed. Before the release it cannot have acted, and the
-    /// predecessor resumes at once; after it nothing is taken back before the successor is dead.
+    /// Aborts the attempt and kills the successor. Before the release the successor cannot have acted, and
+    /// the predecessor resumes at once. After the release the predecessor resumes only when the successor is
+    /// dead.
     fn abort(&mut self, reason: AbortReason) -> Vec<Action> {
         let was_frozen = self.phase == Phase::Switching;
         self.phase = Phase::Aborting;
         self.abort_reason = Some(reason);
         let mut actions = Vec::new();
-        if !self.successor_dead {
+        if !self.successor_exited {
             actions.push(Action::KillSuccessor);
         }
         if was_frozen {
-            actions.push(Action::TakeBack(Vec::new()));
+            actions.push(Action::Resume(Vec::new()));
         }
         actions
     }
 
-    /// Reads what the successor announced before its death: it may have been given.
+    /// Collects the announcements that the successor sent before its death, since callers may have received
+    /// those answers.
     fn handle_while_aborting(&mut self, event: Event) -> Vec<Action> {
         match event {
-            Event::SuccessorExited => self.successor_dead = true,
-            // Nothing can be read behind bytes that are no frame (`docs/upgrades.md`).
+            Event::SuccessorExited => self.successor_exited = true,
+            // After bytes that are not a valid frame, no further frame can be read (`docs/upgrades.md`).
             Event::StreamEnded | Event::InvalidFrame => self.stream_ended = true,
             Event::Frame(Frame::Announce(answer)) => self.announced.push(answer),
             Event::Frame(_) | Event::UpgradeRequested | Event::DrainRequested { .. } => {}
@@ -328,17 +338,17 @@
         Vec::new()
     }
 
-    /// Serves again, now that the successor is dead and all its announcements are read.
+    /// Returns to serving, once the successor is dead and all its announcements have been read.
     fn finish_abort(&mut self, now: Nanos) -> Vec<Action> {
         self.phase = Phase::Serving;
         let doublings = self.failures.min(BACKOFF_DOUBLINGS_MAX);
         let backoff = self.limits.backoff.saturating_mul(1 << doublings);
-        self.not_before = now.saturating_add(backoff.min(self.limits.backoff_max));
+        self.backoff_until = now.saturating_add(backoff.min(self.limits.backoff_max));
         self.failures += 1;
         let announced = std::mem::take(&mut self.announced);
         let mut actions = Vec::new();
         if self.has_released {
-            actions.push(Action::TakeBack(announced));
+            actions.push(Action::Resume(announced));
         }
         actions.extend(self.abort_reason.take().map(Action::ReportFailure));
         if let Some(grace) = self.drain_grace.filter(|_| self.has_released) {
--- a/crates/hot-restart/src/successor.rs
+++ b/crates/hot-restart/src/successor.rs
@@ -1,4 +1,5 @@
-//! The successor's side: it checks its configuration, loads the state, and is active from the release on.
+//! Successor's side of a hot restart: it checks its configuration, loads the state, and becomes active at the
+//! release.
 
 use crate::frames::{AnnouncedAnswer, Frame};
 use crate::{Nanos, VERSIONS};
@@ -6,83 +7,84 @@
 /// Phase of the successor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
-    /// Waits for the offer.
+    /// Waiting for the offer.
     Waiting,
-    /// Waits for the digest of the configuration.
+    /// Waiting for the digest of the configuration.
     Preparing,
-    /// Checks the configuration.
+    /// Checking the configuration.
     Checking,
-    /// Receives the parts of the state.
+    /// Receiving the parts of the state.
     Receiving,
-    /// Loads the state.
+    /// Loading the state.
     Loading,
-    /// Waits for the switch.
+    /// The state is loaded; waiting for the switch.
     Loaded,
-    /// Has everything, and waits for the release.
+    /// All changes are applied; waiting for the release.
     Confirmed,
-    /// Active; each answer is announced before it is given.
+    /// Active. Each answer is announced before it is sent.
     Trial,
-    /// The same; the end of the trial has been reported.
+    /// Active, with the end of the trial reported. Each answer is still announced before it is sent.
     TrialOver,
-    /// Active; the predecessor takes nothing back any more.
-    Alone,
-    /// To exit at once: it owns nothing.
+    /// Active. The predecessor can no longer resume.
+    Independent,
+    /// The process must exit at once; it owns nothing.
     Exited,
 }
 
-/// What the successor is told.
+/// An input of the successor.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// A frame arrived.
+    /// A frame was received.
     Frame(Frame),
-    /// Bytes arrived that are no frame.
+    /// Bytes were received that are not a valid frame.
     InvalidFrame,
     /// The predecessor's end of the stream was closed.
     StreamEnded,
-    /// The check of the configuration is done.
+    /// The configuration has been checked.
     ConfigurationChecked {
-        /// Why the configuration cannot be used; absent where it can.
+        /// Reason why the configuration cannot be used; `None` if it can.
         rejection: Option<String>,
     },
-    /// The state has been loaded.
+    /// The state has been loaded, or loading it failed.
     StateLoaded {
-        /// Why the state cannot be used; absent where it can.
+        /// Reason why the state cannot be used; `None` if it can.
         rejection: Option<String>,
     },
 }
 
-/// What the caller is to carry out, in the order given.
+/// An action for the caller. Actions must be carried out in the order returned.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
     /// Send a frame.
     Send(Frame),
-    /// Check the configuration, and that its digest is this one; report [`Event::ConfigurationChecked`].
+    /// Check the configuration and that its digest equals `digest`, and report
+    /// [`Event::ConfigurationChecked`].
     CheckConfiguration {
         /// Digest of the predecessor's configuration.
         digest: u64,
     },
-    /// Keep a part of the state.
-    KeepPart {
+    /// Store a part of the state.
+    StorePart {
         /// Index of the part, from 0.
         part: u32,
-        /// The part.
+        /// Content of the part.
         bytes: Vec<u8>,
     },
-    /// Load the parts of the state without being active; report [`Event::StateLoaded`].
+    /// Load the parts of the state without becoming active, and report [`Event::StateLoaded`].
     LoadState,
-    /// Apply what has changed since the state was sent.
+    /// Apply the changes since the state was sent.
     ApplyChanges {
-        /// The changes.
+        /// Content of the changes.
         changes: Vec<u8>,
     },
-    /// Be active from now on.
+    /// Become active.
     Activate,
-    /// Drain.
+    /// Drain this process.
     Drain {
-        /// Time until the stop, in nanoseconds.
+        /// Time until the process is stopped, in nanoseconds.
         grace: Nanos,
     },
-    /// Exit; nothing was handed over for good.
+    /// Exit. The predecessor still owns everything.
     Exit,
 }
 
@@ -90,18 +92,20 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Successor {
     phase: Phase,
-    /// Longest time of each step, in nanoseconds.
+    /// Time limit of each step, in nanoseconds.
     step_timeout: Nanos,
-    /// Length of the trial, in nanoseconds.
+    /// Duration of the trial, in nanoseconds.
     trial: Nanos,
+    /// Time at which the current phase times out, if it has a timeout.
     deadline: Nanos,
-    /// Parts of the state that were announced, and that have arrived.
+    /// Number of parts of the state, as announced by the predecessor.
     parts: u32,
+    /// Number of parts received so far.
     parts_received: u32,
 }
 
 impl Successor {
-    /// A successor that waits for the offer. Times are in nanoseconds.
+    /// Creates a successor that waits for the offer. All times are in nanoseconds.
     pub fn new(step_timeout: Nanos, trial: Nanos, now: Nanos) -> Self {
         Self {
             phase: Phase::Waiting,
@@ -113,41 +117,46 @@
         }
     }
 
-    /// The present phase.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
     /// Whether the successor may answer, run, call, report and accept.
     pub fn is_active(&self) -> bool {
-        matches!(self.phase, Phase::Trial | Phase::TrialOver | Phase::Alone)
+        matches!(self.phase, Phase::Trial | Phase::TrialOver | Phase::Independent)
     }
 
-    /// When [`Successor::handle_timeout`] is to be called, where the phase has a timeout.
+    /// Returns the time at which [`Successor::handle_timeout`] must be called, if the current phase has a
+    /// timeout.
     pub fn poll_timeout(&self) -> Option<Nanos> {
         match self.phase {
-            Phase::TrialOver | Phase::Alone | Phase::Exited => None,
+            Phase::TrialOver | Phase::Independent | Phase::Exited => None,
             _ => Some(self.deadline),
         }
     }
 
-    /// The frame to send before this answer is given; none once the predecessor takes nothing back.
+    /// Returns the frame to send before giving this answer, or `None` outside the trial, where answers need
+    /// no announcement.
     pub fn announce(&self, answer: AnnouncedAnswer) -> Option<Frame> {
         matches!(self.phase, Phase::Trial | Phase::TrialOver).then_some(Frame::Announce(answer))
     }
 
+    /// Enters a phase and sets its timeout.
     fn enter(&mut self, phase: Phase, now: Nanos) {
         let timeout = if phase == Phase::Trial { self.trial } else { self.step_timeout };
         self.phase = phase;
         self.deadline = now.saturating_add(timeout);
     }
 
+    /// Abandons the upgrade with a reason for the predecessor.
     fn refuse(&mut self, reason: &str) -> Vec<Action> {
         self.phase = Phase::Exited;
         vec![Action::Send(Frame::Refuse { reason: reason.to_string() }), Action::Exit]
     }
 
-    /// Ends the trial when its time is over, or refuses where the predecessor has not done its step in time.
+    /// Ends the trial once its duration has passed. In earlier phases, refuses if the predecessor has not
+    /// completed its step in time.
     pub fn handle_timeout(&mut self, now: Nanos) -> Vec<Action> {
         if self.poll_timeout().is_none_or(|deadline| now < deadline) {
             return Vec::new();
@@ -163,14 +172,15 @@
     pub fn handle_event(&mut self, now: Nanos, event: Event) -> Vec<Action> {
         match self.phase {
             Phase::Exited => Vec::new(),
-            Phase::Trial | Phase::TrialOver | Phase::Alone => self.handle_while_active(event),
+            Phase::Trial | Phase::TrialOver | Phase::Independent => self.handle_while_active(event),
             _ => self.handle_before_release(now, event),
         }
     }
 
+    /// Handles an event in the phases before the release.
     fn handle_before_release(&mut self, now: Nanos, event: Event) -> Vec<Action> {
         match event {
-            // The predecessor is gone, or keeps what it has: nothing was handed over.
+            // The predecessor has exited or aborted; it has handed nothing over.
             Event::StreamEnded => {
                 self.phase = Phase::Exited;
                 vec![Action::Exit]
@@ -192,10 +202,12 @@
         }
     }
 
+    /// Refuses because a frame or event is not expected in the current phase.
     fn refuse_unexpected(&mut self) -> Vec<Action> {
         self.refuse("a frame that is not due")
     }
 
+    /// Handles a frame; refuses one that is not expected in the current phase.
     fn handle_frame(&mut self, now: Nanos, frame: Frame) -> Vec<Action> {
         match (self.phase, frame) {
             (Phase::Waiting, Frame::Offer { versions, .. }) => {
@@ -224,6 +236,7 @@
         }
     }
 
+    /// Confirms the configuration, and waits for the parts of the state, if there are any.
     fn handle_configuration_accepted(&mut self, now: Nanos) -> Vec<Action> {
         let mut actions = vec![Action::Send(Frame::Prepared)];
         if self.parts == 0 {
@@ -235,9 +248,10 @@
         actions
     }
 
+    /// Stores a part, and loads the state once all parts are received.
     fn handle_part(&mut self, now: Nanos, part: u32, bytes: Vec<u8>) -> Vec<Action> {
         self.parts_received += 1;
-        let mut actions = vec![Action::KeepPart { part, bytes }];
+        let mut actions = vec![Action::StorePart { part, bytes }];
         if self.parts_received == self.parts {
             self.enter(Phase::Loading, now);
             actions.push(Action::LoadState);
@@ -247,12 +261,12 @@
         actions
     }
 
-    /// The successor alone is active: whatever the predecessor does now, it goes on.
+    /// Handles an event while the successor is active. It stays active whatever the predecessor does.
     fn handle_while_active(&mut self, event: Event) -> Vec<Action> {
         match event {
             Event::Frame(Frame::Drain { grace }) => vec![Action::Drain { grace }],
             Event::StreamEnded | Event::Frame(Frame::Retired) => {
-                self.phase = Phase::Alone;
+                self.phase = Phase::Independent;
                 Vec::new()
             }
             Event::Frame(_)
--- a/crates/hot-restart/tests/fixed_bytes.rs
+++ b/crates/hot-restart/tests/fixed_bytes.rs
@@ -1,4 +1,5 @@
-//! Frames have the bytes that release 0.2.0 (commit 22d0bb6) wrote, and are read back to the same.
+//! Wire compatibility: frames must encode to the bytes recorded from release 0.2.0 (commit 22d0bb6) and
+//! decode to the same values.
 
 use meadowstream_hot_restart::frames::{AnnouncedAnswer, Frame, FrameReader, encode};
 use meadowstream_wire_fixtures::Fixtures;
@@ -29,15 +30,15 @@
 }
 
 #[test]
-fn frames_have_the_bytes_of_release_0_2_and_are_read_back() {
+fn frames_have_the_bytes_of_release_0_2_and_are_decoded() {
     let fixtures = Fixtures::load(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/frames.txt"));
     fixtures.verify(&frames().iter().map(|(name, frame)| (*name, encoded(frame))).collect::<Vec<_>>());
     for (name, frame) in frames() {
         let mut reader = FrameReader::default();
         reader.push(fixtures.bytes(name));
-        let read = reader.next_frame().unwrap().unwrap();
-        assert_eq!(read, frame, "{name}");
-        assert_eq!(encoded(&read), fixtures.bytes(name), "{name}");
+        let decoded = reader.next_frame().unwrap().unwrap();
+        assert_eq!(decoded, frame, "{name}");
+        assert_eq!(encoded(&decoded), fixtures.bytes(name), "{name}");
         assert!(!reader.has_partial_frame(), "{name}");
     }
 }
--- a/crates/hot-restart/tests/model.rs
+++ b/crates/hot-restart/tests/model.rs
@@ -1,50 +1,61 @@
-//! All interleavings of both sides, with either of them killed at any moment, timers that go off whenever
-//! they may, and a stream that loses what its reader did not read. The machines are the real ones.
+//! Model check of both state machines over all interleavings. Either process may be killed at any moment,
+//! timers fire at any time, and frames that a killed process has not read are lost. The model runs the real
+//! [`predecessor`] and [`successor`] code.
 
 use meadowstream_hot_restart::frames::{AnnouncedAnswer, Frame};
 use meadowstream_hot_restart::{predecessor, successor};
 use stateright::{Checker, Model, Property};
 use std::collections::VecDeque;
 
-/// Faults put in on purpose, which the checker must find.
+/// Faults injected into the model, which the checker must detect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     None,
-    /// The old one is told that the new one is dead before it is.
-    DeclaredDeadTooEarly,
-    /// The new one answers before it says so.
+    /// The predecessor is told that the successor is dead while it still runs.
+    DeclaredDeadWhileRunning,
+    /// The successor sends an answer without announcing it.
     AnswersUnannounced,
-    /// The old one goes on after it has frozen.
+    /// The predecessor continues to answer after it has frozen.
     NeverFreezes,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct World {
+struct SystemState {
     predecessor: predecessor::Predecessor,
     successor: Option<successor::Successor>,
     predecessor_alive: bool,
-    /// Told to end, and not dead yet.
+    /// Whether the predecessor has ordered the successor to be killed; it may still be running.
     successor_killed: bool,
     to_successor: VecDeque<Frame>,
     to_predecessor: VecDeque<Frame>,
-    stream_read_out: bool,
-    told_dead: bool,
-    /// How often each invocation was answered, and which the old one knows to be answered.
+    /// Whether the predecessor was told that the stream has ended.
+    stream_ended: bool,
+    /// Whether the predecessor was told that the successor has exited.
+    exit_reported: bool,
+    /// Number of answers that the caller of each invocation received.
     answered: [u8; INVOCATIONS],
-    known: [bool; INVOCATIONS],
-    /// Answered as far as the new one knows: by the state it was given, and by itself.
-    given: [bool; INVOCATIONS],
-    checks: bool,
-    loads: bool,
+    /// Invocations that the predecessor knows to be answered.
+    known_to_predecessor: [bool; INVOCATIONS],
+    /// Invocations that the successor knows to be answered, from the state it received or because it answered
+    /// them itself.
+    known_to_successor: [bool; INVOCATIONS],
+    /// Whether the successor is checking its configuration.
+    is_checking: bool,
+    /// Whether the successor is loading the state.
+    is_loading: bool,
+    /// Number of upgrade requests made while the predecessor was serving.
     upgrades: u8,
-    left: bool,
+    drain_requested: bool,
+    /// Time in nanoseconds: 0 except while a timer fires.
     now: u64,
 }
 
+/// Number of invocations in the model.
 const INVOCATIONS: usize = 2;
-/// An upgrade that fails may be followed by another.
-const UPGRADES: u8 = 2;
+/// Maximum number of upgrades, so that one may follow a failed one.
+const UPGRADES_MAX: u8 = 2;
 
+/// A transition of the model.
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
     RequestUpgrade,
@@ -58,48 +69,52 @@
     SuccessorAnswers(usize),
     KillPredecessor,
     KillSuccessor,
-    PredecessorSeesDeath,
-    PredecessorSeesEnd,
-    SuccessorSeesEnd,
+    ReportExitToPredecessor,
+    EndStreamToPredecessor,
+    EndStreamToSuccessor,
     RequestDrain,
 }
 
+/// The model, with the injected fault.
 struct HotRestart(Fault);
 
 fn limits() -> predecessor::Limits {
     predecessor::Limits { step: 1, switch: 1, trial: 1, backoff: 0, backoff_max: 0 }
 }
 
-/// Why a check fails, where it does.
-fn rejection(good: bool) -> Option<String> {
-    (!good).then(|| "no".to_string())
+/// Reason for a rejection, or `None` if the result is good.
+fn rejection(is_good: bool) -> Option<String> {
+    (!is_good).then(|| "no".to_string())
 }
 
-impl World {
+impl SystemState {
     fn carry_out_predecessor(&mut self, actions: Vec<predecessor::Action>) {
-        for each in actions {
-            match each {
+        for action in actions {
+            match action {
                 predecessor::Action::StartSuccessor => {
                     self.successor = Some(successor::Successor::new(1, 1, self.now));
                     (self.to_successor, self.to_predecessor) = (VecDeque::new(), VecDeque::new());
-                    (self.successor_killed, self.stream_read_out, self.told_dead) = (false, false, false);
-                    (self.checks, self.loads) = (false, false);
+                    (self.successor_killed, self.stream_ended, self.exit_reported) = (false, false, false);
+                    (self.is_checking, self.is_loading) = (false, false);
                 }
                 predecessor::Action::Send(frame) => self.to_successor.push_back(frame),
                 predecessor::Action::SendState => {
                     self.to_successor.push_back(Frame::State { part: 0, bytes: vec![1] })
                 }
                 predecessor::Action::Freeze => {
-                    self.given = self.known;
+                    self.known_to_successor = self.known_to_predecessor;
                     self.to_successor.push_back(Frame::Switch { changes: vec![2] });
                 }
                 predecessor::Action::KillSuccessor => self.successor_killed = true,
-                predecessor::Action::TakeBack(acts) => {
-                    acts.iter().for_each(|act| self.known[act.invocation as usize] = true);
-                    // What was said and perhaps not done is done now, once: the kernel tells how far it came.
-                    for act in &acts {
-                        let given = &mut self.answered[act.invocation as usize];
-                        *given = (*given).max(1);
+                predecessor::Action::Resume(announced) => {
+                    announced
+                        .iter()
+                        .for_each(|answer| self.known_to_predecessor[answer.invocation as usize] = true);
+                    // The announced answers that the successor may not have sent are completed, without
+                    // sending any twice: the kernel reports how many bytes were written.
+                    for answer in &announced {
+                        let answers = &mut self.answered[answer.invocation as usize];
+                        *answers = (*answers).max(1);
                     }
                 }
                 predecessor::Action::Drain { .. }
@@ -110,11 +125,11 @@
     }
 
     fn carry_out_successor(&mut self, actions: Vec<successor::Action>) {
-        for each in actions {
-            match each {
+        for action in actions {
+            match action {
                 successor::Action::Send(frame) => self.to_predecessor.push_back(frame),
-                successor::Action::CheckConfiguration { .. } => self.checks = true,
-                successor::Action::LoadState => self.loads = true,
+                successor::Action::CheckConfiguration { .. } => self.is_checking = true,
+                successor::Action::LoadState => self.is_loading = true,
                 successor::Action::Exit => self.successor = None,
                 _ => {}
             }
@@ -151,177 +166,181 @@
 }
 
 impl Model for HotRestart {
-    type State = World;
+    type State = SystemState;
     type Action = Step;
 
-    fn init_states(&self) -> Vec<World> {
+    fn init_states(&self) -> Vec<SystemState> {
         let mut predecessor = predecessor::Predecessor::new(limits());
         predecessor.set_offer(7, 1);
-        vec![World {
+        vec![SystemState {
             predecessor,
             successor: None,
             predecessor_alive: true,
             successor_killed: false,
             to_successor: VecDeque::new(),
             to_predecessor: VecDeque::new(),
-            stream_read_out: false,
-            told_dead: false,
+            stream_ended: false,
+            exit_reported: false,
             answered: [0; INVOCATIONS],
-            known: [false; INVOCATIONS],
-            given: [false; INVOCATIONS],
-            checks: false,
-            loads: false,
+            known_to_predecessor: [false; INVOCATIONS],
+            known_to_successor: [false; INVOCATIONS],
+            is_checking: false,
+            is_loading: false,
             upgrades: 0,
-            left: false,
+            drain_requested: false,
             now: 0,
         }]
     }
 
-    fn actions(&self, world: &World, steps: &mut Vec<Step>) {
-        let started = world.upgrades > 0;
-        if world.predecessor_alive {
-            if world.upgrades < UPGRADES {
+    fn actions(&self, system: &SystemState, steps: &mut Vec<Step>) {
+        let started = system.upgrades > 0;
+        if system.predecessor_alive {
+            if system.upgrades < UPGRADES_MAX {
                 steps.push(Step::RequestUpgrade);
             }
-            if !world.to_predecessor.is_empty() {
+            if !system.to_predecessor.is_empty() {
                 steps.push(Step::DeliverToPredecessor);
             }
-            if world.predecessor.poll_timeout().is_some() {
+            if system.predecessor.poll_timeout().is_some() {
                 steps.push(Step::PredecessorTimesOut);
             }
-            let acts = world.predecessor.is_active()
+            let may_answer = system.predecessor.is_active()
                 || (self.0 == Fault::NeverFreezes
-                    && world.predecessor.phase() == predecessor::Phase::Switching);
-            let open = |i: &usize| acts && !world.known[*i];
-            steps.extend((0..INVOCATIONS).filter(open).map(Step::PredecessorAnswers));
-            let dead = world.successor.is_none()
-                || (self.0 == Fault::DeclaredDeadTooEarly && world.successor_killed);
-            if started && dead && !world.told_dead {
-                steps.push(Step::PredecessorSeesDeath);
+                    && system.predecessor.phase() == predecessor::Phase::Switching);
+            let is_unanswered = |i: &usize| may_answer && !system.known_to_predecessor[*i];
+            steps.extend((0..INVOCATIONS).filter(is_unanswered).map(Step::PredecessorAnswers));
+            let is_dead = system.successor.is_none()
+                || (self.0 == Fault::DeclaredDeadWhileRunning && system.successor_killed);
+            if started && is_dead && !system.exit_reported {
+                steps.push(Step::ReportExitToPredecessor);
             }
             if started
-                && world.successor.is_none()
-                && world.to_predecessor.is_empty()
-                && !world.stream_read_out
+                && system.successor.is_none()
+                && system.to_predecessor.is_empty()
+                && !system.stream_ended
             {
-                steps.push(Step::PredecessorSeesEnd);
+                steps.push(Step::EndStreamToPredecessor);
             }
-            if self.0 == Fault::DeclaredDeadTooEarly && world.told_dead && !world.stream_read_out {
-                steps.push(Step::PredecessorSeesEnd);
+            if self.0 == Fault::DeclaredDeadWhileRunning && system.exit_reported && !system.stream_ended {
+                steps.push(Step::EndStreamToPredecessor);
             }
-            if !world.left {
+            if !system.drain_requested {
                 steps.push(Step::RequestDrain);
             }
             steps.push(Step::KillPredecessor);
         }
-        if let Some(successor) = &world.successor {
-            if !world.to_successor.is_empty() {
+        if let Some(successor) = &system.successor {
+            if !system.to_successor.is_empty() {
                 steps.push(Step::DeliverToSuccessor);
-            } else if !world.predecessor_alive && successor.phase() != successor::Phase::Alone {
-                steps.push(Step::SuccessorSeesEnd);
+            } else if !system.predecessor_alive && successor.phase() != successor::Phase::Independent {
+                steps.push(Step::EndStreamToSuccessor);
             }
             if successor.poll_timeout().is_some() {
                 steps.push(Step::SuccessorTimesOut);
             }
-            if world.checks {
+            if system.is_checking {
                 steps.extend([Step::Checked(true), Step::Checked(false)]);
             }
-            if world.loads {
+            if system.is_loading {
                 steps.extend([Step::Loaded(true), Step::Loaded(false)]);
             }
             if successor.is_active() {
-                steps.extend((0..INVOCATIONS).filter(|i| !world.given[*i]).map(Step::SuccessorAnswers));
+                steps.extend(
+                    (0..INVOCATIONS).filter(|i| !system.known_to_successor[*i]).map(Step::SuccessorAnswers),
+                );
             }
             steps.push(Step::KillSuccessor);
         }
     }
 
-    fn next_state(&self, last: &World, step: Step) -> Option<World> {
-        let mut world = last.clone();
+    fn next_state(&self, last: &SystemState, step: Step) -> Option<SystemState> {
+        let mut system = last.clone();
         match step {
             Step::RequestUpgrade => {
-                if world.predecessor.phase() == predecessor::Phase::Serving {
-                    world.upgrades += 1;
+                if system.predecessor.phase() == predecessor::Phase::Serving {
+                    system.upgrades += 1;
                 }
-                world.predecessor_event(predecessor::Event::UpgradeRequested);
+                system.predecessor_event(predecessor::Event::UpgradeRequested);
             }
             Step::DeliverToPredecessor => {
-                let frame = world.to_predecessor.pop_front()?;
-                world.predecessor_event(predecessor::Event::Frame(frame));
+                let frame = system.to_predecessor.pop_front()?;
+                system.predecessor_event(predecessor::Event::Frame(frame));
             }
             Step::DeliverToSuccessor => {
-                let frame = world.to_successor.pop_front()?;
-                world.successor_event(successor::Event::Frame(frame));
+                let frame = system.to_successor.pop_front()?;
+                system.successor_event(successor::Event::Frame(frame));
             }
             Step::PredecessorTimesOut => {
-                world.now = u64::MAX / 4;
-                world.time_out_predecessor();
-                world.now = 0;
+                system.now = u64::MAX / 4;
+                system.time_out_predecessor();
+                system.now = 0;
             }
             Step::SuccessorTimesOut => {
-                world.now = u64::MAX / 4;
-                world.time_out_successor();
-                world.now = 0;
+                system.now = u64::MAX / 4;
+                system.time_out_successor();
+                system.now = 0;
             }
-            Step::Checked(good) => {
-                world.checks = false;
-                world.successor_event(successor::Event::ConfigurationChecked { rejection: rejection(good) });
+            Step::Checked(is_good) => {
+                system.is_checking = false;
+                system.successor_event(successor::Event::ConfigurationChecked {
+                    rejection: rejection(is_good),
+                });
             }
-            Step::Loaded(good) => {
-                world.loads = false;
-                world.successor_event(successor::Event::StateLoaded { rejection: rejection(good) });
+            Step::Loaded(is_good) => {
+                system.is_loading = false;
+                system.successor_event(successor::Event::StateLoaded { rejection: rejection(is_good) });
             }
             Step::PredecessorAnswers(i) => {
-                world.known[i] = true;
-                world.answered[i] += 1;
+                system.known_to_predecessor[i] = true;
+                system.answered[i] += 1;
             }
             Step::SuccessorAnswers(i) => {
                 let answer = AnnouncedAnswer { invocation: i as u64, offset: 0, bytes: vec![1] };
-                world.given[i] = true;
-                let said = world.successor.as_ref().and_then(|successor| successor.announce(answer));
-                world.answered[i] += 1;
+                system.known_to_successor[i] = true;
+                let announcement = system.successor.as_ref().and_then(|successor| successor.announce(answer));
+                system.answered[i] += 1;
                 if self.0 != Fault::AnswersUnannounced {
-                    world.to_predecessor.extend(said.filter(|_| world.predecessor_alive));
+                    system.to_predecessor.extend(announcement.filter(|_| system.predecessor_alive));
                 }
             }
             Step::KillPredecessor => {
-                world.predecessor_alive = false;
-                world.to_predecessor.clear();
+                system.predecessor_alive = false;
+                system.to_predecessor.clear();
             }
             Step::KillSuccessor => {
-                world.successor = None;
-                world.to_successor.clear();
+                system.successor = None;
+                system.to_successor.clear();
             }
-            Step::PredecessorSeesDeath => {
-                world.told_dead = true;
-                world.predecessor_event(predecessor::Event::SuccessorExited);
+            Step::ReportExitToPredecessor => {
+                system.exit_reported = true;
+                system.predecessor_event(predecessor::Event::SuccessorExited);
             }
-            Step::PredecessorSeesEnd => {
-                world.stream_read_out = true;
-                world.predecessor_event(predecessor::Event::StreamEnded);
+            Step::EndStreamToPredecessor => {
+                system.stream_ended = true;
+                system.predecessor_event(predecessor::Event::StreamEnded);
             }
-            Step::SuccessorSeesEnd => world.successor_event(successor::Event::StreamEnded),
+            Step::EndStreamToSuccessor => system.successor_event(successor::Event::StreamEnded),
             Step::RequestDrain => {
-                world.left = true;
-                world.predecessor_event(predecessor::Event::DrainRequested { grace: 1 });
+                system.drain_requested = true;
+                system.predecessor_event(predecessor::Event::DrainRequested { grace: 1 });
             }
         }
-        Some(world)
+        Some(system)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("never do both act", |_, world: &World| {
-                !(world.predecessor_alive && world.predecessor.is_active() && world.successor_is_active())
+            Property::always("at most one process is active", |_, system: &SystemState| {
+                !(system.predecessor_alive && system.predecessor.is_active() && system.successor_is_active())
             }),
-            Property::always("none is answered twice", |_, world: &World| {
-                world.answered.iter().all(|times| *times <= 1)
+            Property::always("no invocation is answered twice", |_, system: &SystemState| {
+                system.answered.iter().all(|answers| *answers <= 1)
             }),
-            Property::always("somebody owns it", |model: &HotRestart, world: &World| {
+            Property::always("some process stays active", |model: &HotRestart, system: &SystemState| {
                 let mut steps = Vec::new();
-                model.actions(world, &mut steps);
-                // Nothing can happen any more but a kill, a question or a notice: somebody who lives acts.
-                let ends = |step: &Step| {
+                model.actions(system, &mut steps);
+                // If only kills and requests can still happen, a process that is alive must be active.
+                let is_external = |step: &Step| {
                     matches!(
                         step,
                         Step::KillPredecessor
@@ -330,32 +349,35 @@
                             | Step::RequestDrain
                     )
                 };
-                let lives = world.predecessor_alive || world.successor.is_some();
-                let acts =
-                    (world.predecessor_alive && world.predecessor.is_active()) || world.successor_is_active();
-                !lives
-                    || acts
-                    || !steps.iter().all(ends)
-                    || world.predecessor.phase() == predecessor::Phase::Retired
+                let any_alive = system.predecessor_alive || system.successor.is_some();
+                let any_active = (system.predecessor_alive && system.predecessor.is_active())
+                    || system.successor_is_active();
+                !any_alive
+                    || any_active
+                    || !steps.iter().all(is_external)
+                    || system.predecessor.phase() == predecessor::Phase::Retired
             }),
-            Property::sometimes("an upgrade succeeds", |_, world: &World| {
-                world.successor.as_ref().is_some_and(|successor| successor.phase() == successor::Phase::Alone)
-                    && world.predecessor.phase() == predecessor::Phase::Retired
-                    && world.answered == [1; INVOCATIONS]
+            Property::sometimes("an upgrade succeeds", |_, system: &SystemState| {
+                system
+                    .successor
+                    .as_ref()
+                    .is_some_and(|successor| successor.phase() == successor::Phase::Independent)
+                    && system.predecessor.phase() == predecessor::Phase::Retired
+                    && system.answered == [1; INVOCATIONS]
             }),
-            Property::sometimes("all is taken back after a trial", |_, world: &World| {
-                world.predecessor_alive
-                    && world.predecessor.phase() == predecessor::Phase::Serving
-                    && world.known == [true, false]
-                    && world.upgrades == 1
-                    && world.successor.is_none()
+            Property::sometimes("the predecessor resumes after a trial", |_, system: &SystemState| {
+                system.predecessor_alive
+                    && system.predecessor.phase() == predecessor::Phase::Serving
+                    && system.known_to_predecessor == [true, false]
+                    && system.upgrades == 1
+                    && system.successor.is_none()
             }),
         ]
     }
 }
 
 #[test]
-fn in_no_interleaving_do_two_own_an_invocation_or_none() {
+fn exactly_one_process_owns_each_invocation_in_every_interleaving() {
     let checker = HotRestart(Fault::None).checker().threads(4).spawn_bfs().join();
     println!("{} states, {} of them unique", checker.state_count(), checker.unique_state_count());
     assert!(checker.unique_state_count() > 1000, "{}", checker.unique_state_count());
@@ -363,13 +385,13 @@
 }
 
 #[test]
-fn a_fault_put_in_on_purpose_is_found() {
-    for (fault, found) in [
-        (Fault::DeclaredDeadTooEarly, "never do both act"),
-        (Fault::AnswersUnannounced, "none is answered twice"),
-        (Fault::NeverFreezes, "none is answered twice"),
+fn injected_faults_are_detected() {
+    for (fault, property) in [
+        (Fault::DeclaredDeadWhileRunning, "at most one process is active"),
+        (Fault::AnswersUnannounced, "no invocation is answered twice"),
+        (Fault::NeverFreezes, "no invocation is answered twice"),
     ] {
         let checker = HotRestart(fault).checker().threads(4).spawn_bfs().join();
-        assert!(checker.discovery(found).is_some(), "{fault:?} was not found");
+        assert!(checker.discovery(property).is_some(), "{fault:?} was not detected");
     }
 }
