--- a/crates/rollout/src/canary.rs
+++ b/crates/rollout/src/canary.rs
@@ -104,16 +104,16 @@
         if series.is_empty() {
             return Verdict::InsufficientData;
         }
-        let comparisons = COMPARISONS_PER_SERIES * verdicts.max(1) * series.len();
-        let significance = thresholds.alpha / comparisons as f64;
+        let comparison_count = COMPARISONS_PER_SERIES * verdicts.max(1) * series.len();
+        let significance = thresholds.alpha / comparison_count as f64;
         let mut most_significant: Option<(&Series, Comparison)> = None;
         for (series, strata) in series {
-            for found in [compare(&strata.iter().collect::<Vec<_>>()), compare(&busier_half(strata))] {
-                let Some(found) = found else { continue };
-                let is_worse = found.p_value < significance
-                    && found.difference > thresholds.min_difference(series.metric);
-                if is_worse && most_significant.is_none_or(|(_, known)| found.p_value < known.p_value) {
-                    most_significant = Some((series, found));
+            for comparison in [compare(&strata.iter().collect::<Vec<_>>()), compare(&busier_half(strata))] {
+                let Some(comparison) = comparison else { continue };
+                let is_worse = comparison.p_value < significance
+                    && comparison.difference > thresholds.min_difference(series.metric);
+                if is_worse && most_significant.is_none_or(|(_, known)| comparison.p_value < known.p_value) {
+                    most_significant = Some((series, comparison));
                 }
             }
         }
--- a/crates/rollout/src/coordinator/baking.rs
+++ b/crates/rollout/src/coordinator/baking.rs
@@ -54,10 +54,15 @@
     /// Adds to the canary the new intervals of the servers that comply with their orders. If the view is not
     /// settled, the values are dropped, since a membership change may have caused any difference.
     fn add_to_canary(&mut self, interval: &Interval) {
-        for new in self.take_new_intervals(interval.view) {
-            if self.complies(&new.server) {
-                let is_changed = self.state.changed.contains(&new.server);
-                self.canary.add(&new.server, is_changed, &new.metrics, &self.state.baselines);
+        for new_interval in self.take_new_intervals(interval.view) {
+            if self.complies(&new_interval.server) {
+                let is_changed = self.state.changed.contains(&new_interval.server);
+                self.canary.add(
+                    &new_interval.server,
+                    is_changed,
+                    &new_interval.metrics,
+                    &self.state.baselines,
+                );
             }
         }
         if interval.is_settled {
--- a/crates/rollout/src/coordinator/compliance.rs
+++ b/crates/rollout/src/coordinator/compliance.rs
@@ -48,8 +48,8 @@
     /// Whether a server has never reported, or its latest report answers an order more than [`SILENT_ORDERS`]
     /// orders old.
     fn is_silent(&self, server: &str) -> bool {
-        let answered = self.reports.get(server).map(|received| received.report.order_sequence);
-        answered.is_none_or(|answered| answered + SILENT_ORDERS < self.order_sequence)
+        let last_answered = self.reports.get(server).map(|received| received.report.order_sequence);
+        last_answered.is_none_or(|last_answered| last_answered + SILENT_ORDERS < self.order_sequence)
     }
 
     /// Adds the interval to the overdue time of each server that does not comply with its order or is silent.
@@ -96,15 +96,15 @@
 
     /// Returns the metrics of each alive server that has reported a new interval since the last call.
     pub(super) fn take_new_intervals(&mut self, view: &FleetView) -> Vec<NewInterval> {
-        let mut new = Vec::new();
+        let mut new_intervals = Vec::new();
         for server in &view.alive {
             let Some(received) = self.reports.get_mut(server) else { continue };
             if received.last_interval != Some(received.report.interval) {
                 received.last_interval = Some(received.report.interval);
                 let metrics = received.report.classes.clone();
-                new.push(NewInterval { server: server.clone(), metrics });
+                new_intervals.push(NewInterval { server: server.clone(), metrics });
             }
         }
-        new
+        new_intervals
     }
 }
--- a/crates/rollout/src/coordinator/stages.rs
+++ b/crates/rollout/src/coordinator/stages.rs
@@ -15,8 +15,8 @@
         if !interval.is_settled {
             return self.notify(actions, "waits for the fleet's view to settle");
         }
-        for new in self.take_new_intervals(view) {
-            self.state.baselines.add(&new.server, &new.metrics);
+        for new_interval in self.take_new_intervals(view) {
+            self.state.baselines.add(&new_interval.server, &new_interval.metrics);
         }
         if let Some(reason) = self.find_failure(view) {
             // No server has been changed yet, so no rollback is necessary.
@@ -66,7 +66,7 @@
     fn choose_servers(&self, size: usize, view: &FleetView) -> Vec<String> {
         let is_unchanged = |server: &&String| !self.state.changed.contains(*server);
         let mut unchanged: Vec<String> = view.alive.iter().filter(is_unchanged).cloned().collect();
-        unchanged.sort_by_key(|server| (rank(&self.plan.name, server), server.clone()));
+        unchanged.sort_by_key(|server| (order_key(&self.plan.name, server), server.clone()));
         unchanged.truncate(size.saturating_sub(self.state.changed.len()));
         unchanged
     }
@@ -97,7 +97,7 @@
 }
 
 /// Hash that determines the order in which a plan changes its servers.
-fn rank(plan: &str, server: &str) -> u64 {
+fn order_key(plan: &str, server: &str) -> u64 {
     let mut hasher = SipHasher13::new();
     (plan, server).hash(&mut hasher);
     hasher.finish()
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -48,10 +48,10 @@
 
     /// Whether this size is larger than that of the stage before. A number and a share cannot be compared and
     /// count as larger.
-    fn exceeds(self, before: StageSize) -> bool {
-        match (before, self) {
-            (StageSize::Servers(before), StageSize::Servers(now)) => now > before,
-            (StageSize::Share(before), StageSize::Share(now)) => now > before,
+    fn exceeds(self, previous: StageSize) -> bool {
+        match (previous, self) {
+            (StageSize::Servers(previous), StageSize::Servers(now)) => now > previous,
+            (StageSize::Share(previous), StageSize::Share(now)) => now > previous,
             (StageSize::Servers(_), StageSize::Share(_)) | (StageSize::Share(_), StageSize::Servers(_)) => {
                 true
             }
@@ -263,13 +263,13 @@
             }
             StageSize::Servers(_) | StageSize::Share(_) => {}
         }
-        let least = self.interval.saturating_mul(INTERVALS_MIN as u64);
-        if stage.bake_time < least {
-            let (min_ms, bake_time_ms) = (least / MILLISECOND_NS, stage.bake_time / MILLISECOND_NS);
+        let min_bake_time = self.interval.saturating_mul(INTERVALS_MIN as u64);
+        if stage.bake_time < min_bake_time {
+            let (min_ms, bake_time_ms) = (min_bake_time / MILLISECOND_NS, stage.bake_time / MILLISECOND_NS);
             return Err(StageError::BakeTime { min_ms, bake_time_ms });
         }
-        let before = index.checked_sub(1).map(|before| self.stages[before].size);
-        if before.is_some_and(|before| !stage.size.exceeds(before)) {
+        let previous = index.checked_sub(1).map(|previous| self.stages[previous].size);
+        if previous.is_some_and(|previous| !stage.size.exceeds(previous)) {
             return Err(StageError::NotLarger);
         }
         Ok(())
--- a/crates/rollout/src/rank_test.rs
+++ b/crates/rollout/src/rank_test.rs
@@ -45,11 +45,11 @@
     for stratum in strata {
         let (changed, unchanged) = (stratum.changed.len() as f64, stratum.unchanged.len() as f64);
         let RankSum { rank_sum, tie_correction } = rank_sum(stratum);
-        let all = changed + unchanged;
-        let weight = 1.0 / (all + 1.0);
-        statistics.push(weight * (rank_sum - changed * (all + 1.0) / 2.0));
-        let untied = if all > 1.0 { 1.0 - tie_correction / (all * all * all - all) } else { 0.0 };
-        variance += weight * weight * changed * unchanged * (all + 1.0) / 12.0 * untied;
+        let total = changed + unchanged;
+        let weight = 1.0 / (total + 1.0);
+        statistics.push(weight * (rank_sum - changed * (total + 1.0) / 2.0));
+        let untied = if total > 1.0 { 1.0 - tie_correction / (total * total * total - total) } else { 0.0 };
+        variance += weight * weight * changed * unchanged * (total + 1.0) / 12.0 * untied;
     }
     let variance = variance.max(newey_west_variance(&statistics));
     (variance > 0.0).then(|| {
@@ -80,11 +80,11 @@
     }
     let changed = stratum.changed.iter().map(|value| Ranked { value: *value, is_changed: true });
     let unchanged = stratum.unchanged.iter().map(|value| Ranked { value: *value, is_changed: false });
-    let mut all: Vec<Ranked> = changed.chain(unchanged).collect();
-    all.sort_by(|a, b| a.value.total_cmp(&b.value));
+    let mut ranked_values: Vec<Ranked> = changed.chain(unchanged).collect();
+    ranked_values.sort_by(|a, b| a.value.total_cmp(&b.value));
     let mut sum = RankSum { rank_sum: 0.0, tie_correction: 0.0 };
     let mut below = 0;
-    for tied in all.chunk_by(|a, b| a.value == b.value) {
+    for tied in ranked_values.chunk_by(|a, b| a.value == b.value) {
         let ties = tied.len();
         let rank = below as f64 + (ties as f64 + 1.0) / 2.0;
         let changed = tied.iter().filter(|ranked| ranked.is_changed).count();
