--- a/crates/hot-restart/tests/model.rs
+++ b/crates/hot-restart/tests/model.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     None,
-    /// The predecessor is told that the successor is dead while it still runs.
+    /// The predecessor receives [`predecessor::Event::SuccessorExited`] while the successor still runs.
     DeclaredDeadWhileRunning,
     /// The successor sends an answer without announcing it.
     AnswersUnannounced,
@@ -28,9 +28,9 @@
     successor_killed: bool,
     to_successor: VecDeque<Frame>,
     to_predecessor: VecDeque<Frame>,
-    /// Whether the predecessor was told that the stream has ended.
+    /// Whether the predecessor has received the end of the stream.
     stream_ended: bool,
-    /// Whether the predecessor was told that the successor has exited.
+    /// Whether the predecessor has received the exit of the successor.
     exit_reported: bool,
     /// Number of answers that the caller of each invocation received.
     answered: [u8; INVOCATIONS],
--- a/crates/rollout/tests/rollouts.rs
+++ b/crates/rollout/tests/rollouts.rs
@@ -1,7 +1,8 @@
 //! Rollouts over a fleet in simulated time. Servers differ permanently, load affects all of them at once,
-//! noise is autocorrelated, and orders and reports get lost. All draws come from fixed seeds. `cargo test -p
-//! meadowstream-rollout -- --nocapture` prints the rates of false stops and missed regressions listed in
-//! docs/rollout.md.
+//! noise is autocorrelated, and orders and reports get lost. The simulation draws from fixed seeds.
+//!
+//! To print the rates of false stops and missed regressions that docs/rollout.md lists:
+//! `cargo test -p meadowstream-rollout -- --nocapture`.
 
 use meadowstream_rollout::coordinator::{Action, Coordinator, FleetView, PersistedState, Phase};
 use meadowstream_rollout::metrics::IntervalMetrics;
@@ -13,8 +14,11 @@
 use std::collections::BTreeSet;
 use test_case::test_case;
 
+/// Nanoseconds per second.
 const SECOND: u64 = 1_000_000_000;
+/// Hash of the new settings.
 const CANDIDATE: u64 = 0xbeef;
+/// Hash of the servers' own settings.
 const OLD: u64 = 0xcafe;
 
 /// Effect of the change on a server.
@@ -75,6 +79,7 @@
     restarts: bool,
 }
 
+/// A plan of four stages: one server, a tenth, half and all of the fleet.
 fn plan() -> Plan {
     let stage = |size, seconds| Stage { size, bake_time: seconds * SECOND };
     Plan {
@@ -287,7 +292,8 @@
         }
     }
     println!("A/A: {} of 100 stopped: {stopped:?}", stopped.len());
-    // 0 of 100 were stopped in this test; without subtracting the standard error of the baselines, 2 were.
+    // With this seed range 0 of 100 are stopped; without subtracting the standard error of the baselines, 2
+    // are.
     assert!(stopped.len() <= 1, "{stopped:?}");
 }
 
