--- a/crates/server/src/fleet/coordinator.rs
+++ b/crates/server/src/fleet/coordinator.rs
@@ -88,7 +88,7 @@
 /// interval; otherwise the next coordinator that resumes from this state does.
 pub fn abort(state: &Path) -> Result<()> {
     let saved = read_state(state)?.with_context(|| format!("{}: nothing has begun", state.display()))?;
-    ensure!(!saved.phase.is_over(), "the plan has ended already: {}", describe_phase(&saved.phase));
+    ensure!(!saved.phase.has_ended(), "the plan has ended already: {}", describe_phase(&saved.phase));
     files::write(&abort_path(state), b"abort\n").context("cannot write")?;
     println!("the coordinator will roll back; if it is not running, it does so when it is started again");
     Ok(())
@@ -125,7 +125,7 @@
     let locked = rustix::fs::flock(&lock, rustix::fs::FlockOperation::NonBlockingLockExclusive);
     ensure!(locked.is_ok(), "{}: another coordinator is using this state", arguments.state.display());
     let saved = read_state(&arguments.state)?;
-    if let Some(ended) = saved.as_ref().filter(|saved| saved.phase.is_over()) {
+    if let Some(ended) = saved.as_ref().filter(|saved| saved.phase.has_ended()) {
         let (state, outcome) = (arguments.state.display(), describe_phase(&ended.phase));
         bail!("this plan has ended ({outcome}); remove {state} to start it again");
     }
@@ -184,7 +184,7 @@
                 self.next_interval = now + self.interval;
                 self.handle_interval(now, has_lease)?;
             }
-            if self.coordinator.state().phase.is_over() {
+            if self.coordinator.state().phase.has_ended() {
                 // Sends the last orders before leaving the fleet.
                 self.fleet_member.step(self.fleet_member.now()).await;
                 self.fleet_member.leave().await;
