--- a/crates/fair-queueing/benches/fair.rs
+++ b/crates/fair-queueing/benches/fair.rs
@@ -1,12 +1,13 @@
-//! Cost of one arrival among many tenants: the bounded scheduler compared with a map that has a queue for
-//! every tenant.
+//! Cost of scheduling one arrival among many tenants: the scheduler with bounded memory compared with a map
+//! that has a queue for every tenant.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use meadowstream_fair_queueing::{FairScheduler, ServiceOutcome, Settings, TenantKey};
 use std::collections::{HashMap, VecDeque};
 use std::hint::black_box;
 
-/// Deficit round robin over a map of queues, one queue for each tenant name.
+/// Deficit round robin over a map of queues, one for each tenant name. A queue is its waiting works in
+/// nanoseconds and its deficit counter.
 #[derive(Default)]
 struct DeficitRoundRobin {
     queues: HashMap<Vec<u8>, (VecDeque<u64>, f64)>,
--- a/crates/fair-queueing/src/account.rs
+++ b/crates/fair-queueing/src/account.rs
@@ -1,12 +1,12 @@
-//! Usage record of one tenant.
+//! Usage record of one established tenant: its used share, queue tails, weight and recent demand.
 
 use crate::Nanos;
 use crate::demand::DecayingRate;
 use crate::learned_ratio::LearnedRatio;
 use crate::queue_order::QueueTails;
 
-/// Maximum length of the stored prefix of a tenant's name, in bytes. The prefix is only displayed to
-/// operators.
+/// Maximum length of the stored prefix of a tenant's name, in bytes. Longer names are truncated, since the
+/// prefix is only displayed to operators.
 const NAME_BYTES: usize = 48;
 
 /// Usage record of one established tenant.
@@ -14,13 +14,13 @@
 pub struct Account {
     /// Virtual time up to which the tenant has used its share.
     pub finish: f64,
-    /// Tails of the tenant's queues.
+    /// Start tags that the next arrivals in the tenant's two queues will get.
     pub tails: QueueTails,
-    /// Virtual time up to which the tenant's share is promised.
+    /// Virtual time up to which promises of admission have reserved the tenant's share.
     pub booked_until: f64,
     /// Weight of the tenant.
     pub weight: f64,
-    /// Learned ratio of the tenant's work to the usual work of its operations.
+    /// Learned ratio of the work that the tenant's invocations use to the usual work of their operations.
     pub ratio: LearnedRatio,
     /// Whether the settings name this tenant. The account of a named tenant is never evicted.
     pub named: bool,
@@ -35,7 +35,7 @@
 }
 
 impl Account {
-    /// Creates an account for a tenant that has used its share up to `finish`.
+    /// Creates an account for a tenant that has used its share up to the virtual time `finish`.
     pub fn new(name: &[u8], weight: f64, finish: f64, now: Nanos) -> Self {
         let mut kept_name = [0; NAME_BYTES];
         let prefix = &name[..name.len().min(NAME_BYTES)];
--- a/crates/fair-queueing/src/accounts.rs
+++ b/crates/fair-queueing/src/accounts.rs
@@ -1,8 +1,8 @@
-//! Accounts of tenants, up to a limit. The accounts that may be evicted are in a list ordered by last use
-//! (LRU).
+//! Table of tenants' accounts, up to a limit. Accounts that may be evicted are in a list ordered by last use
+//! (LRU list).
 //!
-//! Invariant: an account is evicted only if its tenant's finish is not ahead of virtual time, so that
-//! evicting it loses no recorded usage.
+//! Invariant: an account is evicted only if its finish (the virtual time up to which the tenant has used its
+//! share) is not ahead of the current virtual time. Such an account has no recorded usage to lose.
 
 use crate::Nanos;
 use crate::account::Account;
@@ -13,10 +13,10 @@
 
 /// Idle time after which an account may be evicted, in nanoseconds.
 const IDLE_NS: Nanos = 10_000_000_000;
-/// Index that marks the end of the list.
+/// Index that stands for "no entry" at either end of the LRU list.
 const NONE: u32 = u32::MAX;
 
-/// Reference to an account, valid until its slot is reassigned to another tenant.
+/// Reference to an account, valid until another tenant's account replaces it in the table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Slot {
     index: u32,
@@ -36,7 +36,7 @@
 struct Entry {
     account: Account,
     fingerprint: Fingerprint,
-    /// Serial number of the account, which distinguishes it from earlier accounts in the same slot.
+    /// Serial number that distinguishes this account from earlier accounts at the same index.
     serial: u32,
     used_at: Nanos,
     /// Index of the next more recently used entry in the LRU list.
@@ -89,9 +89,9 @@
         self.entries.is_empty()
     }
 
-    /// Marks a tenant as named, so that its account is never evicted. An existing account keeps its recorded
-    /// usage. A slot is always available, since the settings allow at most half as many named tenants as
-    /// accounts.
+    /// Marks a tenant as named, so that its account is never evicted. If the tenant already has an account,
+    /// the account keeps its recorded usage and takes the new weight. Otherwise `account` is inserted; a slot
+    /// is always available, since the settings allow at most half as many named tenants as accounts.
     pub fn pin(&mut self, fingerprint: Fingerprint, mut account: Account) {
         account.named = true;
         if let Some(index) = self.indices.get(&fingerprint).copied() {
@@ -109,8 +109,8 @@
         }
     }
 
-    /// Removes a tenant's named mark, so that its account may be evicted again. No effect if the tenant is
-    /// not named.
+    /// Makes a named tenant unnamed and sets its weight, so that its account may be evicted again. No effect
+    /// if the tenant is not named.
     pub fn unpin(&mut self, fingerprint: Fingerprint, weight: f64, now: Nanos) {
         let Some(index) = self.indices.get(&fingerprint).copied() else { return };
         let entry = &mut self.entries[index as usize];
@@ -158,7 +158,8 @@
         }
     }
 
-    /// Inserts an account at the head of the LRU list. Accounts of named tenants are not in the list.
+    /// Inserts an account at the most recently used end of the LRU list. No effect for named tenants, whose
+    /// accounts are not in the list.
     fn link_newest(&mut self, index: u32) {
         let previous = self.newest;
         let entry = &mut self.entries[index as usize];
@@ -173,7 +174,7 @@
         self.newest = index;
     }
 
-    /// Returns a tenant's account, if any, and marks it as used now.
+    /// Returns the slot of a tenant's account, if the tenant has one, and marks the account as used at `now`.
     pub fn find(&mut self, fingerprint: Fingerprint, now: Nanos) -> Option<Slot> {
         let index = *self.indices.get(&fingerprint)?;
         let entry = &mut self.entries[index as usize];
@@ -192,10 +193,10 @@
         (entry.serial == slot.serial).then_some(&mut entry.account)
     }
 
-    /// Inserts an account in a free slot or in the slot of the least recently used account. That account is
-    /// evicted only if its finish is not ahead of `virtual_time`, and only if it is idle or the new tenant is
-    /// `over_share` and so needs its use tracked exactly. New tenants alone therefore cannot evict accounts
-    /// in use. Returns `None` if no account may be evicted.
+    /// Inserts an account in a free slot or in place of the least recently used account. The latter is
+    /// evicted only if its finish is not ahead of `virtual_time` and, in addition, it is idle or the new
+    /// tenant is `over_share`. A tenant over its share needs exact tracking of its usage, while other new
+    /// tenants cannot evict accounts in use. Returns `None` if no slot is free and no account may be evicted.
     pub fn insert(
         &mut self,
         fingerprint: Fingerprint,
@@ -229,7 +230,7 @@
         })
     }
 
-    /// Returns the `limit` accounts with the highest recent demand, in descending order.
+    /// Returns the accounts with the highest recent demand, at most `limit`, in descending order of demand.
     pub fn by_demand(&self, now: Nanos, limit: usize) -> Vec<&Account> {
         let mut accounts: Vec<&Account> = self.entries.iter().map(|entry| &entry.account).collect();
         let larger = |a: &&Account, b: &&Account| b.demand(now).total_cmp(&a.demand(now));
--- a/crates/fair-queueing/src/counters.rs
+++ b/crates/fair-queueing/src/counters.rs
@@ -1,46 +1,48 @@
 //! Counters and tenant statistics for operators.
 
-/// Counters of scheduling events since the start.
+/// Counters of scheduling events since the scheduler was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SchedulerCounters {
     /// Arrivals within their tenant's share.
     pub within: u64,
     /// Arrivals beyond their tenant's share.
     pub surplus: u64,
-    /// Arrivals with a name that was not yet established.
+    /// Arrivals whose tenant name was not yet established (too few visits, or too soon after the first).
     pub newcomers: u64,
-    /// Arrivals with an established name but without an account.
+    /// Arrivals whose tenant name was established but had no account, so that the sketch recorded their
+    /// usage.
     pub sketched: u64,
-    /// Accounts evicted to make space for another tenant.
+    /// Accounts evicted to free a slot for another tenant.
     pub evicted: u64,
-    /// Promises made.
+    /// Promises of admission issued to rejected arrivals.
     pub promised: u64,
-    /// Returns admitted because of a promise.
+    /// Retries admitted because they redeemed a promise.
     pub kept: u64,
-    /// Returns in time whose promise was not honoured because virtual time advanced much more slowly than
-    /// predicted.
+    /// Retries that arrived in time but whose promise was not honoured, because virtual time had advanced
+    /// much more slowly than predicted.
     pub broken: u64,
-    /// Returns before the promised time.
+    /// Retries that presented their ticket before the promised time.
     pub early: u64,
-    /// Returns with an invalid ticket: expired, already used, never issued, or issued to another tenant.
+    /// Retries with an invalid ticket: expired, already used, never issued, or issued to another tenant.
     pub unknown: u64,
-    /// Promises that expired without a return.
+    /// Promises that expired without a retry.
     pub lapsed: u64,
-    /// Rejections without a promise, because the wait would have been too long or too many promises were
-    /// active.
+    /// Requests for a promise that were refused, because the wait would have been too long or too many
+    /// promises were active.
     pub unpromised: u64,
 }
 
 /// Statistics of one of the tenants with the highest demand.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TopTenant {
-    /// Name of the tenant as text, escaped and truncated.
+    /// Name of the tenant: non-ASCII and control bytes are escaped, and a long name is truncated.
     pub name: String,
     /// Weight of the tenant.
     pub weight: f64,
     /// Recent demand of the tenant, in cores.
     pub demand: f64,
-    /// How far the tenant's finish is ahead of virtual time, in seconds of its share.
+    /// Time in seconds for which the tenant has used its share in advance: the distance of its finish ahead
+    /// of virtual time, divided by the fair rate; 0 if its finish is in the past.
     pub ahead: f64,
     /// Number of arrivals within the tenant's share.
     pub within: u64,
--- a/crates/fair-queueing/src/demand.rs
+++ b/crates/fair-queueing/src/demand.rs
@@ -1,11 +1,11 @@
-//! Recent demand for work, as exponentially decaying sums.
+//! Recent demand for work, tracked as exponentially decaying sums.
 
 use crate::Nanos;
 
-/// Half-life of the recorded demand, in nanoseconds.
+/// Half-life of the decaying sums, in nanoseconds: work recorded this long ago counts half.
 pub const HALF_LIFE_NS: Nanos = 2_000_000_000;
 
-/// A rate of work, computed from an exponentially decaying sum.
+/// A rate of work in cores, computed from an exponentially decaying sum of work.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DecayingRate {
     sum: f32,
@@ -18,13 +18,14 @@
         f64::from(self.sum) * (-age / HALF_LIFE_NS as f64).exp2()
     }
 
-    /// Adds work, in nanoseconds of one core.
+    /// Adds work demanded at `now`, in nanoseconds of one core.
     pub fn add(&mut self, now: Nanos, work: f64) {
         self.sum = (self.remaining(now) + work) as f32;
         self.updated_at = self.updated_at.max(now);
     }
 
-    /// Returns the rate in cores: the steady demand that would produce the current sum.
+    /// Returns the rate in cores: the constant demand for which the decaying sum would be steady at its
+    /// current value.
     pub fn cores(&self, now: Nanos) -> f64 {
         self.remaining(now) * std::f64::consts::LN_2 / HALF_LIFE_NS as f64
     }
--- a/crates/fair-queueing/src/fair_rate.rs
+++ b/crates/fair-queueing/src/fair_rate.rs
@@ -1,34 +1,37 @@
 //! The max-min fair rate of a unit of weight, and the virtual time that advances at this rate.
 //!
-//! At this rate all capacity is allocated, and no tenant gets more than its demand. It is computed by
-//! progressive filling (Bertsekas and Gallager, Data Networks, 1992, 6.5.2), in ascending order of demand per
-//! unit of weight.
+//! The max-min fair rate allocates all capacity (or meets all demand, if that is less), and no tenant gets
+//! more than its demand. The rate is computed by progressive filling (Bertsekas and Gallager, Data Networks,
+//! 1992, 6.5.2), in ascending order of demand per unit of weight.
 
 use crate::Nanos;
 use crate::demand::{DecayingRate, Demand, HALF_LIFE_NS};
 use crate::hyperloglog::WindowedCount;
 use crate::tenant::Fingerprint;
 
-/// Speedup of virtual time while there is capacity for all demand, so that use beyond a tenant's share during
-/// that time is soon no longer held against it.
+/// Factor by which virtual time runs faster while the capacity meets all demand. Usage beyond a tenant's
+/// share during such a time is therefore soon no longer counted against the tenant.
 const UNDERLOAD_SPEEDUP: f64 = 16.0;
-/// Weight of a new observation in the moving average of sketched tenants' weights.
+/// Smoothing factor of the exponential moving average of the weights of tenants without an account.
 const WEIGHT_SMOOTHING: f64 = 0.01;
-/// Length of the window in which the names of sketched tenants are counted, in nanoseconds.
+/// Length of the time window over which the distinct names of tenants without an account are counted, in
+/// nanoseconds.
 const NAME_WINDOW_NS: Nanos = 16 * HALF_LIFE_NS;
-/// Maximum advance for a single clock reading, in nanoseconds, which bounds the effect of a clock jump.
+/// Maximum real time by which one call of [`FairRate::advance`] advances virtual time, in nanoseconds. The
+/// rest of a larger clock jump is ignored.
 const CLOCK_JUMP_MAX_NS: Nanos = 1_000_000_000;
-/// Registers of the HyperLogLog estimator of sketched tenants' names.
+/// Number of registers of the HyperLogLog estimator that counts the names of tenants without an account.
 const NAME_REGISTERS: usize = 1024;
 
-/// Fair rate of a unit of weight, and the virtual time.
+/// Fair rate of a unit of weight, and the virtual time that advances at this rate.
 #[derive(Debug)]
 pub struct FairRate {
     /// Virtual time, in nanoseconds of one core per unit of weight.
     virtual_time: f64,
-    /// Latest time that was passed in, in nanoseconds.
+    /// Latest real time passed to [`FairRate::advance`], in nanoseconds.
     now: Nanos,
-    /// Fair rate in cores per unit of weight; the total capacity while there is capacity for all demand.
+    /// Fair rate in cores per unit of weight. While the capacity meets all demand, this is the whole
+    /// capacity.
     cores: f64,
     is_underloaded: bool,
     sketched_demand: DecayingRate,
@@ -37,7 +40,8 @@
 }
 
 impl FairRate {
-    /// Creates a fair rate of `cores`, as if there were capacity for all demand.
+    /// Creates a fair rate of `cores` per unit of weight. Until the first [`FairRate::update`], virtual time
+    /// advances as if the capacity met all demand.
     pub fn new(cores: f64, now: Nanos) -> Self {
         Self {
             virtual_time: 0.0,
@@ -60,8 +64,8 @@
         self.cores
     }
 
-    /// Advances virtual time to `now` and returns the latest time seen. A clock that stops or goes back does
-    /// not advance virtual time.
+    /// Advances virtual time by the real time that has passed until `now`. Returns the latest real time seen.
+    /// A clock that stops or goes back does not advance virtual time.
     pub fn advance(&mut self, now: Nanos) -> Nanos {
         let passed = now.saturating_sub(self.now).min(CLOCK_JUMP_MAX_NS) as f64;
         self.virtual_time += passed * self.cores * if self.is_underloaded { UNDERLOAD_SPEEDUP } else { 1.0 };
@@ -69,7 +73,7 @@
         self.now
     }
 
-    /// Records that a tenant without an account has demanded work, in nanoseconds of one core.
+    /// Records the demand of one arrival whose tenant has no account. `work` is in nanoseconds of one core.
     pub fn record_sketched_demand(&mut self, now: Nanos, fingerprint: Fingerprint, weight: f64, work: f64) {
         self.sketched_demand.add(now, work);
         self.sketched_weight += WEIGHT_SMOOTHING * (weight - self.sketched_weight);
@@ -77,15 +81,16 @@
         self.sketched_names.add(fingerprint);
     }
 
-    /// Returns the demand of all tenants without an account, which are treated as equal.
+    /// Returns the demand of all tenants without an account. Every such tenant is assumed to have the same
+    /// demand and weight.
     fn sketched(&self, now: Nanos) -> Demand {
         let tenants = self.sketched_names.estimate();
         let cores = self.sketched_demand.cores(now) / tenants;
         Demand { cores, weight: self.sketched_weight, tenants }
     }
 
-    /// Computes the fair rate for the given demands and for those of tenants without an account. `capacity`
-    /// is the capacity to allocate, in cores.
+    /// Recomputes the fair rate from `demands` and the recorded demand of tenants without an account.
+    /// `capacity` is the capacity to allocate, in cores.
     pub fn update(&mut self, now: Nanos, capacity: f64, demands: impl Iterator<Item = Demand>) {
         let capacity = capacity.max(f64::MIN_POSITIVE);
         let rate = Self::progressive_filling(capacity, demands.chain([self.sketched(now)]));
--- a/crates/fair-queueing/src/finish_sketch.rs
+++ b/crates/fair-queueing/src/finish_sketch.rs
@@ -1,26 +1,29 @@
-//! Finishes of tenants without an account, in fixed memory: a sketch of hashed cells similar to count-min
-//! (Cormode and Muthukrishnan, 2005). Each cell holds the largest finish of the tenants that share it, rather
-//! than a sum.
+//! Sketch that stores the finish of each tenant without an account in fixed memory. A finish is the virtual
+//! time up to which a tenant has used its share. The sketch is an array of hashed cells similar to count-min
+//! (Cormode and Muthukrishnan, 2005), but each cell holds the largest finish of the tenants that share it,
+//! rather than a sum.
 //!
 //! Invariant: the estimated finish of a tenant, the minimum over its cells, is never lower than its real
-//! finish. The estimate is higher only if the tenant shares each of its cells with a tenant that has used
-//! more.
+//! finish. The estimate is higher only if each of the tenant's cells is shared with a tenant that has a later
+//! finish.
 
 use crate::tenant::Fingerprint;
 
 /// Number of cells that each tenant hashes to.
 const CELLS_PER_TENANT: usize = 3;
-/// Unit of a cell's value, in nanoseconds of virtual time. With this unit a cell takes 4 bytes.
+/// Unit of the value in a cell, in nanoseconds of one core per unit of weight. This unit lets a cell take
+/// only 4 bytes.
 const UNIT_NS: f64 = 16_384.0;
-/// Number of calls of [`FinishSketch::sweep`] that visit every cell once.
+/// Number of calls of [`FinishSketch::sweep`] that together visit every cell once.
 const SWEEPS_PER_ROUND: usize = 256;
-/// Minimum number of cells.
+/// Minimum number of cells in a sketch; smaller requests are rounded up to it.
 const CELLS_MIN: usize = 64;
 
-/// Sketch of the finishes of tenants without an account.
+/// Hashed cells that hold, for tenants without an account, the virtual times up to which they have used their
+/// shares.
 #[derive(Debug)]
 pub struct FinishSketch {
-    /// Finishes in units of [`UNIT_NS`], modulo 2^32.
+    /// Largest finish of the tenants that hash to each cell, in units of [`UNIT_NS`], modulo 2^32.
     cells: Vec<u32>,
     next_swept: usize,
 }
@@ -29,8 +32,8 @@
     (virtual_time / UNIT_NS) as u64 as u32
 }
 
-/// Returns how far a cell is ahead of the current virtual time, in units of [`UNIT_NS`]; negative if the cell
-/// is behind.
+/// Returns the distance of a cell's finish ahead of the current virtual time, in units of [`UNIT_NS`];
+/// negative if the cell is behind.
 fn units_ahead(cell: u32, now_units: u32) -> i32 {
     cell.wrapping_sub(now_units) as i32
 }
@@ -45,7 +48,7 @@
         cells.max(CELLS_MIN).next_power_of_two()
     }
 
-    /// Returns the bytes that a sketch with this number of cells takes.
+    /// Returns the bytes that a sketch of `cells` cells takes.
     pub fn bytes_max(cells: usize) -> usize {
         Self::rounded(cells) * size_of::<u32>()
     }
@@ -55,8 +58,8 @@
         self.cells.capacity() * size_of::<u32>()
     }
 
-    /// Returns the indices of a tenant's cells. Two independent hashes, here the two halves of the
-    /// fingerprint, yield any number of hashes (Kirsch and Mitzenmacher, 2006).
+    /// Returns the indices of the cells that a tenant hashes to. The hashes are linear combinations of two
+    /// independent hashes (Kirsch and Mitzenmacher, 2006), here the two halves of the fingerprint.
     fn cells_of(&self, fingerprint: Fingerprint) -> [usize; CELLS_PER_TENANT] {
         let (first, second) = (fingerprint.low_half(), fingerprint.high_half() | 1);
         std::array::from_fn(|i| {
@@ -65,8 +68,8 @@
         })
     }
 
-    /// Returns an upper bound of the virtual time up to which the tenant has used its share, or
-    /// `virtual_time` if that is later.
+    /// Returns an upper bound of the virtual time up to which the tenant has used its share, at least the
+    /// current `virtual_time`.
     pub fn finish(&self, fingerprint: Fingerprint, virtual_time: f64) -> f64 {
         let now_units = to_units(virtual_time);
         let ahead = self.cells_of(fingerprint).map(|cell| units_ahead(self.cells[cell], now_units));
@@ -76,7 +79,8 @@
         }
     }
 
-    /// Records that the tenant has used its share up to `finish`.
+    /// Records that the tenant has used its share up to the virtual time `finish`. Cells that already hold a
+    /// later finish are left unchanged.
     pub fn raise(&mut self, fingerprint: Fingerprint, finish: f64, virtual_time: f64) {
         let now_units = to_units(virtual_time);
         let to = ((finish - virtual_time) / UNIT_NS).ceil().clamp(0.0, f64::from(i32::MAX)) as i32;
@@ -87,9 +91,9 @@
         }
     }
 
-    /// Advances a part of the cells to the current virtual time where they are behind it. Without this, a
-    /// cell would appear to be ahead again once virtual time has advanced 2^31 units (35,184 s of one core)
-    /// past it. A full round takes `SWEEPS_PER_ROUND` calls: 128 s if the owner calls this method once per
+    /// Visits the next part of the cells, and advances each that is behind `virtual_time` to `virtual_time`.
+    /// A cell that was never advanced would appear to be ahead again once virtual time is more than 2^31
+    /// units (35,184 s of one core) past it. `SWEEPS_PER_ROUND` calls visit all cells: 128 s at one call per
     /// control period of 500 ms.
     pub fn sweep(&mut self, virtual_time: f64) {
         let now_units = to_units(virtual_time);
--- a/crates/fair-queueing/src/hyperloglog.rs
+++ b/crates/fair-queueing/src/hyperloglog.rs
@@ -4,8 +4,8 @@
 use crate::Nanos;
 use crate::tenant::Fingerprint;
 
-/// Estimates below this multiple of the number of registers use the count of empty registers instead (linear
-/// counting).
+/// Multiple of the number of registers up to which a raw estimate is replaced by linear counting, which uses
+/// the number of empty registers.
 const LINEAR_COUNTING_MAX: f64 = 2.5;
 
 /// A HyperLogLog estimator with `N` one-byte registers.
@@ -33,7 +33,7 @@
         self.registers.fill(0);
     }
 
-    /// Returns the estimated number of distinct names.
+    /// Returns the estimated number of distinct names added since the last [`HyperLogLog::clear`].
     pub fn estimate(&self) -> f64 {
         let registers = N as f64;
         let empty = self.registers.iter().filter(|rank| **rank == 0).count();
@@ -48,7 +48,7 @@
     }
 }
 
-/// Number of distinct names in the current or the previous time window, whichever is larger.
+/// Estimate of the number of distinct names in the current or the previous time window, whichever is larger.
 #[derive(Clone, Debug, Default)]
 pub struct WindowedCount<const N: usize> {
     current: HyperLogLog<N>,
@@ -62,8 +62,8 @@
         Self { began_at: now, ..Self::default() }
     }
 
-    /// Begins a new window if the current one has lasted more than `window` nanoseconds. Returns whether it
-    /// did.
+    /// Begins a new time window if the current one has lasted more than `window` nanoseconds. Returns whether
+    /// a new window began.
     pub fn rotate(&mut self, now: Nanos, window: Nanos) -> bool {
         if now.saturating_sub(self.began_at) <= window {
             return false;
@@ -79,7 +79,7 @@
         self.current.add(fingerprint);
     }
 
-    /// Returns the estimated number of distinct names, at least 1.
+    /// Returns the larger estimate of the current and the previous window, at least 1.
     pub fn estimate(&self) -> f64 {
         self.current.estimate().max(self.previous.estimate()).max(1.0)
     }
--- a/crates/fair-queueing/src/known_names.rs
+++ b/crates/fair-queueing/src/known_names.rs
@@ -1,35 +1,38 @@
-//! Recently seen names and the times of their first visits: a set-associative table of short tags derived
-//! from the names' fingerprints.
+//! Table of recently seen tenant names, with the number of visits and the times of the first and the last
+//! visit of each. The table is set-associative and stores a short tag derived from each name's fingerprint.
 //!
-//! A name with enough visits is evicted only after 300 s without a visit, however many new names arrive.
+//! A name with at least `kept_visits` visits is evicted only after 300 s without a visit, however many new
+//! names arrive.
 //!
-//! Times are stored in steps of 250 ms that wrap around. The last visit has 12 bits, so a name that has been
-//! unused for 1,024 s, or a multiple of that, appears to have been used just now. The first visit has 16
-//! bits, so the time since the first visit restarts at 0 after 16,384 s.
+//! Times are stored as counts of 250 ms that wrap around. The last visit has 12 bits, so a name without a
+//! visit for 1,024 s, or for a multiple of 1,024 s, appears to have been visited just now. The first visit
+//! has 16 bits, so the time since the first visit restarts at 0 after 16,384 s.
 
 use crate::Nanos;
 use crate::tenant::Fingerprint;
 
-/// Number of records in one set.
+/// Number of records in one set of the set-associative table.
 const WAYS: usize = 16;
 /// Resolution of the stored times, in nanoseconds.
 const STEP_NS: Nanos = 250_000_000;
-/// Maximum stored number of visits; 0 marks a free record.
+/// Maximum number of visits that a record can hold; further visits are not counted. 0 visits mark a free
+/// record.
 const VISITS_MAX: u16 = 15;
 /// Number of bits of [`NameRecord::last_visit_and_count`] that hold the visit count.
 const VISITS_BITS: u16 = 4;
-/// Mask of the last visit's step, which is stored modulo 2^12 next to the visit count.
+/// Mask of the 12 bits of the last visit's time step, which shares 16 bits with the visit count.
 const STEP_MASK: u16 = 0xfff;
-/// Time without a visit after which a name with enough visits may be evicted, in nanoseconds.
+/// Time without a visit after which a name with at least `kept_visits` visits may be evicted, in nanoseconds.
 const UNUSED_MAX_NS: Nanos = 300_000_000_000;
 const UNUSED_MAX_STEPS: u16 = (UNUSED_MAX_NS / STEP_NS) as u16;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct NameRecord {
     tag: u32,
-    /// Step of the first visit.
+    /// Time of the first visit, in steps of [`STEP_NS`], modulo 2^16.
     first_visit: u16,
-    /// Step of the last visit in the upper 12 bits, and the number of visits in the lower 4.
+    /// Time of the last visit, in steps of [`STEP_NS`] modulo 2^12, in the upper 12 bits; number of visits in
+    /// the lower 4 bits.
     last_visit_and_count: u16,
 }
 
@@ -51,10 +54,10 @@
     }
 }
 
-/// Record of a name before a visit; all zero if the name was not in the table.
+/// Visits of a name before the current one; all zero if the name was not in the table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NameHistory {
-    /// Number of earlier visits, at most 15.
+    /// Number of earlier visits; counts stop at 15.
     pub visits: u8,
     /// Time since the first visit, in nanoseconds.
     pub since_first_visit: Nanos,
@@ -69,8 +72,8 @@
 }
 
 impl KnownNames {
-    /// Creates a table for this many names, rounded up. A name with at least `kept_visits` visits is evicted
-    /// only after 300 s without another visit.
+    /// Creates a table with capacity for at least `names` names. A name with at least `kept_visits` visits is
+    /// evicted only after 300 s without another visit.
     pub fn new(names: usize, kept_visits: u8) -> Self {
         let sets = vec![[NameRecord::default(); WAYS]; Self::sets(names)];
         Self { sets, kept_visits: u16::from(kept_visits) }
@@ -80,7 +83,7 @@
         names.div_ceil(WAYS).next_power_of_two()
     }
 
-    /// Returns the bytes that a table for this many names takes.
+    /// Returns the bytes that a table with capacity for `names` names takes.
     pub fn bytes_max(names: usize) -> usize {
         Self::sets(names) * size_of::<[NameRecord; WAYS]>()
     }
@@ -90,7 +93,7 @@
         self.sets.capacity() * size_of::<[NameRecord; WAYS]>()
     }
 
-    /// Records a visit and returns the record before it.
+    /// Records a visit of a name and returns the name's history before this visit.
     pub fn visit(&mut self, fingerprint: Fingerprint, now: Nanos) -> NameHistory {
         let step = (now / STEP_NS) as u16;
         let sets = self.sets.len();
@@ -107,9 +110,10 @@
         NameHistory::default()
     }
 
-    /// Replaces the record with the fewest visits, and among equals the one unused for longest. A record with
-    /// at least `kept_visits` visits is replaced only after [`UNUSED_MAX_NS`] without a visit. If no record
-    /// may be replaced, the new name is not stored.
+    /// Replaces the record with the fewest visits by `new`; among records with equally few visits, the one
+    /// with the longest time since its last visit. A record with at least `kept_visits` visits is replaced
+    /// only after [`UNUSED_MAX_NS`] without a visit. If no record of the set may be replaced, `new` is not
+    /// stored.
     fn replace_least_visited(set: &mut [NameRecord; WAYS], kept_visits: u16, new: NameRecord, step: u16) {
         let rank = |record: &&mut NameRecord| (record.visits().min(kept_visits), !record.steps_unused(step));
         let Some(least_visited) = set.iter_mut().min_by_key(rank) else { return };
--- a/crates/fair-queueing/src/learned_ratio.rs
+++ b/crates/fair-queueing/src/learned_ratio.rs
@@ -1,12 +1,12 @@
-//! Learned ratio of a tenant's work to the usual work of its operations.
+//! Learned ratio of the work that a tenant's invocations use to the usual work of their operations.
 
-/// Weight of a new observation in the exponential moving average.
+/// Smoothing factor of the exponential moving average: the weight of a new observation.
 const SMOOTHING: f64 = 0.2;
-/// Lower bound of the ratio; `RATIO_MAX` is the upper bound.
+/// Lower bound of the learned ratio; `RATIO_MAX` is the upper bound.
 const RATIO_MIN: f64 = 1e-3;
 const RATIO_MAX: f64 = 1e3;
 
-/// Moving average of the ratio of the work used to the usual work.
+/// Exponential moving average of the ratio of used work to usual work; 1 before the first observation.
 #[derive(Clone, Copy, Debug)]
 pub struct LearnedRatio(f64);
 
@@ -22,7 +22,7 @@
         self.0
     }
 
-    /// Adds an observed ratio to the moving average.
+    /// Adds the observed ratio of one invocation to the moving average.
     pub fn learn(&mut self, observed: f64) {
         self.0 = (self.0 + SMOOTHING * (observed - self.0)).clamp(RATIO_MIN, RATIO_MAX);
     }
--- a/crates/fair-queueing/src/lib.rs
+++ b/crates/fair-queueing/src/lib.rs
@@ -1,25 +1,25 @@
 //! Start-time fair queueing among tenants (Goyal, Vin and Cheng, 1996) in bounded memory, however many
 //! tenants there are, with promises of admission for rejected arrivals.
 //!
-//! The crate only advises; its caller admits and rejects. For each arrival, [`FairScheduler`] reports whether
-//! it is within its tenant's share and its start tag in the fair order. For a rejected arrival, it reports
-//! when the tenant will have capacity again.
+//! The crate only advises: the code that uses it admits and rejects arrivals. For each arrival,
+//! [`FairScheduler`] reports whether the arrival is within its tenant's share, and its start tag in the fair
+//! order. For a rejected arrival, it also reports when the tenant's share will have capacity for a retry.
 //!
 //! - [`fair_rate`]: the max-min fair rate of a unit of weight, and the virtual time that advances at this
 //!   rate.
-//! - [`usage`]: the virtual time up to which each tenant has used its share (its finish), and the tails of
-//!   its queues. Established tenants have an account each ([`accounts`]). Established tenants without a free
-//!   account share the cells of a sketch, which never underestimates their use ([`finish_sketch`]). Tenants
-//!   with new names share one record for each origin, since a sender can invent names but not its origin
-//!   ([`origins`]).
-//! - [`known_names`] and [`hyperloglog`]: the set of names seen, and estimates of the number of distinct
-//!   names.
-//! - [`promises`] and [`timer_wheel`]: the time at which a rejected arrival may return, and the ticket that
-//!   identifies its promise.
+//! - [`usage`]: each tenant's finish (the virtual time up to which it has used its share) and queue tails
+//!   (the start tags of its next arrivals). An established tenant has its own account ([`accounts`]). If no
+//!   account is free, the tenant's finish is kept in a sketch that never underestimates usage
+//!   ([`finish_sketch`]). Tenants with new names share one record for each origin, since a sender can invent
+//!   names but not its origin ([`origins`]).
+//! - [`known_names`] and [`hyperloglog`]: the table of recently seen names, and estimates of the number of
+//!   distinct names.
+//! - [`promises`] and [`timer_wheel`]: promises that a retry after a given time will be admitted, and the
+//!   tickets that identify them.
 //! - [`reconfiguration`]: changes of settings while the server runs.
 //!
-//! `docs/fair-queues.md` names the alternatives considered. Times are in nanoseconds, work is in nanoseconds
-//! of one core, and virtual time is in nanoseconds of one core per unit of weight.
+//! `docs/fair-queues.md` describes the alternatives considered. Times are in nanoseconds, work is in
+//! nanoseconds of one core, and virtual time is in nanoseconds of one core per unit of weight.
 #![deny(missing_docs, clippy::too_many_lines)]
 
 pub mod account;
--- a/crates/fair-queueing/src/origins.rs
+++ b/crates/fair-queueing/src/origins.rs
@@ -1,9 +1,9 @@
-//! Shares of new tenants, kept by origin: the connection's peer or a sender that the operator trusts. A
-//! sender cannot forge its origin.
+//! Shares of newcomers (tenants whose names are not yet established), tracked by origin. An origin is the
+//! peer of the connection or a sender that the operator trusts, and a sender cannot forge it.
 //!
-//! All new names from the same origin share one [`Origin`] record, as if they were a single tenant. If an
-//! origin sends more distinct names than allowed, the weight of each name decreases. Inventing names
-//! therefore gains a sender no more than one tenant's share.
+//! All newcomers of one origin share one [`Origin`] record, as if they were a single tenant. If an origin
+//! sends more distinct names than allowed, the weight of each name decreases. A sender that invents names
+//! therefore gains no more than one tenant's share.
 
 use crate::Nanos;
 use crate::demand::{DecayingRate, Demand};
@@ -16,31 +16,34 @@
 
 /// Idle time after which an origin's slot may be reassigned to another origin, in nanoseconds.
 const IDLE_NS: Nanos = 60_000_000_000;
-/// Length of the window in which the names of an origin are counted, as a multiple of the probation.
+/// Length of the time window over which the distinct names of an origin are counted, as a multiple of
+/// [`Settings::probation`](crate::settings::Settings::probation).
 const WINDOW_PROBATIONS: u64 = 8;
-/// The estimated number of names is updated for one in this many names.
+/// Fraction of names, as one in this many, whose arrivals recompute the estimate of their origin's distinct
+/// names. Arrivals with other names reuse the latest estimate, whose computation reads all registers.
 const NAMES_PER_ESTIMATE: u64 = 16;
-/// Registers of the HyperLogLog estimator of an origin's names.
+/// Number of registers of the HyperLogLog estimator that counts an origin's names.
 const NAME_REGISTERS: usize = 64;
-/// Multiplier of the hash that assigns the origins beyond the limit to existing slots (Fibonacci hashing).
+/// Multiplier of the hash that maps origins beyond the table's limit to existing slots (Fibonacci hashing).
 const HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Usage shared by all newcomers of one origin.
+/// Usage record shared by all newcomers of one origin.
 #[derive(Debug, Default)]
 pub struct Origin {
     id: u64,
-    /// Virtual time up to which the newcomers have used their common share.
+    /// Virtual time up to which the newcomers have used the share that they have in common.
     pub finish: f64,
-    /// Tails of the newcomers' queues.
+    /// Start tags that the newcomers' next arrivals will get, in each of the two queues that they share.
     pub tails: QueueTails,
-    /// Virtual time up to which the newcomers' share is promised.
+    /// Virtual time up to which promises of admission have reserved the newcomers' share.
     pub booked_until: f64,
-    /// Learned ratio of the newcomers' work to the usual work of their operations.
+    /// Learned ratio of the work that the newcomers' invocations use to the usual work of their operations.
     pub ratio: LearnedRatio,
     demand: DecayingRate,
     used_at: Nanos,
     names: WindowedCount<NAME_REGISTERS>,
-    /// Latest estimate of [`Origin::names`]; 0 if there is none yet in the current window.
+    /// Latest estimate of the number of distinct names of the origin; 0 if none has been computed yet in the
+    /// current time window.
     estimated_names: f64,
 }
 
@@ -50,20 +53,20 @@
     }
 }
 
-/// Table of origins, up to a limit.
+/// Table of the usage records of origins, up to a limit.
 #[derive(Debug)]
 pub struct Origins {
     limit: usize,
     names_per_origin: f64,
-    /// Length of the window in which names are counted, in nanoseconds.
+    /// Length of the time window over which the distinct names of an origin are counted, in nanoseconds.
     window: Nanos,
     origins: Vec<Origin>,
     indices: HashMap<u64, usize>,
 }
 
 impl Origins {
-    /// Creates a table of at most `limit` origins. Each origin may have `names_per_origin` names at full
-    /// weight.
+    /// Creates a table of at most `limit` origins. Up to `names_per_origin` names of one origin have full
+    /// weight. `probation` determines the time window over which names are counted.
     pub fn new(limit: usize, names_per_origin: f64, probation: Nanos) -> Self {
         Self {
             limit: limit.max(1),
@@ -84,13 +87,13 @@
         self.origins.capacity() * size_of::<Origin>() + memory::map_bytes(&self.indices)
     }
 
-    /// Sets the number of names of one origin that have full weight.
+    /// Sets the number of names that one origin may have at full weight.
     pub fn set_names_per_origin(&mut self, names: f64) {
         self.names_per_origin = names;
     }
 
-    /// Returns the index of an origin's slot. Origins beyond the limit share existing slots; an origin always
-    /// maps to the same slot.
+    /// Returns the index of the slot that holds an origin's record. Once the table is full, a new origin
+    /// shares the slot that its id hashes to, or takes the slot over if that has been idle.
     fn find_or_insert(&mut self, id: u64, now: Nanos) -> usize {
         if let Some(index) = self.indices.get(&id) {
             self.origins[*index].used_at = now;
@@ -108,7 +111,8 @@
         index
     }
 
-    /// Reassigns a slot to another origin. The used share stays charged to the slot.
+    /// Reassigns a slot to another origin. The used share, queue tails and reserved share of the previous
+    /// origin stay charged to the slot.
     fn replace(&mut self, index: usize, id: u64, now: Nanos) {
         let origin = &mut self.origins[index];
         self.indices.remove(&origin.id);
@@ -117,7 +121,8 @@
         self.indices.insert(id, index);
     }
 
-    /// Returns the factor by which the weight of a name from this origin is multiplied, at most 1.
+    /// Records a name of an origin, and returns the factor by which the name's weight is multiplied, at most
+    /// 1.
     pub fn weight_ratio(&mut self, id: u64, fingerprint: Fingerprint, now: Nanos) -> f64 {
         let (window, names_per_origin) = (self.window, self.names_per_origin);
         let index = self.find_or_insert(id, now);
@@ -132,8 +137,9 @@
         (names_per_origin / origin.estimated_names).min(1.0)
     }
 
-    /// Records the demand of a newcomer of this origin. Returns the index of the origin's slot, and the work
-    /// multiplied by the learned ratio of the origin's newcomers.
+    /// Records the demand of an arrival whose tenant is a newcomer of origin `id`. `work` is the usual work
+    /// of the operation. Returns the index of the origin's slot, and `work` multiplied by the learned ratio
+    /// of the origin's newcomers.
     pub fn record_newcomer(&mut self, id: u64, now: Nanos, work: f64) -> (usize, f64) {
         let index = self.find_or_insert(id, now);
         let origin = &mut self.origins[index];
@@ -142,7 +148,7 @@
         (index, estimated_work)
     }
 
-    /// Returns the origin at an index returned by [`Origins::record_newcomer`].
+    /// Returns the record at an index returned by [`Origins::record_newcomer`].
     pub fn get(&self, index: usize) -> &Origin {
         &self.origins[index]
     }
@@ -152,7 +158,8 @@
         &mut self.origins[index]
     }
 
-    /// Returns the recent demand of the newcomers of each origin.
+    /// Returns one demand for each origin: the recent demand of all its newcomers together, with the given
+    /// weight.
     pub fn demands(&self, now: Nanos, weight: f64) -> impl Iterator<Item = Demand> {
         self.origins.iter().map(move |origin| Demand {
             cores: origin.demand.cores(now),
--- a/crates/fair-queueing/src/promises.rs
+++ b/crates/fair-queueing/src/promises.rs
@@ -1,6 +1,6 @@
-//! Promises of admission. A rejected arrival that returns at the promised time, or within a grace period
-//! after it, is admitted. Each promise has an unguessable ticket, which its tenant can redeem once, from any
-//! connection.
+//! Promises of admission. A rejected arrival that retries at the promised time, or within a grace period
+//! after it, is admitted. Each promise has an unguessable ticket, which the tenant of the rejected arrival
+//! can redeem once, from any connection.
 
 use crate::Nanos;
 use crate::memory;
@@ -10,47 +10,51 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::HashMap;
 
-/// Maximum random extension of a promised wait, as a ratio of the wait. The extension spreads the returns of
-/// arrivals that were rejected together.
+/// Maximum random extension of a promised wait, as a ratio of the wait. The extension spreads out the retries
+/// of arrivals that were rejected at the same time.
 const SPREAD_RATIO: f64 = 0.25;
-/// Minimum range of the random extension, as a ratio of the longest wait that may be promised.
+/// Minimum range from which the random extension of a wait is drawn, as a ratio of the longest wait that may
+/// be promised.
 const SPREAD_MIN_RATIO: f64 = 0.02;
-/// Promised waits are rounded up to a multiple of this, in nanoseconds.
+/// Unit to which promised waits are rounded up, in nanoseconds.
 const RESOLUTION_NS: Nanos = 1_000_000;
-/// Value mixed into the seed so that ticket numbers differ from other random numbers of the same seed
-/// ("ticket" in ASCII).
+/// Value combined with the seed, so that ticket numbers differ from other random numbers derived from the
+/// same seed ("ticket" in ASCII).
 const TICKET_SEED: u64 = 0x7469_636b_6574;
 
-/// A promise of admission. Virtual times are those of the fair rate.
+/// A promise to admit the retry of a rejected arrival. Virtual times and tags are in nanoseconds of one core
+/// per unit of weight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Promise {
-    /// Fingerprint of the tenant.
+    /// Fingerprint of the name of the tenant that may redeem the promise.
     pub tenant: Fingerprint,
-    /// Estimated work of the arrival, in nanoseconds of one core.
+    /// Estimated work of the rejected arrival, in nanoseconds of one core.
     pub work: f64,
-    /// Start tag of the arrival.
+    /// Start tag of the rejected arrival. The retry gets this tag, or the highest start tag served if that is
+    /// higher.
     pub start_tag: f64,
-    /// Virtual time at which the arrival's part of the tenant's share begins.
+    /// Virtual time at which the part of the tenant's share that is reserved for the retry begins.
     pub booked_start: f64,
-    /// Predicted advance of virtual time until the return, in nanoseconds of one core per unit of weight.
+    /// Predicted advance of virtual time from the rejection to the retry, in nanoseconds of one core per unit
+    /// of weight.
     pub expected_advance: f64,
 }
 
 /// Result of redeeming a ticket.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Redemption {
-    /// The return is in time, and the promise applies.
+    /// The ticket was presented in time, and the promise applies.
     InTime(Promise),
-    /// The return is too early; the promise is lost.
+    /// The ticket was presented before the promised time; the promise is lost.
     Early,
     /// The ticket is invalid: expired, already used, never issued, or issued to another tenant.
     Unknown,
 }
 
-/// A promised wait and its ticket number.
+/// The promised wait of a rejected arrival, and the number of its ticket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ticket {
-    /// Time until the promised return, in nanoseconds.
+    /// Time from the rejection to the promised time of the retry, in nanoseconds.
     pub wait: Nanos,
     /// Number of the ticket, greater than 0.
     pub number: u64,
@@ -59,12 +63,12 @@
 #[derive(Debug)]
 struct ActivePromise {
     promise: Promise,
-    /// Number of the ticket; 0 once it has been used.
+    /// Number of the ticket; 0 once the ticket has been used.
     ticket: u64,
     valid_from: Nanos,
 }
 
-/// Active promises, up to a limit.
+/// Table of active promises, up to a limit.
 #[derive(Debug)]
 pub struct Promises {
     limit: usize,
@@ -78,7 +82,7 @@
 }
 
 impl Promises {
-    /// Creates a table of at most `limit` promises with waits of up to `longest` nanoseconds. A return is in
+    /// Creates a table of at most `limit` promises with waits of up to `longest` nanoseconds. A retry is in
     /// time until `return_grace` nanoseconds after the promised time.
     pub fn new(limit: usize, longest: Nanos, return_grace: Nanos, seed: u64, now: Nanos) -> Self {
         Self {
@@ -118,8 +122,8 @@
         self.tickets.is_empty()
     }
 
-    /// Issues a promise for a return after `wait` nanoseconds plus a random extension. Returns `None` if the
-    /// total would exceed the longest wait, or if no slot is free.
+    /// Issues a promise that admits a retry after `wait` nanoseconds plus a random extension. Returns `None`
+    /// if the wait with its extension would exceed the longest wait, or if no slot is free.
     pub fn make(&mut self, now: Nanos, wait: f64, promise: Promise) -> Option<Ticket> {
         let spread = (wait * SPREAD_RATIO).max(self.longest as f64 * SPREAD_MIN_RATIO);
         let wait = wait + spread * self.rng.random_range(0.0..1.0);
@@ -148,9 +152,9 @@
         Some(self.slots.len() as u32 - 1)
     }
 
-    /// Redeems a ticket on its tenant's return. The ticket is then used up, whatever the result; a ticket
-    /// presented by another tenant remains valid. The slot is freed only when its timer expires, so that a
-    /// slot index is never in two timers.
+    /// Redeems a ticket that a retry of `tenant` presents. If the ticket belongs to this tenant, it is used
+    /// up, whatever the result; otherwise it remains valid for its owner. The promise's slot is freed only
+    /// when its timer expires, so that no slot index is in two timers.
     pub fn redeem(&mut self, now: Nanos, ticket: u64, tenant: Fingerprint) -> Redemption {
         let Some(index) = self.tickets.get(&ticket).copied() else { return Redemption::Unknown };
         let active = self.slots[index as usize].as_mut();
@@ -169,7 +173,8 @@
         }
     }
 
-    /// Frees the slots whose timers have expired. Returns the number of promises that lapsed.
+    /// Frees the slots of promises whose timers have expired. Returns the number of those that lapsed without
+    /// being redeemed.
     pub fn expire(&mut self, now: Nanos) -> u64 {
         let Self { expiries, slots, tickets, free, .. } = self;
         let mut lapsed = 0;
--- a/crates/fair-queueing/src/queue_order.rs
+++ b/crates/fair-queueing/src/queue_order.rs
@@ -1,8 +1,8 @@
 //! Order of start-time fair queueing: each arrival has a start tag, and lower tags are served first.
 //!
-//! Each tenant has two queues, one for arrivals within its share and one for its surplus. Surplus arrivals
-//! wait until other tenants' arrivals within their shares are served. Among surplus arrivals, those of the
-//! tenant that has borrowed least are served first.
+//! Each tenant has two queues: one for arrivals within its share, and one for arrivals beyond it (surplus).
+//! Surplus arrivals are served after all arrivals within the shares of other tenants. Among surplus arrivals,
+//! those of the tenant that has borrowed least are served first.
 
 /// One value for each of a tenant's two queues.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -14,7 +14,8 @@
 }
 
 impl PerQueue {
-    /// Returns the value for the surplus queue, or for the other queue if `surplus` is false.
+    /// Returns the value for the surplus queue if `surplus` is true, else the value for the queue within the
+    /// share.
     pub fn get(&self, surplus: bool) -> f64 {
         if surplus { self.surplus } else { self.within }
     }
@@ -25,22 +26,26 @@
     }
 }
 
-/// Start tags for the next arrivals in a tenant's queues, in nanoseconds of one core per unit of weight.
+/// Start tags that the next arrivals in a tenant's two queues will get, in nanoseconds of one core per unit
+/// of weight.
 pub type QueueTails = PerQueue;
 
-/// Highest start tags served so far, one for each queue.
+/// Highest start tag served so far in each of the two classes, within the share and surplus, over all
+/// tenants.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServiceClock {
     tags: PerQueue,
 }
 
 impl ServiceClock {
-    /// Returns the highest start tag served so far from one of the queues.
+    /// Returns the highest start tag served so far, among surplus arrivals if `surplus` is true, else among
+    /// the others.
     pub fn tag(&self, surplus: bool) -> f64 {
         self.tags.get(surplus)
     }
 
-    /// Records that an arrival with this start tag is served. The clock never goes back.
+    /// Records that an arrival with `start_tag` begins to be served. A tag below the highest one served so
+    /// far has no effect.
     pub fn advance(&mut self, surplus: bool, start_tag: u64) {
         let tag = self.tags.get_mut(surplus);
         *tag = tag.max(start_tag as f64);
--- a/crates/fair-queueing/src/reconfiguration.rs
+++ b/crates/fair-queueing/src/reconfiguration.rs
@@ -1,20 +1,22 @@
-//! Changes of settings while the server runs, split into parts of bounded size. The scheduler thread applies
-//! one part at a time between arrivals.
+//! Changes of settings while the server runs. Each change is split into parts of bounded size, which the
+//! scheduler thread applies one at a time between arrivals.
 
 use crate::Nanos;
 use crate::settings::Settings;
 use crate::tenant::NamedTenant;
 use std::collections::HashMap;
 
-/// Maximum number of names in one part, which bounds the time to apply it (`docs/CAPACITY.md`).
+/// Maximum number of tenant names in one part of a change, which bounds the time to apply the part
+/// (`docs/CAPACITY.md`).
 const NAMES_PER_PART: usize = 256;
 
-/// One part of a change of settings.
+/// One part of a change of settings: some of the changed tenants, and the new values of all other settings
+/// that can change.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SettingsChange {
-    /// Tenants that the new settings no longer name.
+    /// Names of tenants that are named in the old settings but not in the new ones.
     pub unnamed: Vec<Vec<u8>>,
-    /// Tenants that are newly named or have a different weight.
+    /// Tenants that are named only in the new settings or have a different weight there.
     pub named: Vec<NamedTenant>,
     /// New value of [`Settings::names_per_origin`].
     pub names_per_origin: f64,
@@ -27,9 +29,10 @@
 }
 
 impl SettingsChange {
-    /// Returns the parts that change `old` into `new`, at least one. Parts that remove names come first,
-    /// since the limit on named tenants applies to the remaining ones. The time is proportional to the length
-    /// of both lists of names, so this must not run on the scheduler thread.
+    /// Returns the parts that together change the settings `old` into `new`, at least one part. Parts that
+    /// remove named tenants come first, so that the number of named tenants stays within its limit. The
+    /// running time is proportional to the length of both lists of named tenants, so the scheduler thread
+    /// must not call this function.
     pub fn between(old: &Settings, new: &Settings) -> Vec<SettingsChange> {
         let old_weights = weights(old);
         let new_weights = weights(new);
--- a/crates/fair-queueing/src/scheduler.rs
+++ b/crates/fair-queueing/src/scheduler.rs
@@ -11,19 +11,20 @@
 use crate::tenant::{Fingerprint, FingerprintKey, TenantKey};
 use crate::usage::{LocatedArrival, RateSnapshot, Usage, UsageLocation};
 
-/// A promise is honoured only if virtual time falls short of the promised start by at most this ratio of the
-/// predicted advance.
+/// Maximum shortfall of virtual time for which a promise is still honoured, as a ratio of the predicted
+/// advance of virtual time until the retry. The shortfall is the distance by which virtual time is behind the
+/// start of the reserved share when the ticket is redeemed.
 const SHORTFALL_MAX_RATIO: f64 = 0.5;
 /// Minimum work of an arrival, in nanoseconds of one core.
 const WORK_MIN: f64 = 1.0;
 const SECOND_NS: f64 = 1e9;
 
-/// Classification of one arrival. The caller keeps it and passes it to [`FairScheduler::end_service`] at the
-/// end.
+/// Classification of one arrival. The caller keeps it and passes it to [`FairScheduler::end_service`] when
+/// the arrival ends.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Admission {
-    /// Start tag of start-time fair queueing, in nanoseconds of one core per unit of weight. Lower tags are
-    /// served first.
+    /// Start tag of the arrival in start-time fair queueing, in nanoseconds of one core per unit of weight.
+    /// Lower tags are served first.
     pub start_tag: u64,
     /// Whether the arrival is beyond its tenant's share.
     pub surplus: bool,
@@ -32,23 +33,23 @@
     location: UsageLocation,
     tenant: Fingerprint,
     weight: f64,
-    /// Usual work of the operation, in nanoseconds of one core, as are the other amounts of work.
+    /// Usual work of the arrival's operation, in nanoseconds of one core.
     usual_work: f64,
-    /// Work estimated from the tenant's previous invocations.
+    /// Work of the arrival, estimated from the tenant's previous invocations, in nanoseconds of one core.
     estimated_work: f64,
-    /// Work charged to the tenant's share.
+    /// Work charged to the tenant's share on admission, in nanoseconds of one core.
     charged_work: f64,
-    /// Span of start tags that the arrival occupies in its tenant's queue: its estimated work divided by its
-    /// weight.
+    /// Distance by which the arrival advances the tail of its tenant's queue: its estimated work divided by
+    /// its weight.
     queued_span: f64,
 }
 
-/// Outcome of an arrival.
+/// Outcome of an arrival: whether it ran, and the work that it used.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ServiceOutcome {
     /// The arrival ran and used this many nanoseconds of one core.
     Ran(Nanos),
-    /// The arrival never ran.
+    /// The arrival never ran, for example because it was rejected.
     NeverRan,
 }
 
@@ -57,7 +58,7 @@
 pub struct RetryAdvice {
     /// Time to wait before the retry, in nanoseconds.
     pub retry_after: Nanos,
-    /// Ticket of the promise; `None` if no promise was issued.
+    /// Number of the ticket that identifies the promise; `None` if no promise was issued.
     pub ticket: Option<u64>,
 }
 
@@ -68,11 +69,11 @@
     rate: FairRate,
     usage: Usage,
     promises: Promises,
-    /// Maximum work that a tenant of weight 1 may have admitted ahead of virtual time, whatever the fair
-    /// rate, in nanoseconds of one core.
+    /// Upper bound of [`FairScheduler::allowance`], in nanoseconds of one core: the work that a tenant of
+    /// weight 1 may have admitted ahead of virtual time, whatever the fair rate.
     allowance_max: f64,
     served: ServiceClock,
-    /// Counters of scheduling events since the start.
+    /// Counters of scheduling events since the scheduler was created.
     pub counters: SchedulerCounters,
 }
 
@@ -91,7 +92,8 @@
             counters: SchedulerCounters::default(),
             settings,
         };
-        // The accounts of named tenants are created here, so the list itself is no longer needed.
+        // The accounts of the named tenants are created here, so the settings' list of named tenants is no
+        // longer needed.
         for (name, weight) in std::mem::take(&mut scheduler.settings.named).iter() {
             scheduler.pin(name, *weight, 0.0, now);
         }
@@ -103,7 +105,8 @@
         self.usage.accounts.pin(tenant, Account::new(name, weight, finish, now));
     }
 
-    /// Advances virtual time to `now` and expires promises. Returns the latest time seen.
+    /// Advances virtual time to the real time `now`, and removes expired promises. Returns the latest real
+    /// time seen.
     fn advance(&mut self, now: Nanos) -> Nanos {
         let now = self.rate.advance(now);
         self.counters.lapsed += self.promises.expire(now);
@@ -148,8 +151,8 @@
         None
     }
 
-    /// Decides whether an arrival is within its tenant's share, charges the share if so, and assigns the
-    /// start tag.
+    /// Decides whether an arrival is within its tenant's share, charges the arrival's work to the share if
+    /// so, and assigns the arrival's start tag.
     fn classify(&mut self, mut admission: Admission) -> Admission {
         let virtual_time = self.rate.virtual_time();
         let start = self.share_start(&admission);
@@ -166,8 +169,8 @@
         admission
     }
 
-    /// Admits an arrival that redeems a promise. Its start tag is that of its rejected attempt, so it
-    /// precedes later arrivals of its tenant.
+    /// Admits an arrival that redeems a promise. It gets the start tag of its earlier, rejected attempt, so
+    /// it precedes arrivals of its tenant that came after that attempt.
     fn admit_as_promised(&mut self, mut admission: Admission, promise: &Promise) -> Admission {
         self.counters.within += 1;
         self.usage.count(admission.location, false);
@@ -180,7 +183,7 @@
         if let Some(tails) = self.usage.tails_mut(admission.location) {
             tails.within = tails.within.max(start_tag) + admission.queued_span;
         }
-        // A tenant in the sketch was charged when the promise was issued.
+        // The work of a tenant in the sketch was already charged when the promise was issued.
         if admission.location != UsageLocation::Sketch {
             let start = self.share_start(&admission);
             self.charge(&admission, start, promise.work);
@@ -188,7 +191,8 @@
         admission
     }
 
-    /// Returns the maximum distance of a finish ahead of virtual time for an arrival within the share.
+    /// Returns the maximum distance ahead of virtual time of the finish of a tenant that is still within its
+    /// share.
     fn allowance(&self) -> f64 {
         (self.rate.cores() * self.settings.burst as f64).min(self.allowance_max)
     }
@@ -197,26 +201,26 @@
         self.usage.finish(admission.location, admission.tenant, self.rate.virtual_time())
     }
 
-    /// Returns the virtual time at which an arrival's part of its tenant's share begins, which is never in
-    /// the past: idle time earns no credit.
+    /// Returns the virtual time from which an arrival uses its tenant's share: the tenant's finish, but never
+    /// earlier than the current virtual time, since idle time earns no credit.
     fn share_start(&mut self, admission: &Admission) -> f64 {
         self.finish(admission).max(self.rate.virtual_time())
     }
 
-    /// Charges work to the arrival's tenant, from the virtual time `start` on. Negative work is a refund,
-    /// which the sketch ignores.
+    /// Charges work to the share of the arrival's tenant, from the virtual time `start` on. Negative work is
+    /// a refund, which has no effect for a tenant in the sketch.
     fn charge(&mut self, admission: &Admission, start: f64, work: f64) {
         let finish = start + work / admission.weight;
         self.usage.set_finish(admission.location, admission.tenant, finish, self.rate.virtual_time());
     }
 
-    /// Assigns the start tag of an arrival: the tail of its tenant's queue, or the latest tag served if that
-    /// is higher.
+    /// Assigns the start tag of an arrival: the tail of its tenant's queue, or the highest start tag served
+    /// so far if that is higher. `ahead` is the distance of the tenant's finish ahead of virtual time.
     fn enqueue(&mut self, admission: &mut Admission, ahead: f64) {
         let served = self.served.tag(admission.surplus);
         let Some(tails) = self.usage.tails_mut(admission.location) else {
-            // The sketch stores no queue tails, so the tag is delayed by the tenant's distance ahead of
-            // virtual time.
+            // The sketch stores no queue tails, so the start tag is instead raised by the distance of the
+            // tenant's finish ahead of virtual time.
             admission.start_tag = (served + ahead) as u64;
             return;
         };
@@ -227,12 +231,13 @@
         *tail = start_tag + admission.queued_span;
     }
 
-    /// Records that an arrival begins to be served.
+    /// Records that an arrival begins to be served, which advances the highest start tag served.
     pub fn start_service(&mut self, admission: &Admission) {
         self.served.advance(admission.surplus, admission.start_tag);
     }
 
-    /// Ends an arrival and corrects its charge by the work that it really used.
+    /// Ends an arrival. If the arrival was charged to its tenant's share, corrects the charge to the work
+    /// that the arrival really used.
     pub fn end_service(&mut self, now: Nanos, admission: &Admission, outcome: ServiceOutcome) {
         self.advance(now);
         let used = match outcome {
@@ -254,29 +259,30 @@
         }
     }
 
-    /// Updates the learned ratio of the work used to the usual work. If the account was evicted during the
-    /// run, there is no ratio to update.
+    /// Updates the tenant's learned ratio of used to usual work. If the tenant's account was evicted while
+    /// the arrival ran, there is no ratio to update.
     fn learn_ratio(&mut self, admission: &Admission, used: f64) {
         if let Some(ratio) = self.usage.ratio_mut(admission.location) {
             ratio.learn(used / admission.usual_work);
         }
     }
 
-    /// Releases the queue span of an arrival that never ran. If its account was evicted, there is no queue to
-    /// shorten.
+    /// Moves the tail of the tenant's queue back by the span of an arrival that never ran. If the tenant's
+    /// account was evicted, there is no queue to shorten.
     fn shorten_queue(&mut self, admission: &Admission) {
         if let Some(tails) = self.usage.tails_mut(admission.location) {
             *tails.get_mut(admission.surplus) -= admission.queued_span;
         }
     }
 
-    /// Returns retry advice for a rejected arrival. The wait lasts until the tenant will have capacity for
-    /// the arrival, but at least `wait_min` nanoseconds. No promise is issued if the wait would be too long
-    /// or too many promises are active.
+    /// Returns the wait, and a promise if possible, for the retry of a rejected arrival. The wait lasts until
+    /// the tenant's share will have capacity for the arrival, but at least `wait_min` nanoseconds. No promise
+    /// is issued if the wait would be too long or too many promises are active.
     ///
-    /// Promises to the same tenant are spaced at its fair rate, so a caller that asks again gets a later one.
-    /// The tenant is charged when a promise is redeemed, so a lapsed promise costs the tenant nothing.
-    /// Tenants in the sketch are charged when the promise is issued, and lapsed promises are not refunded.
+    /// Promises to one tenant are spaced at its fair rate, so a caller that asks repeatedly gets later and
+    /// later times. An account or an origin's newcomers are charged when a promise is redeemed, so a promise
+    /// that lapses costs them nothing. A tenant in the sketch is charged when the promise is issued, and is
+    /// not refunded if the promise lapses.
     pub fn promise(&mut self, now: Nanos, admission: &Admission, wait_min: Nanos) -> RetryAdvice {
         let now = self.advance(now);
         let (virtual_time, cores) = (self.rate.virtual_time(), self.rate.cores());
@@ -303,8 +309,8 @@
         RetryAdvice { retry_after: ticket.wait, ticket: Some(ticket.number) }
     }
 
-    /// Books the part of the tenant's share that a promise covers. The sketch stores no bookings, so the work
-    /// is charged at once.
+    /// Reserves the part of the tenant's share that a promise covers. The sketch stores no reservations, so
+    /// the work of a tenant in the sketch is charged at once.
     fn book(&mut self, admission: &Admission, booked_start: f64) {
         match self.usage.booked_until_mut(admission.location) {
             Some(booked_until) => *booked_until = booked_start + admission.estimated_work / admission.weight,
@@ -312,8 +318,8 @@
         }
     }
 
-    /// Applies one part of a change of settings. Limits do not change until a restart. The time depends only
-    /// on the number of names in the part.
+    /// Applies one part of a change of settings. Limits on memory do not change until a restart. The running
+    /// time depends only on the number of tenant names in the part.
     pub fn reconfigure(&mut self, change: &SettingsChange, now: Nanos) {
         let now = self.advance(now);
         for name in &change.unnamed {
@@ -330,10 +336,11 @@
         self.settings.probation = change.probation;
     }
 
-    /// Recomputes the fair rate from the recent demands, once per control period. `capacity` is the capacity
-    /// to allocate, in cores. `allowance_max` is the maximum work that a tenant of weight 1 may have admitted
-    /// ahead of virtual time. Without this bound, an arrival could be admitted and later rejected because its
-    /// deadline is too close, and its work would be charged to no tenant.
+    /// Recomputes the fair rate from the recent demands; called once per control period. `capacity` is the
+    /// capacity to allocate, in cores. `allowance_max` is the maximum work that a tenant of weight 1 may have
+    /// admitted ahead of virtual time, in nanoseconds of one core. Without this bound, an arrival could be
+    /// admitted and later rejected because its deadline is too close, and its work would be charged to no
+    /// tenant.
     pub fn update_fair_rate(&mut self, now: Nanos, capacity: f64, allowance_max: f64) {
         self.allowance_max = allowance_max;
         let now = self.advance(now);
@@ -351,7 +358,7 @@
         self.usage.accounts.len()
     }
 
-    /// Returns the number of active promises.
+    /// Returns the number of promises that are neither redeemed nor expired.
     pub fn promises(&self) -> usize {
         self.promises.len()
     }
@@ -361,7 +368,8 @@
         self.usage.bytes() + self.promises.bytes() + size_of::<FairScheduler>()
     }
 
-    /// Returns the `limit` tenants with the highest recent demand.
+    /// Returns statistics of the tenants with the highest recent demand, at most `limit`, in descending order
+    /// of demand.
     pub fn top_tenants(&mut self, now: Nanos, limit: usize) -> Vec<TopTenant> {
         let now = self.advance(now);
         let (virtual_time, cores) = (self.rate.virtual_time(), self.rate.cores());
--- a/crates/fair-queueing/src/settings.rs
+++ b/crates/fair-queueing/src/settings.rs
@@ -11,40 +11,42 @@
 use thiserror::Error;
 
 const SECOND_NS: Nanos = 1_000_000_000;
-/// Number of accounts reserved for tenants that are not named.
+/// Minimum number of accounts available to tenants that are not named.
 const UNNAMED_ACCOUNTS: usize = 16;
-/// Minimum number of cells of the sketch.
+/// Minimum value of [`Settings::cells`].
 const CELLS_MIN: usize = 64;
-/// Number of sketch cells for each name in the table of known names.
+/// Number of cells in the sketch for each name in the table of known names.
 const CELLS_PER_KNOWN_NAME: usize = 4;
 
-/// Settings of fair queueing. The limits bound all memory use, independently of the input from peers.
+/// Settings of fair queueing. The limits bound the memory use, whatever names and origins senders invent.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Maximum number of tenants with their own account.
     pub accounts: usize,
-    /// Number of cells of the sketch for all other tenants, rounded up to a power of two. The table of known
-    /// names holds a quarter as many names.
+    /// Number of cells of the sketch that records the usage of tenants without an account, rounded up to a
+    /// power of two. The table of known names has capacity for a quarter as many names.
     pub cells: usize,
-    /// Maximum number of origins with a slot of their own; further origins share these slots.
+    /// Maximum number of origins with their own slot in the table of origins; further origins share these
+    /// slots.
     pub origins: usize,
     /// Maximum number of promises that are active at the same time.
     pub promises: usize,
-    /// Number of names of one origin at full weight. With more names, the weight of each decreases, so that
-    /// an origin gains nothing from additional names.
+    /// Number of names that one origin may have at full weight. If it has more, the weight of each name
+    /// decreases, so that the origin gains nothing from additional names.
     pub names_per_origin: f64,
-    /// Weight of tenants that are not named.
+    /// Weight of each tenant that [`Settings::named`] does not list.
     pub default_weight: f64,
-    /// Named tenants and their weights. Each has an account from the start.
+    /// Tenants with a configured weight. Each of them has an account from the start.
     pub named: Arc<[NamedTenant]>,
-    /// Amount of its share that a tenant may use at once, in nanoseconds of its share.
+    /// Maximum work that a tenant may have admitted ahead of its share, expressed as the time in nanoseconds
+    /// in which its share provides the capacity for that work.
     pub burst: Nanos,
-    /// Minimum time from a name's first visit, in nanoseconds, before repeated visits make the name
-    /// established.
+    /// Minimum time from the first visit of a name until the name can become established by repeated visits,
+    /// in nanoseconds.
     pub probation: Nanos,
-    /// Longest wait that may be promised, in nanoseconds.
+    /// Longest wait that may be promised to a rejected arrival, in nanoseconds.
     pub promise_max: Nanos,
-    /// Time after the promised return during which the promise still applies, in nanoseconds.
+    /// Time after the promised time during which a retry still redeems its promise, in nanoseconds.
     pub return_grace: Nanos,
 }
 
@@ -74,7 +76,7 @@
     /// A limit is less than its minimum.
     #[error("{attribute}: {value} is under {minimum}")]
     Limit {
-        /// Attribute of the limit: `accounts`, `cells`, `origins` or `promises`.
+        /// Name of the configuration attribute: `accounts`, `cells`, `origins` or `promises`.
         attribute: &'static str,
         /// Configured value.
         value: usize,
@@ -102,7 +104,7 @@
 }
 
 impl Settings {
-    /// Checks each setting.
+    /// Checks that each setting is valid.
     ///
     /// # Errors
     /// Returns the first invalid setting.
@@ -124,18 +126,18 @@
         check_limit("promises", self.promises, 1)
     }
 
-    /// Returns the maximum number of named tenants. At least half of the accounts are reserved for other
-    /// tenants.
+    /// Returns the maximum number of named tenants. At least half of the accounts are reserved for tenants
+    /// that are not named.
     pub fn named_max(&self) -> usize {
         self.accounts.saturating_sub(UNNAMED_ACCOUNTS) / 2
     }
 
-    /// Returns the number of names in the table of known names.
+    /// Returns the number of names for which the table of known names has capacity.
     pub(crate) fn known_names(&self) -> usize {
         self.cells / CELLS_PER_KNOWN_NAME
     }
 
-    /// Returns the most bytes that all parts of a scheduler with these settings can use.
+    /// Returns the most bytes that the data structures of a scheduler with these settings can use together.
     pub(crate) fn parts_bytes_max(&self) -> usize {
         Accounts::bytes_max(self.accounts)
             + FinishSketch::bytes_max(self.cells)
--- a/crates/fair-queueing/src/tenant.rs
+++ b/crates/fair-queueing/src/tenant.rs
@@ -1,28 +1,28 @@
-//! Names of tenants and the fingerprints that replace them internally.
+//! Names of tenants, and the fingerprints that identify tenants internally.
 
 use siphasher::sip128::{Hasher128, SipHasher13};
 use std::hash::Hasher;
 
-/// A tenant's name as sent in invocations, and its weight, a ratio greater than 0.
+/// A tenant's name as sent in invocations, and the tenant's weight, a ratio greater than 0.
 pub type NamedTenant = (Vec<u8>, f64);
 
-/// A 128-bit keyed hash of a tenant's name, used instead of the name. The bits are uniform and independent,
-/// so each data structure can use a different part of them as its own hash.
+/// A 128-bit keyed hash of a tenant's name, used as its internal identifier. The bits are uniform and
+/// independent, so each data structure can use a different range of them as a hash.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Fingerprint(u128);
 
 impl Fingerprint {
-    /// Returns bits 0 to 63.
+    /// Returns bits 0 to 63 of the fingerprint.
     pub fn low_half(self) -> u64 {
         self.0 as u64
     }
 
-    /// Returns bits 32 to 95.
+    /// Returns bits 32 to 95 of the fingerprint.
     pub fn middle_half(self) -> u64 {
         (self.0 >> 32) as u64
     }
 
-    /// Returns bits 64 to 127.
+    /// Returns bits 64 to 127 of the fingerprint.
     pub fn high_half(self) -> u64 {
         (self.0 >> 64) as u64
     }
@@ -31,14 +31,15 @@
 /// The tenant and origin of an invocation.
 #[derive(Clone, Copy, Debug)]
 pub struct TenantKey<'a> {
-    /// Name of the tenant as sent in the invocation. A sender can invent it.
+    /// Name of the tenant as sent in the invocation. A sender can invent names.
     pub name: &'a [u8],
-    /// Origin of the invocation. A sender cannot forge it.
+    /// Origin of the invocation: the peer of the connection, or a trusted sender. A sender cannot forge its
+    /// origin.
     pub origin: u64,
 }
 
-/// Key of the fingerprints of one process. The key is secret, so that a sender cannot construct names whose
-/// fingerprints collide.
+/// Secret key with which one process computes the fingerprints of names. A sender that does not know the key
+/// cannot construct names whose fingerprints collide.
 #[derive(Clone, Copy, Debug)]
 pub struct FingerprintKey {
     first: u64,
--- a/crates/fair-queueing/src/timer_wheel.rs
+++ b/crates/fair-queueing/src/timer_wheel.rs
@@ -1,10 +1,11 @@
-//! A hashed timer wheel (Varghese and Lauck, 1987), which finds expired timers without scanning later ones.
-//! Timers beyond the wheel's time span stay in their slot for another rotation of the wheel.
+//! A hashed timer wheel (Varghese and Lauck, 1987), which finds expired timers without scanning all others. A
+//! timer that expires after the end of the current rotation of the wheel stays in its slot until a later
+//! rotation.
 
 use crate::Nanos;
 
 const SLOTS: usize = 256;
-/// An empty slot with capacity for more than this many timers frees its memory.
+/// Capacity, in timers, above which the vector of a slot is freed when the slot becomes empty.
 const IDLE_CAPACITY: usize = 8;
 
 #[derive(Clone, Copy, Debug)]
@@ -13,25 +14,26 @@
     id: u32,
 }
 
-/// A set of timers, each identified by a number.
+/// A set of timers, each with an id that the owner chooses.
 #[derive(Debug)]
 pub struct TimerWheel {
     slots: Vec<Vec<Timer>>,
-    /// Duration of one slot, in nanoseconds.
+    /// Duration that one slot covers, in nanoseconds.
     tick: Nanos,
-    /// First tick that has not been fully processed.
+    /// Earliest tick that has not been fully processed. Tick `n` covers the time from `n * tick` to `(n + 1)
+    /// * tick`.
     current_tick: u64,
 }
 
 impl TimerWheel {
-    /// Creates a wheel for timers that expire within `span` nanoseconds.
+    /// Creates a wheel for timers that expire within `span` nanoseconds of their insertion.
     pub fn new(span: Nanos, now: Nanos) -> Self {
         let tick = (span / (SLOTS as u64 - 2)).max(1);
         Self { slots: vec![Vec::new(); SLOTS], tick, current_tick: now / tick }
     }
 
-    /// Returns the most bytes that a wheel with this many timers takes. A timer may take twice its size while
-    /// the vector of its slot grows.
+    /// Returns the most bytes that a wheel with this many timers takes. Each timer is counted twice, since
+    /// the vector of a slot may have twice the capacity it needs after growing.
     pub fn bytes_max(timers: usize) -> usize {
         let minimum_capacity = 4 * SLOTS;
         SLOTS * size_of::<Vec<Timer>>() + 2 * (timers + minimum_capacity) * size_of::<Timer>()
@@ -49,17 +51,17 @@
         self.slots[tick as usize % SLOTS].push(Timer { expires_at, id });
     }
 
-    /// Removes all timers that have expired at `now`, and calls `expired` with the number of each.
+    /// Removes all timers that expire at or before `now`, and calls `expired` with the id of each.
     pub fn expire(&mut self, now: Nanos, mut expired: impl FnMut(u32)) {
-        let to = now / self.tick;
-        if to < self.current_tick {
+        let last_tick = now / self.tick;
+        if last_tick < self.current_tick {
             return;
         }
-        let ticks = (to - self.current_tick).min(SLOTS as u64 - 1);
-        for tick in to - ticks..=to {
+        let ticks = (last_tick - self.current_tick).min(SLOTS as u64 - 1);
+        for tick in last_tick - ticks..=last_tick {
             Self::expire_slot(&mut self.slots[tick as usize % SLOTS], now, &mut expired);
         }
-        self.current_tick = to;
+        self.current_tick = last_tick;
     }
 
     fn expire_slot(slot: &mut Vec<Timer>, now: Nanos, expired: &mut impl FnMut(u32)) {
--- a/crates/fair-queueing/src/usage.rs
+++ b/crates/fair-queueing/src/usage.rs
@@ -1,4 +1,5 @@
-//! Usage of every tenant, in an account, in the record of its origin's newcomers or in the sketch.
+//! Usage records of all tenants. A tenant's usage is recorded in its own account, in the record that
+//! newcomers of the same origin share, or in the sketch.
 
 use crate::Nanos;
 use crate::account::Account;
@@ -13,14 +14,14 @@
 use crate::settings::Settings;
 use crate::tenant::{Fingerprint, TenantKey};
 
-/// Number of visits after which a name is established, provided that the probation has passed since the
-/// first.
+/// Number of visits after which a name is established, provided that [`Settings::probation`] has passed since
+/// the first visit.
 const KNOWN_VISITS: u8 = 3;
 
 /// Location of a tenant's usage record.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum UsageLocation {
-    /// The usage is not recorded; the default before an arrival is located.
+    /// The usage is not recorded. This is the default before an arrival is located.
     #[default]
     Untracked,
     /// In the tenant's own account.
@@ -36,21 +37,22 @@
 pub struct LocatedArrival {
     /// Location of the tenant's usage record.
     pub location: UsageLocation,
-    /// Effective weight of the arrival.
+    /// Weight of the arrival's tenant. The weight of a tenant that is established but not named is reduced if
+    /// its origin has sent too many names.
     pub weight: f64,
     /// Work estimated from the tenant's previous invocations, in nanoseconds of one core.
     pub estimated_work: f64,
 }
 
-/// State of the fair rate at one point in time.
+/// State of the fair rate and the virtual time at one point in time.
 #[derive(Clone, Copy, Debug)]
 pub struct RateSnapshot {
     /// Time of the snapshot, in nanoseconds.
     pub now: Nanos,
     /// Virtual time, in nanoseconds of one core per unit of weight.
     pub virtual_time: f64,
-    /// Maximum distance of a finish ahead of virtual time for an arrival within the share, in the unit of
-    /// `virtual_time`.
+    /// Maximum distance ahead of virtual time of the finish of a tenant that is still within its share, in
+    /// the unit of `virtual_time`.
     pub allowance: f64,
 }
 
@@ -59,7 +61,7 @@
 pub struct Usage {
     /// Accounts of established tenants.
     pub accounts: Accounts,
-    /// Records of the newcomers of each origin.
+    /// Usage records of the origins, one for the newcomers of each.
     pub origins: Origins,
     sketch: FinishSketch,
     known_names: KnownNames,
@@ -84,9 +86,9 @@
         self.accounts.bytes() + self.sketch.bytes() + self.known_names.bytes() + self.origins.bytes()
     }
 
-    /// Records an arrival and finds its tenant's usage record. In order of preference this is the tenant's
-    /// account, the record of its origin's newcomers (until the name is established), a new account, or the
-    /// sketch.
+    /// Records an arrival and finds its tenant's usage record. In order of preference, this is the tenant's
+    /// existing account, the record of the newcomers of the arrival's origin (until the tenant's name is
+    /// established), a new account, or the sketch.
     pub fn locate(
         &mut self,
         snapshot: RateSnapshot,
@@ -133,8 +135,8 @@
         })
     }
 
-    /// Opens an account for a name that has become established. If no account is available, the sketch
-    /// records its usage.
+    /// Opens an account for a tenant whose name is established. If no account is available, the sketch
+    /// records the tenant's usage.
     fn open_account(
         &mut self,
         snapshot: RateSnapshot,
@@ -171,7 +173,8 @@
         }
     }
 
-    /// Sets the virtual time up to which a tenant has used its share. In the sketch, this can only be raised.
+    /// Sets the virtual time up to which a tenant has used its share. For a tenant in the sketch, this value
+    /// can only be raised.
     pub fn set_finish(
         &mut self,
         location: UsageLocation,
@@ -191,7 +194,8 @@
         }
     }
 
-    /// Returns the tails of the tenant's queues; `None` for the sketch, which does not store them.
+    /// Returns the start tags that the next arrivals in the tenant's queues will get; `None` for a tenant in
+    /// the sketch, which does not store them.
     pub fn tails_mut(&mut self, location: UsageLocation) -> Option<&mut QueueTails> {
         match location {
             UsageLocation::Account(slot) => self.accounts.get_mut(slot).map(|account| &mut account.tails),
@@ -200,8 +204,8 @@
         }
     }
 
-    /// Returns the virtual time up to which the tenant's share is promised; `None` for the sketch, which
-    /// stores no promises.
+    /// Returns the virtual time up to which promises have reserved the tenant's share; `None` for a tenant in
+    /// the sketch, which stores no reservations.
     pub fn booked_until_mut(&mut self, location: UsageLocation) -> Option<&mut f64> {
         match location {
             UsageLocation::Account(slot) => {
@@ -212,7 +216,7 @@
         }
     }
 
-    /// Returns the learned ratio used to estimate the tenant's work.
+    /// Returns the learned ratio of used to usual work with which the tenant's work is estimated.
     pub fn ratio_mut(&mut self, location: UsageLocation) -> Option<&mut LearnedRatio> {
         match location {
             UsageLocation::Account(slot) => self.accounts.get_mut(slot).map(|account| &mut account.ratio),
@@ -222,7 +226,7 @@
         }
     }
 
-    /// Counts an arrival in its tenant's account, if the tenant has one.
+    /// Counts an arrival, within or beyond the share, in its tenant's account if the tenant has one.
     pub fn count(&mut self, location: UsageLocation, surplus: bool) {
         if let UsageLocation::Account(slot) = location
             && let Some(account) = self.accounts.get_mut(slot)
@@ -232,12 +236,13 @@
         }
     }
 
-    /// Returns the recent demand of each tenant with an account and of the newcomers of each origin.
+    /// Returns the recent demand of each tenant with an account, and of the newcomers of each origin
+    /// together.
     pub fn demands(&self, now: Nanos, newcomers_weight: f64) -> impl Iterator<Item = Demand> {
         self.accounts.demands(now).chain(self.origins.demands(now, newcomers_weight))
     }
 
-    /// Runs the periodic maintenance of the sketch.
+    /// Runs the periodic maintenance of the sketch, which keeps its wrapped virtual times valid.
     pub fn sweep(&mut self, virtual_time: f64) {
         self.sketch.sweep(virtual_time);
     }
--- a/crates/fair-queueing/tests/promises.rs
+++ b/crates/fair-queueing/tests/promises.rs
@@ -1,5 +1,5 @@
-//! Promises of admission: a caller that returns at the promised time is admitted, and asking for promises
-//! gives no other advantage.
+//! Promises of admission: a caller that retries at the promised time is admitted, and requesting promises
+//! gives a caller no other advantage.
 
 use meadowstream_fair_queueing::{
     Admission, FairScheduler, Nanos, SchedulerCounters, ServiceOutcome, Settings, TenantKey,
@@ -19,7 +19,7 @@
 }
 
 /// Creates a scheduler with an established tenant that has used up its share, at a fair rate of a tenth of a
-/// core. Returns the scheduler and the time at which this state was reached.
+/// core. Returns the scheduler and the time at which the tenant had used up its share.
 fn scheduler_with_used_up_share(settings: Settings) -> (FairScheduler, Nanos) {
     let mut fair = FairScheduler::new(settings, 1.0, 1, 0);
     for n in 0..4000 {
@@ -45,7 +45,8 @@
     admission
 }
 
-/// Asks for a promise. Returns the wait and the ticket, or `None` if no promise was issued.
+/// Requests a promise for a rejected arrival. Returns the wait in nanoseconds and the ticket, or `None` if no
+/// promise was issued.
 fn request_promise(fair: &mut FairScheduler, now: Nanos, admission: &Admission) -> Option<(Nanos, u64)> {
     let advice = fair.promise(now, admission, 0);
     advice.ticket.map(|ticket| (advice.retry_after, ticket))
@@ -112,8 +113,8 @@
         waits.push(wait);
         last = last.max(wait);
     }
-    // Each promise covers 10 ms of work at a tenth of a core, or at what newcomers leave of it, with a random
-    // extension of up to a quarter.
+    // Each promise covers 10 ms of work. The tenant's rate is a tenth of a core or less, since newcomers take
+    // a part. A wait is extended at random by up to a quarter.
     assert!(waits.len() == 40 && last >= 39 * SECOND / 10, "{waits:?}");
     let per_promise: Vec<Nanos> = waits.iter().enumerate().map(|(n, w)| w / (n as u64 + 1)).collect();
     assert!(per_promise[20..].iter().all(|wait| (90 * MS..260 * MS).contains(wait)), "{per_promise:?}");
@@ -129,13 +130,13 @@
     };
     (0..4).for_each(|_| assert!(request(&mut fair, now).is_some()));
     assert_eq!(request(&mut fair, now), None);
-    // No caller returns, so all promises lapse and the booked shares are free again.
+    // No caller retries, so all promises lapse and the shares reserved for them are available again.
     let later = now + 8 * SECOND;
     assert!(!fair.arrive(later, FLOODING, 10e6, None).surplus);
     assert_eq!((fair.counters.lapsed, fair.promises(), fair.counters.unpromised), (4, 0, 1));
 }
 
-/// Shares booked for promises that lapse go back to their tenant and are not lost.
+/// Shares reserved for promises that lapse become available to their tenant again.
 #[test]
 fn lapsed_bookings_are_not_lost_to_their_tenant() {
     let (mut fair, start) = scheduler_with_used_up_share(settings());
@@ -198,8 +199,8 @@
     assert_eq!(successor.counters.unknown, 1);
 }
 
-/// Many callers of one tenant follow their retry advice under steady overload. At least 99 % of their returns
-/// are admitted, and the returns are spread over time rather than synchronized.
+/// Many callers of one tenant follow their retry advice under steady overload. At least 99 % of the retries
+/// with a ticket are admitted, and the retries are spread over time rather than synchronized.
 #[test]
 fn promises_are_honoured_under_steady_overload() {
     let (mut fair, start) = scheduler_with_used_up_share(settings());
@@ -244,8 +245,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// An arrival waits behind at most one arrival of each other tenant, however many they have queued. In
-    /// terms of work divided by weight, it waits for at most the longest invocation of each.
+    /// However many arrivals each other tenant has queued, a new arrival waits for at most the longest
+    /// invocation of each, in work divided by weight. All arrivals have equal work here, so this is at most 1
+    /// plus the other tenant's weight in arrivals.
     #[test]
     fn an_arrival_waits_behind_at_most_one_of_each_other_tenant(
         queues in prop::collection::vec((1u32..10, 1u64..60), 2..12),
@@ -272,14 +274,14 @@
         let late = fair.arrive(2, TenantKey { name: b"late", origin: 1 }, 1e6, None);
         for (i, (weight, _)) in queues.iter().enumerate() {
             let before = queued.iter().filter(|(tag, of, _)| *of == i && *tag <= late.start_tag).count();
-            // With weights of up to 10, as many short steps of one tenant can fall within one step of
-            // another.
+            // A tenant's start tags are spaced by work divided by weight, so up to `weight` arrivals of this
+            // tenant fit into the span of one arrival of a tenant with weight 1.
             prop_assert!(before <= 1 + *weight as usize, "{before} of tenant {i} with weight {weight}");
         }
     }
 
-    /// Two tenants that always have queued work advance together: in work divided by weight, neither is ahead
-    /// by more than twice the burst and two invocations of each.
+    /// Two tenants that always have queued work advance together. The difference between their used works,
+    /// each divided by its tenant's weight, is at most two bursts plus two invocations of each tenant.
     #[test]
     fn backlogged_tenants_advance_together(
         works in prop::collection::vec(1u64..200, 2),
@@ -305,7 +307,7 @@
                 continue;
             }
             fair.end_service(now, &admission, ServiceOutcome::Ran(works[tenant] * MS));
-            // Counted once both tenants have demanded more than the capacity.
+            // The used work is counted only after both tenants have demanded more than the capacity.
             if n > 2000 {
                 used[tenant] += works[tenant] as f64 * 1e6 / f64::from(weights[tenant]);
             }
