--- a/crates/fair-queueing/src/finish_sketch.rs
+++ b/crates/fair-queueing/src/finish_sketch.rs
@@ -1,6 +1,6 @@
-//! Sketch that stores the finish of each tenant without an account in fixed memory. A finish is the virtual
-//! time up to which a tenant has used its share. The sketch is an array of hashed cells similar to count-min
-//! (Cormode and Muthukrishnan, 2005), but each cell holds the largest finish of the tenants that share it,
+//! Sketch in fixed memory that stores a finish for each tenant without an account: the virtual time up to
+//! which the tenant has used its share. The sketch is an array of hashed cells similar to count-min (Cormode
+//! and Muthukrishnan, 2005), but each cell holds the largest finish of the tenants that share the cell,
 //! rather than a sum.
 //!
 //! Invariant: the estimated finish of a tenant, the minimum over its cells, is never lower than its real
@@ -16,7 +16,7 @@
 const UNIT_NS: f64 = 16_384.0;
 /// Number of calls of [`FinishSketch::sweep`] that together visit every cell once.
 const SWEEPS_PER_ROUND: usize = 256;
-/// Minimum number of cells in a sketch; smaller requests are rounded up to it.
+/// Minimum number of cells in a sketch. A sketch that is requested with fewer cells gets this many.
 const CELLS_MIN: usize = 64;
 
 /// Hashed cells that hold, for tenants without an account, the virtual times up to which they have used their
--- a/crates/fair-queueing/src/known_names.rs
+++ b/crates/fair-queueing/src/known_names.rs
@@ -1,8 +1,8 @@
 //! Table of recently seen tenant names, with the number of visits and the times of the first and the last
 //! visit of each. The table is set-associative and stores a short tag derived from each name's fingerprint.
 //!
-//! A name with at least `kept_visits` visits is evicted only after 300 s without a visit, however many new
-//! names arrive.
+//! A name that has had at least the number of visits passed to [`KnownNames::new`] is evicted only after 300
+//! s without a visit, however many new names arrive.
 //!
 //! Times are stored as counts of 250 ms that wrap around. The last visit has 12 bits, so a name without a
 //! visit for 1,024 s, or for a multiple of 1,024 s, appears to have been visited just now. The first visit
@@ -22,7 +22,8 @@
 const VISITS_BITS: u16 = 4;
 /// Mask of the 12 bits of the last visit's time step, which shares 16 bits with the visit count.
 const STEP_MASK: u16 = 0xfff;
-/// Time without a visit after which a name with at least `kept_visits` visits may be evicted, in nanoseconds.
+/// Time without a visit after which even a name with at least [`KnownNames::kept_visits`] visits may be
+/// evicted, in nanoseconds.
 const UNUSED_MAX_NS: Nanos = 300_000_000_000;
 const UNUSED_MAX_STEPS: u16 = (UNUSED_MAX_NS / STEP_NS) as u16;
 
--- a/crates/fair-queueing/src/memory.rs
+++ b/crates/fair-queueing/src/memory.rs
@@ -17,7 +17,7 @@
     size_of::<(K, V)>() + 1
 }
 
-/// Returns the most bytes that a map of `entries` entries takes, just after growing.
+/// Returns the most bytes that a map of `entries` entries can take, which is just after the map has grown.
 pub(crate) fn map_bytes_max<K, V>(entries: usize) -> usize {
     GROWTH * entries * bucket_bytes::<K, V>() * BUCKETS_PER_7_ENTRIES / 7 + FIXED_BYTES
 }
--- a/crates/fair-queueing/src/origins.rs
+++ b/crates/fair-queueing/src/origins.rs
@@ -19,8 +19,9 @@
 /// Length of the time window over which the distinct names of an origin are counted, as a multiple of
 /// [`Settings::probation`](crate::settings::Settings::probation).
 const WINDOW_PROBATIONS: u64 = 8;
-/// Fraction of names, as one in this many, whose arrivals recompute the estimate of their origin's distinct
-/// names. Arrivals with other names reuse the latest estimate, whose computation reads all registers.
+/// Reciprocal of the fraction of names whose arrivals recompute the estimated number of names of their
+/// origin. Arrivals with other names use the latest estimate, since computing an estimate reads all
+/// registers.
 const NAMES_PER_ESTIMATE: u64 = 16;
 /// Number of registers of the HyperLogLog estimator that counts an origin's names.
 const NAME_REGISTERS: usize = 64;
--- a/crates/fair-queueing/src/queue_order.rs
+++ b/crates/fair-queueing/src/queue_order.rs
@@ -38,8 +38,8 @@
 }
 
 impl ServiceClock {
-    /// Returns the highest start tag served so far, among surplus arrivals if `surplus` is true, else among
-    /// the others.
+    /// Returns the highest start tag served so far: of surplus arrivals if `surplus` is true, else of
+    /// arrivals within their tenants' shares.
     pub fn tag(&self, surplus: bool) -> f64 {
         self.tags.get(surplus)
     }
--- a/crates/fair-queueing/src/scheduler.rs
+++ b/crates/fair-queueing/src/scheduler.rs
@@ -40,7 +40,7 @@
     /// Work charged to the tenant's share on admission, in nanoseconds of one core.
     charged_work: f64,
     /// Distance by which the arrival advances the tail of its tenant's queue: its estimated work divided by
-    /// its weight.
+    /// its weight, in nanoseconds of one core per unit of weight.
     queued_span: f64,
 }
 
@@ -69,8 +69,8 @@
     rate: FairRate,
     usage: Usage,
     promises: Promises,
-    /// Upper bound of [`FairScheduler::allowance`], in nanoseconds of one core: the work that a tenant of
-    /// weight 1 may have admitted ahead of virtual time, whatever the fair rate.
+    /// Upper bound of [`FairScheduler::allowance`], in nanoseconds of one core per unit of weight: the work
+    /// that a tenant of weight 1 may have admitted ahead of virtual time, whatever the fair rate.
     allowance_max: f64,
     served: ServiceClock,
     /// Counters of scheduling events since the scheduler was created.
@@ -191,8 +191,8 @@
         admission
     }
 
-    /// Returns the maximum distance ahead of virtual time of the finish of a tenant that is still within its
-    /// share.
+    /// Returns the maximum distance by which a tenant's finish may be ahead of virtual time while the tenant
+    /// still counts as within its share, in nanoseconds of one core per unit of weight.
     fn allowance(&self) -> f64 {
         (self.rate.cores() * self.settings.burst as f64).min(self.allowance_max)
     }
@@ -318,8 +318,9 @@
         }
     }
 
-    /// Applies one part of a change of settings. Limits on memory do not change until a restart. The running
-    /// time depends only on the number of tenant names in the part.
+    /// Applies one part of a change of settings. The limits on accounts, sketch cells, origins and promises
+    /// do not change until a restart. The running time depends only on the number of tenant names in the
+    /// part.
     pub fn reconfigure(&mut self, change: &SettingsChange, now: Nanos) {
         let now = self.advance(now);
         for name in &change.unnamed {
--- a/crates/fair-queueing/src/timer_wheel.rs
+++ b/crates/fair-queueing/src/timer_wheel.rs
@@ -33,7 +33,7 @@
     }
 
     /// Returns the most bytes that a wheel with this many timers takes. Each timer is counted twice, since
-    /// the vector of a slot may have twice the capacity it needs after growing.
+    /// the vector of a slot may have twice the capacity that it needs after it has grown.
     pub fn bytes_max(timers: usize) -> usize {
         let minimum_capacity = 4 * SLOTS;
         SLOTS * size_of::<Vec<Timer>>() + 2 * (timers + minimum_capacity) * size_of::<Timer>()
--- a/crates/fair-queueing/src/usage.rs
+++ b/crates/fair-queueing/src/usage.rs
@@ -21,12 +21,13 @@
 /// Location of a tenant's usage record.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum UsageLocation {
-    /// The usage is not recorded. This is the default before an arrival is located.
+    /// The usage is not recorded. This is the default until the usage record of an arrival's tenant has been
+    /// found.
     #[default]
     Untracked,
     /// In the tenant's own account.
     Account(Slot),
-    /// In the record shared by the newcomers of the tenant's origin; the value is the index of the origin.
+    /// In the record shared by all newcomers of the tenant's origin; the value is the index of the origin.
     Newcomers(usize),
     /// In the cells of the sketch.
     Sketch,
@@ -51,8 +52,8 @@
     pub now: Nanos,
     /// Virtual time, in nanoseconds of one core per unit of weight.
     pub virtual_time: f64,
-    /// Maximum distance ahead of virtual time of the finish of a tenant that is still within its share, in
-    /// the unit of `virtual_time`.
+    /// Maximum distance by which a tenant's finish may be ahead of virtual time while the tenant still counts
+    /// as within its share, in the unit of `virtual_time`.
     pub allowance: f64,
 }
 
--- a/crates/fair-queueing/tests/promises.rs
+++ b/crates/fair-queueing/tests/promises.rs
@@ -53,20 +53,20 @@
 }
 
 #[test]
-fn a_return_as_promised_is_admitted_once() {
+fn a_retry_as_promised_is_admitted_once() {
     let (mut fair, now) = scheduler_with_used_up_share(settings());
     let admission = reject(&mut fair, now);
     let (wait, ticket) = request_promise(&mut fair, now, &admission).unwrap();
-    let back = fair.arrive(now + wait, FLOODING, 10e6, Some(ticket));
-    assert!(back.promised && !back.surplus);
-    fair.end_service(now + wait, &back, ServiceOutcome::Ran(10 * MS));
-    let again = fair.arrive(now + wait, FLOODING, 10e6, Some(ticket));
-    assert!(!again.promised && again.surplus, "a ticket can be redeemed only once");
+    let retry = fair.arrive(now + wait, FLOODING, 10e6, Some(ticket));
+    assert!(retry.promised && !retry.surplus);
+    fair.end_service(now + wait, &retry, ServiceOutcome::Ran(10 * MS));
+    let second_retry = fair.arrive(now + wait, FLOODING, 10e6, Some(ticket));
+    assert!(!second_retry.promised && second_retry.surplus, "a ticket can be redeemed only once");
     assert_eq!((fair.counters.kept, fair.counters.unknown, fair.promises()), (1, 1, 0));
 }
 
 #[test]
-fn early_and_late_returns_lose_the_promise() {
+fn early_and_late_retries_lose_the_promise() {
     let (mut fair, now) = scheduler_with_used_up_share(settings());
     let promise = |fair: &mut FairScheduler| {
         let admission = reject(fair, now);
@@ -77,8 +77,8 @@
     });
     let (wait, ticket) = promise(&mut fair);
     assert!(!fair.arrive(now + wait / 8, FLOODING, 10e6, Some(ticket)).promised);
-    let back = fair.arrive(now + wait, FLOODING, 10e6, Some(ticket));
-    assert!(!back.promised, "the promise was lost by the early return");
+    let retry = fair.arrive(now + wait, FLOODING, 10e6, Some(ticket));
+    assert!(!retry.promised, "the early retry lost the promise");
     assert_eq!((fair.counters.early, fair.counters.unknown), (1, 1));
     let (mut fair, now) = scheduler_with_used_up_share(settings());
     let admission = reject(&mut fair, now);
@@ -183,8 +183,8 @@
     let (wait, ticket) = (0..6).filter_map(|_| request()).last().unwrap();
     assert!(wait > SECOND / 2, "{wait}");
     fair.update_fair_rate(now, 0.01, f64::INFINITY);
-    let back = fair.arrive(now + wait, FLOODING, 10e6, Some(ticket));
-    assert!(!back.promised && back.surplus);
+    let retry = fair.arrive(now + wait, FLOODING, 10e6, Some(ticket));
+    assert!(!retry.promised && retry.surplus);
     assert_eq!(fair.counters.broken, 1);
 }
 
@@ -194,8 +194,8 @@
     let admission = reject(&mut fair, now);
     let (wait, ticket) = request_promise(&mut fair, now, &admission).unwrap();
     let mut successor = FairScheduler::new(settings(), 1.0, 2, now);
-    let back = successor.arrive(now + wait, FLOODING, 10e6, Some(ticket));
-    assert!(!back.promised && !back.surplus, "the successor knows of no overload yet");
+    let retry = successor.arrive(now + wait, FLOODING, 10e6, Some(ticket));
+    assert!(!retry.promised && !retry.surplus, "the successor has not recorded an overload yet");
     assert_eq!(successor.counters.unknown, 1);
 }
 
@@ -209,7 +209,7 @@
     for n in 0..40 {
         arrivals.insert((start + n * MS, n), None);
     }
-    let (mut number, mut period, mut returns) = (100, start, Vec::new());
+    let (mut number, mut period, mut retries) = (100, start, Vec::new());
     while let Some(((now, _), ticket)) = arrivals.pop_first() {
         if now > start + 60 * SECOND {
             break;
@@ -220,7 +220,7 @@
         }
         number += 1;
         if ticket.is_some() {
-            returns.push(now);
+            retries.push(now);
         }
         let admission = fair.arrive(now, FLOODING, 10e6, ticket);
         if !admission.surplus {
@@ -237,9 +237,9 @@
     }
     let counts = fair.counters;
     assert!(counts.kept > 400, "{counts:?}");
-    assert!(counts.kept as f64 >= 0.99 * returns.len() as f64, "{counts:?} of {}", returns.len());
-    let bursts = returns.windows(8).filter(|window| window[7] - window[0] < 20 * MS).count();
-    assert!(bursts < returns.len() / 50, "{bursts} of {} returns were synchronized", returns.len());
+    assert!(counts.kept as f64 >= 0.99 * retries.len() as f64, "{counts:?} of {}", retries.len());
+    let bursts = retries.windows(8).filter(|window| window[7] - window[0] < 20 * MS).count();
+    assert!(bursts < retries.len() / 50, "{bursts} of {} retries were synchronized", retries.len());
 }
 
 proptest! {
@@ -274,8 +274,9 @@
         let late = fair.arrive(2, TenantKey { name: b"late", origin: 1 }, 1e6, None);
         for (i, (weight, _)) in queues.iter().enumerate() {
             let before = queued.iter().filter(|(tag, of, _)| *of == i && *tag <= late.start_tag).count();
-            // A tenant's start tags are spaced by work divided by weight, so up to `weight` arrivals of this
-            // tenant fit into the span of one arrival of a tenant with weight 1.
+            // A tenant's start tags are spaced by work divided by weight. Up to `weight` arrivals of this
+            // tenant, fewer than 10 here, therefore fit into the span of one arrival of a tenant with weight
+            // 1.
             prop_assert!(before <= 1 + *weight as usize, "{before} of tenant {i} with weight {weight}");
         }
     }
--- a/crates/fair-queueing/tests/shares.rs
+++ b/crates/fair-queueing/tests/shares.rs
@@ -216,7 +216,7 @@
         (0..arrivals).filter(|_| !fair.arrive(now, tenant, 10e6, None).surplus).count()
     };
     assert!(within(&mut fair, 0, 1000) <= 102);
-    assert_eq!(within(&mut fair, 0, 1000), 0, "the clock stands still");
+    assert_eq!(within(&mut fair, 0, 1000), 0, "the clock is stopped");
     let after = within(&mut fair, 3600 * SECOND, 1000);
     assert!(after <= 102, "{after} admitted after a jump of an hour");
     assert_eq!(within(&mut fair, 5 * SECOND, 1000), 0, "the clock went back");
@@ -246,7 +246,10 @@
     assert_eq!(fair.accounts(), 2);
     let top = fair.top_tenants(10 * SECOND, 8);
     assert_eq!(top.len(), 2);
-    assert!(top[0].demand > top[1].demand && top.iter().all(|h| h.name.len() < 250 && h.name.is_ascii()));
+    assert!(
+        top[0].demand > top[1].demand
+            && top.iter().all(|tenant| tenant.name.len() < 250 && tenant.name.is_ascii())
+    );
 }
 
 /// A tenant for which no account is free is recorded in the sketch. A long run charged in the sketch must
