--- a/crates/shared-state/src/budget/election.rs
+++ b/crates/shared-state/src/budget/election.rs
@@ -1,10 +1,10 @@
 //! Election of the grantor by the voters.
 //!
-//! Invariant: at most one server is the grantor at a time. A voter gives its vote to one server and to no
-//! other until the term and the drift margin have passed by its slow clock. A candidate counts its term from
-//! the time of its request, by its fast clock, so its term ends before its voters can vote for another
-//! server. Votes are not stored. A restarted voter therefore waits for as long as a vote of its earlier
-//! incarnation may last.
+//! Invariant: at most one server is the grantor at a time. A voter that has voted for one server votes for no
+//! other until the term duration plus the drift margin has passed by the voter's slow clock. A candidate
+//! counts its term from the time of its vote request, by its fast clock, so its term ends before its voters
+//! can vote for another server. Votes are not stored on disk. A restarted voter therefore does not vote for
+//! as long as a vote of its earlier incarnation may last.
 
 use super::grantor::LeaseTable;
 use super::message::Term;
@@ -13,34 +13,34 @@
 use crate::server_id::ServerId;
 use std::collections::{BTreeSet, VecDeque};
 
-/// Number of recent ballots whose votes are still counted. It is greater than 1 so that a majority can be
-/// reached over a slow and lossy network.
+/// Number of recent ballots for which a candidate or grantor still counts votes. The number is greater than 1
+/// so that a majority can be reached over a slow and lossy network.
 const BALLOTS_MAX: usize = 8;
 
-/// Vote given by this server.
+/// The latest vote that this server granted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Vote {
     candidate: ServerId,
-    /// End of the vote, by the slow clock.
+    /// Time until which the vote binds this server, by the slow clock.
     expires_at: Nanos,
 }
 
-/// A ballot: one request for votes.
+/// A ballot: one round of vote requests to the other voters.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Ballot {
     number: u64,
-    /// Time of the request, by the fast clock.
+    /// Time of the vote requests, by the fast clock.
     requested_at: Nanos,
-    /// Names of the voters that granted their vote.
+    /// Names of the voters that granted their vote in this ballot.
     votes: BTreeSet<String>,
 }
 
-/// State of a candidate, kept when it is elected as the grantor. The term, the ballots and the empty table of
-/// leases are those created when it became a candidate.
+/// State of a server that is a candidate or the grantor. The state is created when the server becomes a
+/// candidate, and is kept when the candidate is elected.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct GrantorState {
     pub term: Term,
-    /// Recent ballots, the latest last.
+    /// Recent ballots, in the order of their vote requests.
     ballots: VecDeque<Ballot>,
     /// End of the term of office, by the fast clock; `None` for a candidate.
     elected_until: Option<Nanos>,
@@ -48,7 +48,7 @@
 }
 
 impl GrantorState {
-    /// Returns the time of the latest ballot, by the fast clock.
+    /// Returns the time of the latest vote requests, by the fast clock.
     fn last_requested_at(&self) -> Nanos {
         self.ballots.back().map_or(0, |ballot| ballot.requested_at)
     }
@@ -61,17 +61,17 @@
         }
     }
 
-    /// Returns whether the grantor must request its votes again.
+    /// Returns whether the server is the grantor and must request votes again to extend its term of office.
     fn renewal_is_due(&self, time: Time, settings: &BudgetSettings) -> bool {
         let interval = (settings.term_duration / 8).max(1);
         self.elected_until.is_some() && time.fast >= self.last_requested_at() + interval
     }
 }
 
-/// Result of counting a vote.
+/// Effect of counting a received vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum VoteCount {
-    /// The vote gives no majority, or changes nothing.
+    /// The vote completes no majority, or the majority does not extend the term of office.
     Unchanged,
     /// The candidate has become the grantor.
     Elected,
@@ -79,17 +79,20 @@
     Extended,
 }
 
-/// One server's part in elections. It votes and becomes a candidate only if its name is among the voters.
+/// One server's part in the elections of the grantor. The server votes and becomes a candidate only if its
+/// name is among the voters.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Election {
-    /// Index among the voters, if this server is one.
+    /// Index of this server among the voters; `None` if it is not a voter.
     rank: Option<u64>,
-    /// Time, by the slow clock, before which this server neither votes nor becomes a candidate.
+    /// Time, by the slow clock, before which this server neither votes nor becomes a candidate, since a vote
+    /// of its earlier incarnation may still be valid.
     votes_from: Nanos,
     vote: Option<Vote>,
     grantor_state: Option<GrantorState>,
     last_ballot: u64,
-    /// Time at which this server last knew of a grantor or candidate, by the fast clock.
+    /// Time at which this server last knew of a grantor or candidate, which may be the server itself, by the
+    /// fast clock.
     grantor_seen_at: Nanos,
 }
 
@@ -109,7 +112,7 @@
         self.rank.is_some()
     }
 
-    /// Records that another server is the grantor.
+    /// Records that a grantor is known at `time`, so that this server does not become a candidate yet.
     pub fn record_grantor(&mut self, time: Time) {
         self.grantor_seen_at = time.fast;
     }
@@ -120,7 +123,7 @@
         until.is_some_and(|until| time.fast < until)
     }
 
-    /// Returns this server's state as a candidate or grantor, if it is one.
+    /// Returns the state of this server as a candidate or grantor; `None` if it is neither.
     pub fn grantor_state(&self) -> Option<&GrantorState> {
         self.grantor_state.as_ref()
     }
@@ -130,14 +133,14 @@
         self.grantor_state.as_mut()
     }
 
-    /// Returns the name of the server that holds this server's vote.
+    /// Returns the name of the candidate for which this server's vote is still valid, if any.
     pub fn voted_for(&self, time: Time) -> Option<&str> {
         let vote = self.vote.as_ref().filter(|vote| time.slow < vote.expires_at)?;
         Some(&vote.candidate.name)
     }
 
-    /// Ends an expired term or candidacy, and opens a ballot if one is due. Returns the number of the new
-    /// ballot.
+    /// Ends this server's term of office or candidacy if it is over, and opens a ballot if one is due.
+    /// Returns the number of the new ballot.
     pub fn advance(&mut self, time: Time, settings: &BudgetSettings, incarnation: u64) -> Option<u64> {
         if self.grantor_state.as_ref().is_some_and(|state| state.is_over(time, settings)) {
             self.grantor_state = None;
@@ -151,8 +154,9 @@
         due.then(|| self.open_ballot(time, incarnation, rank))
     }
 
-    /// Returns whether no grantor has been known for at least a term. Voters with a higher rank wait longer,
-    /// so that the voters do not all become candidates at the same time.
+    /// Returns whether this server may become a candidate: it may vote, and it has known no grantor for one
+    /// term duration plus half a term duration times its rank. The different waits keep the voters from all
+    /// becoming candidates at the same time.
     fn may_become_candidate(&self, time: Time, settings: &BudgetSettings, rank: u64) -> bool {
         let wait = settings.term_duration + rank * settings.term_duration / 2;
         time.slow >= self.votes_from && time.fast >= self.grantor_seen_at + wait
@@ -174,8 +178,8 @@
         number
     }
 
-    /// Votes for a candidate for one term, unless another candidate holds this server's vote. Returns whether
-    /// the vote was granted.
+    /// Grants this server's vote to a candidate for one term duration, unless the vote is still held by
+    /// another candidate. Returns whether the vote was granted.
     pub fn vote_for(&mut self, time: Time, settings: &BudgetSettings, candidate: &ServerId) -> bool {
         let free = match &self.vote {
             Some(vote) => vote.candidate == *candidate || time.slow >= vote.expires_at,
@@ -190,8 +194,8 @@
         granted
     }
 
-    /// Counts a vote for one of the recent ballots. With a majority, the term of office lasts for one term
-    /// duration from the time of that ballot.
+    /// Counts a vote of `voter` in one of this server's recent ballots. If the ballot has a majority, the
+    /// term of office lasts for one term duration from the time of the ballot's vote requests.
     pub fn count_vote(
         &mut self,
         time: Time,
--- a/crates/shared-state/src/budget/grantor.rs
+++ b/crates/shared-state/src/budget/grantor.rs
@@ -1,8 +1,9 @@
 //! The grantor's table of leases.
 //!
-//! Invariant: the largest possibly active grants of all holders sum to at most the units that may be leased.
-//! A grant is possibly active until its holder reports that it has adopted a later grant and uses no more
-//! units than that one, or until the lease duration and the drift margin have passed by the slow clock.
+//! Invariant: the sum over all holders of each holder's largest grant that may still be active is at most the
+//! number of leasable units. A grant may be active until its holder reports that it has adopted a later grant
+//! and uses no more units than the later grant has, or until the lease duration plus the drift margin has
+//! passed by the grantor's slow clock.
 
 use super::counters::BudgetCounters;
 use super::fair_share::{Demand, fair_share};
@@ -12,15 +13,15 @@
 use crate::server_id::ServerId;
 use std::collections::BTreeMap;
 
-/// Maximum number of holders in the table for each configured server. An ended incarnation stays in the table
-/// until its leases have ended.
+/// Maximum number of holders in the table, as a multiple of the configured number of servers. The value
+/// exceeds 1 because an ended incarnation of a server stays in the table until its leases have ended.
 const HOLDERS_PER_SERVER: u64 = 4;
 
-/// Demand reported in a holder's request; amounts are units beyond its floor.
+/// Demand that a holder reports in a lease request. All amounts are units beyond the holder's floor.
 pub(super) struct LeaseDemand {
     /// Units that the holder wants.
     pub wanted: u64,
-    /// Units that the holder uses.
+    /// Units that the holder uses now.
     pub in_use: u64,
     /// Identifier of the grant of the holder's current lease.
     pub adopted: GrantId,
@@ -30,7 +31,7 @@
 pub(super) struct Grant {
     /// Number of the grant in the grantor's term.
     pub number: u64,
-    /// Units granted beyond the floor.
+    /// Units granted beyond the holder's floor.
     pub amount: u64,
 }
 
@@ -39,7 +40,7 @@
 struct ActiveGrant {
     number: u64,
     amount: u64,
-    /// End of the grant, by the slow clock.
+    /// Time at which the grant has certainly ended at its holder, by the slow clock.
     ends_at: Nanos,
 }
 
@@ -53,13 +54,14 @@
 }
 
 impl HolderEntry {
-    /// Returns the most units that the holder may use under its grants.
+    /// Returns the largest number of units that the holder may use under any of its grants.
     fn largest_grant(&self) -> u64 {
         self.grants.iter().map(|grant| grant.amount).max().unwrap_or(0)
     }
 
-    /// Removes the grants before the adopted one, which the holder no longer uses. If the holder uses more
-    /// units than the adopted grant has, the earlier grants are kept until they end.
+    /// Removes the grants that are earlier than the grant `adopted`, which the holder reports as its current
+    /// lease. If the holder uses more units than the adopted grant has, earlier grants are kept until they
+    /// end.
     fn confirm(&mut self, adopted: u64, in_use: u64, last_number: u64, counters: &mut BudgetCounters) {
         match self.grants.iter().find(|grant| grant.number == adopted) {
             Some(grant) if in_use <= grant.amount => self.grants.retain(|grant| grant.number >= adopted),
@@ -69,24 +71,24 @@
     }
 }
 
-/// Leases granted in one term.
+/// Table of the leases that a grantor has granted in its term.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct LeaseTable {
-    /// Time, by the slow clock, before which nothing is granted. By then the leases of earlier grantors have
-    /// ended.
+    /// Time, by the slow clock, before which nothing is granted, since leases of earlier grantors may still
+    /// be held.
     grants_from: Nanos,
     last_number: u64,
     holders: BTreeMap<ServerId, HolderEntry>,
 }
 
 impl LeaseTable {
-    /// Begins a term at the time of the election. The last lease of an earlier grantor was requested before
-    /// that grantor's term ended, so it ends within one lease duration from now.
+    /// Begins a term of office at the time of the election. The last lease of an earlier grantor was
+    /// requested before that grantor's term ended, so the lease ends within one lease duration from now.
     pub fn begin(&mut self, time: Time, settings: &BudgetSettings) {
         self.grants_from = time.slow + settings.lease_duration + settings.drift_margin;
     }
 
-    /// Skips the wait for the leases of earlier grantors. Only for the model check.
+    /// Skips the wait until the leases of earlier grantors have ended. Used only by the model check.
     pub fn skip_wait(&mut self) {
         self.grants_from = 0;
     }
@@ -96,12 +98,13 @@
         time.slow >= self.grants_from
     }
 
-    /// Returns the units that may be in use under the grants of this term.
+    /// Returns the number of units that holders may use under the grants of this term.
     pub fn outstanding(&self) -> u64 {
         self.holders.values().map(HolderEntry::largest_grant).sum()
     }
 
-    /// Grants a lease to a holder; returns `None` if the table is full.
+    /// Grants a lease in reply to a holder's request. Returns `None` if the holder is new and the table is
+    /// full.
     pub fn grant(
         &mut self,
         time: Time,
@@ -135,7 +138,8 @@
         Some(Grant { number, amount })
     }
 
-    /// Removes ended grants, and holders without grants or recent requests.
+    /// Removes grants that have ended, and holders that have neither a grant nor a request within
+    /// `active_duration` nanoseconds.
     fn expire(&mut self, time: Time, active_duration: Nanos) {
         for entry in self.holders.values_mut() {
             entry.grants.retain(|grant| time.slow < grant.ends_at);
@@ -144,8 +148,8 @@
             .retain(|_, entry| !entry.grants.is_empty() || time.slow < entry.requested_at + active_duration);
     }
 
-    /// Returns the units for a new grant to the holder: its fair share, limited to the units that other
-    /// holders' grants leave free.
+    /// Returns the number of units for a new grant to a holder: the holder's fair share, limited to the units
+    /// that the grants of other holders leave free.
     fn amount_for(&self, holder: &ServerId, leasable: u64) -> u64 {
         let mut held_by_others = 0;
         let mut demands = Vec::with_capacity(self.holders.len());
--- a/crates/shared-state/src/budget/holder.rs
+++ b/crates/shared-state/src/budget/holder.rs
@@ -1,32 +1,33 @@
-//! A holder's lease and its lease requests.
+//! The lease that a server holds, and the requests with which it renews the lease.
 //!
 //! Invariant: a lease ends at its holder before it ends in the grantor's table. The holder counts the lease
-//! from the time of its request, by its fast clock; the grantor counts it from the time of the grant, by its
-//! slow clock.
+//! duration from the time of its lease request, by its fast clock. The grantor counts it from the later time
+//! of the grant, by its slow clock.
 
 use super::message::{BudgetMessage, GrantId};
 use super::settings::BudgetSettings;
 use crate::clock::{Nanos, Time};
 use std::collections::VecDeque;
 
-/// Number of recent requests whose send times are stored. A lease begins at the send time of the request that
-/// its grant answers.
+/// Number of recent lease requests whose send times are stored. A lease begins at the send time of the
+/// request that its grant answers, so grants for older requests are dropped.
 const REQUESTS_MAX: usize = 8;
-/// Number of consecutive requests without a reply after which the grantor counts as unknown.
+/// Number of consecutive lease requests without a reply after which the next request goes to a random voter
+/// instead of the grantor.
 const UNANSWERED_MAX: u32 = 2;
 
-/// Units that a server may use now.
+/// Units of a budget that a server may use now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Allowance {
     /// Units of the server's floor.
     pub floor: u64,
     /// Units of the server's lease.
     pub leased: u64,
-    /// Remaining time of the lease by the fast clock, in nanoseconds; 0 without a lease.
+    /// Time until the lease ends, in nanoseconds of the fast clock; 0 without a lease.
     pub remaining: Nanos,
 }
 
-/// Lease that a server holds.
+/// The lease that this server adopted last; it may have ended.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Lease {
     grant: GrantId,
@@ -43,41 +44,41 @@
     sent_at: Nanos,
 }
 
-/// A grant as received, with its sender.
+/// A grant received in a message, with its sender.
 pub(super) struct ReceivedGrant<'a> {
-    /// Name of the sender.
+    /// Name of the server that sent the grant.
     pub from: &'a str,
-    /// Whether the grant is for this incarnation of the server.
+    /// Whether the grant answers a request of this incarnation of the server.
     pub is_for_this_incarnation: bool,
-    /// Number of the request that the grant answers.
+    /// Number of the lease request that the grant answers.
     pub request: u64,
     pub id: GrantId,
     pub amount: u64,
 }
 
-/// Reason for dropping a grant.
+/// Reason for dropping a received grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DroppedGrant {
     /// The grant answers no known request of this incarnation, so its start time is unknown.
     Unsolicited,
     /// The grant exceeds the units that may be leased, or its sender is not a voter.
     Excessive,
-    /// The grant had already ended, or this server holds a lease of another term or one at least as recent.
-    /// Terms are not ordered in time, so a grant of another term is adopted only after the held lease has
-    /// ended.
+    /// The grant had already ended, or this server still holds a lease of another term or one at least as
+    /// recent. Terms are not ordered in time, so a grant of another term is adopted only after the held lease
+    /// has ended.
     Stale,
 }
 
 /// One server's part of a budget as a lease holder.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Holder {
-    /// Time, by the slow clock, before which the floor is not used, since an earlier incarnation may still
-    /// use it.
+    /// Time, by the slow clock, before which this server does not use its floor, since calls of its earlier
+    /// incarnation may still use it.
     floor_from: Nanos,
     lease: Lease,
     requests: VecDeque<SentRequest>,
     last_number: u64,
-    /// Time of the next request, by the fast clock.
+    /// Time of the next lease request, by the fast clock.
     next_request_at: Nanos,
     wanted: u64,
     in_use: u64,
@@ -100,7 +101,8 @@
         }
     }
 
-    /// Sets the demand that the next request reports. Both amounts include the floor.
+    /// Sets the demand that the next lease request reports. `wanted` and `in_use` are units including the
+    /// floor.
     pub fn set_demand(&mut self, settings: &BudgetSettings, wanted: u64, in_use: u64) {
         self.wanted = wanted.saturating_sub(settings.floor).min(settings.leasable());
         self.in_use = in_use.saturating_sub(settings.floor);
@@ -117,19 +119,20 @@
         self.grantor.as_deref()
     }
 
-    /// Sets the server that receives requests as the grantor; `None` if the grantor is unknown.
+    /// Sets the name of the grantor, which receives the lease requests; `None` if the grantor is unknown.
     pub fn set_grantor(&mut self, grantor: Option<String>) {
         self.grantor = grantor;
     }
 
-    /// Handles a redirect to the grantor; `None` if the sender of the redirect does not know the grantor.
+    /// Handles a reply that names the grantor instead of granting a lease. `grantor` is `None` if the sender
+    /// of the reply does not know the grantor.
     pub fn redirect(&mut self, grantor: Option<String>) {
         self.unanswered = 0;
         self.grantor = grantor;
     }
 
-    /// Returns the next request and its receiver if a request is due. The receiver is the grantor if known,
-    /// otherwise the voter selected by `draw`.
+    /// Returns the next lease request and the name of its receiver, if a request is due. The receiver is the
+    /// grantor if known, otherwise the voter selected by the random number `draw`.
     pub fn next_request(
         &mut self,
         settings: &BudgetSettings,
@@ -160,8 +163,8 @@
         Some((to, request))
     }
 
-    /// Adopts a grant as the lease, beginning at the time of its request. While a lease is held, only a later
-    /// grant of the same term replaces it.
+    /// Adopts a grant as the lease, which begins at the send time of its request. While a lease is held, only
+    /// a later grant of the same term replaces it.
     pub fn adopt(
         &mut self,
         settings: &BudgetSettings,
--- a/crates/shared-state/src/budget/mod.rs
+++ b/crates/shared-state/src/budget/mod.rs
@@ -1,15 +1,15 @@
-//! A budget of the whole fleet (concurrent units, or units per second), divided into leases. Each server may
-//! use its floor at any time. Beyond the floor it may use only its lease, until the lease ends by its own
-//! clock.
+//! A budget of the whole fleet: a number of units that may be used at the same time, or per second, divided
+//! into leases. Each server may use its floor at any time. Beyond the floor, a server may use only the units
+//! of its lease, until the lease ends by the server's own clock.
 //!
 //! - [`settings`]: total, floors, voters and durations.
 //! - [`message`]: messages between servers.
 //! - `election`: the voters elect one grantor at a time, for a term, by majority.
 //! - `grantor`: the grantor's table of leases. A new grantor grants nothing until every lease of earlier
 //!   grantors has ended.
-//! - `holder`: the lease as its holder sees it, and the requests that renew it.
+//! - `holder`: a server's own lease, and the requests that renew it.
 //!
-//! Invariant: at any time, the floors of all servers and all leases together are at most the total, whatever
+//! Invariant: at any time, the floors of all servers plus all leases sum to at most the total, whatever
 //! messages are lost, duplicated, delayed or reordered and whichever servers stop. `tests/model.rs` checks
 //! the interleavings of a small fleet up to a limited depth; `docs/shared-state.md` states the bounds.
 
@@ -31,20 +31,20 @@
 pub use message::{BudgetMessage, GrantId, Outgoing, Term};
 pub use settings::{BudgetSettings, BudgetSettingsError};
 
-/// One server's part of one budget: a state machine without I/O. Its inputs are clock readings and received
-/// messages; its outputs are messages to send.
+/// One server's part of one budget, as a state machine without I/O. Its inputs are clock readings and
+/// received messages; its outputs are messages to send.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Budget {
     id: ServerId,
     settings: BudgetSettings,
     election: Election,
     holder: Holder,
-    /// Counters of events since the start.
+    /// Counters of this budget's events since the start of the server.
     pub counters: BudgetCounters,
 }
 
 impl Budget {
-    /// Creates the part of the server `id`, starting at `time`.
+    /// Creates the part of the budget at the server `id`, which starts at `time`.
     ///
     /// # Errors
     /// Returns the first invalid setting.
@@ -59,17 +59,17 @@
         })
     }
 
-    /// Returns the current settings.
+    /// Returns the settings of the budget, with the current total.
     pub fn settings(&self) -> &BudgetSettings {
         &self.settings
     }
 
     /// Sets a new total, in units. A smaller total takes effect once the current leases have ended or shrunk,
-    /// after one lease duration at most.
+    /// at most one lease duration later.
     ///
     /// # Errors
-    /// Returns an error and keeps the old total if the new one is out of range or less than the sum of the
-    /// floors.
+    /// Returns an error and keeps the old total if the new total is out of range or less than the sum of the
+    /// floors of all servers.
     pub fn set_total(&mut self, total: u64) -> Result<(), BudgetSettingsError> {
         let settings = BudgetSettings { total, ..self.settings.clone() };
         settings.check()?;
@@ -77,7 +77,7 @@
         Ok(())
     }
 
-    /// Sets the units that this server wants and those that it uses, both including its floor.
+    /// Sets this server's demand: the units that it wants and those that it uses, both including its floor.
     pub fn set_demand(&mut self, wanted: u64, in_use: u64) {
         self.holder.set_demand(&self.settings, wanted, in_use);
     }
@@ -87,18 +87,19 @@
         self.holder.allowance(&self.settings, time)
     }
 
-    /// Returns whether one more unit may be acquired while `in_use` units are in use. Units of the lease may
-    /// be acquired only while the lease lasts longer than the longest use of a unit.
+    /// Returns whether this server may acquire one more unit while it uses `in_use` units. Units of the lease
+    /// may be acquired only while the remaining time of the lease is longer than the maximum use of a unit
+    /// ([`BudgetSettings::use_max`]).
     pub fn may_acquire(&self, time: Time, in_use: u64) -> bool {
         let allowance = self.allowance(time);
         let leased = if allowance.remaining > self.settings.use_max { allowance.leased } else { 0 };
         in_use < allowance.floor + leased
     }
 
-    /// Returns the latest time, by the fast clock, at which the call of a unit acquired now may be sent while
-    /// `in_use` units are in use. For a unit of the floor there is no limit. For a unit of the lease, the
-    /// lease must last longer than the longest use of a unit, so that the service has finished the call
-    /// before the lease is granted again.
+    /// Returns the latest time, by the fast clock, at which a call may be sent that acquires a unit now,
+    /// while this server uses `in_use` units. A unit of the floor has no such limit. A call with a unit of
+    /// the lease may be sent only until [`BudgetSettings::use_max`] before the end of the lease. The call has
+    /// then ended at the service before the unit can be leased to another server.
     pub fn send_by(&self, time: Time, in_use: u64) -> Nanos {
         let allowance = self.allowance(time);
         if in_use < allowance.floor {
@@ -117,12 +118,14 @@
         self.holder.grantor()
     }
 
-    /// Returns the units that may be in use under leases granted by this server.
+    /// Returns the number of units that holders may use under leases granted by this server; 0 if it is not
+    /// the grantor.
     pub fn outstanding(&self) -> u64 {
         self.election.grantor_state().map_or(0, |state| state.leases.outstanding())
     }
 
-    /// Lets a new grantor grant immediately. Only for the model check, which must detect this fault.
+    /// Lets a new grantor grant immediately, without waiting for the end of earlier leases. Used only by the
+    /// model check, which must detect this fault.
     #[doc(hidden)]
     pub fn skip_grant_wait(&mut self) {
         if let Some(state) = self.election.grantor_state_mut() {
@@ -130,8 +133,9 @@
         }
     }
 
-    /// Performs all actions that are due at `time`. `draw` is a random number that selects the voter to
-    /// receive a request while the grantor is unknown.
+    /// Performs the ballots and lease requests that are due at `time`, and returns the messages to send.
+    /// `draw` is a random number that selects the voter to which a lease request is sent while the grantor is
+    /// unknown.
     pub fn advance(&mut self, time: Time, draw: u64) -> Vec<Outgoing> {
         let mut outgoing = Vec::new();
         if let Some(ballot) = self.election.advance(time, &self.settings, self.id.incarnation) {
@@ -148,7 +152,7 @@
         outgoing
     }
 
-    /// Requests the votes of the other voters and counts this server's own.
+    /// Requests the votes of the other voters, and votes for this server itself if its own vote is free.
     fn request_votes(&mut self, time: Time, ballot: u64, outgoing: &mut Vec<Outgoing>) {
         for voter in self.settings.voters.iter().filter(|voter| **voter != self.id.name) {
             let message = BudgetMessage::VoteRequest { ballot };
@@ -169,7 +173,7 @@
         self.holder.set_grantor(Some(self.id.name.clone()));
     }
 
-    /// Handles a message about this budget. Replies go to its sender.
+    /// Handles a message about this budget and returns the messages to send in reply to its sender.
     pub fn receive(&mut self, time: Time, from: &ServerId, message: BudgetMessage) -> Vec<Outgoing> {
         let Some(reply) = self.reply(time, from, message) else { return Vec::new() };
         if *from == self.id {
@@ -261,8 +265,8 @@
         }
     }
 
-    /// Handles a reply that redirects to the grantor. A redirect that names its sender means that the sender
-    /// is the grantor but does not grant leases yet.
+    /// Handles a reply that names the grantor instead of granting a lease. If the reply names its own sender,
+    /// the sender is the grantor but does not grant leases yet.
     fn handle_redirect(&mut self, time: Time, grantor: Option<String>) {
         let grantor = grantor.filter(|name| self.settings.is_voter(name));
         if grantor.is_some() {
--- a/crates/shared-state/src/budget/settings.rs
+++ b/crates/shared-state/src/budget/settings.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 use thiserror::Error;
 
-/// Maximum total of a budget, in units, as a power of 2.
+/// Maximum total of a budget, in units, as an exponent of 2.
 const TOTAL_MAX_LOG2: u32 = 40;
 const TOTAL_MAX: u64 = 1 << TOTAL_MAX_LOG2;
 /// Maximum number of servers that share a budget.
@@ -13,8 +13,8 @@
 /// Maximum number of voters of a budget.
 const VOTERS_MAX: usize = 9;
 
-/// Settings of one budget; durations are in nanoseconds. All servers have the same settings, except for
-/// `total`, which a reload may change.
+/// Settings of one budget. Durations are in nanoseconds. All servers must have the same settings; only
+/// `total` may change in a reload.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct BudgetSettings {
     /// Name of the budget, 1 to 64 bytes.
@@ -23,20 +23,20 @@
     pub total: u64,
     /// Units that each server may use without a lease.
     pub floor: u64,
-    /// Maximum number of servers that run at the same time. The floors of this many servers are reserved.
+    /// Maximum number of servers that run at the same time. Floors for this many servers are reserved.
     pub servers_max: u64,
     /// Names of the servers that elect the grantor; an odd number of distinct names.
     pub voters: Vec<String>,
-    /// Duration of a lease, counted by its holder from the time of the request.
+    /// Duration of a lease. The holder counts it from the time of its lease request.
     pub lease_duration: Nanos,
-    /// Time between two requests of a holder.
+    /// Time between two lease requests of a holder.
     pub refresh_interval: Nanos,
-    /// Duration of a grantor's term of office after the votes of a majority.
+    /// Duration of a grantor's term of office, counted from the vote requests that obtained a majority.
     pub term_duration: Nanos,
-    /// Safety margin added to a duration before it counts as passed at another server, since the clocks of
-    /// the two servers may run at different rates.
+    /// Safety margin by which a server waits longer for the end of another server's lease or term. The margin
+    /// covers clocks of the two servers that run at different rates.
     pub drift_margin: Nanos,
-    /// Maximum time that an acquired unit stays in use; 0 for units per second.
+    /// Maximum time that an acquired unit stays in use; 0 if the budget is in units per second.
     pub use_max: Nanos,
 }
 
@@ -66,25 +66,25 @@
     Floor {
         /// Configured number of servers.
         servers: u64,
-        /// Sum of the servers' floors, in units.
+        /// Sum of the floors of all servers, in units.
         floors: u64,
         /// Configured total, in units.
         total: u64,
     },
-    /// The number of voters is even or over `VOTERS_MAX`, or a name is repeated. The error text lists the
-    /// valid numbers.
+    /// The number of voters is even or greater than `VOTERS_MAX`, or a voter is named twice. The error text
+    /// lists the valid numbers of voters.
     #[error("voter: 1, 3, 5, 7 or 9 different names, not {}", names.len())]
     Voters {
-        /// Configured names.
+        /// Configured names of the voters.
         names: Vec<String>,
     },
-    /// A duration derived from the lease duration is 0.
+    /// The lease duration is so short that a duration derived from it is 0.
     #[error("lease-ms: {lease_duration} ns is too short")]
     LeaseTooShort {
         /// Configured lease duration, in nanoseconds.
         lease_duration: Nanos,
     },
-    /// A unit may stay in use for longer than the lease duration allows.
+    /// The maximum use of a unit is too long for the lease duration: three request intervals must remain.
     #[error(
         "use-most-ms: the lease must be longer by three eighths of its duration; {use_max} ns of \
          {lease_duration} ns"
@@ -98,8 +98,9 @@
 }
 
 impl BudgetSettings {
-    /// Creates settings in which the other durations are fixed proportions of the lease duration. The drift
-    /// margin is sufficient for clocks whose rates differ by up to 2 %.
+    /// Creates settings in which the request interval, the term duration and the drift margin are fixed
+    /// proportions of the lease duration. The drift margin is sufficient for clocks whose rates differ by up
+    /// to 2 %.
     pub fn new(
         name: &str,
         total: u64,
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Checks each setting.
+    /// Checks that each setting is valid.
     ///
     /// # Errors
     /// Returns the first invalid setting.
@@ -165,12 +166,12 @@
         Ok(())
     }
 
-    /// Returns the units reserved for the floors of all servers.
+    /// Returns the sum of the floors of all servers, in units.
     fn floors(&self) -> u64 {
         self.floor.saturating_mul(self.servers_max)
     }
 
-    /// Returns the units that may be leased: the total minus all floors.
+    /// Returns the number of units that may be leased: the total minus the floors of all servers.
     pub fn leasable(&self) -> u64 {
         self.total.saturating_sub(self.floors())
     }
--- a/crates/shared-state/src/clock.rs
+++ b/crates/shared-state/src/clock.rs
@@ -1,39 +1,41 @@
-//! Time for leases that remains safe if one clock stops or jumps.
+//! Time for leases that remains safe if one of two clocks stops or jumps.
 //!
-//! Each reading includes the monotonic and the wall clock. The fast clock advances by the larger advance of
-//! the two and ends what this server itself may still use. The slow clock advances by the smaller one and
-//! ends what other servers may still use. A single broken clock can therefore end this server's lease too
-//! early, or reclaim another server's lease too late, and the units in use stay within the budget. Two clocks
-//! that fail in the same way at the same time are not covered.
+//! Each reading includes the monotonic clock and the wall clock. The fast clock advances by the larger of
+//! their two advances, and decides when this server must stop using its own lease. The slow clock advances by
+//! the smaller one, and decides when units that other servers may use are free again. A single broken clock
+//! can therefore only end this server's lease too early, or reclaim another server's lease too late, so the
+//! units in use stay within the budget. Two clocks that fail in the same way at the same time are not
+//! covered.
 
 /// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
 
-/// Difference between the two clocks' advances since the previous reading above which a reading counts as a
-/// disagreement, in nanoseconds.
+/// Difference between the advances of the two clocks from one reading to the next, in nanoseconds, above
+/// which the reading counts as a disagreement.
 const DISAGREEMENT_NS: Nanos = 1_000_000_000;
 
-/// One reading of both clocks, in nanoseconds since an arbitrary start of each clock.
+/// One reading of the monotonic clock and the wall clock, taken at the same time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Reading {
-    /// Value of the monotonic clock.
+    /// Value of the monotonic clock, in nanoseconds since an arbitrary start.
     pub monotonic: Nanos,
     /// Value of the wall clock, in nanoseconds since the Unix epoch.
     pub wall: Nanos,
 }
 
-/// Bounds of the time elapsed since the first reading, in nanoseconds. Only differences between values of the
-/// same bound are meaningful.
+/// Upper and lower bound of the time elapsed since the first reading, in nanoseconds. Only differences
+/// between two values of the same bound are meaningful.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Time {
-    /// Upper bound of the elapsed time, used to end what this server holds.
+    /// Upper bound of the elapsed time (the fast clock), which decides when this server's own lease ends.
     pub fast: Nanos,
-    /// Lower bound of the elapsed time, used to end what other servers hold.
+    /// Lower bound of the elapsed time (the slow clock), which decides when other servers' leases and votes
+    /// have ended.
     pub slow: Nanos,
 }
 
 impl Time {
-    /// Returns the time shown by two clocks that agree.
+    /// Returns the time for two clocks that agree: both bounds are `at`.
     pub fn from_agreeing_clocks(at: Nanos) -> Time {
         Time { fast: at, slow: at }
     }
@@ -44,13 +46,14 @@
 pub struct DriftClock {
     last: Option<Reading>,
     time: Time,
-    /// Number of readings at which the clocks' advances since the previous reading differed by more than a
-    /// second.
+    /// Number of readings at which the advances of the two clocks since the previous reading differed by more
+    /// than one second.
     pub disagreements: u64,
 }
 
 impl DriftClock {
-    /// Returns the time at this reading. A clock that went back counts as one that did not advance.
+    /// Returns the bounds of the elapsed time at this reading. A clock that went back since the previous
+    /// reading counts as one that did not advance.
     pub fn read(&mut self, reading: Reading) -> Time {
         if let Some(last) = self.last {
             let monotonic = reading.monotonic.saturating_sub(last.monotonic);
--- a/crates/shared-state/src/counters.rs
+++ b/crates/shared-state/src/counters.rs
@@ -1,12 +1,14 @@
-//! Counters of the whole fleet: a state-based CRDT of grow-only counters (G-Counter; Shapiro and others,
-//! 2011).
+//! Counters of the whole fleet, kept in a state-based CRDT of grow-only counters (G-Counter; Shapiro and
+//! others, 2011).
 //!
-//! Each server increments only its own row. Rows are merged by taking the larger count of each key, so that
-//! the result does not depend on how often, in which order or from which server a row is received. A total is
-//! the sum over all rows, and is exact once all rows have been received.
+//! Each server increments only its own row of counts. Two copies of a row are merged by taking the larger
+//! count of each key, so that the result does not depend on how often, in which order or from which server a
+//! row is received. The total of a key is the sum of its counts over all rows, and is exact once all rows
+//! have been received.
 //!
-//! Trust in peers is limited: a row may grow no faster than [`Limits::rate_max`] since the start of its
-//! server, the numbers of rows and keys are bounded, and no message can increase a server's own row.
+//! Trust in peers is limited: the counts of a row may grow no faster than [`Limits::rate_max`] since the
+//! start of the row's server, the numbers of rows and keys are bounded, and no message can increase the
+//! receiving server's own row.
 
 use crate::NAME_MAX;
 use crate::clock::Nanos;
@@ -20,10 +22,10 @@
 pub type Key = String;
 
 const SECOND_NS: Nanos = 1_000_000_000;
-/// Tolerance for a peer's clock that is ahead of this server's, in seconds.
+/// Tolerance for a peer's wall clock that is ahead of this server's wall clock, in seconds.
 const CLOCK_AHEAD_S: u64 = 60;
 
-/// Counts of one incarnation of a server.
+/// Row of counts of one incarnation of a server.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CounterRow {
     /// Count of each key.
@@ -31,12 +33,12 @@
 }
 
 impl CounterRow {
-    /// Returns the version of the row: the sum of its counts, which grows with each increment.
+    /// Returns the version of the row: the sum of its counts, which grows with every increment.
     pub fn version(&self) -> u64 {
         self.counts.values().fold(0, |sum, count| sum.saturating_add(*count))
     }
 
-    /// Merges another row by taking the larger count of each key. Returns whether any count grew.
+    /// Merges another copy of the row by taking the larger count of each key. Returns whether any count grew.
     pub fn merge(&mut self, other: &CounterRow) -> bool {
         let mut grew = false;
         for (key, count) in &other.counts {
@@ -60,19 +62,19 @@
     }
 }
 
-/// Incarnations of servers, each with its row.
+/// List of server incarnations, each with its counter row.
 pub type Rows = Vec<(ServerId, CounterRow)>;
-/// Incarnations of servers, each with the version of its row.
+/// List of server incarnations, each with the version of its counter row.
 pub type Versions = Vec<(ServerId, u64)>;
 
-/// Bounds of the state that peers can make a server store.
+/// Bounds of the counter rows that peers can make a server store.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Maximum number of server incarnations stored.
     pub rows: usize,
     /// Maximum number of keys in each row.
     pub keys: usize,
-    /// Maximum growth of one key per second since the start of its server.
+    /// Maximum mean growth of one key per second since the start of the row's server.
     pub rate_max: u64,
 }
 
@@ -82,22 +84,24 @@
     }
 }
 
-/// Reason for rejecting a received row.
+/// Reason for rejecting a received counter row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RejectedRow {
-    /// The row or its keys exceed the limits, or a name is empty or too long.
+    /// The number of rows or of keys in the row exceeds the limits, or a server name or key has an invalid
+    /// length.
     #[error("row: too many rows or keys, or a name not of 1 to {NAME_MAX} bytes")]
     Full,
-    /// A count is larger than the server can have reached since its start.
+    /// A count is larger than the row's server can have reached since its start.
     #[error("row: a count is larger than its server can have reached since its start")]
     Implausible,
-    /// The row is for this server's own incarnation and ahead of its counts: another server has the same name
-    /// and incarnation, or this server has restarted with old counts. It must switch to a later incarnation.
+    /// The row is for this server's own incarnation and is ahead of this server's counts. Either another
+    /// server has the same name and incarnation, or this server has restarted with its old incarnation and
+    /// lower counts. This server must switch to a later incarnation ([`FleetCounters::renew`]).
     #[error("row: ahead of this server's own counts")]
     Own,
 }
 
-/// Number of rows rejected since the start, by reason.
+/// Numbers of received rows that were rejected since the start of the server, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct RejectedRows {
     /// Rows rejected as [`RejectedRow::Full`].
@@ -118,33 +122,33 @@
     }
 }
 
-/// Versions of a range of a server's rows, for comparison with another server's.
+/// Versions of a range of the rows that a server has stored, to be compared with the rows of another server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Digest {
     /// Versions of the rows in the range.
     pub versions: Versions,
-    /// First incarnation after the range; `None` if the range extends to the last row.
+    /// First server incarnation after the range; `None` if the range extends to the last row.
     pub end: Option<ServerId>,
 }
 
-/// Differences between two servers' rows in the same range.
+/// Result of comparing a range of this server's rows with another server's versions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Comparison {
-    /// Rows that are newer here than at the other server.
+    /// Rows of which this server has a newer version than the other server.
     pub newer: Rows,
     /// This server's versions of the rows in the range.
     pub versions: Versions,
 }
 
-/// One server's copy of the fleet's counters.
+/// One server's copy of the counter rows of the whole fleet.
 #[derive(Clone, Debug)]
 pub struct FleetCounters {
-    /// Identity of this server's current row. Its incarnation is later than the server's own after
-    /// [`FleetCounters::renew`].
+    /// Identity under which this server counts. After [`FleetCounters::renew`], its incarnation is later than
+    /// the start time of the process.
     id: ServerId,
     rows: BTreeMap<ServerId, CounterRow>,
     limits: Limits,
-    /// Number of rows rejected since the start, by reason.
+    /// Numbers of received rows that were rejected since the start of the server, by reason.
     pub rejected: RejectedRows,
 }
 
@@ -155,8 +159,8 @@
         FleetCounters { id, rows, limits, rejected: RejectedRows::default() }
     }
 
-    /// Adds to a key of this server's row. Returns whether the amount was counted: a new key is ignored if
-    /// the row is full or the key's length is invalid.
+    /// Adds `count` to a key of this server's row. Returns whether the count was added: a new key is ignored
+    /// if the row already has the maximum number of keys or the length of the key is invalid.
     pub fn add(&mut self, key: &str, count: u64) -> bool {
         let keys_max = self.limits.keys;
         let row = self.rows.get_mut(&self.id).expect("new and renew insert this server's own row");
@@ -171,21 +175,22 @@
         fits
     }
 
-    /// Merges a received row of the server `of`. `wall` is the wall clock, in nanoseconds since the Unix
-    /// epoch. Returns whether any count grew.
+    /// Merges a received row of a server incarnation into the stored one. `wall` is the wall clock, in
+    /// nanoseconds since the Unix epoch. Returns whether any count grew.
     ///
     /// # Errors
-    /// Returns the reason if the row is rejected, and counts it in [`FleetCounters::rejected`].
-    pub fn merge(&mut self, of: &ServerId, row: &CounterRow, wall: Nanos) -> Result<bool, RejectedRow> {
-        let checked = if *of == self.id { self.check_own(row) } else { self.check(of, row, wall) };
+    /// Returns the reason if the row is rejected. The rejection is also counted in
+    /// [`FleetCounters::rejected`].
+    pub fn merge(&mut self, server: &ServerId, row: &CounterRow, wall: Nanos) -> Result<bool, RejectedRow> {
+        let checked = if *server == self.id { self.check_own(row) } else { self.check(server, row, wall) };
         if let Err(reason) = checked {
             self.rejected.count(reason);
             return Err(reason);
         }
-        if *of == self.id {
+        if *server == self.id {
             return Ok(false);
         }
-        Ok(self.rows.entry(of.clone()).or_default().merge(row))
+        Ok(self.rows.entry(server.clone()).or_default().merge(row))
     }
 
     fn check_own(&self, row: &CounterRow) -> Result<(), RejectedRow> {
@@ -195,25 +200,25 @@
         if ahead { Err(RejectedRow::Own) } else { Ok(()) }
     }
 
-    fn check(&self, of: &ServerId, row: &CounterRow, wall: Nanos) -> Result<(), RejectedRow> {
-        let known = self.rows.get(of);
+    fn check(&self, server: &ServerId, row: &CounterRow, wall: Nanos) -> Result<(), RejectedRow> {
+        let known = self.rows.get(server);
         let is_known = |key: &Key| known.is_some_and(|known| known.counts.contains_key(key));
         let new_keys = row.counts.keys().filter(|key| !is_known(key)).count();
         let keys = known.map_or(0, |known| known.counts.len()) + new_keys;
-        let valid_names = is_valid_name(&of.name) && row.counts.keys().all(|key| is_valid_name(key));
+        let valid_names = is_valid_name(&server.name) && row.counts.keys().all(|key| is_valid_name(key));
         let too_many_rows = known.is_none() && self.rows.len() >= self.limits.rows;
         if !valid_names || keys > self.limits.keys || too_many_rows {
             return Err(RejectedRow::Full);
         }
-        let lived_s = wall.saturating_sub(of.incarnation) / SECOND_NS + CLOCK_AHEAD_S;
-        let count_max = self.limits.rate_max.saturating_mul(lived_s);
+        let uptime_s = wall.saturating_sub(server.incarnation) / SECOND_NS + CLOCK_AHEAD_S;
+        let count_max = self.limits.rate_max.saturating_mul(uptime_s);
         if row.counts.values().any(|count| *count > count_max) {
             return Err(RejectedRow::Implausible);
         }
         Ok(())
     }
 
-    /// Returns the versions of at most `rows_max` rows, beginning at index `start`.
+    /// Returns the versions of at most `rows_max` rows, beginning with the row at index `start`.
     pub fn digest(&self, start: usize, rows_max: usize) -> Digest {
         let mut rows = self.rows.iter().skip(start);
         let part = rows.by_ref().take(rows_max);
@@ -221,7 +226,8 @@
         Digest { versions, end: rows.next().map(|(server, _)| server.clone()) }
     }
 
-    /// Returns the rows from `start` (inclusive) to `end` (exclusive). An absent bound leaves that side open.
+    /// Returns the rows from the incarnation `start` (inclusive) to `end` (exclusive). `None` means that the
+    /// range has no bound on that side.
     fn range<'a>(
         &'a self,
         start: &'a Option<ServerId>,
@@ -232,8 +238,8 @@
         rows.take_while(|(server, _)| end.as_ref().is_none_or(|end| *server < end))
     }
 
-    /// Compares this server's rows from `start` (inclusive) to `end` (exclusive) with another server's
-    /// versions of them.
+    /// Compares this server's rows from the incarnation `start` (inclusive) to `end` (exclusive) with the
+    /// versions of the same rows at another server.
     pub fn compare(
         &self,
         start: &Option<ServerId>,
@@ -255,12 +261,12 @@
         Comparison { newer, versions }
     }
 
-    /// Returns the fleet's total of a key, based on the rows received so far.
+    /// Returns the total of a key over the fleet, based on the rows received so far.
     pub fn total(&self, key: &str) -> u64 {
         self.rows.values().fold(0, |sum, row| sum.saturating_add(row.get(key)))
     }
 
-    /// Returns all totals, in the order of their keys.
+    /// Returns the totals of all keys, in the order of the keys.
     pub fn totals(&self) -> BTreeMap<&str, u64> {
         let mut totals: BTreeMap<&str, u64> = BTreeMap::new();
         for (key, count) in self.rows.values().flat_map(|row| &row.counts) {
@@ -270,12 +276,13 @@
         totals
     }
 
-    /// Returns the number of server incarnations stored.
+    /// Returns the number of stored rows, one for each known server incarnation.
     pub fn rows(&self) -> usize {
         self.rows.len()
     }
 
-    /// Switches to a later incarnation. The old row remains, as that of an incarnation that has ended.
+    /// Begins a new row for this server under a later incarnation. The old row remains stored and continues
+    /// to count in the totals.
     pub fn renew(&mut self, incarnation: u64) {
         self.id.incarnation = incarnation;
         self.rows.entry(self.id.clone()).or_default();
--- a/crates/shared-state/src/lib.rs
+++ b/crates/shared-state/src/lib.rs
@@ -1,16 +1,18 @@
-//! State shared by the servers of a fleet, without I/O. The inputs are clock readings, a seed, the members
-//! that are alive and received messages; the outputs are messages to send, allowances, totals and the health
-//! of services.
+//! State shared by the servers of a fleet, as a library without I/O. Its inputs are clock readings, a seed,
+//! the names of the members that are alive, and received messages. Its outputs are messages to send,
+//! allowances, totals and the health of services.
 //!
-//! - [`budget`]: a total for the whole fleet, divided into leases; the units in use never exceed it.
-//! - [`counters`]: totals over the fleet as a CRDT; exact once all rows have been received.
+//! - [`budget`]: a number of units for the whole fleet, divided into leases; the units in use never exceed
+//!   this number.
+//! - [`counters`]: totals over the fleet, kept in a CRDT; a total is exact once all servers' rows have been
+//!   received.
 //! - [`outlier_detection`]: detection of downstream services that several servers find slow or failing.
-//! - [`permits`]: units of a budget in use at one server.
-//! - [`clock`]: bounds of elapsed time from two clocks, one of which may be wrong.
-//! - [`state`]: one server's part of all of these.
-//! - [`simulation`]: a fleet in simulated time, for tests.
+//! - [`permits`]: the units of a budget that calls of one server use.
+//! - [`clock`]: bounds of the elapsed time, computed from two clocks of which one may be wrong.
+//! - [`state`]: one server's part of the budgets, counters and outlier detection, and its messages.
+//! - [`simulation`]: a fleet of servers in simulated time, for tests.
 //!
-//! `docs/shared-state.md` names the alternatives considered and the guarantees under partition.
+//! `docs/shared-state.md` describes the alternatives considered and the guarantees under network partitions.
 #![deny(missing_docs, clippy::too_many_lines)]
 
 pub mod budget;
--- a/crates/shared-state/src/message.rs
+++ b/crates/shared-state/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between the servers of a fleet. They are serialized by position (postcard), so the order of
+//! Messages between the servers of a fleet. Messages are serialized by position (postcard), so the order of
 //! variants and fields is part of the wire format.
 
 use crate::NAME_MAX;
@@ -15,10 +15,10 @@
 pub const ROLLOUT_REPORTS: u16 = 2;
 /// Topic of [`Payload::Other`] for announcements of the program and configuration that a server runs.
 pub const VERSION_ANNOUNCEMENTS: u16 = 3;
-/// Topic of [`Payload::Other`] for replication of the configuration.
+/// Topic of [`Payload::Other`] for messages that replicate the configuration.
 pub const REPLICATION: u16 = 4;
 
-/// A message with its sender.
+/// A message together with the identity of its sender.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Message {
     /// Server that sends the message.
@@ -34,30 +34,31 @@
     Budget {
         /// Name of the budget.
         name: String,
-        /// Message to the server's part of that budget.
+        /// Message to the receiving server's part of the budget.
         message: BudgetMessage,
     },
-    /// Versions of the sender's counter rows in a range of incarnations.
+    /// Versions of the sender's counter rows for a range of server incarnations.
     Digest {
-        /// First incarnation of the range; `None` if the range begins with the first row.
+        /// First server incarnation of the range; `None` if the range begins with the first row.
         start: Option<ServerId>,
-        /// First incarnation after the range; `None` if the range extends to the last row.
+        /// First server incarnation after the range; `None` if the range extends to the last row.
         end: Option<ServerId>,
-        /// Versions of the rows in the range.
+        /// Server incarnations in the range, each with the version of its row.
         versions: Vec<(ServerId, u64)>,
-        /// Whether the receiver should reply with its own digest of the range.
+        /// Whether the receiver should reply with its own digest of the same range.
         wants_reply: bool,
     },
-    /// Counter rows.
+    /// Counter rows, each with its server incarnation.
     Rows(Vec<(ServerId, CounterRow)>),
-    /// Reports on the health of services.
+    /// Reports on the health of downstream services.
     Reports(Vec<Report>),
-    /// A message of another part of the program, which this crate only transports. Unknown topics are
+    /// A message between other parts of the program, which this crate only transports. Unknown topics are
     /// ignored, so that later releases can add topics.
     Other {
-        /// Topic: the part of the program that handles the message.
+        /// Number that identifies the part of the program that handles the message, for example
+        /// [`REPLICATION`].
         topic: u16,
-        /// Message in the encoding of that part.
+        /// Message in the encoding of the part of the program that handles it.
         body: Vec<u8>,
     },
 }
@@ -68,12 +69,12 @@
     /// The bytes cannot be decoded as a message.
     #[error("{length} bytes cannot be decoded as a message")]
     Malformed {
-        /// Length of the body, in bytes.
+        /// Length of the message body, in bytes.
         length: usize,
         /// Error of the decoder.
         source: postcard::Error,
     },
-    /// Extra bytes follow the message.
+    /// The message body has extra bytes after the encoded message.
     #[error("{count} extra bytes after the message")]
     TrailingBytes {
         /// Number of extra bytes.
@@ -85,7 +86,7 @@
         /// Length of the name, in bytes.
         length: usize,
     },
-    /// This server has no budget with this name.
+    /// The message is about a budget that this server does not have.
     #[error("unknown budget {name:?}")]
     UnknownBudget {
         /// Name of the budget.
--- a/crates/shared-state/src/outlier_detection/evidence.rs
+++ b/crates/shared-state/src/outlier_detection/evidence.rs
@@ -1,14 +1,17 @@
-//! Evidence on each service from one server's own calls: decaying sums of calls, failures and durations.
+//! Evidence on the health of each service, from one server's own calls: exponentially decaying sums of calls,
+//! failures and durations.
 
 use super::report::ServiceHealth;
 use crate::clock::Nanos;
 
-/// Minimum decayed number of calls before a service can be found unhealthy.
+/// Minimum decayed number of calls to a service for a finding on it. A service with fewer calls counts as
+/// healthy.
 const CALLS_MIN: f64 = 5.0;
-/// Ratio of failed calls to all calls at or above which a service counts as failing.
+/// Ratio of failed calls to all calls of a service at or above which the service counts as failing.
 const FAILING_SHARE: f64 = 0.5;
-/// A service is slow if its mean duration exceeds the median of the other services' mean durations by this
-/// factor. An abandoned call is slow if its duration exceeds the mean of all calls by this factor.
+/// Factor above which a duration counts as slow. A service is slow if its mean call duration exceeds the
+/// median of the other services' mean durations by this factor. An abandoned call is slow if its duration
+/// exceeds the mean duration of all calls by this factor.
 const SLOW_RATIO: f64 = 4.0;
 
 /// Decayed sums of the calls to one service.
@@ -16,7 +19,7 @@
 struct CallStatistics {
     calls: f64,
     failures: f64,
-    /// Sum of durations, in nanoseconds.
+    /// Decayed sum of the call durations, in nanoseconds.
     duration: f64,
     updated_at: Nanos,
 }
@@ -37,7 +40,7 @@
     }
 }
 
-/// Evidence on all services of a tier. Times are in nanoseconds of the fast clock.
+/// Evidence on the health of all services of a tier. Times are in nanoseconds of the fast clock.
 #[derive(Clone, Debug)]
 pub(super) struct Evidence {
     services: Vec<CallStatistics>,
@@ -63,13 +66,15 @@
         statistics.duration += duration as f64;
     }
 
-    /// Returns whether a call of this duration took longer than [`SLOW_RATIO`] times the mean of all calls.
+    /// Returns whether `duration`, in nanoseconds, is longer than [`SLOW_RATIO`] times the mean duration of
+    /// all calls.
     ///
-    /// The comparison differs from [`Evidence::health`], which compares a service's mean duration with the
-    /// median of the other services. Here a single call is judged against all services, so that a slow call
-    /// is detected even if only one service has enough calls. Returns false if no service has enough calls.
+    /// [`Evidence::health`] compares the mean duration of one service with the median of the other services.
+    /// This method instead compares one call with the calls to all services, so that a slow call is detected
+    /// even if only one service has enough calls. Returns false if no service has enough calls.
     ///
-    /// The sums are not decayed to the present; they are those at the latest call to each service.
+    /// The sums are not decayed to the present: the sums of each service have their values from the time of
+    /// its latest recorded call.
     pub fn is_slow(&self, duration: Nanos) -> bool {
         let (mut calls, mut total_duration) = (0.0, 0.0);
         for statistics in self.services.iter().filter(|statistics| statistics.calls >= CALLS_MIN) {
@@ -79,7 +84,8 @@
         calls > 0.0 && duration as f64 > total_duration / calls * SLOW_RATIO
     }
 
-    /// Returns the health of a service based on these calls; healthy if there are too few calls.
+    /// Returns the health of a service, based on the recorded calls to all services of the tier. A service
+    /// with fewer than [`CALLS_MIN`] decayed calls counts as healthy.
     pub fn health(&self, now: Nanos, service: usize) -> ServiceHealth {
         let Some(statistics) = self.services.get(service) else { return ServiceHealth::Healthy };
         let statistics = statistics.decayed(now, self.half_life);
@@ -95,8 +101,8 @@
         ServiceHealth::Healthy
     }
 
-    /// Returns the median of the other services' mean durations, in nanoseconds, or infinity if none of them
-    /// has enough calls.
+    /// Returns the median of the mean durations of all services other than `service`, in nanoseconds;
+    /// infinity if none of them has enough calls.
     fn median_duration_of_others(&self, now: Nanos, service: usize) -> f64 {
         let mut durations = Vec::new();
         for (index, statistics) in self.services.iter().enumerate() {
--- a/crates/shared-state/src/outlier_detection/mod.rs
+++ b/crates/shared-state/src/outlier_detection/mod.rs
@@ -1,10 +1,11 @@
-//! Outlier detection for the services of a tier: detects services that the fleet finds slow or failing, and
-//! ejects them.
+//! Outlier detection for the services of a tier: detects services that the servers of the fleet find slow or
+//! failing, and ejects them.
 //!
-//! Each server collects evidence from its own calls and reports its findings to the others; a report expires
-//! after some time. A service is ejected once enough servers find it unhealthy at the same time. A server
-//! that receives no reports relies on its own evidence. Invariant: at most the configured share of a tier is
-//! ejected, so that a fault of the callers or of the network does not remove the whole tier.
+//! Each server collects evidence on the services from its own calls and reports its findings to the other
+//! servers; each report expires after some time. A service is ejected once enough servers find it unhealthy
+//! at the same time. A server that receives no reports relies on its own evidence. Invariant: at most the
+//! configured share of a tier is ejected, so that a fault of the callers or of the network does not remove
+//! the whole tier.
 
 mod evidence;
 pub mod report;
@@ -18,16 +19,17 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// Number of servers that probe an ejected service, per accuser required for the ejection. The value exceeds
-/// 1 because a prober may be lost or slow.
+/// Number of servers that probe an ejected service, as a multiple of the number of accusers required for an
+/// ejection. The multiple exceeds 1 because a prober may be lost or slow.
 const PROBERS_PER_ACCUSER: usize = 2;
-/// Maximum number of reporters stored per service.
+/// Maximum number of servers whose reports are stored for each service. Reports of further servers are
+/// rejected.
 const REPORTERS_MAX: usize = 1024;
 
-/// Index of the service, and name of the server that reports on it.
+/// Index of a service, and name of a server that reports on it.
 type ReportKey = (u32, String);
 
-/// A report received from another server.
+/// A report received from another server, with its time of expiry.
 #[derive(Clone, Copy, Debug)]
 struct ReceivedReport {
     incarnation: u64,
@@ -43,15 +45,15 @@
     settings: Settings,
     evidence: Evidence,
     reports: BTreeMap<ReportKey, ReceivedReport>,
-    /// Time at which another server's report was last received, by the fast clock.
+    /// Time at which a report of another server was last received, by the fast clock.
     received_at: Option<Nanos>,
-    /// Number of reports dropped because of an unknown service, their age, an invalid name, or the limit on
-    /// stored reports.
+    /// Number of received reports dropped because of an unknown service, their age, an invalid server name,
+    /// or the limit on stored reports.
     pub rejected: u64,
 }
 
-/// Rank of a server among the probers of a service: FNV-1a of the service's index and the server's name. It
-/// is the same on all servers and in all builds.
+/// Returns the rank of a server among the probers of a service: FNV-1a of the service's index and the
+/// server's name. The hash function is fixed so that all servers and all builds compute the same ranks.
 fn prober_rank(service: usize, name: &str) -> u64 {
     const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const FNV_PRIME: u64 = 0x0100_0000_01b3;
@@ -60,7 +62,7 @@
 }
 
 impl OutlierDetector {
-    /// Creates the detector of the server `id`.
+    /// Creates the outlier detector of the server `id`.
     ///
     /// # Errors
     /// Returns the first invalid setting.
@@ -77,33 +79,33 @@
         })
     }
 
-    /// Returns the current settings.
+    /// Returns the settings of outlier detection.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// Records a call of this server that ended after `duration` nanoseconds.
+    /// Records a call of this server to a service that ended after `duration` nanoseconds.
     pub fn record_call(&mut self, time: Time, service: usize, succeeded: bool, duration: Nanos) {
         self.evidence.record_call(time.fast, service, succeeded, duration);
     }
 
-    /// Records a call of this server that was abandoned after `duration` nanoseconds. The call counts as a
-    /// failure if a healthy service would have answered by then. Without this rule, a service that never
-    /// answers would have no recorded calls.
+    /// Records a call of this server to a service that was abandoned after `duration` nanoseconds. The call
+    /// counts as a failure if a healthy service would have answered within this duration. Without this rule,
+    /// a service that never answers would have no recorded calls.
     pub fn record_abandoned_call(&mut self, time: Time, service: usize, duration: Nanos) {
         if self.evidence.is_slow(duration) {
             self.record_call(time, service, false, duration);
         }
     }
 
-    /// Returns the health of a service based on this server's own calls.
+    /// Returns the health of a service, based only on this server's own calls.
     pub fn local_health(&self, time: Time, service: usize) -> ServiceHealth {
         self.evidence.health(time.fast, service)
     }
 
-    /// Returns the reports to send. They include this server's own reports, also on healthy services, which
-    /// show the others that this server is reachable. They also include unexpired reports of other servers,
-    /// for servers that those reporters cannot reach.
+    /// Returns the reports to send to other servers. They include this server's own reports on all services;
+    /// reports on healthy services show the receivers that this server is reachable. They also include
+    /// unexpired reports of other servers, for receivers that those servers cannot reach.
     pub fn reports(&self, time: Time) -> Vec<Report> {
         let own = (0..self.evidence.services()).map(|service| Report {
             by: self.id.clone(),
@@ -126,8 +128,8 @@
         reports
     }
 
-    /// Merges reports of other servers. For each reporter, the latest report of its latest incarnation is
-    /// kept.
+    /// Merges received reports. For each reporting server and service, the report with the latest incarnation
+    /// is kept, and among those the latest report.
     pub fn merge_reports(&mut self, time: Time, reports: &[Report]) {
         self.reports.retain(|_, report| time.fast < report.expires_at);
         for report in reports {
@@ -163,13 +165,13 @@
         }
     }
 
-    /// Returns whether this server has received no reports of other servers for at least
+    /// Returns whether this server has received no report of another server for at least
     /// [`Settings::expiry`].
     pub fn is_isolated(&self, time: Time) -> bool {
         self.received_at.is_none_or(|at| time.fast >= at + self.settings.expiry)
     }
 
-    /// Returns the number of servers that find a service unhealthy, including this one.
+    /// Returns the number of servers that find a service unhealthy, including this server.
     pub fn accusers(&self, time: Time, service: usize) -> usize {
         self.other_accusers(time, service).count() + usize::from(self.accuses(time, service))
     }
@@ -189,10 +191,10 @@
         accusations.map(|((_, name), _)| name.as_str())
     }
 
-    /// Returns whether this server probes an ejected service on behalf of the fleet. Only a few of its
-    /// accusers do, in the order of their ranks for this service, since probes from a whole fleet would
-    /// overload a service that is warming up. If a prober is lost, the next in rank replaces it once the lost
-    /// prober's report has expired.
+    /// Returns whether this server probes an ejected service on behalf of the fleet. Of the servers that
+    /// accuse the service, only those with the lowest ranks probe it, since probes from a whole fleet would
+    /// overload a service that is warming up. If a prober is lost, the accuser with the next rank replaces it
+    /// once the lost prober's report has expired.
     pub fn is_prober(&self, time: Time, service: usize) -> bool {
         let own_rank = prober_rank(service, &self.id.name);
         let others = self.other_accusers(time, service);
@@ -201,8 +203,9 @@
             && ranked_before.count() < PROBERS_PER_ACCUSER * self.settings.accusers_min
     }
 
-    /// Returns the indices of the services ejected now, within the configured share of the tier; those with
-    /// the most accusers come first. An isolated server ejects services on its own evidence alone.
+    /// Returns the indices of the services that are ejected now, those with the most accusers first. At most
+    /// the configured share of the tier is ejected. An isolated server ejects services on its own evidence
+    /// alone.
     pub fn ejected(&self, time: Time) -> Vec<usize> {
         let accusers_min = if self.is_isolated(time) { 1 } else { self.settings.accusers_min };
         let mut accused = Vec::new();
--- a/crates/shared-state/src/outlier_detection/report.rs
+++ b/crates/shared-state/src/outlier_detection/report.rs
@@ -4,29 +4,29 @@
 use crate::server_id::ServerId;
 use serde::{Deserialize, Serialize};
 
-/// Health of a service.
+/// Health of a downstream service, as found by one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ServiceHealth {
-    /// Neither slow nor failing, or unknown.
+    /// The service is neither slow nor failing, or its health is unknown.
     #[serde(rename = "Good")]
     Healthy,
-    /// Calls take many times as long as those of the tier's other services.
+    /// Calls to the service take many times as long as those to the tier's other services.
     Slow,
-    /// Many calls fail.
+    /// Many calls to the service fail.
     Failing,
 }
 
-/// A server's finding on one service. Serialized by position, so the order of fields is part of the wire
-/// format.
+/// A server's finding on one service. Reports are serialized by position (postcard), so the order of fields
+/// is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// Server that made the finding.
     pub by: ServerId,
-    /// Index of the service in the settings.
+    /// Index of the service in [`Settings::services`](super::Settings::services).
     pub service: u32,
-    /// Health found by the server.
+    /// Health of the service, as the server found it.
     pub health: ServiceHealth,
-    /// Age of the report, in nanoseconds. An age is sent instead of a time because the clocks of two servers
-    /// are never compared.
+    /// Age of the report when it is sent, in nanoseconds. An age is sent instead of a time because clocks of
+    /// two servers are never compared.
     pub age: Nanos,
 }
--- a/crates/shared-state/src/outlier_detection/settings.rs
+++ b/crates/shared-state/src/outlier_detection/settings.rs
@@ -7,28 +7,28 @@
 
 /// Maximum number of services in a tier.
 const SERVICES_MAX: usize = 256;
-/// A whole tier, in thousandths.
+/// The whole tier, as a share in thousandths.
 const WHOLE_THOUSANDTHS: usize = 1000;
 
-/// Settings of outlier detection in one tier of services.
+/// Settings of outlier detection in one tier of downstream services.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// Distinct names of the tier's services; at most 256.
     pub services: Vec<String>,
     /// Number of servers that must find a service unhealthy before it is ejected; at least 1.
     pub accusers_min: usize,
-    /// Maximum share of the tier that is ejected at the same time, in thousandths.
+    /// Maximum share of the tier's services that may be ejected at the same time, in thousandths.
     pub max_ejected_thousandths: usize,
-    /// Expiry time of a received report, and also the half-life of this server's own evidence, in
-    /// nanoseconds; greater than 0. Both are one setting, so that a report expires as the evidence behind it
-    /// decays.
+    /// Time after which a received report expires, and also the half-life of this server's own evidence, in
+    /// nanoseconds; greater than 0. Both durations are one setting, so that a report expires as the evidence
+    /// from which it was made decays.
     pub expiry: Nanos,
 }
 
 /// An invalid setting of outlier detection.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SettingsError {
-    /// Too many services.
+    /// The tier has too many services.
     #[error("service: at most {SERVICES_MAX}, not {0}")]
     TooManyServices(usize),
     /// A service is listed twice.
@@ -37,10 +37,10 @@
     /// The name of a service is empty or too long.
     #[error("service: name: 1 to {NAME_MAX} bytes, not {0:?}")]
     ServiceName(String),
-    /// The required number of accusers is 0. The option is named `reports` in the options file.
+    /// The required number of accusers is 0. The options file has this setting under the name `reports`.
     #[error("reports: must be at least 1, not {0}")]
     Reports(usize),
-    /// The maximum ejected share is greater than the whole tier.
+    /// The maximum ejected share is greater than the whole tier, 1000 thousandths.
     #[error("eject-share: must be within 0 and 1, not {0} thousandths")]
     EjectShare(usize),
     /// The expiry time is 0, so that no report would ever be used.
@@ -49,7 +49,7 @@
 }
 
 impl Settings {
-    /// Checks each setting.
+    /// Checks that each setting is valid.
     ///
     /// # Errors
     /// Returns the first invalid setting.
--- a/crates/shared-state/src/packing.rs
+++ b/crates/shared-state/src/packing.rs
@@ -1,11 +1,11 @@
-//! Splits lists into parts that fit into a message.
+//! Splits lists into parts that each fit into one message.
 
 use crate::counters::CounterRow;
 use crate::server_id::ServerId;
 use serde::Serialize;
 
-/// Splits the items into lists of at most `size_max` encoded bytes each. A larger item gets a list of its
-/// own.
+/// Splits the items into lists of at most `size_max` encoded bytes each. An item larger than `size_max` is
+/// put into a list of its own.
 pub(crate) fn pack<T: Clone + Serialize>(items: &[T], size_max: usize) -> Vec<Vec<T>> {
     let mut parts: Vec<Vec<T>> = Vec::new();
     let mut part: Vec<T> = Vec::new();
@@ -25,8 +25,8 @@
     parts
 }
 
-/// Splits a row into rows of at most `size_max` encoded bytes. Rows are merged key by key, so the parts have
-/// the same effect as the whole row.
+/// Splits a counter row into rows of at most `size_max` encoded bytes each. A receiver merges rows key by
+/// key, so receiving all parts has the same effect as receiving the whole row.
 pub(crate) fn split_row(server: &ServerId, row: &CounterRow, size_max: usize) -> Vec<(ServerId, CounterRow)> {
     let counts: Vec<(&String, &u64)> = row.counts.iter().collect();
     let mut rows = Vec::new();
--- a/crates/shared-state/src/permits.rs
+++ b/crates/shared-state/src/permits.rs
@@ -1,10 +1,10 @@
-//! Units of a budget in use at one server. Each call holds one unit until it has ended. An abandoned call
-//! holds its unit for the longest time that it may continue at the service.
+//! Units of a budget that calls of one server use. Each call holds one unit until the call has ended. An
+//! abandoned call holds its unit for the longest time that the call may continue at the service.
 
 use crate::clock::{Nanos, Time};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A number of units and the time at which it was recorded, by the fast clock.
+/// A number of units, and the time at which it was recorded, by the fast clock.
 #[derive(Clone, Copy, Debug, Default)]
 struct TimestampedUnits {
     units: u64,
@@ -17,63 +17,63 @@
     }
 }
 
-/// State of an open call.
+/// State of a call that has a permit and has not ended at this server.
 #[derive(Clone, Copy, Debug)]
 struct OpenCall {
-    /// Lower bound, by the slow clock, of the time at which the service last received data of the call: the
-    /// last permitted write, or the permit if nothing has been sent.
-    since: Nanos,
+    /// Time by the slow clock of the last permitted write of the call, or of its permit if nothing has been
+    /// written. The time is a lower bound of the time at which the service last received data of the call.
+    last_write_at: Nanos,
     /// Latest time at which the call may be sent, by the fast clock.
     send_by: Nanos,
 }
 
-/// Permits of one server's calls, each for one unit.
+/// Permits of one server's calls. Each permit holds one unit of the budget.
 #[derive(Clone, Debug, Default)]
 pub struct Permits {
     /// Open calls by call number.
     open: BTreeMap<u64, OpenCall>,
-    /// Times by which abandoned calls have certainly ended at the service, by the slow clock, in ascending
-    /// order.
+    /// Times after which abandoned calls cannot still be running at the service, by the slow clock, in
+    /// ascending order.
     abandoned_until: VecDeque<Nanos>,
-    /// Number of waiting calls at the latest refusal.
+    /// Number of calls that waited for a unit at the latest refusal.
     waiting: TimestampedUnits,
-    /// Recent maximum of units in use.
+    /// Recent maximum of the number of units in use.
     peak: TimestampedUnits,
-    /// Number of calls refused since the start.
+    /// Number of calls refused since the server started.
     pub refused: u64,
 }
 
 impl Permits {
-    /// Registers the permit of the call with number `call`. The call may be sent until `send_by` by the fast
-    /// clock, see [`Budget::send_by`](crate::budget::Budget::send_by).
+    /// Registers a permit for the call with number `call`. Data of the call may be sent until `send_by` by
+    /// the fast clock, see [`Budget::send_by`](crate::budget::Budget::send_by).
     pub fn acquire(&mut self, time: Time, call: u64, send_by: Nanos) {
-        self.open.insert(call, OpenCall { since: time.slow, send_by });
+        self.open.insert(call, OpenCall { last_write_at: time.slow, send_by });
         let units = self.in_use(time);
         if units >= self.peak.units {
             self.peak = TimestampedUnits { units, at: time.fast };
         }
     }
 
-    /// Returns whether data of an open call may be sent now, and records the write. Must be called
-    /// immediately before each write, because a process may be suspended between the permit and the write for
-    /// longer than the lease lasts, and the unit may then belong to another server.
+    /// Returns whether data of a call may be written to the service now, and records the write. Must be
+    /// called immediately before each write: a process may be suspended between the permit and the write for
+    /// longer than its lease lasts, and the unit may then belong to another server.
     pub fn permit_send(&mut self, time: Time, call: u64) -> bool {
         let Some(open) = self.open.get_mut(&call).filter(|open| time.fast <= open.send_by) else {
             return false;
         };
-        open.since = time.slow;
+        open.last_write_at = time.slow;
         true
     }
 
     /// Releases the unit of a call that has ended at this server. If it is not `certain` that the call has
-    /// also ended at the service, its unit stays in use until `use_max` nanoseconds after the last permitted
-    /// write.
+    /// also ended at the service, the unit stays in use until `use_max` nanoseconds after the last permitted
+    /// write of the call.
     pub fn release(&mut self, call: u64, certain: bool, use_max: Nanos) {
         let Some(open) = self.open.remove(&call) else { return };
         if certain {
             return;
         }
-        let until = open.since + use_max;
+        let until = open.last_write_at + use_max;
         let index = self.abandoned_until.partition_point(|other| *other <= until);
         self.abandoned_until.insert(index, until);
     }
@@ -84,7 +84,8 @@
         self.waiting = TimestampedUnits { units: waiting, at: time.fast };
     }
 
-    /// Returns the units in use, including those of abandoned calls.
+    /// Returns the number of units in use, including those of abandoned calls that may still be running at
+    /// the service.
     pub fn in_use(&mut self, time: Time) -> u64 {
         while self.abandoned_until.front().is_some_and(|until| *until <= time.slow) {
             self.abandoned_until.pop_front();
@@ -92,10 +93,11 @@
         (self.open.len() + self.abandoned_until.len()) as u64
     }
 
-    /// Returns the number of units to request: the maximum in use within the last `recent` nanoseconds. If a
-    /// call was refused within that time, the waiting calls and a margin of a quarter plus one are added, so
-    /// that a server with growing load need not request each additional unit separately. A server without
-    /// refusals requests no more than it uses, which leaves the rest to others.
+    /// Returns the number of units to request from the grantor: the maximum in use within the last `recent`
+    /// nanoseconds. If a call was refused within that time, the number of waiting calls and a margin of a
+    /// quarter plus one are added, so that a server with growing load need not request each additional unit
+    /// separately. A server without refusals requests no more than it uses, which leaves the other units to
+    /// other servers.
     pub fn demand(&mut self, time: Time, recent: Nanos) -> u64 {
         let in_use = self.in_use(time);
         if self.peak.is_older_than(recent, time) {
--- a/crates/shared-state/src/server_id.rs
+++ b/crates/shared-state/src/server_id.rs
@@ -1,9 +1,10 @@
-//! Identity of a server process.
+//! Identity of one run of a server process.
 
 use crate::NAME_MAX;
 use serde::{Deserialize, Serialize};
 
-/// One incarnation of a server, from the start of its process to its end.
+/// Identity of one incarnation of a server, which lasts from the start of its process to the end of the
+/// process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ServerId {
     /// Name of the server in the fleet's membership, 1 to 64 bytes.
--- a/crates/shared-state/src/settings.rs
+++ b/crates/shared-state/src/settings.rs
@@ -6,17 +6,18 @@
 use crate::outlier_detection;
 use thiserror::Error;
 
-/// Minimum value of [`Settings::body_max`], in bytes.
+/// Minimum value of [`Settings::body_max`], the maximum size of a message body, in bytes.
 const BODY_MAX_MIN: usize = 512;
 
 /// Settings of one server's shared state.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Budgets, each with a unique name.
+    /// Settings of the budgets, each with a unique name.
     pub budgets: Vec<BudgetSettings>,
     /// Limits of the fleet's counters.
     pub counters: Limits,
-    /// Settings of outlier detection in the tier of downstream services, if enabled.
+    /// Settings of outlier detection for the tier of downstream services; `None` if outlier detection is
+    /// disabled.
     pub outlier_detection: Option<outlier_detection::Settings>,
     /// Mean time between two rounds of gossip, in nanoseconds; greater than 0.
     pub gossip_interval: Nanos,
@@ -53,13 +54,13 @@
     /// The maximum size of a message body is too small.
     #[error("the maximum body size must be at least {BODY_MAX_MIN} bytes, not {body_max}")]
     BodyMax {
-        /// Configured limit, in bytes.
+        /// Configured maximum size of a message body, in bytes.
         body_max: usize,
     },
 }
 
 impl Settings {
-    /// Checks each setting.
+    /// Checks that each setting is valid.
     ///
     /// # Errors
     /// Returns the first invalid setting.
--- a/crates/shared-state/src/simulation/clocks.rs
+++ b/crates/shared-state/src/simulation/clocks.rs
@@ -2,22 +2,22 @@
 
 use crate::clock::{Nanos, Reading};
 
-/// Rate of a correct clock; rates are in thousandths of true time.
+/// Rate of a correct clock. Rates are in thousandths of the rate of true time.
 const TRUE_RATE: u64 = 1000;
-/// Start of true time, in nanoseconds since the Unix epoch. It is above 0 because incarnations are wall
-/// times.
+/// Wall clock time at the start of the simulation, in nanoseconds since the Unix epoch. It is above 0 because
+/// incarnations of servers are wall clock times.
 pub const EPOCH: Nanos = 1_700_000_000_000_000_000;
 /// Reading of every monotonic clock at the start of the simulation, in nanoseconds.
 const MONOTONIC_START: Nanos = 5;
 
-/// Rates of one server's clocks.
+/// Rates of the two clocks of one server, and the offset of its wall clock.
 #[derive(Clone, Copy, Debug)]
 pub struct ClockRates {
-    /// Rate of the monotonic clock, in thousandths of true time.
+    /// Rate of the monotonic clock, in thousandths of the rate of true time.
     pub monotonic_rate: u64,
-    /// Rate of the wall clock, in thousandths of true time.
+    /// Rate of the wall clock, in thousandths of the rate of true time.
     pub wall_rate: u64,
-    /// Additional offset of the wall clock, in nanoseconds.
+    /// Offset added to the reading of the wall clock, in nanoseconds.
     pub wall_offset: i64,
 }
 
@@ -30,9 +30,9 @@
 /// The two clocks of one server.
 pub(super) struct SimulatedClocks {
     rates: ClockRates,
-    /// True time at which the rates were last set.
+    /// True time at which the rates were last set, in nanoseconds since the start of the simulation.
     set_at: Nanos,
-    /// Reading of the clocks at `set_at`, without the offset of the wall clock.
+    /// Reading of the clocks at the true time `set_at`, without the offset of the wall clock.
     last_reading: Reading,
 }
 
@@ -48,8 +48,8 @@
         Reading { wall: reading.wall.saturating_add_signed(self.rates.wall_offset), ..reading }
     }
 
-    /// Sets the rates of the clocks from `now` on. The previous offset is removed, but the wall clock is
-    /// never set below 0.
+    /// Sets the rates of the clocks and the offset of the wall clock from the true time `now` on. The new
+    /// offset replaces the previous one. The wall clock is never set below 0.
     pub fn set_rates(&mut self, now: Nanos, rates: ClockRates) {
         let mut reading = self.read(now);
         reading.wall = reading.wall.saturating_add_signed(-self.rates.wall_offset);
--- a/crates/shared-state/src/simulation/events.rs
+++ b/crates/shared-state/src/simulation/events.rs
@@ -1,29 +1,29 @@
-//! Queue of simulation events in the order of their times. Events at the same time are in the order in which
-//! they were scheduled.
+//! Queue of simulation events, ordered by time. Events at the same time are in the order in which they were
+//! scheduled.
 
 use crate::clock::Nanos;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-/// A simulation event. Servers are identified by their index, and incarnations of each server are counted
-/// from 1.
+/// A simulation event. A server is identified by its index. The incarnations of each server are counted from
+/// 1.
 pub(super) enum Event {
     /// A message arrives at a server.
     Message { to: usize, body: Vec<u8> },
-    /// A server performs its due actions.
+    /// A server performs the actions that are due, such as gossip and lease requests.
     Advance { server: usize, incarnation: u64 },
     /// A server receives a request that needs a call to the dependency.
     Arrival { server: usize, incarnation: u64 },
-    /// A server sends a permitted call.
+    /// A server sends a permitted call to the dependency.
     Send { server: usize, incarnation: u64, call: u64 },
     /// A call to the dependency ends.
     CallEnd { server: usize, incarnation: u64, call: u64 },
 }
 
-/// Queue of scheduled events.
+/// Queue of the events that are scheduled and have not happened yet.
 #[derive(Default)]
 pub(super) struct EventQueue {
-    /// Time and number of each event, the earliest first.
+    /// Time and number of each scheduled event, with the earliest event on top.
     order: BinaryHeap<Reverse<(Nanos, u64)>>,
     events: HashMap<u64, Event>,
     last_number: u64,
@@ -36,7 +36,7 @@
         self.events.insert(self.last_number, event);
     }
 
-    /// Removes and returns the next event with a time up to `until`, together with its time.
+    /// Removes the next event if its time is at most `until`, and returns its time and the event.
     pub fn pop(&mut self, until: Nanos) -> Option<(Nanos, Event)> {
         let Reverse((at, number)) = self.order.peek().copied()?;
         if at > until {
--- a/crates/shared-state/src/simulation/mod.rs
+++ b/crates/shared-state/src/simulation/mod.rs
@@ -1,6 +1,6 @@
-//! A fleet of [`SharedState`]s on a simulated network in simulated time, deterministic from its seed. The
-//! servers call one dependency, which counts the calls in progress at any time. Used by tests and for the
-//! figures in `docs/shared-state.md`.
+//! A fleet of [`SharedState`]s on a simulated network in simulated time, deterministic for a given seed. The
+//! servers call one dependency, which counts the calls in progress at any time. The simulation is used by
+//! tests and produces the figures in `docs/shared-state.md`.
 
 mod clocks;
 mod events;
@@ -23,19 +23,19 @@
 const MILLISECOND_NS: Nanos = 1_000_000;
 /// Default duration of a call to the dependency, in nanoseconds.
 const CALL_DURATION_NS: Nanos = 50 * MILLISECOND_NS;
-/// Range of the random delay before a started server's first events, and interval at which a server without
-/// demand checks for new demand, in nanoseconds.
+/// Range of the random delay before the first events of a started server, in nanoseconds. Also the interval
+/// at which a server without demand checks for new demand.
 const IDLE_INTERVAL_NS: Nanos = 50 * MILLISECOND_NS;
-/// Maximum number of servers of a small fleet. In a small fleet, servers advance more often and know all
-/// members that are alive.
+/// Maximum number of servers in a small fleet. The servers of a small fleet advance more often than those of
+/// a large one, and know all members that are alive.
 const SMALL_FLEET: usize = 64;
 const SMALL_FLEET_INTERVAL_NS: Nanos = 25 * MILLISECOND_NS;
 const LARGE_FLEET_INTERVAL_NS: Nanos = 100 * MILLISECOND_NS;
-/// Number of random members that a server of a large fleet knows at a time.
+/// Maximum number of randomly drawn members that a server of a large fleet considers alive at a time.
 const LARGE_FLEET_MEMBERS: usize = 4;
 
-/// The fleet, its network and the dependency. Servers are identified by their index; server `i` is named
-/// `s{i}`.
+/// The simulated fleet, its network and the dependency that the servers call. Servers are identified by their
+/// index; server `i` is named `s{i}`.
 pub struct Fleet {
     settings: Settings,
     servers: Vec<Server>,
@@ -51,18 +51,19 @@
     pub call_duration: Nanos,
     /// Delay between the permit of a call and its sending, in nanoseconds.
     pub send_delay: Nanos,
-    /// Number of permitted calls that were never sent because the server was suspended before sending them.
+    /// Number of permitted calls that were never sent, because the server was suspended between the permit
+    /// and the write for too long.
     pub withheld: u64,
     /// Number of calls in progress at the dependency.
     pub in_use: u64,
-    /// Maximum number of calls in progress at the same time.
+    /// Maximum number of calls in progress at the dependency at the same time.
     pub in_use_max: u64,
-    /// Integral over time of the calls in progress since the last call of [`Fleet::mean_use`].
+    /// Integral over time of the number of calls in progress, since the last call of [`Fleet::mean_use`].
     use_integral: u128,
     calls: u64,
-    /// Number of calls refused by the servers.
+    /// Number of calls refused because a server's budget did not permit them.
     pub refused: u64,
-    /// Number of calls that the dependency received, by server.
+    /// Number of calls that the dependency received from each server, by the server's index.
     pub served: BTreeMap<usize, u64>,
 }
 
@@ -101,7 +102,7 @@
         self.start_with_id(index, ServerId { name: name(index), incarnation });
     }
 
-    /// Starts a server with the given identity, such as that of an earlier incarnation.
+    /// Starts a server with the given identity, which may be that of an earlier incarnation.
     pub fn start_with_id(&mut self, index: usize, id: ServerId) {
         let reading = self.servers[index].clocks.read(self.now);
         let seed = self.random.next_u64();
@@ -113,7 +114,7 @@
         self.schedule(first, Event::Arrival { server: index, incarnation });
     }
 
-    /// Kills a server. Its calls continue at the dependency until they end there.
+    /// Kills a server's process. The server's open calls continue at the dependency until they end there.
     pub fn crash(&mut self, index: usize) {
         self.servers[index].state = None;
     }
@@ -123,32 +124,32 @@
         self.servers[index].suspended = suspended;
     }
 
-    /// Sets the rates of a server's clocks from now on.
+    /// Sets the rates and the offset of a server's clocks from now on.
     pub fn set_clocks(&mut self, index: usize, rates: ClockRates) {
         self.servers[index].clocks.set_rates(self.now, rates);
     }
 
-    /// Sets the demand at a server, in calls per second.
+    /// Sets the rate at which requests that need a call arrive at a server, in calls per second.
     pub fn set_demand(&mut self, index: usize, calls_per_second: f64) {
         self.servers[index].demand = calls_per_second;
     }
 
-    /// Assigns a server to a network group. All servers start in group 0.
+    /// Assigns a server to a network group. All servers are initially in group 0.
     pub fn set_group(&mut self, index: usize, group: u32) {
         self.servers[index].group = group;
     }
 
-    /// Disconnects two groups from each other.
+    /// Disconnects two network groups from each other.
     pub fn partition(&mut self, group: u32, other: u32) {
         self.partitions.cut(group, other);
     }
 
-    /// Reconnects all groups.
+    /// Reconnects all network groups.
     pub fn heal(&mut self) {
         self.partitions.heal();
     }
 
-    /// Returns the state of a running server.
+    /// Returns the shared state of a server; `None` if the server is not running.
     pub fn state(&self, index: usize) -> Option<&SharedState> {
         self.servers[index].state.as_ref()
     }
@@ -158,13 +159,13 @@
         self.servers[index].state.as_mut()
     }
 
-    /// Delivers a message body to a server now, as if a peer had sent it.
+    /// Schedules the delivery of a message body to a server at the current time, as if a peer had sent it.
     pub fn inject(&mut self, to: usize, body: Vec<u8>) {
         self.schedule(0, Event::Message { to, body });
     }
 
-    /// Returns the mean number of calls in progress between `since`, the time of the previous call of this
-    /// method, and now.
+    /// Returns the mean number of calls in progress from `since` until now. `since` must be the time of the
+    /// previous call of this method.
     pub fn mean_use(&mut self, since: Nanos) -> f64 {
         let mean = self.use_integral as f64 / (self.now - since).max(1) as f64;
         self.use_integral = 0;
@@ -193,7 +194,7 @@
         self.partitions.are_connected(self.servers[from].group, self.servers[to].group)
     }
 
-    /// Passes a server's outgoing messages to the network.
+    /// Passes the messages that a server has queued for sending to the network.
     fn send_outgoing(&mut self, from: usize) {
         let Some(state) = self.servers[from].state.as_mut() else { return };
         for (name, body) in state.take_outgoing() {
@@ -242,8 +243,8 @@
         }
     }
 
-    /// Returns the members that a server considers alive. In a small fleet these are all running servers that
-    /// it reaches, as with an ideal membership; in a large fleet, a few at random.
+    /// Returns the names of the members that a server considers alive. In a small fleet these are all running
+    /// servers that it can reach, as with an ideal membership; in a large fleet, a few random servers.
     fn living_members(&mut self, index: usize) -> Vec<String> {
         let mut members = Vec::new();
         if self.servers.len() <= SMALL_FLEET {
@@ -272,7 +273,7 @@
         }
     }
 
-    /// Calls the dependency if the server's budget permits it.
+    /// Begins a call of a server to the dependency if the server's budget permits it.
     fn call(&mut self, server: usize, incarnation: u64) {
         let call = self.calls + 1;
         match self.servers[server].try_call(self.now, call) {
@@ -291,8 +292,8 @@
         }
     }
 
-    /// Sends a permitted call. A suspended process sends the call after it resumes; the calls of an ended
-    /// process are dropped.
+    /// Sends a permitted call to the dependency. A suspended process tries to send the call after it resumes.
+    /// The calls of a process that has ended are dropped.
     fn send(&mut self, server: usize, incarnation: u64, call: u64) {
         if self.servers[server].incarnation != incarnation {
             return;
--- a/crates/shared-state/src/simulation/network.rs
+++ b/crates/shared-state/src/simulation/network.rs
@@ -1,4 +1,5 @@
-//! Simulated network that loses, duplicates, delays and reorders messages, and that can be partitioned.
+//! Simulated network that loses, duplicates, delays and reorders messages, and that can be partitioned into
+//! groups of servers.
 
 use super::random::Random;
 use crate::clock::Nanos;
@@ -11,14 +12,15 @@
     pub loss: f64,
     /// Ratio of messages that are duplicated, 0 to 1.
     pub duplicate: f64,
-    /// Minimum delay, in nanoseconds.
+    /// Minimum delay of a message, in nanoseconds.
     pub delay: Nanos,
-    /// Maximum random addition to the delay, in nanoseconds; a large value reorders messages.
+    /// Upper bound of the random addition to each delay, in nanoseconds; a large value reorders messages.
     pub jitter: Nanos,
 }
 
 impl NetworkFaults {
-    /// Returns the delay of each copy of one message that arrives.
+    /// Returns the delays of the copies of one message that arrive, in nanoseconds; none if the message is
+    /// lost.
     pub(super) fn delays(&self, random: &mut Random) -> Vec<Nanos> {
         let copies = if random.chance(self.duplicate) { 2 } else { 1 };
         let mut delays = Vec::new();
@@ -31,19 +33,19 @@
     }
 }
 
-/// Pairs of server groups that cannot reach each other.
+/// Pairs of network groups that are disconnected from each other.
 #[derive(Default)]
 pub(super) struct Partitions {
     cut: HashSet<(u32, u32)>,
 }
 
 impl Partitions {
-    /// Disconnects two groups from each other.
+    /// Disconnects two network groups from each other, in both directions.
     pub fn cut(&mut self, group: u32, other: u32) {
         self.cut.extend([(group, other), (other, group)]);
     }
 
-    /// Reconnects all groups.
+    /// Reconnects all network groups.
     pub fn heal(&mut self) {
         self.cut.clear();
     }
--- a/crates/shared-state/src/simulation/random.rs
+++ b/crates/shared-state/src/simulation/random.rs
@@ -1,4 +1,4 @@
-//! Random numbers derived from the simulation's seed.
+//! Random numbers derived from the seed of the simulation.
 
 use crate::clock::Nanos;
 use rand_chacha::ChaCha8Rng;
@@ -18,17 +18,19 @@
         self.0.next_u64()
     }
 
-    /// Returns a random number less than `bound`. Returns 0 without a draw if `bound` is 0.
+    /// Returns a random number less than `bound`. Returns 0 without drawing a number if `bound` is 0.
     pub fn below(&mut self, bound: u64) -> u64 {
         if bound == 0 { 0 } else { self.next_u64() % bound }
     }
 
-    /// Returns true with the given probability. Returns false without a draw if the probability is 0.
+    /// Returns true with the given probability. Returns false without drawing a number if the probability is
+    /// 0.
     pub fn chance(&mut self, probability: f64) -> bool {
         probability > 0.0 && self.fraction() < probability
     }
 
-    /// Returns the time to the next arrival of a Poisson process, in nanoseconds.
+    /// Returns a random time from one arrival to the next of a Poisson process with the rate `per_second`, in
+    /// nanoseconds.
     pub fn interarrival(&mut self, per_second: f64) -> Nanos {
         let fraction = self.fraction().max(1e-12);
         (-fraction.ln() / per_second * SECOND_NS) as Nanos
--- a/crates/shared-state/src/simulation/server.rs
+++ b/crates/shared-state/src/simulation/server.rs
@@ -5,10 +5,10 @@
 use crate::clock::Nanos;
 use crate::permits::Permits;
 
-/// Number of waiting calls reported for each refusal.
+/// Number of waiting calls that a server records with each refused call.
 const WAITING_CALLS: u64 = 2;
 
-/// A simulated server; `state` is `None` while its process is not running.
+/// A simulated server. `state` is `None` while the server's process is not running.
 pub(super) struct Server {
     pub state: Option<SharedState>,
     /// Whether the process is suspended.
@@ -17,9 +17,9 @@
     permits: Permits,
     /// Demand at the server, in calls per second.
     pub demand: f64,
-    /// Network group of the server.
+    /// Network group to which the server belongs.
     pub group: u32,
-    /// Number of starts so far.
+    /// Number of times that the process has been started.
     pub incarnation: u64,
 }
 
@@ -45,8 +45,8 @@
         self.incarnation
     }
 
-    /// Handles a message and returns whether the server is running. A real suspended process would handle the
-    /// message late; here the message is lost, which is the harder case.
+    /// Handles a received message. Returns false if the process is suspended or not running. A real suspended
+    /// process would handle the message late; here the message is lost, which is the harder case.
     pub fn receive(&mut self, now: Nanos, body: &[u8]) -> bool {
         let reading = self.clocks.read(now);
         let Some(state) = self.state.as_mut().filter(|_| !self.suspended) else { return false };
@@ -54,7 +54,8 @@
         true
     }
 
-    /// Performs the due actions and returns whether the server is running.
+    /// Updates the demand for units and performs the actions that are due. Returns false if the process is
+    /// suspended or not running.
     pub fn advance(&mut self, now: Nanos, alive: &[String]) -> bool {
         let reading = self.clocks.read(now);
         let Some(state) = self.state.as_mut().filter(|_| !self.suspended) else { return false };
@@ -68,8 +69,8 @@
         true
     }
 
-    /// Begins a call if the budget permits it, and returns whether it does; `None` if the server is not
-    /// running.
+    /// Acquires a permit for a call. Returns whether the budget permits the call; `None` if the process is
+    /// suspended or not running.
     pub fn try_call(&mut self, now: Nanos, call: u64) -> Option<bool> {
         let reading = self.clocks.read(now);
         let state = self.state.as_mut().filter(|_| !self.suspended)?;
@@ -86,7 +87,7 @@
         Some(allowed)
     }
 
-    /// Returns whether a permitted call may be sent; if not, the call ends.
+    /// Returns whether a call that has a permit may be sent now. If it may not, its permit is released.
     pub fn permit_send(&mut self, now: Nanos, call: u64) -> bool {
         let reading = self.clocks.read(now);
         let Some(state) = self.state.as_mut() else { return false };
@@ -98,7 +99,7 @@
         permitted
     }
 
-    /// Handles the end of a call. A call of an earlier incarnation no longer holds a unit.
+    /// Releases the unit of a call that has ended. A call of an earlier incarnation holds no unit here.
     pub fn end_call(&mut self, incarnation: u64, call: u64) {
         if self.incarnation == incarnation && self.state.is_some() {
             self.permits.release(call, true, 0);
--- a/crates/shared-state/src/state.rs
+++ b/crates/shared-state/src/state.rs
@@ -1,5 +1,5 @@
-//! One server's part of the shared state: dispatches messages to the budgets, counters and outlier detection,
-//! and gossips on their behalf.
+//! One server's part of the shared state. It dispatches received messages to the budgets, the counters and
+//! outlier detection, and gossips the counters and health reports.
 
 use crate::NAME_MAX;
 use crate::budget::{Budget, Outgoing};
@@ -14,22 +14,25 @@
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use serde::Serialize;
 
-/// Maximum number of row versions in one digest. With names of 64 bytes and 20 bytes of numbers each, this
-/// many fit in a body of 1,400 bytes. The number does not depend on [`Settings::body_max`]: if that is
-/// smaller, a digest of servers with long names may exceed it, and the transport drops the message.
+/// Maximum number of row versions in one digest. With server names of 64 bytes and 20 bytes of numbers each,
+/// this many versions fit in a message body of 1,400 bytes. The number does not depend on
+/// [`Settings::body_max`]: if that setting is smaller than 1,400 bytes, a digest of servers with long names
+/// may exceed the setting, and the transport drops the message.
 const DIGEST_ROWS_MAX: usize = 16;
-/// Maximum number of datagrams with rows in reply to one digest.
+/// Maximum number of datagrams with counter rows that are sent in reply to one digest.
 const ROW_DATAGRAMS_MAX: usize = 32;
-/// Number of members that receive reports in each round of gossip.
+/// Number of members to which health reports are sent in each round of gossip.
 const REPORT_FANOUT: usize = 3;
-/// Maximum number of received [`Payload::Other`] messages queued for [`SharedState::take_received`].
+/// Maximum number of received [`Payload::Other`] messages that are queued for [`SharedState::take_received`].
+/// Further messages are dropped.
 const RECEIVED_OTHERS_MAX: usize = 1024;
-/// Upper bound of the bytes of a message apart from its list and names: numbers and lengths.
+/// Upper bound of the bytes that a message takes besides its list of items and its names: the fields that are
+/// numbers or lengths.
 const HEADER_BYTES: usize = 64;
-/// Maximum number of names in a message outside its list.
+/// Maximum number of names in a message outside its list of items, such as the sender's name.
 const HEADER_NAMES: usize = 4;
 
-/// Counters of messages since the start.
+/// Counters of messages since the start of the server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct MessageCounters {
     /// Messages sent.
@@ -38,51 +41,51 @@
     pub sent_bytes: u64,
     /// Messages received.
     pub received: u64,
-    /// Received messages that were dropped for any reason in [`ReceiveError`]. Besides undecodable bytes,
-    /// these include messages about a budget that this server does not have, and [`Payload::Other`] messages
-    /// received while the queue is full.
+    /// Received messages that were dropped for any reason in [`ReceiveError`]. Besides undecodable messages,
+    /// these are messages about a budget that this server does not have, and [`Payload::Other`] messages
+    /// received while their queue is full.
     pub malformed: u64,
 }
 
-/// A received [`Payload::Other`] message, for another part of the program.
+/// A received [`Payload::Other`] message, which another part of the program handles.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedOther {
     /// Server that sent the message.
     pub from: ServerId,
-    /// Topic: the part of the program that handles the message.
+    /// Number that identifies the part of the program that handles the message.
     pub topic: u16,
-    /// Message in the encoding of that part.
+    /// Message in the encoding of the part of the program that handles it.
     pub body: Vec<u8>,
 }
 
-/// One server's part of the shared state: a state machine without I/O. Its inputs are clock readings, the
-/// members that are alive and received messages; its outputs are messages to send.
+/// One server's part of the shared state, as a state machine without I/O. Its inputs are clock readings, the
+/// names of the members that are alive, and received messages; its outputs are messages to send.
 pub struct SharedState {
-    /// Identity of this server in messages, budgets and reports, which never changes. The counters may use a
-    /// later incarnation, see [`FleetCounters::renew`].
+    /// Identity of this server in messages, budgets and reports, which never changes. The counter rows may
+    /// use a later incarnation of this server, see [`FleetCounters::renew`].
     id: ServerId,
     settings: Settings,
     clock: DriftClock,
     time: Time,
-    /// Wall clock at the last reading, in nanoseconds since the Unix epoch.
+    /// Wall clock at the last clock reading, in nanoseconds since the Unix epoch.
     wall: Nanos,
     /// Budgets, in the order of the settings.
     pub budgets: Vec<Budget>,
     /// Counters of the whole fleet.
     pub counters: FleetCounters,
-    /// Outlier detection in the tier of downstream services, if configured.
+    /// Outlier detection for the tier of downstream services, if configured.
     pub outlier_detector: Option<OutlierDetector>,
     /// Time of the next round of gossip, by the fast clock.
     next_gossip_at: Nanos,
     rng: ChaCha8Rng,
     outgoing: Vec<(String, Vec<u8>)>,
     received_others: Vec<ReceivedOther>,
-    /// Counters of messages since the start.
+    /// Counters of messages since the start of the server.
     pub messages: MessageCounters,
 }
 
 impl SharedState {
-    /// Creates the state of the server `id`. `seed` determines all random choices.
+    /// Creates the shared state of the server `id`. `seed` determines all random choices.
     ///
     /// # Errors
     /// Returns the first invalid setting.
@@ -105,7 +108,9 @@
         Ok(SharedState {
             budgets,
             counters: FleetCounters::new(id.clone(), settings.counters),
-            outlier_detector: detection.map(|it| OutlierDetector::new(id.clone(), it)).transpose()?,
+            outlier_detector: detection
+                .map(|settings| OutlierDetector::new(id.clone(), settings))
+                .transpose()?,
             next_gossip_at: time.fast,
             rng: ChaCha8Rng::seed_from_u64(seed),
             outgoing: Vec::new(),
@@ -124,14 +129,14 @@
         &self.id
     }
 
-    /// Records a reading of the clocks and returns the resulting time.
+    /// Records a reading of the clocks and returns the resulting bounds of the elapsed time.
     pub fn read_clocks(&mut self, reading: Reading) -> Time {
         self.time = self.clock.read(reading);
         self.wall = reading.wall;
         self.time
     }
 
-    /// Returns the time of the last reading.
+    /// Returns the bounds of the elapsed time at the last clock reading.
     pub fn time(&self) -> Time {
         self.time
     }
@@ -141,8 +146,8 @@
         self.clock.disagreements
     }
 
-    /// Performs all actions that are due. `alive` lists the names of the other members that are alive
-    /// according to the membership.
+    /// Performs all actions that are due, such as lease requests and gossip. `alive` lists the names of the
+    /// other members that are alive according to the membership.
     pub fn advance(&mut self, reading: Reading, alive: &[String]) {
         let time = self.read_clocks(reading);
         for index in 0..self.budgets.len() {
@@ -158,7 +163,8 @@
         }
     }
 
-    /// Returns the maximum time until the next call of [`SharedState::advance`], in nanoseconds.
+    /// Returns the longest time that the caller may wait before it calls [`SharedState::advance`] again, in
+    /// nanoseconds.
     pub fn due_in(&self) -> Nanos {
         let requests = self.budgets.iter().map(|budget| budget.settings().refresh_interval / 2).min();
         requests.unwrap_or(Nanos::MAX).min(self.settings.gossip_interval / 2).max(1)
@@ -173,7 +179,8 @@
         alive[self.random_below(alive.len() as u64) as usize].clone()
     }
 
-    /// Sends a digest to one random member, and reports to a few.
+    /// Sends a digest of counter rows to one random member, and the health reports to up to [`REPORT_FANOUT`]
+    /// random members.
     fn gossip(&mut self, alive: &[String]) {
         if alive.is_empty() {
             return;
@@ -190,13 +197,13 @@
         }
     }
 
-    /// Returns the maximum size of the list in a message, in bytes.
+    /// Returns the maximum size of the list of items in a message, in bytes.
     fn list_size_max(&self) -> usize {
         self.settings.body_max - HEADER_NAMES * NAME_MAX - HEADER_BYTES
     }
 
-    /// Sends a digest of a randomly chosen part of the rows, so that the cost of a round does not grow with
-    /// the fleet.
+    /// Sends a digest of a randomly chosen part of the counter rows, so that the cost of a round of gossip
+    /// does not grow with the fleet.
     fn send_digest(&mut self, to: &str) {
         let parts = self.counters.rows().div_ceil(DIGEST_ROWS_MAX) as u64;
         let first_row = self.random_below(parts) as usize * DIGEST_ROWS_MAX;
@@ -231,15 +238,17 @@
         std::mem::take(&mut self.received_others)
     }
 
-    /// Returns the messages to send since the last call, each with the name of the receiving member.
+    /// Returns the messages queued for sending since the last call, each with the name of the receiving
+    /// member and the message body.
     pub fn take_outgoing(&mut self) -> Vec<(String, Vec<u8>)> {
         std::mem::take(&mut self.outgoing)
     }
 
-    /// Handles a message from an authenticated peer.
+    /// Handles the body of a message from an authenticated peer.
     ///
     /// # Errors
-    /// Returns the reason why the message was dropped; the message is also counted.
+    /// Returns the reason if the message was dropped. The message is then also counted in
+    /// [`MessageCounters::malformed`].
     pub fn receive(&mut self, reading: Reading, body: &[u8]) -> Result<(), ReceiveError> {
         let time = self.read_clocks(reading);
         self.messages.received += 1;
@@ -277,8 +286,9 @@
         Ok(())
     }
 
-    /// Replies to a digest with the rows that are newer here than at the sender, and, if requested, with this
-    /// server's digest of the same range, limited to one message.
+    /// Replies to a received digest with the rows that are newer here than at the sender. If the sender
+    /// requests a reply digest, also sends this server's digest of the same range, cut to [`DIGEST_ROWS_MAX`]
+    /// rows.
     fn handle_digest(
         &mut self,
         from: &ServerId,
@@ -305,8 +315,9 @@
         }
     }
 
-    /// Merges received rows. If a received row of this server itself is ahead of the local counts, the
-    /// counters switch to a later incarnation, so that new counts are not hidden by the larger old ones.
+    /// Merges received counter rows. If a received row of this server itself is ahead of the local counts,
+    /// this server switches to a row of a later incarnation. Without this switch, its new counts would be
+    /// hidden by the larger counts of the old row.
     fn merge_rows(&mut self, rows: &[(ServerId, CounterRow)]) {
         for (server, row) in rows {
             if self.counters.merge(server, row, self.wall) == Err(RejectedRow::Own) {
--- a/crates/shared-state/tests/counters.rs
+++ b/crates/shared-state/tests/counters.rs
@@ -1,4 +1,4 @@
-//! Algebraic laws of the fleet's counters, and the limits on what peers can add to them.
+//! Tests the algebraic laws of the fleet's counters, and the limits on the counter rows that peers can add.
 
 use meadowstream_shared_state::ServerId;
 use meadowstream_shared_state::counters::{CounterRow, FleetCounters, Limits, RejectedRow};
@@ -24,7 +24,7 @@
 }
 
 proptest! {
-    /// Merging is idempotent, commutative and associative, and never loses a count.
+    /// Merging counter rows is idempotent, commutative and associative, and never loses a count.
     #[test]
     fn merging_is_idempotent_commutative_and_associative(a in row(), b in row(), c in row()) {
         prop_assert_eq!(merged(&[&a, &a]), a.counts.clone());
@@ -35,8 +35,8 @@
         prop_assert!(ab.version() >= a.version().max(b.version()));
     }
 
-    /// Arbitrary rows from peers never cause a panic: the stored rows and keys are bounded, implausible
-    /// counts are rejected, and no peer can raise this server's own row.
+    /// Arbitrary counter rows from peers never cause a panic. The numbers of stored rows and keys are
+    /// bounded, implausible counts are rejected, and no peer can raise this server's own row.
     #[test]
     fn rows_of_peers_are_bounded(
         names in proptest::collection::vec("[a-z]{0,80}", 0..60),
--- a/crates/shared-state/tests/model.rs
+++ b/crates/shared-state/tests/model.rs
@@ -1,8 +1,10 @@
-//! Model check of the lease protocol in a small fleet: explores the nearest two million states, with messages
-//! lost, duplicated and reordered, servers killed and restarted, and clocks that differ by at most the stated
-//! margin. The model runs the real state machines. In no state may the units that the servers can use sum to
-//! more than the budget. `cargo test -p meadowstream-shared-state --release --test model -- --nocapture`
-//! prints the numbers of states.
+//! Model check of the lease protocol in a small fleet. The check explores up to two million of the states
+//! that are reached in the fewest steps. Messages are lost, duplicated and reordered, servers are killed and
+//! restarted, and clocks differ by at most the stated margin. The model runs the real state machines. In no
+//! state may the units that the servers can use sum to more than the budget.
+//!
+//! `cargo test -p meadowstream-shared-state --release --test model -- --nocapture` prints the numbers of
+//! states.
 
 use meadowstream_shared_state::ServerId;
 use meadowstream_shared_state::budget::{Budget, BudgetCounters, BudgetMessage, BudgetSettings, Outgoing};
@@ -12,14 +14,14 @@
 
 const TOTAL: u64 = 3;
 
-/// Faults injected on purpose, which the checker must find.
+/// Faults that are injected into the protocol on purpose, which the checker must detect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     None,
-    /// The drift margin is one tick, half of what the clocks need.
+    /// The drift margin is one tick, half of what the difference between the clocks requires.
     HalfMargin,
-    /// A restarted server votes immediately and, once elected, grants immediately, without regard to earlier
-    /// votes and leases.
+    /// A restarted server votes immediately, and a new grantor grants immediately, without waiting for the
+    /// end of earlier votes and leases.
     NoWait,
 }
 
@@ -28,17 +30,17 @@
     servers: Vec<Option<Budget>>,
     clocks: Vec<u64>,
     incarnations: Vec<u64>,
-    /// Messages as (sender, receiver, content). A set, so that a sent message may be delivered at any later
-    /// time, more than once or never.
+    /// Sent messages as (sender, index of the receiver, content). The messages are a set, so that each can be
+    /// delivered at any later time, more than once or never.
     sent: BTreeSet<(ServerId, usize, BudgetMessage)>,
-    /// Number of servers killed so far. States after a restart are not pruned, even where the messages
-    /// delivered before it can no longer have an effect.
+    /// Number of kills so far. States after a restart are explored even if messages delivered before the
+    /// restart can no longer have an effect.
     kills: u8,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum FleetAction {
-    /// A server's clock advances by one tick, and the server performs its due actions.
+    /// The clock of a server advances by one tick, and the server performs the actions that are due.
     Tick(usize),
     Deliver(ServerId, usize, BudgetMessage),
     Lose(ServerId, usize, BudgetMessage),
@@ -48,13 +50,14 @@
 
 struct LeaseModel {
     fault: Fault,
-    /// Duration of a lease, in ticks. Clocks differ by at most one tick in either direction, so over any span
-    /// one clock may advance by two ticks more than the other. This is the drift margin.
+    /// Duration of a lease, in ticks. Clocks differ by at most one tick in either direction, so over any time
+    /// span one clock may advance by two ticks more than the other. These two ticks are the drift margin.
     lease: u64,
     term: u64,
     servers: usize,
     voters: usize,
-    /// Bounds of the search: ticks of each clock, messages in transit and servers killed.
+    /// Bounds of the search: number of ticks of each clock, number of messages in transit, and number of
+    /// kills.
     ticks: u64,
     in_transit: usize,
     kills: u8,
@@ -71,7 +74,7 @@
         let id = ServerId { name: format!("s{i}"), incarnation };
         let mut time = Time::from_agreeing_clocks(clock + 10);
         if incarnation == 0 || self.fault == Fault::NoWait {
-            // At the first start of the fleet there are no earlier votes or leases.
+            // At the first start of the fleet there are no earlier votes or leases to wait for.
             time.slow = 0;
         }
         let mut budget = Budget::new(id, settings, time).expect("valid settings");
@@ -94,7 +97,7 @@
         }
     }
 
-    /// Returns the units that the servers may use now, each by its own clock.
+    /// Returns the number of units that all servers together may use now, each by its own clock.
     fn usable_units(&self, state: &FleetState) -> u64 {
         let usable = |(i, budget): (usize, &Option<Budget>)| {
             let budget = budget.as_ref()?;
@@ -149,19 +152,19 @@
                 next.clocks[i] += 1;
                 let time = self.time(&next, i);
                 if let Some(budget) = &mut next.servers[i] {
-                    let out = budget.advance(time, 0);
-                    self.send(&mut next, i, out);
+                    let outgoing = budget.advance(time, 0);
+                    self.send(&mut next, i, outgoing);
                 }
             }
             FleetAction::Deliver(from, to, message) => {
                 let time = self.time(&next, to);
                 let budget = next.servers[to].as_mut()?;
                 let before = budget.clone();
-                let out = budget.receive(time, &from, message);
-                if *budget == before && out.is_empty() {
+                let outgoing = budget.receive(time, &from, message);
+                if *budget == before && outgoing.is_empty() {
                     return None;
                 }
-                self.send(&mut next, to, out);
+                self.send(&mut next, to, outgoing);
             }
             FleetAction::Lose(from, to, message) => {
                 next.sent.remove(&(from, to, message));
@@ -176,13 +179,13 @@
                 next.servers[i] = Some(self.budget(i, incarnation, clock));
             }
         }
-        // Before the first kill there are no earlier leases, so the wait of a new grantor is skipped to
-        // search deeper.
+        // Before the first kill there are no earlier leases, so the wait of a new grantor is skipped. Without
+        // the wait, the search reaches later phases of the protocol.
         if self.fault == Fault::NoWait || next.kills == 0 {
             next.servers.iter_mut().flatten().for_each(Budget::skip_grant_wait);
         }
-        // Counters do not affect behaviour, but would make equal states distinct. Only whether a grant was
-        // sent is kept, for the properties.
+        // Counters do not affect the behaviour of a server, but would make otherwise equal states distinct.
+        // Only whether a server has sent a grant is kept, since the properties check it.
         for budget in next.servers.iter_mut().flatten() {
             let grants_sent = budget.counters.grants_sent.min(1);
             budget.counters = BudgetCounters { grants_sent, ..BudgetCounters::default() };
@@ -217,19 +220,26 @@
     }
 }
 
-/// Maximum number of states generated, nearest first. A state is counted each time it is reached.
+/// Maximum number of states generated in breadth-first order. A state is counted each time that it is
+/// reached.
 const STATES_MAX: usize = 2_000_000;
 
 fn check(model: LeaseModel, label: &str) -> (usize, Vec<&'static str>) {
-    // A search for an injected fault continues until it is found, up to four times as many states.
+    // A search for an injected fault continues until the fault is detected, for up to four times as many
+    // states.
     let states_max = if model.fault == Fault::None { STATES_MAX } else { 4 * STATES_MAX };
-    let done = HasDiscoveries::AnyOf(std::iter::once(LEASES_WITHIN_BUDGET).collect());
-    let began = std::time::Instant::now();
-    let checker =
-        model.checker().threads(4).target_state_count(states_max).finish_when(done).spawn_bfs().join();
+    let stop_condition = HasDiscoveries::AnyOf(std::iter::once(LEASES_WITHIN_BUDGET).collect());
+    let started_at = std::time::Instant::now();
+    let checker = model
+        .checker()
+        .threads(4)
+        .target_state_count(states_max)
+        .finish_when(stop_condition)
+        .spawn_bfs()
+        .join();
     let found = checker.discoveries().keys().copied().collect::<Vec<_>>();
     let states = checker.unique_state_count();
-    eprintln!("{label}: {states} states in {:?}, found {found:?}", began.elapsed());
+    eprintln!("{label}: {states} states in {:?}, found {found:?}", started_at.elapsed());
     (states, found)
 }
 
@@ -247,7 +257,8 @@
     assert!(found.contains(&"two servers hold leases at once"), "{found:?}");
 }
 
-/// Three voters elect the grantor by majority. The search is limited to the nearest states.
+/// Three voters elect the grantor by majority. The search is limited to the states reached in the fewest
+/// steps.
 #[test]
 fn three_voters_exceed_the_budget_in_none_of_the_nearest_states() {
     let model = LeaseModel { servers: 3, voters: 3, in_transit: 4, ticks: 5, ..small(Fault::None) };
--- a/crates/shared-state/tests/outlier_detection.rs
+++ b/crates/shared-state/tests/outlier_detection.rs
@@ -1,4 +1,5 @@
-//! Outlier detection: the conditions for the ejection of a service, and the validation of reports.
+//! Tests outlier detection: the conditions under which a service is ejected, and the validation of received
+//! reports.
 
 use meadowstream_shared_state::ServerId;
 use meadowstream_shared_state::clock::Time;
@@ -19,7 +20,7 @@
     (0..n).map(|i| OutlierDetector::new(server(i), settings(services, share)).unwrap()).collect()
 }
 
-/// Records ten calls of one server to a service.
+/// Records ten calls of one server to a service, each with the given result and duration.
 fn record_calls(detector: &mut OutlierDetector, at: u64, service: usize, succeeded: bool, duration: u64) {
     (0..10).for_each(|_| detector.record_call(Time::from_agreeing_clocks(at), service, succeeded, duration));
 }
@@ -36,19 +37,20 @@
     for to in 1..4 {
         gossip(&mut fleet, 0, to, S / 10);
     }
-    // The accuser receives a report from another server, which finds every service healthy.
+    // The accusing server receives reports from another server, which finds every service healthy, so it does
+    // not count as isolated.
     gossip(&mut fleet, 2, 0, S / 10);
     assert!(fleet.iter().all(|detector| detector.ejected(Time::from_agreeing_clocks(S / 10)).is_empty()));
     record_calls(&mut fleet[1], 0, 1, false, S);
-    // The report is relayed from server to server.
+    // The report of server 1 is relayed from server to server.
     gossip(&mut fleet, 1, 2, S / 5);
     gossip(&mut fleet, 2, 3, S / 5);
     gossip(&mut fleet, 3, 0, S / 5);
     for detector in &fleet {
         assert_eq!(detector.ejected(Time::from_agreeing_clocks(S / 5)), [1]);
     }
-    // Without new reports the service is no longer ejected. The server counts as isolated and relies on its
-    // own evidence.
+    // Once the reports have expired, the service is no longer ejected. Server 3 then counts as isolated and
+    // relies on its own evidence, in which the service is healthy.
     let late = Time::from_agreeing_clocks(12 * S);
     assert!(fleet[3].ejected(late).is_empty() && fleet[3].is_isolated(late));
 }
@@ -64,7 +66,8 @@
     assert_eq!(detector.local_health(Time::from_agreeing_clocks(1), 3), ServiceHealth::Slow);
 }
 
-/// A network fault that makes every server accuse every service must leave most of the tier in use.
+/// If a network fault makes every server accuse every service, at most the configured share of the tier must
+/// be ejected.
 #[test]
 fn at_most_the_configured_share_of_a_tier_is_ejected() {
     for (services, share, ejected) in [(4, 500, 2), (3, 340, 1), (2, 340, 0), (10, 300, 3), (1, 1000, 1)] {
