--- a/crates/replication/src/codec.rs
+++ b/crates/replication/src/codec.rs
@@ -25,7 +25,7 @@
                     && is_name(&location.region)
                     && is_name(&location.zone)
             }
-            // The length of the location is limited only by that of the body.
+            // The length of the location is limited only by the maximum length of the body.
             Message::Report { report, .. } => {
                 let rejected = report.rejected.as_ref();
                 rejected.is_none_or(|rejection| rejection.reason.len() <= REASON_BYTES_MAX)
@@ -34,18 +34,19 @@
             Message::Submit { request, changes, .. } => {
                 is_name(&request.from) && changes.iter().all(|change| change.check().is_ok())
             }
-            // Entries are checked when they are appended, by the acceptor and by the committed log.
+            // The acceptor and the committed log check entries when they append them.
             Message::Promise { .. } | Message::Append { .. } => true,
-            // Pairs are checked when they are added to the transfer; the key `after` is only compared.
+            // The transfer checks pairs when it adds them. The key `after` is only compared with other keys.
             Message::FetchChunk { .. } | Message::SnapshotChunk { .. } => true,
-            // These contain only numbers.
+            // These messages contain at most numbers, so there is nothing to check.
             Message::SnapshotOffer { .. }
             | Message::PollReport
             | Message::Prepare { .. }
             | Message::EpochRejected { .. }
             | Message::Appended { .. }
             | Message::AppendRejected { .. } => true,
-            // The lengths of names and texts in these are limited only by that of the body.
+            // The lengths of names and texts in these messages are limited only by the maximum length of the
+            // body.
             Message::Revert { .. }
             | Message::Submitted { .. }
             | Message::NotLeader { .. }
--- a/crates/replication/src/committed_log.rs
+++ b/crates/replication/src/committed_log.rs
@@ -65,8 +65,8 @@
 pub struct CommittedLog {
     /// The configuration after the last committed entry.
     end: Snapshot,
-    /// The configuration after the last complete change. The host may apply this one, but not `end`, which
-    /// may contain an incomplete change.
+    /// The configuration after the last complete change. The host applies this configuration rather than
+    /// `end`, which may contain an incomplete change.
     complete: Snapshot,
     /// The configuration before the first entry of `tail`.
     base: Snapshot,
@@ -169,7 +169,8 @@
         }
     }
 
-    /// Drops the entries up to the older checkpoint. A member that lacks them fetches a checkpoint instead.
+    /// Drops the entries up to the older checkpoint. Another member that lacks these entries fetches a
+    /// checkpoint instead.
     fn trim(&mut self) {
         let [_, Some(older)] = &self.checkpoints else { return };
         if older.number() < self.base.number() {
@@ -182,8 +183,8 @@
         }
     }
 
-    /// Content of the configuration after the entry with this number; `None` if the log does not contain the
-    /// number or the entries held do not reach back that far.
+    /// Content of the configuration after the entry with this number. `None` if the number is after the end
+    /// of the log, or before the first entry that is held.
     pub fn state_at(&self, number: u64) -> Option<State> {
         if number < self.base.number() || number > self.number() {
             return None;
@@ -195,8 +196,8 @@
         Some(state)
     }
 
-    /// All entries of the change whose last entry has this number; `None` if no complete change ends there or
-    /// it is not held any more.
+    /// All entries of the change whose last entry has this number; `None` if no complete change ends with
+    /// this entry, or the change is not held any more.
     pub fn change_at(&self, number: u64) -> Option<Vec<&Entry>> {
         let end = self.tail.iter().position(|entry| entry.number() == number)?;
         if self.tail[end].partial {
@@ -225,7 +226,7 @@
         held.into_iter().find(|snapshot| snapshot.number() == number && number > 0)
     }
 
-    /// Entries after the last complete change: those of a change whose last entry is not committed yet.
+    /// Entries after the last complete change. They belong to a change whose last entry is not committed yet.
     pub fn incomplete(&self) -> impl Iterator<Item = &Entry> {
         let complete = self.complete.number();
         self.tail.iter().filter(move |entry| entry.number() > complete)
--- a/crates/replication/src/content_hash.rs
+++ b/crates/replication/src/content_hash.rs
@@ -16,7 +16,8 @@
 pub struct ContentHash([u64; LANES]);
 
 impl ContentHash {
-    /// Digest of a pair. The hashed length of the key separates key and value unambiguously.
+    /// Digest of a key-value pair. The length of the key is hashed too, so that key and value are separated
+    /// unambiguously.
     fn of_pair(key: &str, value: &str) -> [u64; LANES] {
         let mut hasher = Sha256::new();
         hasher.update((key.len() as u64).to_le_bytes());
--- a/crates/replication/src/entry.rs
+++ b/crates/replication/src/entry.rs
@@ -4,8 +4,8 @@
 use crate::revision::{Position, Revision};
 use serde::{Deserialize, Serialize};
 
-/// Maximum number of parts in which an operator may submit a change. The number of log entries of a change is
-/// not limited by this, because the leader splits the change again.
+/// Maximum number of parts in which an operator may submit a change. The limit does not apply to the number
+/// of log entries of the change, because the leader joins the parts and splits the change again into entries.
 pub const PARTS_MAX: u32 = 96;
 /// Longest encoded entry, in bytes.
 pub const ENTRY_BYTES_MAX: usize = 900;
--- a/crates/replication/src/member/applier.rs
+++ b/crates/replication/src/member/applier.rs
@@ -15,17 +15,17 @@
 /// Hands revisions to the host one at a time. The host applies or rejects each.
 #[derive(Debug, Default)]
 pub(super) struct Applier {
-    /// Number of the last revision applied since the start; never decreases.
+    /// Number of the last revision that the host has applied since the member started; never decreases.
     applied: u64,
     /// Number of the revision that the host is applying.
     applying: Option<u64>,
     /// The last rejected revision, unless a later one was applied.
     rejected: Option<Rejection>,
-    /// Whether the log held a revision from disk at the start.
+    /// Whether the member started with a revision read from its disk.
     started_from_disk: bool,
     /// Highest log end that other members reported during the catch-up period.
     catch_up_target: u64,
-    /// End of the catch-up period; 0 until another member reports a revision.
+    /// When the catch-up period ends, in Unix nanoseconds; 0 until another member reports a revision.
     catch_up_until: Nanos,
 }
 
@@ -54,12 +54,12 @@
         }
     }
 
-    /// Returns the newest complete revision if the host is to apply it now. Each revision is returned once,
-    /// and the next one only after the host has applied or rejected it.
+    /// Returns the newest complete revision if the host is to apply it now. Each revision is returned once.
+    /// The next revision is returned only after the host has applied or rejected the previous one.
     ///
-    /// A member that started with an empty disk first catches up with the others. Before its restart it may
-    /// have applied a newer revision than the first one that it receives, and no server may go back to an
-    /// older revision.
+    /// A member that started with an empty disk returns no revision until it has caught up with the other
+    /// members. Before the restart it may have applied a newer revision than the first one that it receives
+    /// now, and no server may go back to an older revision.
     pub(super) fn next(&mut self, log: &CommittedLog) -> Option<Snapshot> {
         let catches_up = log.number() < self.catch_up_target && !self.started_from_disk;
         if self.applied == 0 && catches_up {
--- a/crates/replication/src/member/control.rs
+++ b/crates/replication/src/member/control.rs
@@ -31,7 +31,8 @@
 }
 
 impl Control {
-    /// Creates the state. `persisted_number` is the number of the committed revision that was read from disk.
+    /// Creates the state of a control machine. `persisted_number` is the number of the committed revision
+    /// that was read from disk.
     pub(super) fn new(replica: Replica, persisted_number: u64, now: Nanos) -> Control {
         Control {
             replica,
@@ -43,8 +44,9 @@
         }
     }
 
-    /// When the next work is due, in nanoseconds: that of the replica and, on the leader, the next freshness
-    /// statement or poll round. The time may have passed already; [`Nanos::MAX`] if nothing is due.
+    /// When the next work of the control machine is due, in nanoseconds. The work is that of the replica and,
+    /// on the leader, also the next freshness statement and the next poll round. The time may have passed
+    /// already; [`Nanos::MAX`] means that nothing is due.
     pub(super) fn next_due(&self) -> Nanos {
         let due = self.replica.next_due();
         if self.replica.is_leader() { due.min(self.freshness_due).min(self.poll_due) } else { due }
@@ -80,8 +82,8 @@
         }
     }
 
-    /// Appends newly committed entries to the log, pushes them to other members, answers operators' requests,
-    /// and sends the replica's messages.
+    /// Appends newly committed entries to the log, pushes the entries to other members, answers operators'
+    /// requests, and sends the replica's messages.
     pub(super) fn advance_commit(&mut self, now: Nanos) {
         let Some(control) = &mut self.control else { return };
         let committed = control.replica.newly_committed(&self.log);
@@ -101,15 +103,16 @@
         }
     }
 
-    /// Passes a message from another replica to this one, and appends the entries that it commits.
+    /// Passes a message from another replica to this replica, and appends the entries that the message
+    /// reports as committed.
     pub(super) fn on_replica_message(&mut self, now: Nanos, from: &str, message: Message) {
         let Some(control) = &mut self.control else { return };
         let is_from_leader = matches!(message, Message::Append { .. });
         let committed = control.replica.receive(now, from, message, &self.log);
         if is_from_leader {
-            // The sender may be the leader of an earlier epoch. That is harmless: the field is only a hint
-            // where to send reports and operators' requests, and a replica that is not the leader answers an
-            // operator with its own hint.
+            // The sender may be the leader of an earlier epoch. This is harmless: the `leader` field is only
+            // a hint about where to send reports and operators' requests. A replica that receives an
+            // operator's request without being the leader answers with its own hint.
             self.leader = Some(from.to_string());
         }
         self.append_committed(now, &committed, EntrySource::OtherMember);
@@ -133,7 +136,7 @@
         is_wanted.then(|| control.replica.state_to_persist(&self.log))
     }
 
-    /// Records that `state` is on disk, and sends the messages that were waiting for it.
+    /// Records that `state` is on disk, and sends the messages that were held back until the write completed.
     pub fn on_persisted(&mut self, state: &PersistedState, now: Nanos) {
         let Some(control) = &mut self.control else { return };
         control.persisted_number = state.committed.number();
@@ -142,7 +145,7 @@
     }
 
     /// Handles a failed write: drops the messages that depend on the unwritten state, and gives up the lease,
-    /// so that this replica does not lead.
+    /// so that this replica stops leading or trying to lead.
     pub fn on_persist_failed(&mut self) {
         if let Some(control) = &mut self.control {
             control.replica.drop_outgoing();
--- a/crates/replication/src/member/gossip.rs
+++ b/crates/replication/src/member/gossip.rs
@@ -7,20 +7,20 @@
 use crate::time::Nanos;
 use rand_chacha::rand_core::Rng;
 
-/// Number of members per zone to which the leader pushes.
+/// Number of members in each zone to which the leader pushes newly committed entries.
 const LEADER_FANOUT: usize = 2;
-/// Number of members of its own zone to which any other member pushes.
+/// Number of members to which a member that is not the leader pushes new entries, all in its own zone.
 const ZONE_FANOUT: usize = 3;
-/// On average, one pull out of this many goes to a member anywhere in the fleet, the others to a member of
-/// the same zone.
+/// Average number of pulls of which one is sent to a member anywhere in the fleet. The other pulls are sent
+/// to a member of the same zone.
 const PULL_ANYWHERE_EVERY: u64 = 4;
 /// Maximum number of [`Message::Entries`] sent in answer to one digest.
 const ANSWER_MESSAGES_MAX: usize = 3;
-/// If a digest's freshness is older than this member's by more than this many milliseconds, this member
-/// answers with its own digest.
+/// Difference in milliseconds between two freshness statements. A member answers a digest with its own digest
+/// if the statement in the received digest is older than its own by more than this.
 const FRESHNESS_LAG_MS: u64 = 1_500;
-/// Maximum bytes of entries in one [`Message::Entries`]; the rest of the body is left for the message header,
-/// which holds the leader's name and numbers.
+/// Maximum bytes of entries in one [`Message::Entries`]; the rest of the body is left for the other fields of
+/// the message, which are the leader's name, a flag and a number.
 const GOSSIP_ENTRIES_BYTES_MAX: usize = BODY_BYTES_MAX - 2 * NAME_BYTES_MAX;
 
 impl Member {
@@ -58,7 +58,7 @@
         self.push(&to, entries, now);
     }
 
-    /// Pushes entries that are new to this member to other members of its zone.
+    /// Pushes entries that this member did not hold before to other members of its zone.
     fn push_in_zone(&mut self, entries: &[Entry], now: Nanos) {
         let to = self.peers.sample_zone(&self.settings.location, ZONE_FANOUT, &mut self.rng);
         self.push(&to, entries, now);
@@ -77,8 +77,9 @@
         Message::Entries { entries, leader: self.leader.clone(), pushed, newest: self.log.number() }
     }
 
-    /// Picks a random member to exchange data with: usually one of this member's zone. Sometimes, and if none
-    /// in the zone is known, one of the whole fleet, so that entries also spread between zones.
+    /// Picks a random member to exchange data with. The member is usually in this member's zone. Sometimes,
+    /// or if no other member of the zone is known, it is picked from the whole fleet, so that entries also
+    /// spread between zones.
     pub(super) fn pick_neighbour(&mut self) -> Option<String> {
         let anywhere = self.rng.next_u64().is_multiple_of(PULL_ANYWHERE_EVERY);
         if !anywhere {
@@ -104,16 +105,17 @@
         self.send(to, &Message::Digest { number, freshness, location, neighbours, wants_reply }, now);
     }
 
-    /// Adopts a newer freshness statement, unless it refers to a log end that this member has not reached: it
-    /// would say nothing about the entries held here.
+    /// Adopts a newer freshness statement if this member's log reaches the log end in the statement.
+    /// Otherwise the statement would not prove that this member holds the newest entries.
     fn on_freshness(&mut self, freshness: Freshness) {
         if freshness.number <= self.log.number() && freshness.at_ms > self.freshness.at_ms {
             self.freshness = freshness;
         }
     }
 
-    /// Answers a digest with the entries that its sender lacks. If this member lags instead, or has a fresher
-    /// statement, and the sender wants a reply, answers with its own digest.
+    /// Answers a digest with the entries that its sender lacks. If the sender lacks none and wants a reply,
+    /// answers with this member's own digest, provided that this member lacks entries or has a fresher
+    /// statement than the sender.
     fn answer_digest(
         &mut self,
         from: &str,
@@ -142,7 +144,8 @@
             }
             return;
         };
-        // Every entry takes at least one byte, so no more entries than this fit into the answers.
+        // Every entry takes at least one byte, so the answers cannot hold more entries than their maximum
+        // number of bytes.
         let entries: Vec<Entry> = entries.take(ANSWER_MESSAGES_MAX * BODY_BYTES_MAX).cloned().collect();
         for batch in batches(&entries).into_iter().take(ANSWER_MESSAGES_MAX) {
             let message = self.entries_message(batch, false);
@@ -150,8 +153,9 @@
         }
     }
 
-    /// Appends received entries. Forwards new entries to other members if they were pushed; otherwise
-    /// requests more from the sender.
+    /// Appends received entries. If some were new, forwards them to other members of the zone if the sender
+    /// pushed them, and otherwise requests further entries from the sender. If none was appended because
+    /// earlier entries are missing, requests the missing entries from the sender.
     fn on_entries(
         &mut self,
         now: Nanos,
@@ -173,7 +177,7 @@
             entries.retain(|entry| entry.number() > number_before);
             self.push_in_zone(&entries, now);
         } else {
-            // The sender may hold more.
+            // The sender may hold further entries; request them with a digest.
             self.send_digest(from, true, now);
         }
         self.advance_commit(now);
--- a/crates/replication/src/member/mod.rs
+++ b/crates/replication/src/member/mod.rs
@@ -35,8 +35,8 @@
 pub use settings::{Settings, SettingsError};
 use std::sync::Arc;
 
-/// Factor by which the byte budget of a control machine exceeds that of a server. A control machine sends
-/// nothing else.
+/// Factor by which the byte budget of a control machine exceeds that of a server. A control machine sends no
+/// other traffic than that of replication.
 const CONTROL_BYTES_FACTOR: u64 = 16;
 
 /// Counters of a member since its start.
@@ -85,11 +85,12 @@
     budget: SlidingWindow,
     /// The checkpoint transfer in progress.
     transfer: Option<SnapshotTransfer>,
-    /// No chunk is requested before this time.
+    /// Earliest time of the next chunk request, in Unix nanoseconds; delays the request when the byte budget
+    /// is used up.
     chunk_due: Nanos,
     /// State of a control machine; `None` on a server.
     control: Option<Control>,
-    /// The latest freshness statement of a leader among those whose log end this member has reached.
+    /// The latest freshness statement for which this member's log reaches the log end in the statement.
     freshness: Freshness,
     applier: Applier,
     /// The last known leader.
@@ -105,8 +106,9 @@
 }
 
 impl Member {
-    /// Creates a member that continues from the state on its disk, which [`Member::unsaved_state`] returned
-    /// on a control machine and [`Member::state_to_persist`] on a server.
+    /// Creates a member that continues from the state read from its disk. The state was returned by
+    /// [`Member::unsaved_state`] or [`Member::state_to_persist`] before the restart; a server uses only the
+    /// latter.
     ///
     /// # Errors
     /// If a setting is out of bounds.
@@ -150,7 +152,7 @@
         })
     }
 
-    /// The last committed revision held here.
+    /// Revision of the last committed entry that this member holds.
     pub fn revision(&self) -> Revision {
         self.log.revision()
     }
@@ -188,7 +190,7 @@
     /// Longest time, in nanoseconds, for which this member may have been missing a revision: the time since
     /// the latest freshness statement whose log end this member has reached. `None` before the first such
     /// statement. The statement carries the time of the leader's clock, so the age includes any difference
-    /// between the two clocks, but is never negative.
+    /// between the leader's clock and this member's clock, but is never negative.
     pub fn age(&self, now: Nanos) -> Option<Nanos> {
         let stated_at = self.freshness.at_ms * MILLISECOND_NS;
         (stated_at > 0).then(|| now.saturating_sub(stated_at))
@@ -198,7 +200,7 @@
         self.control.as_ref().map(|control| &control.progress)
     }
 
-    /// On a control machine: number of other members that participate in replication.
+    /// Number of other members that participate in replication, as known to a control machine; 0 on a server.
     pub fn members(&self) -> usize {
         self.members_except(&self.name)
     }
@@ -208,8 +210,8 @@
         self.progress().map_or(0, |progress| progress.count(others))
     }
 
-    /// On a control machine: the members that, according to their reports, have not applied the newest
-    /// revision.
+    /// The other members that, according to their reports to this control machine, have not applied the
+    /// newest revision; empty on a server.
     pub fn lagging(&self) -> Vec<LaggingMember> {
         let newest = self.log.complete().number();
         self.progress().map_or(Vec::new(), |progress| progress.lagging(self.peers.others(), newest))
@@ -220,15 +222,16 @@
         self.transfer.as_ref().map(SnapshotTransfer::pairs)
     }
 
-    /// Sets whether this control machine holds the lease on leadership of the log. Does nothing on a server.
+    /// Sets whether this control machine holds the lease that entitles it to lead the log. Does nothing on a
+    /// server.
     pub fn set_holds_lease(&mut self, holds: bool) {
         if let Some(control) = &mut self.control {
             control.replica.set_holds_lease(holds);
         }
     }
 
-    /// Appends a change to the log. Returns the number of the change's last entry; the change is committed
-    /// under this number if this member remains the leader.
+    /// Appends a change to the log. Returns the number of the change's last entry; the change will be
+    /// committed under this number if this member remains the leader.
     ///
     /// # Errors
     /// If this member is not the leader, or the change cannot be appended.
@@ -241,7 +244,7 @@
 
     /// Returns the revision that the host is to check and apply now, if any. Each revision is returned once.
     /// The host must answer with [`Member::on_applied`] or [`Member::on_rejected`] before it receives the
-    /// next one.
+    /// next revision.
     pub fn next_to_apply(&mut self) -> Option<Snapshot> {
         self.applier.next(&self.log)
     }
@@ -274,8 +277,8 @@
         due
     }
 
-    /// Appends committed entries to the log. Returns whether any of them was new. The leader pushes the
-    /// entries that it has committed itself to other members.
+    /// Appends committed entries to the log. Returns whether any entry was new. The leader pushes the new
+    /// entries to other members if their source is [`EntrySource::OwnMajority`].
     fn append_committed(&mut self, now: Nanos, entries: &[Entry], source: EntrySource) -> bool {
         let mut appended: Vec<Entry> = Vec::new();
         for entry in entries {
--- a/crates/replication/src/member/operator.rs
+++ b/crates/replication/src/member/operator.rs
@@ -1,5 +1,5 @@
 //! Operators' requests to the leader: submit a change, revert a change, and list the lagging members. A
-//! change is answered once it is committed.
+//! request to change the configuration is answered once the change is committed.
 
 use super::Member;
 use crate::change::Change;
@@ -25,12 +25,13 @@
     /// The configuration before the change can no longer be reconstructed from the entries held.
     #[error("the configuration before the change is not held any more")]
     BaseNotHeld,
-    /// A later change set one of the same keys, and reverting would undo it too.
+    /// A later change modified one of the keys of the change, so reverting the change would also undo the
+    /// later one.
     #[error("{key:?} was changed again by {number}")]
     ChangedSince { key: String, number: u64 },
 }
 
-/// Reason why a request is not carried out; its message is sent to the operator.
+/// Reason why a request is not carried out. The text of the error is sent to the operator.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 enum RequestError {
     #[error(transparent)]
@@ -66,8 +67,9 @@
 }
 
 impl Member {
-    /// Carries out an operator's request if this member is the leader. A repeated request receives the same
-    /// answer again and is not carried out twice.
+    /// Carries out an operator's request if this member is the leader. A request to change the configuration
+    /// is carried out only once: if it is repeated, the leader repeats the answer, or ignores the repetition
+    /// while the change is not committed yet.
     pub(super) fn on_operator_request(&mut self, now: Nanos, from: &str, message: Message) {
         let request = match &message {
             Message::Submit { request, .. }
@@ -103,8 +105,8 @@
         }
     }
 
-    /// Handles the result of a proposed change: remembers the request until its change is committed, or
-    /// answers it with the reason for the failure.
+    /// Handles the result of proposing a request's change. If the change was appended to the log, keeps the
+    /// request until the change is committed; otherwise answers the request with the reason for the failure.
     fn on_proposed(&mut self, request: RequestId, outcome: Result<u64, RequestError>, now: Nanos) {
         let Some(control) = &mut self.control else { return };
         match outcome {
@@ -123,8 +125,8 @@
         self.send(&to, &Message::Submitted { request, outcome }, now);
     }
 
-    /// Answers the requests whose changes are committed. If this member is no longer the leader, answers all
-    /// pending requests with [`Message::NotLeader`].
+    /// Answers the operators' requests whose changes are committed. If this member is no longer the leader,
+    /// answers all pending requests with [`Message::NotLeader`].
     pub(super) fn answer_requests(&mut self, now: Nanos) {
         let Some(control) = &mut self.control else { return };
         if control.replica.is_leader() {
@@ -140,7 +142,8 @@
     }
 
     fn send_status(&mut self, to: &str, request: RequestId, now: Nanos) {
-        // The operator's command is a member too, but applies no revisions, so the status leaves it out.
+        // The operator's command is itself a member, but applies no revisions, so it is not counted in the
+        // status.
         let members = self.members_except(to);
         let mut lagging = self.lagging();
         lagging.retain(|member| member.name != to);
--- a/crates/replication/src/member/reports.rs
+++ b/crates/replication/src/member/reports.rs
@@ -25,7 +25,8 @@
         self.report_soon(now);
     }
 
-    /// Brings the next report forward, so that a new outcome does not wait for the regular interval.
+    /// Brings the next report forward, so that a newly applied or rejected revision is reported before the
+    /// regular interval has passed.
     fn report_soon(&mut self, now: Nanos) {
         self.report_due = self.report_due.min(now + self.rng.next_u64() % REPORT_WITHIN_NS);
     }
--- a/crates/replication/src/member/snapshot_fetch.rs
+++ b/crates/replication/src/member/snapshot_fetch.rs
@@ -26,7 +26,7 @@
         if now < self.chunk_due || !transfer.is_due(now) {
             return;
         }
-        // A received chunk counts against the budget like a sent message.
+        // A chunk that this member receives counts against its byte budget like a message that it sends.
         if !self.budget.try_acquire(BODY_BYTES_MAX as u64, now) {
             self.chunk_due = now + CHUNK_RETRY_NS;
             return;
@@ -40,7 +40,8 @@
     }
 
     /// Starts a transfer of the offered checkpoint if it is newer than the log. A transfer in progress is
-    /// replaced only if the offered checkpoint is newer than its target by more than one checkpoint interval.
+    /// replaced only if the offered checkpoint is newer than the transferred one by more than one checkpoint
+    /// interval.
     pub(super) fn on_snapshot_offer(&mut self, from: &str, checkpoint: Revision, now: Nanos) {
         let number = checkpoint.number();
         let is_outdated =
@@ -91,7 +92,8 @@
         }
     }
 
-    /// Replaces the log with the transferred snapshot, unless the log has reached it in the meantime.
+    /// Replaces the log with the transferred snapshot, unless the log has already reached the snapshot's
+    /// revision.
     fn install_snapshot(&mut self, snapshot: Snapshot, now: Nanos) {
         if snapshot.number() <= self.log.number() {
             return;
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -22,9 +22,10 @@
 /// A leader's statement of where its committed log ended at a given time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Freshness {
-    /// Unix time in milliseconds by the leader's clock; 0 if no leader has made a statement yet.
+    /// When the leader made the statement, in Unix milliseconds on the leader's clock. The value 0 means that
+    /// no statement has been received.
     pub at_ms: u64,
-    /// Number of the last committed entry at that time.
+    /// Number of the last committed entry when the statement was made.
     pub number: u64,
 }
 
@@ -95,8 +96,8 @@
 /// A message between members.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Anti-entropy: summarizes the log that the sender holds. A receiver that holds more answers with
-    /// `Entries` or a `SnapshotOffer`.
+    /// Anti-entropy: summarizes the log that the sender holds. A receiver that holds further entries answers
+    /// with `Entries` or a `SnapshotOffer`.
     Digest {
         /// Number of the last entry in the sender's committed log.
         number: u64,
@@ -106,7 +107,8 @@
         location: Location,
         /// Some other members of the sender's zone, so that members of a zone discover each other.
         neighbours: Vec<String>,
-        /// Whether a receiver that holds less, or has a fresher statement, answers with its own digest.
+        /// Whether the receiver is to answer with its own digest if it holds fewer entries than the sender or
+        /// has a fresher statement.
         wants_reply: bool,
     },
     /// Transfers committed entries.
@@ -154,7 +156,7 @@
     },
     /// The leader's request for a member's progress report.
     PollReport,
-    /// Between replicas: a candidate requests a promise of its epoch, and log entries.
+    /// Between replicas: a candidate requests a promise of its epoch and the receiver's log entries.
     Prepare {
         /// The candidate's epoch.
         epoch: u64,
@@ -165,14 +167,14 @@
     Promise {
         /// The candidate's epoch.
         epoch: u64,
-        /// Position of the last entry of the replica's log, committed or not.
+        /// Position of the last entry of the sender's log, committed or not.
         last: Position,
         /// Number after which the entries begin.
         after: u64,
-        /// Entries of the replica's log, as many as fit into the message.
+        /// Entries of the sender's log, as many as fit into the message.
         entries: Vec<Entry>,
     },
-    /// Between replicas: rejects a message because the replica has promised a later epoch.
+    /// Between replicas: rejects a message because the sender of the rejection has promised a later epoch.
     EpochRejected {
         /// The promised epoch.
         promised: u64,
@@ -188,18 +190,18 @@
         /// Number of the last entry in the leader's committed log.
         committed: u64,
     },
-    /// Between replicas: acknowledges `Append`. The replica's log matches the leader's up to `number`.
+    /// Between replicas: acknowledges `Append`. The sender's log matches the leader's log up to `number`.
     Appended {
         /// The leader's epoch.
         epoch: u64,
-        /// Number up to which the logs match.
+        /// Number up to which the sender's log matches the leader's log.
         number: u64,
     },
-    /// Between replicas: rejects `Append` because the replica's log lacks the entry at `previous`.
+    /// Between replicas: rejects `Append` because the sender of the rejection lacks the entry at `previous`.
     AppendRejected {
         /// The leader's epoch.
         epoch: u64,
-        /// Highest number up to which the logs may match.
+        /// Highest number up to which the sender's log may match the leader's log.
         matched: u64,
     },
     /// An operator's change to the leader, or one part of it.
--- a/crates/replication/src/peers.rs
+++ b/crates/replication/src/peers.rs
@@ -9,7 +9,7 @@
 
 /// Interval at which the locations of members that are not alive any more are removed.
 const FORGET_INTERVAL_NS: Nanos = 60 * SECOND_NS;
-/// Maximum number of random draws per requested member of a sample.
+/// Maximum number of random draws for each member that a sample is to contain.
 const DRAWS_PER_MEMBER: usize = 8;
 
 /// The alive members, with their locations as far as known from their own or their neighbours' messages.
@@ -20,7 +20,7 @@
     /// Names of the alive members, including this one, sorted.
     alive: Arc<Vec<String>>,
     locations: HashMap<String, Location>,
-    /// Members by location. Contains exactly the members in `locations`.
+    /// Names of the members at each location. Contains exactly the members in `locations`.
     zones: BTreeMap<Location, Vec<String>>,
     forget_due: Nanos,
 }
@@ -31,8 +31,8 @@
         Peers { name: name.to_string(), ..Peers::default() }
     }
 
-    /// Sets the names of the alive members, sorted, as the membership view lists them. Regularly removes the
-    /// locations of members that are not alive any more.
+    /// Sets the names of the alive members, sorted, as the membership view lists them. At intervals, removes
+    /// the locations of members that are not alive any more.
     pub fn set_alive(&mut self, alive: &Arc<Vec<String>>, now: Nanos) {
         if !Arc::ptr_eq(&self.alive, alive) {
             self.alive = alive.clone();
@@ -77,7 +77,7 @@
 
     /// Returns a random sample of at most `count` different alive members of a zone. The number of draws is
     /// bounded, so that the time does not grow with the size of the zone. The sample may therefore be smaller
-    /// if many members of the zone have died.
+    /// than `count` if many members of the zone are not alive any more.
     pub fn sample_zone(&self, zone: &Location, count: usize, rng: &mut ChaCha8Rng) -> Vec<String> {
         let Some(members) = self.zones.get(zone) else { return Vec::new() };
         let mut sample: Vec<String> = Vec::new();
@@ -93,7 +93,8 @@
         sample
     }
 
-    /// Returns a random alive member of the fleet; `None` if this member itself was drawn.
+    /// Returns a random alive member of the fleet; `None` if the random draw selected this member itself, or
+    /// if no member is alive.
     pub fn sample_any(&self, rng: &mut ChaCha8Rng) -> Option<String> {
         pick(&self.alive, rng).filter(|name| **name != self.name).cloned()
     }
--- a/crates/replication/src/persistence.rs
+++ b/crates/replication/src/persistence.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// First bytes of every file; the last of them is the format version.
+/// First bytes of every file. The last of these bytes is the format version.
 const MAGIC: [u8; 8] = *b"MSREPL\0\x01";
 const LENGTH_BYTES: usize = 8;
 const CHECKSUM_BYTES: usize = 32;
@@ -19,7 +19,8 @@
     pub promised: u64,
     /// State after the last complete change known to be committed.
     pub committed: Snapshot,
-    /// Entries after `committed`. After a restart, the replica learns again which of them are committed.
+    /// Entries after `committed`. The file does not record which of these entries are committed; after a
+    /// restart, the replica learns this from the other replicas.
     pub entries: Vec<Entry>,
 }
 
--- a/crates/replication/src/progress.rs
+++ b/crates/replication/src/progress.rs
@@ -1,6 +1,6 @@
-//! Tracks on a replica which revision each member has applied, from the members' reports, and which members
-//! lag. A member of the fleet that has not reported is polled. A member that never answers is treated as
-//! non-participating: it is a server without replicated configuration, or an operator's command.
+//! Tracks which revision each member has applied, according to the members' reports to this replica, and
+//! which members lag. Members that lag or have not reported yet are polled. A member that never answers is
+//! treated as non-participating: it is a server without replicated configuration, or an operator's command.
 
 use crate::message::{Rejection, Report};
 use crate::time::{Nanos, SECOND_NS};
@@ -15,7 +15,7 @@
 const NON_PARTICIPATING_AFTER_POLLS: u32 = 3;
 /// Maximum number of members polled in one round.
 const POLLS_AT_ONCE_MAX: usize = 32;
-/// Number of revisions whose commit times are kept.
+/// Maximum number of revisions whose commit times are kept; the oldest are dropped.
 const COMMIT_TIMES_MAX: usize = 1024;
 
 /// Progress of one member.
--- a/crates/replication/src/replica/acceptor.rs
+++ b/crates/replication/src/replica/acceptor.rs
@@ -15,15 +15,15 @@
 }
 
 impl Replica {
-    /// Promises the candidate's epoch and sends it the log entries after number `after`. Rejects the request
-    /// if a later epoch is already promised.
+    /// Promises the candidate's epoch, and sends the candidate the log entries after number `after`. Rejects
+    /// the request if this replica has already promised a later epoch.
     pub(super) fn on_prepare(&mut self, from: &str, epoch: u64, after: u64, log: &CommittedLog) {
         if epoch < self.promised {
             return self.send(from, Message::EpochRejected { promised: self.promised });
         }
         self.adopt_epoch(epoch);
-        // This replica no longer holds entries that far back. The candidate receives them by gossip and then
-        // repeats its request.
+        // Send no promise if this replica no longer holds the entry at `after`. The candidate receives the
+        // missing entries by gossip, and then repeats its request with a higher number.
         if self.position(after, log).is_none() && after < log.number() {
             return;
         }
@@ -55,16 +55,16 @@
         self.uncommitted.iter().take_while(is_committed).cloned().collect()
     }
 
-    /// Whether this replica's log contains `position`. A committed number needs no comparison of epochs,
-    /// because committed logs are the same on all replicas.
+    /// Whether this replica's log has an entry at `position`. For a committed entry the epochs need not be
+    /// compared, because committed logs are the same on all replicas.
     fn holds(&self, position: Position, log: &CommittedLog) -> bool {
         let is_committed = position.number <= log.number();
         let agrees = is_committed || self.position(position.number, log) == Some(position);
         agrees && position.number <= self.last_position(log).number
     }
 
-    /// Stores the leader's entries, which follow number `previous`. Returns the last number up to which this
-    /// log matches the leader's.
+    /// Stores the leader's entries, which follow number `previous`. Returns the number up to which this
+    /// replica's log matches the leader's log.
     fn store_entries(&mut self, previous: u64, entries: Vec<Entry>, log: &CommittedLog) -> u64 {
         let mut matched = previous;
         for entry in entries {
@@ -76,8 +76,8 @@
             if number <= log.number() || self.position(number, log) == Some(entry.position()) {
                 continue;
             }
-            // A stored entry that differs from the leader's was never committed, and neither was any entry
-            // after it.
+            // Drop a stored entry that differs from the leader's entry, and all entries after it: none of
+            // them was ever committed.
             self.uncommitted.truncate((number - log.number() - 1) as usize);
             self.uncommitted.push(entry);
             self.is_unsaved = true;
--- a/crates/replication/src/replica/election.rs
+++ b/crates/replication/src/replica/election.rs
@@ -11,7 +11,8 @@
 use crate::time::Nanos;
 use std::collections::BTreeMap;
 
-/// Number of times that a candidate repeats its requests before it restarts the election with a later epoch.
+/// Number of times that a candidate repeats its requests for promises. After that, it restarts the election
+/// with a later epoch.
 const REPEATS_MAX: u32 = 10;
 
 /// The log of a replica that has promised the candidate's epoch, as far as the candidate has received it.
@@ -19,9 +20,9 @@
 struct PromisedLog {
     /// Position of the last entry of the replica's log.
     last: Position,
-    /// The replica's entries after the candidate's committed log, as far as received. The candidate checks
-    /// that each message starts where the previous one ended, and relies on the sending replica for entries
-    /// without gaps within a message.
+    /// Entries of the replica's log that follow the candidate's committed log, as far as received. The
+    /// candidate checks that each message starts where the previous one ended. Within one message, it relies
+    /// on the sending replica to leave no gaps.
     entries: Vec<Entry>,
 }
 
@@ -39,12 +40,12 @@
     promises: BTreeMap<String, PromisedLog>,
     /// When promises were last requested.
     requested_at: Nanos,
-    /// Number of times that the requests were repeated.
+    /// Number of times that the requests for promises were repeated.
     repeats: u32,
 }
 
 impl Candidate {
-    /// Time at which the requests are to be repeated, in nanoseconds.
+    /// When the candidate is to repeat its requests for promises, in Unix nanoseconds.
     pub(super) fn next_due(&self) -> Nanos {
         self.requested_at + REPEAT_AFTER_NS
     }
@@ -117,8 +118,8 @@
         }
     }
 
-    /// Records a replica's promise and the log entries that came with it. Requests the rest of the log if it
-    /// is not complete yet.
+    /// Records a replica's promise and the log entries that came with it. Requests the rest of the replica's
+    /// log if the candidate has not received it completely.
     pub(super) fn on_promise(&mut self, now: Nanos, from: &str, promise: Promise, log: &CommittedLog) {
         let Role::Candidate(candidate) = &mut self.role else { return };
         let Promise { epoch, last, after, entries } = promise;
@@ -128,20 +129,22 @@
         let empty = || PromisedLog { last, entries: Vec::new() };
         let known = candidate.promises.entry(from.to_string()).or_insert_with(empty);
         if known.last != last {
-            // The replica's log has changed since its last message: committed entries replaced its own.
+            // The log of the replica `from` ends at another position than in its previous message, because
+            // committed entries have replaced its uncommitted ones. Discard the entries received so far, so
+            // that they are requested again.
             *known = empty();
         }
         if after == known.reached(log) {
             known.entries.extend(entries);
         }
-        // Entries committed since the last message are in the committed log already.
+        // Drop the entries that have been committed in the meantime: the committed log contains them.
         known.entries.retain(|entry| entry.number() > log.number());
         self.send_prepares(log);
         self.lead_if_promised(now, log);
     }
 
-    /// Becomes the leader once a majority has promised and the most advanced log among the promises, the one
-    /// with the highest last position, has been received in full.
+    /// Becomes the leader once a majority has promised and the most advanced log has been received in full.
+    /// The most advanced log is the one with the highest last position among the replicas that have promised.
     fn lead_if_promised(&mut self, now: Nanos, log: &CommittedLog) {
         let Role::Candidate(candidate) = &self.role else { return };
         if candidate.promises.len() < self.majority() {
@@ -158,9 +161,9 @@
         self.uncommitted = entries;
         let LogEnd { state, undo } = self.log_end(log);
         self.role = Role::Leader(Leader::new(state));
-        // Earlier entries are committed only by an entry of the leader's own epoch (Raft, section 5.4.2), so
-        // the leader appends one at once. That entry also undoes an incomplete change, whose last entries
-        // the previous leader never appended.
+        // Entries of earlier epochs are committed only together with an entry of the leader's own epoch
+        // (Raft, section 5.4.2). The leader therefore appends an entry at once. The appended changes also
+        // undo an incomplete change, whose last entries the previous leader never appended.
         self.append_parts(split(undo), log);
         self.replicate(now, log);
     }
--- a/crates/replication/src/replica/leader.rs
+++ b/crates/replication/src/replica/leader.rs
@@ -13,7 +13,7 @@
 
 /// Maximum number of uncommitted entries; further changes are rejected as [`ProposeError::Busy`].
 const UNCOMMITTED_MAX: usize = 128;
-/// Longest time between two messages from the leader to a replica.
+/// Interval after which the leader sends a replica a message even if the replica lacks no entries.
 const HEARTBEAT_NS: Nanos = SECOND_NS;
 
 /// Replication progress of one replica, as known to the leader.
@@ -90,7 +90,8 @@
             return Err(ProposeError::Busy);
         }
         self.append_parts(parts, log);
-        // New entries are sent at once, without waiting for the next heartbeat.
+        // Make a message to each replica due, so that the new entries are sent at once and not with the next
+        // heartbeat.
         if let Role::Leader(leader) = &mut self.role {
             leader.progress.values_mut().for_each(|progress| progress.sent_at = None);
         }
@@ -133,7 +134,8 @@
         }
     }
 
-    /// Sends a replica the entries after number `matched`, up to which its log is known to match.
+    /// Sends a replica the entries after number `matched`, up to which the replica's log is known to match
+    /// the leader's log.
     fn send_append(&mut self, replica: &str, matched: u64, log: &CommittedLog) {
         // If the replica lags behind the oldest entry held here, send only the uncommitted entries: like
         // every member, the replica receives committed entries by gossip.
@@ -144,7 +146,8 @@
         self.send(replica, Message::Append { epoch, previous, entries, committed });
     }
 
-    /// Returns, in order, the uncommitted entries that have become committed; none unless this replica leads.
+    /// Returns, in order, the entries that have become committed but are not in the committed log yet.
+    /// Returns none if this replica is not the leader.
     ///
     /// An entry of an earlier epoch is not committed by being stored on a majority, since a leader with a
     /// different entry from an epoch in between may still replace it. Such an entry is committed together
@@ -163,7 +166,8 @@
         self.uncommitted.iter().take_while(is_stored).cloned().collect()
     }
 
-    /// Handles a replica's acknowledgement that it has stored entries, and sends the next ones at once.
+    /// Handles a replica's acknowledgement that it has stored entries, and sends it the next missing entries
+    /// at once.
     pub(super) fn on_appended(
         &mut self,
         now: Nanos,
@@ -186,8 +190,8 @@
         }
     }
 
-    /// Handles a rejection from a replica that lacks the entry preceding the sent ones: sends entries from
-    /// further back.
+    /// Handles a rejection from a replica that lacks the entry preceding those that were sent: sends the
+    /// entries after `matched` instead, which is a lower number.
     pub(super) fn on_append_rejected(&mut self, from: &str, epoch: u64, matched: u64, log: &CommittedLog) {
         // If the leader no longer holds the entry at `matched`, the replica catches up by gossip and the next
         // heartbeat succeeds.
--- a/crates/replication/src/replica/mod.rs
+++ b/crates/replication/src/replica/mod.rs
@@ -40,7 +40,7 @@
     /// term for the leader.
     #[error("not the publisher any more")]
     NotLeader,
-    /// Too many entries are uncommitted.
+    /// The log already has too many uncommitted entries.
     #[error("too much waits to be committed: try again")]
     Busy,
     /// A key or a value is out of bounds.
@@ -129,14 +129,14 @@
         self.replicas.len() / 2 + 1
     }
 
-    /// Whether this replica considers itself the leader: a majority has promised its epoch, and it has not
-    /// learned of a later one.
+    /// Whether this replica considers itself the leader: a majority has promised this replica's epoch, and
+    /// this replica has not learned of a later epoch.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
-    /// Sets whether this replica holds the lease. Without it a leader steps down to follower; the next leader
-    /// completes the entries that were being replicated.
+    /// Sets whether this replica holds the lease. A leader that loses the lease steps down to follower. The
+    /// next leader finishes replicating its uncommitted entries, or replaces them.
     pub fn set_holds_lease(&mut self, holds: bool) {
         self.holds_lease = holds;
         if !holds {
@@ -159,8 +159,8 @@
     }
 
     /// Updates the uncommitted entries after the committed log has grown, through this replica or by gossip.
-    /// Drops entries whose numbers are now committed. If the committed entry at the end differs from the one
-    /// stored here, drops all later entries too.
+    /// Drops entries whose numbers are now committed. If this replica had stored a different entry under the
+    /// number of the last committed entry, drops all uncommitted entries and steps down to follower.
     pub fn follow(&mut self, log: &CommittedLog) {
         let end = log.revision().position;
         let Some(first) = self.uncommitted.first() else { return };
@@ -170,13 +170,14 @@
         let agrees = self.uncommitted.iter().any(|entry| entry.position() == end);
         self.uncommitted.retain(|entry| agrees && entry.number() > end.number);
         if !agrees {
-            // Another leader's entries were committed under the same numbers.
+            // Entries of another leader were committed under numbers that this replica had used for its own
+            // entries.
             self.role = Role::Follower;
         }
     }
 
-    /// Performs the work that is due for the current role: starts an election, repeats requests, or sends
-    /// entries and heartbeats. Does nothing without the lease.
+    /// Performs the work that is due for the current role: a follower starts an election, a candidate repeats
+    /// its requests for promises, and a leader sends entries and heartbeats. Does nothing without the lease.
     pub fn advance(&mut self, now: Nanos, log: &CommittedLog) {
         if !self.holds_lease {
             return;
@@ -221,8 +222,8 @@
         PersistedState { promised: self.promised, committed: log.complete().clone(), entries }
     }
 
-    /// Drops the queued messages, which depend on state that could not be written. Their receivers repeat
-    /// their requests.
+    /// Drops the queued messages, which depend on state that could not be written to disk. Other replicas
+    /// repeat the requests that remain unanswered.
     pub fn drop_outgoing(&mut self) {
         self.outgoing.clear();
     }
@@ -262,7 +263,8 @@
         Vec::new()
     }
 
-    /// Promises `epoch` if it is later than the promised one, and steps down to follower.
+    /// Promises `epoch` and steps down to follower, if `epoch` is later than the highest epoch promised so
+    /// far.
     fn adopt_epoch(&mut self, epoch: u64) {
         if epoch > self.promised {
             self.promised = epoch;
--- a/crates/replication/src/requests.rs
+++ b/crates/replication/src/requests.rs
@@ -6,16 +6,17 @@
 use crate::message::{RequestId, RequestOutcome};
 use std::collections::{HashMap, VecDeque};
 
-/// Number of requests whose outcomes are kept.
+/// Maximum number of answered requests whose outcomes are kept; the oldest outcomes are dropped.
 const OUTCOMES_MAX: usize = 256;
-/// Maximum number of changes that are being assembled from parts at the same time.
+/// Maximum number of changes that are assembled from parts at the same time. Parts of further changes are
+/// ignored.
 const ASSEMBLING_MAX: usize = 16;
 
 /// A request whose change is in the log but not committed yet.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingRequest {
     pub(crate) request: RequestId,
-    /// Number of the change's last entry. The change is committed once the committed log reaches it.
+    /// Number of the change's last entry. The change is committed once the committed log reaches this number.
     pub(crate) number: u64,
 }
 
@@ -38,8 +39,9 @@
 }
 
 impl Requests {
-    /// Adds one part of a change. Returns the whole change once all `parts` have been received; `None` before
-    /// that, and for a part that is out of bounds or exceeds the number of changes assembled at once.
+    /// Adds one part of a change. Returns the whole change once all `parts` have been received, and `None`
+    /// before that. Ignores the part and returns `None` if `part` or `parts` is out of bounds, or if the part
+    /// belongs to a further change while [`ASSEMBLING_MAX`] changes are already being assembled.
     pub(crate) fn assemble(
         &mut self,
         request: &RequestId,
@@ -62,7 +64,8 @@
         Some(received.into_iter().flatten().flatten().collect())
     }
 
-    /// The outcome that a request was answered with, if it is still kept.
+    /// The outcome with which a request was answered; `None` if the request was not answered or the outcome
+    /// is not kept any more.
     pub(crate) fn outcome(&self, request: &RequestId) -> Option<&RequestOutcome> {
         self.answered.iter().find(|answered| answered.request == *request).map(|answered| &answered.outcome)
     }
--- a/crates/replication/src/simulation/event.rs
+++ b/crates/replication/src/simulation/event.rs
@@ -11,6 +11,7 @@
     Due { node: usize, incarnation: u64 },
     /// A node's host has checked a revision and is ready to write and apply it.
     Applied { node: usize, incarnation: u64, snapshot: Box<Snapshot> },
-    /// The membership view and the lease are updated to the current state of the nodes.
+    /// The membership view and the lease are updated to reflect which nodes are currently running and
+    /// reachable.
     View,
 }
--- a/crates/replication/src/simulation/host.rs
+++ b/crates/replication/src/simulation/host.rs
@@ -40,8 +40,8 @@
         self.run_host(index);
     }
 
-    /// Does the host's work after each call of a member: writes the state, starts applying a revision, sends
-    /// messages, and schedules the next call.
+    /// Performs the work of a node's host after each call of its member: writes the member's state, starts
+    /// applying a revision, sends messages, and schedules the next call.
     pub(super) fn run_host(&mut self, index: usize) {
         let now = self.now;
         let node = &mut self.nodes[index];
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Completes the host's check of a revision: writes and applies it, or rejects it.
+    /// Ends the host's check of a revision: writes and applies the revision, or rejects it.
     fn on_applied(&mut self, index: usize, snapshot: Snapshot) {
         let node = &mut self.nodes[index];
         let Some(member) = &mut node.member else { return };
--- a/crates/replication/src/simulation/mod.rs
+++ b/crates/replication/src/simulation/mod.rs
@@ -179,8 +179,7 @@
     }
 
     /// Runs the simulation until `is_done` returns true. Returns the elapsed simulated time in nanoseconds,
-    /// or
-    /// `None` if it would exceed `limit`.
+    /// or `None` if it would exceed `limit`.
     pub fn run_until(&mut self, limit: Nanos, mut is_done: impl FnMut(&Fleet) -> bool) -> Option<Nanos> {
         let started_at = self.now;
         while self.now - started_at <= limit {
--- a/crates/replication/src/snapshot_transfer.rs
+++ b/crates/replication/src/snapshot_transfer.rs
@@ -9,8 +9,8 @@
 
 /// Time after which an unanswered request for a chunk is repeated to another member.
 const CHUNK_TIMEOUT_NS: Nanos = SECOND_NS;
-/// Maximum number of consecutive unanswered requests. After more, the transfer is abandoned; the next offer
-/// starts a new one.
+/// Maximum number of consecutive unanswered requests. After more unanswered requests, the transfer is
+/// abandoned; the next offer of a checkpoint starts a new transfer.
 const ATTEMPTS_MAX: u32 = 16;
 
 /// A request for a chunk that has not been answered yet.
@@ -26,8 +26,8 @@
 pub struct SnapshotTransfer {
     /// Revision of the checkpoint.
     target: Revision,
-    /// The member to send the next request to, which is the last member that offered the checkpoint or sent a
-    /// chunk. `None` after that member has left a request unanswered.
+    /// The member to send the next request to: the member that sent the last chunk or, before the first
+    /// chunk, offered the checkpoint. `None` after that member has left a request unanswered.
     source: Option<String>,
     /// Number of requests since the last chunk was received.
     attempts: u32,
@@ -118,7 +118,8 @@
             self.state.set(&pair.key, &pair.value);
             self.after = Some(pair.key.clone());
         }
-        // Keep requesting from the member that answered: it holds the checkpoint, while most others do not.
+        // Send the next request to the member that answered this one: it holds the checkpoint, while most
+        // other members do not.
         self.source = self.pending.take().map(|pending| pending.source);
         self.attempts = 0;
         if chunk.is_last {
@@ -127,9 +128,9 @@
         if chunk.pairs.is_empty() { ChunkOutcome::Invalid } else { ChunkOutcome::Continue }
     }
 
-    /// Whether a pair follows the last one and is within bounds. The bounds are those of
-    /// [`crate::change::Change::check`], except that an empty key is accepted here: no committed content has
-    /// one, so a checkpoint with an empty key fails the comparison of its hash.
+    /// Whether the key of a pair follows the last received key, and the pair is within bounds. The bounds are
+    /// those of [`crate::change::Change::check`], except that an empty key is accepted here: no committed
+    /// content has one, so a checkpoint with an empty key fails the comparison of its hash.
     fn may_add(&self, Pair { key, value }: &Pair) -> bool {
         self.after.as_ref().is_none_or(|before| before < key)
             && key.len() <= KEY_BYTES_MAX
--- a/crates/replication/src/state.rs
+++ b/crates/replication/src/state.rs
@@ -94,7 +94,8 @@
         }
     }
 
-    /// Returns the changes that reset all keys of `changes` to their values in this state.
+    /// Returns the changes that reset all keys of `changes` to their values in this state; keys without a
+    /// value here are removed.
     pub fn inverse(&self, changes: &[Change]) -> Vec<Change> {
         changes.iter().map(|change| self.restore_change(&change.key)).collect()
     }
--- a/crates/replication/tests/fleet.rs
+++ b/crates/replication/tests/fleet.rs
@@ -91,7 +91,8 @@
         .expect("all members report to the leader that they have applied the change");
 }
 
-/// Pushes reach nearly all members at once. Pulls, which are rare in this layout, reach the others.
+/// Pushes deliver a change to nearly all members at once. Pulls, which are rare in this layout, deliver it to
+/// the others.
 #[test]
 fn pushes_carry_a_change_and_pulls_repair_what_they_miss() {
     let mut fleet = settled_fleet(Layout { pull_period: 2 * S, ..layout() }, 15);
@@ -104,7 +105,7 @@
     assert!(took <= 8.0, "{took} s");
 }
 
-/// A member that receives many digests at once answers with at most its byte budget.
+/// A member that receives many digests at once sends no more bytes in answer than its byte budget allows.
 #[test]
 fn digests_beyond_the_budget_of_bytes_are_not_answered() {
     let mut fleet = settled_fleet(layout(), 16);
@@ -153,7 +154,7 @@
     }
 }
 
-/// A large change is sent as several entries. No member applies a part of it.
+/// A large change is sent as several entries. No member applies only some of these entries.
 #[test]
 fn a_change_of_many_entries_is_applied_as_a_whole() {
     let mut fleet = settled_fleet(layout(), 4);
@@ -176,7 +177,8 @@
         run_until_applied(&mut fleet, &all(), first, 10);
         let old = fleet.leader().unwrap();
         fleet.propose(large_change(0, 200)).unwrap();
-        // One of the other replicas receives the change, the other is partitioned.
+        // Only one of the two other replicas receives the change, because the network to the other one is
+        // partitioned.
         fleet.set_group((old + 1) % REPLICAS, 1);
         fleet.cut(0, 1);
         fleet.run_for(at * 15 * MS);
@@ -195,8 +197,8 @@
     }
 }
 
-/// Two replicas hold the lease at the same time. Only one of them commits changes; the uncommitted changes of
-/// the other are dropped.
+/// Two replicas hold the lease at the same time. Only one of the two commits changes; the uncommitted changes
+/// of the other replica are dropped.
 #[test]
 fn only_one_of_two_simultaneous_lease_holders_commits() {
     let mut fleet = Fleet::new(layout(), 6);
@@ -271,8 +273,8 @@
     fleet.run_for(S);
     let servers: Vec<usize> = (REPLICAS..SIZE).collect();
     assert!(fleet.all_applied(&servers, number));
-    // A server with an empty disk fetches the revision from its neighbours, although none of them holds its
-    // entries any more.
+    // The restarted servers hold the revision as a snapshot without log entries. A server with an empty disk
+    // fetches this snapshot from them.
     fleet.crash(9);
     fleet.truncate_disk(9, 0.0);
     fleet.start(9);
@@ -325,8 +327,8 @@
     run_until_applied(&mut fleet, &all(), third, 10);
 }
 
-/// A leader whose disk is full must not count entries that it could not write. It commits nothing and is
-/// replaced by another leader.
+/// A leader whose disk is full must not count itself among the replicas that have stored an entry. It commits
+/// nothing and is replaced by another leader.
 #[test]
 fn a_leader_with_a_full_disk_commits_nothing_and_is_replaced() {
     let mut fleet = settled_fleet(layout(), 11);
@@ -348,8 +350,8 @@
 }
 
 /// Servers that reject a revision, such as older servers that do not know a configuration element, keep their
-/// last revision, while the others apply the new one. A later revision that all servers accept is applied by
-/// all.
+/// last revision, while the other servers apply the new revision. A later revision that all servers accept is
+/// applied by all.
 #[test]
 fn servers_that_reject_a_revision_keep_their_last_one() {
     let mut fleet = settled_fleet(layout(), 12);
@@ -386,18 +388,18 @@
         let message = Message::Entries { entries, leader: Some(member_name(0)), pushed: true, newest: 0 };
         fleet.inject(20, 3, message.encode());
     };
-    // A replay of known entries.
+    // Entries that the member holds already.
     send(&mut fleet, known);
     let at = |number: u64, epoch: u64| Position { epoch, number };
     let hash = before.hash();
     let entry = |at, changes| Entry { revision: Revision { position: at, hash }, changes, partial: false };
-    // The next number with a hash that does not match its content.
+    // An entry with the next number, whose hash does not match the resulting content.
     send(&mut fleet, vec![entry(at(second + 1, 1 << 40), small_change(9))]);
-    // A number far ahead of the log.
+    // An entry whose number leaves a gap after the end of the log.
     send(&mut fleet, vec![entry(at(second + 9, 1 << 40), Vec::new())]);
-    // An epoch lower than that of the last entry.
+    // An entry whose epoch is lower than that of the last entry in the log.
     send(&mut fleet, vec![entry(at(second + 1, 0), Vec::new())]);
-    // A key that is too long.
+    // An entry that removes a key longer than the maximum.
     let long = Change { key: "k".repeat(200), value: None };
     send(&mut fleet, vec![entry(at(second + 1, 1 << 40), vec![long])]);
     fleet.inject(20, 3, vec![7; 5000]);
@@ -434,7 +436,8 @@
     };
     fleet.run_until(60 * S, is_in_progress).expect("the server fetches a checkpoint");
     let pairs_before = fleet.member(late).and_then(Member::transferred_pairs).unwrap();
-    // Crash the other servers of its zone and half of the servers elsewhere.
+    // Crash the other servers in the zone of the server that fetches the checkpoint, and half of the servers
+    // in the other zones.
     for node in (REPLICAS..late).filter(|node| node % 6 == late % 6 || node % 2 == 0) {
         fleet.crash(node);
     }
@@ -492,8 +495,8 @@
     fleet.run_for(6 * S);
     fleet.set_holds_lease(0, true);
     fleet.run_until(60 * S, |fleet| fleet.leader() == Some(0)).expect("node 0 becomes the leader");
-    // Uncommitted entries of the previous leader may fill the log of the new one at first, so that it rejects
-    // changes as busy.
+    // At first, uncommitted entries of the previous leader may fill the log of the new leader, which then
+    // rejects changes as busy.
     let proposed = (0..100).find_map(|_| {
         let number = fleet.propose(small_change(1));
         fleet.run_for(200 * MS);
--- a/crates/replication/tests/operator.rs
+++ b/crates/replication/tests/operator.rs
@@ -1,5 +1,5 @@
-//! Operators' requests to a fleet with a single replica, and the answers to them, whose texts are those of
-//! release 0.2.0.
+//! Operators' requests to a fleet with a single replica, and the answers to these requests. The texts of the
+//! answers are the same as in release 0.2.0.
 
 use meadowstream_replication::change::Change;
 use meadowstream_replication::member::{Member, Settings};
@@ -10,7 +10,7 @@
 const NOW: u64 = 1_700_000_000_000_000_000;
 const OPERATOR: &str = "publish-1";
 
-/// Persists the member's state and returns the queued messages to the operator.
+/// Persists the member's state. Returns the messages that the member has queued for the operator.
 fn answers(member: &mut Member) -> Vec<Message> {
     while let Some(state) = member.unsaved_state() {
         member.on_persisted(&state, NOW);
@@ -59,7 +59,7 @@
     vec![Message::Submitted { request: request(number), outcome }]
 }
 
-/// The change has number 2, since the leader appends entry 1 when it is elected.
+/// The operator's first change has number 2, since the leader appends entry 1 when it is elected.
 #[test]
 fn a_change_is_answered_once_it_is_committed_and_a_repetition_commits_nothing() {
     let mut member = leader();
--- a/crates/replication/tests/replica.rs
+++ b/crates/replication/tests/replica.rs
@@ -16,7 +16,8 @@
     Member::new("s0", Settings::new(Location::default(), replicas), 1, NOW, disk).unwrap()
 }
 
-/// The messages between replicas among the queued ones.
+/// Removes all messages that the member has queued, and returns them without digests and reports, so that
+/// only messages between replicas remain.
 fn replica_messages(member: &mut Member) -> Vec<Message> {
     let all = member.take_outgoing().into_iter().filter_map(|outgoing| Message::decode(&outgoing.body));
     all.filter(|message| !matches!(message, Message::Digest { .. } | Message::Report { .. })).collect()
@@ -43,8 +44,8 @@
     }
 }
 
-/// A replica that lost its promise in a restart would store entries of an earlier leader that the later
-/// leader does not know about.
+/// A replica that forgot its promise in a restart would store entries of an earlier leader, of which the
+/// later leader would not know.
 #[test]
 fn a_promise_is_on_disk_before_it_is_sent() {
     let mut member = replica(None);
