--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -1,4 +1,5 @@
-//! One member's part in anti-entropy and verdicts. [`crate::messages`] describes the protocol.
+//! Anti-entropy (comparison of views between members) and verdicts, as performed by one member.
+//! [`crate::messages`] describes the protocol.
 
 use crate::digest;
 use crate::envelope::{DropReason, ENVELOPE_BYTES, PayloadKind};
@@ -11,10 +12,12 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-/// Divisor of the announce period that yields the jitter of the anti-entropy period. The jitter prevents
-/// members that were started together from staying in step.
+/// Divisor that yields the jitter of the interval between comparisons of views: the interval is the announce
+/// period, varied at random within a range of the announce period divided by this number. The jitter prevents
+/// members that were started together from comparing their views at the same times.
 const JITTER_DIVISOR: Nanos = 8;
-/// Number of probe periods after which views that are known to differ are compared again.
+/// Number of probe periods after which a member compares its view again, if it knows that the view may still
+/// differ from another member's view.
 const REPEAT_PROBE_PERIODS: Nanos = 2;
 
 impl Membership {
@@ -35,8 +38,8 @@
         }
     }
 
-    /// Answers a digest with this member's entries of the differing buckets, and requests the sender's
-    /// entries.
+    /// Compares a received digest with that of this member's view. If buckets differ, sends the members in
+    /// these buckets to the sender of the digest, and requests the sender's members in the same buckets.
     fn handle_digest(&mut self, from: &MemberId, bucket_hashes: &[u32]) {
         let differing = digest::differing_buckets(&self.digest(), bucket_hashes);
         if differing != 0 {
@@ -50,12 +53,12 @@
         requested_buckets: u64,
         members: Vec<Member<MemberId>>,
     ) -> Result<(), DropReason> {
-        // A list may contain only alive and suspect members. Members that are down are reported by gossip or
-        // verdicts, which the member itself can refute.
+        // Reject a list that contains a member that is down. Members that are down are reported only by
+        // gossip or by verdicts, which the member in question can refute.
         if members.iter().any(|member| !has_valid_name(member.id()) || member.state() == State::Down) {
             return Err(DropReason::Protocol);
         }
-        // Answer before applying the list, so that its entries are not sent back to the sender.
+        // Answer before applying the received list, so that its members are not sent back to their sender.
         if requested_buckets != 0 {
             self.send_members(from, requested_buckets, 0);
             self.repeat_anti_entropy_soon();
@@ -83,8 +86,8 @@
         }
         let mut effects = FocaEffects::default();
         let applied = self.foca.apply_many(std::iter::once(member), true, &mut effects);
-        // Every foca packet contains the sender's SWIM incarnation in its header, so that any packet to the
-        // sender of the verdict acts as the refutation.
+        // The announcement acts as the refutation of the verdict, because every foca packet contains its
+        // sender's SWIM incarnation in the header.
         let _ = self.foca.announce(from, &mut effects);
         self.apply(effects);
         applied.map_err(|_| DropReason::Protocol)
@@ -96,15 +99,16 @@
         digest::digest(members.chain(std::iter::once(self.identity())))
     }
 
-    /// Sends the alive and suspect members of `buckets`, as far as the send budget allows.
+    /// Sends the alive and suspect members in the set of buckets `buckets`, including this member, to the
+    /// member `to`. Stops when the send budget is used up.
     fn send_members(&mut self, to: &MemberId, buckets: u64, requested_buckets: u64) {
         let me = self.identity().clone();
         let own = Member::alive(me.clone());
         let known = self.foca.iter_members().cloned().chain(std::iter::once(own));
         let mut members: Vec<_> =
             known.filter(|member| digest::is_in_buckets(buckets, member.id())).collect();
-        // Start at a random member, so that members left out because of the budget or the limit on answers
-        // are sent in a later exchange.
+        // Start the list at a random member. Members that are left out, because of the send budget or the
+        // maximum number of answers, are then likely to be sent in a later exchange.
         let start = self.random_below(members.len());
         members.rotate_left(start);
         for body in messages::encode_members(&me, requested_buckets, &members, self.sealer.body_max()) {
@@ -116,16 +120,17 @@
         }
     }
 
-    /// Schedules the next comparison of views earlier than after a full announce period, because the view is
-    /// known to differ from another member's.
+    /// Brings the next comparison of views forward, which would otherwise be due a full announce period after
+    /// the previous one. Called when this member's view may still differ from another member's view.
     fn repeat_anti_entropy_soon(&mut self) {
         let soon = self.now + REPEAT_PROBE_PERIODS * self.probe_period;
         self.anti_entropy_at = self.anti_entropy_at.min(soon);
     }
 
-    /// Among the listed members that this member has recorded as down in the same incarnation, picks one at
-    /// random and sends the verdict to it and to the sender of the list. Only one verdict per list is sent,
-    /// so that the traffic sent stays in proportion to the traffic received.
+    /// Picks a random member among those of `listed` that this member has recorded as down in the listed
+    /// incarnation. Sends the verdict that this member is down to the member itself and to `from`, the sender
+    /// of the list. The verdict concerns only one member per list, so that the traffic sent stays in
+    /// proportion to the traffic received.
     fn send_verdict_on_random_down_member(&mut self, from: &MemberId, listed: &[Member<MemberId>]) {
         let known = self.foca.iter_membership_state();
         let down: HashSet<&MemberId> =
@@ -144,17 +149,18 @@
         self.send_verdict(from.addr, Member::down(target));
     }
 
-    /// Suspects a member that another member has recorded as down, if this member has it as alive in the same
-    /// incarnation. Otherwise a crash of which gossip did not inform this member would be detected only by
-    /// its own probes, which can take as many probe periods as there are members. A member that is running
-    /// refutes the suspicion or takes its next incarnation.
+    /// Records as suspect a member that another member has recorded as down, if it is alive in this view in
+    /// the same incarnation. Without this, a crash about which gossip did not inform this member would be
+    /// detected only by this member's own probes, which can take as many probe periods as there are members.
+    /// If the suspect is running, it refutes the suspicion or takes its next incarnation.
     fn suspect(&mut self, id: &MemberId) {
         let is_alive = |member: &&Member<MemberId>| member.id() == id && member.state() == State::Alive;
         let alive = self.foca.iter_members().find(is_alive);
         let Some(refutations) = alive.map(Member::incarnation) else { return };
         let suspected = Member::new(id.clone(), refutations, State::Suspect);
         let mut effects = FocaEffects::default();
-        // If foca does not apply the suspicion, the next comparison of views raises it again.
+        // Errors can be ignored: if foca does not apply the suspicion, the next comparison of views raises it
+        // again.
         let _ = self.foca.apply_many(std::iter::once(suspected), true, &mut effects);
         self.apply(effects);
     }
@@ -170,8 +176,8 @@
         self.send(to, PayloadKind::AntiEntropy, &message.encode());
     }
 
-    /// Sends the digest of this view to a random other member, alive or down, and announces this server to a
-    /// random seed that is not in its view.
+    /// Sends the digest of this member's view to a random other member, which may be down, and announces this
+    /// server to a random seed that is not in its view.
     pub(crate) fn start_anti_entropy(&mut self) {
         let jitter = self.announce_period / JITTER_DIVISOR;
         let delay = self.rng.next_u64() % jitter.max(1);
@@ -186,14 +192,14 @@
         self.announce_to_unknown_seed();
     }
 
-    /// Announces this server to a random seed that is not in its view. Parts of a fleet that were partitioned
-    /// for longer than members are kept as down no longer know each other, and rediscover each other through
-    /// the seeds.
+    /// Announces this server to a random seed that is not in its view. After a partition that lasts longer
+    /// than members recorded as down are kept in the view, the parts of the fleet no longer know each other.
+    /// They rediscover each other through the seeds.
     fn announce_to_unknown_seed(&mut self) {
         let known: HashSet<SocketAddr> = self.foca.iter_members().map(|member| member.id().addr).collect();
         let seeds = self.rejoin.seeds.iter().copied();
         let unknown: Vec<SocketAddr> = seeds.filter(|seed| !known.contains(seed)).collect();
-        // A member that knows no other member announces itself to all seeds instead, see `rejoin`.
+        // If this member knows no other member, `rejoin` announces it to all seeds instead.
         if known.is_empty() || unknown.is_empty() {
             return;
         }
--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -8,8 +8,8 @@
 /// Number of buckets in a digest. A set of buckets is represented by the bits of a `u64`.
 pub const BUCKETS: usize = 64;
 
-/// Bucket of a member. The bucket depends only on the address, so that all incarnations of a member are in
-/// the same bucket.
+/// Number of the bucket that contains a member. The bucket depends only on the member's address, so that all
+/// incarnations of a member are in the same bucket.
 pub fn bucket(id: &MemberId) -> usize {
     let mut hasher = SipHasher13::new();
     id.addr.hash(&mut hasher);
@@ -21,7 +21,7 @@
     buckets & (1 << bucket(id)) != 0
 }
 
-/// Hash of a member in one incarnation.
+/// Hash of a member's address and incarnation.
 fn hash(id: &MemberId) -> u32 {
     let mut hasher = SipHasher13::new();
     (id.addr, id.incarnation).hash(&mut hasher);
@@ -29,7 +29,7 @@
 }
 
 /// Computes the digest of a view. The hash of each bucket is the exclusive or of the hashes of its members,
-/// so that their order does not matter.
+/// so that the order of the members does not matter.
 pub fn digest<'a>(members: impl Iterator<Item = &'a MemberId>) -> Vec<u32> {
     let mut hashes = vec![0; BUCKETS];
     for id in members {
--- a/crates/membership/src/directory.rs
+++ b/crates/membership/src/directory.rs
@@ -8,7 +8,8 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Age at which the directory is rebuilt even without a noticed change of the view, in case one was missed.
+/// Age at which the directory is rebuilt even if no change of the view was detected, in case a change was
+/// missed.
 const AGE_MAX_NS: Nanos = 10_000_000_000;
 
 /// Addresses of the alive and suspect members, by name.
@@ -19,7 +20,7 @@
     built_from: Option<ViewVersion>,
 }
 
-/// Identifies the state of the view from which a directory was built.
+/// Version of the view from which a directory was built.
 #[derive(Debug)]
 struct ViewVersion {
     last_change: Nanos,
--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -1,5 +1,5 @@
 //! Sending of datagrams within a budget of bytes per second. Gossip and lists of members are postponed when
-//! the budget is used up. Probes, their answers and verdicts are charged to the budget but always sent at
+//! the budget is used up. Probes, answers to probes and verdicts are charged to the budget but always sent at
 //! once, so that failure detection is not delayed.
 
 use crate::envelope::{ENVELOPE_BYTES, PayloadKind};
@@ -10,7 +10,8 @@
 
 /// Estimated size of one member update in a gossip packet, in bytes.
 const UPDATE_BYTES: usize = 64;
-/// Divisor of the budget that yields the reserve, which only probes, their answers and verdicts may use.
+/// Divisor that yields the reserved part of the budget: the bytes per second divided by this number. Gossip
+/// and lists of members must not use the reserved part, which is left to probes, their answers and verdicts.
 const RESERVE_DIVISOR: u64 = 8;
 
 /// Budget of bytes per second for the datagrams of the membership protocol.
@@ -46,8 +47,8 @@
         self.window.force_acquire(bytes, now);
     }
 
-    /// Whether the budget allows a gossip round with this number of updates. Packets with few updates are
-    /// short.
+    /// Whether the budget allows a gossip round with this number of updates. The size of a gossip packet is
+    /// estimated from the number of updates, because packets with few updates are shorter than the maximum.
     fn allows_gossip(&mut self, updates: usize, now: Nanos) -> bool {
         let body = (UPDATE_BYTES * (updates + 1)).min(self.gossip_packet_bytes);
         let round = GOSSIP_MEMBERS * (body + ENVELOPE_BYTES);
--- a/crates/membership/src/envelope.rs
+++ b/crates/membership/src/envelope.rs
@@ -86,18 +86,19 @@
     /// The tag does not match: the datagram is forged, corrupted, or sealed with another key.
     #[error("the tag does not match")]
     Tag,
-    /// The sequence number was already accepted or is too old, or the incarnation is older than one already
-    /// received from the address.
+    /// The sequence number was already accepted or is before the replay window, or the incarnation is lower
+    /// than one already received from the sender's address.
     #[error("a replay")]
     Replay,
-    /// The datagram is authentic, but its payload was dropped: foca or anti-entropy rejected it, or too many
-    /// bodies of shared state wait for the caller, which is not the sender's fault.
+    /// The datagram is authentic, but its payload was dropped. Either foca or anti-entropy rejected the
+    /// payload, or too many bodies of shared state are already waiting for the caller; the latter is not the
+    /// sender's fault.
     #[error("the payload was rejected")]
     Protocol,
 }
 
 impl DropReason {
-    /// All reasons, in the order in which the log lists their counts.
+    /// All reasons, in the order in which the log lists the counts of dropped datagrams.
     pub const ALL: [DropReason; 9] = [
         DropReason::Short,
         DropReason::Oversized,
@@ -146,7 +147,8 @@
         mac
     }
 
-    /// Encloses a body in an authenticated datagram. Returns `None` if the body is longer than allowed.
+    /// Encloses a body in an authenticated datagram. Returns `None` if the body is longer than
+    /// [`Sealer::body_max`].
     pub fn seal(&self, kind: PayloadKind, incarnation: u64, sequence: u64, body: &[u8]) -> Option<Vec<u8>> {
         if body.len() > self.body_max {
             return None;
@@ -167,8 +169,7 @@
 
     /// Checks a datagram and returns its content. The check for replays is left to the caller.
     ///
-    /// # Errors
-    /// The reason that belongs to the first check that the datagram fails.
+    /// # Errors Returns the reason for the first failed check.
     pub fn open<'a>(&self, datagram: &'a [u8]) -> Result<OpenedDatagram<'a>, DropReason> {
         if datagram.len() > self.body_max + ENVELOPE_BYTES {
             return Err(DropReason::Oversized);
@@ -192,7 +193,8 @@
             return Err(DropReason::Length);
         }
         let (sealed, tag) = datagram.split_at(HEADER_BYTES + body_bytes);
-        // verify_slice compares in constant time.
+        // `verify_slice` compares the tags in constant time, so that the time does not reveal how many bytes
+        // match.
         self.authenticate(sealed).verify_slice(tag).map_err(|_| DropReason::Tag)?;
         Ok(OpenedDatagram {
             kind,
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -91,7 +91,7 @@
     probe_period: Nanos,
     announce_period: Nanos,
 
-    // Timers and deadlines.
+    // State of timers and deadlines.
     timers: BTreeMap<TimerKey, Timer<MemberId>>,
     /// Sequence number of the last timer scheduled.
     timer_sequence: u64,
@@ -100,7 +100,7 @@
     rejoin: SeedRejoin,
     suspicions: Suspicions,
 
-    // Incoming and outgoing datagrams.
+    // State for receiving and sending datagrams.
     sealer: Sealer,
     replay_windows: ReplayWindows,
     /// Sequence number of the last datagram sealed in the current incarnation.
@@ -110,19 +110,19 @@
     /// Received bodies of shared state that the caller has not taken yet.
     shared_state_bodies: Vec<Vec<u8>>,
 
-    // The view as presented to the caller.
+    // State for reporting the view to the caller.
     changes: Vec<ViewChange>,
     state_since: HashMap<SocketAddr, StateSince>,
     last_change: Nanos,
     counts: Counts,
 }
 
-/// Number of replay windows kept per expected member. More than one, because addresses that members no longer
-/// use keep their windows for a while.
+/// Number of replay windows kept per expected member. The number is above 1 because the windows of addresses
+/// that members no longer use are kept until they are evicted.
 const REPLAY_WINDOWS_PER_MEMBER: usize = 4;
 const REPLAY_WINDOWS_MIN: usize = 64;
-/// Combined with the seed by exclusive or, so that this crate's random numbers differ from foca's, which are
-/// generated from the same seed.
+/// Constant that is combined with the caller's seed by exclusive or, so that this crate's random numbers
+/// differ from those of foca, which are generated from the same seed.
 const RNG_STREAM: u64 = 0x0065_7863_6861_6e67;
 
 impl Membership {
--- a/crates/membership/src/messages.rs
+++ b/crates/membership/src/messages.rs
@@ -15,10 +15,10 @@
 use foca::Member;
 use serde::{Deserialize, Serialize};
 
-/// Maximum number of datagrams with members that are sent in answer to one digest.
+/// Maximum number of datagrams with lists of members that a member sends in answer to one digest or request.
 pub const ANSWERS_MAX: usize = 64;
-/// Bytes reserved for the encoded length of a list, in addition to the length prefix of an empty list. One
-/// byte more than needed.
+/// Bytes reserved for the length prefix of a list of members, in addition to the one byte that the prefix of
+/// an empty list takes. The reserve is one byte larger than needed.
 const LIST_LENGTH_BYTES: usize = 4;
 
 /// An anti-entropy message with its sender.
@@ -39,15 +39,16 @@
         /// One hash for each of the [`BUCKETS`] buckets.
         bucket_hashes: Vec<u32>,
     },
-    /// Alive and suspect members in the sender's view, from buckets in which the views differ.
+    /// Alive and suspect members in the sender's view, from buckets in which the sender's view and the
+    /// receiver's differ.
     Members {
-        /// Bit set of the buckets whose members the receiver is requested to send.
+        /// Bit set of the buckets whose members the receiver is to send in return; 0 if none.
         requested_buckets: u64,
-        /// The members in the sender's view.
+        /// The listed members, with their states in the sender's view.
         members: Vec<Member<MemberId>>,
     },
     /// A member that the sender has recorded as suspect or down. The member itself can refute the verdict. If
-    /// the member is down, any other receiver that has recorded it as alive suspects it.
+    /// the verdict is down, any other receiver that has recorded the member as alive suspects it.
     Verdict {
         /// The member with its state in the sender's view.
         member: Member<MemberId>,
--- a/crates/membership/src/rejoin.rs
+++ b/crates/membership/src/rejoin.rs
@@ -1,5 +1,5 @@
-//! Announcements to the seeds: at the start, and repeatedly while no other member is known, since the first
-//! announcement may be lost.
+//! Announcements of this server to the seeds. They are sent at the start and, since they may be lost,
+//! repeated while no other member is known.
 
 use crate::runtime::FocaEffects;
 use crate::{MemberId, Membership, Nanos};
@@ -12,7 +12,7 @@
     /// When to check again whether any other member is known; `None` before the join and if there are no
     /// seeds.
     at: Option<Nanos>,
-    /// Delay before the next announcement.
+    /// Delay from one announcement to the next; doubled with each repetition.
     backoff: Nanos,
 }
 
@@ -32,8 +32,8 @@
 }
 
 impl Membership {
-    /// If the check is due and no other member is known, announces to the seeds again and doubles the
-    /// backoff.
+    /// If the check is due and no other member is known, announces this server to the seeds again and doubles
+    /// the delay before the next check, up to the announce period.
     pub(crate) fn rejoin_if_due(&mut self) {
         if self.rejoin.at.is_none_or(|at| at > self.now) {
             return;
@@ -59,7 +59,7 @@
     pub(crate) fn announce_to(&mut self, addr: SocketAddr) {
         let unknown = MemberId { name: String::new(), addr, incarnation: 0 };
         let mut effects = FocaEffects::default();
-        // Best effort: the announcement is repeated while no other member is known.
+        // Errors can be ignored, because the announcement is repeated while no other member is known.
         let _ = self.foca.announce(unknown, &mut effects);
         self.apply(effects);
     }
--- a/crates/membership/src/replay_window.rs
+++ b/crates/membership/src/replay_window.rs
@@ -5,8 +5,8 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// Size of the window: number of sequence numbers, up to the highest one received, that can still be
-/// accepted.
+/// Size of a replay window. Of the sequence numbers up to the highest one received, only this many can still
+/// be accepted.
 const WINDOW: u64 = 64;
 
 /// Replay windows by sender address. Their number is limited: the window of the least recently active sender
@@ -25,7 +25,7 @@
     highest: u64,
     /// Bit `n` is set if the sequence number `highest - n` has been received.
     received: u64,
-    /// When a datagram was last received from the sender, not counting those of earlier incarnations.
+    /// When a datagram was last received from the sender in the window's incarnation.
     last_received_at: Nanos,
 }
 
@@ -35,8 +35,8 @@
         ReplayWindow { incarnation, highest, received: 0, last_received_at }
     }
 
-    /// Whether the sequence number is within or after the window and has not been received yet. If so,
-    /// records it.
+    /// Checks a received sequence number, and records it if it is accepted. Returns whether it is accepted:
+    /// it must be within or after the window, and not received before.
     fn accept(&mut self, sequence: u64) -> bool {
         if sequence > self.highest {
             let shift = sequence - self.highest;
@@ -58,9 +58,10 @@
         ReplayWindows { windows: HashMap::new(), limit: limit.max(1) }
     }
 
-    /// Whether a datagram with this incarnation and sequence number is accepted as new from the address; if
-    /// so, records it. A datagram of an earlier incarnation than one already received is a replay. `now`
-    /// determines the order of evictions.
+    /// Checks a datagram received from the address `from`, and records it if it is new. Returns whether the
+    /// datagram is new; otherwise it is a replay. A datagram with an earlier incarnation than one already
+    /// received from the address also counts as a replay. `now` is recorded as the time of the sender's last
+    /// activity; the least recently active sender is evicted first.
     pub fn accept(&mut self, from: SocketAddr, incarnation: u64, sequence: u64, now: Nanos) -> bool {
         if !self.windows.contains_key(&from) && self.windows.len() >= self.limit {
             self.evict_oldest();
--- a/crates/membership/src/runtime.rs
+++ b/crates/membership/src/runtime.rs
@@ -1,4 +1,4 @@
-//! The effects that foca requests while it handles an event, and their execution.
+//! The effects that foca requests while it handles an event, and the execution of these effects.
 
 use crate::envelope::PayloadKind;
 use crate::identity::MemberId;
@@ -24,7 +24,8 @@
             Notification::Active => Change::Active,
             Notification::Idle => Change::Idle,
             Notification::Rejoin(id) => Change::Rejoined(id.clone()),
-            // `Defunct` does not occur, because `MemberId::renew` always returns a new identity.
+            // The only other notification is `Defunct`, which does not occur, because `MemberId::renew`
+            // always returns a new identity.
             _ => return,
         });
     }
@@ -45,8 +46,8 @@
             let after = u64::try_from(after.as_nanos()).unwrap_or(u64::MAX);
             let deadline = self.now.saturating_add(after);
             if let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = &timer {
-                // In foca only the prober decides whether a suspect is down, so the prober also notifies the
-                // suspect.
+                // In foca, only the member whose probe raised a suspicion decides whether the suspect is
+                // down. The same member therefore also notifies the suspect.
                 self.suspicions.raise(member_id.clone(), *incarnation, self.now, deadline);
             }
             self.schedule(deadline, timer);
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -11,8 +11,8 @@
 const MILLISECOND_NS: Nanos = 1_000_000;
 
 /// Default of [`Settings::bytes_per_second`]. The value exceeds the traffic of a member in a fleet of 1,000
-/// members, so that it does not delay the agreement of views. A smaller value limits the load on the network,
-/// but the views of a large fleet then agree later.
+/// members, so that the budget does not delay the agreement of views. A smaller value limits the load on the
+/// network, but the views of a large fleet then agree later.
 pub const DEFAULT_BYTES_PER_SECOND: u64 = 200_000;
 /// Smallest allowed value of [`Settings::packet_max`], in bytes. A body of this size holds two members with
 /// names of maximum length.
@@ -31,13 +31,14 @@
 const ANNOUNCE_MEMBERS: usize = 1;
 /// Number of members recorded as down to which a member announces itself once per announce period.
 const ANNOUNCE_DOWN_MEMBERS: usize = 2;
-/// Number of members requested to probe a member that did not answer a direct probe (`k` in the SWIM paper).
+/// Number of other members that are requested to probe a member on behalf of the prober, after the member did
+/// not answer a direct probe (`k` in the SWIM paper).
 const INDIRECT_PROBES: usize = 3;
 /// Factor of the decimal logarithm of the fleet's size that yields the number of transmissions of an update
 /// (`lambda` in the SWIM paper).
 const TRANSMISSIONS_PER_LOG10: f64 = 4.0;
-/// Number of suspicion times after which a member that is down is removed from the view. The removal keeps
-/// memory proportional to the size of the live fleet.
+/// Number of suspicion times after which a member that was recorded as down is removed from the view. The
+/// removal keeps the use of memory proportional to the number of members that are not down.
 const REMOVE_AFTER_SUSPICION_TIMES: u64 = 30;
 
 /// Settings of a member. Times are in nanoseconds. [`Settings::check`] enforces the allowed ranges.
@@ -49,8 +50,8 @@
     pub key: Vec<u8>,
     /// Interval at which a member probes another member.
     pub probe_period: Nanos,
-    /// Time to wait for the answer to a direct probe before other members are requested to probe. Must be
-    /// shorter than the probe period.
+    /// Time for which a member waits for the answer to a direct probe, before it requests other members to
+    /// probe. Must be shorter than the probe period.
     pub probe_rtt: Nanos,
     /// Suspicion time in probe periods. A suspect that does not refute the suspicion within this time is
     /// declared down.
--- a/crates/membership/src/simulation/mod.rs
+++ b/crates/membership/src/simulation/mod.rs
@@ -1,6 +1,7 @@
 //! Simulation of a fleet of members with a network, in simulated time and without I/O. A run is deterministic
 //! for a given seed. It can include packet loss, delay, jitter, duplication, one-way and two-way partitions,
-//! crashes, stalls and restarts. Used by tests and to produce the figures in `docs/membership.md`.
+//! crashes, stalls and restarts. The simulation is used by tests and to produce the figures in
+//! `docs/membership.md`.
 
 mod network;
 mod parallel;
@@ -33,11 +34,13 @@
     now: Nanos,
     processes: Vec<Process>,
     network: Network,
-    /// Deadlines of the members. Outdated entries, of deadlines that a later event has changed, are skipped.
+    /// Deadlines of the members. An entry is outdated, and skipped, if a later event has changed the member's
+    /// deadline.
     timeouts: BinaryHeap<Reverse<Timeout>>,
-    /// Number of threads that run members. With one thread, the fleet runs event by event. With more, it runs
-    /// in windows as long as the network's minimum delay, which must be above 0. No datagram sent within a
-    /// window arrives in the same window, so the result does not depend on the number of threads.
+    /// Number of threads that run members. With one thread, the fleet runs event by event. With more threads,
+    /// it runs in time windows whose length is the network's minimum delay, which must be above 0. No
+    /// datagram sent within a window arrives in the same window, so the result does not depend on the number
+    /// of threads.
     pub threads: usize,
     /// Datagrams sent since the start.
     pub sent: u64,
@@ -166,7 +169,8 @@
         self.processes[member].is_running()
     }
 
-    /// After an event of a member: sends the datagrams that it has queued, and schedules its next deadline.
+    /// Completes the processing of an event by a member: sends the datagrams that the member has queued, and
+    /// schedules the member's next deadline.
     fn finish_event(&mut self, member: usize) {
         let Some(membership) = self.member_mut(member) else { return };
         let transmits = membership.take_transmits();
@@ -202,7 +206,8 @@
         self.now = self.now.max(until);
     }
 
-    /// Runs event by event. If an arrival and a deadline have the same time, the arrival is processed first.
+    /// Runs the simulation event by event up to and including the time `until`. If the arrival of a datagram
+    /// and a deadline have the same time, the arrival is processed first.
     fn run_events(&mut self, until: Nanos) {
         while let Some(next) = self.next_event().filter(|next| *next <= until) {
             self.now = self.now.max(next);
--- a/crates/membership/src/simulation/network.rs
+++ b/crates/membership/src/simulation/network.rs
@@ -1,4 +1,4 @@
-//! The simulated network: loses, delays and duplicates datagrams, and holds those in flight.
+//! The simulated network, which holds the datagrams in flight, and loses, delays and duplicates datagrams.
 
 use crate::Nanos;
 use rand_chacha::ChaCha8Rng;
--- a/crates/membership/src/simulation/parallel.rs
+++ b/crates/membership/src/simulation/parallel.rs
@@ -8,7 +8,8 @@
 use std::collections::BTreeMap;
 use std::thread;
 
-/// Minimum number of members assigned to a thread. With fewer, starting the thread costs more than it saves.
+/// Minimum number of members assigned to a thread. With fewer members, starting the thread takes more time
+/// than the thread saves.
 const MEMBERS_PER_THREAD_MIN: usize = 4;
 
 const FIRST_INCARNATION: u64 = 1;
@@ -48,8 +49,8 @@
 }
 
 impl SimulatedFleet {
-    /// Starts all members with complete views of the fleet. This saves the join of a large fleet, whose cost
-    /// grows with the square of the number of members.
+    /// Starts all members with complete views of the fleet. This avoids simulating the join of a large fleet,
+    /// whose cost grows with the square of the number of members.
     pub fn start_with_complete_views(&mut self) {
         let count = self.processes.len();
         let share = count.div_ceil(self.threads.max(1)).max(1);
@@ -85,9 +86,9 @@
         membership
     }
 
-    /// Runs the simulation in windows as long as the network's minimum delay. For each window, arriving
-    /// datagrams are assigned to their members, the members run in parallel, and the datagrams that they send
-    /// are passed to the network ordered by time and member.
+    /// Runs the simulation in time windows whose length is the network's minimum delay. For each window,
+    /// arriving datagrams are assigned to their members, the members run in parallel, and the datagrams that
+    /// they send are passed to the network ordered by time and member.
     pub(super) fn run_windows(&mut self, until: Nanos) {
         while let Some(next) = self.next_event().filter(|next| *next <= until) {
             let now = self.now;
@@ -132,7 +133,8 @@
     }
 }
 
-/// Runs the window of each member. The outcomes are ordered by member.
+/// Runs each member in `tasks` for one window, on up to `threads` threads. The outcomes are ordered by
+/// member.
 fn run_tasks(mut tasks: Vec<WindowTask>, threads: usize, now: Nanos, end: Nanos) -> WindowOutcome {
     let share = tasks.len().div_ceil(threads).max(MEMBERS_PER_THREAD_MIN);
     let run = |part: &mut [WindowTask]| {
@@ -145,7 +147,7 @@
     let mut whole = WindowOutcome::default();
     thread::scope(|scope| {
         let mut parts = tasks.chunks_mut(share);
-        // The current thread runs the first part itself.
+        // The current thread itself runs the first part of the members.
         let first = parts.next();
         let others: Vec<_> = parts.map(|part| scope.spawn(move || run(part))).collect();
         let mut outcomes: Vec<WindowOutcome> = first.map(run).into_iter().collect();
@@ -160,7 +162,7 @@
     whole
 }
 
-/// Whether the predicate holds for all members; evaluated on several threads.
+/// Whether the predicate `holds` is true for all `members`; evaluated on up to `threads` threads.
 pub(super) fn all(members: &[usize], threads: usize, holds: &(impl Fn(&usize) -> bool + Sync)) -> bool {
     let share = members.len().div_ceil(threads).max(1);
     thread::scope(|scope| {
--- a/crates/membership/src/simulation/process.rs
+++ b/crates/membership/src/simulation/process.rs
@@ -63,8 +63,8 @@
         self.membership.as_ref().and_then(Membership::poll_timeout)
     }
 
-    /// The member's current incarnation. It is higher than that of the last start if the member was wrongly
-    /// declared down and has rejoined.
+    /// The member's current incarnation. It is higher than the incarnation of the last start if the member
+    /// was wrongly declared down and has rejoined since.
     pub(super) fn current_incarnation(&self) -> u64 {
         self.membership.as_ref().map_or(self.incarnation, |membership| membership.identity().incarnation)
     }
--- a/crates/membership/src/state_machine.rs
+++ b/crates/membership/src/state_machine.rs
@@ -1,4 +1,4 @@
-//! The entry points of the state machine: inputs from the caller, and the outputs that the caller takes.
+//! The methods through which the caller passes inputs to the state machine and takes its outputs.
 
 use crate::envelope::{DropReason, PayloadKind};
 use crate::messages::AntiEntropyMessage;
@@ -8,7 +8,8 @@
 use foca::{Member, Timer};
 use std::net::SocketAddr;
 
-/// Maximum number of received bodies of shared state that wait for the caller. Further bodies are dropped.
+/// Maximum number of received bodies of shared state that wait until the caller takes them. Further bodies
+/// are dropped.
 const SHARED_STATE_BODIES_MAX: usize = 1024;
 
 impl Membership {
@@ -24,25 +25,25 @@
     }
 
     /// Adds members as alive without gossiping about them. A server that has kept its view across a restart
-    /// uses this to restore it. Probes and gossip correct entries that are out of date.
+    /// calls this to restore the view. Probes and gossip correct members whose restored state is out of date.
     pub fn restore(&mut self, members: impl Iterator<Item = MemberId>, now: Nanos) {
         self.now = self.now.max(now);
         let own = self.identity().addr;
         let mut effects = FocaEffects::default();
         let others = members.filter(|id| id.addr != own).map(Member::alive);
-        // The result reports members that foca could not apply. It can be ignored, because this server learns
-        // of them again from other members.
+        // Errors can be ignored: if foca could not apply a member, this server learns of that member again
+        // from other members.
         let _ = self.foca.apply_many(others, false, &mut effects);
         self.apply(effects);
     }
 
-    /// Announces to the fleet that this server leaves, so that the others record it as down at once instead
-    /// of after the suspicion time.
+    /// Announces to the fleet that this server leaves, so that the other members record it as down at once
+    /// instead of after the suspicion time.
     pub fn leave(&mut self, now: Nanos) {
         self.now = self.now.max(now);
         let mut effects = FocaEffects::default();
-        // Best effort: members that do not receive the announcement detect by their probes that this server
-        // is down.
+        // Errors can be ignored: members that do not receive the announcement detect by their probes that
+        // this server is down.
         let _ = self.foca.leave_cluster(&mut effects);
         self.apply(effects);
     }
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -1,5 +1,5 @@
-//! Suspicions: the prober notifies its suspect directly, and every member ends suspicions that their prober
-//! did not end.
+//! Suspicions. The prober, the member whose probe raised a suspicion, notifies the suspect directly. Every
+//! member also times out suspicions that the prober has not ended.
 
 use crate::identity::MemberId;
 use crate::runtime::FocaEffects;
@@ -11,8 +11,8 @@
 /// Number of notifications sent to a suspect within one suspicion time. With 20% loss in each direction, the
 /// probability that none of them is answered is 0.36^8, less than 1 in 3,000.
 const NOTIFICATIONS: u64 = 8;
-/// Number of suspicion times after which every member ends a suspicion. The prober's own timer ends it after
-/// one.
+/// Number of suspicion times after which every member ends a suspicion by itself. The timer of the prober,
+/// which raised the suspicion, already ends it after one suspicion time.
 const EXPIRY_FACTOR: u64 = 2;
 
 /// A suspicion raised by this member's own probe.
@@ -26,8 +26,8 @@
     ends_at: Nanos,
 }
 
-/// Identifies a suspicion, raised by any member. A suspicion that is raised again after a refutation is a
-/// different one, since the number of refutations has changed.
+/// Identifies a suspicion, whichever member raised it. After a refutation, a new suspicion of the same member
+/// has a different key, since the number of refutations has changed.
 #[derive(PartialEq, Eq, Hash)]
 struct SuspicionKey {
     addr: SocketAddr,
@@ -40,7 +40,7 @@
     /// Suspicion time: how long a suspect has to refute its suspicion before foca declares it down.
     duration: Nanos,
     raised: Vec<RaisedSuspicion>,
-    /// When this member first observed each suspicion, whether raised by itself or by another member.
+    /// When this member first observed each suspicion, including suspicions raised by this member itself.
     first_seen: HashMap<SuspicionKey, Nanos>,
     /// When [`Membership::expire_suspicions_if_due`] last checked for expired suspicions.
     checked_at: Nanos,
@@ -56,16 +56,17 @@
         self.raised.push(RaisedSuspicion { suspect, refutations, notify_at: now, ends_at });
     }
 
-    /// When the next notification of a suspect is due or the next raised suspicion ends.
+    /// When the next notification of a suspect is due, or the next suspicion raised by this member ends,
+    /// whichever is earlier.
     pub(crate) fn deadline(&self) -> Option<Nanos> {
         self.raised.iter().map(|raised| raised.notify_at.min(raised.ends_at)).min()
     }
 }
 
 impl Membership {
-    /// Notifies the members that this member's own probes made suspect, until they are no longer suspect.
-    /// Gossip alone is not enough: each update is sent a fixed number of times, so with packet loss some
-    /// suspects would never learn that they are suspected.
+    /// Sends the notifications that are due to members that this member's own probes made suspect. A suspect
+    /// is notified until it is no longer suspect. Gossip alone is not enough: each update is sent a fixed
+    /// number of times, so with packet loss some suspects would never learn that they are suspected.
     pub(crate) fn notify_suspects(&mut self) {
         let now = self.now;
         if self.suspicions.deadline().is_none_or(|deadline| deadline > now) {
@@ -94,10 +95,11 @@
         }
     }
 
-    /// Declares down every member that has been suspect for twice the suspicion time. In foca only the prober
-    /// times out a suspicion. If the prober crashes or takes a new incarnation, its timer is lost, and the
-    /// suspect would remain suspect in every view. As in SWIM, each member therefore times out suspicions by
-    /// itself; waiting for twice the suspicion time lets the prober act first.
+    /// Declares down every member that has been suspect for twice the suspicion time. In foca, only the
+    /// prober, whose probe raised the suspicion, times the suspicion out. If the prober crashes or takes a
+    /// new incarnation, its timer is lost, and the suspect would remain suspect in every view. As in SWIM,
+    /// each member therefore times out suspicions by itself. Members wait for twice the suspicion time, so
+    /// that the prober's timer fires first.
     fn expire_suspicions(&mut self) {
         let mut expired = Vec::new();
         let mut first_seen = HashMap::new();
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -34,7 +34,8 @@
     /// The member did not answer a probe. It is declared down unless it refutes the suspicion within the
     /// suspicion time.
     Suspect,
-    /// The member left, or did not refute a suspicion in time. It is removed from the view after a while.
+    /// The member left, or did not refute a suspicion in time. A member that is down is removed from the view
+    /// after a multiple of the suspicion time.
     Down,
 }
 
@@ -139,8 +140,8 @@
     /// Returns all members known to this server except itself, ordered by address. Members that are down are
     /// included until they are removed.
     ///
-    /// The call also detects changes of state since the previous call. Each is recorded with the time `now`
-    /// and updates [`Membership::last_change`]. It is to be called once per probe period.
+    /// The call also detects changes of state since the previous call. Each change is recorded with the time
+    /// `now` and updates [`Membership::last_change`]. The caller calls this method once per probe period.
     pub fn observe_view(&mut self, now: Nanos) -> Vec<MemberStatus> {
         self.now = self.now.max(now);
         let mut view: Vec<MemberStatus> = Vec::with_capacity(self.foca.iter_membership_state().len());
@@ -198,8 +199,9 @@
     }
 }
 
-/// Returns when the member was first observed in this state and incarnation, and whether either has changed
-/// since the previous observation. A member observed for the first time does not count as changed.
+/// Returns when the member was first observed in this state and incarnation, and whether the state or the
+/// incarnation has changed since the previous observation. A member observed for the first time does not
+/// count as changed.
 fn date_state(
     state_since: &mut HashMap<SocketAddr, StateSince>,
     id: &MemberId,
--- a/crates/membership/tests/bytes.rs
+++ b/crates/membership/tests/bytes.rs
@@ -1,5 +1,6 @@
-//! The limit on the bytes that a member sends per second, in the situation with the most traffic: a partition
-//! heals, and every member takes a new incarnation because the other part of the fleet had declared it down.
+//! Tests of the limit on the bytes that a member sends per second. The main test covers the situation with
+//! the most traffic: a partition of the fleet ends, and every member takes a new incarnation because the
+//! other part of the fleet had declared it down.
 
 use meadowstream_membership::digest::BUCKETS;
 use meadowstream_membership::envelope::{PayloadKind, Sealer};
@@ -11,11 +12,12 @@
 const MILLISECOND: u64 = 1_000_000;
 const SECOND: u64 = 1_000 * MILLISECOND;
 const MEMBERS: usize = 300;
-/// Much less than the halves of the fleet would send without a limit, which is about 30,000.
+/// Limit on the bytes that each member sends per second. Without a limit, the members of the two halves would
+/// send about 30,000 bytes per second after a partition.
 const BYTES_PER_SECOND: u64 = 12_000;
 const PARTITION_SECONDS: u64 = 30;
-/// Number of seconds after the heal in which the traffic of each second is checked. The views must agree by
-/// then.
+/// Duration of the check after the end of the partition, in seconds. The bytes sent by each member are
+/// checked for every second, and the views must agree at the end of the check.
 const CHECKED_SECONDS: u64 = 40;
 
 fn settings() -> Settings {
@@ -25,7 +27,7 @@
     settings
 }
 
-/// A fleet whose halves have been partitioned for [`PARTITION_SECONDS`].
+/// A fleet whose two halves have been partitioned from each other for [`PARTITION_SECONDS`].
 fn partitioned_fleet(seed: u64) -> SimulatedFleet {
     let net = NetworkConditions { loss: 0.0, delay: MILLISECOND, jitter: 2 * MILLISECOND, duplicate: 0.0 };
     let mut fleet = SimulatedFleet::new(MEMBERS, settings(), seed, net);
@@ -50,7 +52,8 @@
 fn no_member_exceeds_its_byte_limit_in_any_second_after_a_heal(seed: u64) {
     let mut fleet = partitioned_fleet(seed);
     fleet.heal();
-    // A crash at the same time is detected too, since probes are not postponed when the budget is used up.
+    // Crash a member when the partition ends. The other members must detect the crash although the byte
+    // budget is used up, since probes are not postponed.
     fleet.crash(MEMBERS - 1);
     let mut most = 0;
     for _ in 0..CHECKED_SECONDS {
@@ -65,8 +68,8 @@
     assert!(most <= settings().bytes_per_second, "a member sent {most} bytes in a second");
 }
 
-/// A member with a large view receives digests from several members at once and must answer each with its
-/// view.
+/// A member whose view has 1,000 members receives several digests at once, each of which it is to answer with
+/// its whole view. It sends only the lists of members that its byte budget allows.
 #[test]
 fn lists_of_members_beyond_the_budget_are_sent_in_a_later_exchange() {
     let id = |member: usize| MemberId {
@@ -76,7 +79,7 @@
     };
     let mut membership = Membership::new(id(0), &settings(), 1, 0).expect("valid settings");
     membership.restore((1..1_000).map(id), 0);
-    // After the first comparison of views, the next one is due an announce period later.
+    // Run the first regular comparison of views; the next one is due an announce period later.
     membership.handle_timeout(2 * SECOND);
     membership.take_transmits();
     let sealer = Sealer::new("quiz", b"sixteen byte key", settings().packet_max);
@@ -92,13 +95,14 @@
         membership.take_transmits().iter().map(|transmit| transmit.datagram.len() as u64).sum::<u64>()
     };
     let at_once: u64 = (1..=5).map(|sequence| send_digest(&mut membership, 4 * SECOND, sequence)).sum();
-    // An eighth of the budget is reserved for probes, answers and verdicts.
+    // An eighth of the byte budget is reserved for probes, their answers and verdicts, and not available for
+    // lists of members.
     let most = BYTES_PER_SECOND - BYTES_PER_SECOND / 8;
     assert!(at_once > BYTES_PER_SECOND / 2 && at_once <= most, "{at_once} bytes at once");
     let later = send_digest(&mut membership, 4 * SECOND + 1_100 * MILLISECOND, 6);
     assert!(later > BYTES_PER_SECOND / 2, "{later} bytes one second later");
-    // The member compares its view again soon, since the views still differ in the members that it did not
-    // send.
+    // The member could not send all members, so the views may still differ. It therefore compares its view
+    // again after two probe periods instead of an announce period.
     membership.handle_timeout(4 * SECOND + 2 * settings().probe_period);
     let is_digest = |datagram: &[u8]| {
         let opened = sealer.open(datagram).expect("a datagram of this fleet");
--- a/crates/membership/tests/datagrams.rs
+++ b/crates/membership/tests/datagrams.rs
@@ -19,7 +19,7 @@
     "127.0.0.1:7002".parse().unwrap()
 }
 
-/// A sealed datagram with a valid announcement of another member.
+/// A sealed datagram in which another member validly announces itself.
 fn announce() -> Vec<u8> {
     let me = MemberId { name: "b".into(), addr: from(), incarnation: 1 };
     let mut b = Membership::new(me, &Settings::lan("quiz", KEY), 2, 0).unwrap();
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -100,8 +100,8 @@
     let rest: Vec<usize> = (0..n).filter(|&i| i != 2).collect();
     assert!(fleet.views_agree(&rest), "the stalled member is recorded as down");
     fleet.resume(2);
-    // The member learns that it was declared down, takes a higher incarnation, and is alive in all views
-    // again.
+    // After it resumes, the stalled member learns that it was declared down, takes a higher incarnation, and
+    // is alive in all views again.
     fleet.run_until_views_agree(&all, 100 * MILLISECOND, 30 * SECOND).expect("the member rejoins");
     assert!(fleet.member(2).expect("running").identity().incarnation > 1);
 }
@@ -131,17 +131,17 @@
     fleet.cut_one_way(1, 0);
     let t = fleet.now();
     fleet.run_until(t + 60 * SECOND);
-    // Within the minute each half records the other as down; after 20 s all but one or two members have done
-    // so.
+    // Each half records the members of the other half as down. After 20 s all but one or two members have
+    // done so; wait until all have.
     let _ = fleet.run_until_views_agree(&(0..n / 2).collect::<Vec<_>>(), 100 * MILLISECOND, 30 * SECOND);
     let _ = fleet.run_until_views_agree(&(n / 2..n).collect::<Vec<_>>(), 100 * MILLISECOND, 30 * SECOND);
     let left: Vec<usize> = (0..n / 2).collect();
     let right: Vec<usize> = (n / 2..n).collect();
     assert!(fleet.views_agree(&left) && fleet.views_agree(&right), "each half lists only its own members");
     fleet.heal();
-    // Stated bound: two announce periods, since each member compares its view with another's once per period
-    // and sends verdicts to members that it has recorded as down. With announcements alone it took up to 50 s
-    // with 16 members and 134 s with 256.
+    // The bound is two announce periods, since each member compares its view with another member's once per
+    // period and sends verdicts to members that it has recorded as down. With announcements alone, the
+    // agreement of the views took up to 50 s with 16 members and 134 s with 256.
     let bound = 2 * settings(n as u32).announce_period;
     let took = fleet.run_until_views_agree(&all, 100 * MILLISECOND, 2 * bound).expect("views agree again");
     assert!(took <= bound, "took {took} ns, bound {bound}");
@@ -153,7 +153,8 @@
     let (mut fleet, all) = agreed_fleet(n, 9);
     fleet.crash(4);
     fleet.start(4, &[0]);
-    // Much faster than the suspicion time, since the later incarnation wins at once.
+    // The views agree much sooner than after the suspicion time, since the later incarnation of a restarted
+    // member replaces the earlier one at once.
     let took = fleet.run_until_views_agree(&all, 50 * MILLISECOND, 10 * SECOND).expect("views agree");
     assert!(took < settings(n as u32).suspicion(), "took {took} ns");
     for i in 0..4 {
@@ -195,14 +196,15 @@
         downs += changes.iter().filter(|change| matches!(change.change, Change::Down(_))).count();
     }
     eprintln!("{downs} false positives recorded by {n} members in 10 minutes, period {period} s");
-    // Stated rate (docs/membership.md): on average at most one false positive per member in 10 minutes.
+    // The rate stated in docs/membership.md: on average, each member records at most one false positive in 10
+    // minutes.
     assert!(downs <= n, "{downs} false positives recorded by {n} members");
     fleet.run_until_views_agree(&all, 100 * MILLISECOND, 30 * SECOND).expect("views agree at the end");
 }
 
-/// Two halves are partitioned for longer than members are kept as down, so that they no longer know each
-/// other. They must rediscover each other through the seeds. Before members announced themselves to seeds
-/// outside their view, the halves remained two separate fleets.
+/// Two halves of a fleet are partitioned for longer than members recorded as down are kept in the view, so
+/// that the halves no longer know each other. They must rediscover each other through the seeds. Before
+/// members announced themselves to seeds outside their view, the halves remained two separate fleets.
 #[test]
 fn halves_partitioned_for_ten_minutes_rediscover_each_other_through_the_seeds() {
     let n = 16;
@@ -221,10 +223,10 @@
     assert!(took <= 3 * settings(n as u32).announce_period, "took {took} ns");
 }
 
-/// A prober crashes after it has suspected a running member, and the suspect does not receive the gossip
-/// about its suspicion. In foca only the prober ends a suspicion, and answered probes do not clear it, so the
-/// suspect remained suspect in every view. This was observed between processes after a one-way partition.
-/// Each member therefore ends suspicions by itself.
+/// A prober crashes after it has suspected a running member, and the suspect receives no gossip about the
+/// suspicion. In foca, only the prober ends a suspicion, and answered probes do not clear it, so the suspect
+/// remained suspect in every view. This was observed between processes after a one-way partition. Each member
+/// therefore ends suspicions by itself.
 #[test]
 fn a_suspicion_ends_after_its_prober_has_crashed() {
     let n = 5;
--- a/crates/membership/tests/large.rs
+++ b/crates/membership/tests/large.rs
@@ -27,7 +27,7 @@
     let all: Vec<usize> = (0..n).collect();
     let joined =
         fleet.run_until_views_agree(&all, 500 * MILLISECOND, 300 * SECOND).expect("all members join");
-    // The traffic is measured without changes of the view, after the gossip about the joins has ended.
+    // The traffic is measured while the view does not change, after the gossip about the joins has ended.
     let t = fleet.now();
     fleet.run_until(t + 30 * SECOND);
     let (sent0, bytes0, t0) = (fleet.sent, fleet.sent_bytes, fleet.now());
@@ -61,8 +61,8 @@
     let heal_seconds = heal.map(|heal| heal as f64 / SECOND as f64);
     eprintln!("members {n}: views agree after a 60 s partition: {heal_seconds:?} s");
     let heal = heal.expect("views agree after the partition heals");
-    // Stated bound (docs/membership.md). With announcements alone it took 133.5 s with 256 members, and with
-    // 1,000 members the views did not agree within 600 s.
+    // The bound stated in docs/membership.md. With announcements alone, the agreement of the views took 133.5
+    // s with 256 members, and with 1,000 members the views did not agree within 600 s.
     assert!(heal <= 2 * s.announce_period, "views agree {heal} ns after the heal");
 }
 
