--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -128,7 +128,7 @@
     }
 
     /// Picks a random member among those of `listed` that this member has recorded as down in the listed
-    /// incarnation. Sends the verdict that this member is down to the member itself and to `from`, the sender
+    /// incarnation. Sends the verdict that the picked member is down to that member and to `from`, the sender
     /// of the list. The verdict concerns only one member per list, so that the traffic sent stays in
     /// proportion to the traffic received.
     fn send_verdict_on_random_down_member(&mut self, from: &MemberId, listed: &[Member<MemberId>]) {
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -34,8 +34,8 @@
 /// Number of other members that are requested to probe a member on behalf of the prober, after the member did
 /// not answer a direct probe (`k` in the SWIM paper).
 const INDIRECT_PROBES: usize = 3;
-/// Factor of the decimal logarithm of the fleet's size that yields the number of transmissions of an update
-/// (`lambda` in the SWIM paper).
+/// Factor by which the decimal logarithm of the fleet's size is multiplied to obtain the number of
+/// transmissions of an update (`lambda` in the SWIM paper).
 const TRANSMISSIONS_PER_LOG10: f64 = 4.0;
 /// Number of suspicion times after which a member that was recorded as down is removed from the view. The
 /// removal keeps the use of memory proportional to the number of members that are not down.
--- a/crates/membership/tests/bytes.rs
+++ b/crates/membership/tests/bytes.rs
@@ -98,9 +98,12 @@
     // An eighth of the byte budget is reserved for probes, their answers and verdicts, and not available for
     // lists of members.
     let most = BYTES_PER_SECOND - BYTES_PER_SECOND / 8;
-    assert!(at_once > BYTES_PER_SECOND / 2 && at_once <= most, "{at_once} bytes at once");
+    assert!(
+        at_once > BYTES_PER_SECOND / 2 && at_once <= most,
+        "sent {at_once} bytes in answer to five digests"
+    );
     let later = send_digest(&mut membership, 4 * SECOND + 1_100 * MILLISECOND, 6);
-    assert!(later > BYTES_PER_SECOND / 2, "{later} bytes one second later");
+    assert!(later > BYTES_PER_SECOND / 2, "sent {later} bytes in answer to a digest one second later");
     // The member could not send all members, so the views may still differ. It therefore compares its view
     // again after two probe periods instead of an announce period.
     membership.handle_timeout(4 * SECOND + 2 * settings().probe_period);
--- a/crates/membership/tests/fixed_bytes.rs
+++ b/crates/membership/tests/fixed_bytes.rs
@@ -115,7 +115,8 @@
     }
 }
 
-/// Servers of different releases compare their views by these hashes.
+/// Servers of different releases compare their views by the hashes in the digest, so the hashes must not
+/// change.
 #[test]
 fn the_digest_of_a_view_has_the_hashes_of_release_0_2() {
     let members = [id("a", 1), id("b", 2), id("c", 3)];
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -48,7 +48,7 @@
     let mut fleet = started_fleet(n, 1, lan());
     let all: Vec<usize> = (0..n).collect();
     let took = fleet.run_until_views_agree(&all, 100 * MILLISECOND, 30 * SECOND).expect("views agree");
-    assert!(took <= 15 * SECOND, "took {took} ns");
+    assert!(took <= 15 * SECOND, "views agree only after {took} ns");
 }
 
 #[test_case(5, 2 ; "five")]
@@ -60,9 +60,9 @@
     let s = settings(n as u32);
     let bound = s.suspicion() + CRASH_MARGIN_PERIODS * s.probe_period;
     let took = fleet.run_until_views_agree(&rest, 50 * MILLISECOND, 2 * bound).expect("crash detected");
-    assert!(took <= bound, "took {took} ns, bound {bound} ns");
+    assert!(took <= bound, "crash detected after {took} ns, bound {bound} ns");
     // A member is never declared down after one missed probe, but only after the suspicion time.
-    assert!(took >= s.suspicion(), "took {took} ns");
+    assert!(took >= s.suspicion(), "crash detected after only {took} ns");
 }
 
 #[test]
@@ -117,7 +117,7 @@
     fleet.run_until(t + 20 * SECOND);
     fleet.heal();
     let took = fleet.run_until_views_agree(&all, 100 * MILLISECOND, 60 * SECOND).expect("views agree again");
-    assert!(took <= 30 * SECOND, "took {took} ns");
+    assert!(took <= 30 * SECOND, "views agree only after {took} ns");
 }
 
 #[test_case(16, 7 ; "sixteen")]
@@ -144,7 +144,7 @@
     // agreement of the views took up to 50 s with 16 members and 134 s with 256.
     let bound = 2 * settings(n as u32).announce_period;
     let took = fleet.run_until_views_agree(&all, 100 * MILLISECOND, 2 * bound).expect("views agree again");
-    assert!(took <= bound, "took {took} ns, bound {bound}");
+    assert!(took <= bound, "views agree after {took} ns, bound {bound} ns");
 }
 
 #[test]
@@ -156,7 +156,7 @@
     // The views agree much sooner than after the suspicion time, since the later incarnation of a restarted
     // member replaces the earlier one at once.
     let took = fleet.run_until_views_agree(&all, 50 * MILLISECOND, 10 * SECOND).expect("views agree");
-    assert!(took < settings(n as u32).suspicion(), "took {took} ns");
+    assert!(took < settings(n as u32).suspicion(), "views agree only after {took} ns");
     for i in 0..4 {
         let mut view = fleet.member_mut(i).expect("running").observe_view(0);
         view.retain(|s| s.addr == SimulatedFleet::addr(4));
@@ -220,7 +220,7 @@
     assert_eq!(view.len(), n / 2 - 1, "the other half is removed from the view, not recorded as down");
     fleet.heal();
     let took = fleet.run_until_views_agree(&all, 100 * MILLISECOND, 60 * SECOND).expect("views agree again");
-    assert!(took <= 3 * settings(n as u32).announce_period, "took {took} ns");
+    assert!(took <= 3 * settings(n as u32).announce_period, "views agree only after {took} ns");
 }
 
 /// A prober crashes after it has suspected a running member, and the suspect receives no gossip about the
--- a/crates/replication/src/member/applier.rs
+++ b/crates/replication/src/member/applier.rs
@@ -19,7 +19,8 @@
     applied: u64,
     /// Number of the revision that the host is applying.
     applying: Option<u64>,
-    /// The last rejected revision, unless a later one was applied.
+    /// The last revision that the host rejected; `None` if it rejected none or has since applied a later
+    /// revision.
     rejected: Option<Rejection>,
     /// Whether the member started with a revision read from its disk.
     started_from_disk: bool,
--- a/crates/replication/src/member/control.rs
+++ b/crates/replication/src/member/control.rs
@@ -26,7 +26,7 @@
     freshness_due: Nanos,
     /// When the leader next polls lagging members.
     poll_due: Nanos,
-    /// Number of the last complete committed change on disk.
+    /// Number of the last complete committed change that is on this control machine's disk.
     persisted_number: u64,
 }
 
--- a/crates/replication/src/member/mod.rs
+++ b/crates/replication/src/member/mod.rs
@@ -93,7 +93,7 @@
     /// The latest freshness statement for which this member's log reaches the log end in the statement.
     freshness: Freshness,
     applier: Applier,
-    /// The last known leader.
+    /// Name of the last known leader.
     leader: Option<String>,
     /// When the next pull (a digest sent to a random member) is due.
     pull_due: Nanos,
@@ -167,7 +167,8 @@
         self.applier.applied()
     }
 
-    /// The last revision that the host rejected, unless a later one was applied.
+    /// The last revision that the host rejected; `None` if it rejected none or has since applied a later
+    /// revision.
     pub fn rejected(&self) -> Option<&Rejection> {
         self.applier.rejected()
     }
@@ -182,7 +183,7 @@
         self.control.is_some()
     }
 
-    /// The last known leader.
+    /// Name of the last known leader; `None` if no leader has been known since the start.
     pub fn leader(&self) -> Option<&str> {
         self.leader.as_deref()
     }
--- a/crates/replication/src/member/reports.rs
+++ b/crates/replication/src/member/reports.rs
@@ -1,4 +1,4 @@
-//! Reports to the leader of the revisions that the host has applied or rejected.
+//! Reports to the leader about the revisions that the host has applied or rejected.
 
 use super::Member;
 use crate::message::{Message, Report};
--- a/crates/replication/src/member/snapshot_fetch.rs
+++ b/crates/replication/src/member/snapshot_fetch.rs
@@ -40,8 +40,8 @@
     }
 
     /// Starts a transfer of the offered checkpoint if it is newer than the log. A transfer in progress is
-    /// replaced only if the offered checkpoint is newer than the transferred one by more than one checkpoint
-    /// interval.
+    /// replaced only if the offered checkpoint is newer than the one being transferred by more than one
+    /// checkpoint interval.
     pub(super) fn on_snapshot_offer(&mut self, from: &str, checkpoint: Revision, now: Nanos) {
         let number = checkpoint.number();
         let is_outdated =
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -56,14 +56,15 @@
     pub reason: String,
 }
 
-/// A member's report to the leader of its progress.
+/// A member's report about its progress, sent to the leader.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// Number of the last revision that the member applied.
     pub applied: u64,
     /// Number of the last entry in the member's committed log.
     pub committed: u64,
-    /// The last rejected revision, unless a later one was applied.
+    /// The last revision that the member rejected; `None` if it rejected none or has since applied a later
+    /// revision.
     pub rejected: Option<Rejection>,
 }
 
@@ -115,7 +116,7 @@
     Entries {
         /// The entries, in order and without gaps.
         entries: Vec<Entry>,
-        /// The last known leader.
+        /// Name of the leader last known to the sender.
         leader: Option<String>,
         /// Whether the receiver forwards new entries to further members.
         pushed: bool,
@@ -204,7 +205,8 @@
         /// Highest number up to which the sender's log may match the leader's log.
         matched: u64,
     },
-    /// An operator's change to the leader, or one part of it.
+    /// Submits an operator's change to the leader, or one part of the change if it is too large for one
+    /// message.
     Submit {
         /// Identifier of the request; the same in all parts.
         request: RequestId,
@@ -252,7 +254,7 @@
         members: u32,
         /// Number of participating members that have applied the newest revision.
         applied: u32,
-        /// Some of the participating members that have not applied the newest revision.
+        /// Participating members that have not applied the newest revision. The leader lists at most eight.
         lagging: Vec<LaggingSummary>,
     },
 }
--- a/crates/replication/src/progress.rs
+++ b/crates/replication/src/progress.rs
@@ -62,7 +62,8 @@
     /// When the oldest revision that the member lacks became committed on this replica, in Unix nanoseconds;
     /// 0 if unknown.
     pub since: Nanos,
-    /// The last rejected revision, unless a later one was applied.
+    /// The last revision that the member rejected; `None` if it rejected none or has since applied a later
+    /// revision.
     pub rejected: Option<Rejection>,
 }
 
@@ -118,7 +119,8 @@
         })
     }
 
-    /// Selects the members to poll for a report now, and records them as polled.
+    /// Selects the members to poll for a report now: alive members that have not applied revision `number`
+    /// and were not polled recently. Records the selected members as polled.
     pub fn poll<'a>(
         &mut self,
         alive: impl Iterator<Item = &'a String>,
--- a/crates/replication/tests/fleet.rs
+++ b/crates/replication/tests/fleet.rs
@@ -80,7 +80,7 @@
     let mut fleet = settled_fleet(layout(), 1);
     let number = fleet.propose(small_change(1)).unwrap();
     let took = run_until_applied(&mut fleet, &all(), number, 10);
-    assert!(took <= 2.0, "{took} s");
+    assert!(took <= 2.0, "the change was applied everywhere only after {took} s");
     let leader = fleet.leader().unwrap();
     let lagging = |fleet: &Fleet| {
         let member = fleet.member(leader).unwrap();
@@ -102,7 +102,7 @@
     let reached = all().into_iter().filter(|node| fleet.all_applied(&[*node], number)).count();
     assert!(reached * 10 >= SIZE * 8, "pushes reached {reached} of {SIZE} members");
     let took = run_until_applied(&mut fleet, &all(), number, 20);
-    assert!(took <= 8.0, "{took} s");
+    assert!(took <= 8.0, "the change was applied everywhere only after {took} s");
 }
 
 /// A member that receives many digests at once sends no more bytes in answer than its byte budget allows.
@@ -122,7 +122,11 @@
     (0..500).for_each(|_| fleet.inject(20, 2, digest.encode()));
     fleet.run_for(S);
     let after = fleet.member(20).unwrap().counts;
-    assert!(after.sent_bytes - before.sent_bytes <= 24_000, "{} bytes", after.sent_bytes - before.sent_bytes);
+    assert!(
+        after.sent_bytes - before.sent_bytes <= 24_000,
+        "the member sent {} bytes",
+        after.sent_bytes - before.sent_bytes
+    );
     assert!(after.over_budget - before.over_budget > 100);
 }
 
@@ -147,7 +151,7 @@
     let before: Vec<u64> = all().iter().map(|n| fleet.member(*n).unwrap().counts.sent_bytes).collect();
     let numbers: Vec<u64> = (0..40).map(|n| fleet.propose(small_change(n)).unwrap()).collect();
     let took = run_until_applied(&mut fleet, &all(), *numbers.last().unwrap(), 10);
-    assert!(took <= 4.0, "{took} s");
+    assert!(took <= 4.0, "the change was applied everywhere only after {took} s");
     for (node, before) in before.iter().enumerate().skip(REPLICAS) {
         let sent = fleet.member(node).unwrap().counts.sent_bytes - before;
         assert!(sent as f64 <= 12_000.0 * (took + 1.0), "s{node} sent {sent} bytes in {took} s");
@@ -159,7 +163,7 @@
 fn a_change_of_many_entries_is_applied_as_a_whole() {
     let mut fleet = settled_fleet(layout(), 4);
     let number = fleet.propose(large_change(0, 1000)).unwrap();
-    assert!(number > 20, "{number}");
+    assert!(number > 20, "the last entry of the change has number {number}");
     run_until_applied(&mut fleet, &all(), number, 20);
     let partial =
         fleet.applied.iter().filter(|applied| applied.number > 1 && applied.number < number).count();
@@ -190,7 +194,7 @@
         let rest: Vec<usize> = all().into_iter().filter(|node| *node != old).collect();
         run_until_applied(&mut fleet, &rest, number, 10);
         let keys = state(&fleet, SIZE - 1).len();
-        assert!(keys == 2 || keys == 202, "{keys} keys after a crash at {at}");
+        assert!(keys == 2 || keys == 202, "{keys} keys after a crash in step {at}");
         // The crashed leader restarts with the state on its disk and catches up.
         fleet.start(old);
         run_until_applied(&mut fleet, &all(), number, 20);
@@ -253,9 +257,9 @@
     fleet.heal();
     let sent = fleet.member(apart[4]).unwrap().counts.sent_bytes;
     let took = run_until_applied(&mut fleet, &all(), number, 30);
-    assert!(took <= 10.0, "{took} s");
+    assert!(took <= 10.0, "the change was applied everywhere only after {took} s");
     let sent = fleet.member(apart[4]).unwrap().counts.sent_bytes - sent;
-    assert!(sent as f64 <= 12_000.0 * (took + 1.0), "{sent} bytes in {took} s");
+    assert!(sent as f64 <= 12_000.0 * (took + 1.0), "a member sent {sent} bytes in {took} s");
 }
 
 /// All replicas are stopped. Restarted servers apply the revision on their disks at once.
