--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -2,10 +2,10 @@
 //! piggybacked updates, as implemented by the `foca` crate.
 //!
 //! [`Membership`] is a state machine without I/O or clock. The caller passes in received datagrams and the
-//! time with [`Membership::handle_datagram`] and [`Membership::handle_timeout`]. It takes out datagrams to
-//! send, changes of the view and received bodies of shared state with [`Membership::take_transmits`],
-//! [`Membership::take_changes`] and [`Membership::take_shared_state`]. [`Membership::poll_timeout`] returns
-//! the next deadline. Times are whole nanoseconds of the caller's clock.
+//! time with [`Membership::handle_datagram`] and [`Membership::handle_timeout`]. The caller takes out
+//! datagrams to send, changes of the view and received bodies of shared state with
+//! [`Membership::take_transmits`], [`Membership::take_changes`] and [`Membership::take_shared_state`].
+//! [`Membership::poll_timeout`] returns the next deadline. Times are whole nanoseconds of the caller's clock.
 //!
 //! This crate adds to foca:
 //!
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -218,8 +218,8 @@
     }
 
     /// Maximum body size of gossip, probes and their answers, in bytes. The size is limited so that gossip in
-    /// packets of maximum size takes at most half of the budget, and leaves the other half to probes and
-    /// lists of members.
+    /// packets of maximum size takes at most half of the budget of bytes per second, and leaves the other
+    /// half to probes and lists of members.
     pub(crate) fn gossip_packet_bytes(&self) -> usize {
         let packets_per_second = GOSSIP_MEMBERS as u64 * SECOND_NS.div_ceil(self.gossip_period);
         let datagram_bytes = (self.bytes_per_second / (2 * packets_per_second)) as usize;
--- a/crates/membership/src/simulation/parallel.rs
+++ b/crates/membership/src/simulation/parallel.rs
@@ -27,7 +27,7 @@
     sent: Sent,
 }
 
-/// Datagrams that members sent within a window, and their next deadlines.
+/// Datagrams that members sent within a window, and the next deadlines of the members.
 #[derive(Default)]
 struct WindowOutcome {
     sent: Vec<SentByMember>,
--- a/crates/replication/src/committed_log.rs
+++ b/crates/replication/src/committed_log.rs
@@ -72,7 +72,7 @@
     base: Snapshot,
     /// All entries after `base`, without gaps.
     tail: VecDeque<Entry>,
-    /// The last two checkpoints, newer first.
+    /// The last two checkpoints, the newer one first.
     checkpoints: [Option<Snapshot>; 2],
 }
 
@@ -103,7 +103,7 @@
         &self.complete
     }
 
-    /// Position of the entry with this number; `None` if the entry is not held.
+    /// Position of the entry with this number; `None` if this member does not hold the entry.
     pub fn position(&self, number: u64) -> Option<Position> {
         if number == self.number() {
             return Some(self.end.revision.position);
@@ -207,20 +207,22 @@
         Some(self.tail.range(end - parts..=end).collect())
     }
 
-    /// The entries after `number`; `None` if some of them are not held any more.
+    /// The entries whose numbers are above `number`. `None` if some of these entries are not held any more,
+    /// or `number` is after the end of the log.
     pub fn entries_after(&self, number: u64) -> Option<impl Iterator<Item = &Entry>> {
         let missing = self.number().checked_sub(number)? as usize;
         (missing <= self.tail.len()).then(|| self.tail.iter().skip(self.tail.len() - missing))
     }
 
-    /// Snapshot to offer to a member that lags behind the oldest entry held: the newest checkpoint or, if
-    /// none was taken since this member started, the snapshot that it started from.
+    /// Snapshot to offer to a member that lags behind the oldest entry held here: the newest checkpoint or,
+    /// if none was taken since this member started, the snapshot that it started from.
     pub fn newest_checkpoint(&self) -> Option<&Snapshot> {
         let base = Some(&self.base).filter(|base| base.number() > 0);
         self.checkpoints[0].as_ref().or(base)
     }
 
-    /// The checkpoint or starting snapshot with this number, if it is held.
+    /// The checkpoint with this number, or the snapshot from which the log was created if it has this number;
+    /// `None` if neither is held.
     pub fn snapshot(&self, number: u64) -> Option<&Snapshot> {
         let held = self.checkpoints.iter().flatten().chain([&self.base]);
         held.into_iter().find(|snapshot| snapshot.number() == number && number > 0)
@@ -232,7 +234,7 @@
         self.tail.iter().filter(move |entry| entry.number() > complete)
     }
 
-    /// All entries held, in order of their numbers.
+    /// All entries that this member holds, in order of their numbers.
     pub fn tail(&self) -> impl Iterator<Item = &Entry> {
         self.tail.iter()
     }
--- a/crates/replication/src/member/control.rs
+++ b/crates/replication/src/member/control.rs
@@ -92,7 +92,7 @@
         self.send_replica_messages();
     }
 
-    /// Sends the replica's messages, unless state that they depend on is not on disk yet.
+    /// Sends the replica's queued messages, unless the state on which they depend is not on disk yet.
     fn send_replica_messages(&mut self) {
         let Some(control) = &mut self.control else { return };
         if control.replica.is_unsaved() {
--- a/crates/replication/src/member/gossip.rs
+++ b/crates/replication/src/member/gossip.rs
@@ -134,7 +134,8 @@
         }
     }
 
-    /// Sends a member the entries after `number`, or offers a checkpoint if they are not held any more.
+    /// Sends a member the entries after `number`, or offers a checkpoint if this member does not hold all of
+    /// these entries any more.
     fn send_entries_after(&mut self, to: &str, number: u64, now: Nanos) {
         let Some(entries) = self.log.entries_after(number) else {
             if let Some(checkpoint) = self.log.newest_checkpoint() {
--- a/crates/replication/src/member/mod.rs
+++ b/crates/replication/src/member/mod.rs
@@ -60,7 +60,7 @@
 /// Source of the committed entries that a member appends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EntrySource {
-    /// This member's replica leads, and a majority has stored the entries.
+    /// This member's replica is the leader, and a majority of the replicas has stored the entries.
     OwnMajority,
     /// Another member sent the entries as committed, by gossip or as the leader.
     OtherMember,
--- a/crates/replication/src/member/settings.rs
+++ b/crates/replication/src/member/settings.rs
@@ -16,7 +16,8 @@
     pub location: Location,
     /// Names of the control machines that keep the log: 1, 3, 5, 7 or 9 names.
     pub replicas: Vec<String>,
-    /// Mean time between two pulls, in nanoseconds. The actual time varies by up to a quarter either way.
+    /// Mean time between two pulls, in nanoseconds. The actual time is random, up to a quarter shorter or
+    /// longer.
     pub pull_period: Nanos,
     /// Maximum number of bytes that a server sends per second.
     pub bytes_per_second: u64,
--- a/crates/replication/src/member/snapshot_fetch.rs
+++ b/crates/replication/src/member/snapshot_fetch.rs
@@ -1,5 +1,5 @@
-//! Fetches a checkpoint if this member needs entries that the others no longer hold, and serves chunks of
-//! checkpoints to other members.
+//! Fetches a checkpoint if this member needs entries that the other members no longer hold, and serves chunks
+//! of checkpoints to other members.
 
 use super::Member;
 use crate::change::KEY_BYTES_MAX;
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -10,7 +10,8 @@
 use crate::state::{Pair, Text};
 use serde::{Deserialize, Serialize};
 
-/// Longest encoded message, in bytes. With its envelopes it fits into a datagram of 1,400 bytes.
+/// Longest encoded message, in bytes. A message of this length, together with its envelopes, fits into a
+/// datagram of 1,400 bytes.
 pub const BODY_BYTES_MAX: usize = 1_100;
 /// Longest name of a member, a region or a zone, in bytes.
 pub const NAME_BYTES_MAX: usize = 64;
--- a/crates/replication/src/persistence.rs
+++ b/crates/replication/src/persistence.rs
@@ -17,7 +17,7 @@
 pub struct PersistedState {
     /// Highest epoch that the replica has promised; it rejects earlier epochs.
     pub promised: u64,
-    /// State after the last complete change known to be committed.
+    /// Configuration after the last complete change known to be committed.
     pub committed: Snapshot,
     /// Entries after `committed`. The file does not record which of these entries are committed; after a
     /// restart, the replica learns this from the other replicas.
--- a/crates/replication/src/replica/mod.rs
+++ b/crates/replication/src/replica/mod.rs
@@ -26,7 +26,7 @@
 use election::{Candidate, Promise};
 use leader::Leader;
 
-/// Time after which an unanswered request to a replica is repeated.
+/// Time after which an unanswered request to another replica is repeated.
 const REPEAT_AFTER_NS: Nanos = 300 * MILLISECOND_NS;
 /// Maximum bytes of entries in one message between replicas. The limit exceeds the longest entry. Together
 /// with the message header it stays within [`crate::message::BODY_BYTES_MAX`]: the header takes at most 43
--- a/crates/replication/src/requests.rs
+++ b/crates/replication/src/requests.rs
@@ -27,7 +27,7 @@
     outcome: RequestOutcome,
 }
 
-/// The requests that a leader has received.
+/// The operators' requests that a leader has received.
 #[derive(Debug, Default)]
 pub(crate) struct Requests {
     /// Received parts of incomplete requests, by part index.
@@ -80,7 +80,7 @@
         self.pending.push(pending);
     }
 
-    /// Records the outcome that a request was answered with.
+    /// Records the outcome with which a request was answered.
     pub(crate) fn record_outcome(&mut self, request: RequestId, outcome: RequestOutcome) {
         if self.answered.len() == OUTCOMES_MAX {
             self.answered.pop_front();
--- a/crates/replication/src/simulation/network.rs
+++ b/crates/replication/src/simulation/network.rs
@@ -39,7 +39,7 @@
     }
 
     /// Updates the membership view of each group to the alive members that the group reaches, and assigns the
-    /// lease unless it is managed manually.
+    /// lease unless `manual_lease` is set.
     pub(super) fn update_view(&mut self) {
         let groups: HashSet<u32> = self.nodes.iter().map(|node| node.group).collect();
         for group in groups {
--- a/crates/replication/src/snapshot_transfer.rs
+++ b/crates/replication/src/snapshot_transfer.rs
@@ -1,5 +1,6 @@
-//! Transfer of a checkpoint to a member that needs entries that the others no longer hold. The checkpoint is
-//! fetched in chunks ordered by key; each chunk may come from any member that holds the checkpoint.
+//! Transfer of a checkpoint to a member that needs entries that the other members no longer hold. The
+//! checkpoint is fetched in chunks ordered by key; each chunk may come from any member that holds the
+//! checkpoint.
 
 use crate::change::{KEY_BYTES_MAX, VALUE_BYTES_MAX};
 use crate::revision::Revision;
--- a/crates/replication/tests/fleet.rs
+++ b/crates/replication/tests/fleet.rs
@@ -62,8 +62,8 @@
     (from..from + count).map(|n| Change::set(&format!("tenant/tenant-{n:05}"), "2")).collect()
 }
 
-/// Runs the fleet until all `nodes` have applied revision `number`, for at most `limit` seconds. Returns the
-/// elapsed seconds.
+/// Runs the fleet until all `nodes` have applied revision `number`, for at most `limit` seconds; panics after
+/// that. Returns the elapsed seconds.
 fn run_until_applied(fleet: &mut Fleet, nodes: &[usize], number: u64, limit: u64) -> f64 {
     let took = fleet.run_until(limit * S, |fleet| fleet.all_applied(nodes, number));
     let is_lagging = |node: &&usize| fleet.member(**node).is_some_and(|member| member.applied() < number);
--- a/crates/replication/tests/replica.rs
+++ b/crates/replication/tests/replica.rs
@@ -75,7 +75,7 @@
     assert!(matches!(replica_messages(&mut member)[..], [Message::Appended { epoch: 4, number: 1 }]));
 }
 
-/// A replica started with the state `disk` and elected leader, and its epoch.
+/// Starts a replica with the state `disk` and elects it leader. Returns the replica and its epoch.
 fn leader(disk: Option<PersistedState>) -> (Member, u64) {
     let mut member = replica(disk);
     member.set_holds_lease(true);
@@ -89,8 +89,8 @@
     (member, epoch)
 }
 
-/// Of three replicas, the leader and one other form a majority. The leader counts only once its entry is on
-/// disk.
+/// Of three replicas, the leader and one other form a majority. The leader counts towards the majority only
+/// once its own entry is on disk.
 #[test]
 fn a_leader_s_own_entry_counts_once_it_is_on_disk() {
     let (mut member, epoch) = leader(None);
