--- a/crates/replication/src/member/mod.rs
+++ b/crates/replication/src/member/mod.rs
@@ -35,8 +35,8 @@
 pub use settings::{Settings, SettingsError};
 use std::sync::Arc;
 
-/// Factor by which the byte budget of a control machine exceeds that of a server. A control machine sends no
-/// other traffic than that of replication.
+/// Factor by which the byte budget of a control machine exceeds that of a server. A control machine is
+/// dedicated to keeping the log, so replication does not compete with a server's traffic there.
 const CONTROL_BYTES_FACTOR: u64 = 16;
 
 /// Counters of a member since its start.
