--- a/crates/replication/src/committed_log.rs
+++ b/crates/replication/src/committed_log.rs
@@ -65,14 +65,14 @@
 pub struct CommittedLog {
     /// The configuration after the last committed entry.
     end: Snapshot,
-    /// The configuration after the last complete change. The host may apply this one, but not `end`, which
-    /// may contain an incomplete change.
+    /// The configuration after the last complete change. The host applies this configuration rather than
+    /// `end`, which may contain an incomplete change.
     complete: Snapshot,
     /// The configuration before the first entry of `tail`.
     base: Snapshot,
     /// All entries after `base`, without gaps.
     tail: VecDeque<Entry>,
-    /// The last two checkpoints, newer first.
+    /// The last two checkpoints, the newer one first.
     checkpoints: [Option<Snapshot>; 2],
 }
 
@@ -103,7 +103,7 @@
         &self.complete
     }
 
-    /// Position of the entry with this number; `None` if the entry is not held.
+    /// Position of the entry with this number; `None` if this member does not hold the entry.
     pub fn position(&self, number: u64) -> Option<Position> {
         if number == self.number() {
             return Some(self.end.revision.position);
@@ -169,7 +169,8 @@
         }
     }
 
-    /// Drops the entries up to the older checkpoint. A member that lacks them fetches a checkpoint instead.
+    /// Drops the entries up to the older checkpoint. Another member that lacks these entries fetches a
+    /// checkpoint instead.
     fn trim(&mut self) {
         let [_, Some(older)] = &self.checkpoints else { return };
         if older.number() < self.base.number() {
@@ -182,8 +183,8 @@
         }
     }
 
-    /// Content of the configuration after the entry with this number; `None` if the log does not contain the
-    /// number or the entries held do not reach back that far.
+    /// Content of the configuration after the entry with this number. `None` if the number is after the end
+    /// of the log, or before the first entry that is held.
     pub fn state_at(&self, number: u64) -> Option<State> {
         if number < self.base.number() || number > self.number() {
             return None;
@@ -195,8 +196,8 @@
         Some(state)
     }
 
-    /// All entries of the change whose last entry has this number; `None` if no complete change ends there or
-    /// it is not held any more.
+    /// All entries of the change whose last entry has this number; `None` if no complete change ends with
+    /// this entry, or the change is not held any more.
     pub fn change_at(&self, number: u64) -> Option<Vec<&Entry>> {
         let end = self.tail.iter().position(|entry| entry.number() == number)?;
         if self.tail[end].partial {
@@ -206,32 +207,34 @@
         Some(self.tail.range(end - parts..=end).collect())
     }
 
-    /// The entries after `number`; `None` if some of them are not held any more.
+    /// The entries whose numbers are above `number`. `None` if some of these entries are not held any more,
+    /// or `number` is after the end of the log.
     pub fn entries_after(&self, number: u64) -> Option<impl Iterator<Item = &Entry>> {
         let missing = self.number().checked_sub(number)? as usize;
         (missing <= self.tail.len()).then(|| self.tail.iter().skip(self.tail.len() - missing))
     }
 
-    /// Snapshot to offer to a member that lags behind the oldest entry held: the newest checkpoint or, if
-    /// none was taken since this member started, the snapshot that it started from.
+    /// Snapshot to offer to a member that lags behind the oldest entry held here: the newest checkpoint or,
+    /// if none was taken since this member started, the snapshot that it started from.
     pub fn newest_checkpoint(&self) -> Option<&Snapshot> {
         let base = Some(&self.base).filter(|base| base.number() > 0);
         self.checkpoints[0].as_ref().or(base)
     }
 
-    /// The checkpoint or starting snapshot with this number, if it is held.
+    /// The checkpoint with this number, or the snapshot from which the log was created if it has this number;
+    /// `None` if neither is held.
     pub fn snapshot(&self, number: u64) -> Option<&Snapshot> {
         let held = self.checkpoints.iter().flatten().chain([&self.base]);
         held.into_iter().find(|snapshot| snapshot.number() == number && number > 0)
     }
 
-    /// Entries after the last complete change: those of a change whose last entry is not committed yet.
+    /// Entries after the last complete change. They belong to a change whose last entry is not committed yet.
     pub fn incomplete(&self) -> impl Iterator<Item = &Entry> {
         let complete = self.complete.number();
         self.tail.iter().filter(move |entry| entry.number() > complete)
     }
 
-    /// All entries held, in order of their numbers.
+    /// All entries that this member holds, in order of their numbers.
     pub fn tail(&self) -> impl Iterator<Item = &Entry> {
         self.tail.iter()
     }
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -10,7 +10,8 @@
 use crate::state::{Pair, Text};
 use serde::{Deserialize, Serialize};
 
-/// Longest encoded message, in bytes. With its envelopes it fits into a datagram of 1,400 bytes.
+/// Longest encoded message, in bytes. A message of this length, together with its envelopes, fits into a
+/// datagram of 1,400 bytes.
 pub const BODY_BYTES_MAX: usize = 1_100;
 /// Longest name of a member, a region or a zone, in bytes.
 pub const NAME_BYTES_MAX: usize = 64;
@@ -22,9 +23,10 @@
 /// A leader's statement of where its committed log ended at a given time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Freshness {
-    /// Unix time in milliseconds by the leader's clock; 0 if no leader has made a statement yet.
+    /// When the leader made the statement, in Unix milliseconds on the leader's clock. The value 0 means that
+    /// no statement has been received.
     pub at_ms: u64,
-    /// Number of the last committed entry at that time.
+    /// Number of the last committed entry when the statement was made.
     pub number: u64,
 }
 
@@ -55,14 +57,15 @@
     pub reason: String,
 }
 
-/// A member's report to the leader of its progress.
+/// A member's report about its progress, sent to the leader.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// Number of the last revision that the member applied.
     pub applied: u64,
     /// Number of the last entry in the member's committed log.
     pub committed: u64,
-    /// The last rejected revision, unless a later one was applied.
+    /// The last revision that the member rejected; `None` if it rejected none or has since applied a later
+    /// revision.
     pub rejected: Option<Rejection>,
 }
 
@@ -95,8 +98,8 @@
 /// A message between members.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Anti-entropy: summarizes the log that the sender holds. A receiver that holds more answers with
-    /// `Entries` or a `SnapshotOffer`.
+    /// Anti-entropy: summarizes the log that the sender holds. A receiver that holds further entries answers
+    /// with `Entries` or a `SnapshotOffer`.
     Digest {
         /// Number of the last entry in the sender's committed log.
         number: u64,
@@ -106,14 +109,15 @@
         location: Location,
         /// Some other members of the sender's zone, so that members of a zone discover each other.
         neighbours: Vec<String>,
-        /// Whether a receiver that holds less, or has a fresher statement, answers with its own digest.
+        /// Whether the receiver is to answer with its own digest if it holds fewer entries than the sender or
+        /// has a fresher statement.
         wants_reply: bool,
     },
     /// Transfers committed entries.
     Entries {
         /// The entries, in order and without gaps.
         entries: Vec<Entry>,
-        /// The last known leader.
+        /// Name of the leader last known to the sender.
         leader: Option<String>,
         /// Whether the receiver forwards new entries to further members.
         pushed: bool,
@@ -154,7 +158,7 @@
     },
     /// The leader's request for a member's progress report.
     PollReport,
-    /// Between replicas: a candidate requests a promise of its epoch, and log entries.
+    /// Between replicas: a candidate requests a promise of its epoch and the receiver's log entries.
     Prepare {
         /// The candidate's epoch.
         epoch: u64,
@@ -165,14 +169,14 @@
     Promise {
         /// The candidate's epoch.
         epoch: u64,
-        /// Position of the last entry of the replica's log, committed or not.
+        /// Position of the last entry of the sender's log, committed or not.
         last: Position,
         /// Number after which the entries begin.
         after: u64,
-        /// Entries of the replica's log, as many as fit into the message.
+        /// Entries of the sender's log, as many as fit into the message.
         entries: Vec<Entry>,
     },
-    /// Between replicas: rejects a message because the replica has promised a later epoch.
+    /// Between replicas: rejects a message because the sender of the rejection has promised a later epoch.
     EpochRejected {
         /// The promised epoch.
         promised: u64,
@@ -188,21 +192,22 @@
         /// Number of the last entry in the leader's committed log.
         committed: u64,
     },
-    /// Between replicas: acknowledges `Append`. The replica's log matches the leader's up to `number`.
+    /// Between replicas: acknowledges `Append`. The sender's log matches the leader's log up to `number`.
     Appended {
         /// The leader's epoch.
         epoch: u64,
-        /// Number up to which the logs match.
+        /// Number up to which the sender's log matches the leader's log.
         number: u64,
     },
-    /// Between replicas: rejects `Append` because the replica's log lacks the entry at `previous`.
+    /// Between replicas: rejects `Append` because the sender of the rejection lacks the entry at `previous`.
     AppendRejected {
         /// The leader's epoch.
         epoch: u64,
-        /// Highest number up to which the logs may match.
+        /// Highest number up to which the sender's log may match the leader's log.
         matched: u64,
     },
-    /// An operator's change to the leader, or one part of it.
+    /// Submits an operator's change to the leader, or one part of the change if it is too large for one
+    /// message.
     Submit {
         /// Identifier of the request; the same in all parts.
         request: RequestId,
@@ -250,7 +255,7 @@
         members: u32,
         /// Number of participating members that have applied the newest revision.
         applied: u32,
-        /// Some of the participating members that have not applied the newest revision.
+        /// Participating members that have not applied the newest revision. The leader lists at most eight.
         lagging: Vec<LaggingSummary>,
     },
 }
--- a/crates/replication/tests/fleet.rs
+++ b/crates/replication/tests/fleet.rs
@@ -62,8 +62,8 @@
     (from..from + count).map(|n| Change::set(&format!("tenant/tenant-{n:05}"), "2")).collect()
 }
 
-/// Runs the fleet until all `nodes` have applied revision `number`, for at most `limit` seconds. Returns the
-/// elapsed seconds.
+/// Runs the fleet until all `nodes` have applied revision `number`, for at most `limit` seconds; panics after
+/// that. Returns the elapsed seconds.
 fn run_until_applied(fleet: &mut Fleet, nodes: &[usize], number: u64, limit: u64) -> f64 {
     let took = fleet.run_until(limit * S, |fleet| fleet.all_applied(nodes, number));
     let is_lagging = |node: &&usize| fleet.member(**node).is_some_and(|member| member.applied() < number);
@@ -80,7 +80,7 @@
     let mut fleet = settled_fleet(layout(), 1);
     let number = fleet.propose(small_change(1)).unwrap();
     let took = run_until_applied(&mut fleet, &all(), number, 10);
-    assert!(took <= 2.0, "{took} s");
+    assert!(took <= 2.0, "the change was applied everywhere only after {took} s");
     let leader = fleet.leader().unwrap();
     let lagging = |fleet: &Fleet| {
         let member = fleet.member(leader).unwrap();
@@ -91,7 +91,8 @@
         .expect("all members report to the leader that they have applied the change");
 }
 
-/// Pushes reach nearly all members at once. Pulls, which are rare in this layout, reach the others.
+/// Pushes deliver a change to nearly all members at once. Pulls, which are rare in this layout, deliver it to
+/// the others.
 #[test]
 fn pushes_carry_a_change_and_pulls_repair_what_they_miss() {
     let mut fleet = settled_fleet(Layout { pull_period: 2 * S, ..layout() }, 15);
@@ -101,10 +102,10 @@
     let reached = all().into_iter().filter(|node| fleet.all_applied(&[*node], number)).count();
     assert!(reached * 10 >= SIZE * 8, "pushes reached {reached} of {SIZE} members");
     let took = run_until_applied(&mut fleet, &all(), number, 20);
-    assert!(took <= 8.0, "{took} s");
+    assert!(took <= 8.0, "the change was applied everywhere only after {took} s");
 }
 
-/// A member that receives many digests at once answers with at most its byte budget.
+/// A member that receives many digests at once sends no more bytes in answer than its byte budget allows.
 #[test]
 fn digests_beyond_the_budget_of_bytes_are_not_answered() {
     let mut fleet = settled_fleet(layout(), 16);
@@ -121,7 +122,11 @@
     (0..500).for_each(|_| fleet.inject(20, 2, digest.encode()));
     fleet.run_for(S);
     let after = fleet.member(20).unwrap().counts;
-    assert!(after.sent_bytes - before.sent_bytes <= 24_000, "{} bytes", after.sent_bytes - before.sent_bytes);
+    assert!(
+        after.sent_bytes - before.sent_bytes <= 24_000,
+        "the member sent {} bytes",
+        after.sent_bytes - before.sent_bytes
+    );
     assert!(after.over_budget - before.over_budget > 100);
 }
 
@@ -146,19 +151,19 @@
     let before: Vec<u64> = all().iter().map(|n| fleet.member(*n).unwrap().counts.sent_bytes).collect();
     let numbers: Vec<u64> = (0..40).map(|n| fleet.propose(small_change(n)).unwrap()).collect();
     let took = run_until_applied(&mut fleet, &all(), *numbers.last().unwrap(), 10);
-    assert!(took <= 4.0, "{took} s");
+    assert!(took <= 4.0, "the change was applied everywhere only after {took} s");
     for (node, before) in before.iter().enumerate().skip(REPLICAS) {
         let sent = fleet.member(node).unwrap().counts.sent_bytes - before;
         assert!(sent as f64 <= 12_000.0 * (took + 1.0), "s{node} sent {sent} bytes in {took} s");
     }
 }
 
-/// A large change is sent as several entries. No member applies a part of it.
+/// A large change is sent as several entries. No member applies only some of these entries.
 #[test]
 fn a_change_of_many_entries_is_applied_as_a_whole() {
     let mut fleet = settled_fleet(layout(), 4);
     let number = fleet.propose(large_change(0, 1000)).unwrap();
-    assert!(number > 20, "{number}");
+    assert!(number > 20, "the last entry of the change has number {number}");
     run_until_applied(&mut fleet, &all(), number, 20);
     let partial =
         fleet.applied.iter().filter(|applied| applied.number > 1 && applied.number < number).count();
@@ -176,7 +181,8 @@
         run_until_applied(&mut fleet, &all(), first, 10);
         let old = fleet.leader().unwrap();
         fleet.propose(large_change(0, 200)).unwrap();
-        // One of the other replicas receives the change, the other is partitioned.
+        // Only one of the two other replicas receives the change, because the network to the other one is
+        // partitioned.
         fleet.set_group((old + 1) % REPLICAS, 1);
         fleet.cut(0, 1);
         fleet.run_for(at * 15 * MS);
@@ -188,15 +194,15 @@
         let rest: Vec<usize> = all().into_iter().filter(|node| *node != old).collect();
         run_until_applied(&mut fleet, &rest, number, 10);
         let keys = state(&fleet, SIZE - 1).len();
-        assert!(keys == 2 || keys == 202, "{keys} keys after a crash at {at}");
+        assert!(keys == 2 || keys == 202, "{keys} keys after a crash in step {at}");
         // The crashed leader restarts with the state on its disk and catches up.
         fleet.start(old);
         run_until_applied(&mut fleet, &all(), number, 20);
     }
 }
 
-/// Two replicas hold the lease at the same time. Only one of them commits changes; the uncommitted changes of
-/// the other are dropped.
+/// Two replicas hold the lease at the same time. Only one of the two commits changes; the uncommitted changes
+/// of the other replica are dropped.
 #[test]
 fn only_one_of_two_simultaneous_lease_holders_commits() {
     let mut fleet = Fleet::new(layout(), 6);
@@ -251,9 +257,9 @@
     fleet.heal();
     let sent = fleet.member(apart[4]).unwrap().counts.sent_bytes;
     let took = run_until_applied(&mut fleet, &all(), number, 30);
-    assert!(took <= 10.0, "{took} s");
+    assert!(took <= 10.0, "the change was applied everywhere only after {took} s");
     let sent = fleet.member(apart[4]).unwrap().counts.sent_bytes - sent;
-    assert!(sent as f64 <= 12_000.0 * (took + 1.0), "{sent} bytes in {took} s");
+    assert!(sent as f64 <= 12_000.0 * (took + 1.0), "a member sent {sent} bytes in {took} s");
 }
 
 /// All replicas are stopped. Restarted servers apply the revision on their disks at once.
@@ -271,8 +277,8 @@
     fleet.run_for(S);
     let servers: Vec<usize> = (REPLICAS..SIZE).collect();
     assert!(fleet.all_applied(&servers, number));
-    // A server with an empty disk fetches the revision from its neighbours, although none of them holds its
-    // entries any more.
+    // The restarted servers hold the revision as a snapshot without log entries. A server with an empty disk
+    // fetches this snapshot from them.
     fleet.crash(9);
     fleet.truncate_disk(9, 0.0);
     fleet.start(9);
@@ -325,8 +331,8 @@
     run_until_applied(&mut fleet, &all(), third, 10);
 }
 
-/// A leader whose disk is full must not count entries that it could not write. It commits nothing and is
-/// replaced by another leader.
+/// A leader whose disk is full must not count itself among the replicas that have stored an entry. It commits
+/// nothing and is replaced by another leader.
 #[test]
 fn a_leader_with_a_full_disk_commits_nothing_and_is_replaced() {
     let mut fleet = settled_fleet(layout(), 11);
@@ -348,8 +354,8 @@
 }
 
 /// Servers that reject a revision, such as older servers that do not know a configuration element, keep their
-/// last revision, while the others apply the new one. A later revision that all servers accept is applied by
-/// all.
+/// last revision, while the other servers apply the new revision. A later revision that all servers accept is
+/// applied by all.
 #[test]
 fn servers_that_reject_a_revision_keep_their_last_one() {
     let mut fleet = settled_fleet(layout(), 12);
@@ -386,18 +392,18 @@
         let message = Message::Entries { entries, leader: Some(member_name(0)), pushed: true, newest: 0 };
         fleet.inject(20, 3, message.encode());
     };
-    // A replay of known entries.
+    // Entries that the member holds already.
     send(&mut fleet, known);
     let at = |number: u64, epoch: u64| Position { epoch, number };
     let hash = before.hash();
     let entry = |at, changes| Entry { revision: Revision { position: at, hash }, changes, partial: false };
-    // The next number with a hash that does not match its content.
+    // An entry with the next number, whose hash does not match the resulting content.
     send(&mut fleet, vec![entry(at(second + 1, 1 << 40), small_change(9))]);
-    // A number far ahead of the log.
+    // An entry whose number leaves a gap after the end of the log.
     send(&mut fleet, vec![entry(at(second + 9, 1 << 40), Vec::new())]);
-    // An epoch lower than that of the last entry.
+    // An entry whose epoch is lower than that of the last entry in the log.
     send(&mut fleet, vec![entry(at(second + 1, 0), Vec::new())]);
-    // A key that is too long.
+    // An entry that removes a key longer than the maximum.
     let long = Change { key: "k".repeat(200), value: None };
     send(&mut fleet, vec![entry(at(second + 1, 1 << 40), vec![long])]);
     fleet.inject(20, 3, vec![7; 5000]);
@@ -434,7 +440,8 @@
     };
     fleet.run_until(60 * S, is_in_progress).expect("the server fetches a checkpoint");
     let pairs_before = fleet.member(late).and_then(Member::transferred_pairs).unwrap();
-    // Crash the other servers of its zone and half of the servers elsewhere.
+    // Crash the other servers in the zone of the server that fetches the checkpoint, and half of the servers
+    // in the other zones.
     for node in (REPLICAS..late).filter(|node| node % 6 == late % 6 || node % 2 == 0) {
         fleet.crash(node);
     }
@@ -492,8 +499,8 @@
     fleet.run_for(6 * S);
     fleet.set_holds_lease(0, true);
     fleet.run_until(60 * S, |fleet| fleet.leader() == Some(0)).expect("node 0 becomes the leader");
-    // Uncommitted entries of the previous leader may fill the log of the new one at first, so that it rejects
-    // changes as busy.
+    // At first, uncommitted entries of the previous leader may fill the log of the new leader, which then
+    // rejects changes as busy.
     let proposed = (0..100).find_map(|_| {
         let number = fleet.propose(small_change(1));
         fleet.run_for(200 * MS);
--- a/crates/replication/tests/replica.rs
+++ b/crates/replication/tests/replica.rs
@@ -16,7 +16,8 @@
     Member::new("s0", Settings::new(Location::default(), replicas), 1, NOW, disk).unwrap()
 }
 
-/// The messages between replicas among the queued ones.
+/// Removes all messages that the member has queued, and returns them without digests and reports, so that
+/// only messages between replicas remain.
 fn replica_messages(member: &mut Member) -> Vec<Message> {
     let all = member.take_outgoing().into_iter().filter_map(|outgoing| Message::decode(&outgoing.body));
     all.filter(|message| !matches!(message, Message::Digest { .. } | Message::Report { .. })).collect()
@@ -43,8 +44,8 @@
     }
 }
 
-/// A replica that lost its promise in a restart would store entries of an earlier leader that the later
-/// leader does not know about.
+/// A replica that forgot its promise in a restart would store entries of an earlier leader, of which the
+/// later leader would not know.
 #[test]
 fn a_promise_is_on_disk_before_it_is_sent() {
     let mut member = replica(None);
@@ -74,7 +75,7 @@
     assert!(matches!(replica_messages(&mut member)[..], [Message::Appended { epoch: 4, number: 1 }]));
 }
 
-/// A replica started with the state `disk` and elected leader, and its epoch.
+/// Starts a replica with the state `disk` and elects it leader. Returns the replica and its epoch.
 fn leader(disk: Option<PersistedState>) -> (Member, u64) {
     let mut member = replica(disk);
     member.set_holds_lease(true);
@@ -88,8 +89,8 @@
     (member, epoch)
 }
 
-/// Of three replicas, the leader and one other form a majority. The leader counts only once its entry is on
-/// disk.
+/// Of three replicas, the leader and one other form a majority. The leader counts towards the majority only
+/// once its own entry is on disk.
 #[test]
 fn a_leader_s_own_entry_counts_once_it_is_on_disk() {
     let (mut member, epoch) = leader(None);
