--- a/crates/overload-control/src/admission.rs
+++ b/crates/overload-control/src/admission.rs
@@ -11,8 +11,9 @@
 }
 
 impl PriorityClasses {
-    /// Collects the priority weights of all operations. If tenants have quotas, each operation has two
-    /// classes: within the quota and over it.
+    /// Creates one priority class for each distinct priority weight of the operations. If tenants have
+    /// quotas, each operation has two weights: one for invocations within the quota and one for those over
+    /// it.
     pub fn new(deployment: &Deployment) -> Self {
         let has_quotas = !deployment.tenant_allowance.is_empty() || deployment.fair_queueing.is_some();
         let over_quota = if has_quotas { deployment.over_quota_value_ratio } else { 1.0 };
@@ -20,8 +21,8 @@
         let mut weights: Vec<f64> = of_operations.flat_map(|weight| [weight * over_quota, weight]).collect();
         weights.sort_by(f64::total_cmp);
         weights.dedup();
-        // Rejecting a downstream call wastes work of the tier above, so no call is in the basic class: the
-        // lowest rank is left empty.
+        // A downstream tier leaves the lowest rank empty, so that none of its invocations is in the basic
+        // class: rejecting one of them would waste work that the calling tier has already done.
         if deployment.is_downstream_tier {
             weights.insert(0, 0.0);
         }
@@ -46,17 +47,18 @@
 
 /// Conditions that raise the refusal time ratio above that of the regulator.
 pub struct Distress {
-    /// Whether reading arrivals alone overloads the server.
+    /// Whether reading arrivals alone overloads the server. All ranks except the highest are then rejected.
     pub is_flooded: bool,
-    /// Share of arrivals that an unhealthy server rejects, from 0 to 1.
+    /// Share of arrivals of every rank to reject because the server is unhealthy, from 0 to 1.
     pub unhealthy_ratio: f64,
 }
 
-/// Decides whether to reject an arrival by the time elapsed in the control period.
+/// Decides whether an arrival is rejected. The decision depends on the time elapsed in the current control
+/// period.
 pub struct Admission {
     period_start: Nanos,
-    /// Whether operations without downstream calls are exempt from rejection: the downstream calls are
-    /// saturated and the cores are not.
+    /// Whether the refusal window exempts operations without downstream calls. Set while the downstream
+    /// calls are saturated and the cores are below their target utilization.
     pub spares_operations_without_calls: bool,
 }
 
@@ -71,8 +73,8 @@
         self.period_start = now;
     }
 
-    /// Returns the share of the control period in which arrivals of `rank` are rejected. The lowest rank is
-    /// basic and the next is premium.
+    /// Returns the share of the control period in which arrivals of `rank` are rejected, from 0 to 1. Rank
+    /// 0 is basic and rank 1 is premium; higher ranks are rejected only in distress.
     pub fn refusal_ratio(
         ratios: RefusalRatios,
         classes: &PriorityClasses,
@@ -90,7 +92,8 @@
         regulated.max(distress.unhealthy_ratio)
     }
 
-    /// Returns the remaining time of the refusal window, or `None` once the window has ended.
+    /// Returns the remaining time of the refusal window, which is the first `refusal_ratio` of the control
+    /// period; `None` once the window has ended.
     pub fn refusal_time_left(&self, now: Nanos, refusal_ratio: f64) -> Option<Nanos> {
         let window = (refusal_ratio * CONTROL_PERIOD as f64) as Nanos;
         let passed = now - self.period_start;
--- a/crates/overload-control/src/advertised_load.rs
+++ b/crates/overload-control/src/advertised_load.rs
@@ -4,12 +4,12 @@
 
 /// Inputs from which the advertised load is computed.
 pub struct LoadInputs {
-    /// Whether callers should continue to send invocations.
+    /// Whether callers should continue to send invocations to this server.
     pub wants_arrivals: bool,
-    /// Share of the control period in which arrivals of the lowest rank are rejected, from 0 to 1, because
-    /// of the regulator, a flood or poor health.
+    /// Share of the control period in which arrivals of the lowest rank are rejected, from 0 to 1. The
+    /// regulator, a flood or poor health can raise it.
     pub lowest_rank_refusal_ratio: f64,
-    /// Current speed of the server as a ratio of full speed.
+    /// Lower bound of the server's current speed, as a ratio of full speed.
     pub speed_ratio: f64,
     /// Limit on the number of concurrent runs.
     pub concurrency_limit: f64,
@@ -22,7 +22,8 @@
 }
 
 impl AdvertisedLoad {
-    /// Returns the load to advertise, or `None` if it has not changed.
+    /// Returns the load to advertise, in the given unit; `None` if it equals the last advertised load or no
+    /// load is advertised.
     pub fn update(&mut self, unit: Advertisement, inputs: &LoadInputs) -> Option<f64> {
         let wanted = f64::from(inputs.wants_arrivals);
         let load = match unit {
--- a/crates/overload-control/src/call_budget.rs
+++ b/crates/overload-control/src/call_budget.rs
@@ -1,34 +1,34 @@
 //! Budget of call time that this server may use at a dependency shared by all servers.
 //!
 //! The budget refills at a constant rate up to a maximum. A call reserves its timeout when it starts, and
-//! the unused time is returned when it ends. The mean number of concurrent calls therefore stays within the
-//! quota over each window.
+//! the unused part of the timeout is returned to the budget when the call ends. The mean number of
+//! concurrent calls therefore stays within the quota over each window.
 
 use crate::{Downstream, Nanos, Outcome};
 
-/// Refill rate of the budget, as a share of the quota. The rest of the quota over a window is the maximum
-/// that the budget can accumulate.
+/// Refill rate of the budget, as a share of the quota. The maximum budget is the remaining share of the
+/// quota multiplied by the window length.
 const STEADY_SHARE: f64 = 0.7;
-/// Share of the maximum budget reserved for calls of the top rank, so that these calls find budget when
-/// calls are slow.
+/// Share of the maximum budget that only calls of the top rank may use, so that slow calls of lower ranks
+/// cannot exhaust the budget.
 const TOP_RANK_SHARE: f64 = 0.3;
-/// Maximum timeout of a call, as a multiple of the attempt timeout.
+/// Maximum timeout of a call, as a multiple of its attempt timeout.
 const TIMEOUT_MAX_RATIO: f64 = 4.0;
 
-/// Minimum timeout of a call that exceeds even the maximum budget, as a share of that maximum. Written as a
-/// difference because the literal 0.3 rounds to a different number.
+/// Lower bound of the shortened timeout of a call whose request exceeds the maximum budget, as a share of
+/// the maximum budget. Written as a difference because the literal 0.3 rounds to a different number.
 const TIMEOUT_MIN_SHARE: f64 = 1.0 - 0.7;
 
-/// Budget requested for one call.
+/// Inputs for reserving the budget of one call.
 pub struct Request {
-    /// Requested timeout: the time until the result is no longer useful, or the attempt timeout of a call
-    /// that may be repeated if that is shorter.
+    /// Requested timeout: the time until the result of the call is no longer useful. If the call may be
+    /// repeated and its attempt timeout is shorter, the attempt timeout is requested.
     pub timeout: Nanos,
-    /// Timeout of this attempt for a call that may be repeated, ns; 0 before any call time is learned.
+    /// Timeout of an attempt that may be repeated, ns; 0 until the duration of a call has been observed.
     pub attempt_timeout_ns: f64,
-    /// Half of the timeout of a first attempt, ns; 0 before any call time is learned.
+    /// Half of the timeout of a first attempt, ns; 0 until the duration of a call has been observed.
     pub base_timeout_ns: f64,
-    /// Whether the run has the highest rank.
+    /// Whether the run that makes the call has the highest rank.
     pub is_top_rank: bool,
 }
 
@@ -40,27 +40,29 @@
     linger: Nanos,
     /// Call time that can be reserved now, ns.
     available_ns: f64,
-    /// Call time that the waiting call needs, ns.
+    /// Call time required by the most recent request, ns. A waiting call can start once this much is
+    /// available.
     needed_ns: f64,
     /// Maximum call time that can accumulate, ns.
     max_ns: f64,
 }
 
 impl CallBudget {
-    /// Creates the budget; `None` if the downstream is not a shared dependency.
+    /// Creates the budget; `None` if the downstream calls do not go to a shared dependency.
     pub fn new(downstream: Downstream) -> Option<Self> {
         let Downstream::Shared { quota, linger, window } = downstream else { return None };
         let max_ns = quota * window as f64 * (1.0 - STEADY_SHARE);
         Some(Self { quota, linger, available_ns: f64::INFINITY, needed_ns: 0.0, max_ns })
     }
 
-    /// Refills the budget for the time that has elapsed.
+    /// Refills the budget for the time `elapsed` since the last refill.
     pub fn advance(&mut self, elapsed: Nanos) {
         let gained = self.quota * STEADY_SHARE * elapsed as f64;
         self.available_ns = (self.available_ns + gained).min(self.max_ns);
     }
 
-    /// Reserves budget for a call and returns the call's timeout; `None` if the budget is too low.
+    /// Reserves budget for a call and returns the call's timeout. Returns `None`, and reserves nothing, if
+    /// the budget is too low.
     pub fn reserve(&mut self, request: &Request) -> Option<Nanos> {
         let linger = self.linger as f64;
         let timeout_max = if request.attempt_timeout_ns > 0.0 {
@@ -81,14 +83,15 @@
         Some(timeout)
     }
 
-    /// Returns the unused budget of an ended call. The linger time of an abandoned call is not returned,
-    /// because the call still occupies the dependency.
+    /// Returns the unused call time of an ended call to the budget. The linger time of an abandoned call
+    /// remains reserved, because the call still occupies the dependency.
     pub fn refund(&mut self, timeout: Nanos, duration: Nanos, outcome: Outcome) {
         let linger = if outcome == Outcome::Unknown { 0 } else { self.linger };
         self.available_ns += (timeout + linger) as f64 - duration as f64;
     }
 
-    /// Returns the time at which the budget will suffice for the waiting call; `None` if it suffices now.
+    /// Returns the time at which the budget will suffice for the most recent request; `None` if it suffices
+    /// now.
     pub fn enough_at(&self, now: Nanos) -> Option<Nanos> {
         let time_until_enough = (self.needed_ns - self.available_ns) / (self.quota * STEADY_SHARE);
         (time_until_enough > 0.0).then(|| now + time_until_enough as Nanos + 1)
--- a/crates/overload-control/src/concurrency_limit.rs
+++ b/crates/overload-control/src/concurrency_limit.rs
@@ -2,19 +2,19 @@
 
 use crate::Nanos;
 
-/// Factor by which the limit grows in one control period. The limit grows only while the cores are below
-/// their target, so its growth can be larger than its reduction.
+/// Factor by which the concurrency limit grows in one control period. The limit grows only while the cores
+/// are below their target utilization, so the growth can be larger than the reduction by `CUT_RATIO`.
 const GROWTH_RATIO: f64 = 1.15;
-/// Factor by which the limit is reduced in one control period.
+/// Factor by which the concurrency limit is reduced in one control period.
 const CUT_RATIO: f64 = 0.95;
-/// Share of the survivable concurrency that is used.
+/// Maximum number of open runs, as a share of the survivable concurrency.
 const SURVIVABLE_SHARE: f64 = 0.7;
 
 /// Model of the server's speed while it warms up.
 pub struct WarmUp {
     /// Time at which the server started.
     pub started: Nanos,
-    /// Whether the server started cold; a warm one has full speed from the start.
+    /// Whether the server started cold. A server that started warm has full speed from the start.
     pub starts_cold: bool,
     /// Initial speed of a cold server as a ratio of full speed.
     pub cold_speed_ratio: f64,
@@ -33,11 +33,11 @@
 
 /// Measurements to which the limit is adapted once per control period.
 pub struct Load {
-    /// Whether the pending queue is not empty.
+    /// Whether invocations wait in the pending queue.
     pub is_queueing: bool,
     /// Number of runs on the cores.
     pub running: f64,
-    /// Whether runs slow each other down.
+    /// Whether concurrent runs lengthen each other's core time.
     pub are_runs_slowed: bool,
     /// Utilization of the cores during the last control period, from 0 to 1.
     pub utilization: f64,
@@ -49,13 +49,13 @@
 pub struct ConcurrencyLimit {
     limit: f64,
     cores: f64,
-    /// Number of concurrent runs that a warm server survives, as a multiple of its cores.
+    /// Maximum number of open runs that the server can sustain at full speed, as a multiple of its cores.
     survivable_ratio: f64,
     warm_up: WarmUp,
 }
 
 impl ConcurrencyLimit {
-    /// Creates a limit that starts at the core count.
+    /// Creates a limit whose initial value is the core count.
     pub fn new(cores: f64, survivable_ratio: f64, warm_up: WarmUp) -> Self {
         Self { limit: cores, cores, survivable_ratio, warm_up }
     }
@@ -70,16 +70,17 @@
         self.warm_up.speed_ratio(now)
     }
 
-    /// Returns the maximum number of open runs, including runs at downstream calls; lower while the server
-    /// warms up.
+    /// Returns the maximum number of open runs, including runs that wait for a downstream call or are in
+    /// one. The maximum is lower while the server warms up.
     pub fn survivable(&self, now: Nanos) -> f64 {
         let speed = self.warm_up.speed_ratio(now);
         self.cores * (1.0 + (self.survivable_ratio - 1.0) * speed) * SURVIVABLE_SHARE
     }
 
-    /// Raises the limit while it is reached and the cores are below their target, which means that runs
-    /// wait for something other than a core. Lowers the limit while runs slow each other down or the cores
-    /// are above their target. The limit stays between the core count and the survivable concurrency.
+    /// Raises the limit while the runs reach it and the cores are below their target utilization, which
+    /// means that runs wait for something other than a core. Lowers the limit while concurrent runs
+    /// lengthen each other's core time or the cores are above their target utilization. The limit stays
+    /// between the core count and the maximum number of open runs.
     pub fn adapt(&mut self, now: Nanos, load: &Load) {
         let binds = load.is_queueing && load.running + 1.0 > self.limit;
         if binds && load.utilization < load.target_utilization {
--- a/crates/overload-control/src/controller.rs
+++ b/crates/overload-control/src/controller.rs
@@ -1,10 +1,10 @@
 //! The controller: processes events, applies its rules in a fixed order, and emits actions.
 //!
 //! The host calls `on_arrival`, `on_run_finished`, `on_call_needed`, `on_call_finished`, `on_drain_notice`,
-//! `on_caller_gone` and `on_timer`. Each event updates the controller's measurements. `RULES` are then
-//! evaluated in order, starting again from the first after each rule that acts, until no rule acts. Actions
-//! are calls to the [`Host`] passed with the event. `docs/design.md` lists the parts taken from the paper
-//! and the deviations from it.
+//! `on_caller_gone` and `on_timer`. Each event updates the controller's measurements. The controller then
+//! evaluates `RULES` in order. After each rule that acts it starts again from the first rule, until no rule
+//! acts. Actions are calls to the [`Host`] passed with the event. `docs/design.md` lists the parts of the
+//! controller taken from the paper, and the deviations from the paper.
 
 mod conditions;
 mod events;
@@ -62,8 +62,8 @@
 /// Performs one action and returns `Some` if the rule's condition holds, otherwise returns `None`.
 type Rule = fn(&mut Controller, &mut dyn Host) -> Option<()>;
 
-/// Rules in order of precedence. Evaluation restarts from the first after each rule that acts and ends when
-/// no rule acts.
+/// The controller's rules in order of precedence. Evaluation restarts from the first rule after each rule
+/// that acts, and ends when no rule acts.
 const RULES: &[Rule] = &[
     Controller::answer_overdue,
     Controller::stop_abandoned_runs,
--- a/crates/overload-control/src/controller/conditions.rs
+++ b/crates/overload-control/src/controller/conditions.rs
@@ -1,4 +1,4 @@
-//! Values derived from the controller's state and shared by its rules and event handlers.
+//! Values that the controller's rules and event handlers derive from its state.
 
 use super::Controller;
 use crate::admission::{Admission, Distress};
@@ -13,8 +13,8 @@
         self.invocations.count(&[InvocationState::Running])
     }
 
-    /// Number of runs that have started and not ended: on the cores, waiting for a downstream call, or in
-    /// one.
+    /// Number of runs that have started and not ended, including runs that wait for a downstream call or
+    /// are in one.
     pub(super) fn open_runs(&self) -> f64 {
         let states = [InvocationState::Running, InvocationState::AwaitingCall, InvocationState::Calling];
         self.invocations.count(&states)
@@ -47,14 +47,14 @@
     }
 
     /// Time until which the controller waits for the result of an invocation that has left the pending
-    /// queue.
+    /// queue. After this time it answers without the result.
     pub(super) fn wait_until(&self, invocation: &Invocation) -> Nanos {
         let has_late_value = self.deployment.operations[invocation.operation].late_value > 0.0;
         let is_late_useful = has_late_value || !self.is_idempotent(invocation);
         invocation.deadlines.wait_until(is_late_useful, self.draining.last_answers())
     }
 
-    /// Time that arrivals wait to be read, in excess of the normal delay; ns.
+    /// Time that arrivals wait to be read, in excess of the normal reading delay, ns.
     pub(super) fn excess_reading_delay(&self) -> f64 {
         self.reading.excess_delay(self.now, self.times.longest_core_ns())
     }
@@ -64,7 +64,7 @@
         self.health.unhealthy_ratio(self.now, oldest_run, self.times.longest_core_ns())
     }
 
-    /// Whether the server is flooded or unhealthy: it recovers only if callers send less.
+    /// Whether the server is flooded or unhealthy, and recovers only if callers send less.
     pub(super) fn is_in_distress(&self) -> bool {
         self.reading.is_flooded(self.now) || self.unhealthy_ratio() > 0.0
     }
@@ -78,9 +78,9 @@
         Admission::refusal_ratio(self.regulator.ratios(), &self.classes, rank, &distress)
     }
 
-    /// Excess work that the utilization gauge cannot show because it is capped at 1, in control periods.
-    /// The sum of three times, ns: the core time of pending invocations divided by the concurrency limit,
-    /// the excess delay of reading arrivals, and the call time in excess of the limit on downstream calls.
+    /// Excess work, in control periods, that the utilization gauge cannot show because it is capped at 1.
+    /// The sum of three times: the core time of pending invocations divided by the concurrency limit, the
+    /// excess delay of reading arrivals, and the call time in excess of the limit on downstream calls.
     pub(super) fn backlog(&self) -> f64 {
         let queued = self.invocations.pending.queued_work(self.times.usual());
         let calls = self.calls.backlog(self.open_calls());
--- a/crates/overload-control/src/controller/events.rs
+++ b/crates/overload-control/src/controller/events.rs
@@ -25,19 +25,19 @@
         invocation.rank = self.classes.rank(operation.priority_weight * quota_ratio);
         invocation.deadlines = Deadlines::of(&arrival, operation, now);
         invocation.cost_ratio = cost_ratio;
-        // A caller that returns with a valid ticket skips the refusal window, unless the server is flooded
-        // or unhealthy at that time.
+        // An invocation with a valid ticket of a promise skips the refusal window, unless the server is
+        // flooded or unhealthy when the invocation arrives.
         let is_promised = quota_decision.fair_admission.is_some_and(|admission| admission.promised);
         invocation.screened |= is_promised && !self.is_in_distress();
-        // Invocations that arrive after the drain grace are not run. Neither are invocations whose
-        // idempotency key the host could not store: a retry with the same key would not be recognized, and
-        // the operation would take effect twice.
+        // Two kinds of invocations are not run: those that arrive after the drain grace, and those whose
+        // idempotency key the host could not store. Without the stored key a retry would not be recognized,
+        // and the operation would take effect twice.
         let answer_without_run = self.draining.is_too_late(invocation.arrived) || arrival.key_not_stored;
         self.invocations.insert(invocation, answer_without_run);
         self.apply_rules(host);
     }
 
-    /// Handles the end of a run, or of the replay of an earlier result to a repeat.
+    /// Handles the end of a run, or of the replay of the original invocation's result to a repeat.
     pub fn on_run_finished(&mut self, now: Nanos, id: u64, outcome: Outcome, host: &mut dyn Host) {
         self.advance(now);
         if let Some(key) = self.invocations.find(id) {
@@ -67,7 +67,8 @@
         if has_ended || invocation.answered {
             self.remove(key);
         } else if invocation.has_run && !self.is_idempotent(invocation) {
-            // The work was lost, and only idempotent work may run again.
+            // The work of the run is lost. Only idempotent work may run again, so this invocation is
+            // answered.
             self.answer(key, 0, host);
         }
     }
@@ -81,7 +82,7 @@
         self.apply_rules(host);
     }
 
-    /// Handles the end of a downstream call that lasted for `duration`.
+    /// Handles the end of an invocation's downstream call, which lasted for `duration`.
     pub fn on_call_finished(
         &mut self,
         now: Nanos,
@@ -111,13 +112,13 @@
             let backoff = DownstreamCalls::backoff(usual.elapsed_ns);
             self.invocations[key].retry_call_at = self.now + backoff;
         } else if !self.is_idempotent(&self.invocations[key]) {
-            // The call may have taken effect, so it must not be repeated.
+            // The call may have taken effect, so the call must not be repeated.
             self.answer(key, 0, host);
         }
     }
 
-    /// Handles the notice to drain, received at `noticed_at`, which may precede the controller's creation.
-    /// The process stops `grace` after that time.
+    /// Handles the notice to drain, received at `noticed_at`; the host may have received the notice before
+    /// it created the controller. The process stops `grace` after `noticed_at`.
     pub fn on_drain_notice(&mut self, now: Nanos, noticed_at: Nanos, grace: Nanos, host: &mut dyn Host) {
         self.advance(now);
         self.draining.begin(noticed_at, grace);
@@ -125,7 +126,8 @@
         self.apply_rules(host);
     }
 
-    /// Handles a caller that cancelled its invocation or disconnected: the answer is no longer needed.
+    /// Handles a cancellation by the caller, or its disconnection. The invocation is closed without an
+    /// answer.
     pub fn on_caller_gone(&mut self, now: Nanos, id: u64, host: &mut dyn Host) {
         self.advance(now);
         if let Some(key) = self.invocations.find(id) {
@@ -134,8 +136,8 @@
         self.apply_rules(host);
     }
 
-    /// Handles the expiry of a timer. `gauges` are used with [`CONTROL_TIMER`] only. An event with any
-    /// other timer id only re-evaluates the rules.
+    /// Handles the expiry of a timer. `gauges` are used only with [`CONTROL_TIMER`]; any other timer id
+    /// only re-evaluates the rules.
     pub fn on_timer(&mut self, now: Nanos, timer: u32, gauges: Gauges, host: &mut dyn Host) {
         self.advance(now);
         if timer == CONTROL_TIMER {
@@ -170,7 +172,8 @@
         self.admission.start_period(self.now);
     }
 
-    /// Runs one step of the regulator. Saturated downstream calls count as a utilization of 1.
+    /// Runs one step of the regulator on the utilization of the cores. Saturated downstream calls count as
+    /// a utilization of 1.
     fn regulate(&mut self, cores_utilization: f64, host: &mut dyn Host) {
         let target = self.deployment.target_utilization;
         let is_saturated = self.calls.is_saturated(self.open_calls());
--- a/crates/overload-control/src/controller/rules.rs
+++ b/crates/overload-control/src/controller/rules.rs
@@ -1,4 +1,4 @@
-//! The controller's rules, in the order of `RULES`, and the answers that they give.
+//! The controller's rules, in the order of `RULES`, and the functions that answer an invocation.
 
 use super::Controller;
 use crate::advertised_load::LoadInputs;
@@ -11,8 +11,8 @@
 use meadowstream_pending_queue::Capacity;
 
 impl Controller {
-    /// Answers an invocation whose deadline has passed, or a pending one that can no longer finish by its
-    /// deadline.
+    /// Answers an invocation whose deadline has passed, or a pending invocation that can no longer finish
+    /// by its objective deadline.
     pub(super) fn answer_overdue(&mut self, host: &mut dyn Host) -> Option<()> {
         let active = self
             .invocations
@@ -24,8 +24,8 @@
     }
 
     /// Stops a run whose answer is no longer needed, if the host supports preemption. A run with an
-    /// idempotency key continues: if it were stopped, repeats with the same key would fail for the rest of
-    /// the idempotency window.
+    /// idempotency key continues: if it were stopped, repeats with its key would fail for the rest of the
+    /// idempotency window.
     pub(super) fn stop_abandoned_runs(&mut self, host: &mut dyn Host) -> Option<()> {
         if self.deployment.preemption == Preemption::Unsupported {
             return None;
@@ -41,9 +41,10 @@
         Some(())
     }
 
-    /// Rejects an arrival during the refusal window of its rank, which is the first part of the control
-    /// period. This is the actuator of IAMS (Jiang, Meng, Ren and Zhan). While downstream calls are
-    /// saturated and the cores are not, operations without downstream calls are exempt.
+    /// Rejects an arrival during the refusal window of its rank. The refusal window is the first part of
+    /// the control period and is the actuator of IAMS (Jiang, Meng, Ren and Zhan). Operations without
+    /// downstream calls are exempt while downstream calls are saturated and the cores are below their
+    /// target.
     pub(super) fn reject_in_refusal_window(&mut self, host: &mut dyn Host) -> Option<()> {
         let key = self.invocations.next_to_screen()?;
         let (rank, operation) = (self.invocations[key].rank, self.invocations[key].operation);
@@ -53,8 +54,8 @@
         if let Some(time_left) = time_left.filter(|_| !is_spared) {
             let in_distress = self.is_in_distress();
             let retry_after = if in_distress { self.deployment.retry_after_max } else { time_left };
-            // The refusal window does not apply to promised admissions, so the promise has no earliest
-            // time.
+            // A promise of admission exempts the retry from the refusal window, so no minimum delay is set
+            // for the promise.
             self.reject_or_fail(key, retry_after, 0, host);
         }
         Some(())
@@ -80,8 +81,9 @@
         Some(())
     }
 
-    /// If a pending invocation would miss its latency objective, rejects the one of the lowest priority
-    /// among it and those that run before it, so that the others meet theirs.
+    /// If a pending invocation would miss its latency objective, rejects one invocation so that the others
+    /// meet theirs. The candidates are the late invocation and those of its rank that run before it; the
+    /// one of the lowest priority is rejected.
     pub(super) fn reject_for_deadlines(&mut self, host: &mut dyn Host) -> Option<()> {
         let concurrency_limit = self.concurrency.get();
         let free_slots = (concurrency_limit - self.running()).floor().max(0.0) as usize;
@@ -91,9 +93,9 @@
         Some(())
     }
 
-    /// Starts the downstream call of the highest-ranked run that waits for one and still has to be
-    /// answered. A run whose operation supports degraded answers continues without its call if the call
-    /// failed or is not permitted now.
+    /// Starts the downstream call of the highest-ranked unanswered run that waits for its call. If the call
+    /// is not permitted now, lacks call budget, or failed in an earlier attempt, a run whose operation
+    /// supports degraded answers continues without its call.
     pub(super) fn start_calls(&mut self, host: &mut dyn Host) -> Option<()> {
         let open = self.open_calls();
         if !self.calls.is_within_limit(open.calling) {
@@ -119,21 +121,21 @@
         Some(())
     }
 
-    /// Of the runs that may make their call now, returns the one of the highest rank, the oldest if several
-    /// have it.
+    /// Returns the run of the highest rank that may make its downstream call now. Among runs of equal rank
+    /// the oldest is returned.
     fn next_to_call(&self) -> Option<usize> {
         let ready = self.invocations.active().filter(|(_, invocation)| {
             invocation.state() == InvocationState::AwaitingCall
                 && !invocation.answered
                 && self.now >= invocation.retry_call_at
         });
-        // `max_by_key` returns the last of several equal items; the order is reversed to get the oldest.
+        // `max_by_key` returns the last of several equal items, so the order is reversed to get the oldest.
         let (key, _) = ready.rev().max_by_key(|(_, invocation)| invocation.rank)?;
         Some(key)
     }
 
-    /// Reserves call budget and returns the call's timeout; `None` if the budget of a shared dependency is
-    /// too low.
+    /// Reserves call budget for a run's downstream call and returns the call's timeout; `None` if the
+    /// budget of a shared dependency is too low.
     fn reserve_call(&mut self, key: usize) -> Option<Nanos> {
         let invocation = &self.invocations[key];
         let attempt = Attempt {
@@ -152,8 +154,8 @@
         Some(())
     }
 
-    /// Starts the next pending invocation if a slot and enough memory are free. While downstream calls are
-    /// saturated, only operations without downstream calls start.
+    /// Starts the next pending invocation if the limits on runs and memory permit. While downstream calls
+    /// are saturated, only operations without downstream calls start.
     pub(super) fn start_runs(&mut self, host: &mut dyn Host) -> Option<()> {
         let pending = &self.invocations.pending;
         let next = if self.calls.is_saturated(self.open_calls()) {
@@ -175,8 +177,8 @@
         Some(())
     }
 
-    /// Notifies the host of a change of readiness or advertised load. Health checks report readiness: a
-    /// draining server that wants no more arrivals fails them even if it is healthy.
+    /// Notifies the host of a change of readiness or advertised load. Health checks report readiness: they
+    /// fail on a draining server that wants no more arrivals, even if the server is healthy.
     pub(super) fn report_health_and_load(&mut self, host: &mut dyn Host) -> Option<()> {
         let wants_arrivals = self.draining.wants_arrivals(self.now, self.deployment.target_utilization);
         let is_ready = wants_arrivals && self.unhealthy_ratio() <= 0.0;
@@ -196,8 +198,8 @@
         Some(())
     }
 
-    /// Sets the deadline timer to the earliest of the next deadline, the end of a backoff, and the time
-    /// when the call budget suffices for a waiting call.
+    /// Sets the deadline timer to the earliest of three times: the next deadline, the end of a backoff, and
+    /// the time at which the call budget suffices for a waiting call.
     pub(super) fn set_deadline_timer(&mut self, host: &mut dyn Host) -> Option<()> {
         let unanswered = self.invocations.active().filter(|(_, invocation)| !invocation.answered);
         let active = unanswered.map(|(_, invocation)| {
@@ -223,17 +225,18 @@
         self.invocations.enter(key, state, self.now);
     }
 
-    /// Sends the final answer of an invocation, a rejection or an error, advising a retry after
-    /// `retry_after`.
+    /// Sends the final answer of an invocation, which is a rejection or an error. A rejection advises the
+    /// caller to retry after `retry_after`.
     pub(super) fn answer(&mut self, key: usize, retry_after: Nanos, host: &mut dyn Host) {
         self.reject_or_fail(key, retry_after, retry_after, host);
     }
 
-    /// Rejects the invocation if it is idempotent or certainly had no effect, otherwise fails it; the
-    /// effect of a repeat may have come from the original invocation. A promise of admission takes effect
-    /// after `promise_after` at the earliest. The caller is told not to retry elsewhere if it has a promise
-    /// from this server, if its latency objective has passed, or if retries would add to an overload of the
-    /// fleet.
+    /// Rejects an invocation that is idempotent or certainly had no effect, and fails any other. A repeat
+    /// may have had an effect through the run of the original invocation. A promise of admission takes
+    /// effect after `promise_after` at the earliest.
+    ///
+    /// The caller is told not to retry at another server if this server promised it admission, if the
+    /// latency objective has passed, or if retries would add to an overload of the fleet.
     fn reject_or_fail(&mut self, key: usize, retry_after: Nanos, promise_after: Nanos, host: &mut dyn Host) {
         let are_retries_harmful = self.retries.are_harmful(self.regulator.ratios().basic);
         let advice = self.issue_retry_advice(key, retry_after, promise_after, host);
@@ -250,9 +253,9 @@
         self.close(key, host);
     }
 
-    /// Returns the time after which the caller may retry. With fair queueing, for an invocation that never
-    /// ran, this also ends the invocation in the scheduler, makes a promise of admission for the retry, and
-    /// announces the promise to the host. No promises are made while the server is in distress or draining.
+    /// Returns the time after which the caller may retry, and the ticket of a promise of admission if one
+    /// is made. With fair queueing, an invocation that never ran is also ended in the scheduler, and a
+    /// promise is announced to the host. No promise is made while the server is in distress or draining.
     fn issue_retry_advice(
         &mut self,
         key: usize,
@@ -275,7 +278,8 @@
         advice
     }
 
-    /// Marks the invocation as answered. A run or a downstream call in progress is kept until it ends.
+    /// Marks the invocation as answered. If its run or downstream call is in progress, the invocation is
+    /// kept until that ends.
     pub(super) fn close(&mut self, key: usize, host: &mut dyn Host) {
         let effect = self.effect(&self.invocations[key]);
         self.keys.forget_unless_run(&self.invocations[key], effect, host);
--- a/crates/overload-control/src/deadline.rs
+++ b/crates/overload-control/src/deadline.rs
@@ -1,4 +1,4 @@
-//! Deadlines: for the answer, for an answer of full value, and for the start of a run.
+//! Deadlines of an invocation: for its answer, for an answer of full value, and for the start of its run.
 
 use crate::{Arrival, Nanos, Operation};
 use meadowstream_pending_queue::UsualTimes;
@@ -11,8 +11,8 @@
 pub struct Deadlines {
     /// Answer deadline: the caller does not wait for an answer after this time.
     pub answer: Nanos,
-    /// Objective deadline: an answer has its full value up to this time, which is never after the caller's
-    /// deadline.
+    /// Objective deadline: an answer has its full value until this time. The objective deadline is never
+    /// after the caller's own deadline.
     pub objective: Nanos,
 }
 
@@ -29,16 +29,17 @@
     }
 
     /// Returns the time until which the controller waits for the result of an invocation that has left the
-    /// queue. It waits beyond the objective if a late answer has value, or if the run may have taken
-    /// effect.
+    /// pending queue. With `is_late_useful` the controller waits beyond the objective deadline. No wait
+    /// extends beyond `last_answers`, the time of the last answers of a draining server.
     pub fn wait_until(&self, is_late_useful: bool, last_answers: Nanos) -> Nanos {
         let useful = if is_late_useful { self.answer } else { self.objective };
         self.answer.min(last_answers).min(useful)
     }
 }
 
-/// Returns the latest start of a pending invocation as a function of its operation and objective deadline.
-/// It is at most `last_answers`, the time of the last answers of a draining server.
+/// Returns a function that computes the latest start of a pending invocation from its operation and
+/// objective deadline. A start is never later than `last_answers`, the time of the last answers of a
+/// draining server.
 pub fn latest_start(usual_times: &[UsualTimes], last_answers: Nanos) -> impl Fn(usize, Nanos) -> Nanos + '_ {
     move |operation, objective| {
         let usual = usual_times[operation].elapsed_ns as Nanos;
--- a/crates/overload-control/src/decaying_mean.rs
+++ b/crates/overload-control/src/decaying_mean.rs
@@ -1,4 +1,4 @@
-//! Exponentially decaying means. The decay since the last observation is applied when a value is read.
+//! Exponentially decaying means. The decay since the last observation is computed when a value is read.
 
 use crate::Nanos;
 
@@ -22,7 +22,7 @@
         Self { sum: value * weight, weight, ..Self::new(half_life, now) }
     }
 
-    /// Returns the decay factor for the time since the last update.
+    /// Returns the factor by which the weights of the observations have decayed since the last update.
     fn remaining_ratio(&self, now: Nanos) -> f64 {
         (-(now.saturating_sub(self.updated) as f64) / self.half_life as f64).exp2()
     }
@@ -45,7 +45,8 @@
         self.weight * self.remaining_ratio(now)
     }
 
-    /// Returns the estimated rate of observations per second; exact for a steady rate.
+    /// Returns the estimated rate of observations per second, which is exact if observations arrive at a
+    /// steady rate.
     pub fn rate(&self, now: Nanos) -> f64 {
         self.weight(now) * std::f64::consts::LN_2 * 1e9 / self.half_life as f64
     }
--- a/crates/overload-control/src/downstream_calls.rs
+++ b/crates/overload-control/src/downstream_calls.rs
@@ -5,30 +5,30 @@
 use crate::operation_times::TIMES_HALF_LIFE;
 use crate::{Deployment, Nanos, Outcome};
 
-/// Increase of the limit, as a share of the core count, after as many successful calls as the limit
-/// permits. Only successes while the limit is reached are counted.
+/// Increase of the limit on concurrent calls, as a share of the core count. The limit grows by this amount
+/// after as many successful calls as it permits. Only successes while the limit is reached are counted.
 const LIMIT_GROWTH: f64 = 0.1;
-/// Factor by which each rejected call reduces the limit.
+/// Factor by which each rejected call reduces the limit on concurrent calls.
 const LIMIT_CUT_RATIO: f64 = 0.93;
 /// Base timeout of a call that may be repeated, as a multiple of the usual call time. The first attempt has
-/// twice the base timeout, and each further attempt twice the timeout of the previous one.
+/// twice the base timeout, and the timeout doubles with each further attempt.
 const BASE_TIMEOUT_RATIO: f64 = 2.0;
-/// Number of attempts after which the timeout no longer doubles.
+/// Number of attempts after which the timeout of an attempt no longer doubles.
 const DOUBLINGS_MAX: u32 = 8;
-/// Backoff after a rejected call, as a share of the usual time of a run.
+/// Backoff after a rejected call, as a share of the usual run time of the operation.
 const BACKOFF_SHARE: f64 = 0.25;
 
 /// An attempt of a downstream call that is about to start.
 pub struct Attempt {
-    /// Number of earlier attempts.
+    /// Number of earlier attempts of this call.
     pub attempts: u32,
     /// Time until the result of the call is no longer useful.
     pub time_left: Nanos,
-    /// Estimated cost of the run as a ratio to the usual cost.
+    /// Estimated cost of the run that makes the call, as a ratio to the usual cost of its operation.
     pub cost_ratio: f64,
     /// Whether the call may be repeated.
     pub is_idempotent: bool,
-    /// Whether the run has the highest rank.
+    /// Whether the run that makes the call has the highest rank.
     pub is_top_rank: bool,
 }
 
@@ -46,14 +46,14 @@
     cores: f64,
     /// Learned limit on concurrent calls to the downstream tier.
     limit: f64,
-    /// Whether the fleet's shared state withholds permission for calls.
+    /// Whether the fleet's shared state currently withholds permission for downstream calls.
     is_withheld: bool,
     call_time: DecayingMean,
     budget: Option<CallBudget>,
 }
 
 impl DownstreamCalls {
-    /// Creates the state of the calls; their limit starts at the core count.
+    /// Creates the state of the downstream calls. The limit on concurrent calls starts at the core count.
     pub fn new(deployment: &Deployment, now: Nanos) -> Self {
         Self {
             cores: deployment.cores,
@@ -64,26 +64,26 @@
         }
     }
 
-    /// Advances the call budget by `elapsed`.
+    /// Refills the call budget for the time `elapsed` since the last refill.
     pub fn advance(&mut self, elapsed: Nanos) {
         if let Some(budget) = &mut self.budget {
             budget.advance(elapsed);
         }
     }
 
-    /// Whether the limit permits one more call. A shared dependency is limited by a budget of call time
-    /// instead.
+    /// Whether the limit on concurrent calls permits one more. Calls to a shared dependency are not subject
+    /// to this limit but to a budget of call time.
     pub fn is_within_limit(&self, calling: f64) -> bool {
         self.budget.is_some() || calling + 1.0 <= self.limit
     }
 
-    /// Records whether the fleet's shared state withholds permission for calls.
+    /// Records whether the fleet's shared state withholds permission for downstream calls.
     pub fn set_withheld(&mut self, is_withheld: bool) {
         self.is_withheld = is_withheld;
     }
 
-    /// Returns the timeout of a call and reserves budget for it; `None` if the budget of a shared
-    /// dependency is too low.
+    /// Returns the timeout of a call. Calls to a shared dependency also reserve call budget; returns `None`
+    /// if the budget is too low.
     pub fn reserve(&mut self, attempt: &Attempt) -> Option<Nanos> {
         let base_timeout_ns = self.call_time.mean() * attempt.cost_ratio.max(1.0) * BASE_TIMEOUT_RATIO;
         let attempt_timeout_ns = base_timeout_ns * f64::from(2 << attempt.attempts.min(DOUBLINGS_MAX));
@@ -98,15 +98,16 @@
         budget.reserve(&Request { timeout, attempt_timeout_ns, base_timeout_ns, is_top_rank })
     }
 
-    /// Returns unused budget after a call with this `timeout` has ended, or after its run ended first.
+    /// Returns the unused part of a call's `timeout` to the budget, after the call or its run has ended.
     pub fn refund(&mut self, timeout: Nanos, duration: Nanos, outcome: Outcome) {
         if let Some(budget) = &mut self.budget {
             budget.refund(timeout, duration, outcome);
         }
     }
 
-    /// Updates the call time and the limit after a call. A success raises the limit only while the limit is
-    /// reached, since only then does the success indicate that the limit is too low.
+    /// Updates the usual call time and the limit on concurrent calls after a call has ended. A success
+    /// raises the limit only while the limit is reached, since otherwise a success does not indicate that
+    /// the limit is too low.
     pub fn observe(&mut self, now: Nanos, outcome: Outcome, duration: Nanos, open: OpenCalls) {
         match outcome {
             Outcome::Succeeded => {
@@ -125,25 +126,26 @@
         (usual_elapsed_ns * BACKOFF_SHARE) as Nanos
     }
 
-    /// Whether there are more open calls, waiting ones included, than the learned limit.
+    /// Whether the number of calls in progress and runs that wait for a call exceeds the learned limit.
     fn is_at_limit(&self, open: OpenCalls) -> bool {
         open.awaiting + open.calling > self.limit
     }
 
-    /// Whether runs wait for calls that may not be made now, which makes the downstream the scarcer
-    /// resource.
+    /// Whether runs wait for downstream calls that may not be made now. The downstream service is then the
+    /// scarcer resource than the cores.
     pub fn is_saturated(&self, open: OpenCalls) -> bool {
         (self.is_withheld && open.awaiting > 0.0) || self.is_at_limit(open)
     }
 
-    /// Returns the call time of the open calls in excess of the limit, ns.
+    /// Returns the call time in excess of the limit on concurrent calls, ns. Calls in progress and runs
+    /// that wait for a call are counted.
     pub fn backlog(&self, open: OpenCalls) -> f64 {
         let excess = ((open.awaiting + open.calling) / self.limit - 1.0).max(0.0);
         excess * self.call_time.mean()
     }
 
-    /// Returns the time at which the budget will suffice for the waiting call; `None` if it suffices now,
-    /// or if there is no budget.
+    /// Returns the time at which the call budget will suffice for the waiting call; `None` if it suffices
+    /// now or if there is no budget.
     pub fn enough_budget_at(&self, now: Nanos) -> Option<Nanos> {
         self.budget.as_ref()?.enough_at(now)
     }
--- a/crates/overload-control/src/draining.rs
+++ b/crates/overload-control/src/draining.rs
@@ -1,12 +1,12 @@
-//! Graceful shutdown: invocations that arrive by the end of the drain grace are served, and every
-//! invocation is answered before the process stops.
+//! Graceful shutdown: invocations that arrive before the drain grace ends are served, and every invocation
+//! is answered before the process stops.
 
 use crate::{Deployment, Nanos};
 
-/// Number of answer graces between the last answers and the stop of the process.
+/// Time reserved between the last answers and the stop of the process, in multiples of the answer grace.
 const ANSWER_GRACE_COUNT: u64 = 2;
 
-/// Times that follow from the drain notice.
+/// Points in time that are derived from the drain notice.
 #[derive(Clone, Copy, Debug)]
 struct Notice {
     /// Invocations that reach the machine after this time are not run.
@@ -15,17 +15,17 @@
     stop_at: Nanos,
 }
 
-/// State of the shutdown.
+/// State of the graceful shutdown.
 pub struct Draining {
     notice: Option<Notice>,
     drain_grace: Nanos,
     answer_grace: Nanos,
-    /// Number of servers of this tier.
+    /// Number of servers of this tier, including this one.
     peers: f64,
 }
 
 impl Draining {
-    /// Creates the state of a server that is not draining.
+    /// Creates the state of a server that has not received a drain notice.
     pub fn new(deployment: &Deployment) -> Self {
         Self {
             notice: None,
@@ -46,20 +46,21 @@
         self.notice.is_some()
     }
 
-    /// Whether an invocation that reached the machine at time `reached` is too late to be run.
+    /// Whether an invocation that reached the machine at time `reached` arrived after the drain grace and
+    /// must not be run.
     pub fn is_too_late(&self, reached: Nanos) -> bool {
         self.notice.is_some_and(|notice| reached > notice.serve_until)
     }
 
-    /// Returns the time by which the last answers have to be given.
+    /// Returns the time by which the last answers must be sent; `Nanos::MAX` before the drain notice.
     pub fn last_answers(&self) -> Nanos {
         let lead = ANSWER_GRACE_COUNT * self.answer_grace;
         self.notice.map_or(Nanos::MAX, |notice| notice.stop_at.saturating_sub(lead))
     }
 
-    /// Whether callers should continue to send invocations. A draining server accepts them during the drain
-    /// grace if the other servers, running at their target utilization, lack the spare capacity for its
-    /// work.
+    /// Whether callers should continue to send invocations to this server. During the drain grace they
+    /// should if the other servers of the tier, running at their target utilization, lack the spare
+    /// capacity to take over this server's work.
     pub fn wants_arrivals(&self, now: Nanos, target_utilization: f64) -> bool {
         let is_needed = (self.peers - 1.0) * (1.0 - target_utilization) < 1.0;
         self.notice.is_none_or(|notice| is_needed && now < notice.serve_until)
--- a/crates/overload-control/src/health.rs
+++ b/crates/overload-control/src/health.rs
@@ -1,28 +1,28 @@
-//! Health of this server: it is healthy if its runs succeed and make progress. Also stores the readiness
-//! last reported, since a draining server may be healthy but not ready.
+//! Health of this server: it is healthy if its runs succeed and make progress. Readiness is stored
+//! separately, since a draining server may be healthy but not ready.
 
 use crate::Nanos;
 use crate::decaying_mean::DecayingMean;
 use crate::operation_times::TIMES_HALF_LIFE;
 
-/// Share of failing runs above which the server counts as unhealthy.
+/// Share of failing runs above which the server is unhealthy.
 const FAILING_SHARE_MIN: f64 = 0.25;
-/// Maximum share of arrivals that are rejected because runs fail.
+/// Maximum share of arrivals that an unhealthy server rejects because its runs fail.
 const FAILING_SHARE_MAX: f64 = 0.9;
-/// Number of observed runs required before failures are taken into account.
+/// Number of observed runs above which failures are taken into account.
 const RUNS_MIN: f64 = 2.0;
-/// A server counts as stalled if its cores make no progress for this multiple of the longest usual core
-/// time.
+/// A server with runs on its cores is stalled if no run has left them for this multiple of the longest
+/// usual core time.
 const STALL_RATIO: f64 = 6.0;
 
 /// Health and readiness of the server.
 pub struct Health {
-    /// Share of runs that failed. Its half-life is shorter than that of run times, because a failing server
-    /// continues to receive arrivals until the failures are detected.
+    /// Decaying share of runs that failed. Its half-life is shorter than that of run times, because a
+    /// failing server receives arrivals until its failures are detected.
     failing: DecayingMean,
     /// Time at which a run last left the cores.
     last_progress: Nanos,
-    /// Response to health checks: healthy, and arrivals are wanted.
+    /// Readiness last reported: the server is healthy and wants arrivals.
     is_ready: bool,
 }
 
@@ -33,7 +33,7 @@
         Self { failing, last_progress: now, is_ready: true }
     }
 
-    /// Records that a run ended without being stopped, and whether it failed.
+    /// Records a run that ended without being stopped, and whether the run failed.
     pub fn observe_run(&mut self, now: Nanos, failed: bool) {
         self.failing.add(now, f64::from(failed));
     }
@@ -43,8 +43,8 @@
         self.last_progress = now;
     }
 
-    /// Returns the share of arrivals to reject: 0 for a healthy server, 1 for a stalled one. Without
-    /// rejections a server whose runs fail immediately would look idle and attract more arrivals.
+    /// Returns the share of arrivals to reject: 0 for a healthy server, 1 for a stalled one. Without these
+    /// rejections, a server whose runs fail immediately would appear idle and attract more arrivals.
     pub fn unhealthy_ratio(&self, now: Nanos, oldest_run: Option<Nanos>, longest_core_ns: f64) -> f64 {
         let time_without_progress = oldest_run.map_or(0, |since| now - since.max(self.last_progress));
         let has_seen_runs = self.failing.weight(now) > RUNS_MIN;
--- a/crates/overload-control/src/idempotency.rs
+++ b/crates/overload-control/src/idempotency.rs
@@ -21,13 +21,13 @@
         self.keys.expire(now);
     }
 
-    /// Returns the memory used by all keys, KB.
+    /// Returns the memory used by all remembered keys, KB.
     pub fn memory_kb(&self) -> f64 {
         self.keys.len() as f64 * self.entry_kb
     }
 
-    /// Remembers the key of an arrival as soon as the arrival is read, so that a repeat that is read while
-    /// the first invocation is still pending is recognized.
+    /// Remembers the idempotency key of an arrival. This happens when the arrival is read, so that a repeat
+    /// that is read while the first invocation is still pending is recognized.
     pub fn remember(&mut self, now: Nanos, arrival: &Arrival, operation: &Operation, host: &mut dyn Host) {
         let has_key = operation.effect == Effect::IdempotentWithKey;
         if has_key && arrival.repeats.is_none() && !arrival.key_not_stored {
@@ -36,7 +36,8 @@
         }
     }
 
-    /// Forgets the key of an invocation that has ended without running, so that a repeat may run.
+    /// Forgets the idempotency key of an invocation that has ended without running, so that a repeat with
+    /// the key may run.
     pub fn forget_unless_run(&mut self, invocation: &Invocation, effect: Effect, host: &mut dyn Host) {
         let has_key = effect == Effect::IdempotentWithKey && invocation.repeats.is_none();
         if has_key && !invocation.has_run && !invocation.answered {
--- a/crates/overload-control/src/idle_connections.rs
+++ b/crates/overload-control/src/idle_connections.rs
@@ -1,21 +1,22 @@
-//! Timeout after which idle connections are closed.
+//! Timeout after which the host closes idle connections of callers.
 
 use crate::Nanos;
 use crate::regulator::CONTROL_PERIOD;
 
-/// Number of times that a caller must return within `timeout_max` for its connections to be kept open.
+/// Mean number of calls per caller within `timeout_max` from which its idle connections are kept for the
+/// whole `timeout_max`.
 const RETURNS_MIN: f64 = 4.0;
-/// If callers return less often than `RETURNS_MIN`, the timeout falls with this power of their return rate:
-/// half the returns leave a sixteenth of the timeout.
+/// If callers send fewer calls than `RETURNS_MIN`, the timeout falls with this power of their call rate: at
+/// half the rate, a sixteenth of the timeout remains.
 const RETURNS_EXPONENT: i32 = 4;
-/// Minimum timeout, as a share of the control period.
+/// Minimum timeout of idle connections, as a share of the control period.
 const TIMEOUT_MIN_SHARE: f64 = 0.02;
-/// Utilization up to which the cores count as idle.
+/// Utilization of the cores up to which they count as idle.
 const IDLE_UTILIZATION: f64 = 0.25;
 
 /// Computes the timeout of idle connections.
 pub struct IdleConnections {
-    /// Whether all connections are kept open.
+    /// Whether all connections are kept open because reading was behind.
     keeps_all: bool,
     /// Idle time after which callers close connections themselves, ns.
     timeout_max: f64,
@@ -29,9 +30,10 @@
         Self { keeps_all: false, timeout_max: timeout_max as f64, callers }
     }
 
-    /// Returns the timeout for the next period, given arrivals per second and the utilization. Connections
-    /// are kept if callers return often enough to reuse them. While reading is behind, all are kept until
-    /// the cores are idle: a caller that finds no free connection causes no reading cost.
+    /// Returns the timeout of idle connections for the next control period. `arrival_rate` is in arrivals
+    /// per second. Connections are kept if callers send calls often enough to reuse them. While the reading
+    /// of arrivals is behind, and then until the cores are idle, all connections are kept: callers that
+    /// find no free connection cause no reading cost.
     pub fn timeout(&mut self, arrival_rate: f64, is_reading_behind: bool, utilization: f64) -> Nanos {
         let returns = arrival_rate * self.timeout_max / 1e9 / self.callers / RETURNS_MIN;
         self.keeps_all = is_reading_behind || (self.keeps_all && utilization > IDLE_UTILIZATION);
--- a/crates/overload-control/src/invocations.rs
+++ b/crates/overload-control/src/invocations.rs
@@ -1,4 +1,4 @@
-//! Invocations of the server, from arrival until they are answered and their run has ended.
+//! Invocations of the server, from arrival until they are answered and their runs have ended.
 //!
 //! Pending invocations are in the pending queue; all others are ordered by arrival. Counts and memory use
 //! are updated with each change of state.
@@ -23,7 +23,7 @@
     AwaitingCall,
     /// The run's downstream call is in progress.
     Calling,
-    /// A repeat that waits for the result of the original invocation.
+    /// The invocation repeats an earlier one and waits for the result of the earlier one.
     Replaying,
 }
 
@@ -32,7 +32,7 @@
 /// One request for an operation.
 #[derive(Clone, Debug, Default)]
 pub struct Invocation {
-    /// Same as [`Arrival::id`].
+    /// Identifier of the invocation; equal to [`Arrival::id`].
     pub id: u64,
     /// Index of the operation.
     pub operation: usize,
@@ -58,17 +58,17 @@
     pub core_time: Nanos,
     /// Earliest time of the next attempt after a rejected downstream call.
     pub retry_call_at: Nanos,
-    /// Number of attempts of the current downstream call.
+    /// Number of attempts of the current downstream call so far.
     pub call_attempts: u32,
-    /// Timeout of the last attempt.
+    /// Timeout of the last attempt of the downstream call.
     pub call_timeout: Nanos,
     /// Whether the run was started at least once.
     pub has_run: bool,
-    /// Whether the invocation was answered or cancelled, so that no answer is owed.
+    /// Whether the invocation was answered or cancelled, so that no answer is needed.
     pub answered: bool,
-    /// Whether the run was requested to stop.
+    /// Whether the host was requested to stop the run.
     pub stopping: bool,
-    /// Whether admission has decided on the invocation.
+    /// Whether the refusal window has been checked for the invocation or does not apply to it.
     pub screened: bool,
     start_tag: u64,
     state: InvocationState,
@@ -77,7 +77,8 @@
 }
 
 impl Invocation {
-    /// Creates a pending invocation. The caller sets rank, deadlines and cost ratio.
+    /// Creates a pending invocation. The code that creates it sets rank, deadlines and cost ratio
+    /// afterwards.
     pub fn new(now: Nanos, arrival: &Arrival, fair_admission: Option<FairAdmission>) -> Self {
         Self {
             id: arrival.id,
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Returns the state, which only [`Invocations::enter`] changes.
+    /// Returns the state of the invocation. Only [`Invocations::enter`] changes the state.
     pub fn state(&self) -> InvocationState {
         self.state
     }
@@ -114,14 +115,14 @@
     }
 }
 
-/// Memory is summed in integer fractions of a KB, so that the sums are exact.
+/// Number of memory units per KB. Memory is summed in integer units, so that the sums are exact.
 const PARTS_OF_KB: f64 = 1024.0;
 
-/// All invocations of the server. A key identifies an invocation until it is removed.
+/// All invocations of the server. Each has a key, which identifies the invocation until it is removed.
 pub struct Invocations {
     all: Slab<Invocation>,
     keys_by_id: HashMap<u64, usize>,
-    /// Pending invocations. Entries are added and removed only by changes of state.
+    /// Pending invocations. Entries of this queue are added and removed only by changes of state.
     pub pending: PendingQueue,
     /// Keys of all invocations that are not pending, by arrival number.
     active: BTreeMap<u64, usize>,
@@ -131,7 +132,7 @@
     memory_parts: u64,
     /// Memory of a running invocation as a multiple of its memory while pending.
     run_memory_factor: f64,
-    /// Whether a stopped run keeps the memory of a running one.
+    /// Whether a stopped run keeps the memory that it used while running.
     stopped_runs_pause: bool,
     arrivals: u64,
 }
@@ -150,7 +151,7 @@
 }
 
 impl Invocations {
-    /// Creates an empty collection; `pending` is an empty queue.
+    /// Creates an empty collection. `pending` must be an empty queue.
     pub fn new(pending: PendingQueue, run_memory_factor: f64, stopped_runs_pause: bool) -> Self {
         Self {
             all: Slab::new(),
@@ -172,8 +173,8 @@
         self.keys_by_id.get(&id).copied()
     }
 
-    /// Adds a pending invocation. If `answer_without_run` is set, it becomes overdue immediately,
-    /// regardless of its deadline.
+    /// Adds a pending invocation. With `answer_without_run` the invocation is overdue immediately,
+    /// regardless of its deadline, and is therefore answered without a run.
     pub fn insert(&mut self, mut invocation: Invocation, answer_without_run: bool) {
         self.arrivals += 1;
         invocation.arrival_number = self.arrivals;
@@ -189,7 +190,7 @@
         }
     }
 
-    /// Removes an invocation that was answered and whose run has ended.
+    /// Removes an invocation that was answered and whose run, if any, has ended.
     pub fn remove(&mut self, key: usize) {
         self.remove_from_indexes(key);
         let invocation = self.all.remove(key);
@@ -242,7 +243,7 @@
         self.active.values().map(|key| (*key, &self.all[*key]))
     }
 
-    /// Returns the key of the earliest active invocation that fulfils the condition.
+    /// Returns the key of the earliest arrival that is not pending and satisfies `condition`.
     pub fn first_active(&self, condition: impl Fn(&Invocation) -> bool) -> Option<usize> {
         let (key, _) = self.active().find(|(_, invocation)| condition(invocation))?;
         Some(key)
@@ -261,13 +262,13 @@
         Some(first.key)
     }
 
-    /// Returns the key of the earliest pending invocation that repeats another.
+    /// Returns the key of the earliest pending invocation that repeats an earlier invocation.
     pub fn first_pending_repeat(&self) -> Option<usize> {
         self.pending_repeats.first().map(|repeat| repeat.key)
     }
 
-    /// Returns the key of the earliest invocation that admission has not decided on, and marks the
-    /// invocation as decided.
+    /// Returns the key of the earliest invocation that admission has not screened yet, and marks the
+    /// invocation as screened.
     pub fn next_to_screen(&mut self) -> Option<usize> {
         while let Some(ArrivalKey { arrival_number, key }) = self.unscreened.pop_front() {
             let Some(invocation) = self.all.get_mut(key) else { continue };
@@ -279,12 +280,12 @@
         None
     }
 
-    /// Returns the number of invocations in any of these states.
+    /// Returns the number of invocations whose state is one of `states`.
     pub fn count(&self, states: &[InvocationState]) -> f64 {
         states.iter().map(|state| self.counts[*state as usize]).sum::<usize>() as f64
     }
 
-    /// Returns the time at which the longest-running of the current runs entered the cores.
+    /// Returns the time at which the oldest of the current runs entered the cores.
     pub fn oldest_run(&self) -> Option<Nanos> {
         let running = self.active().filter(|(_, invocation)| invocation.state == InvocationState::Running);
         running.map(|(_, invocation)| invocation.state_since).min()
@@ -298,13 +299,13 @@
         invocation.held_kb * factor
     }
 
-    /// Returns the additional memory that a pending invocation needs to run, KB.
+    /// Returns the memory that a pending invocation needs to run, in addition to its present memory, KB.
     pub fn memory_kb_to_run(&self, key: usize) -> f64 {
         let invocation = &self.all[key];
         invocation.held_kb * self.run_memory_factor - self.memory_kb_of(invocation)
     }
 
-    /// Returns the memory of all invocations, KB.
+    /// Returns the memory of all invocations in their current states, KB.
     pub fn memory_kb(&self) -> f64 {
         self.memory_parts as f64 / PARTS_OF_KB
     }
--- a/crates/overload-control/src/lib.rs
+++ b/crates/overload-control/src/lib.rs
@@ -43,45 +43,47 @@
     fn start_run(&mut self, invocation: u64);
     /// Preempts a run.
     fn stop_run(&mut self, invocation: u64);
-    /// Rejects an invocation that had no effect or is idempotent, so that the caller may safely repeat it;
-    /// an idempotent one may have run. `retry_after` is the delay after which the caller may retry at this
-    /// server, 0 for no advice.
+    /// Rejects an invocation that had no effect or is idempotent, so that the caller may safely repeat it.
+    /// An idempotent invocation may have run. `retry_after` is the delay after which the caller may retry
+    /// at this server, 0 for no advice.
     ///
     /// `no_retry` tells the caller not to retry at another server, for one of three reasons: the rejection
     /// carries a promise of admission by this server, the latency objective has passed, or retries would
     /// add to an overload of the fleet.
     fn reject(&mut self, invocation: u64, no_retry: bool, retry_after: Nanos);
-    /// Announces a promise of admission: a caller that returns with `_ticket` after the advised delay is
-    /// admitted. Called at most once for an invocation, immediately before its answer. The host sends the
-    /// ticket with a `reject` and discards it with a `fail`. A host whose protocol has no tickets ignores
-    /// the call.
+    /// Announces a promise of admission: a caller that sends its next attempt with `_ticket` after the
+    /// advised delay is admitted. Called at most once for an invocation, immediately before its answer. The
+    /// host sends the ticket with a `reject` and discards it with a `fail`. A host whose protocol has no
+    /// tickets ignores the call.
     fn promise_admission(&mut self, _invocation: u64, _ticket: u64) {}
     /// Answers an invocation with an error.
     fn fail(&mut self, invocation: u64);
     /// Returns whether the fleet's shared state (call budgets, ejected services) permits the downstream
-    /// call of an invocation. `_waiting` is the number of runs that currently wait to make a call.
+    /// call of an invocation. `_waiting` is the number of runs that currently wait to make a downstream
+    /// call.
     fn may_start_call(&mut self, _invocation: u64, _waiting: usize) -> bool {
         true
     }
-    /// Makes the downstream call that a run waits for; the host abandons the call after `timeout`.
+    /// Makes the downstream call that the run of an invocation waits for. The host abandons the call after
+    /// `timeout`.
     fn start_call(&mut self, invocation: u64, timeout: Nanos);
-    /// Resumes a run without its downstream call; the run gives a degraded answer.
+    /// Resumes the run of an invocation without its downstream call; the run then gives a degraded answer.
     fn skip_call(&mut self, invocation: u64);
     /// Remembers the idempotency key of an invocation for `lifetime`. A host that stored the key before it
-    /// reported the arrival ignores the call.
+    /// reported the arrival ignores this action.
     fn remember_key(&mut self, invocation: u64, lifetime: Nanos);
     /// Forgets the idempotency key of an invocation that never ran.
     fn forget_key(&mut self, invocation: u64);
-    /// Answers a repeat with the result of the original invocation.
+    /// Answers an invocation that repeats an earlier one with the result of the earlier one.
     fn replay_result(&mut self, invocation: u64);
-    /// Sets the response to health checks: `healthy` if the server is ready, that is healthy and wants
-    /// arrivals. If `cached`, the host responds from this value without performing a check; a host whose
-    /// checks cost nothing ignores the flag.
+    /// Sets the response to health checks. `healthy` means that the server is ready: it is healthy and
+    /// wants arrivals. If `cached`, the host responds from this value without performing a check; a host
+    /// whose checks cost nothing ignores the flag.
     fn set_health(&mut self, healthy: bool, cached: bool);
     /// Sets the load advertised with each answer, in the unit given by [`Advertisement`].
     fn advertise_load(&mut self, load: f64);
-    /// Closes connections that have been idle for at least `after`. If the protocol lets the peer close a
-    /// connection, the host instead asks the peer to make no new calls on it.
+    /// Closes connections that have been idle for at least `after`. If the protocol only lets the peer
+    /// close a connection, the host asks the peer to send no more calls on it.
     fn close_idle_connections(&mut self, after: Nanos);
     /// Schedules a call of [`controller::Controller::on_timer`] with `timer` once the duration `after` has
     /// elapsed.
@@ -100,16 +102,17 @@
     pub operations: Vec<Operation>,
     /// Allowance of each tenant in the whole fleet, in invocations per second, by tenant index.
     pub tenant_allowance: Vec<f64>,
-    /// Factor by which the priority weight of an invocation is multiplied if its tenant is over its quota.
+    /// Factor applied to the priority weight of an invocation whose tenant is over its quota.
     pub over_quota_value_ratio: f64,
-    /// Settings of fair queueing among tenants that are not listed in advance; `None` turns it off.
+    /// Settings of fair queueing among tenants that are not listed in the settings; `None` turns fair
+    /// queueing off.
     pub fair_queueing: Option<meadowstream_fair_queueing::Settings>,
-    /// Number of servers of this tier in the configuration at start, 1 or more.
+    /// Number of servers of this server's tier in the configuration at start, 1 or more.
     pub peers: f64,
     /// Number of callers of this tier at start, 1 or more.
     pub callers: f64,
-    /// Whether invocations here are downstream calls of another tier. Rejecting such a call wastes the work
-    /// that the other tier has already done.
+    /// Whether invocations of this server are downstream calls of another tier. Rejecting such a call
+    /// wastes the work that the other tier has already done.
     pub is_downstream_tier: bool,
     /// Number of cores of this server, 1 or more.
     pub cores: f64,
@@ -135,11 +138,11 @@
     pub retries_marked: bool,
     /// Time after the drain notice during which arrivals are still served.
     pub drain_grace: Nanos,
-    /// Time that an answer needs to reach its caller, reserved before the process stops.
+    /// Time reserved for an answer to reach its caller before the process stops.
     pub answer_grace: Nanos,
-    /// Number of concurrent runs that a warm server survives, as a multiple of its cores.
+    /// Maximum number of open runs that the server can sustain at full speed, as a multiple of its cores.
     pub survivable_concurrency_ratio: f64,
-    /// Whether the server started cold and has to warm up.
+    /// Whether the server started cold and needs to warm up to full speed.
     pub starts_cold: bool,
     /// Initial speed of a cold server as a ratio of full speed.
     pub cold_speed_ratio: f64,
@@ -158,12 +161,13 @@
     pub client_timeout: Nanos,
     /// Time for which an idempotency key is remembered.
     pub idempotency_window: Nanos,
-    /// Value of an answer to the operator; higher weights have priority.
+    /// Value to the operator of an answer within the latency objective. Invocations with higher weights
+    /// have priority.
     pub priority_weight: f64,
-    /// Value of an answer given after the latency objective.
+    /// Value to the operator of an answer given after the latency objective.
     pub late_value: f64,
-    /// Ratio of its value that an answer keeps if the downstream call was skipped; 0 if the call is
-    /// required.
+    /// Share of its value that an answer keeps if the downstream call was skipped, from 0 to 1; 0 if the
+    /// call is required.
     pub degraded_value_ratio: f64,
     /// Whether runs of the operation may make downstream calls.
     pub makes_calls: bool,
@@ -174,7 +178,8 @@
 pub enum Effect {
     /// Repeated runs have the same effect as one run.
     Idempotent,
-    /// Repeated runs have the same effect as one run while the idempotency key is remembered.
+    /// Repeated runs with one idempotency key have the same effect as one run, while that key is
+    /// remembered.
     IdempotentWithKey,
     /// Each run takes effect again.
     NonIdempotent,
@@ -196,15 +201,15 @@
 pub enum Downstream {
     /// No downstream calls are made.
     None,
-    /// A tier of servers that control their own load.
+    /// Another tier of servers, which control their own load.
     Tier,
-    /// One dependency shared by all servers.
+    /// One dependency that all servers of this tier share.
     Shared {
         /// Mean number of concurrent calls that this server may have at the dependency.
         quota: f64,
         /// Time for which an abandoned call still occupies the dependency.
         linger: Nanos,
-        /// Period over which the mean is taken.
+        /// Period over which the mean number of concurrent calls is taken.
         window: Nanos,
     },
 }
@@ -214,12 +219,11 @@
 pub enum Advertisement {
     /// No load is advertised.
     None,
-    /// Lowest rank that callers should send: 0, which is all ranks, while arrivals are wanted, and
-    /// otherwise 1.
+    /// Lowest rank that callers should send: 0 (all ranks) while arrivals are wanted, otherwise 1.
     MinimumRank,
     /// Number of concurrent invocations that a caller may have at this server.
     ConcurrencyAllowance,
-    /// Load balancing weight, from 0 to 1.
+    /// Load balancing weight of this server, from 0 to 1.
     Weight,
 }
 
@@ -230,7 +234,7 @@
     pub tenant: Vec<u8>,
     /// Network origin of the invocation, derived from data that the sender cannot forge.
     pub origin: u64,
-    /// Ticket of an earlier promise of admission.
+    /// Ticket of an earlier promise of admission, if the sender has one.
     pub ticket: Option<u64>,
 }
 
@@ -239,9 +243,9 @@
 pub struct Arrival {
     /// Identifier that is unique among open invocations.
     pub id: u64,
-    /// Index into [`Deployment::operations`].
+    /// Index of the operation in [`Deployment::operations`].
     pub operation: usize,
-    /// Index into [`Deployment::tenant_allowance`]; ignored if that is empty.
+    /// Index of the tenant in [`Deployment::tenant_allowance`]; ignored if that list is empty.
     pub tenant: usize,
     /// Sender of the invocation, if known.
     pub sender: Option<Sender>,
@@ -257,16 +261,17 @@
     pub is_marked_retry: bool,
     /// Memory of the invocation while it is pending, KB.
     pub held_kb: f64,
-    /// The caller's estimate of the core time that the invocation takes.
+    /// The caller's estimate of the core time that the invocation needs.
     pub cost_hint: Option<Nanos>,
 }
 
-/// Measurements of the server; `None` if the host cannot take one.
+/// Measurements of the server's load. A gauge is `None` if the host cannot measure it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Gauges {
     /// Utilization of the cores during the last control period, from 0 to 1.
     pub utilization: Option<f64>,
-    /// Number of threads that are running or ready to run: runs, reading, health checks.
+    /// Number of threads that are running or ready to run, for example threads of runs, of reading and of
+    /// health checks.
     pub runnable: Option<f64>,
 }
 
--- a/crates/overload-control/src/linear_quadratic.rs
+++ b/crates/overload-control/src/linear_quadratic.rs
@@ -3,8 +3,8 @@
 //!
 //! `y` is the utilization; `u1` and `u2` are the refusal time ratios of premium and basic.
 
-/// Refusal time ratios by class: the share of a control period, from 0 to 1, in which arrivals are
-/// rejected.
+/// Refusal time ratio of each class: the share of a control period, from 0 to 1, in which arrivals of the
+/// class are rejected.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RefusalRatios {
     /// Refusal time ratio of premium.
@@ -13,7 +13,7 @@
     pub basic: f64,
 }
 
-/// Coefficients of the model: `a`, `b1` and `b2`.
+/// Coefficients `a`, `b1` and `b2` of the model.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Plant {
     /// Negated share of the utilization that carries over to the next period (`a`).
@@ -24,7 +24,7 @@
     pub basic: f64,
 }
 
-/// Cost weights: the diagonals of the weight matrices `Q` and `R`.
+/// Cost weights of the regulator: the diagonals of the weight matrices `Q` and `R`.
 #[derive(Clone, Copy, Debug)]
 pub struct Weights {
     /// Weight of the utilization error (first diagonal element of `Q`).
@@ -45,14 +45,14 @@
     pub tolerance: f64,
 }
 
-/// Gains of one input: `u = error * e + error_sum * sum(e)`.
+/// Gains of one input: the input is `error * e + error_sum * sum(e)`, where `e` is the utilization error.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClassGains {
     pub error: f64,
     pub error_sum: f64,
 }
 
-/// Gains of both inputs.
+/// Gains of the two inputs, which are the refusal time ratios of premium and basic.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Gains {
     pub premium: ClassGains,
@@ -104,7 +104,7 @@
             return None;
         }
         if largest_change(&before, &k) < iteration.tolerance {
-            // The optimal input is -k x. Refusing lowers the utilization, so -k is positive.
+            // The optimal input is `-k x`. Refusing arrivals lowers the utilization, so `-k` is positive.
             let [premium, basic] =
                 k.map(|[error, error_sum]| ClassGains { error: -error, error_sum: -error_sum });
             return Some(Gains { premium, basic });
@@ -125,8 +125,8 @@
 }
 
 impl PlantEstimator {
-    /// Creates an estimator that starts at `prior`, with `prior_variance` as the variance of each
-    /// coefficient. `forgetting`, from 0 to 1, is the factor by which each new observation reduces the
+    /// Creates an estimator whose initial estimate is `prior`, with `prior_variance` as the variance of
+    /// each coefficient. `forgetting`, from 0 to 1, is the factor by which each new observation reduces the
     /// weight of the earlier ones.
     pub fn new(prior: &Plant, prior_variance: f64, forgetting: f64) -> Self {
         let covariance =
@@ -134,8 +134,8 @@
         Self { theta: [prior.a, prior.premium, prior.basic], covariance, forgetting }
     }
 
-    /// Updates the estimate with one period: the utilization and refusal ratios at its start, and the
-    /// utilization at its end.
+    /// Updates the estimate with one control period: the utilization and the refusal time ratios at the
+    /// start of the period, and the utilization at its end.
     pub fn observe(&mut self, utilization_before: f64, ratios: RefusalRatios, utilization_after: f64) {
         let phi = [-utilization_before, ratios.premium, ratios.basic];
         let covariance_phi: [f64; 3] =
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Returns the current estimate.
+    /// Returns the current estimate of the coefficients.
     pub fn plant(&self) -> Plant {
         let [a, premium, basic] = self.theta;
         Plant { a, premium, basic }
--- a/crates/overload-control/src/operation_times.rs
+++ b/crates/overload-control/src/operation_times.rs
@@ -6,23 +6,25 @@
 use crate::{Nanos, Operation};
 use meadowstream_pending_queue::UsualTimes;
 
-/// Half-life of learned times.
+/// Half-life of the observations from which usual times are learned.
 pub const TIMES_HALF_LIFE: Nanos = CONTROL_PERIOD * 16;
-/// Initial estimate of a run time, as a share of the latency objective of the operation.
+/// Initial estimate of a run time, as a share of the operation's latency objective.
 const INITIAL_TIME_SHARE: f64 = 0.15;
-/// Factor by which the lowest core time grows with each run, so that it adapts to a lasting change.
+/// Factor by which the lowest core time of an operation grows with each run, so that a lasting increase of
+/// the core time is eventually accepted as normal.
 const LOWEST_TIME_GROWTH: f64 = 1.005;
-/// Ratio of usual to lowest core time above which runs slow each other down.
+/// Ratio of the usual to the lowest core time of an operation above which concurrent runs are considered to
+/// slow each other down.
 const SLOWED_RATIO: f64 = 1.3;
 
 struct OperationTime {
-    /// Core time, ns.
+    /// Usual core time, ns.
     core: DecayingMean,
-    /// Time from start to end, ns.
+    /// Usual time from start to end of a run, ns.
     elapsed: DecayingMean,
-    /// Core time of runs that do not slow each other down, ns.
+    /// Estimated core time of runs that do not slow each other down, ns.
     lowest: f64,
-    /// Cost hints of callers, ns.
+    /// Usual cost hint of callers, ns.
     hint: DecayingMean,
 }
 
@@ -32,7 +34,7 @@
     }
 }
 
-/// Learned times of all operations.
+/// Learned run times of all operations.
 pub struct OperationTimes {
     learned: Vec<OperationTime>,
     usual: Vec<UsualTimes>,
@@ -40,7 +42,7 @@
 }
 
 impl OperationTimes {
-    /// Creates the times with initial estimates derived from the latency objectives.
+    /// Creates the run times with initial estimates, which are derived from the latency objectives.
     pub fn new(operations: &[Operation], now: Nanos) -> Self {
         let first = |operation: &Operation| {
             let initial_ns = operation.latency_objective as f64 * INITIAL_TIME_SHARE;
@@ -54,17 +56,18 @@
         Self { learned, usual, core_times }
     }
 
-    /// Returns the usual times, indexed by operation.
+    /// Returns the usual run times, indexed by operation.
     pub fn usual(&self) -> &[UsualTimes] {
         &self.usual
     }
 
-    /// Returns the longest usual core time of all operations, ns.
+    /// Returns the longest of the operations' usual core times, ns.
     pub fn longest_core_ns(&self) -> f64 {
         self.core_times.get()
     }
 
-    /// Returns the ratio of a caller's cost hint to the mean hint of the operation; 1 without a hint.
+    /// Returns the ratio of a caller's cost hint to the mean hint of its operation; 1 if the caller gave no
+    /// hint.
     pub fn cost_ratio(&mut self, now: Nanos, operation: usize, hint: Option<Nanos>) -> f64 {
         let hints = &mut self.learned[operation].hint;
         let Some(hint) = hint else { return 1.0 };
@@ -82,7 +85,7 @@
         self.core_times.replace(before.core_ns, self.usual[operation].core_ns);
     }
 
-    /// Whether runs slow each other down.
+    /// Whether concurrent runs slow each other down, judged by the core times of all operations.
     pub fn are_slowed(&self) -> bool {
         self.learned.iter().any(|time| time.core.mean() > time.lowest * SLOWED_RATIO)
     }
--- a/crates/overload-control/src/reading.rs
+++ b/crates/overload-control/src/reading.rs
@@ -1,15 +1,18 @@
-//! Cost of reading arrivals: the delay before an arrival is read, and the cores that reading uses.
+//! Cost of reading arrivals: the delay before an arrival is read, and the number of cores that reading
+//! uses.
 
 use crate::Nanos;
 use crate::decaying_mean::DecayingMean;
 use crate::regulator::CONTROL_PERIOD;
 
-/// Normal reading delay, as a share of the longest usual core time of a run.
+/// Normal delay between the time an arrival reaches the machine and the time the host reads it, as a share
+/// of the longest usual core time.
 const ORDINARY_DELAY_SHARE: f64 = 0.5;
-/// Reading delay above which the server is flooded, as a share of the shortest latency objective.
+/// Reading delay above which the server is flooded, as a share of the shortest latency objective. All ranks
+/// except the highest are then rejected.
 const FLOOD_DELAY_SHARE: f64 = 0.25;
 
-/// Measurements of the cost of reading arrivals.
+/// Measured cost of reading arrivals.
 pub struct Reading {
     delay: DecayingMean,
     threads: DecayingMean,
@@ -17,8 +20,8 @@
 }
 
 impl Reading {
-    /// Creates the measurements without observations. The flood threshold is derived from
-    /// `shortest_objective`.
+    /// Creates the measurements without observations. The reading delay above which the server is flooded
+    /// is a share of `shortest_objective`.
     pub fn new(shortest_objective: Nanos, now: Nanos) -> Self {
         Self {
             delay: DecayingMean::new(CONTROL_PERIOD / 2, now),
@@ -27,12 +30,12 @@
         }
     }
 
-    /// Records that an arrival was read `delay` after it reached the machine.
+    /// Records that the host read an arrival `delay` after the arrival reached the machine.
     pub fn observe_delay(&mut self, now: Nanos, delay: Nanos) {
         self.delay.add(now, delay as f64);
     }
 
-    /// Records the number of threads other than runs that were running or ready to run.
+    /// Records the number of threads that were running or ready to run and do not belong to runs.
     pub fn observe_threads(&mut self, now: Nanos, threads: f64) {
         self.threads.add(now, threads);
     }
@@ -47,12 +50,13 @@
         self.delay.mean() * self.delay.weight(now).min(1.0)
     }
 
-    /// Returns the reading delay in excess of the normal delay, ns.
+    /// Returns the mean reading delay in excess of the normal delay, ns. The normal delay is a share of
+    /// `longest_core_ns`.
     pub fn excess_delay(&self, now: Nanos, longest_core_ns: f64) -> f64 {
         (self.delay(now) - longest_core_ns * ORDINARY_DELAY_SHARE).max(0.0)
     }
 
-    /// Whether reading alone overloads the server. The server then recovers only if callers send less.
+    /// Whether reading arrivals alone overloads the server, which then recovers only if callers send less.
     pub fn is_flooded(&self, now: Nanos) -> bool {
         self.delay(now) > FLOOD_DELAY_SHARE * self.shortest_objective as f64
     }
--- a/crates/overload-control/src/regulator.rs
+++ b/crates/overload-control/src/regulator.rs
@@ -4,24 +4,25 @@
 use crate::Nanos;
 use crate::linear_quadratic::{self, Gains, Iteration, Plant, PlantEstimator, RefusalRatios, Weights};
 
-/// Interval between two steps of the regulator, which is also the interval over which gauges are measured.
+/// Interval between two steps of the regulator, in nanoseconds. Gauges are measured over the same interval.
 pub const CONTROL_PERIOD: Nanos = 500_000_000;
 
-/// The error and its running sum have equal weight, and refusing premium costs 100 times as much as
-/// refusing basic, as in IAMS (Jiang, Meng, Ren and Zhan).
+/// Cost weights of the regulator. The utilization error and its running sum have equal weight. Refusing
+/// premium costs 100 times as much as refusing basic, as in IAMS (Jiang, Meng, Ren and Zhan).
 const WEIGHTS: Weights = Weights { error: 1.0, error_sum: 1.0, premium: 0.1, basic: 0.001 };
 const ITERATION: Iteration = Iteration { steps_max: 200, tolerance: 1e-6 };
-/// Variance of the coefficients of the prior plant.
+/// Variance of the coefficients in the initial estimate of the plant.
 const PRIOR_VARIANCE: f64 = 1.0;
 /// Factor by which the weight of an observation decays in one control period.
 const FORGETTING_RATIO: f64 = 0.97;
-/// The estimated plant is used only if the utilization has varied at least this much. The variation is a
-/// decaying sum over the control periods in which basic was refused.
+/// Minimum variation of the utilization for the estimated plant to be used. The variation is a decaying sum
+/// over the control periods in which basic was refused.
 const VARIATION_MIN: f64 = 0.5;
-/// Plausible range of the effect that refusing a class has on the utilization.
+/// Plausible range of the effect that refusing a class has on the utilization. An estimated plant with an
+/// effect outside this range is not used.
 const PLAUSIBLE_EFFECTS: std::ops::Range<f64> = -2.0..-0.2;
 
-/// Start or end of load shedding, that is of refusing basic.
+/// Start or end of load shedding. Load is shed while arrivals of the basic class are refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shedding {
     Began,
@@ -30,10 +31,10 @@
 
 /// State of the regulator.
 pub struct Regulator {
-    /// Running sum of the error (integral term), which compensates a lasting error.
+    /// Running sum of the utilization error (integral term), which compensates for a lasting error.
     error_sum: f64,
     ratios: RefusalRatios,
-    /// Utilization at the last step.
+    /// Utilization at the last step, from 0 to 1.
     utilization: f64,
     estimator: PlantEstimator,
     /// Decaying sum of the changes of the utilization in control periods in which basic was refused.
@@ -41,7 +42,7 @@
 }
 
 impl Regulator {
-    /// Creates a regulator that does not shed load.
+    /// Creates a regulator that refuses no arrivals.
     pub fn new(target_utilization: f64) -> Self {
         let prior = prior_plant(target_utilization);
         Self {
@@ -58,21 +59,21 @@
         self.ratios
     }
 
-    /// Returns the utilization at the last step.
+    /// Returns the utilization at the last step, from 0 to 1.
     pub fn utilization(&self) -> f64 {
         self.utilization
     }
 
-    /// Runs one step. `backlog`, in control periods of all cores, is work that the gauge cannot show
-    /// because utilization is capped at 1. It raises the error sum only in this step and does not
-    /// accumulate.
+    /// Runs one step of the regulator. `backlog` is work in excess of full utilization, which the gauge
+    /// cannot show because it is capped at 1; in control periods of all cores. The backlog is added to the
+    /// error sum in this step only and does not accumulate.
     pub fn step(&mut self, utilization: f64, target: f64, backlog: f64) -> Option<Shedding> {
         let error = utilization - target;
         self.observe(utilization);
         let gains = self.gains(utilization, target);
         let is_saturated_high = self.ratios.basic >= 1.0 && error > 0.0;
         let is_saturated_low = self.ratios.basic <= 0.0 && error < 0.0;
-        // Anti-windup: the sum does not change while the ratio is at its limit.
+        // Anti-windup: the error sum does not change while the refusal time ratio is at its limit.
         self.error_sum += if is_saturated_high || is_saturated_low { 0.0 } else { error };
         let sum_gain = gains.basic.error_sum;
         self.error_sum = self.error_sum.clamp(0.0, if sum_gain > 0.0 { 1.0 / sum_gain } else { 0.0 });
@@ -105,8 +106,9 @@
         gains(&plant).or_else(|| gains(&prior)).unwrap_or_default()
     }
 
-    /// Whether the estimated plant can be used: it is stable, and its effects have the right sign and size.
-    /// Retries, other processes on the machine or a cold start distort the estimate.
+    /// Whether the estimated plant can be used: the utilization has varied enough, the plant is stable, and
+    /// the effects have the right sign and size. Retries, other processes on the machine or a cold start
+    /// distort the estimate.
     fn is_plausible(&self, plant: &Plant) -> bool {
         self.variation > VARIATION_MIN
             && plant.a.abs() < 1.0
@@ -115,8 +117,8 @@
     }
 }
 
-/// Returns the plant assumed before any observation: refusing all arrivals removes the whole load within
-/// one period.
+/// Returns the plant that is assumed without a usable estimate: refusing all arrivals removes the whole
+/// load within one control period.
 fn prior_plant(load: f64) -> Plant {
     Plant { a: 0.0, premium: -load, basic: -load }
 }
--- a/crates/overload-control/src/retries.rs
+++ b/crates/overload-control/src/retries.rs
@@ -1,20 +1,20 @@
-//! Retries by callers: their share of the arrivals, and whether a rejected invocation may be retried
-//! elsewhere.
+//! Retries by callers: measures their share of the arrivals, and decides whether a rejected invocation may
+//! be retried at another server.
 
 use crate::Nanos;
 use crate::decaying_mean::DecayingMean;
 use crate::regulator::CONTROL_PERIOD;
 
-/// Maximum share of marked retries at which a rejected invocation may be retried elsewhere. If callers do
-/// not mark retries, the refusal time ratio of basic is compared instead.
+/// Share of arrivals marked as retries above which rejected invocations must not be retried at another
+/// server. If callers do not mark retries, the refusal time ratio of basic is compared instead.
 const PRESSURE_MAX: f64 = 0.3;
 
 /// Measurements of retries by callers.
 pub struct Retries {
-    /// Rate of arrivals and the share of them that is marked. The half-life is a few control periods, to
-    /// react within seconds.
+    /// Rate of arrivals, and the share of them that callers marked as retries. The half-life is a few
+    /// control periods, so that the measurements react within seconds.
     marked: DecayingMean,
-    /// Whether callers mark retries.
+    /// Whether callers of this server mark their retries.
     are_marked: bool,
 }
 
@@ -34,7 +34,8 @@
         self.marked.rate(now)
     }
 
-    /// Whether retries at other servers would only add to an overload of the fleet.
+    /// Whether retries at other servers would add to an overload of the fleet. `basic_ratio` is the refusal
+    /// time ratio of basic.
     pub fn are_harmful(&self, basic_ratio: f64) -> bool {
         let pressure = if self.are_marked { self.marked.mean() } else { basic_ratio };
         pressure > PRESSURE_MAX
--- a/crates/overload-control/src/scheduling.rs
+++ b/crates/overload-control/src/scheduling.rs
@@ -1,26 +1,26 @@
-//! Decides whether another run may start.
+//! Decides whether another run may start, based on the limits on concurrent runs.
 
-/// Maximum share of the cores by which reading reduces the concurrency limit.
+/// Maximum reduction of the concurrency limit because of reading arrivals, as a share of the cores.
 const READING_SHARE_MAX: f64 = 0.25;
 
-/// Limits on the runs of a server.
+/// Limits on the concurrent runs of a server.
 pub struct RunLimits {
-    /// Learned concurrency limit.
+    /// Learned limit on the number of runs on the cores.
     pub concurrency: f64,
-    /// Maximum number of open runs, including runs at downstream calls.
+    /// Maximum number of open runs, including runs that wait for a downstream call or are in one.
     pub survivable: f64,
-    /// Number of cores that reading uses.
+    /// Number of cores that reading arrivals uses.
     pub reading_threads: f64,
     /// Number of cores of the server.
     pub cores: f64,
-    /// Whether this is a downstream tier, in which reading does not reduce the limit: rejecting a call
-    /// wastes work of the tier above.
+    /// Whether this server belongs to a downstream tier. Reading arrivals then does not reduce the limit,
+    /// because rejecting a downstream call wastes work of the calling tier.
     pub is_downstream_tier: bool,
 }
 
 impl RunLimits {
-    /// Whether another run may start, given the number of runs on the cores and the number of open runs,
-    /// which includes runs at downstream calls.
+    /// Whether another run may start. `running` is the number of runs on the cores. `open` is the number of
+    /// open runs, including runs that wait for a downstream call or are in one.
     pub fn admit(&self, running: f64, open: f64) -> bool {
         let share_max = if self.is_downstream_tier { 0.0 } else { READING_SHARE_MAX };
         let reading = self.reading_threads.min(self.cores * share_max);
--- a/crates/overload-control/src/tenant_quota.rs
+++ b/crates/overload-control/src/tenant_quota.rs
@@ -1,26 +1,26 @@
-//! Tenant quotas. A tenant listed in the settings has a token bucket, filled at this server's part of the
-//! fleet's allowance. Tenants that are not listed are subject to fair queueing.
+//! Tenant quotas. A tenant listed in the settings has a token bucket, which is refilled at this server's
+//! part of the tenant's fleet-wide allowance. Other tenants are subject to fair queueing.
 
 use crate::invocations::Invocation;
 use crate::{Arrival, Deployment, Nanos};
 use meadowstream_fair_queueing::{Admission as FairAdmission, FairScheduler, ServiceOutcome, TenantKey};
 
-/// Maximum burst of a tenant, in seconds of its allowance.
+/// Capacity of a tenant's token bucket, in seconds of the tenant's allowance at this server.
 const BURST_SECONDS: f64 = 15.0;
 /// Maximum work in the server of a tenant within its quota, as a share of the work that the server does
 /// within the shortest latency objective.
 const IN_SERVER_SHARE: f64 = 0.25;
 
-/// A token bucket; each invocation takes one token.
+/// Token bucket of one tenant; each invocation takes one token.
 struct TokenBucket {
-    /// Tokens per second.
+    /// Refill rate, in tokens per second.
     rate: f64,
     tokens: f64,
     updated: Nanos,
 }
 
 impl TokenBucket {
-    /// Takes a token; returns false if none is left.
+    /// Takes a token for an invocation. Returns false if the bucket holds less than one token.
     fn take(&mut self, now: Nanos) -> bool {
         let seconds = (now - self.updated) as f64 / 1e9;
         self.tokens = (self.tokens + self.rate * seconds).min((self.rate * BURST_SECONDS).max(1.0));
@@ -36,7 +36,7 @@
 pub struct RetryAdvice {
     /// Time after which the caller should retry.
     pub retry_after: Nanos,
-    /// Ticket of a promise of admission at that time.
+    /// Ticket of a promise that the retry is admitted, if one was made.
     pub ticket: Option<u64>,
 }
 
@@ -82,14 +82,14 @@
         QuotaDecision { fair_admission: Some(admission), is_over_quota: admission.surplus }
     }
 
-    /// Informs fair queueing that the run of an invocation has started.
+    /// Informs the fair queueing scheduler that the run of an invocation has started.
     pub fn on_run_started(&mut self, invocation: &Invocation) {
         if let (Some(fair), Some(admission)) = (&mut self.fair, &invocation.fair_admission) {
             fair.start_service(admission);
         }
     }
 
-    /// Informs fair queueing that an invocation has left the server.
+    /// Informs the fair queueing scheduler that an invocation has left the server.
     pub fn on_end(&mut self, now: Nanos, invocation: &Invocation) {
         if let (Some(fair), Some(admission)) = (&mut self.fair, &invocation.fair_admission) {
             let outcome = if invocation.has_run {
@@ -101,9 +101,10 @@
         }
     }
 
-    /// Ends an invocation that never ran and returns the time, `promise_after` from now at the earliest, at
-    /// which its tenant's quota has capacity again. The advice includes a promise of admission if one can
-    /// be made. Does nothing and returns `None` without fair queueing, or if the invocation has run.
+    /// Ends an invocation that never ran, and returns retry advice for its caller. The advised time is
+    /// `promise_after` from now or later, when the tenant's quota has capacity again. If possible, the
+    /// advice includes the ticket of a promise of admission. Without fair queueing, or if the invocation
+    /// has run, returns `None` and changes nothing.
     pub fn end_with_promise(
         &mut self,
         now: Nanos,
@@ -117,7 +118,7 @@
         Some(RetryAdvice { retry_after: advice.retry_after, ticket: advice.ticket })
     }
 
-    /// Updates the capacity of the server for fair queueing, in cores.
+    /// Sets the capacity of the server for fair queueing, in cores.
     pub fn set_capacity(&mut self, now: Nanos, capacity: f64, shortest_objective: Nanos) {
         if let Some(fair) = &mut self.fair {
             fair.update_fair_rate(now, capacity, capacity * shortest_objective as f64 * IN_SERVER_SHARE);
--- a/crates/overload-control/src/timers.rs
+++ b/crates/overload-control/src/timers.rs
@@ -4,10 +4,11 @@
 
 /// Timer that expires once per control period; gauges are reported with it.
 pub const CONTROL_TIMER: u32 = 0;
-/// Timer that expires at the next deadline, end of a backoff, or refill of the call budget.
+/// Timer that expires at the next deadline, at the end of a backoff, or when the call budget suffices
+/// again.
 const DEADLINE_TIMER: u32 = 1;
 
-/// State of the deadline timer.
+/// State of the deadline timer; the control timer has no state.
 pub struct Timers {
     deadline_at: Nanos,
 }
@@ -18,15 +19,15 @@
         Self { deadline_at: Nanos::MAX }
     }
 
-    /// Clears the deadline timer if it has expired.
+    /// Clears the deadline timer if its time has been reached.
     pub fn on_timer(&mut self, now: Nanos) {
         if now >= self.deadline_at {
             self.deadline_at = Nanos::MAX;
         }
     }
 
-    /// Sets the deadline timer to `at` unless it is already set to an earlier time; returns whether it was
-    /// set.
+    /// Sets the deadline timer to `at`, unless the timer is already set to an earlier time or to `at`.
+    /// Returns whether the timer was set.
     pub fn set_deadline(&mut self, now: Nanos, at: Nanos, host: &mut dyn Host) -> bool {
         let is_earlier = at < self.deadline_at;
         if is_earlier {
