--- a/crates/overload-control/benches/arrival.rs
+++ b/crates/overload-control/benches/arrival.rs
@@ -1,5 +1,5 @@
 //! Benchmark of the whole controller with many pending invocations: an invocation arrives, admission
-//! decides on it, and its caller cancels it.
+//! screens it, and its caller cancels it.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use meadowstream_overload_control::controller::Controller;
@@ -76,8 +76,8 @@
     for pending in [100u64, 1_000, 10_000, 100_000] {
         let mut controller = Controller::new(deployment(), 1, START, &mut DiscardingHost);
         let arrival = |id| Arrival { id, operation: (id % 2) as usize, held_kb: 1.0, ..Arrival::default() };
-        // Invocations with runs of 1 ms for an hour: by the learned times all pending invocations then meet
-        // their deadlines.
+        // First, 1,000 runs of 1 ms within an hour are learned. All pending invocations meet their
+        // deadlines by these learned times.
         for id in 1..=1000 {
             let now = START + id * HOUR / 1000;
             controller.on_arrival(now, arrival(id), &mut DiscardingHost);
--- a/crates/overload-control/tests/days.rs
+++ b/crates/overload-control/tests/days.rs
@@ -1,8 +1,8 @@
 //! Regression tests: random ten-second runs of the controller, compared with recorded hashes.
 //!
 //! Every action of the controller is hashed in order, so that a refactoring can be shown to leave all
-//! decisions unchanged. The first recorded hashes were those of version 0.2.0, which kept the pending queue
-//! in a plain vector. A commit that intentionally changes decisions records new hashes and gives the reason.
+//! decisions unchanged. The first hashes were recorded with version 0.2.0, which kept the pending queue in
+//! a plain vector. A commit that intentionally changes decisions records new hashes and gives the reason.
 
 use meadowstream_overload_control::{
     Advertisement, Arrival, Deployment, Downstream, Effect, Gauges, Host, Nanos, Operation, Outcome,
@@ -15,7 +15,7 @@
 use std::hash::Hasher;
 
 const MS: Nanos = 1_000_000;
-/// Start of the clock: a time counted from 1970, as on a real server.
+/// Start of the simulated clock, in nanoseconds since 1970, as on a real server.
 const START: Nanos = 1_790_000_000_000_000_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -115,8 +115,8 @@
         self.record("health", &[u64::from(healthy), u64::from(cached)]);
     }
     fn advertise_load(&mut self, value: f64) {
-        // Rounded: the order of summation over the pending queue has changed since the hashes were
-        // recorded, which changes the last bits of the sums.
+        // The load is rounded because the order of summation over the pending queue has changed since the
+        // hashes were recorded, which changes the last bits of the sums.
         self.record("advertise", &[(value * 1e9).round() as u64]);
     }
     fn close_idle_connections(&mut self, after: Nanos) {
@@ -200,8 +200,8 @@
     Sender { tenant: tenant.to_string().into_bytes(), origin: tenant % 3, ticket }
 }
 
-/// Runs the controller for ten seconds under a varying load; returns the number of its actions and their
-/// hash.
+/// Runs the controller for ten seconds under a varying load. Returns the number of its actions and the hash
+/// of these actions.
 fn run_day(seed: u64, uses_shared_state: bool) -> (u64, u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut deployment = deployment(&mut rng);
@@ -292,7 +292,7 @@
     (host.decision_count, host.decisions.finish())
 }
 
-/// Number of actions and their hash for each seed, starting at 0.
+/// Number of actions and their hash for each seed; the index is the seed.
 const RECORDED_DAYS: &[(u64, u64)] = &[
     (10962, 0xfc5a4a76c6e43f98),
     (10063, 0x075e45d9310accc1),
@@ -327,8 +327,8 @@
     }
 }
 
-/// Number of actions and their hash for each seed with fair queueing and withheld calls, recorded before
-/// the controller was split into modules.
+/// Number of actions and their hash for each seed, with fair queueing and withheld calls; the index is the
+/// seed. Recorded before the controller was split into modules.
 const SHARED_STATE_DAYS: &[(u64, u64)] = &[
     (12013, 0x8be4550621d9e9fb),
     (11319, 0xbfd87fab2f7ad61f),
--- a/crates/overload-control/tests/operations.rs
+++ b/crates/overload-control/tests/operations.rs
@@ -1,5 +1,5 @@
 //! Tests with many operations: the cost of a decision does not grow with their number, and values computed
-//! over all operations follow the learned times of each.
+//! over all operations follow the learned times of each operation.
 
 use meadowstream_overload_control::controller::{CONTROL_TIMER, Controller};
 use meadowstream_overload_control::{
@@ -82,7 +82,7 @@
     controller.on_run_finished(at + duration, id, Outcome::Succeeded, &mut HealthRecorder(true));
 }
 
-/// Returns the time of the fastest of several rounds, since other load on the machine only makes rounds
+/// Returns the duration of the fastest of several rounds. Other load on the machine only makes rounds
 /// slower.
 fn quickest_round(operations: usize) -> Duration {
     const ROUNDS: u64 = 7;
@@ -112,8 +112,8 @@
     assert!(many < few * 8, "200 runs: {few:?} with 60 operations, {many:?} with 6,200");
 }
 
-/// A server counts as stalled after six times the longest usual run. That limit must fall again once the
-/// operation with the longest runs has become faster.
+/// A server is stalled if its cores make no progress for six times the longest usual core time. This limit
+/// must decrease again after the operation with the longest runs has become faster.
 #[test]
 fn stall_time_follows_the_longest_usual_run() {
     let mut controller = controller(2);
--- a/crates/pending-queue/src/expiring_keys.rs
+++ b/crates/pending-queue/src/expiring_keys.rs
@@ -10,7 +10,7 @@
     key: u64,
 }
 
-/// A set of keys, each with its expiry time.
+/// A set of keys, each with an expiry time.
 #[derive(Debug, Default)]
 pub struct ExpiringKeys {
     expiry_times: HashMap<u64, Nanos>,
--- a/crates/pending-queue/src/late_search.rs
+++ b/crates/pending-queue/src/late_search.rs
@@ -1,33 +1,33 @@
-//! Search for the first late entry: the first that would end after its deadline.
+//! Search for the first late entry in run order. An entry is late if it would end after its deadline.
 //!
-//! The search skips a tree node whose entries end in time even under the maximum growth of the usual times
-//! since the reference, and descends into all other nodes. Individual entries are checked against the
-//! present times only, so the result is exact.
+//! The tree stores lateness for earlier usual times, the reference times. The search skips a tree node if
+//! its entries end in time even under the maximum growth of the usual times since then, and descends into
+//! all other nodes. Individual entries are checked against the present usual times, so the result is exact.
 
 use crate::reference_times::ReferenceTimes;
 use crate::sum_tree::{Block, SumTree};
 use crate::{Capacity, Nanos};
 
-/// Bound on the rounding error of a time in floating point, in nanoseconds, on a clock that counts from
-/// 1970. Adjacent floating-point numbers are 256 ns apart there; the bound is eight times that, because a
-/// sum is rounded several times.
+/// Bound on the rounding error of a point in time in floating point, in nanoseconds, on a clock that counts
+/// from 1970. Adjacent floating-point numbers are 256 ns apart for such times. The bound is eight times
+/// that, because a sum is rounded several times.
 const ROUNDING_NS: f64 = 2048.0;
 
-/// Location of an entry: a block and an index in the block.
+/// Location of an entry in the queue of a rank: a block and an index in that block.
 #[derive(Clone, Copy, Debug)]
 pub struct EntryIndex {
     /// Index of the block.
     pub block: usize,
-    /// Index in the block.
+    /// Index of the entry in the block.
     pub index: usize,
 }
 
-/// Entries that run before a given one: their work and their number.
+/// Number of entries that run before a given entry, and their work.
 #[derive(Clone, Copy, Debug)]
 pub struct QueuedAhead {
-    /// Work in nanoseconds of one core.
+    /// Usual work of these entries, in nanoseconds of one core.
     pub work: f64,
-    /// Number of entries.
+    /// Number of entries that run before the given entry.
     pub entries: usize,
 }
 
@@ -35,11 +35,12 @@
 pub struct SearchResult {
     /// Location of the first late entry; `None` if all entries end in time.
     pub entry: Option<EntryIndex>,
-    /// Number of summaries and entries inspected.
+    /// Number of summaries and entries that the search inspected.
     pub inspected: u64,
 }
 
-/// State of a search. Skipped entries are added to `ahead` at the present usual times.
+/// State of a search for the first late entry. Skipped entries are added to `ahead` with their work at the
+/// present usual times.
 pub struct LateSearch<'a> {
     /// Tree of summaries of the queue to search.
     pub tree: &'a SumTree,
@@ -47,18 +48,18 @@
     pub blocks: &'a [Block],
     /// Time at which the first entry in run order would start.
     pub now: Nanos,
-    /// Entries that run before the node being searched.
+    /// Entries that run before the tree node being searched.
     pub ahead: QueuedAhead,
-    /// Present usual times and limits.
+    /// Present usual times, concurrency limit and free slots.
     pub capacity: &'a Capacity<'a>,
-    /// Reference times for which the tree stores lateness.
+    /// Usual times for which the tree stores lateness.
     pub reference: &'a ReferenceTimes,
-    /// Number of summaries and entries inspected.
+    /// Number of summaries and entries inspected so far.
     pub inspected: u64,
 }
 
 impl LateSearch<'_> {
-    /// Searches the entries below a tree node.
+    /// Returns the first late entry below a tree node; `None` if all entries below the node end in time.
     pub fn search_node(&mut self, node: usize) -> Option<EntryIndex> {
         self.inspected += 1;
         if self.is_in_time(node) {
@@ -73,7 +74,8 @@
         }
     }
 
-    /// Whether all entries below a node certainly end in time or may start immediately.
+    /// Whether all entries below a node certainly end in time or may start immediately. False does not
+    /// prove that an entry is late.
     fn is_in_time(&self, node: usize) -> bool {
         let summary = self.tree.node(node);
         let growth = self.reference.growth();
--- a/crates/pending-queue/src/lib.rs
+++ b/crates/pending-queue/src/lib.rs
@@ -1,10 +1,10 @@
 //! The pending queue of a server: admitted invocations that wait for a core.
 //!
-//! A [`PendingQueue`] keeps [`Entry`]s in the order in which they will run, in one queue per rank, together
-//! with their deadlines by operation. The controller makes the decisions. It queries the queue for the next
-//! entry to run, overdue entries, the entry of the lowest priority, the queued work, and the entry to
+//! A [`PendingQueue`] holds [`Entry`]s in the order in which they will run, in one queue per rank. It also
+//! holds their deadlines by operation. The controller makes the decisions. It queries the queue for the
+//! next entry to run, overdue entries, the entry of the lowest priority, the queued work, and the entry to
 //! reject so that the others meet their deadlines. None of these queries walks all entries;
-//! `docs/pending-queue.md` lists the costs. Times are nanoseconds of a single monotonic clock; work is
+//! `docs/pending-queue.md` lists their costs. Times are nanoseconds of a single monotonic clock; work is in
 //! nanoseconds of one core.
 
 #![deny(missing_docs, clippy::too_many_lines)]
@@ -25,28 +25,30 @@
 /// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
 
-/// An invocation that waits. An entry is located by its values, so removing it requires the same values as
-/// inserting it.
+/// An invocation that waits in the queue. The queue locates an entry by its field values, so removing an
+/// entry requires the values with which it was inserted.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Entry {
     /// Unique number that increases with each arrival.
     pub arrival_number: u64,
     /// Key under which the owner of the queue stores the invocation.
     pub key: usize,
-    /// Id of the invocation; among entries with equal tag and deadline the lowest id runs first.
+    /// Id of the invocation. Among entries of a rank with equal start tags and deadlines, the lowest id
+    /// runs first.
     pub id: u64,
     /// Index of the operation.
     pub operation: usize,
     /// Index of the priority class; higher ranks run first.
     pub rank: usize,
-    /// Start tag of fair queueing within the rank; the lowest tag runs first. Constant without fair
-    /// queueing.
+    /// Start tag of fair queueing within the rank; the lowest tag runs first. Equal for all entries if fair
+    /// queueing is off.
     pub start_tag: u64,
-    /// Whether the invocation was promised admission: it is rejected only after all others.
+    /// Whether the invocation was promised admission. Such an invocation is rejected only after all others
+    /// of its rank.
     pub promised: bool,
     /// Time at which the invocation reached the machine.
     pub arrived: Nanos,
-    /// Objective deadline; among entries with equal tags the earliest deadline runs first.
+    /// Objective deadline. Among entries of a rank with equal start tags, the earliest deadline runs first.
     pub deadline: Nanos,
     /// Estimated cost as a ratio to the usual cost of the operation.
     pub cost_ratio: f64,
@@ -61,10 +63,10 @@
     pub elapsed_ns: f64,
 }
 
-/// Capacity of the server, as used to predict when entries end.
+/// Capacity of the server, from which the ends of entries are predicted.
 #[derive(Clone, Copy, Debug)]
 pub struct Capacity<'a> {
-    /// Usual times, indexed by operation.
+    /// Usual times of a run, indexed by operation.
     pub usual_times: &'a [UsualTimes],
     /// Limit on concurrent runs, 1 or more.
     pub concurrency_limit: f64,
@@ -72,7 +74,7 @@
     pub free_slots: usize,
 }
 
-/// The deadline of an entry; ordered by deadline, then by arrival.
+/// The objective deadline of an entry; ordered by deadline, then by arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Deadline {
     at: Nanos,
@@ -100,12 +102,13 @@
 pub struct PendingQueue {
     /// One queue for each priority class, indexed by rank.
     classes: Vec<PriorityClassQueue>,
-    /// Deadlines by operation. Contains only operations that have entries, so that the cost of a search
-    /// depends on the entries and not on the number of operations.
+    /// Deadlines of the entries, by operation. Contains only operations that have entries, so that the cost
+    /// of a search depends on the number of entries and not on the number of operations.
     deadlines: BTreeMap<usize, BTreeSet<Deadline>>,
-    /// Entries known to be overdue that have not been removed yet.
+    /// Entries that are known to be overdue and are still in the queue.
     overdue: BTreeSet<ArrivalKey>,
-    /// Whether `overdue` contains marked entries while the deadlines have not been searched yet.
+    /// Whether [`PendingQueue::mark_overdue`] has added entries to `overdue` since the deadlines were last
+    /// searched.
     has_unsearched_deadlines: bool,
     reference: ReferenceTimes,
     len: usize,
@@ -132,7 +135,7 @@
         self.len == 0
     }
 
-    /// Inserts an entry in run order.
+    /// Inserts an entry at its position in run order.
     pub fn insert(&mut self, entry: Entry) {
         self.len += 1;
         self.deadlines.entry(entry.operation).or_default().insert(Deadline::of(&entry));
@@ -158,7 +161,7 @@
         }
     }
 
-    /// Marks an entry as overdue before its deadline.
+    /// Marks an entry as overdue, regardless of its deadline.
     pub fn mark_overdue(&mut self, entry: &Entry) {
         self.overdue.insert(ArrivalKey { arrival_number: entry.arrival_number, key: entry.key });
         self.has_unsearched_deadlines = true;
@@ -169,15 +172,15 @@
         self.classes.iter().rev().find_map(PriorityClassQueue::first)
     }
 
-    /// Returns the entry that runs next among the operations that `is_wanted` accepts. Walks the entries
-    /// that run before it.
+    /// Returns the entry that runs next among those whose operation `is_wanted` accepts. Walks the entries
+    /// that run before the returned one.
     pub fn next_to_run_among(&self, is_wanted: impl Fn(usize) -> bool) -> Option<&Entry> {
         self.deadlines.keys().find(|operation| is_wanted(**operation))?;
         self.iter().find(|entry| is_wanted(entry.operation))
     }
 
-    /// Returns the earliest time at which an entry becomes overdue. `latest_start` maps an operation and a
-    /// deadline to the latest start of the entry.
+    /// Returns the earliest time at which an entry becomes overdue, which is its latest start.
+    /// `latest_start` computes the latest start of an entry from its operation and deadline.
     pub fn next_overdue_at(&self, latest_start: impl Fn(usize, Nanos) -> Nanos) -> Option<Nanos> {
         let earliest = self.deadlines.iter().filter_map(|(operation, deadlines)| {
             let first = deadlines.first()?;
@@ -186,16 +189,16 @@
         earliest.min()
     }
 
-    /// Returns the earliest arrival among the entries whose latest start is at or before `now`.
-    /// `latest_start` must increase monotonically with the deadline, and must not change until all overdue
-    /// entries have been removed.
+    /// Returns the earliest arrival among the overdue entries: those whose latest start is at or before
+    /// `now`, and those marked as overdue. `latest_start` must increase monotonically with the deadline,
+    /// and must not change until all overdue entries have been removed.
     pub fn first_overdue(
         &mut self,
         now: Nanos,
         latest_start: impl Fn(usize, Nanos) -> Nanos,
     ) -> Option<ArrivalKey> {
-        // If `overdue` is empty, the deadlines are searched without reading or clearing the flag. A flag
-        // that was set for an entry removed since remains set for the next call.
+        // If `overdue` is empty, the deadlines are searched and the flag is neither read nor cleared. The
+        // flag then remains set for the next call even if the entry for which it was set has been removed.
         let must_search = self.overdue.is_empty() || std::mem::take(&mut self.has_unsearched_deadlines);
         if must_search {
             for (operation, deadlines) in &self.deadlines {
@@ -211,9 +214,9 @@
         self.overdue.first().copied()
     }
 
-    /// Returns the key of the entry to reject first when memory is short: of the lowest rank the entry with
-    /// the highest start tag, and among equal tags the newest. Entries that were promised admission are
-    /// rejected last.
+    /// Returns the key of the entry to reject first when memory is short. In the lowest rank that has
+    /// entries, this is the entry with the highest start tag, and among equal tags the newest. Entries that
+    /// were promised admission are rejected after the others of the rank.
     pub fn lowest_priority(&self) -> Option<usize> {
         self.classes.iter().find_map(PriorityClassQueue::first_to_reject_for_memory)
     }
@@ -223,18 +226,21 @@
         self.classes.iter().map(|class| class.work(usual_times)).sum()
     }
 
-    /// Returns the usual work that runs before `entry`, which need not be in the queue; in nanoseconds of
-    /// one core.
+    /// Returns the usual work of the entries that run before `entry`, in nanoseconds of one core. `entry`
+    /// need not be in the queue.
     pub fn work_ahead(&self, entry: &Entry, usual_times: &[UsualTimes]) -> f64 {
         let above: f64 = self.classes[entry.rank + 1..].iter().map(|class| class.work(usual_times)).sum();
         above + self.classes[entry.rank].work_before(entry, usual_times)
     }
 
-    /// Finds the first late entry in run order: an entry that would end after its deadline and is not among
-    /// those that may start immediately. Returns the key of the entry to reject so that the others can meet
-    /// their deadlines. The candidates are the late entry and the entries that run before it in the same
-    /// rank; entries of higher ranks are not rejected. Of the candidates, the one with the highest start
-    /// tag is rejected, and among equal tags the latest arrival.
+    /// Returns the key of the entry to reject so that the other entries can meet their deadlines; `None` if
+    /// no entry is late. The first late entry in run order is the first one that would end after its
+    /// deadline and may not start immediately.
+    ///
+    /// The candidates for rejection are the late entry and the entries of its rank that run before it;
+    /// entries of higher ranks are not rejected. Of the candidates, the one with the highest start tag is
+    /// rejected, and among equal tags the latest arrival. Candidates that were promised admission are
+    /// rejected only after all others.
     pub fn to_reject_for_deadlines(&mut self, now: Nanos, capacity: &Capacity) -> Option<usize> {
         if self.len <= capacity.free_slots {
             return None;
@@ -256,8 +262,8 @@
         None
     }
 
-    /// Returns the number of summaries and entries inspected by all searches for late entries so far, for
-    /// tests of the search cost.
+    /// Returns the number of summaries and entries that all searches for late entries have inspected so
+    /// far. Tests use this number to check the search cost.
     pub fn inspected(&self) -> u64 {
         self.inspected
     }
--- a/crates/pending-queue/src/order.rs
+++ b/crates/pending-queue/src/order.rs
@@ -1,9 +1,9 @@
 //! Sort orders in which entries run and are rejected. Each struct compares its fields in declaration order:
-//! the first field in which two entries differ decides.
+//! the first field in which two entries differ determines their order.
 
 use crate::{Entry, Nanos};
 
-/// Run order within a rank: the lowest runs first.
+/// Run order within a rank: the lowest entry runs first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RunOrder {
     start_tag: u64,
@@ -24,7 +24,7 @@
     }
 }
 
-/// Order of rejection when memory is short: the highest is rejected first.
+/// Order of rejection when memory is short: the highest entry is rejected first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MemoryOrder {
     not_promised: bool,
@@ -46,7 +46,7 @@
     }
 }
 
-/// Order of rejection for missed deadlines: the highest is rejected first.
+/// Order of rejection for missed deadlines: the highest entry is rejected first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DeadlineOrder {
     not_promised: bool,
--- a/crates/pending-queue/src/priority_class_queue.rs
+++ b/crates/pending-queue/src/priority_class_queue.rs
@@ -7,10 +7,10 @@
 use crate::sum_tree::{Block, SumTree};
 use crate::{Capacity, Entry, Nanos, UsualTimes};
 
-/// Maximum number of entries in a block, which bounds the entries that one insertion moves and searches.
+/// Maximum number of entries in a block. One insertion searches and moves at most this many entries.
 const BLOCK_ENTRIES_MAX: usize = 64;
 
-/// The entries of one rank.
+/// The queue of one rank.
 #[derive(Debug)]
 pub struct PriorityClassQueue {
     /// Blocks in run order; no block is empty.
@@ -18,8 +18,8 @@
     tree: SumTree,
 }
 
-/// Location of an entry in run order. `block` is the last block that begins at or before the entry. `index`
-/// is the index of the entry in that block (`Ok`), or the index at which to insert it (`Err`).
+/// Position of an entry in run order. `block` is the last block that begins at or before the entry. `index`
+/// is the index of the entry in that block (`Ok`), or the index at which to insert the entry (`Err`).
 struct Position {
     block: usize,
     index: Result<usize, usize>,
@@ -57,7 +57,7 @@
         Position { block, index }
     }
 
-    /// Inserts an entry in run order; splits its block if the block is full.
+    /// Inserts an entry at its position in run order. Splits the block at that position if it is full.
     pub fn insert(&mut self, entry: Entry, reference: &ReferenceTimes) {
         let Position { block, index } = self.position(&entry);
         let index = index.unwrap_or_else(|index| index);
@@ -73,10 +73,10 @@
         }
     }
 
-    /// Splits a full block and inserts the entry at `index`, counted in the block before the split.
+    /// Splits a full block and inserts `entry` at `index`, which is counted in the block before the split.
     fn split(&mut self, block: usize, index: usize, entry: Entry) {
-        // An entry at the end of the last block starts a new block, so that entries inserted in order fill
-        // their blocks.
+        // An entry at the end of the last block starts a new block instead, so that entries inserted in run
+        // order fill their blocks.
         let at_end = index == BLOCK_ENTRIES_MAX && block + 1 == self.blocks.len();
         let kept = if at_end { BLOCK_ENTRIES_MAX } else { BLOCK_ENTRIES_MAX / 2 };
         let mut second = self.blocks[block].split_off(kept);
@@ -112,7 +112,8 @@
         self.tree.root().work_at(usual_times)
     }
 
-    /// Returns the usual work of the entries before `entry`, which need not be in the queue.
+    /// Returns the usual work of the entries that run before `entry`, in nanoseconds of one core. `entry`
+    /// need not be in the queue.
     pub fn work_before(&self, entry: &Entry, usual_times: &[UsualTimes]) -> f64 {
         let Position { block, index } = self.position(entry);
         let Some(entries) = self.blocks.get(block) else { return 0.0 };
@@ -130,8 +131,8 @@
         (!self.blocks.is_empty()).then(|| self.tree.root().first_to_reject_for_memory.key)
     }
 
-    /// Finds the first entry that would end after its deadline, where `ahead` are the entries of higher
-    /// ranks.
+    /// Finds the first entry that would end after its deadline. `ahead` counts the entries of higher ranks,
+    /// which run before the entries of this queue.
     pub fn first_late(
         &self,
         now: Nanos,
@@ -145,8 +146,10 @@
         SearchResult { entry, inspected: search.inspected }
     }
 
-    /// Returns the key of the entry to reject because of a late entry: among the late entry and those
-    /// before it, the one with the highest start tag, and among equal tags the latest arrival.
+    /// Returns the key of the entry to reject so that the late entry at `entry` can meet its deadline. The
+    /// candidates are the late entry and the entries before it. Of these, the one with the highest start
+    /// tag is rejected, and among equal tags the latest arrival. Candidates that were promised admission
+    /// are rejected only after all others.
     pub fn first_to_reject_up_to(&self, entry: EntryIndex) -> usize {
         let within = self.blocks[entry.block][..=entry.index].iter().map(DeadlineOrder::of);
         let before = self.tree.before(entry.block).map(|summary| summary.first_to_reject_for_deadline);
--- a/crates/pending-queue/src/reference_times.rs
+++ b/crates/pending-queue/src/reference_times.rs
@@ -1,38 +1,40 @@
 //! Reference times: the usual times for which the tree of summaries stores lateness.
 //!
 //! Lateness depends on the usual times and the concurrency limit, which change whenever a run ends. The
-//! tree therefore stores lateness for earlier reference times, and the growth of the times since then
-//! bounds the error.
+//! tree therefore stores lateness for the usual times of an earlier moment. The growth of the usual times
+//! since then bounds the error of the stored lateness.
 
 use crate::{Capacity, Entry, UsualTimes};
 
-/// Maximum relative change of a usual time before all lateness is recomputed.
+/// Maximum relative change of a usual time since the reference. Beyond it, the lateness of all entries is
+/// recomputed.
 const DRIFT_MAX: f64 = 0.02;
 
-/// Reference times and the growth of the present times beyond them.
+/// Reference times, and the growth of the present usual times beyond them.
 #[derive(Clone, Debug, Default)]
 pub struct ReferenceTimes {
     /// Reference times, indexed by operation.
     reference: Vec<RunTimes>,
-    /// Present times, indexed by operation.
+    /// Present usual times, indexed by operation.
     present: Vec<RunTimes>,
     growth: Growth,
 }
 
-/// Delay that a run of an operation usually adds to the queue, and its own duration, in nanoseconds.
+/// Usual times of a run of an operation, in nanoseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RunTimes {
-    /// Delay of the runs behind this one: core time divided by the concurrency limit.
+    /// Delay that one run adds to the runs behind it: its core time divided by the concurrency limit.
     pub queue_ns: f64,
-    /// Time from start to end, including downstream calls.
+    /// Time from start to end of a run, including downstream calls.
     pub elapsed_ns: f64,
 }
 
-/// Growth of the usual times since the reference, as a share of the reference. Each field is the maximum
-/// over all operations, 0 or more.
+/// Growth of the usual times since the reference, as a share of the reference times. Each field is the
+/// maximum over all operations, 0 or more.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Growth {
-    /// Growth of the delay of runs behind a run, that is of the core time divided by the concurrency limit.
+    /// Growth of the delay that one run adds to the runs behind it (core time divided by the concurrency
+    /// limit).
     pub queue: f64,
     /// Growth of the time from start to end of a run.
     pub elapsed: f64,
@@ -53,7 +55,8 @@
         Self { reference: none.clone(), present: none, ..Self::default() }
     }
 
-    /// Updates the present times; returns true if all lateness has to be recomputed.
+    /// Sets the present usual times. If one of them has changed too much, makes them the new reference
+    /// times and returns true; the lateness of all entries must then be recomputed.
     pub fn update(&mut self, capacity: &Capacity) -> bool {
         let limit = capacity.concurrency_limit;
         let present =
@@ -77,12 +80,12 @@
         is_outdated
     }
 
-    /// Returns the reference times of the entry's operation.
+    /// Returns the reference times of a run of the entry's operation.
     pub fn of(&self, entry: &Entry) -> &RunTimes {
         &self.reference[entry.operation]
     }
 
-    /// Returns the growth beyond the reference as of the last update.
+    /// Returns the growth of the present usual times beyond the reference times.
     pub fn growth(&self) -> Growth {
         self.growth
     }
--- a/crates/pending-queue/src/sum_tree.rs
+++ b/crates/pending-queue/src/sum_tree.rs
@@ -7,8 +7,8 @@
 /// A block of entries in run order.
 pub type Block = Vec<Entry>;
 
-/// The tree in a flat layout: node 1 is the root, the children of node n are 2n and 2n + 1, and the leaf of
-/// a block has the index `leaves` plus the index of the block.
+/// The tree of summaries in a flat layout. Node 1 is the root, and the children of node n are 2n and 2n +
+/// 1. The leaf of a block has the index `leaves` plus the index of the block.
 #[derive(Debug, Default)]
 pub struct SumTree {
     nodes: Vec<Summary>,
@@ -33,12 +33,12 @@
         &self.nodes[1]
     }
 
-    /// Returns the summary of the blocks below a node.
+    /// Returns the summary of the blocks whose leaves are below a node.
     pub fn node(&self, node: usize) -> &Summary {
         &self.nodes[node]
     }
 
-    /// Returns the index of the block whose leaf this node is; `None` for an inner node.
+    /// Returns the index of the block whose leaf is `node`; `None` for an inner node.
     pub fn block_of(&self, node: usize) -> Option<usize> {
         node.checked_sub(self.leaves)
     }
@@ -59,7 +59,7 @@
         })
     }
 
-    /// Recomputes all summaries.
+    /// Recomputes the summaries of all nodes.
     pub fn rebuild(&mut self, blocks: &[Block], reference: &ReferenceTimes) {
         self.resize(blocks.len());
         for i in 0..self.leaves {
@@ -69,7 +69,7 @@
         self.join_above(0, self.leaves);
     }
 
-    /// Recomputes the summaries that include `block`, after its entries have changed.
+    /// Recomputes the summaries that include `block`, whose entries have changed.
     pub fn update(&mut self, blocks: &[Block], block: usize, reference: &ReferenceTimes) {
         let mut node = self.leaves + block;
         self.nodes[node].summarize(&blocks[block], reference);
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Updates the tree after `block` was split and the new block was inserted behind it.
+    /// Updates the tree after `block` was split in two; the second half is the block behind it.
     pub fn block_inserted(&mut self, blocks: &[Block], block: usize, reference: &ReferenceTimes) {
         let count = blocks.len();
         if self.needs_resize(count) {
@@ -93,7 +93,7 @@
         self.join_above(block, count + 1);
     }
 
-    /// Updates the tree after the block with this index was removed.
+    /// Updates the tree after the block with index `block` was removed.
     pub fn block_removed(&mut self, blocks: &[Block], block: usize, reference: &ReferenceTimes) {
         let count = blocks.len();
         if self.needs_resize(count) {
--- a/crates/pending-queue/src/summary.rs
+++ b/crates/pending-queue/src/summary.rs
@@ -1,19 +1,19 @@
-//! Summary of consecutive entries; one is stored in each node of the tree.
+//! Summary of consecutive entries in run order. Each node of the tree stores one.
 
 use crate::order::{DeadlineOrder, MemoryOrder};
 use crate::reference_times::ReferenceTimes;
 use crate::{Entry, UsualTimes};
 use std::cmp::Ordering;
 
-/// Sum of the cost ratios of an operation's entries.
+/// Sum of the cost ratios of one operation's entries.
 #[derive(Clone, Copy, Debug)]
 struct OperationCost {
     operation: usize,
     cost_ratio: f64,
 }
 
-/// Sums of cost ratios, sorted by operation. Contains only operations that have entries, so that the cost
-/// of computing a sum does not depend on the number of operations.
+/// Sum of the entries' cost ratios for each operation, sorted by operation. Contains only operations that
+/// have entries, so that the cost of walking the list does not depend on the number of operations.
 #[derive(Clone, Debug, Default)]
 struct OperationCosts(Vec<OperationCost>);
 
@@ -25,7 +25,8 @@
         }
     }
 
-    /// Sets this to the sums of `left` and `right`, reusing the allocated memory.
+    /// Sets `self` to the sums over the entries of both `left` and `right`, reusing the memory allocated
+    /// for `self`.
     fn join(&mut self, left: &Self, right: &Self) {
         self.0.clear();
         let (mut left, mut right) = (left.0.as_slice(), right.0.as_slice());
@@ -51,31 +52,31 @@
     }
 }
 
-/// Sums and maxima over consecutive entries.
+/// Sums and maxima over consecutive entries in run order.
 #[derive(Clone, Debug, Default)]
 pub struct Summary {
     /// Number of entries.
     pub count: usize,
     costs: OperationCosts,
-    /// Total time for which the entries delay later ones, at the reference times, ns: work divided by the
-    /// concurrency limit.
+    /// Total delay that the entries add to later entries, at the reference times, ns: their work divided by
+    /// the concurrency limit.
     pub work: f64,
-    /// Longest time from start to end of an entry, at the reference times, ns.
+    /// Longest time from start to end of an entry's run, at the reference times, ns.
     pub longest_elapsed: f64,
-    /// Maximum time by which an entry would end after its deadline if the first entry started at time 0, at
-    /// the reference times, ns.
+    /// Maximum time by which an entry would end after its deadline if the first of the entries started at
+    /// time 0; at the reference times, ns.
     pub lateness: f64,
     pub first_to_reject_for_deadline: DeadlineOrder,
     pub first_to_reject_for_memory: MemoryOrder,
 }
 
 impl Summary {
-    /// Creates the summary of no entries.
+    /// Creates the summary of an empty sequence of entries.
     pub fn empty() -> Self {
         Self { lateness: f64::NEG_INFINITY, ..Self::default() }
     }
 
-    /// Sets this to the summary of `entries`.
+    /// Sets `self` to the summary of `entries`.
     pub fn summarize(&mut self, entries: &[Entry], reference: &ReferenceTimes) {
         self.costs.0.clear();
         self.count = entries.len();
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Sets this to the summary of `left` followed by `right`.
+    /// Sets `self` to the summary of the entries of `left` followed by those of `right`.
     pub fn join(&mut self, left: &Summary, right: &Summary) {
         self.count = left.count + right.count;
         self.costs.join(&left.costs, &right.costs);
@@ -108,7 +109,7 @@
             left.first_to_reject_for_memory.max(right.first_to_reject_for_memory);
     }
 
-    /// Returns the work at the given usual times, in nanoseconds of one core.
+    /// Returns the work of the entries at the given usual times, in nanoseconds of one core.
     pub fn work_at(&self, usual_times: &[UsualTimes]) -> f64 {
         self.costs.0.iter().map(|cost| cost.cost_ratio * usual_times[cost.operation].core_ns).sum()
     }
--- a/crates/pending-queue/tests/pending_queue.rs
+++ b/crates/pending-queue/tests/pending_queue.rs
@@ -1,11 +1,12 @@
-//! Compares the queue with a plain vector that is sorted and walked, in random sequences of operations.
+//! Compares the queue with a plain vector, which is sorted and walked for each query, in random sequences
+//! of operations.
 
 use meadowstream_pending_queue::{ArrivalKey, Capacity, Entry, PendingQueue, UsualTimes};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
 
-/// Learned times and limits of a server.
+/// Usual times of operations and concurrency limit of a simulated server.
 struct Server {
     usual: Vec<UsualTimes>,
     limit: f64,
@@ -58,7 +59,8 @@
     }
 }
 
-/// Runs one random sequence; returns the numbers of entries rejected for deadlines and of overdue entries.
+/// Runs one random sequence of operations on the queue. Returns the number of entries rejected for missed
+/// deadlines and the number of overdue entries.
 fn run(seed: u64, has_start_tags: bool, entries_max: usize, steps: usize) -> (u64, u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let (ranks, operations) = (rng.random_range(1..5), rng.random_range(1..4));
@@ -185,8 +187,8 @@
     assert!(queue.remove(&entry) && queue.is_empty() && queue.next_to_run().is_none());
 }
 
-/// Searches a queue under overload: it holds as many entries as can just meet their deadlines, each step adds
-/// one, and the usual core time changes with every run that ends.
+/// Searches a queue under overload. The queue holds as many entries as can just meet their deadlines, each
+/// step adds one, and the usual core time changes with every run that ends.
 #[test]
 fn late_search_cost_hardly_grows_with_the_queue() {
     let inspected_per_arrival = |pending: u64| {
--- a/crates/rate-limit/src/lib.rs
+++ b/crates/rate-limit/src/lib.rs
@@ -1,22 +1,25 @@
-//! Rate limit for any one-second window, such as bytes sent over a network. The caller supplies the time.
+//! Limits the amount used in any window of one second, for example the bytes sent over a network. The
+//! caller provides the time.
 #![deny(missing_docs, clippy::too_many_lines)]
 
-/// A time in nanoseconds on a monotonic clock.
+/// A point in time in nanoseconds on a monotonic clock.
 pub type Nanos = u64;
 
 const SECOND_NS: Nanos = 1_000_000_000;
 /// Number of slots per second.
 const SLOTS_PER_SECOND: usize = 20;
 const SLOT_NS: Nanos = SECOND_NS / SLOTS_PER_SECOND as Nanos;
-/// Number of slots kept: a window of one second overlaps one slot more than fit in a second.
+/// Number of slots stored. A window of one second that begins within a slot overlaps one slot more than
+/// there are in a second.
 const SLOTS: usize = SLOTS_PER_SECOND + 1;
 
-/// A rate limit over a sliding window of one second, counted in slots of 50 ms in constant memory.
+/// A rate limit over a sliding window of one second. Usage is counted in slots of 50 ms, in constant
+/// memory.
 ///
 /// The amounts acquired by [`SlidingWindow::try_acquire`] alone never exceed the limit in any second,
-/// regardless of where that second begins; a token bucket would allow its depth in addition. An amount
-/// becomes available again at most one slot after its second has passed. A clock that goes back frees
-/// nothing.
+/// regardless of when that second begins. A token bucket would permit a burst of its capacity in addition.
+/// A used amount becomes available again when one second and at most one slot have passed since its use. If
+/// the clock goes back, no used amount becomes available.
 #[derive(Clone, Copy, Debug)]
 pub struct SlidingWindow {
     limit: u64,
@@ -31,7 +34,7 @@
         SlidingWindow { limit, used: [0; SLOTS], current_slot: now / SLOT_NS }
     }
 
-    /// Clears the slots that have left the window.
+    /// Clears the slots that are no longer in the window that ends at `now`.
     fn advance(&mut self, now: Nanos) {
         let slot = now / SLOT_NS;
         let passed = slot.saturating_sub(self.current_slot);
@@ -45,20 +48,21 @@
         self.current_slot = self.current_slot.max(slot);
     }
 
-    /// Returns the amount that can be acquired now.
+    /// Returns the amount that can be acquired at `now`.
     pub fn available(&mut self, now: Nanos) -> u64 {
         self.advance(now);
         self.limit.saturating_sub(self.used.iter().sum())
     }
 
-    /// Counts an amount as used even if it exceeds the limit, for uses that cannot be delayed.
+    /// Counts an amount as used even if it exceeds the limit, for usage that cannot be delayed.
     pub fn force_acquire(&mut self, amount: u64, now: Nanos) {
         self.advance(now);
         let used = &mut self.used[index(self.current_slot)];
         *used = used.saturating_add(amount);
     }
 
-    /// Acquires the whole amount if it is available; returns whether it was.
+    /// Acquires the whole amount if it is available, otherwise nothing. Returns whether the amount was
+    /// acquired.
     pub fn try_acquire(&mut self, amount: u64, now: Nanos) -> bool {
         let is_available = amount <= self.available(now);
         if is_available {
--- a/crates/routing/src/health.rs
+++ b/crates/routing/src/health.rs
@@ -1,13 +1,13 @@
 //! Health of a service as an input of routing.
 
-/// Current health of a service.
+/// Current health of a service, as used by the router.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HealthView {
-    /// Whether the fleet has ejected the service, or this server alone while it receives no reports.
+    /// Whether the service is ejected: by the fleet, or by this server alone while it receives no reports.
     pub ejected: bool,
     /// Whether this server's own calls found the service unhealthy.
     pub locally_unhealthy: bool,
-    /// Whether this server is one of the probers of the service.
+    /// Whether this server is one of the servers that probe the service.
     pub is_prober: bool,
 }
 
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,15 +1,16 @@
-//! Chooses the service of a tier that receives a call. The crate performs no I/O: its inputs are the time,
-//! a seed and the health of each service. `docs/shared-state.md` lists the alternatives considered.
+//! Chooses the downstream service of a tier that receives a call. The crate performs no I/O: its inputs are
+//! the time, a seed and the health of each service. `docs/shared-state.md` lists the alternatives
+//! considered.
 //!
-//! - [`choice`]: of two services drawn at random, the one with fewer outstanding calls is chosen.
+//! - [`choice`]: two services are drawn at random, and the one with fewer outstanding calls is chosen.
 //! - [`health`]: a service ejected by the fleet gets no ordinary calls. A service that only this server
-//!   finds unhealthy is chosen only over another unhealthy one; otherwise a service that fails immediately,
+//!   finds unhealthy is chosen only over another unhealthy one. Otherwise a service that fails immediately,
 //!   and therefore has few outstanding calls, would attract all calls.
-//! - [`probing`]: idempotent calls probe unhealthy services of both kinds, one at a time, to detect their
-//!   recovery.
+//! - [`probing`]: an unhealthy service, ejected or not, receives idempotent calls as probes, one at a time,
+//!   to detect its recovery.
 //! - [`slow_start`]: a service that has recovered regains its share of calls gradually.
-//! - [`router`]: applies these modules in this order. A retry goes to a different service than the previous
-//!   attempt.
+//! - [`router`]: combines the other modules. A retry goes to a different service than the previous attempt,
+//!   if there is one.
 #![deny(missing_docs, clippy::too_many_lines)]
 
 pub mod choice;
--- a/crates/routing/src/probing.rs
+++ b/crates/routing/src/probing.rs
@@ -1,9 +1,9 @@
-//! Schedule of probes to an unhealthy service. Without probes no server would detect its recovery, and the
-//! evidence of all servers would expire at the same time.
+//! Schedule of probes to an unhealthy service. Without probes no server would detect the recovery of the
+//! service, and the evidence against the service would expire at all servers at the same time.
 
 use crate::Nanos;
 
-/// Probes of one service by this server: at most one at a time and one per interval.
+/// Schedule of this server's probes of one service: at most one probe at a time and one per interval.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ProbeSchedule {
     in_progress: bool,
@@ -11,13 +11,14 @@
 }
 
 impl ProbeSchedule {
-    /// Starts probing a service that has become unhealthy. The first probe is due after `delay`, a random
-    /// part of the interval, so that the servers of a fleet do not probe at the same time.
+    /// Starts probing a service that has become unhealthy. The first probe is due after `delay`. The caller
+    /// chooses a random part of the probe interval, so that the servers of a fleet do not probe at the same
+    /// time.
     pub fn begin(&mut self, now: Nanos, delay: Nanos) {
         self.next_at = now + delay;
     }
 
-    /// Returns the time at which the next probe is due; `None` while one is in progress.
+    /// Returns the time at which the next probe is due; `None` while a probe is in progress.
     pub fn next_at(&self) -> Option<Nanos> {
         (!self.in_progress).then_some(self.next_at)
     }
@@ -27,13 +28,13 @@
         self.next_at().is_some_and(|at| at <= now)
     }
 
-    /// Marks a probe as in progress and schedules the next one.
+    /// Marks a probe as in progress, and schedules the next probe `interval` after `now`.
     pub fn start(&mut self, now: Nanos, interval: Nanos) {
         self.in_progress = true;
         self.next_at = now + interval;
     }
 
-    /// Marks the probe as ended.
+    /// Marks the probe in progress as ended.
     pub fn end(&mut self) {
         self.in_progress = false;
     }
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -1,4 +1,4 @@
-//! The router of one server: chooses a service for each call.
+//! The router of one server: chooses a downstream service for each call.
 
 use crate::Nanos;
 use crate::choice::{Load, less_loaded_of_two, random_below};
@@ -12,18 +12,18 @@
 /// The service chosen for a call; pass it to [`Router::release`] when the call ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Choice {
-    /// Index of the service.
+    /// Index of the chosen service.
     pub service: usize,
     /// Whether the call is a probe of an unhealthy service.
     pub is_probe: bool,
 }
 
-/// Constraints of a call on the choice of its service.
+/// Constraints that a call puts on the choice of its service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallPreference {
-    /// Service of the previous attempt, which is avoided.
+    /// Service of the previous attempt of the call, which is avoided.
     pub last_service: Option<usize>,
-    /// Whether the call may go to a service that is likely to fail it: the call is idempotent, and this is
+    /// Whether the call may probe a service that is likely to fail it: the call is idempotent, and this is
     /// its first attempt.
     pub may_probe: bool,
 }
@@ -31,11 +31,11 @@
 /// Counters of calls since the router was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RouterCounters {
-    /// Number of ordinary calls.
+    /// Number of ordinary calls, which excludes probes.
     pub calls: u64,
     /// Number of probes.
     pub probes: u64,
-    /// Number of calls without a service: all services were ejected and no probe was due.
+    /// Number of calls for which no service was available: all services were ejected and no probe was due.
     pub unroutable: u64,
 }
 
@@ -57,11 +57,11 @@
     }
 }
 
-/// A service that is eligible for an ordinary call.
+/// A service that may receive an ordinary call.
 #[derive(Clone, Copy, Debug)]
 struct Candidate {
     service: usize,
-    /// Fraction of a full share of calls; see [`SlowStart::ratio`].
+    /// Present share of calls as a ratio to the full share; see [`SlowStart::ratio`].
     ratio: f64,
 }
 
@@ -71,7 +71,7 @@
     }
 }
 
-/// Chooses services of one tier for the calls of one server.
+/// Router that chooses among the services of one tier for the calls of one server.
 #[derive(Clone, Debug)]
 pub struct Router {
     settings: Settings,
@@ -96,7 +96,8 @@
         })
     }
 
-    /// Updates the health of all services as of `now`. The order of `views` is that of the services.
+    /// Updates the health of all services as of `now`. `views` has one item per service, in the order of
+    /// the services.
     pub fn update_health(&mut self, now: Nanos, views: impl IntoIterator<Item = HealthView>) {
         for (service, view) in self.services.iter_mut().zip(views) {
             let probe_delay = random_below(&mut self.rng, self.settings.probe_interval) + 1;
@@ -117,7 +118,7 @@
         any_open || (preference.may_probe && self.due_probe(now).is_some())
     }
 
-    /// Returns the time of this server's next probe if all services are ejected, otherwise `None`.
+    /// Returns the time of this server's next probe if all services are ejected; `None` otherwise.
     pub fn next_probe_at(&self) -> Option<Nanos> {
         if self.services.iter().any(|service| !service.health.ejected) {
             return None;
@@ -126,8 +127,9 @@
         probed.filter_map(|service| service.probes.next_at()).min()
     }
 
-    /// Chooses a service for a call, which counts as outstanding until [`Router::release`]. A due probe
-    /// takes precedence. Returns `None` if all services are ejected and no probe is due.
+    /// Chooses a service for a call. The call counts as outstanding until [`Router::release`]. A due probe
+    /// takes precedence over an ordinary call. Returns `None` if all services are ejected and no probe is
+    /// due.
     pub fn choose(&mut self, now: Nanos, preference: CallPreference) -> Option<Choice> {
         if preference.may_probe
             && let Some(service) = self.due_probe(now)
@@ -144,7 +146,7 @@
         Some(Choice { service, is_probe: false })
     }
 
-    /// Releases a service after its call has ended or was abandoned.
+    /// Records that a call to a service has ended or was abandoned.
     pub fn release(&mut self, choice: Choice) {
         let Some(service) = self.services.get_mut(choice.service) else { return };
         service.outstanding = service.outstanding.saturating_sub(1);
@@ -158,7 +160,7 @@
         self.services.get(service).map_or(0, |service| service.outstanding)
     }
 
-    /// Returns the service whose probe has been due for the longest time.
+    /// Returns the service whose probe has been due for the longest time; `None` if no probe is due.
     fn due_probe(&self, now: Nanos) -> Option<usize> {
         let due = self.services.iter().enumerate().filter(|(_, service)| service.probe_is_due(now));
         due.min_by_key(|(_, service)| service.probes.next_at()).map(|(index, _)| index)
@@ -172,7 +174,7 @@
         Choice { service: index, is_probe: true }
     }
 
-    /// Returns the services that are not ejected, without `last_service` if there is another one.
+    /// Returns the services that are not ejected. Omits `last_service` unless it is the only one.
     fn candidates(&self, now: Nanos, last_service: Option<usize>) -> Vec<Candidate> {
         let mut candidates = Vec::with_capacity(self.services.len());
         for (index, service) in self.services.iter().enumerate() {
@@ -187,8 +189,9 @@
         candidates
     }
 
-    /// Chooses one of two warm services, unless a service in slow start is owed the call. If no service is
-    /// warm, chooses one of two among all candidates.
+    /// Chooses between two randomly drawn services whose slow start is over. A service in slow start is
+    /// chosen instead if it has accumulated credit for a whole call. If all candidates are in slow start,
+    /// chooses between two of them.
     fn choose_candidate(&mut self, candidates: &[Candidate]) -> Option<usize> {
         let warm: Vec<usize> =
             candidates.iter().filter(|candidate| candidate.is_warm()).map(|warm| warm.service).collect();
@@ -205,8 +208,9 @@
         Some(self.owed_service(candidates, usual).unwrap_or(usual))
     }
 
-    /// Credits each service in slow start with its share of this call. Of the services that are owed a
-    /// whole call and are not more loaded than the `usual` choice, returns the least loaded one.
+    /// Credits each service in slow start with its share of this call. Among the services whose credit
+    /// reaches a whole call and whose load is at most that of the `usual` choice, returns the least loaded
+    /// one.
     fn owed_service(&mut self, candidates: &[Candidate], usual: usize) -> Option<usize> {
         let usual_load = self.services[usual].load();
         let mut owed: Option<usize> = None;
--- a/crates/routing/src/settings.rs
+++ b/crates/routing/src/settings.rs
@@ -3,12 +3,12 @@
 use crate::Nanos;
 use thiserror::Error;
 
-/// Settings of routing to one tier; durations are in nanoseconds.
+/// Settings of the router for one tier; durations are in nanoseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Number of services of the tier; at least 1.
+    /// Number of services of the tier, at least 1.
     pub services: usize,
-    /// Time between two probes of an unhealthy service by this server; above 0.
+    /// Interval between two probes of an unhealthy service by this server; above 0.
     pub probe_interval: Nanos,
     /// Time in which a recovered service regains its full share of calls; 0 turns slow start off.
     pub slow_start: Nanos,
--- a/crates/routing/tests/ramp.rs
+++ b/crates/routing/tests/ramp.rs
@@ -1,7 +1,7 @@
-//! Load that a whole fleet sends to a service after its recovery, in simulated time.
+//! Load that a whole fleet sends to a service after the recovery of the service, in simulated time.
 //!
-//! Each server sees only its own calls, but the sum over all servers can overload the service. In each window
-//! that sum may exceed the expected number N of calls by 2 * sqrt(N) + 2, as random variation.
+//! Each server sees only its own calls, but the sum of all servers' calls can overload the service. In each
+//! window this sum may exceed the expected number N of calls by 2 * sqrt(N) + 2, as random variation.
 //! `cargo test -p meadowstream-routing --test ramp -- --nocapture` prints the worst window of all runs.
 
 use meadowstream_routing::{CallPreference, Choice, HealthView, Router, Settings};
@@ -15,7 +15,7 @@
 const RAMP: u64 = 2_000 * MS;
 /// Mean time between two calls of a server.
 const CALL_INTERVAL: u64 = 25 * MS;
-/// Mean duration of a call to a warm service.
+/// Mean duration of a call to a service whose slow start is over.
 const CALL_TIME: u64 = 40 * MS;
 /// Length of the windows in which calls are counted.
 const WINDOW: u64 = 250 * MS;
@@ -25,7 +25,8 @@
     routers: Vec<Router>,
     /// Number of calls to the recovered service in each window of the ramp.
     calls_per_window: Vec<u64>,
-    /// Share of all calls that went to the service after the ramp, counted over half the length of the ramp.
+    /// Share of all calls that went to the recovered service after the ramp, counted over half the length
+    /// of the ramp.
     share_after: f64,
 }
 
@@ -92,8 +93,8 @@
     }
 }
 
-/// Returns the number of calls to the service that the ramp allows the fleet in a window, if all servers are
-/// informed of the recovery at once.
+/// Returns the number of calls to the recovered service that the ramp permits the whole fleet in a window,
+/// if all servers are informed of the recovery at once.
 fn expected_calls(servers: usize, window: usize) -> f64 {
     let full_share = servers as f64 * WINDOW as f64 / CALL_INTERVAL as f64 / SERVICES as f64;
     full_share * (window as f64 + 0.5) * WINDOW as f64 / RAMP as f64
@@ -128,8 +129,8 @@
 
 #[test]
 fn servers_do_not_send_first_calls_in_unison() {
-    // All servers are informed at the same time and call at the same rate. Their first calls to the recovered
-    // service must still be spread out.
+    // All servers are informed of the recovery at the same time and call at the same rate. Their first
+    // calls to the recovered service must still be spread out.
     let mut simulation = simulate(30, 1, 7);
     let seeds: Vec<u64> = simulation.routers.iter().map(|_| simulation.rng.next_u64()).collect();
     let settings = Settings { services: SERVICES, probe_interval: RAMP / 8, slow_start: RAMP };
--- a/crates/routing/tests/tier.rs
+++ b/crates/routing/tests/tier.rs
@@ -1,9 +1,8 @@
 //! Routing and outlier detection in a simulated fleet of servers that call a tier of services.
 //!
 //! Each server detects outliers with `shared-state`, and sends its reports to three other servers in each
-//! gossip period over a network that loses some of them. The simulation is deterministic.
-//! `cargo test -p meadowstream-routing --release -- --nocapture` prints the figures quoted in
-//! docs/shared-state.md.
+//! gossip period, over a network that loses some reports. The simulation is deterministic. `cargo test -p
+//! meadowstream-routing --release -- --nocapture` prints the figures quoted in docs/shared-state.md.
 
 use meadowstream_routing::{CallPreference, Choice, HealthView, Router, Settings};
 use meadowstream_shared_state::ServerId;
@@ -22,9 +21,9 @@
 #[derive(Clone, Copy, PartialEq)]
 enum Health {
     Healthy,
-    /// Fails calls immediately.
+    /// The service fails calls immediately.
     Failing,
-    /// Succeeds after this additional delay, ns.
+    /// The service succeeds after this additional delay, ns.
     Slow(u64),
 }
 
@@ -35,7 +34,7 @@
     detectors: Vec<OutlierDetector>,
     routers: Vec<Router>,
     health: Vec<Health>,
-    /// Pairs of a server and a healthy service that it cannot reach.
+    /// Pairs of a server and a healthy service that this server cannot reach.
     unreachable: Vec<(usize, usize)>,
     rng: ChaCha8Rng,
     now: u64,
@@ -45,12 +44,13 @@
     calls: Vec<u64>,
     /// Number of failed calls to all services since the last reset.
     failed: u64,
-    /// Maximum number of services that a server had ejected at one time.
+    /// Maximum number of services that one server had ejected at the same time.
     ejected_max: usize,
-    /// Whether routing takes into account the health found by the server's own calls.
+    /// Whether routing takes into account that a server's own calls found a service unhealthy.
     uses_own_evidence: bool,
     is_probing: bool,
-    /// Whether every server is a prober, instead of the servers that outlier detection selects.
+    /// Whether every server probes the ejected services, instead of only the probers that outlier detection
+    /// selects.
     all_servers_probe: bool,
     /// Servers that make no calls and send no reports.
     partitioned: Vec<usize>,
@@ -160,7 +160,8 @@
         self.detectors[i].ejected(Time::from_agreeing_clocks(self.now)).contains(&service)
     }
 
-    /// Returns the time until all servers have ejected a service, or until none has; `None` after `limit`.
+    /// Returns the time until all servers have ejected a service or, if `ejected` is false, until no server
+    /// ejects it. Returns `None` after `limit`.
     fn time_until(&mut self, service: usize, ejected: bool, limit: u64) -> Option<u64> {
         let started = self.now;
         while self.now - started <= limit {
@@ -172,8 +173,8 @@
         None
     }
 
-    /// Of the calls during the next `duration`, returns the share that goes to a service and the share that
-    /// fails.
+    /// Returns two shares of the calls during the next `duration`: the share that goes to a service, and
+    /// the share that fails.
     fn shares(&mut self, service: usize, duration: u64) -> (f64, f64) {
         self.calls.fill(0);
         self.failed = 0;
@@ -213,7 +214,7 @@
     assert!((0.04..0.06).contains(&share_later), "{share_later}");
 }
 
-/// The fleet also detects a service that succeeds but is slow.
+/// A service that succeeds but is slow must also be detected and ejected.
 #[test]
 fn a_slow_service_is_ejected() {
     let mut fleet = Fleet::new(20, 8, 500, 2, 2);
@@ -224,7 +225,8 @@
     assert!(ejection.is_some_and(|t| t <= 6 * S), "{ejection:?}");
 }
 
-/// Three quarters of the tier fail: no server ever ejects more than half of it, the configured share.
+/// Three quarters of the tier fail. No server may eject more than half of the tier, which is the configured
+/// maximum share.
 #[test]
 fn no_more_than_the_configured_share_is_ejected() {
     let mut fleet = Fleet::new(30, 8, 500, 2, 3);
@@ -237,16 +239,16 @@
     unlimited.advance(2 * S);
     unlimited.health.fill(Health::Failing);
     unlimited.advance(6 * S);
-    // If the whole tier may be ejected, only probes are routed, until they detect the recovery.
+    // If the whole tier may be ejected, only probes are routed until they detect the recovery.
     assert!(unlimited.routers.iter().all(|r| r.counters.unroutable > 0));
     unlimited.health.fill(Health::Healthy);
     unlimited.advance(10 * S);
     assert!((0..30).all(|i| (0..8).all(|s| !unlimited.is_ejected_by(i, s))));
 }
 
-/// One server cannot reach a service that all others can. The service is not ejected, and the server avoids
-/// it because of its own evidence. Without that evidence the service would attract the server's calls,
-/// since a service that fails immediately has few outstanding calls.
+/// One server cannot reach a service that all others can reach. The service is not ejected, and the one
+/// server avoids it because its own calls failed. If the server did not, the service would attract its
+/// calls, since a service that fails immediately has few outstanding calls.
 #[test]
 fn a_service_unreachable_by_one_server_is_not_ejected() {
     let simulate = |uses_own_evidence| {
@@ -267,7 +269,8 @@
     assert!(with <= 60 && without >= 120, "failed with own evidence {with}, without {without}");
 }
 
-/// Without probes the evidence expires, and all servers repeatedly send calls to a service that still fails.
+/// Without probes the evidence against a failing service expires, and all servers repeatedly send calls to
+/// it although it still fails.
 #[test]
 fn probes_keep_a_failing_service_ejected() {
     let simulate = |is_probing| {
@@ -301,7 +304,7 @@
         (0..300).map(|_| router.choose(0, CallPreference::default()).unwrap()).collect();
     assert!((0..3).all(|s| (95..=105).contains(&router.outstanding(s))), "{:?}", router.outstanding(0));
     choices.into_iter().for_each(|choice| router.release(choice));
-    // The only service of a tier gets the retry, even if this server finds it unhealthy.
+    // The only service of a tier gets the retry, even if this server finds that service unhealthy.
     let mut single = Router::new(Settings { services: 1, ..settings }, 9).unwrap();
     single.update_health(0, [HealthView { ejected: false, locally_unhealthy: true, is_prober: true }]);
     assert_eq!(
@@ -311,8 +314,8 @@
     assert!(Router::new(Settings { services: 0, ..settings }, 1).is_err());
 }
 
-/// While the only service is ejected, a non-idempotent call waits, and an idempotent one is sent as a
-/// probe, one at a time.
+/// While the only service is ejected, a non-idempotent call is not routed. Idempotent calls are sent as
+/// probes, one at a time.
 #[test]
 fn probes_are_idempotent_and_sent_one_at_a_time() {
     let mut router = Router::new(Settings { services: 1, probe_interval: S, slow_start: S }, 1).unwrap();
@@ -336,8 +339,8 @@
 }
 
 /// An ejected service, or one that has just started and is cold, withstands the probes of a few servers but
-/// not those of all servers. The number of probes N is the same for a large fleet; up to 2 * sqrt(N) + 2
-/// more are attributed to random variation.
+/// not those of all servers. The expected number of probes N must not depend on the size of the fleet; up
+/// to 2 * sqrt(N) + 2 more are attributed to random variation.
 #[test]
 fn the_number_of_probes_does_not_grow_with_the_fleet() {
     let probes_max = |servers: usize, all_servers_probe: bool| {
@@ -350,7 +353,8 @@
         for second in 0..20 {
             fleet.calls.fill(0);
             fleet.advance(S);
-            // The first 4 s are not counted: calls from before the ejection end, and probers are replaced.
+            // The first 4 s are not counted, because calls from before the ejection still end and probers
+            // are still replaced.
             probes = if second < 4 { 0 } else { probes.max(fleet.calls[4]) };
         }
         assert!((0..servers).all(|i| fleet.is_ejected_by(i, 4)), "the service stays ejected");
@@ -382,7 +386,7 @@
     let time = Time::from_agreeing_clocks(fleet.now);
     let probers: Vec<usize> = (0..30).filter(|i| fleet.detectors[*i].is_prober(time, 1)).collect();
     assert!((1..=6).contains(&probers.len()), "probers {probers:?}");
-    // The probers are partitioned: they make no calls, and no reports of theirs are received.
+    // The probers are partitioned: they make no calls, and the other servers receive no reports from them.
     fleet.partitioned = probers;
     fleet.health[1] = Health::Healthy;
     let recovered_at = fleet.now;
