--- a/crates/server/src/calls/mod.rs
+++ b/crates/server/src/calls/mod.rs
@@ -1,5 +1,4 @@
-//! Calls to the downstream service: the task that makes each call, and the pool of connections that calls
-//! share.
+//! Downstream calls: the task that makes one call, and the pool of connections that calls reuse.
 
 pub mod pool;
 pub mod task;
--- a/crates/server/src/calls/pool.rs
+++ b/crates/server/src/calls/pool.rs
@@ -7,17 +7,18 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Maximum time that a connection stays idle in the pool: half of the 10 s after which the service closes it.
+/// Maximum time that a connection stays idle in the pool. It is half of the 10 s after which the service
+/// closes an idle connection.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Minimum idle time before a connection is reused. A duplicate of its last reply may still arrive, and would
-/// be taken for the reply to the next call.
+/// Minimum idle time of a connection before it is reused. A duplicate of the last reply on the connection
+/// may still arrive in this time, and would be taken for the reply to the next call.
 const REUSE_DELAY: Duration = Duration::from_millis(20);
-/// Delay before the next attempt to reserve a descriptor.
+/// Delay before the next attempt to reserve a file descriptor.
 pub const DESCRIPTOR_RETRY_AFTER: Duration = Duration::from_millis(2);
 
-/// A connection to a downstream service, with the file descriptor reserved for it.
+/// A connection to a downstream service, and the file descriptor reserved for the connection.
 pub struct PooledConnection {
-    /// The connection's socket.
+    /// Socket of the connection.
     pub stream: Async<TcpStream>,
     to: SocketAddr,
     _descriptor: Descriptor,
@@ -28,16 +29,16 @@
     since: Instant,
 }
 
-/// Idle connections that are available for reuse.
+/// Idle connections to downstream services that are available for reuse.
 #[derive(Default)]
 pub struct Pool {
     idle: RefCell<Vec<Idle>>,
 }
 
 impl Pool {
-    /// Returns the most recently used idle connection to `to` or, once a descriptor is available, a new
-    /// connection. With `needs_new_connection` no idle connection is returned; if no descriptor is available,
-    /// an idle connection is closed to free one.
+    /// Returns a connection to the service at `to`: the most recently used idle one or, once a descriptor
+    /// is available, a new one. With `needs_new_connection` the returned connection is always new. If no
+    /// descriptor is available for it, an idle connection is closed to free one.
     pub async fn connect(
         &self,
         to: SocketAddr,
@@ -58,8 +59,8 @@
         }
     }
 
-    /// Reserves a descriptor for reading a file, waiting for one if necessary. Idle connections are closed to
-    /// free one.
+    /// Reserves a file descriptor for reading a file. Closes all idle connections and waits as long as no
+    /// descriptor is available.
     pub async fn descriptor_for_file(&self, descriptors: &Descriptors) -> Descriptor {
         loop {
             if let Some(descriptor) = descriptors.reserve_for_call() {
@@ -70,9 +71,10 @@
         }
     }
 
-    /// Removes and returns the most recently used connection to `to`, discarding connections that the service
-    /// has closed or sent unexpected data on. Connections to other services stay in the pool; if a
-    /// configuration reload removed their service they are closed when their idle time is over.
+    /// Removes from the pool and returns the most recently used connection to `to`. Discards connections to
+    /// `to` that the service has closed or on which it has sent unexpected data. Connections to other
+    /// addresses stay in the pool. If a configuration reload removed such an address, its connections are
+    /// closed when their idle time is over.
     fn reuse(&self, to: SocketAddr, now: Instant) -> Option<PooledConnection> {
         self.close_expired();
         let mut idle = self.idle.borrow_mut();
@@ -94,12 +96,12 @@
         self.idle.borrow_mut().push(Idle { connection, since: Instant::now() });
     }
 
-    /// Closes connections whose idle time is over.
+    /// Closes connections that have been idle for the maximum time.
     pub fn close_expired(&self) {
         self.idle.borrow_mut().retain(|idle| idle.since.elapsed() < IDLE_TIMEOUT);
     }
 
-    /// Closes all idle connections.
+    /// Closes all idle connections in the pool.
     pub fn close_all(&self) {
         self.idle.borrow_mut().clear();
     }
--- a/crates/server/src/calls/task.rs
+++ b/crates/server/src/calls/task.rs
@@ -1,5 +1,5 @@
-//! The task that makes one call to the downstream service. Dropping the task abandons the call and closes its
-//! connection.
+//! The task that makes one call to the downstream service. Dropping the task abandons the call and closes
+//! the connection of the call.
 
 use crate::event::Event;
 use crate::server::Server;
@@ -21,30 +21,30 @@
 pub struct Call {
     /// Id of the invocation whose run waits for the call.
     pub invocation: u64,
-    /// Number of the call, unique in this process.
+    /// Number of the downstream call, unique in this process.
     pub number: u64,
-    /// Reference of the invocation, chosen by its caller.
+    /// Reference of the invocation that needs the call, chosen by the invocation's caller.
     pub reference: u64,
-    /// Time of the permit, by the server's clock.
+    /// Time at which the call was permitted, by the server's clock.
     pub permitted_at: Nanos,
-    /// Time after the permit at which the call is abandoned.
+    /// Time after `permitted_at` at which the call is abandoned.
     pub timeout: Nanos,
     /// Body of the request.
     pub body: Vec<u8>,
-    /// True if the call must not use an idle connection, on which it could be lost because the service is
-    /// about to close it.
+    /// True if the call must use a new connection. The service may be about to close an idle connection,
+    /// and a call that uses it could be lost.
     pub needs_new_connection: bool,
 }
 
 impl Call {
-    /// Returns the remaining time until the call's timeout; `None` once it has passed.
+    /// Returns the time from `now` until the timeout of the call; `None` once the timeout has passed.
     fn time_left(&self, now: Nanos) -> Option<Nanos> {
         let deadline = self.permitted_at.saturating_add(self.timeout);
         deadline.checked_sub(now).filter(|left| *left > 0)
     }
 
-    /// Returns whether bytes of the call may be sent now. If the process was stopped for a while, this task
-    /// may resume long after the permit, and before the timer that ends the call is checked.
+    /// Returns whether bytes of the call may still be sent. If the process was suspended, this task may
+    /// resume long after the call was permitted, before the timer that ends the call is checked.
     fn may_be_sent(&self, server: &Server) -> bool {
         let is_in_time = self.time_left(server.clock.now()).is_some();
         is_in_time && server.shared.as_ref().is_none_or(|shared| shared.permit_send(self.number))
@@ -53,15 +53,16 @@
 
 struct ReceivedReply {
     reply: http::Reply,
-    /// True if no bytes followed the reply.
+    /// True if no bytes followed the reply on the connection.
     has_no_trailing_bytes: bool,
 }
 
-/// Makes a call and sends its outcome to the event loop. The exchange is polled before the timer, so that a
-/// reply that has already arrived is used even if the timeout has passed.
+/// Makes a call and sends its outcome to the event loop. The exchange with the service is polled before the
+/// timeout, so that a reply that has already arrived is used even if the timeout has passed.
 pub async fn make(server: Rc<Server>, to: SocketAddr, call: Call) {
     let started_at = server.clock.now();
-    // Until the first byte is written, any error proves that the service did not run the call.
+    // Until the first byte of the request is written, any error proves that the service did not run the
+    // call.
     let written = Cell::new(false);
     let failed = || (if written.get() { Outcome::Unknown } else { Outcome::NeverRan }, Vec::new());
     let timeout = async {
--- a/crates/server/src/connection/accept.rs
+++ b/crates/server/src/connection/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts connections of balancers until the server has drained.
+//! Accepts connections of balancers until the server's drain is over.
 
 use crate::connection::task;
 use crate::lifecycle::drain;
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// Delay before the next attempt after accepting a connection failed.
+/// Delay before the next attempt to accept a connection, after a failure or without a free descriptor.
 const RETRY_AFTER: Duration = Duration::from_millis(10);
 
 /// Result of accepting the connections that wait in the kernel's queue.
@@ -20,13 +20,13 @@
     Empty,
     /// All waiting connections were accepted.
     Accepted,
-    /// Connections may still be waiting, since there are too few descriptors to accept them all.
+    /// Connections may still be waiting, because too few descriptors are available to accept all of them.
     Waiting,
 }
 
 /// Accepts connections until the drain is over or the stop is imminent, then closes the listener. New
-/// connections are accepted during the drain because callers notice late that a server is leaving, and an
-/// answer from this server costs them less than a refused connection.
+/// connections are still accepted during the drain, because callers notice late that a server is leaving,
+/// and an answer from this server costs a caller less than a refused connection.
 pub async fn accept(server: Rc<Server>, listener: Async<TcpListener>) {
     let mut exhausted = false;
     loop {
@@ -55,7 +55,8 @@
     }
 }
 
-/// Accepts the next connection. Returns `None` when it is time to check again whether the drain is over.
+/// Accepts the next connection. Returns `None` if the drain should be checked again before a connection
+/// arrives.
 async fn next_stream(
     server: &Server,
     listener: &Async<TcpListener>,
@@ -68,9 +69,9 @@
     future::or(recheck, accepted).await
 }
 
-/// Accepts the connections that wait in the kernel's queue, as far as descriptors are available. Closing the
-/// listener would reset these connections, and lose unread calls on them. When the queue is empty the
-/// listener is closed without yielding to another task.
+/// Accepts the connections that wait in the kernel's queue while descriptors are available. Closing the
+/// listener would reset the waiting connections and lose the unread calls on them. The caller closes the
+/// listener without yielding to another task once the queue is empty.
 fn accept_backlog(server: &Rc<Server>, listener: &Async<TcpListener>) -> Backlog {
     let mut backlog = Backlog::Empty;
     while let Some(descriptor) = server.descriptors.reserve_for_connection() {
@@ -83,8 +84,8 @@
     Backlog::Waiting
 }
 
-/// Frees a descriptor by closing an idle connection. If there is none, closes the pooled downstream
-/// connections and pauses; connections accepted by the kernel wait meanwhile.
+/// Frees a descriptor by closing an idle connection. If no connection may be closed, closes the idle
+/// downstream connections and pauses. Meanwhile new connections wait in the kernel's queue.
 async fn free_descriptor(server: &Server, exhausted: &mut bool) {
     if server.connections.close_one_idle(server.clock.now()) {
         return future::yield_now().await;
--- a/crates/server/src/connection/request.rs
+++ b/crates/server/src/connection/request.rs
@@ -1,4 +1,4 @@
-//! Converts calls received from balancers into requests, by the settings of the deployment.
+//! Converts calls received from balancers into requests, according to the settings of the deployment.
 
 use crate::configuration::Configuration;
 use crate::configuration::TENANT_FIELD;
@@ -15,17 +15,17 @@
 
 /// Field in which a caller states its timeout, in milliseconds.
 const CLIENT_TIMEOUT_FIELD: &str = "allow";
-/// Field that marks a call as a retry. Any value except 0 counts as the mark.
+/// Field that marks a call as a retry. Any value except 0 marks the call.
 const RETRY_FIELD: &str = "dup";
 
-/// Reason for rejecting a call.
+/// Reason why a call is invalid and fails.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum RequestError {
     /// The settings do not define the operation.
     #[error("unknown operation {0:?}")]
     UnknownOperation(String),
-    /// The arrival time of the call is too far in the past or the future: older than the longest client
-    /// timeout, so that its caller has given up, or ahead of this clock by more than that.
+    /// The arrival time of the call differs from the present time by more than the longest client timeout.
+    /// If it is that far in the past, the caller has given up.
     #[error("since is out of range: {age_ns} ns ago, limit is {limit_ns} ns")]
     SinceOutOfRange {
         /// Time since the call reached the machine, in nanoseconds; negative if the stated time is in the
@@ -40,18 +40,19 @@
     /// The client timeout is not a whole number of milliseconds.
     #[error("bad {CLIENT_TIMEOUT_FIELD} {0:?}")]
     BadClientTimeout(String),
-    /// The operation is idempotent with a key, but the call has no key. Without it a repeated call cannot be
-    /// recognized.
+    /// The operation is idempotent with a key, but the call has no idempotency key. Without a key, repeated
+    /// calls cannot be recognized.
     #[error("missing idempotency key")]
     MissingKey,
-    /// The idempotency key is longer than the maximum that is stored.
+    /// The idempotency key is longer than the maximum length.
     #[error("idempotency key is too long: {0} bytes, {KEY_MAX} at most")]
     KeyTooLong(usize),
 }
 
-/// Decodes the calls of one connection.
+/// Converts the calls of one connection into requests.
 pub struct RequestDecoder<'a> {
-    /// The configuration: names of operations and tenants, and the fields that hold keys and tenants.
+    /// The configuration. It contains the names of operations and tenants, and the names of the fields that
+    /// hold keys and tenants.
     pub configuration: &'a Configuration,
     /// The clock, used to compute the age of calls.
     pub clock: &'a Clock,
@@ -62,7 +63,7 @@
 }
 
 impl RequestDecoder<'_> {
-    /// Converts a call into a request, or returns the reason for rejecting it.
+    /// Converts a call into a request. Returns an error if the call is invalid.
     pub fn decode(&self, call: &rpc::Call) -> Result<Box<Request>, RequestError> {
         let operation = self.operation(call)?;
         self.check_age(call)?;
@@ -98,7 +99,7 @@
     }
 
     /// Returns the index of the call's tenant in the settings. Returns 0 if the settings have no tenant
-    /// allowances, or if the options define another way of identifying tenants.
+    /// allowances, or if the options identify tenants in another way.
     fn tenant(&self, call: &rpc::Call) -> Result<usize, RequestError> {
         let names = &self.configuration.settings.tenant_names;
         if names.is_empty() || self.configuration.options.borrow().tenants.is_some() {
@@ -109,7 +110,8 @@
         index.ok_or_else(|| RequestError::UnknownTenant(named.map(str::to_string)))
     }
 
-    /// Returns the caller's timeout from the arrival of the call, if the settings say that callers state one.
+    /// Returns the time, counted from the arrival of the call, that its caller waits for the answer.
+    /// Returns `None` if the call states no timeout, or if the settings say that callers state none.
     fn client_timeout(&self, call: &rpc::Call) -> Result<Option<Nanos>, RequestError> {
         if !self.configuration.settings.passes_deadline {
             return Ok(None);
@@ -134,7 +136,7 @@
         Ok(Some(key.into()))
     }
 
-    /// Returns the sender of a call, identified by the source configured in the options. The tenant name is
+    /// Returns the sender of a call, read from the source that the options configure. The tenant name is
     /// empty if the call does not state one.
     fn sender(&self, call: &rpc::Call) -> Option<Sender> {
         let options = self.configuration.options.borrow();
@@ -154,7 +156,7 @@
 }
 
 /// Converts a peer's address to an origin number. Only the first half of an IPv6 address is used, since the
-/// owner of one address usually controls all addresses that share this half.
+/// owner of one IPv6 address usually controls all addresses with the same first half.
 fn peer_origin(peer: IpAddr) -> u64 {
     match peer {
         IpAddr::V4(address) => u64::from(address.to_bits()),
--- a/crates/server/src/connection/state.rs
+++ b/crates/server/src/connection/state.rs
@@ -1,9 +1,10 @@
-//! The state of a balancer's connection, without socket or clock.
+//! The state of a balancer's connection. It uses neither the socket nor the clock.
 //!
-//! Received bytes are passed to [`ConnectionState::handle_bytes`], and the events parsed from them are
-//! returned by [`ConnectionState::poll_event`]. Answers are passed to [`ConnectionState::queue_answer`], and
-//! the bytes to send are returned by [`ConnectionState::poll_transmit`]. The caller provides the time and
-//! waits until [`ConnectionState::poll_timeout`].
+//! The connection's task passes received bytes to [`ConnectionState::handle_bytes`] and retrieves the
+//! events parsed from them with [`ConnectionState::poll_event`]. The task passes answers to
+//! [`ConnectionState::queue_answer`] and retrieves the bytes to send with
+//! [`ConnectionState::poll_transmit`]. The task also provides the time, and waits at most until
+//! [`ConnectionState::poll_timeout`].
 
 use crate::connection::request::RequestError;
 use crate::connection::table::{Connection, OPEN_CALLS_MAX};
@@ -14,32 +15,33 @@
 use meadowstream_overload_control::Nanos;
 use std::rc::Rc;
 
-/// Longest answer, in bytes: its body and the other words.
+/// Maximum length of an encoded answer, in bytes: its body, and the other words of its array.
 const ANSWER_MAX_BYTES: usize = resp::WORD_MAX + 256;
-/// Capacity of the outgoing buffer, in bytes: an answer to each open call, and the drain request.
+/// Capacity of the outgoing buffer, in bytes: one answer to each open call, and one drain request.
 const OUTGOING_MAX_BYTES: usize = (OPEN_CALLS_MAX + 1) * ANSWER_MAX_BYTES;
-/// The first command, and each command that has begun, must become complete within the shortest client
-/// timeout divided by this number.
+/// Divisor of the shortest client timeout. Within the resulting time a new connection must deliver its
+/// first complete command, and a command that has begun must become complete.
 const COMMAND_TIMEOUT_DIVISOR: u64 = 2;
 
-/// Settings of the deployment for all connections.
+/// Settings of the deployment that apply to all connections.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionSettings {
-    /// Longest client timeout. A connection whose peer reads no bytes for this long is closed.
+    /// Longest client timeout of the operations. A connection is closed if its peer reads no bytes for this
+    /// long.
     pub longest_client_timeout: Nanos,
-    /// Shortest client timeout. A command must become complete within half of it.
+    /// Shortest client timeout of the operations. A command must become complete within half of this time.
     pub shortest_client_timeout: Nanos,
     /// Idle time after which a draining connection without open calls is closed.
     pub linger: Nanos,
-    /// True if callers may cancel calls.
+    /// True if callers may cancel their calls.
     pub cancellation: bool,
 }
 
-/// Event parsed from received bytes.
+/// Event parsed from bytes received on the connection.
 pub enum ReceivedEvent {
-    /// A call. Its tag is open until the call is answered or cancelled.
+    /// A call was received. Its tag is open until the call is answered or cancelled.
     Request(Box<Request>),
-    /// A health check, which is answered under its tag.
+    /// A health check was received. The answer carries its tag.
     HealthCheck {
         /// Tag of the health check.
         tag: u64,
@@ -48,32 +50,32 @@
     Cancelled {
         /// Tag of the call.
         tag: u64,
-        /// True if the call was still open. False, for example, if its answer and the cancellation crossed in
-        /// transit.
+        /// True if the call was still open. It is no longer open if, for example, its answer and the
+        /// cancellation crossed in transit.
         was_open: bool,
     },
-    /// A command that cannot be executed.
+    /// A command that cannot be executed was received.
     Invalid {
-        /// Tag under which to answer with a failure. `None` if the command has no valid tag, or an open call
-        /// has the same tag.
+        /// Tag under which to answer the command with a failure. `None` if the command has no valid tag, or
+        /// if an open call has the same tag.
         answer_to: Option<u64>,
         /// Reason why the command is invalid.
         error: InvalidCommand,
     },
-    /// The received bytes are not valid RESP, and reading stops.
+    /// The received bytes are not valid RESP. No more bytes are read from the connection.
     Malformed(ParseError),
 }
 
 /// Reason why a command cannot be executed.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum InvalidCommand {
-    /// An open call already has the tag of this call or health check.
+    /// An open call already has the tag of the new call or health check.
     #[error("tag is already open: {0}")]
     TagInUse(u64),
-    /// The command is a cancellation, which the settings disable.
+    /// The command is a cancellation, but the settings do not permit cancellations.
     #[error("cancellation is disabled")]
     CancellationUnused,
-    /// The words of the array are not a valid command.
+    /// The words of the RESP array are not a valid command.
     #[error(transparent)]
     Command(#[from] rpc::CommandError),
     /// The call does not match the settings of the deployment.
@@ -81,27 +83,27 @@
     Request(#[from] RequestError),
 }
 
-/// The outgoing buffer is full, because the peer reads too slowly.
+/// Error for an outgoing buffer that is full because the peer reads too slowly.
 #[derive(Debug, PartialEq, thiserror::Error)]
 #[error("outgoing buffer is full: {bytes} bytes do not fit, its limit is {OUTGOING_MAX_BYTES} bytes")]
 pub struct OutgoingFull {
-    /// Number of bytes that did not fit.
+    /// Length of the message that did not fit into the buffer, in bytes.
     pub bytes: usize,
 }
 
-/// Result of checking the connection's timeout.
+/// Result of checking the timeout of the connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Expiry {
     /// The connection stays open.
     NotYet,
-    /// The connection ends because the peer does not read the bytes sent to it.
+    /// The connection has timed out because the peer does not read the bytes sent to it.
     PeerNotReading,
-    /// The connection ends because the peer has not sent a complete command in time, or has not closed a
-    /// draining connection.
+    /// The connection has timed out because the peer did not send a complete command in time, or did not
+    /// close a draining connection.
     PeerIdle,
 }
 
-/// The state of one connection.
+/// The state of one connection of a balancer.
 pub struct ConnectionState {
     settings: ConnectionSettings,
     connection: Rc<Connection>,
@@ -109,11 +111,12 @@
     incoming: Ring,
     outgoing: Ring,
     open_tags: Vec<u64>,
-    /// True if no more bytes are read, because the peer has closed its side or sent malformed data.
+    /// True if no more bytes are read, because the peer has closed its sending side or has sent malformed
+    /// data.
     reading_ended: bool,
     peer_closed: bool,
-    /// Time since which an incomplete command is pending, or the first command of a new connection is
-    /// awaited.
+    /// Time since which the connection waits for the rest of an incomplete command, or for the first
+    /// command of a new connection.
     command_due_since: Option<Nanos>,
 }
 
@@ -143,43 +146,44 @@
         self.incoming.free()
     }
 
-    /// Returns whether the caller should wait for bytes.
+    /// Returns whether the connection's task should read more bytes from the socket.
     pub fn wants_read(&self) -> bool {
         !self.reading_ended && self.accepts_command() && self.receive_capacity() > 0
     }
 
-    /// Returns whether reading is suspended until other connections release buffer memory.
+    /// Returns whether no bytes are read until other connections release buffer memory.
     pub fn waits_for_buffers(&self) -> bool {
         !self.reading_ended && !self.buffers.budget().has_capacity()
     }
 
-    /// Returns whether the peer has closed its side of the connection.
+    /// Returns whether the peer has closed its sending side of the connection.
     pub fn peer_closed(&self) -> bool {
         self.peer_closed
     }
 
-    /// Returns whether the connection can be closed: no more commands are accepted, every call is answered
+    /// Returns whether the connection can be closed: no more commands are accepted, every call is answered,
     /// and all answers are sent.
     pub fn is_finished(&self) -> bool {
         let ends = self.reading_ended || self.connection.closes_if_idle.get();
         ends && self.open_tags.is_empty() && self.outgoing.is_empty()
     }
 
-    /// Adds received bytes, at most [`Self::receive_capacity`] of them.
+    /// Adds received bytes to the incoming buffer. At most [`Self::receive_capacity`] bytes may be passed.
     pub fn handle_bytes(&mut self, now: Nanos, bytes: &[u8]) {
-        // The caller reads no more bytes than fit.
+        // The bytes always fit, because the connection's task reads at most `receive_capacity` bytes.
         let _ = self.incoming.put(bytes);
         self.incoming.make_contiguous();
         self.connection.last_used.set(now);
     }
 
-    /// Handles the end of the stream: the peer has closed its side of the connection.
+    /// Handles the end of the incoming stream, which means that the peer has closed its sending side.
     pub fn handle_end_of_stream(&mut self) {
         self.reading_ended = true;
         self.peer_closed = true;
     }
 
-    /// Returns the next event parsed from the received bytes. `decode` converts a call into a request.
+    /// Returns the next event parsed from the received bytes; `None` if more bytes are needed or no command
+    /// is accepted now. `decode` converts a call into a request.
     pub fn poll_event(
         &mut self,
         now: Nanos,
@@ -236,8 +240,8 @@
         }
     }
 
-    /// Creates the event for an invalid command. The command is not answered if an open call has its tag,
-    /// since the caller would take the failure for the answer to that call.
+    /// Creates the event for an invalid command. The command is not answered if an open call has the same
+    /// tag, since the caller would take the failure for the answer to that call.
     fn invalid(&self, tag: u64, error: InvalidCommand) -> ReceivedEvent {
         ReceivedEvent::Invalid { answer_to: (!self.is_open(tag)).then_some(tag), error }
     }
@@ -260,8 +264,8 @@
         self.open_tags.contains(&tag)
     }
 
-    /// Closes a call that gets its final answer. Returns false if the call is no longer open because it was
-    /// cancelled.
+    /// Removes a call from the open calls because its final answer is available or it was cancelled.
+    /// Returns false if the call was not open.
     pub fn close_call(&mut self, tag: u64) -> bool {
         let was_open = self.is_open(tag);
         self.open_tags.retain(|open| *open != tag);
@@ -269,7 +273,7 @@
         was_open
     }
 
-    /// Queues an answer, with the load that the server currently advertises.
+    /// Queues an encoded answer for sending, with the load that the server advertises.
     pub fn queue_answer(
         &mut self,
         now: Nanos,
@@ -282,7 +286,8 @@
         self.queue(now, &bytes)
     }
 
-    /// Queues the request that the peer send no more calls on this connection.
+    /// Queues a drain request for sending. The request asks the peer to send no more calls on this
+    /// connection.
     pub fn queue_drain(&mut self, now: Nanos) -> Result<(), OutgoingFull> {
         let mut bytes = Vec::new();
         rpc::put_drain(&mut bytes);
@@ -295,18 +300,19 @@
         if fits { Ok(()) } else { Err(OutgoingFull { bytes: bytes.len() }) }
     }
 
-    /// Returns the bytes to send next; empty if there are none.
+    /// Returns the bytes to send next; empty if there are no bytes to send.
     pub fn poll_transmit(&self) -> &[u8] {
         self.outgoing.front()
     }
 
-    /// Removes `count` bytes of [`Self::poll_transmit`] that were sent.
+    /// Removes the first `count` bytes of [`Self::poll_transmit`], which were sent.
     pub fn handle_transmitted(&mut self, now: Nanos, count: usize) {
         self.outgoing.drop_front(count);
         self.connection.last_used.set(now);
     }
 
-    /// Returns the time at which the connection must end if nothing happens before.
+    /// Returns the time at which the connection times out unless bytes are received or sent before; `None`
+    /// if it cannot time out now.
     pub fn poll_timeout(&self) -> Option<Nanos> {
         let last_used = self.connection.last_used.get();
         if !self.outgoing.is_empty() {
@@ -321,7 +327,7 @@
         drained.into_iter().chain(silent).min()
     }
 
-    /// Returns whether the time of [`Self::poll_timeout`] has passed, and which kind of timeout it is.
+    /// Returns whether the connection has timed out at `now`, and for which reason.
     pub fn handle_timeout(&self, now: Nanos) -> Expiry {
         if self.poll_timeout().is_none_or(|end| now < end) {
             return Expiry::NotYet;
@@ -329,15 +335,16 @@
         if self.outgoing.is_empty() { Expiry::PeerIdle } else { Expiry::PeerNotReading }
     }
 
-    /// Updates the reserved memory: the bytes in the buffers, and the body and the future answer of each open
-    /// call.
+    /// Updates the connection's reservation of buffer memory. The reservation covers the bytes in its
+    /// buffers, and the body and the future answer of each open call.
     pub fn update_reservation(&mut self) {
         let pending_bytes = self.open_tags.len() * 2 * ANSWER_MAX_BYTES;
         self.buffers.resize(self.incoming.len() + self.outgoing.len() + pending_bytes);
     }
 
-    /// Returns whether another command can be accepted: fewer than the maximum of calls are open, the
-    /// outgoing buffer has space for their answers and the next one, and buffer memory is available.
+    /// Returns whether another command can be accepted. This requires that fewer than the maximum number of
+    /// calls are open, that the outgoing buffer has space for the answers to the open calls and to the new
+    /// command, and that buffer memory is available.
     fn accepts_command(&self) -> bool {
         let open = self.open_tags.len();
         let fits = self.outgoing.free() >= (open + 2) * ANSWER_MAX_BYTES;
--- a/crates/server/src/connection/table.rs
+++ b/crates/server/src/connection/table.rs
@@ -1,4 +1,5 @@
-//! The table of open connections, and the notifications that other tasks send to them.
+//! The table of open connections of balancers, and the notifications that other tasks send to the tasks of
+//! these connections.
 
 use crate::wire::rpc::Answer;
 use async_channel::{Receiver, Sender};
@@ -7,18 +8,19 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Maximum number of open calls on one connection; further calls stay unread.
+/// Maximum number of open calls on one connection. Further calls stay unread until an open call is
+/// answered.
 pub const OPEN_CALLS_MAX: usize = 32;
 /// Idle time, in nanoseconds, after which a connection that has never received a command may be closed to
-/// free its descriptor for a new connection.
+/// free its file descriptor for a new connection.
 const UNUSED_TIMEOUT_NS: Nanos = 50_000_000;
-/// Idle time, in nanoseconds, after which a connection that has received a command may be closed to free its
-/// descriptor for a new connection.
+/// Idle time, in nanoseconds, after which a connection that has received a command may be closed to free
+/// its file descriptor for a new connection.
 const IDLE_TIMEOUT_NS: Nanos = 500_000_000;
 
 /// Notification from another task to the task of a connection.
 pub enum Notification {
-    /// A call has its final answer.
+    /// Send the final answer to a call.
     Answer {
         /// The tag of the call.
         tag: u64,
@@ -27,23 +29,23 @@
     },
     /// Ask the peer to send no more calls on this connection.
     Drain,
-    /// Close the connection to free its descriptor, unless a command has arrived meanwhile.
+    /// Close the connection to free its file descriptor, unless a command has arrived in the meantime.
     CloseIfIdle,
 }
 
-/// An open connection, as seen by other tasks.
+/// An open connection of a balancer, as seen by tasks other than the connection's own.
 pub struct Connection {
     /// Number of the connection in the table.
     pub id: u64,
     notifications: Sender<Notification>,
-    /// Number of unanswered calls.
+    /// Number of calls on the connection that are not answered.
     pub open_calls: Cell<usize>,
-    /// Time at which bytes were last received, sent or queued.
+    /// Time at which bytes were last received on the connection, queued for sending, or sent.
     pub last_used: Cell<Nanos>,
     has_received: Cell<bool>,
-    /// True once the peer was asked, or is about to be asked, to send no more calls.
+    /// True once the peer was asked, or is about to be asked, to send no more calls on the connection.
     pub draining: Cell<bool>,
-    /// True if the connection was asked to close and no command has arrived since.
+    /// True if the connection's task was asked to close it and no command has arrived since.
     pub closes_if_idle: Cell<bool>,
 }
 
@@ -60,19 +62,21 @@
         }
     }
 
-    /// Sends a notification to the connection's task. Returns false if the connection has ended. The queue
-    /// has space for one answer to each open call.
+    /// Sends a notification to the connection's task. Returns false if the notification could not be
+    /// queued, for example because the connection has ended. The queue has space for one answer to each
+    /// open call.
     pub fn notify(&self, notification: Notification) -> bool {
         self.notifications.try_send(notification).is_ok()
     }
 
-    /// Records that a complete command was received, which cancels a request to close the connection.
+    /// Records that a complete command was received on the connection. This cancels a request to close the
+    /// connection if idle.
     pub fn mark_received(&self) {
         self.has_received.set(true);
         self.closes_if_idle.set(false);
     }
 
-    /// Asks the peer, once, to send no more calls.
+    /// Asks the peer to send no more calls on the connection, unless it was asked before.
     pub fn drain(&self) {
         if !self.draining.replace(true) {
             self.notify(Notification::Drain);
@@ -83,22 +87,23 @@
         self.open_calls.get() == 0 && self.last_used.get() <= since
     }
 
-    /// Returns whether the connection was idle long enough to be closed in favour of a new one.
+    /// Returns whether the connection has been idle long enough to be closed for a new connection.
     fn may_be_closed(&self, now: Nanos) -> bool {
         let keep_for = if self.has_received.get() { IDLE_TIMEOUT_NS } else { UNUSED_TIMEOUT_NS };
         !self.closes_if_idle.get() && self.open_calls.get() == 0 && self.last_used.get() + keep_for <= now
     }
 }
 
-/// Health and load of the server as last set by the controller, reported in answers and health checks.
+/// Health and load of the server as last set by the controller. Health checks report the health, and
+/// answers the load.
 pub struct HealthStatus {
-    /// Answer to health checks: true if healthy.
+    /// Response to health checks: true if the server is healthy and wants calls.
     pub healthy: Cell<bool>,
-    /// Load that each answer advertises; `None` until the controller has set one.
+    /// Load that each answer advertises; `None` until the controller sets a load.
     pub advertised_load: Cell<Option<f64>>,
 }
 
-/// All open connections.
+/// The table of open connections of balancers.
 #[derive(Default)]
 pub struct Connections {
     open: RefCell<BTreeMap<u64, Rc<Connection>>>,
@@ -106,7 +111,8 @@
 }
 
 impl Connections {
-    /// Adds a connection. Returns it with the queue from which its task receives notifications.
+    /// Adds a connection to the table. Returns the connection, and the queue from which its task receives
+    /// notifications.
     pub fn open(&self, now: Nanos) -> (Rc<Connection>, Receiver<Notification>) {
         let (sender, notifications) = async_channel::bounded(OPEN_CALLS_MAX + 2);
         self.last_id.set(self.last_id.get() + 1);
@@ -115,7 +121,7 @@
         (connection, notifications)
     }
 
-    /// Removes a connection that has ended.
+    /// Removes a connection that has ended from the table.
     pub fn close(&self, id: u64) {
         self.open.borrow_mut().remove(&id);
     }
@@ -125,14 +131,14 @@
         self.open.borrow().len()
     }
 
-    /// Asks all peers to send no more calls.
+    /// Asks the peers of all connections to send no more calls on them.
     pub fn drain_all(&self) {
         for connection in self.open.borrow().values() {
             connection.drain();
         }
     }
 
-    /// Asks the peers of all connections that have been idle since `since` to send no more calls.
+    /// Asks the peers of all connections that have been idle since `since` to send no more calls on them.
     pub fn drain_idle_since(&self, since: Nanos) {
         for connection in self.open.borrow().values() {
             if connection.is_idle_since(since) {
@@ -141,8 +147,9 @@
         }
     }
 
-    /// Asks one idle connection to close, preferring connections that have never received a command, then the
-    /// one idle for longest. Returns false if no connection may be closed yet.
+    /// Asks the task of one idle connection to close it. Prefers connections that have never received a
+    /// command, and among those the one that has been idle for longest. Returns false if no connection may
+    /// be closed yet.
     pub fn close_one_idle(&self, now: Nanos) -> bool {
         let open = self.open.borrow();
         let closable = open.values().filter(|connection| connection.may_be_closed(now));
--- a/crates/server/src/connection/task.rs
+++ b/crates/server/src/connection/task.rs
@@ -19,24 +19,24 @@
 
 /// Delay before checking again whether other connections have released buffer memory.
 const BUFFERS_RETRY_AFTER: Duration = Duration::from_millis(10);
-/// The linger time is the time from the drain notice to the stop divided by this number. A connection may
-/// linger twice, while it is idle and while it closes, and both must end before the stop.
+/// Divisor of the time from the drain notice to the stop of the process; the result is the linger time. A
+/// connection may linger twice, while it is idle and while it closes, and both must end before the stop.
 const LINGER_DIVISOR: u64 = 8;
-/// Maximum number of bytes per read.
+/// Maximum number of bytes read from the socket at a time.
 const READ_MAX_BYTES: usize = 8 * 1024;
 
 struct ConnectionTask {
     server: Rc<Server>,
     stream: Async<TcpStream>,
     connection: Rc<Connection>,
-    /// The peer's address without its port.
+    /// IP address of the peer.
     peer: IpAddr,
     notifications: Receiver<Notification>,
     state: ConnectionState,
 }
 
-/// Registers a connection and spawns its task. The connection is registered before the task first runs, so
-/// that the drain does not overlook an accepted connection.
+/// Registers a connection in the table and spawns its task. The connection is registered before its task
+/// first runs, so that the drain does not overlook the connection.
 pub fn spawn(server: &Rc<Server>, stream: Async<TcpStream>, descriptor: Descriptor) {
     server.counters.connections_opened.add();
     let (connection, notifications) = server.connections.open(server.clock.now());
@@ -85,18 +85,18 @@
     }
 }
 
-/// Reason for waking up the connection's task.
+/// Reason for which the connection's task continues after waiting.
 enum Wake {
     Readable,
     Notified(Notification),
-    /// The timeout requested by the connection's state has passed.
+    /// The time of the connection's timeout was reached.
     Timeout,
-    /// Another condition has changed; the loop evaluates the state again.
+    /// The state of the connection may have changed in another way. The task evaluates it again.
     Other,
 }
 
 impl ConnectionTask {
-    /// Serves the connection until it is to be closed. Returns an error if the connection broke.
+    /// Serves the connection until it can be closed gracefully. Returns an error if the connection broke.
     async fn run(&mut self) -> Result<()> {
         loop {
             while let Ok(notification) = self.notifications.try_recv() {
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Waits for the next event of the connection.
+    /// Waits until the connection's task has something to do, and returns the reason.
     async fn wait(&self) -> Result<Wake> {
         let readable = async {
             if !self.state.wants_read() {
@@ -152,7 +152,8 @@
         future::or(notified, future::or(writable, passive)).await
     }
 
-    /// Returns whether the connection has timed out, after handling the bytes that have already arrived.
+    /// Handles the bytes that have already arrived, and returns whether the connection has then still timed
+    /// out. Returns an error if the peer has not read the bytes sent to it.
     async fn has_expired(&mut self) -> Result<bool> {
         if !self.state.poll_transmit().is_empty() {
             return Err(ErrorKind::TimedOut.into());
@@ -173,7 +174,7 @@
                 }
                 self.answer(tag, &answer)
             }
-            // Accept commands that have already arrived.
+            // Accept the commands that have already arrived, which cancels the closing of the connection.
             Notification::CloseIfIdle => self.read(),
             Notification::Drain => {
                 self.server.counters.enough_sent.add();
@@ -187,7 +188,7 @@
         Ok(self.state.queue_answer(self.server.clock.now(), tag, answer, advertised_load)?)
     }
 
-    /// Dispatches the events parsed from the received bytes.
+    /// Dispatches all events parsed from the received bytes.
     async fn dispatch_events(&mut self) -> Result<()> {
         loop {
             let decoder = RequestDecoder {
@@ -262,11 +263,11 @@
         Ok(())
     }
 
-    /// Closes the connection gracefully if its peer has not closed it: shuts down the sending side, then
-    /// reads and discards data until the peer closes or the linger time is over. Closing with unread bytes
-    /// would reset the connection and lose answers that are still in transit. Callers retry the discarded
-    /// calls on other servers. A connection that is closed to free its descriptor discards only the data that
-    /// has already arrived.
+    /// Closes the connection gracefully unless its peer has closed it. Shuts down the sending side, then
+    /// reads and discards data until the peer closes the connection or the linger time is over. Closing the
+    /// socket with unread bytes would reset the connection and lose answers that are still in transit.
+    /// Callers retry the discarded calls on other servers. A connection that is closed to free its
+    /// descriptor discards only the data that has already arrived.
     async fn linger(&mut self) {
         let clock = &self.server.clock;
         let deadline = clock.instant(clock.now() + settings(&self.server).linger);
@@ -290,7 +291,8 @@
         }
     }
 
-    /// Waits for more data to discard. Returns false if the linger time is over or the connection broke.
+    /// Waits for more data to discard, or for a notification. Returns false if the linger time is over or
+    /// the connection broke.
     async fn wait_for_discardable_data(&self, deadline: Instant) -> bool {
         let readable = async { self.stream.readable().await.is_ok() };
         let notified = async { self.notifications.recv().await.is_ok() };
--- a/crates/server/src/error.rs
+++ b/crates/server/src/error.rs
@@ -2,10 +2,10 @@
 
 use std::error::Error;
 
-/// A boxed error of any type, which keeps its chain of causes.
+/// A boxed error of any type, with its chain of causes.
 pub type BoxError = Box<dyn Error + Send + Sync>;
 
-/// Formats an error and its chain of causes as one line.
+/// Formats an error and all its causes in one line.
 pub fn with_causes(error: &dyn Error) -> String {
     let mut line = error.to_string();
     let mut cause = error.source();
--- a/crates/server/src/event.rs
+++ b/crates/server/src/event.rs
@@ -7,9 +7,9 @@
 use meadowstream_overload_control::{Nanos, Outcome, Sender as TenantSender};
 use std::rc::Rc;
 
-/// A request for an operation, as parsed from a balancer's connection.
+/// A request for an operation, converted from a call of a balancer.
 pub struct Request {
-    /// Connection on which to send the answer.
+    /// Connection on which the call was received and is answered.
     pub connection: Rc<Connection>,
     /// Tag of the call, chosen by the caller and unique among the open calls of its connection.
     pub tag: u64,
@@ -17,21 +17,22 @@
     pub operation: usize,
     /// Reference of the invocation, chosen by the caller and the same for all its attempts.
     pub reference: u64,
-    /// Time of arrival at this machine, in Unix milliseconds.
+    /// Time at which the call arrived at this machine, in milliseconds since 1970.
     pub arrival_unix_ms: u64,
     /// Memory that the run reserves, in kilobytes.
     pub held_kb: f64,
-    /// Index of the tenant in the settings; 0 if they define no tenants.
+    /// Index of the tenant in the settings; 0 if the settings define no tenants.
     pub tenant: usize,
-    /// Time that the caller waits from the arrival of the call, if callers state it.
+    /// Time that the caller waits for the answer, counted from the arrival of the call; `None` if the
+    /// caller states none.
     pub client_timeout: Option<Nanos>,
     /// True if the caller has marked the call as a retry.
     pub marked_retry: bool,
-    /// Body of the call, the operation's input.
+    /// Body of the call, which is the input of the operation.
     pub body: Vec<u8>,
     /// Idempotency key, if the operation is idempotent with a key.
     pub idempotency_key: Option<Vec<u8>>,
-    /// Sender of the call, if capacity is shared between tenants.
+    /// Sender of the call, if tenants share the capacity by fair queueing.
     pub sender: Option<TenantSender>,
 }
 
@@ -39,12 +40,12 @@
 pub enum Event {
     /// A request has arrived.
     Arrived(Box<Request>),
-    /// A connection has broken. Its callers no longer wait for answers.
+    /// A connection has broken, and its callers no longer wait for answers.
     ConnectionLost {
         /// Number of the connection in the table.
         connection: u64,
     },
-    /// A caller has cancelled an invocation.
+    /// A caller has cancelled a call.
     Cancelled {
         /// Number of the connection in the table.
         connection: u64,
@@ -57,10 +58,10 @@
         cold: bool,
         /// Time since the interpreter started.
         age: Nanos,
-        /// True if the interpreter was restarted since the previous link. It then numbers its notices from 1
-        /// again.
+        /// True if the interpreter was restarted since the previous link. It then numbers its notices from
+        /// 1 again.
         restarted: bool,
-        /// Queue for commands to the interpreter.
+        /// Queue of commands to send over the link.
         commands: Sender<Vec<u8>>,
     },
     /// The link to the interpreter is lost.
@@ -69,9 +70,9 @@
     Notice(Notice),
     /// A downstream call has ended.
     CallEnded {
-        /// Id of the invocation that needed the call.
+        /// Id of the invocation whose run waited for the call.
         invocation: u64,
-        /// Number of the call.
+        /// Number of the downstream call.
         number: u64,
         /// Outcome of the call, as far as it is known.
         outcome: Outcome,
@@ -80,16 +81,17 @@
         /// Duration of the call, in nanoseconds.
         duration: Nanos,
     },
-    /// The fleet's budget has capacity again for calls that the controller has delayed.
+    /// The fleet's call budget has capacity again for downstream calls that the controller has delayed.
     DownstreamCapacity,
-    /// Log the tenants with the highest demand.
+    /// Request to log the tenants with the highest demand.
     LogTenants,
-    /// Apply one part of a change of tenant weights and shares.
+    /// Request to apply one part of a change of tenant weights and shares.
     ReconfigureFairQueueing(Box<SettingsChange>),
-    /// Signal the sender. All events sent before this one have been handled by then.
+    /// Request to signal the sender. All events sent before this one have been handled when the sender is
+    /// signalled.
     Barrier(Sender<()>),
-    /// Set the target utilization of the cores.
+    /// Request to set the target utilization of the cores, from 0 to 1.
     SetTargetUtilization(f64),
-    /// Drain the server and stop.
+    /// Request to drain the server and stop it.
     Shutdown,
 }
--- a/crates/server/src/event_loop/actions.rs
+++ b/crates/server/src/event_loop/actions.rs
@@ -15,28 +15,30 @@
 use std::rc::Rc;
 use tracing::warn;
 
-/// Time to wait for the interpreter's gauges. After this time the control period continues without them.
+/// Time to wait for the interpreter's gauges, in nanoseconds. After this time the control period continues
+/// without them.
 const GAUGES_TIMEOUT_NS: Nanos = 250_000_000;
 
-/// An admission promised to the caller of the next rejected invocation. Its rejection carries the ticket.
+/// A promise of admission, whose ticket is sent with the rejection of the invocation.
 pub struct PromisedAdmission {
-    /// Id of the invocation to be rejected.
+    /// Id of the invocation that is about to be rejected.
     pub invocation: u64,
-    /// Ticket that the caller sends with its next attempt to redeem the promise.
+    /// Ticket with which the caller redeems the promise at its next attempt.
     pub ticket: u64,
 }
 
 /// A repeated call that was answered with the outcome of the original invocation.
 pub struct Replayed {
-    /// Id of the repeated call's own invocation.
+    /// Id of the invocation that was registered for the repeated call.
     pub invocation: u64,
     /// Outcome of the original invocation.
     pub outcome: Outcome,
 }
 
-/// Executes the actions of the overload controller (`impl Host`) and owns the state that they change.
+/// Executes the actions of the overload controller (`impl Host`), and owns the state that these actions
+/// change.
 pub struct ActionExecutor {
-    /// State shared by all tasks.
+    /// State shared by all tasks of the server.
     pub server: Rc<Server>,
     /// All invocations that are unanswered or still running.
     pub invocations: Invocations,
@@ -44,14 +46,14 @@
     pub idempotency: IdempotencyTable,
     /// The session with the interpreter, through which commands are sent.
     pub session: InterpreterSession,
-    /// Timers of the controller and of outstanding gauge requests.
+    /// Timers of the controller, and timeouts of outstanding gauge requests.
     pub timers: TimerQueue,
-    /// The ticket to include in the next rejection, if the controller promised an admission.
+    /// Promise of admission to include in the next rejection, if the controller made one.
     pub promised: Option<PromisedAdmission>,
-    /// Invocations that failed because an action is not supported; the controller is notified after the
-    /// current action.
+    /// Ids of invocations that failed because the server does not support an action of the controller. The
+    /// controller is notified of them after the current action.
     pub unsupported: Vec<u64>,
-    /// Repeated calls that were answered; the controller is notified after the current action.
+    /// Repeated calls that were answered. The controller is notified of them after the current action.
     pub replayed: Vec<Replayed>,
     /// Number of the most recent downstream call, counted from 1.
     pub last_call: u64,
@@ -85,7 +87,8 @@
         self.timers.set(self.server.clock.now() + after, timer);
     }
 
-    /// Requests the interpreter's gauges, which the controller needs to handle its timer `timer`.
+    /// Requests the interpreter's gauges. The controller's `timer` is handled when the gauges arrive or the
+    /// request times out.
     pub fn request_gauges(&mut self, timer: u32) {
         self.server.pool.close_expired();
         self.server.counters.gauges_asked.add();
@@ -93,8 +96,8 @@
         self.set_timer_after(GAUGES_TIMEOUT_NS, Timer::GaugesOverdue { nonce });
     }
 
-    /// Sends a command that a run depends on, and stores it until a notice from the interpreter confirms its
-    /// receipt.
+    /// Sends a command that the run of an invocation depends on. The command is stored until a notice from
+    /// the interpreter confirms its receipt.
     pub fn send_for_run(&mut self, invocation: u64, line: Vec<u8>) {
         let link = self.session.send(line.clone());
         if let Some(invocation) = self.invocations.get(invocation) {
@@ -102,8 +105,8 @@
         }
     }
 
-    /// Resends unconfirmed commands that may have been lost with an earlier link. The interpreter ignores
-    /// duplicates of commands that it has already received.
+    /// Resends unconfirmed commands that were sent over an earlier link and may be lost. The interpreter
+    /// ignores a command that it has already received.
     pub fn resend_unconfirmed(&mut self) {
         let link = self.session.link();
         let mut lines = Vec::new();
@@ -124,7 +127,7 @@
         }
     }
 
-    /// Sends the final answer to the caller, unless the invocation is already answered.
+    /// Sends the final answer of an invocation to its caller, unless the invocation is already answered.
     pub fn answer(&mut self, id: u64, answer: Answer) {
         let Some(invocation) = self.invocations.get(id) else { return };
         if invocation.is_answered {
@@ -136,8 +139,8 @@
         self.close(id);
     }
 
-    /// Marks an invocation as needing no further answer: its downstream call is abandoned, and a run that
-    /// waits for such a call is stopped.
+    /// Marks an invocation as needing no further answer. Abandons its downstream call, and stops its run if
+    /// the run waits for such a call.
     pub fn close(&mut self, id: u64) {
         let Some(invocation) = self.invocations.get(id) else { return };
         invocation.is_answered = true;
@@ -149,9 +152,9 @@
         self.invocations.release(id);
     }
 
-    /// Stops a run that waits for a downstream call which will not be made. Otherwise the run would never
-    /// end, and the controller would keep counting it among the waiting runs. A run that is idempotent with a
-    /// key continues, since its result may still answer repeated calls.
+    /// Stops a run that waits for a downstream call, because the call will not be made. Otherwise the run
+    /// would never end, and the controller would keep counting it among the waiting runs. The run of an
+    /// operation that is idempotent with a key continues, since its result may still answer repeated calls.
     fn stop_run_awaiting_call(&mut self, id: u64) {
         let Some(invocation) = self.invocations.get(id) else { return };
         let awaits_call = invocation.is_running && invocation.awaits_call;
@@ -161,7 +164,7 @@
         }
     }
 
-    /// Sends the interpreter a command to stop a run, if it is running.
+    /// Sends the interpreter a command to stop the run of an invocation, if there is a run.
     pub fn stop(&mut self, id: u64) {
         let Some(invocation) = self.invocations.get(id).filter(|invocation| invocation.is_running) else {
             return;
@@ -171,7 +174,8 @@
         invocation.stop_link = Some(self.session.send(line));
     }
 
-    /// Handles the end of a run: answers its caller and all repeated calls that wait for its outcome.
+    /// Handles the end of a run: answers its caller, and all repeated calls that wait for the outcome of
+    /// the run.
     pub fn run_ended(&mut self, id: u64, outcome: Outcome, result: Vec<u8>) {
         self.server.counters.runs_ended.add();
         self.abandon_call(id);
@@ -191,39 +195,39 @@
         }
     }
 
-    /// Answers a repeated call when the original invocation has ended. `result` is `None` if the original
-    /// failed or its result is not available.
+    /// Answers a repeated call after the original invocation has ended. `result` is `None` if the original
+    /// invocation failed or its result is not available.
     pub fn answer_repeat(&mut self, id: u64, result: Option<Vec<u8>>) {
         let outcome = if result.is_some() { Outcome::Succeeded } else { Outcome::Failed };
         self.answer(id, result.map_or(Answer::Failed, Answer::Succeeded));
         self.replayed.push(Replayed { invocation: id, outcome });
     }
 
-    /// Removes the key of an invocation from the table, so that the next call with this key runs again.
-    /// Repeated calls that wait for the invocation fail.
+    /// Removes the idempotency key of an invocation from the table, so that the next call with this key
+    /// runs again. Repeated calls that wait for the invocation fail.
     pub fn forget(&mut self, id: u64) {
         for repeat in self.idempotency.forget(id) {
             self.answer_repeat(repeat, None);
         }
     }
 
-    /// Forgets the key of an invocation that never ran: a call forged by a peer must not block the key of the
-    /// genuine call. If a command of the invocation was sent again over a later link the key is kept, since
-    /// the first command may have started the run.
+    /// Removes the idempotency key of an invocation that never ran: a call forged by a peer must not block
+    /// the key for the genuine call. The key is kept if a command of the invocation was sent over more than
+    /// one link, since the first command may have started the run.
     pub fn forget_unless_resent(&mut self, id: u64) {
         if self.invocations.get(id).is_some_and(|invocation| !invocation.was_resent) {
             self.forget(id);
         }
     }
 
-    /// Returns whether an operation is idempotent, non-idempotent or idempotent with a key.
+    /// Returns the effect of repeated runs of an operation: idempotent, non-idempotent or idempotent with a
+    /// key.
     pub fn effect(&self, operation: usize) -> Effect {
         self.server.configuration.settings.deployment.operations[operation].effect
     }
 
-    /// Fails an invocation because the configured protocols cannot express the action that the controller
-    /// requested. Settings that require such actions are rejected at startup, so this is not expected to
-    /// happen.
+    /// Fails an invocation because the server cannot carry out an action that the controller requested for
+    /// it. Settings that require such actions are rejected at startup, so this is not expected to happen.
     pub fn fail_as_unsupported(&mut self, id: u64, what: &str) {
         warn!(what, "cannot carry out an action of the controller");
         self.answer(id, Answer::Failed);
--- a/crates/server/src/event_loop/answers.rs
+++ b/crates/server/src/event_loop/answers.rs
@@ -1,4 +1,5 @@
-//! Counts the final answers of invocations in the server's counters, for rollouts and for the fleet.
+//! Records the final answers of invocations in the server's counters, in the records of a rollout and in
+//! the fleet's counts.
 
 use crate::fleet::interval_report::Answered;
 use crate::resources::invocations::Invocation;
@@ -31,7 +32,8 @@
     rollout.record.answered(invocation.operation, outcome, latency, late);
 }
 
-/// Adds an answer to the counts shared by the fleet. Their names are part of the protocol between servers.
+/// Adds an answer to the counts that the servers of the fleet exchange. The names of these counts are part
+/// of the protocol between servers.
 fn count_for_fleet(server: &Server, invocation: &Invocation, answer: &Answer) {
     let Some(shared) = &server.shared else { return };
     let settings = &server.configuration.settings;
--- a/crates/server/src/event_loop/arrivals.rs
+++ b/crates/server/src/event_loop/arrivals.rs
@@ -1,5 +1,5 @@
-//! Registers incoming requests before the controller decides about them: detects repeated calls and rejects
-//! requests that cannot be registered.
+//! Registers incoming requests before the controller decides whether to run them. Detects repeated calls
+//! and fails requests that cannot be registered.
 
 use crate::connection::table::{Connection, Notification};
 use crate::event::Request;
@@ -11,18 +11,18 @@
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 
-/// An idempotency key with the hash of the request's body. A request with the same key and a different body
-/// is not a repeat but an error.
+/// An idempotency key, and the hash of the body of the request that has it. A request with a known key and
+/// a different body is not a repeat but an error.
 struct KeyWithBodyHash {
     key: Vec<u8>,
     body_hash: u64,
 }
 
 impl ActionExecutor {
-    /// Registers a request as an invocation and returns its description for the controller. Returns `None`
-    /// after failing the request if its key is in use with a different body, if an unfinished invocation has
-    /// the same reference (the interpreter could not tell the two apart), or if the controller has not
-    /// started.
+    /// Registers a request as an invocation and returns its description for the controller. Fails the
+    /// request and returns `None` in three cases: its idempotency key is in use with a different body; an
+    /// unfinished invocation has the same reference, so that the interpreter could not tell the two apart;
+    /// or the controller has not started.
     pub fn register(&mut self, mut request: Request, has_controller: bool) -> Option<Arrival> {
         let now = self.server.clock.now();
         let mut arrival = self.describe(&request);
@@ -68,15 +68,16 @@
         }
     }
 
-    /// Hashes a body with the configured seed, since callers choose the bodies and could otherwise construct
-    /// collisions.
+    /// Hashes the body of a request with the configured seed. Callers choose the bodies, and could
+    /// construct collisions if the hash were not seeded.
     fn key_with_body_hash(&self, key: Vec<u8>, body: &[u8]) -> KeyWithBodyHash {
         let mut hasher = SipHasher13::new_with_keys(self.server.configuration.seed, 0);
         hasher.write(body);
         KeyWithBodyHash { key, body_hash: hasher.finish() }
     }
 
-    /// Counts the result of a key lookup. Returns the original invocation if the request is a repeat.
+    /// Counts the result of a lookup of an idempotency key. Returns the id of the original invocation if
+    /// the request is a repeat.
     fn count_lookup(&self, lookup: Option<Lookup>) -> Option<u64> {
         let counters = &self.server.counters;
         match lookup? {
@@ -91,8 +92,9 @@
         None
     }
 
-    /// Stores the key of a new invocation. Its idempotency window starts when the request is read, not at the
-    /// stated arrival time, since the window would end too early for a caller whose clock is behind.
+    /// Stores the idempotency key of a new invocation. The idempotency window starts when the request is
+    /// read. If it started at the arrival time stated by the caller, the window would end too early for a
+    /// caller whose clock is behind.
     fn store_key(&mut self, id: u64, operation: usize, keyed: &KeyWithBodyHash, now: Nanos) {
         let operations = &self.server.configuration.settings.deployment.operations;
         let window_end = now + operations[operation].idempotency_window;
--- a/crates/server/src/event_loop/downstream.rs
+++ b/crates/server/src/event_loop/downstream.rs
@@ -1,4 +1,4 @@
-//! Starts the downstream calls of invocations, and handles their ends.
+//! Starts the downstream calls of invocations, and handles the ends of these calls.
 
 use crate::calls::task as call;
 use crate::calls::task::Call;
@@ -12,14 +12,14 @@
 use tracing::debug;
 
 impl ActionExecutor {
-    /// Returns whether the fleet's budget permits a downstream call for an invocation. `waiting` is the
-    /// number of runs that wait for a call.
+    /// Returns whether the fleet's call budget and the health of the services permit a downstream call for
+    /// an invocation. `waiting` is the number of runs that wait for a call.
     pub fn is_call_permitted(&mut self, id: u64, waiting: usize) -> bool {
         let preference = self.call_preference(id);
         self.server.shared.as_ref().is_none_or(|shared| shared.is_call_permitted(waiting, preference))
     }
 
-    /// Starts the downstream call that a run waits for.
+    /// Starts the downstream call that the run of an invocation waits for.
     pub fn start(&mut self, id: u64, timeout: Nanos) {
         let Some(records) = self.server.configuration.addresses.get().records else {
             return self.fail_as_unsupported(id, "a call");
@@ -52,7 +52,8 @@
         self.server.counters.calls.add();
     }
 
-    /// Resumes a run without making its downstream call, with the reply configured for skipped calls.
+    /// Resumes the run of an invocation without its downstream call. The run receives the reply that the
+    /// options configure for skipped calls.
     pub fn skip(&mut self, id: u64) {
         let reply = self.server.configuration.options.borrow().skipped_call_reply.clone();
         let Some(reply) = reply else { return self.fail_as_unsupported(id, "skipping a downstream call") };
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Handles the end of a downstream call. Returns false if the call was abandoned before.
+    /// Handles the end of a downstream call. Returns false if the call has already been abandoned.
     pub fn call_ended(&mut self, id: u64, number: u64, outcome: Outcome, reply: &[u8]) -> bool {
         let Some(invocation) = self.invocations.get(id) else { return false };
         if invocation.call.take_if(|call| call.number == number).is_none() {
@@ -104,7 +105,8 @@
         }
     }
 
-    /// Builds the interpreter command that resumes a run with a reply.
+    /// Builds the interpreter command that resumes the run of an invocation with the reply to its
+    /// downstream call.
     fn resume_line(&mut self, id: u64, reply: &[u8]) -> Option<Vec<u8>> {
         let invocation = self.invocations.get(id)?;
         invocation.call_body = Vec::new();
@@ -113,7 +115,7 @@
     }
 
     /// Returns the routing preference of an invocation's downstream call. Only the first attempt of an
-    /// idempotent operation may double as a health probe of a service.
+    /// idempotent operation may be used as a probe of an unhealthy service.
     fn call_preference(&mut self, id: u64) -> CallPreference {
         let Some(invocation) = self.invocations.get(id) else { return CallPreference::default() };
         let (operation, last_service) = (invocation.operation, invocation.last_service);
--- a/crates/server/src/event_loop/host.rs
+++ b/crates/server/src/event_loop/host.rs
@@ -1,4 +1,4 @@
-//! Implements the controller's actions by forwarding them to the component concerned.
+//! Implements the controller's actions by forwarding each action to the component that carries it out.
 
 use crate::event_loop::actions::{ActionExecutor, PromisedAdmission};
 use crate::event_loop::timers::Timer;
@@ -48,7 +48,7 @@
         self.skip(id);
     }
 
-    /// Does nothing: the key is already stored when the request arrives.
+    /// Does nothing, because the server stores the idempotency key when it registers the request.
     fn remember_key(&mut self, _id: u64, _lifetime: Nanos) {}
 
     fn forget_key(&mut self, id: u64) {
--- a/crates/server/src/event_loop/interpreter_session.rs
+++ b/crates/server/src/event_loop/interpreter_session.rs
@@ -1,5 +1,5 @@
-//! The session with the interpreter over successive links: sends commands and matches gauge responses to
-//! requests.
+//! The session with the interpreter, which spans successive links. Sends commands, and matches the
+//! responses to gauge requests with the requests.
 
 use crate::wire::interpreter;
 use async_channel::Sender;
@@ -10,38 +10,39 @@
     timer: u32,
 }
 
-/// The session with the interpreter. It persists when a link is lost and replaced.
+/// The session with the interpreter. It continues when a link is lost and replaced by another.
 #[derive(Default)]
 pub struct InterpreterSession {
-    /// Queue of the current link's commands; `None` without a link.
+    /// Queue of commands to send over the current link; `None` without a link.
     commands: Option<Sender<Vec<u8>>>,
     /// Number of the most recent link, counted from 1.
     link: u64,
     last_nonce: u64,
-    /// Nonce of the gauge request sent at the start of a link. Its response follows all replayed notices, and
-    /// so marks the end of the replay.
+    /// Nonce of the gauge request sent at the start of a link. The response to this request follows all
+    /// replayed notices, and therefore marks the end of the replay.
     replay_fence: Option<u64>,
     gauges_request: Option<GaugesRequest>,
 }
 
 impl InterpreterSession {
-    /// Switches to a new link; later commands are sent through its queue.
+    /// Starts using a new link. Later commands are sent through its queue `commands`.
     pub fn set_link(&mut self, commands: Sender<Vec<u8>>) {
         self.commands = Some(commands);
         self.link += 1;
     }
 
-    /// Marks the link as lost. Commands sent before the next link is established are dropped.
+    /// Marks the current link as lost. Commands sent before the next link is established are dropped.
     pub fn clear_link(&mut self) {
         self.commands = None;
     }
 
-    /// Number of the most recent link; 0 before the first.
+    /// Returns the number of the most recent link; 0 before the first link.
     pub fn link(&self) -> u64 {
         self.link
     }
 
-    /// Sends a command. Returns the number of the link that carries it, or 0 if there is no link.
+    /// Sends a command to the interpreter. Returns the number of the link that carries the command, or 0 if
+    /// the command was dropped.
     pub fn send(&mut self, line: Vec<u8>) -> u64 {
         let sent = self.commands.as_ref().is_some_and(|commands| commands.try_send(line).is_ok());
         if !sent && let Some(commands) = self.commands.take() {
@@ -52,7 +53,8 @@
         if sent { self.link } else { 0 }
     }
 
-    /// Sends a gauge request whose response shows that the interpreter has replayed all earlier notices.
+    /// Sends a gauge request at the start of a link. The response shows that the interpreter has replayed
+    /// all earlier notices.
     pub fn send_replay_fence(&mut self) {
         let nonce = self.next_nonce();
         self.replay_fence = Some(nonce);
@@ -67,13 +69,14 @@
         nonce
     }
 
-    /// Returns true if `nonce` belongs to the replay fence; the replay is then complete.
+    /// Returns true, and marks the replay of notices as complete, if `nonce` is that of the gauge request
+    /// sent at the start of the link.
     pub fn end_replay(&mut self, nonce: u64) -> bool {
         self.replay_fence.take_if(|fence| *fence == nonce).is_some()
     }
 
-    /// Removes the pending gauge request with this nonce and returns its timer; `None` if it is no longer
-    /// pending.
+    /// Removes the pending gauge request with this nonce and returns its timer. Returns `None` if that
+    /// request is no longer pending.
     pub fn end_gauges_request(&mut self, nonce: u64) -> Option<u32> {
         let request = self.gauges_request.take_if(|request| request.nonce == nonce);
         request.map(|request| request.timer)
--- a/crates/server/src/event_loop/mod.rs
+++ b/crates/server/src/event_loop/mod.rs
@@ -1,4 +1,5 @@
-//! The event loop: the task that owns the controller, feeds it events and timers, and executes its actions.
+//! The event loop: the task that owns the controller, passes events and timers to it, and executes its
+//! actions.
 
 mod actions;
 mod answers;
@@ -22,7 +23,8 @@
 use std::rc::Rc;
 use tracing::{debug, info};
 
-/// Number of a timer that the controller never sets. Firing it makes the controller re-evaluate its state.
+/// Number of a timer that the controller never sets. Reporting its expiry makes the controller re-evaluate
+/// its rules.
 const RECHECK_TIMER: u32 = u32::MAX;
 
 /// The event loop's state: the controller and the executor of its actions.
@@ -63,7 +65,8 @@
         }
     }
 
-    /// Calls the controller, then notifies it of invocations that ended while its actions were executed.
+    /// Calls the controller, then notifies it of the invocations that ended while its actions were
+    /// executed.
     fn with_controller(&mut self, act: impl FnOnce(&mut Controller, Nanos, &mut ActionExecutor)) {
         let Some(controller) = &mut self.controller else { return };
         let actions = &mut self.actions;
@@ -150,8 +153,8 @@
         self.with_controller(|controller, now, actions| controller.on_caller_gone(now, id, actions));
     }
 
-    /// Passes the drain notice to the controller. The grace period starts at the notice, even if the
-    /// controller is created later.
+    /// Passes the drain notice to the controller. The grace period starts when the notice was received,
+    /// even if the controller is created later.
     fn handle_shutdown(&mut self) {
         let Some(noticed_at) = self.actions.server.drain.noticed_at() else { return };
         let grace = self.actions.server.configuration.stop_ms * 1_000_000;
@@ -160,7 +163,8 @@
         });
     }
 
-    /// Applies one part of a change of tenant weights and shares, and records how long that took.
+    /// Applies one part of a change of tenant weights and shares, and records how long this blocked the
+    /// thread.
     fn reconfigure_fair_queueing(&mut self, change: Box<SettingsChange>) {
         let stopwatch = Stopwatch::start();
         self.with_controller(|controller, now, _| controller.reconfigure_fair_queueing(now, &change));
@@ -170,8 +174,8 @@
         self.actions.server.change_pauses.set(pauses);
     }
 
-    /// Records that the event queue is empty. The thread runs other tasks before the next event, which ends
-    /// the current pause.
+    /// Records that the event queue is empty. Other tasks then run before the next event, which ends the
+    /// current pause of the serving thread.
     fn record_idle(&self) {
         let mut pauses = self.actions.server.change_pauses.get();
         pauses.interrupt();
@@ -205,8 +209,8 @@
         self.handle_shutdown();
     }
 
-    /// Creates the controller with the options currently in force, which may have changed since the server
-    /// started.
+    /// Creates the controller. Its settings include the options currently in force, which may have changed
+    /// since the server started.
     fn start_controller(&mut self, cold: bool, age: Nanos) {
         let server = self.actions.server.clone();
         let configuration = &server.configuration;
@@ -220,8 +224,8 @@
         self.controller = Some(Controller::new(deployment, configuration.seed, started, &mut self.actions));
     }
 
-    /// Cancels all runs after a restart of the interpreter, which no longer knows them. The controller makes
-    /// an invocation pending again if running it twice is safe; the others fail.
+    /// Cancels all runs after a restart of the interpreter, which has lost them. The controller makes an
+    /// invocation pending again if running it twice is safe, and fails the others.
     fn cancel_all_runs(&mut self) {
         for id in self.actions.invocations.running() {
             self.handle_run_end(id, Outcome::Cancelled, Vec::new());
@@ -277,9 +281,9 @@
         }
     }
 
-    /// Handles the end of a run. A run that never started fails for its caller, since a retry would end in
-    /// the same way. The controller is first told that the caller has disconnected, so that a call forged by
-    /// a peer does not count as evidence that runs fail on this server.
+    /// Handles the end of a run. If the run never started, its caller gets a failure, since a retry would
+    /// fail in the same way. The controller is then first notified that the caller has disconnected, so
+    /// that a call forged by a peer does not count as evidence that runs fail on this server.
     fn handle_run_end(&mut self, id: u64, outcome: Outcome, result: Vec<u8>) {
         if outcome == Outcome::NeverRan {
             self.actions.forget_unless_resent(id);
--- a/crates/server/src/event_loop/timers.rs
+++ b/crates/server/src/event_loop/timers.rs
@@ -1,4 +1,4 @@
-//! A queue of the event loop's timers, ordered by time.
+//! A queue of the event loop's timers, ordered by the time at which they fire.
 
 use meadowstream_overload_control::Nanos;
 use std::cmp::Reverse;
@@ -7,16 +7,17 @@
 /// Action to perform when a timer fires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    /// A timer set by the controller, with the controller's number for it.
+    /// Notify the controller that its timer with this number has expired.
     Controller(u32),
-    /// A gauge request has timed out.
+    /// Handle a gauge request whose response has not arrived in time.
     GaugesOverdue {
         /// Nonce of the gauge request.
         nonce: u64,
     },
 }
 
-/// A set timer. Timers are ordered by time, and at the same time by the order in which they were set.
+/// A timer that is set. Timers are ordered by the time at which they fire, and timers with equal times by
+/// the order in which they were set.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Entry {
     fires_at: Nanos,
@@ -43,7 +44,7 @@
         self.entries.peek().map(|Reverse(entry)| entry.fires_at)
     }
 
-    /// Removes and returns the next timer whose time has been reached, if any.
+    /// Removes and returns the earliest timer if its time has been reached; returns `None` otherwise.
     pub fn pop_due(&mut self, now: Nanos) -> Option<Timer> {
         if self.next_at()? > now {
             return None;
--- a/crates/server/src/interpreter/incarnation.rs
+++ b/crates/server/src/interpreter/incarnation.rs
@@ -1,32 +1,33 @@
-//! State about the interpreter that persists over successive links: its current incarnation and recent
-//! connection attempts.
+//! State about the interpreter that outlasts a single link: its current incarnation, and the results of
+//! recent attempts to connect.
 
 use meadowstream_overload_control::Nanos;
 use std::time::Duration;
 
-/// Time after a restart within which a server must be ready, however slow its interpreter is.
+/// Time after a restart within which a server must be ready. It also bounds the time allowed for connecting
+/// to a slow interpreter.
 const READINESS_DEADLINE: Duration = Duration::from_secs(10);
-/// Two start times closer together than this, in nanoseconds, are taken for the same start: banners state the
-/// start in whole milliseconds, and clocks may drift apart.
+/// Maximum difference, in nanoseconds, between two start times of the interpreter that are taken for the
+/// same start. Banners state the age of the interpreter in whole milliseconds, and clocks may drift apart.
 const START_TOLERANCE_NS: Nanos = 1_000_000_000;
-/// Maximum number of times that a time allowance is doubled.
+/// Maximum number of times that the time allowed for one step of connecting is doubled.
 const DOUBLINGS_MAX: u32 = 8;
 
 /// The interpreter's incarnation, and the results of attempts to link to it.
 #[derive(Default)]
 pub struct Incarnation {
-    /// Index of the last notice that was read.
+    /// Index of the last notice that was read from the interpreter.
     pub last_read: u64,
-    /// Latest possible start time of the interpreter, computed from its banners.
+    /// Upper bound of the time at which the interpreter started, computed from its banners.
     started: Option<Nanos>,
-    /// Number of attempts that have timed out since the last link.
+    /// Number of attempts to connect that have timed out since the last link.
     timeouts: u32,
 }
 
 impl Incarnation {
-    /// Returns the time allowed for one step of connecting, initially the readiness deadline divided by
-    /// `divisor`. Each attempt that timed out doubles this time, so that an interpreter that is always slow
-    /// is linked eventually.
+    /// Returns the time allowed for one step of connecting. The time is the readiness deadline divided by
+    /// `divisor`, and doubles with each attempt that timed out, up to the readiness deadline. An
+    /// interpreter that is always slow is therefore linked eventually.
     pub fn time_allowance(&self, divisor: u32) -> Duration {
         let doubled = (READINESS_DEADLINE / divisor).saturating_mul(1 << self.timeouts.min(DOUBLINGS_MAX));
         doubled.min(READINESS_DEADLINE)
@@ -37,9 +38,9 @@
         self.timeouts = if was_linked { 0 } else { self.timeouts + u32::from(timed_out) };
     }
 
-    /// Processes a banner that states the interpreter's `age`, and returns whether the interpreter was
+    /// Processes a banner that states the interpreter's `age`. Returns whether the interpreter was
     /// restarted since the previous banner. `requested` and `read` are the times at which the banner was
-    /// requested and read; the difference may be large if the machine was suspended in between.
+    /// requested and read; they may be far apart if the machine was suspended in between.
     pub fn detect_restart(&mut self, requested: Nanos, read: Nanos, age: Nanos) -> bool {
         let earliest = requested.saturating_sub(age);
         let latest = read.saturating_sub(age);
--- a/crates/server/src/interpreter/link.rs
+++ b/crates/server/src/interpreter/link.rs
@@ -1,4 +1,4 @@
-//! The link to the interpreter, which is established again after each loss.
+//! The link to the interpreter. A lost link is established again.
 
 use crate::event::Event;
 use crate::interpreter::incarnation::Incarnation;
@@ -19,21 +19,24 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// Maximum number of commands that wait to be written. If an interpreter that does not read exceeds it, the
-/// link is closed and established again.
+/// Maximum number of commands in the queue to the interpreter. If the queue overflows because the
+/// interpreter does not read, the link is closed and established again.
 const COMMANDS_MAX: usize = 4096;
-/// Size of a write, in bytes, from which no further command is added to it.
+/// Size of a combined write, in bytes. Queued commands are added to the write until it has at least this
+/// size.
 const WRITE_MAX_BYTES: usize = 64 * 1024;
-/// First delay between attempts to establish the link; each failed attempt doubles it up to the maximum.
+/// Delay before the first retry of an attempt to establish the link, before doubling. Each failed attempt
+/// doubles the delay up to `BACKOFF_MAX`.
 const BACKOFF: Duration = Duration::from_millis(5);
-/// Maximum delay between attempts.
+/// Maximum delay between two attempts to establish the link.
 const BACKOFF_MAX: Duration = Duration::from_millis(160);
-/// The first attempt to connect must succeed within the readiness deadline divided by this number.
+/// Divisor of the readiness deadline; the result is the time allowed for the first attempt to connect.
 const CONNECT_DIVISOR: u32 = 10;
-/// The banner of the first attempt must arrive within the readiness deadline divided by this number.
+/// Divisor of the readiness deadline; the result is the time allowed for the banner to arrive on the first
+/// attempt.
 const BANNER_DIVISOR: u32 = 5;
 /// Number of control periods without received data after which the link is closed. Gauges are requested in
-/// every period, so a working link is never silent for this long.
+/// every control period, so a working link always receives data in this time.
 const SILENT_PERIODS_MAX: usize = 4;
 
 /// Maintains a link to the interpreter until the server process exits.
@@ -73,9 +76,9 @@
     future::or(work, timeout).await
 }
 
-/// Receives bytes, and times out after [`SILENT_PERIODS_MAX`] control periods without any. The periods are
-/// timed one by one: after a suspension of the machine a single long timer would expire at once, though no
-/// gauges were requested meanwhile.
+/// Receives bytes, and times out after [`SILENT_PERIODS_MAX`] control periods without any. Each period has
+/// its own timer. A single long timer would expire at once after a suspension of the machine, although no
+/// gauges were requested during the suspension.
 async fn receive_or_time_out(stream: &Async<TcpStream>, ring: &mut Ring) -> Result<()> {
     for _ in 0..SILENT_PERIODS_MAX {
         match with_timeout(Duration::from_nanos(CONTROL_PERIOD), receive(stream, ring)).await {
@@ -86,7 +89,7 @@
     Err(ErrorKind::TimedOut.into())
 }
 
-/// Serves one link from connecting to its end, which is always reported as an error.
+/// Establishes one link and serves it until it ends. The end is always reported as an error.
 async fn session(server: &Server, incarnation: &mut Incarnation, linked: &mut bool) -> Result<()> {
     let address = server.configuration.addresses.get().interpreter;
     let connecting = Async::<TcpStream>::connect(address);
@@ -99,12 +102,12 @@
     future::or(link.read(incarnation, linked), write(&stream, &queue)).await
 }
 
-/// A connected link, before or after its banner was received.
+/// A connection to the interpreter, before or after its banner was received.
 struct Link<'a> {
     server: &'a Server,
     stream: &'a Async<TcpStream>,
     commands: Sender<Vec<u8>>,
-    /// Time at which the banner was requested.
+    /// Time at which the banner was requested from the interpreter.
     requested: Nanos,
 }
 
@@ -139,7 +142,8 @@
     }
 }
 
-/// Writes commands from the queue. Commands that are queued together are combined into one write.
+/// Writes commands from the queue to the link. Commands that are queued at the same time are combined into
+/// one write.
 async fn write(mut stream: &Async<TcpStream>, queue: &Receiver<Vec<u8>>) -> Result<()> {
     while let Ok(mut batch) = queue.recv().await {
         while batch.len() < WRITE_MAX_BYTES
--- a/crates/server/src/interpreter/link/tests.rs
+++ b/crates/server/src/interpreter/link/tests.rs
@@ -8,8 +8,8 @@
 /// Maximum length of a downstream call's reply, in bytes.
 const REPLY_BYTES: usize = 16 * 1024;
 
-/// A long reply used to be dropped if it did not fit into one write with the other queued commands. Its run
-/// then waited forever.
+/// Long replies that are queued at the same time must all be written. A reply used to be dropped if it did
+/// not fit into one write with the other queued commands, and its run then waited forever.
 #[test]
 fn long_replies_queued_together_are_all_written() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
--- a/crates/server/src/interpreter/reader.rs
+++ b/crates/server/src/interpreter/reader.rs
@@ -1,4 +1,4 @@
-//! Parses the interpreter's notices from the bytes received on a link.
+//! Parses the interpreter's notices from the bytes received over a link.
 
 use crate::resources::counters::Counters;
 use crate::wire::Parsed;
@@ -6,24 +6,24 @@
 use crate::wire::interpreter::Notice;
 use tracing::warn;
 
-/// The first line of the received bytes.
+/// Result of reading the first line of the received bytes.
 pub struct ReadLine {
-    /// The notice, if the line holds a valid one that was not read before.
+    /// The notice in the line; `None` if the line has no valid notice or a notice that was read before.
     pub notice: Option<Notice>,
-    /// Number of bytes that the line occupies, which the caller removes.
+    /// Length of the line in bytes. The caller removes this many received bytes.
     pub length: usize,
 }
 
-/// Parser for the lines of one link.
+/// Parser for the lines received over one link.
 #[derive(Default)]
 pub struct NoticeReader {
-    /// True while the rest of a line that is too long is being skipped.
+    /// True while the rest of a line that exceeds the maximum length is being skipped.
     skipping_line: bool,
 }
 
 impl NoticeReader {
-    /// Parses the next line, or returns `None` if more bytes are needed. Notices with an index up to
-    /// `last_read` were read on an earlier link and are ignored.
+    /// Parses the next line; returns `None` if more bytes are needed. A notice with an index up to
+    /// `last_read` was read on an earlier link and is ignored.
     pub fn read(&mut self, bytes: &[u8], last_read: &mut u64, counters: &Counters) -> Option<ReadLine> {
         let (line, length) = match interpreter::line(bytes) {
             Parsed::Incomplete => return None,
@@ -52,7 +52,7 @@
         Some(ReadLine { notice, length })
     }
 
-    /// Skips the available bytes of a line that is too long.
+    /// Skips the available bytes of a line that exceeds the maximum length.
     fn skip(&mut self, bytes: &[u8]) -> ReadLine {
         let end = bytes.iter().position(|byte| *byte == b'\n').map(|end| end + 1);
         self.skipping_line = end.is_none();
--- a/crates/server/src/resources/buffers.rs
+++ b/crates/server/src/resources/buffers.rs
@@ -3,33 +3,34 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A limit on the buffered bytes of all connections, and the bytes currently reserved.
+/// Limit on the bytes in the buffers of all connections together, and the number of bytes currently
+/// reserved.
 pub struct BufferBudget {
     limit_bytes: usize,
     reserved_bytes: Cell<usize>,
 }
 
 impl BufferBudget {
-    /// Creates a budget of `limit_bytes` bytes, none of them reserved.
+    /// Creates a budget of `limit_bytes` bytes, of which none are reserved.
     pub fn new(limit_bytes: usize) -> Rc<Self> {
         Rc::new(Self { limit_bytes, reserved_bytes: Cell::new(0) })
     }
 
-    /// Returns whether connections may read more data. One connection buffers little, but many together could
-    /// exceed the available memory.
+    /// Returns whether connections may read more data. Each connection buffers little, but many connections
+    /// together could exceed the available memory.
     pub fn has_capacity(&self) -> bool {
         self.reserved_bytes.get() < self.limit_bytes
     }
 }
 
-/// The reservation of one connection, released when it is dropped.
+/// Bytes that one connection has reserved in the budget. Dropping the reservation releases them.
 pub struct BufferReservation {
     budget: Rc<BufferBudget>,
     bytes: usize,
 }
 
 impl BufferReservation {
-    /// Creates a reservation of 0 bytes.
+    /// Creates a reservation of 0 bytes in `budget`.
     pub fn new(budget: Rc<BufferBudget>) -> Self {
         Self { budget, bytes: 0 }
     }
@@ -39,8 +40,8 @@
         &self.budget
     }
 
-    /// Sets the number of bytes that the connection uses. The total may exceed the limit, because data that
-    /// was already read must be kept.
+    /// Sets the number of bytes that the connection uses. The total of all connections may exceed the
+    /// limit, because data that was already read must be kept.
     pub fn resize(&mut self, bytes: usize) {
         let others = self.budget.reserved_bytes.get() - self.bytes;
         self.budget.reserved_bytes.set(others + bytes);
--- a/crates/server/src/resources/counters.rs
+++ b/crates/server/src/resources/counters.rs
@@ -1,4 +1,4 @@
-//! Counters of events since startup, which the log shows in one line.
+//! Counters of events since startup. The log shows all of them in one line.
 
 use std::cell::Cell;
 use std::fmt;
--- a/crates/server/src/resources/descriptors/tests.rs
+++ b/crates/server/src/resources/descriptors/tests.rs
@@ -15,7 +15,7 @@
     or(async { Some(work.await) }, timeout).await
 }
 
-/// A pool of eight descriptors, independent of how many the test process has open.
+/// Returns a pool of eight descriptors, regardless of the number that the test process has open.
 fn eight_descriptors() -> Descriptors {
     let open = std::fs::read_dir("/proc/self/fd").unwrap().count() - 1;
     let descriptors = Descriptors::with_limit(open + 64).unwrap();
--- a/crates/server/src/resources/invocations.rs
+++ b/crates/server/src/resources/invocations.rs
@@ -1,4 +1,5 @@
-//! Table of invocations, from their arrival until they are answered and no longer run.
+//! Table of invocations. It contains an invocation from its arrival until it is answered and its run has
+//! ended.
 
 use crate::connection::table::Connection;
 use crate::event::Request;
@@ -8,39 +9,40 @@
 
 /// State of one invocation.
 pub struct Invocation {
-    /// Reference chosen by the caller, which also identifies the run to the interpreter.
+    /// Reference chosen by the caller. It also identifies the run in commands to the interpreter.
     pub reference: u64,
     /// Index of the operation in the settings.
     pub operation: usize,
-    /// Name of the tenant, if the fleet counts this tenant separately.
+    /// Name of the tenant, if the fleet keeps a separate count for this tenant.
     pub counted_tenant: Option<String>,
-    /// Time of arrival at this machine, in Unix milliseconds.
+    /// Time at which the call arrived at this machine, in milliseconds since 1970.
     pub arrival_unix_ms: u64,
-    /// Body of the call, the operation's input.
+    /// Body of the call, which is the input of the operation.
     pub body: Vec<u8>,
-    /// Connection on which to send the answer.
+    /// Connection on which the call was received and is answered.
     pub connection: Rc<Connection>,
-    /// Tag of the call, which its answer carries.
+    /// Tag of the call, which the answer carries.
     pub tag: u64,
-    /// Id of the original invocation, if this one repeats another.
+    /// Id of the original invocation, if this invocation repeats another.
     pub repeat_of: Option<u64>,
-    /// True once the invocation is answered or abandoned by its caller.
+    /// True once the invocation is answered or its caller has abandoned it.
     pub is_answered: bool,
-    /// True while the run is started and no notice has reported its end.
+    /// True while the run was started and the interpreter has not reported its end.
     pub is_running: bool,
-    /// Last command that the run depends on, until a notice confirms its receipt.
+    /// Last command that the run depends on; `None` once a notice has confirmed its receipt.
     pub unconfirmed: Option<SentCommand>,
-    /// True if a command for the run was sent over more than one link.
+    /// True if a command for the run was sent over more than one link to the interpreter.
     pub was_resent: bool,
-    /// Number of the link that carried an unconfirmed stop command.
+    /// Number of the link over which a command to stop the run was last sent; `None` without such a
+    /// command.
     pub stop_link: Option<u64>,
     /// Body of the downstream call that the run waits for.
     pub call_body: Vec<u8>,
     /// True while the run waits for a downstream call.
     pub awaits_call: bool,
-    /// The downstream call in progress.
+    /// The downstream call of the run, if one is in progress.
     pub call: Option<RunningCall>,
-    /// Downstream service that received the most recent call of the invocation.
+    /// Index of the downstream service that received the most recent call of the invocation.
     pub last_service: Option<usize>,
 }
 
@@ -69,11 +71,11 @@
     }
 }
 
-/// A sent command, with the most recent link that carried it.
+/// A command that was sent to the interpreter, and the most recent link over which it was sent.
 pub struct SentCommand {
     /// The encoded command.
     pub line: Vec<u8>,
-    /// Number of the link; 0 if there was no link.
+    /// Number of the most recent link over which the command was sent; 0 if there was no link.
     pub link: u64,
 }
 
@@ -85,8 +87,8 @@
     pub _task: Task<()>,
 }
 
-/// All invocations, keyed by ids that this process assigns. References cannot serve as ids, because peers
-/// choose them and may repeat them.
+/// All invocations of the server, by the ids that this process assigns. References cannot serve as ids,
+/// because callers choose them and may use one twice.
 #[derive(Default)]
 pub struct Invocations {
     all: BTreeMap<u64, Invocation>,
@@ -95,7 +97,7 @@
 }
 
 impl Invocations {
-    /// Adds an invocation and returns its id, or `None` if another invocation has the same reference.
+    /// Adds an invocation and returns its id. Returns `None` if another invocation has the same reference.
     pub fn insert(&mut self, invocation: Invocation) -> Option<u64> {
         if self.by_reference.contains_key(&invocation.reference) {
             return None;
@@ -106,12 +108,12 @@
         Some(self.last_id)
     }
 
-    /// Returns the id of the invocation with a reference.
+    /// Returns the id of the invocation with the given reference.
     pub fn find(&self, reference: u64) -> Option<u64> {
         self.by_reference.get(&reference).copied()
     }
 
-    /// Returns the invocation with an id.
+    /// Returns the invocation with the given id.
     pub fn get(&mut self, id: u64) -> Option<&mut Invocation> {
         self.all.get_mut(&id)
     }
@@ -121,13 +123,13 @@
         self.all.values_mut()
     }
 
-    /// Returns the ids of all running invocations.
+    /// Returns the ids of all invocations with a run.
     pub fn running(&self) -> Vec<u64> {
         let running = self.all.iter().filter(|(_, invocation)| invocation.is_running);
         running.map(|(id, _)| *id).collect()
     }
 
-    /// Returns the ids of a connection's unanswered invocations.
+    /// Returns the ids of the unanswered invocations received on a connection.
     pub fn open_on(&self, connection: u64) -> Vec<u64> {
         let is_open =
             |invocation: &Invocation| !invocation.is_answered && invocation.connection.id == connection;
@@ -135,13 +137,13 @@
         open.map(|(id, _)| *id).collect()
     }
 
-    /// Returns the id of a connection's unanswered invocation with a tag.
+    /// Returns the id of the unanswered invocation that was received on a connection with the given tag.
     pub fn find_open(&self, connection: u64, tag: u64) -> Option<u64> {
         let open = self.open_on(connection);
         open.into_iter().find(|id| self.all[id].tag == tag)
     }
 
-    /// Removes an invocation if it is answered and not running.
+    /// Removes an invocation if it is answered and its run, if any, has ended.
     pub fn release(&mut self, id: u64) {
         let is_over = |invocation: &Invocation| invocation.is_answered && !invocation.is_running;
         if self.all.get(&id).is_some_and(is_over)
--- a/crates/server/src/resources/mod.rs
+++ b/crates/server/src/resources/mod.rs
@@ -1,4 +1,5 @@
-//! Resources of the server. Each kind of resource has a single owner, which allocates and releases it.
+//! Limited resources of the server: memory, file descriptors, idempotency keys and invocations. One module
+//! owns each kind of resource, and allocates and releases it. Also the server's counters.
 
 pub mod buffers;
 pub mod counters;
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -1,5 +1,5 @@
-//! State shared by the server's tasks. The overload controller is not part of it; tasks reach it through the
-//! queue of events.
+//! State shared by the server's tasks. It does not include the overload controller: tasks reach the
+//! controller through the queue of events.
 
 use crate::calls::pool::Pool;
 use crate::configuration::Configuration;
@@ -24,59 +24,59 @@
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// State shared by all tasks, which run on a single thread.
+/// State shared by all tasks of the server, which run on a single thread.
 pub struct Server {
     /// Configuration of the server.
     pub configuration: Configuration,
     /// Clock of the server.
     pub clock: Clock,
-    /// Start time of the process in Unix nanoseconds, which distinguishes it from earlier processes with the
-    /// same name.
+    /// Start time of the process, in nanoseconds since 1970. It distinguishes the process from earlier
+    /// processes with the same name.
     pub incarnation: u64,
-    /// Executor of the tasks.
+    /// Executor that runs the tasks.
     pub executor: &'static LocalExecutor<'static>,
-    /// Queue of events for the event loop.
+    /// Queue of events to the event loop.
     pub events: Sender<Event>,
     /// Open connections of balancers.
     pub connections: Connections,
-    /// Health and advertised load, which answers and health checks report.
+    /// Health and advertised load of the server, for answers and health checks.
     pub health: HealthStatus,
-    /// Limit and use of file descriptors.
+    /// Limit on the number of file descriptors, and the number in use.
     pub descriptors: Descriptors,
     /// Pool of idle connections to downstream services.
     pub pool: Pool,
-    /// Counters for the log.
+    /// Counters of events since startup, for the log.
     pub counters: Counters,
-    /// Limit and use of memory for the connections' buffers.
+    /// Limit on the memory of all connections' buffers, and the memory in use.
     pub buffers: Rc<BufferBudget>,
-    /// Channel that notifies the link of a change of the interpreter's address.
+    /// Channel that notifies the link task of a change of the interpreter's address.
     pub interpreter_address_changed: (Sender<()>, Receiver<()>),
     /// Progress of the drain.
     pub drain: DrainState,
-    /// Channel that is closed when the server must leave.
+    /// Channel that is closed when the server is told to drain and stop.
     pub leave_signal: Receiver<()>,
     /// State shared with the other servers of the fleet, if the options configure it.
     pub shared: Option<Shared>,
     /// State of rollouts on this server, if the options configure them.
     pub rollout: Option<Rollout>,
-    /// Serializes changes of settings, so that only one is applied at a time.
+    /// Serializes changes of settings, so that only one change is applied at a time.
     pub changes: Changes,
     /// Pauses of the serving thread caused by the last change of settings.
     pub change_pauses: Cell<Pauses>,
 }
 
 impl Server {
-    /// Returns whether the server was told to leave.
+    /// Returns whether the server was told to drain and stop.
     pub fn is_leaving(&self) -> bool {
         self.leave_signal.is_closed()
     }
 }
 
-/// Maximum number of bytes per read.
+/// Maximum number of bytes read from a socket at a time.
 const READ_MAX_BYTES: usize = 8 * 1024;
 
-/// Waits for bytes and appends them to the ring, whose contents are contiguous afterwards. Returns an error
-/// at the end of the stream.
+/// Waits for bytes from a stream and appends them to `ring`, whose contents are contiguous afterwards.
+/// Returns an error at the end of the stream.
 pub async fn receive(mut stream: &Async<TcpStream>, ring: &mut Ring) -> Result<()> {
     let mut chunk = [0; READ_MAX_BYTES];
     let free = ring.free().min(chunk.len());
--- a/crates/server/src/wire/http.rs
+++ b/crates/server/src/wire/http.rs
@@ -5,14 +5,14 @@
 use crate::wire::decimal;
 use meadowstream_overload_control::{Nanos, Outcome};
 
-/// Maximum length of a reply's head, in bytes.
+/// Maximum length of the head of a reply, in bytes.
 const HEAD_MAX: usize = 4096;
-/// Maximum length of a reply's body, in bytes.
+/// Maximum length of the body of a reply, in bytes.
 const BODY_MAX: usize = 16 * 1024;
-/// Maximum number of bytes received until a reply is complete: interim responses, head and body.
+/// Maximum number of bytes that a complete reply occupies: interim responses, head and body.
 pub const REPLY_MAX: usize = 2 * (HEAD_MAX + 4) + BODY_MAX;
 
-/// Encodes the request of a call.
+/// Encodes the HTTP request of a downstream call.
 pub fn call(host: &str, reference: u64, timeout: Nanos, body: &[u8]) -> Vec<u8> {
     let head = format!(
         "POST /records/op HTTP/1.1\r\nHost: {host}\r\nOp-Of: {reference:016x}\r\nOp-Wait-Ms: {}\r\n\
@@ -23,10 +23,10 @@
     [head.as_bytes(), body].concat()
 }
 
-/// Reply to a call.
+/// Reply to a downstream call.
 #[derive(Debug, PartialEq)]
 pub struct Reply {
-    /// Outcome of the call, as far as the status proves it.
+    /// Outcome of the call, as far as the status and the headers of the reply prove it.
     pub outcome: Outcome,
     /// Body of the reply.
     pub body: Vec<u8>,
@@ -34,7 +34,7 @@
     pub is_reusable: bool,
 }
 
-/// A parsed head, and the offset at which its body starts.
+/// The parsed head of a reply, and the offset at which the body of the reply starts.
 struct Head<'a> {
     status: u16,
     headers: Headers<'a>,
@@ -51,9 +51,9 @@
         self.values(name).next()
     }
 
-    /// Returns the length of the body. Only a reply without a result may omit it. Multiple Content-Length
-    /// headers must agree: a reply with ambiguous framing may contain data that is not part of any call's
-    /// reply.
+    /// Returns the length of the body. The header Content-Length may be omitted only with an error status.
+    /// Multiple Content-Length headers must agree: a reply with ambiguous framing may contain data that
+    /// does not belong to it.
     fn content_length(&self) -> Result<usize, ParseError> {
         if self.first("Transfer-Encoding").is_some() {
             return Err(ParseError::TransferEncoding);
@@ -64,9 +64,9 @@
         length.filter(|length| *length <= BODY_MAX).ok_or(ParseError::BadContentLength)
     }
 
-    /// Returns the outcome that the status proves. Only 503 and 409 with the header `Op-Not-Begun: 1` prove
-    /// that the call did not run. After any other error status, including 500, the call may have had its
-    /// effect.
+    /// Returns the outcome that the reply proves. A status of 503 or 409 proves that the call did not run
+    /// if the header `Op-Not-Begun: 1` is present. After any other error status, including 500, the call
+    /// may have had its effect.
     fn outcome(&self) -> Outcome {
         let not_begun = matches!(self.status, 503 | 409) && self.first("Op-Not-Begun") == Some("1");
         match self.status {
@@ -78,7 +78,7 @@
     }
 }
 
-/// Parses the first reply, skipping interim responses with a status of 1xx.
+/// Parses the first reply. Interim responses, which have a status of 1xx, are skipped.
 pub fn reply(bytes: &[u8]) -> Parsed<Reply> {
     let mut at = 0;
     loop {
--- a/crates/server/src/wire/interpreter.rs
+++ b/crates/server/src/wire/interpreter.rs
@@ -1,5 +1,5 @@
-//! Encoder for commands to the interpreter and parser for its notices: lines of JSON objects, with bodies in
-//! base64. The words of the protocol appear only in this module.
+//! Encoder for commands to the interpreter, and parser for its notices. Both are lines of JSON objects,
+//! with bodies in base64. The words of the protocol appear only in this module.
 
 use crate::wire::ParseError;
 use crate::wire::Parsed;
@@ -7,38 +7,38 @@
 use meadowstream_overload_control::{Nanos, Outcome};
 use serde_json::{Value, json};
 
-/// Maximum length of a line, in bytes. Longer lines are ignored.
+/// Maximum length of a line received from the interpreter, in bytes. Longer lines are ignored.
 pub const LINE_MAX: usize = 16 * 1024;
 
-/// Notice sent by the interpreter.
+/// Notice received from the interpreter.
 #[derive(Debug, PartialEq)]
 pub enum Notice {
-    /// The interpreter has accepted a link. This is the first notice on each link.
+    /// The interpreter has accepted a link. The banner is the first notice on each link.
     Banner {
         /// True if the interpreter is still warming up.
         cold: bool,
         /// Time since the interpreter started.
         age: Nanos,
     },
-    /// A run has ended.
+    /// The run of an invocation has ended.
     Ended {
         /// Reference of the invocation.
         task: u64,
         /// Outcome of the run.
         outcome: Outcome,
-        /// Result of the run; empty unless it succeeded.
+        /// Result of the run; empty unless the run succeeded.
         result: Vec<u8>,
     },
-    /// A run waits for a downstream call.
+    /// The run of an invocation waits for a downstream call.
     AwaitsCall {
         /// Reference of the invocation.
         task: u64,
-        /// Body of the call.
+        /// Body of the downstream call.
         body: Vec<u8>,
     },
-    /// The response to a request for gauges.
+    /// Response to a gauge request.
     Gauges {
-        /// Nonce of the request.
+        /// Nonce of the gauge request.
         nonce: u64,
         /// Values of the gauges, in the order in which the settings name them.
         readings: Vec<f64>,
@@ -63,25 +63,25 @@
     /// A field is missing or is not a string.
     #[error("{0} is missing or not a string")]
     NotText(&'static str),
-    /// The body is not valid base64.
+    /// The body in the notice is not valid base64.
     #[error("invalid base64: {0}")]
     Base64(#[from] base64::DecodeError),
     /// The state in a banner is neither cold nor warm.
     #[error("unknown state {0:?}")]
     UnknownState(String),
-    /// The outcome of a run is unknown.
+    /// The outcome of the run is unknown.
     #[error("unknown outcome {0:?}")]
     UnknownEnd(String),
-    /// The verb is unknown.
+    /// The verb of the notice is unknown.
     #[error("unknown verb {0:?}")]
     UnknownVerb(String),
-    /// The gauge readings are not a list.
+    /// The gauge readings in the response are not a list.
     #[error("readings are not a list")]
     ReadingsNotList,
     /// A gauge reading is not a number.
     #[error("a reading is not a number")]
     ReadingNotNumber,
-    /// The nonce is not a number.
+    /// The nonce in the response is not a number.
     #[error("nonce {0:?} is not a number")]
     UnknownNonce(String),
     /// The reference of an invocation is not 16 hexadecimal digits.
@@ -89,7 +89,7 @@
     BadTask(String),
 }
 
-/// Returns the first line without its line end.
+/// Returns the first line, without its line end.
 pub fn line(bytes: &[u8]) -> Parsed<&[u8]> {
     match bytes.iter().position(|byte| *byte == b'\n') {
         Some(end) if end <= LINE_MAX => Parsed::Complete(&bytes[..end], end + 1),
@@ -98,7 +98,7 @@
     }
 }
 
-/// Parses a notice. Returns it with its index, if it has one.
+/// Parses a notice. Returns the notice and its index; the index is `None` if the notice has none.
 pub fn notice(line: &[u8]) -> Result<(Option<u64>, Notice), NoticeError> {
     let object: Value = serde_json::from_slice(line)?;
     let notice = match text(&object, "verb")? {
@@ -166,12 +166,13 @@
     line
 }
 
-/// Encodes the command that opens a link. The interpreter replays notices with an index after `last_read`.
+/// Encodes the command that opens a link. The interpreter replays the notices with an index above
+/// `last_read`.
 pub fn connect(last_read: u64) -> Vec<u8> {
     command(&json!({"verb": "CONNECT", "index": last_read}))
 }
 
-/// Encodes the command that starts a run, or resumes one that was stopped.
+/// Encodes the command that starts a run, or resumes a run that was stopped.
 pub fn apply(task: u64, operation: &str, body: &[u8]) -> Vec<u8> {
     let (task, bytes) = (format!("{task:016x}"), STANDARD.encode(body));
     command(&json!({"verb": "APPLY", "task": task, "handler": operation, "bytes": bytes}))
@@ -188,7 +189,7 @@
     command(&json!({"verb": "RESOLVE", "task": task, "bytes": bytes}))
 }
 
-/// Encodes a request for the gauges.
+/// Encodes a request for the gauges. The response carries `nonce`.
 pub fn request_gauges(nonce: u64) -> Vec<u8> {
     command(&json!({"verb": "TOP", "nonce": nonce.to_string()}))
 }
--- a/crates/server/src/wire/mod.rs
+++ b/crates/server/src/wire/mod.rs
@@ -1,5 +1,5 @@
-//! Parsers and encoders of the protocols, without I/O. Each parser takes the bytes received so far, reports
-//! how many of them a message occupies, and limits the size of a message.
+//! Parsers and encoders of the protocols, without I/O. A parser receives the bytes read so far, returns the
+//! number of bytes that a message occupies, and limits the length of messages.
 
 pub mod catalog;
 pub mod http;
@@ -17,7 +17,7 @@
 pub enum Parsed<T> {
     /// The message is incomplete; more bytes are needed.
     Incomplete,
-    /// A complete message, and the number of bytes that it occupies.
+    /// A complete message, and the number of bytes that the message occupies.
     Complete(T, usize),
     /// The bytes are not the start of a valid message.
     Malformed(ParseError),
--- a/crates/server/src/wire/resp.rs
+++ b/crates/server/src/wire/resp.rs
@@ -13,7 +13,8 @@
 /// Maximum length of an encoded array, in bytes.
 pub const ARRAY_MAX: usize = NUMBER_MAX + WORDS_MAX * (NUMBER_MAX + WORD_MAX + 2);
 
-/// Parses the number on the line at `at` that starts with `mark`. Returns it with the end of the line.
+/// Parses the number on the line that starts at `at`, behind the type byte `mark`. Returns the number and
+/// the end of the line.
 fn number(bytes: &[u8], at: usize, mark: u8) -> Parsed<usize> {
     let line = &bytes[at..];
     let Some(first) = line.first() else { return Parsed::Incomplete };
@@ -32,7 +33,7 @@
     }
 }
 
-/// Parses the bulk string at `at`. Returns it with its end.
+/// Parses the bulk string at `at`. Returns the string and its end.
 fn word(bytes: &[u8], at: usize) -> Parsed<&[u8]> {
     let (length, start) = match number(bytes, at, b'$') {
         Parsed::Complete(length, start) => (length, start),
@@ -50,7 +51,7 @@
     Parsed::Complete(&bytes[start..end], end + 2)
 }
 
-/// Parses the first array into its words.
+/// Parses the first array in `bytes` and returns its bulk strings.
 pub fn array(bytes: &[u8]) -> Parsed<Vec<&[u8]>> {
     let (count, mut at) = match number(bytes, 0, b'*') {
         Parsed::Complete(count, at) => (count, at),
@@ -74,7 +75,7 @@
     Parsed::Complete(words, at)
 }
 
-/// Appends an encoded array of `words`.
+/// Appends the bulk strings `words` to `out`, encoded as an array.
 pub fn put_array(out: &mut Vec<u8>, words: &[&[u8]]) {
     out.extend_from_slice(format!("*{}\r\n", words.len()).as_bytes());
     for word in words {
--- a/crates/server/src/wire/ring.rs
+++ b/crates/server/src/wire/ring.rs
@@ -1,8 +1,9 @@
-//! A bounded ring buffer for one direction of a connection. It frees most of its memory while it is empty.
+//! A bounded ring buffer for the bytes of one direction of a connection. An empty buffer keeps little
+//! memory allocated.
 
 use std::collections::VecDeque;
 
-/// Maximum capacity, in bytes, that an empty ring keeps allocated for the next message.
+/// Maximum capacity, in bytes, that an empty buffer keeps allocated for the next message.
 const EMPTY_CAPACITY_MAX: usize = 1024;
 
 /// A first-in, first-out buffer of bytes with a maximum size.
@@ -33,7 +34,7 @@
         self.bytes_max - self.len()
     }
 
-    /// Appends all the bytes. Returns false and adds none if they do not fit.
+    /// Appends all the bytes. Returns false, and appends none, if they do not fit.
     #[must_use]
     pub fn put(&mut self, bytes: &[u8]) -> bool {
         let fits = bytes.len() <= self.free();
@@ -48,12 +49,12 @@
         self.bytes.make_contiguous();
     }
 
-    /// Returns the first contiguous bytes.
+    /// Returns the first bytes of the buffer, as far as they are contiguous in memory.
     pub fn front(&self) -> &[u8] {
         self.bytes.as_slices().0
     }
 
-    /// Removes up to `count` bytes from the front.
+    /// Removes the first `count` bytes, or all bytes if there are fewer.
     pub fn drop_front(&mut self, count: usize) {
         self.bytes.drain(..count.min(self.bytes.len()));
         if self.bytes.is_empty() && self.bytes.capacity() > EMPTY_CAPACITY_MAX {
--- a/crates/server/src/wire/rpc.rs
+++ b/crates/server/src/wire/rpc.rs
@@ -1,5 +1,5 @@
-//! Parser for the commands of balancers and encoder for the answers, which are RESP arrays. The words of the
-//! protocol appear only in this module.
+//! Parser for the commands of balancers, and encoder for the answers to them. Both are RESP arrays. The
+//! words of the protocol appear only in this module.
 
 use crate::wire::decimal;
 use crate::wire::resp;
@@ -7,10 +7,10 @@
 
 /// Maximum length of a call's body, in bytes.
 const BODY_MAX: usize = 2048;
-/// Exclusive upper bound of the memory reserved for one call, in kilobytes.
+/// Exclusive upper bound of the memory that one call may reserve, in kilobytes.
 const RESERVED_MAX_KB: f64 = 2000.0;
 
-/// Command sent by a balancer.
+/// Command received from a balancer.
 #[derive(Debug, PartialEq)]
 pub enum Command<'a> {
     /// A call of an operation.
@@ -20,14 +20,14 @@
         /// Tag of the health check.
         tag: u64,
     },
-    /// A cancellation: the caller has abandoned a call.
+    /// A cancellation: the caller has abandoned an earlier call.
     Cancel {
-        /// Tag of the call.
+        /// Tag of the abandoned call.
         tag: u64,
     },
-    /// A command that cannot be executed. It is answered if its tag is known.
+    /// A command that cannot be executed. It is answered with a failure if its tag is known.
     Invalid {
-        /// Tag of the command, if it is valid.
+        /// Tag of the command; `None` if the tag is not valid.
         tag: Option<u64>,
         /// Reason why the command is invalid.
         error: CommandError,
@@ -37,7 +37,7 @@
 /// Reason why the words of an array are not a valid command.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum CommandError {
-    /// The second word is not a positive number.
+    /// The second word, which is the tag, is not a positive number.
     #[error("no tag")]
     MissingTag,
     /// The first word is not a known command.
@@ -49,7 +49,7 @@
     /// The name of the operation is not valid UTF-8.
     #[error("operation is not UTF-8")]
     OperationNotText,
-    /// The fields are not valid UTF-8.
+    /// The word with the fields is not valid UTF-8.
     #[error("fields are not UTF-8")]
     FieldsNotText,
     /// The body is longer than accepted.
@@ -72,24 +72,25 @@
     pub tag: u64,
     /// Name of the operation.
     pub operation: &'a str,
-    /// Reference of the invocation, chosen by the caller and the same for all its attempts.
+    /// Reference of the invocation, chosen by the caller. All attempts of the invocation have the same
+    /// reference.
     pub reference: u64,
-    /// Time of arrival at this machine, in Unix milliseconds.
+    /// Time at which the call arrived at this machine, in milliseconds since 1970.
     pub arrival_unix_ms: u64,
     /// Memory that the run reserves, in kilobytes.
     pub held_kb: f64,
-    /// Body of the call, the operation's input.
+    /// Body of the call, which is the input of the operation.
     pub body: &'a [u8],
     /// Number of the balancer that sent the call.
     pub sender: Option<u64>,
-    /// Ticket of a promise of admission that the caller received with a Retry-After.
+    /// Ticket of a promise of admission, which the caller received with an earlier rejection.
     pub ticket: Option<u64>,
-    /// All fields of the call, not decoded.
+    /// All fields of the call in encoded form.
     pub fields: &'a str,
 }
 
 impl<'a> Call<'a> {
-    /// Returns the value of a field.
+    /// Returns the value of the field with this name; `None` if the call has no such field.
     pub fn field(&self, name: &str) -> Option<&'a str> {
         field(self.fields, name)
     }
@@ -142,7 +143,8 @@
         held_kb: required(fields, "room", held_kb)?,
         body,
         sender: number,
-        // Other deployments may use this field for something else, so an invalid ticket is ignored.
+        // Other deployments may use the field `ticket` for another purpose, so an invalid ticket is
+        // ignored.
         ticket: field(fields, "ticket").and_then(hex),
         fields,
     })
@@ -160,7 +162,7 @@
     field(fields, name).and_then(read).ok_or_else(|| bad_field(fields, name))
 }
 
-/// Validates the caller's own priority rank, which is otherwise unused.
+/// Validates the priority rank that the caller states. The rank has no other use.
 fn check_rank(fields: &str) -> Result<(), CommandError> {
     let rank = field(fields, "class_rank").map_or(Ok(0.0), str::parse::<f64>);
     let valid = rank.is_ok_and(|rank| (0.0..1.0).contains(&rank));
@@ -176,19 +178,19 @@
 pub enum Answer {
     /// The run succeeded with this result.
     Succeeded(Vec<u8>),
-    /// The call was rejected and not run.
+    /// The call was rejected. The operation did not run, or running it again has no further effect.
     Rejected {
-        /// True if every other server would reject the call, too.
+        /// True if the caller must not retry at another server.
         no_retry: bool,
-        /// Time that the caller is asked to wait before a retry, 0 for none. With a ticket it is a promise of
-        /// admission.
+        /// Time after which the caller may retry at this server; 0 if none is advised. With a ticket, the
+        /// retry is promised admission after this time.
         retry_after: Nanos,
-        /// Ticket that redeems the promise.
+        /// Ticket with which the caller redeems a promise of admission, if one was made.
         ticket: Option<u64>,
     },
     /// The call failed, possibly after it had its effect.
     Failed,
-    /// Health of the server: true if healthy.
+    /// Response to a health check: true if the server is healthy.
     Health(bool),
 }
 
@@ -204,7 +206,7 @@
     }
 }
 
-/// Appends an encoded answer, with the load that the server advertises.
+/// Appends an encoded answer to `out`, with the load that the server advertises.
 pub fn put_answer(out: &mut Vec<u8>, tag: u64, answer: &Answer, advertised_load: Option<f64>) {
     let mut fields = Vec::new();
     if let Some(load) = advertised_load {
@@ -226,7 +228,8 @@
     resp::put_array(out, &[tag.as_bytes(), answer.word().as_bytes(), fields.as_bytes(), body]);
 }
 
-/// Appends the encoded request that the peer send no more calls on this connection.
+/// Appends an encoded drain request to `out`. The request asks the peer to send no more calls on this
+/// connection.
 pub fn put_drain(out: &mut Vec<u8>) {
     resp::put_array(out, &[b"0", b"enough"]);
 }
--- a/crates/server/src/wire/tests.rs
+++ b/crates/server/src/wire/tests.rs
@@ -6,7 +6,7 @@
 use meadowstream_overload_control::Outcome;
 use test_case::test_case;
 
-/// Drops the parsed value, for checks of the message's length alone.
+/// Replaces the parsed value by `()`, for checks of the message's length alone.
 fn length_only<T>(parsed: Parsed<T>) -> Parsed<()> {
     match parsed {
         Parsed::Complete(_, used) => Parsed::Complete((), used),
@@ -15,7 +15,8 @@
     }
 }
 
-/// Checks that a message is parsed whatever follows it, and that each proper prefix of it is incomplete.
+/// Checks that a message is parsed regardless of the bytes after it, and that each proper prefix of the
+/// message is incomplete.
 fn assert_prefixes_incomplete(message: &[u8], parse: impl Fn(&[u8]) -> Parsed<()>) {
     for end in 0..message.len() {
         assert!(matches!(parse(&message[..end]), Parsed::Incomplete), "cut at {end}");
@@ -28,8 +29,8 @@
     }
 }
 
-/// Replaces each byte in turn with several others, and parses every prefix that contains the replacement.
-/// Checks that the parser does not panic or report a length beyond the input.
+/// Replaces each byte of a message in turn with several others, and parses every prefix that contains the
+/// replacement. Checks that the parser neither panics nor reports a length beyond the input.
 fn assert_mutations_do_not_panic(message: &[u8], parse: impl Fn(&[u8]) -> Parsed<()>) {
     for at in 0..message.len() {
         for byte in [0, b'\r', b'\n', b'-', b'9', b'$', b'"', b':', 0xff] {
