--- a/crates/rollout/src/baseline.rs
+++ b/crates/rollout/src/baseline.rs
@@ -7,7 +7,7 @@
 
 /// Number of intervals that each server's baseline must contain before the change begins.
 pub const BASELINE_INTERVALS_MIN: usize = 20;
-/// Least number of values for which a mean and its variance are computed.
+/// Minimum number of values of a series. With fewer values, no mean and no variance are computed.
 const VALUES_MIN: u32 = 3;
 
 /// Baselines of all servers, serialized into the coordinator's state file. The `serde` attributes keep the
@@ -18,7 +18,8 @@
     by_server: BTreeMap<String, Vec<SeriesSums>>,
 }
 
-/// Running sums for one server, class and metric, one value per interval.
+/// Running sums of the values that one server reports for a metric of a class of invocations. Each interval
+/// adds one value.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct SeriesSums {
     class: String,
@@ -39,7 +40,7 @@
 #[derive(Clone, Copy)]
 pub(crate) struct Baseline {
     pub(crate) mean: f64,
-    /// Variance of the mean rather than of the values, that is, the square of the standard error.
+    /// Variance of `mean`, that is, the square of its standard error; not the variance of the single values.
     pub(crate) mean_variance: f64,
 }
 
--- a/crates/rollout/src/canary.rs
+++ b/crates/rollout/src/canary.rs
@@ -25,7 +25,7 @@
 /// Comparisons per class and metric at each verdict: one over all intervals and one over the busier half.
 const COMPARISONS_PER_SERIES: usize = 2;
 
-/// Values collected in one stage.
+/// Values of changed and unchanged servers, collected in one stage.
 #[derive(Clone, Debug, Default)]
 pub struct Canary {
     strata: BTreeMap<Series, Vec<Stratum>>,
@@ -36,19 +36,21 @@
 /// Result of comparing the changed servers with the unchanged ones.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// Too few intervals have values of both groups.
+    /// Too few intervals have values of both changed and unchanged servers.
     InsufficientData,
     /// No difference is both statistically significant and above its threshold.
     Pass,
-    /// The changed servers perform worse.
+    /// The changed servers perform worse than the unchanged ones.
     Regression {
         /// Class of invocations in which the changed servers perform worse.
         class: String,
-        /// Metric that is worse.
+        /// Metric in which the changed servers are worse.
         metric: Metric,
-        /// Difference between the groups: of shares, or of the logarithms of the latency.
+        /// Mean of the changed servers minus that of the unchanged ones, as in
+        /// [`Comparison::difference`](crate::rank_test::Comparison::difference). The unit is that of the
+        /// metric: a share, or the logarithm of a latency.
         difference: f64,
-        /// Probability that chance alone gives a difference as large as this.
+        /// One-sided p-value: the probability that chance alone ranks the changed servers at least as high.
         p_value: f64,
     },
 }
@@ -77,7 +79,8 @@
         }
     }
 
-    /// Closes the current interval and keeps each class and metric that has values of both groups.
+    /// Closes the current interval. Keeps the values of each class and metric for which both a changed and an
+    /// unchanged server have values, and drops all others.
     pub fn close_interval(&mut self) {
         for (series, stratum) in std::mem::take(&mut self.current) {
             if !stratum.changed.is_empty() && !stratum.unchanged.is_empty() {
@@ -91,7 +94,8 @@
         self.current.clear();
     }
 
-    /// Number of comparable intervals, for the class and metric with the most.
+    /// Number of intervals with values of both changed and unchanged servers, for the class and metric that
+    /// has the most such intervals.
     pub fn intervals(&self) -> usize {
         self.strata.values().map(Vec::len).max().unwrap_or(0)
     }
@@ -129,7 +133,8 @@
     }
 }
 
-/// Returns the half of the intervals with the most answers, but at least [`INTERVALS_MIN`] of them.
+/// Returns the half of the intervals with the most answers, but at least [`INTERVALS_MIN`] intervals if there
+/// are that many.
 fn busier_half(strata: &[Stratum]) -> Vec<&Stratum> {
     let mut busier: Vec<&Stratum> = strata.iter().collect();
     busier.sort_by_key(|stratum| Reverse(stratum.answered));
--- a/crates/rollout/src/coordinator/baking.rs
+++ b/crates/rollout/src/coordinator/baking.rs
@@ -5,10 +5,11 @@
 use crate::canary::{Canary, Verdict};
 use crate::plan::{INTERVALS_MIN, OnRegression};
 
-/// A stage without enough values for a comparison ends after this many bake times.
+/// A stage that still has too few values for a comparison after this many bake times is stopped or rolled
+/// back, as the plan specifies.
 const INSUFFICIENT_DATA_FACTOR: Nanos = 3;
-/// No more verdicts are computed in a stage after this many times the planned number, since each verdict adds
-/// to the probability of a false stop. If each verdict takes one interval of bake time, the planned number is
+/// Maximum number of verdicts computed in a stage, as a multiple of the planned number. Each verdict adds to
+/// the probability of a false stop. If each verdict takes one interval of bake time, the planned number is
 /// not exceeded. If servers report more often, more verdicts are computed, and the probability of a false
 /// stop is limited to this many times the plan's `alpha`.
 const VERDICTS_FACTOR: usize = 4;
@@ -51,8 +52,9 @@
         }
     }
 
-    /// Adds to the canary the new intervals of the servers that comply with their orders. If the view is not
-    /// settled, the values are dropped, since a membership change may have caused any difference.
+    /// Adds the new intervals of servers that comply with their orders to the canary. If the fleet's view is
+    /// not settled, the values of these intervals are dropped, since the membership change may have caused a
+    /// difference between servers.
     fn add_to_canary(&mut self, interval: &Interval) {
         for new_interval in self.take_new_intervals(interval.view) {
             if self.complies(&new_interval.server) {
@@ -72,9 +74,9 @@
         }
     }
 
-    /// Computes the verdict of this interval. After [`VERDICTS_FACTOR`] times the planned number of verdicts
-    /// it returns [`Verdict::Pass`] without a comparison, and only the bake time and failures then affect the
-    /// stage.
+    /// Computes the verdict of this interval. After [`VERDICTS_FACTOR`] times the planned number of verdicts,
+    /// this function returns [`Verdict::Pass`] without a comparison. From then on, only the bake time and
+    /// failed servers affect the stage.
     fn next_verdict(&mut self) -> Verdict {
         let planned = self.plan.planned_verdicts(self.state.stage);
         let may_compare = self.verdicts < VERDICTS_FACTOR * planned;
@@ -98,8 +100,8 @@
         }
     }
 
-    /// Stops or rolls back, as the plan specifies. The causes are a regression, a failed server, a server
-    /// that sends no reports, and too few values for a comparison.
+    /// Stops the rollout or rolls it back, as the plan specifies. Possible causes are a regression, a failed
+    /// server, a server that sends no reports, and too few values for a comparison.
     pub(super) fn stop_or_roll_back(&mut self, now: Nanos, reason: String, actions: &mut Vec<Action>) {
         match self.plan.on_regression {
             OnRegression::Stop => self.end(Phase::Stopped { reason }, actions),
--- a/crates/rollout/src/coordinator/compliance.rs
+++ b/crates/rollout/src/coordinator/compliance.rs
@@ -52,9 +52,9 @@
         last_answered.is_none_or(|last_answered| last_answered + SILENT_ORDERS < self.order_sequence)
     }
 
-    /// Adds the interval to the overdue time of each server that does not comply with its order or is silent.
-    /// While the view is not settled, a server may be unreachable, and the time is not counted, except during
-    /// a rollback.
+    /// Adds the length of the interval to the overdue time of each alive server that does not comply with its
+    /// order or is silent. While the fleet's view is not settled, a server may be unreachable, so time is
+    /// then counted only during a rollback.
     pub(super) fn count_overdue(&mut self, interval: &Interval) {
         let is_counted = interval.is_settled || self.is_rolling_back();
         for server in &interval.view.alive {
@@ -66,7 +66,8 @@
         }
     }
 
-    /// Measures how long only changed servers have been missing from the view.
+    /// Measures the time for which changed servers, and no others, have been missing from the view. The time
+    /// restarts from 0 whenever no server or an unchanged server is missing.
     pub(super) fn count_changed_missing(&mut self, interval: &Interval) {
         let missing = &interval.view.missing;
         let only_changed = missing.iter().all(|server| self.state.changed.contains(server));
@@ -77,8 +78,8 @@
         }
     }
 
-    /// Returns a message on a failed server: one that has been overdue for the response timeout, or a changed
-    /// one that has been missing as long.
+    /// Returns a message if a server counts as failed: if it has been overdue for the response timeout, or if
+    /// changed servers, and no others, have been missing from the view for the response timeout.
     pub(super) fn find_failure(&self, view: &FleetView) -> Option<String> {
         let timeout = self.plan.response_timeout;
         if self.changed_missing_for >= timeout {
--- a/crates/rollout/src/coordinator/mod.rs
+++ b/crates/rollout/src/coordinator/mod.rs
@@ -89,10 +89,10 @@
     plan: Plan,
     /// Start time of this coordinator, in nanoseconds since the Unix epoch.
     incarnation: u64,
-    /// Sequence number of the last order.
+    /// Sequence number of the last order sent.
     order_sequence: u64,
     state: PersistedState,
-    /// Time at which the current phase began.
+    /// Time at which the current phase of the plan began.
     phase_began: Nanos,
     /// Time of the current stage that counts as baked.
     baked: Nanos,
@@ -101,8 +101,8 @@
     verdicts: usize,
     /// Values collected in the current stage.
     canary: Canary,
-    /// Time for which each server has not complied with its orders. Time without the lease is not counted,
-    /// nor is time without a settled view, except during a rollback.
+    /// Time for which each server has not complied with its orders. Only time with the rollout lease is
+    /// counted. Time without a settled view is counted only during a rollback.
     overdue: BTreeMap<String, Nanos>,
     /// Time for which changed servers, and no others, have been missing from the view.
     changed_missing_for: Nanos,
--- a/crates/rollout/src/coordinator/stages.rs
+++ b/crates/rollout/src/coordinator/stages.rs
@@ -29,7 +29,8 @@
         self.begin_stage(interval.now, 0, view, actions);
     }
 
-    /// Begins a stage: chooses its servers, and saves them before the first order to apply the change.
+    /// Begins a stage: chooses its servers, and saves their names before the first order to apply the change
+    /// is sent.
     pub(super) fn begin_stage(
         &mut self,
         now: Nanos,
@@ -61,8 +62,8 @@
         self.notify(actions, &message);
     }
 
-    /// Chooses unchanged servers until `size` servers are changed. Their order depends on the plan's name, so
-    /// that different plans rarely begin with the same server.
+    /// Chooses unchanged servers until `size` servers are changed. The order of choice depends on the plan's
+    /// name, so that different plans rarely begin with the same server.
     fn choose_servers(&self, size: usize, view: &FleetView) -> Vec<String> {
         let is_unchanged = |server: &&String| !self.state.changed.contains(*server);
         let mut unchanged: Vec<String> = view.alive.iter().filter(is_unchanged).cloned().collect();
--- a/crates/rollout/src/coordinator/state.rs
+++ b/crates/rollout/src/coordinator/state.rs
@@ -10,7 +10,7 @@
 /// Phase of a plan.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Phase {
-    /// Waiting for the lease, a settled view and the baseline of each server.
+    /// Waiting for the rollout lease, a settled view of the fleet, and the baseline of each server.
     Waiting,
     /// The servers of the stage are ordered to apply the change; not all have reported that they run it.
     Applying,
--- a/crates/rollout/src/metrics.rs
+++ b/crates/rollout/src/metrics.rs
@@ -13,13 +13,14 @@
     pub throttled: u64,
     /// Answered invocations that failed.
     pub errored: u64,
-    /// Answered invocations whose answer followed after the client timeout.
+    /// Answered invocations whose answer was sent after the client timeout.
     pub late: u64,
-    /// 95th percentile of the latency of the successful invocations, in microseconds; 0 without any.
+    /// 95th percentile of the latency of the successful invocations, in microseconds; 0 if no invocation
+    /// succeeded.
     pub p95_us: u64,
 }
 
-/// Least number of answers of a class in an interval for which shares are computed.
+/// Minimum number of answers of a class in an interval. With fewer answers, no shares are computed.
 const ANSWERS_MIN: u64 = 5;
 
 /// A metric for comparing servers. A larger value is worse.
@@ -39,7 +40,8 @@
     /// All metrics.
     pub const ALL: [Metric; 4] = [Metric::Throttled, Metric::Errored, Metric::Late, Metric::Latency];
 
-    /// Returns the metric's value in an interval, or `None` with too few answers or no latency.
+    /// Returns the metric's value in an interval, or `None` if the class has no latency, or too few answers
+    /// to compute a share.
     fn value(self, metrics: &IntervalMetrics) -> Option<f64> {
         let count = match self {
             Metric::Throttled => metrics.throttled,
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -11,7 +11,7 @@
 pub const NAME_BYTES_MAX: usize = 64;
 /// Maximum number of stages in a plan.
 pub const STAGES_MAX: usize = 32;
-/// Least number of intervals for a comparison.
+/// Minimum number of intervals that a comparison of servers needs.
 pub const INTERVALS_MIN: usize = 6;
 /// Largest latency threshold, as a relative increase of the 95th percentile.
 const LATENCY_MAX: f64 = 100.0;
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Whether this size is larger than that of the stage before. A number and a share cannot be compared and
-    /// count as larger.
+    /// Whether this size is larger than that of the stage before. If one size is a number of servers and the
+    /// other is a share of the fleet, they cannot be compared, and this size counts as larger.
     fn exceeds(self, previous: StageSize) -> bool {
         match (previous, self) {
             (StageSize::Servers(previous), StageSize::Servers(now)) => now > previous,
@@ -77,7 +77,8 @@
     RollBack,
 }
 
-/// Least differences that count as a regression; smaller ones are ignored even if they are significant.
+/// Least differences between changed and unchanged servers that count as a regression. Smaller differences
+/// are ignored even if they are statistically significant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Thresholds {
     /// Least difference in the share of rejected answers, above 0 and at most 1.
--- a/crates/rollout/src/wire.rs
+++ b/crates/rollout/src/wire.rs
@@ -29,7 +29,7 @@
     pub sequence: u64,
     /// Kind of the change.
     pub kind: ChangeKind,
-    /// Hash of the settings or program to run; `None` selects the server's own.
+    /// Hash of the settings or program to run; `None` selects the server's own settings or program.
     pub adopt: Option<u64>,
 }
 
@@ -42,13 +42,13 @@
     pub version: String,
     /// Hash of the settings or program in use, depending on the kind of the change.
     pub running_hash: u64,
-    /// Whether the server runs the settings or program of a plan instead of its own.
+    /// Whether the server runs the settings or program of a plan instead of its own settings or program.
     pub adopted: bool,
-    /// Reason why the server does not carry out the order; `None` if it does.
+    /// Reason why the server does not carry out the order; `None` if it carries out the order.
     pub refused: Option<String>,
     /// Number of the server's last complete interval.
     pub interval: u64,
-    /// Metrics of that interval, one entry per class.
+    /// Metrics of the server's last complete interval, one entry per class of invocations.
     pub classes: Vec<IntervalMetrics>,
 }
 
--- a/crates/rollout/tests/rollouts.rs
+++ b/crates/rollout/tests/rollouts.rs
@@ -37,7 +37,7 @@
 
 #[derive(Clone, Default)]
 struct Server {
-    /// Permanent difference of the server's latency from the others', as a logarithm.
+    /// Logarithm of the permanent ratio of the server's latency to the normal latency.
     offset: f64,
     noise: f64,
     adopted: bool,
@@ -173,7 +173,8 @@
         self.uniform() < self.loss
     }
 
-    /// Simulates one interval: delivers the reports of the last one, then the coordinator's new orders.
+    /// Simulates one interval: delivers the reports on the previous interval, then the coordinator's new
+    /// orders.
     fn run_interval(&mut self, coordinator: &mut Coordinator) {
         self.interval += 1;
         self.now += SECOND;
@@ -292,8 +293,8 @@
         }
     }
     println!("A/A: {} of 100 stopped: {stopped:?}", stopped.len());
-    // With this seed range 0 of 100 are stopped; without subtracting the standard error of the baselines, 2
-    // are.
+    // With this seed range, 0 of 100 rollouts are stopped. If the comparison did not subtract the standard
+    // error of the baselines, 2 rollouts would be stopped.
     assert!(stopped.len() <= 1, "{stopped:?}");
 }
 
@@ -341,8 +342,8 @@
     }
 }
 
-/// A new program without effect, on processes that are slower in the first five intervals after a start. The
-/// coordinator must report a regression without a warm-up and none with one.
+/// A new program without effect, on processes that are slower in the first five intervals after a start. If
+/// the plan has no warm-up, the coordinator must report a regression; with a warm-up, it must not.
 #[test]
 fn servers_are_not_compared_during_the_warm_up() {
     for (warm_up, completes) in [(0, false), (8 * SECOND, true)] {
@@ -428,8 +429,8 @@
     );
     fleet.has_lease = true;
     assert_eq!(fleet.run(&mut coordinator, 600), Phase::Done);
-    // If another coordinator takes the lease during a plan, this one must send no orders and leave its state
-    // as it is.
+    // If another coordinator takes the lease during a plan, the coordinator without the lease must send no
+    // orders and must not change its state.
     let mut fleet = Fleet::new(6, Change::None, 62);
     let mut coordinator = begin(plan());
     fleet.run(&mut coordinator, 40);
@@ -463,7 +464,8 @@
     let phase = fleet.run(&mut coordinator, 200);
     let Phase::RolledBack { reason, unconfirmed } = phase else { panic!("{phase:?}") };
     assert!(reason.contains(&format!("s{other} does not report")), "{reason}");
-    // The silent server never ran the change, but cannot confirm that, and is listed as unconfirmed.
+    // The silent server never ran the change, but cannot confirm the rollback, so it is listed as
+    // unconfirmed.
     assert_eq!(unconfirmed, vec![format!("s{other}")]);
     fleet.assert_none_changed();
 }
