--- a/crates/capacity/src/day/mod.rs
+++ b/crates/capacity/src/day/mod.rs
@@ -1,7 +1,7 @@
 //! Simulates a day of configuration changes on the simulated fleet of the replication crate, and measures the
-//! time until each change is applied by every server. The day has the stated numbers of changes, restarts and
-//! failures, the failure of a rack, the isolation of a zone and of a region, and a failure of all control
-//! machines.
+//! time until each change is applied by every server. The day contains the stated numbers of changes,
+//! restarts and single failures, and also the failure of a rack, the isolation of a zone, the isolation of a
+//! region, and a failure of all control machines.
 
 mod run;
 mod schedule;
@@ -140,7 +140,7 @@
     node.and_then(|node| run.fleet.member(node)).map_or(0, |member| member.counts.sent_bytes)
 }
 
-/// Simulates the day and calls `progress` with one line of text after each tenth of it.
+/// Simulates the day and calls `progress` with one line of text after each tenth of the day.
 pub fn play(scale: &DayScale, progress: &dyn Fn(&str)) -> Day {
     let mut rng = ChaCha8Rng::seed_from_u64(scale.seed);
     let mut run = Run::start(scale);
--- a/crates/capacity/src/day/run.rs
+++ b/crates/capacity/src/day/run.rs
@@ -24,7 +24,8 @@
 const KEYS: usize = 2_000;
 /// Number of keys in each change that creates the initial configuration.
 const KEYS_PER_CHANGE: usize = 200;
-/// Number of latest changes that may not have reached a server when the server stops.
+/// Number of latest changes from whose receivers a stopping server is removed, because the server may not
+/// have received these changes.
 const RECENT_CHANGES: usize = 20;
 
 /// A configuration change that the leader accepted.
@@ -33,13 +34,14 @@
     pub(super) at: Nanos,
     /// Number of the revision that contains the change.
     pub(super) number: u64,
-    /// Servers for which the delay of the change is measured: those that stayed running and reachable.
+    /// Indexes of the servers for which the delay of the change is measured: the servers that stayed running
+    /// and reachable.
     pub(super) receivers: Vec<usize>,
 }
 
 /// A server that became reachable again after a restart or a network partition.
 pub(super) struct ReturnedServer {
-    /// Time of the return, in simulated Unix nanoseconds.
+    /// Time at which the server became reachable again, in simulated Unix nanoseconds.
     pub(super) at: Nanos,
     /// Index of the server.
     pub(super) server: usize,
@@ -56,14 +58,14 @@
     pub(super) started_at: Nanos,
     /// Number of servers in the fleet.
     servers: usize,
-    /// Servers that a network partition currently cuts off.
+    /// Indexes of the servers that a network partition currently cuts off.
     cut_off: Vec<usize>,
     /// Changes that the leader accepted, in order of time.
     pub(super) published: Vec<PublishedChange>,
     /// Returns of servers, in order of time.
     pub(super) returned: Vec<ReturnedServer>,
-    /// Returned servers that have not caught up, with the number of the revision that was newest at their
-    /// return.
+    /// Servers that have returned and not caught up, by index. The value is the number of the revision that
+    /// was newest when the server returned.
     catching_up: BTreeMap<usize, u64>,
     /// Number of changes that were not accepted, because there was no leader or the leader had too many
     /// uncommitted changes.
@@ -125,8 +127,8 @@
         }
     }
 
-    /// Applies `event`, which happens `at` nanoseconds after the start of the day. For a server that restarts
-    /// or fails, adds its return to `events`.
+    /// Applies `event`, which happens `at` nanoseconds after the start of the day. If a server restarts or
+    /// fails, adds the event of the server's return to `events`.
     pub(super) fn handle(
         &mut self,
         event: Event,
@@ -223,7 +225,7 @@
         }
     }
 
-    /// Records that a server is reachable again. The time until it catches up is measured from now.
+    /// Records that a server is reachable again, from which time on its catch-up time is measured.
     fn record_return(&mut self, server: usize, had_empty_disk: bool) {
         let (at, newest_revision) = (self.fleet.now(), self.newest_revision);
         self.returned.push(ReturnedServer { at, server, newest_revision, had_empty_disk });
--- a/crates/capacity/src/day/schedule.rs
+++ b/crates/capacity/src/day/schedule.rs
@@ -28,7 +28,7 @@
     ZoneCut,
     /// A network partition separates one region from the others.
     RegionCut,
-    /// The network partition ends.
+    /// The network partition of a zone or a region ends.
     Heal,
     /// All control machines stop.
     ControlLost,
@@ -36,7 +36,7 @@
     ControlReturned,
 }
 
-/// Returns all events of the day by their time in nanoseconds from its start.
+/// Returns all events of the day, each with its time in nanoseconds since the start of the day.
 pub(super) fn schedule(scale: &DayScale, rng: &mut ChaCha8Rng) -> EventQueue<Event> {
     let day = scale.day_seconds * SECOND_NS;
     let mut events = EventQueue::default();
@@ -50,7 +50,7 @@
         events.push(rng.next_u64() % day, Event::Fail);
     }
     let tenth = day / 10;
-    // In a short day, the rack is down for 6% of the day instead of the usual time.
+    // In a shortened day, the rack is down for at most 6% of the day, instead of [`RACK_DOWN_NS`].
     let rack_down = RACK_DOWN_NS.min(60 * (tenth / 100));
     events.push(tenth, Event::RackLost);
     events.push(tenth + rack_down, Event::RackReturned);
--- a/crates/capacity/src/incidents.rs
+++ b/crates/capacity/src/incidents.rs
@@ -23,8 +23,8 @@
 /// Minimum time for which the sent bytes are measured after the failed servers return, in simulated
 /// nanoseconds. The largest burst of one server is an average over this time.
 const BURST_NS: Nanos = 10 * SECOND_NS;
-/// Number of servers restarted while the control machines are down. This is more than the stated restart rate
-/// gives, to make sure that there are some.
+/// Number of servers restarted while the control machines are down. The stated restart rate gives fewer
+/// restarts; the larger number makes sure that some servers restart.
 const RESTARTS_WITHOUT_CONTROL: usize = 12;
 
 /// Measurements of one simulated incident.
@@ -36,7 +36,8 @@
     /// Number of servers in the fleet.
     pub servers: usize,
     /// Seconds from the failure until the views of the running servers agreed; `None` if they did not agree
-    /// in time. For a network partition, 0 if the views on each side agreed at its end and `None` if not.
+    /// in time. For a network partition, 0 if the views on each side agreed when the partition ended, and
+    /// `None` if they did not.
     #[serde(rename = "seen")]
     pub convergence_after_loss: Option<f64>,
     /// Seconds from the end of the failure until the views of all servers agreed; `None` if they did not
@@ -48,8 +49,8 @@
     /// Number of servers that restarted while all seeds were down and joined the fleet before the seeds
     /// returned. `None` for failures without a loss of the seeds.
     pub joined_meanwhile: Option<usize>,
-    /// Number of servers on the smaller side of a network partition that held a lease at its end. `None` for
-    /// failures without a partition.
+    /// Number of servers on the smaller side of a network partition that held a lease when the partition
+    /// ended. `None` for failures without a partition.
     pub leases_in_cut: Option<usize>,
     /// Average costs per server in the second with the most bytes sent by the fleet after the failure ended.
     pub burst: PerServer,
@@ -113,7 +114,8 @@
         .map(seconds)
 }
 
-/// Measurements after the end of a failure, until the views have converged and at least for [`BURST_NS`].
+/// Measurements after the end of a failure. They last until the views have converged, and at least for
+/// [`BURST_NS`].
 struct Recovery {
     /// Seconds until the views of all running servers agreed; `None` if they did not agree in time.
     convergence_seconds: Option<f64>,
@@ -124,7 +126,7 @@
 }
 
 impl Recovery {
-    /// Runs the simulation of the recovery and measures it.
+    /// Simulates the recovery of the fleet after a failure, and measures it.
     fn play(fleet: &mut Fleet) -> Recovery {
         let running = fleet.running();
         let started_at = fleet.now();
--- a/crates/capacity/src/per_server.rs
+++ b/crates/capacity/src/per_server.rs
@@ -8,21 +8,21 @@
 /// Average costs of the fleet's mechanisms, per server and second.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct PerServer {
-    /// Bytes sent by membership.
+    /// Bytes that membership sent, per server and second.
     pub membership_bytes: f64,
-    /// Bytes sent by shared state.
+    /// Bytes that shared state sent, per server and second.
     #[serde(rename = "shared_bytes")]
     pub shared_state_bytes: f64,
-    /// Bytes sent by replicated configuration.
+    /// Bytes that replicated configuration sent, per server and second.
     pub replication_bytes: f64,
-    /// Datagrams sent by all mechanisms together.
+    /// Datagrams that all mechanisms together sent, per server and second.
     pub datagrams: f64,
-    /// CPU use of membership, in percent of a core.
+    /// CPU use of membership per server, in percent of a core.
     pub membership_processor: f64,
-    /// CPU use of shared state, in percent of a core.
+    /// CPU use of shared state per server, in percent of a core.
     #[serde(rename = "shared_processor")]
     pub shared_state_processor: f64,
-    /// CPU use of replicated configuration, in percent of a core.
+    /// CPU use of replicated configuration per server, in percent of a core.
     pub replication_processor: f64,
 }
 
--- a/crates/capacity/src/process_fleet.rs
+++ b/crates/capacity/src/process_fleet.rs
@@ -17,7 +17,7 @@
 const JOIN_GOSSIP_DURATION: Duration = Duration::from_secs(12);
 const DESCRIPTORS: usize = 256;
 
-/// Average resource use of a process in a fleet, and that of a single process for comparison.
+/// Average resource use of a process in a fleet, and the resource use of a single process for comparison.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct ProcessFleet {
     /// Number of processes.
@@ -25,7 +25,7 @@
     /// Resident memory in bytes of a single process without membership and shared state.
     #[serde(rename = "resident_alone")]
     pub resident_bytes_alone: f64,
-    /// CPU use of that single process, in percent of a core.
+    /// CPU use of a single process without membership and shared state, in percent of a core.
     #[serde(rename = "processor_alone")]
     pub processor_percent_alone: f64,
     /// Average resident memory of a process in the fleet, in bytes.
--- a/crates/capacity/src/report/mod.rs
+++ b/crates/capacity/src/report/mod.rs
@@ -17,8 +17,8 @@
 use std::path::Path;
 use std::time::Instant;
 
-/// Minimum for [`Options::servers`]. The smallest modelled fleet has a sixteenth as many servers, and must be
-/// large enough for the control machines.
+/// Minimum for [`Options::servers`]. The smallest modelled fleet has a sixteenth of this number, and must be
+/// large enough to contain the control machines.
 pub const SERVERS_MIN: usize = 80;
 /// Maximum for [`Options::servers`].
 pub const SERVERS_MAX: usize = 2_000;
@@ -26,8 +26,8 @@
 const TENANTS: usize = 64_000;
 /// Number of operations (routes) that the bounds are stated for.
 const ROUTES: usize = 6_200;
-/// Invocations per second and server: 190,000 divided by 690 servers, and the same load on the servers that
-/// remain when one of three regions is down.
+/// Invocations per second and server: 190,000 invocations per second divided among 690 servers, and divided
+/// among the servers that remain when one of three regions is down.
 const RATES: [f64; 2] = [275.0, 413.0];
 /// Time limit for the counters to converge, in simulated seconds. The convergence time grows with the square
 /// of the fleet size.
@@ -35,7 +35,7 @@
 /// Divides the fleet size for short simulations: all incidents and the day in a quick run, and the hour-long
 /// cut of a region in a full run.
 const SMALL_FLEET_DIVISOR: usize = 4;
-/// Longest cut of a region in a fleet of the full size, in seconds.
+/// Longest time for which a region is cut off in a simulated fleet of the full size, in seconds.
 const REGION_CUT_SECONDS_MAX: u64 = 300;
 
 /// Fleet size, random seed and length of a run.
@@ -80,7 +80,7 @@
     /// Costs of one server in a modelled idle fleet of the same size as the process fleet.
     #[serde(rename = "dozens_model")]
     pub process_fleet_model: PerServer,
-    /// Heap bytes per server of that modelled fleet.
+    /// Heap bytes per server in the modelled idle fleet of [`Report::process_fleet_model`].
     #[serde(rename = "dozens_model_memory")]
     pub process_fleet_model_memory_bytes: f64,
     /// Descriptions of the bounds that the measurements exceed.
--- a/crates/capacity/src/topology.rs
+++ b/crates/capacity/src/topology.rs
@@ -16,13 +16,14 @@
 
 const MICROSECOND_NS: Nanos = 1_000;
 const MILLISECOND_NS: Nanos = 1_000_000;
-/// Minimum one-way delay within a zone. This delay and the two below are estimates.
+/// Minimum one-way network delay within a zone. Like the delays between zones and between regions, it is an
+/// estimate.
 const SAME_ZONE_NS: Nanos = 250 * MICROSECOND_NS;
-/// Minimum one-way delay between two zones of a region.
+/// Minimum one-way network delay between two zones of a region, an estimate.
 const SAME_REGION_NS: Nanos = MILLISECOND_NS;
-/// Minimum one-way delay between two regions.
+/// Minimum one-way network delay between two regions, an estimate.
 const BETWEEN_REGIONS_NS: Nanos = 40 * MILLISECOND_NS;
-/// The maximum jitter is the minimum delay divided by this number.
+/// The maximum jitter of a network delay is the minimum delay divided by this number.
 const JITTER_DIVISOR: u64 = 2;
 
 /// Location of one server. Servers are assigned to zones round-robin, and zones to regions round-robin.
--- a/crates/capacity/tests/memory.rs
+++ b/crates/capacity/tests/memory.rs
@@ -4,8 +4,8 @@
 
 use meadowstream_capacity::tenants::{self, TenantCosts};
 
-/// Relative tolerance between the memory per additional tenant in two ranges of tenant counts. The two differ
-/// because tables grow by doubling.
+/// Relative tolerance between the memory per additional tenant in two ranges of tenant counts. The memory per
+/// tenant differs between the ranges because tables grow by doubling.
 const TOLERANCE: f64 = 0.25;
 /// Upper bound of the memory per tenant, in bytes.
 const TENANT_BYTES_MAX: f64 = 2_000.0;
--- a/crates/configuration/src/change.rs
+++ b/crates/configuration/src/change.rs
@@ -31,7 +31,8 @@
     in_file(path, read_change(&read_file(path)?))
 }
 
-/// Reads the text of a change. An unknown key is an error here already, so that no server receives it.
+/// Reads the text of a change. An unknown key is an error, so that no server receives a change with such a
+/// key.
 pub fn read_change(text: &str) -> Result<Vec<KeyChange>> {
     let document = parse(text)?;
     let root = Element::root(&document, "change", &[])?;
--- a/crates/configuration/src/idempotency_keys.rs
+++ b/crates/configuration/src/idempotency_keys.rs
@@ -7,7 +7,8 @@
 
 /// Maximum length of a field name, in bytes.
 const FIELD_BYTES_MAX: usize = 64;
-/// Fields of a call with another fixed meaning.
+/// Names of call fields that already have a fixed meaning, so that they cannot carry idempotency keys or
+/// tenants.
 const RESERVED_FIELDS: &[&str] = &["ref", "since", "room", "class_rank", "lookup", "ticket"];
 
 /// Settings of idempotency keys: the call field that carries them, and the limits of their cache.
@@ -30,8 +31,8 @@
     })
 }
 
-/// Reads the `field` attribute of an element. The field must not have another fixed meaning in a call. `what`
-/// is the value that the field carries, for the error text.
+/// Reads the `field` attribute of an element, which names a call field. A name in [`RESERVED_FIELDS`] is an
+/// error. `what` describes the value that the field carries, for the error text.
 pub(crate) fn free_field<'a>(element: &Element<'a, '_>, what: &'static str) -> Result<&'a str> {
     let field = element.required("field")?;
     let is_plain = field.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'_' || b == b'-');
--- a/crates/configuration/src/options.rs
+++ b/crates/configuration/src/options.rs
@@ -14,12 +14,13 @@
 /// Child elements of the root.
 const CHILDREN: &[&str] =
     &["tenants", "tokens", "calls", "membership", "shared-state", "rollout", "replication", "control"];
-/// Bounds of `<control reference>`, as a ratio of the cores, and its default within `<control>`.
+/// Bounds and default of the target utilization in `<control reference>`, as a ratio of the cores. This
+/// constant is the minimum.
 pub(crate) const UTILIZATION_MIN: f64 = 0.05;
 pub(crate) const UTILIZATION_MAX: f64 = 1.0;
 const UTILIZATION_DEFAULT: f64 = 0.9;
 
-/// Content of an options file. Features without an element are off.
+/// Content of an options file. A feature is off if the file does not contain its element.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
     /// `<control reference>`: target utilization of the cores, as a ratio; `None` for the default.
@@ -100,7 +101,8 @@
         }
     }
 
-    /// Replaces the elements that a change contains. Other elements stay as they are.
+    /// Replaces the settings of each element that `change` contains. The settings of all other elements stay
+    /// unchanged.
     pub fn overlay(&mut self, change: Options) {
         fn replace<T>(own: &mut Option<T>, new: Option<T>) {
             if new.is_some() {
--- a/crates/configuration/src/replication.rs
+++ b/crates/configuration/src/replication.rs
@@ -16,13 +16,13 @@
 pub struct Replication {
     /// Region in which this member runs.
     pub region: String,
-    /// Zone of that region.
+    /// Zone in which this member runs, within its region.
     pub zone: String,
     /// Path of the file that stores the last good revision, as written (relative to the options file).
     pub file: PathBuf,
     /// Names of the control machines that store the log.
     pub replicas: Vec<String>,
-    /// Time between two pulls; default 500 ms.
+    /// Time between two pulls, in each of which a member sends its digest to a random member; default 500 ms.
     pub pull_period: u64,
     /// Limit on the bytes per second that a server sends for replication; default 12,000.
     pub bytes_a_second: u64,
--- a/crates/configuration/src/rollout.rs
+++ b/crates/configuration/src/rollout.rs
@@ -14,9 +14,9 @@
 pub struct Rollout {
     /// Path of the candidate settings, as written (relative to the options file).
     pub candidate: PathBuf,
-    /// Path of the candidate program, as written (relative to the options file). If it is present, the
-    /// supervisor of this server must start the program named in the program mark, and start it again when it
-    /// exits.
+    /// Path of the candidate program, as written (relative to the options file). If a path is present, this
+    /// server's supervisor must start the program named in the program mark, and must restart the program
+    /// when it exits.
     pub program: Option<PathBuf>,
     /// Maximum number of servers that run at the same time, including coordinators.
     pub servers: u64,
--- a/crates/configuration/src/shared_state.rs
+++ b/crates/configuration/src/shared_state.rs
@@ -31,7 +31,7 @@
 /// nanoseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Budget {
-    /// Name of the budget in the fleet.
+    /// Name of the budget, by which all servers of the fleet refer to it.
     pub name: String,
     /// Number of calls that the whole fleet may have in flight.
     pub total: u64,
@@ -53,9 +53,9 @@
     /// Number of servers that must report a service as slow or failing before it is ejected, 1 to 1000;
     /// default 2.
     pub accusers_min: usize,
-    /// Maximum part of the tier that is ejected, in thousandths; default 500.
+    /// Maximum share of the tier's services that may be ejected at once, in thousandths; default 500.
     pub max_ejected_thousandths: usize,
-    /// Time after which a report expires, in nanoseconds; default 5 s.
+    /// Time after which a server's report on a service expires, in nanoseconds; default 5 s.
     pub expiry: u64,
     /// The services. Every server must list the same services in the same order.
     pub services: Vec<TierService>,
--- a/crates/configuration/src/tenants.rs
+++ b/crates/configuration/src/tenants.rs
@@ -9,7 +9,7 @@
 
 /// Maximum length of a tenant's name, in bytes.
 const NAME_BYTES_MAX: usize = 2048;
-/// Bounds of a tenant's weight, which is a ratio.
+/// Bounds of a tenant's weight, which is a ratio. This constant is the minimum.
 pub(crate) const WEIGHT_MIN: f64 = 1e-3;
 pub(crate) const WEIGHT_MAX: f64 = 1e3;
 
@@ -44,7 +44,7 @@
 pub struct Tenants {
     /// Part of a call that identifies its tenant.
     pub source: TenantSource,
-    /// Part of a call that a tenant cannot forge.
+    /// Part of a call that identifies its origin, which a tenant cannot forge.
     pub origin: Origin,
     /// Ratio of its priority weight that an invocation beyond its tenant's quota keeps; default 0.1.
     pub surplus_value: f64,
--- a/crates/deployment-settings/src/deployment.rs
+++ b/crates/deployment-settings/src/deployment.rs
@@ -84,8 +84,8 @@
     })
 }
 
-/// Reads the settings of the controller. Paths are read in a fixed order, so that of several invalid settings
-/// always the same one is reported.
+/// Reads the settings of the controller. Paths are read in a fixed order. If several settings are invalid,
+/// the first one in this order is reported.
 fn deployment(
     values: &Values,
     operations: Vec<Operation>,
--- a/crates/deployment-settings/src/lib.rs
+++ b/crates/deployment-settings/src/lib.rs
@@ -37,7 +37,7 @@
     /// Names of the tenants, in the order of [`Deployment::tenant_allowance`].
     pub tenant_names: Vec<String>,
     /// Mean number of concurrent calls that this server may have at a shared dependency; 0 if the settings
-    /// contain none.
+    /// contain no quota.
     pub dependency_quota: f64,
 }
 
--- a/crates/deployment-settings/src/wire_words.rs
+++ b/crates/deployment-settings/src/wire_words.rs
@@ -12,7 +12,7 @@
     ("once", Effect::NonIdempotent),
 ];
 
-/// Words for the effect of preempting a run.
+/// Words for the effect of preempting a running invocation.
 pub const PREEMPTIONS: Words<Preemption> =
     &[("off", Preemption::Unsupported), ("discard", Preemption::Discards), ("freeze", Preemption::Pauses)];
 
@@ -24,8 +24,8 @@
     ("weight", Advertisement::Weight),
 ];
 
-/// Kind of the downstream services that runs call. The settings of a shared dependency have paths of their
-/// own.
+/// Kind of the downstream services that are called by running invocations. A shared dependency has settings
+/// at separate paths.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DownstreamKind {
     None,
@@ -37,6 +37,7 @@
 pub const DOWNSTREAMS: Words<DownstreamKind> =
     &[("off", DownstreamKind::None), ("tier", DownstreamKind::Tier), ("one_for_all", DownstreamKind::Shared)];
 
-/// Names of the gauges that the controller uses.
+/// Names of the gauges that the controller uses: the utilization of the cores, and the number of runnable
+/// threads.
 pub const UTILIZATION_GAUGE: &str = "cpu_busy";
 pub const RUNNABLE_GAUGE: &str = "runnable";
--- a/crates/deployment-settings/tests/outside_names.rs
+++ b/crates/deployment-settings/tests/outside_names.rs
@@ -5,7 +5,7 @@
 use meadowstream_overload_control::{Advertisement, Downstream, Effect, Preemption};
 use test_case::test_case;
 
-/// Settings with every path that is read.
+/// Settings that contain every path that this crate reads.
 const EVERY_PATH: &str = "grades.count=2\ngrades.0.name=load\ngrades.0.effect=by_key\n\
     grades.0.target=2000000\ngrades.0.give-up=5000000\ngrades.0.window=6000000\ngrades.0.worth=2.5\n\
     grades.0.late-worth=0.5\ngrades.1.name=save\ngrades.1.effect=once\ngrades.1.target=1000000\n\
--- a/crates/hot-restart/src/frames.rs
+++ b/crates/hot-restart/src/frames.rs
@@ -5,7 +5,8 @@
 use crate::Nanos;
 use serde::{Deserialize, Serialize};
 
-/// Maximum length of a message, in bytes. Larger state is sent in parts; larger changes cannot be sent.
+/// Maximum length of a message, in bytes. Larger state is sent in parts. Changes since the state was sent
+/// must fit into one message.
 pub const MESSAGE_BYTES_MAX: usize = 256 * 1024;
 /// Length of a frame's header, in bytes: message length and checksum, 4 bytes each, little-endian.
 const HEADER_BYTES: usize = 8;
@@ -150,8 +151,8 @@
         self.buffer.extend_from_slice(&bytes[..count]);
     }
 
-    /// Returns the next frame, or `None` until it is complete. After an error, every call returns the same
-    /// error.
+    /// Returns the next frame, or `None` if the frame has not been received completely. After an error, every
+    /// call returns the same error.
     pub fn next_frame(&mut self) -> Result<Option<Frame>, FrameError> {
         let result = match self.first_error {
             Some(error) => Err(error),
@@ -161,7 +162,7 @@
         result
     }
 
-    /// Decodes the frame at the start of the buffer and removes it from there.
+    /// Decodes the frame at the start of the buffer, and removes the frame from the buffer.
     fn read_frame(&mut self) -> Result<Option<Frame>, FrameError> {
         let (Some(bytes), Some(declared)) = (self.header_word(0), self.header_word(4)) else {
             return Ok(None);
@@ -184,7 +185,8 @@
         Ok(Some(frame))
     }
 
-    /// Returns the number of 4 bytes at an offset in the header, or `None` until it has been received.
+    /// Returns the 4-byte integer at an offset in the frame's header, or `None` if its bytes have not been
+    /// received.
     fn header_word(&self, offset: usize) -> Option<u32> {
         let bytes = self.buffer.get(offset..offset + 4)?;
         Some(u32::from_le_bytes(bytes.try_into().ok()?))
--- a/crates/hot-restart/src/predecessor.rs
+++ b/crates/hot-restart/src/predecessor.rs
@@ -13,15 +13,16 @@
     pub switch: Nanos,
     /// Duration of the trial. The predecessor waits twice this time for the end of the trial.
     pub trial: Nanos,
-    /// Backoff after the first failed attempt. It doubles with each further failure.
+    /// Time after the first failed attempt before the next attempt may start. Each further failure doubles
+    /// this time.
     pub backoff: Nanos,
-    /// Maximum backoff.
+    /// Maximum time after a failed attempt before the next attempt may start.
     pub backoff_max: Nanos,
 }
 
-/// The trial times out after this many times its duration.
+/// The predecessor aborts a trial that has not ended after this many times the duration of a trial.
 const TRIAL_TIMEOUT_FACTOR: Nanos = 2;
-/// Maximum number of times that the backoff is doubled.
+/// Maximum number of times that the backoff is doubled; further failures leave it unchanged.
 const BACKOFF_DOUBLINGS_MAX: u32 = 20;
 
 /// Phase of the predecessor.
@@ -29,7 +30,7 @@
 pub enum Phase {
     /// No upgrade is in progress.
     Serving,
-    /// The successor has been started, and the offer has been sent to it.
+    /// The successor has been started, and the offer of protocol versions has been sent to it.
     Offered,
     /// The successor is checking its configuration.
     Preparing,
@@ -40,7 +41,7 @@
     /// The successor is active. The predecessor keeps everything it handed over.
     Trial,
     /// The attempt failed. The successor is being killed, and its announcements are read until the end of the
-    /// stream. The predecessor is active meanwhile if the release had not been sent.
+    /// stream. Meanwhile, the predecessor is active unless the release had been sent.
     Aborting,
     /// The upgrade succeeded, and the predecessor can no longer resume.
     Retired,
@@ -51,11 +52,11 @@
 pub enum Event {
     /// The operator requests an upgrade.
     UpgradeRequested,
-    /// A frame was received.
+    /// A frame was received from the successor.
     Frame(Frame),
-    /// Bytes were received that are not a valid frame.
+    /// Bytes that are not a valid frame were received from the successor.
     InvalidFrame,
-    /// The stream has ended; no more bytes will be received.
+    /// The stream from the successor has ended; no more bytes will be received.
     StreamEnded,
     /// The successor's process has exited.
     SuccessorExited,
@@ -71,7 +72,7 @@
 pub enum Action {
     /// Start the successor and give it one end of a new stream.
     StartSuccessor,
-    /// Send a frame.
+    /// Send a frame to the successor.
     Send(Frame),
     /// Send the state in parts, each in a [`Frame::State`].
     SendState,
--- a/crates/hot-restart/src/successor.rs
+++ b/crates/hot-restart/src/successor.rs
@@ -23,31 +23,32 @@
     Confirmed,
     /// Active. Each answer is announced before it is sent.
     Trial,
-    /// Active, with the end of the trial reported. Each answer is still announced before it is sent.
+    /// Active. The end of the trial has been reported to the predecessor. Each answer is still announced
+    /// before it is sent.
     TrialOver,
     /// Active. The predecessor can no longer resume.
     Independent,
-    /// The process must exit at once; it owns nothing.
+    /// The successor's process must exit at once. It owns no state and no connections.
     Exited,
 }
 
 /// An input of the successor.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// A frame was received.
+    /// A frame was received from the predecessor.
     Frame(Frame),
-    /// Bytes were received that are not a valid frame.
+    /// Bytes that are not a valid frame were received from the predecessor.
     InvalidFrame,
     /// The predecessor's end of the stream was closed.
     StreamEnded,
     /// The configuration has been checked.
     ConfigurationChecked {
-        /// Reason why the configuration cannot be used; `None` if it can.
+        /// Reason why the configuration cannot be used; `None` if it can be used.
         rejection: Option<String>,
     },
     /// The state has been loaded, or loading it failed.
     StateLoaded {
-        /// Reason why the state cannot be used; `None` if it can.
+        /// Reason why the state cannot be used; `None` if it can be used.
         rejection: Option<String>,
     },
 }
@@ -55,15 +56,15 @@
 /// An action for the caller. Actions must be carried out in the order returned.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Send a frame.
+    /// Send a frame to the predecessor.
     Send(Frame),
-    /// Check the configuration and that its digest equals `digest`, and report
+    /// Check that the successor's configuration is valid and that its digest equals `digest`, and report
     /// [`Event::ConfigurationChecked`].
     CheckConfiguration {
         /// Digest of the predecessor's configuration.
         digest: u64,
     },
-    /// Store a part of the state.
+    /// Store one part of the predecessor's state.
     StorePart {
         /// Index of the part, from 0.
         part: u32,
@@ -84,7 +85,7 @@
         /// Time until the process is stopped, in nanoseconds.
         grace: Nanos,
     },
-    /// Exit. The predecessor still owns everything.
+    /// Exit. The predecessor still owns all state and connections.
     Exit,
 }
 
@@ -136,8 +137,8 @@
         }
     }
 
-    /// Returns the frame to send before giving this answer, or `None` outside the trial, where answers need
-    /// no announcement.
+    /// Returns the frame that announces an answer and must be sent to the predecessor before the answer is
+    /// sent to the caller. Returns `None` outside the trial, where answers need no announcement.
     pub fn announce(&self, answer: AnnouncedAnswer) -> Option<Frame> {
         matches!(self.phase, Phase::Trial | Phase::TrialOver).then_some(Frame::Announce(answer))
     }
@@ -155,8 +156,8 @@
         vec![Action::Send(Frame::Refuse { reason: reason.to_string() }), Action::Exit]
     }
 
-    /// Ends the trial once its duration has passed. In earlier phases, refuses if the predecessor has not
-    /// completed its step in time.
+    /// Ends the trial once its duration has passed. In earlier phases, refuses the upgrade if the predecessor
+    /// has not completed its current step in time.
     pub fn handle_timeout(&mut self, now: Nanos) -> Vec<Action> {
         if self.poll_timeout().is_none_or(|deadline| now < deadline) {
             return Vec::new();
@@ -202,12 +203,13 @@
         }
     }
 
-    /// Refuses because a frame or event is not expected in the current phase.
+    /// Refuses the upgrade because a frame or event is not expected in the current phase.
     fn refuse_unexpected(&mut self) -> Vec<Action> {
         self.refuse("a frame that is not due")
     }
 
-    /// Handles a frame; refuses one that is not expected in the current phase.
+    /// Handles a frame from the predecessor. A frame that is not expected in the current phase makes the
+    /// successor refuse the upgrade.
     fn handle_frame(&mut self, now: Nanos, frame: Frame) -> Vec<Action> {
         match (self.phase, frame) {
             (Phase::Waiting, Frame::Offer { versions, .. }) => {
@@ -261,7 +263,8 @@
         actions
     }
 
-    /// Handles an event while the successor is active. It stays active whatever the predecessor does.
+    /// Handles an event while the successor is active. The successor stays active whatever the predecessor
+    /// does.
     fn handle_while_active(&mut self, event: Event) -> Vec<Action> {
         match event {
             Event::Frame(Frame::Drain { grace }) => vec![Action::Drain { grace }],
--- a/crates/hot-restart/tests/model.rs
+++ b/crates/hot-restart/tests/model.rs
@@ -30,7 +30,7 @@
     to_predecessor: VecDeque<Frame>,
     /// Whether the predecessor has received the end of the stream.
     stream_ended: bool,
-    /// Whether the predecessor has received the exit of the successor.
+    /// Whether the exit of the successor has been reported to the predecessor.
     exit_reported: bool,
     /// Number of answers that the caller of each invocation received.
     answered: [u8; INVOCATIONS],
@@ -52,7 +52,7 @@
 
 /// Number of invocations in the model.
 const INVOCATIONS: usize = 2;
-/// Maximum number of upgrades, so that one may follow a failed one.
+/// Maximum number of upgrades, so that a second upgrade can follow a failed one.
 const UPGRADES_MAX: u8 = 2;
 
 /// A transition of the model.
@@ -110,8 +110,8 @@
                     announced
                         .iter()
                         .for_each(|answer| self.known_to_predecessor[answer.invocation as usize] = true);
-                    // The announced answers that the successor may not have sent are completed, without
-                    // sending any twice: the kernel reports how many bytes were written.
+                    // The predecessor completes announced answers that the successor may not have sent. No
+                    // answer is sent twice, because the kernel reports how many bytes were written.
                     for answer in &announced {
                         let answers = &mut self.answered[answer.invocation as usize];
                         *answers = (*answers).max(1);
@@ -339,7 +339,8 @@
             Property::always("some process stays active", |model: &HotRestart, system: &SystemState| {
                 let mut steps = Vec::new();
                 model.actions(system, &mut steps);
-                // If only kills and requests can still happen, a process that is alive must be active.
+                // If only kills and requests can still happen, one of the processes that are alive must be
+                // active, unless the predecessor has retired.
                 let is_external = |step: &Step| {
                     matches!(
                         step,
--- a/crates/simulator-adapter/src/codec/event.rs
+++ b/crates/simulator-adapter/src/codec/event.rs
@@ -61,7 +61,8 @@
 /// Bit of an arrival's flags: the caller marked the request as a retry.
 const IS_MARKED_RETRY: u8 = 2;
 
-/// Maximum number of gauges that the protocol allows in a timer event. A record has space for more.
+/// Maximum number of gauge readings that the protocol allows in a timer event. An event with more is
+/// rejected, although a record has space for more.
 const GAUGES_MAX: usize = 4;
 
 /// Gauge readings of a timer event, in the order of the gauges in the settings.
@@ -89,7 +90,7 @@
     Arrived { arrival: Arrival },
     /// A run has finished.
     RunFinished { id: u64, outcome: Outcome },
-    /// A run has reached its downstream call.
+    /// A run has reached the point at which it needs its downstream call.
     CallNeeded { id: u64 },
     /// A downstream call has finished; `duration` is its duration in nanoseconds.
     CallFinished { id: u64, outcome: Outcome, duration: Nanos },
--- a/crates/simulator-adapter/src/codec/reply.rs
+++ b/crates/simulator-adapter/src/codec/reply.rs
@@ -34,9 +34,9 @@
 pub struct Reply {
     records: Vec<u8>,
     tail: Vec<u8>,
-    /// Instance that new actions belong to.
+    /// Number of the instance that new actions belong to.
     selected: Option<u16>,
-    /// Instance of the last [`code::INSTANCE`] record in the reply.
+    /// Number of the instance in the last [`code::INSTANCE`] record of the reply.
     recorded: Option<u16>,
 }
 
@@ -60,8 +60,8 @@
         (self.selected, self.recorded) = (None, None);
     }
 
-    /// Adds an action of the selected instance, preceded by a record that selects the instance if it differs
-    /// from the last one.
+    /// Adds an action of the selected instance, preceded by a record that selects the instance if the
+    /// previous record of the reply belongs to another instance.
     fn push(&mut self, code: u8, fields: &[&[u8]]) {
         if self.recorded != self.selected {
             self.recorded = self.selected;
--- a/crates/simulator-adapter/src/instances.rs
+++ b/crates/simulator-adapter/src/instances.rs
@@ -36,9 +36,9 @@
 /// A simulated server: its controller, and limits for checking arrivals.
 struct Instance {
     controller: Controller,
-    /// Index of the gauge of the utilization.
+    /// Index of the gauge that reports the utilization of the cores.
     utilization_gauge: Option<usize>,
-    /// Index of the gauge of the number of runnable threads.
+    /// Index of the gauge that reports the number of runnable threads.
     runnable_gauge: Option<usize>,
     /// Number of operations.
     operations: usize,
