--- a/crates/cli/examples/mixed_fleet.rs
+++ b/crates/cli/examples/mixed_fleet.rs
@@ -36,9 +36,9 @@
     let (address, downstream) = downstream_service::start(Duration::from_millis(100))?;
     let options = HarnessOptions {
         cores: 4.0,
-        records: vec![address; PROCESSES],
-        own_options: (0..PROCESSES).map(options).collect(),
-        controls: CONTROL_MACHINES,
+        downstream_services: vec![address; PROCESSES],
+        server_options: (0..PROCESSES).map(options).collect(),
+        control_servers: CONTROL_MACHINES,
         programs,
         ..HarnessOptions::default()
     };
--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -82,7 +82,7 @@
     println!(
         "{all} tenants at {cores} cores, asking for three times of what they can do, nine tenths by one\n"
     );
-    let report = tenant_rehearsal::play(&this_program()?, plan, |line| println!("{line}"))?;
+    let report = tenant_rehearsal::run(&this_program()?, plan, |line| println!("{line}"))?;
     println!("\n{}", table(&report.groups));
     println!("Of the overload phase alone; \"in time\" is within the objective from the first attempt,");
     println!("\"kept\" the part of returns as advised that were admitted.");
--- a/crates/cli/tests/fair_queues.rs
+++ b/crates/cli/tests/fair_queues.rs
@@ -15,7 +15,7 @@
 fn play(plan: RehearsalPlan) -> RehearsalReport {
     let _alone = REHEARSAL.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
     let program = Path::new(env!("CARGO_BIN_EXE_meadowstream"));
-    let report = tenant_rehearsal::play(program, plan, |line| println!("{line}")).unwrap();
+    let report = tenant_rehearsal::run(program, plan, |line| println!("{line}")).unwrap();
     println!("{}\n{}", table(&report.groups), report.tenant_lines.join("\n"));
     report
 }
@@ -68,10 +68,10 @@
     // does where the machine under the test is taken away for a moment, and counts that as broken itself:
     // 14 in one of three runs beside six busy processes, 0 in most. Of the others nearly all are kept;
     // it was 0.73 where those who return had no place in the order.
-    let returns = light.returns + flood.returns;
+    let returns = light.advised_retries + flood.advised_retries;
     let broken = count_of(&report, "broken");
-    let kept =
-        (light.returns_admitted + flood.returns_admitted) as f64 / returns.saturating_sub(broken) as f64;
+    let kept = (light.advised_retries_admitted + flood.advised_retries_admitted) as f64
+        / returns.saturating_sub(broken) as f64;
     assert!(returns > 100 && broken * 20 <= returns, "{broken} broken of {returns}");
     assert!(kept >= 0.97, "{kept} of {returns} less {broken}");
     assert!(flood.in_time > 0, "what others leave is the flood's");
--- a/crates/cli/tests/fleet_cold.rs
+++ b/crates/cli/tests/fleet_cold.rs
@@ -36,8 +36,8 @@
     );
     let options = HarnessOptions {
         cores: 4.0,
-        records: vec![parties[0].0; PROCESSES],
-        own_options: vec![own; PROCESSES],
+        downstream_services: vec![parties[0].0; PROCESSES],
+        server_options: vec![own; PROCESSES],
         ..HarnessOptions::default()
     };
     let program = Path::new(env!("CARGO_BIN_EXE_meadowstream"));
--- a/crates/cli/tests/fleet_membership.rs
+++ b/crates/cli/tests/fleet_membership.rs
@@ -86,8 +86,10 @@
 /// Gossip in short packets, as a bound on the view's bytes makes them.
 #[test]
 fn halves_with_a_bound_on_bytes_have_one_view_after_the_heal() {
-    let options =
-        HarnessOptions { membership: "bytes-a-second=\"20000\"".to_string(), ..HarnessOptions::default() };
+    let options = HarnessOptions {
+        membership_attributes: "bytes-a-second=\"20000\"".to_string(),
+        ..HarnessOptions::default()
+    };
     let program = Path::new(env!("CARGO_BIN_EXE_meadowstream"));
     let fleet = FleetHarness::with_options(program, 4, 4, 18, options).unwrap();
     for i in 0..4 {
@@ -179,7 +181,7 @@
     agreed(&fleet, &all(5), Duration::from_secs(15));
     let bound = fleet.log_lines(4, "joining")[0]["bound"].as_str().unwrap().parse().unwrap();
     fleet.signal(4, "KILL").unwrap();
-    let options = HarnessOptions { first_bind: Some(bound), ..HarnessOptions::default() };
+    let options = HarnessOptions { first_membership_bind: Some(bound), ..HarnessOptions::default() };
     let program = Path::new(env!("CARGO_BIN_EXE_meadowstream"));
     let other = FleetHarness::with_options(program, 5, 5, 20, options).unwrap();
     agreed(&other, &all(5), Duration::from_secs(15));
--- a/crates/cli/tests/fleet_rollout.rs
+++ b/crates/cli/tests/fleet_rollout.rs
@@ -31,13 +31,13 @@
     // are known.
     let own = format!("127.0.{seed}.1:0");
     let held: Vec<TcpListener> = (0..8).map(|_| TcpListener::bind(&own).unwrap()).collect();
-    let listens = held.iter().map(|listener| listener.local_addr().unwrap()).collect();
+    let listen_addresses = held.iter().map(|listener| listener.local_addr().unwrap()).collect();
     drop(held);
     let options = HarnessOptions {
         cores: 2.0,
-        records: vec![records; 6],
+        downstream_services: vec![records; 6],
         options: rollout,
-        listens,
+        listen_addresses,
         ..HarnessOptions::default()
     };
     let program = Path::new(env!("CARGO_BIN_EXE_meadowstream"));
@@ -161,7 +161,7 @@
 fn all_answered(floods: Vec<JoinHandle<ReplyCounts>>) -> Vec<ReplyCounts> {
     let answers: Vec<ReplyCounts> = floods.into_iter().map(|flood| flood.join().unwrap()).collect();
     for each in &answers {
-        assert_eq!((each.errored, each.none), (0, 0), "{answers:?}");
+        assert_eq!((each.errored, each.unanswered), (0, 0), "{answers:?}");
         assert_eq!(each.succeeded + each.throttled, each.sent, "{answers:?}");
     }
     answers
@@ -362,7 +362,7 @@
             assert!(began.elapsed() < Duration::from_secs(70), "{:#?}", coordinator.lines.lock().unwrap());
             if broken && restarts.len() == 1 {
                 // The first to come back is stopped for good: it never reports.
-                fleet.signal_only(restarts[0], "STOP").unwrap();
+                fleet.signal_and_keep(restarts[0], "STOP").unwrap();
                 restarts.push(restarts[0]);
             }
             std::thread::sleep(Duration::from_millis(50));
@@ -376,7 +376,7 @@
         // all.
         for (i, each) in answers.iter().enumerate() {
             let stopped = broken && restarts.contains(&i);
-            assert!(stopped || (each.errored + each.none) * 50 <= each.sent, "s{i}: {answers:?}");
+            assert!(stopped || (each.errored + each.unanswered) * 50 <= each.sent, "s{i}: {answers:?}");
             assert_eq!(fleet.repeated_runs(i), 0);
         }
         if broken {
--- a/crates/cli/tests/fleet_scale.rs
+++ b/crates/cli/tests/fleet_scale.rs
@@ -28,8 +28,9 @@
 }
 
 fn start_fleet(seed: u64) -> FleetHarness {
-    let own_options = (0..PROCESSES).map(replication).collect();
-    let options = HarnessOptions { own_options, controls: CONTROLS, cores: 1.0, ..HarnessOptions::default() };
+    let server_options = (0..PROCESSES).map(replication).collect();
+    let options =
+        HarnessOptions { server_options, control_servers: CONTROLS, cores: 1.0, ..HarnessOptions::default() };
     let program = Path::new(env!("CARGO_BIN_EXE_meadowstream"));
     let fleet = FleetHarness::with_options(program, PROCESSES + 1, PROCESSES, seed, options).unwrap();
     wait_for(PATIENCE, || publisher(&fleet)).expect("a publisher");
--- a/crates/cli/tests/fleet_state.rs
+++ b/crates/cli/tests/fleet_state.rs
@@ -25,8 +25,12 @@
         LEASE.as_millis()
     );
     let options = if shared { budget } else { String::new() };
-    let options =
-        HarnessOptions { cores: 4.0, records: vec![address; 6], options, ..HarnessOptions::default() };
+    let options = HarnessOptions {
+        cores: 4.0,
+        downstream_services: vec![address; 6],
+        options,
+        ..HarnessOptions::default()
+    };
     let program = Path::new(env!("CARGO_BIN_EXE_meadowstream"));
     (FleetHarness::with_options(program, 6, started, seed, options).unwrap(), records)
 }
@@ -65,8 +69,8 @@
         let same = each.iter().all(|count| *count == each[0]);
         // The same by operation and kind of answer.
         let answered = |&i: &usize| total(fleet, i, "succeeded/load") + total(fleet, i, "throttled/load");
-        let by_kind = who.iter().all(|i| answered(i) + answers.errored + answers.none >= sent);
-        (same && by_kind && (sent - answers.none..=sent).contains(&each[0])).then_some(())
+        let by_kind = who.iter().all(|i| answered(i) + answers.errored + answers.unanswered >= sent);
+        (same && by_kind && (sent - answers.unanswered..=sent).contains(&each[0])).then_some(())
     };
     let seen = wait_for(Duration::from_secs(15), agree);
     assert!(
@@ -83,7 +87,7 @@
         all.sent += each.sent;
         all.succeeded += each.succeeded;
         all.throttled += each.throttled;
-        (all.errored, all.none) = (all.errored + each.errored, all.none + each.none);
+        (all.errored, all.unanswered) = (all.errored + each.errored, all.unanswered + each.unanswered);
         (all.unsent, all.broken) = (all.unsent + each.unsent, all.broken + each.broken);
         all.unexpected += each.unexpected;
     }
@@ -126,7 +130,7 @@
     assert!(most <= TOTAL, "{most} at once");
     assert!(most >= TOTAL / 2 && answers.succeeded > 0, "{most} at once, {answers:?}");
     // None of either on a machine at rest.
-    assert!((answers.errored + answers.none) * 100 <= answers.sent, "answered at once: {answers:?}");
+    assert!((answers.errored + answers.unanswered) * 100 <= answers.sent, "answered at once: {answers:?}");
     counts_agree(&fleet, &all, &answers);
 
     // The holder of most is killed while the others ask for all, and a newcomer joins.
@@ -198,7 +202,7 @@
     let floor = |within| wait_for(within, || (field(&fleet, 0, "floor") == FLOOR).then_some(()));
     assert!(floor(Duration::from_secs(10)).is_some());
     std::fs::write(&xml, bad).unwrap();
-    fleet.signal_only(0, "HUP").unwrap();
+    fleet.signal_and_keep(0, "HUP").unwrap();
     std::thread::sleep(Duration::from_millis(700));
     assert_eq!((field(&fleet, 0, "floor"), field(&fleet, 0, "leased")), (FLOOR, 0));
     assert!(fleet.has_logged(0, "configuration kept as it was"), "the refusal is in the log");
@@ -234,9 +238,9 @@
         };
         let options = HarnessOptions {
             cores: 4.0,
-            records: vec![parties[0].0; 5],
+            downstream_services: vec![parties[0].0; 5],
             options: r#"<tenants by="sender"><tenant name="1"/></tenants>"#.into(),
-            own_options: (0..5).map(own).collect(),
+            server_options: (0..5).map(own).collect(),
             ..HarnessOptions::default()
         };
         let program = Path::new(env!("CARGO_BIN_EXE_meadowstream"));
--- a/crates/cli/tests/soak.rs
+++ b/crates/cli/tests/soak.rs
@@ -1,7 +1,7 @@
 //! The soak, short: runs of a few seeds. Others are played three at a time by
 //! `SOAK_SEEDS=FIRST..LAST cargo test -p meadowstream --test soak by_hand -- --ignored --nocapture`.
 
-use meadowstream_test_doubles::soak::{Outcome, Totals, play};
+use meadowstream_test_doubles::soak::{SoakReport, Totals, run};
 use std::path::Path;
 use std::sync::Mutex;
 use test_case::test_case;
@@ -9,18 +9,18 @@
 /// Runs that are played side by side by hand.
 const SIDE_BY_SIDE: usize = 3;
 
-fn played(seed: u64) -> Outcome {
-    play(Path::new(env!("CARGO_BIN_EXE_meadowstream")), seed)
+fn played(seed: u64) -> SoakReport {
+    run(Path::new(env!("CARGO_BIN_EXE_meadowstream")), seed)
         .unwrap_or_else(|error| panic!("seed {seed}: {error:#}"))
 }
 
-fn report(outcome: &Outcome) -> String {
-    let Outcome { plan, breaches, order, totals } = outcome;
-    let breaches: String = breaches.iter().map(|breach| format!("  {breach}\n")).collect();
+fn report(outcome: &SoakReport) -> String {
+    let SoakReport { plan, violations, order, totals } = outcome;
+    let violations: String = violations.iter().map(|violation| format!("  {violation}\n")).collect();
     let Totals { sent, succeeded, crossed, unsent, descriptors, stalled_ms } = totals;
     format!(
         "seed {}: {} servers, {:.0} a second, {sent} sent, {succeeded} succeeded, {crossed} crossed, \
-         {unsent} unsent, {descriptors} descriptors, machine stalled for {stalled_ms} ms\n  {}\n{breaches}",
+         {unsent} unsent, {descriptors} descriptors, machine stalled for {stalled_ms} ms\n  {}\n{violations}",
         plan.seed,
         plan.servers,
         plan.rate,
@@ -70,7 +70,7 @@
 #[test_case(40)]
 fn every_rule_holds_under_load_and_signals(seed: u64) {
     let outcome = played(seed);
-    assert!(outcome.breaches.is_empty(), "{}", report(&outcome));
+    assert!(outcome.violations.is_empty(), "{}", report(&outcome));
 }
 
 /// Minutes: for runs by hand.
@@ -86,7 +86,7 @@
         while let Some(seed) = { left.lock().unwrap().next() } {
             let outcome = played(seed);
             println!("{}", report(&outcome));
-            if !outcome.breaches.is_empty() {
+            if !outcome.violations.is_empty() {
                 broken.lock().unwrap().push(seed);
             }
         }
--- a/crates/test-doubles/src/fleet/files.rs
+++ b/crates/test-doubles/src/fleet/files.rs
@@ -16,21 +16,21 @@
     /// Cores of an interpreter for each; none is started where 0.
     pub cores: f64,
     /// Downstream service of each.
-    pub records: Vec<SocketAddr>,
+    pub downstream_services: Vec<SocketAddr>,
     /// Attributes of `<membership>` beside those that each process has.
-    pub membership: String,
+    pub membership_attributes: String,
     /// Elements of the options file beside `<membership>`.
     pub options: String,
     /// Further elements, for each server its own.
-    pub own_options: Vec<String>,
+    pub server_options: Vec<String>,
     /// The first so many are control machines, which keep the log of configuration and serve nothing.
-    pub controls: usize,
+    pub control_servers: usize,
     /// Where each accepts calls; a free port of its own where not given.
-    pub listens: Vec<SocketAddr>,
+    pub listen_addresses: Vec<SocketAddr>,
     /// Programs of the first servers, where these are not the harness's.
     pub programs: Vec<PathBuf>,
     /// Where the first server binds its membership; a free port where not given.
-    pub first_bind: Option<SocketAddr>,
+    pub first_membership_bind: Option<SocketAddr>,
 }
 
 /// Addresses in the configuration of one server.
@@ -75,19 +75,19 @@
 impl Display for OptionsFile<'_> {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
         let Self { index, advertised, seed, members, given } = self;
-        let HarnessOptions { membership, options, .. } = given;
-        let given_bind = given.first_bind.filter(|_| *index == 0);
+        let HarnessOptions { membership_attributes, options, .. } = given;
+        let given_bind = given.first_membership_bind.filter(|_| *index == 0);
         let bind = given_bind.map_or("127.0.0.1:0".to_string(), |bind| bind.to_string());
-        let own_options = given.own_options.get(*index).map_or("", String::as_str);
+        let server_options = given.server_options.get(*index).map_or("", String::as_str);
         write!(
             formatter,
             r#"<meadowstream xmlns="urn:meadowstream:options:1">
   <membership bind="{bind}" advertise="{advertised}" name="s{index}" fleet="rehearsal" key-file="key"
       probe-period-ms="{PROBE_PERIOD_MS}" probe-rtt-ms="80" suspicion-multiplier="{SUSPICION_PERIODS}"
-      gossip-period-ms="100" announce-period-ms="1000" expected-members="{members}" {membership}>
+      gossip-period-ms="100" announce-period-ms="1000" expected-members="{members}" {membership_attributes}>
     <seed address="{seed}"/>
   </membership>
-  {options}{own_options}
+  {options}{server_options}
 </meadowstream>"#
         )
     }
--- a/crates/test-doubles/src/fleet/harness.rs
+++ b/crates/test-doubles/src/fleet/harness.rs
@@ -96,11 +96,17 @@
     }
 
     fn write_files(&self, index: usize, interpreter: SocketAddr) -> Result<()> {
-        let listen = self.options.listens.get(index).map_or("127.0.0.1:0".to_string(), SocketAddr::to_string);
+        let listen =
+            self.options.listen_addresses.get(index).map_or("127.0.0.1:0".to_string(), SocketAddr::to_string);
         let addresses = ServerAddresses {
             listen,
             interpreter: interpreter.to_string(),
-            downstream_service: self.options.records.get(index).unwrap_or(&interpreter).to_string(),
+            downstream_service: self
+                .options
+                .downstream_services
+                .get(index)
+                .unwrap_or(&interpreter)
+                .to_string(),
             registry: self.registry.local_addr()?.to_string(),
         };
         let configuration = configuration(index, self.options.cores.max(1.0), &addresses);
@@ -123,7 +129,7 @@
         let marked = mark.as_ref().and_then(|mark| mark.trim().split_once(' ')).map(|(_, path)| path);
         let own_program = self.options.programs.get(index).unwrap_or(&self.program);
         let mut command = Command::new(marked.map_or(own_program.as_path(), Path::new));
-        if index < self.options.controls {
+        if index < self.options.control_servers {
             command.args(["control", "--log", "json"]);
         } else {
             let configuration = self.folder.join(format!("s{index}.json"));
@@ -178,7 +184,7 @@
 
     /// Sends a signal by name (KILL, STOP, CONT) to server `index`; after KILL it counts as not started.
     pub fn signal(&mut self, index: usize, name: &str) -> Result<()> {
-        self.signal_only(index, name)?;
+        self.signal_and_keep(index, name)?;
         if name == "KILL" {
             self.processes[index] = None;
         }
@@ -186,7 +192,7 @@
     }
 
     /// Sends a signal and keeps the server's process and log.
-    pub fn signal_only(&self, index: usize, name: &str) -> Result<()> {
+    pub fn signal_and_keep(&self, index: usize, name: &str) -> Result<()> {
         self.processes[index].as_ref().with_context(|| format!("s{index} is not running"))?.signal(name)
     }
 
@@ -237,7 +243,7 @@
     }
 
     /// All log lines of server `index` with the time at which each was written, the oldest first.
-    pub fn stamped_lines(&self, index: usize) -> Vec<(String, Value)> {
+    pub fn timestamped_log_lines(&self, index: usize) -> Vec<(String, Value)> {
         let Some(log) = self.log(index) else { return Vec::new() };
         log.lines().iter().map(|line| (line.timestamp.clone(), line.fields.clone())).collect()
     }
--- a/crates/test-doubles/src/group_report.rs
+++ b/crates/test-doubles/src/group_report.rs
@@ -32,9 +32,9 @@
     /// Never answered: no connection had capacity, or its connection broke.
     pub unsent: u64,
     /// Retries made with the ticket and at the time that the server advised.
-    pub returns: u64,
+    pub advised_retries: u64,
     /// Those of them that were admitted.
-    pub returns_admitted: u64,
+    pub advised_retries_admitted: u64,
     /// Counts by tenant.
     pub by_tenant: Vec<TenantCounts>,
     /// Microseconds from the first attempt of invocations that succeeded.
@@ -53,8 +53,8 @@
             throttled: 0,
             errored: 0,
             unsent: 0,
-            returns: 0,
-            returns_admitted: 0,
+            advised_retries: 0,
+            advised_retries_admitted: 0,
             by_tenant: vec![TenantCounts::default(); tenants],
             latency_us: Histogram::new(3).expect("a histogram takes up to five significant digits"),
         }
@@ -72,10 +72,10 @@
     }
 
     /// Part of the retries as advised that were admitted; 1 when there were none.
-    pub fn returns_admitted_ratio(&self) -> f64 {
-        match self.returns {
+    pub fn advised_retries_admitted_ratio(&self) -> f64 {
+        match self.advised_retries {
             0 => 1.0,
-            returns => self.returns_admitted as f64 / returns as f64,
+            retries => self.advised_retries_admitted as f64 / retries as f64,
         }
     }
 }
@@ -106,7 +106,8 @@
         let _ = write!(out, " {:>9.3} {:>9.3}", report.in_time_ratio(), report.lowest_in_time_ratio());
         let _ = write!(out, " {:>9} {:>9}", report.throttled, report.errored);
         let _ = write!(out, " {:>9.1} {:>9.1}", latency_ms(0.5), latency_ms(0.99));
-        let _ = writeln!(out, " {:>9} {:>9.3}", report.returns, report.returns_admitted_ratio());
+        let _ =
+            writeln!(out, " {:>9} {:>9.3}", report.advised_retries, report.advised_retries_admitted_ratio());
     }
     out
 }
--- a/crates/test-doubles/src/open_loop.rs
+++ b/crates/test-doubles/src/open_loop.rs
@@ -26,7 +26,7 @@
     /// Failed.
     pub errored: u64,
     /// No reply: the connection broke, or none could be made.
-    pub none: u64,
+    pub unanswered: u64,
     /// Of those without a reply, calls that were not sent.
     pub unsent: u64,
     /// Of those without a reply, calls whose connection broke.
@@ -49,7 +49,7 @@
             Some("good") => self.succeeded += 1,
             Some("refused") => self.throttled += 1,
             Some(_) => self.errored += 1,
-            None => self.none += 1,
+            None => self.unanswered += 1,
         }
     }
 }
--- a/crates/test-doubles/src/soak/checks.rs
+++ b/crates/test-doubles/src/soak/checks.rs
@@ -18,7 +18,7 @@
 
 /// A rule that was broken.
 #[derive(Clone, Debug, thiserror::Error)]
-pub enum Breach {
+pub enum Violation {
     /// Calls whose connection ended without an answer, and that did not cross its end.
     #[error("s{server}: {lost} calls without an answer: {replies:?}")]
     Lost {
@@ -66,7 +66,7 @@
     /// The server still accepted connections when the kill was due. That it runs is allowed: its last answers
     /// are due right before.
     #[error("s{server}: accepts {STOP_AFTER:?} after the notice to leave; {invocations}; {log:#?}")]
-    AcceptsAtTheKill {
+    AcceptsAtKill {
         /// The server.
         server: usize,
         /// Its counters right before the kill.
@@ -128,36 +128,41 @@
 }
 
 /// Breaches that the clients of one server saw. Calls may cross the end of a connection, but not the kill.
-pub fn of_clients(server: usize, replies: &ReplyCounts, stopped: Duration, killed: bool) -> Vec<Breach> {
-    let mut breaches = Vec::new();
+pub fn client_violations(
+    server: usize,
+    replies: &ReplyCounts,
+    stopped: Duration,
+    killed: bool,
+) -> Vec<Violation> {
+    let mut violations = Vec::new();
     let lost = if killed { replies.broken } else { replies.broken - replies.crossed };
     if lost > 0 {
-        breaches.push(Breach::Lost { server, lost, replies: *replies });
+        violations.push(Violation::Lost { server, lost, replies: *replies });
     }
     if replies.unexpected > 0 {
-        breaches.push(Breach::AnsweredTwice { server, replies: replies.unexpected });
+        violations.push(Violation::AnsweredTwice { server, replies: replies.unexpected });
     }
     if Duration::from_millis(replies.slowest_ms) > CLIENT_TIMEOUT + SLACK + stopped {
-        breaches.push(Breach::Late { server, slowest_ms: replies.slowest_ms, stopped });
+        violations.push(Violation::Late { server, slowest_ms: replies.slowest_ms, stopped });
     }
-    breaches
+    violations
 }
 
-/// A breach where a call that was sent after the grace succeeded; `told_ms` is when the server was told to
+/// A violation where a call that was sent after the grace succeeded; `told_ms` is when the server was told to
 /// leave, by its own log.
-pub fn of_grace(server: usize, replies: &ReplyCounts, told_ms: u64) -> Option<Breach> {
+pub fn grace_violation(server: usize, replies: &ReplyCounts, told_ms: u64) -> Option<Violation> {
     let after_ms = replies.last_success_sent_ms.saturating_sub(told_ms);
     let is_late = Duration::from_millis(after_ms) > DRAIN_GRACE + SLACK;
-    is_late.then_some(Breach::RanAfterGrace { server, after_ms })
+    is_late.then_some(Violation::RanAfterGrace { server, after_ms })
 }
 
-/// A breach where the line that a server ends with shows invocations without an end, or more than one.
-pub fn of_counters(server: usize, line: &str) -> Option<Breach> {
+/// A violation where the line that a server ends with shows invocations without an end, or more than one.
+pub fn counter_violation(server: usize, line: &str) -> Option<Violation> {
     let count = |name: &str| -> Option<u64> {
         line.split_whitespace().find_map(|word| word.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
     };
     let ends = ["succeeded", "throttled", "errored", "unanswered"].iter().map(|name| count(name));
     let ends: Option<u64> = ends.sum();
     let adds_up = ends.is_some() && ends == count("invocations");
-    (!adds_up).then(|| Breach::Counters { server, line: line.to_string() })
+    (!adds_up).then(|| Violation::Counters { server, line: line.to_string() })
 }
--- a/crates/test-doubles/src/soak/play.rs
+++ b/crates/test-doubles/src/soak/play.rs
@@ -1,6 +1,6 @@
 //! Plays one run and checks it.
 
-use super::checks::{self, Breach, Totals};
+use super::checks::{self, Totals, Violation};
 use super::idle_connections;
 use super::plan::{Event, Plan};
 use crate::downstream_service::{self, DownstreamService};
@@ -34,11 +34,11 @@
 
 /// What a run came to.
 #[derive(Debug)]
-pub struct Outcome {
+pub struct SoakReport {
     /// The run.
     pub plan: Plan,
     /// Rules that were broken.
-    pub breaches: Vec<Breach>,
+    pub violations: Vec<Violation>,
     /// What was done, in order, with the milliseconds since the load began.
     pub order: Vec<String>,
     /// Figures for the report.
@@ -46,7 +46,7 @@
 }
 
 /// Plays the run of a seed with the program. An error where the harness itself fails.
-pub fn play(program: &Path, seed: u64) -> Result<Outcome> {
+pub fn run(program: &Path, seed: u64) -> Result<SoakReport> {
     let plan = Plan::draw(seed);
     let mut run = Run::start(program, &plan)?;
     run.play_events(&plan)?;
@@ -76,7 +76,7 @@
     descriptors: u64,
     memory_kb: u64,
     killed: bool,
-    accepts_at_the_kill: bool,
+    accepts_at_kill: bool,
 }
 
 struct Run {
@@ -98,7 +98,7 @@
         let (address, service) = downstream_service::start(plan.call_time)?;
         let options = HarnessOptions {
             cores: CORES,
-            records: vec![address; plan.servers],
+            downstream_services: vec![address; plan.servers],
             options: options(plan, 0),
             ..HarnessOptions::default()
         };
@@ -138,12 +138,12 @@
             Action::Signal(name) => {
                 self.note_stop(server, name);
                 self.order.push(format!("{at} s{server} {name}"));
-                self.fleet.signal_only(server, name)?;
+                self.fleet.signal_and_keep(server, name)?;
             }
             Action::Reload => {
                 self.order.push(format!("{at} s{server} HUP"));
                 self.rewrite_options(server)?;
-                self.fleet.signal_only(server, "HUP")?;
+                self.fleet.signal_and_keep(server, "HUP")?;
             }
             Action::CallTime(time) => {
                 self.order.push(format!("{at} service takes {time:?}"));
@@ -215,66 +215,66 @@
     /// Kills a server that has not ended, once it is seen whether it still accepts.
     fn kill(&mut self, server: usize) -> Result<()> {
         let to = self.fleet.listen_address(server).context("a server without an address")?;
-        self.seen[server].accepts_at_the_kill = TcpStream::connect_timeout(&to, CONNECT_MAX).is_ok();
+        self.seen[server].accepts_at_kill = TcpStream::connect_timeout(&to, CONNECT_MAX).is_ok();
         self.seen[server].killed = true;
         self.act(server, &Action::Signal("KILL"))
     }
 
-    fn finish(mut self, plan: Plan) -> Result<Outcome> {
-        let (mut breaches, mut totals) = (Vec::new(), Totals::default());
+    fn finish(mut self, plan: Plan) -> Result<SoakReport> {
+        let (mut violations, mut totals) = (Vec::new(), Totals::default());
         for (server, load) in std::mem::take(&mut self.loads).into_iter().enumerate() {
             let replies = load.join().ok().context("a load panicked")?;
             totals.sent += replies.sent;
             totals.succeeded += replies.succeeded;
             totals.crossed += replies.crossed;
             totals.unsent += replies.unsent;
-            breaches.extend(self.check_clients(server, &replies));
-            breaches.extend(self.check_server(server, &replies));
+            violations.extend(self.check_clients(server, &replies));
+            violations.extend(self.check_server(server, &replies));
         }
         let most = self.service.most_in_flight.load(Relaxed);
         if plan.servers > 1 && most > BUDGET_TOTAL {
-            breaches.push(Breach::OverBudget { most, total: BUDGET_TOTAL });
+            violations.push(Violation::OverBudget { most, total: BUDGET_TOTAL });
         }
         totals.stalled_ms = self.stalled.as_millis() as u64;
         totals.descriptors = self.seen.iter().map(|seen| seen.descriptors).max().unwrap_or(0);
-        Ok(Outcome { plan, breaches, order: self.order, totals })
+        Ok(SoakReport { plan, violations, order: self.order, totals })
     }
 
-    fn check_clients(&self, server: usize, replies: &ReplyCounts) -> Vec<Breach> {
+    fn check_clients(&self, server: usize, replies: &ReplyCounts) -> Vec<Violation> {
         let Seen { stopped, killed, .. } = self.seen[server];
-        checks::of_clients(server, replies, stopped + self.stalled, killed)
+        checks::client_violations(server, replies, stopped + self.stalled, killed)
     }
 
-    fn check_server(&mut self, server: usize, replies: &ReplyCounts) -> Vec<Breach> {
-        let mut breaches = Vec::new();
+    fn check_server(&mut self, server: usize, replies: &ReplyCounts) -> Vec<Violation> {
+        let mut violations = Vec::new();
         let Seen { descriptors, memory_kb, killed, .. } = self.seen[server];
         if descriptors > checks::DESCRIPTORS_MAX || memory_kb > checks::MEMORY_KB_MAX {
-            breaches.push(Breach::Resources { server, descriptors, memory_kb });
+            violations.push(Violation::Resources { server, descriptors, memory_kb });
         }
         let runs = self.fleet.run_counts(server).map_or(0, |runs| runs.repeated.load(Relaxed));
         if runs > 0 {
-            breaches.push(Breach::RanTwice { server, runs });
+            violations.push(Violation::RanTwice { server, runs });
         }
-        if self.seen[server].accepts_at_the_kill {
-            breaches.push(self.accepts_at_the_kill(server));
+        if self.seen[server].accepts_at_kill {
+            violations.push(self.accepts_at_kill(server));
         }
         if killed {
-            return breaches;
+            return violations;
         }
         match self.fleet.exit_status(server) {
             Some(status) if status.success() => {}
-            status => breaches.push(Breach::ExitCode { server, status: format!("{status:?}") }),
+            status => violations.push(Violation::ExitCode { server, status: format!("{status:?}") }),
         }
         if let Some(told_ms) = self.message_time_ms(server, "told to leave") {
-            breaches.extend(checks::of_grace(server, replies, told_ms));
+            violations.extend(checks::grace_violation(server, replies, told_ms));
         }
         let line = wait_for(LAST_LINE_MAX, || self.message(server, "ended; counters:"));
-        breaches.extend(checks::of_counters(server, &line.unwrap_or_default()));
-        breaches
+        violations.extend(checks::counter_violation(server, &line.unwrap_or_default()));
+        violations
     }
 
-    fn accepts_at_the_kill(&self, server: usize) -> Breach {
-        let lines = self.fleet.stamped_lines(server);
+    fn accepts_at_kill(&self, server: usize) -> Violation {
+        let lines = self.fleet.timestamped_log_lines(server);
         let text = |(at, fields): &(String, Value)| format!("{at} {fields}");
         let of_fleet =
             |(_, fields): &&(String, Value)| fields["message"] == "view" || fields["message"] == "shared";
@@ -285,19 +285,19 @@
         let newest = lines.iter().rev().filter(|line| !of_fleet(line)).take(LOG_TAIL).map(text);
         let mut log: Vec<String> = newest.collect();
         log.reverse();
-        Breach::AcceptsAtTheKill { server, invocations, log }
+        Violation::AcceptsAtKill { server, invocations, log }
     }
 
     /// The message of server `server`'s log that begins with `start`.
     fn message(&self, server: usize, start: &str) -> Option<String> {
-        let lines = self.fleet.stamped_lines(server);
+        let lines = self.fleet.timestamped_log_lines(server);
         let mut messages = lines.iter().filter_map(|(_, fields)| fields["message"].as_str());
         messages.find(|message| message.starts_with(start)).map(str::to_string)
     }
 
     /// When a message was written, in Unix milliseconds.
     fn message_time_ms(&self, server: usize, message: &str) -> Option<u64> {
-        let lines = self.fleet.stamped_lines(server);
+        let lines = self.fleet.timestamped_log_lines(server);
         let (timestamp, _) = lines.iter().find(|(_, fields)| fields["message"] == message)?;
         let time = humantime::parse_rfc3339(timestamp).ok()?;
         time.duration_since(UNIX_EPOCH).ok().map(|since| since.as_millis() as u64)
--- a/crates/test-doubles/src/tenant_rehearsal.rs
+++ b/crates/test-doubles/src/tenant_rehearsal.rs
@@ -10,4 +10,4 @@
 mod server_process;
 
 pub use plan::{RehearsalPlan, SharedDependency, TenantGroup, overload_plan, slow_dependency_plan};
-pub use play::{RehearsalReport, play};
+pub use play::{RehearsalReport, run};
--- a/crates/test-doubles/src/tenant_rehearsal/invocation.rs
+++ b/crates/test-doubles/src/tenant_rehearsal/invocation.rs
@@ -70,8 +70,8 @@
     fn count_return(&self, reply: Option<&Reply>) {
         let Some(reply) = reply else { return };
         let report = &mut self.load.reports.borrow_mut()[self.tenant.group];
-        report.returns += 1;
-        report.returns_admitted += u64::from(reply.outcome != "refused");
+        report.advised_retries += 1;
+        report.advised_retries_admitted += u64::from(reply.outcome != "refused");
     }
 
     /// Counts the invocation by its last reply and the time since its first attempt.
--- a/crates/test-doubles/src/tenant_rehearsal/play.rs
+++ b/crates/test-doubles/src/tenant_rehearsal/play.rs
@@ -3,7 +3,7 @@
 use super::arrivals::send_arrivals;
 use super::load::{Load, Tenant};
 use super::plan::RehearsalPlan;
-use super::server_process::{Doubles, ServerProcess, WAIT_MAX};
+use super::server_process::{ServerProcess, TestDoubleAddresses, WAIT_MAX};
 use crate::balancers::Balancer;
 use crate::downstream_service::{self, DownstreamService};
 use crate::group_report::GroupReport;
@@ -53,13 +53,13 @@
 
 /// Plays a rehearsal of the program; `progress` receives a line each second. An error when the program does
 /// not start, log or end as it should.
-pub fn play(program: &Path, plan: RehearsalPlan, mut progress: impl FnMut(&str)) -> Result<RehearsalReport> {
+pub fn run(program: &Path, plan: RehearsalPlan, mut progress: impl FnMut(&str)) -> Result<RehearsalReport> {
     let (interpreter, runs) = interpreter::start(plan.cores)?;
     let dependency = plan.dependency.as_ref();
     let call_time = dependency.map_or(DEFAULT_CALL_TIME, |dependency| dependency.baseline_call_time);
     let (downstream_service, service) = downstream_service::start(call_time)?;
     let (registry, load_reports) = registry::start()?;
-    let doubles = Doubles { interpreter, downstream_service, registry };
+    let doubles = TestDoubleAddresses { interpreter, downstream_service, registry };
     let mut server = ServerProcess::start(program, &plan, &doubles)?;
     let listen = listen_address(&mut server)?;
     server.wait_for_line("linked to the interpreter")?;
--- a/crates/test-doubles/src/tenant_rehearsal/server_process.rs
+++ b/crates/test-doubles/src/tenant_rehearsal/server_process.rs
@@ -16,7 +16,7 @@
 const LOG_END_WAIT: Duration = Duration::from_millis(200);
 
 /// Addresses of the test doubles that the program speaks to.
-pub struct Doubles {
+pub struct TestDoubleAddresses {
     pub interpreter: SocketAddr,
     pub downstream_service: SocketAddr,
     pub registry: SocketAddr,
@@ -37,7 +37,7 @@
     }
 }
 
-fn configuration(plan: &RehearsalPlan, doubles: &Doubles) -> Value {
+fn configuration(plan: &RehearsalPlan, doubles: &TestDoubleAddresses) -> Value {
     let micros = |span: Duration| span.as_micros() as u64;
     let operation = json!({"name": "answer", "effect": "repeatable", "target": micros(plan.objective),
         "give-up": 2 * micros(plan.objective), "worth": 1.0});
@@ -69,7 +69,7 @@
 
 impl ServerProcess {
     /// Starts the program with its files in a temporary folder.
-    pub fn start(program: &Path, plan: &RehearsalPlan, doubles: &Doubles) -> Result<Self> {
+    pub fn start(program: &Path, plan: &RehearsalPlan, doubles: &TestDoubleAddresses) -> Result<Self> {
         let name = format!("meadowstream-rehearsal-{}-{}", std::process::id(), plan.seed);
         let folder = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&folder)?;
