--- a/crates/cli/tests/soak.rs
+++ b/crates/cli/tests/soak.rs
@@ -15,7 +15,7 @@
 }
 
 fn report(outcome: &SoakReport) -> String {
-    let SoakReport { plan, violations, order, totals } = outcome;
+    let SoakReport { plan, violations, actions, totals } = outcome;
     let violations: String = violations.iter().map(|violation| format!("  {violation}\n")).collect();
     let Totals { sent, succeeded, crossed, unsent, descriptors, stalled_ms } = totals;
     format!(
@@ -24,7 +24,7 @@
         plan.seed,
         plan.servers,
         plan.rate,
-        order.join("; ")
+        actions.join("; ")
     )
 }
 
--- a/crates/test-doubles/src/balancers.rs
+++ b/crates/test-doubles/src/balancers.rs
@@ -1,4 +1,5 @@
-//! Connections of balancers: each carries calls of many tenants and passes every reply to its caller.
+//! A balancer: multiplexes the calls of many tenants over its connections to one server and passes each reply
+//! to its caller.
 
 use async_channel::{Receiver, Sender, bounded};
 use async_executor::LocalExecutor;
@@ -10,27 +11,28 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Calls in flight on one connection at most.
+/// Maximum number of calls in flight on one connection.
 const CALLS_MAX: usize = 32;
-/// A call that is sent within this time before its connection ends crosses the close.
+/// A call that was sent at most this long before its connection ended may have crossed the server's close in
+/// transit and counts as crossed.
 const CROSSING: Duration = Duration::from_millis(50);
 const READ_CHUNK_BYTES: usize = 16 * 1024;
 
-/// A reply with the words of the wire.
+/// A reply of the server, with the outcome as written on the wire.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Reply {
     /// `good`, `refused` or `broken`.
     pub outcome: String,
-    /// Retry-After, in milliseconds.
+    /// Retry-After in milliseconds, if the server advised one.
     pub retry_after_ms: Option<u64>,
-    /// What a retry at that time presents to be admitted.
+    /// Ticket that a retry after `retry_after_ms` presents to be admitted.
     pub ticket: Option<String>,
-    /// The result.
+    /// Result of the invocation.
     pub body: Vec<u8>,
 }
 
 impl Reply {
-    /// From the words of a message; those missing are empty.
+    /// Builds a reply from the words of a message; missing words count as empty.
     fn from_words(words: &[Vec<u8>]) -> Self {
         let text = |index: usize| {
             words.get(index).map(|word| String::from_utf8_lossy(word).into_owned()).unwrap_or_default()
@@ -47,7 +49,7 @@
     }
 }
 
-/// A caller that awaits its reply.
+/// A caller that waits for its reply.
 struct Caller {
     reply: Sender<Reply>,
     sent_at: Instant,
@@ -55,11 +57,11 @@
 
 struct Connection {
     stream: Async<TcpStream>,
-    /// Callers by their call's tag.
+    /// Waiting callers by the tag of their call.
     callers: RefCell<HashMap<u64, Caller>>,
     requests: Sender<Vec<u8>>,
     last_tag: Cell<u64>,
-    /// The server wants no new call here.
+    /// The server has announced that it drains this connection and accepts no new call on it.
     draining: Cell<bool>,
 }
 
@@ -73,26 +75,27 @@
     }
 }
 
-/// All connections to one server; those that it drains are replaced.
+/// A pool of connections to one server; connections that the server drains are replaced.
 pub struct Balancer {
     to: SocketAddr,
     connections: RefCell<Vec<Rc<Connection>>>,
     connections_max: usize,
     executor: &'static LocalExecutor<'static>,
-    /// Replies that no caller awaited, such as a second one to the same call.
+    /// Replies without a waiting caller, such as a second reply to the same call.
     pub unexpected_replies: Cell<u64>,
-    /// Calls whose connection broke.
+    /// Calls whose connection ended before their reply.
     pub broken_calls: Cell<u64>,
-    /// Of those, calls that were sent so shortly before that they crossed the close.
+    /// Part of `broken_calls`: calls sent so shortly before the end of their connection that they may have
+    /// crossed the server's close.
     pub crossed_calls: Cell<u64>,
-    /// Calls that were not sent: no connection had capacity for them, or none could be made.
+    /// Calls that were not sent, because no connection had capacity or a new one could not be opened.
     pub unsent_calls: Cell<u64>,
-    /// Connections made.
+    /// Number of connections opened.
     pub connects: Cell<u64>,
 }
 
 impl Balancer {
-    /// A balancer that keeps at most `connections_max` connections to one address; none is made yet.
+    /// A balancer that keeps at most `connections_max` connections to one address; opens them on demand.
     pub fn new(
         to: SocketAddr,
         connections_max: usize,
@@ -111,8 +114,8 @@
         })
     }
 
-    /// Sends a call and awaits its reply; `None` when no connection has capacity for the call, or its
-    /// connection broke.
+    /// Sends a call and waits for its reply; `None` if no connection has capacity for the call or its
+    /// connection breaks.
     pub async fn call(self: &Rc<Self>, operation: &str, fields: &str, body: &[u8]) -> Option<Reply> {
         let Ok(Some(connection)) = self.connection().await else {
             self.unsent_calls.set(self.unsent_calls.get() + 1);
@@ -130,8 +133,8 @@
         reply.recv().await.ok()
     }
 
-    /// An idle connection, or a new one, or at the limit the one with the fewest calls in flight; `None` when
-    /// all are full.
+    /// Returns an idle connection or else opens a new one; at the limit of connections, returns the one with
+    /// the fewest calls in flight, or `None` if all are full.
     async fn connection(self: &Rc<Self>) -> std::io::Result<Option<Rc<Connection>>> {
         let (least_loaded, count) = {
             let connections = self.connections.borrow();
@@ -146,7 +149,7 @@
         }
     }
 
-    /// Makes a connection, with a task that reads it and one that writes it.
+    /// Opens a connection and spawns a task that reads from it and one that writes to it.
     async fn connect(self: &Rc<Self>) -> std::io::Result<Rc<Connection>> {
         let stream = Async::<TcpStream>::connect(self.to).await?;
         stream.get_ref().set_nodelay(true)?;
@@ -166,7 +169,8 @@
         Ok(connection)
     }
 
-    /// Reads a connection to its end and removes it; callers that still wait get no reply.
+    /// Reads a connection until it closes and removes it from the pool; callers still waiting on it get no
+    /// reply.
     async fn read_until_closed(self: Rc<Self>, connection: Rc<Connection>) {
         let _ = self.read_replies(&connection).await;
         for caller in std::mem::take(&mut *connection.callers.borrow_mut()).into_values() {
@@ -197,7 +201,8 @@
         }
     }
 
-    /// Passes a reply to its caller; tag 0 is the server's notice that the connection drains.
+    /// Passes a reply to its caller; a message with tag 0 is the server's notice that it drains the
+    /// connection.
     fn handle_reply(&self, connection: &Connection, words: &[Vec<u8>]) {
         let tag = std::str::from_utf8(&words[0]).ok().and_then(|text| text.parse::<u64>().ok());
         if tag == Some(0) {
@@ -214,7 +219,7 @@
     }
 }
 
-/// Writes requests as they come; those that wait together go out in one write.
+/// Writes queued requests to the connection; all requests that are queued at one time share a write.
 async fn write_requests(connection: &Connection, queue: &Receiver<Vec<u8>>) -> std::io::Result<()> {
     while let Ok(mut bytes) = queue.recv().await {
         while let Ok(more) = queue.try_recv() {
@@ -225,7 +230,7 @@
     Ok(())
 }
 
-/// The words of the first array, and how many bytes it took; `None` while it is incomplete.
+/// Parses the first array and returns its words and its length in bytes; `None` while it is incomplete.
 fn read_array(bytes: &[u8]) -> Option<(Vec<Vec<u8>>, usize)> {
     let number = |at: usize| {
         let end = at + bytes.get(at..)?.windows(2).position(|two| two == b"\r\n")?;
--- a/crates/test-doubles/src/downstream_service.rs
+++ b/crates/test-doubles/src/downstream_service.rs
@@ -6,44 +6,45 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// One call as the service saw it, by the Unix clock, so that it can be laid beside the logs of the callers.
+/// A call as observed by the service. Times are Unix times, for comparison with the callers' logs.
 #[derive(Clone, Copy, Debug)]
 pub struct ServedCall {
-    /// The caller's reference, from `Op-Of`.
+    /// The caller's reference of the call, from the header `Op-Of`.
     pub reference: u64,
-    /// How long the caller says that it waits, from `Op-Wait-Ms`, in milliseconds.
+    /// Time for which the caller waits for the reply, in milliseconds, from the header `Op-Wait-Ms`.
     pub wait_ms: u64,
-    /// When the request had been read, in microseconds.
+    /// Time when the request was read completely, in microseconds.
     pub arrived_us: u64,
-    /// When the call was over, in microseconds.
+    /// Time when the call ended, in microseconds.
     pub ended_us: u64,
 }
 
-/// What the service does and has done. A call is in flight for its whole time, cancelled or not.
+/// Behaviour and counts of the service. A cancelled call stays in flight for its whole call time, too.
 #[derive(Default)]
 pub struct DownstreamService {
-    /// How long a call takes from now on, in microseconds.
+    /// Duration of calls that arrive from now on, in microseconds.
     pub call_time_us: AtomicU64,
-    /// Calls received.
+    /// Number of calls received.
     pub calls: AtomicU64,
-    /// Time of all calls together, in microseconds.
+    /// Sum of the durations of all calls, in microseconds.
     pub total_call_time_us: AtomicU64,
-    /// Calls in flight now.
+    /// Number of calls in flight.
     pub in_flight: AtomicU64,
-    /// Most calls in flight at once since this was last set to 0.
+    /// Maximum number of concurrent calls since this was last set to 0.
     pub most_in_flight: AtomicU64,
-    /// Whether each call fails at once with status 500.
+    /// Makes each call fail immediately with status 500.
     pub fails: AtomicBool,
     served: Mutex<Vec<ServedCall>>,
 }
 
 impl DownstreamService {
-    /// The calls that were served, in the order in which they ended; those that failed at once are left out.
+    /// Returns the completed calls in the order in which they ended, without those that failed with status
+    /// 500.
     pub fn served(&self) -> Vec<ServedCall> {
         self.served.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// The calls that were in flight when most were, by the times at which they came and ended.
+    /// Returns the calls that were in flight when concurrency was highest, by their start and end times.
     pub fn busiest_moment(&self) -> Vec<ServedCall> {
         let served = self.served();
         let in_flight_at =
@@ -61,8 +62,8 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as u64)
 }
 
-/// Starts a service on loopback whose calls take `call_time`: a thread for each connection, all end with the
-/// process. An error when no socket can be bound.
+/// Starts a service on loopback whose calls take `call_time`. Each connection has a thread; the threads end
+/// with the process. Fails if no socket can be bound.
 pub fn start(call_time: Duration) -> std::io::Result<(SocketAddr, Arc<DownstreamService>)> {
     let listener = TcpListener::bind(("127.0.0.1", 0))?;
     let address = listener.local_addr()?;
@@ -78,7 +79,7 @@
     Ok((address, service))
 }
 
-/// Serves one connection until the caller closes it.
+/// Serves a connection until the caller closes it.
 fn serve(stream: TcpStream, service: &DownstreamService) -> std::io::Result<()> {
     let mut reader = BufReader::new(stream);
     while let Some(Request { reference, wait_ms, body }) = read_request(&mut reader)? {
@@ -101,7 +102,7 @@
     Ok(())
 }
 
-/// A request of a caller.
+/// A request with the header fields that the service records.
 #[derive(Default)]
 struct Request {
     reference: u64,
@@ -109,7 +110,7 @@
     body: Vec<u8>,
 }
 
-/// The next request; `None` when the caller has closed the connection.
+/// Reads the next request; `None` if the caller has closed the connection.
 fn read_request(reader: &mut BufReader<TcpStream>) -> std::io::Result<Option<Request>> {
     let mut request = Request::default();
     let mut length = 0;
--- a/crates/test-doubles/src/faults.rs
+++ b/crates/test-doubles/src/faults.rs
@@ -2,29 +2,30 @@
 
 use std::collections::{HashMap, HashSet};
 
-/// What is done to traffic; shares from 0 to 1, times in milliseconds.
+/// Faults that a relay injects into traffic. Shares are from 0 to 1, times in milliseconds.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
     /// Share of datagrams lost.
     pub loss: f64,
     /// Delay of all traffic.
     pub delay_ms: u64,
-    /// Further delay, drawn evenly from 0 to this.
+    /// Upper bound of an additional delay, drawn uniformly from 0 up.
     pub jitter_ms: u64,
     /// Share of datagrams delivered twice.
     pub duplicate: f64,
-    /// Share of datagrams delayed by a further `reorder_ms`, so that later ones overtake them.
+    /// Share of datagrams that are delayed by an additional `reorder_ms`, so that later ones overtake them.
     pub reorder: f64,
-    /// That delay.
+    /// Additional delay of reordered datagrams, in milliseconds.
     pub reorder_ms: u64,
-    /// Group of each member by index; members not named are in group 0.
+    /// Group of each member by its index; members without an entry are in group 0.
     pub groups: HashMap<usize, u32>,
-    /// Traffic from the first group to the second is lost, or held up on a stream.
+    /// Pairs of groups (from, to) between which traffic is cut: datagrams are lost, bytes of a stream are
+    /// delayed until the cut ends.
     pub cuts: HashSet<(u32, u32)>,
 }
 
 impl Faults {
-    /// Cuts two groups off from each other, both ways.
+    /// Cuts traffic between two groups in both directions.
     pub fn partition(&mut self, a: u32, b: u32) {
         self.cuts.insert((a, b));
         self.cuts.insert((b, a));
--- a/crates/test-doubles/src/fleet.rs
+++ b/crates/test-doubles/src/fleet.rs
@@ -1,7 +1,7 @@
-//! A fleet of the program's processes on loopback, each reached through a fault relay
-//! ([`UdpRelay`](crate::udp_relay::UdpRelay)), for tests between processes; and a rehearsal of the membership
-//! view. What each server observed is read from its own log (JSON lines). Every wait has a limit, and each
-//! process is killed at the end.
+//! A harness for tests with several processes of the program on loopback, which reach each other through a
+//! fault relay ([`UdpRelay`](crate::udp_relay::UdpRelay)), and a rehearsal of the membership view. The
+//! harness reads each server's observations from that server's log (JSON lines). Every wait has a time limit,
+//! and each process is killed at the end.
 
 mod files;
 mod harness;
@@ -17,11 +17,11 @@
 
 use std::time::{Duration, Instant};
 
-/// How long a process may take to start, and a view to agree in the rehearsal.
+/// Maximum time for a process to start, and for the views of the rehearsal to agree.
 const WAIT_MAX: Duration = Duration::from_secs(20);
 const POLL_PERIOD: Duration = Duration::from_millis(25);
 
-/// Calls `poll` until it returns something; `None` when it did not within the span.
+/// Calls `poll` until it returns a value; `None` if it does not within the time `within`.
 pub fn wait_for<T>(within: Duration, mut poll: impl FnMut() -> Option<T>) -> Option<T> {
     let start = Instant::now();
     loop {
--- a/crates/test-doubles/src/fleet/files.rs
+++ b/crates/test-doubles/src/fleet/files.rs
@@ -1,39 +1,41 @@
-//! The configuration and options files of the processes.
+//! Configuration and options files of the processes in a fleet.
 
 use serde_json::{Value, json};
 use std::fmt::{self, Display, Formatter};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Period of health checks between members, short so that a rehearsal ends within a minute.
+/// Period of the probes between members in milliseconds; short, so that a rehearsal ends within a minute.
 pub const PROBE_PERIOD_MS: u64 = 200;
-/// Probe periods for which a member is suspect before it is down.
+/// Number of probe periods for which a member is suspect before it is declared down.
 pub const SUSPICION_PERIODS: u64 = 5;
 
-/// What a harness gives its processes beside the membership.
+/// Settings of the processes of a harness, in addition to their membership.
 #[derive(Default)]
 pub struct HarnessOptions {
-    /// Cores of an interpreter for each; none is started where 0.
+    /// Number of cores of each server's interpreter; 0 starts no interpreter.
     pub cores: f64,
-    /// Downstream service of each.
+    /// Address of each server's downstream service, by the server's index.
     pub downstream_services: Vec<SocketAddr>,
-    /// Attributes of `<membership>` beside those that each process has.
+    /// Further attributes of the element `<membership>`, the same for all processes.
     pub membership_attributes: String,
-    /// Elements of the options file beside `<membership>`.
+    /// Further elements of the options file, the same for all processes.
     pub options: String,
-    /// Further elements, for each server its own.
+    /// Further elements of each server's options file, by the server's index.
     pub server_options: Vec<String>,
-    /// The first so many are control machines, which keep the log of configuration and serve nothing.
+    /// Number of control machines, which come first by index. Control machines keep the configuration log and
+    /// serve no calls.
     pub control_servers: usize,
-    /// Where each accepts calls; a free port of its own where not given.
+    /// Address at which each server accepts calls, by the server's index; servers without an entry take a
+    /// free port.
     pub listen_addresses: Vec<SocketAddr>,
-    /// Programs of the first servers, where these are not the harness's.
+    /// Programs of the first servers, by index; servers without an entry run the harness's program.
     pub programs: Vec<PathBuf>,
-    /// Where the first server binds its membership; a free port where not given.
+    /// Address to which the first server binds its membership socket; by default a free port.
     pub first_membership_bind: Option<SocketAddr>,
 }
 
-/// Addresses in the configuration of one server.
+/// Addresses in the configuration of a server.
 pub struct ServerAddresses {
     pub listen: String,
     pub interpreter: String,
@@ -41,7 +43,7 @@
     pub registry: String,
 }
 
-/// The configuration of server `index`.
+/// Returns the JSON configuration of server `index`.
 pub fn configuration(index: usize, cores: f64, addresses: &ServerAddresses) -> Value {
     json!({
         "name": format!("s{index}"), "listen": addresses.listen, "vm": addresses.interpreter,
@@ -61,24 +63,24 @@
     })
 }
 
-/// The options file of one server, as XML.
+/// Options file of one server; formats as XML.
 pub struct OptionsFile<'a> {
     pub index: usize,
-    /// Where the others reach it.
+    /// Membership address at which other members reach the server.
     pub advertised: SocketAddr,
-    /// The member that it joins through.
+    /// Membership address of the member through which the server joins.
     pub seed: SocketAddr,
     pub members: usize,
-    pub given: &'a HarnessOptions,
+    pub harness_options: &'a HarnessOptions,
 }
 
 impl Display for OptionsFile<'_> {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
-        let Self { index, advertised, seed, members, given } = self;
-        let HarnessOptions { membership_attributes, options, .. } = given;
-        let given_bind = given.first_membership_bind.filter(|_| *index == 0);
-        let bind = given_bind.map_or("127.0.0.1:0".to_string(), |bind| bind.to_string());
-        let server_options = given.server_options.get(*index).map_or("", String::as_str);
+        let Self { index, advertised, seed, members, harness_options } = self;
+        let HarnessOptions { membership_attributes, options, .. } = harness_options;
+        let fixed_bind = harness_options.first_membership_bind.filter(|_| *index == 0);
+        let bind = fixed_bind.map_or("127.0.0.1:0".to_string(), |bind| bind.to_string());
+        let server_options = harness_options.server_options.get(*index).map_or("", String::as_str);
         write!(
             formatter,
             r#"<meadowstream xmlns="urn:meadowstream:options:1">
--- a/crates/test-doubles/src/fleet/harness.rs
+++ b/crates/test-doubles/src/fleet/harness.rs
@@ -1,4 +1,4 @@
-//! The harness: starts, stops and signals the processes, and reads their logs.
+//! The fleet harness: starts, stops and signals the processes, and reads their logs.
 
 use super::files::{HarnessOptions, OptionsFile, ServerAddresses, configuration};
 use super::log::ServerLog;
@@ -16,27 +16,27 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering::Relaxed;
 
-/// Processes of the program behind a relay; server `i` is named `s{i}`.
+/// A fleet of processes that reach each other through a relay. Server `i` is named `s{i}`.
 pub struct FleetHarness {
     options: HarnessOptions,
-    /// The relay between the members' membership addresses.
+    /// Relay for the membership traffic between the processes.
     pub relay: UdpRelay,
     processes: Vec<Option<ServerProcess>>,
     folder: PathBuf,
     program: PathBuf,
-    /// Receives load reports and answers none.
+    /// Service registry of all servers; receives load reports without processing them.
     registry: UdpSocket,
-    /// Accepts links of servers that have no interpreter and answers none.
+    /// Interpreter address of servers without an interpreter; accepts links and never replies.
     silent_interpreter: TcpListener,
 }
 
 impl FleetHarness {
-    /// Starts `count` processes, each with the first one's endpoint as its seed.
+    /// Starts `count` processes with default options; each joins through the first process.
     pub fn new(program: &Path, count: usize, seed: u64) -> Result<FleetHarness> {
         FleetHarness::with_options(program, count, count, seed, HarnessOptions::default())
     }
 
-    /// A harness of up to `count` processes, the first `started` of them started. An error when a file cannot
+    /// Creates a harness for `count` processes and starts the first `started` of them. Fails if a file cannot
     /// be written or a process does not join within `WAIT_MAX`.
     pub fn with_options(
         program: &Path,
@@ -48,7 +48,8 @@
         let folder = std::env::temp_dir().join(format!("meadowstream-fleet-{}-{seed}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
         let key = folder.join("key");
-        // A key of its own: a port of a dead member may become another fleet's, which must not be heard.
+        // Each fleet has a key of its own, because the system may give a dead member's port to a member of
+        // another fleet, whose datagrams must then be rejected.
         std::fs::write(&key, format!("the key of rehearsal fleet {}-{seed}", std::process::id()))?;
         std::fs::set_permissions(&key, std::fs::Permissions::from_mode(0o600))?;
         let mut harness = FleetHarness {
@@ -66,22 +67,22 @@
         Ok(harness)
     }
 
-    /// Number of servers, started or not.
+    /// Number of processes, whether started or not.
     pub fn len(&self) -> usize {
         self.processes.len()
     }
 
-    /// Whether it has no server.
+    /// Whether the harness has no process.
     pub fn is_empty(&self) -> bool {
         self.processes.is_empty()
     }
 
-    /// The folder of the servers' files: `s{i}.json`, `s{i}.xml` and the key.
+    /// Folder with the files of the processes: `s{i}.json`, `s{i}.xml` and the key.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
 
-    /// Starts server `index`, or starts it again after it was killed.
+    /// Starts server `index`, also after it was killed.
     pub fn start(&mut self, index: usize) -> Result<()> {
         let (mut interpreter, mut runs) = (self.silent_interpreter.local_addr()?, None);
         if self.options.cores > 0.0 {
@@ -115,14 +116,15 @@
             advertised: self.relay.endpoint(index),
             seed: self.relay.endpoint(0),
             members: self.processes.len(),
-            given: &self.options,
+            harness_options: &self.options,
         };
         std::fs::write(self.folder.join(format!("s{index}.json")), configuration.to_string())?;
         std::fs::write(self.folder.join(format!("s{index}.xml")), options.to_string())?;
         Ok(())
     }
 
-    /// Runs the program that the server's mark of a roll-out names, or the harness's.
+    /// Starts the program of server `index`: the one named in the mark file that a rollout has written for
+    /// the server, or else the one that the harness assigns.
     fn spawn(&self, index: usize) -> Result<Child> {
         let options = self.folder.join(format!("s{index}.xml"));
         let mark = std::fs::read_to_string(self.folder.join(format!("s{index}.xml.program"))).ok();
@@ -145,8 +147,8 @@
             .context("cannot start the program")
     }
 
-    /// Waits until the server logs the address of its membership, after `earlier_joins` of its former starts,
-    /// and registers it with the relay.
+    /// Waits until the server logs its membership address and registers the address with the relay. Skips
+    /// `earlier_joins` log lines of previous starts.
     fn wait_until_joined(
         &mut self,
         index: usize,
@@ -163,8 +165,8 @@
         Ok(())
     }
 
-    /// Does what a supervisor does: starts each process that has ended by itself again, as the program that
-    /// its mark names. Returns those it started.
+    /// Acts as a supervisor: restarts each process that has exited, with the program named in its mark file.
+    /// Returns the indices of the restarted servers.
     pub fn supervise(&mut self) -> Result<Vec<usize>> {
         let mut started = Vec::new();
         for index in 0..self.processes.len() {
@@ -182,7 +184,8 @@
         Ok(started)
     }
 
-    /// Sends a signal by name (KILL, STOP, CONT) to server `index`; after KILL it counts as not started.
+    /// Sends a signal (KILL, STOP, CONT) to server `index`; after KILL the server counts as not started and
+    /// its log is discarded.
     pub fn signal(&mut self, index: usize, name: &str) -> Result<()> {
         self.signal_and_keep(index, name)?;
         if name == "KILL" {
@@ -191,12 +194,13 @@
         Ok(())
     }
 
-    /// Sends a signal and keeps the server's process and log.
+    /// Sends a signal to server `index` and keeps its process and log, even after KILL.
     pub fn signal_and_keep(&self, index: usize, name: &str) -> Result<()> {
         self.processes[index].as_ref().with_context(|| format!("s{index} is not running"))?.signal(name)
     }
 
-    /// Runs that server `index` began more than once, as its interpreter counts them.
+    /// Number of runs on the interpreter of server `index` whose task had run before
+    /// ([`RunCounts::repeated`]).
     pub fn repeated_runs(&self, index: usize) -> u64 {
         let runs = self.processes[index].as_ref().and_then(|process| process.runs.as_ref());
         runs.map_or(0, |runs| runs.repeated.load(Relaxed))
@@ -206,22 +210,22 @@
         self.processes[index].as_ref().map(|process| &process.log)
     }
 
-    /// The process of server `index`, by its id; `None` where it is not started or was killed.
+    /// Process id of server `index`; `None` if it is not started or was killed.
     pub fn process_id(&self, index: usize) -> Option<u32> {
         self.processes[index].as_ref().map(|process| process.child.id())
     }
 
-    /// How server `index` has ended by itself; `None` while it runs, or where it is not started.
+    /// Exit status of server `index`; `None` while it runs or if it is not started.
     pub fn exit_status(&mut self, index: usize) -> Option<ExitStatus> {
         self.processes[index].as_mut()?.child.try_wait().ok()?
     }
 
-    /// What the interpreter of server `index` ran.
+    /// Counts of the runs on the interpreter of server `index`; `None` without an interpreter.
     pub fn run_counts(&self, index: usize) -> Option<Arc<RunCounts>> {
         self.processes[index].as_ref()?.runs.clone()
     }
 
-    /// The state of server `index`'s process, as the kernel names it.
+    /// Kernel state of the process of server `index`, from `/proc`.
     pub(super) fn process_state(&self, index: usize) -> String {
         let Some(process) = &self.processes[index] else { return "not started".to_string() };
         let status = std::fs::read_to_string(format!("/proc/{}/status", process.child.id()));
@@ -229,7 +233,7 @@
         state.map_or("ended".to_string(), |state| state.trim().to_string())
     }
 
-    /// Whether the message of a line of server `index`'s log contains `text`.
+    /// Whether the log of server `index` has a line whose message contains `text`.
     pub fn has_logged(&self, index: usize, text: &str) -> bool {
         let Some(log) = self.log(index) else { return false };
         let contains =
@@ -237,24 +241,24 @@
         log.lines().iter().any(|line| contains(&line.fields))
     }
 
-    /// The fields of server `index`'s log lines of an event, the oldest first.
+    /// Fields of the log lines of server `index` with this message, oldest first.
     pub fn log_lines(&self, index: usize, message: &str) -> Vec<Value> {
         self.log(index).map_or(Vec::new(), |log| log.events(message))
     }
 
-    /// All log lines of server `index` with the time at which each was written, the oldest first.
+    /// Timestamps and fields of all log lines of server `index`, oldest first.
     pub fn timestamped_log_lines(&self, index: usize) -> Vec<(String, Value)> {
         let Some(log) = self.log(index) else { return Vec::new() };
         log.lines().iter().map(|line| (line.timestamp.clone(), line.fields.clone())).collect()
     }
 
-    /// The address where server `index` accepts calls, from its log.
+    /// Address at which server `index` accepts calls, from its log.
     pub fn listen_address(&self, index: usize) -> Option<SocketAddr> {
         let started = self.log(index)?.events("started").into_iter().next()?;
         started["listen"].as_str()?.parse().ok()
     }
 
-    /// The fields of server `index`'s last log line about shared state.
+    /// Fields of the last log line of server `index` about shared state.
     pub fn shared_state(&self, index: usize) -> Option<Value> {
         self.log(index)?.last_event("shared", None)
     }
--- a/crates/test-doubles/src/fleet/log.rs
+++ b/crates/test-doubles/src/fleet/log.rs
@@ -1,4 +1,4 @@
-//! The log of one server, read as it is written.
+//! The log of a server, read while the server writes it.
 
 use anyhow::{Context, Result};
 use serde_json::Value;
@@ -7,25 +7,25 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Instant;
 
-/// A log line.
+/// A line of a server's log.
 #[derive(Clone)]
 pub struct LogLine {
-    /// When it was read.
+    /// Time at which the harness read the line.
     pub at: Instant,
-    /// When it was written, as the log says (RFC 3339, microseconds).
+    /// Time at which the server wrote the line (RFC 3339 with microseconds).
     pub timestamp: String,
-    /// The event's fields; the field `message` names the event.
+    /// Fields of the log event; `message` names the event.
     pub fields: Value,
 }
 
-/// All lines so far of a server, over all its starts.
+/// All log lines of a server so far, including those from before a restart.
 #[derive(Clone, Default)]
 pub struct ServerLog {
     lines: Arc<Mutex<Vec<LogLine>>>,
 }
 
 impl ServerLog {
-    /// Reads the standard error of a process until it ends, on a thread of its own.
+    /// Starts a thread that reads the standard error of a process until the process ends.
     pub fn read(&self, child: &mut Child) -> Result<()> {
         let stderr = BufReader::new(child.stderr.take().context("the process has no standard error")?);
         let log = self.clone();
@@ -41,19 +41,19 @@
         Ok(())
     }
 
-    /// The lines, locked.
+    /// Locks the lines and returns them.
     pub fn lines(&self) -> MutexGuard<'_, Vec<LogLine>> {
         self.lines.lock().expect("no thread panics while it holds the lines of a log")
     }
 
-    /// The fields of the lines of an event, the oldest first.
+    /// Returns the fields of all lines with this message, oldest first.
     pub fn events(&self, message: &str) -> Vec<Value> {
         let lines = self.lines();
         let of_event = lines.iter().filter(|line| line.fields["message"] == message);
         of_event.map(|line| line.fields.clone()).collect()
     }
 
-    /// The fields of the last line of an event, read at `since` or later.
+    /// Returns the fields of the last line with this message that was read at `since` or later.
     pub fn last_event(&self, message: &str, since: Option<Instant>) -> Option<Value> {
         let lines = self.lines();
         let recent = |line: &&LogLine| since.is_none_or(|since| line.at >= since);
--- a/crates/test-doubles/src/fleet/process.rs
+++ b/crates/test-doubles/src/fleet/process.rs
@@ -1,4 +1,4 @@
-//! One process of the program.
+//! A process of the program under test.
 
 use super::log::ServerLog;
 use crate::interpreter::RunCounts;
@@ -6,16 +6,16 @@
 use std::process::{Child, Command};
 use std::sync::Arc;
 
-/// A process, continued and killed when dropped.
+/// A process of the program. Dropping it continues a stopped process (SIGCONT) and kills it.
 pub struct ServerProcess {
     pub child: Child,
     pub log: ServerLog,
-    /// What its interpreter ran, if it has one.
+    /// Counts of the runs on the server's interpreter, if it has one.
     pub runs: Option<Arc<RunCounts>>,
 }
 
 impl ServerProcess {
-    /// Sends a signal by its name without `SIG`.
+    /// Sends a signal, given by its name without `SIG`.
     pub fn signal(&self, name: &str) -> Result<()> {
         let id = self.child.id().to_string();
         let status = Command::new("kill").args([&format!("-{name}"), &id]).status()?;
--- a/crates/test-doubles/src/fleet/rehearsal.rs
+++ b/crates/test-doubles/src/fleet/rehearsal.rs
@@ -1,5 +1,5 @@
-//! A rehearsal of the membership view: a join, a crash (SIGKILL), a stall (SIGSTOP, SIGCONT), a partition and
-//! its heal. A table shows when each server saw each change and when the views agreed.
+//! Rehearsal of the membership view: a join, a crash (SIGKILL), a stall (SIGSTOP, SIGCONT), a partition and
+//! its end. A table shows when each server observed each change and when all views agreed.
 
 use super::WAIT_MAX;
 use super::files::{PROBE_PERIOD_MS, SUSPICION_PERIODS};
@@ -11,14 +11,14 @@
 
 const SEED: u64 = 7;
 
-/// One step of the rehearsal.
+/// A change to the fleet, with the times at which the servers observed it.
 struct Step {
     name: &'static str,
     times: AgreementTimes,
 }
 
-/// Plays the rehearsal with `servers` (at least 4) and returns the table; `progress` receives a line for each
-/// step. An error when a process does not start or the views do not agree in time.
+/// Runs the rehearsal with `servers` servers (at least 4) and returns its table; `progress` receives a line
+/// for each step. Fails if a process does not start or the views do not agree in time.
 pub fn rehearse(program: &Path, servers: usize, mut progress: impl FnMut(&str)) -> Result<String> {
     let mut fleet = FleetHarness::new(program, servers, SEED)?;
     let all: Vec<usize> = (0..servers).collect();
@@ -43,7 +43,7 @@
     Ok(table(servers, &[join, crash, stall, resume, cut, heal]))
 }
 
-/// Stops a server until the others see it down, and continues it.
+/// Stops a server (SIGSTOP) until all others see it as down, then continues it.
 fn stall_one(fleet: &mut FleetHarness, alive: &[usize], stalled: usize) -> Result<[Step; 2]> {
     fleet.signal(stalled, "STOP")?;
     let since = Instant::now();
@@ -54,7 +54,7 @@
     Ok([stall, resume])
 }
 
-/// Cuts the fleet in two until each part has its own view, and heals it.
+/// Partitions the fleet until each side sees only its own members, then ends the partition.
 fn partition(fleet: &FleetHarness, alive: &[usize], left: &[usize], right: &[usize]) -> Result<[Step; 2]> {
     fleet.relay.change_faults(|faults| {
         for &index in right {
--- a/crates/test-doubles/src/fleet/view.rs
+++ b/crates/test-doubles/src/fleet/view.rs
@@ -1,4 +1,4 @@
-//! The servers' views of the membership, from their logs.
+//! Membership views of the servers, read from their logs.
 
 use super::harness::FleetHarness;
 use super::wait_for;
@@ -7,26 +7,26 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Lines of each server's log that the report of a failed wait shows.
+/// Maximum number of log lines of each server in the report of a failed wait.
 const REPORTED_LINES: usize = 40;
 
-/// When servers came to one view, from the step that changed it.
+/// Times that the servers took to reach the expected view after a change.
 #[derive(Debug, Clone)]
 pub struct AgreementTimes {
-    /// When each server's view first was the expected one.
+    /// Time until each server's view first matched, by the server's index.
     pub by_server: BTreeMap<usize, Duration>,
-    /// When all views were.
+    /// Time until the views of all servers matched at once.
     pub all: Duration,
 }
 
 impl FleetHarness {
-    /// The states of others in server `index`'s last view, by name.
+    /// States of the other members in the last logged view of server `index`, by member name.
     pub fn member_states(&self, index: usize) -> BTreeMap<String, String> {
         self.member_states_since(index, None)
     }
 
-    /// The same, of a line written after `since` alone: the last line of a stalled server is older than its
-    /// stall and does not show its view.
+    /// Like [`Self::member_states`], but ignores lines read before `since`. The last line of a stalled
+    /// server is older than its stall and does not show its current view.
     fn member_states_since(&self, index: usize, since: Option<Instant>) -> BTreeMap<String, String> {
         let view = self.log(index).and_then(|log| log.last_event("view", since));
         let Some(members) = view.as_ref().and_then(|view| view["members"].as_str()) else {
@@ -37,13 +37,13 @@
         members.iter().map(|member| (text(member, "name"), text(member, "state"))).collect()
     }
 
-    /// A field of server `index`'s last view that holds JSON.
+    /// Parses a JSON field of the last logged view of server `index`.
     pub fn view_field(&self, index: usize, field: &str) -> Option<Value> {
         let view = self.log(index)?.last_event("view", None)?;
         serde_json::from_str(view[field].as_str()?).ok()
     }
 
-    /// How often server `index` logged that `name` is down.
+    /// Number of times that server `index` has logged that member `name` is down.
     pub fn down_count(&self, index: usize, name: &str) -> usize {
         let Some(log) = self.log(index) else { return 0 };
         let lines = log.lines();
@@ -51,7 +51,7 @@
         lines.iter().filter(|line| is_down(&line.fields)).count()
     }
 
-    /// Whether server `index` sees exactly the other `members` alive, and nobody else alive or suspect.
+    /// Whether server `index` sees all other `members` alive and no further member alive or suspect.
     pub fn sees(&self, index: usize, members: &[usize]) -> bool {
         self.sees_since(index, members, None)
     }
@@ -65,13 +65,13 @@
         not_down == expected.len() && expected.iter().all(is_alive)
     }
 
-    /// Whether each of `members` sees exactly the others alive.
+    /// Whether each of `members` sees exactly the other ones alive.
     pub fn views_agree(&self, members: &[usize]) -> bool {
         members.iter().all(|&index| self.sees(index, members))
     }
 
-    /// Waits until each of `members` sees exactly the others alive, counted from `since`. An error when they
-    /// do not within the span.
+    /// Waits up to `within` until each of `members` sees exactly the other ones alive. Returns times counted
+    /// from `since`; fails with a report of the logs if the views do not agree in time.
     pub fn wait_for_agreement(
         &self,
         members: &[usize],
@@ -89,13 +89,15 @@
         });
         let all = all.with_context(|| {
             let report = self.membership_report(members, since);
-            format!("no one view of {members:?} within {within:?}; agreed once: {by_server:?}\n{report}")
+            format!(
+                "views of {members:?} do not agree within {within:?}; matched once: {by_server:?}\n{report}"
+            )
         })?;
         Ok(AgreementTimes { by_server, all })
     }
 
-    /// For a failed wait: what each server's log says of the membership, with the time at which it was
-    /// written and at which it was read, counted from `since`; and what the relay did.
+    /// Report of a failed wait: the relay's counts and each server's log lines about the membership. Each
+    /// line has the time at which it was read, counted from `since`, and the time at which it was written.
     fn membership_report(&self, members: &[usize], since: Instant) -> String {
         let mut report = format!("relay: {:?}\n", self.relay.counts());
         for &index in members {
--- a/crates/test-doubles/src/group_report.rs
+++ b/crates/test-doubles/src/group_report.rs
@@ -1,48 +1,48 @@
-//! What a rehearsal measured for each group of tenants, and its table.
+//! Measurements of a rehearsal for each group of tenants, and their table.
 
 use hdrhistogram::Histogram;
 use std::fmt::Write;
 
-/// Invocations of one tenant.
+/// Counts of the invocations of one tenant.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TenantCounts {
-    /// Invocations sent.
+    /// Invocations sent; an invocation and its retries count once.
     pub sent: u64,
     /// Invocations that succeeded within the latency objective.
     pub in_time: u64,
 }
 
-/// Invocations of one group of tenants, by how they ended.
+/// Counts of the invocations of one group of tenants by result.
 #[derive(Debug)]
 pub struct GroupReport {
-    /// The group's name.
+    /// Name of the group.
     pub name: String,
     /// Number of tenants in the group.
     pub tenants: usize,
-    /// Invocations sent, each counted once with its retries.
+    /// Invocations sent; an invocation and its retries count once.
     pub sent: u64,
-    /// Succeeded within the latency objective, counted from the first attempt.
+    /// Invocations that succeeded within the latency objective, measured from the first attempt.
     pub in_time: u64,
-    /// Succeeded later than that.
+    /// Invocations that succeeded after the latency objective.
     pub late: u64,
-    /// Rejected at the last attempt.
+    /// Invocations whose last attempt was rejected.
     pub throttled: u64,
-    /// Failed.
+    /// Invocations that failed.
     pub errored: u64,
-    /// Never answered: no connection had capacity, or its connection broke.
+    /// Invocations without a reply: no connection had capacity, or the connection broke.
     pub unsent: u64,
-    /// Retries made with the ticket and at the time that the server advised.
+    /// Retries with the ticket and at the time that the server advised.
     pub advised_retries: u64,
-    /// Those of them that were admitted.
+    /// Part of `advised_retries` that was admitted.
     pub advised_retries_admitted: u64,
-    /// Counts by tenant.
+    /// Counts of each tenant by its index in the group.
     pub by_tenant: Vec<TenantCounts>,
-    /// Microseconds from the first attempt of invocations that succeeded.
+    /// Latency of successful invocations in microseconds, measured from the first attempt.
     pub latency_us: Histogram<u64>,
 }
 
 impl GroupReport {
-    /// A report of `tenants` tenants without any invocation.
+    /// Creates an empty report for a group of `tenants` tenants.
     pub fn new(name: &str, tenants: usize) -> Self {
         Self {
             name: name.to_string(),
@@ -60,18 +60,18 @@
         }
     }
 
-    /// Part of the invocations sent that succeeded in time.
+    /// Share of the invocations that succeeded within the latency objective.
     pub fn in_time_ratio(&self) -> f64 {
         self.in_time as f64 / self.sent.max(1) as f64
     }
 
-    /// The same of the tenant with the lowest ratio.
+    /// Lowest share of in-time successes among the tenants that have sent invocations.
     pub fn lowest_in_time_ratio(&self) -> f64 {
         let senders = self.by_tenant.iter().filter(|tenant| tenant.sent > 0);
         senders.map(|tenant| tenant.in_time as f64 / tenant.sent as f64).fold(1.0, f64::min)
     }
 
-    /// Part of the retries as advised that were admitted; 1 when there were none.
+    /// Share of the advised retries that were admitted; 1 without such retries.
     pub fn advised_retries_admitted_ratio(&self) -> f64 {
         match self.advised_retries {
             0 => 1.0,
@@ -80,7 +80,7 @@
     }
 }
 
-/// The reports as a table, a line for each group.
+/// Formats the reports as a table with a line for each group.
 pub fn table(reports: &[GroupReport]) -> String {
     let mut out = format!("{:<10}", "group");
     let columns = [
--- a/crates/test-doubles/src/interpreter.rs
+++ b/crates/test-doubles/src/interpreter.rs
@@ -1,5 +1,6 @@
-//! An interpreter: executes runs on a number of cores, which all runs share evenly. A body states what its
-//! run needs, `work=MICROSECONDS`, and with the word `calls` that it makes a downstream call half way.
+//! Test double of the interpreter: executes runs on simulated cores, which all runs share evenly. The body of
+//! a run states its core time as `work=MICROSECONDS`; the word `calls` in the body makes the run wait for a
+//! downstream call after half of its work.
 
 mod link;
 mod machine;
@@ -12,8 +13,8 @@
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
 
-/// Starts an interpreter on loopback that accepts one link after the other, on a thread that ends with the
-/// process. Returns its address and its counts; an error when no socket can be bound.
+/// Starts an interpreter on loopback that serves one link at a time, on a thread that ends with the process.
+/// Returns its address and the counts of its runs; fails if no socket can be bound.
 pub fn start(cores: f64) -> std::io::Result<(SocketAddr, Arc<RunCounts>)> {
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0))?;
     let address = listener.get_ref().local_addr()?;
--- a/crates/test-doubles/src/interpreter/link.rs
+++ b/crates/test-doubles/src/interpreter/link.rs
@@ -1,4 +1,4 @@
-//! A link between a server and the interpreter: commands and notices, a line of JSON each.
+//! A link between a server and the interpreter. Each command and each notice is a line of JSON.
 
 use super::machine::Machine;
 use async_io::{Async, Timer};
@@ -7,15 +7,15 @@
 use std::net::TcpStream;
 use std::time::Instant;
 
-/// What a link waits for.
+/// Events for which a link waits.
 enum Event {
-    /// The first run reaches its call or its end.
+    /// The next run reaches its downstream call or its end.
     RunDue,
     Line(String),
     Closed,
 }
 
-/// Serves one link until the server closes it; an error when it breaks or a command is no JSON.
+/// Serves one link until the server closes it; fails if the connection breaks or a command is not JSON.
 pub async fn serve(machine: &mut Machine, stream: Async<TcpStream>) -> std::io::Result<()> {
     stream.get_ref().set_nodelay(true)?;
     let mut lines = BufReader::new(&stream).lines();
@@ -35,8 +35,8 @@
         let now = Instant::now();
         let mut notices = Vec::new();
         machine.advance(now, &mut notices);
-        machine.keep(&notices);
-        let from_runs = notices.len();
+        machine.retain_notices(&notices);
+        let run_notices = notices.len();
         match event {
             Event::RunDue => {}
             Event::Line(line) => {
@@ -45,8 +45,9 @@
             }
             Event::Closed => return Ok(()),
         }
-        // A command's own reply has no number, except the end of a run that the command stopped.
-        machine.keep(&notices[from_runs..]);
+        // The reply to a command has no index and is not retained. The end of a run that the command stopped
+        // has one.
+        machine.retain_notices(&notices[run_notices..]);
         let text: String = notices.iter().map(|notice| format!("{notice}\n")).collect();
         (&stream).write_all(text.as_bytes()).await?;
     }
--- a/crates/test-doubles/src/interpreter/machine.rs
+++ b/crates/test-doubles/src/interpreter/machine.rs
@@ -1,4 +1,5 @@
-//! The machine: runs that share the cores, advanced by the clock that it is given, and the commands on them.
+//! State of the simulated machine: runs that share the cores, and the commands on them. The caller passes the
+//! current time.
 
 use base64::{Engine, engine::general_purpose::STANDARD};
 use serde_json::{Value, json};
@@ -7,31 +8,32 @@
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::time::{Duration, Instant};
 
-/// Counts of runs, shared with the tests.
+/// Counts of the interpreter's runs, for assertions in tests.
 #[derive(Default)]
 pub struct RunCounts {
-    /// Runs begun.
+    /// Runs that have begun.
     pub begun: AtomicU64,
-    /// Runs ended.
+    /// Runs that have ended.
     pub ended: AtomicU64,
-    /// Runs begun although the same task had ended within the last 10 s.
+    /// Runs that began although a run of the same task had ended within the previous 10 s.
     pub repeated: AtomicU64,
-    /// Most runs on the cores at once.
+    /// Maximum number of runs on the cores at once.
     pub most_concurrent: AtomicU64,
 }
 
-/// A task that runs. Core times are in microseconds.
+/// A run of a task. Core times are in microseconds.
 struct Run {
-    /// Until its call, or until its end.
+    /// Core time left until the run's downstream call, or until its end if no call is left.
     remaining_us: f64,
-    /// Core time from its call to its end, if the call is still to come.
+    /// Core time from the downstream call to the end of the run; `None` once the call has begun or without a
+    /// call.
     after_call_us: Option<f64>,
     awaits_call: bool,
     total_us: f64,
 }
 
 impl Run {
-    /// From the body, `work=MICROSECONDS` and perhaps `calls` among its words.
+    /// Builds a run from the words `work=MICROSECONDS` and `calls` of its body; both are optional.
     fn from_body(body: &[u8]) -> Self {
         let text = String::from_utf8_lossy(body);
         let work = text.split(' ').find_map(|word| word.strip_prefix("work=")?.parse::<f64>().ok());
@@ -43,34 +45,34 @@
     }
 }
 
-/// The runs and what a link has yet to read of them.
+/// The runs, and their notices for the server.
 pub struct Machine {
     cores: f64,
     runs: BTreeMap<String, Run>,
-    /// When tasks ended, for [`ENDED_MEMORY`].
+    /// End time of each task, kept for [`ENDED_MEMORY`].
     ended: BTreeMap<String, Instant>,
-    /// The time up to which runs are advanced.
+    /// Time up to which the runs have been advanced.
     advanced_to: Instant,
-    /// Core time spent since the gauges were last read, in microseconds.
+    /// Core time used since the gauges were last read, in microseconds.
     busy_us: f64,
     gauges_read: Instant,
     last_index: u64,
-    /// Numbered notices that a later link may not have read, the oldest first.
+    /// Notices with an index, oldest first, retained for a replay on the next link.
     notices: VecDeque<Value>,
     started: Instant,
     counts: Arc<RunCounts>,
 }
 
 const NOTICES_MAX: usize = 4096;
-/// The time since its start that it claims at its start, so that it counts as warm.
+/// Age in milliseconds that the interpreter reports when it starts, so that the server treats it as warm.
 const INITIAL_AGE_MS: u64 = 60_000;
-/// How long ended tasks are remembered.
+/// Time for which an ended task is remembered, to detect that it runs again.
 const ENDED_MEMORY: Duration = Duration::from_secs(10);
-/// Work of a body that states none.
+/// Core time in microseconds of a run whose body states no `work`.
 const DEFAULT_WORK_US: f64 = 1000.0;
 
 impl Machine {
-    /// A machine without runs.
+    /// Creates a machine without runs.
     pub fn new(cores: f64, counts: Arc<RunCounts>) -> Self {
         let now = Instant::now();
         Self {
@@ -91,19 +93,20 @@
         self.runs.values().filter(|run| !run.awaits_call).count()
     }
 
-    /// Part of a core that each run has, at most 1.
+    /// Share of a core that each run gets, at most 1.
     fn core_share(&self) -> f64 {
         (self.cores / self.runs_on_cores().max(1) as f64).min(1.0)
     }
 
-    /// When the first run reaches its call or its end; `None` when none is on the cores.
+    /// Time when the next run reaches its downstream call or its end; `None` if no run is on the cores.
     pub fn next_due(&self) -> Option<Instant> {
         let on_cores = self.runs.values().filter(|run| !run.awaits_call);
         let least_us = on_cores.map(|run| run.remaining_us).reduce(f64::min)?;
         Some(self.advanced_to + Duration::from_secs_f64(least_us.max(1.0) / self.core_share() / 1e6))
     }
 
-    /// Advances all runs to `now` and appends notices of those that reach their call or their end.
+    /// Advances all runs to `now` and appends a notice for each run that reaches its downstream call or its
+    /// end.
     pub fn advance(&mut self, now: Instant, notices: &mut Vec<Value>) {
         let passed_us = now.duration_since(self.advanced_to).as_secs_f64() * 1e6;
         let each_us = passed_us * self.core_share();
@@ -134,16 +137,16 @@
         }
     }
 
-    /// Keeps numbered notices for the next link, in case this one does not deliver them.
-    pub fn keep(&mut self, notices: &[Value]) {
-        let last_kept = self.notices.back().and_then(|notice| notice["index"].as_u64()).unwrap_or(0);
-        let is_new = |notice: &&Value| notice["index"].as_u64().is_some_and(|index| index > last_kept);
+    /// Retains notices that have an index for the next link, in case the current one fails to deliver them.
+    pub fn retain_notices(&mut self, notices: &[Value]) {
+        let last_retained = self.notices.back().and_then(|notice| notice["index"].as_u64()).unwrap_or(0);
+        let is_new = |notice: &&Value| notice["index"].as_u64().is_some_and(|index| index > last_retained);
         self.notices.extend(notices.iter().filter(is_new).cloned());
         let excess = self.notices.len().saturating_sub(NOTICES_MAX);
         self.notices.drain(..excess);
     }
 
-    /// Executes a command and appends its notices.
+    /// Executes a command of the server and appends the resulting notices.
     pub fn execute(&mut self, command: &Value, now: Instant, notices: &mut Vec<Value>) {
         let task = command["task"].as_str().unwrap_or("");
         match command["verb"].as_str() {
@@ -160,7 +163,8 @@
         }
     }
 
-    /// A new link: the banner, and the notices after the last one that the server has read.
+    /// Begins a new link: sends the banner and replays the notices after the last one that the server has
+    /// read.
     fn connect(&self, command: &Value, now: Instant, notices: &mut Vec<Value>) {
         let age_ms = now.duration_since(self.started).as_millis() as u64 + INITIAL_AGE_MS;
         notices.push(json!({"verb": "BANNER", "outcome": "warm", "spent": age_ms}));
@@ -189,7 +193,7 @@
         }
     }
 
-    /// Utilization of the cores since the last reading, and the runs on them.
+    /// Reports the utilization of the cores since the last reading and the number of runs on them.
     fn read_gauges(&mut self, command: &Value, now: Instant) -> Value {
         let span_us = now.duration_since(self.gauges_read).as_secs_f64() * 1e6;
         let utilization = (self.busy_us / span_us.max(1.0) / self.cores).min(1.0);
--- a/crates/test-doubles/src/lib.rs
+++ b/crates/test-doubles/src/lib.rs
@@ -1,7 +1,7 @@
-//! Test doubles of what a server speaks to, written from its protocols: an interpreter, a downstream service,
-//! a service registry, and balancers with tenants behind them; relays that inject network faults; harnesses
-//! that run the program among them ([`tenant_rehearsal`], [`fleet`]), and a seeded soak ([`soak`]).
-//! All listen and send on loopback alone and end by themselves.
+//! Test doubles of the server's peers, written from the protocols: an interpreter, a downstream service, a
+//! service registry, and balancers with tenants behind them. Also relays that inject network faults,
+//! harnesses that run the program among the test doubles ([`tenant_rehearsal`], [`fleet`]), and a seeded soak
+//! ([`soak`]). All of them use loopback only and end without outside help.
 
 #![deny(missing_docs, clippy::too_many_lines)]
 
@@ -20,7 +20,7 @@
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Unix time in milliseconds.
+/// Current Unix time in milliseconds.
 pub fn unix_ms() -> u128 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis())
 }
--- a/crates/test-doubles/src/open_loop.rs
+++ b/crates/test-doubles/src/open_loop.rs
@@ -1,4 +1,4 @@
-//! An open-loop load on one process: calls at a steady rate for a bounded time, whatever becomes of them.
+//! An open-loop load on one server: calls at a constant rate for a limited time, independent of the replies.
 
 use crate::balancers::Balancer;
 use crate::unix_ms;
@@ -11,38 +11,39 @@
 use std::time::{Duration, Instant};
 
 const CONNECTIONS_MAX: usize = 16;
-/// How long replies are awaited after the last call was sent.
+/// Time for which replies are awaited after the end of the load.
 const LAST_REPLIES: Duration = Duration::from_secs(10);
 
-/// Replies by kind.
+/// Counts of calls by their reply.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReplyCounts {
-    /// Calls that have ended, however they did.
+    /// Calls that have ended, with or without a reply.
     pub sent: u64,
-    /// Succeeded.
+    /// Calls that succeeded.
     pub succeeded: u64,
-    /// Rejected.
+    /// Calls that were rejected.
     pub throttled: u64,
-    /// Failed.
+    /// Calls that failed.
     pub errored: u64,
-    /// No reply: the connection broke, or none could be made.
+    /// Calls without a reply, because their connection broke or no connection was available.
     pub unanswered: u64,
-    /// Of those without a reply, calls that were not sent.
+    /// Part of `unanswered`: calls that were not sent, because no connection was available.
     pub unsent: u64,
-    /// Of those without a reply, calls whose connection broke.
+    /// Part of `unanswered`: calls whose connection broke.
     pub broken: u64,
-    /// Of those whose connection broke, calls that crossed its close.
+    /// Part of `broken`: calls sent so shortly before the end of their connection that they may have crossed
+    /// the server's close.
     pub crossed: u64,
-    /// Replies that no call awaited, such as a second one to the same call.
+    /// Replies without a waiting caller, such as a second reply to the same call.
     pub unexpected: u64,
-    /// Longest time until a reply, in milliseconds.
+    /// Longest time from a call to its reply, in milliseconds.
     pub slowest_ms: u64,
-    /// When the last call was sent that succeeded, in Unix milliseconds.
+    /// Latest send time of a successful call, in Unix milliseconds.
     pub last_success_sent_ms: u64,
 }
 
 impl ReplyCounts {
-    /// Counts a call that ended with the outcome's word on the wire, or without a reply.
+    /// Counts a call that has ended; `outcome` is the word on the wire, `None` without a reply.
     fn add(&mut self, outcome: Option<&str>) {
         self.sent += 1;
         match outcome {
@@ -54,7 +55,7 @@
     }
 }
 
-/// What the calls of one load share.
+/// State that all calls of a load share.
 struct Load {
     balancer: Rc<Balancer>,
     work: Duration,
@@ -82,8 +83,8 @@
     }
 }
 
-/// Sends `rate` calls a second for `span`, each of `work` and with a downstream call half way; the thread
-/// ends by itself at most ten seconds after.
+/// Starts a thread that sends `rate` calls per second for `span`. Each call takes `work` of core time and
+/// makes a downstream call after half of it. The thread ends at most 10 s after `span`.
 pub fn start(
     to: SocketAddr,
     rate: f64,
--- a/crates/test-doubles/src/soak.rs
+++ b/crates/test-doubles/src/soak.rs
@@ -1,6 +1,6 @@
-//! A soak: processes of the program under load and signals, every moment and choice drawn from a seed.
-//! Clients go on until the kill, which comes at the earliest moment that the protocol allows: the time to
-//! stop after the notice to leave. [`run`] returns the rules that were broken.
+//! A soak test: processes of the program under load, signals and faults, with all times and choices drawn
+//! from a seed. Clients send until each server is killed at the earliest time that the protocol allows: the
+//! stop time after the drain notice. The report of [`run`] lists the violated invariants.
 
 mod checks;
 mod idle_connections;
--- a/crates/test-doubles/src/soak/checks.rs
+++ b/crates/test-doubles/src/soak/checks.rs
@@ -1,133 +1,134 @@
-//! What has to hold in every run.
+//! Invariants that hold in every soak run, and their checks.
 
 use crate::open_loop::ReplyCounts;
 use std::time::Duration;
 
-/// Time until which a call must be answered, by the configuration of the harness, and the protocol's slack.
+/// Time within which each call must be answered, as in the configuration of the harness.
 pub const CLIENT_TIMEOUT: Duration = Duration::from_millis(9_000);
-/// Grace after the notice to leave in which calls are still run, by the same configuration.
+/// Grace after the drain notice in which new calls still run, as in the configuration of the harness.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(200);
-/// Time from the notice to leave to the kill.
+/// Time from the drain notice until the server is killed.
 pub const STOP_AFTER: Duration = Duration::from_millis(2_000);
-/// Time by which the protocol lets every limit be passed on sockets.
+/// Tolerance of the protocol for all time limits that are observed on sockets.
 pub const SLACK: Duration = Duration::from_millis(50);
-/// Descriptors and resident memory that a server may have.
+/// Maximum number of open file descriptors of a server.
 pub const DESCRIPTORS_MAX: u64 = 256;
-/// In KiB.
+/// Maximum resident memory of a server, in KiB.
 pub const MEMORY_KB_MAX: u64 = 192 * 1024;
 
-/// A rule that was broken.
+/// A violated invariant.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum Violation {
-    /// Calls whose connection ended without an answer, and that did not cross its end.
-    #[error("s{server}: {lost} calls without an answer: {replies:?}")]
-    Lost {
-        /// The server.
+    /// Connections ended without a reply to calls that had not crossed the close.
+    #[error("s{server}: {lost} calls without a reply: {replies:?}")]
+    LostCalls {
+        /// Index of the server.
         server: usize,
-        /// How many.
+        /// Number of lost calls.
         lost: u64,
-        /// All replies of its clients.
+        /// Reply counts of the server's clients.
         replies: ReplyCounts,
     },
-    /// A call was answered twice.
-    #[error("s{server}: {replies} answers that no call awaited")]
+    /// Clients received replies for which no call was waiting.
+    #[error("s{server}: {replies} replies without a waiting call")]
     AnsweredTwice {
-        /// The server.
+        /// Index of the server.
         server: usize,
-        /// How many.
+        /// Number of unexpected replies.
         replies: u64,
     },
-    /// A call was answered after its time.
-    #[error("s{server}: an answer after {slowest_ms} ms, stopped for {stopped:?}")]
-    Late {
-        /// The server.
+    /// A call was answered after the client timeout.
+    #[error("s{server}: a reply after {slowest_ms} ms; server and machine stalled for {stopped:?}")]
+    LateReply {
+        /// Index of the server.
         server: usize,
-        /// The slowest answer.
+        /// Longest time until a reply, in milliseconds.
         slowest_ms: u64,
-        /// How long the server was stopped or the machine stood still, in all.
+        /// Total time for which the server was stopped or the machine stalled.
         stopped: Duration,
     },
-    /// A run began again after it had ended.
-    #[error("s{server}: {runs} runs began twice")]
+    /// A task ran again after its run had ended.
+    #[error("s{server}: {runs} tasks ran twice")]
     RanTwice {
-        /// The server.
+        /// Index of the server.
         server: usize,
-        /// How many.
+        /// Number of repeated runs.
         runs: u64,
     },
-    /// A call that was sent after the grace was run.
-    #[error("s{server}: a call succeeded that was sent {after_ms} ms after the notice to leave")]
+    /// A call ran although it was sent after the drain grace.
+    #[error("s{server}: a call succeeded that was sent {after_ms} ms after the drain notice")]
     RanAfterGrace {
-        /// The server.
+        /// Index of the server.
         server: usize,
-        /// How long after.
+        /// Time from the drain notice until the call was sent, in milliseconds.
         after_ms: u64,
     },
-    /// The server still accepted connections when the kill was due. That it runs is allowed: its last answers
-    /// are due right before.
-    #[error("s{server}: accepts {STOP_AFTER:?} after the notice to leave; {invocations}; {log:#?}")]
+    /// The server still accepted connections when its kill was due. That its process still runs then is
+    /// allowed, because its last replies are due immediately before.
+    #[error("s{server}: accepts connections {STOP_AFTER:?} after the drain notice; {counters}; {log:#?}")]
     AcceptsAtKill {
-        /// The server.
+        /// Index of the server.
         server: usize,
-        /// Its counters right before the kill.
-        invocations: String,
-        /// The end of its log.
+        /// Last logged counters of the server.
+        counters: String,
+        /// Last lines of the server's log.
         log: Vec<String>,
     },
-    /// The server ended otherwise than with 0.
+    /// The server did not exit with code 0.
     #[error("s{server}: ended with {status}")]
     ExitCode {
-        /// The server.
+        /// Index of the server.
         server: usize,
-        /// How.
+        /// Exit status of the server.
         status: String,
     },
-    /// Its counters do not add up.
+    /// The counters of the server do not add up.
     #[error("s{server}: counters do not add up: {line}")]
     Counters {
-        /// The server.
+        /// Index of the server.
         server: usize,
-        /// The line of its log.
+        /// Log line with the counters.
         line: String,
     },
-    /// The service below had more calls at once than the budget.
-    #[error("{most} calls at once of a budget of {total}")]
+    /// The downstream service had more concurrent calls than the budget allows.
+    #[error("{most} concurrent calls of a budget of {total}")]
     OverBudget {
-        /// Most at once.
+        /// Maximum number of concurrent calls.
         most: u64,
-        /// The budget.
+        /// Total of the budget.
         total: u64,
     },
-    /// A server held more descriptors or memory than it may.
+    /// A server exceeded its limit of file descriptors or memory.
     #[error("s{server}: {descriptors} descriptors, {memory_kb} KiB")]
-    Resources {
-        /// The server.
+    OverResourceLimit {
+        /// Index of the server.
         server: usize,
-        /// Most descriptors.
+        /// Maximum number of open file descriptors.
         descriptors: u64,
-        /// Most memory, in KiB.
+        /// Maximum resident memory, in KiB.
         memory_kb: u64,
     },
 }
 
-/// What a run amounts to, for the report.
+/// Totals of a soak run, for the report.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Totals {
     /// Calls sent.
     pub sent: u64,
-    /// Succeeded.
+    /// Calls that succeeded.
     pub succeeded: u64,
-    /// Calls that crossed the end of their connection.
+    /// Calls that crossed the close of their connection.
     pub crossed: u64,
-    /// Calls that were not sent, as no connection could be made.
+    /// Calls that were not sent, because no connection was available.
     pub unsent: u64,
-    /// Most descriptors of a server.
+    /// Maximum number of open file descriptors of a server.
     pub descriptors: u64,
-    /// How long the machine stood still, in milliseconds.
+    /// Total time for which the machine stalled, in milliseconds.
     pub stalled_ms: u64,
 }
 
-/// Breaches that the clients of one server saw. Calls may cross the end of a connection, but not the kill.
+/// Returns the violations observed by the clients of one server. Calls without a reply are allowed if they
+/// crossed the close of a connection, but not if the server was killed.
 pub fn client_violations(
     server: usize,
     replies: &ReplyCounts,
@@ -137,26 +138,26 @@
     let mut violations = Vec::new();
     let lost = if killed { replies.broken } else { replies.broken - replies.crossed };
     if lost > 0 {
-        violations.push(Violation::Lost { server, lost, replies: *replies });
+        violations.push(Violation::LostCalls { server, lost, replies: *replies });
     }
     if replies.unexpected > 0 {
         violations.push(Violation::AnsweredTwice { server, replies: replies.unexpected });
     }
     if Duration::from_millis(replies.slowest_ms) > CLIENT_TIMEOUT + SLACK + stopped {
-        violations.push(Violation::Late { server, slowest_ms: replies.slowest_ms, stopped });
+        violations.push(Violation::LateReply { server, slowest_ms: replies.slowest_ms, stopped });
     }
     violations
 }
 
-/// A violation where a call that was sent after the grace succeeded; `told_ms` is when the server was told to
-/// leave, by its own log.
-pub fn grace_violation(server: usize, replies: &ReplyCounts, told_ms: u64) -> Option<Violation> {
-    let after_ms = replies.last_success_sent_ms.saturating_sub(told_ms);
+/// Returns a violation if a call succeeded that was sent after the drain grace. `drain_notice_ms` is the time
+/// of the drain notice from the server's log.
+pub fn grace_violation(server: usize, replies: &ReplyCounts, drain_notice_ms: u64) -> Option<Violation> {
+    let after_ms = replies.last_success_sent_ms.saturating_sub(drain_notice_ms);
     let is_late = Duration::from_millis(after_ms) > DRAIN_GRACE + SLACK;
     is_late.then_some(Violation::RanAfterGrace { server, after_ms })
 }
 
-/// A violation where the line that a server ends with shows invocations without an end, or more than one.
+/// Returns a violation if the final counters in `line` show fewer or more results than invocations.
 pub fn counter_violation(server: usize, line: &str) -> Option<Violation> {
     let count = |name: &str| -> Option<u64> {
         line.split_whitespace().find_map(|word| word.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
--- a/crates/test-doubles/src/soak/idle_connections.rs
+++ b/crates/test-doubles/src/soak/idle_connections.rs
@@ -1,13 +1,14 @@
-//! Connections that say nothing, or half of something, and rest until the server ends them.
+//! Idle connections that send nothing or an incomplete array and stay open until the server closes them.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// How long one may take to be made: where the server's queue is full the kernel answers none.
+/// Maximum time to open a connection. The kernel does not answer a connection attempt while the server's
+/// accept queue is full.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Opens connections to one server; every other one begins an array and does not end it.
+/// Opens up to `connections` connections to one server and sends an incomplete array on every second one.
 pub fn open(to: SocketAddr, connections: usize) -> Vec<TcpStream> {
     let mut streams = Vec::new();
     for index in 0..connections {
--- a/crates/test-doubles/src/soak/plan.rs
+++ b/crates/test-doubles/src/soak/plan.rs
@@ -1,83 +1,85 @@
-//! What happens in one run, drawn from its seed.
+//! The plan of a soak run, drawn from its seed.
 
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// The span in which signals and faults begin; the notice to leave comes at its end.
+/// Length in milliseconds of the period in which signals and faults begin; the drain notice follows at its
+/// end.
 const SPAN_MS: u64 = 5_000;
-/// Signals of one series follow each other within this time.
+/// Upper bound of the interval between two signals of a series, in milliseconds.
 const SERIES_GAP_MS: u64 = 40;
-/// Longest stop of a server that shares no budget, and of one that does, whose lease is 2 s.
+/// Longest stop (SIGSTOP) in milliseconds of a server without a shared budget.
 const STOP_MS: u64 = 1_200;
+/// Longest stop in milliseconds of a server with a shared budget; longer than its lease of 2 s.
 const STOP_OVER_LEASE_MS: u64 = 3_500;
 
-/// Something that happens to one server.
+/// An event that affects one server.
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
-    /// SIGHUP, with other weights of the tenants in the file.
+    /// SIGHUP after the tenants' weights in the options file have changed.
     Reload,
-    /// SIGUSR1: the counters are logged.
+    /// SIGUSR1, at which the server logs its counters.
     LogCounters,
-    /// SIGSTOP, and SIGCONT after a while.
+    /// SIGSTOP, followed by SIGCONT.
     Stop {
-        /// How long it is stopped.
+        /// Time between the two signals.
         span: Duration,
     },
-    /// The service below answers no call for a while.
+    /// The downstream service answers no call.
     SilentService {
-        /// How long.
+        /// Time for which the service does not answer.
         span: Duration,
     },
-    /// Connections that say nothing, more than the server has descriptors for, until the end.
+    /// More idle connections than the server has file descriptors, kept open until the end of the run.
     IdleConnections {
-        /// How many.
+        /// Number of connections.
         connections: usize,
     },
 }
 
-/// An event, when it begins, and the server that it happens to.
+/// An event with its start time and the server that it affects.
 #[derive(Clone, Copy, Debug)]
 pub struct Scheduled {
-    /// Since the load began.
+    /// Start time, counted from the start of the load.
     pub at: Duration,
-    /// The server by its index.
+    /// Index of the affected server.
     pub server: usize,
-    /// What happens.
+    /// The event.
     pub event: Event,
 }
 
-/// A signal of the series that ends a run, and the pause before it.
+/// A signal of the series that ends a run.
 #[derive(Clone, Copy, Debug)]
 pub struct LastSignal {
-    /// Pause after the signal before.
+    /// Pause between the previous signal and this one.
     pub after: Duration,
-    /// The signal's name without `SIG`.
+    /// Name of the signal without `SIG`.
     pub name: &'static str,
 }
 
-/// One run.
+/// Plan of a soak run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// What it was drawn from.
+    /// Seed from which the plan was drawn.
     pub seed: u64,
-    /// Servers; several share a budget of calls.
+    /// Number of servers; if there are several, they share a budget of downstream calls.
     pub servers: usize,
-    /// Calls a second to each.
+    /// Calls per second to each server.
     pub rate: f64,
-    /// Work of a call.
+    /// Core time of each call.
     pub work: Duration,
-    /// How long the service below takes.
+    /// Duration of each downstream call.
     pub call_time: Duration,
-    /// In the order of their times.
+    /// Events in the order of their start times.
     pub events: Vec<Scheduled>,
-    /// The signals at the end, to each server.
+    /// Signals sent to each server at the end of the load, with a drain notice among them.
     pub ending: Vec<LastSignal>,
 }
 
 impl Plan {
-    /// The run of a seed.
+    /// Draws the plan of a seed.
     pub fn draw(seed: u64) -> Plan {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let servers = if rng.random_bool(0.35) { 3 } else { 1 };
@@ -113,7 +115,7 @@
         }
     }
 
-    /// How long the load goes on before the notice to leave.
+    /// Time from the start of the load until the final signals.
     pub fn span() -> Duration {
         Duration::from_millis(SPAN_MS)
     }
@@ -123,14 +125,14 @@
     Duration::from_millis(rng.random_range(200..SPAN_MS - 200))
 }
 
-/// One event, or a series of signals.
+/// Draws an event, or a series of equal signals.
 fn draw_events(rng: &mut ChaCha8Rng, servers: usize) -> Vec<Scheduled> {
     let (at, server) = (draw_moment(rng), rng.random_range(0..servers));
     let longest_stop = if servers > 1 { STOP_OVER_LEASE_MS } else { STOP_MS };
     let event = match rng.random_range(0..6) {
         0 | 1 => Event::Stop { span: Duration::from_millis(rng.random_range(50..longest_stop)) },
         2 => Event::LogCounters,
-        // A budget counts calls for as long as the service has them.
+        // Not with a shared budget, which counts a call for as long as the service has not answered it.
         3 if servers == 1 => {
             Event::SilentService { span: Duration::from_millis(rng.random_range(200..1_500)) }
         }
--- a/crates/test-doubles/src/soak/play.rs
+++ b/crates/test-doubles/src/soak/play.rs
@@ -1,4 +1,4 @@
-//! Plays one run and checks it.
+//! Executes a soak run and checks its invariants.
 
 use super::checks::{self, Totals, Violation};
 use super::idle_connections;
@@ -15,46 +15,47 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant, UNIX_EPOCH};
 
-/// Calls at once that several servers share, and the least of each.
+/// Maximum number of concurrent downstream calls of all servers, where several share a budget.
 const BUDGET_TOTAL: u64 = 8;
+/// Concurrent downstream calls that each server may make without a lease.
 const BUDGET_FLOOR: u64 = 1;
 const CORES: f64 = 4.0;
-/// A call takes this long while the service below is silent.
+/// Call time while the downstream service does not answer; longer than the run.
 const SILENT: Duration = Duration::from_secs(60);
 const CONNECT_MAX: Duration = Duration::from_millis(200);
-/// A poll that takes this long shows that the machine stood still, or had no core for anybody; the protocol
-/// does not count such time.
+/// A gap between two polls that is longer than this counts as a stall of the machine. Time limits of the
+/// protocol do not include such stalls.
 const STALL: Duration = Duration::from_millis(200);
 const POLL_PERIOD: Duration = Duration::from_millis(5);
 const START_MAX: Duration = Duration::from_secs(30);
-/// Lines of the log of a server that had to be killed.
+/// Maximum number of log lines in the report of a server that had to be killed.
 const LOG_TAIL: usize = 12;
-/// How long the last line of a log may take to be read.
+/// Maximum time until the last line of a server's log has been read.
 const LAST_LINE_MAX: Duration = Duration::from_secs(3);
 
-/// What a run came to.
+/// Result of a soak run.
 #[derive(Debug)]
 pub struct SoakReport {
-    /// The run.
+    /// Plan of the run.
     pub plan: Plan,
-    /// Rules that were broken.
+    /// Violated invariants.
     pub violations: Vec<Violation>,
-    /// What was done, in order, with the milliseconds since the load began.
-    pub order: Vec<String>,
-    /// Figures for the report.
+    /// Actions in the order in which they were taken, each with the milliseconds since the load began.
+    pub actions: Vec<String>,
+    /// Totals of the run.
     pub totals: Totals,
 }
 
-/// Plays the run of a seed with the program. An error where the harness itself fails.
+/// Executes the run of a seed with the program. Fails only on an error of the harness itself.
 pub fn run(program: &Path, seed: u64) -> Result<SoakReport> {
     let plan = Plan::draw(seed);
     let mut run = Run::start(program, &plan)?;
-    run.play_events(&plan)?;
+    run.execute_events(&plan)?;
     run.end(&plan)?;
     run.finish(plan)
 }
 
-/// Something to do at a moment.
+/// An action on a server or on the downstream service.
 enum Action {
     Signal(&'static str),
     Reload,
@@ -62,15 +63,15 @@
     IdleConnections(usize),
 }
 
-struct Due {
+struct ScheduledAction {
     at: Duration,
     server: usize,
     action: Action,
 }
 
-/// What was seen of one server.
+/// Observations of one server.
 #[derive(Default)]
-struct Seen {
+struct Observed {
     stopped: Duration,
     stopped_at: Option<Instant>,
     descriptors: u64,
@@ -84,12 +85,12 @@
     service: Arc<DownstreamService>,
     loads: Vec<JoinHandle<ReplyCounts>>,
     idle: Vec<TcpStream>,
-    seen: Vec<Seen>,
+    observed: Vec<Observed>,
     began: Instant,
     polled_at: Instant,
-    /// How long the machine stood still.
+    /// Total time for which the machine stalled.
     stalled: Duration,
-    order: Vec<String>,
+    actions: Vec<String>,
     reloads: u64,
 }
 
@@ -103,25 +104,25 @@
             ..HarnessOptions::default()
         };
         let fleet = FleetHarness::with_options(program, plan.servers, plan.servers, plan.seed, options)?;
-        let everyone: Vec<usize> = (0..plan.servers).collect();
-        fleet.wait_for_agreement(&everyone, Instant::now(), START_MAX)?;
+        let all_servers: Vec<usize> = (0..plan.servers).collect();
+        fleet.wait_for_agreement(&all_servers, Instant::now(), START_MAX)?;
         let span = Plan::span() + checks::STOP_AFTER + checks::SLACK;
         let mut loads = Vec::new();
-        for &server in &everyone {
-            let to = fleet.listen_address(server).context("a server without an address")?;
+        for &server in &all_servers {
+            let to = fleet.listen_address(server).context("the server has not logged its listen address")?;
             let seed = plan.seed.wrapping_mul(16) + server as u64 + 1;
             loads.push(open_loop::start(to, plan.rate, plan.work, span, seed & 0xffff_ffff));
         }
-        let seen = everyone.iter().map(|_| Seen::default()).collect();
-        let (idle, order, began) = (Vec::new(), Vec::new(), Instant::now());
+        let observed = all_servers.iter().map(|_| Observed::default()).collect();
+        let (idle, actions, began) = (Vec::new(), Vec::new(), Instant::now());
         let (polled_at, stalled) = (began, Duration::ZERO);
-        Ok(Run { fleet, service, loads, idle, seen, began, polled_at, stalled, order, reloads: 0 })
+        Ok(Run { fleet, service, loads, idle, observed, began, polled_at, stalled, actions, reloads: 0 })
     }
 
-    fn play_events(&mut self, plan: &Plan) -> Result<()> {
-        let mut due = actions(plan);
-        due.sort_by_key(|due| due.at);
-        for Due { at, server, action } in due {
+    fn execute_events(&mut self, plan: &Plan) -> Result<()> {
+        let mut scheduled = schedule(plan);
+        scheduled.sort_by_key(|scheduled| scheduled.at);
+        for ScheduledAction { at, server, action } in scheduled {
             self.wait_until(at.min(Plan::span()));
             self.act(server, &action)?;
         }
@@ -136,64 +137,70 @@
         let at = self.began.elapsed().as_millis();
         match action {
             Action::Signal(name) => {
-                self.note_stop(server, name);
-                self.order.push(format!("{at} s{server} {name}"));
+                self.record_stop(server, name);
+                self.actions.push(format!("{at} s{server} {name}"));
                 self.fleet.signal_and_keep(server, name)?;
             }
             Action::Reload => {
-                self.order.push(format!("{at} s{server} HUP"));
+                self.actions.push(format!("{at} s{server} HUP"));
                 self.rewrite_options(server)?;
                 self.fleet.signal_and_keep(server, "HUP")?;
             }
             Action::CallTime(time) => {
-                self.order.push(format!("{at} service takes {time:?}"));
+                self.actions.push(format!("{at} service takes {time:?}"));
                 self.service.call_time_us.store(time.as_micros() as u64, Relaxed);
             }
             Action::IdleConnections(connections) => {
-                let to = self.fleet.listen_address(server).context("a server without an address")?;
+                let to = self
+                    .fleet
+                    .listen_address(server)
+                    .context("the server has not logged its listen address")?;
                 self.idle.extend(idle_connections::open(to, *connections));
                 self.polled_at = Instant::now();
-                self.order.push(format!("{at} s{server} idle connections {}", self.idle.len()));
+                self.actions.push(format!("{at} s{server} idle connections {}", self.idle.len()));
             }
         }
         Ok(())
     }
 
-    /// Adds up how long a server is stopped; a second stop meanwhile changes nothing.
-    fn note_stop(&mut self, server: usize, signal: &str) {
-        let seen = &mut self.seen[server];
+    /// Adds up the time for which a server is stopped; a STOP of a stopped server has no effect.
+    fn record_stop(&mut self, server: usize, signal: &str) {
+        let observed = &mut self.observed[server];
         match signal {
-            "STOP" => drop(seen.stopped_at.get_or_insert_with(Instant::now)),
-            "CONT" => seen.stopped += seen.stopped_at.take().map_or(Duration::ZERO, |at| at.elapsed()),
+            "STOP" => drop(observed.stopped_at.get_or_insert_with(Instant::now)),
+            "CONT" => {
+                observed.stopped += observed.stopped_at.take().map_or(Duration::ZERO, |at| at.elapsed());
+            }
             _ => {}
         }
     }
 
-    /// Other weights of the tenants.
+    /// Changes the tenants' weights in the options file of a server.
     fn rewrite_options(&mut self, server: usize) -> Result<()> {
         let file = self.fleet.folder().join(format!("s{server}.xml"));
         let text = std::fs::read_to_string(&file)?;
         self.reloads += 1;
         let (old, new) = (tenants(self.reloads - 1), tenants(self.reloads));
-        // Another server may have had the change before.
+        // The file may be older than the previous change, which may have gone to another server.
         let earlier = (0..self.reloads).map(tenants).find(|tenants| text.contains(tenants));
         std::fs::write(file, text.replace(&earlier.unwrap_or(old), &new))?;
         Ok(())
     }
 
-    /// The series of last signals to each server, then until all have ended or the kill is due.
+    /// Sends the final signals to each server and waits until all have exited; kills each server that has not
+    /// exited when its kill is due.
     fn end(&mut self, plan: &Plan) -> Result<()> {
-        let mut told = Vec::new();
+        let mut drain_notices = Vec::new();
         for server in 0..plan.servers {
-            let mut told_at = None;
+            let mut notified_at = None;
             for signal in &plan.ending {
                 std::thread::sleep(signal.after);
                 self.act(server, &Action::Signal(signal.name))?;
                 if matches!(signal.name, "TERM" | "INT") {
-                    told_at.get_or_insert_with(|| (Instant::now(), self.stalled));
+                    notified_at.get_or_insert_with(|| (Instant::now(), self.stalled));
                 }
             }
-            told.push(told_at.context("each series has a notice to leave")?);
+            drain_notices.push(notified_at.context("the series has no drain notice")?);
         }
         let mut running: Vec<usize> = (0..plan.servers).collect();
         while !running.is_empty() {
@@ -202,9 +209,9 @@
             let fleet = &mut self.fleet;
             running.retain(|server| fleet.exit_status(*server).is_none());
             for server in running.clone() {
-                let (told_at, stalled_before) = told[server];
-                let left_for = told_at.elapsed().saturating_sub(self.stalled - stalled_before);
-                if left_for >= checks::STOP_AFTER && !self.seen[server].killed {
+                let (notified_at, stalled_before) = drain_notices[server];
+                let draining_for = notified_at.elapsed().saturating_sub(self.stalled - stalled_before);
+                if draining_for >= checks::STOP_AFTER && !self.observed[server].killed {
                     self.kill(server)?;
                 }
             }
@@ -212,18 +219,18 @@
         Ok(())
     }
 
-    /// Kills a server that has not ended, once it is seen whether it still accepts.
+    /// Kills a server that has not exited, after recording whether it still accepts connections.
     fn kill(&mut self, server: usize) -> Result<()> {
-        let to = self.fleet.listen_address(server).context("a server without an address")?;
-        self.seen[server].accepts_at_kill = TcpStream::connect_timeout(&to, CONNECT_MAX).is_ok();
-        self.seen[server].killed = true;
+        let to = self.fleet.listen_address(server).context("the server has not logged its listen address")?;
+        self.observed[server].accepts_at_kill = TcpStream::connect_timeout(&to, CONNECT_MAX).is_ok();
+        self.observed[server].killed = true;
         self.act(server, &Action::Signal("KILL"))
     }
 
     fn finish(mut self, plan: Plan) -> Result<SoakReport> {
         let (mut violations, mut totals) = (Vec::new(), Totals::default());
         for (server, load) in std::mem::take(&mut self.loads).into_iter().enumerate() {
-            let replies = load.join().ok().context("a load panicked")?;
+            let replies = load.join().ok().context("the thread of a load panicked")?;
             totals.sent += replies.sent;
             totals.succeeded += replies.succeeded;
             totals.crossed += replies.crossed;
@@ -236,26 +243,26 @@
             violations.push(Violation::OverBudget { most, total: BUDGET_TOTAL });
         }
         totals.stalled_ms = self.stalled.as_millis() as u64;
-        totals.descriptors = self.seen.iter().map(|seen| seen.descriptors).max().unwrap_or(0);
-        Ok(SoakReport { plan, violations, order: self.order, totals })
+        totals.descriptors = self.observed.iter().map(|observed| observed.descriptors).max().unwrap_or(0);
+        Ok(SoakReport { plan, violations, actions: self.actions, totals })
     }
 
     fn check_clients(&self, server: usize, replies: &ReplyCounts) -> Vec<Violation> {
-        let Seen { stopped, killed, .. } = self.seen[server];
+        let Observed { stopped, killed, .. } = self.observed[server];
         checks::client_violations(server, replies, stopped + self.stalled, killed)
     }
 
     fn check_server(&mut self, server: usize, replies: &ReplyCounts) -> Vec<Violation> {
         let mut violations = Vec::new();
-        let Seen { descriptors, memory_kb, killed, .. } = self.seen[server];
+        let Observed { descriptors, memory_kb, killed, .. } = self.observed[server];
         if descriptors > checks::DESCRIPTORS_MAX || memory_kb > checks::MEMORY_KB_MAX {
-            violations.push(Violation::Resources { server, descriptors, memory_kb });
+            violations.push(Violation::OverResourceLimit { server, descriptors, memory_kb });
         }
         let runs = self.fleet.run_counts(server).map_or(0, |runs| runs.repeated.load(Relaxed));
         if runs > 0 {
             violations.push(Violation::RanTwice { server, runs });
         }
-        if self.seen[server].accepts_at_kill {
+        if self.observed[server].accepts_at_kill {
             violations.push(self.accepts_at_kill(server));
         }
         if killed {
@@ -265,8 +272,8 @@
             Some(status) if status.success() => {}
             status => violations.push(Violation::ExitCode { server, status: format!("{status:?}") }),
         }
-        if let Some(told_ms) = self.message_time_ms(server, "told to leave") {
-            violations.extend(checks::grace_violation(server, replies, told_ms));
+        if let Some(drain_notice_ms) = self.message_time_ms(server, "told to leave") {
+            violations.extend(checks::grace_violation(server, replies, drain_notice_ms));
         }
         let line = wait_for(LAST_LINE_MAX, || self.message(server, "ended; counters:"));
         violations.extend(checks::counter_violation(server, &line.unwrap_or_default()));
@@ -281,21 +288,21 @@
         let counters = |(_, fields): &(String, Value)| {
             fields["message"].as_str()?.strip_prefix("counters:").map(String::from)
         };
-        let invocations = lines.iter().rev().find_map(counters).unwrap_or_default();
+        let counters = lines.iter().rev().find_map(counters).unwrap_or_default();
         let newest = lines.iter().rev().filter(|line| !of_fleet(line)).take(LOG_TAIL).map(text);
         let mut log: Vec<String> = newest.collect();
         log.reverse();
-        Violation::AcceptsAtKill { server, invocations, log }
+        Violation::AcceptsAtKill { server, counters, log }
     }
 
-    /// The message of server `server`'s log that begins with `start`.
+    /// First message in the log of server `server` that begins with `start`.
     fn message(&self, server: usize, start: &str) -> Option<String> {
         let lines = self.fleet.timestamped_log_lines(server);
         let mut messages = lines.iter().filter_map(|(_, fields)| fields["message"].as_str());
         messages.find(|message| message.starts_with(start)).map(str::to_string)
     }
 
-    /// When a message was written, in Unix milliseconds.
+    /// Time at which a server logged a message, in Unix milliseconds.
     fn message_time_ms(&self, server: usize, message: &str) -> Option<u64> {
         let lines = self.fleet.timestamped_log_lines(server);
         let (timestamp, _) = lines.iter().find(|(_, fields)| fields["message"] == message)?;
@@ -310,29 +317,29 @@
         }
     }
 
-    /// Descriptors and memory of each server, and whether the machine stood still.
+    /// Samples the file descriptors and memory of each server, and records a stall of the machine.
     fn sample(&mut self) {
         let gap = self.polled_at.elapsed();
         self.polled_at = Instant::now();
         if gap > STALL {
             self.stalled += gap;
         }
-        for (server, seen) in self.seen.iter_mut().enumerate() {
+        for (server, observed) in self.observed.iter_mut().enumerate() {
             let Some(id) = self.fleet.process_id(server) else { continue };
             let open =
                 std::fs::read_dir(format!("/proc/{id}/fd")).map_or(0, |entries| entries.count() as u64);
-            seen.descriptors = seen.descriptors.max(open);
-            seen.memory_kb = seen.memory_kb.max(resident_kb(id));
+            observed.descriptors = observed.descriptors.max(open);
+            observed.memory_kb = observed.memory_kb.max(resident_kb(id));
         }
     }
 }
 
-/// Events as actions, each with its moment.
-fn actions(plan: &Plan) -> Vec<Due> {
+/// Converts the events of a plan to actions with their times, which are not sorted.
+fn schedule(plan: &Plan) -> Vec<ScheduledAction> {
     let mut actions = Vec::new();
     for scheduled in &plan.events {
         let (at, server) = (scheduled.at, scheduled.server);
-        let mut add = |at, action| actions.push(Due { at, server, action });
+        let mut add = |at, action| actions.push(ScheduledAction { at, server, action });
         match scheduled.event {
             Event::Reload => add(at, Action::Reload),
             Event::LogCounters => add(at, Action::Signal("USR1")),
@@ -368,7 +375,7 @@
     )
 }
 
-/// Resident memory of a process in KiB; 0 where it has ended.
+/// Resident memory of a process in KiB; 0 if the process has ended.
 fn resident_kb(id: u32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
     let resident = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
--- a/crates/test-doubles/src/tcp_relay.rs
+++ b/crates/test-doubles/src/tcp_relay.rs
@@ -1,7 +1,8 @@
-//! A fault relay for TCP on loopback: each member reaches one target at an endpoint of its own, so that the
-//! relay knows who sends. It delays and jitters what passes, holds it up while the member's group is cut from
-//! the target's (bytes wait, as behind a broken link), and resets a share of connections. It ends when
-//! dropped and holds at most [`CONNECTIONS_MAX`] connections.
+//! A fault relay for TCP on loopback between the members of a fleet and one target. Each member has an
+//! endpoint of its own, by which the relay identifies the sender. The relay delays and jitters traffic,
+//! buffers it while the member's group is cut off from the target's group (as on a broken link), and closes a
+//! share of the connections when they are opened. It holds at most [`CONNECTIONS_MAX`] connections and ends
+//! when dropped.
 
 use crate::faults::Faults;
 use rand::{Rng, SeedableRng};
@@ -13,30 +14,30 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Connections at once through one relay; further ones are closed when accepted.
+/// Maximum number of concurrent connections of a relay; further ones are closed when accepted.
 pub const CONNECTIONS_MAX: usize = 512;
-/// How soon a thread sees a new connection, a healed cut, or that the relay ends.
+/// Period at which threads check for a new connection, the end of a cut, or the end of the relay.
 const POLL_PERIOD: Duration = Duration::from_millis(5);
 const READ_TIMEOUT: Duration = Duration::from_millis(20);
 const CHUNK_BYTES: usize = 16 * 1024;
 
 struct Shared {
     faults: Mutex<Faults>,
-    /// The group of the target; the members' groups are in the faults.
+    /// Group of the target; the groups of the members are in `faults`.
     target_group: u32,
-    /// Share of connections reset when they are opened, 0 to 1.
+    /// Share of connections that are closed when they are opened, from 0 to 1.
     reset_share: Mutex<f64>,
     rng: Mutex<ChaCha8Rng>,
     open: AtomicUsize,
     stop: AtomicBool,
 }
 
-/// A lock of the relay.
+/// Locks a mutex of the relay.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().expect("no thread of the relay panics while it holds a lock")
 }
 
-/// The relay, with a thread for each endpoint and two for each connection.
+/// A TCP relay. Each endpoint has a thread, each connection has two.
 pub struct TcpRelay {
     endpoints: Vec<SocketAddr>,
     shared: Arc<Shared>,
@@ -44,7 +45,8 @@
 }
 
 impl TcpRelay {
-    /// Binds an endpoint for each of `count` members towards `target`, which is in `target_group`.
+    /// Binds an endpoint for each of `count` members. Connections are relayed to `target`, which is in group
+    /// `target_group`.
     pub fn new(count: usize, target: SocketAddr, target_group: u32, seed: u64) -> std::io::Result<TcpRelay> {
         let shared = Arc::new(Shared {
             faults: Mutex::default(),
@@ -65,17 +67,17 @@
         Ok(TcpRelay { endpoints, shared, threads })
     }
 
-    /// Where member `index` reaches the target.
+    /// Address at which member `index` reaches the target.
     pub fn endpoint(&self, index: usize) -> SocketAddr {
         self.endpoints[index]
     }
 
-    /// Changes the faults from now on; loss, duplicates and reordering do not apply to a stream of bytes.
+    /// Changes the injected faults. Loss, duplicates and reordering do not apply to TCP.
     pub fn change_faults(&self, change: impl FnOnce(&mut Faults)) {
         change(&mut lock(&self.shared.faults));
     }
 
-    /// Resets this share of connections, from 0 to 1, when they are opened.
+    /// Sets the share of connections, from 0 to 1, that are closed when they are opened.
     pub fn set_reset_share(&self, share: f64) {
         *lock(&self.shared.reset_share) = share;
     }
@@ -90,7 +92,7 @@
     }
 }
 
-/// Which way bytes go.
+/// Direction of bytes through the relay.
 #[derive(Clone, Copy)]
 enum Direction {
     ToTarget,
@@ -102,7 +104,7 @@
         self.stop.load(Ordering::Relaxed)
     }
 
-    /// Whether bytes of a member pass, to the target or from it.
+    /// Whether bytes between a member and the target may pass in this direction.
     fn passes(&self, member: usize, direction: Direction) -> bool {
         let faults = lock(&self.faults);
         let (member, target) = (faults.group(member), self.target_group);
@@ -122,7 +124,7 @@
     }
 }
 
-/// Accepts the connections of one member, each served on a thread of its own.
+/// Accepts the connections of one member and serves each on a thread of its own.
 fn accept(listener: &TcpListener, member: usize, target: SocketAddr, shared: &Arc<Shared>) {
     while !shared.stopped() {
         let Ok((near, _)) = listener.accept() else {
@@ -143,14 +145,15 @@
     }
 }
 
-/// Connects a member to the target and passes bytes both ways until either end is gone.
+/// Connects a member to the target and relays bytes in both directions until either end closes.
 fn connect_through(
     near: TcpStream,
     member: usize,
     target: SocketAddr,
     shared: &Arc<Shared>,
 ) -> std::io::Result<()> {
-    // A connection through a cut link is made when it heals, not refused: nothing says that it is cut.
+    // A connection attempt during a cut waits for the end of the cut and is not refused, as on a broken link,
+    // where the caller gets no error.
     while !shared.passes(member, Direction::ToTarget) && !shared.stopped() {
         std::thread::sleep(POLL_PERIOD);
     }
@@ -170,7 +173,7 @@
     Ok(())
 }
 
-/// Passes bytes one way until either end is gone; then both are closed.
+/// Relays bytes in one direction until either end closes, then closes both.
 fn pass(mut from: TcpStream, mut to: TcpStream, member: usize, direction: Direction, shared: &Shared) {
     let mut buffer = [0; CHUNK_BYTES];
     while !shared.stopped() {
--- a/crates/test-doubles/src/tcp_relay/tests.rs
+++ b/crates/test-doubles/src/tcp_relay/tests.rs
@@ -1,11 +1,12 @@
-//! The relay between a caller and a service.
+//! Tests of the TCP relay between a caller and a service.
 
 use super::*;
 use std::time::Instant;
 
-/// An echo through the relay: held up while cut, in order after the heal; a reset connection closes.
+/// Bytes to an echo service wait during a cut and arrive after it; with a reset share of 1 each new
+/// connection is closed.
 #[test]
-fn a_cut_holds_bytes_up_and_a_heal_lets_them_through() {
+fn a_cut_delays_bytes_until_it_ends() {
     let target = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = target.local_addr().unwrap();
     std::thread::spawn(move || {
@@ -25,7 +26,7 @@
     relay.change_faults(|faults| faults.partition(0, 9));
     near.write_all(b"two").unwrap();
     near.set_read_timeout(Some(Duration::from_millis(200))).unwrap();
-    assert!(near.read_exact(&mut received).is_err(), "held up while cut");
+    assert!(near.read_exact(&mut received).is_err(), "no bytes pass during the cut");
     relay.change_faults(|faults| faults.heal());
     near.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
     let healed = Instant::now();
@@ -35,5 +36,5 @@
     relay.set_reset_share(1.0);
     let mut reset = TcpStream::connect(relay.endpoint(0)).unwrap();
     reset.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
-    assert!(matches!(reset.read(&mut received), Ok(0) | Err(_)), "closed");
+    assert!(matches!(reset.read(&mut received), Ok(0) | Err(_)), "the relay closes the connection");
 }
--- a/crates/test-doubles/src/tenant_rehearsal.rs
+++ b/crates/test-doubles/src/tenant_rehearsal.rs
@@ -1,6 +1,6 @@
-//! A rehearsal with many tenants: the program is started among test doubles, tenants send as their groups
-//! state, first at the baseline and then in overload, and at last the program is stopped. It ends by itself
-//! in the stated time.
+//! A rehearsal with many tenants: starts the program among test doubles, sends the load of each group of
+//! tenants, first at the baseline rate and then in overload, and stops the program. The duration is bounded
+//! by the plan.
 
 mod arrivals;
 mod invocation;
--- a/crates/test-doubles/src/tenant_rehearsal/arrivals.rs
+++ b/crates/test-doubles/src/tenant_rehearsal/arrivals.rs
@@ -1,4 +1,4 @@
-//! Arrivals of one tenant: a Poisson process at the rate of its group and phase.
+//! Arrivals of a tenant's invocations: a Poisson process at the rate of the tenant's group and the phase.
 
 use super::invocation::Invocation;
 use super::load::{Load, Tenant};
@@ -9,10 +9,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How far the clock goes on where a group's rate is 0, in seconds.
+/// Step of the arrival clock in seconds while a group's rate is 0.
 const IDLE_STEP_S: f64 = 0.1;
 
-/// Sends invocations until the end of the load, whatever becomes of them.
+/// Sends the invocations of a tenant until the end of the load, independent of the replies.
 pub async fn send_arrivals(load: Rc<Load>, balancer: Rc<Balancer>, tenant: Tenant) {
     let seed = load.plan.seed ^ (tenant.group as u64) << 40 ^ tenant.index as u64;
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
--- a/crates/test-doubles/src/tenant_rehearsal/invocation.rs
+++ b/crates/test-doubles/src/tenant_rehearsal/invocation.rs
@@ -1,4 +1,4 @@
-//! One invocation with its retries.
+//! An invocation with its retries.
 
 use super::load::{Load, Tenant};
 use crate::balancers::{Balancer, Reply};
@@ -12,14 +12,14 @@
     pub load: Rc<Load>,
     pub balancer: Rc<Balancer>,
     pub tenant: Tenant,
-    /// The name that the tenant gives itself.
+    /// Tenant name that the invocation carries.
     pub name: String,
-    /// Retries when rejected, as the server advised.
+    /// Whether the invocation, when rejected, is retried as the server advised.
     pub follows_advice: bool,
 }
 
 impl Invocation {
-    /// Makes all attempts and counts the invocation when it began in the overload phase.
+    /// Makes all attempts, and counts the invocation if it began in the overload phase.
     pub async fn run(self) {
         let load = &self.load;
         let began = Instant::now();
@@ -32,14 +32,15 @@
         }
     }
 
-    /// Retries while the server rejects with a ticket and advises a time within twice the latency objective.
+    /// Retries as long as the server rejects with a ticket and the advised time is within twice the latency
+    /// objective after the first attempt. Returns the last reply.
     async fn attempt_until_answered(&self, began: Instant, counted: bool) -> Option<Reply> {
         let retry_span = 2 * self.load.plan.objective;
         let mut ticket: Option<String> = None;
         loop {
             let reply = self.attempt(ticket.as_deref()).await;
             if ticket.is_some() && counted {
-                self.count_return(reply.as_ref());
+                self.count_advised_retry(reply.as_ref());
             }
             let rejected = reply.as_ref().filter(|reply| reply.outcome == "refused");
             ticket = rejected.filter(|_| self.follows_advice).and_then(|reply| reply.ticket.clone());
@@ -66,8 +67,8 @@
         self.balancer.call("answer", &fields, body.as_bytes()).await
     }
 
-    /// Counts a retry made as advised.
-    fn count_return(&self, reply: Option<&Reply>) {
+    /// Counts the reply to an advised retry.
+    fn count_advised_retry(&self, reply: Option<&Reply>) {
         let Some(reply) = reply else { return };
         let report = &mut self.load.reports.borrow_mut()[self.tenant.group];
         report.advised_retries += 1;
--- a/crates/test-doubles/src/tenant_rehearsal/load.rs
+++ b/crates/test-doubles/src/tenant_rehearsal/load.rs
@@ -1,4 +1,4 @@
-//! What the tenants of a rehearsal share.
+//! State that all tenants of a rehearsal share.
 
 use super::plan::{RehearsalPlan, TenantGroup};
 use crate::group_report::GroupReport;
@@ -6,13 +6,13 @@
 use std::cell::{Cell, RefCell};
 use std::time::Instant;
 
-/// The tenants' load.
+/// The load of all tenants.
 pub struct Load {
     pub plan: RehearsalPlan,
-    /// A report for each group, of the overload phase alone.
+    /// Report of each group, for the overload phase only.
     pub reports: RefCell<Vec<GroupReport>>,
     last_reference: Cell<u64>,
-    /// Invocations in flight.
+    /// Number of invocations in flight.
     pub in_flight: Cell<u64>,
     pub began: Instant,
     pub overload_start: Instant,
@@ -21,7 +21,7 @@
 }
 
 impl Load {
-    /// A load that begins now.
+    /// Creates a load that begins immediately.
     pub fn new(plan: RehearsalPlan, executor: &'static LocalExecutor<'static>) -> Self {
         let began = Instant::now();
         let overload_start = began + plan.baseline;
@@ -38,14 +38,14 @@
         }
     }
 
-    /// A reference that no call had before.
+    /// Returns a new unique reference for a call.
     pub fn next_reference(&self) -> u64 {
         self.last_reference.set(self.last_reference.get() + 1);
         self.last_reference.get()
     }
 }
 
-/// One tenant, by the places of its group and of itself in the group.
+/// A tenant, identified by the index of its group and its index in the group.
 #[derive(Clone, Copy)]
 pub struct Tenant {
     pub group: usize,
--- a/crates/test-doubles/src/tenant_rehearsal/plan.rs
+++ b/crates/test-doubles/src/tenant_rehearsal/plan.rs
@@ -1,59 +1,60 @@
-//! What a rehearsal plays.
+//! Plans of rehearsals.
 
 use std::time::Duration;
 
-/// Tenants that are alike.
+/// A group of tenants with the same load.
 #[derive(Clone, Debug)]
 pub struct TenantGroup {
-    /// Name of the group, the start of its tenants' names.
+    /// Name of the group, and prefix of its tenants' names.
     pub name: &'static str,
     /// Number of tenants.
     pub tenants: usize,
-    /// Invocations a second of each tenant in the baseline phase.
+    /// Invocations per second of each tenant in the baseline phase.
     pub baseline_rate: f64,
-    /// The same in the overload phase.
+    /// Invocations per second of each tenant in the overload phase.
     pub overload_rate: f64,
-    /// Core time of an invocation.
+    /// Core time of each invocation.
     pub work: Duration,
-    /// Part of the rejected invocations that are retried as the server advised; the others end.
+    /// Share of the invocations that, when rejected, are retried as the server advised; the others are not
+    /// retried.
     pub follows_advice: f64,
-    /// Names that each tenant uses in turn; 1 for an honest one.
+    /// Number of names under which each tenant sends in turn; 1 for an honest tenant.
     pub names_per_tenant: u64,
-    /// Connections of the group's balancer at most.
+    /// Maximum number of connections of the group's balancer.
     pub connections: usize,
 }
 
-/// A rehearsal.
+/// Plan of a rehearsal.
 #[derive(Clone, Debug)]
 pub struct RehearsalPlan {
     /// The groups of tenants that send.
     pub groups: Vec<TenantGroup>,
-    /// Cores of the interpreter.
+    /// Number of cores of the interpreter.
     pub cores: f64,
     /// Latency objective of the operation.
     pub objective: Duration,
-    /// Length of the baseline phase.
+    /// Duration of the baseline phase.
     pub baseline: Duration,
-    /// Length of the overload phase, which follows.
+    /// Duration of the overload phase, which follows the baseline phase.
     pub overload: Duration,
-    /// Seed of arrivals and of the program.
+    /// Seed of the arrivals and of the program.
     pub seed: u64,
-    /// The program is stopped while invocations are still in flight.
+    /// Whether the program is stopped while invocations are still in flight.
     pub stops_early: bool,
-    /// The program's options file.
+    /// Text of the program's options file.
     pub options: String,
-    /// The dependency that its runs call.
+    /// Downstream service that the runs call; `None` for runs without downstream calls.
     pub dependency: Option<SharedDependency>,
 }
 
-/// A dependency that all servers share.
+/// A downstream service that all servers share.
 #[derive(Clone, Debug)]
 pub struct SharedDependency {
-    /// Mean number of calls in flight that is the program's quota.
+    /// Quota of the program: mean number of calls in flight.
     pub quota: f64,
-    /// How long a call takes in the baseline phase.
+    /// Duration of a call in the baseline phase.
     pub baseline_call_time: Duration,
-    /// How long a call takes in the overload phase.
+    /// Duration of a call in the overload phase.
     pub overload_call_time: Duration,
 }
 
@@ -61,8 +62,9 @@
     <tenants by=\"field\" field=\"venue\" origin=\"sender\">\n    \
     <share at-once-ms=\"5000\" probation-ms=\"1000\" late-ms=\"500\"/>\n  </tenants>\n</meadowstream>\n";
 
-/// `light_tenants` that stay within their quotas, and one that sends nine tenths of three times what the
-/// cores can do.
+/// Plan with `light_tenants` tenants that stay within their quotas and one tenant that floods the program. In
+/// overload all tenants together send three times the capacity of the cores, nine tenths of it by the
+/// flooding tenant.
 pub fn overload_plan(baseline: Duration, overload: Duration, light_tenants: usize) -> RehearsalPlan {
     let (cores, work) = (2.0, Duration::from_millis(4));
     let capacity_rate = cores / work.as_secs_f64();
@@ -100,8 +102,8 @@
     }
 }
 
-/// A dependency of all servers that is eight times as slow in the overload phase: the calls then demanded are
-/// four times the program's quota, while the cores have capacity left.
+/// Plan with a shared downstream service that is eight times as slow in the overload phase. The demand for
+/// downstream calls is then four times the program's quota, while the cores still have spare capacity.
 pub fn slow_dependency_plan(baseline: Duration, overload: Duration) -> RehearsalPlan {
     let plan = overload_plan(baseline, overload, 20);
     let group = TenantGroup { baseline_rate: 5.0, overload_rate: 5.0, ..plan.groups[0].clone() };
--- a/crates/test-doubles/src/tenant_rehearsal/play.rs
+++ b/crates/test-doubles/src/tenant_rehearsal/play.rs
@@ -1,4 +1,4 @@
-//! A rehearsal from the start of the program to its end.
+//! Execution of a rehearsal, from the start of the program to its exit.
 
 use super::arrivals::send_arrivals;
 use super::load::{Load, Tenant};
@@ -20,39 +20,39 @@
 use std::sync::atomic::Ordering::Relaxed;
 use std::time::{Duration, Instant};
 
-/// Time of a downstream call without a dependency in the plan.
+/// Duration of a downstream call if the plan has no dependency.
 const DEFAULT_CALL_TIME: Duration = Duration::from_millis(5);
 const PROGRESS_PERIOD: Duration = Duration::from_secs(1);
 const POLL_PERIOD: Duration = Duration::from_millis(10);
-/// The lines after the program's counters are written within this time.
+/// Time within which the program writes the log lines that follow its counters.
 const COUNTERS_WAIT: Duration = Duration::from_millis(100);
 
-/// What a rehearsal measured.
+/// Measurements of a rehearsal.
 pub struct RehearsalReport {
-    /// By group of tenants, of the overload phase alone.
+    /// Report of each group of tenants, for the overload phase only.
     pub groups: Vec<GroupReport>,
-    /// The program's counters at its end, by name.
+    /// Final counters of the program by name.
     pub counters: HashMap<String, u64>,
-    /// The program's log lines about tenants.
+    /// Log lines of the program about the tenants' shares.
     pub tenant_lines: Vec<String>,
-    /// Most resident memory of the program, in KiB.
+    /// Peak resident memory of the program, in KiB.
     pub peak_kib: u64,
-    /// The program's exit code; `None` when a signal ended it.
+    /// Exit code of the program; `None` if a signal ended it.
     pub exit: Option<i32>,
-    /// What the interpreter ran.
+    /// Counts of the runs on the interpreter.
     pub runs: Arc<RunCounts>,
-    /// Downstream calls in the overload phase.
+    /// Number of downstream calls in the overload phase.
     pub calls: u64,
-    /// Their mean number in flight.
+    /// Mean number of downstream calls in flight in the overload phase.
     pub mean_in_flight: f64,
-    /// Replies that no caller awaited.
+    /// Replies without a waiting caller.
     pub unexpected_replies: u64,
     /// Calls whose connection broke.
     pub broken_calls: u64,
 }
 
-/// Plays a rehearsal of the program; `progress` receives a line each second. An error when the program does
-/// not start, log or end as it should.
+/// Runs a rehearsal of the program; `progress` receives a line each second. Fails if the program does not
+/// start or exit in time or an expected log line is missing.
 pub fn run(program: &Path, plan: RehearsalPlan, mut progress: impl FnMut(&str)) -> Result<RehearsalReport> {
     let (interpreter, runs) = interpreter::start(plan.cores)?;
     let dependency = plan.dependency.as_ref();
@@ -91,20 +91,21 @@
     })
 }
 
-/// The address in the program's first log line.
+/// Waits for the listen address in the program's log.
 fn listen_address(server: &mut ServerProcess) -> Result<SocketAddr> {
     let line = server.wait_for_line(" listen=")?;
-    let address = line.split(" listen=").nth(1).context("no address in the log")?.trim();
-    address.parse().with_context(|| format!("{address:?} is no address"))
+    let address = line.split(" listen=").nth(1).context("no listen address in the log")?.trim();
+    address.parse().with_context(|| format!("{address:?} is not a socket address"))
 }
 
-/// Downstream calls of the overload phase.
+/// Measurements of the downstream calls in the overload phase.
 struct OverloadCalls {
     count: u64,
     mean_in_flight: f64,
 }
 
-/// Starts all tenants, changes phase, and waits for the last replies unless the plan stops early.
+/// Starts all tenants, switches to the overload phase, and waits for outstanding replies unless the plan
+/// stops early.
 async fn run_load(
     load: &Rc<Load>,
     balancers: &[Rc<Balancer>],
@@ -152,8 +153,8 @@
     format!("{:>4.0} s, {phase}: {}", load.began.elapsed().as_secs_f64(), groups.join(", "))
 }
 
-/// Stops the program and returns its exit code. The executor runs meanwhile, since balancers close
-/// connections that the program drains.
+/// Stops the program and returns its exit code. The executor runs meanwhile, because the balancers must close
+/// the connections that the program drains.
 fn stop(server: &mut ServerProcess, executor: &LocalExecutor<'static>) -> Result<Option<i32>> {
     server.signal("TERM")?;
     let deadline = Instant::now() + WAIT_MAX;
@@ -162,13 +163,13 @@
             if let Some(status) = server.try_wait()? {
                 return Ok(status.code());
             }
-            ensure!(Instant::now() < deadline, "the program does not end within {WAIT_MAX:?}");
+            ensure!(Instant::now() < deadline, "the program did not exit within {WAIT_MAX:?}");
             Timer::after(POLL_PERIOD).await;
         }
     }))
 }
 
-/// The counters of the program's last line, `... counters: name=count name=count`.
+/// Parses the counters of the program's last log line, `... counters: name=count name=count`.
 fn final_counters(line: &str) -> HashMap<String, u64> {
     let words = line.split("counters:").nth(1).unwrap_or("").split_whitespace();
     let counter = |word: &str| {
--- a/crates/test-doubles/src/tenant_rehearsal/server_process.rs
+++ b/crates/test-doubles/src/tenant_rehearsal/server_process.rs
@@ -1,4 +1,4 @@
-//! The program under rehearsal: its configuration, its process and its log.
+//! Configuration, process and log of the program under rehearsal.
 
 use super::plan::RehearsalPlan;
 use anyhow::{Context, Result, ensure};
@@ -10,19 +10,19 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::Duration;
 
-/// How long a log line, or the end of the program, is awaited.
+/// Maximum time to wait for a log line, and for the exit of the program.
 pub const WAIT_MAX: Duration = Duration::from_secs(10);
-/// How long further lines are awaited after the program's last one.
+/// Time without a new log line after which the log counts as complete.
 const LOG_END_WAIT: Duration = Duration::from_millis(200);
 
-/// Addresses of the test doubles that the program speaks to.
+/// Addresses of the test doubles that the program connects to.
 pub struct TestDoubleAddresses {
     pub interpreter: SocketAddr,
     pub downstream_service: SocketAddr,
     pub registry: SocketAddr,
 }
 
-/// The program, killed when dropped.
+/// A process of the program, killed when dropped.
 pub struct ServerProcess {
     child: Child,
     log: Receiver<String>,
@@ -92,7 +92,7 @@
         Ok(Self { child, log, read_lines: Vec::new(), folder })
     }
 
-    /// Waits for a log line that contains `text`; an error with the lines read when none comes in time.
+    /// Waits for a log line that contains `text`. If none is logged in time, the error lists the lines read.
     pub fn wait_for_line(&mut self, text: &str) -> Result<String> {
         loop {
             if let Some(line) = self.read_lines.iter().find(|line| line.contains(text)) {
@@ -100,11 +100,11 @@
             }
             let line = self.log.recv_timeout(WAIT_MAX);
             self.read_lines
-                .push(line.with_context(|| format!("no {text:?} in the log: {:?}", self.read_lines))?);
+                .push(line.with_context(|| format!("no log line with {text:?}: {:?}", self.read_lines))?);
         }
     }
 
-    /// Reads the log to its end and returns all lines.
+    /// Reads the rest of the log and returns all of its lines.
     pub fn read_remaining_log(&mut self) -> &[String] {
         while let Ok(line) = self.log.recv_timeout(LOG_END_WAIT) {
             self.read_lines.push(line);
@@ -112,20 +112,20 @@
         &self.read_lines
     }
 
-    /// Sends a signal by its name without `SIG`.
+    /// Sends a signal, given by its name without `SIG`.
     pub fn signal(&self, name: &str) -> Result<()> {
         let id = self.child.id().to_string();
         let status = Command::new("kill").args([&format!("-{name}"), &id]).status()?;
-        ensure!(status.success(), "cannot signal {name}: {status}");
+        ensure!(status.success(), "kill -{name} failed: {status}");
         Ok(())
     }
 
-    /// The exit status, once the program has ended.
+    /// Exit status of the program; `None` while it runs.
     pub fn try_wait(&mut self) -> std::io::Result<Option<std::process::ExitStatus>> {
         self.child.try_wait()
     }
 
-    /// Most resident memory so far, in KiB; 0 when it cannot be read.
+    /// Peak resident memory so far, in KiB; 0 if it cannot be read.
     pub fn peak_kib(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap_or_default();
         let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
--- a/crates/test-doubles/src/udp_relay.rs
+++ b/crates/test-doubles/src/udp_relay.rs
@@ -1,8 +1,9 @@
-//! A fault relay for UDP on loopback: each member of a fleet is reached at an endpoint of the relay, and what
-//! it sends to an endpoint is forwarded to that member from the sender's own endpoint, so that each still
-//! sees who sent. The relay drops, delays, jitters, duplicates and reorders datagrams, and cuts groups off
-//! one way or both, as its [`Faults`] state; these change while it runs, and chance is drawn from one seed.
-//! It ends when dropped and holds at most [`IN_FLIGHT_MAX`] datagrams.
+//! A fault relay for UDP on loopback between the members of a fleet. Each member has an endpoint at the
+//! relay. A datagram that one member sends to the endpoint of another is forwarded from the sender's
+//! endpoint, so that the receiver can identify the sender. The relay drops, delays, jitters, duplicates and
+//! reorders datagrams and cuts groups off in one or both directions, as its [`Faults`] state. The faults may
+//! change at any time; random choices are drawn from one seed. The relay holds at most [`IN_FLIGHT_MAX`]
+//! datagrams and ends when dropped.
 
 use crate::faults::Faults;
 use rand::{Rng, SeedableRng};
@@ -15,13 +16,13 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Datagrams in flight at most; more are dropped, as a full queue would.
+/// Maximum number of datagrams in flight; further ones are dropped, as by a full queue.
 pub const IN_FLIGHT_MAX: usize = 100_000;
-/// How soon a thread sees that the relay ends.
+/// Period at which threads check for the end of the relay.
 const POLL_PERIOD: Duration = Duration::from_millis(20);
 const DATAGRAM_BYTES_MAX: usize = 65_536;
 
-/// A datagram in flight; the order is by time and then by arrival.
+/// A datagram in flight, ordered by due time and then by arrival.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct InFlight {
     due: Instant,
@@ -34,17 +35,17 @@
 /// Counts of datagrams.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RelayCounts {
-    /// Forwarded.
+    /// Datagrams forwarded.
     pub forwarded: u64,
-    /// Dropped by a fault.
+    /// Datagrams dropped by an injected fault.
     pub dropped: u64,
-    /// From a sender that is no registered member.
+    /// Datagrams received from senders that are not registered members.
     pub unknown_senders: u64,
 }
 
 struct Shared {
     faults: Mutex<Faults>,
-    /// Where each member's socket is bound, once known.
+    /// Address of each member's socket; `None` until registered.
     members: Mutex<Vec<Option<SocketAddr>>>,
     queue: Mutex<BinaryHeap<Reverse<InFlight>>>,
     queued: Condvar,
@@ -60,12 +61,12 @@
     }
 }
 
-/// A lock of the relay.
+/// Locks a mutex of the relay.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().expect("no thread of the relay panics while it holds a lock")
 }
 
-/// The relay, with a thread for each endpoint and one that delivers.
+/// A UDP relay. Each endpoint has a receiving thread; one further thread delivers all datagrams.
 pub struct UdpRelay {
     endpoints: Vec<SocketAddr>,
     shared: Arc<Shared>,
@@ -103,17 +104,18 @@
         Ok(UdpRelay { endpoints, shared, threads })
     }
 
-    /// Where the others reach member `index`.
+    /// Address at which the other members reach member `index`.
     pub fn endpoint(&self, index: usize) -> SocketAddr {
         self.endpoints[index]
     }
 
-    /// Records where member `index` is bound: datagrams from there are its own.
+    /// Registers the address of member `index`. The relay attributes datagrams from this address to the
+    /// member and forwards the member's datagrams to it.
     pub fn register(&self, index: usize, bound: SocketAddr) {
         lock(&self.shared.members)[index] = Some(bound);
     }
 
-    /// Changes the faults from now on.
+    /// Changes the injected faults.
     pub fn change_faults(&self, change: impl FnOnce(&mut Faults)) {
         change(&mut lock(&self.shared.faults));
     }
@@ -134,7 +136,7 @@
     }
 }
 
-/// Receives at the endpoint of member `to`, whoever sent.
+/// Receives the datagrams sent to the endpoint of member `to`.
 fn receive(to: usize, socket: &UdpSocket, shared: &Shared) {
     let mut buffer = vec![0; DATAGRAM_BYTES_MAX];
     while !shared.stopped() {
@@ -147,7 +149,7 @@
     }
 }
 
-/// Queues the copies of a datagram that survive the faults, each for its time.
+/// Applies the faults to a datagram and queues the remaining copies, each with its due time.
 fn inject_faults(from: usize, to: usize, bytes: &[u8], shared: &Shared) {
     let faults = lock(&shared.faults).clone();
     if faults.is_cut(faults.group(from), faults.group(to)) {
@@ -178,7 +180,7 @@
     shared.queued.notify_one();
 }
 
-/// Sends each datagram when it is due, from the sender's endpoint to the address where the member is bound.
+/// Sends each datagram at its due time, from the sender's endpoint to the receiver's registered address.
 fn deliver(sockets: &[Arc<UdpSocket>], shared: &Shared) {
     let mut queue = lock(&shared.queue);
     while !shared.stopped() {
