--- a/crates/cli/tests/command_line.rs
+++ b/crates/cli/tests/command_line.rs
@@ -1,17 +1,17 @@
-//! Commands, options and exit codes are those of release 0.2.0 (commit 22d0bb6).
+//! The commands, options and exit codes are those of release 0.2.0 (commit 22d0bb6).
 
 use std::process::{Command, Output};
 use test_case::test_case;
 
 const FAILED: Option<i32> = Some(1);
-const WRONG_USAGE: Option<i32> = Some(2);
+const USAGE_ERROR: Option<i32> = Some(2);
 
-fn run(words: &[&str]) -> Output {
+fn run(arguments: &[&str]) -> Output {
     let mut program = Command::new(env!("CARGO_BIN_EXE_meadowstream"));
-    program.args(words).env_remove("ROUTER_CONFIG").output().unwrap()
+    program.args(arguments).env_remove("ROUTER_CONFIG").output().unwrap()
 }
 
-fn said(output: &Output) -> String {
+fn stderr(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
@@ -23,7 +23,7 @@
 #[test_case("control", &["--options", "--log json"])]
 #[test_case("publish", &["--options", "--wait", "revert", "status"])]
 #[test_case("version", &[])]
-fn each_command_has_a_page_that_names_its_options(command: &str, options: &[&str]) {
+fn each_command_has_a_help_page_with_its_options(command: &str, options: &[&str]) {
     let output = run(&[command, "--help"]);
     assert_eq!(output.status.code(), Some(0));
     let page = String::from_utf8(output.stdout).unwrap();
@@ -33,7 +33,7 @@
     }
 }
 
-/// All that the command line names is understood: what fails is the file that is not there.
+/// The command accepts all of its arguments and fails only because the file does not exist.
 #[test_case(&["serve", "--config", "/no/file", "--options", "/no/options", "--log", "json"])]
 #[test_case(&["serve", "--config", "/no/file", "--log", "text"])]
 #[test_case(&["check", "/no/file", "--options", "/no/options"])]
@@ -44,10 +44,10 @@
 #[test_case(&["publish", "/no/change", "--options", "/no/options", "--wait", "3"])]
 #[test_case(&["publish", "revert", "4", "--options", "/no/options", "--wait", "3"])]
 #[test_case(&["publish", "status", "--options", "/no/options", "--wait", "3"])]
-fn options_are_understood(words: &[&str]) {
-    let output = run(words);
-    assert_eq!(output.status.code(), FAILED, "{}", said(&output));
-    assert!(said(&output).contains("/no/"), "{}", said(&output));
+fn options_are_accepted(arguments: &[&str]) {
+    let output = run(arguments);
+    assert_eq!(output.status.code(), FAILED, "{}", stderr(&output));
+    assert!(stderr(&output).contains("/no/"), "{}", stderr(&output));
 }
 
 #[test_case(&[], "meadowstream: a server with overload control inside")]
@@ -68,26 +68,26 @@
 #[test_case(&["publish", "change"], "publish: --options is to name the fleet's settings")]
 #[test_case(&["publish", "--options", "o"], "publish: name the file of a change, or status, or revert")]
 #[test_case(&["publish", "revert", "x", "--options", "o"], "revert: \"x\" is no number")]
-fn wrong_usage_is_named(words: &[&str], why: &str) {
-    let output = run(words);
-    assert_eq!(output.status.code(), WRONG_USAGE, "{}", said(&output));
-    assert!(said(&output).contains(why), "{}", said(&output));
+fn usage_errors_are_reported(arguments: &[&str], message: &str) {
+    let output = run(arguments);
+    assert_eq!(output.status.code(), USAGE_ERROR, "{}", stderr(&output));
+    assert!(stderr(&output).contains(message), "{}", stderr(&output));
 }
 
 #[test]
-fn the_configuration_is_also_named_by_the_environment() {
+fn the_environment_may_name_the_configuration() {
     let mut program = Command::new(env!("CARGO_BIN_EXE_meadowstream"));
     let output = program.arg("serve").env("ROUTER_CONFIG", "/no/file").output().unwrap();
     assert_eq!(output.status.code(), FAILED);
-    assert!(said(&output).contains("/no/file"), "{}", said(&output));
+    assert!(stderr(&output).contains("/no/file"), "{}", stderr(&output));
 }
 
-/// The file that the README's first commands name.
+/// Checks the configuration file that the first commands in the README use.
 #[test]
-fn the_example_of_the_readme_can_be_served() {
+fn the_example_configuration_passes_the_check() {
     let example = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/server-example.json");
     let output = run(&["check", example]);
-    assert_eq!(output.status.code(), Some(0), "{}", said(&output));
+    assert_eq!(output.status.code(), Some(0), "{}", stderr(&output));
     let stdout = String::from_utf8(output.stdout).unwrap();
     assert!(stdout.contains("n3 would listen on 127.0.0.4:6565 for load"), "{stdout}");
 }
--- a/crates/cli/tests/fair_queues.rs
+++ b/crates/cli/tests/fair_queues.rs
@@ -1,4 +1,5 @@
-//! The program itself on loopback among test doubles: many light tenants and one that floods.
+//! Rehearsals of the program with many tenants, among test doubles on loopback: many light tenants and one
+//! that floods, or a downstream service that slows down.
 
 use meadowstream_test_doubles::group_report::table;
 use meadowstream_test_doubles::tenant_rehearsal::{
@@ -9,50 +10,57 @@
 use std::sync::atomic::Ordering::Relaxed;
 use std::time::Duration;
 
-/// One rehearsal at a time: each needs the machine's cores for itself.
+/// Serializes the rehearsals, because each needs all cores of the machine.
 static REHEARSAL: Mutex<()> = Mutex::new(());
 
-fn play(plan: RehearsalPlan) -> RehearsalReport {
-    let _alone = REHEARSAL.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+fn rehearse(plan: RehearsalPlan) -> RehearsalReport {
+    let _exclusive = REHEARSAL.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
     let program = Path::new(env!("CARGO_BIN_EXE_meadowstream"));
     let report = tenant_rehearsal::run(program, plan, |line| println!("{line}")).unwrap();
     println!("{}\n{}", table(&report.groups), report.tenant_lines.join("\n"));
     report
 }
 
-/// The invariants of docs/ARCHITECTURE.md as they show from outside, and counters that add up.
+/// Asserts the invariants of docs/ARCHITECTURE.md as far as clients can observe them, and that the counters
+/// add up.
 fn assert_invariants(report: &RehearsalReport) {
     let count = |name: &str| report.counters[name];
     assert_eq!(report.exit, Some(0));
     assert_eq!(
         (report.unexpected_replies, report.broken_calls),
         (0, 0),
-        "each is answered once, on its own connection"
+        "each call gets one reply, on its own connection"
     );
-    assert_eq!(report.runs.repeated.load(Relaxed), 0, "nothing runs twice");
+    assert_eq!(report.runs.repeated.load(Relaxed), 0, "no task runs twice");
     let answered = count("succeeded") + count("throttled") + count("errored") + count("unanswered");
     assert_eq!(count("invocations"), answered, "{:?}", report.counters);
     assert_eq!((count("errored"), count("bad_commands"), count("malformed")), (0, 0, 0));
-    assert!(report.runs.most_concurrent.load(Relaxed) <= 16, "the cores survive eight times as many runs");
+    assert!(report.runs.most_concurrent.load(Relaxed) <= 16, "at most eight runs for each of the two cores");
     assert!(report.peak_kib < 64 << 10, "{} KiB", report.peak_kib);
-    let tenants = report.tenant_lines.iter().find(|line| line.contains(" bytes=")).expect("asked for");
+    let tenants =
+        report.tenant_lines.iter().find(|line| line.contains(" bytes=")).expect("a log line with the shares");
     let bytes =
         tenants.split(" bytes=").nth(1).and_then(|rest| rest.split(' ').next()?.parse::<usize>().ok());
     let ceiling = meadowstream_fair_queueing::Settings::default().bytes_max();
     assert!(bytes.is_some_and(|bytes| bytes <= ceiling), "{bytes:?} of {ceiling}");
 }
 
-/// A count of the shares' log line, `counts: Counts { within: 7509, ..., broken: 13, ... }`.
+/// Parses a count from the log line about the shares, `counts: Counts { within: 7509, ..., broken: 13, ...
+/// }`.
 fn count_of(report: &RehearsalReport, name: &str) -> u64 {
-    let line = report.tenant_lines.iter().find(|line| line.contains(" counts=")).expect("asked for");
+    let line = report
+        .tenant_lines
+        .iter()
+        .find(|line| line.contains(" counts="))
+        .expect("a log line with the counts");
     let rest = line.split(&format!(" {name}: ")).nth(1).expect("a count");
     rest.split([',', ' ']).next().and_then(|count| count.parse().ok()).expect("a number")
 }
 
 #[test]
-fn light_tenants_keep_their_shares_and_advice_is_kept() {
+fn light_tenants_keep_their_shares_and_advised_retries_are_admitted() {
     let plan = overload_plan(Duration::from_secs(5), Duration::from_secs(12), 200);
-    let report = play(plan);
+    let report = rehearse(plan);
     assert_invariants(&report);
     let [light, flood] = &report.groups[..] else { panic!("two groups") };
     let all = light.sent + flood.sent;
@@ -64,42 +72,43 @@
         "{:?}",
         light.by_tenant
     );
-    // The server does not keep advice where its learned running limit has since fallen to under half, as it
-    // does where the machine under the test is taken away for a moment, and counts that as broken itself:
-    // 14 in one of three runs beside six busy processes, 0 in most. Of the others nearly all are kept;
-    // it was 0.73 where those who return had no place in the order.
-    let returns = light.advised_retries + flood.advised_retries;
+    // The server breaks a promise of admission if its learned concurrency limit has since fallen below half,
+    // for example because the machine stalled, and counts it as `broken`: 14 in one of three runs beside six
+    // busy processes, 0 in most runs. Nearly all other advised retries are admitted; the ratio was 0.73 when
+    // they had no place in the order of the queue.
+    let retries = light.advised_retries + flood.advised_retries;
     let broken = count_of(&report, "broken");
-    let kept = (light.advised_retries_admitted + flood.advised_retries_admitted) as f64
-        / returns.saturating_sub(broken) as f64;
-    assert!(returns > 100 && broken * 20 <= returns, "{broken} broken of {returns}");
-    assert!(kept >= 0.97, "{kept} of {returns} less {broken}");
-    assert!(flood.in_time > 0, "what others leave is the flood's");
+    let admitted_ratio = (light.advised_retries_admitted + flood.advised_retries_admitted) as f64
+        / retries.saturating_sub(broken) as f64;
+    assert!(retries > 100 && broken * 20 <= retries, "{broken} broken of {retries}");
+    assert!(admitted_ratio >= 0.97, "{admitted_ratio} of {retries} less {broken}");
+    assert!(flood.in_time > 0, "the flooding tenant gets the capacity that the others leave");
 }
 
 #[test]
-fn a_drain_while_promises_stand_answers_all() {
+fn a_drain_with_outstanding_promises_answers_all_calls() {
     let plan = overload_plan(Duration::from_secs(2), Duration::from_secs(3), 200);
-    let report = play(RehearsalPlan { stops_early: true, seed: 12, ..plan });
+    let report = rehearse(RehearsalPlan { stops_early: true, seed: 12, ..plan });
     assert_invariants(&report);
     let tenants = report.tenant_lines.iter().find(|line| line.contains("promises=")).unwrap();
-    assert!(!tenants.contains("promises=0 "), "promises stood when it was stopped: {tenants}");
+    assert!(!tenants.contains("promises=0 "), "promises were outstanding at the stop: {tenants}");
 }
 
 #[test]
-fn a_tenant_that_invents_names_gains_nothing() {
+fn a_tenant_gains_nothing_by_inventing_names() {
     let mut plan = overload_plan(Duration::from_secs(5), Duration::from_secs(6), 200);
     plan.groups[1].names_per_tenant = 1_000_000_000;
-    let report = play(RehearsalPlan { seed: 13, ..plan });
+    let report = rehearse(RehearsalPlan { seed: 13, ..plan });
     assert_invariants(&report);
     assert!(report.groups[0].in_time_ratio() >= 0.95, "{}", report.groups[0].in_time_ratio());
 }
 
-/// If all calls were made, four would be in flight in the mean; the quota is one.
+/// The downstream service becomes eight times as slow. If all calls were made, four would be in flight on
+/// average; the quota is one.
 #[test]
-fn a_dependency_that_slows_eightfold_is_not_overloaded() {
+fn a_downstream_service_that_slows_eightfold_is_not_overloaded() {
     let plan = slow_dependency_plan(Duration::from_secs(3), Duration::from_secs(8));
-    let report = play(plan);
+    let report = rehearse(plan);
     assert_invariants(&report);
     let [all] = &report.groups[..] else { panic!("one group") };
     println!("{} calls in overload, {:.3} in flight", report.calls, report.mean_in_flight);
--- a/crates/cli/tests/fleet_cold.rs
+++ b/crates/cli/tests/fleet_cold.rs
@@ -1,6 +1,6 @@
-//! Twenty processes of the program over a tier of five services, one of which fails and comes back cold: what
-//! it gets is counted there, from all of them together. Loopback only, bounded, every process ended by its
-//! id.
+//! Twenty processes of the program share a tier of five downstream services. One service fails and recovers;
+//! the test counts the calls that it then receives from all processes together. Uses loopback only; every
+//! wait has a limit, and each process is killed by its id.
 
 use meadowstream_test_doubles::fleet::{FleetHarness, HarnessOptions, wait_for};
 use meadowstream_test_doubles::{downstream_service, open_loop};
@@ -10,34 +10,38 @@
 
 const PROCESSES: usize = 20;
 const SERVICES: usize = 5;
+/// Number of reports of failure that eject a service.
 const REPORTS: usize = 2;
+/// Time for which a report counts; also the length of the recovery ramp.
 const EXPIRY: Duration = Duration::from_millis(2000);
-/// Calls a second that come to each process.
+/// Calls per second to each process.
 const RATE: f64 = 20.0;
-const WHILE: Duration = Duration::from_millis(250);
+/// Interval in which the calls to the recovered service are counted.
+const INTERVAL: Duration = Duration::from_millis(250);
 
+/// Whether server `i` has ejected the service `r0`.
 fn ejects(fleet: &FleetHarness, i: usize) -> bool {
     let shared = fleet.shared_state(i).unwrap_or_default();
     shared["ejected"].as_str().is_some_and(|names| names.contains("\"r0\""))
 }
 
 #[test]
-fn one_that_comes_back_gets_no_more_than_its_ramp_of_twenty_processes() {
-    let parties: Vec<_> =
+fn a_recovering_service_gets_at_most_its_ramp_from_twenty_processes() {
+    let downstream_services: Vec<_> =
         (0..SERVICES).map(|_| downstream_service::start(Duration::from_millis(10)).unwrap()).collect();
     let service = |(s, (address, _)): (usize, &(std::net::SocketAddr, _))| {
         format!(r#"<service name="r{s}" address="{address}"/>"#)
     };
-    let services: String = parties.iter().enumerate().map(service).collect();
-    let own = format!(
+    let services: String = downstream_services.iter().enumerate().map(service).collect();
+    let tier = format!(
         r#"<shared-state gossip-ms="100"><tier reports="{REPORTS}" eject-share="0.5" expiry-ms="{}">
         {services}</tier></shared-state>"#,
         EXPIRY.as_millis()
     );
     let options = HarnessOptions {
         cores: 4.0,
-        downstream_services: vec![parties[0].0; PROCESSES],
-        server_options: vec![own; PROCESSES],
+        downstream_services: vec![downstream_services[0].0; PROCESSES],
+        server_options: vec![tier; PROCESSES],
         ..HarnessOptions::default()
     };
     let program = Path::new(env!("CARGO_BIN_EXE_meadowstream"));
@@ -47,47 +51,50 @@
     let floods: Vec<_> = all
         .iter()
         .map(|i| {
-            let to = fleet.listen_address(*i).expect("it listens");
+            let to = fleet.listen_address(*i).expect("the server has logged its listen address");
             open_loop::start(to, RATE, Duration::from_millis(5), Duration::from_secs(40), 41 + *i as u64)
         })
         .collect();
     std::thread::sleep(Duration::from_secs(3));
-    let cold = &parties[0].1;
-    cold.fails.store(true, Relaxed);
-    let out = wait_for(Duration::from_secs(20), || all.iter().all(|i| ejects(&fleet, *i)).then_some(()));
-    let where_out: Vec<usize> = all.iter().copied().filter(|i| ejects(&fleet, *i)).collect();
-    assert!(out.is_some(), "it is out on {where_out:?} alone: {:?}", fleet.shared_state(0));
+    let failing = &downstream_services[0].1;
+    failing.fails.store(true, Relaxed);
+    let ejected = wait_for(Duration::from_secs(20), || all.iter().all(|i| ejects(&fleet, *i)).then_some(()));
+    let ejected_by: Vec<usize> = all.iter().copied().filter(|i| ejects(&fleet, *i)).collect();
+    assert!(ejected.is_some(), "only {ejected_by:?} eject the service: {:?}", fleet.shared_state(0));
     std::thread::sleep(EXPIRY);
-    cold.fails.store(false, Relaxed);
-    let (well, before) = (Instant::now(), cold.calls.load(Relaxed));
-    let back = wait_for(Duration::from_secs(10), || all.iter().any(|i| !ejects(&fleet, *i)).then_some(()));
-    assert!(back.is_some(), "it comes back");
-    let (took, probes) = (well.elapsed(), cold.calls.load(Relaxed) - before);
+    failing.fails.store(false, Relaxed);
+    let (recovered_at, before) = (Instant::now(), failing.calls.load(Relaxed));
+    let readmitted =
+        wait_for(Duration::from_secs(10), || all.iter().any(|i| !ejects(&fleet, *i)).then_some(()));
+    assert!(readmitted.is_some(), "no server uses the service again");
+    let (took, probes) = (recovered_at.elapsed(), failing.calls.load(Relaxed) - before);
 
-    // Probes of a few stay until the last process has heard; the rest is the ramp's.
-    let probes_a_second = (2 * REPORTS * 8) as f64 / EXPIRY.as_secs_f64();
-    let whole = RATE * PROCESSES as f64 / SERVICES as f64;
+    // Some processes go on probing until the last one has learned of the recovery; all other calls belong to
+    // the recovery ramp.
+    let probes_per_second = (2 * REPORTS * 8) as f64 / EXPIRY.as_secs_f64();
+    let full_rate = RATE * PROCESSES as f64 / SERVICES as f64;
     let budget = |rate: f64, span: Duration| {
         let n = rate * span.as_secs_f64();
         n + 2.0 * n.sqrt() + 2.0
     };
-    println!("back on the first after {took:?}, {probes} probes until then");
-    assert!(probes as f64 <= budget(probes_a_second, took), "{probes} probes in {took:?}");
-    let begun = Instant::now();
-    let mut got = Vec::new();
-    while begun.elapsed() < EXPIRY {
-        let (from, before) = (begun.elapsed(), cold.calls.load(Relaxed));
-        std::thread::sleep(WHILE);
-        let (to, calls) = (begun.elapsed(), cold.calls.load(Relaxed) - before);
-        let part = ((from + to).as_secs_f64() / 2.0 / EXPIRY.as_secs_f64()).min(1.0);
-        let most = budget(whole * part + probes_a_second, to - from);
-        got.push((calls, most));
+    println!("the first server uses the service again after {took:?}, with {probes} probes until then");
+    assert!(probes as f64 <= budget(probes_per_second, took), "{probes} probes in {took:?}");
+    let began = Instant::now();
+    let mut counts = Vec::new();
+    while began.elapsed() < EXPIRY {
+        let (from, before) = (began.elapsed(), failing.calls.load(Relaxed));
+        std::thread::sleep(INTERVAL);
+        let (to, calls) = (began.elapsed(), failing.calls.load(Relaxed) - before);
+        let ramp = ((from + to).as_secs_f64() / 2.0 / EXPIRY.as_secs_f64()).min(1.0);
+        let most = budget(full_rate * ramp + probes_per_second, to - from);
+        counts.push((calls, most));
     }
-    println!("then in each while, and the most allowed: {got:.1?}");
-    assert!(got.iter().all(|(calls, most)| *calls as f64 <= *most), "{got:.1?}");
-    assert!(got.iter().any(|(calls, _)| *calls > 0), "{got:.1?}");
-    let answers: Vec<_> = floods.into_iter().map(|flood| flood.join().expect("a load")).collect();
-    let (sent, good) = answers.iter().fold((0, 0), |all, one| (all.0 + one.sent, all.1 + one.succeeded));
-    println!("{good} of {sent} succeeded");
-    assert!(good * 10 >= sent * 9, "{answers:?}");
+    println!("calls and maximum in each following interval: {counts:.1?}");
+    assert!(counts.iter().all(|(calls, most)| *calls as f64 <= *most), "{counts:.1?}");
+    assert!(counts.iter().any(|(calls, _)| *calls > 0), "{counts:.1?}");
+    let replies: Vec<_> = floods.into_iter().map(|flood| flood.join().expect("a load")).collect();
+    let (sent, succeeded) =
+        replies.iter().fold((0, 0), |sum, load| (sum.0 + load.sent, sum.1 + load.succeeded));
+    println!("{succeeded} of {sent} succeeded");
+    assert!(succeeded * 10 >= sent * 9, "{replies:?}");
 }
--- a/crates/cli/tests/log_reader_gone.rs
+++ b/crates/cli/tests/log_reader_gone.rs
@@ -1,14 +1,14 @@
-//! A server whose log is read by nobody any more still ends when it is told to.
+//! A server exits at the drain notice although the reader of its log has closed the pipe.
 
 use rustix::process::{Pid, Signal, kill_process};
 use std::io::{BufRead, BufReader};
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Well over the stop of the configuration, 3.2 s.
-const PATIENCE: Duration = Duration::from_secs(15);
+/// Maximum time until the server exits; well over the stop time in the configuration, 3.2 s.
+const EXIT_MAX: Duration = Duration::from_secs(15);
 
-/// Ends the process with the test, however that ends.
+/// Kills the server process at the end of the test, also when the test panics.
 struct Server(Child);
 
 impl Drop for Server {
@@ -18,7 +18,7 @@
     }
 }
 
-/// The README's example on addresses of this machine that nobody listens at.
+/// Writes the README's example configuration with loopback addresses at which no peer listens.
 fn configuration() -> std::path::PathBuf {
     let example = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/server-example.json");
     let text = std::fs::read_to_string(example).unwrap();
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_server_ends_though_the_reader_of_its_log_has_gone() {
+fn a_server_exits_after_the_reader_of_its_log_has_closed() {
     let path = configuration();
     let mut command = Command::new(env!("CARGO_BIN_EXE_meadowstream"));
     command.args(["serve", "--config"]).arg(&path).stdin(Stdio::null()).stderr(Stdio::piped());
@@ -46,7 +46,7 @@
     let mut line = String::new();
     while !line.contains("started") {
         line.clear();
-        assert!(log.read_line(&mut line).unwrap() > 0, "it ended before it had started");
+        assert!(log.read_line(&mut line).unwrap() > 0, "the server ended before it had started");
     }
     drop(log);
     kill_process(Pid::from_child(&server.0), Signal::TERM).unwrap();
@@ -55,7 +55,7 @@
         if let Some(status) = server.0.try_wait().unwrap() {
             break status;
         }
-        assert!(began.elapsed() < PATIENCE, "still there after {PATIENCE:?}");
+        assert!(began.elapsed() < EXIT_MAX, "the server still runs after {EXIT_MAX:?}");
         std::thread::sleep(Duration::from_millis(20));
     };
     let _ = std::fs::remove_file(path);
--- a/crates/cli/tests/scenario_harness/mod.rs
+++ b/crates/cli/tests/scenario_harness/mod.rs
@@ -363,10 +363,11 @@
     }
 }
 
-pub fn play(name: &str, text: &str) {
+/// Runs all steps of the scenario `text`; panics at the first step that fails.
+pub fn run(name: &str, text: &str) {
     let mut harness = ScenarioHarness::new(name);
     for line in text.lines().filter(|line| !line.is_empty() && !line.starts_with('#')) {
-        // Shown where the step fails.
+        // Test runners show this output only if the scenario fails; the last line is the failed step.
         println!("{line}");
         harness.step(line);
     }
--- a/crates/cli/tests/server.rs
+++ b/crates/cli/tests/server.rs
@@ -1,5 +1,5 @@
-//! Plays the scenario files against the program itself, on loopback, among test doubles of all it speaks to.
-//! The test doubles and the notation are in scenario_harness/.
+//! Runs the scenario files against the program on loopback, among test doubles of its peers. The test doubles
+//! and the notation of the files are in scenario_harness/.
 
 mod scenario_harness;
 
@@ -71,43 +71,44 @@
 fn scenario(name: &str) {
     let path = format!("{}/tests/scenarios/{name}.txt", env!("CARGO_MANIFEST_DIR"));
     let text = std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{path}: {e}"));
-    scenario_harness::play(name, &text);
+    scenario_harness::run(name, &text);
 }
 
-/// What the interpreter does when the server comes back, up to its banner.
-const PEERS: [&[&str]; 5] = [
-    // There at once.
+/// Steps of the interpreter after the server's restart, up to its banner.
+const INTERPRETER_STEPS: [&[&str]; 5] = [
+    // The interpreter replies immediately.
     &["link 0", "banner cold"],
-    // It accepts and says nothing, once and twice.
+    // The interpreter accepts links without sending a complete banner, once or several times.
     &["link 0", "link 0", "banner cold"],
     &["link 0", "half-a-banner", "link 0", "link 0", "banner cold"],
-    // Its queue is full for a while: the first dials get no answer.
+    // The accept queue is full at first, so that the first connection attempts get no answer.
     &["waits 3200", "vm takes", "link 0", "banner cold"],
-    // It starts late: links are accepted, and the banner comes on the newest when it is up.
+    // The interpreter starts late: it accepts links and sends the banner on the newest one once it is up.
     &["waits 3000", "link 0", "link 0", "banner cold"],
 ];
 
-/// Servers killed with a call in flight and started again under their old address, four for each of these.
+/// Twenty servers are killed with a call in flight and restarted at their old address, four for each entry of
+/// [`INTERPRETER_STEPS`].
 #[test]
 fn nine_in_ten_restarted_servers_are_ready_within_10_s() {
     let restart = |i: usize| {
-        let peers = PEERS[i % PEERS.len()];
+        let interpreter_steps = INTERPRETER_STEPS[i % INTERPRETER_STEPS.len()];
         let mut harness = ScenarioHarness::new(&format!("restart_{i}"));
-        let mut all = |steps: &[&str]| steps.iter().for_each(|step| harness.step(step));
-        all(&["start", "link 0", "banner warm", "open A", "call A 1 load x", "told APPLY 1 x", "kill"]);
-        if peers.contains(&"vm takes") {
-            all(&["vm full"]);
+        let mut run = |steps: &[&str]| steps.iter().for_each(|step| harness.step(step));
+        run(&["start", "link 0", "banner warm", "open A", "call A 1 load x", "told APPLY 1 x", "kill"]);
+        if interpreter_steps.contains(&"vm takes") {
+            run(&["vm full"]);
         }
-        let begun = Instant::now();
-        all(&["start again"]);
-        all(peers);
-        all(&["open B", "call B 2 load y", "told APPLY 2 y", "ok 1 2 z", "hears B 2 good z"]);
-        begun.elapsed()
+        let began = Instant::now();
+        run(&["start again"]);
+        run(interpreter_steps);
+        run(&["open B", "call B 2 load y", "told APPLY 2 y", "ok 1 2 z", "hears B 2 good z"]);
+        began.elapsed()
     };
-    let took: Vec<_> = (0..20).map(|i| std::thread::spawn(move || restart(i))).collect();
-    let took = took.into_iter().map(|each| each.join().unwrap_or(Duration::MAX));
-    let mut took: Vec<Duration> = took.collect();
-    took.sort();
-    println!("ready after {took:?}");
-    assert!(took[17] <= Duration::from_secs(10), "ready after {took:?}");
+    let restarts: Vec<_> = (0..20).map(|i| std::thread::spawn(move || restart(i))).collect();
+    let times = restarts.into_iter().map(|thread| thread.join().unwrap_or(Duration::MAX));
+    let mut times: Vec<Duration> = times.collect();
+    times.sort();
+    println!("ready after {times:?}");
+    assert!(times[17] <= Duration::from_secs(10), "ready after {times:?}");
 }
--- a/crates/cli/tests/soak.rs
+++ b/crates/cli/tests/soak.rs
@@ -1,4 +1,4 @@
-//! The soak, short: runs of a few seeds. Others are played three at a time by
+//! Soak runs of a few fixed seeds. For other seeds, three at a time, run
 //! `SOAK_SEEDS=FIRST..LAST cargo test -p meadowstream --test soak by_hand -- --ignored --nocapture`.
 
 use meadowstream_test_doubles::soak::{SoakReport, Totals, run};
@@ -6,16 +6,16 @@
 use std::sync::Mutex;
 use test_case::test_case;
 
-/// Runs that are played side by side by hand.
-const SIDE_BY_SIDE: usize = 3;
+/// Number of concurrent runs in `by_hand`.
+const CONCURRENT_RUNS: usize = 3;
 
-fn played(seed: u64) -> SoakReport {
+fn run_seed(seed: u64) -> SoakReport {
     run(Path::new(env!("CARGO_BIN_EXE_meadowstream")), seed)
         .unwrap_or_else(|error| panic!("seed {seed}: {error:#}"))
 }
 
-fn report(outcome: &SoakReport) -> String {
-    let SoakReport { plan, violations, actions, totals } = outcome;
+fn summary(report: &SoakReport) -> String {
+    let SoakReport { plan, violations, actions, totals } = report;
     let violations: String = violations.iter().map(|violation| format!("  {violation}\n")).collect();
     let Totals { sent, succeeded, crossed, unsent, descriptors, stalled_ms } = totals;
     format!(
@@ -68,31 +68,31 @@
 #[test_case(38)]
 #[test_case(39)]
 #[test_case(40)]
-fn every_rule_holds_under_load_and_signals(seed: u64) {
-    let outcome = played(seed);
-    assert!(outcome.violations.is_empty(), "{}", report(&outcome));
+fn invariants_hold_under_load_and_signals(seed: u64) {
+    let report = run_seed(seed);
+    assert!(report.violations.is_empty(), "{}", summary(&report));
 }
 
-/// Minutes: for runs by hand.
+/// Runs a range of seeds; takes minutes.
 #[test]
-#[ignore = "as many seeds as SOAK_SEEDS says"]
+#[ignore = "takes minutes; runs the seeds of SOAK_SEEDS"]
 fn by_hand() {
     let seeds = std::env::var("SOAK_SEEDS").unwrap_or_else(|_| "1..50".to_string());
     let (first, last) = seeds.split_once("..").expect("FIRST..LAST");
     let (first, last): (u64, u64) = (first.parse().expect("a number"), last.parse().expect("a number"));
-    let left = Mutex::new(first..=last);
-    let broken = Mutex::new(Vec::new());
-    let work = || {
-        while let Some(seed) = { left.lock().unwrap().next() } {
-            let outcome = played(seed);
-            println!("{}", report(&outcome));
-            if !outcome.violations.is_empty() {
-                broken.lock().unwrap().push(seed);
+    let seeds = Mutex::new(first..=last);
+    let failed_seeds = Mutex::new(Vec::new());
+    let run_seeds = || {
+        while let Some(seed) = { seeds.lock().unwrap().next() } {
+            let report = run_seed(seed);
+            println!("{}", summary(&report));
+            if !report.violations.is_empty() {
+                failed_seeds.lock().unwrap().push(seed);
             }
         }
     };
-    std::thread::scope(|scope| (0..SIDE_BY_SIDE).for_each(|_| drop(scope.spawn(work))));
-    let broken = broken.into_inner().unwrap();
-    println!("{} seeds played, rules broken with {broken:?}", last + 1 - first);
-    assert!(broken.is_empty());
+    std::thread::scope(|scope| (0..CONCURRENT_RUNS).for_each(|_| drop(scope.spawn(run_seeds))));
+    let failed_seeds = failed_seeds.into_inner().unwrap();
+    println!("{} seeds run, violations with seeds {failed_seeds:?}", last + 1 - first);
+    assert!(failed_seeds.is_empty());
 }
--- a/crates/test-doubles/src/soak/checks.rs
+++ b/crates/test-doubles/src/soak/checks.rs
@@ -48,7 +48,7 @@
         stopped: Duration,
     },
     /// A task ran again after its run had ended.
-    #[error("s{server}: {runs} tasks ran twice")]
+    #[error("s{server}: {runs} repeated runs")]
     RanTwice {
         /// Index of the server.
         server: usize,
