--- a/crates/cli/examples/mixed_fleet.rs
+++ b/crates/cli/examples/mixed_fleet.rs
@@ -1,11 +1,10 @@
-//! Plays one fleet of two releases on loopback and checks that they understand each other.
+//! Runs a fleet of two releases of the program on loopback and checks that they work together.
 //!
 //!     cargo run --release --example mixed_fleet -- OLD NEW
 //!
-//! OLD and NEW are two builds of the program. Three control machines and eight servers, every other one of
-//! each release, agree on the fleet's view, share a budget of calls under load, and put the same revision in
-//! force, published once by each release. Prints what was seen; exits 1 where one of these did not come
-//! about.
+//! OLD and NEW are two builds of the program. Three control machines and eight servers, alternately of each
+//! release, agree on the membership view, share a budget of downstream calls under load, and put a revision
+//! in force that is published by each release in turn. Prints the results and exits with 1 if a check fails.
 
 use anyhow::{Context, Result, ensure};
 use meadowstream_test_doubles::downstream_service;
@@ -20,11 +19,14 @@
 const CONTROL_MACHINES: usize = 3;
 const SERVERS: usize = 8;
 const PROCESSES: usize = CONTROL_MACHINES + SERVERS;
-/// Calls of the whole fleet in flight, and those of each server without a lease.
+/// Maximum number of concurrent downstream calls of the whole fleet.
 const BUDGET_TOTAL: u64 = 24;
+/// Concurrent downstream calls that each server may make without a lease.
 const BUDGET_FLOOR: u64 = 1;
 const SEED: u64 = 91;
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Maximum time to wait for an expected state of the fleet.
+const WAIT_MAX: Duration = Duration::from_secs(30);
+/// Duration of the load.
 const LOAD: Duration = Duration::from_secs(12);
 
 fn main() -> Result<()> {
@@ -46,28 +48,28 @@
     agree_on_view(&fleet)?;
     share_budget(&fleet, &downstream)?;
     for (release, program) in [("old", &old), ("new", &new)] {
-        let said = publish(&fleet, program, release)?;
-        println!("revision published by the {release} release: {said}");
+        let output = publish(&fleet, program, release)?;
+        println!("revision published by the {release} release: {output}");
     }
     Ok(())
 }
 
-/// Control machines log no view; each server's holds all others alive.
+/// Waits until each server sees all other processes alive. Control machines log no view.
 fn agree_on_view(fleet: &FleetHarness) -> Result<()> {
     let began = Instant::now();
     let sees_all = |server: usize| {
         let view = fleet.member_states(server);
         view.len() == PROCESSES - 1 && view.values().all(|state| state == "Alive")
     };
-    let agreed = wait_for(PATIENCE, || (CONTROL_MACHINES..PROCESSES).all(sees_all).then_some(()));
+    let agreed = wait_for(WAIT_MAX, || (CONTROL_MACHINES..PROCESSES).all(sees_all).then_some(()));
     agreed.with_context(|| {
-        format!("no one view within {PATIENCE:?}: {:?}", fleet.member_states(PROCESSES - 1))
+        format!("the views do not agree within {WAIT_MAX:?}: {:?}", fleet.member_states(PROCESSES - 1))
     })?;
-    println!("view: {SERVERS} servers hold all {PROCESSES} alive after {:?}", began.elapsed());
+    println!("view: {SERVERS} servers see all {PROCESSES} processes alive after {:?}", began.elapsed());
     Ok(())
 }
 
-/// The elements of a server's options beside its membership.
+/// Elements of the options of process `i`, in addition to its membership.
 fn options(i: usize) -> String {
     let replicas: String = (0..CONTROL_MACHINES).map(|n| format!(r#"<replica name="s{n}"/>"#)).collect();
     let voters: String = (3..8).map(|n| format!(r#"<voter name="s{n}"/>"#)).collect();
@@ -88,7 +90,8 @@
     )
 }
 
-/// Every server is asked for more calls than its floor; the service below counts what it has at once.
+/// Loads every server beyond its floor and checks that the servers lease the whole budget and that the
+/// downstream service never has more concurrent calls than the budget.
 fn share_budget(fleet: &FleetHarness, downstream: &downstream_service::DownstreamService) -> Result<()> {
     let servers: Vec<usize> = (CONTROL_MACHINES..PROCESSES).collect();
     let mut loads = Vec::new();
@@ -101,21 +104,23 @@
         line["leased"].as_u64()
     };
     let to_lease = BUDGET_TOTAL - SERVERS as u64 * BUDGET_FLOOR;
-    let seen = wait_for(PATIENCE, || {
-        let each: Vec<u64> = servers.iter().map(|server| leased(server).unwrap_or(0)).collect();
-        (each.iter().sum::<u64>() + 1 >= to_lease && each.iter().all(|held| *held > 0)).then_some(each)
+    let leases = wait_for(WAIT_MAX, || {
+        let leases: Vec<u64> = servers.iter().map(|server| leased(server).unwrap_or(0)).collect();
+        (leases.iter().sum::<u64>() + 1 >= to_lease && leases.iter().all(|lease| *lease > 0))
+            .then_some(leases)
     });
     for load in loads {
-        load.join().map_err(|_| anyhow::anyhow!("a load panicked"))?;
+        load.join().map_err(|_| anyhow::anyhow!("the thread of a load panicked"))?;
     }
     let most = downstream.most_in_flight.load(Relaxed);
-    let seen = seen.context("the servers never held the budget together, each a part of it")?;
-    println!("budget: {BUDGET_TOTAL} calls, leases {seen:?}, {most} in flight at the most");
+    let leases = leases.context("the servers never leased the whole budget with a part for each")?;
+    println!("budget: {BUDGET_TOTAL} calls, leases {leases:?}, at most {most} in flight");
     ensure!(most <= BUDGET_TOTAL, "{most} calls in flight of {BUDGET_TOTAL}");
     Ok(())
 }
 
-/// Publishes a change with one release of the command, which waits until all have it in force.
+/// Publishes a change with the `publish` command of one release, which waits until the change is in force on
+/// all members.
 fn publish(fleet: &FleetHarness, program: &Path, release: &str) -> Result<String> {
     let free = UdpSocket::bind("127.0.0.1:0")?.local_addr()?;
     fleet.relay.register(PROCESSES, free);
@@ -144,7 +149,7 @@
         .arg(&options_file)
         .args(["--wait", "20"])
         .output()?;
-    let said = String::from_utf8_lossy(&[output.stdout, output.stderr].concat()).trim().replace('\n', "; ");
-    ensure!(output.status.success(), "{said}");
-    Ok(said)
+    let text = String::from_utf8_lossy(&[output.stdout, output.stderr].concat()).trim().replace('\n', "; ");
+    ensure!(output.status.success(), "{text}");
+    Ok(text)
 }
--- a/crates/cli/tests/fleet_scale.rs
+++ b/crates/cli/tests/fleet_scale.rs
@@ -1,6 +1,6 @@
 //! Replicated configuration between processes of the program: three control machines and nine servers in
-//! three zones, each behind the fault relay. What is asserted is what processes report. Loopback only,
-//! bounded, every process ended by its id.
+//! three zones, all behind the fault relay. The assertions use the logs of the processes. Uses loopback only;
+//! every wait has a limit, and each process is killed by its id.
 
 use meadowstream_test_doubles::fleet::{FleetHarness, HarnessOptions, wait_for};
 use std::net::UdpSocket;
@@ -11,13 +11,16 @@
 const CONTROLS: usize = 3;
 const PROCESSES: usize = 12;
 const ZONES: usize = 3;
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Maximum time to wait for an expected state of the fleet.
+const WAIT_MAX: Duration = Duration::from_secs(20);
 
+/// Indices of the servers, which follow the control machines.
 fn servers() -> Vec<usize> {
     (CONTROLS..PROCESSES).collect()
 }
 
-fn replication(i: usize) -> String {
+/// Options of process `i`, with its zone and its state file.
+fn options(i: usize) -> String {
     let replicas: String = (0..CONTROLS).map(|n| format!(r#"<replica name="s{n}"/>"#)).collect();
     let zone = i % ZONES;
     format!(
@@ -28,15 +31,16 @@
 }
 
 fn start_fleet(seed: u64) -> FleetHarness {
-    let server_options = (0..PROCESSES).map(replication).collect();
+    let server_options = (0..PROCESSES).map(options).collect();
     let options =
         HarnessOptions { server_options, control_servers: CONTROLS, cores: 1.0, ..HarnessOptions::default() };
     let program = Path::new(env!("CARGO_BIN_EXE_meadowstream"));
     let fleet = FleetHarness::with_options(program, PROCESSES + 1, PROCESSES, seed, options).unwrap();
-    wait_for(PATIENCE, || publisher(&fleet)).expect("a publisher");
+    wait_for(WAIT_MAX, || publisher(&fleet)).expect("a control machine publishes");
     fleet
 }
 
+/// The control machine whose last log line says that it publishes.
 fn publisher(fleet: &FleetHarness) -> Option<usize> {
     let publishes = |i: &usize| {
         let last = fleet.log_lines(*i, "control").pop();
@@ -45,20 +49,26 @@
     (0..CONTROLS).find(publishes)
 }
 
-/// What a server last said that it goes by.
+/// Revision in force on server `i`, from its last log line about replication.
 fn in_force(fleet: &FleetHarness, i: usize) -> Option<u64> {
     fleet.log_lines(i, "replication").pop()?["in_force"].as_u64()
 }
 
-fn all_go_by(fleet: &FleetHarness, who: &[usize], number: u64, within: Duration) -> Option<Duration> {
+/// Waits until revision `number` or a later one is in force on all of `members`; `None` after `within`.
+fn wait_until_in_force(
+    fleet: &FleetHarness,
+    members: &[usize],
+    number: u64,
+    within: Duration,
+) -> Option<Duration> {
     let began = Instant::now();
-    let all = || who.iter().all(|i| in_force(fleet, *i) >= Some(number)).then(|| began.elapsed());
+    let all = || members.iter().all(|i| in_force(fleet, *i) >= Some(number)).then(|| began.elapsed());
     wait_for(within, all)
 }
 
-/// `meadowstream publish` with these words; whether it came through, and what it said.
-fn publish(fleet: &FleetHarness, words: &[&str]) -> (bool, String) {
-    // A command is a member of its own, at the last face of the relay.
+/// Runs `meadowstream publish` with these arguments. Returns whether it succeeded, and its output.
+fn publish(fleet: &FleetHarness, arguments: &[&str]) -> (bool, String) {
+    // The command joins the fleet as a member of its own, at the last endpoint of the relay.
     let free = UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     fleet.relay.register(PROCESSES, free);
     let seeds: String = (0..6).map(|i| format!(r#"<seed address="{}"/>"#, fleet.relay.endpoint(i))).collect();
@@ -68,137 +78,149 @@
           probe-rtt-ms="80" suspicion-multiplier="5" gossip-period-ms="100" announce-period-ms="1000">{seeds}
         </membership>{}</meadowstream>"#,
         fleet.relay.endpoint(PROCESSES),
-        replication(0),
+        options(0),
     );
-    let options = fleet.folder().join("publish.xml");
-    std::fs::write(&options, text).unwrap();
+    let options_file = fleet.folder().join("publish.xml");
+    std::fs::write(&options_file, text).unwrap();
     let output = Command::new(env!("CARGO_BIN_EXE_meadowstream"))
         .arg("publish")
-        .args(words)
+        .args(arguments)
         .arg("--options")
-        .arg(options)
+        .arg(options_file)
         .output()
         .unwrap();
-    let said = [output.stdout, output.stderr].concat();
-    (output.status.success(), String::from_utf8_lossy(&said).into_owned())
+    let text = [output.stdout, output.stderr].concat();
+    (output.status.success(), String::from_utf8_lossy(&text).into_owned())
 }
 
-fn change(fleet: &FleetHarness, name: &str, elements: &str) -> PathBuf {
+/// Writes a file with a change of these elements and returns its path.
+fn write_change(fleet: &FleetHarness, name: &str, elements: &str) -> PathBuf {
     let file = fleet.folder().join(name);
     let text = format!("<change xmlns=\"urn:meadowstream:options:1\">{elements}</change>");
     std::fs::write(&file, text).unwrap();
     file
 }
 
-fn weight(fleet: &FleetHarness, weight: u32) -> PathBuf {
-    change(fleet, "change.xml", &format!(r#"<set key="tenants/tenant/arms-park" value="{weight}"/>"#))
+/// Writes a file with a change of one tenant's weight and returns its path.
+fn write_weight_change(fleet: &FleetHarness, weight: u32) -> PathBuf {
+    write_change(fleet, "change.xml", &format!(r#"<set key="tenants/tenant/arms-park" value="{weight}"/>"#))
 }
 
-/// The revision that a command says was committed.
-fn committed(said: &str) -> u64 {
-    let number = said.split("committed as revision ").nth(1).and_then(|rest| rest.split_whitespace().next());
-    number.and_then(|number| number.parse().ok()).unwrap_or_else(|| panic!("{said}"))
+/// Parses the number of the committed revision from the output of a command.
+fn committed_revision(output: &str) -> u64 {
+    let number =
+        output.split("committed as revision ").nth(1).and_then(|rest| rest.split_whitespace().next());
+    number.and_then(|number| number.parse().ok()).unwrap_or_else(|| panic!("{output}"))
 }
 
 #[test]
-fn a_change_is_published_taken_back_and_refused() {
+fn changes_are_published_reverted_and_refused() {
     let fleet = start_fleet(71);
-    let file = weight(&fleet, 5);
-    let (good, said) = publish(&fleet, &[file.to_str().unwrap()]);
-    assert!(good, "{said}");
-    let first = committed(&said);
-    assert!(said.contains("11 of 11 members go by it"), "{said}");
+    let file = write_weight_change(&fleet, 5);
+    let (succeeded, output) = publish(&fleet, &[file.to_str().unwrap()]);
+    assert!(succeeded, "{output}");
+    let first = committed_revision(&output);
+    assert!(output.contains("11 of 11 members go by it"), "{output}");
     assert!(servers().iter().all(|i| in_force(&fleet, *i) >= Some(first)));
-    // A key that nobody knows is refused before the fleet hears of it.
-    let strange = change(&fleet, "strange.xml", "\n<set key=\"novel/thing\" value=\"1\"/>");
-    let (good, said) = publish(&fleet, &[strange.to_str().unwrap()]);
-    assert!(!good && said.contains("line 2, <set>: novel/thing: unknown element"), "{said}");
-    // What the servers refuse is said with their reason: they have no budget.
-    let budget = change(&fleet, "budget.xml", r#"<set key="shared-state/budget/total" value="9"/>"#);
-    let (good, said) = publish(&fleet, &[budget.to_str().unwrap(), "--wait", "4"]);
-    assert!(!good && said.contains("refused: "), "{said}");
-    let second = committed(&said);
-    assert!(servers().iter().all(|i| in_force(&fleet, *i) == Some(first)), "none goes by it");
-    let (good, said) = publish(&fleet, &["revert", &second.to_string()]);
-    assert!(good, "{said}");
-    let (good, said) = publish(&fleet, &["revert", "999"]);
-    assert!(!good && said.contains("no change that is still held ends at 999"), "{said}");
-    let (good, said) = publish(&fleet, &["status"]);
-    assert!(good && said.contains("11 of 11 members go by it"), "{said}");
+    // The command refuses an unknown key without publishing the change.
+    let unknown_key = write_change(&fleet, "strange.xml", "\n<set key=\"novel/thing\" value=\"1\"/>");
+    let (succeeded, output) = publish(&fleet, &[unknown_key.to_str().unwrap()]);
+    assert!(!succeeded && output.contains("line 2, <set>: novel/thing: unknown element"), "{output}");
+    // The servers refuse this change because they have no budget; the command prints their reason.
+    let budget = write_change(&fleet, "budget.xml", r#"<set key="shared-state/budget/total" value="9"/>"#);
+    let (succeeded, output) = publish(&fleet, &[budget.to_str().unwrap(), "--wait", "4"]);
+    assert!(!succeeded && output.contains("refused: "), "{output}");
+    let second = committed_revision(&output);
+    assert!(
+        servers().iter().all(|i| in_force(&fleet, *i) == Some(first)),
+        "the refused change is not in force"
+    );
+    let (succeeded, output) = publish(&fleet, &["revert", &second.to_string()]);
+    assert!(succeeded, "{output}");
+    let (succeeded, output) = publish(&fleet, &["revert", "999"]);
+    assert!(!succeeded && output.contains("no change that is still held ends at 999"), "{output}");
+    let (succeeded, output) = publish(&fleet, &["status"]);
+    assert!(succeeded && output.contains("11 of 11 members go by it"), "{output}");
 }
 
 #[test]
-fn the_publisher_and_a_relay_are_killed_and_changes_go_on() {
+fn changes_continue_after_the_publisher_and_a_relaying_server_are_killed() {
     let mut fleet = start_fleet(72);
-    let (good, said) = publish(&fleet, &[weight(&fleet, 2).to_str().unwrap()]);
-    assert!(good, "{said}");
+    let (succeeded, output) = publish(&fleet, &[write_weight_change(&fleet, 2).to_str().unwrap()]);
+    assert!(succeeded, "{output}");
     let old = publisher(&fleet).unwrap();
     fleet.signal(old, "KILL").unwrap();
     fleet.signal(4, "KILL").unwrap();
-    let new = wait_for(PATIENCE, || publisher(&fleet).filter(|new| *new != old));
+    let new = wait_for(WAIT_MAX, || publisher(&fleet).filter(|new| *new != old));
     assert!(new.is_some(), "another control machine publishes");
-    let (_, said) = publish(&fleet, &[weight(&fleet, 3).to_str().unwrap(), "--wait", "20"]);
-    let number = committed(&said);
-    let rest: Vec<usize> = servers().into_iter().filter(|i| *i != 4).collect();
-    all_go_by(&fleet, &rest, number, PATIENCE).expect("in force on all that run");
-    // The killed ones come back: the one to its log, the other by its disk and then by what it lacks.
+    let (_, output) = publish(&fleet, &[write_weight_change(&fleet, 3).to_str().unwrap(), "--wait", "20"]);
+    let number = committed_revision(&output);
+    let others: Vec<usize> = servers().into_iter().filter(|i| *i != 4).collect();
+    wait_until_in_force(&fleet, &others, number, WAIT_MAX).expect("in force on all running servers");
+    // The killed control machine restarts from its log. The killed server restarts from its state file and
+    // fetches the missing revisions.
     fleet.start(old).unwrap();
     fleet.start(4).unwrap();
-    all_go_by(&fleet, &servers(), number, PATIENCE).expect("in force on the one that came back");
-    let (good, said) = publish(&fleet, &[weight(&fleet, 4).to_str().unwrap(), "--wait", "20"]);
-    assert!(good, "{said}");
+    wait_until_in_force(&fleet, &servers(), number, WAIT_MAX).expect("in force on the restarted server");
+    let (succeeded, output) =
+        publish(&fleet, &[write_weight_change(&fleet, 4).to_str().unwrap(), "--wait", "20"]);
+    assert!(succeeded, "{output}");
 }
 
 #[test]
-fn a_zone_cut_off_keeps_its_last_good_and_catches_up_on_the_heal() {
+fn a_partitioned_zone_keeps_its_last_revision_and_catches_up_afterwards() {
     let fleet = start_fleet(73);
-    let (good, said) = publish(&fleet, &[weight(&fleet, 2).to_str().unwrap()]);
-    assert!(good, "{said}");
-    let before = committed(&said);
+    let (succeeded, output) = publish(&fleet, &[write_weight_change(&fleet, 2).to_str().unwrap()]);
+    assert!(succeeded, "{output}");
+    let before = committed_revision(&output);
     let zone = publisher(&fleet).map(|publisher| (publisher + 1) % ZONES).unwrap();
-    let away: Vec<usize> = servers().into_iter().filter(|i| i % ZONES == zone).collect();
-    let rest: Vec<usize> = servers().into_iter().filter(|i| i % ZONES != zone).collect();
+    let partitioned: Vec<usize> = servers().into_iter().filter(|i| i % ZONES == zone).collect();
+    let others: Vec<usize> = servers().into_iter().filter(|i| i % ZONES != zone).collect();
     fleet.relay.change_faults(|faults| {
         faults.groups.extend((0..PROCESSES).filter(|i| i % ZONES == zone).map(|i| (i, 1)));
         faults.partition(0, 1);
     });
-    let (_, said) = publish(&fleet, &[weight(&fleet, 9).to_str().unwrap(), "--wait", "3"]);
-    let number = committed(&said);
-    all_go_by(&fleet, &rest, number, PATIENCE).expect("in force on the side with a majority");
+    let (_, output) = publish(&fleet, &[write_weight_change(&fleet, 9).to_str().unwrap(), "--wait", "3"]);
+    let number = committed_revision(&output);
+    wait_until_in_force(&fleet, &others, number, WAIT_MAX).expect("in force on the side with a majority");
     let stale =
         |i: &usize| fleet.log_lines(*i, "replication").pop().is_some_and(|line| line["stale"] == true);
-    wait_for(PATIENCE, || away.iter().all(stale).then_some(()))
-        .expect("those cut off say that they are stale");
-    assert!(away.iter().all(|i| in_force(&fleet, *i) == Some(before)));
+    wait_for(WAIT_MAX, || partitioned.iter().all(stale).then_some(()))
+        .expect("the partitioned servers report a stale configuration");
+    assert!(partitioned.iter().all(|i| in_force(&fleet, *i) == Some(before)));
     fleet.relay.change_faults(|faults| faults.heal());
-    all_go_by(&fleet, &away, number, PATIENCE).expect("in force after the heal");
-    wait_for(PATIENCE, || servers().iter().all(|i| !stale(i)).then_some(())).expect("fresh again");
+    wait_until_in_force(&fleet, &partitioned, number, WAIT_MAX).expect("in force after the partition");
+    wait_for(WAIT_MAX, || servers().iter().all(|i| !stale(i)).then_some(())).expect("no server is stale");
 }
 
 #[test]
-fn a_server_starts_by_its_disk_with_all_control_machines_away() {
+fn a_server_starts_from_its_state_file_without_control_machines() {
     let mut fleet = start_fleet(74);
-    let (good, said) = publish(&fleet, &[weight(&fleet, 6).to_str().unwrap()]);
-    assert!(good, "{said}");
-    let number = committed(&said);
+    let (succeeded, output) = publish(&fleet, &[write_weight_change(&fleet, 6).to_str().unwrap()]);
+    assert!(succeeded, "{output}");
+    let number = committed_revision(&output);
     (0..CONTROLS).for_each(|i| fleet.signal(i, "KILL").unwrap());
     for i in [3, 7] {
         fleet.signal(i, "KILL").unwrap();
         fleet.start(i).unwrap();
-        let line =
-            fleet.log_lines(i, "starts by the configuration on its disk").pop().expect("said at the start");
+        let line = fleet
+            .log_lines(i, "starts by the configuration on its disk")
+            .pop()
+            .expect("a log line at the start");
         assert_eq!(line["number"].as_u64(), Some(number));
         assert!(line["written_s"].as_u64().is_some());
     }
-    all_go_by(&fleet, &[3, 7], number, PATIENCE).expect("in force from the start");
-    // A file cut short is not gone by, and what it held comes from the neighbours.
+    wait_until_in_force(&fleet, &[3, 7], number, WAIT_MAX).expect("in force from the start");
+    // A server ignores a truncated state file and fetches its configuration from other members.
     fleet.signal(5, "KILL").unwrap();
     let file = fleet.folder().join("s5.state");
     let bytes = std::fs::read(&file).unwrap();
     std::fs::write(&file, &bytes[..bytes.len() - 1]).unwrap();
     fleet.start(5).unwrap();
-    let line =
-        fleet.log_lines(5, "starts without the configuration on its disk").pop().expect("said at the start");
+    let line = fleet
+        .log_lines(5, "starts without the configuration on its disk")
+        .pop()
+        .expect("a log line at the start");
     assert!(line["why"].as_str().unwrap().contains("cut short"), "{line}");
-    all_go_by(&fleet, &[5], number, PATIENCE).expect("from its neighbours");
+    wait_until_in_force(&fleet, &[5], number, WAIT_MAX).expect("fetched from other members");
 }
