--- a/crates/cli/tests/fleet_state.rs
+++ b/crates/cli/tests/fleet_state.rs
@@ -1,5 +1,6 @@
-//! Five processes of the program share a budget of calls to one dependency, through the fault relay under a
-//! flood: the dependency counts what it has in its hands at once, and the processes say what they hold.
+//! Five processes of the program share a budget of downstream calls and the state of a tier of services,
+//! under load and with faults injected by relays. The downstream services count concurrent calls; leases,
+//! totals and ejections are read from the logs of the processes.
 
 use meadowstream_test_doubles::downstream_service::{self, DownstreamService};
 use meadowstream_test_doubles::fleet::{FleetHarness, HarnessOptions, wait_for};
@@ -11,13 +12,17 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Calls at once that the fleet may have out, of which each of six servers has one in any case.
+/// Maximum number of concurrent downstream calls of the whole fleet.
 const TOTAL: u64 = 16;
+/// Concurrent downstream calls that each of six servers may make without a lease.
 const FLOOR: u64 = 1;
+/// Duration of a lease.
 const LEASE: Duration = Duration::from_millis(2000);
 
+/// Starts the first `started` of six servers, with the shared budget if `shared`, and their downstream
+/// service.
 fn start_fleet(seed: u64, started: usize, shared: bool) -> (FleetHarness, Arc<DownstreamService>) {
-    let (address, records) = downstream_service::start(Duration::from_millis(100)).unwrap();
+    let (address, downstream) = downstream_service::start(Duration::from_millis(100)).unwrap();
     let budget = format!(
         r#"<shared-state gossip-ms="100"><budget name="records" total="{TOTAL}" floor="{FLOOR}" servers="6"
         lease-ms="{}" use-most-ms="500"><voter name="s0"/><voter name="s1"/><voter name="s2"/>
@@ -32,154 +37,165 @@
         ..HarnessOptions::default()
     };
     let program = Path::new(env!("CARGO_BIN_EXE_meadowstream"));
-    (FleetHarness::with_options(program, 6, started, seed, options).unwrap(), records)
+    (FleetHarness::with_options(program, 6, started, seed, options).unwrap(), downstream)
 }
 
-/// Each server is asked for ten calls at once, over twice of all there is.
-fn floods(fleet: &FleetHarness, who: &[usize], span: Duration) -> Vec<JoinHandle<ReplyCounts>> {
-    let to = |i: usize| fleet.listen_address(i).expect("it said so");
-    let flood = |i: usize| open_loop::start(to(i), 100.0, Duration::from_millis(2), span, i as u64 + 1);
-    who.iter().map(|&i| flood(i)).collect()
+/// Starts a load on each of `servers` with a demand of ten concurrent downstream calls, which together is
+/// more than twice the budget.
+fn start_loads(fleet: &FleetHarness, servers: &[usize], span: Duration) -> Vec<JoinHandle<ReplyCounts>> {
+    let to = |i: usize| fleet.listen_address(i).expect("the server has logged its listen address");
+    let load = |i: usize| open_loop::start(to(i), 100.0, Duration::from_millis(2), span, i as u64 + 1);
+    servers.iter().map(|&i| load(i)).collect()
 }
 
-fn field(fleet: &FleetHarness, i: usize, name: &str) -> u64 {
+/// Numeric field of the last log line of server `i` about shared state; 0 if there is none.
+fn shared_state_field(fleet: &FleetHarness, i: usize, name: &str) -> u64 {
     fleet.shared_state(i).and_then(|shared| shared[name].as_u64()).unwrap_or(0)
 }
 
-fn leased(fleet: &FleetHarness, who: &[usize]) -> u64 {
-    who.iter().map(|&i| field(fleet, i, "leased")).sum()
+/// Sum of the calls that `servers` have leased, by their logs.
+fn leased(fleet: &FleetHarness, servers: &[usize]) -> u64 {
+    servers.iter().map(|&i| shared_state_field(fleet, i, "leased")).sum()
 }
 
-fn total(fleet: &FleetHarness, i: usize, key: &str) -> u64 {
+/// Total of the whole fleet that server `i` has logged for a counter.
+fn fleet_total(fleet: &FleetHarness, i: usize, key: &str) -> u64 {
     let shared = fleet.shared_state(i).unwrap_or_default();
     let totals = shared["totals"].as_str().unwrap_or("{}");
     serde_json::from_str::<serde_json::Value>(totals).unwrap()[key].as_u64().unwrap_or(0)
 }
 
-fn all_leased(fleet: &FleetHarness, who: &[usize], within: Duration) {
-    let seen = wait_for(within, || (leased(fleet, who) >= TOTAL - 6 * FLOOR - 1).then_some(()));
-    assert!(seen.is_some(), "{:?}", who.iter().map(|&i| fleet.shared_state(i)).collect::<Vec<_>>());
+/// Waits until `servers` have leased all calls of the budget beyond the floors, except one at most.
+fn expect_all_leased(fleet: &FleetHarness, servers: &[usize], within: Duration) {
+    let leased = wait_for(within, || (leased(fleet, servers) >= TOTAL - 6 * FLOOR - 1).then_some(()));
+    assert!(leased.is_some(), "{:?}", servers.iter().map(|&i| fleet.shared_state(i)).collect::<Vec<_>>());
 }
 
-/// Each has the same sum, and it is what was sent, less at most what got no answer as its connection broke.
-fn counts_agree(fleet: &FleetHarness, who: &[usize], answers: &ReplyCounts) {
-    let sent = answers.sent;
+/// Waits until all servers log the same total of invocations. The total must equal the calls sent, less at
+/// most the calls without a reply.
+fn expect_equal_totals(fleet: &FleetHarness, servers: &[usize], replies: &ReplyCounts) {
+    let sent = replies.sent;
     let agree = || {
-        let each: Vec<u64> = who.iter().map(|&i| total(fleet, i, "invocations")).collect();
-        let same = each.iter().all(|count| *count == each[0]);
-        // The same by operation and kind of answer.
-        let answered = |&i: &usize| total(fleet, i, "succeeded/load") + total(fleet, i, "throttled/load");
-        let by_kind = who.iter().all(|i| answered(i) + answers.errored + answers.unanswered >= sent);
-        (same && by_kind && (sent - answers.unanswered..=sent).contains(&each[0])).then_some(())
+        let totals: Vec<u64> = servers.iter().map(|&i| fleet_total(fleet, i, "invocations")).collect();
+        let equal = totals.iter().all(|total| *total == totals[0]);
+        // The totals by operation and result must cover all calls that were answered.
+        let answered =
+            |&i: &usize| fleet_total(fleet, i, "succeeded/load") + fleet_total(fleet, i, "throttled/load");
+        let by_result = servers.iter().all(|i| answered(i) + replies.errored + replies.unanswered >= sent);
+        (equal && by_result && (sent - replies.unanswered..=sent).contains(&totals[0])).then_some(())
     };
-    let seen = wait_for(Duration::from_secs(15), agree);
+    let agreed = wait_for(Duration::from_secs(15), agree);
     assert!(
-        seen.is_some(),
+        agreed.is_some(),
         "{sent} sent, {:?}",
-        who.iter().map(|&i| fleet.shared_state(i)).collect::<Vec<_>>()
+        servers.iter().map(|&i| fleet.shared_state(i)).collect::<Vec<_>>()
     );
 }
 
-fn sum(floods: Vec<JoinHandle<ReplyCounts>>) -> ReplyCounts {
-    let mut all = ReplyCounts::default();
-    for flood in floods {
-        let each = flood.join().unwrap();
-        all.sent += each.sent;
-        all.succeeded += each.succeeded;
-        all.throttled += each.throttled;
-        (all.errored, all.unanswered) = (all.errored + each.errored, all.unanswered + each.unanswered);
-        (all.unsent, all.broken) = (all.unsent + each.unsent, all.broken + each.broken);
-        all.unexpected += each.unexpected;
+/// Waits for the loads to end and adds up their counts.
+fn sum(loads: Vec<JoinHandle<ReplyCounts>>) -> ReplyCounts {
+    let mut sum = ReplyCounts::default();
+    for load in loads {
+        let replies = load.join().unwrap();
+        sum.sent += replies.sent;
+        sum.succeeded += replies.succeeded;
+        sum.throttled += replies.throttled;
+        sum.errored += replies.errored;
+        sum.unanswered += replies.unanswered;
+        (sum.unsent, sum.broken) = (sum.unsent + replies.unsent, sum.broken + replies.broken);
+        sum.unexpected += replies.unexpected;
     }
-    all
+    sum
 }
 
-/// Without a budget the dependency gets more at once than it is to have: what the others are held
-/// against.
+/// Control test for the tests of the budget: without one, the load exceeds the same limit.
 #[test]
-fn without_the_budget_it_would_be_passed() {
-    let (fleet, records) = start_fleet(21, 5, false);
-    let all = sum(floods(&fleet, &[0, 1, 2, 3, 4], Duration::from_secs(6)));
+fn without_a_budget_concurrent_calls_exceed_the_limit() {
+    let (fleet, downstream) = start_fleet(21, 5, false);
+    let all = sum(start_loads(&fleet, &[0, 1, 2, 3, 4], Duration::from_secs(6)));
     assert!(
-        records.most_in_flight.load(Relaxed) > TOTAL,
-        "{} at once, {all:?}",
-        records.most_in_flight.load(Relaxed)
+        downstream.most_in_flight.load(Relaxed) > TOTAL,
+        "{} concurrent calls, {all:?}",
+        downstream.most_in_flight.load(Relaxed)
     );
 }
 
 #[test]
-fn a_partition_a_crash_and_a_join_never_pass_the_budget_and_counts_agree() {
-    let (mut fleet, records) = start_fleet(22, 5, true);
+fn a_partition_a_crash_and_a_join_never_exceed_the_budget_and_totals_agree() {
+    let (mut fleet, downstream) = start_fleet(22, 5, true);
     let all = [0, 1, 2, 3, 4];
     fleet.wait_for_agreement(&all, Instant::now(), Duration::from_secs(15)).unwrap();
-    let load = floods(&fleet, &all, Duration::from_secs(22));
-    all_leased(&fleet, &all, Duration::from_secs(15));
-    // 2|3 under the flood: the two fall back to their floors, the three share all else.
+    let load = start_loads(&fleet, &all, Duration::from_secs(22));
+    expect_all_leased(&fleet, &all, Duration::from_secs(15));
+    // A partition into two and three servers under load: the two lose their leases and keep their floors, the
+    // three lease the rest of the budget.
     fleet.relay.change_faults(|f| {
         f.groups.extend([(0, 1), (1, 1)]);
         f.partition(0, 1);
     });
     let floors = wait_for(LEASE * 3, || (leased(&fleet, &[0, 1]) == 0).then_some(()));
-    assert!(floors.is_some(), "cut off, they still say they hold {}", leased(&fleet, &[0, 1]));
-    all_leased(&fleet, &[2, 3, 4], LEASE * 8);
+    assert!(floors.is_some(), "the partitioned servers still have {} leased", leased(&fleet, &[0, 1]));
+    expect_all_leased(&fleet, &[2, 3, 4], LEASE * 8);
     fleet.relay.change_faults(|faults| faults.heal());
-    all_leased(&fleet, &all, LEASE * 4);
-    let answers = sum(load);
-    let most = records.most_in_flight.load(Relaxed);
-    println!("{most} at once of {TOTAL}; {answers:?}; {} calls", records.calls.load(Relaxed));
-    assert!(most <= TOTAL, "{most} at once");
-    assert!(most >= TOTAL / 2 && answers.succeeded > 0, "{most} at once, {answers:?}");
-    // None of either on a machine at rest.
-    assert!((answers.errored + answers.unanswered) * 100 <= answers.sent, "answered at once: {answers:?}");
-    counts_agree(&fleet, &all, &answers);
+    expect_all_leased(&fleet, &all, LEASE * 4);
+    let replies = sum(load);
+    let most = downstream.most_in_flight.load(Relaxed);
+    println!("{most} concurrent calls of {TOTAL}; {replies:?}; {} calls", downstream.calls.load(Relaxed));
+    assert!(most <= TOTAL, "{most} concurrent calls");
+    assert!(most >= TOTAL / 2 && replies.succeeded > 0, "{most} concurrent calls, {replies:?}");
+    // Without other load on the machine no call fails or stays unanswered.
+    assert!((replies.errored + replies.unanswered) * 100 <= replies.sent, "over 1 % failed: {replies:?}");
+    expect_equal_totals(&fleet, &all, &replies);
 
-    // The holder of most is killed while the others ask for all, and a newcomer joins.
-    records.most_in_flight.store(0, Relaxed);
-    let load = floods(&fleet, &all, Duration::from_secs(14));
-    all_leased(&fleet, &all, LEASE * 4);
-    let holder = all.into_iter().max_by_key(|&i| field(&fleet, i, "leased")).unwrap();
+    // The server with the largest lease is killed while the others demand the whole budget, and a sixth
+    // server joins.
+    downstream.most_in_flight.store(0, Relaxed);
+    let load = start_loads(&fleet, &all, Duration::from_secs(14));
+    expect_all_leased(&fleet, &all, LEASE * 4);
+    let holder = all.into_iter().max_by_key(|&i| shared_state_field(&fleet, i, "leased")).unwrap();
     fleet.signal(holder, "KILL").unwrap();
     let rest: Vec<usize> = all.into_iter().filter(|&i| i != holder).collect();
     fleet.start(5).unwrap();
-    let newcomer = floods(&fleet, &[5], Duration::from_secs(6));
-    all_leased(&fleet, &rest.iter().copied().chain([5]).collect::<Vec<_>>(), LEASE * 5);
-    let (rest_answers, new) = (sum(load), sum(newcomer));
-    let most = records.most_in_flight.load(Relaxed);
-    println!("after the crash {most} at once; {rest_answers:?}, newcomer {new:?}");
-    assert!(most <= TOTAL, "{most} at once");
+    let newcomer = start_loads(&fleet, &[5], Duration::from_secs(6));
+    expect_all_leased(&fleet, &rest.iter().copied().chain([5]).collect::<Vec<_>>(), LEASE * 5);
+    let (others_replies, new) = (sum(load), sum(newcomer));
+    let most = downstream.most_in_flight.load(Relaxed);
+    println!("after the crash {most} concurrent calls; {others_replies:?}, newcomer {new:?}");
+    assert!(most <= TOTAL, "{most} concurrent calls");
     assert!(new.succeeded > 0, "{new:?}");
 }
 
-/// Stopped for longer than its lease and continued: nothing of the lease is used, and it gets a new one.
+/// A server is stopped for longer than its lease and continued: it makes no call on the expired lease and
+/// gets a new one.
 #[test]
 fn a_stalled_holder_under_loss_never_passes_the_budget() {
-    let (mut fleet, records) = start_fleet(23, 5, true);
+    let (mut fleet, downstream) = start_fleet(23, 5, true);
     let all = [0, 1, 2, 3, 4];
     fleet.relay.change_faults(|f| {
         (f.loss, f.jitter_ms, f.duplicate, f.reorder, f.reorder_ms) = (0.05, 10, 0.2, 0.2, 50)
     });
     fleet.wait_for_agreement(&all, Instant::now(), Duration::from_secs(20)).unwrap();
-    let load = floods(&fleet, &all, Duration::from_secs(18));
-    all_leased(&fleet, &all, Duration::from_secs(15));
+    let load = start_loads(&fleet, &all, Duration::from_secs(18));
+    expect_all_leased(&fleet, &all, Duration::from_secs(15));
     fleet.signal(1, "STOP").unwrap();
     std::thread::sleep(LEASE * 2);
     fleet.signal(1, "CONT").unwrap();
-    let back = wait_for(LEASE * 4, || (field(&fleet, 1, "leased") > 0).then_some(()));
+    let back = wait_for(LEASE * 4, || (shared_state_field(&fleet, 1, "leased") > 0).then_some(()));
     assert!(back.is_some(), "{:?}", fleet.shared_state(1));
-    let answers = sum(load);
-    let most = records.most_in_flight.load(Relaxed);
-    println!("{most} at once of {TOTAL}; {answers:?}");
+    let replies = sum(load);
+    let most = downstream.most_in_flight.load(Relaxed);
+    println!("{most} concurrent calls of {TOTAL}; {replies:?}");
     if most > TOTAL {
-        println!("busiest: {:#?}", records.busiest_moment());
+        println!("busiest: {:#?}", downstream.busiest_moment());
     }
-    assert!(most <= TOTAL, "{most} at once");
+    assert!(most <= TOTAL, "{most} concurrent calls");
 }
 
-/// A budget whose floors alone pass it, or with two voters, refuses the start; a reload with one keeps the
-/// old.
+/// The check rejects a budget whose floors exceed its total, and one with four voters. A reload with such a
+/// budget keeps the old one.
 #[test]
-fn a_bad_budget_refuses_the_start_and_a_reload_keeps_the_old_one() {
-    let (fleet, _records) = start_fleet(24, 1, true);
+fn an_invalid_budget_is_rejected_and_a_reload_keeps_the_old_one() {
+    let (fleet, _downstream) = start_fleet(24, 1, true);
     let xml = fleet.folder().join("s0.xml");
     let good = std::fs::read_to_string(&xml).unwrap();
     let check = |text: &str| {
@@ -191,28 +207,32 @@
         (out.status.code(), String::from_utf8_lossy(&out.stderr).to_string())
     };
     let bad = good.replace("servers=\"6\"", "servers=\"60\"");
-    let (code, said) = check(&bad);
-    assert_eq!(code, Some(1), "{said}");
-    assert!(said.contains("<shared-state>: budget \"records\": floor: 60 servers' floors are 60"), "{said}");
-    let (code, said) = check(&good.replace("<voter name=\"s1\"/>", ""));
-    assert_eq!(code, Some(1), "{said}");
-    assert!(said.contains("voter: 1, 3, 5, 7 or 9 different names, not 4"), "{said}");
+    let (code, stderr) = check(&bad);
+    assert_eq!(code, Some(1), "{stderr}");
+    assert!(
+        stderr.contains("<shared-state>: budget \"records\": floor: 60 servers' floors are 60"),
+        "{stderr}"
+    );
+    let (code, stderr) = check(&good.replace("<voter name=\"s1\"/>", ""));
+    assert_eq!(code, Some(1), "{stderr}");
+    assert!(stderr.contains("voter: 1, 3, 5, 7 or 9 different names, not 4"), "{stderr}");
     assert_eq!(check(&good).0, Some(0));
-    // One voter of five is no majority: its floor is all it ever has, before and after a refused reload.
-    let floor = |within| wait_for(within, || (field(&fleet, 0, "floor") == FLOOR).then_some(()));
+    // The server is one voter of five, so that there is no majority for a lease: it only has its floor,
+    // before and after the rejected reload.
+    let floor = |within| wait_for(within, || (shared_state_field(&fleet, 0, "floor") == FLOOR).then_some(()));
     assert!(floor(Duration::from_secs(10)).is_some());
     std::fs::write(&xml, bad).unwrap();
     fleet.signal_and_keep(0, "HUP").unwrap();
     std::thread::sleep(Duration::from_millis(700));
-    assert_eq!((field(&fleet, 0, "floor"), field(&fleet, 0, "leased")), (FLOOR, 0));
-    assert!(fleet.has_logged(0, "configuration kept as it was"), "the refusal is in the log");
+    assert_eq!((shared_state_field(&fleet, 0, "floor"), shared_state_field(&fleet, 0, "leased")), (FLOOR, 0));
+    assert!(fleet.has_logged(0, "configuration kept as it was"), "the rejected reload is in the log");
 }
 
-/// How long a report counts in the tests of judgements.
+/// Time for which a report on a service counts, in the tests of outlier detection.
 const EXPIRY: Duration = Duration::from_millis(2000);
 
-/// Five processes over a tier of four services, each reached through a relay of its own, with a face for each
-/// process.
+/// Five processes with a tier of four downstream services. Each service is behind a relay of its own with an
+/// endpoint for each process.
 struct Tier {
     fleet: FleetHarness,
     services: Vec<Arc<DownstreamService>>,
@@ -220,12 +240,13 @@
 }
 
 impl Tier {
+    /// Starts the processes; `reports` is the number of reports of failure that eject a service.
     fn new(seed: u64, reports: usize) -> Tier {
-        let parties: Vec<_> =
+        let downstream: Vec<_> =
             (0..4).map(|_| downstream_service::start(Duration::from_millis(20)).unwrap()).collect();
         let relays: Vec<TcpRelay> =
-            parties.iter().map(|(address, _)| TcpRelay::new(5, *address, 9, seed).unwrap()).collect();
-        let own = |i: usize| {
+            downstream.iter().map(|(address, _)| TcpRelay::new(5, *address, 9, seed).unwrap()).collect();
+        let tier = |i: usize| {
             let service = |(s, relay): (usize, &TcpRelay)| {
                 format!(r#"<service name="r{s}" address="{}"/>"#, relay.endpoint(i))
             };
@@ -238,47 +259,51 @@
         };
         let options = HarnessOptions {
             cores: 4.0,
-            downstream_services: vec![parties[0].0; 5],
+            downstream_services: vec![downstream[0].0; 5],
             options: r#"<tenants by="sender"><tenant name="1"/></tenants>"#.into(),
-            server_options: (0..5).map(own).collect(),
+            server_options: (0..5).map(tier).collect(),
             ..HarnessOptions::default()
         };
         let program = Path::new(env!("CARGO_BIN_EXE_meadowstream"));
         let fleet = FleetHarness::with_options(program, 5, 5, seed, options).unwrap();
         fleet.wait_for_agreement(&[0, 1, 2, 3, 4], Instant::now(), Duration::from_secs(15)).unwrap();
-        Tier { fleet, services: parties.into_iter().map(|(_, records)| records).collect(), relays }
+        Tier { fleet, services: downstream.into_iter().map(|(_, service)| service).collect(), relays }
     }
 
-    /// The services that server `i` says are ejected, by its last line.
+    /// Services that server `i` has ejected, from its last log line.
     fn ejected(&self, i: usize) -> Vec<String> {
         let shared = self.fleet.shared_state(i).unwrap_or_default();
         serde_json::from_str(shared["ejected"].as_str().unwrap_or("[]")).unwrap()
     }
 
-    /// Until each of `who` says that exactly these are ejected; how long it took.
-    fn until(&self, who: &[usize], these: &[&str], within: Duration) -> Duration {
+    /// Waits until each of `servers` has ejected exactly these services; returns the time that this took.
+    fn expect_ejected(&self, servers: &[usize], expected: &[&str], within: Duration) -> Duration {
         let began = Instant::now();
         let all = || {
-            who.iter().all(|i| {
+            servers.iter().all(|i| {
                 let mut ejected = self.ejected(*i);
                 ejected.sort();
-                ejected == these
+                ejected == expected
             })
         };
-        let seen = wait_for(within, || all().then_some(()));
-        assert!(seen.is_some(), "{:?}", who.iter().map(|i| self.fleet.shared_state(*i)).collect::<Vec<_>>());
+        let reached = wait_for(within, || all().then_some(()));
+        assert!(
+            reached.is_some(),
+            "{:?}",
+            servers.iter().map(|i| self.fleet.shared_state(*i)).collect::<Vec<_>>()
+        );
         began.elapsed()
     }
 
-    /// What server `i` finds of service `s` by its own calls.
-    fn own(&self, i: usize, s: usize) -> String {
+    /// Health of service `s` that server `i` has determined by its own calls.
+    fn own_verdict(&self, i: usize, s: usize) -> String {
         let shared = self.fleet.shared_state(i).unwrap_or_default();
         let services: serde_json::Value =
             serde_json::from_str(shared["services"].as_str().unwrap_or("[]")).unwrap();
         services[s]["own"].as_str().unwrap_or("").to_string()
     }
 
-    /// The most services that any process ever said were ejected at once.
+    /// Maximum number of services that any process has logged as ejected at one time.
     fn most_ejected(&self) -> usize {
         let lines = (0..5).flat_map(|i| self.fleet.log_lines(i, "shared"));
         let count = |line: serde_json::Value| {
@@ -291,24 +316,27 @@
 }
 
 #[test]
-fn a_failing_service_is_judged_by_all_and_never_more_than_the_share_is_ejected() {
+fn all_servers_eject_a_failing_service_but_never_more_than_the_eject_share() {
     let tier = Tier::new(31, 2);
     let all = [0, 1, 2, 3, 4];
-    let load = floods(&tier.fleet, &all, Duration::from_secs(28));
+    let load = start_loads(&tier.fleet, &all, Duration::from_secs(28));
     std::thread::sleep(Duration::from_secs(2));
-    assert!(all.iter().all(|i| tier.ejected(*i).is_empty()), "nothing fails yet");
+    assert!(all.iter().all(|i| tier.ejected(*i).is_empty()), "no service is ejected before one fails");
     tier.services[1].fails.store(true, Relaxed);
-    let judged = tier.until(&all, &["r1"], EXPIRY * 2);
+    let ejected_after = tier.expect_ejected(&all, &["r1"], EXPIRY * 2);
     let count = |s: usize| tier.services[s].calls.load(Relaxed);
     let (before, others) = (count(1), [0, 2, 3].map(count).iter().sum::<u64>());
     std::thread::sleep(Duration::from_secs(3));
     let (probes, calls) = (count(1) - before, [0, 2, 3].map(count).iter().sum::<u64>() - others);
-    println!("judged by all five after {judged:?}; then {probes} calls to it in 3 s, {calls} to the others");
-    // Each server probes it eight times in the time that a report counts.
+    println!(
+        "ejected by all five after {ejected_after:?}; then {probes} calls to r1 in 3 s, {calls} to the others"
+    );
+    // Each server probes an ejected service eight times in the time for which a report counts.
     assert!(probes > 0 && probes <= 5 * 8 * 3 / 2 + 10, "{probes} probes");
     assert!(calls > 5 * probes, "{calls}, {probes} probes");
 
-    // One that hears nobody goes by what it finds itself: it finds the same, and alone what fails next.
+    // An isolated server uses only its own verdicts: it keeps r1 ejected and ejects the next failing service
+    // by itself.
     tier.fleet.relay.change_faults(|f| {
         f.groups.insert(0, 1);
         f.partition(0, 1);
@@ -319,47 +347,47 @@
         lines.last().is_some_and(|line| line["alone"] == true && tier.ejected(0).len() == 2).then_some(())
     });
     assert!(alone.is_some(), "{:?}", tier.fleet.log_lines(0, "judged"));
-    tier.until(&all, &["r1", "r2"], EXPIRY * 2);
+    tier.expect_ejected(&all, &["r1", "r2"], EXPIRY * 2);
     tier.fleet.relay.change_faults(|faults| faults.heal());
 
-    // Three of four fail: half of them are ejected and no more.
+    // Three of the four services fail: only half of the tier is ejected.
     tier.services[3].fails.store(true, Relaxed);
     std::thread::sleep(EXPIRY * 2);
-    assert!((0..5).all(|i| tier.own(i, 3) == "Failing"), "{:?}", tier.fleet.shared_state(1));
+    assert!((0..5).all(|i| tier.own_verdict(i, 3) == "Failing"), "{:?}", tier.fleet.shared_state(1));
     assert_eq!(tier.most_ejected(), 2);
     tier.services.iter().for_each(|service| service.fails.store(false, Relaxed));
-    let back = tier.until(&all, &[], EXPIRY * 5);
-    let answers = sum(load);
-    println!("all let in again after {back:?}; {answers:?}");
+    let back = tier.expect_ejected(&all, &[], EXPIRY * 5);
+    let replies = sum(load);
+    println!("no service ejected any more after {back:?}; {replies:?}");
     assert_eq!(tier.most_ejected(), 2);
-    assert!(answers.succeeded * 2 > answers.sent, "{answers:?}");
+    assert!(replies.succeeded * 2 > replies.sent, "{replies:?}");
 }
 
-/// A service that one server alone cannot reach: with two reports wanted nobody ejects it and that server
-/// goes round it; with one wanted its word puts it out for all, which is what the second report guards
-/// against.
+/// Only one server cannot reach a service. If two reports are required, no server ejects the service, and
+/// that server avoids it by itself. If one report is required, all servers eject it: requiring a second
+/// report prevents this.
 #[test]
-fn what_one_server_alone_cannot_reach_is_ejected_by_nobody() {
+fn a_service_that_only_one_server_cannot_reach_is_not_ejected() {
     for (reports, seed) in [(2, 32), (1, 33)] {
         let tier = Tier::new(seed, reports);
-        let load = floods(&tier.fleet, &[0, 1, 2, 3, 4], Duration::from_secs(9));
+        let load = start_loads(&tier.fleet, &[0, 1, 2, 3, 4], Duration::from_secs(9));
         std::thread::sleep(Duration::from_secs(2));
         tier.relays[3].change_faults(|f| {
             f.groups.insert(2, 1);
             f.partition(1, 9);
         });
-        let found = wait_for(Duration::from_secs(5), || (tier.own(2, 3) != "Good").then_some(()));
+        let found = wait_for(Duration::from_secs(5), || (tier.own_verdict(2, 3) != "Good").then_some(()));
         assert!(found.is_some(), "{:?}", tier.fleet.shared_state(2));
         if reports == 1 {
-            tier.until(&[0, 1, 3, 4], &["r3"], Duration::from_secs(4));
+            tier.expect_ejected(&[0, 1, 3, 4], &["r3"], Duration::from_secs(4));
         }
-        let answers = sum(load);
-        println!("{reports} reports wanted: {answers:?}, at most {} ejected", tier.most_ejected());
-        // Each server comes to know what all have answered to the one named tenant, and what is billed.
-        let of = |i: usize, what: &str| total(&tier.fleet, i, &format!("{what}/load/1"));
-        let all = || (0..5).all(|i| of(i, "succeeded") == answers.succeeded).then_some(());
+        let replies = sum(load);
+        println!("{reports} reports required: {replies:?}, at most {} ejected", tier.most_ejected());
+        // Each server learns the fleet's totals for the one named tenant: calls answered and calls billed.
+        let of = |i: usize, what: &str| fleet_total(&tier.fleet, i, &format!("{what}/load/1"));
+        let all = || (0..5).all(|i| of(i, "succeeded") == replies.succeeded).then_some(());
         assert!(wait_for(Duration::from_secs(10), all).is_some(), "{:?}", tier.fleet.shared_state(0));
-        assert!((0..5).all(|i| of(i, "billed-thousandths") == 1000 * answers.succeeded));
+        assert!((0..5).all(|i| of(i, "billed-thousandths") == 1000 * replies.succeeded));
         assert_eq!(tier.most_ejected(), 2 - reports);
     }
 }
