--- a/crates/cli/tests/scenario_harness/balancer.rs
+++ b/crates/cli/tests/scenario_harness/balancer.rs
@@ -1,4 +1,4 @@
-//! Connections of balancers, and the arrays of their protocol.
+//! Test double of a balancer's connection, and the encoding of its protocol.
 
 use std::io::{BufRead, BufReader, ErrorKind, Read};
 use std::net::TcpStream;
@@ -7,16 +7,17 @@
 /// A connection of a balancer.
 pub struct Balancer {
     pub stream: BufReader<TcpStream>,
-    /// Replies that were read before they were expected.
+    /// Replies that were read while waiting for another one.
     pub replies: Vec<Vec<String>>,
 }
 
-/// The reference of the invocation with a tag.
+/// Reference of the invocation with this tag, as written on the wire.
 pub fn reference(tag: &str) -> String {
     format!("{:016x}", 0xabc0_0000_0000 + tag.parse::<u64>().expect("a tag"))
 }
 
-pub fn unescaped(text: &str) -> Vec<u8> {
+/// Replaces the escapes `\r` and `\n` of the notation.
+pub fn unescape(text: &str) -> Vec<u8> {
     text.replace("\\r", "\r").replace("\\n", "\n").into_bytes()
 }
 
@@ -26,13 +27,13 @@
 }
 
 impl Balancer {
-    /// The next array; `None` at the end of the connection.
+    /// Reads the next array; `None` at the end of the connection.
     pub fn read_array(&mut self) -> Option<Vec<String>> {
         let mut line = String::new();
         match self.stream.read_line(&mut line) {
             Ok(0) => return None,
             Err(error) if error.kind() == ErrorKind::ConnectionReset => return None,
-            other => other.expect("an answer in time"),
+            result => result.expect("a reply in time"),
         };
         let count: usize = line.trim().strip_prefix('*').expect("an array").parse().unwrap();
         let words = (0..count).map(|_| {
@@ -46,7 +47,7 @@
         Some(words.collect())
     }
 
-    /// The reply with a tag; those with other tags that come before are kept.
+    /// Waits for the reply with this tag; keeps earlier replies with other tags.
     pub fn wait_for_reply(&mut self, tag: &str) -> Vec<String> {
         loop {
             if let Some(i) = self.replies.iter().position(|words| words[0] == tag) {
@@ -58,10 +59,12 @@
     }
 }
 
+/// Encodes a call with these fields, or with default fields. `NOW` in the fields is replaced by the current
+/// time, `LATE` by a time two seconds ago.
 pub fn encode_call(tag: &str, operation: &str, body: &str, fields: Option<&str>) -> Vec<u8> {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis();
-    let usual = format!("other=1,ref={},since={since},sender=4,room=2.5,class_rank=0.5", reference(tag));
+    let defaults = format!("other=1,ref={},since={since},sender=4,room=2.5,class_rank=0.5", reference(tag));
     let fields = fields
         .map(|fields| fields.replace("NOW", &since.to_string()).replace("LATE", &(since - 2000).to_string()));
-    encode_array(&["RPC.CALL", tag, operation, fields.as_deref().unwrap_or(&usual), body])
+    encode_array(&["RPC.CALL", tag, operation, fields.as_deref().unwrap_or(&defaults), body])
 }
--- a/crates/cli/tests/scenario_harness/link.rs
+++ b/crates/cli/tests/scenario_harness/link.rs
@@ -1,4 +1,4 @@
-//! The link between the server and the interpreter.
+//! Test double of the interpreter's end of a link to the server.
 
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Write};
@@ -7,10 +7,10 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::sync::{Arc, Mutex};
 
-/// Answers questions for gauges on one link.
+/// Answers the server's gauge requests on a link.
 struct GaugeAnswers {
     stream: TcpStream,
-    /// Nonces of the questions that came while notices are replayed; `None` while none are.
+    /// Nonces of gauge requests received during a replay of notices; `None` outside a replay.
     held: Option<Vec<Value>>,
 }
 
@@ -24,8 +24,8 @@
     }
 }
 
-/// A link to the interpreter. What comes on it is read at once, and questions for gauges are answered then,
-/// but for those that come while notices are replayed.
+/// A link to the interpreter. A thread reads commands as they arrive. It answers gauge requests immediately,
+/// except during a replay of notices, whose end is awaited.
 pub struct Link {
     pub stream: TcpStream,
     pub commands: Receiver<Value>,
@@ -53,12 +53,12 @@
         Self { stream, commands, gauge_answers }
     }
 
-    /// The banner goes out and all notices behind it, before any question is answered.
+    /// Begins a replay: gauge requests are answered only after the banner and all notices after it are sent.
     pub fn begin_replay(&self) {
         self.gauge_answers.lock().unwrap().held = Some(Vec::new());
     }
 
-    /// All notices are replayed.
+    /// Ends a replay and answers the gauge requests received during it.
     pub fn end_replay(&self) {
         let mut answers = self.gauge_answers.lock().unwrap();
         let held = answers.held.take();
--- a/crates/cli/tests/scenario_harness/mod.rs
+++ b/crates/cli/tests/scenario_harness/mod.rs
@@ -1,38 +1,61 @@
-//! Test doubles of balancers, the interpreter, the downstream service (`records`) and the service registry
-//! (`catalog`), and the notation in which scenarios drive them. Every wait is for an event and fails after
-//! [`WAIT_MAX`]. A line a step:
+//! Test doubles of balancers, the interpreter (`vm`), the downstream service (`records`) and the service
+//! registry (`catalog`), and the notation in which scenario files drive them. Each line of a file is a step.
+//! A step that expects an event waits for it and fails after [`WAIT_MAX`].
 //!
-//! - `waits MS` where a span of time itself is what is played.
-//! - first `config PATH JSON` to change the configuration; the server starts with `start`, again with
-//!   `start again` (same address) after `kill`; `fails TEXT` is for one that must not start.
-//! - `options XML` for the project's own settings (`<tenants ...>` and all in it, `\n` for a new line).
-//! - `signal TERM|INT|USR1`, `exits CODE`, `adds up` (the counters at the end), `logs TEXT` (waits for a
-//!   line of the log); `log held` and `log read`: nobody reads the log for a while.
-//! - `open A`, `close A`, `half-close A`, `reset A`; `call A TAG OPERATION BODY [FIELDS]` (its reference is
-//!   made of TAG), `health A TAG`, `send A BYTES` (`\r`, `\n`), `bytewise A TAG OPERATION BODY`,
-//!   `hears A TAG WORD [BODY]`, `hears-fields A TAG WORD TEXT`, `hears A 0 enough`, `unheard A TAG`,
-//!   `ends A`, `ends-cleanly A` (not by a reset); FIELDS may say NOW, or LATE for a clock two seconds behind;
-//!   `come until refused MS` (new callers, one before the other has gone);
-//!   `open A tiny` with hardly any room for what it hears, `rubbish A BYTES` without waiting for a reader;
-//!   `flood A N` sends N checks without reading, `drink A N` reads as many answers.
-//! - `link INDEX` (takes a link that must have read that far), `banner warm|cold [AGE_MS]`, `told VERB TAG
-//!   [BODY]`, `any-told VERB` whatever its task, `half-a-banner`, `vm full` and `vm takes` (nobody accepts
-//!   there for a while), `dials anew`, `a dial given up` (as if by the server), `notice JSON` (TAG written
-//!   `#7` becomes its reference, `=text=`
-//!   base64), `gauges on|off`, `unlink`. Questions for gauges that come after a banner are answered
-//!   once the notices that stand right behind it have been sent, as the interpreter replays them.
-//! - `called TAG BODY`, `reply STATUS BODY [HEADER]`, `hang up` (on the call), `given up` (by the server),
-//!   `no records` (connections there are refused), `records full` and `records takes` (nobody accepts there
-//!   for a while), `closed unused` (a connection that ends without a byte), `no catalog`.
-//! - `many-tenants N WEIGHT` for options that name so many tenants `t0`, `t1`, ... of that weight;
-//!   `one-tenant NAME WEIGHT ACCOUNTS` for one alone, `forget log` for lines so far,
-//!   `until-weight NAME WEIGHT` asks for the shares until the log shows a tenant so; `pauses-at-most MS` for
-//!   the longest pause that the log shows of any change of settings, `busy-at-most MS` for the processor time
-//!   of its longest part.
-//! - `moves` (all but the balancers stand elsewhere now, and the server is told), `rewrite` (the file is as
-//!   configured, and the server is told), `half-rewrite` (half of the file is there when it is told).
-//! - `descriptors N` (before the start), `holds-at-most N`; `counts COUNTER LEAST`, `counted COUNTER
-//!   EXACTLY`; `reported WORDS`; `repeat N STEP` with `%` for the number.
+//! General steps:
+//! - `waits MS` sleeps, where the scenario needs a span of time; `repeat N STEP` repeats a step, with `%`
+//!   replaced by the number of the repetition.
+//!
+//! Configuration:
+//! - `config PATH JSON` sets a value of the configuration, `options XML` the elements of the options file
+//!   (`\n` for a new line); `descriptors N` limits the file descriptors of the next start.
+//! - `many-tenants N WEIGHT` sets options with the tenants `t0`, `t1`, ... of this weight,
+//!   `one-tenant NAME WEIGHT ACCOUNTS` options with a single tenant and a ceiling of accounts.
+//! - `rewrite` writes the files and sends SIGHUP; `half-rewrite` and `half-rewrite-options` write only half
+//!   of a file before the SIGHUP; `moves` gives the interpreter and the downstream service new addresses and
+//!   rewrites.
+//!
+//! Server process:
+//! - `start`; `kill`; `start again` after `kill` (at the same address); `fails TEXT` for a start that must
+//!   fail with this log line; `signal TERM|INT|USR1`; `exits CODE`.
+//! - `logs TEXT` waits for a log line; `forget log` discards the lines so far; `log held` and `log read`
+//!   pause and resume the reader of the log.
+//! - `adds up` checks that the final counters add up; `counts COUNTER LEAST` waits for a minimum of a
+//!   counter; `counted COUNTER EXACTLY` checks its value; `holds-at-most N` checks the number of open
+//!   descriptors.
+//! - `until-weight NAME WEIGHT` requests the shares until the log shows the tenant with this weight;
+//!   `pauses-at-most MS` checks the longest logged pause of any change of settings, `busy-at-most MS` the
+//!   processor time of the longest part of a change.
+//!
+//! Balancer connections, here `A`:
+//! - `open A`; `open A tiny` with a small receive buffer; `close A`; `half-close A`; `reset A`;
+//!   `come until refused MS` opens connections until one is refused, each before the previous one closes.
+//! - `call A TAG OPERATION BODY [FIELDS]` sends a call whose reference is derived from TAG; in FIELDS, NOW is
+//!   the current time and LATE a time two seconds ago, as from a slow clock; `big A TAG OPERATION LENGTH`
+//!   sends a body of that length; `bytewise A TAG OPERATION BODY` sends byte by byte.
+//! - `health A TAG`; `send A BYTES` (with `\r`, `\n`); `rubbish A BYTES` sends that many invalid bytes
+//!   without waiting; `flood A N` sends N health checks without reading, `drink A N` reads as many replies.
+//! - `hears A TAG WORD [BODY]` expects a reply; `hears-fields A TAG WORD TEXT` expects a reply whose fields
+//!   contain each word of TEXT; `hears A 0 enough` expects the drain notice; `unheard A TAG` checks that no
+//!   reply has been read; `ends A` expects the end of the connection, `ends-cleanly A` one without a reset.
+//!
+//! Interpreter:
+//! - `link INDEX` accepts a link of a server that has read notices up to INDEX; `unlink` closes the link;
+//!   `vm full` and `vm takes` stop and resume accepting; `dials anew` expects a second unanswered connection
+//!   attempt; `a dial given up` makes and drops a connection attempt, as if by the server.
+//! - `banner warm|cold [AGE_MS]`; `half-a-banner`; `notice JSON`, where `#7` becomes the reference of tag 7
+//!   and `=text=` becomes base64; `long notice`; `ok INDEX TAG BODY`, `ok-big INDEX TAG LENGTH` and
+//!   `awaits INDEX TAG BODY` send the end of a run and the start of its downstream call.
+//! - `told VERB TAG [BODY]` expects a command; `any-told VERB` expects one for any task.
+//! - `gauges on|off` switches replies to gauge requests. Gauge requests after a banner are answered once the
+//!   notices that directly follow it have been sent, because the interpreter replays these first.
+//!
+//! Downstream service and service registry:
+//! - `called TAG BODY` expects a call; `reply STATUS BODY [HEADER]` answers it; `hang up` closes its
+//!   connection; `given up` expects the server to close it; `closed unused` expects a connection that ends
+//!   without a byte.
+//! - `no records` refuses connections; `records full` and `records takes` stop and resume accepting.
+//! - `reported WORDS` expects a load report; `no catalog` configures a registry address without a receiver.
 
 mod balancer;
 mod link;
@@ -44,7 +67,7 @@
 use base64::{Engine, engine::general_purpose::STANDARD};
 use link::Link;
 use serde_json::{Value, json};
-use sockets::{accept, dialling_ports, listener, with_timeout};
+use sockets::{accept, connecting_addresses, listener, with_timeout};
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream, UdpSocket};
@@ -55,9 +78,10 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError, channel};
 use std::time::{Duration, Instant};
 
+/// Maximum time to wait for an expected event.
 const WAIT_MAX: Duration = Duration::from_secs(30);
 
-/// The server and the test doubles round it.
+/// The server and the test doubles of its peers.
 pub struct ScenarioHarness {
     name: String,
     configuration: Value,
@@ -68,9 +92,9 @@
     listen: String,
     balancers: HashMap<String, Balancer>,
     interpreter: TcpListener,
-    /// When the interpreter started, where a banner does not say otherwise.
+    /// Start time of the interpreter, for banners without an age.
     interpreter_started: Instant,
-    /// Connections that fill queues.
+    /// Connections that fill accept queues.
     queue_fillers: Vec<TcpStream>,
     link: Option<Link>,
     gauges: Arc<AtomicBool>,
@@ -141,7 +165,7 @@
         std::env::temp_dir().join(format!("{}-{}.json", self.name, std::process::id()))
     }
 
-    /// Writes what is configured.
+    /// Writes the configuration and options files.
     fn write_files(&self) {
         std::fs::write(self.configuration_path(), self.configuration.to_string()).unwrap();
         if let Some(text) = &self.options {
@@ -205,19 +229,20 @@
         }
     }
 
-    /// The longest pause of each change of settings that the log shows, by one of its clocks.
+    /// Checks the longest pause of each change of settings in the log; `field` selects elapsed time or
+    /// processor time.
     fn expect_pauses_at_most(&mut self, field: &str, ms: u64) {
         self.log_lines.extend(self.log.try_iter());
         let prefix = format!("{field}=");
-        let of_line =
+        let pause_us =
             |line: &String| line.split_whitespace().find_map(|word| word.strip_prefix(&prefix)?.parse().ok());
-        let pauses: Vec<u64> = self.log_lines.iter().filter_map(of_line).collect();
+        let pauses: Vec<u64> = self.log_lines.iter().filter_map(pause_us).collect();
         println!("{field} {pauses:?}");
         assert!(!pauses.is_empty() && pauses.iter().all(|us| *us <= ms * 1000), "{field} {pauses:?}");
     }
 
     fn expect_exit(&mut self, code: Option<i32>) {
-        // The log ends with the process, or this fails.
+        // Reads until the log ends, which it does when the process exits.
         while let Ok(line) = self.log.recv_timeout(WAIT_MAX) {
             self.log_lines.push(line);
         }
@@ -230,7 +255,7 @@
         assert!(Command::new("kill").args([&format!("-{name}"), &id]).status().unwrap().success());
     }
 
-    /// Asks for the counters until one has come that far.
+    /// Requests the counters until one has reached a minimum.
     fn wait_for_counter(&mut self, name: &str, least: u64) {
         let end = Instant::now() + WAIT_MAX;
         while Instant::now() < end {
@@ -238,7 +263,7 @@
                 return;
             }
         }
-        panic!("{name} stays under {least}: {:?}", self.log_lines);
+        panic!("{name} stays below {least}: {:?}", self.log_lines);
     }
 
     fn counter(&mut self, name: &str) -> u64 {
@@ -249,17 +274,17 @@
         counter.expect("a counter").parse().unwrap()
     }
 
-    /// Somebody dials the interpreter, without an answer, from a second port after the first.
-    fn wait_for_second_dial(&self) {
+    /// Waits until unanswered connection attempts to the interpreter have come from two different ports.
+    fn wait_for_second_connect(&self) {
         let (end, mut ports) = (Instant::now() + WAIT_MAX, std::collections::HashSet::new());
         while Instant::now() < end {
-            ports.extend(dialling_ports(&self.interpreter));
+            ports.extend(connecting_addresses(&self.interpreter));
             if ports.len() > 1 {
                 return;
             }
             std::thread::sleep(Duration::from_millis(5));
         }
-        panic!("dialled from {ports:?} only");
+        panic!("connection attempts only from {ports:?}");
     }
 
     fn balancer(&mut self, name: &str) -> &mut Balancer {
@@ -270,8 +295,9 @@
         self.balancer(name).stream.get_mut().write_all(bytes).unwrap();
     }
 
-    /// Takes the next link and its first command. A dial that the server has given up may stand before it:
-    /// the kernel answers a dial after a second in which the queue was full, and a dial may take a second.
+    /// Accepts the next link and reads its first command. Skips links that end without a byte: the server may
+    /// have abandoned a connection attempt that the kernel answers late. A full queue delays the answer by a
+    /// second, and the server gives an attempt one second.
     fn take_link(&mut self) -> Value {
         loop {
             let link = Link::new(accept(&self.interpreter), self.gauges.clone());
@@ -279,7 +305,7 @@
             self.link = Some(link);
             match command {
                 Ok(command) => return command,
-                Err(RecvTimeoutError::Disconnected) => println!("a link that ended without a byte"),
+                Err(RecvTimeoutError::Disconnected) => println!("a link ended without a byte"),
                 Err(RecvTimeoutError::Timeout) => panic!("no command on the link"),
             }
         }
--- a/crates/cli/tests/scenario_harness/options.rs
+++ b/crates/cli/tests/scenario_harness/options.rs
@@ -1,6 +1,6 @@
-//! Options files of scenarios with tenants.
+//! Options with tenants for scenarios.
 
-/// Options with so many tenants, twice as many accounts and some for others.
+/// Options with `count` tenants, and a ceiling of twice as many accounts plus 16.
 pub fn many_tenants(count: &str, weight: &str) -> String {
     let count: usize = count.parse().unwrap();
     let tenants: Vec<String> =
--- a/crates/cli/tests/scenario_harness/sockets.rs
+++ b/crates/cli/tests/scenario_harness/sockets.rs
@@ -1,4 +1,4 @@
-//! Sockets of the test doubles.
+//! Helper functions for the sockets of the test doubles.
 
 use super::WAIT_MAX;
 use rustix::net::{self, AddressFamily, SocketType, sockopt};
@@ -10,7 +10,7 @@
     TcpListener::bind("127.0.0.1:0").unwrap()
 }
 
-/// The next connection, which must come in time.
+/// Accepts the next connection; panics if none arrives within [`WAIT_MAX`].
 pub fn accept(listener: &TcpListener) -> TcpStream {
     listener.set_nonblocking(true).unwrap();
     let end = Instant::now() + WAIT_MAX;
@@ -23,7 +23,7 @@
             Err(error) if error.kind() == ErrorKind::WouldBlock && Instant::now() < end => {
                 std::thread::sleep(Duration::from_millis(1));
             }
-            Err(error) => panic!("nobody connects: {error}"),
+            Err(error) => panic!("no connection: {error}"),
         }
     }
 }
@@ -34,21 +34,22 @@
     BufReader::new(stream)
 }
 
-/// Nobody accepts there any more, and the kernel answers no dial: its queue is full. Returns what fills it.
+/// Fills the accept queue of a listener, so that the kernel does not answer further connection attempts.
+/// Returns the connection that fills the queue.
 pub fn fill_queue(listener: &TcpListener) -> TcpStream {
     net::listen(listener, 0).unwrap();
     TcpStream::connect(listener.local_addr().unwrap()).unwrap()
 }
 
-/// Ports from which somebody dials this address and has no answer yet.
-pub fn dialling_ports(to: &TcpListener) -> Vec<String> {
+/// Local addresses of unanswered connection attempts to this listener (state SYN_SENT).
+pub fn connecting_addresses(to: &TcpListener) -> Vec<String> {
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
     let remote = format!("0100007F:{:04X}", to.local_addr().unwrap().port());
     let rows = table.lines().map(|row| row.split_whitespace().collect::<Vec<_>>());
     rows.filter(|row| row[2] == remote && row[3] == "02").map(|row| row[1].to_string()).collect()
 }
 
-/// A connection that takes in next to nothing before it is read.
+/// Opens a connection with a small receive buffer, which fills unless the test reads from it.
 pub fn connect_with_small_buffer(to: &str) -> TcpStream {
     let socket = net::socket(AddressFamily::INET, SocketType::STREAM, None).unwrap();
     sockopt::set_socket_recv_buffer_size(&socket, 2048).unwrap();
--- a/crates/cli/tests/scenario_harness/steps.rs
+++ b/crates/cli/tests/scenario_harness/steps.rs
@@ -1,7 +1,8 @@
-//! The steps of the notation, by what they act on. Each group returns whether the step is one of its own.
+//! The steps of the notation, grouped by the part that they act on. The function of a group returns whether
+//! the step belongs to it.
 
 use super::ScenarioHarness;
-use super::balancer::{Balancer, encode_array, encode_call, unescaped};
+use super::balancer::{Balancer, encode_array, encode_call, unescape};
 use super::options::{many_tenants, one_tenant};
 use super::sockets::{accept, connect_with_small_buffer, fill_queue, listener, with_timeout};
 use rustix::net;
@@ -11,18 +12,18 @@
 use std::sync::atomic::Ordering::Relaxed;
 use std::time::{Duration, Instant};
 
-/// What stands after the first `words` words of a line, which single spaces part.
+/// Text of a line after its first `words` words, which are separated by single spaces.
 fn rest_of(line: &str, words: usize) -> &str {
     line.splitn(words + 1, ' ').nth(words).unwrap_or("")
 }
 
-/// Time between two callers of those that keep coming.
+/// Time between two connections of the step `come until refused`.
 const CALLERS_INTERVAL: Duration = Duration::from_millis(50);
-/// Steps that may stand between a banner and the end of the notices that are replayed behind it.
+/// Steps that may belong to the replay of notices after a banner; any other step ends the replay.
 const REPLAY_STEPS: [&str; 6] = ["ok", "ok-big", "awaits", "notice", "long", "waits"];
 
 impl ScenarioHarness {
-    /// Plays one line of a scenario; panics where what it expects does not come.
+    /// Executes one line of a scenario; panics if an expected event does not occur.
     pub fn step(&mut self, line: &str) {
         let words: Vec<&str> = line.split_whitespace().collect();
         if let Some(link) = self.link.as_ref().filter(|_| !REPLAY_STEPS.contains(&words[0])) {
@@ -36,7 +37,7 @@
         assert!(known, "unknown step {line:?}");
     }
 
-    /// Steps of the process: its start, its end, its log and its counters.
+    /// Steps on the server process: start, exit, log and counters.
     fn process_step(&mut self, line: &str, words: &[&str]) -> bool {
         match words {
             ["start"] => {
@@ -66,7 +67,8 @@
             }
             ["signal", name] => self.signal(name),
             ["exits", code] => self.expect_exit(Some(code.parse().unwrap())),
-            // What was taken in is what was answered, or nobody waited for it any more.
+            // The number of invocations equals the number of results, including results without a waiting
+            // caller (`unanswered`).
             ["adds", "up"] => {
                 let line = self.wait_for_log_line("ended; counters:");
                 let count = |name: &str| -> u64 {
@@ -106,7 +108,7 @@
         true
     }
 
-    /// Steps that change the files of the server.
+    /// Steps that change the configuration and options files of the server.
     fn configuration_step(&mut self, line: &str, words: &[&str]) -> bool {
         match words {
             ["config", path, ..] => self.configure(path, rest_of(line, 2)),
@@ -141,7 +143,7 @@
         true
     }
 
-    /// Steps of balancers and their connections.
+    /// Steps on connections of balancers.
     fn balancer_step(&mut self, line: &str, words: &[&str]) -> bool {
         match words {
             ["open", name] => {
@@ -156,33 +158,34 @@
                 self.balancers.insert(name.to_string(), balancer);
             }
             ["come", "until", "refused", ms] => {
-                self.come_until_refused(Duration::from_millis(ms.parse().unwrap()))
+                self.connect_until_refused(Duration::from_millis(ms.parse().unwrap()))
             }
             ["rubbish", name, bytes] => {
                 let rubbish = vec![b'#'; bytes.parse().unwrap()];
                 let mut stream = self.balancer(name).stream.get_ref().try_clone().unwrap();
                 std::thread::spawn(move || stream.write_all(&rubbish));
             }
-            // Closed with something unread, a connection is reset.
+            // The kernel resets a connection that is closed with unread data.
             ["reset", name] => {
                 let balancer = self.balancers.remove(*name).expect("open");
                 assert_eq!(balancer.stream.get_ref().peek(&mut [0]).expect("in time"), 1);
             }
-            // Made as it goes out: connections that only wait meanwhile would be asked to go.
+            // The requests are encoded while they are sent. If they were all encoded first, the connection
+            // would be idle meanwhile and the server would drain it.
             ["flood", name, count] => {
                 let mut stream = self.balancer(name).stream.get_ref().try_clone().unwrap();
                 let count: usize = count.parse().unwrap();
                 std::thread::spawn(move || {
                     (1..=count).collect::<Vec<_>>().chunks(1000).try_for_each(|tags| {
-                        let check = |tag: &usize| encode_array(&["RPC.HEALTH", &tag.to_string(), ""]);
-                        stream.write_all(&tags.iter().flat_map(check).collect::<Vec<u8>>())
+                        let health_check = |tag: &usize| encode_array(&["RPC.HEALTH", &tag.to_string(), ""]);
+                        stream.write_all(&tags.iter().flat_map(health_check).collect::<Vec<u8>>())
                     })
                 });
             }
             ["drink", name, count] => {
                 for tag in 1..=count.parse::<usize>().unwrap() {
                     let mut words = self.balancer(name).read_array().expect("an answer");
-                    // A connection that stands still for long is asked to go.
+                    // The server sends a drain notice on a connection that makes no progress for long.
                     while words[1] == "enough" {
                         words = self.balancer(name).read_array().expect("an answer");
                     }
@@ -204,7 +207,7 @@
                 encode_call(tag, operation, body, None).iter().for_each(|byte| self.write(name, &[*byte]));
             }
             ["health", name, tag] => self.write(name, &encode_array(&["RPC.HEALTH", tag, ""])),
-            ["send", name, ..] => self.write(name, &unescaped(rest_of(line, 2))),
+            ["send", name, ..] => self.write(name, &unescape(rest_of(line, 2))),
             ["hears", name, tag, word] => self.expect_reply(name, tag, word, None),
             ["hears", name, tag, word, body] => self.expect_reply(name, tag, word, Some(body)),
             ["hears-fields", name, tag, word, ..] => {
@@ -221,18 +224,19 @@
         true
     }
 
-    /// New callers come one after the other, each before the one before has gone.
-    fn come_until_refused(&self, within: Duration) {
+    /// Opens connections one after another until the server refuses one; closes each after the next one is
+    /// open.
+    fn connect_until_refused(&self, within: Duration) {
         let end = Instant::now() + within;
-        let mut before = None;
+        let mut previous = None;
         while let Ok(caller) = TcpStream::connect(&self.listen) {
             assert!(Instant::now() < end, "still accepted after {within:?}");
             std::thread::sleep(CALLERS_INTERVAL);
-            drop(before.replace(caller));
+            drop(previous.replace(caller));
         }
     }
 
-    /// Steps of the interpreter and its link.
+    /// Steps on the interpreter and its link.
     fn interpreter_step(&mut self, line: &str, words: &[&str]) -> bool {
         match words {
             ["link", index] => {
@@ -257,7 +261,7 @@
                 net::listen(&self.interpreter, 128).unwrap();
             }
             ["a", "dial", "given", "up"] => drop(TcpStream::connect(self.interpreter.local_addr().unwrap())),
-            ["dials", "anew"] => self.wait_for_second_dial(),
+            ["dials", "anew"] => self.wait_for_second_connect(),
             ["any-told", verb] => assert_eq!(self.command()["verb"], json!(verb)),
             ["told", verb, tag] => self.expect_command(verb, tag, None),
             ["told", verb, tag, body] => self.expect_command(verb, tag, Some(body)),
@@ -281,7 +285,7 @@
         true
     }
 
-    /// Steps of the downstream service and the service registry.
+    /// Steps on the downstream service and the service registry.
     fn service_step(&mut self, line: &str, words: &[&str]) -> bool {
         match words {
             ["records", "full"] => self.queue_fillers.push(fill_queue(
@@ -297,7 +301,11 @@
                 let service =
                     self.downstream_service.as_ref().expect("the scenario has not closed the service");
                 let mut byte = [0];
-                assert_eq!(accept(service).read(&mut byte).expect("in time"), 0, "a call came on it");
+                assert_eq!(
+                    accept(service).read(&mut byte).expect("in time"),
+                    0,
+                    "the connection carries a call"
+                );
             }
             ["no", "catalog"] => {
                 let other = UdpSocket::bind("127.0.0.1:0").unwrap();
