--- a/crates/cli/tests/command_line.rs
+++ b/crates/cli/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The commands, options and exit codes are those of release 0.2.0 (commit 22d0bb6).
+//! Tests that commands, options and exit codes are unchanged since release 0.2.0 (commit 22d0bb6).
 
 use std::process::{Command, Output};
 use test_case::test_case;
--- a/crates/cli/tests/fair_queues.rs
+++ b/crates/cli/tests/fair_queues.rs
@@ -45,8 +45,8 @@
     assert!(bytes.is_some_and(|bytes| bytes <= ceiling), "{bytes:?} of {ceiling}");
 }
 
-/// Parses a count from the log line about the shares, `counts: Counts { within: 7509, ..., broken: 13, ...
-/// }`.
+/// Parses a count from the log line about the shares, for example 13 for `broken` in
+/// `counts: Counts { within: 7509, ..., broken: 13, ... }`.
 fn count_of(report: &RehearsalReport, name: &str) -> u64 {
     let line = report
         .tenant_lines
--- a/crates/cli/tests/fleet_rollout.rs
+++ b/crates/cli/tests/fleet_rollout.rs
@@ -61,8 +61,8 @@
     std::fs::write(fleet.folder().join("next.xml"), text).unwrap();
 }
 
-/// Writes a plan of three stages. Other work on the machine does not exceed the thresholds of its canary
-/// verdicts; the bad changes of these tests exceed them by far.
+/// Writes a plan of three stages. Its thresholds are so high that other work on the machine does not exceed
+/// them; the bad changes of these tests exceed them by far.
 fn write_plan(fleet: &FleetHarness, name: &str) -> PathBuf {
     let text = format!(
         r#"<plan xmlns="urn:meadowstream:options:1" name="{name}" candidate="next.xml" interval-ms="250"
--- a/crates/cli/tests/fleet_state.rs
+++ b/crates/cli/tests/fleet_state.rs
@@ -19,8 +19,8 @@
 /// Duration of a lease.
 const LEASE: Duration = Duration::from_millis(2000);
 
-/// Starts the first `started` of six servers, with the shared budget if `shared`, and their downstream
-/// service.
+/// Starts the first `started` of six servers, and their downstream service. With `shared`, the servers share
+/// a budget of calls to it.
 fn start_fleet(seed: u64, started: usize, shared: bool) -> (FleetHarness, Arc<DownstreamService>) {
     let (address, downstream) = downstream_service::start(Duration::from_millis(100)).unwrap();
     let budget = format!(
--- a/crates/cli/tests/scenario_harness/balancer.rs
+++ b/crates/cli/tests/scenario_harness/balancer.rs
@@ -4,7 +4,7 @@
 use std::net::TcpStream;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// A connection of a balancer.
+/// A client connection to the server, as a balancer opens it.
 pub struct Balancer {
     pub stream: BufReader<TcpStream>,
     /// Replies that were read while waiting for another one.
@@ -21,6 +21,7 @@
     text.replace("\\r", "\r").replace("\\n", "\n").into_bytes()
 }
 
+/// Encodes a message of the balancers' protocol.
 pub fn encode_array(words: &[&str]) -> Vec<u8> {
     let words: String = words.iter().map(|word| format!("${}\r\n{word}\r\n", word.len())).collect();
     format!("*{}\r\n{words}", words.matches("\r\n$").count() + 1).into_bytes()
--- a/crates/cli/tests/scenario_harness/link.rs
+++ b/crates/cli/tests/scenario_harness/link.rs
@@ -11,21 +11,21 @@
 struct GaugeAnswers {
     stream: TcpStream,
     /// Nonces of gauge requests received during a replay of notices; `None` outside a replay.
-    held: Option<Vec<Value>>,
+    deferred: Option<Vec<Value>>,
 }
 
 impl GaugeAnswers {
     fn answer(&mut self, nonce: Value) {
-        if let Some(held) = &mut self.held {
-            return held.push(nonce);
+        if let Some(deferred) = &mut self.deferred {
+            return deferred.push(nonce);
         }
         let answer = json!({"verb": "TOPS", "nonce": nonce, "readings": [0.5, 1.0]});
         let _ = self.stream.write_all(format!("{answer}\n").as_bytes());
     }
 }
 
-/// A link to the interpreter. A thread reads commands as they arrive. It answers gauge requests immediately,
-/// except during a replay of notices, whose end is awaited.
+/// A link to the interpreter. A thread reads commands as they arrive. It answers gauge requests immediately;
+/// those received during a replay of notices are answered at the end of the replay.
 pub struct Link {
     pub stream: TcpStream,
     pub commands: Receiver<Value>,
@@ -37,7 +37,7 @@
         stream.set_nodelay(true).unwrap();
         let (send, commands) = channel();
         let lines = BufReader::new(stream.try_clone().unwrap());
-        let gauge_answers = GaugeAnswers { stream: stream.try_clone().unwrap(), held: None };
+        let gauge_answers = GaugeAnswers { stream: stream.try_clone().unwrap(), deferred: None };
         let gauge_answers = Arc::new(Mutex::new(gauge_answers));
         let answers = gauge_answers.clone();
         std::thread::spawn(move || {
@@ -55,14 +55,14 @@
 
     /// Begins a replay: gauge requests are answered only after the banner and all notices after it are sent.
     pub fn begin_replay(&self) {
-        self.gauge_answers.lock().unwrap().held = Some(Vec::new());
+        self.gauge_answers.lock().unwrap().deferred = Some(Vec::new());
     }
 
     /// Ends a replay and answers the gauge requests received during it.
     pub fn end_replay(&self) {
         let mut answers = self.gauge_answers.lock().unwrap();
-        let held = answers.held.take();
-        held.into_iter().flatten().for_each(|nonce| answers.answer(nonce));
+        let deferred = answers.deferred.take();
+        deferred.into_iter().flatten().for_each(|nonce| answers.answer(nonce));
     }
 }
 
--- a/crates/test-doubles/src/balancers.rs
+++ b/crates/test-doubles/src/balancers.rs
@@ -1,5 +1,5 @@
-//! A balancer: multiplexes the calls of many tenants over its connections to one server and passes each reply
-//! to its caller.
+//! Test double of a balancer: multiplexes the calls of many tenants over its connections to one server and
+//! passes each reply to its caller.
 
 use async_channel::{Receiver, Sender, bounded};
 use async_executor::LocalExecutor;
@@ -21,7 +21,7 @@
 /// A reply of the server, with the outcome as written on the wire.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Reply {
-    /// `good`, `refused` or `broken`.
+    /// Outcome: `good` (succeeded), `refused` (rejected) or `broken` (failed).
     pub outcome: String,
     /// Retry-After in milliseconds, if the server advised one.
     pub retry_after_ms: Option<u64>,
--- a/crates/test-doubles/src/downstream_service.rs
+++ b/crates/test-doubles/src/downstream_service.rs
@@ -1,4 +1,4 @@
-//! A downstream service that answers every HTTP call after a configurable time.
+//! Test double of a downstream service: answers each HTTP call after a configurable time, or fails it.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/test-doubles/src/lib.rs
+++ b/crates/test-doubles/src/lib.rs
@@ -1,7 +1,7 @@
 //! Test doubles of the server's peers, written from the protocols: an interpreter, a downstream service, a
 //! service registry, and balancers with tenants behind them. Also relays that inject network faults,
 //! harnesses that run the program among the test doubles ([`tenant_rehearsal`], [`fleet`]), and a seeded soak
-//! ([`soak`]). All of them use loopback only and end without outside help.
+//! ([`soak`]). All of them use loopback only and end by themselves.
 
 #![deny(missing_docs, clippy::too_many_lines)]
 
--- a/crates/test-doubles/src/open_loop.rs
+++ b/crates/test-doubles/src/open_loop.rs
@@ -64,7 +64,7 @@
 }
 
 impl Load {
-    /// Sends one call and counts its reply.
+    /// Sends a call and counts its reply.
     async fn call(self: Rc<Self>, reference: u64) {
         let sent_ms = unix_ms() as u64;
         let fields = format!("ref={reference:016x},since={sent_ms},sender=1,room=4");
--- a/crates/test-doubles/src/udp_relay.rs
+++ b/crates/test-doubles/src/udp_relay.rs
@@ -32,7 +32,7 @@
     bytes: Vec<u8>,
 }
 
-/// Counts of datagrams.
+/// Counts of datagrams at a relay.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RelayCounts {
     /// Datagrams forwarded.
