--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -82,7 +82,7 @@
     println!(
         "{all} tenants at {cores} cores, with three times the load that these can serve, nine tenths by one\n"
     );
-    let report = tenant_rehearsal::play(&this_program()?, plan, |line| println!("{line}"))?;
+    let report = tenant_rehearsal::run(&this_program()?, plan, |line| println!("{line}"))?;
     println!("\n{}", table(&report.groups));
     println!("For the overload phase only. \"in time\": within the objective from the first attempt;");
     println!("\"kept\": the part of the retries at the advised time that were admitted.");
