--- a/crates/overload-control/src/call_budget.rs
+++ b/crates/overload-control/src/call_budget.rs
@@ -32,7 +32,7 @@
     pub is_top_rank: bool,
 }
 
-/// Budget at one shared dependency.
+/// Budget of call time at one shared dependency.
 pub struct CallBudget {
     /// Mean number of concurrent calls that this server may have.
     quota: f64,
--- a/crates/overload-control/src/controller.rs
+++ b/crates/overload-control/src/controller.rs
@@ -59,7 +59,7 @@
     timers: Timers,
 }
 
-/// Performs one action and returns `Some` if the rule's condition holds, otherwise returns `None`.
+/// A rule. If its condition holds, performs one action and returns `Some`, otherwise returns `None`.
 type Rule = fn(&mut Controller, &mut dyn Host) -> Option<()>;
 
 /// The controller's rules in order of precedence. Evaluation restarts from the first rule after each rule
@@ -79,8 +79,8 @@
 
 impl Controller {
     /// Creates the controller of a server that started at `started_at`. `seed` determines the offset of the
-    /// control periods, so that the servers of a fleet do not step in unison, and seeds the random numbers
-    /// of fair queueing.
+    /// control periods, so that the servers of a fleet do not start them at the same time. It also seeds
+    /// the random numbers of fair queueing.
     pub fn new(deployment: Deployment, seed: u64, started_at: Nanos, host: &mut dyn Host) -> Self {
         let classes = PriorityClasses::new(&deployment);
         let objectives = deployment.operations.iter().map(|operation| operation.latency_objective);
--- a/crates/overload-control/src/downstream_calls.rs
+++ b/crates/overload-control/src/downstream_calls.rs
@@ -32,7 +32,7 @@
     pub is_top_rank: bool,
 }
 
-/// Numbers of runs that wait for a downstream call or are in one.
+/// Numbers of runs that wait for a downstream call or have one in progress.
 #[derive(Clone, Copy)]
 pub struct OpenCalls {
     /// Number of runs that wait to make their call.
@@ -131,8 +131,8 @@
         open.awaiting + open.calling > self.limit
     }
 
-    /// Whether runs wait for downstream calls that may not be made now. The downstream service is then the
-    /// scarcer resource than the cores.
+    /// Whether runs wait for downstream calls that may not be made now. Downstream capacity is then scarcer
+    /// than the cores.
     pub fn is_saturated(&self, open: OpenCalls) -> bool {
         (self.is_withheld && open.awaiting > 0.0) || self.is_at_limit(open)
     }
--- a/crates/overload-control/src/health.rs
+++ b/crates/overload-control/src/health.rs
@@ -43,8 +43,9 @@
         self.last_progress = now;
     }
 
-    /// Returns the share of arrivals to reject: 0 for a healthy server, 1 for a stalled one. Without these
-    /// rejections, a server whose runs fail immediately would appear idle and attract more arrivals.
+    /// Returns the share of arrivals to reject: 0 for a healthy server, 1 for a stalled one, and otherwise
+    /// the share of failing runs up to a maximum. Without these rejections, a server whose runs fail
+    /// immediately would appear idle and attract more arrivals.
     pub fn unhealthy_ratio(&self, now: Nanos, oldest_run: Option<Nanos>, longest_core_ns: f64) -> f64 {
         let time_without_progress = oldest_run.map_or(0, |since| now - since.max(self.last_progress));
         let has_seen_runs = self.failing.weight(now) > RUNS_MIN;
--- a/crates/overload-control/src/idle_connections.rs
+++ b/crates/overload-control/src/idle_connections.rs
@@ -3,18 +3,18 @@
 use crate::Nanos;
 use crate::regulator::CONTROL_PERIOD;
 
-/// Mean number of calls per caller within `timeout_max` from which its idle connections are kept for the
-/// whole `timeout_max`.
+/// Mean number of calls of a caller within `timeout_max` from which idle connections of callers are kept
+/// open for the whole `timeout_max`.
 const RETURNS_MIN: f64 = 4.0;
-/// If callers send fewer calls than `RETURNS_MIN`, the timeout falls with this power of their call rate: at
-/// half the rate, a sixteenth of the timeout remains.
+/// Exponent with which the timeout of idle connections depends on the number of calls if it is below
+/// `RETURNS_MIN`: at half of that number, a sixteenth of the timeout remains.
 const RETURNS_EXPONENT: i32 = 4;
 /// Minimum timeout of idle connections, as a share of the control period.
 const TIMEOUT_MIN_SHARE: f64 = 0.02;
 /// Utilization of the cores up to which they count as idle.
 const IDLE_UTILIZATION: f64 = 0.25;
 
-/// Computes the timeout of idle connections.
+/// Computes the timeout after which idle connections of callers are closed.
 pub struct IdleConnections {
     /// Whether all connections are kept open because reading was behind.
     keeps_all: bool,
--- a/crates/overload-control/src/lib.rs
+++ b/crates/overload-control/src/lib.rs
@@ -41,7 +41,7 @@
 pub trait Host {
     /// Starts the run of a pending invocation, or resumes a paused run.
     fn start_run(&mut self, invocation: u64);
-    /// Preempts a run.
+    /// Stops a run before it has ended, because its answer is no longer needed.
     fn stop_run(&mut self, invocation: u64);
     /// Rejects an invocation that had no effect or is idempotent, so that the caller may safely repeat it.
     /// An idempotent invocation may have run. `retry_after` is the delay after which the caller may retry
--- a/crates/overload-control/src/linear_quadratic.rs
+++ b/crates/overload-control/src/linear_quadratic.rs
@@ -7,9 +7,9 @@
 /// class are rejected.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RefusalRatios {
-    /// Refusal time ratio of premium.
+    /// Refusal time ratio of the premium class.
     pub premium: f64,
-    /// Refusal time ratio of basic.
+    /// Refusal time ratio of the basic class.
     pub basic: f64,
 }
 
--- a/crates/overload-control/src/reading.rs
+++ b/crates/overload-control/src/reading.rs
@@ -7,7 +7,7 @@
 
 /// Normal delay between the time an arrival reaches the machine and the time the host reads it, as a share
 /// of the longest usual core time.
-const ORDINARY_DELAY_SHARE: f64 = 0.5;
+const NORMAL_DELAY_SHARE: f64 = 0.5;
 /// Reading delay above which the server is flooded, as a share of the shortest latency objective. All ranks
 /// except the highest are then rejected.
 const FLOOD_DELAY_SHARE: f64 = 0.25;
@@ -53,7 +53,7 @@
     /// Returns the mean reading delay in excess of the normal delay, ns. The normal delay is a share of
     /// `longest_core_ns`.
     pub fn excess_delay(&self, now: Nanos, longest_core_ns: f64) -> f64 {
-        (self.delay(now) - longest_core_ns * ORDINARY_DELAY_SHARE).max(0.0)
+        (self.delay(now) - longest_core_ns * NORMAL_DELAY_SHARE).max(0.0)
     }
 
     /// Whether reading arrivals alone overloads the server, which then recovers only if callers send less.
--- a/crates/overload-control/src/tenant_quota.rs
+++ b/crates/overload-control/src/tenant_quota.rs
@@ -7,8 +7,8 @@
 
 /// Capacity of a tenant's token bucket, in seconds of the tenant's allowance at this server.
 const BURST_SECONDS: f64 = 15.0;
-/// Maximum work in the server of a tenant within its quota, as a share of the work that the server does
-/// within the shortest latency objective.
+/// Maximum work that a tenant of weight 1 may have admitted ahead of virtual time in fair queueing, as a
+/// share of the work that the server does within the shortest latency objective.
 const IN_SERVER_SHARE: f64 = 0.25;
 
 /// Token bucket of one tenant; each invocation takes one token.
--- a/crates/overload-control/tests/operations.rs
+++ b/crates/overload-control/tests/operations.rs
@@ -84,7 +84,7 @@
 
 /// Returns the duration of the fastest of several rounds. Other load on the machine only makes rounds
 /// slower.
-fn quickest_round(operations: usize) -> Duration {
+fn fastest_round(operations: usize) -> Duration {
     const ROUNDS: u64 = 7;
     const RUNS: u64 = 200;
     let mut controller = controller(operations);
@@ -107,7 +107,7 @@
 
 #[test]
 fn decision_cost_does_not_grow_with_operations() {
-    let (few, many) = (quickest_round(60), quickest_round(6_200));
+    let (few, many) = (fastest_round(60), fastest_round(6_200));
     eprintln!("200 runs: {few:?} with 60 operations, {many:?} with 6,200");
     assert!(many < few * 8, "200 runs: {few:?} with 60 operations, {many:?} with 6,200");
 }
--- a/crates/server/src/interpreter/incarnation.rs
+++ b/crates/server/src/interpreter/incarnation.rs
@@ -4,8 +4,8 @@
 use meadowstream_overload_control::Nanos;
 use std::time::Duration;
 
-/// Time after a restart within which a server must be ready. It also bounds the time allowed for connecting
-/// to a slow interpreter.
+/// Time after a restart within which a server must be ready, however slow its interpreter is. Also the
+/// maximum time allowed for one step of connecting.
 const READINESS_DEADLINE: Duration = Duration::from_secs(10);
 /// Maximum difference, in nanoseconds, between two start times of the interpreter that are taken for the
 /// same start. Banners state the age of the interpreter in whole milliseconds, and clocks may drift apart.
--- a/crates/server/src/interpreter/link.rs
+++ b/crates/server/src/interpreter/link.rs
@@ -25,8 +25,7 @@
 /// Size of a combined write, in bytes. Queued commands are added to the write until it has at least this
 /// size.
 const WRITE_MAX_BYTES: usize = 64 * 1024;
-/// Delay before the first retry of an attempt to establish the link, before doubling. Each failed attempt
-/// doubles the delay up to `BACKOFF_MAX`.
+/// Delay before a lost link is established again. Each failed attempt doubles the delay up to `BACKOFF_MAX`.
 const BACKOFF: Duration = Duration::from_millis(5);
 /// Maximum delay between two attempts to establish the link.
 const BACKOFF_MAX: Duration = Duration::from_millis(160);
