--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -13,12 +13,12 @@
 const CONFIG_VARIABLE: &str = "ROUTER_CONFIG";
 /// Default number of servers of the scale model.
 const CAPACITY_SERVERS: usize = 690;
-/// Default time that a rollout waits for its lease, in seconds.
+/// Default time for which a rollout waits for the rollout lease, in seconds.
 const ROLLOUT_WAIT_S: u64 = 120;
 
 /// Command requested on the command line, with its arguments.
 pub enum Command {
-    /// Serve until a signal to stop.
+    /// Serve until a stop signal is received.
     Serve {
         /// Path of the platform's file.
         config: PathBuf,
@@ -34,16 +34,16 @@
         /// Path of the options file.
         options: Option<PathBuf>,
     },
-    /// Run an overload by many tenants against this program on loopback.
+    /// Run an overload test with many tenants against a process of this program on the loopback interface.
     Rehearse {
-        /// Number of light tenants in addition to the one that floods.
+        /// Number of tenants with a light load, in addition to the one tenant that floods the server.
         tenants: usize,
         /// Duration of the run, in seconds.
         seconds: u64,
         /// Whether the program's log lines about tenants are printed.
         shows_log: bool,
     },
-    /// Run a fleet of processes of this program with faults between them.
+    /// Run a fleet of processes of this program, and inject network and process faults.
     FleetRehearse {
         /// Number of processes to start.
         servers: usize,
@@ -62,12 +62,13 @@
         /// Path of the coordinator's state file.
         state: PathBuf,
     },
-    /// Request the coordinator of a rollout to roll back.
+    /// Ask the coordinator of a rollout to roll the change back.
     RolloutAbort {
         /// Path of the coordinator's state file.
         state: PathBuf,
     },
-    /// Run a control machine, which stores the fleet's configuration together with the others.
+    /// Run a control machine, which stores the fleet's configuration together with the other control
+    /// machines.
     Control {
         /// Path of the options file.
         options: PathBuf,
@@ -85,7 +86,7 @@
 pub enum LogFormat {
     /// Lines of text.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -73,8 +73,8 @@
     Ok(())
 }
 
-/// Runs a baseline phase for a third of the time and an overload phase for the rest, and prints a table by
-/// group of tenants.
+/// Runs a baseline phase for a third of the time and an overload phase for the rest. Prints a table with the
+/// results of each group of tenants.
 fn rehearse(tenants: usize, seconds: u64, shows_log: bool) -> Result<()> {
     let baseline = Duration::from_secs(seconds / 3);
     let plan = tenant_rehearsal::overload_plan(baseline, Duration::from_secs(seconds) - baseline, tenants);
--- a/crates/server/src/configuration/candidate.rs
+++ b/crates/server/src/configuration/candidate.rs
@@ -11,7 +11,8 @@
 pub struct Candidate {
     /// Path of the candidate settings file.
     pub path: PathBuf,
-    /// Path of the file that marks the candidate settings as adopted. It holds their hash.
+    /// Path of the file that marks the candidate settings as adopted. The file contains the hash of the
+    /// settings.
     pub mark: PathBuf,
     /// Hash of the server's own options file.
     pub own_hash: u64,
@@ -24,7 +25,7 @@
 }
 
 impl Candidate {
-    /// Creates the candidate named in the options, with nothing adopted.
+    /// Creates the candidate that the options name. The candidate is not adopted.
     pub fn new(rollout: &Rollout, options_path: &Path) -> std::io::Result<Self> {
         let folder = options_path.parent().unwrap_or(Path::new("."));
         Ok(Self {
@@ -37,7 +38,7 @@
         })
     }
 
-    /// Reads the mark, and compares its hash with that of the candidate settings file.
+    /// Reads the mark, and compares the hash in the mark with the hash of the candidate settings file.
     pub fn adopted_before(&self) -> AdoptedBefore {
         let Ok(mark) = std::fs::read_to_string(&self.mark) else { return AdoptedBefore::NotAdopted };
         let adopted = u64::from_str_radix(mark.trim(), 16).ok();
@@ -51,11 +52,11 @@
 
 /// Candidate settings that the server had adopted before its last stop.
 pub enum AdoptedBefore {
-    /// The server had not adopted any.
+    /// The server had not adopted any candidate settings.
     NotAdopted,
-    /// The server had adopted them, and their file still has this hash.
+    /// The server had adopted candidate settings, and the settings file still has this hash.
     Unchanged(u64),
-    /// The server had adopted them, but their file has changed or is missing.
+    /// The server had adopted candidate settings, but the settings file has changed or is missing.
     Changed,
 }
 
@@ -76,16 +77,16 @@
 /// Error in the candidate settings of a rollout.
 #[derive(Debug, thiserror::Error)]
 pub enum CandidateError {
-    /// The file is not a valid options file.
+    /// The candidate settings are not a valid options file.
     #[error(transparent)]
     Options(BoxError),
-    /// The file has an element that only a restart can change.
+    /// The candidate settings contain an element that only a restart can change.
     #[error("{0}: a change cannot contain <membership>, <shared-state> or <rollout>")]
     FixedElement(PathBuf),
 }
 
-/// Reads the candidate settings of a rollout: an options file whose elements replace those of the server's
-/// own.
+/// Reads the candidate settings of a rollout: an options file whose elements replace the same elements of the
+/// server's own options file.
 pub fn read_change(path: &Path) -> Result<Options, CandidateError> {
     let change = Options::load(path).map_err(|error| CandidateError::Options(error.into()))?;
     if change.membership.is_some() || change.rollout.is_some() || change.shared_state.is_some() {
--- a/crates/server/src/configuration/defaults.rs
+++ b/crates/server/src/configuration/defaults.rs
@@ -16,8 +16,8 @@
 /// Default name of the call field that holds the tenant.
 pub const TENANT_FIELD: &str = "project";
 
-/// Contradiction between the deployment's settings and the options. Usually one of the two belongs to another
-/// deployment.
+/// Contradiction between the deployment's settings and the options. Usually, either the settings or the
+/// options belong to another deployment.
 #[derive(Debug, thiserror::Error)]
 pub enum MismatchError {
     /// The settings name a downstream service, but its address is missing.
@@ -29,7 +29,7 @@
     /// The options define the reply to skipped calls, but no operation may skip calls.
     #[error("options: <calls>: no operation has a degraded-worth")]
     UnusedReply,
-    /// The settings define a quota of a shared dependency, but there is no shared dependency.
+    /// The settings define a quota of a shared dependency, but no shared dependency.
     #[error("settings: family-info.dep-share: given, though family-info.below names no one_for_all")]
     UnusedQuota,
     /// Idempotency keys and their results would use too much memory.
@@ -37,7 +37,7 @@
     KeysTooLarge {
         /// Bytes that keys and results would use.
         bytes: usize,
-        /// Bytes that keys and results may use.
+        /// Maximum number of bytes that keys and results may use.
         bytes_max: usize,
     },
 }
@@ -58,7 +58,7 @@
 }
 
 impl Configuration {
-    /// Bytes that idempotency keys and their results may use.
+    /// Maximum number of bytes that idempotency keys and their results may use.
     fn key_bytes_max(&self) -> usize {
         (self.memory_mb << 20) as usize / KEYS_DIVISOR
     }
@@ -66,7 +66,8 @@
     /// Fills in defaults for features that neither the protocol nor the options describe, and adds a note for
     /// each, because a missing description is no reason to refuse the start.
     pub(super) fn fill_defaults(&mut self) -> Result<(), MismatchError> {
-        // This process stores the keys under its own limit. They do not count as memory of the deployment.
+        // This process stores the keys under its own memory limit, so the keys do not count as memory of the
+        // deployment.
         self.settings.deployment.idempotency_entry_kb = 0.0;
         self.default_keys();
         self.default_reply();
@@ -82,7 +83,8 @@
         self.notes.push(format!("settings: {key}: {note}"));
     }
 
-    /// Enables idempotency keys in the default field. Half of their memory is for entries, half for results.
+    /// Enables idempotency keys in the default field. Half of the memory of the keys is for entries, and half
+    /// is for results.
     fn default_keys(&mut self) {
         let operations = &self.settings.deployment.operations;
         let keyed = operations.iter().position(|operation| operation.effect == Effect::IdempotentWithKey);
--- a/crates/server/src/configuration/fleet.rs
+++ b/crates/server/src/configuration/fleet.rs
@@ -1,4 +1,4 @@
-//! Fleet settings of a process. They are read from the options at the start and do not change in a reload.
+//! Fleet settings of a process, which are read from the options at the start and do not change in a reload.
 
 use crate::configuration::leases::{LEASES, PUBLISHING, ROLLOUTS};
 use crate::configuration::membership_key;
@@ -45,7 +45,7 @@
     /// A setting of the membership protocol is out of range.
     #[error("<membership>: {0}")]
     Membership(BoxError),
-    /// The name is too long for a datagram.
+    /// The member's name is too long for a datagram.
     #[error("<membership>: name: over {NAME_BYTES_MAX} bytes: {0:?}")]
     NameTooLong(String),
     /// The call budget has a name that is reserved for a lease.
--- a/crates/server/src/configuration/load.rs
+++ b/crates/server/src/configuration/load.rs
@@ -62,7 +62,8 @@
         options.replication.as_ref().map(|replication| folder.join(&replication.file))
     }
 
-    /// Loads the configuration again with a revision of replicated configuration applied over the options.
+    /// Loads the configuration a second time, with a revision of replicated configuration applied over the
+    /// options.
     fn with_replicated(&self, path: &Path, options: &Path, snapshot: Snapshot) -> Result<Self, LoadError> {
         let candidate = self.candidate.borrow().clone();
         let adopted = candidate.as_ref().filter(|candidate| candidate.adopted.is_some());
@@ -74,8 +75,8 @@
         Ok(configuration)
     }
 
-    /// Loads the configuration, with the settings of a rollout if the server had adopted them before its last
-    /// stop, their file has not changed, and they can be used.
+    /// Loads the configuration. Includes the settings of a rollout if the server had adopted these settings
+    /// before its last stop, the settings file has not changed, and the settings can be used.
     fn load_adopted(path: &Path, options: Option<&Path>) -> Result<Self, LoadError> {
         let own = Self::load(path, options, Layers::default())?;
         let candidate = own.candidate.borrow().clone();
--- a/crates/server/src/configuration/membership_key.rs
+++ b/crates/server/src/configuration/membership_key.rs
@@ -21,7 +21,7 @@
         #[source]
         error: Error,
     },
-    /// The file's group or other users have access to it, so the key is not secret.
+    /// The key file is accessible to its group or to other users, so the key is not secret.
     #[error("<membership>: key-file: {path} has mode {mode:o}; others may read it")]
     OthersMayRead {
         /// Path of the file.
@@ -29,15 +29,15 @@
         /// Permission bits of the file.
         mode: u32,
     },
-    /// The file is larger than the maximum.
+    /// The key file is larger than [`KEY_FILE_MAX_BYTES`].
     #[error("<membership>: key-file: {0} is over {KEY_FILE_MAX_BYTES} bytes")]
     TooLong(PathBuf),
-    /// The key is shorter than the minimum.
+    /// The key is shorter than [`KEY_MIN_BYTES`].
     #[error("<membership>: key-file: {0} holds under {KEY_MIN_BYTES} bytes")]
     TooShort(PathBuf),
 }
 
-/// Reads the key. The file must be accessible to its owner only.
+/// Reads the fleet's key from a file, which must be accessible to its owner only.
 pub fn read(path: &Path) -> Result<Vec<u8>, KeyFileError> {
     let unreadable = |error| KeyFileError::Read { path: path.to_path_buf(), error };
     let metadata = std::fs::metadata(path).map_err(unreadable)?;
--- a/crates/server/src/configuration/persisted_revision.rs
+++ b/crates/server/src/configuration/persisted_revision.rs
@@ -21,7 +21,7 @@
     },
 }
 
-/// Reads the file. Returns `Ok(None)` if the file does not exist.
+/// Reads the last good revision from its file. Returns `Ok(None)` if the file does not exist.
 pub fn read(path: &Path) -> Result<Option<PersistedState>, PersistedRevisionError> {
     let bytes = match std::fs::read(path) {
         Err(error) if error.kind() == ErrorKind::NotFound => return Ok(None),
--- a/crates/server/src/fleet/control_machine.rs
+++ b/crates/server/src/fleet/control_machine.rs
@@ -19,16 +19,17 @@
 use std::path::{Path, PathBuf};
 use tracing::{info, warn};
 
-/// Delay before retrying a failed write of the log. The machine does not request the lease during this time.
+/// Delay before retrying a failed write of the log. During this time, the control machine does not request
+/// the publishing lease.
 const WRITE_RETRY_AFTER_NS: u64 = 1_000_000_000;
-/// Longest wait between two checks of the lease.
+/// Longest time between two checks of the publishing lease.
 const STEP_MAX_NS: u64 = 100_000_000;
 /// Interval at which an unchanged status is logged.
 const LOG_EVERY_NS: u64 = 10_000_000_000;
 
-/// The settings that a control machine or the `publish` command reads from an options file.
+/// Settings that a control machine or the `publish` command reads from an options file.
 pub struct ControlSettings {
-    /// How the process takes part in the fleet.
+    /// Settings of the process as a member of the fleet.
     pub fleet: FleetSettings,
     /// The `<replication>` element.
     pub replication: ReplicationOptions,
@@ -70,7 +71,7 @@
     async_io::block_on(control(settings))
 }
 
-/// Values that are logged when one of them changes.
+/// Status of a control machine, which is logged when one of its values changes.
 #[derive(Default, PartialEq, Eq)]
 struct ControlStatus {
     is_leader: bool,
@@ -81,14 +82,15 @@
 struct Control {
     member: Member,
     file: PathBuf,
-    /// Earliest time of the next write, in Unix nanoseconds, after a failed one.
+    /// Earliest time of the next write of the log after a failed write, in Unix nanoseconds.
     write_after: u64,
     logged: ControlStatus,
     logged_at: u64,
 }
 
 impl Control {
-    /// Writes unsaved state to disk. Messages that depend on this state are released only once it is written.
+    /// Writes unsaved state to disk. Messages that depend on this state are released only once the state is
+    /// written.
     fn save(&mut self, now: u64) {
         while let Some(saved) = self.member.unsaved_state().filter(|_| now >= self.write_after) {
             if let Err(error) = files::write(&self.file, &persistence::encode(&saved)) {
@@ -130,7 +132,8 @@
 
 async fn control(ControlSettings { fleet, replication, file }: ControlSettings) -> Result<()> {
     let mut signals = Signals::new([Signal::Term, Signal::Int])?;
-    // An unreadable log must not be replaced: others may rely on entries that this replica acknowledged.
+    // An unreadable log must not be replaced: other members may rely on entries that this replica
+    // acknowledged.
     let disk = persisted_revision::read(&file).context("<replication>: file")?;
     let mut fleet_member = NonServingMember::join(&fleet)?;
     let (incarnation, name) = (fleet_member.incarnation, fleet.name.clone());
--- a/crates/server/src/fleet/coordinator.rs
+++ b/crates/server/src/fleet/coordinator.rs
@@ -33,7 +33,7 @@
     pub wait: Duration,
 }
 
-/// Path of the state file of a plan when the command line names none: the plan's path with `.state` appended.
+/// Returns the default path of a plan's state file: the plan's path with `.state` appended.
 pub fn default_state_path(plan: &Path) -> PathBuf {
     let mut state = plan.as_os_str().to_os_string();
     state.push(".state");
@@ -84,8 +84,9 @@
     }
 }
 
-/// Requests a rollback through a file beside the state. A running coordinator reads the file in its next
-/// interval; otherwise the next coordinator that resumes from this state does.
+/// Requests a rollback by writing a file beside the state file. A running coordinator reads the file in its
+/// next interval. If none is running, the next coordinator that resumes from the state file reads the
+/// rollback request.
 pub fn abort(state: &Path) -> Result<()> {
     let saved = read_state(state)?.with_context(|| format!("{}: nothing has begun", state.display()))?;
     ensure!(!saved.phase.has_ended(), "the plan has ended already: {}", describe_phase(&saved.phase));
@@ -94,8 +95,8 @@
     Ok(())
 }
 
-/// Reads the plan, the candidate and the options. Errors in them are reported before the process joins the
-/// fleet.
+/// Reads the plan, the candidate and the options. Errors in these files are reported before the process joins
+/// the fleet.
 fn prepare(arguments: &RolloutArguments) -> Result<(Plan, FleetSettings)> {
     let file = PlanFile::load(&arguments.plan)?;
     let candidate = arguments.plan.parent().unwrap_or(Path::new(".")).join(&file.candidate);
--- a/crates/server/src/fleet/interval_report.rs
+++ b/crates/server/src/fleet/interval_report.rs
@@ -1,5 +1,5 @@
-//! Answers of this server by class of invocations since its last report. A rollout's coordinator compares
-//! these figures between servers with and without the change.
+//! Records the answers of this server since its last report, by class of invocations. A rollout's coordinator
+//! compares these figures between servers with and without the change.
 
 use hdrhistogram::Histogram;
 use meadowstream_rollout::metrics::IntervalMetrics;
@@ -12,7 +12,7 @@
 /// Operation names in a report are cut to this number of characters, so that all classes fit in one datagram.
 const NAME_MAX: usize = 32;
 
-/// Outcome of an invocation, as its answer reports it.
+/// Outcome of an invocation, as reported to the caller in the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerOutcome {
     /// The invocation succeeded, and the answer carries its result.
@@ -52,8 +52,8 @@
         Ok(AnswerRecorder { classes: RefCell::new(classes) })
     }
 
-    /// Records an answer sent `latency_ns` nanoseconds after its invocation. `late` is true if the caller's
-    /// timeout had passed by then.
+    /// Records an answer sent `latency_ns` nanoseconds after its invocation. `late` is true if the answer was
+    /// sent after the caller's timeout.
     pub fn record_answer(&self, operation: usize, outcome: AnswerOutcome, latency_ns: u64, late: bool) {
         let mut classes = self.classes.borrow_mut();
         let Some(Class { figures, latency }) = classes.get_mut(operation) else { return };
--- a/crates/server/src/fleet/joined.rs
+++ b/crates/server/src/fleet/joined.rs
@@ -82,8 +82,8 @@
         Reading { monotonic: self.now() - self.incarnation, wall: self.now() }
     }
 
-    /// Requests the named lease, or gives up the request if `wants` is false. Returns true if this process
-    /// requests the lease and holds it now.
+    /// Requests the named lease, or withdraws the request if `wants` is false. Returns true if this process
+    /// requests the lease and currently holds it.
     pub fn request_lease(&mut self, name: &str, wants: bool) -> bool {
         let time = self.shared.read_clocks(self.reading());
         let lease = self.shared.budgets.iter_mut().find(|budget| budget.settings().name == name);
--- a/crates/server/src/fleet/replication.rs
+++ b/crates/server/src/fleet/replication.rs
@@ -28,7 +28,7 @@
 struct Outcome {
     /// Number of the revision.
     number: u64,
-    /// Reason of the rejection, or `None` if the revision is in force.
+    /// Reason why the revision was rejected, or `None` if the revision is in force.
     rejected: Option<String>,
 }
 
@@ -143,7 +143,7 @@
         self.log(now);
     }
 
-    /// Time at which [`Replication::advance`] is due again, in Unix nanoseconds.
+    /// Returns the time at which [`Replication::advance`] is due again, in Unix nanoseconds.
     pub fn due(&self, now: Nanos) -> Nanos {
         let outcome = if self.is_checking { now + OUTCOME_POLL_INTERVAL_NS } else { Nanos::MAX };
         self.member.next_due().min(outcome)
--- a/crates/server/src/fleet/rollout.rs
+++ b/crates/server/src/fleet/rollout.rs
@@ -42,8 +42,8 @@
     ProgramMark(Error),
 }
 
-/// Hashes the file of the running program, if a rollout may replace it. The file is large, so it is read on
-/// the blocking pool after the start, and callers of a restarted server do not wait for it.
+/// Hashes the file of the running program, if a rollout may replace it. The file is large. It is read on the
+/// blocking pool after the start, so that callers of a restarted server do not wait for the read.
 pub async fn read_program(server: Rc<Server>) {
     let Some(rollout) = server.rollout.as_ref().filter(|rollout| rollout.program.get().is_none()) else {
         return;
--- a/crates/server/src/fleet/rollout_state.rs
+++ b/crates/server/src/fleet/rollout_state.rs
@@ -31,7 +31,7 @@
     pub adopted: bool,
 }
 
-/// The last order that was accepted.
+/// The last order that this server accepted.
 #[derive(Default)]
 pub struct LastOrder {
     /// Name of the order's plan.
@@ -52,8 +52,8 @@
     pub candidate: Candidate,
     /// Program version and settings hash of each known server.
     pub versions: RefCell<VersionTable>,
-    /// The running program: `None` until its file has been read, with a hash of 0 if no rollout may change
-    /// it.
+    /// The running program; `None` until the program's file has been read. If no rollout may change the
+    /// program, its hash is 0.
     pub program: Cell<Option<OwnProgram>>,
     /// Signalled when the server must exit for another program to be started.
     pub leave: Sender<()>,
--- a/crates/server/src/fleet/shared_state.rs
+++ b/crates/server/src/fleet/shared_state.rs
@@ -29,7 +29,7 @@
 /// This server's copy of the state shared with the fleet.
 pub struct LocalSharedState {
     inner: RefCell<Inner>,
-    /// Names of the tenants in the options, which are the tenants counted by name.
+    /// Names of the tenants in the options. Only these tenants are counted by name.
     named_tenants: RefCell<TenantNames>,
     started: Instant,
 }
@@ -44,7 +44,7 @@
     /// Values of this server's counters that are already added to the fleet's counts, in the order of
     /// [`COUNTER_KEYS`].
     counted: [u64; 4],
-    /// Number of counts that were dropped because no key was free.
+    /// Number of additions to the fleet's counts that were dropped because no key was free.
     uncounted: u64,
 }
 
@@ -164,8 +164,8 @@
         inner.permits.permit_send(time, number)
     }
 
-    /// Ends a call on this server. `is_finished_downstream` is true if the service is known to have finished
-    /// it, too.
+    /// Ends a call on this server. `is_finished_downstream` is true if the downstream service is known to
+    /// have finished the call.
     pub fn end_call(&self, number: u64, is_finished_downstream: bool, evidence: CallEvidence) {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Sets the total of the call budget; after an error the previous total stays.
+    /// Sets the total of the call budget. After an error, the previous total stays in force.
     pub fn set_total(&self, total: u64) -> Result<(), BudgetSettingsError> {
         let mut inner = self.inner.borrow_mut();
         let mut calls = inner.state.budgets.iter_mut().filter(|budget| !is_lease(budget));
@@ -219,13 +219,13 @@
         }
     }
 
-    /// Returns the received messages of other topics: sender, topic and body.
+    /// Returns the sender, topic and body of each received message on a topic other than the shared state.
     pub fn take_received(&self) -> Vec<(ServerId, u16, Vec<u8>)> {
         let received = self.inner.borrow_mut().state.take_received();
         received.into_iter().map(|other| (other.from, other.topic, other.body)).collect()
     }
 
-    /// Sends a message of another topic to the named member.
+    /// Sends a message on a topic other than the shared state to the named member.
     pub fn send_other(&self, to: &str, topic: u16, body: Vec<u8>) {
         self.inner.borrow_mut().state.send_other(to, topic, body);
     }
@@ -245,7 +245,7 @@
         Advanced { outgoing: inner.state.take_outgoing(), has_capacity }
     }
 
-    /// Time until [`Self::advance`] is due, in nanoseconds.
+    /// Returns the time until [`Self::advance`] is due, in nanoseconds.
     pub fn due_in(&self) -> u64 {
         self.inner.borrow().state.due_in()
     }
--- a/crates/server/src/fleet/sharing.rs
+++ b/crates/server/src/fleet/sharing.rs
@@ -15,7 +15,8 @@
 use std::rc::Rc;
 use tracing::info;
 
-/// Interval at which this server announces its version, and the versions it knows, to one other member.
+/// Interval at which this server sends its own version, and the versions of other servers that it knows, to
+/// one other member.
 const ANNOUNCE_EVERY_NS: Nanos = 200_000_000;
 /// Longest time between two log lines of the shared state.
 const LOG_EVERY_NS: Nanos = 500_000_000;
@@ -39,8 +40,8 @@
         Self { replication, ..Self::default() }
     }
 
-    /// Handles received messages. If its time has come or messages were received, also advances replicated
-    /// configuration and shared state, announces versions, and logs the shared state.
+    /// Handles received messages. If [`Sharing::due`] has been reached or messages were received, also
+    /// advances replicated configuration and shared state, announces versions, and logs the shared state.
     pub fn advance(&mut self, server: &Rc<Server>, membership: &mut Membership, now: Nanos) {
         let Some(shared) = &server.shared else {
             self.due = Nanos::MAX;
--- a/crates/server/src/fleet/tier.rs
+++ b/crates/server/src/fleet/tier.rs
@@ -9,8 +9,9 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// Health checks of an ejected service within the expiry time of a report. Evidence halves in that time; this
-/// number of checks keeps it above the minimum that the outlier detector needs to judge a service.
+/// Number of health checks of an ejected service within the expiry time of a report. The weight of evidence
+/// halves in each expiry time. This number of checks keeps the weight above the minimum that the outlier
+/// detector needs to judge a service.
 const PROBES_PER_EXPIRY: u64 = 8;
 
 /// A call in flight.
@@ -30,7 +31,7 @@
     pub ejected: Vec<usize>,
 }
 
-/// Evidence about a service's health from the end of a call.
+/// Evidence about a service's health, taken from how a call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallEvidence {
     /// The call succeeded.
--- a/crates/server/src/fleet/view_log.rs
+++ b/crates/server/src/fleet/view_log.rs
@@ -24,9 +24,9 @@
 }
 
 impl ViewLog {
-    /// Logs the view if it or the count of dropped datagrams has changed, and at least once per announce
-    /// period: a log line is dropped when the log's pipe is full, and its reader must not be left with an
-    /// outdated view.
+    /// Logs the view if the view or the count of dropped datagrams has changed, and at least once per
+    /// announce period. Log lines are dropped while the log's pipe is full; the periodic line corrects the
+    /// reader's outdated view.
     pub fn update(
         &mut self,
         server: &Server,
--- a/crates/server/src/lifecycle/catalog.rs
+++ b/crates/server/src/lifecycle/catalog.rs
@@ -1,5 +1,5 @@
-//! Reports the server's health to the service registry, from the first link to the interpreter until the
-//! notice to leave.
+//! Reports the server's health to the service registry. The reports begin with the first link to the
+//! interpreter and end with the notice to leave.
 
 use crate::server::Server;
 use crate::wire::catalog;
--- a/crates/server/src/lifecycle/clock.rs
+++ b/crates/server/src/lifecycle/clock.rs
@@ -1,4 +1,4 @@
-//! The server's clock: counts Unix nanoseconds from the wall clock at the start, and advances monotonically.
+//! The server's clock: starts at the wall-clock time in Unix nanoseconds, and advances monotonically.
 
 use meadowstream_overload_control::Nanos;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -6,7 +6,7 @@
 /// The server's monotonic clock, in Unix nanoseconds.
 pub struct Clock {
     started: Instant,
-    /// Wall-clock time at the start, in Unix nanoseconds.
+    /// Wall-clock time at which the clock was started, in Unix nanoseconds.
     started_unix: Nanos,
 }
 
@@ -31,7 +31,7 @@
     }
 
     /// Returns the nanoseconds between a Unix time in milliseconds and the current wall-clock time; negative
-    /// if the former is in the future.
+    /// if the Unix time is in the future.
     pub fn age(&self, since_ms: u64) -> i64 {
         let since = i64::try_from(since_ms).unwrap_or(i64::MAX).saturating_mul(1_000_000);
         (unix() as i64).saturating_sub(since)
--- a/crates/server/src/lifecycle/drain.rs
+++ b/crates/server/src/lifecycle/drain.rs
@@ -10,8 +10,9 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Eighths of the time between notice and stop during which connections are accepted. Callers that are not
-/// yet aware of the drain connect until the end, and an answer costs them less than a refused connection; but
-/// invocations that arrive just before the stop could no longer be answered.
+/// yet aware of the drain still connect, and an answer costs them less than a refused connection. In the last
+/// eighth no connections are accepted, since invocations that arrive just before the stop could not be
+/// answered in time.
 const ACCEPTING_EIGHTHS: u32 = 7;
 
 /// Enters the phases of the drain one after the other. The grace ends halfway between notice and stop at the
@@ -30,16 +31,17 @@
     server.connections.drain_all();
 }
 
-/// Returns whether the server may exit: no connection is left that could carry an invocation, or the time set
-/// with `DrainState::end_by` has passed. Each peer is asked to send no further invocations at the end of the
-/// grace or with its next answer, and closes its connection when everything on it is answered.
+/// Returns whether the server may exit: either the grace is over and no connection or event is left, or the
+/// time set with `DrainState::end_by` has passed. At the end of the grace, or with the next answer to a peer,
+/// the server asks the peer to send no further invocations. The peer then closes its connection when
+/// everything on the connection is answered.
 pub fn is_over(server: &Server) -> bool {
     let is_empty = server.connections.count() == 0 && server.events.is_empty();
     (server.drain.is_grace_over() && is_empty) || server.drain.has_stopped(server.clock.now())
 }
 
-/// Waits until [`is_over`] is to be checked next: until the server starts to leave, and from then on for one
-/// poll interval.
+/// Waits until [`is_over`] must be checked next. While the server is not leaving, waits until it starts to
+/// leave; afterwards, waits for one poll interval.
 pub async fn wait_for_next_check(server: &Server) {
     if server.leave_signal.recv().await.is_err() {
         Timer::after(POLL_INTERVAL).await;
--- a/crates/server/src/lifecycle/drain_state.rs
+++ b/crates/server/src/lifecycle/drain_state.rs
@@ -9,10 +9,11 @@
     /// The server has received no notice to leave.
     #[default]
     Serving,
-    /// Invocations are still admitted: callers notice late that a server is leaving, and the remaining
-    /// servers would lack its capacity.
+    /// Invocations are still admitted: callers need time to notice that the server is leaving, and until then
+    /// the remaining servers would lack its capacity.
     Grace,
-    /// New invocations are rejected; connections are still accepted, so that their callers receive an answer.
+    /// New invocations are rejected; connections are still accepted, so that callers receive an answer in
+    /// place of a refused connection.
     Rejecting,
     /// The stop is so close that no more connections are accepted.
     Closing,
@@ -24,7 +25,8 @@
     phase: Cell<Phase>,
     /// Time of the notice to leave.
     noticed_at: Cell<Option<Nanos>>,
-    /// Latest time at which the process exits if it leaves for another program. No supervisor stops it then.
+    /// Latest time at which the process exits if it leaves so that another program is started. In this case
+    /// no supervisor stops the process.
     ends_by: Cell<Option<Nanos>>,
 }
 
--- a/crates/server/src/lifecycle/pause.rs
+++ b/crates/server/src/lifecycle/pause.rs
@@ -25,7 +25,7 @@
 /// Measures the work of the current thread since the stopwatch was started.
 pub struct Stopwatch {
     started: Instant,
-    /// The thread's processor time at the start.
+    /// Processor time that the thread had used when the stopwatch was started.
     processor: Duration,
 }
 
@@ -57,17 +57,18 @@
     /// part.
     pub longest_part: usize,
     parts: usize,
-    /// Time of the parts that the event loop has applied since it last waited for an event.
+    /// Total time of the parts that the event loop has applied since it last waited for an event.
     uninterrupted: Span,
 }
 
 impl Pauses {
-    /// Starts with the time taken by the swap of the configuration.
+    /// Creates the record of a change's pauses. The first pause is the swap of the configuration, which took
+    /// the time `swap`.
     pub fn after_swap(swap: Span) -> Self {
         Self { longest: swap, ..Self::default() }
     }
 
-    /// Adds a part that the event loop has applied.
+    /// Adds the time of a part of the change that the event loop has applied.
     pub fn add_part(&mut self, part: Span) {
         self.parts += 1;
         self.uninterrupted = self.uninterrupted.followed_by(part);
--- a/crates/server/src/lifecycle/reload.rs
+++ b/crates/server/src/lifecycle/reload.rs
@@ -27,8 +27,8 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// Delay between two parts of a change. For 250 parts, which a change of 64,000 tenants has, the delays add
-/// up to a twentieth of a second.
+/// Delay between two parts of a change. A change of 64,000 tenants has 250 parts, whose delays add up to 50
+/// ms.
 const PART_INTERVAL: Duration = Duration::from_micros(200);
 
 /// Error for which a change of settings is refused. The previous settings stay in force.
@@ -77,10 +77,11 @@
 struct Request {
     path: PathBuf,
     options_path: Option<PathBuf>,
-    /// The settings file of a rollout, and the hash that it must have.
+    /// Path of the settings file of a rollout, and the hash that the file must have.
     change: Option<(PathBuf, u64)>,
     replicated: Option<Snapshot>,
-    /// State to write to this file before the change takes effect.
+    /// Path of a file, and the state of replicated configuration to write to the file before the change takes
+    /// effect.
     write: Option<(PathBuf, PersistedState)>,
     in_force: Arc<Options>,
 }
@@ -88,7 +89,7 @@
 /// A change that has been read and checked. Applying it keeps the serving thread busy for one part at a time.
 struct Prepared {
     configuration: Configuration,
-    /// The change of the fair queue, in parts.
+    /// Changes of the fair queue's settings, split into parts that are applied one after the other.
     retunes: Vec<SettingsChange>,
     tenant_names: Option<TenantNames>,
 }
@@ -129,8 +130,9 @@
     Arc::new(tenants.fair.named.iter().map(|(name, _)| name.clone()).collect())
 }
 
-/// Reads the files again and puts them in force. If the files cannot be used, nothing changes. Connections to
-/// unchanged addresses stay open. Signals that arrive while a reload is pending are merged into it.
+/// Reads the configuration files again and puts their settings in force. If the files cannot be used, the
+/// previous settings stay in force. Connections to unchanged addresses stay open. Reload signals that arrive
+/// while a reload waits for its turn are merged into that reload.
 pub async fn reload(server: Rc<Server>) {
     if server.changes.reload_pending.replace(true) {
         return;
@@ -144,7 +146,8 @@
     }
 }
 
-/// Returns the settings file of a rollout that the server has adopted, if any, and its hash.
+/// Returns the path and hash of the rollout's settings file that the server has adopted; `None` if it has
+/// adopted none.
 fn adopted(server: &Server) -> Option<(PathBuf, u64)> {
     let candidate = server.configuration.candidate.borrow().clone()?;
     Some((candidate.path, candidate.adopted?))
@@ -174,7 +177,8 @@
     Ok(())
 }
 
-/// Reads the files, checks that the change needs no restart, and puts it in force.
+/// Reads the configuration files, checks that the change of settings needs no restart, and puts the new
+/// settings in force.
 async fn apply(
     server: &Rc<Server>,
     change: Option<(PathBuf, u64)>,
@@ -219,7 +223,7 @@
     Ok(())
 }
 
-/// Waits until the event loop has handled all events sent before.
+/// Waits until the event loop has handled all events that were sent to it before this call.
 async fn wait_until_processed(server: &Server) {
     let (done, is_done) = async_channel::bounded(1);
     let _ = server.events.send(Event::Barrier(done)).await;
--- a/crates/server/src/lifecycle/reload_check.rs
+++ b/crates/server/src/lifecycle/reload_check.rs
@@ -11,19 +11,19 @@
     /// The server's name or the address on which it accepts connections.
     #[error("name, listen: a change takes a restart")]
     NameOrAddress,
-    /// The presence of a downstream service.
+    /// The presence of a downstream service: a change adds or removes its address.
     #[error("records: adding or removing it takes a restart")]
     Records,
     /// An element of the options that is only read at the start.
     #[error("options: <tokens>, <calls>, <rollout>, <replication>: a change takes a restart")]
     Options,
-    /// The membership.
+    /// The membership settings.
     #[error("options: <membership>: a change takes a restart")]
     Membership,
-    /// The shared state, except for the total of its budget.
+    /// The settings of the shared state, except for the total of its budget.
     #[error("options: <shared-state>: a change of anything but the total takes a restart")]
     SharedState,
-    /// The presence of `<tenants>`.
+    /// The presence of the `<tenants>` element: a change adds or removes it.
     #[error("tenants: telling them apart or not takes a restart")]
     Tenants,
     /// The source of a call's tenant, its origin, or the value of surplus.
@@ -66,8 +66,8 @@
         && old.settings == new.settings
 }
 
-/// Compares all settings of the shared state except the total of a budget, which may change while leases are
-/// held.
+/// Returns whether all settings of the shared state are equal, except for the totals of budgets. A total may
+/// change while leases are held.
 fn has_same_shared_state(old: Option<&FleetSettings>, new: Option<&FleetSettings>) -> bool {
     let (Some(old), Some(new)) = (old, new) else { return old.is_some() == new.is_some() };
     if old.tier != new.tier {
@@ -82,8 +82,8 @@
         && old.outlier_detection == new.outlier_detection
 }
 
-/// Returns the settings of tenants before and after a change, or `None` if there are none. Weights and quotas
-/// may change while the server runs; other changes are an error.
+/// Returns the settings of tenants before and after a change, or `None` if neither the old nor the new
+/// options have any. Weights and quotas may change while the server runs; other changes are an error.
 pub fn changed_tenants<'a>(
     old: &'a Options,
     new: &'a Options,
--- a/crates/server/src/lifecycle/start.rs
+++ b/crates/server/src/lifecycle/start.rs
@@ -122,7 +122,8 @@
     let address = configuration.listen;
     let failed = |error| StartError::Listen { address, error };
     let listener = Async::<TcpListener>::bind(address).map_err(failed)?;
-    // The standard library sets a backlog of 128; in a burst, connections beyond it would be dropped.
+    // The standard library sets a backlog of 128; in a burst, connections beyond that backlog would be
+    // dropped.
     let backlog = configuration.sockets.min(i32::MAX as usize) as i32;
     rustix::net::listen(listener.get_ref(), backlog).map_err(|error| failed(error.into()))?;
     Ok(listener)
@@ -138,8 +139,8 @@
     executor: &'static LocalExecutor<'static>,
 ) -> Result<(Rc<Server>, Channels), StartError> {
     let clock = Clock::start();
-    // The incarnation is the start time in Unix nanoseconds, so that a server restarted under the same name
-    // has a higher one.
+    // The incarnation is the start time in Unix nanoseconds, so that a server that restarts under the same
+    // name has a higher incarnation.
     let incarnation = clock.now();
     let (events, events_received) = async_channel::bounded::<Event>(EVENTS_MAX);
     let (leave_trigger, leave_signal) = async_channel::bounded(1);
@@ -198,7 +199,8 @@
     Rollout::new(candidate, me, settings.lease, operations, leave).map(Some)
 }
 
-/// Starts all tasks except the one that accepts connections. Returns the listener for this one.
+/// Starts all tasks except the one that accepts connections. Returns the listener, which the accepting task
+/// needs.
 fn spawn_tasks(server: &Rc<Server>, opened: OpenedResources, channels: Channels) -> Async<TcpListener> {
     let Channels { events, leave_requests, leave_trigger } = channels;
     let executor = server.executor;
