--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -162,7 +162,7 @@
     let json = arguments.opt_value_from_os_str("--json", path)?;
     let quick = arguments.contains("--quick");
     let seed: Option<u64> =
-        arguments.opt_value_from_str("--seed").context("--seed: a whole number from 0 up")?;
+        arguments.opt_value_from_str("--seed").context("--seed: must be a whole number of at least 0")?;
     let requirement = format!("--servers: a whole number within {SERVERS_MIN} and {SERVERS_MAX}");
     let servers: Option<usize> = arguments.opt_value_from_str("--servers").context(requirement.clone())?;
     let servers = servers.unwrap_or(CAPACITY_SERVERS);
--- a/crates/cli/src/help.rs
+++ b/crates/cli/src/help.rs
@@ -39,8 +39,8 @@
 
 Starts this program on loopback, with test doubles for all other processes, and runs an overload for N
 seconds (default 20): N small tenants (default 200), and one tenant that floods after the first third of the
-time. Prints a table of each group's share, latency and kept advice. --log also prints the program's log lines
-about tenants. No other process or file is needed.
+time. Prints a table of each group's share, its latency, and the part of its retries at the advised time that
+were admitted. --log also prints the program's log lines about tenants. No other process or file is needed.
 ";
 /// Help text of `fleet`.
 pub const FLEET: &str = "\
--- a/crates/configuration/src/error.rs
+++ b/crates/configuration/src/error.rs
@@ -154,7 +154,7 @@
     NoBudget,
     #[error("the options name no <tenants>")]
     NoTenants,
-    #[error("{limit} for {named} named tenants; {max} may be named")]
+    #[error("{limit} for {named} named tenants; the maximum is {max} named tenants")]
     TooManyTenants { limit: String, named: usize, max: usize },
     #[error("{0}")]
     Key(Box<KeyError>),
--- a/crates/server/src/configuration/defaults.rs
+++ b/crates/server/src/configuration/defaults.rs
@@ -24,16 +24,18 @@
     #[error("records is missing, though settings: family-info.below names a tier or a dependency")]
     MissingRecords,
     /// The options describe idempotency keys, but no operation is idempotent with a key.
-    #[error("options: <tokens>: no operation is by_key")]
+    #[error("options: <tokens>: no operation has the effect by_key")]
     UnusedKeys,
     /// The options define the reply to skipped calls, but no operation may skip calls.
     #[error("options: <calls>: no operation has a degraded-worth")]
     UnusedReply,
     /// The settings define a quota of a shared dependency, but no shared dependency.
-    #[error("settings: family-info.dep-share: given, though family-info.below names no one_for_all")]
+    #[error("settings: family-info.dep-share: set, but family-info.below is not one_for_all")]
     UnusedQuota,
     /// Idempotency keys and their results would use too much memory.
-    #[error("options: <tokens>: {bytes} bytes in all, of limits.memory_mb {bytes_max} at most")]
+    #[error(
+        "options: <tokens>: entries and results use {bytes} bytes, but limits.memory_mb allows {bytes_max}"
+    )]
     KeysTooLarge {
         /// Bytes that keys and results would use.
         bytes: usize,
--- a/crates/server/src/configuration/fleet.rs
+++ b/crates/server/src/configuration/fleet.rs
@@ -46,7 +46,7 @@
     #[error("<membership>: {0}")]
     Membership(BoxError),
     /// The member's name is too long for a datagram.
-    #[error("<membership>: name: over {NAME_BYTES_MAX} bytes: {0:?}")]
+    #[error("<membership>: name: more than {NAME_BYTES_MAX} bytes: {0:?}")]
     NameTooLong(String),
     /// The call budget has a name that is reserved for a lease.
     #[error("<shared-state>: budget: name: {LEASES:?} are reserved for leases")]
--- a/crates/server/src/configuration/membership_key.rs
+++ b/crates/server/src/configuration/membership_key.rs
@@ -30,10 +30,10 @@
         mode: u32,
     },
     /// The key file is larger than [`KEY_FILE_MAX_BYTES`].
-    #[error("<membership>: key-file: {0} is over {KEY_FILE_MAX_BYTES} bytes")]
+    #[error("<membership>: key-file: {0} has more than {KEY_FILE_MAX_BYTES} bytes")]
     TooLong(PathBuf),
     /// The key is shorter than [`KEY_MIN_BYTES`].
-    #[error("<membership>: key-file: {0} holds under {KEY_MIN_BYTES} bytes")]
+    #[error("<membership>: key-file: the key in {0} has fewer than {KEY_MIN_BYTES} bytes")]
     TooShort(PathBuf),
 }
 
--- a/crates/server/src/configuration/platform_file.rs
+++ b/crates/server/src/configuration/platform_file.rs
@@ -33,7 +33,7 @@
         value: String,
     },
     /// The server's name is empty or contains white space.
-    #[error("name: {0:?} is not one word")]
+    #[error("name: {0:?} is empty or contains white space")]
     InvalidName(String),
     /// The seed is not a hexadecimal number.
     #[error("seed: {0:?} is not hexadecimal")]
--- a/crates/server/src/fleet/coordinator.rs
+++ b/crates/server/src/fleet/coordinator.rs
@@ -59,7 +59,7 @@
 
 /// Prints the progress of a rollout from its state file.
 pub fn status(state: &Path) -> Result<()> {
-    let saved = read_state(state)?.with_context(|| format!("{}: nothing has begun", state.display()))?;
+    let saved = read_state(state)?.with_context(|| format!("{}: no rollout has begun", state.display()))?;
     let changed: Vec<&str> = saved.changed.iter().map(String::as_str).collect();
     println!("plan {:?}, settings {:016x}, stage {}", saved.plan, saved.candidate, saved.stage + 1);
     println!("{}", describe_phase(&saved.phase));
@@ -88,7 +88,7 @@
 /// next interval. If none is running, the next coordinator that resumes from the state file reads the
 /// rollback request.
 pub fn abort(state: &Path) -> Result<()> {
-    let saved = read_state(state)?.with_context(|| format!("{}: nothing has begun", state.display()))?;
+    let saved = read_state(state)?.with_context(|| format!("{}: no rollout has begun", state.display()))?;
     ensure!(!saved.phase.has_ended(), "the plan has ended already: {}", describe_phase(&saved.phase));
     files::write(&abort_path(state), b"abort\n").context("cannot write")?;
     println!("the coordinator will roll back; if it is not running, it does so when it is started again");
