--- a/crates/routing/tests/tier.rs
+++ b/crates/routing/tests/tier.rs
@@ -353,8 +353,7 @@
         for second in 0..20 {
             fleet.calls.fill(0);
             fleet.advance(S);
-            // The first 4 s are not counted, because calls from before the ejection still end and probers
-            // are still replaced.
+            // Not counted in the first 4 s: earlier calls still end, and probers are still replaced.
             probes = if second < 4 { 0 } else { probes.max(fleet.calls[4]) };
         }
         assert!((0..servers).all(|i| fleet.is_ejected_by(i, 4)), "the service stays ejected");
@@ -363,11 +362,10 @@
     // Two probers per required report, and eight probes by each within the expiry time of a report.
     let expected = 2.0 * 3.0 * 8.0 * S as f64 / EXPIRY as f64;
     for servers in [20, 30, 100] {
-        let probes = probes_max(servers, false);
-        println!("{servers} servers: at most {probes} probes per second, {expected} expected");
-        let probes_limit = expected + 2.0 * expected.sqrt() + 2.0;
-        assert!(probes <= probes_limit, "{servers} servers: {probes} probes per second");
-        assert!(probes > 0.0);
+        let got = probes_max(servers, false);
+        println!("{servers} servers: at most {got} probes per second, {expected} expected");
+        assert!(got <= expected + 2.0 * expected.sqrt() + 2.0, "{servers} servers: {got} probes per second");
+        assert!(got > 0.0);
     }
     let all = probes_max(30, true);
     println!("30 servers that all probe: {all} probes per second");
