--- a/crates/server/src/event_loop/actions.rs
+++ b/crates/server/src/event_loop/actions.rs
@@ -226,8 +226,9 @@
         self.server.configuration.settings.deployment.operations[operation].effect
     }
 
-    /// Fails an invocation because the server cannot carry out an action that the controller requested for
-    /// it. Settings that require such actions are rejected at startup, so this is not expected to happen.
+    /// Fails an invocation for which the controller requested an action that the configured protocols cannot
+    /// express. Settings that require such actions are rejected at startup, so this is not expected to
+    /// happen.
     pub fn fail_as_unsupported(&mut self, id: u64, what: &str) {
         warn!(what, "cannot carry out an action of the controller");
         self.answer(id, Answer::Failed);
