--- a/crates/rollout/src/coordinator/stages.rs
+++ b/crates/rollout/src/coordinator/stages.rs
@@ -13,7 +13,7 @@
     pub(super) fn handle_waiting(&mut self, interval: &Interval, actions: &mut Vec<Action>) {
         let view = interval.view;
         if !interval.is_settled {
-            return self.notify(actions, "waits for the fleet's view to settle");
+            return self.notify(actions, "waits until the fleet's view stands");
         }
         for new_interval in self.take_new_intervals(view) {
             self.state.baselines.add(&new_interval.server, &new_interval.metrics);
