--- a/crates/cli/tests/fleet_membership.rs
+++ b/crates/cli/tests/fleet_membership.rs
@@ -82,7 +82,7 @@
     expect_agreement(&fleet, &[0, 1, 2], Duration::from_secs(10));
     expect_agreement(&fleet, &[3, 4, 5], Duration::from_secs(10));
     fleet.relay.change_faults(|faults| faults.heal());
-    // The documented bound is ten announce periods.
+    // The documented bound on the time until the views agree again is ten announce periods of 1 s.
     expect_agreement(&fleet, &all(6), Duration::from_secs(10));
 }
 
--- a/crates/cli/tests/fleet_rollout.rs
+++ b/crates/cli/tests/fleet_rollout.rs
@@ -15,7 +15,7 @@
 const ALL: [usize; 6] = [0, 1, 2, 3, 4, 5];
 const VOTERS: &str = r#"<voter name="s0"/><voter name="s1"/><voter name="s2"/>"#;
 
-/// Serializes the tests, because each has seven processes and steps of a quarter of a second.
+/// Serializes the tests, because each runs seven processes and a rollout plan with intervals of 250 ms.
 static EXCLUSIVE: Mutex<()> = Mutex::new(());
 
 fn lock_exclusive() -> MutexGuard<'static, ()> {
@@ -205,7 +205,7 @@
     let throttled: Vec<u64> = replies.iter().map(|each| each.throttled).collect();
     assert!(ALL.iter().all(|i| fleet.repeated_runs(*i) == 0));
     println!("throttled by server: {throttled:?}, ever changed {:?}", ever_changed_servers(&fleet));
-    // The same plan cannot be started again by mistake.
+    // A coordinator that is started with the plan that was rolled back exits with an error.
     let again = Coordinator::start(&fleet, &plan, 6, 5).wait_for_exit(Duration::from_secs(10));
     assert_eq!(again, 1);
 }
@@ -231,7 +231,7 @@
     drop(coordinator);
     let before = changed_servers(&fleet);
     assert_eq!(before.len(), 3);
-    // All servers agree on the settings in force on each server.
+    // Each server sees, for every server, the settings hash that this server reports for itself.
     let agreed = || {
         let hash = |i: usize, j: usize| settings_hash(&fleet, i, &format!("s{j}"));
         let all = ALL.iter().all(|&i| ALL.iter().all(|&j| hash(i, j) == hash(j, j)));
@@ -326,7 +326,7 @@
     let (code, output) = run(&path);
     assert_eq!(code, 1);
     assert!(output.contains("line 1, <plan>: stage 1: bake-ms: at least 6 intervals"), "{output}");
-    // A server rejects a change that requires a restart, and no server stays changed.
+    // A server rejects a change that requires a restart, and no server ever applies the change.
     std::fs::write(&path, good).unwrap();
     write_candidate(&fleet, "<tenants by=\"peer\"/>");
     let load = start_loads(&fleet, Duration::from_secs(20));
--- a/crates/cli/tests/fleet_state.rs
+++ b/crates/cli/tests/fleet_state.rs
@@ -65,7 +65,8 @@
     serde_json::from_str::<serde_json::Value>(totals).unwrap()[key].as_u64().unwrap_or(0)
 }
 
-/// Waits until `servers` have leased all calls of the budget beyond the floors, except one at most.
+/// Waits until `servers` have leased the calls of the budget that the floors of all six servers leave over;
+/// one of these calls may stay unleased.
 fn expect_all_leased(fleet: &FleetHarness, servers: &[usize], within: Duration) {
     let leased = wait_for(within, || (leased(fleet, servers) >= TOTAL - 6 * FLOOR - 1).then_some(()));
     assert!(leased.is_some(), "{:?}", servers.iter().map(|&i| fleet.shared_state(i)).collect::<Vec<_>>());
@@ -191,8 +192,8 @@
     assert!(most <= TOTAL, "{most} concurrent calls");
 }
 
-/// The check rejects a budget whose floors exceed its total, and one with four voters. A reload with such a
-/// budget keeps the old one.
+/// The subcommand `check` rejects a budget whose floors exceed its total, and a budget with four voters. A
+/// server that reloads options with floors above the total keeps its previous budget.
 #[test]
 fn an_invalid_budget_is_rejected_and_a_reload_keeps_the_old_one() {
     let (fleet, _downstream) = start_fleet(24, 1, true);
--- a/crates/cli/tests/scenario_harness/options.rs
+++ b/crates/cli/tests/scenario_harness/options.rs
@@ -1,6 +1,6 @@
 //! Options with tenants for scenarios.
 
-/// Options with `count` tenants, and a ceiling of twice as many accounts plus 16.
+/// Options with `count` tenants. Their ceiling on the number of accounts is `2 * count + 16`.
 pub fn many_tenants(count: &str, weight: &str) -> String {
     let count: usize = count.parse().unwrap();
     let tenants: Vec<String> =
--- a/crates/cli/tests/scenario_harness/steps.rs
+++ b/crates/cli/tests/scenario_harness/steps.rs
@@ -1,5 +1,5 @@
-//! The steps of the notation, grouped by the part that they act on. The function of a group returns whether
-//! the step belongs to it.
+//! The steps that a scenario file may contain. Each group of steps has one function, such as
+//! `balancer_step`, which executes the step if it is in the group and otherwise returns `false`.
 
 use super::ScenarioHarness;
 use super::balancer::{Balancer, encode_array, encode_call, unescape};
@@ -236,7 +236,8 @@
         }
     }
 
-    /// Steps on the interpreter and its link.
+    /// Executes a step of the test double of the interpreter or of its link to the server. Returns `false` if
+    /// the step is not one of these.
     fn interpreter_step(&mut self, line: &str, words: &[&str]) -> bool {
         match words {
             ["link", index] => {
@@ -285,7 +286,8 @@
         true
     }
 
-    /// Steps on the downstream service and the service registry.
+    /// Executes a step of the test double of the downstream service or of the service registry. Returns
+    /// `false` if the step is not one of these.
     fn service_step(&mut self, line: &str, words: &[&str]) -> bool {
         match words {
             ["records", "full"] => self.queue_fillers.push(fill_queue(
--- a/crates/cli/tests/server.rs
+++ b/crates/cli/tests/server.rs
@@ -83,7 +83,7 @@
     &["link 0", "half-a-banner", "link 0", "link 0", "banner cold"],
     // The accept queue is full at first, so that the first connection attempts get no answer.
     &["waits 3200", "vm takes", "link 0", "banner cold"],
-    // The interpreter starts late: it accepts links and sends the banner on the newest one once it is up.
+    // The interpreter starts late: it accepts two links, and sends its banner on the newer link only.
     &["waits 3000", "link 0", "link 0", "banner cold"],
 ];
 
--- a/crates/test-doubles/src/fleet/harness.rs
+++ b/crates/test-doubles/src/fleet/harness.rs
@@ -26,7 +26,8 @@
     program: PathBuf,
     /// Service registry of all servers; receives load reports without processing them.
     registry: UdpSocket,
-    /// Interpreter address of servers without an interpreter; accepts links and never replies.
+    /// Listener to which servers connect if the harness runs no interpreter test double for them. The kernel
+    /// accepts their links, and nothing ever replies.
     silent_interpreter: TcpListener,
 }
 
@@ -199,8 +200,8 @@
         self.processes[index].as_ref().with_context(|| format!("s{index} is not running"))?.signal(name)
     }
 
-    /// Number of runs on the interpreter of server `index` whose task had run before
-    /// ([`RunCounts::repeated`]).
+    /// Number of runs that the interpreter of server `index` began although it had recently ended a run of
+    /// the same task ([`RunCounts::repeated`]).
     pub fn repeated_runs(&self, index: usize) -> u64 {
         let runs = self.processes[index].as_ref().and_then(|process| process.runs.as_ref());
         runs.map_or(0, |runs| runs.repeated.load(Relaxed))
--- a/crates/test-doubles/src/fleet/view.rs
+++ b/crates/test-doubles/src/fleet/view.rs
@@ -10,12 +10,13 @@
 /// Maximum number of log lines of each server in the report of a failed wait.
 const REPORTED_LINES: usize = 40;
 
-/// Times that the servers took to reach the expected view after a change.
+/// Times from a given instant until servers saw exactly each other alive, as measured by
+/// [`FleetHarness::wait_for_agreement`].
 #[derive(Debug, Clone)]
 pub struct AgreementTimes {
-    /// Time until each server's view first matched, by the server's index.
+    /// Time until the server first saw exactly the other expected members alive, by the server's index.
     pub by_server: BTreeMap<usize, Duration>,
-    /// Time until the views of all servers matched at once.
+    /// Time until all servers saw exactly the other expected members alive at the same moment.
     pub all: Duration,
 }
 
--- a/crates/test-doubles/src/interpreter/machine.rs
+++ b/crates/test-doubles/src/interpreter/machine.rs
@@ -1,5 +1,5 @@
-//! State of the simulated machine: runs that share the cores, and the commands on them. The caller passes the
-//! current time.
+//! State of the simulated machine: runs that share its cores, and the server's commands that start and end
+//! runs. The machine reads no clock; its caller passes the current time.
 
 use base64::{Engine, engine::general_purpose::STANDARD};
 use serde_json::{Value, json};
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Reports the utilization of the cores since the last reading and the number of runs on them.
+    /// Reports the utilization of the cores since the previous report and the number of runs on the cores.
     fn read_gauges(&mut self, command: &Value, now: Instant) -> Value {
         let span_us = now.duration_since(self.gauges_read).as_secs_f64() * 1e6;
         let utilization = (self.busy_us / span_us.max(1.0) / self.cores).min(1.0);
--- a/crates/test-doubles/src/soak/checks.rs
+++ b/crates/test-doubles/src/soak/checks.rs
@@ -11,15 +11,16 @@
 pub const STOP_AFTER: Duration = Duration::from_millis(2_000);
 /// Tolerance of the protocol for all time limits that are observed on sockets.
 pub const SLACK: Duration = Duration::from_millis(50);
-/// Maximum number of open file descriptors of a server.
+/// Limit on the open file descriptors of a server; a higher count violates an invariant.
 pub const DESCRIPTORS_MAX: u64 = 256;
-/// Maximum resident memory of a server, in KiB.
+/// Limit on the resident memory of a server, in KiB; a higher value violates an invariant.
 pub const MEMORY_KB_MAX: u64 = 192 * 1024;
 
 /// A violated invariant.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum Violation {
-    /// Connections ended without a reply to calls that had not crossed the close.
+    /// Connections ended before their calls were answered, and the calls cannot have been in transit while
+    /// the server closed the connection.
     #[error("s{server}: {lost} calls without a reply: {replies:?}")]
     LostCalls {
         /// Index of the server.
@@ -93,9 +94,9 @@
     /// The downstream service had more concurrent calls than the budget allows.
     #[error("{most} concurrent calls of a budget of {total}")]
     OverBudget {
-        /// Maximum number of concurrent calls.
+        /// Highest number of concurrent calls observed at the downstream service.
         most: u64,
-        /// Total of the budget.
+        /// Number of concurrent calls that the budget allows to all servers together.
         total: u64,
     },
     /// A server exceeded its limit of file descriptors or memory.
@@ -103,9 +104,9 @@
     OverResourceLimit {
         /// Index of the server.
         server: usize,
-        /// Maximum number of open file descriptors.
+        /// Highest number of open file descriptors observed at the server.
         descriptors: u64,
-        /// Maximum resident memory, in KiB.
+        /// Highest resident memory observed at the server, in KiB.
         memory_kb: u64,
     },
 }
@@ -117,18 +118,19 @@
     pub sent: u64,
     /// Calls that succeeded.
     pub succeeded: u64,
-    /// Calls that crossed the close of their connection.
+    /// Calls that may have been in transit while the server closed their connection.
     pub crossed: u64,
     /// Calls that were not sent, because no connection was available.
     pub unsent: u64,
-    /// Maximum number of open file descriptors of a server.
+    /// Highest number of open file descriptors observed at any server.
     pub descriptors: u64,
     /// Total time for which the machine stalled, in milliseconds.
     pub stalled_ms: u64,
 }
 
-/// Returns the violations observed by the clients of one server. Calls without a reply are allowed if they
-/// crossed the close of a connection, but not if the server was killed.
+/// Returns the violations observed by the clients of one server. A call may stay without a reply if it may
+/// have been in transit while the server closed the connection. This exception does not apply to a server
+/// that was killed; each call on a broken connection to such a server counts as lost.
 pub fn client_violations(
     server: usize,
     replies: &ReplyCounts,
--- a/crates/test-doubles/src/soak/plan.rs
+++ b/crates/test-doubles/src/soak/plan.rs
@@ -39,10 +39,10 @@
     },
 }
 
-/// An event with its start time and the server that it affects.
+/// An event, the time at which it begins, and the server that it affects.
 #[derive(Clone, Copy, Debug)]
 pub struct Scheduled {
-    /// Start time, counted from the start of the load.
+    /// Time from the start of the load until the event begins.
     pub at: Duration,
     /// Index of the affected server.
     pub server: usize,
@@ -50,7 +50,7 @@
     pub event: Event,
 }
 
-/// A signal of the series that ends a run.
+/// One of the signals that are sent to each server at the end of the load.
 #[derive(Clone, Copy, Debug)]
 pub struct LastSignal {
     /// Pause between the previous signal and this one.
--- a/crates/test-doubles/src/soak/play.rs
+++ b/crates/test-doubles/src/soak/play.rs
@@ -46,7 +46,8 @@
     pub totals: Totals,
 }
 
-/// Executes the run of a seed with the program. Fails only on an error of the harness itself.
+/// Executes the soak run that is drawn from `seed` with servers started from `program`. A violated invariant
+/// is part of the report; an `Err` is an error of the harness itself.
 pub fn run(program: &Path, seed: u64) -> Result<SoakReport> {
     let plan = Plan::draw(seed);
     let mut run = Run::start(program, &plan)?;
--- a/crates/test-doubles/src/tenant_rehearsal/invocation.rs
+++ b/crates/test-doubles/src/tenant_rehearsal/invocation.rs
@@ -32,8 +32,9 @@
         }
     }
 
-    /// Retries as long as the server rejects with a ticket and the advised time is within twice the latency
-    /// objective after the first attempt. Returns the last reply.
+    /// Sends the first attempt, and retries after the Retry-After time while the server rejects the invocation
+    /// with a ticket. Does not retry if the tenant ignores the advised time, or if that time is more than twice
+    /// the latency objective after the first attempt. Returns the last reply.
     async fn attempt_until_answered(&self, began: Instant, counted: bool) -> Option<Reply> {
         let retry_span = 2 * self.load.plan.objective;
         let mut ticket: Option<String> = None;
--- a/crates/test-doubles/src/tenant_rehearsal/plan.rs
+++ b/crates/test-doubles/src/tenant_rehearsal/plan.rs
@@ -50,7 +50,7 @@
 /// A downstream service that all servers share.
 #[derive(Clone, Debug)]
 pub struct SharedDependency {
-    /// Quota of the program: mean number of calls in flight.
+    /// Mean number of calls in flight to this service that the program is configured to allow.
     pub quota: f64,
     /// Duration of a call in the baseline phase.
     pub baseline_call_time: Duration,
--- a/crates/test-doubles/src/udp_relay.rs
+++ b/crates/test-doubles/src/udp_relay.rs
@@ -149,7 +149,8 @@
     }
 }
 
-/// Applies the faults to a datagram and queues the remaining copies, each with its due time.
+/// Applies the injected faults to a datagram. Queues each copy of the datagram that the faults do not drop,
+/// with the time at which the copy is due.
 fn inject_faults(from: usize, to: usize, bytes: &[u8], shared: &Shared) {
     let faults = lock(&shared.faults).clone();
     if faults.is_cut(faults.group(from), faults.group(to)) {
