--- a/crates/cli/tests/fair_queues.rs
+++ b/crates/cli/tests/fair_queues.rs
@@ -73,9 +73,9 @@
         light.by_tenant
     );
     // The server breaks a promise of admission if its learned concurrency limit has since fallen below half,
-    // for example because the machine stalled, and counts it as `broken`: 14 in one of three runs beside six
-    // busy processes, 0 in most runs. Nearly all other advised retries are admitted; the ratio was 0.73 when
-    // they had no place in the order of the queue.
+    // for example because the machine stalled. It counts such a promise as `broken`: 14 in one of three runs
+    // beside six busy processes, 0 in most runs. Nearly all other advised retries are admitted; the ratio was
+    // 0.73 when retries had no place in the order of the queue.
     let retries = light.advised_retries + flood.advised_retries;
     let broken = count_of(&report, "broken");
     let admitted_ratio = (light.advised_retries_admitted + flood.advised_retries_admitted) as f64
@@ -103,8 +103,8 @@
     assert!(report.groups[0].in_time_ratio() >= 0.95, "{}", report.groups[0].in_time_ratio());
 }
 
-/// The downstream service becomes eight times as slow. If all calls were made, four would be in flight on
-/// average; the quota is one.
+/// The downstream service becomes eight times as slow. If all downstream calls were made, four would be in
+/// flight on average, but the quota is one.
 #[test]
 fn a_downstream_service_that_slows_eightfold_is_not_overloaded() {
     let plan = slow_dependency_plan(Duration::from_secs(3), Duration::from_secs(8));
--- a/crates/cli/tests/fleet_cold.rs
+++ b/crates/cli/tests/fleet_cold.rs
@@ -12,7 +12,7 @@
 const SERVICES: usize = 5;
 /// Number of reports of failure that eject a service.
 const REPORTS: usize = 2;
-/// Time for which a report counts; also the length of the recovery ramp.
+/// Time for which a report of failure counts; also the duration of the recovery ramp.
 const EXPIRY: Duration = Duration::from_millis(2000);
 /// Calls per second to each process.
 const RATE: f64 = 20.0;
@@ -69,8 +69,8 @@
     assert!(readmitted.is_some(), "no server uses the service again");
     let (took, probes) = (recovered_at.elapsed(), failing.calls.load(Relaxed) - before);
 
-    // Some processes go on probing until the last one has learned of the recovery; all other calls belong to
-    // the recovery ramp.
+    // Some processes still send probes until the last process has learned of the recovery. All other calls
+    // are part of the recovery ramp.
     let probes_per_second = (2 * REPORTS * 8) as f64 / EXPIRY.as_secs_f64();
     let full_rate = RATE * PROCESSES as f64 / SERVICES as f64;
     let budget = |rate: f64, span: Duration| {
--- a/crates/cli/tests/fleet_membership.rs
+++ b/crates/cli/tests/fleet_membership.rs
@@ -47,7 +47,7 @@
 fn a_short_stall_is_not_declared_down_and_a_long_one_is_then_recovers() {
     let mut fleet = start_fleet(5, 12);
     expect_agreement(&fleet, &all(5), Duration::from_secs(15));
-    // A stall under half of the suspicion time: no member declares s2 down.
+    // A stall shorter than half of the suspicion time: no member declares s2 down.
     fleet.signal(2, "STOP").unwrap();
     std::thread::sleep(Duration::from_millis(PROBE_PERIOD_MS * SUSPICION_PERIODS / 2));
     fleet.signal(2, "CONT").unwrap();
--- a/crates/cli/tests/fleet_rollout.rs
+++ b/crates/cli/tests/fleet_rollout.rs
@@ -47,7 +47,7 @@
     fleet
 }
 
-/// Starts a load on each server that needs half of its cores.
+/// Starts a load on each server; each load needs half of its server's cores.
 fn start_loads(fleet: &FleetHarness, span: Duration) -> Vec<JoinHandle<ReplyCounts>> {
     let to = |i: usize| fleet.listen_address(i).expect("the server has logged its listen address");
     ALL.iter()
@@ -250,7 +250,7 @@
     let replies = expect_all_answered(load);
     println!("{replies:?}");
     // The adoption is recorded on disk, so that a killed server restarts with the adopted settings. If the
-    // candidate file has changed since, the server restarts with its own settings.
+    // candidate file has changed after the adoption, the server restarts with its own settings.
     assert!(ALL.iter().all(|i| adoption_mark(&fleet, *i).exists()));
     fleet.signal(4, "KILL").unwrap();
     fleet.start(4).unwrap();
@@ -380,7 +380,7 @@
         let replies: Vec<ReplyCounts> = load.into_iter().map(|load| load.join().unwrap()).collect();
         println!("{replies:?}");
         // During a restart calls cannot connect, and calls that arrive before the new process is linked to
-        // the interpreter fail immediately: at most one fiftieth of the load of each server.
+        // the interpreter fail immediately. Both together are at most one fiftieth of each server's load.
         for (i, load) in replies.iter().enumerate() {
             let stopped = broken && restarts.contains(&i);
             assert!(stopped || (load.errored + load.unanswered) * 50 <= load.sent, "s{i}: {replies:?}");
--- a/crates/cli/tests/fleet_state.rs
+++ b/crates/cli/tests/fleet_state.rs
@@ -72,8 +72,8 @@
     assert!(leased.is_some(), "{:?}", servers.iter().map(|&i| fleet.shared_state(i)).collect::<Vec<_>>());
 }
 
-/// Waits until all servers log the same total of invocations. The total must equal the calls sent, less at
-/// most the calls without a reply.
+/// Waits until all servers log an equal total of invocations. The total must be at most the number of calls
+/// sent, and at least the number of calls sent minus the calls without a reply.
 fn expect_equal_totals(fleet: &FleetHarness, servers: &[usize], replies: &ReplyCounts) {
     let sent = replies.sent;
     let agree = || {
@@ -109,7 +109,8 @@
     sum
 }
 
-/// Control test for the tests of the budget: without one, the load exceeds the same limit.
+/// Control test for the tests of the budget: if the servers share no budget, the load exceeds the limit that
+/// the budget would enforce.
 #[test]
 fn without_a_budget_concurrent_calls_exceed_the_limit() {
     let (fleet, downstream) = start_fleet(21, 5, false);
@@ -128,8 +129,8 @@
     fleet.wait_for_agreement(&all, Instant::now(), Duration::from_secs(15)).unwrap();
     let load = start_loads(&fleet, &all, Duration::from_secs(22));
     expect_all_leased(&fleet, &all, Duration::from_secs(15));
-    // A partition into two and three servers under load: the two lose their leases and keep their floors, the
-    // three lease the rest of the budget.
+    // A partition under load into a group of two servers and a group of three. The group of two loses its
+    // leases and keeps its floors; the group of three leases the rest of the budget.
     fleet.relay.change_faults(|f| {
         f.groups.extend([(0, 1), (1, 1)]);
         f.partition(0, 1);
@@ -218,8 +219,8 @@
     assert_eq!(code, Some(1), "{stderr}");
     assert!(stderr.contains("voter: 1, 3, 5, 7 or 9 different names, not 4"), "{stderr}");
     assert_eq!(check(&good).0, Some(0));
-    // The server is one voter of five, so that there is no majority for a lease: it only has its floor,
-    // before and after the rejected reload.
+    // The server is the only running one of five voters, so that no majority can grant it a lease. It has only
+    // its floor, before and after the rejected reload.
     let floor = |within| wait_for(within, || (shared_state_field(&fleet, 0, "floor") == FLOOR).then_some(()));
     assert!(floor(Duration::from_secs(10)).is_some());
     std::fs::write(&xml, bad).unwrap();
@@ -364,9 +365,9 @@
     assert!(replies.succeeded * 2 > replies.sent, "{replies:?}");
 }
 
-/// Only one server cannot reach a service. If two reports are required, no server ejects the service, and
-/// that server avoids it by itself. If one report is required, all servers eject it: requiring a second
-/// report prevents this.
+/// Only one server cannot reach a service. If two reports of failure are required to eject a service, no
+/// server ejects this one, and the affected server avoids it by its own verdict. If one report is enough, all
+/// servers eject the service; requiring a second report prevents this.
 #[test]
 fn a_service_that_only_one_server_cannot_reach_is_not_ejected() {
     for (reports, seed) in [(2, 32), (1, 33)] {
--- a/crates/cli/tests/log_reader_gone.rs
+++ b/crates/cli/tests/log_reader_gone.rs
@@ -5,7 +5,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Maximum time until the server exits; well over the stop time in the configuration, 3.2 s.
+/// Maximum time to wait until the server exits. The stop time in the configuration is only 3.2 s.
 const EXIT_MAX: Duration = Duration::from_secs(15);
 
 /// Kills the server process at the end of the test, also when the test panics.
--- a/crates/cli/tests/scenario_harness/steps.rs
+++ b/crates/cli/tests/scenario_harness/steps.rs
@@ -37,7 +37,8 @@
         assert!(known, "unknown step {line:?}");
     }
 
-    /// Steps on the server process: start, exit, log and counters.
+    /// Executes a step on the server process (start, exit, log or counters). Returns `false` if the step is
+    /// not one of these.
     fn process_step(&mut self, line: &str, words: &[&str]) -> bool {
         match words {
             ["start"] => {
@@ -108,7 +109,8 @@
         true
     }
 
-    /// Steps that change the configuration and options files of the server.
+    /// Executes a step that changes the configuration or options file of the server. Returns `false` if the
+    /// step is not one of these.
     fn configuration_step(&mut self, line: &str, words: &[&str]) -> bool {
         match words {
             ["config", path, ..] => self.configure(path, rest_of(line, 2)),
@@ -143,7 +145,8 @@
         true
     }
 
-    /// Steps on connections of balancers.
+    /// Executes a step on a balancer's connection to the server. Returns `false` if the step is not one of
+    /// these.
     fn balancer_step(&mut self, line: &str, words: &[&str]) -> bool {
         match words {
             ["open", name] => {
--- a/crates/test-doubles/src/balancers.rs
+++ b/crates/test-doubles/src/balancers.rs
@@ -13,8 +13,8 @@
 
 /// Maximum number of calls in flight on one connection.
 const CALLS_MAX: usize = 32;
-/// A call that was sent at most this long before its connection ended may have crossed the server's close in
-/// transit and counts as crossed.
+/// Maximum time between the sending of a call and the end of its connection for the call to count as
+/// crossed: it may have been in transit when the server closed the connection.
 const CROSSING: Duration = Duration::from_millis(50);
 const READ_CHUNK_BYTES: usize = 16 * 1024;
 
@@ -86,7 +86,7 @@
     /// Calls whose connection ended before their reply.
     pub broken_calls: Cell<u64>,
     /// Part of `broken_calls`: calls sent so shortly before the end of their connection that they may have
-    /// crossed the server's close.
+    /// been in transit when the server closed the connection.
     pub crossed_calls: Cell<u64>,
     /// Calls that were not sent, because no connection had capacity or a new one could not be opened.
     pub unsent_calls: Cell<u64>,
--- a/crates/test-doubles/src/downstream_service.rs
+++ b/crates/test-doubles/src/downstream_service.rs
@@ -19,7 +19,8 @@
     pub ended_us: u64,
 }
 
-/// Behaviour and counts of the service. A cancelled call stays in flight for its whole call time, too.
+/// Behaviour and counts of the service. Like any other call, a call that the caller cancels stays in flight
+/// at the service for the whole call time.
 #[derive(Default)]
 pub struct DownstreamService {
     /// Duration of calls that arrive from now on, in microseconds.
@@ -30,7 +31,7 @@
     pub total_call_time_us: AtomicU64,
     /// Number of calls in flight.
     pub in_flight: AtomicU64,
-    /// Maximum number of concurrent calls since this was last set to 0.
+    /// Highest number of concurrent calls observed since a test last set this value to 0.
     pub most_in_flight: AtomicU64,
     /// Makes each call fail immediately with status 500.
     pub fails: AtomicBool,
@@ -44,7 +45,8 @@
         self.served.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Returns the calls that were in flight when concurrency was highest, by their start and end times.
+    /// Returns the calls that were in flight at the moment of highest concurrency. The moment is found from
+    /// the start and end times of the calls.
     pub fn busiest_moment(&self) -> Vec<ServedCall> {
         let served = self.served();
         let in_flight_at =
--- a/crates/test-doubles/src/fleet/harness.rs
+++ b/crates/test-doubles/src/fleet/harness.rs
@@ -148,8 +148,8 @@
             .context("cannot start the program")
     }
 
-    /// Waits until the server logs its membership address and registers the address with the relay. Skips
-    /// `earlier_joins` log lines of previous starts.
+    /// Waits until server `index` logs its membership address, and registers the address with the relay.
+    /// Ignores the first `earlier_joins` such log lines, which previous starts of the server wrote.
     fn wait_until_joined(
         &mut self,
         index: usize,
--- a/crates/test-doubles/src/interpreter/link.rs
+++ b/crates/test-doubles/src/interpreter/link.rs
@@ -45,8 +45,8 @@
             }
             Event::Closed => return Ok(()),
         }
-        // The reply to a command has no index and is not retained. The end of a run that the command stopped
-        // has one.
+        // Only notices with an index are retained. A direct reply to a command has none; the notice that a
+        // command has halted a run has one.
         machine.retain_notices(&notices[run_notices..]);
         let text: String = notices.iter().map(|notice| format!("{notice}\n")).collect();
         (&stream).write_all(text.as_bytes()).await?;
--- a/crates/test-doubles/src/interpreter/machine.rs
+++ b/crates/test-doubles/src/interpreter/machine.rs
@@ -137,7 +137,8 @@
         }
     }
 
-    /// Retains notices that have an index for the next link, in case the current one fails to deliver them.
+    /// Retains the notices that have an index, to replay them on the next link if the server does not read
+    /// them on the current link.
     pub fn retain_notices(&mut self, notices: &[Value]) {
         let last_retained = self.notices.back().and_then(|notice| notice["index"].as_u64()).unwrap_or(0);
         let is_new = |notice: &&Value| notice["index"].as_u64().is_some_and(|index| index > last_retained);
--- a/crates/test-doubles/src/open_loop.rs
+++ b/crates/test-doubles/src/open_loop.rs
@@ -31,8 +31,8 @@
     pub unsent: u64,
     /// Part of `unanswered`: calls whose connection broke.
     pub broken: u64,
-    /// Part of `broken`: calls sent so shortly before the end of their connection that they may have crossed
-    /// the server's close.
+    /// Part of `broken`: calls sent so shortly before the end of their connection that they may have been in
+    /// transit when the server closed the connection.
     pub crossed: u64,
     /// Replies without a waiting caller, such as a second reply to the same call.
     pub unexpected: u64,
--- a/crates/test-doubles/src/soak.rs
+++ b/crates/test-doubles/src/soak.rs
@@ -1,6 +1,6 @@
 //! A soak test: processes of the program under load, signals and faults, with all times and choices drawn
-//! from a seed. Clients send until each server is killed at the earliest time that the protocol allows: the
-//! stop time after the drain notice. The report of [`run`] lists the violated invariants.
+//! from a seed. A server that has not exited by itself is killed at the earliest time that the protocol
+//! allows: the stop time after its drain notice. The report of [`run`] lists the violated invariants.
 
 mod checks;
 mod idle_connections;
--- a/crates/test-doubles/src/soak/checks.rs
+++ b/crates/test-doubles/src/soak/checks.rs
@@ -3,9 +3,9 @@
 use crate::open_loop::ReplyCounts;
 use std::time::Duration;
 
-/// Time within which each call must be answered, as in the configuration of the harness.
+/// Client timeout in the harness's configuration; each call must be answered within this time.
 pub const CLIENT_TIMEOUT: Duration = Duration::from_millis(9_000);
-/// Grace after the drain notice in which new calls still run, as in the configuration of the harness.
+/// Grace in the harness's configuration: the time after the drain notice in which new calls still run.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(200);
 /// Time from the drain notice until the server is killed.
 pub const STOP_AFTER: Duration = Duration::from_millis(2_000);
@@ -56,7 +56,7 @@
         /// Number of repeated runs.
         runs: u64,
     },
-    /// A call ran although it was sent after the drain grace.
+    /// A call ran although it was sent after the end of the drain grace.
     #[error("s{server}: a call succeeded that was sent {after_ms} ms after the drain notice")]
     RanAfterGrace {
         /// Index of the server.
@@ -64,8 +64,8 @@
         /// Time from the drain notice until the call was sent, in milliseconds.
         after_ms: u64,
     },
-    /// The server still accepted connections when its kill was due. That its process still runs then is
-    /// allowed, because its last replies are due immediately before.
+    /// The server still accepted connections at the time when the harness kills it. Its process may still run
+    /// at that time, because its last replies are due immediately before.
     #[error("s{server}: accepts connections {STOP_AFTER:?} after the drain notice; {counters}; {log:#?}")]
     AcceptsAtKill {
         /// Index of the server.
--- a/crates/test-doubles/src/soak/plan.rs
+++ b/crates/test-doubles/src/soak/plan.rs
@@ -132,7 +132,8 @@
     let event = match rng.random_range(0..6) {
         0 | 1 => Event::Stop { span: Duration::from_millis(rng.random_range(50..longest_stop)) },
         2 => Event::LogCounters,
-        // Not with a shared budget, which counts a call for as long as the service has not answered it.
+        // A silent service is drawn only for a single server. Several servers share a budget, which counts a
+        // call until the service has answered it.
         3 if servers == 1 => {
             Event::SilentService { span: Duration::from_millis(rng.random_range(200..1_500)) }
         }
--- a/crates/test-doubles/src/soak/play.rs
+++ b/crates/test-doubles/src/soak/play.rs
@@ -20,7 +20,7 @@
 /// Concurrent downstream calls that each server may make without a lease.
 const BUDGET_FLOOR: u64 = 1;
 const CORES: f64 = 4.0;
-/// Call time while the downstream service does not answer; longer than the run.
+/// Call time that makes the downstream service silent, because it is longer than the whole run.
 const SILENT: Duration = Duration::from_secs(60);
 const CONNECT_MAX: Duration = Duration::from_millis(200);
 /// A gap between two polls that is longer than this counts as a stall of the machine. Time limits of the
@@ -30,7 +30,7 @@
 const START_MAX: Duration = Duration::from_secs(30);
 /// Maximum number of log lines in the report of a server that had to be killed.
 const LOG_TAIL: usize = 12;
-/// Maximum time until the last line of a server's log has been read.
+/// Maximum time to wait for the log line with a server's final counters after the server has exited.
 const LAST_LINE_MAX: Duration = Duration::from_secs(3);
 
 /// Result of a soak run.
@@ -164,7 +164,8 @@
         Ok(())
     }
 
-    /// Adds up the time for which a server is stopped; a STOP of a stopped server has no effect.
+    /// Records the times of the signals STOP and CONT to add up how long a server is stopped. A STOP of a
+    /// server that is already stopped has no effect.
     fn record_stop(&mut self, server: usize, signal: &str) {
         let observed = &mut self.observed[server];
         match signal {
@@ -182,7 +183,8 @@
         let text = std::fs::read_to_string(&file)?;
         self.reloads += 1;
         let (old, new) = (tenants(self.reloads - 1), tenants(self.reloads));
-        // The file may be older than the previous change, which may have gone to another server.
+        // The previous change may have been written to another server's file, so that this file still has
+        // the weights of any earlier change.
         let earlier = (0..self.reloads).map(tenants).find(|tenants| text.contains(tenants));
         std::fs::write(file, text.replace(&earlier.unwrap_or(old), &new))?;
         Ok(())
@@ -335,7 +337,7 @@
     }
 }
 
-/// Converts the events of a plan to actions with their times, which are not sorted.
+/// Converts the events of a plan to actions with start times. The actions are not sorted by time.
 fn schedule(plan: &Plan) -> Vec<ScheduledAction> {
     let mut actions = Vec::new();
     for scheduled in &plan.events {
--- a/crates/test-doubles/src/tenant_rehearsal/invocation.rs
+++ b/crates/test-doubles/src/tenant_rehearsal/invocation.rs
@@ -33,8 +33,8 @@
     }
 
     /// Sends the first attempt, and retries after the Retry-After time while the server rejects the invocation
-    /// with a ticket. Does not retry if the tenant ignores the advised time, or if that time is more than twice
-    /// the latency objective after the first attempt. Returns the last reply.
+    /// with a ticket. Does not retry if the invocation is drawn to ignore the server's advice, or if the retry
+    /// would begin more than twice the latency objective after the first attempt. Returns the last reply.
     async fn attempt_until_answered(&self, began: Instant, counted: bool) -> Option<Reply> {
         let retry_span = 2 * self.load.plan.objective;
         let mut ticket: Option<String> = None;
--- a/crates/test-doubles/src/tenant_rehearsal/plan.rs
+++ b/crates/test-doubles/src/tenant_rehearsal/plan.rs
@@ -15,8 +15,8 @@
     pub overload_rate: f64,
     /// Core time of each invocation.
     pub work: Duration,
-    /// Share of the invocations that, when rejected, are retried as the server advised; the others are not
-    /// retried.
+    /// Share of the invocations, from 0 to 1, that are retried as the server advises if they are rejected.
+    /// Other invocations are not retried.
     pub follows_advice: f64,
     /// Number of names under which each tenant sends in turn; 1 for an honest tenant.
     pub names_per_tenant: u64,
@@ -63,8 +63,8 @@
     <share at-once-ms=\"5000\" probation-ms=\"1000\" late-ms=\"500\"/>\n  </tenants>\n</meadowstream>\n";
 
 /// Plan with `light_tenants` tenants that stay within their quotas and one tenant that floods the program. In
-/// overload all tenants together send three times the capacity of the cores, nine tenths of it by the
-/// flooding tenant.
+/// the overload phase all tenants together send three times the capacity of the cores; the flooding tenant
+/// sends nine tenths of this load.
 pub fn overload_plan(baseline: Duration, overload: Duration, light_tenants: usize) -> RehearsalPlan {
     let (cores, work) = (2.0, Duration::from_millis(4));
     let capacity_rate = cores / work.as_secs_f64();
