--- a/crates/cli/examples/mixed_fleet.rs
+++ b/crates/cli/examples/mixed_fleet.rs
@@ -90,7 +90,8 @@
     )
 }
 
-/// Loads every server beyond its floor and checks that the servers lease the whole budget and that the
+/// Sends every server a load that needs more downstream calls than its floor. Checks that each server
+/// gets a lease, that the leases cover the budget beyond the floors except for at most one call, and that the
 /// downstream service never has more concurrent calls than the budget.
 fn share_budget(fleet: &FleetHarness, downstream: &downstream_service::DownstreamService) -> Result<()> {
     let servers: Vec<usize> = (CONTROL_MACHINES..PROCESSES).collect();
@@ -119,8 +120,8 @@
     Ok(())
 }
 
-/// Publishes a change with the `publish` command of one release, which waits until the change is in force on
-/// all members.
+/// Publishes a change with the `publish` command of one release. The command waits until the change is in
+/// force on all members.
 fn publish(fleet: &FleetHarness, program: &Path, release: &str) -> Result<String> {
     let free = UdpSocket::bind("127.0.0.1:0")?.local_addr()?;
     fleet.relay.register(PROCESSES, free);
--- a/crates/cli/tests/fleet_membership.rs
+++ b/crates/cli/tests/fleet_membership.rs
@@ -109,8 +109,8 @@
     expect_agreement(&fleet, &all(4), Duration::from_secs(10));
 }
 
-/// Regression test: before each member timed out suspects itself, a member stayed suspect in all other views
-/// after a one-way cut (2 of about 9 runs).
+/// Regression test. When members did not yet time out suspects independently of each other, a member stayed
+/// suspect in all other views after a one-way cut (in 2 of about 9 runs).
 #[test]
 fn views_agree_after_a_one_way_cut() {
     let fleet = start_fleet(5, 14);
@@ -137,7 +137,7 @@
         (0..5).map(|i| (0..5).map(|j| fleet.down_count(i, &format!("s{j}"))).sum::<usize>()).sum();
     assert!(down_count <= 1, "{down_count} members declared down falsely in 4 s");
     expect_agreement(&fleet, &all(5), Duration::from_secs(10));
-    // The processes count the duplicates, which they drop as replays.
+    // The processes drop duplicate datagrams as replays and count them.
     let counts = fleet.view_field(0, "counts").expect("a view");
     assert!(counts["dropped"][7].as_u64().unwrap() > 0, "no replay was dropped: {counts}");
 }
@@ -177,8 +177,8 @@
     assert!(stderr.contains(&format!("<membership>: cannot bind {address}")), "{stderr}");
 }
 
-/// Two fleets must not merge when a member of one takes over the port of a killed member of the other: the
-/// system may reassign the port, and the remaining members still send to it.
+/// Two fleets must not merge when the system assigns the port of a killed member to a member of the other
+/// fleet, although the remaining members of the first fleet still send to that port.
 #[test]
 fn a_killed_members_port_in_another_fleet_does_not_merge_the_views() {
     let mut fleet = start_fleet(5, 19);
--- a/crates/cli/tests/fleet_rollout.rs
+++ b/crates/cli/tests/fleet_rollout.rs
@@ -61,8 +61,8 @@
     std::fs::write(fleet.folder().join("next.xml"), text).unwrap();
 }
 
-/// Writes a plan of three stages. Its thresholds are so high that other work on the machine does not exceed
-/// them; the bad changes of these tests exceed them by far.
+/// Writes a plan of three stages. The thresholds of the plan are so high that interference by other work on
+/// the machine does not exceed them. The bad changes in these tests exceed the thresholds by far.
 fn write_plan(fleet: &FleetHarness, name: &str) -> PathBuf {
     let text = format!(
         r#"<plan xmlns="urn:meadowstream:options:1" name="{name}" candidate="next.xml" interval-ms="250"
@@ -80,12 +80,13 @@
 /// A process of the command `rollout`, killed when dropped.
 struct Coordinator {
     child: Child,
-    /// Lines of its standard output and standard error so far.
+    /// Lines that the process has written to standard output and standard error so far.
     lines: Arc<Mutex<Vec<String>>>,
 }
 
 impl Coordinator {
-    /// Starts a coordinator at an endpoint of the relay; each start uses another port.
+    /// Starts a coordinator that the servers reach at endpoint `endpoint` of the relay. Each start uses another
+    /// local port.
     fn start(fleet: &FleetHarness, plan: &Path, endpoint: usize, wait_s: u64) -> Coordinator {
         let free = UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
         fleet.relay.register(endpoint, free);
@@ -302,7 +303,8 @@
     expect_all_answered(load);
 }
 
-/// An invalid candidate or plan, and a change that the servers reject: each error names its place or reason.
+/// A rollout fails with an invalid candidate, an invalid plan, or a change that the servers reject. Each error
+/// message names the place in the file or the reason.
 #[test]
 fn invalid_candidates_and_plans_are_rejected_with_their_place() {
     let _exclusive = lock_exclusive();
--- a/crates/cli/tests/scenario_harness/balancer.rs
+++ b/crates/cli/tests/scenario_harness/balancer.rs
@@ -7,16 +7,16 @@
 /// A client connection to the server, as a balancer opens it.
 pub struct Balancer {
     pub stream: BufReader<TcpStream>,
-    /// Replies that were read while waiting for another one.
+    /// Replies that were read while waiting for the reply to another call.
     pub replies: Vec<Vec<String>>,
 }
 
-/// Reference of the invocation with this tag, as written on the wire.
+/// Reference, as written on the wire, of the invocation that has this tag in a scenario file.
 pub fn reference(tag: &str) -> String {
     format!("{:016x}", 0xabc0_0000_0000 + tag.parse::<u64>().expect("a tag"))
 }
 
-/// Replaces the escapes `\r` and `\n` of the notation.
+/// Replaces the escapes `\r` and `\n` in the text of a step by the characters.
 pub fn unescape(text: &str) -> Vec<u8> {
     text.replace("\\r", "\r").replace("\\n", "\n").into_bytes()
 }
@@ -48,7 +48,7 @@
         Some(words.collect())
     }
 
-    /// Waits for the reply with this tag; keeps earlier replies with other tags.
+    /// Waits for the reply with this tag. Keeps replies with other tags, which arrive before it, in `replies`.
     pub fn wait_for_reply(&mut self, tag: &str) -> Vec<String> {
         loop {
             if let Some(i) = self.replies.iter().position(|words| words[0] == tag) {
--- a/crates/cli/tests/scenario_harness/mod.rs
+++ b/crates/cli/tests/scenario_harness/mod.rs
@@ -94,7 +94,7 @@
     interpreter: TcpListener,
     /// Start time of the interpreter, for banners without an age.
     interpreter_started: Instant,
-    /// Connections that fill accept queues.
+    /// Connections that keep the accept queues of listeners full.
     queue_fillers: Vec<TcpStream>,
     link: Option<Link>,
     gauges: Arc<AtomicBool>,
@@ -229,8 +229,8 @@
         }
     }
 
-    /// Checks the longest pause of each change of settings in the log; `field` selects elapsed time or
-    /// processor time.
+    /// Checks that no change of settings in the log has a longer pause than `ms` milliseconds. `field` selects
+    /// elapsed time or processor time.
     fn expect_pauses_at_most(&mut self, field: &str, ms: u64) {
         self.log_lines.extend(self.log.try_iter());
         let prefix = format!("{field}=");
@@ -255,7 +255,7 @@
         assert!(Command::new("kill").args([&format!("-{name}"), &id]).status().unwrap().success());
     }
 
-    /// Requests the counters until one has reached a minimum.
+    /// Requests the server's counters until counter `name` is at least `least`.
     fn wait_for_counter(&mut self, name: &str, least: u64) {
         let end = Instant::now() + WAIT_MAX;
         while Instant::now() < end {
@@ -274,7 +274,8 @@
         counter.expect("a counter").parse().unwrap()
     }
 
-    /// Waits until unanswered connection attempts to the interpreter have come from two different ports.
+    /// Waits until the server has made unanswered connection attempts to the interpreter from two different
+    /// ports.
     fn wait_for_second_connect(&self) {
         let (end, mut ports) = (Instant::now() + WAIT_MAX, std::collections::HashSet::new());
         while Instant::now() < end {
--- a/crates/cli/tests/scenario_harness/steps.rs
+++ b/crates/cli/tests/scenario_harness/steps.rs
@@ -17,7 +17,7 @@
     line.splitn(words + 1, ' ').nth(words).unwrap_or("")
 }
 
-/// Time between two connections of the step `come until refused`.
+/// Time between two connection attempts in the step `come until refused`.
 const CALLERS_INTERVAL: Duration = Duration::from_millis(50);
 /// Steps that may belong to the replay of notices after a banner; any other step ends the replay.
 const REPLAY_STEPS: [&str; 6] = ["ok", "ok-big", "awaits", "notice", "long", "waits"];
@@ -173,8 +173,8 @@
                 let balancer = self.balancers.remove(*name).expect("open");
                 assert_eq!(balancer.stream.get_ref().peek(&mut [0]).expect("in time"), 1);
             }
-            // The requests are encoded while they are sent. If they were all encoded first, the connection
-            // would be idle meanwhile and the server would drain it.
+            // The requests are encoded in chunks while they are sent. If all requests were encoded first, the
+            // connection would be idle in the meantime and the server would drain it.
             ["flood", name, count] => {
                 let mut stream = self.balancer(name).stream.get_ref().try_clone().unwrap();
                 let count: usize = count.parse().unwrap();
@@ -188,7 +188,7 @@
             ["drink", name, count] => {
                 for tag in 1..=count.parse::<usize>().unwrap() {
                     let mut words = self.balancer(name).read_array().expect("an answer");
-                    // The server sends a drain notice on a connection that makes no progress for long.
+                    // Skips drain notices, which the server sends on a connection without progress for long.
                     while words[1] == "enough" {
                         words = self.balancer(name).read_array().expect("an answer");
                     }
--- a/crates/test-doubles/src/fleet/harness.rs
+++ b/crates/test-doubles/src/fleet/harness.rs
@@ -124,8 +124,8 @@
         Ok(())
     }
 
-    /// Starts the program of server `index`: the one named in the mark file that a rollout has written for
-    /// the server, or else the one that the harness assigns.
+    /// Starts a process for server `index`. If a rollout has written a mark file for the server, the process
+    /// runs the program named in that file; otherwise the program that the harness assigns to the server.
     fn spawn(&self, index: usize) -> Result<Child> {
         let options = self.folder.join(format!("s{index}.xml"));
         let mark = std::fs::read_to_string(self.folder.join(format!("s{index}.xml.program"))).ok();
@@ -242,7 +242,7 @@
         log.lines().iter().any(|line| contains(&line.fields))
     }
 
-    /// Fields of the log lines of server `index` with this message, oldest first.
+    /// Fields of the log lines of server `index` whose message is `message`, oldest first.
     pub fn log_lines(&self, index: usize, message: &str) -> Vec<Value> {
         self.log(index).map_or(Vec::new(), |log| log.events(message))
     }
--- a/crates/test-doubles/src/fleet/log.rs
+++ b/crates/test-doubles/src/fleet/log.rs
@@ -41,19 +41,20 @@
         Ok(())
     }
 
-    /// Locks the lines and returns them.
+    /// Locks the log and returns its lines, which stay locked while the guard lives.
     pub fn lines(&self) -> MutexGuard<'_, Vec<LogLine>> {
         self.lines.lock().expect("no thread panics while it holds the lines of a log")
     }
 
-    /// Returns the fields of all lines with this message, oldest first.
+    /// Returns the fields of all log lines whose message is `message`, oldest first.
     pub fn events(&self, message: &str) -> Vec<Value> {
         let lines = self.lines();
         let of_event = lines.iter().filter(|line| line.fields["message"] == message);
         of_event.map(|line| line.fields.clone()).collect()
     }
 
-    /// Returns the fields of the last line with this message that was read at `since` or later.
+    /// Returns the fields of the last log line whose message is `message`. With `since`, only lines read at
+    /// that time or later count.
     pub fn last_event(&self, message: &str, since: Option<Instant>) -> Option<Value> {
         let lines = self.lines();
         let recent = |line: &&LogLine| since.is_none_or(|since| line.at >= since);
--- a/crates/test-doubles/src/fleet/view.rs
+++ b/crates/test-doubles/src/fleet/view.rs
@@ -26,8 +26,8 @@
         self.member_states_since(index, None)
     }
 
-    /// Like [`Self::member_states`], but ignores lines read before `since`. The last line of a stalled
-    /// server is older than its stall and does not show its current view.
+    /// Like [`Self::member_states`], but ignores log lines read before `since`. The last line of a stalled
+    /// server was written before the stall and does not show the server's current view.
     fn member_states_since(&self, index: usize, since: Option<Instant>) -> BTreeMap<String, String> {
         let view = self.log(index).and_then(|log| log.last_event("view", since));
         let Some(members) = view.as_ref().and_then(|view| view["members"].as_str()) else {
@@ -66,13 +66,13 @@
         not_down == expected.len() && expected.iter().all(is_alive)
     }
 
-    /// Whether each of `members` sees exactly the other ones alive.
+    /// Whether each of `members` sees exactly the other `members` alive.
     pub fn views_agree(&self, members: &[usize]) -> bool {
         members.iter().all(|&index| self.sees(index, members))
     }
 
-    /// Waits up to `within` until each of `members` sees exactly the other ones alive. Returns times counted
-    /// from `since`; fails with a report of the logs if the views do not agree in time.
+    /// Waits up to `within` until each of `members` sees exactly the other `members` alive. Returns times
+    /// counted from `since`; fails with a report of the logs if the views do not agree in time.
     pub fn wait_for_agreement(
         &self,
         members: &[usize],
--- a/crates/test-doubles/src/interpreter/machine.rs
+++ b/crates/test-doubles/src/interpreter/machine.rs
@@ -15,9 +15,9 @@
     pub begun: AtomicU64,
     /// Runs that have ended.
     pub ended: AtomicU64,
-    /// Runs that began although a run of the same task had ended within the previous 10 s.
+    /// Runs that began although another run of their task had ended within the previous 10 s.
     pub repeated: AtomicU64,
-    /// Maximum number of runs on the cores at once.
+    /// Highest number of runs observed on the cores at once.
     pub most_concurrent: AtomicU64,
 }
 
@@ -25,8 +25,8 @@
 struct Run {
     /// Core time left until the run's downstream call, or until its end if no call is left.
     remaining_us: f64,
-    /// Core time from the downstream call to the end of the run; `None` once the call has begun or without a
-    /// call.
+    /// Core time from the downstream call to the end of the run. `None` if the run makes no downstream call or
+    /// has already begun it.
     after_call_us: Option<f64>,
     awaits_call: bool,
     total_us: f64,
@@ -45,7 +45,7 @@
     }
 }
 
-/// The runs, and their notices for the server.
+/// The simulated machine with its runs, and the notices about the runs for the server.
 pub struct Machine {
     cores: f64,
     runs: BTreeMap<String, Run>,
@@ -98,7 +98,7 @@
         (self.cores / self.runs_on_cores().max(1) as f64).min(1.0)
     }
 
-    /// Time when the next run reaches its downstream call or its end; `None` if no run is on the cores.
+    /// Earliest time at which a run reaches its downstream call or its end; `None` if no run is on the cores.
     pub fn next_due(&self) -> Option<Instant> {
         let on_cores = self.runs.values().filter(|run| !run.awaits_call);
         let least_us = on_cores.map(|run| run.remaining_us).reduce(f64::min)?;
@@ -164,8 +164,8 @@
         }
     }
 
-    /// Begins a new link: sends the banner and replays the notices after the last one that the server has
-    /// read.
+    /// Begins a new link: sends the banner, and then replays the notices that follow the last notice that the
+    /// server has read.
     fn connect(&self, command: &Value, now: Instant, notices: &mut Vec<Value>) {
         let age_ms = now.duration_since(self.started).as_millis() as u64 + INITIAL_AGE_MS;
         notices.push(json!({"verb": "BANNER", "outcome": "warm", "spent": age_ms}));
--- a/crates/test-doubles/src/soak.rs
+++ b/crates/test-doubles/src/soak.rs
@@ -1,6 +1,7 @@
 //! A soak test: processes of the program under load, signals and faults, with all times and choices drawn
-//! from a seed. A server that has not exited by itself is killed at the earliest time that the protocol
-//! allows: the stop time after its drain notice. The report of [`run`] lists the violated invariants.
+//! from a seed. The protocol allows to kill a server from the stop time after its drain notice. Clients send
+//! calls until about that time, and the harness then kills each server that still runs. The report of [`run`]
+//! lists the violated invariants.
 
 mod checks;
 mod idle_connections;
--- a/crates/test-doubles/src/soak/play.rs
+++ b/crates/test-doubles/src/soak/play.rs
@@ -23,8 +23,8 @@
 /// Call time that makes the downstream service silent, because it is longer than the whole run.
 const SILENT: Duration = Duration::from_secs(60);
 const CONNECT_MAX: Duration = Duration::from_millis(200);
-/// A gap between two polls that is longer than this counts as a stall of the machine. Time limits of the
-/// protocol do not include such stalls.
+/// A longer gap than this between two polls of the harness counts as a stall of the machine. The duration of
+/// stalls is not counted against the time limits of the protocol.
 const STALL: Duration = Duration::from_millis(200);
 const POLL_PERIOD: Duration = Duration::from_millis(5);
 const START_MAX: Duration = Duration::from_secs(30);
@@ -222,7 +222,7 @@
         Ok(())
     }
 
-    /// Kills a server that has not exited, after recording whether it still accepts connections.
+    /// Records whether a server that has not exited still accepts connections, and kills it.
     fn kill(&mut self, server: usize) -> Result<()> {
         let to = self.fleet.listen_address(server).context("the server has not logged its listen address")?;
         self.observed[server].accepts_at_kill = TcpStream::connect_timeout(&to, CONNECT_MAX).is_ok();
--- a/crates/test-doubles/src/tcp_relay.rs
+++ b/crates/test-doubles/src/tcp_relay.rs
@@ -14,9 +14,10 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Maximum number of concurrent connections of a relay; further ones are closed when accepted.
+/// Maximum number of concurrent connections of a relay. Further connections are closed when accepted.
 pub const CONNECTIONS_MAX: usize = 512;
-/// Period at which threads check for a new connection, the end of a cut, or the end of the relay.
+/// Period at which the relay's threads check for a new connection, for the end of a cut, and whether the
+/// relay has been dropped.
 const POLL_PERIOD: Duration = Duration::from_millis(5);
 const READ_TIMEOUT: Duration = Duration::from_millis(20);
 const CHUNK_BYTES: usize = 16 * 1024;
--- a/crates/test-doubles/src/udp_relay.rs
+++ b/crates/test-doubles/src/udp_relay.rs
@@ -16,9 +16,9 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Maximum number of datagrams in flight; further ones are dropped, as by a full queue.
+/// Maximum number of datagrams in flight through the relay. Further datagrams are dropped, as by a full queue.
 pub const IN_FLIGHT_MAX: usize = 100_000;
-/// Period at which threads check for the end of the relay.
+/// Period at which the relay's threads check whether the relay has been dropped.
 const POLL_PERIOD: Duration = Duration::from_millis(20);
 const DATAGRAM_BYTES_MAX: usize = 65_536;
 
