--- a/crates/cli/tests/fleet_rollout.rs
+++ b/crates/cli/tests/fleet_rollout.rs
@@ -15,7 +15,7 @@
 const ALL: [usize; 6] = [0, 1, 2, 3, 4, 5];
 const VOTERS: &str = r#"<voter name="s0"/><voter name="s1"/><voter name="s2"/>"#;
 
-/// Serializes the tests, because each has seven processes and steps of a quarter of a second.
+/// Serializes the tests, because each runs seven processes and a rollout plan with intervals of 250 ms.
 static EXCLUSIVE: Mutex<()> = Mutex::new(());
 
 fn lock_exclusive() -> MutexGuard<'static, ()> {
@@ -47,7 +47,7 @@
     fleet
 }
 
-/// Starts a load on each server that needs half of its cores.
+/// Starts a load on each server; each load needs half of its server's cores.
 fn start_loads(fleet: &FleetHarness, span: Duration) -> Vec<JoinHandle<ReplyCounts>> {
     let to = |i: usize| fleet.listen_address(i).expect("the server has logged its listen address");
     ALL.iter()
@@ -61,8 +61,8 @@
     std::fs::write(fleet.folder().join("next.xml"), text).unwrap();
 }
 
-/// Writes a plan of three stages. Its thresholds are so high that other work on the machine does not exceed
-/// them; the bad changes of these tests exceed them by far.
+/// Writes a plan of three stages. The thresholds of the plan are so high that interference by other work on
+/// the machine does not exceed them. The bad changes in these tests exceed the thresholds by far.
 fn write_plan(fleet: &FleetHarness, name: &str) -> PathBuf {
     let text = format!(
         r#"<plan xmlns="urn:meadowstream:options:1" name="{name}" candidate="next.xml" interval-ms="250"
@@ -80,12 +80,13 @@
 /// A process of the command `rollout`, killed when dropped.
 struct Coordinator {
     child: Child,
-    /// Lines of its standard output and standard error so far.
+    /// Lines that the process has written to standard output and standard error so far.
     lines: Arc<Mutex<Vec<String>>>,
 }
 
 impl Coordinator {
-    /// Starts a coordinator at an endpoint of the relay; each start uses another port.
+    /// Starts a coordinator that the servers reach at endpoint `endpoint` of the relay. Each start uses another
+    /// local port.
     fn start(fleet: &FleetHarness, plan: &Path, endpoint: usize, wait_s: u64) -> Coordinator {
         let free = UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
         fleet.relay.register(endpoint, free);
@@ -205,7 +206,7 @@
     let throttled: Vec<u64> = replies.iter().map(|each| each.throttled).collect();
     assert!(ALL.iter().all(|i| fleet.repeated_runs(*i) == 0));
     println!("throttled by server: {throttled:?}, ever changed {:?}", ever_changed_servers(&fleet));
-    // The same plan cannot be started again by mistake.
+    // A coordinator that is started with the plan that was rolled back exits with an error.
     let again = Coordinator::start(&fleet, &plan, 6, 5).wait_for_exit(Duration::from_secs(10));
     assert_eq!(again, 1);
 }
@@ -231,7 +232,7 @@
     drop(coordinator);
     let before = changed_servers(&fleet);
     assert_eq!(before.len(), 3);
-    // All servers agree on the settings in force on each server.
+    // Each server sees, for every server, the settings hash that this server reports for itself.
     let agreed = || {
         let hash = |i: usize, j: usize| settings_hash(&fleet, i, &format!("s{j}"));
         let all = ALL.iter().all(|&i| ALL.iter().all(|&j| hash(i, j) == hash(j, j)));
@@ -250,7 +251,7 @@
     let replies = expect_all_answered(load);
     println!("{replies:?}");
     // The adoption is recorded on disk, so that a killed server restarts with the adopted settings. If the
-    // candidate file has changed since, the server restarts with its own settings.
+    // candidate file has changed after the adoption, the server restarts with its own settings.
     assert!(ALL.iter().all(|i| adoption_mark(&fleet, *i).exists()));
     fleet.signal(4, "KILL").unwrap();
     fleet.start(4).unwrap();
@@ -302,7 +303,8 @@
     expect_all_answered(load);
 }
 
-/// An invalid candidate or plan, and a change that the servers reject: each error names its place or reason.
+/// A rollout fails with an invalid candidate, an invalid plan, or a change that the servers reject. Each error
+/// message names the place in the file or the reason.
 #[test]
 fn invalid_candidates_and_plans_are_rejected_with_their_place() {
     let _exclusive = lock_exclusive();
@@ -326,7 +328,7 @@
     let (code, output) = run(&path);
     assert_eq!(code, 1);
     assert!(output.contains("line 1, <plan>: stage 1: bake-ms: at least 6 intervals"), "{output}");
-    // A server rejects a change that requires a restart, and no server stays changed.
+    // A server rejects a change that requires a restart, and no server ever applies the change.
     std::fs::write(&path, good).unwrap();
     write_candidate(&fleet, "<tenants by=\"peer\"/>");
     let load = start_loads(&fleet, Duration::from_secs(20));
@@ -380,7 +382,7 @@
         let replies: Vec<ReplyCounts> = load.into_iter().map(|load| load.join().unwrap()).collect();
         println!("{replies:?}");
         // During a restart calls cannot connect, and calls that arrive before the new process is linked to
-        // the interpreter fail immediately: at most one fiftieth of the load of each server.
+        // the interpreter fail immediately. Both together are at most one fiftieth of each server's load.
         for (i, load) in replies.iter().enumerate() {
             let stopped = broken && restarts.contains(&i);
             assert!(stopped || (load.errored + load.unanswered) * 50 <= load.sent, "s{i}: {replies:?}");
--- a/crates/cli/tests/scenario_harness/steps.rs
+++ b/crates/cli/tests/scenario_harness/steps.rs
@@ -1,5 +1,5 @@
-//! The steps of the notation, grouped by the part that they act on. The function of a group returns whether
-//! the step belongs to it.
+//! The steps that a scenario file may contain. Each group of steps has one function, such as
+//! `balancer_step`, which executes the step if it is in the group and otherwise returns `false`.
 
 use super::ScenarioHarness;
 use super::balancer::{Balancer, encode_array, encode_call, unescape};
@@ -17,7 +17,7 @@
     line.splitn(words + 1, ' ').nth(words).unwrap_or("")
 }
 
-/// Time between two connections of the step `come until refused`.
+/// Time between two connection attempts in the step `come until refused`.
 const CALLERS_INTERVAL: Duration = Duration::from_millis(50);
 /// Steps that may belong to the replay of notices after a banner; any other step ends the replay.
 const REPLAY_STEPS: [&str; 6] = ["ok", "ok-big", "awaits", "notice", "long", "waits"];
@@ -37,7 +37,8 @@
         assert!(known, "unknown step {line:?}");
     }
 
-    /// Steps on the server process: start, exit, log and counters.
+    /// Executes a step on the server process (start, exit, log or counters). Returns `false` if the step is
+    /// not one of these.
     fn process_step(&mut self, line: &str, words: &[&str]) -> bool {
         match words {
             ["start"] => {
@@ -108,7 +109,8 @@
         true
     }
 
-    /// Steps that change the configuration and options files of the server.
+    /// Executes a step that changes the configuration or options file of the server. Returns `false` if the
+    /// step is not one of these.
     fn configuration_step(&mut self, line: &str, words: &[&str]) -> bool {
         match words {
             ["config", path, ..] => self.configure(path, rest_of(line, 2)),
@@ -143,7 +145,8 @@
         true
     }
 
-    /// Steps on connections of balancers.
+    /// Executes a step on a balancer's connection to the server. Returns `false` if the step is not one of
+    /// these.
     fn balancer_step(&mut self, line: &str, words: &[&str]) -> bool {
         match words {
             ["open", name] => {
@@ -170,8 +173,8 @@
                 let balancer = self.balancers.remove(*name).expect("open");
                 assert_eq!(balancer.stream.get_ref().peek(&mut [0]).expect("in time"), 1);
             }
-            // The requests are encoded while they are sent. If they were all encoded first, the connection
-            // would be idle meanwhile and the server would drain it.
+            // The requests are encoded in chunks while they are sent. If all requests were encoded first, the
+            // connection would be idle in the meantime and the server would drain it.
             ["flood", name, count] => {
                 let mut stream = self.balancer(name).stream.get_ref().try_clone().unwrap();
                 let count: usize = count.parse().unwrap();
@@ -185,7 +188,7 @@
             ["drink", name, count] => {
                 for tag in 1..=count.parse::<usize>().unwrap() {
                     let mut words = self.balancer(name).read_array().expect("an answer");
-                    // The server sends a drain notice on a connection that makes no progress for long.
+                    // Skips drain notices, which the server sends on a connection without progress for long.
                     while words[1] == "enough" {
                         words = self.balancer(name).read_array().expect("an answer");
                     }
@@ -236,7 +239,8 @@
         }
     }
 
-    /// Steps on the interpreter and its link.
+    /// Executes a step of the test double of the interpreter or of its link to the server. Returns `false` if
+    /// the step is not one of these.
     fn interpreter_step(&mut self, line: &str, words: &[&str]) -> bool {
         match words {
             ["link", index] => {
@@ -285,7 +289,8 @@
         true
     }
 
-    /// Steps on the downstream service and the service registry.
+    /// Executes a step of the test double of the downstream service or of the service registry. Returns
+    /// `false` if the step is not one of these.
     fn service_step(&mut self, line: &str, words: &[&str]) -> bool {
         match words {
             ["records", "full"] => self.queue_fillers.push(fill_queue(
--- a/crates/test-doubles/src/fleet/harness.rs
+++ b/crates/test-doubles/src/fleet/harness.rs
@@ -26,7 +26,8 @@
     program: PathBuf,
     /// Service registry of all servers; receives load reports without processing them.
     registry: UdpSocket,
-    /// Interpreter address of servers without an interpreter; accepts links and never replies.
+    /// Listener to which servers connect if the harness runs no interpreter test double for them. The kernel
+    /// accepts their links, and nothing ever replies.
     silent_interpreter: TcpListener,
 }
 
@@ -123,8 +124,8 @@
         Ok(())
     }
 
-    /// Starts the program of server `index`: the one named in the mark file that a rollout has written for
-    /// the server, or else the one that the harness assigns.
+    /// Starts a process for server `index`. If a rollout has written a mark file for the server, the process
+    /// runs the program named in that file; otherwise the program that the harness assigns to the server.
     fn spawn(&self, index: usize) -> Result<Child> {
         let options = self.folder.join(format!("s{index}.xml"));
         let mark = std::fs::read_to_string(self.folder.join(format!("s{index}.xml.program"))).ok();
@@ -147,8 +148,8 @@
             .context("cannot start the program")
     }
 
-    /// Waits until the server logs its membership address and registers the address with the relay. Skips
-    /// `earlier_joins` log lines of previous starts.
+    /// Waits until server `index` logs its membership address, and registers the address with the relay.
+    /// Ignores the first `earlier_joins` such log lines, which previous starts of the server wrote.
     fn wait_until_joined(
         &mut self,
         index: usize,
@@ -199,8 +200,8 @@
         self.processes[index].as_ref().with_context(|| format!("s{index} is not running"))?.signal(name)
     }
 
-    /// Number of runs on the interpreter of server `index` whose task had run before
-    /// ([`RunCounts::repeated`]).
+    /// Number of runs that the interpreter of server `index` began although it had recently ended a run of
+    /// the same task ([`RunCounts::repeated`]).
     pub fn repeated_runs(&self, index: usize) -> u64 {
         let runs = self.processes[index].as_ref().and_then(|process| process.runs.as_ref());
         runs.map_or(0, |runs| runs.repeated.load(Relaxed))
@@ -241,7 +242,7 @@
         log.lines().iter().any(|line| contains(&line.fields))
     }
 
-    /// Fields of the log lines of server `index` with this message, oldest first.
+    /// Fields of the log lines of server `index` whose message is `message`, oldest first.
     pub fn log_lines(&self, index: usize, message: &str) -> Vec<Value> {
         self.log(index).map_or(Vec::new(), |log| log.events(message))
     }
--- a/crates/test-doubles/src/interpreter/machine.rs
+++ b/crates/test-doubles/src/interpreter/machine.rs
@@ -1,5 +1,5 @@
-//! State of the simulated machine: runs that share the cores, and the commands on them. The caller passes the
-//! current time.
+//! State of the simulated machine: runs that share its cores, and the server's commands that start and end
+//! runs. The machine reads no clock; its caller passes the current time.
 
 use base64::{Engine, engine::general_purpose::STANDARD};
 use serde_json::{Value, json};
@@ -15,9 +15,9 @@
     pub begun: AtomicU64,
     /// Runs that have ended.
     pub ended: AtomicU64,
-    /// Runs that began although a run of the same task had ended within the previous 10 s.
+    /// Runs that began although another run of their task had ended within the previous 10 s.
     pub repeated: AtomicU64,
-    /// Maximum number of runs on the cores at once.
+    /// Highest number of runs observed on the cores at once.
     pub most_concurrent: AtomicU64,
 }
 
@@ -25,8 +25,8 @@
 struct Run {
     /// Core time left until the run's downstream call, or until its end if no call is left.
     remaining_us: f64,
-    /// Core time from the downstream call to the end of the run; `None` once the call has begun or without a
-    /// call.
+    /// Core time from the downstream call to the end of the run. `None` if the run makes no downstream call or
+    /// has already begun it.
     after_call_us: Option<f64>,
     awaits_call: bool,
     total_us: f64,
@@ -45,7 +45,7 @@
     }
 }
 
-/// The runs, and their notices for the server.
+/// The simulated machine with its runs, and the notices about the runs for the server.
 pub struct Machine {
     cores: f64,
     runs: BTreeMap<String, Run>,
@@ -98,7 +98,7 @@
         (self.cores / self.runs_on_cores().max(1) as f64).min(1.0)
     }
 
-    /// Time when the next run reaches its downstream call or its end; `None` if no run is on the cores.
+    /// Earliest time at which a run reaches its downstream call or its end; `None` if no run is on the cores.
     pub fn next_due(&self) -> Option<Instant> {
         let on_cores = self.runs.values().filter(|run| !run.awaits_call);
         let least_us = on_cores.map(|run| run.remaining_us).reduce(f64::min)?;
@@ -137,7 +137,8 @@
         }
     }
 
-    /// Retains notices that have an index for the next link, in case the current one fails to deliver them.
+    /// Retains the notices that have an index, to replay them on the next link if the server does not read
+    /// them on the current link.
     pub fn retain_notices(&mut self, notices: &[Value]) {
         let last_retained = self.notices.back().and_then(|notice| notice["index"].as_u64()).unwrap_or(0);
         let is_new = |notice: &&Value| notice["index"].as_u64().is_some_and(|index| index > last_retained);
@@ -163,8 +164,8 @@
         }
     }
 
-    /// Begins a new link: sends the banner and replays the notices after the last one that the server has
-    /// read.
+    /// Begins a new link: sends the banner, and then replays the notices that follow the last notice that the
+    /// server has read.
     fn connect(&self, command: &Value, now: Instant, notices: &mut Vec<Value>) {
         let age_ms = now.duration_since(self.started).as_millis() as u64 + INITIAL_AGE_MS;
         notices.push(json!({"verb": "BANNER", "outcome": "warm", "spent": age_ms}));
@@ -193,7 +194,7 @@
         }
     }
 
-    /// Reports the utilization of the cores since the last reading and the number of runs on them.
+    /// Reports the utilization of the cores since the previous report and the number of runs on the cores.
     fn read_gauges(&mut self, command: &Value, now: Instant) -> Value {
         let span_us = now.duration_since(self.gauges_read).as_secs_f64() * 1e6;
         let utilization = (self.busy_us / span_us.max(1.0) / self.cores).min(1.0);
--- a/crates/test-doubles/src/soak/checks.rs
+++ b/crates/test-doubles/src/soak/checks.rs
@@ -3,23 +3,24 @@
 use crate::open_loop::ReplyCounts;
 use std::time::Duration;
 
-/// Time within which each call must be answered, as in the configuration of the harness.
+/// Client timeout in the harness's configuration; each call must be answered within this time.
 pub const CLIENT_TIMEOUT: Duration = Duration::from_millis(9_000);
-/// Grace after the drain notice in which new calls still run, as in the configuration of the harness.
+/// Grace in the harness's configuration: the time after the drain notice in which new calls still run.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(200);
 /// Time from the drain notice until the server is killed.
 pub const STOP_AFTER: Duration = Duration::from_millis(2_000);
 /// Tolerance of the protocol for all time limits that are observed on sockets.
 pub const SLACK: Duration = Duration::from_millis(50);
-/// Maximum number of open file descriptors of a server.
+/// Limit on the open file descriptors of a server; a higher count violates an invariant.
 pub const DESCRIPTORS_MAX: u64 = 256;
-/// Maximum resident memory of a server, in KiB.
+/// Limit on the resident memory of a server, in KiB; a higher value violates an invariant.
 pub const MEMORY_KB_MAX: u64 = 192 * 1024;
 
 /// A violated invariant.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum Violation {
-    /// Connections ended without a reply to calls that had not crossed the close.
+    /// Connections ended before their calls were answered, and the calls cannot have been in transit while
+    /// the server closed the connection.
     #[error("s{server}: {lost} calls without a reply: {replies:?}")]
     LostCalls {
         /// Index of the server.
@@ -55,7 +56,7 @@
         /// Number of repeated runs.
         runs: u64,
     },
-    /// A call ran although it was sent after the drain grace.
+    /// A call ran although it was sent after the end of the drain grace.
     #[error("s{server}: a call succeeded that was sent {after_ms} ms after the drain notice")]
     RanAfterGrace {
         /// Index of the server.
@@ -63,8 +64,8 @@
         /// Time from the drain notice until the call was sent, in milliseconds.
         after_ms: u64,
     },
-    /// The server still accepted connections when its kill was due. That its process still runs then is
-    /// allowed, because its last replies are due immediately before.
+    /// The server still accepted connections at the time when the harness kills it. Its process may still run
+    /// at that time, because its last replies are due immediately before.
     #[error("s{server}: accepts connections {STOP_AFTER:?} after the drain notice; {counters}; {log:#?}")]
     AcceptsAtKill {
         /// Index of the server.
@@ -93,9 +94,9 @@
     /// The downstream service had more concurrent calls than the budget allows.
     #[error("{most} concurrent calls of a budget of {total}")]
     OverBudget {
-        /// Maximum number of concurrent calls.
+        /// Highest number of concurrent calls observed at the downstream service.
         most: u64,
-        /// Total of the budget.
+        /// Number of concurrent calls that the budget allows to all servers together.
         total: u64,
     },
     /// A server exceeded its limit of file descriptors or memory.
@@ -103,9 +104,9 @@
     OverResourceLimit {
         /// Index of the server.
         server: usize,
-        /// Maximum number of open file descriptors.
+        /// Highest number of open file descriptors observed at the server.
         descriptors: u64,
-        /// Maximum resident memory, in KiB.
+        /// Highest resident memory observed at the server, in KiB.
         memory_kb: u64,
     },
 }
@@ -117,18 +118,19 @@
     pub sent: u64,
     /// Calls that succeeded.
     pub succeeded: u64,
-    /// Calls that crossed the close of their connection.
+    /// Calls that may have been in transit while the server closed their connection.
     pub crossed: u64,
     /// Calls that were not sent, because no connection was available.
     pub unsent: u64,
-    /// Maximum number of open file descriptors of a server.
+    /// Highest number of open file descriptors observed at any server.
     pub descriptors: u64,
     /// Total time for which the machine stalled, in milliseconds.
     pub stalled_ms: u64,
 }
 
-/// Returns the violations observed by the clients of one server. Calls without a reply are allowed if they
-/// crossed the close of a connection, but not if the server was killed.
+/// Returns the violations observed by the clients of one server. A call may stay without a reply if it may
+/// have been in transit while the server closed the connection. This exception does not apply to a server
+/// that was killed; each call on a broken connection to such a server counts as lost.
 pub fn client_violations(
     server: usize,
     replies: &ReplyCounts,
--- a/crates/test-doubles/src/soak/plan.rs
+++ b/crates/test-doubles/src/soak/plan.rs
@@ -39,10 +39,10 @@
     },
 }
 
-/// An event with its start time and the server that it affects.
+/// An event, the time at which it begins, and the server that it affects.
 #[derive(Clone, Copy, Debug)]
 pub struct Scheduled {
-    /// Start time, counted from the start of the load.
+    /// Time from the start of the load until the event begins.
     pub at: Duration,
     /// Index of the affected server.
     pub server: usize,
@@ -50,7 +50,7 @@
     pub event: Event,
 }
 
-/// A signal of the series that ends a run.
+/// One of the signals that are sent to each server at the end of the load.
 #[derive(Clone, Copy, Debug)]
 pub struct LastSignal {
     /// Pause between the previous signal and this one.
@@ -132,7 +132,8 @@
     let event = match rng.random_range(0..6) {
         0 | 1 => Event::Stop { span: Duration::from_millis(rng.random_range(50..longest_stop)) },
         2 => Event::LogCounters,
-        // Not with a shared budget, which counts a call for as long as the service has not answered it.
+        // A silent service is drawn only for a single server. Several servers share a budget, which counts a
+        // call until the service has answered it.
         3 if servers == 1 => {
             Event::SilentService { span: Duration::from_millis(rng.random_range(200..1_500)) }
         }
--- a/crates/test-doubles/src/udp_relay.rs
+++ b/crates/test-doubles/src/udp_relay.rs
@@ -16,9 +16,9 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Maximum number of datagrams in flight; further ones are dropped, as by a full queue.
+/// Maximum number of datagrams in flight through the relay. Further datagrams are dropped, as by a full queue.
 pub const IN_FLIGHT_MAX: usize = 100_000;
-/// Period at which threads check for the end of the relay.
+/// Period at which the relay's threads check whether the relay has been dropped.
 const POLL_PERIOD: Duration = Duration::from_millis(20);
 const DATAGRAM_BYTES_MAX: usize = 65_536;
 
@@ -149,7 +149,8 @@
     }
 }
 
-/// Applies the faults to a datagram and queues the remaining copies, each with its due time.
+/// Applies the injected faults to a datagram. Queues each copy of the datagram that the faults do not drop,
+/// with the time at which the copy is due.
 fn inject_faults(from: usize, to: usize, bytes: &[u8], shared: &Shared) {
     let faults = lock(&shared.faults).clone();
     if faults.is_cut(faults.group(from), faults.group(to)) {
