--- a/crates/cli/tests/command_line.rs
+++ b/crates/cli/tests/command_line.rs
@@ -33,7 +33,7 @@
     }
 }
 
-/// The command accepts all of its arguments and fails only because the file does not exist.
+/// Each command line is valid: the command fails only because a file named in the arguments does not exist.
 #[test_case(&["serve", "--config", "/no/file", "--options", "/no/options", "--log", "json"])]
 #[test_case(&["serve", "--config", "/no/file", "--log", "text"])]
 #[test_case(&["check", "/no/file", "--options", "/no/options"])]
--- a/crates/cli/tests/fleet_membership.rs
+++ b/crates/cli/tests/fleet_membership.rs
@@ -9,8 +9,8 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Maximum time until a crashed member is down in every view: the suspicion time, eight probe periods, and
-/// the period of the log line with the view.
+/// Maximum time until a crashed member is down in every logged view: the sum of the suspicion time, of eight
+/// probe periods, and of one more probe period, after which a server logs a changed view at the latest.
 const CRASH_BOUND: Duration = Duration::from_millis(PROBE_PERIOD_MS * (SUSPICION_PERIODS + 8 + 1));
 
 fn start_fleet(servers: usize, seed: u64) -> FleetHarness {
@@ -61,8 +61,7 @@
         );
     }
     assert!(fleet.views_agree(&all(5)));
-    // A stall that is longer than the suspicion time and its margin: s2 is declared down, and is alive again
-    // after SIGCONT.
+    // A stall until the other members have declared s2 down. After SIGCONT all members see s2 alive again.
     fleet.signal(2, "STOP").unwrap();
     expect_agreement(&fleet, &[0, 1, 3, 4], CRASH_BOUND * 2);
     fleet.signal(2, "CONT").unwrap();
@@ -115,7 +114,7 @@
 fn views_agree_after_a_one_way_cut() {
     let fleet = start_fleet(5, 14);
     expect_agreement(&fleet, &all(5), Duration::from_secs(15));
-    // s4 receives the datagrams of the others, but they do not receive those of s4.
+    // s4 receives the datagrams of the other members, but the other members receive none from s4.
     fleet.relay.change_faults(|f| {
         f.groups.insert(4, 1);
         f.cuts.insert((1, 0));
@@ -142,8 +141,8 @@
     assert!(counts["dropped"][7].as_u64().unwrap() > 0, "no replay was dropped: {counts}");
 }
 
-/// The program does not start with a key file that other users may read, or with a membership address in use;
-/// the error names the setting.
+/// The program does not start if other users may read its key file, or if its membership address is in use.
+/// The error names the setting.
 #[test]
 fn a_readable_key_or_an_address_in_use_prevents_the_start() {
     let fleet = start_fleet(4, 16);
--- a/crates/cli/tests/fleet_rollout.rs
+++ b/crates/cli/tests/fleet_rollout.rs
@@ -55,7 +55,7 @@
         .collect()
 }
 
-/// Writes the candidate file with these elements.
+/// Writes the candidate file with the options `elements`.
 fn write_candidate(fleet: &FleetHarness, elements: &str) {
     let text = format!("<meadowstream xmlns=\"urn:meadowstream:options:1\">\n{elements}\n</meadowstream>\n");
     std::fs::write(fleet.folder().join("next.xml"), text).unwrap();
@@ -85,8 +85,7 @@
 }
 
 impl Coordinator {
-    /// Starts a coordinator that the servers reach at endpoint `endpoint` of the relay. Each start uses another
-    /// local port.
+    /// Starts a coordinator with a new port behind endpoint `endpoint` of the relay.
     fn start(fleet: &FleetHarness, plan: &Path, endpoint: usize, wait_s: u64) -> Coordinator {
         let free = UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
         fleet.relay.register(endpoint, free);
@@ -166,8 +165,8 @@
     fleet.folder().join(format!("s{i}.xml.adopted"))
 }
 
-/// Waits for the loads to end and asserts that every call succeeded or was rejected, as required while the
-/// load is below the capacity of the servers.
+/// Waits for the loads to end and asserts that every call succeeded or was rejected. Other results are not
+/// allowed, because the load is below the capacity of the servers.
 fn expect_all_answered(loads: Vec<JoinHandle<ReplyCounts>>) -> Vec<ReplyCounts> {
     let replies: Vec<ReplyCounts> = loads.into_iter().map(|load| load.join().unwrap()).collect();
     for server in &replies {
@@ -232,7 +231,7 @@
     drop(coordinator);
     let before = changed_servers(&fleet);
     assert_eq!(before.len(), 3);
-    // Each server sees, for every server, the settings hash that this server reports for itself.
+    // For each server, all servers log the settings hash that the server logs for itself.
     let agreed = || {
         let hash = |i: usize, j: usize| settings_hash(&fleet, i, &format!("s{j}"));
         let all = ALL.iter().all(|&i| ALL.iter().all(|&j| hash(i, j) == hash(j, j)));
@@ -303,13 +302,13 @@
     expect_all_answered(load);
 }
 
-/// A rollout fails with an invalid candidate, an invalid plan, or a change that the servers reject. Each error
-/// message names the place in the file or the reason.
+/// A rollout fails with an invalid candidate, an invalid plan, or a change that the servers reject. Each
+/// error message names the place in the file or the reason.
 #[test]
 fn invalid_candidates_and_plans_are_rejected_with_their_place() {
     let _exclusive = lock_exclusive();
     let fleet = start_fleet(44);
-    // A control reference outside its limits.
+    // The control reference 7 is above the limit of 1.
     write_candidate(&fleet, "<control reference=\"7\"/>");
     let run = |plan: &Path| {
         let mut coordinator = Coordinator::start(&fleet, plan, 6, 5);
@@ -350,7 +349,7 @@
         let mut fleet = start_fleet(seed);
         let next = fleet.folder().join("next");
         let mut bytes = std::fs::read(env!("CARGO_BIN_EXE_meadowstream")).unwrap();
-        // The same program with trailing bytes that have no effect, so that its hash differs.
+        // The program under test with trailing bytes, which change its hash and nothing else.
         bytes.extend(b"next");
         std::fs::write(&next, bytes).unwrap();
         std::fs::set_permissions(&next, std::os::unix::fs::PermissionsExt::from_mode(0o755)).unwrap();
@@ -371,7 +370,7 @@
             }
             assert!(began.elapsed() < Duration::from_secs(70), "{:#?}", coordinator.lines.lock().unwrap());
             if broken && restarts.len() == 1 {
-                // The first restarted server is stopped and not continued, so that it never reports.
+                // The first restarted server is stopped (SIGSTOP) for good, so that it reports nothing.
                 fleet.signal_and_keep(restarts[0], "STOP").unwrap();
                 restarts.push(restarts[0]);
             }
--- a/crates/cli/tests/fleet_scale.rs
+++ b/crates/cli/tests/fleet_scale.rs
@@ -19,7 +19,7 @@
     (CONTROLS..PROCESSES).collect()
 }
 
-/// Options of process `i`, with its zone and its state file.
+/// Text of the options for process `i`, with the zone and the state file of the process.
 fn options(i: usize) -> String {
     let replicas: String = (0..CONTROLS).map(|n| format!(r#"<replica name="s{n}"/>"#)).collect();
     let zone = i % ZONES;
@@ -40,7 +40,8 @@
     fleet
 }
 
-/// The control machine whose last log line says that it publishes.
+/// Index of the control machine that publishes revisions, according to its last log line; `None` if there is
+/// no such machine.
 fn publisher(fleet: &FleetHarness) -> Option<usize> {
     let publishes = |i: &usize| {
         let last = fleet.log_lines(*i, "control").pop();
@@ -54,7 +55,8 @@
     fleet.log_lines(i, "replication").pop()?["in_force"].as_u64()
 }
 
-/// Waits until revision `number` or a later one is in force on all of `members`; `None` after `within`.
+/// Waits until revision `number` or a later one is in force on all of `members`. Returns the time that this
+/// took, or `None` after `within`.
 fn wait_until_in_force(
     fleet: &FleetHarness,
     members: &[usize],
@@ -68,7 +70,7 @@
 
 /// Runs `meadowstream publish` with these arguments. Returns whether it succeeded, and its output.
 fn publish(fleet: &FleetHarness, arguments: &[&str]) -> (bool, String) {
-    // The command joins the fleet as a member of its own, at the last endpoint of the relay.
+    // The `publish` process joins the fleet as an additional member, at the last endpoint of the relay.
     let free = UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     fleet.relay.register(PROCESSES, free);
     let seeds: String = (0..6).map(|i| format!(r#"<seed address="{}"/>"#, fleet.relay.endpoint(i))).collect();
@@ -93,7 +95,7 @@
     (output.status.success(), String::from_utf8_lossy(&text).into_owned())
 }
 
-/// Writes a file with a change of these elements and returns its path.
+/// Writes a file with a change that contains `elements`, and returns the path of the file.
 fn write_change(fleet: &FleetHarness, name: &str, elements: &str) -> PathBuf {
     let file = fleet.folder().join(name);
     let text = format!("<change xmlns=\"urn:meadowstream:options:1\">{elements}</change>");
@@ -101,7 +103,7 @@
     file
 }
 
-/// Writes a file with a change of one tenant's weight and returns its path.
+/// Writes a file with a change of one tenant's weight, and returns the path of the file.
 fn write_weight_change(fleet: &FleetHarness, weight: u32) -> PathBuf {
     write_change(fleet, "change.xml", &format!(r#"<set key="tenants/tenant/arms-park" value="{weight}"/>"#))
 }
@@ -126,7 +128,7 @@
     let unknown_key = write_change(&fleet, "strange.xml", "\n<set key=\"novel/thing\" value=\"1\"/>");
     let (succeeded, output) = publish(&fleet, &[unknown_key.to_str().unwrap()]);
     assert!(!succeeded && output.contains("line 2, <set>: novel/thing: unknown element"), "{output}");
-    // The servers refuse this change because they have no budget; the command prints their reason.
+    // The servers refuse a change of the budget because they have none; the command prints this reason.
     let budget = write_change(&fleet, "budget.xml", r#"<set key="shared-state/budget/total" value="9"/>"#);
     let (succeeded, output) = publish(&fleet, &[budget.to_str().unwrap(), "--wait", "4"]);
     assert!(!succeeded && output.contains("refused: "), "{output}");
--- a/crates/cli/tests/fleet_state.rs
+++ b/crates/cli/tests/fleet_state.rs
@@ -40,8 +40,8 @@
     (FleetHarness::with_options(program, 6, started, seed, options).unwrap(), downstream)
 }
 
-/// Starts a load on each of `servers` with a demand of ten concurrent downstream calls, which together is
-/// more than twice the budget.
+/// Starts a load on each of `servers`. Each load needs ten concurrent downstream calls; four or more loads
+/// together need more than twice the budget.
 fn start_loads(fleet: &FleetHarness, servers: &[usize], span: Duration) -> Vec<JoinHandle<ReplyCounts>> {
     let to = |i: usize| fleet.listen_address(i).expect("the server has logged its listen address");
     let load = |i: usize| open_loop::start(to(i), 100.0, Duration::from_millis(2), span, i as u64 + 1);
@@ -145,7 +145,7 @@
     println!("{most} concurrent calls of {TOTAL}; {replies:?}; {} calls", downstream.calls.load(Relaxed));
     assert!(most <= TOTAL, "{most} concurrent calls");
     assert!(most >= TOTAL / 2 && replies.succeeded > 0, "{most} concurrent calls, {replies:?}");
-    // Without other load on the machine no call fails or stays unanswered.
+    // Without other load on the machine no call fails or stays unanswered. Other load may cause up to 1 %.
     assert!((replies.errored + replies.unanswered) * 100 <= replies.sent, "over 1 % failed: {replies:?}");
     expect_equal_totals(&fleet, &all, &replies);
 
@@ -167,8 +167,8 @@
     assert!(new.succeeded > 0, "{new:?}");
 }
 
-/// A server is stopped for longer than its lease and continued: it makes no call on the expired lease and
-/// gets a new one.
+/// A server that is stopped (SIGSTOP) for longer than its lease and then continued makes no call on the
+/// expired lease, and gets a new lease.
 #[test]
 fn a_stalled_holder_under_loss_never_passes_the_budget() {
     let (mut fleet, downstream) = start_fleet(23, 5, true);
@@ -219,8 +219,8 @@
     assert_eq!(code, Some(1), "{stderr}");
     assert!(stderr.contains("voter: 1, 3, 5, 7 or 9 different names, not 4"), "{stderr}");
     assert_eq!(check(&good).0, Some(0));
-    // The server is the only running one of five voters, so that no majority can grant it a lease. It has only
-    // its floor, before and after the rejected reload.
+    // The server is the only running one of five voters, so that no majority can grant it a lease. It has
+    // only its floor, before and after the rejected reload.
     let floor = |within| wait_for(within, || (shared_state_field(&fleet, 0, "floor") == FLOOR).then_some(()));
     assert!(floor(Duration::from_secs(10)).is_some());
     std::fs::write(&xml, bad).unwrap();
@@ -230,11 +230,11 @@
     assert!(fleet.has_logged(0, "configuration kept as it was"), "the rejected reload is in the log");
 }
 
-/// Time for which a report on a service counts, in the tests of outlier detection.
+/// Time for which a report that a service fails counts, in the tests of outlier detection.
 const EXPIRY: Duration = Duration::from_millis(2000);
 
-/// Five processes with a tier of four downstream services. Each service is behind a relay of its own with an
-/// endpoint for each process.
+/// Five processes with a tier of four downstream services. Each service is behind its own relay, and the
+/// relay has an endpoint for each process.
 struct Tier {
     fleet: FleetHarness,
     services: Vec<Arc<DownstreamService>>,
@@ -272,13 +272,14 @@
         Tier { fleet, services: downstream.into_iter().map(|(_, service)| service).collect(), relays }
     }
 
-    /// Services that server `i` has ejected, from its last log line.
+    /// Services that server `i` has ejected, from its last log line about shared state.
     fn ejected(&self, i: usize) -> Vec<String> {
         let shared = self.fleet.shared_state(i).unwrap_or_default();
         serde_json::from_str(shared["ejected"].as_str().unwrap_or("[]")).unwrap()
     }
 
-    /// Waits until each of `servers` has ejected exactly these services; returns the time that this took.
+    /// Waits until each of `servers` has ejected exactly the services `expected`. Returns the time that this
+    /// took.
     fn expect_ejected(&self, servers: &[usize], expected: &[&str], within: Duration) -> Duration {
         let began = Instant::now();
         let all = || {
@@ -297,7 +298,7 @@
         began.elapsed()
     }
 
-    /// Health of service `s` that server `i` has determined by its own calls.
+    /// Verdict on service `s` that server `i` has reached by its own calls to the service.
     fn own_verdict(&self, i: usize, s: usize) -> String {
         let shared = self.fleet.shared_state(i).unwrap_or_default();
         let services: serde_json::Value =
@@ -305,7 +306,7 @@
         services[s]["own"].as_str().unwrap_or("").to_string()
     }
 
-    /// Maximum number of services that any process has logged as ejected at one time.
+    /// Highest number of services that any process has logged as ejected in one log line.
     fn most_ejected(&self) -> usize {
         let lines = (0..5).flat_map(|i| self.fleet.log_lines(i, "shared"));
         let count = |line: serde_json::Value| {
@@ -333,7 +334,7 @@
     println!(
         "ejected by all five after {ejected_after:?}; then {probes} calls to r1 in 3 s, {calls} to the others"
     );
-    // Each server probes an ejected service eight times in the time for which a report counts.
+    // Each server probes an ejected service eight times in each `EXPIRY`, the time for which a report counts.
     assert!(probes > 0 && probes <= 5 * 8 * 3 / 2 + 10, "{probes} probes");
     assert!(calls > 5 * probes, "{calls}, {probes} probes");
 
--- a/crates/cli/tests/scenario_harness/balancer.rs
+++ b/crates/cli/tests/scenario_harness/balancer.rs
@@ -48,7 +48,8 @@
         Some(words.collect())
     }
 
-    /// Waits for the reply with this tag. Keeps replies with other tags, which arrive before it, in `replies`.
+    /// Waits for the reply with this tag. Keeps replies with other tags, which arrive before it, in
+    /// `replies`.
     pub fn wait_for_reply(&mut self, tag: &str) -> Vec<String> {
         loop {
             if let Some(i) = self.replies.iter().position(|words| words[0] == tag) {
@@ -60,8 +61,8 @@
     }
 }
 
-/// Encodes a call with these fields, or with default fields. `NOW` in the fields is replaced by the current
-/// time, `LATE` by a time two seconds ago.
+/// Encodes a call with `fields`, or with default fields if `fields` is `None`. Replaces `NOW` in the fields
+/// by the current time and `LATE` by a time two seconds ago.
 pub fn encode_call(tag: &str, operation: &str, body: &str, fields: Option<&str>) -> Vec<u8> {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis();
     let defaults = format!("other=1,ref={},since={since},sender=4,room=2.5,class_rank=0.5", reference(tag));
--- a/crates/cli/tests/scenario_harness/link.rs
+++ b/crates/cli/tests/scenario_harness/link.rs
@@ -7,7 +7,7 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::sync::{Arc, Mutex};
 
-/// Answers the server's gauge requests on a link.
+/// State for the answers to the server's gauge requests on a link.
 struct GaugeAnswers {
     stream: TcpStream,
     /// Nonces of gauge requests received during a replay of notices; `None` outside a replay.
@@ -24,8 +24,8 @@
     }
 }
 
-/// A link to the interpreter. A thread reads commands as they arrive. It answers gauge requests immediately;
-/// those received during a replay of notices are answered at the end of the replay.
+/// A link to the interpreter. A thread reads commands as they arrive. The thread answers gauge requests
+/// immediately, except that requests received during a replay of notices are answered at the replay's end.
 pub struct Link {
     pub stream: TcpStream,
     pub commands: Receiver<Value>,
@@ -53,7 +53,8 @@
         Self { stream, commands, gauge_answers }
     }
 
-    /// Begins a replay: gauge requests are answered only after the banner and all notices after it are sent.
+    /// Begins a replay of notices. Gauge requests are then answered only after the banner and all notices of
+    /// the replay have been sent.
     pub fn begin_replay(&self) {
         self.gauge_answers.lock().unwrap().deferred = Some(Vec::new());
     }
--- a/crates/cli/tests/scenario_harness/mod.rs
+++ b/crates/cli/tests/scenario_harness/mod.rs
@@ -229,8 +229,8 @@
         }
     }
 
-    /// Checks that no change of settings in the log has a longer pause than `ms` milliseconds. `field` selects
-    /// elapsed time or processor time.
+    /// Checks that no change of settings in the log has a longer pause than `ms` milliseconds. `field`
+    /// selects elapsed time or processor time.
     fn expect_pauses_at_most(&mut self, field: &str, ms: u64) {
         self.log_lines.extend(self.log.try_iter());
         let prefix = format!("{field}=");
@@ -274,8 +274,7 @@
         counter.expect("a counter").parse().unwrap()
     }
 
-    /// Waits until the server has made unanswered connection attempts to the interpreter from two different
-    /// ports.
+    /// Waits until the server has unanswered connection attempts to the interpreter from two ports.
     fn wait_for_second_connect(&self) {
         let (end, mut ports) = (Instant::now() + WAIT_MAX, std::collections::HashSet::new());
         while Instant::now() < end {
--- a/crates/test-doubles/src/faults.rs
+++ b/crates/test-doubles/src/faults.rs
@@ -13,7 +13,8 @@
     pub jitter_ms: u64,
     /// Share of datagrams delivered twice.
     pub duplicate: f64,
-    /// Share of datagrams that are delayed by `reorder_ms` in addition, so that later datagrams overtake them.
+    /// Share of datagrams that are delayed by `reorder_ms` in addition, so that later datagrams overtake
+    /// them.
     pub reorder: f64,
     /// Additional delay of reordered datagrams, in milliseconds.
     pub reorder_ms: u64,
--- a/crates/test-doubles/src/fleet/files.rs
+++ b/crates/test-doubles/src/fleet/files.rs
@@ -13,7 +13,7 @@
 /// Settings of the processes of a harness, in addition to their membership.
 #[derive(Default)]
 pub struct HarnessOptions {
-    /// Number of cores of each server's interpreter; 0 starts no interpreter.
+    /// Number of cores of each server's interpreter. With 0 the harness starts no interpreters.
     pub cores: f64,
     /// Address of each server's downstream service, by the server's index.
     pub downstream_services: Vec<SocketAddr>,
@@ -23,13 +23,13 @@
     pub options: String,
     /// Further elements of each server's options file, by the server's index.
     pub server_options: Vec<String>,
-    /// Number of control machines, which come first by index. Control machines keep the configuration log and
-    /// serve no calls.
+    /// Number of control machines, which have the lowest indices. Control machines keep the configuration log
+    /// and serve no calls.
     pub control_servers: usize,
     /// Address at which each server accepts calls, by the server's index; servers without an entry take a
     /// free port.
     pub listen_addresses: Vec<SocketAddr>,
-    /// Programs of the first servers, by index; servers without an entry run the harness's program.
+    /// Program of each server, by the server's index; servers without an entry run the harness's program.
     pub programs: Vec<PathBuf>,
     /// Address to which the first server binds its membership socket; by default a free port.
     pub first_membership_bind: Option<SocketAddr>,
--- a/crates/test-doubles/src/fleet/rehearsal.rs
+++ b/crates/test-doubles/src/fleet/rehearsal.rs
@@ -11,14 +11,14 @@
 
 const SEED: u64 = 7;
 
-/// A change to the fleet, with the times at which the servers observed it.
+/// A change to the fleet, with the times that the servers took to observe the change.
 struct Step {
     name: &'static str,
     times: AgreementTimes,
 }
 
-/// Runs the rehearsal with `servers` servers (at least 4) and returns its table; `progress` receives a line
-/// for each step. Fails if a process does not start or the views do not agree in time.
+/// Runs the rehearsal with `servers` servers (at least 4) and returns the table of results. Calls `progress`
+/// with a line of text after each step. Fails if a process does not start or the views do not agree in time.
 pub fn rehearse(program: &Path, servers: usize, mut progress: impl FnMut(&str)) -> Result<String> {
     let mut fleet = FleetHarness::new(program, servers, SEED)?;
     let all: Vec<usize> = (0..servers).collect();
@@ -54,7 +54,8 @@
     Ok([stall, resume])
 }
 
-/// Partitions the fleet until each side sees only its own members, then ends the partition.
+/// Partitions the fleet into `left` and `right` until the servers of each group see only their own group,
+/// then ends the partition.
 fn partition(fleet: &FleetHarness, alive: &[usize], left: &[usize], right: &[usize]) -> Result<[Step; 2]> {
     fleet.relay.change_faults(|faults| {
         for &index in right {
--- a/crates/test-doubles/src/interpreter/link.rs
+++ b/crates/test-doubles/src/interpreter/link.rs
@@ -7,7 +7,7 @@
 use std::net::TcpStream;
 use std::time::Instant;
 
-/// Events for which a link waits.
+/// Events for which the interpreter waits while it serves a link.
 enum Event {
     /// The next run reaches its downstream call or its end.
     RunDue,
--- a/crates/test-doubles/src/interpreter/machine.rs
+++ b/crates/test-doubles/src/interpreter/machine.rs
@@ -25,8 +25,8 @@
 struct Run {
     /// Core time left until the run's downstream call, or until its end if no call is left.
     remaining_us: f64,
-    /// Core time from the downstream call to the end of the run. `None` if the run makes no downstream call or
-    /// has already begun it.
+    /// Core time from the downstream call to the end of the run. `None` if the run makes no downstream call
+    /// or has already begun it.
     after_call_us: Option<f64>,
     awaits_call: bool,
     total_us: f64,
--- a/crates/test-doubles/src/soak/plan.rs
+++ b/crates/test-doubles/src/soak/plan.rs
@@ -5,14 +5,15 @@
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// Length in milliseconds of the period in which signals and faults begin; the drain notice follows at its
-/// end.
+/// Length in milliseconds of the period in which signals and faults begin. The final signals with the drain
+/// notice follow at the end of the period.
 const SPAN_MS: u64 = 5_000;
 /// Upper bound of the interval between two signals of a series, in milliseconds.
 const SERIES_GAP_MS: u64 = 40;
 /// Longest stop (SIGSTOP) in milliseconds of a server without a shared budget.
 const STOP_MS: u64 = 1_200;
-/// Longest stop in milliseconds of a server with a shared budget; longer than its lease of 2 s.
+/// Longest stop (SIGSTOP) in milliseconds of a server with a shared budget. The value exceeds the server's
+/// lease of 2 s, so that leases expire during stops.
 const STOP_OVER_LEASE_MS: u64 = 3_500;
 
 /// An event that affects one server.
@@ -20,7 +21,7 @@
 pub enum Event {
     /// SIGHUP after the tenants' weights in the options file have changed.
     Reload,
-    /// SIGUSR1, at which the server logs its counters.
+    /// SIGUSR1, which makes the server log its counters.
     LogCounters,
     /// SIGSTOP, followed by SIGCONT.
     Stop {
@@ -53,7 +54,7 @@
 /// One of the signals that are sent to each server at the end of the load.
 #[derive(Clone, Copy, Debug)]
 pub struct LastSignal {
-    /// Pause between the previous signal and this one.
+    /// Pause before this signal is sent.
     pub after: Duration,
     /// Name of the signal without `SIG`.
     pub name: &'static str,
--- a/crates/test-doubles/src/soak/play.rs
+++ b/crates/test-doubles/src/soak/play.rs
@@ -190,8 +190,8 @@
         Ok(())
     }
 
-    /// Sends the final signals to each server and waits until all have exited; kills each server that has not
-    /// exited when its kill is due.
+    /// Sends the final signals to each server and waits until all servers have exited. Kills each server that
+    /// still runs at the stop time after its drain notice.
     fn end(&mut self, plan: &Plan) -> Result<()> {
         let mut drain_notices = Vec::new();
         for server in 0..plan.servers {
@@ -320,7 +320,8 @@
         }
     }
 
-    /// Samples the file descriptors and memory of each server, and records a stall of the machine.
+    /// Samples the file descriptors and memory of each server. If the previous sample is older than
+    /// [`STALL`], records a stall of the machine.
     fn sample(&mut self) {
         let gap = self.polled_at.elapsed();
         self.polled_at = Instant::now();
--- a/crates/test-doubles/src/tcp_relay.rs
+++ b/crates/test-doubles/src/tcp_relay.rs
@@ -24,7 +24,8 @@
 
 struct Shared {
     faults: Mutex<Faults>,
-    /// Group of the target; the groups of the members are in `faults`.
+    /// Group to which the target of the relay belongs, for cuts between groups. The groups of the members are
+    /// in `faults`.
     target_group: u32,
     /// Share of connections that are closed when they are opened, from 0 to 1.
     reset_share: Mutex<f64>,
@@ -38,7 +39,7 @@
     mutex.lock().expect("no thread of the relay panics while it holds a lock")
 }
 
-/// A TCP relay. Each endpoint has a thread, each connection has two.
+/// A TCP relay. Each endpoint has one thread, and each connection has two threads.
 pub struct TcpRelay {
     endpoints: Vec<SocketAddr>,
     shared: Arc<Shared>,
@@ -125,7 +126,7 @@
     }
 }
 
-/// Accepts the connections of one member and serves each on a thread of its own.
+/// Accepts the connections of one member and relays each connection on a thread of its own.
 fn accept(listener: &TcpListener, member: usize, target: SocketAddr, shared: &Arc<Shared>) {
     while !shared.stopped() {
         let Ok((near, _)) = listener.accept() else {
--- a/crates/test-doubles/src/tcp_relay/tests.rs
+++ b/crates/test-doubles/src/tcp_relay/tests.rs
@@ -3,8 +3,8 @@
 use super::*;
 use std::time::Instant;
 
-/// Bytes to an echo service wait during a cut and arrive after it; with a reset share of 1 each new
-/// connection is closed.
+/// The relay holds back bytes to an echo service during a cut and delivers them after the cut. With a reset
+/// share of 1 it closes each new connection.
 #[test]
 fn a_cut_delays_bytes_until_it_ends() {
     let target = TcpListener::bind("127.0.0.1:0").unwrap();
--- a/crates/test-doubles/src/tenant_rehearsal/arrivals.rs
+++ b/crates/test-doubles/src/tenant_rehearsal/arrivals.rs
@@ -1,4 +1,5 @@
-//! Arrivals of a tenant's invocations: a Poisson process at the rate of the tenant's group and the phase.
+//! Arrivals of a tenant's invocations: a Poisson process, whose rate is that of the tenant's group in the
+//! baseline or overload phase.
 
 use super::invocation::Invocation;
 use super::load::{Load, Tenant};
@@ -9,10 +10,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Step of the arrival clock in seconds while a group's rate is 0.
+/// Time in seconds by which the arrival clock of a tenant advances at once while the tenant's rate is 0.
 const IDLE_STEP_S: f64 = 0.1;
 
-/// Sends the invocations of a tenant until the end of the load, independent of the replies.
+/// Sends the invocations of a tenant until the end of the load. When an invocation is sent does not depend on
+/// the replies to earlier invocations.
 pub async fn send_arrivals(load: Rc<Load>, balancer: Rc<Balancer>, tenant: Tenant) {
     let seed = load.plan.seed ^ (tenant.group as u64) << 40 ^ tenant.index as u64;
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
--- a/crates/test-doubles/src/tenant_rehearsal/invocation.rs
+++ b/crates/test-doubles/src/tenant_rehearsal/invocation.rs
@@ -1,4 +1,4 @@
-//! An invocation with its retries.
+//! An invocation of a tenant, sent as a first attempt and its retries.
 
 use super::load::{Load, Tenant};
 use crate::balancers::{Balancer, Reply};
@@ -19,7 +19,7 @@
 }
 
 impl Invocation {
-    /// Makes all attempts, and counts the invocation if it began in the overload phase.
+    /// Sends all attempts of the invocation. Counts the invocation if it began in the overload phase.
     pub async fn run(self) {
         let load = &self.load;
         let began = Instant::now();
@@ -32,9 +32,10 @@
         }
     }
 
-    /// Sends the first attempt, and retries after the Retry-After time while the server rejects the invocation
-    /// with a ticket. Does not retry if the invocation is drawn to ignore the server's advice, or if the retry
-    /// would begin more than twice the latency objective after the first attempt. Returns the last reply.
+    /// Sends the first attempt, and retries after the Retry-After time while the server rejects the
+    /// invocation with a ticket. Does not retry if the invocation is drawn to ignore the server's advice, or
+    /// if the retry would begin more than twice the latency objective after the first attempt. Returns the
+    /// last reply.
     async fn attempt_until_answered(&self, began: Instant, counted: bool) -> Option<Reply> {
         let retry_span = 2 * self.load.plan.objective;
         let mut ticket: Option<String> = None;
--- a/crates/test-doubles/src/tenant_rehearsal/load.rs
+++ b/crates/test-doubles/src/tenant_rehearsal/load.rs
@@ -6,13 +6,13 @@
 use std::cell::{Cell, RefCell};
 use std::time::Instant;
 
-/// The load of all tenants.
+/// State of the load that all tenants of a rehearsal send together.
 pub struct Load {
     pub plan: RehearsalPlan,
-    /// Report of each group, for the overload phase only.
+    /// Report of each group of tenants. It covers the overload phase only.
     pub reports: RefCell<Vec<GroupReport>>,
     last_reference: Cell<u64>,
-    /// Number of invocations in flight.
+    /// Number of invocations of all tenants that are in flight.
     pub in_flight: Cell<u64>,
     pub began: Instant,
     pub overload_start: Instant,
--- a/crates/test-doubles/src/tenant_rehearsal/play.rs
+++ b/crates/test-doubles/src/tenant_rehearsal/play.rs
@@ -24,12 +24,12 @@
 const DEFAULT_CALL_TIME: Duration = Duration::from_millis(5);
 const PROGRESS_PERIOD: Duration = Duration::from_secs(1);
 const POLL_PERIOD: Duration = Duration::from_millis(10);
-/// Time within which the program writes the log lines that follow its counters.
+/// Time to wait for the log lines that the program writes after the log line with its counters.
 const COUNTERS_WAIT: Duration = Duration::from_millis(100);
 
 /// Measurements of a rehearsal.
 pub struct RehearsalReport {
-    /// Report of each group of tenants, for the overload phase only.
+    /// Report of each group of tenants. It covers the overload phase only.
     pub groups: Vec<GroupReport>,
     /// Final counters of the program by name.
     pub counters: HashMap<String, u64>,
@@ -51,8 +51,8 @@
     pub broken_calls: u64,
 }
 
-/// Runs a rehearsal of the program; `progress` receives a line each second. Fails if the program does not
-/// start or exit in time or an expected log line is missing.
+/// Runs a rehearsal of the program. Calls `progress` with a line of text each second. Fails if the program
+/// does not start or exit in time, or if an expected log line is missing.
 pub fn run(program: &Path, plan: RehearsalPlan, mut progress: impl FnMut(&str)) -> Result<RehearsalReport> {
     let (interpreter, runs) = interpreter::start(plan.cores)?;
     let dependency = plan.dependency.as_ref();
@@ -104,8 +104,8 @@
     mean_in_flight: f64,
 }
 
-/// Starts all tenants, switches to the overload phase, and waits for outstanding replies unless the plan
-/// stops early.
+/// Starts all tenants and runs the baseline and overload phases. Afterwards waits for outstanding replies,
+/// unless the plan stops the program early.
 async fn run_load(
     load: &Rc<Load>,
     balancers: &[Rc<Balancer>],
@@ -153,8 +153,8 @@
     format!("{:>4.0} s, {phase}: {}", load.began.elapsed().as_secs_f64(), groups.join(", "))
 }
 
-/// Stops the program and returns its exit code. The executor runs meanwhile, because the balancers must close
-/// the connections that the program drains.
+/// Stops the program with SIGTERM and returns its exit code. Runs the executor until the program exits,
+/// because the balancers must close the connections that the program drains.
 fn stop(server: &mut ServerProcess, executor: &LocalExecutor<'static>) -> Result<Option<i32>> {
     server.signal("TERM")?;
     let deadline = Instant::now() + WAIT_MAX;
--- a/crates/test-doubles/src/udp_relay.rs
+++ b/crates/test-doubles/src/udp_relay.rs
@@ -16,7 +16,8 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Maximum number of datagrams in flight through the relay. Further datagrams are dropped, as by a full queue.
+/// Maximum number of datagrams in flight through the relay. Further datagrams are dropped, as by a full
+/// queue.
 pub const IN_FLIGHT_MAX: usize = 100_000;
 /// Period at which the relay's threads check whether the relay has been dropped.
 const POLL_PERIOD: Duration = Duration::from_millis(20);
