--- a/crates/cli/tests/scenario_harness/mod.rs
+++ b/crates/cli/tests/scenario_harness/mod.rs
@@ -295,9 +295,9 @@
         self.balancer(name).stream.get_mut().write_all(bytes).unwrap();
     }
 
-    /// Accepts the next link and reads its first command. Skips links that end without a byte: the server may
-    /// have abandoned a connection attempt that the kernel answers late. A full queue delays the answer by a
-    /// second, and the server gives an attempt one second.
+    /// Accepts the next link and reads its first command. Skips links that end without a byte: the server
+    /// abandons a connection attempt after one second, and a full accept queue delays the kernel's answer to
+    /// the attempt by one second.
     fn take_link(&mut self) -> Value {
         loop {
             let link = Link::new(accept(&self.interpreter), self.gauges.clone());
--- a/crates/cli/tests/server.rs
+++ b/crates/cli/tests/server.rs
@@ -74,7 +74,8 @@
     scenario_harness::run(name, &text);
 }
 
-/// Steps of the interpreter after the server's restart, up to its banner.
+/// Variants of the interpreter's behaviour after a server's restart: the scenario steps up to and including
+/// the interpreter's complete banner.
 const INTERPRETER_STEPS: [&[&str]; 5] = [
     // The interpreter replies immediately.
     &["link 0", "banner cold"],
--- a/crates/test-doubles/src/balancers.rs
+++ b/crates/test-doubles/src/balancers.rs
@@ -133,8 +133,9 @@
         reply.recv().await.ok()
     }
 
-    /// Returns an idle connection or else opens a new one; at the limit of connections, returns the one with
-    /// the fewest calls in flight, or `None` if all are full.
+    /// Returns an idle connection, or opens a new one if none is idle. If the pool is at its limit of
+    /// connections, returns the connection with the fewest calls in flight, or `None` if all connections are
+    /// full.
     async fn connection(self: &Rc<Self>) -> std::io::Result<Option<Rc<Connection>>> {
         let (least_loaded, count) = {
             let connections = self.connections.borrow();
@@ -201,8 +202,8 @@
         }
     }
 
-    /// Passes a reply to its caller; a message with tag 0 is the server's notice that it drains the
-    /// connection.
+    /// Passes a reply to its caller. A message with tag 0 is no reply: it is the server's notice that it
+    /// drains the connection.
     fn handle_reply(&self, connection: &Connection, words: &[Vec<u8>]) {
         let tag = std::str::from_utf8(&words[0]).ok().and_then(|text| text.parse::<u64>().ok());
         if tag == Some(0) {
@@ -230,7 +231,8 @@
     Ok(())
 }
 
-/// Parses the first array and returns its words and its length in bytes; `None` while it is incomplete.
+/// Parses the first array in `bytes` and returns the words and the encoded length, in bytes, of the array.
+/// Returns `None` while the array is incomplete.
 fn read_array(bytes: &[u8]) -> Option<(Vec<Vec<u8>>, usize)> {
     let number = |at: usize| {
         let end = at + bytes.get(at..)?.windows(2).position(|two| two == b"\r\n")?;
--- a/crates/test-doubles/src/fleet.rs
+++ b/crates/test-doubles/src/fleet.rs
@@ -21,7 +21,8 @@
 const WAIT_MAX: Duration = Duration::from_secs(20);
 const POLL_PERIOD: Duration = Duration::from_millis(25);
 
-/// Calls `poll` until it returns a value; `None` if it does not within the time `within`.
+/// Calls `poll` repeatedly until it returns a value. Returns `None` if `poll` returns no value within the
+/// time `within`.
 pub fn wait_for<T>(within: Duration, mut poll: impl FnMut() -> Option<T>) -> Option<T> {
     let start = Instant::now();
     loop {
--- a/crates/test-doubles/src/fleet/harness.rs
+++ b/crates/test-doubles/src/fleet/harness.rs
@@ -83,7 +83,7 @@
         &self.folder
     }
 
-    /// Starts server `index`, also after it was killed.
+    /// Starts server `index`, which may have run before and been killed.
     pub fn start(&mut self, index: usize) -> Result<()> {
         let (mut interpreter, mut runs) = (self.silent_interpreter.local_addr()?, None);
         if self.options.cores > 0.0 {
--- a/crates/test-doubles/src/interpreter/machine.rs
+++ b/crates/test-doubles/src/interpreter/machine.rs
@@ -66,7 +66,7 @@
 const NOTICES_MAX: usize = 4096;
 /// Age in milliseconds that the interpreter reports when it starts, so that the server treats it as warm.
 const INITIAL_AGE_MS: u64 = 60_000;
-/// Time for which an ended task is remembered, to detect that it runs again.
+/// Time for which the machine remembers an ended task, to detect a second run of the task.
 const ENDED_MEMORY: Duration = Duration::from_secs(10);
 /// Core time in microseconds of a run whose body states no `work`.
 const DEFAULT_WORK_US: f64 = 1000.0;
--- a/crates/test-doubles/src/open_loop.rs
+++ b/crates/test-doubles/src/open_loop.rs
@@ -84,7 +84,7 @@
 }
 
 /// Starts a thread that sends `rate` calls per second for `span`. Each call takes `work` of core time and
-/// makes a downstream call after half of it. The thread ends at most 10 s after `span`.
+/// makes a downstream call after half of `work`. The thread ends at most 10 s after `span`.
 pub fn start(
     to: SocketAddr,
     rate: f64,
--- a/crates/test-doubles/src/soak.rs
+++ b/crates/test-doubles/src/soak.rs
@@ -1,7 +1,7 @@
 //! A soak test: processes of the program under load, signals and faults, with all times and choices drawn
-//! from a seed. The protocol allows to kill a server from the stop time after its drain notice. Clients send
-//! calls until about that time, and the harness then kills each server that still runs. The report of [`run`]
-//! lists the violated invariants.
+//! from a seed. The protocol permits killing a server at the stop time after its drain notice, and not
+//! earlier. Clients send calls until about that time, and the harness then kills each server that still
+//! runs. The report of [`run`] lists the violated invariants.
 
 mod checks;
 mod idle_connections;
--- a/crates/test-doubles/src/soak/idle_connections.rs
+++ b/crates/test-doubles/src/soak/idle_connections.rs
@@ -8,7 +8,8 @@
 /// accept queue is full.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Opens up to `connections` connections to one server and sends an incomplete array on every second one.
+/// Opens up to `connections` connections to one server. Sends an incomplete array on every second connection
+/// and nothing on the others.
 pub fn open(to: SocketAddr, connections: usize) -> Vec<TcpStream> {
     let mut streams = Vec::new();
     for index in 0..connections {
