--- a/crates/cli/tests/scenario_harness/mod.rs
+++ b/crates/cli/tests/scenario_harness/mod.rs
@@ -229,8 +229,8 @@
         }
     }
 
-    /// Checks that no change of settings in the log has a longer pause than `ms` milliseconds. `field` selects
-    /// elapsed time or processor time.
+    /// Checks that no change of settings in the log has a longer pause than `ms` milliseconds. `field`
+    /// selects elapsed time or processor time.
     fn expect_pauses_at_most(&mut self, field: &str, ms: u64) {
         self.log_lines.extend(self.log.try_iter());
         let prefix = format!("{field}=");
@@ -274,8 +274,7 @@
         counter.expect("a counter").parse().unwrap()
     }
 
-    /// Waits until the server has made unanswered connection attempts to the interpreter from two different
-    /// ports.
+    /// Waits until the server has unanswered connection attempts to the interpreter from two ports.
     fn wait_for_second_connect(&self) {
         let (end, mut ports) = (Instant::now() + WAIT_MAX, std::collections::HashSet::new());
         while Instant::now() < end {
@@ -296,9 +295,9 @@
         self.balancer(name).stream.get_mut().write_all(bytes).unwrap();
     }
 
-    /// Accepts the next link and reads its first command. Skips links that end without a byte: the server may
-    /// have abandoned a connection attempt that the kernel answers late. A full queue delays the answer by a
-    /// second, and the server gives an attempt one second.
+    /// Accepts the next link and reads its first command. Skips links that end without a byte: the server
+    /// abandons a connection attempt after one second, and a full accept queue delays the kernel's answer to
+    /// the attempt by one second.
     fn take_link(&mut self) -> Value {
         loop {
             let link = Link::new(accept(&self.interpreter), self.gauges.clone());
--- a/crates/test-doubles/src/interpreter/machine.rs
+++ b/crates/test-doubles/src/interpreter/machine.rs
@@ -25,8 +25,8 @@
 struct Run {
     /// Core time left until the run's downstream call, or until its end if no call is left.
     remaining_us: f64,
-    /// Core time from the downstream call to the end of the run. `None` if the run makes no downstream call or
-    /// has already begun it.
+    /// Core time from the downstream call to the end of the run. `None` if the run makes no downstream call
+    /// or has already begun it.
     after_call_us: Option<f64>,
     awaits_call: bool,
     total_us: f64,
@@ -66,7 +66,7 @@
 const NOTICES_MAX: usize = 4096;
 /// Age in milliseconds that the interpreter reports when it starts, so that the server treats it as warm.
 const INITIAL_AGE_MS: u64 = 60_000;
-/// Time for which an ended task is remembered, to detect that it runs again.
+/// Time for which the machine remembers an ended task, to detect a second run of the task.
 const ENDED_MEMORY: Duration = Duration::from_secs(10);
 /// Core time in microseconds of a run whose body states no `work`.
 const DEFAULT_WORK_US: f64 = 1000.0;
