--- a/crates/fair-queueing/benches/fair.rs
+++ b/crates/fair-queueing/benches/fair.rs
@@ -6,8 +6,8 @@
 use std::collections::{HashMap, VecDeque};
 use std::hint::black_box;
 
-/// Deficit round robin over a map of queues, one for each tenant name. A queue is its waiting works in
-/// nanoseconds and its deficit counter.
+/// Deficit round robin over a map of queues, one for each tenant name. Each queue consists of the work of
+/// each waiting arrival, in nanoseconds, and a deficit counter.
 #[derive(Default)]
 struct DeficitRoundRobin {
     queues: HashMap<Vec<u8>, (VecDeque<u64>, f64)>,
--- a/crates/fair-queueing/src/account.rs
+++ b/crates/fair-queueing/src/account.rs
@@ -14,13 +14,14 @@
 pub struct Account {
     /// Virtual time up to which the tenant has used its share.
     pub finish: f64,
-    /// Start tags that the next arrivals in the tenant's two queues will get.
+    /// Start tags that the next arrivals in the tenant's two queues (within its share, and surplus) will get.
     pub tails: QueueTails,
     /// Virtual time up to which promises of admission have reserved the tenant's share.
     pub booked_until: f64,
     /// Weight of the tenant.
     pub weight: f64,
-    /// Learned ratio of the work that the tenant's invocations use to the usual work of their operations.
+    /// Ratio of the work that the tenant's invocations use to the work that their operations usually need,
+    /// learned from earlier invocations.
     pub ratio: LearnedRatio,
     /// Whether the settings name this tenant. The account of a named tenant is never evicted.
     pub named: bool,
--- a/crates/fair-queueing/src/accounts.rs
+++ b/crates/fair-queueing/src/accounts.rs
@@ -74,7 +74,7 @@
         2 * limit * size_of::<Entry>() + memory::map_bytes_max::<Fingerprint, u32>(limit)
     }
 
-    /// Returns the bytes in use.
+    /// Returns the memory in use, in bytes.
     pub fn bytes(&self) -> usize {
         self.entries.capacity() * size_of::<Entry>() + memory::map_bytes(&self.indices)
     }
--- a/crates/fair-queueing/src/fair_rate.rs
+++ b/crates/fair-queueing/src/fair_rate.rs
@@ -23,7 +23,7 @@
 /// Number of registers of the HyperLogLog estimator that counts the names of tenants without an account.
 const NAME_REGISTERS: usize = 1024;
 
-/// Fair rate of a unit of weight, and the virtual time that advances at this rate.
+/// Fair rate (the share of a tenant of weight 1, in cores), and the virtual time that advances at this rate.
 #[derive(Debug)]
 pub struct FairRate {
     /// Virtual time, in nanoseconds of one core per unit of weight.
@@ -59,7 +59,7 @@
         self.virtual_time
     }
 
-    /// Returns the fair rate of a unit of weight, in cores.
+    /// Returns the fair rate: the share of a tenant of weight 1, in cores.
     pub fn cores(&self) -> f64 {
         self.cores
     }
--- a/crates/fair-queueing/src/finish_sketch.rs
+++ b/crates/fair-queueing/src/finish_sketch.rs
@@ -53,7 +53,7 @@
         Self::rounded(cells) * size_of::<u32>()
     }
 
-    /// Returns the bytes in use.
+    /// Returns the memory in use, in bytes.
     pub fn bytes(&self) -> usize {
         self.cells.capacity() * size_of::<u32>()
     }
--- a/crates/fair-queueing/src/hyperloglog.rs
+++ b/crates/fair-queueing/src/hyperloglog.rs
@@ -4,8 +4,8 @@
 use crate::Nanos;
 use crate::tenant::Fingerprint;
 
-/// Multiple of the number of registers up to which a raw estimate is replaced by linear counting, which uses
-/// the number of empty registers.
+/// A raw estimate of at most this many times the number of registers is replaced by linear counting, which
+/// derives the estimate from the number of empty registers.
 const LINEAR_COUNTING_MAX: f64 = 2.5;
 
 /// A HyperLogLog estimator with `N` one-byte registers.
--- a/crates/fair-queueing/src/known_names.rs
+++ b/crates/fair-queueing/src/known_names.rs
@@ -1,5 +1,6 @@
-//! Table of recently seen tenant names, with the number of visits and the times of the first and the last
-//! visit of each. The table is set-associative and stores a short tag derived from each name's fingerprint.
+//! Table of recently seen tenant names, with the number of visits (arrivals with the name) and the times of
+//! the first and the last visit of each. The table is set-associative and stores a short tag derived from
+//! each name's fingerprint.
 //!
 //! A name that has had at least the number of visits passed to [`KnownNames::new`] is evicted only after 300
 //! s without a visit, however many new names arrive.
@@ -89,7 +90,7 @@
         Self::sets(names) * size_of::<[NameRecord; WAYS]>()
     }
 
-    /// Returns the bytes in use.
+    /// Returns the memory in use, in bytes.
     pub fn bytes(&self) -> usize {
         self.sets.capacity() * size_of::<[NameRecord; WAYS]>()
     }
--- a/crates/fair-queueing/src/learned_ratio.rs
+++ b/crates/fair-queueing/src/learned_ratio.rs
@@ -1,4 +1,5 @@
-//! Learned ratio of the work that a tenant's invocations use to the usual work of their operations.
+//! Ratio of the work that a tenant's invocations use to the work that their operations usually need, learned
+//! from earlier invocations.
 
 /// Smoothing factor of the exponential moving average: the weight of a new observation.
 const SMOOTHING: f64 = 0.2;
@@ -6,7 +7,8 @@
 const RATIO_MIN: f64 = 1e-3;
 const RATIO_MAX: f64 = 1e3;
 
-/// Exponential moving average of the ratio of used work to usual work; 1 before the first observation.
+/// Exponential moving average of the ratio of an invocation's used work to the work that its operation
+/// usually needs; 1 before the first observation.
 #[derive(Clone, Copy, Debug)]
 pub struct LearnedRatio(f64);
 
--- a/crates/fair-queueing/src/origins.rs
+++ b/crates/fair-queueing/src/origins.rs
@@ -14,7 +14,8 @@
 use crate::tenant::Fingerprint;
 use std::collections::HashMap;
 
-/// Idle time after which an origin's slot may be reassigned to another origin, in nanoseconds.
+/// Time without an arrival after which an origin's slot in the table may be reassigned to another origin, in
+/// nanoseconds.
 const IDLE_NS: Nanos = 60_000_000_000;
 /// Length of the time window over which the distinct names of an origin are counted, as a multiple of
 /// [`Settings::probation`](crate::settings::Settings::probation).
@@ -32,13 +33,14 @@
 #[derive(Debug, Default)]
 pub struct Origin {
     id: u64,
-    /// Virtual time up to which the newcomers have used the share that they have in common.
+    /// Virtual time up to which the newcomers have used their common share.
     pub finish: f64,
     /// Start tags that the newcomers' next arrivals will get, in each of the two queues that they share.
     pub tails: QueueTails,
     /// Virtual time up to which promises of admission have reserved the newcomers' share.
     pub booked_until: f64,
-    /// Learned ratio of the work that the newcomers' invocations use to the usual work of their operations.
+    /// Ratio of the work that the newcomers' invocations use to the work that their operations usually need,
+    /// learned from earlier invocations.
     pub ratio: LearnedRatio,
     demand: DecayingRate,
     used_at: Nanos,
@@ -66,8 +68,8 @@
 }
 
 impl Origins {
-    /// Creates a table of at most `limit` origins. Up to `names_per_origin` names of one origin have full
-    /// weight. `probation` determines the time window over which names are counted.
+    /// Creates a table of at most `limit` origins. Up to `names_per_origin` tenant names of one origin keep
+    /// their full weight. `probation` determines the time window over which names are counted.
     pub fn new(limit: usize, names_per_origin: f64, probation: Nanos) -> Self {
         Self {
             limit: limit.max(1),
@@ -83,12 +85,13 @@
         2 * limit.max(4) * size_of::<Origin>() + memory::map_bytes_max::<u64, usize>(limit)
     }
 
-    /// Returns the bytes in use.
+    /// Returns the memory in use, in bytes.
     pub fn bytes(&self) -> usize {
         self.origins.capacity() * size_of::<Origin>() + memory::map_bytes(&self.indices)
     }
 
-    /// Sets the number of names that one origin may have at full weight.
+    /// Sets the maximum number of tenant names of one origin that keep their full weight. If an origin sends
+    /// more names, the weight of each is reduced.
     pub fn set_names_per_origin(&mut self, names: f64) {
         self.names_per_origin = names;
     }
@@ -112,8 +115,8 @@
         index
     }
 
-    /// Reassigns a slot to another origin. The used share, queue tails and reserved share of the previous
-    /// origin stay charged to the slot.
+    /// Reassigns a slot to another origin. The new origin takes over the used share, the queue tails and the
+    /// reserved share of the previous origin.
     fn replace(&mut self, index: usize, id: u64, now: Nanos) {
         let origin = &mut self.origins[index];
         self.indices.remove(&origin.id);
@@ -138,9 +141,9 @@
         (names_per_origin / origin.estimated_names).min(1.0)
     }
 
-    /// Records the demand of an arrival whose tenant is a newcomer of origin `id`. `work` is the usual work
-    /// of the operation. Returns the index of the origin's slot, and `work` multiplied by the learned ratio
-    /// of the origin's newcomers.
+    /// Records the demand of an arrival whose tenant is a newcomer of origin `id`. `work` is the work that
+    /// the operation usually needs, in nanoseconds of one core. Returns the index of the origin's slot, and
+    /// `work` multiplied by the learned ratio of the origin's newcomers.
     pub fn record_newcomer(&mut self, id: u64, now: Nanos, work: f64) -> (usize, f64) {
         let index = self.find_or_insert(id, now);
         let origin = &mut self.origins[index];
--- a/crates/fair-queueing/src/promises.rs
+++ b/crates/fair-queueing/src/promises.rs
@@ -45,7 +45,7 @@
 pub enum Redemption {
     /// The ticket was presented in time, and the promise applies.
     InTime(Promise),
-    /// The ticket was presented before the promised time; the promise is lost.
+    /// The ticket was presented before the promised time, which voids the promise.
     Early,
     /// The ticket is invalid: expired, already used, never issued, or issued to another tenant.
     Unknown,
@@ -104,7 +104,7 @@
         2 * limit.max(4) * slot_bytes + map + TimerWheel::bytes_max(2 * limit)
     }
 
-    /// Returns the bytes in use.
+    /// Returns the memory in use, in bytes.
     pub fn bytes(&self) -> usize {
         self.slots.capacity() * size_of::<Option<ActivePromise>>()
             + self.free.capacity() * size_of::<u32>()
--- a/crates/fair-queueing/src/queue_order.rs
+++ b/crates/fair-queueing/src/queue_order.rs
@@ -2,7 +2,7 @@
 //!
 //! Each tenant has two queues: one for arrivals within its share, and one for arrivals beyond it (surplus).
 //! Surplus arrivals are served after all arrivals within the shares of other tenants. Among surplus arrivals,
-//! those of the tenant that has borrowed least are served first.
+//! those of the tenant with the least surplus work so far, divided by its weight, are served first.
 
 /// One value for each of a tenant's two queues.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -30,8 +30,8 @@
 /// of weight.
 pub type QueueTails = PerQueue;
 
-/// Highest start tag served so far in each of the two classes, within the share and surplus, over all
-/// tenants.
+/// Highest start tag served so far among the arrivals of all tenants, separately for arrivals within their
+/// tenants' shares and for surplus arrivals.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServiceClock {
     tags: PerQueue,
--- a/crates/fair-queueing/src/scheduler.rs
+++ b/crates/fair-queueing/src/scheduler.rs
@@ -19,8 +19,8 @@
 const WORK_MIN: f64 = 1.0;
 const SECOND_NS: f64 = 1e9;
 
-/// Classification of one arrival. The caller keeps it and passes it to [`FairScheduler::end_service`] when
-/// the arrival ends.
+/// Classification of one arrival. The caller stores this value and passes it to
+/// [`FairScheduler::end_service`] when the arrival ends.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Admission {
     /// Start tag of the arrival in start-time fair queueing, in nanoseconds of one core per unit of weight.
@@ -33,7 +33,7 @@
     location: UsageLocation,
     tenant: Fingerprint,
     weight: f64,
-    /// Usual work of the arrival's operation, in nanoseconds of one core.
+    /// Work that the arrival's operation usually needs, in nanoseconds of one core.
     usual_work: f64,
     /// Work of the arrival, estimated from the tenant's previous invocations, in nanoseconds of one core.
     estimated_work: f64,
@@ -259,8 +259,8 @@
         }
     }
 
-    /// Updates the tenant's learned ratio of used to usual work. If the tenant's account was evicted while
-    /// the arrival ran, there is no ratio to update.
+    /// Updates the tenant's learned ratio of used work to usually needed work. If the tenant's account was
+    /// evicted while the arrival ran, there is no ratio to update.
     fn learn_ratio(&mut self, admission: &Admission, used: f64) {
         if let Some(ratio) = self.usage.ratio_mut(admission.location) {
             ratio.learn(used / admission.usual_work);
@@ -349,7 +349,7 @@
         self.usage.sweep(self.rate.virtual_time());
     }
 
-    /// Returns the fair rate of a unit of weight, in cores.
+    /// Returns the fair rate: the share of a tenant of weight 1, in cores.
     pub fn fair_rate(&self) -> f64 {
         self.rate.cores()
     }
--- a/crates/fair-queueing/src/settings.rs
+++ b/crates/fair-queueing/src/settings.rs
@@ -31,8 +31,8 @@
     pub origins: usize,
     /// Maximum number of promises that are active at the same time.
     pub promises: usize,
-    /// Number of names that one origin may have at full weight. If it has more, the weight of each name
-    /// decreases, so that the origin gains nothing from additional names.
+    /// Maximum number of tenant names of one origin that keep their full weight. If an origin sends more
+    /// names, the weight of each decreases, so that the origin gains nothing from additional names.
     pub names_per_origin: f64,
     /// Weight of each tenant that [`Settings::named`] does not list.
     pub default_weight: f64,
--- a/crates/fair-queueing/src/timer_wheel.rs
+++ b/crates/fair-queueing/src/timer_wheel.rs
@@ -39,7 +39,7 @@
         SLOTS * size_of::<Vec<Timer>>() + 2 * (timers + minimum_capacity) * size_of::<Timer>()
     }
 
-    /// Returns the bytes in use.
+    /// Returns the memory in use, in bytes.
     pub fn bytes(&self) -> usize {
         let timers: usize = self.slots.iter().map(Vec::capacity).sum();
         SLOTS * size_of::<Vec<Timer>>() + timers * size_of::<Timer>()
--- a/crates/fair-queueing/src/usage.rs
+++ b/crates/fair-queueing/src/usage.rs
@@ -14,8 +14,8 @@
 use crate::settings::Settings;
 use crate::tenant::{Fingerprint, TenantKey};
 
-/// Number of visits after which a name is established, provided that [`Settings::probation`] has passed since
-/// the first visit.
+/// Number of earlier arrivals (visits) with a tenant name that establish the name, provided that
+/// [`Settings::probation`] has passed since the first of them.
 const KNOWN_VISITS: u8 = 3;
 
 /// Location of a tenant's usage record.
@@ -52,8 +52,9 @@
     pub now: Nanos,
     /// Virtual time, in nanoseconds of one core per unit of weight.
     pub virtual_time: f64,
-    /// Maximum distance by which a tenant's finish may be ahead of virtual time while the tenant still counts
-    /// as within its share, in the unit of `virtual_time`.
+    /// Maximum distance by which a tenant's finish (the virtual time up to which the tenant has used its
+    /// share) may be ahead of the current virtual time while the tenant still counts as within its share. The
+    /// unit is that of `virtual_time`.
     pub allowance: f64,
 }
 
@@ -62,7 +63,7 @@
 pub struct Usage {
     /// Accounts of established tenants.
     pub accounts: Accounts,
-    /// Usage records of the origins, one for the newcomers of each.
+    /// Usage records of newcomers (tenants whose names are not yet established), one record for each origin.
     pub origins: Origins,
     sketch: FinishSketch,
     known_names: KnownNames,
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Returns the bytes in use.
+    /// Returns the memory in use, in bytes.
     pub fn bytes(&self) -> usize {
         self.accounts.bytes() + self.sketch.bytes() + self.known_names.bytes() + self.origins.bytes()
     }
@@ -136,8 +137,8 @@
         })
     }
 
-    /// Opens an account for a tenant whose name is established. If no account is available, the sketch
-    /// records the tenant's usage.
+    /// Opens an account for a tenant whose name is established. If no account is free or may be evicted, the
+    /// sketch records the tenant's usage.
     fn open_account(
         &mut self,
         snapshot: RateSnapshot,
@@ -217,7 +218,8 @@
         }
     }
 
-    /// Returns the learned ratio of used to usual work with which the tenant's work is estimated.
+    /// Returns the learned ratio of the work that the tenant's invocations use to the work that their
+    /// operations usually need; `None` if the tenant has no usage record.
     pub fn ratio_mut(&mut self, location: UsageLocation) -> Option<&mut LearnedRatio> {
         match location {
             UsageLocation::Account(slot) => self.accounts.get_mut(slot).map(|account| &mut account.ratio),
--- a/crates/fair-queueing/tests/promises.rs
+++ b/crates/fair-queueing/tests/promises.rs
@@ -245,9 +245,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// However many arrivals each other tenant has queued, a new arrival waits for at most the longest
-    /// invocation of each, in work divided by weight. All arrivals have equal work here, so this is at most 1
-    /// plus the other tenant's weight in arrivals.
+    /// A new arrival waits for a bounded amount of work of each other tenant, however many arrivals that
+    /// tenant has queued. The bound is the longest invocation of the other tenant, in work divided by weight.
+    /// All arrivals have equal work here, so at most 1 plus the other tenant's weight of its arrivals are
+    /// served first.
     #[test]
     fn an_arrival_waits_behind_at_most_one_of_each_other_tenant(
         queues in prop::collection::vec((1u32..10, 1u64..60), 2..12),
--- a/crates/fair-queueing/tests/shares.rs
+++ b/crates/fair-queueing/tests/shares.rs
@@ -62,8 +62,8 @@
         let group = &groups[g];
         sent += 1;
         let name = name(g, i, sent % group.names);
-        // 10e6 is the usual work of the operation, in nanoseconds. The scheduler learns the real work of an
-        // invocation only at its end.
+        // 10e6 is the work that the operation usually needs, in nanoseconds of one core. The scheduler learns
+        // the real work of an invocation only at its end.
         let admission = fair.arrive(now, TenantKey { name: &name, origin: group.origin }, 10e6, None);
         if admission.surplus {
             fair.end_service(now, &admission, ServiceOutcome::NeverRan);
--- a/crates/shared-state/src/budget/counters.rs
+++ b/crates/shared-state/src/budget/counters.rs
@@ -10,8 +10,8 @@
     /// Grants dropped because they exceed the units that may be leased, or come from a server that is not a
     /// voter.
     pub excessive: u64,
-    /// Grants dropped because they had already ended, or because this server still held a lease of another
-    /// term or one at least as recent.
+    /// Grants dropped because they had already ended, or because this server still held a lease that was of
+    /// another term or at least as recent.
     pub stale: u64,
     /// Received lease requests that report, as their adopted grant, a grant that this grantor never sent.
     pub unknown_grants: u64,
--- a/crates/shared-state/src/budget/election.rs
+++ b/crates/shared-state/src/budget/election.rs
@@ -1,10 +1,10 @@
 //! Election of the grantor by the voters.
 //!
 //! Invariant: at most one server is the grantor at a time. A voter that has voted for one server votes for no
-//! other until the term duration plus the drift margin has passed by the voter's slow clock. A candidate
-//! counts its term from the time of its vote request, by its fast clock, so its term ends before its voters
-//! can vote for another server. Votes are not stored on disk. A restarted voter therefore does not vote for
-//! as long as a vote of its earlier incarnation may last.
+//! other until the term duration plus the drift margin has passed by the voter's slow clock ([`Time::slow`]).
+//! A candidate counts its term from the time of its vote request, by its fast clock ([`Time::fast`]), so its
+//! term ends before its voters can vote for another server. Votes are not stored on disk. A restarted voter
+//! therefore does not vote for as long as a vote of its earlier incarnation may last.
 
 use super::grantor::LeaseTable;
 use super::message::Term;
--- a/crates/shared-state/src/budget/grantor.rs
+++ b/crates/shared-state/src/budget/grantor.rs
@@ -3,7 +3,7 @@
 //! Invariant: the sum over all holders of each holder's largest grant that may still be active is at most the
 //! number of leasable units. A grant may be active until its holder reports that it has adopted a later grant
 //! and uses no more units than the later grant has, or until the lease duration plus the drift margin has
-//! passed by the grantor's slow clock.
+//! passed by the grantor's slow clock ([`Time::slow`]).
 
 use super::counters::BudgetCounters;
 use super::fair_share::{Demand, fair_share};
@@ -17,7 +17,8 @@
 /// exceeds 1 because an ended incarnation of a server stays in the table until its leases have ended.
 const HOLDERS_PER_SERVER: u64 = 4;
 
-/// Demand that a holder reports in a lease request. All amounts are units beyond the holder's floor.
+/// Demand that a holder reports in a lease request. All amounts are units beyond the holder's floor (its
+/// guaranteed minimum).
 pub(super) struct LeaseDemand {
     /// Units that the holder wants.
     pub wanted: u64,
@@ -31,7 +32,7 @@
 pub(super) struct Grant {
     /// Number of the grant in the grantor's term.
     pub number: u64,
-    /// Units granted beyond the holder's floor.
+    /// Units granted beyond the holder's floor (its guaranteed minimum).
     pub amount: u64,
 }
 
--- a/crates/shared-state/src/budget/holder.rs
+++ b/crates/shared-state/src/budget/holder.rs
@@ -1,8 +1,8 @@
 //! The lease that a server holds, and the requests with which it renews the lease.
 //!
 //! Invariant: a lease ends at its holder before it ends in the grantor's table. The holder counts the lease
-//! duration from the time of its lease request, by its fast clock. The grantor counts it from the later time
-//! of the grant, by its slow clock.
+//! duration from the time of its lease request, by its fast clock ([`Time::fast`]). The grantor counts the
+//! lease duration plus the drift margin from the later time of the grant, by its slow clock ([`Time::slow`]).
 
 use super::message::{BudgetMessage, GrantId};
 use super::settings::BudgetSettings;
@@ -19,7 +19,7 @@
 /// Units of a budget that a server may use now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Allowance {
-    /// Units of the server's floor.
+    /// Units of the server's floor, the minimum that the server may use without a lease.
     pub floor: u64,
     /// Units of the server's lease.
     pub leased: u64,
@@ -63,7 +63,7 @@
     Unsolicited,
     /// The grant exceeds the units that may be leased, or its sender is not a voter.
     Excessive,
-    /// The grant had already ended, or this server still holds a lease of another term or one at least as
+    /// The grant had already ended, or this server still holds a lease that is of another term or at least as
     /// recent. Terms are not ordered in time, so a grant of another term is adopted only after the held lease
     /// has ended.
     Stale,
@@ -72,8 +72,8 @@
 /// One server's part of a budget as a lease holder.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Holder {
-    /// Time, by the slow clock, before which this server does not use its floor, since calls of its earlier
-    /// incarnation may still use it.
+    /// Time, by the slow clock, before which this server does not use its floor (the units that it may use
+    /// without a lease), since calls of its earlier incarnation may still hold these units.
     floor_from: Nanos,
     lease: Lease,
     requests: VecDeque<SentRequest>,
@@ -101,8 +101,8 @@
         }
     }
 
-    /// Sets the demand that the next lease request reports. `wanted` and `in_use` are units including the
-    /// floor.
+    /// Sets the demand that the next lease request reports. `wanted` and `in_use` are numbers of units,
+    /// including the floor (the server's guaranteed minimum).
     pub fn set_demand(&mut self, settings: &BudgetSettings, wanted: u64, in_use: u64) {
         self.wanted = wanted.saturating_sub(settings.floor).min(settings.leasable());
         self.in_use = in_use.saturating_sub(settings.floor);
--- a/crates/shared-state/src/budget/message.rs
+++ b/crates/shared-state/src/budget/message.rs
@@ -42,7 +42,8 @@
         /// Whether the vote is granted to the candidate.
         granted: bool,
     },
-    /// Requests a lease from the grantor. All amounts are units beyond the sender's floor.
+    /// Requests a lease from the grantor. All amounts are units beyond the sender's floor (its guaranteed
+    /// minimum).
     LeaseRequest {
         /// Number of the request, unique among the lease requests of the sender's incarnation.
         number: u64,
@@ -64,7 +65,7 @@
         term: Term,
         /// Number of the grant in its term.
         grant_number: u64,
-        /// Units granted beyond the floor of the server that requested the lease.
+        /// Units granted beyond the floor (the guaranteed minimum) of the server that requested the lease.
         amount: u64,
     },
     /// Reply to a [`BudgetMessage::LeaseRequest`] that grants no lease.
--- a/crates/shared-state/src/budget/mod.rs
+++ b/crates/shared-state/src/budget/mod.rs
@@ -1,6 +1,6 @@
 //! A budget of the whole fleet: a number of units that may be used at the same time, or per second, divided
-//! into leases. Each server may use its floor at any time. Beyond the floor, a server may use only the units
-//! of its lease, until the lease ends by the server's own clock.
+//! into leases. Each server may use its floor, a guaranteed minimum number of units, at any time. Beyond the
+//! floor, a server may use only the units of its lease, until the lease ends by the server's own clock.
 //!
 //! - [`settings`]: total, floors, voters and durations.
 //! - [`message`]: messages between servers.
@@ -69,7 +69,7 @@
     ///
     /// # Errors
     /// Returns an error and keeps the old total if the new total is out of range or less than the sum of the
-    /// floors of all servers.
+    /// floors (guaranteed minimums) of all servers.
     pub fn set_total(&mut self, total: u64) -> Result<(), BudgetSettingsError> {
         let settings = BudgetSettings { total, ..self.settings.clone() };
         settings.check()?;
@@ -77,7 +77,8 @@
         Ok(())
     }
 
-    /// Sets this server's demand: the units that it wants and those that it uses, both including its floor.
+    /// Sets this server's demand: the units that it wants and those that it uses, both including its floor
+    /// (its guaranteed minimum).
     pub fn set_demand(&mut self, wanted: u64, in_use: u64) {
         self.holder.set_demand(&self.settings, wanted, in_use);
     }
@@ -96,10 +97,11 @@
         in_use < allowance.floor + leased
     }
 
-    /// Returns the latest time, by the fast clock, at which a call may be sent that acquires a unit now,
-    /// while this server uses `in_use` units. A unit of the floor has no such limit. A call with a unit of
-    /// the lease may be sent only until [`BudgetSettings::use_max`] before the end of the lease. The call has
-    /// then ended at the service before the unit can be leased to another server.
+    /// Returns the latest time, by the fast clock ([`Time::fast`]), at which a call may be sent that acquires
+    /// a unit now, while this server uses `in_use` units. A call with a unit of the floor (the server's
+    /// guaranteed minimum) may be sent at any time. A call with a unit of the lease may be sent only until
+    /// [`BudgetSettings::use_max`] before the end of the lease. The call has then ended at the service before
+    /// the unit can be leased to another server.
     pub fn send_by(&self, time: Time, in_use: u64) -> Nanos {
         let allowance = self.allowance(time);
         if in_use < allowance.floor {
--- a/crates/shared-state/src/budget/settings.rs
+++ b/crates/shared-state/src/budget/settings.rs
@@ -21,7 +21,7 @@
     pub name: String,
     /// Units that the whole fleet may use at the same time.
     pub total: u64,
-    /// Units that each server may use without a lease.
+    /// Guaranteed minimum of each server: the units that the server may use without a lease.
     pub floor: u64,
     /// Maximum number of servers that run at the same time. Floors for this many servers are reserved.
     pub servers_max: u64,
@@ -61,12 +61,12 @@
         /// Configured number of servers.
         servers: u64,
     },
-    /// The sum of the floors of all servers exceeds the total.
+    /// The sum of the floors (guaranteed minimums) of all servers exceeds the total.
     #[error("floor: {servers} servers' floors are {floors}, more than the total of {total}")]
     Floor {
         /// Configured number of servers.
         servers: u64,
-        /// Sum of the floors of all servers, in units.
+        /// Sum of the floors (guaranteed minimums) of all servers, in units.
         floors: u64,
         /// Configured total, in units.
         total: u64,
@@ -84,7 +84,8 @@
         /// Configured lease duration, in nanoseconds.
         lease_duration: Nanos,
     },
-    /// The maximum use of a unit is too long for the lease duration: three request intervals must remain.
+    /// The maximum use time of a unit is too long: the lease duration must be longer by at least three
+    /// intervals between lease requests.
     #[error(
         "use-most-ms: the lease must be longer by three eighths of its duration; {use_max} ns of \
          {lease_duration} ns"
@@ -166,12 +167,13 @@
         Ok(())
     }
 
-    /// Returns the sum of the floors of all servers, in units.
+    /// Returns the sum of the floors (guaranteed minimums) of all servers, in units.
     fn floors(&self) -> u64 {
         self.floor.saturating_mul(self.servers_max)
     }
 
-    /// Returns the number of units that may be leased: the total minus the floors of all servers.
+    /// Returns the number of units that may be leased: the total minus the floors (guaranteed minimums) of
+    /// all servers.
     pub fn leasable(&self) -> u64 {
         self.total.saturating_sub(self.floors())
     }
--- a/crates/shared-state/src/outlier_detection/mod.rs
+++ b/crates/shared-state/src/outlier_detection/mod.rs
@@ -52,8 +52,8 @@
     pub rejected: u64,
 }
 
-/// Returns the rank of a server among the probers of a service: FNV-1a of the service's index and the
-/// server's name. The hash function is fixed so that all servers and all builds compute the same ranks.
+/// Returns the rank of a server among the probers of a service: the FNV-1a hash of the service's index and
+/// the server's name. The hash function is fixed so that all servers and all builds compute the same ranks.
 fn prober_rank(service: usize, name: &str) -> u64 {
     const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const FNV_PRIME: u64 = 0x0100_0000_01b3;
--- a/crates/shared-state/src/permits.rs
+++ b/crates/shared-state/src/permits.rs
@@ -4,7 +4,7 @@
 use crate::clock::{Nanos, Time};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A number of units, and the time at which it was recorded, by the fast clock.
+/// A number of units, and the time at which this number was recorded, by the fast clock ([`Time::fast`]).
 #[derive(Clone, Copy, Debug, Default)]
 struct TimestampedUnits {
     units: u64,
@@ -20,8 +20,9 @@
 /// State of a call that has a permit and has not ended at this server.
 #[derive(Clone, Copy, Debug)]
 struct OpenCall {
-    /// Time by the slow clock of the last permitted write of the call, or of its permit if nothing has been
-    /// written. The time is a lower bound of the time at which the service last received data of the call.
+    /// Time, by the slow clock ([`Time::slow`]), of the last permitted write of the call, or of the call's
+    /// permit if nothing has been written. The time is a lower bound of the time at which the service last
+    /// received data of the call.
     last_write_at: Nanos,
     /// Latest time at which the call may be sent, by the fast clock.
     send_by: Nanos,
@@ -93,11 +94,11 @@
         (self.open.len() + self.abandoned_until.len()) as u64
     }
 
-    /// Returns the number of units to request from the grantor: the maximum in use within the last `recent`
-    /// nanoseconds. If a call was refused within that time, the number of waiting calls and a margin of a
-    /// quarter plus one are added, so that a server with growing load need not request each additional unit
-    /// separately. A server without refusals requests no more than it uses, which leaves the other units to
-    /// other servers.
+    /// Returns the number of units to request from the grantor. Without a refusal within the last `recent`
+    /// nanoseconds, this is the maximum number in use within that time, which leaves the other units to other
+    /// servers. After a refusal, the number of waiting calls is added to the units in use now. The larger of
+    /// this sum and the maximum is then increased by a quarter plus one unit, so that a server with growing
+    /// load need not request each additional unit separately.
     pub fn demand(&mut self, time: Time, recent: Nanos) -> u64 {
         let in_use = self.in_use(time);
         if self.peak.is_older_than(recent, time) {
--- a/crates/shared-state/src/simulation/network.rs
+++ b/crates/shared-state/src/simulation/network.rs
@@ -19,8 +19,8 @@
 }
 
 impl NetworkFaults {
-    /// Returns the delays of the copies of one message that arrive, in nanoseconds; none if the message is
-    /// lost.
+    /// Returns the delay of each copy of one message that is delivered, in nanoseconds; empty if the message
+    /// is lost.
     pub(super) fn delays(&self, random: &mut Random) -> Vec<Nanos> {
         let copies = if random.chance(self.duplicate) { 2 } else { 1 };
         let mut delays = Vec::new();
--- a/crates/shared-state/src/simulation/server.rs
+++ b/crates/shared-state/src/simulation/server.rs
@@ -99,7 +99,8 @@
         permitted
     }
 
-    /// Releases the unit of a call that has ended. A call of an earlier incarnation holds no unit here.
+    /// Releases the unit of a call that has ended. A call of an earlier incarnation is ignored, since it
+    /// holds no unit of the current incarnation.
     pub fn end_call(&mut self, incarnation: u64, call: u64) {
         if self.incarnation == incarnation && self.state.is_some() {
             self.permits.release(call, true, 0);
--- a/crates/shared-state/src/state.rs
+++ b/crates/shared-state/src/state.rs
@@ -26,8 +26,8 @@
 /// Maximum number of received [`Payload::Other`] messages that are queued for [`SharedState::take_received`].
 /// Further messages are dropped.
 const RECEIVED_OTHERS_MAX: usize = 1024;
-/// Upper bound of the bytes that a message takes besides its list of items and its names: the fields that are
-/// numbers or lengths.
+/// Upper bound of the total size of a message's fields that are numbers or lengths, in bytes. The list of
+/// items and the names are not included.
 const HEADER_BYTES: usize = 64;
 /// Maximum number of names in a message outside its list of items, such as the sender's name.
 const HEADER_NAMES: usize = 4;
--- a/crates/shared-state/tests/fleet.rs
+++ b/crates/shared-state/tests/fleet.rs
@@ -63,7 +63,8 @@
 fn a_connected_fleet_uses_the_budget_and_never_exceeds_it() {
     let mut fleet = overloaded_fleet(1, lan());
     let since = run_for(&mut fleet, 60 * S);
-    // Three of the eight configured servers do not run, so their floors, 6 of the 100 units, stay unused.
+    // Three of the eight configured servers do not run, so their floors (guaranteed minimums), 6 of the 100
+    // units in total, stay unused.
     assert_budget_used(&mut fleet, since, 0.9);
 }
 
@@ -201,8 +202,8 @@
     assert!(fleet.in_use_max <= TOTAL, "{} units in use", fleet.in_use_max);
 }
 
-/// A server that is restarted repeatedly without a delay must not use its floor or its lease twice at the
-/// same time.
+/// A server that is restarted repeatedly without a delay must not use its floor (its guaranteed minimum) or
+/// its lease twice at the same time.
 #[test]
 fn a_repeatedly_restarted_server_uses_no_unit_twice() {
     let mut fleet = overloaded_fleet(8, lan());
--- a/crates/shared-state/tests/model.rs
+++ b/crates/shared-state/tests/model.rs
@@ -1,7 +1,7 @@
 //! Model check of the lease protocol in a small fleet. The check explores up to two million of the states
 //! that are reached in the fewest steps. Messages are lost, duplicated and reordered, servers are killed and
-//! restarted, and clocks differ by at most the stated margin. The model runs the real state machines. In no
-//! state may the units that the servers can use sum to more than the budget.
+//! restarted, and clocks differ by at most one tick. The model runs the real state machines. In no state may
+//! the units that the servers can use sum to more than the budget.
 //!
 //! `cargo test -p meadowstream-shared-state --release --test model -- --nocapture` prints the numbers of
 //! states.
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     None,
-    /// The drift margin is one tick, half of what the difference between the clocks requires.
+    /// The drift margin is one tick, half of the two ticks that the difference between the clocks requires.
     HalfMargin,
     /// A restarted server votes immediately, and a new grantor grants immediately, without waiting for the
     /// end of earlier votes and leases.
@@ -185,7 +185,8 @@
             next.servers.iter_mut().flatten().for_each(Budget::skip_grant_wait);
         }
         // Counters do not affect the behaviour of a server, but would make otherwise equal states distinct.
-        // Only whether a server has sent a grant is kept, since the properties check it.
+        // The number of sent grants is reduced to 0 or 1, since the checked properties only need to know
+        // whether the server has sent a grant.
         for budget in next.servers.iter_mut().flatten() {
             let grants_sent = budget.counters.grants_sent.min(1);
             budget.counters = BudgetCounters { grants_sent, ..BudgetCounters::default() };
