--- a/crates/fair-queueing/src/promises.rs
+++ b/crates/fair-queueing/src/promises.rs
@@ -33,7 +33,7 @@
     /// Start tag of the rejected arrival. The retry gets this tag, or the highest start tag served if that is
     /// higher.
     pub start_tag: f64,
-    /// Virtual time at which the part of the tenant's share that is reserved for the retry begins.
+    /// Virtual time from which the tenant's share is reserved for the retry.
     pub booked_start: f64,
     /// Predicted advance of virtual time from the rejection to the retry, in nanoseconds of one core per unit
     /// of weight.
--- a/crates/fair-queueing/src/queue_order.rs
+++ b/crates/fair-queueing/src/queue_order.rs
@@ -14,8 +14,8 @@
 }
 
 impl PerQueue {
-    /// Returns the value for the surplus queue if `surplus` is true, else the value for the queue within the
-    /// share.
+    /// Returns the value for the surplus queue if `surplus` is true, otherwise the value for the queue of
+    /// arrivals within the share.
     pub fn get(&self, surplus: bool) -> f64 {
         if surplus { self.surplus } else { self.within }
     }
@@ -38,7 +38,7 @@
 }
 
 impl ServiceClock {
-    /// Returns the highest start tag served so far: of surplus arrivals if `surplus` is true, else of
+    /// Returns the highest start tag served so far: of surplus arrivals if `surplus` is true, otherwise of
     /// arrivals within their tenants' shares.
     pub fn tag(&self, surplus: bool) -> f64 {
         self.tags.get(surplus)
--- a/crates/fair-queueing/src/settings.rs
+++ b/crates/fair-queueing/src/settings.rs
@@ -13,9 +13,10 @@
 const SECOND_NS: Nanos = 1_000_000_000;
 /// Minimum number of accounts available to tenants that are not named.
 const UNNAMED_ACCOUNTS: usize = 16;
-/// Minimum value of [`Settings::cells`].
+/// Minimum value of [`Settings::cells`], the number of cells of the sketch.
 const CELLS_MIN: usize = 64;
-/// Number of cells in the sketch for each name in the table of known names.
+/// Number of cells of the sketch (the hashed usage records of tenants without an account) for each name in
+/// the table of known names.
 const CELLS_PER_KNOWN_NAME: usize = 4;
 
 /// Settings of fair queueing. The limits bound the memory use, whatever names and origins senders invent.
--- a/crates/fair-queueing/src/usage.rs
+++ b/crates/fair-queueing/src/usage.rs
@@ -29,7 +29,7 @@
     Account(Slot),
     /// In the record shared by all newcomers of the tenant's origin; the value is the index of the origin.
     Newcomers(usize),
-    /// In the cells of the sketch.
+    /// In the sketch, whose cells are shared by the tenants without an account.
     Sketch,
 }
 
--- a/crates/fair-queueing/tests/shares.rs
+++ b/crates/fair-queueing/tests/shares.rs
@@ -151,8 +151,8 @@
     let used = simulate(&[honest, flood], 4.0, 60, settings);
     let demanded = 100.0 * 0.01 * counted_seconds(60);
     assert!(total(&used[0]) > 0.95 * demanded, "{} of {demanded}", total(&used[0]));
-    // Upper bound: the capacity that the honest tenants leave. The sender's names may get the share of as
-    // many honest names as an origin may have at full weight, here 128.
+    // The sender may use the capacity that the honest tenants leave, plus a tolerance of 10 %. All its names
+    // together may get the share of as many honest names as an origin may have at full weight, here 128.
     let share = 4.0 * 0.9 * counted_seconds(60) - demanded;
     assert!(total(&used[1]) < 1.1 * share, "{} of {share}", total(&used[1]));
 }
--- a/crates/shared-state/src/outlier_detection/mod.rs
+++ b/crates/shared-state/src/outlier_detection/mod.rs
@@ -128,8 +128,8 @@
         reports
     }
 
-    /// Merges received reports. For each reporting server and service, the report with the latest incarnation
-    /// is kept, and among those the latest report.
+    /// Merges received reports. For each reporting server and service, the report of the server's latest
+    /// incarnation is kept, and among several reports of this incarnation the most recent one.
     pub fn merge_reports(&mut self, time: Time, reports: &[Report]) {
         self.reports.retain(|_, report| time.fast < report.expires_at);
         for report in reports {
