--- a/crates/server/src/configuration/candidate.rs
+++ b/crates/server/src/configuration/candidate.rs
@@ -25,7 +25,8 @@
 }
 
 impl Candidate {
-    /// Creates the candidate that the options name. The candidate is not adopted.
+    /// Creates a candidate from the `<rollout>` element of the options file at `options_path`. The candidate
+    /// starts as not adopted.
     pub fn new(rollout: &Rollout, options_path: &Path) -> std::io::Result<Self> {
         let folder = options_path.parent().unwrap_or(Path::new("."));
         Ok(Self {
@@ -50,13 +51,15 @@
     }
 }
 
-/// Candidate settings that the server had adopted before its last stop.
+/// Result of [`Candidate::adopted_before`]: whether the server had adopted candidate settings before its last
+/// stop.
 pub enum AdoptedBefore {
     /// The server had not adopted any candidate settings.
     NotAdopted,
-    /// The server had adopted candidate settings, and the settings file still has this hash.
+    /// The server had adopted candidate settings with this hash, and the candidate settings file still has
+    /// the same hash.
     Unchanged(u64),
-    /// The server had adopted candidate settings, but the settings file has changed or is missing.
+    /// The server had adopted candidate settings, but the candidate settings file has changed or is missing.
     Changed,
 }
 
--- a/crates/server/src/configuration/defaults.rs
+++ b/crates/server/src/configuration/defaults.rs
@@ -1,6 +1,6 @@
-//! Reconciles the deployment's settings with the options: fills in defaults, with a note, for features that
-//! the settings require and the options do not describe, and refuses settings and options that contradict
-//! each other.
+//! Checks the deployment's settings, which are part of the platform's file, against the options file. Fills
+//! in defaults, with a note, for features that the settings require and the options file does not describe,
+//! and returns an error if the two files contradict each other.
 
 use crate::configuration::Configuration;
 use crate::resources::idempotency::ENTRY_BYTES;
@@ -9,27 +9,30 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Divisor of the memory limit: cached idempotency keys and their results may use a quarter of it.
+/// Divisor of the memory limit; the result, a quarter of the limit, is the memory that idempotency keys and
+/// their results may use.
 const KEYS_DIVISOR: usize = 4;
 /// Default name of the call field that holds the idempotency key.
 const KEY_FIELD: &str = "replay";
 /// Default name of the call field that holds the tenant.
 pub const TENANT_FIELD: &str = "project";
 
-/// Contradiction between the deployment's settings and the options. Usually, either the settings or the
-/// options belong to another deployment.
+/// Contradiction between the deployment's settings and the options file. The usual cause is that one of the
+/// two belongs to another deployment.
 #[derive(Debug, thiserror::Error)]
 pub enum MismatchError {
     /// The settings name a downstream service, but its address is missing.
     #[error("records is missing, though settings: family-info.below names a tier or a dependency")]
     MissingRecords,
-    /// The options describe idempotency keys, but no operation is idempotent with a key.
+    /// The options file describes idempotency keys, but no operation is idempotent with a key.
     #[error("options: <tokens>: no operation has the effect by_key")]
     UnusedKeys,
-    /// The options define the reply to skipped calls, but no operation may skip calls.
+    /// The options file defines the reply to skipped downstream calls, but no operation may skip downstream
+    /// calls.
     #[error("options: <calls>: no operation has a degraded-worth")]
     UnusedReply,
-    /// The settings define a quota of a shared dependency, but no shared dependency.
+    /// The settings define a quota of a shared downstream service, but the deployment has no shared
+    /// downstream service.
     #[error("settings: family-info.dep-share: set, but family-info.below is not one_for_all")]
     UnusedQuota,
     /// Idempotency keys and their results would use too much memory.
@@ -52,7 +55,7 @@
     deployment.operations.iter().any(|operation| operation.degraded_value_ratio > 0.0)
 }
 
-/// Returns whether all operations have the same priority weight. An advertised minimum rank then gives
+/// Returns whether all operations have the same priority weight. If they do, an advertised minimum rank gives
 /// callers little information.
 fn has_one_rank(deployment: &Deployment) -> bool {
     let weights = deployment.operations.iter().map(|operation| operation.priority_weight.to_bits());
@@ -65,8 +68,9 @@
         (self.memory_mb << 20) as usize / KEYS_DIVISOR
     }
 
-    /// Fills in defaults for features that neither the protocol nor the options describe, and adds a note for
-    /// each, because a missing description is no reason to refuse the start.
+    /// Fills in defaults for features that neither the protocol nor the options file describes, and adds a
+    /// note for each, because a missing description is no reason to refuse the start. Returns an error if the
+    /// settings require a downstream service but the platform's file has no address for it.
     pub(super) fn fill_defaults(&mut self) -> Result<(), MismatchError> {
         // This process stores the keys under its own memory limit, so the keys do not count as memory of the
         // deployment.
@@ -85,8 +89,9 @@
         self.notes.push(format!("settings: {key}: {note}"));
     }
 
-    /// Enables idempotency keys in the default field. Half of the memory of the keys is for entries, and half
-    /// is for results.
+    /// Enables idempotency keys, read from the field [`KEY_FIELD`], if an operation is idempotent with a key
+    /// and the options file does not describe the keys. Half of the keys' memory is for entries, and half is
+    /// for results.
     fn default_keys(&mut self) {
         let operations = &self.settings.deployment.operations;
         let keyed = operations.iter().position(|operation| operation.effect == Effect::IdempotentWithKey);
@@ -126,8 +131,9 @@
         }
     }
 
-    /// Returns an error for options that the settings do not use, and for settings that lack their
-    /// counterpart in the options.
+    /// Returns an error in three cases: the options file describes a feature that no operation uses; the
+    /// settings define a quota of a shared downstream service, but the deployment has no such service; or the
+    /// idempotency keys would use too much memory.
     pub(super) fn check_consistency(&self) -> Result<(), MismatchError> {
         let (deployment, options) = (&self.settings.deployment, self.options.borrow());
         if options.idempotency_keys.is_some() && !has_keys(deployment) {
--- a/crates/server/src/configuration/error.rs
+++ b/crates/server/src/configuration/error.rs
@@ -37,10 +37,11 @@
     /// The fleet settings in the options are invalid.
     #[error(transparent)]
     Fleet(#[from] FleetError),
-    /// The options describe a tier, but the platform's file names no downstream service.
+    /// The options file describes a tier, but the platform's file contains no address of a downstream
+    /// service.
     #[error("<tier>: the configuration names no records to call")]
     TierWithoutRecords,
-    /// The deployment's settings and the options contradict each other.
+    /// The deployment's settings and the options file contradict each other.
     #[error(transparent)]
     Mismatch(#[from] MismatchError),
 }
--- a/crates/server/src/configuration/fleet.rs
+++ b/crates/server/src/configuration/fleet.rs
@@ -32,7 +32,8 @@
     pub settings: MembershipSettings,
     /// Settings of the shared state, if the options enable a feature that uses it.
     pub shared: Option<SharedSettings>,
-    /// Addresses of the downstream services, in the order of their names in the shared state.
+    /// Addresses of the downstream services, in the order in which the settings of the shared state name
+    /// them.
     pub tier: Vec<SocketAddr>,
 }
 
@@ -61,8 +62,8 @@
     },
 }
 
-/// Builds the fleet settings from `<membership>`, without the shared state. The member's name is `server`
-/// unless the options contain one. `options_path` is the path of the options file.
+/// Builds the fleet settings from `<membership>`, without the shared state. The member is named `server`
+/// unless `<membership>` contains a name. `options_path` is the path of the options file.
 pub fn fleet_settings(
     membership: &Membership,
     server: &str,
@@ -118,7 +119,8 @@
     Ok(Some(settings))
 }
 
-/// Returns the budget of downstream calls, if any, followed by the leases.
+/// Returns the budget of downstream calls, if the options define one, followed by the budgets of the leases
+/// that the options require.
 fn budgets(options: &Options) -> Result<Vec<BudgetSettings>, FleetError> {
     let mut budgets = Vec::new();
     if let Some(calls) = options.shared_state.as_ref().and_then(|shared| shared.budget.as_ref()) {
--- a/crates/server/src/configuration/load.rs
+++ b/crates/server/src/configuration/load.rs
@@ -15,10 +15,11 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// Layers applied over a server's own options file, in the order of the fields.
+/// Sources of settings that replace settings of the server's own options file. They are applied in the order
+/// of the fields, so later fields take precedence.
 #[derive(Clone, Copy, Default)]
 pub struct Layers<'a> {
-    /// Path of the settings file of a rollout.
+    /// Path of the candidate settings file of a rollout.
     pub change: Option<&'a Path>,
     /// State of the replicated configuration.
     pub replicated: Option<&'a State>,
@@ -75,8 +76,8 @@
         Ok(configuration)
     }
 
-    /// Loads the configuration. Includes the settings of a rollout if the server had adopted these settings
-    /// before its last stop, the settings file has not changed, and the settings can be used.
+    /// Loads the configuration. Includes the candidate settings of a rollout if the server had adopted them
+    /// before its last stop, their file has not changed since, and they can be used.
     fn load_adopted(path: &Path, options: Option<&Path>) -> Result<Self, LoadError> {
         let own = Self::load(path, options, Layers::default())?;
         let candidate = own.candidate.borrow().clone();
@@ -100,7 +101,8 @@
         Ok(own)
     }
 
-    /// Loads the configuration from the files and layers, with defaults filled in, and checks it.
+    /// Loads the configuration from the platform's file at `path` and the options file at `options`, whose
+    /// settings are overridden by `layers`. Fills in defaults, and checks the result for contradictions.
     pub fn load(path: &Path, options: Option<&Path>, layers: Layers) -> Result<Self, LoadError> {
         let text = std::fs::read_to_string(path)
             .map_err(|error| LoadError::Read { path: path.to_path_buf(), error })?;
@@ -144,7 +146,7 @@
     }
 }
 
-/// Reads the server's own options, and applies the layers over them.
+/// Reads the server's own options file at `path`, and overrides its settings with those of `layers`.
 fn read_options(path: &Path, layers: Layers) -> Result<Options, LoadError> {
     let mut options = Options::load(path).map_err(|error| LoadError::Options(error.into()))?;
     if let Some(change) = layers.change {
--- a/crates/server/src/configuration/mod.rs
+++ b/crates/server/src/configuration/mod.rs
@@ -1,5 +1,5 @@
-//! Configuration of a server from the platform's file and the options file, including the parts that a reload
-//! may change.
+//! Configuration of a server, loaded from the platform's file and the options file. A reload may change parts
+//! of the configuration.
 
 pub mod candidate;
 mod defaults;
@@ -33,7 +33,8 @@
     pub interpreter: SocketAddr,
     /// Address of the service registry.
     pub catalog: SocketAddr,
-    /// Address of the downstream service; `None` for the last tier, which has none.
+    /// Address of the downstream service. `None` for a server of the last tier, which calls no downstream
+    /// service.
     pub records: Option<SocketAddr>,
 }
 
@@ -55,21 +56,21 @@
     pub memory_mb: u64,
     /// Limit on open file descriptors.
     pub sockets: usize,
-    /// Settings of the deployment.
+    /// Settings of the deployment, from the `settings` object of the platform's file.
     pub settings: DeploymentSettings,
     /// Notes for the log about defaults that were filled in and settings that have no effect.
     pub notes: Vec<String>,
-    /// Settings from the options file; all defaults without one.
+    /// Contents of the options file; default values if there is no options file.
     pub options: RefCell<Arc<Options>>,
     /// Path of the options file, if any.
     pub options_path: Option<PathBuf>,
-    /// Target utilization of the cores; a reload may change it.
+    /// Target utilization of the cores, from 0 to 1. A reload may change the target.
     pub target_utilization: Cell<f64>,
-    /// Candidate of a rollout, if the options have `<rollout>`.
+    /// Candidate files of a rollout, if the options file has a `<rollout>` element.
     pub candidate: RefCell<Option<Candidate>>,
-    /// The revision of replicated configuration in force, if any.
+    /// Revision of the replicated configuration that is in force, if any.
     pub replicated: RefCell<Option<Snapshot>>,
-    /// Fleet settings, if the options have `<membership>`.
+    /// Fleet settings, if the options file has a `<membership>` element.
     pub membership: Option<FleetSettings>,
 }
 
--- a/crates/server/src/configuration/platform_file.rs
+++ b/crates/server/src/configuration/platform_file.rs
@@ -80,7 +80,8 @@
     }
 }
 
-/// Parses the platform's file into the configuration of a server without options.
+/// Parses `text`, the content of the platform's file at `path`. The returned configuration does not include
+/// an options file yet.
 pub fn read(text: &str, path: &Path) -> Result<Configuration, PlatformFileError> {
     let file = PlatformFile(serde_json::from_str(text).map_err(PlatformFileError::NotJson)?);
     let seed = file.string("seed")?;
--- a/crates/server/src/connection/accept.rs
+++ b/crates/server/src/connection/accept.rs
@@ -69,9 +69,9 @@
     future::or(recheck, accepted).await
 }
 
-/// Accepts the connections that wait in the kernel's queue while descriptors are available. Closing the
-/// listener would reset the waiting connections and lose the unread calls on them. The caller closes the
-/// listener without yielding to another task once the queue is empty.
+/// Accepts the connections that wait in the kernel's queue while descriptors are available. Called before the
+/// listener is closed, since closing it would reset the waiting connections and lose the unread calls on
+/// them. If the queue is empty, the caller closes the listener without yielding to another task.
 fn accept_backlog(server: &Rc<Server>, listener: &Async<TcpListener>) -> Backlog {
     let mut backlog = Backlog::Empty;
     while let Some(descriptor) = server.descriptors.reserve_for_connection() {
--- a/crates/server/src/connection/state.rs
+++ b/crates/server/src/connection/state.rs
@@ -50,8 +50,8 @@
     Cancelled {
         /// Tag of the call.
         tag: u64,
-        /// True if the call was still open. It is no longer open if, for example, its answer and the
-        /// cancellation crossed in transit.
+        /// True if the call was still open. A call is no longer open if, for example, the server had sent its
+        /// answer before the cancellation arrived.
         was_open: bool,
     },
     /// A command that cannot be executed was received.
--- a/crates/server/src/connection/table.rs
+++ b/crates/server/src/connection/table.rs
@@ -45,7 +45,7 @@
     has_received: Cell<bool>,
     /// True once the peer was asked, or is about to be asked, to send no more calls on the connection.
     pub draining: Cell<bool>,
-    /// True if the connection's task was asked to close it and no command has arrived since.
+    /// True if the connection's task was asked to close the connection and no command has arrived since.
     pub closes_if_idle: Cell<bool>,
 }
 
@@ -94,8 +94,8 @@
     }
 }
 
-/// Health and load of the server as last set by the controller. Health checks report the health, and
-/// answers the load.
+/// Health and load of the server as last set by the controller. The health is reported in answers to health
+/// checks; the load is advertised in answers to calls.
 pub struct HealthStatus {
     /// Response to health checks: true if the server is healthy and wants calls.
     pub healthy: Cell<bool>,
--- a/crates/server/src/connection/task.rs
+++ b/crates/server/src/connection/task.rs
@@ -91,7 +91,8 @@
     Notified(Notification),
     /// The time of the connection's timeout was reached.
     Timeout,
-    /// The state of the connection may have changed in another way. The task evaluates it again.
+    /// The connection's state may have changed for a reason that has no variant here. The task evaluates the
+    /// state again.
     Other,
 }
 
--- a/crates/server/src/fleet/coordinator.rs
+++ b/crates/server/src/fleet/coordinator.rs
@@ -148,9 +148,9 @@
     arguments: &'a RolloutArguments,
     fleet_member: NonServingMember,
     coordinator: Coordinator,
-    /// Length of an interval, in nanoseconds.
+    /// Time between two rounds of orders and reports, in nanoseconds.
     interval: u64,
-    /// Start of the next interval, in Unix nanoseconds.
+    /// Time of the next round of orders and reports, in Unix nanoseconds.
     next_interval: u64,
 }
 
@@ -247,7 +247,7 @@
     }
 }
 
-/// The servers of the fleet, alive and missing, without the coordinators.
+/// Returns the servers of the fleet, divided into alive and missing servers. Coordinators are not included.
 fn fleet_view(membership: &mut Membership, now: u64) -> FleetView {
     let mut view =
         FleetView { settled_for: now.saturating_sub(membership.last_change()), ..FleetView::default() };
--- a/crates/server/src/fleet/interval_report.rs
+++ b/crates/server/src/fleet/interval_report.rs
@@ -1,5 +1,5 @@
-//! Records the answers of this server since its last report, by class of invocations. A rollout's coordinator
-//! compares these figures between servers with and without the change.
+//! Records the answers that this server has sent since its last report, in one class per operation. A
+//! rollout's coordinator compares the recorded figures between servers with and without the change.
 
 use hdrhistogram::Histogram;
 use meadowstream_rollout::metrics::IntervalMetrics;
--- a/crates/server/src/fleet/publish.rs
+++ b/crates/server/src/fleet/publish.rs
@@ -81,7 +81,8 @@
 struct PublishSession {
     fleet_member: NonServingMember,
     replicas: Vec<String>,
-    /// Index of the replica that is assumed to be the publisher, modulo the number of replicas.
+    /// Index of the replica that is assumed to be the publisher. May exceed the number of replicas; it is
+    /// used modulo that number.
     publisher: usize,
     /// Time limit of the command, in Unix nanoseconds.
     deadline: u64,
--- a/crates/server/src/fleet/replication.rs
+++ b/crates/server/src/fleet/replication.rs
@@ -62,7 +62,7 @@
     logged_at: Nanos,
 }
 
-/// Settings of a member from the `<replication>` element.
+/// Returns the replication settings of this member, read from the `<replication>` element.
 pub fn replication_settings(options: &ReplicationOptions) -> Settings {
     let location = Location { region: options.region.clone(), zone: options.zone.clone() };
     Settings {
--- a/crates/server/src/fleet/rollout.rs
+++ b/crates/server/src/fleet/rollout.rs
@@ -1,6 +1,6 @@
 //! Carries out a rollout's orders on this server: adopts the settings or the program of the change, or
-//! returns to the server's own, and reports which version the server runs. An adopted change is marked on
-//! disk before it is reported, so that it survives a crash.
+//! returns to the server's own settings or program, and reports which version the server runs. An adopted
+//! change is marked on disk before it is reported, so that the change survives a crash.
 
 use crate::configuration::candidate::hash_of;
 use crate::error::with_causes;
@@ -81,7 +81,7 @@
     start_change(server, rollout, &order, program);
     rollout.intervals.set(rollout.intervals.get() + 1);
     let refused = rollout.refused.borrow().clone();
-    // A refusal reason and the figures of all classes do not fit in one datagram together.
+    // A refusal reason and the recorded answers of all classes do not fit in one datagram together.
     let classes = if refused.is_some() { Vec::new() } else { rollout.recorder.take() };
     Some(Report { classes, ..rollout.report(&order, program, refused) })
 }
@@ -130,7 +130,7 @@
             rollout.versions.borrow_mut().set_settings(settings);
             let settings = format!("{settings:016x}");
             info!(target: "fleet", adopted = adopt.is_some(), settings, "settings");
-            // Discards the figures recorded under the previous settings.
+            // Discards the answers recorded under the previous settings.
             rollout.recorder.take();
         }
         Err(error) => refuse(rollout, &error),
--- a/crates/server/src/fleet/rollout_state.rs
+++ b/crates/server/src/fleet/rollout_state.rs
@@ -119,8 +119,8 @@
         (under_way && order.plan != last.plan).then(|| last.plan.clone())
     }
 
-    /// Builds the report that answers an order, without figures. `program` is set for an order to change the
-    /// program.
+    /// Builds the report that answers an order; the caller adds the recorded answers. `program` is set for an
+    /// order to change the program.
     pub fn report(&self, order: &Order, program: Option<OwnProgram>, refused: Option<String>) -> Report {
         let settings = self.adopted.get();
         let (running_hash, adopted) = match program {
--- a/crates/server/src/lifecycle/drain.rs
+++ b/crates/server/src/lifecycle/drain.rs
@@ -9,10 +9,10 @@
 /// Interval between checks for the end of the drain.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Eighths of the time between notice and stop during which connections are accepted. Callers that are not
-/// yet aware of the drain still connect, and an answer costs them less than a refused connection. In the last
-/// eighth no connections are accepted, since invocations that arrive just before the stop could not be
-/// answered in time.
+/// Number of eighths of the time from the notice to the stop in which connections are accepted. Callers that
+/// are not yet aware of the drain still connect, and an answer costs them less than a refused connection. In
+/// the last eighth no connections are accepted, since invocations that arrive just before the stop could not
+/// be answered in time.
 const ACCEPTING_EIGHTHS: u32 = 7;
 
 /// Enters the phases of the drain one after the other. The grace ends halfway between notice and stop at the
@@ -33,8 +33,8 @@
 
 /// Returns whether the server may exit: either the grace is over and no connection or event is left, or the
 /// time set with `DrainState::end_by` has passed. At the end of the grace, or with the next answer to a peer,
-/// the server asks the peer to send no further invocations. The peer then closes its connection when
-/// everything on the connection is answered.
+/// the server asks the peer to send no further invocations. The peer then closes the connection once every
+/// invocation sent over it is answered.
 pub fn is_over(server: &Server) -> bool {
     let is_empty = server.connections.count() == 0 && server.events.is_empty();
     (server.drain.is_grace_over() && is_empty) || server.drain.has_stopped(server.clock.now())
--- a/crates/server/src/lifecycle/pause.rs
+++ b/crates/server/src/lifecycle/pause.rs
@@ -53,8 +53,8 @@
 pub struct Pauses {
     /// Longest pause by wall-clock time and by processor time; these can be two different pauses.
     pub longest: Span,
-    /// Number of the part with the most processor time; 0 is the swap of the configuration before the first
-    /// part.
+    /// Number of the last part in the pause with the most processor time. Parts are counted from 1; 0 is the
+    /// swap of the configuration before the first part.
     pub longest_part: usize,
     parts: usize,
     /// Total time of the parts that the event loop has applied since it last waited for an event.
--- a/crates/server/src/lifecycle/reload.rs
+++ b/crates/server/src/lifecycle/reload.rs
@@ -86,7 +86,8 @@
     in_force: Arc<Options>,
 }
 
-/// A change that has been read and checked. Applying it keeps the serving thread busy for one part at a time.
+/// A change that has been read and checked. The change is applied in parts, so that the serving thread is
+/// busy with only one part at a time.
 struct Prepared {
     configuration: Configuration,
     /// Changes of the fair queue's settings, split into parts that are applied one after the other.
--- a/crates/server/src/lifecycle/reload_check.rs
+++ b/crates/server/src/lifecycle/reload_check.rs
@@ -26,7 +26,9 @@
     /// The presence of the `<tenants>` element: a change adds or removes it.
     #[error("tenants: telling them apart or not takes a restart")]
     Tenants,
-    /// The source of a call's tenant, its origin, or the value of surplus.
+    /// The part of a call that identifies its tenant, the part that identifies its origin, or
+    /// `surplus-value`, the fraction of its priority weight that an invocation beyond its tenant's quota
+    /// keeps.
     #[error("tenants: a change of by, field, origin or surplus-value takes a restart")]
     TenantSource,
     /// The memory limit of the tenants' accounts.
--- a/crates/server/src/resources/descriptors.rs
+++ b/crates/server/src/resources/descriptors.rs
@@ -9,8 +9,9 @@
 const OPENED_AFTER_START: usize = 2;
 /// Number of descriptors assumed to be open at startup if the open descriptors cannot be counted.
 const OPEN_AT_START_FALLBACK: usize = 13;
-/// Divisor of the number of all descriptors; the result is the size of a reserve. Connections use no
-/// descriptor of the reserve. Downstream calls and files leave half of the reserve to connections.
+/// Divisor of the number of available descriptors; the result is the size of a reserve. Connections of
+/// callers together use at most the descriptors outside the reserve. A downstream call or a file gets a
+/// descriptor only if more than half of the reserve's size is free.
 const RESERVE_DIVISOR: usize = 8;
 /// Minimum number of descriptors in the reserve.
 const RESERVE_MIN: usize = 2;
--- a/crates/server/src/wire/resp.rs
+++ b/crates/server/src/wire/resp.rs
@@ -13,8 +13,8 @@
 /// Maximum length of an encoded array, in bytes.
 pub const ARRAY_MAX: usize = NUMBER_MAX + WORDS_MAX * (NUMBER_MAX + WORD_MAX + 2);
 
-/// Parses the number on the line that starts at `at`, behind the type byte `mark`. Returns the number and
-/// the end of the line.
+/// Parses the number on the line that starts at offset `at` with the type byte `mark`. Returns the number and
+/// the offset of the end of the line.
 fn number(bytes: &[u8], at: usize, mark: u8) -> Parsed<usize> {
     let line = &bytes[at..];
     let Some(first) = line.first() else { return Parsed::Incomplete };
@@ -33,7 +33,7 @@
     }
 }
 
-/// Parses the bulk string at `at`. Returns the string and its end.
+/// Parses the bulk string at offset `at`. Returns the string and the offset of its end.
 fn word(bytes: &[u8], at: usize) -> Parsed<&[u8]> {
     let (length, start) = match number(bytes, at, b'$') {
         Parsed::Complete(length, start) => (length, start),
