--- a/crates/hot-restart/src/predecessor.rs
+++ b/crates/hot-restart/src/predecessor.rs
@@ -235,7 +235,7 @@
         vec![Action::StartSuccessor, Action::Send(offer)]
     }
 
-    /// Drains the active process; before the release, aborts the attempt.
+    /// Handles a request to drain: the active process drains. An upgrade attempt before its release is aborted.
     fn handle_drain_request(&mut self, grace: Nanos) -> Vec<Action> {
         self.drain_grace = Some(grace);
         match self.phase {
--- a/crates/membership/src/replay_window.rs
+++ b/crates/membership/src/replay_window.rs
@@ -5,8 +5,8 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// Size of a replay window. Of the sequence numbers up to the highest one received, only this many can still
-/// be accepted.
+/// Size of a replay window, in sequence numbers. A datagram whose sequence number is this much or more below
+/// the highest one received from the sender is rejected.
 const WINDOW: u64 = 64;
 
 /// Replay windows by sender address. Their number is limited: the window of the least recently active sender
--- a/crates/replication/src/codec.rs
+++ b/crates/replication/src/codec.rs
@@ -25,7 +25,7 @@
                     && is_name(&location.region)
                     && is_name(&location.zone)
             }
-            // The length of the location is limited only by the maximum length of the body.
+            // The lengths of the region and the zone are limited only by the maximum length of the body.
             Message::Report { report, .. } => {
                 let rejected = report.rejected.as_ref();
                 rejected.is_none_or(|rejection| rejection.reason.len() <= REASON_BYTES_MAX)
@@ -36,7 +36,8 @@
             }
             // The acceptor and the committed log check entries when they append them.
             Message::Promise { .. } | Message::Append { .. } => true,
-            // The transfer checks pairs when it adds them. The key `after` is only compared with other keys.
+            // `SnapshotTransfer` checks received key-value pairs when it adds them to its state. The key
+            // `after` is only compared with other keys.
             Message::FetchChunk { .. } | Message::SnapshotChunk { .. } => true,
             // These messages contain at most numbers, so there is nothing to check.
             Message::SnapshotOffer { .. }
--- a/crates/replication/src/committed_log.rs
+++ b/crates/replication/src/committed_log.rs
@@ -169,8 +169,8 @@
         }
     }
 
-    /// Drops the entries up to the older checkpoint. Another member that lacks these entries fetches a
-    /// checkpoint instead.
+    /// Drops the entries up to the older of the two checkpoints, if there are two. Another member that lacks
+    /// these entries fetches a checkpoint instead.
     fn trim(&mut self) {
         let [_, Some(older)] = &self.checkpoints else { return };
         if older.number() < self.base.number() {
--- a/crates/replication/src/member/applier.rs
+++ b/crates/replication/src/member/applier.rs
@@ -6,8 +6,8 @@
 use crate::time::{Nanos, SECOND_NS};
 
 /// Duration of the catch-up period, which starts when a member first learns of a revision from another
-/// member. During this period the member raises its catch-up target to the highest log end that others
-/// report.
+/// member. The catch-up target is the highest log end that others report during this period. A member that
+/// started with an empty disk applies no revision before its log reaches the target.
 const CATCH_UP_NS: Nanos = 2 * SECOND_NS;
 /// Maximum UTF-8 length of a character, in bytes.
 const CHARACTER_BYTES_MAX: usize = 4;
@@ -24,9 +24,10 @@
     rejected: Option<Rejection>,
     /// Whether the member started with a revision read from its disk.
     started_from_disk: bool,
-    /// Highest log end that other members reported during the catch-up period.
+    /// Highest log end that other members reported during the catch-up period ([`CATCH_UP_NS`]).
     catch_up_target: u64,
-    /// When the catch-up period ends, in Unix nanoseconds; 0 until another member reports a revision.
+    /// When the catch-up period ([`CATCH_UP_NS`]) ends, in Unix nanoseconds; 0 until another member reports a
+    /// revision.
     catch_up_until: Nanos,
 }
 
@@ -43,9 +44,9 @@
         self.rejected.as_ref()
     }
 
-    /// Records that another member holds the log up to `number`. The catch-up target is raised only during
-    /// the catch-up period: under a steady stream of changes, a target that keeps rising would never be
-    /// reached.
+    /// Records that another member holds the log up to `number`. Only during the catch-up period does this
+    /// raise `catch_up_target`, the number that the own log must reach before a member with an empty disk
+    /// applies a revision. A target that kept rising with a steady stream of changes would never be reached.
     pub(super) fn on_newest_number(&mut self, number: u64, now: Nanos) {
         if self.catch_up_until == 0 && number > 0 {
             self.catch_up_until = now + CATCH_UP_NS;
--- a/crates/replication/src/member/gossip.rs
+++ b/crates/replication/src/member/gossip.rs
@@ -11,13 +11,13 @@
 const LEADER_FANOUT: usize = 2;
 /// Number of members to which a member that is not the leader pushes new entries, all in its own zone.
 const ZONE_FANOUT: usize = 3;
-/// Average number of pulls of which one is sent to a member anywhere in the fleet. The other pulls are sent
+/// On average, one in this many pulls is sent to a random member of the whole fleet. The other pulls are sent
 /// to a member of the same zone.
 const PULL_ANYWHERE_EVERY: u64 = 4;
 /// Maximum number of [`Message::Entries`] sent in answer to one digest.
 const ANSWER_MESSAGES_MAX: usize = 3;
-/// Difference in milliseconds between two freshness statements. A member answers a digest with its own digest
-/// if the statement in the received digest is older than its own by more than this.
+/// Age difference between two [`Freshness`] statements, in milliseconds. If the statement in a received digest
+/// is older than the receiver's own by more than this, the receiver answers with a digest of its own.
 const FRESHNESS_LAG_MS: u64 = 1_500;
 /// Maximum bytes of entries in one [`Message::Entries`]; the rest of the body is left for the other fields of
 /// the message, which are the leader's name, a flag and a number.
@@ -145,8 +145,8 @@
             }
             return;
         };
-        // Every entry takes at least one byte, so the answers cannot hold more entries than their maximum
-        // number of bytes.
+        // Limit the number of entries to clone. Every entry takes at least one byte, so the answers cannot
+        // hold more entries than bytes.
         let entries: Vec<Entry> = entries.take(ANSWER_MESSAGES_MAX * BODY_BYTES_MAX).cloned().collect();
         for batch in batches(&entries).into_iter().take(ANSWER_MESSAGES_MAX) {
             let message = self.entries_message(batch, false);
--- a/crates/replication/src/member/mod.rs
+++ b/crates/replication/src/member/mod.rs
@@ -90,7 +90,7 @@
     chunk_due: Nanos,
     /// State of a control machine; `None` on a server.
     control: Option<Control>,
-    /// The latest freshness statement for which this member's log reaches the log end in the statement.
+    /// The latest of the leader's freshness statements whose log end this member's log has reached.
     freshness: Freshness,
     applier: Applier,
     /// Name of the last known leader.
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -15,7 +15,7 @@
 pub const BODY_BYTES_MAX: usize = 1_100;
 /// Longest name of a member, a region or a zone, in bytes.
 pub const NAME_BYTES_MAX: usize = 64;
-/// Maximum number of neighbours listed in one digest.
+/// Maximum number of other members of the sender's zone that one [`Message::Digest`] lists.
 pub const NEIGHBOURS_MAX: usize = 3;
 /// Longest reason for a rejection, in bytes.
 pub const REASON_BYTES_MAX: usize = 200;
--- a/crates/replication/src/replica/election.rs
+++ b/crates/replication/src/replica/election.rs
@@ -1,4 +1,6 @@
-//! Candidate role of a replica: the election by which the holder of the lease becomes leader (Paxos phase 1).
+//! Election of the log's leader (Paxos phase 1). An external lease selects the replica that tries to lead. This
+//! replica, called the candidate, chooses an epoch, requests promises of that epoch from the other replicas, and
+//! becomes leader once a majority has promised.
 
 use super::leader::Leader;
 use super::{REPEAT_AFTER_NS, Replica, Role};
--- a/crates/replication/src/replica/mod.rs
+++ b/crates/replication/src/replica/mod.rs
@@ -87,7 +87,7 @@
     /// Entries after the committed log, without gaps.
     uncommitted: Vec<Entry>,
     role: Role,
-    /// Whether this replica holds the lease and so tries to become or remain the leader.
+    /// Whether this replica holds the external lease, whose holder tries to become or remain the leader.
     holds_lease: bool,
     /// Whether `promised` or `uncommitted` differ from the state on disk. While true, no message may be sent.
     is_unsaved: bool,
@@ -135,8 +135,9 @@
         matches!(self.role, Role::Leader(_))
     }
 
-    /// Sets whether this replica holds the lease. A leader that loses the lease steps down to follower. The
-    /// next leader finishes replicating its uncommitted entries, or replaces them.
+    /// Sets whether this replica holds the lease, whose holder tries to lead. A leader that loses the lease
+    /// steps down to follower. The next leader finishes replicating the old leader's uncommitted entries, or
+    /// replaces them.
     pub fn set_holds_lease(&mut self, holds: bool) {
         self.holds_lease = holds;
         if !holds {
--- a/crates/replication/src/simulation/layout.rs
+++ b/crates/replication/src/simulation/layout.rs
@@ -30,8 +30,8 @@
     pub loss: f64,
     /// Share of messages delivered twice, 0 to 1.
     pub duplicate: f64,
-    /// Time from a crash, start or partition until the membership view and the lease reflect it, in
-    /// nanoseconds.
+    /// Time from a crash, start or partition until the membership view and the holder of the leadership lease
+    /// are updated accordingly, in nanoseconds.
     pub view_lag: Nanos,
     /// Time that a host takes to check and write a revision, in nanoseconds.
     pub apply_time: Nanos,
--- a/crates/replication/src/simulation/mod.rs
+++ b/crates/replication/src/simulation/mod.rs
@@ -55,8 +55,8 @@
     queue: EventQueue<Event>,
     now: Nanos,
     rng: ChaCha8Rng,
-    /// Whether only [`Fleet::set_holds_lease`] grants and ends the lease. If false, every update of the
-    /// membership view also assigns the lease to one replica.
+    /// Whether only [`Fleet::set_holds_lease`] grants and ends the lease, whose holder tries to lead the log.
+    /// If false, every update of the membership view also assigns the lease to one replica.
     pub manual_lease: bool,
     /// Content hashes of all revisions ever applied, by revision number.
     contents: BTreeMap<u64, ContentHash>,
@@ -130,7 +130,7 @@
         self.schedule_view();
     }
 
-    /// Grants a replica the lease, or ends its lease.
+    /// Grants a replica the lease for the leadership of the log, or ends its lease.
     pub fn set_holds_lease(&mut self, node: usize, holds: bool) {
         if let Some(member) = &mut self.nodes[node].member {
             member.set_holds_lease(holds);
--- a/crates/replication/src/simulation/network.rs
+++ b/crates/replication/src/simulation/network.rs
@@ -1,4 +1,4 @@
-//! The simulated network, membership view, and lease on leadership.
+//! The simulated network, the membership view, and the lease for the leadership of the replicated log.
 
 use super::event::Event;
 use super::{Delay, Fleet, member_name};
--- a/crates/rollout/src/coordinator/stages.rs
+++ b/crates/rollout/src/coordinator/stages.rs
@@ -97,7 +97,7 @@
     }
 }
 
-/// Hash that determines the order in which a plan changes its servers.
+/// Hash by which a plan sorts the unchanged servers; servers with lower hashes are changed first.
 fn order_key(plan: &str, server: &str) -> u64 {
     let mut hasher = SipHasher13::new();
     (plan, server).hash(&mut hasher);
--- a/crates/rollout/tests/rollouts.rs
+++ b/crates/rollout/tests/rollouts.rs
@@ -29,7 +29,7 @@
     ThrottlesPremium(f64),
     /// Additional share of rejected invocations of both classes, only while load is high.
     UnderLoad(f64),
-    /// Factor of the latency.
+    /// Factor by which the change multiplies the latency.
     Slower(f64),
     /// Additional share of invocations that fail.
     Errs(f64),
