--- a/crates/capacity/src/day/mod.rs
+++ b/crates/capacity/src/day/mod.rs
@@ -1,7 +1,7 @@
 //! Simulates a day of configuration changes on the simulated fleet of the replication crate, and measures the
-//! time until each change is applied by every server. The day contains the stated numbers of changes,
-//! restarts and single failures, and also the failure of a rack, the isolation of a zone, the isolation of a
-//! region, and a failure of all control machines.
+//! time until each change is applied by every server. The day contains `CHANGES` configuration changes,
+//! `RESTARTS_PER_DAY` restarts and `FAILURES_PER_DAY` single failures, and also the failure of a rack, the
+//! isolation of a zone, the isolation of a region, and a failure of all control machines.
 
 mod run;
 mod schedule;
@@ -20,7 +20,8 @@
 
 /// Upper bound of the 99th percentile of the time until a server applies a change, in seconds.
 pub const IN_FORCE_SECONDS_BOUND: f64 = 4.0;
-/// Simulated time after the day in which servers can still apply the last changes, in nanoseconds.
+/// Simulated time for which the simulation continues after the day, so that servers can apply the last
+/// changes, in nanoseconds.
 const CATCH_UP_NS: Nanos = 300 * SECOND_NS;
 
 /// Fleet size and time spans of the simulated day.
@@ -45,8 +46,8 @@
 }
 
 impl DayScale {
-    /// Returns a scale with the events of a day compressed into a tenth of a day, with full time spans of the
-    /// failures.
+    /// Returns a scale that compresses all events of a day into a tenth of a day. The failures keep their
+    /// full time spans.
     pub fn full(servers: usize, seed: u64) -> DayScale {
         DayScale {
             servers,
@@ -58,8 +59,8 @@
         }
     }
 
-    /// Returns a scale with the events of a day compressed into a tenth of an hour, with shortened time spans
-    /// of the failures.
+    /// Returns a scale that compresses all events of a day into a tenth of an hour. The failures have
+    /// shortened time spans.
     pub fn quick(servers: usize, seed: u64) -> DayScale {
         DayScale {
             servers,
--- a/crates/capacity/src/day/run.rs
+++ b/crates/capacity/src/day/run.rs
@@ -24,8 +24,8 @@
 const KEYS: usize = 2_000;
 /// Number of keys in each change that creates the initial configuration.
 const KEYS_PER_CHANGE: usize = 200;
-/// Number of latest changes from whose receivers a stopping server is removed, because the server may not
-/// have received these changes.
+/// Number of latest changes that a server may not have received when it stops. The server is removed from the
+/// receivers of these changes.
 const RECENT_CHANGES: usize = 20;
 
 /// A configuration change that the leader accepted.
@@ -225,7 +225,7 @@
         }
     }
 
-    /// Records that a server is reachable again, from which time on its catch-up time is measured.
+    /// Records that a server is reachable again. The server's catch-up time is measured from this moment.
     fn record_return(&mut self, server: usize, had_empty_disk: bool) {
         let (at, newest_revision) = (self.fleet.now(), self.newest_revision);
         self.returned.push(ReturnedServer { at, server, newest_revision, had_empty_disk });
--- a/crates/capacity/src/incidents.rs
+++ b/crates/capacity/src/incidents.rs
@@ -23,8 +23,9 @@
 /// Minimum time for which the sent bytes are measured after the failed servers return, in simulated
 /// nanoseconds. The largest burst of one server is an average over this time.
 const BURST_NS: Nanos = 10 * SECOND_NS;
-/// Number of servers restarted while the control machines are down. The stated restart rate gives fewer
-/// restarts; the larger number makes sure that some servers restart.
+/// Number of servers restarted while the control machines are down. At the restart rate of the other
+/// incidents ([`RESTARTS_PER_DAY`] and [`FAILURES_PER_DAY`]), fewer servers would restart in this time; the
+/// larger number makes sure that some do.
 const RESTARTS_WITHOUT_CONTROL: usize = 12;
 
 /// Measurements of one simulated incident.
@@ -73,8 +74,9 @@
     Ok((fleet, ChaCha8Rng::seed_from_u64(scale.seed)))
 }
 
-/// Runs the simulation for `span_seconds` with random restarts at the stated rate. Control machines are not
-/// restarted. Returns the number of restarts.
+/// Runs the simulation for `span_seconds` and restarts random servers, except control machines. The rate is
+/// the sum of [`RESTARTS_PER_DAY`] and [`FAILURES_PER_DAY`], in proportion to the fleet size. Returns the
+/// number of restarts.
 fn run_with_restarts(
     fleet: &mut Fleet,
     rng: &mut ChaCha8Rng,
@@ -215,7 +217,7 @@
 }
 
 /// Simulates a network partition that isolates one part of the fleet for `span_seconds`. Meanwhile, servers
-/// on both sides restart at the stated rate.
+/// on both sides restart at the rate of [`run_with_restarts`].
 fn cut_off(
     scale: &Scale,
     description: String,
--- a/crates/capacity/src/meter.rs
+++ b/crates/capacity/src/meter.rs
@@ -19,7 +19,7 @@
     (info.uordblks + info.hblkhd) as u64
 }
 
-/// Accumulated cost of one mechanism.
+/// Accumulated cost of one mechanism: membership, shared state or replication.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Cost {
     /// CPU time in nanoseconds.
--- a/crates/capacity/src/process.rs
+++ b/crates/capacity/src/process.rs
@@ -193,7 +193,8 @@
     /// Waits until the process has logged `message` more than `lines_before` times, and returns the fields of
     /// the first further log line with this message.
     ///
-    /// # Errors Returns an error if the message is not logged in time, or if the process exits before that.
+    /// # Errors
+    /// Returns an error if the message is not logged in time, or if the process exits before that.
     pub fn wait_for(&self, message: &str, lines_before: usize) -> Result<Value, MeasureError> {
         let deadline = Instant::now() + LOG_LINE_TIMEOUT;
         while Instant::now() < deadline {
--- a/crates/capacity/src/process_fleet.rs
+++ b/crates/capacity/src/process_fleet.rs
@@ -13,7 +13,8 @@
 const ALONE_SETTLE: Duration = Duration::from_secs(2);
 const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(90);
 const CONVERGENCE_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Time after which no more gossip about the joins is sent. The fleet is measured after this time.
+/// Time to wait after all processes have joined, until gossip about the joins has ended. The fleet is
+/// measured after this time.
 const JOIN_GOSSIP_DURATION: Duration = Duration::from_secs(12);
 const DESCRIPTORS: usize = 256;
 
--- a/crates/capacity/src/report/mod.rs
+++ b/crates/capacity/src/report/mod.rs
@@ -22,9 +22,10 @@
 pub const SERVERS_MIN: usize = 80;
 /// Maximum for [`Options::servers`].
 pub const SERVERS_MAX: usize = 2_000;
-/// Number of named tenants that the bounds are stated for.
+/// Number of named tenants with which the added latency and the reload time must be within their bounds.
 const TENANTS: usize = 64_000;
-/// Number of operations (routes) that the bounds are stated for.
+/// Number of operations (routes) with which the added latency and the reload time must be within their
+/// bounds.
 const ROUTES: usize = 6_200;
 /// Invocations per second and server: 190,000 invocations per second divided among 690 servers, and divided
 /// among the servers that remain when one of three regions is down.
@@ -153,7 +154,7 @@
 }
 
 /// Measures the latency that one process adds: under a base load of one tenant and two operations, and under
-/// the stated numbers of tenants and operations at each of [`RATES`].
+/// [`TENANTS`] tenants and [`ROUTES`] operations at each of [`RATES`].
 fn added_latencies(
     program: &Path,
     quick: bool,
--- a/crates/capacity/src/scale.rs
+++ b/crates/capacity/src/scale.rs
@@ -40,7 +40,7 @@
 const MEMBERSHIP_BYTES_PER_SECOND: u64 = 12_000;
 /// Units of the call budget per server of the fleet.
 const BUDGET_UNITS_PER_SERVER: u64 = 10;
-/// Divisors that give the measured fleet sizes from the largest size.
+/// Divisors of the largest fleet size. The quotients are the fleet sizes to measure.
 const SIZE_DIVISORS: [usize; 5] = [16, 8, 4, 2, 1];
 
 /// Fleet size and time spans of the simulations.
--- a/crates/capacity/src/server.rs
+++ b/crates/capacity/src/server.rs
@@ -23,7 +23,7 @@
 pub struct ReplicationSettings {
     /// Settings of the replication member.
     pub member: meadowstream_replication::member::Settings,
-    /// Name of the budget whose single unit is the lease on leading the replicated log.
+    /// Name of a budget of one unit. The server that leases this unit leads the replicated log.
     pub lease: &'static str,
 }
 
--- a/crates/capacity/tests/model.rs
+++ b/crates/capacity/tests/model.rs
@@ -71,8 +71,8 @@
     assert_eq!(Line::fit(&[point(1.0, 1.0), point(1.0, 2.0), point(1.0, 3.0)]), None);
 }
 
-/// Prints the costs of a control machine in a fleet at rest of the stated size, the memory of a configuration
-/// with 64,000 tenants, and the size and encoding time of its persisted state.
+/// Prints the costs of a control machine in a fleet of 690 servers at rest, the memory of a configuration
+/// with 64,000 tenants, and the size and encoding time of the persisted state of this configuration.
 #[test]
 #[ignore = "half a minute"]
 fn a_control_machine_at_the_stated_size() {
@@ -93,8 +93,8 @@
     );
 }
 
-/// Prints the measurements of an isolated zone and of a day in a fleet of the stated size. Run it with `cargo
-/// test --release -p meadowstream-capacity -- --ignored --nocapture`.
+/// Prints the measurements of an isolated zone and of a day in a fleet of 690 servers. The command is
+/// `cargo test --release -p meadowstream-capacity -- --ignored --nocapture`.
 #[test]
 #[ignore = "some minutes"]
 fn an_isolated_zone_and_a_day_at_the_stated_size() {
--- a/crates/cli/examples/mixed_fleet.rs
+++ b/crates/cli/examples/mixed_fleet.rs
@@ -69,7 +69,7 @@
     Ok(())
 }
 
-/// Elements of the options of process `i`, in addition to its membership.
+/// Elements of the options file of process `i`, apart from its `<membership>`.
 fn options(i: usize) -> String {
     let replicas: String = (0..CONTROL_MACHINES).map(|n| format!(r#"<replica name="s{n}"/>"#)).collect();
     let voters: String = (3..8).map(|n| format!(r#"<voter name="s{n}"/>"#)).collect();
@@ -90,9 +90,9 @@
     )
 }
 
-/// Sends every server a load that needs more downstream calls than its floor. Checks that each server
-/// gets a lease, that the leases cover the budget beyond the floors except for at most one call, and that the
-/// downstream service never has more concurrent calls than the budget.
+/// Sends every server a load that needs more downstream calls than [`BUDGET_FLOOR`]. Checks that each server
+/// gets a lease, that the leases cover the budget except for the floors of all servers and at most one
+/// further call, and that the downstream service never has more concurrent calls than the budget.
 fn share_budget(fleet: &FleetHarness, downstream: &downstream_service::DownstreamService) -> Result<()> {
     let servers: Vec<usize> = (CONTROL_MACHINES..PROCESSES).collect();
     let mut loads = Vec::new();
--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -11,7 +11,7 @@
 
 /// Environment variable that contains the path of the platform's file if `--config` is missing.
 const CONFIG_VARIABLE: &str = "ROUTER_CONFIG";
-/// Default number of servers of the scale model.
+/// Default number of servers in the fleet that `fleet capacity` models.
 const CAPACITY_SERVERS: usize = 690;
 /// Default time for which a rollout waits for the rollout lease, in seconds.
 const ROLLOUT_WAIT_S: u64 = 120;
@@ -36,7 +36,7 @@
     },
     /// Run an overload test with many tenants against a process of this program on the loopback interface.
     Rehearse {
-        /// Number of tenants with a light load, in addition to the one tenant that floods the server.
+        /// Number of tenants with a light load. One further tenant floods the server.
         tenants: usize,
         /// Duration of the run, in seconds.
         seconds: u64,
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,7 +1,7 @@
 //! `meadowstream`: the command line, its help texts and exit codes.
 //!
-//! Exit codes: 0 done, 1 failed, 2 wrong usage. Only this program links the test doubles and the capacity
-//! measurements in addition to the server.
+//! Exit codes: 0 done, 1 failed, 2 wrong usage. Besides the server, this program links the test doubles and
+//! the capacity measurements; no other program links these.
 #![deny(missing_docs, clippy::too_many_lines)]
 
 mod arguments;
--- a/crates/cli/tests/fleet_membership.rs
+++ b/crates/cli/tests/fleet_membership.rs
@@ -108,8 +108,9 @@
     expect_agreement(&fleet, &all(4), Duration::from_secs(10));
 }
 
-/// Regression test. When members did not yet time out suspects independently of each other, a member stayed
-/// suspect in all other views after a one-way cut (in 2 of about 9 runs).
+/// Regression test. In earlier versions, only the prober (the member whose probe raised a suspicion) timed
+/// the suspicion out. If the prober's timer was lost, the suspect stayed suspect in all other views; this
+/// happened after a one-way cut in 2 of about 9 runs.
 #[test]
 fn views_agree_after_a_one_way_cut() {
     let fleet = start_fleet(5, 14);
--- a/crates/cli/tests/fleet_rollout.rs
+++ b/crates/cli/tests/fleet_rollout.rs
@@ -182,8 +182,8 @@
     runs[name][1].as_str().unwrap_or("").to_string()
 }
 
-/// A control reference far below the utilization that the load needs makes a server reject many calls. The
-/// rollout detects this in its first stage and reverts the one changed server; the other five never change.
+/// A target utilization (`<control reference>`) far below the load makes a server reject many calls. The
+/// first stage detects this and reverts the one changed server; the other five never change.
 #[test]
 fn a_bad_change_is_rolled_back_in_its_first_stage() {
     let _exclusive = lock_exclusive();
@@ -308,7 +308,7 @@
 fn invalid_candidates_and_plans_are_rejected_with_their_place() {
     let _exclusive = lock_exclusive();
     let fleet = start_fleet(44);
-    // The control reference 7 is above the limit of 1.
+    // The target utilization of 7 is above the maximum of 1.
     write_candidate(&fleet, "<control reference=\"7\"/>");
     let run = |plan: &Path| {
         let mut coordinator = Coordinator::start(&fleet, plan, 6, 5);
--- a/crates/cli/tests/fleet_state.rs
+++ b/crates/cli/tests/fleet_state.rs
@@ -65,8 +65,8 @@
     serde_json::from_str::<serde_json::Value>(totals).unwrap()[key].as_u64().unwrap_or(0)
 }
 
-/// Waits until `servers` have leased the calls of the budget that the floors of all six servers leave over;
-/// one of these calls may stay unleased.
+/// Waits until `servers` have leased the whole budget except for [`FLOOR`] calls of each of the six servers.
+/// At most one further call may stay unleased.
 fn expect_all_leased(fleet: &FleetHarness, servers: &[usize], within: Duration) {
     let leased = wait_for(within, || (leased(fleet, servers) >= TOTAL - 6 * FLOOR - 1).then_some(()));
     assert!(leased.is_some(), "{:?}", servers.iter().map(|&i| fleet.shared_state(i)).collect::<Vec<_>>());
@@ -230,7 +230,7 @@
     assert!(fleet.has_logged(0, "configuration kept as it was"), "the rejected reload is in the log");
 }
 
-/// Time for which a report that a service fails counts, in the tests of outlier detection.
+/// Time for which a report of a failing service counts, in the tests of outlier detection.
 const EXPIRY: Duration = Duration::from_millis(2000);
 
 /// Five processes with a tier of four downstream services. Each service is behind its own relay, and the
--- a/crates/cli/tests/scenario_harness/link.rs
+++ b/crates/cli/tests/scenario_harness/link.rs
@@ -7,7 +7,7 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::sync::{Arc, Mutex};
 
-/// State for the answers to the server's gauge requests on a link.
+/// State that determines when the test double answers the server's gauge requests on a link.
 struct GaugeAnswers {
     stream: TcpStream,
     /// Nonces of gauge requests received during a replay of notices; `None` outside a replay.
--- a/crates/cli/tests/scenario_harness/options.rs
+++ b/crates/cli/tests/scenario_harness/options.rs
@@ -1,6 +1,7 @@
-//! Options with tenants for scenarios.
+//! Builds the `<tenants>` element of the options files that scenarios use.
 
-/// Options with `count` tenants. Their ceiling on the number of accounts is `2 * count + 16`.
+/// Returns a `<tenants>` element with `count` tenants of the same weight. The limit on the number of accounts
+/// is `2 * count + 16`.
 pub fn many_tenants(count: &str, weight: &str) -> String {
     let count: usize = count.parse().unwrap();
     let tenants: Vec<String> =
--- a/crates/cli/tests/scenario_harness/steps.rs
+++ b/crates/cli/tests/scenario_harness/steps.rs
@@ -188,7 +188,8 @@
             ["drink", name, count] => {
                 for tag in 1..=count.parse::<usize>().unwrap() {
                     let mut words = self.balancer(name).read_array().expect("an answer");
-                    // Skips drain notices, which the server sends on a connection without progress for long.
+                    // Skips drain notices, which the server sends on a connection that has made no progress
+                    // for long.
                     while words[1] == "enough" {
                         words = self.balancer(name).read_array().expect("an answer");
                     }
--- a/crates/configuration/src/error.rs
+++ b/crates/configuration/src/error.rs
@@ -52,7 +52,7 @@
         /// The fault in the element.
         fault: Box<Fault>,
     },
-    /// An element conflicts with another one or lacks one that it needs.
+    /// An element conflicts with another element, or another element that it needs is missing.
     #[error("<{element}>: {fault}")]
     Options {
         /// Name of the element.
--- a/crates/configuration/src/options.rs
+++ b/crates/configuration/src/options.rs
@@ -14,8 +14,8 @@
 /// Child elements of the root.
 const CHILDREN: &[&str] =
     &["tenants", "tokens", "calls", "membership", "shared-state", "rollout", "replication", "control"];
-/// Bounds and default of the target utilization in `<control reference>`, as a ratio of the cores. This
-/// constant is the minimum.
+/// Minimum target utilization of the cores in `<control reference>`, as a ratio. The next two constants are
+/// its maximum and its default.
 pub(crate) const UTILIZATION_MIN: f64 = 0.05;
 pub(crate) const UTILIZATION_MAX: f64 = 1.0;
 const UTILIZATION_DEFAULT: f64 = 0.9;
--- a/crates/configuration/src/tenants.rs
+++ b/crates/configuration/src/tenants.rs
@@ -9,7 +9,7 @@
 
 /// Maximum length of a tenant's name, in bytes.
 const NAME_BYTES_MAX: usize = 2048;
-/// Bounds of a tenant's weight, which is a ratio. This constant is the minimum.
+/// Minimum of a tenant's weight, as a ratio. The next constant is the maximum.
 pub(crate) const WEIGHT_MIN: f64 = 1e-3;
 pub(crate) const WEIGHT_MAX: f64 = 1e3;
 
@@ -28,7 +28,8 @@
     Field(String),
 }
 
-/// Origin of a call, which a tenant cannot forge. All new tenant names from one origin share one quota.
+/// Part of a call that identifies its origin and that a tenant cannot forge. All new tenant names from one
+/// origin share one quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
     /// The connection.
@@ -44,9 +45,9 @@
 pub struct Tenants {
     /// Part of a call that identifies its tenant.
     pub source: TenantSource,
-    /// Part of a call that identifies its origin, which a tenant cannot forge.
+    /// Part of a call that identifies its origin and that a tenant cannot forge.
     pub origin: Origin,
-    /// Ratio of its priority weight that an invocation beyond its tenant's quota keeps; default 0.1.
+    /// Factor on the priority weight of an invocation that exceeds its tenant's quota; default 0.1.
     pub surplus_value: f64,
     /// Number of tenants shown by name in the log, the heaviest first, 0 to 64; default 8.
     pub shown: usize,
--- a/crates/deployment-settings/src/deployment.rs
+++ b/crates/deployment-settings/src/deployment.rs
@@ -7,7 +7,7 @@
 use crate::{DeploymentSettings, SettingsError};
 use meadowstream_overload_control::{Deployment, Downstream, Effect, Operation, TARGET_UTILIZATION};
 
-/// Path of the degraded value ratios, a list by operation.
+/// Path of the list that holds the degraded value ratio of each operation.
 const DEGRADED_VALUES: &str = "family-info.degraded-worth";
 
 /// Reads all settings.
--- a/crates/deployment-settings/src/wire_words.rs
+++ b/crates/deployment-settings/src/wire_words.rs
@@ -37,7 +37,7 @@
 pub const DOWNSTREAMS: Words<DownstreamKind> =
     &[("off", DownstreamKind::None), ("tier", DownstreamKind::Tier), ("one_for_all", DownstreamKind::Shared)];
 
-/// Names of the gauges that the controller uses: the utilization of the cores, and the number of runnable
-/// threads.
+/// Name of the gauge that reports the utilization of the cores. The next constant is the name of the gauge
+/// that reports the number of runnable threads.
 pub const UTILIZATION_GAUGE: &str = "cpu_busy";
 pub const RUNNABLE_GAUGE: &str = "runnable";
--- a/crates/simulator-adapter/src/codec/event.rs
+++ b/crates/simulator-adapter/src/codec/event.rs
@@ -56,7 +56,8 @@
     pub const FAILED: u16 = 255;
 }
 
-/// Bit of an arrival's flags: the record contains a cost hint.
+/// Bit of an arrival's flags: the record contains a cost hint, the caller's estimate of the core time that
+/// the invocation needs.
 const HAS_COST_HINT: u8 = 1;
 /// Bit of an arrival's flags: the caller marked the request as a retry.
 const IS_MARKED_RETRY: u8 = 2;
--- a/crates/simulator-adapter/src/instances.rs
+++ b/crates/simulator-adapter/src/instances.rs
@@ -157,7 +157,7 @@
         Ok(())
     }
 
-    /// Returns the running instance of a slot.
+    /// Returns the instance in a slot of the list; `None` if no instance is running there.
     fn running(&mut self, slot: usize) -> Option<&mut Instance> {
         self.slots.get_mut(slot)?.as_mut()
     }
--- a/crates/test-doubles/src/balancers.rs
+++ b/crates/test-doubles/src/balancers.rs
@@ -13,8 +13,8 @@
 
 /// Maximum number of calls in flight on one connection.
 const CALLS_MAX: usize = 32;
-/// Maximum time between the sending of a call and the end of its connection for the call to count as
-/// crossed: it may have been in transit when the server closed the connection.
+/// A call whose connection ends within this time after the call was sent may have been in transit when the
+/// server closed the connection. [`Balancer::crossed_calls`] counts such calls.
 const CROSSING: Duration = Duration::from_millis(50);
 const READ_CHUNK_BYTES: usize = 16 * 1024;
 
@@ -61,7 +61,7 @@
     callers: RefCell<HashMap<u64, Caller>>,
     requests: Sender<Vec<u8>>,
     last_tag: Cell<u64>,
-    /// The server has announced that it drains this connection and accepts no new call on it.
+    /// Whether the server has announced that it is draining this connection and accepts no new call on it.
     draining: Cell<bool>,
 }
 
@@ -95,7 +95,8 @@
 }
 
 impl Balancer {
-    /// A balancer that keeps at most `connections_max` connections to one address; opens them on demand.
+    /// Creates a balancer that opens connections to one address on demand, at most `connections_max` at a
+    /// time.
     pub fn new(
         to: SocketAddr,
         connections_max: usize,
@@ -220,7 +221,7 @@
     }
 }
 
-/// Writes queued requests to the connection; all requests that are queued at one time share a write.
+/// Writes queued requests to the connection. Requests that are queued at the same time share one write.
 async fn write_requests(connection: &Connection, queue: &Receiver<Vec<u8>>) -> std::io::Result<()> {
     while let Ok(mut bytes) = queue.recv().await {
         while let Ok(more) = queue.try_recv() {
--- a/crates/test-doubles/src/downstream_service.rs
+++ b/crates/test-doubles/src/downstream_service.rs
@@ -19,8 +19,8 @@
     pub ended_us: u64,
 }
 
-/// Behaviour and counts of the service. Like any other call, a call that the caller cancels stays in flight
-/// at the service for the whole call time.
+/// Behaviour and counts of the service. A call that its caller cancels stays in flight at the service for the
+/// whole call time, like any other call.
 #[derive(Default)]
 pub struct DownstreamService {
     /// Duration of calls that arrive from now on, in microseconds.
--- a/crates/test-doubles/src/faults.rs
+++ b/crates/test-doubles/src/faults.rs
@@ -9,12 +9,12 @@
     pub loss: f64,
     /// Delay of all traffic.
     pub delay_ms: u64,
-    /// Upper bound of an additional delay, drawn uniformly from 0 up.
+    /// Upper bound of an additional random delay, which is drawn uniformly from 0 to this value.
     pub jitter_ms: u64,
     /// Share of datagrams delivered twice.
     pub duplicate: f64,
-    /// Share of datagrams that are delayed by `reorder_ms` in addition, so that later datagrams overtake
-    /// them.
+    /// Share of datagrams that are held back by the additional delay [`Self::reorder_ms`], so that later
+    /// datagrams overtake them.
     pub reorder: f64,
     /// Additional delay of reordered datagrams, in milliseconds.
     pub reorder_ms: u64,
--- a/crates/test-doubles/src/fleet/files.rs
+++ b/crates/test-doubles/src/fleet/files.rs
@@ -10,7 +10,8 @@
 /// Number of probe periods for which a member is suspect before it is declared down.
 pub const SUSPICION_PERIODS: u64 = 5;
 
-/// Settings of the processes of a harness, in addition to their membership.
+/// Options of a fleet harness, such as the programs and addresses of its processes and additional content for
+/// their options files.
 #[derive(Default)]
 pub struct HarnessOptions {
     /// Number of cores of each server's interpreter. With 0 the harness starts no interpreters.
@@ -63,7 +64,7 @@
     })
 }
 
-/// Options file of one server; formats as XML.
+/// Options file of one server. Its [`Display`] implementation writes the file as XML.
 pub struct OptionsFile<'a> {
     pub index: usize,
     /// Membership address at which other members reach the server.
--- a/crates/test-doubles/src/fleet/harness.rs
+++ b/crates/test-doubles/src/fleet/harness.rs
@@ -24,7 +24,8 @@
     processes: Vec<Option<ServerProcess>>,
     folder: PathBuf,
     program: PathBuf,
-    /// Service registry of all servers; receives load reports without processing them.
+    /// Socket to which all servers send the load reports for the service registry. Nothing processes the
+    /// reports.
     registry: UdpSocket,
     /// Listener to which servers connect if the harness runs no interpreter test double for them. The kernel
     /// accepts their links, and nothing ever replies.
--- a/crates/test-doubles/src/fleet/process.rs
+++ b/crates/test-doubles/src/fleet/process.rs
@@ -6,7 +6,8 @@
 use std::process::{Child, Command};
 use std::sync::Arc;
 
-/// A process of the program. Dropping it continues a stopped process (SIGCONT) and kills it.
+/// A process of the program under test. When this value is dropped, the process is continued (SIGCONT), in
+/// case it was stopped, and then killed.
 pub struct ServerProcess {
     pub child: Child,
     pub log: ServerLog,
--- a/crates/test-doubles/src/fleet/view.rs
+++ b/crates/test-doubles/src/fleet/view.rs
@@ -10,7 +10,7 @@
 /// Maximum number of log lines of each server in the report of a failed wait.
 const REPORTED_LINES: usize = 40;
 
-/// Times from a given instant until servers saw exactly each other alive, as measured by
+/// Times from a given instant until the membership views of the expected members agreed, as measured by
 /// [`FleetHarness::wait_for_agreement`].
 #[derive(Debug, Clone)]
 pub struct AgreementTimes {
--- a/crates/test-doubles/src/group_report.rs
+++ b/crates/test-doubles/src/group_report.rs
@@ -31,7 +31,7 @@
     pub errored: u64,
     /// Invocations without a reply: no connection had capacity, or the connection broke.
     pub unsent: u64,
-    /// Retries with the ticket and at the time that the server advised.
+    /// Retries that followed the server's advice: sent with its ticket, at the time that it advised.
     pub advised_retries: u64,
     /// Part of `advised_retries` that was admitted.
     pub advised_retries_admitted: u64,
--- a/crates/test-doubles/src/soak/checks.rs
+++ b/crates/test-doubles/src/soak/checks.rs
@@ -9,7 +9,7 @@
 pub const DRAIN_GRACE: Duration = Duration::from_millis(200);
 /// Time from the drain notice until the server is killed.
 pub const STOP_AFTER: Duration = Duration::from_millis(2_000);
-/// Tolerance of the protocol for all time limits that are observed on sockets.
+/// Tolerance that the protocol allows on each time limit that is observed on sockets.
 pub const SLACK: Duration = Duration::from_millis(50);
 /// Limit on the open file descriptors of a server; a higher count violates an invariant.
 pub const DESCRIPTORS_MAX: u64 = 256;
@@ -83,7 +83,7 @@
         /// Exit status of the server.
         status: String,
     },
-    /// The counters of the server do not add up.
+    /// The final counters of the server do not show one result for each invocation.
     #[error("s{server}: counters do not add up: {line}")]
     Counters {
         /// Index of the server.
--- a/crates/test-doubles/src/soak/play.rs
+++ b/crates/test-doubles/src/soak/play.rs
@@ -15,9 +15,10 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant, UNIX_EPOCH};
 
-/// Maximum number of concurrent downstream calls of all servers, where several share a budget.
+/// Maximum number of concurrent downstream calls of all servers together, in runs in which several servers
+/// share a budget.
 const BUDGET_TOTAL: u64 = 8;
-/// Concurrent downstream calls that each server may make without a lease.
+/// Number of concurrent downstream calls that each server may make without a lease on a part of the budget.
 const BUDGET_FLOOR: u64 = 1;
 const CORES: f64 = 4.0;
 /// Call time that makes the downstream service silent, because it is longer than the whole run.
--- a/crates/test-doubles/src/tenant_rehearsal/arrivals.rs
+++ b/crates/test-doubles/src/tenant_rehearsal/arrivals.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time in seconds by which the arrival clock of a tenant advances at once while the tenant's rate is 0.
+/// Interval in seconds after which a tenant whose rate is 0 checks its rate again.
 const IDLE_STEP_S: f64 = 0.1;
 
 /// Sends the invocations of a tenant until the end of the load. When an invocation is sent does not depend on
--- a/crates/test-doubles/src/tenant_rehearsal/play.rs
+++ b/crates/test-doubles/src/tenant_rehearsal/play.rs
@@ -20,7 +20,8 @@
 use std::sync::atomic::Ordering::Relaxed;
 use std::time::{Duration, Instant};
 
-/// Duration of a downstream call if the plan has no dependency.
+/// Call time of the downstream service if [`RehearsalPlan::dependency`] is `None`. The service is started in
+/// any case; without a dependency, no run calls it.
 const DEFAULT_CALL_TIME: Duration = Duration::from_millis(5);
 const PROGRESS_PERIOD: Duration = Duration::from_secs(1);
 const POLL_PERIOD: Duration = Duration::from_millis(10);
--- a/crates/wire-fixtures/src/lib.rs
+++ b/crates/wire-fixtures/src/lib.rs
@@ -1,9 +1,11 @@
 //! Compares encoded messages and stored files with the bytes that an earlier release wrote.
 //!
-//! A fixture file holds one `name hex` pair per line. A test encodes its samples and compares each with the
-//! line of the same name. This detects a moved field or variant before it breaks communication with servers
-//! of an older release. If the environment variable [`WRITE_VARIABLE`] is set, the fixture file is written
-//! instead. The file is written only once, by the release that defines the format.
+//! A fixture is an encoding that the earlier release recorded under a name; a fixture file holds one per
+//! line, as `name hex`. A sample is an encoding that a test makes with the present code. The test compares
+//! each sample with the fixture of the same name. This detects a moved field or variant before it breaks
+//! communication with servers of an older release. If the environment variable [`WRITE_VARIABLE`] is set, the
+//! samples are written to the fixture file instead. The file is written only once, by the release that
+//! defines the format.
 #![deny(missing_docs, clippy::too_many_lines)]
 
 use std::collections::BTreeMap;
@@ -13,7 +15,7 @@
 /// Environment variable that makes [`Fixtures::verify`] write the fixture file instead of comparing with it.
 pub const WRITE_VARIABLE: &str = "WRITE_WIRE_FIXTURES";
 
-/// Recorded encodings from one fixture file, by sample name.
+/// The fixtures of one file: recorded encodings by name.
 pub struct Fixtures {
     path: PathBuf,
     recorded: BTreeMap<String, Vec<u8>>,
@@ -32,7 +34,7 @@
         Fixtures { recorded: lines.map(parse_line).collect(), path }
     }
 
-    /// Returns the recorded bytes of the sample called `name`.
+    /// Returns the recorded bytes of the fixture called `name`.
     ///
     /// # Panics
     ///
@@ -42,7 +44,7 @@
         found.unwrap_or_else(|| panic!("{}: no fixture {name:?}", self.path.display()))
     }
 
-    /// Compares all samples with the fixture file. Every sample needs a fixture, and every fixture a sample.
+    /// Compares each sample with the fixture of the same name.
     ///
     /// # Panics
     ///
