--- a/crates/configuration/src/membership.rs
+++ b/crates/configuration/src/membership.rs
@@ -48,7 +48,8 @@
     pub probe_rtt: u64,
     /// Number of probe periods after which a suspect is declared down; default 4.
     pub suspicion_multiplier: u32,
-    /// Fleet size for which dissemination is configured; default 64.
+    /// Number of members expected in the fleet, from which the number of transmissions of each update is
+    /// calculated; default 64.
     pub expected_members: u32,
     /// Time between two rounds of gossip; default 200 ms.
     pub gossip_period: u64,
--- a/crates/configuration/src/rollout.rs
+++ b/crates/configuration/src/rollout.rs
@@ -15,8 +15,8 @@
     /// Path of the candidate settings, as written (relative to the options file).
     pub candidate: PathBuf,
     /// Path of the candidate program, as written (relative to the options file). If a path is present, this
-    /// server's supervisor must start the program named in the program mark, and must restart the program
-    /// when it exits.
+    /// server's supervisor must start the program that the file with the suffix `.program` next to the
+    /// options file names, and must restart the program when it exits.
     pub program: Option<PathBuf>,
     /// Maximum number of servers that run at the same time, including coordinators.
     pub servers: u64,
--- a/crates/test-doubles/src/downstream_service.rs
+++ b/crates/test-doubles/src/downstream_service.rs
@@ -23,7 +23,7 @@
 /// whole call time, like any other call.
 #[derive(Default)]
 pub struct DownstreamService {
-    /// Duration of calls that arrive from now on, in microseconds.
+    /// Duration of each call that arrives after this value is set, in microseconds.
     pub call_time_us: AtomicU64,
     /// Number of calls received.
     pub calls: AtomicU64,
