--- a/crates/overload-control/benches/arrival.rs
+++ b/crates/overload-control/benches/arrival.rs
@@ -76,8 +76,8 @@
     for pending in [100u64, 1_000, 10_000, 100_000] {
         let mut controller = Controller::new(deployment(), 1, START, &mut DiscardingHost);
         let arrival = |id| Arrival { id, operation: (id % 2) as usize, held_kb: 1.0, ..Arrival::default() };
-        // First, 1,000 runs of 1 ms within an hour are learned. All pending invocations meet their
-        // deadlines by these learned times.
+        // The controller first learns the run times from 1,000 runs of 1 ms within an hour. With these run
+        // times, all pending invocations meet their deadlines.
         for id in 1..=1000 {
             let now = START + id * HOUR / 1000;
             controller.on_arrival(now, arrival(id), &mut DiscardingHost);
--- a/crates/overload-control/src/call_budget.rs
+++ b/crates/overload-control/src/call_budget.rs
@@ -6,13 +6,13 @@
 
 use crate::{Downstream, Nanos, Outcome};
 
-/// Refill rate of the budget, as a share of the quota. The maximum budget is the remaining share of the
-/// quota multiplied by the window length.
+/// Refill rate of the budget, as a share of [`CallBudget::quota`]. The maximum budget is the rest of the
+/// quota multiplied by the length of the window.
 const STEADY_SHARE: f64 = 0.7;
-/// Share of the maximum budget that only calls of the top rank may use, so that slow calls of lower ranks
-/// cannot exhaust the budget.
+/// Share of the maximum budget that is reserved for calls of the top rank, so that a call of the top rank
+/// still finds budget when calls are slow.
 const TOP_RANK_SHARE: f64 = 0.3;
-/// Maximum timeout of a call, as a multiple of its attempt timeout.
+/// Maximum timeout of a call, as a multiple of [`Request::attempt_timeout_ns`].
 const TIMEOUT_MAX_RATIO: f64 = 4.0;
 
 /// Lower bound of the shortened timeout of a call whose request exceeds the maximum budget, as a share of
@@ -26,7 +26,8 @@
     pub timeout: Nanos,
     /// Timeout of an attempt that may be repeated, ns; 0 until the duration of a call has been observed.
     pub attempt_timeout_ns: f64,
-    /// Half of the timeout of a first attempt, ns; 0 until the duration of a call has been observed.
+    /// Base timeout, which is half of the timeout of a first attempt, ns; 0 until the duration of a call
+    /// has been observed.
     pub base_timeout_ns: f64,
     /// Whether the run that makes the call has the highest rank.
     pub is_top_rank: bool,
--- a/crates/overload-control/src/concurrency_limit.rs
+++ b/crates/overload-control/src/concurrency_limit.rs
@@ -1,4 +1,5 @@
-//! Limit on concurrent runs, learned from run times and bounded by the survivable concurrency.
+//! Limit on concurrent runs, learned from run times. Its upper bound is a share of the survivable
+//! concurrency, which is the number of open runs beyond which the server collapses.
 
 use crate::Nanos;
 
@@ -7,7 +8,8 @@
 const GROWTH_RATIO: f64 = 1.15;
 /// Factor by which the concurrency limit is reduced in one control period.
 const CUT_RATIO: f64 = 0.95;
-/// Maximum number of open runs, as a share of the survivable concurrency.
+/// Maximum number of open runs, as a share of the survivable concurrency: the number of open runs beyond
+/// which the server collapses.
 const SURVIVABLE_SHARE: f64 = 0.7;
 
 /// Model of the server's speed while it warms up.
@@ -37,7 +39,7 @@
     pub is_queueing: bool,
     /// Number of runs on the cores.
     pub running: f64,
-    /// Whether concurrent runs lengthen each other's core time.
+    /// Whether runs use more core time because of other concurrent runs.
     pub are_runs_slowed: bool,
     /// Utilization of the cores during the last control period, from 0 to 1.
     pub utilization: f64,
@@ -49,7 +51,7 @@
 pub struct ConcurrencyLimit {
     limit: f64,
     cores: f64,
-    /// Maximum number of open runs that the server can sustain at full speed, as a multiple of its cores.
+    /// Number of open runs beyond which a server at full speed collapses, as a multiple of its cores.
     survivable_ratio: f64,
     warm_up: WarmUp,
 }
--- a/crates/overload-control/src/decaying_mean.rs
+++ b/crates/overload-control/src/decaying_mean.rs
@@ -35,12 +35,12 @@
         self.updated = self.updated.max(now);
     }
 
-    /// Returns the mean, 0 before the first observation.
+    /// Returns the mean; 0 if there are no observations.
     pub fn mean(&self) -> f64 {
         if self.weight > 0.0 { self.sum / self.weight } else { 0.0 }
     }
 
-    /// Returns the number of observations, each weighted by its decay.
+    /// Returns the sum of the decayed weights of all observations at `now`.
     pub fn weight(&self, now: Nanos) -> f64 {
         self.weight * self.remaining_ratio(now)
     }
--- a/crates/overload-control/src/downstream_calls.rs
+++ b/crates/overload-control/src/downstream_calls.rs
@@ -5,8 +5,9 @@
 use crate::operation_times::TIMES_HALF_LIFE;
 use crate::{Deployment, Nanos, Outcome};
 
-/// Increase of the limit on concurrent calls, as a share of the core count. The limit grows by this amount
-/// after as many successful calls as it permits. Only successes while the limit is reached are counted.
+/// Amount by which the limit on concurrent calls grows, as a share of the core count. The limit grows by this
+/// amount after a number of successful calls equal to the limit. Only successes while the limit is reached
+/// are counted.
 const LIMIT_GROWTH: f64 = 0.1;
 /// Factor by which each rejected call reduces the limit on concurrent calls.
 const LIMIT_CUT_RATIO: f64 = 0.93;
@@ -15,7 +16,7 @@
 const BASE_TIMEOUT_RATIO: f64 = 2.0;
 /// Number of attempts after which the timeout of an attempt no longer doubles.
 const DOUBLINGS_MAX: u32 = 8;
-/// Backoff after a rejected call, as a share of the usual run time of the operation.
+/// Delay before a rejected call is retried, as a share of the usual run time of the operation.
 const BACKOFF_SHARE: f64 = 0.25;
 
 /// An attempt of a downstream call that is about to start.
@@ -137,7 +138,8 @@
         (self.is_withheld && open.awaiting > 0.0) || self.is_at_limit(open)
     }
 
-    /// Returns the call time in excess of the limit on concurrent calls, ns. Calls in progress and runs
+    /// Returns the time by which calls are delayed because they exceed the limit on concurrent calls, ns:
+    /// the usual call time multiplied by the relative excess over the limit. Calls in progress and runs
     /// that wait for a call are counted.
     pub fn backlog(&self, open: OpenCalls) -> f64 {
         let excess = ((open.awaiting + open.calling) / self.limit - 1.0).max(0.0);
--- a/crates/overload-control/src/health.rs
+++ b/crates/overload-control/src/health.rs
@@ -11,8 +11,8 @@
 const FAILING_SHARE_MAX: f64 = 0.9;
 /// Number of observed runs above which failures are taken into account.
 const RUNS_MIN: f64 = 2.0;
-/// A server with runs on its cores is stalled if no run has left them for this multiple of the longest
-/// usual core time.
+/// Time after which a server is stalled if it has runs on its cores and none of them has left, as a multiple
+/// of the longest usual core time of its operations.
 const STALL_RATIO: f64 = 6.0;
 
 /// Health and readiness of the server.
--- a/crates/overload-control/src/idle_connections.rs
+++ b/crates/overload-control/src/idle_connections.rs
@@ -3,11 +3,11 @@
 use crate::Nanos;
 use crate::regulator::CONTROL_PERIOD;
 
-/// Mean number of calls of a caller within `timeout_max` from which idle connections of callers are kept
-/// open for the whole `timeout_max`.
+/// Mean number of calls that a caller must make within [`IdleConnections::timeout_max`] for idle connections
+/// to be kept open for that whole time.
 const RETURNS_MIN: f64 = 4.0;
-/// Exponent with which the timeout of idle connections depends on the number of calls if it is below
-/// `RETURNS_MIN`: at half of that number, a sixteenth of the timeout remains.
+/// Exponent of the timeout of idle connections if callers make fewer than [`RETURNS_MIN`] calls: at half of
+/// [`RETURNS_MIN`], a sixteenth of the timeout remains.
 const RETURNS_EXPONENT: i32 = 4;
 /// Minimum timeout of idle connections, as a share of the control period.
 const TIMEOUT_MIN_SHARE: f64 = 0.02;
--- a/crates/overload-control/src/invocations.rs
+++ b/crates/overload-control/src/invocations.rs
@@ -77,8 +77,8 @@
 }
 
 impl Invocation {
-    /// Creates a pending invocation. The code that creates it sets rank, deadlines and cost ratio
-    /// afterwards.
+    /// Creates a pending invocation. The caller of this function then sets the rank, the deadlines and the
+    /// cost ratio.
     pub fn new(now: Nanos, arrival: &Arrival, fair_admission: Option<FairAdmission>) -> Self {
         Self {
             id: arrival.id,
@@ -249,7 +249,8 @@
         Some(key)
     }
 
-    /// Returns the key of the earliest arrival among the overdue pending invocations and the `active` one.
+    /// Returns the key of the earliest arrival among the overdue pending invocations and `active`, which is
+    /// the key of an overdue invocation that is not pending.
     pub fn first_overdue(
         &mut self,
         now: Nanos,
--- a/crates/overload-control/src/largest.rs
+++ b/crates/overload-control/src/largest.rs
@@ -1,4 +1,4 @@
-//! Maximum of a multiset of values that change over time.
+//! Multiset of changing values, from which the largest value can be read at any time.
 
 use std::collections::BTreeMap;
 
--- a/crates/overload-control/src/lib.rs
+++ b/crates/overload-control/src/lib.rs
@@ -52,9 +52,10 @@
     /// add to an overload of the fleet.
     fn reject(&mut self, invocation: u64, no_retry: bool, retry_after: Nanos);
     /// Announces a promise of admission: a caller that sends its next attempt with `_ticket` after the
-    /// advised delay is admitted. Called at most once for an invocation, immediately before its answer. The
-    /// host sends the ticket with a `reject` and discards it with a `fail`. A host whose protocol has no
-    /// tickets ignores the call.
+    /// advised delay is admitted. The controller calls this at most once for an invocation, immediately
+    /// before its answer. If the answer is a `reject`, the host sends the ticket with the answer; if the
+    /// answer is a `fail`, the host discards the ticket. A host whose protocol has no tickets ignores
+    /// the call.
     fn promise_admission(&mut self, _invocation: u64, _ticket: u64) {}
     /// Answers an invocation with an error.
     fn fail(&mut self, invocation: u64);
@@ -126,7 +127,7 @@
     pub idempotency_entry_kb: f64,
     /// Whether runs can be stopped, and whether a stopped run loses its work.
     pub preemption: Preemption,
-    /// Target of the downstream calls.
+    /// Destination of this server's downstream calls.
     pub downstream: Downstream,
     /// Unit of the advertised load.
     pub advertisement: Advertisement,
@@ -140,7 +141,7 @@
     pub drain_grace: Nanos,
     /// Time reserved for an answer to reach its caller before the process stops.
     pub answer_grace: Nanos,
-    /// Maximum number of open runs that the server can sustain at full speed, as a multiple of its cores.
+    /// Number of open runs beyond which a server at full speed collapses, as a multiple of its cores.
     pub survivable_concurrency_ratio: f64,
     /// Whether the server started cold and needs to warm up to full speed.
     pub starts_cold: bool,
@@ -196,12 +197,12 @@
     Pauses,
 }
 
-/// Target of the downstream calls of this server.
+/// Destination of the downstream calls of this server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Downstream {
     /// No downstream calls are made.
     None,
-    /// Another tier of servers, which control their own load.
+    /// Another tier of servers, each of which controls its own load.
     Tier,
     /// One dependency that all servers of this tier share.
     Shared {
@@ -251,7 +252,7 @@
     pub sender: Option<Sender>,
     /// Time since the invocation reached the machine.
     pub age: Nanos,
-    /// Time until the caller's deadline, if the request carries one.
+    /// Time from the reading of the invocation until the caller's deadline, if the request carries one.
     pub remaining_deadline: Option<Nanos>,
     /// Id of the earlier invocation with the same idempotency key, if that key is remembered.
     pub repeats: Option<u64>,
--- a/crates/overload-control/src/operation_times.rs
+++ b/crates/overload-control/src/operation_times.rs
@@ -1,4 +1,4 @@
-//! Usual run times of each operation, learned from successful runs.
+//! Usual run times of each operation: decaying means over its successful runs.
 
 use crate::decaying_mean::DecayingMean;
 use crate::largest::Largest;
@@ -6,7 +6,7 @@
 use crate::{Nanos, Operation};
 use meadowstream_pending_queue::UsualTimes;
 
-/// Half-life of the observations from which usual times are learned.
+/// Half-life of the weight of an observed time in the decaying mean from which a usual time is taken.
 pub const TIMES_HALF_LIFE: Nanos = CONTROL_PERIOD * 16;
 /// Initial estimate of a run time, as a share of the operation's latency objective.
 const INITIAL_TIME_SHARE: f64 = 0.15;
@@ -22,9 +22,9 @@
     core: DecayingMean,
     /// Usual time from start to end of a run, ns.
     elapsed: DecayingMean,
-    /// Estimated core time of runs that do not slow each other down, ns.
+    /// Estimated core time of a run that is not slowed down by concurrent runs, ns.
     lowest: f64,
-    /// Usual cost hint of callers, ns.
+    /// Mean of the callers' estimates of core time ([`crate::Arrival::cost_hint`]), ns.
     hint: DecayingMean,
 }
 
@@ -66,8 +66,9 @@
         self.core_times.get()
     }
 
-    /// Returns the ratio of a caller's cost hint to the mean hint of its operation; 1 if the caller gave no
-    /// hint.
+    /// Returns the estimated cost of an invocation as a ratio to the usual cost of its operation: the
+    /// caller's estimate of the core time (`hint`) divided by the mean estimate for the operation. Returns
+    /// 1 if the caller sent no estimate.
     pub fn cost_ratio(&mut self, now: Nanos, operation: usize, hint: Option<Nanos>) -> f64 {
         let hints = &mut self.learned[operation].hint;
         let Some(hint) = hint else { return 1.0 };
--- a/crates/overload-control/src/regulator.rs
+++ b/crates/overload-control/src/regulator.rs
@@ -15,8 +15,8 @@
 const PRIOR_VARIANCE: f64 = 1.0;
 /// Factor by which the weight of an observation decays in one control period.
 const FORGETTING_RATIO: f64 = 0.97;
-/// Minimum variation of the utilization for the estimated plant to be used. The variation is a decaying sum
-/// over the control periods in which basic was refused.
+/// Value of [`Regulator::variation`] up to which the estimated plant is not used, because the utilization has
+/// varied too little.
 const VARIATION_MIN: f64 = 0.5;
 /// Plausible range of the effect that refusing a class has on the utilization. An estimated plant with an
 /// effect outside this range is not used.
@@ -37,7 +37,8 @@
     /// Utilization at the last step, from 0 to 1.
     utilization: f64,
     estimator: PlantEstimator,
-    /// Decaying sum of the changes of the utilization in control periods in which basic was refused.
+    /// Decaying sum of the changes of the utilization over control periods in which basic was refused. Each
+    /// change is multiplied by the refusal time ratio of basic in its period.
     variation: f64,
 }
 
@@ -64,9 +65,10 @@
         self.utilization
     }
 
-    /// Runs one step of the regulator. `backlog` is work in excess of full utilization, which the gauge
-    /// cannot show because it is capped at 1; in control periods of all cores. The backlog is added to the
-    /// error sum in this step only and does not accumulate.
+    /// Runs one step of the regulator. `backlog` is the work in excess of full utilization, as a multiple
+    /// of the work that all cores do in one control period. The utilization gauge cannot show this work,
+    /// because the gauge is capped at 1. The backlog is added to the error sum in this step only and does
+    /// not accumulate.
     pub fn step(&mut self, utilization: f64, target: f64, backlog: f64) -> Option<Shedding> {
         let error = utilization - target;
         self.observe(utilization);
@@ -117,8 +119,8 @@
     }
 }
 
-/// Returns the plant that is assumed without a usable estimate: refusing all arrivals removes the whole
-/// load within one control period.
+/// Returns the plant that the regulator assumes while it has no usable estimate: refusing all arrivals
+/// removes the whole load within one control period.
 fn prior_plant(load: f64) -> Plant {
     Plant { a: 0.0, premium: -load, basic: -load }
 }
--- a/crates/overload-control/src/scheduling.rs
+++ b/crates/overload-control/src/scheduling.rs
@@ -1,6 +1,7 @@
 //! Decides whether another run may start, based on the limits on concurrent runs.
 
-/// Maximum reduction of the concurrency limit because of reading arrivals, as a share of the cores.
+/// Maximum amount by which the concurrency limit is reduced for the cores that reading arrivals uses, as a
+/// share of the server's cores.
 const READING_SHARE_MAX: f64 = 0.25;
 
 /// Limits on the concurrent runs of a server.
--- a/crates/overload-control/src/tenant_quota.rs
+++ b/crates/overload-control/src/tenant_quota.rs
@@ -101,9 +101,9 @@
         }
     }
 
-    /// Ends an invocation that never ran, and returns retry advice for its caller. The advised time is
-    /// `promise_after` from now or later, when the tenant's quota has capacity again. If possible, the
-    /// advice includes the ticket of a promise of admission. Without fair queueing, or if the invocation
+    /// Ends an invocation that never ran, and returns retry advice for its caller: a delay and, if
+    /// possible, the ticket of a promise of admission. The promise takes effect after `promise_after`, or
+    /// later if the tenant's quota has no capacity by then. Without fair queueing, or if the invocation
     /// has run, returns `None` and changes nothing.
     pub fn end_with_promise(
         &mut self,
--- a/crates/overload-control/tests/days.rs
+++ b/crates/overload-control/tests/days.rs
@@ -126,7 +126,7 @@
         self.record("wake", &[after, u64::from(timer)]);
         self.schedule(after, Event::Timer(timer));
     }
-    /// Hashes the texts that the log lines had when the hashes were recorded.
+    /// Hashes a log line under the text that it had when the recorded hashes were computed.
     fn log(&mut self, line: &str) {
         let hashed = match line {
             "load shedding began" => "refusing begins",
--- a/crates/pending-queue/src/late_search.rs
+++ b/crates/pending-queue/src/late_search.rs
@@ -16,13 +16,13 @@
 /// Location of an entry in the queue of a rank: a block and an index in that block.
 #[derive(Clone, Copy, Debug)]
 pub struct EntryIndex {
-    /// Index of the block.
+    /// Index of the block in the queue of the rank.
     pub block: usize,
     /// Index of the entry in the block.
     pub index: usize,
 }
 
-/// Number of entries that run before a given entry, and their work.
+/// Number and work of the entries that run before a given entry.
 #[derive(Clone, Copy, Debug)]
 pub struct QueuedAhead {
     /// Usual work of these entries, in nanoseconds of one core.
@@ -48,7 +48,7 @@
     pub blocks: &'a [Block],
     /// Time at which the first entry in run order would start.
     pub now: Nanos,
-    /// Entries that run before the tree node being searched.
+    /// Entries that run before the entries of the tree node being searched.
     pub ahead: QueuedAhead,
     /// Present usual times, concurrency limit and free slots.
     pub capacity: &'a Capacity<'a>,
@@ -74,8 +74,8 @@
         }
     }
 
-    /// Whether all entries below a node certainly end in time or may start immediately. False does not
-    /// prove that an entry is late.
+    /// Whether it is certain that each entry below a node ends in time or may start immediately. If the
+    /// result is false, an entry may or may not be late.
     fn is_in_time(&self, node: usize) -> bool {
         let summary = self.tree.node(node);
         let growth = self.reference.growth();
--- a/crates/pending-queue/src/priority_class_queue.rs
+++ b/crates/pending-queue/src/priority_class_queue.rs
@@ -57,7 +57,8 @@
         Position { block, index }
     }
 
-    /// Inserts an entry at its position in run order. Splits the block at that position if it is full.
+    /// Inserts an entry at its position in run order. Splits the block that holds this position if the
+    /// block is full.
     pub fn insert(&mut self, entry: Entry, reference: &ReferenceTimes) {
         let Position { block, index } = self.position(&entry);
         let index = index.unwrap_or_else(|index| index);
@@ -73,7 +74,8 @@
         }
     }
 
-    /// Splits a full block and inserts `entry` at `index`, which is counted in the block before the split.
+    /// Splits the full block with index `block` and inserts `entry`. `index` is the entry's index in that
+    /// block before the split.
     fn split(&mut self, block: usize, index: usize, entry: Entry) {
         // An entry at the end of the last block starts a new block instead, so that entries inserted in run
         // order fill their blocks.
--- a/crates/pending-queue/src/reference_times.rs
+++ b/crates/pending-queue/src/reference_times.rs
@@ -6,8 +6,8 @@
 
 use crate::{Capacity, Entry, UsualTimes};
 
-/// Maximum relative change of a usual time since the reference. Beyond it, the lateness of all entries is
-/// recomputed.
+/// Maximum relative difference between a usual time and its reference time. If the difference is larger, the
+/// present usual times become the reference times, and the lateness of all entries is recomputed.
 const DRIFT_MAX: f64 = 0.02;
 
 /// Reference times, and the growth of the present usual times beyond them.
@@ -29,8 +29,8 @@
     pub elapsed_ns: f64,
 }
 
-/// Growth of the usual times since the reference, as a share of the reference times. Each field is the
-/// maximum over all operations, 0 or more.
+/// Growth of the usual times beyond the reference times, as a share of the reference times. Each field is
+/// the maximum over all operations, 0 or more.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Growth {
     /// Growth of the delay that one run adds to the runs behind it (core time divided by the concurrency
@@ -55,8 +55,9 @@
         Self { reference: none.clone(), present: none, ..Self::default() }
     }
 
-    /// Sets the present usual times. If one of them has changed too much, makes them the new reference
-    /// times and returns true; the lateness of all entries must then be recomputed.
+    /// Sets the present usual times. If one of them differs from its reference time by more than
+    /// [`DRIFT_MAX`], makes all of them the new reference times and returns true; the lateness of all
+    /// entries must then be recomputed.
     pub fn update(&mut self, capacity: &Capacity) -> bool {
         let limit = capacity.concurrency_limit;
         let present =
--- a/crates/pending-queue/src/sum_tree.rs
+++ b/crates/pending-queue/src/sum_tree.rs
@@ -7,8 +7,8 @@
 /// A block of entries in run order.
 pub type Block = Vec<Entry>;
 
-/// The tree of summaries in a flat layout. Node 1 is the root, and the children of node n are 2n and 2n +
-/// 1. The leaf of a block has the index `leaves` plus the index of the block.
+/// The tree of summaries in a flat layout. Node 1 is the root; the children of node n are the nodes 2n and
+/// 2n + 1. The leaf of the queue's block `i` is the node `leaves + i`.
 #[derive(Debug, Default)]
 pub struct SumTree {
     nodes: Vec<Summary>,
@@ -43,8 +43,8 @@
         node.checked_sub(self.leaves)
     }
 
-    /// Iterates over summaries that together cover all blocks before `block`, from the nearest to the
-    /// farthest.
+    /// Iterates over summaries that together cover all blocks of the queue before `block`, starting with the
+    /// blocks nearest to `block`.
     pub fn before(&self, block: usize) -> impl Iterator<Item = &Summary> {
         let mut node = self.leaves + block;
         std::iter::from_fn(move || {
@@ -69,7 +69,7 @@
         self.join_above(0, self.leaves);
     }
 
-    /// Recomputes the summaries that include `block`, whose entries have changed.
+    /// Recomputes the summaries that include the block with index `block`, whose entries have changed.
     pub fn update(&mut self, blocks: &[Block], block: usize, reference: &ReferenceTimes) {
         let mut node = self.leaves + block;
         self.nodes[node].summarize(&blocks[block], reference);
@@ -79,7 +79,8 @@
         }
     }
 
-    /// Updates the tree after `block` was split in two; the second half is the block behind it.
+    /// Updates the tree after the block of the queue with index `block` was split in two. The second half
+    /// is now the block with index `block + 1`.
     pub fn block_inserted(&mut self, blocks: &[Block], block: usize, reference: &ReferenceTimes) {
         let count = blocks.len();
         if self.needs_resize(count) {
@@ -93,7 +94,7 @@
         self.join_above(block, count + 1);
     }
 
-    /// Updates the tree after the block with index `block` was removed.
+    /// Updates the tree after the block with index `block` was removed from the queue.
     pub fn block_removed(&mut self, blocks: &[Block], block: usize, reference: &ReferenceTimes) {
         let count = blocks.len();
         if self.needs_resize(count) {
--- a/crates/pending-queue/src/summary.rs
+++ b/crates/pending-queue/src/summary.rs
@@ -1,4 +1,4 @@
-//! Summary of consecutive entries in run order. Each node of the tree stores one.
+//! Summary of consecutive entries in run order. Each node of the tree of summaries stores a summary.
 
 use crate::order::{DeadlineOrder, MemoryOrder};
 use crate::reference_times::ReferenceTimes;
--- a/crates/rate-limit/src/lib.rs
+++ b/crates/rate-limit/src/lib.rs
@@ -18,7 +18,7 @@
 ///
 /// The amounts acquired by [`SlidingWindow::try_acquire`] alone never exceed the limit in any second,
 /// regardless of when that second begins. A token bucket would permit a burst of its capacity in addition.
-/// A used amount becomes available again when one second and at most one slot have passed since its use. If
+/// A used amount becomes available again at the latest one second and one slot after its use. If
 /// the clock goes back, no used amount becomes available.
 #[derive(Clone, Copy, Debug)]
 pub struct SlidingWindow {
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -174,7 +174,7 @@
         Choice { service: index, is_probe: true }
     }
 
-    /// Returns the services that are not ejected. Omits `last_service` unless it is the only one.
+    /// Returns the services that are not ejected. Omits `last_service` unless no other service is left.
     fn candidates(&self, now: Nanos, last_service: Option<usize>) -> Vec<Candidate> {
         let mut candidates = Vec::with_capacity(self.services.len());
         for (index, service) in self.services.iter().enumerate() {
@@ -208,9 +208,9 @@
         Some(self.owed_service(candidates, usual).unwrap_or(usual))
     }
 
-    /// Credits each service in slow start with its share of this call. Among the services whose credit
-    /// reaches a whole call and whose load is at most that of the `usual` choice, returns the least loaded
-    /// one.
+    /// Credits each service in slow start with its share of this call. A service is owed the call if its
+    /// credit reaches a whole call and its load is at most that of `usual`, the service that was chosen
+    /// among those whose slow start is over. Returns the least loaded service that is owed the call.
     fn owed_service(&mut self, candidates: &[Candidate], usual: usize) -> Option<usize> {
         let usual_load = self.services[usual].load();
         let mut owed: Option<usize> = None;
--- a/crates/routing/tests/ramp.rs
+++ b/crates/routing/tests/ramp.rs
@@ -25,8 +25,8 @@
     routers: Vec<Router>,
     /// Number of calls to the recovered service in each window of the ramp.
     calls_per_window: Vec<u64>,
-    /// Share of all calls that went to the recovered service after the ramp, counted over half the length
-    /// of the ramp.
+    /// Share of all calls that went to the recovered service after the ramp, counted over a period half as
+    /// long as the ramp.
     share_after: f64,
 }
 
@@ -69,7 +69,7 @@
             }
             while next[i] <= now {
                 next[i] += 1 + random_below(&mut rng, 2 * CALL_INTERVAL);
-                // Only ordinary calls are simulated: no call may be used as a probe.
+                // Only ordinary calls are simulated: the default preference does not permit probes.
                 let Some(choice) = routers[i].choose(now, CallPreference::default()) else { continue };
                 let cold = choice.service == 0 && now < recovery + RAMP;
                 let duration = CALL_TIME / 2 + random_below(&mut rng, CALL_TIME);
@@ -129,8 +129,8 @@
 
 #[test]
 fn servers_do_not_send_first_calls_in_unison() {
-    // All servers are informed of the recovery at the same time and call at the same rate. Their first
-    // calls to the recovered service must still be spread out.
+    // All servers are informed of the recovery at the same time and make calls at the same rate. Their
+    // first calls to the recovered service must nevertheless be spread out over time.
     let mut simulation = simulate(30, 1, 7);
     let seeds: Vec<u64> = simulation.routers.iter().map(|_| simulation.rng.next_u64()).collect();
     let settings = Settings { services: SERVICES, probe_interval: RAMP / 8, slow_start: RAMP };
--- a/crates/routing/tests/tier.rs
+++ b/crates/routing/tests/tier.rs
@@ -34,7 +34,7 @@
     detectors: Vec<OutlierDetector>,
     routers: Vec<Router>,
     health: Vec<Health>,
-    /// Pairs of a server and a healthy service that this server cannot reach.
+    /// Pairs of a server and a healthy service that the server cannot reach.
     unreachable: Vec<(usize, usize)>,
     rng: ChaCha8Rng,
     now: u64,
@@ -304,7 +304,8 @@
         (0..300).map(|_| router.choose(0, CallPreference::default()).unwrap()).collect();
     assert!((0..3).all(|s| (95..=105).contains(&router.outstanding(s))), "{:?}", router.outstanding(0));
     choices.into_iter().for_each(|choice| router.release(choice));
-    // The only service of a tier gets the retry, even if this server finds that service unhealthy.
+    // If a tier has only one service, a retry goes to this service, even if the server finds the service
+    // unhealthy.
     let mut single = Router::new(Settings { services: 1, ..settings }, 9).unwrap();
     single.update_health(0, [HealthView { ejected: false, locally_unhealthy: true, is_prober: true }]);
     assert_eq!(
@@ -353,13 +354,14 @@
         for second in 0..20 {
             fleet.calls.fill(0);
             fleet.advance(S);
-            // Not counted in the first 4 s: earlier calls still end, and probers are still replaced.
+            // The first 4 s are not counted, because earlier calls still end and probers are still replaced.
             probes = if second < 4 { 0 } else { probes.max(fleet.calls[4]) };
         }
         assert!((0..servers).all(|i| fleet.is_ejected_by(i, 4)), "the service stays ejected");
         probes as f64
     };
-    // Two probers per required report, and eight probes by each within the expiry time of a report.
+    // Three reports are required, with two probers for each. Each prober sends eight probes within the
+    // expiry time of a report.
     let expected = 2.0 * 3.0 * 8.0 * S as f64 / EXPIRY as f64;
     for servers in [20, 30, 100] {
         let got = probes_max(servers, false);
