--- a/crates/overload-control/src/admission.rs
+++ b/crates/overload-control/src/admission.rs
@@ -57,8 +57,8 @@
 /// period.
 pub struct Admission {
     period_start: Nanos,
-    /// Whether the refusal window exempts operations without downstream calls. Set while the downstream
-    /// calls are saturated and the cores are below their target utilization.
+    /// Whether operations without downstream calls are exempt from the refusal window. True while the
+    /// downstream calls are saturated and the cores are below their target utilization.
     pub spares_operations_without_calls: bool,
 }
 
--- a/crates/overload-control/src/downstream_calls.rs
+++ b/crates/overload-control/src/downstream_calls.rs
@@ -25,7 +25,8 @@
     pub attempts: u32,
     /// Time until the result of the call is no longer useful.
     pub time_left: Nanos,
-    /// Estimated cost of the run that makes the call, as a ratio to the usual cost of its operation.
+    /// Estimated cost of the run that makes the call, as a ratio to the usual cost of a run of the
+    /// operation.
     pub cost_ratio: f64,
     /// Whether the call may be repeated.
     pub is_idempotent: bool,
--- a/crates/overload-control/src/invocations.rs
+++ b/crates/overload-control/src/invocations.rs
@@ -46,7 +46,7 @@
     pub held_kb: f64,
     /// Admission by the fair queueing scheduler; `None` without fair queueing.
     pub fair_admission: Option<FairAdmission>,
-    /// Estimated cost as a ratio to the usual cost of the operation.
+    /// Factor by which the usual times of the operation are multiplied to estimate those of this run.
     pub cost_ratio: f64,
     /// Id of the earlier invocation with the same idempotency key.
     pub repeats: Option<u64>,
@@ -68,7 +68,8 @@
     pub answered: bool,
     /// Whether the host was requested to stop the run.
     pub stopping: bool,
-    /// Whether the refusal window has been checked for the invocation or does not apply to it.
+    /// Whether admission has compared the invocation's arrival with the refusal window of its rank, or need
+    /// not do so.
     pub screened: bool,
     start_tag: u64,
     state: InvocationState,
@@ -268,8 +269,8 @@
         self.pending_repeats.first().map(|repeat| repeat.key)
     }
 
-    /// Returns the key of the earliest invocation that admission has not screened yet, and marks the
-    /// invocation as screened.
+    /// Returns the key of the earliest invocation that admission has not yet compared with the refusal
+    /// window, and marks the invocation as screened.
     pub fn next_to_screen(&mut self) -> Option<usize> {
         while let Some(ArrivalKey { arrival_number, key }) = self.unscreened.pop_front() {
             let Some(invocation) = self.all.get_mut(key) else { continue };
--- a/crates/overload-control/src/operation_times.rs
+++ b/crates/overload-control/src/operation_times.rs
@@ -18,9 +18,9 @@
 const SLOWED_RATIO: f64 = 1.3;
 
 struct OperationTime {
-    /// Usual core time, ns.
+    /// Usual core time of a run: the decaying mean over successful runs, ns.
     core: DecayingMean,
-    /// Usual time from start to end of a run, ns.
+    /// Usual time from start to end of a run: the decaying mean over successful runs, ns.
     elapsed: DecayingMean,
     /// Estimated core time of a run that is not slowed down by concurrent runs, ns.
     lowest: f64,
--- a/crates/pending-queue/src/late_search.rs
+++ b/crates/pending-queue/src/late_search.rs
@@ -1,8 +1,9 @@
 //! Search for the first late entry in run order. An entry is late if it would end after its deadline.
 //!
-//! The tree stores lateness for earlier usual times, the reference times. The search skips a tree node if
-//! its entries end in time even under the maximum growth of the usual times since then, and descends into
-//! all other nodes. Individual entries are checked against the present usual times, so the result is exact.
+//! The tree of summaries stores lateness computed from earlier usual times, which are called the reference
+//! times. The search skips a tree node if its entries end in time even when all usual times have grown by
+//! the maximum growth since then, and descends into all other nodes. Individual entries are checked against
+//! the present usual times, so the result is exact.
 
 use crate::reference_times::ReferenceTimes;
 use crate::sum_tree::{Block, SumTree};
--- a/crates/pending-queue/src/lib.rs
+++ b/crates/pending-queue/src/lib.rs
@@ -50,7 +50,7 @@
     pub arrived: Nanos,
     /// Objective deadline. Among entries of a rank with equal start tags, the earliest deadline runs first.
     pub deadline: Nanos,
-    /// Estimated cost as a ratio to the usual cost of the operation.
+    /// Factor by which the usual times of the operation are multiplied to estimate those of this run.
     pub cost_ratio: f64,
 }
 
