--- a/crates/hot-restart/src/predecessor.rs
+++ b/crates/hot-restart/src/predecessor.rs
@@ -235,7 +235,8 @@
         vec![Action::StartSuccessor, Action::Send(offer)]
     }
 
-    /// Handles a request to drain: the active process drains. An upgrade attempt before its release is aborted.
+    /// Handles a request to drain: the active process drains. An upgrade attempt before its release
+    /// is aborted.
     fn handle_drain_request(&mut self, grace: Nanos) -> Vec<Action> {
         self.drain_grace = Some(grace);
         match self.phase {
--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -37,8 +37,8 @@
         self.gossip_period
     }
 
-    /// Number of bytes that gossip and lists of members may use now: the unused budget minus the reserved part
-    /// ([`RESERVE_DIVISOR`]).
+    /// Number of bytes that gossip and lists of members may use now: the unused budget minus the
+    /// reserved part ([`RESERVE_DIVISOR`]).
     pub(crate) fn available(&mut self, now: Nanos) -> u64 {
         self.window.available(now).saturating_sub(self.bytes_per_second / RESERVE_DIVISOR)
     }
--- a/crates/membership/src/envelope.rs
+++ b/crates/membership/src/envelope.rs
@@ -169,7 +169,9 @@
 
     /// Checks a datagram and returns its content. The check for replays is left to the caller.
     ///
-    /// # Errors Returns the reason for the first failed check.
+    /// # Errors
+    ///
+    /// Returns the reason for the first failed check.
     pub fn open<'a>(&self, datagram: &'a [u8]) -> Result<OpenedDatagram<'a>, DropReason> {
         if datagram.len() > self.body_max + ENVELOPE_BYTES {
             return Err(DropReason::Oversized);
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -166,10 +166,11 @@
     }
 }
 
-/// 16 members run for 10 minutes with 20% packet loss and 300 ms of jitter. On average, each member may record
-/// at most one running member as down (a false positive), and the views must agree at the end. Before suspects
-/// were notified directly, each member recorded 4.1 false positives with a probe period of 2 s and 18 with 1 s,
-/// regardless of the suspicion time, because gossip sends each update only a fixed number of times.
+/// 16 members run for 10 minutes with 20% packet loss and 300 ms of jitter. On average, each member may
+/// record at most one running member as down (a false positive), and the views must agree at the end.
+/// Before suspects were notified directly, each member recorded 4.1 false positives with a probe period
+/// of 2 s and 18 with 1 s, regardless of the suspicion time, because gossip sends each update only a
+/// fixed number of times.
 #[test_case(2, 10 ; "two second periods")]
 #[test_case(2, 31 ; "two second periods, another seed")]
 #[test_case(1, 10 ; "one second periods")]
--- a/crates/replication/src/member/gossip.rs
+++ b/crates/replication/src/member/gossip.rs
@@ -16,8 +16,9 @@
 const PULL_ANYWHERE_EVERY: u64 = 4;
 /// Maximum number of [`Message::Entries`] sent in answer to one digest.
 const ANSWER_MESSAGES_MAX: usize = 3;
-/// Age difference between two [`Freshness`] statements, in milliseconds. If the statement in a received digest
-/// is older than the receiver's own by more than this, the receiver answers with a digest of its own.
+/// Age difference between two [`Freshness`] statements, in milliseconds. If the statement in a received
+/// digest is older than the receiver's own by more than this, the receiver answers with a digest of its
+/// own.
 const FRESHNESS_LAG_MS: u64 = 1_500;
 /// Maximum bytes of entries in one [`Message::Entries`]; the rest of the body is left for the other fields of
 /// the message, which are the leader's name, a flag and a number.
--- a/crates/replication/src/replica/election.rs
+++ b/crates/replication/src/replica/election.rs
@@ -1,6 +1,6 @@
-//! Election of the log's leader (Paxos phase 1). An external lease selects the replica that tries to lead. This
-//! replica, called the candidate, chooses an epoch, requests promises of that epoch from the other replicas, and
-//! becomes leader once a majority has promised.
+//! Election of the log's leader (Paxos phase 1). An external lease selects the replica that tries to
+//! lead. This replica, called the candidate, chooses an epoch, requests promises of that epoch from the
+//! other replicas, and becomes leader once a majority has promised.
 
 use super::leader::Leader;
 use super::{REPEAT_AFTER_NS, Replica, Role};
--- a/crates/replication/src/replica/leader.rs
+++ b/crates/replication/src/replica/leader.rs
@@ -56,8 +56,9 @@
         self.progress_mut(replica).matched = Some(number);
     }
 
-    /// When the next message to a replica is due, in nanoseconds: [`REPEAT_AFTER_NS`] after the last message if
-    /// the replica lacks entries, otherwise [`HEARTBEAT_NS`] after the last message; 0 means now.
+    /// When the next message to a replica is due, in nanoseconds: [`REPEAT_AFTER_NS`] after the last
+    /// message if the replica lacks entries, otherwise [`HEARTBEAT_NS`] after the last message; 0
+    /// means now.
     pub(super) fn next_due(&self, replica: &str) -> Nanos {
         let Some(progress) = self.progress.get(replica) else { return 0 };
         let Some(sent_at) = progress.sent_at else { return 0 };
--- a/crates/rollout/src/coordinator/mod.rs
+++ b/crates/rollout/src/coordinator/mod.rs
@@ -94,8 +94,8 @@
     state: PersistedState,
     /// Time at which the current phase of the plan began.
     phase_began: Nanos,
-    /// Part of the current stage's bake time that has passed, in nanoseconds: the time after the warm-up during
-    /// which this coordinator held the rollout lease and the view was settled.
+    /// Part of the current stage's bake time that has passed, in nanoseconds: the time after the
+    /// warm-up during which this coordinator held the rollout lease and the view was settled.
     baked: Nanos,
     /// Number of verdicts in the current stage that had enough intervals for a comparison. Includes verdicts
     /// for which [`Coordinator::next_verdict`] skipped the comparison because of its limit.
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -142,8 +142,8 @@
     /// Interval between orders to a server, in nanoseconds. A server answers each order with the metrics of
     /// one interval.
     pub interval: Nanos,
-    /// Time for which the fleet's view must be unchanged before a stage begins, and before time counts towards
-    /// the bake time of a stage, in nanoseconds.
+    /// Time for which the fleet's view must be unchanged before a stage begins, and before time
+    /// counts towards the bake time of a stage, in nanoseconds.
     pub settle_time: Nanos,
     /// Time after a change in which the servers of the stage are not compared, in nanoseconds. A process that
     /// has just started is slower for a while, whatever its program.
