--- a/crates/capacity/src/day/mod.rs
+++ b/crates/capacity/src/day/mod.rs
@@ -85,23 +85,24 @@
     pub not_published: usize,
     /// Number of server restarts and failures.
     pub restarts: usize,
-    /// Median time in seconds until a server applied a change, over all changes and all servers that stayed
-    /// reachable.
+    /// Median time in seconds from the leader's acceptance of a change until a server applied it, over all
+    /// changes and all servers that stayed reachable.
     #[serde(rename = "p50")]
     pub p50_seconds: f64,
-    /// 99th percentile of the time in seconds until a server applied a change, over all changes and all
-    /// servers that stayed reachable.
+    /// 99th percentile of the time in seconds from the leader's acceptance of a change until a server applied
+    /// it, over all changes and all servers that stayed reachable.
     #[serde(rename = "p99")]
     pub p99_seconds: f64,
-    /// Longest time in seconds until a server applied a change, over all changes and all servers that stayed
-    /// reachable.
+    /// Longest time in seconds from the leader's acceptance of a change until a server applied it, over all
+    /// changes and all servers that stayed reachable.
     #[serde(rename = "worst")]
     pub max_seconds: f64,
-    /// Median over all changes of the time in seconds until the last reachable server applied the change.
+    /// Time in seconds from the leader's acceptance of a change until the last of the servers that stayed
+    /// reachable applied it: median over all changes.
     #[serde(rename = "everywhere_p50")]
     pub everywhere_p50_seconds: f64,
-    /// 99th percentile over all changes of the time in seconds until the last reachable server applied the
-    /// change.
+    /// Time in seconds from the leader's acceptance of a change until the last of the servers that stayed
+    /// reachable applied it: 99th percentile over all changes.
     #[serde(rename = "everywhere_p99")]
     pub everywhere_p99_seconds: f64,
     /// Longest time in seconds until a server that was cut off or restarted applied the revision that was the
--- a/crates/fair-queueing/src/counters.rs
+++ b/crates/fair-queueing/src/counters.rs
@@ -25,7 +25,7 @@
     pub early: u64,
     /// Retries with an invalid ticket: expired, already used, never issued, or issued to another tenant.
     pub unknown: u64,
-    /// Promises that expired without a retry.
+    /// Promises (to admit the retry of a rejected arrival) that expired before a retry presented the ticket.
     pub lapsed: u64,
     /// Requests for a promise that were refused, because the wait would have been too long or too many
     /// promises were active.
--- a/crates/fair-queueing/src/finish_sketch.rs
+++ b/crates/fair-queueing/src/finish_sketch.rs
@@ -48,7 +48,7 @@
         cells.max(CELLS_MIN).next_power_of_two()
     }
 
-    /// Returns the bytes that a sketch of `cells` cells takes.
+    /// Returns the maximum memory, in bytes, of a sketch created by `new(cells)`.
     pub fn bytes_max(cells: usize) -> usize {
         Self::rounded(cells) * size_of::<u32>()
     }
--- a/crates/overload-control/src/idempotency.rs
+++ b/crates/overload-control/src/idempotency.rs
@@ -4,7 +4,7 @@
 use crate::{Arrival, Effect, Host, Nanos, Operation};
 use meadowstream_pending_queue::expiring_keys::ExpiringKeys;
 
-/// Remembered keys, each identified by the id of the invocation that introduced it.
+/// The idempotency keys that are remembered. A key is stored as the id of the first invocation that had it.
 pub struct IdempotencyKeys {
     keys: ExpiringKeys,
     entry_kb: f64,
--- a/crates/replication/src/member/settings.rs
+++ b/crates/replication/src/member/settings.rs
@@ -4,7 +4,7 @@
 use crate::time::{MILLISECOND_NS, Nanos};
 use std::collections::BTreeSet;
 
-/// Maximum number of control machines that keep the log.
+/// Maximum number of control machines that keep the replicated log.
 const REPLICAS_MAX: usize = 9;
 const PULL_PERIOD_MIN_MS: u64 = 10;
 const BYTES_PER_SECOND_MIN: u64 = 2 * BODY_BYTES_MAX as u64;
@@ -14,7 +14,7 @@
 pub struct Settings {
     /// The member's region and zone.
     pub location: Location,
-    /// Names of the control machines that keep the log: 1, 3, 5, 7 or 9 names.
+    /// Names of the control machines that keep the replicated log: 1, 3, 5, 7 or 9 names.
     pub replicas: Vec<String>,
     /// Mean time between two pulls, in nanoseconds. The actual time is random, up to a quarter shorter or
     /// longer.
--- a/crates/replication/src/progress.rs
+++ b/crates/replication/src/progress.rs
@@ -1,6 +1,7 @@
 //! Tracks which revision each member has applied, according to the members' reports to this replica, and
 //! which members lag. Members that lag or have not reported yet are polled. A member that never answers is
-//! treated as non-participating: it is a server without replicated configuration, or an operator's command.
+//! treated as non-participating: it is a server without replicated configuration, or the process of an
+//! operator's command that has joined the fleet, such as `publish`.
 
 use crate::message::{Rejection, Report};
 use crate::time::{Nanos, SECOND_NS};
--- a/crates/replication/src/state.rs
+++ b/crates/replication/src/state.rs
@@ -25,12 +25,12 @@
     pub value: Text,
 }
 
-/// A range of consecutive pairs of a [`State`].
+/// A part of a [`State`]: consecutive pairs of a key and its value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Chunk {
     /// The pairs, ordered by key.
     pub pairs: Vec<Pair>,
-    /// Whether these are the last pairs of the state.
+    /// Whether no pairs of the state follow this chunk.
     pub is_last: bool,
 }
 
--- a/crates/replication/tests/fleet.rs
+++ b/crates/replication/tests/fleet.rs
@@ -392,18 +392,18 @@
         let message = Message::Entries { entries, leader: Some(member_name(0)), pushed: true, newest: 0 };
         fleet.inject(20, 3, message.encode());
     };
-    // Entries that the member holds already.
+    // These entries are replayed: the member has them already.
     send(&mut fleet, known);
     let at = |number: u64, epoch: u64| Position { epoch, number };
     let hash = before.hash();
     let entry = |at, changes| Entry { revision: Revision { position: at, hash }, changes, partial: false };
-    // An entry with the next number, whose hash does not match the resulting content.
+    // This entry has the next number, but its hash does not match the resulting content.
     send(&mut fleet, vec![entry(at(second + 1, 1 << 40), small_change(9))]);
-    // An entry whose number leaves a gap after the end of the log.
+    // The number of this entry leaves a gap after the end of the log.
     send(&mut fleet, vec![entry(at(second + 9, 1 << 40), Vec::new())]);
-    // An entry whose epoch is lower than that of the last entry in the log.
+    // The epoch of this entry is lower than that of the last entry in the log.
     send(&mut fleet, vec![entry(at(second + 1, 0), Vec::new())]);
-    // An entry that removes a key longer than the maximum.
+    // This entry removes a key that is longer than the maximum.
     let long = Change { key: "k".repeat(200), value: None };
     send(&mut fleet, vec![entry(at(second + 1, 1 << 40), vec![long])]);
     fleet.inject(20, 3, vec![7; 5000]);
--- a/crates/rollout/src/coordinator/mod.rs
+++ b/crates/rollout/src/coordinator/mod.rs
@@ -97,8 +97,9 @@
     /// Part of the current stage's bake time that has passed, in nanoseconds: the time after the
     /// warm-up during which this coordinator held the rollout lease and the view was settled.
     baked: Nanos,
-    /// Number of verdicts in the current stage that had enough intervals for a comparison. Includes verdicts
-    /// for which [`Coordinator::next_verdict`] skipped the comparison because of its limit.
+    /// Number of verdicts in the current stage for which enough intervals had been collected to compare the
+    /// servers. [`Coordinator::next_verdict`] stops comparing after `VERDICTS_FACTOR` times the planned
+    /// number of verdicts; later verdicts are counted too.
     verdicts: usize,
     /// Values collected in the current stage.
     canary: Canary,
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -192,13 +192,13 @@
          not {throttled}, {errored}, {late} and {latency}"
     )]
     Thresholds {
-        /// Threshold of the share of rejected answers.
+        /// Threshold in the plan for the share of rejected answers; valid if above 0 and at most 1.
         throttled: f64,
-        /// Threshold of the share of failed answers.
+        /// Threshold in the plan for the share of failed answers; valid if above 0 and at most 1.
         errored: f64,
-        /// Threshold of the share of late answers.
+        /// Threshold in the plan for the share of late answers; valid if above 0 and at most 1.
         late: f64,
-        /// Threshold of the latency, as a relative increase.
+        /// Threshold in the plan for the relative increase of latency; valid if above 0 and at most 100.
         latency: f64,
     },
     /// The probability of a false stop is out of range.
--- a/crates/rollout/src/version_table.rs
+++ b/crates/rollout/src/version_table.rs
@@ -69,8 +69,9 @@
         }
     }
 
-    /// Returns the entries to send to another server: the own entry and up to [`RELAYED_MAX`] others in the
-    /// order of their names, starting at the one selected by the random number `draw`.
+    /// Returns the entries to send to another server: this server's entry and up to [`RELAYED_MAX`] entries
+    /// of other servers in the order of their names, starting at the one selected by the random number
+    /// `draw`.
     pub fn announcement(&self, draw: u64) -> Vec<ServerVersion> {
         let count = self.others.len();
         let start = if count == 0 { 0 } else { (draw % count as u64) as usize };
--- a/crates/server/src/fleet/coordinator.rs
+++ b/crates/server/src/fleet/coordinator.rs
@@ -186,7 +186,7 @@
                 self.handle_interval(now, has_lease)?;
             }
             if self.coordinator.state().phase.has_ended() {
-                // Sends the last orders before leaving the fleet.
+                // Sends the last orders to the servers before this coordinator leaves the fleet.
                 self.fleet_member.step(self.fleet_member.now()).await;
                 self.fleet_member.leave().await;
                 return Ok(self.coordinator.state().phase.clone());
--- a/crates/server/src/wire/mod.rs
+++ b/crates/server/src/wire/mod.rs
@@ -46,7 +46,8 @@
     /// RESP: a word is longer than accepted.
     #[error("a word is too long: {0} bytes")]
     WordTooLong(usize),
-    /// RESP: a word is not followed by a line end, so its length differs from the announced one.
+    /// RESP: no line end follows a word after as many bytes as the length before the word states, so that
+    /// length is wrong.
     #[error("a word differs from its announced length of {0} bytes")]
     WordLength(usize),
     /// HTTP: the head is too long.
--- a/crates/shared-state/src/permits.rs
+++ b/crates/shared-state/src/permits.rs
@@ -66,9 +66,9 @@
         true
     }
 
-    /// Releases the unit of a call that has ended at this server. If it is not `certain` that the call has
-    /// also ended at the service, the unit stays in use until `use_max` nanoseconds after the last permitted
-    /// write of the call.
+    /// Releases the unit of the budget held by a call that has ended at this server. If it is not `certain`
+    /// that the call has also ended at the service, the unit stays in use until `use_max` nanoseconds after
+    /// `permit_send` last permitted a write of the call, or after `acquire` if it never did.
     pub fn release(&mut self, call: u64, certain: bool, use_max: Nanos) {
         let Some(open) = self.open.remove(&call) else { return };
         if certain {
