--- a/crates/cli/tests/soak.rs
+++ b/crates/cli/tests/soak.rs
@@ -1,11 +1,16 @@
 //! Soak runs of a few fixed seeds. For other seeds, three at a time, run
 //! `SOAK_SEEDS=FIRST..LAST cargo test -p meadowstream --test soak by_hand -- --ignored --nocapture`.
 
+use meadowstream_test_doubles::fleet::{FleetHarness, wait_for};
 use meadowstream_test_doubles::soak::{SoakReport, Totals, run};
+use std::net::IpAddr;
 use std::path::Path;
 use std::sync::Mutex;
+use std::time::Duration;
 use test_case::test_case;
 
+/// Longest wait for a server's log line with its listen address.
+const START_MAX: Duration = Duration::from_secs(20);
 /// Number of concurrent runs in `by_hand`.
 const CONCURRENT_RUNS: usize = 3;
 
@@ -73,6 +78,21 @@
     assert!(report.violations.is_empty(), "{}", summary(&report));
 }
 
+/// A call that a client sends to a server that has exited must not reach a server of another fleet that the
+/// system has given the same port. Otherwise the call succeeds long after the drain grace.
+#[test]
+fn each_fleet_accepts_calls_at_its_own_address() {
+    let program = Path::new(env!("CARGO_BIN_EXE_meadowstream"));
+    let fleets = [1_001, 1_002].map(|seed| FleetHarness::new(program, 1, seed).unwrap());
+    let [first, second] = fleets.each_ref().map(listen_ip);
+    assert!(first.is_loopback() && second.is_loopback(), "{first}, {second}");
+    assert_ne!(first, second);
+}
+
+fn listen_ip(fleet: &FleetHarness) -> IpAddr {
+    wait_for(START_MAX, || fleet.listen_address(0)).expect("a started server").ip()
+}
+
 /// Runs a range of seeds; takes minutes.
 #[test]
 #[ignore = "takes minutes; runs the seeds of SOAK_SEEDS"]
--- a/crates/test-doubles/src/fleet.rs
+++ b/crates/test-doubles/src/fleet.rs
@@ -6,6 +6,7 @@
 mod files;
 mod harness;
 mod log;
+mod loopback;
 mod process;
 mod rehearsal;
 mod view;
--- a/crates/test-doubles/src/fleet/harness.rs
+++ b/crates/test-doubles/src/fleet/harness.rs
@@ -2,6 +2,7 @@
 
 use super::files::{HarnessOptions, OptionsFile, ServerAddresses, configuration};
 use super::log::ServerLog;
+use super::loopback;
 use super::process::ServerProcess;
 use super::{WAIT_MAX, wait_for};
 use crate::interpreter;
@@ -9,7 +10,7 @@
 use crate::udp_relay::UdpRelay;
 use anyhow::{Context, Result};
 use serde_json::Value;
-use std::net::{SocketAddr, TcpListener, UdpSocket};
+use std::net::{Ipv4Addr, SocketAddr, TcpListener, UdpSocket};
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, ExitStatus, Stdio};
@@ -19,6 +20,8 @@
 /// A fleet of processes that reach each other through a relay. Server `i` is named `s{i}`.
 pub struct FleetHarness {
     options: HarnessOptions,
+    /// Address at which all servers accept calls, each on a port of its own.
+    listen_ip: Ipv4Addr,
     /// Relay for the membership traffic between the processes.
     pub relay: UdpRelay,
     processes: Vec<Option<ServerProcess>>,
@@ -56,6 +59,7 @@
         std::fs::set_permissions(&key, std::fs::Permissions::from_mode(0o600))?;
         let mut harness = FleetHarness {
             options,
+            listen_ip: loopback::unused_address(),
             relay: UdpRelay::new(count, seed)?,
             processes: (0..count).map(|_| None).collect(),
             folder,
@@ -99,8 +103,8 @@
     }
 
     fn write_files(&self, index: usize, interpreter: SocketAddr) -> Result<()> {
-        let listen =
-            self.options.listen_addresses.get(index).map_or("127.0.0.1:0".to_string(), SocketAddr::to_string);
+        let any_port = SocketAddr::from((self.listen_ip, 0));
+        let listen = self.options.listen_addresses.get(index).unwrap_or(&any_port).to_string();
         let addresses = ServerAddresses {
             listen,
             interpreter: interpreter.to_string(),
--- /dev/null
+++ b/crates/test-doubles/src/fleet/loopback.rs
@@ -0,0 +1,18 @@
+//! Loopback addresses that no other fleet uses.
+
+use std::net::Ipv4Addr;
+use std::sync::atomic::{AtomicU32, Ordering::Relaxed};
+
+/// Number of addresses that one process hands out before it starts again with the first.
+const ADDRESSES: u32 = 254;
+
+/// Returns a loopback address that no other fleet of this process or of another process uses at present.
+///
+/// After a server has exited, the system may give its port to another server. Clients that still connect to
+/// the exited server would then reach a server of another fleet if both fleets used the same address.
+pub(super) fn unused_address() -> Ipv4Addr {
+    static COUNT: AtomicU32 = AtomicU32::new(0);
+    let [_, _, high, low] = std::process::id().to_be_bytes();
+    let host = 1 + COUNT.fetch_add(1, Relaxed) % ADDRESSES;
+    Ipv4Addr::new(127, high, low, host as u8)
+}
