--- a/crates/cli/examples/mixed_fleet.rs
+++ b/crates/cli/examples/mixed_fleet.rs
@@ -1,10 +1,12 @@
-//! Runs a fleet of two releases of the program on loopback and checks that they work together.
+//! Runs a fleet of two releases of the program on the loopback interface and checks that the releases work
+//! together.
 //!
 //!     cargo run --release --example mixed_fleet -- OLD NEW
 //!
-//! OLD and NEW are two builds of the program. Three control machines and eight servers, alternately of each
-//! release, agree on the membership view, share a budget of downstream calls under load, and put a revision
-//! in force that is published by each release in turn. Prints the results and exits with 1 if a check fails.
+//! OLD and NEW are the paths of two builds of the program. The fleet has three control machines and eight
+//! servers, which alternate between the releases. The example checks three things: all servers agree on the
+//! membership view, the servers share a budget of downstream calls under load, and each release can publish a
+//! configuration change to the whole fleet. It prints the results and exits with 1 if a check fails.
 
 use anyhow::{Context, Result, ensure};
 use meadowstream_test_doubles::downstream_service;
@@ -19,12 +21,12 @@
 const CONTROL_MACHINES: usize = 3;
 const SERVERS: usize = 8;
 const PROCESSES: usize = CONTROL_MACHINES + SERVERS;
-/// Maximum number of concurrent downstream calls of the whole fleet.
+/// Maximum number of concurrent downstream calls of all servers together.
 const BUDGET_TOTAL: u64 = 24;
 /// Concurrent downstream calls that each server may make without a lease.
 const BUDGET_FLOOR: u64 = 1;
 const SEED: u64 = 91;
-/// Maximum time to wait for an expected state of the fleet.
+/// Maximum time to wait until the fleet reaches an expected state.
 const WAIT_MAX: Duration = Duration::from_secs(30);
 /// Duration of the load.
 const LOAD: Duration = Duration::from_secs(12);
@@ -54,7 +56,8 @@
     Ok(())
 }
 
-/// Waits until each server sees all other processes alive. Control machines log no view.
+/// Waits until each server sees all other processes alive. Control machines are not checked, because they log
+/// no membership view.
 fn agree_on_view(fleet: &FleetHarness) -> Result<()> {
     let began = Instant::now();
     let sees_all = |server: usize| {
@@ -69,7 +72,7 @@
     Ok(())
 }
 
-/// Elements of the options file of process `i`, apart from its `<membership>`.
+/// Returns the elements of the options file of process `i`, without the `<membership>` element.
 fn options(i: usize) -> String {
     let replicas: String = (0..CONTROL_MACHINES).map(|n| format!(r#"<replica name="s{n}"/>"#)).collect();
     let voters: String = (3..8).map(|n| format!(r#"<voter name="s{n}"/>"#)).collect();
@@ -90,9 +93,11 @@
     )
 }
 
-/// Sends every server a load that needs more downstream calls than [`BUDGET_FLOOR`]. Checks that each server
-/// gets a lease, that the leases cover the budget except for the floors of all servers and at most one
-/// further call, and that the downstream service never has more concurrent calls than the budget.
+/// Puts all servers under load and checks that they share the call budget.
+///
+/// Each server needs more concurrent downstream calls than [`BUDGET_FLOOR`], its part without a lease. The
+/// check requires that each server gets a lease, that at most one call of the leasable budget stays unleased,
+/// and that the downstream service never has more concurrent calls than the budget.
 fn share_budget(fleet: &FleetHarness, downstream: &downstream_service::DownstreamService) -> Result<()> {
     let servers: Vec<usize> = (CONTROL_MACHINES..PROCESSES).collect();
     let mut loads = Vec::new();
@@ -120,8 +125,8 @@
     Ok(())
 }
 
-/// Publishes a change with the `publish` command of one release. The command waits until the change is in
-/// force on all members.
+/// Publishes a configuration change with the `publish` command of the given release. The command waits until
+/// all members use the change.
 fn publish(fleet: &FleetHarness, program: &Path, release: &str) -> Result<String> {
     let free = UdpSocket::bind("127.0.0.1:0")?.local_addr()?;
     fleet.relay.register(PROCESSES, free);
--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -9,16 +9,17 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Environment variable that contains the path of the platform's file if `--config` is missing.
+/// Environment variable with the path of the platform's configuration file. It is used if the option
+/// `--config` is missing.
 const CONFIG_VARIABLE: &str = "ROUTER_CONFIG";
-/// Default number of servers in the fleet that `fleet capacity` models.
+/// Default number of servers in the fleet that the command `fleet capacity` models.
 const CAPACITY_SERVERS: usize = 690;
-/// Default time for which a rollout waits for the rollout lease, in seconds.
+/// Default time for which a rollout waits to get the rollout lease, in seconds.
 const ROLLOUT_WAIT_S: u64 = 120;
 
-/// Command requested on the command line, with its arguments.
+/// A command of the command line, with its arguments.
 pub enum Command {
-    /// Serve until a stop signal is received.
+    /// Run the server until the process receives a stop signal.
     Serve {
         /// Path of the platform's file.
         config: PathBuf,
@@ -36,11 +37,11 @@
     },
     /// Run an overload test with many tenants against a process of this program on the loopback interface.
     Rehearse {
-        /// Number of tenants with a light load. One further tenant floods the server.
+        /// Number of tenants with a light load. One more tenant floods the server with invocations.
         tenants: usize,
         /// Duration of the run, in seconds.
         seconds: u64,
-        /// Whether the program's log lines about tenants are printed.
+        /// Whether to print the server's log lines about tenants.
         shows_log: bool,
     },
     /// Run a fleet of processes of this program, and inject network and process faults.
@@ -48,34 +49,33 @@
         /// Number of processes to start.
         servers: usize,
     },
-    /// Measure the cost per server of a large fleet.
+    /// Simulate a large fleet and measure the costs of one server.
     FleetCapacity {
-        /// Size, seed and length of the measurement.
+        /// Size of the simulated fleet, random seed and duration of the measurement.
         options: CapacityOptions,
         /// Path of a file to which the report is written as JSON.
         json: Option<PathBuf>,
     },
-    /// Roll a change out to the fleet in stages.
+    /// Roll out a change of settings or program to the fleet in stages.
     Rollout(coordinator::RolloutArguments),
     /// Print the progress of a rollout.
     RolloutStatus {
         /// Path of the coordinator's state file.
         state: PathBuf,
     },
-    /// Ask the coordinator of a rollout to roll the change back.
+    /// Request that the coordinator of a rollout rolls the change back.
     RolloutAbort {
         /// Path of the coordinator's state file.
         state: PathBuf,
     },
-    /// Run a control machine, which stores the fleet's configuration together with the other control
-    /// machines.
+    /// Run a control machine. The control machines together store the fleet's replicated configuration.
     Control {
         /// Path of the options file.
         options: PathBuf,
         /// Format of log lines.
         log: LogFormat,
     },
-    /// Publish or revert a change of configuration, or print which members have the newest revision in force.
+    /// Publish or revert a configuration change, or print which members use the newest revision.
     Publish(publish::PublishArguments),
     /// Print the version.
     Version,
@@ -94,8 +94,8 @@
     Ok(PathBuf::from(text))
 }
 
-/// Parses a command and its arguments. Returns `None` for an unknown command, and an error for invalid
-/// arguments.
+/// Parses a command and its arguments. Returns `None` if the command is unknown, and an error if its
+/// arguments are invalid.
 pub fn parse(command: Option<&str>, mut arguments: Arguments) -> Result<Option<Command>> {
     let parsed = match command {
         Some("serve") => parse_serve(&mut arguments)?,
--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -15,7 +15,7 @@
 
 const BYTES_PER_MIB: usize = 1 << 20;
 
-/// Runs a command. The caller prints an error on one line and exits with 1.
+/// Runs a command. If it returns an error, the caller prints the error on one line and exits with code 1.
 pub fn run(command: Command) -> Result<()> {
     match command {
         Command::Serve { config, options, log } => {
@@ -73,8 +73,8 @@
     Ok(())
 }
 
-/// Runs a baseline phase for a third of the time and an overload phase for the rest. Prints a table with the
-/// results of each group of tenants.
+/// Runs an overload test of `seconds` seconds. The first third of the time is a baseline phase, the rest is
+/// an overload phase. Prints a table with the results of each group of tenants.
 fn rehearse(tenants: usize, seconds: u64, shows_log: bool) -> Result<()> {
     let baseline = Duration::from_secs(seconds / 3);
     let plan = tenant_rehearsal::overload_plan(baseline, Duration::from_secs(seconds) - baseline, tenants);
@@ -93,7 +93,8 @@
     Ok(())
 }
 
-/// Measures the costs of a large fleet and prints their table. Returns an error if a cost exceeds its bound.
+/// Measures the costs of a large fleet and prints them as a table. Returns an error if a cost exceeds its
+/// bound.
 fn measure_capacity(options: CapacityOptions, json: Option<PathBuf>) -> Result<()> {
     let report = report::run(&this_program()?, options, |line| println!("{line}"))?;
     println!("\n{}", report.table());
--- a/crates/cli/src/help.rs
+++ b/crates/cli/src/help.rs
@@ -97,7 +97,7 @@
 Prints the version.
 ";
 
-/// Returns the help text of a command, or the overview if the command is unknown.
+/// Returns the help text of a command, or the list of all commands if `command` is missing or unknown.
 pub fn help_text(command: Option<&str>) -> &'static str {
     match command {
         Some("serve") => SERVE,
--- a/crates/cli/src/log.rs
+++ b/crates/cli/src/log.rs
@@ -5,10 +5,12 @@
 
 const NO_WAIT: Timespec = Timespec { tv_sec: 0, tv_nsec: 0 };
 
-/// Writer to standard error that does not block. A full pipe without a reader would otherwise block the only
-/// thread of the program. A line is dropped if the pipe is not ready; a pipe that is ready accepts a whole
-/// line, because lines are short enough. A line that cannot be written is dropped as well, because an error
-/// would make the logging library panic, and with it the task that logs.
+/// Writer to standard error that drops lines instead of blocking. A blocking write to a full pipe without a
+/// reader would stop the only thread of the program.
+///
+/// A line is dropped if the pipe is not ready to be written. A pipe that is ready accepts a whole line,
+/// because lines are short. A failed write is ignored, because the logging library would panic on an error,
+/// and the panic would end the task that writes the line.
 pub struct NonBlockingStderr;
 
 impl Write for NonBlockingStderr {
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,7 +1,7 @@
-//! `meadowstream`: the command line, its help texts and exit codes.
+//! The program `meadowstream`: command line, help texts and exit codes.
 //!
-//! Exit codes: 0 done, 1 failed, 2 wrong usage. Besides the server, this program links the test doubles and
-//! the capacity measurements; no other program links these.
+//! Exit codes: 0 success, 1 failure, 2 wrong usage. This program contains the server, the test doubles and
+//! the capacity measurements. No other program links the test doubles or the capacity measurements.
 #![deny(missing_docs, clippy::too_many_lines)]
 
 mod arguments;
--- a/crates/cli/tests/command_line.rs
+++ b/crates/cli/tests/command_line.rs
@@ -33,7 +33,8 @@
     }
 }
 
-/// Each command line is valid: the command fails only because a file named in the arguments does not exist.
+/// Each command line is valid, but names a file that does not exist. The command must fail because of the
+/// file, and not because of its arguments.
 #[test_case(&["serve", "--config", "/no/file", "--options", "/no/options", "--log", "json"])]
 #[test_case(&["serve", "--config", "/no/file", "--log", "text"])]
 #[test_case(&["check", "/no/file", "--options", "/no/options"])]
@@ -82,7 +83,7 @@
     assert!(stderr(&output).contains("/no/file"), "{}", stderr(&output));
 }
 
-/// Checks the configuration file that the first commands in the README use.
+/// The configuration file that the README uses in its first commands must be valid.
 #[test]
 fn the_example_configuration_passes_the_check() {
     let example = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/server-example.json");
--- a/crates/cli/tests/fair_queues.rs
+++ b/crates/cli/tests/fair_queues.rs
@@ -1,5 +1,6 @@
-//! Rehearsals of the program with many tenants, among test doubles on loopback: many light tenants and one
-//! that floods, or a downstream service that slows down.
+//! Overload tests of the program with many tenants, against test doubles on the loopback interface. Most
+//! tenants send a light load. The overload is one tenant that floods the server, or a downstream service that
+//! becomes slow.
 
 use meadowstream_test_doubles::group_report::table;
 use meadowstream_test_doubles::tenant_rehearsal::{
@@ -10,7 +11,7 @@
 use std::sync::atomic::Ordering::Relaxed;
 use std::time::Duration;
 
-/// Serializes the rehearsals, because each needs all cores of the machine.
+/// Lock that makes the tests run one after another, because each test needs all cores of the machine.
 static REHEARSAL: Mutex<()> = Mutex::new(());
 
 fn rehearse(plan: RehearsalPlan) -> RehearsalReport {
@@ -21,8 +22,8 @@
     report
 }
 
-/// Asserts the invariants of docs/ARCHITECTURE.md as far as clients can observe them, and that the counters
-/// add up.
+/// Asserts the invariants of docs/ARCHITECTURE.md that clients can observe. Also asserts that the server's
+/// counters are consistent: the number of invocations equals the sum of their results.
 fn assert_invariants(report: &RehearsalReport) {
     let count = |name: &str| report.counters[name];
     assert_eq!(report.exit, Some(0));
@@ -45,8 +46,8 @@
     assert!(bytes.is_some_and(|bytes| bytes <= ceiling), "{bytes:?} of {ceiling}");
 }
 
-/// Parses a count from the log line about the shares, for example 13 for `broken` in
-/// `counts: Counts { within: 7509, ..., broken: 13, ... }`.
+/// Parses one count from the log line about fair queueing. For example, the count `broken` is 13 in `counts:
+/// Counts { within: 7509, ..., broken: 13, ... }`.
 fn count_of(report: &RehearsalReport, name: &str) -> u64 {
     let line = report
         .tenant_lines
@@ -72,10 +73,11 @@
         "{:?}",
         light.by_tenant
     );
-    // The server breaks a promise of admission if its learned concurrency limit has since fallen below half,
-    // for example because the machine stalled. It counts such a promise as `broken`: 14 in one of three runs
-    // beside six busy processes, 0 in most runs. Nearly all other advised retries are admitted; the ratio was
-    // 0.73 when retries had no place in the order of the queue.
+    // The counter `broken` is the number of promises of admission that the server did not keep. The server
+    // breaks a promise if its learned concurrency limit has fallen below half since the promise, for example
+    // because the machine stalled. `broken` was 14 in one of three runs beside six busy processes, and 0 in
+    // most runs. Nearly all other advised retries must be admitted. The ratio was 0.73 when retries had no
+    // place in the order of the queue.
     let retries = light.advised_retries + flood.advised_retries;
     let broken = count_of(&report, "broken");
     let admitted_ratio = (light.advised_retries_admitted + flood.advised_retries_admitted) as f64
@@ -103,8 +105,8 @@
     assert!(report.groups[0].in_time_ratio() >= 0.95, "{}", report.groups[0].in_time_ratio());
 }
 
-/// The downstream service becomes eight times as slow. If all downstream calls were made, four would be in
-/// flight on average, but the quota is one.
+/// The downstream service becomes eight times as slow. Making all downstream calls would need four concurrent
+/// calls on average, but the quota permits one.
 #[test]
 fn a_downstream_service_that_slows_eightfold_is_not_overloaded() {
     let plan = slow_dependency_plan(Duration::from_secs(3), Duration::from_secs(8));
--- a/crates/cli/tests/fleet_cold.rs
+++ b/crates/cli/tests/fleet_cold.rs
@@ -1,6 +1,7 @@
-//! Twenty processes of the program share a tier of five downstream services. One service fails and recovers;
-//! the test counts the calls that it then receives from all processes together. Uses loopback only; every
-//! wait has a limit, and each process is killed by its id.
+//! Recovery of a failed service that many processes call. Twenty processes of the program share a tier of
+//! five downstream services. One service fails and recovers, and the test counts the calls from all processes
+//! to this service after its recovery. The test uses the loopback interface only. Every wait has a limit, and
+//! each process is killed by its id.
 
 use meadowstream_test_doubles::fleet::{FleetHarness, HarnessOptions, wait_for};
 use meadowstream_test_doubles::{downstream_service, open_loop};
@@ -10,16 +11,16 @@
 
 const PROCESSES: usize = 20;
 const SERVICES: usize = 5;
-/// Number of reports of failure that eject a service.
+/// Number of servers that must report a service as failing before the service is ejected.
 const REPORTS: usize = 2;
-/// Time for which a report of failure counts; also the duration of the recovery ramp.
+/// Time after which a failure report expires. The recovery ramp has the same duration.
 const EXPIRY: Duration = Duration::from_millis(2000);
-/// Calls per second to each process.
+/// Calls per second that the test sends to each process.
 const RATE: f64 = 20.0;
-/// Interval in which the calls to the recovered service are counted.
+/// Length of the intervals in which the test counts the calls to the recovered service.
 const INTERVAL: Duration = Duration::from_millis(250);
 
-/// Whether server `i` has ejected the service `r0`.
+/// Whether server `i` currently ejects the service `r0`, according to its last log line about shared state.
 fn ejects(fleet: &FleetHarness, i: usize) -> bool {
     let shared = fleet.shared_state(i).unwrap_or_default();
     shared["ejected"].as_str().is_some_and(|names| names.contains("\"r0\""))
@@ -69,8 +70,8 @@
     assert!(readmitted.is_some(), "no server uses the service again");
     let (took, probes) = (recovered_at.elapsed(), failing.calls.load(Relaxed) - before);
 
-    // Some processes still send probes until the last process has learned of the recovery. All other calls
-    // are part of the recovery ramp.
+    // Calls to the recovered service are probes or part of the recovery ramp. A process sends probes until it
+    // is informed of the recovery, which happens later at some processes than at others.
     let probes_per_second = (2 * REPORTS * 8) as f64 / EXPIRY.as_secs_f64();
     let full_rate = RATE * PROCESSES as f64 / SERVICES as f64;
     let budget = |rate: f64, span: Duration| {
--- a/crates/cli/tests/fleet_membership.rs
+++ b/crates/cli/tests/fleet_membership.rs
@@ -1,7 +1,8 @@
-//! Several processes of the program keep one view of the fleet through a fault relay on loopback, in spite of
-//! a crash (SIGKILL), a stall (SIGSTOP, SIGCONT), partitions and lossy links. All assertions use the logs of
-//! the processes (JSON lines), not the relay's counts. Each process is killed when its harness is dropped,
-//! also if the test fails.
+//! Tests of the membership view: several processes of the program agree on one view of the fleet in spite of
+//! faults. The faults are a crash (SIGKILL), a stall (SIGSTOP, SIGCONT), partitions and lossy links. All
+//! traffic passes a fault relay on the loopback interface. The assertions use the logs of the processes (JSON
+//! lines), not the relay's counts. Each process is killed when its harness is dropped, also if the test
+//! fails.
 
 use meadowstream_test_doubles::fleet::{FleetHarness, HarnessOptions, PROBE_PERIOD_MS, SUSPICION_PERIODS};
 use std::net::UdpSocket;
@@ -9,15 +10,17 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Maximum time until a crashed member is down in every logged view: the sum of the suspicion time, of eight
-/// probe periods, and of one more probe period, after which a server logs a changed view at the latest.
+/// Maximum time from a crash until every logged view shows the crashed member as down. It is the sum of three
+/// times: the suspicion time, eight probe periods to detect the crash, and one probe period until a server
+/// logs its changed view.
 const CRASH_BOUND: Duration = Duration::from_millis(PROBE_PERIOD_MS * (SUSPICION_PERIODS + 8 + 1));
 
 fn start_fleet(servers: usize, seed: u64) -> FleetHarness {
     FleetHarness::new(Path::new(env!("CARGO_BIN_EXE_meadowstream")), servers, seed).unwrap()
 }
 
-/// Waits until the views of `members` agree and returns the time that this took; panics after `within`.
+/// Waits until the views of `members` agree and returns the time that this took. Panics if the views do not
+/// agree after `within`.
 fn expect_agreement(fleet: &FleetHarness, members: &[usize], within: Duration) -> Duration {
     match fleet.wait_for_agreement(members, Instant::now(), within) {
         Ok(times) => times.all,
@@ -47,7 +50,7 @@
 fn a_short_stall_is_not_declared_down_and_a_long_one_is_then_recovers() {
     let mut fleet = start_fleet(5, 12);
     expect_agreement(&fleet, &all(5), Duration::from_secs(15));
-    // A stall shorter than half of the suspicion time: no member declares s2 down.
+    // First stall: it ends after half of the suspicion time, so no member declares s2 down.
     fleet.signal(2, "STOP").unwrap();
     std::thread::sleep(Duration::from_millis(PROBE_PERIOD_MS * SUSPICION_PERIODS / 2));
     fleet.signal(2, "CONT").unwrap();
@@ -61,7 +64,8 @@
         );
     }
     assert!(fleet.views_agree(&all(5)));
-    // A stall until the other members have declared s2 down. After SIGCONT all members see s2 alive again.
+    // Second stall: it lasts until the other members have declared s2 down. After SIGCONT all members must
+    // see s2 alive again.
     fleet.signal(2, "STOP").unwrap();
     expect_agreement(&fleet, &[0, 1, 3, 4], CRASH_BOUND * 2);
     fleet.signal(2, "CONT").unwrap();
@@ -81,11 +85,13 @@
     expect_agreement(&fleet, &[0, 1, 2], Duration::from_secs(10));
     expect_agreement(&fleet, &[3, 4, 5], Duration::from_secs(10));
     fleet.relay.change_faults(|faults| faults.heal());
-    // The documented bound on the time until the views agree again is ten announce periods of 1 s.
+    // The documentation states that the views agree again within ten announce periods, which are 1 s each
+    // here.
     expect_agreement(&fleet, &all(6), Duration::from_secs(10));
 }
 
-/// A limit on the bytes per second of membership traffic makes gossip packets short.
+/// Two halves of a fleet must agree on one view after a partition, also if gossip packets are short because
+/// the bytes per second of membership traffic are limited.
 #[test]
 fn halves_with_a_byte_limit_have_one_view_after_the_partition() {
     let options = HarnessOptions {
@@ -108,14 +114,15 @@
     expect_agreement(&fleet, &all(4), Duration::from_secs(10));
 }
 
-/// Regression test. In earlier versions, only the prober (the member whose probe raised a suspicion) timed
-/// the suspicion out. If the prober's timer was lost, the suspect stayed suspect in all other views; this
-/// happened after a one-way cut in 2 of about 9 runs.
+/// Regression test for a suspicion that never ended. A suspicion starts when a member (the prober) gets no
+/// answer to its probe. In earlier versions, only the prober ended the suspicion with a timeout. If the
+/// prober lost its timer, the suspect stayed suspect in all other views. This happened in 2 of about 9 runs
+/// with a one-way cut.
 #[test]
 fn views_agree_after_a_one_way_cut() {
     let fleet = start_fleet(5, 14);
     expect_agreement(&fleet, &all(5), Duration::from_secs(15));
-    // s4 receives the datagrams of the other members, but the other members receive none from s4.
+    // One-way cut: s4 receives the datagrams of the other members, but no datagram from s4 reaches them.
     fleet.relay.change_faults(|f| {
         f.groups.insert(4, 1);
         f.cuts.insert((1, 0));
@@ -137,13 +144,13 @@
         (0..5).map(|i| (0..5).map(|j| fleet.down_count(i, &format!("s{j}"))).sum::<usize>()).sum();
     assert!(down_count <= 1, "{down_count} members declared down falsely in 4 s");
     expect_agreement(&fleet, &all(5), Duration::from_secs(10));
-    // The processes drop duplicate datagrams as replays and count them.
+    // Each process treats a duplicate datagram as a replay: it drops the datagram and counts it.
     let counts = fleet.view_field(0, "counts").expect("a view");
     assert!(counts["dropped"][7].as_u64().unwrap() > 0, "no replay was dropped: {counts}");
 }
 
-/// The program does not start if other users may read its key file, or if its membership address is in use.
-/// The error names the setting.
+/// The program must not start if other users may read its key file, or if its membership address is in use.
+/// The error message names the wrong setting.
 #[test]
 fn a_readable_key_or_an_address_in_use_prevents_the_start() {
     let fleet = start_fleet(4, 16);
@@ -177,8 +184,9 @@
     assert!(stderr.contains(&format!("<membership>: cannot bind {address}")), "{stderr}");
 }
 
-/// Two fleets must not merge when the system assigns the port of a killed member to a member of the other
-/// fleet, although the remaining members of the first fleet still send to that port.
+/// Two fleets must not merge when a port moves from one fleet to the other. A member of the first fleet is
+/// killed, and a member of the second fleet gets its port. The remaining members of the first fleet still
+/// send datagrams to this port.
 #[test]
 fn a_killed_members_port_in_another_fleet_does_not_merge_the_views() {
     let mut fleet = start_fleet(5, 19);
@@ -199,7 +207,7 @@
     }
 }
 
-/// The command `fleet rehearse` succeeds and prints a table with all six steps.
+/// The command `fleet rehearse` must succeed and print a table with all six steps.
 #[test]
 fn the_fleet_rehearsal_prints_its_table() {
     let out = Command::new(env!("CARGO_BIN_EXE_meadowstream"))
--- a/crates/cli/tests/fleet_rollout.rs
+++ b/crates/cli/tests/fleet_rollout.rs
@@ -1,5 +1,5 @@
-//! Staged rollouts over six processes of the program and a coordinator, behind the fault relay and under
-//! load. The settings in force are read from the servers' logs, the results of calls from their clients.
+//! Tests of staged rollouts over six processes of the program and a coordinator, behind the fault relay and
+//! under load. The servers' logs show the settings in force, the clients count the results of calls.
 
 use meadowstream_test_doubles::downstream_service;
 use meadowstream_test_doubles::fleet::{FleetHarness, HarnessOptions, wait_for};
@@ -15,7 +15,7 @@
 const ALL: [usize; 6] = [0, 1, 2, 3, 4, 5];
 const VOTERS: &str = r#"<voter name="s0"/><voter name="s1"/><voter name="s2"/>"#;
 
-/// Serializes the tests, because each runs seven processes and a rollout plan with intervals of 250 ms.
+/// Runs the tests one after another: concurrent tests would delay the rollout plans' 250 ms intervals.
 static EXCLUSIVE: Mutex<()> = Mutex::new(());
 
 fn lock_exclusive() -> MutexGuard<'static, ()> {
@@ -28,7 +28,7 @@
         r#"<rollout candidate="next.xml" program="next" servers="10" lease-ms="1500">{VOTERS}</rollout>"#
     );
     // The servers keep their ports over a restart, at an IP address that only this test uses. All listeners
-    // are held open until every free port is known, so that the ports differ.
+    // stay open until a free port is known for each server; otherwise the system could return a port twice.
     let test_address = format!("127.0.{seed}.1:0");
     let listeners: Vec<TcpListener> = (0..8).map(|_| TcpListener::bind(&test_address).unwrap()).collect();
     let listen_addresses = listeners.iter().map(|listener| listener.local_addr().unwrap()).collect();
@@ -41,13 +41,13 @@
         ..HarnessOptions::default()
     };
     let program = Path::new(env!("CARGO_BIN_EXE_meadowstream"));
-    // The relay has two more endpoints than servers, for coordinators.
+    // The relay has eight endpoints: six for the servers and two for coordinators.
     let fleet = FleetHarness::with_options(program, 8, 6, seed, options).unwrap();
     fleet.wait_for_agreement(&ALL, Instant::now(), Duration::from_secs(15)).unwrap();
     fleet
 }
 
-/// Starts a load on each server; each load needs half of its server's cores.
+/// Starts a load on each server. Each load uses half of the cores of its server.
 fn start_loads(fleet: &FleetHarness, span: Duration) -> Vec<JoinHandle<ReplyCounts>> {
     let to = |i: usize| fleet.listen_address(i).expect("the server has logged its listen address");
     ALL.iter()
@@ -55,14 +55,14 @@
         .collect()
 }
 
-/// Writes the candidate file with the options `elements`.
+/// Writes the candidate file (the settings to roll out) with the options in `elements`.
 fn write_candidate(fleet: &FleetHarness, elements: &str) {
     let text = format!("<meadowstream xmlns=\"urn:meadowstream:options:1\">\n{elements}\n</meadowstream>\n");
     std::fs::write(fleet.folder().join("next.xml"), text).unwrap();
 }
 
-/// Writes a plan of three stages. The thresholds of the plan are so high that interference by other work on
-/// the machine does not exceed them. The bad changes in these tests exceed the thresholds by far.
+/// Writes a rollout plan of three stages. Its thresholds are so high that other work on the machine does not
+/// exceed them. The bad changes in these tests exceed them by far.
 fn write_plan(fleet: &FleetHarness, name: &str) -> PathBuf {
     let text = format!(
         r#"<plan xmlns="urn:meadowstream:options:1" name="{name}" candidate="next.xml" interval-ms="250"
@@ -77,7 +77,7 @@
     path
 }
 
-/// A process of the command `rollout`, killed when dropped.
+/// A process that runs the command `rollout`. It is killed when this value is dropped.
 struct Coordinator {
     child: Child,
     /// Lines that the process has written to standard output and standard error so far.
@@ -85,7 +85,7 @@
 }
 
 impl Coordinator {
-    /// Starts a coordinator with a new port behind endpoint `endpoint` of the relay.
+    /// Starts a coordinator at a new port, which other processes reach through the relay's `endpoint`.
     fn start(fleet: &FleetHarness, plan: &Path, endpoint: usize, wait_s: u64) -> Coordinator {
         let free = UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
         fleet.relay.register(endpoint, free);
@@ -122,13 +122,13 @@
         self.lines.lock().unwrap().iter().any(|line| line.contains(text))
     }
 
-    /// Waits until the output contains `text`; panics after `within`.
+    /// Waits until the output contains `text`. Panics if this takes longer than `within`.
     fn wait_for_output(&self, text: &str, within: Duration) {
         let printed = wait_for(within, || self.has_printed(text).then_some(()));
         assert!(printed.is_some(), "no output {text:?}: {:#?}", self.lines.lock().unwrap());
     }
 
-    /// Waits for the coordinator to exit and returns its exit code; -1 if a signal ended it.
+    /// Waits for the coordinator to exit. Returns its exit code, or -1 if a signal ended the process.
     fn wait_for_exit(&mut self, within: Duration) -> i32 {
         let status = wait_for(within, || self.child.try_wait().unwrap());
         std::thread::sleep(Duration::from_millis(50));
@@ -144,29 +144,29 @@
     }
 }
 
-/// Whether the settings of a rollout are in force on server `i`, by its last log line about settings.
+/// Whether server `i` uses the settings of a rollout, by its last log line about settings.
 fn adopted(fleet: &FleetHarness, i: usize) -> bool {
     fleet.log_lines(i, "settings").last().is_some_and(|line| line["adopted"] == true)
 }
 
-/// Servers on which the settings of a rollout are in force.
+/// Returns the servers that currently use the settings of a rollout.
 fn changed_servers(fleet: &FleetHarness) -> Vec<usize> {
     ALL.into_iter().filter(|i| adopted(fleet, *i)).collect()
 }
 
-/// Servers on which the settings of a rollout have been in force at any time.
+/// Returns the servers that have used the settings of a rollout at any time since their start.
 fn ever_changed_servers(fleet: &FleetHarness) -> Vec<usize> {
     let ever = |i: &usize| fleet.log_lines(*i, "settings").iter().any(|line| line["adopted"] == true);
     ALL.into_iter().filter(ever).collect()
 }
 
-/// The mark file in which server `i` records that it has adopted a candidate.
+/// Path of the mark file that server `i` writes when it adopts the candidate settings.
 fn adoption_mark(fleet: &FleetHarness, i: usize) -> PathBuf {
     fleet.folder().join(format!("s{i}.xml.adopted"))
 }
 
-/// Waits for the loads to end and asserts that every call succeeded or was rejected. Other results are not
-/// allowed, because the load is below the capacity of the servers.
+/// Waits for the loads to end. Asserts that every call succeeded or was rejected: errors and missing replies
+/// are not allowed, because the load is below the capacity of the servers.
 fn expect_all_answered(loads: Vec<JoinHandle<ReplyCounts>>) -> Vec<ReplyCounts> {
     let replies: Vec<ReplyCounts> = loads.into_iter().map(|load| load.join().unwrap()).collect();
     for server in &replies {
@@ -176,14 +176,14 @@
     replies
 }
 
-/// Hash of the settings in force on member `name`, as logged with the last view of server `i`.
+/// Hash of the settings of member `name`, from the last membership view that server `i` logged.
 fn settings_hash(fleet: &FleetHarness, i: usize, name: &str) -> String {
     let runs = fleet.view_field(i, "runs").unwrap_or_default();
     runs[name][1].as_str().unwrap_or("").to_string()
 }
 
-/// A target utilization (`<control reference>`) far below the load makes a server reject many calls. The
-/// first stage detects this and reverts the one changed server; the other five never change.
+/// Rollout of a target utilization (`<control reference>`) far below the load, which makes servers reject
+/// calls. The first stage detects this and reverts the one changed server; the other five never change.
 #[test]
 fn a_bad_change_is_rolled_back_in_its_first_stage() {
     let _exclusive = lock_exclusive();
@@ -205,14 +205,14 @@
     let throttled: Vec<u64> = replies.iter().map(|each| each.throttled).collect();
     assert!(ALL.iter().all(|i| fleet.repeated_runs(*i) == 0));
     println!("throttled by server: {throttled:?}, ever changed {:?}", ever_changed_servers(&fleet));
-    // A coordinator that is started with the plan that was rolled back exits with an error.
+    // This plan was rolled back, so a coordinator that is started with it again exits with an error.
     let again = Coordinator::start(&fleet, &plan, 6, 5).wait_for_exit(Duration::from_secs(10));
     assert_eq!(again, 1);
 }
 
-/// A second plan gets no lease while the first one runs. The coordinator is killed during the bake time of a
-/// stage, and the servers keep their settings. A restarted coordinator completes all stages. A server that is
-/// killed afterwards restarts with the changed settings.
+/// A killed coordinator can be restarted and completes its rollout. The coordinator is killed during the bake
+/// time of a stage, and the servers keep their settings. While this rollout runs, a second plan gets no
+/// lease. A server that is killed after the rollout restarts with the changed settings.
 #[test]
 fn a_good_change_completes_although_the_coordinator_is_killed_and_another_plan_starts() {
     let _exclusive = lock_exclusive();
@@ -231,12 +231,12 @@
     drop(coordinator);
     let before = changed_servers(&fleet);
     assert_eq!(before.len(), 3);
-    // For each server, all servers log the settings hash that the server logs for itself.
+    // All servers log the same settings hash for server j, which is the hash that j logs for itself.
     let agreed = || {
         let hash = |i: usize, j: usize| settings_hash(&fleet, i, &format!("s{j}"));
         let all = ALL.iter().all(|&i| ALL.iter().all(|&j| hash(i, j) == hash(j, j)));
         let hashes: std::collections::BTreeSet<String> = ALL.iter().map(|&j| hash(0, j)).collect();
-        // Four hashes: one that the three changed servers share, and one of each unchanged server.
+        // Four hashes: the three changed servers share one, each unchanged server has its own.
         (all && hashes.len() == 4 && !hashes.contains("")).then_some(())
     };
     assert!(wait_for(Duration::from_secs(8), agreed).is_some(), "{:?}", fleet.view_field(0, "runs"));
@@ -249,8 +249,8 @@
     assert_eq!(changed_servers(&fleet), ALL);
     let replies = expect_all_answered(load);
     println!("{replies:?}");
-    // The adoption is recorded on disk, so that a killed server restarts with the adopted settings. If the
-    // candidate file has changed after the adoption, the server restarts with its own settings.
+    // An adoption is recorded on disk, so a killed server restarts with the adopted settings. If the
+    // candidate file was changed after the adoption, the server restarts with its own settings.
     assert!(ALL.iter().all(|i| adoption_mark(&fleet, *i).exists()));
     fleet.signal(4, "KILL").unwrap();
     fleet.start(4).unwrap();
@@ -264,8 +264,8 @@
     assert!(own.is_some(), "s5 must not use a different candidate, and s4 must use the adopted one");
 }
 
-/// A partition during the bake time of a stage: no further server changes until the membership view is stable
-/// again. Afterwards an abort by the operator rolls the change back.
+/// A partition during the bake time of a stage pauses the rollout: no server changes until the membership
+/// view is stable again. Afterwards an abort by the operator rolls the change back.
 #[test]
 fn a_partition_delays_a_stage_and_an_abort_rolls_back() {
     let _exclusive = lock_exclusive();
@@ -302,13 +302,13 @@
     expect_all_answered(load);
 }
 
-/// A rollout fails with an invalid candidate, an invalid plan, or a change that the servers reject. Each
-/// error message names the place in the file or the reason.
+/// A rollout fails if the candidate or the plan is invalid, or if the servers reject the change. Each error
+/// message names the position in the file or the reason.
 #[test]
 fn invalid_candidates_and_plans_are_rejected_with_their_place() {
     let _exclusive = lock_exclusive();
     let fleet = start_fleet(44);
-    // The target utilization of 7 is above the maximum of 1.
+    // This candidate is invalid: the target utilization 7 is above the maximum of 1.
     write_candidate(&fleet, "<control reference=\"7\"/>");
     let run = |plan: &Path| {
         let mut coordinator = Coordinator::start(&fleet, plan, 6, 5);
@@ -327,7 +327,7 @@
     let (code, output) = run(&path);
     assert_eq!(code, 1);
     assert!(output.contains("line 1, <plan>: stage 1: bake-ms: at least 6 intervals"), "{output}");
-    // A server rejects a change that requires a restart, and no server ever applies the change.
+    // This change requires a restart: a server rejects it, and no server applies it.
     std::fs::write(&path, good).unwrap();
     write_candidate(&fleet, "<tenants by=\"peer\"/>");
     let load = start_loads(&fleet, Duration::from_secs(20));
@@ -339,9 +339,9 @@
     expect_all_answered(load);
 }
 
-/// Rollout of a new program: each server of a stage exits once it has answered all calls, and a test double
-/// of the supervisor starts the program named in the server's mark file. A server that does not return makes
-/// the coordinator roll the change back.
+/// Rollout of a new program. Each server of a stage answers all calls and exits, and a test double of the
+/// supervisor starts the program that the server's mark file names. If a server does not return, the
+/// coordinator rolls the change back.
 #[test]
 fn a_program_is_rolled_out_by_restarts_and_rolled_back_if_a_server_fails() {
     let _exclusive = lock_exclusive();
@@ -349,7 +349,7 @@
         let mut fleet = start_fleet(seed);
         let next = fleet.folder().join("next");
         let mut bytes = std::fs::read(env!("CARGO_BIN_EXE_meadowstream")).unwrap();
-        // The program under test with trailing bytes, which change its hash and nothing else.
+        // The new program is the old one with bytes added at the end, which change only its hash.
         bytes.extend(b"next");
         std::fs::write(&next, bytes).unwrap();
         std::fs::set_permissions(&next, std::os::unix::fs::PermissionsExt::from_mode(0o755)).unwrap();
@@ -370,7 +370,7 @@
             }
             assert!(began.elapsed() < Duration::from_secs(70), "{:#?}", coordinator.lines.lock().unwrap());
             if broken && restarts.len() == 1 {
-                // The first restarted server is stopped (SIGSTOP) for good, so that it reports nothing.
+                // The first restarted server is stopped (SIGSTOP) for good and reports nothing.
                 fleet.signal_and_keep(restarts[0], "STOP").unwrap();
                 restarts.push(restarts[0]);
             }
@@ -380,8 +380,8 @@
         println!("broken {broken}: {restarts:?} {:#?}", coordinator.lines.lock().unwrap());
         let replies: Vec<ReplyCounts> = load.into_iter().map(|load| load.join().unwrap()).collect();
         println!("{replies:?}");
-        // During a restart calls cannot connect, and calls that arrive before the new process is linked to
-        // the interpreter fail immediately. Both together are at most one fiftieth of each server's load.
+        // Calls fail while no process listens and until the new process is connected to the interpreter. At
+        // most one fiftieth of each server's calls may fail.
         for (i, load) in replies.iter().enumerate() {
             let stopped = broken && restarts.contains(&i);
             assert!(stopped || (load.errored + load.unanswered) * 50 <= load.sent, "s{i}: {replies:?}");
--- a/crates/cli/tests/fleet_scale.rs
+++ b/crates/cli/tests/fleet_scale.rs
@@ -1,6 +1,6 @@
-//! Replicated configuration between processes of the program: three control machines and nine servers in
-//! three zones, all behind the fault relay. The assertions use the logs of the processes. Uses loopback only;
-//! every wait has a limit, and each process is killed by its id.
+//! Tests of replicated configuration between processes of the program: three control machines and nine
+//! servers in three zones, all behind the fault relay. The assertions use the logs of the processes. The
+//! tests use the loopback interface only. Every wait has a limit, and each process is killed by its id.
 
 use meadowstream_test_doubles::fleet::{FleetHarness, HarnessOptions, wait_for};
 use std::net::UdpSocket;
@@ -11,15 +11,15 @@
 const CONTROLS: usize = 3;
 const PROCESSES: usize = 12;
 const ZONES: usize = 3;
-/// Maximum time to wait for an expected state of the fleet.
+/// Maximum time to wait until the fleet reaches an expected state.
 const WAIT_MAX: Duration = Duration::from_secs(20);
 
-/// Indices of the servers, which follow the control machines.
+/// Returns the process indices of the servers. The indices of the control machines are lower.
 fn servers() -> Vec<usize> {
     (CONTROLS..PROCESSES).collect()
 }
 
-/// Text of the options for process `i`, with the zone and the state file of the process.
+/// Returns the options of process `i`, including the zone and the state file of the process.
 fn options(i: usize) -> String {
     let replicas: String = (0..CONTROLS).map(|n| format!(r#"<replica name="s{n}"/>"#)).collect();
     let zone = i % ZONES;
@@ -40,8 +40,8 @@
     fleet
 }
 
-/// Index of the control machine that publishes revisions, according to its last log line; `None` if there is
-/// no such machine.
+/// Returns the index of the control machine that publishes revisions, according to its last log line. Returns
+/// `None` if no control machine does.
 fn publisher(fleet: &FleetHarness) -> Option<usize> {
     let publishes = |i: &usize| {
         let last = fleet.log_lines(*i, "control").pop();
@@ -50,13 +50,13 @@
     (0..CONTROLS).find(publishes)
 }
 
-/// Revision in force on server `i`, from its last log line about replication.
+/// Returns the number of the revision that server `i` uses, according to its last log line about replication.
 fn in_force(fleet: &FleetHarness, i: usize) -> Option<u64> {
     fleet.log_lines(i, "replication").pop()?["in_force"].as_u64()
 }
 
-/// Waits until revision `number` or a later one is in force on all of `members`. Returns the time that this
-/// took, or `None` after `within`.
+/// Waits until all `members` use revision `number` or a later revision. Returns the time that this took, or
+/// `None` if they do not within `within`.
 fn wait_until_in_force(
     fleet: &FleetHarness,
     members: &[usize],
@@ -68,9 +68,10 @@
     wait_for(within, all)
 }
 
-/// Runs `meadowstream publish` with these arguments. Returns whether it succeeded, and its output.
+/// Runs `meadowstream publish` with `arguments`. Returns whether the command succeeded, and its output.
 fn publish(fleet: &FleetHarness, arguments: &[&str]) -> (bool, String) {
-    // The `publish` process joins the fleet as an additional member, at the last endpoint of the relay.
+    // The `publish` process is an additional member of the fleet. The other members reach it through the last
+    // endpoint of the relay.
     let free = UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     fleet.relay.register(PROCESSES, free);
     let seeds: String = (0..6).map(|i| format!(r#"<seed address="{}"/>"#, fleet.relay.endpoint(i))).collect();
@@ -95,7 +96,7 @@
     (output.status.success(), String::from_utf8_lossy(&text).into_owned())
 }
 
-/// Writes a file with a change that contains `elements`, and returns the path of the file.
+/// Writes a change file with `elements` as its content, and returns the path of the file.
 fn write_change(fleet: &FleetHarness, name: &str, elements: &str) -> PathBuf {
     let file = fleet.folder().join(name);
     let text = format!("<change xmlns=\"urn:meadowstream:options:1\">{elements}</change>");
@@ -103,12 +104,12 @@
     file
 }
 
-/// Writes a file with a change of one tenant's weight, and returns the path of the file.
+/// Writes a change file that sets one tenant's weight, and returns the path of the file.
 fn write_weight_change(fleet: &FleetHarness, weight: u32) -> PathBuf {
     write_change(fleet, "change.xml", &format!(r#"<set key="tenants/tenant/arms-park" value="{weight}"/>"#))
 }
 
-/// Parses the number of the committed revision from the output of a command.
+/// Parses the number of the committed revision from the output of `meadowstream publish`.
 fn committed_revision(output: &str) -> u64 {
     let number =
         output.split("committed as revision ").nth(1).and_then(|rest| rest.split_whitespace().next());
@@ -124,11 +125,11 @@
     let first = committed_revision(&output);
     assert!(output.contains("11 of 11 members go by it"), "{output}");
     assert!(servers().iter().all(|i| in_force(&fleet, *i) >= Some(first)));
-    // The command refuses an unknown key without publishing the change.
+    // The command rejects a change with an unknown key and does not publish it.
     let unknown_key = write_change(&fleet, "strange.xml", "\n<set key=\"novel/thing\" value=\"1\"/>");
     let (succeeded, output) = publish(&fleet, &[unknown_key.to_str().unwrap()]);
     assert!(!succeeded && output.contains("line 2, <set>: novel/thing: unknown element"), "{output}");
-    // The servers refuse a change of the budget because they have none; the command prints this reason.
+    // The servers have no budget, so they reject a change of the budget. The command prints this reason.
     let budget = write_change(&fleet, "budget.xml", r#"<set key="shared-state/budget/total" value="9"/>"#);
     let (succeeded, output) = publish(&fleet, &[budget.to_str().unwrap(), "--wait", "4"]);
     assert!(!succeeded && output.contains("refused: "), "{output}");
@@ -160,7 +161,7 @@
     let others: Vec<usize> = servers().into_iter().filter(|i| *i != 4).collect();
     wait_until_in_force(&fleet, &others, number, WAIT_MAX).expect("in force on all running servers");
     // The killed control machine restarts from its log. The killed server restarts from its state file and
-    // fetches the missing revisions.
+    // fetches the revisions that were committed in the meantime.
     fleet.start(old).unwrap();
     fleet.start(4).unwrap();
     wait_until_in_force(&fleet, &servers(), number, WAIT_MAX).expect("in force on the restarted server");
@@ -213,7 +214,8 @@
         assert!(line["written_s"].as_u64().is_some());
     }
     wait_until_in_force(&fleet, &[3, 7], number, WAIT_MAX).expect("in force from the start");
-    // A server ignores a truncated state file and fetches its configuration from other members.
+    // A server whose state file is truncated ignores the file and fetches its configuration from other
+    // members.
     fleet.signal(5, "KILL").unwrap();
     let file = fleet.folder().join("s5.state");
     let bytes = std::fs::read(&file).unwrap();
--- a/crates/cli/tests/fleet_state.rs
+++ b/crates/cli/tests/fleet_state.rs
@@ -1,6 +1,6 @@
-//! Five processes of the program share a budget of downstream calls and the state of a tier of services,
-//! under load and with faults injected by relays. The downstream services count concurrent calls; leases,
-//! totals and ejections are read from the logs of the processes.
+//! Tests of the fleet's shared state: five processes share a budget of downstream calls and the health of a
+//! tier of services, under load and with network faults. The downstream services count concurrent calls. The
+//! tests read leases, totals and ejections from the logs of the processes.
 
 use meadowstream_test_doubles::downstream_service::{self, DownstreamService};
 use meadowstream_test_doubles::fleet::{FleetHarness, HarnessOptions, wait_for};
@@ -12,15 +12,15 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Maximum number of concurrent downstream calls of the whole fleet.
+/// Budget: maximum number of concurrent downstream calls of all servers together.
 const TOTAL: u64 = 16;
-/// Concurrent downstream calls that each of six servers may make without a lease.
+/// Floor: number of concurrent downstream calls that each of the six servers may make without a lease.
 const FLOOR: u64 = 1;
 /// Duration of a lease.
 const LEASE: Duration = Duration::from_millis(2000);
 
-/// Starts the first `started` of six servers, and their downstream service. With `shared`, the servers share
-/// a budget of calls to it.
+/// Starts a downstream service and the first `started` of six servers. If `shared` is true, the servers share
+/// a budget of calls to this service.
 fn start_fleet(seed: u64, started: usize, shared: bool) -> (FleetHarness, Arc<DownstreamService>) {
     let (address, downstream) = downstream_service::start(Duration::from_millis(100)).unwrap();
     let budget = format!(
@@ -40,46 +40,47 @@
     (FleetHarness::with_options(program, 6, started, seed, options).unwrap(), downstream)
 }
 
-/// Starts a load on each of `servers`. Each load needs ten concurrent downstream calls; four or more loads
-/// together need more than twice the budget.
+/// Starts a load on each of `servers`. Each load needs ten concurrent downstream calls, so four loads need
+/// more than twice the budget.
 fn start_loads(fleet: &FleetHarness, servers: &[usize], span: Duration) -> Vec<JoinHandle<ReplyCounts>> {
     let to = |i: usize| fleet.listen_address(i).expect("the server has logged its listen address");
     let load = |i: usize| open_loop::start(to(i), 100.0, Duration::from_millis(2), span, i as u64 + 1);
     servers.iter().map(|&i| load(i)).collect()
 }
 
-/// Numeric field of the last log line of server `i` about shared state; 0 if there is none.
+/// Returns a numeric field of the last log line of server `i` about shared state, or 0 if the field is
+/// missing.
 fn shared_state_field(fleet: &FleetHarness, i: usize, name: &str) -> u64 {
     fleet.shared_state(i).and_then(|shared| shared[name].as_u64()).unwrap_or(0)
 }
 
-/// Sum of the calls that `servers` have leased, by their logs.
+/// Returns the total number of calls for which `servers` hold leases, according to their logs.
 fn leased(fleet: &FleetHarness, servers: &[usize]) -> u64 {
     servers.iter().map(|&i| shared_state_field(fleet, i, "leased")).sum()
 }
 
-/// Total of the whole fleet that server `i` has logged for a counter.
+/// Returns the fleet-wide total of the counter `key`, as last logged by server `i`.
 fn fleet_total(fleet: &FleetHarness, i: usize, key: &str) -> u64 {
     let shared = fleet.shared_state(i).unwrap_or_default();
     let totals = shared["totals"].as_str().unwrap_or("{}");
     serde_json::from_str::<serde_json::Value>(totals).unwrap()[key].as_u64().unwrap_or(0)
 }
 
-/// Waits until `servers` have leased the whole budget except for [`FLOOR`] calls of each of the six servers.
-/// At most one further call may stay unleased.
+/// Waits until `servers` have leased the whole leasable part of the budget, or all but one call. The leasable
+/// part is the budget without the [`FLOOR`] of each of the six servers.
 fn expect_all_leased(fleet: &FleetHarness, servers: &[usize], within: Duration) {
     let leased = wait_for(within, || (leased(fleet, servers) >= TOTAL - 6 * FLOOR - 1).then_some(()));
     assert!(leased.is_some(), "{:?}", servers.iter().map(|&i| fleet.shared_state(i)).collect::<Vec<_>>());
 }
 
-/// Waits until all servers log an equal total of invocations. The total must be at most the number of calls
-/// sent, and at least the number of calls sent minus the calls without a reply.
+/// Waits until all `servers` log equal fleet-wide totals of invocations. The total must be between the number
+/// of calls that got a reply and the number of calls sent.
 fn expect_equal_totals(fleet: &FleetHarness, servers: &[usize], replies: &ReplyCounts) {
     let sent = replies.sent;
     let agree = || {
         let totals: Vec<u64> = servers.iter().map(|&i| fleet_total(fleet, i, "invocations")).collect();
         let equal = totals.iter().all(|total| *total == totals[0]);
-        // The totals by operation and result must cover all calls that were answered.
+        // The results that the servers counted must cover every call that was answered without an error.
         let answered =
             |&i: &usize| fleet_total(fleet, i, "succeeded/load") + fleet_total(fleet, i, "throttled/load");
         let by_result = servers.iter().all(|i| answered(i) + replies.errored + replies.unanswered >= sent);
@@ -93,7 +94,7 @@
     );
 }
 
-/// Waits for the loads to end and adds up their counts.
+/// Waits for the loads to end and returns the sum of their reply counts.
 fn sum(loads: Vec<JoinHandle<ReplyCounts>>) -> ReplyCounts {
     let mut sum = ReplyCounts::default();
     for load in loads {
@@ -109,8 +110,8 @@
     sum
 }
 
-/// Control test for the tests of the budget: if the servers share no budget, the load exceeds the limit that
-/// the budget would enforce.
+/// Control test for the budget tests. Without a shared budget, the load must cause more concurrent calls than
+/// the budget permits. Otherwise the budget tests would prove nothing.
 #[test]
 fn without_a_budget_concurrent_calls_exceed_the_limit() {
     let (fleet, downstream) = start_fleet(21, 5, false);
@@ -129,8 +130,8 @@
     fleet.wait_for_agreement(&all, Instant::now(), Duration::from_secs(15)).unwrap();
     let load = start_loads(&fleet, &all, Duration::from_secs(22));
     expect_all_leased(&fleet, &all, Duration::from_secs(15));
-    // A partition under load into a group of two servers and a group of three. The group of two loses its
-    // leases and keeps its floors; the group of three leases the rest of the budget.
+    // A network partition under load splits the servers into a group of two and a group of three. The group
+    // of two loses its leases and keeps its floors. The group of three leases the rest of the budget.
     fleet.relay.change_faults(|f| {
         f.groups.extend([(0, 1), (1, 1)]);
         f.partition(0, 1);
@@ -145,12 +146,12 @@
     println!("{most} concurrent calls of {TOTAL}; {replies:?}; {} calls", downstream.calls.load(Relaxed));
     assert!(most <= TOTAL, "{most} concurrent calls");
     assert!(most >= TOTAL / 2 && replies.succeeded > 0, "{most} concurrent calls, {replies:?}");
-    // Without other load on the machine no call fails or stays unanswered. Other load may cause up to 1 %.
+    // At most 1 % of the calls may fail or get no reply. If nothing else runs on the machine, no call does.
     assert!((replies.errored + replies.unanswered) * 100 <= replies.sent, "over 1 % failed: {replies:?}");
     expect_equal_totals(&fleet, &all, &replies);
 
-    // The server with the largest lease is killed while the others demand the whole budget, and a sixth
-    // server joins.
+    // The server with the largest lease is killed while the other servers need the whole budget. A sixth
+    // server then joins.
     downstream.most_in_flight.store(0, Relaxed);
     let load = start_loads(&fleet, &all, Duration::from_secs(14));
     expect_all_leased(&fleet, &all, LEASE * 4);
@@ -167,8 +168,8 @@
     assert!(new.succeeded > 0, "{new:?}");
 }
 
-/// A server that is stopped (SIGSTOP) for longer than its lease and then continued makes no call on the
-/// expired lease, and gets a new lease.
+/// A server must not use an expired lease. The server is stopped (SIGSTOP) for longer than its lease and then
+/// continued. It makes no call on the expired lease and gets a new lease.
 #[test]
 fn a_stalled_holder_under_loss_never_passes_the_budget() {
     let (mut fleet, downstream) = start_fleet(23, 5, true);
@@ -193,8 +194,9 @@
     assert!(most <= TOTAL, "{most} concurrent calls");
 }
 
-/// The subcommand `check` rejects a budget whose floors exceed its total, and a budget with four voters. A
-/// server that reloads options with floors above the total keeps its previous budget.
+/// Invalid budgets are rejected. The subcommand `check` rejects a budget whose floors exceed its total, and a
+/// budget with four voters. A server that reloads options in which the floors exceed the total keeps its
+/// previous budget.
 #[test]
 fn an_invalid_budget_is_rejected_and_a_reload_keeps_the_old_one() {
     let (fleet, _downstream) = start_fleet(24, 1, true);
@@ -219,8 +221,7 @@
     assert_eq!(code, Some(1), "{stderr}");
     assert!(stderr.contains("voter: 1, 3, 5, 7 or 9 different names, not 4"), "{stderr}");
     assert_eq!(check(&good).0, Some(0));
-    // The server is the only running one of five voters, so that no majority can grant it a lease. It has
-    // only its floor, before and after the rejected reload.
+    // Only one of the five voters runs, so no majority can grant a lease. The server has only its floor.
     let floor = |within| wait_for(within, || (shared_state_field(&fleet, 0, "floor") == FLOOR).then_some(()));
     assert!(floor(Duration::from_secs(10)).is_some());
     std::fs::write(&xml, bad).unwrap();
@@ -230,11 +231,10 @@
     assert!(fleet.has_logged(0, "configuration kept as it was"), "the rejected reload is in the log");
 }
 
-/// Time for which a report of a failing service counts, in the tests of outlier detection.
+/// Time after which a server's report that a service fails expires, in the tests of outlier detection.
 const EXPIRY: Duration = Duration::from_millis(2000);
 
-/// Five processes with a tier of four downstream services. Each service is behind its own relay, and the
-/// relay has an endpoint for each process.
+/// Five processes that share a tier of four downstream services. Each service is behind a relay of its own.
 struct Tier {
     fleet: FleetHarness,
     services: Vec<Arc<DownstreamService>>,
@@ -242,7 +242,8 @@
 }
 
 impl Tier {
-    /// Starts the processes; `reports` is the number of reports of failure that eject a service.
+    /// Starts the processes and the services. `reports` is the number of servers that must report a service
+    /// as failing before the service is ejected.
     fn new(seed: u64, reports: usize) -> Tier {
         let downstream: Vec<_> =
             (0..4).map(|_| downstream_service::start(Duration::from_millis(20)).unwrap()).collect();
@@ -272,14 +273,15 @@
         Tier { fleet, services: downstream.into_iter().map(|(_, service)| service).collect(), relays }
     }
 
-    /// Services that server `i` has ejected, from its last log line about shared state.
+    /// Returns the names of the services that server `i` has ejected, from its last log line about shared
+    /// state.
     fn ejected(&self, i: usize) -> Vec<String> {
         let shared = self.fleet.shared_state(i).unwrap_or_default();
         serde_json::from_str(shared["ejected"].as_str().unwrap_or("[]")).unwrap()
     }
 
-    /// Waits until each of `servers` has ejected exactly the services `expected`. Returns the time that this
-    /// took.
+    /// Waits until each of `servers` has ejected exactly the services in `expected`. Returns the time that
+    /// this took.
     fn expect_ejected(&self, servers: &[usize], expected: &[&str], within: Duration) -> Duration {
         let began = Instant::now();
         let all = || {
@@ -298,7 +300,7 @@
         began.elapsed()
     }
 
-    /// Verdict on service `s` that server `i` has reached by its own calls to the service.
+    /// Returns the health of service `s` that server `i` has determined from its own calls to the service.
     fn own_verdict(&self, i: usize, s: usize) -> String {
         let shared = self.fleet.shared_state(i).unwrap_or_default();
         let services: serde_json::Value =
@@ -306,7 +308,7 @@
         services[s]["own"].as_str().unwrap_or("").to_string()
     }
 
-    /// Highest number of services that any process has logged as ejected in one log line.
+    /// Returns the largest number of services that one log line of any process lists as ejected.
     fn most_ejected(&self) -> usize {
         let lines = (0..5).flat_map(|i| self.fleet.log_lines(i, "shared"));
         let count = |line: serde_json::Value| {
@@ -334,12 +336,12 @@
     println!(
         "ejected by all five after {ejected_after:?}; then {probes} calls to r1 in 3 s, {calls} to the others"
     );
-    // Each server probes an ejected service eight times in each `EXPIRY`, the time for which a report counts.
+    // A server sends eight probes to an ejected service in `EXPIRY`, the expiry time of a report.
     assert!(probes > 0 && probes <= 5 * 8 * 3 / 2 + 10, "{probes} probes");
     assert!(calls > 5 * probes, "{calls}, {probes} probes");
 
-    // An isolated server uses only its own verdicts: it keeps r1 ejected and ejects the next failing service
-    // by itself.
+    // A server that is cut off from the other servers decides by its own calls alone. It keeps r1 ejected,
+    // and it ejects the next failing service by itself.
     tier.fleet.relay.change_faults(|f| {
         f.groups.insert(0, 1);
         f.partition(0, 1);
@@ -353,7 +355,7 @@
     tier.expect_ejected(&all, &["r1", "r2"], EXPIRY * 2);
     tier.fleet.relay.change_faults(|faults| faults.heal());
 
-    // Three of the four services fail: only half of the tier is ejected.
+    // Three of the four services fail, but the servers eject at most half of the tier.
     tier.services[3].fails.store(true, Relaxed);
     std::thread::sleep(EXPIRY * 2);
     assert!((0..5).all(|i| tier.own_verdict(i, 3) == "Failing"), "{:?}", tier.fleet.shared_state(1));
@@ -366,9 +368,9 @@
     assert!(replies.succeeded * 2 > replies.sent, "{replies:?}");
 }
 
-/// Only one server cannot reach a service. If two reports of failure are required to eject a service, no
-/// server ejects this one, and the affected server avoids it by its own verdict. If one report is enough, all
-/// servers eject the service; requiring a second report prevents this.
+/// One server cannot reach a service that all others can reach. If two servers must report a failure to eject
+/// a service, no server ejects this service, and the affected server avoids it because its own calls failed.
+/// If one report is enough, all servers eject the service, although it is healthy.
 #[test]
 fn a_service_that_only_one_server_cannot_reach_is_not_ejected() {
     for (reports, seed) in [(2, 32), (1, 33)] {
@@ -386,7 +388,8 @@
         }
         let replies = sum(load);
         println!("{reports} reports required: {replies:?}, at most {} ejected", tier.most_ejected());
-        // Each server learns the fleet's totals for the one named tenant: calls answered and calls billed.
+        // Each server must log the fleet-wide totals of tenant `1`: the number of calls that succeeded, and
+        // the calls billed in thousandths.
         let of = |i: usize, what: &str| fleet_total(&tier.fleet, i, &format!("{what}/load/1"));
         let all = || (0..5).all(|i| of(i, "succeeded") == replies.succeeded).then_some(());
         assert!(wait_for(Duration::from_secs(10), all).is_some(), "{:?}", tier.fleet.shared_state(0));
--- a/crates/cli/tests/log_reader_gone.rs
+++ b/crates/cli/tests/log_reader_gone.rs
@@ -1,14 +1,15 @@
-//! A server exits at the drain notice although the reader of its log has closed the pipe.
+//! A server that receives the drain notice must exit even if the reader of its log has closed the pipe.
 
 use rustix::process::{Pid, Signal, kill_process};
 use std::io::{BufRead, BufReader};
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Maximum time to wait until the server exits. The stop time in the configuration is only 3.2 s.
+/// Maximum time to wait until the server exits. The configuration sets a stop time of 3.2 s, so the limit is
+/// generous.
 const EXIT_MAX: Duration = Duration::from_secs(15);
 
-/// Kills the server process at the end of the test, also when the test panics.
+/// Server process that is killed at the end of the test, also if the test panics.
 struct Server(Child);
 
 impl Drop for Server {
@@ -18,7 +19,8 @@
     }
 }
 
-/// Writes the README's example configuration with loopback addresses at which no peer listens.
+/// Writes the README's example configuration with all addresses on the loopback interface. No process listens
+/// at the addresses of the peers.
 fn configuration() -> std::path::PathBuf {
     let example = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/server-example.json");
     let text = std::fs::read_to_string(example).unwrap();
--- a/crates/cli/tests/scenario_harness/link.rs
+++ b/crates/cli/tests/scenario_harness/link.rs
@@ -1,4 +1,4 @@
-//! Test double of the interpreter's end of a link to the server.
+//! Test double of the interpreter at its end of a link (connection) with the server.
 
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Write};
@@ -7,10 +7,11 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::sync::{Arc, Mutex};
 
-/// State that determines when the test double answers the server's gauge requests on a link.
+/// State that decides whether the test double answers a gauge request of the server at once or later.
 struct GaugeAnswers {
     stream: TcpStream,
-    /// Nonces of gauge requests received during a replay of notices; `None` outside a replay.
+    /// Nonces of the gauge requests that wait for the end of a replay of notices. `None` while no replay is
+    /// in progress.
     deferred: Option<Vec<Value>>,
 }
 
@@ -24,8 +25,9 @@
     }
 }
 
-/// A link to the interpreter. A thread reads commands as they arrive. The thread answers gauge requests
-/// immediately, except that requests received during a replay of notices are answered at the replay's end.
+/// The interpreter's end of a link to the server. A thread reads the server's commands as they arrive and
+/// answers gauge requests. Gauge requests that arrive during a replay of notices are answered at the end of
+/// the replay, all others at once.
 pub struct Link {
     pub stream: TcpStream,
     pub commands: Receiver<Value>,
@@ -53,13 +55,13 @@
         Self { stream, commands, gauge_answers }
     }
 
-    /// Begins a replay of notices. Gauge requests are then answered only after the banner and all notices of
-    /// the replay have been sent.
+    /// Begins a replay of notices. Until the replay ends, gauge requests are stored and not answered, because
+    /// the interpreter first sends its banner and all notices of the replay.
     pub fn begin_replay(&self) {
         self.gauge_answers.lock().unwrap().deferred = Some(Vec::new());
     }
 
-    /// Ends a replay and answers the gauge requests received during it.
+    /// Ends a replay of notices and answers the gauge requests that were stored during the replay.
     pub fn end_replay(&self) {
         let mut answers = self.gauge_answers.lock().unwrap();
         let deferred = answers.deferred.take();
--- a/crates/cli/tests/scenario_harness/mod.rs
+++ b/crates/cli/tests/scenario_harness/mod.rs
@@ -1,6 +1,6 @@
-//! Test doubles of balancers, the interpreter (`vm`), the downstream service (`records`) and the service
-//! registry (`catalog`), and the notation in which scenario files drive them. Each line of a file is a step.
-//! A step that expects an event waits for it and fails after [`WAIT_MAX`].
+//! Runs scenario files: each line is a step that drives the server or a test double of one of its peers. The
+//! peers are balancers, the interpreter (`vm`), the downstream service (`records`) and the service registry
+//! (`catalog`). A step that expects an event waits for the event and fails after [`WAIT_MAX`].
 //!
 //! General steps:
 //! - `waits MS` sleeps, where the scenario needs a span of time; `repeat N STEP` repeats a step, with `%`
@@ -78,7 +78,7 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError, channel};
 use std::time::{Duration, Instant};
 
-/// Maximum time to wait for an expected event.
+/// Maximum time that a step waits for an event before the scenario fails.
 const WAIT_MAX: Duration = Duration::from_secs(30);
 
 /// The server and the test doubles of its peers.
@@ -92,9 +92,9 @@
     listen: String,
     balancers: HashMap<String, Balancer>,
     interpreter: TcpListener,
-    /// Start time of the interpreter, for banners without an age.
+    /// Start time that the interpreter reports in a banner whose step has no age.
     interpreter_started: Instant,
-    /// Connections that keep the accept queues of listeners full.
+    /// Open connections that fill the accept queue of a listener.
     queue_fillers: Vec<TcpStream>,
     link: Option<Link>,
     gauges: Arc<AtomicBool>,
@@ -165,7 +165,7 @@
         std::env::temp_dir().join(format!("{}-{}.json", self.name, std::process::id()))
     }
 
-    /// Writes the configuration and options files.
+    /// Writes the configuration file and the options file of the server.
     fn write_files(&self) {
         std::fs::write(self.configuration_path(), self.configuration.to_string()).unwrap();
         if let Some(text) = &self.options {
@@ -229,7 +229,7 @@
         }
     }
 
-    /// Checks that no change of settings in the log has a longer pause than `ms` milliseconds. `field`
+    /// Checks that no logged change of settings paused the server for more than `ms` milliseconds. `field`
     /// selects elapsed time or processor time.
     fn expect_pauses_at_most(&mut self, field: &str, ms: u64) {
         self.log_lines.extend(self.log.try_iter());
@@ -242,7 +242,7 @@
     }
 
     fn expect_exit(&mut self, code: Option<i32>) {
-        // Reads until the log ends, which it does when the process exits.
+        // Reads the log until its end, which is reached when the process exits.
         while let Ok(line) = self.log.recv_timeout(WAIT_MAX) {
             self.log_lines.push(line);
         }
@@ -255,7 +255,7 @@
         assert!(Command::new("kill").args([&format!("-{name}"), &id]).status().unwrap().success());
     }
 
-    /// Requests the server's counters until counter `name` is at least `least`.
+    /// Requests the server's counters repeatedly until the counter `name` is at least `least`.
     fn wait_for_counter(&mut self, name: &str, least: u64) {
         let end = Instant::now() + WAIT_MAX;
         while Instant::now() < end {
@@ -274,7 +274,7 @@
         counter.expect("a counter").parse().unwrap()
     }
 
-    /// Waits until the server has unanswered connection attempts to the interpreter from two ports.
+    /// Waits until the server has made unanswered connection attempts to the interpreter from two ports.
     fn wait_for_second_connect(&self) {
         let (end, mut ports) = (Instant::now() + WAIT_MAX, std::collections::HashSet::new());
         while Instant::now() < end {
@@ -295,9 +295,9 @@
         self.balancer(name).stream.get_mut().write_all(bytes).unwrap();
     }
 
-    /// Accepts the next link and reads its first command. Skips links that end without a byte: the server
-    /// abandons a connection attempt after one second, and a full accept queue delays the kernel's answer to
-    /// the attempt by one second.
+    /// Accepts the next link and reads its first command. Skips links that end without a byte. Such links
+    /// occur because the server abandons a connection attempt after one second, and a full accept queue
+    /// delays the kernel's answer by one second.
     fn take_link(&mut self) -> Value {
         loop {
             let link = Link::new(accept(&self.interpreter), self.gauges.clone());
@@ -393,7 +393,7 @@
 pub fn run(name: &str, text: &str) {
     let mut harness = ScenarioHarness::new(name);
     for line in text.lines().filter(|line| !line.is_empty() && !line.starts_with('#')) {
-        // Test runners show this output only if the scenario fails; the last line is the failed step.
+        // Test runners print this output only for a failed scenario. The last line is then the failed step.
         println!("{line}");
         harness.step(line);
     }
--- a/crates/cli/tests/scenario_harness/options.rs
+++ b/crates/cli/tests/scenario_harness/options.rs
@@ -1,7 +1,7 @@
-//! Builds the `<tenants>` element of the options files that scenarios use.
+//! Builds the `<tenants>` element for the options files of scenarios.
 
-/// Returns a `<tenants>` element with `count` tenants of the same weight. The limit on the number of accounts
-/// is `2 * count + 16`.
+/// Returns a `<tenants>` element with `count` tenants, all of weight `weight`. The limit on the number of
+/// accounts is `2 * count + 16`.
 pub fn many_tenants(count: &str, weight: &str) -> String {
     let count: usize = count.parse().unwrap();
     let tenants: Vec<String> =
--- a/crates/cli/tests/scenario_harness/sockets.rs
+++ b/crates/cli/tests/scenario_harness/sockets.rs
@@ -34,14 +34,14 @@
     BufReader::new(stream)
 }
 
-/// Fills the accept queue of a listener, so that the kernel does not answer further connection attempts.
-/// Returns the connection that fills the queue.
+/// Fills the accept queue of a listener and returns the connection that fills it. The kernel then leaves
+/// further connection attempts unanswered.
 pub fn fill_queue(listener: &TcpListener) -> TcpStream {
     net::listen(listener, 0).unwrap();
     TcpStream::connect(listener.local_addr().unwrap()).unwrap()
 }
 
-/// Local addresses of unanswered connection attempts to this listener (state SYN_SENT).
+/// Returns the local addresses of unanswered connection attempts (state SYN_SENT) to this listener.
 pub fn connecting_addresses(to: &TcpListener) -> Vec<String> {
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
     let remote = format!("0100007F:{:04X}", to.local_addr().unwrap().port());
@@ -49,7 +49,7 @@
     rows.filter(|row| row[2] == remote && row[3] == "02").map(|row| row[1].to_string()).collect()
 }
 
-/// Opens a connection with a small receive buffer, which fills unless the test reads from it.
+/// Opens a connection with a small receive buffer. The buffer fills quickly if the test does not read.
 pub fn connect_with_small_buffer(to: &str) -> TcpStream {
     let socket = net::socket(AddressFamily::INET, SocketType::STREAM, None).unwrap();
     sockopt::set_socket_recv_buffer_size(&socket, 2048).unwrap();
--- a/crates/cli/tests/scenario_harness/steps.rs
+++ b/crates/cli/tests/scenario_harness/steps.rs
@@ -1,5 +1,5 @@
-//! The steps that a scenario file may contain. Each group of steps has one function, such as
-//! `balancer_step`, which executes the step if it is in the group and otherwise returns `false`.
+//! Executes the steps of a scenario file. Each group of steps has a function, such as `balancer_step`. The
+//! function executes a step of its group and returns `false` for a step of another group.
 
 use super::ScenarioHarness;
 use super::balancer::{Balancer, encode_array, encode_call, unescape};
@@ -12,14 +12,15 @@
 use std::sync::atomic::Ordering::Relaxed;
 use std::time::{Duration, Instant};
 
-/// Text of a line after its first `words` words, which are separated by single spaces.
+/// Returns the rest of a line after its first `words` words. Words are separated by single spaces.
 fn rest_of(line: &str, words: usize) -> &str {
     line.splitn(words + 1, ' ').nth(words).unwrap_or("")
 }
 
-/// Time between two connection attempts in the step `come until refused`.
+/// Interval between two connection attempts in the step `come until refused`.
 const CALLERS_INTERVAL: Duration = Duration::from_millis(50);
-/// Steps that may belong to the replay of notices after a banner; any other step ends the replay.
+/// First words of the steps that may be part of the replay of notices after a banner. Any other step ends the
+/// replay.
 const REPLAY_STEPS: [&str; 6] = ["ok", "ok-big", "awaits", "notice", "long", "waits"];
 
 impl ScenarioHarness {
@@ -37,8 +38,8 @@
         assert!(known, "unknown step {line:?}");
     }
 
-    /// Executes a step on the server process (start, exit, log or counters). Returns `false` if the step is
-    /// not one of these.
+    /// Executes a step on the server process: start, exit, log or counters. Returns `false` for any other
+    /// step.
     fn process_step(&mut self, line: &str, words: &[&str]) -> bool {
         match words {
             ["start"] => {
@@ -68,8 +69,8 @@
             }
             ["signal", name] => self.signal(name),
             ["exits", code] => self.expect_exit(Some(code.parse().unwrap())),
-            // The number of invocations equals the number of results, including results without a waiting
-            // caller (`unanswered`).
+            // The number of invocations must equal the sum of all results. `unanswered` counts the results
+            // without a waiting caller.
             ["adds", "up"] => {
                 let line = self.wait_for_log_line("ended; counters:");
                 let count = |name: &str| -> u64 {
@@ -109,8 +110,8 @@
         true
     }
 
-    /// Executes a step that changes the configuration or options file of the server. Returns `false` if the
-    /// step is not one of these.
+    /// Executes a step that changes the configuration file or the options file of the server. Returns `false`
+    /// for any other step.
     fn configuration_step(&mut self, line: &str, words: &[&str]) -> bool {
         match words {
             ["config", path, ..] => self.configure(path, rest_of(line, 2)),
@@ -145,8 +146,7 @@
         true
     }
 
-    /// Executes a step on a balancer's connection to the server. Returns `false` if the step is not one of
-    /// these.
+    /// Executes a step on a balancer's connection to the server. Returns `false` for any other step.
     fn balancer_step(&mut self, line: &str, words: &[&str]) -> bool {
         match words {
             ["open", name] => {
@@ -168,13 +168,13 @@
                 let mut stream = self.balancer(name).stream.get_ref().try_clone().unwrap();
                 std::thread::spawn(move || stream.write_all(&rubbish));
             }
-            // The kernel resets a connection that is closed with unread data.
+            // Closing a connection that has unread data makes the kernel reset the connection.
             ["reset", name] => {
                 let balancer = self.balancers.remove(*name).expect("open");
                 assert_eq!(balancer.stream.get_ref().peek(&mut [0]).expect("in time"), 1);
             }
-            // The requests are encoded in chunks while they are sent. If all requests were encoded first, the
-            // connection would be idle in the meantime and the server would drain it.
+            // The requests are encoded in chunks while they are sent. Encoding all requests first would leave
+            // the connection idle for so long that the server would drain it.
             ["flood", name, count] => {
                 let mut stream = self.balancer(name).stream.get_ref().try_clone().unwrap();
                 let count: usize = count.parse().unwrap();
@@ -188,8 +188,8 @@
             ["drink", name, count] => {
                 for tag in 1..=count.parse::<usize>().unwrap() {
                     let mut words = self.balancer(name).read_array().expect("an answer");
-                    // Skips drain notices, which the server sends on a connection that has made no progress
-                    // for long.
+                    // Skips drain notices. The server sends a drain notice on a connection that has made no
+                    // progress for long.
                     while words[1] == "enough" {
                         words = self.balancer(name).read_array().expect("an answer");
                     }
@@ -228,7 +228,7 @@
         true
     }
 
-    /// Opens connections one after another until the server refuses one; closes each after the next one is
+    /// Opens connections until the server refuses one. Each connection is closed after the next connection is
     /// open.
     fn connect_until_refused(&self, within: Duration) {
         let end = Instant::now() + within;
@@ -240,8 +240,8 @@
         }
     }
 
-    /// Executes a step of the test double of the interpreter or of its link to the server. Returns `false` if
-    /// the step is not one of these.
+    /// Executes a step of the interpreter's test double or of its link to the server. Returns `false` for any
+    /// other step.
     fn interpreter_step(&mut self, line: &str, words: &[&str]) -> bool {
         match words {
             ["link", index] => {
@@ -291,7 +291,7 @@
     }
 
     /// Executes a step of the test double of the downstream service or of the service registry. Returns
-    /// `false` if the step is not one of these.
+    /// `false` for any other step.
     fn service_step(&mut self, line: &str, words: &[&str]) -> bool {
         match words {
             ["records", "full"] => self.queue_fillers.push(fill_queue(
--- a/crates/cli/tests/server.rs
+++ b/crates/cli/tests/server.rs
@@ -1,5 +1,5 @@
-//! Runs the scenario files against the program on loopback, among test doubles of its peers. The test doubles
-//! and the notation of the files are in scenario_harness/.
+//! Runs the scenario files against the program on the loopback interface. Test doubles replace the peers of
+//! the program. The test doubles and the notation of scenario files are in scenario_harness/.
 
 mod scenario_harness;
 
@@ -74,22 +74,23 @@
     scenario_harness::run(name, &text);
 }
 
-/// Variants of the interpreter's behaviour after a server's restart: the scenario steps up to and including
-/// the interpreter's complete banner.
+/// Ways in which the interpreter may react to the restart of a server. Each item is a list of scenario steps
+/// that ends when the interpreter has sent a complete banner.
 const INTERPRETER_STEPS: [&[&str]; 5] = [
     // The interpreter replies immediately.
     &["link 0", "banner cold"],
-    // The interpreter accepts links without sending a complete banner, once or several times.
+    // The interpreter first accepts one or more links on which it sends no complete banner.
     &["link 0", "link 0", "banner cold"],
     &["link 0", "half-a-banner", "link 0", "link 0", "banner cold"],
-    // The accept queue is full at first, so that the first connection attempts get no answer.
+    // The interpreter's accept queue is full at first, so the server's first connection attempts get no
+    // answer.
     &["waits 3200", "vm takes", "link 0", "banner cold"],
-    // The interpreter starts late: it accepts two links, and sends its banner on the newer link only.
+    // The interpreter is slow to start. It accepts two links and sends its banner only on the second link.
     &["waits 3000", "link 0", "link 0", "banner cold"],
 ];
 
-/// Twenty servers are killed with a call in flight and restarted at their old address, four for each entry of
-/// [`INTERPRETER_STEPS`].
+/// Kills twenty servers while a call is in flight and restarts each at its old address. Each entry of
+/// [`INTERPRETER_STEPS`] is used for four servers.
 #[test]
 fn nine_in_ten_restarted_servers_are_ready_within_10_s() {
     let restart = |i: usize| {
--- a/crates/cli/tests/soak.rs
+++ b/crates/cli/tests/soak.rs
@@ -1,4 +1,5 @@
-//! Soak runs of a few fixed seeds. For other seeds, three at a time, run
+//! Runs the soak test with a few fixed seeds. To run other seeds, three at a time, use
+//!
 //! `SOAK_SEEDS=FIRST..LAST cargo test -p meadowstream --test soak by_hand -- --ignored --nocapture`.
 
 use meadowstream_test_doubles::soak::{SoakReport, Totals, run};
@@ -6,7 +7,7 @@
 use std::sync::Mutex;
 use test_case::test_case;
 
-/// Number of concurrent runs in `by_hand`.
+/// Number of soak runs that the test `by_hand` executes at the same time.
 const CONCURRENT_RUNS: usize = 3;
 
 fn run_seed(seed: u64) -> SoakReport {
@@ -73,7 +74,7 @@
     assert!(report.violations.is_empty(), "{}", summary(&report));
 }
 
-/// Runs a range of seeds; takes minutes.
+/// Runs the soak test with the seeds in the environment variable `SOAK_SEEDS`. Takes minutes.
 #[test]
 #[ignore = "takes minutes; runs the seeds of SOAK_SEEDS"]
 fn by_hand() {
