--- a/crates/configuration/src/change.rs
+++ b/crates/configuration/src/change.rs
@@ -1,5 +1,6 @@
-//! `<change>`: the file of a change that an operator publishes, and the settings that keys of replicated
-//! configuration refer to.
+//! Reads change files (`<change>`). A change file contains the configuration keys that an operator sets or
+//! removes in the fleet's replicated configuration. The module also maps each key to the setting that it
+//! changes.
 
 use crate::error::{Fault, KeyError};
 use crate::options::{Options, UTILIZATION_MAX, UTILIZATION_MIN};
@@ -10,7 +11,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::path::Path;
 
-/// Attributes of `<set>` and `<remove>`.
+/// Attributes that `<set>` and `<remove>` accept.
 pub const ATTRIBUTES: &[&str] = &["key", "value"];
 
 const TENANT_WEIGHT: &str = "tenants/tenant/";
@@ -20,19 +21,19 @@
 /// Change of one key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyChange {
-    /// Key of the replicated configuration.
+    /// Key in the replicated configuration, such as `control/reference`.
     pub key: String,
     /// New value of the key, or `None` to remove the key.
     pub value: Option<String>,
 }
 
-/// Reads the file of a change to publish. Errors contain the path, the line and the element.
+/// Reads a change file. Errors contain the path, the line and the element.
 pub fn load_change(path: &Path) -> Result<Vec<KeyChange>> {
     in_file(path, read_change(&read_file(path)?))
 }
 
-/// Reads the text of a change. An unknown key is an error, so that no server receives a change with such a
-/// key.
+/// Reads the text of a change file. An unknown key is an error, so that a change with such a key is never
+/// published to the servers.
 pub fn read_change(text: &str) -> Result<Vec<KeyChange>> {
     let document = parse(text)?;
     let root = Element::root(&document, "change", &[])?;
@@ -61,14 +62,14 @@
     Ok(KeyChange { key: key.to_string(), value: value.map(str::to_string) })
 }
 
-/// Setting that a key of the replicated configuration refers to.
+/// A setting that a key of the replicated configuration changes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Setting<'a> {
-    /// `tenants/tenant/NAME`: the weight of a named tenant.
+    /// Key `tenants/tenant/NAME`: the weight of the tenant with this name.
     TenantWeight(&'a str),
-    /// `control/reference`: the target utilization of the cores, as a ratio.
+    /// Key `control/reference`: the target utilization of the cores, as a ratio.
     TargetUtilization,
-    /// `shared-state/budget/total`: the number of units of the call budget.
+    /// Key `shared-state/budget/total`: the total of the fleet's call budget, in calls.
     BudgetTotal,
 }
 
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Parses a value, and checks it against the bounds of the setting.
+    /// Parses the value of a setting as a number and checks it against the bounds of the setting.
     fn number(&self, value: &str) -> KeyResult<f64> {
         match self {
             Setting::TenantWeight(name) => {
@@ -117,8 +118,8 @@
     }
 }
 
-/// Applies a replicated configuration over a server's own options. Errors contain the key. After an error,
-/// the options are partly changed and must not be used.
+/// Replaces options of a server by the values of the replicated configuration. Errors contain the key. After
+/// an error, some options are already replaced, so the options must not be used.
 pub fn overlay_replicated<'a>(
     options: &mut Options,
     pairs: impl Iterator<Item = (&'a str, &'a str)>,
@@ -141,8 +142,8 @@
     Ok(())
 }
 
-/// Sets the total of the call budget. Parses the value as an integer, because a floating-point number does
-/// not represent every total exactly.
+/// Sets the total of the call budget. Parses the value as an integer, because a floating-point number cannot
+/// represent every total exactly.
 fn set_budget_total(options: &mut Options, key: &str, value: &str) -> KeyResult<()> {
     let unreadable = || key_error(key, Fault::UnreadableValue(value.to_string()));
     let total = value.parse().map_err(|_| unreadable())?;
@@ -151,8 +152,7 @@
     Ok(())
 }
 
-/// Sets the weights of named tenants. Tenants in the options keep their order; tenants that the options do
-/// not name are appended.
+/// Sets the weights of named tenants. Tenants in the options keep their order. New tenants are appended.
 fn set_weights(options: &mut Options, weights: &BTreeMap<&str, f64>) -> KeyResult<()> {
     let tenants = options.tenants.as_mut();
     let fair = &mut tenants.ok_or_else(|| key_error(TENANT_WEIGHT, Fault::NoTenants))?.fair;
--- a/crates/configuration/src/error.rs
+++ b/crates/configuration/src/error.rs
@@ -1,12 +1,13 @@
-//! Errors of reading settings, with the file, the line and the element.
+//! Errors that occur while settings are read. An error contains the file, the line and the element.
 
 use std::fmt;
 use std::path::PathBuf;
 
-/// Error of reading settings. The texts of an error and of each of its sources are single lines.
+/// Error that occurs while settings are read. The message of the error is a single line, and so is the
+/// message of each error in its source chain.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigurationError {
-    /// The content of a file is invalid; the source contains the place.
+    /// The content of a file is invalid. The source of this error contains the position in the file.
     #[error("{}", .path.display())]
     File {
         /// Path of the file, as passed by the caller.
@@ -24,22 +25,22 @@
         #[source]
         source: std::io::Error,
     },
-    /// The file exceeds the size limit.
+    /// The file is larger than the size limit.
     #[error("{}: {bytes} bytes are more than {limit}", .path.display())]
     TooLong {
         /// Path of the file, as passed by the caller.
         path: PathBuf,
         /// Size of the file, in bytes.
         bytes: u64,
-        /// Maximum size of a file, in bytes.
+        /// Maximum size of the file, in bytes.
         limit: u64,
     },
     /// The text is not well-formed XML.
     #[error("line {line}, column {column}: {fault}")]
     Malformed {
-        /// Line of the error, counted from 1.
+        /// Line at which the XML is not well-formed, counted from 1.
         line: u32,
-        /// Column of the error, counted from 1.
+        /// Column at which the XML is not well-formed, counted from 1.
         column: u32,
         /// Error of the XML parser.
         fault: roxmltree::Error,
@@ -52,26 +53,26 @@
         /// The fault in the element.
         fault: Box<Fault>,
     },
-    /// An element conflicts with another element, or another element that it needs is missing.
+    /// An element conflicts with another element, or it needs another element that is missing.
     #[error("<{element}>: {fault}")]
     Options {
         /// Name of the element.
         element: &'static str,
-        /// The conflict or the missing element.
+        /// Description of the conflict or of the missing element.
         fault: Fault,
     },
-    /// A key of replicated configuration or its value is invalid.
+    /// A key of the replicated configuration, or the value of a key, is invalid.
     #[error(transparent)]
     Key(#[from] KeyError),
 }
 
-/// Error in a key of replicated configuration or in its value.
+/// Error in a key of the replicated configuration or in the value of a key.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{key}: {fault}")]
 pub struct KeyError {
     /// The key.
     pub key: String,
-    /// The fault in the key or its value.
+    /// Description of the fault in the key or its value.
     pub fault: Fault,
 }
 
@@ -90,7 +91,7 @@
     }
 }
 
-/// Fault in an element, an attribute or a value.
+/// Description of a fault in an element, an attribute or a value.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[allow(missing_docs, reason = "the error texts document the variants and fields")]
 pub enum Fault {
--- a/crates/configuration/src/idempotency_keys.rs
+++ b/crates/configuration/src/idempotency_keys.rs
@@ -1,24 +1,24 @@
-//! `<tokens>`: the call field that carries the idempotency key, and the size of the cache of keys and
-//! results.
+//! Reads `<tokens>`, the settings of idempotency keys: which call field carries the key, and how large the
+//! cache of keys and results may be.
 
 use crate::error::Fault;
 use crate::xml::{Element, Result};
 use roxmltree::{Document, Node};
 
-/// Maximum length of a field name, in bytes.
+/// Maximum length of the name of a call field, in bytes.
 const FIELD_BYTES_MAX: usize = 64;
-/// Names of call fields that already have a fixed meaning, so that they cannot carry idempotency keys or
-/// tenants.
+/// Call fields with a fixed meaning. These fields cannot be configured to carry idempotency keys or tenants.
 const RESERVED_FIELDS: &[&str] = &["ref", "since", "room", "class_rank", "lookup", "ticket"];
 
-/// Settings of idempotency keys: the call field that carries them, and the limits of their cache.
+/// Settings of idempotency keys: the call field that carries a key, and the limits of the cache of keys and
+/// results.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IdempotencyKeys {
-    /// Name of the call field that carries the key.
+    /// Name of the call field that carries the idempotency key.
     pub field: String,
-    /// Maximum number of cached keys, 16 to 2^20; default 4096.
+    /// Maximum number of cached idempotency keys, 16 to 2^20; default 4096.
     pub entries: usize,
-    /// Maximum size of the cached results in bytes, 4 KiB to 1 GiB; default 1 MiB.
+    /// Maximum total size of the cached results in bytes, 4 KiB to 1 GiB; default 1 MiB.
     pub result_bytes: usize,
 }
 
@@ -31,8 +31,8 @@
     })
 }
 
-/// Reads the `field` attribute of an element, which names a call field. A name in [`RESERVED_FIELDS`] is an
-/// error. `what` describes the value that the field carries, for the error text.
+/// Reads the `field` attribute of an element, which contains the name of a call field. A name in
+/// [`RESERVED_FIELDS`] is an error. `what` describes the content of the call field for the error message.
 pub(crate) fn free_field<'a>(element: &Element<'a, '_>, what: &'static str) -> Result<&'a str> {
     let field = element.required("field")?;
     let is_plain = field.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'_' || b == b'-');
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,9 +1,9 @@
 //! Reads this project's own settings: XML files that follow the schema `deploy/meadowstream.xsd`.
 //!
-//! These files complement the platform's settings with settings that the platform does not define. All of
-//! them are optional. [`Options`] is the options file of a server, [`PlanFile`] is the plan of a rollout, and
-//! [`change`] reads a change to publish. Errors contain the line and the element. Times are milliseconds in
-//! the files and nanoseconds in the types.
+//! The platform has its own settings file. The XML files add settings that the platform does not define, and
+//! all of them are optional. [`Options`] is the options file of a server, [`PlanFile`] is the plan of a
+//! rollout, and [`change`] reads change files. Errors contain the line and the element. Times are
+//! milliseconds in the files and nanoseconds in the types.
 #![deny(missing_docs, clippy::too_many_lines)]
 
 pub mod change;
@@ -29,7 +29,7 @@
 pub use tenants::{Origin, TenantSource, Tenants};
 pub use xml::NAMESPACE;
 
-/// Attributes that are accepted on each element. A test compares them with the schema.
+/// Names of the attributes that each element accepts. A test compares these lists with the schema.
 pub mod attributes {
     pub use crate::change::ATTRIBUTES as CHANGE;
     pub use crate::membership::ATTRIBUTES as MEMBERSHIP;
--- a/crates/configuration/src/membership.rs
+++ b/crates/configuration/src/membership.rs
@@ -1,4 +1,4 @@
-//! `<membership>`: settings of the SWIM membership protocol over UDP.
+//! Reads `<membership>`, the settings of the SWIM membership protocol over UDP.
 
 use crate::error::Fault;
 use crate::xml::{Element, Result, milliseconds};
@@ -23,39 +23,41 @@
 ];
 /// Maximum number of seeds.
 const SEEDS_MAX: usize = 64;
-/// Maximum length of the name of a member or a fleet, in bytes.
+/// Maximum length of a member's name or of the fleet's name, in bytes.
 const NAME_BYTES_MAX: usize = 64;
 
 /// Settings of the membership protocol (`docs/membership.md`). Times are in nanoseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Membership {
-    /// Address of the server's UDP socket.
+    /// Address to which the server binds its UDP socket for membership messages.
     pub bind: SocketAddr,
-    /// Address that other members send to, if it differs from `bind` (behind a relay or a NAT).
+    /// Address to which other members send messages. Required only if it differs from `bind`, for example
+    /// behind a relay or a NAT.
     pub advertise: Option<SocketAddr>,
-    /// Name of this member; default is the server's name in the platform's file.
+    /// Name of this member. By default the name of the server in the platform's settings file.
     pub name: Option<String>,
     /// Name of the fleet.
     pub fleet: String,
-    /// Path of the file with the fleet's shared key, as written (relative to the options file).
+    /// Path of the file with the shared key of the fleet. The path is stored as written in the options file
+    /// and is relative to that file.
     pub key_file: PathBuf,
-    /// Addresses of the members through which the server joins the fleet, 64 at most.
+    /// Addresses of members that the server contacts to join the fleet, at most 64.
     pub seeds: Vec<SocketAddr>,
-    /// Time between two probes; default 1 s.
+    /// Probe period: time between two probes that this member sends; default 1 s.
     pub probe_period: u64,
-    /// Time to wait for the answer to a direct probe before other members are asked to probe; default two
-    /// fifths of the probe period.
+    /// Time to wait for the answer to a direct probe. After this time other members are requested to probe
+    /// the target. Default: two fifths of the probe period.
     pub probe_rtt: u64,
-    /// Number of probe periods after which a suspect is declared down; default 4.
+    /// Suspicion time in probe periods: a suspected member is declared down after this time; default 4.
     pub suspicion_multiplier: u32,
-    /// Number of members expected in the fleet, from which the number of transmissions of each update is
-    /// calculated; default 64.
+    /// Expected number of members of the fleet; default 64. The number of times that each update is sent is
+    /// calculated from this number.
     pub expected_members: u32,
     /// Time between two rounds of gossip; default 200 ms.
     pub gossip_period: u64,
-    /// Time between two announcements; default 10 s.
+    /// Time between two announcements of this member to the fleet; default 10 s.
     pub announce_period: u64,
-    /// Limit on the bytes of membership datagrams sent in any second; default 200,000.
+    /// Maximum number of bytes of membership datagrams that this member sends in any second; default 200,000.
     pub bytes_a_second: u64,
 }
 
@@ -88,7 +90,8 @@
     })
 }
 
-/// Reads a name. Only letters, digits, `-`, `_` and `.` are allowed, because names appear in log lines.
+/// Reads an attribute that contains a name. Only letters, digits, `-`, `_` and `.` are allowed, because names
+/// appear in log lines.
 fn plain_name(element: &Element, attribute: &str) -> Result<String> {
     let text = element.required(attribute)?;
     let is_plain = text.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b));
--- a/crates/configuration/src/options.rs
+++ b/crates/configuration/src/options.rs
@@ -1,4 +1,4 @@
-//! The options file of a server, with the root element `<meadowstream>`.
+//! Reads the options file of a server, whose root element is `<meadowstream>`.
 
 use crate::error::{ConfigurationError, Fault};
 use crate::idempotency_keys::{self, IdempotencyKeys};
@@ -15,29 +15,30 @@
 const CHILDREN: &[&str] =
     &["tenants", "tokens", "calls", "membership", "shared-state", "rollout", "replication", "control"];
 /// Minimum target utilization of the cores in `<control reference>`, as a ratio. The next two constants are
-/// its maximum and its default.
+/// the maximum and the default of this setting.
 pub(crate) const UTILIZATION_MIN: f64 = 0.05;
 pub(crate) const UTILIZATION_MAX: f64 = 1.0;
 const UTILIZATION_DEFAULT: f64 = 0.9;
 
-/// Content of an options file. A feature is off if the file does not contain its element.
+/// Content of an options file. If the file does not contain the element of a feature, the feature is off.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
-    /// `<control reference>`: target utilization of the cores, as a ratio; `None` for the default.
+    /// `<control reference>`: target utilization of the cores, as a ratio; `None` selects the default.
     pub target_utilization: Option<f64>,
-    /// `<tenants>`: identification of tenants, and their weights and quotas.
+    /// `<tenants>`: how tenants are identified, and their weights and quotas.
     pub tenants: Option<Tenants>,
     /// `<tokens>`: idempotency keys.
     pub idempotency_keys: Option<IdempotencyKeys>,
-    /// `<calls left-out>`: reply that a run receives in place of a skipped downstream call.
+    /// `<calls left-out>`: reply that a run receives instead of the result of a skipped downstream call.
     pub skipped_call_reply: Option<String>,
-    /// `<membership>`: membership of a fleet.
+    /// `<membership>`: settings of the server as a member of a fleet.
     pub membership: Option<Membership>,
-    /// `<shared-state>`: call budget and outlier detection shared by the fleet; requires `membership`.
+    /// `<shared-state>`: call budget and outlier detection that the servers of the fleet share; requires
+    /// `membership`.
     pub shared_state: Option<SharedState>,
-    /// `<rollout>`: staged rollouts; requires `membership`.
+    /// `<rollout>`: settings of staged rollouts; requires `membership`.
     pub rollout: Option<Rollout>,
-    /// `<replication>`: replicated configuration; requires `membership`.
+    /// `<replication>`: settings of replicated configuration; requires `membership`.
     pub replication: Option<Replication>,
 }
 
@@ -77,7 +78,7 @@
         Ok(())
     }
 
-    /// Checks that idempotency keys and tenants are read from different fields of a call.
+    /// Checks that idempotency keys and tenants use different call fields. One field cannot contain both.
     fn check_keys_and_tenants(&self) -> Result<()> {
         let Some(Tenants { source: TenantSource::Field(tenant), .. }) = &self.tenants else { return Ok(()) };
         match &self.idempotency_keys {
@@ -101,8 +102,8 @@
         }
     }
 
-    /// Replaces the settings of each element that `change` contains. The settings of all other elements stay
-    /// unchanged.
+    /// Replaces the settings of each element that is present in `change`. The settings of all other elements
+    /// stay unchanged.
     pub fn overlay(&mut self, change: Options) {
         fn replace<T>(own: &mut Option<T>, new: Option<T>) {
             if new.is_some() {
--- a/crates/configuration/src/plan.rs
+++ b/crates/configuration/src/plan.rs
@@ -1,4 +1,4 @@
-//! `<plan>`: the plan file of a rollout, which its coordinator reads.
+//! Reads `<plan>`, the plan file of a rollout. The coordinator of the rollout reads this file.
 
 use crate::error::Fault;
 use crate::xml::{Element, Result, in_file, parse, read_file};
@@ -24,15 +24,17 @@
 ];
 /// Attributes of `<stage>`.
 pub const STAGE: &[&str] = &["servers", "share", "bake-ms"];
-/// Maximum bake time of a stage, in milliseconds: one week.
+/// Maximum bake time of a stage, in milliseconds: one week. During the bake time, changed servers are
+/// compared with unchanged ones.
 const BAKE_MS_MAX: usize = 604_800_000;
 
 /// Content of a plan file (`docs/rollout.md`).
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlanFile {
-    /// Path of the candidate settings or program, as written (relative to the plan file).
+    /// Path of the candidate, which is the settings file or the program to roll out. The path is stored as
+    /// written in the plan file and is relative to that file.
     pub candidate: PathBuf,
-    /// The plan, without the candidate's hash, which is 0 here.
+    /// The plan. The hash of the candidate is not yet computed, so the plan contains 0 instead.
     pub plan: Plan,
 }
 
@@ -90,7 +92,7 @@
     })
 }
 
-/// Reads the path of the candidate, and whether the candidate is a settings file or a program.
+/// Reads the path of the candidate and its kind: a settings file or a program.
 fn read_candidate(root: &Element) -> Result<(PathBuf, ChangeKind)> {
     match (root.text("candidate"), root.text("program")) {
         (Some(settings), None) => Ok((PathBuf::from(settings), ChangeKind::Settings)),
--- a/crates/configuration/src/replication.rs
+++ b/crates/configuration/src/replication.rs
@@ -1,4 +1,4 @@
-//! `<replication>`: settings of replicated configuration.
+//! Reads `<replication>`, the settings of replicated configuration.
 
 use crate::error::Fault;
 use crate::xml::{Element, Result};
@@ -8,7 +8,7 @@
 /// Attributes of `<replication>`.
 pub const ATTRIBUTES: &[&str] =
     &["region", "zone", "file", "pull-ms", "bytes-a-second", "stale-ms", "lease-ms"];
-/// Maximum length of the name of a region or a zone, in bytes.
+/// Maximum length of a region's or a zone's name, in bytes.
 const NAME_BYTES_MAX: usize = 64;
 
 /// Settings of replicated configuration (`docs/replication.md`). Times are in nanoseconds.
@@ -16,19 +16,21 @@
 pub struct Replication {
     /// Region in which this member runs.
     pub region: String,
-    /// Zone in which this member runs, within its region.
+    /// Zone of the region in which this member runs.
     pub zone: String,
-    /// Path of the file that stores the last good revision, as written (relative to the options file).
+    /// Path of the file in which the server stores the last good revision. The path is stored as written in
+    /// the options file and is relative to that file.
     pub file: PathBuf,
-    /// Names of the control machines that store the log.
+    /// Names of the control machines, which store the log of configuration revisions.
     pub replicas: Vec<String>,
-    /// Time between two pulls, in each of which a member sends its digest to a random member; default 500 ms.
+    /// Time between two pulls; default 500 ms. In each pull a member sends its digest to a random member to
+    /// fetch missing revisions.
     pub pull_period: u64,
-    /// Limit on the bytes per second that a server sends for replication; default 12,000.
+    /// Maximum number of bytes per second that a server sends for replication; default 12,000.
     pub bytes_a_second: u64,
     /// Time without a message from the leader after which a server logs a warning; default 60 s.
     pub stale_after: u64,
-    /// Duration of the leader's lease; default 4 s.
+    /// Duration of the lease that the leader of the control machines holds; default 4 s.
     pub lease: u64,
 }
 
--- a/crates/configuration/src/rollout.rs
+++ b/crates/configuration/src/rollout.rs
@@ -1,4 +1,4 @@
-//! `<rollout>`: settings of staged rollouts on a server.
+//! Reads `<rollout>`, a server's settings of staged rollouts.
 
 use crate::xml::{Element, Result};
 use roxmltree::{Document, Node};
@@ -6,21 +6,24 @@
 
 /// Attributes of `<rollout>`.
 pub const ATTRIBUTES: &[&str] = &["candidate", "program", "servers", "lease-ms"];
-/// Maximum value of the `servers` attribute.
+/// Maximum of the `servers` attribute, which limits the number of servers that run at the same time.
 const SERVERS_MAX: usize = 100_000;
 
-/// Settings of staged rollouts (`docs/rollout.md`).
+/// A server's settings of staged rollouts (`docs/rollout.md`).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rollout {
-    /// Path of the candidate settings, as written (relative to the options file).
+    /// Path of the candidate settings, which a rollout applies to this server. The path is stored as written
+    /// in the options file and is relative to that file.
     pub candidate: PathBuf,
-    /// Path of the candidate program, as written (relative to the options file). If a path is present, this
-    /// server's supervisor must start the program that the file with the suffix `.program` next to the
-    /// options file names, and must restart the program when it exits.
+    /// Path of the candidate program, stored as written in the options file and relative to that file. `None`
+    /// if rollouts cannot change this server's program.
+    ///
+    /// If a path is present, the supervisor of this server must restart the program when it exits. The
+    /// program to start is named in the file next to the options file that has the suffix `.program`.
     pub program: Option<PathBuf>,
-    /// Maximum number of servers that run at the same time, including coordinators.
+    /// Maximum number of servers that run at the same time, including coordinators of rollouts.
     pub servers: u64,
-    /// Names of the members that elect the holder of the rollout lease.
+    /// Names of the members that vote for the holder of the rollout lease.
     pub voters: Vec<String>,
     /// Duration of the rollout lease, in nanoseconds; default 4 s.
     pub lease: u64,
--- a/crates/configuration/src/shared_state.rs
+++ b/crates/configuration/src/shared_state.rs
@@ -1,4 +1,5 @@
-//! `<shared-state>`: settings of the call budget and the outlier detection that the servers of a fleet share.
+//! Reads `<shared-state>`, the settings of the call budget and the outlier detection that the servers of a
+//! fleet share.
 
 use crate::error::Fault;
 use crate::xml::{Element, Result};
@@ -9,55 +10,57 @@
 pub const BUDGET: &[&str] = &["name", "total", "floor", "servers", "lease-ms", "use-most-ms"];
 /// Attributes of `<tier>`.
 pub const TIER: &[&str] = &["reports", "eject-share", "expiry-ms"];
-/// Maximum number of services of a tier.
+/// Maximum number of downstream services in a tier.
 const SERVICES_MAX: usize = 256;
-/// Maximum length of the name of a service, in bytes.
+/// Maximum length of a service's name, in bytes.
 const NAME_BYTES_MAX: usize = 64;
-/// Maximum total of a budget, in units.
+/// Maximum total of a call budget, in calls.
 pub(crate) const TOTAL_MAX: usize = 1 << 40;
 
-/// Settings of the state shared by the fleet.
+/// Settings of the state that the servers of a fleet share.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SharedState {
     /// Time between two rounds of gossip, in nanoseconds; default 500 ms.
     pub gossip_interval: u64,
-    /// The budget of downstream calls, if any.
+    /// Budget of downstream calls; `None` if the fleet has no budget.
     pub budget: Option<Budget>,
-    /// The downstream services under outlier detection, if any.
+    /// Tier of downstream services with outlier detection; `None` if there is no such tier.
     pub tier: Option<Tier>,
 }
 
-/// Budget of the whole fleet for calls to the downstream service (`docs/shared-state.md`). Times are in
-/// nanoseconds.
+/// Budget for the concurrent calls of the whole fleet to the downstream service (`docs/shared-state.md`).
+/// Times are in nanoseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Budget {
-    /// Name of the budget, by which all servers of the fleet refer to it.
+    /// Name of the budget, which is the same at all servers of the fleet.
     pub name: String,
-    /// Number of calls that the whole fleet may have in flight.
+    /// Maximum number of concurrent calls of the whole fleet.
     pub total: u64,
-    /// Number of calls that each server may have in flight without a lease; default 0.
+    /// Number of concurrent calls that each server may make without a lease; default 0.
     pub floor: u64,
-    /// Maximum number of servers that run at the same time.
+    /// Maximum number of servers of the fleet that run at the same time.
     pub servers: u64,
-    /// Duration of a lease; default 4 s.
+    /// Duration of a lease of calls; default 4 s.
     pub lease: u64,
-    /// Maximum time that a call stays in flight; default 1 s.
+    /// Maximum duration of a call; default 1 s.
     pub use_max: u64,
-    /// Names of the members that elect the grantor of leases.
+    /// Names of the members that elect the grantor, which grants leases to the servers.
     pub voters: Vec<String>,
 }
 
-/// The services of the downstream tier, and the settings of their outlier detection (`docs/shared-state.md`).
+/// A tier of downstream services, and the settings of the outlier detection among these services
+/// (`docs/shared-state.md`).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Tier {
-    /// Number of servers that must report a service as slow or failing before it is ejected, 1 to 1000;
+    /// Number of servers that must report a service as slow or failing before the fleet ejects it, 1 to 1000;
     /// default 2.
     pub accusers_min: usize,
-    /// Maximum share of the tier's services that may be ejected at once, in thousandths; default 500.
+    /// Maximum share of the tier's services that may be ejected at the same time, in thousandths; default
+    /// 500.
     pub max_ejected_thousandths: usize,
-    /// Time after which a server's report on a service expires, in nanoseconds; default 5 s.
+    /// Time after which a server's report of a slow or failing service expires, in nanoseconds; default 5 s.
     pub expiry: u64,
-    /// The services. Every server must list the same services in the same order.
+    /// Services of the tier. All servers of the fleet must list the same services in the same order.
     pub services: Vec<TierService>,
 }
 
@@ -118,7 +121,8 @@
     })
 }
 
-/// Reads a service. Its name and its address must differ from those of all previous services.
+/// Reads a service of the tier. No two services may have the same name or the same address; `previous`
+/// contains the services read so far.
 fn read_service(element: &Element, previous: &[TierService]) -> Result<TierService> {
     if previous.len() == SERVICES_MAX {
         return Err(element.error(Fault::TooMany { max: SERVICES_MAX, what: "" }));
--- a/crates/configuration/src/tenants.rs
+++ b/crates/configuration/src/tenants.rs
@@ -1,4 +1,4 @@
-//! `<tenants>`: identification of tenants, and the settings of fair queueing among them.
+//! Reads `<tenants>`: how tenants are identified, and the settings of fair queueing among tenants.
 
 use crate::error::Fault;
 use crate::idempotency_keys::free_field;
@@ -9,7 +9,7 @@
 
 /// Maximum length of a tenant's name, in bytes.
 const NAME_BYTES_MAX: usize = 2048;
-/// Minimum of a tenant's weight, as a ratio. The next constant is the maximum.
+/// Minimum weight of a tenant, relative to the weight 1. The next constant is the maximum weight.
 pub(crate) const WEIGHT_MIN: f64 = 1e-3;
 pub(crate) const WEIGHT_MAX: f64 = 1e3;
 
@@ -17,10 +17,10 @@
 const CEILINGS: &[&str] = &["accounts", "cells", "origins", "promises", "names-per-origin"];
 const SHARE: &[&str] = &["at-once-ms", "probation-ms", "late-ms"];
 
-/// Part of a call that identifies its tenant.
+/// Part of a call that identifies the tenant of the call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TenantSource {
-    /// The sender's number in the call.
+    /// The number of the sender in the call.
     Sender,
     /// The IP address of the peer.
     Peer,
@@ -28,28 +28,30 @@
     Field(String),
 }
 
-/// Part of a call that identifies its origin and that a tenant cannot forge. All new tenant names from one
-/// origin share one quota.
+/// Part of a call that identifies the network origin of the call. A tenant must not be able to forge this
+/// part, because all new tenant names from one origin share one quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
     /// The connection.
     Connection,
-    /// The IP address of the peer; the default.
+    /// The IP address of the peer. This is the default.
     Peer,
-    /// The sender's number. Only suitable if all senders belong to the operator.
+    /// The number of the sender in the call. Suitable only if all senders belong to the operator, because
+    /// other senders could forge the number.
     Sender,
 }
 
 /// Settings of tenants.
 #[derive(Clone, Debug)]
 pub struct Tenants {
-    /// Part of a call that identifies its tenant.
+    /// Part of a call that identifies the tenant of the call.
     pub source: TenantSource,
-    /// Part of a call that identifies its origin and that a tenant cannot forge.
+    /// Part of a call that identifies the network origin of the call; a tenant cannot forge this part.
     pub origin: Origin,
-    /// Factor on the priority weight of an invocation that exceeds its tenant's quota; default 0.1.
+    /// Factor by which the priority weight of an invocation is multiplied if its tenant exceeds its quota;
+    /// default 0.1.
     pub surplus_value: f64,
-    /// Number of tenants shown by name in the log, the heaviest first, 0 to 64; default 8.
+    /// Number of tenants that the log shows by name, starting with the highest demand, 0 to 64; default 8.
     pub shown: usize,
     /// Settings of fair queueing: weights, quotas and memory limits.
     pub fair: Settings,
@@ -107,8 +109,8 @@
     element.error(Fault::UnknownChoice { attribute, choice: choice.to_string() })
 }
 
-/// Reads the `<tenant>` elements in the order of the file. Names must be unique, and their number is limited
-/// by `<ceilings accounts>`.
+/// Reads the `<tenant>` elements in the order of the file. Names must be unique. `<ceilings accounts>` limits
+/// the number of elements.
 fn read_named<'d>(
     document: &Document<'d>,
     elements: Vec<Node<'_, 'd>>,
--- a/crates/configuration/src/xml.rs
+++ b/crates/configuration/src/xml.rs
@@ -1,4 +1,5 @@
-//! Strict reading of XML elements: unknown attributes and children are errors, and errors contain the line.
+//! Strict reader of XML elements. Unknown attributes and unknown children are errors, and each error contains
+//! the line.
 
 use crate::error::{ConfigurationError, Fault, Place};
 use roxmltree::{Document, Node, ParsingOptions};
@@ -8,9 +9,9 @@
 
 /// Namespace of all elements.
 pub const NAMESPACE: &str = "urn:meadowstream:options:1";
-/// Maximum size of a file, in bytes.
+/// Maximum size of an XML file, in bytes.
 const FILE_BYTES_MAX: u64 = 4 << 20;
-/// Maximum number of XML nodes in one file.
+/// Maximum number of XML nodes in a file.
 const NODES_MAX: u32 = 200_000;
 const NANOS_PER_MS: u64 = 1_000_000;
 
@@ -33,7 +34,7 @@
     std::fs::read_to_string(path).map_err(unreadable)
 }
 
-/// Adds the path of the file to an error about its content.
+/// Adds the path of the file to an error that occurred while the content of the file was read.
 pub(crate) fn in_file<T>(path: &Path, read: Result<T>) -> Result<T> {
     read.map_err(|source| ConfigurationError::File { path: path.to_path_buf(), source: Box::new(source) })
 }
@@ -46,14 +47,14 @@
     })
 }
 
-/// An element whose attributes are all known.
+/// An XML element that has only known attributes.
 pub(crate) struct Element<'a, 'd> {
     node: Node<'a, 'd>,
     document: &'a Document<'d>,
 }
 
 impl<'a, 'd> Element<'a, 'd> {
-    /// Wraps an element. An attribute that is not in `known` is an error.
+    /// Wraps an XML element. Returns an error if the element has an attribute that is not in `known`.
     pub(crate) fn new(document: &'a Document<'d>, node: Node<'a, 'd>, known: &[&str]) -> Result<Self> {
         let element = Self { node, document };
         match node.attributes().find(|attribute| !known.contains(&attribute.name())) {
@@ -62,7 +63,8 @@
         }
     }
 
-    /// Wraps the root element of a document. Another name or namespace is an error.
+    /// Wraps the root element of a document. Returns an error if the root element has another name or
+    /// namespace, or an attribute that is not in `known`.
     pub(crate) fn root(document: &'a Document<'d>, name: &'static str, known: &[&str]) -> Result<Self> {
         let root = Self::new(document, document.root_element(), known)?;
         let tag = root.node.tag_name();
@@ -81,13 +83,13 @@
         Place { line, element: self.name().to_string() }
     }
 
-    /// Creates an error with this element's name and line.
+    /// Creates an error that contains this element's name and line.
     pub(crate) fn error(&self, fault: Fault) -> ConfigurationError {
         ConfigurationError::Element { place: self.place(), fault: Box::new(fault) }
     }
 
-    /// Returns the child elements. Their names must be in `known`, and only names in `repeated` may occur
-    /// more than once.
+    /// Returns the child elements. Returns an error if the name of a child is not in `known`, or if a name
+    /// occurs more than once and is not in `repeated`.
     pub(crate) fn children(&self, known: &[&str], repeated: &[&str]) -> Result<Vec<Node<'a, 'd>>> {
         let mut found: Vec<Node> = Vec::new();
         for child in self.node.children() {
@@ -110,7 +112,8 @@
         previous: &[Node<'a, 'd>],
     ) -> Result<()> {
         let name = child.tag_name().name();
-        // Finding the line scans the file from its start, so it is done only for an error.
+        // Creates the error only if one occurs, because an error contains the line, and finding the line
+        // scans the file from its start.
         let error = |fault| Self { node: child, document: self.document }.error(fault);
         if child.tag_name().namespace() != Some(NAMESPACE) || !known.contains(&name) {
             return Err(error(Fault::UnknownElement));
@@ -121,12 +124,12 @@
         Ok(())
     }
 
-    /// Returns the value of an attribute, if present.
+    /// Returns the value of an attribute, or `None` if the attribute is missing.
     pub(crate) fn text(&self, attribute: &str) -> Option<&'a str> {
         self.node.attribute(attribute)
     }
 
-    /// Returns the value of a required attribute.
+    /// Returns the value of an attribute. Returns an error if the attribute is missing.
     pub(crate) fn required(&self, attribute: &str) -> Result<&'a str> {
         let missing = || self.error(Fault::Missing { name: attribute.to_string() });
         self.text(attribute).ok_or_else(missing)
@@ -138,7 +141,7 @@
         text.parse().map_err(|_| self.error(unreadable))
     }
 
-    /// Reads a finite number within bounds.
+    /// Reads a finite number from `min` to `max`; `default` if the attribute is missing.
     pub(crate) fn number(&self, attribute: &str, default: f64, min: f64, max: f64) -> Result<f64> {
         let number: f64 = self.parsed(attribute, default)?;
         if number.is_finite() && (min..=max).contains(&number) {
@@ -147,7 +150,7 @@
         Err(self.out_of_range(attribute, number, min, max))
     }
 
-    /// Reads a non-negative integer within bounds.
+    /// Reads an integer from `min` to `max`; `default` if the attribute is missing.
     pub(crate) fn whole(&self, attribute: &str, default: usize, min: usize, max: usize) -> Result<usize> {
         let number: usize = self.parsed(attribute, default)?;
         if (min..=max).contains(&number) {
@@ -165,13 +168,13 @@
         })
     }
 
-    /// Reads a required non-negative integer within bounds.
+    /// Reads an integer from `min` to `max`. Returns an error if the attribute is missing.
     pub(crate) fn required_whole(&self, attribute: &str, min: usize, max: usize) -> Result<usize> {
         self.required(attribute)?;
         self.whole(attribute, min, min, max)
     }
 
-    /// Reads a duration and returns it in nanoseconds. The value in the file, the default and the bounds are
+    /// Reads a duration and returns it in nanoseconds. The attribute's value, the default and the bounds are
     /// in milliseconds.
     pub(crate) fn duration_ns(
         &self,
@@ -184,14 +187,15 @@
         Ok(ms as u64 * NANOS_PER_MS)
     }
 
-    /// Reads a required IP address with a port.
+    /// Reads an IP address with a port. Returns an error if the attribute is missing.
     pub(crate) fn address(&self, attribute: &str) -> Result<SocketAddr> {
         let text = self.required(attribute)?;
         let fault = Fault::NoAddress { attribute: attribute.to_string(), text: text.to_string() };
         text.parse().map_err(|_| self.error(fault))
     }
 
-    /// Returns the `name` attributes of all children, which must all be `kind` elements.
+    /// Returns the `name` attributes of all child elements. Returns an error if a child is not a `kind`
+    /// element.
     pub(crate) fn names_of_children(&self, kind: &str) -> Result<Vec<String>> {
         let mut names = Vec::new();
         for child in self.children(&[kind], &[kind])? {
--- a/crates/configuration/tests/options.rs
+++ b/crates/configuration/tests/options.rs
@@ -1,5 +1,5 @@
-//! Tests of options files, plans and the schema: the example is read, and invalid files are refused with the
-//! place of the error.
+//! Tests of options files, rollout plans and the schema. The example file must be accepted. Invalid files
+//! must be rejected with the position of the error.
 
 use meadowstream_configuration::{NAMESPACE, Options, Origin, TenantSource, attributes};
 use std::collections::BTreeSet;
@@ -80,7 +80,8 @@
     files.map(|file| std::fs::read_to_string(file).unwrap()).collect()
 }
 
-/// The reader accepts exactly the attributes of the schema, and knows each of its elements.
+/// The reader and the schema must agree: the reader accepts exactly the attributes that the schema defines,
+/// and knows each element of the schema.
 #[test]
 fn schema_and_reader_have_the_same_names() {
     let text = std::fs::read_to_string(deploy("meadowstream.xsd")).unwrap();
@@ -153,7 +154,8 @@
     assert!(fault.contains(expected), "{fault}");
 }
 
-/// Errors in `<shared-state>` contain line and element, and the schema has the attributes of `<budget>`.
+/// Errors in `<shared-state>` must contain the line and the element. The schema must define the attributes of
+/// `<budget>`.
 #[test]
 fn shared_state_is_read_and_its_errors_contain_line_and_element() {
     let file = |inside: &str| {
@@ -248,8 +250,9 @@
     }
 }
 
-/// Reading 64,000 tenants once took 36 to 42 s, because the line of each tenant was counted from the start of
-/// the file and each name was compared with all previous names. A debug build now takes under 2 s.
+/// Regression test for slow reading of many tenants. Reading 64,000 tenants once took 36 to 42 s, because the
+/// line of each tenant was counted from the start of the file and each name was compared with all previous
+/// names. A debug build now takes under 2 s.
 #[test]
 fn time_to_read_many_tenants_is_not_quadratic() {
     let started = std::time::Instant::now();
@@ -261,11 +264,12 @@
 #[test]
 fn one_tenant_more_than_the_accounts_allow_is_refused_with_its_line() {
     let error = format!("{:#}", Options::read(&many_tenants(64_001)).unwrap_err());
-    // The first three lines are the root, <tenants> and <ceilings>.
+    // The tenants begin at line 4, after the lines of the root element, <tenants> and <ceilings>.
     assert!(error.starts_with("line 64004, <tenant>: accounts: 128016 is under 128018"), "{error}");
 }
 
-/// An options file with `count` named tenants and enough accounts for 64,000.
+/// Returns an options file with `count` named tenants. Its limit on the number of accounts suffices for
+/// 64,000 tenants.
 fn many_tenants(count: usize) -> String {
     let tenants: String = (0..count).map(|n| format!("<tenant name=\"tenant-{n}\"/>\n")).collect();
     file(&format!("<tenants by=\"peer\">\n<ceilings accounts=\"128016\"/>\n{tenants}</tenants>"))
--- a/crates/configuration/tests/outside_names.rs
+++ b/crates/configuration/tests/outside_names.rs
@@ -1,5 +1,6 @@
-//! Compatibility with files written for release 0.2.0 (commit 22d0bb6): each name of that release is still in
-//! the schema with its type and default, and a file that uses all of them is read with the same meaning.
+//! Compatibility with files written for release 0.2.0 (commit 22d0bb6). Each name of that release must still
+//! be in the schema with its type and default. A file that uses all of these names must be read with the same
+//! meaning as before.
 
 use meadowstream_configuration::change::{overlay_replicated, read_change};
 use meadowstream_configuration::{Options, Origin, PlanFile, TenantSource, Tenants, TierService};
@@ -14,7 +15,8 @@
 const EVERY_OPTION: &str = include_str!("fixtures/every-option.xml");
 const MILLISECOND: u64 = 1_000_000;
 
-/// Adds one line for each element, attribute and choice of the schema, in the format of the fixture.
+/// Adds one line to `lines` for each element, attribute and choice of the schema, in the format of the
+/// recorded fixture.
 fn schema_lines(node: Node, path: &[String], lines: &mut BTreeSet<String>) {
     for child in node.children().filter(Node::is_element) {
         let attribute = |name: &str| child.attribute(name).unwrap_or("-");
--- a/crates/deployment-settings/src/deployment.rs
+++ b/crates/deployment-settings/src/deployment.rs
@@ -1,4 +1,5 @@
-//! Maps the paths of the platform's settings to [`DeploymentSettings`].
+//! Reads [`DeploymentSettings`] from the platform's settings, each of which has a path such as
+//! `grades.count`.
 
 use crate::values::{Values, unreadable};
 use crate::wire_words::{
@@ -7,7 +8,8 @@
 use crate::{DeploymentSettings, SettingsError};
 use meadowstream_overload_control::{Deployment, Downstream, Effect, Operation, TARGET_UTILIZATION};
 
-/// Path of the list that holds the degraded value ratio of each operation.
+/// Path of a list in the platform's settings. The list contains, for each operation, the share of its value
+/// that a degraded answer keeps.
 const DEGRADED_VALUES: &str = "family-info.degraded-worth";
 
 /// Reads all settings.
@@ -35,7 +37,7 @@
     })
 }
 
-/// Returns the names of the items of a list. An item without a name is named by its index.
+/// Returns the names of the items of a list. If an item has no name, its index is used as the name.
 fn names(values: &Values, list: &str, count: usize) -> Result<Vec<String>, SettingsError> {
     (0..count).map(|i| values.parse_or(&format!("{list}.{i}.name"), i.to_string())).collect()
 }
@@ -62,7 +64,8 @@
     })
 }
 
-/// Reads the degraded value ratio of an operation, from 0 to 1; 0 if the operation has no degraded answer.
+/// Reads the share of its value, from 0 to 1, that a degraded answer of an operation keeps. Returns 0 if the
+/// operation has no degraded answers.
 fn degraded_value_ratio(values: &Values, operation: usize) -> Result<f64, SettingsError> {
     let ratios = values.list(DEGRADED_VALUES);
     let Some(text) = ratios.get(operation) else { return Ok(0.0) };
@@ -84,8 +87,8 @@
     })
 }
 
-/// Reads the settings of the controller. Paths are read in a fixed order. If several settings are invalid,
-/// the first one in this order is reported.
+/// Reads the settings of the overload controller in a fixed order. If several settings are invalid, the error
+/// is about the first of them in this order.
 fn deployment(
     values: &Values,
     operations: Vec<Operation>,
--- a/crates/deployment-settings/src/error.rs
+++ b/crates/deployment-settings/src/error.rs
@@ -2,10 +2,11 @@
 
 use thiserror::Error;
 
-/// Error of reading settings, with the path and the value.
+/// Error that occurs while the platform's settings are read. It contains the path and the value of the
+/// setting.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum SettingsError {
-    /// A line does not have the form `path=value`.
+    /// A line of the settings does not have the form `path=value`.
     #[error("setting {line:?} has no '='")]
     NoSeparator {
         /// The whole line.
@@ -17,7 +18,7 @@
         /// The missing path.
         path: String,
     },
-    /// The value cannot be parsed as the type of its path.
+    /// The value cannot be parsed as the type of the setting.
     #[error("setting {path}: cannot read {value:?}")]
     Unreadable {
         /// Path of the value.
@@ -25,7 +26,7 @@
         /// The value as written.
         value: String,
     },
-    /// The value has the type of its path, but is out of range.
+    /// The value can be parsed, but it is outside the range of the setting.
     #[error("setting {path}: {value} is out of range")]
     OutOfRange {
         /// Path of the value.
@@ -33,7 +34,7 @@
         /// The parsed value.
         value: String,
     },
-    /// The value is not one of the choices of its path.
+    /// The value is not one of the words that the setting accepts.
     #[error("setting {path}: unknown choice {value:?}")]
     UnknownChoice {
         /// Path of the value.
@@ -41,7 +42,7 @@
         /// The value as written.
         value: String,
     },
-    /// The deployment has no operation.
+    /// The settings define no operation.
     #[error("setting grades.count: no operation")]
     NoOperation,
 }
--- a/crates/deployment-settings/src/values.rs
+++ b/crates/deployment-settings/src/values.rs
@@ -1,4 +1,5 @@
-//! Settings by path, with accessors that parse values by type.
+//! Stores the platform's settings as text by path. Accessor functions parse the text as the type of the
+//! setting.
 
 use crate::SettingsError;
 use crate::wire_words::Words;
@@ -9,7 +10,7 @@
 
 const NS_PER_US: u64 = 1_000;
 
-/// The settings: values as text, by path.
+/// Values of the platform's settings as text, by the path of the setting.
 #[derive(Default)]
 pub struct Values {
     by_path: HashMap<String, String>,
@@ -28,15 +29,16 @@
         Ok(values)
     }
 
-    /// Flattens nested JSON to paths. A `null` is treated as missing.
+    /// Converts nested JSON to paths and values. A `null` is treated as a missing value.
     pub fn from_json(settings: &Value) -> Self {
         let mut values = Self::default();
         values.flatten("", settings);
         values
     }
 
-    /// Adds the values nested under a path. A list of plain values becomes one comma-separated value. A list
-    /// of objects becomes one path prefix per item, and its length is stored under `count`.
+    /// Adds all values of a nested JSON value, whose own path is `path`. A list of plain values becomes one
+    /// comma-separated value. In a list of objects, the index of an object is part of the paths of its
+    /// values, and the path `count` contains the length of the list.
     fn flatten(&mut self, path: &str, value: &Value) {
         match value {
             Value::Null => {}
@@ -61,7 +63,7 @@
         }
     }
 
-    /// Returns whether the path is present.
+    /// Returns whether the settings contain a value for the path.
     pub fn has(&self, path: &str) -> bool {
         self.by_path.contains_key(path)
     }
@@ -80,18 +82,18 @@
         text.parse().map_err(|_| unreadable(path, text))
     }
 
-    /// Parses the value as a `T`, or returns `default` if the path is missing.
+    /// Parses the value of a path as a `T`. Returns `default` if the path is missing.
     pub fn parse_or<T: FromStr>(&self, path: &str, default: T) -> Result<T, SettingsError> {
         if self.has(path) { self.parse(path) } else { Ok(default) }
     }
 
-    /// Reads a finite number that is not negative.
+    /// Reads a finite number of at least 0.
     pub fn number(&self, path: &str) -> Result<f64, SettingsError> {
         let number: f64 = self.parse(path)?;
         if number.is_finite() && number >= 0.0 { Ok(number) } else { Err(out_of_range(path, number)) }
     }
 
-    /// Reads a finite number that is not negative; 0 if the path is missing.
+    /// Reads a finite number of at least 0. Returns 0 if the path is missing.
     pub fn number_or_zero(&self, path: &str) -> Result<f64, SettingsError> {
         if self.has(path) { self.number(path) } else { Ok(0.0) }
     }
@@ -102,18 +104,18 @@
         if number > 0.0 { Ok(number) } else { Err(out_of_range(path, number)) }
     }
 
-    /// Reads a duration in microseconds, and returns it in nanoseconds.
+    /// Reads a duration in microseconds and returns it in nanoseconds.
     pub fn duration(&self, path: &str) -> Result<Nanos, SettingsError> {
         let micros: u64 = self.parse(path)?;
         micros.checked_mul(NS_PER_US).ok_or_else(|| out_of_range(path, micros))
     }
 
-    /// Reads a duration in microseconds, and returns it in nanoseconds; 0 if the path is missing.
+    /// Reads a duration in microseconds and returns it in nanoseconds. Returns 0 if the path is missing.
     pub fn duration_or_zero(&self, path: &str) -> Result<Nanos, SettingsError> {
         if self.has(path) { self.duration(path) } else { Ok(0) }
     }
 
-    /// Reads a choice: one of these words.
+    /// Reads a value that must be one of `words`, and returns the meaning of the word.
     pub fn choice<T: Copy>(&self, path: &str, words: Words<T>) -> Result<T, SettingsError> {
         let text = self.text(path)?;
         match words.iter().find(|(word, _)| *word == text) {
@@ -122,7 +124,7 @@
         }
     }
 
-    /// Returns the items of a comma-separated list; an empty list if the path is missing.
+    /// Returns the items of a comma-separated list. Returns an empty list if the path is missing.
     pub fn list(&self, path: &str) -> Vec<&str> {
         match self.by_path.get(path) {
             Some(text) => text.split(',').filter(|part| !part.is_empty()).collect(),
@@ -131,7 +133,7 @@
     }
 }
 
-/// Creates the error for a value that cannot be parsed as the type of its path.
+/// Creates the error for a value that cannot be parsed as the type of its setting.
 pub fn unreadable(path: &str, text: &str) -> SettingsError {
     SettingsError::Unreadable { path: path.to_string(), value: text.to_string() }
 }
@@ -144,7 +146,7 @@
     if path.is_empty() { name.to_string() } else { format!("{path}.{name}") }
 }
 
-/// Converts a plain JSON value to text. Spaces and commas become `_`, as in the `path=value` lines.
+/// Converts a plain JSON value to text. Spaces and commas become `_`, as they do in `path=value` lines.
 fn plain_text(value: &Value) -> String {
     let text = value.as_str().map_or_else(|| value.to_string(), str::to_string);
     text.replace([' ', ','], "_")
--- a/crates/deployment-settings/src/wire_words.rs
+++ b/crates/deployment-settings/src/wire_words.rs
@@ -1,22 +1,22 @@
-//! The platform's names for choices.
+//! Words that the platform's settings use for the choices of a setting.
 
 use meadowstream_overload_control::{Advertisement, Effect, Preemption};
 
-/// Pairs of a word in the settings and its meaning.
+/// List of the words that a setting accepts, each with its meaning.
 pub type Words<T> = &'static [(&'static str, T)];
 
-/// Words for the effect of running an operation more than once.
+/// Words for what happens when an operation runs more than once.
 pub const EFFECTS: Words<Effect> = &[
     ("repeatable", Effect::Idempotent),
     ("by_key", Effect::IdempotentWithKey),
     ("once", Effect::NonIdempotent),
 ];
 
-/// Words for the effect of preempting a running invocation.
+/// Words for what happens to a running invocation that is preempted.
 pub const PREEMPTIONS: Words<Preemption> =
     &[("off", Preemption::Unsupported), ("discard", Preemption::Discards), ("freeze", Preemption::Pauses)];
 
-/// Words for the meaning of the advertised load.
+/// Words for the meaning of the load that the server advertises.
 pub const ADVERTISEMENTS: Words<Advertisement> = &[
     ("off", Advertisement::None),
     ("floor", Advertisement::MinimumRank),
@@ -24,8 +24,8 @@
     ("weight", Advertisement::Weight),
 ];
 
-/// Kind of the downstream services that are called by running invocations. A shared dependency has settings
-/// at separate paths.
+/// Kind of the downstream services that running invocations call. Further settings of a shared dependency
+/// have paths of their own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DownstreamKind {
     None,
@@ -33,11 +33,11 @@
     Shared,
 }
 
-/// Words for the kind of downstream services.
+/// Words for the kind of the downstream services.
 pub const DOWNSTREAMS: Words<DownstreamKind> =
     &[("off", DownstreamKind::None), ("tier", DownstreamKind::Tier), ("one_for_all", DownstreamKind::Shared)];
 
-/// Name of the gauge that reports the utilization of the cores. The next constant is the name of the gauge
-/// that reports the number of runnable threads.
+/// Name of the platform's gauge for the utilization of the cores. The next constant is the name of the gauge
+/// for the number of runnable threads.
 pub const UTILIZATION_GAUGE: &str = "cpu_busy";
 pub const RUNNABLE_GAUGE: &str = "runnable";
--- a/crates/deployment-settings/tests/outside_names.rs
+++ b/crates/deployment-settings/tests/outside_names.rs
@@ -1,11 +1,11 @@
-//! Compatibility with the platform's settings of release 0.2.0 (commit 22d0bb6): all paths are still read,
-//! with the same meaning.
+//! Compatibility with the platform's settings of release 0.2.0 (commit 22d0bb6). All paths of that release
+//! must still be read with the same meaning.
 
 use meadowstream_deployment_settings::DeploymentSettings;
 use meadowstream_overload_control::{Advertisement, Downstream, Effect, Preemption};
 use test_case::test_case;
 
-/// Settings that contain every path that this crate reads.
+/// Settings that contain each path that this crate reads.
 const EVERY_PATH: &str = "grades.count=2\ngrades.0.name=load\ngrades.0.effect=by_key\n\
     grades.0.target=2000000\ngrades.0.give-up=5000000\ngrades.0.window=6000000\ngrades.0.worth=2.5\n\
     grades.0.late-worth=0.5\ngrades.1.name=save\ngrades.1.effect=once\ngrades.1.target=1000000\n\
@@ -119,7 +119,7 @@
     assert_eq!(with("grades.0.effect", word).deployment.operations[0].effect, effect);
 }
 
-/// Settings as nested JSON, the format of the server's file, are read like `path=value` lines.
+/// Nested JSON, the format of the server's settings file, must be read like `path=value` lines.
 #[test]
 fn nested_settings_are_read_like_lines() {
     let mut root = serde_json::json!({});
--- a/crates/deployment-settings/tests/settings.rs
+++ b/crates/deployment-settings/tests/settings.rs
@@ -1,4 +1,5 @@
-//! Tests of reading a deployment's settings from lines and from JSON, and of errors in them.
+//! Tests that read a deployment's settings from lines and from JSON, and tests of the errors in such
+//! settings.
 
 use meadowstream_deployment_settings::DeploymentSettings;
 use meadowstream_overload_control::{Advertisement, Effect, Preemption};
