--- a/crates/overload-control/benches/arrival.rs
+++ b/crates/overload-control/benches/arrival.rs
@@ -1,5 +1,5 @@
-//! Benchmark of the whole controller with many pending invocations: an invocation arrives, admission
-//! screens it, and its caller cancels it.
+//! Benchmark of one arrival at a controller that has many pending invocations. The invocation arrives,
+//! admission accepts or rejects it, and its caller cancels it.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use meadowstream_overload_control::controller::Controller;
@@ -76,8 +76,8 @@
     for pending in [100u64, 1_000, 10_000, 100_000] {
         let mut controller = Controller::new(deployment(), 1, START, &mut DiscardingHost);
         let arrival = |id| Arrival { id, operation: (id % 2) as usize, held_kb: 1.0, ..Arrival::default() };
-        // The controller first learns the run times from 1,000 runs of 1 ms within an hour. With these run
-        // times, all pending invocations meet their deadlines.
+        // The controller learns the run times from 1,000 runs of 1 ms within an hour. The learned run times
+        // are so short that all pending invocations can meet their deadlines.
         for id in 1..=1000 {
             let now = START + id * HOUR / 1000;
             controller.on_arrival(now, arrival(id), &mut DiscardingHost);
--- a/crates/overload-control/src/advertised_load.rs
+++ b/crates/overload-control/src/advertised_load.rs
@@ -1,15 +1,16 @@
-//! The load advertised to callers with each answer.
+//! Computes the load that the server advertises to callers with each answer.
 
 use crate::Advertisement;
 
-/// Inputs from which the advertised load is computed.
+/// Measurements from which the advertised load is computed.
 pub struct LoadInputs {
     /// Whether callers should continue to send invocations to this server.
     pub wants_arrivals: bool,
-    /// Share of the control period in which arrivals of the lowest rank are rejected, from 0 to 1. The
-    /// regulator, a flood or poor health can raise it.
+    /// Share of the control period, from 0 to 1, in which arrivals of the lowest rank are rejected. The ratio
+    /// is above 0 if the regulator demands it, or if the server is flooded or unhealthy.
     pub lowest_rank_refusal_ratio: f64,
-    /// Lower bound of the server's current speed, as a ratio of full speed.
+    /// Lower bound of the server's current speed as a ratio of full speed; below 1 while a cold server warms
+    /// up.
     pub speed_ratio: f64,
     /// Limit on the number of concurrent runs.
     pub concurrency_limit: f64,
@@ -22,7 +23,7 @@
 }
 
 impl AdvertisedLoad {
-    /// Returns the load to advertise, in the given unit; `None` if it equals the last advertised load or no
+    /// Returns the load to advertise, in the unit `unit`. Returns `None` if the load has not changed or if no
     /// load is advertised.
     pub fn update(&mut self, unit: Advertisement, inputs: &LoadInputs) -> Option<f64> {
         let wanted = f64::from(inputs.wants_arrivals);
--- a/crates/overload-control/src/call_budget.rs
+++ b/crates/overload-control/src/call_budget.rs
@@ -1,55 +1,57 @@
-//! Budget of call time that this server may use at a dependency shared by all servers.
+//! Budget that limits the time this server's calls use at a dependency shared by all servers.
 //!
-//! The budget refills at a constant rate up to a maximum. A call reserves its timeout when it starts, and
-//! the unused part of the timeout is returned to the budget when the call ends. The mean number of
-//! concurrent calls therefore stays within the quota over each window.
+//! The budget is an amount of call time. It refills at a constant rate up to a maximum. A call reserves its
+//! timeout when it starts. When the call ends, the unused part of the timeout returns to the budget. The mean
+//! number of concurrent calls therefore stays within the quota over each window.
 
 use crate::{Downstream, Nanos, Outcome};
 
-/// Refill rate of the budget, as a share of [`CallBudget::quota`]. The maximum budget is the rest of the
-/// quota multiplied by the length of the window.
+/// Share of [`CallBudget::quota`] at which the budget refills continuously. The rest of the quota, multiplied
+/// by the length of the window, is the maximum of the budget, which can be used in a burst.
 const STEADY_SHARE: f64 = 0.7;
-/// Share of the maximum budget that is reserved for calls of the top rank, so that a call of the top rank
-/// still finds budget when calls are slow.
+/// Share of the maximum budget that only calls of the highest rank may use. Without this reserve, a call of
+/// the highest rank could find no budget when calls are slow.
 const TOP_RANK_SHARE: f64 = 0.3;
-/// Maximum timeout of a call, as a multiple of [`Request::attempt_timeout_ns`].
+/// Maximum timeout of a call, as a multiple of its attempt timeout ([`Request::attempt_timeout_ns`]).
 const TIMEOUT_MAX_RATIO: f64 = 4.0;
 
-/// Lower bound of the shortened timeout of a call whose request exceeds the maximum budget, as a share of
-/// the maximum budget. Written as a difference because the literal 0.3 rounds to a different number.
+/// Minimum timeout of a call, as a share of the maximum budget. A call whose request exceeds the maximum
+/// budget is not shortened below this timeout. The value is written as a difference because the literal 0.3
+/// is rounded to a different number.
 const TIMEOUT_MIN_SHARE: f64 = 1.0 - 0.7;
 
-/// Inputs for reserving the budget of one call.
+/// Properties of a call for which budget is reserved.
 pub struct Request {
-    /// Requested timeout: the time until the result of the call is no longer useful. If the call may be
-    /// repeated and its attempt timeout is shorter, the attempt timeout is requested.
+    /// Requested timeout of the call. It is the time until the result is no longer useful, or the attempt
+    /// timeout if the call may be repeated and the attempt timeout is shorter.
     pub timeout: Nanos,
-    /// Timeout of an attempt that may be repeated, ns; 0 until the duration of a call has been observed.
+    /// Attempt timeout: time after which an attempt is abandoned if the call may be repeated, ns; 0 until the
+    /// duration of a call has been observed.
     pub attempt_timeout_ns: f64,
-    /// Base timeout, which is half of the timeout of a first attempt, ns; 0 until the duration of a call
-    /// has been observed.
+    /// Base timeout, ns: half of the attempt timeout of the first attempt. 0 until the duration of a call has
+    /// been observed.
     pub base_timeout_ns: f64,
     /// Whether the run that makes the call has the highest rank.
     pub is_top_rank: bool,
 }
 
-/// Budget of call time at one shared dependency.
+/// Budget of call time that this server may use at a shared dependency.
 pub struct CallBudget {
-    /// Mean number of concurrent calls that this server may have.
+    /// Mean number of concurrent calls that this server may have at the dependency.
     quota: f64,
-    /// Time for which an abandoned call still occupies the dependency.
+    /// Time for which an abandoned call still occupies the dependency, ns.
     linger: Nanos,
-    /// Call time that can be reserved now, ns.
+    /// Current budget: call time that can be reserved now, ns.
     available_ns: f64,
-    /// Call time required by the most recent request, ns. A waiting call can start once this much is
-    /// available.
+    /// Budget that the most recent request required, ns. The call that requested it can start once the
+    /// current budget is this large.
     needed_ns: f64,
-    /// Maximum call time that can accumulate, ns.
+    /// Maximum budget, ns. The budget does not grow beyond this.
     max_ns: f64,
 }
 
 impl CallBudget {
-    /// Creates the budget; `None` if the downstream calls do not go to a shared dependency.
+    /// Creates the budget. Returns `None` if the server does not call a shared dependency.
     pub fn new(downstream: Downstream) -> Option<Self> {
         let Downstream::Shared { quota, linger, window } = downstream else { return None };
         let max_ns = quota * window as f64 * (1.0 - STEADY_SHARE);
@@ -62,8 +64,8 @@
         self.available_ns = (self.available_ns + gained).min(self.max_ns);
     }
 
-    /// Reserves budget for a call and returns the call's timeout. Returns `None`, and reserves nothing, if
-    /// the budget is too low.
+    /// Reserves budget for a call and returns the timeout of the call. If the budget is too low, reserves
+    /// nothing and returns `None`.
     pub fn reserve(&mut self, request: &Request) -> Option<Nanos> {
         let linger = self.linger as f64;
         let timeout_max = if request.attempt_timeout_ns > 0.0 {
@@ -84,15 +86,16 @@
         Some(timeout)
     }
 
-    /// Returns the unused call time of an ended call to the budget. The linger time of an abandoned call
-    /// remains reserved, because the call still occupies the dependency.
+    /// Returns the unused part of a call's timeout to the budget when the call has ended. If the call was
+    /// abandoned, the linger time stays reserved, because the call still occupies the dependency for this
+    /// time.
     pub fn refund(&mut self, timeout: Nanos, duration: Nanos, outcome: Outcome) {
         let linger = if outcome == Outcome::Unknown { 0 } else { self.linger };
         self.available_ns += (timeout + linger) as f64 - duration as f64;
     }
 
-    /// Returns the time at which the budget will suffice for the most recent request; `None` if it suffices
-    /// now.
+    /// Returns the time at which the budget will be large enough for the most recent request; `None` if it is
+    /// large enough now.
     pub fn enough_at(&self, now: Nanos) -> Option<Nanos> {
         let time_until_enough = (self.needed_ns - self.available_ns) / (self.quota * STEADY_SHARE);
         (time_until_enough > 0.0).then(|| now + time_until_enough as Nanos + 1)
--- a/crates/overload-control/src/concurrency_limit.rs
+++ b/crates/overload-control/src/concurrency_limit.rs
@@ -1,26 +1,28 @@
-//! Limit on concurrent runs, learned from run times. Its upper bound is a share of the survivable
-//! concurrency, which is the number of open runs beyond which the server collapses.
+//! Limit on concurrent runs, which the server learns from run times.
+//!
+//! The upper bound of the limit is a share of the survivable concurrency, which is the number of open runs
+//! beyond which the server collapses. An open run has started and not ended.
 
 use crate::Nanos;
 
-/// Factor by which the concurrency limit grows in one control period. The limit grows only while the cores
-/// are below their target utilization, so the growth can be larger than the reduction by `CUT_RATIO`.
+/// Factor by which the concurrency limit grows in one control period. The growth may be larger than the
+/// reduction by `CUT_RATIO`, because the limit grows only while the cores are below their target utilization.
 const GROWTH_RATIO: f64 = 1.15;
 /// Factor by which the concurrency limit is reduced in one control period.
 const CUT_RATIO: f64 = 0.95;
-/// Maximum number of open runs, as a share of the survivable concurrency: the number of open runs beyond
-/// which the server collapses.
+/// Maximum number of open runs, as a share of the survivable concurrency. The survivable concurrency is the
+/// number of open runs beyond which the server collapses.
 const SURVIVABLE_SHARE: f64 = 0.7;
 
-/// Model of the server's speed while it warms up.
+/// Model of the server's speed, which is reduced while the server warms up.
 pub struct WarmUp {
-    /// Time at which the server started.
+    /// Time at which the server started, on the host's clock.
     pub started: Nanos,
-    /// Whether the server started cold. A server that started warm has full speed from the start.
+    /// Whether the server started cold. A server that did not start cold has full speed at once.
     pub starts_cold: bool,
-    /// Initial speed of a cold server as a ratio of full speed.
+    /// Speed of a cold server at its start, as a ratio of full speed.
     pub cold_speed_ratio: f64,
-    /// Time from the start until full speed is reached.
+    /// Time from the start of a cold server until it reaches full speed.
     pub duration: Nanos,
 }
 
@@ -33,17 +35,17 @@
     }
 }
 
-/// Measurements to which the limit is adapted once per control period.
+/// Measurements from which the concurrency limit is adapted once per control period.
 pub struct Load {
     /// Whether invocations wait in the pending queue.
     pub is_queueing: bool,
     /// Number of runs on the cores.
     pub running: f64,
-    /// Whether runs use more core time because of other concurrent runs.
+    /// Whether concurrent runs slow each other down, so that each run uses more core time.
     pub are_runs_slowed: bool,
     /// Utilization of the cores during the last control period, from 0 to 1.
     pub utilization: f64,
-    /// Target utilization of the regulator, from 0 to 1.
+    /// Target utilization of the cores, from 0 to 1.
     pub target_utilization: f64,
 }
 
@@ -51,18 +53,19 @@
 pub struct ConcurrencyLimit {
     limit: f64,
     cores: f64,
-    /// Number of open runs beyond which a server at full speed collapses, as a multiple of its cores.
+    /// Survivable concurrency of a server at full speed, as a multiple of its cores. The survivable
+    /// concurrency is the number of open runs beyond which the server collapses.
     survivable_ratio: f64,
     warm_up: WarmUp,
 }
 
 impl ConcurrencyLimit {
-    /// Creates a limit whose initial value is the core count.
+    /// Creates the limit. Its initial value is the number of cores.
     pub fn new(cores: f64, survivable_ratio: f64, warm_up: WarmUp) -> Self {
         Self { limit: cores, cores, survivable_ratio, warm_up }
     }
 
-    /// Returns the limit on concurrent runs.
+    /// Returns the learned limit on concurrent runs.
     pub fn get(&self) -> f64 {
         self.limit
     }
@@ -72,17 +75,19 @@
         self.warm_up.speed_ratio(now)
     }
 
-    /// Returns the maximum number of open runs, including runs that wait for a downstream call or are in
-    /// one. The maximum is lower while the server warms up.
+    /// Returns the maximum number of open runs. An open run is on a core, waits for a downstream call, or has
+    /// one in progress. The maximum is lower while the server warms up.
     pub fn survivable(&self, now: Nanos) -> f64 {
         let speed = self.warm_up.speed_ratio(now);
         self.cores * (1.0 + (self.survivable_ratio - 1.0) * speed) * SURVIVABLE_SHARE
     }
 
-    /// Raises the limit while the runs reach it and the cores are below their target utilization, which
-    /// means that runs wait for something other than a core. Lowers the limit while concurrent runs
-    /// lengthen each other's core time or the cores are above their target utilization. The limit stays
-    /// between the core count and the maximum number of open runs.
+    /// Adapts the limit to the load of the last control period.
+    ///
+    /// The limit grows if runs reach it while the cores are below their target utilization: the runs then
+    /// wait for something other than a core. Otherwise the limit shrinks if concurrent runs slow each other
+    /// down or the cores are above their target utilization. The limit stays between the number of cores and
+    /// the maximum number of open runs.
     pub fn adapt(&mut self, now: Nanos, load: &Load) {
         let binds = load.is_queueing && load.running + 1.0 > self.limit;
         if binds && load.utilization < load.target_utilization {
--- a/crates/overload-control/src/controller.rs
+++ b/crates/overload-control/src/controller.rs
@@ -1,10 +1,11 @@
-//! The controller: processes events, applies its rules in a fixed order, and emits actions.
+//! The controller of one server: receives events, applies its rules in a fixed order, and instructs the host
+//! to act.
 //!
 //! The host calls `on_arrival`, `on_run_finished`, `on_call_needed`, `on_call_finished`, `on_drain_notice`,
 //! `on_caller_gone` and `on_timer`. Each event updates the controller's measurements. The controller then
-//! evaluates `RULES` in order. After each rule that acts it starts again from the first rule, until no rule
-//! acts. Actions are calls to the [`Host`] passed with the event. `docs/design.md` lists the parts of the
-//! controller taken from the paper, and the deviations from the paper.
+//! evaluates `RULES` in order. After each rule that acts, evaluation starts again from the first rule, and it
+//! ends when no rule acts. Actions are calls to the [`Host`] passed with the event. `docs/design.md` lists
+//! the parts of the controller taken from the paper, and the deviations from the paper.
 
 mod conditions;
 mod events;
@@ -59,11 +60,12 @@
     timers: Timers,
 }
 
-/// A rule. If its condition holds, performs one action and returns `Some`, otherwise returns `None`.
+/// A rule of the controller. If its condition holds, it performs one action and returns `Some`; otherwise it
+/// returns `None`.
 type Rule = fn(&mut Controller, &mut dyn Host) -> Option<()>;
 
-/// The controller's rules in order of precedence. Evaluation restarts from the first rule after each rule
-/// that acts, and ends when no rule acts.
+/// The controller's rules in order of precedence. After a rule has acted, evaluation starts again from the
+/// first rule. It ends when no rule acts.
 const RULES: &[Rule] = &[
     Controller::answer_overdue,
     Controller::stop_abandoned_runs,
@@ -78,9 +80,9 @@
 ];
 
 impl Controller {
-    /// Creates the controller of a server that started at `started_at`. `seed` determines the offset of the
-    /// control periods, so that the servers of a fleet do not start them at the same time. It also seeds
-    /// the random numbers of fair queueing.
+    /// Creates the controller of a server that started at `started_at`. The first control period starts at an
+    /// offset derived from `seed`, so that the servers of a fleet start their periods at different times.
+    /// `seed` also determines the random numbers of fair queueing.
     pub fn new(deployment: Deployment, seed: u64, started_at: Nanos, host: &mut dyn Host) -> Self {
         let classes = PriorityClasses::new(&deployment);
         let objectives = deployment.operations.iter().map(|operation| operation.latency_objective);
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Applies a partial change of the fair queueing settings: tenant weights and burst sizes.
+    /// Changes the settings of fair queueing that `change` contains: tenant weights and burst sizes.
     pub fn reconfigure_fair_queueing(&mut self, now: Nanos, change: &SettingsChange) {
         if let Some(fair) = self.quotas.fair_queue() {
             fair.reconfigure(change, now);
@@ -136,7 +138,7 @@
         self.quotas.fair_queue()
     }
 
-    /// Moves the controller's clock to `now`.
+    /// Sets the controller's clock to `now` and refills the call budget for the elapsed time.
     fn advance(&mut self, now: Nanos) {
         self.calls.advance(now.saturating_sub(self.now));
         self.now = now;
--- a/crates/overload-control/src/controller/conditions.rs
+++ b/crates/overload-control/src/controller/conditions.rs
@@ -1,4 +1,4 @@
-//! Values that the controller's rules and event handlers derive from its state.
+//! Values that the controller computes from its state. The rules and the event handlers use these values.
 
 use super::Controller;
 use crate::admission::{Admission, Distress};
@@ -13,8 +13,7 @@
         self.invocations.count(&[InvocationState::Running])
     }
 
-    /// Number of runs that have started and not ended, including runs that wait for a downstream call or
-    /// are in one.
+    /// Number of open runs. An open run is on a core, waits for a downstream call, or has one in progress.
     pub(super) fn open_runs(&self) -> f64 {
         let states = [InvocationState::Running, InvocationState::AwaitingCall, InvocationState::Calling];
         self.invocations.count(&states)
@@ -41,20 +40,20 @@
         }
     }
 
-    /// Memory used by invocations and idempotency keys, KB.
+    /// Memory that all invocations and idempotency keys use, KB.
     pub(super) fn memory_needed_kb(&self) -> f64 {
         self.invocations.memory_kb() + self.keys.memory_kb()
     }
 
-    /// Time until which the controller waits for the result of an invocation that has left the pending
-    /// queue. After this time it answers without the result.
+    /// Time at which the controller stops waiting for the result of an invocation that has left the pending
+    /// queue. The controller then answers without the result.
     pub(super) fn wait_until(&self, invocation: &Invocation) -> Nanos {
         let has_late_value = self.deployment.operations[invocation.operation].late_value > 0.0;
         let is_late_useful = has_late_value || !self.is_idempotent(invocation);
         invocation.deadlines.wait_until(is_late_useful, self.draining.last_answers())
     }
 
-    /// Time that arrivals wait to be read, in excess of the normal reading delay, ns.
+    /// Excess reading delay, ns: the time that arrivals wait until they are read, minus the normal delay.
     pub(super) fn excess_reading_delay(&self) -> f64 {
         self.reading.excess_delay(self.now, self.times.longest_core_ns())
     }
@@ -64,12 +63,13 @@
         self.health.unhealthy_ratio(self.now, oldest_run, self.times.longest_core_ns())
     }
 
-    /// Whether the server is flooded or unhealthy, and recovers only if callers send less.
+    /// Whether the server is in distress: it is flooded by arrivals or unhealthy. Such a server recovers only
+    /// if callers send fewer invocations.
     pub(super) fn is_in_distress(&self) -> bool {
         self.reading.is_flooded(self.now) || self.unhealthy_ratio() > 0.0
     }
 
-    /// Share of the control period in which arrivals of `rank` are rejected.
+    /// Share of the control period, from 0 to 1, in which arrivals of `rank` are rejected.
     pub(super) fn refusal_ratio(&self, rank: usize) -> f64 {
         let distress = Distress {
             is_flooded: self.reading.is_flooded(self.now),
@@ -78,9 +78,12 @@
         Admission::refusal_ratio(self.regulator.ratios(), &self.classes, rank, &distress)
     }
 
-    /// Excess work, in control periods, that the utilization gauge cannot show because it is capped at 1.
-    /// The sum of three times: the core time of pending invocations divided by the concurrency limit, the
-    /// excess delay of reading arrivals, and the call time in excess of the limit on downstream calls.
+    /// Backlog: work in excess of full utilization, in control periods. The utilization gauge cannot show
+    /// this work, because the gauge is capped at 1.
+    ///
+    /// The backlog is the sum of three times: the core time of pending invocations divided by the concurrency
+    /// limit, the excess delay of reading arrivals, and the delay of downstream calls in excess of the limit
+    /// on calls.
     pub(super) fn backlog(&self) -> f64 {
         let queued = self.invocations.pending.queued_work(self.times.usual());
         let calls = self.calls.backlog(self.open_calls());
--- a/crates/overload-control/src/controller/events.rs
+++ b/crates/overload-control/src/controller/events.rs
@@ -1,4 +1,4 @@
-//! Event handlers of the controller: each one updates the measurements and then applies the rules.
+//! Event handlers of the controller. Each handler updates the measurements and then applies the rules.
 
 use super::{CONTROL_PERIOD, CONTROL_TIMER, Controller};
 use crate::concurrency_limit::Load;
@@ -9,7 +9,7 @@
 use crate::{Arrival, Gauges, Host, Nanos, Outcome, log_lines};
 
 impl Controller {
-    /// Handles an invocation that the host has read.
+    /// Handles the arrival of an invocation that the host has read.
     pub fn on_arrival(&mut self, now: Nanos, arrival: Arrival, host: &mut dyn Host) {
         self.advance(now);
         self.reading.observe_delay(now, arrival.age);
@@ -25,19 +25,20 @@
         invocation.rank = self.classes.rank(operation.priority_weight * quota_ratio);
         invocation.deadlines = Deadlines::of(&arrival, operation, now);
         invocation.cost_ratio = cost_ratio;
-        // An invocation with a valid ticket of a promise skips the refusal window, unless the server is
-        // flooded or unhealthy when the invocation arrives.
+        // A valid ticket of a promise of admission exempts an invocation from the refusal window. The
+        // exemption does not apply if the server is flooded or unhealthy.
         let is_promised = quota_decision.fair_admission.is_some_and(|admission| admission.promised);
         invocation.screened |= is_promised && !self.is_in_distress();
-        // Two kinds of invocations are not run: those that arrive after the drain grace, and those whose
-        // idempotency key the host could not store. Without the stored key a retry would not be recognized,
-        // and the operation would take effect twice.
+        // Two kinds of invocations are answered without a run. The first kind arrives after the drain grace.
+        // The second kind has an idempotency key that the host could not store: a retry with this key would
+        // not be recognized, and the operation would take effect twice.
         let answer_without_run = self.draining.is_too_late(invocation.arrived) || arrival.key_not_stored;
         self.invocations.insert(invocation, answer_without_run);
         self.apply_rules(host);
     }
 
-    /// Handles the end of a run, or of the replay of the original invocation's result to a repeat.
+    /// Handles the end of a run. Also handles the end of a replay, in which a repeated invocation is answered
+    /// with the result of the original invocation.
     pub fn on_run_finished(&mut self, now: Nanos, id: u64, outcome: Outcome, host: &mut dyn Host) {
         self.advance(now);
         if let Some(key) = self.invocations.find(id) {
@@ -49,7 +50,7 @@
     fn finish_run(&mut self, key: usize, outcome: Outcome, host: &mut dyn Host) {
         let state = self.invocations[key].state();
         if state == InvocationState::Calling {
-            // The run ended before its downstream call did, so the outcome of the call is unknown.
+            // The run ended while its downstream call was in progress, so the outcome of the call is unknown.
             let duration = self.now - self.invocations[key].state_since;
             self.calls.refund(self.invocations[key].call_timeout, duration, Outcome::Unknown);
         }
@@ -67,13 +68,13 @@
         if has_ended || invocation.answered {
             self.remove(key);
         } else if invocation.has_run && !self.is_idempotent(invocation) {
-            // The work of the run is lost. Only idempotent work may run again, so this invocation is
-            // answered.
+            // The run ended without a result and its work is lost. Only an idempotent operation may run
+            // again, so this invocation is answered instead.
             self.answer(key, 0, host);
         }
     }
 
-    /// Handles a run that has reached its downstream call and waits for permission to make it.
+    /// Handles a run that needs to make its downstream call and waits until the controller permits the call.
     pub fn on_call_needed(&mut self, now: Nanos, id: u64, host: &mut dyn Host) {
         self.advance(now);
         if let Some(key) = self.invocations.find(id) {
@@ -82,7 +83,7 @@
         self.apply_rules(host);
     }
 
-    /// Handles the end of an invocation's downstream call, which lasted for `duration`.
+    /// Handles the end of an invocation's downstream call. The call lasted for `duration`.
     pub fn on_call_finished(
         &mut self,
         now: Nanos,
@@ -112,13 +113,13 @@
             let backoff = DownstreamCalls::backoff(usual.elapsed_ns);
             self.invocations[key].retry_call_at = self.now + backoff;
         } else if !self.is_idempotent(&self.invocations[key]) {
-            // The call may have taken effect, so the call must not be repeated.
+            // The call must not be repeated, because it may already have taken effect.
             self.answer(key, 0, host);
         }
     }
 
-    /// Handles the notice to drain, received at `noticed_at`; the host may have received the notice before
-    /// it created the controller. The process stops `grace` after `noticed_at`.
+    /// Handles the drain notice. The process stops `grace` after `noticed_at`, the time at which the host
+    /// received the notice. This time may be before the controller was created.
     pub fn on_drain_notice(&mut self, now: Nanos, noticed_at: Nanos, grace: Nanos, host: &mut dyn Host) {
         self.advance(now);
         self.draining.begin(noticed_at, grace);
@@ -126,7 +127,7 @@
         self.apply_rules(host);
     }
 
-    /// Handles a cancellation by the caller, or its disconnection. The invocation is closed without an
+    /// Handles an invocation whose caller cancelled it or disconnected. The invocation is closed without an
     /// answer.
     pub fn on_caller_gone(&mut self, now: Nanos, id: u64, host: &mut dyn Host) {
         self.advance(now);
@@ -136,8 +137,8 @@
         self.apply_rules(host);
     }
 
-    /// Handles the expiry of a timer. `gauges` are used only with [`CONTROL_TIMER`]; any other timer id
-    /// only re-evaluates the rules.
+    /// Handles the expiry of a timer and applies the rules. `gauges` is used only if `timer` is
+    /// [`CONTROL_TIMER`], which starts a new control period.
     pub fn on_timer(&mut self, now: Nanos, timer: u32, gauges: Gauges, host: &mut dyn Host) {
         self.advance(now);
         if timer == CONTROL_TIMER {
@@ -172,8 +173,8 @@
         self.admission.start_period(self.now);
     }
 
-    /// Runs one step of the regulator on the utilization of the cores. Saturated downstream calls count as
-    /// a utilization of 1.
+    /// Runs one step of the regulator with the utilization of the cores. If downstream calls are saturated,
+    /// the regulator receives a utilization of 1 instead.
     fn regulate(&mut self, cores_utilization: f64, host: &mut dyn Host) {
         let target = self.deployment.target_utilization;
         let is_saturated = self.calls.is_saturated(self.open_calls());
--- a/crates/overload-control/src/controller/rules.rs
+++ b/crates/overload-control/src/controller/rules.rs
@@ -1,4 +1,4 @@
-//! The controller's rules, in the order of `RULES`, and the functions that answer an invocation.
+//! The controller's rules, in the order of `RULES`, and the functions with which rules answer invocations.
 
 use super::Controller;
 use crate::advertised_load::LoadInputs;
@@ -11,8 +11,8 @@
 use meadowstream_pending_queue::Capacity;
 
 impl Controller {
-    /// Answers an invocation whose deadline has passed, or a pending invocation that can no longer finish
-    /// by its objective deadline.
+    /// Rule: answers an invocation that is overdue. An invocation is overdue if its deadline has passed, or
+    /// if it is pending and can no longer finish by its objective deadline.
     pub(super) fn answer_overdue(&mut self, host: &mut dyn Host) -> Option<()> {
         let active = self
             .invocations
@@ -23,8 +23,8 @@
         Some(())
     }
 
-    /// Stops a run whose answer is no longer needed, if the host supports preemption. A run with an
-    /// idempotency key continues: if it were stopped, repeats with its key would fail for the rest of the
+    /// Rule: stops a run whose answer is no longer needed, if the host can stop runs. A run with an
+    /// idempotency key is not stopped, because repeats with its key would then fail for the rest of the
     /// idempotency window.
     pub(super) fn stop_abandoned_runs(&mut self, host: &mut dyn Host) -> Option<()> {
         if self.deployment.preemption == Preemption::Unsupported {
@@ -41,10 +41,10 @@
         Some(())
     }
 
-    /// Rejects an arrival during the refusal window of its rank. The refusal window is the first part of
-    /// the control period and is the actuator of IAMS (Jiang, Meng, Ren and Zhan). Operations without
-    /// downstream calls are exempt while downstream calls are saturated and the cores are below their
-    /// target.
+    /// Rule: rejects an arrival during the refusal window of its rank, which is the first part of each
+    /// control period. Admission by refusal windows is taken from IAMS (Jiang, Meng, Ren and Zhan).
+    /// Operations without downstream calls are exempt while downstream calls are saturated and the cores are
+    /// below their target utilization.
     pub(super) fn reject_in_refusal_window(&mut self, host: &mut dyn Host) -> Option<()> {
         let key = self.invocations.next_to_screen()?;
         let (rank, operation) = (self.invocations[key].rank, self.invocations[key].operation);
@@ -54,15 +54,15 @@
         if let Some(time_left) = time_left.filter(|_| !is_spared) {
             let in_distress = self.is_in_distress();
             let retry_after = if in_distress { self.deployment.retry_after_max } else { time_left };
-            // A promise of admission exempts the retry from the refusal window, so no minimum delay is set
-            // for the promise.
+            // The promise takes effect immediately (after 0 ns). A retry with a promise of admission is
+            // exempt from the refusal window, so it need not wait for the end of the window.
             self.reject_or_fail(key, retry_after, 0, host);
         }
         Some(())
     }
 
-    /// Rejects the pending invocation of the lowest priority while invocations and idempotency keys exceed
-    /// the memory limit.
+    /// Rule: rejects the pending invocation of the lowest priority if invocations and idempotency keys
+    /// together exceed the memory limit.
     pub(super) fn reject_beyond_memory(&mut self, host: &mut dyn Host) -> Option<()> {
         if !self.memory.is_exceeded(self.memory_needed_kb()) {
             return None;
@@ -72,8 +72,8 @@
         Some(())
     }
 
-    /// Answers a repeat, recognized by its idempotency key, with the result of the original invocation
-    /// instead of running it again.
+    /// Rule: answers a repeated invocation, which has the idempotency key of an earlier one, with the result
+    /// of the earlier invocation. The operation does not run again.
     pub(super) fn replay_results(&mut self, host: &mut dyn Host) -> Option<()> {
         let key = self.invocations.first_pending_repeat()?;
         self.enter(key, InvocationState::Replaying);
@@ -81,9 +81,9 @@
         Some(())
     }
 
-    /// If a pending invocation would miss its latency objective, rejects one invocation so that the others
-    /// meet theirs. The candidates are the late invocation and those of its rank that run before it; the
-    /// one of the lowest priority is rejected.
+    /// Rule: rejects one invocation if a pending invocation would miss its latency objective, so that the
+    /// others meet their objectives. The rejected invocation is the one of lowest priority among the late
+    /// invocation and the invocations of its rank that run before it.
     pub(super) fn reject_for_deadlines(&mut self, host: &mut dyn Host) -> Option<()> {
         let concurrency_limit = self.concurrency.get();
         let free_slots = (concurrency_limit - self.running()).floor().max(0.0) as usize;
@@ -93,9 +93,10 @@
         Some(())
     }
 
-    /// Starts the downstream call of the highest-ranked unanswered run that waits for its call. If the call
-    /// is not permitted now, lacks call budget, or failed in an earlier attempt, a run whose operation
-    /// supports degraded answers continues without its call.
+    /// Rule: starts the downstream call of the highest-ranked run that waits for its call.
+    ///
+    /// A run may continue without its call if its operation supports degraded answers. The call is then
+    /// skipped if it is not permitted now, if the call budget is too low, or if an earlier attempt failed.
     pub(super) fn start_calls(&mut self, host: &mut dyn Host) -> Option<()> {
         let open = self.open_calls();
         if !self.calls.is_within_limit(open.calling) {
@@ -121,21 +122,22 @@
         Some(())
     }
 
-    /// Returns the run of the highest rank that may make its downstream call now. Among runs of equal rank
-    /// the oldest is returned.
+    /// Returns the run that makes its downstream call next. It is the run of the highest rank among the runs
+    /// that wait for a call, and the oldest among runs of this rank.
     fn next_to_call(&self) -> Option<usize> {
         let ready = self.invocations.active().filter(|(_, invocation)| {
             invocation.state() == InvocationState::AwaitingCall
                 && !invocation.answered
                 && self.now >= invocation.retry_call_at
         });
-        // `max_by_key` returns the last of several equal items, so the order is reversed to get the oldest.
+        // The runs are in order of age. `max_by_key` returns the last of several runs of equal rank, so the
+        // order is reversed to get the oldest.
         let (key, _) = ready.rev().max_by_key(|(_, invocation)| invocation.rank)?;
         Some(key)
     }
 
-    /// Reserves call budget for a run's downstream call and returns the call's timeout; `None` if the
-    /// budget of a shared dependency is too low.
+    /// Reserves call budget for the downstream call of a run and returns the timeout of the call. Returns
+    /// `None` if the call goes to a shared dependency and the call budget is too low.
     fn reserve_call(&mut self, key: usize) -> Option<Nanos> {
         let invocation = &self.invocations[key];
         let attempt = Attempt {
@@ -154,8 +156,8 @@
         Some(())
     }
 
-    /// Starts the next pending invocation if the limits on runs and memory permit. While downstream calls
-    /// are saturated, only operations without downstream calls start.
+    /// Rule: starts the next pending invocation if the limits on runs and memory permit it. While downstream
+    /// calls are saturated, only invocations of operations without downstream calls are started.
     pub(super) fn start_runs(&mut self, host: &mut dyn Host) -> Option<()> {
         let pending = &self.invocations.pending;
         let next = if self.calls.is_saturated(self.open_calls()) {
@@ -177,8 +179,9 @@
         Some(())
     }
 
-    /// Notifies the host of a change of readiness or advertised load. Health checks report readiness: they
-    /// fail on a draining server that wants no more arrivals, even if the server is healthy.
+    /// Rule: notifies the host if the readiness or the advertised load has changed. Health checks report
+    /// readiness, so they fail on a draining server that wants no more arrivals, even if the server is
+    /// healthy.
     pub(super) fn report_health_and_load(&mut self, host: &mut dyn Host) -> Option<()> {
         let wants_arrivals = self.draining.wants_arrivals(self.now, self.deployment.target_utilization);
         let is_ready = wants_arrivals && self.unhealthy_ratio() <= 0.0;
@@ -198,8 +201,9 @@
         Some(())
     }
 
-    /// Sets the deadline timer to the earliest of three times: the next deadline, the end of a backoff, and
-    /// the time at which the call budget suffices for a waiting call.
+    /// Rule: sets the deadline timer to the next time at which a rule must be applied. It is the earliest of
+    /// the next deadline, the end of a backoff, and the time at which the call budget suffices for a waiting
+    /// call.
     pub(super) fn set_deadline_timer(&mut self, host: &mut dyn Host) -> Option<()> {
         let unanswered = self.invocations.active().filter(|(_, invocation)| !invocation.answered);
         let active = unanswered.map(|(_, invocation)| {
@@ -225,18 +229,19 @@
         self.invocations.enter(key, state, self.now);
     }
 
-    /// Sends the final answer of an invocation, which is a rejection or an error. A rejection advises the
-    /// caller to retry after `retry_after`.
+    /// Answers an invocation with a rejection or an error. A rejection advises the caller to retry after
+    /// `retry_after`.
     pub(super) fn answer(&mut self, key: usize, retry_after: Nanos, host: &mut dyn Host) {
         self.reject_or_fail(key, retry_after, retry_after, host);
     }
 
-    /// Rejects an invocation that is idempotent or certainly had no effect, and fails any other. A repeat
-    /// may have had an effect through the run of the original invocation. A promise of admission takes
-    /// effect after `promise_after` at the earliest.
+    /// Rejects an invocation if its caller may safely repeat it, and otherwise answers it with an error. A
+    /// caller may safely repeat an invocation that is idempotent or had no effect. An invocation that repeats
+    /// an earlier one may have had an effect through the earlier run. A promise of admission takes effect
+    /// after `promise_after` or later.
     ///
-    /// The caller is told not to retry at another server if this server promised it admission, if the
-    /// latency objective has passed, or if retries would add to an overload of the fleet.
+    /// The caller is advised not to retry at another server in three cases: this server promised it
+    /// admission, the latency objective has passed, or retries would add to an overload of the fleet.
     fn reject_or_fail(&mut self, key: usize, retry_after: Nanos, promise_after: Nanos, host: &mut dyn Host) {
         let are_retries_harmful = self.retries.are_harmful(self.regulator.ratios().basic);
         let advice = self.issue_retry_advice(key, retry_after, promise_after, host);
@@ -253,9 +258,12 @@
         self.close(key, host);
     }
 
-    /// Returns the time after which the caller may retry, and the ticket of a promise of admission if one
-    /// is made. With fair queueing, an invocation that never ran is also ended in the scheduler, and a
-    /// promise is announced to the host. No promise is made while the server is in distress or draining.
+    /// Returns retry advice for the caller of an invocation that is about to be answered. The advice is a
+    /// delay and, if this server promises to admit the retry, a ticket.
+    ///
+    /// With fair queueing, an invocation that never ran also ends in the fair queueing scheduler, and a
+    /// promise is announced to the host. No promise is made while the server is draining, flooded or
+    /// unhealthy.
     fn issue_retry_advice(
         &mut self,
         key: usize,
@@ -278,8 +286,8 @@
         advice
     }
 
-    /// Marks the invocation as answered. If its run or downstream call is in progress, the invocation is
-    /// kept until that ends.
+    /// Marks an invocation as answered and removes it. If its run or downstream call is in progress, the
+    /// invocation is kept until the run or call ends.
     pub(super) fn close(&mut self, key: usize, host: &mut dyn Host) {
         let effect = self.effect(&self.invocations[key]);
         self.keys.forget_unless_run(&self.invocations[key], effect, host);
--- a/crates/overload-control/src/deadline.rs
+++ b/crates/overload-control/src/deadline.rs
@@ -1,23 +1,25 @@
-//! Deadlines of an invocation: for its answer, for an answer of full value, and for the start of its run.
+//! Deadlines of an invocation: the latest useful time of an answer, the latest time of an answer with full
+//! value, and the latest start of the run.
 
 use crate::{Arrival, Nanos, Operation};
 use meadowstream_pending_queue::UsualTimes;
 
-/// Share of the latency objective reserved for the transfer of the answer to the client.
+/// Share of the latency objective that is reserved for sending the answer to the client. The run must end
+/// earlier by this time.
 const RETURN_SHARE: f64 = 0.02;
 
-/// Deadlines of an invocation, fixed at its arrival.
+/// Deadlines of an invocation, computed once when it arrives.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Deadlines {
-    /// Answer deadline: the caller does not wait for an answer after this time.
+    /// Answer deadline: after this time the caller no longer waits for an answer.
     pub answer: Nanos,
-    /// Objective deadline: an answer has its full value until this time. The objective deadline is never
-    /// after the caller's own deadline.
+    /// Objective deadline: an answer until this time has its full value. It is never later than the caller's
+    /// own deadline.
     pub objective: Nanos,
 }
 
 impl Deadlines {
-    /// Computes the deadlines of an arrival that is read at `now`.
+    /// Computes the deadlines of an arrival that the host reads at `now`.
     pub fn of(arrival: &Arrival, operation: &Operation, now: Nanos) -> Self {
         let reached = now.saturating_sub(arrival.age);
         let caller = match arrival.remaining_deadline {
@@ -28,18 +30,19 @@
         Self { answer: caller.max(now), objective: objective.min(caller) }
     }
 
-    /// Returns the time until which the controller waits for the result of an invocation that has left the
-    /// pending queue. With `is_late_useful` the controller waits beyond the objective deadline. No wait
-    /// extends beyond `last_answers`, the time of the last answers of a draining server.
+    /// Returns the time at which the controller stops waiting for the result of an invocation that has left
+    /// the pending queue. This is the answer deadline if a late result is useful (`is_late_useful`), and
+    /// otherwise the objective deadline. It is never later than `last_answers`, the time at which a draining
+    /// server sends its last answers.
     pub fn wait_until(&self, is_late_useful: bool, last_answers: Nanos) -> Nanos {
         let useful = if is_late_useful { self.answer } else { self.objective };
         self.answer.min(last_answers).min(useful)
     }
 }
 
-/// Returns a function that computes the latest start of a pending invocation from its operation and
-/// objective deadline. A start is never later than `last_answers`, the time of the last answers of a
-/// draining server.
+/// Returns a function that computes the latest time at which a pending invocation may start. The arguments of
+/// the function are the operation and the objective deadline of the invocation. The result is never later
+/// than `last_answers`, the time at which a draining server sends its last answers.
 pub fn latest_start(usual_times: &[UsualTimes], last_answers: Nanos) -> impl Fn(usize, Nanos) -> Nanos + '_ {
     move |operation, objective| {
         let usual = usual_times[operation].elapsed_ns as Nanos;
--- a/crates/overload-control/src/decaying_mean.rs
+++ b/crates/overload-control/src/decaying_mean.rs
@@ -1,8 +1,9 @@
-//! Exponentially decaying means. The decay since the last observation is computed when a value is read.
+//! Means of observations whose weights decay exponentially with time. The decay is computed when an
+//! observation is added or a value is read.
 
 use crate::Nanos;
 
-/// A weighted mean of observations; the weight of an observation halves with every half-life.
+/// A weighted mean of observations. The weight of each observation halves with every half-life.
 #[derive(Clone, Debug)]
 pub struct DecayingMean {
     half_life: Nanos,
@@ -12,22 +13,22 @@
 }
 
 impl DecayingMean {
-    /// Creates a mean without observations.
+    /// Creates a mean that has no observations yet.
     pub fn new(half_life: Nanos, now: Nanos) -> Self {
         Self { half_life: half_life.max(1), updated: now, sum: 0.0, weight: 0.0 }
     }
 
-    /// Creates a mean that starts with `weight` observations of `value`.
+    /// Creates a mean as if `weight` observations of `value` had been added at `now`.
     pub fn starting_at(half_life: Nanos, now: Nanos, value: f64, weight: f64) -> Self {
         Self { sum: value * weight, weight, ..Self::new(half_life, now) }
     }
 
-    /// Returns the factor by which the weights of the observations have decayed since the last update.
+    /// Returns the factor by which the weight of each observation has decayed since the last update.
     fn remaining_ratio(&self, now: Nanos) -> f64 {
         (-(now.saturating_sub(self.updated) as f64) / self.half_life as f64).exp2()
     }
 
-    /// Adds an observation of weight 1.
+    /// Adds an observation, whose weight is 1 at `now`.
     pub fn add(&mut self, now: Nanos, value: f64) {
         let remaining = self.remaining_ratio(now);
         self.sum = self.sum * remaining + value;
@@ -35,18 +36,17 @@
         self.updated = self.updated.max(now);
     }
 
-    /// Returns the mean; 0 if there are no observations.
+    /// Returns the weighted mean of all observations, or 0 if there are none.
     pub fn mean(&self) -> f64 {
         if self.weight > 0.0 { self.sum / self.weight } else { 0.0 }
     }
 
-    /// Returns the sum of the decayed weights of all observations at `now`.
+    /// Returns the sum of the weights of all observations, decayed until `now`.
     pub fn weight(&self, now: Nanos) -> f64 {
         self.weight * self.remaining_ratio(now)
     }
 
-    /// Returns the estimated rate of observations per second, which is exact if observations arrive at a
-    /// steady rate.
+    /// Returns the estimated number of observations per second. The estimate is exact for a steady rate.
     pub fn rate(&self, now: Nanos) -> f64 {
         self.weight(now) * std::f64::consts::LN_2 * 1e9 / self.half_life as f64
     }
--- a/crates/overload-control/src/downstream_calls.rs
+++ b/crates/overload-control/src/downstream_calls.rs
@@ -1,43 +1,43 @@
-//! Downstream calls: concurrency limit, timeouts, retries and backoff.
+//! Controls the downstream calls of this server: concurrency limit, timeouts, retries and backoff.
 
 use crate::call_budget::{CallBudget, Request};
 use crate::decaying_mean::DecayingMean;
 use crate::operation_times::TIMES_HALF_LIFE;
 use crate::{Deployment, Nanos, Outcome};
 
-/// Amount by which the limit on concurrent calls grows, as a share of the core count. The limit grows by this
-/// amount after a number of successful calls equal to the limit. Only successes while the limit is reached
-/// are counted.
+/// Growth of the limit on concurrent calls, as a share of the number of cores. The limit grows by this amount
+/// each time as many calls have succeeded as the limit permits at once. A success counts only if the limit is
+/// reached.
 const LIMIT_GROWTH: f64 = 0.1;
-/// Factor by which each rejected call reduces the limit on concurrent calls.
+/// Factor by which the limit on concurrent calls is multiplied after each rejected call.
 const LIMIT_CUT_RATIO: f64 = 0.93;
-/// Base timeout of a call that may be repeated, as a multiple of the usual call time. The first attempt has
-/// twice the base timeout, and the timeout doubles with each further attempt.
+/// Base timeout of a call that may be repeated, as a multiple of the usual duration of a call. The first
+/// attempt has twice the base timeout. The timeout doubles with each further attempt.
 const BASE_TIMEOUT_RATIO: f64 = 2.0;
-/// Number of attempts after which the timeout of an attempt no longer doubles.
+/// Maximum number of times that the timeout of a call doubles over its attempts.
 const DOUBLINGS_MAX: u32 = 8;
-/// Delay before a rejected call is retried, as a share of the usual run time of the operation.
+/// Delay before a rejected call is retried, as a share of the usual time from start to end of the operation's
+/// runs.
 const BACKOFF_SHARE: f64 = 0.25;
 
-/// An attempt of a downstream call that is about to start.
+/// An attempt to make a downstream call.
 pub struct Attempt {
-    /// Number of earlier attempts of this call.
+    /// Number of earlier attempts to make this call.
     pub attempts: u32,
-    /// Time until the result of the call is no longer useful.
+    /// Remaining time in which the result of the call is useful.
     pub time_left: Nanos,
-    /// Estimated cost of the run that makes the call, as a ratio to the usual cost of a run of the
-    /// operation.
+    /// Estimated cost of the run that makes the call, divided by the usual cost of a run of its operation.
     pub cost_ratio: f64,
-    /// Whether the call may be repeated.
+    /// Whether the call may be repeated without harm.
     pub is_idempotent: bool,
     /// Whether the run that makes the call has the highest rank.
     pub is_top_rank: bool,
 }
 
-/// Numbers of runs that wait for a downstream call or have one in progress.
+/// Numbers of runs that wait to make a downstream call, and of runs whose call is in progress.
 #[derive(Clone, Copy)]
 pub struct OpenCalls {
-    /// Number of runs that wait to make their call.
+    /// Number of runs that wait to make their downstream call.
     pub awaiting: f64,
     /// Number of calls in progress.
     pub calling: f64,
@@ -46,16 +46,17 @@
 /// State of the downstream calls of this server.
 pub struct DownstreamCalls {
     cores: f64,
-    /// Learned limit on concurrent calls to the downstream tier.
+    /// Learned limit on the number of concurrent calls to the downstream tier.
     limit: f64,
-    /// Whether the fleet's shared state currently withholds permission for downstream calls.
+    /// Whether the last call that this server wanted to make was denied by the fleet's shared state.
     is_withheld: bool,
     call_time: DecayingMean,
     budget: Option<CallBudget>,
 }
 
 impl DownstreamCalls {
-    /// Creates the state of the downstream calls. The limit on concurrent calls starts at the core count.
+    /// Creates the state of the downstream calls. The initial limit on concurrent calls is the number of
+    /// cores.
     pub fn new(deployment: &Deployment, now: Nanos) -> Self {
         Self {
             cores: deployment.cores,
@@ -66,26 +67,27 @@
         }
     }
 
-    /// Refills the call budget for the time `elapsed` since the last refill.
+    /// Refills the call budget, if there is one, for the time `elapsed` since the last refill.
     pub fn advance(&mut self, elapsed: Nanos) {
         if let Some(budget) = &mut self.budget {
             budget.advance(elapsed);
         }
     }
 
-    /// Whether the limit on concurrent calls permits one more. Calls to a shared dependency are not subject
-    /// to this limit but to a budget of call time.
+    /// Whether the limit on concurrent calls permits another call while `calling` calls are in progress.
+    /// Calls to a shared dependency are always within the limit, because a budget of call time limits them
+    /// instead.
     pub fn is_within_limit(&self, calling: f64) -> bool {
         self.budget.is_some() || calling + 1.0 <= self.limit
     }
 
-    /// Records whether the fleet's shared state withholds permission for downstream calls.
+    /// Records whether the fleet's shared state denies downstream calls at present.
     pub fn set_withheld(&mut self, is_withheld: bool) {
         self.is_withheld = is_withheld;
     }
 
-    /// Returns the timeout of a call. Calls to a shared dependency also reserve call budget; returns `None`
-    /// if the budget is too low.
+    /// Returns the timeout of a call that is about to start. A call to a shared dependency also reserves call
+    /// budget. Returns `None` if this budget is too low.
     pub fn reserve(&mut self, attempt: &Attempt) -> Option<Nanos> {
         let base_timeout_ns = self.call_time.mean() * attempt.cost_ratio.max(1.0) * BASE_TIMEOUT_RATIO;
         let attempt_timeout_ns = base_timeout_ns * f64::from(2 << attempt.attempts.min(DOUBLINGS_MAX));
@@ -100,16 +102,16 @@
         budget.reserve(&Request { timeout, attempt_timeout_ns, base_timeout_ns, is_top_rank })
     }
 
-    /// Returns the unused part of a call's `timeout` to the budget, after the call or its run has ended.
+    /// Returns the unused part of `timeout` to the call budget, after the call or its run has ended.
     pub fn refund(&mut self, timeout: Nanos, duration: Nanos, outcome: Outcome) {
         if let Some(budget) = &mut self.budget {
             budget.refund(timeout, duration, outcome);
         }
     }
 
-    /// Updates the usual call time and the limit on concurrent calls after a call has ended. A success
-    /// raises the limit only while the limit is reached, since otherwise a success does not indicate that
-    /// the limit is too low.
+    /// Updates the usual duration of calls and the limit on concurrent calls after a call has ended. A
+    /// success raises the limit only if the limit is reached. Otherwise the success does not show that more
+    /// calls are possible.
     pub fn observe(&mut self, now: Nanos, outcome: Outcome, duration: Nanos, open: OpenCalls) {
         match outcome {
             Outcome::Succeeded => {
@@ -122,33 +124,34 @@
         }
     }
 
-    /// Returns the backoff after a rejected call, for an operation whose runs usually take
-    /// `usual_elapsed_ns`.
+    /// Returns the delay before a rejected call is retried. `usual_elapsed_ns` is the usual time from start
+    /// to end of the operation's runs.
     pub fn backoff(usual_elapsed_ns: f64) -> Nanos {
         (usual_elapsed_ns * BACKOFF_SHARE) as Nanos
     }
 
-    /// Whether the number of calls in progress and runs that wait for a call exceeds the learned limit.
+    /// Whether the limit on concurrent calls is exceeded by the calls in progress together with the runs that
+    /// wait for a call.
     fn is_at_limit(&self, open: OpenCalls) -> bool {
         open.awaiting + open.calling > self.limit
     }
 
-    /// Whether runs wait for downstream calls that may not be made now. Downstream capacity is then scarcer
-    /// than the cores.
+    /// Whether runs must wait before they can make downstream calls. Downstream capacity is then scarcer than
+    /// the cores.
     pub fn is_saturated(&self, open: OpenCalls) -> bool {
         (self.is_withheld && open.awaiting > 0.0) || self.is_at_limit(open)
     }
 
-    /// Returns the time by which calls are delayed because they exceed the limit on concurrent calls, ns:
-    /// the usual call time multiplied by the relative excess over the limit. Calls in progress and runs
-    /// that wait for a call are counted.
+    /// Returns the delay of downstream calls that exceed the limit on concurrent calls, ns. The delay is the
+    /// usual duration of a call multiplied by the relative excess over the limit. The excess counts calls in
+    /// progress and runs that wait for a call.
     pub fn backlog(&self, open: OpenCalls) -> f64 {
         let excess = ((open.awaiting + open.calling) / self.limit - 1.0).max(0.0);
         excess * self.call_time.mean()
     }
 
-    /// Returns the time at which the call budget will suffice for the waiting call; `None` if it suffices
-    /// now or if there is no budget.
+    /// Returns the time at which the call budget will be large enough for the waiting call. Returns `None` if
+    /// the budget is large enough now or if there is no budget.
     pub fn enough_budget_at(&self, now: Nanos) -> Option<Nanos> {
         self.budget.as_ref()?.enough_at(now)
     }
--- a/crates/overload-control/src/health.rs
+++ b/crates/overload-control/src/health.rs
@@ -1,5 +1,5 @@
-//! Health of this server: it is healthy if its runs succeed and make progress. Readiness is stored
-//! separately, since a draining server may be healthy but not ready.
+//! Health of this server. The server is healthy if its runs succeed and make progress. Readiness is a
+//! separate property, because a draining server may be healthy but not ready.
 
 use crate::Nanos;
 use crate::decaying_mean::DecayingMean;
@@ -7,45 +7,47 @@
 
 /// Share of failing runs above which the server is unhealthy.
 const FAILING_SHARE_MIN: f64 = 0.25;
-/// Maximum share of arrivals that an unhealthy server rejects because its runs fail.
+/// Upper bound of the share of arrivals that a server rejects because its runs fail.
 const FAILING_SHARE_MAX: f64 = 0.9;
-/// Number of observed runs above which failures are taken into account.
+/// Number of recent runs above which failures are taken into account.
 const RUNS_MIN: f64 = 2.0;
-/// Time after which a server is stalled if it has runs on its cores and none of them has left, as a multiple
-/// of the longest usual core time of its operations.
+/// Time without progress after which the server is stalled, as a multiple of the longest usual core time of
+/// its operations. The server makes no progress while it has runs on its cores and none of them leaves the
+/// cores.
 const STALL_RATIO: f64 = 6.0;
 
 /// Health and readiness of the server.
 pub struct Health {
-    /// Decaying share of runs that failed. Its half-life is shorter than that of run times, because a
-    /// failing server receives arrivals until its failures are detected.
+    /// Share of recent runs that failed. Its half-life is shorter than that of the usual run times, because a
+    /// failing server continues to receive arrivals until its failures are detected.
     failing: DecayingMean,
-    /// Time at which a run last left the cores.
+    /// Time at which a run most recently left the cores.
     last_progress: Nanos,
-    /// Readiness last reported: the server is healthy and wants arrivals.
+    /// Whether the server was ready at the last report to health checks. A ready server is healthy and wants
+    /// arrivals.
     is_ready: bool,
 }
 
 impl Health {
-    /// Creates the health of a server without failures.
+    /// Creates the health of a server whose runs have not failed.
     pub fn new(now: Nanos) -> Self {
         let failing = DecayingMean::new(TIMES_HALF_LIFE / 4, now);
         Self { failing, last_progress: now, is_ready: true }
     }
 
-    /// Records a run that ended without being stopped, and whether the run failed.
+    /// Records the end of a run, and whether the run failed. Not called for a run that was stopped.
     pub fn observe_run(&mut self, now: Nanos, failed: bool) {
         self.failing.add(now, f64::from(failed));
     }
 
-    /// Records that a run has left the cores.
+    /// Records that a run has left the cores, which is progress.
     pub fn observe_progress(&mut self, now: Nanos) {
         self.last_progress = now;
     }
 
-    /// Returns the share of arrivals to reject: 0 for a healthy server, 1 for a stalled one, and otherwise
-    /// the share of failing runs up to a maximum. Without these rejections, a server whose runs fail
-    /// immediately would appear idle and attract more arrivals.
+    /// Returns the share of arrivals to reject because the server is unhealthy. The share is 0 for a healthy
+    /// server, 1 for a stalled server, and otherwise the share of failing runs up to a maximum. Without
+    /// rejections, a server whose runs fail immediately would appear idle and attract more arrivals.
     pub fn unhealthy_ratio(&self, now: Nanos, oldest_run: Option<Nanos>, longest_core_ns: f64) -> f64 {
         let time_without_progress = oldest_run.map_or(0, |since| now - since.max(self.last_progress));
         let has_seen_runs = self.failing.weight(now) > RUNS_MIN;
@@ -59,7 +61,7 @@
         }
     }
 
-    /// Sets the readiness reported to health checks; returns whether it changed.
+    /// Sets the readiness that health checks report. Returns whether the readiness has changed.
     pub fn set_ready(&mut self, is_ready: bool) -> bool {
         std::mem::replace(&mut self.is_ready, is_ready) != is_ready
     }
--- a/crates/overload-control/src/idempotency.rs
+++ b/crates/overload-control/src/idempotency.rs
@@ -1,33 +1,34 @@
-//! Idempotency keys: an operation that is idempotent with a key runs once while its key is remembered.
+//! Idempotency keys: an operation that is idempotent with a key runs only once while the key is remembered.
 
 use crate::invocations::Invocation;
 use crate::{Arrival, Effect, Host, Nanos, Operation};
 use meadowstream_pending_queue::expiring_keys::ExpiringKeys;
 
-/// The idempotency keys that are remembered. A key is stored as the id of the first invocation that had it.
+/// The idempotency keys that are remembered. The host stores the keys themselves; this set contains the id of
+/// the first invocation with each key.
 pub struct IdempotencyKeys {
     keys: ExpiringKeys,
     entry_kb: f64,
 }
 
 impl IdempotencyKeys {
-    /// Creates an empty set of keys that use `entry_kb` of memory each.
+    /// Creates an empty set of keys. Each key uses `entry_kb` KB of memory.
     pub fn new(entry_kb: f64) -> Self {
         Self { keys: ExpiringKeys::default(), entry_kb }
     }
 
-    /// Forgets the keys whose idempotency window has ended.
+    /// Removes the keys whose idempotency window has ended.
     pub fn expire(&mut self, now: Nanos) {
         self.keys.expire(now);
     }
 
-    /// Returns the memory used by all remembered keys, KB.
+    /// Returns the memory that all remembered keys use, KB.
     pub fn memory_kb(&self) -> f64 {
         self.keys.len() as f64 * self.entry_kb
     }
 
-    /// Remembers the idempotency key of an arrival. This happens when the arrival is read, so that a repeat
-    /// that is read while the first invocation is still pending is recognized.
+    /// Remembers the idempotency key of an arrival when the host has read the arrival. The key is not
+    /// remembered later, because a repeat may already arrive while the first invocation is pending.
     pub fn remember(&mut self, now: Nanos, arrival: &Arrival, operation: &Operation, host: &mut dyn Host) {
         let has_key = operation.effect == Effect::IdempotentWithKey;
         if has_key && arrival.repeats.is_none() && !arrival.key_not_stored {
@@ -36,8 +37,8 @@
         }
     }
 
-    /// Forgets the idempotency key of an invocation that has ended without running, so that a repeat with
-    /// the key may run.
+    /// Forgets the idempotency key of an invocation that has ended without a run. A repeat with the same key
+    /// may then run.
     pub fn forget_unless_run(&mut self, invocation: &Invocation, effect: Effect, host: &mut dyn Host) {
         let has_key = effect == Effect::IdempotentWithKey && invocation.repeats.is_none();
         if has_key && !invocation.has_run && !invocation.answered {
--- a/crates/overload-control/src/invocations.rs
+++ b/crates/overload-control/src/invocations.rs
@@ -1,7 +1,7 @@
-//! Invocations of the server, from arrival until they are answered and their runs have ended.
+//! Stores the invocations of the server from their arrival until they are answered and their runs have ended.
 //!
-//! Pending invocations are in the pending queue; all others are ordered by arrival. Counts and memory use
-//! are updated with each change of state.
+//! Pending invocations are in the pending queue. All other invocations are ordered by arrival. Each change of
+//! an invocation's state also updates the counts by state and the memory use.
 
 use crate::deadline::Deadlines;
 use crate::{Arrival, Nanos};
@@ -23,7 +23,8 @@
     AwaitingCall,
     /// The run's downstream call is in progress.
     Calling,
-    /// The invocation repeats an earlier one and waits for the result of the earlier one.
+    /// The invocation has the idempotency key of an earlier invocation, and waits for the result of the
+    /// earlier one.
     Replaying,
 }
 
@@ -42,34 +43,34 @@
     pub arrived: Nanos,
     /// Deadlines of the answer.
     pub deadlines: Deadlines,
-    /// Memory of the invocation while it is pending, KB.
+    /// Memory that the invocation uses while it is pending, KB.
     pub held_kb: f64,
-    /// Admission by the fair queueing scheduler; `None` without fair queueing.
+    /// Decision of the fair queueing scheduler on this invocation; `None` without fair queueing.
     pub fair_admission: Option<FairAdmission>,
-    /// Factor by which the usual times of the operation are multiplied to estimate those of this run.
+    /// Estimated cost of this run, divided by the usual cost of a run of its operation.
     pub cost_ratio: f64,
-    /// Id of the earlier invocation with the same idempotency key.
+    /// Id of the earlier invocation with the same idempotency key; `None` if this invocation is no repeat.
     pub repeats: Option<u64>,
-    /// Time of the last change of state.
+    /// Time at which the invocation entered its current state.
     pub state_since: Nanos,
     /// Time at which the run last started.
     pub run_started: Nanos,
     /// Core time used so far.
     pub core_time: Nanos,
-    /// Earliest time of the next attempt after a rejected downstream call.
+    /// Time until which the run waits after its downstream call was rejected; the call is then retried.
     pub retry_call_at: Nanos,
-    /// Number of attempts of the current downstream call so far.
+    /// Number of attempts so far to make the current downstream call.
     pub call_attempts: u32,
-    /// Timeout of the last attempt of the downstream call.
+    /// Timeout of the most recent attempt to make the downstream call.
     pub call_timeout: Nanos,
-    /// Whether the run was started at least once.
+    /// Whether the invocation has been run at least once.
     pub has_run: bool,
-    /// Whether the invocation was answered or cancelled, so that no answer is needed.
+    /// Whether the invocation needs no answer any more, because it was answered or cancelled.
     pub answered: bool,
-    /// Whether the host was requested to stop the run.
+    /// Whether the controller has instructed the host to stop the run.
     pub stopping: bool,
-    /// Whether admission has compared the invocation's arrival with the refusal window of its rank, or need
-    /// not do so.
+    /// Whether admission has finished with the invocation. Admission compares the arrival with the refusal
+    /// window of its rank, except for invocations that are exempt.
     pub screened: bool,
     start_tag: u64,
     state: InvocationState,
@@ -78,8 +79,7 @@
 }
 
 impl Invocation {
-    /// Creates a pending invocation. The caller of this function then sets the rank, the deadlines and the
-    /// cost ratio.
+    /// Creates a pending invocation. The rank, the deadlines and the cost ratio must be set afterwards.
     pub fn new(now: Nanos, arrival: &Arrival, fair_admission: Option<FairAdmission>) -> Self {
         Self {
             id: arrival.id,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Returns the state of the invocation. Only [`Invocations::enter`] changes the state.
+    /// Returns the state of the invocation. The state is changed only by [`Invocations::enter`].
     pub fn state(&self) -> InvocationState {
         self.state
     }
@@ -116,24 +116,25 @@
     }
 }
 
-/// Number of memory units per KB. Memory is summed in integer units, so that the sums are exact.
+/// Number of units per KB in which memory is counted. Memory is counted in integers, so that sums have no
+/// rounding errors.
 const PARTS_OF_KB: f64 = 1024.0;
 
-/// All invocations of the server. Each has a key, which identifies the invocation until it is removed.
+/// All invocations of the server. Each invocation has a key, by which it is found until it is removed.
 pub struct Invocations {
     all: Slab<Invocation>,
     keys_by_id: HashMap<u64, usize>,
-    /// Pending invocations. Entries of this queue are added and removed only by changes of state.
+    /// Queue of the pending invocations. Only changes of an invocation's state add or remove its entry.
     pub pending: PendingQueue,
-    /// Keys of all invocations that are not pending, by arrival number.
+    /// Keys of all invocations that are not pending. The map is ordered by arrival number.
     active: BTreeMap<u64, usize>,
     pending_repeats: BTreeSet<ArrivalKey>,
     unscreened: VecDeque<ArrivalKey>,
     counts: [usize; STATES],
     memory_parts: u64,
-    /// Memory of a running invocation as a multiple of its memory while pending.
+    /// Factor by which an invocation uses more memory while it runs than while it is pending.
     run_memory_factor: f64,
-    /// Whether a stopped run keeps the memory that it used while running.
+    /// Whether a stopped run pauses. A paused run keeps the memory that it used while running.
     stopped_runs_pause: bool,
     arrivals: u64,
 }
@@ -152,7 +153,7 @@
 }
 
 impl Invocations {
-    /// Creates an empty collection. `pending` must be an empty queue.
+    /// Creates a collection without invocations. `pending` must be an empty queue.
     pub fn new(pending: PendingQueue, run_memory_factor: f64, stopped_runs_pause: bool) -> Self {
         Self {
             all: Slab::new(),
@@ -169,13 +170,13 @@
         }
     }
 
-    /// Returns the key of the invocation with this id.
+    /// Returns the key of the invocation whose id is `id`.
     pub fn find(&self, id: u64) -> Option<usize> {
         self.keys_by_id.get(&id).copied()
     }
 
-    /// Adds a pending invocation. With `answer_without_run` the invocation is overdue immediately,
-    /// regardless of its deadline, and is therefore answered without a run.
+    /// Adds a pending invocation. If `answer_without_run` is true, the invocation is overdue immediately,
+    /// whatever its deadline is. Overdue invocations are answered and not run.
     pub fn insert(&mut self, mut invocation: Invocation, answer_without_run: bool) {
         self.arrivals += 1;
         invocation.arrival_number = self.arrivals;
@@ -191,7 +192,7 @@
         }
     }
 
-    /// Removes an invocation that was answered and whose run, if any, has ended.
+    /// Removes an invocation. It must have been answered, and its run, if any, must have ended.
     pub fn remove(&mut self, key: usize) {
         self.remove_from_indexes(key);
         let invocation = self.all.remove(key);
@@ -200,14 +201,14 @@
         }
     }
 
-    /// Changes the state of an invocation.
+    /// Changes the state of an invocation at `now`.
     pub fn enter(&mut self, key: usize, state: InvocationState, now: Nanos) {
         self.remove_from_indexes(key);
         (self.all[key].state, self.all[key].state_since) = (state, now);
         self.add_to_indexes(key);
     }
 
-    /// Adds an invocation to the indexes and sums of its state.
+    /// Adds an invocation to the indexes and the sums that belong to its state.
     fn add_to_indexes(&mut self, key: usize) {
         let memory_parts = (self.memory_kb_of(&self.all[key]) * PARTS_OF_KB).round() as u64;
         self.memory_parts += memory_parts;
@@ -225,7 +226,7 @@
         }
     }
 
-    /// Removes an invocation from the indexes and sums of its state.
+    /// Removes an invocation from the indexes and the sums that belong to its state.
     fn remove_from_indexes(&mut self, key: usize) {
         let invocation = &self.all[key];
         self.memory_parts -= invocation.memory_parts;
@@ -239,19 +240,21 @@
         }
     }
 
-    /// Iterates over the invocations that are not pending and their keys, in order of arrival.
+    /// Iterates over the invocations that are not pending, in order of arrival. Each item also contains the
+    /// key of the invocation.
     pub fn active(&self) -> impl DoubleEndedIterator<Item = (usize, &Invocation)> {
         self.active.values().map(|key| (*key, &self.all[*key]))
     }
 
-    /// Returns the key of the earliest arrival that is not pending and satisfies `condition`.
+    /// Returns the key of the earliest arrival that satisfies `condition` among the invocations that are not
+    /// pending.
     pub fn first_active(&self, condition: impl Fn(&Invocation) -> bool) -> Option<usize> {
         let (key, _) = self.active().find(|(_, invocation)| condition(invocation))?;
         Some(key)
     }
 
-    /// Returns the key of the earliest arrival among the overdue pending invocations and `active`, which is
-    /// the key of an overdue invocation that is not pending.
+    /// Returns the key of the earliest arrival among all overdue invocations. `active` is the key of the
+    /// earliest overdue invocation that is not pending.
     pub fn first_overdue(
         &mut self,
         now: Nanos,
@@ -264,13 +267,14 @@
         Some(first.key)
     }
 
-    /// Returns the key of the earliest pending invocation that repeats an earlier invocation.
+    /// Returns the key of the earliest pending invocation that has the idempotency key of an earlier
+    /// invocation.
     pub fn first_pending_repeat(&self) -> Option<usize> {
         self.pending_repeats.first().map(|repeat| repeat.key)
     }
 
-    /// Returns the key of the earliest invocation that admission has not yet compared with the refusal
-    /// window, and marks the invocation as screened.
+    /// Returns the key of the earliest invocation that admission has not yet screened, and marks it as
+    /// screened. Screening compares an arrival with the refusal window of its rank.
     pub fn next_to_screen(&mut self) -> Option<usize> {
         while let Some(ArrivalKey { arrival_number, key }) = self.unscreened.pop_front() {
             let Some(invocation) = self.all.get_mut(key) else { continue };
@@ -282,18 +286,19 @@
         None
     }
 
-    /// Returns the number of invocations whose state is one of `states`.
+    /// Returns the number of invocations that are in one of the `states`.
     pub fn count(&self, states: &[InvocationState]) -> f64 {
         states.iter().map(|state| self.counts[*state as usize]).sum::<usize>() as f64
     }
 
-    /// Returns the time at which the oldest of the current runs entered the cores.
+    /// Returns the earliest time at which one of the current runs entered the cores; `None` if no run is on
+    /// the cores.
     pub fn oldest_run(&self) -> Option<Nanos> {
         let running = self.active().filter(|(_, invocation)| invocation.state == InvocationState::Running);
         running.map(|(_, invocation)| invocation.state_since).min()
     }
 
-    /// Returns the memory of an invocation in its current state, KB.
+    /// Returns the memory that an invocation uses in its current state, KB.
     fn memory_kb_of(&self, invocation: &Invocation) -> f64 {
         let is_paused = invocation.has_run && self.stopped_runs_pause;
         let is_waiting = matches!(invocation.state, InvocationState::Pending | InvocationState::Replaying);
@@ -301,13 +306,13 @@
         invocation.held_kb * factor
     }
 
-    /// Returns the memory that a pending invocation needs to run, in addition to its present memory, KB.
+    /// Returns the additional memory that a pending invocation needs to run, KB.
     pub fn memory_kb_to_run(&self, key: usize) -> f64 {
         let invocation = &self.all[key];
         invocation.held_kb * self.run_memory_factor - self.memory_kb_of(invocation)
     }
 
-    /// Returns the memory of all invocations in their current states, KB.
+    /// Returns the memory that all invocations use in their current states, KB.
     pub fn memory_kb(&self) -> f64 {
         self.memory_parts as f64 / PARTS_OF_KB
     }
--- a/crates/overload-control/src/largest.rs
+++ b/crates/overload-control/src/largest.rs
@@ -1,16 +1,16 @@
-//! Multiset of changing values, from which the largest value can be read at any time.
+//! Keeps a collection of changing values and returns the largest of them at any time.
 
 use std::collections::BTreeMap;
 
-/// A multiset of non-negative values, stored as the number of occurrences of each value. The bit patterns
-/// of non-negative floating-point numbers have the same order as the numbers.
+/// A multiset of non-negative numbers: the number of occurrences of each value, by the bit pattern of the
+/// value. The bit patterns of non-negative floating-point numbers have the same order as the numbers.
 #[derive(Clone, Debug, Default)]
 pub struct Largest {
     counts_by_bits: BTreeMap<u64, usize>,
 }
 
 impl Largest {
-    /// Returns the largest value; 0 if the multiset is empty.
+    /// Returns the largest value, or 0 if the multiset is empty.
     pub fn get(&self) -> f64 {
         self.counts_by_bits.last_key_value().map_or(0.0, |(bits, _)| f64::from_bits(*bits))
     }
@@ -20,7 +20,7 @@
         *self.counts_by_bits.entry(value.to_bits()).or_default() += 1;
     }
 
-    /// Replaces one occurrence of `before` by `after`.
+    /// Removes one occurrence of `before` and adds one of `after`.
     pub fn replace(&mut self, before: f64, after: f64) {
         if let Some(count) = self.counts_by_bits.get_mut(&before.to_bits()) {
             *count -= 1;
