--- a/crates/overload-control/src/linear_quadratic.rs
+++ b/crates/overload-control/src/linear_quadratic.rs
@@ -1,10 +1,12 @@
-//! Linear-quadratic regulation of `y(k) + a y(k-1) = b1 u1(k-1) + b2 u2(k-1)`. The gains are computed by
-//! Riccati iteration, and the plant is estimated by recursive least squares.
+//! Linear-quadratic regulator, which computes how many arrivals to refuse from the measured utilization. The
+//! plant model is `y(k) + a y(k-1) = b1 u1(k-1) + b2 u2(k-1)`. Here `y` is the utilization, and `u1` and `u2`
+//! are the refusal time ratios of premium and basic.
 //!
-//! `y` is the utilization; `u1` and `u2` are the refusal time ratios of premium and basic.
+//! The gains of the regulator are computed by Riccati iteration. The coefficients `a`, `b1` and `b2` are
+//! estimated by recursive least squares.
 
-/// Refusal time ratio of each class: the share of a control period, from 0 to 1, in which arrivals of the
-/// class are rejected.
+/// Refusal time ratios of the two priority classes. The refusal time ratio of a class is the share of a
+/// control period, from 0 to 1, in which arrivals of the class are rejected.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RefusalRatios {
     /// Refusal time ratio of the premium class.
@@ -13,46 +15,49 @@
     pub basic: f64,
 }
 
-/// Coefficients `a`, `b1` and `b2` of the model.
+/// Coefficients `a`, `b1` and `b2` of the plant model.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Plant {
-    /// Negated share of the utilization that carries over to the next period (`a`).
+    /// Coefficient `a`: the share of the utilization that carries over to the next control period, negated.
     pub a: f64,
-    /// Effect of refusing premium on the utilization (`b1`), negative.
+    /// Coefficient `b1`: change of the utilization if all arrivals of the premium class are refused;
+    /// negative.
     pub premium: f64,
-    /// Effect of refusing basic on the utilization (`b2`), negative.
+    /// Coefficient `b2`: change of the utilization if all arrivals of the basic class are refused; negative.
     pub basic: f64,
 }
 
-/// Cost weights of the regulator: the diagonals of the weight matrices `Q` and `R`.
+/// Cost weights that the regulator minimizes: the diagonal elements of the weight matrices `Q` (errors) and
+/// `R` (refusals).
 #[derive(Clone, Copy, Debug)]
 pub struct Weights {
-    /// Weight of the utilization error (first diagonal element of `Q`).
+    /// Cost of the utilization error (first diagonal element of `Q`).
     pub error: f64,
-    /// Weight of the running sum of the error (second diagonal element of `Q`).
+    /// Cost of the running sum of the utilization error (second diagonal element of `Q`).
     pub error_sum: f64,
-    /// Weight of refusing premium (first diagonal element of `R`).
+    /// Cost of refusing arrivals of the premium class (first diagonal element of `R`).
     pub premium: f64,
-    /// Weight of refusing basic (second diagonal element of `R`).
+    /// Cost of refusing arrivals of the basic class (second diagonal element of `R`).
     pub basic: f64,
 }
 
-/// Termination conditions of the Riccati iteration.
+/// Conditions that end the Riccati iteration.
 #[derive(Clone, Copy, Debug)]
 pub struct Iteration {
     pub steps_max: usize,
-    /// Convergence tolerance: the iteration ends once no gain changes by this much in one step.
+    /// Convergence tolerance: the iteration ends when each gain changes by less than this in one step.
     pub tolerance: f64,
 }
 
-/// Gains of one input: the input is `error * e + error_sum * sum(e)`, where `e` is the utilization error.
+/// Gains from which the refusal time ratio of one class is computed. The ratio is `error * e + error_sum *
+/// sum(e)`, where `e` is the utilization error.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClassGains {
     pub error: f64,
     pub error_sum: f64,
 }
 
-/// Gains of the two inputs, which are the refusal time ratios of premium and basic.
+/// Gains of both inputs of the plant: the refusal time ratios of premium and basic.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Gains {
     pub premium: ClassGains,
@@ -83,7 +88,8 @@
     pairs.map(|(x, y)| (x - y).abs()).fold(0.0, f64::max)
 }
 
-/// Computes the optimal gains; `None` if the iteration does not converge to finite gains.
+/// Computes the optimal gains by Riccati iteration. Returns `None` if the iteration does not converge to
+/// finite gains.
 pub fn gains(plant: &Plant, weights: &Weights, iteration: &Iteration) -> Option<Gains> {
     let a: Matrix2 = [[-plant.a, 0.0], [-plant.a, 1.0]];
     let b: Matrix2 = [[plant.premium, plant.basic], [plant.premium, plant.basic]];
@@ -104,7 +110,8 @@
             return None;
         }
         if largest_change(&before, &k) < iteration.tolerance {
-            // The optimal input is `-k x`. Refusing arrivals lowers the utilization, so `-k` is positive.
+            // The optimal input is `-k x`, so the gains are `-k`. They are positive, because refusing
+            // arrivals lowers the utilization.
             let [premium, basic] =
                 k.map(|[error, error_sum]| ClassGains { error: -error, error_sum: -error_sum });
             return Some(Gains { premium, basic });
@@ -114,28 +121,29 @@
     None
 }
 
-/// Estimates `a`, `b1` and `b2` by recursive least squares with exponential forgetting.
+/// Estimator of the coefficients `a`, `b1` and `b2` of the plant. It uses recursive least squares with
+/// exponential forgetting, which gives recent observations more weight.
 #[derive(Clone, Debug)]
 pub struct PlantEstimator {
-    /// Current estimate of the coefficients.
+    /// Current estimate of the coefficients `a`, `b1` and `b2`.
     theta: [f64; 3],
-    /// Covariance of the estimation errors.
+    /// Covariance matrix of the errors of the estimated coefficients.
     covariance: [[f64; 3]; 3],
     forgetting: f64,
 }
 
 impl PlantEstimator {
-    /// Creates an estimator whose initial estimate is `prior`, with `prior_variance` as the variance of
-    /// each coefficient. `forgetting`, from 0 to 1, is the factor by which each new observation reduces the
-    /// weight of the earlier ones.
+    /// Creates an estimator. The initial estimate is `prior`, and each coefficient has the variance
+    /// `prior_variance`. With each new observation, the weight of earlier observations is multiplied by
+    /// `forgetting`, from 0 to 1.
     pub fn new(prior: &Plant, prior_variance: f64, forgetting: f64) -> Self {
         let covariance =
             std::array::from_fn(|i| std::array::from_fn(|j| if i == j { prior_variance } else { 0.0 }));
         Self { theta: [prior.a, prior.premium, prior.basic], covariance, forgetting }
     }
 
-    /// Updates the estimate with one control period: the utilization and the refusal time ratios at the
-    /// start of the period, and the utilization at its end.
+    /// Updates the estimate with the observation of one control period. The observation is the utilization at
+    /// the start and at the end of the period, and the refusal time ratios during the period.
     pub fn observe(&mut self, utilization_before: f64, ratios: RefusalRatios, utilization_after: f64) {
         let phi = [-utilization_before, ratios.premium, ratios.basic];
         let covariance_phi: [f64; 3] =
@@ -153,7 +161,7 @@
         }
     }
 
-    /// Returns the current estimate of the coefficients.
+    /// Returns the current estimate of the plant's coefficients.
     pub fn plant(&self) -> Plant {
         let [a, premium, basic] = self.theta;
         Plant { a, premium, basic }
--- a/crates/overload-control/src/log_lines.rs
+++ b/crates/overload-control/src/log_lines.rs
@@ -1,9 +1,10 @@
-//! Log lines of the controller. Only state changes are logged; `docs/on-call.md` explains each line.
+//! Texts of the controller's log lines. The controller logs only changes of state; `docs/on-call.md` explains
+//! each line.
 
 pub const SHEDDING_BEGAN: &str = "load shedding began";
 pub const SHEDDING_ENDED: &str = "load shedding ended";
-/// The server is ready again: health checks succeed.
+/// Logged when the server becomes ready again: health checks succeed.
 pub const HEALTHY: &str = "healthy";
-/// The server is not ready: health checks fail because it is unhealthy or draining.
+/// Logged when the server is no longer ready: health checks fail because the server is unhealthy or draining.
 pub const UNHEALTHY: &str = "unhealthy";
 pub const DRAINING_BEGAN: &str = "draining began";
--- a/crates/overload-control/src/operation_times.rs
+++ b/crates/overload-control/src/operation_times.rs
@@ -1,4 +1,4 @@
-//! Usual run times of each operation: decaying means over its successful runs.
+//! Learns the usual run times of each operation from its successful runs, as decaying means.
 
 use crate::decaying_mean::DecayingMean;
 use crate::largest::Largest;
@@ -6,25 +6,27 @@
 use crate::{Nanos, Operation};
 use meadowstream_pending_queue::UsualTimes;
 
-/// Half-life of the weight of an observed time in the decaying mean from which a usual time is taken.
+/// Half-life of the decaying means from which the usual run times are taken: the weight of an observed time
+/// halves with each half-life.
 pub const TIMES_HALF_LIFE: Nanos = CONTROL_PERIOD * 16;
-/// Initial estimate of a run time, as a share of the operation's latency objective.
+/// Assumed run time of an operation before its first run, as a share of its latency objective.
 const INITIAL_TIME_SHARE: f64 = 0.15;
-/// Factor by which the lowest core time of an operation grows with each run, so that a lasting increase of
-/// the core time is eventually accepted as normal.
+/// Factor by which the lowest core time of an operation is multiplied with each run. Because of this growth,
+/// a lasting increase of the core time is eventually accepted as normal.
 const LOWEST_TIME_GROWTH: f64 = 1.005;
-/// Ratio of the usual to the lowest core time of an operation above which concurrent runs are considered to
-/// slow each other down.
+/// Ratio of an operation's usual core time to its lowest core time above which concurrent runs are considered
+/// to slow each other down.
 const SLOWED_RATIO: f64 = 1.3;
 
 struct OperationTime {
-    /// Usual core time of a run: the decaying mean over successful runs, ns.
+    /// Usual core time of a run, ns: the decaying mean over successful runs.
     core: DecayingMean,
-    /// Usual time from start to end of a run: the decaying mean over successful runs, ns.
+    /// Usual time from start to end of a run, ns: the decaying mean over successful runs.
     elapsed: DecayingMean,
-    /// Estimated core time of a run that is not slowed down by concurrent runs, ns.
+    /// Lowest core time, ns: estimated core time of a run that concurrent runs do not slow down.
     lowest: f64,
-    /// Mean of the callers' estimates of core time ([`crate::Arrival::cost_hint`]), ns.
+    /// Mean of the core times that callers estimate for their invocations ([`crate::Arrival::cost_hint`]),
+    /// ns.
     hint: DecayingMean,
 }
 
@@ -34,7 +36,7 @@
     }
 }
 
-/// Learned run times of all operations.
+/// Usual run times of all operations, learned from their runs.
 pub struct OperationTimes {
     learned: Vec<OperationTime>,
     usual: Vec<UsualTimes>,
@@ -42,7 +44,8 @@
 }
 
 impl OperationTimes {
-    /// Creates the run times with initial estimates, which are derived from the latency objectives.
+    /// Creates the run times. The initial estimates are derived from the latency objectives of the
+    /// operations.
     pub fn new(operations: &[Operation], now: Nanos) -> Self {
         let first = |operation: &Operation| {
             let initial_ns = operation.latency_objective as f64 * INITIAL_TIME_SHARE;
@@ -56,19 +59,19 @@
         Self { learned, usual, core_times }
     }
 
-    /// Returns the usual run times, indexed by operation.
+    /// Returns the usual run times of all operations. The index identifies the operation.
     pub fn usual(&self) -> &[UsualTimes] {
         &self.usual
     }
 
-    /// Returns the longest of the operations' usual core times, ns.
+    /// Returns the usual core time of the operation with the longest usual core time, ns.
     pub fn longest_core_ns(&self) -> f64 {
         self.core_times.get()
     }
 
-    /// Returns the estimated cost of an invocation as a ratio to the usual cost of its operation: the
-    /// caller's estimate of the core time (`hint`) divided by the mean estimate for the operation. Returns
-    /// 1 if the caller sent no estimate.
+    /// Returns the estimated cost of an invocation, divided by the usual cost of its operation. The result is
+    /// the caller's estimate of the core time (`hint`) divided by the mean of all such estimates for the
+    /// operation, or 1 if the caller sent no estimate.
     pub fn cost_ratio(&mut self, now: Nanos, operation: usize, hint: Option<Nanos>) -> f64 {
         let hints = &mut self.learned[operation].hint;
         let Some(hint) = hint else { return 1.0 };
@@ -76,7 +79,7 @@
         hint as f64 / hints.mean().max(1.0)
     }
 
-    /// Records the core time and the time from start to end of a successful run.
+    /// Records a successful run: its core time, and its time from start to end (`elapsed`).
     pub fn observe(&mut self, now: Nanos, operation: usize, core: Nanos, elapsed: Nanos) {
         let learned = &mut self.learned[operation];
         learned.core.add(now, core as f64);
@@ -86,7 +89,8 @@
         self.core_times.replace(before.core_ns, self.usual[operation].core_ns);
     }
 
-    /// Whether concurrent runs slow each other down, judged by the core times of all operations.
+    /// Whether concurrent runs slow each other down. This is the case if the usual core time of any operation
+    /// is much longer than its lowest core time.
     pub fn are_slowed(&self) -> bool {
         self.learned.iter().any(|time| time.core.mean() > time.lowest * SLOWED_RATIO)
     }
--- a/crates/overload-control/src/scheduling.rs
+++ b/crates/overload-control/src/scheduling.rs
@@ -1,27 +1,29 @@
-//! Decides whether another run may start, based on the limits on concurrent runs.
+//! Decides whether another run may start. The decision depends on the limits on concurrent runs.
 
-/// Maximum amount by which the concurrency limit is reduced for the cores that reading arrivals uses, as a
-/// share of the server's cores.
+/// Maximum reduction of the concurrency limit, as a share of the server's cores. The limit is reduced by the
+/// number of cores that reading arrivals uses.
 const READING_SHARE_MAX: f64 = 0.25;
 
 /// Limits on the concurrent runs of a server.
 pub struct RunLimits {
-    /// Learned limit on the number of runs on the cores.
+    /// Learned limit on the number of runs that are on the cores.
     pub concurrency: f64,
-    /// Maximum number of open runs, including runs that wait for a downstream call or are in one.
+    /// Maximum number of open runs. An open run is on a core, waits for a downstream call, or has one in
+    /// progress.
     pub survivable: f64,
-    /// Number of cores that reading arrivals uses.
+    /// Number of cores that the reading of arrivals uses.
     pub reading_threads: f64,
     /// Number of cores of the server.
     pub cores: f64,
-    /// Whether this server belongs to a downstream tier. Reading arrivals then does not reduce the limit,
-    /// because rejecting a downstream call wastes work of the calling tier.
+    /// Whether this server belongs to a downstream tier. In a downstream tier, reading arrivals does not
+    /// reduce the concurrency limit, because rejecting a downstream call would waste work of the calling
+    /// tier.
     pub is_downstream_tier: bool,
 }
 
 impl RunLimits {
-    /// Whether another run may start. `running` is the number of runs on the cores. `open` is the number of
-    /// open runs, including runs that wait for a downstream call or are in one.
+    /// Whether another run may start. `running` is the number of runs on the cores. `open` also counts the
+    /// runs that wait for a downstream call or have one in progress.
     pub fn admit(&self, running: f64, open: f64) -> bool {
         let share_max = if self.is_downstream_tier { 0.0 } else { READING_SHARE_MAX };
         let reading = self.reading_threads.min(self.cores * share_max);
--- a/crates/overload-control/src/tenant_quota.rs
+++ b/crates/overload-control/src/tenant_quota.rs
@@ -1,26 +1,28 @@
-//! Tenant quotas. A tenant listed in the settings has a token bucket, which is refilled at this server's
-//! part of the tenant's fleet-wide allowance. Other tenants are subject to fair queueing.
+//! Tenant quotas. Each tenant that is listed in the settings has a token bucket. The fleet-wide quota of the
+//! tenant is divided among the servers, and the bucket refills at the rate of this server's part. Tenants
+//! that are not listed are limited by fair queueing.
 
 use crate::invocations::Invocation;
 use crate::{Arrival, Deployment, Nanos};
 use meadowstream_fair_queueing::{Admission as FairAdmission, FairScheduler, ServiceOutcome, TenantKey};
 
-/// Capacity of a tenant's token bucket, in seconds of the tenant's allowance at this server.
+/// Capacity of a tenant's token bucket, as the time in seconds in which an empty bucket refills.
 const BURST_SECONDS: f64 = 15.0;
-/// Maximum work that a tenant of weight 1 may have admitted ahead of virtual time in fair queueing, as a
-/// share of the work that the server does within the shortest latency objective.
+/// Maximum work that fair queueing may admit ahead of virtual time for a tenant of weight 1. It is a share of
+/// the work that the server can do within the shortest latency objective.
 const IN_SERVER_SHARE: f64 = 0.25;
 
-/// Token bucket of one tenant; each invocation takes one token.
+/// Token bucket of one tenant. Each invocation of the tenant takes one token.
 struct TokenBucket {
-    /// Refill rate, in tokens per second.
+    /// Number of tokens added to the bucket per second.
     rate: f64,
     tokens: f64,
     updated: Nanos,
 }
 
 impl TokenBucket {
-    /// Takes a token for an invocation. Returns false if the bucket holds less than one token.
+    /// Takes a token for an invocation. Returns false, and takes nothing, if the bucket contains less than
+    /// one token.
     fn take(&mut self, now: Nanos) -> bool {
         let seconds = (now - self.updated) as f64 / 1e9;
         self.tokens = (self.tokens + self.rate * seconds).min((self.rate * BURST_SECONDS).max(1.0));
@@ -31,20 +33,20 @@
     }
 }
 
-/// Retry advice sent to the caller with a rejection.
+/// Advice on retrying, which the server sends to the caller with a rejection.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryAdvice {
-    /// Time after which the caller should retry.
+    /// Delay after which the caller should retry.
     pub retry_after: Nanos,
-    /// Ticket of a promise that the retry is admitted, if one was made.
+    /// Ticket with which the server promises to admit the retry; `None` if it made no promise.
     pub ticket: Option<u64>,
 }
 
 /// Result of checking an arrival against the quota of its tenant.
 pub struct QuotaDecision {
-    /// Admission by the fair queueing scheduler; `None` without fair queueing.
+    /// Decision of the fair queueing scheduler on the arrival; `None` without fair queueing.
     pub fair_admission: Option<FairAdmission>,
-    /// Whether the tenant has used up its quota.
+    /// Whether the arrival exceeds the quota of its tenant.
     pub is_over_quota: bool,
 }
 
@@ -55,7 +57,7 @@
 }
 
 impl TenantQuotas {
-    /// Creates the quotas; each bucket starts with one second of the tenant's allowance at this server.
+    /// Creates the quotas. Each token bucket initially contains the tokens of one second.
     pub fn new(deployment: &Deployment, seed: u64, now: Nanos) -> Self {
         let bucket = |allowance: &f64| {
             let rate = allowance / deployment.peers;
@@ -68,7 +70,8 @@
         Self { buckets: deployment.tenant_allowance.iter().map(bucket).collect(), fair }
     }
 
-    /// Checks an arrival that is expected to take `work` ns of core time.
+    /// Checks an arrival against the quota of its tenant. `work` is the core time that the invocation is
+    /// expected to take, ns.
     pub fn on_arrival(&mut self, now: Nanos, arrival: &Arrival, work: f64) -> QuotaDecision {
         let has_token = match self.buckets.get_mut(arrival.tenant) {
             Some(bucket) => bucket.take(now),
@@ -82,14 +85,14 @@
         QuotaDecision { fair_admission: Some(admission), is_over_quota: admission.surplus }
     }
 
-    /// Informs the fair queueing scheduler that the run of an invocation has started.
+    /// Notifies the fair queueing scheduler that the run of an invocation has started.
     pub fn on_run_started(&mut self, invocation: &Invocation) {
         if let (Some(fair), Some(admission)) = (&mut self.fair, &invocation.fair_admission) {
             fair.start_service(admission);
         }
     }
 
-    /// Informs the fair queueing scheduler that an invocation has left the server.
+    /// Notifies the fair queueing scheduler that an invocation has left the server.
     pub fn on_end(&mut self, now: Nanos, invocation: &Invocation) {
         if let (Some(fair), Some(admission)) = (&mut self.fair, &invocation.fair_admission) {
             let outcome = if invocation.has_run {
@@ -101,10 +104,10 @@
         }
     }
 
-    /// Ends an invocation that never ran, and returns retry advice for its caller: a delay and, if
-    /// possible, the ticket of a promise of admission. The promise takes effect after `promise_after`, or
-    /// later if the tenant's quota has no capacity by then. Without fair queueing, or if the invocation
-    /// has run, returns `None` and changes nothing.
+    /// Ends an invocation in the fair queueing scheduler if it never ran, and returns retry advice for its
+    /// caller. The advice is a delay and, if possible, the ticket of a promise of admission. The promise
+    /// takes effect after `promise_after`, or later if the tenant's quota is used up until then. Without fair
+    /// queueing, or if the invocation has run, returns `None` and changes nothing.
     pub fn end_with_promise(
         &mut self,
         now: Nanos,
@@ -118,7 +121,7 @@
         Some(RetryAdvice { retry_after: advice.retry_after, ticket: advice.ticket })
     }
 
-    /// Sets the capacity of the server for fair queueing, in cores.
+    /// Sets the capacity that fair queueing divides among tenants, in cores.
     pub fn set_capacity(&mut self, now: Nanos, capacity: f64, shortest_objective: Nanos) {
         if let Some(fair) = &mut self.fair {
             fair.update_fair_rate(now, capacity, capacity * shortest_objective as f64 * IN_SERVER_SHARE);
--- a/crates/overload-control/src/timers.rs
+++ b/crates/overload-control/src/timers.rs
@@ -2,31 +2,31 @@
 
 use crate::{Host, Nanos};
 
-/// Timer that expires once per control period; gauges are reported with it.
+/// Id of the timer that expires once per control period. The host reports the gauges when this timer expires.
 pub const CONTROL_TIMER: u32 = 0;
-/// Timer that expires at the next deadline, at the end of a backoff, or when the call budget suffices
-/// again.
+/// Id of the deadline timer. It expires at the next deadline, at the end of a backoff, or when the call
+/// budget suffices for a waiting call.
 const DEADLINE_TIMER: u32 = 1;
 
-/// State of the deadline timer; the control timer has no state.
+/// State of the deadline timer. The control timer needs no state, because it expires at regular intervals.
 pub struct Timers {
     deadline_at: Nanos,
 }
 
 impl Timers {
-    /// Creates a deadline timer that is not set.
+    /// Creates the state of a deadline timer that is not set.
     pub fn new() -> Self {
         Self { deadline_at: Nanos::MAX }
     }
 
-    /// Clears the deadline timer if its time has been reached.
+    /// Marks the deadline timer as not set if its time has been reached.
     pub fn on_timer(&mut self, now: Nanos) {
         if now >= self.deadline_at {
             self.deadline_at = Nanos::MAX;
         }
     }
 
-    /// Sets the deadline timer to `at`, unless the timer is already set to an earlier time or to `at`.
+    /// Sets the deadline timer to the time `at`, unless it is already set to this time or an earlier one.
     /// Returns whether the timer was set.
     pub fn set_deadline(&mut self, now: Nanos, at: Nanos, host: &mut dyn Host) -> bool {
         let is_earlier = at < self.deadline_at;
--- a/crates/overload-control/tests/days.rs
+++ b/crates/overload-control/tests/days.rs
@@ -1,8 +1,8 @@
-//! Regression tests: random ten-second runs of the controller, compared with recorded hashes.
+//! Regression tests: random ten-second runs of the controller must produce the recorded hashes.
 //!
-//! Every action of the controller is hashed in order, so that a refactoring can be shown to leave all
-//! decisions unchanged. The first hashes were recorded with version 0.2.0, which kept the pending queue in
-//! a plain vector. A commit that intentionally changes decisions records new hashes and gives the reason.
+//! Each hash covers every action of the controller in order, so that a refactoring can be shown to leave all
+//! decisions unchanged. The first hashes were recorded with version 0.2.0, which kept the pending queue in a
+//! plain vector. A commit that intentionally changes decisions records new hashes and gives the reason.
 
 use meadowstream_overload_control::{
     Advertisement, Arrival, Deployment, Downstream, Effect, Gauges, Host, Nanos, Operation, Outcome,
@@ -15,7 +15,7 @@
 use std::hash::Hasher;
 
 const MS: Nanos = 1_000_000;
-/// Start of the simulated clock, in nanoseconds since 1970, as on a real server.
+/// Time at which the simulated clock starts, in nanoseconds since 1970, like the clock of a real server.
 const START: Nanos = 1_790_000_000_000_000_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -35,7 +35,8 @@
     event_number: u64,
     runs: BTreeMap<u64, Nanos>,
     makes_calls: bool,
-    /// Whether fair queueing is on and the fleet's shared state sometimes withholds calls.
+    /// Whether the run uses fair queueing and a shared state of the fleet, which sometimes denies downstream
+    /// calls.
     uses_shared_state: bool,
     tickets: Vec<u64>,
     decisions: SipHasher13,
@@ -115,8 +116,8 @@
         self.record("health", &[u64::from(healthy), u64::from(cached)]);
     }
     fn advertise_load(&mut self, value: f64) {
-        // The load is rounded because the order of summation over the pending queue has changed since the
-        // hashes were recorded, which changes the last bits of the sums.
+        // The load is rounded before it is hashed. The order in which the pending queue sums values has
+        // changed since the hashes were recorded, which changes the last bits of the load.
         self.record("advertise", &[(value * 1e9).round() as u64]);
     }
     fn close_idle_connections(&mut self, after: Nanos) {
@@ -126,7 +127,8 @@
         self.record("wake", &[after, u64::from(timer)]);
         self.schedule(after, Event::Timer(timer));
     }
-    /// Hashes a log line under the text that it had when the recorded hashes were computed.
+    /// Hashes a log line. The text is first replaced by the text that the line had when the hashes were
+    /// recorded.
     fn log(&mut self, line: &str) {
         let hashed = match line {
             "load shedding began" => "refusing begins",
@@ -192,16 +194,15 @@
     }
 }
 
-/// Generates a sender: three tenants send most invocations, and every fifth invocation uses a ticket that
-/// the controller promised.
+/// Returns the sender of invocation `id`. Three tenants send most invocations. Every fifth invocation uses a
+/// ticket of an earlier promise of admission.
 fn sender(id: u64, tickets: &mut Vec<u64>) -> Sender {
     let tenant = [0, 0, 0, 1, 1, 2, id][(id % 7) as usize];
     let ticket = if id.is_multiple_of(5) { tickets.pop() } else { None };
     Sender { tenant: tenant.to_string().into_bytes(), origin: tenant % 3, ticket }
 }
 
-/// Runs the controller for ten seconds under a varying load. Returns the number of its actions and the hash
-/// of these actions.
+/// Runs the controller for ten seconds under a varying load. Returns the number and the hash of its actions.
 fn run_day(seed: u64, uses_shared_state: bool) -> (u64, u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut deployment = deployment(&mut rng);
@@ -252,8 +253,7 @@
                     cost_hint: rng.random_bool(0.5).then(|| rng.random_range(1..50) * MS),
                 };
                 controller.on_arrival(at, arrival, &mut host);
-                // The load ranges from half of the capacity of the cores to three times that capacity, and
-                // changes every 1.5 s.
+                // The load changes every 1.5 s and is between half and three times the capacity of the cores.
                 let loads = [4, 2, 1, 8];
                 let load = loads[((at - START) / (1500 * MS)) as usize % 4];
                 let next = host.rng.random_range(0..arrival_gap * load / 2 + 1);
@@ -292,7 +292,7 @@
     (host.decision_count, host.decisions.finish())
 }
 
-/// Number of actions and their hash for each seed; the index is the seed.
+/// Recorded number and hash of the controller's actions for each seed. The index in this list is the seed.
 const RECORDED_DAYS: &[(u64, u64)] = &[
     (10962, 0xfc5a4a76c6e43f98),
     (10063, 0x075e45d9310accc1),
@@ -327,8 +327,9 @@
     }
 }
 
-/// Number of actions and their hash for each seed, with fair queueing and withheld calls; the index is the
-/// seed. Recorded before the controller was split into modules.
+/// Recorded number and hash of the controller's actions for each seed, in runs with fair queueing and denied
+/// downstream calls. The index in this list is the seed. The values were recorded before the controller was
+/// split into modules.
 const SHARED_STATE_DAYS: &[(u64, u64)] = &[
     (12013, 0x8be4550621d9e9fb),
     (11319, 0xbfd87fab2f7ad61f),
--- a/crates/overload-control/tests/operations.rs
+++ b/crates/overload-control/tests/operations.rs
@@ -1,5 +1,5 @@
-//! Tests with many operations: the cost of a decision does not grow with their number, and values computed
-//! over all operations follow the learned times of each operation.
+//! Tests with many operations. The cost of a decision must not grow with the number of operations. Values
+//! computed over all operations must follow the learned times of each operation.
 
 use meadowstream_overload_control::controller::{CONTROL_TIMER, Controller};
 use meadowstream_overload_control::{
@@ -14,7 +14,7 @@
 const HOUR: Nanos = 3_600 * SECOND;
 const OBJECTIVE: Nanos = 2 * SECOND;
 
-/// Host that records the last reported health.
+/// Host that stores only the last health that the controller reported.
 struct HealthRecorder(bool);
 
 impl Host for HealthRecorder {
@@ -82,8 +82,8 @@
     controller.on_run_finished(at + duration, id, Outcome::Succeeded, &mut HealthRecorder(true));
 }
 
-/// Returns the duration of the fastest of several rounds. Other load on the machine only makes rounds
-/// slower.
+/// Measures several rounds and returns the duration of the fastest round. Other load on the machine can only
+/// make a round slower.
 fn fastest_round(operations: usize) -> Duration {
     const ROUNDS: u64 = 7;
     const RUNS: u64 = 200;
@@ -112,8 +112,9 @@
     assert!(many < few * 8, "200 runs: {few:?} with 60 operations, {many:?} with 6,200");
 }
 
-/// A server is stalled if its cores make no progress for six times the longest usual core time. This time
-/// must decrease again after the operation with the longest runs has become faster.
+/// A server is stalled if its cores make no progress for six times the longest usual core time of its
+/// operations. This time limit must decrease again after the operation with the longest runs has become
+/// faster.
 #[test]
 fn stall_time_follows_the_longest_usual_run() {
     let mut controller = controller(2);
--- a/crates/overload-control/tests/scenarios.rs
+++ b/crates/overload-control/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Runs the scenario files against the controller alone. Each line of a file is one step:
+//! Runs the scenario files against a controller with a simulated host. Each line of a file is one step:
 //!
 //! - `site NAME VALUE` changes the deployment, `operation NAME=VALUE ...` adds an operation (by default there
 //!   is one with long deadlines), and `tenant PER_SECOND` adds a tenant. The controller is created at the
@@ -36,9 +36,10 @@
     advertised_load: f64,
     idle_timeout: Nanos,
     call_timeout: Nanos,
-    /// Number of downstream calls in progress.
+    /// Number of downstream calls that are in progress.
     open_calls: usize,
-    /// Number of concurrent calls that the fleet's budget permits; `None` without a budget.
+    /// Maximum number of concurrent downstream calls that the fleet's budget permits; `None` without a
+    /// budget.
     call_limit: Option<usize>,
 }
 
@@ -128,7 +129,7 @@
     }
 }
 
-/// Returns the value of the word `name=value`.
+/// Returns `value` of the word `name=value` in a step.
 fn value_of<'a>(words: &[&'a str], name: &str) -> Option<&'a str> {
     words.iter().find_map(|word| word.strip_prefix(name)?.strip_prefix('='))
 }
--- a/crates/pending-queue/benches/pending_queue.rs
+++ b/crates/pending-queue/benches/pending_queue.rs
@@ -1,5 +1,5 @@
-//! Benchmark of an arrival at a full queue and of the queries that the controller makes after it. Compares
-//! the queue with a vector that is sorted and walked for each query.
+//! Benchmark of an arrival at a full pending queue, and of the queries that the controller makes after an
+//! arrival. The queue is compared with a plain vector that is sorted and walked for each query.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use meadowstream_pending_queue::{Capacity, Entry, PendingQueue, UsualTimes};
@@ -8,7 +8,7 @@
 
 const START: u64 = 1_790_000_000_000_000_000;
 
-/// Usual times of operations and concurrency limit of a simulated server.
+/// A simulated server: the usual times of its operations and its concurrency limit.
 struct Server {
     usual: Vec<UsualTimes>,
     limit: f64,
--- a/crates/pending-queue/src/expiring_keys.rs
+++ b/crates/pending-queue/src/expiring_keys.rs
@@ -1,16 +1,16 @@
-//! A set of keys with expiry times. Expired keys are found without visiting the others.
+//! A set of keys that expire. The expired keys are found without visiting the other keys.
 
 use crate::Nanos;
 use std::collections::{BTreeSet, HashMap};
 
-/// The expiry time of a key; ordered by time.
+/// Expiry time of a key. Values are ordered by time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Expiry {
     at: Nanos,
     key: u64,
 }
 
-/// A set of keys, each with an expiry time.
+/// A set of keys. Each key has an expiry time.
 #[derive(Debug, Default)]
 pub struct ExpiringKeys {
     expiry_times: HashMap<u64, Nanos>,
@@ -18,7 +18,7 @@
 }
 
 impl ExpiringKeys {
-    /// Returns the number of keys that have not been removed.
+    /// Returns the number of keys in the set, including expired keys that have not been removed.
     pub fn len(&self) -> usize {
         self.expiry_times.len()
     }
@@ -28,21 +28,21 @@
         self.expiry_times.is_empty()
     }
 
-    /// Adds a key that expires at time `at`, or changes the expiry time of an existing key.
+    /// Adds a key that expires at the time `at`. If the key is already in the set, changes its expiry time.
     pub fn insert(&mut self, key: u64, at: Nanos) {
         self.remove(key);
         self.expiry_times.insert(key, at);
         self.by_time.insert(Expiry { at, key });
     }
 
-    /// Removes a key before it expires.
+    /// Removes a key, whether or not it has expired.
     pub fn remove(&mut self, key: u64) {
         if let Some(at) = self.expiry_times.remove(&key) {
             self.by_time.remove(&Expiry { at, key });
         }
     }
 
-    /// Removes all keys that expire at or before `now`.
+    /// Removes all keys whose expiry time is `now` or earlier.
     pub fn expire(&mut self, now: Nanos) {
         while let Some(expiry) = self.by_time.first().copied().filter(|expiry| expiry.at <= now) {
             self.remove(expiry.key);
--- a/crates/pending-queue/src/late_search.rs
+++ b/crates/pending-queue/src/late_search.rs
@@ -1,32 +1,35 @@
-//! Search for the first late entry in run order. An entry is late if it would end after its deadline.
+//! Searches for the first late entry of a queue in run order. An entry is late if its run would end after its
+//! deadline.
 //!
-//! The tree of summaries stores lateness computed from earlier usual times, which are called the reference
-//! times. The search skips a tree node if its entries end in time even when all usual times have grown by
-//! the maximum growth since then, and descends into all other nodes. Individual entries are checked against
-//! the present usual times, so the result is exact.
+//! The search uses a tree whose nodes summarize the entries below them. The summaries contain lateness
+//! computed from earlier usual times, which are called the reference times. The search skips a node if all
+//! its entries end in time even when every usual time has grown by the maximum growth since then. Otherwise
+//! it continues with the children of the node. Individual entries are checked against the present usual
+//! times, so the result is exact.
 
 use crate::reference_times::ReferenceTimes;
 use crate::sum_tree::{Block, SumTree};
 use crate::{Capacity, Nanos};
 
-/// Bound on the rounding error of a point in time in floating point, in nanoseconds, on a clock that counts
-/// from 1970. Adjacent floating-point numbers are 256 ns apart for such times. The bound is eight times
-/// that, because a sum is rounded several times.
+/// Upper bound of the rounding error of a time stored as a floating-point number, in nanoseconds. On a clock
+/// that counts from 1970, adjacent floating-point numbers are 256 ns apart. The bound is eight times that,
+/// because a sum is rounded several times.
 const ROUNDING_NS: f64 = 2048.0;
 
-/// Location of an entry in the queue of a rank: a block and an index in that block.
+/// Location of an entry in the queue of a rank: the block that contains the entry, and the index in that
+/// block.
 #[derive(Clone, Copy, Debug)]
 pub struct EntryIndex {
-    /// Index of the block in the queue of the rank.
+    /// Index of the block in the queue.
     pub block: usize,
     /// Index of the entry in the block.
     pub index: usize,
 }
 
-/// Number and work of the entries that run before a given entry.
+/// Entries that run before a given entry: their number and their work.
 #[derive(Clone, Copy, Debug)]
 pub struct QueuedAhead {
-    /// Usual work of these entries, in nanoseconds of one core.
+    /// Usual work of the entries that run before the given entry, in nanoseconds of one core.
     pub work: f64,
     /// Number of entries that run before the given entry.
     pub entries: usize,
@@ -40,27 +43,28 @@
     pub inspected: u64,
 }
 
-/// State of a search for the first late entry. Skipped entries are added to `ahead` with their work at the
-/// present usual times.
+/// State of a search for the first late entry. The search adds each entry that it passes to `ahead`, with the
+/// entry's work at the present usual times.
 pub struct LateSearch<'a> {
-    /// Tree of summaries of the queue to search.
+    /// Tree of summaries of the queue that is searched.
     pub tree: &'a SumTree,
     /// Blocks of the queue to search.
     pub blocks: &'a [Block],
-    /// Time at which the first entry in run order would start.
+    /// Present time, at which the first entry in run order would start.
     pub now: Nanos,
-    /// Entries that run before the entries of the tree node being searched.
+    /// Entries that run before the tree node or the block that is being searched.
     pub ahead: QueuedAhead,
-    /// Present usual times, concurrency limit and free slots.
+    /// Capacity of the server: present usual times, concurrency limit and free slots.
     pub capacity: &'a Capacity<'a>,
-    /// Usual times for which the tree stores lateness.
+    /// Reference times: the usual times from which the lateness in the tree was computed.
     pub reference: &'a ReferenceTimes,
     /// Number of summaries and entries inspected so far.
     pub inspected: u64,
 }
 
 impl LateSearch<'_> {
-    /// Returns the first late entry below a tree node; `None` if all entries below the node end in time.
+    /// Returns the first late entry below a node of the tree. Returns `None` if all entries below the node
+    /// end in time.
     pub fn search_node(&mut self, node: usize) -> Option<EntryIndex> {
         self.inspected += 1;
         if self.is_in_time(node) {
@@ -75,8 +79,8 @@
         }
     }
 
-    /// Whether it is certain that each entry below a node ends in time or may start immediately. If the
-    /// result is false, an entry may or may not be late.
+    /// Whether all entries below a node certainly end in time or may start immediately. If the result is
+    /// false, some entry may be late, but need not be.
     fn is_in_time(&self, node: usize) -> bool {
         let summary = self.tree.node(node);
         let growth = self.reference.growth();
--- a/crates/pending-queue/src/lib.rs
+++ b/crates/pending-queue/src/lib.rs
@@ -1,11 +1,11 @@
 //! The pending queue of a server: admitted invocations that wait for a core.
 //!
-//! A [`PendingQueue`] holds [`Entry`]s in the order in which they will run, in one queue per rank. It also
-//! holds their deadlines by operation. The controller makes the decisions. It queries the queue for the
-//! next entry to run, overdue entries, the entry of the lowest priority, the queued work, and the entry to
-//! reject so that the others meet their deadlines. None of these queries walks all entries;
-//! `docs/pending-queue.md` lists their costs. Times are nanoseconds of a single monotonic clock; work is in
-//! nanoseconds of one core.
+//! A [`PendingQueue`] contains [`Entry`]s in the order in which they will run, in one queue per rank
+//! (priority class). It also contains their deadlines by operation. The controller makes the decisions and
+//! queries the queue for the data: the next entry to run, overdue entries, the entry of the lowest priority,
+//! the queued work, and the entry to reject so that the others meet their deadlines. None of these queries
+//! walks all entries; `docs/pending-queue.md` lists their costs. Times are nanoseconds of a single monotonic
+//! clock. Work is in nanoseconds of one core.
 
 #![deny(missing_docs, clippy::too_many_lines)]
 
@@ -25,56 +25,57 @@
 /// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
 
-/// An invocation that waits in the queue. The queue locates an entry by its field values, so removing an
-/// entry requires the values with which it was inserted.
+/// A pending invocation in the queue. The queue finds an entry by the values of its fields. To remove an
+/// entry, the caller must therefore pass the values with which the entry was inserted.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Entry {
-    /// Unique number that increases with each arrival.
+    /// Number of the arrival. Each arrival has a higher number than all earlier arrivals.
     pub arrival_number: u64,
-    /// Key under which the owner of the queue stores the invocation.
+    /// Key by which the owner of the queue finds the invocation.
     pub key: usize,
-    /// Id of the invocation. Among entries of a rank with equal start tags and deadlines, the lowest id
-    /// runs first.
+    /// Id of the invocation. If entries of a rank have equal start tags and equal deadlines, the entry with
+    /// the lowest id runs first.
     pub id: u64,
     /// Index of the operation.
     pub operation: usize,
-    /// Index of the priority class; higher ranks run first.
+    /// Rank: index of the priority class of the invocation. Higher ranks run first.
     pub rank: usize,
-    /// Start tag of fair queueing within the rank; the lowest tag runs first. Equal for all entries if fair
-    /// queueing is off.
+    /// Start tag that fair queueing assigned to the invocation. Within a rank, the entry with the lowest
+    /// start tag runs first. Without fair queueing all start tags are equal.
     pub start_tag: u64,
-    /// Whether the invocation was promised admission. Such an invocation is rejected only after all others
-    /// of its rank.
+    /// Whether the server promised to admit this invocation. Such an entry is rejected only after all entries
+    /// of its rank without a promise.
     pub promised: bool,
     /// Time at which the invocation reached the machine.
     pub arrived: Nanos,
-    /// Objective deadline. Among entries of a rank with equal start tags, the earliest deadline runs first.
+    /// Objective deadline: an answer until this time has its full value. If entries of a rank have equal
+    /// start tags, the entry with the earliest deadline runs first.
     pub deadline: Nanos,
-    /// Factor by which the usual times of the operation are multiplied to estimate those of this run.
+    /// Estimated cost of this run, divided by the usual cost of a run of its operation.
     pub cost_ratio: f64,
 }
 
-/// Usual times of a run of an operation, in nanoseconds.
+/// Usual times of an operation's runs, in nanoseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct UsualTimes {
     /// Core time.
     pub core_ns: f64,
-    /// Time from start to end, including downstream calls.
+    /// Time from start to end of a run, including its downstream calls.
     pub elapsed_ns: f64,
 }
 
-/// Capacity of the server, from which the ends of entries are predicted.
+/// Capacity of the server. The queue uses it to predict when the run of an entry will end.
 #[derive(Clone, Copy, Debug)]
 pub struct Capacity<'a> {
-    /// Usual times of a run, indexed by operation.
+    /// Usual times of a run of each operation. The index identifies the operation.
     pub usual_times: &'a [UsualTimes],
-    /// Limit on concurrent runs, 1 or more.
+    /// Limit on concurrent runs, at least 1.
     pub concurrency_limit: f64,
     /// Number of runs that may start immediately.
     pub free_slots: usize,
 }
 
-/// The objective deadline of an entry; ordered by deadline, then by arrival.
+/// Deadline of an entry. Values are ordered by deadline, and equal deadlines by arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Deadline {
     at: Nanos,
@@ -88,27 +89,27 @@
     }
 }
 
-/// Identifies an entry by its arrival number and key; ordered by arrival.
+/// Arrival number and key of an entry. Values are ordered by arrival number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ArrivalKey {
-    /// Same as [`Entry::arrival_number`].
+    /// Arrival number of the entry ([`Entry::arrival_number`]).
     pub arrival_number: u64,
     /// Same as [`Entry::key`].
     pub key: usize,
 }
 
-/// Admitted invocations in the order in which they will run.
+/// Queue of admitted invocations, in the order in which they will run.
 #[derive(Debug, Default)]
 pub struct PendingQueue {
-    /// One queue for each priority class, indexed by rank.
+    /// One queue for each priority class. The index is the rank of the class.
     classes: Vec<PriorityClassQueue>,
-    /// Deadlines of the entries, by operation. Contains only operations that have entries, so that the cost
-    /// of a search depends on the number of entries and not on the number of operations.
+    /// Deadlines of the entries of each operation. Operations without entries are not in the map, so that the
+    /// cost of a search depends on the number of entries and not on the number of operations.
     deadlines: BTreeMap<usize, BTreeSet<Deadline>>,
-    /// Entries that are known to be overdue and are still in the queue.
+    /// Entries that are known to be overdue but have not been removed yet.
     overdue: BTreeSet<ArrivalKey>,
-    /// Whether [`PendingQueue::mark_overdue`] has added entries to `overdue` since the deadlines were last
-    /// searched.
+    /// Whether the deadlines must be searched for overdue entries although `overdue` is not empty.
+    /// [`PendingQueue::mark_overdue`] sets this flag when it adds an entry to `overdue` without a search.
     has_unsearched_deadlines: bool,
     reference: ReferenceTimes,
     len: usize,
@@ -116,7 +117,7 @@
 }
 
 impl PendingQueue {
-    /// Creates a queue for ranks below `ranks` and operations below `operations`.
+    /// Creates a queue for the ranks `0..ranks` and the operations `0..operations`.
     pub fn new(ranks: usize, operations: usize) -> Self {
         Self {
             classes: (0..ranks).map(|_| PriorityClassQueue::new()).collect(),
@@ -142,7 +143,7 @@
         self.classes[entry.rank].insert(entry, &self.reference);
     }
 
-    /// Removes an entry; returns false if it was not in the queue.
+    /// Removes an entry. Returns false if the entry is not in the queue.
     pub fn remove(&mut self, entry: &Entry) -> bool {
         let found = self.classes[entry.rank].remove(entry, &self.reference);
         if found {
@@ -161,7 +162,7 @@
         }
     }
 
-    /// Marks an entry as overdue, regardless of its deadline.
+    /// Marks an entry as overdue, whatever its deadline is.
     pub fn mark_overdue(&mut self, entry: &Entry) {
         self.overdue.insert(ArrivalKey { arrival_number: entry.arrival_number, key: entry.key });
         self.has_unsearched_deadlines = true;
@@ -172,15 +173,15 @@
         self.classes.iter().rev().find_map(PriorityClassQueue::first)
     }
 
-    /// Returns the entry that runs next among those whose operation `is_wanted` accepts. Walks the entries
-    /// that run before the returned one.
+    /// Returns the first entry in run order whose operation `is_wanted` accepts. Walks all entries that run
+    /// before the returned entry.
     pub fn next_to_run_among(&self, is_wanted: impl Fn(usize) -> bool) -> Option<&Entry> {
         self.deadlines.keys().find(|operation| is_wanted(**operation))?;
         self.iter().find(|entry| is_wanted(entry.operation))
     }
 
-    /// Returns the earliest time at which an entry becomes overdue, which is its latest start.
-    /// `latest_start` computes the latest start of an entry from its operation and deadline.
+    /// Returns the time at which the next entry becomes overdue. An entry becomes overdue at its latest
+    /// start, which `latest_start` computes from the entry's operation and deadline.
     pub fn next_overdue_at(&self, latest_start: impl Fn(usize, Nanos) -> Nanos) -> Option<Nanos> {
         let earliest = self.deadlines.iter().filter_map(|(operation, deadlines)| {
             let first = deadlines.first()?;
@@ -189,16 +190,18 @@
         earliest.min()
     }
 
-    /// Returns the earliest arrival among the overdue entries: those whose latest start is at or before
-    /// `now`, and those marked as overdue. `latest_start` must increase monotonically with the deadline,
-    /// and must not change until all overdue entries have been removed.
+    /// Returns the earliest arrival among the overdue entries. An entry is overdue if its latest start is at
+    /// or before `now`, or if it was marked as overdue. `latest_start` computes the latest start from the
+    /// operation and the deadline. Its result must increase with the deadline, and it must not change until
+    /// all overdue entries have been removed.
     pub fn first_overdue(
         &mut self,
         now: Nanos,
         latest_start: impl Fn(usize, Nanos) -> Nanos,
     ) -> Option<ArrivalKey> {
-        // If `overdue` is empty, the deadlines are searched and the flag is neither read nor cleared. The
-        // flag then remains set for the next call even if the entry for which it was set has been removed.
+        // If `overdue` is empty, the deadlines are searched anyway, and the flag is not cleared. The flag
+        // then causes another search at the next call, even if the entry for which it was set has been
+        // removed.
         let must_search = self.overdue.is_empty() || std::mem::take(&mut self.has_unsearched_deadlines);
         if must_search {
             for (operation, deadlines) in &self.deadlines {
@@ -214,33 +217,33 @@
         self.overdue.first().copied()
     }
 
-    /// Returns the key of the entry to reject first when memory is short. In the lowest rank that has
-    /// entries, this is the entry with the highest start tag, and among equal tags the newest. Entries that
-    /// were promised admission are rejected after the others of the rank.
+    /// Returns the key of the entry to reject first when memory is short. It is an entry of the lowest rank
+    /// that has entries. Within this rank, the entry with the highest start tag is rejected first, and the
+    /// newest of several with equal tags. Entries that were promised admission are rejected last.
     pub fn lowest_priority(&self) -> Option<usize> {
         self.classes.iter().find_map(PriorityClassQueue::first_to_reject_for_memory)
     }
 
-    /// Returns the usual work of all entries, in nanoseconds of one core.
+    /// Returns the total usual work of all entries, in nanoseconds of one core.
     pub fn queued_work(&self, usual_times: &[UsualTimes]) -> f64 {
         self.classes.iter().map(|class| class.work(usual_times)).sum()
     }
 
-    /// Returns the usual work of the entries that run before `entry`, in nanoseconds of one core. `entry`
-    /// need not be in the queue.
+    /// Returns the total usual work of the entries that run before `entry`, in nanoseconds of one core. The
+    /// queue need not contain `entry`.
     pub fn work_ahead(&self, entry: &Entry, usual_times: &[UsualTimes]) -> f64 {
         let above: f64 = self.classes[entry.rank + 1..].iter().map(|class| class.work(usual_times)).sum();
         above + self.classes[entry.rank].work_before(entry, usual_times)
     }
 
-    /// Returns the key of the entry to reject so that the other entries can meet their deadlines; `None` if
-    /// no entry is late. The first late entry in run order is the first one that would end after its
-    /// deadline and may not start immediately.
+    /// Returns the key of the entry to reject so that the other entries can meet their deadlines. Returns
+    /// `None` if no entry is late. An entry is late if it may not start immediately and its run would end
+    /// after its deadline.
     ///
-    /// The candidates for rejection are the late entry and the entries of its rank that run before it;
-    /// entries of higher ranks are not rejected. Of the candidates, the one with the highest start tag is
-    /// rejected, and among equal tags the latest arrival. Candidates that were promised admission are
-    /// rejected only after all others.
+    /// The candidates for rejection are the first late entry and the entries of its rank that run before it.
+    /// Entries of higher ranks are not rejected. The candidate with the highest start tag is rejected, and
+    /// the latest arrival among equal tags. Candidates that were promised admission are rejected only after
+    /// all other candidates.
     pub fn to_reject_for_deadlines(&mut self, now: Nanos, capacity: &Capacity) -> Option<usize> {
         if self.len <= capacity.free_slots {
             return None;
@@ -262,8 +265,8 @@
         None
     }
 
-    /// Returns the number of summaries and entries that all searches for late entries have inspected so
-    /// far. Tests use this number to check the search cost.
+    /// Returns how many summaries and entries all searches for late entries have inspected since the queue
+    /// was created. Tests use this number to check the cost of searches.
     pub fn inspected(&self) -> u64 {
         self.inspected
     }
--- a/crates/pending-queue/src/order.rs
+++ b/crates/pending-queue/src/order.rs
@@ -1,9 +1,9 @@
-//! Sort orders in which entries run and are rejected. Each struct compares its fields in declaration order:
-//! the first field in which two entries differ determines their order.
+//! Orders in which entries run and in which they are rejected. Each struct compares its fields in the order
+//! of their declaration: the first field that differs between two entries decides.
 
 use crate::{Entry, Nanos};
 
-/// Run order within a rank: the lowest entry runs first.
+/// Order in which the entries of a rank run. The entry with the lowest value runs first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RunOrder {
     start_tag: u64,
@@ -13,7 +13,7 @@
 }
 
 impl RunOrder {
-    /// Returns the sort key of an entry.
+    /// Returns the value by which an entry is sorted.
     pub fn of(entry: &Entry) -> Self {
         Self {
             start_tag: entry.start_tag,
@@ -24,7 +24,8 @@
     }
 }
 
-/// Order of rejection when memory is short: the highest entry is rejected first.
+/// Order in which entries are rejected when memory is short. The entry with the highest value is rejected
+/// first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MemoryOrder {
     not_promised: bool,
@@ -35,7 +36,7 @@
 }
 
 impl MemoryOrder {
-    /// Returns the sort key of an entry.
+    /// Returns the value by which an entry is sorted.
     pub fn of(entry: &Entry) -> Self {
         Self {
             not_promised: !entry.promised,
@@ -46,7 +47,8 @@
     }
 }
 
-/// Order of rejection for missed deadlines: the highest entry is rejected first.
+/// Order in which entries are rejected so that others meet their deadlines. The entry with the highest value
+/// is rejected first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DeadlineOrder {
     not_promised: bool,
@@ -58,7 +60,7 @@
 }
 
 impl DeadlineOrder {
-    /// Returns the sort key of an entry.
+    /// Returns the value by which an entry is sorted.
     pub fn of(entry: &Entry) -> Self {
         Self {
             not_promised: !entry.promised,
--- a/crates/pending-queue/src/priority_class_queue.rs
+++ b/crates/pending-queue/src/priority_class_queue.rs
@@ -1,5 +1,5 @@
-//! The queue of one rank (a priority class): entries in run order, stored in blocks, with a tree of
-//! summaries over the blocks.
+//! The queue of one rank (priority class). The entries are stored in run order, in blocks. A tree summarizes
+//! the entries of the blocks.
 
 use crate::late_search::{EntryIndex, LateSearch, QueuedAhead, SearchResult};
 use crate::order::{DeadlineOrder, RunOrder};
@@ -7,19 +7,20 @@
 use crate::sum_tree::{Block, SumTree};
 use crate::{Capacity, Entry, Nanos, UsualTimes};
 
-/// Maximum number of entries in a block. One insertion searches and moves at most this many entries.
+/// Maximum number of entries in a block. An insertion searches and moves at most this many entries.
 const BLOCK_ENTRIES_MAX: usize = 64;
 
 /// The queue of one rank.
 #[derive(Debug)]
 pub struct PriorityClassQueue {
-    /// Blocks in run order; no block is empty.
+    /// Blocks of entries in run order. No block is empty.
     blocks: Vec<Block>,
     tree: SumTree,
 }
 
-/// Position of an entry in run order. `block` is the last block that begins at or before the entry. `index`
-/// is the index of the entry in that block (`Ok`), or the index at which to insert the entry (`Err`).
+/// Position of an entry in run order. `block` is the index of the last block whose first entry does not run
+/// after the entry. `index` is the index of the entry in that block (`Ok`), or the index at which to insert
+/// the entry (`Err`).
 struct Position {
     block: usize,
     index: Result<usize, usize>,
@@ -57,8 +58,8 @@
         Position { block, index }
     }
 
-    /// Inserts an entry at its position in run order. Splits the block that holds this position if the
-    /// block is full.
+    /// Inserts an entry at its position in run order. If the block at this position is full, it is split in
+    /// two.
     pub fn insert(&mut self, entry: Entry, reference: &ReferenceTimes) {
         let Position { block, index } = self.position(&entry);
         let index = index.unwrap_or_else(|index| index);
@@ -74,11 +75,11 @@
         }
     }
 
-    /// Splits the full block with index `block` and inserts `entry`. `index` is the entry's index in that
-    /// block before the split.
+    /// Splits the block with index `block`, which is full, and inserts `entry`. `index` is the position of
+    /// the entry in that block before the split.
     fn split(&mut self, block: usize, index: usize, entry: Entry) {
-        // An entry at the end of the last block starts a new block instead, so that entries inserted in run
-        // order fill their blocks.
+        // If the entry belongs at the end of the last block, the block is not split and the entry starts a
+        // new block. Entries that are inserted in run order therefore fill their blocks.
         let at_end = index == BLOCK_ENTRIES_MAX && block + 1 == self.blocks.len();
         let kept = if at_end { BLOCK_ENTRIES_MAX } else { BLOCK_ENTRIES_MAX / 2 };
         let mut second = self.blocks[block].split_off(kept);
@@ -91,7 +92,7 @@
         self.blocks.insert(block + 1, second);
     }
 
-    /// Removes an entry; returns false if it is not in the queue.
+    /// Removes an entry. Returns false if the entry is not in the queue.
     pub fn remove(&mut self, entry: &Entry, reference: &ReferenceTimes) -> bool {
         let Position { block, index: Ok(index) } = self.position(entry) else { return false };
         self.blocks[block].remove(index);
@@ -104,18 +105,18 @@
         true
     }
 
-    /// Recomputes all summaries for the current reference times.
+    /// Recomputes all summaries of the tree from the current reference times.
     pub fn rebuild(&mut self, reference: &ReferenceTimes) {
         self.tree.rebuild(&self.blocks, reference);
     }
 
-    /// Returns the usual work of all entries, in nanoseconds of one core.
+    /// Returns the total usual work of all entries, in nanoseconds of one core.
     pub fn work(&self, usual_times: &[UsualTimes]) -> f64 {
         self.tree.root().work_at(usual_times)
     }
 
-    /// Returns the usual work of the entries that run before `entry`, in nanoseconds of one core. `entry`
-    /// need not be in the queue.
+    /// Returns the total usual work of the entries that run before `entry`, in nanoseconds of one core. The
+    /// queue need not contain `entry`.
     pub fn work_before(&self, entry: &Entry, usual_times: &[UsualTimes]) -> f64 {
         let Position { block, index } = self.position(entry);
         let Some(entries) = self.blocks.get(block) else { return 0.0 };
@@ -128,13 +129,13 @@
         work
     }
 
-    /// Returns the key of the entry to reject first when memory is short.
+    /// Returns the key of the entry of this rank to reject first when memory is short.
     pub fn first_to_reject_for_memory(&self) -> Option<usize> {
         (!self.blocks.is_empty()).then(|| self.tree.root().first_to_reject_for_memory.key)
     }
 
-    /// Finds the first entry that would end after its deadline. `ahead` counts the entries of higher ranks,
-    /// which run before the entries of this queue.
+    /// Finds the first entry whose run would end after its deadline. `ahead` contains the number and the work
+    /// of the entries of higher ranks, which run before the entries of this queue.
     pub fn first_late(
         &self,
         now: Nanos,
@@ -148,10 +149,11 @@
         SearchResult { entry, inspected: search.inspected }
     }
 
-    /// Returns the key of the entry to reject so that the late entry at `entry` can meet its deadline. The
-    /// candidates are the late entry and the entries before it. Of these, the one with the highest start
-    /// tag is rejected, and among equal tags the latest arrival. Candidates that were promised admission
-    /// are rejected only after all others.
+    /// Returns the key of the entry to reject so that the late entry at `entry` can meet its deadline.
+    ///
+    /// The candidates are the late entry and the entries that run before it. The candidate with the highest
+    /// start tag is rejected, and the latest arrival among equal tags. Candidates that were promised
+    /// admission are rejected only after all other candidates.
     pub fn first_to_reject_up_to(&self, entry: EntryIndex) -> usize {
         let within = self.blocks[entry.block][..=entry.index].iter().map(DeadlineOrder::of);
         let before = self.tree.before(entry.block).map(|summary| summary.first_to_reject_for_deadline);
--- a/crates/pending-queue/src/reference_times.rs
+++ b/crates/pending-queue/src/reference_times.rs
@@ -1,40 +1,41 @@
-//! Reference times: the usual times for which the tree of summaries stores lateness.
+//! Reference times: the usual times from which the lateness in the tree of summaries was computed.
 //!
-//! Lateness depends on the usual times and the concurrency limit, which change whenever a run ends. The
-//! tree therefore stores lateness for the usual times of an earlier moment. The growth of the usual times
-//! since then bounds the error of the stored lateness.
+//! Lateness depends on the usual times and the concurrency limit, which change whenever a run ends.
+//! Recomputing the tree after each change would be too expensive. The tree therefore contains lateness
+//! computed from the usual times of an earlier moment. The growth of the usual times since that moment bounds
+//! the error of this lateness.
 
 use crate::{Capacity, Entry, UsualTimes};
 
-/// Maximum relative difference between a usual time and its reference time. If the difference is larger, the
+/// Maximum relative difference between a usual time and its reference time. At a larger difference, the
 /// present usual times become the reference times, and the lateness of all entries is recomputed.
 const DRIFT_MAX: f64 = 0.02;
 
-/// Reference times, and the growth of the present usual times beyond them.
+/// Reference times, and the growth of the present usual times since the reference times were set.
 #[derive(Clone, Debug, Default)]
 pub struct ReferenceTimes {
-    /// Reference times, indexed by operation.
+    /// Reference times of each operation. The index identifies the operation.
     reference: Vec<RunTimes>,
-    /// Present usual times, indexed by operation.
+    /// Present usual times of each operation. The index identifies the operation.
     present: Vec<RunTimes>,
     growth: Growth,
 }
 
-/// Usual times of a run of an operation, in nanoseconds.
+/// Times of an operation's runs, in nanoseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RunTimes {
-    /// Delay that one run adds to the runs behind it: its core time divided by the concurrency limit.
+    /// Delay that one run causes for the runs behind it in the queue: its core time divided by the
+    /// concurrency limit.
     pub queue_ns: f64,
-    /// Time from start to end of a run, including downstream calls.
+    /// Time from start to end of a run, including its downstream calls.
     pub elapsed_ns: f64,
 }
 
-/// Growth of the usual times beyond the reference times, as a share of the reference times. Each field is
-/// the maximum over all operations, 0 or more.
+/// Growth of the usual times since the reference times were set, as a share of the reference times. Each
+/// field is the maximum over all operations, and at least 0.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Growth {
-    /// Growth of the delay that one run adds to the runs behind it (core time divided by the concurrency
-    /// limit).
+    /// Growth of the delay that one run causes for the runs behind it in the queue.
     pub queue: f64,
     /// Growth of the time from start to end of a run.
     pub elapsed: f64,
@@ -49,15 +50,15 @@
 }
 
 impl ReferenceTimes {
-    /// Creates reference times of 0, so that the first update replaces all of them.
+    /// Creates reference times that are all 0. The first update therefore replaces all of them.
     pub fn new(operations: usize) -> Self {
         let none = vec![RunTimes::default(); operations];
         Self { reference: none.clone(), present: none, ..Self::default() }
     }
 
-    /// Sets the present usual times. If one of them differs from its reference time by more than
-    /// [`DRIFT_MAX`], makes all of them the new reference times and returns true; the lateness of all
-    /// entries must then be recomputed.
+    /// Updates the present usual times. If one of them differs from its reference time by more than
+    /// [`DRIFT_MAX`], all present usual times become the reference times, and the function returns true. The
+    /// lateness of all entries must then be recomputed.
     pub fn update(&mut self, capacity: &Capacity) -> bool {
         let limit = capacity.concurrency_limit;
         let present =
@@ -81,12 +82,12 @@
         is_outdated
     }
 
-    /// Returns the reference times of a run of the entry's operation.
+    /// Returns the reference times of the operation of `entry`.
     pub fn of(&self, entry: &Entry) -> &RunTimes {
         &self.reference[entry.operation]
     }
 
-    /// Returns the growth of the present usual times beyond the reference times.
+    /// Returns the growth of the usual times since the reference times were set.
     pub fn growth(&self) -> Growth {
         self.growth
     }
--- a/crates/pending-queue/src/sum_tree.rs
+++ b/crates/pending-queue/src/sum_tree.rs
@@ -1,14 +1,14 @@
-//! A binary tree of summaries over the blocks of a queue.
+//! A binary tree over the blocks of a queue. Each node summarizes the entries of the blocks below it.
 
 use crate::Entry;
 use crate::reference_times::ReferenceTimes;
 use crate::summary::Summary;
 
-/// A block of entries in run order.
+/// A block: some consecutive entries of the queue, in run order.
 pub type Block = Vec<Entry>;
 
-/// The tree of summaries in a flat layout. Node 1 is the root; the children of node n are the nodes 2n and
-/// 2n + 1. The leaf of the queue's block `i` is the node `leaves + i`.
+/// A binary tree of summaries, stored in a vector. The root is node 1, and the children of node n are the
+/// nodes 2n and 2n + 1. The leaf of the block with index `i` is the node `leaves + i`.
 #[derive(Debug, Default)]
 pub struct SumTree {
     nodes: Vec<Summary>,
@@ -16,7 +16,7 @@
 }
 
 impl SumTree {
-    /// Creates the tree of a queue without blocks.
+    /// Creates the tree of a queue that has no blocks.
     pub fn new() -> Self {
         let mut tree = Self::default();
         tree.resize(0);
@@ -33,18 +33,18 @@
         &self.nodes[1]
     }
 
-    /// Returns the summary of the blocks whose leaves are below a node.
+    /// Returns the summary of all blocks below a node.
     pub fn node(&self, node: usize) -> &Summary {
         &self.nodes[node]
     }
 
-    /// Returns the index of the block whose leaf is `node`; `None` for an inner node.
+    /// Returns the index of the block whose leaf is `node`. Returns `None` if `node` is not a leaf.
     pub fn block_of(&self, node: usize) -> Option<usize> {
         node.checked_sub(self.leaves)
     }
 
-    /// Iterates over summaries that together cover all blocks of the queue before `block`, starting with the
-    /// blocks nearest to `block`.
+    /// Iterates over summaries that together cover all blocks before `block`. The summary of the blocks
+    /// nearest to `block` is first.
     pub fn before(&self, block: usize) -> impl Iterator<Item = &Summary> {
         let mut node = self.leaves + block;
         std::iter::from_fn(move || {
@@ -69,7 +69,8 @@
         self.join_above(0, self.leaves);
     }
 
-    /// Recomputes the summaries that include the block with index `block`, whose entries have changed.
+    /// Recomputes the summaries that include the block with index `block`. Called after the entries of this
+    /// block have changed.
     pub fn update(&mut self, blocks: &[Block], block: usize, reference: &ReferenceTimes) {
         let mut node = self.leaves + block;
         self.nodes[node].summarize(&blocks[block], reference);
@@ -79,8 +80,8 @@
         }
     }
 
-    /// Updates the tree after the block of the queue with index `block` was split in two. The second half
-    /// is now the block with index `block + 1`.
+    /// Updates the tree after the block with index `block` has been split in two. The second half is now the
+    /// block with index `block + 1`.
     pub fn block_inserted(&mut self, blocks: &[Block], block: usize, reference: &ReferenceTimes) {
         let count = blocks.len();
         if self.needs_resize(count) {
@@ -94,7 +95,7 @@
         self.join_above(block, count + 1);
     }
 
-    /// Updates the tree after the block with index `block` was removed from the queue.
+    /// Updates the tree after the block that had the index `block` has been removed from the queue.
     pub fn block_removed(&mut self, blocks: &[Block], block: usize, reference: &ReferenceTimes) {
         let count = blocks.len();
         if self.needs_resize(count) {
@@ -110,7 +111,7 @@
         blocks > self.leaves || blocks * 4 < self.leaves
     }
 
-    /// Recomputes the inner nodes above the leaves of blocks `from..to`.
+    /// Recomputes all nodes above the leaves of the blocks `from..to`.
     fn join_above(&mut self, from: usize, to: usize) {
         let (mut low, mut high) = (self.leaves + from, self.leaves + to.min(self.leaves) - 1);
         while low > 1 {
--- a/crates/pending-queue/src/summary.rs
+++ b/crates/pending-queue/src/summary.rs
@@ -1,19 +1,20 @@
-//! Summary of consecutive entries in run order. Each node of the tree of summaries stores a summary.
+//! Summary of consecutive entries in run order. Each node of the tree over a queue contains one summary.
 
 use crate::order::{DeadlineOrder, MemoryOrder};
 use crate::reference_times::ReferenceTimes;
 use crate::{Entry, UsualTimes};
 use std::cmp::Ordering;
 
-/// Sum of the cost ratios of one operation's entries.
+/// Sum of the cost ratios of all summarized entries of one operation.
 #[derive(Clone, Copy, Debug)]
 struct OperationCost {
     operation: usize,
     cost_ratio: f64,
 }
 
-/// Sum of the entries' cost ratios for each operation, sorted by operation. Contains only operations that
-/// have entries, so that the cost of walking the list does not depend on the number of operations.
+/// For each operation, the sum of the cost ratios of its entries, sorted by operation. Operations without
+/// entries are not in the list, so that the cost of walking the list does not depend on the number of
+/// operations.
 #[derive(Clone, Debug, Default)]
 struct OperationCosts(Vec<OperationCost>);
 
@@ -25,8 +26,7 @@
         }
     }
 
-    /// Sets `self` to the sums over the entries of both `left` and `right`, reusing the memory allocated
-    /// for `self`.
+    /// Sets `self` to the sum of `left` and `right`. Reuses the memory allocated for `self`.
     fn join(&mut self, left: &Self, right: &Self) {
         self.0.clear();
         let (mut left, mut right) = (left.0.as_slice(), right.0.as_slice());
@@ -52,31 +52,31 @@
     }
 }
 
-/// Sums and maxima over consecutive entries in run order.
+/// Summary of consecutive entries in run order: sums and maxima over the entries.
 #[derive(Clone, Debug, Default)]
 pub struct Summary {
     /// Number of entries.
     pub count: usize,
     costs: OperationCosts,
-    /// Total delay that the entries add to later entries, at the reference times, ns: their work divided by
-    /// the concurrency limit.
+    /// Total delay that the entries cause for later entries, ns: their work divided by the concurrency limit.
+    /// It is computed from the reference times.
     pub work: f64,
-    /// Longest time from start to end of an entry's run, at the reference times, ns.
+    /// Longest time from start to end of the run of an entry, ns. It is computed from the reference times.
     pub longest_elapsed: f64,
-    /// Maximum time by which an entry would end after its deadline if the first of the entries started at
-    /// time 0; at the reference times, ns.
+    /// Largest lateness of an entry, ns. The lateness is the end of the entry's run minus its deadline, if
+    /// the first of the entries starts at time 0. It is computed from the reference times.
     pub lateness: f64,
     pub first_to_reject_for_deadline: DeadlineOrder,
     pub first_to_reject_for_memory: MemoryOrder,
 }
 
 impl Summary {
-    /// Creates the summary of an empty sequence of entries.
+    /// Creates the summary of no entries.
     pub fn empty() -> Self {
         Self { lateness: f64::NEG_INFINITY, ..Self::default() }
     }
 
-    /// Sets `self` to the summary of `entries`.
+    /// Sets `self` to the summary of `entries`, computed from the reference times.
     pub fn summarize(&mut self, entries: &[Entry], reference: &ReferenceTimes) {
         self.costs.0.clear();
         self.count = entries.len();
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Sets `self` to the summary of the entries of `left` followed by those of `right`.
+    /// Sets `self` to the summary of the entries of both `left` and `right`. The entries of `left` run first.
     pub fn join(&mut self, left: &Summary, right: &Summary) {
         self.count = left.count + right.count;
         self.costs.join(&left.costs, &right.costs);
@@ -109,7 +109,7 @@
             left.first_to_reject_for_memory.max(right.first_to_reject_for_memory);
     }
 
-    /// Returns the work of the entries at the given usual times, in nanoseconds of one core.
+    /// Returns the total work of the entries with the given usual times, in nanoseconds of one core.
     pub fn work_at(&self, usual_times: &[UsualTimes]) -> f64 {
         self.costs.0.iter().map(|cost| cost.cost_ratio * usual_times[cost.operation].core_ns).sum()
     }
--- a/crates/pending-queue/tests/pending_queue.rs
+++ b/crates/pending-queue/tests/pending_queue.rs
@@ -1,12 +1,12 @@
-//! Compares the queue with a plain vector, which is sorted and walked for each query, in random sequences
-//! of operations.
+//! Compares the queue with a reference implementation in random sequences of operations. The reference is a
+//! plain vector that is sorted and walked for each query.
 
 use meadowstream_pending_queue::{ArrivalKey, Capacity, Entry, PendingQueue, UsualTimes};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
 
-/// Usual times of operations and concurrency limit of a simulated server.
+/// A simulated server: the usual times of its operations and its concurrency limit.
 struct Server {
     usual: Vec<UsualTimes>,
     limit: f64,
@@ -59,8 +59,8 @@
     }
 }
 
-/// Runs one random sequence of operations on the queue. Returns the number of entries rejected for missed
-/// deadlines and the number of overdue entries.
+/// Runs one random sequence of operations on the queue and on the reference. Returns the number of entries
+/// rejected for missed deadlines and the number of overdue entries.
 fn run(seed: u64, has_start_tags: bool, entries_max: usize, steps: usize) -> (u64, u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let (ranks, operations) = (rng.random_range(1..5), rng.random_range(1..4));
@@ -187,8 +187,9 @@
     assert!(queue.remove(&entry) && queue.is_empty() && queue.next_to_run().is_none());
 }
 
-/// Searches a queue under overload. The queue holds as many entries as can just meet their deadlines, each
-/// step adds one, and the usual core time changes with every run that ends.
+/// The cost of a search for late entries must hardly grow with the length of the queue. The queue is
+/// overloaded: it contains as many entries as can just meet their deadlines, and each step adds an entry. The
+/// usual core time changes with every step, as it does when runs end.
 #[test]
 fn late_search_cost_hardly_grows_with_the_queue() {
     let inspected_per_arrival = |pending: u64| {
--- a/crates/rate-limit/tests/sliding_window.rs
+++ b/crates/rate-limit/tests/sliding_window.rs
@@ -1,5 +1,5 @@
-//! Tests of the limit over any second, of amounts acquired by force, and of a clock that stops or goes
-//! back.
+//! Tests of the limit in any second, of amounts that exceed the limit because they are acquired by force, and
+//! of a clock that stops or goes back.
 
 use meadowstream_rate_limit::{Nanos, SlidingWindow};
 use proptest::prelude::*;
@@ -11,8 +11,8 @@
     let mut window = SlidingWindow::new(100, 0);
     assert!(window.try_acquire(60, 0) && window.try_acquire(40, SECOND / 2));
     assert!(!window.try_acquire(1, SECOND - 1));
-    // The first amount is counted in a slot of a twentieth of a second. It becomes available again one
-    // second after the end of that slot.
+    // The first amount was used in a slot of a twentieth of a second. It becomes available one second after
+    // the end of this slot.
     assert!(!window.try_acquire(1, SECOND + SECOND / 20 - 1));
     assert!(window.try_acquire(60, SECOND + SECOND / 20));
     assert_eq!(window.available(SECOND + SECOND / 20), 0);
