--- a/crates/deployment-settings/src/lib.rs
+++ b/crates/deployment-settings/src/lib.rs
@@ -47,14 +47,16 @@
 impl DeploymentSettings {
     /// Reads settings from `path=value` lines.
     ///
-    /// # Errors Returns an error if a line has no `=`, a required path is missing, or a value is invalid.
+    /// # Errors
+    /// Returns an error if a line has no `=`, a required path is missing, or a value is invalid.
     pub fn from_lines(text: &str) -> Result<Self, SettingsError> {
         deployment::read(&Values::from_lines(text)?)
     }
 
     /// Reads settings from nested JSON.
     ///
-    /// # Errors Returns an error if a required path is missing or a value is invalid.
+    /// # Errors
+    /// Returns an error if a required path is missing or a value is invalid.
     pub fn from_json(settings: &Value) -> Result<Self, SettingsError> {
         deployment::read(&Values::from_json(settings))
     }
--- a/crates/overload-control/tests/scenarios.rs
+++ b/crates/overload-control/tests/scenarios.rs
@@ -38,8 +38,7 @@
     call_timeout: Nanos,
     /// Number of downstream calls that are in progress.
     open_calls: usize,
-    /// Maximum number of concurrent downstream calls that the fleet's budget permits; `None` without a
-    /// budget.
+    /// Maximum number of concurrent calls that the fleet's budget permits; `None` without a budget.
     call_limit: Option<usize>,
 }
 
--- a/crates/routing/src/health.rs
+++ b/crates/routing/src/health.rs
@@ -1,18 +1,19 @@
-//! Health of a service as an input of routing.
+//! Health of a downstream service, which the router takes into account when it chooses a service.
 
-/// Current health of a service, as used by the router.
+/// Current health of a service as seen by this server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HealthView {
-    /// Whether the service is ejected: by the fleet, or by this server alone while it receives no reports.
+    /// Whether the service is ejected, so that it receives only probes. The fleet ejects a service, or this
+    /// server does so alone while it receives no reports from other servers.
     pub ejected: bool,
-    /// Whether this server's own calls found the service unhealthy.
+    /// Whether this server's own calls to the service found it unhealthy.
     pub locally_unhealthy: bool,
-    /// Whether this server is one of the servers that probe the service.
+    /// Whether this server may send probes to the service. Only some servers of the fleet probe a service.
     pub is_prober: bool,
 }
 
 impl HealthView {
-    /// Whether the service is ejected or locally unhealthy.
+    /// Whether the service is ejected by the fleet, or unhealthy according to this server's own calls.
     pub fn is_unhealthy(self) -> bool {
         self.ejected || self.locally_unhealthy
     }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,6 +1,5 @@
-//! Chooses the downstream service of a tier that receives a call. The crate performs no I/O: its inputs are
-//! the time, a seed and the health of each service. `docs/shared-state.md` lists the alternatives
-//! considered.
+//! Chooses the service of a downstream tier that receives a call. The crate performs no I/O: its inputs are
+//! the time, a seed and the health of each service. `docs/shared-state.md` lists the alternatives considered.
 //!
 //! - [`choice`]: two services are drawn at random, and the one with fewer outstanding calls is chosen.
 //! - [`health`]: a service ejected by the fleet gets no ordinary calls. A service that only this server
--- a/crates/routing/src/probing.rs
+++ b/crates/routing/src/probing.rs
@@ -1,9 +1,11 @@
-//! Schedule of probes to an unhealthy service. Without probes no server would detect the recovery of the
-//! service, and the evidence against the service would expire at all servers at the same time.
+//! Schedule of the probes that a server sends to an unhealthy service. A probe is an idempotent call that is
+//! sent to the service to detect its recovery. Without probes no server would detect the recovery, and the
+//! reports against the service would expire at all servers at the same time.
 
 use crate::Nanos;
 
-/// Schedule of this server's probes of one service: at most one probe at a time and one per interval.
+/// Schedule of this server's probes of one service. At most one probe is in progress at a time, and at most
+/// one starts per probe interval.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ProbeSchedule {
     in_progress: bool,
@@ -12,13 +14,13 @@
 
 impl ProbeSchedule {
     /// Starts probing a service that has become unhealthy. The first probe is due after `delay`. The caller
-    /// chooses a random part of the probe interval, so that the servers of a fleet do not probe at the same
-    /// time.
+    /// passes a random part of the probe interval, so that the servers of a fleet do not all probe at the
+    /// same time.
     pub fn begin(&mut self, now: Nanos, delay: Nanos) {
         self.next_at = now + delay;
     }
 
-    /// Returns the time at which the next probe is due; `None` while a probe is in progress.
+    /// Returns the time at which the next probe is due. Returns `None` while a probe is in progress.
     pub fn next_at(&self) -> Option<Nanos> {
         (!self.in_progress).then_some(self.next_at)
     }
@@ -28,13 +30,13 @@
         self.next_at().is_some_and(|at| at <= now)
     }
 
-    /// Marks a probe as in progress, and schedules the next probe `interval` after `now`.
+    /// Records that a probe has started at `now`. The next probe is due `interval` later.
     pub fn start(&mut self, now: Nanos, interval: Nanos) {
         self.in_progress = true;
         self.next_at = now + interval;
     }
 
-    /// Marks the probe in progress as ended.
+    /// Records that the probe in progress has ended.
     pub fn end(&mut self) {
         self.in_progress = false;
     }
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -1,4 +1,4 @@
-//! The router of one server: chooses a downstream service for each call.
+//! The router of one server, which chooses a downstream service for each call.
 
 use crate::Nanos;
 use crate::choice::{Load, less_loaded_of_two, random_below};
@@ -9,33 +9,35 @@
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
 
-/// The service chosen for a call; pass it to [`Router::release`] when the call ends.
+/// The service that was chosen for a call. The caller passes this value to [`Router::release`] when the call
+/// ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Choice {
     /// Index of the chosen service.
     pub service: usize,
-    /// Whether the call is a probe of an unhealthy service.
+    /// Whether the call is a probe, which tests an unhealthy service for recovery.
     pub is_probe: bool,
 }
 
-/// Constraints that a call puts on the choice of its service.
+/// Properties of a call that restrict the choice of its service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallPreference {
-    /// Service of the previous attempt of the call, which is avoided.
+    /// Service of the call's previous attempt. A retry avoids this service if it can.
     pub last_service: Option<usize>,
-    /// Whether the call may probe a service that is likely to fail it: the call is idempotent, and this is
-    /// its first attempt.
+    /// Whether the call may be sent as a probe to an unhealthy service, which is likely to fail the call.
+    /// Only the first attempt of an idempotent call may be a probe.
     pub may_probe: bool,
 }
 
-/// Counters of calls since the router was created.
+/// Numbers of calls since the router was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RouterCounters {
-    /// Number of ordinary calls, which excludes probes.
+    /// Number of ordinary calls. Probes are not counted.
     pub calls: u64,
     /// Number of probes.
     pub probes: u64,
-    /// Number of calls for which no service was available: all services were ejected and no probe was due.
+    /// Number of calls for which no service was available. This happens if all services are ejected and no
+    /// probe is due.
     pub unroutable: u64,
 }
 
@@ -57,11 +59,12 @@
     }
 }
 
-/// A service that may receive an ordinary call.
+/// A service that is not ejected and may receive an ordinary call.
 #[derive(Clone, Copy, Debug)]
 struct Candidate {
     service: usize,
-    /// Present share of calls as a ratio to the full share; see [`SlowStart::ratio`].
+    /// Share of calls that the service receives now, divided by its full share. It is below 1 during slow
+    /// start; see [`SlowStart::ratio`].
     ratio: f64,
 }
 
@@ -71,18 +74,18 @@
     }
 }
 
-/// Router that chooses among the services of one tier for the calls of one server.
+/// Router of one server. For each call of the server it chooses one of the services of a tier.
 #[derive(Clone, Debug)]
 pub struct Router {
     settings: Settings,
     services: Vec<Service>,
     rng: ChaCha8Rng,
-    /// Counters of calls since the router was created.
+    /// Numbers of calls since the router was created.
     pub counters: RouterCounters,
 }
 
 impl Router {
-    /// Creates a router whose random choices are derived from `seed`.
+    /// Creates a router. Its random choices are derived from `seed`.
     ///
     /// # Errors
     /// Returns an error if a setting is invalid.
@@ -96,8 +99,8 @@
         })
     }
 
-    /// Updates the health of all services as of `now`. `views` has one item per service, in the order of
-    /// the services.
+    /// Updates the health of all services at the time `now`. `views` contains one item per service, in the
+    /// order of the services.
     pub fn update_health(&mut self, now: Nanos, views: impl IntoIterator<Item = HealthView>) {
         for (service, view) in self.services.iter_mut().zip(views) {
             let probe_delay = random_below(&mut self.rng, self.settings.probe_interval) + 1;
@@ -112,13 +115,14 @@
         }
     }
 
-    /// Whether [`Router::choose`] would choose a service now.
+    /// Whether [`Router::choose`] would return a service now.
     pub fn can_route(&self, now: Nanos, preference: CallPreference) -> bool {
         let any_open = self.services.iter().any(|service| !service.health.ejected);
         any_open || (preference.may_probe && self.due_probe(now).is_some())
     }
 
-    /// Returns the time of this server's next probe if all services are ejected; `None` otherwise.
+    /// Returns the time at which this server's next probe is due, if all services are ejected. Otherwise
+    /// returns `None`.
     pub fn next_probe_at(&self) -> Option<Nanos> {
         if self.services.iter().any(|service| !service.health.ejected) {
             return None;
@@ -127,9 +131,8 @@
         probed.filter_map(|service| service.probes.next_at()).min()
     }
 
-    /// Chooses a service for a call. The call counts as outstanding until [`Router::release`]. A due probe
-    /// takes precedence over an ordinary call. Returns `None` if all services are ejected and no probe is
-    /// due.
+    /// Chooses a service for a call. The call may become a probe if a probe is due. Returns `None` if all
+    /// services are ejected and no probe is due. The call counts as outstanding until [`Router::release`].
     pub fn choose(&mut self, now: Nanos, preference: CallPreference) -> Option<Choice> {
         if preference.may_probe
             && let Some(service) = self.due_probe(now)
@@ -146,7 +149,7 @@
         Some(Choice { service, is_probe: false })
     }
 
-    /// Records that a call to a service has ended or was abandoned.
+    /// Records that the call for which `choice` was made has ended or was abandoned.
     pub fn release(&mut self, choice: Choice) {
         let Some(service) = self.services.get_mut(choice.service) else { return };
         service.outstanding = service.outstanding.saturating_sub(1);
@@ -155,12 +158,13 @@
         }
     }
 
-    /// Returns the number of calls to a service that have not ended.
+    /// Returns the number of this server's calls to a service that have not ended.
     pub fn outstanding(&self, service: usize) -> u64 {
         self.services.get(service).map_or(0, |service| service.outstanding)
     }
 
-    /// Returns the service whose probe has been due for the longest time; `None` if no probe is due.
+    /// Returns the service whose probe is due and has been due for the longest time. Returns `None` if no
+    /// probe is due.
     fn due_probe(&self, now: Nanos) -> Option<usize> {
         let due = self.services.iter().enumerate().filter(|(_, service)| service.probe_is_due(now));
         due.min_by_key(|(_, service)| service.probes.next_at()).map(|(index, _)| index)
@@ -174,7 +178,8 @@
         Choice { service: index, is_probe: true }
     }
 
-    /// Returns the services that are not ejected. Omits `last_service` unless no other service is left.
+    /// Returns the services that may receive an ordinary call, which are those that are not ejected.
+    /// `last_service` is omitted if there is another such service.
     fn candidates(&self, now: Nanos, last_service: Option<usize>) -> Vec<Candidate> {
         let mut candidates = Vec::with_capacity(self.services.len());
         for (index, service) in self.services.iter().enumerate() {
@@ -189,9 +194,10 @@
         candidates
     }
 
-    /// Chooses between two randomly drawn services whose slow start is over. A service in slow start is
-    /// chosen instead if it has accumulated credit for a whole call. If all candidates are in slow start,
-    /// chooses between two of them.
+    /// Chooses a service for an ordinary call. The usual choice is the less loaded of two randomly drawn
+    /// services whose slow start is over. A service in slow start is chosen instead once it has accumulated
+    /// credit for a whole call. If all candidates are in slow start, the less loaded of two of them is
+    /// chosen.
     fn choose_candidate(&mut self, candidates: &[Candidate]) -> Option<usize> {
         let warm: Vec<usize> =
             candidates.iter().filter(|candidate| candidate.is_warm()).map(|warm| warm.service).collect();
@@ -208,9 +214,10 @@
         Some(self.owed_service(candidates, usual).unwrap_or(usual))
     }
 
-    /// Credits each service in slow start with its share of this call. A service is owed the call if its
-    /// credit reaches a whole call and its load is at most that of `usual`, the service that was chosen
-    /// among those whose slow start is over. Returns the least loaded service that is owed the call.
+    /// Adds this call's share to the credit of each service in slow start, and returns the service in slow
+    /// start that receives the call, if any. A service receives the call if its credit has reached a whole
+    /// call and its load is not above that of `usual`. If several services qualify, the least loaded one
+    /// receives the call. `usual` is the service chosen among those whose slow start is over.
     fn owed_service(&mut self, candidates: &[Candidate], usual: usize) -> Option<usize> {
         let usual_load = self.services[usual].load();
         let mut owed: Option<usize> = None;
--- a/crates/routing/src/settings.rs
+++ b/crates/routing/src/settings.rs
@@ -1,20 +1,21 @@
-//! Routing settings and their validation.
+//! Settings of the router, and checks that they are valid.
 
 use crate::Nanos;
 use thiserror::Error;
 
-/// Settings of the router for one tier; durations are in nanoseconds.
+/// Settings of a router, which chooses among the services of one tier. Durations are in nanoseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Number of services of the tier, at least 1.
+    /// Number of services in the tier, at least 1.
     pub services: usize,
-    /// Interval between two probes of an unhealthy service by this server; above 0.
+    /// Time between two probes that this server sends to an unhealthy service; above 0.
     pub probe_interval: Nanos,
-    /// Time in which a recovered service regains its full share of calls; 0 turns slow start off.
+    /// Duration of slow start: time after its recovery in which a service regains its full share of calls. 0
+    /// turns slow start off.
     pub slow_start: Nanos,
 }
 
-/// Reason why the settings are invalid.
+/// Error that states which setting is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum SettingsError {
     /// The tier has no services.
@@ -26,10 +27,10 @@
 }
 
 impl Settings {
-    /// Validates the settings.
+    /// Checks that the settings are valid.
     ///
     /// # Errors
-    /// Returns the first setting that is invalid.
+    /// Returns an error about the first invalid setting.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.services == 0 {
             return Err(SettingsError::Services(self.services));
--- a/crates/routing/tests/ramp.rs
+++ b/crates/routing/tests/ramp.rs
@@ -1,8 +1,8 @@
-//! Load that a whole fleet sends to a service after the recovery of the service, in simulated time.
+//! Tests the calls of a whole fleet to a service that has just recovered, in simulated time.
 //!
 //! Each server sees only its own calls, but the sum of all servers' calls can overload the service. In each
-//! window this sum may exceed the expected number N of calls by 2 * sqrt(N) + 2, as random variation.
-//! `cargo test -p meadowstream-routing --test ramp -- --nocapture` prints the worst window of all runs.
+//! window this sum may exceed the expected number N of calls by 2 * sqrt(N) + 2, as random variation. `cargo
+//! test -p meadowstream-routing --test ramp -- --nocapture` prints the worst window of all runs.
 
 use meadowstream_routing::{CallPreference, Choice, HealthView, Router, Settings};
 use rand_chacha::ChaCha8Rng;
@@ -13,20 +13,20 @@
 const MS: u64 = 1_000_000;
 const SERVICES: usize = 10;
 const RAMP: u64 = 2_000 * MS;
-/// Mean time between two calls of a server.
+/// Mean time between two calls that a server makes, in nanoseconds.
 const CALL_INTERVAL: u64 = 25 * MS;
-/// Mean duration of a call to a service whose slow start is over.
+/// Mean duration of a call to a service that is not in slow start, in nanoseconds.
 const CALL_TIME: u64 = 40 * MS;
-/// Length of the windows in which calls are counted.
+/// Length of each window in which the test counts calls, in nanoseconds.
 const WINDOW: u64 = 250 * MS;
 
 struct Simulation {
     rng: ChaCha8Rng,
     routers: Vec<Router>,
-    /// Number of calls to the recovered service in each window of the ramp.
+    /// Number of calls of the whole fleet to the recovered service, in each window of its slow start.
     calls_per_window: Vec<u64>,
-    /// Share of all calls that went to the recovered service after the ramp, counted over a period half as
-    /// long as the ramp.
+    /// Share of all calls that the recovered service received after its slow start. The calls are counted
+    /// over a period half as long as the slow start.
     share_after: f64,
 }
 
@@ -34,8 +34,8 @@
     rng.next_u64() % bound
 }
 
-/// Simulates a fleet in which service 0 is ejected and then recovers; each server is informed of the recovery
-/// up to 200 ms late. Calls to the service take `cold_slowdown` times as long during the ramp.
+/// Simulates a fleet in which service 0 is ejected and then recovers. Each server is informed of the recovery
+/// with a delay of up to 200 ms. During the ramp, calls to service 0 take `cold_slowdown` times as long.
 fn simulate(servers: usize, cold_slowdown: u64, seed: u64) -> Simulation {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let settings = Settings { services: SERVICES, probe_interval: RAMP / 8, slow_start: RAMP };
@@ -69,7 +69,8 @@
             }
             while next[i] <= now {
                 next[i] += 1 + random_below(&mut rng, 2 * CALL_INTERVAL);
-                // Only ordinary calls are simulated: the default preference does not permit probes.
+                // The simulation makes only ordinary calls, because the default preference does not permit
+                // probes.
                 let Some(choice) = routers[i].choose(now, CallPreference::default()) else { continue };
                 let cold = choice.service == 0 && now < recovery + RAMP;
                 let duration = CALL_TIME / 2 + random_below(&mut rng, CALL_TIME);
@@ -93,7 +94,7 @@
     }
 }
 
-/// Returns the number of calls to the recovered service that the ramp permits the whole fleet in a window,
+/// Returns the expected number of calls of the whole fleet to the recovered service in a window of the ramp,
 /// if all servers are informed of the recovery at once.
 fn expected_calls(servers: usize, window: usize) -> f64 {
     let full_share = servers as f64 * WINDOW as f64 / CALL_INTERVAL as f64 / SERVICES as f64;
@@ -129,8 +130,8 @@
 
 #[test]
 fn servers_do_not_send_first_calls_in_unison() {
-    // All servers are informed of the recovery at the same time and make calls at the same rate. Their
-    // first calls to the recovered service must nevertheless be spread out over time.
+    // All servers are informed of the recovery at the same time and make calls at the same rate. Even then,
+    // their first calls to the recovered service must be spread over time.
     let mut simulation = simulate(30, 1, 7);
     let seeds: Vec<u64> = simulation.routers.iter().map(|_| simulation.rng.next_u64()).collect();
     let settings = Settings { services: SERVICES, probe_interval: RAMP / 8, slow_start: RAMP };
--- a/crates/routing/tests/tier.rs
+++ b/crates/routing/tests/tier.rs
@@ -1,8 +1,9 @@
-//! Routing and outlier detection in a simulated fleet of servers that call a tier of services.
+//! Tests of routing and outlier detection in a simulated fleet of servers that call a tier of services.
 //!
 //! Each server detects outliers with `shared-state`, and sends its reports to three other servers in each
-//! gossip period, over a network that loses some reports. The simulation is deterministic. `cargo test -p
-//! meadowstream-routing --release -- --nocapture` prints the figures quoted in docs/shared-state.md.
+//! gossip period. The network loses some reports. The simulation is deterministic.
+//!
+//! `cargo test -p meadowstream-routing --release -- --nocapture` prints the figures of docs/shared-state.md.
 
 use meadowstream_routing::{CallPreference, Choice, HealthView, Router, Settings};
 use meadowstream_shared_state::ServerId;
@@ -21,38 +22,37 @@
 #[derive(Clone, Copy, PartialEq)]
 enum Health {
     Healthy,
-    /// The service fails calls immediately.
+    /// Each call to the service fails immediately.
     Failing,
-    /// The service succeeds after this additional delay, ns.
+    /// Each call to the service succeeds, but takes longer by this number of nanoseconds.
     Slow(u64),
 }
 
-/// A call in progress: end time, server, service, whether it is a probe, whether it succeeds, duration.
+/// A call in progress: end time, server, service, whether it is a probe, whether it will succeed, duration.
 type OpenCall = (u64, usize, usize, bool, bool, u64);
 
 struct Fleet {
     detectors: Vec<OutlierDetector>,
     routers: Vec<Router>,
     health: Vec<Health>,
-    /// Pairs of a server and a healthy service that the server cannot reach.
+    /// Pairs of a server and a service: the server cannot reach the service, although the service is healthy.
     unreachable: Vec<(usize, usize)>,
     rng: ChaCha8Rng,
     now: u64,
 
     open_calls: BinaryHeap<Reverse<OpenCall>>,
-    /// Number of calls to each service since the last reset.
+    /// Number of calls to each service since these numbers were last reset.
     calls: Vec<u64>,
-    /// Number of failed calls to all services since the last reset.
+    /// Number of failed calls to all services together since the number was last reset.
     failed: u64,
-    /// Maximum number of services that one server had ejected at the same time.
+    /// Largest number of services that any server had ejected at the same time.
     ejected_max: usize,
-    /// Whether routing takes into account that a server's own calls found a service unhealthy.
+    /// Whether a server's router is informed that the server's own calls found a service unhealthy.
     uses_own_evidence: bool,
     is_probing: bool,
-    /// Whether every server probes the ejected services, instead of only the probers that outlier detection
-    /// selects.
+    /// Whether all servers probe the ejected services, or only those that outlier detection selects.
     all_servers_probe: bool,
-    /// Servers that make no calls and send no reports.
+    /// Servers that are cut off: they make no calls and send no reports.
     partitioned: Vec<usize>,
 }
 
@@ -91,8 +91,8 @@
         self.rng.next_u64() % bound
     }
 
-    /// Advances the simulation. Each server makes a call every 10 ms on average, and sends its reports to
-    /// three other servers once per gossip period.
+    /// Advances the simulated time by `duration`. Each server makes a call every 10 ms on average, and sends
+    /// its reports to three other servers once per gossip period.
     fn advance(&mut self, duration: u64) {
         let until = self.now + duration;
         while self.now < until {
@@ -160,8 +160,8 @@
         self.detectors[i].ejected(Time::from_agreeing_clocks(self.now)).contains(&service)
     }
 
-    /// Returns the time until all servers have ejected a service or, if `ejected` is false, until no server
-    /// ejects it. Returns `None` after `limit`.
+    /// Returns the time until all servers have ejected a service, or until none has if `ejected` is false.
+    /// Returns `None` if this takes longer than `limit`.
     fn time_until(&mut self, service: usize, ejected: bool, limit: u64) -> Option<u64> {
         let started = self.now;
         while self.now - started <= limit {
@@ -173,8 +173,7 @@
         None
     }
 
-    /// Returns two shares of the calls during the next `duration`: the share that goes to a service, and
-    /// the share that fails.
+    /// Simulates the next `duration`. Returns the shares of all calls that go to a service and that fail.
     fn shares(&mut self, service: usize, duration: u64) -> (f64, f64) {
         self.calls.fill(0);
         self.failed = 0;
@@ -214,7 +213,7 @@
     assert!((0.04..0.06).contains(&share_later), "{share_later}");
 }
 
-/// A service that succeeds but is slow must also be detected and ejected.
+/// A service must be ejected if its calls succeed but take too long.
 #[test]
 fn a_slow_service_is_ejected() {
     let mut fleet = Fleet::new(20, 8, 500, 2, 2);
@@ -225,8 +224,7 @@
     assert!(ejection.is_some_and(|t| t <= 6 * S), "{ejection:?}");
 }
 
-/// Three quarters of the tier fail. No server may eject more than half of the tier, which is the configured
-/// maximum share.
+/// Three quarters of the tier fail, but no server may eject more than half of it, the configured maximum.
 #[test]
 fn no_more_than_the_configured_share_is_ejected() {
     let mut fleet = Fleet::new(30, 8, 500, 2, 3);
@@ -239,16 +237,16 @@
     unlimited.advance(2 * S);
     unlimited.health.fill(Health::Failing);
     unlimited.advance(6 * S);
-    // If the whole tier may be ejected, only probes are routed until they detect the recovery.
+    // All services are ejected, so only probes are routed until they detect the recovery.
     assert!(unlimited.routers.iter().all(|r| r.counters.unroutable > 0));
     unlimited.health.fill(Health::Healthy);
     unlimited.advance(10 * S);
     assert!((0..30).all(|i| (0..8).all(|s| !unlimited.is_ejected_by(i, s))));
 }
 
-/// One server cannot reach a service that all others can reach. The service is not ejected, and the one
-/// server avoids it because its own calls failed. If the server did not, the service would attract its
-/// calls, since a service that fails immediately has few outstanding calls.
+/// One server cannot reach a service that all others can reach. The fleet must not eject the service, but the
+/// one server must avoid it because its own calls failed. Otherwise the service would attract the server's
+/// calls, because a service that fails immediately has few outstanding calls.
 #[test]
 fn a_service_unreachable_by_one_server_is_not_ejected() {
     let simulate = |uses_own_evidence| {
@@ -259,7 +257,7 @@
         (fleet.failed, fleet.ejected_max) = (0, 0);
         fleet.advance(10 * S);
         assert_eq!(fleet.ejected_max, 0);
-        // One server makes about 100 calls per second, so about 1,000 in these 10 s.
+        // The affected server makes about 100 calls per second, which is about 1,000 calls in these 10 s.
         fleet.failed
     };
     let (with, without) = (simulate(true), simulate(false));
@@ -269,8 +267,8 @@
     assert!(with <= 60 && without >= 120, "failed with own evidence {with}, without {without}");
 }
 
-/// Without probes the evidence against a failing service expires, and all servers repeatedly send calls to
-/// it although it still fails.
+/// Probes must keep a failing service ejected. Without probes the reports of failures expire, and all servers
+/// repeatedly send calls to the service although it still fails.
 #[test]
 fn probes_keep_a_failing_service_ejected() {
     let simulate = |is_probing| {
@@ -304,8 +302,7 @@
         (0..300).map(|_| router.choose(0, CallPreference::default()).unwrap()).collect();
     assert!((0..3).all(|s| (95..=105).contains(&router.outstanding(s))), "{:?}", router.outstanding(0));
     choices.into_iter().for_each(|choice| router.release(choice));
-    // If a tier has only one service, a retry goes to this service, even if the server finds the service
-    // unhealthy.
+    // In a tier with only one service, a retry goes to this service, even if it is unhealthy.
     let mut single = Router::new(Settings { services: 1, ..settings }, 9).unwrap();
     single.update_health(0, [HealthView { ejected: false, locally_unhealthy: true, is_prober: true }]);
     assert_eq!(
@@ -315,8 +312,8 @@
     assert!(Router::new(Settings { services: 0, ..settings }, 1).is_err());
 }
 
-/// While the only service is ejected, a non-idempotent call is not routed. Idempotent calls are sent as
-/// probes, one at a time.
+/// The only service is ejected. A call that is not idempotent has no service then, and idempotent calls are
+/// sent as probes, one at a time.
 #[test]
 fn probes_are_idempotent_and_sent_one_at_a_time() {
     let mut router = Router::new(Settings { services: 1, probe_interval: S, slow_start: S }, 1).unwrap();
@@ -339,9 +336,9 @@
     assert!(router.can_route(due + 6 * S, non_idempotent) && router.next_probe_at().is_none());
 }
 
-/// An ejected service, or one that has just started and is cold, withstands the probes of a few servers but
-/// not those of all servers. The expected number of probes N must not depend on the size of the fleet; up
-/// to 2 * sqrt(N) + 2 more are attributed to random variation.
+/// The number of probes to an ejected service must not grow with the fleet: a failing or cold service
+/// withstands the probes of a few servers, but not those of all servers. The test permits the expected number
+/// N of probes plus 2 * sqrt(N) + 2 for random variation.
 #[test]
 fn the_number_of_probes_does_not_grow_with_the_fleet() {
     let probes_max = |servers: usize, all_servers_probe: bool| {
@@ -354,14 +351,15 @@
         for second in 0..20 {
             fleet.calls.fill(0);
             fleet.advance(S);
-            // The first 4 s are not counted, because earlier calls still end and probers are still replaced.
+            // The first 4 s are not counted: some earlier calls still end, and some probers are still
+            // replaced.
             probes = if second < 4 { 0 } else { probes.max(fleet.calls[4]) };
         }
         assert!((0..servers).all(|i| fleet.is_ejected_by(i, 4)), "the service stays ejected");
         probes as f64
     };
-    // Three reports are required, with two probers for each. Each prober sends eight probes within the
-    // expiry time of a report.
+    // Three reports are required to eject the service, and two probers supply each report. A prober sends
+    // eight probes during the time in which a report is valid.
     let expected = 2.0 * 3.0 * 8.0 * S as f64 / EXPIRY as f64;
     for servers in [20, 30, 100] {
         let got = probes_max(servers, false);
@@ -387,7 +385,7 @@
     let time = Time::from_agreeing_clocks(fleet.now);
     let probers: Vec<usize> = (0..30).filter(|i| fleet.detectors[*i].is_prober(time, 1)).collect();
     assert!((1..=6).contains(&probers.len()), "probers {probers:?}");
-    // The probers are partitioned: they make no calls, and the other servers receive no reports from them.
+    // The probers are cut off: they make no calls, and the other servers receive no reports from them.
     fleet.partitioned = probers;
     fleet.health[1] = Health::Healthy;
     let recovered_at = fleet.now;
