--- a/crates/cli/examples/mixed_fleet.rs
+++ b/crates/cli/examples/mixed_fleet.rs
@@ -95,9 +95,10 @@
 
 /// Puts all servers under load and checks that they share the call budget.
 ///
-/// Each server needs more concurrent downstream calls than [`BUDGET_FLOOR`], its part without a lease. The
-/// check requires that each server gets a lease, that at most one call of the leasable budget stays unleased,
-/// and that the downstream service never has more concurrent calls than the budget.
+/// The load of each server needs more concurrent downstream calls than the server may make without a lease
+/// ([`BUDGET_FLOOR`]). Each server must get a lease. The leases together must cover the budget without the
+/// floors of all servers, except for at most one call. The downstream service must never have more concurrent
+/// calls than the budget.
 fn share_budget(fleet: &FleetHarness, downstream: &downstream_service::DownstreamService) -> Result<()> {
     let servers: Vec<usize> = (CONTROL_MACHINES..PROCESSES).collect();
     let mut loads = Vec::new();
--- a/crates/cli/tests/fleet_membership.rs
+++ b/crates/cli/tests/fleet_membership.rs
@@ -1,8 +1,8 @@
 //! Tests of the membership view: several processes of the program agree on one view of the fleet in spite of
-//! faults. The faults are a crash (SIGKILL), a stall (SIGSTOP, SIGCONT), partitions and lossy links. All
-//! traffic passes a fault relay on the loopback interface. The assertions use the logs of the processes (JSON
-//! lines), not the relay's counts. Each process is killed when its harness is dropped, also if the test
-//! fails.
+//! faults. The faults are a crash (SIGKILL), a stall (SIGSTOP, SIGCONT), partitions and lossy links. The
+//! processes communicate through a fault relay on the loopback interface. The assertions use the logs of the
+//! processes (JSON lines), not the relay's counts. Each process is killed when its harness is dropped, also
+//! if the test fails.
 
 use meadowstream_test_doubles::fleet::{FleetHarness, HarnessOptions, PROBE_PERIOD_MS, SUSPICION_PERIODS};
 use std::net::UdpSocket;
--- a/crates/cli/tests/fleet_state.rs
+++ b/crates/cli/tests/fleet_state.rs
@@ -168,8 +168,8 @@
     assert!(new.succeeded > 0, "{new:?}");
 }
 
-/// A server must not use an expired lease. The server is stopped (SIGSTOP) for longer than its lease and then
-/// continued. It makes no call on the expired lease and gets a new lease.
+/// A server must not use an expired lease. A server that is stopped (SIGSTOP) for longer than its lease and
+/// then continued makes no call on the expired lease and gets a new lease.
 #[test]
 fn a_stalled_holder_under_loss_never_passes_the_budget() {
     let (mut fleet, downstream) = start_fleet(23, 5, true);
@@ -340,8 +340,8 @@
     assert!(probes > 0 && probes <= 5 * 8 * 3 / 2 + 10, "{probes} probes");
     assert!(calls > 5 * probes, "{calls}, {probes} probes");
 
-    // A server that is cut off from the other servers decides by its own calls alone. It keeps r1 ejected,
-    // and it ejects the next failing service by itself.
+    // A server that is cut off from the others decides by its own calls alone. This server keeps r1 ejected
+    // and ejects the next failing service by itself.
     tier.fleet.relay.change_faults(|f| {
         f.groups.insert(0, 1);
         f.partition(0, 1);
--- a/crates/configuration/src/options.rs
+++ b/crates/configuration/src/options.rs
@@ -78,7 +78,7 @@
         Ok(())
     }
 
-    /// Checks that idempotency keys and tenants use different call fields. One field cannot contain both.
+    /// Checks that idempotency keys and tenants are read from different call fields.
     fn check_keys_and_tenants(&self) -> Result<()> {
         let Some(Tenants { source: TenantSource::Field(tenant), .. }) = &self.tenants else { return Ok(()) };
         match &self.idempotency_keys {
--- a/crates/configuration/src/rollout.rs
+++ b/crates/configuration/src/rollout.rs
@@ -18,10 +18,10 @@
     /// Path of the candidate program, stored as written in the options file and relative to that file. `None`
     /// if rollouts cannot change this server's program.
     ///
-    /// If a path is present, the supervisor of this server must restart the program when it exits. The
-    /// program to start is named in the file next to the options file that has the suffix `.program`.
+    /// If a path is present, the supervisor of this server must restart the program when it exits. A file
+    /// next to the options file, with the suffix `.program`, names the program to start.
     pub program: Option<PathBuf>,
-    /// Maximum number of servers that run at the same time, including coordinators of rollouts.
+    /// Maximum number of servers and coordinators of rollouts that run at the same time.
     pub servers: u64,
     /// Names of the members that vote for the holder of the rollout lease.
     pub voters: Vec<String>,
--- a/crates/configuration/src/shared_state.rs
+++ b/crates/configuration/src/shared_state.rs
@@ -24,7 +24,7 @@
     pub gossip_interval: u64,
     /// Budget of downstream calls; `None` if the fleet has no budget.
     pub budget: Option<Budget>,
-    /// Tier of downstream services with outlier detection; `None` if there is no such tier.
+    /// Tier of downstream services with outlier detection; `None` if the fleet has no tier.
     pub tier: Option<Tier>,
 }
 
--- a/crates/deployment-settings/src/error.rs
+++ b/crates/deployment-settings/src/error.rs
@@ -2,7 +2,7 @@
 
 use thiserror::Error;
 
-/// Error that occurs while the platform's settings are read. It contains the path and the value of the
+/// Error that occurs while the platform's settings are read. The error contains the path and the value of the
 /// setting.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum SettingsError {
--- a/crates/deployment-settings/src/lib.rs
+++ b/crates/deployment-settings/src/lib.rs
@@ -30,8 +30,7 @@
     pub runnable_gauge: Option<usize>,
     /// Names of the operations, in the order of [`Deployment::operations`].
     pub operation_names: Vec<String>,
-    /// Time for which the answer to a read may also be returned to other callers with the same read, in
-    /// nanoseconds.
+    /// Time for which the answer to a read may also be returned to other callers, in nanoseconds.
     pub read_sharing_window: Nanos,
     /// Whether the server is notified when a caller cancels an invocation.
     pub notifies_cancellation: bool,
--- a/crates/overload-control/src/admission.rs
+++ b/crates/overload-control/src/admission.rs
@@ -60,8 +60,9 @@
 /// so the decision depends on the time since the period started.
 pub struct Admission {
     period_start: Nanos,
-    /// Whether operations without downstream calls are never rejected by the refusal window. True while runs
-    /// must wait to make downstream calls although the cores are below their target utilization.
+    /// Whether operations without downstream calls are exempt from the refusal window, the part of each
+    /// control period in which arrivals are rejected. True while runs must wait to make downstream calls
+    /// although the cores are below their target utilization.
     pub spares_operations_without_calls: bool,
 }
 
--- a/crates/overload-control/src/call_budget.rs
+++ b/crates/overload-control/src/call_budget.rs
@@ -22,8 +22,8 @@
 
 /// Properties of a call for which budget is reserved.
 pub struct Request {
-    /// Requested timeout of the call. It is the time until the result is no longer useful, or the attempt
-    /// timeout if the call may be repeated and the attempt timeout is shorter.
+    /// Requested timeout of the call: the time until the result is no longer useful. If the call may be
+    /// repeated and its attempt timeout is shorter, the attempt timeout is requested instead.
     pub timeout: Nanos,
     /// Attempt timeout: time after which an attempt is abandoned if the call may be repeated, ns; 0 until the
     /// duration of a call has been observed.
--- a/crates/overload-control/src/controller.rs
+++ b/crates/overload-control/src/controller.rs
@@ -60,12 +60,12 @@
     timers: Timers,
 }
 
-/// A rule of the controller. If its condition holds, it performs one action and returns `Some`; otherwise it
-/// returns `None`.
+/// A rule of the controller. A rule whose condition holds performs one action and returns `Some`. Otherwise
+/// the rule returns `None`.
 type Rule = fn(&mut Controller, &mut dyn Host) -> Option<()>;
 
 /// The controller's rules in order of precedence. After a rule has acted, evaluation starts again from the
-/// first rule. It ends when no rule acts.
+/// first rule. Evaluation ends when no rule acts.
 const RULES: &[Rule] = &[
     Controller::answer_overdue,
     Controller::stop_abandoned_runs,
--- a/crates/overload-control/src/controller/rules.rs
+++ b/crates/overload-control/src/controller/rules.rs
@@ -122,8 +122,8 @@
         Some(())
     }
 
-    /// Returns the run that makes its downstream call next. It is the run of the highest rank among the runs
-    /// that wait for a call, and the oldest among runs of this rank.
+    /// Returns the run that makes its downstream call next: among the runs that may make their call now, the
+    /// run of the highest rank. Among runs of equal rank, the oldest is returned.
     fn next_to_call(&self) -> Option<usize> {
         let ready = self.invocations.active().filter(|(_, invocation)| {
             invocation.state() == InvocationState::AwaitingCall
@@ -201,9 +201,9 @@
         Some(())
     }
 
-    /// Rule: sets the deadline timer to the next time at which a rule must be applied. It is the earliest of
-    /// the next deadline, the end of a backoff, and the time at which the call budget suffices for a waiting
-    /// call.
+    /// Rule: sets the deadline timer to the next time at which the rules must be applied. This time is the
+    /// earliest of the next deadline, the end of a backoff, and the time at which the call budget suffices
+    /// for a waiting call.
     pub(super) fn set_deadline_timer(&mut self, host: &mut dyn Host) -> Option<()> {
         let unanswered = self.invocations.active().filter(|(_, invocation)| !invocation.answered);
         let active = unanswered.map(|(_, invocation)| {
@@ -235,9 +235,9 @@
         self.reject_or_fail(key, retry_after, retry_after, host);
     }
 
-    /// Rejects an invocation if its caller may safely repeat it, and otherwise answers it with an error. A
-    /// caller may safely repeat an invocation that is idempotent or had no effect. An invocation that repeats
-    /// an earlier one may have had an effect through the earlier run. A promise of admission takes effect
+    /// Rejects an invocation if its caller may safely repeat it, and otherwise answers it with an error. The
+    /// caller may safely repeat an invocation that is idempotent or certainly had no effect. A repeat of an
+    /// earlier invocation may have had an effect through the earlier run. A promise of admission takes effect
     /// after `promise_after` or later.
     ///
     /// The caller is advised not to retry at another server in three cases: this server promised it
@@ -259,11 +259,11 @@
     }
 
     /// Returns retry advice for the caller of an invocation that is about to be answered. The advice is a
-    /// delay and, if this server promises to admit the retry, a ticket.
+    /// delay and, if this server promises to admit the retry, a ticket. No promise is made while the server
+    /// is draining, flooded or unhealthy.
     ///
-    /// With fair queueing, an invocation that never ran also ends in the fair queueing scheduler, and a
-    /// promise is announced to the host. No promise is made while the server is draining, flooded or
-    /// unhealthy.
+    /// With fair queueing, the function also notifies the scheduler of the end of an invocation that never
+    /// ran, and announces a promise to the host.
     fn issue_retry_advice(
         &mut self,
         key: usize,
--- a/crates/overload-control/src/deadline.rs
+++ b/crates/overload-control/src/deadline.rs
@@ -13,8 +13,8 @@
 pub struct Deadlines {
     /// Answer deadline: after this time the caller no longer waits for an answer.
     pub answer: Nanos,
-    /// Objective deadline: an answer until this time has its full value. It is never later than the caller's
-    /// own deadline.
+    /// Objective deadline: an answer has its full value until this time. The objective deadline is never
+    /// later than the caller's own deadline.
     pub objective: Nanos,
 }
 
@@ -31,9 +31,9 @@
     }
 
     /// Returns the time at which the controller stops waiting for the result of an invocation that has left
-    /// the pending queue. This is the answer deadline if a late result is useful (`is_late_useful`), and
-    /// otherwise the objective deadline. It is never later than `last_answers`, the time at which a draining
-    /// server sends its last answers.
+    /// the pending queue. This time is the answer deadline if a late result is useful (`is_late_useful`), and
+    /// otherwise the objective deadline. The time is never later than `last_answers`, when a draining server
+    /// sends its last answers.
     pub fn wait_until(&self, is_late_useful: bool, last_answers: Nanos) -> Nanos {
         let useful = if is_late_useful { self.answer } else { self.objective };
         self.answer.min(last_answers).min(useful)
--- a/crates/overload-control/src/idempotency.rs
+++ b/crates/overload-control/src/idempotency.rs
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Forgets the idempotency key of an invocation that has ended without a run. A repeat with the same key
-    /// may then run.
+    /// Forgets the idempotency key of an invocation that has ended without a run. A repeat with this key may
+    /// then run.
     pub fn forget_unless_run(&mut self, invocation: &Invocation, effect: Effect, host: &mut dyn Host) {
         let has_key = effect == Effect::IdempotentWithKey && invocation.repeats.is_none();
         if has_key && !invocation.has_run && !invocation.answered {
--- a/crates/overload-control/src/idle_connections.rs
+++ b/crates/overload-control/src/idle_connections.rs
@@ -19,7 +19,7 @@
     /// Whether all idle connections are kept open, because reading arrivals was too slow and the cores have
     /// not been idle since.
     keeps_all: bool,
-    /// Idle time after which callers close their connections themselves, ns. It is the maximum of the
+    /// Idle time after which callers close their connections themselves, ns. The server uses no longer
     /// timeout.
     timeout_max: f64,
     callers: f64,
--- a/crates/overload-control/src/invocations.rs
+++ b/crates/overload-control/src/invocations.rs
@@ -69,8 +69,8 @@
     pub answered: bool,
     /// Whether the controller has instructed the host to stop the run.
     pub stopping: bool,
-    /// Whether admission has finished with the invocation. Admission compares the arrival with the refusal
-    /// window of its rank, except for invocations that are exempt.
+    /// Whether admission has screened the invocation: it has compared the arrival with the refusal window of
+    /// its rank, or the invocation is exempt from this.
     pub screened: bool,
     start_tag: u64,
     state: InvocationState,
@@ -132,7 +132,7 @@
     unscreened: VecDeque<ArrivalKey>,
     counts: [usize; STATES],
     memory_parts: u64,
-    /// Factor by which an invocation uses more memory while it runs than while it is pending.
+    /// Memory that an invocation uses while it runs, divided by the memory that it uses while it is pending.
     run_memory_factor: f64,
     /// Whether a stopped run pauses. A paused run keeps the memory that it used while running.
     stopped_runs_pause: bool,
@@ -175,8 +175,8 @@
         self.keys_by_id.get(&id).copied()
     }
 
-    /// Adds a pending invocation. If `answer_without_run` is true, the invocation is overdue immediately,
-    /// whatever its deadline is. Overdue invocations are answered and not run.
+    /// Adds a pending invocation. If `answer_without_run` is true, the invocation counts as overdue at once,
+    /// even if its deadline has not passed. Overdue invocations are answered and not run.
     pub fn insert(&mut self, mut invocation: Invocation, answer_without_run: bool) {
         self.arrivals += 1;
         invocation.arrival_number = self.arrivals;
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Removes an invocation. It must have been answered, and its run, if any, must have ended.
+    /// Removes an invocation that has been answered and whose run, if any, has ended.
     pub fn remove(&mut self, key: usize) {
         self.remove_from_indexes(key);
         let invocation = self.all.remove(key);
--- a/crates/overload-control/src/largest.rs
+++ b/crates/overload-control/src/largest.rs
@@ -1,4 +1,4 @@
-//! Keeps a collection of changing values and returns the largest of them at any time.
+//! A collection of changing values whose largest value can be read at any time.
 
 use std::collections::BTreeMap;
 
--- a/crates/overload-control/src/lib.rs
+++ b/crates/overload-control/src/lib.rs
@@ -125,7 +125,7 @@
     pub target_utilization: f64,
     /// Memory that invocations and idempotency keys may use, KB. The controller uses only a part of it.
     pub memory_kb: f64,
-    /// Factor by which an invocation uses more memory while it runs than while it is pending.
+    /// Memory that an invocation uses while it runs, divided by the memory that it uses while it is pending.
     pub run_memory_factor: f64,
     /// Memory that one remembered idempotency key uses, KB.
     pub idempotency_entry_kb: f64,
@@ -184,8 +184,8 @@
 pub enum Effect {
     /// Repeated runs have the same effect as one run.
     Idempotent,
-    /// Repeated runs have the same effect as one run if they have the same idempotency key, as long as the
-    /// key is remembered.
+    /// Repeated runs with the same idempotency key have the same effect as one run, as long as the key is
+    /// remembered.
     IdempotentWithKey,
     /// Each run takes effect again.
     NonIdempotent,
--- a/crates/overload-control/src/linear_quadratic.rs
+++ b/crates/overload-control/src/linear_quadratic.rs
@@ -57,7 +57,7 @@
     pub error_sum: f64,
 }
 
-/// Gains of both inputs of the plant: the refusal time ratios of premium and basic.
+/// Gains for both inputs of the plant. The inputs are the refusal time ratios of premium and basic.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Gains {
     pub premium: ClassGains,
@@ -110,7 +110,7 @@
             return None;
         }
         if largest_change(&before, &k) < iteration.tolerance {
-            // The optimal input is `-k x`, so the gains are `-k`. They are positive, because refusing
+            // The optimal input is `-k x`, so the gains are `-k`. The gains are positive, because refusing
             // arrivals lowers the utilization.
             let [premium, basic] =
                 k.map(|[error, error_sum]| ClassGains { error: -error, error_sum: -error_sum });
@@ -121,8 +121,8 @@
     None
 }
 
-/// Estimator of the coefficients `a`, `b1` and `b2` of the plant. It uses recursive least squares with
-/// exponential forgetting, which gives recent observations more weight.
+/// Estimator of the coefficients `a`, `b1` and `b2` of the plant by recursive least squares. Exponential
+/// forgetting gives recent observations more weight.
 #[derive(Clone, Debug)]
 pub struct PlantEstimator {
     /// Current estimate of the coefficients `a`, `b1` and `b2`.
--- a/crates/overload-control/src/tenant_quota.rs
+++ b/crates/overload-control/src/tenant_quota.rs
@@ -8,7 +8,7 @@
 
 /// Capacity of a tenant's token bucket, as the time in seconds in which an empty bucket refills.
 const BURST_SECONDS: f64 = 15.0;
-/// Maximum work that fair queueing may admit ahead of virtual time for a tenant of weight 1. It is a share of
+/// Maximum work that fair queueing may admit ahead of virtual time for a tenant of weight 1, as a share of
 /// the work that the server can do within the shortest latency objective.
 const IN_SERVER_SHARE: f64 = 0.25;
 
@@ -104,10 +104,10 @@
         }
     }
 
-    /// Ends an invocation in the fair queueing scheduler if it never ran, and returns retry advice for its
-    /// caller. The advice is a delay and, if possible, the ticket of a promise of admission. The promise
-    /// takes effect after `promise_after`, or later if the tenant's quota is used up until then. Without fair
-    /// queueing, or if the invocation has run, returns `None` and changes nothing.
+    /// Notifies the fair queueing scheduler of the end of an invocation that never ran, and returns retry
+    /// advice for the caller. The advice is a delay and, if possible, the ticket of a promise of admission.
+    /// The promise takes effect after `promise_after`, or later if the tenant's quota is used up until then.
+    /// Without fair queueing, or if the invocation has run, returns `None` and changes nothing.
     pub fn end_with_promise(
         &mut self,
         now: Nanos,
--- a/crates/overload-control/src/timers.rs
+++ b/crates/overload-control/src/timers.rs
@@ -4,8 +4,8 @@
 
 /// Id of the timer that expires once per control period. The host reports the gauges when this timer expires.
 pub const CONTROL_TIMER: u32 = 0;
-/// Id of the deadline timer. It expires at the next deadline, at the end of a backoff, or when the call
-/// budget suffices for a waiting call.
+/// Id of the deadline timer. The timer expires at the next deadline, at the end of a backoff, or when the
+/// call budget suffices for a waiting call.
 const DEADLINE_TIMER: u32 = 1;
 
 /// State of the deadline timer. The control timer needs no state, because it expires at regular intervals.
@@ -26,8 +26,8 @@
         }
     }
 
-    /// Sets the deadline timer to the time `at`, unless it is already set to this time or an earlier one.
-    /// Returns whether the timer was set.
+    /// Sets the deadline timer to the time `at`. Does nothing if the timer is already set to `at` or to an
+    /// earlier time. Returns whether the timer was set.
     pub fn set_deadline(&mut self, now: Nanos, at: Nanos, host: &mut dyn Host) -> bool {
         let is_earlier = at < self.deadline_at;
         if is_earlier {
--- a/crates/pending-queue/src/late_search.rs
+++ b/crates/pending-queue/src/late_search.rs
@@ -2,10 +2,10 @@
 //! deadline.
 //!
 //! The search uses a tree whose nodes summarize the entries below them. The summaries contain lateness
-//! computed from earlier usual times, which are called the reference times. The search skips a node if all
-//! its entries end in time even when every usual time has grown by the maximum growth since then. Otherwise
-//! it continues with the children of the node. Individual entries are checked against the present usual
-//! times, so the result is exact.
+//! computed from earlier usual times, which are called the reference times. Since then the usual times have
+//! grown by at most a known share. The search skips a node if all entries below it would end in time even
+//! after this growth. Otherwise the search continues below the node. Individual entries are checked against
+//! the present usual times, so the result is exact.
 
 use crate::reference_times::ReferenceTimes;
 use crate::sum_tree::{Block, SumTree};
@@ -39,7 +39,7 @@
 pub struct SearchResult {
     /// Location of the first late entry; `None` if all entries end in time.
     pub entry: Option<EntryIndex>,
-    /// Number of summaries and entries that the search inspected.
+    /// Number of summaries (tree nodes) and entries that the search inspected, which is its cost.
     pub inspected: u64,
 }
 
@@ -58,7 +58,7 @@
     pub capacity: &'a Capacity<'a>,
     /// Reference times: the usual times from which the lateness in the tree was computed.
     pub reference: &'a ReferenceTimes,
-    /// Number of summaries and entries inspected so far.
+    /// Number of summaries (tree nodes) and entries that the search has inspected so far.
     pub inspected: u64,
 }
 
--- a/crates/pending-queue/src/lib.rs
+++ b/crates/pending-queue/src/lib.rs
@@ -43,8 +43,8 @@
     /// Start tag that fair queueing assigned to the invocation. Within a rank, the entry with the lowest
     /// start tag runs first. Without fair queueing all start tags are equal.
     pub start_tag: u64,
-    /// Whether the server promised to admit this invocation. Such an entry is rejected only after all entries
-    /// of its rank without a promise.
+    /// Whether the server promised to admit this invocation. An entry with a promise is rejected only after
+    /// all other entries of its rank.
     pub promised: bool,
     /// Time at which the invocation reached the machine.
     pub arrived: Nanos,
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Marks an entry as overdue, whatever its deadline is.
+    /// Marks an entry as overdue even if its latest start has not passed.
     pub fn mark_overdue(&mut self, entry: &Entry) {
         self.overdue.insert(ArrivalKey { arrival_number: entry.arrival_number, key: entry.key });
         self.has_unsearched_deadlines = true;
@@ -217,9 +217,10 @@
         self.overdue.first().copied()
     }
 
-    /// Returns the key of the entry to reject first when memory is short. It is an entry of the lowest rank
-    /// that has entries. Within this rank, the entry with the highest start tag is rejected first, and the
-    /// newest of several with equal tags. Entries that were promised admission are rejected last.
+    /// Returns the key of the entry to reject first when memory is short. The entry is chosen from the lowest
+    /// rank that has entries. Within this rank, the entry with the highest start tag is rejected first. Of
+    /// entries with equal start tags, the newest is rejected first. Entries that were promised admission are
+    /// rejected last.
     pub fn lowest_priority(&self) -> Option<usize> {
         self.classes.iter().find_map(PriorityClassQueue::first_to_reject_for_memory)
     }
@@ -241,9 +242,9 @@
     /// after its deadline.
     ///
     /// The candidates for rejection are the first late entry and the entries of its rank that run before it.
-    /// Entries of higher ranks are not rejected. The candidate with the highest start tag is rejected, and
-    /// the latest arrival among equal tags. Candidates that were promised admission are rejected only after
-    /// all other candidates.
+    /// Entries of higher ranks are not rejected. The candidate with the highest start tag is rejected. Of
+    /// candidates with equal start tags, the latest arrival is rejected. Candidates that were promised
+    /// admission are rejected only after all other candidates.
     pub fn to_reject_for_deadlines(&mut self, now: Nanos, capacity: &Capacity) -> Option<usize> {
         if self.len <= capacity.free_slots {
             return None;
--- a/crates/pending-queue/src/priority_class_queue.rs
+++ b/crates/pending-queue/src/priority_class_queue.rs
@@ -58,8 +58,7 @@
         Position { block, index }
     }
 
-    /// Inserts an entry at its position in run order. If the block at this position is full, it is split in
-    /// two.
+    /// Inserts an entry at its position in run order. A full block at this position is split in two.
     pub fn insert(&mut self, entry: Entry, reference: &ReferenceTimes) {
         let Position { block, index } = self.position(&entry);
         let index = index.unwrap_or_else(|index| index);
@@ -152,8 +151,8 @@
     /// Returns the key of the entry to reject so that the late entry at `entry` can meet its deadline.
     ///
     /// The candidates are the late entry and the entries that run before it. The candidate with the highest
-    /// start tag is rejected, and the latest arrival among equal tags. Candidates that were promised
-    /// admission are rejected only after all other candidates.
+    /// start tag is rejected. Of candidates with equal start tags, the latest arrival is rejected. Candidates
+    /// that were promised admission are rejected only after all other candidates.
     pub fn first_to_reject_up_to(&self, entry: EntryIndex) -> usize {
         let within = self.blocks[entry.block][..=entry.index].iter().map(DeadlineOrder::of);
         let before = self.tree.before(entry.block).map(|summary| summary.first_to_reject_for_deadline);
--- a/crates/pending-queue/src/reference_times.rs
+++ b/crates/pending-queue/src/reference_times.rs
@@ -50,7 +50,7 @@
 }
 
 impl ReferenceTimes {
-    /// Creates reference times that are all 0. The first update therefore replaces all of them.
+    /// Creates reference times that are all 0, so that the first update replaces all of them.
     pub fn new(operations: usize) -> Self {
         let none = vec![RunTimes::default(); operations];
         Self { reference: none.clone(), present: none, ..Self::default() }
--- a/crates/routing/src/health.rs
+++ b/crates/routing/src/health.rs
@@ -3,8 +3,8 @@
 /// Current health of a service as seen by this server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HealthView {
-    /// Whether the service is ejected, so that it receives only probes. The fleet ejects a service, or this
-    /// server does so alone while it receives no reports from other servers.
+    /// Whether the service is ejected, so that it receives only probes. Servers of the fleet eject a service
+    /// together. A server that receives no reports from other servers ejects services by itself.
     pub ejected: bool,
     /// Whether this server's own calls to the service found it unhealthy.
     pub locally_unhealthy: bool,
@@ -13,7 +13,7 @@
 }
 
 impl HealthView {
-    /// Whether the service is ejected by the fleet, or unhealthy according to this server's own calls.
+    /// Whether the service is ejected, or unhealthy according to this server's own calls.
     pub fn is_unhealthy(self) -> bool {
         self.ejected || self.locally_unhealthy
     }
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -63,8 +63,8 @@
 #[derive(Clone, Copy, Debug)]
 struct Candidate {
     service: usize,
-    /// Share of calls that the service receives now, divided by its full share. It is below 1 during slow
-    /// start; see [`SlowStart::ratio`].
+    /// Share of calls that the service receives now, divided by its full share. The ratio is below 1 during
+    /// slow start; see [`SlowStart::ratio`].
     ratio: f64,
 }
 
@@ -178,8 +178,8 @@
         Choice { service: index, is_probe: true }
     }
 
-    /// Returns the services that may receive an ordinary call, which are those that are not ejected.
-    /// `last_service` is omitted if there is another such service.
+    /// Returns the services that may receive an ordinary call, which are the services that are not ejected.
+    /// `last_service` is omitted if another service remains.
     fn candidates(&self, now: Nanos, last_service: Option<usize>) -> Vec<Candidate> {
         let mut candidates = Vec::with_capacity(self.services.len());
         for (index, service) in self.services.iter().enumerate() {
@@ -195,8 +195,8 @@
     }
 
     /// Chooses a service for an ordinary call. The usual choice is the less loaded of two randomly drawn
-    /// services whose slow start is over. A service in slow start is chosen instead once it has accumulated
-    /// credit for a whole call. If all candidates are in slow start, the less loaded of two of them is
+    /// services whose slow start is over. A service in slow start is chosen instead if its credit has reached
+    /// a whole call. If all candidates are in slow start, the less loaded of two randomly drawn candidates is
     /// chosen.
     fn choose_candidate(&mut self, candidates: &[Candidate]) -> Option<usize> {
         let warm: Vec<usize> =
@@ -214,10 +214,12 @@
         Some(self.owed_service(candidates, usual).unwrap_or(usual))
     }
 
-    /// Adds this call's share to the credit of each service in slow start, and returns the service in slow
-    /// start that receives the call, if any. A service receives the call if its credit has reached a whole
-    /// call and its load is not above that of `usual`. If several services qualify, the least loaded one
-    /// receives the call. `usual` is the service chosen among those whose slow start is over.
+    /// Returns the service in slow start that receives this call, or `None` if the call goes to the usual
+    /// choice. First adds to the credit of each service in slow start its share of one call.
+    ///
+    /// A service in slow start qualifies if its credit has reached a whole call and its load is not above
+    /// that of `usual`, the service chosen among those whose slow start is over. Of several services that
+    /// qualify, the least loaded receives the call.
     fn owed_service(&mut self, candidates: &[Candidate], usual: usize) -> Option<usize> {
         let usual_load = self.services[usual].load();
         let mut owed: Option<usize> = None;
--- a/crates/routing/tests/ramp.rs
+++ b/crates/routing/tests/ramp.rs
@@ -130,8 +130,8 @@
 
 #[test]
 fn servers_do_not_send_first_calls_in_unison() {
-    // All servers are informed of the recovery at the same time and make calls at the same rate. Even then,
-    // their first calls to the recovered service must be spread over time.
+    // All servers are informed of the recovery at the same time and make calls at the same rate. Nevertheless
+    // the first calls of the servers to the recovered service must be spread over time.
     let mut simulation = simulate(30, 1, 7);
     let seeds: Vec<u64> = simulation.routers.iter().map(|_| simulation.rng.next_u64()).collect();
     let settings = Settings { services: SERVICES, probe_interval: RAMP / 8, slow_start: RAMP };
