--- a/crates/cli/tests/fleet_rollout.rs
+++ b/crates/cli/tests/fleet_rollout.rs
@@ -15,7 +15,7 @@
 const ALL: [usize; 6] = [0, 1, 2, 3, 4, 5];
 const VOTERS: &str = r#"<voter name="s0"/><voter name="s1"/><voter name="s2"/>"#;
 
-/// Runs the tests one after another: concurrent tests would delay the rollout plans' 250 ms intervals.
+/// Serializes the tests. Concurrent tests (seven processes each) would delay the plans' 250 ms intervals.
 static EXCLUSIVE: Mutex<()> = Mutex::new(());
 
 fn lock_exclusive() -> MutexGuard<'static, ()> {
--- a/crates/cli/tests/fleet_state.rs
+++ b/crates/cli/tests/fleet_state.rs
@@ -389,7 +389,7 @@
         let replies = sum(load);
         println!("{reports} reports required: {replies:?}, at most {} ejected", tier.most_ejected());
         // Each server must log the fleet-wide totals of tenant `1`: the number of calls that succeeded, and
-        // the calls billed in thousandths.
+        // the billed amount in thousandths of a call.
         let of = |i: usize, what: &str| fleet_total(&tier.fleet, i, &format!("{what}/load/1"));
         let all = || (0..5).all(|i| of(i, "succeeded") == replies.succeeded).then_some(());
         assert!(wait_for(Duration::from_secs(10), all).is_some(), "{:?}", tier.fleet.shared_state(0));
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,8 +1,8 @@
 //! Reads this project's own settings: XML files that follow the schema `deploy/meadowstream.xsd`.
 //!
-//! The platform has its own settings file. The XML files add settings that the platform does not define, and
-//! all of them are optional. [`Options`] is the options file of a server, [`PlanFile`] is the plan of a
-//! rollout, and [`change`] reads change files. Errors contain the line and the element. Times are
+//! The platform has its own settings file. The XML files add settings that the platform does not define. All
+//! these added settings are optional. [`Options`] is the options file of a server, [`PlanFile`] is the plan
+//! of a rollout, and [`change`] reads change files. Errors contain the line and the element. Times are
 //! milliseconds in the files and nanoseconds in the types.
 #![deny(missing_docs, clippy::too_many_lines)]
 
--- a/crates/configuration/src/rollout.rs
+++ b/crates/configuration/src/rollout.rs
@@ -6,7 +6,7 @@
 
 /// Attributes of `<rollout>`.
 pub const ATTRIBUTES: &[&str] = &["candidate", "program", "servers", "lease-ms"];
-/// Maximum of the `servers` attribute, which limits the number of servers that run at the same time.
+/// Maximum value of the `servers` attribute, which limits the number of servers that run at the same time.
 const SERVERS_MAX: usize = 100_000;
 
 /// A server's settings of staged rollouts (`docs/rollout.md`).
@@ -21,7 +21,7 @@
     /// If a path is present, the supervisor of this server must restart the program when it exits. A file
     /// next to the options file, with the suffix `.program`, names the program to start.
     pub program: Option<PathBuf>,
-    /// Maximum number of servers and coordinators of rollouts that run at the same time.
+    /// Maximum number of servers that run at the same time. Coordinators of rollouts count as servers.
     pub servers: u64,
     /// Names of the members that vote for the holder of the rollout lease.
     pub voters: Vec<String>,
--- a/crates/configuration/src/tenants.rs
+++ b/crates/configuration/src/tenants.rs
@@ -9,7 +9,7 @@
 
 /// Maximum length of a tenant's name, in bytes.
 const NAME_BYTES_MAX: usize = 2048;
-/// Minimum weight of a tenant, relative to the weight 1. The next constant is the maximum weight.
+/// Minimum weight of a tenant; the default weight is 1. The next constant is the maximum weight.
 pub(crate) const WEIGHT_MIN: f64 = 1e-3;
 pub(crate) const WEIGHT_MAX: f64 = 1e3;
 
@@ -36,7 +36,7 @@
     Connection,
     /// The IP address of the peer. This is the default.
     Peer,
-    /// The number of the sender in the call. Suitable only if all senders belong to the operator, because
+    /// The sender number that the call contains. Suitable only if all senders belong to the operator, because
     /// other senders could forge the number.
     Sender,
 }
--- a/crates/overload-control/src/admission.rs
+++ b/crates/overload-control/src/admission.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// Conditions in which more arrivals are rejected than the regulator demands.
+/// Conditions in which the server rejects more arrivals than the regulator of its utilization requires.
 pub struct Distress {
     /// Whether the server is overloaded by reading arrivals alone. All ranks except the highest are then
     /// rejected.
--- a/crates/overload-control/src/advertised_load.rs
+++ b/crates/overload-control/src/advertised_load.rs
@@ -7,7 +7,7 @@
     /// Whether callers should continue to send invocations to this server.
     pub wants_arrivals: bool,
     /// Share of the control period, from 0 to 1, in which arrivals of the lowest rank are rejected. The ratio
-    /// is above 0 if the regulator demands it, or if the server is flooded or unhealthy.
+    /// is above 0 if the regulator sheds load, or if the server is flooded or unhealthy.
     pub lowest_rank_refusal_ratio: f64,
     /// Lower bound of the server's current speed as a ratio of full speed; below 1 while a cold server warms
     /// up.
--- a/crates/overload-control/src/call_budget.rs
+++ b/crates/overload-control/src/call_budget.rs
@@ -6,8 +6,8 @@
 
 use crate::{Downstream, Nanos, Outcome};
 
-/// Share of [`CallBudget::quota`] at which the budget refills continuously. The rest of the quota, multiplied
-/// by the length of the window, is the maximum of the budget, which can be used in a burst.
+/// Rate at which the budget refills, as a share of [`CallBudget::quota`]. The maximum budget is the rest of
+/// the quota multiplied by the length of the window.
 const STEADY_SHARE: f64 = 0.7;
 /// Share of the maximum budget that only calls of the highest rank may use. Without this reserve, a call of
 /// the highest rank could find no budget when calls are slow.
--- a/crates/overload-control/src/controller/rules.rs
+++ b/crates/overload-control/src/controller/rules.rs
@@ -93,10 +93,10 @@
         Some(())
     }
 
-    /// Rule: starts the downstream call of the highest-ranked run that waits for its call.
+    /// Rule: starts the downstream call of the highest-ranked unanswered run that waits for its call.
     ///
-    /// A run may continue without its call if its operation supports degraded answers. The call is then
-    /// skipped if it is not permitted now, if the call budget is too low, or if an earlier attempt failed.
+    /// A run whose operation supports degraded answers continues without its call in three cases: the call is
+    /// not permitted now, the call budget is too low, or an earlier attempt failed.
     pub(super) fn start_calls(&mut self, host: &mut dyn Host) -> Option<()> {
         let open = self.open_calls();
         if !self.calls.is_within_limit(open.calling) {
--- a/crates/overload-control/src/downstream_calls.rs
+++ b/crates/overload-control/src/downstream_calls.rs
@@ -5,9 +5,8 @@
 use crate::operation_times::TIMES_HALF_LIFE;
 use crate::{Deployment, Nanos, Outcome};
 
-/// Growth of the limit on concurrent calls, as a share of the number of cores. The limit grows by this amount
-/// each time as many calls have succeeded as the limit permits at once. A success counts only if the limit is
-/// reached.
+/// Growth of the limit on concurrent calls, as a share of the number of cores. For example, 50 successful
+/// calls raise a limit of 50 calls by this amount. A success counts only if the limit is reached.
 const LIMIT_GROWTH: f64 = 0.1;
 /// Factor by which the limit on concurrent calls is multiplied after each rejected call.
 const LIMIT_CUT_RATIO: f64 = 0.93;
@@ -130,8 +129,8 @@
         (usual_elapsed_ns * BACKOFF_SHARE) as Nanos
     }
 
-    /// Whether the limit on concurrent calls is exceeded by the calls in progress together with the runs that
-    /// wait for a call.
+    /// Whether the calls in progress and the runs that wait for a call together exceed the limit on
+    /// concurrent calls.
     fn is_at_limit(&self, open: OpenCalls) -> bool {
         open.awaiting + open.calling > self.limit
     }
--- a/crates/overload-control/src/draining.rs
+++ b/crates/overload-control/src/draining.rs
@@ -60,9 +60,9 @@
         self.notice.map_or(Nanos::MAX, |notice| notice.stop_at.saturating_sub(lead))
     }
 
-    /// Whether callers should continue to send invocations to this server. During the drain grace this
-    /// depends on the other servers of the tier. Callers should continue if the spare capacity of these
-    /// servers at their target utilization is less than this server's work.
+    /// Whether callers should continue to send invocations to this server. After the drain grace they should
+    /// not. During the drain grace they should continue if the other servers of the tier, at their target
+    /// utilization, lack spare capacity for this server's work.
     pub fn wants_arrivals(&self, now: Nanos, target_utilization: f64) -> bool {
         let is_needed = (self.peers - 1.0) * (1.0 - target_utilization) < 1.0;
         self.notice.is_none_or(|notice| is_needed && now < notice.serve_until)
--- a/crates/overload-control/src/idle_connections.rs
+++ b/crates/overload-control/src/idle_connections.rs
@@ -3,11 +3,11 @@
 use crate::Nanos;
 use crate::regulator::CONTROL_PERIOD;
 
-/// Minimum number of calls that a caller makes on average within [`IdleConnections::timeout_max`] for idle
-/// connections to be kept open for this whole time.
+/// Mean number of calls per caller within [`IdleConnections::timeout_max`] below which the timeout of idle
+/// connections is shortened.
 const RETURNS_MIN: f64 = 4.0;
 /// Exponent that shortens the timeout of idle connections if callers make fewer than [`RETURNS_MIN`] calls.
-/// With half of [`RETURNS_MIN`] calls, the timeout is a sixteenth.
+/// With half of [`RETURNS_MIN`] calls, the timeout is a sixteenth of its maximum.
 const RETURNS_EXPONENT: i32 = 4;
 /// Minimum timeout of idle connections, as a share of the control period.
 const TIMEOUT_MIN_SHARE: f64 = 0.02;
--- a/crates/overload-control/src/lib.rs
+++ b/crates/overload-control/src/lib.rs
@@ -123,7 +123,8 @@
     pub cores: f64,
     /// Target utilization of the cores, from 0 to 1.
     pub target_utilization: f64,
-    /// Memory that invocations and idempotency keys may use, KB. The controller uses only a part of it.
+    /// Memory available to invocations and idempotency keys, KB. The controller uses only a share of this
+    /// memory.
     pub memory_kb: f64,
     /// Memory that an invocation uses while it runs, divided by the memory that it uses while it is pending.
     pub run_memory_factor: f64,
@@ -261,8 +262,8 @@
     /// Time from the reading of the invocation until the caller's deadline; `None` if the request carries no
     /// deadline.
     pub remaining_deadline: Option<Nanos>,
-    /// Id of the earlier invocation with the same idempotency key; `None` if there is none or its key is no
-    /// longer remembered.
+    /// Id of the earlier invocation that had this invocation's idempotency key; `None` if the key is not
+    /// remembered.
     pub repeats: Option<u64>,
     /// Whether the host could not store the idempotency key because it lacked memory.
     pub key_not_stored: bool,
--- a/crates/overload-control/src/linear_quadratic.rs
+++ b/crates/overload-control/src/linear_quadratic.rs
@@ -27,8 +27,8 @@
     pub basic: f64,
 }
 
-/// Cost weights that the regulator minimizes: the diagonal elements of the weight matrices `Q` (errors) and
-/// `R` (refusals).
+/// Weights of the cost that the regulator minimizes: the diagonal elements of the weight matrices `Q`
+/// (errors) and `R` (refusals).
 #[derive(Clone, Copy, Debug)]
 pub struct Weights {
     /// Cost of the utilization error (first diagonal element of `Q`).
