--- a/crates/pending-queue/src/lib.rs
+++ b/crates/pending-queue/src/lib.rs
@@ -192,8 +192,8 @@
 
     /// Returns the earliest arrival among the overdue entries. An entry is overdue if its latest start is at
     /// or before `now`, or if it was marked as overdue. `latest_start` computes the latest start from the
-    /// operation and the deadline. Its result must increase with the deadline, and it must not change until
-    /// all overdue entries have been removed.
+    /// operation and the deadline. This result must increase with the deadline, and must not change until all
+    /// overdue entries have been removed.
     pub fn first_overdue(
         &mut self,
         now: Nanos,
@@ -219,8 +219,8 @@
 
     /// Returns the key of the entry to reject first when memory is short. The entry is chosen from the lowest
     /// rank that has entries. Within this rank, the entry with the highest start tag is rejected first. Of
-    /// entries with equal start tags, the newest is rejected first. Entries that were promised admission are
-    /// rejected last.
+    /// entries with equal start tags, the newest is rejected first. Entries of this rank that were promised
+    /// admission are rejected last.
     pub fn lowest_priority(&self) -> Option<usize> {
         self.classes.iter().find_map(PriorityClassQueue::first_to_reject_for_memory)
     }
--- a/crates/pending-queue/src/priority_class_queue.rs
+++ b/crates/pending-queue/src/priority_class_queue.rs
@@ -18,9 +18,9 @@
     tree: SumTree,
 }
 
-/// Position of an entry in run order. `block` is the index of the last block whose first entry does not run
-/// after the entry. `index` is the index of the entry in that block (`Ok`), or the index at which to insert
-/// the entry (`Err`).
+/// Position of an entry in run order. `block` is the index of the block that contains the entry or would
+/// contain it. `index` is the index of the entry in that block (`Ok`), or the index at which to insert the
+/// entry (`Err`).
 struct Position {
     block: usize,
     index: Result<usize, usize>,
--- a/crates/pending-queue/src/summary.rs
+++ b/crates/pending-queue/src/summary.rs
@@ -59,12 +59,14 @@
     pub count: usize,
     costs: OperationCosts,
     /// Total delay that the entries cause for later entries, ns: their work divided by the concurrency limit.
-    /// It is computed from the reference times.
+    /// Computed from the reference times, which are earlier usual times.
     pub work: f64,
-    /// Longest time from start to end of the run of an entry, ns. It is computed from the reference times.
+    /// Longest time from start to end of the run of an entry, ns. Computed from the reference times, which
+    /// are earlier usual times.
     pub longest_elapsed: f64,
-    /// Largest lateness of an entry, ns. The lateness is the end of the entry's run minus its deadline, if
-    /// the first of the entries starts at time 0. It is computed from the reference times.
+    /// Largest lateness of an entry, ns. The lateness is the end of the entry's run minus the entry's
+    /// deadline, if the first of the entries starts at time 0. Computed from the reference times, which are
+    /// earlier usual times.
     pub lateness: f64,
     pub first_to_reject_for_deadline: DeadlineOrder,
     pub first_to_reject_for_memory: MemoryOrder,
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -131,8 +131,9 @@
         probed.filter_map(|service| service.probes.next_at()).min()
     }
 
-    /// Chooses a service for a call. The call may become a probe if a probe is due. Returns `None` if all
-    /// services are ejected and no probe is due. The call counts as outstanding until [`Router::release`].
+    /// Chooses a service for a call. If a probe is due and the call may probe, the call becomes a probe.
+    /// Returns `None` if all services are ejected and the call does not become a probe. The call counts as
+    /// outstanding until [`Router::release`].
     pub fn choose(&mut self, now: Nanos, preference: CallPreference) -> Option<Choice> {
         if preference.may_probe
             && let Some(service) = self.due_probe(now)
--- a/crates/routing/tests/tier.rs
+++ b/crates/routing/tests/tier.rs
@@ -160,8 +160,8 @@
         self.detectors[i].ejected(Time::from_agreeing_clocks(self.now)).contains(&service)
     }
 
-    /// Returns the time until all servers have ejected a service, or until none has if `ejected` is false.
-    /// Returns `None` if this takes longer than `limit`.
+    /// Returns the time until all servers have ejected a service. If `ejected` is false, returns the time
+    /// until no server ejects it. Returns `None` if this takes longer than `limit`.
     fn time_until(&mut self, service: usize, ejected: bool, limit: u64) -> Option<u64> {
         let started = self.now;
         while self.now - started <= limit {
@@ -237,7 +237,7 @@
     unlimited.advance(2 * S);
     unlimited.health.fill(Health::Failing);
     unlimited.advance(6 * S);
-    // All services are ejected, so only probes are routed until they detect the recovery.
+    // This fleet may eject the whole tier. Then only probes are routed, until they detect the recovery.
     assert!(unlimited.routers.iter().all(|r| r.counters.unroutable > 0));
     unlimited.health.fill(Health::Healthy);
     unlimited.advance(10 * S);
