--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -15,7 +15,8 @@
 
 const BYTES_PER_MIB: usize = 1 << 20;
 
-/// Runs a command. If it returns an error, the caller prints the error on one line and exits with code 1.
+/// Runs a command. If this function returns an error, the program prints the error on one line and exits with
+/// code 1.
 pub fn run(command: Command) -> Result<()> {
     match command {
         Command::Serve { config, options, log } => {
--- a/crates/cli/tests/scenario_harness/link.rs
+++ b/crates/cli/tests/scenario_harness/link.rs
@@ -10,8 +10,8 @@
 /// State that decides whether the test double answers a gauge request of the server at once or later.
 struct GaugeAnswers {
     stream: TcpStream,
-    /// Nonces of the gauge requests that wait for the end of a replay of notices. `None` while no replay is
-    /// in progress.
+    /// Nonces of the gauge requests that wait for the end of a replay of notices (messages to the server).
+    /// `None` while no replay is in progress.
     deferred: Option<Vec<Value>>,
 }
 
@@ -55,8 +55,9 @@
         Self { stream, commands, gauge_answers }
     }
 
-    /// Begins a replay of notices. Until the replay ends, gauge requests are stored and not answered, because
-    /// the interpreter first sends its banner and all notices of the replay.
+    /// Begins a replay of notices, the interpreter's messages to the server. Until the replay ends, gauge
+    /// requests are stored and not answered, because the interpreter first sends its banner and all notices
+    /// of the replay.
     pub fn begin_replay(&self) {
         self.gauge_answers.lock().unwrap().deferred = Some(Vec::new());
     }
--- a/crates/cli/tests/server.rs
+++ b/crates/cli/tests/server.rs
@@ -75,7 +75,7 @@
 }
 
 /// Ways in which the interpreter may react to the restart of a server. Each item is a list of scenario steps
-/// that ends when the interpreter has sent a complete banner.
+/// that ends when the interpreter has sent a complete banner, its first message on a link.
 const INTERPRETER_STEPS: [&[&str]; 5] = [
     // The interpreter replies immediately.
     &["link 0", "banner cold"],
--- a/crates/pending-queue/src/lib.rs
+++ b/crates/pending-queue/src/lib.rs
@@ -199,8 +199,8 @@
         now: Nanos,
         latest_start: impl Fn(usize, Nanos) -> Nanos,
     ) -> Option<ArrivalKey> {
-        // If `overdue` is empty, the deadlines are searched anyway, and the flag is not cleared. The flag
-        // then causes another search at the next call, even if the entry for which it was set has been
+        // If `overdue` is empty, the deadlines are searched without reading or clearing the flag. A flag that
+        // is set then causes another search at the next call, even if the entry for which it was set has been
         // removed.
         let must_search = self.overdue.is_empty() || std::mem::take(&mut self.has_unsearched_deadlines);
         if must_search {
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -216,7 +216,7 @@
     }
 
     /// Returns the service in slow start that receives this call, or `None` if the call goes to the usual
-    /// choice. First adds to the credit of each service in slow start its share of one call.
+    /// choice. The credit of each service in slow start first grows by the service's share of one call.
     ///
     /// A service in slow start qualifies if its credit has reached a whole call and its load is not above
     /// that of `usual`, the service chosen among those whose slow start is over. Of several services that
