--- a/crates/cli/tests/fleet_rollout.rs
+++ b/crates/cli/tests/fleet_rollout.rs
@@ -62,7 +62,7 @@
 }
 
 /// Writes a rollout plan of three stages. Its thresholds are so high that other work on the machine does not
-/// exceed them. The bad changes in these tests exceed them by far.
+/// exceed them. The bad changes in these tests exceed the thresholds by far.
 fn write_plan(fleet: &FleetHarness, name: &str) -> PathBuf {
     let text = format!(
         r#"<plan xmlns="urn:meadowstream:options:1" name="{name}" candidate="next.xml" interval-ms="250"
@@ -327,7 +327,7 @@
     let (code, output) = run(&path);
     assert_eq!(code, 1);
     assert!(output.contains("line 1, <plan>: stage 1: bake-ms: at least 6 intervals"), "{output}");
-    // This change requires a restart: a server rejects it, and no server applies it.
+    // Turning on `<tenants>` requires a restart: a server rejects the change, and no server applies it.
     std::fs::write(&path, good).unwrap();
     write_candidate(&fleet, "<tenants by=\"peer\"/>");
     let load = start_loads(&fleet, Duration::from_secs(20));
--- a/crates/cli/tests/fleet_scale.rs
+++ b/crates/cli/tests/fleet_scale.rs
@@ -56,7 +56,7 @@
 }
 
 /// Waits until all `members` use revision `number` or a later revision. Returns the time that this took, or
-/// `None` if they do not within `within`.
+/// `None` if this takes longer than `within`.
 fn wait_until_in_force(
     fleet: &FleetHarness,
     members: &[usize],
--- a/crates/overload-control/src/lib.rs
+++ b/crates/overload-control/src/lib.rs
@@ -282,8 +282,8 @@
 pub struct Gauges {
     /// Utilization of the cores during the last control period, from 0 to 1.
     pub utilization: Option<f64>,
-    /// Number of threads that are running or ready to run. It includes threads that execute runs, read
-    /// arrivals or answer health checks.
+    /// Number of threads that are running or ready to run. The number includes threads that execute runs,
+    /// read arrivals or answer health checks.
     pub runnable: Option<f64>,
 }
 
--- a/crates/routing/tests/tier.rs
+++ b/crates/routing/tests/tier.rs
@@ -173,7 +173,7 @@
         None
     }
 
-    /// Simulates the next `duration`. Returns the shares of all calls that go to a service and that fail.
+    /// Simulates the next `duration`. Returns the share of calls to `service` and the share of failed calls.
     fn shares(&mut self, service: usize, duration: u64) -> (f64, f64) {
         self.calls.fill(0);
         self.failed = 0;
