--- a/crates/cli/tests/soak.rs
+++ b/crates/cli/tests/soak.rs
@@ -1,4 +1,5 @@
-//! Soak runs of a few fixed seeds. For other seeds, three at a time, run
+//! Runs the soak test with a few fixed seeds. To run other seeds, three at a time, use
+//!
 //! `SOAK_SEEDS=FIRST..LAST cargo test -p meadowstream --test soak by_hand -- --ignored --nocapture`.
 
 use meadowstream_test_doubles::fleet::{FleetHarness, wait_for};
@@ -11,7 +12,7 @@
 
 /// Longest wait for a server's log line with its listen address.
 const START_MAX: Duration = Duration::from_secs(20);
-/// Number of concurrent runs in `by_hand`.
+/// Number of soak runs that the test `by_hand` executes at the same time.
 const CONCURRENT_RUNS: usize = 3;
 
 fn run_seed(seed: u64) -> SoakReport {
@@ -93,7 +94,7 @@
     wait_for(START_MAX, || fleet.listen_address(0)).expect("a started server").ip()
 }
 
-/// Runs a range of seeds; takes minutes.
+/// Runs the soak test with the seeds in the environment variable `SOAK_SEEDS`. Takes minutes.
 #[test]
 #[ignore = "takes minutes; runs the seeds of SOAK_SEEDS"]
 fn by_hand() {
