--- a/crates/fair-queueing/benches/fair.rs
+++ b/crates/fair-queueing/benches/fair.rs
@@ -1,13 +1,13 @@
-//! Cost of scheduling one arrival among many tenants: the scheduler with bounded memory compared with a map
-//! that has a queue for every tenant.
+//! Benchmark of the cost of scheduling one arrival when there are many tenants. It compares the fair
+//! scheduler, whose memory is bounded, with a hash map that holds one queue for every tenant.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use meadowstream_fair_queueing::{FairScheduler, ServiceOutcome, Settings, TenantKey};
 use std::collections::{HashMap, VecDeque};
 use std::hint::black_box;
 
-/// Deficit round robin over a map of queues, one for each tenant name. Each queue consists of the work of
-/// each waiting arrival, in nanoseconds, and a deficit counter.
+/// Baseline for the comparison: deficit round robin over a map with one queue for each tenant name. A queue
+/// holds the work of each waiting arrival, in nanoseconds, and a deficit counter.
 #[derive(Default)]
 struct DeficitRoundRobin {
     queues: HashMap<Vec<u8>, (VecDeque<u64>, f64)>,
--- a/crates/fair-queueing/src/account.rs
+++ b/crates/fair-queueing/src/account.rs
@@ -1,4 +1,5 @@
-//! Usage record of one established tenant: its used share, queue tails, weight and recent demand.
+//! Usage record of one tenant whose name is established (seen often enough). The record holds the tenant's
+//! used share, queue tails, weight and recent demand.
 
 use crate::Nanos;
 use crate::demand::DecayingRate;
@@ -9,34 +10,36 @@
 /// prefix is only displayed to operators.
 const NAME_BYTES: usize = 48;
 
-/// Usage record of one established tenant.
+/// Usage record of one established tenant, that is, a tenant whose name has been seen often enough.
 #[derive(Clone, Debug)]
 pub struct Account {
-    /// Virtual time up to which the tenant has used its share.
+    /// Virtual time up to which the tenant has used its share of the capacity.
     pub finish: f64,
-    /// Start tags that the next arrivals in the tenant's two queues (within its share, and surplus) will get.
+    /// Queue tails: the start tags that the tenant's next arrivals will get. There is one tag for arrivals
+    /// within the tenant's share and one for surplus arrivals (beyond the share).
     pub tails: QueueTails,
-    /// Virtual time up to which promises of admission have reserved the tenant's share.
+    /// Virtual time up to which the tenant's share is reserved for promises, that is, for retries that the
+    /// scheduler has promised to admit.
     pub booked_until: f64,
     /// Weight of the tenant.
     pub weight: f64,
-    /// Ratio of the work that the tenant's invocations use to the work that their operations usually need,
-    /// learned from earlier invocations.
+    /// Work that the tenant's invocations use, divided by the work that their operations usually need. The
+    /// ratio is learned from earlier invocations.
     pub ratio: LearnedRatio,
-    /// Whether the settings name this tenant. The account of a named tenant is never evicted.
+    /// Whether the settings list this tenant by name. The account of a listed tenant is never evicted.
     pub named: bool,
-    /// Number of arrivals within the tenant's share.
+    /// Number of arrivals so far that were within the tenant's share.
     pub within: u64,
-    /// Number of arrivals beyond the tenant's share.
+    /// Number of arrivals so far that were beyond the tenant's share.
     pub surplus: u64,
     demand: DecayingRate,
     name: [u8; NAME_BYTES],
-    /// Length of the full name, in bytes; the stored prefix may be shorter.
+    /// Length of the tenant's full name, in bytes. The stored prefix of the name may be shorter.
     name_length: u16,
 }
 
 impl Account {
-    /// Creates an account for a tenant that has used its share up to the virtual time `finish`.
+    /// Creates an account for a tenant that has already used its share up to the virtual time `finish`.
     pub fn new(name: &[u8], weight: f64, finish: f64, now: Nanos) -> Self {
         let mut kept_name = [0; NAME_BYTES];
         let prefix = &name[..name.len().min(NAME_BYTES)];
@@ -58,18 +61,18 @@
         }
     }
 
-    /// Records demand for work, in nanoseconds of one core.
+    /// Adds `work`, in nanoseconds of one core, to the tenant's recent demand.
     pub fn record_demand(&mut self, now: Nanos, work: f64) {
         self.demand.add(now, work);
     }
 
-    /// Returns the tenant's recent demand, in cores.
+    /// Returns the tenant's recent demand for work, in cores.
     pub fn demand(&self, now: Nanos) -> f64 {
         self.demand.cores(now)
     }
 
-    /// Returns the name for display to operators: non-ASCII and control bytes are escaped, and a long name is
-    /// truncated.
+    /// Returns the tenant's name for display to operators. Non-ASCII and control bytes are escaped, and a
+    /// long name is truncated.
     pub fn display_name(&self) -> String {
         let length = usize::from(self.name_length);
         let text = self.name[..length.min(NAME_BYTES)].escape_ascii().to_string();
--- a/crates/fair-queueing/src/accounts.rs
+++ b/crates/fair-queueing/src/accounts.rs
@@ -1,8 +1,9 @@
-//! Table of tenants' accounts, up to a limit. Accounts that may be evicted are in a list ordered by last use
-//! (LRU list).
+//! Table of tenants' accounts (usage records) with a maximum size. The accounts that may be evicted are in a
+//! list ordered by last use (LRU list).
 //!
-//! Invariant: an account is evicted only if its finish (the virtual time up to which the tenant has used its
-//! share) is not ahead of the current virtual time. Such an account has no recorded usage to lose.
+//! Invariant: eviction loses no recorded usage. Each account has a finish, the virtual time up to which the
+//! tenant has used its share. An account is evicted only if its finish is at or before the current virtual
+//! time.
 
 use crate::Nanos;
 use crate::account::Account;
@@ -11,24 +12,26 @@
 use crate::tenant::Fingerprint;
 use std::collections::HashMap;
 
-/// Idle time after which an account may be evicted, in nanoseconds.
+/// Time without an arrival after which a tenant counts as idle and its account may be evicted, in
+/// nanoseconds.
 const IDLE_NS: Nanos = 10_000_000_000;
-/// Index that stands for "no entry" at either end of the LRU list.
+/// Marker for "no entry" in the links of the LRU list, in place of an index.
 const NONE: u32 = u32::MAX;
 
-/// Reference to an account, valid until another tenant's account replaces it in the table.
+/// Reference to an account in the table. The reference becomes invalid when the account is evicted and its
+/// place is given to another tenant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Slot {
     index: u32,
     serial: u32,
 }
 
-/// Result of inserting an account.
+/// Result of inserting an account into the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Insertion {
     /// Slot of the new account.
     pub slot: Slot,
-    /// Whether another tenant's account was evicted to free the slot.
+    /// Whether the insertion evicted another tenant's account.
     pub evicted: bool,
 }
 
@@ -36,16 +39,17 @@
 struct Entry {
     account: Account,
     fingerprint: Fingerprint,
-    /// Serial number that distinguishes this account from earlier accounts at the same index.
+    /// Serial number of this account. It differs from the serial numbers of accounts that were at the same
+    /// index earlier.
     serial: u32,
     used_at: Nanos,
-    /// Index of the next more recently used entry in the LRU list.
+    /// Index of the neighbour in the LRU list that was used more recently than this entry.
     newer: u32,
-    /// Index of the next less recently used entry in the LRU list.
+    /// Index of the neighbour in the LRU list that was used less recently than this entry.
     older: u32,
 }
 
-/// Accounts of established tenants.
+/// Table of the accounts (usage records) of established tenants, with a maximum size.
 #[derive(Debug)]
 pub struct Accounts {
     limit: usize,
@@ -69,29 +73,30 @@
         }
     }
 
-    /// Returns the most bytes that a table of `limit` accounts takes.
+    /// Returns the maximum memory of a table of `limit` accounts, in bytes.
     pub fn bytes_max(limit: usize) -> usize {
         2 * limit * size_of::<Entry>() + memory::map_bytes_max::<Fingerprint, u32>(limit)
     }
 
-    /// Returns the memory in use, in bytes.
+    /// Returns the memory that the table uses now, in bytes.
     pub fn bytes(&self) -> usize {
         self.entries.capacity() * size_of::<Entry>() + memory::map_bytes(&self.indices)
     }
 
-    /// Returns the number of accounts.
+    /// Returns the number of accounts in the table.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Returns whether there are no accounts.
+    /// Returns whether the table has no accounts.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Marks a tenant as named, so that its account is never evicted. If the tenant already has an account,
-    /// the account keeps its recorded usage and takes the new weight. Otherwise `account` is inserted; a slot
-    /// is always available, since the settings allow at most half as many named tenants as accounts.
+    /// Marks a tenant as named, so that its account is never evicted. An existing account of the tenant keeps
+    /// its recorded usage and gets the weight of `account`. If the tenant has no account, `account` is
+    /// inserted. A place in the table is always available for this, since the settings allow at most half as
+    /// many named tenants as accounts.
     pub fn pin(&mut self, fingerprint: Fingerprint, mut account: Account) {
         account.named = true;
         if let Some(index) = self.indices.get(&fingerprint).copied() {
@@ -109,8 +114,8 @@
         }
     }
 
-    /// Makes a named tenant unnamed and sets its weight, so that its account may be evicted again. No effect
-    /// if the tenant is not named.
+    /// Ends the protection of a named tenant's account against eviction, and sets the tenant's weight. Has no
+    /// effect if the tenant is not named.
     pub fn unpin(&mut self, fingerprint: Fingerprint, weight: f64, now: Nanos) {
         let Some(index) = self.indices.get(&fingerprint).copied() else { return };
         let entry = &mut self.entries[index as usize];
@@ -158,8 +163,8 @@
         }
     }
 
-    /// Inserts an account at the most recently used end of the LRU list. No effect for named tenants, whose
-    /// accounts are not in the list.
+    /// Inserts an account at the most recently used end of the LRU list. Has no effect for a named tenant,
+    /// whose account is never evicted and therefore not in the list.
     fn link_newest(&mut self, index: u32) {
         let previous = self.newest;
         let entry = &mut self.entries[index as usize];
@@ -174,7 +179,8 @@
         self.newest = index;
     }
 
-    /// Returns the slot of a tenant's account, if the tenant has one, and marks the account as used at `now`.
+    /// Returns a reference to a tenant's account and marks the account as used at `now`. Returns `None` if
+    /// the tenant has no account.
     pub fn find(&mut self, fingerprint: Fingerprint, now: Nanos) -> Option<Slot> {
         let index = *self.indices.get(&fingerprint)?;
         let entry = &mut self.entries[index as usize];
@@ -187,16 +193,20 @@
         Some(slot)
     }
 
-    /// Returns the account in a slot, or `None` if the slot has been reassigned to another tenant.
+    /// Returns the account that `slot` refers to, or `None` if its place has been reassigned to another
+    /// tenant.
     pub fn get_mut(&mut self, slot: Slot) -> Option<&mut Account> {
         let entry = self.entries.get_mut(slot.index as usize)?;
         (entry.serial == slot.serial).then_some(&mut entry.account)
     }
 
-    /// Inserts an account in a free slot or in place of the least recently used account. The latter is
-    /// evicted only if its finish is not ahead of `virtual_time` and, in addition, it is idle or the new
-    /// tenant is `over_share`. A tenant over its share needs exact tracking of its usage, while other new
-    /// tenants cannot evict accounts in use. Returns `None` if no slot is free and no account may be evicted.
+    /// Inserts an account in a free place or in place of the least recently used account. Returns `None` if
+    /// neither is possible.
+    ///
+    /// Two conditions must hold for an eviction. First, the old account's finish is not ahead of
+    /// `virtual_time`, so that no recorded usage is lost. Second, the old account is idle or the new tenant
+    /// is `over_share`. The second condition keeps new tenants from evicting accounts in use, except a tenant
+    /// over its share, whose usage needs exact tracking.
     pub fn insert(
         &mut self,
         fingerprint: Fingerprint,
@@ -230,7 +240,8 @@
         })
     }
 
-    /// Returns the accounts with the highest recent demand, at most `limit`, in descending order of demand.
+    /// Returns the accounts with the highest recent demand, in descending order of demand. The list has at
+    /// most `limit` accounts.
     pub fn by_demand(&self, now: Nanos, limit: usize) -> Vec<&Account> {
         let mut accounts: Vec<&Account> = self.entries.iter().map(|entry| &entry.account).collect();
         let larger = |a: &&Account, b: &&Account| b.demand(now).total_cmp(&a.demand(now));
--- a/crates/fair-queueing/src/counters.rs
+++ b/crates/fair-queueing/src/counters.rs
@@ -1,34 +1,36 @@
-//! Counters and tenant statistics for operators.
+//! Counters of scheduling events, and statistics of tenants, for operators.
 
-/// Counters of scheduling events since the scheduler was created.
+/// Counters of scheduling events. Each counter starts at 0 when the scheduler is created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SchedulerCounters {
-    /// Arrivals within their tenant's share.
+    /// Number of arrivals that were within their tenant's share.
     pub within: u64,
-    /// Arrivals beyond their tenant's share.
+    /// Number of arrivals that were beyond their tenant's share.
     pub surplus: u64,
-    /// Arrivals whose tenant name was not yet established (too few visits, or too soon after the first).
+    /// Number of arrivals whose tenant name was still new to this server: it had too few earlier arrivals, or
+    /// the first of them was too recent.
     pub newcomers: u64,
-    /// Arrivals whose tenant name was established but had no account, so that the sketch recorded their
-    /// usage.
+    /// Number of arrivals whose usage was recorded in the sketch (an approximate record in fixed memory). The
+    /// sketch is used for a known tenant name if no account is available.
     pub sketched: u64,
-    /// Accounts evicted to free a slot for another tenant.
+    /// Number of accounts evicted so that another tenant could get an account.
     pub evicted: u64,
-    /// Promises of admission issued to rejected arrivals.
+    /// Number of rejected arrivals that got a promise, that is, a ticket with which a retry will be admitted.
     pub promised: u64,
-    /// Retries admitted because they redeemed a promise.
+    /// Number of retries that were admitted because they presented the ticket of a promise.
     pub kept: u64,
-    /// Retries that arrived in time but whose promise was not honoured, because virtual time had advanced
-    /// much more slowly than predicted.
+    /// Number of promises that the scheduler did not honour although the retry was in time. The reason is
+    /// that virtual time advanced much more slowly than predicted, so the tenant's share has no capacity yet.
     pub broken: u64,
-    /// Retries that presented their ticket before the promised time.
+    /// Number of retries that presented the ticket of a promise before the promised time.
     pub early: u64,
-    /// Retries with an invalid ticket: expired, already used, never issued, or issued to another tenant.
+    /// Number of retries with an invalid ticket. Such a ticket has expired, was already used, was never
+    /// issued, or was issued to another tenant.
     pub unknown: u64,
-    /// Promises (to admit the retry of a rejected arrival) that expired before a retry presented the ticket.
+    /// Number of promises to admit a retry that expired because no retry presented the ticket.
     pub lapsed: u64,
-    /// Requests for a promise that were refused, because the wait would have been too long or too many
-    /// promises were active.
+    /// Number of requests for a promise that were refused. Either the wait would have been too long, or too
+    /// many promises were active.
     pub unpromised: u64,
 }
 
@@ -41,8 +43,9 @@
     pub weight: f64,
     /// Recent demand of the tenant, in cores.
     pub demand: f64,
-    /// Time in seconds for which the tenant has used its share in advance: the distance of its finish ahead
-    /// of virtual time, divided by the fair rate; 0 if its finish is in the past.
+    /// Time in seconds for which the tenant has used its share in advance, or 0 if it has not. The value is
+    /// the distance of the tenant's finish ahead of virtual time, divided by the fair rate. The finish is the
+    /// virtual time up to which the tenant has used its share.
     pub ahead: f64,
     /// Number of arrivals within the tenant's share.
     pub within: u64,
--- a/crates/fair-queueing/src/demand.rs
+++ b/crates/fair-queueing/src/demand.rs
@@ -1,11 +1,13 @@
-//! Recent demand for work, tracked as exponentially decaying sums.
+//! Tracks the recent demand for work as a sum that decays exponentially with time.
 
 use crate::Nanos;
 
-/// Half-life of the decaying sums, in nanoseconds: work recorded this long ago counts half.
+/// Half-life of the decaying sum of work, in nanoseconds. Work that was recorded one half-life ago counts
+/// half.
 pub const HALF_LIFE_NS: Nanos = 2_000_000_000;
 
-/// A rate of work in cores, computed from an exponentially decaying sum of work.
+/// Recent rate of work, in cores. The rate is computed from a sum of work that decays exponentially with
+/// time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DecayingRate {
     sum: f32,
@@ -18,23 +20,23 @@
         f64::from(self.sum) * (-age / HALF_LIFE_NS as f64).exp2()
     }
 
-    /// Adds work demanded at `now`, in nanoseconds of one core.
+    /// Adds `work`, in nanoseconds of one core, that was demanded at `now`.
     pub fn add(&mut self, now: Nanos, work: f64) {
         self.sum = (self.remaining(now) + work) as f32;
         self.updated_at = self.updated_at.max(now);
     }
 
-    /// Returns the rate in cores: the constant demand for which the decaying sum would be steady at its
-    /// current value.
+    /// Returns the recent rate of work, in cores. A constant demand at this rate would keep the decaying sum
+    /// at its current value.
     pub fn cores(&self, now: Nanos) -> f64 {
         self.remaining(now) * std::f64::consts::LN_2 / HALF_LIFE_NS as f64
     }
 }
 
-/// Demand of a group of tenants with equal demand and weight.
+/// Demand for work of a group of tenants. All tenants of a group have the same demand and the same weight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Demand {
-    /// Demand of each tenant, in cores.
+    /// Demand of each tenant of the group, in cores.
     pub cores: f64,
     /// Weight of each tenant.
     pub weight: f64,
--- a/crates/fair-queueing/src/fair_rate.rs
+++ b/crates/fair-queueing/src/fair_rate.rs
@@ -1,6 +1,7 @@
-//! The max-min fair rate of a unit of weight, and the virtual time that advances at this rate.
+//! Computes the max-min fair rate, the share of capacity for a tenant of weight 1, and the virtual time that
+//! advances at this rate.
 //!
-//! The max-min fair rate allocates all capacity (or meets all demand, if that is less), and no tenant gets
+//! The max-min fair rate allocates all capacity, or meets all demand if the demand is lower. No tenant gets
 //! more than its demand. The rate is computed by progressive filling (Bertsekas and Gallager, Data Networks,
 //! 1992, 6.5.2), in ascending order of demand per unit of weight.
 
@@ -9,29 +10,32 @@
 use crate::hyperloglog::WindowedCount;
 use crate::tenant::Fingerprint;
 
-/// Factor by which virtual time runs faster while the capacity meets all demand. Usage beyond a tenant's
-/// share during such a time is therefore soon no longer counted against the tenant.
+/// Factor by which virtual time runs faster while the capacity meets all demand. In such a period a tenant
+/// that exceeds its share harms no other tenant. The faster virtual time soon stops counting the excess
+/// against the tenant.
 const UNDERLOAD_SPEEDUP: f64 = 16.0;
-/// Smoothing factor of the exponential moving average of the weights of tenants without an account.
+/// Smoothing factor of an exponential moving average: the weight of one new observation. The average is over
+/// the weights of tenants without an account.
 const WEIGHT_SMOOTHING: f64 = 0.01;
-/// Length of the time window over which the distinct names of tenants without an account are counted, in
-/// nanoseconds.
+/// Length of the time window for counting the distinct names of tenants without an account, in nanoseconds.
 const NAME_WINDOW_NS: Nanos = 16 * HALF_LIFE_NS;
-/// Maximum real time by which one call of [`FairRate::advance`] advances virtual time, in nanoseconds. The
-/// rest of a larger clock jump is ignored.
+/// Maximum real time that one call of [`FairRate::advance`] takes into account, in nanoseconds. If the clock
+/// jumps further ahead, virtual time ignores the rest of the jump.
 const CLOCK_JUMP_MAX_NS: Nanos = 1_000_000_000;
-/// Number of registers of the HyperLogLog estimator that counts the names of tenants without an account.
+/// Number of registers of the HyperLogLog estimator that counts the distinct names of tenants without an
+/// account.
 const NAME_REGISTERS: usize = 1024;
 
-/// Fair rate (the share of a tenant of weight 1, in cores), and the virtual time that advances at this rate.
+/// The fair rate, and the virtual time that advances at this rate. The fair rate is the share of a tenant of
+/// weight 1, in cores.
 #[derive(Debug)]
 pub struct FairRate {
     /// Virtual time, in nanoseconds of one core per unit of weight.
     virtual_time: f64,
     /// Latest real time passed to [`FairRate::advance`], in nanoseconds.
     now: Nanos,
-    /// Fair rate in cores per unit of weight. While the capacity meets all demand, this is the whole
-    /// capacity.
+    /// Fair rate: the share of a tenant of weight 1, in cores. It equals the whole capacity while the
+    /// capacity meets all demand.
     cores: f64,
     is_underloaded: bool,
     sketched_demand: DecayingRate,
@@ -40,8 +44,8 @@
 }
 
 impl FairRate {
-    /// Creates a fair rate of `cores` per unit of weight. Until the first [`FairRate::update`], virtual time
-    /// advances as if the capacity met all demand.
+    /// Creates the state with a fair rate of `cores` for a tenant of weight 1. Until the first
+    /// [`FairRate::update`], virtual time advances as if the capacity met all demand.
     pub fn new(cores: f64, now: Nanos) -> Self {
         Self {
             virtual_time: 0.0,
@@ -64,8 +68,8 @@
         self.cores
     }
 
-    /// Advances virtual time by the real time that has passed until `now`. Returns the latest real time seen.
-    /// A clock that stops or goes back does not advance virtual time.
+    /// Advances virtual time by the real time that has passed since the previous call. Returns the latest
+    /// real time passed to any call. If the clock stops or goes back, virtual time does not advance.
     pub fn advance(&mut self, now: Nanos) -> Nanos {
         let passed = now.saturating_sub(self.now).min(CLOCK_JUMP_MAX_NS) as f64;
         self.virtual_time += passed * self.cores * if self.is_underloaded { UNDERLOAD_SPEEDUP } else { 1.0 };
@@ -73,7 +77,8 @@
         self.now
     }
 
-    /// Records the demand of one arrival whose tenant has no account. `work` is in nanoseconds of one core.
+    /// Records the demand of one arrival whose tenant has no account of its own. `work` is in nanoseconds of
+    /// one core.
     pub fn record_sketched_demand(&mut self, now: Nanos, fingerprint: Fingerprint, weight: f64, work: f64) {
         self.sketched_demand.add(now, work);
         self.sketched_weight += WEIGHT_SMOOTHING * (weight - self.sketched_weight);
@@ -81,16 +86,16 @@
         self.sketched_names.add(fingerprint);
     }
 
-    /// Returns the demand of all tenants without an account. Every such tenant is assumed to have the same
-    /// demand and weight.
+    /// Returns the demand of the tenants without an account, as one group. Only the total demand of these
+    /// tenants is known, so each is assumed to have an equal part of it and the average weight.
     fn sketched(&self, now: Nanos) -> Demand {
         let tenants = self.sketched_names.estimate();
         let cores = self.sketched_demand.cores(now) / tenants;
         Demand { cores, weight: self.sketched_weight, tenants }
     }
 
-    /// Recomputes the fair rate from `demands` and the recorded demand of tenants without an account.
-    /// `capacity` is the capacity to allocate, in cores.
+    /// Recomputes the fair rate. Its inputs are `capacity` (the capacity to allocate, in cores), `demands`,
+    /// and the recorded demand of tenants without an account.
     pub fn update(&mut self, now: Nanos, capacity: f64, demands: impl Iterator<Item = Demand>) {
         let capacity = capacity.max(f64::MIN_POSITIVE);
         let rate = Self::progressive_filling(capacity, demands.chain([self.sketched(now)]));
--- a/crates/fair-queueing/src/finish_sketch.rs
+++ b/crates/fair-queueing/src/finish_sketch.rs
@@ -1,7 +1,8 @@
-//! Sketch in fixed memory that stores a finish for each tenant without an account: the virtual time up to
-//! which the tenant has used its share. The sketch is an array of hashed cells similar to count-min (Cormode
-//! and Muthukrishnan, 2005), but each cell holds the largest finish of the tenants that share the cell,
-//! rather than a sum.
+//! Records in fixed memory how far tenants without an account have used their shares.
+//!
+//! A tenant's finish is the virtual time up to which the tenant has used its share. The sketch is an array of
+//! cells. Each tenant hashes to several cells, and each cell holds the largest finish of the tenants that
+//! hash to it. Count-min (Cormode and Muthukrishnan, 2005) is similar, but its cells hold sums.
 //!
 //! Invariant: the estimated finish of a tenant, the minimum over its cells, is never lower than its real
 //! finish. The estimate is higher only if each of the tenant's cells is shared with a tenant that has a later
@@ -9,21 +10,22 @@
 
 use crate::tenant::Fingerprint;
 
-/// Number of cells that each tenant hashes to.
+/// Number of cells of the sketch that each tenant hashes to.
 const CELLS_PER_TENANT: usize = 3;
-/// Unit of the value in a cell, in nanoseconds of one core per unit of weight. This unit lets a cell take
-/// only 4 bytes.
+/// Unit in which a cell stores a virtual time, in nanoseconds of one core per unit of weight. With this unit
+/// a cell takes only 4 bytes.
 const UNIT_NS: f64 = 16_384.0;
-/// Number of calls of [`FinishSketch::sweep`] that together visit every cell once.
+/// Number of calls of [`FinishSketch::sweep`] after which every cell has been visited once.
 const SWEEPS_PER_ROUND: usize = 256;
-/// Minimum number of cells in a sketch. A sketch that is requested with fewer cells gets this many.
+/// Minimum number of cells in a sketch. If fewer cells are requested, the sketch has this many.
 const CELLS_MIN: usize = 64;
 
-/// Hashed cells that hold, for tenants without an account, the virtual times up to which they have used their
-/// shares.
+/// Approximate record of the used shares of tenants without an account, in fixed memory. It is an array of
+/// cells, and each tenant hashes to several of them.
 #[derive(Debug)]
 pub struct FinishSketch {
-    /// Largest finish of the tenants that hash to each cell, in units of [`UNIT_NS`], modulo 2^32.
+    /// One value for each cell: the largest finish of the tenants that hash to the cell. A finish is the
+    /// virtual time up to which a tenant has used its share, in units of [`UNIT_NS`], modulo 2^32.
     cells: Vec<u32>,
     next_swept: usize,
 }
@@ -32,8 +34,8 @@
     (virtual_time / UNIT_NS) as u64 as u32
 }
 
-/// Returns the distance of a cell's finish ahead of the current virtual time, in units of [`UNIT_NS`];
-/// negative if the cell is behind.
+/// Returns how far the virtual time stored in a cell is ahead of the current virtual time, in units of
+/// [`UNIT_NS`]. The result is negative if the cell's value is in the past.
 fn units_ahead(cell: u32, now_units: u32) -> i32 {
     cell.wrapping_sub(now_units) as i32
 }
@@ -58,8 +60,9 @@
         self.cells.capacity() * size_of::<u32>()
     }
 
-    /// Returns the indices of the cells that a tenant hashes to. The hashes are linear combinations of two
-    /// independent hashes (Kirsch and Mitzenmacher, 2006), here the two halves of the fingerprint.
+    /// Returns the indices of the cells that a tenant hashes to. Each index is derived from a linear
+    /// combination of two independent hashes (Kirsch and Mitzenmacher, 2006). The two hashes are the halves
+    /// of the fingerprint.
     fn cells_of(&self, fingerprint: Fingerprint) -> [usize; CELLS_PER_TENANT] {
         let (first, second) = (fingerprint.low_half(), fingerprint.high_half() | 1);
         std::array::from_fn(|i| {
@@ -68,8 +71,8 @@
         })
     }
 
-    /// Returns an upper bound of the virtual time up to which the tenant has used its share, at least the
-    /// current `virtual_time`.
+    /// Returns an upper bound of the virtual time up to which the tenant has used its share. The result is
+    /// never lower than the current `virtual_time`.
     pub fn finish(&self, fingerprint: Fingerprint, virtual_time: f64) -> f64 {
         let now_units = to_units(virtual_time);
         let ahead = self.cells_of(fingerprint).map(|cell| units_ahead(self.cells[cell], now_units));
@@ -79,8 +82,8 @@
         }
     }
 
-    /// Records that the tenant has used its share up to the virtual time `finish`. Cells that already hold a
-    /// later finish are left unchanged.
+    /// Records that the tenant has used its share up to the virtual time `finish`. A cell of the tenant that
+    /// already holds a later virtual time is left unchanged.
     pub fn raise(&mut self, fingerprint: Fingerprint, finish: f64, virtual_time: f64) {
         let now_units = to_units(virtual_time);
         let to = ((finish - virtual_time) / UNIT_NS).ceil().clamp(0.0, f64::from(i32::MAX)) as i32;
@@ -91,10 +94,12 @@
         }
     }
 
-    /// Visits the next part of the cells, and advances each that is behind `virtual_time` to `virtual_time`.
-    /// A cell that was never advanced would appear to be ahead again once virtual time is more than 2^31
-    /// units (35,184 s of one core) past it. `SWEEPS_PER_ROUND` calls visit all cells: 128 s at one call per
-    /// control period of 500 ms.
+    /// Sets outdated cells in the next part of the sketch to the current `virtual_time`. A cell is outdated
+    /// if its value is behind `virtual_time`.
+    ///
+    /// Cell values wrap around. Without the sweep, an outdated cell would appear to be ahead again once
+    /// virtual time is more than 2^31 units (35,184 s of one core) past it. `SWEEPS_PER_ROUND` calls visit
+    /// all cells, which takes 128 s at one call per control period of 500 ms.
     pub fn sweep(&mut self, virtual_time: f64) {
         let now_units = to_units(virtual_time);
         let cells = self.cells.len();
--- a/crates/fair-queueing/src/hyperloglog.rs
+++ b/crates/fair-queueing/src/hyperloglog.rs
@@ -1,11 +1,13 @@
-//! Estimates the number of distinct names seen, in fixed memory (HyperLogLog; Flajolet, Fusy, Gandouet and
-//! Meunier, 2007). The standard error is about 1.04 divided by the square root of the number of registers.
+//! Estimates the number of distinct names that have been added, in fixed memory. The method is HyperLogLog
+//! (Flajolet, Fusy, Gandouet and Meunier, 2007). Its standard error is about 1.04 divided by the square root
+//! of the number of registers.
 
 use crate::Nanos;
 use crate::tenant::Fingerprint;
 
-/// A raw estimate of at most this many times the number of registers is replaced by linear counting, which
-/// derives the estimate from the number of empty registers.
+/// Upper limit of the range in which linear counting replaces the raw HyperLogLog estimate, as a multiple of
+/// the number of registers. Linear counting derives the estimate from the number of empty registers and is
+/// more accurate for small counts.
 const LINEAR_COUNTING_MAX: f64 = 2.5;
 
 /// A HyperLogLog estimator with `N` one-byte registers.
@@ -21,19 +23,19 @@
 }
 
 impl<const N: usize> HyperLogLog<N> {
-    /// Adds a name by its fingerprint. Adding the same name again has no effect.
+    /// Adds a name, given by its fingerprint. Adding the same name again has no effect.
     pub fn add(&mut self, fingerprint: Fingerprint) {
         let register = fingerprint.high_half() as usize % N;
         let rank = fingerprint.low_half().leading_zeros() as u8 + 1;
         self.registers[register] = self.registers[register].max(rank);
     }
 
-    /// Resets the estimator to no names.
+    /// Removes all names from the estimator.
     pub fn clear(&mut self) {
         self.registers.fill(0);
     }
 
-    /// Returns the estimated number of distinct names added since the last [`HyperLogLog::clear`].
+    /// Returns the estimated number of distinct names added since the estimator was created or cleared.
     pub fn estimate(&self) -> f64 {
         let registers = N as f64;
         let empty = self.registers.iter().filter(|rank| **rank == 0).count();
@@ -48,7 +50,8 @@
     }
 }
 
-/// Estimate of the number of distinct names in the current or the previous time window, whichever is larger.
+/// Estimates the number of distinct names in a time window. The result is the larger of two estimates: of the
+/// current window, which is still incomplete, and of the previous window.
 #[derive(Clone, Debug, Default)]
 pub struct WindowedCount<const N: usize> {
     current: HyperLogLog<N>,
@@ -57,13 +60,13 @@
 }
 
 impl<const N: usize> WindowedCount<N> {
-    /// Creates a count whose first window begins at `now`.
+    /// Creates an estimator whose first time window begins at `now`.
     pub fn new(now: Nanos) -> Self {
         Self { began_at: now, ..Self::default() }
     }
 
-    /// Begins a new time window if the current one has lasted more than `window` nanoseconds. Returns whether
-    /// a new window began.
+    /// Begins a new time window if the current window began more than `window` nanoseconds ago. Returns
+    /// whether a new window began.
     pub fn rotate(&mut self, now: Nanos, window: Nanos) -> bool {
         if now.saturating_sub(self.began_at) <= window {
             return false;
@@ -74,12 +77,13 @@
         true
     }
 
-    /// Adds a name, by its fingerprint, to the current window.
+    /// Adds a name, given by its fingerprint, to the current time window.
     pub fn add(&mut self, fingerprint: Fingerprint) {
         self.current.add(fingerprint);
     }
 
-    /// Returns the larger estimate of the current and the previous window, at least 1.
+    /// Returns the estimated number of distinct names in the current or in the previous time window,
+    /// whichever is larger. The result is at least 1.
     pub fn estimate(&self) -> f64 {
         self.current.estimate().max(self.previous.estimate()).max(1.0)
     }
--- a/crates/fair-queueing/src/known_names.rs
+++ b/crates/fair-queueing/src/known_names.rs
@@ -1,9 +1,9 @@
-//! Table of recently seen tenant names, with the number of visits (arrivals with the name) and the times of
-//! the first and the last visit of each. The table is set-associative and stores a short tag derived from
-//! each name's fingerprint.
+//! Table of recently seen tenant names. For each name it holds the number of visits (arrivals with the name)
+//! and the times of the first and the last visit. The table is set-associative and stores a short tag derived
+//! from each name's fingerprint.
 //!
-//! A name that has had at least the number of visits passed to [`KnownNames::new`] is evicted only after 300
-//! s without a visit, however many new names arrive.
+//! A name with at least the number of visits passed to [`KnownNames::new`] is evicted only after 300 s
+//! without a visit, even if many new names arrive.
 //!
 //! Times are stored as counts of 250 ms that wrap around. The last visit has 12 bits, so a name without a
 //! visit for 1,024 s, or for a multiple of 1,024 s, appears to have been visited just now. The first visit
@@ -14,27 +14,27 @@
 
 /// Number of records in one set of the set-associative table.
 const WAYS: usize = 16;
-/// Resolution of the stored times, in nanoseconds.
+/// Resolution of the stored visit times, in nanoseconds.
 const STEP_NS: Nanos = 250_000_000;
-/// Maximum number of visits that a record can hold; further visits are not counted. 0 visits mark a free
-/// record.
+/// Maximum number of visits (arrivals with the name) that a record can hold. Further visits are not counted.
+/// A record with 0 visits is free.
 const VISITS_MAX: u16 = 15;
 /// Number of bits of [`NameRecord::last_visit_and_count`] that hold the visit count.
 const VISITS_BITS: u16 = 4;
-/// Mask of the 12 bits of the last visit's time step, which shares 16 bits with the visit count.
+/// Mask for the time of the last visit, which has 12 bits. It shares a 16-bit field with the visit count.
 const STEP_MASK: u16 = 0xfff;
-/// Time without a visit after which even a name with at least [`KnownNames::kept_visits`] visits may be
-/// evicted, in nanoseconds.
+/// Time after the last visit from which any name may be evicted, in nanoseconds. Until then, a name with at
+/// least [`KnownNames::kept_visits`] visits is kept.
 const UNUSED_MAX_NS: Nanos = 300_000_000_000;
 const UNUSED_MAX_STEPS: u16 = (UNUSED_MAX_NS / STEP_NS) as u16;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct NameRecord {
     tag: u32,
-    /// Time of the first visit, in steps of [`STEP_NS`], modulo 2^16.
+    /// Time of the name's first visit, in steps of [`STEP_NS`], modulo 2^16.
     first_visit: u16,
-    /// Time of the last visit, in steps of [`STEP_NS`] modulo 2^12, in the upper 12 bits; number of visits in
-    /// the lower 4 bits.
+    /// Time of the name's last visit and number of its visits. The time is in the upper 12 bits, in steps of
+    /// [`STEP_NS`] modulo 2^12. The number of visits is in the lower 4 bits.
     last_visit_and_count: u16,
 }
 
@@ -56,12 +56,13 @@
     }
 }
 
-/// Visits of a name before the current one; all zero if the name was not in the table.
+/// Earlier visits of a name (arrivals with the name), not counting the current one. All values are 0 if the
+/// name was not in the table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NameHistory {
-    /// Number of earlier visits; counts stop at 15.
+    /// Number of earlier visits of the name, at most 15.
     pub visits: u8,
-    /// Time since the first visit, in nanoseconds.
+    /// Time since the first visit of the name, in nanoseconds.
     pub since_first_visit: Nanos,
 }
 
@@ -69,13 +70,14 @@
 #[derive(Debug)]
 pub struct KnownNames {
     sets: Vec<[NameRecord; WAYS]>,
-    /// Number of visits after which a name is evicted only after [`UNUSED_MAX_NS`] without another visit.
+    /// Number of visits that protects a name from eviction. A name with at least this many visits is evicted
+    /// only after [`UNUSED_MAX_NS`] without another visit.
     kept_visits: u16,
 }
 
 impl KnownNames {
-    /// Creates a table with capacity for at least `names` names. A name with at least `kept_visits` visits is
-    /// evicted only after 300 s without another visit.
+    /// Creates a table with capacity for at least `names` names. A name with at least `kept_visits` visits
+    /// (arrivals with the name) is evicted only after 300 s without another visit.
     pub fn new(names: usize, kept_visits: u8) -> Self {
         let sets = vec![[NameRecord::default(); WAYS]; Self::sets(names)];
         Self { sets, kept_visits: u16::from(kept_visits) }
@@ -85,7 +87,7 @@
         names.div_ceil(WAYS).next_power_of_two()
     }
 
-    /// Returns the bytes that a table with capacity for `names` names takes.
+    /// Returns the memory of a table with capacity for `names` names, in bytes.
     pub fn bytes_max(names: usize) -> usize {
         Self::sets(names) * size_of::<[NameRecord; WAYS]>()
     }
@@ -95,7 +97,7 @@
         self.sets.capacity() * size_of::<[NameRecord; WAYS]>()
     }
 
-    /// Records a visit of a name and returns the name's history before this visit.
+    /// Records a visit of a name (an arrival with the name). Returns the name's visits before this one.
     pub fn visit(&mut self, fingerprint: Fingerprint, now: Nanos) -> NameHistory {
         let step = (now / STEP_NS) as u16;
         let sets = self.sets.len();
@@ -112,10 +114,11 @@
         NameHistory::default()
     }
 
-    /// Replaces the record with the fewest visits by `new`; among records with equally few visits, the one
-    /// with the longest time since its last visit. A record with at least `kept_visits` visits is replaced
-    /// only after [`UNUSED_MAX_NS`] without a visit. If no record of the set may be replaced, `new` is not
-    /// stored.
+    /// Stores `new` in place of the record with the fewest visits. Among records with equally few visits, the
+    /// one with the longest time since its last visit is replaced.
+    ///
+    /// A record with at least `kept_visits` visits is replaced only after [`UNUSED_MAX_NS`] without a visit.
+    /// If no record of the set may be replaced, `new` is not stored.
     fn replace_least_visited(set: &mut [NameRecord; WAYS], kept_visits: u16, new: NameRecord, step: u16) {
         let rank = |record: &&mut NameRecord| (record.visits().min(kept_visits), !record.steps_unused(step));
         let Some(least_visited) = set.iter_mut().min_by_key(rank) else { return };
--- a/crates/fair-queueing/src/learned_ratio.rs
+++ b/crates/fair-queueing/src/learned_ratio.rs
@@ -1,14 +1,14 @@
-//! Ratio of the work that a tenant's invocations use to the work that their operations usually need, learned
-//! from earlier invocations.
+//! Tracks the work that a tenant's invocations use, divided by the work that their operations usually need.
+//! The ratio is learned from earlier invocations.
 
-/// Smoothing factor of the exponential moving average: the weight of a new observation.
+/// Weight of a new observation in the exponential moving average.
 const SMOOTHING: f64 = 0.2;
-/// Lower bound of the learned ratio; `RATIO_MAX` is the upper bound.
+/// Minimum of the learned ratio. The maximum is `RATIO_MAX`.
 const RATIO_MIN: f64 = 1e-3;
 const RATIO_MAX: f64 = 1e3;
 
-/// Exponential moving average of the ratio of an invocation's used work to the work that its operation
-/// usually needs; 1 before the first observation.
+/// Exponential moving average over invocations: the work that an invocation used, divided by the work that
+/// its operation usually needs. The value is 1 before the first observation.
 #[derive(Clone, Copy, Debug)]
 pub struct LearnedRatio(f64);
 
@@ -24,7 +24,8 @@
         self.0
     }
 
-    /// Adds the observed ratio of one invocation to the moving average.
+    /// Adds one invocation to the moving average. `observed` is the work that the invocation used, divided by
+    /// the work that its operation usually needs.
     pub fn learn(&mut self, observed: f64) {
         self.0 = (self.0 + SMOOTHING * (observed - self.0)).clamp(RATIO_MIN, RATIO_MAX);
     }
