--- a/crates/fair-queueing/src/lib.rs
+++ b/crates/fair-queueing/src/lib.rs
@@ -1,9 +1,10 @@
-//! Start-time fair queueing among tenants (Goyal, Vin and Cheng, 1996) in bounded memory, however many
-//! tenants there are, with promises of admission for rejected arrivals.
+//! Fair sharing of a server's capacity among tenants, in bounded memory for any number of tenants. The method
+//! is start-time fair queueing (Goyal, Vin and Cheng, 1996). A rejected arrival can get a promise that its
+//! retry will be admitted.
 //!
-//! The crate only advises: the code that uses it admits and rejects arrivals. For each arrival,
-//! [`FairScheduler`] reports whether the arrival is within its tenant's share, and its start tag in the fair
-//! order. For a rejected arrival, it also reports when the tenant's share will have capacity for a retry.
+//! This crate only advises its caller, which admits and rejects arrivals. For each arrival, [`FairScheduler`]
+//! reports whether the arrival is within its tenant's share, and the arrival's start tag in the fair order.
+//! For a rejected arrival, it also reports when the tenant's share will have capacity for a retry.
 //!
 //! - [`fair_rate`]: the max-min fair rate of a unit of weight, and the virtual time that advances at this
 //!   rate.
--- a/crates/fair-queueing/src/origins.rs
+++ b/crates/fair-queueing/src/origins.rs
@@ -1,7 +1,7 @@
-//! Shares of newcomers (tenants whose names are not yet established), tracked by origin. An origin is the
-//! peer of the connection or a sender that the operator trusts, and a sender cannot forge it.
+//! Tracks newcomers (tenants whose names are not yet established) by origin. An origin is the peer of the
+//! connection or a sender that the operator trusts, so a sender cannot forge its origin.
 //!
-//! All newcomers of one origin share one [`Origin`] record, as if they were a single tenant. If an origin
+//! All newcomers of an origin share one [`Origin`] record, as if they were a single tenant. If an origin
 //! sends more distinct names than allowed, the weight of each name decreases. A sender that invents names
 //! therefore gains no more than one tenant's share.
 
@@ -14,39 +14,42 @@
 use crate::tenant::Fingerprint;
 use std::collections::HashMap;
 
-/// Time without an arrival after which an origin's slot in the table may be reassigned to another origin, in
-/// nanoseconds.
+/// Time without an arrival from an origin, in nanoseconds, after which another origin may take over the idle
+/// origin's slot in the table.
 const IDLE_NS: Nanos = 60_000_000_000;
-/// Length of the time window over which the distinct names of an origin are counted, as a multiple of
+/// Length of the time window for counting the distinct names of an origin, as a multiple of
 /// [`Settings::probation`](crate::settings::Settings::probation).
 const WINDOW_PROBATIONS: u64 = 8;
-/// Reciprocal of the fraction of names whose arrivals recompute the estimated number of names of their
-/// origin. Arrivals with other names use the latest estimate, since computing an estimate reads all
-/// registers.
+/// One of this many names triggers a new estimate of its origin's number of names when it arrives. Computing
+/// an estimate reads all registers, so arrivals with other names use the latest estimate.
 const NAMES_PER_ESTIMATE: u64 = 16;
-/// Number of registers of the HyperLogLog estimator that counts an origin's names.
+/// Number of registers of the HyperLogLog estimator that counts the distinct names of an origin.
 const NAME_REGISTERS: usize = 64;
-/// Multiplier of the hash that maps origins beyond the table's limit to existing slots (Fibonacci hashing).
+/// Multiplier for Fibonacci hashing. Once the table of origins is full, the hash of a new origin's id selects
+/// an existing slot.
 const HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Usage record shared by all newcomers of one origin.
+/// Usage record shared by all newcomers of one origin. Newcomers are tenants whose names are not yet
+/// established.
 #[derive(Debug, Default)]
 pub struct Origin {
     id: u64,
-    /// Virtual time up to which the newcomers have used their common share.
+    /// Virtual time up to which the origin's newcomers have used their common share.
     pub finish: f64,
-    /// Start tags that the newcomers' next arrivals will get, in each of the two queues that they share.
+    /// Queue tails: the start tags that the next arrivals of the origin's newcomers will get. All newcomers
+    /// of the origin share two queues, one within the share and one for surplus arrivals.
     pub tails: QueueTails,
-    /// Virtual time up to which promises of admission have reserved the newcomers' share.
+    /// Virtual time up to which the newcomers' common share is reserved for promises, that is, for retries
+    /// that the scheduler has promised to admit.
     pub booked_until: f64,
-    /// Ratio of the work that the newcomers' invocations use to the work that their operations usually need,
-    /// learned from earlier invocations.
+    /// Work that the newcomers' invocations use, divided by the work that their operations usually need. The
+    /// ratio is learned from earlier invocations.
     pub ratio: LearnedRatio,
     demand: DecayingRate,
     used_at: Nanos,
     names: WindowedCount<NAME_REGISTERS>,
-    /// Latest estimate of the number of distinct names of the origin; 0 if none has been computed yet in the
-    /// current time window.
+    /// Latest estimate of the number of distinct names that the origin has sent. The value is 0 if no
+    /// estimate has been computed yet in the current time window.
     estimated_names: f64,
 }
 
@@ -56,20 +59,20 @@
     }
 }
 
-/// Table of the usage records of origins, up to a limit.
+/// Table of usage records, one record for each origin, with a maximum size.
 #[derive(Debug)]
 pub struct Origins {
     limit: usize,
     names_per_origin: f64,
-    /// Length of the time window over which the distinct names of an origin are counted, in nanoseconds.
+    /// Length of the time window for counting the distinct names of an origin, in nanoseconds.
     window: Nanos,
     origins: Vec<Origin>,
     indices: HashMap<u64, usize>,
 }
 
 impl Origins {
-    /// Creates a table of at most `limit` origins. Up to `names_per_origin` tenant names of one origin keep
-    /// their full weight. `probation` determines the time window over which names are counted.
+    /// Creates a table of at most `limit` origins. If an origin sends more than `names_per_origin` tenant
+    /// names in a time window, the weight of each name is reduced. The window is a multiple of `probation`.
     pub fn new(limit: usize, names_per_origin: f64, probation: Nanos) -> Self {
         Self {
             limit: limit.max(1),
@@ -80,24 +83,25 @@
         }
     }
 
-    /// Returns the most bytes that a table of `limit` origins takes.
+    /// Returns the maximum memory of a table of `limit` origins, in bytes.
     pub fn bytes_max(limit: usize) -> usize {
         2 * limit.max(4) * size_of::<Origin>() + memory::map_bytes_max::<u64, usize>(limit)
     }
 
-    /// Returns the memory in use, in bytes.
+    /// Returns the memory that the table uses now, in bytes.
     pub fn bytes(&self) -> usize {
         self.origins.capacity() * size_of::<Origin>() + memory::map_bytes(&self.indices)
     }
 
-    /// Sets the maximum number of tenant names of one origin that keep their full weight. If an origin sends
-    /// more names, the weight of each is reduced.
+    /// Sets the maximum number of tenant names that one origin may send at full weight. If an origin sends
+    /// more names, the weight of each name is reduced.
     pub fn set_names_per_origin(&mut self, names: f64) {
         self.names_per_origin = names;
     }
 
-    /// Returns the index of the slot that holds an origin's record. Once the table is full, a new origin
-    /// shares the slot that its id hashes to, or takes the slot over if that has been idle.
+    /// Returns the index of an origin's slot in the table, adding the origin if necessary. Once the table is
+    /// full, the hash of a new origin's id selects an existing slot. The new origin takes the slot over if
+    /// its owner is idle; otherwise the two origins share the slot.
     fn find_or_insert(&mut self, id: u64, now: Nanos) -> usize {
         if let Some(index) = self.indices.get(&id) {
             self.origins[*index].used_at = now;
@@ -115,8 +119,8 @@
         index
     }
 
-    /// Reassigns a slot to another origin. The new origin takes over the used share, the queue tails and the
-    /// reserved share of the previous origin.
+    /// Reassigns a slot of the table to another origin. The new origin starts with the previous origin's used
+    /// share, queue tails and reserved share.
     fn replace(&mut self, index: usize, id: u64, now: Nanos) {
         let origin = &mut self.origins[index];
         self.indices.remove(&origin.id);
@@ -125,8 +129,8 @@
         self.indices.insert(id, index);
     }
 
-    /// Records a name of an origin, and returns the factor by which the name's weight is multiplied, at most
-    /// 1.
+    /// Records that an origin has sent a name. Returns the factor, at most 1, by which the weight of the name
+    /// is multiplied.
     pub fn weight_ratio(&mut self, id: u64, fingerprint: Fingerprint, now: Nanos) -> f64 {
         let (window, names_per_origin) = (self.window, self.names_per_origin);
         let index = self.find_or_insert(id, now);
@@ -142,8 +146,10 @@
     }
 
     /// Records the demand of an arrival whose tenant is a newcomer of origin `id`. `work` is the work that
-    /// the operation usually needs, in nanoseconds of one core. Returns the index of the origin's slot, and
-    /// `work` multiplied by the learned ratio of the origin's newcomers.
+    /// the operation usually needs, in nanoseconds of one core.
+    ///
+    /// Returns two values: the index of the origin's slot, and `work` multiplied by the ratio that was
+    /// learned for the origin's newcomers.
     pub fn record_newcomer(&mut self, id: u64, now: Nanos, work: f64) -> (usize, f64) {
         let index = self.find_or_insert(id, now);
         let origin = &mut self.origins[index];
@@ -152,18 +158,18 @@
         (index, estimated_work)
     }
 
-    /// Returns the record at an index returned by [`Origins::record_newcomer`].
+    /// Returns the record of an origin. `index` is an index returned by [`Origins::record_newcomer`].
     pub fn get(&self, index: usize) -> &Origin {
         &self.origins[index]
     }
 
-    /// Mutable variant of [`Origins::get`].
+    /// Returns a mutable reference to the record of an origin; see [`Origins::get`].
     pub fn get_mut(&mut self, index: usize) -> &mut Origin {
         &mut self.origins[index]
     }
 
-    /// Returns one demand for each origin: the recent demand of all its newcomers together, with the given
-    /// weight.
+    /// Returns one demand for each origin: the total recent demand of the origin's newcomers. Every demand
+    /// has the same `weight`.
     pub fn demands(&self, now: Nanos, weight: f64) -> impl Iterator<Item = Demand> {
         self.origins.iter().map(move |origin| Demand {
             cores: origin.demand.cores(now),
--- a/crates/fair-queueing/src/promises.rs
+++ b/crates/fair-queueing/src/promises.rs
@@ -1,6 +1,8 @@
-//! Promises of admission. A rejected arrival that retries at the promised time, or within a grace period
-//! after it, is admitted. Each promise has an unguessable ticket, which the tenant of the rejected arrival
-//! can redeem once, from any connection.
+//! Promises to admit the retries of rejected arrivals. A retry must be made at the promised time or within a
+//! grace period after it.
+//!
+//! Each promise has an unguessable ticket. The tenant of the rejected arrival can redeem the ticket once,
+//! from any connection.
 
 use crate::Nanos;
 use crate::memory;
@@ -10,16 +12,16 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::HashMap;
 
-/// Maximum random extension of a promised wait, as a ratio of the wait. The extension spreads out the retries
-/// of arrivals that were rejected at the same time.
+/// Maximum random extension of a promised wait, as a ratio of the wait. Without the extension, arrivals that
+/// were rejected at the same time would all retry at the same time.
 const SPREAD_RATIO: f64 = 0.25;
-/// Minimum range from which the random extension of a wait is drawn, as a ratio of the longest wait that may
-/// be promised.
+/// Lower bound of the maximum random extension of a wait, as a ratio of the longest wait that may be
+/// promised. The bound makes sure that the extension also spreads out the retries after short waits.
 const SPREAD_MIN_RATIO: f64 = 0.02;
-/// Unit to which promised waits are rounded up, in nanoseconds.
+/// Promised waits are rounded up to a multiple of this unit, in nanoseconds.
 const RESOLUTION_NS: Nanos = 1_000_000;
-/// Value combined with the seed, so that ticket numbers differ from other random numbers derived from the
-/// same seed ("ticket" in ASCII).
+/// Value that is combined with the seed of the ticket numbers ("ticket" in ASCII). It makes ticket numbers
+/// differ from other random numbers that are derived from the same seed.
 const TICKET_SEED: u64 = 0x7469_636b_6574;
 
 /// A promise to admit the retry of a rejected arrival. Virtual times and tags are in nanoseconds of one core
@@ -30,45 +32,46 @@
     pub tenant: Fingerprint,
     /// Estimated work of the rejected arrival, in nanoseconds of one core.
     pub work: f64,
-    /// Start tag of the rejected arrival. The retry gets this tag, or the highest start tag served if that is
-    /// higher.
+    /// Start tag of the rejected arrival, which determines its place in the fair order. The retry gets this
+    /// tag, or the highest start tag served so far if that tag is higher.
     pub start_tag: f64,
-    /// Virtual time from which the tenant's share is reserved for the retry.
+    /// Start of the reservation: the virtual time from which the tenant's share is reserved for the retry.
     pub booked_start: f64,
-    /// Predicted advance of virtual time from the rejection to the retry, in nanoseconds of one core per unit
-    /// of weight.
+    /// Predicted advance of virtual time between the rejection and the retry, in nanoseconds of one core per
+    /// unit of weight.
     pub expected_advance: f64,
 }
 
 /// Result of redeeming a ticket.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Redemption {
-    /// The ticket was presented in time, and the promise applies.
+    /// The ticket was presented in time, so the promise applies.
     InTime(Promise),
-    /// The ticket was presented before the promised time, which voids the promise.
+    /// The ticket was presented before the promised time. The promise is void.
     Early,
-    /// The ticket is invalid: expired, already used, never issued, or issued to another tenant.
+    /// The ticket is invalid. It has expired, was already used, was never issued, or was issued to another
+    /// tenant.
     Unknown,
 }
 
-/// The promised wait of a rejected arrival, and the number of its ticket.
+/// Ticket for the retry of a rejected arrival: the promised wait and the ticket's number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ticket {
-    /// Time from the rejection to the promised time of the retry, in nanoseconds.
+    /// Time from the rejection of the arrival to the promised time of the retry, in nanoseconds.
     pub wait: Nanos,
-    /// Number of the ticket, greater than 0.
+    /// Number that identifies the ticket, greater than 0.
     pub number: u64,
 }
 
 #[derive(Debug)]
 struct ActivePromise {
     promise: Promise,
-    /// Number of the ticket; 0 once the ticket has been used.
+    /// Number of the promise's ticket, or 0 once the ticket has been used.
     ticket: u64,
     valid_from: Nanos,
 }
 
-/// Table of active promises, up to a limit.
+/// Table of active promises to admit a retry, with a maximum size.
 #[derive(Debug)]
 pub struct Promises {
     limit: usize,
@@ -82,8 +85,8 @@
 }
 
 impl Promises {
-    /// Creates a table of at most `limit` promises with waits of up to `longest` nanoseconds. A retry is in
-    /// time until `return_grace` nanoseconds after the promised time.
+    /// Creates a table of at most `limit` promises. A promised wait is at most `longest` nanoseconds. A retry
+    /// is in time until `return_grace` nanoseconds after the promised time.
     pub fn new(limit: usize, longest: Nanos, return_grace: Nanos, seed: u64, now: Nanos) -> Self {
         Self {
             limit: limit.min(u32::MAX as usize),
@@ -97,14 +100,14 @@
         }
     }
 
-    /// Returns the most bytes that a table of `limit` promises takes.
+    /// Returns the maximum memory of a table of `limit` promises, in bytes.
     pub fn bytes_max(limit: usize) -> usize {
         let slot_bytes = size_of::<Option<ActivePromise>>() + size_of::<u32>();
         let map = memory::map_bytes_max::<u64, u32>(limit);
         2 * limit.max(4) * slot_bytes + map + TimerWheel::bytes_max(2 * limit)
     }
 
-    /// Returns the memory in use, in bytes.
+    /// Returns the memory that the table uses now, in bytes.
     pub fn bytes(&self) -> usize {
         self.slots.capacity() * size_of::<Option<ActivePromise>>()
             + self.free.capacity() * size_of::<u32>()
@@ -112,18 +115,19 @@
             + self.expiries.bytes()
     }
 
-    /// Returns the number of active promises.
+    /// Returns the number of active promises, whose tickets have neither been used nor expired.
     pub fn len(&self) -> usize {
         self.tickets.len()
     }
 
-    /// Returns whether no promise is active.
+    /// Returns whether there are no active promises.
     pub fn is_empty(&self) -> bool {
         self.tickets.is_empty()
     }
 
-    /// Issues a promise that admits a retry after `wait` nanoseconds plus a random extension. Returns `None`
-    /// if the wait with its extension would exceed the longest wait, or if no slot is free.
+    /// Issues a promise to admit a retry after `wait` nanoseconds plus a random extension. Returns `None` if
+    /// the extended wait would exceed the longest wait that may be promised, or if the table of promises is
+    /// full.
     pub fn make(&mut self, now: Nanos, wait: f64, promise: Promise) -> Option<Ticket> {
         let spread = (wait * SPREAD_RATIO).max(self.longest as f64 * SPREAD_MIN_RATIO);
         let wait = wait + spread * self.rng.random_range(0.0..1.0);
@@ -131,7 +135,7 @@
             return None;
         }
         let index = self.free_slot()?;
-        // Rounded up, so that a caller that waits exactly as long as instructed is not early.
+        // The wait is rounded up, since a caller that waits for exactly the returned time must not be early.
         let wait = (wait as Nanos).max(1).div_ceil(RESOLUTION_NS) * RESOLUTION_NS;
         let number = self.rng.random::<u64>().max(1);
         let active = ActivePromise { promise, ticket: number, valid_from: now + wait };
@@ -152,9 +156,11 @@
         Some(self.slots.len() as u32 - 1)
     }
 
-    /// Redeems a ticket that a retry of `tenant` presents. If the ticket belongs to this tenant, it is used
-    /// up, whatever the result; otherwise it remains valid for its owner. The promise's slot is freed only
-    /// when its timer expires, so that no slot index is in two timers.
+    /// Redeems the ticket that a retry of `tenant` presents. A ticket that was issued to `tenant` is then
+    /// used up, even if the retry is early or late. A ticket of another tenant remains valid.
+    ///
+    /// The promise's slot is freed only when its timer expires. If the slot were reused earlier, two timers
+    /// would refer to the same slot.
     pub fn redeem(&mut self, now: Nanos, ticket: u64, tenant: Fingerprint) -> Redemption {
         let Some(index) = self.tickets.get(&ticket).copied() else { return Redemption::Unknown };
         let active = self.slots[index as usize].as_mut();
@@ -173,8 +179,8 @@
         }
     }
 
-    /// Frees the slots of promises whose timers have expired. Returns the number of those that lapsed without
-    /// being redeemed.
+    /// Frees the slots of promises whose timers have expired. Returns the number of freed promises that were
+    /// never redeemed.
     pub fn expire(&mut self, now: Nanos) -> u64 {
         let Self { expiries, slots, tickets, free, .. } = self;
         let mut lapsed = 0;
--- a/crates/fair-queueing/src/queue_order.rs
+++ b/crates/fair-queueing/src/queue_order.rs
@@ -1,10 +1,12 @@
-//! Order of start-time fair queueing: each arrival has a start tag, and lower tags are served first.
+//! Order in which start-time fair queueing serves arrivals: each arrival has a start tag, and lower tags are
+//! served first.
 //!
-//! Each tenant has two queues: one for arrivals within its share, and one for arrivals beyond it (surplus).
-//! Surplus arrivals are served after all arrivals within the shares of other tenants. Among surplus arrivals,
-//! those of the tenant with the least surplus work so far, divided by its weight, are served first.
+//! Each tenant has two queues: one for arrivals within its share, and one for surplus arrivals (beyond the
+//! share). Surplus arrivals are served after all arrivals within the shares of other tenants. Tenants are
+//! compared by their surplus work so far, divided by their weights. Surplus arrivals of the tenant with the
+//! lowest quotient are served first.
 
-/// One value for each of a tenant's two queues.
+/// Two values, one for each of a tenant's two queues.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PerQueue {
     /// Value for the queue of arrivals within the tenant's share.
@@ -14,38 +16,38 @@
 }
 
 impl PerQueue {
-    /// Returns the value for the surplus queue if `surplus` is true, otherwise the value for the queue of
-    /// arrivals within the share.
+    /// Returns the value for one of the two queues: the surplus queue if `surplus` is true, otherwise the
+    /// queue of arrivals within the tenant's share.
     pub fn get(&self, surplus: bool) -> f64 {
         if surplus { self.surplus } else { self.within }
     }
 
-    /// Mutable variant of [`PerQueue::get`].
+    /// Returns a mutable reference to the value that [`PerQueue::get`] returns.
     pub fn get_mut(&mut self, surplus: bool) -> &mut f64 {
         if surplus { &mut self.surplus } else { &mut self.within }
     }
 }
 
-/// Start tags that the next arrivals in a tenant's two queues will get, in nanoseconds of one core per unit
-/// of weight.
+/// Start tags that a tenant's next arrivals will get, one for each of the tenant's two queues. The unit is
+/// nanoseconds of one core per unit of weight.
 pub type QueueTails = PerQueue;
 
-/// Highest start tag served so far among the arrivals of all tenants, separately for arrivals within their
-/// tenants' shares and for surplus arrivals.
+/// Highest start tags served so far, over all tenants. There is one value for arrivals within their tenant's
+/// share and one for surplus arrivals (beyond the share).
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServiceClock {
     tags: PerQueue,
 }
 
 impl ServiceClock {
-    /// Returns the highest start tag served so far: of surplus arrivals if `surplus` is true, otherwise of
-    /// arrivals within their tenants' shares.
+    /// Returns the highest start tag served so far, over all tenants. If `surplus` is true, this is the tag
+    /// for surplus arrivals, otherwise the tag for arrivals within their tenant's share.
     pub fn tag(&self, surplus: bool) -> f64 {
         self.tags.get(surplus)
     }
 
-    /// Records that an arrival with `start_tag` begins to be served. A tag below the highest one served so
-    /// far has no effect.
+    /// Records the start tag of an arrival that begins to be served. A tag that is not above the highest tag
+    /// served so far has no effect.
     pub fn advance(&mut self, surplus: bool, start_tag: u64) {
         let tag = self.tags.get_mut(surplus);
         *tag = tag.max(start_tag as f64);
--- a/crates/fair-queueing/src/reconfiguration.rs
+++ b/crates/fair-queueing/src/reconfiguration.rs
@@ -1,22 +1,23 @@
-//! Changes of settings while the server runs. Each change is split into parts of bounded size, which the
-//! scheduler thread applies one at a time between arrivals.
+//! Changes of fair-queueing settings while the server runs. Each change is split into parts of bounded size,
+//! and the scheduler thread applies the parts one at a time between arrivals.
 
 use crate::Nanos;
 use crate::settings::Settings;
 use crate::tenant::NamedTenant;
 use std::collections::HashMap;
 
-/// Maximum number of tenant names in one part of a change, which bounds the time to apply the part
-/// (`docs/CAPACITY.md`).
+/// Maximum number of tenant names in one part of a change of settings. The limit bounds the time that the
+/// scheduler thread needs to apply a part (`docs/CAPACITY.md`).
 const NAMES_PER_PART: usize = 256;
 
-/// One part of a change of settings: some of the changed tenants, and the new values of all other settings
-/// that can change.
+/// One part of a change of settings. The part contains some of the tenants whose settings change, and the new
+/// values of all other settings that can change at run time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SettingsChange {
-    /// Names of tenants that are named in the old settings but not in the new ones.
+    /// Names of tenants that the old settings list by name and the new settings do not.
     pub unnamed: Vec<Vec<u8>>,
-    /// Tenants that are named only in the new settings or have a different weight there.
+    /// Names and new weights of tenants that only the new settings list by name, or that the new settings
+    /// list with a different weight.
     pub named: Vec<NamedTenant>,
     /// New value of [`Settings::names_per_origin`].
     pub names_per_origin: f64,
@@ -29,10 +30,12 @@
 }
 
 impl SettingsChange {
-    /// Returns the parts that together change the settings `old` into `new`, at least one part. Parts that
-    /// remove named tenants come first, so that the number of named tenants stays within its limit. The
-    /// running time is proportional to the length of both lists of named tenants, so the scheduler thread
-    /// must not call this function.
+    /// Returns the parts that together change the settings from `old` to `new`. There is at least one part.
+    /// Parts that remove named tenants are first, so that the number of named tenants never exceeds its
+    /// limit.
+    ///
+    /// The running time is proportional to the number of named tenants in `old` and `new`. The scheduler
+    /// thread must therefore not call this function.
     pub fn between(old: &Settings, new: &Settings) -> Vec<SettingsChange> {
         let old_weights = weights(old);
         let new_weights = weights(new);
--- a/crates/fair-queueing/src/scheduler.rs
+++ b/crates/fair-queueing/src/scheduler.rs
@@ -11,15 +11,14 @@
 use crate::tenant::{Fingerprint, FingerprintKey, TenantKey};
 use crate::usage::{LocatedArrival, RateSnapshot, Usage, UsageLocation};
 
-/// Maximum shortfall of virtual time for which a promise is still honoured, as a ratio of the predicted
-/// advance of virtual time until the retry. The shortfall is the distance by which virtual time is behind the
-/// start of the reserved share when the ticket is redeemed.
+/// Maximum shortfall of virtual time with which a promise is honoured, as a ratio of the advance predicted
+/// for the wait. The shortfall is how far virtual time, at the retry, is behind the start of the reservation.
 const SHORTFALL_MAX_RATIO: f64 = 0.5;
 /// Minimum work of an arrival, in nanoseconds of one core.
 const WORK_MIN: f64 = 1.0;
 const SECOND_NS: f64 = 1e9;
 
-/// Classification of one arrival. The caller stores this value and passes it to
+/// Result of classifying one arrival. The caller stores the result and passes it to
 /// [`FairScheduler::end_service`] when the arrival ends.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Admission {
@@ -28,58 +27,61 @@
     pub start_tag: u64,
     /// Whether the arrival is beyond its tenant's share.
     pub surplus: bool,
-    /// Whether the arrival redeemed a promise and the promise was honoured.
+    /// Whether the arrival presented the ticket of a promise and the promise was honoured.
     pub promised: bool,
     location: UsageLocation,
     tenant: Fingerprint,
     weight: f64,
     /// Work that the arrival's operation usually needs, in nanoseconds of one core.
     usual_work: f64,
-    /// Work of the arrival, estimated from the tenant's previous invocations, in nanoseconds of one core.
+    /// Estimated work of the arrival, in nanoseconds of one core. The estimate uses the tenant's earlier
+    /// invocations.
     estimated_work: f64,
-    /// Work charged to the tenant's share on admission, in nanoseconds of one core.
+    /// Work that was charged to the tenant's share when the arrival was classified, in nanoseconds of one
+    /// core.
     charged_work: f64,
-    /// Distance by which the arrival advances the tail of its tenant's queue: its estimated work divided by
-    /// its weight, in nanoseconds of one core per unit of weight.
+    /// Distance by which the arrival advances the tail of its tenant's queue, in nanoseconds of one core per
+    /// unit of weight: the arrival's estimated work divided by the tenant's weight.
     queued_span: f64,
 }
 
-/// Outcome of an arrival: whether it ran, and the work that it used.
+/// Outcome of an arrival: it ran and used some work, or it never ran.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ServiceOutcome {
-    /// The arrival ran and used this many nanoseconds of one core.
+    /// The arrival ran. The value is the work that it used, in nanoseconds of one core.
     Ran(Nanos),
     /// The arrival never ran, for example because it was rejected.
     NeverRan,
 }
 
-/// Retry advice for a rejected arrival.
+/// Advice to the caller of a rejected arrival about its retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryAdvice {
-    /// Time to wait before the retry, in nanoseconds.
+    /// Time to wait between the rejection and the retry, in nanoseconds.
     pub retry_after: Nanos,
-    /// Number of the ticket that identifies the promise; `None` if no promise was issued.
+    /// Number of the ticket with which the retry will be admitted. `None` if the retry was not promised
+    /// admission.
     pub ticket: Option<u64>,
 }
 
-/// Fair queueing among all tenants of one server.
+/// Scheduler for fair queueing among all tenants of one server.
 pub struct FairScheduler {
     settings: Settings,
     fingerprints: FingerprintKey,
     rate: FairRate,
     usage: Usage,
     promises: Promises,
-    /// Upper bound of [`FairScheduler::allowance`], in nanoseconds of one core per unit of weight: the work
-    /// that a tenant of weight 1 may have admitted ahead of virtual time, whatever the fair rate.
+    /// Maximum of [`FairScheduler::allowance`] at any fair rate, in nanoseconds of one core per unit of
+    /// weight. A tenant of weight 1 may have at most this much work admitted ahead of virtual time.
     allowance_max: f64,
     served: ServiceClock,
-    /// Counters of scheduling events since the scheduler was created.
+    /// Counters of scheduling events. Each counter starts at 0 when the scheduler is created.
     pub counters: SchedulerCounters,
 }
 
 impl FairScheduler {
-    /// Creates a scheduler. `cores` is the capacity shared by all tenants, and `seed` determines all random
-    /// choices.
+    /// Creates a scheduler. `cores` is the capacity that all tenants share. `seed` determines the random
+    /// choices and the keys for hashing names.
     pub fn new(settings: Settings, cores: f64, seed: u64, now: Nanos) -> Self {
         let (longest, grace) = (settings.promise_max, settings.return_grace);
         let mut scheduler = Self {
@@ -92,8 +94,8 @@
             counters: SchedulerCounters::default(),
             settings,
         };
-        // The accounts of the named tenants are created here, so the settings' list of named tenants is no
-        // longer needed.
+        // The settings' list of named tenants is needed only here, where their accounts are created. It is
+        // removed from the stored settings.
         for (name, weight) in std::mem::take(&mut scheduler.settings.named).iter() {
             scheduler.pin(name, *weight, 0.0, now);
         }
@@ -105,8 +107,8 @@
         self.usage.accounts.pin(tenant, Account::new(name, weight, finish, now));
     }
 
-    /// Advances virtual time to the real time `now`, and removes expired promises. Returns the latest real
-    /// time seen.
+    /// Advances virtual time up to the real time `now`, and removes expired promises. Returns the latest real
+    /// time passed to any call.
     fn advance(&mut self, now: Nanos) -> Nanos {
         let now = self.rate.advance(now);
         self.counters.lapsed += self.promises.expire(now);
@@ -114,7 +116,7 @@
     }
 
     /// Classifies an arrival of an operation that usually needs `work` nanoseconds of one core. `ticket` is
-    /// the ticket of a promise, if the caller sent one.
+    /// the number of the ticket that the caller sent, if any.
     pub fn arrive(&mut self, now: Nanos, key: TenantKey<'_>, work: f64, ticket: Option<u64>) -> Admission {
         let now = self.advance(now);
         let tenant = self.fingerprints.fingerprint(key.name);
@@ -134,7 +136,8 @@
         }
     }
 
-    /// Redeems a ticket. Returns its promise if the ticket is valid and the promise can be honoured.
+    /// Redeems the ticket of a promise. Returns the promise if the ticket is valid and the promise can be
+    /// honoured.
     fn redeem(&mut self, now: Nanos, ticket: u64, tenant: Fingerprint) -> Option<Promise> {
         match self.promises.redeem(now, ticket, tenant) {
             Redemption::InTime(promise) => {
@@ -151,8 +154,8 @@
         None
     }
 
-    /// Decides whether an arrival is within its tenant's share, charges the arrival's work to the share if
-    /// so, and assigns the arrival's start tag.
+    /// Decides whether an arrival is within its tenant's share, and assigns the arrival's start tag. If the
+    /// arrival is within the share, its estimated work is charged to the share.
     fn classify(&mut self, mut admission: Admission) -> Admission {
         let virtual_time = self.rate.virtual_time();
         let start = self.share_start(&admission);
@@ -169,8 +172,8 @@
         admission
     }
 
-    /// Admits an arrival that redeems a promise. It gets the start tag of its earlier, rejected attempt, so
-    /// it precedes arrivals of its tenant that came after that attempt.
+    /// Admits a retry that redeems a promise. The retry gets the start tag of the earlier attempt that was
+    /// rejected. It therefore precedes arrivals of its tenant that came after the earlier attempt.
     fn admit_as_promised(&mut self, mut admission: Admission, promise: &Promise) -> Admission {
         self.counters.within += 1;
         self.usage.count(admission.location, false);
@@ -183,7 +186,7 @@
         if let Some(tails) = self.usage.tails_mut(admission.location) {
             tails.within = tails.within.max(start_tag) + admission.queued_span;
         }
-        // The work of a tenant in the sketch was already charged when the promise was issued.
+        // If the tenant is recorded in the sketch, its work was already charged when the promise was issued.
         if admission.location != UsageLocation::Sketch {
             let start = self.share_start(&admission);
             self.charge(&admission, start, promise.work);
@@ -191,8 +194,8 @@
         admission
     }
 
-    /// Returns the maximum distance by which a tenant's finish may be ahead of virtual time while the tenant
-    /// still counts as within its share, in nanoseconds of one core per unit of weight.
+    /// Returns the allowance: how far a tenant's finish may be ahead of virtual time while the tenant counts
+    /// as within its share. The unit is nanoseconds of one core per unit of weight.
     fn allowance(&self) -> f64 {
         (self.rate.cores() * self.settings.burst as f64).min(self.allowance_max)
     }
@@ -201,26 +204,27 @@
         self.usage.finish(admission.location, admission.tenant, self.rate.virtual_time())
     }
 
-    /// Returns the virtual time from which an arrival uses its tenant's share: the tenant's finish, but never
-    /// earlier than the current virtual time, since idle time earns no credit.
+    /// Returns the virtual time from which an arrival uses its tenant's share: the tenant's finish or the
+    /// current virtual time, whichever is later. A tenant thus gets no credit for share that it left unused.
     fn share_start(&mut self, admission: &Admission) -> f64 {
         self.finish(admission).max(self.rate.virtual_time())
     }
 
-    /// Charges work to the share of the arrival's tenant, from the virtual time `start` on. Negative work is
-    /// a refund, which has no effect for a tenant in the sketch.
+    /// Charges `work` to the share of the arrival's tenant, beginning at the virtual time `start`. Negative
+    /// work is a refund. A refund has no effect for a tenant that is recorded in the sketch.
     fn charge(&mut self, admission: &Admission, start: f64, work: f64) {
         let finish = start + work / admission.weight;
         self.usage.set_finish(admission.location, admission.tenant, finish, self.rate.virtual_time());
     }
 
-    /// Assigns the start tag of an arrival: the tail of its tenant's queue, or the highest start tag served
-    /// so far if that is higher. `ahead` is the distance of the tenant's finish ahead of virtual time.
+    /// Assigns the start tag of an arrival. The tag is the tail of its tenant's queue or the highest start
+    /// tag served so far, whichever is higher. `ahead` is the distance of the tenant's finish ahead of
+    /// virtual time.
     fn enqueue(&mut self, admission: &mut Admission, ahead: f64) {
         let served = self.served.tag(admission.surplus);
         let Some(tails) = self.usage.tails_mut(admission.location) else {
-            // The sketch stores no queue tails, so the start tag is instead raised by the distance of the
-            // tenant's finish ahead of virtual time.
+            // The sketch stores no queue tails. The start tag is instead the highest tag served so far plus
+            // the distance of the tenant's finish ahead of virtual time.
             admission.start_tag = (served + ahead) as u64;
             return;
         };
@@ -231,13 +235,13 @@
         *tail = start_tag + admission.queued_span;
     }
 
-    /// Records that an arrival begins to be served, which advances the highest start tag served.
+    /// Records that an arrival begins to be served. This updates the highest start tag served so far.
     pub fn start_service(&mut self, admission: &Admission) {
         self.served.advance(admission.surplus, admission.start_tag);
     }
 
-    /// Ends an arrival. If the arrival was charged to its tenant's share, corrects the charge to the work
-    /// that the arrival really used.
+    /// Records the end of an arrival. If the arrival's estimated work was charged to its tenant's share, the
+    /// charge is corrected to the work that the arrival really used.
     pub fn end_service(&mut self, now: Nanos, admission: &Admission, outcome: ServiceOutcome) {
         self.advance(now);
         let used = match outcome {
@@ -259,30 +263,30 @@
         }
     }
 
-    /// Updates the tenant's learned ratio of used work to usually needed work. If the tenant's account was
-    /// evicted while the arrival ran, there is no ratio to update.
+    /// Updates the tenant's learned ratio of used work to usually needed work. Has no effect if the tenant's
+    /// account was evicted while the arrival ran.
     fn learn_ratio(&mut self, admission: &Admission, used: f64) {
         if let Some(ratio) = self.usage.ratio_mut(admission.location) {
             ratio.learn(used / admission.usual_work);
         }
     }
 
-    /// Moves the tail of the tenant's queue back by the span of an arrival that never ran. If the tenant's
-    /// account was evicted, there is no queue to shorten.
+    /// Moves the tail of the tenant's queue back by the span of an arrival that never ran. Has no effect if
+    /// the tenant's account was evicted.
     fn shorten_queue(&mut self, admission: &Admission) {
         if let Some(tails) = self.usage.tails_mut(admission.location) {
             *tails.get_mut(admission.surplus) -= admission.queued_span;
         }
     }
 
-    /// Returns the wait, and a promise if possible, for the retry of a rejected arrival. The wait lasts until
-    /// the tenant's share will have capacity for the arrival, but at least `wait_min` nanoseconds. No promise
-    /// is issued if the wait would be too long or too many promises are active.
+    /// Returns how long a rejected arrival should wait before its retry and, if possible, a promise to admit
+    /// the retry. The wait lasts until the tenant's share has capacity, but at least `wait_min` nanoseconds.
+    /// No promise is issued if the wait would be too long or too many promises are active.
     ///
     /// Promises to one tenant are spaced at its fair rate, so a caller that asks repeatedly gets later and
-    /// later times. An account or an origin's newcomers are charged when a promise is redeemed, so a promise
-    /// that lapses costs them nothing. A tenant in the sketch is charged when the promise is issued, and is
-    /// not refunded if the promise lapses.
+    /// later times. A tenant with an account, or an origin's newcomers, are charged only when a promise is
+    /// redeemed. A tenant in the sketch is charged when the promise is issued, with no refund if the promise
+    /// lapses.
     pub fn promise(&mut self, now: Nanos, admission: &Admission, wait_min: Nanos) -> RetryAdvice {
         let now = self.advance(now);
         let (virtual_time, cores) = (self.rate.virtual_time(), self.rate.cores());
@@ -309,8 +313,8 @@
         RetryAdvice { retry_after: ticket.wait, ticket: Some(ticket.number) }
     }
 
-    /// Reserves the part of the tenant's share that a promise covers. The sketch stores no reservations, so
-    /// the work of a tenant in the sketch is charged at once.
+    /// Reserves the part of the tenant's share that a promise needs. For a tenant in the sketch, which stores
+    /// no reservations, the work is charged to the share at once.
     fn book(&mut self, admission: &Admission, booked_start: f64) {
         match self.usage.booked_until_mut(admission.location) {
             Some(booked_until) => *booked_until = booked_start + admission.estimated_work / admission.weight,
@@ -319,8 +323,7 @@
     }
 
     /// Applies one part of a change of settings. The limits on accounts, sketch cells, origins and promises
-    /// do not change until a restart. The running time depends only on the number of tenant names in the
-    /// part.
+    /// change only at a restart. The running time depends only on the number of names in the part.
     pub fn reconfigure(&mut self, change: &SettingsChange, now: Nanos) {
         let now = self.advance(now);
         for name in &change.unnamed {
@@ -337,11 +340,11 @@
         self.settings.probation = change.probation;
     }
 
-    /// Recomputes the fair rate from the recent demands; called once per control period. `capacity` is the
-    /// capacity to allocate, in cores. `allowance_max` is the maximum work that a tenant of weight 1 may have
-    /// admitted ahead of virtual time, in nanoseconds of one core. Without this bound, an arrival could be
-    /// admitted and later rejected because its deadline is too close, and its work would be charged to no
-    /// tenant.
+    /// Recomputes the fair rate from the recent demands. The caller does this once per control period.
+    /// `capacity` is the capacity to allocate, in cores. `allowance_max` is the maximum work that a tenant of
+    /// weight 1 may have admitted ahead of virtual time, in nanoseconds of one core. Without this limit, an
+    /// arrival could be admitted and later rejected because its deadline is too close. Its work would then be
+    /// charged to no tenant.
     pub fn update_fair_rate(&mut self, now: Nanos, capacity: f64, allowance_max: f64) {
         self.allowance_max = allowance_max;
         let now = self.advance(now);
@@ -354,23 +357,23 @@
         self.rate.cores()
     }
 
-    /// Returns the number of tenants with an account.
+    /// Returns the number of tenants that have an account of their own.
     pub fn accounts(&self) -> usize {
         self.usage.accounts.len()
     }
 
-    /// Returns the number of promises that are neither redeemed nor expired.
+    /// Returns the number of promises whose tickets have neither been redeemed nor expired.
     pub fn promises(&self) -> usize {
         self.promises.len()
     }
 
-    /// Returns the bytes in use, at most [`Settings::bytes_max`].
+    /// Returns the memory that the scheduler uses now, in bytes, at most [`Settings::bytes_max`].
     pub fn bytes(&self) -> usize {
         self.usage.bytes() + self.promises.bytes() + size_of::<FairScheduler>()
     }
 
-    /// Returns statistics of the tenants with the highest recent demand, at most `limit`, in descending order
-    /// of demand.
+    /// Returns statistics of the tenants with the highest recent demand, in descending order of demand. The
+    /// list has at most `limit` tenants.
     pub fn top_tenants(&mut self, now: Nanos, limit: usize) -> Vec<TopTenant> {
         let now = self.advance(now);
         let (virtual_time, cores) = (self.rate.virtual_time(), self.rate.cores());
@@ -390,7 +393,7 @@
 }
 
 impl Settings {
-    /// Returns the most bytes that a [`FairScheduler`] with these settings can use.
+    /// Returns the maximum memory that a [`FairScheduler`] with these settings can use, in bytes.
     pub fn bytes_max(&self) -> usize {
         self.parts_bytes_max() + size_of::<FairScheduler>()
     }
--- a/crates/fair-queueing/src/settings.rs
+++ b/crates/fair-queueing/src/settings.rs
@@ -11,50 +11,53 @@
 use thiserror::Error;
 
 const SECOND_NS: Nanos = 1_000_000_000;
-/// Minimum number of accounts available to tenants that are not named.
+/// Minimum number of accounts (usage records) that are left for tenants that the settings do not name.
 const UNNAMED_ACCOUNTS: usize = 16;
-/// Minimum value of [`Settings::cells`], the number of cells of the sketch.
+/// Minimum value of [`Settings::cells`], the size of the sketch.
 const CELLS_MIN: usize = 64;
-/// Number of cells of the sketch (the hashed usage records of tenants without an account) for each name in
-/// the table of known names.
+/// Ratio of the number of cells of the sketch to the capacity of the table of known names. The sketch is the
+/// array of hashed cells that records the usage of tenants without an account.
 const CELLS_PER_KNOWN_NAME: usize = 4;
 
-/// Settings of fair queueing. The limits bound the memory use, whatever names and origins senders invent.
+/// Settings of fair queueing. The limits in the settings bound the memory use, even if senders invent names
+/// and origins.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Maximum number of tenants with their own account.
+    /// Maximum number of tenants that have an account (a usage record) of their own.
     pub accounts: usize,
-    /// Number of cells of the sketch that records the usage of tenants without an account, rounded up to a
-    /// power of two. The table of known names has capacity for a quarter as many names.
+    /// Number of cells of the sketch that records the usage of tenants without an account. The number is
+    /// rounded up to a power of two. The table of known names has capacity for a quarter as many names.
     pub cells: usize,
-    /// Maximum number of origins with their own slot in the table of origins; further origins share these
-    /// slots.
+    /// Maximum number of origins that have a slot of their own in the table of origins. If there are more
+    /// origins, the additional origins share these slots.
     pub origins: usize,
-    /// Maximum number of promises that are active at the same time.
+    /// Maximum number of promises (to admit a retry) that are active at the same time.
     pub promises: usize,
-    /// Maximum number of tenant names of one origin that keep their full weight. If an origin sends more
-    /// names, the weight of each decreases, so that the origin gains nothing from additional names.
+    /// Maximum number of tenant names that one origin may send at full weight. If an origin sends more names,
+    /// the weight of each name decreases. The origin therefore gains nothing from additional names.
     pub names_per_origin: f64,
     /// Weight of each tenant that [`Settings::named`] does not list.
     pub default_weight: f64,
-    /// Tenants with a configured weight. Each of them has an account from the start.
+    /// Tenants that are listed by name, with their weights. Each of these tenants has an account from the
+    /// start.
     pub named: Arc<[NamedTenant]>,
-    /// Maximum work that a tenant may have admitted ahead of its share, expressed as the time in nanoseconds
-    /// in which its share provides the capacity for that work.
+    /// Maximum work that a tenant may have admitted in advance, ahead of its share. The work is expressed as
+    /// the time, in nanoseconds, in which the tenant's share provides the capacity for it.
     pub burst: Nanos,
-    /// Minimum time from the first visit of a name until the name can become established by repeated visits,
-    /// in nanoseconds.
+    /// Minimum time between the first visit of a tenant name (an arrival with the name) and the visit at
+    /// which the name can become established, in nanoseconds.
     pub probation: Nanos,
     /// Longest wait that may be promised to a rejected arrival, in nanoseconds.
     pub promise_max: Nanos,
-    /// Time after the promised time during which a retry still redeems its promise, in nanoseconds.
+    /// Length of the grace period after the promised time of a retry, in nanoseconds. A retry within the
+    /// grace period still redeems its promise.
     pub return_grace: Nanos,
 }
 
 /// An invalid setting.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum SettingsError {
-    /// The weight of a named tenant is not a finite number above 0.
+    /// The weight of a tenant that the settings list by name is not a finite number above 0.
     #[error("weight: {weight} of {name:?} is not a finite number above 0")]
     Weight {
         /// Name of the tenant.
@@ -68,16 +71,17 @@
         /// Configured weight.
         weight: f64,
     },
-    /// The number of names per origin is less than 1 or not finite.
+    /// The maximum number of full-weight names per origin is less than 1 or not finite.
     #[error("names: {names} is not a finite number of at least 1")]
     NamesPerOrigin {
         /// Configured number of names.
         names: f64,
     },
-    /// A limit is less than its minimum.
+    /// A limit in the settings is less than its minimum.
     #[error("{attribute}: {value} is under {minimum}")]
     Limit {
-        /// Name of the configuration attribute: `accounts`, `cells`, `origins` or `promises`.
+        /// Name of the configuration attribute whose value is too small: `accounts`, `cells`, `origins` or
+        /// `promises`.
         attribute: &'static str,
         /// Configured value.
         value: usize,
@@ -108,7 +112,8 @@
     /// Checks that each setting is valid.
     ///
     /// # Errors
-    /// Returns the first invalid setting.
+    ///
+    /// Returns an error for the first invalid setting.
     pub fn check(&self) -> Result<(), SettingsError> {
         if let Some((name, weight)) = self.named.iter().find(|(_, weight)| !is_weight(*weight)) {
             let name = String::from_utf8_lossy(name).into_owned();
@@ -127,18 +132,19 @@
         check_limit("promises", self.promises, 1)
     }
 
-    /// Returns the maximum number of named tenants. At least half of the accounts are reserved for tenants
-    /// that are not named.
+    /// Returns the maximum number of tenants that the settings may list by name. At least half of the
+    /// accounts are left for other tenants.
     pub fn named_max(&self) -> usize {
         self.accounts.saturating_sub(UNNAMED_ACCOUNTS) / 2
     }
 
-    /// Returns the number of names for which the table of known names has capacity.
+    /// Returns the capacity of the table of known names, as a number of names.
     pub(crate) fn known_names(&self) -> usize {
         self.cells / CELLS_PER_KNOWN_NAME
     }
 
-    /// Returns the most bytes that the data structures of a scheduler with these settings can use together.
+    /// Returns the maximum memory that all data structures of a scheduler with these settings can use
+    /// together, in bytes.
     pub(crate) fn parts_bytes_max(&self) -> usize {
         Accounts::bytes_max(self.accounts)
             + FinishSketch::bytes_max(self.cells)
--- a/crates/fair-queueing/src/tenant.rs
+++ b/crates/fair-queueing/src/tenant.rs
@@ -1,13 +1,14 @@
-//! Names of tenants, and the fingerprints that identify tenants internally.
+//! Names of tenants, and the fingerprints (keyed hashes of names) that identify tenants internally.
 
 use siphasher::sip128::{Hasher128, SipHasher13};
 use std::hash::Hasher;
 
-/// A tenant's name as sent in invocations, and the tenant's weight, a ratio greater than 0.
+/// A tenant's name, as sent in invocations, and the tenant's weight. The weight is greater than 0, and a
+/// tenant's share is proportional to it.
 pub type NamedTenant = (Vec<u8>, f64);
 
-/// A 128-bit keyed hash of a tenant's name, used as its internal identifier. The bits are uniform and
-/// independent, so each data structure can use a different range of them as a hash.
+/// A 128-bit keyed hash of a tenant's name, which identifies the tenant internally. The bits of the hash are
+/// uniform and independent. Each data structure can therefore use a different range of bits as its own hash.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Fingerprint(u128);
 
@@ -28,18 +29,19 @@
     }
 }
 
-/// The tenant and origin of an invocation.
+/// The tenant's name and the origin of an invocation.
 #[derive(Clone, Copy, Debug)]
 pub struct TenantKey<'a> {
-    /// Name of the tenant as sent in the invocation. A sender can invent names.
+    /// Name of the tenant, as sent in the invocation. The name is not trustworthy, since a sender can invent
+    /// names.
     pub name: &'a [u8],
-    /// Origin of the invocation: the peer of the connection, or a trusted sender. A sender cannot forge its
-    /// origin.
+    /// Origin of the invocation: the peer of the connection, or a sender that the operator trusts. A sender
+    /// cannot forge its origin.
     pub origin: u64,
 }
 
-/// Secret key with which one process computes the fingerprints of names. A sender that does not know the key
-/// cannot construct names whose fingerprints collide.
+/// Secret key for computing the fingerprints of tenant names. A sender that does not know the key cannot
+/// construct names whose fingerprints collide. Each process has its own key.
 #[derive(Clone, Copy, Debug)]
 pub struct FingerprintKey {
     first: u64,
@@ -52,7 +54,7 @@
         Self { first: seed, second: !seed.rotate_left(17) }
     }
 
-    /// Returns the fingerprint of a name.
+    /// Returns the fingerprint of a tenant name.
     pub fn fingerprint(&self, name: &[u8]) -> Fingerprint {
         let mut hasher = SipHasher13::new_with_keys(self.first, self.second);
         hasher.write(name);
--- a/crates/fair-queueing/src/timer_wheel.rs
+++ b/crates/fair-queueing/src/timer_wheel.rs
@@ -1,11 +1,12 @@
-//! A hashed timer wheel (Varghese and Lauck, 1987), which finds expired timers without scanning all others. A
-//! timer that expires after the end of the current rotation of the wheel stays in its slot until a later
-//! rotation.
+//! A hashed timer wheel (Varghese and Lauck, 1987). The wheel finds expired timers without a scan of all
+//! timers. A timer that expires after the end of the current rotation of the wheel stays in its slot until a
+//! later rotation.
 
 use crate::Nanos;
 
 const SLOTS: usize = 256;
-/// Capacity, in timers, above which the vector of a slot is freed when the slot becomes empty.
+/// Maximum capacity, in timers, of the vector that an empty slot keeps. A larger vector is freed when its
+/// slot becomes empty.
 const IDLE_CAPACITY: usize = 8;
 
 #[derive(Clone, Copy, Debug)]
@@ -14,38 +15,38 @@
     id: u32,
 }
 
-/// A set of timers, each with an id that the owner chooses.
+/// A hashed timer wheel. Each timer has an id that the owner of the wheel assigns.
 #[derive(Debug)]
 pub struct TimerWheel {
     slots: Vec<Vec<Timer>>,
-    /// Duration that one slot covers, in nanoseconds.
+    /// Length of a tick, in nanoseconds: the duration that one slot of the wheel covers.
     tick: Nanos,
-    /// Earliest tick that has not been fully processed. Tick `n` covers the time from `n * tick` to `(n + 1)
-    /// * tick`.
+    /// Number of the earliest tick that has not been fully processed. Tick `n` covers the time from `n *
+    /// tick` to `(n + 1) * tick`.
     current_tick: u64,
 }
 
 impl TimerWheel {
-    /// Creates a wheel for timers that expire within `span` nanoseconds of their insertion.
+    /// Creates a wheel for timers that expire at most `span` nanoseconds after they are inserted.
     pub fn new(span: Nanos, now: Nanos) -> Self {
         let tick = (span / (SLOTS as u64 - 2)).max(1);
         Self { slots: vec![Vec::new(); SLOTS], tick, current_tick: now / tick }
     }
 
-    /// Returns the most bytes that a wheel with this many timers takes. Each timer is counted twice, since
-    /// the vector of a slot may have twice the capacity that it needs after it has grown.
+    /// Returns the maximum memory of a wheel with this many timers, in bytes. Each timer is counted twice,
+    /// since the vector of a slot may have grown to twice the capacity that it needs.
     pub fn bytes_max(timers: usize) -> usize {
         let minimum_capacity = 4 * SLOTS;
         SLOTS * size_of::<Vec<Timer>>() + 2 * (timers + minimum_capacity) * size_of::<Timer>()
     }
 
-    /// Returns the memory in use, in bytes.
+    /// Returns the memory that the wheel uses now, in bytes.
     pub fn bytes(&self) -> usize {
         let timers: usize = self.slots.iter().map(Vec::capacity).sum();
         SLOTS * size_of::<Vec<Timer>>() + timers * size_of::<Timer>()
     }
 
-    /// Adds a timer that expires at `expires_at`.
+    /// Adds a timer with the given id that expires at `expires_at`.
     pub fn insert(&mut self, expires_at: Nanos, id: u32) {
         let tick = (expires_at / self.tick).max(self.current_tick);
         self.slots[tick as usize % SLOTS].push(Timer { expires_at, id });
--- a/crates/fair-queueing/src/usage.rs
+++ b/crates/fair-queueing/src/usage.rs
@@ -1,5 +1,5 @@
-//! Usage records of all tenants. A tenant's usage is recorded in its own account, in the record that
-//! newcomers of the same origin share, or in the sketch.
+//! Usage records of all tenants. The usage of a tenant is recorded in one of three ways: in an account of its
+//! own, in a record for all new tenants of an origin, or approximately in the sketch.
 
 use crate::Nanos;
 use crate::account::Account;
@@ -14,65 +14,69 @@
 use crate::settings::Settings;
 use crate::tenant::{Fingerprint, TenantKey};
 
-/// Number of earlier arrivals (visits) with a tenant name that establish the name, provided that
-/// [`Settings::probation`] has passed since the first of them.
+/// Number of earlier arrivals (visits) with a tenant name after which the name counts as established. In
+/// addition, [`Settings::probation`] must have passed since the first visit.
 const KNOWN_VISITS: u8 = 3;
 
-/// Location of a tenant's usage record.
+/// Location of the record that holds a tenant's usage.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum UsageLocation {
-    /// The usage is not recorded. This is the default until the usage record of an arrival's tenant has been
+    /// No usage is recorded. This is the default until the usage record of the arrival's tenant has been
     /// found.
     #[default]
     Untracked,
     /// In the tenant's own account.
     Account(Slot),
-    /// In the record shared by all newcomers of the tenant's origin; the value is the index of the origin.
+    /// The usage is in the record that all newcomers of the tenant's origin share. The value is the index of
+    /// the origin in the table of origins.
     Newcomers(usize),
-    /// In the sketch, whose cells are shared by the tenants without an account.
+    /// The usage is in the sketch, an array of hashed cells that all tenants without an account share.
     Sketch,
 }
 
-/// Weight and estimated work of an arrival, and the location of its tenant's usage record.
+/// Properties of an arrival that are known once its tenant's usage record has been found: the record's
+/// location, the tenant's weight, and the estimated work.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LocatedArrival {
     /// Location of the tenant's usage record.
     pub location: UsageLocation,
-    /// Weight of the arrival's tenant. The weight of a tenant that is established but not named is reduced if
-    /// its origin has sent too many names.
+    /// Weight of the arrival's tenant. If the tenant's origin has sent too many names, the weight of an
+    /// established tenant is reduced. Weights from the settings are never reduced.
     pub weight: f64,
-    /// Work estimated from the tenant's previous invocations, in nanoseconds of one core.
+    /// Estimated work of the arrival, in nanoseconds of one core. The estimate uses the tenant's earlier
+    /// invocations.
     pub estimated_work: f64,
 }
 
-/// State of the fair rate and the virtual time at one point in time.
+/// Snapshot of the real time, the virtual time and the allowance.
 #[derive(Clone, Copy, Debug)]
 pub struct RateSnapshot {
-    /// Time of the snapshot, in nanoseconds.
+    /// Real time of the snapshot, in nanoseconds.
     pub now: Nanos,
-    /// Virtual time, in nanoseconds of one core per unit of weight.
+    /// Virtual time of the snapshot, in nanoseconds of one core per unit of weight.
     pub virtual_time: f64,
-    /// Maximum distance by which a tenant's finish (the virtual time up to which the tenant has used its
-    /// share) may be ahead of the current virtual time while the tenant still counts as within its share. The
-    /// unit is that of `virtual_time`.
+    /// Maximum distance by which a tenant's finish may be ahead of the current virtual time while the tenant
+    /// counts as within its share. The finish is the virtual time up to which the tenant has used its share.
+    /// The unit is that of `virtual_time`.
     pub allowance: f64,
 }
 
 /// Usage records of all tenants.
 #[derive(Debug)]
 pub struct Usage {
-    /// Accounts of established tenants.
+    /// Accounts (usage records) of tenants whose names are established.
     pub accounts: Accounts,
-    /// Usage records of newcomers (tenants whose names are not yet established), one record for each origin.
+    /// Usage records of newcomers (tenants whose names are not yet established). The newcomers of an origin
+    /// share one record.
     pub origins: Origins,
     sketch: FinishSketch,
     known_names: KnownNames,
-    /// Learned ratio shared by all tenants in the sketch.
+    /// Learned ratio of used work to usually needed work. One value is shared by all tenants in the sketch.
     sketched_ratio: LearnedRatio,
 }
 
 impl Usage {
-    /// Creates records without any usage.
+    /// Creates empty usage records for a new scheduler.
     pub fn new(settings: &Settings) -> Self {
         Self {
             accounts: Accounts::new(settings.accounts),
@@ -83,14 +87,15 @@
         }
     }
 
-    /// Returns the memory in use, in bytes.
+    /// Returns the memory that the usage records take now, in bytes.
     pub fn bytes(&self) -> usize {
         self.accounts.bytes() + self.sketch.bytes() + self.known_names.bytes() + self.origins.bytes()
     }
 
-    /// Records an arrival and finds its tenant's usage record. In order of preference, this is the tenant's
-    /// existing account, the record of the newcomers of the arrival's origin (until the tenant's name is
-    /// established), a new account, or the sketch.
+    /// Records an arrival and finds the usage record of its tenant. The tenant's existing account is used if
+    /// there is one. Until the tenant's name is established, the arrival counts for the newcomers of its
+    /// origin. An established tenant without an account gets a new account or, if none is available, is
+    /// recorded in the sketch.
     pub fn locate(
         &mut self,
         snapshot: RateSnapshot,
@@ -137,8 +142,8 @@
         })
     }
 
-    /// Opens an account for a tenant whose name is established. If no account is free or may be evicted, the
-    /// sketch records the tenant's usage.
+    /// Opens an account for a tenant whose name is established. If no account is free and none may be
+    /// evicted, the tenant's usage is recorded in the sketch.
     fn open_account(
         &mut self,
         snapshot: RateSnapshot,
@@ -175,8 +180,8 @@
         }
     }
 
-    /// Sets the virtual time up to which a tenant has used its share. For a tenant in the sketch, this value
-    /// can only be raised.
+    /// Records the virtual time up to which a tenant has used its share. For a tenant in the sketch, the
+    /// recorded value can be raised but not lowered.
     pub fn set_finish(
         &mut self,
         location: UsageLocation,
@@ -196,8 +201,8 @@
         }
     }
 
-    /// Returns the start tags that the next arrivals in the tenant's queues will get; `None` for a tenant in
-    /// the sketch, which does not store them.
+    /// Returns the start tags that the next arrivals in the tenant's two queues will get. Returns `None` for
+    /// a tenant in the sketch, which stores no queue tails.
     pub fn tails_mut(&mut self, location: UsageLocation) -> Option<&mut QueueTails> {
         match location {
             UsageLocation::Account(slot) => self.accounts.get_mut(slot).map(|account| &mut account.tails),
@@ -206,8 +211,8 @@
         }
     }
 
-    /// Returns the virtual time up to which promises have reserved the tenant's share; `None` for a tenant in
-    /// the sketch, which stores no reservations.
+    /// Returns the virtual time up to which the tenant's share is reserved for promises. Returns `None` for a
+    /// tenant in the sketch, which stores no reservations.
     pub fn booked_until_mut(&mut self, location: UsageLocation) -> Option<&mut f64> {
         match location {
             UsageLocation::Account(slot) => {
@@ -218,8 +223,8 @@
         }
     }
 
-    /// Returns the learned ratio of the work that the tenant's invocations use to the work that their
-    /// operations usually need; `None` if the tenant has no usage record.
+    /// Returns the learned ratio of used work to usually needed work for the tenant's invocations. Returns
+    /// `None` if the tenant has no usage record.
     pub fn ratio_mut(&mut self, location: UsageLocation) -> Option<&mut LearnedRatio> {
         match location {
             UsageLocation::Account(slot) => self.accounts.get_mut(slot).map(|account| &mut account.ratio),
@@ -229,7 +234,8 @@
         }
     }
 
-    /// Counts an arrival, within or beyond the share, in its tenant's account if the tenant has one.
+    /// Counts an arrival as within or beyond its tenant's share. Only tenants with an account have these
+    /// counters.
     pub fn count(&mut self, location: UsageLocation, surplus: bool) {
         if let UsageLocation::Account(slot) = location
             && let Some(account) = self.accounts.get_mut(slot)
@@ -239,13 +245,14 @@
         }
     }
 
-    /// Returns the recent demand of each tenant with an account, and of the newcomers of each origin
-    /// together.
+    /// Returns the recent demand of each tenant with an account, and one demand for all newcomers of each
+    /// origin.
     pub fn demands(&self, now: Nanos, newcomers_weight: f64) -> impl Iterator<Item = Demand> {
         self.accounts.demands(now).chain(self.origins.demands(now, newcomers_weight))
     }
 
-    /// Runs the periodic maintenance of the sketch, which keeps its wrapped virtual times valid.
+    /// Runs the periodic maintenance of the sketch. Its cells hold virtual times that wrap around, and a cell
+    /// that is never updated would become invalid.
     pub fn sweep(&mut self, virtual_time: f64) {
         self.sketch.sweep(virtual_time);
     }
--- a/crates/fair-queueing/tests/promises.rs
+++ b/crates/fair-queueing/tests/promises.rs
@@ -1,5 +1,5 @@
-//! Promises of admission: a caller that retries at the promised time is admitted, and requesting promises
-//! gives a caller no other advantage.
+//! Tests the promises that the scheduler makes to rejected arrivals: a retry at the promised time is
+//! admitted, and requesting promises gives a caller no other advantage.
 
 use meadowstream_fair_queueing::{
     Admission, FairScheduler, Nanos, SchedulerCounters, ServiceOutcome, Settings, TenantKey,
@@ -18,8 +18,8 @@
     Settings { burst: SECOND, promise_max: 2 * SECOND, return_grace: SECOND / 2, ..Settings::default() }
 }
 
-/// Creates a scheduler with an established tenant that has used up its share, at a fair rate of a tenth of a
-/// core. Returns the scheduler and the time at which the tenant had used up its share.
+/// Creates a scheduler and lets an established tenant use up its share. The fair rate is a tenth of a core.
+/// Returns the scheduler and the time at which the tenant had used up its share.
 fn scheduler_with_used_up_share(settings: Settings) -> (FairScheduler, Nanos) {
     let mut fair = FairScheduler::new(settings, 1.0, 1, 0);
     for n in 0..4000 {
@@ -45,8 +45,8 @@
     admission
 }
 
-/// Requests a promise for a rejected arrival. Returns the wait in nanoseconds and the ticket, or `None` if no
-/// promise was issued.
+/// Requests a promise to admit the retry of a rejected arrival. Returns the wait in nanoseconds and the
+/// ticket, or `None` if no promise was issued.
 fn request_promise(fair: &mut FairScheduler, now: Nanos, admission: &Admission) -> Option<(Nanos, u64)> {
     let advice = fair.promise(now, admission, 0);
     advice.ticket.map(|ticket| (advice.retry_after, ticket))
@@ -113,8 +113,9 @@
         waits.push(wait);
         last = last.max(wait);
     }
-    // Each promise covers 10 ms of work. The tenant's rate is a tenth of a core or less, since newcomers take
-    // a part. A wait is extended at random by up to a quarter.
+    // Each promise covers 10 ms of work, and the tenant's share is at most a tenth of a core (less while
+    // newcomers use a part). Successive promises are therefore about 100 ms or more apart. Each wait is
+    // extended at random by up to a quarter.
     assert!(waits.len() == 40 && last >= 39 * SECOND / 10, "{waits:?}");
     let per_promise: Vec<Nanos> = waits.iter().enumerate().map(|(n, w)| w / (n as u64 + 1)).collect();
     assert!(per_promise[20..].iter().all(|wait| (90 * MS..260 * MS).contains(wait)), "{per_promise:?}");
@@ -130,13 +131,15 @@
     };
     (0..4).for_each(|_| assert!(request(&mut fair, now).is_some()));
     assert_eq!(request(&mut fair, now), None);
-    // No caller retries, so all promises lapse and the shares reserved for them are available again.
+    // No caller retries, so all promises lapse. The parts of the tenant's share that were reserved for them
+    // become available again.
     let later = now + 8 * SECOND;
     assert!(!fair.arrive(later, FLOODING, 10e6, None).surplus);
     assert_eq!((fair.counters.lapsed, fair.promises(), fair.counters.unpromised), (4, 0, 1));
 }
 
-/// Shares reserved for promises that lapse become available to their tenant again.
+/// A promise that lapses does not use up any of its tenant's share: the reserved part becomes available to
+/// the tenant again.
 #[test]
 fn lapsed_bookings_are_not_lost_to_their_tenant() {
     let (mut fair, start) = scheduler_with_used_up_share(settings());
@@ -199,8 +202,8 @@
     assert_eq!(successor.counters.unknown, 1);
 }
 
-/// Many callers of one tenant follow their retry advice under steady overload. At least 99 % of the retries
-/// with a ticket are admitted, and the retries are spread over time rather than synchronized.
+/// Under steady overload, many callers of one tenant follow their retry advice. At least 99 % of the retries
+/// with a ticket must be admitted, and the retries must be spread over time rather than synchronized.
 #[test]
 fn promises_are_honoured_under_steady_overload() {
     let (mut fair, start) = scheduler_with_used_up_share(settings());
@@ -245,10 +248,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// A new arrival waits for a bounded amount of work of each other tenant, however many arrivals that
-    /// tenant has queued. The bound is the longest invocation of the other tenant, in work divided by weight.
-    /// All arrivals have equal work here, so at most 1 plus the other tenant's weight of its arrivals are
-    /// served first.
+    /// A new arrival waits for a bounded amount of work of each other tenant, even if that tenant has many
+    /// queued arrivals. The bound for a tenant is the work of its longest invocation, divided by its weight.
+    /// All arrivals have equal work here, so at most 1 plus the tenant's weight of its arrivals are served
+    /// first.
     #[test]
     fn an_arrival_waits_behind_at_most_one_of_each_other_tenant(
         queues in prop::collection::vec((1u32..10, 1u64..60), 2..12),
@@ -275,15 +278,16 @@
         let late = fair.arrive(2, TenantKey { name: b"late", origin: 1 }, 1e6, None);
         for (i, (weight, _)) in queues.iter().enumerate() {
             let before = queued.iter().filter(|(tag, of, _)| *of == i && *tag <= late.start_tag).count();
-            // A tenant's start tags are spaced by work divided by weight. Up to `weight` arrivals of this
-            // tenant, fewer than 10 here, therefore fit into the span of one arrival of a tenant with weight
-            // 1.
+            // A tenant's start tags are spaced by the work of an arrival divided by the tenant's weight. Up
+            // to `weight` arrivals of this tenant, fewer than 10 here, therefore fit into the span of one
+            // arrival of a tenant with weight 1.
             prop_assert!(before <= 1 + *weight as usize, "{before} of tenant {i} with weight {weight}");
         }
     }
 
-    /// Two tenants that always have queued work advance together. The difference between their used works,
-    /// each divided by its tenant's weight, is at most two bursts plus two invocations of each tenant.
+    /// Two tenants that always have queued work use their shares at the same rate. For each tenant, the test
+    /// divides the used work by the tenant's weight. The difference between the two quotients is at most two
+    /// bursts plus two invocations of each tenant.
     #[test]
     fn backlogged_tenants_advance_together(
         works in prop::collection::vec(1u64..200, 2),
@@ -309,7 +313,8 @@
                 continue;
             }
             fair.end_service(now, &admission, ServiceOutcome::Ran(works[tenant] * MS));
-            // The used work is counted only after both tenants have demanded more than the capacity.
+            // Used work is counted only after a start phase. By the end of this phase, both tenants have
+            // demanded more than the capacity.
             if n > 2000 {
                 used[tenant] += works[tenant] as f64 * 1e6 / f64::from(weights[tenant]);
             }
--- a/crates/fair-queueing/tests/reconfiguration.rs
+++ b/crates/fair-queueing/tests/reconfiguration.rs
@@ -1,5 +1,5 @@
-//! Tests that applying a change of named tenants in parts has the same result as a start with the new
-//! settings, and that the change does not affect tenants that it does not name.
+//! Tests changes of the named tenants while the scheduler runs. Applying a change in parts must have the same
+//! result as a start with the new settings, and must not affect tenants that the change does not name.
 
 use meadowstream_fair_queueing::{FairScheduler, NamedTenant, Settings, SettingsChange, TenantKey};
 use proptest::prelude::*;
@@ -13,7 +13,8 @@
     Settings { accounts: 1024, named: named.iter().map(tenant).collect(), ..Settings::default() }
 }
 
-/// Records an arrival of each tenant, and returns the weights that differ from the default weight 1, by name.
+/// Returns the name and weight of each tenant whose weight differs from the default weight 1. The function
+/// records an arrival of each tenant, since this determines the weights.
 fn weights(fair: &mut FairScheduler, now: u64) -> BTreeMap<String, f64> {
     for name in 0..TENANTS as u8 {
         fair.arrive(now, TenantKey { name: &[name], origin: 1 }, 1e6, None);
@@ -56,7 +57,7 @@
     assert_eq!(SettingsChange::between(&new, &new).len(), 1, "a change without names is one part");
 }
 
-/// A tenant keeps its recorded usage when a change of settings changes only its weight.
+/// A change of settings that changes only a tenant's weight must keep the tenant's recorded usage.
 #[test]
 fn a_change_of_weight_keeps_recorded_usage() {
     let key = TenantKey { name: b"a", origin: 1 };
--- a/crates/fair-queueing/tests/shares.rs
+++ b/crates/fair-queueing/tests/shares.rs
@@ -1,6 +1,6 @@
-//! Tests the shares that tenants get in simulated time. Tenants send at given rates, and the simulated server
-//! runs every arrival within its tenant's share and rejects the others. Random numbers come from fixed seeds,
-//! and the tests pass the time to the scheduler.
+//! Tests the shares of the capacity that tenants get, in simulated time. Tenants send at given rates. The
+//! simulated server runs every arrival that is within its tenant's share and rejects the other arrivals.
+//! Random numbers come from fixed seeds, and the tests pass the time to the scheduler.
 
 use meadowstream_fair_queueing::{FairScheduler, Nanos, ServiceOutcome, Settings, TenantKey};
 use rand::{Rng, SeedableRng};
@@ -11,16 +11,16 @@
 const SECOND: Nanos = 1_000_000_000;
 const MS: Nanos = 1_000_000;
 
-/// A group of tenants with the same rate, work, weight and origin.
+/// A group of tenants that send at the same rate and have the same work, weight and origin.
 #[derive(Clone)]
 struct Group {
     tenants: usize,
-    /// Rate of each tenant, in invocations per second.
+    /// Rate at which each tenant of the group sends, in invocations per second.
     rate: f64,
     work: Nanos,
     weight: f64,
-    /// Number of names that each tenant uses in rotation; 1 for honest tenants, more for a sender that
-    /// invents names.
+    /// Number of tenant names that each sender of the group uses in rotation. It is 1 for honest tenants, and
+    /// more for a sender that invents names.
     names: u64,
     origin: u64,
 }
@@ -31,8 +31,8 @@
     }
 }
 
-/// Simulates the groups for the given time, and returns the core seconds that each tenant of each group used
-/// within its share. The first third of the time is a learning phase and is not counted.
+/// Simulates the groups for `seconds`. Returns the work that each tenant of each group used within its share,
+/// in core seconds. The first third of the time is a learning phase and is not counted.
 fn simulate(groups: &[Group], cores: f64, seconds: u64, settings: Settings) -> Vec<Vec<f64>> {
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let named = groups.iter().enumerate().filter(|(_, group)| group.weight != 1.0);
@@ -62,8 +62,8 @@
         let group = &groups[g];
         sent += 1;
         let name = name(g, i, sent % group.names);
-        // 10e6 is the work that the operation usually needs, in nanoseconds of one core. The scheduler learns
-        // the real work of an invocation only at its end.
+        // The argument 10e6 is the work that the operation usually needs, in nanoseconds of one core. The
+        // scheduler learns the work that the invocation really uses only when the invocation ends.
         let admission = fair.arrive(now, TenantKey { name: &name, origin: group.origin }, 10e6, None);
         if admission.surplus {
             fair.end_service(now, &admission, ServiceOutcome::NeverRan);
@@ -94,7 +94,8 @@
     used.iter().sum()
 }
 
-/// Returns the length in seconds of the counted part of a simulation of `seconds`: the last two thirds.
+/// Returns the length of the counted part of a simulation, in seconds. The first third of the simulation is
+/// not counted.
 fn counted_seconds(seconds: u64) -> f64 {
     (seconds - seconds / 3) as f64
 }
@@ -139,8 +140,8 @@
     assert!((total(&used[0]) / capacity - 1.0).abs() < 0.05, "{} of {capacity}", total(&used[0]));
 }
 
-/// One sender floods the server under invented names, so that each name alone sends as little as an honest
-/// tenant. In the first case every invocation has a new name; in the second case the sender reuses 10,000
+/// One sender floods the server under invented names, and each name alone sends as little as an honest
+/// tenant. In the first case every invocation has a new name. In the second case the sender reuses 10,000
 /// names.
 #[test_case(1_000_000_000; "a new name for each invocation")]
 #[test_case(10_000; "10,000 reused names")]
@@ -151,8 +152,9 @@
     let used = simulate(&[honest, flood], 4.0, 60, settings);
     let demanded = 100.0 * 0.01 * counted_seconds(60);
     assert!(total(&used[0]) > 0.95 * demanded, "{} of {demanded}", total(&used[0]));
-    // The sender may use the capacity that the honest tenants leave, plus a tolerance of 10 %. All its names
-    // together may get the share of as many honest names as an origin may have at full weight, here 128.
+    // The sender may use the capacity that the honest tenants leave, plus a tolerance of 10 %. All names of
+    // the sender together may get the share of 128 honest names, the number that an origin may send at full
+    // weight.
     let share = 4.0 * 0.9 * counted_seconds(60) - demanded;
     assert!(total(&used[1]) < 1.1 * share, "{} of {share}", total(&used[1]));
 }
@@ -167,7 +169,7 @@
     assert!(total(&used[0]) > 0.95 * demanded, "{} of {demanded}", total(&used[0]));
 }
 
-/// 100,000 new tenants arrive at almost the same time. The 100 tenants that arrived before must still get
+/// 100,000 new tenants arrive at almost the same time. The 100 tenants that were known before must still get
 /// their shares.
 #[test]
 fn a_hundred_thousand_new_tenants_starve_no_known_tenant() {
@@ -195,15 +197,15 @@
         fair.end_service(now, &admission, outcome);
         !admission.surplus
     };
-    // The quiet tenant becomes established and is then idle for four minutes while the loud tenant uses all
+    // The quiet tenant becomes established. It is then idle for four minutes while the loud tenant uses all
     // capacity.
     (0..40).for_each(|_| assert!(step(&mut fair, quiet, SECOND / 10)));
     (0..60_000).for_each(|_| {
         step(&mut fair, loud, 4 * MS);
     });
     let at_once = (0..4000).filter(|_| step(&mut fair, quiet, 1000)).count();
-    // The quiet tenant may use the burst of fifteen seconds of its share at once, but not the share that it
-    // left unused in the four idle minutes.
+    // After its idle time, the quiet tenant may use at once the burst, which is fifteen seconds of its share.
+    // It must not get the share that it left unused in the four idle minutes.
     let most = 15.0 * 0.9 / 0.01;
     assert!(at_once > 300 && (at_once as f64) < 1.1 * most, "{at_once} of {most}");
 }
@@ -220,7 +222,8 @@
     let after = within(&mut fair, 3600 * SECOND, 1000);
     assert!(after <= 102, "{after} admitted after a jump of an hour");
     assert_eq!(within(&mut fair, 5 * SECOND, 1000), 0, "the clock went back");
-    // A clock jump must not clear the charge of a long run either, here 5 s of work with a burst of 1 s.
+    // The charge for a long invocation must remain after a clock jump. Here the invocation uses 5 s of work,
+    // while the burst is 1 s.
     let start = 3600 * SECOND;
     fair.update_fair_rate(start, 0.01, f64::INFINITY);
     let admission = fair.arrive(start + 100 * SECOND, tenant, 10e6, None);
@@ -252,8 +255,8 @@
     );
 }
 
-/// A tenant for which no account is free is recorded in the sketch. A long run charged in the sketch must
-/// keep the tenant over its share.
+/// A tenant for which no account is free is recorded in the sketch. An invocation with much work, charged in
+/// the sketch, must keep the tenant over its share.
 #[test]
 fn a_tenant_without_an_account_is_still_charged() {
     let settings = Settings { accounts: 16, burst: 5 * SECOND, ..Settings::default() };
@@ -272,8 +275,8 @@
     }
     assert_eq!(fair.accounts(), 16, "all accounts are taken and in use");
     assert!(fair.counters.sketched > 0 && fair.counters.evicted == 0);
-    // The 32nd tenant is in the sketch. A run of 20 s puts it far over its share, so its next arrivals must
-    // be surplus.
+    // Tenant 31 is recorded in the sketch. An invocation that uses 20 s puts the tenant far over its share,
+    // so the tenant's next arrivals must be surplus.
     fair.update_fair_rate(now, 0.032, f64::INFINITY);
     let (surplus, admission) = visit(&mut fair, now, 31, 1e6);
     assert!(!surplus, "{admission:?}");
@@ -284,8 +287,8 @@
     }
 }
 
-/// The account of a tenant that has used its share far in advance is kept while the tenant is idle. Evicting
-/// the account would lose the tenant's recorded usage.
+/// An idle tenant that has used its share far in advance keeps its account. Evicting the account would lose
+/// the tenant's recorded usage.
 #[test]
 fn an_account_ahead_of_its_share_is_not_evicted() {
     let settings = Settings { accounts: 16, burst: 5 * SECOND, ..Settings::default() };
@@ -302,7 +305,7 @@
     let admission = fair.arrive(now, TenantKey { name: &name(0), origin: 1 }, 1e6, None);
     assert!(!admission.surplus);
     fair.end_service(now, &admission, ServiceOutcome::Ran(20 * SECOND));
-    // Other tenants arrive for 100 s, longer than the idle time of 10 s after which an account may be
+    // Other tenants arrive for 100 s. This is longer than the 10 s of idle time after which an account may be
     // evicted.
     for n in 0..400u64 {
         now += SECOND / 4;
@@ -313,8 +316,8 @@
     assert!(returned.surplus, "{returned:?}");
 }
 
-/// 1,000,000 equal tenants, all but 4,096 of them in the sketch, demand twice the capacity. Admissions are
-/// counted only after all tenants are established and have used up their bursts.
+/// 1,000,000 equal tenants demand twice the capacity. All but 4,096 of them are recorded in the sketch.
+/// Admissions are counted only after all tenants are established and have used up their bursts.
 #[test]
 fn a_million_equal_tenants_have_equal_shares() {
     let tenants = 1_000_000u64;
@@ -330,8 +333,8 @@
     let mut fair = FairScheduler::new(settings, 40.0, 3, 0);
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     let mut used = vec![0u32; tenants as usize];
-    // 36 of the 40 cores are allocated. An invocation takes 1 ms of one core, so 36,000 invocations per
-    // second fit into the shares, while 72,000 per second arrive.
+    // The scheduler allocates 36 of the 40 cores. An invocation takes 1 ms of one core, so 36,000 invocations
+    // per second fit into the tenants' shares. 72,000 invocations per second arrive.
     let gap = SECOND / 72_000;
     let (mut now, mut period) = (0, 0);
     for n in 0..41_000_000u64 {
--- a/crates/hot-restart/src/frames.rs
+++ b/crates/hot-restart/src/frames.rs
@@ -1,98 +1,102 @@
-//! Frames on the stream between predecessor and successor. A frame consists of the length of the message, its
-//! CRC-32, and the message encoded with postcard. The reader accepts bytes in pieces of any size, buffers at
-//! most one frame, and checks everything it reads.
+//! Format of the messages between predecessor (the old server process) and successor (the new process). A
+//! frame on the stream consists of the length of the message, its CRC-32, and the message encoded with
+//! postcard. The reader accepts bytes in pieces of any size, buffers at most one frame, and checks everything
+//! it reads.
 
 use crate::Nanos;
 use serde::{Deserialize, Serialize};
 
-/// Maximum length of a message, in bytes. Larger state is sent in parts. Changes since the state was sent
-/// must fit into one message.
+/// Maximum length of a message, in bytes. A larger state is sent in several parts. The changes to the state
+/// after it was sent must fit into one message.
 pub const MESSAGE_BYTES_MAX: usize = 256 * 1024;
-/// Length of a frame's header, in bytes: message length and checksum, 4 bytes each, little-endian.
+/// Length of a frame's header, in bytes. The header contains the message length and the checksum, 4 bytes
+/// each, little-endian.
 const HEADER_BYTES: usize = 8;
 
-/// An answer announced by the successor before sending it. If the successor crashes, the predecessor learns
-/// from the announcements which answers callers may have received.
+/// Announcement of an answer, which the successor sends to the predecessor before it sends the answer to the
+/// caller. If the successor crashes, the announcements show the predecessor which answers callers may have
+/// received.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AnnouncedAnswer {
     /// Identifier of the answered invocation.
     pub invocation: u64,
-    /// Number of bytes written to the invocation's connection before the answer.
+    /// Number of bytes that had been written to the invocation's connection before this answer.
     pub offset: u64,
     /// Content of the answer.
     pub bytes: Vec<u8>,
 }
 
 impl AnnouncedAnswer {
-    /// Returns the part of the answer that remains to be written if `written_total` bytes have been written
-    /// to the connection in all. Returns `None` if that number contradicts the announcement; the connection
-    /// must then be closed.
+    /// Returns the part of the answer that must still be written to the connection. `written_total` is the
+    /// number of bytes written to the connection in all. Returns `None` if `written_total` contradicts the
+    /// announcement; the caller must then close the connection.
     pub fn unwritten(&self, written_total: u64) -> Option<&[u8]> {
         let written = usize::try_from(written_total.checked_sub(self.offset)?).ok()?;
         self.bytes.get(written..)
     }
 }
 
-/// Messages between predecessor and successor. postcard encodes variants and fields by position, so their
-/// order is part of the wire format.
+/// Messages between predecessor and successor. postcard encodes variants and fields by position, so the order
+/// of variants and fields is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Frame {
-    /// Sent first, by the predecessor.
+    /// First message: the predecessor offers an upgrade to the successor.
     Offer {
         /// Protocol versions that the predecessor supports.
         versions: Vec<u16>,
         /// Version of the predecessor's program.
         build: String,
     },
-    /// Sent by the successor to accept the offer.
+    /// The successor accepts the predecessor's offer.
     Accept {
-        /// Protocol version to use from now on.
+        /// Protocol version that the successor selects from the offered versions.
         version: u16,
     },
-    /// Sent by the successor to abandon the upgrade, in place of any expected message.
+    /// The successor abandons the upgrade. The successor may send this message in place of any other message.
     Refuse {
         /// Reason for the refusal.
         reason: String,
     },
-    /// Sent by the predecessor, with the digest of the configuration to check and the number of parts of the
-    /// state that follow.
+    /// The predecessor announces the state that it will send. The message contains the digest of the
+    /// predecessor's configuration, which the successor checks, and the number of parts of the state.
     Prepare {
         /// Digest of the configuration.
         digest: u64,
         /// Number of parts of the state.
         parts: u32,
     },
-    /// Sent by the successor if its configuration is valid and equals the predecessor's.
+    /// The successor reports that its configuration is valid and equals the predecessor's configuration.
     Prepared,
-    /// Sent by the predecessor: a part of the state, which may still change after it is sent.
+    /// The predecessor sends one part of its state. The state may still change after it is sent.
     State {
         /// Index of the part, from 0.
         part: u32,
         /// Content of the part.
         bytes: Vec<u8>,
     },
-    /// Sent by the successor once the state is loaded.
+    /// The successor reports that it has loaded the state.
     Loaded,
-    /// Sent by the predecessor after freezing: the changes since the state was sent. The changes form a
-    /// single message, so the caller must freeze while they still fit into [`MESSAGE_BYTES_MAX`] with a few
-    /// bytes of overhead.
+    /// The predecessor has frozen and sends the changes since the state was sent. The changes form a single
+    /// message. The caller must therefore freeze while the changes still fit into [`MESSAGE_BYTES_MAX`] with
+    /// a few bytes of overhead.
     Switch {
         /// Content of the changes.
         changes: Vec<u8>,
     },
-    /// Sent by the successor once the changes are applied.
+    /// The successor reports that it has applied the changes.
     Confirmed,
-    /// Sent by the predecessor to make the successor active.
+    /// The predecessor makes the successor active.
     Release,
-    /// Sent by the successor before each answer during the trial.
+    /// The successor announces an answer before it sends the answer to the caller. Announcements are sent
+    /// only during the trial (the period in which the predecessor can still resume).
     Announce(AnnouncedAnswer),
-    /// Sent by the successor at the end of the trial.
+    /// The successor reports that the trial (the period in which the predecessor can still resume) has ended.
     TrialOver,
-    /// Sent by the predecessor once it can no longer resume.
+    /// The predecessor reports that it has retired and can no longer resume.
     Retired,
-    /// Sent by the predecessor to forward a request to drain, after the release.
+    /// The predecessor forwards a request to drain to the successor, which is active after the release.
     Drain {
-        /// Time until the process is stopped, in nanoseconds.
+        /// Time from the request to drain until the process is stopped, in nanoseconds.
         grace: Nanos,
     },
 }
@@ -109,17 +113,18 @@
     /// The checksum does not match, so the message was damaged.
     #[error("the checksum of the message is {computed:08x}, but the header says {declared:08x}")]
     Checksum {
-        /// Checksum in the frame's header.
+        /// Checksum that the header of the frame contains.
         declared: u32,
         /// Checksum computed over the received message.
         computed: u32,
     },
-    /// The message cannot be decoded by this build, or has bytes left over.
+    /// The message cannot be decoded by this build, or contains extra bytes after the decoded value.
     #[error("the message cannot be decoded by this build")]
     Encoding,
 }
 
-/// Encodes a frame and appends it to `out`. If the message is too long, `out` is not changed.
+/// Encodes a message as a frame and appends the frame to `out`. If the message is too long, `out` is not
+/// changed.
 pub fn encode(out: &mut Vec<u8>, frame: &Frame) -> Result<(), FrameError> {
     let message = postcard::to_allocvec(frame).map_err(|_| FrameError::Encoding)?;
     if message.len() > MESSAGE_BYTES_MAX {
@@ -131,16 +136,18 @@
     Ok(())
 }
 
-/// Decodes frames from the bytes of a stream.
+/// Decodes frames from the received bytes of a stream.
 #[derive(Debug, Default)]
 pub struct FrameReader {
     buffer: Vec<u8>,
-    /// The first error. No frame is decoded after an error, since the start of the next frame is unknown.
+    /// First error that the reader found. No frame is decoded after an error, since the start of the next
+    /// frame is unknown.
     first_error: Option<FrameError>,
 }
 
 impl FrameReader {
-    /// Number of bytes that [`FrameReader::push`] accepts now, so that at most one frame is buffered.
+    /// Returns the number of bytes that [`FrameReader::push`] accepts now. The limit makes sure that at most
+    /// one frame is buffered.
     pub fn capacity(&self) -> usize {
         (HEADER_BYTES + MESSAGE_BYTES_MAX).saturating_sub(self.buffer.len())
     }
@@ -151,8 +158,8 @@
         self.buffer.extend_from_slice(&bytes[..count]);
     }
 
-    /// Returns the next frame, or `None` if the frame has not been received completely. After an error, every
-    /// call returns the same error.
+    /// Returns the next frame, or `None` if the reader has not received a complete frame yet. After an error,
+    /// every call returns the same error.
     pub fn next_frame(&mut self) -> Result<Option<Frame>, FrameError> {
         let result = match self.first_error {
             Some(error) => Err(error),
@@ -162,7 +169,8 @@
         result
     }
 
-    /// Decodes the frame at the start of the buffer, and removes the frame from the buffer.
+    /// Decodes the frame at the start of the buffer and removes it from the buffer. Returns `None` if the
+    /// frame is incomplete.
     fn read_frame(&mut self) -> Result<Option<Frame>, FrameError> {
         let (Some(bytes), Some(declared)) = (self.header_word(0), self.header_word(4)) else {
             return Ok(None);
@@ -185,14 +193,14 @@
         Ok(Some(frame))
     }
 
-    /// Returns the 4-byte integer at an offset in the frame's header, or `None` if its bytes have not been
-    /// received.
+    /// Returns the 4-byte integer at `offset` in the header of the frame. Returns `None` if these bytes have
+    /// not been received yet.
     fn header_word(&self, offset: usize) -> Option<u32> {
         let bytes = self.buffer.get(offset..offset + 4)?;
         Some(u32::from_le_bytes(bytes.try_into().ok()?))
     }
 
-    /// Whether the buffer contains the beginning of an incomplete frame.
+    /// Returns whether the buffer contains bytes of a frame that is not complete or not decoded yet.
     pub fn has_partial_frame(&self) -> bool {
         !self.buffer.is_empty()
     }
--- a/crates/hot-restart/src/predecessor.rs
+++ b/crates/hot-restart/src/predecessor.rs
@@ -1,28 +1,31 @@
-//! Predecessor's side of a hot restart: it starts a successor, hands over to it, and resumes if the attempt
-//! fails.
+//! Predecessor's side of a hot restart. The predecessor is the old server process: it starts a successor,
+//! hands over to it, and resumes if the attempt fails.
 
 use crate::frames::{AnnouncedAnswer, Frame};
 use crate::{AbortReason, Nanos, VERSIONS};
 
-/// Time limits of an upgrade attempt, in nanoseconds.
+/// Time limits for the phases of an upgrade attempt and for the delay after a failed attempt, in nanoseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Limits {
-    /// Time limit of each step except the switch and the trial.
+    /// Time limit for each step of an upgrade. The switch and the trial have limits of their own.
     pub step: Nanos,
-    /// Time limit of the switch, during which no process is active.
+    /// Time limit for the switch, the phase in which neither predecessor nor successor is active.
     pub switch: Nanos,
-    /// Duration of the trial. The predecessor waits twice this time for the end of the trial.
+    /// Duration of the trial, in which the successor is active and the predecessor can still resume. The
+    /// predecessor waits twice this time for the end of the trial.
     pub trial: Nanos,
-    /// Time after the first failed attempt before the next attempt may start. Each further failure doubles
-    /// this time.
+    /// Delay between the first failed upgrade attempt and the next attempt. Each further failure doubles the
+    /// delay.
     pub backoff: Nanos,
-    /// Maximum time after a failed attempt before the next attempt may start.
+    /// Maximum delay between a failed upgrade attempt and the next attempt.
     pub backoff_max: Nanos,
 }
 
-/// The predecessor aborts a trial that has not ended after this many times the duration of a trial.
+/// Timeout for the end of the trial, as a multiple of the trial's duration. The predecessor aborts the
+/// upgrade when the timeout expires.
 const TRIAL_TIMEOUT_FACTOR: Nanos = 2;
-/// Maximum number of times that the backoff is doubled; further failures leave it unchanged.
+/// Maximum number of times that the delay after a failed attempt is doubled. Further failures do not change
+/// the delay.
 const BACKOFF_DOUBLINGS_MAX: u32 = 20;
 
 /// Phase of the predecessor.
@@ -30,20 +33,23 @@
 pub enum Phase {
     /// No upgrade is in progress.
     Serving,
-    /// The successor has been started, and the offer of protocol versions has been sent to it.
+    /// The predecessor has started the successor and sent it the supported protocol versions.
     Offered,
-    /// The successor is checking its configuration.
+    /// The successor is checking its configuration against the predecessor's configuration.
     Preparing,
-    /// The successor is loading the state.
+    /// The successor is receiving and loading the state.
     Loading,
-    /// Frozen: everything is handed over, and no process is active until the successor confirms.
+    /// The predecessor is frozen and has handed everything over. No process is active until the successor
+    /// confirms and is released.
     Switching,
-    /// The successor is active. The predecessor keeps everything it handed over.
+    /// The successor is active on trial. The predecessor keeps everything that it handed over, so that it can
+    /// resume.
     Trial,
-    /// The attempt failed. The successor is being killed, and its announcements are read until the end of the
-    /// stream. Meanwhile, the predecessor is active unless the release had been sent.
+    /// The upgrade failed, and the successor is being killed. The successor's announcements of answers are
+    /// read until the end of the stream. Meanwhile, the predecessor is active if it had not released the
+    /// successor yet.
     Aborting,
-    /// The upgrade succeeded, and the predecessor can no longer resume.
+    /// The upgrade succeeded. The predecessor can no longer resume.
     Retired,
 }
 
@@ -62,69 +68,72 @@
     SuccessorExited,
     /// The server must drain.
     DrainRequested {
-        /// Time until the process is stopped, in nanoseconds.
+        /// Time from the request to drain until the process is stopped, in nanoseconds.
         grace: Nanos,
     },
 }
 
-/// An action for the caller. Actions must be carried out in the order returned.
+/// An action that the caller must carry out. Several actions must be carried out in the order in which they
+/// are returned.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Start the successor and give it one end of a new stream.
+    /// Start the successor's process and give it one end of a new stream.
     StartSuccessor,
     /// Send a frame to the successor.
     Send(Frame),
-    /// Send the state in parts, each in a [`Frame::State`].
+    /// Send the state in parts. Each part is sent in a [`Frame::State`].
     SendState,
-    /// Become inactive, and send the changes since the state was sent in a [`Frame::Switch`].
+    /// Stop all activity of this process. Then send a [`Frame::Switch`] with the changes that were made after
+    /// the state was sent.
     Freeze,
-    /// Kill the successor, and report [`Event::SuccessorExited`] once it is dead.
+    /// Kill the successor's process, and report [`Event::SuccessorExited`] once it is dead.
     KillSuccessor,
-    /// Resume with everything that was handed over. Finish writing the announced answers, and do not answer
-    /// those invocations again.
+    /// Resume service with the state and connections that had been handed over. The value lists the answers
+    /// that the successor announced. Finish writing these answers, and do not answer their invocations again.
     Resume(Vec<AnnouncedAnswer>),
     /// Drain this process.
     Drain {
-        /// Time until the process is stopped, in nanoseconds.
+        /// Time from the request to drain until the process is stopped, in nanoseconds.
         grace: Nanos,
     },
-    /// End this process; the successor has taken over permanently.
+    /// End this process, since the successor has taken over permanently.
     Retire,
-    /// Report to the requester that the upgrade did not happen.
+    /// Report to the requester of the upgrade that the upgrade did not happen.
     ReportFailure(AbortReason),
 }
 
-/// The predecessor's state machine.
+/// State machine of the predecessor, the old server process in a hot restart.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Predecessor {
     limits: Limits,
     phase: Phase,
-    /// Time at which the current phase times out, if it has a timeout.
+    /// Time at which the current phase times out. The value is unused in phases without a timeout.
     deadline: Nanos,
     /// Digest of the configuration.
     digest: u64,
     /// Number of parts of the state.
     parts: u32,
-    /// Answers announced by the successor.
+    /// Answers that the successor has announced during the trial.
     announced: Vec<AnnouncedAnswer>,
-    /// Whether the release was sent, after which the successor may have acted.
+    /// Whether the predecessor has released the successor. After the release, the successor may have acted.
     has_released: bool,
     /// Whether the successor's process has exited.
     successor_exited: bool,
     /// Whether the stream from the successor has ended.
     stream_ended: bool,
-    /// Reason why the current attempt is being aborted.
+    /// Reason why the current upgrade is being aborted, if it is.
     abort_reason: Option<AbortReason>,
-    /// Number of failed attempts since the last success.
+    /// Number of failed upgrade attempts since the last successful upgrade.
     failures: u32,
-    /// Time at which the backoff expires.
+    /// Earliest time of the next upgrade attempt after a failed attempt.
     backoff_until: Nanos,
-    /// Time until the process is stopped, in nanoseconds, once a drain was requested.
+    /// Time from the request to drain until the process is stopped, in nanoseconds. `None` if no drain was
+    /// requested.
     drain_grace: Option<Nanos>,
 }
 
 impl Predecessor {
-    /// Creates a predecessor that is serving, with no upgrade in progress.
+    /// Creates a predecessor that serves normally, with no upgrade in progress.
     pub fn new(limits: Limits) -> Self {
         Self {
             limits,
@@ -148,13 +157,15 @@
         self.phase
     }
 
-    /// Sets the digest of the configuration and the number of parts of the state for the next upgrade.
+    /// Sets what the next upgrade will announce to the successor: the digest of the configuration, and the
+    /// number of parts of the state.
     pub fn set_offer(&mut self, digest: u64, parts: u32) {
         self.digest = digest;
         self.parts = parts;
     }
 
-    /// Whether the predecessor may answer, run, call, report and accept.
+    /// Returns whether the predecessor is active. Only an active process may answer, run, call, report and
+    /// accept.
     pub fn is_active(&self) -> bool {
         match self.phase {
             Phase::Serving | Phase::Offered | Phase::Preparing | Phase::Loading => true,
@@ -163,8 +174,8 @@
         }
     }
 
-    /// Returns the time at which [`Predecessor::handle_timeout`] must be called, if the current phase has a
-    /// timeout.
+    /// Returns the time at which [`Predecessor::handle_timeout`] must be called, or `None` if the current
+    /// phase has no timeout.
     pub fn poll_timeout(&self) -> Option<Nanos> {
         match self.phase {
             Phase::Serving | Phase::Aborting | Phase::Retired => None,
@@ -174,7 +185,7 @@
         }
     }
 
-    /// Enters a phase and sets its timeout.
+    /// Enters a phase and sets the time at which the phase times out.
     fn enter(&mut self, phase: Phase, now: Nanos) {
         let timeout = match phase {
             Phase::Switching => self.limits.switch,
@@ -185,7 +196,7 @@
         self.deadline = now.saturating_add(timeout);
     }
 
-    /// Aborts the attempt if the current phase has timed out.
+    /// Aborts the upgrade attempt if the current phase has timed out.
     pub fn handle_timeout(&mut self, now: Nanos) -> Vec<Action> {
         match self.poll_timeout() {
             Some(deadline) if now >= deadline => self.abort(AbortReason::Timeout),
@@ -213,7 +224,7 @@
         actions
     }
 
-    /// Starts an upgrade, or reports why none can be started.
+    /// Starts an upgrade, or reports the reason why no upgrade can start now.
     fn handle_upgrade_request(&mut self, now: Nanos) -> Vec<Action> {
         if self.phase != Phase::Serving {
             return vec![Action::ReportFailure(AbortReason::Busy)];
@@ -235,16 +246,17 @@
         vec![Action::StartSuccessor, Action::Send(offer)]
     }
 
-    /// Handles a request to drain: the active process drains. An upgrade attempt before its release
-    /// is aborted.
+    /// Handles a request to drain. The active process drains. An upgrade that has not reached the release is
+    /// aborted.
     fn handle_drain_request(&mut self, grace: Nanos) -> Vec<Action> {
         self.drain_grace = Some(grace);
         match self.phase {
             Phase::Serving => vec![Action::Drain { grace }],
-            // After the release the successor is the process that drains.
+            // After the release, the successor is the active process and must drain.
             Phase::Trial => vec![Action::Send(Frame::Drain { grace })],
-            // Before the release the attempt is aborted and this process drains, since a draining server
-            // hands nothing over. After the release this process drains once it has resumed.
+            // Before the release, an upgrade attempt is aborted and this process drains, since a draining
+            // server hands nothing over. If an attempt is being aborted after the release, this process
+            // drains once it has resumed.
             _ => {
                 let is_aborting = self.phase == Phase::Aborting;
                 let mut actions = if is_aborting { Vec::new() } else { self.abort(AbortReason::Draining) };
@@ -256,7 +268,7 @@
         }
     }
 
-    /// Handles an event caused by the successor during an attempt.
+    /// Handles an event that the successor caused during an upgrade attempt.
     fn handle_successor(&mut self, now: Nanos, event: Event) -> Vec<Action> {
         match event {
             Event::Frame(frame) => self.handle_frame(now, frame),
@@ -273,7 +285,8 @@
         }
     }
 
-    /// Handles a frame; one that is not expected in the current phase aborts the attempt.
+    /// Handles a frame from the successor. A frame that is not expected in the current phase aborts the
+    /// upgrade attempt.
     fn handle_frame(&mut self, now: Nanos, frame: Frame) -> Vec<Action> {
         match (self.phase, frame) {
             (_, Frame::Refuse { reason }) => self.abort(AbortReason::Refused { reason }),
@@ -310,9 +323,9 @@
         }
     }
 
-    /// Aborts the attempt and kills the successor. Before the release the successor cannot have acted, and
-    /// the predecessor resumes at once. After the release the predecessor resumes only when the successor is
-    /// dead.
+    /// Aborts the upgrade attempt and kills the successor. Before the release the successor cannot have
+    /// acted, so the predecessor resumes at once. After the release the predecessor resumes only when the
+    /// successor is dead.
     fn abort(&mut self, reason: AbortReason) -> Vec<Action> {
         let was_frozen = self.phase == Phase::Switching;
         self.phase = Phase::Aborting;
@@ -327,12 +340,13 @@
         actions
     }
 
-    /// Collects the announcements that the successor sent before its death, since callers may have received
-    /// those answers.
+    /// Handles an event while the upgrade attempt is being aborted. Announcements that the successor sent
+    /// before its death are still collected, since callers may have received the announced answers.
     fn handle_while_aborting(&mut self, event: Event) -> Vec<Action> {
         match event {
             Event::SuccessorExited => self.successor_exited = true,
-            // After bytes that are not a valid frame, no further frame can be read (`docs/upgrades.md`).
+            // After bytes that are not a valid frame, no further frame can be decoded, so the stream counts
+            // as ended (`docs/upgrades.md`).
             Event::StreamEnded | Event::InvalidFrame => self.stream_ended = true,
             Event::Frame(Frame::Announce(answer)) => self.announced.push(answer),
             Event::Frame(_) | Event::UpgradeRequested | Event::DrainRequested { .. } => {}
@@ -340,7 +354,8 @@
         Vec::new()
     }
 
-    /// Returns to serving, once the successor is dead and all its announcements have been read.
+    /// Ends the abort and returns to serving. The successor is dead, and all its announcements have been
+    /// read.
     fn finish_abort(&mut self, now: Nanos) -> Vec<Action> {
         self.phase = Phase::Serving;
         let doublings = self.failures.min(BACKOFF_DOUBLINGS_MAX);
--- a/crates/hot-restart/src/successor.rs
+++ b/crates/hot-restart/src/successor.rs
@@ -1,5 +1,5 @@
-//! Successor's side of a hot restart: it checks its configuration, loads the state, and becomes active at the
-//! release.
+//! Successor's side of a hot restart. The successor is the new server process: it checks its configuration,
+//! loads the state of the predecessor, and becomes active when the predecessor releases it.
 
 use crate::frames::{AnnouncedAnswer, Frame};
 use crate::{Nanos, VERSIONS};
@@ -9,26 +9,28 @@
 pub enum Phase {
     /// Waiting for the offer.
     Waiting,
-    /// Waiting for the digest of the configuration.
+    /// The successor waits for the digest of the predecessor's configuration.
     Preparing,
     /// Checking the configuration.
     Checking,
-    /// Receiving the parts of the state.
+    /// The successor receives the parts of the predecessor's state.
     Receiving,
     /// Loading the state.
     Loading,
-    /// The state is loaded; waiting for the switch.
+    /// The successor has loaded the state. It waits for the switch, a message with the changes since the
+    /// state was sent.
     Loaded,
-    /// All changes are applied; waiting for the release.
+    /// The successor has applied all changes and waits for the release, which makes it active.
     Confirmed,
-    /// Active. Each answer is announced before it is sent.
+    /// The successor is active, and the predecessor can still resume. Each answer is announced to the
+    /// predecessor before it is sent to the caller.
     Trial,
-    /// Active. The end of the trial has been reported to the predecessor. Each answer is still announced
-    /// before it is sent.
+    /// The successor is active and has reported the end of the trial to the predecessor. Until the
+    /// predecessor retires, each answer is still announced before it is sent.
     TrialOver,
-    /// Active. The predecessor can no longer resume.
+    /// The successor is active, and the predecessor can no longer resume.
     Independent,
-    /// The successor's process must exit at once. It owns no state and no connections.
+    /// The successor's process must exit at once. The process owns no state and no connections.
     Exited,
 }
 
@@ -39,26 +41,27 @@
     Frame(Frame),
     /// Bytes that are not a valid frame were received from the predecessor.
     InvalidFrame,
-    /// The predecessor's end of the stream was closed.
+    /// The predecessor closed its end of the stream, or its process exited.
     StreamEnded,
-    /// The configuration has been checked.
+    /// The caller has checked the successor's configuration.
     ConfigurationChecked {
-        /// Reason why the configuration cannot be used; `None` if it can be used.
+        /// Reason why the configuration cannot be used, or `None` if it can be used.
         rejection: Option<String>,
     },
-    /// The state has been loaded, or loading it failed.
+    /// The caller has loaded the state, or the state could not be loaded.
     StateLoaded {
-        /// Reason why the state cannot be used; `None` if it can be used.
+        /// Reason why the state cannot be used, or `None` if it can be used.
         rejection: Option<String>,
     },
 }
 
-/// An action for the caller. Actions must be carried out in the order returned.
+/// An action that the caller must carry out. Several actions must be carried out in the order in which they
+/// are returned.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
     /// Send a frame to the predecessor.
     Send(Frame),
-    /// Check that the successor's configuration is valid and that its digest equals `digest`, and report
+    /// Check that the successor's configuration is valid and that its digest equals `digest`. Then report
     /// [`Event::ConfigurationChecked`].
     CheckConfiguration {
         /// Digest of the predecessor's configuration.
@@ -71,9 +74,9 @@
         /// Content of the part.
         bytes: Vec<u8>,
     },
-    /// Load the parts of the state without becoming active, and report [`Event::StateLoaded`].
+    /// Load the stored parts of the state without becoming active. Then report [`Event::StateLoaded`].
     LoadState,
-    /// Apply the changes since the state was sent.
+    /// Apply the changes that the predecessor made after it sent the state.
     ApplyChanges {
         /// Content of the changes.
         changes: Vec<u8>,
@@ -82,10 +85,10 @@
     Activate,
     /// Drain this process.
     Drain {
-        /// Time until the process is stopped, in nanoseconds.
+        /// Time from the request to drain until the process is stopped, in nanoseconds.
         grace: Nanos,
     },
-    /// Exit. The predecessor still owns all state and connections.
+    /// End the successor's process. The predecessor still owns all state and connections.
     Exit,
 }
 
@@ -93,20 +96,22 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Successor {
     phase: Phase,
-    /// Time limit of each step, in nanoseconds.
+    /// Time limit for each step of the predecessor, in nanoseconds.
     step_timeout: Nanos,
-    /// Duration of the trial, in nanoseconds.
+    /// Duration of the trial, in nanoseconds. During the trial, the successor is active and the predecessor
+    /// can still resume.
     trial: Nanos,
-    /// Time at which the current phase times out, if it has a timeout.
+    /// Time at which the current phase times out. The value is unused in phases without a timeout.
     deadline: Nanos,
-    /// Number of parts of the state, as announced by the predecessor.
+    /// Number of parts into which the predecessor has split its state.
     parts: u32,
-    /// Number of parts received so far.
+    /// Number of parts of the state received so far.
     parts_received: u32,
 }
 
 impl Successor {
-    /// Creates a successor that waits for the offer. All times are in nanoseconds.
+    /// Creates a successor that waits for the predecessor's offer of an upgrade. All times are in
+    /// nanoseconds.
     pub fn new(step_timeout: Nanos, trial: Nanos, now: Nanos) -> Self {
         Self {
             phase: Phase::Waiting,
@@ -123,13 +128,14 @@
         self.phase
     }
 
-    /// Whether the successor may answer, run, call, report and accept.
+    /// Returns whether the successor is active. Only an active process may answer, run, call, report and
+    /// accept.
     pub fn is_active(&self) -> bool {
         matches!(self.phase, Phase::Trial | Phase::TrialOver | Phase::Independent)
     }
 
-    /// Returns the time at which [`Successor::handle_timeout`] must be called, if the current phase has a
-    /// timeout.
+    /// Returns the time at which [`Successor::handle_timeout`] must be called, or `None` if the current phase
+    /// has no timeout.
     pub fn poll_timeout(&self) -> Option<Nanos> {
         match self.phase {
             Phase::TrialOver | Phase::Independent | Phase::Exited => None,
@@ -137,27 +143,29 @@
         }
     }
 
-    /// Returns the frame that announces an answer and must be sent to the predecessor before the answer is
-    /// sent to the caller. Returns `None` outside the trial, where answers need no announcement.
+    /// Returns the frame that announces an answer. The caller must send this frame to the predecessor before
+    /// it sends the answer. Returns `None` if no announcement is needed, since the successor is not active or
+    /// the predecessor can no longer resume.
     pub fn announce(&self, answer: AnnouncedAnswer) -> Option<Frame> {
         matches!(self.phase, Phase::Trial | Phase::TrialOver).then_some(Frame::Announce(answer))
     }
 
-    /// Enters a phase and sets its timeout.
+    /// Enters a phase and sets the time at which the phase times out.
     fn enter(&mut self, phase: Phase, now: Nanos) {
         let timeout = if phase == Phase::Trial { self.trial } else { self.step_timeout };
         self.phase = phase;
         self.deadline = now.saturating_add(timeout);
     }
 
-    /// Abandons the upgrade with a reason for the predecessor.
+    /// Abandons the upgrade and sends `reason` to the predecessor.
     fn refuse(&mut self, reason: &str) -> Vec<Action> {
         self.phase = Phase::Exited;
         vec![Action::Send(Frame::Refuse { reason: reason.to_string() }), Action::Exit]
     }
 
-    /// Ends the trial once its duration has passed. In earlier phases, refuses the upgrade if the predecessor
-    /// has not completed its current step in time.
+    /// Handles the timeout of the current phase. The trial ends when its duration has passed. In earlier
+    /// phases, a timeout means that the predecessor did not complete a step in time, and the upgrade is
+    /// refused.
     pub fn handle_timeout(&mut self, now: Nanos) -> Vec<Action> {
         if self.poll_timeout().is_none_or(|deadline| now < deadline) {
             return Vec::new();
@@ -178,10 +186,10 @@
         }
     }
 
-    /// Handles an event in the phases before the release.
+    /// Handles an event in a phase before the release, while the successor is not active.
     fn handle_before_release(&mut self, now: Nanos, event: Event) -> Vec<Action> {
         match event {
-            // The predecessor has exited or aborted; it has handed nothing over.
+            // The predecessor has exited or aborted the upgrade, and has handed nothing over.
             Event::StreamEnded => {
                 self.phase = Phase::Exited;
                 vec![Action::Exit]
@@ -203,13 +211,13 @@
         }
     }
 
-    /// Refuses the upgrade because a frame or event is not expected in the current phase.
+    /// Refuses the upgrade because of a frame or event that is not expected in the current phase.
     fn refuse_unexpected(&mut self) -> Vec<Action> {
         self.refuse("a frame that is not due")
     }
 
-    /// Handles a frame from the predecessor. A frame that is not expected in the current phase makes the
-    /// successor refuse the upgrade.
+    /// Handles a frame from the predecessor. If the frame is not expected in the current phase, the successor
+    /// refuses the upgrade.
     fn handle_frame(&mut self, now: Nanos, frame: Frame) -> Vec<Action> {
         match (self.phase, frame) {
             (Phase::Waiting, Frame::Offer { versions, .. }) => {
@@ -238,7 +246,8 @@
         }
     }
 
-    /// Confirms the configuration, and waits for the parts of the state, if there are any.
+    /// Handles a successful check of the configuration. The successor confirms it to the predecessor and then
+    /// waits for the parts of the state. If there are no parts, the state is loaded at once.
     fn handle_configuration_accepted(&mut self, now: Nanos) -> Vec<Action> {
         let mut actions = vec![Action::Send(Frame::Prepared)];
         if self.parts == 0 {
@@ -250,7 +259,7 @@
         actions
     }
 
-    /// Stores a part, and loads the state once all parts are received.
+    /// Stores a received part of the state. Once all parts are received, the state is loaded.
     fn handle_part(&mut self, now: Nanos, part: u32, bytes: Vec<u8>) -> Vec<Action> {
         self.parts_received += 1;
         let mut actions = vec![Action::StorePart { part, bytes }];
@@ -263,8 +272,8 @@
         actions
     }
 
-    /// Handles an event while the successor is active. The successor stays active whatever the predecessor
-    /// does.
+    /// Handles an event while the successor is active. No event from the predecessor can make the successor
+    /// inactive again.
     fn handle_while_active(&mut self, event: Event) -> Vec<Action> {
         match event {
             Event::Frame(Frame::Drain { grace }) => vec![Action::Drain { grace }],
--- a/crates/hot-restart/tests/fixed_bytes.rs
+++ b/crates/hot-restart/tests/fixed_bytes.rs
@@ -1,5 +1,5 @@
-//! Wire compatibility: frames must encode to the bytes recorded from release 0.2.0 (commit 22d0bb6) and
-//! decode to the same values.
+//! Tests the wire compatibility of frames. Each frame must encode to the bytes recorded from release 0.2.0
+//! (commit 22d0bb6), and these bytes must decode to the same frame.
 
 use meadowstream_hot_restart::frames::{AnnouncedAnswer, Frame, FrameReader, encode};
 use meadowstream_wire_fixtures::Fixtures;
--- a/crates/hot-restart/tests/frames.rs
+++ b/crates/hot-restart/tests/frames.rs
@@ -1,5 +1,5 @@
-//! Tests of the frame reader on valid, truncated, damaged and arbitrary bytes, and of the predecessor on
-//! unexpected input.
+//! Tests the frame reader on valid, truncated, damaged and arbitrary bytes. Also tests the predecessor on
+//! unexpected frames.
 
 use meadowstream_hot_restart::AbortReason;
 use meadowstream_hot_restart::frames::{
@@ -53,7 +53,7 @@
     }
 }
 
-/// A truncated frame must not be decoded but remain pending. A frame with any single bit flipped must be
+/// A truncated frame must remain pending and not be decoded. A frame with a single flipped bit must be
 /// rejected or remain pending.
 #[test]
 fn truncated_frames_stay_pending_and_damaged_ones_are_rejected() {
@@ -81,7 +81,8 @@
     for _ in 0..2000 {
         let mut bytes = vec![0; rng.random_range(8..300)];
         rng.fill_bytes(&mut bytes);
-        // Half of the inputs have a correct length and checksum around random content.
+        // Half of the inputs have random content with a correct length and checksum. The other half is random
+        // altogether.
         if rng.random_bool(0.5) {
             let checksum = crc32fast::hash(&bytes[8..]);
             let length = (bytes.len() - 8) as u32;
@@ -144,8 +145,8 @@
     assert_eq!(backoffs, [100, 200, 350, 350]);
 }
 
-/// In every step, a frame that is not expected must abort the attempt. The abort returns [`Action::Resume`]
-/// only in the switch, since the predecessor is frozen only then.
+/// In every step of an upgrade, an unexpected frame must abort the attempt. The abort returns
+/// [`Action::Resume`] only in the switch, since only then the predecessor is frozen and must resume.
 #[test]
 fn an_unexpected_frame_ends_the_attempt() {
     let answers = [
--- a/crates/hot-restart/tests/model.rs
+++ b/crates/hot-restart/tests/model.rs
@@ -1,21 +1,21 @@
-//! Model check of both state machines over all interleavings. Either process may be killed at any moment,
-//! timers fire at any time, and frames that a killed process has not read are lost. The model runs the real
-//! [`predecessor`] and [`successor`] code.
+//! Model check of predecessor and successor over all interleavings of their steps. Either process may be
+//! killed at any moment, timers may fire at any time, and frames that a killed process has not read are lost.
+//! The model runs the real [`predecessor`] and [`successor`] code.
 
 use meadowstream_hot_restart::frames::{AnnouncedAnswer, Frame};
 use meadowstream_hot_restart::{predecessor, successor};
 use stateright::{Checker, Model, Property};
 use std::collections::VecDeque;
 
-/// Faults injected into the model, which the checker must detect.
+/// Faults that are injected into the model. The checker must detect each of them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     None,
-    /// The predecessor receives [`predecessor::Event::SuccessorExited`] while the successor still runs.
+    /// The predecessor receives [`predecessor::Event::SuccessorExited`] although the successor still runs.
     DeclaredDeadWhileRunning,
-    /// The successor sends an answer without announcing it.
+    /// The successor sends an answer to the caller without announcing it to the predecessor.
     AnswersUnannounced,
-    /// The predecessor continues to answer after it has frozen.
+    /// The predecessor continues to answer callers after it has frozen.
     NeverFreezes,
 }
 
@@ -24,35 +24,36 @@
     predecessor: predecessor::Predecessor,
     successor: Option<successor::Successor>,
     predecessor_alive: bool,
-    /// Whether the predecessor has ordered the successor to be killed; it may still be running.
+    /// Whether the predecessor has requested to kill the successor. The successor may still be running.
     successor_killed: bool,
     to_successor: VecDeque<Frame>,
     to_predecessor: VecDeque<Frame>,
-    /// Whether the predecessor has received the end of the stream.
+    /// Whether the predecessor has received the end of the stream from the successor.
     stream_ended: bool,
     /// Whether the exit of the successor has been reported to the predecessor.
     exit_reported: bool,
-    /// Number of answers that the caller of each invocation received.
+    /// Number of answers that each invocation's caller has received.
     answered: [u8; INVOCATIONS],
-    /// Invocations that the predecessor knows to be answered.
+    /// For each invocation, whether the predecessor knows that it has been answered.
     known_to_predecessor: [bool; INVOCATIONS],
-    /// Invocations that the successor knows to be answered, from the state it received or because it answered
-    /// them itself.
+    /// For each invocation, whether the successor knows that it has been answered. The successor knows this
+    /// from the received state, or because it sent the answer.
     known_to_successor: [bool; INVOCATIONS],
     /// Whether the successor is checking its configuration.
     is_checking: bool,
     /// Whether the successor is loading the state.
     is_loading: bool,
-    /// Number of upgrade requests made while the predecessor was serving.
+    /// Number of upgrades requested so far while the predecessor was serving.
     upgrades: u8,
     drain_requested: bool,
-    /// Time in nanoseconds: 0 except while a timer fires.
+    /// Current time of the model, in nanoseconds. The time is 0 except while a timer fires.
     now: u64,
 }
 
-/// Number of invocations in the model.
+/// Number of invocations in each run of the model.
 const INVOCATIONS: usize = 2;
-/// Maximum number of upgrades, so that a second upgrade can follow a failed one.
+/// Maximum number of upgrades in a run of the model. With 2 upgrades, a second attempt can follow a failed
+/// one.
 const UPGRADES_MAX: u8 = 2;
 
 /// A transition of the model.
@@ -75,14 +76,14 @@
     RequestDrain,
 }
 
-/// The model, with the injected fault.
+/// The model of a hot restart, with the fault that is injected into it.
 struct HotRestart(Fault);
 
 fn limits() -> predecessor::Limits {
     predecessor::Limits { step: 1, switch: 1, trial: 1, backoff: 0, backoff_max: 0 }
 }
 
-/// Reason for a rejection, or `None` if the result is good.
+/// Returns the reason for rejecting a configuration or a state, or `None` if `is_good`.
 fn rejection(is_good: bool) -> Option<String> {
     (!is_good).then(|| "no".to_string())
 }
@@ -110,8 +111,9 @@
                     announced
                         .iter()
                         .for_each(|answer| self.known_to_predecessor[answer.invocation as usize] = true);
-                    // The predecessor completes announced answers that the successor may not have sent. No
-                    // answer is sent twice, because the kernel reports how many bytes were written.
+                    // The predecessor finishes writing the announced answers, in case the successor did not
+                    // send them. No answer is sent twice, because the kernel reports how many bytes were
+                    // already written.
                     for answer in &announced {
                         let answers = &mut self.answered[answer.invocation as usize];
                         *answers = (*answers).max(1);
@@ -339,8 +341,8 @@
             Property::always("some process stays active", |model: &HotRestart, system: &SystemState| {
                 let mut steps = Vec::new();
                 model.actions(system, &mut steps);
-                // If only kills and requests can still happen, one of the processes that are alive must be
-                // active, unless the predecessor has retired.
+                // Consider states in which only kills and requests can still happen. Then a living process
+                // must be active, unless the predecessor has retired.
                 let is_external = |step: &Step| {
                     matches!(
                         step,
