--- a/crates/fair-queueing/src/scheduler.rs
+++ b/crates/fair-queueing/src/scheduler.rs
@@ -81,7 +81,7 @@
 
 impl FairScheduler {
     /// Creates a scheduler. `cores` is the capacity that all tenants share. `seed` determines the random
-    /// choices and the keys for hashing names.
+    /// choices and the key for hashing tenant names.
     pub fn new(settings: Settings, cores: f64, seed: u64, now: Nanos) -> Self {
         let (longest, grace) = (settings.promise_max, settings.return_grace);
         let mut scheduler = Self {
--- a/crates/shared-state/src/budget/election.rs
+++ b/crates/shared-state/src/budget/election.rs
@@ -1,10 +1,12 @@
-//! Election of the grantor by the voters.
+//! Election of the grantor, the server that grants leases, by the voters.
 //!
-//! Invariant: at most one server is the grantor at a time. A voter that has voted for one server votes for no
-//! other until the term duration plus the drift margin has passed by the voter's slow clock ([`Time::slow`]).
-//! A candidate counts its term from the time of its vote request, by its fast clock ([`Time::fast`]), so its
-//! term ends before its voters can vote for another server. Votes are not stored on disk. A restarted voter
-//! therefore does not vote for as long as a vote of its earlier incarnation may last.
+//! Invariant: at most one server is the grantor at a time. A voter that has voted for a server votes for no
+//! other server until the term duration plus the drift margin has passed by the voter's slow clock
+//! ([`Time::slow`]). A candidate counts its term from the time of its vote request, by its fast clock
+//! ([`Time::fast`]). The term therefore ends before the candidate's voters can vote for another server.
+//!
+//! Votes are not stored on disk. A restarted voter therefore does not vote for as long as a vote of its
+//! earlier incarnation may last.
 
 use super::grantor::LeaseTable;
 use super::message::Term;
@@ -13,47 +15,50 @@
 use crate::server_id::ServerId;
 use std::collections::{BTreeSet, VecDeque};
 
-/// Number of recent ballots for which a candidate or grantor still counts votes. The number is greater than 1
-/// so that a majority can be reached over a slow and lossy network.
+/// Number of recent ballots (rounds of vote requests) for which a candidate or grantor still counts votes.
+/// Over a slow and lossy network, votes may arrive after the next ballot has begun. Counting them helps to
+/// reach a majority.
 const BALLOTS_MAX: usize = 8;
 
-/// The latest vote that this server granted.
+/// The latest vote that this server granted to a candidate.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Vote {
     candidate: ServerId,
-    /// Time until which the vote binds this server, by the slow clock.
+    /// Time at which the vote expires, by the slow clock. Until then, this server votes for no other
+    /// candidate.
     expires_at: Nanos,
 }
 
-/// A ballot: one round of vote requests to the other voters.
+/// A ballot: one round of vote requests from a candidate to the other voters.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Ballot {
     number: u64,
-    /// Time of the vote requests, by the fast clock.
+    /// Time at which the vote requests of the ballot were sent, by the fast clock.
     requested_at: Nanos,
     /// Names of the voters that granted their vote in this ballot.
     votes: BTreeSet<String>,
 }
 
 /// State of a server that is a candidate or the grantor. The state is created when the server becomes a
-/// candidate, and is kept when the candidate is elected.
+/// candidate, and remains when the server is elected as the grantor.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct GrantorState {
     pub term: Term,
-    /// Recent ballots, in the order of their vote requests.
+    /// Recent ballots of this server, in the order in which their vote requests were sent.
     ballots: VecDeque<Ballot>,
-    /// End of the term of office, by the fast clock; `None` for a candidate.
+    /// End of the grantor's term of office, by the fast clock. `None` if this server is a candidate and not
+    /// yet elected.
     elected_until: Option<Nanos>,
     pub leases: LeaseTable,
 }
 
 impl GrantorState {
-    /// Returns the time of the latest vote requests, by the fast clock.
+    /// Returns the time at which this server last sent vote requests, by the fast clock.
     fn last_requested_at(&self) -> Nanos {
         self.ballots.back().map_or(0, |ballot| ballot.requested_at)
     }
 
-    /// Returns whether the candidacy has failed or the grantor's term of office has ended.
+    /// Returns whether a candidate was not elected in time, or a grantor's term of office has ended.
     fn is_over(&self, time: Time, settings: &BudgetSettings) -> bool {
         match self.elected_until {
             Some(until) => time.fast >= until,
@@ -61,38 +66,39 @@
         }
     }
 
-    /// Returns whether the server is the grantor and must request votes again to extend its term of office.
+    /// Returns whether it is time to request votes again. Only a grantor does this, to extend its term of
+    /// office.
     fn renewal_is_due(&self, time: Time, settings: &BudgetSettings) -> bool {
         let interval = (settings.term_duration / 8).max(1);
         self.elected_until.is_some() && time.fast >= self.last_requested_at() + interval
     }
 }
 
-/// Effect of counting a received vote.
+/// Result of counting a vote that this server received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum VoteCount {
-    /// The vote completes no majority, or the majority does not extend the term of office.
+    /// The vote has no effect: it completes no majority, or the majority does not extend the term of office.
     Unchanged,
-    /// The candidate has become the grantor.
+    /// The vote completes a majority, and the candidate has become the grantor.
     Elected,
-    /// The grantor's term of office has been extended.
+    /// The vote completes a majority, which extends the grantor's term of office.
     Extended,
 }
 
-/// One server's part in the elections of the grantor. The server votes and becomes a candidate only if its
-/// name is among the voters.
+/// One server's part in the elections of the grantor. Only a server that the settings list as a voter can
+/// vote and become a candidate.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Election {
-    /// Index of this server among the voters; `None` if it is not a voter.
+    /// Index of this server in the list of voters, or `None` if this server is not a voter.
     rank: Option<u64>,
-    /// Time, by the slow clock, before which this server neither votes nor becomes a candidate, since a vote
-    /// of its earlier incarnation may still be valid.
+    /// Start of this server's participation in elections, by the slow clock. Before this time, the server
+    /// neither votes nor becomes a candidate, since a vote of its earlier incarnation may still be valid.
     votes_from: Nanos,
     vote: Option<Vote>,
     grantor_state: Option<GrantorState>,
     last_ballot: u64,
-    /// Time at which this server last knew of a grantor or candidate, which may be the server itself, by the
-    /// fast clock.
+    /// Time at which this server last knew of a grantor or a candidate, by the fast clock. The grantor or
+    /// candidate may be this server itself.
     grantor_seen_at: Nanos,
 }
 
@@ -112,7 +118,8 @@
         self.rank.is_some()
     }
 
-    /// Records that a grantor is known at `time`, so that this server does not become a candidate yet.
+    /// Records that the fleet has a grantor at `time`. This delays the time at which this server may become a
+    /// candidate.
     pub fn record_grantor(&mut self, time: Time) {
         self.grantor_seen_at = time.fast;
     }
@@ -123,24 +130,26 @@
         until.is_some_and(|until| time.fast < until)
     }
 
-    /// Returns the state of this server as a candidate or grantor; `None` if it is neither.
+    /// Returns the state that this server has as a candidate or grantor. Returns `None` if it is neither
+    /// candidate nor grantor.
     pub fn grantor_state(&self) -> Option<&GrantorState> {
         self.grantor_state.as_ref()
     }
 
-    /// Mutable variant of [`Election::grantor_state`].
+    /// Returns a mutable reference to the state that [`Election::grantor_state`] returns.
     pub fn grantor_state_mut(&mut self) -> Option<&mut GrantorState> {
         self.grantor_state.as_mut()
     }
 
-    /// Returns the name of the candidate for which this server's vote is still valid, if any.
+    /// Returns the name of the candidate that has this server's vote. Returns `None` if this server has not
+    /// voted or its vote has expired.
     pub fn voted_for(&self, time: Time) -> Option<&str> {
         let vote = self.vote.as_ref().filter(|vote| time.slow < vote.expires_at)?;
         Some(&vote.candidate.name)
     }
 
-    /// Ends this server's term of office or candidacy if it is over, and opens a ballot if one is due.
-    /// Returns the number of the new ballot.
+    /// Performs the actions that are due in the election. A term of office or candidacy of this server ends
+    /// if its time is over. If this server must request votes, a ballot is opened and its number is returned.
     pub fn advance(&mut self, time: Time, settings: &BudgetSettings, incarnation: u64) -> Option<u64> {
         if self.grantor_state.as_ref().is_some_and(|state| state.is_over(time, settings)) {
             self.grantor_state = None;
@@ -154,9 +163,10 @@
         due.then(|| self.open_ballot(time, incarnation, rank))
     }
 
-    /// Returns whether this server may become a candidate: it may vote, and it has known no grantor for one
-    /// term duration plus half a term duration times its rank. The different waits keep the voters from all
-    /// becoming candidates at the same time.
+    /// Returns whether this server may become a candidate. The server must be allowed to vote and must not
+    /// have known a grantor for some time. The required time is one term duration plus half a term duration
+    /// times the server's rank. Because of the ranks, the voters do not all become candidates at the same
+    /// time.
     fn may_become_candidate(&self, time: Time, settings: &BudgetSettings, rank: u64) -> bool {
         let wait = settings.term_duration + rank * settings.term_duration / 2;
         time.slow >= self.votes_from && time.fast >= self.grantor_seen_at + wait
@@ -178,8 +188,8 @@
         number
     }
 
-    /// Grants this server's vote to a candidate for one term duration, unless the vote is still held by
-    /// another candidate. Returns whether the vote was granted.
+    /// Grants this server's vote to a candidate, if the vote is free or the candidate already has it. The
+    /// vote lasts for one term duration plus the drift margin. Returns whether the vote was granted.
     pub fn vote_for(&mut self, time: Time, settings: &BudgetSettings, candidate: &ServerId) -> bool {
         let free = match &self.vote {
             Some(vote) => vote.candidate == *candidate || time.slow >= vote.expires_at,
@@ -194,8 +204,9 @@
         granted
     }
 
-    /// Counts a vote of `voter` in one of this server's recent ballots. If the ballot has a majority, the
-    /// term of office lasts for one term duration from the time of the ballot's vote requests.
+    /// Counts a vote of `voter` in one of this server's recent ballots. If the ballot then has a majority,
+    /// this server is the grantor for one term duration. The term is counted from the time at which the
+    /// ballot's vote requests were sent.
     pub fn count_vote(
         &mut self,
         time: Time,
--- a/crates/shared-state/src/budget/fair_share.rs
+++ b/crates/shared-state/src/budget/fair_share.rs
@@ -1,19 +1,22 @@
-//! Max-min fair division of the leasable units of a budget among servers.
+//! Max-min fair division among servers of the units of a budget that may be leased.
 
-/// Demand of one server. The derived order, by `wanted` and then by `held`, is the order in which
-/// [`fair_share`] allocates units to the demands.
+/// Demand of one server for units. Demands are ordered by `wanted` and then by `held`. [`fair_share`]
+/// allocates units to the demands in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Demand {
-    /// Units that the server requests.
+    /// Number of units that the server requests.
     pub wanted: u64,
-    /// Units that the server may still hold under earlier grants.
+    /// Number of units that the server may still use under its earlier grants.
     pub held: u64,
 }
 
-/// Returns the max-min fair share of the demand at `index`, in units. No server gets more than it wants, and
-/// the servers that want more than an equal part get equal parts of the remaining units. Units that cannot be
-/// divided equally go to the servers that hold most; among servers that hold equally many, to those with the
-/// higher index. A single unit therefore stays with one of two servers that want it.
+/// Returns the max-min fair share of one server, in units. `index` selects the server's entry in `demands`.
+/// No server gets more than it wants. Servers that want more than an equal part get equal parts of the
+/// remaining units.
+///
+/// Units that cannot be divided equally go to the servers that hold most. Among servers that hold equally
+/// many, they go to those with the higher index. For example, if two servers want a single unit and one of
+/// them holds it, that server keeps it.
 pub(super) fn fair_share(capacity: u64, demands: &[Demand], index: usize) -> u64 {
     let mut order: Vec<usize> = (0..demands.len()).collect();
     order.sort_by_key(|i| (demands[*i], *i));
--- a/crates/shared-state/src/budget/grantor.rs
+++ b/crates/shared-state/src/budget/grantor.rs
@@ -1,9 +1,10 @@
-//! The grantor's table of leases.
+//! The grantor's table of leases. The grantor is the server that grants the leases of a budget.
 //!
-//! Invariant: the sum over all holders of each holder's largest grant that may still be active is at most the
-//! number of leasable units. A grant may be active until its holder reports that it has adopted a later grant
-//! and uses no more units than the later grant has, or until the lease duration plus the drift margin has
-//! passed by the grantor's slow clock ([`Time::slow`]).
+//! Invariant: the holders together can use at most the leasable units. For each holder, the largest grant
+//! that may still be active is counted. A grant may be active until one of two events. The first is that its
+//! holder reports that it has adopted a later grant and uses no more units than the later grant has. The
+//! second is that the lease duration plus the drift margin has passed by the grantor's slow clock
+//! ([`Time::slow`]).
 
 use super::counters::BudgetCounters;
 use super::fair_share::{Demand, fair_share};
@@ -13,56 +14,58 @@
 use crate::server_id::ServerId;
 use std::collections::BTreeMap;
 
-/// Maximum number of holders in the table, as a multiple of the configured number of servers. The value
-/// exceeds 1 because an ended incarnation of a server stays in the table until its leases have ended.
+/// Maximum number of holders in the table, as a multiple of the configured number of servers. A restarted
+/// server counts as a new holder, while its ended incarnation stays in the table until the old leases have
+/// ended. The multiple is therefore greater than 1.
 const HOLDERS_PER_SERVER: u64 = 4;
 
-/// Demand that a holder reports in a lease request. All amounts are units beyond the holder's floor (its
-/// guaranteed minimum).
+/// Demand for units that a holder reports in a lease request. Units of the holder's floor (its guaranteed
+/// minimum) are not included in any amount.
 pub(super) struct LeaseDemand {
     /// Units that the holder wants.
     pub wanted: u64,
-    /// Units that the holder uses now.
+    /// Units that the holder uses now, beyond its floor.
     pub in_use: u64,
-    /// Identifier of the grant of the holder's current lease.
+    /// Identifier of the grant that the holder has adopted as its current lease.
     pub adopted: GrantId,
 }
 
-/// A new grant, to be sent to its holder.
+/// A new grant of a lease, to be sent to the holder that requested it.
 pub(super) struct Grant {
-    /// Number of the grant in the grantor's term.
+    /// Number of the grant among all grants of the grantor's term of office.
     pub number: u64,
-    /// Units granted beyond the holder's floor (its guaranteed minimum).
+    /// Number of granted units. Units of the holder's floor (its guaranteed minimum) are not included.
     pub amount: u64,
 }
 
-/// A grant that its holder may still use.
+/// A grant whose units the holder may still use.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct ActiveGrant {
     number: u64,
     amount: u64,
-    /// Time at which the grant has certainly ended at its holder, by the slow clock.
+    /// Time from which the holder can no longer use the grant, by the grantor's slow clock.
     ends_at: Nanos,
 }
 
-/// One holder in the grantor's table.
+/// Entry for one holder in the grantor's table of leases.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct HolderEntry {
     grants: Vec<ActiveGrant>,
     wanted: u64,
-    /// Time of the holder's latest request, by the slow clock.
+    /// Time at which the holder's latest lease request was received, by the grantor's slow clock.
     requested_at: Nanos,
 }
 
 impl HolderEntry {
-    /// Returns the largest number of units that the holder may use under any of its grants.
+    /// Returns the number of units of the holder's largest active grant. The holder may use any one of its
+    /// active grants.
     fn largest_grant(&self) -> u64 {
         self.grants.iter().map(|grant| grant.amount).max().unwrap_or(0)
     }
 
-    /// Removes the grants that are earlier than the grant `adopted`, which the holder reports as its current
-    /// lease. If the holder uses more units than the adopted grant has, earlier grants are kept until they
-    /// end.
+    /// Removes grants that the holder no longer uses. The holder reports that it has adopted the grant with
+    /// number `adopted` as its lease. Earlier grants are removed if the holder uses at most the units of the
+    /// adopted grant; otherwise they are kept until they end.
     fn confirm(&mut self, adopted: u64, in_use: u64, last_number: u64, counters: &mut BudgetCounters) {
         match self.grants.iter().find(|grant| grant.number == adopted) {
             Some(grant) if in_use <= grant.amount => self.grants.retain(|grant| grant.number >= adopted),
@@ -72,40 +75,42 @@
     }
 }
 
-/// Table of the leases that a grantor has granted in its term.
+/// Table of the leases that this grantor has granted in its term of office.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct LeaseTable {
-    /// Time, by the slow clock, before which nothing is granted, since leases of earlier grantors may still
-    /// be held.
+    /// Start of granting, by the slow clock. Before this time, the grantor grants nothing, since leases of
+    /// earlier grantors may still be in use.
     grants_from: Nanos,
     last_number: u64,
     holders: BTreeMap<ServerId, HolderEntry>,
 }
 
 impl LeaseTable {
-    /// Begins a term of office at the time of the election. The last lease of an earlier grantor was
-    /// requested before that grantor's term ended, so the lease ends within one lease duration from now.
+    /// Begins the grantor's term of office at the time of the election. The grantor then waits for one lease
+    /// duration plus the drift margin before it grants leases. By then, all leases of earlier grantors have
+    /// ended, since the last of them was requested before the earlier term ended.
     pub fn begin(&mut self, time: Time, settings: &BudgetSettings) {
         self.grants_from = time.slow + settings.lease_duration + settings.drift_margin;
     }
 
-    /// Skips the wait until the leases of earlier grantors have ended. Used only by the model check.
+    /// Skips the wait for the end of leases of earlier grantors. Only the model check uses this method.
     pub fn skip_wait(&mut self) {
         self.grants_from = 0;
     }
 
-    /// Returns whether the leases of earlier grantors have ended.
+    /// Returns whether this grantor may grant leases. It must wait until all leases of earlier grantors have
+    /// ended.
     pub fn may_grant(&self, time: Time) -> bool {
         time.slow >= self.grants_from
     }
 
-    /// Returns the number of units that holders may use under the grants of this term.
+    /// Returns the total number of units that holders may use under the grants of this term of office.
     pub fn outstanding(&self) -> u64 {
         self.holders.values().map(HolderEntry::largest_grant).sum()
     }
 
-    /// Grants a lease in reply to a holder's request. Returns `None` if the holder is new and the table is
-    /// full.
+    /// Grants a lease to a holder that requested one. Returns `None` if the holder is not in the table and
+    /// the table is full.
     pub fn grant(
         &mut self,
         time: Time,
@@ -139,8 +144,8 @@
         Some(Grant { number, amount })
     }
 
-    /// Removes grants that have ended, and holders that have neither a grant nor a request within
-    /// `active_duration` nanoseconds.
+    /// Removes outdated entries from the table. Grants are removed when they have ended. A holder is removed
+    /// if it has no grant left and has sent no request for `active_duration` nanoseconds.
     fn expire(&mut self, time: Time, active_duration: Nanos) {
         for entry in self.holders.values_mut() {
             entry.grants.retain(|grant| time.slow < grant.ends_at);
@@ -149,8 +154,8 @@
             .retain(|_, entry| !entry.grants.is_empty() || time.slow < entry.requested_at + active_duration);
     }
 
-    /// Returns the number of units for a new grant to a holder: the holder's fair share, limited to the units
-    /// that the grants of other holders leave free.
+    /// Returns the number of units for a new grant to `holder`. This is the holder's fair share, but at most
+    /// the units that are not granted to other holders.
     fn amount_for(&self, holder: &ServerId, leasable: u64) -> u64 {
         let mut held_by_others = 0;
         let mut demands = Vec::with_capacity(self.holders.len());
--- a/crates/shared-state/src/budget/holder.rs
+++ b/crates/shared-state/src/budget/holder.rs
@@ -1,54 +1,57 @@
-//! The lease that a server holds, and the requests with which it renews the lease.
+//! The lease that a server holds, and the requests with which the server renews the lease.
 //!
 //! Invariant: a lease ends at its holder before it ends in the grantor's table. The holder counts the lease
-//! duration from the time of its lease request, by its fast clock ([`Time::fast`]). The grantor counts the
-//! lease duration plus the drift margin from the later time of the grant, by its slow clock ([`Time::slow`]).
+//! duration from the time of its lease request, by its fast clock ([`Time::fast`]). The grantor begins to
+//! count later, at the time of the grant. It counts the lease duration plus the drift margin by its slow
+//! clock ([`Time::slow`]).
 
 use super::message::{BudgetMessage, GrantId};
 use super::settings::BudgetSettings;
 use crate::clock::{Nanos, Time};
 use std::collections::VecDeque;
 
-/// Number of recent lease requests whose send times are stored. A lease begins at the send time of the
-/// request that its grant answers, so grants for older requests are dropped.
+/// Number of recent lease requests whose send times are stored. A lease is counted from the send time of its
+/// request. A grant for an older request is therefore dropped.
 const REQUESTS_MAX: usize = 8;
-/// Number of consecutive lease requests without a reply after which the next request goes to a random voter
-/// instead of the grantor.
+/// Maximum number of consecutive lease requests that the grantor may leave unanswered. The next request then
+/// goes to a random voter.
 const UNANSWERED_MAX: u32 = 2;
 
-/// Units of a budget that a server may use now.
+/// Units of a budget that this server may use now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Allowance {
-    /// Units of the server's floor, the minimum that the server may use without a lease.
+    /// Units of the server's floor that it may use now. The floor is a guaranteed minimum, which needs no
+    /// lease.
     pub floor: u64,
     /// Units of the server's lease.
     pub leased: u64,
-    /// Time until the lease ends, in nanoseconds of the fast clock; 0 without a lease.
+    /// Time until the lease ends, in nanoseconds of the fast clock. The value is 0 if the server has no
+    /// lease.
     pub remaining: Nanos,
 }
 
-/// The lease that this server adopted last; it may have ended.
+/// The latest lease that this server adopted. The lease may have ended.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Lease {
     grant: GrantId,
     amount: u64,
-    /// End of the lease, by the fast clock.
+    /// Time at which the lease ends, by this server's fast clock.
     ends_at: Nanos,
 }
 
-/// A lease request that may still be answered.
+/// A recent lease request of this server. A reply to the request is still accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct SentRequest {
     number: u64,
-    /// Send time of the request, by the fast clock.
+    /// Time at which the lease request was sent, by the fast clock.
     sent_at: Nanos,
 }
 
-/// A grant received in a message, with its sender.
+/// A lease grant received in a message, with the name of its sender.
 pub(super) struct ReceivedGrant<'a> {
     /// Name of the server that sent the grant.
     pub from: &'a str,
-    /// Whether the grant answers a request of this incarnation of the server.
+    /// Whether the grant answers a lease request of the receiver's current incarnation.
     pub is_for_this_incarnation: bool,
     /// Number of the lease request that the grant answers.
     pub request: u64,
@@ -56,29 +59,30 @@
     pub amount: u64,
 }
 
-/// Reason for dropping a received grant.
+/// Reason why a received lease grant is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DroppedGrant {
-    /// The grant answers no known request of this incarnation, so its start time is unknown.
+    /// The grant answers no stored lease request of this incarnation. The start of the lease is therefore
+    /// unknown.
     Unsolicited,
-    /// The grant exceeds the units that may be leased, or its sender is not a voter.
+    /// The grant has more units than may be leased in all, or its sender is not a voter.
     Excessive,
-    /// The grant had already ended, or this server still holds a lease that is of another term or at least as
-    /// recent. Terms are not ordered in time, so a grant of another term is adopted only after the held lease
-    /// has ended.
+    /// The grant had already ended, or it cannot replace the lease that this server still holds. Only a later
+    /// grant of the same term can replace a held lease. Terms are not ordered in time, so a grant of another
+    /// term is adopted only after the held lease has ended.
     Stale,
 }
 
-/// One server's part of a budget as a lease holder.
+/// One server's part of a budget in its role as a lease holder.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Holder {
-    /// Time, by the slow clock, before which this server does not use its floor (the units that it may use
-    /// without a lease), since calls of its earlier incarnation may still hold these units.
+    /// Time from which this server may use its floor (the units that need no lease), by the slow clock.
+    /// Before this time, calls of the server's earlier incarnation may still hold these units.
     floor_from: Nanos,
     lease: Lease,
     requests: VecDeque<SentRequest>,
     last_number: u64,
-    /// Time of the next lease request, by the fast clock.
+    /// Time at which the next lease request is due, by the fast clock.
     next_request_at: Nanos,
     wanted: u64,
     in_use: u64,
@@ -101,8 +105,8 @@
         }
     }
 
-    /// Sets the demand that the next lease request reports. `wanted` and `in_use` are numbers of units,
-    /// including the floor (the server's guaranteed minimum).
+    /// Sets the demand that the next lease request reports. `wanted` and `in_use` are numbers of units. They
+    /// include the units of the floor (the server's guaranteed minimum).
     pub fn set_demand(&mut self, settings: &BudgetSettings, wanted: u64, in_use: u64) {
         self.wanted = wanted.saturating_sub(settings.floor).min(settings.leasable());
         self.in_use = in_use.saturating_sub(settings.floor);
@@ -119,20 +123,22 @@
         self.grantor.as_deref()
     }
 
-    /// Sets the name of the grantor, which receives the lease requests; `None` if the grantor is unknown.
+    /// Sets the name of the grantor, to which this server sends its lease requests. `None` means that the
+    /// grantor is unknown.
     pub fn set_grantor(&mut self, grantor: Option<String>) {
         self.grantor = grantor;
     }
 
-    /// Handles a reply that names the grantor instead of granting a lease. `grantor` is `None` if the sender
-    /// of the reply does not know the grantor.
+    /// Handles a reply that names the grantor and grants no lease. `grantor` is `None` if the sender of the
+    /// reply does not know the grantor.
     pub fn redirect(&mut self, grantor: Option<String>) {
         self.unanswered = 0;
         self.grantor = grantor;
     }
 
-    /// Returns the next lease request and the name of its receiver, if a request is due. The receiver is the
-    /// grantor if known, otherwise the voter selected by the random number `draw`.
+    /// Returns the next lease request and the name of its receiver, or `None` if no request is due. The
+    /// receiver is the grantor. If the grantor is unknown, the random number `draw` selects a voter as the
+    /// receiver.
     pub fn next_request(
         &mut self,
         settings: &BudgetSettings,
@@ -163,8 +169,8 @@
         Some((to, request))
     }
 
-    /// Adopts a grant as the lease, which begins at the send time of its request. While a lease is held, only
-    /// a later grant of the same term replaces it.
+    /// Adopts a received grant as this server's lease. The lease is counted from the send time of the request
+    /// that the grant answers. While a lease is held, only a later grant of the same term replaces it.
     pub fn adopt(
         &mut self,
         settings: &BudgetSettings,
--- a/crates/shared-state/src/budget/message.rs
+++ b/crates/shared-state/src/budget/message.rs
@@ -1,82 +1,83 @@
-//! Messages between the servers that share a budget. Messages are serialized by position (postcard), so the
-//! order of variants and fields is part of the wire format.
+//! Messages about a budget between the servers that share the budget. Messages are serialized by position
+//! (postcard), so the order of variants and fields is part of the wire format.
 
 use serde::{Deserialize, Serialize};
 
-/// Unique identifier of a grantor's term of office: the grantor's incarnation, its rank among the voters and
-/// the number of its ballot. Terms are not ordered in time, but all leases of one term have ended before the
-/// next grantor grants any.
+/// Unique identifier of a grantor's term of office. Terms are not ordered in time. However, all leases of a
+/// term have ended before the next grantor grants its first lease.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Term {
-    /// Start time of the grantor's process, in nanoseconds since the Unix epoch.
+    /// Incarnation of the grantor: the start time of its process, in nanoseconds since the Unix epoch.
     pub incarnation: u64,
-    /// Index of the grantor among the voters, from 0.
+    /// Index of the grantor in the list of voters, from 0.
     pub rank: u64,
-    /// Number of the ballot with which the grantor became a candidate.
+    /// Number of the ballot with which the grantor became a candidate. Ballots are numbered within an
+    /// incarnation of a server.
     pub election: u64,
 }
 
 /// Unique identifier of a grant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct GrantId {
-    /// Term in which the lease was granted.
+    /// Term of office in which the lease was granted.
     pub term: Term,
-    /// Number of the grant in its term; later grants have higher numbers.
+    /// Number of the grant within its term of office. Later grants have higher numbers.
     pub number: u64,
 }
 
 /// A message about one budget.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum BudgetMessage {
-    /// Requests the receiver's vote, so that the sender becomes or remains the grantor.
+    /// Requests the receiver's vote. A candidate sends this message to become the grantor, and a grantor
+    /// sends it to extend its term of office.
     VoteRequest {
-        /// Number of the ballot, unique among the ballots of the sender's incarnation.
+        /// Number of the ballot. The number is unique within the sender's incarnation.
         ballot: u64,
     },
-    /// Reply to a [`BudgetMessage::VoteRequest`].
+    /// Grants or refuses a vote, in reply to a [`BudgetMessage::VoteRequest`].
     VoteResponse {
-        /// Incarnation of the candidate that sent the request.
+        /// Incarnation of the candidate that requested the vote.
         incarnation: u64,
-        /// Number of the ballot in the vote request.
+        /// Number of the ballot for which the vote was requested.
         ballot: u64,
-        /// Whether the vote is granted to the candidate.
+        /// Whether the sender grants its vote to the candidate.
         granted: bool,
     },
-    /// Requests a lease from the grantor. All amounts are units beyond the sender's floor (its guaranteed
-    /// minimum).
+    /// Requests a lease from the grantor. Units of the sender's floor (its guaranteed minimum) are not
+    /// included in any amount.
     LeaseRequest {
-        /// Number of the request, unique among the lease requests of the sender's incarnation.
+        /// Number of the lease request. The number is unique within the sender's incarnation.
         number: u64,
         /// Units that the sender wants.
         wanted: u64,
-        /// Units that the sender uses now.
+        /// Units that the sender uses now, beyond its floor.
         in_use: u64,
-        /// Identifier of the grant of the sender's current lease.
+        /// Identifier of the grant that the sender has adopted as its current lease.
         adopted: GrantId,
     },
-    /// Reply to a [`BudgetMessage::LeaseRequest`] that grants a lease. The lease begins at the send time of
-    /// the request.
+    /// Grants a lease, in reply to a [`BudgetMessage::LeaseRequest`]. The lease is counted from the time at
+    /// which the request was sent.
     LeaseGrant {
-        /// Incarnation of the server that sent the request.
+        /// Incarnation of the server that requested the lease.
         incarnation: u64,
         /// Number of the lease request that this message answers.
         request_number: u64,
         /// Term of office of the grantor that sends this message.
         term: Term,
-        /// Number of the grant in its term.
+        /// Number of the grant within the grantor's term of office.
         grant_number: u64,
-        /// Units granted beyond the floor (the guaranteed minimum) of the server that requested the lease.
+        /// Number of granted units. Units of the receiver's floor (its guaranteed minimum) are not included.
         amount: u64,
     },
-    /// Reply to a [`BudgetMessage::LeaseRequest`] that grants no lease.
+    /// Names the grantor and grants no lease, in reply to a [`BudgetMessage::LeaseRequest`].
     Redirect {
-        /// Name of the grantor, if the sender knows it. If the sender itself is named, it is the grantor but
-        /// does not grant leases yet.
+        /// Name of the grantor, or `None` if the sender does not know the grantor. If the sender names
+        /// itself, it is the grantor but does not grant leases yet.
         grantor: Option<String>,
     },
 }
 
-/// A message about a budget, and the name of its receiver.
+/// A message about a budget that is to be sent, with the name of the receiving server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
     /// Name of the receiving server.
--- a/crates/shared-state/src/budget/mod.rs
+++ b/crates/shared-state/src/budget/mod.rs
@@ -1,6 +1,8 @@
-//! A budget of the whole fleet: a number of units that may be used at the same time, or per second, divided
-//! into leases. Each server may use its floor, a guaranteed minimum number of units, at any time. Beyond the
-//! floor, a server may use only the units of its lease, until the lease ends by the server's own clock.
+//! A budget limits the number of units that the whole fleet uses at the same time, or per second. The units
+//! are divided among the servers.
+//!
+//! Each server may use its floor, a guaranteed minimum number of units, at any time. To use more units, a
+//! server needs a lease. It must stop using the leased units when the lease ends by its own clock.
 //!
 //! - [`settings`]: total, floors, voters and durations.
 //! - [`message`]: messages between servers.
@@ -31,23 +33,24 @@
 pub use message::{BudgetMessage, GrantId, Outgoing, Term};
 pub use settings::{BudgetSettings, BudgetSettingsError};
 
-/// One server's part of one budget, as a state machine without I/O. Its inputs are clock readings and
-/// received messages; its outputs are messages to send.
+/// One server's part of a budget, as a state machine without I/O. The inputs are clock readings and received
+/// messages. The outputs are messages to send.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Budget {
     id: ServerId,
     settings: BudgetSettings,
     election: Election,
     holder: Holder,
-    /// Counters of this budget's events since the start of the server.
+    /// Counters of events in this part of the budget. All counts begin at 0 when the server starts.
     pub counters: BudgetCounters,
 }
 
 impl Budget {
-    /// Creates the part of the budget at the server `id`, which starts at `time`.
+    /// Creates the part of a budget that belongs to the server `id`. The server starts at `time`.
     ///
     /// # Errors
-    /// Returns the first invalid setting.
+    ///
+    /// Returns an error for the first invalid setting.
     pub fn new(id: ServerId, settings: BudgetSettings, time: Time) -> Result<Budget, BudgetSettingsError> {
         settings.check()?;
         Ok(Budget {
@@ -59,17 +62,18 @@
         })
     }
 
-    /// Returns the settings of the budget, with the current total.
+    /// Returns the settings of the budget. The total in the settings is the current one.
     pub fn settings(&self) -> &BudgetSettings {
         &self.settings
     }
 
-    /// Sets a new total, in units. A smaller total takes effect once the current leases have ended or shrunk,
-    /// at most one lease duration later.
+    /// Sets a new total of the budget, in units. A smaller total takes effect once the current leases have
+    /// ended or shrunk, which takes at most one lease duration.
     ///
     /// # Errors
-    /// Returns an error and keeps the old total if the new total is out of range or less than the sum of the
-    /// floors (guaranteed minimums) of all servers.
+    ///
+    /// Returns an error if the new total is out of range, or less than the sum of the floors (guaranteed
+    /// minimums) of all servers. The old total then remains.
     pub fn set_total(&mut self, total: u64) -> Result<(), BudgetSettingsError> {
         let settings = BudgetSettings { total, ..self.settings.clone() };
         settings.check()?;
@@ -77,8 +81,8 @@
         Ok(())
     }
 
-    /// Sets this server's demand: the units that it wants and those that it uses, both including its floor
-    /// (its guaranteed minimum).
+    /// Sets the number of units that this server wants, and the number that it uses now. Both numbers include
+    /// the units of the server's floor (its guaranteed minimum).
     pub fn set_demand(&mut self, wanted: u64, in_use: u64) {
         self.holder.set_demand(&self.settings, wanted, in_use);
     }
@@ -88,20 +92,21 @@
         self.holder.allowance(&self.settings, time)
     }
 
-    /// Returns whether this server may acquire one more unit while it uses `in_use` units. Units of the lease
-    /// may be acquired only while the remaining time of the lease is longer than the maximum use of a unit
-    /// ([`BudgetSettings::use_max`]).
+    /// Returns whether this server may acquire one more unit while it uses `in_use` units. Units of the floor
+    /// (the server's guaranteed minimum) are always available. A unit of the lease may be acquired only if
+    /// the lease lasts longer than the maximum use of a unit ([`BudgetSettings::use_max`]).
     pub fn may_acquire(&self, time: Time, in_use: u64) -> bool {
         let allowance = self.allowance(time);
         let leased = if allowance.remaining > self.settings.use_max { allowance.leased } else { 0 };
         in_use < allowance.floor + leased
     }
 
-    /// Returns the latest time, by the fast clock ([`Time::fast`]), at which a call may be sent that acquires
-    /// a unit now, while this server uses `in_use` units. A call with a unit of the floor (the server's
-    /// guaranteed minimum) may be sent at any time. A call with a unit of the lease may be sent only until
-    /// [`BudgetSettings::use_max`] before the end of the lease. The call has then ended at the service before
-    /// the unit can be leased to another server.
+    /// Returns the latest time at which a call that acquires a unit now may be sent, by the fast clock
+    /// ([`Time::fast`]). `in_use` is the number of units in use before the call.
+    ///
+    /// A call with a unit of the floor (the server's guaranteed minimum) may be sent at any time. A call with
+    /// a unit of the lease may be sent only until [`BudgetSettings::use_max`] before the end of the lease.
+    /// The call has then ended at the service before the unit can be leased to another server.
     pub fn send_by(&self, time: Time, in_use: u64) -> Nanos {
         let allowance = self.allowance(time);
         if in_use < allowance.floor {
@@ -110,24 +115,24 @@
         time.fast + allowance.remaining.saturating_sub(self.settings.use_max)
     }
 
-    /// Returns whether this server is the grantor now.
+    /// Returns whether this server is the grantor of the budget now.
     pub fn is_grantor(&self, time: Time) -> bool {
         self.election.is_grantor(time)
     }
 
-    /// Returns the name of the grantor, if known to this server.
+    /// Returns the name of the grantor, or `None` if this server does not know the grantor.
     pub fn grantor(&self) -> Option<&str> {
         self.holder.grantor()
     }
 
-    /// Returns the number of units that holders may use under leases granted by this server; 0 if it is not
-    /// the grantor.
+    /// Returns the total number of units that holders may use under leases granted by this server. Returns 0
+    /// if this server is not the grantor.
     pub fn outstanding(&self) -> u64 {
         self.election.grantor_state().map_or(0, |state| state.leases.outstanding())
     }
 
-    /// Lets a new grantor grant immediately, without waiting for the end of earlier leases. Used only by the
-    /// model check, which must detect this fault.
+    /// Removes the wait of a new grantor for the end of earlier leases. Only the model check uses this
+    /// method, to inject a fault that the check must detect.
     #[doc(hidden)]
     pub fn skip_grant_wait(&mut self) {
         if let Some(state) = self.election.grantor_state_mut() {
@@ -135,9 +140,9 @@
         }
     }
 
-    /// Performs the ballots and lease requests that are due at `time`, and returns the messages to send.
-    /// `draw` is a random number that selects the voter to which a lease request is sent while the grantor is
-    /// unknown.
+    /// Performs the actions that are due at `time`, such as vote requests and lease requests. Returns the
+    /// messages to send. While the grantor is unknown, the random number `draw` selects the voter that
+    /// receives a lease request.
     pub fn advance(&mut self, time: Time, draw: u64) -> Vec<Outgoing> {
         let mut outgoing = Vec::new();
         if let Some(ballot) = self.election.advance(time, &self.settings, self.id.incarnation) {
@@ -154,7 +159,8 @@
         outgoing
     }
 
-    /// Requests the votes of the other voters, and votes for this server itself if its own vote is free.
+    /// Requests the votes of the other voters in a ballot. This server also votes for itself, if its own vote
+    /// is free.
     fn request_votes(&mut self, time: Time, ballot: u64, outgoing: &mut Vec<Outgoing>) {
         for voter in self.settings.voters.iter().filter(|voter| **voter != self.id.name) {
             let message = BudgetMessage::VoteRequest { ballot };
@@ -175,7 +181,7 @@
         self.holder.set_grantor(Some(self.id.name.clone()));
     }
 
-    /// Handles a message about this budget and returns the messages to send in reply to its sender.
+    /// Handles a received message about this budget. Returns the messages to send in reply.
     pub fn receive(&mut self, time: Time, from: &ServerId, message: BudgetMessage) -> Vec<Outgoing> {
         let Some(reply) = self.reply(time, from, message) else { return Vec::new() };
         if *from == self.id {
@@ -267,8 +273,8 @@
         }
     }
 
-    /// Handles a reply that names the grantor instead of granting a lease. If the reply names its own sender,
-    /// the sender is the grantor but does not grant leases yet.
+    /// Handles a reply that names the grantor and grants no lease. A sender that names itself is the grantor
+    /// but does not grant leases yet.
     fn handle_redirect(&mut self, time: Time, grantor: Option<String>) {
         let grantor = grantor.filter(|name| self.settings.is_voter(name));
         if grantor.is_some() {
--- a/crates/shared-state/src/budget/settings.rs
+++ b/crates/shared-state/src/budget/settings.rs
@@ -1,46 +1,49 @@
-//! Settings of one budget and their validation.
+//! Settings of one budget, and the validation of the settings.
 
 use crate::NAME_MAX;
 use crate::clock::Nanos;
 use std::collections::BTreeSet;
 use thiserror::Error;
 
-/// Maximum total of a budget, in units, as an exponent of 2.
+/// Binary logarithm of the maximum total of a budget: the total may be at most 2 to this power, in units.
 const TOTAL_MAX_LOG2: u32 = 40;
 const TOTAL_MAX: u64 = 1 << TOTAL_MAX_LOG2;
 /// Maximum number of servers that share a budget.
 const SERVERS_MAX: u64 = 100_000;
-/// Maximum number of voters of a budget.
+/// Maximum number of voters of a budget. Voters are the servers that elect the grantor.
 const VOTERS_MAX: usize = 9;
 
-/// Settings of one budget. Durations are in nanoseconds. All servers must have the same settings; only
-/// `total` may change in a reload.
+/// Settings of one budget. Durations are in nanoseconds. All servers must have the same settings, and only
+/// `total` may change while a server runs.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct BudgetSettings {
-    /// Name of the budget, 1 to 64 bytes.
+    /// Name of the budget, with a length of 1 to 64 bytes.
     pub name: String,
-    /// Units that the whole fleet may use at the same time.
+    /// Number of units that the whole fleet may use at the same time.
     pub total: u64,
-    /// Guaranteed minimum of each server: the units that the server may use without a lease.
+    /// Guaranteed minimum of each server: the number of units that the server may use without a lease.
     pub floor: u64,
-    /// Maximum number of servers that run at the same time. Floors for this many servers are reserved.
+    /// Maximum number of servers that run at the same time. The floor (guaranteed minimum) is reserved for
+    /// this many servers.
     pub servers_max: u64,
-    /// Names of the servers that elect the grantor; an odd number of distinct names.
+    /// Names of the voters, the servers that elect the grantor. The names must be distinct, and their number
+    /// must be odd.
     pub voters: Vec<String>,
-    /// Duration of a lease. The holder counts it from the time of its lease request.
+    /// Duration of a lease. The holder counts the duration from the time of its lease request.
     pub lease_duration: Nanos,
-    /// Time between two lease requests of a holder.
+    /// Time from one lease request of a holder to its next lease request.
     pub refresh_interval: Nanos,
-    /// Duration of a grantor's term of office, counted from the vote requests that obtained a majority.
+    /// Duration of a grantor's term of office. It is counted from the time of the vote requests that obtained
+    /// a majority.
     pub term_duration: Nanos,
-    /// Safety margin by which a server waits longer for the end of another server's lease or term. The margin
-    /// covers clocks of the two servers that run at different rates.
+    /// Additional time that a server waits for the end of another server's lease, vote or term. The margin is
+    /// needed because the clocks of two servers may run at different rates.
     pub drift_margin: Nanos,
-    /// Maximum time that an acquired unit stays in use; 0 if the budget is in units per second.
+    /// Maximum time that an acquired unit stays in use. The value is 0 if the budget is in units per second.
     pub use_max: Nanos,
 }
 
-/// An invalid setting of a budget.
+/// Reason why a setting of a budget is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum BudgetSettingsError {
     /// The name is empty or too long.
@@ -55,7 +58,7 @@
         /// Configured total, in units.
         total: u64,
     },
-    /// The number of servers is 0 or too large.
+    /// The maximum number of servers is 0 or too large.
     #[error("servers: 1 to {SERVERS_MAX}, not {servers}")]
     Servers {
         /// Configured number of servers.
@@ -71,21 +74,22 @@
         /// Configured total, in units.
         total: u64,
     },
-    /// The number of voters is even or greater than `VOTERS_MAX`, or a voter is named twice. The error text
-    /// lists the valid numbers of voters.
+    /// The number of voters is even or greater than `VOTERS_MAX`, or two voters have the same name. The error
+    /// text lists the valid numbers of voters.
     #[error("voter: 1, 3, 5, 7 or 9 different names, not {}", names.len())]
     Voters {
-        /// Configured names of the voters.
+        /// Names of the voters in the invalid settings.
         names: Vec<String>,
     },
-    /// The lease duration is so short that a duration derived from it is 0.
+    /// The lease duration is too short: a duration derived from it, such as the interval between lease
+    /// requests, is 0.
     #[error("lease-ms: {lease_duration} ns is too short")]
     LeaseTooShort {
         /// Configured lease duration, in nanoseconds.
         lease_duration: Nanos,
     },
-    /// The maximum use time of a unit is too long: the lease duration must be longer by at least three
-    /// intervals between lease requests.
+    /// The maximum use time of a unit is too long for the lease duration. The lease must be longer by at
+    /// least three times the interval between lease requests.
     #[error(
         "use-most-ms: the lease must be longer by three eighths of its duration; {use_max} ns of \
          {lease_duration} ns"
@@ -99,9 +103,9 @@
 }
 
 impl BudgetSettings {
-    /// Creates settings in which the request interval, the term duration and the drift margin are fixed
-    /// proportions of the lease duration. The drift margin is sufficient for clocks whose rates differ by up
-    /// to 2 %.
+    /// Creates settings from a lease duration. The interval between lease requests, the term duration and the
+    /// drift margin are fixed proportions of the lease duration. The drift margin is sufficient for clocks
+    /// whose rates differ by up to 2 %.
     pub fn new(
         name: &str,
         total: u64,
@@ -128,7 +132,8 @@
     /// Checks that each setting is valid.
     ///
     /// # Errors
-    /// Returns the first invalid setting.
+    ///
+    /// Returns an error for the first invalid setting.
     pub fn check(&self) -> Result<(), BudgetSettingsError> {
         if self.name.is_empty() || self.name.len() > NAME_MAX {
             return Err(BudgetSettingsError::Name { length: self.name.len() });
@@ -172,18 +177,18 @@
         self.floor.saturating_mul(self.servers_max)
     }
 
-    /// Returns the number of units that may be leased: the total minus the floors (guaranteed minimums) of
-    /// all servers.
+    /// Returns the number of units that may be leased: the total minus the sum of the floors (guaranteed
+    /// minimums) of all servers.
     pub fn leasable(&self) -> u64 {
         self.total.saturating_sub(self.floors())
     }
 
-    /// Returns the number of votes needed to become the grantor.
+    /// Returns the number of votes that a candidate needs to become the grantor.
     pub(super) fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Returns whether the server with this name is a voter.
+    /// Returns whether the server `name` is one of the voters.
     pub(super) fn is_voter(&self, name: &str) -> bool {
         self.voters.iter().any(|voter| voter == name)
     }
--- a/crates/shared-state/src/clock.rs
+++ b/crates/shared-state/src/clock.rs
@@ -1,59 +1,62 @@
-//! Time for leases that remains safe if one of two clocks stops or jumps.
+//! Measures elapsed time for leases in a way that remains safe if one of two clocks stops or jumps.
 //!
-//! Each reading includes the monotonic clock and the wall clock. The fast clock advances by the larger of
-//! their two advances, and decides when this server must stop using its own lease. The slow clock advances by
-//! the smaller one, and decides when units that other servers may use are free again. A single broken clock
-//! can therefore only end this server's lease too early, or reclaim another server's lease too late, so the
-//! units in use stay within the budget. Two clocks that fail in the same way at the same time are not
-//! covered.
+//! Each reading includes the monotonic clock and the wall clock. The fast clock advances by the larger
+//! advance of the two, and decides when this server must stop using its own lease. The slow clock advances by
+//! the smaller advance, and decides when units that other servers may use are free again.
+//!
+//! A single broken clock can therefore only end this server's lease too early, or reclaim another server's
+//! lease too late. In either case the units in use stay within the budget. Two clocks that fail in the same
+//! way at the same time are not covered.
 
 /// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
 
-/// Difference between the advances of the two clocks from one reading to the next, in nanoseconds, above
-/// which the reading counts as a disagreement.
+/// Difference between the advances of the monotonic clock and the wall clock above which the two clocks
+/// disagree, in nanoseconds. The advances are counted from one reading to the next.
 const DISAGREEMENT_NS: Nanos = 1_000_000_000;
 
 /// One reading of the monotonic clock and the wall clock, taken at the same time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Reading {
-    /// Value of the monotonic clock, in nanoseconds since an arbitrary start.
+    /// Value of the monotonic clock, in nanoseconds since an arbitrary point in time.
     pub monotonic: Nanos,
     /// Value of the wall clock, in nanoseconds since the Unix epoch.
     pub wall: Nanos,
 }
 
-/// Upper and lower bound of the time elapsed since the first reading, in nanoseconds. Only differences
-/// between two values of the same bound are meaningful.
+/// Upper and lower bound of the time elapsed since the first reading of the clocks, in nanoseconds. Two
+/// values of the same bound can be compared; values of different bounds cannot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Time {
-    /// Upper bound of the elapsed time (the fast clock), which decides when this server's own lease ends.
+    /// The fast clock: an upper bound of the elapsed time, in nanoseconds. It decides when this server's own
+    /// lease ends.
     pub fast: Nanos,
-    /// Lower bound of the elapsed time (the slow clock), which decides when other servers' leases and votes
-    /// have ended.
+    /// The slow clock: a lower bound of the elapsed time, in nanoseconds. It decides when the leases and
+    /// votes of other servers have ended.
     pub slow: Nanos,
 }
 
 impl Time {
-    /// Returns the time for two clocks that agree: both bounds are `at`.
+    /// Returns the time `at` for a monotonic clock and a wall clock that agree. Both bounds of the elapsed
+    /// time are then `at`.
     pub fn from_agreeing_clocks(at: Nanos) -> Time {
         Time { fast: at, slow: at }
     }
 }
 
-/// Converts readings of the two clocks into bounds of the elapsed time.
+/// Computes bounds of the elapsed time from readings of the monotonic clock and the wall clock.
 #[derive(Clone, Debug, Default)]
 pub struct DriftClock {
     last: Option<Reading>,
     time: Time,
-    /// Number of readings at which the advances of the two clocks since the previous reading differed by more
-    /// than one second.
+    /// Number of readings at which the monotonic clock and the wall clock disagreed. At such a reading, their
+    /// advances since the previous reading differ by more than one second.
     pub disagreements: u64,
 }
 
 impl DriftClock {
-    /// Returns the bounds of the elapsed time at this reading. A clock that went back since the previous
-    /// reading counts as one that did not advance.
+    /// Returns the bounds of the elapsed time at a reading of the clocks. If a clock went back since the
+    /// previous reading, its advance counts as 0.
     pub fn read(&mut self, reading: Reading) -> Time {
         if let Some(last) = self.last {
             let monotonic = reading.monotonic.saturating_sub(last.monotonic);
--- a/crates/shared-state/src/counters.rs
+++ b/crates/shared-state/src/counters.rs
@@ -1,12 +1,12 @@
-//! Counters of the whole fleet, kept in a state-based CRDT of grow-only counters (G-Counter; Shapiro and
-//! others, 2011).
+//! Counters with totals over the whole fleet, kept in a state-based CRDT of grow-only counters (G-Counter;
+//! Shapiro and others, 2011).
 //!
-//! Each server increments only its own row of counts. Two copies of a row are merged by taking the larger
-//! count of each key, so that the result does not depend on how often, in which order or from which server a
-//! row is received. The total of a key is the sum of its counts over all rows, and is exact once all rows
+//! Each server increments only the counts in its own row. Two copies of a row are merged by taking the larger
+//! count of each key. The result therefore does not depend on how often, in which order or from which server
+//! a row is received. The total of a key is the sum of its counts over all rows, and is exact once all rows
 //! have been received.
 //!
-//! Trust in peers is limited: the counts of a row may grow no faster than [`Limits::rate_max`] since the
+//! Trust in peers is limited. The counts of a row may grow no faster than [`Limits::rate_max`] since the
 //! start of the row's server, the numbers of rows and keys are bounded, and no message can increase the
 //! receiving server's own row.
 
@@ -18,14 +18,15 @@
 use std::ops::Bound;
 use thiserror::Error;
 
-/// Name of a counter, 1 to 64 bytes, such as `succeeded/basic/tenant`.
+/// Name of a counter, such as `succeeded/basic/tenant`. The length is 1 to 64 bytes.
 pub type Key = String;
 
 const SECOND_NS: Nanos = 1_000_000_000;
-/// Tolerance for a peer's wall clock that is ahead of this server's wall clock, in seconds.
+/// Time by which a peer's wall clock may be ahead of this server's wall clock, in seconds. Without this
+/// tolerance, the counts of such a peer could be rejected as too large.
 const CLOCK_AHEAD_S: u64 = 60;
 
-/// Row of counts of one incarnation of a server.
+/// Counts of all keys for one incarnation of a server.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CounterRow {
     /// Count of each key.
@@ -33,12 +34,14 @@
 }
 
 impl CounterRow {
-    /// Returns the version of the row: the sum of its counts, which grows with every increment.
+    /// Returns the version of the row. The version is the sum of the row's counts, so every increment makes
+    /// it larger.
     pub fn version(&self) -> u64 {
         self.counts.values().fold(0, |sum, count| sum.saturating_add(*count))
     }
 
-    /// Merges another copy of the row by taking the larger count of each key. Returns whether any count grew.
+    /// Merges another copy of the same row into this one, taking the larger count of each key. Returns
+    /// whether any count in this copy increased.
     pub fn merge(&mut self, other: &CounterRow) -> bool {
         let mut grew = false;
         for (key, count) in &other.counts {
@@ -62,19 +65,20 @@
     }
 }
 
-/// List of server incarnations, each with its counter row.
+/// List of counter rows, each with the server incarnation to which it belongs.
 pub type Rows = Vec<(ServerId, CounterRow)>;
-/// List of server incarnations, each with the version of its counter row.
+/// List of the versions of counter rows, each with the server incarnation to which the row belongs.
 pub type Versions = Vec<(ServerId, u64)>;
 
-/// Bounds of the counter rows that peers can make a server store.
+/// Limits on the counter rows that a server accepts from its peers.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Maximum number of server incarnations stored.
+    /// Maximum number of stored rows, one for each server incarnation.
     pub rows: usize,
     /// Maximum number of keys in each row.
     pub keys: usize,
-    /// Maximum mean growth of one key per second since the start of the row's server.
+    /// Maximum growth rate of a count, per second. It is the mean rate since the start of the server that
+    /// increments the count.
     pub rate_max: u64,
 }
 
@@ -84,31 +88,32 @@
     }
 }
 
-/// Reason for rejecting a received counter row.
+/// Reason why a received counter row is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RejectedRow {
-    /// The number of rows or of keys in the row exceeds the limits, or a server name or key has an invalid
-    /// length.
+    /// The row would exceed the maximum number of rows or of keys in a row, or its server name or a key has
+    /// an invalid length.
     #[error("row: too many rows or keys, or a name not of 1 to {NAME_MAX} bytes")]
     Full,
-    /// A count is larger than the row's server can have reached since its start.
+    /// A count in the row is too large for the time since the start of the row's server.
     #[error("row: a count is larger than its server can have reached since its start")]
     Implausible,
-    /// The row is for this server's own incarnation and is ahead of this server's counts. Either another
-    /// server has the same name and incarnation, or this server has restarted with its old incarnation and
-    /// lower counts. This server must switch to a later incarnation ([`FleetCounters::renew`]).
+    /// The row belongs to this server's own incarnation, but has larger counts than this server. Either
+    /// another server has the same name and incarnation, or this server has restarted with its old
+    /// incarnation and lower counts. This server must switch to a later incarnation
+    /// ([`FleetCounters::renew`]).
     #[error("row: ahead of this server's own counts")]
     Own,
 }
 
-/// Numbers of received rows that were rejected since the start of the server, by reason.
+/// Number of received rows that were rejected, for each reason. All counts begin at 0 when the server starts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct RejectedRows {
-    /// Rows rejected as [`RejectedRow::Full`].
+    /// Number of rows rejected as [`RejectedRow::Full`].
     pub full: u64,
-    /// Rows rejected as [`RejectedRow::Implausible`].
+    /// Number of rows rejected as [`RejectedRow::Implausible`].
     pub implausible: u64,
-    /// Rows rejected as [`RejectedRow::Own`].
+    /// Number of rows rejected as [`RejectedRow::Own`].
     pub own: u64,
 }
 
@@ -122,45 +127,48 @@
     }
 }
 
-/// Versions of a range of the rows that a server has stored, to be compared with the rows of another server.
+/// Versions of the counter rows in a range of server incarnations. Another server compares the versions with
+/// those of its own rows.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Digest {
-    /// Versions of the rows in the range.
+    /// Server incarnations in the range, each with the version of its row.
     pub versions: Versions,
-    /// First server incarnation after the range; `None` if the range extends to the last row.
+    /// First server incarnation after the range, or `None` if the range extends to the last row.
     pub end: Option<ServerId>,
 }
 
-/// Result of comparing a range of this server's rows with another server's versions.
+/// Result of comparing this server's rows in a range of server incarnations with the versions at another
+/// server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Comparison {
-    /// Rows of which this server has a newer version than the other server.
+    /// Rows for which this server has a newer version than the other server.
     pub newer: Rows,
-    /// This server's versions of the rows in the range.
+    /// Versions of this server's rows in the range.
     pub versions: Versions,
 }
 
-/// One server's copy of the counter rows of the whole fleet.
+/// One server's copy of the fleet's counter rows.
 #[derive(Clone, Debug)]
 pub struct FleetCounters {
-    /// Identity under which this server counts. After [`FleetCounters::renew`], its incarnation is later than
-    /// the start time of the process.
+    /// Name and incarnation of the row that this server increments. After [`FleetCounters::renew`], this
+    /// incarnation is later than the start time of the process.
     id: ServerId,
     rows: BTreeMap<ServerId, CounterRow>,
     limits: Limits,
-    /// Numbers of received rows that were rejected since the start of the server, by reason.
+    /// Number of received rows that were rejected, for each reason. All counts begin at 0 when the server
+    /// starts.
     pub rejected: RejectedRows,
 }
 
 impl FleetCounters {
-    /// Creates the counters of the server `id`, all at 0.
+    /// Creates the counters of the server `id`, with an empty row.
     pub fn new(id: ServerId, limits: Limits) -> FleetCounters {
         let rows = BTreeMap::from([(id.clone(), CounterRow::default())]);
         FleetCounters { id, rows, limits, rejected: RejectedRows::default() }
     }
 
-    /// Adds `count` to a key of this server's row. Returns whether the count was added: a new key is ignored
-    /// if the row already has the maximum number of keys or the length of the key is invalid.
+    /// Adds `count` to a key of this server's row. Returns whether the count was added. A new key is ignored
+    /// if its length is invalid or the row already has the maximum number of keys.
     pub fn add(&mut self, key: &str, count: u64) -> bool {
         let keys_max = self.limits.keys;
         let row = self.rows.get_mut(&self.id).expect("new and renew insert this server's own row");
@@ -175,10 +183,11 @@
         fits
     }
 
-    /// Merges a received row of a server incarnation into the stored one. `wall` is the wall clock, in
-    /// nanoseconds since the Unix epoch. Returns whether any count grew.
+    /// Merges a received row of the server incarnation `server` into the stored row. `wall` is the current
+    /// wall clock time, in nanoseconds since the Unix epoch. Returns whether any stored count increased.
     ///
     /// # Errors
+    ///
     /// Returns the reason if the row is rejected. The rejection is also counted in
     /// [`FleetCounters::rejected`].
     pub fn merge(&mut self, server: &ServerId, row: &CounterRow, wall: Nanos) -> Result<bool, RejectedRow> {
@@ -218,7 +227,8 @@
         Ok(())
     }
 
-    /// Returns the versions of at most `rows_max` rows, beginning with the row at index `start`.
+    /// Returns the versions of a range of the stored rows. The range has at most `rows_max` rows and begins
+    /// with the row at index `start`.
     pub fn digest(&self, start: usize, rows_max: usize) -> Digest {
         let mut rows = self.rows.iter().skip(start);
         let part = rows.by_ref().take(rows_max);
@@ -226,8 +236,8 @@
         Digest { versions, end: rows.next().map(|(server, _)| server.clone()) }
     }
 
-    /// Returns the rows from the incarnation `start` (inclusive) to `end` (exclusive). `None` means that the
-    /// range has no bound on that side.
+    /// Returns the rows of the server incarnations from `start` (inclusive) to `end` (exclusive). If a bound
+    /// is `None`, the range is not limited on that side.
     fn range<'a>(
         &'a self,
         start: &'a Option<ServerId>,
@@ -238,8 +248,8 @@
         rows.take_while(|(server, _)| end.as_ref().is_none_or(|end| *server < end))
     }
 
-    /// Compares this server's rows from the incarnation `start` (inclusive) to `end` (exclusive) with the
-    /// versions of the same rows at another server.
+    /// Compares this server's rows with the versions that another server has. Only the rows of the
+    /// incarnations from `start` (inclusive) to `end` (exclusive) are compared.
     pub fn compare(
         &self,
         start: &Option<ServerId>,
@@ -261,12 +271,12 @@
         Comparison { newer, versions }
     }
 
-    /// Returns the total of a key over the fleet, based on the rows received so far.
+    /// Returns the total of a key over all rows that this server has received so far.
     pub fn total(&self, key: &str) -> u64 {
         self.rows.values().fold(0, |sum, row| sum.saturating_add(row.get(key)))
     }
 
-    /// Returns the totals of all keys, in the order of the keys.
+    /// Returns the totals of all keys over all rows received so far, ordered by key.
     pub fn totals(&self) -> BTreeMap<&str, u64> {
         let mut totals: BTreeMap<&str, u64> = BTreeMap::new();
         for (key, count) in self.rows.values().flat_map(|row| &row.counts) {
@@ -276,13 +286,13 @@
         totals
     }
 
-    /// Returns the number of stored rows, one for each known server incarnation.
+    /// Returns the number of stored rows. There is one row for each known server incarnation.
     pub fn rows(&self) -> usize {
         self.rows.len()
     }
 
-    /// Begins a new row for this server under a later incarnation. The old row remains stored and continues
-    /// to count in the totals.
+    /// Begins a new row for this server, under the later incarnation `incarnation`. The old row is kept and
+    /// still counts in the totals.
     pub fn renew(&mut self, incarnation: u64) {
         self.id.incarnation = incarnation;
         self.rows.entry(self.id.clone()).or_default();
