--- a/crates/hot-restart/src/predecessor.rs
+++ b/crates/hot-restart/src/predecessor.rs
@@ -39,8 +39,8 @@
     Preparing,
     /// The successor is receiving and loading the state.
     Loading,
-    /// The predecessor is frozen and has handed everything over. No process is active until the successor
-    /// confirms and is released.
+    /// The predecessor is frozen and has handed everything over. No process is active until the successor has
+    /// confirmed the handover and is released.
     Switching,
     /// The successor is active on trial. The predecessor keeps everything that it handed over, so that it can
     /// resume.
--- a/crates/shared-state/src/message.rs
+++ b/crates/shared-state/src/message.rs
@@ -1,5 +1,5 @@
-//! Messages between the servers of a fleet. Messages are serialized by position (postcard), so the order of
-//! variants and fields is part of the wire format.
+//! Messages about the shared state between the servers of a fleet. Messages are serialized by position
+//! (postcard), so the order of variants and fields is part of the wire format.
 
 use crate::NAME_MAX;
 use crate::budget::BudgetMessage;
@@ -9,13 +9,14 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Topic of [`Payload::Other`] for orders from a rollout's coordinator to a server.
+/// Topic number in [`Payload::Other`] for orders from a rollout's coordinator to a server.
 pub const ROLLOUT_ORDERS: u16 = 1;
-/// Topic of [`Payload::Other`] for reports from a server to the rollout's coordinator.
+/// Topic number in [`Payload::Other`] for reports from a server to a rollout's coordinator.
 pub const ROLLOUT_REPORTS: u16 = 2;
-/// Topic of [`Payload::Other`] for announcements of the program and configuration that a server runs.
+/// Topic number in [`Payload::Other`] for announcements in which a server names the program and the
+/// configuration that it runs.
 pub const VERSION_ANNOUNCEMENTS: u16 = 3;
-/// Topic of [`Payload::Other`] for messages that replicate the configuration.
+/// Topic number in [`Payload::Other`] for messages that replicate the configuration.
 pub const REPLICATION: u16 = 4;
 
 /// A message together with the identity of its sender.
@@ -34,53 +35,54 @@
     Budget {
         /// Name of the budget.
         name: String,
-        /// Message to the receiving server's part of the budget.
+        /// Message for the receiving server's part of the budget.
         message: BudgetMessage,
     },
-    /// Versions of the sender's counter rows for a range of server incarnations.
+    /// Versions of the sender's counter rows in a range of server incarnations. The receiver replies with the
+    /// rows of which it has a newer version.
     Digest {
-        /// First server incarnation of the range; `None` if the range begins with the first row.
+        /// First server incarnation of the range, or `None` if the range begins with the first row.
         start: Option<ServerId>,
-        /// First server incarnation after the range; `None` if the range extends to the last row.
+        /// First server incarnation after the range, or `None` if the range extends to the last row.
         end: Option<ServerId>,
-        /// Server incarnations in the range, each with the version of its row.
+        /// Server incarnations in the range, each with the version of its counter row.
         versions: Vec<(ServerId, u64)>,
-        /// Whether the receiver should reply with its own digest of the same range.
+        /// Whether the receiver should reply with a digest of its own rows in the range.
         wants_reply: bool,
     },
-    /// Counter rows, each with its server incarnation.
+    /// Counter rows, each with the server incarnation to which it belongs.
     Rows(Vec<(ServerId, CounterRow)>),
-    /// Reports on the health of downstream services.
+    /// Reports of servers on the health of downstream services.
     Reports(Vec<Report>),
-    /// A message between other parts of the program, which this crate only transports. Unknown topics are
-    /// ignored, so that later releases can add topics.
+    /// A message for another part of the program. This crate only transports the message. Messages with an
+    /// unknown topic are ignored, so that later releases can add topics.
     Other {
-        /// Number that identifies the part of the program that handles the message, for example
+        /// Topic number, which identifies the part of the program that handles the message. An example is
         /// [`REPLICATION`].
         topic: u16,
-        /// Message in the encoding of the part of the program that handles it.
+        /// Content of the message, as encoded by the part of the program that handles the topic.
         body: Vec<u8>,
     },
 }
 
-/// Reason for dropping a received message.
+/// Reason why a received message is dropped.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ReceiveError {
-    /// The bytes cannot be decoded as a message.
+    /// The received bytes cannot be decoded as a message.
     #[error("{length} bytes cannot be decoded as a message")]
     Malformed {
-        /// Length of the message body, in bytes.
+        /// Length of the received message body, in bytes.
         length: usize,
         /// Error of the decoder.
         source: postcard::Error,
     },
-    /// The message body has extra bytes after the encoded message.
+    /// The received message body has extra bytes after the encoded message.
     #[error("{count} extra bytes after the message")]
     TrailingBytes {
         /// Number of extra bytes.
         count: usize,
     },
-    /// The sender's name is empty or too long.
+    /// The length of the sender's name is invalid: the name is empty or too long.
     #[error("the sender's name must have 1 to {NAME_MAX} bytes, not {length}")]
     SenderName {
         /// Length of the name, in bytes.
@@ -92,23 +94,23 @@
         /// Name of the budget.
         name: String,
     },
-    /// The queue of received [`Payload::Other`] messages is full.
+    /// The message was dropped because the queue of received [`Payload::Other`] messages is full.
     #[error("message of topic {topic} dropped: {waiting} messages are queued")]
     TooManyWaiting {
         /// Topic of the dropped message.
         topic: u16,
-        /// Number of messages in the queue.
+        /// Number of messages in the full queue.
         waiting: usize,
     },
 }
 
 impl Message {
-    /// Encodes the message for sending.
+    /// Encodes the message as a message body for sending.
     pub(crate) fn encode(&self) -> Vec<u8> {
         postcard::to_allocvec(self).expect("serializing these types to a vector cannot fail")
     }
 
-    /// Decodes a whole message body and validates the sender's name.
+    /// Decodes a message body, which must contain exactly one message, and validates the sender's name.
     pub(crate) fn decode(body: &[u8]) -> Result<Message, ReceiveError> {
         let (message, rest) = postcard::take_from_bytes::<Message>(body)
             .map_err(|source| ReceiveError::Malformed { length: body.len(), source })?;
--- a/crates/shared-state/src/outlier_detection/evidence.rs
+++ b/crates/shared-state/src/outlier_detection/evidence.rs
@@ -1,31 +1,31 @@
-//! Evidence on the health of each service, from one server's own calls: exponentially decaying sums of calls,
-//! failures and durations.
+//! Evidence on the health of each service, from one server's own calls. For each service, the numbers of
+//! calls and failures and the call durations are kept as sums that decay exponentially with time.
 
 use super::report::ServiceHealth;
 use crate::clock::Nanos;
 
-/// Minimum decayed number of calls to a service for a finding on it. A service with fewer calls counts as
-/// healthy.
+/// Minimum number of recent calls to a service for judging its health. Calls count less as they get older. A
+/// service with fewer calls counts as healthy.
 const CALLS_MIN: f64 = 5.0;
-/// Ratio of failed calls to all calls of a service at or above which the service counts as failing.
+/// Minimum ratio of failed calls to all calls at which a service counts as failing.
 const FAILING_SHARE: f64 = 0.5;
-/// Factor above which a duration counts as slow. A service is slow if its mean call duration exceeds the
-/// median of the other services' mean durations by this factor. An abandoned call is slow if its duration
-/// exceeds the mean duration of all calls by this factor.
+/// Factor by which a call duration must exceed the usual duration to count as slow. For a service, its mean
+/// duration is compared with the median of the other services' mean durations. For an abandoned call, its
+/// duration is compared with the mean duration of all calls.
 const SLOW_RATIO: f64 = 4.0;
 
-/// Decayed sums of the calls to one service.
+/// Statistics of the calls to one service, as sums that decay exponentially with time.
 #[derive(Clone, Copy, Debug, Default)]
 struct CallStatistics {
     calls: f64,
     failures: f64,
-    /// Decayed sum of the call durations, in nanoseconds.
+    /// Sum of the call durations, in nanoseconds, decayed exponentially with time.
     duration: f64,
     updated_at: Nanos,
 }
 
 impl CallStatistics {
-    /// Returns the statistics decayed to the time `now`.
+    /// Returns the statistics with their sums decayed up to the time `now`.
     fn decayed(mut self, now: Nanos, half_life: Nanos) -> CallStatistics {
         let remaining = (-(now.saturating_sub(self.updated_at) as f64) / half_life as f64).exp2();
         self.calls *= remaining;
@@ -40,7 +40,8 @@
     }
 }
 
-/// Evidence on the health of all services of a tier. Times are in nanoseconds of the fast clock.
+/// Evidence on the health of all services of a tier, from this server's own calls. Times are in nanoseconds
+/// of the fast clock.
 #[derive(Clone, Debug)]
 pub(super) struct Evidence {
     services: Vec<CallStatistics>,
@@ -66,12 +67,12 @@
         statistics.duration += duration as f64;
     }
 
-    /// Returns whether `duration`, in nanoseconds, is longer than [`SLOW_RATIO`] times the mean duration of
-    /// all calls.
+    /// Returns whether a call that took `duration` nanoseconds is slow compared with the recorded calls to
+    /// all services. The limit is [`SLOW_RATIO`] times their mean duration. Returns false if no service has
+    /// enough calls.
     ///
-    /// [`Evidence::health`] compares the mean duration of one service with the median of the other services.
-    /// This method instead compares one call with the calls to all services, so that a slow call is detected
-    /// even if only one service has enough calls. Returns false if no service has enough calls.
+    /// [`Evidence::health`] instead compares the mean duration of one service with the median of the other
+    /// services. This method also detects a slow call if only one service has enough calls.
     ///
     /// The sums are not decayed to the present: the sums of each service have their values from the time of
     /// its latest recorded call.
@@ -84,8 +85,8 @@
         calls > 0.0 && duration as f64 > total_duration / calls * SLOW_RATIO
     }
 
-    /// Returns the health of a service, based on the recorded calls to all services of the tier. A service
-    /// with fewer than [`CALLS_MIN`] decayed calls counts as healthy.
+    /// Returns the health of a service, based on this server's recorded calls to all services of the tier. A
+    /// service with fewer than [`CALLS_MIN`] recent calls counts as healthy.
     pub fn health(&self, now: Nanos, service: usize) -> ServiceHealth {
         let Some(statistics) = self.services.get(service) else { return ServiceHealth::Healthy };
         let statistics = statistics.decayed(now, self.half_life);
@@ -101,8 +102,8 @@
         ServiceHealth::Healthy
     }
 
-    /// Returns the median of the mean durations of all services other than `service`, in nanoseconds;
-    /// infinity if none of them has enough calls.
+    /// Returns the median of the mean call durations of the other services, in nanoseconds. Only services
+    /// with enough calls are included. Returns infinity if there is no such service.
     fn median_duration_of_others(&self, now: Nanos, service: usize) -> f64 {
         let mut durations = Vec::new();
         for (index, statistics) in self.services.iter().enumerate() {
--- a/crates/shared-state/src/outlier_detection/mod.rs
+++ b/crates/shared-state/src/outlier_detection/mod.rs
@@ -1,11 +1,12 @@
-//! Outlier detection for the services of a tier: detects services that the servers of the fleet find slow or
-//! failing, and ejects them.
+//! Outlier detection for the services of a tier. It detects services that the servers of the fleet find slow
+//! or failing, and ejects these services.
 //!
 //! Each server collects evidence on the services from its own calls and reports its findings to the other
-//! servers; each report expires after some time. A service is ejected once enough servers find it unhealthy
-//! at the same time. A server that receives no reports relies on its own evidence. Invariant: at most the
-//! configured share of a tier is ejected, so that a fault of the callers or of the network does not remove
-//! the whole tier.
+//! servers. Each report expires after some time. A service is ejected once enough servers find it unhealthy
+//! at the same time. A server that receives no reports relies on its own evidence.
+//!
+//! Invariant: at most the configured share of a tier is ejected, so that a fault of the callers or of the
+//! network does not remove the whole tier.
 
 mod evidence;
 pub mod report;
@@ -19,41 +20,43 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// Number of servers that probe an ejected service, as a multiple of the number of accusers required for an
-/// ejection. The multiple exceeds 1 because a prober may be lost or slow.
+/// Number of servers that probe an ejected service, as a multiple of [`Settings::accusers_min`], the number
+/// of servers that must find a service unhealthy. The multiple is greater than 1 because a server that probes
+/// may be lost or slow.
 const PROBERS_PER_ACCUSER: usize = 2;
-/// Maximum number of servers whose reports are stored for each service. Reports of further servers are
-/// rejected.
+/// Maximum number of servers whose reports on a service are stored, on average over the services. Reports of
+/// additional servers are rejected.
 const REPORTERS_MAX: usize = 1024;
 
-/// Index of a service, and name of a server that reports on it.
+/// Key of a stored report: the index of a service, and the name of the server that reports on the service.
 type ReportKey = (u32, String);
 
-/// A report received from another server, with its time of expiry.
+/// Stored report of another server on the health of a service.
 #[derive(Clone, Copy, Debug)]
 struct ReceivedReport {
     incarnation: u64,
     health: ServiceHealth,
-    /// Expiry of the report, by the fast clock.
+    /// Time at which the report expires, by the fast clock.
     expires_at: Nanos,
 }
 
-/// One server's part of outlier detection.
+/// One server's part of the fleet's outlier detection.
 #[derive(Clone, Debug)]
 pub struct OutlierDetector {
     id: ServerId,
     settings: Settings,
     evidence: Evidence,
     reports: BTreeMap<ReportKey, ReceivedReport>,
-    /// Time at which a report of another server was last received, by the fast clock.
+    /// Time at which this server last received a report of another server, by the fast clock.
     received_at: Option<Nanos>,
-    /// Number of received reports dropped because of an unknown service, their age, an invalid server name,
-    /// or the limit on stored reports.
+    /// Number of received reports that were rejected. Causes are an unknown service, an expired report, an
+    /// invalid server name, or the limit on stored reports.
     pub rejected: u64,
 }
 
-/// Returns the rank of a server among the probers of a service: the FNV-1a hash of the service's index and
-/// the server's name. The hash function is fixed so that all servers and all builds compute the same ranks.
+/// Returns a number that determines the order in which servers are selected to probe a service. The number is
+/// the FNV-1a hash of the service's index and the server's name. The hash function is fixed, so all servers
+/// and all builds compute the same order.
 fn prober_rank(service: usize, name: &str) -> u64 {
     const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const FNV_PRIME: u64 = 0x0100_0000_01b3;
@@ -65,7 +68,8 @@
     /// Creates the outlier detector of the server `id`.
     ///
     /// # Errors
-    /// Returns the first invalid setting.
+    ///
+    /// Returns an error for the first invalid setting.
     pub fn new(id: ServerId, settings: Settings) -> Result<OutlierDetector, SettingsError> {
         settings.check()?;
         let evidence = Evidence::new(settings.services.len(), settings.expiry);
@@ -84,28 +88,28 @@
         &self.settings
     }
 
-    /// Records a call of this server to a service that ended after `duration` nanoseconds.
+    /// Records a call from this server to a service. The call ended after `duration` nanoseconds.
     pub fn record_call(&mut self, time: Time, service: usize, succeeded: bool, duration: Nanos) {
         self.evidence.record_call(time.fast, service, succeeded, duration);
     }
 
-    /// Records a call of this server to a service that was abandoned after `duration` nanoseconds. The call
-    /// counts as a failure if a healthy service would have answered within this duration. Without this rule,
-    /// a service that never answers would have no recorded calls.
+    /// Records a call from this server to a service that was abandoned after `duration` nanoseconds. The call
+    /// counts as a failure if a healthy service would have answered within this time. Otherwise the call is
+    /// ignored. Without this rule, a service that never answers would have no recorded calls.
     pub fn record_abandoned_call(&mut self, time: Time, service: usize, duration: Nanos) {
         if self.evidence.is_slow(duration) {
             self.record_call(time, service, false, duration);
         }
     }
 
-    /// Returns the health of a service, based only on this server's own calls.
+    /// Returns the health of a service, as found from this server's own calls alone.
     pub fn local_health(&self, time: Time, service: usize) -> ServiceHealth {
         self.evidence.health(time.fast, service)
     }
 
-    /// Returns the reports to send to other servers. They include this server's own reports on all services;
-    /// reports on healthy services show the receivers that this server is reachable. They also include
-    /// unexpired reports of other servers, for receivers that those servers cannot reach.
+    /// Returns the reports to send to other servers. The first part is this server's own reports on all
+    /// services. A report on a healthy service is sent, too, since it shows that this server is reachable.
+    /// The second part is unexpired reports of other servers, for receivers that those servers cannot reach.
     pub fn reports(&self, time: Time) -> Vec<Report> {
         let own = (0..self.evidence.services()).map(|service| Report {
             by: self.id.clone(),
@@ -128,8 +132,9 @@
         reports
     }
 
-    /// Merges received reports. For each reporting server and service, the report of the server's latest
-    /// incarnation is kept, and among several reports of this incarnation the most recent one.
+    /// Stores received reports. For each service and reporting server, only one report is kept. A report of a
+    /// later incarnation of the reporting server replaces an earlier one; within an incarnation, the most
+    /// recent report is kept.
     pub fn merge_reports(&mut self, time: Time, reports: &[Report]) {
         self.reports.retain(|_, report| time.fast < report.expires_at);
         for report in reports {
@@ -165,13 +170,13 @@
         }
     }
 
-    /// Returns whether this server has received no report of another server for at least
-    /// [`Settings::expiry`].
+    /// Returns whether this server counts as isolated. A server is isolated if it has received no report of
+    /// another server for [`Settings::expiry`] or longer.
     pub fn is_isolated(&self, time: Time) -> bool {
         self.received_at.is_none_or(|at| time.fast >= at + self.settings.expiry)
     }
 
-    /// Returns the number of servers that find a service unhealthy, including this server.
+    /// Returns the number of servers that find a service unhealthy. This server is included if it does.
     pub fn accusers(&self, time: Time, service: usize) -> usize {
         self.other_accusers(time, service).count() + usize::from(self.accuses(time, service))
     }
@@ -180,7 +185,7 @@
         self.local_health(time, service) != ServiceHealth::Healthy
     }
 
-    /// Returns the names of the other servers that find a service unhealthy.
+    /// Returns the names of the other servers whose unexpired reports find a service unhealthy.
     fn other_accusers(&self, time: Time, service: usize) -> impl Iterator<Item = &str> {
         let service = service as u32;
         let reports = self.reports.range((service, String::new())..);
@@ -191,10 +196,10 @@
         accusations.map(|((_, name), _)| name.as_str())
     }
 
-    /// Returns whether this server probes an ejected service on behalf of the fleet. Of the servers that
-    /// accuse the service, only those with the lowest ranks probe it, since probes from a whole fleet would
-    /// overload a service that is warming up. If a prober is lost, the accuser with the next rank replaces it
-    /// once the lost prober's report has expired.
+    /// Returns whether this server must probe an ejected service on behalf of the fleet. Only a few of the
+    /// servers that find the service unhealthy probe it, those with the lowest ranks. Probes from a whole
+    /// fleet would overload a service that is warming up. If a server that probes is lost, its report
+    /// expires, and the server with the next rank replaces it.
     pub fn is_prober(&self, time: Time, service: usize) -> bool {
         let own_rank = prober_rank(service, &self.id.name);
         let others = self.other_accusers(time, service);
@@ -203,9 +208,9 @@
             && ranked_before.count() < PROBERS_PER_ACCUSER * self.settings.accusers_min
     }
 
-    /// Returns the indices of the services that are ejected now, those with the most accusers first. At most
-    /// the configured share of the tier is ejected. An isolated server ejects services on its own evidence
-    /// alone.
+    /// Returns the indices of the services that are ejected now. Services that more servers find unhealthy
+    /// are first. At most the configured share of the tier is ejected. A server that receives no reports
+    /// ejects services on its own evidence alone.
     pub fn ejected(&self, time: Time) -> Vec<usize> {
         let accusers_min = if self.is_isolated(time) { 1 } else { self.settings.accusers_min };
         let mut accused = Vec::new();
--- a/crates/shared-state/src/outlier_detection/settings.rs
+++ b/crates/shared-state/src/outlier_detection/settings.rs
@@ -1,34 +1,34 @@
-//! Settings of outlier detection and their validation.
+//! Settings of outlier detection, and the validation of the settings.
 
 use crate::NAME_MAX;
 use crate::clock::Nanos;
 use crate::server_id::is_valid_name;
 use thiserror::Error;
 
-/// Maximum number of services in a tier.
+/// Maximum number of downstream services in a tier.
 const SERVICES_MAX: usize = 256;
-/// The whole tier, as a share in thousandths.
+/// Number of thousandths in the whole tier. Shares of a tier are given in thousandths.
 const WHOLE_THOUSANDTHS: usize = 1000;
 
 /// Settings of outlier detection in one tier of downstream services.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Distinct names of the tier's services; at most 256.
+    /// Names of the tier's services. The names must be distinct, and there may be at most 256.
     pub services: Vec<String>,
-    /// Number of servers that must find a service unhealthy before it is ejected; at least 1.
+    /// Number of servers that must find a service unhealthy before the service is ejected. The minimum is 1.
     pub accusers_min: usize,
     /// Maximum share of the tier's services that may be ejected at the same time, in thousandths.
     pub max_ejected_thousandths: usize,
-    /// Time after which a received report expires, and also the half-life of this server's own evidence, in
-    /// nanoseconds; greater than 0. Both durations are one setting, so that a report expires as the evidence
-    /// from which it was made decays.
+    /// Time after which a report expires, in nanoseconds, greater than 0. It is also the half-life of this
+    /// server's own evidence. One setting is used for both, so that a report expires while the evidence
+    /// behind the report decays.
     pub expiry: Nanos,
 }
 
-/// An invalid setting of outlier detection.
+/// Reason why a setting of outlier detection is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SettingsError {
-    /// The tier has too many services.
+    /// The tier has more services than the maximum.
     #[error("service: at most {SERVICES_MAX}, not {0}")]
     TooManyServices(usize),
     /// A service is listed twice.
@@ -37,13 +37,14 @@
     /// The name of a service is empty or too long.
     #[error("service: name: 1 to {NAME_MAX} bytes, not {0:?}")]
     ServiceName(String),
-    /// The required number of accusers is 0. The options file has this setting under the name `reports`.
+    /// The number of servers that must find a service unhealthy before it is ejected is 0. The options file
+    /// has this setting under the name `reports`.
     #[error("reports: must be at least 1, not {0}")]
     Reports(usize),
-    /// The maximum ejected share is greater than the whole tier, 1000 thousandths.
+    /// The maximum share of the tier that may be ejected is greater than the whole tier (1000 thousandths).
     #[error("eject-share: must be within 0 and 1, not {0} thousandths")]
     EjectShare(usize),
-    /// The expiry time is 0, so that no report would ever be used.
+    /// The time after which a report expires is 0, so that no report would ever be used.
     #[error("expiry-ms: must be greater than 0, not {0} ns")]
     Expiry(Nanos),
 }
@@ -52,7 +53,8 @@
     /// Checks that each setting is valid.
     ///
     /// # Errors
-    /// Returns the first invalid setting.
+    ///
+    /// Returns an error for the first invalid setting.
     pub fn check(&self) -> Result<(), SettingsError> {
         self.check_services()?;
         if self.accusers_min == 0 {
@@ -82,7 +84,7 @@
         Ok(())
     }
 
-    /// Returns the maximum number of services that may be ejected at the same time.
+    /// Returns the maximum number of the tier's services that may be ejected at the same time.
     pub fn ejected_max(&self) -> usize {
         self.services.len() * self.max_ejected_thousandths / WHOLE_THOUSANDTHS
     }
--- a/crates/shared-state/src/packing.rs
+++ b/crates/shared-state/src/packing.rs
@@ -1,11 +1,11 @@
-//! Splits lists into parts that each fit into one message.
+//! Splits lists of items into parts that each fit into one message.
 
 use crate::counters::CounterRow;
 use crate::server_id::ServerId;
 use serde::Serialize;
 
-/// Splits the items into lists of at most `size_max` encoded bytes each. An item larger than `size_max` is
-/// put into a list of its own.
+/// Splits `items` into lists of at most `size_max` bytes each, counted as encoded. An item that is larger
+/// than `size_max` becomes a list of its own.
 pub(crate) fn pack<T: Clone + Serialize>(items: &[T], size_max: usize) -> Vec<Vec<T>> {
     let mut parts: Vec<Vec<T>> = Vec::new();
     let mut part: Vec<T> = Vec::new();
@@ -25,8 +25,8 @@
     parts
 }
 
-/// Splits a counter row into rows of at most `size_max` encoded bytes each. A receiver merges rows key by
-/// key, so receiving all parts has the same effect as receiving the whole row.
+/// Splits a counter row into several rows of at most `size_max` bytes each, counted as encoded. Receivers
+/// merge rows key by key. Receiving all parts therefore has the same effect as receiving the whole row.
 pub(crate) fn split_row(server: &ServerId, row: &CounterRow, size_max: usize) -> Vec<(ServerId, CounterRow)> {
     let counts: Vec<(&String, &u64)> = row.counts.iter().collect();
     let mut rows = Vec::new();
--- a/crates/shared-state/src/settings.rs
+++ b/crates/shared-state/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the shared state and their validation.
+//! Settings of the shared state, and the validation of the settings.
 
 use crate::budget::{BudgetSettings, BudgetSettingsError};
 use crate::clock::Nanos;
@@ -6,22 +6,22 @@
 use crate::outlier_detection;
 use thiserror::Error;
 
-/// Minimum value of [`Settings::body_max`], the maximum size of a message body, in bytes.
+/// Smallest valid value of [`Settings::body_max`], the maximum size of a message body, in bytes.
 const BODY_MAX_MIN: usize = 512;
 
 /// Settings of one server's shared state.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Settings of the budgets, each with a unique name.
+    /// Settings of each budget. The names of the budgets must be distinct.
     pub budgets: Vec<BudgetSettings>,
-    /// Limits of the fleet's counters.
+    /// Limits on the counter rows that peers can make this server store.
     pub counters: Limits,
-    /// Settings of outlier detection for the tier of downstream services; `None` if outlier detection is
+    /// Settings of outlier detection for the tier of downstream services, or `None` if outlier detection is
     /// disabled.
     pub outlier_detection: Option<outlier_detection::Settings>,
-    /// Mean time between two rounds of gossip, in nanoseconds; greater than 0.
+    /// Mean time from one round of gossip to the next, in nanoseconds. The time must be greater than 0.
     pub gossip_interval: Nanos,
-    /// Maximum size of a message body, in bytes; at least 512.
+    /// Maximum size of a message body, in bytes. The value must be at least 512.
     pub body_max: usize,
 }
 
@@ -33,7 +33,7 @@
     Budget {
         /// Name of the budget.
         name: String,
-        /// Validation error of the budget.
+        /// Reason why the settings of the budget are invalid.
         fault: BudgetSettingsError,
     },
     /// Two budgets have the same name.
@@ -45,13 +45,13 @@
     /// A setting of outlier detection is invalid.
     #[error(transparent)]
     OutlierDetection(#[from] outlier_detection::SettingsError),
-    /// The interval between rounds of gossip is 0.
+    /// The mean time between rounds of gossip is 0.
     #[error("gossip-ms: must be greater than 0, not {interval} ns")]
     GossipInterval {
-        /// Configured interval, in nanoseconds.
+        /// Configured time between rounds of gossip, in nanoseconds.
         interval: Nanos,
     },
-    /// The maximum size of a message body is too small.
+    /// The maximum size of a message body is less than `BODY_MAX_MIN`.
     #[error("the maximum body size must be at least {BODY_MAX_MIN} bytes, not {body_max}")]
     BodyMax {
         /// Configured maximum size of a message body, in bytes.
@@ -63,7 +63,8 @@
     /// Checks that each setting is valid.
     ///
     /// # Errors
-    /// Returns the first invalid setting.
+    ///
+    /// Returns an error for the first invalid setting.
     pub fn check(&self) -> Result<(), SettingsError> {
         for (index, budget) in self.budgets.iter().enumerate() {
             let name = || budget.name.clone();
--- a/crates/shared-state/src/simulation/clocks.rs
+++ b/crates/shared-state/src/simulation/clocks.rs
@@ -1,23 +1,23 @@
-//! Simulated clocks that may run at a wrong rate or jump.
+//! Simulated clocks of a server. The clocks may run at a wrong rate or jump.
 
 use crate::clock::{Nanos, Reading};
 
-/// Rate of a correct clock. Rates are in thousandths of the rate of true time.
+/// Rate of a correct clock, in thousandths of the rate of true time. True time is the time of the simulation.
 const TRUE_RATE: u64 = 1000;
-/// Wall clock time at the start of the simulation, in nanoseconds since the Unix epoch. It is above 0 because
-/// incarnations of servers are wall clock times.
+/// Wall clock time at the start of the simulation, in nanoseconds since the Unix epoch. Incarnations of
+/// servers are wall clock times, so a realistic value above 0 is used.
 pub const EPOCH: Nanos = 1_700_000_000_000_000_000;
-/// Reading of every monotonic clock at the start of the simulation, in nanoseconds.
+/// Value of every monotonic clock at the start of the simulation, in nanoseconds.
 const MONOTONIC_START: Nanos = 5;
 
-/// Rates of the two clocks of one server, and the offset of its wall clock.
+/// Rates of a server's monotonic clock and wall clock, and the offset of its wall clock.
 #[derive(Clone, Copy, Debug)]
 pub struct ClockRates {
-    /// Rate of the monotonic clock, in thousandths of the rate of true time.
+    /// Rate of the monotonic clock, in thousandths of the rate of true time (the time of the simulation).
     pub monotonic_rate: u64,
-    /// Rate of the wall clock, in thousandths of the rate of true time.
+    /// Rate of the wall clock, in thousandths of the rate of true time (the time of the simulation).
     pub wall_rate: u64,
-    /// Offset added to the reading of the wall clock, in nanoseconds.
+    /// Offset that is added to the value of the wall clock, in nanoseconds.
     pub wall_offset: i64,
 }
 
@@ -30,9 +30,10 @@
 /// The two clocks of one server.
 pub(super) struct SimulatedClocks {
     rates: ClockRates,
-    /// True time at which the rates were last set, in nanoseconds since the start of the simulation.
+    /// Time at which the clock rates were last set, in nanoseconds of true time since the start of the
+    /// simulation.
     set_at: Nanos,
-    /// Reading of the clocks at the true time `set_at`, without the offset of the wall clock.
+    /// Values of the clocks at the true time `set_at`. The offset of the wall clock is not included.
     last_reading: Reading,
 }
 
@@ -42,14 +43,14 @@
         SimulatedClocks { rates: ClockRates::default(), set_at: 0, last_reading }
     }
 
-    /// Returns the clocks' reading at the true time `now`.
+    /// Returns the values of the monotonic clock and the wall clock at the true time `now`.
     pub fn read(&self, now: Nanos) -> Reading {
         let reading = self.reading_without_offset(now);
         Reading { wall: reading.wall.saturating_add_signed(self.rates.wall_offset), ..reading }
     }
 
-    /// Sets the rates of the clocks and the offset of the wall clock from the true time `now` on. The new
-    /// offset replaces the previous one. The wall clock is never set below 0.
+    /// Sets the rates of both clocks and the offset of the wall clock. The values apply from the true time
+    /// `now` on. The new offset replaces the previous one. The wall clock is never set below 0.
     pub fn set_rates(&mut self, now: Nanos, rates: ClockRates) {
         let mut reading = self.read(now);
         reading.wall = reading.wall.saturating_add_signed(-self.rates.wall_offset);
--- a/crates/shared-state/src/simulation/mod.rs
+++ b/crates/shared-state/src/simulation/mod.rs
@@ -1,6 +1,6 @@
-//! A fleet of [`SharedState`]s on a simulated network in simulated time, deterministic for a given seed. The
-//! servers call one dependency, which counts the calls in progress at any time. The simulation is used by
-//! tests and produces the figures in `docs/shared-state.md`.
+//! A fleet of [`SharedState`]s on a simulated network in simulated time. The simulation is deterministic for
+//! a given seed. The servers call one dependency (a downstream service), which counts the calls in progress
+//! at any time. Tests use the simulation, and it produces the figures in `docs/shared-state.md`.
 
 mod clocks;
 mod events;
@@ -21,21 +21,22 @@
 use std::collections::{BTreeMap, HashMap};
 
 const MILLISECOND_NS: Nanos = 1_000_000;
-/// Default duration of a call to the dependency, in nanoseconds.
+/// Default duration of a server's call to the dependency, in nanoseconds.
 const CALL_DURATION_NS: Nanos = 50 * MILLISECOND_NS;
-/// Range of the random delay before the first events of a started server, in nanoseconds. Also the interval
-/// at which a server without demand checks for new demand.
+/// Interval at which a server without demand checks for new demand, in nanoseconds. The first events of a
+/// started server also have a random delay of less than this time.
 const IDLE_INTERVAL_NS: Nanos = 50 * MILLISECOND_NS;
-/// Maximum number of servers in a small fleet. The servers of a small fleet advance more often than those of
-/// a large one, and know all members that are alive.
+/// Maximum number of servers in a small fleet. In a small fleet, servers perform their periodic actions more
+/// often than in a large fleet, and each server knows all members that are alive.
 const SMALL_FLEET: usize = 64;
 const SMALL_FLEET_INTERVAL_NS: Nanos = 25 * MILLISECOND_NS;
 const LARGE_FLEET_INTERVAL_NS: Nanos = 100 * MILLISECOND_NS;
-/// Maximum number of randomly drawn members that a server of a large fleet considers alive at a time.
+/// Maximum number of members that a server of a large fleet considers alive at a time. The members are drawn
+/// at random.
 const LARGE_FLEET_MEMBERS: usize = 4;
 
-/// The simulated fleet, its network and the dependency that the servers call. Servers are identified by their
-/// index; server `i` is named `s{i}`.
+/// The simulated fleet, its network, and the dependency (a downstream service) that the servers call. Each
+/// server is identified by its index. Server `i` has the name `s{i}`.
 pub struct Fleet {
     settings: Settings,
     servers: Vec<Server>,
@@ -43,32 +44,33 @@
     partitions: Partitions,
     events: EventQueue,
     random: Random,
-    /// True time since the start of the simulation, in nanoseconds.
+    /// True time (the time of the simulation) since the start, in nanoseconds.
     now: Nanos,
-    /// Faults and delays of the network.
+    /// Faults and delays of the simulated network.
     pub network: NetworkFaults,
-    /// Duration of a call to the dependency, in nanoseconds.
+    /// Duration of a server's call to the dependency, in nanoseconds.
     pub call_duration: Nanos,
-    /// Delay between the permit of a call and its sending, in nanoseconds.
+    /// Time from the permit of a call until the server sends the call, in nanoseconds.
     pub send_delay: Nanos,
-    /// Number of permitted calls that were never sent, because the server was suspended between the permit
-    /// and the write for too long.
+    /// Number of calls that had a permit but were never sent. The server was suspended between the permit and
+    /// the write for so long that the permit was no longer valid.
     pub withheld: u64,
-    /// Number of calls in progress at the dependency.
+    /// Number of calls that are in progress at the dependency now.
     pub in_use: u64,
-    /// Maximum number of calls in progress at the dependency at the same time.
+    /// Maximum number of calls that were in progress at the dependency at the same time.
     pub in_use_max: u64,
-    /// Integral over time of the number of calls in progress, since the last call of [`Fleet::mean_use`].
+    /// Integral over time of the number of calls in progress, in calls times nanoseconds, since the previous
+    /// [`Fleet::mean_use`].
     use_integral: u128,
     calls: u64,
-    /// Number of calls refused because a server's budget did not permit them.
+    /// Number of calls that were refused because the server's budget did not permit them.
     pub refused: u64,
-    /// Number of calls that the dependency received from each server, by the server's index.
+    /// Number of calls that the dependency received from each server. The key is the index of the server.
     pub served: BTreeMap<usize, u64>,
 }
 
 impl Fleet {
-    /// Creates a fleet of `servers` servers, none of which is running.
+    /// Creates a fleet of `servers` servers. None of the servers is running yet.
     pub fn new(servers: usize, settings: Settings, seed: u64, network: NetworkFaults) -> Fleet {
         Fleet {
             settings,
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Returns the true time since the start of the simulation, in nanoseconds.
+    /// Returns the true time (the time of the simulation) since the start, in nanoseconds.
     pub fn now(&self) -> Nanos {
         self.now
     }
@@ -102,7 +104,8 @@
         self.start_with_id(index, ServerId { name: name(index), incarnation });
     }
 
-    /// Starts a server with the given identity, which may be that of an earlier incarnation.
+    /// Starts a server with the given identity. The identity may be that of an earlier incarnation of the
+    /// server.
     pub fn start_with_id(&mut self, index: usize, id: ServerId) {
         let reading = self.servers[index].clocks.read(self.now);
         let seed = self.random.next_u64();
@@ -114,7 +117,8 @@
         self.schedule(first, Event::Arrival { server: index, incarnation });
     }
 
-    /// Kills a server's process. The server's open calls continue at the dependency until they end there.
+    /// Kills a server's process. Calls that the server has sent continue at the dependency until they end
+    /// there.
     pub fn crash(&mut self, index: usize) {
         self.servers[index].state = None;
     }
@@ -124,22 +128,23 @@
         self.servers[index].suspended = suspended;
     }
 
-    /// Sets the rates and the offset of a server's clocks from now on.
+    /// Sets the rates of a server's clocks and the offset of its wall clock, from the current time on.
     pub fn set_clocks(&mut self, index: usize, rates: ClockRates) {
         self.servers[index].clocks.set_rates(self.now, rates);
     }
 
-    /// Sets the rate at which requests that need a call arrive at a server, in calls per second.
+    /// Sets the rate at which a server receives requests, per second. Each request needs one call to the
+    /// dependency.
     pub fn set_demand(&mut self, index: usize, calls_per_second: f64) {
         self.servers[index].demand = calls_per_second;
     }
 
-    /// Assigns a server to a network group. All servers are initially in group 0.
+    /// Assigns a server to a network group. Every server is in group 0 until it is assigned to another group.
     pub fn set_group(&mut self, index: usize, group: u32) {
         self.servers[index].group = group;
     }
 
-    /// Disconnects two network groups from each other.
+    /// Disconnects the servers of two network groups from each other.
     pub fn partition(&mut self, group: u32, other: u32) {
         self.partitions.cut(group, other);
     }
@@ -149,30 +154,30 @@
         self.partitions.heal();
     }
 
-    /// Returns the shared state of a server; `None` if the server is not running.
+    /// Returns the shared state of a server, or `None` if the server is not running.
     pub fn state(&self, index: usize) -> Option<&SharedState> {
         self.servers[index].state.as_ref()
     }
 
-    /// Mutable variant of [`Fleet::state`].
+    /// Returns a mutable reference to the state that [`Fleet::state`] returns.
     pub fn state_mut(&mut self, index: usize) -> Option<&mut SharedState> {
         self.servers[index].state.as_mut()
     }
 
-    /// Schedules the delivery of a message body to a server at the current time, as if a peer had sent it.
+    /// Delivers a message body to a server at the current time, as if a peer had sent the message.
     pub fn inject(&mut self, to: usize, body: Vec<u8>) {
         self.schedule(0, Event::Message { to, body });
     }
 
-    /// Returns the mean number of calls in progress from `since` until now. `since` must be the time of the
-    /// previous call of this method.
+    /// Returns the mean number of calls in progress at the dependency from `since` until now. `since` must be
+    /// the time of the previous call of this method.
     pub fn mean_use(&mut self, since: Nanos) -> f64 {
         let mean = self.use_integral as f64 / (self.now - since).max(1) as f64;
         self.use_integral = 0;
         mean
     }
 
-    /// Runs the simulation up to a point in true time.
+    /// Runs the simulation until the true time `until`, in nanoseconds since the start.
     pub fn run_until(&mut self, until: Nanos) {
         while let Some((at, event)) = self.events.pop(until) {
             self.pass_time(at);
@@ -194,7 +199,7 @@
         self.partitions.are_connected(self.servers[from].group, self.servers[to].group)
     }
 
-    /// Passes the messages that a server has queued for sending to the network.
+    /// Takes the messages that a server has queued for sending, and gives them to the simulated network.
     fn send_outgoing(&mut self, from: usize) {
         let Some(state) = self.servers[from].state.as_mut() else { return };
         for (name, body) in state.take_outgoing() {
@@ -243,8 +248,9 @@
         }
     }
 
-    /// Returns the names of the members that a server considers alive. In a small fleet these are all running
-    /// servers that it can reach, as with an ideal membership; in a large fleet, a few random servers.
+    /// Returns the names of the other servers that a server considers alive. In a small fleet, these are all
+    /// running servers that the server can reach, as with an ideal membership. In a large fleet, these are a
+    /// few randomly drawn servers.
     fn living_members(&mut self, index: usize) -> Vec<String> {
         let mut members = Vec::new();
         if self.servers.len() <= SMALL_FLEET {
@@ -273,7 +279,7 @@
         }
     }
 
-    /// Begins a call of a server to the dependency if the server's budget permits it.
+    /// Begins a call from a server to the dependency, if the server's budget permits the call.
     fn call(&mut self, server: usize, incarnation: u64) {
         let call = self.calls + 1;
         match self.servers[server].try_call(self.now, call) {
@@ -292,8 +298,8 @@
         }
     }
 
-    /// Sends a permitted call to the dependency. A suspended process tries to send the call after it resumes.
-    /// The calls of a process that has ended are dropped.
+    /// Sends a call that has a permit to the dependency. If the server's process is suspended, sending is
+    /// tried again later. If the process has ended, the call is dropped.
     fn send(&mut self, server: usize, incarnation: u64, call: u64) {
         if self.servers[server].incarnation != incarnation {
             return;
--- a/crates/shared-state/src/simulation/network.rs
+++ b/crates/shared-state/src/simulation/network.rs
@@ -1,26 +1,27 @@
-//! Simulated network that loses, duplicates, delays and reorders messages, and that can be partitioned into
-//! groups of servers.
+//! Simulated network. It loses, duplicates, delays and reorders messages, and can be partitioned into groups
+//! of servers.
 
 use super::random::Random;
 use crate::clock::Nanos;
 use std::collections::HashSet;
 
-/// Faults and delays of the network.
+/// Faults and delays of the simulated network.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NetworkFaults {
-    /// Ratio of messages that are lost, 0 to 1.
+    /// Probability that a copy of a message is lost, from 0 to 1.
     pub loss: f64,
-    /// Ratio of messages that are duplicated, 0 to 1.
+    /// Probability that a message is duplicated, from 0 to 1.
     pub duplicate: f64,
     /// Minimum delay of a message, in nanoseconds.
     pub delay: Nanos,
-    /// Upper bound of the random addition to each delay, in nanoseconds; a large value reorders messages.
+    /// Upper bound of the random time that is added to the delay of each message, in nanoseconds. A large
+    /// value reorders messages.
     pub jitter: Nanos,
 }
 
 impl NetworkFaults {
-    /// Returns the delay of each copy of one message that is delivered, in nanoseconds; empty if the message
-    /// is lost.
+    /// Returns the delays, in nanoseconds, with which the copies of one message are delivered. The list is
+    /// empty if the message is lost.
     pub(super) fn delays(&self, random: &mut Random) -> Vec<Nanos> {
         let copies = if random.chance(self.duplicate) { 2 } else { 1 };
         let mut delays = Vec::new();
@@ -33,7 +34,7 @@
     }
 }
 
-/// Pairs of network groups that are disconnected from each other.
+/// Pairs of network groups whose servers are disconnected from each other.
 #[derive(Default)]
 pub(super) struct Partitions {
     cut: HashSet<(u32, u32)>,
--- a/crates/shared-state/src/simulation/server.rs
+++ b/crates/shared-state/src/simulation/server.rs
@@ -1,25 +1,27 @@
-//! One simulated server: its process, clocks and calls to the dependency.
+//! One simulated server: its process, its clocks, and its calls to the dependency (the simulated downstream
+//! service).
 
 use super::clocks::SimulatedClocks;
 use crate::SharedState;
 use crate::clock::Nanos;
 use crate::permits::Permits;
 
-/// Number of waiting calls that a server records with each refused call.
+/// Number of waiting calls that a server reports with each refused call. The simulation itself has no queue
+/// of waiting calls.
 const WAITING_CALLS: u64 = 2;
 
 /// A simulated server. `state` is `None` while the server's process is not running.
 pub(super) struct Server {
     pub state: Option<SharedState>,
-    /// Whether the process is suspended.
+    /// Whether the server's process is suspended.
     pub suspended: bool,
     pub clocks: SimulatedClocks,
     permits: Permits,
-    /// Demand at the server, in calls per second.
+    /// Rate at which the server receives requests, per second. Each request needs one call to the dependency.
     pub demand: f64,
-    /// Network group to which the server belongs.
+    /// Network group of the server. The network can be partitioned between groups.
     pub group: u32,
-    /// Number of times that the process has been started.
+    /// Number of times that the server's process has been started.
     pub incarnation: u64,
 }
 
@@ -36,7 +38,7 @@
         }
     }
 
-    /// Starts the process and returns the number of its incarnation.
+    /// Starts the server's process with the given state. Returns the number of the new incarnation.
     pub fn start(&mut self, state: SharedState) -> u64 {
         self.state = Some(state);
         self.suspended = false;
@@ -45,8 +47,9 @@
         self.incarnation
     }
 
-    /// Handles a received message. Returns false if the process is suspended or not running. A real suspended
-    /// process would handle the message late; here the message is lost, which is the harder case.
+    /// Handles a received message. Returns false if the process is suspended or not running; the message is
+    /// then lost. A real suspended process would handle the message late. Losing the message is the harder
+    /// case for the fleet.
     pub fn receive(&mut self, now: Nanos, body: &[u8]) -> bool {
         let reading = self.clocks.read(now);
         let Some(state) = self.state.as_mut().filter(|_| !self.suspended) else { return false };
@@ -54,8 +57,8 @@
         true
     }
 
-    /// Updates the demand for units and performs the actions that are due. Returns false if the process is
-    /// suspended or not running.
+    /// Updates the server's demand for units and performs the periodic actions that are due. Returns false if
+    /// the process is suspended or not running.
     pub fn advance(&mut self, now: Nanos, alive: &[String]) -> bool {
         let reading = self.clocks.read(now);
         let Some(state) = self.state.as_mut().filter(|_| !self.suspended) else { return false };
@@ -69,8 +72,8 @@
         true
     }
 
-    /// Acquires a permit for a call. Returns whether the budget permits the call; `None` if the process is
-    /// suspended or not running.
+    /// Tries to acquire a permit for a call. Returns whether the budget permits the call, or `None` if the
+    /// process is suspended or not running.
     pub fn try_call(&mut self, now: Nanos, call: u64) -> Option<bool> {
         let reading = self.clocks.read(now);
         let state = self.state.as_mut().filter(|_| !self.suspended)?;
@@ -87,7 +90,8 @@
         Some(allowed)
     }
 
-    /// Returns whether a call that has a permit may be sent now. If it may not, its permit is released.
+    /// Returns whether a call that has a permit may be sent now. If the call may not be sent, its permit is
+    /// released.
     pub fn permit_send(&mut self, now: Nanos, call: u64) -> bool {
         let reading = self.clocks.read(now);
         let Some(state) = self.state.as_mut() else { return false };
@@ -99,8 +103,8 @@
         permitted
     }
 
-    /// Releases the unit of a call that has ended. A call of an earlier incarnation is ignored, since it
-    /// holds no unit of the current incarnation.
+    /// Releases the unit of a call that has ended. A call of an earlier incarnation of the server is ignored,
+    /// since the current incarnation holds no unit for it.
     pub fn end_call(&mut self, incarnation: u64, call: u64) {
         if self.incarnation == incarnation && self.state.is_some() {
             self.permits.release(call, true, 0);
--- a/crates/shared-state/src/state.rs
+++ b/crates/shared-state/src/state.rs
@@ -1,5 +1,5 @@
-//! One server's part of the shared state. It dispatches received messages to the budgets, the counters and
-//! outlier detection, and gossips the counters and health reports.
+//! One server's part of the state that the fleet shares. It passes received messages to the budgets, the
+//! counters and outlier detection. It also sends the counters and health reports to random members by gossip.
 
 use crate::NAME_MAX;
 use crate::budget::{Budget, Outgoing};
@@ -14,73 +14,76 @@
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use serde::Serialize;
 
-/// Maximum number of row versions in one digest. With server names of 64 bytes and 20 bytes of numbers each,
-/// this many versions fit in a message body of 1,400 bytes. The number does not depend on
-/// [`Settings::body_max`]: if that setting is smaller than 1,400 bytes, a digest of servers with long names
-/// may exceed the setting, and the transport drops the message.
+/// Maximum number of row versions in one digest. This many versions fit in a message body of 1,400 bytes,
+/// with server names of 64 bytes and 20 bytes of numbers each. The maximum does not depend on
+/// [`Settings::body_max`]. If that setting is less than 1,400 bytes, a digest of servers with long names may
+/// exceed the setting, and the transport drops the message.
 const DIGEST_ROWS_MAX: usize = 16;
-/// Maximum number of datagrams with counter rows that are sent in reply to one digest.
+/// Maximum number of messages with counter rows that a server sends in reply to one digest. Each message is
+/// one datagram.
 const ROW_DATAGRAMS_MAX: usize = 32;
-/// Number of members to which health reports are sent in each round of gossip.
+/// Number of random members to which a server sends its health reports in each round of gossip.
 const REPORT_FANOUT: usize = 3;
-/// Maximum number of received [`Payload::Other`] messages that are queued for [`SharedState::take_received`].
-/// Further messages are dropped.
+/// Maximum number of received [`Payload::Other`] messages in the queue that [`SharedState::take_received`]
+/// empties. If the queue is full, further messages are dropped.
 const RECEIVED_OTHERS_MAX: usize = 1024;
-/// Upper bound of the total size of a message's fields that are numbers or lengths, in bytes. The list of
-/// items and the names are not included.
+/// Upper bound of the size of a message without its names and its list of items, in bytes. The rest of the
+/// message consists of numbers and lengths.
 const HEADER_BYTES: usize = 64;
-/// Maximum number of names in a message outside its list of items, such as the sender's name.
+/// Maximum number of names in a message, such as the sender's name. Names in the list of items are not
+/// counted.
 const HEADER_NAMES: usize = 4;
 
-/// Counters of messages since the start of the server.
+/// Counters of messages. All counts begin at 0 when the server starts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct MessageCounters {
     /// Messages sent.
     pub sent: u64,
-    /// Total size of the bodies of sent messages, in bytes.
+    /// Total size of the bodies of all sent messages, in bytes.
     pub sent_bytes: u64,
     /// Messages received.
     pub received: u64,
-    /// Received messages that were dropped for any reason in [`ReceiveError`]. Besides undecodable messages,
-    /// these are messages about a budget that this server does not have, and [`Payload::Other`] messages
-    /// received while their queue is full.
+    /// Number of received messages that were dropped, for any reason in [`ReceiveError`]. Not all of them are
+    /// undecodable. The count includes messages about a budget that this server does not have, and
+    /// [`Payload::Other`] messages received while their queue is full.
     pub malformed: u64,
 }
 
-/// A received [`Payload::Other`] message, which another part of the program handles.
+/// A received [`Payload::Other`] message, which is for another part of the program.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedOther {
     /// Server that sent the message.
     pub from: ServerId,
-    /// Number that identifies the part of the program that handles the message.
+    /// Topic number, which identifies the part of the program that handles the message.
     pub topic: u16,
-    /// Message in the encoding of the part of the program that handles it.
+    /// Content of the message, as encoded by the part of the program that handles the topic.
     pub body: Vec<u8>,
 }
 
-/// One server's part of the shared state, as a state machine without I/O. Its inputs are clock readings, the
-/// names of the members that are alive, and received messages; its outputs are messages to send.
+/// One server's part of the state that the fleet shares, as a state machine without I/O. The inputs are clock
+/// readings, the names of the members that are alive, and received messages. The outputs are messages to
+/// send.
 pub struct SharedState {
-    /// Identity of this server in messages, budgets and reports, which never changes. The counter rows may
-    /// use a later incarnation of this server, see [`FleetCounters::renew`].
+    /// Identity of this server in messages, budgets and reports. The identity never changes, but the counter
+    /// rows may use a later incarnation of this server; see [`FleetCounters::renew`].
     id: ServerId,
     settings: Settings,
     clock: DriftClock,
     time: Time,
-    /// Wall clock at the last clock reading, in nanoseconds since the Unix epoch.
+    /// Wall clock time at the latest clock reading, in nanoseconds since the Unix epoch.
     wall: Nanos,
-    /// Budgets, in the order of the settings.
+    /// This server's parts of the budgets, in the order of the settings.
     pub budgets: Vec<Budget>,
     /// Counters of the whole fleet.
     pub counters: FleetCounters,
-    /// Outlier detection for the tier of downstream services, if configured.
+    /// Outlier detection for the tier of downstream services. `None` if outlier detection is disabled.
     pub outlier_detector: Option<OutlierDetector>,
-    /// Time of the next round of gossip, by the fast clock.
+    /// Time at which the next round of gossip is due, by the fast clock.
     next_gossip_at: Nanos,
     rng: ChaCha8Rng,
     outgoing: Vec<(String, Vec<u8>)>,
     received_others: Vec<ReceivedOther>,
-    /// Counters of messages since the start of the server.
+    /// Counters of sent and received messages.
     pub messages: MessageCounters,
 }
 
@@ -88,7 +91,8 @@
     /// Creates the shared state of the server `id`. `seed` determines all random choices.
     ///
     /// # Errors
-    /// Returns the first invalid setting.
+    ///
+    /// Returns an error for the first invalid setting.
     pub fn new(
         id: ServerId,
         settings: Settings,
@@ -129,25 +133,26 @@
         &self.id
     }
 
-    /// Records a reading of the clocks and returns the resulting bounds of the elapsed time.
+    /// Records a reading of the monotonic clock and the wall clock. Returns the bounds of the elapsed time at
+    /// this reading.
     pub fn read_clocks(&mut self, reading: Reading) -> Time {
         self.time = self.clock.read(reading);
         self.wall = reading.wall;
         self.time
     }
 
-    /// Returns the bounds of the elapsed time at the last clock reading.
+    /// Returns the bounds of the elapsed time at the latest clock reading.
     pub fn time(&self) -> Time {
         self.time
     }
 
-    /// Returns the number of readings at which the two clocks disagreed.
+    /// Returns the number of clock readings at which the monotonic clock and the wall clock disagreed.
     pub fn clock_disagreements(&self) -> u64 {
         self.clock.disagreements
     }
 
-    /// Performs all actions that are due, such as lease requests and gossip. `alive` lists the names of the
-    /// other members that are alive according to the membership.
+    /// Performs the actions that are due, such as lease requests and gossip. `alive` contains the names of
+    /// the other members that the membership considers alive.
     pub fn advance(&mut self, reading: Reading, alive: &[String]) {
         let time = self.read_clocks(reading);
         for index in 0..self.budgets.len() {
@@ -163,8 +168,7 @@
         }
     }
 
-    /// Returns the longest time that the caller may wait before it calls [`SharedState::advance`] again, in
-    /// nanoseconds.
+    /// Returns the maximum time until the caller must call [`SharedState::advance`] again, in nanoseconds.
     pub fn due_in(&self) -> Nanos {
         let requests = self.budgets.iter().map(|budget| budget.settings().refresh_interval / 2).min();
         requests.unwrap_or(Nanos::MAX).min(self.settings.gossip_interval / 2).max(1)
@@ -179,8 +183,8 @@
         alive[self.random_below(alive.len() as u64) as usize].clone()
     }
 
-    /// Sends a digest of counter rows to one random member, and the health reports to up to [`REPORT_FANOUT`]
-    /// random members.
+    /// Performs one round of gossip. A digest of counter rows is sent to one random member, and the health
+    /// reports are sent to up to [`REPORT_FANOUT`] random members.
     fn gossip(&mut self, alive: &[String]) {
         if alive.is_empty() {
             return;
@@ -197,13 +201,14 @@
         }
     }
 
-    /// Returns the maximum size of the list of items in a message, in bytes.
+    /// Returns the maximum size of a list of items in one message, in bytes. The rest of the message body is
+    /// reserved for names and numbers.
     fn list_size_max(&self) -> usize {
         self.settings.body_max - HEADER_NAMES * NAME_MAX - HEADER_BYTES
     }
 
-    /// Sends a digest of a randomly chosen part of the counter rows, so that the cost of a round of gossip
-    /// does not grow with the fleet.
+    /// Sends a digest of a part of the counter rows to the member `to`. The part is chosen at random and has
+    /// a bounded size, so that the cost of a round of gossip does not grow with the fleet.
     fn send_digest(&mut self, to: &str) {
         let parts = self.counters.rows().div_ceil(DIGEST_ROWS_MAX) as u64;
         let first_row = self.random_below(parts) as usize * DIGEST_ROWS_MAX;
@@ -228,26 +233,27 @@
         self.outgoing.push((to.to_string(), body));
     }
 
-    /// Queues a [`Payload::Other`] message for sending to the member `to`.
+    /// Queues a [`Payload::Other`] message to the member `to` for sending.
     pub fn send_other(&mut self, to: &str, topic: u16, body: Vec<u8>) {
         self.send(to, Payload::Other { topic, body });
     }
 
-    /// Returns the [`Payload::Other`] messages received since the last call.
+    /// Returns the [`Payload::Other`] messages that were received since the previous call of this method.
     pub fn take_received(&mut self) -> Vec<ReceivedOther> {
         std::mem::take(&mut self.received_others)
     }
 
-    /// Returns the messages queued for sending since the last call, each with the name of the receiving
-    /// member and the message body.
+    /// Returns the messages that were queued for sending since the previous call of this method. Each message
+    /// is a pair of the receiving member's name and the message body.
     pub fn take_outgoing(&mut self) -> Vec<(String, Vec<u8>)> {
         std::mem::take(&mut self.outgoing)
     }
 
-    /// Handles the body of a message from an authenticated peer.
+    /// Handles the body of a message that an authenticated peer has sent.
     ///
     /// # Errors
-    /// Returns the reason if the message was dropped. The message is then also counted in
+    ///
+    /// Returns the reason if the message is dropped. The message is then also counted in
     /// [`MessageCounters::malformed`].
     pub fn receive(&mut self, reading: Reading, body: &[u8]) -> Result<(), ReceiveError> {
         let time = self.read_clocks(reading);
@@ -286,9 +292,9 @@
         Ok(())
     }
 
-    /// Replies to a received digest with the rows that are newer here than at the sender. If the sender
-    /// requests a reply digest, also sends this server's digest of the same range, cut to [`DIGEST_ROWS_MAX`]
-    /// rows.
+    /// Replies to a received digest. The first part of the reply is the counter rows of which this server has
+    /// a newer version than the sender. If the sender requests a digest in return, this server also sends its
+    /// own digest of the same range, cut to [`DIGEST_ROWS_MAX`] rows.
     fn handle_digest(
         &mut self,
         from: &ServerId,
@@ -315,9 +321,9 @@
         }
     }
 
-    /// Merges received counter rows. If a received row of this server itself is ahead of the local counts,
-    /// this server switches to a row of a later incarnation. Without this switch, its new counts would be
-    /// hidden by the larger counts of the old row.
+    /// Merges received counter rows into the stored rows. A received row of this server itself may be ahead
+    /// of the local counts. Then this server begins a new row under a later incarnation. Otherwise its new
+    /// counts would be hidden by the larger counts of the old row.
     fn merge_rows(&mut self, rows: &[(ServerId, CounterRow)]) {
         for (server, row) in rows {
             if self.counters.merge(server, row, self.wall) == Err(RejectedRow::Own) {
--- a/crates/shared-state/tests/counters.rs
+++ b/crates/shared-state/tests/counters.rs
@@ -1,4 +1,5 @@
-//! Tests the algebraic laws of the fleet's counters, and the limits on the counter rows that peers can add.
+//! Tests the fleet's counters: the algebraic laws of merging rows, and the limits on the rows that peers can
+//! add.
 
 use meadowstream_shared_state::ServerId;
 use meadowstream_shared_state::counters::{CounterRow, FleetCounters, Limits, RejectedRow};
--- a/crates/shared-state/tests/fixed_bytes.rs
+++ b/crates/shared-state/tests/fixed_bytes.rs
@@ -1,5 +1,5 @@
-//! Tests that messages are encoded to the same bytes as in release 0.2.0 (commit 22d0bb6), and that the
-//! recorded bytes are decoded to the same messages.
+//! Tests the wire compatibility of messages. Messages must be encoded to the same bytes as in release 0.2.0
+//! (commit 22d0bb6), and the recorded bytes must be decoded to the same messages.
 
 use meadowstream_shared_state::budget::{BudgetMessage, GrantId, Term};
 use meadowstream_shared_state::counters::CounterRow;
--- a/crates/shared-state/tests/fleet.rs
+++ b/crates/shared-state/tests/fleet.rs
@@ -1,6 +1,6 @@
-//! Fault scenarios for the shared state of a fleet in simulated time. The dependency that the servers call
-//! counts the calls in progress, independently of the servers' own counts. Each test is deterministic for its
-//! seed.
+//! Tests the shared state of a simulated fleet under faults. The dependency (the downstream service that the
+//! servers call) counts the calls in progress, independently of the servers' own counts. Each test is
+//! deterministic for its seed.
 
 use meadowstream_shared_state::budget::{BudgetMessage, BudgetSettings, GrantId, Term};
 use meadowstream_shared_state::clock::Nanos;
@@ -30,8 +30,8 @@
     NetworkFaults { delay: MS, jitter: 2 * MS, ..NetworkFaults::default() }
 }
 
-/// Creates a fleet with five running servers, each with ten times as much demand as its share of the budget,
-/// and runs the fleet until the servers hold their first leases.
+/// Creates a fleet with five running servers and runs it until the servers hold their first leases. Each
+/// server has ten times as much demand as its share of the budget.
 fn overloaded_fleet(seed: u64, network: NetworkFaults) -> Fleet {
     let mut fleet = Fleet::new(8, settings(TOTAL, 2, 8), seed, network);
     for i in 0..5 {
@@ -42,16 +42,16 @@
     fleet
 }
 
-/// Asserts that the budget was never exceeded, and that at least `share` of the budget was used on average
-/// since the time `since`.
+/// Asserts that the budget was never exceeded. Also asserts that, since the time `since`, at least the ratio
+/// `share` of the budget was used on average.
 fn assert_budget_used(fleet: &mut Fleet, since: Nanos, share: f64) {
     let mean = fleet.mean_use(since) / TOTAL as f64;
     assert!(fleet.in_use_max <= TOTAL, "{} units in use of {TOTAL}", fleet.in_use_max);
     assert!(mean >= share, "{mean} of the budget used, expected at least {share}");
 }
 
-/// Runs the fleet for `span` nanoseconds and returns the time at which the span began. The mean use is
-/// measured from that time on.
+/// Runs the fleet for `span` nanoseconds and returns the time at which the run began. [`Fleet::mean_use`]
+/// then measures the mean use from that time on.
 fn run_for(fleet: &mut Fleet, span: Nanos) -> Nanos {
     let since = fleet.now();
     fleet.mean_use(since);
@@ -63,7 +63,7 @@
 fn a_connected_fleet_uses_the_budget_and_never_exceeds_it() {
     let mut fleet = overloaded_fleet(1, lan());
     let since = run_for(&mut fleet, 60 * S);
-    // Three of the eight configured servers do not run, so their floors (guaranteed minimums), 6 of the 100
+    // Three of the eight configured servers do not run. Their floors (guaranteed minimums), 6 of the 100
     // units in total, stay unused.
     assert_budget_used(&mut fleet, since, 0.9);
 }
@@ -76,8 +76,8 @@
     (0..2).for_each(|i| fleet.set_group(i, 1));
     fleet.partition(0, 1);
     run_for(&mut fleet, 20 * S);
-    // The three servers on the majority side share the whole budget except for the floors of the other
-    // servers. The two servers on the minority side have only their floors.
+    // The three servers on the majority side share the whole budget without the floors (guaranteed minimums)
+    // of the other servers. The two servers on the minority side have only their floors.
     let since = run_for(&mut fleet, 40 * S);
     assert_budget_used(&mut fleet, since, 0.8);
     let floor = |fleet: &mut Fleet, i: usize| {
@@ -100,8 +100,8 @@
     }
     run_for(&mut fleet, 10 * S);
     let since = run_for(&mut fleet, 5 * S);
-    // Server 4 holds most of the budget. After its crash, the other servers have enough demand to use the
-    // whole budget.
+    // Server 4 now holds most of the budget. After it crashes, the other servers have enough demand to use
+    // the whole budget.
     assert_budget_used(&mut fleet, since, 0.7);
     fleet.crash(4);
     (0..4).for_each(|i| fleet.set_demand(i, 4_000.0));
@@ -110,8 +110,8 @@
     assert_budget_used(&mut fleet, since, 0.85);
 }
 
-/// The grantor crashes. Another server is elected as the grantor, and the budget is used again once every
-/// lease granted by the crashed server has ended.
+/// After the grantor has crashed, another server must be elected as the grantor. The budget is used again
+/// once every lease granted by the crashed server has ended.
 #[test]
 fn a_crashed_grantor_is_replaced() {
     let mut fleet = overloaded_fleet(4, lan());
@@ -122,9 +122,9 @@
     assert_budget_used(&mut fleet, since, 0.85);
 }
 
-/// Calls that were permitted before a process was suspended must not be sent after it resumes, because the
-/// units of its lease may by then belong to another server. Each of seven servers in turn is suspended for
-/// two lease durations, while it has calls that are permitted but not yet sent.
+/// A call that was permitted before a process was suspended must not be sent after the process resumes. The
+/// unit of the call may by then belong to another server. Each of seven servers in turn is suspended for two
+/// lease durations, while it has calls that are permitted but not yet sent.
 #[test_case(7)]
 #[test_case(8)]
 #[test_case(9)]
@@ -163,8 +163,8 @@
         let wall_offset = offset_s * S as i64;
         fleet.set_clocks(broken, ClockRates { monotonic_rate, wall_rate, wall_offset });
         run_for(&mut fleet, 15 * S);
-        // The server with the broken clock is also partitioned off. Its lease must end although its broken
-        // clock does not show that the time has passed.
+        // The server with the broken clock is also partitioned off from the other servers. The server's lease
+        // must end even if its broken clock does not show that time has passed.
         fleet.set_group(broken, 1);
         fleet.partition(0, 1);
         let since = run_for(&mut fleet, 30 * S);
@@ -189,7 +189,7 @@
     assert!(*least as f64 > 0.8 * *most as f64, "uneven shares: {:?}", fleet.served);
 }
 
-/// A process that is suspended for longer than its lease duration must not use the lease after it resumes.
+/// A process that was suspended for longer than its lease duration must not use the lease after it resumes.
 #[test]
 fn a_suspended_holder_resumes_without_its_lease() {
     let mut fleet = overloaded_fleet(7, lan());
@@ -202,8 +202,8 @@
     assert!(fleet.in_use_max <= TOTAL, "{} units in use", fleet.in_use_max);
 }
 
-/// A server that is restarted repeatedly without a delay must not use its floor (its guaranteed minimum) or
-/// its lease twice at the same time.
+/// A server that is restarted again and again without a delay must not use any unit twice at the same time.
+/// This holds for the units of its floor (its guaranteed minimum) and of its lease.
 #[test]
 fn a_repeatedly_restarted_server_uses_no_unit_twice() {
     let mut fleet = overloaded_fleet(8, lan());
@@ -251,9 +251,9 @@
     postcard::to_allocvec(&Message { from, payload }).unwrap()
 }
 
-/// A malicious peer that has the fleet's key sends unsolicited and excessive grants, lease requests with
-/// false adopted grants and huge demands, and rows with huge counts. Each must be rejected and counted, and
-/// the budget must not be exceeded.
+/// A malicious peer that has the fleet's key must not be able to exceed the budget. The peer sends
+/// unsolicited and excessive grants, lease requests with false adopted grants and huge demands, and rows with
+/// huge counts. Each of these must be rejected and counted.
 #[test]
 fn a_malicious_peer_gains_nothing() {
     let mut fleet = overloaded_fleet(10, lan());
@@ -286,8 +286,8 @@
     fleet.inject(4, b"no message at all".to_vec());
     fleet.inject(4, body("", Payload::Rows(Vec::new())));
     let since = run_for(&mut fleet, 20 * S);
-    // The malicious peer's requests get leases up to its fair share, each for one lease duration, so the
-    // other servers use less.
+    // The malicious peer requests leases and gets its fair share, each time for one lease duration. The other
+    // servers therefore use less of the budget.
     assert_budget_used(&mut fleet, since, 0.7);
     let state = fleet.state(4).expect("a running server");
     let counts = state.budgets[0].counters;
@@ -326,8 +326,8 @@
     assert_exact_totals(&fleet, &[0, 1, 2, 3, 4]);
 }
 
-/// A server restarts with its earlier incarnation, but counts from 0 again. Its new counts must not be hidden
-/// by the larger counts of its earlier run that the other servers have stored.
+/// A server restarts under its earlier incarnation, and its counts begin at 0 again. The other servers have
+/// stored the larger counts of the earlier run. These must not hide the server's new counts.
 #[test]
 fn a_restart_with_an_old_incarnation_loses_no_counts() {
     let mut fleet = overloaded_fleet(12, lan());
@@ -349,9 +349,9 @@
     );
 }
 
-/// A thousand servers, all with more demand than their share. Measures the used share of the budget and
-/// asserts that the budget is never exceeded, even if a tenth of the servers crash. The measured figures are
-/// in docs/shared-state.md.
+/// A thousand servers use a budget, and all of them have more demand than their share. The test measures the
+/// used share of the budget and asserts that the budget is never exceeded, even if a tenth of the servers
+/// crash. The figures are in docs/shared-state.md.
 ///
 /// `cargo test -p meadowstream-shared-state --release --test fleet -- --ignored --nocapture` prints the
 /// figures.
@@ -368,8 +368,8 @@
     fleet.run_until(12 * S);
     let since = run_for(&mut fleet, 6 * S);
     let even = fleet.mean_use(since) / total as f64;
-    // A tenth of the servers have five times as much demand as their share of the budget, and the others have
-    // less than half of their share.
+    // A tenth of the servers now have five times as much demand as their share of the budget. The others have
+    // less than half as much demand as their share.
     (0..n).for_each(|i| fleet.set_demand(i, if i % 10 == 0 { 300.0 } else { 20.0 }));
     run_for(&mut fleet, 2 * LEASE);
     let since = run_for(&mut fleet, 6 * S);
@@ -390,9 +390,9 @@
     assert!(even >= 0.9 && uneven >= 0.6 && crashed >= 0.85, "{even} {uneven} {crashed}");
 }
 
-/// Message types of the previous release. This release must be able to decode messages of the previous one.
-/// The previous release cannot decode messages of a type that it does not know: it drops them, counts them as
-/// malformed and continues.
+/// Message types of the previous release, for testing that the two releases can exchange messages. This
+/// release must be able to decode messages of the previous release. The previous release cannot decode
+/// messages of a type that it does not know: it drops them, counts them as malformed and continues.
 mod previous_release {
     use meadowstream_shared_state::ServerId;
     use meadowstream_shared_state::budget::BudgetMessage;
--- a/crates/shared-state/tests/model.rs
+++ b/crates/shared-state/tests/model.rs
@@ -1,7 +1,9 @@
-//! Model check of the lease protocol in a small fleet. The check explores up to two million of the states
-//! that are reached in the fewest steps. Messages are lost, duplicated and reordered, servers are killed and
-//! restarted, and clocks differ by at most one tick. The model runs the real state machines. In no state may
-//! the units that the servers can use sum to more than the budget.
+//! Model check of the lease protocol in a small fleet: in no state may the units that the servers can use sum
+//! to more than the budget.
+//!
+//! Messages are lost, duplicated and reordered, servers are killed and restarted, and clocks differ by at
+//! most one tick. The model runs the real state machines. The check explores up to two million of the states
+//! that are reached in the fewest steps.
 //!
 //! `cargo test -p meadowstream-shared-state --release --test model -- --nocapture` prints the numbers of
 //! states.
@@ -14,14 +16,15 @@
 
 const TOTAL: u64 = 3;
 
-/// Faults that are injected into the protocol on purpose, which the checker must detect.
+/// Faults that are injected into the lease protocol. The checker must detect each of them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     None,
-    /// The drift margin is one tick, half of the two ticks that the difference between the clocks requires.
+    /// The drift margin is too small: one tick. Two ticks are required, because the clocks of two servers may
+    /// differ by that much over a time span.
     HalfMargin,
-    /// A restarted server votes immediately, and a new grantor grants immediately, without waiting for the
-    /// end of earlier votes and leases.
+    /// Servers do not wait for the end of earlier votes and leases. A restarted server votes at once, and a
+    /// new grantor grants leases at once.
     NoWait,
 }
 
@@ -30,17 +33,17 @@
     servers: Vec<Option<Budget>>,
     clocks: Vec<u64>,
     incarnations: Vec<u64>,
-    /// Sent messages as (sender, index of the receiver, content). The messages are a set, so that each can be
-    /// delivered at any later time, more than once or never.
+    /// Sent messages, each as sender, index of the receiver, and content. A message stays in the set after
+    /// delivery, so it can be delivered at any later time, more than once or never.
     sent: BTreeSet<(ServerId, usize, BudgetMessage)>,
-    /// Number of kills so far. States after a restart are explored even if messages delivered before the
-    /// restart can no longer have an effect.
+    /// Number of times that a server has been killed so far, which the search limits. States after a restart
+    /// are explored even if messages delivered before the restart can no longer have an effect.
     kills: u8,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum FleetAction {
-    /// The clock of a server advances by one tick, and the server performs the actions that are due.
+    /// The clock of a server advances by one tick, and the server performs the actions that are then due.
     Tick(usize),
     Deliver(ServerId, usize, BudgetMessage),
     Lose(ServerId, usize, BudgetMessage),
@@ -50,14 +53,14 @@
 
 struct LeaseModel {
     fault: Fault,
-    /// Duration of a lease, in ticks. Clocks differ by at most one tick in either direction, so over any time
-    /// span one clock may advance by two ticks more than the other. These two ticks are the drift margin.
+    /// Duration of a lease, in ticks. The drift margin is two ticks, for the following reason. Clocks differ
+    /// by at most one tick in either direction, so over any time span one clock may advance by two ticks more
+    /// than another.
     lease: u64,
     term: u64,
     servers: usize,
     voters: usize,
-    /// Bounds of the search: number of ticks of each clock, number of messages in transit, and number of
-    /// kills.
+    /// Limits of the search: the maximum number of ticks of each clock, of messages in transit, and of kills.
     ticks: u64,
     in_transit: usize,
     kills: u8,
@@ -74,7 +77,8 @@
         let id = ServerId { name: format!("s{i}"), incarnation };
         let mut time = Time::from_agreeing_clocks(clock + 10);
         if incarnation == 0 || self.fault == Fault::NoWait {
-            // At the first start of the fleet there are no earlier votes or leases to wait for.
+            // When the fleet is started for the first time, there are no earlier votes or leases that a
+            // server must wait for.
             time.slow = 0;
         }
         let mut budget = Budget::new(id, settings, time).expect("valid settings");
@@ -97,7 +101,8 @@
         }
     }
 
-    /// Returns the number of units that all servers together may use now, each by its own clock.
+    /// Returns the total number of units that all servers may use now. For each server, "now" is the time of
+    /// the server's own clock.
     fn usable_units(&self, state: &FleetState) -> u64 {
         let usable = |(i, budget): (usize, &Option<Budget>)| {
             let budget = budget.as_ref()?;
@@ -179,14 +184,14 @@
                 next.servers[i] = Some(self.budget(i, incarnation, clock));
             }
         }
-        // Before the first kill there are no earlier leases, so the wait of a new grantor is skipped. Without
-        // the wait, the search reaches later phases of the protocol.
+        // Before the first kill, there are no leases of an earlier process, so a new grantor need not wait.
+        // Skipping the wait lets the search reach later phases of the protocol.
         if self.fault == Fault::NoWait || next.kills == 0 {
             next.servers.iter_mut().flatten().for_each(Budget::skip_grant_wait);
         }
-        // Counters do not affect the behaviour of a server, but would make otherwise equal states distinct.
-        // The number of sent grants is reduced to 0 or 1, since the checked properties only need to know
-        // whether the server has sent a grant.
+        // Counters are removed from the state, since they do not affect a server's behaviour but would make
+        // otherwise equal states distinct. Only the number of sent grants is kept, reduced to 0 or 1. The
+        // checked properties only need to know whether the server has sent a grant.
         for budget in next.servers.iter_mut().flatten() {
             let grants_sent = budget.counters.grants_sent.min(1);
             budget.counters = BudgetCounters { grants_sent, ..BudgetCounters::default() };
@@ -221,13 +226,13 @@
     }
 }
 
-/// Maximum number of states generated in breadth-first order. A state is counted each time that it is
-/// reached.
+/// Maximum number of states that a search generates, in breadth-first order. A state is counted each time
+/// that it is reached.
 const STATES_MAX: usize = 2_000_000;
 
 fn check(model: LeaseModel, label: &str) -> (usize, Vec<&'static str>) {
-    // A search for an injected fault continues until the fault is detected, for up to four times as many
-    // states.
+    // With an injected fault, the search continues until the fault is detected. It may generate up to four
+    // times as many states.
     let states_max = if model.fault == Fault::None { STATES_MAX } else { 4 * STATES_MAX };
     let stop_condition = HasDiscoveries::AnyOf(std::iter::once(LEASES_WITHIN_BUDGET).collect());
     let started_at = std::time::Instant::now();
@@ -258,8 +263,8 @@
     assert!(found.contains(&"two servers hold leases at once"), "{found:?}");
 }
 
-/// Three voters elect the grantor by majority. The search is limited to the states reached in the fewest
-/// steps.
+/// Model check with three voters, which elect the grantor by majority. The search is limited to the states
+/// that are reached in the fewest steps.
 #[test]
 fn three_voters_exceed_the_budget_in_none_of_the_nearest_states() {
     let model = LeaseModel { servers: 3, voters: 3, in_transit: 4, ticks: 5, ..small(Fault::None) };
--- a/crates/shared-state/tests/outlier_detection.rs
+++ b/crates/shared-state/tests/outlier_detection.rs
@@ -1,5 +1,4 @@
-//! Tests outlier detection: the conditions under which a service is ejected, and the validation of received
-//! reports.
+//! Tests outlier detection: when a service is ejected, and which received reports are rejected.
 
 use meadowstream_shared_state::ServerId;
 use meadowstream_shared_state::clock::Time;
@@ -20,7 +19,7 @@
     (0..n).map(|i| OutlierDetector::new(server(i), settings(services, share)).unwrap()).collect()
 }
 
-/// Records ten calls of one server to a service, each with the given result and duration.
+/// Records ten calls from one server to a service. All ten calls have the given result and duration.
 fn record_calls(detector: &mut OutlierDetector, at: u64, service: usize, succeeded: bool, duration: u64) {
     (0..10).for_each(|_| detector.record_call(Time::from_agreeing_clocks(at), service, succeeded, duration));
 }
@@ -37,12 +36,12 @@
     for to in 1..4 {
         gossip(&mut fleet, 0, to, S / 10);
     }
-    // The accusing server receives reports from another server, which finds every service healthy, so it does
-    // not count as isolated.
+    // Server 0, which finds a service unhealthy, receives reports from server 2. Server 0 therefore does not
+    // count as isolated. Server 2 finds every service healthy.
     gossip(&mut fleet, 2, 0, S / 10);
     assert!(fleet.iter().all(|detector| detector.ejected(Time::from_agreeing_clocks(S / 10)).is_empty()));
     record_calls(&mut fleet[1], 0, 1, false, S);
-    // The report of server 1 is relayed from server to server.
+    // The report of server 1 reaches servers 3 and 0 through other servers.
     gossip(&mut fleet, 1, 2, S / 5);
     gossip(&mut fleet, 2, 3, S / 5);
     gossip(&mut fleet, 3, 0, S / 5);
@@ -50,7 +49,7 @@
         assert_eq!(detector.ejected(Time::from_agreeing_clocks(S / 5)), [1]);
     }
     // Once the reports have expired, the service is no longer ejected. Server 3 then counts as isolated and
-    // relies on its own evidence, in which the service is healthy.
+    // relies on its own evidence. By this evidence, the service is healthy.
     let late = Time::from_agreeing_clocks(12 * S);
     assert!(fleet[3].ejected(late).is_empty() && fleet[3].is_isolated(late));
 }
@@ -66,8 +65,8 @@
     assert_eq!(detector.local_health(Time::from_agreeing_clocks(1), 3), ServiceHealth::Slow);
 }
 
-/// If a network fault makes every server accuse every service, at most the configured share of the tier must
-/// be ejected.
+/// Even if a network fault makes every server find every service unhealthy, at most the configured share of
+/// the tier may be ejected.
 #[test]
 fn at_most_the_configured_share_of_a_tier_is_ejected() {
     for (services, share, ejected) in [(4, 500, 2), (3, 340, 1), (2, 340, 0), (10, 300, 3), (1, 1000, 1)] {
