--- a/crates/fair-queueing/src/accounts.rs
+++ b/crates/fair-queueing/src/accounts.rs
@@ -200,13 +200,13 @@
         (entry.serial == slot.serial).then_some(&mut entry.account)
     }
 
-    /// Inserts an account in a free place or in place of the least recently used account. Returns `None` if
-    /// neither is possible.
+    /// Inserts an account in a free place of the table, or in place of the least recently used account.
+    /// Returns `None` if neither is possible.
     ///
-    /// Two conditions must hold for an eviction. First, the old account's finish is not ahead of
-    /// `virtual_time`, so that no recorded usage is lost. Second, the old account is idle or the new tenant
-    /// is `over_share`. The second condition keeps new tenants from evicting accounts in use, except a tenant
-    /// over its share, whose usage needs exact tracking.
+    /// The least recently used account is evicted only under two conditions. First, its finish must not be
+    /// ahead of `virtual_time`, so that no recorded usage is lost. Second, it must be idle, or the new tenant
+    /// must be `over_share`. Other new tenants cannot evict accounts in use, but a tenant over its share
+    /// needs exact tracking of its usage.
     pub fn insert(
         &mut self,
         fingerprint: Fingerprint,
--- a/crates/fair-queueing/src/fair_rate.rs
+++ b/crates/fair-queueing/src/fair_rate.rs
@@ -86,16 +86,17 @@
         self.sketched_names.add(fingerprint);
     }
 
-    /// Returns the demand of the tenants without an account, as one group. Only the total demand of these
-    /// tenants is known, so each is assumed to have an equal part of it and the average weight.
+    /// Returns the demand of the tenants without an account, as one group. Only their total demand is
+    /// recorded. Each of these tenants is therefore assumed to have an equal part of the total demand, and
+    /// the average weight.
     fn sketched(&self, now: Nanos) -> Demand {
         let tenants = self.sketched_names.estimate();
         let cores = self.sketched_demand.cores(now) / tenants;
         Demand { cores, weight: self.sketched_weight, tenants }
     }
 
-    /// Recomputes the fair rate. Its inputs are `capacity` (the capacity to allocate, in cores), `demands`,
-    /// and the recorded demand of tenants without an account.
+    /// Recomputes the fair rate from three inputs: `capacity` (the capacity to allocate, in cores),
+    /// `demands`, and the recorded demand of tenants without an account.
     pub fn update(&mut self, now: Nanos, capacity: f64, demands: impl Iterator<Item = Demand>) {
         let capacity = capacity.max(f64::MIN_POSITIVE);
         let rate = Self::progressive_filling(capacity, demands.chain([self.sketched(now)]));
--- a/crates/fair-queueing/src/finish_sketch.rs
+++ b/crates/fair-queueing/src/finish_sketch.rs
@@ -55,7 +55,7 @@
         Self::rounded(cells) * size_of::<u32>()
     }
 
-    /// Returns the memory in use, in bytes.
+    /// Returns the memory that the sketch uses now, in bytes.
     pub fn bytes(&self) -> usize {
         self.cells.capacity() * size_of::<u32>()
     }
--- a/crates/fair-queueing/src/hyperloglog.rs
+++ b/crates/fair-queueing/src/hyperloglog.rs
@@ -5,9 +5,8 @@
 use crate::Nanos;
 use crate::tenant::Fingerprint;
 
-/// Upper limit of the range in which linear counting replaces the raw HyperLogLog estimate, as a multiple of
-/// the number of registers. Linear counting derives the estimate from the number of empty registers and is
-/// more accurate for small counts.
+/// Largest raw estimate that is replaced by linear counting, as a multiple of the number of registers. Linear
+/// counting derives the estimate from the number of empty registers, which is more accurate for small counts.
 const LINEAR_COUNTING_MAX: f64 = 2.5;
 
 /// A HyperLogLog estimator with `N` one-byte registers.
--- a/crates/fair-queueing/src/known_names.rs
+++ b/crates/fair-queueing/src/known_names.rs
@@ -92,7 +92,7 @@
         Self::sets(names) * size_of::<[NameRecord; WAYS]>()
     }
 
-    /// Returns the memory in use, in bytes.
+    /// Returns the memory that the table uses now, in bytes.
     pub fn bytes(&self) -> usize {
         self.sets.capacity() * size_of::<[NameRecord; WAYS]>()
     }
--- a/crates/fair-queueing/src/memory.rs
+++ b/crates/fair-queueing/src/memory.rs
@@ -8,8 +8,8 @@
 
 /// Number of buckets that a hash map has for every 7 entries of its capacity.
 const BUCKETS_PER_7_ENTRIES: usize = 8;
-/// Bytes added to the memory estimate of a hash map. They cover the control bytes after the last bucket, and
-/// the rounding up of small maps.
+/// Bytes added to the memory estimate of a hash map. These bytes cover the control bytes after the last
+/// bucket, and the rounding up of small maps.
 const FIXED_BYTES: usize = 64;
 /// Factor by which the capacity of a full hash map grows when an entry is added.
 const GROWTH: usize = 2;
--- a/crates/fair-queueing/src/origins.rs
+++ b/crates/fair-queueing/src/origins.rs
@@ -20,8 +20,8 @@
 /// Length of the time window for counting the distinct names of an origin, as a multiple of
 /// [`Settings::probation`](crate::settings::Settings::probation).
 const WINDOW_PROBATIONS: u64 = 8;
-/// One of this many names triggers a new estimate of its origin's number of names when it arrives. Computing
-/// an estimate reads all registers, so arrivals with other names use the latest estimate.
+/// Only about one in this many names causes a new estimate of its origin's number of names. Arrivals with
+/// other names use the latest estimate, since a new estimate must read all registers.
 const NAMES_PER_ESTIMATE: u64 = 16;
 /// Number of registers of the HyperLogLog estimator that counts the distinct names of an origin.
 const NAME_REGISTERS: usize = 64;
--- a/crates/fair-queueing/src/scheduler.rs
+++ b/crates/fair-queueing/src/scheduler.rs
@@ -11,8 +11,8 @@
 use crate::tenant::{Fingerprint, FingerprintKey, TenantKey};
 use crate::usage::{LocatedArrival, RateSnapshot, Usage, UsageLocation};
 
-/// Maximum shortfall of virtual time with which a promise is honoured, as a ratio of the advance predicted
-/// for the wait. The shortfall is how far virtual time, at the retry, is behind the start of the reservation.
+/// Limit for honouring a promise when virtual time advances more slowly than predicted. The distance from
+/// virtual time to the start of the reservation may be at most this ratio of the predicted advance.
 const SHORTFALL_MAX_RATIO: f64 = 0.5;
 /// Minimum work of an arrival, in nanoseconds of one core.
 const WORK_MIN: f64 = 1.0;
@@ -71,8 +71,8 @@
     rate: FairRate,
     usage: Usage,
     promises: Promises,
-    /// Maximum of [`FairScheduler::allowance`] at any fair rate, in nanoseconds of one core per unit of
-    /// weight. A tenant of weight 1 may have at most this much work admitted ahead of virtual time.
+    /// Maximum work that a tenant of weight 1 may have admitted ahead of virtual time, in nanoseconds of one
+    /// core. This limits the result of [`FairScheduler::allowance`] at any fair rate.
     allowance_max: f64,
     served: ServiceClock,
     /// Counters of scheduling events. Each counter starts at 0 when the scheduler is created.
@@ -186,7 +186,8 @@
         if let Some(tails) = self.usage.tails_mut(admission.location) {
             tails.within = tails.within.max(start_tag) + admission.queued_span;
         }
-        // If the tenant is recorded in the sketch, its work was already charged when the promise was issued.
+        // For a tenant in the sketch, the work of the arrival was already charged when the promise was
+        // issued.
         if admission.location != UsageLocation::Sketch {
             let start = self.share_start(&admission);
             self.charge(&admission, start, promise.work);
@@ -194,8 +195,8 @@
         admission
     }
 
-    /// Returns the allowance: how far a tenant's finish may be ahead of virtual time while the tenant counts
-    /// as within its share. The unit is nanoseconds of one core per unit of weight.
+    /// Returns how far a tenant's finish (the virtual time up to which it has used its share) may be ahead of
+    /// virtual time while the tenant counts as within its share. The unit is that of virtual time.
     fn allowance(&self) -> f64 {
         (self.rate.cores() * self.settings.burst as f64).min(self.allowance_max)
     }
@@ -217,9 +218,8 @@
         self.usage.set_finish(admission.location, admission.tenant, finish, self.rate.virtual_time());
     }
 
-    /// Assigns the start tag of an arrival. The tag is the tail of its tenant's queue or the highest start
-    /// tag served so far, whichever is higher. `ahead` is the distance of the tenant's finish ahead of
-    /// virtual time.
+    /// Assigns the start tag of an arrival: the tail of its tenant's queue or the highest start tag served so
+    /// far, whichever is higher. `ahead` is the distance of the tenant's finish ahead of virtual time.
     fn enqueue(&mut self, admission: &mut Admission, ahead: f64) {
         let served = self.served.tag(admission.surplus);
         let Some(tails) = self.usage.tails_mut(admission.location) else {
--- a/crates/fair-queueing/src/timer_wheel.rs
+++ b/crates/fair-queueing/src/timer_wheel.rs
@@ -33,8 +33,8 @@
         Self { slots: vec![Vec::new(); SLOTS], tick, current_tick: now / tick }
     }
 
-    /// Returns the maximum memory of a wheel with this many timers, in bytes. Each timer is counted twice,
-    /// since the vector of a slot may have grown to twice the capacity that it needs.
+    /// Returns the maximum memory of a wheel with the given number of timers, in bytes. Each timer is counted
+    /// twice, since the vector of a slot may have grown to twice the capacity that it needs.
     pub fn bytes_max(timers: usize) -> usize {
         let minimum_capacity = 4 * SLOTS;
         SLOTS * size_of::<Vec<Timer>>() + 2 * (timers + minimum_capacity) * size_of::<Timer>()
--- a/crates/fair-queueing/tests/promises.rs
+++ b/crates/fair-queueing/tests/promises.rs
@@ -250,8 +250,8 @@
 
     /// A new arrival waits for a bounded amount of work of each other tenant, even if that tenant has many
     /// queued arrivals. The bound for a tenant is the work of its longest invocation, divided by its weight.
-    /// All arrivals have equal work here, so at most 1 plus the tenant's weight of its arrivals are served
-    /// first.
+    /// All arrivals have equal work here, so at most `weight + 1` arrivals of a tenant with that weight are
+    /// served first.
     #[test]
     fn an_arrival_waits_behind_at_most_one_of_each_other_tenant(
         queues in prop::collection::vec((1u32..10, 1u64..60), 2..12),
--- a/crates/hot-restart/src/frames.rs
+++ b/crates/hot-restart/src/frames.rs
@@ -87,10 +87,11 @@
     Confirmed,
     /// The predecessor makes the successor active.
     Release,
-    /// The successor announces an answer before it sends the answer to the caller. Announcements are sent
-    /// only during the trial (the period in which the predecessor can still resume).
+    /// The successor announces an answer before it sends the answer to the caller. Announcements are sent as
+    /// long as the predecessor can still resume.
     Announce(AnnouncedAnswer),
-    /// The successor reports that the trial (the period in which the predecessor can still resume) has ended.
+    /// The successor reports the end of the trial, a period in which it is active and the predecessor can
+    /// resume.
     TrialOver,
     /// The predecessor reports that it has retired and can no longer resume.
     Retired,
--- a/crates/hot-restart/tests/model.rs
+++ b/crates/hot-restart/tests/model.rs
@@ -341,8 +341,8 @@
             Property::always("some process stays active", |model: &HotRestart, system: &SystemState| {
                 let mut steps = Vec::new();
                 model.actions(system, &mut steps);
-                // Consider states in which only kills and requests can still happen. Then a living process
-                // must be active, unless the predecessor has retired.
+                // If only kills and requests can still happen, a process that is alive must be active. The
+                // only exception is that the predecessor has retired.
                 let is_external = |step: &Step| {
                     matches!(
                         step,
--- a/crates/shared-state/src/budget/counters.rs
+++ b/crates/shared-state/src/budget/counters.rs
@@ -5,26 +5,27 @@
 /// Numbers of events in one server's part of a budget. All counts begin at 0 when the server starts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize)]
 pub struct BudgetCounters {
-    /// Received grants that were dropped because they answer no known lease request of this incarnation of
-    /// the server.
+    /// Number of received grants that were dropped because they answer no known lease request of this
+    /// incarnation of the server.
     pub unsolicited: u64,
-    /// Received grants that were dropped because they exceed the units that may be leased, or because the
-    /// sender is not a voter.
+    /// Number of received grants that were dropped because they exceed the units that may be leased, or
+    /// because the sender is not a voter.
     pub excessive: u64,
-    /// Received grants that were dropped for one of two reasons. Either the grant had already ended, or this
-    /// server still held a lease that the grant could not replace. Only a later grant of the same term can
-    /// replace a held lease.
+    /// Number of received grants that were dropped for one of two reasons. Either the grant had already
+    /// ended, or this server still held a lease that the grant could not replace. Only a later grant of the
+    /// same term can replace a held lease.
     pub stale: u64,
-    /// Received lease requests in which the holder reports that it uses a grant that this grantor never sent.
+    /// Number of received lease requests in which the holder reports that it uses a grant that this grantor
+    /// never sent.
     pub unknown_grants: u64,
-    /// Invalid messages received. Examples are vote requests and votes from servers that are not voters, and
-    /// lease requests for more units than may be leased. Lease requests from new holders also count while the
-    /// table of holders is full.
+    /// Number of invalid messages received. Examples are vote requests and votes from servers that are not
+    /// voters, and lease requests for more units than may be leased. Lease requests from new holders also
+    /// count while the table of holders is full.
     pub invalid: u64,
-    /// Elections that this server won, each of which made it the grantor.
+    /// Number of elections that this server won. Each of them made this server the grantor.
     pub elections_won: u64,
     /// Grants sent.
     pub grants_sent: u64,
-    /// Received grants that this server adopted as its current lease.
+    /// Number of received grants that this server adopted as its current lease.
     pub grants_adopted: u64,
 }
--- a/crates/shared-state/src/budget/election.rs
+++ b/crates/shared-state/src/budget/election.rs
@@ -1,4 +1,4 @@
-//! Election of the grantor, the server that grants leases, by the voters.
+//! The voters elect the grantor, the server that grants leases.
 //!
 //! Invariant: at most one server is the grantor at a time. A voter that has voted for a server votes for no
 //! other server until the term duration plus the drift margin has passed by the voter's slow clock
--- a/crates/shared-state/src/budget/fair_share.rs
+++ b/crates/shared-state/src/budget/fair_share.rs
@@ -1,4 +1,4 @@
-//! Max-min fair division among servers of the units of a budget that may be leased.
+//! Divides the units of a budget that may be leased among the servers. The division is max-min fair.
 
 /// Demand of one server for units. Demands are ordered by `wanted` and then by `held`. [`fair_share`]
 /// allocates units to the demands in this order.
@@ -15,8 +15,8 @@
 /// remaining units.
 ///
 /// Units that cannot be divided equally go to the servers that hold most. Among servers that hold equally
-/// many, they go to those with the higher index. For example, if two servers want a single unit and one of
-/// them holds it, that server keeps it.
+/// many, these units go to those with the higher index. For example, if two servers want a single unit and
+/// one of them holds it, that server keeps it.
 pub(super) fn fair_share(capacity: u64, demands: &[Demand], index: usize) -> u64 {
     let mut order: Vec<usize> = (0..demands.len()).collect();
     order.sort_by_key(|i| (demands[*i], *i));
--- a/crates/shared-state/src/budget/grantor.rs
+++ b/crates/shared-state/src/budget/grantor.rs
@@ -1,10 +1,9 @@
 //! The grantor's table of leases. The grantor is the server that grants the leases of a budget.
 //!
 //! Invariant: the holders together can use at most the leasable units. For each holder, the largest grant
-//! that may still be active is counted. A grant may be active until one of two events. The first is that its
-//! holder reports that it has adopted a later grant and uses no more units than the later grant has. The
-//! second is that the lease duration plus the drift margin has passed by the grantor's slow clock
-//! ([`Time::slow`]).
+//! that may still be active is counted. A grant ends when its holder reports that it has adopted a later
+//! grant and uses no more units than the later grant has. At the latest, a grant ends when the lease duration
+//! plus the drift margin has passed by the grantor's slow clock ([`Time::slow`]).
 
 use super::counters::BudgetCounters;
 use super::fair_share::{Demand, fair_share};
--- a/crates/shared-state/src/budget/message.rs
+++ b/crates/shared-state/src/budget/message.rs
@@ -55,8 +55,8 @@
         /// Identifier of the grant that the sender has adopted as its current lease.
         adopted: GrantId,
     },
-    /// Grants a lease, in reply to a [`BudgetMessage::LeaseRequest`]. The lease is counted from the time at
-    /// which the request was sent.
+    /// Grants a lease, in reply to a [`BudgetMessage::LeaseRequest`]. The lease duration is counted from the
+    /// time at which the request was sent.
     LeaseGrant {
         /// Incarnation of the server that requested the lease.
         incarnation: u64,
--- a/crates/shared-state/src/budget/mod.rs
+++ b/crates/shared-state/src/budget/mod.rs
@@ -62,7 +62,7 @@
         })
     }
 
-    /// Returns the settings of the budget. The total in the settings is the current one.
+    /// Returns the settings of the budget, including its current total.
     pub fn settings(&self) -> &BudgetSettings {
         &self.settings
     }
--- a/crates/shared-state/src/counters.rs
+++ b/crates/shared-state/src/counters.rs
@@ -77,7 +77,7 @@
     pub rows: usize,
     /// Maximum number of keys in each row.
     pub keys: usize,
-    /// Maximum growth rate of a count, per second. It is the mean rate since the start of the server that
+    /// Maximum growth rate of a count, per second. The rate is the mean since the start of the server that
     /// increments the count.
     pub rate_max: u64,
 }
--- a/crates/shared-state/src/outlier_detection/evidence.rs
+++ b/crates/shared-state/src/outlier_detection/evidence.rs
@@ -68,8 +68,8 @@
     }
 
     /// Returns whether a call that took `duration` nanoseconds is slow compared with the recorded calls to
-    /// all services. The limit is [`SLOW_RATIO`] times their mean duration. Returns false if no service has
-    /// enough calls.
+    /// all services. The limit is [`SLOW_RATIO`] times the mean duration of these calls. Returns false if no
+    /// service has enough calls.
     ///
     /// [`Evidence::health`] instead compares the mean duration of one service with the median of the other
     /// services. This method also detects a slow call if only one service has enough calls.
--- a/crates/shared-state/src/outlier_detection/mod.rs
+++ b/crates/shared-state/src/outlier_detection/mod.rs
@@ -24,8 +24,8 @@
 /// of servers that must find a service unhealthy. The multiple is greater than 1 because a server that probes
 /// may be lost or slow.
 const PROBERS_PER_ACCUSER: usize = 2;
-/// Maximum number of servers whose reports on a service are stored, on average over the services. Reports of
-/// additional servers are rejected.
+/// Maximum number of stored reports, as a multiple of the number of services. Each report is from one server
+/// on one service. If the maximum is reached, reports of additional servers are rejected.
 const REPORTERS_MAX: usize = 1024;
 
 /// Key of a stored report: the index of a service, and the name of the server that reports on the service.
@@ -176,7 +176,8 @@
         self.received_at.is_none_or(|at| time.fast >= at + self.settings.expiry)
     }
 
-    /// Returns the number of servers that find a service unhealthy. This server is included if it does.
+    /// Returns the number of servers that find a service unhealthy. This server is included if it finds the
+    /// service unhealthy.
     pub fn accusers(&self, time: Time, service: usize) -> usize {
         self.other_accusers(time, service).count() + usize::from(self.accuses(time, service))
     }
--- a/crates/shared-state/src/permits.rs
+++ b/crates/shared-state/src/permits.rs
@@ -40,7 +40,7 @@
     abandoned_until: VecDeque<Nanos>,
     /// Number of calls that were waiting for a unit when a call was last refused.
     waiting: TimestampedUnits,
-    /// Maximum number of units in use at the same time, over recent time.
+    /// Largest number of units that were in use at any recent time.
     peak: TimestampedUnits,
     /// Number of calls that were refused a unit since the server started.
     pub refused: u64,
@@ -99,10 +99,11 @@
 
     /// Returns the number of units that this server should request from the grantor.
     ///
-    /// Without a refusal within the last `recent` nanoseconds, this is the maximum number in use within that
-    /// time, which leaves the other units to other servers. After a refusal, the number of waiting calls is
-    /// added to the units in use now. The larger of this sum and the maximum is then increased by a quarter
-    /// plus one unit, so that a server with growing load need not request each additional unit separately.
+    /// If no call was refused within the last `recent` nanoseconds, the result is the largest number of units
+    /// in use within that time. The other units are then left to other servers. After a refusal, the number
+    /// of waiting calls is added to the units in use now. The larger of this sum and the recent maximum is
+    /// then increased by a quarter plus one unit, so that a server with growing load need not request each
+    /// additional unit separately.
     pub fn demand(&mut self, time: Time, recent: Nanos) -> u64 {
         let in_use = self.in_use(time);
         if self.peak.is_older_than(recent, time) {
