--- a/crates/fair-queueing/src/accounts.rs
+++ b/crates/fair-queueing/src/accounts.rs
@@ -1,9 +1,9 @@
 //! Table of tenants' accounts (usage records) with a maximum size. The accounts that may be evicted are in a
 //! list ordered by last use (LRU list).
 //!
-//! Invariant: eviction loses no recorded usage. Each account has a finish, the virtual time up to which the
-//! tenant has used its share. An account is evicted only if its finish is at or before the current virtual
-//! time.
+//! Each account has a finish, the virtual time up to which the tenant has used its share. Invariant:
+//! [`Accounts::insert`] evicts an account only if its finish is not ahead of the current virtual time. The
+//! eviction then loses no recorded usage. [`Accounts::pin`] does not check the finish.
 
 use crate::Nanos;
 use crate::account::Account;
@@ -95,8 +95,8 @@
 
     /// Marks a tenant as named, so that its account is never evicted. An existing account of the tenant keeps
     /// its recorded usage and gets the weight of `account`. If the tenant has no account, `account` is
-    /// inserted. A place in the table is always available for this, since the settings allow at most half as
-    /// many named tenants as accounts.
+    /// inserted. In a full table, it replaces the least recently used account. The settings allow at most
+    /// half as many named tenants as accounts, so an account that can be replaced always exists.
     pub fn pin(&mut self, fingerprint: Fingerprint, mut account: Account) {
         account.named = true;
         if let Some(index) = self.indices.get(&fingerprint).copied() {
--- a/crates/fair-queueing/src/known_names.rs
+++ b/crates/fair-queueing/src/known_names.rs
@@ -21,7 +21,8 @@
 const VISITS_MAX: u16 = 15;
 /// Number of bits of [`NameRecord::last_visit_and_count`] that hold the visit count.
 const VISITS_BITS: u16 = 4;
-/// Mask for the time of the last visit, which has 12 bits. It shares a 16-bit field with the visit count.
+/// Mask for the 12 bits that store the time of the last visit. The other 4 bits of the 16-bit field store the
+/// visit count.
 const STEP_MASK: u16 = 0xfff;
 /// Time after the last visit from which any name may be evicted, in nanoseconds. Until then, a name with at
 /// least [`KnownNames::kept_visits`] visits is kept.
@@ -56,8 +57,8 @@
     }
 }
 
-/// Earlier visits of a name (arrivals with the name), not counting the current one. All values are 0 if the
-/// name was not in the table.
+/// Earlier visits of a name (arrivals with the name), without the current visit. All values are 0 if the name
+/// was not in the table, or if its last visit was more than 300 s ago.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NameHistory {
     /// Number of earlier visits of the name, at most 15.
@@ -114,8 +115,8 @@
         NameHistory::default()
     }
 
-    /// Stores `new` in place of the record with the fewest visits. Among records with equally few visits, the
-    /// one with the longest time since its last visit is replaced.
+    /// Stores `new` in place of the record with the fewest visits. Visits above `kept_visits` do not count in
+    /// the comparison. Among records with equal counts, the least recently visited record is replaced.
     ///
     /// A record with at least `kept_visits` visits is replaced only after [`UNUSED_MAX_NS`] without a visit.
     /// If no record of the set may be replaced, `new` is not stored.
--- a/crates/fair-queueing/src/promises.rs
+++ b/crates/fair-queueing/src/promises.rs
@@ -12,12 +12,12 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::HashMap;
 
-/// Maximum random extension of a promised wait, as a ratio of the wait. Without the extension, arrivals that
-/// were rejected at the same time would all retry at the same time.
+/// Maximum random extension of a promised wait, as a ratio of the wait. Short waits have a larger maximum
+/// ([`SPREAD_MIN_RATIO`]). Without the extension, arrivals that were rejected at the same time would all
+/// retry at the same time.
 const SPREAD_RATIO: f64 = 0.25;
-/// Minimum size of the range from which the random extension of a wait is drawn, as a ratio of the longest
-/// wait that may be promised. For a short wait, a range proportional to the wait would be too small to spread
-/// out the retries.
+/// Lower bound of the maximum random extension, as a ratio of the longest wait that may be promised. For a
+/// short wait, an extension proportional to the wait would be too small to spread out the retries.
 const SPREAD_MIN_RATIO: f64 = 0.02;
 /// Promised waits are rounded up to a multiple of this unit, in nanoseconds.
 const RESOLUTION_NS: Nanos = 1_000_000;
@@ -33,9 +33,8 @@
     pub tenant: Fingerprint,
     /// Estimated work of the rejected arrival, in nanoseconds of one core.
     pub work: f64,
-    /// Start tag of the rejected arrival, which determines its place in the fair order. The retry gets the
-    /// same tag, unless a higher tag has been served by then. In that case the retry gets the highest tag
-    /// served.
+    /// Start tag for the retry, which determines its place in the fair order. The tag is fixed when the
+    /// promise is made. The retry gets this tag or the highest tag served by then, whichever is higher.
     pub start_tag: f64,
     /// Start of the reservation: the virtual time from which the tenant's share is reserved for the retry.
     pub booked_start: f64,
--- a/crates/fair-queueing/src/scheduler.rs
+++ b/crates/fair-queueing/src/scheduler.rs
@@ -11,8 +11,8 @@
 use crate::tenant::{Fingerprint, FingerprintKey, TenantKey};
 use crate::usage::{LocatedArrival, RateSnapshot, Usage, UsageLocation};
 
-/// Limit for honouring a promise when virtual time advances more slowly than predicted. The distance from
-/// virtual time to the start of the reservation may be at most this ratio of the predicted advance.
+/// Maximum shortfall for which a promise is honoured, as a ratio of the predicted advance of virtual time.
+/// The shortfall is how far virtual time is behind the start of the promise's reservation at the retry.
 const SHORTFALL_MAX_RATIO: f64 = 0.5;
 /// Minimum work of an arrival, in nanoseconds of one core.
 const WORK_MIN: f64 = 1.0;
@@ -94,7 +94,7 @@
             counters: SchedulerCounters::default(),
             settings,
         };
-        // The settings' list of named tenants is needed only here, where their accounts are created. It is
+        // Creates the accounts of the named tenants. The list of named tenants is needed only here, so it is
         // removed from the stored settings.
         for (name, weight) in std::mem::take(&mut scheduler.settings.named).iter() {
             scheduler.pin(name, *weight, 0.0, now);
@@ -172,8 +172,8 @@
         admission
     }
 
-    /// Admits a retry that redeems a promise. The retry gets the start tag of the earlier attempt that was
-    /// rejected. It therefore precedes arrivals of its tenant that came after the earlier attempt.
+    /// Admits a retry that redeems a promise. The retry gets the start tag that was fixed with the promise,
+    /// and therefore precedes arrivals of its tenant that arrived after the rejected attempt.
     fn admit_as_promised(&mut self, mut admission: Admission, promise: &Promise) -> Admission {
         self.counters.within += 1;
         self.usage.count(admission.location, false);
@@ -283,10 +283,10 @@
     /// the retry. The wait lasts until the tenant's share has capacity, but at least `wait_min` nanoseconds.
     /// No promise is issued if the wait would be too long or too many promises are active.
     ///
-    /// Promises to one tenant are spaced at its fair rate, so a caller that asks repeatedly gets later and
-    /// later times. A tenant with an account, or an origin's newcomers, are charged only when a promise is
-    /// redeemed. A tenant in the sketch is charged when the promise is issued, with no refund if the promise
-    /// lapses.
+    /// Promises to one tenant are spaced at its fair rate, so repeated requests get later and later times. A
+    /// tenant with an account, or an origin's newcomers, are charged only when a promise is redeemed, so a
+    /// lapsed promise costs them nothing. A tenant in the sketch is charged when the promise is issued, with
+    /// no refund if the promise lapses.
     pub fn promise(&mut self, now: Nanos, admission: &Admission, wait_min: Nanos) -> RetryAdvice {
         let now = self.advance(now);
         let (virtual_time, cores) = (self.rate.virtual_time(), self.rate.cores());
--- a/crates/fair-queueing/src/usage.rs
+++ b/crates/fair-queueing/src/usage.rs
@@ -25,12 +25,12 @@
     /// found.
     #[default]
     Untracked,
-    /// In the tenant's own account.
+    /// The usage is in the tenant's own account.
     Account(Slot),
     /// The usage is in the record that all newcomers of the tenant's origin share. The value is the index of
     /// the origin in the table of origins.
     Newcomers(usize),
-    /// The usage is in the sketch, an array of hashed cells that all tenants without an account share.
+    /// The usage is in the sketch, an array of hashed cells for established tenants without an account.
     Sketch,
 }
 
@@ -251,8 +251,8 @@
         self.accounts.demands(now).chain(self.origins.demands(now, newcomers_weight))
     }
 
-    /// Runs the periodic maintenance of the sketch. Its cells hold virtual times that wrap around, and a cell
-    /// that is never updated would become invalid.
+    /// Runs the periodic maintenance of the sketch. The cells of the sketch hold virtual times that wrap
+    /// around. Without maintenance, an outdated cell would appear to be ahead of virtual time again.
     pub fn sweep(&mut self, virtual_time: f64) {
         self.sketch.sweep(virtual_time);
     }
