--- a/crates/hot-restart/src/frames.rs
+++ b/crates/hot-restart/src/frames.rs
@@ -52,7 +52,8 @@
         /// Protocol version that the successor selects from the offered versions.
         version: u16,
     },
-    /// The successor abandons the upgrade. The successor may send this message in place of any other message.
+    /// The successor abandons the upgrade. Before the release, the successor may send this message in place
+    /// of any other message.
     Refuse {
         /// Reason for the refusal.
         reason: String,
--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -46,9 +46,9 @@
         /// Protocol version that the successor chose.
         version: u16,
     },
-    /// The successor refused the upgrade. Possible causes are the successor's configuration, the state that
-    /// it received, a message that it did not expect, or a step that the predecessor did not complete in
-    /// time.
+    /// The successor refused the upgrade. Possible causes are the offered protocol versions, the successor's
+    /// configuration, the received state, an invalid or unexpected message, or a step that the predecessor
+    /// did not complete in time.
     #[error("the successor refused: {reason}")]
     Refused {
         /// Reason for the refusal, as sent by the successor.
--- a/crates/hot-restart/src/predecessor.rs
+++ b/crates/hot-restart/src/predecessor.rs
@@ -14,10 +14,10 @@
     /// Duration of the trial, in which the successor is active and the predecessor can still resume. The
     /// predecessor waits twice this time for the end of the trial.
     pub trial: Nanos,
-    /// Delay between the first failed upgrade attempt and the next attempt. Each further failure doubles the
-    /// delay.
+    /// Time after the first failed upgrade attempt before the next attempt may start. Each further failure
+    /// doubles this time.
     pub backoff: Nanos,
-    /// Maximum delay between a failed upgrade attempt and the next attempt.
+    /// Maximum time after a failed upgrade attempt before the next attempt may start.
     pub backoff_max: Nanos,
 }
 
--- a/crates/hot-restart/src/successor.rs
+++ b/crates/hot-restart/src/successor.rs
@@ -144,8 +144,8 @@
     }
 
     /// Returns the frame that announces an answer. The caller must send this frame to the predecessor before
-    /// it sends the answer. Returns `None` if no announcement is needed, since the successor is not active or
-    /// the predecessor can no longer resume.
+    /// it sends the answer. Returns `None` if the successor is not active or the predecessor can no longer
+    /// resume; in these cases no announcement is needed.
     pub fn announce(&self, answer: AnnouncedAnswer) -> Option<Frame> {
         matches!(self.phase, Phase::Trial | Phase::TrialOver).then_some(Frame::Announce(answer))
     }
@@ -246,8 +246,8 @@
         }
     }
 
-    /// Handles a successful check of the configuration. The successor confirms it to the predecessor and then
-    /// waits for the parts of the state. If there are no parts, the state is loaded at once.
+    /// Handles a successful check of the configuration. The successor reports the success to the predecessor
+    /// and then waits for the parts of the state. If there are no parts, the state is loaded at once.
     fn handle_configuration_accepted(&mut self, now: Nanos) -> Vec<Action> {
         let mut actions = vec![Action::Send(Frame::Prepared)];
         if self.parts == 0 {
