--- a/crates/shared-state/src/budget/counters.rs
+++ b/crates/shared-state/src/budget/counters.rs
@@ -22,9 +22,9 @@
     /// voters, and lease requests for more units than may be leased. Lease requests from new holders also
     /// count while the table of holders is full.
     pub invalid: u64,
-    /// Number of elections that this server won. Each of them made this server the grantor.
+    /// Number of times that this server was elected as the grantor.
     pub elections_won: u64,
-    /// Grants sent.
+    /// Number of grants that this server sent as the grantor.
     pub grants_sent: u64,
     /// Number of received grants that this server adopted as its current lease.
     pub grants_adopted: u64,
--- a/crates/shared-state/src/budget/election.rs
+++ b/crates/shared-state/src/budget/election.rs
@@ -58,7 +58,8 @@
         self.ballots.back().map_or(0, |ballot| ballot.requested_at)
     }
 
-    /// Returns whether a candidate was not elected in time, or a grantor's term of office has ended.
+    /// Returns whether the grantor's term of office or the candidacy has ended. A candidacy ends if the
+    /// candidate is not elected within half a term duration after its vote requests.
     fn is_over(&self, time: Time, settings: &BudgetSettings) -> bool {
         match self.elected_until {
             Some(until) => time.fast >= until,
@@ -77,7 +78,8 @@
 /// Result of counting a vote that this server received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum VoteCount {
-    /// The vote has no effect: it completes no majority, or the majority does not extend the term of office.
+    /// The vote has no effect. For example, it completes no majority, or the majority does not extend the
+    /// term of office.
     Unchanged,
     /// The vote completes a majority, and the candidate has become the grantor.
     Elected,
--- a/crates/shared-state/src/budget/fair_share.rs
+++ b/crates/shared-state/src/budget/fair_share.rs
@@ -1,4 +1,4 @@
-//! Divides the units of a budget that may be leased among the servers. The division is max-min fair.
+//! Divides the leasable units of a budget among the servers. The division is max-min fair.
 
 /// Demand of one server for units. Demands are ordered by `wanted` and then by `held`. [`fair_share`]
 /// allocates units to the demands in this order.
--- a/crates/shared-state/src/budget/mod.rs
+++ b/crates/shared-state/src/budget/mod.rs
@@ -1,7 +1,7 @@
 //! A budget limits the number of units that the whole fleet uses at the same time, or per second. The units
 //! are divided among the servers.
 //!
-//! Each server may use its floor, a guaranteed minimum number of units, at any time. To use more units, a
+//! Each server may use its floor, a guaranteed minimum number of units, without a lease. To use more units, a
 //! server needs a lease. It must stop using the leased units when the lease ends by its own clock.
 //!
 //! - [`settings`]: total, floors, voters and durations.
@@ -93,8 +93,8 @@
     }
 
     /// Returns whether this server may acquire one more unit while it uses `in_use` units. Units of the floor
-    /// (the server's guaranteed minimum) are always available. A unit of the lease may be acquired only if
-    /// the lease lasts longer than the maximum use of a unit ([`BudgetSettings::use_max`]).
+    /// (the server's guaranteed minimum) need no lease. A unit of the lease may be acquired only if the
+    /// remaining time of the lease is longer than the maximum use of a unit ([`BudgetSettings::use_max`]).
     pub fn may_acquire(&self, time: Time, in_use: u64) -> bool {
         let allowance = self.allowance(time);
         let leased = if allowance.remaining > self.settings.use_max { allowance.leased } else { 0 };
--- a/crates/shared-state/src/outlier_detection/evidence.rs
+++ b/crates/shared-state/src/outlier_detection/evidence.rs
@@ -72,7 +72,7 @@
     /// service has enough calls.
     ///
     /// [`Evidence::health`] instead compares the mean duration of one service with the median of the other
-    /// services. This method also detects a slow call if only one service has enough calls.
+    /// services. Unlike `health`, `is_slow` also works if only one service has enough calls.
     ///
     /// The sums are not decayed to the present: the sums of each service have their values from the time of
     /// its latest recorded call.
--- a/crates/shared-state/src/outlier_detection/mod.rs
+++ b/crates/shared-state/src/outlier_detection/mod.rs
@@ -197,8 +197,8 @@
         accusations.map(|((_, name), _)| name.as_str())
     }
 
-    /// Returns whether this server must probe an ejected service on behalf of the fleet. Only a few of the
-    /// servers that find the service unhealthy probe it, those with the lowest ranks. Probes from a whole
+    /// Returns whether this server must probe an ejected service on behalf of the fleet. Of the servers that
+    /// find the service unhealthy, only the few with the lowest ranks probe the service. Probes from a whole
     /// fleet would overload a service that is warming up. If a server that probes is lost, its report
     /// expires, and the server with the next rank replaces it.
     pub fn is_prober(&self, time: Time, service: usize) -> bool {
--- a/crates/shared-state/src/outlier_detection/settings.rs
+++ b/crates/shared-state/src/outlier_detection/settings.rs
@@ -19,9 +19,8 @@
     pub accusers_min: usize,
     /// Maximum share of the tier's services that may be ejected at the same time, in thousandths.
     pub max_ejected_thousandths: usize,
-    /// Time after which a report expires, in nanoseconds, greater than 0. It is also the half-life of this
-    /// server's own evidence. One setting is used for both, so that a report expires while the evidence
-    /// behind the report decays.
+    /// Time after which a report expires, in nanoseconds, greater than 0. The setting is also the half-life
+    /// of this server's own evidence, so that a report expires while the evidence behind the report decays.
     pub expiry: Nanos,
 }
 
--- a/crates/shared-state/src/permits.rs
+++ b/crates/shared-state/src/permits.rs
@@ -1,6 +1,6 @@
 //! Tracks the units of a budget that one server's calls use. Each call holds one unit until the call has
-//! ended. An abandoned call may continue at the service, so its unit stays in use for the longest time that
-//! this can take.
+//! ended. An abandoned call may continue at the service. Its unit therefore stays in use until the call must
+//! have ended at the service.
 
 use crate::clock::{Nanos, Time};
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/shared-state/src/state.rs
+++ b/crates/shared-state/src/state.rs
@@ -1,5 +1,5 @@
-//! One server's part of the state that the fleet shares. It passes received messages to the budgets, the
-//! counters and outlier detection. It also sends the counters and health reports to random members by gossip.
+//! One server's part of the state that the fleet shares. Received messages are passed to the budgets, the
+//! counters and outlier detection. Counters and health reports are sent to random members by gossip.
 
 use crate::NAME_MAX;
 use crate::budget::{Budget, Outgoing};
@@ -168,7 +168,8 @@
         }
     }
 
-    /// Returns the maximum time until the caller must call [`SharedState::advance`] again, in nanoseconds.
+    /// Returns the longest time that the caller may wait before it calls [`SharedState::advance`] again, in
+    /// nanoseconds.
     pub fn due_in(&self) -> Nanos {
         let requests = self.budgets.iter().map(|budget| budget.settings().refresh_interval / 2).min();
         requests.unwrap_or(Nanos::MAX).min(self.settings.gossip_interval / 2).max(1)
@@ -321,9 +322,9 @@
         }
     }
 
-    /// Merges received counter rows into the stored rows. A received row of this server itself may be ahead
-    /// of the local counts. Then this server begins a new row under a later incarnation. Otherwise its new
-    /// counts would be hidden by the larger counts of the old row.
+    /// Merges received counter rows into the stored rows. If a received row of this server itself is ahead of
+    /// the local counts, this server begins a new row under a later incarnation. Otherwise the larger counts
+    /// of the old row would hide the server's new counts.
     fn merge_rows(&mut self, rows: &[(ServerId, CounterRow)]) {
         for (server, row) in rows {
             if self.counters.merge(server, row, self.wall) == Err(RejectedRow::Own) {
--- a/crates/shared-state/tests/fleet.rs
+++ b/crates/shared-state/tests/fleet.rs
@@ -42,8 +42,8 @@
     fleet
 }
 
-/// Asserts that the budget was never exceeded. Also asserts that, since the time `since`, at least the ratio
-/// `share` of the budget was used on average.
+/// Asserts that the budget was never exceeded. Also asserts that on average at least the ratio `share` of the
+/// budget was used since the time `since`.
 fn assert_budget_used(fleet: &mut Fleet, since: Nanos, share: f64) {
     let mean = fleet.mean_use(since) / TOTAL as f64;
     assert!(fleet.in_use_max <= TOTAL, "{} units in use of {TOTAL}", fleet.in_use_max);
@@ -76,8 +76,8 @@
     (0..2).for_each(|i| fleet.set_group(i, 1));
     fleet.partition(0, 1);
     run_for(&mut fleet, 20 * S);
-    // The three servers on the majority side share the whole budget without the floors (guaranteed minimums)
-    // of the other servers. The two servers on the minority side have only their floors.
+    // The three servers on the majority side share the budget minus the floors (guaranteed minimums) of the
+    // other servers. The two servers on the minority side have only their floors.
     let since = run_for(&mut fleet, 40 * S);
     assert_budget_used(&mut fleet, since, 0.8);
     let floor = |fleet: &mut Fleet, i: usize| {
@@ -327,7 +327,7 @@
 }
 
 /// A server restarts under its earlier incarnation, and its counts begin at 0 again. The other servers have
-/// stored the larger counts of the earlier run. These must not hide the server's new counts.
+/// stored the larger counts of the earlier run. The larger counts must not hide the server's new counts.
 #[test]
 fn a_restart_with_an_old_incarnation_loses_no_counts() {
     let mut fleet = overloaded_fleet(12, lan());
--- a/crates/shared-state/tests/model.rs
+++ b/crates/shared-state/tests/model.rs
@@ -20,8 +20,8 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     None,
-    /// The drift margin is too small: one tick. Two ticks are required, because the clocks of two servers may
-    /// differ by that much over a time span.
+    /// The drift margin is one tick instead of the required two ticks. Over a time span, the clock of one
+    /// server may advance by two ticks more than the clock of another server.
     HalfMargin,
     /// Servers do not wait for the end of earlier votes and leases. A restarted server votes at once, and a
     /// new grantor grants leases at once.
@@ -36,8 +36,8 @@
     /// Sent messages, each as sender, index of the receiver, and content. A message stays in the set after
     /// delivery, so it can be delivered at any later time, more than once or never.
     sent: BTreeSet<(ServerId, usize, BudgetMessage)>,
-    /// Number of times that a server has been killed so far, which the search limits. States after a restart
-    /// are explored even if messages delivered before the restart can no longer have an effect.
+    /// Number of times that a server has been killed so far, at most [`LeaseModel::kills`]. States after a
+    /// restart are explored even if messages delivered before the restart can no longer have an effect.
     kills: u8,
 }
 
@@ -77,8 +77,8 @@
         let id = ServerId { name: format!("s{i}"), incarnation };
         let mut time = Time::from_agreeing_clocks(clock + 10);
         if incarnation == 0 || self.fault == Fault::NoWait {
-            // When the fleet is started for the first time, there are no earlier votes or leases that a
-            // server must wait for.
+            // At the first start of the fleet, there are no earlier votes or leases. With a start time of 0,
+            // the server's waits for the end of earlier votes and leases are already over.
             time.slow = 0;
         }
         let mut budget = Budget::new(id, settings, time).expect("valid settings");
