--- a/crates/fair-queueing/src/counters.rs
+++ b/crates/fair-queueing/src/counters.rs
@@ -7,8 +7,8 @@
     pub within: u64,
     /// Number of arrivals that were beyond their tenant's share.
     pub surplus: u64,
-    /// Number of arrivals whose tenant name was still new to this server: it had too few earlier arrivals, or
-    /// the first of them was too recent.
+    /// Number of arrivals whose tenant name was still new to this server. A name is new until enough arrivals
+    /// have had the name and enough time has passed since the first arrival.
     pub newcomers: u64,
     /// Number of arrivals whose usage was recorded in the sketch (an approximate record in fixed memory). The
     /// sketch is used for a known tenant name if no account is available.
--- a/crates/fair-queueing/src/fair_rate.rs
+++ b/crates/fair-queueing/src/fair_rate.rs
@@ -11,11 +11,11 @@
 use crate::tenant::Fingerprint;
 
 /// Factor by which virtual time runs faster while the capacity meets all demand. In such a period a tenant
-/// that exceeds its share harms no other tenant. The faster virtual time soon stops counting the excess
+/// that exceeds its share harms no other tenant. With faster virtual time, the excess soon no longer counts
 /// against the tenant.
 const UNDERLOAD_SPEEDUP: f64 = 16.0;
-/// Smoothing factor of an exponential moving average: the weight of one new observation. The average is over
-/// the weights of tenants without an account.
+/// Smoothing factor of the exponential moving average of tenant weights. The average is over the arrivals of
+/// tenants without an account.
 const WEIGHT_SMOOTHING: f64 = 0.01;
 /// Length of the time window for counting the distinct names of tenants without an account, in nanoseconds.
 const NAME_WINDOW_NS: Nanos = 16 * HALF_LIFE_NS;
--- a/crates/fair-queueing/src/known_names.rs
+++ b/crates/fair-queueing/src/known_names.rs
@@ -24,8 +24,8 @@
 /// Mask for the 12 bits that store the time of the last visit. The other 4 bits of the 16-bit field store the
 /// visit count.
 const STEP_MASK: u16 = 0xfff;
-/// Time after the last visit from which any name may be evicted, in nanoseconds. Until then, a name with at
-/// least [`KnownNames::kept_visits`] visits is kept.
+/// Time without a visit after which any name may be evicted, in nanoseconds. Until then, a name with at least
+/// [`KnownNames::kept_visits`] visits is kept.
 const UNUSED_MAX_NS: Nanos = 300_000_000_000;
 const UNUSED_MAX_STEPS: u16 = (UNUSED_MAX_NS / STEP_NS) as u16;
 
--- a/crates/fair-queueing/src/origins.rs
+++ b/crates/fair-queueing/src/origins.rs
@@ -20,8 +20,9 @@
 /// Length of the time window for counting the distinct names of an origin, as a multiple of
 /// [`Settings::probation`](crate::settings::Settings::probation).
 const WINDOW_PROBATIONS: u64 = 8;
-/// Only about one in this many names causes a new estimate of its origin's number of names. Arrivals with
-/// other names use the latest estimate, since a new estimate must read all registers.
+/// About one in this many names is selected by its fingerprint. Arrivals with a selected name compute a new
+/// estimate of their origin's number of names. Other arrivals use the latest estimate, since a new estimate
+/// must read all registers.
 const NAMES_PER_ESTIMATE: u64 = 16;
 /// Number of registers of the HyperLogLog estimator that counts the distinct names of an origin.
 const NAME_REGISTERS: usize = 64;
--- a/crates/fair-queueing/src/reconfiguration.rs
+++ b/crates/fair-queueing/src/reconfiguration.rs
@@ -14,7 +14,7 @@
 /// values of all other settings that can change at run time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SettingsChange {
-    /// Names of tenants that the old settings list by name and the new settings do not.
+    /// Names of tenants that only the old settings list by name.
     pub unnamed: Vec<Vec<u8>>,
     /// Names and new weights of tenants that only the new settings list by name, or that the new settings
     /// list with a different weight.
--- a/crates/fair-queueing/src/settings.rs
+++ b/crates/fair-queueing/src/settings.rs
@@ -41,11 +41,11 @@
     /// Tenants that are listed by name, with their weights. Each of these tenants has an account from the
     /// start.
     pub named: Arc<[NamedTenant]>,
-    /// Maximum work that a tenant may have admitted in advance, ahead of its share. The work is expressed as
-    /// the time, in nanoseconds, in which the tenant's share provides the capacity for it.
+    /// Maximum work that a tenant may have admitted in advance, ahead of its share. The work is given as a
+    /// time, in nanoseconds: in this time, the tenant's share provides the capacity for the work.
     pub burst: Nanos,
-    /// Minimum time between the first visit of a tenant name (an arrival with the name) and the visit at
-    /// which the name can become established, in nanoseconds.
+    /// Minimum time after the first visit of a tenant name (an arrival with the name) before the name can
+    /// become established, in nanoseconds.
     pub probation: Nanos,
     /// Longest wait that may be promised to a rejected arrival, in nanoseconds.
     pub promise_max: Nanos,
--- a/crates/fair-queueing/tests/reconfiguration.rs
+++ b/crates/fair-queueing/tests/reconfiguration.rs
@@ -14,7 +14,7 @@
 }
 
 /// Returns the name and weight of each tenant whose weight differs from the default weight 1. The function
-/// records an arrival of each tenant, since this determines the weights.
+/// records an arrival of each tenant, since an arrival sets the tenant's weight.
 fn weights(fair: &mut FairScheduler, now: u64) -> BTreeMap<String, f64> {
     for name in 0..TENANTS as u8 {
         fair.arrive(now, TenantKey { name: &[name], origin: 1 }, 1e6, None);
--- a/crates/hot-restart/src/predecessor.rs
+++ b/crates/hot-restart/src/predecessor.rs
@@ -121,7 +121,7 @@
     successor_exited: bool,
     /// Whether the stream from the successor has ended.
     stream_ended: bool,
-    /// Reason why the current upgrade is being aborted, if it is.
+    /// Reason why the current upgrade is being aborted. `None` if no upgrade is being aborted.
     abort_reason: Option<AbortReason>,
     /// Number of failed upgrade attempts since the last successful upgrade.
     failures: u32,
--- a/crates/hot-restart/tests/frames.rs
+++ b/crates/hot-restart/tests/frames.rs
@@ -146,7 +146,8 @@
 }
 
 /// In every step of an upgrade, an unexpected frame must abort the attempt. The abort returns
-/// [`Action::Resume`] only in the switch, since only then the predecessor is frozen and must resume.
+/// [`Action::Resume`] only in the switch. In earlier steps the predecessor is still active. In the trial, it
+/// resumes only once the successor is dead.
 #[test]
 fn an_unexpected_frame_ends_the_attempt() {
     let answers = [
--- a/crates/hot-restart/tests/model.rs
+++ b/crates/hot-restart/tests/model.rs
@@ -24,7 +24,7 @@
     predecessor: predecessor::Predecessor,
     successor: Option<successor::Successor>,
     predecessor_alive: bool,
-    /// Whether the predecessor has requested to kill the successor. The successor may still be running.
+    /// Whether the predecessor has requested the kill of the successor, which may still be running.
     successor_killed: bool,
     to_successor: VecDeque<Frame>,
     to_predecessor: VecDeque<Frame>,
--- a/crates/shared-state/src/clock.rs
+++ b/crates/shared-state/src/clock.rs
@@ -11,8 +11,8 @@
 /// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
 
-/// Difference between the advances of the monotonic clock and the wall clock above which the two clocks count
-/// as disagreeing, in nanoseconds. The advances are counted from one reading to the next.
+/// Maximum difference between the advances of the monotonic clock and the wall clock from one reading to the
+/// next, in nanoseconds. If the difference is larger, the two clocks count as disagreeing.
 const DISAGREEMENT_NS: Nanos = 1_000_000_000;
 
 /// One reading of the monotonic clock and the wall clock, taken at the same time.
--- a/crates/shared-state/src/counters.rs
+++ b/crates/shared-state/src/counters.rs
@@ -40,8 +40,8 @@
         self.counts.values().fold(0, |sum, count| sum.saturating_add(*count))
     }
 
-    /// Merges another copy of the same row into this one, taking the larger count of each key. Returns
-    /// whether any count in this copy increased.
+    /// Merges another copy of the row into this copy, taking the larger count of each key. Returns whether
+    /// any count in this copy increased.
     pub fn merge(&mut self, other: &CounterRow) -> bool {
         let mut grew = false;
         for (key, count) in &other.counts {
--- a/crates/shared-state/src/outlier_detection/mod.rs
+++ b/crates/shared-state/src/outlier_detection/mod.rs
@@ -209,9 +209,9 @@
             && ranked_before.count() < PROBERS_PER_ACCUSER * self.settings.accusers_min
     }
 
-    /// Returns the indices of the services that are ejected now. Services that more servers find unhealthy
-    /// are first. At most the configured share of the tier is ejected. A server that receives no reports
-    /// ejects services on its own evidence alone.
+    /// Returns the indices of the services that are ejected now, in descending order of the number of servers
+    /// that find the service unhealthy. At most the configured share of the tier is ejected. A server that
+    /// receives no reports ejects services on its own evidence alone.
     pub fn ejected(&self, time: Time) -> Vec<usize> {
         let accusers_min = if self.is_isolated(time) { 1 } else { self.settings.accusers_min };
         let mut accused = Vec::new();
--- a/crates/shared-state/src/simulation/mod.rs
+++ b/crates/shared-state/src/simulation/mod.rs
@@ -60,7 +60,7 @@
     /// Maximum number of calls that were in progress at the dependency at the same time.
     pub in_use_max: u64,
     /// Integral over time of the number of calls in progress, in calls times nanoseconds, since the previous
-    /// [`Fleet::mean_use`].
+    /// call of [`Fleet::mean_use`].
     use_integral: u128,
     calls: u64,
     /// Number of calls that were refused because the server's budget did not permit them.
--- a/crates/shared-state/src/state.rs
+++ b/crates/shared-state/src/state.rs
@@ -43,8 +43,8 @@
     pub sent_bytes: u64,
     /// Messages received.
     pub received: u64,
-    /// Number of received messages that were dropped, for any reason in [`ReceiveError`]. Not all of them are
-    /// undecodable. The count includes messages about a budget that this server does not have, and
+    /// Number of received messages that were dropped, for any reason in [`ReceiveError`]. Besides undecodable
+    /// messages, the count includes messages about a budget that this server does not have, and
     /// [`Payload::Other`] messages received while their queue is full.
     pub malformed: u64,
 }
