--- a/crates/shared-state/src/budget/election.rs
+++ b/crates/shared-state/src/budget/election.rs
@@ -16,8 +16,8 @@
 use std::collections::{BTreeSet, VecDeque};
 
 /// Number of recent ballots (rounds of vote requests) for which a candidate or grantor still counts votes.
-/// Over a slow and lossy network, votes may arrive after the next ballot has begun. Counting them helps to
-/// reach a majority.
+/// Over a slow and lossy network, votes may arrive after the next ballot has begun. Counting these votes
+/// helps to reach a majority.
 const BALLOTS_MAX: usize = 8;
 
 /// The latest vote that this server granted to a candidate.
