--- a/crates/server/src/calls/pool.rs
+++ b/crates/server/src/calls/pool.rs
@@ -7,13 +7,14 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Maximum time that a connection stays idle in the pool. It is half of the 10 s after which the service
-/// closes an idle connection.
+/// Maximum time that a connection stays idle in the pool. A downstream service closes a connection after 10 s
+/// of idle time, so the pool closes it after half of that time.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Minimum idle time of a connection before it is reused. A duplicate of the last reply on the connection
-/// may still arrive in this time, and would be taken for the reply to the next call.
+/// Minimum idle time of a connection before another call uses it. During this time a duplicate of the
+/// previous reply may still arrive. Without the delay, the duplicate would be taken for the reply to the next
+/// call.
 const REUSE_DELAY: Duration = Duration::from_millis(20);
-/// Delay before the next attempt to reserve a file descriptor.
+/// Delay before the pool tries again to reserve a file descriptor, if none was available.
 pub const DESCRIPTOR_RETRY_AFTER: Duration = Duration::from_millis(2);
 
 /// A connection to a downstream service, and the file descriptor reserved for the connection.
@@ -36,9 +37,12 @@
 }
 
 impl Pool {
-    /// Returns a connection to the service at `to`: the most recently used idle one or, once a descriptor
-    /// is available, a new one. With `needs_new_connection` the returned connection is always new. If no
-    /// descriptor is available for it, an idle connection is closed to free one.
+    /// Returns a connection to the downstream service at `to`. Prefers the idle connection that was used most
+    /// recently. If no idle connection can be used, opens a new one as soon as a file descriptor is
+    /// available.
+    ///
+    /// If `needs_new_connection` is true, the connection is always new. In this case an idle connection is
+    /// closed if no file descriptor is available.
     pub async fn connect(
         &self,
         to: SocketAddr,
@@ -59,8 +63,8 @@
         }
     }
 
-    /// Reserves a file descriptor for reading a file. Closes all idle connections and waits as long as no
-    /// descriptor is available.
+    /// Reserves a file descriptor for reading a file. While no descriptor is available, closes all idle
+    /// connections in the pool and waits.
     pub async fn descriptor_for_file(&self, descriptors: &Descriptors) -> Descriptor {
         loop {
             if let Some(descriptor) = descriptors.reserve_for_call() {
@@ -71,10 +75,11 @@
         }
     }
 
-    /// Removes from the pool and returns the most recently used connection to `to`. Discards connections to
-    /// `to` that the service has closed or on which it has sent unexpected data. Connections to other
-    /// addresses stay in the pool. If a configuration reload removed such an address, its connections are
-    /// closed when their idle time is over.
+    /// Takes the most recently used idle connection to the address `to` out of the pool. Discards a
+    /// connection if the downstream service has closed it, or has sent unexpected data on it.
+    ///
+    /// Connections to other addresses stay in the pool until their maximum idle time is over, also if a
+    /// configuration reload has removed the address.
     fn reuse(&self, to: SocketAddr, now: Instant) -> Option<PooledConnection> {
         self.close_expired();
         let mut idle = self.idle.borrow_mut();
@@ -90,13 +95,13 @@
         }
     }
 
-    /// Returns a connection to the pool for reuse by a later call.
+    /// Puts a connection into the pool, so that a later call can use it.
     pub fn return_connection(&self, connection: PooledConnection) {
         self.close_expired();
         self.idle.borrow_mut().push(Idle { connection, since: Instant::now() });
     }
 
-    /// Closes connections that have been idle for the maximum time.
+    /// Closes the pooled connections that have reached the maximum idle time.
     pub fn close_expired(&self) {
         self.idle.borrow_mut().retain(|idle| idle.since.elapsed() < IDLE_TIMEOUT);
     }
--- a/crates/server/src/calls/pool/tests.rs
+++ b/crates/server/src/calls/pool/tests.rs
@@ -1,4 +1,4 @@
-//! Tests which connections are reused, and after what delay.
+//! Tests when the pool reuses an idle connection to a downstream service.
 
 use super::*;
 use std::net::TcpListener;
--- a/crates/server/src/calls/task.rs
+++ b/crates/server/src/calls/task.rs
@@ -1,5 +1,5 @@
-//! The task that makes one call to the downstream service. Dropping the task abandons the call and closes
-//! the connection of the call.
+//! The task that makes one call to a downstream service. If the task is dropped, the call is abandoned and
+//! its connection is closed.
 
 use crate::event::Event;
 use crate::server::Server;
@@ -19,32 +19,36 @@
 
 /// Parameters of a downstream call.
 pub struct Call {
-    /// Id of the invocation whose run waits for the call.
+    /// Id of the invocation that waits for the result of this downstream call.
     pub invocation: u64,
     /// Number of the downstream call, unique in this process.
     pub number: u64,
-    /// Reference of the invocation that needs the call, chosen by the invocation's caller.
+    /// Reference of the invocation that needs the downstream call. The caller of the invocation chose the
+    /// reference.
     pub reference: u64,
-    /// Time at which the call was permitted, by the server's clock.
+    /// Time at which the controller permitted the downstream call, by the server's clock.
     pub permitted_at: Nanos,
-    /// Time after `permitted_at` at which the call is abandoned.
+    /// Maximum duration of the downstream call, counted from `permitted_at`. After this time the call is
+    /// abandoned.
     pub timeout: Nanos,
     /// Body of the request.
     pub body: Vec<u8>,
-    /// True if the call must use a new connection. The service may be about to close an idle connection,
-    /// and a call that uses it could be lost.
+    /// True if the downstream call must use a new connection. The service may close an idle connection at any
+    /// time, and a call that uses this connection would be lost.
     pub needs_new_connection: bool,
 }
 
 impl Call {
-    /// Returns the time from `now` until the timeout of the call; `None` once the timeout has passed.
+    /// Returns the time that is left at `now` until the downstream call times out. Returns `None` if the call
+    /// has already timed out.
     fn time_left(&self, now: Nanos) -> Option<Nanos> {
         let deadline = self.permitted_at.saturating_add(self.timeout);
         deadline.checked_sub(now).filter(|left| *left > 0)
     }
 
-    /// Returns whether bytes of the call may still be sent. If the process was suspended, this task may
-    /// resume long after the call was permitted, before the timer that ends the call is checked.
+    /// Returns whether bytes of the downstream call may still be sent. Checked before each write: if the
+    /// process was suspended, this task may resume after the call has timed out but before the timeout is
+    /// handled.
     fn may_be_sent(&self, server: &Server) -> bool {
         let is_in_time = self.time_left(server.clock.now()).is_some();
         is_in_time && server.shared.as_ref().is_none_or(|shared| shared.permit_send(self.number))
@@ -53,16 +57,16 @@
 
 struct ReceivedReply {
     reply: http::Reply,
-    /// True if no bytes followed the reply on the connection.
+    /// True if no further bytes were received after the reply. Otherwise the connection cannot be reused.
     has_no_trailing_bytes: bool,
 }
 
-/// Makes a call and sends its outcome to the event loop. The exchange with the service is polled before the
-/// timeout, so that a reply that has already arrived is used even if the timeout has passed.
+/// Makes a downstream call and sends its outcome to the event loop. A reply that has already arrived is used
+/// even if the timeout has passed, because the reply is polled before the timeout.
 pub async fn make(server: Rc<Server>, to: SocketAddr, call: Call) {
     let started_at = server.clock.now();
-    // Until the first byte of the request is written, any error proves that the service did not run the
-    // call.
+    // True once a byte of the request was written. As long as no byte was written, an error proves that the
+    // service did not run the call.
     let written = Cell::new(false);
     let failed = || (if written.get() { Outcome::Unknown } else { Outcome::NeverRan }, Vec::new());
     let timeout = async {
--- a/crates/server/src/configuration/candidate.rs
+++ b/crates/server/src/configuration/candidate.rs
@@ -1,32 +1,32 @@
-//! Candidate settings and candidate program of a rollout, which are files in the directory of the server's
-//! own options file.
+//! Candidate settings and candidate program of a rollout. Both are files in the directory of the server's own
+//! options file.
 
 use crate::error::BoxError;
 use meadowstream_configuration::{Options, Rollout};
 use sha2::{Digest, Sha256};
 use std::path::{Path, PathBuf};
 
-/// Files and hashes of the settings and the program that a rollout may have this server adopt.
+/// The candidate of a rollout: the settings and the program that the rollout may ask this server to adopt.
 #[derive(Clone, Debug)]
 pub struct Candidate {
     /// Path of the candidate settings file.
     pub path: PathBuf,
-    /// Path of the file that marks the candidate settings as adopted. The file contains the hash of the
-    /// settings.
+    /// Path of a file that exists if the server has adopted the candidate settings. The file contains the
+    /// hash of the adopted settings.
     pub mark: PathBuf,
     /// Hash of the server's own options file.
     pub own_hash: u64,
-    /// Hash of the candidate settings, if the server has adopted them.
+    /// Hash of the candidate settings, if the server has adopted them; otherwise `None`.
     pub adopted: Option<u64>,
     /// Path of the candidate program, if the options name one.
     pub program: Option<PathBuf>,
-    /// Path of the file that tells the server's supervisor which program to start next.
+    /// Path of the file in which the server names the program that its supervisor starts next.
     pub program_mark: PathBuf,
 }
 
 impl Candidate {
-    /// Creates a candidate from the `<rollout>` element of the options file at `options_path`. The candidate
-    /// starts as not adopted.
+    /// Creates a candidate from the `<rollout>` element of the options file at `options_path`. The new
+    /// candidate is not yet adopted.
     pub fn new(rollout: &Rollout, options_path: &Path) -> std::io::Result<Self> {
         let folder = options_path.parent().unwrap_or(Path::new("."));
         Ok(Self {
@@ -39,7 +39,9 @@
         })
     }
 
-    /// Reads the mark, and compares the hash in the mark with the hash of the candidate settings file.
+    /// Returns whether the server had adopted the candidate settings before its last stop, and whether the
+    /// settings file has changed since. Compares the hash in the mark file with the hash of the settings
+    /// file.
     pub fn adopted_before(&self) -> AdoptedBefore {
         let Ok(mark) = std::fs::read_to_string(&self.mark) else { return AdoptedBefore::NotAdopted };
         let adopted = u64::from_str_radix(mark.trim(), 16).ok();
@@ -52,7 +54,7 @@
 }
 
 /// Result of [`Candidate::adopted_before`]: whether the server had adopted candidate settings before its last
-/// stop.
+/// stop, and whether they have changed since.
 pub enum AdoptedBefore {
     /// The server had not adopted any candidate settings.
     NotAdopted,
@@ -69,8 +71,8 @@
     PathBuf::from(name)
 }
 
-/// Returns the hash that identifies settings and programs: the first eight bytes of the SHA-256 of their
-/// file.
+/// Returns the hash that identifies a settings file or a program with the content `bytes`: the first eight
+/// bytes of its SHA-256.
 pub fn hash_of(bytes: &[u8]) -> u64 {
     let hash = Sha256::digest(bytes);
     let first = hash.first_chunk::<8>().expect("a SHA-256 hash has 32 bytes");
@@ -83,13 +85,13 @@
     /// The candidate settings are not a valid options file.
     #[error(transparent)]
     Options(BoxError),
-    /// The candidate settings contain an element that only a restart can change.
+    /// The candidate settings contain an element that can only be changed by a restart.
     #[error("{0}: a change cannot contain <membership>, <shared-state> or <rollout>")]
     FixedElement(PathBuf),
 }
 
-/// Reads the candidate settings of a rollout: an options file whose elements replace the same elements of the
-/// server's own options file.
+/// Reads the candidate settings of a rollout from the options file at `path`. Each element in this file
+/// replaces the same element of the server's own options file.
 pub fn read_change(path: &Path) -> Result<Options, CandidateError> {
     let change = Options::load(path).map_err(|error| CandidateError::Options(error.into()))?;
     if change.membership.is_some() || change.rollout.is_some() || change.shared_state.is_some() {
--- a/crates/server/src/configuration/defaults.rs
+++ b/crates/server/src/configuration/defaults.rs
@@ -1,6 +1,7 @@
-//! Checks the deployment's settings, which are part of the platform's file, against the options file. Fills
-//! in defaults, with a note, for features that the settings require and the options file does not describe,
-//! and returns an error if the two files contradict each other.
+//! Compares the deployment's settings (from the platform's file) with the options file.
+//!
+//! If the settings require a feature that the options file does not describe, the server uses defaults and
+//! adds a note to the log. If the two files contradict each other, loading fails.
 
 use crate::configuration::Configuration;
 use crate::resources::idempotency::ENTRY_BYTES;
@@ -9,40 +10,38 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Divisor of the memory limit; the result, a quarter of the limit, is the memory that idempotency keys and
-/// their results may use.
+/// Divisor of the memory limit. Idempotency keys and their results may use a quarter of the limit.
 const KEYS_DIVISOR: usize = 4;
 /// Default name of the call field that holds the idempotency key.
 const KEY_FIELD: &str = "replay";
 /// Default name of the call field that holds the tenant.
 pub const TENANT_FIELD: &str = "project";
 
-/// Contradiction between the deployment's settings and the options file. The usual cause is that one of the
-/// two belongs to another deployment.
+/// Contradiction between the deployment's settings and the options file. Usually one of the two files was
+/// written for another deployment.
 #[derive(Debug, thiserror::Error)]
 pub enum MismatchError {
     /// The settings name a downstream service, but its address is missing.
     #[error("records is missing, though settings: family-info.below names a tier or a dependency")]
     MissingRecords,
-    /// The options file describes idempotency keys, but no operation is idempotent with a key.
+    /// The options file contains settings of idempotency keys, but no operation is idempotent with a key.
     #[error("options: <tokens>: no operation has the effect by_key")]
     UnusedKeys,
-    /// The options file defines the reply to skipped downstream calls, but no operation may skip downstream
-    /// calls.
+    /// The options file defines a reply that replaces skipped downstream calls, but no operation may skip
+    /// downstream calls.
     #[error("options: <calls>: no operation has a degraded-worth")]
     UnusedReply,
-    /// The settings define a quota of a shared downstream service, but the deployment has no shared
-    /// downstream service.
+    /// The settings define a quota for a shared downstream service, but the deployment has no such service.
     #[error("settings: family-info.dep-share: set, but family-info.below is not one_for_all")]
     UnusedQuota,
-    /// Idempotency keys and their results would use too much memory.
+    /// Idempotency keys and their results could use more memory than is allowed.
     #[error(
         "options: <tokens>: entries and results use {bytes} bytes, but limits.memory_mb allows {bytes_max}"
     )]
     KeysTooLarge {
-        /// Bytes that keys and results would use.
+        /// Number of bytes that idempotency keys and their results could use.
         bytes: usize,
-        /// Maximum number of bytes that keys and results may use.
+        /// Maximum number of bytes that idempotency keys and their results may use.
         bytes_max: usize,
     },
 }
@@ -55,25 +54,27 @@
     deployment.operations.iter().any(|operation| operation.degraded_value_ratio > 0.0)
 }
 
-/// Returns whether all operations have the same priority weight. If they do, an advertised minimum rank gives
-/// callers little information.
+/// Returns whether all operations have the same priority weight. In this case an advertised minimum rank
+/// tells callers little about which operations are rejected.
 fn has_one_rank(deployment: &Deployment) -> bool {
     let weights = deployment.operations.iter().map(|operation| operation.priority_weight.to_bits());
     weights.collect::<BTreeSet<_>>().len() < 2
 }
 
 impl Configuration {
-    /// Maximum number of bytes that idempotency keys and their results may use.
+    /// Returns the maximum number of bytes that idempotency keys and their results may use.
     fn key_bytes_max(&self) -> usize {
         (self.memory_mb << 20) as usize / KEYS_DIVISOR
     }
 
-    /// Fills in defaults for features that neither the protocol nor the options file describes, and adds a
-    /// note for each, because a missing description is no reason to refuse the start. Returns an error if the
-    /// settings require a downstream service but the platform's file has no address for it.
+    /// Fills in defaults for features that the options file does not describe, and adds a note for each. A
+    /// missing description does not prevent the start.
+    ///
+    /// Returns an error if the settings require a downstream service but the platform's file contains no
+    /// address for it.
     pub(super) fn fill_defaults(&mut self) -> Result<(), MismatchError> {
-        // This process stores the keys under its own memory limit, so the keys do not count as memory of the
-        // deployment.
+        // This process stores the idempotency keys within its own memory limit. The memory used by keys is
+        // therefore set to 0 in the deployment's settings.
         self.settings.deployment.idempotency_entry_kb = 0.0;
         self.default_keys();
         self.default_reply();
@@ -89,9 +90,11 @@
         self.notes.push(format!("settings: {key}: {note}"));
     }
 
-    /// Enables idempotency keys, read from the field [`KEY_FIELD`], if an operation is idempotent with a key
-    /// and the options file does not describe the keys. Half of the keys' memory is for entries, and half is
-    /// for results.
+    /// Enables idempotency keys with default settings. Applies if an operation is idempotent with a key and
+    /// the options file does not describe the keys.
+    ///
+    /// The key is read from the field [`KEY_FIELD`]. Half of the memory for keys is used for entries, and the
+    /// other half for results.
     fn default_keys(&mut self) {
         let operations = &self.settings.deployment.operations;
         let keyed = operations.iter().position(|operation| operation.effect == Effect::IdempotentWithKey);
@@ -131,9 +134,10 @@
         }
     }
 
-    /// Returns an error in three cases: the options file describes a feature that no operation uses; the
-    /// settings define a quota of a shared downstream service, but the deployment has no such service; or the
-    /// idempotency keys would use too much memory.
+    /// Checks the settings and the options file for contradictions. Returns an error in three cases:
+    /// - The options file describes a feature that no operation uses.
+    /// - The settings define a quota for a shared downstream service, but the deployment has no such service.
+    /// - The idempotency keys could use too much memory.
     pub(super) fn check_consistency(&self) -> Result<(), MismatchError> {
         let (deployment, options) = (&self.settings.deployment, self.options.borrow());
         if options.idempotency_keys.is_some() && !has_keys(deployment) {
--- a/crates/server/src/configuration/error.rs
+++ b/crates/server/src/configuration/error.rs
@@ -7,7 +7,7 @@
 use crate::error::BoxError;
 use std::path::PathBuf;
 
-/// Error for which a configuration cannot be used.
+/// Reason why a configuration cannot be loaded or used.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
     /// The platform's file cannot be read.
@@ -28,10 +28,10 @@
     /// The candidate settings of a rollout are invalid.
     #[error(transparent)]
     Candidate(#[from] CandidateError),
-    /// The options file cannot be read a second time, to compute its hash.
+    /// The options file was read once, but could not be read again to compute its hash.
     #[error(transparent)]
     Hash(#[from] std::io::Error),
-    /// The replicated configuration cannot be applied to the options.
+    /// The replicated configuration cannot be merged into the options.
     #[error("replicated configuration")]
     Replicated(#[source] BoxError),
     /// The fleet settings in the options are invalid.
--- a/crates/server/src/configuration/fleet.rs
+++ b/crates/server/src/configuration/fleet.rs
@@ -1,4 +1,5 @@
-//! Fleet settings of a process, which are read from the options at the start and do not change in a reload.
+//! Settings of a process as a member of the fleet. The settings are read from the options at the start, and
+//! do not change in a reload.
 
 use crate::configuration::leases::{LEASES, PUBLISHING, ROLLOUTS};
 use crate::configuration::membership_key;
@@ -14,7 +15,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Default interval between gossip rounds of the shared state.
+/// Default interval, in nanoseconds, between two gossip rounds of the shared state.
 const GOSSIP_INTERVAL_NS: u64 = 500_000_000;
 
 /// Fleet settings of a process.
@@ -22,18 +23,19 @@
 pub struct FleetSettings {
     /// Address of the UDP socket.
     pub bind: SocketAddr,
-    /// Address that other members send to, if it differs from `bind`.
+    /// Address to which other members send datagrams to this member, if the address differs from `bind`.
     pub advertise: Option<SocketAddr>,
     /// Name of this member.
     pub name: String,
-    /// Addresses of the members through which the process joins the fleet.
+    /// Addresses of the members that this process contacts first to join the fleet.
     pub seeds: Vec<SocketAddr>,
     /// Settings of the membership protocol.
     pub settings: MembershipSettings,
-    /// Settings of the shared state, if the options enable a feature that uses it.
+    /// Settings of the state that the members share; `None` if the options enable no feature that uses shared
+    /// state.
     pub shared: Option<SharedSettings>,
-    /// Addresses of the downstream services, in the order in which the settings of the shared state name
-    /// them.
+    /// Addresses of the downstream services. The order is that of the service names in the settings of the
+    /// shared state.
     pub tier: Vec<SocketAddr>,
 }
 
@@ -46,24 +48,25 @@
     /// A setting of the membership protocol is out of range.
     #[error("<membership>: {0}")]
     Membership(BoxError),
-    /// The member's name is too long for a datagram.
+    /// The member's name is longer than the maximum length of a name in a datagram.
     #[error("<membership>: name: more than {NAME_BYTES_MAX} bytes: {0:?}")]
     NameTooLong(String),
-    /// The call budget has a name that is reserved for a lease.
+    /// The budget of downstream calls has a name that is reserved for a lease.
     #[error("<shared-state>: budget: name: {LEASES:?} are reserved for leases")]
     ReservedBudgetName,
     /// A setting of the shared state is out of range.
     #[error("<{element}>: {error}")]
     SharedState {
-        /// Name of the element that enables the shared state.
+        /// Name of the element in the options file that enables the shared state.
         element: &'static str,
         /// The invalid setting.
         error: BoxError,
     },
 }
 
-/// Builds the fleet settings from `<membership>`, without the shared state. The member is named `server`
-/// unless `<membership>` contains a name. `options_path` is the path of the options file.
+/// Builds the fleet settings from the element `<membership>`, without the settings of the shared state. If
+/// the element contains no member name, the member is named `server`. `options_path` is the path of the
+/// options file.
 pub fn fleet_settings(
     membership: &Membership,
     server: &str,
@@ -94,8 +97,8 @@
     })
 }
 
-/// Builds the settings of the shared state, or returns `None` if the options enable no feature that uses it.
-/// `body_max` is the size limit of a message, in bytes.
+/// Builds the settings of the state that the members share. Returns `None` if the options enable no feature
+/// that uses shared state. `body_max` is the maximum size of a message, in bytes.
 pub fn shared_state_settings(
     options: &Options,
     body_max: usize,
@@ -119,8 +122,8 @@
     Ok(Some(settings))
 }
 
-/// Returns the budget of downstream calls, if the options define one, followed by the budgets of the leases
-/// that the options require.
+/// Returns all budgets that the options require: first the budget of downstream calls, if there is one, then
+/// one budget for each lease.
 fn budgets(options: &Options) -> Result<Vec<BudgetSettings>, FleetError> {
     let mut budgets = Vec::new();
     if let Some(calls) = options.shared_state.as_ref().and_then(|shared| shared.budget.as_ref()) {
--- a/crates/server/src/configuration/leases.rs
+++ b/crates/server/src/configuration/leases.rs
@@ -1,9 +1,9 @@
-//! Names of the leases. A lease is a budget of one unit, so at most one process of the fleet holds it.
-//! Servers vote on leases, but do not request them.
+//! Names of the leases. At most one process of the fleet holds a lease at a time, because a lease is a budget
+//! of one unit. Servers vote on the leases, but never request one.
 
-/// Lease held by the coordinator of a rollout.
+/// Name of the lease that the coordinator of a rollout holds.
 pub const ROLLOUTS: &str = "rollouts";
-/// Lease held by the publisher of replicated configuration.
+/// Name of the lease that the publisher of replicated configuration holds.
 pub const PUBLISHING: &str = "publishing";
 /// Names of all leases.
 pub const LEASES: [&str; 2] = [ROLLOUTS, PUBLISHING];
--- a/crates/server/src/configuration/load.rs
+++ b/crates/server/src/configuration/load.rs
@@ -1,4 +1,5 @@
-//! Loads a configuration from the platform's file, the options file, and the layers applied over it.
+//! Loads a configuration from the platform's file and the options file, and applies the candidate settings
+//! and the replicated configuration on top.
 
 use crate::configuration::candidate::{AdoptedBefore, Candidate, read_change};
 use crate::configuration::error::LoadError;
@@ -15,19 +16,19 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// Sources of settings that replace settings of the server's own options file. They are applied in the order
-/// of the fields, so later fields take precedence.
+/// Settings that override those of the server's own options file. The fields are applied in their order, so a
+/// later field overrides an earlier field.
 #[derive(Clone, Copy, Default)]
 pub struct Layers<'a> {
     /// Path of the candidate settings file of a rollout.
     pub change: Option<&'a Path>,
-    /// State of the replicated configuration.
+    /// Key-value pairs of the replicated configuration.
     pub replicated: Option<&'a State>,
 }
 
 impl Configuration {
-    /// Loads the configuration at the start of the server. Includes the last good revision of replicated
-    /// configuration if one is on the server's disk and can be used.
+    /// Loads the configuration when the server starts. Includes the last good revision of the replicated
+    /// configuration, if the server's disk has a usable copy.
     pub fn load_at_start(path: &Path, options: Option<&Path>) -> Result<Self, LoadError> {
         let own = Self::load_adopted(path, options)?;
         let Some((file, options_path)) = own.replication_file().zip(options) else { return Ok(own) };
@@ -56,15 +57,15 @@
         }
     }
 
-    /// Returns the path of the file that stores the last good revision, if the options enable replication.
+    /// Returns the path of the file that stores the last good revision of the replicated configuration.
+    /// Returns `None` if the options do not enable replication.
     pub fn replication_file(&self) -> Option<PathBuf> {
         let options = self.options.borrow();
         let folder = self.options_path.as_deref()?.parent().unwrap_or(Path::new("."));
         options.replication.as_ref().map(|replication| folder.join(&replication.file))
     }
 
-    /// Loads the configuration a second time, with a revision of replicated configuration applied over the
-    /// options.
+    /// Loads the configuration again and overrides its options by a revision of the replicated configuration.
     fn with_replicated(&self, path: &Path, options: &Path, snapshot: Snapshot) -> Result<Self, LoadError> {
         let candidate = self.candidate.borrow().clone();
         let adopted = candidate.as_ref().filter(|candidate| candidate.adopted.is_some());
@@ -76,8 +77,9 @@
         Ok(configuration)
     }
 
-    /// Loads the configuration. Includes the candidate settings of a rollout if the server had adopted them
-    /// before its last stop, their file has not changed since, and they can be used.
+    /// Loads the configuration with the candidate settings of a rollout, if the server had adopted the
+    /// settings before its last stop. If the candidate settings have changed since then or cannot be used,
+    /// loads the configuration without them.
     fn load_adopted(path: &Path, options: Option<&Path>) -> Result<Self, LoadError> {
         let own = Self::load(path, options, Layers::default())?;
         let candidate = own.candidate.borrow().clone();
@@ -101,8 +103,9 @@
         Ok(own)
     }
 
-    /// Loads the configuration from the platform's file at `path` and the options file at `options`, whose
-    /// settings are overridden by `layers`. Fills in defaults, and checks the result for contradictions.
+    /// Loads the configuration from two files: the platform's file at `path` and the options file at
+    /// `options`. The settings in `layers` override those of the options file. Fills in defaults and checks
+    /// the result for contradictions.
     pub fn load(path: &Path, options: Option<&Path>, layers: Layers) -> Result<Self, LoadError> {
         let text = std::fs::read_to_string(path)
             .map_err(|error| LoadError::Read { path: path.to_path_buf(), error })?;
@@ -146,7 +149,7 @@
     }
 }
 
-/// Reads the server's own options file at `path`, and overrides its settings with those of `layers`.
+/// Reads the server's own options file at `path`, and then overrides its settings by those in `layers`.
 fn read_options(path: &Path, layers: Layers) -> Result<Options, LoadError> {
     let mut options = Options::load(path).map_err(|error| LoadError::Options(error.into()))?;
     if let Some(change) = layers.change {
--- a/crates/server/src/configuration/membership_key.rs
+++ b/crates/server/src/configuration/membership_key.rs
@@ -1,15 +1,15 @@
-//! Reads the secret key that the members of a fleet share.
+//! Reads the secret key that all members of a fleet share.
 
 use std::io::Error;
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
 
-/// Minimum length of a key, in bytes.
+/// Minimum length of the fleet's secret key, in bytes.
 const KEY_MIN_BYTES: usize = 16;
 /// Maximum size of a key file, in bytes.
 const KEY_FILE_MAX_BYTES: usize = 1024;
 
-/// Error for which a key file cannot be used.
+/// Reason why a key file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum KeyFileError {
     /// The file cannot be read.
@@ -21,7 +21,7 @@
         #[source]
         error: Error,
     },
-    /// The key file is accessible to its group or to other users, so the key is not secret.
+    /// Users other than the owner can access the key file, so the key is not secret.
     #[error("<membership>: key-file: {path} has mode {mode:o}; others may read it")]
     OthersMayRead {
         /// Path of the file.
@@ -37,7 +37,8 @@
     TooShort(PathBuf),
 }
 
-/// Reads the fleet's key from a file, which must be accessible to its owner only.
+/// Reads the fleet's secret key from the file at `path`. Returns an error if users other than the owner can
+/// access the file.
 pub fn read(path: &Path) -> Result<Vec<u8>, KeyFileError> {
     let unreadable = |error| KeyFileError::Read { path: path.to_path_buf(), error };
     let metadata = std::fs::metadata(path).map_err(unreadable)?;
--- a/crates/server/src/configuration/mod.rs
+++ b/crates/server/src/configuration/mod.rs
@@ -1,5 +1,5 @@
-//! Configuration of a server, loaded from the platform's file and the options file. A reload may change parts
-//! of the configuration.
+//! Configuration of a server, loaded from the platform's file and the options file. A reload changes some
+//! parts of the configuration while the server runs.
 
 pub mod candidate;
 mod defaults;
@@ -29,12 +29,12 @@
 /// Addresses of the processes that the server communicates with.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
-    /// Address of the interpreter, which runs the invocations.
+    /// Address of the interpreter, the process that runs the operations.
     pub interpreter: SocketAddr,
     /// Address of the service registry.
     pub catalog: SocketAddr,
-    /// Address of the downstream service. `None` for a server of the last tier, which calls no downstream
-    /// service.
+    /// Address of the downstream service that this server calls. `None` for a server of the last tier, which
+    /// makes no downstream calls.
     pub records: Option<SocketAddr>,
 }
 
@@ -46,42 +46,44 @@
     pub name: String,
     /// Address on which the server accepts connections.
     pub listen: SocketAddr,
-    /// Addresses of the other processes; a reload may change them.
+    /// Addresses of the other processes that the server communicates with. A reload may change these
+    /// addresses.
     pub addresses: Cell<Addresses>,
-    /// Seed of all random number generators.
+    /// Seed for all random number generators of the server.
     pub seed: u64,
-    /// Time from the notice to leave to the stop, in milliseconds.
+    /// Time from the notice to leave the fleet until the process stops, in milliseconds.
     pub stop_ms: u64,
     /// Memory limit, in MiB.
     pub memory_mb: u64,
-    /// Limit on open file descriptors.
+    /// Maximum number of open file descriptors.
     pub sockets: usize,
     /// Settings of the deployment, from the `settings` object of the platform's file.
     pub settings: DeploymentSettings,
-    /// Notes for the log about defaults that were filled in and settings that have no effect.
+    /// Notes to be logged: which defaults were filled in, and which settings have no effect.
     pub notes: Vec<String>,
     /// Contents of the options file; default values if there is no options file.
     pub options: RefCell<Arc<Options>>,
-    /// Path of the options file, if any.
+    /// Path of the options file; `None` if there is no options file.
     pub options_path: Option<PathBuf>,
     /// Target utilization of the cores, from 0 to 1. A reload may change the target.
     pub target_utilization: Cell<f64>,
-    /// Candidate files of a rollout, if the options file has a `<rollout>` element.
+    /// Candidate settings and program of a rollout; `None` if the options file has no `<rollout>` element.
     pub candidate: RefCell<Option<Candidate>>,
-    /// Revision of the replicated configuration that is in force, if any.
+    /// Revision of the replicated configuration that the server currently uses; `None` if it uses no
+    /// replicated configuration.
     pub replicated: RefCell<Option<Snapshot>>,
-    /// Fleet settings, if the options file has a `<membership>` element.
+    /// Fleet settings; `None` if the options file has no `<membership>` element.
     pub membership: Option<FleetSettings>,
 }
 
 impl Configuration {
-    /// Returns the longest client timeout of all operations.
+    /// Returns the longest of the operations' client timeouts.
     pub fn longest_client_timeout(&self) -> Nanos {
         let operations = &self.settings.deployment.operations;
         operations.iter().map(|operation| operation.client_timeout).max().unwrap_or(0)
     }
 
-    /// Returns the shortest client timeout of all operations.
+    /// Returns the shortest of the operations' client timeouts.
     pub fn shortest_client_timeout(&self) -> Nanos {
         let operations = &self.settings.deployment.operations;
         operations.iter().map(|operation| operation.client_timeout).min().unwrap_or(0)
--- a/crates/server/src/configuration/persisted_revision.rs
+++ b/crates/server/src/configuration/persisted_revision.rs
@@ -5,13 +5,13 @@
 use std::io::ErrorKind;
 use std::path::{Path, PathBuf};
 
-/// Error for which the file of the revision cannot be used.
+/// Reason why the file with the last good revision cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum PersistedRevisionError {
-    /// The file exists but cannot be read.
+    /// The file with the last good revision exists but cannot be read.
     #[error(transparent)]
     Read(#[from] std::io::Error),
-    /// The content of the file is not a valid revision.
+    /// The content of the file is not a valid revision of replicated configuration.
     #[error("{path}: {error}")]
     Decode {
         /// Path of the file.
@@ -21,7 +21,8 @@
     },
 }
 
-/// Reads the last good revision from its file. Returns `Ok(None)` if the file does not exist.
+/// Reads the last good revision of replicated configuration from the file at `path`. Returns `Ok(None)` if
+/// the file does not exist.
 pub fn read(path: &Path) -> Result<Option<PersistedState>, PersistedRevisionError> {
     let bytes = match std::fs::read(path) {
         Err(error) if error.kind() == ErrorKind::NotFound => return Ok(None),
--- a/crates/server/src/configuration/platform_file.rs
+++ b/crates/server/src/configuration/platform_file.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Error in the platform's file. Each error about a value contains the value's path in the file.
+/// Error in the platform's file. An error about a value contains the path of the value within the file.
 #[derive(Debug, thiserror::Error)]
 pub enum PlatformFileError {
     /// The file is not JSON.
@@ -43,7 +43,8 @@
     Settings(#[source] BoxError),
 }
 
-/// The parsed file. Values are addressed by paths of keys separated by dots.
+/// The parsed JSON file. A value is addressed by its path: the keys from the root to the value, separated by
+/// dots.
 struct PlatformFile(Value);
 
 impl PlatformFile {
@@ -65,7 +66,7 @@
         value.parse().map_err(|_| PlatformFileError::NotAddress { path, value: value.to_string() })
     }
 
-    /// Reads an address that may be missing or null.
+    /// Reads the address at `path`. Returns `None` if the value is missing or null.
     fn optional_address(&self, path: &'static str) -> Result<Option<SocketAddr>, PlatformFileError> {
         let given = self.value(path).is_ok_and(|value| !value.is_null());
         if given { self.address(path).map(Some) } else { Ok(None) }
@@ -80,8 +81,8 @@
     }
 }
 
-/// Parses `text`, the content of the platform's file at `path`. The returned configuration does not include
-/// an options file yet.
+/// Parses `text`, the content of the platform's file at `path`. The returned configuration does not yet
+/// include the settings of the options file.
 pub fn read(text: &str, path: &Path) -> Result<Configuration, PlatformFileError> {
     let file = PlatformFile(serde_json::from_str(text).map_err(PlatformFileError::NotJson)?);
     let seed = file.string("seed")?;
--- a/crates/server/src/connection/accept.rs
+++ b/crates/server/src/connection/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts connections of balancers until the server's drain is over.
+//! Accepts connections from balancers, until the drain of the server is over.
 
 use crate::connection::task;
 use crate::lifecycle::drain;
@@ -10,23 +10,25 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// Delay before the next attempt to accept a connection, after a failure or without a free descriptor.
+/// Delay before the server tries again to accept a connection. Used if accepting failed or no file descriptor
+/// is available.
 const RETRY_AFTER: Duration = Duration::from_millis(10);
 
-/// Result of accepting the connections that wait in the kernel's queue.
+/// Result of accepting all connections that wait in the kernel's queue of the listener.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Backlog {
     /// No connection was waiting.
     Empty,
-    /// All waiting connections were accepted.
+    /// At least one waiting connection was accepted, and now none is waiting.
     Accepted,
-    /// Connections may still be waiting, because too few descriptors are available to accept all of them.
+    /// No file descriptor is available, so connections may still be waiting.
     Waiting,
 }
 
-/// Accepts connections until the drain is over or the stop is imminent, then closes the listener. New
-/// connections are still accepted during the drain, because callers notice late that a server is leaving,
-/// and an answer from this server costs a caller less than a refused connection.
+/// Accepts connections until the drain is over or the process is about to stop, then closes the listener.
+///
+/// During the drain, the server still accepts connections, because callers learn late that the server leaves.
+/// A rejection costs a caller less than a refused connection.
 pub async fn accept(server: Rc<Server>, listener: Async<TcpListener>) {
     let mut exhausted = false;
     loop {
@@ -55,8 +57,8 @@
     }
 }
 
-/// Accepts the next connection. Returns `None` if the drain should be checked again before a connection
-/// arrives.
+/// Accepts the next connection. Returns `None` if no connection arrived before the drain state must be
+/// checked again.
 async fn next_stream(
     server: &Server,
     listener: &Async<TcpListener>,
@@ -69,9 +71,11 @@
     future::or(recheck, accepted).await
 }
 
-/// Accepts the connections that wait in the kernel's queue while descriptors are available. Called before the
-/// listener is closed, since closing it would reset the waiting connections and lose the unread calls on
-/// them. If the queue is empty, the caller closes the listener without yielding to another task.
+/// Accepts all connections that wait in the kernel's queue, as long as file descriptors are available.
+///
+/// Called before the listener is closed. Closing the listener would reset the waiting connections, and their
+/// unread calls would be lost. If no connection is waiting, the caller closes the listener at once, without
+/// yielding to another task.
 fn accept_backlog(server: &Rc<Server>, listener: &Async<TcpListener>) -> Backlog {
     let mut backlog = Backlog::Empty;
     while let Some(descriptor) = server.descriptors.reserve_for_connection() {
@@ -84,8 +88,9 @@
     Backlog::Waiting
 }
 
-/// Frees a descriptor by closing an idle connection. If no connection may be closed, closes the idle
-/// downstream connections and pauses. Meanwhile new connections wait in the kernel's queue.
+/// Makes a file descriptor available for a new connection by closing an idle connection of a balancer. If no
+/// connection may be closed yet, closes all idle downstream connections and waits. Meanwhile new connections
+/// stay in the kernel's queue.
 async fn free_descriptor(server: &Server, exhausted: &mut bool) {
     if server.connections.close_one_idle(server.clock.now()) {
         return future::yield_now().await;
--- a/crates/server/src/connection/mod.rs
+++ b/crates/server/src/connection/mod.rs
@@ -1,4 +1,5 @@
-//! Connections of balancers: the listener, the table of open connections, and the task of each connection.
+//! Connections from balancers: the listener, the table of open connections, and the task that serves each
+//! connection.
 
 pub mod accept;
 mod request;
--- a/crates/server/src/connection/request.rs
+++ b/crates/server/src/connection/request.rs
@@ -1,4 +1,4 @@
-//! Converts calls received from balancers into requests, according to the settings of the deployment.
+//! Converts the calls that are received from balancers into requests for operations.
 
 use crate::configuration::Configuration;
 use crate::configuration::TENANT_FIELD;
@@ -13,35 +13,36 @@
 use std::net::IpAddr;
 use std::rc::Rc;
 
-/// Field in which a caller states its timeout, in milliseconds.
+/// Name of the call field in which the caller states its timeout, in milliseconds.
 const CLIENT_TIMEOUT_FIELD: &str = "allow";
-/// Field that marks a call as a retry. Any value except 0 marks the call.
+/// Name of the call field that marks a call as a retry. Any value except 0 marks the call as a retry.
 const RETRY_FIELD: &str = "dup";
 
-/// Reason why a call is invalid and fails.
+/// Reason why a call is invalid. The server answers an invalid call with a failure.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum RequestError {
-    /// The settings do not define the operation.
+    /// The deployment's settings do not contain the operation that the call names.
     #[error("unknown operation {0:?}")]
     UnknownOperation(String),
-    /// The arrival time of the call differs from the present time by more than the longest client timeout.
-    /// If it is that far in the past, the caller has given up.
+    /// The stated arrival time of the call is out of range. It differs from the present time by more than the
+    /// longest client timeout. A caller has given up on a call that arrived so long ago.
     #[error("since is out of range: {age_ns} ns ago, limit is {limit_ns} ns")]
     SinceOutOfRange {
-        /// Time since the call reached the machine, in nanoseconds; negative if the stated time is in the
-        /// future.
+        /// Time since the call arrived at the machine, in nanoseconds. Negative if the stated arrival time is
+        /// in the future.
         age_ns: i64,
-        /// The longest client timeout, in nanoseconds.
+        /// Maximum difference from the present time, in nanoseconds: the longest client timeout of the
+        /// operations.
         limit_ns: Nanos,
     },
-    /// The settings define tenant allowances, but not for this tenant.
+    /// The settings define allowances of tenants, but the call names no tenant or an unknown tenant.
     #[error("unknown tenant {0:?}")]
     UnknownTenant(Option<String>),
-    /// The client timeout is not a whole number of milliseconds.
+    /// The caller's timeout is not a whole number of milliseconds.
     #[error("bad {CLIENT_TIMEOUT_FIELD} {0:?}")]
     BadClientTimeout(String),
-    /// The operation is idempotent with a key, but the call has no idempotency key. Without a key, repeated
-    /// calls cannot be recognized.
+    /// The operation needs an idempotency key, but the call contains none. Without a key, the server cannot
+    /// recognize repeated calls.
     #[error("missing idempotency key")]
     MissingKey,
     /// The idempotency key is longer than the maximum length.
@@ -49,16 +50,16 @@
     KeyTooLong(usize),
 }
 
-/// Converts the calls of one connection into requests.
+/// Converts the calls that are received on one connection into requests.
 pub struct RequestDecoder<'a> {
-    /// The configuration. It contains the names of operations and tenants, and the names of the fields that
-    /// hold keys and tenants.
+    /// The server's configuration. It contains the names of operations, of tenants, and of the call fields
+    /// that hold idempotency keys and tenants.
     pub configuration: &'a Configuration,
-    /// The clock, used to compute the age of calls.
+    /// The server's clock, used to compute how long ago a call arrived.
     pub clock: &'a Clock,
     /// The connection on which the calls are received.
     pub connection: &'a Rc<Connection>,
-    /// The peer's address without its port.
+    /// IP address of the peer at the other end of the connection, without the port.
     pub peer: IpAddr,
 }
 
@@ -98,8 +99,8 @@
         Ok(())
     }
 
-    /// Returns the index of the call's tenant in the settings. Returns 0 if the settings have no tenant
-    /// allowances, or if the options identify tenants in another way.
+    /// Returns the index of the call's tenant in the deployment's settings. Returns 0 if the settings define
+    /// no allowances of tenants, or if the options file configures how tenants are identified.
     fn tenant(&self, call: &rpc::Call) -> Result<usize, RequestError> {
         let names = &self.configuration.settings.tenant_names;
         if names.is_empty() || self.configuration.options.borrow().tenants.is_some() {
@@ -110,8 +111,8 @@
         index.ok_or_else(|| RequestError::UnknownTenant(named.map(str::to_string)))
     }
 
-    /// Returns the time, counted from the arrival of the call, that its caller waits for the answer.
-    /// Returns `None` if the call states no timeout, or if the settings say that callers state none.
+    /// Returns how long the caller waits for the answer, counted from the arrival of the call. Returns `None`
+    /// if the call states no timeout, or if timeouts are disabled in the settings.
     fn client_timeout(&self, call: &rpc::Call) -> Result<Option<Nanos>, RequestError> {
         if !self.configuration.settings.passes_deadline {
             return Ok(None);
@@ -136,8 +137,9 @@
         Ok(Some(key.into()))
     }
 
-    /// Returns the sender of a call, read from the source that the options configure. The tenant name is
-    /// empty if the call does not state one.
+    /// Returns the sender of a call: its tenant, its origin and its ticket. The options configure where the
+    /// tenant is read from. The tenant's name is empty if the call contains none. Returns `None` if the
+    /// options do not configure tenants.
     fn sender(&self, call: &rpc::Call) -> Option<Sender> {
         let options = self.configuration.options.borrow();
         let tenants = options.tenants.as_ref()?;
@@ -155,8 +157,8 @@
     }
 }
 
-/// Converts a peer's address to an origin number. Only the first half of an IPv6 address is used, since the
-/// owner of one IPv6 address usually controls all addresses with the same first half.
+/// Converts a peer's IP address to a number that identifies the origin of its calls. For IPv6 only the first
+/// 64 bits are used, since one owner usually controls all addresses with the same first 64 bits.
 fn peer_origin(peer: IpAddr) -> u64 {
     match peer {
         IpAddr::V4(address) => u64::from(address.to_bits()),
--- a/crates/server/src/connection/state.rs
+++ b/crates/server/src/connection/state.rs
@@ -1,10 +1,11 @@
-//! The state of a balancer's connection. It uses neither the socket nor the clock.
+//! The protocol state of a balancer's connection, without the socket and the clock.
 //!
-//! The connection's task passes received bytes to [`ConnectionState::handle_bytes`] and retrieves the
-//! events parsed from them with [`ConnectionState::poll_event`]. The task passes answers to
-//! [`ConnectionState::queue_answer`] and retrieves the bytes to send with
-//! [`ConnectionState::poll_transmit`]. The task also provides the time, and waits at most until
-//! [`ConnectionState::poll_timeout`].
+//! The connection's task reads bytes from the socket and passes them to [`ConnectionState::handle_bytes`].
+//! Events parsed from the bytes are returned by [`ConnectionState::poll_event`].
+//!
+//! The task passes answers to [`ConnectionState::queue_answer`]. Bytes to send are returned by
+//! [`ConnectionState::poll_transmit`]. The task passes the current time to each method that needs it, and
+//! waits at most until [`ConnectionState::poll_timeout`].
 
 use crate::connection::request::RequestError;
 use crate::connection::table::{Connection, OPEN_CALLS_MAX};
@@ -15,33 +16,36 @@
 use meadowstream_overload_control::Nanos;
 use std::rc::Rc;
 
-/// Maximum length of an encoded answer, in bytes: its body, and the other words of its array.
+/// Maximum length of an encoded answer, in bytes: the body, and at most 256 bytes for the other words of the
+/// RESP array.
 const ANSWER_MAX_BYTES: usize = resp::WORD_MAX + 256;
-/// Capacity of the outgoing buffer, in bytes: one answer to each open call, and one drain request.
+/// Capacity of the buffer for outgoing messages, in bytes. The buffer can hold one answer to each open call,
+/// and one drain request.
 const OUTGOING_MAX_BYTES: usize = (OPEN_CALLS_MAX + 1) * ANSWER_MAX_BYTES;
-/// Divisor of the shortest client timeout. Within the resulting time a new connection must deliver its
-/// first complete command, and a command that has begun must become complete.
+/// Divisor of the shortest client timeout. The result is a time limit: for a new connection to deliver its
+/// first complete command, and for an incomplete command to become complete.
 const COMMAND_TIMEOUT_DIVISOR: u64 = 2;
 
 /// Settings of the deployment that apply to all connections.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionSettings {
-    /// Longest client timeout of the operations. A connection is closed if its peer reads no bytes for this
+    /// Longest client timeout of all operations. A connection is closed if its peer reads no bytes for this
     /// long.
     pub longest_client_timeout: Nanos,
-    /// Shortest client timeout of the operations. A command must become complete within half of this time.
+    /// Shortest client timeout of all operations. An incomplete command must become complete within half of
+    /// this time.
     pub shortest_client_timeout: Nanos,
-    /// Idle time after which a draining connection without open calls is closed.
+    /// Linger time: a draining connection without open calls is closed after it has been idle for this long.
     pub linger: Nanos,
     /// True if callers may cancel their calls.
     pub cancellation: bool,
 }
 
-/// Event parsed from bytes received on the connection.
+/// Event parsed from the bytes that were received on a connection.
 pub enum ReceivedEvent {
-    /// A call was received. Its tag is open until the call is answered or cancelled.
+    /// A call was received. Its tag stays in use until the call is answered or cancelled.
     Request(Box<Request>),
-    /// A health check was received. The answer carries its tag.
+    /// A health check was received. The answer must carry the tag of the health check.
     HealthCheck {
         /// Tag of the health check.
         tag: u64,
@@ -50,60 +54,61 @@
     Cancelled {
         /// Tag of the call.
         tag: u64,
-        /// True if the call was still open. A call is no longer open if, for example, the server had sent its
-        /// answer before the cancellation arrived.
+        /// True if the cancelled call was still open. False, for example, if the server had answered the call
+        /// before the cancellation arrived.
         was_open: bool,
     },
-    /// A command that cannot be executed was received.
+    /// The received command is complete, but cannot be executed.
     Invalid {
-        /// Tag under which to answer the command with a failure. `None` if the command has no valid tag, or
-        /// if an open call has the same tag.
+        /// Tag for the failure answer to the invalid command. `None` if the command must not be answered: it
+        /// has no valid tag, or an open call has the same tag.
         answer_to: Option<u64>,
         /// Reason why the command is invalid.
         error: InvalidCommand,
     },
-    /// The received bytes are not valid RESP. No more bytes are read from the connection.
+    /// The received bytes are not valid RESP. The server reads no more bytes from the connection.
     Malformed(ParseError),
 }
 
 /// Reason why a command cannot be executed.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum InvalidCommand {
-    /// An open call already has the tag of the new call or health check.
+    /// The new call or health check has the tag of a call that is still open.
     #[error("tag is already open: {0}")]
     TagInUse(u64),
-    /// The command is a cancellation, but the settings do not permit cancellations.
+    /// The command cancels a call, but the settings do not permit cancellations.
     #[error("cancellation is disabled")]
     CancellationUnused,
     /// The words of the RESP array are not a valid command.
     #[error(transparent)]
     Command(#[from] rpc::CommandError),
-    /// The call does not match the settings of the deployment.
+    /// The call is invalid under the settings of the deployment, for example because its operation is
+    /// unknown.
     #[error(transparent)]
     Request(#[from] RequestError),
 }
 
-/// Error for an outgoing buffer that is full because the peer reads too slowly.
+/// Error: a message does not fit into the buffer for outgoing messages, because the peer reads too slowly.
 #[derive(Debug, PartialEq, thiserror::Error)]
 #[error("outgoing buffer is full: {bytes} bytes do not fit, its limit is {OUTGOING_MAX_BYTES} bytes")]
 pub struct OutgoingFull {
-    /// Length of the message that did not fit into the buffer, in bytes.
+    /// Length, in bytes, of the message that did not fit into the buffer.
     pub bytes: usize,
 }
 
-/// Result of checking the timeout of the connection.
+/// Result of checking whether the connection has timed out.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Expiry {
     /// The connection stays open.
     NotYet,
-    /// The connection has timed out because the peer does not read the bytes sent to it.
+    /// The connection has timed out because the peer does not read the bytes that are sent to it.
     PeerNotReading,
-    /// The connection has timed out because the peer did not send a complete command in time, or did not
-    /// close a draining connection.
+    /// The connection has timed out for one of two reasons: the peer did not send a complete command in time,
+    /// or the peer did not close a draining connection.
     PeerIdle,
 }
 
-/// The state of one connection of a balancer.
+/// The protocol state of one connection from a balancer.
 pub struct ConnectionState {
     settings: ConnectionSettings,
     connection: Rc<Connection>,
@@ -111,12 +116,12 @@
     incoming: Ring,
     outgoing: Ring,
     open_tags: Vec<u64>,
-    /// True if no more bytes are read, because the peer has closed its sending side or has sent malformed
-    /// data.
+    /// True if the server reads no more bytes, because the peer has closed its sending side or has sent
+    /// malformed data.
     reading_ended: bool,
     peer_closed: bool,
-    /// Time since which the connection waits for the rest of an incomplete command, or for the first
-    /// command of a new connection.
+    /// Start of the time limit for the next command. Set while the peer owes bytes: the rest of an incomplete
+    /// command, or the first command of a new connection. `None` otherwise.
     command_due_since: Option<Nanos>,
 }
 
@@ -141,17 +146,17 @@
         }
     }
 
-    /// Returns the number of bytes that fit into the incoming buffer.
+    /// Returns the number of bytes that still fit into the buffer for received bytes.
     pub fn receive_capacity(&self) -> usize {
         self.incoming.free()
     }
 
-    /// Returns whether the connection's task should read more bytes from the socket.
+    /// Returns whether the connection's task should read from the socket now.
     pub fn wants_read(&self) -> bool {
         !self.reading_ended && self.accepts_command() && self.receive_capacity() > 0
     }
 
-    /// Returns whether no bytes are read until other connections release buffer memory.
+    /// Returns whether reading is paused until other connections release buffer memory.
     pub fn waits_for_buffers(&self) -> bool {
         !self.reading_ended && !self.buffers.budget().has_capacity()
     }
@@ -161,14 +166,15 @@
         self.peer_closed
     }
 
-    /// Returns whether the connection can be closed: no more commands are accepted, every call is answered,
-    /// and all answers are sent.
+    /// Returns whether the connection can be closed. This requires that no more commands are accepted, every
+    /// call is answered, and all answers are sent.
     pub fn is_finished(&self) -> bool {
         let ends = self.reading_ended || self.connection.closes_if_idle.get();
         ends && self.open_tags.is_empty() && self.outgoing.is_empty()
     }
 
-    /// Adds received bytes to the incoming buffer. At most [`Self::receive_capacity`] bytes may be passed.
+    /// Adds received bytes to the incoming buffer. The caller must pass at most [`Self::receive_capacity`]
+    /// bytes.
     pub fn handle_bytes(&mut self, now: Nanos, bytes: &[u8]) {
         // The bytes always fit, because the connection's task reads at most `receive_capacity` bytes.
         let _ = self.incoming.put(bytes);
@@ -176,14 +182,14 @@
         self.connection.last_used.set(now);
     }
 
-    /// Handles the end of the incoming stream, which means that the peer has closed its sending side.
+    /// Handles the end of the incoming stream: the peer has closed its sending side.
     pub fn handle_end_of_stream(&mut self) {
         self.reading_ended = true;
         self.peer_closed = true;
     }
 
-    /// Returns the next event parsed from the received bytes; `None` if more bytes are needed or no command
-    /// is accepted now. `decode` converts a call into a request.
+    /// Returns the next event parsed from the received bytes. Returns `None` if the next command is
+    /// incomplete, or if no command is accepted now. The function `decode` converts a call into a request.
     pub fn poll_event(
         &mut self,
         now: Nanos,
@@ -240,8 +246,8 @@
         }
     }
 
-    /// Creates the event for an invalid command. The command is not answered if an open call has the same
-    /// tag, since the caller would take the failure for the answer to that call.
+    /// Creates the event for an invalid command with the tag `tag`. If an open call has the same tag, the
+    /// command is not answered, because the caller would take the failure for the answer to the open call.
     fn invalid(&self, tag: u64, error: InvalidCommand) -> ReceivedEvent {
         ReceivedEvent::Invalid { answer_to: (!self.is_open(tag)).then_some(tag), error }
     }
@@ -264,8 +270,8 @@
         self.open_tags.contains(&tag)
     }
 
-    /// Removes a call from the open calls because its final answer is available or it was cancelled.
-    /// Returns false if the call was not open.
+    /// Removes the call with this tag from the open calls, because the call is answered or cancelled. Returns
+    /// false if the call was not open.
     pub fn close_call(&mut self, tag: u64) -> bool {
         let was_open = self.is_open(tag);
         self.open_tags.retain(|open| *open != tag);
@@ -273,7 +279,8 @@
         was_open
     }
 
-    /// Queues an encoded answer for sending, with the load that the server advertises.
+    /// Encodes an answer and queues it for sending. `advertised_load` is the server's load, which the answer
+    /// tells the caller.
     pub fn queue_answer(
         &mut self,
         now: Nanos,
@@ -300,19 +307,19 @@
         if fits { Ok(()) } else { Err(OutgoingFull { bytes: bytes.len() }) }
     }
 
-    /// Returns the bytes to send next; empty if there are no bytes to send.
+    /// Returns the bytes to send next. The result is empty if there is nothing to send.
     pub fn poll_transmit(&self) -> &[u8] {
         self.outgoing.front()
     }
 
-    /// Removes the first `count` bytes of [`Self::poll_transmit`], which were sent.
+    /// Removes the first `count` bytes that [`Self::poll_transmit`] returned, because they were sent.
     pub fn handle_transmitted(&mut self, now: Nanos, count: usize) {
         self.outgoing.drop_front(count);
         self.connection.last_used.set(now);
     }
 
-    /// Returns the time at which the connection times out unless bytes are received or sent before; `None`
-    /// if it cannot time out now.
+    /// Returns the time at which the connection times out if no bytes are received or sent until then.
+    /// Returns `None` if no timeout applies at present.
     pub fn poll_timeout(&self) -> Option<Nanos> {
         let last_used = self.connection.last_used.get();
         if !self.outgoing.is_empty() {
@@ -327,7 +334,7 @@
         drained.into_iter().chain(silent).min()
     }
 
-    /// Returns whether the connection has timed out at `now`, and for which reason.
+    /// Returns whether the connection has timed out at the time `now`, and for which reason.
     pub fn handle_timeout(&self, now: Nanos) -> Expiry {
         if self.poll_timeout().is_none_or(|end| now < end) {
             return Expiry::NotYet;
@@ -335,16 +342,18 @@
         if self.outgoing.is_empty() { Expiry::PeerIdle } else { Expiry::PeerNotReading }
     }
 
-    /// Updates the connection's reservation of buffer memory. The reservation covers the bytes in its
-    /// buffers, and the body and the future answer of each open call.
+    /// Updates how much buffer memory the connection reserves. The reservation covers the bytes in the two
+    /// buffers of the connection. For each open call, it also covers the body of the call and the future
+    /// answer.
     pub fn update_reservation(&mut self) {
         let pending_bytes = self.open_tags.len() * 2 * ANSWER_MAX_BYTES;
         self.buffers.resize(self.incoming.len() + self.outgoing.len() + pending_bytes);
     }
 
-    /// Returns whether another command can be accepted. This requires that fewer than the maximum number of
-    /// calls are open, that the outgoing buffer has space for the answers to the open calls and to the new
-    /// command, and that buffer memory is available.
+    /// Returns whether the connection accepts another command now. Three conditions must hold:
+    /// - Fewer than [`OPEN_CALLS_MAX`] calls are open.
+    /// - The outgoing buffer has space for the answers to all open calls and to the new command.
+    /// - Buffer memory is available.
     fn accepts_command(&self) -> bool {
         let open = self.open_tags.len();
         let fits = self.outgoing.free() >= (open + 2) * ANSWER_MAX_BYTES;
--- a/crates/server/src/connection/state/tests.rs
+++ b/crates/server/src/connection/state/tests.rs
@@ -1,4 +1,4 @@
-//! Tests the connection state without a socket: parsing, answers and timeouts.
+//! Tests the connection state without a socket: parsing of commands, answers and timeouts.
 
 use super::*;
 use crate::connection::table::{Connections, Notification};
@@ -34,7 +34,7 @@
     open_connection_with(SETTINGS, BUDGET_BYTES)
 }
 
-/// Encodes a command as a RESP array.
+/// Encodes the words of a command as a RESP array.
 fn command(words: &[&str]) -> Vec<u8> {
     let words: Vec<&[u8]> = words.iter().map(|word| word.as_bytes()).collect();
     let mut bytes = Vec::new();
@@ -47,7 +47,8 @@
 }
 
 impl TestConnection {
-    /// Returns the next event. Calls of the operation `checkout` are decoded; others are unknown.
+    /// Returns the next event of the connection. Only the operation `checkout` is known; a call of another
+    /// operation is invalid.
     fn poll(&mut self, now: Nanos) -> Option<ReceivedEvent> {
         let connection = self.connection.clone();
         self.state.poll_event(now, |call| match call.operation {
--- a/crates/server/src/connection/table.rs
+++ b/crates/server/src/connection/table.rs
@@ -1,5 +1,5 @@
-//! The table of open connections of balancers, and the notifications that other tasks send to the tasks of
-//! these connections.
+//! The table of open connections from balancers. Other tasks use it to send notifications to the task of a
+//! connection.
 
 use crate::wire::rpc::Answer;
 use async_channel::{Receiver, Sender};
@@ -8,44 +8,45 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Maximum number of open calls on one connection. Further calls stay unread until an open call is
-/// answered.
+/// Maximum number of open (unanswered) calls on one connection. Further calls stay unread until an open call
+/// is answered or cancelled.
 pub const OPEN_CALLS_MAX: usize = 32;
-/// Idle time, in nanoseconds, after which a connection that has never received a command may be closed to
-/// free its file descriptor for a new connection.
+/// Idle time, in nanoseconds, for connections that have never received a command. After this time the server
+/// may close the connection if a new connection needs its file descriptor.
 const UNUSED_TIMEOUT_NS: Nanos = 50_000_000;
-/// Idle time, in nanoseconds, after which a connection that has received a command may be closed to free
-/// its file descriptor for a new connection.
+/// Idle time, in nanoseconds, for connections that have received a command. After this time the server may
+/// close the connection if a new connection needs its file descriptor.
 const IDLE_TIMEOUT_NS: Nanos = 500_000_000;
 
-/// Notification from another task to the task of a connection.
+/// Notification that another task sends to the task of a connection.
 pub enum Notification {
-    /// Send the final answer to a call.
+    /// Send the final answer of a call to the peer.
     Answer {
         /// The tag of the call.
         tag: u64,
         /// The final answer.
         answer: Answer,
     },
-    /// Ask the peer to send no more calls on this connection.
+    /// Send the peer a request to send no more calls on this connection.
     Drain,
-    /// Close the connection to free its file descriptor, unless a command has arrived in the meantime.
+    /// Close the connection to free its file descriptor. Ignored if a command has arrived in the meantime.
     CloseIfIdle,
 }
 
-/// An open connection of a balancer, as seen by tasks other than the connection's own.
+/// An open connection from a balancer: the part of its state that other tasks can access.
 pub struct Connection {
-    /// Number of the connection in the table.
+    /// Id of the connection, unique in the table.
     pub id: u64,
     notifications: Sender<Notification>,
-    /// Number of calls on the connection that are not answered.
+    /// Number of calls on the connection that are not yet answered.
     pub open_calls: Cell<usize>,
-    /// Time at which bytes were last received on the connection, queued for sending, or sent.
+    /// Time of the connection's last activity: when bytes were last received, queued for sending, or sent.
     pub last_used: Cell<Nanos>,
     has_received: Cell<bool>,
-    /// True once the peer was asked, or is about to be asked, to send no more calls on the connection.
+    /// True once a request to send no more calls on the connection is sent to the peer or queued for sending.
     pub draining: Cell<bool>,
-    /// True if the connection's task was asked to close the connection and no command has arrived since.
+    /// True if the connection is about to be closed to free its file descriptor. Reset if a command arrives
+    /// before the connection is closed.
     pub closes_if_idle: Cell<bool>,
 }
 
@@ -62,21 +63,20 @@
         }
     }
 
-    /// Sends a notification to the connection's task. Returns false if the notification could not be
-    /// queued, for example because the connection has ended. The queue has space for one answer to each
-    /// open call.
+    /// Queues a notification for the connection's task. Returns false if queueing failed, for example because
+    /// the connection has ended. The queue has space for one answer to each open call.
     pub fn notify(&self, notification: Notification) -> bool {
         self.notifications.try_send(notification).is_ok()
     }
 
-    /// Records that a complete command was received on the connection. This cancels a request to close the
-    /// connection if idle.
+    /// Records that a complete command was received on the connection. If the connection was about to be
+    /// closed as idle, it stays open.
     pub fn mark_received(&self) {
         self.has_received.set(true);
         self.closes_if_idle.set(false);
     }
 
-    /// Asks the peer to send no more calls on the connection, unless it was asked before.
+    /// Requests the peer to send no more calls on the connection, unless this was requested before.
     pub fn drain(&self) {
         if !self.draining.replace(true) {
             self.notify(Notification::Drain);
@@ -87,19 +87,19 @@
         self.open_calls.get() == 0 && self.last_used.get() <= since
     }
 
-    /// Returns whether the connection has been idle long enough to be closed for a new connection.
+    /// Returns whether the connection has been idle long enough to be closed in favor of a new connection.
     fn may_be_closed(&self, now: Nanos) -> bool {
         let keep_for = if self.has_received.get() { IDLE_TIMEOUT_NS } else { UNUSED_TIMEOUT_NS };
         !self.closes_if_idle.get() && self.open_calls.get() == 0 && self.last_used.get() + keep_for <= now
     }
 }
 
-/// Health and load of the server as last set by the controller. The health is reported in answers to health
-/// checks; the load is advertised in answers to calls.
+/// Health and load of the server, as set by the controller. Answers to health checks report the health;
+/// answers to calls advertise the load.
 pub struct HealthStatus {
-    /// Response to health checks: true if the server is healthy and wants calls.
+    /// Answer to health checks. True if the server is healthy and callers may send calls to it.
     pub healthy: Cell<bool>,
-    /// Load that each answer advertises; `None` until the controller sets a load.
+    /// Load that is advertised in each answer to a call; `None` until the controller sets a load.
     pub advertised_load: Cell<Option<f64>>,
 }
 
@@ -111,8 +111,8 @@
 }
 
 impl Connections {
-    /// Adds a connection to the table. Returns the connection, and the queue from which its task receives
-    /// notifications.
+    /// Adds a new connection to the table. Returns the connection and the queue of notifications for its
+    /// task.
     pub fn open(&self, now: Nanos) -> (Rc<Connection>, Receiver<Notification>) {
         let (sender, notifications) = async_channel::bounded(OPEN_CALLS_MAX + 2);
         self.last_id.set(self.last_id.get() + 1);
@@ -121,24 +121,25 @@
         (connection, notifications)
     }
 
-    /// Removes a connection that has ended from the table.
+    /// Removes a connection from the table after the connection has ended.
     pub fn close(&self, id: u64) {
         self.open.borrow_mut().remove(&id);
     }
 
-    /// Returns the number of open connections.
+    /// Returns the number of open connections in the table.
     pub fn count(&self) -> usize {
         self.open.borrow().len()
     }
 
-    /// Asks the peers of all connections to send no more calls on them.
+    /// Requests the peers of all open connections to send no more calls on these connections.
     pub fn drain_all(&self) {
         for connection in self.open.borrow().values() {
             connection.drain();
         }
     }
 
-    /// Asks the peers of all connections that have been idle since `since` to send no more calls on them.
+    /// Requests the peer of each connection that has been idle since the time `since` to send no more calls
+    /// on the connection.
     pub fn drain_idle_since(&self, since: Nanos) {
         for connection in self.open.borrow().values() {
             if connection.is_idle_since(since) {
@@ -147,9 +148,10 @@
         }
     }
 
-    /// Asks the task of one idle connection to close it. Prefers connections that have never received a
-    /// command, and among those the one that has been idle for longest. Returns false if no connection may
-    /// be closed yet.
+    /// Tells the task of one idle connection to close the connection. Connections that have never received a
+    /// command are closed first. Among these, the connection with the longest idle time is closed first.
+    ///
+    /// Returns false if no connection has been idle long enough.
     pub fn close_one_idle(&self, now: Nanos) -> bool {
         let open = self.open.borrow();
         let closable = open.values().filter(|connection| connection.may_be_closed(now));
--- a/crates/server/src/connection/task.rs
+++ b/crates/server/src/connection/task.rs
@@ -1,4 +1,5 @@
-//! The task of a balancer's connection, which moves bytes between the socket and the connection's state.
+//! The task of a connection from a balancer. The task moves bytes between the socket and the connection's
+//! protocol state.
 
 use crate::connection::request::RequestDecoder;
 use crate::connection::state::{ConnectionSettings, ConnectionState, Expiry, OutgoingFull, ReceivedEvent};
@@ -17,12 +18,13 @@
 use std::time::{Duration, Instant};
 use tracing::debug;
 
-/// Delay before checking again whether other connections have released buffer memory.
+/// Delay before the task checks again whether other connections have released buffer memory.
 const BUFFERS_RETRY_AFTER: Duration = Duration::from_millis(10);
-/// Divisor of the time from the drain notice to the stop of the process; the result is the linger time. A
-/// connection may linger twice, while it is idle and while it closes, and both must end before the stop.
+/// Divisor of the time from the notice to leave until the process stops; the result is the linger time. A
+/// connection may wait for the linger time twice, while idle and while closing. Both waits must end before
+/// the process stops.
 const LINGER_DIVISOR: u64 = 8;
-/// Maximum number of bytes read from the socket at a time.
+/// Maximum number of bytes that one read from the socket returns.
 const READ_MAX_BYTES: usize = 8 * 1024;
 
 struct ConnectionTask {
@@ -35,8 +37,8 @@
     state: ConnectionState,
 }
 
-/// Registers a connection in the table and spawns its task. The connection is registered before its task
-/// first runs, so that the drain does not overlook the connection.
+/// Registers a connection in the table and starts its task. The connection is registered before the task
+/// first runs; otherwise a drain that starts in between would miss the connection.
 pub fn spawn(server: &Rc<Server>, stream: Async<TcpStream>, descriptor: Descriptor) {
     server.counters.connections_opened.add();
     let (connection, notifications) = server.connections.open(server.clock.now());
@@ -85,19 +87,20 @@
     }
 }
 
-/// Reason for which the connection's task continues after waiting.
+/// Reason why the connection's task resumes after waiting.
 enum Wake {
     Readable,
     Notified(Notification),
-    /// The time of the connection's timeout was reached.
+    /// The time returned by [`ConnectionState::poll_timeout`] was reached.
     Timeout,
-    /// The connection's state may have changed for a reason that has no variant here. The task evaluates the
-    /// state again.
+    /// Something else happened that may affect the connection, for example the socket became writable. The
+    /// task checks the connection's state again.
     Other,
 }
 
 impl ConnectionTask {
-    /// Serves the connection until it can be closed gracefully. Returns an error if the connection broke.
+    /// Serves the connection until it can be closed without losing calls or answers. Returns an error if the
+    /// connection broke.
     async fn run(&mut self) -> Result<()> {
         loop {
             while let Ok(notification) = self.notifications.try_recv() {
@@ -122,7 +125,7 @@
         }
     }
 
-    /// Waits until the connection's task has something to do, and returns the reason.
+    /// Waits until the connection's task has work to do, and returns the reason why the wait ended.
     async fn wait(&self) -> Result<Wake> {
         let readable = async {
             if !self.state.wants_read() {
@@ -153,8 +156,8 @@
         future::or(notified, future::or(writable, passive)).await
     }
 
-    /// Handles the bytes that have already arrived, and returns whether the connection has then still timed
-    /// out. Returns an error if the peer has not read the bytes sent to it.
+    /// Returns whether the connection has timed out, after handling the bytes that have already arrived.
+    /// Returns an error if the peer does not read the bytes sent to it.
     async fn has_expired(&mut self) -> Result<bool> {
         if !self.state.poll_transmit().is_empty() {
             return Err(ErrorKind::TimedOut.into());
@@ -175,7 +178,8 @@
                 }
                 self.answer(tag, &answer)
             }
-            // Accept the commands that have already arrived, which cancels the closing of the connection.
+            // Read the commands that have already arrived. If there is a complete command, the connection
+            // stays open.
             Notification::CloseIfIdle => self.read(),
             Notification::Drain => {
                 self.server.counters.enough_sent.add();
@@ -189,7 +193,7 @@
         Ok(self.state.queue_answer(self.server.clock.now(), tag, answer, advertised_load)?)
     }
 
-    /// Dispatches all events parsed from the received bytes.
+    /// Parses the received bytes and dispatches each resulting event.
     async fn dispatch_events(&mut self) -> Result<()> {
         loop {
             let decoder = RequestDecoder {
@@ -264,11 +268,14 @@
         Ok(())
     }
 
-    /// Closes the connection gracefully unless its peer has closed it. Shuts down the sending side, then
-    /// reads and discards data until the peer closes the connection or the linger time is over. Closing the
-    /// socket with unread bytes would reset the connection and lose answers that are still in transit.
-    /// Callers retry the discarded calls on other servers. A connection that is closed to free its
-    /// descriptor discards only the data that has already arrived.
+    /// Closes the connection gracefully, unless the peer has already closed it.
+    ///
+    /// Shuts down the sending side, then reads and discards data until the peer closes the connection or the
+    /// linger time is over. If the socket were closed with unread bytes, the connection would be reset and
+    /// answers in transit would be lost. Callers retry discarded calls on other servers.
+    ///
+    /// If the connection is closed to free its file descriptor, the task discards only data that has already
+    /// arrived and does not wait for more.
     async fn linger(&mut self) {
         let clock = &self.server.clock;
         let deadline = clock.instant(clock.now() + settings(&self.server).linger);
@@ -292,8 +299,8 @@
         }
     }
 
-    /// Waits for more data to discard, or for a notification. Returns false if the linger time is over or
-    /// the connection broke.
+    /// Waits until more data to discard arrives, or a notification arrives. Returns false if the linger time
+    /// is over or the connection broke.
     async fn wait_for_discardable_data(&self, deadline: Instant) -> bool {
         let readable = async { self.stream.readable().await.is_ok() };
         let notified = async { self.notifications.recv().await.is_ok() };
--- a/crates/server/src/error.rs
+++ b/crates/server/src/error.rs
@@ -2,7 +2,7 @@
 
 use std::error::Error;
 
-/// A boxed error of any type, with its chain of causes.
+/// An error of any type, boxed. Its causes are available from [`Error::source`].
 pub type BoxError = Box<dyn Error + Send + Sync>;
 
 /// Formats an error and all its causes in one line.
--- a/crates/server/src/event.rs
+++ b/crates/server/src/event.rs
@@ -7,90 +7,92 @@
 use meadowstream_overload_control::{Nanos, Outcome, Sender as TenantSender};
 use std::rc::Rc;
 
-/// A request for an operation, converted from a call of a balancer.
+/// A request for an operation. It is created from a call that a balancer has sent.
 pub struct Request {
-    /// Connection on which the call was received and is answered.
+    /// Connection on which the call was received, and on which it is answered.
     pub connection: Rc<Connection>,
     /// Tag of the call, chosen by the caller and unique among the open calls of its connection.
     pub tag: u64,
-    /// Index of the operation in the settings.
+    /// Index of the requested operation in the deployment's settings.
     pub operation: usize,
-    /// Reference of the invocation, chosen by the caller and the same for all its attempts.
+    /// Reference of the invocation. The caller chooses the reference, and uses it again in each retry of the
+    /// same invocation.
     pub reference: u64,
-    /// Time at which the call arrived at this machine, in milliseconds since 1970.
+    /// Unix time, in milliseconds, at which the call arrived at this machine.
     pub arrival_unix_ms: u64,
-    /// Memory that the run reserves, in kilobytes.
+    /// Memory that a run of the operation reserves, in kilobytes.
     pub held_kb: f64,
-    /// Index of the tenant in the settings; 0 if the settings define no tenants.
+    /// Index of the caller's tenant in the deployment's settings; 0 if the settings define no tenants.
     pub tenant: usize,
-    /// Time that the caller waits for the answer, counted from the arrival of the call; `None` if the
-    /// caller states none.
+    /// How long the caller waits for the answer, counted from the arrival of the call; `None` if the caller
+    /// states no timeout.
     pub client_timeout: Option<Nanos>,
     /// True if the caller has marked the call as a retry.
     pub marked_retry: bool,
     /// Body of the call, which is the input of the operation.
     pub body: Vec<u8>,
-    /// Idempotency key, if the operation is idempotent with a key.
+    /// Idempotency key of the call; `None` if the operation uses no key.
     pub idempotency_key: Option<Vec<u8>>,
-    /// Sender of the call, if tenants share the capacity by fair queueing.
+    /// Tenant and origin of the call; `None` unless fair queueing divides the capacity among tenants.
     pub sender: Option<TenantSender>,
 }
 
-/// An event from outside the event loop.
+/// An event that another task sends to the event loop.
 pub enum Event {
     /// A request has arrived.
     Arrived(Box<Request>),
-    /// A connection has broken, and its callers no longer wait for answers.
+    /// A connection has broken. The callers on this connection no longer wait for answers.
     ConnectionLost {
-        /// Number of the connection in the table.
+        /// Id of the broken connection in the table of connections.
         connection: u64,
     },
     /// A caller has cancelled a call.
     Cancelled {
-        /// Number of the connection in the table.
+        /// Id, in the table of connections, of the connection on which the call was made.
         connection: u64,
         /// Tag of the call.
         tag: u64,
     },
-    /// A link to the interpreter is established.
+    /// A connection to the interpreter, called a link, is established.
     Linked {
-        /// True if the interpreter is still warming up.
+        /// True if the interpreter is still warming up, so it runs operations more slowly.
         cold: bool,
-        /// Time since the interpreter started.
+        /// Time since the interpreter process started.
         age: Nanos,
-        /// True if the interpreter was restarted since the previous link. It then numbers its notices from
-        /// 1 again.
+        /// True if the interpreter was restarted since the previous link. A restarted interpreter numbers its
+        /// notices from 1 again.
         restarted: bool,
-        /// Queue of commands to send over the link.
+        /// Queue of the commands that are to be sent over the link.
         commands: Sender<Vec<u8>>,
     },
-    /// The link to the interpreter is lost.
+    /// The connection to the interpreter is lost.
     LinkLost,
-    /// A notice from the interpreter has arrived.
+    /// The interpreter has sent a notice, for example that a run has ended.
     Notice(Notice),
     /// A downstream call has ended.
     CallEnded {
-        /// Id of the invocation whose run waited for the call.
+        /// Id of the invocation that waited for the downstream call.
         invocation: u64,
         /// Number of the downstream call.
         number: u64,
-        /// Outcome of the call, as far as it is known.
+        /// Outcome of the downstream call; unknown if the service may or may not have run the call.
         outcome: Outcome,
-        /// Body of the reply; empty if there was no reply.
+        /// Body of the service's reply; empty if there was no reply.
         reply: Vec<u8>,
-        /// Duration of the call, in nanoseconds.
+        /// Duration of the downstream call, in nanoseconds.
         duration: Nanos,
     },
-    /// The fleet's call budget has capacity again for downstream calls that the controller has delayed.
+    /// The fleet's budget of downstream calls has free capacity again. Downstream calls that the controller
+    /// has delayed can be made.
     DownstreamCapacity,
-    /// Request to log the tenants with the highest demand.
+    /// Request to log which tenants have the highest demand.
     LogTenants,
-    /// Request to apply one part of a change of tenant weights and shares.
+    /// Request to apply one step of a change to the weights and shares of tenants.
     ReconfigureFairQueueing(Box<SettingsChange>),
-    /// Request to signal the sender. All events sent before this one have been handled when the sender is
-    /// signalled.
+    /// Request to send a signal over the given channel. The signal means that the event loop has handled all
+    /// events that were queued before this request.
     Barrier(Sender<()>),
-    /// Request to set the target utilization of the cores, from 0 to 1.
+    /// Request to set the target utilization of the CPU cores, from 0 to 1.
     SetTargetUtilization(f64),
     /// Request to drain the server and stop it.
     Shutdown,
--- a/crates/server/src/event_loop/actions.rs
+++ b/crates/server/src/event_loop/actions.rs
@@ -1,5 +1,5 @@
-//! Executes the overload controller's actions, and updates the state of an invocation when it is answered or
-//! its run ends.
+//! Executes the actions that the overload controller requests. Updates the state of an invocation when the
+//! invocation is answered or its run ends.
 
 use crate::connection::table::Notification;
 use crate::event_loop::answers;
@@ -15,47 +15,48 @@
 use std::rc::Rc;
 use tracing::warn;
 
-/// Time to wait for the interpreter's gauges, in nanoseconds. After this time the control period continues
-/// without them.
+/// Maximum time to wait for the gauges of the interpreter, in nanoseconds. After this time the control period
+/// continues without the gauges.
 const GAUGES_TIMEOUT_NS: Nanos = 250_000_000;
 
-/// A promise of admission, whose ticket is sent with the rejection of the invocation.
+/// A promise to admit a caller's next attempt. The rejection of the present attempt carries the ticket of the
+/// promise.
 pub struct PromisedAdmission {
-    /// Id of the invocation that is about to be rejected.
+    /// Id of the invocation that is about to be rejected with the promise.
     pub invocation: u64,
-    /// Ticket with which the caller redeems the promise at its next attempt.
+    /// Ticket that the caller presents with its next attempt, to be admitted.
     pub ticket: u64,
 }
 
-/// A repeated call that was answered with the outcome of the original invocation.
+/// A repeated call that was answered with the outcome of an earlier invocation with the same idempotency key.
 pub struct Replayed {
-    /// Id of the invocation that was registered for the repeated call.
+    /// Id of the invocation that stands for the repeated call.
     pub invocation: u64,
-    /// Outcome of the original invocation.
+    /// Outcome of the earlier, original invocation.
     pub outcome: Outcome,
 }
 
-/// Executes the actions of the overload controller (`impl Host`), and owns the state that these actions
-/// change.
+/// Executes the actions of the overload controller, (`impl Host`). Owns the state that these actions change.
 pub struct ActionExecutor {
-    /// State shared by all tasks of the server.
+    /// State of the server that all its tasks share.
     pub server: Rc<Server>,
-    /// All invocations that are unanswered or still running.
+    /// All invocations that are not yet answered or whose run has not ended.
     pub invocations: Invocations,
-    /// Idempotency keys, with the results of invocations that succeeded.
+    /// Table of idempotency keys and of the results of successful invocations with a key.
     pub idempotency: IdempotencyTable,
-    /// The session with the interpreter, through which commands are sent.
+    /// The session with the interpreter, which sends commands to it.
     pub session: InterpreterSession,
-    /// Timers of the controller, and timeouts of outstanding gauge requests.
+    /// Timers that the controller has set, and the timeouts of gauge requests that are not yet answered.
     pub timers: TimerQueue,
-    /// Promise of admission to include in the next rejection, if the controller made one.
+    /// Promise of admission that the next rejection carries; `None` if the controller has made no promise.
     pub promised: Option<PromisedAdmission>,
-    /// Ids of invocations that failed because the server does not support an action of the controller. The
-    /// controller is notified of them after the current action.
+    /// Ids of invocations that failed because the server does not support an action that the controller
+    /// requested. The controller is notified of these failures after the current action.
     pub unsupported: Vec<u64>,
-    /// Repeated calls that were answered. The controller is notified of them after the current action.
+    /// Repeated calls that were answered with an earlier outcome. The controller is notified of these answers
+    /// after the current action.
     pub replayed: Vec<Replayed>,
-    /// Number of the most recent downstream call, counted from 1.
+    /// Number of the most recent downstream call. The first call of the process has number 1.
     pub last_call: u64,
 }
 
