--- a/crates/server/src/event_loop/actions.rs
+++ b/crates/server/src/event_loop/actions.rs
@@ -61,7 +61,7 @@
 }
 
 impl ActionExecutor {
-    /// Creates an executor without invocations and without a link to the interpreter.
+    /// Creates an executor that has no invocations and no link to the interpreter yet.
     pub fn new(server: Rc<Server>) -> Self {
         let idempotency = {
             let configuration = &server.configuration;
@@ -88,8 +88,8 @@
         self.timers.set(self.server.clock.now() + after, timer);
     }
 
-    /// Requests the interpreter's gauges. The controller's `timer` is handled when the gauges arrive or the
-    /// request times out.
+    /// Requests the gauges of the interpreter for the controller's timer `timer`. The timer is handled when
+    /// the gauges arrive, or when the request times out.
     pub fn request_gauges(&mut self, timer: u32) {
         self.server.pool.close_expired();
         self.server.counters.gauges_asked.add();
@@ -97,8 +97,8 @@
         self.set_timer_after(GAUGES_TIMEOUT_NS, Timer::GaugesOverdue { nonce });
     }
 
-    /// Sends a command that the run of an invocation depends on. The command is stored until a notice from
-    /// the interpreter confirms its receipt.
+    /// Sends a command that starts or resumes the run of an invocation. The command is stored for resending
+    /// until a notice from the interpreter shows that the command was received.
     pub fn send_for_run(&mut self, invocation: u64, line: Vec<u8>) {
         let link = self.session.send(line.clone());
         if let Some(invocation) = self.invocations.get(invocation) {
@@ -106,8 +106,8 @@
         }
     }
 
-    /// Resends unconfirmed commands that were sent over an earlier link and may be lost. The interpreter
-    /// ignores a command that it has already received.
+    /// Resends commands that may have been lost with an earlier link: those sent over that link and not yet
+    /// confirmed. The interpreter ignores a command that it received before.
     pub fn resend_unconfirmed(&mut self) {
         let link = self.session.link();
         let mut lines = Vec::new();
@@ -128,7 +128,8 @@
         }
     }
 
-    /// Sends the final answer of an invocation to its caller, unless the invocation is already answered.
+    /// Sends the final answer of an invocation to its caller. Does nothing if the invocation was already
+    /// answered.
     pub fn answer(&mut self, id: u64, answer: Answer) {
         let Some(invocation) = self.invocations.get(id) else { return };
         if invocation.is_answered {
@@ -140,8 +141,8 @@
         self.close(id);
     }
 
-    /// Marks an invocation as needing no further answer. Abandons its downstream call, and stops its run if
-    /// the run waits for such a call.
+    /// Closes an invocation, which then needs no further answer. Abandons the downstream call of its run. If
+    /// the run waits for a downstream call, stops the run.
     pub fn close(&mut self, id: u64) {
         let Some(invocation) = self.invocations.get(id) else { return };
         invocation.is_answered = true;
@@ -153,9 +154,11 @@
         self.invocations.release(id);
     }
 
-    /// Stops a run that waits for a downstream call, because the call will not be made. Otherwise the run
-    /// would never end, and the controller would keep counting it among the waiting runs. The run of an
-    /// operation that is idempotent with a key continues, since its result may still answer repeated calls.
+    /// Stops the run of a closed invocation if the run waits for a downstream call. The call will not be
+    /// made, so the run would never end and the controller would always count it as waiting.
+    ///
+    /// The run of an operation that is idempotent with a key is not stopped, because its result may still
+    /// answer repeated calls.
     fn stop_run_awaiting_call(&mut self, id: u64) {
         let Some(invocation) = self.invocations.get(id) else { return };
         let awaits_call = invocation.is_running && invocation.awaits_call;
@@ -165,7 +168,8 @@
         }
     }
 
-    /// Sends the interpreter a command to stop the run of an invocation, if there is a run.
+    /// Sends the interpreter a command to stop the run of an invocation. Does nothing if the invocation has
+    /// no run.
     pub fn stop(&mut self, id: u64) {
         let Some(invocation) = self.invocations.get(id).filter(|invocation| invocation.is_running) else {
             return;
@@ -175,8 +179,8 @@
         invocation.stop_link = Some(self.session.send(line));
     }
 
-    /// Handles the end of a run: answers its caller, and all repeated calls that wait for the outcome of
-    /// the run.
+    /// Handles the end of a run. Answers the caller of the invocation, and all repeated calls that wait for
+    /// the outcome of this run.
     pub fn run_ended(&mut self, id: u64, outcome: Outcome, result: Vec<u8>) {
         self.server.counters.runs_ended.add();
         self.abandon_call(id);
@@ -196,40 +200,42 @@
         }
     }
 
-    /// Answers a repeated call after the original invocation has ended. `result` is `None` if the original
-    /// invocation failed or its result is not available.
+    /// Answers a repeated call once the original invocation has ended. `result` is `None` if the original
+    /// invocation failed or its result is no longer stored.
     pub fn answer_repeat(&mut self, id: u64, result: Option<Vec<u8>>) {
         let outcome = if result.is_some() { Outcome::Succeeded } else { Outcome::Failed };
         self.answer(id, result.map_or(Answer::Failed, Answer::Succeeded));
         self.replayed.push(Replayed { invocation: id, outcome });
     }
 
-    /// Removes the idempotency key of an invocation from the table, so that the next call with this key
-    /// runs again. Repeated calls that wait for the invocation fail.
+    /// Removes the idempotency key of an invocation from the table. The next call with this key then runs the
+    /// operation again. Repeated calls that wait for the removed invocation fail.
     pub fn forget(&mut self, id: u64) {
         for repeat in self.idempotency.forget(id) {
             self.answer_repeat(repeat, None);
         }
     }
 
-    /// Removes the idempotency key of an invocation that never ran: a call forged by a peer must not block
-    /// the key for the genuine call. The key is kept if a command of the invocation was sent over more than
-    /// one link, since the first command may have started the run.
+    /// Removes the idempotency key of an invocation that never ran. Otherwise a call forged by a peer could
+    /// block the key for the genuine call.
+    ///
+    /// The key stays if a command of the invocation was sent over more than one link, because the first
+    /// command may have started the run.
     pub fn forget_unless_resent(&mut self, id: u64) {
         if self.invocations.get(id).is_some_and(|invocation| !invocation.was_resent) {
             self.forget(id);
         }
     }
 
-    /// Returns the effect of repeated runs of an operation: idempotent, non-idempotent or idempotent with a
-    /// key.
+    /// Returns what happens if an operation runs repeatedly: it is idempotent, not idempotent, or idempotent
+    /// with a key.
     pub fn effect(&self, operation: usize) -> Effect {
         self.server.configuration.settings.deployment.operations[operation].effect
     }
 
-    /// Fails an invocation for which the controller requested an action that the configured protocols cannot
-    /// express. Settings that require such actions are rejected at startup, so this is not expected to
-    /// happen.
+    /// Fails an invocation because the controller requested an action that the protocols of this server
+    /// cannot express. Not expected to happen, because settings that need such actions are refused at
+    /// startup.
     pub fn fail_as_unsupported(&mut self, id: u64, what: &str) {
         warn!(what, "cannot carry out an action of the controller");
         self.answer(id, Answer::Failed);
--- a/crates/server/src/event_loop/answers.rs
+++ b/crates/server/src/event_loop/answers.rs
@@ -1,5 +1,5 @@
-//! Records the final answers of invocations in the server's counters, in the records of a rollout and in
-//! the fleet's counts.
+//! Records the final answers to invocations in three places: the server's counters, the figures for a
+//! rollout, and the counts that the fleet shares.
 
 use crate::fleet::interval_report::AnswerOutcome;
 use crate::resources::invocations::Invocation;
@@ -7,7 +7,8 @@
 use crate::wire::rpc::Answer;
 use meadowstream_overload_control::Nanos;
 
-/// Records a final answer in the server's counters, in the rollout's records and in the fleet's counts.
+/// Records the final answer to an invocation in the server's counters, in the figures for a rollout, and in
+/// the counts that the fleet shares.
 pub fn record(server: &Server, invocation: &Invocation, answer: &Answer) {
     let counters = &server.counters;
     match answer {
@@ -32,8 +33,8 @@
     rollout.recorder.record_answer(invocation.operation, outcome, latency, late);
 }
 
-/// Adds an answer to the counts that the servers of the fleet exchange. The names of these counts are part
-/// of the protocol between servers.
+/// Adds a final answer to the counts that the servers of the fleet share. The names of these counts are part
+/// of the protocol between servers, so they must not change.
 fn count_for_fleet(server: &Server, invocation: &Invocation, answer: &Answer) {
     let Some(shared) = &server.shared else { return };
     let settings = &server.configuration.settings;
--- a/crates/server/src/event_loop/arrivals.rs
+++ b/crates/server/src/event_loop/arrivals.rs
@@ -1,5 +1,5 @@
-//! Registers incoming requests before the controller decides whether to run them. Detects repeated calls
-//! and fails requests that cannot be registered.
+//! Registers incoming requests as invocations, before the controller decides whether to run them. Detects
+//! repeated calls, and fails requests that cannot be registered.
 
 use crate::connection::table::{Connection, Notification};
 use crate::event::Request;
@@ -11,18 +11,19 @@
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 
-/// An idempotency key, and the hash of the body of the request that has it. A request with a known key and
-/// a different body is not a repeat but an error.
+/// The idempotency key of a request, and the hash of the request's body. Reusing a key with a different body
+/// is an error.
 struct KeyWithBodyHash {
     key: Vec<u8>,
     body_hash: u64,
 }
 
 impl ActionExecutor {
-    /// Registers a request as an invocation and returns its description for the controller. Fails the
-    /// request and returns `None` in three cases: its idempotency key is in use with a different body; an
-    /// unfinished invocation has the same reference, so that the interpreter could not tell the two apart;
-    /// or the controller has not started.
+    /// Registers a request as an invocation, and returns its description for the controller. In three cases,
+    /// fails the request and returns `None`:
+    /// - The request's idempotency key is stored with a different body.
+    /// - An unfinished invocation has the same reference. The interpreter could not distinguish the two runs.
+    /// - The controller has not started yet.
     pub fn register(&mut self, mut request: Request, has_controller: bool) -> Option<Arrival> {
         let now = self.server.clock.now();
         let mut arrival = self.describe(&request);
@@ -68,16 +69,16 @@
         }
     }
 
-    /// Hashes the body of a request with the configured seed. Callers choose the bodies, and could
-    /// construct collisions if the hash were not seeded.
+    /// Hashes the body of a request with the configured seed. Without a seed, callers could construct two
+    /// bodies with the same hash.
     fn key_with_body_hash(&self, key: Vec<u8>, body: &[u8]) -> KeyWithBodyHash {
         let mut hasher = SipHasher13::new_with_keys(self.server.configuration.seed, 0);
         hasher.write(body);
         KeyWithBodyHash { key, body_hash: hasher.finish() }
     }
 
-    /// Counts the result of a lookup of an idempotency key. Returns the id of the original invocation if
-    /// the request is a repeat.
+    /// Counts the result of looking up an idempotency key. Returns the id of the original invocation if the
+    /// request repeats an invocation.
     fn count_lookup(&self, lookup: Option<Lookup>) -> Option<u64> {
         let counters = &self.server.counters;
         match lookup? {
@@ -92,9 +93,9 @@
         None
     }
 
-    /// Stores the idempotency key of a new invocation. The idempotency window starts when the request is
-    /// read. If it started at the arrival time stated by the caller, the window would end too early for a
-    /// caller whose clock is behind.
+    /// Stores the idempotency key of a new invocation. The key's window, in which calls with this key are
+    /// repeats, starts now and not at the arrival time that the caller states. For a caller whose clock is
+    /// behind, the window would otherwise end too early.
     fn store_key(&mut self, id: u64, operation: usize, keyed: &KeyWithBodyHash, now: Nanos) {
         let operations = &self.server.configuration.settings.deployment.operations;
         let window_end = now + operations[operation].idempotency_window;
--- a/crates/server/src/event_loop/downstream.rs
+++ b/crates/server/src/event_loop/downstream.rs
@@ -1,4 +1,4 @@
-//! Starts the downstream calls of invocations, and handles the ends of these calls.
+//! Starts the downstream calls of invocations, and handles the end of each call.
 
 use crate::calls::task as call;
 use crate::calls::task::Call;
@@ -12,14 +12,15 @@
 use tracing::debug;
 
 impl ActionExecutor {
-    /// Returns whether the fleet's call budget and the health of the services permit a downstream call for
-    /// an invocation. `waiting` is the number of runs that wait for a call.
+    /// Returns whether an invocation may make a downstream call now. The fleet's call budget and the health
+    /// of the downstream services must permit the call. `waiting` is the number of runs that wait for a
+    /// downstream call.
     pub fn is_call_permitted(&mut self, id: u64, waiting: usize) -> bool {
         let preference = self.call_preference(id);
         self.server.shared.as_ref().is_none_or(|shared| shared.is_call_permitted(waiting, preference))
     }
 
-    /// Starts the downstream call that the run of an invocation waits for.
+    /// Starts the downstream call of an invocation whose run waits for the call.
     pub fn start(&mut self, id: u64, timeout: Nanos) {
         let Some(records) = self.server.configuration.addresses.get().records else {
             return self.fail_as_unsupported(id, "a call");
@@ -52,8 +53,8 @@
         self.server.counters.calls.add();
     }
 
-    /// Resumes the run of an invocation without its downstream call. The run receives the reply that the
-    /// options configure for skipped calls.
+    /// Skips the downstream call of an invocation and resumes its run. In place of the service's reply, the
+    /// run receives the reply that the options define for skipped calls.
     pub fn skip(&mut self, id: u64) {
         let reply = self.server.configuration.options.borrow().skipped_call_reply.clone();
         let Some(reply) = reply else { return self.fail_as_unsupported(id, "skipping a downstream call") };
@@ -63,7 +64,8 @@
         }
     }
 
-    /// Handles the end of a downstream call. Returns false if the call has already been abandoned.
+    /// Handles the end of a downstream call. Returns false if the call was already abandoned, so its end has
+    /// no effect.
     pub fn call_ended(&mut self, id: u64, number: u64, outcome: Outcome, reply: &[u8]) -> bool {
         let Some(invocation) = self.invocations.get(id) else { return false };
         if invocation.call.take_if(|call| call.number == number).is_none() {
@@ -79,7 +81,7 @@
         true
     }
 
-    /// Abandons the downstream call of an invocation, if one is in progress.
+    /// Abandons the downstream call of an invocation. Does nothing if no call is in progress.
     pub fn abandon_call(&mut self, id: u64) {
         let call = self.invocations.get(id).and_then(|invocation| invocation.call.take());
         let Some(call) = call else { return };
@@ -114,8 +116,9 @@
         Some(interpreter::resolve(invocation.reference, reply))
     }
 
-    /// Returns the routing preference of an invocation's downstream call. Only the first attempt of an
-    /// idempotent operation may be used as a probe of an unhealthy service.
+    /// Returns how the downstream call of an invocation should be routed. A call may serve as a health check
+    /// of an unhealthy service only if its operation is idempotent and this is the invocation's first
+    /// downstream call.
     fn call_preference(&mut self, id: u64) -> CallPreference {
         let Some(invocation) = self.invocations.get(id) else { return CallPreference::default() };
         let (operation, last_service) = (invocation.operation, invocation.last_service);
--- a/crates/server/src/event_loop/host.rs
+++ b/crates/server/src/event_loop/host.rs
@@ -1,4 +1,5 @@
-//! Implements the controller's actions by forwarding each action to the component that carries it out.
+//! Implements the actions that the controller requests. Each action is forwarded to the component that
+//! executes it.
 
 use crate::event_loop::actions::{ActionExecutor, PromisedAdmission};
 use crate::event_loop::timers::Timer;
@@ -48,7 +49,7 @@
         self.skip(id);
     }
 
-    /// Does nothing, because the server stores the idempotency key when it registers the request.
+    /// Does nothing: the server has already stored the idempotency key when it registered the request.
     fn remember_key(&mut self, _id: u64, _lifetime: Nanos) {}
 
     fn forget_key(&mut self, id: u64) {
--- a/crates/server/src/event_loop/interpreter_session.rs
+++ b/crates/server/src/event_loop/interpreter_session.rs
@@ -1,67 +1,69 @@
-//! The session with the interpreter, which spans successive links. Sends commands, and matches the
-//! responses to gauge requests with the requests.
+//! The session with the interpreter, which continues when a lost link is replaced by a new one. Sends
+//! commands, and matches each response with its gauge request.
 
 use crate::wire::interpreter;
 use async_channel::Sender;
 
-/// A pending gauge request, made for the controller's timer `timer`.
+/// A request for the interpreter's gauges that has not been answered. The controller's timer `timer` is
+/// handled when the response arrives.
 struct GaugesRequest {
     nonce: u64,
     timer: u32,
 }
 
-/// The session with the interpreter. It continues when a link is lost and replaced by another.
+/// The session with the interpreter. The session continues when a link is lost and a new link is established.
 #[derive(Default)]
 pub struct InterpreterSession {
-    /// Queue of commands to send over the current link; `None` without a link.
+    /// Queue of commands to send over the current link; `None` while there is no link.
     commands: Option<Sender<Vec<u8>>>,
-    /// Number of the most recent link, counted from 1.
+    /// Number of the most recent link to the interpreter. The first link has number 1.
     link: u64,
     last_nonce: u64,
-    /// Nonce of the gauge request sent at the start of a link. The response to this request follows all
-    /// replayed notices, and therefore marks the end of the replay.
+    /// Nonce of the gauge request that is sent at the start of a link. The interpreter first replays missed
+    /// notices and then answers this request, so the response marks the end of the replay.
     replay_fence: Option<u64>,
     gauges_request: Option<GaugesRequest>,
 }
 
 impl InterpreterSession {
-    /// Starts using a new link. Later commands are sent through its queue `commands`.
+    /// Starts using a new link to the interpreter. Commands for this link are put into the queue `commands`.
     pub fn set_link(&mut self, commands: Sender<Vec<u8>>) {
         self.commands = Some(commands);
         self.link += 1;
     }
 
-    /// Marks the current link as lost. Commands sent before the next link is established are dropped.
+    /// Marks the current link as lost. Until the next link is established, commands are dropped.
     pub fn clear_link(&mut self) {
         self.commands = None;
     }
 
-    /// Returns the number of the most recent link; 0 before the first link.
+    /// Returns the number of the most recent link to the interpreter; 0 if there was no link yet.
     pub fn link(&self) -> u64 {
         self.link
     }
 
-    /// Sends a command to the interpreter. Returns the number of the link that carries the command, or 0 if
-    /// the command was dropped.
+    /// Sends a command to the interpreter over the current link. Returns the number of this link. Returns 0
+    /// if the command was dropped because there is no link or its queue is full.
     pub fn send(&mut self, line: Vec<u8>) -> u64 {
         let sent = self.commands.as_ref().is_some_and(|commands| commands.try_send(line).is_ok());
         if !sent && let Some(commands) = self.commands.take() {
             // The queue is full because the interpreter does not read commands. Closing the queue ends the
-            // link, which is then established again.
+            // link; the link task then establishes a new link.
             commands.close();
         }
         if sent { self.link } else { 0 }
     }
 
-    /// Sends a gauge request at the start of a link. The response shows that the interpreter has replayed
-    /// all earlier notices.
+    /// Sends a gauge request at the start of a link. The response shows that the interpreter has replayed all
+    /// notices that this server missed.
     pub fn send_replay_fence(&mut self) {
         let nonce = self.next_nonce();
         self.replay_fence = Some(nonce);
         self.send(interpreter::request_gauges(nonce));
     }
 
-    /// Requests the gauges for a timer of the controller. Returns the nonce of the request.
+    /// Requests the gauges of the interpreter for the controller's timer `timer`. Returns the nonce that
+    /// identifies the request.
     pub fn request_gauges(&mut self, timer: u32) -> u64 {
         let nonce = self.next_nonce();
         self.gauges_request = Some(GaugesRequest { nonce, timer });
@@ -69,14 +71,14 @@
         nonce
     }
 
-    /// Returns true, and marks the replay of notices as complete, if `nonce` is that of the gauge request
-    /// sent at the start of the link.
+    /// Handles a response with this nonce. Returns true if the response belongs to the gauge request sent at
+    /// the start of the link; the replay of missed notices is then complete.
     pub fn end_replay(&mut self, nonce: u64) -> bool {
         self.replay_fence.take_if(|fence| *fence == nonce).is_some()
     }
 
-    /// Removes the pending gauge request with this nonce and returns its timer. Returns `None` if that
-    /// request is no longer pending.
+    /// Removes the pending gauge request with this nonce, and returns the controller's timer of the request.
+    /// Returns `None` if no such request is pending.
     pub fn end_gauges_request(&mut self, nonce: u64) -> Option<u32> {
         let request = self.gauges_request.take_if(|request| request.nonce == nonce);
         request.map(|request| request.timer)
--- a/crates/server/src/event_loop/mod.rs
+++ b/crates/server/src/event_loop/mod.rs
@@ -1,5 +1,5 @@
-//! The event loop: the task that owns the controller, passes events and timers to it, and executes its
-//! actions.
+//! The event loop: the task that owns the overload controller. It passes events and expired timers to the
+//! controller, and executes the controller's actions.
 
 mod actions;
 mod answers;
@@ -23,11 +23,11 @@
 use std::rc::Rc;
 use tracing::{debug, info};
 
-/// Number of a timer that the controller never sets. Reporting its expiry makes the controller re-evaluate
-/// its rules.
+/// Number of a timer that the controller itself never sets. The event loop reports this timer as expired to
+/// make the controller apply its rules again, for example when downstream calls become possible.
 const RECHECK_TIMER: u32 = u32::MAX;
 
-/// The event loop's state: the controller and the executor of its actions.
+/// State of the event loop: the overload controller, and the executor of the controller's actions.
 pub struct EventLoop {
     /// The overload controller; `None` until the first link to the interpreter is established.
     controller: Option<Controller>,
@@ -35,7 +35,8 @@
 }
 
 impl EventLoop {
-    /// Creates an event loop that waits for the first link to the interpreter.
+    /// Creates an event loop without a controller. The controller is created when the first link to the
+    /// interpreter is established.
     pub fn new(server: Rc<Server>) -> Self {
         Self { controller: None, actions: ActionExecutor::new(server) }
     }
@@ -65,8 +66,8 @@
         }
     }
 
-    /// Calls the controller, then notifies it of the invocations that ended while its actions were
-    /// executed.
+    /// Calls the controller with the function `act`. Then notifies the controller of the invocations that
+    /// ended while its actions were executed.
     fn with_controller(&mut self, act: impl FnOnce(&mut Controller, Nanos, &mut ActionExecutor)) {
         let Some(controller) = &mut self.controller else { return };
         let actions = &mut self.actions;
@@ -153,8 +154,8 @@
         self.with_controller(|controller, now, actions| controller.on_caller_gone(now, id, actions));
     }
 
-    /// Passes the drain notice to the controller. The grace period starts when the notice was received,
-    /// even if the controller is created later.
+    /// Notifies the controller that the server must drain. The grace period is counted from the time of the
+    /// notice, even if the controller was created later.
     fn handle_shutdown(&mut self) {
         let Some(noticed_at) = self.actions.server.drain.noticed_at() else { return };
         let grace = self.actions.server.configuration.stop_ms * 1_000_000;
@@ -163,8 +164,8 @@
         });
     }
 
-    /// Applies one part of a change of tenant weights and shares, and records how long this blocked the
-    /// thread.
+    /// Applies one part of a change to the weights and shares of tenants. Records for how long this work
+    /// blocked the thread.
     fn reconfigure_fair_queueing(&mut self, change: Box<SettingsChange>) {
         let stopwatch = Stopwatch::start();
         self.with_controller(|controller, now, _| controller.reconfigure_fair_queueing(now, &change));
@@ -174,15 +175,15 @@
         self.actions.server.change_pauses.set(pauses);
     }
 
-    /// Records that the event queue is empty. Other tasks then run before the next event, which ends the
-    /// current pause of the serving thread.
+    /// Records that no event is queued. Other tasks run before the next event is handled, so the current
+    /// pause of the serving thread ends.
     fn record_idle(&self) {
         let mut pauses = self.actions.server.change_pauses.get();
         pauses.interrupt();
         self.actions.server.change_pauses.set(pauses);
     }
 
-    /// Logs the tenants with the highest demand, up to the number configured in the options.
+    /// Logs the tenants with the highest demand. The options define the maximum number of tenants in the log.
     fn log_tenants(&mut self) {
         let options = self.actions.server.configuration.options.borrow();
         let Some(shown) = options.tenants.as_ref().map(|tenants| tenants.shown) else { return };
@@ -209,8 +210,8 @@
         self.handle_shutdown();
     }
 
-    /// Creates the controller. Its settings include the options currently in force, which may have changed
-    /// since the server started.
+    /// Creates the controller with the current settings. The options may have been reloaded since the server
+    /// started, so they are read again here.
     fn start_controller(&mut self, cold: bool, age: Nanos) {
         let server = self.actions.server.clone();
         let configuration = &server.configuration;
@@ -224,8 +225,8 @@
         self.controller = Some(Controller::new(deployment, configuration.seed, started, &mut self.actions));
     }
 
-    /// Cancels all runs after a restart of the interpreter, which has lost them. The controller makes an
-    /// invocation pending again if running it twice is safe, and fails the others.
+    /// Cancels all runs, because a restarted interpreter has lost its runs. The controller queues an
+    /// invocation again if a second run is safe. It fails all other invocations.
     fn cancel_all_runs(&mut self) {
         for id in self.actions.invocations.running() {
             self.handle_run_end(id, Outcome::Cancelled, Vec::new());
@@ -281,9 +282,11 @@
         }
     }
 
-    /// Handles the end of a run. If the run never started, its caller gets a failure, since a retry would
-    /// fail in the same way. The controller is then first notified that the caller has disconnected, so
-    /// that a call forged by a peer does not count as evidence that runs fail on this server.
+    /// Handles the end of a run with the outcome `outcome`. If the run never started, its caller receives a
+    /// failure, because a retry would fail in the same way.
+    ///
+    /// In this case the controller is first notified that the caller has disconnected. Otherwise a call
+    /// forged by a peer would count as evidence that runs fail on this server.
     fn handle_run_end(&mut self, id: u64, outcome: Outcome, result: Vec<u8>) {
         if outcome == Outcome::NeverRan {
             self.actions.forget_unless_resent(id);
--- a/crates/server/src/event_loop/timers.rs
+++ b/crates/server/src/event_loop/timers.rs
@@ -1,23 +1,23 @@
-//! A queue of the event loop's timers, ordered by the time at which they fire.
+//! A queue of timers for the event loop. The timer that fires first is at the front.
 
 use meadowstream_overload_control::Nanos;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Action to perform when a timer fires.
+/// Action that the event loop performs when a timer fires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    /// Notify the controller that its timer with this number has expired.
+    /// Notify the controller that the timer with this number, which the controller has set, has expired.
     Controller(u32),
-    /// Handle a gauge request whose response has not arrived in time.
+    /// Give up a gauge request if the interpreter has not responded to it yet.
     GaugesOverdue {
         /// Nonce of the gauge request.
         nonce: u64,
     },
 }
 
-/// A timer that is set. Timers are ordered by the time at which they fire, and timers with equal times by
-/// the order in which they were set.
+/// A timer that has been set. Timers fire in the order of their times; timers with equal times fire in the
+/// order in which they were set.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Entry {
     fires_at: Nanos,
@@ -25,7 +25,7 @@
     timer: Timer,
 }
 
-/// All timers that are set and have not fired.
+/// All timers that have been set and have not fired yet.
 #[derive(Default)]
 pub struct TimerQueue {
     entries: BinaryHeap<Reverse<Entry>>,
@@ -33,18 +33,18 @@
 }
 
 impl TimerQueue {
-    /// Sets a timer that fires once, at `fires_at`.
+    /// Sets a timer that fires once, at the time `fires_at`.
     pub fn set(&mut self, fires_at: Nanos, timer: Timer) {
         self.last_sequence += 1;
         self.entries.push(Reverse(Entry { fires_at, sequence: self.last_sequence, timer }));
     }
 
-    /// Returns the time of the next timer, or `None` if no timer is set.
+    /// Returns the time at which the next timer fires, or `None` if no timer is set.
     pub fn next_at(&self) -> Option<Nanos> {
         self.entries.peek().map(|Reverse(entry)| entry.fires_at)
     }
 
-    /// Removes and returns the earliest timer if its time has been reached; returns `None` otherwise.
+    /// Removes the next timer and returns it if its time has been reached at `now`. Returns `None` otherwise.
     pub fn pop_due(&mut self, now: Nanos) -> Option<Timer> {
         if self.next_at()? > now {
             return None;
--- a/crates/server/src/event_loop/timers/tests.rs
+++ b/crates/server/src/event_loop/timers/tests.rs
@@ -1,4 +1,4 @@
-//! Tests the firing order of timers.
+//! Tests in which order timers fire.
 
 use super::*;
 
--- a/crates/server/src/fleet/control_machine.rs
+++ b/crates/server/src/fleet/control_machine.rs
@@ -1,5 +1,6 @@
-//! `meadowstream control`: a control machine. This member of the fleet serves no callers. It stores a replica
-//! of the replicated configuration log, and publishes new revisions while it holds the publishing lease.
+//! `meadowstream control`: a control machine, which is a member of the fleet that serves no callers. It
+//! stores a replica of the log of replicated configuration. While it holds the publishing lease, it publishes
+//! new revisions.
 
 use crate::configuration::fleet;
 use crate::configuration::fleet::FleetSettings;
@@ -19,25 +20,26 @@
 use std::path::{Path, PathBuf};
 use tracing::{info, warn};
 
-/// Delay before retrying a failed write of the log. During this time, the control machine does not request
-/// the publishing lease.
+/// Delay, in nanoseconds, before a failed write of the log is retried. During this time, the control machine
+/// does not request the publishing lease.
 const WRITE_RETRY_AFTER_NS: u64 = 1_000_000_000;
-/// Longest time between two checks of the publishing lease.
+/// Maximum time, in nanoseconds, between two checks of whether this process holds the publishing lease.
 const STEP_MAX_NS: u64 = 100_000_000;
-/// Interval at which an unchanged status is logged.
+/// Interval, in nanoseconds, at which the status is logged if it does not change.
 const LOG_EVERY_NS: u64 = 10_000_000_000;
 
-/// Settings that a control machine or the `publish` command reads from an options file.
+/// Settings from an options file that a control machine and the `publish` command use.
 pub struct ControlSettings {
     /// Settings of the process as a member of the fleet.
     pub fleet: FleetSettings,
     /// The `<replication>` element.
     pub replication: ReplicationOptions,
-    /// Path of the file that stores the replicated log.
+    /// Path of the file that stores the log of replicated configuration.
     pub file: PathBuf,
 }
 
-/// Reads the options file at `path`. A `name` replaces the member name in the options.
+/// Reads the settings from the options file at `path`. If `name` is given, it replaces the member name from
+/// the options.
 pub fn read_settings(path: &Path, name: Option<&str>) -> Result<ControlSettings> {
     let options_path = path.display();
     let options = Options::load(path)?;
@@ -59,7 +61,7 @@
     Ok(ControlSettings { fleet, replication, file })
 }
 
-/// Runs a control machine until SIGTERM or SIGINT.
+/// Runs a control machine until the process receives SIGTERM or SIGINT.
 pub fn run(options: &Path) -> Result<()> {
     let settings = read_settings(options, None)?;
     let is_replica = settings.replication.replicas.contains(&settings.fleet.name);
@@ -71,7 +73,7 @@
     async_io::block_on(control(settings))
 }
 
-/// Status of a control machine, which is logged when one of its values changes.
+/// Status of a control machine. The status is logged when one of these values changes.
 #[derive(Default, PartialEq, Eq)]
 struct ControlStatus {
     is_leader: bool,
@@ -82,15 +84,15 @@
 struct Control {
     member: Member,
     file: PathBuf,
-    /// Earliest time of the next write of the log after a failed write, in Unix nanoseconds.
+    /// Time before which the log is not written again, in Unix nanoseconds. Set after a failed write.
     write_after: u64,
     logged: ControlStatus,
     logged_at: u64,
 }
 
 impl Control {
-    /// Writes unsaved state to disk. Messages that depend on this state are released only once the state is
-    /// written.
+    /// Writes the replica's unsaved state to disk. Messages that depend on this state are sent only after the
+    /// state is written.
     fn save(&mut self, now: u64) {
         while let Some(saved) = self.member.unsaved_state().filter(|_| now >= self.write_after) {
             if let Err(error) = files::write(&self.file, &persistence::encode(&saved)) {
@@ -102,7 +104,8 @@
             }
             self.member.on_persisted(&saved, now);
         }
-        // A control machine serves no callers, so a committed revision needs no further steps to take effect.
+        // On a control machine, a committed revision takes effect without further steps, because the machine
+        // serves no callers.
         if let Some(snapshot) = self.member.next_to_apply() {
             self.member.on_applied(snapshot.number(), now);
         }
@@ -132,8 +135,8 @@
 
 async fn control(ControlSettings { fleet, replication, file }: ControlSettings) -> Result<()> {
     let mut signals = Signals::new([Signal::Term, Signal::Int])?;
-    // An unreadable log must not be replaced: other members may rely on entries that this replica
-    // acknowledged.
+    // The start fails if the log cannot be read. An empty log must not replace it, because other members may
+    // rely on entries that this replica has acknowledged.
     let disk = persisted_revision::read(&file).context("<replication>: file")?;
     let mut fleet_member = NonServingMember::join(&fleet)?;
     let (incarnation, name) = (fleet_member.incarnation, fleet.name.clone());
--- a/crates/server/src/fleet/coordinator.rs
+++ b/crates/server/src/fleet/coordinator.rs
@@ -1,5 +1,6 @@
-//! `meadowstream rollout`: the coordinator of one rollout. This member of the fleet serves no callers. It
-//! holds the rollout lease, sends orders and receives reports in each interval, and saves its state to disk.
+//! `meadowstream rollout`: the coordinator of a rollout, which is a member of the fleet that serves no
+//! callers. It holds the rollout lease, saves its state to disk, and in each interval sends orders to the
+//! servers and receives their reports.
 
 use crate::configuration::candidate;
 use crate::configuration::candidate::hash_of;
@@ -18,22 +19,23 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Prefix of the member names of coordinators. Rollouts ignore members with this prefix.
+/// Prefix of the member names of coordinators. A rollout does not treat members with this prefix as servers.
 const NAME_PREFIX: &str = "rollout-";
 
 /// Arguments of the `rollout` command.
 pub struct RolloutArguments {
     /// Path of the plan file.
     pub plan: PathBuf,
-    /// Path of the options file that describes the fleet.
+    /// Path of the options file that contains the fleet settings.
     pub options: PathBuf,
-    /// Path of the coordinator's state file.
+    /// Path of the file in which the coordinator saves its state.
     pub state: PathBuf,
-    /// Longest wait for the rollout lease before the first stage begins.
+    /// Maximum time to wait for the rollout lease before the first stage begins. After this time the command
+    /// fails.
     pub wait: Duration,
 }
 
-/// Returns the default path of a plan's state file: the plan's path with `.state` appended.
+/// Returns the default path of the coordinator's state file: the path of the plan with `.state` appended.
 pub fn default_state_path(plan: &Path) -> PathBuf {
     let mut state = plan.as_os_str().to_os_string();
     state.push(".state");
@@ -57,7 +59,7 @@
     Ok(Some(saved))
 }
 
-/// Prints the progress of a rollout from its state file.
+/// Prints the progress of a rollout, as saved in its state file.
 pub fn status(state: &Path) -> Result<()> {
     let saved = read_state(state)?.with_context(|| format!("{}: no rollout has begun", state.display()))?;
     let changed: Vec<&str> = saved.changed.iter().map(String::as_str).collect();
@@ -84,9 +86,9 @@
     }
 }
 
-/// Requests a rollback by writing a file beside the state file. A running coordinator reads the file in its
-/// next interval. If none is running, the next coordinator that resumes from the state file reads the
-/// rollback request.
+/// Requests the rollback of a rollout by writing a request file next to the state file. A running coordinator
+/// reads the request in its next interval. If no coordinator is running, the next one that is started with
+/// this state file reads the request.
 pub fn abort(state: &Path) -> Result<()> {
     let saved = read_state(state)?.with_context(|| format!("{}: no rollout has begun", state.display()))?;
     ensure!(!saved.phase.has_ended(), "the plan has ended already: {}", describe_phase(&saved.phase));
@@ -95,8 +97,8 @@
     Ok(())
 }
 
-/// Reads the plan, the candidate and the options. Errors in these files are reported before the process joins
-/// the fleet.
+/// Reads the plan, the candidate and the options. Called before the process joins the fleet, so that errors
+/// in these files are reported first.
 fn prepare(arguments: &RolloutArguments) -> Result<(Plan, FleetSettings)> {
     let file = PlanFile::load(&arguments.plan)?;
     let candidate = arguments.plan.parent().unwrap_or(Path::new(".")).join(&file.candidate);
@@ -113,13 +115,13 @@
     let name = format!("{NAME_PREFIX}{:08x}", hash_of(plan.name.as_bytes()) as u32);
     let mut fleet = fleet::fleet_settings(membership, &name, &arguments.options)?;
     fleet.name = name;
-    // The coordinator takes no part in the shared call budget or in replicated configuration.
+    // A coordinator uses neither the fleet's budget of downstream calls nor replicated configuration.
     let rollout_only = Options { shared_state: None, replication: None, ..options };
     fleet.shared = fleet::shared_state_settings(&rollout_only, fleet.settings.packet_max)?;
     Ok((plan, fleet))
 }
 
-/// Coordinates a rollout until it ends. Returns an error unless every stage was completed.
+/// Coordinates a rollout until it ends. Returns `Ok` only if every stage was completed.
 pub fn run(arguments: &RolloutArguments) -> Result<()> {
     let (plan, fleet) = prepare(arguments)?;
     let lock = std::fs::File::options().create(true).append(true).open(lock_path(&arguments.state))?;
@@ -143,14 +145,15 @@
     PathBuf::from(lock)
 }
 
-/// A running coordinator and its membership in the fleet.
+/// State of a running coordinator, which is also a member of the fleet.
 struct Coordination<'a> {
     arguments: &'a RolloutArguments,
     fleet_member: NonServingMember,
     coordinator: Coordinator,
-    /// Time between two rounds of orders and reports, in nanoseconds.
+    /// Time between two rounds, in nanoseconds. In each round the coordinator sends orders, to which the
+    /// servers reply with reports.
     interval: u64,
-    /// Time of the next round of orders and reports, in Unix nanoseconds.
+    /// Time of the next round of orders, in Unix nanoseconds.
     next_interval: u64,
 }
 
@@ -171,7 +174,7 @@
 }
 
 impl Coordination<'_> {
-    /// Prints a line with the time since the start of this process, in seconds.
+    /// Prints `line`, preceded by the time since the start of this process in seconds.
     fn print(&self, line: &str) {
         let elapsed_ns = self.fleet_member.now() - self.fleet_member.incarnation;
         println!("{:8.1} s  {line}", elapsed_ns as f64 / 1e9);
@@ -186,7 +189,7 @@
                 self.handle_interval(now, has_lease)?;
             }
             if self.coordinator.state().phase.has_ended() {
-                // Sends the last orders to the servers before this coordinator leaves the fleet.
+                // Sends the last orders to the servers before the coordinator leaves the fleet.
                 self.fleet_member.step(self.fleet_member.now()).await;
                 self.fleet_member.leave().await;
                 return Ok(self.coordinator.state().phase.clone());
@@ -225,9 +228,10 @@
         }
     }
 
-    /// Carries out actions in order: the state is saved before the orders that depend on it are sent. If the
-    /// state cannot be written, the coordinator exits, and each server keeps its current version until the
-    /// coordinator is started again.
+    /// Executes actions in the given order. The state must be saved before orders that depend on it are sent.
+    ///
+    /// If the state cannot be written, the coordinator exits. Each server then keeps its current version
+    /// until the coordinator is started again.
     fn carry_out(&mut self, actions: Vec<Action>) -> Result<()> {
         for action in actions {
             match action {
@@ -247,7 +251,8 @@
     }
 }
 
-/// Returns the servers of the fleet, divided into alive and missing servers. Coordinators are not included.
+/// Returns the names of the fleet's servers in two lists: alive servers and missing servers. Coordinators are
+/// not included.
 fn fleet_view(membership: &mut Membership, now: u64) -> FleetView {
     let mut view =
         FleetView { settled_for: now.saturating_sub(membership.last_change()), ..FleetView::default() };
@@ -256,8 +261,8 @@
     {
         match member.state {
             MemberState::Alive => view.alive.push(member.name),
-            // A member that is down counts as missing until the membership forgets it, because the member may
-            // be alive behind a network partition.
+            // A member that is down is listed as missing until the membership protocol forgets the member. It
+            // may still be running on the other side of a network partition.
             MemberState::Suspect | MemberState::Down => view.missing.push(member.name),
         }
     }
--- a/crates/server/src/fleet/interval_report.rs
+++ b/crates/server/src/fleet/interval_report.rs
@@ -1,18 +1,19 @@
-//! Records the answers that this server has sent since its last report, in one class per operation. A
-//! rollout's coordinator compares the recorded figures between servers with and without the change.
+//! Records the answers that this server sends between two reports to a rollout's coordinator, separately for
+//! each operation. The coordinator compares servers that run the change with servers that do not.
 
 use hdrhistogram::Histogram;
 use meadowstream_rollout::metrics::IntervalMetrics;
 use meadowstream_rollout::wire::CLASSES_MAX;
 use std::cell::RefCell;
 
-/// Upper bound of recorded latencies, in microseconds; longer latencies are recorded as this value.
+/// Maximum recorded latency, in microseconds. Longer latencies are recorded with this value.
 const LATENCY_MAX_US: u64 = 60_000_000;
 
-/// Operation names in a report are cut to this number of characters, so that all classes fit in one datagram.
+/// Maximum number of characters of an operation's name in a report. Longer names are cut, so that all
+/// operations fit in one datagram.
 const NAME_MAX: usize = 32;
 
-/// Outcome of an invocation, as reported to the caller in the answer.
+/// Outcome of an invocation, as stated in the answer to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerOutcome {
     /// The invocation succeeded, and the answer carries its result.
@@ -28,19 +29,19 @@
     latency: Histogram<u64>,
 }
 
-/// A latency histogram cannot be created.
+/// Error: a latency histogram cannot be created.
 #[derive(Debug, thiserror::Error)]
 #[error("cannot create a latency histogram: {0}")]
 pub struct HistogramError(hdrhistogram::errors::CreationError);
 
-/// Records answers in one class per operation. If there are more operations than a report can hold, only the
-/// first ones in the settings are recorded.
+/// Records answers for reports to a rollout's coordinator, in one class per operation. If the settings define
+/// more operations than a report can hold, only the first ones are recorded.
 pub struct AnswerRecorder {
     classes: RefCell<Vec<Class>>,
 }
 
 impl AnswerRecorder {
-    /// Creates an empty record for operations with these names.
+    /// Creates a recorder without answers, with one class for each operation in `operations`.
     pub fn new(operations: &[String]) -> Result<AnswerRecorder, HistogramError> {
         let class = |name: &String| {
             let latency = Histogram::new_with_bounds(1, LATENCY_MAX_US, 2).map_err(HistogramError)?;
@@ -52,8 +53,8 @@
         Ok(AnswerRecorder { classes: RefCell::new(classes) })
     }
 
-    /// Records an answer sent `latency_ns` nanoseconds after its invocation. `late` is true if the answer was
-    /// sent after the caller's timeout.
+    /// Records an answer that was sent `latency_ns` nanoseconds after the call arrived. `late` is true if the
+    /// caller's timeout had passed by then.
     pub fn record_answer(&self, operation: usize, outcome: AnswerOutcome, latency_ns: u64, late: bool) {
         let mut classes = self.classes.borrow_mut();
         let Some(Class { figures, latency }) = classes.get_mut(operation) else { return };
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Returns the figures recorded since the previous call, and resets them.
+    /// Returns the figures of all answers recorded since the previous call of this function, and resets them.
     pub fn take(&self) -> Vec<IntervalMetrics> {
         let taken = |Class { figures, latency }: &mut Class| {
             let p95_us = if latency.is_empty() { 0 } else { latency.value_at_quantile(0.95) };
--- a/crates/server/src/fleet/joined.rs
+++ b/crates/server/src/fleet/joined.rs
@@ -1,6 +1,8 @@
-//! A process that joins the fleet without serving callers: a rollout coordinator, a control machine, or an
-//! operator's command. It runs the membership protocol and the shared state, and returns messages of all
-//! other topics to its caller.
+//! A process that joins the fleet but serves no callers: the coordinator of a rollout, a control machine, or
+//! the `publish` command.
+//!
+//! The process runs the membership protocol and the shared state. Messages on other topics are returned to
+//! the caller of [`NonServingMember::step`].
 
 use crate::configuration::fleet::FleetSettings;
 use crate::fleet::membership::bind;
@@ -15,11 +17,11 @@
 use meadowstream_shared_state::{ServerId, SharedState};
 use std::net::{SocketAddr, UdpSocket};
 
-/// A message of a topic, received from another member.
+/// A message from another member on a topic other than the shared state.
 pub struct TopicMessage {
     /// The member that sent the message.
     pub from: ServerId,
-    /// Topic number, which determines the encoding of the body.
+    /// Number of the message's topic. The topic determines how the body is encoded.
     pub topic: u16,
     /// The encoded message.
     pub body: Vec<u8>,
@@ -27,23 +29,23 @@
 
 /// A member of the fleet that serves no callers.
 pub struct NonServingMember {
-    /// The process's clock, in Unix nanoseconds.
+    /// Clock of the process. Its times are in Unix nanoseconds.
     pub clock: Clock,
     socket: Async<UdpSocket>,
     /// The state of the membership protocol.
     pub membership: Membership,
-    /// The state shared with other members, including the leases.
+    /// The state that the members of the fleet share, including the leases.
     pub shared: SharedState,
     /// Names and addresses of the members that are alive.
     pub directory: Directory,
-    /// Start time of this process, in Unix nanoseconds.
+    /// Incarnation of this member: the start time of the process, in Unix nanoseconds.
     pub incarnation: u64,
     shared_state_due: u64,
     buffer: Vec<u8>,
 }
 
 impl NonServingMember {
-    /// Binds the UDP socket and joins the fleet through the seed members.
+    /// Binds a UDP socket, and joins the fleet by contacting the seed members.
     pub fn join(fleet: &FleetSettings) -> Result<NonServingMember> {
         let clock = Clock::start();
         let socket = bind(fleet).with_context(|| format!("<membership>: cannot bind {}", fleet.bind))?;
@@ -73,7 +75,7 @@
         })
     }
 
-    /// Current time, in Unix nanoseconds.
+    /// Returns the current time, in Unix nanoseconds.
     pub fn now(&self) -> u64 {
         self.clock.now()
     }
@@ -82,8 +84,8 @@
         Reading { monotonic: self.now() - self.incarnation, wall: self.now() }
     }
 
-    /// Requests the named lease, or withdraws the request if `wants` is false. Returns true if this process
-    /// requests the lease and currently holds it.
+    /// Requests the lease with this name if `wants` is true; otherwise withdraws the request. Returns true if
+    /// the lease is requested and this process holds it now.
     pub fn request_lease(&mut self, name: &str, wants: bool) -> bool {
         let time = self.shared.read_clocks(self.reading());
         let lease = self.shared.budgets.iter_mut().find(|budget| budget.settings().name == name);
@@ -93,14 +95,14 @@
         })
     }
 
-    /// Sends a message of a topic to the named member.
+    /// Queues a message on this topic for the member with the name `to`.
     pub fn send(&mut self, to: &str, topic: u16, body: Vec<u8>) {
         self.shared.send_other(to, topic, body);
     }
 
-    /// Advances the shared state if it is due, sends pending datagrams, and waits for one datagram, the next
-    /// timer or the time `wake`, whichever is first. Returns the messages received on topics other than the
-    /// shared state.
+    /// Performs one step of the member's work. Advances the shared state if necessary, sends pending
+    /// datagrams, and then waits. The wait ends with the first datagram, the next timer, or the time `wake`.
+    /// Returns the messages received on topics other than the shared state.
     pub async fn step(&mut self, wake: u64) -> Vec<TopicMessage> {
         let now = self.now();
         self.directory.refresh(&self.membership, now);
--- a/crates/server/src/fleet/membership.rs
+++ b/crates/server/src/fleet/membership.rs
@@ -1,5 +1,8 @@
-//! The membership task: owns the state of the membership protocol and its UDP socket, passes received
-//! datagrams and the current time to the protocol, sends its outgoing datagrams, and logs the fleet view.
+//! The membership task of a server: runs the membership protocol on a UDP socket, and logs the view of the
+//! fleet.
+//!
+//! The task passes received datagrams and the current time to the protocol, and sends the protocol's
+//! datagrams.
 
 use crate::configuration::fleet::FleetSettings;
 use crate::fleet::replication::{Replication, ReplicationError};
@@ -15,7 +18,7 @@
 use std::rc::Rc;
 use tracing::{debug, info, warn};
 
-/// Event that ends a wait of the membership task.
+/// Reason why the membership task resumes after waiting.
 enum Wake {
     Datagram { length: usize, from: SocketAddr },
     Due,
@@ -23,13 +26,13 @@
     ReceiveFailed(Error),
 }
 
-/// Binds the UDP socket for messages between members.
+/// Binds the UDP socket on which the members of the fleet exchange messages.
 pub fn bind(fleet: &FleetSettings) -> std::io::Result<Async<UdpSocket>> {
     Async::<UdpSocket>::bind(fleet.bind)
 }
 
-/// Runs the membership task until the server leaves. The task then notifies the fleet, so that other members
-/// see the server as down at once.
+/// Runs the membership task until the server leaves the fleet. Before it ends, the task notifies the other
+/// members, so that they see this server as down at once.
 pub async fn run(server: Rc<Server>, socket: Async<UdpSocket>, fleet: FleetSettings) {
     let Some(membership) = start(&server, &socket, &fleet) else { return };
     let now = server.clock.now();
@@ -45,8 +48,8 @@
     info!(target: "fleet", member = fleet.name, "left the fleet");
 }
 
-/// Creates the state of the membership protocol. Logs a warning and returns `None` if a setting is out of
-/// range.
+/// Creates the state of the membership protocol. If a setting is out of range, logs a warning and returns
+/// `None`.
 fn start(server: &Server, socket: &Async<UdpSocket>, fleet: &FleetSettings) -> Option<Membership> {
     let bound = socket.get_ref().local_addr().unwrap_or(fleet.bind);
     let addr = fleet.advertise.unwrap_or(bound);
@@ -67,7 +70,8 @@
     }
 }
 
-/// Creates the client of replicated configuration, if the options enable it.
+/// Creates the client of replicated configuration. Returns `None` if the options do not enable replicated
+/// configuration.
 fn replication(
     server: &Server,
     fleet: &FleetSettings,
@@ -85,14 +89,14 @@
     membership: Membership,
     sharing: Sharing,
     view_log: ViewLog,
-    /// Time at which the view is next compared with the one logged last, in Unix nanoseconds.
+    /// Time of the next check of whether the view must be logged, in Unix nanoseconds.
     next_view: Nanos,
 }
 
 impl MembershipTask {
     async fn run(&mut self, fleet: &FleetSettings) {
-        // One byte more than the longest datagram of the protocol, so that an oversized datagram is detected
-        // and not silently truncated.
+        // The buffer is one byte longer than the longest valid datagram. An oversized datagram is therefore
+        // detected by its length; otherwise it would be truncated without notice.
         let mut buffer = vec![0; DATAGRAM_BYTES_MAX + 1];
         loop {
             let now = self.server.clock.now();
@@ -110,8 +114,8 @@
                     self.membership.leave(self.server.clock.now());
                     return self.transmit().await;
                 }
-                // Some systems report an ICMP rejection of an earlier datagram as a receive error; the socket
-                // is still usable.
+                // The socket is still usable. Some systems report the rejection of an earlier datagram (by
+                // ICMP) as a receive error.
                 Wake::ReceiveFailed(error) => debug!(target: "fleet", %error, "receive"),
             }
         }
--- a/crates/server/src/fleet/publish.rs
+++ b/crates/server/src/fleet/publish.rs
@@ -1,6 +1,7 @@
-//! `meadowstream publish`: an operator's command. It joins the fleet while it runs, submits or reverts a
-//! change at the publisher of replicated configuration, and prints which members have the newest revision in
-//! force.
+//! `meadowstream publish`: a command for operators, which changes the replicated configuration of a fleet.
+//!
+//! The command joins the fleet while it runs. It asks the publisher to publish a change or to revert a
+//! revision, and prints which members use the newest revision.
 
 use crate::fleet::control_machine as control;
 use crate::fleet::joined::NonServingMember;
@@ -13,14 +14,14 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Prefix of the member names of `publish` commands.
+/// Prefix of the member name under which the `publish` command joins the fleet.
 const NAME_PREFIX: &str = "publish-";
-/// Time without an answer after which a request is sent again.
+/// Time to wait for an answer, in nanoseconds. After this time a request is sent again.
 const REPEAT_AFTER_NS: u64 = 300_000_000;
 
-/// Action requested on the command line.
+/// Action that the operator requests on the command line.
 pub enum PublishRequest {
-    /// Publish the change in this file.
+    /// Publish the change described in the file at this path.
     Publish(PathBuf),
     /// Revert the revision with this number.
     Revert(u64),
@@ -32,14 +33,14 @@
 pub struct PublishArguments {
     /// The action to perform.
     pub request: PublishRequest,
-    /// Path of the options file that describes the fleet.
+    /// Path of the options file that contains the fleet settings.
     pub options: PathBuf,
-    /// Time limit of the whole command.
+    /// Maximum duration of the whole command.
     pub wait: Duration,
 }
 
-/// Builds the messages to the publisher; none for a status request. A change file with errors is refused
-/// before the process joins the fleet.
+/// Builds the messages to send to the publisher. A status request needs no messages. Called before the
+/// process joins the fleet, so that errors in a change file are reported first.
 fn messages(arguments: &PublishArguments, request: &RequestId) -> Result<Vec<Message>> {
     match &arguments.request {
         PublishRequest::Status => Ok(Vec::new()),
@@ -66,7 +67,8 @@
     }
 }
 
-/// Runs the command. Returns an error if the members do not confirm the change in time.
+/// Runs the `publish` command. Returns an error if the members do not confirm the change within the time
+/// limit.
 pub fn run(arguments: &PublishArguments) -> Result<()> {
     let started = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH)?.as_nanos() as u64;
     let name = format!("{NAME_PREFIX}{:08x}", (started / 1000) as u32);
@@ -81,10 +83,10 @@
 struct PublishSession {
     fleet_member: NonServingMember,
     replicas: Vec<String>,
-    /// Index of the replica that is assumed to be the publisher. May exceed the number of replicas; it is
-    /// used modulo that number.
+    /// Index of the replica to which requests are sent, because it is assumed to be the publisher. The index
+    /// is taken modulo the number of replicas.
     publisher: usize,
-    /// Time limit of the command, in Unix nanoseconds.
+    /// Time at which the command gives up, in Unix nanoseconds.
     deadline: u64,
 }
 
@@ -121,8 +123,8 @@
         self.wait_until_in_force(request, wanted, !messages.is_empty()).await
     }
 
-    /// Sends the messages to the publisher until it answers the request. Returns `None` if the deadline
-    /// passes.
+    /// Sends the messages to the publisher, repeatedly, until the publisher answers the request. Returns
+    /// `None` if no answer arrives before the deadline.
     async fn request(&mut self, messages: &[Message], request: &RequestId) -> Result<Option<Message>> {
         let mut next = 0;
         while self.fleet_member.now() < self.deadline {
@@ -159,8 +161,8 @@
         Ok(None)
     }
 
-    /// Prints which members have the newest revision in force. If `waits` is true, first waits until all
-    /// members have a revision numbered `wanted` or later in force.
+    /// Prints which members use the newest revision. If `waits` is true, first waits until all members use
+    /// the newest revision, and its number is at least `wanted`.
     async fn wait_until_in_force(&mut self, request: RequestId, wanted: u64, waits: bool) -> Result<()> {
         let mut status = String::new();
         let mut request_number = request.number;
@@ -195,5 +197,5 @@
     }
 }
 
-/// Time limit of a `publish` command without `--wait`.
+/// Maximum duration of a `publish` command without the option `--wait`.
 pub const DEFAULT_WAIT: Duration = Duration::from_secs(10);
--- a/crates/server/src/fleet/replication.rs
+++ b/crates/server/src/fleet/replication.rs
@@ -1,6 +1,6 @@
-//! Replicated configuration on a server. The membership task drives the protocol. Each revision is checked
-//! and written to disk on the blocking pool before it takes effect, and the outcome is reported to the
-//! publisher.
+//! The client of replicated configuration on a server, driven by the membership task. Each revision is
+//! checked and written to disk on the blocking pool before it takes effect. The publisher is told whether the
+//! revision is in force or was rejected.
 
 use crate::error::with_causes;
 use crate::fleet::shared_state::LocalSharedState;
@@ -19,16 +19,16 @@
 use std::rc::Rc;
 use tracing::{info, warn};
 
-/// Polling interval for the outcome of a revision that is being checked.
+/// Interval, in nanoseconds, between two checks of whether the application of a revision has ended.
 const OUTCOME_POLL_INTERVAL_NS: Nanos = 10_000_000;
-/// Interval at which an unchanged status is logged.
+/// Interval, in nanoseconds, at which the status is logged if it does not change.
 const LOG_EVERY_NS: Nanos = 10_000_000_000;
 
-/// Outcome of applying a revision.
+/// Outcome of applying a revision of the replicated configuration.
 struct Outcome {
     /// Number of the revision.
     number: u64,
-    /// Reason why the revision was rejected, or `None` if the revision is in force.
+    /// Reason why the revision was rejected; `None` if the server now uses the revision.
     rejected: Option<String>,
 }
 
@@ -40,10 +40,10 @@
     stale: bool,
 }
 
-/// Error that keeps a server from taking part in replicated configuration.
+/// Reason why a server cannot take part in replicated configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum ReplicationError {
-    /// A server is named as a replica of the log.
+    /// The settings name this server as a replica of the log, but only control machines store the log.
     #[error("replica: {0:?} is a server; only `meadowstream control` stores the log")]
     ServingReplica(String),
     /// A setting is out of range.
@@ -51,7 +51,7 @@
     Settings(#[from] meadowstream_replication::member::SettingsError),
 }
 
-/// Replicated configuration on this server.
+/// The client of replicated configuration on this server.
 pub struct Replication {
     member: Member,
     file: PathBuf,
@@ -62,7 +62,7 @@
     logged_at: Nanos,
 }
 
-/// Returns the replication settings of this member, read from the `<replication>` element.
+/// Converts the `<replication>` element of the options into the settings of the replication protocol.
 pub fn replication_settings(options: &ReplicationOptions) -> Settings {
     let location = Location { region: options.region.clone(), zone: options.zone.clone() };
     Settings {
@@ -73,8 +73,8 @@
 }
 
 impl Replication {
-    /// Starts from the revision in the server's configuration, if any; this revision is in force already.
-    /// Returns an error if a setting is invalid.
+    /// Creates the client of replicated configuration. If the server's configuration already includes a
+    /// revision, the client starts from this revision. Returns an error if a setting is invalid.
     pub fn new(
         server: &Server,
         options: &ReplicationOptions,
@@ -103,13 +103,13 @@
         })
     }
 
-    /// Handles a message from another member.
+    /// Handles a message about replicated configuration from another member.
     pub fn receive(&mut self, from: &str, body: &[u8], now: Nanos) {
         self.member.receive(now, from, body);
     }
 
-    /// Handles outcomes of checked revisions, advances the protocol if it is due, starts to apply the next
-    /// revision, and sends pending messages.
+    /// Performs the work that is due. Handles the outcomes of checked revisions, advances the replication
+    /// protocol, starts to apply the next revision, and sends pending messages.
     pub fn advance(
         &mut self,
         server: &Rc<Server>,
@@ -143,7 +143,7 @@
         self.log(now);
     }
 
-    /// Returns the time at which [`Replication::advance`] is due again, in Unix nanoseconds.
+    /// Returns the time at which [`Replication::advance`] must be called next, in Unix nanoseconds.
     pub fn due(&self, now: Nanos) -> Nanos {
         let outcome = if self.is_checking { now + OUTCOME_POLL_INTERVAL_NS } else { Nanos::MAX };
         self.member.next_due().min(outcome)
@@ -178,7 +178,8 @@
     }
 }
 
-/// Checks a revision, writes it to disk, puts it in force, and reports the outcome.
+/// Checks a revision, writes it to disk and makes it the current configuration. Sends the outcome to the
+/// client of replicated configuration.
 async fn put_in_force(
     server: Rc<Server>,
     snapshot: Snapshot,
--- a/crates/server/src/fleet/rollout.rs
+++ b/crates/server/src/fleet/rollout.rs
@@ -1,6 +1,7 @@
-//! Carries out a rollout's orders on this server: adopts the settings or the program of the change, or
-//! returns to the server's own settings or program, and reports which version the server runs. An adopted
-//! change is marked on disk before it is reported, so that the change survives a crash.
+//! Executes the orders of a rollout on this server, and reports which version the server runs.
+//!
+//! An order asks the server to adopt the settings or the program of the change, or to return to its own. An
+//! adopted change is recorded on disk before it is reported, so that it survives a crash of the server.
 
 use crate::configuration::candidate::hash_of;
 use crate::error::with_causes;
@@ -16,10 +17,11 @@
 use std::rc::Rc;
 use tracing::{info, warn};
 
-/// Upper limit of the length of a refusal reason in a report, in characters.
+/// Maximum length, in characters, of the reason for a refusal in a report.
 const REASON_MAX: usize = 200;
 
-/// Error for which a rollout's order is refused. The server keeps its previous settings and program.
+/// Reason why an order of a rollout is refused. The server keeps the settings and the program that it had
+/// before.
 #[derive(Debug, thiserror::Error)]
 enum AdoptError {
     #[error("cannot remove the file that marks the settings as adopted")]
@@ -42,8 +44,10 @@
     ProgramMark(Error),
 }
 
-/// Hashes the file of the running program, if a rollout may replace it. The file is large. It is read on the
-/// blocking pool after the start, so that callers of a restarted server do not wait for the read.
+/// Computes the hash of the running program's file. Does nothing if no rollout can replace the program.
+///
+/// The file is large, so it is read on the blocking pool after the start. Callers of a restarted server do
+/// not have to wait for it.
 pub async fn read_program(server: Rc<Server>) {
     let Some(rollout) = server.rollout.as_ref().filter(|rollout| rollout.program.get().is_none()) else {
         return;
@@ -61,9 +65,11 @@
     }
 }
 
-/// Handles an order from an authenticated member, and returns the report to answer with. Returns `None` for
-/// an order that is stale or a duplicate, and for an order to change the program while the running program's
-/// file has not been read yet; the coordinator repeats such an order.
+/// Handles an order from an authenticated member, and returns the report to send in reply. Returns `None` in
+/// two cases:
+/// - The order is outdated or a duplicate.
+/// - The order changes the program, but the file of the running program has not been read yet. The
+///   coordinator sends the order again.
 pub fn handle_order(server: &Rc<Server>, rollout: &Rollout, order: Order) -> Option<Report> {
     let now = server.clock.now();
     if rollout.is_stale(&order) {
@@ -81,7 +87,8 @@
     start_change(server, rollout, &order, program);
     rollout.intervals.set(rollout.intervals.get() + 1);
     let refused = rollout.refused.borrow().clone();
-    // A refusal reason and the recorded answers of all classes do not fit in one datagram together.
+    // A report with a refusal reason contains no recorded answers, because both together do not fit in one
+    // datagram.
     let classes = if refused.is_some() { Vec::new() } else { rollout.recorder.take() };
     Some(Report { classes, ..rollout.report(&order, program, refused) })
 }
@@ -95,7 +102,8 @@
     *last = LastOrder { plan: order.plan.clone(), incarnation, sequence, at: now };
 }
 
-/// Starts the change that an order requests, unless it is already made or another change is in progress.
+/// Starts the change that an order requests. Does nothing if the change is already made or another change is
+/// in progress.
 fn start_change(server: &Rc<Server>, rollout: &Rollout, order: &Order, program: Option<OwnProgram>) {
     let (kind, adopt) = (order.kind, order.adopt);
     let is_made = match program {
@@ -115,7 +123,7 @@
     server.executor.spawn(task).detach();
 }
 
-/// Adopts the settings of a rollout, or returns to the server's own settings.
+/// Adopts the candidate settings of a rollout, or returns to the server's own settings if `adopt` is `None`.
 async fn change_settings(server: Rc<Server>, adopt: Option<u64>) {
     let Some(rollout) = &server.rollout else { return };
     let changed = match adopt {
@@ -130,7 +138,7 @@
             rollout.versions.borrow_mut().set_settings(settings);
             let settings = format!("{settings:016x}");
             info!(target: "fleet", adopted = adopt.is_some(), settings, "settings");
-            // Discards the answers recorded under the previous settings.
+            // The answers recorded so far belong to the previous settings, so they are discarded.
             rollout.recorder.take();
         }
         Err(error) => refuse(rollout, &error),
@@ -138,8 +146,8 @@
     rollout.is_changing.set(false);
 }
 
-/// Returns to the server's own settings. The mark is removed first: after a crash between the two steps, the
-/// server starts with its own settings.
+/// Returns to the server's own settings. The file that marks the candidate settings as adopted is removed
+/// first. If the server crashes before the settings are changed, it restarts with its own settings.
 async fn adopt_own(server: &Rc<Server>, rollout: &Rollout) -> Result<(), AdoptError> {
     let mark = rollout.candidate.mark.clone();
     let removed = blocking::unblock(move || files::remove(&mark)).await;
@@ -147,8 +155,8 @@
     Ok(reload::adopt(server, None).await?)
 }
 
-/// Adopts the settings of a rollout. The mark is written last: after a crash between the two steps, the
-/// server starts with its own settings.
+/// Adopts the candidate settings of a rollout. The file that marks the settings as adopted is written last.
+/// If the server crashes before the file is written, it restarts with its own settings.
 async fn adopt_candidate(server: &Rc<Server>, rollout: &Rollout, hash: u64) -> Result<(), AdoptError> {
     reload::adopt(server, Some(hash)).await?;
     let mark = rollout.candidate.mark.clone();
@@ -157,8 +165,10 @@
     written.map_err(AdoptError::WriteMark)
 }
 
-/// Names the next program to start in the program mark, or removes the mark, and makes the server leave as it
-/// does on SIGTERM. The next incarnation of the server reports the program that it runs.
+/// Makes the server exit so that its supervisor starts another program. The name of this program is written
+/// to the program mark, a file that the supervisor reads. If `adopt` is `None`, the mark is removed.
+///
+/// The server leaves as it does on SIGTERM. After its restart, it reports the program that it runs.
 async fn change_program(server: Rc<Server>, adopt: Option<u64>) {
     let Some(rollout) = &server.rollout else { return };
     let mark = rollout.candidate.program_mark.clone();
--- a/crates/server/src/fleet/rollout_state.rs
+++ b/crates/server/src/fleet/rollout_state.rs
@@ -1,4 +1,4 @@
-//! Rollout state of this server: the adopted change, the last order, and the contents of reports.
+//! State of rollouts on this server: the adopted change, the last order, and the data for reports.
 
 use crate::configuration::candidate::Candidate;
 use crate::fleet::interval_report::{AnswerRecorder, HistogramError};
@@ -8,71 +8,76 @@
 use meadowstream_shared_state::ServerId;
 use std::cell::{Cell, RefCell};
 
-/// Maximum number of servers in the version table.
+/// Maximum number of servers in the table of versions.
 const SERVER_VERSIONS_MAX: usize = 4096;
 
-/// Error that keeps the server from taking part in rollouts.
+/// Reason why the server cannot take part in rollouts.
 #[derive(Debug, thiserror::Error)]
 pub enum RolloutError {
-    /// A rollout may change the program, but the file of the running program cannot be read.
+    /// Rollouts may replace the program, but the file of the running program cannot be read.
     #[error("cannot read this program: {0}")]
     ReadProgram(std::io::Error),
-    /// The recorder of answers cannot be created.
+    /// The recorder of answers, which provides the data for reports, cannot be created.
     #[error(transparent)]
     Record(#[from] HistogramError),
 }
 
-/// Identity of the running program.
+/// Identity of the program that this process runs.
 #[derive(Clone, Copy, Debug)]
 pub struct OwnProgram {
     /// Hash of the program's file.
     pub hash: u64,
-    /// Whether the program mark, which a rollout writes, names this program.
+    /// True if the running program is the one that a rollout has named in the program mark, the file for the
+    /// supervisor.
     pub adopted: bool,
 }
 
-/// The last order that this server accepted.
+/// The last order of a rollout that this server accepted.
 #[derive(Default)]
 pub struct LastOrder {
     /// Name of the order's plan.
     pub plan: String,
-    /// Incarnation of the coordinator.
+    /// Incarnation of the coordinator that sent the order.
     pub incarnation: u64,
-    /// Sequence number of the order within the coordinator's incarnation.
+    /// Sequence number of the order, among all orders of this incarnation of the coordinator.
     pub sequence: u64,
-    /// Time at which the order was accepted, in Unix nanoseconds.
+    /// Time at which this server accepted the order, in Unix nanoseconds.
     pub at: u64,
 }
 
 /// Rollout state of this server.
 pub struct Rollout {
-    /// Records the answers since the last report.
+    /// Recorder of the answers sent since the last report to the coordinator.
     pub recorder: AnswerRecorder,
-    /// Files of the settings and the program that a rollout may have this server adopt.
+    /// Files of the candidate settings and the candidate program, which a rollout may ask this server to
+    /// adopt.
     pub candidate: Candidate,
-    /// Program version and settings hash of each known server.
+    /// Table with the program version and the settings hash of each known server of the fleet.
     pub versions: RefCell<VersionTable>,
-    /// The running program; `None` until the program's file has been read. If no rollout may change the
-    /// program, its hash is 0.
+    /// Identity of the running program; `None` until the program's file has been read. The hash is 0 if no
+    /// rollout may replace the program.
     pub program: Cell<Option<OwnProgram>>,
-    /// Signalled when the server must exit for another program to be started.
+    /// Channel that signals that the server must exit, so that its supervisor starts another program.
     pub leave: Sender<()>,
-    /// Time after the last order of a plan during which orders of other plans are refused, in nanoseconds.
+    /// Duration, in nanoseconds, for which an order reserves this server for its plan. For this time, a
+    /// server that runs adopted settings refuses orders of other plans.
     pub lease: u64,
-    /// The last order that was accepted.
+    /// The last order that this server accepted.
     pub last_order: RefCell<LastOrder>,
-    /// Hash of the adopted settings, as marked on disk; `None` if the server runs its own settings.
+    /// Hash of the candidate settings that the server runs; `None` if the server runs its own settings.
     pub adopted: Cell<Option<u64>>,
-    /// Reason for refusing the last change, if it was refused.
+    /// Reason why the last change was refused; `None` if it was not refused.
     pub refused: RefCell<Option<String>>,
-    /// Whether a change is in progress.
+    /// True while a change of the settings or of the program is in progress.
     pub is_changing: Cell<bool>,
-    /// Number of the last reported interval.
+    /// Number of intervals reported since the start of the server. Each accepted order ends an interval, and
+    /// the report contains the interval's number.
     pub intervals: Cell<u64>,
 }
 
 impl Rollout {
-    /// Creates the state at the start of the server. `lease` is in nanoseconds.
+    /// Creates the rollout state when the server starts. `lease` is the duration, in nanoseconds, for which
+    /// an order reserves the server for its plan.
     pub fn new(
         candidate: Candidate,
         me: ServerId,
@@ -105,22 +110,22 @@
         })
     }
 
-    /// Returns whether this order, or one that was sent after it, has already been accepted.
+    /// Returns whether the server has already accepted this order or a later one.
     pub fn is_stale(&self, order: &Order) -> bool {
         let last = self.last_order.borrow();
         (order.incarnation, order.sequence) <= (last.incarnation, last.sequence)
     }
 
-    /// Returns the plan in progress that the order would interrupt, if any. A second coordinator can send
-    /// such an order if it wrongly believes that it holds the lease.
+    /// Returns the name of the plan in progress if the order belongs to a different plan. This can happen if
+    /// a second coordinator wrongly believes that it holds the rollout lease.
     pub fn plan_under_way(&self, order: &Order, now: u64) -> Option<String> {
         let last = self.last_order.borrow();
         let under_way = self.adopted.get().is_some() && now < last.at + self.lease;
         (under_way && order.plan != last.plan).then(|| last.plan.clone())
     }
 
-    /// Builds the report that answers an order; the caller adds the recorded answers. `program` is set for an
-    /// order to change the program.
+    /// Builds the report in reply to an order. `program` is given if the order changes the program, and
+    /// `None` if it changes the settings. The caller adds the recorded answers.
     pub fn report(&self, order: &Order, program: Option<OwnProgram>, refused: Option<String>) -> Report {
         let settings = self.adopted.get();
         let (running_hash, adopted) = match program {
--- a/crates/server/src/fleet/shared_state.rs
+++ b/crates/server/src/fleet/shared_state.rs
@@ -1,6 +1,7 @@
-//! The state that this server shares with the fleet: the protocol's state, the downstream calls of this
-//! server that use the fleet's call budget, and the clocks. The membership task and the event loop, which run
-//! on the same thread, both use it.
+//! This server's part of the state that the fleet shares: the state of the protocol, the clocks, and the
+//! downstream calls that count towards the fleet's call budget.
+//!
+//! Used by the membership task and by the event loop, which run on the same thread.
 
 use crate::configuration::leases::LEASES;
 use crate::fleet::tier::{CallEvidence, Tier, TierStatus};
@@ -15,21 +16,21 @@
 use std::net::SocketAddr;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Error in the settings of the shared state.
+/// Error in the settings of the state that the fleet shares.
 #[derive(Debug, thiserror::Error)]
 pub enum SharedStateError {
     /// A setting of the shared state is out of range.
     #[error(transparent)]
     Settings(#[from] meadowstream_shared_state::SettingsError),
-    /// A setting of the router is out of range.
+    /// A setting of the router, which chooses a downstream service for each call, is out of range.
     #[error(transparent)]
     Routing(#[from] meadowstream_routing::SettingsError),
 }
 
-/// This server's copy of the state shared with the fleet.
+/// This server's copy of the state that the fleet shares.
 pub struct LocalSharedState {
     inner: RefCell<Inner>,
-    /// Names of the tenants in the options. Only these tenants are counted by name.
+    /// Names of the tenants that the options name. The fleet keeps separate counts for these tenants only.
     named_tenants: RefCell<TenantNames>,
     started: Instant,
 }
@@ -37,37 +38,40 @@
 struct Inner {
     state: SharedState,
     permits: Permits,
-    /// The downstream services, if there are several.
+    /// The downstream services and their health; `None` if all downstream calls use the address in the
+    /// configuration.
     tier: Option<Tier>,
-    /// Whether a call was refused and the controller must be notified when a call is permitted again.
+    /// True if a downstream call was refused. The controller must then be notified when calls are permitted
+    /// again.
     has_refused: bool,
-    /// Values of this server's counters that are already added to the fleet's counts, in the order of
+    /// Values of this server's counters that are already included in the fleet's counts. The order is that of
     /// [`COUNTER_KEYS`].
     counted: [u64; 4],
-    /// Number of additions to the fleet's counts that were dropped because no key was free.
+    /// Number of amounts that could not be added to the fleet's counts, because the maximum number of keys
+    /// was reached.
     uncounted: u64,
 }
 
-/// Status of the call budget and of the ejected services, for the log.
+/// Status of the call budget and names of the ejected downstream services, for the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SharedStatus {
-    /// Units of the budget that every server may use without a lease.
+    /// Number of budget units that this server may use without a lease.
     pub floor: u64,
-    /// Units leased to this server in addition to the floor.
+    /// Number of budget units that this server has leased in addition to the floor.
     pub leased: u64,
-    /// Units in use by calls of this server.
+    /// Number of budget units that downstream calls of this server use now.
     pub in_use: u64,
-    /// Whether this server is the grantor of leases.
+    /// True if this server is the grantor, which leases budget units to the servers.
     pub is_grantor: bool,
-    /// Units that this server has granted to others.
+    /// Number of budget units that this server, as the grantor, has leased out.
     pub outstanding: u64,
     /// Names of the ejected services.
     pub ejected: Vec<String>,
 }
 
-/// The service that a call is routed to, in place of the address in the configuration.
+/// The downstream service to which a call is routed. Replaces the address in the configuration.
 pub struct Destination {
-    /// Index of the service in the settings.
+    /// Index of the downstream service in the settings.
     pub service: usize,
     /// Address of the service.
     pub address: SocketAddr,
@@ -75,23 +79,23 @@
 
 /// A permitted call.
 pub struct StartedCall {
-    /// Timeout of the call, in nanoseconds.
+    /// Timeout of the downstream call, in nanoseconds.
     pub timeout: u64,
-    /// The chosen service, if there are several.
+    /// Downstream service to which the call is routed; `None` if the address in the configuration is used.
     pub destination: Option<Destination>,
 }
 
 /// Result of [`LocalSharedState::advance`].
 pub struct Advanced {
-    /// Messages to send, each with the name of the receiving member.
+    /// Messages to send. Each message is preceded by the name of the member that receives it.
     pub outgoing: Vec<(String, Vec<u8>)>,
-    /// Whether a call is permitted now after calls have been refused.
+    /// True if downstream calls were refused before and are permitted again now.
     pub has_capacity: bool,
 }
 
 impl LocalSharedState {
-    /// Creates the shared state. `tier` holds the addresses of the downstream services, in the order in which
-    /// the settings name them.
+    /// Creates this server's copy of the shared state. `tier` contains the addresses of the downstream
+    /// services, in the order of the service names in `settings`.
     pub fn new(
         me: ServerId,
         settings: &Settings,
@@ -121,8 +125,9 @@
         Reading { monotonic: self.started.elapsed().as_nanos() as u64, wall: unix_time_ns() }
     }
 
-    /// Returns whether the call budget and the health of the downstream services permit one more call. If
-    /// not, the `waiting` calls count towards the demand for leases.
+    /// Returns whether one more downstream call is permitted by the call budget and by the health of the
+    /// downstream services. If the budget refuses, this server's demand for budget units includes the
+    /// `waiting` runs that wait for a call.
     pub fn is_call_permitted(&self, waiting: usize, preference: CallPreference) -> bool {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
@@ -141,7 +146,8 @@
         is_permitted
     }
 
-    /// Starts a call with a timeout of at most `timeout` nanoseconds.
+    /// Starts the downstream call with this number, and chooses its service. The timeout of the call is
+    /// `timeout` nanoseconds, or less if the call budget limits it.
     pub fn start_call(&self, number: u64, timeout: u64, preference: CallPreference) -> StartedCall {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
@@ -155,8 +161,9 @@
         StartedCall { timeout, destination }
     }
 
-    /// Returns whether bytes of a call may be sent now. Must be called directly before each write: while the
-    /// process was stopped, the lease that permitted the call may have passed to another server.
+    /// Returns whether bytes of the downstream call with this number may be sent now. Must be called directly
+    /// before each write. If the process was suspended, another server may have received the lease under
+    /// which the call was permitted.
     pub fn permit_send(&self, number: u64) -> bool {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
@@ -164,8 +171,8 @@
         inner.permits.permit_send(time, number)
     }
 
-    /// Ends a call on this server. `is_finished_downstream` is true if the downstream service is known to
-    /// have finished the call.
+    /// Ends the downstream call with this number on this server. `is_finished_downstream` is true if the
+    /// downstream service has certainly finished the call.
     pub fn end_call(&self, number: u64, is_finished_downstream: bool, evidence: CallEvidence) {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
@@ -178,19 +185,20 @@
         inner.permits.release(number, is_finished_downstream, use_max);
     }
 
-    /// Sets the tenants that are counted by name, and returns the previous set.
+    /// Sets the names of the tenants that have separate counts, and returns the previous names.
     pub fn set_named_tenants(&self, names: TenantNames) -> TenantNames {
         self.named_tenants.replace(names)
     }
 
-    /// Returns the tenant's name as it appears in keys of counts. Returns `None` for a tenant that is not
-    /// counted by name, so that callers cannot create arbitrary keys.
+    /// Returns the name of a tenant for use in the keys of counts. Returns `None` if the tenant has no
+    /// separate count. Otherwise callers could create any number of keys.
     pub fn tenant(&self, name: &[u8]) -> Option<String> {
         self.named_tenants.borrow().contains(name).then(|| String::from_utf8_lossy(name).into_owned())
     }
 
-    /// Adds `amount` to the fleet's counts `kind/operation` and, for a named tenant, `kind/operation/tenant`.
-    /// If no key is free, the amount is dropped; the log shows the number of such drops.
+    /// Adds `amount` to the fleet's count with the key `kind/operation`. For a tenant with a separate count,
+    /// also adds it to `kind/operation/tenant`. The amount is dropped if no more keys can be created; the log
+    /// shows how often this has happened.
     pub fn count(&self, kind: &str, operation: &str, tenant: Option<&str>, amount: u64) {
         let mut inner = self.inner.borrow_mut();
         let overall_key = format!("{kind}/{operation}");
@@ -201,14 +209,15 @@
         }
     }
 
-    /// Sets the total of the call budget. After an error, the previous total stays in force.
+    /// Sets the total of the fleet's call budget. If the total is invalid, returns an error and keeps the
+    /// previous total.
     pub fn set_total(&self, total: u64) -> Result<(), BudgetSettingsError> {
         let mut inner = self.inner.borrow_mut();
         let mut calls = inner.state.budgets.iter_mut().filter(|budget| !is_lease(budget));
         calls.try_for_each(|budget| budget.set_total(total))
     }
 
-    /// Handles messages from other members.
+    /// Handles the bodies of messages that were received from other members.
     pub fn receive(&self, bodies: Vec<Vec<u8>>) {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
@@ -219,19 +228,20 @@
         }
     }
 
-    /// Returns the sender, topic and body of each received message on a topic other than the shared state.
+    /// Returns the messages that were received on topics other than the shared state, each as its sender,
+    /// topic and body.
     pub fn take_received(&self) -> Vec<(ServerId, u16, Vec<u8>)> {
         let received = self.inner.borrow_mut().state.take_received();
         received.into_iter().map(|other| (other.from, other.topic, other.body)).collect()
     }
 
-    /// Sends a message on a topic other than the shared state to the named member.
+    /// Queues a message for the member with the name `to`. The topic is one other than the shared state.
     pub fn send_other(&self, to: &str, topic: u16, body: Vec<u8>) {
         self.inner.borrow_mut().state.send_other(to, topic, body);
     }
 
-    /// Updates counts and demand, advances the protocol, and collects its messages. `alive` holds the names
-    /// of the members that are alive.
+    /// Performs the periodic work of the shared state: updates this server's counts and demand, advances the
+    /// protocol, and collects the messages to send. `alive` contains the names of the members that are alive.
     pub fn advance(&self, alive: &[String], counters: &Counters) -> Advanced {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
@@ -245,12 +255,12 @@
         Advanced { outgoing: inner.state.take_outgoing(), has_capacity }
     }
 
-    /// Returns the time until [`Self::advance`] is due, in nanoseconds.
+    /// Returns the time, in nanoseconds, until [`Self::advance`] must be called next.
     pub fn due_in(&self) -> u64 {
         self.inner.borrow().state.due_in()
     }
 
-    /// Returns the status of the call budget and of the ejected services, for the log.
+    /// Returns the status of the call budget and the names of the ejected downstream services, for the log.
     pub fn status(&self) -> SharedStatus {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
@@ -280,8 +290,9 @@
         tier.map_or_else(TierStatus::default, |(tier, detector)| tier.status(time, detector))
     }
 
-    /// Returns two JSON texts for the log: the fleet's totals, and counts of messages, of the budget, of
-    /// rejected counter rows, of clock disagreements and of dropped counts.
+    /// Returns two JSON texts for the log. The first contains the totals of the fleet's counts. The second
+    /// contains figures about the protocol: messages, the call budget, rejected rows of counters,
+    /// disagreements between clocks, and dropped counts.
     pub fn totals(&self) -> (String, String) {
         let inner = self.inner.borrow();
         let totals = serde_json::to_string(&inner.state.counters.totals()).unwrap_or_default();
@@ -293,7 +304,8 @@
 }
 
 impl Inner {
-    /// Adds the changes of this server's counters since the previous call to the fleet's counts.
+    /// Adds the increase of this server's counters since the previous call of this function to the fleet's
+    /// counts.
     fn add_local_counts(&mut self, counters: &Counters) {
         let values = [&counters.invocations, &counters.succeeded, &counters.throttled, &counters.errored];
         for ((key, value), counted) in COUNTER_KEYS.iter().zip(values).zip(&mut self.counted) {
@@ -302,7 +314,7 @@
         }
     }
 
-    /// Updates the units that this server requests and uses in the call budget.
+    /// Updates how many units of the call budget this server requests, and how many it uses.
     fn update_demand(&mut self, time: Time) {
         for budget in self.state.budgets.iter_mut().filter(|budget| !is_lease(budget)) {
             let recent = 2 * budget.settings().refresh_interval;
@@ -324,8 +336,8 @@
         }
     }
 
-    /// Returns whether a call would be permitted, including a call that may serve as a health check of an
-    /// ejected service.
+    /// Returns whether a downstream call would be permitted now. The call may serve as a health check, so an
+    /// ejected service that is due for a check also counts as available.
     fn has_capacity(&mut self, now: u64, time: Time) -> bool {
         let preference = CallPreference { last_service: None, may_probe: true };
         let is_routable = self.tier.as_ref().is_none_or(|tier| tier.can_route(now, preference));
@@ -338,12 +350,13 @@
     LEASES.contains(&budget.settings().name.as_str())
 }
 
-/// Returns the budget of downstream calls.
+/// Returns the budget of downstream calls; `None` if the options define no such budget.
 fn calls(state: &SharedState) -> Option<&Budget> {
     state.budgets.iter().find(|budget| !is_lease(budget))
 }
 
-/// Keys of the counts that every server reports. They are part of the wire format.
+/// Keys of the counts that every server reports to the fleet. The keys are part of the protocol between
+/// servers, so they must not change.
 const COUNTER_KEYS: [&str; 4] = ["invocations", "succeeded", "throttled", "errored"];
 
 fn unix_time_ns() -> u64 {
--- a/crates/server/src/fleet/sharing.rs
+++ b/crates/server/src/fleet/sharing.rs
@@ -1,5 +1,5 @@
-//! The part of the membership task that carries shared state, replicated configuration and rollouts between
-//! this server and the other members.
+//! Exchange of shared state, replicated configuration and rollout messages with the other members. Runs as a
+//! part of the membership task.
 
 use crate::event::Event;
 use crate::fleet::replication::Replication;
@@ -15,19 +15,19 @@
 use std::rc::Rc;
 use tracing::info;
 
-/// Interval at which this server sends its own version, and the versions of other servers that it knows, to
-/// one other member.
+/// Interval, in nanoseconds, between two announcements of versions. Each announcement contains this server's
+/// version and the known versions of other servers, and is sent to one member.
 const ANNOUNCE_EVERY_NS: Nanos = 200_000_000;
-/// Longest time between two log lines of the shared state.
+/// Maximum time between two log lines about the shared state, in nanoseconds.
 const LOG_EVERY_NS: Nanos = 500_000_000;
 
-/// State that the membership task keeps between two calls of [`Sharing::advance`].
+/// State that is kept between two calls of [`Sharing::advance`].
 #[derive(Default)]
 pub struct Sharing {
-    /// Client of replicated configuration, if the options enable it.
+    /// Client of replicated configuration; `None` if the options do not enable it.
     replication: Option<Replication>,
     directory: Directory,
-    /// Time at which [`Sharing::advance`] is due if no message arrives earlier, in Unix nanoseconds.
+    /// Time at which [`Sharing::advance`] has work to do even if no message arrives, in Unix nanoseconds.
     pub due: Nanos,
     logged: SharedStatus,
     logged_at: Nanos,
@@ -35,13 +35,14 @@
 }
 
 impl Sharing {
-    /// Creates the state at the start of the task.
+    /// Creates the state when the membership task starts.
     pub fn new(replication: Option<Replication>) -> Self {
         Self { replication, ..Self::default() }
     }
 
-    /// Handles received messages. If [`Sharing::due`] has been reached or messages were received, also
-    /// advances replicated configuration and shared state, announces versions, and logs the shared state.
+    /// Handles received messages, and performs the work that is due. If a message was received or the time
+    /// [`Sharing::due`] was reached, also advances replicated configuration and shared state, announces
+    /// versions, and writes the log.
     pub fn advance(&mut self, server: &Rc<Server>, membership: &mut Membership, now: Nanos) {
         let Some(shared) = &server.shared else {
             self.due = Nanos::MAX;
@@ -96,8 +97,9 @@
         }
     }
 
-    /// Announces versions to one member after another in round-robin order. The first member depends on the
-    /// server's incarnation, so that servers do not all announce to the same member at once.
+    /// Announces the known versions to one member of the fleet, a different one each time in round-robin
+    /// order. The first member depends on this server's incarnation, so that servers do not all announce to
+    /// the same member at once.
     fn announce_versions(&mut self, server: &Server, shared: &LocalSharedState, now: Nanos) {
         let Some(rollout) = &server.rollout else { return };
         if now < self.announced_at + ANNOUNCE_EVERY_NS {
@@ -129,13 +131,14 @@
             }
         }
         if advanced.has_capacity {
-            // If the queue is full, the event may be dropped: the controller has events to process anyway,
-            // and checks for capacity then.
+            // The event may be dropped if the queue is full. The controller then has other events to handle,
+            // and checks while handling them whether calls are permitted.
             let _ = server.events.try_send(Event::DownstreamCapacity);
         }
     }
 
-    /// Logs the shared state when the leases or the ejected services have changed, and at regular intervals.
+    /// Logs the shared state if the leases or the ejected services have changed. Otherwise logs it at regular
+    /// intervals.
     fn log(&mut self, shared: &LocalSharedState, now: Nanos) {
         let status = shared.status();
         let compared = |s: &SharedStatus| (s.floor, s.leased, s.is_grantor, s.ejected.clone());
--- a/crates/server/src/fleet/tier.rs
+++ b/crates/server/src/fleet/tier.rs
@@ -1,6 +1,8 @@
-//! The downstream services that this server calls when there are several: the service of each call in flight,
-//! and the health of each service. The router chooses a service for each call; the outlier detector holds
-//! this server's evidence of failures and the reports of the other servers.
+//! The downstream services of this server, if there are several. Stores the service of each call in flight
+//! and the health of each service.
+//!
+//! The router chooses a service for each call. The outlier detector stores the evidence of failures that this
+//! server has seen, and the reports of other servers.
 
 use meadowstream_routing::{CallPreference, Choice, HealthView, Router, Settings, SettingsError};
 use meadowstream_shared_state::clock::Time;
@@ -9,40 +11,41 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// Number of health checks of an ejected service within the expiry time of a report. The weight of evidence
-/// halves in each expiry time. This number of checks keeps the weight above the minimum that the outlier
-/// detector needs to judge a service.
+/// Number of health checks of an ejected service during the expiry time of a health report.
+///
+/// The weight of evidence halves in each expiry time. With this number of checks, the weight stays above the
+/// minimum that the outlier detector needs to judge a service.
 const PROBES_PER_EXPIRY: u64 = 8;
 
 /// A call in flight.
 struct InFlight {
     choice: Choice,
-    /// Start time of the call, in nanoseconds of the monotonic clock.
+    /// Start time of the call, in nanoseconds of the process's monotonic clock.
     started: u64,
 }
 
-/// The downstream services and the calls in flight to them.
+/// The downstream services, and the calls in flight to these services.
 pub struct Tier {
     addresses: Vec<SocketAddr>,
     router: Router,
-    /// Calls in flight, by call number.
+    /// Calls in flight. The key is the number of the call.
     in_flight: HashMap<u64, InFlight>,
-    /// Indexes of the services that were ejected at the last update.
+    /// Indexes of the ejected services, as of the last call of [`Tier::update_health`].
     pub ejected: Vec<usize>,
 }
 
-/// Evidence about a service's health, taken from how a call ended.
+/// Evidence about the health of a downstream service: how a call to the service ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallEvidence {
     /// The call succeeded.
     Succeeded,
     /// The call failed.
     Failed,
-    /// The call was abandoned before it ended.
+    /// The call was abandoned by this server before it ended.
     Abandoned,
 }
 
-/// Status of one service, for the log.
+/// Status of one downstream service, for the log.
 #[derive(Serialize)]
 struct ServiceStatus<'a> {
     service: &'a str,
@@ -51,17 +54,19 @@
     outstanding: u64,
 }
 
-/// Status of the tier as JSON, for the log; empty strings without a tier.
+/// Status of the downstream services as two JSON texts, for the log. The texts are empty if the options do
+/// not describe a tier of services.
 #[derive(Default)]
 pub struct TierStatus {
-    /// Numbers of calls, of health checks, and of calls for which no service was available.
+    /// JSON list of three numbers: calls, health checks, and calls for which no service was available.
     pub routed: String,
     /// The status of each service.
     pub services: String,
 }
 
 impl Tier {
-    /// Creates a tier with services at these addresses. Health reports expire after `expiry` nanoseconds.
+    /// Creates a tier with one downstream service at each address. Health reports expire after `expiry`
+    /// nanoseconds.
     pub fn new(addresses: Vec<SocketAddr>, expiry: u64, seed: u64) -> Result<Tier, SettingsError> {
         let probe_interval = (expiry / PROBES_PER_EXPIRY).max(1);
         let settings = Settings { services: addresses.len(), probe_interval, slow_start: expiry };
@@ -69,7 +74,7 @@
         Ok(Tier { router, addresses, in_flight: HashMap::new(), ejected: Vec::new() })
     }
 
-    /// Passes the health of the services to the router. Returns true if the set of ejected services has
+    /// Updates the health of each service in the router. Returns true if the set of ejected services has
     /// changed.
     pub fn update_health(&mut self, now: u64, time: Time, detector: &OutlierDetector) -> bool {
         let ejected = detector.ejected(time);
@@ -85,13 +90,13 @@
         changed
     }
 
-    /// Returns whether a service is available for a call.
+    /// Returns whether a downstream service is available for a call.
     pub fn can_route(&self, now: u64, preference: CallPreference) -> bool {
         self.router.can_route(now, preference)
     }
 
-    /// Chooses a service for a call, and returns its index and address. If no service is available, the call
-    /// is routed to the first one.
+    /// Chooses a downstream service for the call with this number, and returns the service's index and
+    /// address. If no service is available, returns the first service.
     pub fn start_call(&mut self, now: u64, number: u64, preference: CallPreference) -> (usize, SocketAddr) {
         let first = Choice { service: 0, is_probe: false };
         let choice = self.router.choose(now, preference).unwrap_or(first);
@@ -100,7 +105,7 @@
         (service, self.addresses[service])
     }
 
-    /// Ends a call, and records its evidence for or against the health of its service.
+    /// Ends a call, and records whether the call is evidence for or against the health of its service.
     pub fn end_call(
         &mut self,
         now: u64,
@@ -120,7 +125,7 @@
         }
     }
 
-    /// Returns the status of the tier, for the log.
+    /// Returns the status of the downstream services, for the log.
     pub fn status(&self, time: Time, detector: &OutlierDetector) -> TierStatus {
         let names = detector.settings().services.iter().map(String::as_str);
         let status = |(service, name)| ServiceStatus {
--- a/crates/server/src/fleet/view_log.rs
+++ b/crates/server/src/fleet/view_log.rs
@@ -1,5 +1,5 @@
-//! Logs the fleet view: each change as it occurs, and the whole view when it has changed and at regular
-//! intervals.
+//! Logs this server's view of the fleet's members. Each change is logged when it occurs. The whole view is
+//! logged after a change and at regular intervals.
 
 use crate::server::Server;
 use meadowstream_membership::{Change, MemberState, MemberStatus, Membership, Nanos, ViewChange};
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use tracing::info;
 
-/// Properties of a member that are compared to detect a change of the view.
+/// Properties of a member. The view is logged again if one of these properties changes.
 #[derive(PartialEq, Eq)]
 struct MemberLine {
     address: SocketAddr,
@@ -24,9 +24,11 @@
 }
 
 impl ViewLog {
-    /// Logs the view if the view or the count of dropped datagrams has changed, and at least once per
-    /// announce period. Log lines are dropped while the log's pipe is full; the periodic line corrects the
-    /// reader's outdated view.
+    /// Logs the view if the view or the number of dropped datagrams has changed. Otherwise logs it once per
+    /// announce period.
+    ///
+    /// Log lines are lost while the log's pipe is full. The regular line then gives the reader of the log an
+    /// up-to-date view.
     pub fn update(
         &mut self,
         server: &Server,
@@ -68,8 +70,9 @@
     }
 }
 
-/// Program version and settings hash of this server and of each server in the view, as far as known, as a
-/// JSON object by server name; empty if the options have no `<rollout>`.
+/// Returns the known program versions and settings hashes of this server and of all servers in the view, as a
+/// JSON object whose keys are the names of the servers. Returns an empty string if the options have no
+/// `<rollout>` element.
 fn versions(server: &Server, view: &[MemberStatus]) -> String {
     let Some(rollout) = &server.rollout else { return String::new() };
     let versions = rollout.versions.borrow();
@@ -81,8 +84,8 @@
     serde_json::to_string(&known).unwrap_or_default()
 }
 
-/// Logs the whole view in one line: each member with its state and the time at which the state began, and the
-/// dropped datagrams by reason.
+/// Logs the whole view in one line. The line contains each member with its state and the start time of this
+/// state, and the number of dropped datagrams for each reason.
 fn log_view(membership: &Membership, view: &[MemberStatus], runs: &str, now: Nanos) {
     let count = |state| view.iter().filter(|status| status.state == state).count();
     let members = serde_json::to_string(view).unwrap_or_default();
