--- a/crates/server/src/connection/accept.rs
+++ b/crates/server/src/connection/accept.rs
@@ -28,7 +28,7 @@
 /// Accepts connections until the drain is over or the process is about to stop, then closes the listener.
 ///
 /// During the drain, the server still accepts connections, because callers learn late that the server leaves.
-/// A rejection costs a caller less than a refused connection.
+/// Any answer costs a caller less than a refused connection.
 pub async fn accept(server: Rc<Server>, listener: Async<TcpListener>) {
     let mut exhausted = false;
     loop {
--- a/crates/server/src/interpreter/incarnation.rs
+++ b/crates/server/src/interpreter/incarnation.rs
@@ -1,46 +1,51 @@
-//! State about the interpreter that outlasts a single link: its current incarnation, and the results of
-//! recent attempts to connect.
+//! State about the interpreter that is kept when a link is lost: the interpreter's current incarnation, and
+//! how recent attempts to connect have ended.
 
 use meadowstream_overload_control::Nanos;
 use std::time::Duration;
 
-/// Time after a restart within which a server must be ready, however slow its interpreter is. Also the
-/// maximum time allowed for one step of connecting.
+/// Time within which a restarted server must be ready, even if its interpreter is slow. No step of connecting
+/// to the interpreter may take longer than this time.
 const READINESS_DEADLINE: Duration = Duration::from_secs(10);
-/// Maximum difference, in nanoseconds, between two start times of the interpreter that are taken for the
-/// same start. Banners state the age of the interpreter in whole milliseconds, and clocks may drift apart.
+/// Tolerance, in nanoseconds, for comparing two computed start times of the interpreter. Two times that
+/// differ by at most this value belong to the same start.
+///
+/// The computed times are inexact, because banners state the interpreter's age in whole milliseconds and
+/// clocks may drift apart.
 const START_TOLERANCE_NS: Nanos = 1_000_000_000;
-/// Maximum number of times that the time allowed for one step of connecting is doubled.
+/// Maximum number of times that the time limit for one step of connecting is doubled after timeouts.
 const DOUBLINGS_MAX: u32 = 8;
 
-/// The interpreter's incarnation, and the results of attempts to link to it.
+/// The interpreter's current incarnation, and how attempts to connect to the interpreter have ended.
 #[derive(Default)]
 pub struct Incarnation {
-    /// Index of the last notice that was read from the interpreter.
+    /// Index of the last notice that the server has read from this incarnation of the interpreter.
     pub last_read: u64,
-    /// Upper bound of the time at which the interpreter started, computed from its banners.
+    /// Latest possible start time of the interpreter, computed from its banners; `None` before the first
+    /// banner.
     started: Option<Nanos>,
-    /// Number of attempts to connect that have timed out since the last link.
+    /// Number of attempts to connect that have timed out since a link was last established.
     timeouts: u32,
 }
 
 impl Incarnation {
-    /// Returns the time allowed for one step of connecting. The time is the readiness deadline divided by
-    /// `divisor`, and doubles with each attempt that timed out, up to the readiness deadline. An
-    /// interpreter that is always slow is therefore linked eventually.
+    /// Returns the time limit for one step of connecting. The limit is the readiness deadline divided by
+    /// `divisor`. Each attempt that timed out doubles the limit, at most up to the readiness deadline, so
+    /// that a slow interpreter can be connected eventually.
     pub fn time_allowance(&self, divisor: u32) -> Duration {
         let doubled = (READINESS_DEADLINE / divisor).saturating_mul(1 << self.timeouts.min(DOUBLINGS_MAX));
         doubled.min(READINESS_DEADLINE)
     }
 
-    /// Records the end of a link or of an attempt to establish one.
+    /// Records how an attempt to connect has ended. `was_linked` is true if a link was established, and
+    /// `timed_out` is true if the attempt or the link ended by a timeout.
     pub fn record_end(&mut self, was_linked: bool, timed_out: bool) {
         self.timeouts = if was_linked { 0 } else { self.timeouts + u32::from(timed_out) };
     }
 
-    /// Processes a banner that states the interpreter's `age`. Returns whether the interpreter was
-    /// restarted since the previous banner. `requested` and `read` are the times at which the banner was
-    /// requested and read; they may be far apart if the machine was suspended in between.
+    /// Handles a banner, which states the interpreter's `age`. Returns whether the interpreter was restarted
+    /// since the previous banner. The banner was requested at the time `requested` and read at the time
+    /// `read`. The two times can be far apart if the machine was suspended in between.
     pub fn detect_restart(&mut self, requested: Nanos, read: Nanos, age: Nanos) -> bool {
         let earliest = requested.saturating_sub(age);
         let latest = read.saturating_sub(age);
--- a/crates/server/src/interpreter/link.rs
+++ b/crates/server/src/interpreter/link.rs
@@ -1,4 +1,4 @@
-//! The link to the interpreter. A lost link is established again.
+//! The link, a TCP connection to the interpreter. If the link is lost, a new one is established.
 
 use crate::event::Event;
 use crate::interpreter::incarnation::Incarnation;
@@ -19,26 +19,28 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// Maximum number of commands in the queue to the interpreter. If the queue overflows because the
-/// interpreter does not read, the link is closed and established again.
+/// Maximum number of commands that wait to be sent to the interpreter. If the queue overflows because the
+/// interpreter does not read, the link is closed and a new one is established.
 const COMMANDS_MAX: usize = 4096;
-/// Size of a combined write, in bytes. Queued commands are added to the write until it has at least this
-/// size.
+/// Size, in bytes, at which a write to the link is full. Queued commands are added to one write until the
+/// write has at least this size.
 const WRITE_MAX_BYTES: usize = 64 * 1024;
-/// Delay before a lost link is established again. Each failed attempt doubles the delay up to `BACKOFF_MAX`.
+/// Delay before a new link is established after a link was lost. Each failed attempt doubles the delay, up to
+/// [`BACKOFF_MAX`].
 const BACKOFF: Duration = Duration::from_millis(5);
-/// Maximum delay between two attempts to establish the link.
+/// Maximum delay before the next attempt to establish a link.
 const BACKOFF_MAX: Duration = Duration::from_millis(160);
-/// Divisor of the readiness deadline; the result is the time allowed for the first attempt to connect.
+/// Divisor of the readiness deadline. The result is the time limit for opening the TCP connection to the
+/// interpreter, in the first attempt.
 const CONNECT_DIVISOR: u32 = 10;
-/// Divisor of the readiness deadline; the result is the time allowed for the banner to arrive on the first
-/// attempt.
+/// Divisor of the readiness deadline. The result is the time limit for receiving the interpreter's banner, in
+/// the first attempt.
 const BANNER_DIVISOR: u32 = 5;
-/// Number of control periods without received data after which the link is closed. Gauges are requested in
-/// every control period, so a working link always receives data in this time.
+/// Number of control periods after which a link without received data is closed. The server requests gauges
+/// in every control period, so a working link receives data in every period.
 const SILENT_PERIODS_MAX: usize = 4;
 
-/// Maintains a link to the interpreter until the server process exits.
+/// Keeps a link to the interpreter established until the server process exits.
 pub async fn run(server: Rc<Server>) {
     let mut incarnation = Incarnation::default();
     let mut backoff = BACKOFF;
@@ -75,9 +77,11 @@
     future::or(work, timeout).await
 }
 
-/// Receives bytes, and times out after [`SILENT_PERIODS_MAX`] control periods without any. Each period has
-/// its own timer. A single long timer would expire at once after a suspension of the machine, although no
-/// gauges were requested during the suspension.
+/// Receives bytes from the link. Returns a timeout error if no bytes arrive within [`SILENT_PERIODS_MAX`]
+/// control periods.
+///
+/// Each period has its own timer. After the machine was suspended, a single long timer would expire at once,
+/// although the server could not request gauges during the suspension.
 async fn receive_or_time_out(stream: &Async<TcpStream>, ring: &mut Ring) -> Result<()> {
     for _ in 0..SILENT_PERIODS_MAX {
         match with_timeout(Duration::from_nanos(CONTROL_PERIOD), receive(stream, ring)).await {
@@ -88,7 +92,8 @@
     Err(ErrorKind::TimedOut.into())
 }
 
-/// Establishes one link and serves it until it ends. The end is always reported as an error.
+/// Establishes a link and uses it until the link ends. Returns the error that ended the link, or `Ok` if its
+/// queue of commands was closed.
 async fn session(server: &Server, incarnation: &mut Incarnation, linked: &mut bool) -> Result<()> {
     let address = server.configuration.addresses.get().interpreter;
     let connecting = Async::<TcpStream>::connect(address);
@@ -101,12 +106,12 @@
     future::or(link.read(incarnation, linked), write(&stream, &queue)).await
 }
 
-/// A connection to the interpreter, before or after its banner was received.
+/// A TCP connection to the interpreter. The link is established once the interpreter's banner is received.
 struct Link<'a> {
     server: &'a Server,
     stream: &'a Async<TcpStream>,
     commands: Sender<Vec<u8>>,
-    /// Time at which the banner was requested from the interpreter.
+    /// Time at which the server requested the banner from the interpreter.
     requested: Nanos,
 }
 
@@ -141,7 +146,7 @@
     }
 }
 
-/// Writes commands from the queue to the link. Commands that are queued at the same time are combined into
+/// Writes the queued commands to the link. Commands that are in the queue at the same time are combined into
 /// one write.
 async fn write(mut stream: &Async<TcpStream>, queue: &Receiver<Vec<u8>>) -> Result<()> {
     while let Ok(mut batch) = queue.recv().await {
--- a/crates/server/src/interpreter/mod.rs
+++ b/crates/server/src/interpreter/mod.rs
@@ -1,4 +1,4 @@
-//! The connection to the interpreter, which runs the operations.
+//! The connection to the interpreter, the process that runs the operations.
 
 mod incarnation;
 pub mod link;
--- a/crates/server/src/interpreter/reader.rs
+++ b/crates/server/src/interpreter/reader.rs
@@ -1,4 +1,4 @@
-//! Parses the interpreter's notices from the bytes received over a link.
+//! Parses the notices of the interpreter from the bytes that were received over a link.
 
 use crate::resources::counters::Counters;
 use crate::wire::Parsed;
@@ -6,24 +6,26 @@
 use crate::wire::interpreter::Notice;
 use tracing::warn;
 
-/// Result of reading the first line of the received bytes.
+/// Result of parsing the first line of the received bytes.
 pub struct ReadLine {
-    /// The notice in the line; `None` if the line has no valid notice or a notice that was read before.
+    /// Notice in the line. `None` if the line contains no valid notice, or a notice that the server has read
+    /// before.
     pub notice: Option<Notice>,
-    /// Length of the line in bytes. The caller removes this many received bytes.
+    /// Number of bytes that the line occupies. The caller removes these bytes from the received bytes.
     pub length: usize,
 }
 
-/// Parser for the lines received over one link.
+/// Parser for the notices that are received over one link to the interpreter.
 #[derive(Default)]
 pub struct NoticeReader {
-    /// True while the rest of a line that exceeds the maximum length is being skipped.
+    /// True if the last line exceeded the maximum length and the rest of this line has not been received yet.
+    /// The rest is skipped.
     skipping_line: bool,
 }
 
 impl NoticeReader {
-    /// Parses the next line; returns `None` if more bytes are needed. A notice with an index up to
-    /// `last_read` was read on an earlier link and is ignored.
+    /// Parses the next line of `bytes`. Returns `None` if the line is incomplete. If a notice has an index of
+    /// at most `last_read`, it was read on an earlier link and is ignored.
     pub fn read(&mut self, bytes: &[u8], last_read: &mut u64, counters: &Counters) -> Option<ReadLine> {
         let (line, length) = match interpreter::line(bytes) {
             Parsed::Incomplete => return None,
@@ -52,7 +54,7 @@
         Some(ReadLine { notice, length })
     }
 
-    /// Skips the available bytes of a line that exceeds the maximum length.
+    /// Skips the received part of a line that exceeds the maximum length.
     fn skip(&mut self, bytes: &[u8]) -> ReadLine {
         let end = bytes.iter().position(|byte| *byte == b'\n').map(|end| end + 1);
         self.skipping_line = end.is_none();
--- a/crates/server/src/lifecycle/catalog.rs
+++ b/crates/server/src/lifecycle/catalog.rs
@@ -1,5 +1,5 @@
-//! Reports the server's health to the service registry. The reports begin with the first link to the
-//! interpreter and end with the notice to leave.
+//! Reports the server's health to the service registry at regular intervals. The first report is sent once a
+//! link to the interpreter is established. The reports end when the server is notified to leave.
 
 use crate::server::Server;
 use crate::wire::catalog;
@@ -9,13 +9,13 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// Interval between reports: a tenth of the 3 s after which the registry forgets a server, because reports
-/// can be lost.
+/// Interval between two reports to the service registry. The registry forgets a server after 3 s without a
+/// report. The interval is a tenth of this time, because reports can be lost.
 const REPORT_EVERY: Duration = Duration::from_millis(300);
-/// Interval between checks for the first link to the interpreter.
+/// Interval between two checks of whether the first link to the interpreter is established.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Sends reports to the service registry until the server leaves.
+/// Reports the server's health to the service registry until the server is notified to leave.
 pub async fn report(server: Rc<Server>) {
     let any_port = SocketAddr::new(server.configuration.listen.ip(), 0);
     let socket = match Async::<UdpSocket>::bind(any_port) {
@@ -29,7 +29,7 @@
             continue;
         }
         let report = catalog::report(&server.configuration.name, server.health.healthy.get());
-        // The send does not block: a report that cannot be sent at once is dropped.
+        // Does not block: if the report cannot be sent at once, it is dropped.
         let sent = socket.get_ref().send_to(report.as_bytes(), server.configuration.addresses.get().catalog);
         if let (Err(error), false) = (&sent, has_failed) {
             warn!(%error, "cannot report to the catalog");
--- a/crates/server/src/lifecycle/clock.rs
+++ b/crates/server/src/lifecycle/clock.rs
@@ -1,12 +1,13 @@
-//! The server's clock: starts at the wall-clock time in Unix nanoseconds, and advances monotonically.
+//! The server's clock. It is set to the wall-clock time (Unix time) once, when it is started, and then
+//! advances monotonically.
 
 use meadowstream_overload_control::Nanos;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The server's monotonic clock, in Unix nanoseconds.
+/// A monotonic clock that returns Unix time in nanoseconds.
 pub struct Clock {
     started: Instant,
-    /// Wall-clock time at which the clock was started, in Unix nanoseconds.
+    /// Wall-clock time at which this clock was started, in Unix nanoseconds.
     started_unix: Nanos,
 }
 
@@ -15,23 +16,23 @@
 }
 
 impl Clock {
-    /// Starts a clock at the current wall-clock time.
+    /// Starts a clock whose time is the current wall-clock time.
     pub fn start() -> Self {
         Self { started: Instant::now(), started_unix: unix() }
     }
 
-    /// Returns the current time, in Unix nanoseconds.
+    /// Returns this clock's current time, in Unix nanoseconds.
     pub fn now(&self) -> Nanos {
         self.started_unix + self.started.elapsed().as_nanos() as Nanos
     }
 
-    /// Converts a time of this clock to an [`Instant`].
+    /// Converts the time `at`, in Unix nanoseconds of this clock, to an [`Instant`].
     pub fn instant(&self, at: Nanos) -> Instant {
         self.started + Duration::from_nanos(at.saturating_sub(self.started_unix))
     }
 
-    /// Returns the nanoseconds between a Unix time in milliseconds and the current wall-clock time; negative
-    /// if the Unix time is in the future.
+    /// Returns the time that has passed since `since_ms`, in nanoseconds. `since_ms` is a Unix time in
+    /// milliseconds. The result is negative if this time is in the future.
     pub fn age(&self, since_ms: u64) -> i64 {
         let since = i64::try_from(since_ms).unwrap_or(i64::MAX).saturating_mul(1_000_000);
         (unix() as i64).saturating_sub(since)
--- a/crates/server/src/lifecycle/drain.rs
+++ b/crates/server/src/lifecycle/drain.rs
@@ -1,4 +1,5 @@
-//! The drain of a server that has been notified to leave: its phases, and the condition for its end.
+//! The drain of a server that was notified to leave: the phases of the drain, and the condition under which
+//! it is over.
 
 use crate::lifecycle::drain_state::Phase;
 use crate::server::Server;
@@ -6,17 +7,19 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Interval between checks for the end of the drain.
+/// Interval between two checks of whether the drain is over.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Number of eighths of the time from the notice to the stop in which connections are accepted. Callers that
-/// are not yet aware of the drain still connect, and an answer costs them less than a refused connection. In
-/// the last eighth no connections are accepted, since invocations that arrive just before the stop could not
-/// be answered in time.
+/// Number of eighths of the time from the notice to leave until the stop. During this part, the server still
+/// accepts connections.
+///
+/// Some callers learn of the drain late and still connect. Any answer costs them less than a refused
+/// connection. In the last eighth, connections are refused, because a call that arrives just before the stop
+/// could not be answered in time.
 const ACCEPTING_EIGHTHS: u32 = 7;
 
-/// Enters the phases of the drain one after the other. The grace ends halfway between notice and stop at the
-/// latest.
+/// Enters the phases of the drain in order, each at its time. The grace phase ends at the latest halfway
+/// between the notice to leave and the stop.
 pub async fn run(server: Rc<Server>) {
     let stop = Duration::from_millis(server.configuration.stop_ms);
     let grace = Duration::from_nanos(server.configuration.settings.deployment.drain_grace);
@@ -27,28 +30,30 @@
     server.connections.drain_all();
     Timer::at(noticed_at + accepting).await;
     server.drain.enter(Phase::Closing);
-    // Drains the idle connections accepted since the end of the grace.
+    // Drains the connections that were accepted after the end of the grace phase and are idle.
     server.connections.drain_all();
 }
 
-/// Returns whether the server may exit: either the grace is over and no connection or event is left, or the
-/// time set with `DrainState::end_by` has passed. At the end of the grace, or with the next answer to a peer,
-/// the server asks the peer to send no further invocations. The peer then closes the connection once every
-/// invocation sent over it is answered.
+/// Returns whether the server may exit. There are two cases:
+/// - The grace phase is over, and no connection and no event is left.
+/// - The time set with `DrainState::end_by` has passed.
+///
+/// The server asks each peer to send no more calls: at the end of the grace phase, or with the next answer.
+/// The peer then closes the connection once all its calls are answered.
 pub fn is_over(server: &Server) -> bool {
     let is_empty = server.connections.count() == 0 && server.events.is_empty();
     (server.drain.is_grace_over() && is_empty) || server.drain.has_stopped(server.clock.now())
 }
 
-/// Waits until [`is_over`] must be checked next. While the server is not leaving, waits until it starts to
-/// leave; afterwards, waits for one poll interval.
+/// Waits until the condition [`is_over`] must be checked again. Before the server is notified to leave, waits
+/// for this notice. Afterwards waits for one poll interval.
 pub async fn wait_for_next_check(server: &Server) {
     if server.leave_signal.recv().await.is_err() {
         Timer::after(POLL_INTERVAL).await;
     }
 }
 
-/// Waits for the end of the drain after the listener is closed.
+/// Waits until the drain is over. Called after the listener is closed.
 pub async fn finish(server: &Server) {
     while !is_over(server) {
         wait_for_next_check(server).await;
--- a/crates/server/src/lifecycle/drain_state.rs
+++ b/crates/server/src/lifecycle/drain_state.rs
@@ -1,37 +1,37 @@
-//! Progress of a server's drain, from the notice to leave until the process exits.
+//! State of a server's drain, from the notice to leave until the process exits.
 
 use meadowstream_overload_control::Nanos;
 use std::cell::Cell;
 
-/// Phase of the drain. Phases are entered in the order of the variants.
+/// Phase of a server's drain. The phases follow each other in the order of the variants.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// The server has received no notice to leave.
+    /// The server is not draining, because it was not notified to leave.
     #[default]
     Serving,
-    /// Invocations are still admitted: callers need time to notice that the server is leaving, and until then
-    /// the remaining servers would lack its capacity.
+    /// The server still admits invocations. Callers need time to notice that the server is leaving. If the
+    /// server rejected their calls at once, the fleet would lack its capacity.
     Grace,
-    /// New invocations are rejected; connections are still accepted, so that callers receive an answer in
-    /// place of a refused connection.
+    /// The server rejects new invocations but still accepts connections. Callers that connect then receive an
+    /// answer, and not a connection error.
     Rejecting,
-    /// The stop is so close that no more connections are accepted.
+    /// The server accepts no more connections, because it is about to stop.
     Closing,
 }
 
-/// State of the drain: its phase, and the times of the notice and of the exit.
+/// State of a server's drain: the phase, the time of the notice to leave, and the latest time of the exit.
 #[derive(Default)]
 pub struct DrainState {
     phase: Cell<Phase>,
-    /// Time of the notice to leave.
+    /// Time at which the server was notified to leave; `None` before.
     noticed_at: Cell<Option<Nanos>>,
-    /// Latest time at which the process exits if it leaves so that another program is started. In this case
-    /// no supervisor stops the process.
+    /// Time at which the process exits at the latest. Set only if the server leaves to be replaced by another
+    /// program, because no supervisor stops the process in this case.
     ends_by: Cell<Option<Nanos>>,
 }
 
 impl DrainState {
-    /// Begins the drain at the notice to leave.
+    /// Starts the drain. `now` is the time of the notice to leave.
     pub fn begin(&self, now: Nanos) {
         self.noticed_at.set(Some(now));
         self.phase.set(Phase::Grace);
@@ -42,28 +42,27 @@
         self.phase.set(phase);
     }
 
-    /// Returns the time of the notice to leave, if the server has received it.
+    /// Returns the time at which the server was notified to leave, or `None` if it was not.
     pub fn noticed_at(&self) -> Option<Nanos> {
         self.noticed_at.get()
     }
 
-    /// Returns whether the grace is over and new invocations are rejected.
+    /// Returns whether the grace phase is over, so that the server rejects new invocations.
     pub fn is_grace_over(&self) -> bool {
         self.phase.get() >= Phase::Rejecting
     }
 
-    /// Returns whether more connections are accepted.
+    /// Returns whether the server still accepts connections.
     pub fn accepts_connections(&self) -> bool {
         self.phase.get() < Phase::Closing
     }
 
-    /// Sets the latest time at which the process exits. Used when the process leaves without a supervisor
-    /// that would stop it.
+    /// Sets the time at which the process exits at the latest. Used if no supervisor would stop the process.
     pub fn end_by(&self, at: Nanos) {
         self.ends_by.set(Some(at));
     }
 
-    /// Returns whether the time set by [`DrainState::end_by`] has been reached.
+    /// Returns whether the time that was set with [`DrainState::end_by`] has been reached.
     pub fn has_stopped(&self, now: Nanos) -> bool {
         self.ends_by.get().is_some_and(|at| now >= at)
     }
--- a/crates/server/src/lifecycle/files.rs
+++ b/crates/server/src/lifecycle/files.rs
@@ -1,10 +1,11 @@
-//! Writes and removes files durably and atomically: a crash leaves either the old or the complete new file.
+//! Writes and removes files so that changes survive a crash. A crash during a write leaves either the
+//! complete old file or the complete new file.
 
 use std::io::{ErrorKind, Result, Write};
 use std::path::{Path, PathBuf};
 
-/// Writes a file atomically: writes and syncs a temporary file with the suffix `.new`, renames it to `path`,
-/// and syncs the directory.
+/// Writes a file atomically. Writes a temporary file with the suffix `.new`, syncs it to disk, renames it to
+/// `path`, and syncs the directory.
 pub fn write(path: &Path, bytes: &[u8]) -> Result<()> {
     let mut temporary = path.as_os_str().to_os_string();
     temporary.push(".new");
@@ -16,7 +17,7 @@
     sync_directory(path)
 }
 
-/// Removes a file if it exists, and syncs the directory.
+/// Removes the file at `path` if it exists, and syncs its directory to disk.
 pub fn remove(path: &Path) -> Result<()> {
     match std::fs::remove_file(path) {
         Err(error) if error.kind() != ErrorKind::NotFound => Err(error),
--- a/crates/server/src/lifecycle/mod.rs
+++ b/crates/server/src/lifecycle/mod.rs
@@ -1,4 +1,4 @@
-//! Life cycle of the server: its start and tasks, signals, reloads, and the drain.
+//! Life cycle of the server: the start, the signals, reloads of the settings, and the drain.
 
 pub mod catalog;
 pub mod changes;
--- a/crates/server/src/lifecycle/pause.rs
+++ b/crates/server/src/lifecycle/pause.rs
@@ -1,12 +1,12 @@
-//! Measures how long a change of settings keeps the serving thread from its other work.
+//! Measures for how long a change of settings keeps the serving thread from its other work.
 //!
-//! Wall-clock time includes the time that the thread waited for a core, which depends on other processes. The
-//! thread's processor time is the work of the change alone.
+//! Two times are measured. The wall-clock time includes waits for a core, which depend on other processes.
+//! The processor time of the thread is only the work of the change.
 
 use rustix::time::{ClockId, DynamicClockId, clock_gettime_dynamic};
 use std::time::{Duration, Instant};
 
-/// Duration of a piece of work of one thread.
+/// Duration of a piece of work, measured as wall-clock time and as processor time of the thread.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Span {
     /// Wall-clock time.
@@ -16,16 +16,17 @@
 }
 
 impl Span {
-    /// Returns the sum of this span and one that directly follows it.
+    /// Returns the total duration of two pieces of work: this one, and the piece `next` that directly
+    /// follows.
     pub fn followed_by(self, next: Span) -> Span {
         Span { wall: self.wall + next.wall, processor: self.processor + next.processor }
     }
 }
 
-/// Measures the work of the current thread since the stopwatch was started.
+/// Measures how long the current thread has worked since the stopwatch was started.
 pub struct Stopwatch {
     started: Instant,
-    /// Processor time that the thread had used when the stopwatch was started.
+    /// Total processor time of the thread at the start of the stopwatch.
     processor: Duration,
 }
 
@@ -35,40 +36,44 @@
         Self { started: Instant::now(), processor: thread_processor_time() }
     }
 
-    /// Returns the time since the start. Must be called on the thread that started the stopwatch.
+    /// Returns the duration since the start of the stopwatch. Must be called on the thread that started the
+    /// stopwatch.
     pub fn elapsed(&self) -> Span {
         let processor = thread_processor_time().saturating_sub(self.processor);
         Span { wall: self.started.elapsed(), processor }
     }
 }
 
-/// Returns the processor time of the current thread; zero if the system does not provide it.
+/// Returns the total processor time of the current thread. Returns zero if the system does not provide this
+/// time.
 fn thread_processor_time() -> Duration {
     let time = clock_gettime_dynamic(DynamicClockId::Known(ClockId::ThreadCPUTime));
     time.ok().and_then(|time| Duration::try_from(time).ok()).unwrap_or(Duration::ZERO)
 }
 
-/// Longest pauses of the serving thread during one change of settings.
+/// The longest pauses of the serving thread during one change of settings.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Pauses {
-    /// Longest pause by wall-clock time and by processor time; these can be two different pauses.
+    /// Longest wall-clock time and longest processor time of all pauses. The two values may come from
+    /// different pauses.
     pub longest: Span,
-    /// Number of the last part in the pause with the most processor time. Parts are counted from 1; 0 is the
-    /// swap of the configuration before the first part.
+    /// Number of the change's last part in the pause with the longest processor time. Parts are numbered from
+    /// 1. The value is 0 if this pause was the swap of the configuration, which precedes the first part.
     pub longest_part: usize,
     parts: usize,
-    /// Total time of the parts that the event loop has applied since it last waited for an event.
+    /// Duration of the current pause: the total time of all parts of the change that were applied since the
+    /// event loop last waited for an event.
     uninterrupted: Span,
 }
 
 impl Pauses {
-    /// Creates the record of a change's pauses. The first pause is the swap of the configuration, which took
-    /// the time `swap`.
+    /// Creates the record of the pauses of a change. The first pause is the swap of the configuration, with
+    /// the duration `swap`.
     pub fn after_swap(swap: Span) -> Self {
         Self { longest: swap, ..Self::default() }
     }
 
-    /// Adds the time of a part of the change that the event loop has applied.
+    /// Adds the duration of one part of the change, which the event loop has applied, to the current pause.
     pub fn add_part(&mut self, part: Span) {
         self.parts += 1;
         self.uninterrupted = self.uninterrupted.followed_by(part);
@@ -79,7 +84,8 @@
         self.longest.processor = self.longest.processor.max(self.uninterrupted.processor);
     }
 
-    /// Ends the current pause: the event loop waits for its next event, and the thread runs other tasks.
+    /// Ends the current pause. Called when the event loop waits for its next event, so that other tasks of
+    /// the thread can run.
     pub fn interrupt(&mut self) {
         self.uninterrupted = Span::default();
     }
--- a/crates/server/src/lifecycle/reload.rs
+++ b/crates/server/src/lifecycle/reload.rs
@@ -1,7 +1,11 @@
-//! Changes of settings while the server runs. Files are read, checked and compared on the blocking pool. The
-//! serving thread only swaps in the prepared configuration and passes the change to the event loop in small
-//! parts, so that its pauses do not grow with the size of the files. Changes run one at a time: files are
-//! read only when the previous change is in force, so that an older version never replaces a newer one.
+//! Applies changes of settings while the server runs.
+//!
+//! Files are read and checked on the blocking pool. The serving thread only swaps in the new configuration
+//! and passes the change to the event loop in small parts. Its pauses therefore do not grow with the size of
+//! the files.
+//!
+//! Changes are applied one at a time. A change reads its files only after the previous change has taken
+//! effect; otherwise an older version of a file could replace a newer one.
 
 use crate::configuration::Configuration;
 use crate::configuration::Layers;
@@ -27,14 +31,14 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// Delay between two parts of a change. A change of 64,000 tenants has 250 parts, whose delays add up to 50
-/// ms.
+/// Delay between two parts of a change of settings. A change that affects 64,000 tenants has 250 parts, so
+/// its delays add up to 50 ms.
 const PART_INTERVAL: Duration = Duration::from_micros(200);
 
-/// Error for which a change of settings is refused. The previous settings stay in force.
+/// Reason why a change of settings is refused. The server continues with the previous settings.
 #[derive(Debug, thiserror::Error)]
 pub enum ReloadError {
-    /// The settings file of a rollout cannot be read.
+    /// The candidate settings file of a rollout cannot be read.
     #[error("cannot read {path}")]
     Read {
         /// Path of the file.
@@ -43,7 +47,7 @@
         #[source]
         error: std::io::Error,
     },
-    /// The settings file of a rollout does not have the hash in the order.
+    /// The candidate settings file has a different hash than the rollout's order states.
     #[error("{path} has the hash {found:016x}, not {expected:016x}")]
     OtherHash {
         /// Path of the file.
@@ -53,13 +57,13 @@
         /// Hash in the order.
         expected: u64,
     },
-    /// The configuration cannot be used.
+    /// The new configuration cannot be loaded or used.
     #[error(transparent)]
     Load(#[from] LoadError),
-    /// The change affects a setting that only a restart can change.
+    /// The change affects a setting that can only be changed by a restart.
     #[error(transparent)]
     RestartRequired(#[from] RestartRequired),
-    /// The revision of replicated configuration cannot be written to disk.
+    /// The new revision of the replicated configuration cannot be written to disk.
     #[error("cannot write {path}")]
     Write {
         /// Path of the file.
@@ -73,30 +77,33 @@
     NoRollout,
 }
 
-/// Files to read for a change, and the options in force to compare them with.
+/// Input of a change of settings: the files to read, and the current options with which the new options are
+/// compared.
 struct Request {
     path: PathBuf,
     options_path: Option<PathBuf>,
-    /// Path of the settings file of a rollout, and the hash that the file must have.
+    /// Path of the candidate settings file of a rollout, and the hash that this file must have.
     change: Option<(PathBuf, u64)>,
     replicated: Option<Snapshot>,
-    /// Path of a file, and the state of replicated configuration to write to the file before the change takes
-    /// effect.
+    /// State of the replicated configuration, and the path of the file to which this state must be written
+    /// before the change takes effect. `None` if nothing must be written.
     write: Option<(PathBuf, PersistedState)>,
     in_force: Arc<Options>,
 }
 
-/// A change that has been read and checked. The change is applied in parts, so that the serving thread is
-/// busy with only one part at a time.
+/// A change of settings that was read and checked, but not applied yet. It is applied in parts, so that the
+/// serving thread is never busy for long.
 struct Prepared {
     configuration: Configuration,
-    /// Changes of the fair queue's settings, split into parts that are applied one after the other.
+    /// Changes of the settings for fair queueing, split into small parts. The event loop applies one part
+    /// after the other.
     retunes: Vec<SettingsChange>,
     tenant_names: Option<TenantNames>,
 }
 
 impl Request {
-    /// Reads and checks the files, and compares them with the options in force. Runs on the blocking pool.
+    /// Reads and checks the files of the change, and compares the new options with the current ones. Runs on
+    /// the blocking pool.
     fn prepare(self) -> Result<Prepared, ReloadError> {
         let change = self.change.as_ref().map(|(path, _)| path.as_path());
         if let Some((path, hash)) = &self.change {
@@ -126,14 +133,16 @@
     }
 }
 
-/// Returns the names of the tenants that are counted by name.
+/// Returns the names of the tenants for which the fleet keeps separate counts.
 pub fn named_tenants(tenants: &Tenants) -> TenantNames {
     Arc::new(tenants.fair.named.iter().map(|(name, _)| name.clone()).collect())
 }
 
-/// Reads the configuration files again and puts their settings in force. If the files cannot be used, the
-/// previous settings stay in force. Connections to unchanged addresses stay open. Reload signals that arrive
-/// while a reload waits for its turn are merged into that reload.
+/// Reads the configuration files again and applies their settings. If the files cannot be used, the server
+/// continues with the previous settings.
+///
+/// Connections to addresses that did not change stay open. If a reload is already waiting for an earlier
+/// change, an additional request has no effect, because the waiting reload has not read the files yet.
 pub async fn reload(server: Rc<Server>) {
     if server.changes.reload_pending.replace(true) {
         return;
@@ -147,15 +156,15 @@
     }
 }
 
-/// Returns the path and hash of the rollout's settings file that the server has adopted; `None` if it has
-/// adopted none.
+/// Returns the path and the hash of the candidate settings that the server has adopted. Returns `None` if the
+/// server runs its own settings.
 fn adopted(server: &Server) -> Option<(PathBuf, u64)> {
     let candidate = server.configuration.candidate.borrow().clone()?;
     Some((candidate.path, candidate.adopted?))
 }
 
-/// Writes a revision of replicated configuration to disk and puts it in force. After an error, the previous
-/// settings stay in force.
+/// Writes a revision of the replicated configuration to disk and applies it. If an error is returned, the
+/// server continues with the previous settings.
 pub async fn apply_replicated(
     server: &Rc<Server>,
     snapshot: Snapshot,
@@ -166,8 +175,8 @@
     apply(server, adopted(server), Some(snapshot), Some((file, saved))).await
 }
 
-/// Adopts the settings of a rollout with the hash `change`, or returns to the server's own settings if
-/// `change` is `None`. After an error, the previous settings stay in force.
+/// Adopts the candidate settings of a rollout, whose hash is `change`. If `change` is `None`, returns to the
+/// server's own settings. If an error is returned, the server continues with the previous settings.
 pub async fn adopt(server: &Rc<Server>, change: Option<u64>) -> Result<(), ReloadError> {
     let _guard = server.changes.lock.lock().await;
     let candidate = server.configuration.candidate.borrow().clone();
@@ -178,8 +187,8 @@
     Ok(())
 }
 
-/// Reads the configuration files, checks that the change of settings needs no restart, and puts the new
-/// settings in force.
+/// Reads the configuration files and applies their settings. Returns an error if the change would require a
+/// restart.
 async fn apply(
     server: &Rc<Server>,
     change: Option<(PathBuf, u64)>,
@@ -212,7 +221,8 @@
         (_, names) => names,
     };
     server.change_pauses.set(Pauses::after_swap(stopwatch.elapsed()));
-    // Freeing thousands of names takes time, so it runs on the blocking pool.
+    // The old settings may contain thousands of names. They are freed on the blocking pool, because freeing
+    // them takes time.
     blocking::unblock(move || drop((new, old_options, unused_names))).detach();
     if addresses.records != old_addresses.records {
         server.pool.close_all();
@@ -224,15 +234,15 @@
     Ok(())
 }
 
-/// Waits until the event loop has handled all events that were sent to it before this call.
+/// Waits until the event loop has handled all events that were queued before this call.
 async fn wait_until_processed(server: &Server) {
     let (done, is_done) = async_channel::bounded(1);
     let _ = server.events.send(Event::Barrier(done)).await;
     let _ = is_done.recv().await;
 }
 
-/// Puts the settings in force in the event loop and in the shared state, and logs the pauses of the serving
-/// thread.
+/// Passes the new settings to the event loop and to the shared state. Then logs how long the serving thread
+/// was paused.
 async fn notify_event_loop(server: &Server, retunes: Vec<SettingsChange>) {
     server.counters.reloads.add();
     let target = server.configuration.target_utilization.get();
@@ -250,7 +260,8 @@
     for retune in retunes {
         let _ = server.events.send(Event::ReconfigureFairQueueing(Box::new(retune))).await;
         wait_until_processed(server).await;
-        // Lets the executor poll the sockets and serve pending requests before the next part.
+        // Gives the executor time to poll the sockets and to serve pending requests before the next part is
+        // applied.
         Timer::after(PART_INTERVAL).await;
     }
     wait_until_processed(server).await;
--- a/crates/server/src/lifecycle/reload_check.rs
+++ b/crates/server/src/lifecycle/reload_check.rs
@@ -1,37 +1,37 @@
-//! Checks that a change of settings while the server runs affects no setting that requires a restart.
+//! Checks that a change of settings affects only settings that may change while the server runs.
 
 use crate::configuration::Configuration;
 use crate::configuration::fleet::FleetSettings;
 use meadowstream_configuration::{Options, Tenants};
 use meadowstream_shared_state::budget::BudgetSettings;
 
-/// A setting that only a restart can change, and that a change of settings would affect.
+/// Error: a change affects a setting that can only be changed by a restart. The variant states which setting.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum RestartRequired {
-    /// The server's name or the address on which it accepts connections.
+    /// The change affects the server's name or the address on which the server accepts connections.
     #[error("name, listen: a change takes a restart")]
     NameOrAddress,
-    /// The presence of a downstream service: a change adds or removes its address.
+    /// The change adds or removes the address of the downstream service.
     #[error("records: adding or removing it takes a restart")]
     Records,
-    /// An element of the options that is only read at the start.
+    /// The change affects an element of the options file that is read only at the start.
     #[error("options: <tokens>, <calls>, <rollout>, <replication>: a change takes a restart")]
     Options,
-    /// The membership settings.
+    /// The change affects the membership settings.
     #[error("options: <membership>: a change takes a restart")]
     Membership,
-    /// The settings of the shared state, except for the total of its budget.
+    /// The change affects a setting of the shared state other than the total of the call budget.
     #[error("options: <shared-state>: a change of anything but the total takes a restart")]
     SharedState,
-    /// The presence of the `<tenants>` element: a change adds or removes it.
+    /// The change adds or removes the element `<tenants>` of the options file.
     #[error("tenants: telling them apart or not takes a restart")]
     Tenants,
-    /// The part of a call that identifies its tenant, the part that identifies its origin, or
-    /// `surplus-value`, the fraction of its priority weight that an invocation beyond its tenant's quota
-    /// keeps.
+    /// The change affects how the tenant or the origin of a call is identified, or it affects
+    /// `surplus-value`. An invocation beyond its tenant's quota has its priority weight multiplied by
+    /// `surplus-value`.
     #[error("tenants: a change of by, field, origin or surplus-value takes a restart")]
     TenantSource,
-    /// The memory limit of the tenants' accounts.
+    /// The change affects the memory limit for the accounts of tenants.
     #[error("ceilings: a change takes a restart")]
     Ceilings,
 }
@@ -40,7 +40,7 @@
     if is_same { Ok(()) } else { Err(otherwise) }
 }
 
-/// Returns an error if the configurations differ in a setting that only a restart can change.
+/// Returns an error if the two configurations differ in a setting that can only be changed by a restart.
 pub fn check_unchanged(old: &Configuration, new: &Configuration) -> Result<(), RestartRequired> {
     let is_same = (&new.name, new.listen) == (&old.name, old.listen);
     require(is_same, RestartRequired::NameOrAddress)?;
@@ -68,8 +68,8 @@
         && old.settings == new.settings
 }
 
-/// Returns whether all settings of the shared state are equal, except for the totals of budgets. A total may
-/// change while leases are held.
+/// Returns whether the two configurations have the same settings of the shared state. The totals of budgets
+/// are not compared, because a total may change while leases are held.
 fn has_same_shared_state(old: Option<&FleetSettings>, new: Option<&FleetSettings>) -> bool {
     let (Some(old), Some(new)) = (old, new) else { return old.is_some() == new.is_some() };
     if old.tier != new.tier {
@@ -84,8 +84,8 @@
         && old.outlier_detection == new.outlier_detection
 }
 
-/// Returns the settings of tenants before and after a change, or `None` if neither the old nor the new
-/// options have any. Weights and quotas may change while the server runs; other changes are an error.
+/// Returns the old and the new settings of tenants, or `None` if the options do not configure tenants.
+/// Weights and quotas may have changed. Returns an error if another setting of tenants has changed.
 pub fn changed_tenants<'a>(
     old: &'a Options,
     new: &'a Options,
--- a/crates/server/src/lifecycle/signals.rs
+++ b/crates/server/src/lifecycle/signals.rs
@@ -1,4 +1,5 @@
-//! Signal handling: the notice to leave, a reload of the settings, and the request to log the counters.
+//! Handles the signals of the process: the notice to leave, the request to reload the settings, and the
+//! request to log the counters.
 
 use crate::event::Event;
 use crate::lifecycle::drain;
@@ -10,13 +11,13 @@
 use std::rc::Rc;
 use tracing::info;
 
-/// Subscribes to the signals that the server handles.
+/// Starts receiving the signals that the server handles.
 pub fn subscribe() -> std::io::Result<Signals> {
     Signals::new([Signal::Term, Signal::Int, Signal::Usr1, Signal::Hup])
 }
 
-/// Handles signals while the server runs. A leave request has the same effect as SIGTERM. Closing
-/// `leave_trigger` notifies all tasks that the server is leaving.
+/// Handles signals while the server runs. A message in `leave_requests` has the same effect as the signal
+/// SIGTERM: `leave_trigger` is closed, which notifies all tasks that the server is leaving.
 pub async fn handle(
     server: Rc<Server>,
     mut signals: Signals,
--- a/crates/server/src/lifecycle/start.rs
+++ b/crates/server/src/lifecycle/start.rs
@@ -1,4 +1,4 @@
-//! Starts the server: opens its sockets, and runs all its tasks on a single-threaded executor.
+//! Starts the server: opens its sockets, and runs all its tasks on one thread.
 
 use crate::calls::pool::Pool;
 use crate::configuration::Configuration;
@@ -30,31 +30,32 @@
 use std::rc::Rc;
 use tracing::{info, warn};
 
-/// Capacity of the event loop's queue; senders wait while it is full.
+/// Maximum number of events in the queue of the event loop. While the queue is full, tasks that send events
+/// wait.
 const EVENTS_MAX: usize = 1024;
-/// Divisor of the memory limit: the buffers of connections, including the space reserved for their pending
-/// answers, may use half of it.
+/// Divisor of the memory limit. The buffers of all connections may use half of the limit. This half includes
+/// the memory reserved for answers that are not yet sent.
 const BUFFERS_DIVISOR: usize = 2;
 
-/// Error that keeps the server from starting.
+/// Reason why the server cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// The signal handlers cannot be installed.
     #[error(transparent)]
     Signals(std::io::Error),
-    /// The listening socket for callers cannot be opened.
+    /// The socket on which the server accepts connections cannot be opened.
     #[error("cannot listen on {address}")]
     Listen {
-        /// Address of the listening socket.
+        /// Address of the socket on which the server accepts connections.
         address: SocketAddr,
         /// Cause of the failure.
         #[source]
         error: std::io::Error,
     },
-    /// The limit on file descriptors is too low.
+    /// The limit on file descriptors is too low for the server.
     #[error(transparent)]
     Descriptors(#[from] TooFewDescriptors),
-    /// The UDP socket for other members cannot be bound.
+    /// The UDP socket for messages between members of the fleet cannot be bound.
     #[error("<membership>: cannot bind {address}")]
     BindMembership {
         /// Address of the UDP socket.
@@ -63,34 +64,34 @@
         #[source]
         error: std::io::Error,
     },
-    /// The settings of the shared state are invalid.
+    /// The settings of the state that the fleet shares are invalid.
     #[error("<shared-state>: {0}")]
     SharedState(SharedStateError),
-    /// The server cannot take part in rollouts.
+    /// The server cannot take part in rollouts, although the options enable them.
     #[error("<rollout>: {0}")]
     Rollout(RolloutError),
 }
 
-/// Resources that are opened before any task runs, so that a failure to open one of them stops the start.
+/// Resources that are opened before any task runs. If one of them cannot be opened, the start fails.
 struct OpenedResources {
     signals: Signals,
     listener: Async<TcpListener>,
     membership: Option<Async<UdpSocket>>,
 }
 
-/// Ends of channels that are passed to the tasks.
+/// Channel ends that are handed to the tasks when the tasks are started.
 struct Channels {
     events: Receiver<Event>,
     leave_requests: Receiver<()>,
-    /// Closed to notify all tasks that the server is leaving.
+    /// Sender that is closed to notify all tasks that the server is leaving.
     leave_trigger: async_channel::Sender<()>,
 }
 
-/// Runs the server until it has drained.
+/// Runs the server until its drain is over.
 pub fn serve(configuration: Configuration) -> Result<(), StartError> {
     let executor: &'static LocalExecutor = Box::leak(Box::new(LocalExecutor::new()));
-    // The main future is spawned as a task as well: a future passed to `executor.run` directly would be
-    // polled again at every step of any other task.
+    // The main future is spawned as a task of its own. If it were passed to `executor.run` directly, it would
+    // be polled again after every step of any other task.
     let main = executor.spawn(run(configuration, executor));
     async_io::block_on(executor.run(main))
 }
@@ -122,8 +123,8 @@
     let address = configuration.listen;
     let failed = |error| StartError::Listen { address, error };
     let listener = Async::<TcpListener>::bind(address).map_err(failed)?;
-    // The standard library sets a backlog of 128; in a burst, connections beyond that backlog would be
-    // dropped.
+    // Sets a longer queue for waiting connections. The standard library sets a length of 128, so connections
+    // could be dropped when many arrive at once.
     let backlog = configuration.sockets.min(i32::MAX as usize) as i32;
     rustix::net::listen(listener.get_ref(), backlog).map_err(|error| failed(error.into()))?;
     Ok(listener)
@@ -139,8 +140,8 @@
     executor: &'static LocalExecutor<'static>,
 ) -> Result<(Rc<Server>, Channels), StartError> {
     let clock = Clock::start();
-    // The incarnation is the start time in Unix nanoseconds, so that a server that restarts under the same
-    // name has a higher incarnation.
+    // The incarnation is the start time in Unix nanoseconds. A server that is restarted under the same name
+    // therefore has a higher incarnation.
     let incarnation = clock.now();
     let (events, events_received) = async_channel::bounded::<Event>(EVENTS_MAX);
     let (leave_trigger, leave_signal) = async_channel::bounded(1);
@@ -199,8 +200,7 @@
     Rollout::new(candidate, me, settings.lease, operations, leave).map(Some)
 }
 
-/// Starts all tasks except the one that accepts connections. Returns the listener, which the accepting task
-/// needs.
+/// Starts all tasks except the one that accepts connections. Returns the listener for this remaining task.
 fn spawn_tasks(server: &Rc<Server>, opened: OpenedResources, channels: Channels) -> Async<TcpListener> {
     let Channels { events, leave_requests, leave_trigger } = channels;
     let executor = server.executor;
--- a/crates/server/src/resources/counters.rs
+++ b/crates/server/src/resources/counters.rs
@@ -1,11 +1,12 @@
-//! Counters of events since startup. The log shows all of them in one line.
+//! Counters of events since the start of the process. One line of the log shows all counters.
 
 use std::cell::Cell;
 use std::fmt;
 
 macro_rules! counters {
     ($($name:ident)*) => {
-        /// Counters since startup. Their names appear in the log (docs/on-call.md).
+        /// Counters of events since the start of the process. The names of the fields appear in the log
+        /// (docs/on-call.md).
         #[derive(Default)]
         pub struct Counters {
             $(#[doc = concat!("The counter `", stringify!($name), "`.")] pub $name: Count),*
--- a/crates/server/src/resources/descriptors/tests.rs
+++ b/crates/server/src/resources/descriptors/tests.rs
@@ -1,4 +1,4 @@
-//! Tests which requests get a descriptor when few are available.
+//! Tests for which purposes a file descriptor can be reserved when few descriptors are available.
 
 use super::*;
 use crate::calls::pool::{DESCRIPTOR_RETRY_AFTER, Pool};
@@ -15,7 +15,7 @@
     or(async { Some(work.await) }, timeout).await
 }
 
-/// Returns a pool of eight descriptors, regardless of the number that the test process has open.
+/// Creates a pool of eight descriptors, independent of how many descriptors the test process has open.
 fn eight_descriptors() -> Descriptors {
     let open = std::fs::read_dir("/proc/self/fd").unwrap().count() - 1;
     let descriptors = Descriptors::with_limit(open + 64).unwrap();
--- a/crates/server/src/resources/idempotency.rs
+++ b/crates/server/src/resources/idempotency.rs
@@ -1,17 +1,18 @@
-//! Stores the idempotency keys of invocations in bounded memory. Each key is stored with its invocation and
-//! the outcome, so that a repeated call is answered with the outcome and does not run again. The table does
-//! no I/O and reads no clock.
+//! Stores the idempotency keys of invocations in bounded memory. The outcome of each invocation is stored
+//! with its key, so that a repeated call receives this outcome without a second run. The table does no I/O
+//! and reads no clock.
 
 use meadowstream_overload_control::Nanos;
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
 /// Maximum length of an idempotency key, in bytes.
 pub const KEY_MAX: usize = 128;
-/// Upper bound of the memory of one entry without its result, in bytes: two copies of the key, and the
-/// slots in the maps. Repeated calls that wait for the entry are counted with their connections.
+/// Maximum memory that one entry of the table uses, in bytes, without the result of the invocation. An entry
+/// has two copies of the key, and slots in several maps. Waiting repeated calls are not included, because
+/// they are counted as memory of their connections.
 pub const ENTRY_BYTES: usize = 2 * KEY_MAX + 256;
 
-/// An idempotency key. Equal keys of different operations are distinct.
+/// An idempotency key together with its operation. The same key can be used for different operations.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Key {
     operation: usize,
@@ -20,65 +21,69 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum EntryState {
-    /// The invocation is pending or running. The repeated calls with these ids wait for its outcome.
+    /// The invocation is pending or running. The list contains the ids of the repeated calls that wait for
+    /// its outcome.
     Open(Vec<u64>),
-    /// The invocation succeeded with this result.
+    /// The invocation succeeded, and its result is stored here.
     Succeeded(Vec<u8>),
-    /// The invocation failed, or its result was evicted. The run may have had its effect.
+    /// The invocation failed, or it succeeded but its result is no longer stored. The run may have had its
+    /// effect.
     Failed,
 }
 
 struct Entry {
     key: Key,
-    /// Hash of the invocation's body. A call with the stored key and a different body is not a repeat.
+    /// Hash of the body of the invocation. A call with the same key but a different body is not a repeat.
     body_hash: u64,
-    /// End of the idempotency window. Calls with the stored key that arrived before this time are repeats.
+    /// End of the idempotency window. A call with the same key is a repeat if it arrived before this time.
     window_end: Nanos,
     state: EntryState,
 }
 
-/// Result of looking up the idempotency key of a call.
+/// Result of looking up the idempotency key of a call in the table.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Lookup {
     /// The key is not stored, or its idempotency window has ended.
     New,
-    /// The key is stored for the invocation with this id, with the same body.
+    /// The call repeats the invocation with this id: the key is stored, and the body is the same.
     Repeat(u64),
-    /// The key is stored with a different body.
+    /// The key is stored, but for an invocation with a different body.
     BodyMismatch,
-    /// The key is not stored and the table is full. The call must not run, since its key cannot be stored.
+    /// The key is not stored, and cannot be stored because the table is full. The call must not run, because
+    /// its repeats could not be recognized.
     TableFull,
 }
 
 /// Answer to a repeated call.
 #[derive(Debug, PartialEq)]
 pub enum Replay {
-    /// The original invocation has not ended, and the repeated call waits for its outcome.
+    /// The original invocation has not ended. The repeated call waits for its outcome.
     Pending,
-    /// The original invocation succeeded with this result.
+    /// The original invocation succeeded, with this result.
     Result(Vec<u8>),
-    /// The original invocation failed.
+    /// The original invocation failed, or its result is no longer stored.
     Failed,
 }
 
-/// The stored idempotency keys. Their number and the total size of their results are bounded.
+/// Table of idempotency keys. The number of keys and the total size of the stored results are limited.
 pub struct IdempotencyTable {
     entries: HashMap<u64, Entry>,
     by_key: HashMap<Key, u64>,
-    /// Expiry time and invocation id of each entry.
+    /// Expiry time of each entry, with the id of its invocation.
     by_expiry: BTreeSet<(Nanos, u64)>,
-    /// Ids of the invocations whose results are stored, oldest result first.
+    /// Ids of the invocations whose results are stored, from the oldest to the newest result.
     results: VecDeque<u64>,
     result_bytes: usize,
     entries_max: usize,
     result_bytes_max: usize,
-    /// Maximum time between the arrival of a call and the lookup of its key. Entries are kept for this time
-    /// after their idempotency window has ended.
+    /// Maximum time from the arrival of a call until its key is looked up. Each entry is kept for this time
+    /// after the end of its idempotency window, since repeats that arrived within the window may still be
+    /// looked up.
     unread_max: Nanos,
 }
 
 impl IdempotencyTable {
-    /// Creates an empty table for at most `entries_max` keys and `result_bytes_max` bytes of results.
+    /// Creates an empty table with space for `entries_max` keys and for `result_bytes_max` bytes of results.
     pub fn new(entries_max: usize, result_bytes_max: usize, unread_max: Nanos) -> Self {
         Self {
             entries: HashMap::new(),
@@ -92,7 +97,7 @@
         }
     }
 
-    /// Looks up the idempotency key of a call that arrived at `arrived_at`.
+    /// Looks up the idempotency key of a call. The call arrived at the time `arrived_at`.
     pub fn find(
         &mut self,
         now: Nanos,
@@ -114,15 +119,15 @@
                     Lookup::BodyMismatch
                 }
             }
-            // The table may also contain this key with a window that has ended; a new invocation then
-            // replaces its entry.
+            // The key may still be in the table if its idempotency window has ended. A new invocation then
+            // replaces the old entry.
             _ if self.entries.len() >= self.entries_max => Lookup::TableFull,
             _ => Lookup::New,
         }
     }
 
-    /// Stores the idempotency key of an invocation. Calls with this key that arrive before `window_end` are
-    /// repeats of the invocation.
+    /// Stores the idempotency key of an invocation. A call with the same key that arrives before `window_end`
+    /// is then a repeat of this invocation.
     pub fn insert(
         &mut self,
         invocation: u64,
@@ -139,7 +144,7 @@
     }
 
     /// Removes the idempotency key of an invocation, for example because the invocation never ran. Returns
-    /// the ids of the repeated calls that wait for its outcome.
+    /// the ids of the repeated calls that were waiting for the invocation's outcome.
     pub fn forget(&mut self, invocation: u64) -> Vec<u64> {
         let Some(entry) = self.entries.remove(&invocation) else { return Vec::new() };
         self.by_expiry.remove(&(entry.window_end.saturating_add(self.unread_max), invocation));
@@ -157,9 +162,9 @@
         }
     }
 
-    /// Returns the answer to the repeated call `repeat`. If the original invocation has not ended, the
-    /// repeated call is recorded as waiting; [`Self::run_ended`] returns its id when the run of the
-    /// original ends.
+    /// Returns the answer to the repeated call with the id `repeat`. If the original invocation has not
+    /// ended, the repeated call must wait. Its id is then returned by [`Self::run_ended`] when the original
+    /// invocation ends.
     pub fn replay(&mut self, original: u64, repeat: u64) -> Replay {
         match self.entries.get_mut(&original).map(|entry| &mut entry.state) {
             Some(EntryState::Open(waiting)) => {
@@ -171,7 +176,7 @@
         }
     }
 
-    /// Removes a repeated call from those that wait for the original invocation.
+    /// Stops a repeated call from waiting for the outcome of the original invocation.
     pub fn stop_waiting(&mut self, original: u64, repeat: u64) {
         if let Some(EntryState::Open(waiting)) = self.entries.get_mut(&original).map(|entry| &mut entry.state)
         {
@@ -179,8 +184,8 @@
         }
     }
 
-    /// Records the end of an invocation's run, with its result if it succeeded. Returns the ids of the
-    /// repeated calls that wait for the outcome.
+    /// Records that the run of an invocation has ended. `result` is `None` if the run did not succeed.
+    /// Returns the ids of the repeated calls that were waiting for the outcome.
     pub fn run_ended(&mut self, invocation: u64, result: Option<&[u8]>) -> Vec<u64> {
         let Some(entry) = self.entries.get_mut(&invocation) else { return Vec::new() };
         let state = result.map_or(EntryState::Failed, |result| EntryState::Succeeded(result.to_vec()));
@@ -193,8 +198,8 @@
         waiting
     }
 
-    /// Evicts the oldest results while the total size of the results exceeds the limit. The keys of these
-    /// results stay, since their invocations must not run again.
+    /// Removes the oldest results until the total size of the results is within the limit. The keys of these
+    /// results stay in the table, because their invocations must not run again.
     fn evict_results(&mut self) {
         while self.result_bytes > self.result_bytes_max {
             let Some(oldest) = self.results.pop_front() else { break };
@@ -207,8 +212,8 @@
         }
     }
 
-    /// Removes the keys whose idempotency window ended so long ago that no call can be a repeat any more.
-    /// The key of an unfinished invocation stays until its run ends.
+    /// Removes keys that have expired: their idempotency window ended so long ago that no repeated call can
+    /// still be looked up. The key of an invocation whose run has not ended stays in the table.
     fn expire(&mut self, now: Nanos) {
         let expired: Vec<u64> = self.by_expiry.range(..(now, 0)).map(|(_, invocation)| *invocation).collect();
         for invocation in expired {
--- a/crates/server/src/resources/idempotency/tests.rs
+++ b/crates/server/src/resources/idempotency/tests.rs
@@ -1,4 +1,4 @@
-//! Tests the answers to repeated calls, without a server.
+//! Tests how repeated calls are recognized and answered, without a server.
 
 use super::*;
 
@@ -28,7 +28,7 @@
     let mut table = table(4, 64);
     table.insert(1, 0, b"t", 7, WINDOW_END);
     table.run_ended(1, None);
-    // The call was looked up after the end of the idempotency window, but had arrived before it.
+    // The call arrived before the end of the idempotency window, but its key was looked up after the end.
     assert_eq!(table.find(WINDOW_END + 5, WINDOW_END - 1, 0, b"t", 7), Lookup::Repeat(1));
     assert_eq!(table.find(WINDOW_END + 5, WINDOW_END, 0, b"t", 7), Lookup::New);
     assert_eq!(table.find(WINDOW_END + 11, WINDOW_END - 1, 0, b"t", 7), Lookup::New);
@@ -42,7 +42,7 @@
     table.run_ended(2, None);
     assert_eq!(table.find(0, 0, 0, b"c", 7), Lookup::TableFull);
     assert_eq!(table.find(0, 0, 0, b"a", 7), Lookup::Repeat(1));
-    // The second invocation has ended and its key has expired; the first invocation is still running.
+    // Invocation 2 has ended and its key has expired. Invocation 1 is still running.
     assert_eq!(table.find(WINDOW_END + 50, WINDOW_END + 50, 0, b"c", 7), Lookup::New);
     assert_eq!(table.replay(1, 9), Replay::Pending);
 }
--- a/crates/server/src/resources/invocations.rs
+++ b/crates/server/src/resources/invocations.rs
@@ -1,5 +1,5 @@
-//! Table of invocations. It contains an invocation from its arrival until it is answered and its run has
-//! ended.
+//! Table of the invocations of this server. An invocation is removed from the table once it is answered and
+//! its run has ended.
 
 use crate::connection::table::Connection;
 use crate::event::Request;
@@ -9,45 +9,48 @@
 
 /// State of one invocation.
 pub struct Invocation {
-    /// Reference chosen by the caller. It also identifies the run in commands to the interpreter.
+    /// Reference of the invocation, chosen by the caller. Commands to the interpreter use the reference to
+    /// identify the run.
     pub reference: u64,
-    /// Index of the operation in the settings.
+    /// Index of the operation in the deployment's settings.
     pub operation: usize,
-    /// Name of the tenant, if the fleet keeps a separate count for this tenant.
+    /// Name of the tenant, if the fleet keeps separate counts for this tenant; `None` otherwise.
     pub counted_tenant: Option<String>,
-    /// Time at which the call arrived at this machine, in milliseconds since 1970.
+    /// Unix time, in milliseconds, at which the call arrived at this machine.
     pub arrival_unix_ms: u64,
-    /// Body of the call, which is the input of the operation.
+    /// Body of the call: the input of the operation.
     pub body: Vec<u8>,
-    /// Connection on which the call was received and is answered.
+    /// Connection on which the call was received, and on which it is answered.
     pub connection: Rc<Connection>,
-    /// Tag of the call, which the answer carries.
+    /// Tag of the call. The answer must carry the same tag.
     pub tag: u64,
-    /// Id of the original invocation, if this invocation repeats another.
+    /// Id of the original invocation, if this invocation is a repeat with the same idempotency key.
     pub repeat_of: Option<u64>,
-    /// True once the invocation is answered or its caller has abandoned it.
+    /// True if the invocation needs no further answer: it was answered, or its caller has abandoned it.
     pub is_answered: bool,
-    /// True while the run was started and the interpreter has not reported its end.
+    /// True from the start of the run until the interpreter reports that the run has ended.
     pub is_running: bool,
-    /// Last command that the run depends on; `None` once a notice has confirmed its receipt.
+    /// Last command that started or resumed the run. `None` once a notice has shown that the interpreter
+    /// received the command.
     pub unconfirmed: Option<SentCommand>,
-    /// True if a command for the run was sent over more than one link to the interpreter.
+    /// True if a command for this run was sent again over a new link to the interpreter, because it may have
+    /// been lost.
     pub was_resent: bool,
-    /// Number of the link over which a command to stop the run was last sent; `None` without such a
-    /// command.
+    /// Number of the link over which the server last sent a command to stop the run. `None` if no such
+    /// command was sent.
     pub stop_link: Option<u64>,
-    /// Body of the downstream call that the run waits for.
+    /// Body of the downstream call for which the run waits; empty if the run waits for no call.
     pub call_body: Vec<u8>,
-    /// True while the run waits for a downstream call.
+    /// True while the run waits for the reply to a downstream call.
     pub awaits_call: bool,
-    /// The downstream call of the run, if one is in progress.
+    /// Downstream call of the run that is in progress; `None` if there is none.
     pub call: Option<RunningCall>,
-    /// Index of the downstream service that received the most recent call of the invocation.
+    /// Index of the downstream service that received the invocation's most recent downstream call.
     pub last_service: Option<usize>,
 }
 
 impl Invocation {
-    /// Creates an invocation for a request that has just arrived.
+    /// Creates an invocation for a request that has just been received.
     pub fn new(request: Request, counted_tenant: Option<String>) -> Self {
         Self {
             reference: request.reference,
@@ -71,24 +74,24 @@
     }
 }
 
-/// A command that was sent to the interpreter, and the most recent link over which it was sent.
+/// A command for the interpreter, and the link over which the command was last sent.
 pub struct SentCommand {
     /// The encoded command.
     pub line: Vec<u8>,
-    /// Number of the most recent link over which the command was sent; 0 if there was no link.
+    /// Number of the link over which the command was last sent; 0 if there was no link.
     pub link: u64,
 }
 
-/// A downstream call in progress. Dropping it abandons the call.
+/// A downstream call in progress. The call is abandoned when this value is dropped.
 pub struct RunningCall {
     /// Number of the downstream call.
     pub number: u64,
-    /// The task that makes the call. Dropping the task cancels it.
+    /// The task that makes the downstream call. The task is cancelled when this value is dropped.
     pub _task: Task<()>,
 }
 
-/// All invocations of the server, by the ids that this process assigns. References cannot serve as ids,
-/// because callers choose them and may use one twice.
+/// All invocations of the server, by their ids. This process assigns the ids. The references of invocations
+/// cannot be used as ids, because callers choose them and may choose the same reference twice.
 #[derive(Default)]
 pub struct Invocations {
     all: BTreeMap<u64, Invocation>,
@@ -97,7 +100,8 @@
 }
 
 impl Invocations {
-    /// Adds an invocation and returns its id. Returns `None` if another invocation has the same reference.
+    /// Adds an invocation to the table and returns the invocation's id. Returns `None` if the table contains
+    /// an invocation with the same reference.
     pub fn insert(&mut self, invocation: Invocation) -> Option<u64> {
         if self.by_reference.contains_key(&invocation.reference) {
             return None;
@@ -108,12 +112,12 @@
         Some(self.last_id)
     }
 
-    /// Returns the id of the invocation with the given reference.
+    /// Returns the id of the invocation with this reference.
     pub fn find(&self, reference: u64) -> Option<u64> {
         self.by_reference.get(&reference).copied()
     }
 
-    /// Returns the invocation with the given id.
+    /// Returns the invocation with this id.
     pub fn get(&mut self, id: u64) -> Option<&mut Invocation> {
         self.all.get_mut(&id)
     }
@@ -123,13 +127,13 @@
         self.all.values_mut()
     }
 
-    /// Returns the ids of all invocations with a run.
+    /// Returns the ids of all invocations whose run has started and not ended.
     pub fn running(&self) -> Vec<u64> {
         let running = self.all.iter().filter(|(_, invocation)| invocation.is_running);
         running.map(|(id, _)| *id).collect()
     }
 
-    /// Returns the ids of the unanswered invocations received on a connection.
+    /// Returns the ids of all unanswered invocations that were received on the connection with this id.
     pub fn open_on(&self, connection: u64) -> Vec<u64> {
         let is_open =
             |invocation: &Invocation| !invocation.is_answered && invocation.connection.id == connection;
@@ -137,13 +141,14 @@
         open.map(|(id, _)| *id).collect()
     }
 
-    /// Returns the id of the unanswered invocation that was received on a connection with the given tag.
+    /// Returns the id of the unanswered invocation with this tag that was received on the connection with the
+    /// id `connection`.
     pub fn find_open(&self, connection: u64, tag: u64) -> Option<u64> {
         let open = self.open_on(connection);
         open.into_iter().find(|id| self.all[id].tag == tag)
     }
 
-    /// Removes an invocation if it is answered and its run, if any, has ended.
+    /// Removes an invocation from the table if it is answered and no run of it is in progress.
     pub fn release(&mut self, id: u64) {
         let is_over = |invocation: &Invocation| invocation.is_answered && !invocation.is_running;
         if self.all.get(&id).is_some_and(is_over)
--- a/crates/server/src/resources/mod.rs
+++ b/crates/server/src/resources/mod.rs
@@ -1,5 +1,6 @@
-//! Limited resources of the server: memory, file descriptors, idempotency keys and invocations. One module
-//! owns each kind of resource, and allocates and releases it. Also the server's counters.
+//! Limited resources of the server: memory for buffers, file descriptors, idempotency keys and invocations.
+//! Each kind of resource has one module, which allocates and releases it. The server's counters are here as
+//! well.
 
 pub mod buffers;
 pub mod counters;
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -1,5 +1,5 @@
-//! State shared by the server's tasks. It does not include the overload controller: tasks reach the
-//! controller through the queue of events.
+//! State that the tasks of the server share. The overload controller is not part of this state: it belongs to
+//! the event loop, and other tasks send events to the event loop.
 
 use crate::calls::pool::Pool;
 use crate::configuration::Configuration;
@@ -24,59 +24,60 @@
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// State shared by all tasks of the server, which run on a single thread.
+/// State that all tasks of the server share. The tasks run on a single thread.
 pub struct Server {
     /// Configuration of the server.
     pub configuration: Configuration,
     /// Clock of the server.
     pub clock: Clock,
-    /// Start time of the process, in nanoseconds since 1970. It distinguishes the process from earlier
-    /// processes with the same name.
+    /// Incarnation of the server: the start time of the process, in Unix nanoseconds. Distinguishes this
+    /// process from earlier processes with the same name.
     pub incarnation: u64,
     /// Executor that runs the tasks.
     pub executor: &'static LocalExecutor<'static>,
-    /// Queue of events to the event loop.
+    /// Queue of events that tasks send to the event loop.
     pub events: Sender<Event>,
     /// Open connections of balancers.
     pub connections: Connections,
-    /// Health and advertised load of the server, for answers and health checks.
+    /// Health of the server, reported in answers to health checks, and load of the server, advertised in
+    /// answers to calls.
     pub health: HealthStatus,
-    /// Limit on the number of file descriptors, and the number in use.
+    /// Pool of file descriptors, which limits how many the server uses.
     pub descriptors: Descriptors,
-    /// Pool of idle connections to downstream services.
+    /// Idle connections to downstream services, for reuse by later calls.
     pub pool: Pool,
-    /// Counters of events since startup, for the log.
+    /// Counters of events since the start of the process, for the log.
     pub counters: Counters,
-    /// Limit on the memory of all connections' buffers, and the memory in use.
+    /// Limit on the total memory of all connections' buffers, and the amount in use.
     pub buffers: Rc<BufferBudget>,
-    /// Channel that notifies the link task of a change of the interpreter's address.
+    /// Channel that notifies the task of the interpreter link that the interpreter's address has changed.
     pub interpreter_address_changed: (Sender<()>, Receiver<()>),
-    /// Progress of the drain.
+    /// State of the drain: its phase, and the time of the notice to leave.
     pub drain: DrainState,
-    /// Channel that is closed when the server is told to drain and stop.
+    /// Channel that is closed when the server is notified to leave, so that it must drain and stop.
     pub leave_signal: Receiver<()>,
-    /// State shared with the other servers of the fleet, if the options configure it.
+    /// State that the servers of the fleet share; `None` if the options do not enable shared state.
     pub shared: Option<LocalSharedState>,
-    /// State of rollouts on this server, if the options configure them.
+    /// State of rollouts on this server; `None` if the options do not enable rollouts.
     pub rollout: Option<Rollout>,
-    /// Serializes changes of settings, so that only one change is applied at a time.
+    /// Lock that lets only one change of settings be applied at a time.
     pub changes: Changes,
-    /// Pauses of the serving thread caused by the last change of settings.
+    /// Pauses of the serving thread during the most recent change of settings.
     pub change_pauses: Cell<Pauses>,
 }
 
 impl Server {
-    /// Returns whether the server was told to drain and stop.
+    /// Returns whether the server was notified to leave, so that it drains and stops.
     pub fn is_leaving(&self) -> bool {
         self.leave_signal.is_closed()
     }
 }
 
-/// Maximum number of bytes read from a socket at a time.
+/// Maximum number of bytes that one read from a socket returns.
 const READ_MAX_BYTES: usize = 8 * 1024;
 
-/// Waits for bytes from a stream and appends them to `ring`, whose contents are contiguous afterwards.
-/// Returns an error at the end of the stream.
+/// Waits for bytes from a stream and appends them to `ring`. Afterwards the contents of `ring` are contiguous
+/// in memory. Returns an error if the stream has ended.
 pub async fn receive(mut stream: &Async<TcpStream>, ring: &mut Ring) -> Result<()> {
     let mut chunk = [0; READ_MAX_BYTES];
     let free = ring.free().min(chunk.len());
--- a/crates/server/src/wire/catalog.rs
+++ b/crates/server/src/wire/catalog.rs
@@ -1,6 +1,7 @@
-//! Encoder for the datagrams sent to the service registry.
+//! Encoder for the datagrams that a server sends to the service registry.
 
-/// Encodes the datagram that reports a server to be alive, and whether it is healthy.
+/// Encodes the datagram that tells the service registry that a server is alive, and whether the server is
+/// healthy.
 pub fn report(name: &str, healthy: bool) -> String {
     format!("alive {name} {}", if healthy { "passing" } else { "critical" })
 }
--- a/crates/server/src/wire/http.rs
+++ b/crates/server/src/wire/http.rs
@@ -1,15 +1,17 @@
-//! Encoder and parser for calls to the records service, which are HTTP/1.1 requests without pipelining.
+//! Encoder for calls to a downstream service, and parser for the replies. A call is an HTTP/1.1 request, sent
+//! without pipelining.
 
 use crate::wire::ParseError;
 use crate::wire::Parsed;
 use crate::wire::decimal;
 use meadowstream_overload_control::{Nanos, Outcome};
 
-/// Maximum length of the head of a reply, in bytes.
+/// Maximum length of the head of an HTTP reply, in bytes. The head consists of the status line and the
+/// headers.
 const HEAD_MAX: usize = 4096;
-/// Maximum length of the body of a reply, in bytes.
+/// Maximum length of the body of an HTTP reply, in bytes.
 const BODY_MAX: usize = 16 * 1024;
-/// Maximum number of bytes that a complete reply occupies: interim responses, head and body.
+/// Maximum length of a complete HTTP reply, in bytes: interim responses (status 1xx), head and body.
 pub const REPLY_MAX: usize = 2 * (HEAD_MAX + 4) + BODY_MAX;
 
 /// Encodes the HTTP request of a downstream call.
@@ -26,15 +28,15 @@
 /// Reply to a downstream call.
 #[derive(Debug, PartialEq)]
 pub struct Reply {
-    /// Outcome of the call, as far as the status and the headers of the reply prove it.
+    /// Outcome of the downstream call, as far as the reply's status and headers prove the outcome.
     pub outcome: Outcome,
     /// Body of the reply.
     pub body: Vec<u8>,
-    /// True if the connection can be reused for another call.
+    /// True if another call may use the same connection.
     pub is_reusable: bool,
 }
 
-/// The parsed head of a reply, and the offset at which the body of the reply starts.
+/// The parsed head of an HTTP reply, and the offset at which the body starts.
 struct Head<'a> {
     status: u16,
     headers: Headers<'a>,
@@ -51,9 +53,9 @@
         self.values(name).next()
     }
 
-    /// Returns the length of the body. The header Content-Length may be omitted only with an error status.
-    /// Multiple Content-Length headers must agree: a reply with ambiguous framing may contain data that
-    /// does not belong to it.
+    /// Returns the length of the reply's body. The header Content-Length may be missing only if the status is
+    /// an error. If the header occurs several times, all values must be equal. Otherwise the end of the reply
+    /// would be ambiguous, and bytes of another message could be taken for its body.
     fn content_length(&self) -> Result<usize, ParseError> {
         if self.first("Transfer-Encoding").is_some() {
             return Err(ParseError::TransferEncoding);
@@ -64,9 +66,9 @@
         length.filter(|length| *length <= BODY_MAX).ok_or(ParseError::BadContentLength)
     }
 
-    /// Returns the outcome that the reply proves. A status of 503 or 409 proves that the call did not run
-    /// if the header `Op-Not-Begun: 1` is present. After any other error status, including 500, the call
-    /// may have had its effect.
+    /// Returns the outcome of the downstream call that the reply proves. A status of 503 or 409 with the
+    /// header `Op-Not-Begun: 1` proves that the call did not run. After any other error, including status
+    /// 500, the call may have had its effect.
     fn outcome(&self) -> Outcome {
         let not_begun = matches!(self.status, 503 | 409) && self.first("Op-Not-Begun") == Some("1");
         match self.status {
@@ -78,7 +80,7 @@
     }
 }
 
-/// Parses the first reply. Interim responses, which have a status of 1xx, are skipped.
+/// Parses the first HTTP reply in `bytes`. Interim responses (status 1xx) before the reply are skipped.
 pub fn reply(bytes: &[u8]) -> Parsed<Reply> {
     let mut at = 0;
     loop {
--- a/crates/server/src/wire/interpreter.rs
+++ b/crates/server/src/wire/interpreter.rs
@@ -1,5 +1,6 @@
-//! Encoder for commands to the interpreter, and parser for its notices. Both are lines of JSON objects,
-//! with bodies in base64. The words of the protocol appear only in this module.
+//! Encoder for commands to the interpreter, and parser for the interpreter's notices. Each command and each
+//! notice is a JSON object on one line, with bodies in base64. Only this module contains the words of the
+//! protocol.
 
 use crate::wire::ParseError;
 use crate::wire::Parsed;
@@ -7,17 +8,17 @@
 use meadowstream_overload_control::{Nanos, Outcome};
 use serde_json::{Value, json};
 
-/// Maximum length of a line received from the interpreter, in bytes. Longer lines are ignored.
+/// Maximum length of a line from the interpreter, in bytes. The server ignores longer lines.
 pub const LINE_MAX: usize = 16 * 1024;
 
-/// Notice received from the interpreter.
+/// Notice that the interpreter has sent to the server.
 #[derive(Debug, PartialEq)]
 pub enum Notice {
-    /// The interpreter has accepted a link. The banner is the first notice on each link.
+    /// The banner: the first notice on each link. It shows that the interpreter has accepted the link.
     Banner {
-        /// True if the interpreter is still warming up.
+        /// True if the interpreter is still warming up, so it runs operations more slowly.
         cold: bool,
-        /// Time since the interpreter started.
+        /// Time since the interpreter process started.
         age: Nanos,
     },
     /// The run of an invocation has ended.
@@ -26,10 +27,10 @@
         task: u64,
         /// Outcome of the run.
         outcome: Outcome,
-        /// Result of the run; empty unless the run succeeded.
+        /// Result of the run; empty if the run did not succeed.
         result: Vec<u8>,
     },
-    /// The run of an invocation waits for a downstream call.
+    /// The run of an invocation needs a downstream call and waits for the reply.
     AwaitsCall {
         /// Reference of the invocation.
         task: u64,
@@ -40,56 +41,57 @@
     Gauges {
         /// Nonce of the gauge request.
         nonce: u64,
-        /// Values of the gauges, in the order in which the settings name them.
+        /// Values of the interpreter's gauges. The order is that of the gauges in the settings.
         readings: Vec<f64>,
     },
-    /// The interpreter could not carry out a command.
+    /// The interpreter could not execute a command.
     CommandFailed {
         /// Verb of the command.
         command: String,
-        /// Reference of the invocation that the command named, if any.
+        /// Reference of the invocation to which the command applied; `None` if the command named no
+        /// invocation.
         task: Option<u64>,
     },
-    /// A trace message, which the server ignores.
+    /// A trace message. The server ignores trace messages.
     Trace,
 }
 
-/// Reason why a line is not a valid notice.
+/// Reason why a line from the interpreter is not a valid notice.
 #[derive(Debug, thiserror::Error)]
 pub enum NoticeError {
     /// The line is not valid JSON.
     #[error("not JSON: {0}")]
     Json(#[from] serde_json::Error),
-    /// A field is missing or is not a string.
+    /// A required field of the notice is missing or is not a string.
     #[error("{0} is missing or not a string")]
     NotText(&'static str),
-    /// The body in the notice is not valid base64.
+    /// The encoded body in the notice is not valid base64.
     #[error("invalid base64: {0}")]
     Base64(#[from] base64::DecodeError),
-    /// The state in a banner is neither cold nor warm.
+    /// The banner states a state other than cold or warm.
     #[error("unknown state {0:?}")]
     UnknownState(String),
-    /// The outcome of the run is unknown.
+    /// The notice states an outcome of the run that the server does not know.
     #[error("unknown outcome {0:?}")]
     UnknownEnd(String),
-    /// The verb of the notice is unknown.
+    /// The notice has a verb (its type) that the server does not know.
     #[error("unknown verb {0:?}")]
     UnknownVerb(String),
-    /// The gauge readings in the response are not a list.
+    /// The gauge readings in the notice are not a list.
     #[error("readings are not a list")]
     ReadingsNotList,
     /// A gauge reading is not a number.
     #[error("a reading is not a number")]
     ReadingNotNumber,
-    /// The nonce in the response is not a number.
+    /// The nonce in the notice is not a number.
     #[error("nonce {0:?} is not a number")]
     UnknownNonce(String),
-    /// The reference of an invocation is not 16 hexadecimal digits.
+    /// The invocation's reference in the notice does not have exactly 16 hexadecimal digits.
     #[error("task {0:?} is not 16 hexadecimal digits")]
     BadTask(String),
 }
 
-/// Returns the first line, without its line end.
+/// Returns the first line of `bytes` without the line end.
 pub fn line(bytes: &[u8]) -> Parsed<&[u8]> {
     match bytes.iter().position(|byte| *byte == b'\n') {
         Some(end) if end <= LINE_MAX => Parsed::Complete(&bytes[..end], end + 1),
@@ -98,7 +100,8 @@
     }
 }
 
-/// Parses a notice. Returns the notice and its index; the index is `None` if the notice has none.
+/// Parses a notice from a line. Returns the notice and its index; the index is `None` if the line contains no
+/// index.
 pub fn notice(line: &[u8]) -> Result<(Option<u64>, Notice), NoticeError> {
     let object: Value = serde_json::from_slice(line)?;
     let notice = match text(&object, "verb")? {
@@ -166,30 +169,30 @@
     line
 }
 
-/// Encodes the command that opens a link. The interpreter replays the notices with an index above
-/// `last_read`.
+/// Encodes the command that opens a link. In response, the interpreter sends again all notices whose index is
+/// greater than `last_read`.
 pub fn connect(last_read: u64) -> Vec<u8> {
     command(&json!({"verb": "CONNECT", "index": last_read}))
 }
 
-/// Encodes the command that starts a run, or resumes a run that was stopped.
+/// Encodes the command that starts the run of an invocation. If the run was stopped, the command resumes it.
 pub fn apply(task: u64, operation: &str, body: &[u8]) -> Vec<u8> {
     let (task, bytes) = (format!("{task:016x}"), STANDARD.encode(body));
     command(&json!({"verb": "APPLY", "task": task, "handler": operation, "bytes": bytes}))
 }
 
-/// Encodes the command that stops a run.
+/// Encodes the command that stops the run of an invocation.
 pub fn stop(task: u64) -> Vec<u8> {
     command(&json!({"verb": "BREAK", "task": format!("{task:016x}")}))
 }
 
-/// Encodes the command that resumes a run with the reply to its downstream call.
+/// Encodes the command that passes the reply to a downstream call to the waiting run, which then resumes.
 pub fn resolve(task: u64, reply: &[u8]) -> Vec<u8> {
     let (task, bytes) = (format!("{task:016x}"), STANDARD.encode(reply));
     command(&json!({"verb": "RESOLVE", "task": task, "bytes": bytes}))
 }
 
-/// Encodes a request for the gauges. The response carries `nonce`.
+/// Encodes a request for the interpreter's gauges. The response contains the same `nonce`.
 pub fn request_gauges(nonce: u64) -> Vec<u8> {
     command(&json!({"verb": "TOP", "nonce": nonce.to_string()}))
 }
--- a/crates/server/src/wire/mod.rs
+++ b/crates/server/src/wire/mod.rs
@@ -1,5 +1,5 @@
-//! Parsers and encoders of the protocols, without I/O. A parser receives the bytes read so far, returns the
-//! number of bytes that a message occupies, and limits the length of messages.
+//! Parsers and encoders for the protocols of the server, without I/O. A parser receives the bytes read so far
+//! and returns the length of the first message. All parsers limit the length of messages.
 
 pub mod catalog;
 pub mod http;
@@ -12,21 +12,21 @@
 
 use std::str::FromStr;
 
-/// Result of parsing the bytes received so far.
+/// Result of parsing a message from the bytes received so far.
 #[derive(Debug, PartialEq)]
 pub enum Parsed<T> {
     /// The message is incomplete; more bytes are needed.
     Incomplete,
-    /// A complete message, and the number of bytes that the message occupies.
+    /// The message is complete: its value, and the number of bytes that it occupies.
     Complete(T, usize),
-    /// The bytes are not the start of a valid message.
+    /// The bytes cannot become a valid message, even if more bytes are received.
     Malformed(ParseError),
 }
 
-/// Reason why bytes are not a valid message.
+/// Reason why the received bytes are not a valid message. The prefix names the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub enum ParseError {
-    /// RESP: the value has a different type than expected.
+    /// RESP: the value has a different type than the parser expects.
     #[error("unexpected type byte {found:?}, expected {expected:?}")]
     UnexpectedType {
         /// The type byte that was found.
@@ -37,46 +37,46 @@
     /// RESP: a line that holds a number is too long.
     #[error("a number is too long")]
     EndlessNumber,
-    /// RESP: a line that should hold a number holds something else.
+    /// RESP: a number was expected, but the line contains something else.
     #[error("expected a number")]
     NotANumber,
-    /// RESP: the array has no words, or more than are accepted.
+    /// RESP: the array has no words, or has more words than the server accepts.
     #[error("unsupported array length: {0}")]
     ArrayLength(usize),
-    /// RESP: a word is longer than accepted.
+    /// RESP: a word is longer than the server accepts.
     #[error("a word is too long: {0} bytes")]
     WordTooLong(usize),
-    /// RESP: no line end follows a word after as many bytes as the length before the word states, so that
-    /// length is wrong.
+    /// RESP: a word does not have the length that is stated before it. No line end follows after this number
+    /// of bytes.
     #[error("a word differs from its announced length of {0} bytes")]
     WordLength(usize),
     /// HTTP: the head is too long.
     #[error("the head is too long")]
     EndlessHead,
-    /// HTTP: the interim responses before the reply are too long.
+    /// HTTP: the interim responses (status 1xx) before the reply are too long in total.
     #[error("interim responses are too long")]
     EndlessInterimHeads,
-    /// HTTP: the head is not valid UTF-8.
+    /// HTTP: the head of the reply is not valid UTF-8.
     #[error("the head is not UTF-8")]
     HeadNotText,
-    /// HTTP: the first line is not a status line of HTTP/1.1.
+    /// HTTP: the first line of the reply is not a status line of HTTP/1.1.
     #[error("invalid status line")]
     BadStatusLine,
-    /// HTTP: a header line has no name or no colon.
+    /// HTTP: a header line has no colon, or its name is empty or contains a space.
     #[error("invalid header line")]
     BadHeader,
-    /// HTTP: the body has a transfer encoding instead of a length.
+    /// HTTP: the reply has a header Transfer-Encoding, which the server does not support.
     #[error("transfer encodings are not supported")]
     TransferEncoding,
-    /// HTTP: the length of the body is missing, ambiguous, not a number or too large.
+    /// HTTP: the length of the body is missing, ambiguous, not a number, or too large.
     #[error("missing or invalid content length")]
     BadContentLength,
-    /// Interpreter: the line is longer than accepted.
+    /// Interpreter: the line is longer than the server accepts.
     #[error("the line is too long")]
     LineTooLong,
 }
 
-/// Parses a decimal number that consists of digits only, without sign or spaces.
+/// Parses a decimal number. The text may contain digits only, without a sign or spaces.
 pub fn decimal<T: FromStr>(word: &[u8]) -> Option<T> {
     let digits = word.iter().all(u8::is_ascii_digit);
     std::str::from_utf8(word).ok().filter(|_| digits).and_then(|text| text.parse().ok())
--- a/crates/server/src/wire/resp.rs
+++ b/crates/server/src/wire/resp.rs
@@ -1,20 +1,21 @@
-//! Parser and encoder for RESP arrays of bulk strings.
+//! Parser and encoder for RESP arrays of bulk strings (also called words here).
 
 use crate::wire::ParseError;
 use crate::wire::Parsed;
 use crate::wire::decimal;
 
-/// Maximum length of a bulk string, in bytes.
+/// Maximum length of a bulk string that the parser accepts, in bytes.
 pub const WORD_MAX: usize = 4096;
-/// Maximum number of bulk strings in an array.
+/// Maximum number of bulk strings in an array that the parser accepts.
 pub const WORDS_MAX: usize = 8;
-/// Maximum length of a line that holds a number, in bytes, including the line end.
+/// Maximum length of a line that contains a number, in bytes. The length includes the type byte and the line
+/// end.
 const NUMBER_MAX: usize = 12;
-/// Maximum length of an encoded array, in bytes.
+/// Maximum length of an encoded array that the parser accepts, in bytes.
 pub const ARRAY_MAX: usize = NUMBER_MAX + WORDS_MAX * (NUMBER_MAX + WORD_MAX + 2);
 
-/// Parses the number on the line that starts at offset `at` with the type byte `mark`. Returns the number and
-/// the offset of the end of the line.
+/// Parses a line that contains a number. The line starts at the offset `at`, and its first byte must be the
+/// type byte `mark`. Returns the number and the offset of the first byte after the line.
 fn number(bytes: &[u8], at: usize, mark: u8) -> Parsed<usize> {
     let line = &bytes[at..];
     let Some(first) = line.first() else { return Parsed::Incomplete };
@@ -33,7 +34,8 @@
     }
 }
 
-/// Parses the bulk string at offset `at`. Returns the string and the offset of its end.
+/// Parses the bulk string that starts at the offset `at`. Returns the string and the offset of the first byte
+/// after it.
 fn word(bytes: &[u8], at: usize) -> Parsed<&[u8]> {
     let (length, start) = match number(bytes, at, b'$') {
         Parsed::Complete(length, start) => (length, start),
@@ -51,7 +53,7 @@
     Parsed::Complete(&bytes[start..end], end + 2)
 }
 
-/// Parses the first array in `bytes` and returns its bulk strings.
+/// Parses the first array in `bytes`. Returns the bulk strings of the array.
 pub fn array(bytes: &[u8]) -> Parsed<Vec<&[u8]>> {
     let (count, mut at) = match number(bytes, 0, b'*') {
         Parsed::Complete(count, at) => (count, at),
@@ -75,7 +77,7 @@
     Parsed::Complete(words, at)
 }
 
-/// Appends the bulk strings `words` to `out`, encoded as an array.
+/// Encodes an array of the bulk strings `words`, and appends the encoded bytes to `out`.
 pub fn put_array(out: &mut Vec<u8>, words: &[&[u8]]) {
     out.extend_from_slice(format!("*{}\r\n", words.len()).as_bytes());
     for word in words {
--- a/crates/server/src/wire/ring.rs
+++ b/crates/server/src/wire/ring.rs
@@ -1,12 +1,12 @@
-//! A bounded ring buffer for the bytes of one direction of a connection. An empty buffer keeps little
-//! memory allocated.
+//! A ring buffer of limited size for the bytes that are sent or received on a connection. While the buffer is
+//! empty, it keeps little memory allocated.
 
 use std::collections::VecDeque;
 
-/// Maximum capacity, in bytes, that an empty buffer keeps allocated for the next message.
+/// Maximum memory, in bytes, that an empty buffer keeps allocated for the next message.
 const EMPTY_CAPACITY_MAX: usize = 1024;
 
-/// A first-in, first-out buffer of bytes with a maximum size.
+/// A first-in, first-out buffer of bytes. Its maximum size is fixed.
 #[derive(Debug)]
 pub struct Ring {
     bytes: VecDeque<u8>,
@@ -14,27 +14,27 @@
 }
 
 impl Ring {
-    /// Creates an empty ring for at most `bytes_max` bytes.
+    /// Creates an empty ring buffer that holds at most `bytes_max` bytes.
     pub fn new(bytes_max: usize) -> Self {
         Self { bytes: VecDeque::new(), bytes_max }
     }
 
-    /// Returns whether the ring is empty.
+    /// Returns whether the buffer contains no bytes.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    /// Returns the number of bytes in the ring.
+    /// Returns the number of bytes in the buffer.
     pub fn len(&self) -> usize {
         self.bytes.len()
     }
 
-    /// Returns the number of bytes that can be added.
+    /// Returns the number of bytes that can still be added to the buffer.
     pub fn free(&self) -> usize {
         self.bytes_max - self.len()
     }
 
-    /// Appends all the bytes. Returns false, and appends none, if they do not fit.
+    /// Appends `bytes` to the buffer. If they do not all fit, appends no bytes and returns false.
     #[must_use]
     pub fn put(&mut self, bytes: &[u8]) -> bool {
         let fits = bytes.len() <= self.free();
@@ -44,17 +44,19 @@
         fits
     }
 
-    /// Makes the contents contiguous, so that `front` returns all bytes.
+    /// Makes the bytes in the buffer contiguous in memory, so that `front` returns all of them.
     pub fn make_contiguous(&mut self) {
         self.bytes.make_contiguous();
     }
 
-    /// Returns the first bytes of the buffer, as far as they are contiguous in memory.
+    /// Returns the first bytes of the buffer that lie contiguously in memory. Returns all bytes only after
+    /// [`Self::make_contiguous`].
     pub fn front(&self) -> &[u8] {
         self.bytes.as_slices().0
     }
 
-    /// Removes the first `count` bytes, or all bytes if there are fewer.
+    /// Removes the first `count` bytes from the buffer. If the buffer contains fewer bytes, removes all of
+    /// them.
     pub fn drop_front(&mut self, count: usize) {
         self.bytes.drain(..count.min(self.bytes.len()));
         if self.bytes.is_empty() && self.bytes.capacity() > EMPTY_CAPACITY_MAX {
--- a/crates/server/src/wire/rpc.rs
+++ b/crates/server/src/wire/rpc.rs
@@ -1,13 +1,14 @@
-//! Parser for the commands of balancers, and encoder for the answers to them. Both are RESP arrays. The
-//! words of the protocol appear only in this module.
+//! Parser for the commands of balancers, and encoder for the answers to balancers. Commands and answers are
+//! RESP arrays. Only this module contains the words of the protocol.
 
 use crate::wire::decimal;
 use crate::wire::resp;
 use meadowstream_overload_control::Nanos;
 
-/// Maximum length of a call's body, in bytes.
+/// Maximum length of the body of a call, in bytes.
 const BODY_MAX: usize = 2048;
-/// Exclusive upper bound of the memory that one call may reserve, in kilobytes.
+/// Limit on the memory that one call may reserve, in kilobytes. The reserved memory must be less than this
+/// value.
 const RESERVED_MAX_KB: f64 = 2000.0;
 
 /// Command received from a balancer.
@@ -20,39 +21,40 @@
         /// Tag of the health check.
         tag: u64,
     },
-    /// A cancellation: the caller has abandoned an earlier call.
+    /// A cancellation: the caller no longer waits for the answer to an earlier call.
     Cancel {
         /// Tag of the abandoned call.
         tag: u64,
     },
-    /// A command that cannot be executed. It is answered with a failure if its tag is known.
+    /// A command that is invalid and cannot be executed. The server answers the command with a failure if the
+    /// command has a valid tag.
     Invalid {
-        /// Tag of the command; `None` if the tag is not valid.
+        /// Tag of the invalid command; `None` if the tag is missing or not valid.
         tag: Option<u64>,
         /// Reason why the command is invalid.
         error: CommandError,
     },
 }
 
-/// Reason why the words of an array are not a valid command.
+/// Reason why the words of a RESP array are not a valid command.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum CommandError {
-    /// The second word, which is the tag, is not a positive number.
+    /// The second word of the command must be the tag, but it is not a positive number.
     #[error("no tag")]
     MissingTag,
-    /// The first word is not a known command.
+    /// The first word must be the name of the command, but no command has this name.
     #[error("unknown command {0:?}")]
     UnknownCommand(String),
-    /// A call does not have five words.
+    /// The command is a call but does not have exactly five words.
     #[error("a call has five words, not {0}")]
     WordCount(usize),
     /// The name of the operation is not valid UTF-8.
     #[error("operation is not UTF-8")]
     OperationNotText,
-    /// The word with the fields is not valid UTF-8.
+    /// The word that contains the fields of the call is not valid UTF-8.
     #[error("fields are not UTF-8")]
     FieldsNotText,
-    /// The body is longer than accepted.
+    /// The body of the call is longer than the server accepts.
     #[error("body is too long: {0} bytes, {BODY_MAX} at most")]
     BodyTooLong(usize),
     /// A required field is missing, or a field's value is invalid or out of range.
@@ -60,7 +62,7 @@
     BadField {
         /// Name of the field.
         field: &'static str,
-        /// Value of the field, if it is present.
+        /// Value of the field; `None` if the field is missing.
         value: Option<String>,
     },
 }
@@ -72,25 +74,26 @@
     pub tag: u64,
     /// Name of the operation.
     pub operation: &'a str,
-    /// Reference of the invocation, chosen by the caller. All attempts of the invocation have the same
-    /// reference.
+    /// Reference of the invocation, chosen by the caller. The caller uses the same reference for all attempts
+    /// of the invocation.
     pub reference: u64,
-    /// Time at which the call arrived at this machine, in milliseconds since 1970.
+    /// Unix time, in milliseconds, at which the call arrived at this machine.
     pub arrival_unix_ms: u64,
-    /// Memory that the run reserves, in kilobytes.
+    /// Memory that a run of the operation reserves, in kilobytes.
     pub held_kb: f64,
-    /// Body of the call, which is the input of the operation.
+    /// Body of the call: the input of the operation.
     pub body: &'a [u8],
-    /// Number of the balancer that sent the call.
+    /// Number that identifies the balancer that sent the call; `None` if the call states none.
     pub sender: Option<u64>,
-    /// Ticket of a promise of admission, which the caller received with an earlier rejection.
+    /// Ticket for a promise of admission. The caller received the ticket with an earlier rejection; `None` if
+    /// the call has no ticket.
     pub ticket: Option<u64>,
-    /// All fields of the call in encoded form.
+    /// All fields of the call in encoded form: pairs `name=value`, separated by commas.
     pub fields: &'a str,
 }
 
 impl<'a> Call<'a> {
-    /// Returns the value of the field with this name; `None` if the call has no such field.
+    /// Returns the value of the field `name`. Returns `None` if the call has no such field.
     pub fn field(&self, name: &str) -> Option<&'a str> {
         field(self.fields, name)
     }
@@ -101,13 +104,13 @@
     pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
 }
 
-/// Parses a number of exactly 16 hexadecimal digits.
+/// Parses a hexadecimal number, which must have exactly 16 digits.
 fn hex(text: &str) -> Option<u64> {
     let complete = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
     u64::from_str_radix(text, 16).ok().filter(|_| complete)
 }
 
-/// Parses the words of an array into a command.
+/// Parses a command from the words of a RESP array.
 pub fn command<'a>(words: &[&'a [u8]]) -> Command<'a> {
     let tag = words.get(1).and_then(|word| decimal::<u64>(word)).filter(|tag| *tag > 0);
     let invalid = |error| Command::Invalid { tag, error };
@@ -143,8 +146,8 @@
         held_kb: required(fields, "room", held_kb)?,
         body,
         sender: number,
-        // Other deployments may use the field `ticket` for another purpose, so an invalid ticket is
-        // ignored.
+        // An invalid ticket is ignored, because other deployments may use the field `ticket` for another
+        // purpose.
         ticket: field(fields, "ticket").and_then(hex),
         fields,
     })
@@ -162,7 +165,8 @@
     field(fields, name).and_then(read).ok_or_else(|| bad_field(fields, name))
 }
 
-/// Validates the priority rank that the caller states. The rank has no other use.
+/// Checks that the priority rank in the fields of a call is valid. The server does not use the rank
+/// otherwise.
 fn check_rank(fields: &str) -> Result<(), CommandError> {
     let rank = field(fields, "class_rank").map_or(Ok(0.0), str::parse::<f64>);
     let valid = rank.is_ok_and(|rank| (0.0..1.0).contains(&rank));
@@ -173,24 +177,26 @@
     text.parse().ok().filter(|kb| *kb > 0.0 && *kb < RESERVED_MAX_KB)
 }
 
-/// Final answer to a call, or answer to a health check.
+/// Answer that the server sends to a balancer: the final answer to a call, or the answer to a health check.
 #[derive(Debug, PartialEq)]
 pub enum Answer {
-    /// The run succeeded with this result.
+    /// The operation succeeded, with this result.
     Succeeded(Vec<u8>),
-    /// The call was rejected. The operation did not run, or running it again has no further effect.
+    /// The call was rejected. A retry is safe: either the operation did not run, or running it again has no
+    /// further effect.
     Rejected {
-        /// True if the caller must not retry at another server.
+        /// True if the caller must not retry the call on another server.
         no_retry: bool,
-        /// Time after which the caller may retry at this server; 0 if none is advised. With a ticket, the
-        /// retry is promised admission after this time.
+        /// Time, from the rejection, after which the caller may retry on this server; 0 if the server gives
+        /// no such advice. If the answer has a ticket, a retry after this time is promised admission.
         retry_after: Nanos,
-        /// Ticket with which the caller redeems a promise of admission, if one was made.
+        /// Ticket for a promise of admission, which the caller presents with its retry; `None` if no promise
+        /// was made.
         ticket: Option<u64>,
     },
-    /// The call failed, possibly after it had its effect.
+    /// The call failed. The operation may have had its effect before.
     Failed,
-    /// Response to a health check: true if the server is healthy.
+    /// Answer to a health check. True if the server is healthy.
     Health(bool),
 }
 
@@ -206,7 +212,8 @@
     }
 }
 
-/// Appends an encoded answer to `out`, with the load that the server advertises.
+/// Encodes an answer and appends the bytes to `out`. `advertised_load` is the server's load, which the answer
+/// tells the caller.
 pub fn put_answer(out: &mut Vec<u8>, tag: u64, answer: &Answer, advertised_load: Option<f64>) {
     let mut fields = Vec::new();
     if let Some(load) = advertised_load {
@@ -228,8 +235,8 @@
     resp::put_array(out, &[tag.as_bytes(), answer.word().as_bytes(), fields.as_bytes(), body]);
 }
 
-/// Appends an encoded drain request to `out`. The request asks the peer to send no more calls on this
-/// connection.
+/// Encodes a drain request and appends the bytes to `out`. The request asks the peer to send no more calls on
+/// this connection.
 pub fn put_drain(out: &mut Vec<u8>) {
     resp::put_array(out, &[b"0", b"enough"]);
 }
--- a/crates/server/src/wire/tests.rs
+++ b/crates/server/src/wire/tests.rs
@@ -1,4 +1,5 @@
-//! Tests the parsers on complete, truncated, malformed and oversized input. No input may make them panic.
+//! Tests the parsers with complete, truncated, malformed and oversized input. A parser must not panic on any
+//! input.
 
 mod outside_names;
 
@@ -6,7 +7,7 @@
 use meadowstream_overload_control::Outcome;
 use test_case::test_case;
 
-/// Replaces the parsed value by `()`, for checks of the message's length alone.
+/// Replaces the parsed value by `()`, so that a test can check only the length of the message.
 fn length_only<T>(parsed: Parsed<T>) -> Parsed<()> {
     match parsed {
         Parsed::Complete(_, used) => Parsed::Complete((), used),
@@ -15,8 +16,8 @@
     }
 }
 
-/// Checks that a message is parsed regardless of the bytes after it, and that each proper prefix of the
-/// message is incomplete.
+/// Checks two properties of a parser. A message is parsed correctly if other bytes follow. A message of which
+/// the end is missing is reported as incomplete.
 fn assert_prefixes_incomplete(message: &[u8], parse: impl Fn(&[u8]) -> Parsed<()>) {
     for end in 0..message.len() {
         assert!(matches!(parse(&message[..end]), Parsed::Incomplete), "cut at {end}");
@@ -29,8 +30,9 @@
     }
 }
 
-/// Replaces each byte of a message in turn with several others, and parses every prefix that contains the
-/// replacement. Checks that the parser neither panics nor reports a length beyond the input.
+/// Checks that changed messages do not make the parser panic or report a length beyond the input. Each byte
+/// of the message is replaced in turn by several other values. The parser is then called with each prefix
+/// that contains the replaced byte.
 fn assert_mutations_do_not_panic(message: &[u8], parse: impl Fn(&[u8]) -> Parsed<()>) {
     for at in 0..message.len() {
         for byte in [0, b'\r', b'\n', b'-', b'9', b'$', b'"', b':', 0xff] {
