--- a/crates/server/src/calls/pool.rs
+++ b/crates/server/src/calls/pool.rs
@@ -78,8 +78,8 @@
     /// Takes the most recently used idle connection to the address `to` out of the pool. Discards a
     /// connection if the downstream service has closed it, or has sent unexpected data on it.
     ///
-    /// Connections to other addresses stay in the pool until their maximum idle time is over, also if a
-    /// configuration reload has removed the address.
+    /// Connections to other addresses stay in the pool until their maximum idle time is over, even if a
+    /// configuration reload has removed such an address.
     fn reuse(&self, to: SocketAddr, now: Instant) -> Option<PooledConnection> {
         self.close_expired();
         let mut idle = self.idle.borrow_mut();
--- a/crates/server/src/configuration/fleet.rs
+++ b/crates/server/src/configuration/fleet.rs
@@ -65,7 +65,7 @@
 }
 
 /// Builds the fleet settings from the element `<membership>`, without the settings of the shared state. If
-/// the element contains no member name, the member is named `server`. `options_path` is the path of the
+/// the element contains no member name, the parameter `server` is the name. `options_path` is the path of the
 /// options file.
 pub fn fleet_settings(
     membership: &Membership,
--- a/crates/server/src/configuration/load.rs
+++ b/crates/server/src/configuration/load.rs
@@ -1,5 +1,5 @@
-//! Loads a configuration from the platform's file and the options file, and applies the candidate settings
-//! and the replicated configuration on top.
+//! Loads a configuration from the platform's file and the options file. The candidate settings of a rollout
+//! and the replicated configuration override settings of the options file.
 
 use crate::configuration::candidate::{AdoptedBefore, Candidate, read_change};
 use crate::configuration::error::LoadError;
@@ -65,7 +65,8 @@
         options.replication.as_ref().map(|replication| folder.join(&replication.file))
     }
 
-    /// Loads the configuration again and overrides its options by a revision of the replicated configuration.
+    /// Loads the configuration again, with a revision of the replicated configuration that overrides its
+    /// options.
     fn with_replicated(&self, path: &Path, options: &Path, snapshot: Snapshot) -> Result<Self, LoadError> {
         let candidate = self.candidate.borrow().clone();
         let adopted = candidate.as_ref().filter(|candidate| candidate.adopted.is_some());
@@ -149,7 +150,7 @@
     }
 }
 
-/// Reads the server's own options file at `path`, and then overrides its settings by those in `layers`.
+/// Reads the server's own options file at `path`, and then replaces settings by those in `layers`.
 fn read_options(path: &Path, layers: Layers) -> Result<Options, LoadError> {
     let mut options = Options::load(path).map_err(|error| LoadError::Options(error.into()))?;
     if let Some(change) = layers.change {
--- a/crates/server/src/connection/request.rs
+++ b/crates/server/src/connection/request.rs
@@ -24,8 +24,8 @@
     /// The deployment's settings do not contain the operation that the call names.
     #[error("unknown operation {0:?}")]
     UnknownOperation(String),
-    /// The stated arrival time of the call is out of range. It differs from the present time by more than the
-    /// longest client timeout. A caller has given up on a call that arrived so long ago.
+    /// The stated arrival time of the call differs from the present time by more than the longest client
+    /// timeout. If the call arrived that long ago, its caller has already given up.
     #[error("since is out of range: {age_ns} ns ago, limit is {limit_ns} ns")]
     SinceOutOfRange {
         /// Time since the call arrived at the machine, in nanoseconds. Negative if the stated arrival time is
--- a/crates/server/src/connection/state.rs
+++ b/crates/server/src/connection/state.rs
@@ -120,8 +120,8 @@
     /// malformed data.
     reading_ended: bool,
     peer_closed: bool,
-    /// Start of the time limit for the next command. Set while the peer owes bytes: the rest of an incomplete
-    /// command, or the first command of a new connection. `None` otherwise.
+    /// Time at which the time limit for the next command started. Set while the server waits for the rest of
+    /// an incomplete command, or for the first command of a new connection; otherwise `None`.
     command_due_since: Option<Nanos>,
 }
 
--- a/crates/server/src/connection/table.rs
+++ b/crates/server/src/connection/table.rs
@@ -1,5 +1,5 @@
-//! The table of open connections from balancers. Other tasks use it to send notifications to the task of a
-//! connection.
+//! The table of open connections from balancers. Other tasks use the table to send notifications to the task
+//! of a connection.
 
 use crate::wire::rpc::Answer;
 use async_channel::{Receiver, Sender};
--- a/crates/server/src/error.rs
+++ b/crates/server/src/error.rs
@@ -2,7 +2,7 @@
 
 use std::error::Error;
 
-/// An error of any type, boxed. Its causes are available from [`Error::source`].
+/// A boxed error of any type. [`Error::source`] returns its cause.
 pub type BoxError = Box<dyn Error + Send + Sync>;
 
 /// Formats an error and all its causes in one line.
--- a/crates/server/src/event.rs
+++ b/crates/server/src/event.rs
@@ -7,7 +7,7 @@
 use meadowstream_overload_control::{Nanos, Outcome, Sender as TenantSender};
 use std::rc::Rc;
 
-/// A request for an operation. It is created from a call that a balancer has sent.
+/// A request for an operation, created from a call that a balancer has sent.
 pub struct Request {
     /// Connection on which the call was received, and on which it is answered.
     pub connection: Rc<Connection>,
--- a/crates/server/src/event_loop/actions.rs
+++ b/crates/server/src/event_loop/actions.rs
@@ -36,7 +36,7 @@
     pub outcome: Outcome,
 }
 
-/// Executes the actions of the overload controller, (`impl Host`). Owns the state that these actions change.
+/// Executes the actions of the overload controller (`impl Host`). Owns the state that these actions change.
 pub struct ActionExecutor {
     /// State of the server that all its tasks share.
     pub server: Rc<Server>,
@@ -44,7 +44,7 @@
     pub invocations: Invocations,
     /// Table of idempotency keys and of the results of successful invocations with a key.
     pub idempotency: IdempotencyTable,
-    /// The session with the interpreter, which sends commands to it.
+    /// The session with the interpreter. Commands to the interpreter are sent through this session.
     pub session: InterpreterSession,
     /// Timers that the controller has set, and the timeouts of gauge requests that are not yet answered.
     pub timers: TimerQueue,
--- a/crates/server/src/event_loop/mod.rs
+++ b/crates/server/src/event_loop/mod.rs
@@ -1,5 +1,5 @@
-//! The event loop: the task that owns the overload controller. It passes events and expired timers to the
-//! controller, and executes the controller's actions.
+//! The event loop: the task that owns the overload controller. The task passes events and expired timers to
+//! the controller, and executes the controller's actions.
 
 mod actions;
 mod answers;
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Calls the controller with the function `act`. Then notifies the controller of the invocations that
-    /// ended while its actions were executed.
+    /// Runs the function `act`, which calls the controller. Then notifies the controller of the invocations
+    /// that ended while its actions were executed.
     fn with_controller(&mut self, act: impl FnOnce(&mut Controller, Nanos, &mut ActionExecutor)) {
         let Some(controller) = &mut self.controller else { return };
         let actions = &mut self.actions;
@@ -225,8 +225,8 @@
         self.controller = Some(Controller::new(deployment, configuration.seed, started, &mut self.actions));
     }
 
-    /// Cancels all runs, because a restarted interpreter has lost its runs. The controller queues an
-    /// invocation again if a second run is safe. It fails all other invocations.
+    /// Cancels all runs, because a restarted interpreter has lost its runs. If a second run of an invocation
+    /// is safe, the controller queues the invocation again. Otherwise the controller fails the invocation.
     fn cancel_all_runs(&mut self) {
         for id in self.actions.invocations.running() {
             self.handle_run_end(id, Outcome::Cancelled, Vec::new());
--- a/crates/server/src/fleet/control_machine.rs
+++ b/crates/server/src/fleet/control_machine.rs
@@ -1,6 +1,6 @@
-//! `meadowstream control`: a control machine, which is a member of the fleet that serves no callers. It
-//! stores a replica of the log of replicated configuration. While it holds the publishing lease, it publishes
-//! new revisions.
+//! `meadowstream control`: a control machine, which is a member of the fleet that serves no callers. The
+//! machine stores a replica of the log of replicated configuration. While the machine holds the publishing
+//! lease, it publishes new revisions.
 
 use crate::configuration::fleet;
 use crate::configuration::fleet::FleetSettings;
@@ -135,8 +135,8 @@
 
 async fn control(ControlSettings { fleet, replication, file }: ControlSettings) -> Result<()> {
     let mut signals = Signals::new([Signal::Term, Signal::Int])?;
-    // The start fails if the log cannot be read. An empty log must not replace it, because other members may
-    // rely on entries that this replica has acknowledged.
+    // The start fails if the stored log cannot be read. An empty log must not replace the stored log, because
+    // other members may rely on entries that this replica has acknowledged.
     let disk = persisted_revision::read(&file).context("<replication>: file")?;
     let mut fleet_member = NonServingMember::join(&fleet)?;
     let (incarnation, name) = (fleet_member.incarnation, fleet.name.clone());
--- a/crates/server/src/fleet/coordinator.rs
+++ b/crates/server/src/fleet/coordinator.rs
@@ -1,6 +1,6 @@
 //! `meadowstream rollout`: the coordinator of a rollout, which is a member of the fleet that serves no
-//! callers. It holds the rollout lease, saves its state to disk, and in each interval sends orders to the
-//! servers and receives their reports.
+//! callers. The coordinator holds the rollout lease and saves its state to disk. In each interval, it sends
+//! orders to the servers and receives their reports.
 
 use crate::configuration::candidate;
 use crate::configuration::candidate::hash_of;
@@ -261,8 +261,8 @@
     {
         match member.state {
             MemberState::Alive => view.alive.push(member.name),
-            // A member that is down is listed as missing until the membership protocol forgets the member. It
-            // may still be running on the other side of a network partition.
+            // A member that is down is listed as missing until the membership protocol forgets the member.
+            // The member may still be running on the other side of a network partition.
             MemberState::Suspect | MemberState::Down => view.missing.push(member.name),
         }
     }
--- a/crates/server/src/fleet/publish.rs
+++ b/crates/server/src/fleet/publish.rs
@@ -1,7 +1,7 @@
 //! `meadowstream publish`: a command for operators, which changes the replicated configuration of a fleet.
 //!
 //! The command joins the fleet while it runs. It asks the publisher to publish a change or to revert a
-//! revision, and prints which members use the newest revision.
+//! revision. Then it prints which members use the newest revision.
 
 use crate::fleet::control_machine as control;
 use crate::fleet::joined::NonServingMember;
@@ -83,8 +83,8 @@
 struct PublishSession {
     fleet_member: NonServingMember,
     replicas: Vec<String>,
-    /// Index of the replica to which requests are sent, because it is assumed to be the publisher. The index
-    /// is taken modulo the number of replicas.
+    /// Index of the replica that is assumed to be the publisher and therefore receives the requests. The
+    /// index may exceed the number of replicas, and is taken modulo this number.
     publisher: usize,
     /// Time at which the command gives up, in Unix nanoseconds.
     deadline: u64,
@@ -162,7 +162,7 @@
     }
 
     /// Prints which members use the newest revision. If `waits` is true, first waits until all members use
-    /// the newest revision, and its number is at least `wanted`.
+    /// the newest revision and its number has reached `wanted`.
     async fn wait_until_in_force(&mut self, request: RequestId, wanted: u64, waits: bool) -> Result<()> {
         let mut status = String::new();
         let mut request_number = request.number;
--- a/crates/server/src/fleet/rollout.rs
+++ b/crates/server/src/fleet/rollout.rs
@@ -1,7 +1,8 @@
 //! Executes the orders of a rollout on this server, and reports which version the server runs.
 //!
-//! An order asks the server to adopt the settings or the program of the change, or to return to its own. An
-//! adopted change is recorded on disk before it is reported, so that it survives a crash of the server.
+//! An order asks the server to adopt the settings or the program of the change, or to use its own settings or
+//! program again. An adopted change is recorded on disk before the server reports it, so the server still
+//! runs the change after a crash.
 
 use crate::configuration::candidate::hash_of;
 use crate::error::with_causes;
@@ -46,8 +47,8 @@
 
 /// Computes the hash of the running program's file. Does nothing if no rollout can replace the program.
 ///
-/// The file is large, so it is read on the blocking pool after the start. Callers of a restarted server do
-/// not have to wait for it.
+/// The file is large, so it is read on the blocking pool after the start. Callers of a restarted server
+/// therefore do not wait until the file is read.
 pub async fn read_program(server: Rc<Server>) {
     let Some(rollout) = server.rollout.as_ref().filter(|rollout| rollout.program.get().is_none()) else {
         return;
@@ -165,10 +166,10 @@
     written.map_err(AdoptError::WriteMark)
 }
 
-/// Makes the server exit so that its supervisor starts another program. The name of this program is written
-/// to the program mark, a file that the supervisor reads. If `adopt` is `None`, the mark is removed.
+/// Makes the server exit so that its supervisor starts another program. The server writes this program to the
+/// program mark, a file that the supervisor reads. If `adopt` is `None`, the server removes the mark.
 ///
-/// The server leaves as it does on SIGTERM. After its restart, it reports the program that it runs.
+/// The server leaves as it does on SIGTERM. After the restart, the server reports which program it runs.
 async fn change_program(server: Rc<Server>, adopt: Option<u64>) {
     let Some(rollout) = &server.rollout else { return };
     let mark = rollout.candidate.program_mark.clone();
--- a/crates/server/src/fleet/rollout_state.rs
+++ b/crates/server/src/fleet/rollout_state.rs
@@ -27,8 +27,8 @@
 pub struct OwnProgram {
     /// Hash of the program's file.
     pub hash: u64,
-    /// True if the running program is the one that a rollout has named in the program mark, the file for the
-    /// supervisor.
+    /// True if a rollout has selected the running program. A selected program is named in the program mark, a
+    /// file that the server writes for its supervisor.
     pub adopted: bool,
 }
 
@@ -59,8 +59,8 @@
     pub program: Cell<Option<OwnProgram>>,
     /// Channel that signals that the server must exit, so that its supervisor starts another program.
     pub leave: Sender<()>,
-    /// Duration, in nanoseconds, for which an order reserves this server for its plan. For this time, a
-    /// server that runs adopted settings refuses orders of other plans.
+    /// Duration, in nanoseconds, for which an order reserves this server for the order's plan. During this
+    /// time, a server that runs adopted settings refuses orders of other plans.
     pub lease: u64,
     /// The last order that this server accepted.
     pub last_order: RefCell<LastOrder>,
--- a/crates/server/src/interpreter/link/tests.rs
+++ b/crates/server/src/interpreter/link/tests.rs
@@ -8,9 +8,9 @@
 /// Length of each reply in this test, in bytes. It is the maximum length of a downstream call's reply.
 const REPLY_BYTES: usize = 16 * 1024;
 
-/// Long replies that are queued at the same time must all be written to the link. Before, a reply that did
-/// not fit into one write with the other queued commands was dropped. The run that needed the reply then
-/// waited forever.
+/// Long replies that are queued at the same time must all be written to the link. In an earlier version, a
+/// reply that did not fit into one write with the other queued commands was dropped. The run that needed the
+/// reply then waited forever.
 #[test]
 fn long_replies_queued_together_are_all_written() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -1,5 +1,5 @@
-//! A server that receives calls of operations from balancers. An overload controller decides for each call
-//! whether the server admits or rejects it. See `docs/server.md`.
+//! A server that receives calls from balancers. An overload controller decides for each call whether the
+//! server admits or rejects the call. See `docs/server.md`.
 
 #![deny(missing_docs, clippy::too_many_lines)]
 
--- a/crates/server/src/lifecycle/catalog.rs
+++ b/crates/server/src/lifecycle/catalog.rs
@@ -29,7 +29,7 @@
             continue;
         }
         let report = catalog::report(&server.configuration.name, server.health.healthy.get());
-        // Does not block: if the report cannot be sent at once, it is dropped.
+        // Sending does not block: a report that cannot be sent at once is dropped.
         let sent = socket.get_ref().send_to(report.as_bytes(), server.configuration.addresses.get().catalog);
         if let (Err(error), false) = (&sent, has_failed) {
             warn!(%error, "cannot report to the catalog");
--- a/crates/server/src/lifecycle/drain.rs
+++ b/crates/server/src/lifecycle/drain.rs
@@ -10,8 +10,8 @@
 /// Interval between two checks of whether the drain is over.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Number of eighths of the time from the notice to leave until the stop. During this part, the server still
-/// accepts connections.
+/// Part of the time between the notice to leave and the stop in which the server accepts connections, in
+/// eighths.
 ///
 /// Some callers learn of the drain late and still connect. Any answer costs them less than a refused
 /// connection. In the last eighth, connections are refused, because a call that arrives just before the stop
@@ -30,7 +30,8 @@
     server.connections.drain_all();
     Timer::at(noticed_at + accepting).await;
     server.drain.enter(Phase::Closing);
-    // Drains the connections that were accepted after the end of the grace phase and are idle.
+    // Asks the peers of the connections that were accepted after the end of the grace phase to send no more
+    // calls.
     server.connections.drain_all();
 }
 
@@ -38,8 +39,8 @@
 /// - The grace phase is over, and no connection and no event is left.
 /// - The time set with `DrainState::end_by` has passed.
 ///
-/// The server asks each peer to send no more calls: at the end of the grace phase, or with the next answer.
-/// The peer then closes the connection once all its calls are answered.
+/// The server asks each peer to send no more calls, either at the end of the grace phase or together with its
+/// next answer. The peer then closes the connection once all its calls are answered.
 pub fn is_over(server: &Server) -> bool {
     let is_empty = server.connections.count() == 0 && server.events.is_empty();
     (server.drain.is_grace_over() && is_empty) || server.drain.has_stopped(server.clock.now())
--- a/crates/server/src/lifecycle/drain_state.rs
+++ b/crates/server/src/lifecycle/drain_state.rs
@@ -9,8 +9,8 @@
     /// The server is not draining, because it was not notified to leave.
     #[default]
     Serving,
-    /// The server still admits invocations. Callers need time to notice that the server is leaving. If the
-    /// server rejected their calls at once, the fleet would lack its capacity.
+    /// The server still admits invocations, because callers need time to notice that the server is leaving.
+    /// If the server rejected their calls already, the fleet would lack the server's capacity in this time.
     Grace,
     /// The server rejects new invocations but still accepts connections. Callers that connect then receive an
     /// answer, and not a connection error.
--- a/crates/server/src/lifecycle/reload.rs
+++ b/crates/server/src/lifecycle/reload.rs
@@ -91,8 +91,8 @@
     in_force: Arc<Options>,
 }
 
-/// A change of settings that was read and checked, but not applied yet. It is applied in parts, so that the
-/// serving thread is never busy for long.
+/// A change of settings that was read and checked, but not applied yet. The change is applied in parts, so
+/// that the serving thread is never busy for long.
 struct Prepared {
     configuration: Configuration,
     /// Changes of the settings for fair queueing, split into small parts. The event loop applies one part
--- a/crates/server/src/resources/idempotency.rs
+++ b/crates/server/src/resources/idempotency.rs
@@ -43,7 +43,7 @@
 /// Result of looking up the idempotency key of a call in the table.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Lookup {
-    /// The key is not stored, or its idempotency window has ended.
+    /// The call is not a repeat: its key is not stored, or the key's idempotency window has ended.
     New,
     /// The call repeats the invocation with this id: the key is stored, and the body is the same.
     Repeat(u64),
@@ -119,8 +119,8 @@
                     Lookup::BodyMismatch
                 }
             }
-            // The key may still be in the table if its idempotency window has ended. A new invocation then
-            // replaces the old entry.
+            // Reached if the key is not stored, or if the key's idempotency window has ended. In the second
+            // case, the key is assigned to the new invocation.
             _ if self.entries.len() >= self.entries_max => Lookup::TableFull,
             _ => Lookup::New,
         }
@@ -163,8 +163,8 @@
     }
 
     /// Returns the answer to the repeated call with the id `repeat`. If the original invocation has not
-    /// ended, the repeated call must wait. Its id is then returned by [`Self::run_ended`] when the original
-    /// invocation ends.
+    /// ended, the repeated call must wait. When the original invocation ends, [`Self::run_ended`] returns the
+    /// ids of all waiting calls.
     pub fn replay(&mut self, original: u64, repeat: u64) -> Replay {
         match self.entries.get_mut(&original).map(|entry| &mut entry.state) {
             Some(EntryState::Open(waiting)) => {
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -1,5 +1,5 @@
-//! State that the tasks of the server share. The overload controller is not part of this state: it belongs to
-//! the event loop, and other tasks send events to the event loop.
+//! State that the tasks of the server share. The overload controller is not part of this state: the event
+//! loop owns the controller, and other tasks send events to the event loop.
 
 use crate::calls::pool::Pool;
 use crate::configuration::Configuration;
--- a/crates/server/src/wire/interpreter.rs
+++ b/crates/server/src/wire/interpreter.rs
@@ -14,7 +14,8 @@
 /// Notice that the interpreter has sent to the server.
 #[derive(Debug, PartialEq)]
 pub enum Notice {
-    /// The banner: the first notice on each link. It shows that the interpreter has accepted the link.
+    /// The banner, which is the first notice on each link. The banner shows that the interpreter has accepted
+    /// the link.
     Banner {
         /// True if the interpreter is still warming up, so it runs operations more slowly.
         cold: bool,
@@ -186,7 +187,8 @@
     command(&json!({"verb": "BREAK", "task": format!("{task:016x}")}))
 }
 
-/// Encodes the command that passes the reply to a downstream call to the waiting run, which then resumes.
+/// Encodes the command that resumes a run which waits for a downstream call. The command contains the reply
+/// to this call.
 pub fn resolve(task: u64, reply: &[u8]) -> Vec<u8> {
     let (task, bytes) = (format!("{task:016x}"), STANDARD.encode(reply));
     command(&json!({"verb": "RESOLVE", "task": task, "bytes": bytes}))
--- a/crates/server/src/wire/mod.rs
+++ b/crates/server/src/wire/mod.rs
@@ -23,7 +23,8 @@
     Malformed(ParseError),
 }
 
-/// Reason why the received bytes are not a valid message. The prefix names the protocol.
+/// Reason why the received bytes are not a valid message. The description of each variant starts with the
+/// name of its protocol.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub enum ParseError {
     /// RESP: the value has a different type than the parser expects.
--- a/crates/server/src/wire/rpc.rs
+++ b/crates/server/src/wire/rpc.rs
@@ -42,7 +42,7 @@
     /// The second word of the command must be the tag, but it is not a positive number.
     #[error("no tag")]
     MissingTag,
-    /// The first word must be the name of the command, but no command has this name.
+    /// The first word of the command is not the name of a known command.
     #[error("unknown command {0:?}")]
     UnknownCommand(String),
     /// The command is a call but does not have exactly five words.
--- a/crates/server/src/wire/tests.rs
+++ b/crates/server/src/wire/tests.rs
@@ -16,8 +16,8 @@
     }
 }
 
-/// Checks two properties of a parser. A message is parsed correctly if other bytes follow. A message of which
-/// the end is missing is reported as incomplete.
+/// Checks two properties of a parser. A message is parsed correctly if other bytes follow it. A message
+/// without its last bytes is reported as incomplete.
 fn assert_prefixes_incomplete(message: &[u8], parse: impl Fn(&[u8]) -> Parsed<()>) {
     for end in 0..message.len() {
         assert!(matches!(parse(&message[..end]), Parsed::Incomplete), "cut at {end}");
@@ -30,7 +30,7 @@
     }
 }
 
-/// Checks that changed messages do not make the parser panic or report a length beyond the input. Each byte
+/// Checks that modified messages do not make the parser panic or report a length beyond the input. Each byte
 /// of the message is replaced in turn by several other values. The parser is then called with each prefix
 /// that contains the replaced byte.
 fn assert_mutations_do_not_panic(message: &[u8], parse: impl Fn(&[u8]) -> Parsed<()>) {
