--- a/crates/server/src/configuration/candidate.rs
+++ b/crates/server/src/configuration/candidate.rs
@@ -18,7 +18,7 @@
     pub own_hash: u64,
     /// Hash of the candidate settings, if the server has adopted them; otherwise `None`.
     pub adopted: Option<u64>,
-    /// Path of the candidate program, if the options name one.
+    /// Path of the candidate program; `None` if the options name no program.
     pub program: Option<PathBuf>,
     /// Path of the file in which the server names the program that its supervisor starts next.
     pub program_mark: PathBuf,
--- a/crates/server/src/configuration/load.rs
+++ b/crates/server/src/configuration/load.rs
@@ -16,8 +16,8 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// Settings that override those of the server's own options file. The fields are applied in their order, so a
-/// later field overrides an earlier field.
+/// Settings that override settings of the server's own options file. The fields are applied in their order,
+/// so a later field overrides an earlier field.
 #[derive(Clone, Copy, Default)]
 pub struct Layers<'a> {
     /// Path of the candidate settings file of a rollout.
--- a/crates/server/src/connection/accept.rs
+++ b/crates/server/src/connection/accept.rs
@@ -14,7 +14,7 @@
 /// is available.
 const RETRY_AFTER: Duration = Duration::from_millis(10);
 
-/// Result of accepting all connections that wait in the kernel's queue of the listener.
+/// Result of the attempt to accept all connections that wait in the kernel's queue.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Backlog {
     /// No connection was waiting.
--- a/crates/server/src/event_loop/actions.rs
+++ b/crates/server/src/event_loop/actions.rs
@@ -106,8 +106,8 @@
         }
     }
 
-    /// Resends commands that may have been lost with an earlier link: those sent over that link and not yet
-    /// confirmed. The interpreter ignores a command that it received before.
+    /// Resends commands that may have been lost with an earlier link: they were sent over the earlier link,
+    /// and their receipt is not confirmed. The interpreter ignores a command that it has already received.
     pub fn resend_unconfirmed(&mut self) {
         let link = self.session.link();
         let mut lines = Vec::new();
--- a/crates/server/src/event_loop/mod.rs
+++ b/crates/server/src/event_loop/mod.rs
@@ -211,7 +211,7 @@
     }
 
     /// Creates the controller with the current settings. The options may have been reloaded since the server
-    /// started, so they are read again here.
+    /// started, so the present options are used.
     fn start_controller(&mut self, cold: bool, age: Nanos) {
         let server = self.actions.server.clone();
         let configuration = &server.configuration;
--- a/crates/server/src/fleet/coordinator.rs
+++ b/crates/server/src/fleet/coordinator.rs
@@ -87,8 +87,8 @@
 }
 
 /// Requests the rollback of a rollout by writing a request file next to the state file. A running coordinator
-/// reads the request in its next interval. If no coordinator is running, the next one that is started with
-/// this state file reads the request.
+/// reads the request in its next interval. If no coordinator is running, the next coordinator that is started
+/// with this state file reads the request.
 pub fn abort(state: &Path) -> Result<()> {
     let saved = read_state(state)?.with_context(|| format!("{}: no rollout has begun", state.display()))?;
     ensure!(!saved.phase.has_ended(), "the plan has ended already: {}", describe_phase(&saved.phase));
--- a/crates/server/src/fleet/interval_report.rs
+++ b/crates/server/src/fleet/interval_report.rs
@@ -35,7 +35,7 @@
 pub struct HistogramError(hdrhistogram::errors::CreationError);
 
 /// Records answers for reports to a rollout's coordinator, in one class per operation. If the settings define
-/// more operations than a report can hold, only the first ones are recorded.
+/// more operations than a report can hold, only the first operations are recorded.
 pub struct AnswerRecorder {
     classes: RefCell<Vec<Class>>,
 }
--- a/crates/server/src/fleet/rollout.rs
+++ b/crates/server/src/fleet/rollout.rs
@@ -88,8 +88,8 @@
     start_change(server, rollout, &order, program);
     rollout.intervals.set(rollout.intervals.get() + 1);
     let refused = rollout.refused.borrow().clone();
-    // A report with a refusal reason contains no recorded answers, because both together do not fit in one
-    // datagram.
+    // A report with a refusal reason contains no recorded answers, because the reason and the answers
+    // together do not fit in one datagram.
     let classes = if refused.is_some() { Vec::new() } else { rollout.recorder.take() };
     Some(Report { classes, ..rollout.report(&order, program, refused) })
 }
--- a/crates/server/src/fleet/sharing.rs
+++ b/crates/server/src/fleet/sharing.rs
@@ -97,9 +97,9 @@
         }
     }
 
-    /// Announces the known versions to one member of the fleet, a different one each time in round-robin
-    /// order. The first member depends on this server's incarnation, so that servers do not all announce to
-    /// the same member at once.
+    /// Announces the known versions to one member of the fleet. Successive announcements are sent to all
+    /// members in turn. The first member depends on this server's incarnation, so that servers do not all
+    /// announce to the same member at once.
     fn announce_versions(&mut self, server: &Server, shared: &LocalSharedState, now: Nanos) {
         let Some(rollout) = &server.rollout else { return };
         if now < self.announced_at + ANNOUNCE_EVERY_NS {
--- a/crates/server/src/interpreter/link.rs
+++ b/crates/server/src/interpreter/link.rs
@@ -1,4 +1,4 @@
-//! The link, a TCP connection to the interpreter. If the link is lost, a new one is established.
+//! The link, a TCP connection to the interpreter. If the link is lost, a new link is established.
 
 use crate::event::Event;
 use crate::interpreter::incarnation::Incarnation;
@@ -20,7 +20,7 @@
 use tracing::warn;
 
 /// Maximum number of commands that wait to be sent to the interpreter. If the queue overflows because the
-/// interpreter does not read, the link is closed and a new one is established.
+/// interpreter does not read, the link is closed and a new link is established.
 const COMMANDS_MAX: usize = 4096;
 /// Size, in bytes, at which a write to the link is full. Queued commands are added to one write until the
 /// write has at least this size.
