--- a/crates/server/src/calls/pool.rs
+++ b/crates/server/src/calls/pool.rs
@@ -78,8 +78,8 @@
     /// Takes the most recently used idle connection to the address `to` out of the pool. Discards a
     /// connection if the downstream service has closed it, or has sent unexpected data on it.
     ///
-    /// Connections to other addresses stay in the pool until their maximum idle time is over, even if a
-    /// configuration reload has removed such an address.
+    /// Connections to other addresses stay in the pool. If a configuration reload has removed such an
+    /// address, its connections are closed when their idle time is over.
     fn reuse(&self, to: SocketAddr, now: Instant) -> Option<PooledConnection> {
         self.close_expired();
         let mut idle = self.idle.borrow_mut();
--- a/crates/server/src/calls/task.rs
+++ b/crates/server/src/calls/task.rs
@@ -33,8 +33,8 @@
     pub timeout: Nanos,
     /// Body of the request.
     pub body: Vec<u8>,
-    /// True if the downstream call must use a new connection. Otherwise the call may use an idle connection,
-    /// and is lost if the service closes this connection at the same time.
+    /// True if the downstream call must use a new connection. Otherwise the call may use an idle connection.
+    /// If the service closes this connection at the same time, the call is lost.
     pub needs_new_connection: bool,
 }
 
--- a/crates/server/src/configuration/candidate.rs
+++ b/crates/server/src/configuration/candidate.rs
@@ -54,7 +54,7 @@
 }
 
 /// Result of [`Candidate::adopted_before`]: whether the server had adopted candidate settings before its last
-/// stop, and whether they have changed since.
+/// stop, and whether the settings file has changed since.
 pub enum AdoptedBefore {
     /// The server had not adopted any candidate settings.
     NotAdopted,
--- a/crates/server/src/configuration/defaults.rs
+++ b/crates/server/src/configuration/defaults.rs
@@ -14,7 +14,7 @@
 const KEYS_DIVISOR: usize = 4;
 /// Default name of the call field that holds the idempotency key.
 const KEY_FIELD: &str = "replay";
-/// Default name of the call field that holds the tenant.
+/// Default name of the call field that holds the tenant's name.
 pub const TENANT_FIELD: &str = "project";
 
 /// Contradiction between the deployment's settings and the options file. Usually one of the two files was
@@ -24,7 +24,7 @@
     /// The settings name a downstream service, but its address is missing.
     #[error("records is missing, though settings: family-info.below names a tier or a dependency")]
     MissingRecords,
-    /// The options file contains settings of idempotency keys, but no operation is idempotent with a key.
+    /// The options file contains settings for idempotency keys, but no operation is idempotent with a key.
     #[error("options: <tokens>: no operation has the effect by_key")]
     UnusedKeys,
     /// The options file defines a reply that replaces skipped downstream calls, but no operation may skip
@@ -73,8 +73,8 @@
     /// Returns an error if the settings require a downstream service but the platform's file contains no
     /// address for it.
     pub(super) fn fill_defaults(&mut self) -> Result<(), MismatchError> {
-        // This process stores the idempotency keys within its own memory limit. The memory used by keys is
-        // therefore set to 0 in the deployment's settings.
+        // This process stores the idempotency keys within its own memory limit. In the deployment's settings,
+        // the memory for a key is therefore set to 0.
         self.settings.deployment.idempotency_entry_kb = 0.0;
         self.default_keys();
         self.default_reply();
--- a/crates/server/src/configuration/fleet.rs
+++ b/crates/server/src/configuration/fleet.rs
@@ -23,7 +23,7 @@
 pub struct FleetSettings {
     /// Address of the UDP socket.
     pub bind: SocketAddr,
-    /// Address to which other members send datagrams to this member, if the address differs from `bind`.
+    /// Address of this member to which other members send datagrams; `None` if this address equals `bind`.
     pub advertise: Option<SocketAddr>,
     /// Name of this member.
     pub name: String,
@@ -123,7 +123,7 @@
 }
 
 /// Returns all budgets that the options require: first the budget of downstream calls, if there is one, then
-/// one budget for each lease.
+/// one budget for each lease that is required.
 fn budgets(options: &Options) -> Result<Vec<BudgetSettings>, FleetError> {
     let mut budgets = Vec::new();
     if let Some(calls) = options.shared_state.as_ref().and_then(|shared| shared.budget.as_ref()) {
--- a/crates/server/src/configuration/leases.rs
+++ b/crates/server/src/configuration/leases.rs
@@ -1,5 +1,5 @@
-//! Names of the leases. At most one process of the fleet holds a lease at a time, because a lease is a budget
-//! of one unit. Servers vote on the leases, but never request one.
+//! Names of the leases. A lease is a budget of one unit, so at most one process of the fleet holds the lease
+//! at a time. Servers vote on leases, but never request a lease.
 
 /// Name of the lease that the coordinator of a rollout holds.
 pub const ROLLOUTS: &str = "rollouts";
--- a/crates/server/src/configuration/load.rs
+++ b/crates/server/src/configuration/load.rs
@@ -65,8 +65,8 @@
         options.replication.as_ref().map(|replication| folder.join(&replication.file))
     }
 
-    /// Loads the configuration again, with a revision of the replicated configuration that overrides its
-    /// options.
+    /// Loads the configuration again, with a revision of the replicated configuration. The revision overrides
+    /// settings of the options file.
     fn with_replicated(&self, path: &Path, options: &Path, snapshot: Snapshot) -> Result<Self, LoadError> {
         let candidate = self.candidate.borrow().clone();
         let adopted = candidate.as_ref().filter(|candidate| candidate.adopted.is_some());
--- a/crates/server/src/configuration/mod.rs
+++ b/crates/server/src/configuration/mod.rs
@@ -51,7 +51,7 @@
     pub addresses: Cell<Addresses>,
     /// Seed for all random number generators of the server.
     pub seed: u64,
-    /// Time from the notice to leave the fleet until the process stops, in milliseconds.
+    /// Time from the notice to leave (SIGTERM) until the process is stopped, in milliseconds.
     pub stop_ms: u64,
     /// Memory limit, in MiB.
     pub memory_mb: u64,
--- a/crates/server/src/connection/request.rs
+++ b/crates/server/src/connection/request.rs
@@ -112,7 +112,7 @@
     }
 
     /// Returns how long the caller waits for the answer, counted from the arrival of the call. Returns `None`
-    /// if the call states no timeout, or if timeouts are disabled in the settings.
+    /// if the call states no timeout, or if the deployment's settings say that calls state no timeouts.
     fn client_timeout(&self, call: &rpc::Call) -> Result<Option<Nanos>, RequestError> {
         if !self.configuration.settings.passes_deadline {
             return Ok(None);
--- a/crates/server/src/connection/state.rs
+++ b/crates/server/src/connection/state.rs
@@ -279,8 +279,8 @@
         was_open
     }
 
-    /// Encodes an answer and queues it for sending. `advertised_load` is the server's load, which the answer
-    /// tells the caller.
+    /// Encodes an answer and queues it for sending. The answer reports `advertised_load`, the load of the
+    /// server.
     pub fn queue_answer(
         &mut self,
         now: Nanos,
--- a/crates/server/src/connection/table.rs
+++ b/crates/server/src/connection/table.rs
@@ -76,7 +76,8 @@
         self.closes_if_idle.set(false);
     }
 
-    /// Requests the peer to send no more calls on the connection, unless this was requested before.
+    /// Queues a drain request, which asks the peer to send no more calls on the connection. Does nothing if a
+    /// drain request was queued before.
     pub fn drain(&self) {
         if !self.draining.replace(true) {
             self.notify(Notification::Drain);
@@ -94,16 +95,16 @@
     }
 }
 
-/// Health and load of the server, as set by the controller. Answers to health checks report the health;
-/// answers to calls advertise the load.
+/// Health and load of the server, as set by the controller. Answers to health checks report the health. All
+/// answers advertise the load.
 pub struct HealthStatus {
     /// Answer to health checks. True if the server is healthy and callers may send calls to it.
     pub healthy: Cell<bool>,
-    /// Load that is advertised in each answer to a call; `None` until the controller sets a load.
+    /// Load that each answer advertises; `None` until the controller sets a load.
     pub advertised_load: Cell<Option<f64>>,
 }
 
-/// The table of open connections of balancers.
+/// The table of open connections from balancers.
 #[derive(Default)]
 pub struct Connections {
     open: RefCell<BTreeMap<u64, Rc<Connection>>>,
@@ -131,15 +132,16 @@
         self.open.borrow().len()
     }
 
-    /// Requests the peers of all open connections to send no more calls on these connections.
+    /// Queues a drain request on each open connection. The request asks the peer to send no more calls on the
+    /// connection.
     pub fn drain_all(&self) {
         for connection in self.open.borrow().values() {
             connection.drain();
         }
     }
 
-    /// Requests the peer of each connection that has been idle since the time `since` to send no more calls
-    /// on the connection.
+    /// Queues a drain request on each connection that has been idle since the time `since`. The request asks
+    /// the peer to send no more calls on the connection.
     pub fn drain_idle_since(&self, since: Nanos) {
         for connection in self.open.borrow().values() {
             if connection.is_idle_since(since) {
@@ -148,8 +150,9 @@
         }
     }
 
-    /// Tells the task of one idle connection to close the connection. Connections that have never received a
-    /// command are closed first. Among these, the connection with the longest idle time is closed first.
+    /// Tells the task of one idle connection to close the connection. Chooses a connection that has never
+    /// received a command, if there is one. Among several candidates, chooses the one with the longest idle
+    /// time.
     ///
     /// Returns false if no connection has been idle long enough.
     pub fn close_one_idle(&self, now: Nanos) -> bool {
--- a/crates/server/src/error.rs
+++ b/crates/server/src/error.rs
@@ -2,7 +2,7 @@
 
 use std::error::Error;
 
-/// A boxed error of any type. [`Error::source`] returns its cause.
+/// A boxed error of any type. [`Error::source`] returns the cause of the error.
 pub type BoxError = Box<dyn Error + Send + Sync>;
 
 /// Formats an error and all its causes in one line.
--- a/crates/server/src/event.rs
+++ b/crates/server/src/event.rs
@@ -33,7 +33,7 @@
     pub body: Vec<u8>,
     /// Idempotency key of the call; `None` if the operation uses no key.
     pub idempotency_key: Option<Vec<u8>>,
-    /// Tenant and origin of the call; `None` unless fair queueing divides the capacity among tenants.
+    /// Tenant and origin of the call, for fair queueing; `None` if fair queueing is disabled.
     pub sender: Option<TenantSender>,
 }
 
@@ -43,12 +43,12 @@
     Arrived(Box<Request>),
     /// A connection has broken. The callers on this connection no longer wait for answers.
     ConnectionLost {
-        /// Id of the broken connection in the table of connections.
+        /// Id of the broken connection.
         connection: u64,
     },
     /// A caller has cancelled a call.
     Cancelled {
-        /// Id, in the table of connections, of the connection on which the call was made.
+        /// Id of the connection on which the cancelled call was received.
         connection: u64,
         /// Tag of the call.
         tag: u64,
@@ -82,8 +82,8 @@
         /// Duration of the downstream call, in nanoseconds.
         duration: Nanos,
     },
-    /// The fleet's budget of downstream calls has free capacity again. Downstream calls that the controller
-    /// has delayed can be made.
+    /// Downstream calls are permitted again. Earlier, the fleet's call budget or the health of the services
+    /// did not permit them. The controller can now make the calls that it has delayed.
     DownstreamCapacity,
     /// Request to log which tenants have the highest demand.
     LogTenants,
--- a/crates/server/src/event_loop/actions.rs
+++ b/crates/server/src/event_loop/actions.rs
@@ -30,7 +30,7 @@
 
 /// A repeated call that was answered with the outcome of an earlier invocation with the same idempotency key.
 pub struct Replayed {
-    /// Id of the invocation that stands for the repeated call.
+    /// Id of the invocation that was registered for the repeated call.
     pub invocation: u64,
     /// Outcome of the earlier, original invocation.
     pub outcome: Outcome,
@@ -155,7 +155,7 @@
     }
 
     /// Stops the run of a closed invocation if the run waits for a downstream call. The call will not be
-    /// made, so the run would never end and the controller would always count it as waiting.
+    /// made, so the run would never end, and the controller would always count the run as waiting.
     ///
     /// The run of an operation that is idempotent with a key is not stopped, because its result may still
     /// answer repeated calls.
@@ -201,7 +201,7 @@
     }
 
     /// Answers a repeated call once the original invocation has ended. `result` is `None` if the original
-    /// invocation failed or its result is no longer stored.
+    /// invocation failed or its result is not available.
     pub fn answer_repeat(&mut self, id: u64, result: Option<Vec<u8>>) {
         let outcome = if result.is_some() { Outcome::Succeeded } else { Outcome::Failed };
         self.answer(id, result.map_or(Answer::Failed, Answer::Succeeded));
@@ -227,8 +227,8 @@
         }
     }
 
-    /// Returns what happens if an operation runs repeatedly: it is idempotent, not idempotent, or idempotent
-    /// with a key.
+    /// Returns the effect of running an operation repeatedly: idempotent, not idempotent, or idempotent with
+    /// a key.
     pub fn effect(&self, operation: usize) -> Effect {
         self.server.configuration.settings.deployment.operations[operation].effect
     }
--- a/crates/server/src/event_loop/timers.rs
+++ b/crates/server/src/event_loop/timers.rs
@@ -7,7 +7,7 @@
 /// Action that the event loop performs when a timer fires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    /// Notify the controller that the timer with this number, which the controller has set, has expired.
+    /// Notify the controller that one of its timers has expired: the timer with this number.
     Controller(u32),
     /// Give up a gauge request if the interpreter has not responded to it yet.
     GaugesOverdue {
@@ -44,7 +44,8 @@
         self.entries.peek().map(|Reverse(entry)| entry.fires_at)
     }
 
-    /// Removes the next timer and returns it if its time has been reached at `now`. Returns `None` otherwise.
+    /// Removes and returns the next timer if its time has been reached at `now`. Otherwise returns `None` and
+    /// keeps the timer.
     pub fn pop_due(&mut self, now: Nanos) -> Option<Timer> {
         if self.next_at()? > now {
             return None;
--- a/crates/server/src/fleet/control_machine.rs
+++ b/crates/server/src/fleet/control_machine.rs
@@ -38,8 +38,8 @@
     pub file: PathBuf,
 }
 
-/// Reads the settings from the options file at `path`. If `name` is given, it replaces the member name from
-/// the options.
+/// Reads the settings from the options file at `path`. If `name` is given, this name replaces the member name
+/// in the options.
 pub fn read_settings(path: &Path, name: Option<&str>) -> Result<ControlSettings> {
     let options_path = path.display();
     let options = Options::load(path)?;
@@ -73,7 +73,7 @@
     async_io::block_on(control(settings))
 }
 
-/// Status of a control machine. The status is logged when one of these values changes.
+/// Status of a control machine. The status is logged when it changes.
 #[derive(Default, PartialEq, Eq)]
 struct ControlStatus {
     is_leader: bool,
--- a/crates/server/src/fleet/interval_report.rs
+++ b/crates/server/src/fleet/interval_report.rs
@@ -18,7 +18,7 @@
 pub enum AnswerOutcome {
     /// The invocation succeeded, and the answer carries its result.
     Succeeded,
-    /// The invocation was rejected without having run.
+    /// The invocation was rejected. The caller can safely retry it.
     Rejected,
     /// The invocation failed.
     Failed,
@@ -54,7 +54,7 @@
     }
 
     /// Records an answer that was sent `latency_ns` nanoseconds after the call arrived. `late` is true if the
-    /// caller's timeout had passed by then.
+    /// client timeout of the operation had passed by then.
     pub fn record_answer(&self, operation: usize, outcome: AnswerOutcome, latency_ns: u64, late: bool) {
         let mut classes = self.classes.borrow_mut();
         let Some(Class { figures, latency }) = classes.get_mut(operation) else { return };
@@ -67,7 +67,8 @@
         }
     }
 
-    /// Returns the figures of all answers recorded since the previous call of this function, and resets them.
+    /// Returns the figures of all answers recorded since the previous call of this function, and resets the
+    /// figures.
     pub fn take(&self) -> Vec<IntervalMetrics> {
         let taken = |Class { figures, latency }: &mut Class| {
             let p95_us = if latency.is_empty() { 0 } else { latency.value_at_quantile(0.95) };
--- a/crates/server/src/fleet/joined.rs
+++ b/crates/server/src/fleet/joined.rs
@@ -95,7 +95,7 @@
         })
     }
 
-    /// Queues a message on this topic for the member with the name `to`.
+    /// Queues a message for the member with the name `to`, on the topic with the number `topic`.
     pub fn send(&mut self, to: &str, topic: u16, body: Vec<u8>) {
         self.shared.send_other(to, topic, body);
     }
--- a/crates/server/src/fleet/replication.rs
+++ b/crates/server/src/fleet/replication.rs
@@ -19,7 +19,7 @@
 use std::rc::Rc;
 use tracing::{info, warn};
 
-/// Interval, in nanoseconds, between two checks of whether the application of a revision has ended.
+/// Interval, in nanoseconds, between two checks of whether a revision has been applied or rejected.
 const OUTCOME_POLL_INTERVAL_NS: Nanos = 10_000_000;
 /// Interval, in nanoseconds, at which the status is logged if it does not change.
 const LOG_EVERY_NS: Nanos = 10_000_000_000;
--- a/crates/server/src/fleet/rollout.rs
+++ b/crates/server/src/fleet/rollout.rs
@@ -166,8 +166,9 @@
     written.map_err(AdoptError::WriteMark)
 }
 
-/// Makes the server exit so that its supervisor starts another program. The server writes this program to the
-/// program mark, a file that the supervisor reads. If `adopt` is `None`, the server removes the mark.
+/// Makes the server exit so that its supervisor starts another program. The supervisor reads the path of this
+/// program from a file, the program mark, which is written here. If `adopt` is `None`, the program mark is
+/// removed.
 ///
 /// The server leaves as it does on SIGTERM. After the restart, the server reports which program it runs.
 async fn change_program(server: Rc<Server>, adopt: Option<u64>) {
--- a/crates/server/src/fleet/shared_state.rs
+++ b/crates/server/src/fleet/shared_state.rs
@@ -48,7 +48,7 @@
     /// [`COUNTER_KEYS`].
     counted: [u64; 4],
     /// Number of amounts that could not be added to the fleet's counts, because the maximum number of keys
-    /// was reached.
+    /// was reached or the key has an invalid length.
     uncounted: u64,
 }
 
@@ -126,8 +126,8 @@
     }
 
     /// Returns whether one more downstream call is permitted by the call budget and by the health of the
-    /// downstream services. If the budget refuses, this server's demand for budget units includes the
-    /// `waiting` runs that wait for a call.
+    /// downstream services. If the budget does not permit the call, this server's demand for budget units
+    /// includes the `waiting` runs that wait for a call.
     pub fn is_call_permitted(&self, waiting: usize, preference: CallPreference) -> bool {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
@@ -191,14 +191,14 @@
     }
 
     /// Returns the name of a tenant for use in the keys of counts. Returns `None` if the tenant has no
-    /// separate count. Otherwise callers could create any number of keys.
+    /// separate count, because callers could otherwise create any number of keys by inventing tenants.
     pub fn tenant(&self, name: &[u8]) -> Option<String> {
         self.named_tenants.borrow().contains(name).then(|| String::from_utf8_lossy(name).into_owned())
     }
 
-    /// Adds `amount` to the fleet's count with the key `kind/operation`. For a tenant with a separate count,
-    /// also adds it to `kind/operation/tenant`. The amount is dropped if no more keys can be created; the log
-    /// shows how often this has happened.
+    /// Adds `amount` to the fleet's count with the key `kind/operation`. If the tenant has a separate count,
+    /// the amount is also added to `kind/operation/tenant`. The amount is dropped if a new key cannot be
+    /// created; the log shows how often this has happened.
     pub fn count(&self, kind: &str, operation: &str, tenant: Option<&str>, amount: u64) {
         let mut inner = self.inner.borrow_mut();
         let overall_key = format!("{kind}/{operation}");
@@ -235,7 +235,7 @@
         received.into_iter().map(|other| (other.from, other.topic, other.body)).collect()
     }
 
-    /// Queues a message for the member with the name `to`. The topic is one other than the shared state.
+    /// Queues a message for the member with the name `to`, on a topic other than the shared state.
     pub fn send_other(&self, to: &str, topic: u16, body: Vec<u8>) {
         self.inner.borrow_mut().state.send_other(to, topic, body);
     }
--- a/crates/server/src/fleet/sharing.rs
+++ b/crates/server/src/fleet/sharing.rs
@@ -24,7 +24,7 @@
 /// State that is kept between two calls of [`Sharing::advance`].
 #[derive(Default)]
 pub struct Sharing {
-    /// Client of replicated configuration; `None` if the options do not enable it.
+    /// Client of replicated configuration; `None` if the options do not enable replicated configuration.
     replication: Option<Replication>,
     directory: Directory,
     /// Time at which [`Sharing::advance`] has work to do even if no message arrives, in Unix nanoseconds.
@@ -40,9 +40,8 @@
         Self { replication, ..Self::default() }
     }
 
-    /// Handles received messages, and performs the work that is due. If a message was received or the time
-    /// [`Sharing::due`] was reached, also advances replicated configuration and shared state, announces
-    /// versions, and writes the log.
+    /// Handles received messages. If a message was received or the time [`Sharing::due`] was reached, also
+    /// advances replicated configuration and shared state, announces versions, and writes the log.
     pub fn advance(&mut self, server: &Rc<Server>, membership: &mut Membership, now: Nanos) {
         let Some(shared) = &server.shared else {
             self.due = Nanos::MAX;
--- a/crates/server/src/interpreter/link/tests.rs
+++ b/crates/server/src/interpreter/link/tests.rs
@@ -5,7 +5,7 @@
 use std::io::Read;
 use std::net::TcpListener;
 
-/// Length of each reply in this test, in bytes. It is the maximum length of a downstream call's reply.
+/// Length of each reply in this test, in bytes: the maximum length of a downstream call's reply.
 const REPLY_BYTES: usize = 16 * 1024;
 
 /// Long replies that are queued at the same time must all be written to the link. In an earlier version, a
--- a/crates/server/src/lifecycle/changes.rs
+++ b/crates/server/src/lifecycle/changes.rs
@@ -7,7 +7,7 @@
 /// Names of the tenants for which the fleet keeps separate counts.
 pub type TenantNames = Arc<HashSet<Vec<u8>>>;
 
-/// A lock and a flag which ensure that only one change of settings is applied at a time.
+/// A lock, so that only one change of settings is applied at a time, and a flag for merging reload requests.
 #[derive(Default)]
 pub struct Changes {
     /// Lock that is held while a change of settings is applied.
--- a/crates/server/src/lifecycle/drain.rs
+++ b/crates/server/src/lifecycle/drain.rs
@@ -10,8 +10,8 @@
 /// Interval between two checks of whether the drain is over.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Part of the time between the notice to leave and the stop in which the server accepts connections, in
-/// eighths.
+/// Part of the drain in which the server accepts connections, in eighths of the time from the notice to leave
+/// until the process stops.
 ///
 /// Some callers learn of the drain late and still connect. Any answer costs them less than a refused
 /// connection. In the last eighth, connections are refused, because a call that arrives just before the stop
@@ -36,7 +36,7 @@
 }
 
 /// Returns whether the server may exit. There are two cases:
-/// - The grace phase is over, and no connection and no event is left.
+/// - The grace phase is over, no connection is open, and no event is queued.
 /// - The time set with `DrainState::end_by` has passed.
 ///
 /// The server asks each peer to send no more calls, either at the end of the grace phase or together with its
--- a/crates/server/src/lifecycle/drain_state.rs
+++ b/crates/server/src/lifecycle/drain_state.rs
@@ -13,7 +13,7 @@
     /// If the server rejected their calls already, the fleet would lack the server's capacity in this time.
     Grace,
     /// The server rejects new invocations but still accepts connections. Callers that connect then receive an
-    /// answer, and not a connection error.
+    /// answer instead of a connection error.
     Rejecting,
     /// The server accepts no more connections, because it is about to stop.
     Closing,
@@ -23,7 +23,7 @@
 #[derive(Default)]
 pub struct DrainState {
     phase: Cell<Phase>,
-    /// Time at which the server was notified to leave; `None` before.
+    /// Time at which the server was notified to leave; `None` if there was no notice.
     noticed_at: Cell<Option<Nanos>>,
     /// Time at which the process exits at the latest. Set only if the server leaves to be replaced by another
     /// program, because no supervisor stops the process in this case.
@@ -42,12 +42,12 @@
         self.phase.set(phase);
     }
 
-    /// Returns the time at which the server was notified to leave, or `None` if it was not.
+    /// Returns the time at which the server was notified to leave, or `None` if there was no notice.
     pub fn noticed_at(&self) -> Option<Nanos> {
         self.noticed_at.get()
     }
 
-    /// Returns whether the grace phase is over, so that the server rejects new invocations.
+    /// Returns whether the grace phase is over. The server then rejects new invocations.
     pub fn is_grace_over(&self) -> bool {
         self.phase.get() >= Phase::Rejecting
     }
--- a/crates/server/src/lifecycle/pause.rs
+++ b/crates/server/src/lifecycle/pause.rs
@@ -16,14 +16,13 @@
 }
 
 impl Span {
-    /// Returns the total duration of two pieces of work: this one, and the piece `next` that directly
-    /// follows.
+    /// Returns the total duration of this piece of work and of the piece `next`, which follows directly.
     pub fn followed_by(self, next: Span) -> Span {
         Span { wall: self.wall + next.wall, processor: self.processor + next.processor }
     }
 }
 
-/// Measures how long the current thread has worked since the stopwatch was started.
+/// Measures the duration of work on the current thread, from the start of the stopwatch.
 pub struct Stopwatch {
     started: Instant,
     /// Total processor time of the thread at the start of the stopwatch.
@@ -57,8 +56,9 @@
     /// Longest wall-clock time and longest processor time of all pauses. The two values may come from
     /// different pauses.
     pub longest: Span,
-    /// Number of the change's last part in the pause with the longest processor time. Parts are numbered from
-    /// 1. The value is 0 if this pause was the swap of the configuration, which precedes the first part.
+    /// Number of the last part of the change that belongs to the pause with the longest processor time. Parts
+    /// are numbered from 1. The value is 0 if this pause was the swap of the configuration, which precedes
+    /// the first part.
     pub longest_part: usize,
     parts: usize,
     /// Duration of the current pause: the total time of all parts of the change that were applied since the
@@ -84,8 +84,8 @@
         self.longest.processor = self.longest.processor.max(self.uninterrupted.processor);
     }
 
-    /// Ends the current pause. Called when the event loop waits for its next event, so that other tasks of
-    /// the thread can run.
+    /// Ends the current pause. Called when the event loop waits for its next event: the thread then runs
+    /// other tasks.
     pub fn interrupt(&mut self) {
         self.uninterrupted = Span::default();
     }
--- a/crates/server/src/lifecycle/reload.rs
+++ b/crates/server/src/lifecycle/reload.rs
@@ -47,7 +47,7 @@
         #[source]
         error: std::io::Error,
     },
-    /// The candidate settings file has a different hash than the rollout's order states.
+    /// The hash of the candidate settings file differs from the hash in the rollout's order.
     #[error("{path} has the hash {found:016x}, not {expected:016x}")]
     OtherHash {
         /// Path of the file.
@@ -175,8 +175,9 @@
     apply(server, adopted(server), Some(snapshot), Some((file, saved))).await
 }
 
-/// Adopts the candidate settings of a rollout, whose hash is `change`. If `change` is `None`, returns to the
-/// server's own settings. If an error is returned, the server continues with the previous settings.
+/// Adopts the candidate settings of a rollout. `change` is the hash of these settings. If `change` is `None`,
+/// returns to the server's own settings. If an error is returned, the server continues with the previous
+/// settings.
 pub async fn adopt(server: &Rc<Server>, change: Option<u64>) -> Result<(), ReloadError> {
     let _guard = server.changes.lock.lock().await;
     let candidate = server.configuration.candidate.borrow().clone();
--- a/crates/server/src/lifecycle/reload_check.rs
+++ b/crates/server/src/lifecycle/reload_check.rs
@@ -85,7 +85,7 @@
 }
 
 /// Returns the old and the new settings of tenants, or `None` if the options do not configure tenants.
-/// Weights and quotas may have changed. Returns an error if another setting of tenants has changed.
+/// Weights and quotas may differ. Returns an error if another difference requires a restart.
 pub fn changed_tenants<'a>(
     old: &'a Options,
     new: &'a Options,
--- a/crates/server/src/lifecycle/start.rs
+++ b/crates/server/src/lifecycle/start.rs
@@ -123,8 +123,8 @@
     let address = configuration.listen;
     let failed = |error| StartError::Listen { address, error };
     let listener = Async::<TcpListener>::bind(address).map_err(failed)?;
-    // Sets a longer queue for waiting connections. The standard library sets a length of 128, so connections
-    // could be dropped when many arrive at once.
+    // Sets the length of the kernel's queue of waiting connections. The standard library sets a length of
+    // 128, so connections could be dropped when many arrive at once.
     let backlog = configuration.sockets.min(i32::MAX as usize) as i32;
     rustix::net::listen(listener.get_ref(), backlog).map_err(|error| failed(error.into()))?;
     Ok(listener)
--- a/crates/server/src/resources/descriptors.rs
+++ b/crates/server/src/resources/descriptors.rs
@@ -7,7 +7,8 @@
 /// Number of descriptors that the server opens after its start without reserving them: one for the link to
 /// the interpreter, and one for the UDP socket for reports to the service registry.
 const OPENED_AFTER_START: usize = 2;
-/// Number of descriptors that are assumed to be open at the start of the server, if they cannot be counted.
+/// Number of descriptors that are assumed to be open at the start of the server, if the open descriptors
+/// cannot be counted.
 const OPEN_AT_START_FALLBACK: usize = 13;
 /// Divisor of the number of available descriptors. The result is the size of the reserve, which callers'
 /// connections may not use.
@@ -49,8 +50,8 @@
 }
 
 impl Descriptors {
-    /// Creates a pool for a process that may open `limit` descriptors in total. The descriptors that are
-    /// already open cannot be reserved.
+    /// Creates a pool for a process that may open `limit` descriptors in total. Descriptors that are already
+    /// open, or that the server opens without a reservation, are not part of the pool.
     pub fn with_limit(limit: usize) -> Result<Self, TooFewDescriptors> {
         let open =
             std::fs::read_dir("/proc/self/fd").map_or(OPEN_AT_START_FALLBACK, |entries| entries.count() - 1);
--- a/crates/server/src/resources/idempotency.rs
+++ b/crates/server/src/resources/idempotency.rs
@@ -26,8 +26,7 @@
     Open(Vec<u64>),
     /// The invocation succeeded, and its result is stored here.
     Succeeded(Vec<u8>),
-    /// The invocation failed, or it succeeded but its result is no longer stored. The run may have had its
-    /// effect.
+    /// The invocation failed, or it succeeded but its result is not stored. The run may have had its effect.
     Failed,
 }
 
@@ -61,7 +60,7 @@
     Pending,
     /// The original invocation succeeded, with this result.
     Result(Vec<u8>),
-    /// The original invocation failed, or its result is no longer stored.
+    /// The original invocation failed, or its result is not stored.
     Failed,
 }
 
@@ -184,8 +183,9 @@
         }
     }
 
-    /// Records that the run of an invocation has ended. `result` is `None` if the run did not succeed.
-    /// Returns the ids of the repeated calls that were waiting for the outcome.
+    /// Records that the run of an invocation has ended. `result` is `None` if the run did not succeed or its
+    /// result is too long to be stored. Returns the ids of the repeated calls that were waiting for the
+    /// outcome.
     pub fn run_ended(&mut self, invocation: u64, result: Option<&[u8]>) -> Vec<u64> {
         let Some(entry) = self.entries.get_mut(&invocation) else { return Vec::new() };
         let state = result.map_or(EntryState::Failed, |result| EntryState::Succeeded(result.to_vec()));
--- a/crates/server/src/resources/invocations.rs
+++ b/crates/server/src/resources/invocations.rs
@@ -39,11 +39,11 @@
     /// Number of the link over which the server last sent a command to stop the run. `None` if no such
     /// command was sent.
     pub stop_link: Option<u64>,
-    /// Body of the downstream call for which the run waits; empty if the run waits for no call.
+    /// Body of the downstream call for which the run waits. Emptied when the run resumes.
     pub call_body: Vec<u8>,
     /// True while the run waits for the reply to a downstream call.
     pub awaits_call: bool,
-    /// Downstream call of the run that is in progress; `None` if there is none.
+    /// Downstream call that is in progress for the run; `None` if no call is in progress.
     pub call: Option<RunningCall>,
     /// Index of the downstream service that received the invocation's most recent downstream call.
     pub last_service: Option<usize>,
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -39,10 +39,10 @@
     pub events: Sender<Event>,
     /// Open connections of balancers.
     pub connections: Connections,
-    /// Health of the server, reported in answers to health checks, and load of the server, advertised in
-    /// answers to calls.
+    /// The server's health and load. Answers to health checks report the health, and all answers advertise
+    /// the load.
     pub health: HealthStatus,
-    /// Pool of file descriptors, which limits how many the server uses.
+    /// Pool of file descriptors, which limits how many descriptors the server uses.
     pub descriptors: Descriptors,
     /// Idle connections to downstream services, for reuse by later calls.
     pub pool: Pool,
--- a/crates/server/src/wire/http.rs
+++ b/crates/server/src/wire/http.rs
@@ -55,7 +55,7 @@
 
     /// Returns the length of the reply's body. The header Content-Length may be missing only if the status is
     /// an error. If the header occurs several times, all values must be equal. Otherwise the end of the reply
-    /// would be ambiguous, and bytes of another message could be taken for its body.
+    /// would be ambiguous, and bytes of another message could be taken for a part of this reply.
     fn content_length(&self) -> Result<usize, ParseError> {
         if self.first("Transfer-Encoding").is_some() {
             return Err(ParseError::TransferEncoding);
--- a/crates/server/src/wire/interpreter.rs
+++ b/crates/server/src/wire/interpreter.rs
@@ -170,8 +170,8 @@
     line
 }
 
-/// Encodes the command that opens a link. In response, the interpreter sends again all notices whose index is
-/// greater than `last_read`.
+/// Encodes the command that opens a link. In response, the interpreter sends all notices whose index is
+/// greater than `last_read`, so that no notice is lost with an earlier link.
 pub fn connect(last_read: u64) -> Vec<u8> {
     command(&json!({"verb": "CONNECT", "index": last_read}))
 }
--- a/crates/server/src/wire/rpc.rs
+++ b/crates/server/src/wire/rpc.rs
@@ -85,8 +85,8 @@
     pub body: &'a [u8],
     /// Number that identifies the balancer that sent the call; `None` if the call states none.
     pub sender: Option<u64>,
-    /// Ticket for a promise of admission. The caller received the ticket with an earlier rejection; `None` if
-    /// the call has no ticket.
+    /// Ticket for a promise of admission, which the caller received with an earlier rejection. `None` if the
+    /// call has no ticket.
     pub ticket: Option<u64>,
     /// All fields of the call in encoded form: pairs `name=value`, separated by commas.
     pub fields: &'a str,
@@ -187,14 +187,15 @@
     Rejected {
         /// True if the caller must not retry the call on another server.
         no_retry: bool,
-        /// Time, from the rejection, after which the caller may retry on this server; 0 if the server gives
-        /// no such advice. If the answer has a ticket, a retry after this time is promised admission.
+        /// How long the caller should wait after the rejection before it retries on this server, in
+        /// nanoseconds; 0 if the server gives no advice. If the answer has a ticket, a retry after this time
+        /// is promised admission.
         retry_after: Nanos,
         /// Ticket for a promise of admission, which the caller presents with its retry; `None` if no promise
         /// was made.
         ticket: Option<u64>,
     },
-    /// The call failed. The operation may have had its effect before.
+    /// The call failed. The operation may have had its effect.
     Failed,
     /// Answer to a health check. True if the server is healthy.
     Health(bool),
@@ -212,8 +213,8 @@
     }
 }
 
-/// Encodes an answer and appends the bytes to `out`. `advertised_load` is the server's load, which the answer
-/// tells the caller.
+/// Encodes an answer and appends the bytes to `out`. The answer reports `advertised_load`, the load of the
+/// server.
 pub fn put_answer(out: &mut Vec<u8>, tag: u64, answer: &Answer, advertised_load: Option<f64>) {
     let mut fields = Vec::new();
     if let Some(load) = advertised_load {
