--- a/crates/server/src/configuration/defaults.rs
+++ b/crates/server/src/configuration/defaults.rs
@@ -67,8 +67,8 @@
         (self.memory_mb << 20) as usize / KEYS_DIVISOR
     }
 
-    /// Fills in defaults for features that the options file does not describe, and adds a note for each. A
-    /// missing description does not prevent the start.
+    /// Fills in defaults for features that neither the protocol nor the options file describes, and adds a
+    /// note for each. A missing description does not prevent the start.
     ///
     /// Returns an error if the settings require a downstream service but the platform's file contains no
     /// address for it.
--- a/crates/server/src/event.rs
+++ b/crates/server/src/event.rs
@@ -22,10 +22,11 @@
     pub arrival_unix_ms: u64,
     /// Memory that a run of the operation reserves, in kilobytes.
     pub held_kb: f64,
-    /// Index of the caller's tenant in the deployment's settings; 0 if the settings define no tenants.
+    /// Index of the caller's tenant in the deployment's settings; 0 if the settings define no tenants, or if
+    /// the options file configures how tenants are identified.
     pub tenant: usize,
-    /// How long the caller waits for the answer, counted from the arrival of the call; `None` if the caller
-    /// states no timeout.
+    /// How long the caller waits for the answer, counted from the arrival of the call; `None` if this time is
+    /// unknown.
     pub client_timeout: Option<Nanos>,
     /// True if the caller has marked the call as a retry.
     pub marked_retry: bool,
--- a/crates/server/src/interpreter/incarnation.rs
+++ b/crates/server/src/interpreter/incarnation.rs
@@ -30,8 +30,8 @@
 
 impl Incarnation {
     /// Returns the time limit for one step of connecting. The limit is the readiness deadline divided by
-    /// `divisor`. Each attempt that timed out doubles the limit, at most up to the readiness deadline, so
-    /// that a slow interpreter can be connected eventually.
+    /// `divisor`. Each attempt that timed out doubles the limit, so that a slow interpreter can be connected
+    /// eventually. The limit never exceeds the readiness deadline.
     pub fn time_allowance(&self, divisor: u32) -> Duration {
         let doubled = (READINESS_DEADLINE / divisor).saturating_mul(1 << self.timeouts.min(DOUBLINGS_MAX));
         doubled.min(READINESS_DEADLINE)
--- a/crates/server/src/lifecycle/pause.rs
+++ b/crates/server/src/lifecycle/pause.rs
@@ -1,4 +1,4 @@
-//! Measures for how long a change of settings keeps the serving thread from its other work.
+//! Measures how long a change of settings keeps the serving thread from its other work.
 //!
 //! Two times are measured. The wall-clock time includes waits for a core, which depend on other processes.
 //! The processor time of the thread is only the work of the change.
