--- a/crates/server/src/event_loop/actions.rs
+++ b/crates/server/src/event_loop/actions.rs
@@ -1,5 +1,5 @@
-//! Executes the overload controller's actions, and updates the state of an invocation when it is answered or
-//! its run ends.
+//! Executes the actions that the overload controller requests. Updates the state of an invocation when the
+//! invocation is answered or its run ends.
 
 use crate::connection::table::Notification;
 use crate::event_loop::answers;
@@ -15,52 +15,53 @@
 use std::rc::Rc;
 use tracing::warn;
 
-/// Time to wait for the interpreter's gauges, in nanoseconds. After this time the control period continues
-/// without them.
+/// Maximum time to wait for the gauges of the interpreter, in nanoseconds. After this time the control period
+/// continues without the gauges.
 const GAUGES_TIMEOUT_NS: Nanos = 250_000_000;
 
-/// A promise of admission, whose ticket is sent with the rejection of the invocation.
+/// A promise to admit a caller's next attempt. The rejection of the present attempt carries the ticket of the
+/// promise.
 pub struct PromisedAdmission {
-    /// Id of the invocation that is about to be rejected.
+    /// Id of the invocation that is about to be rejected with the promise.
     pub invocation: u64,
-    /// Ticket with which the caller redeems the promise at its next attempt.
+    /// Ticket that the caller presents with its next attempt, to be admitted.
     pub ticket: u64,
 }
 
-/// A repeated call that was answered with the outcome of the original invocation.
+/// A repeated call that was answered with the outcome of an earlier invocation with the same idempotency key.
 pub struct Replayed {
     /// Id of the invocation that was registered for the repeated call.
     pub invocation: u64,
-    /// Outcome of the original invocation.
+    /// Outcome of the earlier, original invocation.
     pub outcome: Outcome,
 }
 
-/// Executes the actions of the overload controller (`impl Host`), and owns the state that these actions
-/// change.
+/// Executes the actions of the overload controller (`impl Host`). Owns the state that these actions change.
 pub struct ActionExecutor {
-    /// State shared by all tasks of the server.
+    /// State of the server that all its tasks share.
     pub server: Rc<Server>,
-    /// All invocations that are unanswered or still running.
+    /// All invocations that are not yet answered or whose run has not ended.
     pub invocations: Invocations,
-    /// Idempotency keys, with the results of invocations that succeeded.
+    /// Table of idempotency keys and of the results of successful invocations with a key.
     pub idempotency: IdempotencyTable,
-    /// The session with the interpreter, through which commands are sent.
+    /// The session with the interpreter. Commands to the interpreter are sent through this session.
     pub session: InterpreterSession,
-    /// Timers of the controller, and timeouts of outstanding gauge requests.
+    /// Timers that the controller has set, and the timeouts of gauge requests that are not yet answered.
     pub timers: TimerQueue,
-    /// Promise of admission to include in the next rejection, if the controller made one.
+    /// Promise of admission that the next rejection carries; `None` if the controller has made no promise.
     pub promised: Option<PromisedAdmission>,
-    /// Ids of invocations that failed because the server does not support an action of the controller. The
-    /// controller is notified of them after the current action.
+    /// Ids of invocations that failed because the server does not support an action that the controller
+    /// requested. The controller is notified of these failures after the current action.
     pub unsupported: Vec<u64>,
-    /// Repeated calls that were answered. The controller is notified of them after the current action.
+    /// Repeated calls that were answered with an earlier outcome. The controller is notified of these answers
+    /// after the current action.
     pub replayed: Vec<Replayed>,
-    /// Number of the most recent downstream call, counted from 1.
+    /// Number of the most recent downstream call. The first call of the process has number 1.
     pub last_call: u64,
 }
 
 impl ActionExecutor {
-    /// Creates an executor without invocations and without a link to the interpreter.
+    /// Creates an executor that has no invocations and no link to the interpreter yet.
     pub fn new(server: Rc<Server>) -> Self {
         let idempotency = {
             let configuration = &server.configuration;
@@ -87,8 +88,8 @@
         self.timers.set(self.server.clock.now() + after, timer);
     }
 
-    /// Requests the interpreter's gauges. The controller's `timer` is handled when the gauges arrive or the
-    /// request times out.
+    /// Requests the gauges of the interpreter for the controller's timer `timer`. The timer is handled when
+    /// the gauges arrive, or when the request times out.
     pub fn request_gauges(&mut self, timer: u32) {
         self.server.pool.close_expired();
         self.server.counters.gauges_asked.add();
@@ -96,8 +97,8 @@
         self.set_timer_after(GAUGES_TIMEOUT_NS, Timer::GaugesOverdue { nonce });
     }
 
-    /// Sends a command that the run of an invocation depends on. The command is stored until a notice from
-    /// the interpreter confirms its receipt.
+    /// Sends a command that starts or resumes the run of an invocation. The command is stored for resending
+    /// until a notice from the interpreter shows that the command was received.
     pub fn send_for_run(&mut self, invocation: u64, line: Vec<u8>) {
         let link = self.session.send(line.clone());
         if let Some(invocation) = self.invocations.get(invocation) {
@@ -105,8 +106,8 @@
         }
     }
 
-    /// Resends unconfirmed commands that were sent over an earlier link and may be lost. The interpreter
-    /// ignores a command that it has already received.
+    /// Resends commands that may have been lost with an earlier link: they were sent over the earlier link,
+    /// and their receipt is not confirmed. The interpreter ignores a command that it has already received.
     pub fn resend_unconfirmed(&mut self) {
         let link = self.session.link();
         let mut lines = Vec::new();
@@ -127,7 +128,8 @@
         }
     }
 
-    /// Sends the final answer of an invocation to its caller, unless the invocation is already answered.
+    /// Sends the final answer of an invocation to its caller. Does nothing if the invocation was already
+    /// answered.
     pub fn answer(&mut self, id: u64, answer: Answer) {
         let Some(invocation) = self.invocations.get(id) else { return };
         if invocation.is_answered {
@@ -139,8 +141,8 @@
         self.close(id);
     }
 
-    /// Marks an invocation as needing no further answer. Abandons its downstream call, and stops its run if
-    /// the run waits for such a call.
+    /// Closes an invocation, which then needs no further answer. Abandons the downstream call of its run. If
+    /// the run waits for a downstream call, stops the run.
     pub fn close(&mut self, id: u64) {
         let Some(invocation) = self.invocations.get(id) else { return };
         invocation.is_answered = true;
@@ -152,9 +154,11 @@
         self.invocations.release(id);
     }
 
-    /// Stops a run that waits for a downstream call, because the call will not be made. Otherwise the run
-    /// would never end, and the controller would keep counting it among the waiting runs. The run of an
-    /// operation that is idempotent with a key continues, since its result may still answer repeated calls.
+    /// Stops the run of a closed invocation if the run waits for a downstream call. The call will not be
+    /// made, so the run would never end, and the controller would always count the run as waiting.
+    ///
+    /// The run of an operation that is idempotent with a key is not stopped, because its result may still
+    /// answer repeated calls.
     fn stop_run_awaiting_call(&mut self, id: u64) {
         let Some(invocation) = self.invocations.get(id) else { return };
         let awaits_call = invocation.is_running && invocation.awaits_call;
@@ -164,7 +168,8 @@
         }
     }
 
-    /// Sends the interpreter a command to stop the run of an invocation, if there is a run.
+    /// Sends the interpreter a command to stop the run of an invocation. Does nothing if the invocation has
+    /// no run.
     pub fn stop(&mut self, id: u64) {
         let Some(invocation) = self.invocations.get(id).filter(|invocation| invocation.is_running) else {
             return;
@@ -174,8 +179,8 @@
         invocation.stop_link = Some(self.session.send(line));
     }
 
-    /// Handles the end of a run: answers its caller, and all repeated calls that wait for the outcome of
-    /// the run.
+    /// Handles the end of a run. Answers the caller of the invocation, and all repeated calls that wait for
+    /// the outcome of this run.
     pub fn run_ended(&mut self, id: u64, outcome: Outcome, result: Vec<u8>) {
         self.server.counters.runs_ended.add();
         self.abandon_call(id);
@@ -195,7 +200,7 @@
         }
     }
 
-    /// Answers a repeated call after the original invocation has ended. `result` is `None` if the original
+    /// Answers a repeated call once the original invocation has ended. `result` is `None` if the original
     /// invocation failed or its result is not available.
     pub fn answer_repeat(&mut self, id: u64, result: Option<Vec<u8>>) {
         let outcome = if result.is_some() { Outcome::Succeeded } else { Outcome::Failed };
@@ -203,32 +208,34 @@
         self.replayed.push(Replayed { invocation: id, outcome });
     }
 
-    /// Removes the idempotency key of an invocation from the table, so that the next call with this key
-    /// runs again. Repeated calls that wait for the invocation fail.
+    /// Removes the idempotency key of an invocation from the table. The next call with this key then runs the
+    /// operation again. Repeated calls that wait for the removed invocation fail.
     pub fn forget(&mut self, id: u64) {
         for repeat in self.idempotency.forget(id) {
             self.answer_repeat(repeat, None);
         }
     }
 
-    /// Removes the idempotency key of an invocation that never ran: a call forged by a peer must not block
-    /// the key for the genuine call. The key is kept if a command of the invocation was sent over more than
-    /// one link, since the first command may have started the run.
+    /// Removes the idempotency key of an invocation that never ran. Otherwise a call forged by a peer could
+    /// block the key for the genuine call.
+    ///
+    /// The key stays if a command of the invocation was sent over more than one link, because the first
+    /// command may have started the run.
     pub fn forget_unless_resent(&mut self, id: u64) {
         if self.invocations.get(id).is_some_and(|invocation| !invocation.was_resent) {
             self.forget(id);
         }
     }
 
-    /// Returns the effect of repeated runs of an operation: idempotent, non-idempotent or idempotent with a
-    /// key.
+    /// Returns the effect of running an operation repeatedly: idempotent, not idempotent, or idempotent with
+    /// a key.
     pub fn effect(&self, operation: usize) -> Effect {
         self.server.configuration.settings.deployment.operations[operation].effect
     }
 
-    /// Fails an invocation for which the controller requested an action that the configured protocols cannot
-    /// express. Settings that require such actions are rejected at startup, so this is not expected to
-    /// happen.
+    /// Fails an invocation because the controller requested an action that the protocols of this server
+    /// cannot express. Not expected to happen, because settings that need such actions are refused at
+    /// startup.
     pub fn fail_as_unsupported(&mut self, id: u64, what: &str) {
         warn!(what, "cannot carry out an action of the controller");
         self.answer(id, Answer::Failed);
