--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -1,4 +1,5 @@
-//! Anti-entropy (comparison of views between members) and verdicts, as performed by one member.
+//! How one member performs anti-entropy and sends verdicts. In anti-entropy, two members compare their views
+//! of the fleet and repair differences. A verdict reports that a member is suspect or down.
 //! [`crate::messages`] describes the protocol.
 
 use crate::digest;
@@ -12,12 +13,12 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-/// Divisor that yields the jitter of the interval between comparisons of views: the interval is the announce
-/// period, varied at random within a range of the announce period divided by this number. The jitter prevents
-/// members that were started together from comparing their views at the same times.
+/// The interval between two comparisons of views is the announce period plus a random jitter. The range of
+/// the jitter, from its lowest to its highest value, is the announce period divided by this number. Without
+/// jitter, members that were started together would all compare their views at the same times.
 const JITTER_DIVISOR: Nanos = 8;
-/// Number of probe periods after which a member compares its view again, if it knows that the view may still
-/// differ from another member's view.
+/// Delay until a member's next comparison of views, in probe periods, if its view may still differ from
+/// another member's view. Shorter than the usual delay of one announce period.
 const REPEAT_PROBE_PERIODS: Nanos = 2;
 
 impl Membership {
@@ -38,8 +39,9 @@
         }
     }
 
-    /// Compares a received digest with that of this member's view. If buckets differ, sends the members in
-    /// these buckets to the sender of the digest, and requests the sender's members in the same buckets.
+    /// Compares a received digest with the digest of this member's view. If some buckets differ, sends this
+    /// member's entries for these buckets to the sender of the digest, and requests the sender's entries for
+    /// these buckets.
     fn handle_digest(&mut self, from: &MemberId, bucket_hashes: &[u32]) {
         let differing = digest::differing_buckets(&self.digest(), bucket_hashes);
         if differing != 0 {
@@ -53,12 +55,13 @@
         requested_buckets: u64,
         members: Vec<Member<MemberId>>,
     ) -> Result<(), DropReason> {
-        // Reject a list that contains a member that is down. Members that are down are reported only by
-        // gossip or by verdicts, which the member in question can refute.
+        // Reject a list that contains a member that is down. Only gossip and verdicts may report a member as
+        // down, because the reported member can refute them.
         if members.iter().any(|member| !has_valid_name(member.id()) || member.state() == State::Down) {
             return Err(DropReason::Protocol);
         }
-        // Answer before applying the received list, so that its members are not sent back to their sender.
+        // Send this member's entries before applying the received list. Otherwise, the answer would send the
+        // received entries back to their sender.
         if requested_buckets != 0 {
             self.send_members(from, requested_buckets, 0);
             self.repeat_anti_entropy_soon();
@@ -78,7 +81,8 @@
         }
         let own = self.identity();
         if member.id() != own {
-            // Ignore verdicts on earlier incarnations of this server: the current incarnation replaces them.
+            // A verdict on an earlier incarnation of this server is ignored: the current incarnation has
+            // already replaced that incarnation.
             if member.id().addr != own.addr && member.state() == State::Down {
                 self.suspect(member.id());
             }
@@ -86,29 +90,30 @@
         }
         let mut effects = FocaEffects::default();
         let applied = self.foca.apply_many(std::iter::once(member), true, &mut effects);
-        // The announcement acts as the refutation of the verdict, because every foca packet contains its
-        // sender's SWIM incarnation in the header.
+        // The announcement to the verdict's sender refutes the verdict. The header of every foca packet
+        // contains its sender's SWIM incarnation, and a raised SWIM incarnation refutes a suspicion.
         let _ = self.foca.announce(from, &mut effects);
         self.apply(effects);
         applied.map_err(|_| DropReason::Protocol)
     }
 
-    /// Digest of this member's view: the alive and suspect members, and this member itself.
+    /// Computes the digest of this member's view. The digest covers this member and all members that are
+    /// alive or suspect.
     fn digest(&self) -> Vec<u32> {
         let members = self.foca.iter_members().map(|member| member.id());
         digest::digest(members.chain(std::iter::once(self.identity())))
     }
 
-    /// Sends the alive and suspect members in the set of buckets `buckets`, including this member, to the
-    /// member `to`. Stops when the send budget is used up.
+    /// Sends member entries to the member `to`: this member and all alive or suspect members, if their bucket
+    /// is in the set `buckets`. Stops when the send budget is used up.
     fn send_members(&mut self, to: &MemberId, buckets: u64, requested_buckets: u64) {
         let me = self.identity().clone();
         let own = Member::alive(me.clone());
         let known = self.foca.iter_members().cloned().chain(std::iter::once(own));
         let mut members: Vec<_> =
             known.filter(|member| digest::is_in_buckets(buckets, member.id())).collect();
-        // Start the list at a random member. Members that are left out, because of the send budget or the
-        // maximum number of answers, are then likely to be sent in a later exchange.
+        // Start the list at a random member. The send budget or the maximum number of answers may cut the
+        // list off. With a random start, members that were cut off are likely to be sent in a later exchange.
         let start = self.random_below(members.len());
         members.rotate_left(start);
         for body in messages::encode_members(&me, requested_buckets, &members, self.sealer.body_max()) {
@@ -120,17 +125,17 @@
         }
     }
 
-    /// Brings the next comparison of views forward, which would otherwise be due a full announce period after
-    /// the previous one. Called when this member's view may still differ from another member's view.
+    /// Schedules the next comparison of views in [`REPEAT_PROBE_PERIODS`], if it is due later than that.
+    /// Called when this member's view may still differ from another member's view.
     fn repeat_anti_entropy_soon(&mut self) {
         let soon = self.now + REPEAT_PROBE_PERIODS * self.probe_period;
         self.anti_entropy_at = self.anti_entropy_at.min(soon);
     }
 
-    /// Picks a random member among those of `listed` that this member has recorded as down in the listed
-    /// incarnation. Sends the verdict that the picked member is down to that member and to `from`, the sender
-    /// of the list. The verdict concerns only one member per list, so that the traffic sent stays in
-    /// proportion to the traffic received.
+    /// Sends a verdict about one member of the received list `listed` that this member has recorded as down
+    /// in the listed incarnation. If there are several, picks one at random. The verdict goes to the picked
+    /// member and to `from`, the sender of the list. Sending only one verdict per list keeps the traffic sent
+    /// in proportion to the traffic received.
     fn send_verdict_on_random_down_member(&mut self, from: &MemberId, listed: &[Member<MemberId>]) {
         let known = self.foca.iter_membership_state();
         let down: HashSet<&MemberId> =
@@ -149,24 +154,24 @@
         self.send_verdict(from.addr, Member::down(target));
     }
 
-    /// Records as suspect a member that another member has recorded as down, if it is alive in this view in
-    /// the same incarnation. Without this, a crash about which gossip did not inform this member would be
-    /// detected only by this member's own probes, which can take as many probe periods as there are members.
-    /// If the suspect is running, it refutes the suspicion or takes its next incarnation.
+    /// Records the member `id` as suspect after another member reported it down. Does nothing unless this
+    /// view has the member as alive in the same incarnation. If the suspect is running, it refutes the
+    /// suspicion or takes its next incarnation. If it has crashed, the suspicion speeds up the detection:
+    /// this member's own probes can take as many probe periods as there are members.
     fn suspect(&mut self, id: &MemberId) {
         let is_alive = |member: &&Member<MemberId>| member.id() == id && member.state() == State::Alive;
         let alive = self.foca.iter_members().find(is_alive);
         let Some(refutations) = alive.map(Member::incarnation) else { return };
         let suspected = Member::new(id.clone(), refutations, State::Suspect);
         let mut effects = FocaEffects::default();
-        // Errors can be ignored: if foca does not apply the suspicion, the next comparison of views raises it
-        // again.
+        // Errors can be ignored: if foca does not apply the suspicion, this member is suspected again after
+        // the next comparison of views.
         let _ = self.foca.apply_many(std::iter::once(suspected), true, &mut effects);
         self.apply(effects);
     }
 
-    /// Sends a verdict on `member` to the address `to`. The receiver may be `member` itself or another
-    /// member.
+    /// Sends a verdict, the report that `member` is suspect or down, to the address `to`. The receiver may be
+    /// `member` itself or another member.
     pub(crate) fn send_verdict(&mut self, to: SocketAddr, member: Member<MemberId>) {
         self.send_payload(to, AntiEntropyPayload::Verdict { member });
     }
@@ -176,8 +181,8 @@
         self.send(to, PayloadKind::AntiEntropy, &message.encode());
     }
 
-    /// Sends the digest of this member's view to a random other member, which may be down, and announces this
-    /// server to a random seed that is not in its view.
+    /// Starts one comparison of views: sends the digest of this member's view to a random other member, which
+    /// may be down. Also announces this server to a random seed that is not alive or suspect in this view.
     pub(crate) fn start_anti_entropy(&mut self) {
         let jitter = self.announce_period / JITTER_DIVISOR;
         let delay = self.rng.next_u64() % jitter.max(1);
@@ -192,14 +197,14 @@
         self.announce_to_unknown_seed();
     }
 
-    /// Announces this server to a random seed that is not in its view. After a partition that lasts longer
-    /// than members recorded as down are kept in the view, the parts of the fleet no longer know each other.
-    /// They rediscover each other through the seeds.
+    /// Announces this server to a random seed that is not alive or suspect in this view. Members recorded as
+    /// down are removed from the view after some time. If a partition lasts longer, the two parts of the
+    /// fleet no longer know each other, and rediscover each other only through the seeds.
     fn announce_to_unknown_seed(&mut self) {
         let known: HashSet<SocketAddr> = self.foca.iter_members().map(|member| member.id().addr).collect();
         let seeds = self.rejoin.seeds.iter().copied();
         let unknown: Vec<SocketAddr> = seeds.filter(|seed| !known.contains(seed)).collect();
-        // If this member knows no other member, `rejoin` announces it to all seeds instead.
+        // If this member knows no other member, `rejoin_if_due` announces this server to all seeds instead.
         if known.is_empty() || unknown.is_empty() {
             return;
         }
@@ -207,7 +212,7 @@
         self.announce_to(seed);
     }
 
-    /// A random number below `bound`, or 0 if `bound` is 0.
+    /// Returns a random number from 0 to `bound` - 1, or 0 if `bound` is 0.
     fn random_below(&mut self, bound: usize) -> usize {
         if bound == 0 { 0 } else { (self.rng.next_u64() % bound as u64) as usize }
     }
--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -1,35 +1,37 @@
-//! Digest of a view: the members are divided into 64 buckets, and each bucket is hashed. By comparing
-//! digests, two members find the buckets in which their views differ without sending the members themselves.
+//! The digest of a member's view of the fleet. The members in the view are divided into 64 buckets, and the
+//! digest has one hash per bucket. Two members compare their digests to find the buckets in which their views
+//! differ, without sending the members themselves.
 
 use crate::MemberId;
 use siphasher::sip::SipHasher13;
 use std::hash::{Hash, Hasher};
 
-/// Number of buckets in a digest. A set of buckets is represented by the bits of a `u64`.
+/// Number of buckets in a digest. A set of buckets is represented by the bits of a `u64`: bit `n` stands for
+/// bucket `n`.
 pub const BUCKETS: usize = 64;
 
-/// Number of the bucket that contains a member. The bucket depends only on the member's address, so that all
-/// incarnations of a member are in the same bucket.
+/// Returns the index of the bucket that contains a member. The index depends only on the member's address, so
+/// all incarnations of a member are in the same bucket.
 pub fn bucket(id: &MemberId) -> usize {
     let mut hasher = SipHasher13::new();
     id.addr.hash(&mut hasher);
     (hasher.finish() % BUCKETS as u64) as usize
 }
 
-/// Whether the bucket of a member is in the set `buckets`.
+/// Returns whether the set `buckets` contains the bucket of the member `id`.
 pub fn is_in_buckets(buckets: u64, id: &MemberId) -> bool {
     buckets & (1 << bucket(id)) != 0
 }
 
-/// Hash of a member's address and incarnation.
+/// Hashes a member's address and incarnation.
 fn hash(id: &MemberId) -> u32 {
     let mut hasher = SipHasher13::new();
     (id.addr, id.incarnation).hash(&mut hasher);
     hasher.finish() as u32
 }
 
-/// Computes the digest of a view. The hash of each bucket is the exclusive or of the hashes of its members,
-/// so that the order of the members does not matter.
+/// Computes the digest of a view: one hash per bucket. A bucket's hash is the exclusive or of the hashes of
+/// its members, so the order of the members does not affect the digest.
 pub fn digest<'a>(members: impl Iterator<Item = &'a MemberId>) -> Vec<u32> {
     let mut hashes = vec![0; BUCKETS];
     for id in members {
@@ -38,7 +40,7 @@
     hashes
 }
 
-/// Returns the set of buckets in which two digests differ.
+/// Returns the set of buckets whose hashes differ between two digests, as a bit set.
 pub fn differing_buckets(ours: &[u32], theirs: &[u32]) -> u64 {
     let mut buckets = 0;
     for bucket in 0..BUCKETS {
--- a/crates/membership/src/directory.rs
+++ b/crates/membership/src/directory.rs
@@ -1,6 +1,6 @@
-//! Directory of the names and addresses of the members that are not down, for callers that address members by
-//! name. The directory caches the view, since a lookup in foca's member list takes time linear in the size of
-//! the fleet (`docs/CAPACITY.md`). The cache is rebuilt only after the view has changed.
+//! Directory that maps names of members to addresses, for callers that address members by name. Members that
+//! are down are not included. The directory is a cache: looking a name up in foca's member list takes time
+//! linear in the size of the fleet (`docs/CAPACITY.md`). It is rebuilt after the view has changed.
 
 use crate::{Membership, Nanos};
 use foca::State;
@@ -8,11 +8,11 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Age at which the directory is rebuilt even if no change of the view was detected, in case a change was
-/// missed.
+/// Age at which the directory is rebuilt even without a detected change of the view, because the detection
+/// may have missed a change.
 const AGE_MAX_NS: Nanos = 10_000_000_000;
 
-/// Addresses of the alive and suspect members, by name.
+/// Addresses of the alive and suspect members, indexed by the name of the member.
 #[derive(Debug, Default)]
 pub struct Directory {
     names: Arc<Vec<String>>,
@@ -20,7 +20,8 @@
     built_from: Option<ViewVersion>,
 }
 
-/// Version of the view from which a directory was built.
+/// Identifies the state of the view from which a directory was built. A directory is rebuilt when this state
+/// differs from that of the current view.
 #[derive(Debug)]
 struct ViewVersion {
     last_change: Nanos,
@@ -49,12 +50,12 @@
         true
     }
 
-    /// Names of the alive and suspect members, excluding this server, sorted.
+    /// Returns the sorted names of the alive and suspect members. This server is not included.
     pub fn names(&self) -> &Arc<Vec<String>> {
         &self.names
     }
 
-    /// Address of an alive or suspect member; `None` for any other name.
+    /// Returns the address of the member with this name if it is alive or suspect, otherwise `None`.
     pub fn address(&self, name: &str) -> Option<SocketAddr> {
         self.addresses.get(name).copied()
     }
--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -1,6 +1,6 @@
-//! Sending of datagrams within a budget of bytes per second. Gossip and lists of members are postponed when
-//! the budget is used up. Probes, answers to probes and verdicts are charged to the budget but always sent at
-//! once, so that failure detection is not delayed.
+//! Sends datagrams within a budget of bytes per second. When the budget is used up, gossip and lists of
+//! members are postponed. Probes, answers to probes and verdicts are charged to the budget but never
+//! postponed, so that failure detection is not delayed.
 
 use crate::envelope::{ENVELOPE_BYTES, PayloadKind};
 use crate::settings::{GOSSIP_MEMBERS, Settings};
@@ -10,15 +10,15 @@
 
 /// Estimated size of one member update in a gossip packet, in bytes.
 const UPDATE_BYTES: usize = 64;
-/// Divisor that yields the reserved part of the budget: the bytes per second divided by this number. Gossip
-/// and lists of members must not use the reserved part, which is left to probes, their answers and verdicts.
+/// The share of the send budget that is reserved is 1 divided by this number. Only probes, answers to probes
+/// and verdicts may use the reserved share. Gossip and lists of members use the rest.
 const RESERVE_DIVISOR: u64 = 8;
 
-/// Budget of bytes per second for the datagrams of the membership protocol.
+/// Limit on the bytes per second that this member sends as datagrams of the membership protocol.
 pub(crate) struct SendBudget {
     window: SlidingWindow,
     bytes_per_second: u64,
-    /// Longest body of a gossip packet, in bytes.
+    /// Maximum size of the body of a gossip packet, in bytes.
     gossip_packet_bytes: usize,
     gossip_period: Nanos,
 }
@@ -37,8 +37,8 @@
         self.gossip_period
     }
 
-    /// Number of bytes that gossip and lists of members may use now: the unused budget minus the
-    /// reserved part ([`RESERVE_DIVISOR`]).
+    /// Returns how many bytes gossip and lists of members may use now. This is the unused part of the budget
+    /// minus the reserved share ([`RESERVE_DIVISOR`]).
     pub(crate) fn available(&mut self, now: Nanos) -> u64 {
         self.window.available(now).saturating_sub(self.bytes_per_second / RESERVE_DIVISOR)
     }
@@ -47,8 +47,9 @@
         self.window.force_acquire(bytes, now);
     }
 
-    /// Whether the budget allows a gossip round with this number of updates. The size of a gossip packet is
-    /// estimated from the number of updates, because packets with few updates are shorter than the maximum.
+    /// Returns whether the budget allows a gossip round that sends `updates` member updates. The size of the
+    /// packets is estimated from the number of updates, because packets with few updates are shorter than the
+    /// maximum.
     fn allows_gossip(&mut self, updates: usize, now: Nanos) -> bool {
         let body = (UPDATE_BYTES * (updates + 1)).min(self.gossip_packet_bytes);
         let round = GOSSIP_MEMBERS * (body + ENVELOPE_BYTES);
@@ -61,8 +62,8 @@
         self.budget.allows_gossip(self.foca.updates_backlog(), self.now)
     }
 
-    /// Seals a body and queues the datagram. Shared state is not charged to the budget, because its sender
-    /// has a budget of its own.
+    /// Seals a body into a datagram and queues the datagram for sending. Shared state is not charged to this
+    /// budget, because the sender of shared state limits its traffic by a separate budget.
     pub(crate) fn send(&mut self, to: SocketAddr, kind: PayloadKind, body: &[u8]) {
         self.sequence += 1;
         let incarnation = self.identity().incarnation;
--- a/crates/membership/src/envelope.rs
+++ b/crates/membership/src/envelope.rs
@@ -1,6 +1,7 @@
-//! The datagram format that encloses each message. Datagrams carry a version, a length, a sequence number
-//! against replays, and an HMAC-SHA256 tag over the fleet's name and all bytes before the tag. Peers are
-//! untrusted: a datagram that fails a check is dropped and counted by reason, and never causes a panic.
+//! The datagram format of the membership protocol. Each datagram encloses one message and carries a version,
+//! a length, a sequence number against replays, and an HMAC-SHA256 tag. The tag covers the fleet's name and
+//! all bytes before the tag. Peers are untrusted: a datagram that fails a check is dropped and counted by
+//! reason, and never causes a panic.
 //!
 //! Layout of version 1, integers little-endian (a header of 30 bytes, the body, a tag of 32 bytes):
 //!
@@ -25,15 +26,15 @@
 /// Version of the datagram layout that this build reads and writes.
 pub const VERSION: u8 = 1;
 
-/// Kind of the payload in a datagram's body. A build drops datagrams with an unknown kind as
-/// [`DropReason::Version`], so that older and newer servers can work in the same fleet.
+/// Kind of the payload in a datagram's body. A server drops a datagram whose kind it does not know, with the
+/// reason [`DropReason::Version`]. Servers of different versions can therefore work in the same fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PayloadKind {
     /// A SWIM message, encoded by foca.
     Swim = 0,
     /// An [`crate::messages::AntiEntropyMessage`].
     AntiEntropy = 1,
-    /// A body of shared state, whose content this crate does not interpret.
+    /// Shared state of the application. This crate does not interpret the body.
     SharedState = 2,
 }
 
@@ -47,11 +48,11 @@
 
 /// Size of the header before the body, in bytes.
 pub const HEADER_BYTES: usize = 30;
-/// Size of the tag after the body, in bytes.
+/// Size of the authentication tag after the body, in bytes.
 pub const TAG_BYTES: usize = 32;
-/// Size of the header and the tag together, in bytes.
+/// Size of everything in a datagram except the body (the header and the authentication tag), in bytes.
 pub const ENVELOPE_BYTES: usize = HEADER_BYTES + TAG_BYTES;
-/// Largest UDP payload over IPv4, in bytes.
+/// Largest possible UDP payload over IPv4, in bytes.
 pub const DATAGRAM_BYTES_MAX: usize = 65_507;
 
 const MAGIC_RANGE: Range<usize> = 0..2;
@@ -65,10 +66,10 @@
 /// Reason why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum DropReason {
-    /// Shorter than a header and a tag.
+    /// The datagram is shorter than a header and an authentication tag.
     #[error("shorter than a header and a tag")]
     Short,
-    /// Longer than the settings or UDP allow.
+    /// The datagram is longer than the settings or UDP allow.
     #[error("longer than the settings or UDP allow")]
     Oversized,
     /// Does not start with [`MAGIC`].
@@ -80,18 +81,18 @@
     /// The length of the body in the header does not match the size of the datagram.
     #[error("the declared length is not the length received")]
     Length,
-    /// The fleet mark is that of another fleet.
+    /// The fleet mark in the datagram belongs to another fleet.
     #[error("the datagram belongs to another fleet")]
     Fleet,
-    /// The tag does not match: the datagram is forged, corrupted, or sealed with another key.
+    /// The authentication tag does not match: the datagram is forged, corrupted, or sealed with another key.
     #[error("the tag does not match")]
     Tag,
-    /// The sequence number was already accepted or is before the replay window, or the incarnation is lower
-    /// than one already received from the sender's address.
+    /// The datagram is a replay. Its sequence number was already accepted or is too old for the replay
+    /// window, or its incarnation is lower than one already received from the sender's address.
     #[error("a replay")]
     Replay,
-    /// The datagram is authentic, but its payload was dropped. Either foca or anti-entropy rejected the
-    /// payload, or too many bodies of shared state are already waiting for the caller; the latter is not the
+    /// The datagram is authentic, but its payload was dropped. Either the payload was rejected as invalid, or
+    /// too many bodies of shared state are already waiting for the caller. The second case is not the
     /// sender's fault.
     #[error("the payload was rejected")]
     Protocol,
@@ -112,7 +113,7 @@
     ];
 }
 
-/// Seals and opens the datagrams of one fleet under one key.
+/// Seals bodies into datagrams and opens received datagrams, for one fleet and with one key.
 #[derive(Clone)]
 pub struct Sealer {
     fleet: Vec<u8>,
@@ -122,8 +123,8 @@
 }
 
 impl Sealer {
-    /// Creates a sealer for bodies of at most `body_max` bytes. A larger limit is reduced to
-    /// [`DATAGRAM_BYTES_MAX`] minus [`ENVELOPE_BYTES`].
+    /// Creates a sealer that accepts bodies of at most `body_max` bytes. If `body_max` exceeds
+    /// [`DATAGRAM_BYTES_MAX`] minus [`ENVELOPE_BYTES`], this lower limit applies instead.
     pub fn new(fleet: &str, key: &[u8], body_max: usize) -> Sealer {
         let digest = Sha256::digest(fleet.as_bytes());
         let mut fleet_mark = [0; 8];
@@ -133,12 +134,12 @@
         Sealer { fleet: fleet.as_bytes().to_vec(), fleet_mark, key, body_max }
     }
 
-    /// Maximum size of a body that is sealed or opened, in bytes.
+    /// Maximum size of the body of a datagram that this sealer seals or opens, in bytes.
     pub fn body_max(&self) -> usize {
         self.body_max
     }
 
-    /// Computes the HMAC over the fleet's name and `bytes`.
+    /// Computes the HMAC over the fleet's name and `bytes` with the fleet's key.
     fn authenticate(&self, bytes: &[u8]) -> Hmac<Sha256> {
         let mut mac = self.key.clone();
         mac.update(&(self.fleet.len() as u32).to_le_bytes());
@@ -167,11 +168,11 @@
         Some(datagram)
     }
 
-    /// Checks a datagram and returns its content. The check for replays is left to the caller.
+    /// Checks a received datagram and returns its content. Does not check for replays; the caller does.
     ///
     /// # Errors
     ///
-    /// Returns the reason for the first failed check.
+    /// Returns the reason of the first failed check.
     pub fn open<'a>(&self, datagram: &'a [u8]) -> Result<OpenedDatagram<'a>, DropReason> {
         if datagram.len() > self.body_max + ENVELOPE_BYTES {
             return Err(DropReason::Oversized);
@@ -195,8 +196,8 @@
             return Err(DropReason::Length);
         }
         let (sealed, tag) = datagram.split_at(HEADER_BYTES + body_bytes);
-        // `verify_slice` compares the tags in constant time, so that the time does not reveal how many bytes
-        // match.
+        // `verify_slice` compares the tags in constant time. Otherwise, the duration of the comparison would
+        // reveal to an attacker how many bytes of a forged tag are right.
         self.authenticate(sealed).verify_slice(tag).map_err(|_| DropReason::Tag)?;
         Ok(OpenedDatagram {
             kind,
@@ -212,14 +213,14 @@
     u64::from_le_bytes(bytes)
 }
 
-/// The content of an authentic datagram.
+/// The content of a datagram whose authentication tag matched.
 #[derive(Debug, PartialEq, Eq)]
 pub struct OpenedDatagram<'a> {
     /// Kind of the payload in the body.
     pub kind: PayloadKind,
     /// The sender's incarnation.
     pub incarnation: u64,
-    /// The sender's sequence number within its incarnation.
+    /// The datagram's sequence number. The sender numbers its datagrams within each incarnation.
     pub sequence: u64,
     /// The payload.
     pub body: &'a [u8],
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -4,21 +4,21 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Longest name of a member, in bytes.
+/// Maximum length of a member's name, in bytes.
 pub const NAME_BYTES_MAX: usize = 64;
 
-/// Identity of a member. Two identities with the same address are the same member, and the higher incarnation
-/// wins. A server that restarts under its old name and address therefore replaces its earlier incarnation in
-/// another member's view as soon as that member learns of the new one.
+/// Identity of a member: its name, address and incarnation. Two identities with the same address stand for
+/// the same member, and the one with the higher incarnation replaces the other. A server that restarts under
+/// its old name and address therefore replaces its earlier incarnation in the views of other members.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MemberId {
-    /// Name of the server, of 1 to [`NAME_BYTES_MAX`] bytes; empty for a seed of which only the address is
-    /// known.
+    /// Name of the server, with a length of 1 to [`NAME_BYTES_MAX`] bytes. The name of a seed is empty as
+    /// long as only its address is known.
     pub name: String,
     /// Address to which datagrams for the member are sent.
     pub addr: SocketAddr,
-    /// Identifies one start of the process: the start time in nanoseconds since the Unix epoch. Incremented
-    /// by one when the fleet has declared this identity down although the process is running.
+    /// Incarnation of the member: the start time of its process, in nanoseconds since the Unix epoch.
+    /// Incremented by one when the fleet has declared the member down although its process is running.
     pub incarnation: u64,
 }
 
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -49,7 +49,7 @@
 use suspicion::Suspicions;
 use view::StateSince;
 
-/// Nanoseconds of the caller's monotonic clock; also a duration in nanoseconds.
+/// A time in nanoseconds of the caller's monotonic clock, or a duration in nanoseconds.
 pub type Nanos = u64;
 
 /// Reason why a [`Membership`] cannot be created.
@@ -75,17 +75,18 @@
     pub datagram: Vec<u8>,
 }
 
-/// Key that orders timers by deadline. Timers with the same deadline fire in the order of their scheduling.
+/// Key that orders the scheduled timers by deadline. Timers with the same deadline fire in the order in which
+/// they were scheduled.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct TimerKey {
     deadline: Nanos,
     sequence: u64,
 }
 
-/// One server's view of the fleet, and its part in the membership protocol.
+/// The state machine of one member: the server's view of the fleet, and the state of the membership protocol.
 pub struct Membership {
     foca: Foca<MemberId, PostcardCodec, ChaCha8Rng, foca::NoCustomBroadcast>,
-    /// The latest time passed in by the caller.
+    /// The latest time that the caller has passed in.
     now: Nanos,
     rng: ChaCha8Rng,
     probe_period: Nanos,
@@ -93,9 +94,9 @@
 
     // State of timers and deadlines.
     timers: BTreeMap<TimerKey, Timer<MemberId>>,
-    /// Sequence number of the last timer scheduled.
+    /// Sequence number of the most recently scheduled timer; breaks ties between equal deadlines.
     timer_sequence: u64,
-    /// When this member next compares its view with another member's.
+    /// Time of the next comparison of this member's view with another member's view.
     anti_entropy_at: Nanos,
     rejoin: SeedRejoin,
     suspicions: Suspicions,
@@ -103,7 +104,7 @@
     // State for receiving and sending datagrams.
     sealer: Sealer,
     replay_windows: ReplayWindows,
-    /// Sequence number of the last datagram sealed in the current incarnation.
+    /// Sequence number of the last datagram that this member sealed in its current incarnation.
     sequence: u64,
     budget: SendBudget,
     transmits: Vec<Transmit>,
@@ -117,19 +118,19 @@
     counts: Counts,
 }
 
-/// Number of replay windows kept per expected member. The number is above 1 because the windows of addresses
-/// that members no longer use are kept until they are evicted.
+/// Number of replay windows kept, relative to the expected number of members. More than one per member are
+/// needed: the window of an address that no member uses any longer is kept until it is evicted.
 const REPLAY_WINDOWS_PER_MEMBER: usize = 4;
 const REPLAY_WINDOWS_MIN: usize = 64;
-/// Constant that is combined with the caller's seed by exclusive or, so that this crate's random numbers
-/// differ from those of foca, which are generated from the same seed.
+/// The random numbers of this crate are seeded with the exclusive or of the caller's seed and this constant.
+/// foca's random numbers are seeded with the caller's seed itself, so the two sequences differ.
 const RNG_STREAM: u64 = 0x0065_7863_6861_6e67;
 
 impl Membership {
     /// Creates a member that does not know any other member yet.
     ///
     /// # Errors
-    /// If a setting or the length of the member's name is invalid.
+    /// Returns an error if a setting is invalid, or if the member's name is empty or too long.
     pub fn new(me: MemberId, settings: &Settings, seed: u64, now: Nanos) -> Result<Self, MembershipError> {
         settings.check()?;
         let bytes = me.name.len();
@@ -161,7 +162,7 @@
         })
     }
 
-    /// This server's own identity, with its current incarnation.
+    /// Returns this server's own identity. The identity contains the current incarnation.
     pub fn identity(&self) -> &MemberId {
         self.foca.identity()
     }
--- a/crates/membership/src/messages.rs
+++ b/crates/membership/src/messages.rs
@@ -1,56 +1,60 @@
-//! Messages that members exchange in addition to those of SWIM, for cases in which gossip alone does not make
-//! the views agree:
+//! Messages that members exchange in addition to those of SWIM. They make the views agree in cases in which
+//! gossip alone does not:
 //!
 //! - **Anti-entropy.** Once per announce period each member sends a digest of its view to one other member,
 //!   alive or down. If the digests differ, both members send each other the members of the differing buckets.
 //!   If the views agree, the comparison costs one datagram.
-//! - **Verdicts on a member that is down.** When the receiver of a list finds a member in it that the
-//!   receiver has recorded as down, it sends a verdict on that member to the member itself and to the sender
-//!   of the list. The member itself takes its next incarnation, and the sender of the list suspects it.
-//! - **Verdicts on a suspect.** The prober notifies its suspect several times within the suspicion time, and
-//!   the suspect answers directly, so that a refutation does not depend on gossip.
+//! - **Verdicts on a member that is down.** A member may receive a list that contains a member which the
+//!   receiver has recorded as down. The receiver then sends a verdict on the listed member to the listed
+//!   member itself and to the sender of the list. The listed member takes its next incarnation, and the
+//!   sender of the list suspects it.
+//! - **Verdicts on a suspect.** The prober, whose probe raised a suspicion, notifies the suspect several
+//!   times within the suspicion time. The suspect answers the prober directly, so a refutation does not
+//!   depend on gossip.
 
 use crate::MemberId;
 use crate::digest::BUCKETS;
 use foca::Member;
 use serde::{Deserialize, Serialize};
 
-/// Maximum number of datagrams with lists of members that a member sends in answer to one digest or request.
+/// Maximum number of datagrams that a member sends in answer to one digest or one request. Each datagram
+/// contains a list of members.
 pub const ANSWERS_MAX: usize = 64;
-/// Bytes reserved for the length prefix of a list of members, in addition to the one byte that the prefix of
-/// an empty list takes. The reserve is one byte larger than needed.
+/// Bytes reserved for the length prefix of a list of members. The prefix of an empty list takes one byte,
+/// which is not part of the reserve. The reserve is one byte larger than needed.
 const LIST_LENGTH_BYTES: usize = 4;
 
-/// An anti-entropy message with its sender.
+/// An anti-entropy message together with the identity of its sender.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AntiEntropyMessage {
-    /// The sender; answers go to its address.
+    /// The sender of the message. Answers are sent to the address in this identity.
     pub from: MemberId,
     /// The content of the message.
     pub payload: AntiEntropyPayload,
 }
 
-/// Payload of an anti-entropy message. postcard identifies variants and fields by their position, so their
-/// order is part of the wire format.
+/// Payload of an anti-entropy message. The order of variants and fields is part of the wire format, because
+/// the encoding (postcard) identifies them by position.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum AntiEntropyPayload {
-    /// The digest of the sender's view.
+    /// The digest of the sender's view, for comparison with the receiver's view.
     Digest {
         /// One hash for each of the [`BUCKETS`] buckets.
         bucket_hashes: Vec<u32>,
     },
-    /// Alive and suspect members in the sender's view, from buckets in which the sender's view and the
-    /// receiver's differ.
+    /// Members that are alive or suspect in the sender's view. The list covers only buckets in which the
+    /// views of sender and receiver differ.
     Members {
-        /// Bit set of the buckets whose members the receiver is to send in return; 0 if none.
+        /// Bit set of buckets. The receiver is to send its members of these buckets in return; 0 requests
+        /// none.
         requested_buckets: u64,
         /// The listed members, with their states in the sender's view.
         members: Vec<Member<MemberId>>,
     },
-    /// A member that the sender has recorded as suspect or down. The member itself can refute the verdict. If
-    /// the verdict is down, any other receiver that has recorded the member as alive suspects it.
+    /// The sender reports that it has recorded a member as suspect or down. The member itself can refute the
+    /// verdict. If the verdict is down, any other receiver that has the member recorded as alive suspects it.
     Verdict {
-        /// The member with its state in the sender's view.
+        /// The member that the verdict is about, with its state in the sender's view.
         member: Member<MemberId>,
     },
 }
@@ -61,8 +65,8 @@
         postcard::to_allocvec(self).expect("postcard can encode every type in a message")
     }
 
-    /// Decodes a message. Returns `None` if the bytes are truncated, invalid or followed by other bytes, or
-    /// contain a digest with a wrong number of buckets.
+    /// Decodes a message. Returns `None` if the bytes are truncated, invalid or followed by other bytes. Also
+    /// returns `None` for a digest with a wrong number of buckets.
     pub fn decode(bytes: &[u8]) -> Option<AntiEntropyMessage> {
         let (message, rest) = postcard::take_from_bytes::<AntiEntropyMessage>(bytes).ok()?;
         if !rest.is_empty() {
@@ -75,16 +79,17 @@
     }
 }
 
-/// Encodes `members` as [`AntiEntropyPayload::Members`] messages, filling each body up to `body_max` bytes.
-/// The first message carries `requested_buckets`. At most [`ANSWERS_MAX`] messages are returned; members that
-/// do not fit into them are left to a later exchange.
+/// Encodes `members` as [`AntiEntropyPayload::Members`] messages of at most `body_max` bytes each. The first
+/// message also carries `requested_buckets`. At most [`ANSWERS_MAX`] messages are returned. Members that do
+/// not fit into them are omitted, and are sent in a later exchange.
 pub fn encode_members(
     from: &MemberId,
     requested_buckets: u64,
     members: &[Member<MemberId>],
     body_max: usize,
 ) -> Vec<Vec<u8>> {
-    // The longest possible header, so that any value of `requested_buckets` fits.
+    // Size of the longest possible header. `u64::MAX` has the longest encoding, so any `requested_buckets`
+    // fits.
     let head_bytes = encode_list(from, u64::MAX, Vec::new()).len() + LIST_LENGTH_BYTES;
     let list_bytes_max = body_max.saturating_sub(head_bytes);
     let mut bodies = Vec::new();
--- a/crates/membership/src/rejoin.rs
+++ b/crates/membership/src/rejoin.rs
@@ -1,18 +1,18 @@
-//! Announcements of this server to the seeds. They are sent at the start and, since they may be lost,
-//! repeated while no other member is known.
+//! Announces this server to the seeds, the configured first contacts in the fleet. Announcements are sent at
+//! the start. Since they may be lost, they are repeated while this server knows no other member.
 
 use crate::runtime::FocaEffects;
 use crate::{MemberId, Membership, Nanos};
 use std::net::SocketAddr;
 
-/// The seeds, and the schedule of announcements to them.
+/// Addresses of the seeds, and the times at which this server announces itself to the seeds.
 pub(crate) struct SeedRejoin {
-    /// Addresses of the seeds, excluding this server's own.
+    /// Addresses of the seeds. This server's own address is excluded.
     pub(crate) seeds: Vec<SocketAddr>,
-    /// When to check again whether any other member is known; `None` before the join and if there are no
-    /// seeds.
+    /// Time of the next check whether this server knows any other member. If it knows none, it announces
+    /// itself to the seeds again. `None` before the join, or if there are no seeds.
     at: Option<Nanos>,
-    /// Delay from one announcement to the next; doubled with each repetition.
+    /// Delay from one announcement to the seeds to the next. Doubled with each repetition.
     backoff: Nanos,
 }
 
@@ -32,8 +32,8 @@
 }
 
 impl Membership {
-    /// If the check is due and no other member is known, announces this server to the seeds again and doubles
-    /// the delay before the next check, up to the announce period.
+    /// Checks, if the check is due, whether this server knows any other member. If it knows none, announces
+    /// this server to the seeds again and doubles the delay until the next check, up to the announce period.
     pub(crate) fn rejoin_if_due(&mut self) {
         if self.rejoin.at.is_none_or(|at| at > self.now) {
             return;
@@ -55,11 +55,11 @@
         }
     }
 
-    /// Announces this server to the member at `addr`, whose name and incarnation are not known yet.
+    /// Announces this server to the member at `addr`. The member's name and incarnation are not known yet.
     pub(crate) fn announce_to(&mut self, addr: SocketAddr) {
         let unknown = MemberId { name: String::new(), addr, incarnation: 0 };
         let mut effects = FocaEffects::default();
-        // Errors can be ignored, because the announcement is repeated while no other member is known.
+        // Errors can be ignored, because the announcement is repeated later.
         let _ = self.foca.announce(unknown, &mut effects);
         self.apply(effects);
     }
--- a/crates/membership/src/replay_window.rs
+++ b/crates/membership/src/replay_window.rs
@@ -1,42 +1,45 @@
-//! Replay protection: each authentic datagram is accepted at most once. A sliding window of sequence numbers
-//! is kept for each sender (the anti-replay window of RFC 4303, section 3.4.3).
+//! Replay protection: each authentic datagram is accepted at most once. For each sender, a sliding window
+//! records which of the latest sequence numbers have been received (the anti-replay window of RFC 4303,
+//! section 3.4.3).
 
 use crate::Nanos;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// Size of a replay window, in sequence numbers. A datagram whose sequence number is this much or more below
-/// the highest one received from the sender is rejected.
+/// Size of a replay window, in sequence numbers. A datagram is rejected if its sequence number is lower than
+/// the highest received number of the same sender by this much or more.
 const WINDOW: u64 = 64;
 
-/// Replay windows by sender address. Their number is limited: the window of the least recently active sender
-/// is evicted to make space.
+/// Replay windows, indexed by the sender's address. The number of windows is limited: when the limit is
+/// reached, a new window replaces that of the least recently active sender.
 #[derive(Debug, Default)]
 pub struct ReplayWindows {
     windows: HashMap<SocketAddr, ReplayWindow>,
     limit: usize,
 }
 
-/// The sequence numbers received from one sender in its highest incarnation.
+/// Records which sequence numbers were received from one sender. Covers only the highest incarnation received
+/// from this sender.
 #[derive(Debug, Clone, Copy)]
 struct ReplayWindow {
     incarnation: u64,
-    /// Highest sequence number received.
+    /// Highest sequence number received from the sender in this incarnation.
     highest: u64,
     /// Bit `n` is set if the sequence number `highest - n` has been received.
     received: u64,
-    /// When a datagram was last received from the sender in the window's incarnation.
+    /// Time at which the last datagram of this incarnation was received from the sender.
     last_received_at: Nanos,
 }
 
 impl ReplayWindow {
-    /// Creates a window that ends at `highest` and in which no sequence number has been received.
+    /// Creates a window whose highest sequence number is `highest`. No number is recorded as received yet,
+    /// not even `highest`.
     fn new(incarnation: u64, highest: u64, last_received_at: Nanos) -> ReplayWindow {
         ReplayWindow { incarnation, highest, received: 0, last_received_at }
     }
 
-    /// Checks a received sequence number, and records it if it is accepted. Returns whether it is accepted:
-    /// it must be within or after the window, and not received before.
+    /// Checks a received sequence number, and returns whether it is accepted. A number is rejected if it was
+    /// received before or is too old for the window. An accepted number is recorded as received.
     fn accept(&mut self, sequence: u64) -> bool {
         if sequence > self.highest {
             let shift = sequence - self.highest;
@@ -53,15 +56,15 @@
 }
 
 impl ReplayWindows {
-    /// Creates an empty set of windows for at most `limit` senders; a limit of 0 counts as 1.
+    /// Creates an empty set of windows for at most `limit` senders. If `limit` is 0, the limit is 1.
     pub fn new(limit: usize) -> ReplayWindows {
         ReplayWindows { windows: HashMap::new(), limit: limit.max(1) }
     }
 
-    /// Checks a datagram received from the address `from`, and records it if it is new. Returns whether the
-    /// datagram is new; otherwise it is a replay. A datagram with an earlier incarnation than one already
-    /// received from the address also counts as a replay. `now` is recorded as the time of the sender's last
-    /// activity; the least recently active sender is evicted first.
+    /// Returns whether a datagram from the address `from` is new, and records it if so. Returns false for a
+    /// replay. A datagram with a lower incarnation than one already received from this address also counts as
+    /// a replay. `now` becomes the time of the sender's last activity, by which senders are selected for
+    /// eviction.
     pub fn accept(&mut self, from: SocketAddr, incarnation: u64, sequence: u64, now: Nanos) -> bool {
         if !self.windows.contains_key(&from) && self.windows.len() >= self.limit {
             self.evict_oldest();
--- a/crates/membership/src/runtime.rs
+++ b/crates/membership/src/runtime.rs
@@ -1,4 +1,5 @@
-//! The effects that foca requests while it handles an event, and the execution of these effects.
+//! Collects the effects that foca requests while it handles an event (packets, timers, notifications), and
+//! executes them.
 
 use crate::envelope::PayloadKind;
 use crate::identity::MemberId;
@@ -7,7 +8,7 @@
 use foca::{Notification, Runtime, Timer};
 use std::time::Duration;
 
-/// Packets to send, timers to schedule, and changes of the view that one call of foca produced.
+/// Effects of one call of foca: packets to send, timers to schedule, and changes of the view.
 #[derive(Default)]
 pub(crate) struct FocaEffects {
     packets: Vec<(MemberId, Vec<u8>)>,
@@ -24,8 +25,8 @@
             Notification::Active => Change::Active,
             Notification::Idle => Change::Idle,
             Notification::Rejoin(id) => Change::Rejoined(id.clone()),
-            // The only other notification is `Defunct`, which does not occur, because `MemberId::renew`
-            // always returns a new identity.
+            // `Defunct` is the only notification not handled above. It does not occur, because
+            // `MemberId::renew` always returns a new identity.
             _ => return,
         });
     }
@@ -40,14 +41,15 @@
 }
 
 impl Membership {
-    /// Executes the effects that foca requested.
+    /// Executes the effects that foca requested: schedules timers, sends packets, and records changes of the
+    /// view.
     pub(crate) fn apply(&mut self, effects: FocaEffects) {
         for (after, timer) in effects.timers {
             let after = u64::try_from(after.as_nanos()).unwrap_or(u64::MAX);
             let deadline = self.now.saturating_add(after);
             if let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = &timer {
-                // In foca, only the member whose probe raised a suspicion decides whether the suspect is
-                // down. The same member therefore also notifies the suspect.
+                // foca schedules this timer only in the member whose probe raised the suspicion. That member
+                // also notifies the suspect directly, so the suspicion is recorded here.
                 self.suspicions.raise(member_id.clone(), *incarnation, self.now, deadline);
             }
             self.schedule(deadline, timer);
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -10,35 +10,36 @@
 const SECOND_NS: Nanos = 1_000_000_000;
 const MILLISECOND_NS: Nanos = 1_000_000;
 
-/// Default of [`Settings::bytes_per_second`]. The value exceeds the traffic of a member in a fleet of 1,000
-/// members, so that the budget does not delay the agreement of views. A smaller value limits the load on the
-/// network, but the views of a large fleet then agree later.
+/// Default of [`Settings::bytes_per_second`]. The value exceeds the traffic per member in a fleet of 1,000
+/// members, so the budget does not delay the agreement of views. With a smaller value, a member loads the
+/// network less, but the views of a large fleet agree later.
 pub const DEFAULT_BYTES_PER_SECOND: u64 = 200_000;
 /// Smallest allowed value of [`Settings::packet_max`], in bytes. A body of this size holds two members with
 /// names of maximum length.
 const PACKET_BYTES_MIN: usize = 256;
 /// Largest allowed value of [`Settings::packet_max`], in bytes.
 const PACKET_BYTES_MAX: usize = DATAGRAM_BYTES_MAX - ENVELOPE_BYTES;
-/// Minimum number of datagrams of maximum size that the budget of bytes per second must allow.
+/// The budget [`Settings::bytes_per_second`] must allow at least this many datagrams of maximum size per
+/// second.
 const PACKETS_PER_SECOND_MIN: usize = 4;
 const KEY_BYTES_MIN: usize = 16;
 const PROBE_PERIOD_MIN_NS: Nanos = 10 * MILLISECOND_NS;
 const SUSPICION_MULTIPLIER_MAX: u32 = 60;
 
-/// Number of members to which foca gossips in one round.
+/// Number of members to which foca sends gossip in one round, once per gossip period.
 pub(crate) const GOSSIP_MEMBERS: usize = 3;
-/// Number of alive members to which a member announces itself once per announce period.
+/// Number of alive members to which foca announces this member once per announce period.
 const ANNOUNCE_MEMBERS: usize = 1;
-/// Number of members recorded as down to which a member announces itself once per announce period.
+/// Number of members recorded as down to which foca announces this member once per announce period.
 const ANNOUNCE_DOWN_MEMBERS: usize = 2;
-/// Number of other members that are requested to probe a member on behalf of the prober, after the member did
-/// not answer a direct probe (`k` in the SWIM paper).
+/// If a member does not answer a direct probe, the prober requests this number of other members to probe it
+/// too (`k` in the SWIM paper).
 const INDIRECT_PROBES: usize = 3;
-/// Factor by which the decimal logarithm of the fleet's size is multiplied to obtain the number of
-/// transmissions of an update (`lambda` in the SWIM paper).
+/// Number of times that an update is transmitted, per power of ten of the fleet's size (`lambda` in the SWIM
+/// paper). It is multiplied by the decimal logarithm of the expected number of members plus 1.
 const TRANSMISSIONS_PER_LOG10: f64 = 4.0;
-/// Number of suspicion times after which a member that was recorded as down is removed from the view. The
-/// removal keeps the use of memory proportional to the number of members that are not down.
+/// A member that was recorded as down is removed from the view after this number of suspicion times. Without
+/// removal, the use of memory would grow with the number of all members that have ever been down.
 const REMOVE_AFTER_SUSPICION_TIMES: u64 = 30;
 
 /// Settings of a member. Times are in nanoseconds. [`Settings::check`] enforces the allowed ranges.
@@ -48,33 +49,33 @@
     pub fleet: String,
     /// Secret key that authenticates the fleet's datagrams.
     pub key: Vec<u8>,
-    /// Interval at which a member probes another member.
+    /// Interval at which each member probes one other member.
     pub probe_period: Nanos,
-    /// Time for which a member waits for the answer to a direct probe, before it requests other members to
-    /// probe. Must be shorter than the probe period.
+    /// Time for which the prober waits for the answer to a direct probe. Without an answer, the prober then
+    /// requests other members to probe the same member. Must be shorter than the probe period.
     pub probe_rtt: Nanos,
-    /// Suspicion time in probe periods. A suspect that does not refute the suspicion within this time is
-    /// declared down.
+    /// Suspicion time, as a multiple of the probe period. A suspect that does not refute the suspicion within
+    /// the suspicion time is declared down.
     pub suspicion_multiplier: u32,
-    /// Maximum size of a datagram's body, in bytes. Bodies of gossip may be limited further, see
-    /// [`Settings::bytes_per_second`].
+    /// Maximum size of a datagram's body, in bytes. The maximum for gossip may be smaller, so that gossip
+    /// stays within half of [`Settings::bytes_per_second`].
     pub packet_max: usize,
-    /// Expected number n of members in the fleet, from which the number of transmissions of an update is
-    /// derived: about 4 log10(n + 1).
+    /// Expected number of members in the fleet, `n`. Each update is transmitted about 4 log10(n + 1) times.
     pub expected_members: u32,
-    /// Interval at which a member gossips to three others.
+    /// Interval between two gossip rounds. In each round, a member sends gossip to three other members.
     pub gossip_period: Nanos,
-    /// Interval at which a member announces itself to other members again, and compares its view with that of
-    /// another member.
+    /// Interval at which a member repeats two actions: announcing itself to other members, and comparing its
+    /// view with another member's view.
     pub announce_period: Nanos,
-    /// Budget of bytes per second for the datagrams of the membership protocol; shared state is not included.
-    /// Gossip in packets of maximum size takes half of the budget. Gossip and lists of members are postponed
-    /// when the budget is used up; probes, their answers and verdicts are not.
+    /// Budget for datagrams of the membership protocol, in bytes per second. When it is used up, gossip and
+    /// lists of members are postponed. Probes, answers to probes and verdicts are not postponed. Gossip in
+    /// packets of maximum size takes half of the budget. Shared state is not charged to the budget.
     pub bytes_per_second: u64,
 }
 
-/// An invalid setting. The message starts with the name of the field, spelled with hyphens. Periods are in
-/// nanoseconds, while the attributes of the options file have the unit in their names (`probe-period-ms`).
+/// Reason why a setting is invalid. The message starts with the name of the field, spelled with hyphens. The
+/// message states periods in nanoseconds. In the options file, by contrast, the attribute names contain the
+/// unit (`probe-period-ms`).
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
     /// The fleet's name is empty or too long.
@@ -92,18 +93,19 @@
     /// The probe period is too short.
     #[error("probe-period: at least 10 ms, not {actual} ns")]
     ProbePeriod {
-        /// The configured period, in nanoseconds.
+        /// The configured probe period, in nanoseconds.
         actual: Nanos,
     },
-    /// The wait for the answer to a direct probe is zero or not shorter than the probe period.
+    /// The time to wait for the answer to a direct probe is invalid: it is zero or not shorter than the probe
+    /// period.
     #[error("probe-rtt: above 0 and under the probe period of {probe_period} ns, not {actual} ns")]
     ProbeRtt {
-        /// The configured wait, in nanoseconds.
+        /// The configured time to wait for the answer, in nanoseconds.
         actual: Nanos,
         /// The configured probe period, in nanoseconds.
         probe_period: Nanos,
     },
-    /// The suspicion time is too short or too long.
+    /// The multiplier that yields the suspicion time from the probe period is too small or too large.
     #[error("suspicion-multiplier: 1 to {SUSPICION_MULTIPLIER_MAX}, not {actual}")]
     SuspicionMultiplier {
         /// The configured multiplier.
@@ -115,23 +117,23 @@
         /// The configured size, in bytes.
         actual: usize,
     },
-    /// The budget of bytes per second does not allow four datagrams of maximum size.
+    /// The budget of bytes per second is too small: it must allow four datagrams of maximum size.
     #[error("bytes-a-second: {min} at least with packets of {packet_max}, not {actual}")]
     BytesPerSecond {
         /// The configured budget, in bytes per second.
         actual: u64,
-        /// The minimum budget for datagrams of this size, in bytes per second.
+        /// The minimum budget for datagrams of `packet_max` bytes, in bytes per second.
         min: u64,
         /// The configured maximum size of a datagram's body, in bytes.
         packet_max: usize,
     },
-    /// The expected number of members or a period is zero.
+    /// The expected number of members, the gossip period or the announce period is zero.
     #[error(
         "expected-members, gossip-period and announce-period: above 0, not {expected_members}, \
          {gossip_period} ns and {announce_period} ns"
     )]
     Zero {
-        /// The configured number of members.
+        /// The configured expected number of members.
         expected_members: u32,
         /// The configured gossip period, in nanoseconds.
         gossip_period: Nanos,
@@ -158,7 +160,7 @@
         }
     }
 
-    /// Suspicion time in nanoseconds: the probe period times the multiplier.
+    /// Returns the suspicion time in nanoseconds: the probe period times the multiplier.
     pub fn suspicion(&self) -> Nanos {
         self.probe_period.saturating_mul(self.suspicion_multiplier as u64)
     }
@@ -166,7 +168,7 @@
     /// Checks that all settings are within their allowed ranges.
     ///
     /// # Errors
-    /// Names the first invalid setting.
+    /// Returns the error for the first invalid setting.
     pub fn check(&self) -> Result<(), SettingsError> {
         self.check_fleet()?;
         self.check_probes()?;
@@ -217,16 +219,16 @@
         Ok(())
     }
 
-    /// Maximum body size of gossip, probes and their answers, in bytes. The size is limited so that gossip in
-    /// packets of maximum size takes at most half of the budget of bytes per second, and leaves the other
-    /// half to probes and lists of members.
+    /// Returns the maximum body size of gossip, probes and answers to probes, in bytes. With this limit,
+    /// gossip in packets of maximum size takes at most half of the budget of bytes per second. The other half
+    /// is left to probes and lists of members.
     pub(crate) fn gossip_packet_bytes(&self) -> usize {
         let packets_per_second = GOSSIP_MEMBERS as u64 * SECOND_NS.div_ceil(self.gossip_period);
         let datagram_bytes = (self.bytes_per_second / (2 * packets_per_second)) as usize;
         datagram_bytes.saturating_sub(ENVELOPE_BYTES).clamp(PACKET_BYTES_MIN, self.packet_max)
     }
 
-    /// The foca configuration for these settings, which must have passed [`Settings::check`].
+    /// Returns the foca configuration for these settings. The settings must have passed [`Settings::check`].
     pub(crate) fn foca(&self) -> Config {
         let decades = (f64::from(self.expected_members) + 1.0).log10();
         let transmissions = (TRANSMISSIONS_PER_LOG10 * decades).ceil().clamp(1.0, 255.0) as u8;
--- a/crates/membership/src/state_machine.rs
+++ b/crates/membership/src/state_machine.rs
@@ -1,4 +1,5 @@
-//! The methods through which the caller passes inputs to the state machine and takes its outputs.
+//! The public methods of the membership state machine. Through them, the caller passes in inputs and takes
+//! outputs.
 
 use crate::envelope::{DropReason, PayloadKind};
 use crate::messages::AntiEntropyMessage;
@@ -8,14 +9,14 @@
 use foca::{Member, Timer};
 use std::net::SocketAddr;
 
-/// Maximum number of received bodies of shared state that wait until the caller takes them. Further bodies
-/// are dropped.
+/// Maximum number of received bodies of shared state that are kept until the caller takes them. Further
+/// received bodies are dropped.
 const SHARED_STATE_BODIES_MAX: usize = 1024;
 
 impl Membership {
-    /// Joins the fleet by announcing this server to the seeds, of which only the addresses are known. While
-    /// this server knows no other member, it repeats the announcement: first after a probe period, then with
-    /// the interval doubling up to the announce period.
+    /// Joins the fleet by announcing this server to the seeds. While this server knows no other member, the
+    /// announcement is repeated. The first repetition follows after a probe period. The interval then doubles
+    /// each time, up to the announce period.
     pub fn join(&mut self, seeds: &[SocketAddr], now: Nanos) {
         self.now = self.now.max(now);
         let own = self.identity().addr;
@@ -24,34 +25,34 @@
         self.announce_to_seeds();
     }
 
-    /// Adds members as alive without gossiping about them. A server that has kept its view across a restart
-    /// calls this to restore the view. Probes and gossip correct members whose restored state is out of date.
+    /// Adds members to the view as alive, without gossip about them. Used by a server that has kept its view
+    /// across a restart. If a restored state is out of date, probes and gossip correct it.
     pub fn restore(&mut self, members: impl Iterator<Item = MemberId>, now: Nanos) {
         self.now = self.now.max(now);
         let own = self.identity().addr;
         let mut effects = FocaEffects::default();
         let others = members.filter(|id| id.addr != own).map(Member::alive);
-        // Errors can be ignored: if foca could not apply a member, this server learns of that member again
-        // from other members.
+        // Errors can be ignored: if foca does not apply a member, this server learns of the member from other
+        // members later.
         let _ = self.foca.apply_many(others, false, &mut effects);
         self.apply(effects);
     }
 
-    /// Announces to the fleet that this server leaves, so that the other members record it as down at once
-    /// instead of after the suspicion time.
+    /// Announces to the fleet that this server leaves. The other members then record it as down at once.
+    /// Without the announcement, they would detect its absence only by probes and after the suspicion time.
     pub fn leave(&mut self, now: Nanos) {
         self.now = self.now.max(now);
         let mut effects = FocaEffects::default();
-        // Errors can be ignored: members that do not receive the announcement detect by their probes that
-        // this server is down.
+        // Errors can be ignored: members that do not receive the announcement detect the absence of this
+        // server by their probes.
         let _ = self.foca.leave_cluster(&mut effects);
         self.apply(effects);
     }
 
-    /// Handles a datagram received from `from`.
+    /// Handles a datagram received from the address `from`.
     ///
     /// # Errors
-    /// The reason if the datagram is dropped. Dropped datagrams are also counted by reason.
+    /// If the datagram is dropped, returns the reason. Dropped datagrams are also counted by reason.
     pub fn handle_datagram(
         &mut self,
         from: SocketAddr,
@@ -108,8 +109,8 @@
         self.notify_suspects();
     }
 
-    /// Fires foca's timers that are due. A gossip round that exceeds the send budget is postponed by one
-    /// gossip period.
+    /// Fires foca's timers that are due. If the send budget does not allow a gossip round, the round is
+    /// postponed by one gossip period.
     fn fire_timers(&mut self) {
         while let Some(entry) = self.timers.first_entry() {
             if entry.key().deadline > self.now {
@@ -121,15 +122,15 @@
                 continue;
             }
             let mut effects = FocaEffects::default();
-            // Errors can be ignored: foca starts the next probe round by itself.
+            // Errors can be ignored: after a failed timer, foca starts the next probe round by itself.
             let _ = self.foca.handle_timer(timer, &mut effects);
             self.apply(effects);
         }
     }
 
-    /// When [`Membership::handle_timeout`] is next to be called. Never `None`, since there is always a
-    /// deadline for the next anti-entropy exchange; the `Option` makes it easy to combine the deadline with
-    /// others.
+    /// Returns the time at which [`Membership::handle_timeout`] is to be called next. The result is never
+    /// `None`, since the next anti-entropy exchange always has a deadline. It is an `Option` so that callers
+    /// can easily combine the deadline with other deadlines.
     pub fn poll_timeout(&self) -> Option<Nanos> {
         let timer = self.timers.keys().next().map(|key| key.deadline);
         let deadlines =
@@ -137,8 +138,9 @@
         deadlines.into_iter().flatten().min()
     }
 
-    /// Sends a body of shared state, whose content this crate does not interpret. A body longer than
-    /// [`Membership::body_max`] is dropped and counted as unsendable.
+    /// Sends a body of shared state. This crate does not interpret its content. A body longer than
+    /// [`Membership::body_max`] is not sent, but counted in
+    /// [`Counts::unsendable`](crate::Counts::unsendable).
     pub fn send_shared_state(&mut self, to: SocketAddr, body: &[u8], now: Nanos) {
         self.now = self.now.max(now);
         self.send(to, PayloadKind::SharedState, body);
@@ -154,7 +156,7 @@
         self.sealer.body_max()
     }
 
-    /// Removes and returns the datagrams to send.
+    /// Removes and returns the datagrams that the caller is to send.
     pub fn take_transmits(&mut self) -> Vec<Transmit> {
         std::mem::take(&mut self.transmits)
     }
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -1,5 +1,6 @@
-//! Suspicions. The prober, the member whose probe raised a suspicion, notifies the suspect directly. Every
-//! member also times out suspicions that the prober has not ended.
+//! Handling of suspicions. The prober, whose probe raised the suspicion, notifies the suspect directly, so
+//! that the suspect can refute it. If the prober does not end a suspicion in time, every other member ends it
+//! by itself and declares the suspect down.
 
 use crate::identity::MemberId;
 use crate::runtime::FocaEffects;
@@ -8,26 +9,27 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// Number of notifications sent to a suspect within one suspicion time. With 20% loss in each direction, the
-/// probability that none of them is answered is 0.36^8, less than 1 in 3,000.
+/// Number of direct notifications that a suspect receives within one suspicion time. With 20% packet loss in
+/// each direction, a notification is answered with probability 0.64. The probability that all 8 remain
+/// unanswered is 0.36^8, less than 1 in 3,000.
 const NOTIFICATIONS: u64 = 8;
-/// Number of suspicion times after which every member ends a suspicion by itself. The timer of the prober,
-/// which raised the suspicion, already ends it after one suspicion time.
+/// Number of suspicion times after which every member ends a suspicion by itself. In the prober, whose probe
+/// raised the suspicion, a timer ends the suspicion earlier, after one suspicion time.
 const EXPIRY_FACTOR: u64 = 2;
 
-/// A suspicion raised by this member's own probe.
+/// A suspicion that was raised by a probe of this member.
 struct RaisedSuspicion {
     suspect: MemberId,
-    /// The suspect's SWIM incarnation: the number of suspicions that it has refuted.
+    /// The suspect's SWIM incarnation, which is the number of suspicions that the suspect has refuted.
     refutations: u16,
-    /// When the next notification of the suspect is due.
+    /// Time at which the suspect is next notified.
     notify_at: Nanos,
-    /// When foca declares the suspect down.
+    /// Time at which foca declares the suspect down.
     ends_at: Nanos,
 }
 
-/// Identifies a suspicion, whichever member raised it. After a refutation, a new suspicion of the same member
-/// has a different key, since the number of refutations has changed.
+/// Identifies a suspicion, independent of the member that raised it. The key contains the suspect's number of
+/// refutations. A new suspicion after a refutation therefore has a different key.
 #[derive(PartialEq, Eq, Hash)]
 struct SuspicionKey {
     addr: SocketAddr,
@@ -35,14 +37,15 @@
     refutations: u16,
 }
 
-/// The suspicions known to this member.
+/// The suspicions that this member knows of, raised by itself or by other members.
 pub(crate) struct Suspicions {
-    /// Suspicion time: how long a suspect has to refute its suspicion before foca declares it down.
+    /// Suspicion time: the time that a suspect has to refute a suspicion before foca declares it down.
     duration: Nanos,
     raised: Vec<RaisedSuspicion>,
-    /// When this member first observed each suspicion, including suspicions raised by this member itself.
+    /// Time at which this member first observed each suspicion. Includes suspicions raised by this member
+    /// itself.
     first_seen: HashMap<SuspicionKey, Nanos>,
-    /// When [`Membership::expire_suspicions_if_due`] last checked for expired suspicions.
+    /// Time at which [`Membership::expire_suspicions_if_due`] last checked for expired suspicions.
     checked_at: Nanos,
 }
 
@@ -51,22 +54,24 @@
         Suspicions { duration, raised: Vec::new(), first_seen: HashMap::new(), checked_at: now }
     }
 
-    /// Records a suspicion raised by this member. The suspect is notified at once and then periodically.
+    /// Records a suspicion raised by this member. The suspect is notified of it at once and then
+    /// periodically.
     pub(crate) fn raise(&mut self, suspect: MemberId, refutations: u16, now: Nanos, ends_at: Nanos) {
         self.raised.push(RaisedSuspicion { suspect, refutations, notify_at: now, ends_at });
     }
 
-    /// When the next notification of a suspect is due, or the next suspicion raised by this member ends,
-    /// whichever is earlier.
+    /// Returns the earliest time at which a suspect is to be notified or a suspicion raised by this member
+    /// ends.
     pub(crate) fn deadline(&self) -> Option<Nanos> {
         self.raised.iter().map(|raised| raised.notify_at.min(raised.ends_at)).min()
     }
 }
 
 impl Membership {
-    /// Sends the notifications that are due to members that this member's own probes made suspect. A suspect
-    /// is notified until it is no longer suspect. Gossip alone is not enough: each update is sent a fixed
-    /// number of times, so with packet loss some suspects would never learn that they are suspected.
+    /// Notifies the members that this member's own probes made suspect, if a notification is due.
+    /// Notifications are repeated until the member is no longer suspect. Gossip alone is not enough, because
+    /// each update is sent a fixed number of times: with packet loss, some suspects would never learn of the
+    /// suspicion.
     pub(crate) fn notify_suspects(&mut self) {
         let now = self.now;
         if self.suspicions.deadline().is_none_or(|deadline| deadline > now) {
@@ -95,11 +100,10 @@
         }
     }
 
-    /// Declares down every member that has been suspect for twice the suspicion time. In foca, only the
-    /// prober, whose probe raised the suspicion, times the suspicion out. If the prober crashes or takes a
-    /// new incarnation, its timer is lost, and the suspect would remain suspect in every view. As in SWIM,
-    /// each member therefore times out suspicions by itself. Members wait for twice the suspicion time, so
-    /// that the prober's timer fires first.
+    /// Declares down every member that has been suspect for twice the suspicion time. Normally, the timer of
+    /// the prober, whose probe raised the suspicion, does this after one suspicion time. The timer is lost if
+    /// the prober crashes or takes a new incarnation. In foca, the suspect would then remain suspect in every
+    /// view. As in SWIM, each member therefore also times suspicions out.
     fn expire_suspicions(&mut self) {
         let mut expired = Vec::new();
         let mut first_seen = HashMap::new();
