--- a/crates/membership/src/simulation/mod.rs
+++ b/crates/membership/src/simulation/mod.rs
@@ -1,6 +1,6 @@
-//! Simulation of a fleet of members with a network, in simulated time and without I/O. A run is deterministic
-//! for a given seed. It can include packet loss, delay, jitter, duplication, one-way and two-way partitions,
-//! crashes, stalls and restarts. The simulation is used by tests and to produce the figures in
+//! Simulation of a fleet of members and its network. It uses simulated time, does no I/O, and is
+//! deterministic for a given seed. A run can include packet loss, delay, jitter, duplication, one-way and
+//! two-way partitions, crashes, stalls and restarts. Tests use the simulation, and it produces the figures in
 //! `docs/membership.md`.
 
 mod network;
@@ -16,40 +16,41 @@
 use std::collections::BinaryHeap;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
-/// Port of the simulated members, whose addresses are 127.1.0.0 to 127.1.255.255.
+/// UDP port of every simulated member. Their addresses are 127.1.0.0 to 127.1.255.255.
 const PORT: u16 = 7000;
 const NETWORK: [u8; 2] = [127, 1];
 
-/// Time at which a member's [`Membership::handle_timeout`] is to be called.
+/// A scheduled call of [`Membership::handle_timeout`] for the member with index `member`, due at the time
+/// `at`.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Timeout {
     at: Nanos,
     member: usize,
 }
 
-/// A simulated fleet: members by index, the network between them, and the simulated time.
+/// A simulated fleet: the members, addressed by index, the network between them, and the simulated time.
 pub struct SimulatedFleet {
     settings: Settings,
     seed: u64,
     now: Nanos,
     processes: Vec<Process>,
     network: Network,
-    /// Deadlines of the members. An entry is outdated, and skipped, if a later event has changed the member's
-    /// deadline.
+    /// Scheduled deadlines of the members. When a member's deadline changes, its old entry stays in the
+    /// queue; such an outdated entry is skipped.
     timeouts: BinaryHeap<Reverse<Timeout>>,
-    /// Number of threads that run members. With one thread, the fleet runs event by event. With more threads,
-    /// it runs in time windows whose length is the network's minimum delay, which must be above 0. No
-    /// datagram sent within a window arrives in the same window, so the result does not depend on the number
-    /// of threads.
+    /// Number of threads that run the members. With one thread, the simulation runs event by event. With more
+    /// threads, it runs in time windows as long as the network's minimum delay, which must be above 0. A
+    /// datagram sent within a window then arrives in a later window, so the result does not depend on the
+    /// number of threads.
     pub threads: usize,
-    /// Datagrams sent since the start.
+    /// Number of datagrams that all members have sent since the start of the simulation.
     pub sent: u64,
     /// Bytes sent since the start.
     pub sent_bytes: u64,
 }
 
 impl SimulatedFleet {
-    /// Creates a fleet of `members` members, none of which is started.
+    /// Creates a fleet of `members` members. No member is started yet.
     pub fn new(
         members: usize,
         settings: Settings,
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Number of members, whether started or not.
+    /// Returns the number of members, including those that are not started.
     pub fn len(&self) -> usize {
         self.processes.len()
     }
@@ -79,7 +80,7 @@
         self.processes.is_empty()
     }
 
-    /// Simulated time since the start, in nanoseconds.
+    /// Returns the simulated time since the start of the simulation, in nanoseconds.
     pub fn now(&self) -> Nanos {
         self.now
     }
@@ -91,7 +92,8 @@
         SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::new(first, second, high, low), PORT))
     }
 
-    /// Index of the member with an address; `None` if the address is not one of a simulated member.
+    /// Returns the index of the member with this address; `None` if the address does not belong to the
+    /// simulated fleet.
     fn member_at(addr: SocketAddr) -> Option<usize> {
         let SocketAddr::V4(addr) = addr else { return None };
         let [first, second, high, low] = addr.ip().octets();
@@ -99,7 +101,7 @@
         is_member.then(|| usize::from(u16::from_be_bytes([high, low])))
     }
 
-    /// Seed of the random numbers of one member in one incarnation.
+    /// Returns the seed for the random numbers of a member in one of its incarnations.
     fn member_seed(&self, member: usize, incarnation: u64) -> u64 {
         self.seed ^ ((member as u64) << 20) ^ incarnation
     }
@@ -109,7 +111,8 @@
         Membership::new(me, &self.settings, seed, self.now).expect("the caller passes valid settings")
     }
 
-    /// Starts a member, or restarts it with the next incarnation, and announces it to the seeds.
+    /// Starts a member, which announces itself to the seeds. A member that was started before gets its next
+    /// incarnation.
     pub fn start(&mut self, member: usize, seeds: &[usize]) {
         let incarnation = self.processes[member].incarnation + 1;
         let seed = self.member_seed(member, incarnation);
@@ -120,7 +123,7 @@
         self.finish_event(member);
     }
 
-    /// Kills a member's process without a chance to leave the fleet (SIGKILL).
+    /// Kills a member's process at once (SIGKILL), so that it cannot announce to the fleet that it leaves.
     pub fn crash(&mut self, member: usize) {
         self.processes[member].crash();
     }
@@ -131,20 +134,21 @@
         self.processes[member].is_stalled = true;
     }
 
-    /// Continues a stalled member (SIGCONT): overdue timers fire, and buffered datagrams are handled.
+    /// Resumes a stalled member (SIGCONT): its overdue timers fire, and the datagrams in its socket buffer
+    /// are handled.
     pub fn resume(&mut self, member: usize) {
         self.processes[member].resume(self.now);
         self.finish_event(member);
     }
 
-    /// Assigns a member to a group, see [`SimulatedFleet::cut_one_way`]. Initially all members are in group
-    /// 0.
+    /// Assigns a member to a group of members that [`SimulatedFleet::cut_one_way`] can separate. Initially
+    /// all members are in group 0.
     pub fn assign_group(&mut self, member: usize, group: u32) {
         self.network.assign_group(member, group);
     }
 
-    /// Partitions the network in one direction: all datagrams from group `from` to group `to` are lost until
-    /// [`SimulatedFleet::heal`].
+    /// Partitions the network in one direction: until [`SimulatedFleet::heal`] is called, all datagrams from
+    /// group `from` to group `to` are lost.
     pub fn cut_one_way(&mut self, from: u32, to: u32) {
         self.network.cut_one_way(from, to);
     }
@@ -154,22 +158,22 @@
         self.network.heal();
     }
 
-    /// A member; `None` if its process does not exist.
+    /// Returns a member; `None` if its process does not exist.
     pub fn member(&self, member: usize) -> Option<&Membership> {
         self.processes[member].membership.as_ref()
     }
 
-    /// A member, mutably; `None` if its process does not exist.
+    /// Returns a mutable reference to a member; `None` if its process does not exist.
     pub fn member_mut(&mut self, member: usize) -> Option<&mut Membership> {
         self.processes[member].membership.as_mut()
     }
 
-    /// Whether a member's process exists and is not stalled.
+    /// Returns true if the member's process exists and is not stalled.
     pub fn is_running(&self, member: usize) -> bool {
         self.processes[member].is_running()
     }
 
-    /// Completes the processing of an event by a member: sends the datagrams that the member has queued, and
+    /// Called after a member has processed an event. Sends the datagrams that the member has queued, and
     /// schedules the member's next deadline.
     fn finish_event(&mut self, member: usize) {
         let Some(membership) = self.member_mut(member) else { return };
@@ -190,13 +194,14 @@
         }
     }
 
-    /// Time of the next event, which is either the arrival of a datagram or a deadline.
+    /// Returns the time of the next event: the arrival of a datagram or a member's deadline, whichever is
+    /// earlier.
     fn next_event(&self) -> Option<Nanos> {
         let timeout = self.timeouts.peek().map(|Reverse(timeout)| timeout.at);
         self.network.next_arrival().into_iter().chain(timeout).min()
     }
 
-    /// Runs the simulation up to and including the time `until`.
+    /// Runs the simulation until all events up to and including the time `until` are processed.
     pub fn run_until(&mut self, until: Nanos) {
         if self.threads > 1 && self.network.min_delay() > 0 {
             self.run_windows(until);
@@ -206,8 +211,8 @@
         self.now = self.now.max(until);
     }
 
-    /// Runs the simulation event by event up to and including the time `until`. If the arrival of a datagram
-    /// and a deadline have the same time, the arrival is processed first.
+    /// Runs the simulation event by event, up to and including the time `until`. At equal times, the arrival
+    /// of a datagram is processed before a deadline.
     fn run_events(&mut self, until: Nanos) {
         while let Some(next) = self.next_event().filter(|next| *next <= until) {
             self.now = self.now.max(next);
@@ -222,7 +227,8 @@
         }
     }
 
-    /// Processes the earliest scheduled deadline, unless it is outdated or its member is not running.
+    /// Takes the earliest deadline from the queue, and processes it. Skips the deadline if it is outdated or
+    /// if its member is not running.
     fn fire_timeout(&mut self) {
         let Some(Reverse(Timeout { at, member })) = self.timeouts.pop() else { return };
         let process = &mut self.processes[member];
@@ -235,8 +241,8 @@
         self.finish_event(member);
     }
 
-    /// Whether the views of all running members among `members` agree: each must list exactly the other
-    /// `members` as alive or suspect, with their current incarnations.
+    /// Returns whether the views of all running members in `members` agree. Views agree if each lists exactly
+    /// the other members of `members` as alive or suspect, with their current incarnations.
     pub fn views_agree(&self, members: &[usize]) -> bool {
         let current = |member: &usize| self.processes[*member].current_incarnation();
         let identity = |member: &usize| (SimulatedFleet::addr(*member), current(member));
@@ -252,7 +258,7 @@
         parallel::all(members, self.threads, &has_expected)
     }
 
-    /// Runs the simulation until the views of `members` agree, which is checked at intervals of `step`.
+    /// Runs the simulation until the views of `members` agree. Checks the views at intervals of `step`.
     /// Returns the elapsed simulated time, or `None` if the views do not agree within `limit`.
     pub fn run_until_views_agree(&mut self, members: &[usize], step: Nanos, limit: Nanos) -> Option<Nanos> {
         let start = self.now;
--- a/crates/membership/src/simulation/network.rs
+++ b/crates/membership/src/simulation/network.rs
@@ -1,4 +1,4 @@
-//! The simulated network, which holds the datagrams in flight, and loses, delays and duplicates datagrams.
+//! The simulated network. It holds the datagrams in flight and can lose, delay and duplicate datagrams.
 
 use crate::Nanos;
 use rand_chacha::ChaCha8Rng;
@@ -7,21 +7,21 @@
 use std::collections::{BinaryHeap, HashSet};
 use std::net::SocketAddr;
 
-/// Loss, delay and duplication that the network applies to every datagram.
+/// Probabilities of loss and duplication, and the delay, which apply to every datagram in the network.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NetworkConditions {
-    /// Share of datagrams lost, 0 to 1.
+    /// Probability that a datagram is lost, 0 to 1.
     pub loss: f64,
     /// Minimum delay in nanoseconds.
     pub delay: Nanos,
-    /// Upper bound of the random delay added to the minimum, in nanoseconds.
+    /// Upper bound of the random delay, in nanoseconds. The random delay is added to the minimum delay.
     pub jitter: Nanos,
-    /// Share of datagrams that are duplicated, 0 to 1.
+    /// Probability that a datagram is duplicated, 0 to 1.
     pub duplicate: f64,
 }
 
-/// A datagram in flight. Datagrams with the same arrival time are delivered in the order in which they were
-/// sent.
+/// A datagram in flight. Datagrams are delivered in the order of their arrival times; equal arrival times
+/// keep the order of sending.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Delivery {
     pub(super) at: Nanos,
@@ -32,14 +32,14 @@
     pub(super) datagram: Vec<u8>,
 }
 
-/// The state of the network: datagrams in flight, and partitions.
+/// The state of the simulated network: the datagrams in flight, and the partitions between groups of members.
 pub(super) struct Network {
     conditions: NetworkConditions,
     in_flight: BinaryHeap<Reverse<Delivery>>,
     sequence: u64,
     /// Group of each member.
     groups: Vec<u32>,
-    /// One-way partitions: pairs of groups of which the second receives no datagrams from the first.
+    /// One-way partitions, as pairs of groups: datagrams from the first group to the second are lost.
     cuts: HashSet<(u32, u32)>,
     rng: ChaCha8Rng,
 }
@@ -68,17 +68,17 @@
         self.cuts.clear();
     }
 
-    /// Minimum time between the sending of a datagram and its arrival.
+    /// Returns the minimum time from the sending of a datagram to its arrival, in nanoseconds.
     pub(super) fn min_delay(&self) -> Nanos {
         self.conditions.delay
     }
 
-    /// Arrival time of the next datagram; `None` if none is in flight.
+    /// Returns the arrival time of the datagram that arrives next; `None` if no datagram is in flight.
     pub(super) fn next_arrival(&self) -> Option<Nanos> {
         self.in_flight.peek().map(|Reverse(delivery)| delivery.at)
     }
 
-    /// Removes and returns the next datagram, if it arrives before `end`.
+    /// Removes and returns the datagram that arrives next, if its arrival time is before `end`.
     pub(super) fn pop_before(&mut self, end: Nanos) -> Option<Delivery> {
         if self.next_arrival().is_none_or(|at| at >= end) {
             return None;
@@ -115,8 +115,7 @@
         }
     }
 
-    /// Returns true with the given probability. Does not use the random number generator if the probability
-    /// is 0.
+    /// Returns true with the given probability. If the probability is 0, draws no random number.
     fn draw(&mut self, probability: f64) -> bool {
         probability > 0.0 && (self.rng.next_u64() as f64 / u64::MAX as f64) < probability
     }
--- a/crates/membership/src/simulation/parallel.rs
+++ b/crates/membership/src/simulation/parallel.rs
@@ -1,5 +1,5 @@
-//! Parallel simulation of members on several threads, for fleets of thousands of members. The result does not
-//! depend on the number of threads.
+//! Runs the members of a simulated fleet on several threads, for fleets of thousands of members. The result
+//! does not depend on the number of threads.
 
 use super::process::{Arrival, Process, Sent};
 use super::{SimulatedFleet, Timeout};
@@ -8,26 +8,27 @@
 use std::collections::BTreeMap;
 use std::thread;
 
-/// Minimum number of members assigned to a thread. With fewer members, starting the thread takes more time
-/// than the thread saves.
+/// Minimum number of members per thread. For fewer members, starting a thread takes more time than the thread
+/// saves.
 const MEMBERS_PER_THREAD_MIN: usize = 4;
 
 const FIRST_INCARNATION: u64 = 1;
 
-/// A member to run for one window, with the datagrams that arrive at it within the window.
+/// The work of one member within one time window: the process to run, and the datagrams that arrive in the
+/// window.
 struct WindowTask<'a> {
     member: usize,
     process: &'a mut Process,
     arrivals: Vec<Arrival>,
 }
 
-/// Datagrams that one member sent at one time.
+/// Datagrams that one member sent at the same simulated time.
 struct SentByMember {
     member: usize,
     sent: Sent,
 }
 
-/// Datagrams that members sent within a window, and the next deadlines of the members.
+/// Result of running members for one time window: the datagrams that they sent, and their next deadlines.
 #[derive(Default)]
 struct WindowOutcome {
     sent: Vec<SentByMember>,
@@ -40,7 +41,7 @@
         for sent in self.process.run_window(now, end, arrivals) {
             outcome.sent.push(SentByMember { member: self.member, sent });
         }
-        // The deadline of a stalled member is scheduled again when the member resumes.
+        // A stalled member has no deadline to schedule here. Its deadline is scheduled when it resumes.
         if self.process.is_running() {
             let timeout = self.process.next_timeout();
             outcome.timeouts.extend(timeout.map(|at| Timeout { at, member: self.member }));
@@ -49,8 +50,8 @@
 }
 
 impl SimulatedFleet {
-    /// Starts all members with complete views of the fleet. This avoids simulating the join of a large fleet,
-    /// whose cost grows with the square of the number of members.
+    /// Starts all members with complete views of the fleet. This skips the simulation of the joins, whose
+    /// cost grows with the square of the number of members.
     pub fn start_with_complete_views(&mut self) {
         let count = self.processes.len();
         let share = count.div_ceil(self.threads.max(1)).max(1);
@@ -86,9 +87,9 @@
         membership
     }
 
-    /// Runs the simulation in time windows whose length is the network's minimum delay. For each window,
-    /// arriving datagrams are assigned to their members, the members run in parallel, and the datagrams that
-    /// they send are passed to the network ordered by time and member.
+    /// Runs the simulation in time windows as long as the network's minimum delay. For each window, assigns
+    /// the arriving datagrams to their receivers and runs the members in parallel. Afterwards passes the
+    /// datagrams that they sent to the network, ordered by time and then by member.
     pub(super) fn run_windows(&mut self, until: Nanos) {
         while let Some(next) = self.next_event().filter(|next| *next <= until) {
             let now = self.now;
@@ -116,8 +117,8 @@
         outcome
     }
 
-    /// Datagrams that arrive before `end`, by receiving member. The list is empty for a member that receives
-    /// none but has a deadline before `end`.
+    /// Returns the datagrams that arrive before `end`, grouped by receiving member. Also contains, with an
+    /// empty list, each member that receives none but has a deadline before `end`.
     fn arrivals_before(&mut self, end: Nanos) -> BTreeMap<usize, Vec<Arrival>> {
         let mut arrivals: BTreeMap<usize, Vec<Arrival>> = BTreeMap::new();
         while let Some(delivery) = self.network.pop_before(end) {
@@ -133,7 +134,7 @@
     }
 }
 
-/// Runs each member in `tasks` for one window, on up to `threads` threads. The outcomes are ordered by
+/// Runs all members of `tasks` for one time window, on up to `threads` threads. The results are ordered by
 /// member.
 fn run_tasks(mut tasks: Vec<WindowTask>, threads: usize, now: Nanos, end: Nanos) -> WindowOutcome {
     let share = tasks.len().div_ceil(threads).max(MEMBERS_PER_THREAD_MIN);
@@ -147,7 +148,7 @@
     let mut whole = WindowOutcome::default();
     thread::scope(|scope| {
         let mut parts = tasks.chunks_mut(share);
-        // The current thread itself runs the first part of the members.
+        // The current thread runs the first part of the members itself; only the other parts get new threads.
         let first = parts.next();
         let others: Vec<_> = parts.map(|part| scope.spawn(move || run(part))).collect();
         let mut outcomes: Vec<WindowOutcome> = first.map(run).into_iter().collect();
@@ -162,7 +163,8 @@
     whole
 }
 
-/// Whether the predicate `holds` is true for all `members`; evaluated on up to `threads` threads.
+/// Returns whether the condition `holds` is true for all `members`. The condition is evaluated on up to
+/// `threads` threads.
 pub(super) fn all(members: &[usize], threads: usize, holds: &(impl Fn(&usize) -> bool + Sync)) -> bool {
     let share = members.len().div_ceil(threads).max(1);
     thread::scope(|scope| {
--- a/crates/membership/src/simulation/process.rs
+++ b/crates/membership/src/simulation/process.rs
@@ -1,20 +1,20 @@
-//! The simulated process of one member, which is running, is stalled, or does not exist.
+//! The simulated process of one member. The process is running or stalled, or it does not exist.
 
 use crate::{Membership, Nanos, Transmit};
 use std::net::SocketAddr;
 
-/// Maximum number of datagrams that the socket of a stalled process buffers. Further datagrams are lost, as
-/// with a full receive buffer of the operating system.
+/// Maximum number of datagrams in the socket buffer of a stalled process. Further datagrams are lost, as with
+/// a full receive buffer of an operating system.
 const SOCKET_BUFFER_MAX: usize = 256;
 
-/// A datagram that arrives at a process.
+/// A datagram that arrives at a simulated process at the time `at`.
 pub(super) struct Arrival {
     pub(super) at: Nanos,
     pub(super) from: SocketAddr,
     pub(super) datagram: Vec<u8>,
 }
 
-/// Datagrams that a process sent at one time.
+/// Datagrams that a simulated process sent at the time `at`.
 pub(super) struct Sent {
     pub(super) at: Nanos,
     pub(super) transmits: Vec<Transmit>,
@@ -22,10 +22,10 @@
 
 #[derive(Default)]
 pub(super) struct Process {
-    /// The process's membership state; `None` while the process does not exist.
+    /// The membership state machine that the process runs; `None` while the process does not exist.
     pub(super) membership: Option<Membership>,
     pub(super) is_stalled: bool,
-    /// The incarnation with which the process was last started.
+    /// The incarnation that the process had at its last start.
     pub(super) incarnation: u64,
     socket_buffer: Vec<(SocketAddr, Vec<u8>)>,
 }
@@ -58,18 +58,19 @@
         self.membership.is_some() && !self.is_stalled
     }
 
-    /// Next deadline of the member; `None` if the process does not exist.
+    /// Returns the member's next deadline; `None` if the process does not exist.
     pub(super) fn next_timeout(&self) -> Option<Nanos> {
         self.membership.as_ref().and_then(Membership::poll_timeout)
     }
 
-    /// The member's current incarnation. It is higher than the incarnation of the last start if the member
-    /// was wrongly declared down and has rejoined since.
+    /// Returns the member's current incarnation. It can be higher than at the last start: a running member
+    /// that the fleet has declared down rejoins with a higher incarnation.
     pub(super) fn current_incarnation(&self) -> u64 {
         self.membership.as_ref().map_or(self.incarnation, |membership| membership.identity().incarnation)
     }
 
-    /// Handles a datagram, or buffers it if the process is stalled. Returns whether the datagram was handled.
+    /// Handles a datagram and returns true. If the process is stalled, buffers the datagram instead and
+    /// returns false; if the process does not exist, returns false.
     pub(super) fn receive(&mut self, from: SocketAddr, datagram: Vec<u8>, now: Nanos) -> bool {
         let Some(membership) = self.membership.as_mut() else { return false };
         if !self.is_stalled {
@@ -82,8 +83,8 @@
         false
     }
 
-    /// Runs the process for one window: handles arriving datagrams and due timers in order of time until
-    /// `end`. Returns the datagrams sent.
+    /// Runs the process for one time window. Until `end`, handles arriving datagrams and due timers in the
+    /// order of their times. Returns the datagrams that the process sent.
     pub(super) fn run_window(&mut self, now: Nanos, end: Nanos, arrivals: Vec<Arrival>) -> Vec<Sent> {
         if self.is_stalled {
             for arrival in arrivals {
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,5 +1,5 @@
-//! The view as presented to the caller: members with their states, changes of the view, and counts of
-//! datagrams.
+//! The view that the caller receives: the members known to this server with their states, changes of the
+//! view, and counts of datagrams.
 
 use crate::envelope::DropReason;
 use crate::identity::MemberId;
@@ -18,11 +18,13 @@
     pub addr: SocketAddr,
     /// The member's incarnation, which identifies one start of its process.
     pub incarnation: u64,
-    /// The SWIM incarnation kept by foca: the number of suspicions that the member has refuted.
+    /// The member's SWIM incarnation, maintained by foca. It counts the suspicions that the member has
+    /// refuted.
     pub refutations: u16,
     /// The member's state.
     pub state: MemberState,
-    /// When this server first observed the member in this state and incarnation, in nanoseconds.
+    /// Time at which this server first observed the member in this state and incarnation, in nanoseconds of
+    /// the caller's clock.
     pub since: Nanos,
 }
 
@@ -31,11 +33,11 @@
 pub enum MemberState {
     /// The member answers probes, or has refuted a suspicion.
     Alive,
-    /// The member did not answer a probe. It is declared down unless it refutes the suspicion within the
-    /// suspicion time.
+    /// The member did not answer a probe, and is suspected to have failed. If it does not refute the
+    /// suspicion within the suspicion time, it is declared down.
     Suspect,
-    /// The member left, or did not refute a suspicion in time. A member that is down is removed from the view
-    /// after a multiple of the suspicion time.
+    /// The member left the fleet, or did not refute a suspicion in time. A member in this state is removed
+    /// from the view after a multiple of the suspicion time.
     Down,
 }
 
@@ -49,10 +51,10 @@
     }
 }
 
-/// A change of the view with its time.
+/// A change of the view, with the time at which this server learned of it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ViewChange {
-    /// When this server learned of the change, in nanoseconds.
+    /// Time at which this server learned of the change, in nanoseconds of the caller's clock.
     pub at: Nanos,
     /// The change.
     pub change: Change,
@@ -65,24 +67,24 @@
     Up(MemberId),
     /// A member left or was declared down.
     Down(MemberId),
-    /// A member was replaced by a later incarnation at the same address.
+    /// A member was replaced by a new incarnation at the same address, for example after a restart.
     Renamed {
         /// The previous identity.
         old: MemberId,
         /// The new identity.
         new: MemberId,
     },
-    /// This server now knows at least one other member that is not down.
+    /// This server has learned of another member that is not down, after it knew of none.
     Active,
-    /// This server no longer knows any other member except members that are down.
+    /// This server no longer knows any other member that is not down.
     Idle,
-    /// The fleet had declared this server down, and the server rejoined with this identity of a higher
-    /// incarnation.
+    /// The fleet had declared this server down. The server has rejoined with this identity, which has a
+    /// higher incarnation.
     Rejoined(MemberId),
 }
 
 impl Change {
-    /// Whether a member joined, left, was renamed or rejoined.
+    /// Returns true if the change is that a member joined, left, was renamed or rejoined.
     pub(crate) fn alters_members(&self) -> bool {
         match self {
             Change::Up(_) | Change::Down(_) | Change::Renamed { .. } | Change::Rejoined(_) => true,
@@ -91,20 +93,20 @@
     }
 }
 
-/// Counts of datagrams since the start. The field names appear in the log.
+/// Counts of datagrams since the start of this member. The field names appear in the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
     /// Datagrams sent.
     pub sent: u64,
-    /// Bytes of the datagrams sent, envelopes included.
+    /// Bytes of all datagrams sent, including their headers and tags.
     pub sent_bytes: u64,
-    /// Datagrams received, including dropped ones.
+    /// Number of datagrams received, including those that were dropped.
     pub received: u64,
     /// Bytes of the datagrams received.
     pub received_bytes: u64,
-    /// Dropped datagrams by reason, in the order of [`DropReason::ALL`].
+    /// Number of dropped datagrams for each reason, in the order of [`DropReason::ALL`].
     pub dropped: [u64; DropReason::ALL.len()],
-    /// Bodies not sent because they were longer than allowed.
+    /// Number of messages that were not sent because their body was longer than allowed.
     pub unsendable: u64,
 }
 
@@ -113,12 +115,12 @@
         self.dropped[index_of(reason)] += 1;
     }
 
-    /// Number of datagrams dropped for one reason.
+    /// Returns the number of datagrams dropped for the given reason.
     pub fn dropped(&self, reason: DropReason) -> u64 {
         self.dropped[index_of(reason)]
     }
 
-    /// Number of datagrams dropped for any reason.
+    /// Returns the number of datagrams dropped for any reason.
     pub fn dropped_all(&self) -> u64 {
         self.dropped.iter().sum()
     }
@@ -129,7 +131,8 @@
     index.expect("DropReason::ALL has every reason")
 }
 
-/// A member's last observed incarnation and state, and when this combination was first observed.
+/// The last observed incarnation and state of a member, and the time at which this server first observed this
+/// incarnation and state together.
 pub(crate) struct StateSince {
     incarnation: u64,
     state: MemberState,
@@ -137,11 +140,12 @@
 }
 
 impl Membership {
-    /// Returns all members known to this server except itself, ordered by address. Members that are down are
-    /// included until they are removed.
+    /// Returns all other members known to this server, ordered by address. Members that are down are included
+    /// until they are removed from the view.
     ///
-    /// The call also detects changes of state since the previous call. Each change is recorded with the time
-    /// `now` and updates [`Membership::last_change`]. The caller calls this method once per probe period.
+    /// The method also detects changes of state since its previous call. Each change is recorded with the
+    /// time `now` and updates [`Membership::last_change`]. The caller calls this method once per probe
+    /// period.
     pub fn observe_view(&mut self, now: Nanos) -> Vec<MemberStatus> {
         self.now = self.now.max(now);
         let mut view: Vec<MemberStatus> = Vec::with_capacity(self.foca.iter_membership_state().len());
@@ -167,12 +171,12 @@
         view
     }
 
-    /// Number of alive and suspect members, excluding this server.
+    /// Returns the number of members that are alive or suspect. This server is not counted.
     pub fn active_members(&self) -> usize {
         self.foca.num_members()
     }
 
-    /// Addresses of the alive members, excluding this server, sorted.
+    /// Returns the sorted addresses of the alive members. This server is not included.
     pub fn alive_addresses(&self) -> Vec<SocketAddr> {
         let alive = self.foca.iter_members().filter(|member| member.state() == State::Alive);
         let mut addresses: Vec<SocketAddr> = alive.map(|member| member.id().addr).collect();
@@ -180,7 +184,8 @@
         addresses
     }
 
-    /// Addresses and incarnations of the alive and suspect members, excluding this server, sorted.
+    /// Returns the sorted addresses and incarnations of the alive and suspect members. This server is not
+    /// included.
     pub fn members(&self) -> Vec<(SocketAddr, u64)> {
         let ids = self.foca.iter_members().map(|member| member.id());
         let mut members: Vec<(SocketAddr, u64)> = ids.map(|id| (id.addr, id.incarnation)).collect();
@@ -188,20 +193,21 @@
         members
     }
 
-    /// When the view last changed: a member joined, left, was renamed or changed its state.
+    /// Returns the time of the last change of the view: a member joined, left, was renamed or changed its
+    /// state.
     pub fn last_change(&self) -> Nanos {
         self.last_change
     }
 
-    /// Counts of datagrams since the start.
+    /// Returns the counts of datagrams since the start of this member.
     pub fn counts(&self) -> &Counts {
         &self.counts
     }
 }
 
-/// Returns when the member was first observed in this state and incarnation, and whether the state or the
-/// incarnation has changed since the previous observation. A member observed for the first time does not
-/// count as changed.
+/// Returns the time at which the member was first observed in this state and incarnation. Also returns
+/// whether its state or incarnation has changed since the previous observation; a first observation is not a
+/// change.
 fn date_state(
     state_since: &mut HashMap<SocketAddr, StateSince>,
     id: &MemberId,
--- a/crates/membership/tests/bytes.rs
+++ b/crates/membership/tests/bytes.rs
@@ -1,6 +1,6 @@
 //! Tests of the limit on the bytes that a member sends per second. The main test covers the situation with
-//! the most traffic: a partition of the fleet ends, and every member takes a new incarnation because the
-//! other part of the fleet had declared it down.
+//! the most traffic, the end of a partition. Each part of the fleet has then declared the members of the
+//! other part down, so every member takes a new incarnation.
 
 use meadowstream_membership::digest::BUCKETS;
 use meadowstream_membership::envelope::{PayloadKind, Sealer};
@@ -12,12 +12,12 @@
 const MILLISECOND: u64 = 1_000_000;
 const SECOND: u64 = 1_000 * MILLISECOND;
 const MEMBERS: usize = 300;
-/// Limit on the bytes that each member sends per second. Without a limit, the members of the two halves would
-/// send about 30,000 bytes per second after a partition.
+/// Limit on the bytes that each member sends per second. Without a limit, each member would send about 30,000
+/// bytes per second after the partition of the two halves ends.
 const BYTES_PER_SECOND: u64 = 12_000;
 const PARTITION_SECONDS: u64 = 30;
-/// Duration of the check after the end of the partition, in seconds. The bytes sent by each member are
-/// checked for every second, and the views must agree at the end of the check.
+/// Duration of the check after the end of the partition, in seconds. During the check, no member may exceed
+/// its byte limit in any second. At the end of the check, the views must agree.
 const CHECKED_SECONDS: u64 = 40;
 
 fn settings() -> Settings {
@@ -27,7 +27,7 @@
     settings
 }
 
-/// A fleet whose two halves have been partitioned from each other for [`PARTITION_SECONDS`].
+/// Creates a fleet whose two halves have been partitioned from each other for [`PARTITION_SECONDS`] seconds.
 fn partitioned_fleet(seed: u64) -> SimulatedFleet {
     let net = NetworkConditions { loss: 0.0, delay: MILLISECOND, jitter: 2 * MILLISECOND, duplicate: 0.0 };
     let mut fleet = SimulatedFleet::new(MEMBERS, settings(), seed, net);
@@ -41,7 +41,7 @@
     fleet
 }
 
-/// Bytes that each member has sent since the start.
+/// Returns the bytes that each member has sent since its start.
 fn sent_bytes(fleet: &SimulatedFleet) -> Vec<u64> {
     let of_member = |member| fleet.member(member).map_or(0, |membership| membership.counts().sent_bytes);
     (0..MEMBERS).map(of_member).collect()
@@ -52,8 +52,8 @@
 fn no_member_exceeds_its_byte_limit_in_any_second_after_a_heal(seed: u64) {
     let mut fleet = partitioned_fleet(seed);
     fleet.heal();
-    // Crash a member when the partition ends. The other members must detect the crash although the byte
-    // budget is used up, since probes are not postponed.
+    // Crash a member when the partition ends. The other members must detect the crash although their byte
+    // budgets are used up, since probes are never postponed.
     fleet.crash(MEMBERS - 1);
     let mut most = 0;
     for _ in 0..CHECKED_SECONDS {
@@ -68,8 +68,8 @@
     assert!(most <= settings().bytes_per_second, "a member sent {most} bytes in a second");
 }
 
-/// A member whose view has 1,000 members receives several digests at once, each of which it is to answer with
-/// its whole view. It sends only the lists of members that its byte budget allows.
+/// Several digests arrive at once at a member whose view has 1,000 members. Each digest requires an answer
+/// with the whole view. The member sends only as many lists of members as its byte budget allows.
 #[test]
 fn lists_of_members_beyond_the_budget_are_sent_in_a_later_exchange() {
     let id = |member: usize| MemberId {
@@ -79,7 +79,8 @@
     };
     let mut membership = Membership::new(id(0), &settings(), 1, 0).expect("valid settings");
     membership.restore((1..1_000).map(id), 0);
-    // Run the first regular comparison of views; the next one is due an announce period later.
+    // Run the first regular comparison of views. The next regular comparison is due one announce period
+    // later.
     membership.handle_timeout(2 * SECOND);
     membership.take_transmits();
     let sealer = Sealer::new("quiz", b"sixteen byte key", settings().packet_max);
@@ -88,15 +89,15 @@
         payload: AntiEntropyPayload::Digest { bucket_hashes: vec![0; BUCKETS] },
     }
     .encode();
-    // Delivers a digest and returns the number of bytes sent in answer.
+    // Delivers a digest to the member, and returns the number of bytes that the member sends in answer.
     let send_digest = |membership: &mut Membership, now: u64, sequence: u64| {
         let datagram = sealer.seal(PayloadKind::AntiEntropy, 1, sequence, &digest).expect("short body");
         membership.handle_datagram(SimulatedFleet::addr(1), &datagram, now).expect("authentic datagram");
         membership.take_transmits().iter().map(|transmit| transmit.datagram.len() as u64).sum::<u64>()
     };
     let at_once: u64 = (1..=5).map(|sequence| send_digest(&mut membership, 4 * SECOND, sequence)).sum();
-    // An eighth of the byte budget is reserved for probes, their answers and verdicts, and not available for
-    // lists of members.
+    // An eighth of the byte budget is reserved for probes, answers to probes, and verdicts. Lists of members
+    // may not use this part.
     let most = BYTES_PER_SECOND - BYTES_PER_SECOND / 8;
     assert!(
         at_once > BYTES_PER_SECOND / 2 && at_once <= most,
@@ -104,8 +105,9 @@
     );
     let later = send_digest(&mut membership, 4 * SECOND + 1_100 * MILLISECOND, 6);
     assert!(later > BYTES_PER_SECOND / 2, "sent {later} bytes in answer to a digest one second later");
-    // The member could not send all members, so the views may still differ. It therefore compares its view
-    // again after two probe periods instead of an announce period.
+    // The member could not send all members, so the views may still differ. The member therefore compares its
+    // view again after two probe periods. Otherwise, the next comparison would follow after an announce
+    // period.
     membership.handle_timeout(4 * SECOND + 2 * settings().probe_period);
     let is_digest = |datagram: &[u8]| {
         let opened = sealer.open(datagram).expect("a datagram of this fleet");
--- a/crates/membership/tests/datagrams.rs
+++ b/crates/membership/tests/datagrams.rs
@@ -1,5 +1,5 @@
-//! Untrusted datagrams: every kind of invalid datagram is dropped and counted by its reason, and none causes
-//! a panic.
+//! Tests with untrusted datagrams. Every kind of invalid datagram is dropped and counted by its reason, and
+//! none causes a panic.
 
 use meadowstream_membership::envelope::{
     DATAGRAM_BYTES_MAX, DropReason, HEADER_BYTES, PayloadKind, Sealer, TAG_BYTES,
@@ -19,7 +19,7 @@
     "127.0.0.1:7002".parse().unwrap()
 }
 
-/// A sealed datagram in which another member validly announces itself.
+/// Returns a valid datagram of another member of the fleet, which announces itself.
 fn announce() -> Vec<u8> {
     let me = MemberId { name: "b".into(), addr: from(), incarnation: 1 };
     let mut b = Membership::new(me, &Settings::lan("quiz", KEY), 2, 0).unwrap();
@@ -98,7 +98,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2000, ..ProptestConfig::default() })]
 
-    /// Arbitrary bytes are dropped and counted. They cause no panic and add no member.
+    /// Arbitrary bytes are dropped and counted. They neither cause a panic nor add a member to the view.
     #[test]
     fn arbitrary_bytes_are_counted_and_dropped(bytes in proptest::collection::vec(any::<u8>(), 0..2000)) {
         let mut a = membership();
@@ -107,7 +107,7 @@
         prop_assert_eq!(a.members().len(), 0);
     }
 
-    /// Authentic datagrams with arbitrary bodies may be rejected, but cause no panic.
+    /// Authentic datagrams whose bodies are arbitrary bytes may be rejected, but do not cause a panic.
     #[test]
     fn an_authentic_datagram_with_an_arbitrary_body_never_panics(
         body in proptest::collection::vec(any::<u8>(), 0..1400),
@@ -119,7 +119,7 @@
         prop_assert!(a.counts().received == 1);
     }
 
-    /// A valid datagram with any one byte changed is dropped.
+    /// A datagram is dropped if any one byte of it is changed.
     #[test]
     fn one_changed_byte_is_dropped(at in 0usize..10_000, by in 1u8..) {
         let mut bytes = announce();
--- a/crates/membership/tests/fixed_bytes.rs
+++ b/crates/membership/tests/fixed_bytes.rs
@@ -1,5 +1,5 @@
-//! Compatibility with release 0.2.0 (commit 22d0bb6): datagrams are encoded to the same bytes, and the
-//! recorded bytes are decoded to the same values.
+//! Wire compatibility with release 0.2.0 (commit 22d0bb6). Datagrams must be encoded to the bytes recorded
+//! from that release, and the recorded bytes must be decoded to the same values.
 
 use foca::{Codec, Header, Member, Message, PostcardCodec, State};
 use meadowstream_membership::MemberId;
@@ -44,7 +44,7 @@
     ]
 }
 
-/// A packet in foca's format: a header followed by the state of one member.
+/// Returns a packet in foca's format, which consists of a header and the state of one member.
 fn swim_body(message: Message<MemberId>) -> Vec<u8> {
     let header = Header { src: id("a", 1), src_incarnation: 3, dst: id("b", 2), message };
     let mut body = Vec::new();
@@ -115,8 +115,8 @@
     }
 }
 
-/// Servers of different releases compare their views by the hashes in the digest, so the hashes must not
-/// change.
+/// The hashes in a digest must not change, because servers of different releases compare their views by these
+/// hashes.
 #[test]
 fn the_digest_of_a_view_has_the_hashes_of_release_0_2() {
     let members = [id("a", 1), id("b", 2), id("c", 3)];
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! Membership of a simulated fleet under faults, in simulated time. Each test is deterministic for its seed.
+//! Tests of membership in a simulated fleet under faults. Each test uses simulated time and is deterministic
+//! for its seed.
 
 use foca::{Member, State};
 use meadowstream_membership::envelope::{PayloadKind, Sealer};
@@ -16,7 +17,7 @@
     s
 }
 
-/// A fleet of `n` started members, with member 0 as the only seed.
+/// Starts a fleet of `n` members. Member 0 is the only seed.
 fn started_fleet(n: usize, seed: u64, net: NetworkConditions) -> SimulatedFleet {
     let mut fleet = SimulatedFleet::new(n, settings(n as u32), seed, net);
     for i in 0..n {
@@ -25,7 +26,8 @@
     fleet
 }
 
-/// A fleet of `n` members whose views agree, and the indices of all members.
+/// Starts a fleet of `n` members and runs it until their views agree. Returns the fleet and the indices of
+/// all members.
 fn agreed_fleet(n: usize, seed: u64) -> (SimulatedFleet, Vec<usize>) {
     let mut fleet = started_fleet(n, seed, lan());
     let all: Vec<usize> = (0..n).collect();
@@ -37,8 +39,8 @@
     NetworkConditions { loss: 0.0, delay: MILLISECOND, jitter: MILLISECOND, duplicate: 0.0 }
 }
 
-/// The bound stated in docs/membership.md: all members have recorded a crashed member as down within the
-/// suspicion time plus this many probe periods.
+/// Number of probe periods in the time limit for detecting a crash, as stated in docs/membership.md. After
+/// the suspicion time plus this margin, all members must have recorded the crashed member as down.
 const CRASH_MARGIN_PERIODS: u64 = 8;
 
 #[test_case(1 ; "one")]
@@ -61,7 +63,7 @@
     let bound = s.suspicion() + CRASH_MARGIN_PERIODS * s.probe_period;
     let took = fleet.run_until_views_agree(&rest, 50 * MILLISECOND, 2 * bound).expect("crash detected");
     assert!(took <= bound, "crash detected after {took} ns, bound {bound} ns");
-    // A member is never declared down after one missed probe, but only after the suspicion time.
+    // A missed probe alone never declares a member down. The suspicion time must pass as well.
     assert!(took >= s.suspicion(), "crash detected after only {took} ns");
 }
 
@@ -100,7 +102,7 @@
     let rest: Vec<usize> = (0..n).filter(|&i| i != 2).collect();
     assert!(fleet.views_agree(&rest), "the stalled member is recorded as down");
     fleet.resume(2);
-    // After it resumes, the stalled member learns that it was declared down, takes a higher incarnation, and
+    // After resuming, the stalled member learns that it was declared down. It takes a higher incarnation and
     // is alive in all views again.
     fleet.run_until_views_agree(&all, 100 * MILLISECOND, 30 * SECOND).expect("the member rejoins");
     assert!(fleet.member(2).expect("running").identity().incarnation > 1);
@@ -110,7 +112,8 @@
 fn views_agree_after_a_one_way_partition_heals() {
     let n = 6;
     let (mut fleet, all) = agreed_fleet(n, 6);
-    // Member 5 receives datagrams from the others, but they receive none from it.
+    // One-way partition: member 5 receives datagrams from the other members, but the others receive none from
+    // it.
     fleet.assign_group(5, 1);
     fleet.cut_one_way(1, 0);
     let t = fleet.now();
@@ -131,17 +134,17 @@
     fleet.cut_one_way(1, 0);
     let t = fleet.now();
     fleet.run_until(t + 60 * SECOND);
-    // Each half records the members of the other half as down. After 20 s all but one or two members have
-    // done so; wait until all have.
+    // During the partition, each half records the members of the other half as down. After 20 s, one or two
+    // members may not have done so; wait for them.
     let _ = fleet.run_until_views_agree(&(0..n / 2).collect::<Vec<_>>(), 100 * MILLISECOND, 30 * SECOND);
     let _ = fleet.run_until_views_agree(&(n / 2..n).collect::<Vec<_>>(), 100 * MILLISECOND, 30 * SECOND);
     let left: Vec<usize> = (0..n / 2).collect();
     let right: Vec<usize> = (n / 2..n).collect();
     assert!(fleet.views_agree(&left) && fleet.views_agree(&right), "each half lists only its own members");
     fleet.heal();
-    // The bound is two announce periods, since each member compares its view with another member's once per
-    // period and sends verdicts to members that it has recorded as down. With announcements alone, the
-    // agreement of the views took up to 50 s with 16 members and 134 s with 256.
+    // The views must agree within two announce periods. Once per announce period, each member compares its
+    // view with another member's and sends verdicts to members that it has recorded as down. With
+    // announcements alone, the agreement took up to 50 s with 16 members and 134 s with 256.
     let bound = 2 * settings(n as u32).announce_period;
     let took = fleet.run_until_views_agree(&all, 100 * MILLISECOND, 2 * bound).expect("views agree again");
     assert!(took <= bound, "views agree after {took} ns, bound {bound} ns");
@@ -153,8 +156,8 @@
     let (mut fleet, all) = agreed_fleet(n, 9);
     fleet.crash(4);
     fleet.start(4, &[0]);
-    // The views agree much sooner than after the suspicion time, since the later incarnation of a restarted
-    // member replaces the earlier one at once.
+    // The views agree much sooner than after the suspicion time, because the later incarnation of a restarted
+    // member replaces the earlier one at once in each view.
     let took = fleet.run_until_views_agree(&all, 50 * MILLISECOND, 10 * SECOND).expect("views agree");
     assert!(took < settings(n as u32).suspicion(), "views agree only after {took} ns");
     for i in 0..4 {
@@ -166,11 +169,11 @@
     }
 }
 
-/// 16 members run for 10 minutes with 20% packet loss and 300 ms of jitter. On average, each member may
-/// record at most one running member as down (a false positive), and the views must agree at the end.
-/// Before suspects were notified directly, each member recorded 4.1 false positives with a probe period
-/// of 2 s and 18 with 1 s, regardless of the suspicion time, because gossip sends each update only a
-/// fixed number of times.
+/// A fleet of 16 members runs for 10 minutes with 20% packet loss and 300 ms of jitter. On average, each
+/// member may record at most one running member as down (a false positive). The views must agree at the end.
+/// Before suspects were notified directly, each member recorded 4.1 false positives with a probe period of 2
+/// s, and 18 with 1 s. The suspicion time made no difference, because gossip sends each update only a fixed
+/// number of times.
 #[test_case(2, 10 ; "two second periods")]
 #[test_case(2, 31 ; "two second periods, another seed")]
 #[test_case(1, 10 ; "one second periods")]
@@ -197,14 +200,14 @@
         downs += changes.iter().filter(|change| matches!(change.change, Change::Down(_))).count();
     }
     eprintln!("{downs} false positives recorded by {n} members in 10 minutes, period {period} s");
-    // The rate stated in docs/membership.md: on average, each member records at most one false positive in 10
+    // The limit stated in docs/membership.md: on average, a member records at most one false positive in 10
     // minutes.
     assert!(downs <= n, "{downs} false positives recorded by {n} members");
     fleet.run_until_views_agree(&all, 100 * MILLISECOND, 30 * SECOND).expect("views agree at the end");
 }
 
-/// Two halves of a fleet are partitioned for longer than members recorded as down are kept in the view, so
-/// that the halves no longer know each other. They must rediscover each other through the seeds. Before
+/// Two halves of a fleet are partitioned until each half has removed the members of the other half from its
+/// views. The halves then no longer know each other, and must rediscover each other through the seeds. Before
 /// members announced themselves to seeds outside their view, the halves remained two separate fleets.
 #[test]
 fn halves_partitioned_for_ten_minutes_rediscover_each_other_through_the_seeds() {
@@ -224,10 +227,10 @@
     assert!(took <= 3 * settings(n as u32).announce_period, "views agree only after {took} ns");
 }
 
-/// A prober crashes after it has suspected a running member, and the suspect receives no gossip about the
-/// suspicion. In foca, only the prober ends a suspicion, and answered probes do not clear it, so the suspect
-/// remained suspect in every view. This was observed between processes after a one-way partition. Each member
-/// therefore ends suspicions by itself.
+/// A prober suspects a running member and crashes, and no gossip about the suspicion reaches the suspect. In
+/// foca, only the prober ends a suspicion, and answers to probes do not clear it. The suspect therefore
+/// remained suspect in every view; this was observed between processes after a one-way partition. To prevent
+/// this, each member also ends suspicions by itself.
 #[test]
 fn a_suspicion_ends_after_its_prober_has_crashed() {
     let n = 5;
@@ -239,8 +242,8 @@
             addr: SimulatedFleet::addr(i),
             incarnation: 1,
         };
-        // Member 3 informs the others that it suspects member 4, and crashes. Meanwhile member 4 receives no
-        // datagrams.
+        // Member 3 informs the other members that it suspects member 4, and then crashes. During this time,
+        // member 4 receives no datagrams.
         fleet.assign_group(4, 1);
         fleet.cut_one_way(0, 1);
         let sealer = Sealer::new("quiz", b"sixteen byte key", 1400);
@@ -285,7 +288,7 @@
     fleet.crash(1);
     let rest: Vec<usize> = (2..6).collect();
     fleet.run_until_views_agree(&rest, 100 * MILLISECOND, 30 * SECOND).expect("the other views agree");
-    // The new members' seeds are the two crashed members and one running member.
+    // Each new member has three seeds: the two crashed members and one running member.
     fleet.start(6, &[0, 1, 2]);
     fleet.start(7, &[0, 1, 5]);
     let running: Vec<usize> = (2..8).collect();
@@ -328,8 +331,8 @@
     }
 }
 
-/// Delivers a verdict of member 0 on member 1 to member 1. Returns member 1, its identity before the verdict,
-/// and the datagrams that it sends.
+/// Creates member 1, and delivers to it a verdict that member 0 sends about member 1 itself. Returns member
+/// 1, its identity before the verdict, and the datagrams that it sends.
 fn after_verdict(state: State) -> (Membership, MemberId, Vec<Transmit>) {
     let id =
         |i: usize| MemberId { name: format!("server-{i}"), addr: SimulatedFleet::addr(i), incarnation: 7 };
--- a/crates/membership/tests/large.rs
+++ b/crates/membership/tests/large.rs
@@ -1,7 +1,7 @@
-//! Large fleets in simulated time: the time until the views agree after a crash and after a partition heals,
-//! and the traffic per member per second. Tests with 256 members always run. `cargo test -p
-//! meadowstream-membership --release
-//! --test large -- --ignored --nocapture` prints the figures of docs/membership.md for 1,000 members.
+//! Tests of large fleets in simulated time. They check the time until the views agree after a crash and after
+//! a partition, and the traffic per member per second. Tests with 256 members always run. `cargo test -p
+//! meadowstream-membership --release --test large -- --ignored --nocapture` prints the figures of
+//! docs/membership.md for 1,000 members.
 
 use meadowstream_membership::Settings;
 use meadowstream_membership::simulation::{NetworkConditions, SimulatedFleet};
@@ -9,14 +9,14 @@
 const MILLISECOND: u64 = 1_000_000;
 const SECOND: u64 = 1_000 * MILLISECOND;
 
-/// Runs a fleet of `n` members through a join, a crash and a partition, and checks the times until the views
-/// agree.
+/// Runs a fleet of `n` members through joins, a crash and a partition. Checks how long the views take to
+/// agree after each.
 fn run_crash_and_partition(n: usize, seed: u64, heal_limit: u64) {
     let mut s = Settings::lan("quiz", b"sixteen byte key");
     s.expected_members = n as u32;
     let net = NetworkConditions { loss: 0.0, delay: MILLISECOND, jitter: 2 * MILLISECOND, duplicate: 0.0 };
     let mut fleet = SimulatedFleet::new(n, s.clone(), seed, net);
-    // The members join in batches through a few seeds, as when a real fleet is started.
+    // The members join in batches through a few seeds, like the servers of a real fleet that starts up.
     for i in 0..n {
         fleet.start(i, &[0, 1, 2]);
         if i % 50 == 49 {
@@ -27,7 +27,7 @@
     let all: Vec<usize> = (0..n).collect();
     let joined =
         fleet.run_until_views_agree(&all, 500 * MILLISECOND, 300 * SECOND).expect("all members join");
-    // The traffic is measured while the view does not change, after the gossip about the joins has ended.
+    // Measure the traffic while the view does not change, after the gossip about the joins has ended.
     let t = fleet.now();
     fleet.run_until(t + 30 * SECOND);
     let (sent0, bytes0, t0) = (fleet.sent, fleet.sent_bytes, fleet.now());
@@ -61,8 +61,8 @@
     let heal_seconds = heal.map(|heal| heal as f64 / SECOND as f64);
     eprintln!("members {n}: views agree after a 60 s partition: {heal_seconds:?} s");
     let heal = heal.expect("views agree after the partition heals");
-    // The bound stated in docs/membership.md. With announcements alone, the agreement of the views took 133.5
-    // s with 256 members, and with 1,000 members the views did not agree within 600 s.
+    // The time limit stated in docs/membership.md. With announcements alone, the views took 133.5 s to agree
+    // with 256 members, and did not agree within 600 s with 1,000 members.
     assert!(heal <= 2 * s.announce_period, "views agree {heal} ns after the heal");
 }
 
@@ -77,11 +77,11 @@
     run_crash_and_partition(1000, 22, 600 * SECOND);
 }
 
-/// 10,000 members start with complete views. The test measures the traffic, the time to detect a crash, and
-/// the time until the views agree after every hundredth member was partitioned for a minute. It takes about
-/// 20 GB of memory and many minutes. Environment variables change the parameters: `MEMBERS` the number of
-/// members, `CUT` the number of partitioned members, `CUT_SECONDS` the duration of the partition, and
-/// `THREADS` the number of threads, which does not affect the result.
+/// A fleet of 10,000 members starts with complete views. Measures the traffic, the time to detect a crash,
+/// and the time until the views agree after a partition. The partition separates every hundredth member for a
+/// minute. The test takes about 20 GB of memory and many minutes. Environment variables change the
+/// parameters: `MEMBERS` the number of members, `CUT` the number of partitioned members, `CUT_SECONDS` the
+/// duration of the partition, and `THREADS` the number of threads, which does not affect the result.
 #[test]
 #[ignore]
 fn ten_thousand_members_with_complete_views_agree_after_a_crash_and_a_partition() {
@@ -132,8 +132,8 @@
     assert!(heal <= 3 * s.announce_period, "views agree {heal} ns after the heal");
 }
 
-/// A run on two threads and a run on five send the same datagrams, and their views agree after the same
-/// times.
+/// The number of threads must not affect the result: runs on two and on five threads send the same datagrams,
+/// and their views agree after the same simulated times.
 #[test]
 fn the_number_of_threads_does_not_change_the_result() {
     let run = |threads| {
--- a/crates/membership/tests/verdicts.rs
+++ b/crates/membership/tests/verdicts.rs
@@ -1,5 +1,6 @@
-//! Verdicts: how a member reacts when another member declares a third member down, and which members it
-//! notifies when a received list contains a member that it has recorded as down.
+//! Tests of verdicts, the messages that report a member as suspect or down. The tests check how a member
+//! reacts to a verdict that a third member is down. They also check which members it notifies when a received
+//! list contains a member that it has recorded as down.
 
 use foca::{Member, State};
 use meadowstream_membership::envelope::{PayloadKind, Sealer};
@@ -20,7 +21,7 @@
     MemberId { name: format!("s{member}"), addr: SimulatedFleet::addr(member), incarnation }
 }
 
-/// A member that has recorded the two other members, [`SENDER`] and [`THIRD`], as alive.
+/// Creates a member that has recorded the two other members of the fleet, [`SENDER`] and [`THIRD`], as alive.
 fn member_knowing_both() -> Membership {
     let mut membership = Membership::new(id(ME, 1), &settings(), 1, 0).expect("valid settings");
     membership.restore([id(SENDER, 1), id(THIRD, 1)].into_iter(), 0);
@@ -44,7 +45,7 @@
     view.iter().find(|seen| seen.addr == SimulatedFleet::addr(THIRD)).map(|seen| seen.state)
 }
 
-/// Addresses to which the member sends the verdict that the third member is down.
+/// Returns the addresses to which the member sends a verdict that the third member is down.
 fn receivers_of_verdict_on_third(membership: &mut Membership) -> Vec<std::net::SocketAddr> {
     let is_verdict = |datagram: &[u8]| {
         let opened = sealer().open(datagram).ok().filter(|opened| opened.kind == PayloadKind::AntiEntropy);
@@ -70,9 +71,9 @@
         SECOND / 10,
     );
     assert_eq!(state_of_third(&mut membership, SECOND / 10), Some(MemberState::Suspect));
-    // The suspect does not answer. Suspicions are checked once per probe period: one check records the
-    // suspicion, and the first check at least twice the suspicion time later declares the suspect down. Both
-    // checks can be up to one probe period late.
+    // The suspect does not answer, so this member declares it down. Suspicions are checked once per probe
+    // period. One check records the suspicion, and the first check at least twice the suspicion time later
+    // declares the suspect down. Each of the two checks can be up to one probe period late.
     let end = SECOND / 10 + 2 * settings().suspicion() + 2 * settings().probe_period;
     (1..=end / (SECOND / 10)).for_each(|tenth| membership.handle_timeout(tenth * SECOND / 10));
     assert_ne!(state_of_third(&mut membership, end), Some(MemberState::Alive));
