--- a/crates/replication/src/change.rs
+++ b/crates/replication/src/change.rs
@@ -1,4 +1,4 @@
-//! A change to one key of the configuration, with its length limits.
+//! Changes to single keys of the configuration, and the maximum lengths of keys and values.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,16 +7,16 @@
 /// Longest value, in bytes.
 pub const VALUE_BYTES_MAX: usize = 512;
 
-/// A change to one key: sets it to a value, or removes it.
+/// A change to one key of the configuration. It sets the key to a value or removes the key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// The key, of 1 to [`KEY_BYTES_MAX`] bytes.
+    /// The key to change, with a length of 1 to [`KEY_BYTES_MAX`] bytes.
     pub key: String,
-    /// The new value, of at most [`VALUE_BYTES_MAX`] bytes; `None` removes the key.
+    /// The new value, with a length of at most [`VALUE_BYTES_MAX`] bytes. `None` removes the key.
     pub value: Option<String>,
 }
 
-/// Reason why a change is invalid: its key or value is out of bounds.
+/// Reason why a change is invalid: the length of its key or of its value is not allowed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ChangeError {
     /// The key is empty or too long.
@@ -49,7 +49,7 @@
     /// Checks the lengths of the key and the value.
     ///
     /// # Errors
-    /// If either length is out of bounds.
+    /// Returns an error if the length of the key or of the value is not allowed.
     pub fn check(&self) -> Result<(), ChangeError> {
         if self.key.is_empty() || self.key.len() > KEY_BYTES_MAX {
             return Err(ChangeError::KeyLength { bytes: self.key.len() });
--- a/crates/replication/src/codec.rs
+++ b/crates/replication/src/codec.rs
@@ -1,14 +1,16 @@
-//! Encoding and decoding of messages, and the bounds that are checked when a message is decoded.
+//! Encoding and decoding of messages. Decoding also checks limits on the content of a message, such as the
+//! length of names.
 
 use crate::message::{BODY_BYTES_MAX, Message, NAME_BYTES_MAX, NEIGHBOURS_MAX, REASON_BYTES_MAX};
 
 impl Message {
-    /// Encodes the message as the bytes of a body.
+    /// Encodes the message as the body of a datagram.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_allocvec(self).expect("a message holds nothing that postcard cannot encode")
     }
 
-    /// Decodes a body. Returns `None` unless the body is exactly one message within its bounds.
+    /// Decodes the body of a datagram. Returns `None` if the body is not exactly one message, or if the
+    /// content of the message exceeds a limit.
     pub fn decode(body: &[u8]) -> Option<Message> {
         if body.len() > BODY_BYTES_MAX {
             return None;
@@ -25,7 +27,8 @@
                     && is_name(&location.region)
                     && is_name(&location.zone)
             }
-            // The lengths of the region and the zone are limited only by the maximum length of the body.
+            // The lengths of the region and the zone need no check here: they are limited by the maximum
+            // length of the body.
             Message::Report { report, .. } => {
                 let rejected = report.rejected.as_ref();
                 rejected.is_none_or(|rejection| rejection.reason.len() <= REASON_BYTES_MAX)
@@ -34,19 +37,20 @@
             Message::Submit { request, changes, .. } => {
                 is_name(&request.from) && changes.iter().all(|change| change.check().is_ok())
             }
-            // The acceptor and the committed log check entries when they append them.
+            // Entries need no check here: the acceptor and the committed log check them when they append
+            // them.
             Message::Promise { .. } | Message::Append { .. } => true,
-            // `SnapshotTransfer` checks received key-value pairs when it adds them to its state. The key
-            // `after` is only compared with other keys.
+            // Key-value pairs need no check here: `SnapshotTransfer` checks them when it adds them to its
+            // state. The key `after` needs no check either, since it is only compared with other keys.
             Message::FetchChunk { .. } | Message::SnapshotChunk { .. } => true,
-            // These messages contain at most numbers, so there is nothing to check.
+            // These messages contain only numbers, or nothing at all, so there is nothing to check.
             Message::SnapshotOffer { .. }
             | Message::PollReport
             | Message::Prepare { .. }
             | Message::EpochRejected { .. }
             | Message::Appended { .. }
             | Message::AppendRejected { .. } => true,
-            // The lengths of names and texts in these messages are limited only by the maximum length of the
+            // Names and texts need no check here: their lengths are limited by the maximum length of the
             // body.
             Message::Revert { .. }
             | Message::Submitted { .. }
@@ -57,7 +61,7 @@
     }
 }
 
-/// Whether a text is short enough to be a name.
+/// Returns whether a text has an allowed length for a name.
 fn is_name(text: &str) -> bool {
     text.len() <= NAME_BYTES_MAX
 }
--- a/crates/replication/src/committed_log.rs
+++ b/crates/replication/src/committed_log.rs
@@ -1,8 +1,9 @@
-//! The part of the committed log that one member holds: the configuration at its end, the last entries for
-//! members that lag a little, and two checkpoints for members that lag further.
+//! The part of the committed log that one member holds. It consists of the configuration at the end of the
+//! log, the latest entries, and two checkpoints. The entries are sent to members that lag a little, the
+//! checkpoints to members that lag further.
 //!
-//! Checkpoints have the same numbers on all members, so that a transfer started from one member can continue
-//! from another.
+//! A checkpoint has the same entry number on all members, so a transfer that was started from one member can
+//! continue from another.
 
 use crate::entry::Entry;
 use crate::revision::{Position, Revision};
@@ -10,100 +11,103 @@
 use crate::state::{KEYS_MAX, State};
 use std::collections::VecDeque;
 
-/// Interval between checkpoints, in entries. The log is divided into blocks of this many entries, and a
+/// Interval between checkpoints, in log entries. The log is divided into blocks of this many entries. A
 /// checkpoint is taken at the first complete change in each block.
 pub const CHECKPOINT_INTERVAL: u64 = 256;
 
-/// Reason why an entry cannot be appended to the log.
+/// Reason why an entry cannot be appended to the committed log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EntryError {
-    /// The entry is too long, or one of its changes is out of bounds.
+    /// The encoded entry is too long, or the key or value of one of its changes has an invalid length.
     #[error("entry {number} is out of bounds")]
     OutOfBounds {
         /// The entry's number.
         number: u64,
     },
-    /// The entry's epoch is lower than that of the last entry. Epochs never decrease along the log.
+    /// The entry's epoch (the term of its leader) is lower than that of the last entry in the log. Epochs
+    /// never decrease along the log.
     #[error("entry {number}: epoch {epoch} is before epoch {last} at the end of the log")]
     EpochFalls {
         /// The entry's number.
         number: u64,
         /// The entry's epoch.
         epoch: u64,
-        /// The epoch at the end of the log.
+        /// Epoch of the last entry in the log.
         last: u64,
     },
-    /// The content after the entry's changes does not match the entry's hash.
+    /// The configuration that results from the entry's changes does not match the hash in the entry.
     #[error("entry {number}: the content after its changes does not have its hash")]
     HashMismatch {
         /// The entry's number.
         number: u64,
     },
-    /// The content would have more than [`KEYS_MAX`] keys.
+    /// The configuration would have more than [`KEYS_MAX`] keys after the entry.
     #[error("entry {number}: {keys} keys are more than {KEYS_MAX}")]
     TooManyKeys {
         /// The entry's number.
         number: u64,
-        /// Number of keys after the entry's changes.
+        /// Number of keys that the configuration would have after the entry.
         keys: usize,
     },
 }
 
-/// Result of appending an entry to the log.
+/// Result of appending an entry to the committed log, if the entry is valid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AppendOutcome {
     /// The entry was appended.
     Appended,
-    /// The log already contains an entry with this number; nothing changed.
+    /// The log already contains an entry with this number. The log was not changed.
     Known,
-    /// Entries between the end of the log and this entry are missing; nothing changed.
+    /// Entries between the end of the log and this entry are missing. The log was not changed.
     Gap,
 }
 
-/// The committed log as one member holds it. The numbers satisfy `base` <= `complete` <= `end`.
+/// The committed log as one member holds it. The entry numbers of its three snapshots satisfy `base` <=
+/// `complete` <= `end`.
 #[derive(Clone, Debug, Default)]
 pub struct CommittedLog {
-    /// The configuration after the last committed entry.
+    /// The configuration after the last entry of the log.
     end: Snapshot,
-    /// The configuration after the last complete change. The host applies this configuration rather than
-    /// `end`, which may contain an incomplete change.
+    /// The configuration after the last complete change. A change can consist of several entries, and `end`
+    /// may contain only some of them. The host therefore applies `complete`, not `end`.
     complete: Snapshot,
-    /// The configuration before the first entry of `tail`.
+    /// The configuration before the first entry in `tail`.
     base: Snapshot,
-    /// All entries after `base`, without gaps.
+    /// All entries after the snapshot `base`, in order and without gaps.
     tail: VecDeque<Entry>,
-    /// The last two checkpoints, the newer one first.
+    /// The two latest checkpoints, the newer first.
     checkpoints: [Option<Snapshot>; 2],
 }
 
 impl CommittedLog {
-    /// Creates a log that continues from a snapshot, which was read from disk or transferred.
+    /// Creates a log that starts with a snapshot, which was read from disk or received from another member.
     pub fn from_snapshot(snapshot: Snapshot) -> CommittedLog {
         let (end, complete) = (snapshot.clone(), snapshot.clone());
         CommittedLog { end, complete, base: snapshot, ..CommittedLog::default() }
     }
 
-    /// Revision at the end of the log.
+    /// Returns the revision (position and configuration hash) at the end of the log.
     pub fn revision(&self) -> Revision {
         self.end.revision
     }
 
-    /// Number of the last entry; 0 if nothing is committed.
+    /// Returns the number of the last entry in the log; 0 if the log is empty.
     pub fn number(&self) -> u64 {
         self.end.number()
     }
 
-    /// Content of the configuration at the end of the log.
+    /// Returns the content of the configuration at the end of the log.
     pub fn state(&self) -> &State {
         &self.end.state
     }
 
-    /// Snapshot of the configuration after the last complete change.
+    /// Returns the configuration after the last complete change, as a snapshot.
     pub fn complete(&self) -> &Snapshot {
         &self.complete
     }
 
-    /// Position of the entry with this number; `None` if this member does not hold the entry.
+    /// Returns the position (epoch and number) of the entry with this number. Returns `None` if this member
+    /// does not hold the entry.
     pub fn position(&self, number: u64) -> Option<Position> {
         if number == self.number() {
             return Some(self.end.revision.position);
@@ -113,12 +117,12 @@
         self.tail.get(index as usize).map(Entry::position)
     }
 
-    /// Appends a committed entry. An entry whose number the log already contains is ignored without comparing
-    /// its content.
+    /// Appends a committed entry to the log. If the log already contains an entry with this number, the entry
+    /// is ignored, and its content is not compared.
     ///
     /// # Errors
-    /// If the entry is out of bounds, its epoch is lower than that of the last entry, or its hash does not
-    /// match the resulting content.
+    /// Returns an error if the entry exceeds a limit, if its epoch is lower than that of the last entry, or
+    /// if its hash does not match the resulting configuration.
     pub fn append(&mut self, entry: &Entry) -> Result<AppendOutcome, EntryError> {
         let number = entry.number();
         if number <= self.number() {
@@ -137,7 +141,8 @@
         Ok(AppendOutcome::Appended)
     }
 
-    /// Checks an entry that follows the end of the log, and returns the content after it.
+    /// Checks an entry that directly follows the end of the log. Returns the content of the configuration
+    /// after the entry.
     fn state_after(&self, entry: &Entry) -> Result<State, EntryError> {
         let Position { epoch, number } = entry.position();
         if !entry.is_within_bounds() {
@@ -158,8 +163,8 @@
         Ok(state)
     }
 
-    /// Takes a checkpoint at the first complete change of a block. The decision depends only on entry
-    /// numbers, so that all members have the same checkpoints.
+    /// Takes a checkpoint if the last entry completes the first change in a block. The decision depends only
+    /// on entry numbers, so all members take the same checkpoints.
     fn checkpoint_if_due(&mut self) {
         let last = self.checkpoints[0].as_ref().unwrap_or(&self.base).number();
         if self.number() / CHECKPOINT_INTERVAL > last / CHECKPOINT_INTERVAL {
@@ -169,8 +174,8 @@
         }
     }
 
-    /// Drops the entries up to the older of the two checkpoints, if there are two. Another member that lacks
-    /// these entries fetches a checkpoint instead.
+    /// Drops all entries up to the older of the two checkpoints. Does nothing if there are not yet two
+    /// checkpoints. A member that lacks the dropped entries fetches a checkpoint instead.
     fn trim(&mut self) {
         let [_, Some(older)] = &self.checkpoints else { return };
         if older.number() < self.base.number() {
@@ -183,8 +188,8 @@
         }
     }
 
-    /// Content of the configuration after the entry with this number. `None` if the number is after the end
-    /// of the log, or before the first entry that is held.
+    /// Returns the content of the configuration after the entry with this number. Returns `None` if the entry
+    /// is not in the log yet, or not held any more.
     pub fn state_at(&self, number: u64) -> Option<State> {
         if number < self.base.number() || number > self.number() {
             return None;
@@ -196,8 +201,8 @@
         Some(state)
     }
 
-    /// All entries of the change whose last entry has this number; `None` if no complete change ends with
-    /// this entry, or the change is not held any more.
+    /// Returns all entries of the change that ends with entry `number`. Returns `None` if no complete change
+    /// ends with this entry, or if this member does not hold the entry any more.
     pub fn change_at(&self, number: u64) -> Option<Vec<&Entry>> {
         let end = self.tail.iter().position(|entry| entry.number() == number)?;
         if self.tail[end].partial {
@@ -207,34 +212,36 @@
         Some(self.tail.range(end - parts..=end).collect())
     }
 
-    /// The entries whose numbers are above `number`. `None` if some of these entries are not held any more,
-    /// or `number` is after the end of the log.
+    /// Returns all entries with a higher number than `number`. Returns `None` if some of them are not held
+    /// any more, or if `number` is higher than the end of the log.
     pub fn entries_after(&self, number: u64) -> Option<impl Iterator<Item = &Entry>> {
         let missing = self.number().checked_sub(number)? as usize;
         (missing <= self.tail.len()).then(|| self.tail.iter().skip(self.tail.len() - missing))
     }
 
-    /// Snapshot to offer to a member that lags behind the oldest entry held here: the newest checkpoint or,
-    /// if none was taken since this member started, the snapshot that it started from.
+    /// Returns the snapshot to offer to a member that lacks entries which this member no longer holds. This
+    /// is the newest checkpoint. If no checkpoint was taken since the start, it is the snapshot with which
+    /// this member's log started.
     pub fn newest_checkpoint(&self) -> Option<&Snapshot> {
         let base = Some(&self.base).filter(|base| base.number() > 0);
         self.checkpoints[0].as_ref().or(base)
     }
 
-    /// The checkpoint with this number, or the snapshot from which the log was created if it has this number;
-    /// `None` if neither is held.
+    /// Returns the held snapshot with this entry number: a checkpoint, or the snapshot `base` before the held
+    /// entries. Returns `None` if no held snapshot has this number.
     pub fn snapshot(&self, number: u64) -> Option<&Snapshot> {
         let held = self.checkpoints.iter().flatten().chain([&self.base]);
         held.into_iter().find(|snapshot| snapshot.number() == number && number > 0)
     }
 
-    /// Entries after the last complete change. They belong to a change whose last entry is not committed yet.
+    /// Returns the entries after the last complete change. They are the first entries of a change whose last
+    /// entry is not committed yet.
     pub fn incomplete(&self) -> impl Iterator<Item = &Entry> {
         let complete = self.complete.number();
         self.tail.iter().filter(move |entry| entry.number() > complete)
     }
 
-    /// All entries that this member holds, in order of their numbers.
+    /// Returns all entries that this member holds, in ascending order of their numbers.
     pub fn tail(&self) -> impl Iterator<Item = &Entry> {
         self.tail.iter()
     }
--- a/crates/replication/src/entry.rs
+++ b/crates/replication/src/entry.rs
@@ -1,53 +1,58 @@
-//! Entries of the log. An entry fits into one datagram; a larger change is split over several entries.
+//! Entries of the replicated log. Each entry fits into one datagram. A change to the configuration that is
+//! too large for one entry is split over several entries.
 
 use crate::change::Change;
 use crate::revision::{Position, Revision};
 use serde::{Deserialize, Serialize};
 
-/// Maximum number of parts in which an operator may submit a change. The limit does not apply to the number
-/// of log entries of the change, because the leader joins the parts and splits the change again into entries.
+/// Maximum number of parts in which an operator may submit a change. The number of log entries of the change
+/// is not limited by this: the leader joins the parts and splits the change into entries again.
 pub const PARTS_MAX: u32 = 96;
-/// Longest encoded entry, in bytes.
+/// Maximum length of an encoded entry, in bytes.
 pub const ENTRY_BYTES_MAX: usize = 900;
-/// Longest encoding of a 64-bit integer, in bytes.
+/// Maximum length of an encoded 64-bit integer, in bytes.
 const INTEGER_BYTES_MAX: usize = 10;
-/// Number of integers at the start of an entry: epoch, number, and four lanes of the hash.
+/// Number of integers at the start of an encoded entry: the epoch, the number, and the four lanes of the
+/// configuration hash.
 const HEAD_INTEGERS: usize = 6;
 
 /// One entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Position of the entry, and the hash of the configuration after the entry is applied.
+    /// Position of the entry in the log, and hash of the configuration after the entry.
     pub revision: Revision,
-    /// The changes to keys, in the order in which they are applied.
+    /// The changes to keys of the configuration, in the order in which they are applied.
     pub changes: Vec<Change>,
-    /// Whether further entries of the same change follow. A partial entry does not take effect by itself.
+    /// Whether more entries of the same change follow. The configuration is applied only after the last entry
+    /// of a change.
     pub partial: bool,
 }
 
 impl Entry {
-    /// Number of the entry in the log.
+    /// Returns the number of this entry in the log. The first entry has number 1.
     pub fn number(&self) -> u64 {
         self.revision.position.number
     }
 
-    /// Position of the entry in the log.
+    /// Returns the position of this entry in the log: its epoch and its number.
     pub fn position(&self) -> Position {
         self.revision.position
     }
 
-    /// Encoded size of the entry, in bytes.
+    /// Returns the length of the encoded entry, in bytes.
     pub fn size(&self) -> usize {
         postcard::experimental::serialized_size(self).unwrap_or(usize::MAX)
     }
 
-    /// Whether the size of the entry and all its changes are within their bounds.
+    /// Returns whether the encoded entry is not too long, and all its changes have keys and values of allowed
+    /// lengths.
     pub fn is_within_bounds(&self) -> bool {
         self.size() <= ENTRY_BYTES_MAX && self.changes.iter().all(|change| change.check().is_ok())
     }
 }
 
-/// Splits changes into parts that each fit into one entry. Returns at least one part, which may be empty.
+/// Splits a list of changes into parts that each fit into one entry. Always returns at least one part, which
+/// is empty if `changes` is empty.
 pub fn split(changes: Vec<Change>) -> Vec<Vec<Change>> {
     let empty = Entry { revision: Revision::default(), changes: Vec::new(), partial: true };
     let bytes_max = ENTRY_BYTES_MAX - empty.size() - HEAD_INTEGERS * INTEGER_BYTES_MAX;
--- a/crates/replication/src/member/applier.rs
+++ b/crates/replication/src/member/applier.rs
@@ -1,33 +1,35 @@
-//! Selects the revision that the host applies next, and records which revisions it applied or rejected.
+//! Selects the revision of the configuration that the host applies next. Records which revisions the host has
+//! applied or rejected.
 
 use crate::committed_log::CommittedLog;
 use crate::message::{REASON_BYTES_MAX, Rejection};
 use crate::snapshot::Snapshot;
 use crate::time::{Nanos, SECOND_NS};
 
-/// Duration of the catch-up period, which starts when a member first learns of a revision from another
-/// member. The catch-up target is the highest log end that others report during this period. A member that
-/// started with an empty disk applies no revision before its log reaches the target.
+/// Duration of the catch-up period after the start of a member. The period begins when the member first
+/// learns of a revision from another member. If the member started with an empty disk, it applies no revision
+/// until its log has reached the highest log end that others report during this period.
 const CATCH_UP_NS: Nanos = 2 * SECOND_NS;
 /// Maximum UTF-8 length of a character, in bytes.
 const CHARACTER_BYTES_MAX: usize = 4;
 
-/// Hands revisions to the host one at a time. The host applies or rejects each.
+/// Passes revisions to the host, one at a time. The host applies or rejects each revision.
 #[derive(Debug, Default)]
 pub(super) struct Applier {
-    /// Number of the last revision that the host has applied since the member started; never decreases.
+    /// Number of the last revision that the host has applied since the member started. Never decreases.
     applied: u64,
-    /// Number of the revision that the host is applying.
+    /// Number of the revision that was passed to the host and not yet applied or rejected.
     applying: Option<u64>,
-    /// The last revision that the host rejected; `None` if it rejected none or has since applied a later
-    /// revision.
+    /// The last revision that the host rejected. `None` if the host has rejected none, or has since applied a
+    /// later revision.
     rejected: Option<Rejection>,
-    /// Whether the member started with a revision read from its disk.
+    /// Whether the member found a revision on its disk when it started.
     started_from_disk: bool,
-    /// Highest log end that other members reported during the catch-up period ([`CATCH_UP_NS`]).
+    /// Highest log end that other members reported during the catch-up period ([`CATCH_UP_NS`]). A member
+    /// that started with an empty disk applies no revision before its own log reaches this number.
     catch_up_target: u64,
-    /// When the catch-up period ([`CATCH_UP_NS`]) ends, in Unix nanoseconds; 0 until another member reports a
-    /// revision.
+    /// End of the catch-up period ([`CATCH_UP_NS`]), in Unix nanoseconds. The value is 0 until another member
+    /// reports a revision.
     catch_up_until: Nanos,
 }
 
@@ -44,9 +46,10 @@
         self.rejected.as_ref()
     }
 
-    /// Records that another member holds the log up to `number`. Only during the catch-up period does this
-    /// raise `catch_up_target`, the number that the own log must reach before a member with an empty disk
-    /// applies a revision. A target that kept rising with a steady stream of changes would never be reached.
+    /// Records that another member's log ends at entry `number`. During the catch-up period, this raises
+    /// `catch_up_target`, which a member that started with an empty disk must reach before it applies a
+    /// revision. After the period, the target stays the same. If it rose with every change, the member might
+    /// never reach it.
     pub(super) fn on_newest_number(&mut self, number: u64, now: Nanos) {
         if self.catch_up_until == 0 && number > 0 {
             self.catch_up_until = now + CATCH_UP_NS;
@@ -56,12 +59,12 @@
         }
     }
 
-    /// Returns the newest complete revision if the host is to apply it now. Each revision is returned once.
-    /// The next revision is returned only after the host has applied or rejected the previous one.
+    /// Returns the newest complete revision if the host is to apply it now. Each revision is returned only
+    /// once, and only after the host has applied or rejected the previous one.
     ///
     /// A member that started with an empty disk returns no revision until it has caught up with the other
-    /// members. Before the restart it may have applied a newer revision than the first one that it receives
-    /// now, and no server may go back to an older revision.
+    /// members. The reason is that a server must never go back to an older revision. Before its restart, the
+    /// member may have applied a newer revision than the first one that it receives now.
     pub(super) fn next(&mut self, log: &CommittedLog) -> Option<Snapshot> {
         let catches_up = log.number() < self.catch_up_target && !self.started_from_disk;
         if self.applied == 0 && catches_up {
@@ -83,7 +86,7 @@
         self.rejected.take_if(|rejection| rejection.number <= number);
     }
 
-    /// Records that the host has rejected a revision, which is not handed to it again.
+    /// Records that the host has rejected a revision. A rejected revision is not passed to the host again.
     pub(super) fn on_rejected(&mut self, number: u64, reason: &str) {
         self.applying = None;
         let reason = reason.chars().take(REASON_BYTES_MAX / CHARACTER_BYTES_MAX).collect();
--- a/crates/replication/src/member/control.rs
+++ b/crates/replication/src/member/control.rs
@@ -1,5 +1,6 @@
-//! The part of a member that only control machines have. It drives the replica and appends committed entries
-//! to the log. On the leader it also publishes the freshness of the log and polls members for reports.
+//! The part of a member that exists only on control machines, the machines that keep the replicated log. It
+//! runs the replica, a participant in the consensus protocol, and appends committed entries to the log. On
+//! the leader it also publishes how fresh the log is, and polls members for reports.
 
 use super::{EntrySource, Member};
 use crate::committed_log::CHECKPOINT_INTERVAL;
@@ -11,28 +12,28 @@
 use crate::snapshot::Snapshot;
 use crate::time::{MILLISECOND_NS, Nanos, SECOND_NS};
 
-/// Interval at which the leader updates its [`Freshness`] statement.
+/// Interval at which the leader updates its [`Freshness`] statement, which tells members where the log ends.
 const FRESHNESS_INTERVAL_NS: Nanos = SECOND_NS;
-/// Interval between the leader's poll rounds. Each round polls the lagging members selected by
-/// [`ProgressTracker::poll`].
+/// Interval between two poll rounds of the leader. In each round, the leader polls the members that
+/// [`ProgressTracker::poll`] selects because they lag.
 const POLL_ROUND_INTERVAL_NS: Nanos = 200 * MILLISECOND_NS;
 
-/// State that a member has only on a control machine.
+/// The part of a member's state that exists only on control machines.
 pub(super) struct Control {
     pub(super) replica: Replica,
     pub(super) progress: ProgressTracker,
     pub(super) requests: Requests,
-    /// When the leader next updates its freshness statement.
+    /// Time at which the leader next updates its freshness statement.
     freshness_due: Nanos,
-    /// When the leader next polls lagging members.
+    /// Time at which the leader next polls lagging members for reports.
     poll_due: Nanos,
-    /// Number of the last complete committed change that is on this control machine's disk.
+    /// Number of the last entry of the last complete change on this control machine's disk.
     persisted_number: u64,
 }
 
 impl Control {
-    /// Creates the state of a control machine. `persisted_number` is the number of the committed revision
-    /// that was read from disk.
+    /// Creates the state of a control machine. `persisted_number` is the number of the revision that was read
+    /// from disk; 0 if there was none.
     pub(super) fn new(replica: Replica, persisted_number: u64, now: Nanos) -> Control {
         Control {
             replica,
@@ -44,9 +45,9 @@
         }
     }
 
-    /// When the next work of the control machine is due, in nanoseconds. The work is that of the replica and,
-    /// on the leader, also the next freshness statement and the next poll round. The time may have passed
-    /// already; [`Nanos::MAX`] means that nothing is due.
+    /// Returns the time at which the control machine next has work to do, in nanoseconds. This is the next
+    /// work of the replica or, on the leader, the next freshness statement or poll round if earlier. The time
+    /// may be in the past. [`Nanos::MAX`] means that nothing is scheduled.
     pub(super) fn next_due(&self) -> Nanos {
         let due = self.replica.next_due();
         if self.replica.is_leader() { due.min(self.freshness_due).min(self.poll_due) } else { due }
@@ -54,7 +55,7 @@
 }
 
 impl Member {
-    /// Performs the work that is due on a control machine.
+    /// Performs the work of a control machine that is due. Does nothing on a server.
     pub(super) fn advance_control(&mut self, now: Nanos) {
         let Some(control) = &mut self.control else { return };
         control.replica.advance(now, &self.log);
@@ -67,7 +68,7 @@
         self.advance_commit(now);
     }
 
-    /// On the leader: polls lagging members for their reports.
+    /// Polls lagging members for their reports, if this member is the leader and the next poll round is due.
     fn poll_lagging(&mut self, now: Nanos) {
         let Some(control) = &mut self.control else { return };
         if !control.replica.is_leader() || now < control.poll_due {
@@ -82,8 +83,8 @@
         }
     }
 
-    /// Appends newly committed entries to the log, pushes the entries to other members, answers operators'
-    /// requests, and sends the replica's messages.
+    /// Appends newly committed entries to the log and pushes them to other members. Then answers operators'
+    /// requests and sends the replica's messages.
     pub(super) fn advance_commit(&mut self, now: Nanos) {
         let Some(control) = &mut self.control else { return };
         let committed = control.replica.newly_committed(&self.log);
@@ -92,7 +93,8 @@
         self.send_replica_messages();
     }
 
-    /// Sends the replica's queued messages, unless the state on which they depend is not on disk yet.
+    /// Sends the replica's queued messages. Sends nothing while the state that the messages depend on is not
+    /// on disk yet.
     fn send_replica_messages(&mut self) {
         let Some(control) = &mut self.control else { return };
         if control.replica.is_unsaved() {
@@ -103,23 +105,23 @@
         }
     }
 
-    /// Passes a message from another replica to this replica, and appends the entries that the message
-    /// reports as committed.
+    /// Passes a message from another replica to the replica of this control machine. Appends the entries that
+    /// the message reports as committed.
     pub(super) fn on_replica_message(&mut self, now: Nanos, from: &str, message: Message) {
         let Some(control) = &mut self.control else { return };
         let is_from_leader = matches!(message, Message::Append { .. });
         let committed = control.replica.receive(now, from, message, &self.log);
         if is_from_leader {
-            // The sender may be the leader of an earlier epoch. This is harmless: the `leader` field is only
-            // a hint about where to send reports and operators' requests. A replica that receives an
-            // operator's request without being the leader answers with its own hint.
+            // The sender may be the leader of an earlier epoch. This does no harm, because the `leader` field
+            // is only a hint about where to send reports and operators' requests. If such a request arrives
+            // at a replica that is not the leader, the replica answers with the leader that it knows.
             self.leader = Some(from.to_string());
         }
         self.append_committed(now, &committed, EntrySource::OtherMember);
         self.advance_commit(now);
     }
 
-    /// The state that the host writes to disk when it applies `snapshot`.
+    /// Returns the state that the host writes to disk when it applies `snapshot`.
     pub fn state_to_persist(&self, snapshot: &Snapshot) -> PersistedState {
         match &self.control {
             Some(control) => control.replica.state_to_persist(&self.log),
@@ -127,8 +129,8 @@
         }
     }
 
-    /// The state that a control machine must write to disk now, atomically; `None` if no write is needed, and
-    /// always `None` on a server.
+    /// Returns the state that a control machine must write to disk now, in one atomic write. Returns `None`
+    /// if no write is needed, and always on a server.
     pub fn unsaved_state(&self) -> Option<PersistedState> {
         let control = self.control.as_ref()?;
         let is_behind = self.log.number() >= control.persisted_number + CHECKPOINT_INTERVAL;
@@ -136,7 +138,7 @@
         is_wanted.then(|| control.replica.state_to_persist(&self.log))
     }
 
-    /// Records that `state` is on disk, and sends the messages that were held back until the write completed.
+    /// Records that `state` is on disk. Sends the messages that were held back until the write was complete.
     pub fn on_persisted(&mut self, state: &PersistedState, now: Nanos) {
         let Some(control) = &mut self.control else { return };
         control.persisted_number = state.committed.number();
@@ -144,8 +146,8 @@
         self.advance_commit(now);
     }
 
-    /// Handles a failed write: drops the messages that depend on the unwritten state, and gives up the lease,
-    /// so that this replica stops leading or trying to lead.
+    /// Handles a failed write to disk. Drops the messages that depend on the unwritten state. Also gives up
+    /// the leadership lease, so that this replica stops leading or campaigning.
     pub fn on_persist_failed(&mut self) {
         if let Some(control) = &mut self.control {
             control.replica.drop_outgoing();
--- a/crates/replication/src/member/gossip.rs
+++ b/crates/replication/src/member/gossip.rs
@@ -1,5 +1,6 @@
-//! Gossip of committed entries. Each member that receives a new entry pushes it to a few others. In addition,
-//! every member regularly pulls from a random member, which repairs missed pushes (anti-entropy).
+//! Gossip of committed entries between members. A member that receives a new entry pushes it to a few other
+//! members. In addition, every member regularly requests missing entries from a random member (a pull). Pulls
+//! repair missed pushes (anti-entropy).
 
 use super::{EntrySource, Member};
 use crate::entry::Entry;
@@ -7,21 +8,22 @@
 use crate::time::Nanos;
 use rand_chacha::rand_core::Rng;
 
-/// Number of members in each zone to which the leader pushes newly committed entries.
+/// Number of members per zone to which the leader pushes newly committed entries.
 const LEADER_FANOUT: usize = 2;
-/// Number of members to which a member that is not the leader pushes new entries, all in its own zone.
+/// Number of members to which a member that is not the leader pushes new entries. All of them are in its own
+/// zone.
 const ZONE_FANOUT: usize = 3;
-/// On average, one in this many pulls is sent to a random member of the whole fleet. The other pulls are sent
-/// to a member of the same zone.
+/// A member's pulls usually go to a member of its own zone. On average, one in this many pulls goes to a
+/// random member of the whole fleet instead.
 const PULL_ANYWHERE_EVERY: u64 = 4;
-/// Maximum number of [`Message::Entries`] sent in answer to one digest.
+/// Maximum number of [`Message::Entries`] that a member sends in answer to one digest.
 const ANSWER_MESSAGES_MAX: usize = 3;
-/// Age difference between two [`Freshness`] statements, in milliseconds. If the statement in a received
-/// digest is older than the receiver's own by more than this, the receiver answers with a digest of its
-/// own.
+/// Tolerated age difference between two [`Freshness`] statements, in milliseconds. If the statement in a
+/// received digest is older than the receiver's own by more than this, the receiver answers with its own
+/// digest, which contains the newer statement.
 const FRESHNESS_LAG_MS: u64 = 1_500;
-/// Maximum bytes of entries in one [`Message::Entries`]; the rest of the body is left for the other fields of
-/// the message, which are the leader's name, a flag and a number.
+/// Maximum total size of the entries in one [`Message::Entries`], in bytes. The rest of the message is left
+/// for its other fields: the leader's name, a flag and a number.
 const GOSSIP_ENTRIES_BYTES_MAX: usize = BODY_BYTES_MAX - 2 * NAME_BYTES_MAX;
 
 impl Member {
@@ -53,13 +55,13 @@
         }
     }
 
-    /// On the leader: pushes newly committed entries to members of every zone.
+    /// Pushes newly committed entries to some members of every zone. Called on the leader.
     pub(super) fn push_to_each_zone(&mut self, entries: &[Entry], now: Nanos) {
         let to = self.peers.sample_each_zone(LEADER_FANOUT, &mut self.rng);
         self.push(&to, entries, now);
     }
 
-    /// Pushes entries that this member did not hold before to other members of its zone.
+    /// Pushes entries that are new to this member to some other members of its zone.
     fn push_in_zone(&mut self, entries: &[Entry], now: Nanos) {
         let to = self.peers.sample_zone(&self.settings.location, ZONE_FANOUT, &mut self.rng);
         self.push(&to, entries, now);
@@ -78,9 +80,9 @@
         Message::Entries { entries, leader: self.leader.clone(), pushed, newest: self.log.number() }
     }
 
-    /// Picks a random member to exchange data with. The member is usually in this member's zone. Sometimes,
-    /// or if no other member of the zone is known, it is picked from the whole fleet, so that entries also
-    /// spread between zones.
+    /// Picks a random member for a pull or a transfer. Usually, the member is in this member's zone.
+    /// Sometimes, or if no other member of the zone is known, it is picked from the whole fleet. Without such
+    /// picks, entries would not spread between zones by pulls.
     pub(super) fn pick_neighbour(&mut self) -> Option<String> {
         let anywhere = self.rng.next_u64().is_multiple_of(PULL_ANYWHERE_EVERY);
         if !anywhere {
@@ -92,7 +94,7 @@
         self.peers.sample_any(&mut self.rng)
     }
 
-    /// Sends a digest to a random member, which answers with the entries that this member lacks.
+    /// Requests missing entries from a random member by sending it a digest of this member's log.
     pub(super) fn pull(&mut self, now: Nanos) {
         if let Some(name) = self.pick_neighbour() {
             self.send_digest(&name, true, now);
@@ -106,17 +108,18 @@
         self.send(to, &Message::Digest { number, freshness, location, neighbours, wants_reply }, now);
     }
 
-    /// Adopts a newer freshness statement if this member's log reaches the log end in the statement.
-    /// Otherwise the statement would not prove that this member holds the newest entries.
+    /// Adopts a received freshness statement if it is newer than the own statement and this member's log
+    /// reaches the log end in it. If the log were shorter, the statement would not prove that this member has
+    /// the newest entries.
     fn on_freshness(&mut self, freshness: Freshness) {
         if freshness.number <= self.log.number() && freshness.at_ms > self.freshness.at_ms {
             self.freshness = freshness;
         }
     }
 
-    /// Answers a digest with the entries that its sender lacks. If the sender lacks none and wants a reply,
-    /// answers with this member's own digest, provided that this member lacks entries or has a fresher
-    /// statement than the sender.
+    /// Answers a digest. If the sender lacks entries, sends these entries. Otherwise, if the sender wants a
+    /// reply, sends this member's own digest, but only if this member lacks entries or has a fresher
+    /// statement.
     fn answer_digest(
         &mut self,
         from: &str,
@@ -135,8 +138,8 @@
         }
     }
 
-    /// Sends a member the entries after `number`, or offers a checkpoint if this member does not hold all of
-    /// these entries any more.
+    /// Sends a member all entries after `number`. If this member no longer holds all of these entries, offers
+    /// a checkpoint instead.
     fn send_entries_after(&mut self, to: &str, number: u64, now: Nanos) {
         let Some(entries) = self.log.entries_after(number) else {
             if let Some(checkpoint) = self.log.newest_checkpoint() {
@@ -146,8 +149,8 @@
             }
             return;
         };
-        // Limit the number of entries to clone. Every entry takes at least one byte, so the answers cannot
-        // hold more entries than bytes.
+        // Clone only as many entries as the answer can hold. Every entry takes at least one byte, so the
+        // maximum number of bytes is also a maximum number of entries.
         let entries: Vec<Entry> = entries.take(ANSWER_MESSAGES_MAX * BODY_BYTES_MAX).cloned().collect();
         for batch in batches(&entries).into_iter().take(ANSWER_MESSAGES_MAX) {
             let message = self.entries_message(batch, false);
@@ -155,9 +158,10 @@
         }
     }
 
-    /// Appends received entries. If some were new, forwards them to other members of the zone if the sender
-    /// pushed them, and otherwise requests further entries from the sender. If none was appended because
-    /// earlier entries are missing, requests the missing entries from the sender.
+    /// Appends received entries to the log. If some entries were new and the sender pushed them, pushes them
+    /// on to other members of the zone. If some were new but not pushed, requests further entries from the
+    /// sender. If no entry could be appended because earlier entries are missing, requests the missing
+    /// entries.
     fn on_entries(
         &mut self,
         now: Nanos,
@@ -179,14 +183,14 @@
             entries.retain(|entry| entry.number() > number_before);
             self.push_in_zone(&entries, now);
         } else {
-            // The sender may hold further entries; request them with a digest.
+            // The sender may hold more entries, so request them with a digest.
             self.send_digest(from, true, now);
         }
         self.advance_commit(now);
     }
 }
 
-/// Groups the entries, in order, into batches that each fit into one message.
+/// Groups entries into batches that each fit into one message. Keeps the order of the entries.
 fn batches(entries: &[Entry]) -> Vec<Vec<Entry>> {
     let mut batches = Vec::new();
     let mut batch: Vec<Entry> = Vec::new();
--- a/crates/replication/src/member/mod.rs
+++ b/crates/replication/src/member/mod.rs
@@ -1,6 +1,7 @@
-//! One member of the fleet. It holds the end of the committed log, spreads it by gossip, fetches a checkpoint
-//! if it lags too far for single entries, hands complete revisions to its host, and reports the applied
-//! revisions to the leader. On a control machine it also drives a [`Replica`].
+//! One member of the fleet, the part of replication that every server runs. A member holds the end of the
+//! committed log and spreads it by gossip. If it lags too far to receive the missing entries, it fetches a
+//! checkpoint. It passes complete revisions to its host, and reports the applied revisions to the leader. On
+//! a control machine it also runs a [`Replica`].
 //!
 //! The host calls [`Member::receive`] for each message and [`Member::advance`] at [`Member::next_due`]. After
 //! each call the host writes [`Member::unsaved_state`] to disk, applies [`Member::next_to_apply`], and sends
@@ -35,38 +36,39 @@
 pub use settings::{Settings, SettingsError};
 use std::sync::Arc;
 
-/// Factor by which the byte budget of a control machine exceeds that of a server. A control machine is
-/// dedicated to keeping the log, so replication does not compete with a server's traffic there.
+/// The byte budget of a control machine is this many times the budget of a server. On a control machine,
+/// which only keeps the log, replication does not compete with the traffic of a server.
 const CONTROL_BYTES_FACTOR: u64 = 16;
 
-/// Counters of a member since its start.
+/// Counters of one member since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct Counts {
     /// Messages sent.
     pub sent: u64,
-    /// Bytes of the messages sent, without envelopes.
+    /// Total size of the messages sent, in bytes, without the headers that the datagram layer adds.
     pub sent_bytes: u64,
-    /// Messages not sent because the byte budget was used up.
+    /// Number of messages that were not sent because the byte budget was used up.
     pub over_budget: u64,
-    /// Received bodies that could not be decoded or were out of bounds.
+    /// Number of received messages that could not be decoded or that exceeded a limit.
     pub malformed: u64,
-    /// Received entries and checkpoints that were invalid, such as those whose content does not match their
-    /// hash.
+    /// Number of received entries and checkpoints that were invalid, for example because their content did
+    /// not match their hash.
     pub mismatched: u64,
     /// Checkpoint transfers started.
     pub transfers: u64,
 }
 
-/// Source of the committed entries that a member appends.
+/// The way in which this member learned that the entries it appends are committed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EntrySource {
-    /// This member's replica is the leader, and a majority of the replicas has stored the entries.
+    /// This member's replica is the leader, and it found that a majority of the replicas has stored the
+    /// entries.
     OwnMajority,
-    /// Another member sent the entries as committed, by gossip or as the leader.
+    /// Another member sent the entries as committed. It sent them by gossip or as the leader.
     OtherMember,
 }
 
-/// An encoded message to another member.
+/// An encoded message that is to be sent to another member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
     /// Name of the receiving member.
@@ -81,21 +83,23 @@
     settings: Settings,
     log: CommittedLog,
     peers: Peers,
-    /// Limits the bytes sent. Messages between replicas are exempt.
+    /// Limits the bytes sent per second. Messages between replicas are exempt from the limit.
     budget: SlidingWindow,
-    /// The checkpoint transfer in progress.
+    /// The checkpoint transfer that this member is receiving, if any.
     transfer: Option<SnapshotTransfer>,
-    /// Earliest time of the next chunk request, in Unix nanoseconds; delays the request when the byte budget
-    /// is used up.
+    /// Earliest time of the next request for a chunk of a checkpoint, in Unix nanoseconds. Set to a later
+    /// time when the byte budget is used up.
     chunk_due: Nanos,
-    /// State of a control machine; `None` on a server.
+    /// The state of a control machine; `None` on a server, which has no replica.
     control: Option<Control>,
-    /// The latest of the leader's freshness statements whose log end this member's log has reached.
+    /// The latest freshness statement of the leader that applies to this member. A statement applies if this
+    /// member's log reaches the log end in the statement.
     freshness: Freshness,
     applier: Applier,
     /// Name of the last known leader.
     leader: Option<String>,
-    /// When the next pull (a digest sent to a random member) is due.
+    /// Time of the next pull. In a pull, this member sends a digest of its log to a random member, which
+    /// answers with missing entries.
     pull_due: Nanos,
     /// When the next report is due.
     report_due: Nanos,
@@ -106,12 +110,12 @@
 }
 
 impl Member {
-    /// Creates a member that continues from the state read from its disk. The state was returned by
-    /// [`Member::unsaved_state`] or [`Member::state_to_persist`] before the restart; a server uses only the
-    /// latter.
+    /// Creates a member that continues from the state read from its disk, or with an empty log. The state is
+    /// one that [`Member::unsaved_state`] or [`Member::state_to_persist`] returned before the restart. On a
+    /// server it comes from [`Member::state_to_persist`] only.
     ///
     /// # Errors
-    /// If a setting is out of bounds.
+    /// Returns an error if a setting is invalid.
     pub fn new(
         name: &str,
         settings: Settings,
@@ -130,7 +134,8 @@
         let control = is_replica.then(|| Control::new(replica, log.number(), now));
         let bytes_factor = if is_replica { CONTROL_BYTES_FACTOR } else { 1 };
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        // A random first pull prevents members that start together from pulling at the same time.
+        // The time of the first pull is random. Otherwise, members that start together would all pull at the
+        // same times.
         let first_pull = rng.next_u64() % settings.pull_period;
         Ok(Member {
             name: name.to_string(),
@@ -152,46 +157,47 @@
         })
     }
 
-    /// Revision of the last committed entry that this member holds.
+    /// Returns the revision at the last committed entry that this member holds.
     pub fn revision(&self) -> Revision {
         self.log.revision()
     }
 
-    /// The part of the committed log that this member holds.
+    /// Returns the part of the committed log that this member holds.
     pub fn log(&self) -> &CommittedLog {
         &self.log
     }
 
-    /// Number of the last revision applied since the start; 0 if none was.
+    /// Returns the number of the last revision that the host has applied since the start; 0 if it has applied
+    /// none.
     pub fn applied(&self) -> u64 {
         self.applier.applied()
     }
 
-    /// The last revision that the host rejected; `None` if it rejected none or has since applied a later
-    /// revision.
+    /// Returns the last revision that the host rejected. Returns `None` if the host has rejected none, or has
+    /// since applied a later revision.
     pub fn rejected(&self) -> Option<&Rejection> {
         self.applier.rejected()
     }
 
-    /// Whether this member is the leader of the log.
+    /// Returns whether this member is the leader, which appends changes to the replicated log.
     pub fn is_leader(&self) -> bool {
         self.control.as_ref().is_some_and(|control| control.replica.is_leader())
     }
 
-    /// Whether this member is a control machine.
+    /// Returns whether this member is a control machine, which keeps a replica of the log.
     pub fn is_replica(&self) -> bool {
         self.control.is_some()
     }
 
-    /// Name of the last known leader; `None` if no leader has been known since the start.
+    /// Returns the name of the last known leader; `None` if no leader was known since the start.
     pub fn leader(&self) -> Option<&str> {
         self.leader.as_deref()
     }
 
-    /// Longest time, in nanoseconds, for which this member may have been missing a revision: the time since
-    /// the latest freshness statement whose log end this member has reached. `None` before the first such
-    /// statement. The statement carries the time of the leader's clock, so the age includes any difference
-    /// between the leader's clock and this member's clock, but is never negative.
+    /// Returns the longest time for which this member may have missed a new revision, in nanoseconds. This is
+    /// the time since the latest freshness statement whose log end this member's log has reached. `None` if
+    /// there was no such statement yet. The statement has the time of the leader's clock, so the result
+    /// includes the difference between the two clocks. It is never negative.
     pub fn age(&self, now: Nanos) -> Option<Nanos> {
         let stated_at = self.freshness.at_ms * MILLISECOND_NS;
         (stated_at > 0).then(|| now.saturating_sub(stated_at))
@@ -201,7 +207,8 @@
         self.control.as_ref().map(|control| &control.progress)
     }
 
-    /// Number of other members that participate in replication, as known to a control machine; 0 on a server.
+    /// Returns the number of other members that participate in replication, as far as this control machine
+    /// knows. Returns 0 on a server.
     pub fn members(&self) -> usize {
         self.members_except(&self.name)
     }
@@ -211,31 +218,32 @@
         self.progress().map_or(0, |progress| progress.count(others))
     }
 
-    /// The other members that, according to their reports to this control machine, have not applied the
-    /// newest revision; empty on a server.
+    /// Returns the other members that have not applied the newest revision, according to their reports to
+    /// this control machine. The list is empty on a server.
     pub fn lagging(&self) -> Vec<LaggingMember> {
         let newest = self.log.complete().number();
         self.progress().map_or(Vec::new(), |progress| progress.lagging(self.peers.others(), newest))
     }
 
-    /// Number of key-value pairs received in the checkpoint transfer in progress; `None` if there is none.
+    /// Returns the number of key-value pairs received so far in the checkpoint transfer in progress; `None`
+    /// if no transfer is in progress.
     pub fn transferred_pairs(&self) -> Option<usize> {
         self.transfer.as_ref().map(SnapshotTransfer::pairs)
     }
 
-    /// Sets whether this control machine holds the lease that entitles it to lead the log. Does nothing on a
-    /// server.
+    /// Sets whether this control machine holds the leadership lease. The holder of the lease is entitled to
+    /// lead the replicated log. Does nothing on a server.
     pub fn set_holds_lease(&mut self, holds: bool) {
         if let Some(control) = &mut self.control {
             control.replica.set_holds_lease(holds);
         }
     }
 
-    /// Appends a change to the log. Returns the number of the change's last entry; the change will be
-    /// committed under this number if this member remains the leader.
+    /// Appends a change to the replicated log. Returns the number of the change's last entry. If this member
+    /// remains the leader, the change will be committed under this number.
     ///
     /// # Errors
-    /// If this member is not the leader, or the change cannot be appended.
+    /// Returns an error if this member is not the leader, or if the change cannot be appended.
     pub fn propose(&mut self, changes: Vec<Change>, now: Nanos) -> Result<u64, ProposeError> {
         let control = self.control.as_mut().ok_or(ProposeError::NotLeader)?;
         let number = control.replica.propose(changes, now, &self.log);
@@ -243,14 +251,15 @@
         number
     }
 
-    /// Returns the revision that the host is to check and apply now, if any. Each revision is returned once.
-    /// The host must answer with [`Member::on_applied`] or [`Member::on_rejected`] before it receives the
-    /// next revision.
+    /// Returns the revision that the host is to check and apply now, if any. Each revision is returned only
+    /// once. The host answers with [`Member::on_applied`] or [`Member::on_rejected`], and only then receives
+    /// the next revision.
     pub fn next_to_apply(&mut self) -> Option<Snapshot> {
         self.applier.next(&self.log)
     }
 
-    /// Performs all work that is due. `alive` lists the names of the alive members, sorted.
+    /// Performs all work that is due at the time `now`. `alive` is the sorted list of the names of the alive
+    /// members.
     pub fn advance(&mut self, now: Nanos, alive: &Arc<Vec<String>>) {
         self.peers.set_alive(alive, now);
         self.advance_control(now);
@@ -266,7 +275,8 @@
         self.fetch_chunk(now);
     }
 
-    /// When [`Member::advance`] is next to be called, in nanoseconds. A time in the past means now.
+    /// Returns the time at which [`Member::advance`] is to be called next, in nanoseconds. If the time is in
+    /// the past, the call is due now.
     pub fn next_due(&self) -> Nanos {
         let mut due = self.pull_due.min(self.report_due);
         if let Some(transfer) = &self.transfer {
@@ -278,8 +288,9 @@
         due
     }
 
-    /// Appends committed entries to the log. Returns whether any entry was new. The leader pushes the new
-    /// entries to other members if their source is [`EntrySource::OwnMajority`].
+    /// Appends committed entries to the log. Returns whether any entry was new. If the source is
+    /// [`EntrySource::OwnMajority`] and this member is the leader, also pushes the new entries to other
+    /// members.
     fn append_committed(&mut self, now: Nanos, entries: &[Entry], source: EntrySource) -> bool {
         let mut appended: Vec<Entry> = Vec::new();
         for entry in entries {
@@ -306,7 +317,7 @@
         true
     }
 
-    /// Queues a message for sending, or drops and counts it if the byte budget is used up.
+    /// Queues a message for sending. If the byte budget is used up, drops the message and counts it instead.
     fn send(&mut self, to: &str, message: &Message, now: Nanos) {
         let body = message.encode();
         if !self.budget.try_acquire(body.len() as u64, now) {
@@ -322,13 +333,13 @@
         self.outgoing.push(Outgoing { to: to.to_string(), body });
     }
 
-    /// Removes and returns the queued messages.
+    /// Removes and returns the messages queued for sending.
     pub fn take_outgoing(&mut self) -> Vec<Outgoing> {
         std::mem::take(&mut self.outgoing)
     }
 
-    /// Handles a message body from an authenticated member. A body that cannot be decoded or is out of bounds
-    /// is counted and otherwise ignored.
+    /// Handles a message that was received from an authenticated member. A message that cannot be decoded or
+    /// that exceeds a limit is counted and otherwise ignored.
     pub fn receive(&mut self, now: Nanos, from: &str, body: &[u8]) {
         let Some(message) = Message::decode(body) else {
             self.counts.malformed += 1;
--- a/crates/replication/src/member/operator.rs
+++ b/crates/replication/src/member/operator.rs
@@ -1,5 +1,5 @@
-//! Operators' requests to the leader: submit a change, revert a change, and list the lagging members. A
-//! request to change the configuration is answered once the change is committed.
+//! Handles operators' requests to the leader: to submit a change, to revert a change, and to list the lagging
+//! members. A request that changes the configuration is answered after the change is committed.
 
 use super::Member;
 use crate::change::Change;
@@ -11,27 +11,28 @@
 use crate::time::Nanos;
 use std::collections::BTreeSet;
 
-/// Maximum number of lagging members listed in one status.
+/// Maximum number of lagging members that the leader lists in one answer to a status request.
 const SUMMARIES_MAX: usize = 8;
-/// Number of characters to which a rejection reason is truncated in a status.
+/// Number of characters to which the reason for a rejection is truncated in an answer to a status request.
 const SUMMARY_REASON_CHARACTERS: usize = 32;
 
-/// Reason why a change cannot be reverted.
+/// Reason why a change to the configuration cannot be reverted.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 enum RevertError {
-    /// The log holds no complete change whose last entry has this number.
+    /// No complete change in the held part of the log ends with the entry `number`.
     #[error("no change that is still held ends at {number}")]
     NotHeld { number: u64 },
-    /// The configuration before the change can no longer be reconstructed from the entries held.
+    /// The configuration before the change is not known, because the entries needed to compute it are no
+    /// longer held.
     #[error("the configuration before the change is not held any more")]
     BaseNotHeld,
-    /// A later change modified one of the keys of the change, so reverting the change would also undo the
-    /// later one.
+    /// A later change has modified a key of the change. Reverting the change would therefore also undo the
+    /// later change.
     #[error("{key:?} was changed again by {number}")]
     ChangedSince { key: String, number: u64 },
 }
 
-/// Reason why a request is not carried out. The text of the error is sent to the operator.
+/// Reason why an operator's request is not carried out. The text of the error is sent to the operator.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 enum RequestError {
     #[error(transparent)]
@@ -40,8 +41,8 @@
     Propose(#[from] ProposeError),
 }
 
-/// Returns the change that reverts the change whose last entry is `number`: it restores the previous value of
-/// each key that the change set or removed.
+/// Returns the change that reverts the change whose last entry is `number`. Each key that the change set or
+/// removed gets its previous value again, or is removed if it had none.
 fn revert(log: &CommittedLog, number: u64) -> Result<Vec<Change>, RevertError> {
     let entries = log.change_at(number).ok_or(RevertError::NotHeld { number })?;
     let first = entries.first().map_or(number, |entry| entry.number());
@@ -67,9 +68,9 @@
 }
 
 impl Member {
-    /// Carries out an operator's request if this member is the leader. A request to change the configuration
-    /// is carried out only once: if it is repeated, the leader repeats the answer, or ignores the repetition
-    /// while the change is not committed yet.
+    /// Carries out an operator's request if this member is the leader. A repeated request to change the
+    /// configuration is not carried out again: the leader repeats its answer, or ignores the repetition if
+    /// the change is not committed yet.
     pub(super) fn on_operator_request(&mut self, now: Nanos, from: &str, message: Message) {
         let request = match &message {
             Message::Submit { request, .. }
@@ -105,8 +106,9 @@
         }
     }
 
-    /// Handles the result of proposing a request's change. If the change was appended to the log, keeps the
-    /// request until the change is committed; otherwise answers the request with the reason for the failure.
+    /// Handles the result of proposing the change of a request. If the change was appended to the log, the
+    /// request stays pending until the change is committed. Otherwise, answers the request with the reason
+    /// for the failure.
     fn on_proposed(&mut self, request: RequestId, outcome: Result<u64, RequestError>, now: Nanos) {
         let Some(control) = &mut self.control else { return };
         match outcome {
@@ -125,8 +127,8 @@
         self.send(&to, &Message::Submitted { request, outcome }, now);
     }
 
-    /// Answers the operators' requests whose changes are committed. If this member is no longer the leader,
-    /// answers all pending requests with [`Message::NotLeader`].
+    /// Answers the pending requests whose changes are committed. If this member is no longer the leader,
+    /// answers all pending requests with [`Message::NotLeader`] instead.
     pub(super) fn answer_requests(&mut self, now: Nanos) {
         let Some(control) = &mut self.control else { return };
         if control.replica.is_leader() {
@@ -142,8 +144,8 @@
     }
 
     fn send_status(&mut self, to: &str, request: RequestId, now: Nanos) {
-        // The operator's command is itself a member, but applies no revisions, so it is not counted in the
-        // status.
+        // The program that sends the operator's request joins the fleet as a member, but applies no
+        // revisions. It is therefore not counted in the status.
         let members = self.members_except(to);
         let mut lagging = self.lagging();
         lagging.retain(|member| member.name != to);
--- a/crates/replication/src/member/reports.rs
+++ b/crates/replication/src/member/reports.rs
@@ -1,14 +1,15 @@
-//! Reports to the leader about the revisions that the host has applied or rejected.
+//! Reports that a member sends to the leader. A report states which revisions the member's host has applied
+//! or rejected.
 
 use super::Member;
 use crate::message::{Message, Report};
 use crate::time::{MILLISECOND_NS, Nanos, SECOND_NS};
 use rand_chacha::rand_core::Rng;
 
-/// Interval between regular reports.
+/// Interval between two regular reports of a member to the leader.
 pub(super) const REPORT_INTERVAL_NS: Nanos = 10 * SECOND_NS;
-/// Longest delay before a newly applied or rejected revision is reported. The delay is random, so that
-/// members do not all report at the same time.
+/// Maximum delay between the applying or rejecting of a revision and the report about it. The delay is
+/// random, so that members do not all report at the same time.
 const REPORT_WITHIN_NS: Nanos = 200 * MILLISECOND_NS;
 
 impl Member {
@@ -18,20 +19,21 @@
         self.report_soon(now);
     }
 
-    /// Records that the host has rejected a revision. `reason` is truncated to its maximum length. The
-    /// revision is not handed to the host again.
+    /// Records that the host has rejected a revision for the given `reason`, which is truncated to its
+    /// maximum length. The revision is not passed to the host again.
     pub fn on_rejected(&mut self, number: u64, reason: &str, now: Nanos) {
         self.applier.on_rejected(number, reason);
         self.report_soon(now);
     }
 
-    /// Brings the next report forward, so that a newly applied or rejected revision is reported before the
-    /// regular interval has passed.
+    /// Schedules the next report soon, within [`REPORT_WITHIN_NS`]. Called after a revision is applied or
+    /// rejected, so that the leader learns of it before the next regular report.
     fn report_soon(&mut self, now: Nanos) {
         self.report_due = self.report_due.min(now + self.rng.next_u64() % REPORT_WITHIN_NS);
     }
 
-    /// Sends a report to the leader, or to a random replica if no alive leader is known.
+    /// Sends a report to the leader. If no leader is known or the known leader is not alive, sends the report
+    /// to a random replica.
     pub(super) fn send_report(&mut self, now: Nanos) {
         let leader = self.leader.clone().filter(|name| self.peers.is_alive(name));
         let replicas = &self.settings.replicas;
@@ -50,7 +52,7 @@
         }
     }
 
-    /// On a control machine: records a member's report.
+    /// Records a report that a member has sent. Does nothing on a server, which receives no reports.
     pub(super) fn on_report(&mut self, from: &str, report: Report) {
         if let Some(control) = &mut self.control {
             control.progress.on_report(from, report);
--- a/crates/replication/src/member/settings.rs
+++ b/crates/replication/src/member/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a member and their allowed ranges.
+//! Settings of a member of the replicated configuration, and the allowed ranges of the settings.
 
 use crate::message::{BODY_BYTES_MAX, Location};
 use crate::time::{MILLISECOND_NS, Nanos};
@@ -14,19 +14,22 @@
 pub struct Settings {
     /// The member's region and zone.
     pub location: Location,
-    /// Names of the control machines that keep the replicated log: 1, 3, 5, 7 or 9 names.
+    /// Names of the control machines, which keep the replicated log. The number of names must be 1, 3, 5, 7
+    /// or 9.
     pub replicas: Vec<String>,
-    /// Mean time between two pulls, in nanoseconds. The actual time is random, up to a quarter shorter or
-    /// longer.
+    /// Mean time between two pulls (requests for missing entries), in nanoseconds. The actual time is random
+    /// and up to a quarter shorter or longer.
     pub pull_period: Nanos,
-    /// Maximum number of bytes that a server sends per second.
+    /// Maximum number of bytes that a server sends per second for replication. A control machine may send
+    /// more.
     pub bytes_per_second: u64,
 }
 
-/// A setting that is out of bounds. The message uses the setting's name in the options file.
+/// Reason why a setting is invalid. The message uses the name that the setting has in the options file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// The number of replicas is even or too large, or two replicas have the same name.
+    /// The list of control machines (replicas) is invalid: their number is even or too large, or two names
+    /// are the same.
     #[error("replica: 1, 3, 5, 7 or 9 different names, not {names}")]
     Replicas {
         /// Number of configured names.
@@ -35,7 +38,7 @@
     /// The pull period is too short.
     #[error("pull-ms: {PULL_PERIOD_MIN_MS} at least")]
     PullPeriod,
-    /// The byte rate is too low to send two messages of maximum size per second.
+    /// The limit on bytes per second is too low: it must allow two messages of maximum size per second.
     #[error("bytes-a-second: {BYTES_PER_SECOND_MIN} at least")]
     BytesPerSecond,
 }
@@ -46,10 +49,10 @@
         Settings { location, replicas, pull_period: 500 * MILLISECOND_NS, bytes_per_second: 12_000 }
     }
 
-    /// Checks that all settings are within their bounds.
+    /// Checks that all settings are within their allowed ranges.
     ///
     /// # Errors
-    /// Names the first setting that is out of bounds.
+    /// Returns the error for the first invalid setting.
     pub fn check(&self) -> Result<(), SettingsError> {
         let names = self.replicas.len();
         let distinct: BTreeSet<&String> = self.replicas.iter().collect();
--- a/crates/replication/src/member/snapshot_fetch.rs
+++ b/crates/replication/src/member/snapshot_fetch.rs
@@ -1,5 +1,5 @@
-//! Fetches a checkpoint if this member needs entries that the other members no longer hold, and serves chunks
-//! of checkpoints to other members.
+//! Transfer of checkpoints between members. A member that needs entries which the other members no longer
+//! hold fetches a checkpoint. The other members serve the checkpoint in chunks.
 
 use super::Member;
 use crate::change::KEY_BYTES_MAX;
@@ -11,22 +11,23 @@
 use crate::state::{Chunk, Pair, Text};
 use crate::time::{MILLISECOND_NS, Nanos};
 
-/// Delay before the next chunk request if the byte budget is used up.
+/// Time to wait before the next request for a chunk if the byte budget is used up.
 const CHUNK_RETRY_NS: Nanos = 100 * MILLISECOND_NS;
-/// Maximum bytes of key-value pairs in one chunk; the rest of the body is left for the message header, which
-/// contains a key.
+/// Maximum total size of the key-value pairs in one chunk, in bytes. The rest of the message is left for the
+/// other fields, which include a key.
 const CHUNK_BYTES_MAX: usize = BODY_BYTES_MAX - 2 * KEY_BYTES_MAX;
 
 impl Member {
-    /// Requests the next chunk if a transfer is in progress, the request is due and the byte budget allows
-    /// it.
+    /// Requests the next chunk of the checkpoint that is being transferred. Does nothing if no transfer is in
+    /// progress, the request is not due, or the byte budget is used up.
     pub(super) fn fetch_chunk(&mut self, now: Nanos) {
         self.transfer.take_if(|transfer| transfer.is_abandoned());
         let Some(transfer) = &self.transfer else { return };
         if now < self.chunk_due || !transfer.is_due(now) {
             return;
         }
-        // A chunk that this member receives counts against its byte budget like a message that it sends.
+        // The requested chunk counts against the byte budget of this member, which receives it. This limits
+        // the rate at which the member fetches chunks.
         if !self.budget.try_acquire(BODY_BYTES_MAX as u64, now) {
             self.chunk_due = now + CHUNK_RETRY_NS;
             return;
@@ -39,9 +40,9 @@
         self.send(&source, &Message::FetchChunk { checkpoint, after }, now);
     }
 
-    /// Starts a transfer of the offered checkpoint if it is newer than the log. A transfer in progress is
-    /// replaced only if the offered checkpoint is newer than the one being transferred by more than one
-    /// checkpoint interval.
+    /// Starts a transfer of the offered checkpoint if the checkpoint is newer than this member's log. If
+    /// another transfer is in progress, the new transfer replaces it only if its checkpoint is newer by more
+    /// than one checkpoint interval.
     pub(super) fn on_snapshot_offer(&mut self, from: &str, checkpoint: Revision, now: Nanos) {
         let number = checkpoint.number();
         let is_outdated =
@@ -53,7 +54,8 @@
         }
     }
 
-    /// Sends the requested chunk, or offers a newer checkpoint if the requested one is not held any more.
+    /// Sends the requested chunk of a checkpoint. If this member no longer holds the checkpoint, offers a
+    /// newer one instead.
     pub(super) fn on_fetch_chunk(&mut self, from: &str, number: u64, after: Option<Text>, now: Nanos) {
         let Some(checkpoint) = self.log.snapshot(number) else {
             let newer = self.log.newest_checkpoint().filter(|newest| newest.number() > number);
@@ -68,7 +70,7 @@
         self.send(from, &Message::SnapshotChunk { checkpoint: number, after, pairs, last: is_last }, now);
     }
 
-    /// Adds a received chunk to the transfer in progress.
+    /// Adds a received chunk to the checkpoint transfer in progress.
     pub(super) fn on_snapshot_chunk(
         &mut self,
         checkpoint: u64,
@@ -92,8 +94,8 @@
         }
     }
 
-    /// Replaces the log with the transferred snapshot, unless the log has already reached the snapshot's
-    /// revision.
+    /// Replaces the log with a log that starts at the transferred snapshot. Does nothing if the log has
+    /// already reached the snapshot's revision.
     fn install_snapshot(&mut self, snapshot: Snapshot, now: Nanos) {
         if snapshot.number() <= self.log.number() {
             return;
