--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -1,8 +1,9 @@
 //! Messages between members, encoded in bodies of at most [`BODY_BYTES_MAX`] bytes. The datagram layer
-//! authenticates senders. Bounds are checked nevertheless, some when a message is decoded (`codec`) and
-//! others where its content is used.
+//! authenticates senders, but limits on the content are still checked. Some are checked when a message is
+//! decoded (`codec`), others where its content is used.
 //!
-//! The encoding identifies variants and fields by their position, so their order and types must never change.
+//! The order and types of variants and fields must never change, because the encoding identifies them by
+//! position.
 
 use crate::change::Change;
 use crate::entry::Entry;
@@ -10,206 +11,221 @@
 use crate::state::{Pair, Text};
 use serde::{Deserialize, Serialize};
 
-/// Longest encoded message, in bytes. A message of this length, together with its envelopes, fits into a
-/// datagram of 1,400 bytes.
+/// Maximum length of an encoded message, in bytes. With the headers of the datagram layer, a message of this
+/// length fits into a datagram of 1,400 bytes.
 pub const BODY_BYTES_MAX: usize = 1_100;
-/// Longest name of a member, a region or a zone, in bytes.
+/// Maximum length of the name of a member, a region or a zone, in bytes.
 pub const NAME_BYTES_MAX: usize = 64;
-/// Maximum number of other members of the sender's zone that one [`Message::Digest`] lists.
+/// Maximum number of members that a [`Message::Digest`] lists as neighbours. A neighbour is another member of
+/// the sender's zone.
 pub const NEIGHBOURS_MAX: usize = 3;
-/// Longest reason for a rejection, in bytes.
+/// Maximum length of the reason for which a member rejects a revision, in bytes.
 pub const REASON_BYTES_MAX: usize = 200;
 
-/// A leader's statement of where its committed log ended at a given time.
+/// A statement of the leader about the number of the last entry in its committed log at a given time. Members
+/// use it to find out whether they hold the newest entries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Freshness {
-    /// When the leader made the statement, in Unix milliseconds on the leader's clock. The value 0 means that
-    /// no statement has been received.
+    /// Time at which the leader made the statement, in Unix milliseconds of the leader's clock. The value 0
+    /// means that no statement was received.
     pub at_ms: u64,
-    /// Number of the last committed entry when the statement was made.
+    /// Number of the last entry in the leader's committed log when the leader made the statement.
     pub number: u64,
 }
 
-/// The region and zone of a member.
+/// The region and the zone in which a member runs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Location {
     /// Name of the region.
     pub region: String,
-    /// Name of the zone within the region.
+    /// Name of the zone. It identifies the zone within its region.
     pub zone: String,
 }
 
-/// Identifier of an operator's request, by which the leader recognizes and deduplicates a repeated request.
+/// Identifies an operator's request. If a request is repeated, the leader recognizes it by this identifier
+/// and does not carry it out again.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RequestId {
     /// Name of the member that sent the request.
     pub from: String,
-    /// Number of the request, assigned by the sender.
+    /// Number of the request. Assigned by the member that sends the request.
     pub number: u64,
 }
 
-/// A member's rejection of a revision.
+/// States that a member rejected a revision of the configuration, and why.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rejection {
-    /// Number of the rejected revision.
+    /// Number of the revision that the member rejected.
     pub number: u64,
-    /// Why the member rejected the revision.
+    /// The reason for which the member rejected the revision.
     pub reason: String,
 }
 
-/// A member's report about its progress, sent to the leader.
+/// A report that a member sends to the leader: which revisions it has applied or rejected, and which entries
+/// it holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// Number of the last revision that the member applied.
     pub applied: u64,
     /// Number of the last entry in the member's committed log.
     pub committed: u64,
-    /// The last revision that the member rejected; `None` if it rejected none or has since applied a later
-    /// revision.
+    /// The last revision that the member rejected. `None` if the member has rejected none, or has since
+    /// applied a later revision.
     pub rejected: Option<Rejection>,
 }
 
-/// Outcome of an operator's change.
+/// Outcome of an operator's request to change the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RequestOutcome {
     /// The change is committed.
     Committed {
-        /// Number of the change's last entry.
+        /// Number of the last log entry of the committed change.
         number: u64,
     },
-    /// The change was not carried out.
+    /// The request was not carried out, and the configuration was not changed by it.
     Rejected {
-        /// The leader's reason, as text for the operator.
+        /// The reason why the request was not carried out, as text for the operator.
         reason: String,
     },
 }
 
-/// An entry of [`Message::Status`] for a member that has not applied the newest revision.
+/// A member that has not applied the newest revision, as listed in a [`Message::Status`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LaggingSummary {
     /// The member's name.
     pub name: String,
-    /// Number of the last revision that the member applied; 0 if it has not reported yet.
+    /// Number of the last revision that the member applied. The value is 0 if the member has not sent a
+    /// report yet.
     pub applied: u64,
-    /// The start of the member's reason for rejecting a revision; empty if it rejected none.
+    /// The beginning of the reason for which the member rejected a revision. Empty if it rejected none.
     pub reason: String,
 }
 
 /// A message between members.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Anti-entropy: summarizes the log that the sender holds. A receiver that holds further entries answers
+    /// Anti-entropy: states which entries the sender holds. A receiver that holds further entries answers
     /// with `Entries` or a `SnapshotOffer`.
     Digest {
         /// Number of the last entry in the sender's committed log.
         number: u64,
-        /// The sender's latest freshness statement.
+        /// The latest freshness statement of the leader that the sender has adopted.
         freshness: Freshness,
         /// Region and zone of the sender.
         location: Location,
-        /// Some other members of the sender's zone, so that members of a zone discover each other.
+        /// Names of some other members of the sender's zone. By these names, the members of a zone discover
+        /// each other.
         neighbours: Vec<String>,
-        /// Whether the receiver is to answer with its own digest if it holds fewer entries than the sender or
-        /// has a fresher statement.
+        /// Whether the sender wants the receiver's digest in reply. The receiver sends one if it holds fewer
+        /// entries than the sender or has a fresher freshness statement.
         wants_reply: bool,
     },
     /// Transfers committed entries.
     Entries {
-        /// The entries, in order and without gaps.
+        /// The entries, in ascending order of their numbers and without gaps.
         entries: Vec<Entry>,
-        /// Name of the leader last known to the sender.
+        /// Name of the last leader that the sender knows of.
         leader: Option<String>,
-        /// Whether the receiver forwards new entries to further members.
+        /// Whether the sender pushed the entries without a request. If so, the receiver pushes new entries on
+        /// to further members.
         pushed: bool,
         /// Number of the last entry in the sender's committed log.
         newest: u64,
     },
-    /// Offers a checkpoint to a receiver that lags too far for single entries.
+    /// Offers a checkpoint to a receiver that lags so far that the sender no longer holds the entries it
+    /// lacks.
     SnapshotOffer {
         /// Revision of the checkpoint.
         checkpoint: Revision,
         /// Number of the last entry in the sender's committed log.
         newest: u64,
     },
-    /// Requests the next key-value pairs of a checkpoint.
+    /// Requests key-value pairs of a checkpoint, in the order of the keys.
     FetchChunk {
         /// Number of the checkpoint.
         checkpoint: u64,
-        /// The key after which the requested pairs begin; `None` for the first pairs.
+        /// The last key that the sender has already received. The requested pairs begin after this key;
+        /// `None` requests the first pairs.
         after: Option<Text>,
     },
-    /// Answers `FetchChunk` with key-value pairs of a checkpoint.
+    /// Answers `FetchChunk` with some of the key-value pairs of the checkpoint.
     SnapshotChunk {
         /// Number of the checkpoint.
         checkpoint: u64,
-        /// The key after which the pairs begin, as requested.
+        /// The key from the request, after which the pairs begin.
         after: Option<Text>,
         /// The pairs, ordered by key.
         pairs: Vec<Pair>,
-        /// Whether these are the last pairs of the checkpoint.
+        /// Whether the checkpoint has no further pairs after these.
         last: bool,
     },
-    /// Reports the sender's progress to the leader.
+    /// Reports to the leader which revisions the sender has applied or rejected.
     Report {
         /// The report.
         report: Report,
         /// Region and zone of the sender.
         location: Location,
     },
-    /// The leader's request for a member's progress report.
+    /// Sent by the leader to request a report from a member.
     PollReport,
-    /// Between replicas: a candidate requests a promise of its epoch and the receiver's log entries.
+    /// Between replicas: a candidate for leadership asks the receiver to promise its epoch and to send log
+    /// entries.
     Prepare {
         /// The candidate's epoch.
         epoch: u64,
-        /// Number after which the requested entries begin.
+        /// The candidate requests the entries with numbers above this number.
         after: u64,
     },
-    /// Between replicas: promises to reject all earlier epochs, and sends log entries to the candidate.
+    /// Between replicas: answers `Prepare`. The sender promises to reject messages of all earlier epochs, and
+    /// sends entries of its log to the candidate.
     Promise {
         /// The candidate's epoch.
         epoch: u64,
-        /// Position of the last entry of the sender's log, committed or not.
+        /// Position of the last entry in the sender's log, including uncommitted entries.
         last: Position,
-        /// Number after which the entries begin.
+        /// Number from the request; `entries` begins with the next number.
         after: u64,
-        /// Entries of the sender's log, as many as fit into the message.
+        /// Entries of the sender's log after number `after`, as many as fit into the message.
         entries: Vec<Entry>,
     },
-    /// Between replicas: rejects a message because the sender of the rejection has promised a later epoch.
+    /// Between replicas: rejects a message of an earlier epoch, because its receiver has promised a later
+    /// epoch.
     EpochRejected {
         /// The promised epoch.
         promised: u64,
     },
-    /// Between replicas: the leader's entries, or a heartbeat if there are none.
+    /// Between replicas: the leader sends entries to store. Without entries, the message is a heartbeat.
     Append {
         /// The leader's epoch.
         epoch: u64,
-        /// Position of the entry that precedes `entries`.
+        /// Position (epoch and number) of the entry that directly precedes `entries` in the leader's log.
         previous: Position,
-        /// Entries to store, as many as fit into the message.
+        /// Entries that the receiver is to store, as many as fit into the message.
         entries: Vec<Entry>,
         /// Number of the last entry in the leader's committed log.
         committed: u64,
     },
-    /// Between replicas: acknowledges `Append`. The sender's log matches the leader's log up to `number`.
+    /// Between replicas: answers `Append`. Confirms that the sender's log is equal to the leader's log up to
+    /// and including entry `number`.
     Appended {
         /// The leader's epoch.
         epoch: u64,
-        /// Number up to which the sender's log matches the leader's log.
+        /// Number of the last entry up to which the sender's log is equal to the leader's log.
         number: u64,
     },
-    /// Between replicas: rejects `Append` because the sender of the rejection lacks the entry at `previous`.
+    /// Between replicas: rejects `Append`, because the sender of this answer does not hold the entry at
+    /// `previous`.
     AppendRejected {
         /// The leader's epoch.
         epoch: u64,
-        /// Highest number up to which the sender's log may match the leader's log.
+        /// Number of the last entry up to which the sender's log may be equal to the leader's log. The leader
+        /// continues after this number.
         matched: u64,
     },
-    /// Submits an operator's change to the leader, or one part of the change if it is too large for one
-    /// message.
+    /// An operator's request to the leader to make a change. A change that is too large for one message is
+    /// submitted in several parts.
     Submit {
-        /// Identifier of the request; the same in all parts.
+        /// Identifier of the request. All parts of a change have the same identifier.
         request: RequestId,
         /// Index of this part, from 0.
         part: u32,
@@ -218,44 +234,46 @@
         /// Changes of this part.
         changes: Vec<Change>,
     },
-    /// An operator's request to the leader to revert a change.
+    /// An operator's request to the leader to revert an earlier change.
     Revert {
         /// Identifier of the request.
         request: RequestId,
-        /// Number of the last entry of the change to revert.
+        /// Number of the last log entry of the change that is to be reverted.
         number: u64,
     },
-    /// The leader's answer to `Submit` and `Revert`.
+    /// The leader's answer to `Submit` or `Revert`: the outcome of the request.
     Submitted {
-        /// Identifier of the answered request.
+        /// Identifier of the request that this message answers.
         request: RequestId,
         /// Outcome of the request.
         outcome: RequestOutcome,
     },
-    /// Answer to an operator's request from a replica that is not the leader.
+    /// Answers an operator's request at a replica that is not the leader.
     NotLeader {
-        /// Identifier of the answered request.
+        /// Identifier of the request that this message answers.
         request: RequestId,
         /// Name of the leader, if known.
         leader: Option<String>,
     },
-    /// An operator's request for the number of members that have applied the newest revision, and for the
-    /// members that lag.
+    /// An operator's request for the status of the fleet. The status has the number of members that have
+    /// applied the newest revision, and lists members that lag.
     PollStatus {
         /// Identifier of the request.
         request: RequestId,
     },
-    /// The leader's answer to `PollStatus`.
+    /// The leader's answer to `PollStatus`: how many members have applied the newest revision.
     Status {
-        /// Identifier of the answered request.
+        /// Identifier of the request that this message answers.
         request: RequestId,
-        /// Number of the newest complete revision.
+        /// Number of the newest complete revision of the configuration.
         number: u64,
-        /// Number of members that participate in replication.
+        /// Number of members that participate in replication, including those that lag.
         members: u32,
-        /// Number of participating members that have applied the newest revision.
+        /// Number of members that have applied the newest revision, among those that participate in
+        /// replication.
         applied: u32,
-        /// Participating members that have not applied the newest revision. The leader lists at most eight.
+        /// Members that have not applied the newest revision, among those that participate in replication.
+        /// The list has at most eight members.
         lagging: Vec<LaggingSummary>,
     },
 }
--- a/crates/replication/src/peers.rs
+++ b/crates/replication/src/peers.rs
@@ -1,4 +1,4 @@
-//! The alive members with their regions and zones, from which gossip selects its targets.
+//! The other members of the fleet with their regions and zones. Gossip selects its receivers from them.
 
 use crate::message::Location;
 use crate::time::{Nanos, SECOND_NS};
@@ -7,20 +7,22 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// Interval at which the locations of members that are not alive any more are removed.
+/// Interval at which the locations of members that are no longer alive are removed.
 const FORGET_INTERVAL_NS: Nanos = 60 * SECOND_NS;
-/// Maximum number of random draws for each member that a sample is to contain.
+/// Limit on the random draws when a sample of members is selected: at most this many draws for each member
+/// that the sample is to contain.
 const DRAWS_PER_MEMBER: usize = 8;
 
-/// The alive members, with their locations as far as known from their own or their neighbours' messages.
+/// The alive members of the fleet, and their locations as far as known. A location is learned from messages
+/// of the member itself or of another member in its zone.
 #[derive(Debug, Default)]
 pub struct Peers {
     /// Name of this member.
     name: String,
-    /// Names of the alive members, including this one, sorted.
+    /// Names of the alive members, including this member, in sorted order.
     alive: Arc<Vec<String>>,
     locations: HashMap<String, Location>,
-    /// Names of the members at each location. Contains exactly the members in `locations`.
+    /// Names of the members in each zone. A member is listed if `locations` has an entry for it.
     zones: BTreeMap<Location, Vec<String>>,
     forget_due: Nanos,
 }
@@ -31,8 +33,8 @@
         Peers { name: name.to_string(), ..Peers::default() }
     }
 
-    /// Sets the names of the alive members, sorted, as the membership view lists them. At intervals, removes
-    /// the locations of members that are not alive any more.
+    /// Sets the alive members. `alive` is the sorted list of their names, including this member. Once per
+    /// minute, also removes the locations of members that are no longer alive.
     pub fn set_alive(&mut self, alive: &Arc<Vec<String>>, now: Nanos) {
         if !Arc::ptr_eq(&self.alive, alive) {
             self.alive = alive.clone();
@@ -45,7 +47,7 @@
         dead.iter().for_each(|name| self.forget(name));
     }
 
-    /// Whether a member is alive according to the membership view.
+    /// Returns whether the member with this name is in the list of alive members.
     pub fn is_alive(&self, name: &str) -> bool {
         self.alive.binary_search_by(|other| other.as_str().cmp(name)).is_ok()
     }
@@ -60,7 +62,8 @@
         }
     }
 
-    /// Records the location of an alive member, as the member or one of its neighbours stated it.
+    /// Records the location of a member, as stated in a message of the member itself or of another member in
+    /// its zone. Does nothing if the member is not alive or is this member itself.
     pub fn record_location(&mut self, name: &str, location: &Location) {
         if name == self.name || !self.is_alive(name) || self.locations.get(name) == Some(location) {
             return;
@@ -70,14 +73,14 @@
         self.zones.entry(location.clone()).or_default().push(name.to_string());
     }
 
-    /// Names of the alive members except this one.
+    /// Returns the names of the alive members, without this member.
     pub fn others(&self) -> impl Iterator<Item = &String> {
         self.alive.iter().filter(|name| **name != self.name)
     }
 
-    /// Returns a random sample of at most `count` different alive members of a zone. The number of draws is
-    /// bounded, so that the time does not grow with the size of the zone. The sample may therefore be smaller
-    /// than `count` if many members of the zone are not alive any more.
+    /// Returns a random sample of at most `count` different alive members of a zone. The number of random
+    /// draws is limited, so the duration does not grow with the size of the zone. The sample can therefore be
+    /// smaller than `count`, in particular if many recorded members of the zone are no longer alive.
     pub fn sample_zone(&self, zone: &Location, count: usize, rng: &mut ChaCha8Rng) -> Vec<String> {
         let Some(members) = self.zones.get(zone) else { return Vec::new() };
         let mut sample: Vec<String> = Vec::new();
@@ -93,13 +96,13 @@
         sample
     }
 
-    /// Returns a random alive member of the fleet; `None` if the random draw selected this member itself, or
-    /// if no member is alive.
+    /// Returns a random alive member of the fleet. Returns `None` if the random draw selected this member
+    /// itself, or if there is no alive member.
     pub fn sample_any(&self, rng: &mut ChaCha8Rng) -> Option<String> {
         pick(&self.alive, rng).filter(|name| **name != self.name).cloned()
     }
 
-    /// Returns a random sample of at most `count` alive members of each known zone.
+    /// Returns random alive members of every known zone, at most `count` per zone.
     pub fn sample_each_zone(&self, count: usize, rng: &mut ChaCha8Rng) -> Vec<String> {
         self.zones.keys().flat_map(|zone| self.sample_zone(zone, count, rng)).collect()
     }
--- a/crates/replication/src/progress.rs
+++ b/crates/replication/src/progress.rs
@@ -1,22 +1,23 @@
-//! Tracks which revision each member has applied, according to the members' reports to this replica, and
-//! which members lag. Members that lag or have not reported yet are polled. A member that never answers is
-//! treated as non-participating: it is a server without replicated configuration, or the process of an
-//! operator's command that has joined the fleet, such as `publish`.
+//! Tracks which revision each member has applied, according to the reports that the members send to this
+//! replica. Members that lag or have not reported yet are polled for a report. A member that never answers is
+//! treated as non-participating. Such a member is a server without replicated configuration, or an operator's
+//! command that has joined the fleet, such as `publish`.
 
 use crate::message::{Rejection, Report};
 use crate::time::{Nanos, SECOND_NS};
 use std::collections::BTreeMap;
 
-/// Interval at which a member that has not answered a poll is polled again.
+/// Interval between two polls of the same member while the member does not answer.
 const UNANSWERED_POLL_INTERVAL_NS: Nanos = 2 * SECOND_NS;
-/// Interval at which a non-participating member is polled, since it may have been restarted with other
-/// settings.
+/// Interval between two polls of a member that is treated as non-participating. Polls continue, since the
+/// member may have been restarted with other settings.
 const NON_PARTICIPATING_POLL_INTERVAL_NS: Nanos = 60 * SECOND_NS;
-/// Number of unanswered polls after which a member that never reported is treated as non-participating.
+/// Number of unanswered polls after which a member is treated as non-participating, if it has never sent a
+/// report.
 const NON_PARTICIPATING_AFTER_POLLS: u32 = 3;
-/// Maximum number of members polled in one round.
+/// Maximum number of members that are polled for a report in one round.
 const POLLS_AT_ONCE_MAX: usize = 32;
-/// Maximum number of revisions whose commit times are kept; the oldest are dropped.
+/// Maximum number of revisions whose commit times are kept. When there are more, the oldest are dropped.
 const COMMIT_TIMES_MAX: usize = 1024;
 
 /// Progress of one member.
@@ -25,12 +26,13 @@
     /// The member's last report.
     report: Option<Report>,
     polled_at: Nanos,
-    /// Number of polls since the member's last report.
+    /// Number of polls sent to the member since its last report.
     unanswered: u32,
 }
 
 impl MemberProgress {
-    /// Whether the member is treated as non-participating.
+    /// Returns whether the member is treated as non-participating: it has never sent a report and left
+    /// several polls unanswered.
     fn is_non_participating(&self) -> bool {
         self.report.is_none() && self.unanswered >= NON_PARTICIPATING_AFTER_POLLS
     }
@@ -45,26 +47,27 @@
     }
 }
 
-/// The members' progress as known to a replica.
+/// What this replica knows about the progress of each member in applying revisions.
 #[derive(Debug, Default)]
 pub struct ProgressTracker {
     members: BTreeMap<String, MemberProgress>,
-    /// Times at which the latest revisions became committed on this replica, by revision number.
+    /// For each of the latest revisions, by its number: the time at which this replica learned that it was
+    /// committed.
     committed_at: BTreeMap<u64, Nanos>,
 }
 
-/// A member that has not applied the newest revision.
+/// A member that has not applied the newest revision, with what is known about its lag.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LaggingMember {
     /// The member's name.
     pub name: String,
-    /// Number of the last revision that the member applied; `None` if it has not reported yet.
+    /// Number of the last revision that the member applied; `None` if the member has not sent a report yet.
     pub applied: Option<u64>,
-    /// When the oldest revision that the member lacks became committed on this replica, in Unix nanoseconds;
-    /// 0 if unknown.
+    /// Time since which the member lags, in Unix nanoseconds: the time at which the oldest revision that the
+    /// member has not applied was committed on this replica. The value is 0 if this time is unknown.
     pub since: Nanos,
-    /// The last revision that the member rejected; `None` if it rejected none or has since applied a later
-    /// revision.
+    /// The last revision that the member rejected. `None` if it has rejected none, or has since applied a
+    /// later revision.
     pub rejected: Option<Rejection>,
 }
 
@@ -76,7 +79,7 @@
         member.unanswered = 0;
     }
 
-    /// Records that a revision became committed on this replica.
+    /// Records the time `now` as the commit time of a revision on this replica.
     pub fn on_commit(&mut self, number: u64, now: Nanos) {
         self.committed_at.entry(number).or_insert(now);
         while self.committed_at.len() > COMMIT_TIMES_MAX {
@@ -84,7 +87,7 @@
         }
     }
 
-    /// Removes the members that are not alive.
+    /// Forgets all members for which `is_alive` returns false.
     pub fn retain(&mut self, is_alive: impl Fn(&str) -> bool) {
         self.members.retain(|name, _| is_alive(name));
     }
@@ -93,18 +96,19 @@
         self.members.get(name).is_none_or(|member| !member.is_non_participating())
     }
 
-    /// Number of alive members that participate in replication. Members not yet known to be non-participating
-    /// count as participating.
+    /// Counts the members of `alive` that participate in replication. A member counts as participating until
+    /// it is known not to participate.
     pub fn count<'a>(&self, alive: impl Iterator<Item = &'a String>) -> usize {
         alive.filter(|name| self.participates(name)).count()
     }
 
-    /// The alive members that participate in replication and have not applied revision `number`.
+    /// Returns the members of `alive` that participate in replication but have not applied revision `number`.
     pub fn lagging<'a>(&self, alive: impl Iterator<Item = &'a String>, number: u64) -> Vec<LaggingMember> {
         alive.filter(|name| self.participates(name)).filter_map(|name| self.lag_of(name, number)).collect()
     }
 
-    /// The member's lag behind revision `number`; `None` if the member has applied that revision.
+    /// Returns how far a member lags behind revision `number`; `None` if the member has applied this
+    /// revision.
     fn lag_of(&self, name: &str, number: u64) -> Option<LaggingMember> {
         let report = self.members.get(name).and_then(|member| member.report.as_ref());
         let applied = report.map(|report| report.applied);
@@ -120,8 +124,8 @@
         })
     }
 
-    /// Selects the members to poll for a report now: alive members that have not applied revision `number`
-    /// and were not polled recently. Records the selected members as polled.
+    /// Selects the members that are to be polled for a report now. These are members of `alive` that have not
+    /// applied revision `number` and were not polled recently. Records the selected members as polled.
     pub fn poll<'a>(
         &mut self,
         alive: impl Iterator<Item = &'a String>,
--- a/crates/replication/src/replica/acceptor.rs
+++ b/crates/replication/src/replica/acceptor.rs
@@ -1,4 +1,5 @@
-//! Acceptor role of a replica: promises epochs to candidates and stores the leader's entries.
+//! Acceptor role of a replica: it promises epochs to candidates for leadership and stores the leader's
+//! entries.
 
 use super::{Replica, Role};
 use crate::committed_log::CommittedLog;
@@ -15,15 +16,17 @@
 }
 
 impl Replica {
-    /// Promises the candidate's epoch, and sends the candidate the log entries after number `after`. Rejects
-    /// the request if this replica has already promised a later epoch.
+    /// Handles a candidate's request for a promise. Promises the candidate's epoch, and sends the candidate
+    /// the log entries after number `after`. If this replica has already promised a later epoch, rejects the
+    /// request.
     pub(super) fn on_prepare(&mut self, from: &str, epoch: u64, after: u64, log: &CommittedLog) {
         if epoch < self.promised {
             return self.send(from, Message::EpochRejected { promised: self.promised });
         }
         self.adopt_epoch(epoch);
-        // Send no promise if this replica no longer holds the entry at `after`. The candidate receives the
-        // missing entries by gossip, and then repeats its request with a higher number.
+        // Send no promise if this replica no longer holds entry number `after`: it may then also lack entries
+        // that the candidate requests. The candidate receives these entries by gossip, and then repeats its
+        // request with a higher `after`.
         if self.position(after, log).is_none() && after < log.number() {
             return;
         }
@@ -32,8 +35,8 @@
         self.send(from, Message::Promise { epoch, last, after, entries });
     }
 
-    /// Stores the leader's entries. Returns, in order, the stored entries that the leader reports as
-    /// committed.
+    /// Stores entries that the leader sent. Returns those stored entries that the leader reports as
+    /// committed, in ascending order.
     pub(super) fn on_append(&mut self, from: &str, request: AppendRequest, log: &CommittedLog) -> Vec<Entry> {
         let AppendRequest { epoch, previous, entries, committed } = request;
         if epoch < self.promised {
@@ -55,16 +58,16 @@
         self.uncommitted.iter().take_while(is_committed).cloned().collect()
     }
 
-    /// Whether this replica's log has an entry at `position`. For a committed entry the epochs need not be
-    /// compared, because committed logs are the same on all replicas.
+    /// Returns whether this replica's log has an entry at `position`. If the entry is committed, only its
+    /// number is compared: committed entries are the same on all replicas.
     fn holds(&self, position: Position, log: &CommittedLog) -> bool {
         let is_committed = position.number <= log.number();
         let agrees = is_committed || self.position(position.number, log) == Some(position);
         agrees && position.number <= self.last_position(log).number
     }
 
-    /// Stores the leader's entries, which follow number `previous`. Returns the number up to which this
-    /// replica's log matches the leader's log.
+    /// Stores the leader's entries, which directly follow entry number `previous`. Returns the number of the
+    /// last entry up to which this replica's log is equal to the leader's log.
     fn store_entries(&mut self, previous: u64, entries: Vec<Entry>, log: &CommittedLog) -> u64 {
         let mut matched = previous;
         for entry in entries {
@@ -76,8 +79,8 @@
             if number <= log.number() || self.position(number, log) == Some(entry.position()) {
                 continue;
             }
-            // Drop a stored entry that differs from the leader's entry, and all entries after it: none of
-            // them was ever committed.
+            // If an entry with this number is stored, it differs from the leader's entry. Drop it and all
+            // entries after it. None of the dropped entries was ever committed.
             self.uncommitted.truncate((number - log.number() - 1) as usize);
             self.uncommitted.push(entry);
             self.is_unsaved = true;
--- a/crates/replication/src/replica/election.rs
+++ b/crates/replication/src/replica/election.rs
@@ -1,6 +1,6 @@
-//! Election of the log's leader (Paxos phase 1). An external lease selects the replica that tries to
-//! lead. This replica, called the candidate, chooses an epoch, requests promises of that epoch from the
-//! other replicas, and becomes leader once a majority has promised.
+//! Election of the leader of the log (Paxos phase 1). The replica that holds an external lease tries to
+//! become the leader and is called the candidate. The candidate chooses an epoch and requests promises for
+//! this epoch from the other replicas. It becomes the leader once a majority has promised.
 
 use super::leader::Leader;
 use super::{REPEAT_AFTER_NS, Replica, Role};
@@ -13,41 +13,42 @@
 use crate::time::Nanos;
 use std::collections::BTreeMap;
 
-/// Number of times that a candidate repeats its requests for promises. After that, it restarts the election
-/// with a later epoch.
+/// Number of times that a candidate repeats its requests for promises. If it is not the leader by then, it
+/// starts a new election with a later epoch.
 const REPEATS_MAX: u32 = 10;
 
-/// The log of a replica that has promised the candidate's epoch, as far as the candidate has received it.
+/// What the candidate knows about the log of a replica that has promised its epoch. The log is received in
+/// several messages if it is long.
 #[derive(Debug)]
 struct PromisedLog {
-    /// Position of the last entry of the replica's log.
+    /// Position of the last entry in the log of the promising replica.
     last: Position,
-    /// Entries of the replica's log that follow the candidate's committed log, as far as received. The
-    /// candidate checks that each message starts where the previous one ended. Within one message, it relies
-    /// on the sending replica to leave no gaps.
+    /// Entries received from the promising replica, starting after the candidate's committed log. The
+    /// candidate checks that each message starts where the previous one ended. It relies on the promising
+    /// replica to leave no gaps within a message.
     entries: Vec<Entry>,
 }
 
 impl PromisedLog {
-    /// Number of the last entry received.
+    /// Returns the number of the last entry received from the promising replica.
     fn reached(&self, log: &CommittedLog) -> u64 {
         self.entries.last().map_or(log.number(), Entry::number)
     }
 }
 
-/// State of a replica that has chosen an epoch and waits for promises from a majority.
+/// State of a candidate: a replica that has chosen an epoch and waits until a majority has promised it.
 #[derive(Debug)]
 pub(super) struct Candidate {
-    /// Promises received, by replica name; includes the candidate's promise to itself.
+    /// Promises received, by the name of the promising replica. Includes the candidate's promise to itself.
     promises: BTreeMap<String, PromisedLog>,
-    /// When promises were last requested.
+    /// Time at which the candidate last sent requests for promises.
     requested_at: Nanos,
-    /// Number of times that the requests for promises were repeated.
+    /// Number of times that the candidate has repeated its requests for promises.
     repeats: u32,
 }
 
 impl Candidate {
-    /// When the candidate is to repeat its requests for promises, in Unix nanoseconds.
+    /// Returns the time at which the candidate repeats its requests for promises, in Unix nanoseconds.
     pub(super) fn next_due(&self) -> Nanos {
         self.requested_at + REPEAT_AFTER_NS
     }
@@ -61,25 +62,26 @@
     pub(super) entries: Vec<Entry>,
 }
 
-/// State at the end of a log whose last change may be incomplete.
+/// The configuration at the end of a log. The last change in the log may be incomplete.
 struct LogEnd {
     /// State after the last entry.
     state: State,
-    /// Changes that undo the incomplete change; empty if the last change is complete.
+    /// Changes that undo the part of the last change that is in the log. Empty if the last change is
+    /// complete.
     undo: Vec<Change>,
 }
 
 impl Replica {
-    /// The next epoch reserved for this replica. Each replica takes every n-th epoch, where n is the number
-    /// of replicas, so that no two replicas ever choose the same epoch.
+    /// Returns the next epoch that this replica may choose in an election. Of `n` replicas, each uses every
+    /// n-th number. Two replicas therefore never choose the same epoch.
     fn next_epoch(&self) -> u64 {
         let count = self.replicas.len() as u64;
         let own = self.replicas.iter().position(|replica| *replica == self.name).unwrap_or(0) as u64;
         (self.promised / count + 1) * count + own
     }
 
-    /// Starts an election: chooses a new epoch, promises it to itself, and requests promises from the other
-    /// replicas.
+    /// Starts an election as the candidate. Chooses a new epoch, promises it to itself, and requests promises
+    /// from the other replicas.
     pub(super) fn campaign(&mut self, now: Nanos, log: &CommittedLog) {
         self.promised = self.next_epoch();
         self.is_unsaved = true;
@@ -90,7 +92,8 @@
         self.lead_if_promised(now, log);
     }
 
-    /// Repeats the requests for promises when due. Abandons the epoch after [`REPEATS_MAX`] repetitions.
+    /// Repeats the requests for promises, if a repetition is due. After [`REPEATS_MAX`] repetitions, ends the
+    /// election instead.
     pub(super) fn repeat_campaign(&mut self, now: Nanos, log: &CommittedLog) {
         let Role::Candidate(candidate) = &mut self.role else { return };
         if candidate.repeats >= REPEATS_MAX {
@@ -102,8 +105,9 @@
         }
     }
 
-    /// Requests a promise from each replica that has not given one, and the rest of the log from each replica
-    /// that has promised but not yet sent its whole log.
+    /// Sends the requests that are still open in this election. A replica that has not promised gets a
+    /// request for a promise. A replica that has promised, but not yet sent its whole log, gets a request for
+    /// the rest.
     fn send_prepares(&mut self, log: &CommittedLog) {
         let Role::Candidate(candidate) = &self.role else { return };
         let mut requests = Vec::new();
@@ -120,8 +124,8 @@
         }
     }
 
-    /// Records a replica's promise and the log entries that came with it. Requests the rest of the replica's
-    /// log if the candidate has not received it completely.
+    /// Records a replica's promise and the log entries that came with it. If the candidate does not have the
+    /// replica's whole log yet, requests the rest.
     pub(super) fn on_promise(&mut self, now: Nanos, from: &str, promise: Promise, log: &CommittedLog) {
         let Role::Candidate(candidate) = &mut self.role else { return };
         let Promise { epoch, last, after, entries } = promise;
@@ -131,22 +135,24 @@
         let empty = || PromisedLog { last, entries: Vec::new() };
         let known = candidate.promises.entry(from.to_string()).or_insert_with(empty);
         if known.last != last {
-            // The log of the replica `from` ends at another position than in its previous message, because
-            // committed entries have replaced its uncommitted ones. Discard the entries received so far, so
-            // that they are requested again.
+            // Since its previous message, committed entries have replaced uncommitted ones in the log of the
+            // replica `from`, so its log now ends at another position. Discard the entries received so far,
+            // and request the log again.
             *known = empty();
         }
         if after == known.reached(log) {
             known.entries.extend(entries);
         }
-        // Drop the entries that have been committed in the meantime: the committed log contains them.
+        // Some of the received entries may have been committed in the meantime. Drop them, because the
+        // committed log contains them.
         known.entries.retain(|entry| entry.number() > log.number());
         self.send_prepares(log);
         self.lead_if_promised(now, log);
     }
 
-    /// Becomes the leader once a majority has promised and the most advanced log has been received in full.
-    /// The most advanced log is the one with the highest last position among the replicas that have promised.
+    /// Makes the candidate the leader once two conditions hold: a majority has promised, and the most
+    /// advanced log has been received completely. Among the replicas that have promised, the most advanced
+    /// log is the one with the highest last position.
     fn lead_if_promised(&mut self, now: Nanos, log: &CommittedLog) {
         let Role::Candidate(candidate) = &self.role else { return };
         if candidate.promises.len() < self.majority() {
@@ -163,14 +169,14 @@
         self.uncommitted = entries;
         let LogEnd { state, undo } = self.log_end(log);
         self.role = Role::Leader(Leader::new(state));
-        // Entries of earlier epochs are committed only together with an entry of the leader's own epoch
-        // (Raft, section 5.4.2). The leader therefore appends an entry at once. The appended changes also
-        // undo an incomplete change, whose last entries the previous leader never appended.
+        // The leader appends an entry of its own epoch at once. Only with such an entry can entries of
+        // earlier epochs be committed (Raft, section 5.4.2). The new entry also undoes a change that the
+        // previous leader left incomplete.
         self.append_parts(split(undo), log);
         self.replicate(now, log);
     }
 
-    /// State at the end of this replica's log, including uncommitted entries.
+    /// Returns the configuration at the end of this replica's log, including uncommitted entries.
     fn log_end(&self, log: &CommittedLog) -> LogEnd {
         let mut complete = log.complete().state.clone();
         let mut state = complete.clone();
--- a/crates/replication/src/replica/leader.rs
+++ b/crates/replication/src/replica/leader.rs
@@ -1,5 +1,5 @@
-//! Leader role of a replica: appends entries, replicates them, and determines which are committed (Paxos
-//! phase 2, Raft log replication).
+//! Leader role of a replica. The leader appends entries, sends them to the other replicas, and determines
+//! which entries are committed (Paxos phase 2, Raft log replication).
 
 use super::{ProposeError, REPEAT_AFTER_NS, Replica, Role};
 use crate::change::Change;
@@ -11,34 +11,37 @@
 use crate::time::{Nanos, SECOND_NS};
 use std::collections::BTreeMap;
 
-/// Maximum number of uncommitted entries; further changes are rejected as [`ProposeError::Busy`].
+/// Maximum number of uncommitted entries in the leader's log. A change that would exceed it is rejected as
+/// [`ProposeError::Busy`].
 const UNCOMMITTED_MAX: usize = 128;
-/// Interval after which the leader sends a replica a message even if the replica lacks no entries.
+/// Maximum time between two messages of the leader to the same replica. If the replica lacks no entries, the
+/// message is a heartbeat without entries.
 const HEARTBEAT_NS: Nanos = SECOND_NS;
 
-/// Replication progress of one replica, as known to the leader.
+/// What the leader knows about how far a replica has stored the leader's log.
 #[derive(Debug, Default)]
 struct FollowerProgress {
-    /// Number up to which the replica has stored the leader's log; for the leader itself, the number up to
-    /// which its log is on disk.
+    /// Number of the last entry up to which the replica has stored the leader's log; `None` if not known yet.
+    /// For the leader itself, the number of the last entry that is on its own disk.
     matched: Option<u64>,
-    /// When entries were last sent to the replica; `None` if a message is to be sent at once.
+    /// Time at which the leader last sent a message to the replica. `None` if a message is to be sent at
+    /// once.
     sent_at: Option<Nanos>,
 }
 
-/// State of a replica in the leader role.
+/// The state that a replica has only while it is the leader.
 #[derive(Debug)]
 pub(super) struct Leader {
-    /// Progress by replica name, including the leader's own.
+    /// Progress of each replica, by its name. The leader itself is included.
     progress: BTreeMap<String, FollowerProgress>,
-    /// State after the last entry of the leader's log.
+    /// The configuration after the last entry of the leader's log, including uncommitted entries.
     end_state: State,
-    /// Number of the last entry that this leader appended.
+    /// Number of the last entry that this replica has appended as the leader; 0 if none yet.
     last_number: u64,
 }
 
 impl Leader {
-    /// Creates the leader state for a log that ends with the state `end_state`.
+    /// Creates the state of a new leader. `end_state` is the configuration after the last entry of its log.
     pub(super) fn new(end_state: State) -> Leader {
         Leader { progress: BTreeMap::new(), end_state, last_number: 0 }
     }
@@ -51,14 +54,14 @@
         self.progress.get(replica)?.matched
     }
 
-    /// Records that a replica has stored the leader's log up to `number`.
+    /// Records that a replica has stored all entries of the leader's log up to `number`.
     pub(super) fn set_matched(&mut self, replica: &str, number: u64) {
         self.progress_mut(replica).matched = Some(number);
     }
 
-    /// When the next message to a replica is due, in nanoseconds: [`REPEAT_AFTER_NS`] after the last
-    /// message if the replica lacks entries, otherwise [`HEARTBEAT_NS`] after the last message; 0
-    /// means now.
+    /// Returns the time at which the next message to a replica is due, in nanoseconds; 0 means now. If the
+    /// replica lacks entries, this is [`REPEAT_AFTER_NS`] after the last message. Otherwise, it is
+    /// [`HEARTBEAT_NS`] after the last message.
     pub(super) fn next_due(&self, replica: &str) -> Nanos {
         let Some(progress) = self.progress.get(replica) else { return 0 };
         let Some(sent_at) = progress.sent_at else { return 0 };
@@ -69,10 +72,11 @@
 
 impl Replica {
     /// Appends a change to the log and sends it to the other replicas. Returns the number of the change's
-    /// last entry; the change is committed under this number if this replica remains the leader.
+    /// last entry. If this replica remains the leader, the change will be committed under this number.
     ///
     /// # Errors
-    /// If this replica is not the leader, too many entries are uncommitted, or the change is out of bounds.
+    /// Returns an error if this replica is not the leader, if too many entries are uncommitted, or if the
+    /// change exceeds a limit.
     pub fn propose(
         &mut self,
         changes: Vec<Change>,
@@ -91,8 +95,8 @@
             return Err(ProposeError::Busy);
         }
         self.append_parts(parts, log);
-        // Make a message to each replica due, so that the new entries are sent at once and not with the next
-        // heartbeat.
+        // Mark a message to each replica as due now. Otherwise, the new entries would be sent only with the
+        // next heartbeat.
         if let Role::Leader(leader) = &mut self.role {
             leader.progress.values_mut().for_each(|progress| progress.sent_at = None);
         }
@@ -100,7 +104,7 @@
         Ok(self.last_position(log).number)
     }
 
-    /// Appends one entry for each part of a change; all entries but the last are marked partial.
+    /// Appends one entry for each part of a change. All entries except the last are marked as partial.
     pub(super) fn append_parts(&mut self, parts: Vec<Vec<Change>>, log: &CommittedLog) {
         let count = parts.len();
         for (part, changes) in (1..).zip(parts) {
@@ -108,7 +112,7 @@
         }
     }
 
-    /// Appends one entry in this leader's epoch.
+    /// Appends one entry to the log, with the epoch of this leader.
     fn append_entry(&mut self, changes: Vec<Change>, partial: bool, log: &CommittedLog) {
         let number = self.last_position(log).number + 1;
         let position = Position { epoch: self.promised, number };
@@ -120,7 +124,8 @@
         self.is_unsaved = true;
     }
 
-    /// Sends the missing entries, or a heartbeat, to each replica whose next message is due.
+    /// Sends a message to each replica to which one is due. The message contains the entries that the replica
+    /// lacks; without entries, it is a heartbeat.
     pub(super) fn replicate(&mut self, now: Nanos, log: &CommittedLog) {
         let others: Vec<String> = self.others().cloned().collect();
         for replica in others {
@@ -135,11 +140,11 @@
         }
     }
 
-    /// Sends a replica the entries after number `matched`, up to which the replica's log is known to match
-    /// the leader's log.
+    /// Sends a replica the entries after number `matched`. The replica's log is known to be equal to the
+    /// leader's log up to this number.
     fn send_append(&mut self, replica: &str, matched: u64, log: &CommittedLog) {
-        // If the replica lags behind the oldest entry held here, send only the uncommitted entries: like
-        // every member, the replica receives committed entries by gossip.
+        // If the leader no longer holds entry number `matched`, send only the uncommitted entries. The
+        // replica receives the missing committed entries by gossip, like every member.
         let matched = if self.position(matched, log).is_some() { matched } else { log.number() };
         let Some(previous) = self.position(matched, log) else { return };
         let entries = self.entries_after(matched, log);
@@ -147,11 +152,11 @@
         self.send(replica, Message::Append { epoch, previous, entries, committed });
     }
 
-    /// Returns, in order, the entries that have become committed but are not in the committed log yet.
-    /// Returns none if this replica is not the leader.
+    /// Returns the entries that have become committed but are not in the committed log yet, in ascending
+    /// order. Returns no entries if this replica is not the leader.
     ///
-    /// An entry of an earlier epoch is not committed by being stored on a majority, since a leader with a
-    /// different entry from an epoch in between may still replace it. Such an entry is committed together
+    /// An entry of an earlier epoch is not committed just because a majority has stored it: a leader with a
+    /// different entry, from an epoch in between, could still replace it. The entry is committed together
     /// with the first entry of this leader's own epoch.
     pub fn newly_committed(&self, log: &CommittedLog) -> Vec<Entry> {
         let Role::Leader(leader) = &self.role else { return Vec::new() };
@@ -167,8 +172,8 @@
         self.uncommitted.iter().take_while(is_stored).cloned().collect()
     }
 
-    /// Handles a replica's acknowledgement that it has stored entries, and sends it the next missing entries
-    /// at once.
+    /// Handles a replica's confirmation that it has stored entries. If the replica lacks further entries,
+    /// sends them at once.
     pub(super) fn on_appended(
         &mut self,
         now: Nanos,
@@ -191,11 +196,11 @@
         }
     }
 
-    /// Handles a rejection from a replica that lacks the entry preceding those that were sent: sends the
-    /// entries after `matched` instead, which is a lower number.
+    /// Handles the rejection of entries by a replica that lacks the entry directly before them. Sends the
+    /// entries after `matched`, a lower number at which the replica's log may still be equal to the leader's.
     pub(super) fn on_append_rejected(&mut self, from: &str, epoch: u64, matched: u64, log: &CommittedLog) {
-        // If the leader no longer holds the entry at `matched`, the replica catches up by gossip and the next
-        // heartbeat succeeds.
+        // The leader may no longer hold the entry at `matched`. Then send nothing: the replica catches up by
+        // gossip, and accepts a later heartbeat.
         let is_held = self.position(matched, log).is_some();
         if epoch == self.promised && self.is_leader() && is_held {
             self.send_append(from, matched, log);
--- a/crates/replication/src/replica/mod.rs
+++ b/crates/replication/src/replica/mod.rs
@@ -1,14 +1,15 @@
-//! One replica of the log, on a dedicated control machine. The replicas decide which entries are committed.
+//! One replica of the log, which runs on a dedicated control machine. The replicas together decide which log
+//! entries are committed.
 //!
-//! The protocol is Raft with Paxos-style elections. An external lease selects the replica that tries to lead;
-//! the lease affects liveness only, never safety. A candidate chooses an epoch reserved for it, requests
-//! promises from a majority, and adopts the most advanced log among them (`election`). The leader appends
-//! entries in its epoch and treats an entry as committed once a majority has stored it (`leader`). The other
-//! replicas promise epochs and store entries (`acceptor`).
+//! The protocol is Raft with Paxos-style elections. The holder of an external lease is the candidate for
+//! leadership; the lease affects liveness only, never safety. A candidate chooses an epoch reserved for it,
+//! requests promises from a majority, and adopts the most advanced log among them (`election`). The leader
+//! appends entries in its epoch and treats an entry as committed once a majority has stored it (`leader`).
+//! The other replicas promise epochs and store entries (`acceptor`).
 //!
-//! Invariant: no two different contents are ever committed under one number, no matter which replicas crash,
-//! pause or are partitioned, and even if two replicas believe that they hold the lease. The invariant
-//! requires that all state a message depends on is on disk before the message is sent.
+//! Invariant: two different contents are never committed under one number. The invariant holds no matter
+//! which replicas crash, pause or are partitioned, and even if two replicas believe that they hold the lease.
+//! It requires that all state that a message depends on is on disk before the message is sent.
 
 mod acceptor;
 mod election;
@@ -26,27 +27,27 @@
 use election::{Candidate, Promise};
 use leader::Leader;
 
-/// Time after which an unanswered request to another replica is repeated.
+/// Time after which a replica repeats a request to another replica that was not answered.
 const REPEAT_AFTER_NS: Nanos = 300 * MILLISECOND_NS;
-/// Maximum bytes of entries in one message between replicas. The limit exceeds the longest entry. Together
-/// with the message header it stays within [`crate::message::BODY_BYTES_MAX`]: the header takes at most 43
-/// bytes (four integers of up to 10 bytes each, the variant, and the number of entries).
+/// Maximum total size of the entries in one message between replicas, in bytes. It is larger than the longest
+/// entry. With the message header, it stays within [`crate::message::BODY_BYTES_MAX`]: the header takes at
+/// most 43 bytes (four integers of up to 10 bytes each, the variant, and the number of entries).
 const REPLICA_ENTRIES_BYTES_MAX: usize = 960;
 
-/// Reason why a change was not appended to the log.
+/// Reason why a change was not appended to the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProposeError {
-    /// This replica is not the leader. The message says "publisher" because the operator's command uses that
-    /// term for the leader.
+    /// This replica is not the leader of the log. The error message says "publisher", which is the term for
+    /// the leader in the operator's command.
     #[error("not the publisher any more")]
     NotLeader,
-    /// The log already has too many uncommitted entries.
+    /// Too many entries of the log are not committed yet.
     #[error("too much waits to be committed: try again")]
     Busy,
-    /// A key or a value is out of bounds.
+    /// The length of a key or of a value in the change is not allowed.
     #[error(transparent)]
     InvalidChange(#[from] ChangeError),
-    /// The configuration would have more than [`KEYS_MAX`] keys.
+    /// With the change, the configuration would have more than [`KEYS_MAX`] keys.
     #[error("{keys} keys are more than {KEYS_MAX}")]
     TooManyKeys {
         /// Number of keys that the configuration would have with the change.
@@ -66,37 +67,40 @@
 /// Role of a replica in its current epoch.
 #[derive(Debug)]
 enum Role {
-    /// Promises epochs and stores the leader's entries.
+    /// The replica is not the leader: it promises epochs and stores the leader's entries.
     Follower,
-    /// Waits for promises from a majority.
+    /// The replica wants to become the leader, and waits for promises from a majority.
     Candidate(Candidate),
-    /// Appends and replicates entries.
+    /// The replica is the leader: it appends entries and sends them to the other replicas.
     Leader(Leader),
 }
 
-/// A replica of the log. The log consists of the [`CommittedLog`], which the member owns and passes to each
-/// call, followed by the replica's uncommitted entries.
+/// A replica of the log. Its log consists of two parts: the [`CommittedLog`], which the member owns and
+/// passes to each call, and after it the uncommitted entries, which are kept here.
 #[derive(Debug)]
 pub struct Replica {
     name: String,
     /// Names of all replicas, including this one.
     replicas: Vec<String>,
-    /// Highest promised epoch: the replica rejects messages of earlier epochs. A candidate or leader has
-    /// promised its own epoch. Never decreases.
+    /// Highest epoch that this replica has promised, to another replica or to itself. The replica rejects
+    /// messages of earlier epochs. Never decreases.
     promised: u64,
-    /// Entries after the committed log, without gaps.
+    /// Entries that follow the committed log directly and without gaps.
     uncommitted: Vec<Entry>,
     role: Role,
-    /// Whether this replica holds the external lease, whose holder tries to become or remain the leader.
+    /// Whether this replica holds the external leadership lease. The holder tries to become or remain the
+    /// leader.
     holds_lease: bool,
-    /// Whether `promised` or `uncommitted` differ from the state on disk. While true, no message may be sent.
+    /// Whether `promised` or `uncommitted` differ from the state on disk. While they differ, no message may
+    /// be sent.
     is_unsaved: bool,
-    /// Messages to send once the state is on disk.
+    /// Queued messages. They may be sent only after the state they depend on is on disk.
     outgoing: Vec<ReplicaMessage>,
 }
 
 impl Replica {
-    /// Creates a follower with an empty log. `replicas` lists the names of all replicas, including `name`.
+    /// Creates a replica with an empty log, in the follower role. `replicas` lists the names of all replicas,
+    /// including `name`.
     pub fn new(name: &str, replicas: Vec<String>) -> Replica {
         Replica {
             name: name.to_string(),
@@ -110,7 +114,8 @@
         }
     }
 
-    /// Restores the state read from disk. The committed entries are restored separately, in the member's log.
+    /// Restores the state of the replica from disk. The committed entries are not part of it; the member
+    /// restores them in its committed log.
     pub fn restore(&mut self, promised: u64, uncommitted: Vec<Entry>) {
         self.promised = promised;
         self.uncommitted = uncommitted;
@@ -124,19 +129,20 @@
         self.replicas.iter().filter(|replica| **replica != self.name)
     }
 
-    /// Number of replicas that form a majority. Any two majorities have a replica in common.
+    /// Returns the number of replicas that form a majority. Any two majorities have at least one replica in
+    /// common.
     fn majority(&self) -> usize {
         self.replicas.len() / 2 + 1
     }
 
-    /// Whether this replica considers itself the leader: a majority has promised this replica's epoch, and
-    /// this replica has not learned of a later epoch.
+    /// Returns whether this replica considers itself the leader. It does if a majority has promised its
+    /// epoch, and it has not learned of a later epoch.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
-    /// Sets whether this replica holds the lease, whose holder tries to lead. A leader that loses the lease
-    /// steps down to follower. The next leader finishes replicating the old leader's uncommitted entries, or
+    /// Sets whether this replica holds the leadership lease. The holder tries to lead. A leader that loses
+    /// the lease becomes a follower. The next leader then finishes replicating its uncommitted entries, or
     /// replaces them.
     pub fn set_holds_lease(&mut self, holds: bool) {
         self.holds_lease = holds;
@@ -145,13 +151,13 @@
         }
     }
 
-    /// Position of the last entry of this replica's log, committed or not.
+    /// Returns the position of the last entry in this replica's log, including uncommitted entries.
     fn last_position(&self, log: &CommittedLog) -> Position {
         self.uncommitted.last().map_or(log.revision().position, Entry::position)
     }
 
-    /// Position of the entry with this number in this replica's log, committed or not; `None` if the entry is
-    /// not held.
+    /// Returns the position of entry `number` in this replica's log, including uncommitted entries. Returns
+    /// `None` if the replica does not hold the entry.
     fn position(&self, number: u64, log: &CommittedLog) -> Option<Position> {
         match number.checked_sub(log.number() + 1) {
             None => log.position(number),
@@ -159,9 +165,9 @@
         }
     }
 
-    /// Updates the uncommitted entries after the committed log has grown, through this replica or by gossip.
-    /// Drops entries whose numbers are now committed. If this replica had stored a different entry under the
-    /// number of the last committed entry, drops all uncommitted entries and steps down to follower.
+    /// Adapts the uncommitted entries to a committed log that has grown, and drops entries whose numbers are
+    /// now committed. This replica may have stored a different entry under the number of the last committed
+    /// entry. Then it drops all uncommitted entries and becomes a follower.
     pub fn follow(&mut self, log: &CommittedLog) {
         let end = log.revision().position;
         let Some(first) = self.uncommitted.first() else { return };
@@ -171,14 +177,14 @@
         let agrees = self.uncommitted.iter().any(|entry| entry.position() == end);
         self.uncommitted.retain(|entry| agrees && entry.number() > end.number);
         if !agrees {
-            // Entries of another leader were committed under numbers that this replica had used for its own
-            // entries.
+            // The committed entries come from another leader, and have numbers that this replica had used for
+            // its own entries. So this replica is no longer the leader.
             self.role = Role::Follower;
         }
     }
 
-    /// Performs the work that is due for the current role: a follower starts an election, a candidate repeats
-    /// its requests for promises, and a leader sends entries and heartbeats. Does nothing without the lease.
+    /// Performs the work that is due in the current role, if this replica holds the lease. A follower starts
+    /// an election, a candidate repeats its requests for promises, and a leader sends entries and heartbeats.
     pub fn advance(&mut self, now: Nanos, log: &CommittedLog) {
         if !self.holds_lease {
             return;
@@ -190,7 +196,8 @@
         }
     }
 
-    /// When [`Replica::advance`] is next to be called, in nanoseconds: 0 means now, [`Nanos::MAX`] never.
+    /// Returns the time at which [`Replica::advance`] is to be called next, in nanoseconds. 0 means now, and
+    /// [`Nanos::MAX`] means that no call is needed.
     pub fn next_due(&self) -> Nanos {
         match &self.role {
             Role::Follower if self.holds_lease => 0,
@@ -202,17 +209,18 @@
         }
     }
 
-    /// Records that the state last returned by [`Replica::state_to_persist`] is on disk.
+    /// Records that the state last returned by [`Replica::state_to_persist`] is now on disk.
     pub fn on_persisted(&mut self, log: &CommittedLog) {
         self.is_unsaved = false;
         let last = self.last_position(log).number;
         if let Role::Leader(leader) = &mut self.role {
-            // The leader's own copy counts towards the majority only once it is on disk.
+            // The leader itself counts towards the majority that has stored an entry only once the entry is
+            // on its disk.
             leader.set_matched(&self.name, last);
         }
     }
 
-    /// Whether the state must be written to disk before messages are sent.
+    /// Returns whether the state must be written to disk before queued messages may be sent.
     pub fn is_unsaved(&self) -> bool {
         self.is_unsaved
     }
@@ -223,14 +231,14 @@
         PersistedState { promised: self.promised, committed: log.complete().clone(), entries }
     }
 
-    /// Drops the queued messages, which depend on state that could not be written to disk. Other replicas
-    /// repeat the requests that remain unanswered.
+    /// Drops the queued messages, because the state that they depend on could not be written to disk. Other
+    /// replicas repeat requests that are not answered.
     pub fn drop_outgoing(&mut self) {
         self.outgoing.clear();
     }
 
-    /// Removes and returns the queued messages. The caller may send them only while
-    /// [`Replica::is_unsaved`] is false.
+    /// Removes and returns the queued messages. The caller may send them only if [`Replica::is_unsaved`]
+    /// returns false.
     pub fn take_outgoing(&mut self) -> Vec<ReplicaMessage> {
         std::mem::take(&mut self.outgoing)
     }
@@ -239,8 +247,8 @@
         self.outgoing.push(ReplicaMessage { to: to.to_string(), message });
     }
 
-    /// Handles a message from another replica; messages from members that are not replicas are ignored.
-    /// Returns, in order, the entries that the leader reports as committed.
+    /// Handles a message from another replica. Ignores messages from members that are not replicas. If the
+    /// message is from the leader, returns the entries that it reports as committed, in ascending order.
     pub fn receive(&mut self, now: Nanos, from: &str, message: Message, log: &CommittedLog) -> Vec<Entry> {
         if !self.is_replica(from) {
             return Vec::new();
@@ -264,8 +272,7 @@
         Vec::new()
     }
 
-    /// Promises `epoch` and steps down to follower, if `epoch` is later than the highest epoch promised so
-    /// far.
+    /// Promises `epoch` and becomes a follower, if `epoch` is higher than every epoch promised so far.
     fn adopt_epoch(&mut self, epoch: u64) {
         if epoch > self.promised {
             self.promised = epoch;
@@ -274,7 +281,7 @@
         }
     }
 
-    /// Entries of this replica's log after `number`, as many as fit into one message.
+    /// Returns the entries of this replica's log after number `number`, as many as fit into one message.
     fn entries_after(&self, number: u64, log: &CommittedLog) -> Vec<Entry> {
         let mut entries = Vec::new();
         let mut bytes = 0;
--- a/crates/replication/src/requests.rs
+++ b/crates/replication/src/requests.rs
@@ -1,26 +1,28 @@
-//! Operators' requests to the leader. An operator may repeat a request; the request identifier distinguishes
-//! repetitions from new requests.
+//! Operators' requests that the leader has received. An operator may repeat a request that was not answered.
+//! By its identifier, the leader recognizes a repetition and does not carry the request out again.
 
 use crate::change::Change;
 use crate::entry::PARTS_MAX;
 use crate::message::{RequestId, RequestOutcome};
 use std::collections::{HashMap, VecDeque};
 
-/// Maximum number of answered requests whose outcomes are kept; the oldest outcomes are dropped.
+/// Maximum number of answered requests whose outcomes are kept. When there are more, the oldest outcomes are
+/// dropped.
 const OUTCOMES_MAX: usize = 256;
-/// Maximum number of changes that are assembled from parts at the same time. Parts of further changes are
-/// ignored.
+/// Maximum number of changes of which only some parts have been received. While there are this many, parts of
+/// other changes are ignored.
 const ASSEMBLING_MAX: usize = 16;
 
-/// A request whose change is in the log but not committed yet.
+/// An operator's request whose change is in the log, but not committed yet.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingRequest {
     pub(crate) request: RequestId,
-    /// Number of the change's last entry. The change is committed once the committed log reaches this number.
+    /// Number of the last log entry of the change. Once the committed log reaches this number, the change is
+    /// committed.
     pub(crate) number: u64,
 }
 
-/// A request that was answered, with the outcome sent to the operator.
+/// An operator's request that was answered, and the outcome in the answer.
 #[derive(Debug)]
 struct AnsweredRequest {
     request: RequestId,
@@ -30,18 +32,19 @@
 /// The operators' requests that a leader has received.
 #[derive(Debug, Default)]
 pub(crate) struct Requests {
-    /// Received parts of incomplete requests, by part index.
+    /// Received parts of changes that are not complete yet. Each list contains the parts of one request in
+    /// order; a missing part is `None`.
     assembling: HashMap<RequestId, Vec<Option<Vec<Change>>>>,
     /// Requests whose changes are in the log but not committed yet.
     pending: Vec<PendingRequest>,
-    /// The most recently answered requests, oldest first.
+    /// The most recently answered requests, the oldest first.
     answered: VecDeque<AnsweredRequest>,
 }
 
 impl Requests {
-    /// Adds one part of a change. Returns the whole change once all `parts` have been received, and `None`
-    /// before that. Ignores the part and returns `None` if `part` or `parts` is out of bounds, or if the part
-    /// belongs to a further change while [`ASSEMBLING_MAX`] changes are already being assembled.
+    /// Adds one part of a change. Once all `parts` parts have been received, returns the whole change; before
+    /// that, returns `None`. Ignores a part if `part` or `parts` is out of range. Also ignores parts of a
+    /// further change while [`ASSEMBLING_MAX`] changes are incomplete.
     pub(crate) fn assemble(
         &mut self,
         request: &RequestId,
@@ -64,18 +67,19 @@
         Some(received.into_iter().flatten().flatten().collect())
     }
 
-    /// The outcome with which a request was answered; `None` if the request was not answered or the outcome
-    /// is not kept any more.
+    /// Returns the outcome with which a request was answered. Returns `None` if the request was not answered,
+    /// or if its outcome is no longer kept.
     pub(crate) fn outcome(&self, request: &RequestId) -> Option<&RequestOutcome> {
         self.answered.iter().find(|answered| answered.request == *request).map(|answered| &answered.outcome)
     }
 
-    /// Whether the request's change is in the log but not committed yet.
+    /// Returns whether the change of a request is in the log but not committed yet.
     pub(crate) fn is_pending(&self, request: &RequestId) -> bool {
         self.pending.iter().any(|pending| pending.request == *request)
     }
 
-    /// Adds a request whose change was appended to the log.
+    /// Adds a request whose change was appended to the log, and is to be answered once the change is
+    /// committed.
     pub(crate) fn add_pending(&mut self, pending: PendingRequest) {
         self.pending.push(pending);
     }
@@ -88,13 +92,13 @@
         self.answered.push_back(AnsweredRequest { request, outcome });
     }
 
-    /// Removes and returns the pending requests whose changes are committed. `committed` is the number at the
-    /// end of the committed log.
+    /// Removes and returns the pending requests whose changes are now committed. `committed` is the number of
+    /// the last entry in the committed log.
     pub(crate) fn take_committed(&mut self, committed: u64) -> Vec<PendingRequest> {
         self.pending.extract_if(.., |pending| pending.number <= committed).collect()
     }
 
-    /// Removes and returns all pending requests.
+    /// Removes and returns all requests whose changes are not committed yet.
     pub(crate) fn take_all(&mut self) -> Vec<PendingRequest> {
         std::mem::take(&mut self.pending)
     }
--- a/crates/replication/src/simulation/event.rs
+++ b/crates/replication/src/simulation/event.rs
@@ -2,16 +2,16 @@
 
 use crate::snapshot::Snapshot;
 
-/// A scheduled event. `incarnation` is the node's incarnation at the time of scheduling, so that an event
-/// from before a restart of the node can be ignored.
+/// An event scheduled in the simulation. `incarnation` is the incarnation that the node had at the time of
+/// scheduling. An event from before a restart of the node is ignored.
 pub(super) enum Event {
     /// A message is delivered to the node `to`.
     Message { to: usize, from: usize, body: Vec<u8> },
-    /// A node's member is to be advanced.
+    /// [`Member::advance`](crate::member::Member::advance) is due for a node.
     Due { node: usize, incarnation: u64 },
-    /// A node's host has checked a revision and is ready to write and apply it.
+    /// A node's host has finished checking a revision, and now writes and applies it.
     Applied { node: usize, incarnation: u64, snapshot: Box<Snapshot> },
-    /// The membership view and the lease are updated to reflect which nodes are currently running and
-    /// reachable.
+    /// The membership view and the leadership lease are updated. They then reflect which nodes are running
+    /// and which nodes they can reach.
     View,
 }
--- a/crates/replication/src/simulation/event_queue.rs
+++ b/crates/replication/src/simulation/event_queue.rs
@@ -1,5 +1,5 @@
-//! Queue of events ordered by simulated time. Events with the same time keep the order in which they were
-//! scheduled.
+//! Queue of events, ordered by their simulated times. Events with equal times keep the order in which they
+//! were scheduled.
 
 use crate::time::Nanos;
 use std::cmp::{Ordering, Reverse};
@@ -8,7 +8,7 @@
 /// An event with its time.
 struct Scheduled<E> {
     at: Nanos,
-    /// Unique number that orders events with the same time.
+    /// Unique number of the event. Events with equal times are ordered by it.
     sequence: u64,
     event: E,
 }
@@ -33,10 +33,10 @@
     }
 }
 
-/// Queue of scheduled events, earliest first.
+/// Queue of scheduled events, from which the earliest event is removed first.
 pub struct EventQueue<E> {
     events: BinaryHeap<Reverse<Scheduled<E>>>,
-    /// Sequence number of the last event added.
+    /// Sequence number of the event that was added last.
     sequence: u64,
 }
 
@@ -53,12 +53,12 @@
         self.events.push(Reverse(Scheduled { at, sequence: self.sequence, event }));
     }
 
-    /// Time of the next event, in nanoseconds; `None` if the queue is empty.
+    /// Returns the time of the earliest event, in nanoseconds; `None` if the queue is empty.
     pub fn next_at(&self) -> Option<Nanos> {
         self.events.peek().map(|Reverse(next)| next.at)
     }
 
-    /// Removes and returns the next event with its time, if it is due by `until`.
+    /// Removes the earliest event and returns it with its time, if this time is not later than `until`.
     pub fn pop_until(&mut self, until: Nanos) -> Option<(Nanos, E)> {
         if self.next_at()? > until {
             return None;
--- a/crates/replication/src/simulation/host.rs
+++ b/crates/replication/src/simulation/host.rs
@@ -1,6 +1,6 @@
-//! The simulated host of a member. It advances the member, writes the member's state to disk and applies
-//! revisions. It also checks two invariants: no host applies an older revision after a newer one, and no
-//! revision number has two different contents.
+//! The simulated host of a member, the program around its state machine. It advances the member, writes its
+//! state to disk and applies revisions. It also checks two invariants: a host never applies an older revision
+//! after a newer one, and a revision number never has two different contents.
 
 use super::event::Event;
 use super::node::Disk;
@@ -27,7 +27,8 @@
         }
     }
 
-    /// Advances a node's member, unless the node was restarted or rescheduled since the event was scheduled.
+    /// Advances a node's member at its due time. Does nothing if the node was restarted or its due time was
+    /// changed after the event was scheduled.
     fn on_due(&mut self, index: usize, incarnation: u64) {
         let node = &mut self.nodes[index];
         if node.incarnation != incarnation || node.due != self.now {
@@ -40,7 +41,7 @@
         self.run_host(index);
     }
 
-    /// Performs the work of a node's host after each call of its member: writes the member's state, starts
+    /// Performs the host's work after each call of its member. Writes the member's state to disk, starts
     /// applying a revision, sends messages, and schedules the next call.
     pub(super) fn run_host(&mut self, index: usize) {
         let now = self.now;
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Ends the host's check of a revision: writes and applies the revision, or rejects it.
+    /// Called when the host has finished checking a revision. Writes and applies the revision, or rejects it.
     fn on_applied(&mut self, index: usize, snapshot: Snapshot) {
         let node = &mut self.nodes[index];
         let Some(member) = &mut node.member else { return };
--- a/crates/replication/src/simulation/layout.rs
+++ b/crates/replication/src/simulation/layout.rs
@@ -1,41 +1,43 @@
-//! Configuration of a simulated fleet.
+//! Parameters of a simulated fleet: its nodes, the network and delays.
 
 use crate::message::Location;
 use crate::time::Nanos;
 
-/// Start of simulated time, in Unix nanoseconds.
+/// Simulated time at the start of a run, in Unix nanoseconds.
 pub const START_NS: Nanos = 1_700_000_000_000_000_000;
 
-/// Delay of messages between two nodes, in nanoseconds.
+/// Delay of a message from one node to another, in nanoseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Delay {
     /// Minimum delay.
     pub least: Nanos,
-    /// Upper bound of the random delay added to the minimum.
+    /// Upper bound of the random delay, in nanoseconds. The random delay is added to the minimum delay.
     pub jitter: Nanos,
 }
 
-/// The nodes of a simulated fleet, their network, and the timing of their environment.
+/// Parameters of a simulated fleet: its nodes, the network between them, and the times that hosts and the
+/// membership view take to react.
 #[derive(Clone)]
 pub struct Layout {
     /// Number of nodes.
     pub size: usize,
-    /// Number of control machines; they are the nodes with the lowest indices.
+    /// Number of control machines. The nodes with the lowest indices are control machines.
     pub replicas: usize,
     /// Region and zone of a node.
     pub location: fn(usize) -> Location,
-    /// Delay of messages from one node to another.
+    /// Function that returns the delay of messages from one node (first argument) to another (second
+    /// argument).
     pub delay: fn(usize, usize) -> Delay,
-    /// Share of messages lost, 0 to 1.
+    /// Probability that a message is lost, 0 to 1.
     pub loss: f64,
-    /// Share of messages delivered twice, 0 to 1.
+    /// Probability that a message is delivered twice, 0 to 1.
     pub duplicate: f64,
-    /// Time from a crash, start or partition until the membership view and the holder of the leadership lease
-    /// are updated accordingly, in nanoseconds.
+    /// Delay between a crash, start or partition and the resulting update of the membership view and of the
+    /// leadership lease, in nanoseconds.
     pub view_lag: Nanos,
     /// Time that a host takes to check and write a revision, in nanoseconds.
     pub apply_time: Nanos,
-    /// [`crate::member::Settings::pull_period`] of all members.
+    /// The pull period of all members, as in [`crate::member::Settings::pull_period`].
     pub pull_period: Nanos,
 }
 
--- a/crates/replication/src/simulation/mod.rs
+++ b/crates/replication/src/simulation/mod.rs
@@ -1,10 +1,10 @@
-//! Test harness: a simulated fleet of [`Member`]s with disks and a network, in simulated time. A run is
-//! deterministic for a given seed and does no I/O.
+//! Simulated fleet of [`Member`]s with disks and a network, for tests. It uses simulated time, does no I/O,
+//! and is deterministic for a given seed.
 //!
-//! At every step the harness checks two invariants: no revision number has two different contents, and no
-//! server goes back to an older revision. The [`Layout`] determines how messages are lost, duplicated,
-//! delayed and reordered; `faults` contains the other faults that can be injected. The membership view and
-//! the lease reflect changes after a lag.
+//! At every step, the simulation checks two invariants: a revision number never has two different contents,
+//! and a server never goes back to an older revision. The [`Layout`] determines how messages are lost,
+//! duplicated, delayed and reordered. The module `faults` injects the other faults. The membership view and
+//! the lease follow changes of the fleet with a delay.
 
 mod event;
 mod event_queue;
@@ -27,13 +27,13 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
 
-/// Interval of simulated time at which [`Fleet::run_until`] evaluates its condition.
+/// Interval of simulated time at which [`Fleet::run_until`] checks whether its condition is true.
 const CHECK_INTERVAL_NS: Nanos = 10 * MILLISECOND_NS;
 
-/// A revision that a node applied for the first time.
+/// Records that a node applied a revision that it had not applied before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AppliedRevision {
-    /// Time of applying, in Unix nanoseconds.
+    /// Time at which the node applied the revision, in Unix nanoseconds.
     pub at: Nanos,
     /// Index of the node.
     pub node: usize,
@@ -46,30 +46,32 @@
     /// Configuration of the fleet.
     pub layout: Layout,
     nodes: Vec<Node>,
-    /// Indices of the nodes by the names of their members.
+    /// Index of each node, by the name of its member.
     names: HashMap<String, usize>,
-    /// Pairs of groups between which the network is partitioned.
+    /// Pairs of groups between which the network is currently partitioned.
     cuts: HashSet<(u32, u32)>,
-    /// Membership view of each group: the sorted names of the alive members that the group reaches.
+    /// The membership view of each group of nodes: the sorted names of the alive members that the group can
+    /// reach.
     views: HashMap<u32, Arc<Vec<String>>>,
     queue: EventQueue<Event>,
     now: Nanos,
     rng: ChaCha8Rng,
-    /// Whether only [`Fleet::set_holds_lease`] grants and ends the lease, whose holder tries to lead the log.
-    /// If false, every update of the membership view also assigns the lease to one replica.
+    /// If true, only [`Fleet::set_holds_lease`] grants and ends the leadership lease. If false, every update
+    /// of the membership view assigns the lease to one replica. The holder of the lease tries to lead the
+    /// log.
     pub manual_lease: bool,
-    /// Content hashes of all revisions ever applied, by revision number.
+    /// Content hash of every revision that any node has applied, by revision number.
     contents: BTreeMap<u64, ContentHash>,
-    /// All revisions applied by nodes, ordered by time.
+    /// All revisions that nodes have applied, in the order of time.
     pub applied: Vec<AppliedRevision>,
-    /// Bytes of all messages sent, without envelopes.
+    /// Total size of all messages sent, in bytes, without the headers that the datagram layer adds.
     pub sent_bytes: u64,
     /// Number of messages sent.
     pub messages: u64,
 }
 
 impl Fleet {
-    /// Creates a fleet whose nodes are not started yet. The nodes with the lowest indices are the replicas.
+    /// Creates a fleet. No node is started yet. The nodes with the lowest indices are the replicas.
     pub fn new(layout: Layout, seed: u64) -> Fleet {
         Fleet {
             nodes: (0..layout.size).map(|_| Node::new()).collect(),
@@ -88,7 +90,7 @@
         }
     }
 
-    /// Creates a fleet whose nodes are all started and listed in the membership view.
+    /// Creates a fleet and starts all its nodes. All nodes are in the membership view.
     pub fn started(layout: Layout, seed: u64) -> Fleet {
         let mut fleet = Fleet::new(layout, seed);
         (0..fleet.nodes.len()).for_each(|node| fleet.start(node));
@@ -96,12 +98,12 @@
         fleet
     }
 
-    /// Simulated time in Unix nanoseconds.
+    /// Returns the simulated time, in Unix nanoseconds.
     pub fn now(&self) -> Nanos {
         self.now
     }
 
-    /// The member of a node; `None` if the node is not running.
+    /// Returns the member that a node runs; `None` if the node is not running.
     pub fn member(&self, node: usize) -> Option<&Member> {
         self.nodes[node].member.as_ref()
     }
@@ -111,7 +113,7 @@
         (0..self.nodes.len()).filter(|node| self.nodes[*node].member.is_some()).collect()
     }
 
-    /// Starts a node with the state on its disk.
+    /// Starts a node, which continues from the state on its disk.
     pub fn start(&mut self, index: usize) {
         let replicas = (0..self.layout.replicas).map(member_name).collect();
         let defaults = Settings::new((self.layout.location)(index), replicas);
@@ -130,7 +132,7 @@
         self.schedule_view();
     }
 
-    /// Grants a replica the lease for the leadership of the log, or ends its lease.
+    /// Grants the leadership lease to a replica, or ends the replica's lease.
     pub fn set_holds_lease(&mut self, node: usize, holds: bool) {
         if let Some(member) = &mut self.nodes[node].member {
             member.set_holds_lease(holds);
@@ -138,20 +140,20 @@
         self.run_host(node);
     }
 
-    /// Index of the first node whose member is the leader.
+    /// Returns the index of the first node whose member considers itself the leader.
     pub fn leader(&self) -> Option<usize> {
         (0..self.layout.replicas).find(|node| self.member(*node).is_some_and(Member::is_leader))
     }
 
-    /// Proposes a change to the leader. Returns the number of the change, or `None` if there is no leader or
-    /// it rejects the change.
+    /// Proposes a change to the current leader. Returns the number of the change. Returns `None` if there is
+    /// no leader, or if the leader rejects the change.
     pub fn propose(&mut self, changes: Vec<Change>) -> Option<u64> {
         let node = self.leader()?;
         self.propose_at(node, changes)
     }
 
-    /// Proposes a change to a node. Returns the number of the change, or `None` if the node is not the leader
-    /// or rejects the change.
+    /// Proposes a change to a node. Returns the number of the change. Returns `None` if the node is not the
+    /// leader, or if it rejects the change.
     pub fn propose_at(&mut self, node: usize, changes: Vec<Change>) -> Option<u64> {
         let now = self.now;
         let number = self.nodes[node].member.as_mut()?.propose(changes, now).ok();
@@ -159,7 +161,7 @@
         number
     }
 
-    /// Schedules an event `after` nanoseconds from now.
+    /// Schedules an event at `after` nanoseconds from the current simulated time.
     fn schedule(&mut self, after: Nanos, event: Event) {
         self.queue.push(self.now + after, event);
     }
@@ -168,7 +170,7 @@
         self.schedule(self.layout.view_lag, Event::View);
     }
 
-    /// Runs the simulation for a duration in nanoseconds.
+    /// Runs the simulation for the duration `span`, in nanoseconds.
     pub fn run_for(&mut self, span: Nanos) {
         let until = self.now + span;
         while let Some((at, event)) = self.queue.pop_until(until) {
@@ -178,8 +180,8 @@
         self.now = until;
     }
 
-    /// Runs the simulation until `is_done` returns true. Returns the elapsed simulated time in nanoseconds,
-    /// or `None` if it would exceed `limit`.
+    /// Runs the simulation until `is_done` returns true. Returns the elapsed simulated time in nanoseconds.
+    /// Returns `None` if `is_done` does not return true within `limit`.
     pub fn run_until(&mut self, limit: Nanos, mut is_done: impl FnMut(&Fleet) -> bool) -> Option<Nanos> {
         let started_at = self.now;
         while self.now - started_at <= limit {
@@ -191,7 +193,7 @@
         None
     }
 
-    /// Whether all running nodes among `nodes` have applied the revision `number` or a later one.
+    /// Returns whether every running node of `nodes` has applied the revision `number` or a later revision.
     pub fn all_applied(&self, nodes: &[usize], number: u64) -> bool {
         nodes.iter().filter_map(|node| self.member(*node)).all(|member| member.applied() >= number)
     }
--- a/crates/replication/src/simulation/network.rs
+++ b/crates/replication/src/simulation/network.rs
@@ -1,4 +1,4 @@
-//! The simulated network, the membership view, and the lease for the leadership of the replicated log.
+//! The simulated network, the membership view, and the leadership lease of the replicated log.
 
 use super::event::Event;
 use super::{Delay, Fleet, member_name};
@@ -8,17 +8,19 @@
 use std::sync::Arc;
 
 impl Fleet {
-    /// Whether the network delivers messages from one node to another, that is, no partition separates them.
+    /// Returns whether the network delivers messages from one node to another. It does if no partition
+    /// separates the two nodes.
     fn reaches(&self, from: usize, to: usize) -> bool {
         !self.cuts.contains(&(self.nodes[from].group, self.nodes[to].group))
     }
 
-    /// Returns true at random with the probability `share`, 0 to 1.
+    /// Returns true with the probability `share` (0 to 1), otherwise false.
     fn draw_with_probability(&mut self, share: f64) -> bool {
         share > 0.0 && (self.rng.next_u64() as f64 / u64::MAX as f64) < share
     }
 
-    /// Sends a message, which is lost, duplicated and delayed according to the layout.
+    /// Sends a message over the simulated network. The layout determines whether the message is lost,
+    /// duplicated and delayed.
     pub(super) fn send(&mut self, from: usize, outgoing: Outgoing) {
         let Outgoing { to, body } = outgoing;
         self.messages += 1;
@@ -38,8 +40,8 @@
         }
     }
 
-    /// Updates the membership view of each group to the alive members that the group reaches, and assigns the
-    /// lease unless `manual_lease` is set.
+    /// Updates the membership view of each group: the alive members that the group can reach. Also assigns
+    /// the leadership lease, unless `manual_lease` is set.
     pub(super) fn update_view(&mut self) {
         let groups: HashSet<u32> = self.nodes.iter().map(|node| node.group).collect();
         for group in groups {
@@ -54,7 +56,8 @@
         }
     }
 
-    /// Assigns the lease to the first replica that reaches a majority and can write to its disk.
+    /// Assigns the leadership lease to the first replica that can reach a majority of the replicas and whose
+    /// disk is not full.
     fn assign_lease(&mut self) {
         let living: Vec<usize> =
             (0..self.layout.replicas).filter(|replica| self.nodes[*replica].member.is_some()).collect();
--- a/crates/replication/src/simulation/node.rs
+++ b/crates/replication/src/simulation/node.rs
@@ -1,4 +1,5 @@
-//! A node of the simulated fleet: its member, and a disk that survives restarts of the member.
+//! A node of the simulated fleet. It consists of a member and of a disk, whose content survives restarts of
+//! the member.
 
 use crate::member::Member;
 use crate::persistence::{self, PersistedState};
@@ -6,14 +7,14 @@
 
 /// The file on a node's disk.
 pub(super) enum Disk {
-    /// A complete file, kept in decoded form.
+    /// A complete file. It is kept as the decoded state, not as bytes.
     Complete(PersistedState),
     /// The bytes of a truncated file.
     Truncated(Vec<u8>),
 }
 
 impl Disk {
-    /// Decodes the file; `None` if it cannot be used.
+    /// Decodes the content of the file; `None` if the file cannot be used.
     pub(super) fn read(&self) -> Option<PersistedState> {
         match self {
             Disk::Complete(state) => Some(state.clone()),
@@ -24,26 +25,27 @@
 
 /// One node of the fleet.
 pub(super) struct Node {
-    /// The node's member; `None` if the node is not running.
+    /// The member that the node runs; `None` if the node is not running.
     pub(super) member: Option<Member>,
-    /// Number of times that the node was started.
+    /// Number of times that the node has been started. Increased with each start.
     pub(super) incarnation: u64,
     pub(super) disk: Option<Disk>,
-    /// Whether writes to the disk fail.
+    /// Whether the disk is full, so that all writes to it fail.
     pub(super) is_disk_full: bool,
-    /// Revisions that contain a key with this prefix are rejected, as by a server that does not know a
-    /// configuration element.
+    /// The node rejects revisions that contain a key with this prefix. This simulates a server of an older
+    /// version that does not know an element of the configuration.
     pub(super) rejected_prefix: Option<String>,
-    /// Number of the newest revision ever applied, in any incarnation.
+    /// Number of the newest revision that the node has ever applied, including before restarts.
     pub(super) highest_applied: u64,
-    /// Group of the node; the network can be partitioned between groups.
+    /// The group of nodes that this node belongs to. The network can be partitioned between groups.
     pub(super) group: u32,
-    /// Scheduled time of the next call of [`Member::advance`]; [`Nanos::MAX`] if none is scheduled.
+    /// Time at which [`Member::advance`] is scheduled to be called next; [`Nanos::MAX`] if no call is
+    /// scheduled.
     pub(super) due: Nanos,
 }
 
 impl Node {
-    /// Creates a node that was never started.
+    /// Creates a node that has never been started and has an empty disk.
     pub(super) fn new() -> Node {
         Node {
             member: None,
@@ -57,7 +59,7 @@
         }
     }
 
-    /// Reads the state on the node's disk; `None` if there is no usable file.
+    /// Returns the state on the node's disk; `None` if the disk has no file that can be used.
     pub(super) fn read_disk(&self) -> Option<PersistedState> {
         self.disk.as_ref().and_then(Disk::read)
     }
--- a/crates/replication/src/snapshot.rs
+++ b/crates/replication/src/snapshot.rs
@@ -1,13 +1,13 @@
-//! The complete content of one revision.
+//! Snapshots of the configuration: its complete content at one revision.
 
 use crate::revision::Revision;
 use crate::state::State;
 use serde::{Deserialize, Serialize};
 
-/// The content of the configuration at one revision.
+/// The complete content of the configuration at one revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Position in the log, and hash of the content.
+    /// The revision of the snapshot: the position in the log, and the hash of the content.
     pub revision: Revision,
     /// The content.
     pub state: State,
--- a/crates/replication/src/snapshot_transfer.rs
+++ b/crates/replication/src/snapshot_transfer.rs
@@ -1,6 +1,6 @@
-//! Transfer of a checkpoint to a member that needs entries that the other members no longer hold. The
-//! checkpoint is fetched in chunks ordered by key; each chunk may come from any member that holds the
-//! checkpoint.
+//! Transfer of a checkpoint to a member that lacks entries which the other members no longer hold. The member
+//! requests the checkpoint in chunks, in the order of the keys. Any member that holds the checkpoint can
+//! answer a request.
 
 use crate::change::{KEY_BYTES_MAX, VALUE_BYTES_MAX};
 use crate::revision::Revision;
@@ -8,48 +8,51 @@
 use crate::state::{Chunk, KEYS_MAX, Pair, State, Text};
 use crate::time::{Nanos, SECOND_NS};
 
-/// Time after which an unanswered request for a chunk is repeated to another member.
+/// Time after which a request for a chunk that was not answered is repeated. The repetition may be sent to
+/// another member.
 const CHUNK_TIMEOUT_NS: Nanos = SECOND_NS;
-/// Maximum number of consecutive unanswered requests. After more unanswered requests, the transfer is
-/// abandoned; the next offer of a checkpoint starts a new transfer.
+/// Maximum number of requests in a row that may remain unanswered. After more, the transfer is abandoned. The
+/// next offer of a checkpoint then starts a new transfer.
 const ATTEMPTS_MAX: u32 = 16;
 
-/// A request for a chunk that has not been answered yet.
+/// A request for a chunk of the checkpoint that has not been answered yet.
 #[derive(Debug)]
 struct PendingRequest {
-    /// The member that the request was sent to.
+    /// Name of the member to which the request was sent.
     source: String,
     sent_at: Nanos,
 }
 
-/// A checkpoint transfer in progress.
+/// A transfer of a checkpoint to this member that is not complete yet.
 #[derive(Debug)]
 pub struct SnapshotTransfer {
     /// Revision of the checkpoint.
     target: Revision,
-    /// The member to send the next request to: the member that sent the last chunk or, before the first
-    /// chunk, offered the checkpoint. `None` after that member has left a request unanswered.
+    /// The member to which the next request is sent. This is the member that sent the last chunk or, before
+    /// the first chunk, the member that offered the checkpoint. `None` after this member has left a request
+    /// unanswered.
     source: Option<String>,
-    /// Number of requests since the last chunk was received.
+    /// Number of requests sent since the last chunk was received.
     attempts: u32,
-    /// The key-value pairs received so far.
+    /// The key-value pairs of the checkpoint that have been received so far.
     state: State,
     /// The last key received.
     after: Option<Text>,
     pending: Option<PendingRequest>,
 }
 
-/// Result of adding a chunk to a transfer.
+/// Result of adding a received chunk to a transfer.
 #[derive(Debug, PartialEq)]
 pub enum ChunkOutcome {
-    /// The chunk is not the requested one; the transfer is unchanged.
+    /// The chunk is not the one that was requested, so the transfer was not changed.
     Ignored,
-    /// The chunk was added, and more chunks follow.
+    /// The chunk was added. Further chunks are to be requested.
     Continue,
-    /// The checkpoint is complete and matches its hash.
+    /// The last chunk was added, and the complete content matches the checkpoint's hash.
     Complete(Snapshot),
-    /// The transfer cannot continue: a pair is out of order or out of bounds, the chunk is empty although
-    /// more follow, or the complete content does not match its hash.
+    /// The transfer cannot continue, because the received data is invalid. A pair is out of order or exceeds
+    /// a limit, or the chunk is empty although more chunks follow, or the complete content does not match the
+    /// checkpoint's hash.
     Invalid,
 }
 
@@ -71,33 +74,35 @@
         self.target
     }
 
-    /// Number of key-value pairs received so far.
+    /// Returns the number of key-value pairs received so far.
     pub fn pairs(&self) -> usize {
         self.state.len()
     }
 
-    /// Whether the next request for a chunk is due.
+    /// Returns whether the next request for a chunk is due at the time `now`.
     pub fn is_due(&self, now: Nanos) -> bool {
         now >= self.next_due()
     }
 
-    /// When the next request for a chunk is due, in nanoseconds; 0 means now.
+    /// Returns the time at which the next request for a chunk is due, in nanoseconds; 0 means now.
     pub fn next_due(&self) -> Nanos {
         self.pending.as_ref().map_or(0, |pending| pending.sent_at + CHUNK_TIMEOUT_NS)
     }
 
-    /// The member to request the next chunk from; `None` if the caller may choose any member.
+    /// Returns the member to which the next request is to be sent; `None` if the caller may choose any
+    /// member.
     pub fn source(&self) -> Option<&String> {
         self.source.as_ref()
     }
 
-    /// Whether the transfer is abandoned: so many requests were unanswered that probably no member holds the
-    /// checkpoint any more.
+    /// Returns whether the transfer is abandoned, because too many requests in a row were not answered.
+    /// Probably no member holds the checkpoint any more.
     pub fn is_abandoned(&self) -> bool {
         self.attempts > ATTEMPTS_MAX
     }
 
-    /// Records that a request is sent to `source`. Returns the key after which the requested chunk begins.
+    /// Records that a request for the next chunk is sent to the member `source`. Returns the key to put into
+    /// the request: the requested chunk begins after this key.
     pub fn request_chunk(&mut self, source: &str, now: Nanos) -> Option<Text> {
         if self.pending.is_some() {
             self.source = None;
@@ -107,7 +112,8 @@
         self.after.clone()
     }
 
-    /// Adds a chunk that begins after the key `after`. `checkpoint` is the number of the chunk's checkpoint.
+    /// Adds a received chunk to the transfer. `checkpoint` is the number of the checkpoint that the chunk
+    /// belongs to. The chunk begins after the key `after`.
     pub fn on_chunk(&mut self, checkpoint: u64, after: &Option<Text>, chunk: &Chunk) -> ChunkOutcome {
         if checkpoint != self.target.number() || *after != self.after {
             return ChunkOutcome::Ignored;
@@ -119,8 +125,8 @@
             self.state.set(&pair.key, &pair.value);
             self.after = Some(pair.key.clone());
         }
-        // Send the next request to the member that answered this one: it holds the checkpoint, while most
-        // other members do not.
+        // Send the next request to the member that answered the last one. This member holds the checkpoint,
+        // and most other members do not.
         self.source = self.pending.take().map(|pending| pending.source);
         self.attempts = 0;
         if chunk.is_last {
@@ -129,9 +135,9 @@
         if chunk.pairs.is_empty() { ChunkOutcome::Invalid } else { ChunkOutcome::Continue }
     }
 
-    /// Whether the key of a pair follows the last received key, and the pair is within bounds. The bounds are
-    /// those of [`crate::change::Change::check`], except that an empty key is accepted here: no committed
-    /// content has one, so a checkpoint with an empty key fails the comparison of its hash.
+    /// Returns whether a pair may be added: its key follows the last received key, and no limit on keys and
+    /// values is exceeded. Unlike [`crate::change::Change::check`], this accepts an empty key. No committed
+    /// configuration has an empty key, so the hash of the complete content would not match.
     fn may_add(&self, Pair { key, value }: &Pair) -> bool {
         self.after.as_ref().is_none_or(|before| before < key)
             && key.len() <= KEY_BYTES_MAX
@@ -139,7 +145,8 @@
             && self.state.len() < KEYS_MAX
     }
 
-    /// Completes the transfer if the received content matches the checkpoint's hash.
+    /// Completes the transfer, if the received content matches the checkpoint's hash. Otherwise, the transfer
+    /// is invalid.
     fn complete(&mut self) -> ChunkOutcome {
         if self.state.hash() != self.target.hash {
             return ChunkOutcome::Invalid;
--- a/crates/replication/src/state.rs
+++ b/crates/replication/src/state.rs
@@ -1,5 +1,6 @@
-//! The content of the configuration: a map of keys to values. The map is a persistent data structure, so that
-//! a copy for a checkpoint or for a check on another thread shares memory with the original.
+//! The content of the configuration: a map of keys to values. The map is a persistent data structure. A copy
+//! of the map, such as a checkpoint or a copy for a check on another thread, therefore shares memory with the
+//! original.
 
 use crate::change::Change;
 use crate::content_hash::ContentHash;
@@ -8,15 +9,15 @@
 use std::ops::Bound;
 use std::sync::Arc;
 
-/// A key or a value, shared between copies of the content.
+/// The text of a key or of a value. Copies of the content share the memory of the text.
 pub type Text = Arc<str>;
 
 /// Maximum number of keys in one configuration.
 pub const KEYS_MAX: usize = 100_000;
-/// Maximum encoded size of the length prefix of a key or value, in bytes.
+/// Maximum size of the length prefix that is encoded before a key or a value, in bytes.
 const LENGTH_BYTES: usize = 2;
 
-/// A key with its value. The encoding is the same as that of a tuple `(key, value)`.
+/// A key with its value. Encoded in the same way as a tuple `(key, value)`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pair {
     /// The key.
@@ -25,20 +26,20 @@
     pub value: Text,
 }
 
-/// A part of a [`State`]: consecutive pairs of a key and its value.
+/// A part of a [`State`]: some of its key-value pairs, consecutive in the order of the keys.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Chunk {
     /// The pairs, ordered by key.
     pub pairs: Vec<Pair>,
-    /// Whether no pairs of the state follow this chunk.
+    /// Whether this is the last chunk of the state, so that no pairs follow it.
     pub is_last: bool,
 }
 
-/// All keys and values of one revision.
+/// All keys and values of the configuration at one revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct State {
     pairs: OrdMap<Text, Text>,
-    /// Hash of `pairs`, updated with every change.
+    /// Hash of `pairs`. Updated with every change of a key.
     hash: ContentHash,
 }
 
@@ -58,12 +59,12 @@
         self.pairs.is_empty()
     }
 
-    /// The value of a key, if the key exists.
+    /// Returns the value of a key; `None` if the key does not exist.
     pub fn get(&self, key: &str) -> Option<&str> {
         self.pairs.get(key).map(|value| &**value)
     }
 
-    /// All keys with their values, ordered by key.
+    /// Returns all keys with their values, in ascending order of the keys.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
         self.pairs.iter().map(|(key, value)| (&**key, &**value))
     }
@@ -94,19 +95,20 @@
         }
     }
 
-    /// Returns the changes that reset all keys of `changes` to their values in this state; keys without a
-    /// value here are removed.
+    /// Returns the changes that give all keys in `changes` the values that they have in this state. A key
+    /// that does not exist in this state is removed by its change.
     pub fn inverse(&self, changes: &[Change]) -> Vec<Change> {
         changes.iter().map(|change| self.restore_change(&change.key)).collect()
     }
 
-    /// Returns the change that resets a key to its value in this state, or removes it if it has none.
+    /// Returns the change that gives a key the value that it has in this state. If the key does not exist in
+    /// this state, the change removes it.
     pub fn restore_change(&self, key: &str) -> Change {
         Change { key: key.to_string(), value: self.get(key).map(str::to_string) }
     }
 
-    /// Returns the pairs that follow the key `after`, or the first pairs if it is `None`, as many as fit into
-    /// `bytes_max` encoded bytes.
+    /// Returns the pairs whose keys follow the key `after`, as many as fit into `bytes_max` encoded bytes. If
+    /// `after` is `None`, starts with the first pair.
     pub fn chunk(&self, after: Option<&Text>, bytes_max: usize) -> Chunk {
         let start = after.map_or(Bound::Unbounded, |key| Bound::Excluded(key.clone()));
         let mut rest = self.pairs.range((start, Bound::Unbounded)).peekable();
@@ -124,7 +126,7 @@
     }
 }
 
-/// Serialized form of a [`State`] on disk. In datagrams a state is sent in chunks instead.
+/// The form in which a [`State`] is serialized to disk. In messages, a state is sent in chunks instead.
 #[derive(Serialize, Deserialize)]
 struct Pairs(Vec<Pair>);
 
--- a/crates/replication/src/time.rs
+++ b/crates/replication/src/time.rs
@@ -1,6 +1,7 @@
 //! Units of time.
 
-/// Nanoseconds since the Unix epoch on a monotonic clock; also a duration in nanoseconds.
+/// A time in nanoseconds since the Unix epoch, read from a clock that never goes back, or a duration in
+/// nanoseconds.
 pub type Nanos = u64;
 
 /// One millisecond in nanoseconds.
