--- a/crates/replication/tests/errors.rs
+++ b/crates/replication/tests/errors.rs
@@ -1,5 +1,5 @@
-//! Invalid settings and changes are rejected with the same error texts as in release 0.2.0. Each text about a
-//! setting, key or value states the allowed range.
+//! Tests of the error texts for invalid settings and changes. The texts must be the same as in release 0.2.0.
+//! Each text about a setting, key or value states the allowed range.
 
 use meadowstream_replication::change::{Change, ChangeError, KEY_BYTES_MAX, VALUE_BYTES_MAX};
 use meadowstream_replication::member::{Member, Settings, SettingsError};
--- a/crates/replication/tests/fixed_bytes.rs
+++ b/crates/replication/tests/fixed_bytes.rs
@@ -1,6 +1,6 @@
-//! Compatibility with release 0.2.0 (commit 22d0bb6): messages and stored files are encoded to the same
-//! bytes, and the recorded bytes are decoded to the same values. A server's last applied revision and a
-//! replica's state use the same file format.
+//! Compatibility with release 0.2.0 (commit 22d0bb6). Messages and stored files must be encoded to the bytes
+//! recorded from that release, and the recorded bytes must be decoded to the same values. Servers, which
+//! store their last applied revision, and replicas, which store their state, use the same file format.
 
 use meadowstream_replication::change::Change;
 use meadowstream_replication::entry::Entry;
@@ -16,7 +16,8 @@
 
 const AT: Position = Position { epoch: 3, number: 300 };
 
-/// A state with one key set once, one set twice, and one removed.
+/// Creates a configuration from several changes: one key is set once, one is set twice, and one is set and
+/// then removed.
 fn state() -> State {
     let mut state = State::default();
     state.apply(&[
--- a/crates/replication/tests/fleet.rs
+++ b/crates/replication/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! A simulated fleet under faults, in simulated time. At every step the simulation checks that no revision
-//! number has two different contents and that no server goes back to an older revision.
+//! Tests of a simulated fleet under faults, in simulated time. At every step, the simulation checks two
+//! invariants: no revision number has two different contents, and no server goes back to an older revision.
 
 use meadowstream_replication::change::Change;
 use meadowstream_replication::entry::Entry;
@@ -15,8 +15,8 @@
 const REPLICAS: usize = 3;
 const SIZE: usize = 30;
 
-/// Three regions of two zones each, to which nodes are assigned round-robin. Each replica is in a region of
-/// its own.
+/// Assigns the nodes round-robin to three regions with two zones each. Each of the three replicas is in a
+/// different region.
 fn location(node: usize) -> Location {
     Location { region: format!("r{}", node % 3), zone: format!("z{}", node % 6) }
 }
@@ -40,7 +40,7 @@
     }
 }
 
-/// A fleet that has elected a leader and has exchanged the locations of its members.
+/// Starts a fleet, and runs it until it has a leader and the members know each other's locations.
 fn settled_fleet(layout: Layout, seed: u64) -> Fleet {
     let mut fleet = Fleet::started(layout, seed);
     fleet.run_for(15 * S);
@@ -57,13 +57,13 @@
     vec![Change::set(&format!("tenant/t{}", n % 50), &n.to_string())]
 }
 
-/// A change that sets `count` keys.
+/// Returns a change that sets `count` keys, the first of which has the number `from`.
 fn large_change(from: usize, count: usize) -> Vec<Change> {
     (from..from + count).map(|n| Change::set(&format!("tenant/tenant-{n:05}"), "2")).collect()
 }
 
-/// Runs the fleet until all `nodes` have applied revision `number`, for at most `limit` seconds; panics after
-/// that. Returns the elapsed seconds.
+/// Runs the fleet until all running nodes in `nodes` have applied revision `number`, and returns the elapsed
+/// seconds. Panics if this takes more than `limit` seconds.
 fn run_until_applied(fleet: &mut Fleet, nodes: &[usize], number: u64, limit: u64) -> f64 {
     let took = fleet.run_until(limit * S, |fleet| fleet.all_applied(nodes, number));
     let is_lagging = |node: &&usize| fleet.member(**node).is_some_and(|member| member.applied() < number);
@@ -91,8 +91,8 @@
         .expect("all members report to the leader that they have applied the change");
 }
 
-/// Pushes deliver a change to nearly all members at once. Pulls, which are rare in this layout, deliver it to
-/// the others.
+/// Pushes of entries deliver a change to nearly all members at once. Pulls (requests for missing entries)
+/// deliver it to the other members. Pulls are rare in this test.
 #[test]
 fn pushes_carry_a_change_and_pulls_repair_what_they_miss() {
     let mut fleet = settled_fleet(Layout { pull_period: 2 * S, ..layout() }, 15);
@@ -105,7 +105,8 @@
     assert!(took <= 8.0, "the change was applied everywhere only after {took} s");
 }
 
-/// A member that receives many digests at once sends no more bytes in answer than its byte budget allows.
+/// A member receives many digests at once, each of which requests entries. It sends no more bytes in answer
+/// than its byte budget allows.
 #[test]
 fn digests_beyond_the_budget_of_bytes_are_not_answered() {
     let mut fleet = settled_fleet(layout(), 16);
@@ -130,8 +131,8 @@
     assert!(after.over_budget - before.over_budget > 100);
 }
 
-/// Messages are lost, duplicated, delayed and reordered. Every change is still applied, and all members end
-/// with the same content.
+/// Although messages are lost, duplicated, delayed and reordered, every change is applied, and all members
+/// have the same content at the end.
 #[test]
 fn a_bad_network_only_delays_changes() {
     let slow = |from: usize, to: usize| Delay { jitter: 300 * MS, ..delay(from, to) };
@@ -158,7 +159,7 @@
     }
 }
 
-/// A large change is sent as several entries. No member applies only some of these entries.
+/// A large change consists of several log entries. No member may apply only some of them.
 #[test]
 fn a_change_of_many_entries_is_applied_as_a_whole() {
     let mut fleet = settled_fleet(layout(), 4);
@@ -171,7 +172,7 @@
     assert_eq!(state(&fleet, SIZE - 1).len(), 1000);
 }
 
-/// The leader crashes while its change is replicated to only one of the other replicas. The next leader must
+/// The leader crashes after its change was sent to only one of the other replicas. The next leader must
 /// either complete the change or undo it.
 #[test]
 fn a_leader_that_crashes_during_replication_leaves_no_partial_change() {
@@ -181,8 +182,7 @@
         run_until_applied(&mut fleet, &all(), first, 10);
         let old = fleet.leader().unwrap();
         fleet.propose(large_change(0, 200)).unwrap();
-        // Only one of the two other replicas receives the change, because the network to the other one is
-        // partitioned.
+        // A partition separates one replica, so only one of the two other replicas receives the change.
         fleet.set_group((old + 1) % REPLICAS, 1);
         fleet.cut(0, 1);
         fleet.run_for(at * 15 * MS);
@@ -195,14 +195,14 @@
         run_until_applied(&mut fleet, &rest, number, 10);
         let keys = state(&fleet, SIZE - 1).len();
         assert!(keys == 2 || keys == 202, "{keys} keys after a crash in step {at}");
-        // The crashed leader restarts with the state on its disk and catches up.
+        // The crashed leader restarts with the state on its disk, and catches up with the other members.
         fleet.start(old);
         run_until_applied(&mut fleet, &all(), number, 20);
     }
 }
 
-/// Two replicas hold the lease at the same time. Only one of the two commits changes; the uncommitted changes
-/// of the other replica are dropped.
+/// Two replicas hold the leadership lease at the same time. Only one of the two commits changes. The
+/// uncommitted changes of the other replica are dropped.
 #[test]
 fn only_one_of_two_simultaneous_lease_holders_commits() {
     let mut fleet = Fleet::new(layout(), 6);
@@ -224,9 +224,9 @@
     assert!(all().iter().all(|node| state(&fleet, *node) == state(&fleet, 0)));
 }
 
-/// A partitioned region keeps its last revision, even across restarts of its servers, while the other regions
-/// continue. After the partition heals, the region catches up within its byte budget. The side without a
-/// majority commits nothing.
+/// One region is separated from the others by a partition. It keeps its last revision, even if its servers
+/// restart, and commits nothing, because it has no majority of the replicas. The other regions continue to
+/// change the configuration. After the partition, the separated region catches up within its byte budget.
 #[test]
 fn a_partitioned_region_keeps_its_last_revision_and_catches_up() {
     let mut fleet = settled_fleet(layout(), 7);
@@ -262,7 +262,7 @@
     assert!(sent as f64 <= 12_000.0 * (took + 1.0), "a member sent {sent} bytes in {took} s");
 }
 
-/// All replicas are stopped. Restarted servers apply the revision on their disks at once.
+/// While all replicas are stopped, servers restart. They apply the revision on their disks at once.
 #[test]
 fn with_all_control_machines_stopped_servers_restart_from_their_disk() {
     let mut fleet = settled_fleet(layout(), 8);
@@ -277,8 +277,8 @@
     fleet.run_for(S);
     let servers: Vec<usize> = (REPLICAS..SIZE).collect();
     assert!(fleet.all_applied(&servers, number));
-    // The restarted servers hold the revision as a snapshot without log entries. A server with an empty disk
-    // fetches this snapshot from them.
+    // The restarted servers hold the revision only as a snapshot, without log entries. A server with an empty
+    // disk can fetch this snapshot from them.
     fleet.crash(9);
     fleet.truncate_disk(9, 0.0);
     fleet.start(9);
@@ -290,7 +290,7 @@
     run_until_applied(&mut fleet, &all(), number, 10);
 }
 
-/// A truncated file is rejected, and the node fetches the content from other members.
+/// A node whose state file is truncated rejects the file, and fetches the configuration from other members.
 #[test]
 fn a_truncated_file_is_not_used() {
     let mut fleet = settled_fleet(layout(), 9);
@@ -305,8 +305,8 @@
     run_until_applied(&mut fleet, &all(), number, 20);
 }
 
-/// A server whose disk is full rejects a revision and reports the reason. It catches up once writes succeed
-/// again.
+/// A server whose disk is full rejects a new revision and reports the reason to the leader. After writes
+/// succeed again, it applies a later revision.
 #[test]
 fn a_server_with_a_full_disk_keeps_its_last_revision_and_reports_the_reason() {
     let mut fleet = settled_fleet(layout(), 10);
@@ -331,8 +331,8 @@
     run_until_applied(&mut fleet, &all(), third, 10);
 }
 
-/// A leader whose disk is full must not count itself among the replicas that have stored an entry. It commits
-/// nothing and is replaced by another leader.
+/// A leader whose disk is full has not stored its own entry. It must therefore not count itself towards the
+/// majority that has stored the entry. It commits nothing, and another leader replaces it.
 #[test]
 fn a_leader_with_a_full_disk_commits_nothing_and_is_replaced() {
     let mut fleet = settled_fleet(layout(), 11);
@@ -343,7 +343,8 @@
     assert!(fleet.propose(small_change(2)).is_some());
     fleet.run_for(3 * S);
     assert_eq!(fleet.member(SIZE - 1).unwrap().applied(), first);
-    // The restart changes the membership view, which moves the lease to another replica.
+    // The restart of a node updates the membership view. With this update, the lease moves to another
+    // replica.
     fleet.crash(SIZE - 1);
     fleet.start(SIZE - 1);
     fleet.run_for(8 * S);
@@ -353,9 +354,9 @@
     run_until_applied(&mut fleet, &rest, number, 10);
 }
 
-/// Servers that reject a revision, such as older servers that do not know a configuration element, keep their
-/// last revision, while the other servers apply the new revision. A later revision that all servers accept is
-/// applied by all.
+/// Some servers reject a revision, as older servers do that do not know an element of the configuration. They
+/// keep their last revision, while the other servers apply the new one. A later revision that no server
+/// rejects is applied by all servers.
 #[test]
 fn servers_that_reject_a_revision_keep_their_last_one() {
     let mut fleet = settled_fleet(layout(), 12);
@@ -378,7 +379,7 @@
     run_until_applied(&mut fleet, &all(), third, 10);
 }
 
-/// Replayed, forged, oversized and malformed message bodies are counted and otherwise ignored.
+/// Messages that are replayed, forged, oversized or malformed are counted and otherwise ignored.
 #[test]
 fn replayed_forged_and_oversized_messages_change_nothing() {
     let mut fleet = settled_fleet(layout(), 13);
@@ -392,18 +393,18 @@
         let message = Message::Entries { entries, leader: Some(member_name(0)), pushed: true, newest: 0 };
         fleet.inject(20, 3, message.encode());
     };
-    // These entries are replayed: the member has them already.
+    // Replayed entries: the member already has these entries.
     send(&mut fleet, known);
     let at = |number: u64, epoch: u64| Position { epoch, number };
     let hash = before.hash();
     let entry = |at, changes| Entry { revision: Revision { position: at, hash }, changes, partial: false };
-    // This entry has the next number, but its hash does not match the resulting content.
+    // An entry with the next number, whose hash does not match the resulting configuration.
     send(&mut fleet, vec![entry(at(second + 1, 1 << 40), small_change(9))]);
-    // The number of this entry leaves a gap after the end of the log.
+    // An entry whose number does not directly follow the end of the log.
     send(&mut fleet, vec![entry(at(second + 9, 1 << 40), Vec::new())]);
-    // The epoch of this entry is lower than that of the last entry in the log.
+    // An entry whose epoch is lower than the epoch of the last entry in the log.
     send(&mut fleet, vec![entry(at(second + 1, 0), Vec::new())]);
-    // This entry removes a key that is longer than the maximum.
+    // An entry that removes a key which is longer than allowed.
     let long = Change { key: "k".repeat(200), value: None };
     send(&mut fleet, vec![entry(at(second + 1, 1 << 40), vec![long])]);
     fleet.inject(20, 3, vec![7; 5000]);
@@ -416,8 +417,8 @@
     run_until_applied(&mut fleet, &all(), third, 10);
 }
 
-/// A server that lags far behind fetches a checkpoint. When the source of the transfer crashes, the transfer
-/// continues from other members without starting again.
+/// A server that lags far behind fetches a checkpoint from another member. When this member crashes, the
+/// transfer continues from other members and does not start again.
 #[test]
 fn a_transfer_continues_from_others_when_its_source_crashes() {
     let mut fleet = settled_fleet(layout(), 14);
@@ -440,8 +441,8 @@
     };
     fleet.run_until(60 * S, is_in_progress).expect("the server fetches a checkpoint");
     let pairs_before = fleet.member(late).and_then(Member::transferred_pairs).unwrap();
-    // Crash the other servers in the zone of the server that fetches the checkpoint, and half of the servers
-    // in the other zones.
+    // Crash all other servers in the zone of the server that fetches the checkpoint. In the other zones,
+    // crash half of the servers.
     for node in (REPLICAS..late).filter(|node| node % 6 == late % 6 || node % 2 == 0) {
         fleet.crash(node);
     }
@@ -458,8 +459,8 @@
     println!("{} keys after {took} s", state(&fleet, late).len());
 }
 
-/// Runs a fleet with random faults, changes and lease transfers, then ends all faults. Afterwards all members
-/// must hold the same content.
+/// Runs a fleet with random faults, random changes and random transfers of the lease. Then ends all faults,
+/// and checks that all members reach the same content.
 fn run_with_random_faults(seed: u64, steps: &[(u8, u8)]) {
     let mut fleet = Fleet::new(Layout { loss: 0.05, duplicate: 0.05, ..layout() }, seed);
     fleet.manual_lease = true;
@@ -499,8 +500,8 @@
     fleet.run_for(6 * S);
     fleet.set_holds_lease(0, true);
     fleet.run_until(60 * S, |fleet| fleet.leader() == Some(0)).expect("node 0 becomes the leader");
-    // At first, uncommitted entries of the previous leader may fill the log of the new leader, which then
-    // rejects changes as busy.
+    // The new leader's log may at first be full of uncommitted entries of the previous leader. The new leader
+    // then rejects changes as busy, so the test repeats the proposal.
     let proposed = (0..100).find_map(|_| {
         let number = fleet.propose(small_change(1));
         fleet.run_for(200 * MS);
@@ -511,9 +512,9 @@
     assert!(all().iter().all(|node| state(&fleet, *node) == state(&fleet, 0)));
 }
 
-/// Three replicas without servers are restarted from their disks at random times, and several may hold the
-/// lease at once. An entry that a replica has acknowledged and an epoch that it has promised must survive its
-/// restart; otherwise two different contents could be committed under one number.
+/// Three replicas restart from their disks at random times, and several may hold the lease at once. After a
+/// restart, a replica must still have all entries that it has acknowledged and the epoch that it has
+/// promised. Otherwise, two different contents could be committed under one number.
 #[test]
 fn three_replicas_restarted_at_any_moment_never_commit_two_contents() {
     let (mut committed, mut leaders) = (0, 0);
@@ -545,7 +546,7 @@
     assert!(committed > 3000 && leaders > 10_000, "{committed} numbers, {leaders} steps with a leader");
 }
 
-/// Pseudo-random number generator with the given state.
+/// Pseudo-random number generator (linear congruential) with its current state.
 struct Lcg(u64);
 
 impl Lcg {
@@ -556,8 +557,8 @@
     }
 }
 
-/// Long variant of `after_random_faults_all_hold_the_same_content`. To run it:
-/// `cargo test --release -p meadowstream-replication -- --ignored`.
+/// Runs the same check as `after_random_faults_all_hold_the_same_content` for more cases. To run it: `cargo
+/// test --release -p meadowstream-replication -- --ignored`.
 #[test]
 #[ignore = "takes several minutes"]
 fn random_faults_two_thousand_times() {
--- a/crates/replication/tests/operator.rs
+++ b/crates/replication/tests/operator.rs
@@ -1,5 +1,5 @@
-//! Operators' requests to a fleet with a single replica, and the answers to these requests. The texts of the
-//! answers are the same as in release 0.2.0.
+//! Tests of operators' requests to a fleet with a single replica, and of the leader's answers. The texts in
+//! the answers must be the same as in release 0.2.0.
 
 use meadowstream_replication::change::Change;
 use meadowstream_replication::member::{Member, Settings};
@@ -10,7 +10,8 @@
 const NOW: u64 = 1_700_000_000_000_000_000;
 const OPERATOR: &str = "publish-1";
 
-/// Persists the member's state. Returns the messages that the member has queued for the operator.
+/// Writes the member's state to disk, as its host does. Returns the messages that the member then sends to
+/// the operator.
 fn answers(member: &mut Member) -> Vec<Message> {
     while let Some(state) = member.unsaved_state() {
         member.on_persisted(&state, NOW);
@@ -22,7 +23,7 @@
         .collect()
 }
 
-/// The leader of a fleet that consists of one replica, one server, and an operator's command.
+/// Creates the leader of a fleet with three members: this one replica, a server, and an operator's command.
 fn leader() -> Member {
     let settings = Settings::new(Location::default(), vec!["c0".to_string()]);
     let mut member = Member::new("c0", settings, 1, NOW, None).unwrap();
@@ -38,7 +39,7 @@
     RequestId { from: OPERATOR.to_string(), number }
 }
 
-/// Delivers a message from the operator and returns the answers.
+/// Delivers a message from the operator to the member. Returns the member's answers.
 fn send_request(member: &mut Member, message: &Message) -> Vec<Message> {
     member.receive(NOW, OPERATOR, &message.encode());
     answers(member)
@@ -59,7 +60,8 @@
     vec![Message::Submitted { request: request(number), outcome }]
 }
 
-/// The operator's first change has number 2, since the leader appends entry 1 when it is elected.
+/// The first entry in the log is appended by the leader when it is elected. The operator's first change
+/// therefore has number 2.
 #[test]
 fn a_change_is_answered_once_it_is_committed_and_a_repetition_commits_nothing() {
     let mut member = leader();
@@ -106,8 +108,8 @@
     assert_eq!(member.revision().number(), 3);
 }
 
-/// The status counts the server, which has reported, but not the operator's command, which applies no
-/// revisions.
+/// The status counts the server `s1`, which has sent a report. It does not count the operator's command,
+/// which is a member but applies no revisions.
 #[test]
 fn a_status_lists_the_lagging_members_with_the_start_of_their_reason() {
     let mut member = leader();
--- a/crates/replication/tests/persistence.rs
+++ b/crates/replication/tests/persistence.rs
@@ -1,4 +1,5 @@
-//! Encoding of state files: valid files are decoded, and invalid ones are rejected with the matching error.
+//! Tests of the encoding of state files. Valid files are decoded, and invalid files are rejected with the
+//! error that matches the fault.
 
 use meadowstream_replication::persistence::PersistedState;
 use meadowstream_replication::persistence::{DecodeError, decode, encode};
--- a/crates/replication/tests/replica.rs
+++ b/crates/replication/tests/replica.rs
@@ -1,5 +1,5 @@
-//! Tests of a single replica, message by message: which messages it sends only after its state is on disk,
-//! and which entries it treats as committed.
+//! Tests of a single replica, message by message. They check which messages the replica holds back until its
+//! state is on disk, and which entries it treats as committed.
 
 use meadowstream_replication::change::Change;
 use meadowstream_replication::entry::Entry;
@@ -16,8 +16,8 @@
     Member::new("s0", Settings::new(Location::default(), replicas), 1, NOW, disk).unwrap()
 }
 
-/// Removes all messages that the member has queued, and returns them without digests and reports, so that
-/// only messages between replicas remain.
+/// Removes all messages that the member has queued. Returns only those between replicas; digests and reports
+/// are dropped.
 fn replica_messages(member: &mut Member) -> Vec<Message> {
     let all = member.take_outgoing().into_iter().filter_map(|outgoing| Message::decode(&outgoing.body));
     all.filter(|message| !matches!(message, Message::Digest { .. } | Message::Report { .. })).collect()
@@ -44,8 +44,9 @@
     }
 }
 
-/// A replica that forgot its promise in a restart would store entries of an earlier leader, of which the
-/// later leader would not know.
+/// A replica must remember its promise after a restart. Otherwise, it could store entries of an earlier
+/// leader after it has promised a later epoch, and the leader of the later epoch would not know of these
+/// entries.
 #[test]
 fn a_promise_is_on_disk_before_it_is_sent() {
     let mut member = replica(None);
@@ -75,7 +76,8 @@
     assert!(matches!(replica_messages(&mut member)[..], [Message::Appended { epoch: 4, number: 1 }]));
 }
 
-/// Starts a replica with the state `disk` and elects it leader. Returns the replica and its epoch.
+/// Creates a replica that starts with the state `disk`, and has it elected as the leader. Returns the replica
+/// and its epoch.
 fn leader(disk: Option<PersistedState>) -> (Member, u64) {
     let mut member = replica(disk);
     member.set_holds_lease(true);
@@ -89,8 +91,8 @@
     (member, epoch)
 }
 
-/// Of three replicas, the leader and one other form a majority. The leader counts towards the majority only
-/// once its own entry is on disk.
+/// The leader and one other replica form a majority of three replicas. The leader counts as a replica that
+/// has stored its own entry only once the entry is on its disk.
 #[test]
 fn a_leader_s_own_entry_counts_once_it_is_on_disk() {
     let (mut member, epoch) = leader(None);
@@ -100,8 +102,8 @@
     assert_eq!(member.revision().position, Position { epoch, number: 1 });
 }
 
-/// If an entry of an earlier epoch were committed as soon as a majority stores it, a leader with a different
-/// entry from an epoch in between could still replace it.
+/// An entry of an earlier epoch must not be committed just because a majority has stored it. A leader with a
+/// different entry, from an epoch in between, could still replace it.
 #[test]
 fn an_entry_of_an_earlier_epoch_is_committed_only_by_an_entry_of_the_leader_s_own_epoch() {
     let disk = PersistedState { promised: 1, entries: vec![entry(1, 1)], ..PersistedState::default() };
--- a/crates/simulator-adapter/src/codec.rs
+++ b/crates/simulator-adapter/src/codec.rs
@@ -1,5 +1,5 @@
-//! Codec of the simulator's protocol: the input is batches of event records, the output frames of action
-//! records.
+//! Codec of the protocol between the simulator and this adapter. The input consists of batches of event
+//! records. The output consists of replies, which are frames of action records.
 //!
 //! All integers are little-endian, and all durations on the wire are in microseconds. Only this module
 //! contains the numeric codes and field offsets of the protocol.
--- a/crates/simulator-adapter/src/codec/batch.rs
+++ b/crates/simulator-adapter/src/codec/batch.rs
@@ -1,17 +1,17 @@
-//! Batches of event records, and access to the fields of a record.
+//! Batches of event records as read from the input, and functions that read the fields of a record.
 
 use super::{EventError, FrameError};
 use meadowstream_overload_control::Nanos;
 use std::io::Read;
 
-/// Length of a batch's header, in bytes.
+/// Length of the header of a batch of event records, in bytes.
 const HEADER_BYTES: usize = 16;
-/// Length of an event record, in bytes.
+/// Length of each event record in a batch, in bytes.
 pub const RECORD_BYTES: usize = 56;
-/// Maximum length of a batch, in bytes.
+/// Maximum length of a batch of event records, in bytes. Longer batches are rejected.
 const BATCH_BYTES_MAX: usize = 1 << 30;
 
-/// Offsets of the fields in the header of a batch.
+/// Offsets of the fields in the header of a batch, in bytes.
 mod header {
     pub const RECORDS: usize = 0;
     pub const BATCH_BYTES: usize = 4;
@@ -20,20 +20,21 @@
 
 const NS_PER_US: u64 = 1_000;
 
-/// A batch: a header, the records, and a tail with the texts that the records refer to. The buffer is reused
-/// for the next batch.
+/// A batch of event records. It consists of a header, the records, and a tail with the texts to which the
+/// records refer. The buffer is used again for the next batch.
 #[derive(Default)]
 pub struct Batch {
-    /// Bytes of the whole batch, with the header's bytes left at zero.
+    /// Content of the whole batch. The bytes of the header are zero, because the header is decoded
+    /// separately.
     frame: Vec<u8>,
-    /// Number of records in the batch.
+    /// Number of event records in the batch.
     pub count: usize,
-    /// Simulated time of all events in the batch.
+    /// Simulated time of all events in the batch, in nanoseconds.
     pub clock: Nanos,
 }
 
 impl Batch {
-    /// Reads the next batch. Returns false if the input ends before its first byte.
+    /// Reads the next batch from the input. Returns false if the input has no further batch.
     pub fn read(&mut self, input: &mut impl Read) -> Result<bool, FrameError> {
         let mut header = [0; HEADER_BYTES];
         let mut bytes = 0;
@@ -51,7 +52,7 @@
         Ok(true)
     }
 
-    /// Decodes and checks the header, and resizes the buffer to the length of the batch.
+    /// Decodes and checks the header of a batch. Sets the length of the buffer to that of the whole batch.
     fn decode_header(&mut self, header: &[u8; HEADER_BYTES]) -> Result<(), FrameError> {
         let header = Record { record: header, tail: &[] };
         let records = header.u32(header::RECORDS) as usize;
@@ -70,7 +71,7 @@
         Ok(())
     }
 
-    /// Returns the record with the given index, which must be less than the number of records.
+    /// Returns the event record with the given index. The index must be lower than the number of records.
     pub fn record(&self, index: usize) -> Record<'_> {
         let start = HEADER_BYTES + index * RECORD_BYTES;
         Record {
@@ -80,7 +81,8 @@
     }
 }
 
-/// A record, whose fields are read by offset, and the tail of its batch.
+/// An event record, together with the tail of its batch, which contains the texts. Fields are read by their
+/// offset.
 #[derive(Clone, Copy)]
 pub struct Record<'a> {
     record: &'a [u8],
@@ -88,12 +90,12 @@
 }
 
 impl<'a> Record<'a> {
-    /// The `N` bytes from an offset on.
+    /// Returns the `N` bytes of the record that start at `offset`.
     fn bytes<const N: usize>(&self, offset: usize) -> [u8; N] {
         self.record[offset..offset + N].try_into().expect("all offsets are constants within a record")
     }
 
-    /// Code of the event, one of [`super::code`].
+    /// Returns the code of the record, which is one of [`super::code`].
     pub fn code(&self) -> u8 {
         self.u8(0)
     }
@@ -118,18 +120,19 @@
         u64::from_le_bytes(self.bytes(offset))
     }
 
-    /// A finite single-precision number.
+    /// Returns the single-precision number at `offset`. Returns an error if it is infinite or not a number.
     pub fn number(&self, offset: usize) -> Result<f64, EventError> {
         let number = f32::from_le_bytes(self.bytes(offset));
         if number.is_finite() { Ok(f64::from(number)) } else { Err(EventError::NotFinite { offset, number }) }
     }
 
-    /// Duration, converted from microseconds to nanoseconds.
+    /// Returns the duration at `offset`, in nanoseconds. In the record, it is in microseconds.
     pub fn duration(&self, offset: usize) -> Nanos {
         u64::from(self.u32(offset)) * NS_PER_US
     }
 
-    /// Text in the tail of the batch; the field contains its offset in the tail and its length.
+    /// Returns a text from the tail of the batch. The record contains, at `offset`, the text's offset in the
+    /// tail and its length.
     pub fn text(&self, offset: usize) -> Result<&'a str, EventError> {
         let (start, len) = (self.u32(offset) as usize, self.u32(offset + 4) as usize);
         let end = start.checked_add(len).filter(|end| *end <= self.tail.len());
--- a/crates/simulator-adapter/src/codec/error.rs
+++ b/crates/simulator-adapter/src/codec/error.rs
@@ -1,4 +1,4 @@
-//! Errors on decoding batches and events.
+//! Errors that occur when batches of events are read and decoded.
 
 use thiserror::Error;
 
@@ -23,7 +23,7 @@
     TooShort { bytes: usize, records: usize },
 }
 
-/// Error on decoding an event record.
+/// Error that occurs when an event record is decoded.
 #[derive(Debug, Error)]
 pub enum EventError {
     #[error("unknown event code {code}")]
--- a/crates/simulator-adapter/src/codec/event.rs
+++ b/crates/simulator-adapter/src/codec/event.rs
@@ -14,16 +14,16 @@
     pub const CALLER_GONE: u8 = 70;
     pub const TIMER: u8 = 80;
     pub const ENDED: u8 = 90;
-    /// Selects the instance that the following records refer to.
+    /// Not an event: selects the instance (simulated server) that the following event records refer to.
     pub const INSTANCE: u8 = 100;
 }
 
-/// Offsets of the fields in a record. Offset 0 holds the code.
+/// Offsets of the fields in an event record, in bytes. Offset 0 contains the code of the record.
 mod offset {
     pub const INSTANCE: usize = 1;
     pub const SEED: usize = 1;
     pub const SETTINGS: usize = 9;
-    /// Identifier of the invocation, in each event that concerns an invocation.
+    /// Identifier of the invocation, in all records of events that concern an invocation.
     pub const ID: usize = 1;
     pub const OUTCOME: usize = 9;
     /// Duration of a downstream call.
@@ -34,7 +34,7 @@
     pub const GAUGES: usize = 6;
     pub const GAUGE_BYTES: usize = 4;
 
-    /// Offsets in the record of an arrival.
+    /// Offsets of the fields in the record of an arrival, in bytes.
     pub mod arrival {
         pub const AGE: usize = 9;
         pub const REPEATS: usize = 13;
@@ -47,7 +47,7 @@
     }
 }
 
-/// Codes of the outcomes of runs and calls. Some outcomes have several codes.
+/// Codes for the outcome of a run or of a downstream call. Several codes may stand for the same outcome.
 mod outcome_code {
     pub const SUCCEEDED: u16 = 0;
     pub const NEVER_RAN: [u16; 3] = [249, 252, 254];
@@ -56,17 +56,17 @@
     pub const FAILED: u16 = 255;
 }
 
-/// Bit of an arrival's flags: the record contains a cost hint, the caller's estimate of the core time that
-/// the invocation needs.
+/// Bit in the flags of an arrival: the record contains a cost hint. A cost hint is the caller's estimate of
+/// the core time that the invocation needs.
 const HAS_COST_HINT: u8 = 1;
-/// Bit of an arrival's flags: the caller marked the request as a retry.
+/// Bit in the flags of an arrival: the caller has marked the request as a retry.
 const IS_MARKED_RETRY: u8 = 2;
 
-/// Maximum number of gauge readings that the protocol allows in a timer event. An event with more is
-/// rejected, although a record has space for more.
+/// Maximum number of gauge readings in a timer event. A record has space for more, but the protocol does not
+/// allow them, so a record with more is rejected.
 const GAUGES_MAX: usize = 4;
 
-/// Gauge readings of a timer event, in the order of the gauges in the settings.
+/// Gauge readings in a timer event. Their order is that of the gauges in the settings.
 #[derive(Clone, Copy)]
 pub struct GaugeReadings<'a> {
     record: Record<'a>,
@@ -74,7 +74,8 @@
 }
 
 impl GaugeReadings<'_> {
-    /// Returns the reading of the gauge with the given index; `None` if the event has fewer gauges.
+    /// Returns the reading of the gauge with the given index. Returns `None` if the event has no reading for
+    /// this index.
     pub fn get(&self, index: usize) -> Result<Option<f64>, EventError> {
         if index >= self.count {
             return Ok(None);
@@ -91,13 +92,13 @@
     Arrived { arrival: Arrival },
     /// A run has finished.
     RunFinished { id: u64, outcome: Outcome },
-    /// A run has reached the point at which it needs its downstream call.
+    /// The run of an invocation has reached the point at which it needs its call to the downstream service.
     CallNeeded { id: u64 },
-    /// A downstream call has finished; `duration` is its duration in nanoseconds.
+    /// A call to the downstream service has finished. `duration` is the duration of the call, in nanoseconds.
     CallFinished { id: u64, outcome: Outcome, duration: Nanos },
-    /// The server has been notified that it will be stopped after `grace`, in nanoseconds.
+    /// The server was notified that it will be stopped. `grace` is the time until then, in nanoseconds.
     DrainNotice { grace: Nanos },
-    /// The caller no longer waits for the answer.
+    /// The caller of the invocation no longer waits for the answer.
     CallerGone { id: u64 },
     /// A timer has fired.
     Timer { timer: u32, gauges: GaugeReadings<'a> },
@@ -106,7 +107,8 @@
 }
 
 impl<'a> Event<'a> {
-    /// Decodes a record of any code except [`code::INSTANCE`].
+    /// Decodes the event in a record. The record must not have the code [`code::INSTANCE`], which is not an
+    /// event.
     pub fn decode(record: Record<'a>) -> Result<Self, EventError> {
         let id = record.u64(offset::ID);
         Ok(match record.code() {
@@ -129,7 +131,8 @@
         })
     }
 
-    /// Returns the number of the instance that a record of code [`code::INSTANCE`] selects.
+    /// Returns the number of the instance that a record selects. The record must have the code
+    /// [`code::INSTANCE`].
     pub fn instance(record: Record) -> u16 {
         record.u16(offset::INSTANCE)
     }
--- a/crates/simulator-adapter/src/codec/reply.rs
+++ b/crates/simulator-adapter/src/codec/reply.rs
@@ -1,10 +1,11 @@
-//! Reply to a batch: the actions decided by the instances, as records.
+//! The reply to a batch of events. It contains records of the actions that the instances' controllers have
+//! decided.
 
 use meadowstream_overload_control::{Host, Nanos};
 
-/// Length of a reply's header, in bytes.
+/// Length of the header of a reply, in bytes.
 const HEADER_BYTES: usize = 8;
-/// Length of an action record, in bytes.
+/// Length of each action record in a reply, in bytes.
 const RECORD_BYTES: usize = 16;
 const NS_PER_US: u64 = 1_000;
 
@@ -17,7 +18,7 @@
     pub const FORGET_KEY: u8 = 60;
     pub const FAIL: u8 = 70;
     pub const ADVERTISE_LOAD: u8 = 80;
-    /// Selects the instance that the following records belong to.
+    /// Not an action: selects the instance (simulated server) that the following action records belong to.
     pub const INSTANCE: u8 = 90;
     pub const SKIP_CALL: u8 = 100;
     pub const START_RUN: u8 = 110;
@@ -28,25 +29,27 @@
     pub const START_CALL: u8 = 160;
 }
 
-/// Collects the actions for one reply. Controllers use it as their [`Host`]; it records each action for the
-/// selected instance.
+/// Collects the actions for the reply to one batch. The controllers use it as their [`Host`]. Each action is
+/// recorded for the selected instance.
 #[derive(Default)]
 pub struct Reply {
     records: Vec<u8>,
     tail: Vec<u8>,
-    /// Number of the instance that new actions belong to.
+    /// Number of the selected instance, to which the next actions belong.
     selected: Option<u16>,
-    /// Number of the instance in the last [`code::INSTANCE`] record of the reply.
+    /// Number of the instance that the last [`code::INSTANCE`] record of the reply selects; `None` if there
+    /// is no such record yet.
     recorded: Option<u16>,
 }
 
 impl Reply {
-    /// Selects the instance that the following actions belong to.
+    /// Selects the instance to which the next actions belong.
     pub fn select_instance(&mut self, instance: u16) {
         self.selected = Some(instance);
     }
 
-    /// Writes the reply as a frame into `out`, and resets the reply for the next batch.
+    /// Writes the reply into `out` as a frame, replacing the content of `out`. Then clears the reply for the
+    /// next batch.
     pub fn finish(&mut self, out: &mut Vec<u8>) {
         let bytes = HEADER_BYTES + self.records.len() + self.tail.len();
         let count = self.records.len() / RECORD_BYTES;
@@ -60,8 +63,8 @@
         (self.selected, self.recorded) = (None, None);
     }
 
-    /// Adds an action of the selected instance, preceded by a record that selects the instance if the
-    /// previous record of the reply belongs to another instance.
+    /// Adds an action of the selected instance. If the previous action belongs to another instance, first
+    /// adds a record that selects this instance.
     fn push(&mut self, code: u8, fields: &[&[u8]]) {
         if self.recorded != self.selected {
             self.recorded = self.selected;
@@ -72,7 +75,8 @@
         self.push_record(code, fields);
     }
 
-    /// Adds a record: its code, its fields without gaps, and zeros up to the length of a record.
+    /// Adds a record of fixed length. The record contains its code and then its fields without gaps. The rest
+    /// is filled with zeros.
     fn push_record(&mut self, code: u8, fields: &[&[u8]]) {
         let start = self.records.len();
         self.records.push(code);
@@ -83,8 +87,8 @@
     }
 }
 
-/// Duration in whole microseconds, rounded up so that nothing expires early. The protocol limits it to
-/// [`u32::MAX`] microseconds (71 minutes); a longer duration is shortened to that limit.
+/// Converts a duration to whole microseconds. Rounds up, so that nothing expires early. The protocol's
+/// maximum is [`u32::MAX`] microseconds (71 minutes); a longer duration is reduced to it.
 fn micros(duration: Nanos) -> [u8; 4] {
     u32::try_from(duration.div_ceil(NS_PER_US)).unwrap_or(u32::MAX).to_le_bytes()
 }
--- a/crates/simulator-adapter/src/codec/tests.rs
+++ b/crates/simulator-adapter/src/codec/tests.rs
@@ -5,7 +5,7 @@
 use super::*;
 use meadowstream_overload_control::{Host, Outcome};
 
-/// A batch with the given header fields and body, at a simulated time of 7 µs.
+/// Returns an encoded batch with the given header fields and body. Its simulated time is 7 µs.
 fn batch(count: u32, len: u32, body: &[u8]) -> Vec<u8> {
     [&count.to_le_bytes(), &len.to_le_bytes(), &7u64.to_le_bytes()[..], body].concat()
 }
@@ -58,7 +58,7 @@
     assert_eq!(frame[56..], *b"hi");
 }
 
-/// Each action must encode to the bytes recorded from release 0.2.0 (commit 22d0bb6).
+/// Wire compatibility: each action must be encoded to the bytes recorded from release 0.2.0 (commit 22d0bb6).
 #[test]
 fn actions_have_the_bytes_of_release_0_2() {
     let (id, duration) = (0x0102_0304_0506_0708, 2_500_001);
--- a/crates/simulator-adapter/src/instances.rs
+++ b/crates/simulator-adapter/src/instances.rs
@@ -1,4 +1,4 @@
-//! Simulated servers: one isolated controller for each running instance.
+//! The simulated servers, called instances. Each running instance has its own, isolated controller.
 
 use crate::codec::{Batch, Event, EventError, GaugeReadings, Record, Reply, code};
 use meadowstream_deployment_settings::{DeploymentSettings, SettingsError};
@@ -20,7 +20,7 @@
     Settings(#[from] SettingsError),
 }
 
-/// Error on handling a batch, with the index of the record.
+/// Error that occurs when a batch is handled. Contains the index of the record in the batch.
 #[derive(Debug, Error)]
 pub enum BatchError {
     #[error("record {index}: no instance was selected before")]
@@ -33,21 +33,21 @@
     },
 }
 
-/// A simulated server: its controller, and limits for checking arrivals.
+/// A simulated server: its controller, and the values that are needed to check and decode its events.
 struct Instance {
     controller: Controller,
-    /// Index of the gauge that reports the utilization of the cores.
+    /// Index of the gauge that reports the utilization of the CPU cores; `None` if no gauge does.
     utilization_gauge: Option<usize>,
-    /// Index of the gauge that reports the number of runnable threads.
+    /// Index of the gauge that reports the number of runnable threads; `None` if no gauge does.
     runnable_gauge: Option<usize>,
     /// Number of operations.
     operations: usize,
-    /// Number of tenants, at least 1: without tenants in the settings, all arrivals have tenant 0.
+    /// Number of tenants, at least 1. If the settings contain no tenants, all arrivals belong to tenant 0.
     tenants: usize,
 }
 
 impl Instance {
-    /// Starts an instance from the text of its settings.
+    /// Starts an instance. `settings` is the text of its settings.
     fn start(settings: &str, seed: u64, now: Nanos, reply: &mut Reply) -> Result<Self, SettingsError> {
         let settings = DeploymentSettings::from_lines(settings)?;
         Ok(Self {
@@ -59,7 +59,7 @@
         })
     }
 
-    /// Checks that the operation and tenant of an arrival exist.
+    /// Checks that the operation and the tenant of an arrival exist in the settings.
     fn check(&self, arrival: &Arrival) -> Result<(), InstanceError> {
         if arrival.operation >= self.operations {
             return Err(InstanceError::UnknownOperation { operation: arrival.operation });
@@ -70,7 +70,7 @@
         Ok(())
     }
 
-    /// Selects the readings of the two gauges that the controller uses.
+    /// Extracts the two gauge readings that the controller uses from the readings of a timer event.
     fn gauges(&self, readings: GaugeReadings) -> Result<Gauges, EventError> {
         let reading = |index: Option<usize>| match index {
             Some(index) => readings.get(index),
@@ -79,7 +79,8 @@
         Ok(Gauges { utilization: reading(self.utilization_gauge)?, runnable: reading(self.runnable_gauge)? })
     }
 
-    /// Passes an event to the controller. Ignores the start and the end of an instance.
+    /// Passes an event to the instance's controller. The events that start and end an instance are ignored
+    /// here.
     fn handle(&mut self, event: Event, now: Nanos, reply: &mut Reply) -> Result<(), InstanceError> {
         match event {
             Event::Arrived { arrival } => {
@@ -103,14 +104,14 @@
     }
 }
 
-/// All instances, indexed by number.
+/// All simulated servers. The index in the list is the number of the instance.
 #[derive(Default)]
 pub struct Instances {
     slots: Vec<Option<Instance>>,
 }
 
 impl Instances {
-    /// Handles the records of a batch in order.
+    /// Handles all records of a batch, in their order. Adds the resulting actions to `reply`.
     pub fn handle_batch(&mut self, batch: &Batch, reply: &mut Reply) -> Result<(), BatchError> {
         let mut selected = None;
         for index in 0..batch.count {
@@ -127,7 +128,7 @@
         Ok(())
     }
 
-    /// Handles one event record of the instance with the given number.
+    /// Handles one event record for the instance with the number `number`.
     fn handle_record(
         &mut self,
         number: u16,
@@ -157,7 +158,8 @@
         Ok(())
     }
 
-    /// Returns the instance in a slot of the list; `None` if no instance is running there.
+    /// Returns the running instance in the slot with this index; `None` if no instance is running in this
+    /// slot.
     fn running(&mut self, slot: usize) -> Option<&mut Instance> {
         self.slots.get_mut(slot)?.as_mut()
     }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,6 +1,6 @@
-//! `meadowstream-simulator-adapter`: connects the load controllers of simulated servers to a simulator. Reads
-//! events from standard input and writes the resulting actions to standard output. Each simulated server has
-//! its own controller; the adapter itself makes no decisions.
+//! `meadowstream-simulator-adapter`: connects the overload controllers of simulated servers to a simulator.
+//! The program reads events from standard input, and writes the resulting actions to standard output. Each
+//! simulated server has its own controller. The adapter itself makes no decisions.
 
 #![deny(missing_docs, clippy::too_many_lines)]
 
@@ -13,7 +13,7 @@
 use std::io::{Read, Write};
 use std::process::ExitCode;
 
-/// Handles batches and writes a reply to each, until the end of the input.
+/// Handles batches of events until the end of the input. Writes one reply for each batch.
 fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<()> {
     let (mut instances, mut batch, mut reply) = (Instances::default(), Batch::default(), Reply::default());
     let mut frame = Vec::new();
@@ -28,7 +28,8 @@
     Ok(())
 }
 
-/// Exits with an error message on standard error if a batch cannot be handled.
+/// Runs the adapter until the end of the input. After an error, prints a message to standard error and exits
+/// with a failure code.
 fn main() -> ExitCode {
     match serve(&mut std::io::stdin().lock(), &mut std::io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/simulator-adapter/tests/frames.rs
+++ b/crates/simulator-adapter/tests/frames.rs
@@ -1,16 +1,16 @@
-//! Wire compatibility: the program must reply to recorded event frames with the bytes recorded from release
-//! 0.2.0 (commit 22d0bb6). Log records and their texts are not part of the protocol and are removed before
-//! the comparison.
+//! Test of wire compatibility with release 0.2.0 (commit 22d0bb6). The program must reply to recorded event
+//! frames with the bytes recorded from that release. Log records and their texts are not part of the
+//! protocol. They are removed before the comparison.
 
 use meadowstream_wire_fixtures::Fixtures;
 use std::io::{Read, Write};
 use std::process::{Command, Stdio};
 
-/// Length of an event record, in bytes.
+/// Length of each event record in a batch, in bytes.
 const EVENT_BYTES: usize = 56;
-/// Length of a reply's header, in bytes.
+/// Length of the header of a reply, in bytes.
 const REPLY_HEADER_BYTES: usize = 8;
-/// Length of an action record, in bytes.
+/// Length of each action record in a reply, in bytes.
 const ACTION_BYTES: usize = 16;
 /// Code of a log record.
 const LOG: u8 = 10;
@@ -26,7 +26,8 @@
     contract.drain-grace=2500000\ncontract.grace-to-answer=60000\ncontract.fall-multiple=8.0\n\
     contract.cold-from=0.2\ncontract.cold=17000000\n";
 
-/// An event record of 56 bytes: its code, then fields at the given offsets.
+/// Returns an encoded event record of 56 bytes. It contains the code and the given fields, each with its
+/// offset.
 fn record(code: u8, fields: &[(usize, &[u8])]) -> Vec<u8> {
     let mut record = vec![0; EVENT_BYTES];
     record[0] = code;
@@ -45,8 +46,8 @@
     record(10, &[(1, &7_u64.to_le_bytes()), (9, &text)])
 }
 
-/// An arrival of an invocation that reached the server `age_us` microseconds ago. `repeats` is the earlier
-/// invocation with the same idempotency key, or 0.
+/// Returns the record of an arrival: an invocation that reached the server `age_us` microseconds ago.
+/// `repeats` is the identifier of an earlier invocation with the same idempotency key, or 0 if there is none.
 fn arrived(id: u64, operation: u8, age_us: u32, repeats: u64) -> Vec<u8> {
     record(
         20,
@@ -92,7 +93,8 @@
     record(90, &[])
 }
 
-/// A batch of records and their tail, with the simulated time in microseconds.
+/// Returns an encoded batch with the given records and tail. `clock_us` is its simulated time, in
+/// microseconds.
 fn frame(clock_us: u64, records: &[Vec<u8>], tail: &str) -> Vec<u8> {
     let body = [records.concat().as_slice(), tail.as_bytes()].concat();
     let length = 16 + body.len() as u32;
@@ -100,7 +102,8 @@
     [header.as_slice(), &clock_us.to_le_bytes(), &body].concat()
 }
 
-/// Frames with every kind of event, as one instance may receive them within a few seconds.
+/// Returns batches that contain every kind of event. One instance may receive such events within a few
+/// seconds.
 fn input() -> Vec<Vec<u8>> {
     let overload = |first: u64| (first..first + 40).map(|id| arrived(id, (id % 3) as u8, 200, 0));
     let with_instance = |records: Vec<Vec<u8>>| [vec![select_instance(3)], records].concat();
@@ -135,7 +138,7 @@
     frames
 }
 
-/// Reads a reply of the program, and removes the log records and texts from it.
+/// Reads one reply of the program. Returns its action records without the log records and their texts.
 fn read_reply(output: &mut impl Read) -> Vec<u8> {
     let mut header = [0; REPLY_HEADER_BYTES];
     output.read_exact(&mut header).unwrap();
@@ -167,7 +170,8 @@
     fixtures.verify(&[("input", sent), ("actions", received)]);
 }
 
-/// Returns the program's standard error and exit code after one frame that it cannot handle.
+/// Runs the program with one frame that it cannot handle. Returns its standard error output and its exit
+/// code.
 fn run_with_invalid_frame(frame: &[u8]) -> (String, Option<i32>) {
     let mut program = Command::new(env!("CARGO_BIN_EXE_meadowstream-simulator-adapter"))
         .stdin(Stdio::piped())
