--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -17,8 +17,8 @@
 /// the jitter, from its lowest to its highest value, is the announce period divided by this number. Without
 /// jitter, members that were started together would all compare their views at the same times.
 const JITTER_DIVISOR: Nanos = 8;
-/// Delay until a member's next comparison of views, in probe periods, if its view may still differ from
-/// another member's view. Shorter than the usual delay of one announce period.
+/// Delay, in probe periods, until the next comparison of views if this member's view may still differ from
+/// another member's. Otherwise, the delay is about one announce period.
 const REPEAT_PROBE_PERIODS: Nanos = 2;
 
 impl Membership {
@@ -60,8 +60,8 @@
         if members.iter().any(|member| !has_valid_name(member.id()) || member.state() == State::Down) {
             return Err(DropReason::Protocol);
         }
-        // Send this member's entries before applying the received list. Otherwise, the answer would send the
-        // received entries back to their sender.
+        // Send this member's own list before applying the received list. Otherwise, the members just received
+        // would be sent back to their sender.
         if requested_buckets != 0 {
             self.send_members(from, requested_buckets, 0);
             self.repeat_anti_entropy_soon();
@@ -81,8 +81,8 @@
         }
         let own = self.identity();
         if member.id() != own {
-            // A verdict on an earlier incarnation of this server is ignored: the current incarnation has
-            // already replaced that incarnation.
+            // Ignore a report that an earlier incarnation of this server is suspect or down: the current
+            // incarnation has replaced the earlier one.
             if member.id().addr != own.addr && member.state() == State::Down {
                 self.suspect(member.id());
             }
@@ -90,8 +90,9 @@
         }
         let mut effects = FocaEffects::default();
         let applied = self.foca.apply_many(std::iter::once(member), true, &mut effects);
-        // The announcement to the verdict's sender refutes the verdict. The header of every foca packet
-        // contains its sender's SWIM incarnation, and a raised SWIM incarnation refutes a suspicion.
+        // The announcement refutes the report that this member is suspect or down. The header of every foca
+        // packet contains the sender's current SWIM incarnation, by which the receiver recognizes that the
+        // report is outdated.
         let _ = self.foca.announce(from, &mut effects);
         self.apply(effects);
         applied.map_err(|_| DropReason::Protocol)
@@ -132,10 +133,10 @@
         self.anti_entropy_at = self.anti_entropy_at.min(soon);
     }
 
-    /// Sends a verdict about one member of the received list `listed` that this member has recorded as down
-    /// in the listed incarnation. If there are several, picks one at random. The verdict goes to the picked
-    /// member and to `from`, the sender of the list. Sending only one verdict per list keeps the traffic sent
-    /// in proportion to the traffic received.
+    /// Sends a verdict, the report that a member is down, about one member of the received list `listed`.
+    /// This member must have recorded it as down in the listed incarnation. If there are several, picks one
+    /// at random. The verdict goes to the picked member and to `from`, the sender of the list. Sending only
+    /// one verdict per list keeps the traffic sent in proportion to the traffic received.
     fn send_verdict_on_random_down_member(&mut self, from: &MemberId, listed: &[Member<MemberId>]) {
         let known = self.foca.iter_membership_state();
         let down: HashSet<&MemberId> =
@@ -154,10 +155,10 @@
         self.send_verdict(from.addr, Member::down(target));
     }
 
-    /// Records the member `id` as suspect after another member reported it down. Does nothing unless this
-    /// view has the member as alive in the same incarnation. If the suspect is running, it refutes the
-    /// suspicion or takes its next incarnation. If it has crashed, the suspicion speeds up the detection:
-    /// this member's own probes can take as many probe periods as there are members.
+    /// Records the member `id` as suspect after another member reported it down. Does so only if this view
+    /// has the member as alive in the same incarnation. If the suspect is running, it refutes the suspicion
+    /// or takes its next incarnation. If it has crashed, the suspicion speeds up the detection: this member's
+    /// own probes can take as many probe periods as there are members.
     fn suspect(&mut self, id: &MemberId) {
         let is_alive = |member: &&Member<MemberId>| member.id() == id && member.state() == State::Alive;
         let alive = self.foca.iter_members().find(is_alive);
--- a/crates/membership/src/directory.rs
+++ b/crates/membership/src/directory.rs
@@ -1,6 +1,7 @@
 //! Directory that maps names of members to addresses, for callers that address members by name. Members that
 //! are down are not included. The directory is a cache: looking a name up in foca's member list takes time
-//! linear in the size of the fleet (`docs/CAPACITY.md`). It is rebuilt after the view has changed.
+//! linear in the size of the fleet (`docs/CAPACITY.md`). The directory is rebuilt only after the view has
+//! changed.
 
 use crate::{Membership, Nanos};
 use foca::State;
--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -1,6 +1,6 @@
 //! Sends datagrams within a budget of bytes per second. When the budget is used up, gossip and lists of
-//! members are postponed. Probes, answers to probes and verdicts are charged to the budget but never
-//! postponed, so that failure detection is not delayed.
+//! members are postponed. Probes, answers to probes, and verdicts (reports that a member is suspect or down)
+//! are charged to the budget but never postponed, so that failure detection is not delayed.
 
 use crate::envelope::{ENVELOPE_BYTES, PayloadKind};
 use crate::settings::{GOSSIP_MEMBERS, Settings};
@@ -10,8 +10,8 @@
 
 /// Estimated size of one member update in a gossip packet, in bytes.
 const UPDATE_BYTES: usize = 64;
-/// The share of the send budget that is reserved is 1 divided by this number. Only probes, answers to probes
-/// and verdicts may use the reserved share. Gossip and lists of members use the rest.
+/// The reserved part of the send budget is the whole budget divided by this number. Only failure detection
+/// (probes, their answers and verdicts) may use the reserved part. Gossip and lists of members use the rest.
 const RESERVE_DIVISOR: u64 = 8;
 
 /// Limit on the bytes per second that this member sends as datagrams of the membership protocol.
@@ -38,7 +38,7 @@
     }
 
     /// Returns how many bytes gossip and lists of members may use now. This is the unused part of the budget
-    /// minus the reserved share ([`RESERVE_DIVISOR`]).
+    /// minus the reserved part ([`RESERVE_DIVISOR`]).
     pub(crate) fn available(&mut self, now: Nanos) -> u64 {
         self.window.available(now).saturating_sub(self.bytes_per_second / RESERVE_DIVISOR)
     }
--- a/crates/membership/src/envelope.rs
+++ b/crates/membership/src/envelope.rs
@@ -72,7 +72,7 @@
     /// The datagram is longer than the settings or UDP allow.
     #[error("longer than the settings or UDP allow")]
     Oversized,
-    /// Does not start with [`MAGIC`].
+    /// The datagram does not start with [`MAGIC`].
     #[error("not a datagram of this protocol")]
     Magic,
     /// The version or the kind of payload is unknown to this build.
@@ -81,7 +81,7 @@
     /// The length of the body in the header does not match the size of the datagram.
     #[error("the declared length is not the length received")]
     Length,
-    /// The fleet mark in the datagram belongs to another fleet.
+    /// The fleet mark in the datagram, a hash of the fleet's name, belongs to another fleet.
     #[error("the datagram belongs to another fleet")]
     Fleet,
     /// The authentication tag does not match: the datagram is forged, corrupted, or sealed with another key.
@@ -99,7 +99,7 @@
 }
 
 impl DropReason {
-    /// All reasons, in the order in which the log lists the counts of dropped datagrams.
+    /// All reasons for dropping a datagram, in the order in which the log lists their counts.
     pub const ALL: [DropReason; 9] = [
         DropReason::Short,
         DropReason::Oversized,
@@ -113,7 +113,8 @@
     ];
 }
 
-/// Seals bodies into datagrams and opens received datagrams, for one fleet and with one key.
+/// Seals bodies into authenticated datagrams, and checks and opens received datagrams. Belongs to one fleet
+/// and uses one key.
 #[derive(Clone)]
 pub struct Sealer {
     fleet: Vec<u8>,
@@ -123,8 +124,8 @@
 }
 
 impl Sealer {
-    /// Creates a sealer that accepts bodies of at most `body_max` bytes. If `body_max` exceeds
-    /// [`DATAGRAM_BYTES_MAX`] minus [`ENVELOPE_BYTES`], this lower limit applies instead.
+    /// Creates a sealer that accepts bodies of at most `body_max` bytes. The limit is never higher than
+    /// [`DATAGRAM_BYTES_MAX`] minus [`ENVELOPE_BYTES`], even if `body_max` is.
     pub fn new(fleet: &str, key: &[u8], body_max: usize) -> Sealer {
         let digest = Sha256::digest(fleet.as_bytes());
         let mut fleet_mark = [0; 8];
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -118,8 +118,9 @@
     counts: Counts,
 }
 
-/// Number of replay windows kept, relative to the expected number of members. More than one per member are
-/// needed: the window of an address that no member uses any longer is kept until it is evicted.
+/// Number of replay windows kept for each expected member. A replay window records the sequence numbers
+/// received from one address. More than one per member is needed, because the window of an address that no
+/// member uses any longer is kept until it is evicted.
 const REPLAY_WINDOWS_PER_MEMBER: usize = 4;
 const REPLAY_WINDOWS_MIN: usize = 64;
 /// The random numbers of this crate are seeded with the exclusive or of the caller's seed and this constant.
--- a/crates/membership/src/rejoin.rs
+++ b/crates/membership/src/rejoin.rs
@@ -32,8 +32,9 @@
 }
 
 impl Membership {
-    /// Checks, if the check is due, whether this server knows any other member. If it knows none, announces
-    /// this server to the seeds again and doubles the delay until the next check, up to the announce period.
+    /// Performs the check for other members, if it is due. If this server knows no other member, announces
+    /// this server to the seeds again, and doubles the delay until the next check. The delay is at most the
+    /// announce period.
     pub(crate) fn rejoin_if_due(&mut self) {
         if self.rejoin.at.is_none_or(|at| at > self.now) {
             return;
--- a/crates/membership/src/replay_window.rs
+++ b/crates/membership/src/replay_window.rs
@@ -61,10 +61,10 @@
         ReplayWindows { windows: HashMap::new(), limit: limit.max(1) }
     }
 
-    /// Returns whether a datagram from the address `from` is new, and records it if so. Returns false for a
-    /// replay. A datagram with a lower incarnation than one already received from this address also counts as
-    /// a replay. `now` becomes the time of the sender's last activity, by which senders are selected for
-    /// eviction.
+    /// Returns whether a datagram from the address `from` is new. Records a new datagram as received. Returns
+    /// false for a replay. A datagram with a lower incarnation than one already received from this address
+    /// also counts as a replay. `now` becomes the time of the sender's last activity, by which senders are
+    /// selected for eviction.
     pub fn accept(&mut self, from: SocketAddr, incarnation: u64, sequence: u64, now: Nanos) -> bool {
         if !self.windows.contains_key(&from) && self.windows.len() >= self.limit {
             self.evict_oldest();
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -35,8 +35,8 @@
 /// If a member does not answer a direct probe, the prober requests this number of other members to probe it
 /// too (`k` in the SWIM paper).
 const INDIRECT_PROBES: usize = 3;
-/// Number of times that an update is transmitted, per power of ten of the fleet's size (`lambda` in the SWIM
-/// paper). It is multiplied by the decimal logarithm of the expected number of members plus 1.
+/// An update is transmitted this number of times the decimal logarithm of the fleet's size (`lambda` in the
+/// SWIM paper). The fleet's size is the expected number of members plus 1.
 const TRANSMISSIONS_PER_LOG10: f64 = 4.0;
 /// A member that was recorded as down is removed from the view after this number of suspicion times. Without
 /// removal, the use of memory would grow with the number of all members that have ever been down.
@@ -68,8 +68,9 @@
     /// view with another member's view.
     pub announce_period: Nanos,
     /// Budget for datagrams of the membership protocol, in bytes per second. When it is used up, gossip and
-    /// lists of members are postponed. Probes, answers to probes and verdicts are not postponed. Gossip in
-    /// packets of maximum size takes half of the budget. Shared state is not charged to the budget.
+    /// lists of members are postponed. Failure detection (probes, their answers and verdicts) is not
+    /// postponed. Gossip in packets of maximum size takes half of the budget. Shared state is not charged to
+    /// the budget.
     pub bytes_per_second: u64,
 }
 
--- a/crates/membership/src/simulation/mod.rs
+++ b/crates/membership/src/simulation/mod.rs
@@ -45,7 +45,7 @@
     pub threads: usize,
     /// Number of datagrams that all members have sent since the start of the simulation.
     pub sent: u64,
-    /// Bytes sent since the start.
+    /// Total size of the datagrams that all members have sent since the start of the simulation, in bytes.
     pub sent_bytes: u64,
 }
 
@@ -85,7 +85,7 @@
         self.now
     }
 
-    /// Address of a member.
+    /// Returns the network address of the member with the index `member`.
     pub fn addr(member: usize) -> SocketAddr {
         let [.., high, low] = (member as u32).to_be_bytes();
         let [first, second] = NETWORK;
--- a/crates/membership/src/simulation/network.rs
+++ b/crates/membership/src/simulation/network.rs
@@ -26,7 +26,7 @@
 pub(super) struct Delivery {
     pub(super) at: Nanos,
     sequence: u64,
-    /// Index of the receiver.
+    /// Index of the member that receives the datagram.
     pub(super) to: usize,
     pub(super) from: SocketAddr,
     pub(super) datagram: Vec<u8>,
@@ -37,7 +37,7 @@
     conditions: NetworkConditions,
     in_flight: BinaryHeap<Reverse<Delivery>>,
     sequence: u64,
-    /// Group of each member.
+    /// For each member, by its index: the group that it is assigned to.
     groups: Vec<u32>,
     /// One-way partitions, as pairs of groups: datagrams from the first group to the second are lost.
     cuts: HashSet<(u32, u32)>,
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -96,13 +96,13 @@
 /// Counts of datagrams since the start of this member. The field names appear in the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// Datagrams sent.
+    /// Number of datagrams sent.
     pub sent: u64,
     /// Bytes of all datagrams sent, including their headers and tags.
     pub sent_bytes: u64,
     /// Number of datagrams received, including those that were dropped.
     pub received: u64,
-    /// Bytes of the datagrams received.
+    /// Total size of all datagrams received, in bytes, including those that were dropped.
     pub received_bytes: u64,
     /// Number of dropped datagrams for each reason, in the order of [`DropReason::ALL`].
     pub dropped: [u64; DropReason::ALL.len()],
--- a/crates/membership/tests/bytes.rs
+++ b/crates/membership/tests/bytes.rs
@@ -68,8 +68,9 @@
     assert!(most <= settings().bytes_per_second, "a member sent {most} bytes in a second");
 }
 
-/// Several digests arrive at once at a member whose view has 1,000 members. Each digest requires an answer
-/// with the whole view. The member sends only as many lists of members as its byte budget allows.
+/// Several digests of another member's view arrive at a member whose own view has 1,000 members. Each digest
+/// requires an answer with the whole view. The member sends only as many lists of members as its byte budget
+/// allows.
 #[test]
 fn lists_of_members_beyond_the_budget_are_sent_in_a_later_exchange() {
     let id = |member: usize| MemberId {
@@ -89,15 +90,16 @@
         payload: AntiEntropyPayload::Digest { bucket_hashes: vec![0; BUCKETS] },
     }
     .encode();
-    // Delivers a digest to the member, and returns the number of bytes that the member sends in answer.
+    // Delivers the digest of another member's view to the member, and returns the number of bytes that the
+    // member sends in answer.
     let send_digest = |membership: &mut Membership, now: u64, sequence: u64| {
         let datagram = sealer.seal(PayloadKind::AntiEntropy, 1, sequence, &digest).expect("short body");
         membership.handle_datagram(SimulatedFleet::addr(1), &datagram, now).expect("authentic datagram");
         membership.take_transmits().iter().map(|transmit| transmit.datagram.len() as u64).sum::<u64>()
     };
     let at_once: u64 = (1..=5).map(|sequence| send_digest(&mut membership, 4 * SECOND, sequence)).sum();
-    // An eighth of the byte budget is reserved for probes, answers to probes, and verdicts. Lists of members
-    // may not use this part.
+    // An eighth of the byte budget is reserved for failure detection (probes, their answers and verdicts).
+    // Lists of members may not use this part.
     let most = BYTES_PER_SECOND - BYTES_PER_SECOND / 8;
     assert!(
         at_once > BYTES_PER_SECOND / 2 && at_once <= most,
--- a/crates/replication/src/committed_log.rs
+++ b/crates/replication/src/committed_log.rs
@@ -101,7 +101,8 @@
         &self.end.state
     }
 
-    /// Returns the configuration after the last complete change, as a snapshot.
+    /// Returns the configuration after the last complete change. A change is complete if all its entries are
+    /// in the log.
     pub fn complete(&self) -> &Snapshot {
         &self.complete
     }
@@ -163,8 +164,9 @@
         Ok(state)
     }
 
-    /// Takes a checkpoint if the last entry completes the first change in a block. The decision depends only
-    /// on entry numbers, so all members take the same checkpoints.
+    /// Takes a checkpoint if the last entry of the log completes the first change in its block of
+    /// [`CHECKPOINT_INTERVAL`] entries. The decision depends only on entry numbers, so all members take the
+    /// same checkpoints.
     fn checkpoint_if_due(&mut self) {
         let last = self.checkpoints[0].as_ref().unwrap_or(&self.base).number();
         if self.number() / CHECKPOINT_INTERVAL > last / CHECKPOINT_INTERVAL {
--- a/crates/replication/src/content_hash.rs
+++ b/crates/replication/src/content_hash.rs
@@ -18,8 +18,8 @@
 pub struct ContentHash([u64; LANES]);
 
 impl ContentHash {
-    /// Returns the SHA-256 digest of a key-value pair. The length of the key is hashed too. Without it, two
-    /// pairs with the same concatenation of key and value would have the same digest.
+    /// Returns the SHA-256 digest of a key-value pair. The length of the key is hashed too. Without the
+    /// length, two pairs with the same concatenation of key and value would have the same digest.
     fn of_pair(key: &str, value: &str) -> [u64; LANES] {
         let mut hasher = Sha256::new();
         hasher.update((key.len() as u64).to_le_bytes());
--- a/crates/replication/src/member/applier.rs
+++ b/crates/replication/src/member/applier.rs
@@ -7,8 +7,9 @@
 use crate::time::{Nanos, SECOND_NS};
 
 /// Duration of the catch-up period after the start of a member. The period begins when the member first
-/// learns of a revision from another member. If the member started with an empty disk, it applies no revision
-/// until its log has reached the highest log end that others report during this period.
+/// learns of a revision from another member. If the member started with an empty disk, it first has to catch
+/// up: it applies no revision until its log is as long as the longest log that other members report during
+/// this period.
 const CATCH_UP_NS: Nanos = 2 * SECOND_NS;
 /// Maximum UTF-8 length of a character, in bytes.
 const CHARACTER_BYTES_MAX: usize = 4;
@@ -25,8 +26,9 @@
     rejected: Option<Rejection>,
     /// Whether the member found a revision on its disk when it started.
     started_from_disk: bool,
-    /// Highest log end that other members reported during the catch-up period ([`CATCH_UP_NS`]). A member
-    /// that started with an empty disk applies no revision before its own log reaches this number.
+    /// Number of the last entry in the longest log that other members reported during the catch-up period
+    /// ([`CATCH_UP_NS`]). A member that started with an empty disk applies no revision before its own log
+    /// reaches this number.
     catch_up_target: u64,
     /// End of the catch-up period ([`CATCH_UP_NS`]), in Unix nanoseconds. The value is 0 until another member
     /// reports a revision.
--- a/crates/replication/src/member/control.rs
+++ b/crates/replication/src/member/control.rs
@@ -23,7 +23,7 @@
     pub(super) replica: Replica,
     pub(super) progress: ProgressTracker,
     pub(super) requests: Requests,
-    /// Time at which the leader next updates its freshness statement.
+    /// Time at which the leader next updates its freshness statement, which tells where its log ends.
     freshness_due: Nanos,
     /// Time at which the leader next polls lagging members for reports.
     poll_due: Nanos,
@@ -45,9 +45,9 @@
         }
     }
 
-    /// Returns the time at which the control machine next has work to do, in nanoseconds. This is the next
-    /// work of the replica or, on the leader, the next freshness statement or poll round if earlier. The time
-    /// may be in the past. [`Nanos::MAX`] means that nothing is scheduled.
+    /// Returns the time at which the control machine next has work to do, in nanoseconds. On the leader, the
+    /// work includes the next freshness statement and the next poll round. The time may be in the past.
+    /// [`Nanos::MAX`] means that nothing is scheduled.
     pub(super) fn next_due(&self) -> Nanos {
         let due = self.replica.next_due();
         if self.replica.is_leader() { due.min(self.freshness_due).min(self.poll_due) } else { due }
--- a/crates/replication/src/member/gossip.rs
+++ b/crates/replication/src/member/gossip.rs
@@ -18,9 +18,10 @@
 const PULL_ANYWHERE_EVERY: u64 = 4;
 /// Maximum number of [`Message::Entries`] that a member sends in answer to one digest.
 const ANSWER_MESSAGES_MAX: usize = 3;
-/// Tolerated age difference between two [`Freshness`] statements, in milliseconds. If the statement in a
-/// received digest is older than the receiver's own by more than this, the receiver answers with its own
-/// digest, which contains the newer statement.
+/// Tolerated age difference between two [`Freshness`] statements, in milliseconds. Such a statement tells
+/// where the leader's log ended at a given time. If the statement in a received digest is older than the
+/// receiver's own by more than this, the receiver answers with its own digest, which contains the newer
+/// statement.
 const FRESHNESS_LAG_MS: u64 = 1_500;
 /// Maximum total size of the entries in one [`Message::Entries`], in bytes. The rest of the message is left
 /// for its other fields: the leader's name, a flag and a number.
@@ -108,9 +109,9 @@
         self.send(to, &Message::Digest { number, freshness, location, neighbours, wants_reply }, now);
     }
 
-    /// Adopts a received freshness statement if it is newer than the own statement and this member's log
-    /// reaches the log end in it. If the log were shorter, the statement would not prove that this member has
-    /// the newest entries.
+    /// Adopts a received freshness statement if it is newer than this member's own. This member must also
+    /// hold all entries up to the number in the statement; otherwise, the statement would not prove that the
+    /// member has the newest entries.
     fn on_freshness(&mut self, freshness: Freshness) {
         if freshness.number <= self.log.number() && freshness.at_ms > self.freshness.at_ms {
             self.freshness = freshness;
@@ -118,7 +119,7 @@
     }
 
     /// Answers a digest. If the sender lacks entries, sends these entries. Otherwise, if the sender wants a
-    /// reply, sends this member's own digest, but only if this member lacks entries or has a fresher
+    /// reply, sends this member's own digest, but only if this member lacks entries or has a newer freshness
     /// statement.
     fn answer_digest(
         &mut self,
--- a/crates/replication/src/member/mod.rs
+++ b/crates/replication/src/member/mod.rs
@@ -43,7 +43,7 @@
 /// Counters of one member since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct Counts {
-    /// Messages sent.
+    /// Number of messages sent.
     pub sent: u64,
     /// Total size of the messages sent, in bytes, without the headers that the datagram layer adds.
     pub sent_bytes: u64,
@@ -54,7 +54,7 @@
     /// Number of received entries and checkpoints that were invalid, for example because their content did
     /// not match their hash.
     pub mismatched: u64,
-    /// Checkpoint transfers started.
+    /// Number of checkpoint transfers that this member has started.
     pub transfers: u64,
 }
 
@@ -93,7 +93,7 @@
     /// The state of a control machine; `None` on a server, which has no replica.
     control: Option<Control>,
     /// The latest freshness statement of the leader that applies to this member. A statement applies if this
-    /// member's log reaches the log end in the statement.
+    /// member's log has all entries up to the number in the statement.
     freshness: Freshness,
     applier: Applier,
     /// Name of the last known leader.
@@ -101,7 +101,7 @@
     /// Time of the next pull. In a pull, this member sends a digest of its log to a random member, which
     /// answers with missing entries.
     pull_due: Nanos,
-    /// When the next report is due.
+    /// Time of the next report to the leader.
     report_due: Nanos,
     outgoing: Vec<Outgoing>,
     /// Counters since the start.
@@ -110,9 +110,9 @@
 }
 
 impl Member {
-    /// Creates a member that continues from the state read from its disk, or with an empty log. The state is
-    /// one that [`Member::unsaved_state`] or [`Member::state_to_persist`] returned before the restart. On a
-    /// server it comes from [`Member::state_to_persist`] only.
+    /// Creates a member. `disk` is the state read from its disk; without it, the member starts with an empty
+    /// log. The state is one that [`Member::unsaved_state`] or [`Member::state_to_persist`] returned before
+    /// the restart. On a server it always comes from [`Member::state_to_persist`].
     ///
     /// # Errors
     /// Returns an error if a setting is invalid.
@@ -195,9 +195,9 @@
     }
 
     /// Returns the longest time for which this member may have missed a new revision, in nanoseconds. This is
-    /// the time since the latest freshness statement whose log end this member's log has reached. `None` if
-    /// there was no such statement yet. The statement has the time of the leader's clock, so the result
-    /// includes the difference between the two clocks. It is never negative.
+    /// the time since the leader's latest freshness statement for which this member has all entries up to the
+    /// number in the statement. `None` if there was no such statement yet. The statement has the time of the
+    /// leader's clock, so the result includes the difference between the two clocks. It is never negative.
     pub fn age(&self, now: Nanos) -> Option<Nanos> {
         let stated_at = self.freshness.at_ms * MILLISECOND_NS;
         (stated_at > 0).then(|| now.saturating_sub(stated_at))
--- a/crates/replication/src/member/operator.rs
+++ b/crates/replication/src/member/operator.rs
@@ -19,7 +19,7 @@
 /// Reason why a change to the configuration cannot be reverted.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 enum RevertError {
-    /// No complete change in the held part of the log ends with the entry `number`.
+    /// No complete change ends with the entry `number`, or this member no longer holds the change.
     #[error("no change that is still held ends at {number}")]
     NotHeld { number: u64 },
     /// The configuration before the change is not known, because the entries needed to compute it are no
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -109,7 +109,7 @@
     Digest {
         /// Number of the last entry in the sender's committed log.
         number: u64,
-        /// The latest freshness statement of the leader that the sender has adopted.
+        /// The latest statement of the leader about the end of its log, as far as the sender has adopted one.
         freshness: Freshness,
         /// Region and zone of the sender.
         location: Location,
@@ -117,7 +117,7 @@
         /// each other.
         neighbours: Vec<String>,
         /// Whether the sender wants the receiver's digest in reply. The receiver sends one if it holds fewer
-        /// entries than the sender or has a fresher freshness statement.
+        /// entries than the sender or has a newer freshness statement.
         wants_reply: bool,
     },
     /// Transfers committed entries.
@@ -132,8 +132,8 @@
         /// Number of the last entry in the sender's committed log.
         newest: u64,
     },
-    /// Offers a checkpoint to a receiver that lags so far that the sender no longer holds the entries it
-    /// lacks.
+    /// Offers a checkpoint to a receiver that lags far behind. The sender no longer holds all entries that
+    /// the receiver lacks.
     SnapshotOffer {
         /// Revision of the checkpoint.
         checkpoint: Revision,
@@ -168,8 +168,8 @@
     },
     /// Sent by the leader to request a report from a member.
     PollReport,
-    /// Between replicas: a candidate for leadership asks the receiver to promise its epoch and to send log
-    /// entries.
+    /// Between replicas: a candidate for leadership requests a promise of its epoch, and log entries, from
+    /// the receiver.
     Prepare {
         /// The candidate's epoch.
         epoch: u64,
@@ -183,15 +183,15 @@
         epoch: u64,
         /// Position of the last entry in the sender's log, including uncommitted entries.
         last: Position,
-        /// Number from the request; `entries` begins with the next number.
+        /// The number `after` in the candidate's request. The first entry in `entries` has the next number.
         after: u64,
         /// Entries of the sender's log after number `after`, as many as fit into the message.
         entries: Vec<Entry>,
     },
-    /// Between replicas: rejects a message of an earlier epoch, because its receiver has promised a later
-    /// epoch.
+    /// Between replicas: rejects a message of an earlier epoch. The sender of this answer has promised a
+    /// later epoch.
     EpochRejected {
-        /// The promised epoch.
+        /// The later epoch, which the sender of this answer has promised.
         promised: u64,
     },
     /// Between replicas: the leader sends entries to store. Without entries, the message is a heartbeat.
@@ -227,9 +227,9 @@
     Submit {
         /// Identifier of the request. All parts of a change have the same identifier.
         request: RequestId,
-        /// Index of this part, from 0.
+        /// Index of this part of the change, starting from 0.
         part: u32,
-        /// Number of parts.
+        /// Number of parts in which the change is submitted.
         parts: u32,
         /// Changes of this part.
         changes: Vec<Change>,
@@ -265,7 +265,7 @@
     Status {
         /// Identifier of the request that this message answers.
         request: RequestId,
-        /// Number of the newest complete revision of the configuration.
+        /// Number of the newest revision of the configuration. All entries of its last change are committed.
         number: u64,
         /// Number of members that participate in replication, including those that lag.
         members: u32,
--- a/crates/replication/src/replica/election.rs
+++ b/crates/replication/src/replica/election.rs
@@ -17,8 +17,8 @@
 /// starts a new election with a later epoch.
 const REPEATS_MAX: u32 = 10;
 
-/// What the candidate knows about the log of a replica that has promised its epoch. The log is received in
-/// several messages if it is long.
+/// What the candidate has received of the log of a replica that has promised the candidate's epoch. A long
+/// log is received in several messages.
 #[derive(Debug)]
 struct PromisedLog {
     /// Position of the last entry in the log of the promising replica.
@@ -135,8 +135,8 @@
         let empty = || PromisedLog { last, entries: Vec::new() };
         let known = candidate.promises.entry(from.to_string()).or_insert_with(empty);
         if known.last != last {
-            // Since its previous message, committed entries have replaced uncommitted ones in the log of the
-            // replica `from`, so its log now ends at another position. Discard the entries received so far,
+            // The log of the replica `from` now ends at another position than in its previous message,
+            // because committed entries have replaced uncommitted ones. Discard the entries received so far,
             // and request the log again.
             *known = empty();
         }
--- a/crates/replication/src/replica/leader.rs
+++ b/crates/replication/src/replica/leader.rs
@@ -197,7 +197,8 @@
     }
 
     /// Handles the rejection of entries by a replica that lacks the entry directly before them. Sends the
-    /// entries after `matched`, a lower number at which the replica's log may still be equal to the leader's.
+    /// entries after `matched` instead. This is a lower number, up to which the replica's log may be equal to
+    /// the leader's log.
     pub(super) fn on_append_rejected(&mut self, from: &str, epoch: u64, matched: u64, log: &CommittedLog) {
         // The leader may no longer hold the entry at `matched`. Then send nothing: the replica catches up by
         // gossip, and accepts a later heartbeat.
--- a/crates/replication/src/replica/mod.rs
+++ b/crates/replication/src/replica/mod.rs
@@ -142,8 +142,8 @@
     }
 
     /// Sets whether this replica holds the leadership lease. The holder tries to lead. A leader that loses
-    /// the lease becomes a follower. The next leader then finishes replicating its uncommitted entries, or
-    /// replaces them.
+    /// the lease becomes a follower. The next leader then finishes replicating the old leader's uncommitted
+    /// entries, or replaces them.
     pub fn set_holds_lease(&mut self, holds: bool) {
         self.holds_lease = holds;
         if !holds {
@@ -225,7 +225,7 @@
         self.is_unsaved
     }
 
-    /// The state to write to disk.
+    /// Returns the state of this replica that is to be written to disk.
     pub fn state_to_persist(&self, log: &CommittedLog) -> PersistedState {
         let entries = log.incomplete().chain(&self.uncommitted).cloned().collect();
         PersistedState { promised: self.promised, committed: log.complete().clone(), entries }
--- a/crates/replication/src/revision.rs
+++ b/crates/replication/src/revision.rs
@@ -26,7 +26,7 @@
 }
 
 impl Revision {
-    /// Number of the position.
+    /// Returns the entry number of this revision's position.
     pub fn number(&self) -> u64 {
         self.position.number
     }
--- a/crates/replication/src/simulation/layout.rs
+++ b/crates/replication/src/simulation/layout.rs
@@ -9,7 +9,7 @@
 /// Delay of a message from one node to another, in nanoseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Delay {
-    /// Minimum delay.
+    /// Minimum delay, in nanoseconds.
     pub least: Nanos,
     /// Upper bound of the random delay, in nanoseconds. The random delay is added to the minimum delay.
     pub jitter: Nanos,
@@ -23,7 +23,7 @@
     pub size: usize,
     /// Number of control machines. The nodes with the lowest indices are control machines.
     pub replicas: usize,
-    /// Region and zone of a node.
+    /// Function that returns the region and zone of a node.
     pub location: fn(usize) -> Location,
     /// Function that returns the delay of messages from one node (first argument) to another (second
     /// argument).
--- a/crates/replication/src/simulation/node.rs
+++ b/crates/replication/src/simulation/node.rs
@@ -27,7 +27,7 @@
 pub(super) struct Node {
     /// The member that the node runs; `None` if the node is not running.
     pub(super) member: Option<Member>,
-    /// Number of times that the node has been started. Increased with each start.
+    /// Number of times that the node has been started.
     pub(super) incarnation: u64,
     pub(super) disk: Option<Disk>,
     /// Whether the disk is full, so that all writes to it fail.
--- a/crates/replication/src/snapshot_transfer.rs
+++ b/crates/replication/src/snapshot_transfer.rs
@@ -36,7 +36,7 @@
     attempts: u32,
     /// The key-value pairs of the checkpoint that have been received so far.
     state: State,
-    /// The last key received.
+    /// The last key received so far; `None` before the first chunk.
     after: Option<Text>,
     pending: Option<PendingRequest>,
 }
--- a/crates/replication/src/state.rs
+++ b/crates/replication/src/state.rs
@@ -44,7 +44,7 @@
 }
 
 impl State {
-    /// The hash of all pairs.
+    /// Returns the hash of all key-value pairs.
     pub fn hash(&self) -> ContentHash {
         self.hash
     }
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Applies changes in order.
+    /// Applies the changes in their order.
     pub fn apply(&mut self, changes: &[Change]) {
         for Change { key, value } in changes {
             match value {
--- a/crates/replication/tests/fleet.rs
+++ b/crates/replication/tests/fleet.rs
@@ -105,8 +105,7 @@
     assert!(took <= 8.0, "the change was applied everywhere only after {took} s");
 }
 
-/// A member receives many digests at once, each of which requests entries. It sends no more bytes in answer
-/// than its byte budget allows.
+/// A member that receives many digests at once answers them only as far as its byte budget allows.
 #[test]
 fn digests_beyond_the_budget_of_bytes_are_not_answered() {
     let mut fleet = settled_fleet(layout(), 16);
@@ -331,8 +330,8 @@
     run_until_applied(&mut fleet, &all(), third, 10);
 }
 
-/// A leader whose disk is full has not stored its own entry. It must therefore not count itself towards the
-/// majority that has stored the entry. It commits nothing, and another leader replaces it.
+/// A leader whose disk is full has not stored its own entry, and must not count itself towards a majority
+/// that has. It commits nothing, and another leader replaces it.
 #[test]
 fn a_leader_with_a_full_disk_commits_nothing_and_is_replaced() {
     let mut fleet = settled_fleet(layout(), 11);
--- a/crates/simulator-adapter/src/codec/batch.rs
+++ b/crates/simulator-adapter/src/codec/batch.rs
@@ -100,22 +100,22 @@
         self.u8(0)
     }
 
-    /// Unsigned integer of 8 bits.
+    /// Returns the unsigned 8-bit integer at `offset`.
     pub fn u8(&self, offset: usize) -> u8 {
         self.record[offset]
     }
 
-    /// Unsigned integer of 16 bits.
+    /// Returns the unsigned 16-bit integer at `offset`.
     pub fn u16(&self, offset: usize) -> u16 {
         u16::from_le_bytes(self.bytes(offset))
     }
 
-    /// Unsigned integer of 32 bits.
+    /// Returns the unsigned 32-bit integer at `offset`.
     pub fn u32(&self, offset: usize) -> u32 {
         u32::from_le_bytes(self.bytes(offset))
     }
 
-    /// Unsigned integer of 64 bits.
+    /// Returns the unsigned 64-bit integer at `offset`.
     pub fn u64(&self, offset: usize) -> u64 {
         u64::from_le_bytes(self.bytes(offset))
     }
