--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -133,10 +133,10 @@
         self.anti_entropy_at = self.anti_entropy_at.min(soon);
     }
 
-    /// Sends a verdict, the report that a member is down, about one member of the received list `listed`.
-    /// This member must have recorded it as down in the listed incarnation. If there are several, picks one
-    /// at random. The verdict goes to the picked member and to `from`, the sender of the list. Sending only
-    /// one verdict per list keeps the traffic sent in proportion to the traffic received.
+    /// Picks a random member of the received list `listed` that this member has recorded as down in the
+    /// listed incarnation. Reports to the picked member and to `from`, the sender of the list, that the
+    /// picked member is down. Reporting only one member per list keeps the traffic sent in proportion to the
+    /// traffic received.
     fn send_verdict_on_random_down_member(&mut self, from: &MemberId, listed: &[Member<MemberId>]) {
         let known = self.foca.iter_membership_state();
         let down: HashSet<&MemberId> =
@@ -157,8 +157,8 @@
 
     /// Records the member `id` as suspect after another member reported it down. Does so only if this view
     /// has the member as alive in the same incarnation. If the suspect is running, it refutes the suspicion
-    /// or takes its next incarnation. If it has crashed, the suspicion speeds up the detection: this member's
-    /// own probes can take as many probe periods as there are members.
+    /// or takes its next incarnation. If it has crashed and gossip did not report the crash, the suspicion
+    /// speeds up the detection: this member's own probes can take as many probe periods as there are members.
     fn suspect(&mut self, id: &MemberId) {
         let is_alive = |member: &&Member<MemberId>| member.id() == id && member.state() == State::Alive;
         let alive = self.foca.iter_members().find(is_alive);
--- a/crates/membership/src/messages.rs
+++ b/crates/membership/src/messages.rs
@@ -20,8 +20,8 @@
 /// Maximum number of datagrams that a member sends in answer to one digest or one request. Each datagram
 /// contains a list of members.
 pub const ANSWERS_MAX: usize = 64;
-/// Bytes reserved for the length prefix of a list of members. The prefix of an empty list takes one byte,
-/// which is not part of the reserve. The reserve is one byte larger than needed.
+/// Bytes reserved for the length prefix of a list of members, beyond the one byte that the prefix of an empty
+/// list takes. The reserve is one byte larger than needed.
 const LIST_LENGTH_BYTES: usize = 4;
 
 /// An anti-entropy message together with the identity of its sender.
--- a/crates/membership/src/rejoin.rs
+++ b/crates/membership/src/rejoin.rs
@@ -12,7 +12,7 @@
     /// Time of the next check whether this server knows any other member. If it knows none, it announces
     /// itself to the seeds again. `None` before the join, or if there are no seeds.
     at: Option<Nanos>,
-    /// Delay from one announcement to the seeds to the next. Doubled with each repetition.
+    /// Delay between two announcements to the seeds. Doubled with each repetition, up to the announce period.
     backoff: Nanos,
 }
 
--- a/crates/membership/src/replay_window.rs
+++ b/crates/membership/src/replay_window.rs
@@ -6,8 +6,8 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// Size of a replay window, in sequence numbers. A datagram is rejected if its sequence number is lower than
-/// the highest received number of the same sender by this much or more.
+/// Size of a replay window, in sequence numbers. A datagram is rejected if its sequence number is this much
+/// or more below the highest number received from the same sender.
 const WINDOW: u64 = 64;
 
 /// Replay windows, indexed by the sender's address. The number of windows is limited: when the limit is
@@ -63,8 +63,8 @@
 
     /// Returns whether a datagram from the address `from` is new. Records a new datagram as received. Returns
     /// false for a replay. A datagram with a lower incarnation than one already received from this address
-    /// also counts as a replay. `now` becomes the time of the sender's last activity, by which senders are
-    /// selected for eviction.
+    /// also counts as a replay. In all other cases, `now` is recorded as the time of the sender's last
+    /// activity. The least recently active sender is evicted first.
     pub fn accept(&mut self, from: SocketAddr, incarnation: u64, sequence: u64, now: Nanos) -> bool {
         if !self.windows.contains_key(&from) && self.windows.len() >= self.limit {
             self.evict_oldest();
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -35,8 +35,8 @@
 /// If a member does not answer a direct probe, the prober requests this number of other members to probe it
 /// too (`k` in the SWIM paper).
 const INDIRECT_PROBES: usize = 3;
-/// An update is transmitted this number of times the decimal logarithm of the fleet's size (`lambda` in the
-/// SWIM paper). The fleet's size is the expected number of members plus 1.
+/// Each update is transmitted `TRANSMISSIONS_PER_LOG10 * log10(n)` times, rounded up (`lambda` in the SWIM
+/// paper). `n` is the fleet's size: the expected number of members plus 1.
 const TRANSMISSIONS_PER_LOG10: f64 = 4.0;
 /// A member that was recorded as down is removed from the view after this number of suspicion times. Without
 /// removal, the use of memory would grow with the number of all members that have ever been down.
@@ -69,14 +69,14 @@
     pub announce_period: Nanos,
     /// Budget for datagrams of the membership protocol, in bytes per second. When it is used up, gossip and
     /// lists of members are postponed. Failure detection (probes, their answers and verdicts) is not
-    /// postponed. Gossip in packets of maximum size takes half of the budget. Shared state is not charged to
-    /// the budget.
+    /// postponed. Gossip in packets of maximum size takes at most half of the budget. Shared state is not
+    /// charged to the budget.
     pub bytes_per_second: u64,
 }
 
-/// Reason why a setting is invalid. The message starts with the name of the field, spelled with hyphens. The
-/// message states periods in nanoseconds. In the options file, by contrast, the attribute names contain the
-/// unit (`probe-period-ms`).
+/// Reason why a setting is invalid. The message starts with the name of the setting, spelled with hyphens.
+/// The message states periods in nanoseconds. In the options file, by contrast, the attribute names contain
+/// the unit (`probe-period-ms`).
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
     /// The fleet's name is empty or too long.
@@ -222,7 +222,8 @@
 
     /// Returns the maximum body size of gossip, probes and answers to probes, in bytes. With this limit,
     /// gossip in packets of maximum size takes at most half of the budget of bytes per second. The other half
-    /// is left to probes and lists of members.
+    /// is left to probes and lists of members. The limit is never below [`PACKET_BYTES_MIN`], even if gossip
+    /// then takes more.
     pub(crate) fn gossip_packet_bytes(&self) -> usize {
         let packets_per_second = GOSSIP_MEMBERS as u64 * SECOND_NS.div_ceil(self.gossip_period);
         let datagram_bytes = (self.bytes_per_second / (2 * packets_per_second)) as usize;
--- a/crates/membership/src/simulation/mod.rs
+++ b/crates/membership/src/simulation/mod.rs
@@ -16,7 +16,7 @@
 use std::collections::BinaryHeap;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
-/// UDP port of every simulated member. Their addresses are 127.1.0.0 to 127.1.255.255.
+/// UDP port of every simulated member. The members' addresses are 127.1.0.0 to 127.1.255.255.
 const PORT: u16 = 7000;
 const NETWORK: [u8; 2] = [127, 1];
 
--- a/crates/membership/src/simulation/parallel.rs
+++ b/crates/membership/src/simulation/parallel.rs
@@ -117,8 +117,8 @@
         outcome
     }
 
-    /// Returns the datagrams that arrive before `end`, grouped by receiving member. Also contains, with an
-    /// empty list, each member that receives none but has a deadline before `end`.
+    /// Returns the datagrams that arrive before `end`, grouped by receiving member. A member that receives
+    /// none but has a deadline before `end` is included with an empty list.
     fn arrivals_before(&mut self, end: Nanos) -> BTreeMap<usize, Vec<Arrival>> {
         let mut arrivals: BTreeMap<usize, Vec<Arrival>> = BTreeMap::new();
         while let Some(delivery) = self.network.pop_before(end) {
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -39,8 +39,8 @@
     NetworkConditions { loss: 0.0, delay: MILLISECOND, jitter: MILLISECOND, duplicate: 0.0 }
 }
 
-/// Number of probe periods in the time limit for detecting a crash, as stated in docs/membership.md. After
-/// the suspicion time plus this margin, all members must have recorded the crashed member as down.
+/// Time allowed for detecting a crash beyond the suspicion time, in probe periods. After the suspicion time
+/// plus this margin, all members must have recorded the crashed member as down (docs/membership.md).
 const CRASH_MARGIN_PERIODS: u64 = 8;
 
 #[test_case(1 ; "one")]
@@ -134,8 +134,8 @@
     fleet.cut_one_way(1, 0);
     let t = fleet.now();
     fleet.run_until(t + 60 * SECOND);
-    // During the partition, each half records the members of the other half as down. After 20 s, one or two
-    // members may not have done so; wait for them.
+    // During the partition, each half records the members of the other half as down. After 20 s, all but one
+    // or two members have done so. Wait until all have.
     let _ = fleet.run_until_views_agree(&(0..n / 2).collect::<Vec<_>>(), 100 * MILLISECOND, 30 * SECOND);
     let _ = fleet.run_until_views_agree(&(n / 2..n).collect::<Vec<_>>(), 100 * MILLISECOND, 30 * SECOND);
     let left: Vec<usize> = (0..n / 2).collect();
--- a/crates/simulator-adapter/src/codec/reply.rs
+++ b/crates/simulator-adapter/src/codec/reply.rs
@@ -63,8 +63,8 @@
         (self.selected, self.recorded) = (None, None);
     }
 
-    /// Adds an action of the selected instance. If the previous action belongs to another instance, first
-    /// adds a record that selects this instance.
+    /// Adds an action of the selected instance. If this is the reply's first action, or the previous action
+    /// belongs to another instance, first adds a record that selects the instance.
     fn push(&mut self, code: u8, fields: &[&[u8]]) {
         if self.recorded != self.selected {
             self.recorded = self.selected;
@@ -87,8 +87,9 @@
     }
 }
 
-/// Converts a duration to whole microseconds. Rounds up, so that nothing expires early. The protocol's
-/// maximum is [`u32::MAX`] microseconds (71 minutes); a longer duration is reduced to it.
+/// Converts a duration to whole microseconds. Rounds up, so that no timer or time limit expires early. The
+/// protocol's maximum is [`u32::MAX`] microseconds (71 minutes). A longer duration is reduced to this
+/// maximum.
 fn micros(duration: Nanos) -> [u8; 4] {
     u32::try_from(duration.div_ceil(NS_PER_US)).unwrap_or(u32::MAX).to_le_bytes()
 }
--- a/crates/simulator-adapter/src/codec/tests.rs
+++ b/crates/simulator-adapter/src/codec/tests.rs
@@ -5,7 +5,7 @@
 use super::*;
 use meadowstream_overload_control::{Host, Outcome};
 
-/// Returns an encoded batch with the given header fields and body. Its simulated time is 7 µs.
+/// Returns an encoded batch with the given header fields and body. The simulated time of the batch is 7 µs.
 fn batch(count: u32, len: u32, body: &[u8]) -> Vec<u8> {
     [&count.to_le_bytes(), &len.to_le_bytes(), &7u64.to_le_bytes()[..], body].concat()
 }
--- a/crates/simulator-adapter/src/instances.rs
+++ b/crates/simulator-adapter/src/instances.rs
@@ -79,8 +79,8 @@
         Ok(Gauges { utilization: reading(self.utilization_gauge)?, runnable: reading(self.runnable_gauge)? })
     }
 
-    /// Passes an event to the instance's controller. The events that start and end an instance are ignored
-    /// here.
+    /// Passes an event to the instance's controller. Ignores the events that start and end an instance:
+    /// `Instances::handle_record` handles these events.
     fn handle(&mut self, event: Event, now: Nanos, reply: &mut Reply) -> Result<(), InstanceError> {
         match event {
             Event::Arrived { arrival } => {
@@ -104,7 +104,8 @@
     }
 }
 
-/// All simulated servers. The index in the list is the number of the instance.
+/// All simulated servers, indexed by the number of the instance. An entry is `None` if no instance with this
+/// number is running.
 #[derive(Default)]
 pub struct Instances {
     slots: Vec<Option<Instance>>,
--- a/crates/simulator-adapter/tests/frames.rs
+++ b/crates/simulator-adapter/tests/frames.rs
@@ -93,8 +93,8 @@
     record(90, &[])
 }
 
-/// Returns an encoded batch with the given records and tail. `clock_us` is its simulated time, in
-/// microseconds.
+/// Returns an encoded batch with the given records and tail. `clock_us` is the simulated time of the batch,
+/// in microseconds.
 fn frame(clock_us: u64, records: &[Vec<u8>], tail: &str) -> Vec<u8> {
     let body = [records.concat().as_slice(), tail.as_bytes()].concat();
     let length = 16 + body.len() as u32;
@@ -102,8 +102,7 @@
     [header.as_slice(), &clock_us.to_le_bytes(), &body].concat()
 }
 
-/// Returns batches that contain every kind of event. One instance may receive such events within a few
-/// seconds.
+/// Returns batches with every kind of event for one instance, within a few seconds of simulated time.
 fn input() -> Vec<Vec<u8>> {
     let overload = |first: u64| (first..first + 40).map(|id| arrived(id, (id % 3) as u8, 200, 0));
     let with_instance = |records: Vec<Vec<u8>>| [vec![select_instance(3)], records].concat();
