--- a/crates/replication/src/codec.rs
+++ b/crates/replication/src/codec.rs
@@ -37,8 +37,8 @@
             Message::Submit { request, changes, .. } => {
                 is_name(&request.from) && changes.iter().all(|change| change.check().is_ok())
             }
-            // Entries need no check here: the acceptor and the committed log check them when they append
-            // them.
+            // Entries need no check here: the acceptor and the committed log check each entry when they
+            // append it.
             Message::Promise { .. } | Message::Append { .. } => true,
             // Key-value pairs need no check here: `SnapshotTransfer` checks them when it adds them to its
             // state. The key `after` needs no check either, since it is only compared with other keys.
--- a/crates/replication/src/committed_log.rs
+++ b/crates/replication/src/committed_log.rs
@@ -51,7 +51,7 @@
     },
 }
 
-/// Result of appending an entry to the committed log, if the entry is valid.
+/// Result of an attempt to append an entry to the committed log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AppendOutcome {
     /// The entry was appended.
@@ -223,7 +223,7 @@
 
     /// Returns the snapshot to offer to a member that lacks entries which this member no longer holds. This
     /// is the newest checkpoint. If no checkpoint was taken since the start, it is the snapshot with which
-    /// this member's log started.
+    /// this member's log started, or `None` if the log started empty.
     pub fn newest_checkpoint(&self) -> Option<&Snapshot> {
         let base = Some(&self.base).filter(|base| base.number() > 0);
         self.checkpoints[0].as_ref().or(base)
--- a/crates/replication/src/entry.rs
+++ b/crates/replication/src/entry.rs
@@ -5,8 +5,8 @@
 use crate::revision::{Position, Revision};
 use serde::{Deserialize, Serialize};
 
-/// Maximum number of parts in which an operator may submit a change. The number of log entries of the change
-/// is not limited by this: the leader joins the parts and splits the change into entries again.
+/// Maximum number of parts in which an operator may submit a change. The limit does not apply to the log
+/// entries of the change: the leader joins the parts and splits the change into entries again.
 pub const PARTS_MAX: u32 = 96;
 /// Maximum length of an encoded entry, in bytes.
 pub const ENTRY_BYTES_MAX: usize = 900;
@@ -44,8 +44,8 @@
         postcard::experimental::serialized_size(self).unwrap_or(usize::MAX)
     }
 
-    /// Returns whether the encoded entry is not too long, and all its changes have keys and values of allowed
-    /// lengths.
+    /// Returns whether the encoded entry takes at most [`ENTRY_BYTES_MAX`] bytes, and all its changes have
+    /// keys and values of allowed lengths.
     pub fn is_within_bounds(&self) -> bool {
         self.size() <= ENTRY_BYTES_MAX && self.changes.iter().all(|change| change.check().is_ok())
     }
--- a/crates/replication/src/member/gossip.rs
+++ b/crates/replication/src/member/gossip.rs
@@ -1,6 +1,6 @@
-//! Gossip of committed entries between members. A member that receives a new entry pushes it to a few other
-//! members. In addition, every member regularly requests missing entries from a random member (a pull). Pulls
-//! repair missed pushes (anti-entropy).
+//! Gossip of committed entries between members. A member that receives a new entry by a push pushes the entry
+//! on to a few other members. In addition, every member regularly requests missing entries from a random
+//! member (a pull). Pulls repair missed pushes (anti-entropy).
 
 use super::{EntrySource, Member};
 use crate::entry::Entry;
@@ -162,7 +162,7 @@
     /// Appends received entries to the log. If some entries were new and the sender pushed them, pushes them
     /// on to other members of the zone. If some were new but not pushed, requests further entries from the
     /// sender. If no entry could be appended because earlier entries are missing, requests the missing
-    /// entries.
+    /// entries from the sender.
     fn on_entries(
         &mut self,
         now: Nanos,
--- a/crates/replication/src/member/mod.rs
+++ b/crates/replication/src/member/mod.rs
@@ -64,7 +64,7 @@
     /// This member's replica is the leader, and it found that a majority of the replicas has stored the
     /// entries.
     OwnMajority,
-    /// Another member sent the entries as committed. It sent them by gossip or as the leader.
+    /// Another member sent the entries as committed, by gossip or as the leader.
     OtherMember,
 }
 
@@ -195,9 +195,10 @@
     }
 
     /// Returns the longest time for which this member may have missed a new revision, in nanoseconds. This is
-    /// the time since the leader's latest freshness statement for which this member has all entries up to the
-    /// number in the statement. `None` if there was no such statement yet. The statement has the time of the
-    /// leader's clock, so the result includes the difference between the two clocks. It is never negative.
+    /// the time since the latest freshness statement of the leader that this member has adopted. A member
+    /// adopts a statement only if it holds all entries up to the number in the statement. `None` if it has
+    /// adopted none yet. The statement has the time of the leader's clock, so the result includes the
+    /// difference between the two clocks. The result is never negative.
     pub fn age(&self, now: Nanos) -> Option<Nanos> {
         let stated_at = self.freshness.at_ms * MILLISECOND_NS;
         (stated_at > 0).then(|| now.saturating_sub(stated_at))
--- a/crates/replication/src/member/reports.rs
+++ b/crates/replication/src/member/reports.rs
@@ -8,8 +8,8 @@
 
 /// Interval between two regular reports of a member to the leader.
 pub(super) const REPORT_INTERVAL_NS: Nanos = 10 * SECOND_NS;
-/// Maximum delay between the applying or rejecting of a revision and the report about it. The delay is
-/// random, so that members do not all report at the same time.
+/// Maximum delay of the report about a newly applied or rejected revision. The delay is random, so that
+/// members do not all report at the same time.
 const REPORT_WITHIN_NS: Nanos = 200 * MILLISECOND_NS;
 
 impl Member {
@@ -26,8 +26,8 @@
         self.report_soon(now);
     }
 
-    /// Schedules the next report soon, within [`REPORT_WITHIN_NS`]. Called after a revision is applied or
-    /// rejected, so that the leader learns of it before the next regular report.
+    /// Schedules the next report within [`REPORT_WITHIN_NS`]. Called after a revision is applied or rejected,
+    /// so that the leader receives the result before the next regular report.
     fn report_soon(&mut self, now: Nanos) {
         self.report_due = self.report_due.min(now + self.rng.next_u64() % REPORT_WITHIN_NS);
     }
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -22,8 +22,8 @@
 /// Maximum length of the reason for which a member rejects a revision, in bytes.
 pub const REASON_BYTES_MAX: usize = 200;
 
-/// A statement of the leader about the number of the last entry in its committed log at a given time. Members
-/// use it to find out whether they hold the newest entries.
+/// States the number of the last entry in the leader's committed log at a given time. By the leader's
+/// statement, members find out whether they hold the newest entries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Freshness {
     /// Time at which the leader made the statement, in Unix milliseconds of the leader's clock. The value 0
@@ -156,7 +156,7 @@
         after: Option<Text>,
         /// The pairs, ordered by key.
         pairs: Vec<Pair>,
-        /// Whether the checkpoint has no further pairs after these.
+        /// Whether these are the last pairs of the checkpoint.
         last: bool,
     },
     /// Reports to the leader which revisions the sender has applied or rejected.
@@ -168,8 +168,8 @@
     },
     /// Sent by the leader to request a report from a member.
     PollReport,
-    /// Between replicas: a candidate for leadership requests a promise of its epoch, and log entries, from
-    /// the receiver.
+    /// Between replicas: a candidate for leadership requests that the receiver promises the candidate's epoch
+    /// and sends entries of its log.
     Prepare {
         /// The candidate's epoch.
         epoch: u64,
@@ -248,7 +248,7 @@
         /// Outcome of the request.
         outcome: RequestOutcome,
     },
-    /// Answers an operator's request at a replica that is not the leader.
+    /// Sent by a replica that is not the leader, in answer to an operator's request.
     NotLeader {
         /// Identifier of the request that this message answers.
         request: RequestId,
@@ -267,10 +267,10 @@
         request: RequestId,
         /// Number of the newest revision of the configuration. All entries of its last change are committed.
         number: u64,
-        /// Number of members that participate in replication, including those that lag.
+        /// Number of members that participate in replication, including those that lag. The leader itself and
+        /// the sender of the request are not counted.
         members: u32,
-        /// Number of members that have applied the newest revision, among those that participate in
-        /// replication.
+        /// Number of members that have applied the newest revision, among those counted in `members`.
         applied: u32,
         /// Members that have not applied the newest revision, among those that participate in replication.
         /// The list has at most eight members.
--- a/crates/replication/src/peers.rs
+++ b/crates/replication/src/peers.rs
@@ -9,8 +9,7 @@
 
 /// Interval at which the locations of members that are no longer alive are removed.
 const FORGET_INTERVAL_NS: Nanos = 60 * SECOND_NS;
-/// Limit on the random draws when a sample of members is selected: at most this many draws for each member
-/// that the sample is to contain.
+/// Maximum number of random draws per requested member when a sample of members is selected.
 const DRAWS_PER_MEMBER: usize = 8;
 
 /// The alive members of the fleet, and their locations as far as known. A location is learned from messages
--- a/crates/replication/src/replica/acceptor.rs
+++ b/crates/replication/src/replica/acceptor.rs
@@ -35,8 +35,8 @@
         self.send(from, Message::Promise { epoch, last, after, entries });
     }
 
-    /// Stores entries that the leader sent. Returns those stored entries that the leader reports as
-    /// committed, in ascending order.
+    /// Stores entries that the leader sent. Returns the stored entries that the leader reports as committed,
+    /// in ascending order.
     pub(super) fn on_append(&mut self, from: &str, request: AppendRequest, log: &CommittedLog) -> Vec<Entry> {
         let AppendRequest { epoch, previous, entries, committed } = request;
         if epoch < self.promised {
--- a/crates/replication/src/replica/election.rs
+++ b/crates/replication/src/replica/election.rs
@@ -17,8 +17,8 @@
 /// starts a new election with a later epoch.
 const REPEATS_MAX: u32 = 10;
 
-/// What the candidate has received of the log of a replica that has promised the candidate's epoch. A long
-/// log is received in several messages.
+/// The log of a replica that has promised the candidate's epoch, as far as the candidate has received it. A
+/// long log is received in several messages.
 #[derive(Debug)]
 struct PromisedLog {
     /// Position of the last entry in the log of the promising replica.
@@ -72,8 +72,8 @@
 }
 
 impl Replica {
-    /// Returns the next epoch that this replica may choose in an election. Of `n` replicas, each uses every
-    /// n-th number. Two replicas therefore never choose the same epoch.
+    /// Returns the next epoch that this replica may choose in an election. Each of the `n` replicas uses
+    /// every n-th number, so two replicas never choose the same epoch.
     fn next_epoch(&self) -> u64 {
         let count = self.replicas.len() as u64;
         let own = self.replicas.iter().position(|replica| *replica == self.name).unwrap_or(0) as u64;
--- a/crates/replication/src/replica/leader.rs
+++ b/crates/replication/src/replica/leader.rs
@@ -18,7 +18,7 @@
 /// message is a heartbeat without entries.
 const HEARTBEAT_NS: Nanos = SECOND_NS;
 
-/// What the leader knows about how far a replica has stored the leader's log.
+/// How far a replica has stored the leader's log, as known to the leader.
 #[derive(Debug, Default)]
 struct FollowerProgress {
     /// Number of the last entry up to which the replica has stored the leader's log; `None` if not known yet.
@@ -140,8 +140,8 @@
         }
     }
 
-    /// Sends a replica the entries after number `matched`. The replica's log is known to be equal to the
-    /// leader's log up to this number.
+    /// Sends a replica the entries after number `matched`, as many as fit into one message. The replica
+    /// rejects the message if its log does not contain the entry directly before these entries.
     fn send_append(&mut self, replica: &str, matched: u64, log: &CommittedLog) {
         // If the leader no longer holds entry number `matched`, send only the uncommitted entries. The
         // replica receives the missing committed entries by gossip, like every member.
--- a/crates/replication/src/replica/mod.rs
+++ b/crates/replication/src/replica/mod.rs
@@ -27,7 +27,7 @@
 use election::{Candidate, Promise};
 use leader::Leader;
 
-/// Time after which a replica repeats a request to another replica that was not answered.
+/// Time after which a replica repeats an unanswered request to another replica.
 const REPEAT_AFTER_NS: Nanos = 300 * MILLISECOND_NS;
 /// Maximum total size of the entries in one message between replicas, in bytes. It is larger than the longest
 /// entry. With the message header, it stays within [`crate::message::BODY_BYTES_MAX`]: the header takes at
@@ -114,8 +114,8 @@
         }
     }
 
-    /// Restores the state of the replica from disk. The committed entries are not part of it; the member
-    /// restores them in its committed log.
+    /// Restores the state of the replica from disk. The member restores the committed entries separately, in
+    /// its committed log.
     pub fn restore(&mut self, promised: u64, uncommitted: Vec<Entry>) {
         self.promised = promised;
         self.uncommitted = uncommitted;
@@ -135,8 +135,8 @@
         self.replicas.len() / 2 + 1
     }
 
-    /// Returns whether this replica considers itself the leader. It does if a majority has promised its
-    /// epoch, and it has not learned of a later epoch.
+    /// Returns whether this replica considers itself the leader: a majority has promised its epoch, and it
+    /// has not learned of a later epoch.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
@@ -165,9 +165,9 @@
         }
     }
 
-    /// Adapts the uncommitted entries to a committed log that has grown, and drops entries whose numbers are
-    /// now committed. This replica may have stored a different entry under the number of the last committed
-    /// entry. Then it drops all uncommitted entries and becomes a follower.
+    /// Updates the uncommitted entries after the committed log has grown, through this replica or by gossip.
+    /// Drops entries whose numbers are now committed. If this replica holds no entry, or a different entry,
+    /// under the number of the last committed entry, it drops all uncommitted entries and becomes a follower.
     pub fn follow(&mut self, log: &CommittedLog) {
         let end = log.revision().position;
         let Some(first) = self.uncommitted.first() else { return };
--- a/crates/replication/src/simulation/event_queue.rs
+++ b/crates/replication/src/simulation/event_queue.rs
@@ -8,7 +8,7 @@
 /// An event with its time.
 struct Scheduled<E> {
     at: Nanos,
-    /// Unique number of the event. Events with equal times are ordered by it.
+    /// Unique number of the event. Events with equal times are ordered by this number.
     sequence: u64,
     event: E,
 }
--- a/crates/replication/src/snapshot_transfer.rs
+++ b/crates/replication/src/snapshot_transfer.rs
@@ -29,8 +29,8 @@
     /// Revision of the checkpoint.
     target: Revision,
     /// The member to which the next request is sent. This is the member that sent the last chunk or, before
-    /// the first chunk, the member that offered the checkpoint. `None` after this member has left a request
-    /// unanswered.
+    /// the first chunk, the member that offered the checkpoint. `None` after the member in this field has
+    /// left a request unanswered.
     source: Option<String>,
     /// Number of requests sent since the last chunk was received.
     attempts: u32,
@@ -125,7 +125,7 @@
             self.state.set(&pair.key, &pair.value);
             self.after = Some(pair.key.clone());
         }
-        // Send the next request to the member that answered the last one. This member holds the checkpoint,
+        // Send the next request to the member that answered the last one. That member holds the checkpoint,
         // and most other members do not.
         self.source = self.pending.take().map(|pending| pending.source);
         self.attempts = 0;
--- a/crates/replication/tests/fleet.rs
+++ b/crates/replication/tests/fleet.rs
@@ -330,8 +330,8 @@
     run_until_applied(&mut fleet, &all(), third, 10);
 }
 
-/// A leader whose disk is full has not stored its own entry, and must not count itself towards a majority
-/// that has. It commits nothing, and another leader replaces it.
+/// A leader whose disk is full has not stored its own entry, and must not count itself towards the majority
+/// that has stored the entry. It commits nothing, and another leader replaces it.
 #[test]
 fn a_leader_with_a_full_disk_commits_nothing_and_is_replaced() {
     let mut fleet = settled_fleet(layout(), 11);
@@ -353,9 +353,9 @@
     run_until_applied(&mut fleet, &rest, number, 10);
 }
 
-/// Some servers reject a revision, as older servers do that do not know an element of the configuration. They
-/// keep their last revision, while the other servers apply the new one. A later revision that no server
-/// rejects is applied by all servers.
+/// Some servers reject a revision, like older servers that do not know an element of the configuration. These
+/// servers keep their last revision, while the other servers apply the new revision. A later revision that no
+/// server rejects is applied by all servers.
 #[test]
 fn servers_that_reject_a_revision_keep_their_last_one() {
     let mut fleet = settled_fleet(layout(), 12);
@@ -511,9 +511,9 @@
     assert!(all().iter().all(|node| state(&fleet, *node) == state(&fleet, 0)));
 }
 
-/// Three replicas restart from their disks at random times, and several may hold the lease at once. After a
-/// restart, a replica must still have all entries that it has acknowledged and the epoch that it has
-/// promised. Otherwise, two different contents could be committed under one number.
+/// Three replicas without servers restart from their disks at random times, and several may hold the lease at
+/// once. After a restart, a replica must still have all entries that it has acknowledged and the epoch that
+/// it has promised. Otherwise, two different contents could be committed under one number.
 #[test]
 fn three_replicas_restarted_at_any_moment_never_commit_two_contents() {
     let (mut committed, mut leaders) = (0, 0);
--- a/crates/replication/tests/snapshot_transfer.rs
+++ b/crates/replication/tests/snapshot_transfer.rs
@@ -1,4 +1,4 @@
-//! Tests of the transfer of a checkpoint: from which member the next chunk is requested.
+//! Tests of the transfer of a checkpoint. They check from which member the next chunk is requested.
 
 use meadowstream_replication::revision::{Position, Revision};
 use meadowstream_replication::snapshot_transfer::{ChunkOutcome, SnapshotTransfer};
--- a/crates/simulator-adapter/src/codec/event.rs
+++ b/crates/simulator-adapter/src/codec/event.rs
@@ -14,7 +14,8 @@
     pub const CALLER_GONE: u8 = 70;
     pub const TIMER: u8 = 80;
     pub const ENDED: u8 = 90;
-    /// Not an event: selects the instance (simulated server) that the following event records refer to.
+    /// Code of a record that is not an event. The record selects the instance (simulated server) that the
+    /// following event records refer to.
     pub const INSTANCE: u8 = 100;
 }
 
@@ -23,10 +24,11 @@
     pub const INSTANCE: usize = 1;
     pub const SEED: usize = 1;
     pub const SETTINGS: usize = 9;
-    /// Identifier of the invocation, in all records of events that concern an invocation.
+    /// Offset of the invocation's identifier. Applies to the records of all events that concern an
+    /// invocation.
     pub const ID: usize = 1;
     pub const OUTCOME: usize = 9;
-    /// Duration of a downstream call.
+    /// Offset of the duration of a downstream call.
     pub const CALL_DURATION: usize = 11;
     pub const DRAIN_GRACE: usize = 1;
     pub const TIMER: usize = 1;
--- a/crates/simulator-adapter/src/codec/reply.rs
+++ b/crates/simulator-adapter/src/codec/reply.rs
@@ -18,7 +18,8 @@
     pub const FORGET_KEY: u8 = 60;
     pub const FAIL: u8 = 70;
     pub const ADVERTISE_LOAD: u8 = 80;
-    /// Not an action: selects the instance (simulated server) that the following action records belong to.
+    /// Code of a record that is not an action. The record selects the instance (simulated server) that the
+    /// following action records belong to.
     pub const INSTANCE: u8 = 90;
     pub const SKIP_CALL: u8 = 100;
     pub const START_RUN: u8 = 110;
