--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -199,8 +199,9 @@
     }
 
     /// Announces this server to a random seed that is not alive or suspect in this view. Members recorded as
-    /// down are removed from the view after some time. If a partition lasts longer, the two parts of the
-    /// fleet no longer know each other, and rediscover each other only through the seeds.
+    /// down are removed from the view after some time. After a partition that lasts longer than this time,
+    /// the two parts of the fleet no longer know each other. They rediscover each other only through the
+    /// seeds.
     fn announce_to_unknown_seed(&mut self) {
         let known: HashSet<SocketAddr> = self.foca.iter_members().map(|member| member.id().addr).collect();
         let seeds = self.rejoin.seeds.iter().copied();
--- a/crates/membership/src/directory.rs
+++ b/crates/membership/src/directory.rs
@@ -31,7 +31,8 @@
 }
 
 impl Directory {
-    /// Rebuilds the directory if the view has changed. Returns whether the directory was rebuilt.
+    /// Rebuilds the directory if the view has changed or the directory has reached the age `AGE_MAX_NS`.
+    /// Returns whether the directory was rebuilt.
     pub fn refresh(&mut self, membership: &Membership, now: Nanos) -> bool {
         let (last_change, active_members) = (membership.last_change(), membership.active_members());
         let is_current = self.built_from.as_ref().is_some_and(|version| {
--- a/crates/membership/src/messages.rs
+++ b/crates/membership/src/messages.rs
@@ -81,7 +81,7 @@
 
 /// Encodes `members` as [`AntiEntropyPayload::Members`] messages of at most `body_max` bytes each. The first
 /// message also carries `requested_buckets`. At most [`ANSWERS_MAX`] messages are returned. Members that do
-/// not fit into them are omitted, and are sent in a later exchange.
+/// not fit into these messages are omitted, and are sent in a later exchange.
 pub fn encode_members(
     from: &MemberId,
     requested_buckets: u64,
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -118,7 +118,7 @@
         /// The configured size, in bytes.
         actual: usize,
     },
-    /// The budget of bytes per second is too small: it must allow four datagrams of maximum size.
+    /// The budget of bytes per second is too small: it must allow four datagrams of maximum size per second.
     #[error("bytes-a-second: {min} at least with packets of {packet_max}, not {actual}")]
     BytesPerSecond {
         /// The configured budget, in bytes per second.
--- a/crates/membership/src/simulation/mod.rs
+++ b/crates/membership/src/simulation/mod.rs
@@ -75,7 +75,7 @@
         self.processes.len()
     }
 
-    /// Whether the fleet has no members.
+    /// Returns true if the fleet has no members.
     pub fn is_empty(&self) -> bool {
         self.processes.is_empty()
     }
--- a/crates/membership/src/simulation/network.rs
+++ b/crates/membership/src/simulation/network.rs
@@ -20,8 +20,8 @@
     pub duplicate: f64,
 }
 
-/// A datagram in flight. Datagrams are delivered in the order of their arrival times; equal arrival times
-/// keep the order of sending.
+/// A datagram in flight. Datagrams are delivered in the order of their arrival times. Datagrams with the same
+/// arrival time are delivered in the order in which they were sent.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Delivery {
     pub(super) at: Nanos,
--- a/crates/membership/src/simulation/process.rs
+++ b/crates/membership/src/simulation/process.rs
@@ -69,8 +69,8 @@
         self.membership.as_ref().map_or(self.incarnation, |membership| membership.identity().incarnation)
     }
 
-    /// Handles a datagram and returns true. If the process is stalled, buffers the datagram instead and
-    /// returns false; if the process does not exist, returns false.
+    /// Handles a datagram, and returns whether the datagram was handled. A stalled process buffers the
+    /// datagram instead. If the process does not exist, the datagram is lost.
     pub(super) fn receive(&mut self, from: SocketAddr, datagram: Vec<u8>, now: Nanos) -> bool {
         let Some(membership) = self.membership.as_mut() else { return false };
         if !self.is_stalled {
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -112,8 +112,8 @@
 fn views_agree_after_a_one_way_partition_heals() {
     let n = 6;
     let (mut fleet, all) = agreed_fleet(n, 6);
-    // One-way partition: member 5 receives datagrams from the other members, but the others receive none from
-    // it.
+    // One-way partition: member 5 receives datagrams from the other members, but the other members receive no
+    // datagrams from member 5.
     fleet.assign_group(5, 1);
     fleet.cut_one_way(1, 0);
     let t = fleet.now();
--- a/crates/replication/src/member/control.rs
+++ b/crates/replication/src/member/control.rs
@@ -27,7 +27,8 @@
     freshness_due: Nanos,
     /// Time at which the leader next polls lagging members for reports.
     poll_due: Nanos,
-    /// Number of the last entry of the last complete change on this control machine's disk.
+    /// Number of the last complete change on this control machine's disk. A change has the number of its last
+    /// entry.
     persisted_number: u64,
 }
 
@@ -55,7 +56,7 @@
 }
 
 impl Member {
-    /// Performs the work of a control machine that is due. Does nothing on a server.
+    /// Performs the due work of a control machine. Does nothing on a server.
     pub(super) fn advance_control(&mut self, now: Nanos) {
         let Some(control) = &mut self.control else { return };
         control.replica.advance(now, &self.log);
@@ -93,8 +94,8 @@
         self.send_replica_messages();
     }
 
-    /// Sends the replica's queued messages. Sends nothing while the state that the messages depend on is not
-    /// on disk yet.
+    /// Sends the replica's queued messages. Sends nothing until the state on which the messages depend is on
+    /// disk.
     fn send_replica_messages(&mut self) {
         let Some(control) = &mut self.control else { return };
         if control.replica.is_unsaved() {
@@ -113,8 +114,8 @@
         let committed = control.replica.receive(now, from, message, &self.log);
         if is_from_leader {
             // The sender may be the leader of an earlier epoch. This does no harm, because the `leader` field
-            // is only a hint about where to send reports and operators' requests. If such a request arrives
-            // at a replica that is not the leader, the replica answers with the leader that it knows.
+            // is only a hint about where to send reports and operators' requests. If an operator's request
+            // arrives at a replica that is not the leader, the replica answers with the leader that it knows.
             self.leader = Some(from.to_string());
         }
         self.append_committed(now, &committed, EntrySource::OtherMember);
--- a/crates/replication/src/member/gossip.rs
+++ b/crates/replication/src/member/gossip.rs
@@ -10,8 +10,8 @@
 
 /// Number of members per zone to which the leader pushes newly committed entries.
 const LEADER_FANOUT: usize = 2;
-/// Number of members to which a member that is not the leader pushes new entries. All of them are in its own
-/// zone.
+/// Number of members to which a member pushes new entries within its own zone. The leader instead pushes
+/// newly committed entries to [`LEADER_FANOUT`] members of each zone.
 const ZONE_FANOUT: usize = 3;
 /// A member's pulls usually go to a member of its own zone. On average, one in this many pulls goes to a
 /// random member of the whole fleet instead.
@@ -20,8 +20,8 @@
 const ANSWER_MESSAGES_MAX: usize = 3;
 /// Tolerated age difference between two [`Freshness`] statements, in milliseconds. Such a statement tells
 /// where the leader's log ended at a given time. If the statement in a received digest is older than the
-/// receiver's own by more than this, the receiver answers with its own digest, which contains the newer
-/// statement.
+/// receiver's own by more than this difference, the receiver answers with its own digest, which contains the
+/// newer statement.
 const FRESHNESS_LAG_MS: u64 = 1_500;
 /// Maximum total size of the entries in one [`Message::Entries`], in bytes. The rest of the message is left
 /// for its other fields: the leader's name, a flag and a number.
@@ -82,8 +82,8 @@
     }
 
     /// Picks a random member for a pull or a transfer. Usually, the member is in this member's zone.
-    /// Sometimes, or if no other member of the zone is known, it is picked from the whole fleet. Without such
-    /// picks, entries would not spread between zones by pulls.
+    /// Sometimes, or if no other member of the zone is known, the member is picked from the whole fleet.
+    /// Without such picks, entries would not spread between zones by pulls.
     pub(super) fn pick_neighbour(&mut self) -> Option<String> {
         let anywhere = self.rng.next_u64().is_multiple_of(PULL_ANYWHERE_EVERY);
         if !anywhere {
@@ -118,9 +118,9 @@
         }
     }
 
-    /// Answers a digest. If the sender lacks entries, sends these entries. Otherwise, if the sender wants a
-    /// reply, sends this member's own digest, but only if this member lacks entries or has a newer freshness
-    /// statement.
+    /// Answers a digest. If the sender lacks entries, sends these entries. Otherwise, a sender that wants a
+    /// reply receives this member's own digest in two cases: this member lacks entries, or its freshness
+    /// statement is newer than the sender's by more than [`FRESHNESS_LAG_MS`].
     fn answer_digest(
         &mut self,
         from: &str,
@@ -159,10 +159,10 @@
         }
     }
 
-    /// Appends received entries to the log. If some entries were new and the sender pushed them, pushes them
-    /// on to other members of the zone. If some were new but not pushed, requests further entries from the
-    /// sender. If no entry could be appended because earlier entries are missing, requests the missing
-    /// entries from the sender.
+    /// Appends received entries to the log. If some entries were new and the sender pushed them, pushes the
+    /// new entries on to other members of the zone. If some were new but not pushed, requests further entries
+    /// from the sender. If no entry could be appended because earlier entries are missing, requests the
+    /// missing entries from the sender.
     fn on_entries(
         &mut self,
         now: Nanos,
--- a/crates/replication/src/member/mod.rs
+++ b/crates/replication/src/member/mod.rs
@@ -58,11 +58,10 @@
     pub transfers: u64,
 }
 
-/// The way in which this member learned that the entries it appends are committed.
+/// How this member learned that the entries are committed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EntrySource {
-    /// This member's replica is the leader, and it found that a majority of the replicas has stored the
-    /// entries.
+    /// This member's replica, as the leader, found that a majority of the replicas has stored the entries.
     OwnMajority,
     /// Another member sent the entries as committed, by gossip or as the leader.
     OtherMember,
--- a/crates/replication/src/member/operator.rs
+++ b/crates/replication/src/member/operator.rs
@@ -41,8 +41,8 @@
     Propose(#[from] ProposeError),
 }
 
-/// Returns the change that reverts the change whose last entry is `number`. Each key that the change set or
-/// removed gets its previous value again, or is removed if it had none.
+/// Returns the change that reverts the change whose last entry is `number`. Each key that this earlier change
+/// modified gets its previous value again, or is removed if it had none.
 fn revert(log: &CommittedLog, number: u64) -> Result<Vec<Change>, RevertError> {
     let entries = log.change_at(number).ok_or(RevertError::NotHeld { number })?;
     let first = entries.first().map_or(number, |entry| entry.number());
--- a/crates/replication/src/member/snapshot_fetch.rs
+++ b/crates/replication/src/member/snapshot_fetch.rs
@@ -1,5 +1,5 @@
-//! Transfer of checkpoints between members. A member that needs entries which the other members no longer
-//! hold fetches a checkpoint. The other members serve the checkpoint in chunks.
+//! Transfer of checkpoints between members. A member fetches a checkpoint if it needs entries that the other
+//! members no longer hold. The other members serve the checkpoint in chunks.
 
 use super::Member;
 use crate::change::KEY_BYTES_MAX;
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -1,6 +1,6 @@
 //! Messages between members, encoded in bodies of at most [`BODY_BYTES_MAX`] bytes. The datagram layer
-//! authenticates senders, but limits on the content are still checked. Some are checked when a message is
-//! decoded (`codec`), others where its content is used.
+//! authenticates senders, but the limits on the content are checked as well: some limits when a message is
+//! decoded (`codec`), the others where the content is used.
 //!
 //! The order and types of variants and fields must never change, because the encoding identifies them by
 //! position.
@@ -38,7 +38,7 @@
 pub struct Location {
     /// Name of the region.
     pub region: String,
-    /// Name of the zone. It identifies the zone within its region.
+    /// Name of the zone, unique within the region.
     pub zone: String,
 }
 
@@ -109,15 +109,15 @@
     Digest {
         /// Number of the last entry in the sender's committed log.
         number: u64,
-        /// The latest statement of the leader about the end of its log, as far as the sender has adopted one.
+        /// The latest freshness statement of the leader that the sender has adopted; all zero if none.
         freshness: Freshness,
         /// Region and zone of the sender.
         location: Location,
         /// Names of some other members of the sender's zone. By these names, the members of a zone discover
         /// each other.
         neighbours: Vec<String>,
-        /// Whether the sender wants the receiver's digest in reply. The receiver sends one if it holds fewer
-        /// entries than the sender or has a newer freshness statement.
+        /// Whether the sender wants the receiver's digest in reply. The receiver sends its digest only if it
+        /// holds fewer entries than the sender or has a newer freshness statement.
         wants_reply: bool,
     },
     /// Transfers committed entries.
@@ -168,8 +168,8 @@
     },
     /// Sent by the leader to request a report from a member.
     PollReport,
-    /// Between replicas: a candidate for leadership requests that the receiver promises the candidate's epoch
-    /// and sends entries of its log.
+    /// Between replicas: a candidate for leadership requests two things from the receiver: a promise of the
+    /// candidate's epoch, and entries of the receiver's log.
     Prepare {
         /// The candidate's epoch.
         epoch: u64,
--- a/crates/replication/src/peers.rs
+++ b/crates/replication/src/peers.rs
@@ -1,4 +1,5 @@
-//! The other members of the fleet with their regions and zones. Gossip selects its receivers from them.
+//! The other members of the fleet with their regions and zones. Gossip selects its receivers from these
+//! members.
 
 use crate::message::Location;
 use crate::time::{Nanos, SECOND_NS};
--- a/crates/replication/src/progress.rs
+++ b/crates/replication/src/progress.rs
@@ -47,12 +47,12 @@
     }
 }
 
-/// What this replica knows about the progress of each member in applying revisions.
+/// The progress of each member in applying revisions, as known to this replica.
 #[derive(Debug, Default)]
 pub struct ProgressTracker {
     members: BTreeMap<String, MemberProgress>,
-    /// For each of the latest revisions, by its number: the time at which this replica learned that it was
-    /// committed.
+    /// Commit times of the latest revisions, by revision number. A commit time is the time at which this
+    /// replica learned that the revision was committed.
     committed_at: BTreeMap<u64, Nanos>,
 }
 
--- a/crates/replication/src/replica/election.rs
+++ b/crates/replication/src/replica/election.rs
@@ -13,8 +13,8 @@
 use crate::time::Nanos;
 use std::collections::BTreeMap;
 
-/// Number of times that a candidate repeats its requests for promises. If it is not the leader by then, it
-/// starts a new election with a later epoch.
+/// Number of times that a candidate repeats its requests for promises. A candidate that is not the leader by
+/// then starts a new election with a later epoch.
 const REPEATS_MAX: u32 = 10;
 
 /// The log of a replica that has promised the candidate's epoch, as far as the candidate has received it. A
--- a/crates/replication/src/replica/leader.rs
+++ b/crates/replication/src/replica/leader.rs
@@ -11,8 +11,8 @@
 use crate::time::{Nanos, SECOND_NS};
 use std::collections::BTreeMap;
 
-/// Maximum number of uncommitted entries in the leader's log. A change that would exceed it is rejected as
-/// [`ProposeError::Busy`].
+/// Maximum number of uncommitted entries in the leader's log. A change that would exceed this maximum is
+/// rejected as [`ProposeError::Busy`].
 const UNCOMMITTED_MAX: usize = 128;
 /// Maximum time between two messages of the leader to the same replica. If the replica lacks no entries, the
 /// message is a heartbeat without entries.
@@ -60,8 +60,8 @@
     }
 
     /// Returns the time at which the next message to a replica is due, in nanoseconds; 0 means now. If the
-    /// replica lacks entries, this is [`REPEAT_AFTER_NS`] after the last message. Otherwise, it is
-    /// [`HEARTBEAT_NS`] after the last message.
+    /// replica lacks entries, the next message is due [`REPEAT_AFTER_NS`] after the last one, otherwise
+    /// [`HEARTBEAT_NS`] after the last one.
     pub(super) fn next_due(&self, replica: &str) -> Nanos {
         let Some(progress) = self.progress.get(replica) else { return 0 };
         let Some(sent_at) = progress.sent_at else { return 0 };
@@ -124,8 +124,8 @@
         self.is_unsaved = true;
     }
 
-    /// Sends a message to each replica to which one is due. The message contains the entries that the replica
-    /// lacks; without entries, it is a heartbeat.
+    /// Sends a message to each replica whose next message is due. The message contains the entries that the
+    /// replica lacks; without entries, the message is a heartbeat.
     pub(super) fn replicate(&mut self, now: Nanos, log: &CommittedLog) {
         let others: Vec<String> = self.others().cloned().collect();
         for replica in others {
@@ -197,7 +197,7 @@
     }
 
     /// Handles the rejection of entries by a replica that lacks the entry directly before them. Sends the
-    /// entries after `matched` instead. This is a lower number, up to which the replica's log may be equal to
+    /// entries after the lower number `matched` instead. Up to this number, the replica's log may be equal to
     /// the leader's log.
     pub(super) fn on_append_rejected(&mut self, from: &str, epoch: u64, matched: u64, log: &CommittedLog) {
         // The leader may no longer hold the entry at `matched`. Then send nothing: the replica catches up by
--- a/crates/replication/src/replica/mod.rs
+++ b/crates/replication/src/replica/mod.rs
@@ -29,9 +29,10 @@
 
 /// Time after which a replica repeats an unanswered request to another replica.
 const REPEAT_AFTER_NS: Nanos = 300 * MILLISECOND_NS;
-/// Maximum total size of the entries in one message between replicas, in bytes. It is larger than the longest
-/// entry. With the message header, it stays within [`crate::message::BODY_BYTES_MAX`]: the header takes at
-/// most 43 bytes (four integers of up to 10 bytes each, the variant, and the number of entries).
+/// Maximum total size of the entries in one message between replicas, in bytes. The maximum is larger than
+/// the longest entry. With the message header, a message stays within [`crate::message::BODY_BYTES_MAX`]: the
+/// header takes at most 43 bytes (four integers of up to 10 bytes each, the variant, and the number of
+/// entries).
 const REPLICA_ENTRIES_BYTES_MAX: usize = 960;
 
 /// Reason why a change was not appended to the replicated log.
--- a/crates/replication/src/requests.rs
+++ b/crates/replication/src/requests.rs
@@ -78,7 +78,7 @@
         self.pending.iter().any(|pending| pending.request == *request)
     }
 
-    /// Adds a request whose change was appended to the log, and is to be answered once the change is
+    /// Adds a request whose change was appended to the log. The request is answered once the change is
     /// committed.
     pub(crate) fn add_pending(&mut self, pending: PendingRequest) {
         self.pending.push(pending);
--- a/crates/replication/src/simulation/event.rs
+++ b/crates/replication/src/simulation/event.rs
@@ -11,7 +11,7 @@
     Due { node: usize, incarnation: u64 },
     /// A node's host has finished checking a revision, and now writes and applies it.
     Applied { node: usize, incarnation: u64, snapshot: Box<Snapshot> },
-    /// The membership view and the leadership lease are updated. They then reflect which nodes are running
-    /// and which nodes they can reach.
+    /// The membership view and the leadership lease are updated to reflect which nodes are running and
+    /// reachable.
     View,
 }
--- a/crates/replication/src/simulation/host.rs
+++ b/crates/replication/src/simulation/host.rs
@@ -1,6 +1,6 @@
-//! The simulated host of a member, the program around its state machine. It advances the member, writes its
-//! state to disk and applies revisions. It also checks two invariants: a host never applies an older revision
-//! after a newer one, and a revision number never has two different contents.
+//! The simulated host of a member: the program that runs the member's state machine. The host advances the
+//! member, writes its state to disk and applies revisions. It also checks two invariants: a host never
+//! applies an older revision after a newer one, and a revision number never has two different contents.
 
 use super::event::Event;
 use super::node::Disk;
--- a/crates/replication/src/snapshot_transfer.rs
+++ b/crates/replication/src/snapshot_transfer.rs
@@ -8,8 +8,8 @@
 use crate::state::{Chunk, KEYS_MAX, Pair, State, Text};
 use crate::time::{Nanos, SECOND_NS};
 
-/// Time after which a request for a chunk that was not answered is repeated. The repetition may be sent to
-/// another member.
+/// Time after which an unanswered request for a chunk is repeated. The repetition may be sent to another
+/// member.
 const CHUNK_TIMEOUT_NS: Nanos = SECOND_NS;
 /// Maximum number of requests in a row that may remain unanswered. After more, the transfer is abandoned. The
 /// next offer of a checkpoint then starts a new transfer.
@@ -23,7 +23,7 @@
     sent_at: Nanos,
 }
 
-/// A transfer of a checkpoint to this member that is not complete yet.
+/// An incomplete transfer of a checkpoint to this member.
 #[derive(Debug)]
 pub struct SnapshotTransfer {
     /// Revision of the checkpoint.
@@ -136,8 +136,9 @@
     }
 
     /// Returns whether a pair may be added: its key follows the last received key, and no limit on keys and
-    /// values is exceeded. Unlike [`crate::change::Change::check`], this accepts an empty key. No committed
-    /// configuration has an empty key, so the hash of the complete content would not match.
+    /// values is exceeded. Unlike [`crate::change::Change::check`], this method accepts an empty key. No
+    /// committed configuration has an empty key, so a checkpoint with an empty key fails the comparison of
+    /// its hash.
     fn may_add(&self, Pair { key, value }: &Pair) -> bool {
         self.after.as_ref().is_none_or(|before| before < key)
             && key.len() <= KEY_BYTES_MAX
--- a/crates/simulator-adapter/src/codec/event.rs
+++ b/crates/simulator-adapter/src/codec/event.rs
@@ -98,7 +98,7 @@
     CallNeeded { id: u64 },
     /// A call to the downstream service has finished. `duration` is the duration of the call, in nanoseconds.
     CallFinished { id: u64, outcome: Outcome, duration: Nanos },
-    /// The server was notified that it will be stopped. `grace` is the time until then, in nanoseconds.
+    /// The server was notified that it will be stopped after the time `grace`, in nanoseconds.
     DrainNotice { grace: Nanos },
     /// The caller of the invocation no longer waits for the answer.
     CallerGone { id: u64 },
