--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -28,15 +28,15 @@
 
 /// Number of members to which foca sends gossip in one round, once per gossip period.
 pub(crate) const GOSSIP_MEMBERS: usize = 3;
-/// Number of alive members to which foca announces this member once per announce period.
+/// Number of alive or suspect members to which foca announces this member once per announce period.
 const ANNOUNCE_MEMBERS: usize = 1;
 /// Number of members recorded as down to which foca announces this member once per announce period.
 const ANNOUNCE_DOWN_MEMBERS: usize = 2;
 /// If a member does not answer a direct probe, the prober requests this number of other members to probe it
 /// too (`k` in the SWIM paper).
 const INDIRECT_PROBES: usize = 3;
-/// Each update is transmitted `TRANSMISSIONS_PER_LOG10 * log10(n)` times, rounded up (`lambda` in the SWIM
-/// paper). `n` is the fleet's size: the expected number of members plus 1.
+/// Each member transmits an update `TRANSMISSIONS_PER_LOG10 * log10(n)` times, rounded up (`lambda` in the
+/// SWIM paper). `n` is the fleet's size: the expected number of members plus 1.
 const TRANSMISSIONS_PER_LOG10: f64 = 4.0;
 /// A member that was recorded as down is removed from the view after this number of suspicion times. Without
 /// removal, the use of memory would grow with the number of all members that have ever been down.
@@ -60,7 +60,8 @@
     /// Maximum size of a datagram's body, in bytes. The maximum for gossip may be smaller, so that gossip
     /// stays within half of [`Settings::bytes_per_second`].
     pub packet_max: usize,
-    /// Expected number of members in the fleet, `n`. Each update is transmitted about 4 log10(n + 1) times.
+    /// Expected number of members in the fleet, `n`. Each member transmits an update about 4 log10(n + 1)
+    /// times.
     pub expected_members: u32,
     /// Interval between two gossip rounds. In each round, a member sends gossip to three other members.
     pub gossip_period: Nanos,
