--- a/crates/capacity/src/added_latency.rs
+++ b/crates/capacity/src/added_latency.rs
@@ -1,4 +1,5 @@
-//! Measures the latency that one server process adds to invocations with many tenants and operations.
+//! Measures the latency that a server process adds to invocations. The process is loaded with many tenants
+//! and operations.
 
 use crate::error::{MeasureError, io_error};
 use crate::options;
@@ -17,20 +18,20 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Core time that the interpreter uses for one invocation.
+/// CPU time that the interpreter spends on one invocation.
 const WORK: Duration = Duration::from_millis(2);
 /// Number of processor cores of the interpreter.
 pub(crate) const CORES: f64 = 4.0;
-/// Number of connections that carry the load.
+/// Number of connections over which the load generator sends its invocations.
 const CONNECTIONS: usize = 32;
-/// Maximum number of open file descriptors of the process.
+/// Maximum number of open file descriptors of the server process.
 const DESCRIPTORS: usize = 1024;
-/// Time limit for the outstanding answers after the last invocation is sent.
+/// Maximum time to wait for outstanding answers after the last invocation is sent.
 const LAST_ANSWERS_TIMEOUT: Duration = Duration::from_secs(10);
 const LAST_ANSWERS_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Number of significant decimal digits of the histograms.
+/// Number of significant decimal digits that the histograms keep of each value.
 const HISTOGRAM_DIGITS: u8 = 3;
-/// Weight of all tenants at the start. Each change of the options increases it by one.
+/// Weight of every tenant at the start. Each reload of the options increases the weight by one.
 const FIRST_WEIGHT: u32 = 2;
 
 /// Load that is applied to one process.
@@ -44,12 +45,12 @@
     pub rate: f64,
     /// Duration in seconds.
     pub seconds: u64,
-    /// Number of options reloads under load, each of which changes the weight of every tenant.
+    /// Number of options reloads under load. Each reload changes the weight of every tenant.
     pub changes: usize,
 }
 
-/// Latency that the process added to invocations: the time from the caller's write to the caller's read,
-/// minus the work time at the interpreter. The latency includes the time spent in the test doubles.
+/// Latency that the process added to invocations. The added latency is the time from the caller's write to
+/// the caller's read, minus the work time at the interpreter. It includes the time spent in the test doubles.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct AddedLatency {
     /// Load that was applied.
@@ -67,11 +68,11 @@
     /// Maximum of the added latency, in microseconds.
     #[serde(rename = "most")]
     pub max_us: u64,
-    /// 99th percentile of the delay with which the load generator's own timers fired, in microseconds. The
-    /// machine adds this delay to every wait, also in the measured process.
+    /// 99th percentile of the delay with which timers of the load generator fired, in microseconds. The
+    /// machine causes this delay. Timers of the measured process are delayed in the same way.
     #[serde(rename = "timer_p99")]
     pub timer_p99_us: u64,
-    /// Resident memory of the process at the end, in bytes.
+    /// Resident memory of the process at the end of the load, in bytes.
     #[serde(rename = "resident")]
     pub resident_bytes: u64,
     /// CPU use of the process under the load, in percent of a core.
@@ -128,15 +129,16 @@
 /// State shared by all invocations of one load.
 struct Invocations {
     balancer: Rc<Balancer>,
-    /// Added latency of the invocations that succeeded, in microseconds.
+    /// Added latency of each invocation that succeeded, in microseconds.
     added_us: RefCell<Histogram<u64>>,
-    /// Number of invocations that have been sent and not yet answered.
+    /// Number of invocations that were sent and have not been answered.
     outstanding: Cell<u64>,
     succeeded: Cell<u64>,
 }
 
 impl Invocations {
-    /// Sends one invocation and waits for its answer. The caller must have counted it as outstanding.
+    /// Sends one invocation and waits for its answer. The caller must have added the invocation to the number
+    /// of outstanding ones.
     async fn invoke(self: Rc<Self>, operation: String, fields: String) {
         let started_at = Instant::now();
         let body = format!("work={}", WORK.as_micros());
@@ -150,7 +152,7 @@
         self.outstanding.set(self.outstanding.get() - 1);
     }
 
-    /// Waits until no invocation is outstanding, at most for [`LAST_ANSWERS_TIMEOUT`].
+    /// Waits until no invocation is outstanding or [`LAST_ANSWERS_TIMEOUT`] has passed.
     async fn finish(&self) {
         let deadline = Instant::now() + LAST_ANSWERS_TIMEOUT;
         while self.outstanding.get() > 0 && Instant::now() < deadline {
@@ -159,7 +161,8 @@
     }
 }
 
-/// Sends invocations at the rate of the load for its duration, while another thread reloads the options.
+/// Sends invocations at the rate and for the duration given by `load`. Meanwhile, another thread reloads the
+/// options.
 fn run_load(process: &Process, load: Load, fleet_options: &str) -> Result<LoadResult, MeasureError> {
     let executor: &'static LocalExecutor<'static> = Box::leak(Box::new(LocalExecutor::new()));
     let invocations = Rc::new(Invocations {
@@ -217,8 +220,8 @@
     Ok(SenderResult { timer_lateness_us, sent })
 }
 
-/// Rewrites the options file with a new weight for all tenants and makes the process reload the file with
-/// SIGHUP, at regular intervals over the duration of the load.
+/// Changes the options of the process at regular intervals while the load lasts. Each change rewrites the
+/// options file with a new weight for all tenants, and sends SIGHUP so that the process reloads the file.
 fn change_options(process: &Process, load: Load, fleet_options: &str) -> Result<(), MeasureError> {
     let interval = Duration::from_secs_f64(load.seconds as f64 / (load.changes + 1) as f64);
     for change in 0..load.changes {
--- a/crates/capacity/src/at_rest.rs
+++ b/crates/capacity/src/at_rest.rs
@@ -1,5 +1,5 @@
-//! Measures the costs of a server in a fleet at rest (without failures) by fleet size, and the time until the
-//! replicated counters converge.
+//! Measures the costs of one server in a fleet without failures, for several fleet sizes. Also measures the
+//! time until the replicated counters converge.
 
 use crate::error::ModelError;
 use crate::fit::{Curve, Point};
@@ -15,10 +15,10 @@
 
 /// Number of counters that each server increments every second.
 const COUNTERS: usize = 8;
-/// Number of units of the shared budget that each server requests.
+/// Number of units that each server requests from the shared budget every second.
 const DEMAND_UNITS: u64 = 20;
 
-/// Costs of one server in a fleet at rest.
+/// Costs of one server in a fleet without failures.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct RestingCosts {
     /// Number of servers in the fleet.
@@ -28,12 +28,13 @@
     pub memory_bytes: f64,
     /// Average costs over all servers.
     pub costs: PerServer,
-    /// Costs of the control machine that leads the replicated configuration log, if there is a leader.
+    /// Costs of the control machine that leads the replicated configuration log; `None` without a leader.
     #[serde(rename = "publisher")]
     pub leader: Option<PerServer>,
 }
 
-/// Returns the control machine that leads the replicated configuration log.
+/// Returns the index of the control machine that leads the replicated configuration log; `None` without a
+/// leader.
 fn leader(fleet: &Fleet) -> Option<usize> {
     let leads = |server: &usize| {
         let member = fleet.server(*server).and_then(|server| server.replication.as_ref());
@@ -42,7 +43,7 @@
     (0..CONTROL_MACHINES).find(leads)
 }
 
-/// Returns the costs of a server since its start; `None` if there is no such server or it is not running.
+/// Returns the costs of a server since its start; `None` if `server` is `None` or the server is not running.
 fn costs_of(fleet: &Fleet, server: Option<usize>) -> Option<Costs> {
     fleet.server(server?).map(|server| server.costs)
 }
@@ -65,7 +66,7 @@
     }
 }
 
-/// Measures a converged fleet whose servers increment counters and hold leases.
+/// Measures the costs per server in a converged fleet whose servers increment counters and hold leases.
 ///
 /// # Errors
 /// Returns an error if the settings are invalid.
@@ -86,8 +87,8 @@
     Ok(RestingCosts { size, memory_bytes, costs, leader })
 }
 
-/// Measures a converged fleet whose servers neither increment counters nor request budget units, like real
-/// processes without callers.
+/// Measures the costs per server in a converged, idle fleet. The servers don't increment counters or request
+/// budget units, as real processes without callers don't.
 ///
 /// # Errors
 /// Returns an error if the settings are invalid.
@@ -103,7 +104,7 @@
     Ok(RestingCosts { size, memory_bytes, costs, leader: None })
 }
 
-/// Returns the curves of the measured costs by fleet size.
+/// Returns one curve for each measured cost, as a function of the fleet size.
 pub fn curves(measured: &[RestingCosts]) -> Vec<Curve> {
     let curve = |name: &str, unit, bound, value: &dyn Fn(&RestingCosts) -> f64| {
         let points = measured.iter().map(|row| Point { size: row.size as f64, value: value(row) });
@@ -124,9 +125,9 @@
     ]
 }
 
-/// Measures the convergence of the replicated counters. Every server increments its counters once, and the
-/// measurement starts one second later. Returns the seconds until the totals are exact on every server, or
-/// `None` if that takes longer than `limit_seconds`.
+/// Measures the time until an increment of the replicated counters reaches all servers. Every server
+/// increments its counters once. One second later, the measurement starts. Returns the seconds until the
+/// totals are exact on every server, or `None` if that takes longer than `limit_seconds`.
 ///
 /// # Errors
 /// Returns an error if the settings are invalid.
--- a/crates/capacity/src/connections.rs
+++ b/crates/capacity/src/connections.rs
@@ -10,10 +10,10 @@
 use std::time::Duration;
 
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
-/// Encoded health check of the balancers' protocol.
+/// Health check request in the encoding of the balancers' protocol.
 const HEALTH_CHECK: &[u8] = b"*2\r\n$10\r\nRPC.HEALTH\r\n$1\r\n1\r\n";
 const ANSWER_BYTES_MAX: usize = 64;
-/// Number of file descriptors that the process needs besides those of the measured connections.
+/// Number of file descriptors that the process needs in addition to one for each measured connection.
 const OTHER_DESCRIPTORS: usize = 100;
 
 /// Opens a connection, sends a health check on it and waits for the answer.
@@ -30,8 +30,8 @@
     Ok(stream)
 }
 
-/// Measures the resident memory of a process with each number of idle connections in `counts`, which must be
-/// in ascending order.
+/// Measures the resident memory of a process at several numbers of idle connections. `counts` holds these
+/// numbers in ascending order.
 ///
 /// # Errors
 /// Returns an error if the process cannot be started or measured, or closes a connection.
--- a/crates/capacity/src/day/mod.rs
+++ b/crates/capacity/src/day/mod.rs
@@ -1,7 +1,7 @@
-//! Simulates a day of configuration changes on the simulated fleet of the replication crate, and measures the
-//! time until each change is applied by every server. The day contains `CHANGES` configuration changes,
-//! `RESTARTS_PER_DAY` restarts and `FAILURES_PER_DAY` single failures, and also the failure of a rack, the
-//! isolation of a zone, the isolation of a region, and a failure of all control machines.
+//! Simulates a day of configuration changes on the simulated fleet of the replication crate. Measures the
+//! time until every server has applied a change. During the day, there are `CHANGES` configuration changes,
+//! `RESTARTS_PER_DAY` restarts and `FAILURES_PER_DAY` failures of single servers. In addition, a rack fails,
+//! a zone and a region are isolated by network partitions, and all control machines fail.
 
 mod run;
 mod schedule;
@@ -18,10 +18,11 @@
 use serde::Serialize;
 use summary::summary;
 
-/// Upper bound of the 99th percentile of the time until a server applies a change, in seconds.
+/// Upper bound of the 99th percentile of the time from the acceptance of a change until a server applies the
+/// change, in seconds.
 pub const IN_FORCE_SECONDS_BOUND: f64 = 4.0;
-/// Simulated time for which the simulation continues after the day, so that servers can apply the last
-/// changes, in nanoseconds.
+/// Simulated time that is added after the end of the day, in nanoseconds. Servers apply the last changes in
+/// this time.
 const CATCH_UP_NS: Nanos = 300 * SECOND_NS;
 
 /// Fleet size and time spans of the simulated day.
@@ -31,7 +32,8 @@
     pub servers: usize,
     /// Seed of all random number generators.
     pub seed: u64,
-    /// Simulated length of the day in seconds. A shortened day has as many events as a full one.
+    /// Simulated length of the day, in seconds. Configuration changes, restarts and failures of a full day
+    /// are all scheduled in this time, even if the day is shortened.
     #[serde(rename = "day")]
     pub day_seconds: u64,
     /// Time for which a region is cut off from the other regions, in seconds.
@@ -46,8 +48,8 @@
 }
 
 impl DayScale {
-    /// Returns a scale that compresses all events of a day into a tenth of a day. The failures keep their
-    /// full time spans.
+    /// Returns a scale that simulates all events of a day in a tenth of a day (8640 s). The failures last as
+    /// long as in a full day.
     pub fn full(servers: usize, seed: u64) -> DayScale {
         DayScale {
             servers,
@@ -59,8 +61,8 @@
         }
     }
 
-    /// Returns a scale that compresses all events of a day into a tenth of an hour. The failures have
-    /// shortened time spans.
+    /// Returns a scale that simulates all events of a day in a tenth of an hour (360 s). The failures are
+    /// shortened.
     pub fn quick(servers: usize, seed: u64) -> DayScale {
         DayScale {
             servers,
@@ -78,54 +80,56 @@
 pub struct Day {
     /// Fleet size and time spans that were simulated.
     pub scale: DayScale,
-    /// Number of changes that the leader accepted.
+    /// Number of configuration changes that the leader accepted.
     pub changes: usize,
-    /// Number of changes that were not accepted, because there was no leader or the leader had too many
-    /// uncommitted changes.
+    /// Number of configuration changes that were not accepted. Either there was no leader, or the leader had
+    /// too many uncommitted changes.
     pub not_published: usize,
-    /// Number of server restarts and failures.
+    /// Number of server restarts and server failures in the simulated day.
     pub restarts: usize,
-    /// Median time in seconds from the leader's acceptance of a change until a server applied it, over all
-    /// changes and all servers that stayed reachable.
+    /// Median time from the leader's acceptance of a change until a server applied the change, in seconds.
+    /// Counts all changes and all servers that stayed reachable.
     #[serde(rename = "p50")]
     pub p50_seconds: f64,
-    /// 99th percentile of the time in seconds from the leader's acceptance of a change until a server applied
-    /// it, over all changes and all servers that stayed reachable.
+    /// 99th percentile of the time from the leader's acceptance of a change until a server applied the
+    /// change, in seconds. Counts all changes and all servers that stayed reachable.
     #[serde(rename = "p99")]
     pub p99_seconds: f64,
-    /// Longest time in seconds from the leader's acceptance of a change until a server applied it, over all
-    /// changes and all servers that stayed reachable.
+    /// Longest time from the leader's acceptance of a change until a server applied the change, in seconds.
+    /// Counts all changes and all servers that stayed reachable.
     #[serde(rename = "worst")]
     pub max_seconds: f64,
-    /// Time in seconds from the leader's acceptance of a change until the last of the servers that stayed
-    /// reachable applied it: median over all changes.
+    /// Median, over all changes, of the time until all servers have applied a change, in seconds. The time
+    /// starts when the leader accepts the change. Servers that did not stay reachable are left out.
     #[serde(rename = "everywhere_p50")]
     pub everywhere_p50_seconds: f64,
-    /// Time in seconds from the leader's acceptance of a change until the last of the servers that stayed
-    /// reachable applied it: 99th percentile over all changes.
+    /// 99th percentile, over all changes, of the time until all servers have applied a change, in seconds.
+    /// The time starts when the leader accepts the change. Servers that did not stay reachable are left out.
     #[serde(rename = "everywhere_p99")]
     pub everywhere_p99_seconds: f64,
-    /// Longest time in seconds until a server that was cut off or restarted applied the revision that was the
-    /// newest at its return. Servers that had not applied that revision by the end are left out.
+    /// Longest catch-up time of a server that was cut off or restarted, in seconds. The catch-up time starts
+    /// when the server returns. It ends when the server applies the revision that was newest at its return.
+    /// Servers that never caught up are left out.
     #[serde(rename = "caught_up_worst")]
     pub catch_up_max_seconds: f64,
-    /// Longest time in seconds until a server that restarted with an empty disk applied the revision that was
-    /// the newest at its return. Servers that had not applied that revision by the end are left out.
+    /// Longest catch-up time of a server that restarted with an empty disk, in seconds. The catch-up time
+    /// starts when the server returns. It ends when the server applies the revision that was newest at its
+    /// return. Servers that never caught up are left out.
     #[serde(rename = "empty_caught_up_worst")]
     pub empty_disk_catch_up_max_seconds: f64,
-    /// Number of times that a server returned after a restart or a network partition.
+    /// Number of returns of servers to the fleet, after a restart or a network partition.
     #[serde(rename = "caught_up")]
     pub returns: usize,
-    /// Descriptions of the changes that took longest, the slowest first.
+    /// Descriptions of the configuration changes that took the longest to reach a server, the slowest first.
     pub slowest: Vec<String>,
-    /// Average number of bytes per second that a server sent, without envelopes.
+    /// Average number of bytes per second that a server sent, without the bytes of message envelopes.
     #[serde(rename = "bytes")]
     pub bytes_per_second: f64,
-    /// Average number of bytes per second that the leader sent in the first tenth of the day, without
-    /// envelopes.
+    /// Average number of bytes per second that the leader sent in the first tenth of the day, without the
+    /// bytes of message envelopes.
     #[serde(rename = "control_bytes")]
     pub leader_bytes_per_second: f64,
-    /// Average CPU use of a replication member, in percent of a core.
+    /// Average CPU use of the replication code of one server, in percent of a core.
     #[serde(rename = "processor")]
     pub processor_percent: f64,
 }
@@ -137,7 +141,8 @@
     processor_percent: f64,
 }
 
-/// Returns the bytes that the replication member of a node has sent since the member started.
+/// Returns the number of bytes that the replication member at `node` has sent since its start; 0 if there is
+/// none.
 fn sent_bytes(run: &Run, node: Option<usize>) -> u64 {
     node.and_then(|node| run.fleet.member(node)).map_or(0, |member| member.counts.sent_bytes)
 }
@@ -161,7 +166,7 @@
         if at >= tenth * scale.day_seconds * SECOND_NS / 10 {
             progress(&format!("{tenth} tenths of the day, {} changes", run.published.len()));
             if tenth == 1 {
-                // The control machines have not failed yet, so the leader has not changed.
+                // The control machines fail later in the day, so the leader is still the one from the start.
                 let sent = sent_bytes(&run, leader).saturating_sub(leader_bytes_before);
                 leader_bytes_per_second = sent as f64 / (at as f64 / SECOND_NS as f64);
             }
--- a/crates/capacity/src/day/run.rs
+++ b/crates/capacity/src/day/run.rs
@@ -1,4 +1,5 @@
-//! Runs the events of the simulated day on the fleet and records published changes and returned servers.
+//! Runs the events of the simulated day on the fleet. Records the published changes and the servers that
+//! return after a failure.
 
 use super::DayScale;
 use super::schedule::Event;
@@ -13,29 +14,28 @@
 use std::collections::BTreeMap;
 
 const MILLISECOND_NS: Nanos = 1_000_000;
-/// Simulated time until a failed machine is replaced by one with an empty disk, in nanoseconds.
+/// Simulated time after which a failed machine is replaced by a machine with an empty disk, in nanoseconds.
 const REPLACED_AFTER_NS: Nanos = 300 * SECOND_NS;
 /// Simulated time for which a restarting server is down, in nanoseconds.
 const RESTARTED_AFTER_NS: Nanos = 5 * SECOND_NS;
-/// Number of control machines. In this simulation, every control machine is a replica of the configuration
-/// log.
+/// Number of replicas of the configuration log. In this simulation, these are all the control machines.
 const REPLICAS: usize = VOTERS;
 /// Number of configuration keys at the start of the day.
 const KEYS: usize = 2_000;
-/// Number of keys in each change that creates the initial configuration.
+/// Number of keys that one change sets when the initial configuration is published.
 const KEYS_PER_CHANGE: usize = 200;
-/// Number of latest changes that a server may not have received when it stops. The server is removed from the
-/// receivers of these changes.
+/// Number of latest changes that a server may still lack when it stops. The server is no longer measured as a
+/// receiver of these changes.
 const RECENT_CHANGES: usize = 20;
 
 /// A configuration change that the leader accepted.
 pub(super) struct PublishedChange {
-    /// Time of the acceptance, in simulated Unix nanoseconds.
+    /// Time at which the leader accepted the change, in simulated Unix nanoseconds.
     pub(super) at: Nanos,
     /// Number of the revision that contains the change.
     pub(super) number: u64,
-    /// Indexes of the servers for which the delay of the change is measured: the servers that stayed running
-    /// and reachable.
+    /// Indexes of the servers for which the delay of the change is measured. Servers that stop or become
+    /// unreachable are left out.
     pub(super) receivers: Vec<usize>,
 }
 
@@ -45,7 +45,7 @@
     pub(super) at: Nanos,
     /// Index of the server.
     pub(super) server: usize,
-    /// Number of the newest revision at the time of the return.
+    /// Number of the revision that was newest when the server returned.
     pub(super) newest_revision: u64,
     /// Whether the server started with an empty disk.
     pub(super) had_empty_disk: bool,
@@ -60,23 +60,23 @@
     servers: usize,
     /// Indexes of the servers that a network partition currently cuts off.
     cut_off: Vec<usize>,
-    /// Changes that the leader accepted, in order of time.
+    /// Changes that the leader accepted, oldest first.
     pub(super) published: Vec<PublishedChange>,
-    /// Returns of servers, in order of time.
+    /// Returns of servers after a restart or a network partition, oldest first.
     pub(super) returned: Vec<ReturnedServer>,
-    /// Servers that have returned and not caught up, by index. The value is the number of the revision that
-    /// was newest when the server returned.
+    /// Servers that have returned but not caught up yet. The key is the index of a server. The value is the
+    /// number of the revision that was newest when the server returned.
     catching_up: BTreeMap<usize, u64>,
-    /// Number of changes that were not accepted, because there was no leader or the leader had too many
-    /// uncommitted changes.
+    /// Number of configuration changes that were not accepted. Either there was no leader, or the leader had
+    /// too many uncommitted changes.
     pub(super) not_published: usize,
-    /// Number of server restarts and failures.
+    /// Number of server restarts and server failures so far.
     pub(super) restarts: usize,
-    /// Number of the last accepted revision.
+    /// Number of the last revision that the leader accepted.
     newest_revision: u64,
 }
 
-/// Returns the region and zone of a server for the replication settings.
+/// Returns the location of a server (region and zone) in the form of the replication settings.
 fn location(server: usize) -> Location {
     let place = Place::of(server);
     Location { region: place.region_name(), zone: place.zone_name() }
@@ -87,7 +87,7 @@
     topology::delay(Place::of(from), Place::of(to))
 }
 
-/// Returns the configuration key of a tenant, by the tenant's number.
+/// Returns the configuration key of the tenant with this number.
 fn key(number: usize) -> String {
     format!("tenants/tenant/tenant-{number:05}")
 }
@@ -127,8 +127,8 @@
         }
     }
 
-    /// Applies `event`, which happens `at` nanoseconds after the start of the day. If a server restarts or
-    /// fails, adds the event of the server's return to `events`.
+    /// Applies an event to the fleet. `at` is the time of the event in nanoseconds since the start of the
+    /// day. If a server restarts or fails, adds an event for the later return of the server to `events`.
     pub(super) fn handle(
         &mut self,
         event: Event,
@@ -176,7 +176,8 @@
         (REPLICAS..self.servers).filter(|server| Place::of(*server).rack == rack).collect()
     }
 
-    /// Proposes the change with this number, which sets one key, to the leader.
+    /// Proposes a configuration change to the leader. The change sets one key, selected by the number
+    /// `change`.
     fn propose(&mut self, change: usize) {
         let value = (1 + change % 9).to_string();
         let Some(number) = self.fleet.propose(vec![Change::set(&key(change % KEYS), &value)]) else {
@@ -184,7 +185,8 @@
             return;
         };
         self.newest_revision = number;
-        // A returned server is not a receiver until it has caught up; its catch-up time is measured instead.
+        // A server that has returned is not a receiver of changes until it has caught up. Until then, its
+        // catch-up time is measured instead of the delays of single changes.
         let fleet = &self.fleet;
         self.catching_up.retain(|server, newest_revision| {
             fleet.member(*server).is_some_and(|member| member.applied() < *newest_revision)
@@ -195,8 +197,8 @@
         self.published.push(PublishedChange { at: self.fleet.now(), number, receivers });
     }
 
-    /// Removes the servers for which `is_gone` is true from the receivers of the latest changes. Servers that
-    /// stop before they receive a change are not measured for it.
+    /// Removes all servers for which `is_gone` is true from the receivers of the latest changes. These
+    /// servers may have stopped before they received the changes, so their delays are not measured.
     fn remove_receivers(&mut self, is_gone: impl Fn(&usize) -> bool) {
         for change in self.published.iter_mut().rev().take(RECENT_CHANGES) {
             change.receivers.retain(|server| !is_gone(server));
@@ -210,8 +212,8 @@
         self.remove_receivers(|receiver| *receiver == server);
     }
 
-    /// Starts a server if it is not running, with an empty disk if `had_empty_disk` is true. Records the
-    /// server's return unless a network partition cuts it off.
+    /// Starts a server unless it is already running. If `had_empty_disk` is true, the server starts with an
+    /// empty disk. Records the return of the server if no network partition cuts it off.
     fn restart(&mut self, server: usize, had_empty_disk: bool) {
         if self.fleet.member(server).is_some() {
             return;
@@ -225,14 +227,15 @@
         }
     }
 
-    /// Records that a server is reachable again. The server's catch-up time is measured from this moment.
+    /// Records that a server is reachable again. The server's catch-up time starts now.
     fn record_return(&mut self, server: usize, had_empty_disk: bool) {
         let (at, newest_revision) = (self.fleet.now(), self.newest_revision);
         self.returned.push(ReturnedServer { at, server, newest_revision, had_empty_disk });
         self.catching_up.insert(server, newest_revision);
     }
 
-    /// Isolates the servers at places for which `is_cut` returns true from all other servers.
+    /// Starts a network partition. It isolates the servers whose place satisfies `is_cut` from all other
+    /// servers.
     fn cut(&mut self, is_cut: impl Fn(Place) -> bool) {
         for server in 0..self.servers {
             self.fleet.set_group(server, u32::from(is_cut(Place::of(server))));
@@ -242,7 +245,7 @@
         self.fleet.cut(0, 1);
     }
 
-    /// Ends the network partition and records the return of the servers that were cut off.
+    /// Ends the network partition. Records the return of each running server that was cut off.
     fn heal(&mut self) {
         self.fleet.heal();
         for server in std::mem::take(&mut self.cut_off) {
--- a/crates/capacity/src/day/schedule.rs
+++ b/crates/capacity/src/day/schedule.rs
@@ -6,29 +6,31 @@
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::Rng;
 
-/// Number of configuration changes in a day.
+/// Number of configuration changes proposed in a day.
 pub const CHANGES: usize = 790;
 
 /// An event of the simulated day.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Event {
-    /// A configuration change is proposed. The field is the number of the change in the day, from 0.
+    /// A configuration change is proposed. The field is the number of the change, counted from 0 at the start
+    /// of the day.
     Change(usize),
     /// A random server restarts.
     Restart,
-    /// A random server fails and loses its disk.
+    /// A random server fails. Its replacement starts with an empty disk.
     Fail,
-    /// A restarted server, or the replacement of a failed one, starts. The field is the index of the server.
+    /// A server starts again after a restart, or the replacement of a failed server starts. The field is the
+    /// index of the server.
     ServerReturned(usize),
     /// All servers of a rack stop.
     RackLost,
-    /// All servers of the rack start again.
+    /// All servers of the failed rack start again.
     RackReturned,
-    /// A network partition separates one zone from the others.
+    /// A network partition between one zone and the other zones begins.
     ZoneCut,
-    /// A network partition separates one region from the others.
+    /// A network partition between one region and the other regions begins.
     RegionCut,
-    /// The network partition of a zone or a region ends.
+    /// The current network partition ends.
     Heal,
     /// All control machines stop.
     ControlLost,
@@ -50,7 +52,7 @@
         events.push(rng.next_u64() % day, Event::Fail);
     }
     let tenth = day / 10;
-    // In a shortened day, the rack is down for at most 6% of the day, instead of [`RACK_DOWN_NS`].
+    // The failed rack is down for [`RACK_DOWN_NS`], but for at most 6% of the day if the day is shortened.
     let rack_down = RACK_DOWN_NS.min(60 * (tenth / 100));
     events.push(tenth, Event::RackLost);
     events.push(tenth + rack_down, Event::RackReturned);
--- a/crates/capacity/src/day/summary.rs
+++ b/crates/capacity/src/day/summary.rs
@@ -1,4 +1,5 @@
-//! Evaluates the simulated day: delays of changes and catch-up times of returned servers.
+//! Calculates the results of the simulated day: the delays of changes, and the catch-up times of returned
+//! servers.
 
 use super::run::{PublishedChange, ReturnedServer, Run};
 use super::{Costs, Day, DayScale};
@@ -6,22 +7,22 @@
 use meadowstream_membership::Nanos;
 use std::collections::BTreeMap;
 
-/// Maximum number of slowest changes to list.
+/// Maximum number of configuration changes in the list of the slowest ones.
 const SLOWEST_MAX: usize = 8;
-/// Delay in seconds that represents a change that a server never applied.
+/// Delay in seconds that is used in calculations if a server never applied a change.
 const NEVER_SECONDS: f64 = f64::INFINITY;
-/// Delay in seconds that is printed for a change that a server never applied.
+/// Delay in seconds that is printed if a server never applied a change.
 const NEVER_PRINTED_SECONDS: f64 = 1e9;
 
-/// Application of a revision by a server.
+/// Record that a server applied a revision.
 struct Application {
-    /// Time of the application, in simulated Unix nanoseconds.
+    /// Time at which the server applied the revision, in simulated Unix nanoseconds.
     at: Nanos,
     /// Number of the revision.
     number: u64,
 }
 
-/// Revisions that each server applied, by server index and in order of time.
+/// Revisions that each server applied, oldest first. The key is the index of a server.
 struct Applications(BTreeMap<usize, Vec<Application>>);
 
 impl Applications {
@@ -34,25 +35,25 @@
         Applications(by_server)
     }
 
-    /// Returns the seconds from the time `from` until a server applied the revision `number` or a later one;
-    /// `None` if the server never did.
+    /// Returns the time from `from` until a server applied the revision `number` or a later revision, in
+    /// seconds. Returns `None` if the server never applied such a revision.
     fn seconds_until(&self, server: usize, from: Nanos, number: u64) -> Option<f64> {
         let applications = self.0.get(&server)?;
         let first = applications.iter().find(|application| application.number >= number)?;
         Some(first.at.saturating_sub(from) as f64 / SECOND_NS as f64)
     }
 
-    /// Returns the delay in seconds until each receiver applied a change. The delay of a receiver that never
-    /// applied the change is [`NEVER_SECONDS`].
+    /// Returns the delays in seconds after which the receivers of a change applied it. A receiver that never
+    /// applied the change has the delay [`NEVER_SECONDS`].
     fn receiver_seconds(&self, change: &PublishedChange) -> Vec<f64> {
         let seconds =
             |server: &usize| self.seconds_until(*server, change.at, change.number).unwrap_or(NEVER_SECONDS);
         change.receivers.iter().map(seconds).collect()
     }
 
-    /// Returns the longest catch-up time of the returned servers with or without an empty disk, in seconds. A
-    /// server that returned several times is measured from its last return. Servers that never caught up are
-    /// left out.
+    /// Returns the longest catch-up time of a returned server, in seconds. Counts only servers that returned
+    /// with an empty disk if `had_empty_disk` is true, and only the others if it is false. A server that
+    /// returned several times is measured from its last return. Servers that never caught up are left out.
     fn longest_catch_up(&self, returned: &[ReturnedServer], had_empty_disk: bool) -> f64 {
         let is_last = |candidate: &ReturnedServer| {
             !returned.iter().any(|other| other.server == candidate.server && other.at > candidate.at)
@@ -64,7 +65,8 @@
             .fold(0.0, f64::max)
     }
 
-    /// Describes the changes that took longest, each with its slowest receiver.
+    /// Describes the configuration changes with the longest delays. Each description names the slowest
+    /// receiver.
     fn slowest(&self, run: &Run) -> Vec<String> {
         struct SlowChange {
             seconds: f64,
@@ -90,13 +92,14 @@
     }
 }
 
-/// Returns the quantile `share` (from 0 to 1) of values in ascending order; NaN if there are none.
+/// Returns the quantile `share` (from 0 to 1) of `sorted`, which is in ascending order; NaN if `sorted` is
+/// empty.
 fn quantile(sorted: &[f64], share: f64) -> f64 {
     let last = sorted.len().saturating_sub(1);
     sorted.get((last as f64 * share).round() as usize).copied().unwrap_or(f64::NAN)
 }
 
-/// Calculates the measurements of a completed day.
+/// Calculates the measurements of the simulated day after its end.
 pub(super) fn summary(scale: &DayScale, run: &Run, costs: Costs) -> Day {
     let applications = Applications::of(run);
     let (mut each, mut everywhere) = (Vec::new(), Vec::new());
--- a/crates/capacity/src/error.rs
+++ b/crates/capacity/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the fleet model and of measurements on processes.
+//! Errors of the fleet model and of measurements on real processes.
 
 use meadowstream_membership::MembershipError;
 use meadowstream_replication::member::SettingsError as ReplicationSettingsError;
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Invalid settings for a server of the fleet model.
+/// Error for invalid settings of a server in the fleet model.
 #[derive(Debug, thiserror::Error)]
 pub enum ModelError {
     /// Invalid membership settings.
@@ -41,17 +41,18 @@
         /// Distinct messages in the program's log.
         messages: Vec<String>,
     },
-    /// The program did not log an expected message in time.
+    /// The program did not log an expected message within the time limit.
     #[error("the program did not log {message:?} within {within:?}; it logged {messages:?}")]
     NoLogLine {
         /// Expected message.
         message: String,
-        /// Time limit that passed without the message.
+        /// Time limit for the message to be logged.
         within: Duration,
         /// Distinct messages in the program's log.
         messages: Vec<String>,
     },
-    /// A log line of the program lacks a field that should hold an address, or the field is not an address.
+    /// A log line of the program has no address in an expected field. The field is missing or holds something
+    /// else.
     #[error("log line {message:?} has no address in the field {field:?}")]
     NoAddress {
         /// Message of the log line.
@@ -59,7 +60,7 @@
         /// Name of the field.
         field: &'static str,
     },
-    /// A file in /proc lacks an expected field.
+    /// A file in /proc does not contain an expected field.
     #[error("no field {field} in {}", file.display())]
     NoProcField {
         /// Path of the file in /proc.
@@ -70,7 +71,7 @@
     /// A signal could not be sent to a process.
     #[error("kill -{signal} {process} failed")]
     Signal {
-        /// Name of the signal without `SIG`.
+        /// Name of the signal without the prefix `SIG`.
         signal: &'static str,
         /// Process id.
         process: u32,
@@ -78,7 +79,7 @@
     /// The program did not answer a health check.
     #[error("no answer to a health check on connection {connection}")]
     NoHealthCheck {
-        /// Index of the connection, in the order of opening.
+        /// Index of the connection, counted from 0 in the order in which connections were opened.
         connection: usize,
         /// Error of the read.
         #[source]
@@ -87,21 +88,21 @@
     /// The program closed a connection.
     #[error("the program closed connection {connection}")]
     ConnectionClosed {
-        /// Index of the connection, in the order of opening.
+        /// Index of the connection, counted from 0 in the order in which connections were opened.
         connection: usize,
     },
-    /// The membership views of the processes did not converge in time.
+    /// The membership views of the processes did not converge within the time limit.
     #[error("membership of {processes} processes did not converge within {} s", within.as_secs())]
     NotConverged {
         /// Number of processes in the fleet.
         processes: usize,
-        /// Time limit for the convergence.
+        /// Time limit for the convergence of the membership views.
         within: Duration,
     },
     /// An operation on a file, a socket or a process failed.
     #[error("cannot {action}")]
     Io {
-        /// Failed operation as a verb phrase, such as "open a connection".
+        /// Verb phrase that describes the failed operation, such as "open a connection".
         action: &'static str,
         /// Error returned by the operating system.
         #[source]
@@ -115,7 +116,8 @@
     Record(#[from] hdrhistogram::RecordError),
 }
 
-/// Returns a function for `map_err` that wraps an I/O error in [`MeasureError::Io`].
+/// Returns a function that converts an I/O error to [`MeasureError::Io`], for use with `map_err`. `action`
+/// describes the failed operation.
 pub(crate) fn io_error(action: &'static str) -> impl FnOnce(std::io::Error) -> MeasureError {
     move |source| MeasureError::Io { action, source }
 }
--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -1,9 +1,10 @@
-//! Linear regression over measurements at several sizes, with the standard error of the slope. The line
-//! predicts the value at the largest size, which is not part of the regression.
+//! Fits a line to the measurements at all sizes except the largest, by linear regression. The line predicts
+//! the value at the largest size, and the prediction is compared with the measurement. The standard error of
+//! the slope is calculated, too.
 
 use serde::Serialize;
 
-/// A value measured at one size, serialized as the pair `(size, value)`.
+/// Value that was measured at one size. Serialized as the pair `(size, value)`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(into = "(f64, f64)")]
 pub struct Point {
@@ -19,20 +20,20 @@
     }
 }
 
-/// A least-squares line `intercept + slope * size`.
+/// Line `intercept + slope * size`, fitted by least squares.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Line {
     /// Value of the line at size 0.
     pub intercept: f64,
-    /// Increase of the value per unit of size.
+    /// Increase of the value when the size increases by one.
     pub slope: f64,
-    /// Standard error of the slope, in the unit of the slope.
+    /// Standard error of `slope`, in the unit of `slope`.
     pub slope_error: f64,
 }
 
 impl Line {
-    /// Fits a line to `points` by least squares. Returns `None` for fewer than three points, or if all points
-    /// have the same size.
+    /// Fits a line to `points` by least squares. Returns `None` if there are fewer than three points or all
+    /// points have equal sizes.
     pub fn fit(points: &[Point]) -> Option<Line> {
         let count = points.len() as f64;
         if points.len() < 3 {
@@ -59,29 +60,32 @@
     }
 }
 
-/// Measurements of one quantity at several sizes, and a line fitted to all points except the largest size.
+/// Measurements of one quantity at several sizes, and a fitted line. The line is fitted to all points except
+/// the one of the largest size.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Curve {
     /// Name of the measured quantity.
     pub name: String,
     /// Unit of the values.
     pub unit: &'static str,
-    /// Noun in the singular for the things that the size counts, such as `server`.
+    /// Singular noun for what the size counts, such as `server`.
     pub per: &'static str,
     /// Measurements in ascending order of size.
     pub points: Vec<Point>,
-    /// Line fitted to all points except the last; `None` if a line cannot be fitted.
+    /// Line fitted to all points except the one of the largest size; `None` if there are too few points for a
+    /// line.
     pub line: Option<Line>,
-    /// Value of the line at the largest size; NaN without a line.
+    /// Value that the line predicts for the largest size; NaN without a line.
     pub predicted: f64,
     /// Measured value at the largest size.
     pub measured: f64,
-    /// Upper bound of the measured value, if one is stated.
+    /// Upper bound of the measured value; `None` if no bound is stated.
     pub bound: Option<f64>,
 }
 
 impl Curve {
-    /// Creates a curve from `points`, which must be in ascending order of size and not empty.
+    /// Creates a curve from `points`. There must be at least one point, and the points must be in ascending
+    /// order of size.
     pub fn new(
         name: &str,
         unit: &'static str,
@@ -95,7 +99,8 @@
         Curve { name: name.to_string(), unit, per, measured: largest.value, line, predicted, bound, points }
     }
 
-    /// Returns whether the measured value is at most the bound. A curve without a bound is always within it.
+    /// Returns whether the measured value at the largest size is at most the bound. Returns true if the curve
+    /// has no bound.
     pub fn is_within_bound(&self) -> bool {
         self.bound.is_none_or(|bound| self.measured <= bound)
     }
--- a/crates/capacity/src/fleet.rs
+++ b/crates/capacity/src/fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet of model servers on a simulated network of regions and zones. The simulation supports crashes,
-//! restarts and network partitions, runs in simulated time and is deterministic for a given seed.
+//! Simulates a fleet of model servers on a network of regions and zones. The simulation supports crashes,
+//! restarts and network partitions. It runs in simulated time and is deterministic for a given seed.
 
 use crate::error::ModelError;
 use crate::meter::Costs;
@@ -14,17 +14,17 @@
 use std::collections::{BinaryHeap, HashSet};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
-/// UDP port of all servers, which differ in their IP addresses.
+/// UDP port that all servers use. Each server has its own IP address.
 const PORT: u16 = 7000;
 
-/// A datagram on its way through the simulated network, with the indexes of sender and receiver.
+/// Datagram in transit on the simulated network, with the indexes of sender and receiver.
 struct Delivery {
     to: usize,
     from: usize,
     datagram: Vec<u8>,
 }
 
-/// Timer of a server: the simulated time at which the server must be advanced.
+/// Timer of a server. At the simulated time of the timer, the server runs its due tasks.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Timer {
     at: Nanos,
@@ -35,27 +35,29 @@
 pub struct Fleet {
     settings: Settings,
     seed: u64,
-    /// All servers by index; `None` for a server that is not running.
+    /// All servers by index. The entry of a server that is not running is `None`.
     servers: Vec<Option<ModelServer>>,
-    /// Network partition group of each server. All servers start in group 0.
+    /// Network partition group of each server, by server index. All servers start in group 0.
     groups: Vec<u32>,
-    /// Pairs of sending and receiving group between which all datagrams are lost.
+    /// Pairs of groups (sender's group, receiver's group) between which all datagrams are lost.
     cuts: HashSet<(u32, u32)>,
-    /// Fraction of datagrams lost at random, from 0 to 1.
+    /// Fraction of datagrams that the network loses at random, from 0 to 1.
     pub loss: f64,
-    /// Datagrams that have been sent and not yet delivered.
+    /// Datagrams in transit.
     network: EventQueue<Delivery>,
-    /// Pending timers. Every running server has at least one, and may have outdated ones besides.
+    /// Pending timers of all servers. Every running server has at least one timer, and may also have outdated
+    /// timers.
     timers: BinaryHeap<Reverse<Timer>>,
     rng: ChaCha8Rng,
-    /// Current simulated time in nanoseconds since the start.
+    /// Current simulated time, in nanoseconds since the start of the simulation.
     now: Nanos,
-    /// Total costs of the server incarnations that have ended.
+    /// Total costs of server incarnations that have ended. An incarnation is one run of a server between
+    /// start and crash.
     ended_costs: Costs,
 }
 
 impl Fleet {
-    /// Creates a fleet of `size` servers, none of which is running.
+    /// Creates a fleet of `size` servers. No server is running yet.
     pub fn new(size: usize, settings: Settings, seed: u64) -> Fleet {
         Fleet {
             settings,
@@ -72,8 +74,9 @@
         }
     }
 
-    /// Creates a running fleet in which every server already knows all others and the seeds. Servers need the
-    /// seeds to merge again after a network partition that lasts longer than down members are remembered.
+    /// Creates a running fleet in which every server already knows all other servers and the seeds. The
+    /// servers need the seeds to merge again after a long network partition, because they forget unreachable
+    /// members after some time.
     ///
     /// # Errors
     /// Returns an error if the settings are invalid.
@@ -101,17 +104,17 @@
         Ok(fleet)
     }
 
-    /// Returns the number of servers, whether running or not.
+    /// Returns the total number of servers, including servers that are not running.
     pub fn len(&self) -> usize {
         self.servers.len()
     }
 
-    /// Returns whether the fleet was created with no servers.
+    /// Returns whether the fleet has no servers, neither running nor stopped.
     pub fn is_empty(&self) -> bool {
         self.servers.is_empty()
     }
 
-    /// Returns the simulated time in nanoseconds since the start.
+    /// Returns the simulated time in nanoseconds since the start of the simulation.
     pub fn now(&self) -> Nanos {
         self.now
     }
@@ -127,14 +130,14 @@
         SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::new(127, 1, high, low), PORT))
     }
 
-    /// Returns the server index that corresponds to a network address; `None` for an IPv6 address.
+    /// Returns the index of the server with this network address; `None` for an IPv6 address.
     fn index(address: SocketAddr) -> Option<usize> {
         let SocketAddr::V4(address) = address else { return None };
         let [_, _, high, low] = address.ip().octets();
         Some(usize::from(high) << 8 | usize::from(low))
     }
 
-    /// Creates a server with a new incarnation and its own random seed.
+    /// Creates the model of a server, with a new incarnation and its own random seed.
     fn new_server(&self, server: usize) -> Result<ModelServer, ModelError> {
         let seed = self.seed ^ ((server as u64) << 20) ^ self.now;
         let mut settings = self.settings.clone();
@@ -145,12 +148,12 @@
         ModelServer::new(&Self::name(server), Self::address(server), &settings, seed, self.now)
     }
 
-    /// Returns the server with this index; `None` if it is not running.
+    /// Returns a shared reference to the server with this index; `None` if the server is not running.
     pub fn server(&self, server: usize) -> Option<&ModelServer> {
         self.servers[server].as_ref()
     }
 
-    /// Returns the server with this index for modification; `None` if it is not running.
+    /// Returns a mutable reference to the server with this index; `None` if the server is not running.
     pub fn server_mut(&mut self, server: usize) -> Option<&mut ModelServer> {
         self.servers[server].as_mut()
     }
@@ -160,14 +163,15 @@
         (0..self.servers.len()).filter(|server| self.servers[*server].is_some()).collect()
     }
 
-    /// Returns the total costs of all servers since the start, including servers that have crashed.
+    /// Returns the total costs of all servers since the start of the simulation. Includes servers that have
+    /// crashed.
     pub fn costs(&self) -> Costs {
         let mut total = self.ended_costs;
         self.servers.iter().flatten().for_each(|server| total.add(&server.costs));
         total
     }
 
-    /// Stops a server without notice to the other servers.
+    /// Stops a server abruptly. The server sends no notice to the other servers.
     pub fn crash(&mut self, server: usize) {
         if let Some(ended) = self.servers[server].take() {
             self.ended_costs.add(&ended.costs);
@@ -188,7 +192,8 @@
         Ok(())
     }
 
-    /// Isolates the servers at places for which `is_cut` returns true from all other servers.
+    /// Starts a network partition. It isolates the servers whose place satisfies `is_cut` from all other
+    /// servers.
     pub fn cut(&mut self, is_cut: impl Fn(Place) -> bool) {
         for server in 0..self.groups.len() {
             self.groups[server] = u32::from(is_cut(Place::of(server)));
@@ -201,12 +206,13 @@
         self.cuts.clear();
     }
 
-    /// Returns whether datagrams from one server to another are lost to a network partition.
+    /// Returns whether a network partition drops the datagrams from the server `from` to the server `to`.
     fn is_cut(&self, from: usize, to: usize) -> bool {
         self.cuts.contains(&(self.groups[from], self.groups[to]))
     }
 
-    /// Puts the outgoing datagrams of a server on the network and sets a timer for its next due time.
+    /// Puts the outgoing datagrams of a server on the simulated network. Sets a timer for the next time at
+    /// which the server has a due task.
     fn route(&mut self, from: usize) {
         let Some(sender) = self.servers[from].as_mut() else { return };
         let (outgoing, due) = (sender.take_outgoing(), sender.next_due());
@@ -223,7 +229,8 @@
         }
     }
 
-    /// Runs the simulation until the simulated time `until`, in nanoseconds.
+    /// Runs the simulation up to the simulated time `until`, in nanoseconds since the start of the
+    /// simulation.
     pub fn run_until(&mut self, until: Nanos) {
         loop {
             let arrival = self.network.next_at().unwrap_or(Nanos::MAX);
@@ -244,15 +251,15 @@
         self.now = self.now.max(until);
     }
 
-    /// Delivers a datagram to its receiver, if the receiver is running.
+    /// Delivers a datagram to its receiver. The datagram is lost if the receiver is not running.
     fn deliver(&mut self, Delivery { to, from, datagram }: &Delivery) {
         let Some(receiver) = self.servers[*to].as_mut() else { return };
         receiver.receive(Self::address(*from), datagram, self.now);
         self.route(*to);
     }
 
-    /// Advances the server of a timer. A timer that fires before the server's current due time is outdated
-    /// and ignored, because the server has another timer for its due time.
+    /// Lets a server run its due tasks when a timer fires. A timer that fires before the server's next due
+    /// time is outdated and has no effect. In this case, the server has another timer for the due time.
     fn fire(&mut self, timer: &Timer) {
         let Some(server) = self.servers[timer.server].as_mut() else { return };
         if server.next_due() > timer.at {
@@ -262,8 +269,9 @@
         self.route(timer.server);
     }
 
-    /// Returns whether the membership view of each of these servers, if running, contains exactly the other
-    /// running ones, with their current incarnations.
+    /// Returns whether the membership views of `servers` agree. Servers that are not running are ignored. The
+    /// views agree if each contains all the other running servers of the list with their current
+    /// incarnations, and no other member.
     pub fn views_agree(&self, servers: &[usize]) -> bool {
         let running = || servers.iter().filter_map(|server| self.servers[*server].as_ref());
         let own = |server: &ModelServer| {
@@ -280,8 +288,9 @@
         })
     }
 
-    /// Runs the simulation until `is_done` returns true, which is checked after every `step` nanoseconds.
-    /// Returns the simulated time taken in nanoseconds, or `None` if `limit` nanoseconds pass first.
+    /// Runs the simulation until `is_done` returns true. `is_done` is checked at the start and then every
+    /// `step` nanoseconds. Returns the elapsed simulated time in nanoseconds, or `None` if `limit`
+    /// nanoseconds pass first.
     pub fn run_until_done(
         &mut self,
         step: Nanos,
--- a/crates/capacity/src/incidents.rs
+++ b/crates/capacity/src/incidents.rs
@@ -1,5 +1,5 @@
-//! Simulates failures of parts of the fleet, and measures the time until the membership views converge again
-//! and the bytes sent meanwhile.
+//! Simulates failures of parts of the fleet. Measures the time until the membership views of the servers
+//! converge again, and the bytes sent in this time.
 
 use crate::at_rest::run_with_work;
 use crate::error::ModelError;
@@ -16,16 +16,16 @@
 use serde::Serialize;
 
 const DAY_SECONDS: f64 = 86_400.0;
-/// Time limit for the membership views to converge, in simulated nanoseconds.
+/// Maximum simulated time to wait until the membership views converge, in nanoseconds.
 const CONVERGENCE_LIMIT_NS: Nanos = 300 * SECOND_NS;
 /// Simulated time between two comparisons of the membership views, in nanoseconds.
 const CONVERGENCE_CHECK_INTERVAL_NS: Nanos = SECOND_NS / 4;
-/// Minimum time for which the sent bytes are measured after the failed servers return, in simulated
-/// nanoseconds. The largest burst of one server is an average over this time.
+/// Minimum simulated time for which sent bytes are measured after the end of a failure, in nanoseconds. The
+/// largest burst of one server is its average send rate over a period of this length.
 const BURST_NS: Nanos = 10 * SECOND_NS;
-/// Number of servers restarted while the control machines are down. At the restart rate of the other
-/// incidents ([`RESTARTS_PER_DAY`] and [`FAILURES_PER_DAY`]), fewer servers would restart in this time; the
-/// larger number makes sure that some do.
+/// Number of servers that restart while the control machines are down. The other incidents restart servers at
+/// the rates [`RESTARTS_PER_DAY`] and [`FAILURES_PER_DAY`]. At these rates, only a few servers, or none,
+/// would restart in this short time.
 const RESTARTS_WITHOUT_CONTROL: usize = 12;
 
 /// Measurements of one simulated incident.
@@ -36,27 +36,28 @@
     pub description: String,
     /// Number of servers in the fleet.
     pub servers: usize,
-    /// Seconds from the failure until the views of the running servers agreed; `None` if they did not agree
-    /// in time. For a network partition, 0 if the views on each side agreed when the partition ended, and
-    /// `None` if they did not.
+    /// Seconds from the failure until the membership views of the running servers agreed; `None` if they did
+    /// not agree in time. After a network partition, the value is 0 if the views on each side agreed when the
+    /// partition ended, and `None` otherwise.
     #[serde(rename = "seen")]
     pub convergence_after_loss: Option<f64>,
-    /// Seconds from the end of the failure until the views of all servers agreed; `None` if they did not
-    /// agree in time.
+    /// Seconds from the end of the failure until the membership views of all servers agreed; `None` if the
+    /// views did not agree in time.
     #[serde(rename = "returned")]
     pub convergence_after_return: Option<f64>,
     /// Number of server restarts during the failure.
     pub restarts: usize,
-    /// Number of servers that restarted while all seeds were down and joined the fleet before the seeds
-    /// returned. `None` for failures without a loss of the seeds.
+    /// Number of restarted servers that joined the fleet while all seeds were down. `None` for failures in
+    /// which the seeds keep running.
     pub joined_meanwhile: Option<usize>,
-    /// Number of servers on the smaller side of a network partition that held a lease when the partition
-    /// ended. `None` for failures without a partition.
+    /// Number of servers in the isolated part of the fleet that held a lease at the end of the network
+    /// partition. `None` for failures without a partition.
     pub leases_in_cut: Option<usize>,
-    /// Average costs per server in the second with the most bytes sent by the fleet after the failure ended.
+    /// Average costs per server in the peak second after the failure ended. The peak second is the one in
+    /// which the fleet sent the most bytes.
     pub burst: PerServer,
-    /// Most bytes per second that one server sent after the failure ended, averaged over ten seconds. Control
-    /// machines are excluded.
+    /// Highest send rate of one server after the failure ended, in bytes per second, averaged over ten
+    /// seconds. Control machines are not counted.
     #[serde(rename = "burst_most")]
     pub burst_max: f64,
 }
@@ -66,17 +67,17 @@
     span as f64 / SECOND_NS as f64
 }
 
-/// Returns a converged fleet that has run for at most 10 seconds, and the random number generator for
-/// restarts.
+/// Returns a converged fleet and the random number generator for restarts. The fleet has already run for at
+/// most 10 seconds.
 fn converged_fleet(scale: &Scale) -> Result<(Fleet, ChaCha8Rng), ModelError> {
     let mut fleet = Fleet::converged(scale.servers, settings(scale.servers), scale.seed, &seeds())?;
     run_with_work(&mut fleet, scale.rest_seconds.min(10));
     Ok((fleet, ChaCha8Rng::seed_from_u64(scale.seed)))
 }
 
-/// Runs the simulation for `span_seconds` and restarts random servers, except control machines. The rate is
-/// the sum of [`RESTARTS_PER_DAY`] and [`FAILURES_PER_DAY`], in proportion to the fleet size. Returns the
-/// number of restarts.
+/// Runs the simulation for `span_seconds` and restarts random servers. Control machines are not restarted.
+/// The restart rate is the sum of [`RESTARTS_PER_DAY`] and [`FAILURES_PER_DAY`], scaled to the fleet size.
+/// Returns the number of restarts.
 fn run_with_restarts(
     fleet: &mut Fleet,
     rng: &mut ChaCha8Rng,
@@ -88,7 +89,8 @@
     let end = fleet.now() + span_seconds * SECOND_NS;
     let mut restarts = 0;
     loop {
-        // Times between restarts are distributed exponentially; `uniform` has 53 random bits.
+        // The times between restarts have an exponential distribution. `uniform` is a random number from 0 to
+        // 1 with 53 random bits.
         let uniform = (rng.next_u64() >> 11) as f64 / (1_u64 << 53) as f64;
         let gap = -(1.0 - uniform).ln() * mean_gap_seconds;
         let at = fleet.now() + (gap * SECOND_NS as f64) as Nanos;
@@ -105,8 +107,8 @@
     }
 }
 
-/// Runs the simulation until the views of all running servers agree. Returns the time taken in seconds, or
-/// `None` if they do not agree in time.
+/// Runs the simulation until the membership views of all running servers agree. Returns the elapsed simulated
+/// seconds, or `None` if the views do not agree within [`CONVERGENCE_LIMIT_NS`].
 fn run_until_converged(fleet: &mut Fleet) -> Option<f64> {
     let running = fleet.running();
     fleet
@@ -116,19 +118,20 @@
         .map(seconds)
 }
 
-/// Measurements after the end of a failure. They last until the views have converged, and at least for
-/// [`BURST_NS`].
+/// Measurements after the end of a failure. The measurement continues until the membership views have
+/// converged, and for at least [`BURST_NS`].
 struct Recovery {
-    /// Seconds until the views of all running servers agreed; `None` if they did not agree in time.
+    /// Seconds until the membership views of all running servers agreed; `None` if the views did not agree in
+    /// time.
     convergence_seconds: Option<f64>,
-    /// Average costs per server in the second with the most bytes sent.
+    /// Average costs per server in the second in which the fleet sent the most bytes.
     burst: PerServer,
-    /// Most bytes per second that one server sent, averaged over [`BURST_NS`].
+    /// Highest send rate of one server, in bytes per second, averaged over [`BURST_NS`].
     burst_max: f64,
 }
 
 impl Recovery {
-    /// Simulates the recovery of the fleet after a failure, and measures it.
+    /// Simulates and measures the recovery of the fleet after a failure.
     fn play(fleet: &mut Fleet) -> Recovery {
         let running = fleet.running();
         let started_at = fleet.now();
@@ -151,7 +154,7 @@
         recovery
     }
 
-    /// Runs one second of the simulation and records when the views agree.
+    /// Runs one second of the simulation. Records the time if the membership views agree for the first time.
     fn play_second(&mut self, fleet: &mut Fleet, running: &[usize], started_at: Nanos) {
         let end = fleet.now() + SECOND_NS;
         while fleet.now() < end {
@@ -162,7 +165,8 @@
         }
     }
 
-    /// Returns the measurements of the incident, without the fields that only some kinds of incident set.
+    /// Converts the measurements to an [`Incident`]. Fields that only some kinds of incident set keep their
+    /// defaults.
     fn into_incident(self, scale: &Scale, description: String, after_loss: Option<f64>) -> Incident {
         Incident {
             description,
@@ -176,15 +180,15 @@
     }
 }
 
-/// Returns the bytes that each server except the control machines has sent since it started; 0 for a server
-/// that is not running.
+/// Returns the number of bytes that each server has sent since its start, without the control machines. The
+/// number is 0 for a server that is not running.
 fn sent_bytes(fleet: &Fleet) -> Vec<u64> {
     let bytes_of = |server: usize| fleet.server(server).map_or(0, |server| server.costs.bytes());
     (CONTROL_MACHINES..fleet.len()).map(bytes_of).collect()
 }
 
-/// Returns the most bytes per second that one server sent over any period of [`BURST_NS`]. `sent_by_second`
-/// holds the total bytes sent by each server after each second.
+/// Returns the highest send rate of one server over a period of [`BURST_NS`], in bytes per second.
+/// `sent_by_second` holds, for each second, the total bytes that each server had sent by then.
 fn burst_of_one_server(sent_by_second: &[Vec<u64>]) -> f64 {
     let span_seconds = (BURST_NS / SECOND_NS) as usize;
     let max_within = |span: &[Vec<u64>]| {
@@ -196,7 +200,8 @@
     max as f64 / span_seconds as f64
 }
 
-/// Simulates the failure of all servers in a rack at once. The servers restart after one minute.
+/// Simulates the failure of a rack: all its servers crash together. The servers start again after
+/// [`RACK_DOWN_NS`].
 ///
 /// # Errors
 /// Returns an error if the settings are invalid.
@@ -216,8 +221,8 @@
     Ok(Recovery::play(&mut fleet).into_incident(scale, description, after_loss))
 }
 
-/// Simulates a network partition that isolates one part of the fleet for `span_seconds`. Meanwhile, servers
-/// on both sides restart at the rate of [`run_with_restarts`].
+/// Simulates a network partition that isolates part of the fleet for `span_seconds`. During the partition,
+/// servers on both sides restart at the rate of [`run_with_restarts`].
 fn cut_off(
     scale: &Scale,
     description: String,
@@ -237,7 +242,7 @@
     Ok(Incident { restarts, leases_in_cut, ..incident })
 }
 
-/// Simulates a network partition between one region and the others.
+/// Simulates a network partition that isolates one region from the others.
 ///
 /// # Errors
 /// Returns an error if the settings are invalid.
@@ -246,7 +251,7 @@
     cut_off(scale, description, scale.region_cut_seconds, |place| place.region == CUT_REGION)
 }
 
-/// Simulates a network partition between one zone and the others.
+/// Simulates a network partition that isolates one zone from the others.
 ///
 /// # Errors
 /// Returns an error if the settings are invalid.
@@ -255,7 +260,8 @@
     cut_off(scale, description, scale.zone_cut_seconds, |place| place.zone == CUT_ZONE)
 }
 
-/// Simulates a failure of all control machines, which are the seeds, while some other servers restart.
+/// Simulates a failure of all control machines, which are also the seeds of the fleet. Some other servers
+/// restart during the failure.
 ///
 /// # Errors
 /// Returns an error if the settings are invalid.
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,10 +1,12 @@
-//! A scale model of the fleet, and measurements on real processes. `meadowstream fleet capacity` runs both.
+//! Measures the costs of a fleet with a scale model and with real processes. `meadowstream fleet capacity`
+//! runs both measurements.
 //!
 //! The model ([`fleet`], [`server`]) runs the protocol code of membership, shared state and replicated
-//! configuration with its real encoding, for hundreds of servers in one process and in simulated time.
-//! [`at_rest`] measures the cost of one server at several fleet sizes, fits a line through all sizes but the
-//! largest, and compares the line's prediction for the largest size with the measurement. [`incidents`] and
-//! [`day`] simulate failures at the rates stated in [`scale`]. `docs/CAPACITY.md` lists the results.
+//! configuration with its real encoding. It simulates hundreds of servers in one process and in simulated
+//! time. [`at_rest`] measures the cost of one server at several fleet sizes. It fits a line through all sizes
+//! except the largest, and compares the line's prediction for the largest size with the measurement.
+//! [`incidents`] and [`day`] simulate failures at the rates stated in [`scale`]. `docs/CAPACITY.md` lists the
+//! results.
 //!
 //! Network delays between regions and zones are estimates. Processor time is the CPU time of the measuring
 //! thread, and memory is the number of bytes allocated from the heap.
--- a/crates/capacity/src/meter.rs
+++ b/crates/capacity/src/meter.rs
@@ -1,5 +1,5 @@
-//! Meters for the cost of the fleet's mechanisms (membership, shared state, replication): CPU time of the
-//! calling thread, sent datagrams and bytes, and heap memory.
+//! Measures the cost of membership, shared state and replication: CPU time of the calling thread, sent
+//! datagrams and bytes, and heap memory.
 
 use serde::Serialize;
 
@@ -11,15 +11,16 @@
     time.tv_sec as u64 * SECOND_NS + time.tv_nsec as u64
 }
 
-/// Returns the number of heap bytes that this process has allocated and not yet freed, over all arenas. A
-/// difference of two readings is meaningful only if no other thread allocates or frees memory in between.
+/// Returns the number of heap bytes that this process has allocated and not yet freed. To measure the memory
+/// use of an operation by the difference of two readings, make sure that no other thread allocates or frees
+/// memory meanwhile.
 pub fn allocated_bytes() -> u64 {
     // SAFETY: mallinfo2 takes no argument and only reads the allocator's statistics, under its locks.
     let info = unsafe { libc::mallinfo2() };
     (info.uordblks + info.hblkhd) as u64
 }
 
-/// Accumulated cost of one mechanism: membership, shared state or replication.
+/// Accumulated cost of one part of the fleet protocol: membership, shared state or replication.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Cost {
     /// CPU time in nanoseconds.
@@ -38,7 +39,7 @@
         self.bytes += other.bytes;
     }
 
-    /// Returns the cost added since the earlier reading `before`.
+    /// Returns the difference between this reading and the earlier reading `before`.
     pub fn since(&self, before: &Cost) -> Cost {
         Cost {
             processor_ns: self.processor_ns - before.processor_ns,
@@ -48,12 +49,12 @@
     }
 }
 
-/// Accumulated costs of the fleet's mechanisms.
+/// Accumulated costs of membership, shared state and replication.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Costs {
     /// Membership of the fleet.
     pub membership: Cost,
-    /// Shared state: counters, budgets and leases.
+    /// Cost of shared state: counters, budgets and leases.
     pub shared_state: Cost,
     /// Replicated configuration.
     pub replication: Cost,
@@ -67,7 +68,7 @@
         self.replication.add(&other.replication);
     }
 
-    /// Returns the costs added since the earlier reading `before`.
+    /// Returns the difference between this reading and the earlier reading `before`.
     pub fn since(&self, before: &Costs) -> Costs {
         Costs {
             membership: self.membership.since(&before.membership),
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Returns the number of bytes sent by all mechanisms together.
+    /// Returns the total number of bytes sent by membership, shared state and replication.
     pub fn bytes(&self) -> u64 {
         self.membership.bytes + self.shared_state.bytes + self.replication.bytes
     }
--- a/crates/capacity/src/options.rs
+++ b/crates/capacity/src/options.rs
@@ -1,12 +1,12 @@
-//! XML elements for the options files of the measured processes.
+//! Creates XML elements for the options files of the measured processes.
 
 use std::fmt::Write;
 
-/// Number of servers that vote on leases of the call budget.
+/// Number of servers that vote on leases. Leases assign units of the call budget to servers.
 const VOTERS: usize = 3;
-/// Units of the call budget per server of the fleet.
+/// Number of units in the call budget, per server of the fleet.
 const BUDGET_UNITS_PER_SERVER: usize = 10;
-/// Number of accounts for tenants without an entry in the options.
+/// Number of accounts that are shared by tenants without an entry in the options.
 const OTHER_ACCOUNTS: usize = 16;
 
 /// Returns the `<tenants>` element with `count` named tenants of equal weight.
@@ -23,8 +23,9 @@
     text
 }
 
-/// Returns the `<membership>` and `<shared-state>` elements of the server called `name`. Without `seed`, the
-/// server joins no other. The shared state holds one call budget and the replicated counters.
+/// Returns the `<membership>` and `<shared-state>` elements for the server called `name`. The server joins
+/// the fleet through `seed`; without a seed, it starts a fleet of its own. The shared state holds one call
+/// budget and the replicated counters.
 pub(crate) fn fleet(name: &str, servers: usize, seed: Option<&str>) -> String {
     let seed = seed.map_or(String::new(), |seed| format!("<seed address=\"{seed}\"/>"));
     let voters: String = (0..VOTERS).map(|voter| format!("<voter name=\"c{voter}\"/>")).collect();
--- a/crates/capacity/src/per_server.rs
+++ b/crates/capacity/src/per_server.rs
@@ -5,17 +5,17 @@
 use meadowstream_membership::Nanos;
 use serde::Serialize;
 
-/// Average costs of the fleet's mechanisms, per server and second.
+/// Average costs of membership, shared state and replication, per server and second.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct PerServer {
-    /// Bytes that membership sent, per server and second.
+    /// Number of bytes that membership sent, per server and second.
     pub membership_bytes: f64,
-    /// Bytes that shared state sent, per server and second.
+    /// Number of bytes that shared state sent, per server and second.
     #[serde(rename = "shared_bytes")]
     pub shared_state_bytes: f64,
-    /// Bytes that replicated configuration sent, per server and second.
+    /// Number of bytes that replicated configuration sent, per server and second.
     pub replication_bytes: f64,
-    /// Datagrams that all mechanisms together sent, per server and second.
+    /// Number of datagrams sent by membership, shared state and replication together, per server and second.
     pub datagrams: f64,
     /// CPU use of membership per server, in percent of a core.
     pub membership_processor: f64,
@@ -27,7 +27,7 @@
 }
 
 impl PerServer {
-    /// Averages the total costs of `servers` servers over `span` nanoseconds.
+    /// Calculates the averages from `costs`, the total costs of `servers` servers over `span` nanoseconds.
     pub fn average(costs: &Costs, servers: usize, span: Nanos) -> PerServer {
         let server_seconds = servers as f64 * span as f64 / SECOND_NS as f64;
         let per_server_second = |count: u64| count as f64 / server_seconds;
@@ -44,12 +44,13 @@
         }
     }
 
-    /// Returns the bytes sent by all mechanisms, per server and second.
+    /// Returns the bytes sent by membership, shared state and replication together, per server and second.
     pub fn bytes(&self) -> f64 {
         self.membership_bytes + self.shared_state_bytes + self.replication_bytes
     }
 
-    /// Returns the CPU use of all mechanisms per server, in percent of a core.
+    /// Returns the CPU use of membership, shared state and replication together, in percent of a core per
+    /// server.
     pub fn processor(&self) -> f64 {
         self.membership_processor + self.shared_state_processor + self.replication_processor
     }
--- a/crates/capacity/src/process.rs
+++ b/crates/capacity/src/process.rs
@@ -1,5 +1,5 @@
-//! Runs server processes on the loopback interface, with test doubles for the interpreter and the service
-//! registry, and reads their memory and CPU time from /proc. Each process is killed by its own process id.
+//! Runs real server processes on the loopback interface and reads their memory and CPU time from /proc. Test
+//! doubles replace the interpreter and the service registry. Each process is killed by its own process id.
 
 use crate::error::{MeasureError, io_error};
 use meadowstream_test_doubles::{interpreter, registry};
@@ -14,18 +14,21 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Time limit for an expected log line.
+/// Maximum time to wait for a line in a process's log.
 const LOG_LINE_TIMEOUT: Duration = Duration::from_secs(60);
 const LOG_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Clock ticks per second, the unit of CPU time in /proc/PID/stat.
+/// Clock ticks per second. CPU times in /proc/PID/stat are given in clock ticks.
 const TICKS_PER_SECOND: f64 = 100.0;
-/// Index of the user mode ticks in /proc/PID/stat, counted from the field after the command name.
+/// Index of the ticks in user mode among the fields of /proc/PID/stat. Index 0 is the field after the command
+/// name.
 const USER_TICKS_FIELD: usize = 11;
-/// Index of the system mode ticks in /proc/PID/stat, counted from the field after the command name.
+/// Index of the ticks in system mode among the fields of /proc/PID/stat. Index 0 is the field after the
+/// command name.
 const SYSTEM_TICKS_FIELD: usize = 12;
-/// Maximum number of log lines kept for each message: the first line and the latest ones.
+/// Maximum number of log lines kept for each distinct message. The first line and the latest ones are kept.
 const LINES_PER_MESSAGE_MAX: usize = 64;
-/// Permissions of the key file. The program rejects a key file that anybody except its owner can access.
+/// File permissions of the key file. The program rejects a key file that users other than its owner can
+/// access.
 const KEY_FILE_MODE: u32 = 0o600;
 
 /// Settings of one process.
@@ -37,7 +40,7 @@
     pub routes: usize,
     /// Maximum number of open file descriptors, set as `limits.sockets`.
     pub descriptors: usize,
-    /// XML elements of the options file.
+    /// XML elements to write into the options file.
     pub options: String,
     /// Number of processor cores of the interpreter.
     pub cores: f64,
@@ -46,7 +49,7 @@
 /// One line of a process's JSON log.
 #[derive(Clone, Debug)]
 pub struct LogLine {
-    /// Time at which the line was read.
+    /// Time at which the line was read from the process.
     pub at: Instant,
     /// Fields of the log event, including `message`.
     pub fields: Value,
@@ -62,7 +65,8 @@
     }
 
     fn add(&self, line: &str) {
-        // If the program cannot start, it writes the reason as plain text, before the JSON log begins.
+        // A program that cannot start writes the reason as plain text before the JSON log begins. Such a line
+        // is kept as a message.
         let line: Value = serde_json::from_str(line).unwrap_or(json!({"fields": {"message": line}}));
         let fields = line["fields"].clone();
         let message = fields["message"].as_str().unwrap_or("").to_string();
@@ -92,19 +96,19 @@
     }
 }
 
-/// Makes the kernel kill the process when the thread that started it ends. A measurement that is killed by a
-/// signal then leaves no processes behind.
+/// Makes the kernel kill the process when the thread that started it ends. Otherwise, a measurement killed by
+/// a signal would leave its processes running.
 fn kill_when_this_thread_ends(command: &mut Command) {
     let request = || match unsafe { libc::prctl(libc::PR_SET_PDEATHSIG, libc::SIGKILL) } {
         0 => Ok(()),
         _ => Err(std::io::Error::last_os_error()),
     };
-    // SAFETY: `request` runs between fork and exec. It makes only one system call, which neither allocates
-    // memory nor takes a lock.
+    // SAFETY: `request` runs in the child process between fork and exec. It makes only one system call, which
+    // neither allocates memory nor takes a lock.
     unsafe { command.pre_exec(request) };
 }
 
-/// Returns the platform settings as the JSON that the server reads from `config.json`.
+/// Returns the platform settings of the server as JSON. The server reads them from `config.json`.
 fn platform_settings(settings: &ProcessSettings, interpreter: SocketAddr, registry: SocketAddr) -> Value {
     let operation = |route: usize| {
         json!({"name": format!("route-{route}"), "effect": "repeatable", "target": 2_000_000,
@@ -127,7 +131,7 @@
     })
 }
 
-/// Returns the text of an options file that contains `elements`.
+/// Returns the text of an options file that contains the XML `elements`.
 pub fn options_file(elements: &str) -> String {
     format!("<meadowstream xmlns=\"urn:meadowstream:options:1\">\n{elements}\n</meadowstream>\n")
 }
@@ -145,7 +149,7 @@
     Ok(folder)
 }
 
-/// Spawns the program with the configuration files in `folder`.
+/// Starts the program with the configuration files in `folder`.
 fn spawn(program: &Path, folder: &Path) -> Result<Child, MeasureError> {
     let mut command = Command::new(program);
     kill_when_this_thread_ends(&mut command);
@@ -162,7 +166,7 @@
 }
 
 impl Process {
-    /// Starts the program and waits until it listens and is connected to its interpreter.
+    /// Starts the program. Waits until it accepts connections and has connected to its interpreter.
     ///
     /// # Errors
     /// Returns an error if the program cannot be started or does not log the expected messages in time.
@@ -190,8 +194,8 @@
         Ok(process)
     }
 
-    /// Waits until the process has logged `message` more than `lines_before` times, and returns the fields of
-    /// the first further log line with this message.
+    /// Waits for a further log line with this message and returns its fields. `lines_before` is the number of
+    /// lines with this message that were already logged; the line after them is returned.
     ///
     /// # Errors
     /// Returns an error if the message is not logged in time, or if the process exits before that.
@@ -215,7 +219,8 @@
         self.log.lock().keys().cloned().collect()
     }
 
-    /// Returns the first log line with this message and the latest ones. Lines in between may be missing.
+    /// Returns the log lines with this message, oldest first. If there are many, only the first line and the
+    /// latest ones are returned.
     pub fn lines(&self, message: &str) -> Vec<LogLine> {
         self.log.lock().get(message).cloned().unwrap_or_default()
     }
@@ -225,7 +230,7 @@
         self.child.id()
     }
 
-    /// Sends the process a signal, named without `SIG`.
+    /// Sends a signal to the process. The name of the signal is given without `SIG`.
     ///
     /// # Errors
     /// Returns an error if the `kill` command cannot be run or fails.
@@ -239,7 +244,7 @@
         Ok(())
     }
 
-    /// Reads the file `name` of the process in /proc; returns its path and its text.
+    /// Reads the file `name` in the process's folder in /proc. Returns the path and the text of the file.
     fn read_proc(&self, name: &str) -> Result<(PathBuf, String), MeasureError> {
         let file = PathBuf::from(format!("/proc/{}/{name}", self.id()));
         let text = std::fs::read_to_string(&file).map_err(io_error("read a file of /proc"))?;
--- a/crates/capacity/src/process_fleet.rs
+++ b/crates/capacity/src/process_fleet.rs
@@ -1,5 +1,5 @@
 //! Measures the resource use of each process in a fleet of real processes on this machine. The report
-//! compares the result with the model of a fleet of the same size.
+//! compares the measurement with the model's result for a fleet of equal size.
 
 use crate::added_latency::CORES;
 use crate::error::MeasureError;
@@ -9,16 +9,17 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Time between the start of a single process without a fleet and its measurement.
+/// Time between the start and the measurement of a single process that is not in a fleet.
 const ALONE_SETTLE: Duration = Duration::from_secs(2);
 const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(90);
 const CONVERGENCE_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Time to wait after all processes have joined, until gossip about the joins has ended. The fleet is
-/// measured after this time.
+/// Time to wait before the fleet is measured, after all processes have joined. Gossip about the joins ends in
+/// this time.
 const JOIN_GOSSIP_DURATION: Duration = Duration::from_secs(12);
 const DESCRIPTORS: usize = 256;
 
-/// Average resource use of a process in a fleet, and the resource use of a single process for comparison.
+/// Average resource use of a process in a fleet. Includes the resource use of a single process without a
+/// fleet for comparison.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct ProcessFleet {
     /// Number of processes.
@@ -40,22 +41,23 @@
     pub bytes_per_second: f64,
 }
 
-/// Number of bytes that a process had sent when it logged a `view` line.
+/// Number of bytes that a process had sent by the time it logged a `view` line.
 struct SentBytes {
     at: Instant,
     bytes: f64,
 }
 
 impl SentBytes {
-    /// Reads the latest `view` line of the process; `None` if it has not logged one.
+    /// Reads the sent bytes from the latest `view` line of the process; `None` if the process has not logged
+    /// one.
     fn latest(process: &Process) -> Option<SentBytes> {
         let view = process.lines("view").pop()?;
         let counts: serde_json::Value = serde_json::from_str(view.fields["counts"].as_str()?).ok()?;
         Some(SentBytes { at: view.at, bytes: counts["sent_bytes"].as_f64()? })
     }
 
-    /// Returns the bytes per second since the earlier reading `before`; `None` if both readings are from the
-    /// same log line.
+    /// Returns the average bytes per second sent since the earlier reading `before`. Returns `None` if both
+    /// readings are from one log line.
     fn per_second_since(&self, before: &SentBytes) -> Option<f64> {
         let seconds = self.at.duration_since(before.at).as_secs_f64();
         (seconds > 0.0).then(|| (self.bytes - before.bytes) / seconds)
@@ -66,7 +68,7 @@
     ProcessSettings { name: name.to_string(), routes: 2, descriptors: DESCRIPTORS, options, cores: CORES }
 }
 
-/// Sleeps for `span` and returns the CPU use of all processes together in that time, in percent of a core.
+/// Sleeps for `span`. Returns the total CPU use of all processes during the sleep, in percent of a core.
 fn processor_percent(processes: &[Process], span: Duration) -> Result<f64, MeasureError> {
     let total = || processes.iter().map(Process::processor_seconds).sum::<Result<f64, MeasureError>>();
     let (before, started_at) = (total()?, Instant::now());
@@ -74,8 +76,8 @@
     Ok((total()? - before) / started_at.elapsed().as_secs_f64() * 100.0)
 }
 
-/// Starts a fleet of `size` processes, whose seed is the first process, and waits until the membership view
-/// of each process contains all others.
+/// Starts a fleet of `size` processes and waits until the membership view of each process contains all
+/// others. The first process is the seed of the fleet.
 fn start_fleet(program: &Path, size: usize) -> Result<Vec<Process>, MeasureError> {
     let first = Process::start(program, &settings("c0", options::fleet("c0", size, None)))?;
     let joining = first.wait_for("joining", 0)?;
