--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -72,8 +72,8 @@
     pub per: &'static str,
     /// Measurements in ascending order of size.
     pub points: Vec<Point>,
-    /// Line fitted to all points except the one of the largest size; `None` if there are too few points for a
-    /// line.
+    /// Line fitted to all points except the one of the largest size; `None` if no line can be fitted, for
+    /// example to fewer than three points.
     pub line: Option<Line>,
     /// Value that the line predicts for the largest size; NaN without a line.
     pub predicted: f64,
--- a/crates/capacity/src/report/bounds.rs
+++ b/crates/capacity/src/report/bounds.rs
@@ -1,4 +1,4 @@
-//! Upper bounds of the measurements in a report.
+//! Upper bounds of measured values, and the check of a report against them.
 
 use super::Report;
 use crate::day::IN_FORCE_SECONDS_BOUND;
@@ -9,7 +9,8 @@
 /// Upper bound of the time for which an options reload blocks the serving thread, in microseconds.
 const PAUSE_US_BOUND: u64 = 1_000;
 
-/// Describes each bound that the report exceeds, with the measured value.
+/// Returns one description for each bound that the report exceeds. The description contains the measured
+/// value.
 pub(super) fn exceeded(report: &Report) -> Vec<String> {
     let mut exceeded = Vec::new();
     for curve in report.curves.iter().filter(|curve| !curve.is_within_bound()) {
--- a/crates/capacity/src/report/mod.rs
+++ b/crates/capacity/src/report/mod.rs
@@ -17,26 +17,28 @@
 use std::path::Path;
 use std::time::Instant;
 
-/// Minimum for [`Options::servers`]. The smallest modelled fleet has a sixteenth of this number, and must be
-/// large enough to contain the control machines.
+/// Minimum of [`Options::servers`]. The smallest modelled fleet has a sixteenth of this number of servers,
+/// and some of its servers must be the control machines.
 pub const SERVERS_MIN: usize = 80;
-/// Maximum for [`Options::servers`].
+/// Maximum of [`Options::servers`].
 pub const SERVERS_MAX: usize = 2_000;
-/// Number of named tenants with which the added latency and the reload time must be within their bounds.
+/// Number of named tenants in the measurements of added latency and reload time. The bounds of both apply to
+/// this number.
 const TENANTS: usize = 64_000;
-/// Number of operations (routes) with which the added latency and the reload time must be within their
-/// bounds.
+/// Number of operations (routes) in the measurements of added latency and reload time. The bounds of both
+/// apply to this number.
 const ROUTES: usize = 6_200;
-/// Invocations per second and server: 190,000 invocations per second divided among 690 servers, and divided
-/// among the servers that remain when one of three regions is down.
+/// Invocations per second and server in the two loads to measure. The fleet receives 190,000 invocations per
+/// second. The lower rate is for 690 servers. The higher rate is for the servers that remain when one of
+/// three regions is down.
 const RATES: [f64; 2] = [275.0, 413.0];
-/// Time limit for the counters to converge, in simulated seconds. The convergence time grows with the square
-/// of the fleet size.
+/// Maximum time to wait until the counters converge, in simulated seconds. The convergence time grows with
+/// the square of the fleet size.
 const COUNTERS_LIMIT_SECONDS: u64 = 900;
-/// Divides the fleet size for short simulations: all incidents and the day in a quick run, and the hour-long
-/// cut of a region in a full run.
+/// Divisor of the fleet size for simulations that use a smaller fleet. A quick run uses the smaller fleet for
+/// all incidents and the day. A full run uses it for the hour-long isolation of a region.
 const SMALL_FLEET_DIVISOR: usize = 4;
-/// Longest time for which a region is cut off in a simulated fleet of the full size, in seconds.
+/// Maximum time for which a region is cut off in a simulation of the full fleet size, in seconds.
 const REGION_CUT_SECONDS_MAX: u64 = 300;
 
 /// Fleet size, random seed and length of a run.
@@ -46,7 +48,7 @@
     pub servers: usize,
     /// Seed of all random number generators.
     pub seed: u64,
-    /// Whether to use shorter time spans and smaller fleets.
+    /// Whether the run uses shorter time spans and smaller fleets.
     pub quick: bool,
 }
 
@@ -66,25 +68,27 @@
     pub seed: u64,
     /// Whether the run used shorter time spans and smaller fleets.
     pub quick: bool,
-    /// Measurements as a function of fleet size, tenant count or connection count.
+    /// Measured curves. Each curve is a function of the fleet size, the number of tenants or the number of
+    /// connections.
     pub curves: Vec<Curve>,
-    /// Simulated failures of parts of the fleet.
+    /// Measurements of the simulated failures of parts of the fleet.
     pub incidents: Vec<Incident>,
-    /// Simulated day of configuration changes and failures.
+    /// Measurements of the simulated day of configuration changes and failures.
     pub day: Day,
-    /// Latency that one process adds to invocations, for each load.
+    /// Latency that one process adds to invocations. There is one entry for each load.
     #[serde(rename = "added")]
     pub added_latencies: Vec<AddedLatency>,
     /// Resource use of each process in a fleet of real processes.
     #[serde(rename = "dozens")]
     pub process_fleet: ProcessFleet,
-    /// Costs of one server in a modelled idle fleet of the same size as the process fleet.
+    /// Costs of one server in a modelled idle fleet. The modelled fleet is as large as the process fleet.
     #[serde(rename = "dozens_model")]
     pub process_fleet_model: PerServer,
-    /// Heap bytes per server in the modelled idle fleet of [`Report::process_fleet_model`].
+    /// Heap bytes per server in the modelled idle fleet for which [`Report::process_fleet_model`] states the
+    /// costs.
     #[serde(rename = "dozens_model_memory")]
     pub process_fleet_model_memory_bytes: f64,
-    /// Descriptions of the bounds that the measurements exceed.
+    /// Descriptions of the bounds that measurements exceed. The list is empty if all bounds are met.
     #[serde(rename = "passed")]
     pub exceeded_bounds: Vec<String>,
 }
@@ -128,7 +132,7 @@
     Ok(report)
 }
 
-/// Measures an otherwise idle fleet at each size of `scale`.
+/// Measures the costs per server in a fleet without failures, at each fleet size of `scale`.
 fn resting_curves(scale: &Scale, progress: &dyn Fn(&str)) -> Result<Vec<Curve>, ModelError> {
     let mut measured = Vec::new();
     for size in scale.sizes() {
@@ -138,7 +142,8 @@
     Ok(at_rest::curves(&measured))
 }
 
-/// Measures the convergence time of the counters by fleet size. A quick run skips the largest size.
+/// Measures the convergence time of the replicated counters at each fleet size. A quick run skips the largest
+/// size.
 fn counters_curve(scale: &Scale, quick: bool, progress: &dyn Fn(&str)) -> Result<Curve, ModelError> {
     let mut points = Vec::new();
     let mut sizes = scale.sizes();
@@ -153,8 +158,9 @@
     Ok(Curve::new("until all totals are exact", "s", "server", points, None))
 }
 
-/// Measures the latency that one process adds: under a base load of one tenant and two operations, and under
-/// [`TENANTS`] tenants and [`ROUTES`] operations at each of [`RATES`].
+/// Measures the latency that one process adds to invocations, under three loads. The base load has one tenant
+/// and two operations. The other loads have [`TENANTS`] tenants and [`ROUTES`] operations, one load for each
+/// rate in [`RATES`].
 fn added_latencies(
     program: &Path,
     quick: bool,
@@ -172,10 +178,10 @@
     Ok(measured)
 }
 
-/// Function that simulates one incident at a given scale.
+/// Function that simulates one kind of incident at a given scale.
 type PlayIncident = fn(&Scale) -> Result<Incident, ModelError>;
 
-/// Lists the incidents to simulate, each with its scale.
+/// Returns the incidents to simulate, each with the scale of its simulation.
 fn incident_plays(scale: &Scale, quick: bool) -> Vec<(PlayIncident, Scale)> {
     let small = Scale { servers: scale.servers / SMALL_FLEET_DIVISOR, ..*scale };
     let scale = if quick { small } else { *scale };
@@ -192,7 +198,7 @@
     plays
 }
 
-/// Simulates the incidents and the day in parallel, each on its own thread.
+/// Simulates the incidents and the day in parallel. Each simulation has its own thread.
 fn incidents_and_day(
     scale: &Scale,
     quick: bool,
--- a/crates/capacity/src/report/table.rs
+++ b/crates/capacity/src/report/table.rs
@@ -6,11 +6,11 @@
 use crate::fit::Curve;
 use crate::incidents::Incident;
 
-/// Width of the first column, which names the measurement, in characters.
+/// Width of the table's first column in characters. The column contains the names of the measurements.
 const NAME_WIDTH: usize = 60;
 
 impl Report {
-    /// Formats the report as a table of curves followed by one paragraph for each other group of results.
+    /// Formats the report as text: a table of the curves, then one paragraph for each other group of results.
     pub fn table(&self) -> String {
         let mut lines = vec![format!(
             "{:<NAME_WIDTH$} {:>14} {:>22} {:>13} {:>13} {:>11}",
--- a/crates/capacity/src/scale.rs
+++ b/crates/capacity/src/scale.rs
@@ -11,47 +11,52 @@
 /// One second in nanoseconds.
 pub const SECOND_NS: Nanos = 1_000_000_000;
 
-/// Upper bound of the bytes per second that a server sends for membership, shared state and replication.
+/// Upper bound of the bytes per second that one server sends. Counts membership, shared state and
+/// replication.
 pub const BYTES_PER_SECOND_BOUND: f64 = 20_000.0;
-/// Upper bound of a server's CPU use by membership, shared state and replication, in percent of a core.
+/// Upper bound of one server's CPU use, in percent of a core. Counts membership, shared state and
+/// replication.
 pub const PROCESSOR_PERCENT_BOUND: f64 = 1.1;
-/// Upper bound of a server's memory for membership, shared state and replication, in bytes.
+/// Upper bound of one server's memory, in bytes. Counts membership, shared state and replication.
 pub const MEMORY_BYTES_BOUND: f64 = 256.0 * 1024.0 * 1024.0;
 
 /// Number of server restarts per day in a fleet of [`STATED_SERVERS`] servers.
 pub const RESTARTS_PER_DAY: usize = 870;
 /// Number of server failures per day in a fleet of [`STATED_SERVERS`] servers.
 pub const FAILURES_PER_DAY: usize = 51;
-/// Size of the fleet for which the bounds and the daily numbers of restarts and failures are stated.
+/// Number of servers in the reference fleet. The bounds and the numbers of restarts and failures per day are
+/// stated for a fleet of this size.
 pub const STATED_SERVERS: f64 = 690.0;
 /// Time in simulated nanoseconds until the servers of a failed rack start again.
 pub const RACK_DOWN_NS: Nanos = 60 * SECOND_NS;
-/// Number of control machines. These are the first servers of the fleet and the seeds of all servers.
+/// Number of control machines. The control machines are the first servers of the fleet. Every server joins
+/// through them as its seeds.
 pub const CONTROL_MACHINES: usize = 4;
-/// Number of control machines that vote on budgets and store the replicated configuration log. The first
-/// control machines of the fleet have this role.
+/// Number of control machines that vote on budget leases and store the replicated configuration log. These
+/// are the first control machines of the fleet.
 pub const VOTERS: usize = 3;
-/// Name of the lease whose holder leads the replicated configuration log.
+/// Name of the lease for the leader. The holder of this lease leads the replicated configuration log.
 const LOG_LEASE: &str = "publishing";
 const LEASE_NS: Nanos = 4 * SECOND_NS;
 const GOSSIP_INTERVAL_NS: Nanos = SECOND_NS / 2;
-/// Limit of the bytes per second that membership sends. Shared state may use the rest of
-/// [`BYTES_PER_SECOND_BOUND`].
+/// Maximum number of bytes per second that membership sends. The rest of [`BYTES_PER_SECOND_BOUND`] is for
+/// shared state.
 const MEMBERSHIP_BYTES_PER_SECOND: u64 = 12_000;
-/// Units of the call budget per server of the fleet.
+/// Number of units in the call budget, per server of the fleet.
 const BUDGET_UNITS_PER_SERVER: u64 = 10;
-/// Divisors of the largest fleet size. The quotients are the fleet sizes to measure.
+/// Divisors that give the fleet sizes to measure. Each size is the largest fleet size divided by one of these
+/// numbers.
 const SIZE_DIVISORS: [usize; 5] = [16, 8, 4, 2, 1];
 
-/// Fleet size and time spans of the simulations.
+/// Fleet size and time spans of the simulations of the fleet model.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Scale {
-    /// Number of servers in the largest fleet.
+    /// Number of servers in the largest simulated fleet.
     pub servers: usize,
     /// Seed of all random number generators.
     pub seed: u64,
-    /// Duration of the measurement of a fleet at rest, in seconds. The fleet runs for the same time before
-    /// the measurement.
+    /// Duration of the measurement of a fleet without failures, in seconds. The fleet first runs for an equal
+    /// time that is not measured.
     #[serde(rename = "rest")]
     pub rest_seconds: u64,
     /// Time for which a region is cut off from the other regions, in seconds.
@@ -66,7 +71,7 @@
 }
 
 impl Scale {
-    /// Returns a scale with the full time spans.
+    /// Returns a scale with the time spans of a full run.
     pub fn full(servers: usize, seed: u64) -> Scale {
         Scale {
             servers,
@@ -78,7 +83,7 @@
         }
     }
 
-    /// Returns a scale with shortened time spans.
+    /// Returns a scale with the shorter time spans of a quick run.
     pub fn quick(servers: usize, seed: u64) -> Scale {
         Scale {
             servers,
@@ -96,13 +101,13 @@
     }
 }
 
-/// Returns the indexes of the seed servers, through which every server joins the fleet.
+/// Returns the indexes of the seed servers. Every server joins the fleet through the seeds.
 pub fn seeds() -> Vec<usize> {
     (0..CONTROL_MACHINES).collect()
 }
 
-/// Returns the settings of a fleet of `size` servers: membership defaults for a local network, a call budget,
-/// counters and replicated configuration.
+/// Returns the settings for a fleet of `size` servers. They contain the membership defaults for a local
+/// network, a call budget, counters and replicated configuration.
 pub fn settings(size: usize) -> Settings {
     let mut membership = meadowstream_membership::Settings::lan("capacity", b"a key of the scale model");
     membership.expected_members = size as u32;
--- a/crates/capacity/src/server.rs
+++ b/crates/capacity/src/server.rs
@@ -1,6 +1,6 @@
-//! One server of the fleet model. A model server runs the protocol code of membership, shared state and
-//! replication that a real server runs, without invocations, driven by received datagrams and by time. Its
-//! datagrams are addressed, encoded and authenticated like those of a real server.
+//! Models one server of the fleet. A model server runs the protocol code of membership, shared state and
+//! replication that a real server runs. It handles no invocations. Received datagrams and the simulated time
+//! are its only inputs. Its datagrams are addressed, encoded and authenticated like those of a real server.
 
 use crate::error::ModelError;
 use crate::meter::{Costs, thread_time_ns};
@@ -12,10 +12,11 @@
 use meadowstream_shared_state::{REPLICATION, ServerId, SharedState};
 use std::net::SocketAddr;
 
-/// Unix time in nanoseconds at the start of the simulation. Servers use their start time as incarnation.
+/// Unix time in nanoseconds at the start of the simulation. The incarnation number of a server is the Unix
+/// time at which the server started.
 pub const START_NS: Nanos = 1_700_000_000_000_000_000;
 
-/// Number of bytes that the envelope adds to the body of a message.
+/// Size in bytes of the envelope that is added to each message body.
 const ENVELOPE_BYTES: u64 = (HEADER_BYTES + TAG_BYTES) as u64;
 
 /// Replication settings of a server.
@@ -23,11 +24,12 @@
 pub struct ReplicationSettings {
     /// Settings of the replication member.
     pub member: meadowstream_replication::member::Settings,
-    /// Name of a budget of one unit. The server that leases this unit leads the replicated log.
+    /// Name of a budget that has a single unit. The server that holds a lease on this unit leads the
+    /// replicated log.
     pub lease: &'static str,
 }
 
-/// Settings that all servers of the fleet share.
+/// Settings that are equal on all servers of the fleet.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Membership settings.
@@ -42,22 +44,22 @@
 pub struct ModelServer {
     /// Membership of the fleet.
     pub membership: Membership,
-    /// Shared state: counters, budgets and leases.
+    /// Shared state of the server: counters, budgets and leases.
     pub shared_state: SharedState,
-    /// Replicated configuration, if enabled.
+    /// Member of the replicated configuration; `None` if replication is disabled.
     pub replication: Option<Member>,
-    /// Name of the lease on leading the replicated log; empty without replication.
+    /// Name of the lease whose holder leads the replicated log; empty without replication.
     lease: &'static str,
     /// Addresses of the other servers by name.
     directory: Directory,
-    /// Time at which shared state must next be advanced, in simulated nanoseconds.
+    /// Simulated time in nanoseconds at which the timers of shared state are next due.
     shared_state_due: Nanos,
-    /// Costs since this server started.
+    /// Costs of this server since its start.
     pub costs: Costs,
 }
 
 impl ModelServer {
-    /// Creates a server that has not joined the fleet. `now` is simulated time in nanoseconds.
+    /// Creates a server that has not joined the fleet yet. `now` is the simulated time in nanoseconds.
     ///
     /// # Errors
     /// Returns an error if the settings are invalid.
@@ -87,7 +89,7 @@
         })
     }
 
-    /// Converts simulated time to a clock reading of shared state.
+    /// Converts the simulated time `now` to a clock reading in the form that shared state uses.
     fn reading(now: Nanos) -> Reading {
         Reading { monotonic: now, wall: START_NS + now }
     }
@@ -95,7 +97,8 @@
     /// Handles a datagram received from the address `from`.
     pub fn receive(&mut self, from: SocketAddr, datagram: &[u8], now: Nanos) {
         let started = thread_time_ns();
-        // Errors are ignored: a rejected datagram has no effect except the CPU time spent on it.
+        // The result is ignored. A rejected datagram has no effect except the CPU time spent on it, which is
+        // counted.
         let _ = self.membership.handle_datagram(from, datagram, now);
         let bodies = self.membership.take_shared_state();
         let membership_done = thread_time_ns();
@@ -121,8 +124,8 @@
         self.costs.replication.processor_ns += thread_time_ns() - shared_state_done;
     }
 
-    /// Performs the tasks of the replication member's host. Writing state to disk and applying a revision
-    /// succeed immediately.
+    /// Does the work that a server does for its replication member, such as saving state and sending
+    /// messages. In the model, writing state to disk and applying a revision succeed immediately.
     fn drive_replication(&mut self, now: Nanos) {
         let unix = START_NS + now;
         let holds_lease = self.request_lease();
@@ -144,8 +147,8 @@
         }
     }
 
-    /// Requests the lease on leading the replicated log and returns whether this server holds it. Servers
-    /// that are not replicas neither request nor hold the lease.
+    /// Requests the lease whose holder leads the replicated log. Returns whether this server holds the lease.
+    /// A server that is not a replica never requests the lease, and the result is false.
     fn request_lease(&mut self) -> bool {
         if !self.replication.as_ref().is_some_and(Member::is_replica) {
             return false;
@@ -159,7 +162,7 @@
         })
     }
 
-    /// Sends a replication message, wrapped in a shared state message.
+    /// Sends a replication message. The message is transported as the body of a shared state message.
     fn send_replication(&mut self, Outgoing { to, body }: Outgoing, now: Nanos) {
         let sent_before = self.shared_state.messages.sent_bytes;
         self.shared_state.send_other(&to, REPLICATION, body);
@@ -172,7 +175,7 @@
         }
     }
 
-    /// Runs all timers that are due at `now`.
+    /// Runs all timers of this server that are due at `now`.
     pub fn advance(&mut self, now: Nanos) {
         let started = thread_time_ns();
         self.membership.handle_timeout(now);
@@ -193,7 +196,7 @@
         }
     }
 
-    /// Sends the pending shared state messages and counts their datagrams and bytes.
+    /// Sends the pending messages of shared state. Counts the datagrams and bytes as costs of shared state.
     fn send_shared_state(&mut self, now: Nanos) {
         for (name, body) in self.shared_state.take_outgoing() {
             if let Some(to) = self.directory.address(&name) {
@@ -204,24 +207,26 @@
         }
     }
 
-    /// Returns the number of units that this server leases from the first shared budget.
+    /// Returns the number of units of the first shared budget that this server holds by lease.
     pub fn leased(&self) -> u64 {
         let time = self.shared_state.time();
         self.shared_state.budgets.first().map_or(0, |budget| budget.allowance(time).leased)
     }
 
-    /// Returns the simulated time in nanoseconds at which [`ModelServer::advance`] must be called next.
+    /// Returns the simulated time in nanoseconds at which the next timer of this server is due.
+    /// [`ModelServer::advance`] must be called then.
     pub fn next_due(&self) -> Nanos {
         let membership = self.membership.poll_timeout().unwrap_or(Nanos::MAX);
         let replication = self.replication.as_ref().map_or(Nanos::MAX, Member::next_due);
         membership.min(self.shared_state_due).min(replication.saturating_sub(START_NS))
     }
 
-    /// Removes and returns the datagrams to send.
+    /// Removes the pending outgoing datagrams of this server and returns them.
     pub fn take_outgoing(&mut self) -> Vec<Transmit> {
         let outgoing = self.membership.take_transmits();
         let counts = self.membership.counts();
-        // Membership counts the datagrams of all mechanisms, so those of the other mechanisms are subtracted.
+        // The counts of membership include the datagrams of shared state and replication, so these are
+        // subtracted.
         let others = [self.costs.shared_state, self.costs.replication];
         let datagrams: u64 = others.iter().map(|cost| cost.datagrams).sum();
         let bytes: u64 = others.iter().map(|cost| cost.bytes).sum();
--- a/crates/capacity/src/tenants.rs
+++ b/crates/capacity/src/tenants.rs
@@ -1,5 +1,6 @@
-//! Measures the cost of tenants for one server: the memory of their accounts, and the CPU time that fair
-//! queueing needs for an arrival and for the fair rate of a control period.
+//! Measures the cost of tenants on one server, by the number of tenants. The cost is the memory of the
+//! tenants' accounts, and the CPU time of fair queueing. Fair queueing uses CPU time at each arrival, and
+//! once per control period to update the fair rate.
 
 use crate::fit::{Curve, Point};
 use crate::meter::{allocated_bytes, thread_time_ns};
@@ -9,20 +10,22 @@
 
 /// Numbers of named tenants to measure, in ascending order.
 pub const SIZES: [usize; 6] = [1_000, 4_000, 8_000, 16_000, 32_000, 64_000];
-/// Number of arrivals over which the CPU time is averaged.
+/// Number of measured arrivals. The CPU time per arrival is the average over these.
 const ARRIVALS: usize = 20_000;
 /// Simulated time between two arrivals, in nanoseconds.
 const ARRIVAL_INTERVAL_NS: u64 = 50_000;
-/// Number of fair rate updates over which the CPU time is averaged, with one update per simulated second.
+/// Number of measured fair rate updates, one per simulated second. The CPU time per update is the average
+/// over these.
 const FAIR_RATE_UPDATES: u64 = 20;
-/// Number of accounts for tenants without an entry in the settings.
+/// Number of accounts that are shared by tenants without an entry in the settings.
 const OTHER_ACCOUNTS: usize = 16;
 const WEIGHT: f64 = 2.0;
 const CORES: f64 = 8.0;
-/// Core time that each arriving invocation uses, in nanoseconds.
+/// CPU time that the interpreter spends on each invocation, in nanoseconds.
 const WORK_NS: f64 = 2e6;
 const SEED: u64 = 7;
-/// Prime step between the tenant indexes of consecutive arrivals, which spreads arrivals over all tenants.
+/// Step between the tenant indexes of two consecutive arrivals. The step is a prime number, so the arrivals
+/// spread over all tenants.
 const STRIDE: usize = 7919;
 
 /// Costs of one server with a given number of tenants.
@@ -33,15 +36,17 @@
     /// Heap memory of the fair queueing scheduler, in bytes.
     #[serde(rename = "memory")]
     pub memory_bytes: f64,
-    /// Average CPU time for the arrival, start and end of one invocation, in nanoseconds.
+    /// Average CPU time of fair queueing for one invocation, in nanoseconds. Counts the arrival, the start
+    /// and the end of the invocation.
     #[serde(rename = "arrival")]
     pub arrival_ns: f64,
-    /// Average CPU time of one fair rate update, which runs once per control period, in nanoseconds.
+    /// Average CPU time of one update of the fair rate, in nanoseconds. The fair rate is updated once per
+    /// control period.
     #[serde(rename = "level")]
     pub fair_rate_ns: f64,
 }
 
-/// Measures the costs in the worst case, in which all tenants are named and all have arrivals.
+/// Measures the costs of `tenants` tenants in the worst case: all tenants are named and all have arrivals.
 pub fn measure(tenants: usize) -> TenantCosts {
     let name = |tenant: usize| format!("tenant-{tenant:05}").into_bytes();
     let named: Vec<NamedTenant> = (0..tenants).map(|tenant| (name(tenant), WEIGHT)).collect();
@@ -69,7 +74,7 @@
     TenantCosts { tenants, memory_bytes, arrival_ns, fair_rate_ns }
 }
 
-/// Returns the curves of the measured costs by number of tenants.
+/// Returns one curve for each measured cost, as a function of the number of tenants.
 pub fn curves(measured: &[TenantCosts]) -> Vec<Curve> {
     let curve = |name: &str, unit, value: &dyn Fn(&TenantCosts) -> f64| {
         let points = measured.iter().map(|costs| Point { size: costs.tenants as f64, value: value(costs) });
--- a/crates/capacity/src/topology.rs
+++ b/crates/capacity/src/topology.rs
@@ -1,39 +1,39 @@
-//! Placement of servers in regions, zones and racks, and the network delay between two servers.
+//! Assigns servers to regions, zones and racks, and defines the network delays between them.
 
 use meadowstream_membership::Nanos;
 use meadowstream_replication::simulation::Delay;
 
-/// Number of servers in one rack, which share a network switch.
+/// Number of servers in one rack. A simulated rack failure stops all of them.
 pub const RACK_SERVERS: usize = 23;
 /// Number of regions.
 pub const REGIONS: usize = 3;
-/// Number of zones in all regions together.
+/// Total number of zones in all regions.
 pub const ZONES: usize = 10;
-/// Index of the region that a simulated network partition cuts off.
+/// Index of the region that is cut off in a simulated network partition of a region.
 pub(crate) const CUT_REGION: usize = 2;
-/// Index of the zone that a simulated network partition cuts off.
+/// Index of the zone that is cut off in a simulated network partition of a zone.
 pub(crate) const CUT_ZONE: usize = 9;
 
 const MICROSECOND_NS: Nanos = 1_000;
 const MILLISECOND_NS: Nanos = 1_000_000;
-/// Minimum one-way network delay within a zone. Like the delays between zones and between regions, it is an
-/// estimate.
+/// Minimum one-way network delay between servers of one zone, in nanoseconds. The value is an estimate.
 const SAME_ZONE_NS: Nanos = 250 * MICROSECOND_NS;
-/// Minimum one-way network delay between two zones of a region, an estimate.
+/// Minimum one-way network delay between two zones of one region, in nanoseconds. The value is an estimate.
 const SAME_REGION_NS: Nanos = MILLISECOND_NS;
-/// Minimum one-way network delay between two regions, an estimate.
+/// Minimum one-way network delay between two regions, in nanoseconds. The value is an estimate.
 const BETWEEN_REGIONS_NS: Nanos = 40 * MILLISECOND_NS;
-/// The maximum jitter of a network delay is the minimum delay divided by this number.
+/// Divisor that gives the maximum jitter of a network delay: the minimum delay divided by this number.
 const JITTER_DIVISOR: u64 = 2;
 
-/// Location of one server. Servers are assigned to zones round-robin, and zones to regions round-robin.
+/// Region, zone and rack of one server. Servers are assigned to the zones in turn, and zones to the regions
+/// in turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Place {
     /// Index of the region, from 0.
     pub region: usize,
     /// Index of the zone, from 0, unique across all regions.
     pub zone: usize,
-    /// Index of the rack, unique across all zones.
+    /// Index of the rack, from 0, unique across all zones.
     pub rack: usize,
 }
 
@@ -44,18 +44,18 @@
         Place { region: zone % REGIONS, zone, rack: zone + ZONES * (server / ZONES / RACK_SERVERS) }
     }
 
-    /// Returns the zone's name as used in settings.
+    /// Returns the name of the zone in the settings.
     pub fn zone_name(&self) -> String {
         format!("zone-{}", self.zone)
     }
 
-    /// Returns the region's name as used in settings.
+    /// Returns the name of the region in the settings.
     pub fn region_name(&self) -> String {
         format!("region-{}", self.region)
     }
 }
 
-/// Returns the one-way network delay between two servers.
+/// Returns the minimum and the jitter of the one-way network delay between two servers.
 pub fn delay(from: Place, to: Place) -> Delay {
     let least = if from.zone == to.zone {
         SAME_ZONE_NS
--- a/crates/capacity/tests/memory.rs
+++ b/crates/capacity/tests/memory.rs
@@ -1,16 +1,16 @@
-//! Tests the measured heap memory of tenant accounts. The allocator counts memory for the whole process, so
-//! this file must contain a single test: cargo runs each test file in a separate process, and no other test
-//! then allocates memory during the measurement.
+//! Tests the measured heap memory of tenant accounts. This file must contain only one test, because the
+//! allocator counts the memory of the whole process. Cargo runs each test file in its own process, so no
+//! other test allocates memory during the measurement.
 
 use meadowstream_capacity::tenants::{self, TenantCosts};
 
-/// Relative tolerance between the memory per additional tenant in two ranges of tenant counts. The memory per
-/// tenant differs between the ranges because tables grow by doubling.
+/// Maximum relative difference between the memory per additional tenant in two ranges of tenant counts. The
+/// ranges differ because tables grow by doubling.
 const TOLERANCE: f64 = 0.25;
 /// Upper bound of the memory per tenant, in bytes.
 const TENANT_BYTES_MAX: f64 = 2_000.0;
 
-/// Returns the memory per additional tenant between two measurements, in bytes.
+/// Returns the memory per additional tenant, in bytes, from measurements with fewer and with more tenants.
 fn bytes_per_added_tenant(smaller: &TenantCosts, larger: &TenantCosts) -> f64 {
     (larger.memory_bytes - smaller.memory_bytes) / (larger.tenants - smaller.tenants) as f64
 }
--- a/crates/capacity/tests/model.rs
+++ b/crates/capacity/tests/model.rs
@@ -1,6 +1,6 @@
-//! Tests the fleet model with small fleets: cost bounds that hold at every size, results that depend only on
-//! the seed, recovery after failures, and a simulated day of configuration changes. The command
-//! `meadowstream fleet capacity` runs the model with large fleets.
+//! Tests the fleet model with small fleets. The tests cover cost bounds, results that depend only on the
+//! seed, recovery after failures, and a simulated day of configuration changes. The command `meadowstream
+//! fleet capacity` runs the model with large fleets.
 
 use meadowstream_capacity::fit::{Curve, Line, Point};
 use meadowstream_capacity::scale::{BYTES_PER_SECOND_BOUND, Scale};
@@ -43,7 +43,8 @@
     );
     let region = incidents::region_cut(&scale(60)).unwrap();
     assert!(region.convergence_after_return.unwrap() < 30.0, "{region:?}");
-    // The smaller side of the partition has no majority of voters, so no server there can hold a lease.
+    // No server in the isolated region can hold a lease, because a majority of the voters is outside this
+    // region.
     assert_eq!(region.leases_in_cut, Some(0));
     let control = incidents::control_down(&scale(60)).unwrap();
     assert!(control.convergence_after_return.unwrap() < 30.0, "{control:?}");
@@ -71,8 +72,9 @@
     assert_eq!(Line::fit(&[point(1.0, 1.0), point(1.0, 2.0), point(1.0, 3.0)]), None);
 }
 
-/// Prints the costs of a control machine in a fleet of 690 servers at rest, the memory of a configuration
-/// with 64,000 tenants, and the size and encoding time of the persisted state of this configuration.
+/// Prints measurements of the control machines' work at full size. These are the costs of the leader in a
+/// fleet of 690 servers without failures, the memory of a configuration with 64,000 tenants, and the size and
+/// encoding time of its persisted state.
 #[test]
 #[ignore = "half a minute"]
 fn a_control_machine_at_the_stated_size() {
@@ -93,8 +95,8 @@
     );
 }
 
-/// Prints the measurements of an isolated zone and of a day in a fleet of 690 servers. The command is
-/// `cargo test --release -p meadowstream-capacity -- --ignored --nocapture`.
+/// Prints the measurements of an isolated zone and of a simulated day, both in a fleet of 690 servers. To run
+/// this test: `cargo test --release -p meadowstream-capacity -- --ignored --nocapture`.
 #[test]
 #[ignore = "some minutes"]
 fn an_isolated_zone_and_a_day_at_the_stated_size() {
--- a/crates/rollout/src/baseline.rs
+++ b/crates/rollout/src/baseline.rs
@@ -1,16 +1,19 @@
-//! Baseline of each server: the mean of each metric before the change. Servers differ permanently from each
-//! other, so the comparison subtracts each server's baseline from its values.
+//! Computes the baseline of each server: the mean of each metric before the rollout changes any server.
+//! Servers differ permanently from each other. The comparison of servers therefore subtracts each server's
+//! baseline from the values that the server reports.
 
 use crate::metrics::{IntervalMetrics, Metric, Series, values};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Number of intervals that each server's baseline must contain before the change begins.
+/// Minimum number of intervals in the baseline of each server. The first stage begins after all servers have
+/// this many.
 pub const BASELINE_INTERVALS_MIN: usize = 20;
-/// Minimum number of values of a series. With fewer values, no mean and no variance are computed.
+/// Minimum number of values from which a baseline is computed. With fewer values, a class and metric has no
+/// baseline.
 const VALUES_MIN: u32 = 3;
 
-/// Baselines of all servers, serialized into the coordinator's state file. The `serde` attributes keep the
+/// Baselines of all servers. They are stored in the coordinator's state file. The `serde` attributes keep the
 /// field names of that file.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Baselines {
@@ -18,8 +21,8 @@
     by_server: BTreeMap<String, Vec<SeriesSums>>,
 }
 
-/// Running sums of the values that one server reports for a metric of a class of invocations. Each interval
-/// adds one value.
+/// Running sums of the values that one server reports for one metric and one class of invocations. Each
+/// interval adds one value to the sums.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct SeriesSums {
     class: String,
@@ -36,16 +39,16 @@
     }
 }
 
-/// Baseline of one server for one class and metric.
+/// Baseline of one server for one class of invocations and one metric.
 #[derive(Clone, Copy)]
 pub(crate) struct Baseline {
     pub(crate) mean: f64,
-    /// Variance of `mean`, that is, the square of its standard error; not the variance of the single values.
+    /// Variance of the estimate `mean` (its squared standard error). The variance of single values is larger.
     pub(crate) mean_variance: f64,
 }
 
 impl Baselines {
-    /// Adds one interval of a server to the server's baseline.
+    /// Adds the metrics of one interval to the baseline of a server.
     pub fn add(&mut self, server: &str, interval: &[IntervalMetrics]) {
         let server_sums = self.by_server.entry(server.to_string()).or_default();
         for (series, value) in values(interval) {
@@ -64,14 +67,15 @@
         }
     }
 
-    /// Number of intervals in a server's baseline, for the class and metric with the most values.
+    /// Returns the number of intervals in a server's baseline. Classes and metrics may have different numbers
+    /// of values; the largest number counts.
     pub fn intervals(&self, server: &str) -> usize {
         let server_sums = self.by_server.get(server).into_iter().flatten();
         server_sums.map(|sums| sums.count).max().unwrap_or(0) as usize
     }
 
-    /// Returns the baseline of a server for a class and metric, or `None` with fewer than [`VALUES_MIN`]
-    /// values.
+    /// Returns the baseline of a server for one class and metric. Returns `None` if there are fewer than
+    /// [`VALUES_MIN`] values.
     pub(crate) fn get(&self, server: &str, series: &Series) -> Option<Baseline> {
         let sums = self.by_server.get(server)?.iter().find(|sums| sums.is_of(series))?;
         if sums.count < VALUES_MIN {
--- a/crates/rollout/src/canary.rs
+++ b/crates/rollout/src/canary.rs
@@ -1,19 +1,21 @@
-//! The canary verdict: whether the changed servers perform worse than the unchanged ones in the same
-//! intervals.
+//! Decides whether the changed servers perform worse than the unchanged servers in the same intervals. The
+//! result is called the verdict.
 //!
-//! Each interval yields one value per server, class and metric, minus the server's baseline.
-//! [`crate::rank_test`] compares the values of both groups, once over all intervals and once over the half
-//! with the most answers, since a change may perform worse only under load. Two measures limit the
-//! probability of a false stop in a stage to the plan's `alpha`, as far as the p-values of the test are
-//! correct:
+//! Each interval gives one value per server, class and metric. The server's baseline is subtracted from the
+//! value. [`crate::rank_test`] then compares the values of changed and unchanged servers. There are two
+//! comparisons: one over all intervals, and one over the half of the intervals with the most answers. The
+//! second comparison detects a change that performs worse only under load.
 //!
-//! - `alpha` is divided by the number of comparisons in a stage (Bonferroni correction): per interval, class
-//!   and metric there is one over all intervals and one over the busier half;
-//! - a difference below the plan's thresholds is ignored, however small its p-value.
+//! Two measures limit the probability of a false stop in a stage to the plan's `alpha`, if the p-values of
+//! the test are correct:
+//!
+//! - `alpha` is divided by the number of comparisons in a stage (Bonferroni correction). There are two
+//!   comparisons per planned verdict, class and metric.
+//! - A difference below the plan's thresholds is ignored, however small its p-value is.
 //!
 //! The divisor counts the planned verdicts. If servers report more often than once per planned interval, a
-//! stage may evaluate up to four times as many verdicts, and the limit is then four times `alpha`. A
-//! restarted coordinator bakes the current stage again with the full `alpha`.
+//! stage may have up to four times as many verdicts. The limit is then four times `alpha`. A coordinator that
+//! restarts repeats the comparison of the current stage with the full `alpha`.
 
 use crate::baseline::Baselines;
 use crate::metrics::{IntervalMetrics, Metric, Series, values};
@@ -22,41 +24,45 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// Comparisons per class and metric at each verdict: one over all intervals and one over the busier half.
+/// Number of comparisons per class and metric for each verdict. One comparison uses all intervals, the other
+/// only the half of the intervals with the most answers.
 const COMPARISONS_PER_SERIES: usize = 2;
 
-/// Values of changed and unchanged servers, collected in one stage.
+/// Values that changed and unchanged servers reported in one stage.
 #[derive(Clone, Debug, Default)]
 pub struct Canary {
     strata: BTreeMap<Series, Vec<Stratum>>,
-    /// Values of the current interval; [`Canary::close_interval`] moves them to `strata`.
+    /// Values of the current interval. [`Canary::close_interval`] moves these values to `strata`.
     current: BTreeMap<Series, Stratum>,
 }
 
-/// Result of comparing the changed servers with the unchanged ones.
+/// Result of the comparison between changed and unchanged servers.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// Too few intervals have values of both changed and unchanged servers.
+    /// Too few intervals contain values of both changed and unchanged servers.
     InsufficientData,
-    /// No difference is both statistically significant and above its threshold.
+    /// No regression was found: every difference is either not statistically significant or not above its
+    /// threshold.
     Pass,
-    /// The changed servers perform worse than the unchanged ones.
+    /// The changed servers perform worse than the unchanged servers.
     Regression {
         /// Class of invocations in which the changed servers perform worse.
         class: String,
-        /// Metric in which the changed servers are worse.
+        /// Metric in which the changed servers perform worse.
         metric: Metric,
-        /// Mean of the changed servers minus that of the unchanged ones, as in
-        /// [`Comparison::difference`](crate::rank_test::Comparison::difference). The unit is that of the
+        /// Difference between the means of changed and unchanged servers, as defined by
+        /// [`Comparison::difference`](crate::rank_test::Comparison::difference). The unit is the unit of the
         /// metric: a share, or the logarithm of a latency.
         difference: f64,
-        /// One-sided p-value: the probability that chance alone ranks the changed servers at least as high.
+        /// One-sided p-value: the probability that chance alone gives the changed servers ranks that are at
+        /// least as high.
         p_value: f64,
     },
 }
 
 impl Canary {
-    /// Adds a server's report to the current interval. Values without a baseline are ignored.
+    /// Adds the metrics that a server reports to the current interval. A value is ignored if the server has
+    /// no baseline for its class and metric.
     pub fn add(
         &mut self,
         server: &str,
@@ -79,8 +85,8 @@
         }
     }
 
-    /// Closes the current interval. Keeps the values of each class and metric for which both a changed and an
-    /// unchanged server have values, and drops all others.
+    /// Ends the current interval and stores its values for the comparison. The values of a class and metric
+    /// are kept only if both changed and unchanged servers have some.
     pub fn close_interval(&mut self) {
         for (series, stratum) in std::mem::take(&mut self.current) {
             if !stratum.changed.is_empty() && !stratum.unchanged.is_empty() {
@@ -89,19 +95,20 @@
         }
     }
 
-    /// Drops all values of the current interval.
+    /// Drops all values of the current interval, so that they are not compared.
     pub fn discard_interval(&mut self) {
         self.current.clear();
     }
 
-    /// Number of intervals with values of both changed and unchanged servers, for the class and metric that
-    /// has the most such intervals.
+    /// Returns the number of intervals that contain values of both changed and unchanged servers. Classes and
+    /// metrics may have different numbers of intervals; the largest number counts.
     pub fn intervals(&self) -> usize {
         self.strata.values().map(Vec::len).max().unwrap_or(0)
     }
 
-    /// Computes the verdict over all closed intervals. `verdicts` is the number of verdicts planned for the
-    /// stage; the significance level is `alpha` divided by the number of all their comparisons.
+    /// Compares changed and unchanged servers over all closed intervals and returns the verdict. `verdicts`
+    /// is the number of verdicts planned for the stage. The significance level of one comparison is `alpha`
+    /// divided by the number of comparisons in all planned verdicts.
     pub fn verdict(&self, thresholds: &Thresholds, verdicts: usize) -> Verdict {
         let has_enough = |strata: &Vec<Stratum>| strata.len() >= INTERVALS_MIN;
         let series: Vec<_> = self.strata.iter().filter(|(_, strata)| has_enough(strata)).collect();
@@ -133,8 +140,8 @@
     }
 }
 
-/// Returns the half of the intervals with the most answers, but at least [`INTERVALS_MIN`] intervals if there
-/// are that many.
+/// Returns the half of the intervals that have the most answers. Returns at least [`INTERVALS_MIN`]
+/// intervals, if there are that many.
 fn busier_half(strata: &[Stratum]) -> Vec<&Stratum> {
     let mut busier: Vec<&Stratum> = strata.iter().collect();
     busier.sort_by_key(|stratum| Reverse(stratum.answered));
--- a/crates/rollout/src/coordinator/baking.rs
+++ b/crates/rollout/src/coordinator/baking.rs
@@ -1,17 +1,18 @@
-//! Baking: comparing the changed servers of a stage with the unchanged ones until the bake time is over.
+//! Compares the changed servers of a stage with the unchanged servers until the bake time of the stage is
+//! over. This phase of a stage is called baking.
 
 use super::{Action, Coordinator, Interval, Phase};
 use crate::Nanos;
 use crate::canary::{Canary, Verdict};
 use crate::plan::{INTERVALS_MIN, OnRegression};
 
-/// A stage that still has too few values for a comparison after this many bake times is stopped or rolled
-/// back, as the plan specifies.
+/// Maximum time to wait for enough values to compare servers, as a multiple of the bake time of the stage.
+/// After this time, the rollout is stopped or rolled back, as the plan specifies.
 const INSUFFICIENT_DATA_FACTOR: Nanos = 3;
-/// Maximum number of verdicts computed in a stage, as a multiple of the planned number. Each verdict adds to
-/// the probability of a false stop. If each verdict takes one interval of bake time, the planned number is
-/// not exceeded. If servers report more often, more verdicts are computed, and the probability of a false
-/// stop is limited to this many times the plan's `alpha`.
+/// Maximum number of verdicts in a stage, as a multiple of the planned number. Each verdict adds to the
+/// probability of a false stop. If servers report once per planned interval, the planned number is not
+/// exceeded. If servers report more often, there are more verdicts. The probability of a false stop is then
+/// at most this multiple of the plan's `alpha`.
 const VERDICTS_FACTOR: usize = 4;
 
 impl Coordinator {
@@ -40,7 +41,8 @@
                 let reason = format!("{class}: {metric:?} worse by {difference:.3} (p {p_value:.1e})");
                 self.stop_or_roll_back(interval.now, reason, actions);
             }
-            // If all servers are changed, no unchanged server is left to compare with.
+            // Without unchanged servers, there is nothing to compare with, and more time would not help. Only
+            // stages with unchanged servers wait for more values.
             Verdict::InsufficientData if has_unchanged => {
                 if self.baked < bake_time.saturating_mul(INSUFFICIENT_DATA_FACTOR) {
                     self.notify(actions, &format!("stage {}: too few answers to compare", stage + 1));
@@ -52,9 +54,9 @@
         }
     }
 
-    /// Adds the new intervals of servers that comply with their orders to the canary. If the fleet's view is
-    /// not settled, the values of these intervals are dropped, since the membership change may have caused a
-    /// difference between servers.
+    /// Adds the new metrics of servers that comply with their orders to the comparison. The values are
+    /// dropped if the fleet's view is not settled. The membership change, not the rollout, may then have
+    /// caused a difference between servers.
     fn add_to_canary(&mut self, interval: &Interval) {
         for new_interval in self.take_new_intervals(interval.view) {
             if self.complies(&new_interval.server) {
@@ -75,8 +77,8 @@
     }
 
     /// Computes the verdict of this interval. After [`VERDICTS_FACTOR`] times the planned number of verdicts,
-    /// this function returns [`Verdict::Pass`] without a comparison. From then on, only the bake time and
-    /// failed servers affect the stage.
+    /// returns [`Verdict::Pass`] without a comparison. From then on, only the bake time and failed servers
+    /// affect the stage.
     fn next_verdict(&mut self) -> Verdict {
         let planned = self.plan.planned_verdicts(self.state.stage);
         let may_compare = self.verdicts < VERDICTS_FACTOR * planned;
@@ -86,7 +88,8 @@
         if may_compare { self.canary.verdict(&self.plan.thresholds, planned) } else { Verdict::Pass }
     }
 
-    /// Begins the next stage once the bake time is over, or ends the plan after the last stage.
+    /// Handles an interval without a regression. After the bake time, begins the next stage, or ends the plan
+    /// if this is the last stage.
     fn handle_no_regression(&mut self, interval: &Interval, actions: &mut Vec<Action>) {
         let stage = self.state.stage;
         let bake_time = self.plan.stages[stage].bake_time;
@@ -100,8 +103,8 @@
         }
     }
 
-    /// Stops the rollout or rolls it back, as the plan specifies. Possible causes are a regression, a failed
-    /// server, a server that sends no reports, and too few values for a comparison.
+    /// Stops the rollout or rolls it back, as the plan specifies. `reason` is one of these: a regression, a
+    /// failed server, a server that sends no reports, or too few values for a comparison.
     pub(super) fn stop_or_roll_back(&mut self, now: Nanos, reason: String, actions: &mut Vec<Action>) {
         match self.plan.on_regression {
             OnRegression::Stop => self.end(Phase::Stopped { reason }, actions),
--- a/crates/rollout/src/coordinator/compliance.rs
+++ b/crates/rollout/src/coordinator/compliance.rs
@@ -1,18 +1,19 @@
-//! Compliance of servers with their orders, according to their reports, and detection of failed servers.
+//! Checks by their reports whether servers comply with their orders, and detects failed servers.
 
 use super::{Coordinator, FleetView, Interval};
 use crate::Nanos;
 use crate::metrics::IntervalMetrics;
 use crate::wire::Report;
 
-/// A server counts as silent if its latest report answers an order more than this many orders old.
+/// Maximum age of the order that a server's latest report answers, as a number of later orders. With an older
+/// report, the server counts as silent.
 const SILENT_ORDERS: u64 = 2;
 
 /// The latest report of a server.
 pub(super) struct ReceivedReport {
     pub(super) received_at: Nanos,
     pub(super) report: Report,
-    /// Number of the server's last interval that [`Coordinator::take_new_intervals`] returned.
+    /// Number of the last interval of this server whose metrics [`Coordinator::take_new_intervals`] returned.
     last_interval: Option<u64>,
 }
 
@@ -22,14 +23,14 @@
     }
 }
 
-/// Metrics of a server for an interval that was not processed before.
+/// Metrics that a server reported for an interval that the coordinator has not processed yet.
 pub(super) struct NewInterval {
     pub(super) server: String,
     pub(super) metrics: Vec<IntervalMetrics>,
 }
 
 impl Coordinator {
-    /// Whether the latest report of a server says that it runs the settings or program ordered.
+    /// Returns whether a server runs the settings or program of its order, according to its latest report.
     pub(super) fn complies(&self, server: &str) -> bool {
         let Some(received) = self.reports.get(server) else { return false };
         if self.state.changed.contains(server) {
@@ -39,22 +40,22 @@
         }
     }
 
-    /// Whether a report of the server arrived within the response timeout.
+    /// Returns whether the latest report of a server arrived less than the response timeout ago.
     pub(super) fn has_recent_report(&self, now: Nanos, server: &str) -> bool {
         let received = self.reports.get(server);
         received.is_some_and(|received| now.saturating_sub(received.received_at) < self.plan.response_timeout)
     }
 
-    /// Whether a server has never reported, or its latest report answers an order more than [`SILENT_ORDERS`]
-    /// orders old.
+    /// Returns whether a server is silent. A server is silent if it has never reported, or if its latest
+    /// report answers an order more than [`SILENT_ORDERS`] orders old.
     fn is_silent(&self, server: &str) -> bool {
         let last_answered = self.reports.get(server).map(|received| received.report.order_sequence);
         last_answered.is_none_or(|last_answered| last_answered + SILENT_ORDERS < self.order_sequence)
     }
 
-    /// Adds the length of the interval to the overdue time of each alive server that does not comply with its
-    /// order or is silent. While the fleet's view is not settled, a server may be unreachable, so time is
-    /// then counted only during a rollback.
+    /// Counts the time for which each alive server has been overdue. A server is overdue while it is silent
+    /// or does not comply with its order. While the fleet's view is not settled, time is counted only during
+    /// a rollback, because a server may be unreachable.
     pub(super) fn count_overdue(&mut self, interval: &Interval) {
         let is_counted = interval.is_settled || self.is_rolling_back();
         for server in &interval.view.alive {
@@ -66,8 +67,8 @@
         }
     }
 
-    /// Measures the time for which changed servers, and no others, have been missing from the view. The time
-    /// restarts from 0 whenever no server or an unchanged server is missing.
+    /// Counts the time for which servers have been missing from the view and all missing servers are changed
+    /// servers. Resets the time to 0 if no server is missing, or if an unchanged server is missing.
     pub(super) fn count_changed_missing(&mut self, interval: &Interval) {
         let missing = &interval.view.missing;
         let only_changed = missing.iter().all(|server| self.state.changed.contains(server));
@@ -78,13 +79,14 @@
         }
     }
 
-    /// Returns a message if a server counts as failed: if it has been overdue for the response timeout, or if
-    /// changed servers, and no others, have been missing from the view for the response timeout.
+    /// Returns a message if a server has failed. A server has failed if it has been overdue for the response
+    /// timeout. Missing servers have failed if, for the response timeout, some changed server and no
+    /// unchanged server has been missing.
     pub(super) fn find_failure(&self, view: &FleetView) -> Option<String> {
         let timeout = self.plan.response_timeout;
         if self.changed_missing_for >= timeout {
-            // A partition affects changed and unchanged servers. If only changed ones are missing, the change
-            // is the likely cause.
+            // A network partition would affect unchanged servers, too. If only changed servers are missing,
+            // the change is the likely cause.
             return Some(format!("{} gone since the change", view.missing.join(", ")));
         }
         let (server, _) = self.overdue.iter().find(|(_, overdue)| **overdue >= timeout)?;
@@ -95,7 +97,8 @@
         })
     }
 
-    /// Returns the metrics of each alive server that has reported a new interval since the last call.
+    /// Returns the metrics of each alive server that has reported a new interval since the last call of this
+    /// function.
     pub(super) fn take_new_intervals(&mut self, view: &FleetView) -> Vec<NewInterval> {
         let mut new_intervals = Vec::new();
         for server in &view.alive {
--- a/crates/rollout/src/coordinator/mod.rs
+++ b/crates/rollout/src/coordinator/mod.rs
@@ -1,13 +1,15 @@
-//! The coordinator of one plan, a state machine without I/O or clock.
+//! Coordinates the rollout of one plan. The coordinator is a state machine without I/O and without a clock.
 //!
-//! The caller calls [`Coordinator::handle_interval`] once per interval, with the time, the fleet's view and
-//! whether the coordinator holds the rollout lease, and [`Coordinator::handle_report`] for each report
-//! received. Both the interval handler and [`Coordinator::handle_abort`] return actions, which the caller
-//! must carry out in order: a state is always saved before the first order that depends on it.
+//! The caller calls [`Coordinator::handle_interval`] once per interval. Its arguments are the time, the
+//! fleet's view and whether the coordinator holds the rollout lease. The caller also calls
+//! [`Coordinator::handle_report`] for each received report. The interval handler and
+//! [`Coordinator::handle_abort`] return actions, which the caller must carry out in order. A state is always
+//! saved before the first order that depends on it.
 //!
-//! An order names the settings or program that a server must run, rather than a step to take. Orders
-//! therefore stay the same until the stage changes, and the next order makes up for a lost one. A coordinator
-//! that restarts from its saved state sends the same orders and bakes the current stage again.
+//! An order names the settings or program that a server must run. Orders do not name single steps. Orders
+//! therefore stay the same until the stage changes, and the next order makes up for a lost order. A
+//! coordinator that restarts from its saved state sends the same orders and repeats the comparison of the
+//! current stage.
 
 mod baking;
 mod compliance;
@@ -24,21 +26,23 @@
 use compliance::ReceivedReport;
 use std::collections::BTreeMap;
 
-/// Membership of the fleet as seen by the coordinator.
+/// Membership view of the coordinator: the servers of the fleet and their state.
 #[derive(Clone, Debug, Default)]
 pub struct FleetView {
     /// Names of the alive servers.
     pub alive: Vec<String>,
-    /// Names of the servers that are suspect, or down and not yet removed from the view.
+    /// Names of the servers in the view that are suspect or down. A down server stays in the view for some
+    /// time.
     pub missing: Vec<String>,
     /// Time since the last change of the view, in nanoseconds.
     pub settled_for: Nanos,
 }
 
-/// An action for the caller. Actions must be carried out in the order returned.
+/// Action that the caller must carry out. Actions must be carried out in the order in which they are
+/// returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Save the state durably to disk before carrying out any later action.
+    /// Save the state to disk. The state must be durable before any later action is carried out.
     Save(Box<PersistedState>),
     /// Send an order to a server.
     SendOrder {
@@ -54,7 +58,7 @@
     },
 }
 
-/// An error on creating a coordinator.
+/// Reason why a coordinator cannot be created.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum CoordinatorError {
     /// The plan is invalid.
@@ -68,7 +72,7 @@
         /// Name of the requested plan.
         requested: String,
     },
-    /// The candidate differs from the one that the plan began with.
+    /// The candidate (the new settings or program) differs from the candidate with which the plan began.
     #[error("the candidate is {requested:016x}, but the plan began with candidate {saved:016x}")]
     OtherCandidate {
         /// Hash of the candidate in the saved state.
@@ -76,10 +80,10 @@
         /// Hash of the requested candidate.
         requested: u64,
     },
-    /// The plan has fewer stages than the saved state has already begun.
+    /// The plan does not have the stage that the saved state is at.
     #[error("the saved state is at stage {stage}, which the plan does not have")]
     UnknownStage {
-        /// Number of the stage in the saved state, from 1.
+        /// Number of the stage in the saved state, counted from 1.
         stage: usize,
     },
 }
@@ -89,26 +93,26 @@
     plan: Plan,
     /// Start time of this coordinator, in nanoseconds since the Unix epoch.
     incarnation: u64,
-    /// Sequence number of the last order sent.
+    /// Sequence number of the last order that this coordinator sent; 0 before the first order.
     order_sequence: u64,
     state: PersistedState,
-    /// Time at which the current phase of the plan began.
+    /// Time at which the current phase of the plan began, on the caller's clock.
     phase_began: Nanos,
-    /// Part of the current stage's bake time that has passed, in nanoseconds: the time after the
-    /// warm-up during which this coordinator held the rollout lease and the view was settled.
+    /// Part of the current stage's bake time that has passed, in nanoseconds. Time counts only after the
+    /// warm-up, while this coordinator holds the rollout lease and the view is settled.
     baked: Nanos,
-    /// Number of verdicts in the current stage for which enough intervals had been collected to compare the
-    /// servers. [`Coordinator::next_verdict`] stops comparing after `VERDICTS_FACTOR` times the planned
-    /// number of verdicts; later verdicts are counted too.
+    /// Number of verdicts in the current stage, without those before there were enough intervals to compare.
+    /// [`Coordinator::next_verdict`] stops comparing after `VERDICTS_FACTOR` times the planned number of
+    /// verdicts. Later verdicts are still counted here.
     verdicts: usize,
-    /// Values collected in the current stage.
+    /// Values that servers reported in the current stage, for the comparison.
     canary: Canary,
-    /// Time for which each server has not complied with its orders. Only time with the rollout lease is
-    /// counted. Time without a settled view is counted only during a rollback.
+    /// Time for which each server has been silent or has not complied with its orders. Only time with the
+    /// rollout lease is counted. Time without a settled view is counted only during a rollback.
     overdue: BTreeMap<String, Nanos>,
-    /// Time for which changed servers, and no others, have been missing from the view.
+    /// Time for which some changed server and no unchanged server has been missing from the view.
     changed_missing_for: Nanos,
-    /// The latest report of each server.
+    /// The latest report of each server, by server name.
     reports: BTreeMap<String, ReceivedReport>,
     /// Time of the last call of [`Coordinator::handle_interval`].
     last_interval: Option<Nanos>,
@@ -116,19 +120,20 @@
     last_message: String,
 }
 
-/// Inputs at the end of an interval.
+/// Inputs for the coordinator at the end of an interval.
 struct Interval<'a> {
     now: Nanos,
     /// Time since the end of the previous interval.
     elapsed: Nanos,
     view: &'a FleetView,
-    /// Whether no server is missing and the view has not changed for the settle time.
+    /// Whether the view is settled: no server is missing, and the view has not changed for the plan's settle
+    /// time.
     is_settled: bool,
 }
 
 impl Coordinator {
-    /// Creates a coordinator that continues from the saved state of the plan, or begins the plan if `saved`
-    /// is `None`.
+    /// Creates a coordinator for a plan. The coordinator continues from the state `saved`, or begins the plan
+    /// if `saved` is `None`.
     pub fn new(
         plan: Plan,
         saved: Option<PersistedState>,
@@ -155,13 +160,14 @@
         })
     }
 
-    /// Returns the current state, in the form in which it is saved.
+    /// Returns the current state of the plan, as [`Action::Save`] saves it.
     pub fn state(&self) -> &PersistedState {
         &self.state
     }
 
-    /// Handles a report of a server. Ignores a report with too many classes, and one whose order number has
-    /// not been used yet or is not higher than that of the server's latest report.
+    /// Handles a report of a server. Ignores a report with too many classes. Also ignores a report that
+    /// answers an order that was never sent, or one that is not newer than the order of the server's latest
+    /// report.
     pub fn handle_report(&mut self, now: Nanos, server: &str, report: Report) {
         let answers_an_order = (1..=self.order_sequence).contains(&report.order_sequence);
         if !answers_an_order || report.classes.len() > CLASSES_MAX {
@@ -176,7 +182,7 @@
         }
     }
 
-    /// Handles the operator's request to abort by rolling back the change.
+    /// Handles the operator's request to abort the rollout. Rolls back the change.
     pub fn handle_abort(&mut self, now: Nanos) -> Vec<Action> {
         let mut actions = Vec::new();
         if !self.state.phase.has_ended() && !self.is_rolling_back() {
@@ -185,7 +191,7 @@
         actions
     }
 
-    /// Handles the end of an interval.
+    /// Handles the end of an interval. Returns the actions that the caller must carry out.
     pub fn handle_interval(&mut self, now: Nanos, view: &FleetView, has_lease: bool) -> Vec<Action> {
         let elapsed = now.saturating_sub(self.last_interval.unwrap_or(now));
         self.last_interval = Some(now);
@@ -194,7 +200,8 @@
             return actions;
         }
         if !has_lease {
-            // Another coordinator may hold the lease, and only the holder may send orders.
+            // Without the lease, this coordinator sends no orders and compares no values. Another coordinator
+            // may hold the lease, and only the holder may send orders.
             self.canary.discard_interval();
             self.notify(
                 &mut actions,
@@ -220,8 +227,8 @@
         actions
     }
 
-    /// Sends an order to each server in the view, including missing servers, since a missing server may only
-    /// be unreachable for this coordinator.
+    /// Sends an order to each server in the view. Missing servers get an order, too, because they may be
+    /// unreachable only for this coordinator.
     fn send_orders(&mut self, view: &FleetView, actions: &mut Vec<Action>) {
         self.order_sequence += 1;
         for server in view.alive.iter().chain(&view.missing) {
@@ -241,12 +248,13 @@
         matches!(self.state.phase, Phase::RollingBack { .. })
     }
 
-    /// Adds the action that saves the state; called before adding any action that depends on that state.
+    /// Adds the action that saves the current state. Must be called before an action that depends on this
+    /// state is added.
     fn save(&self, actions: &mut Vec<Action>) {
         actions.push(Action::Save(Box::new(self.state.clone())));
     }
 
-    /// Shows a message to the operator, unless it equals the last one shown.
+    /// Shows a message to the operator. A message that equals the last shown message is not repeated.
     fn notify(&mut self, actions: &mut Vec<Action>, message: &str) {
         if self.last_message != message {
             self.last_message = message.to_string();
--- a/crates/rollout/src/coordinator/rollback.rs
+++ b/crates/rollout/src/coordinator/rollback.rs
@@ -1,13 +1,14 @@
-//! Rolling back a change, and the end of a plan.
+//! Rolls back a change and ends a plan.
 
 use super::{Action, Coordinator, Interval, Phase};
 use crate::Nanos;
 
-/// A rollback ends after this many response timeouts, even if some servers have not confirmed it.
+/// Maximum duration of a rollback, as a multiple of the response timeout. The rollback then ends even if some
+/// servers have not confirmed it.
 const ROLLBACK_TIMEOUT_FACTOR: Nanos = 2;
 
 impl Coordinator {
-    /// Begins the rollback: from now on every server is ordered to run its own settings or program.
+    /// Begins the rollback. From now on, the orders tell every server to run its own settings or program.
     pub(super) fn roll_back(&mut self, now: Nanos, reason: String, actions: &mut Vec<Action>) {
         self.state.changed.clear();
         self.state.phase = Phase::RollingBack { reason: reason.clone() };
@@ -17,8 +18,8 @@
         self.notify(actions, &format!("rolls back: {reason}"));
     }
 
-    /// Ends the rollback once every server in the view has confirmed it, or after the timeout. A missing
-    /// server that returns before the end still gets the order.
+    /// Ends the rollback when every server in the view has confirmed it, or after a timeout. A missing server
+    /// that returns before the end still gets the order to roll back.
     pub(super) fn handle_rolling_back(
         &mut self,
         interval: &Interval,
@@ -36,13 +37,14 @@
         }
     }
 
-    /// Whether a server has reported since the rollback began that it does not run the change.
+    /// Returns whether a server has confirmed the rollback: it has reported since the rollback began, and the
+    /// report states that it does not run the change.
     fn has_confirmed_rollback(&self, server: &str) -> bool {
         let received = self.reports.get(server);
         received.is_some_and(|latest| latest.received_at > self.phase_began && !latest.report.adopted)
     }
 
-    /// Ends the plan with a final phase. `phase` must be one for which [`Phase::has_ended`] is true.
+    /// Ends the plan. `phase` is the final phase, for which [`Phase::has_ended`] must be true.
     pub(super) fn end(&mut self, phase: Phase, actions: &mut Vec<Action>) {
         let message = match &phase {
             Phase::Done => "done: all stages went through".to_string(),
--- a/crates/rollout/src/coordinator/stages.rs
+++ b/crates/rollout/src/coordinator/stages.rs
@@ -1,4 +1,4 @@
-//! Measuring the baselines, choosing the servers of a stage, and applying the change to them.
+//! Measures the baselines, selects the servers of each stage, and applies the change to these servers.
 
 use super::{Action, Coordinator, FleetView, Interval, Phase};
 use crate::Nanos;
@@ -8,8 +8,8 @@
 use std::hash::{Hash, Hasher};
 
 impl Coordinator {
-    /// Adds new intervals to the baselines. Begins the first stage once each server has a complete baseline
-    /// and runs its own settings or program.
+    /// Adds the new metrics of servers to the baselines. Begins the first stage when each server has a
+    /// complete baseline and runs its own settings or program.
     pub(super) fn handle_waiting(&mut self, interval: &Interval, actions: &mut Vec<Action>) {
         let view = interval.view;
         if !interval.is_settled {
@@ -19,7 +19,7 @@
             self.state.baselines.add(&new_interval.server, &new_interval.metrics);
         }
         if let Some(reason) = self.find_failure(view) {
-            // No server has been changed yet, so no rollback is necessary.
+            // The rollout stops without a rollback, because no server has been changed yet.
             return self.end(Phase::Stopped { reason }, actions);
         }
         let has_baseline = |server: &String| self.state.baselines.intervals(server) >= BASELINE_INTERVALS_MIN;
@@ -29,8 +29,8 @@
         self.begin_stage(interval.now, 0, view, actions);
     }
 
-    /// Begins a stage: chooses its servers, and saves their names before the first order to apply the change
-    /// is sent.
+    /// Begins a stage and selects its servers. The names of the servers are saved before the first order to
+    /// apply the change is sent.
     pub(super) fn begin_stage(
         &mut self,
         now: Nanos,
@@ -62,8 +62,8 @@
         self.notify(actions, &message);
     }
 
-    /// Chooses unchanged servers until `size` servers are changed. The order of choice depends on the plan's
-    /// name, so that different plans rarely begin with the same server.
+    /// Selects the servers to change, so that `size` servers are changed in total. The order of selection
+    /// depends on the plan's name. Otherwise, every plan would begin with the same server.
     fn choose_servers(&self, size: usize, view: &FleetView) -> Vec<String> {
         let is_unchanged = |server: &&String| !self.state.changed.contains(*server);
         let mut unchanged: Vec<String> = view.alive.iter().filter(is_unchanged).cloned().collect();
@@ -72,10 +72,11 @@
         unchanged
     }
 
-    /// Begins baking once all servers have reported that they comply with their orders.
+    /// Begins the comparison phase (baking) when all servers have reported that they comply with their
+    /// orders.
     pub(super) fn handle_applying(&mut self, interval: &Interval, actions: &mut Vec<Action>) {
         let view = interval.view;
-        // Intervals that ended before baking began are not compared.
+        // Metrics of intervals that ended before the comparison phase are dropped.
         self.take_new_intervals(view);
         if let Some(reason) = self.find_failure(view) {
             return self.stop_or_roll_back(interval.now, reason, actions);
@@ -97,7 +98,7 @@
     }
 }
 
-/// Hash by which a plan sorts the unchanged servers; servers with lower hashes are changed first.
+/// Returns the sort key of a server in a plan. Servers with lower keys are changed first.
 fn order_key(plan: &str, server: &str) -> u64 {
     let mut hasher = SipHasher13::new();
     (plan, server).hash(&mut hasher);
--- a/crates/rollout/src/coordinator/state.rs
+++ b/crates/rollout/src/coordinator/state.rs
@@ -1,5 +1,5 @@
-//! State file of the coordinator, from which it continues a plan after a restart. The `serde` attributes keep
-//! the names used in the file.
+//! State file of the coordinator. After a restart, the coordinator continues its plan from this file. The
+//! `serde` attributes keep the names used in the file.
 
 use super::CoordinatorError;
 use crate::baseline::Baselines;
@@ -10,11 +10,13 @@
 /// Phase of a plan.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Phase {
-    /// Waiting for the rollout lease, a settled view of the fleet, and the baseline of each server.
+    /// The coordinator waits for the rollout lease, a settled view of the fleet, and the baseline of each
+    /// server.
     Waiting,
-    /// The servers of the stage are ordered to apply the change; not all have reported that they run it.
+    /// The servers of the stage are ordered to apply the change. Not all of them have reported yet that they
+    /// run it.
     Applying,
-    /// The changed servers are compared with the unchanged ones.
+    /// The changed servers of the stage are compared with the unchanged servers.
     Baking,
     /// Every server is ordered to run its own settings or program again.
     RollingBack {
@@ -22,20 +24,20 @@
         #[serde(rename = "why")]
         reason: String,
     },
-    /// Ended: all stages are complete.
+    /// The plan has ended: all stages are complete.
     Done,
-    /// Ended: the servers changed so far keep the change.
+    /// The plan has ended early. The servers changed so far keep the change.
     Stopped {
         /// Reason for the stop.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// Ended: the change was rolled back.
+    /// The plan has ended with a rollback of the change.
     RolledBack {
         /// Reason for the rollback.
         #[serde(rename = "why")]
         reason: String,
-        /// Names of the servers that have not confirmed the rollback.
+        /// Names of the servers that did not confirm the rollback before the end.
         #[serde(rename = "left")]
         unconfirmed: Vec<String>,
     },
@@ -48,25 +50,25 @@
     }
 }
 
-/// State that a restarted coordinator continues from.
+/// State of a plan that is saved to disk. A restarted coordinator continues from this state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PersistedState {
     /// Name of the plan.
     pub plan: String,
-    /// Hash of the new settings or program.
+    /// Hash of the new settings or program that the plan rolls out.
     pub candidate: u64,
     /// Current phase of the plan.
     pub phase: Phase,
-    /// Index of the current stage, from 0.
+    /// Index of the current stage, counted from 0.
     pub stage: usize,
-    /// Names of the servers that are ordered to run the change.
+    /// Names of the servers that are ordered to run the new settings or program.
     pub changed: BTreeSet<String>,
-    /// Baselines of the servers, measured before the change.
+    /// Baselines of the servers, measured before any server is changed.
     pub baselines: Baselines,
 }
 
 impl PersistedState {
-    /// Creates the state of a plan that has not begun.
+    /// Creates the initial state of a plan.
     pub(super) fn new(plan: &Plan) -> PersistedState {
         PersistedState {
             plan: plan.name.clone(),
@@ -78,7 +80,7 @@
         }
     }
 
-    /// Checks that the plan can continue from this state.
+    /// Returns an error if this state belongs to another plan or does not fit the plan.
     pub(super) fn check_belongs_to(&self, plan: &Plan) -> Result<(), CoordinatorError> {
         if self.plan != plan.name {
             let (saved, requested) = (self.plan.clone(), plan.name.clone());
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,13 +1,13 @@
-//! Rolls out a change over a fleet in stages, without I/O. Inputs are the time in nanoseconds, the fleet's
-//! view and the servers' reports; outputs are orders for the servers, and the state to save before those
-//! orders are sent.
+//! Rolls out a change over a fleet in stages. The crate does no I/O. Its inputs are the time in nanoseconds,
+//! the fleet's view and the servers' reports. Its outputs are orders for the servers, and the state to save
+//! before those orders are sent.
 //!
 //! - [`plan`]: the plan of a rollout: stages, bake times and thresholds.
-//! - [`coordinator`]: the state machine that carries out a plan. In each interval it orders every server to
-//!   run certain settings or a certain program, so that a lost, duplicated or late order does no harm, and a
+//! - [`coordinator`]: the state machine that carries out a plan. In each interval, it orders every server to
+//!   run certain settings or a certain program. A lost, duplicated or late order therefore does no harm. A
 //!   restarted coordinator continues from its saved state.
-//! - [`canary`]: the canary verdict: a comparison of changed and unchanged servers over the same intervals,
-//!   based on the [`metrics`] they report, the [`baseline`] of each server and a [`rank_test`].
+//! - [`canary`]: the comparison of changed and unchanged servers over the same intervals. The comparison uses
+//!   the [`metrics`] that servers report, the [`baseline`] of each server and a [`rank_test`].
 //! - [`version_table`]: the program version and settings of each server, replicated to every server.
 //! - [`wire`]: encoding of orders and reports.
 //!
--- a/crates/rollout/src/metrics.rs
+++ b/crates/rollout/src/metrics.rs
@@ -1,38 +1,41 @@
-//! Metrics that a server reports for an interval, and the values derived from them for comparing servers.
+//! Defines the metrics that a server reports for an interval, and calculates the values by which servers are
+//! compared.
 
 use serde::{Deserialize, Serialize};
 
 /// Metrics of one server for one class of invocations in one interval.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IntervalMetrics {
-    /// Name of the class, which is the name of an operation.
+    /// Name of the class of invocations. The class is named after its operation.
     pub class: String,
-    /// Invocations answered, whatever the outcome.
+    /// Number of invocations that were answered, with any outcome.
     pub answered: u64,
-    /// Answered invocations that admission control rejected.
+    /// Number of answered invocations that admission control rejected.
     pub throttled: u64,
-    /// Answered invocations that failed.
+    /// Number of answered invocations that failed.
     pub errored: u64,
-    /// Answered invocations whose answer was sent after the client timeout.
+    /// Number of answered invocations whose answer was sent after the client timeout.
     pub late: u64,
-    /// 95th percentile of the latency of the successful invocations, in microseconds; 0 if no invocation
-    /// succeeded.
+    /// 95th percentile of the latency of successful invocations, in microseconds. The value is 0 if no
+    /// invocation succeeded.
     pub p95_us: u64,
 }
 
-/// Minimum number of answers of a class in an interval. With fewer answers, no shares are computed.
+/// Minimum number of answers of a class in an interval from which shares are computed. With fewer answers,
+/// the class has no shares.
 const ANSWERS_MIN: u64 = 5;
 
-/// A metric for comparing servers. A larger value is worse.
+/// Metric by which servers are compared. For every metric, a larger value is worse.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Metric {
-    /// Share of answers that are rejections by admission control.
+    /// Share of answered invocations that admission control rejected.
     Throttled,
-    /// Share of answers that are failures.
+    /// Share of answered invocations that failed.
     Errored,
-    /// Share of answers sent after the client timeout.
+    /// Share of answered invocations whose answer was sent after the client timeout.
     Late,
-    /// Logarithm of the 95th percentile of latency, so that differences express ratios.
+    /// Natural logarithm of the 95th percentile of latency. A difference of two logarithms expresses a ratio
+    /// of two latencies.
     Latency,
 }
 
@@ -40,8 +43,8 @@
     /// All metrics.
     pub const ALL: [Metric; 4] = [Metric::Throttled, Metric::Errored, Metric::Late, Metric::Latency];
 
-    /// Returns the metric's value in an interval, or `None` if the class has no latency, or too few answers
-    /// to compute a share.
+    /// Returns the value of this metric for one class in one interval. Returns `None` if the class has no
+    /// latency, or if there are too few answers to compute a share.
     fn value(self, metrics: &IntervalMetrics) -> Option<f64> {
         let count = match self {
             Metric::Throttled => metrics.throttled,
@@ -53,14 +56,14 @@
     }
 }
 
-/// Key of a series of values: a metric of one class of invocations.
+/// Key of a series of values. A series has one class of invocations and one metric.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Series {
     pub(crate) class: String,
     pub(crate) metric: Metric,
 }
 
-/// Returns the values of an interval with their class and metric.
+/// Returns all values of an interval, each with its class and metric.
 pub(crate) fn values(interval: &[IntervalMetrics]) -> Vec<(Series, f64)> {
     let mut values = Vec::new();
     for metrics in interval {
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -1,4 +1,5 @@
-//! The plan of a rollout: stages of growing size, the bake time of each, and the thresholds for a regression.
+//! Defines the plan of a rollout. A plan has stages of growing size, a bake time for each stage, and the
+//! thresholds for a regression.
 
 use crate::Nanos;
 use crate::metrics::Metric;
@@ -11,34 +12,35 @@
 pub const NAME_BYTES_MAX: usize = 64;
 /// Maximum number of stages in a plan.
 pub const STAGES_MAX: usize = 32;
-/// Minimum number of intervals that a comparison of servers needs.
+/// Minimum number of intervals from which servers are compared.
 pub const INTERVALS_MIN: usize = 6;
-/// Largest latency threshold, as a relative increase of the 95th percentile.
+/// Maximum for the latency threshold of a plan, as a relative increase of the 95th percentile.
 const LATENCY_MAX: f64 = 100.0;
-/// Largest probability of a false stop that a plan may set.
+/// Maximum for `alpha`, the probability of a false stop that a plan accepts.
 const ALPHA_MAX: f64 = 0.2;
 
-/// Kind of the change: settings or program. The order of the variants is part of the wire format.
+/// Kind of a change. The order of the variants is part of the wire format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChangeKind {
-    /// New settings, which the running process applies.
+    /// The change consists of new settings. The running process applies them.
     #[default]
     Settings,
-    /// A new program: the process exits, and its supervisor starts the new program.
+    /// The change is a new program. The process exits, and its supervisor starts the new program.
     Program,
 }
 
-/// Number of changed servers at the end of a stage, including those of earlier stages.
+/// Number of changed servers at the end of a stage. Servers changed in earlier stages are included.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum StageSize {
     /// Number of servers, above 0.
     Servers(u32),
-    /// Share of the fleet, above 0 and at most 1, rounded up to at least one server.
+    /// Share of the servers in the fleet, above 0 and at most 1. The number of servers is rounded up to at
+    /// least one.
     Share(f64),
 }
 
 impl StageSize {
-    /// Returns the number of servers to change in a fleet of `servers`.
+    /// Returns the number of changed servers at the end of the stage, in a fleet of `servers` servers.
     pub fn server_count(self, servers: usize) -> usize {
         match self {
             StageSize::Servers(count) => (count as usize).min(servers),
@@ -46,8 +48,8 @@
         }
     }
 
-    /// Whether this size is larger than that of the stage before. If one size is a number of servers and the
-    /// other is a share of the fleet, they cannot be compared, and this size counts as larger.
+    /// Returns whether this size is larger than the size of the previous stage. A number of servers and a
+    /// share of the fleet cannot be compared. In this case, returns true.
     fn exceeds(self, previous: StageSize) -> bool {
         match (previous, self) {
             (StageSize::Servers(previous), StageSize::Servers(now)) => now > previous,
@@ -62,34 +64,36 @@
 /// A stage of a plan.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Stage {
-    /// Number of changed servers at the end of the stage.
+    /// Number of changed servers at the end of the stage. Servers changed in earlier stages are included.
     pub size: StageSize,
-    /// Time for which the changed servers are compared before the next stage, in nanoseconds.
+    /// Time for which changed and unchanged servers are compared before the next stage begins, in
+    /// nanoseconds.
     pub bake_time: Nanos,
 }
 
-/// Reaction to a regression on the changed servers.
+/// Action to take when the changed servers perform worse.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OnRegression {
-    /// Keep the servers changed so far, and change no others.
+    /// Stop the rollout. The servers changed so far keep the change, and no further server is changed.
     Stop,
     /// Roll back every server.
     RollBack,
 }
 
-/// Least differences between changed and unchanged servers that count as a regression. Smaller differences
-/// are ignored even if they are statistically significant.
+/// Thresholds of the differences between changed and unchanged servers. Only a difference above its threshold
+/// counts as a regression. Smaller differences are ignored even if they are statistically significant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Thresholds {
-    /// Least difference in the share of rejected answers, above 0 and at most 1.
+    /// Threshold for the difference in the share of rejected answers, above 0 and at most 1.
     pub throttled: f64,
-    /// Least difference in the share of failed answers, above 0 and at most 1.
+    /// Threshold for the difference in the share of failed answers, above 0 and at most 1.
     pub errored: f64,
-    /// Least difference in the share of late answers, above 0 and at most 1.
+    /// Threshold for the difference in the share of late answers, above 0 and at most 1.
     pub late: f64,
-    /// Least relative increase of the 95th percentile of latency, above 0 and at most 100.
+    /// Threshold for the relative increase of the 95th percentile of latency, above 0 and at most 100.
     pub latency: f64,
-    /// Probability, over one whole stage, of stopping a change that has no effect; above 0 and at most 0.2.
+    /// Accepted probability that a stage is stopped although the change has no effect, above 0 and at most
+    /// 0.2.
     pub alpha: f64,
 }
 
@@ -100,7 +104,8 @@
 }
 
 impl Thresholds {
-    /// Returns the threshold of a metric, in the unit of the metric's values.
+    /// Returns the threshold of a metric, in the unit of the metric's values. For latency, this is a
+    /// difference of logarithms.
     pub fn min_difference(&self, metric: Metric) -> f64 {
         match metric {
             Metric::Throttled => self.throttled,
@@ -124,35 +129,36 @@
     }
 }
 
-/// The plan of one rollout, with the values of its plan file.
+/// Plan of one rollout, as read from its plan file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Name of the plan, 1 to [`NAME_BYTES_MAX`] bytes.
+    /// Name of the plan. Its length is 1 to [`NAME_BYTES_MAX`] bytes.
     pub name: String,
     /// Hash of the new settings or of the new program.
     pub candidate: u64,
     /// Kind of the change.
     pub kind: ChangeKind,
-    /// Stages, 1 to [`STAGES_MAX`], each larger than the one before.
+    /// Stages of the plan, at least 1 and at most [`STAGES_MAX`]. Each stage is larger than the previous
+    /// stage.
     pub stages: Vec<Stage>,
-    /// Reaction to a regression on the changed servers.
+    /// Action to take when the changed servers perform worse.
     pub on_regression: OnRegression,
-    /// Least differences that count as a regression.
+    /// Thresholds above which a difference between changed and unchanged servers counts as a regression.
     pub thresholds: Thresholds,
-    /// Interval between orders to a server, in nanoseconds. A server answers each order with the metrics of
-    /// one interval.
+    /// Interval between two orders to a server, in nanoseconds. A server answers each order with the metrics
+    /// of one interval.
     pub interval: Nanos,
-    /// Time for which the fleet's view must be unchanged before a stage begins, and before time
-    /// counts towards the bake time of a stage, in nanoseconds.
+    /// Time for which the fleet's view must be unchanged to count as settled, in nanoseconds. A stage begins,
+    /// and bake time counts, only while the view is settled.
     pub settle_time: Nanos,
-    /// Time after a change in which the servers of the stage are not compared, in nanoseconds. A process that
-    /// has just started is slower for a while, whatever its program.
+    /// Time after a change in which the changed servers are not compared, in nanoseconds. A process that has
+    /// just started is slower for a while, whatever its program is.
     pub warm_up: Nanos,
-    /// Time in which a server must carry out an order and send a report, in nanoseconds.
+    /// Maximum time for a server to carry out an order and send a report, in nanoseconds.
     pub response_timeout: Nanos,
 }
 
-/// An invalid plan. The message names elements and attributes as the plan file does.
+/// Reason why a plan is invalid. The message uses the names of elements and attributes in the plan file.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum PlanError {
     /// The plan's name is empty or too long.
@@ -161,7 +167,7 @@
         /// Length of the name, in bytes.
         bytes: usize,
     },
-    /// The plan has no stage or too many stages.
+    /// The plan has no stage, or more stages than allowed.
     #[error("stage: 1 to {STAGES_MAX} stages, not {count}")]
     StageCount {
         /// Number of stages.
@@ -175,7 +181,7 @@
     Interval {
         /// The interval, in nanoseconds.
         interval: Nanos,
-        /// The response timeout, in nanoseconds.
+        /// Response timeout in the plan, in nanoseconds.
         response_timeout: Nanos,
     },
     /// A stage is invalid.
@@ -192,16 +198,17 @@
          not {throttled}, {errored}, {late} and {latency}"
     )]
     Thresholds {
-        /// Threshold in the plan for the share of rejected answers; valid if above 0 and at most 1.
+        /// Threshold for the share of rejected answers, as given in the plan. Valid if above 0 and at most 1.
         throttled: f64,
-        /// Threshold in the plan for the share of failed answers; valid if above 0 and at most 1.
+        /// Threshold for the share of failed answers, as given in the plan. Valid if above 0 and at most 1.
         errored: f64,
-        /// Threshold in the plan for the share of late answers; valid if above 0 and at most 1.
+        /// Threshold for the share of late answers, as given in the plan. Valid if above 0 and at most 1.
         late: f64,
-        /// Threshold in the plan for the relative increase of latency; valid if above 0 and at most 100.
+        /// Threshold for the relative increase of latency, as given in the plan. Valid if above 0 and at most
+        /// 100.
         latency: f64,
     },
-    /// The probability of a false stop is out of range.
+    /// The probability of a false stop that the plan accepts is out of range.
     #[error("alpha: {alpha} is not above 0 and at most {ALPHA_MAX}")]
     Alpha {
         /// Value of `alpha` in the plan.
@@ -215,27 +222,27 @@
     /// The stage changes no servers.
     #[error("servers: 0 changes nothing")]
     NoServers,
-    /// The share of servers is out of range.
+    /// The stage's share of the fleet is out of range.
     #[error("share: {share} is not above 0 and at most 1")]
     Share {
         /// Share of servers in the plan.
         share: f64,
     },
-    /// The bake time is too short for [`INTERVALS_MIN`] intervals.
+    /// The bake time of the stage is shorter than [`INTERVALS_MIN`] intervals.
     #[error("bake-ms: at least {INTERVALS_MIN} intervals, {min_ms}, not {bake_time_ms}")]
     BakeTime {
-        /// Least valid bake time, in milliseconds.
+        /// Minimum bake time for the interval of the plan, in milliseconds.
         min_ms: u64,
-        /// Bake time in the plan, in milliseconds.
+        /// Bake time of the stage in the plan, in milliseconds.
         bake_time_ms: u64,
     },
-    /// The stage is not larger than the stage before.
+    /// The stage is not larger than the previous stage.
     #[error("not larger than the stage before")]
     NotLarger,
 }
 
 impl Plan {
-    /// Returns the first fault that makes the plan invalid.
+    /// Checks the plan. Returns the first fault that makes the plan invalid.
     pub fn check(&self) -> Result<(), PlanError> {
         let bytes = self.name.len();
         if bytes == 0 || bytes > NAME_BYTES_MAX {
@@ -276,7 +283,8 @@
         Ok(())
     }
 
-    /// Number of verdicts planned for a stage: one per interval, once there are [`INTERVALS_MIN`] intervals.
+    /// Returns the number of verdicts planned for a stage. The first verdict needs [`INTERVALS_MIN`]
+    /// intervals, and each later interval of the bake time adds one verdict.
     pub fn planned_verdicts(&self, stage: usize) -> usize {
         let intervals = (self.stages[stage].bake_time / self.interval) as usize;
         intervals.saturating_sub(INTERVALS_MIN) + 1
--- a/crates/rollout/src/rank_test.rs
+++ b/crates/rollout/src/rank_test.rs
@@ -1,44 +1,47 @@
-//! Stratified rank sum test by van Elteren (1960). It tests whether the values of one group are larger than
-//! those of another, comparing them only within each stratum. A stratum here is an interval, since the load
-//! affects all servers of an interval alike. Values are ranked within their interval, and the weighted rank
-//! sums are added up.
+//! Implements the stratified rank sum test by van Elteren (1960). It tests whether the values of the changed
+//! servers are larger than those of the unchanged servers. Values are compared only within a stratum. A
+//! stratum is one interval, because the load affects all servers alike in an interval. The values of an
+//! interval are ranked, and the weighted rank sums of all intervals are added up.
 //!
-//! Successive intervals of a server are not independent samples. The variance of the sum is therefore the
-//! larger of the test's own variance and an estimate that accounts for autocorrelation (Newey and West 1987).
+//! Successive intervals of a server are not independent samples. Two variances of the sum are therefore
+//! computed: the test's own, and an estimate that accounts for autocorrelation (Newey and West 1987). The
+//! larger variance is used.
 
-/// Values of one class and metric in one interval, each minus the baseline of its server.
+/// Values of one class and metric in one interval. The baseline of the server is already subtracted from each
+/// value.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Stratum {
     /// Values of the changed servers.
     pub changed: Vec<f64>,
     /// Values of the unchanged servers.
     pub unchanged: Vec<f64>,
-    /// Sum of the variances of the changed servers' baselines.
+    /// Sum of the baseline variances of the changed servers. Each is the variance of the baseline's mean.
     pub baseline_variance: f64,
-    /// Number of answers of the class, over all servers.
+    /// Number of answers of the class in the interval, over all servers.
     pub answered: u64,
 }
 
 /// Result of a comparison.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Comparison {
-    /// Mean of the changed servers minus that of the unchanged ones, minus twice the standard error of the
-    /// baselines.
+    /// Difference between the groups: the mean of the changed servers, minus the mean of the unchanged
+    /// servers, minus twice the standard error of the baselines.
     pub difference: f64,
-    /// One-sided p-value: the probability that chance alone ranks the changed servers at least this high.
+    /// One-sided p-value: the probability that chance alone gives the changed servers ranks that are at least
+    /// this high.
     pub p_value: f64,
 }
 
-/// Rank sum of the changed group within a stratum.
+/// Rank sum of the changed servers in one stratum.
 #[derive(Debug, PartialEq)]
 struct RankSum {
     rank_sum: f64,
-    /// Sum of t^3 - t over all groups of t equal values.
+    /// Correction of the variance for equal values: the sum of t^3 - t over all groups of t equal values.
     tie_correction: f64,
 }
 
-/// Compares both groups over all strata. Each stratum must have values of both groups. Returns `None` if all
-/// values are equal.
+/// Compares the changed with the unchanged servers over all strata. Each stratum must have values of both
+/// groups. Returns `None` if no stratum has two different values.
 pub fn compare(strata: &[&Stratum]) -> Option<Comparison> {
     let mut statistics = Vec::with_capacity(strata.len());
     let mut variance = 0.0;
@@ -58,8 +61,9 @@
     })
 }
 
-/// Returns the mean difference between the groups minus twice the standard error of the changed servers'
-/// baselines. A baseline is the mean of few intervals, and its error affects all differences of its server.
+/// Returns the mean difference between the groups, minus twice the standard error of the changed servers'
+/// baselines. A baseline is the mean of few intervals, and its error affects all values of its server. The
+/// subtraction avoids that this error counts as a regression.
 fn mean_difference(strata: &[&Stratum]) -> f64 {
     let difference = |stratum: &&Stratum| mean(&stratum.changed) - mean(&stratum.unchanged);
     let standard_error = |stratum: &&Stratum| stratum.baseline_variance.sqrt() / stratum.changed.len() as f64;
@@ -72,7 +76,7 @@
     values.iter().sum::<f64>() / values.len() as f64
 }
 
-/// Computes the rank sum of the changed group. Equal values get the mean of their ranks.
+/// Computes the rank sum of the changed servers in a stratum. Equal values get the mean of their ranks.
 fn rank_sum(stratum: &Stratum) -> RankSum {
     struct Ranked {
         value: f64,
@@ -95,8 +99,8 @@
     sum
 }
 
-/// Estimates the variance of the sum of autocorrelated values (Newey and West 1987): autocovariances with
-/// Bartlett's weights, up to a lag of the square root of the number of values.
+/// Estimates the variance of the sum of autocorrelated values (Newey and West 1987). The estimate adds
+/// autocovariances with Bartlett's weights, up to a lag of the square root of the number of values.
 fn newey_west_variance(values: &[f64]) -> f64 {
     let count = values.len();
     let mean = mean(values);
@@ -112,7 +116,7 @@
     autocovariance(0) + weighted.sum::<f64>()
 }
 
-/// Returns the probability that a standard normal variable is larger than `z`.
+/// Returns the probability that a standard normal random variable is larger than `z`.
 fn upper_tail(z: f64) -> f64 {
     libm::erfc(z / std::f64::consts::SQRT_2) / 2.0
 }
--- a/crates/rollout/src/rank_test/tests.rs
+++ b/crates/rollout/src/rank_test/tests.rs
@@ -1,4 +1,5 @@
-//! Tests of the rank test: normal probabilities from published tables, and a rank sum calculated by hand.
+//! Tests of the rank test. The expected normal probabilities are from published tables, and the expected rank
+//! sum is calculated by hand.
 
 use super::*;
 
@@ -14,7 +15,8 @@
     Stratum { changed: changed.to_vec(), unchanged: unchanged.to_vec(), ..Stratum::default() }
 }
 
-/// Ranks of the five values: 1, 2.5, 2.5, 4 and 5. The changed group has 2.5 and 5.
+/// Compares a rank sum with a calculation by hand. The ranks of the five values are 1, 2.5, 2.5, 4 and 5. The
+/// values of the changed group have the ranks 2.5 and 5.
 #[test]
 fn equal_values_share_their_rank_and_equal_groups_have_no_comparison() {
     let with_a_tie = stratum(&[3.0, 5.0], &[1.0, 3.0, 4.0]);
--- a/crates/rollout/src/version_table.rs
+++ b/crates/rollout/src/version_table.rs
@@ -1,27 +1,28 @@
-//! Program version and settings hash of each server, replicated to every server. Each server announces its
-//! own entry and relays some entries of others. Of two entries for the same server, the later one replaces
-//! the other.
+//! Table of the program version and settings hash of each server. Every server keeps a copy of the table.
+//! Each server announces its own entry and passes on some entries of other servers. If there are two entries
+//! for one server, the later entry replaces the earlier one.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Maximum number of entries of other servers in one announcement.
+/// Maximum number of entries in one announcement, without the sender's own entry.
 pub const RELAYED_MAX: usize = 8;
-/// Maximum length of a version, in bytes.
+/// Maximum length of a program version, in bytes.
 pub const VERSION_BYTES_MAX: usize = 32;
 /// Maximum length of a server's name, in bytes.
 const NAME_BYTES_MAX: usize = 64;
 
-/// Entry of one server: its program version and the settings in use.
+/// Entry of one server: its program version and the hash of its settings.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerVersion {
     /// Name of the server.
     pub name: String,
-    /// Incarnation of the server, which identifies one start of its process.
+    /// Incarnation of the server. The incarnation is a number that identifies one start of the server's
+    /// process.
     pub incarnation: u64,
-    /// Number of changes of the settings within the incarnation.
+    /// Number of changes of the server's settings since its process started.
     pub sequence: u64,
-    /// Version of the running program.
+    /// Version of the program that the server runs.
     pub version: String,
     /// Hash of the settings in use.
     pub settings_hash: u64,
@@ -37,20 +38,21 @@
     }
 }
 
-/// The entries that a server has received, and its own.
+/// Table of the versions of all servers: the own entry and the entries received from other servers.
 #[derive(Clone, Debug)]
 pub struct VersionTable {
     own: ServerVersion,
     /// Entries of the other servers, by server name.
     others: BTreeMap<String, ServerVersion>,
     others_max: usize,
-    /// Number of entries rejected because the name was empty, the name or version was too long, or the table
-    /// was full.
+    /// Number of received entries that were rejected. An entry is rejected if its name is empty, if its name
+    /// or version is too long, or if the table is full.
     pub rejected: u64,
 }
 
 impl VersionTable {
-    /// Creates a table that contains the server's own entry and holds at most `others_max` entries of others.
+    /// Creates a table with the server's own entry. The table holds at most `others_max` entries of other
+    /// servers.
     pub fn new(own: ServerVersion, others_max: usize) -> VersionTable {
         VersionTable { own, others: BTreeMap::new(), others_max, rejected: 0 }
     }
@@ -60,8 +62,8 @@
         &self.own
     }
 
-    /// Sets the hash of the settings now in use on this server, and increments the sequence number if the
-    /// hash changed.
+    /// Sets the hash of the settings that this server uses now. Increments the sequence number if the hash
+    /// has changed.
     pub fn set_settings(&mut self, settings_hash: u64) {
         if self.own.settings_hash != settings_hash {
             self.own.settings_hash = settings_hash;
@@ -69,9 +71,9 @@
         }
     }
 
-    /// Returns the entries to send to another server: this server's entry and up to [`RELAYED_MAX`] entries
-    /// of other servers in the order of their names, starting at the one selected by the random number
-    /// `draw`.
+    /// Returns the entries to send to another server. These are this server's entry and up to [`RELAYED_MAX`]
+    /// entries of other servers. The other entries are consecutive by server name, from an entry selected by
+    /// the random number `draw`.
     pub fn announcement(&self, draw: u64) -> Vec<ServerVersion> {
         let count = self.others.len();
         let start = if count == 0 { 0 } else { (draw % count as u64) as usize };
@@ -79,7 +81,7 @@
         std::iter::once(&self.own).chain(relayed).cloned().collect()
     }
 
-    /// Merges the entries of an announcement. Entries for this server are ignored.
+    /// Merges the entries of a received announcement into the table. Entries for this server are ignored.
     pub fn merge(&mut self, announcement: Vec<ServerVersion>) {
         for entry in announcement.into_iter().take(RELAYED_MAX + 1) {
             if entry.name != self.own.name {
@@ -98,13 +100,13 @@
         }
     }
 
-    /// Removes the entries of other servers for which `keep` returns false, for example servers that left the
-    /// fleet's view.
+    /// Removes the entries of other servers for which `keep` returns false. For example, the caller removes
+    /// servers that have left the fleet's view.
     pub fn retain(&mut self, mut keep: impl FnMut(&str) -> bool) {
         self.others.retain(|name, _| keep(name));
     }
 
-    /// Returns the entry of a server, which may be this one.
+    /// Returns the entry of the server called `name`, which may be this server; `None` if there is no entry.
     pub fn get(&self, name: &str) -> Option<&ServerVersion> {
         if name == self.own.name { Some(&self.own) } else { self.others.get(name) }
     }
--- a/crates/rollout/src/version_table/tests.rs
+++ b/crates/rollout/src/version_table/tests.rs
@@ -1,5 +1,5 @@
-//! Tests of the version table: announcements spread, later entries replace earlier ones, and the table is
-//! bounded.
+//! Tests of the version table. Announcements must reach all servers, later entries must replace earlier
+//! entries, and the size of the table must be bounded.
 
 use super::*;
 
@@ -7,8 +7,8 @@
     ServerVersion { name: name.into(), incarnation, settings_hash, ..ServerVersion::default() }
 }
 
-/// In a fleet of 64 servers, each announces to one random server per round. A change must reach all of them
-/// within a few rounds, and an older entry that arrives late must not undo it.
+/// Simulates a fleet of 64 servers. In each round, every server sends its announcement to one random server.
+/// A change must reach all servers within 200 rounds, and an older entry that arrives late must not undo it.
 #[test]
 fn a_change_reaches_every_server_and_an_older_entry_does_not_undo_it() {
     let servers = 64;
@@ -33,7 +33,8 @@
     }
     fleet[9].merge(stale);
     assert_eq!(fleet[9].get("s3").unwrap().settings_hash, 8);
-    // An entry of a later incarnation replaces one with more changes of settings.
+    // An entry of a later incarnation replaces an entry of an earlier incarnation that has a higher sequence
+    // number.
     fleet[9].merge(vec![entry("s3", 2, 7)]);
     assert_eq!(fleet[9].get("s3").unwrap().settings_hash, 7);
 }
