--- a/crates/rollout/tests/fixed_bytes.rs
+++ b/crates/rollout/tests/fixed_bytes.rs
@@ -1,5 +1,6 @@
-//! Wire and file compatibility: orders, reports and the coordinator's state file must encode to the bytes
-//! recorded from release 0.2.0 (commit 22d0bb6) and decode to the same values.
+//! Tests the compatibility of wire messages and files with release 0.2.0 (commit 22d0bb6). Orders, reports
+//! and the coordinator's state file must encode to the bytes recorded from that release. The recorded bytes
+//! must decode to the encoded values.
 
 use meadowstream_rollout::baseline::Baselines;
 use meadowstream_rollout::coordinator::{PersistedState, Phase};
@@ -51,7 +52,7 @@
     Fixtures::load(format!("{}/tests/fixtures/{name}.txt", env!("CARGO_MANIFEST_DIR")))
 }
 
-/// Encodes samples of one type, compares them with the recorded bytes, and decodes those bytes again.
+/// Encodes samples of one type, compares the result with the recorded bytes, and decodes the recorded bytes.
 fn verify<T: Serialize + DeserializeOwned + PartialEq + Debug>(file: &str, samples: &[(&str, T)]) {
     let fixtures = load(file);
     let encoded: Vec<(&str, Vec<u8>)> =
@@ -108,7 +109,7 @@
     ]
 }
 
-/// The state file in each phase, as pretty-printed JSON.
+/// Compares the state file, which is pretty-printed JSON, with the recorded bytes in each phase of a plan.
 #[test]
 fn state_files_have_the_bytes_of_release_0_2() {
     let saved = |phase| PersistedState {
--- a/crates/rollout/tests/rollouts.rs
+++ b/crates/rollout/tests/rollouts.rs
@@ -1,8 +1,9 @@
-//! Rollouts over a fleet in simulated time. Servers differ permanently, load affects all of them at once,
-//! noise is autocorrelated, and orders and reports get lost. The simulation draws from fixed seeds.
+//! Tests rollouts over a fleet in simulated time. In the simulation, servers differ permanently, load affects
+//! all servers at once, noise is autocorrelated, and orders and reports get lost. All random numbers come
+//! from fixed seeds.
 //!
-//! To print the rates of false stops and missed regressions that docs/rollout.md lists:
-//! `cargo test -p meadowstream-rollout -- --nocapture`.
+//! To print the rates of false stops and missed regressions that docs/rollout.md lists: `cargo test -p
+//! meadowstream-rollout -- --nocapture`.
 
 use meadowstream_rollout::coordinator::{Action, Coordinator, FleetView, PersistedState, Phase};
 use meadowstream_rollout::metrics::IntervalMetrics;
@@ -18,42 +19,44 @@
 const SECOND: u64 = 1_000_000_000;
 /// Hash of the new settings.
 const CANDIDATE: u64 = 0xbeef;
-/// Hash of the servers' own settings.
+/// Hash of the settings that a server runs without the change.
 const OLD: u64 = 0xcafe;
 
-/// Effect of the change on a server.
+/// Effect that the rolled-out change has on a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Change {
     None,
-    /// Additional share of premium invocations that are rejected.
+    /// The change adds this number to the share of premium invocations that are rejected.
     ThrottlesPremium(f64),
-    /// Additional share of rejected invocations of both classes, only while load is high.
+    /// The change adds this number to the share of rejected invocations of both classes, only while load is
+    /// high.
     UnderLoad(f64),
-    /// Factor by which the change multiplies the latency.
+    /// The change multiplies the latency by this factor.
     Slower(f64),
-    /// Additional share of invocations that fail.
+    /// The change adds this number to the share of invocations that fail.
     Errs(f64),
 }
 
 #[derive(Clone, Default)]
 struct Server {
-    /// Logarithm of the permanent ratio of the server's latency to the normal latency.
+    /// Permanent difference of the server's latency from the normal latency, before the conversion to a
+    /// factor.
     offset: f64,
     noise: f64,
     adopted: bool,
-    /// Intervals since the process started. A process that has just started is slower.
+    /// Number of intervals since the server's process started. A process that has just started is slower.
     age: u64,
-    /// Incarnation and sequence number of the last order.
+    /// Incarnation and sequence number of the last order that the server received.
     last_order: (u64, u64),
-    /// Whether the server rejects the change.
+    /// Whether the server refuses to apply the change.
     refuses: bool,
-    /// Whether the server cannot return from the change to its own settings.
+    /// Whether the server, once changed, cannot return to its own settings.
     cannot_roll_back: bool,
-    /// Whether the server never reports.
+    /// Whether the server ignores all orders and never sends a report.
     is_silent: bool,
-    /// Whether the server is down and no longer in the view.
+    /// Whether the server is down and has been removed from the view.
     is_down: bool,
-    /// Whether the server is unreachable and missing from the view.
+    /// Whether the server is unreachable and listed as missing in the view.
     is_missing: bool,
 }
 
@@ -65,21 +68,21 @@
     drift: f64,
     interval: u64,
     now: u64,
-    /// Time since the last change of the view, in nanoseconds.
+    /// Time since the last change of the coordinator's view, in nanoseconds.
     settled: u64,
-    /// Probability that an order or report is lost.
+    /// Probability that an order is lost, and likewise a report.
     loss: f64,
     saved: Option<PersistedState>,
     messages: Vec<String>,
-    /// Servers that have run the change at any time.
+    /// Indexes of the servers that have run the change at any time.
     ever_changed: BTreeSet<usize>,
     reports: Vec<(u64, String, Report)>,
     has_lease: bool,
-    /// Whether applying the change restarts the server.
+    /// Whether a server restarts when it applies or rolls back the change.
     restarts: bool,
 }
 
-/// A plan of four stages: one server, a tenth, half and all of the fleet.
+/// Returns a plan of four stages, which change one server, a tenth, half and all of the fleet.
 fn plan() -> Plan {
     let stage = |size, seconds| Stage { size, bake_time: seconds * SECOND };
     Plan {
@@ -131,7 +134,8 @@
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// Sum of twelve uniform draws, which approximates a normal distribution.
+    /// Returns the sum of twelve uniform random numbers minus 6. The result approximates a standard normal
+    /// distribution.
     fn normal(&mut self) -> f64 {
         (0..12).map(|_| self.uniform()).sum::<f64>() - 6.0
     }
@@ -140,11 +144,12 @@
         (0..n).filter(|_| self.uniform() < p).count() as u64
     }
 
-    /// Draws the metrics of server `i` for the previous interval.
+    /// Returns random metrics of server `i` for the previous interval.
     fn interval_metrics(&mut self, i: usize) -> Vec<IntervalMetrics> {
         let draw = self.normal();
         let server = &mut self.servers[i];
-        // The noise is autocorrelated: 0.7 times that of the previous interval, plus 0.7 times a new draw.
+        // The noise is autocorrelated: 0.7 times the noise of the previous interval, plus 0.7 times a new
+        // random number.
         server.noise = 0.7 * server.noise + 0.7 * draw;
         let own = 0.1 * server.noise + server.offset + if server.age < 5 { 1.0 } else { 0.0 };
         server.age += 1;
@@ -173,15 +178,15 @@
         self.uniform() < self.loss
     }
 
-    /// Simulates one interval: delivers the reports on the previous interval, then the coordinator's new
-    /// orders.
+    /// Simulates one interval. Delivers the reports on the previous interval to the coordinator, and then the
+    /// coordinator's new orders to the servers.
     fn run_interval(&mut self, coordinator: &mut Coordinator) {
         self.interval += 1;
         self.now += SECOND;
         self.settled += SECOND;
         let draw = self.normal();
         self.drift = 0.9 * self.drift + 0.1 * draw;
-        // Load has a peak about every 31 intervals.
+        // The load has a peak about every 31 intervals.
         self.load = (self.drift + (self.interval as f64 / 5.0).sin()).clamp(-1.0, 1.5);
         for (received_at, server, report) in std::mem::take(&mut self.reports) {
             coordinator.handle_report(received_at, &server, report);
@@ -201,7 +206,8 @@
         self.carry_out(actions);
     }
 
-    /// Carries out actions in order. [`Fleet::deliver`] checks that the state was saved before the orders.
+    /// Carries out the coordinator's actions in order. [`Fleet::deliver`] checks that the state was saved
+    /// before an order that depends on it is sent.
     fn carry_out(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
@@ -278,8 +284,8 @@
     Coordinator::new(plan, None, 1, 0).unwrap()
 }
 
-/// A hundred rollouts of a change without effect over thirty servers. Three of the four stages have unchanged
-/// servers to compare with, so each rollout can have false stops.
+/// Rolls out a change without effect a hundred times, over thirty servers. In three of the four stages, there
+/// are unchanged servers to compare with, so false stops are possible.
 #[test]
 fn changes_without_effect_complete() {
     let mut stopped = Vec::new();
@@ -293,8 +299,8 @@
         }
     }
     println!("A/A: {} of 100 stopped: {stopped:?}", stopped.len());
-    // With this seed range, 0 of 100 rollouts are stopped. If the comparison did not subtract the standard
-    // error of the baselines, 2 rollouts would be stopped.
+    // With these seeds, 0 of 100 rollouts are stopped. If the comparison did not subtract the standard error
+    // of the baselines, 2 rollouts would be stopped.
     assert!(stopped.len() <= 1, "{stopped:?}");
 }
 
@@ -329,21 +335,22 @@
     assert!(missed <= 1 && at_first_stage >= 15, "{missed} missed, {at_first_stage} at the first stage");
 }
 
-/// Half of the servers are permanently slower than the others. Without baselines, the comparison would
-/// attribute this difference to the change.
+/// Rolls out a change without effect where half of the servers are permanently slower than the others.
+/// Without baselines, the comparison would attribute this difference to the change.
 #[test]
 fn permanent_differences_between_servers_are_no_regression() {
     for seed in 0..10 {
         let mut fleet = Fleet::new(10, Change::None, 300 + seed);
-        // Servers with even numbers are slower by the same offset, whichever server is changed first.
+        // All servers with even numbers are slower by an equal offset.
         (0..10).step_by(2).for_each(|i| fleet.servers[i].offset += 0.5);
         let phase = fleet.run(&mut begin(plan()), 600);
         assert_eq!(phase, Phase::Done, "{:?}", fleet.messages);
     }
 }
 
-/// A new program without effect, on processes that are slower in the first five intervals after a start. If
-/// the plan has no warm-up, the coordinator must report a regression; with a warm-up, it must not.
+/// Rolls out a new program without effect. Processes are slower in the first five intervals after a start. A
+/// plan without a warm-up must not complete, because the coordinator takes the slow start for a regression. A
+/// plan with a warm-up must complete.
 #[test]
 fn servers_are_not_compared_during_the_warm_up() {
     for (warm_up, completes) in [(0, false), (8 * SECOND, true)] {
@@ -354,9 +361,9 @@
     }
 }
 
-/// The coordinator crashes at several intervals and restarts from its saved state. The outcome must be the
-/// same as without a crash, and no order may be sent before the state it depends on is saved, which
-/// [`Fleet::deliver`] checks.
+/// Crashes the coordinator at several intervals and restarts it from its saved state. The outcome must be the
+/// same as without a crash. No order may be sent before the state it depends on is saved; [`Fleet::deliver`]
+/// checks this.
 #[test]
 fn a_restarted_coordinator_continues() {
     for (seed, crash_interval) in [5, 15, 30, 45, 60, 90, 120, 150].into_iter().enumerate() {
@@ -380,7 +387,7 @@
             }
         }
     }
-    // A saved state of another plan or candidate is rejected.
+    // The coordinator must reject a saved state of another plan or candidate.
     let saved = begin(plan()).state().clone();
     let other = Plan { name: "another".into(), ..plan() };
     assert!(
@@ -391,8 +398,8 @@
     assert!(Coordinator::new(other, Some(saved), 2, 0).is_err_and(|e| e.to_string().contains("candidate")));
 }
 
-/// Part of the fleet is partitioned away in the second stage. The stage must not end and no further server
-/// may be changed until the view has settled.
+/// Separates part of the fleet by a network partition in the second stage. Until the view has settled, the
+/// stage must not end and no further server may be changed.
 #[test]
 fn a_partition_suspends_the_stage() {
     let mut fleet = Fleet::new(10, Change::None, 60);
@@ -411,7 +418,8 @@
     assert_eq!(fleet.run(&mut coordinator, 600), Phase::Done, "{:?}", fleet.messages);
 }
 
-/// Without a settled view or without the lease, no server may be ordered to change, however long it takes.
+/// Runs a plan without a settled view, then without the lease. In both cases, no server may be ordered to
+/// change, however long this lasts.
 #[test]
 fn no_server_is_changed_without_a_settled_view_and_the_lease() {
     let mut fleet = Fleet::new(6, Change::None, 61);
@@ -429,7 +437,7 @@
     );
     fleet.has_lease = true;
     assert_eq!(fleet.run(&mut coordinator, 600), Phase::Done);
-    // If another coordinator takes the lease during a plan, the coordinator without the lease must send no
+    // Another coordinator takes the lease during a plan. The coordinator without the lease must send no
     // orders and must not change its state.
     let mut fleet = Fleet::new(6, Change::None, 62);
     let mut coordinator = begin(plan());
@@ -464,14 +472,14 @@
     let phase = fleet.run(&mut coordinator, 200);
     let Phase::RolledBack { reason, unconfirmed } = phase else { panic!("{phase:?}") };
     assert!(reason.contains(&format!("s{other} does not report")), "{reason}");
-    // The silent server never ran the change, but cannot confirm the rollback, so it is listed as
-    // unconfirmed.
+    // The silent server never ran the change. The server is listed as unconfirmed because it cannot confirm
+    // the rollback.
     assert_eq!(unconfirmed, vec![format!("s{other}")]);
     fleet.assert_none_changed();
 }
 
-/// The change crashes every server that runs it. Only changed servers are missing, which the coordinator must
-/// not take for a partition.
+/// Rolls out a change that crashes every server that runs it. Only changed servers are missing from the view,
+/// so the coordinator must roll back and not wait for the end of a network partition.
 #[test]
 fn a_change_that_crashes_servers_is_rolled_back() {
     let mut fleet = Fleet::new(6, Change::None, 72);
@@ -550,8 +558,8 @@
     assert!(error.starts_with(place) && !error.contains('\n'), "{error}");
 }
 
-/// This release must decode a report of a later release, which has additional fields at the end, and ignore
-/// those fields.
+/// Decodes a report of a later release, which has additional fields at the end. This release must ignore
+/// these fields.
 #[test]
 fn fields_of_later_releases_are_ignored() {
     #[derive(serde::Serialize)]
--- a/crates/test-doubles/src/balancers.rs
+++ b/crates/test-doubles/src/balancers.rs
@@ -1,5 +1,5 @@
-//! Test double of a balancer: multiplexes the calls of many tenants over its connections to one server and
-//! passes each reply to its caller.
+//! Test double of a balancer. It sends the calls of many tenants over shared connections to one server, and
+//! passes each reply to the caller of the call.
 
 use async_channel::{Receiver, Sender, bounded};
 use async_executor::LocalExecutor;
@@ -13,26 +13,28 @@
 
 /// Maximum number of calls in flight on one connection.
 const CALLS_MAX: usize = 32;
-/// A call whose connection ends within this time after the call was sent may have been in transit when the
-/// server closed the connection. [`Balancer::crossed_calls`] counts such calls.
+/// Maximum time between the sending of a call and the end of its connection for which the call counts as
+/// crossed. A crossed call may have been in transit when the server closed the connection.
+/// [`Balancer::crossed_calls`] counts such calls.
 const CROSSING: Duration = Duration::from_millis(50);
 const READ_CHUNK_BYTES: usize = 16 * 1024;
 
-/// A reply of the server, with the outcome as written on the wire.
+/// Reply of the server to a call. The outcome is the word that the server sends on the wire.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Reply {
-    /// Outcome: `good` (succeeded), `refused` (rejected) or `broken` (failed).
+    /// Outcome of the call: `good` (succeeded), `refused` (rejected) or `broken` (failed).
     pub outcome: String,
-    /// Retry-After in milliseconds, if the server advised one.
+    /// Time in milliseconds after which the server advises to retry (Retry-After); `None` without advice.
     pub retry_after_ms: Option<u64>,
-    /// Ticket that a retry after `retry_after_ms` presents to be admitted.
+    /// Ticket that the server issues with a rejection. A retry after `retry_after_ms` must present the ticket
+    /// to be admitted.
     pub ticket: Option<String>,
     /// Result of the invocation.
     pub body: Vec<u8>,
 }
 
 impl Reply {
-    /// Builds a reply from the words of a message; missing words count as empty.
+    /// Builds a reply from the words of a message. A missing word counts as empty.
     fn from_words(words: &[Vec<u8>]) -> Self {
         let text = |index: usize| {
             words.get(index).map(|word| String::from_utf8_lossy(word).into_owned()).unwrap_or_default()
@@ -49,7 +51,7 @@
     }
 }
 
-/// A caller that waits for its reply.
+/// Caller that waits for the reply to its call.
 struct Caller {
     reply: Sender<Reply>,
     sent_at: Instant,
@@ -57,11 +59,12 @@
 
 struct Connection {
     stream: Async<TcpStream>,
-    /// Waiting callers by the tag of their call.
+    /// Callers that wait for a reply. The key is the tag of the call.
     callers: RefCell<HashMap<u64, Caller>>,
     requests: Sender<Vec<u8>>,
     last_tag: Cell<u64>,
-    /// Whether the server has announced that it is draining this connection and accepts no new call on it.
+    /// Whether the server has announced that it drains this connection. The server then accepts no new calls
+    /// on the connection.
     draining: Cell<bool>,
 }
 
@@ -75,28 +78,29 @@
     }
 }
 
-/// A pool of connections to one server; connections that the server drains are replaced.
+/// Pool of connections to one server. A connection that the server drains is replaced by a new connection.
 pub struct Balancer {
     to: SocketAddr,
     connections: RefCell<Vec<Rc<Connection>>>,
     connections_max: usize,
     executor: &'static LocalExecutor<'static>,
-    /// Replies without a waiting caller, such as a second reply to the same call.
+    /// Number of replies for which no caller was waiting, such as a second reply to one call.
     pub unexpected_replies: Cell<u64>,
-    /// Calls whose connection ended before their reply.
+    /// Number of calls whose connection ended before the reply arrived.
     pub broken_calls: Cell<u64>,
-    /// Part of `broken_calls`: calls sent so shortly before the end of their connection that they may have
-    /// been in transit when the server closed the connection.
+    /// Number of the `broken_calls` that were sent shortly before the end of their connection. These calls
+    /// may have been in transit when the server closed the connection.
     pub crossed_calls: Cell<u64>,
-    /// Calls that were not sent, because no connection had capacity or a new one could not be opened.
+    /// Number of calls that were not sent. Either no connection had capacity, or a new connection could not
+    /// be opened.
     pub unsent_calls: Cell<u64>,
     /// Number of connections opened.
     pub connects: Cell<u64>,
 }
 
 impl Balancer {
-    /// Creates a balancer that opens connections to one address on demand, at most `connections_max` at a
-    /// time.
+    /// Creates a balancer for the server at the address `to`. The balancer opens connections when calls need
+    /// them, at most `connections_max` at a time.
     pub fn new(
         to: SocketAddr,
         connections_max: usize,
@@ -115,8 +119,8 @@
         })
     }
 
-    /// Sends a call and waits for its reply; `None` if no connection has capacity for the call or its
-    /// connection breaks.
+    /// Sends a call and waits for its reply. Returns `None` if no connection has capacity for the call, or if
+    /// the connection breaks before the reply.
     pub async fn call(self: &Rc<Self>, operation: &str, fields: &str, body: &[u8]) -> Option<Reply> {
         let Ok(Some(connection)) = self.connection().await else {
             self.unsent_calls.set(self.unsent_calls.get() + 1);
@@ -134,9 +138,9 @@
         reply.recv().await.ok()
     }
 
-    /// Returns an idle connection, or opens a new one if none is idle. If the pool is at its limit of
-    /// connections, returns the connection with the fewest calls in flight, or `None` if all connections are
-    /// full.
+    /// Selects the connection for a call. Returns an idle connection if there is one, and otherwise opens a
+    /// new connection. If the pool has the maximum number of connections, returns the connection with the
+    /// fewest calls in flight, or `None` if all connections are full.
     async fn connection(self: &Rc<Self>) -> std::io::Result<Option<Rc<Connection>>> {
         let (least_loaded, count) = {
             let connections = self.connections.borrow();
@@ -151,7 +155,7 @@
         }
     }
 
-    /// Opens a connection and spawns a task that reads from it and one that writes to it.
+    /// Opens a connection. Spawns one task that reads from the connection and one task that writes to it.
     async fn connect(self: &Rc<Self>) -> std::io::Result<Rc<Connection>> {
         let stream = Async::<TcpStream>::connect(self.to).await?;
         stream.get_ref().set_nodelay(true)?;
@@ -171,8 +175,8 @@
         Ok(connection)
     }
 
-    /// Reads a connection until it closes and removes it from the pool; callers still waiting on it get no
-    /// reply.
+    /// Reads replies from a connection until it closes, then removes the connection from the pool. Callers
+    /// that still wait for a reply on the connection get none.
     async fn read_until_closed(self: Rc<Self>, connection: Rc<Connection>) {
         let _ = self.read_replies(&connection).await;
         for caller in std::mem::take(&mut *connection.callers.borrow_mut()).into_values() {
@@ -203,8 +207,8 @@
         }
     }
 
-    /// Passes a reply to its caller. A message with tag 0 is no reply: it is the server's notice that it
-    /// drains the connection.
+    /// Passes a reply to the caller of its call. A message with tag 0 is not a reply. It is the server's
+    /// notice that it drains the connection.
     fn handle_reply(&self, connection: &Connection, words: &[Vec<u8>]) {
         let tag = std::str::from_utf8(&words[0]).ok().and_then(|text| text.parse::<u64>().ok());
         if tag == Some(0) {
@@ -221,7 +225,8 @@
     }
 }
 
-/// Writes queued requests to the connection. Requests that are queued at the same time share one write.
+/// Writes the queued requests to the connection. All requests that are in the queue at one time are sent by a
+/// single write.
 async fn write_requests(connection: &Connection, queue: &Receiver<Vec<u8>>) -> std::io::Result<()> {
     while let Ok(mut bytes) = queue.recv().await {
         while let Ok(more) = queue.try_recv() {
@@ -232,8 +237,8 @@
     Ok(())
 }
 
-/// Parses the first array in `bytes` and returns the words and the encoded length, in bytes, of the array.
-/// Returns `None` while the array is incomplete.
+/// Parses the array at the start of `bytes`. Returns the words of the array and its encoded length in bytes.
+/// Returns `None` if the array is incomplete.
 fn read_array(bytes: &[u8]) -> Option<(Vec<Vec<u8>>, usize)> {
     let number = |at: usize| {
         let end = at + bytes.get(at..)?.windows(2).position(|two| two == b"\r\n")?;
--- a/crates/test-doubles/src/downstream_service.rs
+++ b/crates/test-doubles/src/downstream_service.rs
@@ -1,4 +1,5 @@
-//! Test double of a downstream service: answers each HTTP call after a configurable time, or fails it.
+//! Test double of a downstream service. The service answers each HTTP call after a configurable time, or
+//! fails all calls.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -6,47 +7,50 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// A call as observed by the service. Times are Unix times, for comparison with the callers' logs.
+/// Call that the service has served. All times are Unix times, so that they can be compared with the logs of
+/// the callers.
 #[derive(Clone, Copy, Debug)]
 pub struct ServedCall {
-    /// The caller's reference of the call, from the header `Op-Of`.
+    /// Reference by which the caller identifies the call, from the header `Op-Of`.
     pub reference: u64,
-    /// Time for which the caller waits for the reply, in milliseconds, from the header `Op-Wait-Ms`.
+    /// Time for which the caller waits for the reply at most, in milliseconds, from the header `Op-Wait-Ms`.
     pub wait_ms: u64,
-    /// Time when the request was read completely, in microseconds.
+    /// Unix time in microseconds when the service had read the complete request.
     pub arrived_us: u64,
-    /// Time when the call ended, in microseconds.
+    /// Unix time in microseconds when the call ended at the service.
     pub ended_us: u64,
 }
 
-/// Behaviour and counts of the service. A call that its caller cancels stays in flight at the service for the
-/// whole call time, like any other call.
+/// Settings and counts of the service. If a caller cancels a call, the call stays in flight at the service
+/// for the whole call time.
 #[derive(Default)]
 pub struct DownstreamService {
-    /// Duration of each call that arrives after this value is set, in microseconds.
+    /// Duration of a call in microseconds. A new value applies to calls that arrive later.
     pub call_time_us: AtomicU64,
     /// Number of calls received.
     pub calls: AtomicU64,
-    /// Sum of the durations of all calls, in microseconds.
+    /// Sum of the durations of all received calls, in microseconds. Calls that fail immediately are not
+    /// included.
     pub total_call_time_us: AtomicU64,
     /// Number of calls in flight.
     pub in_flight: AtomicU64,
-    /// Highest number of concurrent calls observed since a test last set this value to 0.
+    /// Highest number of calls in flight at one time. A test may set this value to 0 to start a new
+    /// observation.
     pub most_in_flight: AtomicU64,
-    /// Makes each call fail immediately with status 500.
+    /// Whether each call fails immediately with status 500.
     pub fails: AtomicBool,
     served: Mutex<Vec<ServedCall>>,
 }
 
 impl DownstreamService {
-    /// Returns the completed calls in the order in which they ended, without those that failed with status
-    /// 500.
+    /// Returns the completed calls in the order in which they ended. Calls that failed with status 500 are
+    /// left out.
     pub fn served(&self) -> Vec<ServedCall> {
         self.served.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Returns the calls that were in flight at the moment of highest concurrency. The moment is found from
-    /// the start and end times of the calls.
+    /// Returns the calls that were in flight at the moment when most calls were in flight. The moment is
+    /// calculated from the start and end times of the served calls.
     pub fn busiest_moment(&self) -> Vec<ServedCall> {
         let served = self.served();
         let in_flight_at =
@@ -64,8 +68,8 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as u64)
 }
 
-/// Starts a service on loopback whose calls take `call_time`. Each connection has a thread; the threads end
-/// with the process. Fails if no socket can be bound.
+/// Starts a service on the loopback interface. Each call takes `call_time`. Each connection has its own
+/// thread, which runs until the connection closes or the process ends. Fails if no socket can be bound.
 pub fn start(call_time: Duration) -> std::io::Result<(SocketAddr, Arc<DownstreamService>)> {
     let listener = TcpListener::bind(("127.0.0.1", 0))?;
     let address = listener.local_addr()?;
@@ -81,7 +85,7 @@
     Ok((address, service))
 }
 
-/// Serves a connection until the caller closes it.
+/// Serves the calls on one connection until the caller closes the connection.
 fn serve(stream: TcpStream, service: &DownstreamService) -> std::io::Result<()> {
     let mut reader = BufReader::new(stream);
     while let Some(Request { reference, wait_ms, body }) = read_request(&mut reader)? {
@@ -104,7 +108,7 @@
     Ok(())
 }
 
-/// A request with the header fields that the service records.
+/// HTTP request with the header fields that the service records.
 #[derive(Default)]
 struct Request {
     reference: u64,
@@ -112,7 +116,7 @@
     body: Vec<u8>,
 }
 
-/// Reads the next request; `None` if the caller has closed the connection.
+/// Reads the next request from a connection. Returns `None` if the caller has closed the connection.
 fn read_request(reader: &mut BufReader<TcpStream>) -> std::io::Result<Option<Request>> {
     let mut request = Request::default();
     let mut length = 0;
--- a/crates/test-doubles/src/faults.rs
+++ b/crates/test-doubles/src/faults.rs
@@ -1,32 +1,34 @@
-//! Network faults that the relays inject.
+//! Settings for the network faults that the relays inject.
 
 use std::collections::{HashMap, HashSet};
 
-/// Faults that a relay injects into traffic. Shares are from 0 to 1, times in milliseconds.
+/// Faults that a relay injects into the traffic of a fleet. Shares are numbers from 0 to 1.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
     /// Share of datagrams lost.
     pub loss: f64,
     /// Delay of all traffic.
     pub delay_ms: u64,
-    /// Upper bound of an additional random delay, which is drawn uniformly from 0 to this value.
+    /// Maximum of the additional random delay, in milliseconds. The random delay is distributed uniformly
+    /// from 0 to this value.
     pub jitter_ms: u64,
-    /// Share of datagrams delivered twice.
+    /// Share of datagrams that are delivered twice.
     pub duplicate: f64,
-    /// Share of datagrams that are held back by the additional delay [`Self::reorder_ms`], so that later
-    /// datagrams overtake them.
+    /// Share of datagrams that are delayed by an additional [`Self::reorder_ms`]. Later datagrams may
+    /// overtake a datagram that is delayed in this way.
     pub reorder: f64,
-    /// Additional delay of reordered datagrams, in milliseconds.
+    /// Additional delay of the datagrams selected by [`Self::reorder`], in milliseconds.
     pub reorder_ms: u64,
-    /// Group of each member by its index; members without an entry are in group 0.
+    /// Network partition group of each member, by the member's index. A member without an entry is in group
+    /// 0.
     pub groups: HashMap<usize, u32>,
-    /// Pairs of groups (from, to) between which traffic is cut: datagrams are lost, bytes of a stream are
-    /// delayed until the cut ends.
+    /// Pairs of groups (sender's group, receiver's group) between which traffic is cut. During a cut, the UDP
+    /// relay drops datagrams. The TCP relay holds back bytes until the cut ends.
     pub cuts: HashSet<(u32, u32)>,
 }
 
 impl Faults {
-    /// Cuts traffic between two groups in both directions.
+    /// Cuts the traffic between the groups `a` and `b` in both directions.
     pub fn partition(&mut self, a: u32, b: u32) {
         self.cuts.insert((a, b));
         self.cuts.insert((b, a));
@@ -41,7 +43,7 @@
         self.groups.get(&index).copied().unwrap_or(0)
     }
 
-    /// Whether traffic from one group to another is cut.
+    /// Returns whether traffic from the group `from` to the group `to` is cut.
     pub(crate) fn is_cut(&self, from: u32, to: u32) -> bool {
         self.cuts.contains(&(from, to))
     }
--- a/crates/test-doubles/src/fleet/files.rs
+++ b/crates/test-doubles/src/fleet/files.rs
@@ -1,42 +1,45 @@
-//! Configuration and options files of the processes in a fleet.
+//! Creates the configuration and options files for the processes of a fleet.
 
 use serde_json::{Value, json};
 use std::fmt::{self, Display, Formatter};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Period of the probes between members in milliseconds; short, so that a rehearsal ends within a minute.
+/// Period in milliseconds at which members probe each other. The short period lets a rehearsal end within a
+/// minute.
 pub const PROBE_PERIOD_MS: u64 = 200;
-/// Number of probe periods for which a member is suspect before it is declared down.
+/// Number of probe periods for which a member stays suspect before it is declared down.
 pub const SUSPICION_PERIODS: u64 = 5;
 
-/// Options of a fleet harness, such as the programs and addresses of its processes and additional content for
-/// their options files.
+/// Options of a fleet harness. They set the programs and addresses of its processes, and additional content
+/// of the options files.
 #[derive(Default)]
 pub struct HarnessOptions {
-    /// Number of cores of each server's interpreter. With 0 the harness starts no interpreters.
+    /// Number of cores of each server's interpreter. If this is 0, the harness starts no interpreters.
     pub cores: f64,
-    /// Address of each server's downstream service, by the server's index.
+    /// Address of the downstream service of each server. The index in the list is the index of the server.
     pub downstream_services: Vec<SocketAddr>,
-    /// Further attributes of the element `<membership>`, the same for all processes.
+    /// Additional attributes of the element `<membership>` in the options files of all processes.
     pub membership_attributes: String,
-    /// Further elements of the options file, the same for all processes.
+    /// Additional XML elements in the options files of all processes.
     pub options: String,
-    /// Further elements of each server's options file, by the server's index.
+    /// Additional XML elements in the options file of each server. The index in the list is the index of the
+    /// server.
     pub server_options: Vec<String>,
-    /// Number of control machines, which have the lowest indices. Control machines keep the configuration log
-    /// and serve no calls.
+    /// Number of control machines. The processes with the lowest indexes are control machines. A control
+    /// machine keeps the configuration log and serves no calls.
     pub control_servers: usize,
-    /// Address at which each server accepts calls, by the server's index; servers without an entry take a
-    /// free port.
+    /// Address at which each server accepts calls. The index in the list is the index of the server. A server
+    /// without an entry uses a free port.
     pub listen_addresses: Vec<SocketAddr>,
-    /// Program of each server, by the server's index; servers without an entry run the harness's program.
+    /// Program of each server. The index in the list is the index of the server. A server without an entry
+    /// runs the default program of the harness.
     pub programs: Vec<PathBuf>,
-    /// Address to which the first server binds its membership socket; by default a free port.
+    /// Address to which the first server binds its membership socket. `None` selects a free port.
     pub first_membership_bind: Option<SocketAddr>,
 }
 
-/// Addresses in the configuration of a server.
+/// Addresses that the configuration of one server contains.
 pub struct ServerAddresses {
     pub listen: String,
     pub interpreter: String,
@@ -44,7 +47,7 @@
     pub registry: String,
 }
 
-/// Returns the JSON configuration of server `index`.
+/// Returns the JSON configuration of the server with this index.
 pub fn configuration(index: usize, cores: f64, addresses: &ServerAddresses) -> Value {
     json!({
         "name": format!("s{index}"), "listen": addresses.listen, "vm": addresses.interpreter,
@@ -64,12 +67,12 @@
     })
 }
 
-/// Options file of one server. Its [`Display`] implementation writes the file as XML.
+/// Options file of one server. The [`Display`] implementation formats the file as XML.
 pub struct OptionsFile<'a> {
     pub index: usize,
-    /// Membership address at which other members reach the server.
+    /// Address to which other members send membership datagrams for this server.
     pub advertised: SocketAddr,
-    /// Membership address of the member through which the server joins.
+    /// Membership address of the member through which this server joins the fleet.
     pub seed: SocketAddr,
     pub members: usize,
     pub harness_options: &'a HarnessOptions,
--- a/crates/test-doubles/src/fleet/harness.rs
+++ b/crates/test-doubles/src/fleet/harness.rs
@@ -1,4 +1,4 @@
-//! The fleet harness: starts, stops and signals the processes, and reads their logs.
+//! Harness that starts, stops and signals the processes of a fleet, and reads their logs.
 
 use super::files::{HarnessOptions, OptionsFile, ServerAddresses, configuration};
 use super::log::ServerLog;
@@ -16,30 +16,31 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering::Relaxed;
 
-/// A fleet of processes that reach each other through a relay. Server `i` is named `s{i}`.
+/// Fleet of processes whose membership traffic passes through a relay. The server with index `i` is named
+/// `s{i}`.
 pub struct FleetHarness {
     options: HarnessOptions,
-    /// Relay for the membership traffic between the processes.
+    /// Relay through which the processes exchange membership datagrams.
     pub relay: UdpRelay,
     processes: Vec<Option<ServerProcess>>,
     folder: PathBuf,
     program: PathBuf,
-    /// Socket to which all servers send the load reports for the service registry. Nothing processes the
-    /// reports.
+    /// Socket to which all servers send their load reports, in place of a service registry. The reports are
+    /// not read.
     registry: UdpSocket,
-    /// Listener to which servers connect if the harness runs no interpreter test double for them. The kernel
-    /// accepts their links, and nothing ever replies.
+    /// Listener to which servers connect if the harness runs no interpreter for them. The kernel accepts the
+    /// connections, and no answer is ever sent.
     silent_interpreter: TcpListener,
 }
 
 impl FleetHarness {
-    /// Starts `count` processes with default options; each joins through the first process.
+    /// Starts `count` processes with default options. Each process joins the fleet through the first process.
     pub fn new(program: &Path, count: usize, seed: u64) -> Result<FleetHarness> {
         FleetHarness::with_options(program, count, count, seed, HarnessOptions::default())
     }
 
     /// Creates a harness for `count` processes and starts the first `started` of them. Fails if a file cannot
-    /// be written or a process does not join within `WAIT_MAX`.
+    /// be written, or if a process does not join the fleet within `WAIT_MAX`.
     pub fn with_options(
         program: &Path,
         count: usize,
@@ -50,8 +51,8 @@
         let folder = std::env::temp_dir().join(format!("meadowstream-fleet-{}-{seed}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
         let key = folder.join("key");
-        // Each fleet has a key of its own, because the system may give a dead member's port to a member of
-        // another fleet, whose datagrams must then be rejected.
+        // Each fleet has its own key. The operating system may assign the port of an ended process to a
+        // process of another fleet. With different keys, datagrams from another fleet are rejected.
         std::fs::write(&key, format!("the key of rehearsal fleet {}-{seed}", std::process::id()))?;
         std::fs::set_permissions(&key, std::fs::Permissions::from_mode(0o600))?;
         let mut harness = FleetHarness {
@@ -69,22 +70,22 @@
         Ok(harness)
     }
 
-    /// Number of processes, whether started or not.
+    /// Returns the number of processes. Processes that are not started are included.
     pub fn len(&self) -> usize {
         self.processes.len()
     }
 
-    /// Whether the harness has no process.
+    /// Returns whether the harness was created for no processes.
     pub fn is_empty(&self) -> bool {
         self.processes.is_empty()
     }
 
-    /// Folder with the files of the processes: `s{i}.json`, `s{i}.xml` and the key.
+    /// Returns the folder with the files of the processes: `s{i}.json`, `s{i}.xml` and the key.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
 
-    /// Starts server `index`, which may have run before and been killed.
+    /// Starts the server with this index. The server may have been started and killed before.
     pub fn start(&mut self, index: usize) -> Result<()> {
         let (mut interpreter, mut runs) = (self.silent_interpreter.local_addr()?, None);
         if self.options.cores > 0.0 {
@@ -125,8 +126,9 @@
         Ok(())
     }
 
-    /// Starts a process for server `index`. If a rollout has written a mark file for the server, the process
-    /// runs the program named in that file; otherwise the program that the harness assigns to the server.
+    /// Starts a process for the server with this index. A rollout may have written a mark file that names the
+    /// server's program. In this case, the process runs the named program. Otherwise, it runs the program
+    /// that the harness assigns to the server.
     fn spawn(&self, index: usize) -> Result<Child> {
         let options = self.folder.join(format!("s{index}.xml"));
         let mark = std::fs::read_to_string(self.folder.join(format!("s{index}.xml.program"))).ok();
@@ -149,8 +151,8 @@
             .context("cannot start the program")
     }
 
-    /// Waits until server `index` logs its membership address, and registers the address with the relay.
-    /// Ignores the first `earlier_joins` such log lines, which previous starts of the server wrote.
+    /// Waits until a server logs its membership address, and registers the address with the relay. Previous
+    /// starts of the server wrote the first `earlier_joins` of these log lines, which are ignored.
     fn wait_until_joined(
         &mut self,
         index: usize,
@@ -167,8 +169,8 @@
         Ok(())
     }
 
-    /// Acts as a supervisor: restarts each process that has exited, with the program named in its mark file.
-    /// Returns the indices of the restarted servers.
+    /// Restarts each process that has exited, as a supervisor does. A restarted process runs the program
+    /// named in its mark file. Returns the indexes of the restarted servers.
     pub fn supervise(&mut self) -> Result<Vec<usize>> {
         let mut started = Vec::new();
         for index in 0..self.processes.len() {
@@ -186,8 +188,8 @@
         Ok(started)
     }
 
-    /// Sends a signal (KILL, STOP, CONT) to server `index`; after KILL the server counts as not started and
-    /// its log is discarded.
+    /// Sends a signal (KILL, STOP, CONT) to the server with this index. After KILL, the server counts as not
+    /// started, and its log is discarded.
     pub fn signal(&mut self, index: usize, name: &str) -> Result<()> {
         self.signal_and_keep(index, name)?;
         if name == "KILL" {
@@ -196,13 +198,14 @@
         Ok(())
     }
 
-    /// Sends a signal to server `index` and keeps its process and log, even after KILL.
+    /// Sends a signal to the server with this index. Keeps the record of the process and its log, even after
+    /// KILL.
     pub fn signal_and_keep(&self, index: usize, name: &str) -> Result<()> {
         self.processes[index].as_ref().with_context(|| format!("s{index} is not running"))?.signal(name)
     }
 
-    /// Number of runs that the interpreter of server `index` began although it had recently ended a run of
-    /// the same task ([`RunCounts::repeated`]).
+    /// Returns the number of repeated runs on the interpreter of the server with this index
+    /// ([`RunCounts::repeated`]). A run is repeated if another run of its task ended shortly before.
     pub fn repeated_runs(&self, index: usize) -> u64 {
         let runs = self.processes[index].as_ref().and_then(|process| process.runs.as_ref());
         runs.map_or(0, |runs| runs.repeated.load(Relaxed))
@@ -212,22 +215,25 @@
         self.processes[index].as_ref().map(|process| &process.log)
     }
 
-    /// Process id of server `index`; `None` if it is not started or was killed.
+    /// Returns the process id of the server with this index. Returns `None` if the server is not started or
+    /// was killed.
     pub fn process_id(&self, index: usize) -> Option<u32> {
         self.processes[index].as_ref().map(|process| process.child.id())
     }
 
-    /// Exit status of server `index`; `None` while it runs or if it is not started.
+    /// Returns the exit status of the server with this index. Returns `None` if the server still runs or is
+    /// not started.
     pub fn exit_status(&mut self, index: usize) -> Option<ExitStatus> {
         self.processes[index].as_mut()?.child.try_wait().ok()?
     }
 
-    /// Counts of the runs on the interpreter of server `index`; `None` without an interpreter.
+    /// Returns the counts of runs on the interpreter of the server with this index; `None` without an
+    /// interpreter.
     pub fn run_counts(&self, index: usize) -> Option<Arc<RunCounts>> {
         self.processes[index].as_ref()?.runs.clone()
     }
 
-    /// Kernel state of the process of server `index`, from `/proc`.
+    /// Returns the state of a server's process, as `/proc` shows it.
     pub(super) fn process_state(&self, index: usize) -> String {
         let Some(process) = &self.processes[index] else { return "not started".to_string() };
         let status = std::fs::read_to_string(format!("/proc/{}/status", process.child.id()));
@@ -235,7 +241,7 @@
         state.map_or("ended".to_string(), |state| state.trim().to_string())
     }
 
-    /// Whether the log of server `index` has a line whose message contains `text`.
+    /// Returns whether the server with this index has logged a message that contains `text`.
     pub fn has_logged(&self, index: usize, text: &str) -> bool {
         let Some(log) = self.log(index) else { return false };
         let contains =
@@ -243,24 +249,25 @@
         log.lines().iter().any(|line| contains(&line.fields))
     }
 
-    /// Fields of the log lines of server `index` whose message is `message`, oldest first.
+    /// Returns the fields of each log line with the message `message` of the server with this index, oldest
+    /// first.
     pub fn log_lines(&self, index: usize, message: &str) -> Vec<Value> {
         self.log(index).map_or(Vec::new(), |log| log.events(message))
     }
 
-    /// Timestamps and fields of all log lines of server `index`, oldest first.
+    /// Returns the timestamp and fields of each log line of the server with this index, oldest first.
     pub fn timestamped_log_lines(&self, index: usize) -> Vec<(String, Value)> {
         let Some(log) = self.log(index) else { return Vec::new() };
         log.lines().iter().map(|line| (line.timestamp.clone(), line.fields.clone())).collect()
     }
 
-    /// Address at which server `index` accepts calls, from its log.
+    /// Returns the address at which the server with this index accepts calls, as logged by the server.
     pub fn listen_address(&self, index: usize) -> Option<SocketAddr> {
         let started = self.log(index)?.events("started").into_iter().next()?;
         started["listen"].as_str()?.parse().ok()
     }
 
-    /// Fields of the last log line of server `index` about shared state.
+    /// Returns the fields of the last log line about shared state of the server with this index.
     pub fn shared_state(&self, index: usize) -> Option<Value> {
         self.log(index)?.last_event("shared", None)
     }
--- a/crates/test-doubles/src/fleet/log.rs
+++ b/crates/test-doubles/src/fleet/log.rs
@@ -1,4 +1,4 @@
-//! The log of a server, read while the server writes it.
+//! Collects the log lines of a server while the server runs.
 
 use anyhow::{Context, Result};
 use serde_json::Value;
@@ -10,22 +10,24 @@
 /// A line of a server's log.
 #[derive(Clone)]
 pub struct LogLine {
-    /// Time at which the harness read the line.
+    /// Time at which the harness read the line from the process.
     pub at: Instant,
     /// Time at which the server wrote the line (RFC 3339 with microseconds).
     pub timestamp: String,
-    /// Fields of the log event; `message` names the event.
+    /// Fields of the log event. The field `message` contains the log message.
     pub fields: Value,
 }
 
-/// All log lines of a server so far, including those from before a restart.
+/// Log lines that the harness has read from a server so far. Lines from before a restart of the server are
+/// included.
 #[derive(Clone, Default)]
 pub struct ServerLog {
     lines: Arc<Mutex<Vec<LogLine>>>,
 }
 
 impl ServerLog {
-    /// Starts a thread that reads the standard error of a process until the process ends.
+    /// Starts a thread that adds the process's log lines to this log. The thread reads the standard error of
+    /// the process until the process ends.
     pub fn read(&self, child: &mut Child) -> Result<()> {
         let stderr = BufReader::new(child.stderr.take().context("the process has no standard error")?);
         let log = self.clone();
@@ -41,7 +43,7 @@
         Ok(())
     }
 
-    /// Locks the log and returns its lines, which stay locked while the guard lives.
+    /// Locks the log and returns its lines. The log stays locked until the returned guard is dropped.
     pub fn lines(&self) -> MutexGuard<'_, Vec<LogLine>> {
         self.lines.lock().expect("no thread panics while it holds the lines of a log")
     }
@@ -53,8 +55,8 @@
         of_event.map(|line| line.fields.clone()).collect()
     }
 
-    /// Returns the fields of the last log line whose message is `message`. With `since`, only lines read at
-    /// that time or later count.
+    /// Returns the fields of the last log line whose message is `message`. If `since` is given, ignores lines
+    /// that were read before that time.
     pub fn last_event(&self, message: &str, since: Option<Instant>) -> Option<Value> {
         let lines = self.lines();
         let recent = |line: &&LogLine| since.is_none_or(|since| line.at >= since);
--- a/crates/test-doubles/src/fleet/process.rs
+++ b/crates/test-doubles/src/fleet/process.rs
@@ -1,4 +1,4 @@
-//! A process of the program under test.
+//! Process of the program under test, and the signals sent to it.
 
 use super::log::ServerLog;
 use crate::interpreter::RunCounts;
@@ -6,17 +6,17 @@
 use std::process::{Child, Command};
 use std::sync::Arc;
 
-/// A process of the program under test. When this value is dropped, the process is continued (SIGCONT), in
-/// case it was stopped, and then killed.
+/// Process of the program under test. When this value is dropped, the process is killed. SIGCONT is sent
+/// first, because the process may be stopped by SIGSTOP.
 pub struct ServerProcess {
     pub child: Child,
     pub log: ServerLog,
-    /// Counts of the runs on the server's interpreter, if it has one.
+    /// Counts of the runs on the server's interpreter; `None` if the server has no interpreter test double.
     pub runs: Option<Arc<RunCounts>>,
 }
 
 impl ServerProcess {
-    /// Sends a signal, given by its name without `SIG`.
+    /// Sends a signal to the process. `name` is the name of the signal without `SIG`.
     pub fn signal(&self, name: &str) -> Result<()> {
         let id = self.child.id().to_string();
         let status = Command::new("kill").args([&format!("-{name}"), &id]).status()?;
--- a/crates/test-doubles/src/fleet/rehearsal.rs
+++ b/crates/test-doubles/src/fleet/rehearsal.rs
@@ -1,5 +1,6 @@
-//! Rehearsal of the membership view: a join, a crash (SIGKILL), a stall (SIGSTOP, SIGCONT), a partition and
-//! its end. A table shows when each server observed each change and when all views agreed.
+//! Rehearses changes of the membership view with real processes. The changes are a join, a crash (SIGKILL), a
+//! stall (SIGSTOP, SIGCONT), a network partition and its end. A table shows when each server observed each
+//! change, and when all views agreed.
 
 use super::WAIT_MAX;
 use super::files::{PROBE_PERIOD_MS, SUSPICION_PERIODS};
@@ -11,14 +12,15 @@
 
 const SEED: u64 = 7;
 
-/// A change to the fleet, with the times that the servers took to observe the change.
+/// Change to the fleet, and the time after which each server observed the change.
 struct Step {
     name: &'static str,
     times: AgreementTimes,
 }
 
-/// Runs the rehearsal with `servers` servers (at least 4) and returns the table of results. Calls `progress`
-/// with a line of text after each step. Fails if a process does not start or the views do not agree in time.
+/// Runs the rehearsal with `servers` servers (at least 4). Returns the results as a table. Calls `progress`
+/// with a line of text after each step. Fails if a process does not start, or if the views do not agree in
+/// time.
 pub fn rehearse(program: &Path, servers: usize, mut progress: impl FnMut(&str)) -> Result<String> {
     let mut fleet = FleetHarness::new(program, servers, SEED)?;
     let all: Vec<usize> = (0..servers).collect();
@@ -43,7 +45,7 @@
     Ok(table(servers, &[join, crash, stall, resume, cut, heal]))
 }
 
-/// Stops a server (SIGSTOP) until all others see it as down, then continues it.
+/// Stops a server with SIGSTOP, waits until all other servers see it as down, and continues it with SIGCONT.
 fn stall_one(fleet: &mut FleetHarness, alive: &[usize], stalled: usize) -> Result<[Step; 2]> {
     fleet.signal(stalled, "STOP")?;
     let since = Instant::now();
@@ -54,8 +56,8 @@
     Ok([stall, resume])
 }
 
-/// Partitions the fleet into `left` and `right` until the servers of each group see only their own group,
-/// then ends the partition.
+/// Starts a network partition between the servers in `left` and the servers in `right`. Waits until the
+/// servers on each side see only their own side, then ends the partition.
 fn partition(fleet: &FleetHarness, alive: &[usize], left: &[usize], right: &[usize]) -> Result<[Step; 2]> {
     fleet.relay.change_faults(|faults| {
         for &index in right {
--- a/crates/test-doubles/src/fleet/view.rs
+++ b/crates/test-doubles/src/fleet/view.rs
@@ -1,4 +1,4 @@
-//! Membership views of the servers, read from their logs.
+//! Reads the membership views of the servers from their logs.
 
 use super::harness::FleetHarness;
 use super::wait_for;
@@ -7,27 +7,29 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Maximum number of log lines of each server in the report of a failed wait.
+/// Maximum number of log lines per server in the report of a wait that failed.
 const REPORTED_LINES: usize = 40;
 
-/// Times from a given instant until the membership views of the expected members agreed, as measured by
-/// [`FleetHarness::wait_for_agreement`].
+/// Times until the membership views of the expected members agreed, as measured by
+/// [`FleetHarness::wait_for_agreement`]. The times are counted from the instant `since` of that function.
 #[derive(Debug, Clone)]
 pub struct AgreementTimes {
-    /// Time until the server first saw exactly the other expected members alive, by the server's index.
+    /// Time until each server first saw all other expected members, and no further member, alive. The key is
+    /// the index of the server.
     pub by_server: BTreeMap<usize, Duration>,
-    /// Time until all servers saw exactly the other expected members alive at the same moment.
+    /// Time until all servers simultaneously saw all other expected members, and no further member, alive.
     pub all: Duration,
 }
 
 impl FleetHarness {
-    /// States of the other members in the last logged view of server `index`, by member name.
+    /// Returns the states of the other members in the last view that a server has logged. The key is the name
+    /// of the member.
     pub fn member_states(&self, index: usize) -> BTreeMap<String, String> {
         self.member_states_since(index, None)
     }
 
-    /// Like [`Self::member_states`], but ignores log lines read before `since`. The last line of a stalled
-    /// server was written before the stall and does not show the server's current view.
+    /// Returns the states as [`Self::member_states`] does, but ignores log lines read before `since`. A
+    /// server that was stalled may have logged its last view before the stall. That view is outdated.
     fn member_states_since(&self, index: usize, since: Option<Instant>) -> BTreeMap<String, String> {
         let view = self.log(index).and_then(|log| log.last_event("view", since));
         let Some(members) = view.as_ref().and_then(|view| view["members"].as_str()) else {
@@ -38,13 +40,13 @@
         members.iter().map(|member| (text(member, "name"), text(member, "state"))).collect()
     }
 
-    /// Parses a JSON field of the last logged view of server `index`.
+    /// Returns a field of the last view that a server has logged. The field is parsed as JSON.
     pub fn view_field(&self, index: usize, field: &str) -> Option<Value> {
         let view = self.log(index)?.last_event("view", None)?;
         serde_json::from_str(view[field].as_str()?).ok()
     }
 
-    /// Number of times that server `index` has logged that member `name` is down.
+    /// Returns how many times a server has logged that the member called `name` is down.
     pub fn down_count(&self, index: usize, name: &str) -> usize {
         let Some(log) = self.log(index) else { return 0 };
         let lines = log.lines();
@@ -52,7 +54,8 @@
         lines.iter().filter(|line| is_down(&line.fields)).count()
     }
 
-    /// Whether server `index` sees all other `members` alive and no further member alive or suspect.
+    /// Returns whether a server sees all other servers in `members` alive. Returns false if the server also
+    /// sees a further member alive or suspect.
     pub fn sees(&self, index: usize, members: &[usize]) -> bool {
         self.sees_since(index, members, None)
     }
@@ -66,13 +69,14 @@
         not_down == expected.len() && expected.iter().all(is_alive)
     }
 
-    /// Whether each of `members` sees exactly the other `members` alive.
+    /// Returns whether each server in `members` sees all others in `members`, and no further member, alive.
     pub fn views_agree(&self, members: &[usize]) -> bool {
         members.iter().all(|&index| self.sees(index, members))
     }
 
-    /// Waits up to `within` until each of `members` sees exactly the other `members` alive. Returns times
-    /// counted from `since`; fails with a report of the logs if the views do not agree in time.
+    /// Waits until each server in `members` sees all others in `members`, and no further member, alive.
+    /// Returns the times of agreement, counted from `since`. Fails after the time `within` with a report of
+    /// the logs.
     pub fn wait_for_agreement(
         &self,
         members: &[usize],
@@ -97,8 +101,9 @@
         Ok(AgreementTimes { by_server, all })
     }
 
-    /// Report of a failed wait: the relay's counts and each server's log lines about the membership. Each
-    /// line has the time at which it was read, counted from `since`, and the time at which it was written.
+    /// Returns the report of a wait that failed. The report contains the relay's counts and each server's log
+    /// lines about the membership. Each line is listed with the time at which it was read, counted from
+    /// `since`, and the time at which it was written.
     fn membership_report(&self, members: &[usize], since: Instant) -> String {
         let mut report = format!("relay: {:?}\n", self.relay.counts());
         for &index in members {
--- a/crates/test-doubles/src/group_report.rs
+++ b/crates/test-doubles/src/group_report.rs
@@ -1,4 +1,4 @@
-//! Measurements of a rehearsal for each group of tenants, and their table.
+//! Measurements of a rehearsal for each group of tenants, and their output as a table.
 
 use hdrhistogram::Histogram;
 use std::fmt::Write;
@@ -6,38 +6,40 @@
 /// Counts of the invocations of one tenant.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TenantCounts {
-    /// Invocations sent; an invocation and its retries count once.
+    /// Number of invocations that the tenant sent. An invocation and its retries count once.
     pub sent: u64,
-    /// Invocations that succeeded within the latency objective.
+    /// Number of the tenant's invocations that succeeded within the latency objective.
     pub in_time: u64,
 }
 
-/// Counts of the invocations of one group of tenants by result.
+/// Counts of the invocations that one group of tenants sent, by result.
 #[derive(Debug)]
 pub struct GroupReport {
     /// Name of the group.
     pub name: String,
     /// Number of tenants in the group.
     pub tenants: usize,
-    /// Invocations sent; an invocation and its retries count once.
+    /// Number of invocations that the group sent. An invocation and its retries count once.
     pub sent: u64,
-    /// Invocations that succeeded within the latency objective, measured from the first attempt.
+    /// Number of invocations that succeeded within the latency objective. The latency starts with the first
+    /// attempt.
     pub in_time: u64,
-    /// Invocations that succeeded after the latency objective.
+    /// Number of invocations that succeeded, but took longer than the latency objective.
     pub late: u64,
-    /// Invocations whose last attempt was rejected.
+    /// Number of invocations whose last attempt was rejected.
     pub throttled: u64,
     /// Invocations that failed.
     pub errored: u64,
-    /// Invocations without a reply: no connection had capacity, or the connection broke.
+    /// Number of invocations without a reply. Either no connection had capacity, or the connection broke.
     pub unsent: u64,
-    /// Retries that followed the server's advice: sent with its ticket, at the time that it advised.
+    /// Number of retries that followed the server's advice and got a reply. Such a retry carries the ticket
+    /// from the rejection and is sent after the advised time.
     pub advised_retries: u64,
-    /// Part of `advised_retries` that was admitted.
+    /// Number of the `advised_retries` that the server admitted.
     pub advised_retries_admitted: u64,
-    /// Counts of each tenant by its index in the group.
+    /// Counts of each tenant. The index in the list is the index of the tenant in the group.
     pub by_tenant: Vec<TenantCounts>,
-    /// Latency of successful invocations in microseconds, measured from the first attempt.
+    /// Latency of successful invocations in microseconds. The latency starts with the first attempt.
     pub latency_us: Histogram<u64>,
 }
 
@@ -60,18 +62,19 @@
         }
     }
 
-    /// Share of the invocations that succeeded within the latency objective.
+    /// Returns the share of the group's invocations that succeeded within the latency objective.
     pub fn in_time_ratio(&self) -> f64 {
         self.in_time as f64 / self.sent.max(1) as f64
     }
 
-    /// Lowest share of in-time successes among the tenants that have sent invocations.
+    /// Returns the lowest share of invocations that succeeded within the latency objective, over the tenants
+    /// of the group. Tenants that have sent no invocations are left out.
     pub fn lowest_in_time_ratio(&self) -> f64 {
         let senders = self.by_tenant.iter().filter(|tenant| tenant.sent > 0);
         senders.map(|tenant| tenant.in_time as f64 / tenant.sent as f64).fold(1.0, f64::min)
     }
 
-    /// Share of the advised retries that were admitted; 1 without such retries.
+    /// Returns the share of the advised retries that the server admitted; 1 if there were no advised retries.
     pub fn advised_retries_admitted_ratio(&self) -> f64 {
         match self.advised_retries {
             0 => 1.0,
@@ -80,7 +83,7 @@
     }
 }
 
-/// Formats the reports as a table with a line for each group.
+/// Formats the reports as a table with one line for each group.
 pub fn table(reports: &[GroupReport]) -> String {
     let mut out = format!("{:<10}", "group");
     let columns = [
--- a/crates/test-doubles/src/interpreter.rs
+++ b/crates/test-doubles/src/interpreter.rs
@@ -1,5 +1,5 @@
-//! Test double of the interpreter: executes runs on simulated cores, which all runs share evenly. The body of
-//! a run states its core time as `work=MICROSECONDS`; the word `calls` in the body makes the run wait for a
+//! Test double of the interpreter. It executes runs on simulated cores, which all runs share evenly. The body
+//! of a run sets its core time by `work=MICROSECONDS`. The word `calls` in the body makes the run wait for a
 //! downstream call after half of its work.
 
 mod link;
@@ -13,8 +13,9 @@
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
 
-/// Starts an interpreter on loopback that serves one link at a time, on a thread that ends with the process.
-/// Returns its address and the counts of its runs; fails if no socket can be bound.
+/// Starts an interpreter on the loopback interface. The interpreter serves one link at a time, on a thread
+/// that runs until the process ends. Returns the address of the interpreter and the counts of its runs. Fails
+/// if no socket can be bound.
 pub fn start(cores: f64) -> std::io::Result<(SocketAddr, Arc<RunCounts>)> {
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0))?;
     let address = listener.get_ref().local_addr()?;
--- a/crates/test-doubles/src/interpreter/link.rs
+++ b/crates/test-doubles/src/interpreter/link.rs
@@ -1,4 +1,5 @@
-//! A link between a server and the interpreter. Each command and each notice is a line of JSON.
+//! Link between a server and the interpreter test double. The server sends commands, and the interpreter
+//! sends notices. Each command and each notice is one line of JSON.
 
 use super::machine::Machine;
 use async_io::{Async, Timer};
@@ -7,15 +8,15 @@
 use std::net::TcpStream;
 use std::time::Instant;
 
-/// Events for which the interpreter waits while it serves a link.
+/// Event that the interpreter handles while it serves a link.
 enum Event {
-    /// The next run reaches its downstream call or its end.
+    /// A run has reached its downstream call or its end.
     RunDue,
     Line(String),
     Closed,
 }
 
-/// Serves one link until the server closes it; fails if the connection breaks or a command is not JSON.
+/// Serves one link until the server closes it. Fails if a notice cannot be written or a command is not JSON.
 pub async fn serve(machine: &mut Machine, stream: Async<TcpStream>) -> std::io::Result<()> {
     stream.get_ref().set_nodelay(true)?;
     let mut lines = BufReader::new(&stream).lines();
@@ -45,8 +46,8 @@
             }
             Event::Closed => return Ok(()),
         }
-        // Only notices with an index are retained. A direct reply to a command has none; the notice that a
-        // command has halted a run has one.
+        // Only notices with an index are retained. The notice that a command has halted a run has an index. A
+        // direct reply to a command has none.
         machine.retain_notices(&notices[run_notices..]);
         let text: String = notices.iter().map(|notice| format!("{notice}\n")).collect();
         (&stream).write_all(text.as_bytes()).await?;
--- a/crates/test-doubles/src/interpreter/machine.rs
+++ b/crates/test-doubles/src/interpreter/machine.rs
@@ -1,5 +1,5 @@
-//! State of the simulated machine: runs that share its cores, and the server's commands that start and end
-//! runs. The machine reads no clock; its caller passes the current time.
+//! Simulates the machine of the interpreter. The machine has cores, which all runs share. Commands of the
+//! server start and end runs. The machine reads no clock; its caller passes the current time.
 
 use base64::{Engine, engine::general_purpose::STANDARD};
 use serde_json::{Value, json};
@@ -8,32 +8,34 @@
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::time::{Duration, Instant};
 
-/// Counts of the interpreter's runs, for assertions in tests.
+/// Counts of the runs on the interpreter. Tests check these counts.
 #[derive(Default)]
 pub struct RunCounts {
     /// Runs that have begun.
     pub begun: AtomicU64,
     /// Runs that have ended.
     pub ended: AtomicU64,
-    /// Runs that began although another run of their task had ended within the previous 10 s.
+    /// Number of repeated runs. A run is repeated if another run of its task ended within the previous 10 s.
     pub repeated: AtomicU64,
-    /// Highest number of runs observed on the cores at once.
+    /// Highest number of runs that were on the cores at one time.
     pub most_concurrent: AtomicU64,
 }
 
-/// A run of a task. Core times are in microseconds.
+/// Run of a task on the machine. Core time is the CPU time that the run uses, in microseconds.
 struct Run {
-    /// Core time left until the run's downstream call, or until its end if no call is left.
+    /// Remaining core time until the downstream call of the run. If the run has no further downstream call,
+    /// remaining core time until its end.
     remaining_us: f64,
-    /// Core time from the downstream call to the end of the run. `None` if the run makes no downstream call
-    /// or has already begun it.
+    /// Core time that the run uses between its downstream call and its end. `None` if the run makes no
+    /// downstream call, or if the call has already begun.
     after_call_us: Option<f64>,
     awaits_call: bool,
     total_us: f64,
 }
 
 impl Run {
-    /// Builds a run from the words `work=MICROSECONDS` and `calls` of its body; both are optional.
+    /// Creates a run from its body. The word `work=MICROSECONDS` sets the core time, and the word `calls`
+    /// adds a downstream call. Both words are optional.
     fn from_body(body: &[u8]) -> Self {
         let text = String::from_utf8_lossy(body);
         let work = text.split(' ').find_map(|word| word.strip_prefix("work=")?.parse::<f64>().ok());
@@ -45,30 +47,33 @@
     }
 }
 
-/// The simulated machine with its runs, and the notices about the runs for the server.
+/// Simulated machine: its cores, its runs, and the notices that the server must receive about the runs.
 pub struct Machine {
     cores: f64,
     runs: BTreeMap<String, Run>,
-    /// End time of each task, kept for [`ENDED_MEMORY`].
+    /// Time at which each task ended, by task. An entry is kept for at least [`ENDED_MEMORY`].
     ended: BTreeMap<String, Instant>,
-    /// Time up to which the runs have been advanced.
+    /// Time up to which the runs have been simulated.
     advanced_to: Instant,
-    /// Core time used since the gauges were last read, in microseconds.
+    /// Core time that runs have used since the server last read the gauges, in microseconds.
     busy_us: f64,
     gauges_read: Instant,
     last_index: u64,
-    /// Notices with an index, oldest first, retained for a replay on the next link.
+    /// Retained notices with an index, oldest first. When the server opens a new link, the notices that it
+    /// has not read are sent again.
     notices: VecDeque<Value>,
     started: Instant,
     counts: Arc<RunCounts>,
 }
 
 const NOTICES_MAX: usize = 4096;
-/// Age in milliseconds that the interpreter reports when it starts, so that the server treats it as warm.
+/// Age in milliseconds that the interpreter reports at its start. The server treats an interpreter of this
+/// age as warm.
 const INITIAL_AGE_MS: u64 = 60_000;
-/// Time for which the machine remembers an ended task, to detect a second run of the task.
+/// Time for which the machine remembers an ended task. Within this time, a second run of the task counts as
+/// repeated.
 const ENDED_MEMORY: Duration = Duration::from_secs(10);
-/// Core time in microseconds of a run whose body states no `work`.
+/// Core time in microseconds of a run whose body does not contain the word `work`.
 const DEFAULT_WORK_US: f64 = 1000.0;
 
 impl Machine {
@@ -93,20 +98,21 @@
         self.runs.values().filter(|run| !run.awaits_call).count()
     }
 
-    /// Share of a core that each run gets, at most 1.
+    /// Returns the share of a core that each run on the cores gets. The share is at most 1.
     fn core_share(&self) -> f64 {
         (self.cores / self.runs_on_cores().max(1) as f64).min(1.0)
     }
 
-    /// Earliest time at which a run reaches its downstream call or its end; `None` if no run is on the cores.
+    /// Returns the earliest time at which a run reaches its downstream call or its end. Returns `None` if no
+    /// run is on the cores.
     pub fn next_due(&self) -> Option<Instant> {
         let on_cores = self.runs.values().filter(|run| !run.awaits_call);
         let least_us = on_cores.map(|run| run.remaining_us).reduce(f64::min)?;
         Some(self.advanced_to + Duration::from_secs_f64(least_us.max(1.0) / self.core_share() / 1e6))
     }
 
-    /// Advances all runs to `now` and appends a notice for each run that reaches its downstream call or its
-    /// end.
+    /// Simulates all runs up to the time `now`. Appends a notice for each run that reaches its downstream
+    /// call or its end.
     pub fn advance(&mut self, now: Instant, notices: &mut Vec<Value>) {
         let passed_us = now.duration_since(self.advanced_to).as_secs_f64() * 1e6;
         let each_us = passed_us * self.core_share();
@@ -137,8 +143,8 @@
         }
     }
 
-    /// Retains the notices that have an index, to replay them on the next link if the server does not read
-    /// them on the current link.
+    /// Retains the notices that have an index. If the server does not read them on the current link, they are
+    /// sent again on the next link.
     pub fn retain_notices(&mut self, notices: &[Value]) {
         let last_retained = self.notices.back().and_then(|notice| notice["index"].as_u64()).unwrap_or(0);
         let is_new = |notice: &&Value| notice["index"].as_u64().is_some_and(|index| index > last_retained);
@@ -147,7 +153,7 @@
         self.notices.drain(..excess);
     }
 
-    /// Executes a command of the server and appends the resulting notices.
+    /// Executes a command of the server. Appends the notices that result from the command.
     pub fn execute(&mut self, command: &Value, now: Instant, notices: &mut Vec<Value>) {
         let task = command["task"].as_str().unwrap_or("");
         match command["verb"].as_str() {
@@ -164,8 +170,8 @@
         }
     }
 
-    /// Begins a new link: sends the banner, and then replays the notices that follow the last notice that the
-    /// server has read.
+    /// Begins a new link. Sends the banner, and then sends again the retained notices that the server has not
+    /// read.
     fn connect(&self, command: &Value, now: Instant, notices: &mut Vec<Value>) {
         let age_ms = now.duration_since(self.started).as_millis() as u64 + INITIAL_AGE_MS;
         notices.push(json!({"verb": "BANNER", "outcome": "warm", "spent": age_ms}));
@@ -194,7 +200,8 @@
         }
     }
 
-    /// Reports the utilization of the cores since the previous report and the number of runs on the cores.
+    /// Returns a notice with the utilization of the cores since the previous reading, and the number of runs
+    /// on the cores.
     fn read_gauges(&mut self, command: &Value, now: Instant) -> Value {
         let span_us = now.duration_since(self.gauges_read).as_secs_f64() * 1e6;
         let utilization = (self.busy_us / span_us.max(1.0) / self.cores).min(1.0);
--- a/crates/test-doubles/src/lib.rs
+++ b/crates/test-doubles/src/lib.rs
@@ -1,7 +1,8 @@
-//! Test doubles of the server's peers, written from the protocols: an interpreter, a downstream service, a
-//! service registry, and balancers with tenants behind them. Also relays that inject network faults,
-//! harnesses that run the program among the test doubles ([`tenant_rehearsal`], [`fleet`]), and a seeded soak
-//! ([`soak`]). All of them use loopback only and end by themselves.
+//! Test doubles of the services with which a server communicates: an interpreter, a downstream service, a
+//! service registry, and balancers with tenants. The test doubles are written from the protocols. The crate
+//! also contains relays that inject network faults, harnesses that run the program with the test doubles
+//! ([`tenant_rehearsal`], [`fleet`]), and a soak test with random seeds ([`soak`]). All of them use only the
+//! loopback interface, and their run time is bounded.
 
 #![deny(missing_docs, clippy::too_many_lines)]
 
@@ -20,7 +21,7 @@
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Current Unix time in milliseconds.
+/// Returns the current Unix time in milliseconds.
 pub fn unix_ms() -> u128 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis())
 }
--- a/crates/test-doubles/src/open_loop.rs
+++ b/crates/test-doubles/src/open_loop.rs
@@ -1,4 +1,5 @@
-//! An open-loop load on one server: calls at a constant rate for a limited time, independent of the replies.
+//! Load generator that sends calls to one server at a constant rate for a limited time. The load is
+//! open-loop: the send times do not depend on the replies.
 
 use crate::balancers::Balancer;
 use crate::unix_ms;
@@ -11,13 +12,13 @@
 use std::time::{Duration, Instant};
 
 const CONNECTIONS_MAX: usize = 16;
-/// Time for which replies are awaited after the end of the load.
+/// Maximum time to wait for outstanding replies after the end of the load.
 const LAST_REPLIES: Duration = Duration::from_secs(10);
 
-/// Counts of calls by their reply.
+/// Counts of the calls of a load, by the outcome of the reply.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReplyCounts {
-    /// Calls that have ended, with or without a reply.
+    /// Number of calls that have ended, with or without a reply.
     pub sent: u64,
     /// Calls that succeeded.
     pub succeeded: u64,
@@ -25,25 +26,26 @@
     pub throttled: u64,
     /// Calls that failed.
     pub errored: u64,
-    /// Calls without a reply, because their connection broke or no connection was available.
+    /// Number of calls without a reply. Either the connection broke, or no connection was available.
     pub unanswered: u64,
-    /// Part of `unanswered`: calls that were not sent, because no connection was available.
+    /// Number of the `unanswered` calls that were not sent because no connection was available.
     pub unsent: u64,
-    /// Part of `unanswered`: calls whose connection broke.
+    /// Number of the `unanswered` calls whose connection broke.
     pub broken: u64,
-    /// Part of `broken`: calls sent so shortly before the end of their connection that they may have been in
-    /// transit when the server closed the connection.
+    /// Number of the `broken` calls that were sent shortly before the end of their connection. These calls
+    /// may have been in transit when the server closed the connection.
     pub crossed: u64,
-    /// Replies without a waiting caller, such as a second reply to the same call.
+    /// Number of replies for which no caller was waiting, such as a second reply to one call.
     pub unexpected: u64,
-    /// Longest time from a call to its reply, in milliseconds.
+    /// Longest time from the sending of a call to its reply, in milliseconds.
     pub slowest_ms: u64,
-    /// Latest send time of a successful call, in Unix milliseconds.
+    /// Unix time in milliseconds at which the last successful call was sent.
     pub last_success_sent_ms: u64,
 }
 
 impl ReplyCounts {
-    /// Counts a call that has ended; `outcome` is the word on the wire, `None` without a reply.
+    /// Counts a call that has ended. `outcome` is the outcome word in the reply, or `None` if there was no
+    /// reply.
     fn add(&mut self, outcome: Option<&str>) {
         self.sent += 1;
         match outcome {
@@ -55,7 +57,7 @@
     }
 }
 
-/// State that all calls of a load share.
+/// State that is shared by all calls of a load.
 struct Load {
     balancer: Rc<Balancer>,
     work: Duration,
@@ -64,7 +66,7 @@
 }
 
 impl Load {
-    /// Sends a call and counts its reply.
+    /// Sends one call, waits for its reply and counts the outcome.
     async fn call(self: Rc<Self>, reference: u64) {
         let sent_ms = unix_ms() as u64;
         let fields = format!("ref={reference:016x},since={sent_ms},sender=1,room=4");
@@ -83,8 +85,9 @@
     }
 }
 
-/// Starts a thread that sends `rate` calls per second for `span`. Each call takes `work` of core time and
-/// makes a downstream call after half of `work`. The thread ends at most 10 s after `span`.
+/// Starts a thread that sends `rate` calls per second for the time `span`. Each call uses `work` of core time
+/// at the interpreter, and makes a downstream call after half of this time. The thread ends at most 10 s
+/// after the end of `span`.
 pub fn start(
     to: SocketAddr,
     rate: f64,
--- a/crates/test-doubles/src/registry.rs
+++ b/crates/test-doubles/src/registry.rs
@@ -1,11 +1,11 @@
-//! Test double of the service registry: counts the load reports that it receives.
+//! Test double of the service registry. The registry only counts the load reports that it receives.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-/// Starts a registry on loopback, on a thread that ends with the process. Returns its address and its counter
-/// of received reports; fails if no socket can be bound.
+/// Starts a registry on the loopback interface, on a thread that runs until the process ends. Returns the
+/// address of the registry and the number of reports received so far. Fails if no socket can be bound.
 pub fn start() -> std::io::Result<(SocketAddr, Arc<AtomicU64>)> {
     let socket = UdpSocket::bind(("127.0.0.1", 0))?;
     let address = socket.local_addr()?;
--- a/crates/test-doubles/src/soak.rs
+++ b/crates/test-doubles/src/soak.rs
@@ -1,7 +1,7 @@
-//! A soak test: processes of the program under load, signals and faults, with all times and choices drawn
-//! from a seed. The protocol permits killing a server at the stop time after its drain notice, and not
-//! earlier. Clients send calls until about that time, and the harness then kills each server that still
-//! runs. The report of [`run`] lists the violated invariants.
+//! Soak test that runs processes of the program under load, signals and faults. All times and choices are
+//! drawn from a seed. The protocol permits killing a server only from a certain time after its drain notice,
+//! the stop time. Clients send calls until about the stop time, and the harness then kills each server that
+//! still runs. The report of [`run`] lists the violated invariants.
 
 mod checks;
 mod idle_connections;
--- a/crates/test-doubles/src/soak/checks.rs
+++ b/crates/test-doubles/src/soak/checks.rs
@@ -1,36 +1,37 @@
-//! Invariants that hold in every soak run, and their checks.
+//! Invariants that must hold in every soak run, and the checks for them.
 
 use crate::open_loop::ReplyCounts;
 use std::time::Duration;
 
-/// Client timeout in the harness's configuration; each call must be answered within this time.
+/// Client timeout in the configuration that the harness writes. Each call must be answered within this time.
 pub const CLIENT_TIMEOUT: Duration = Duration::from_millis(9_000);
-/// Grace in the harness's configuration: the time after the drain notice in which new calls still run.
+/// Drain grace in the configuration that the harness writes. For this time after the drain notice, the server
+/// still runs new calls.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(200);
-/// Time from the drain notice until the server is killed.
+/// Time after the drain notice at which the harness kills a server that still runs.
 pub const STOP_AFTER: Duration = Duration::from_millis(2_000);
-/// Tolerance that the protocol allows on each time limit that is observed on sockets.
+/// Tolerance that the protocol allows for each time limit, if the time is observed at a socket.
 pub const SLACK: Duration = Duration::from_millis(50);
-/// Limit on the open file descriptors of a server; a higher count violates an invariant.
+/// Maximum number of open file descriptors of a server. A higher number violates an invariant.
 pub const DESCRIPTORS_MAX: u64 = 256;
-/// Limit on the resident memory of a server, in KiB; a higher value violates an invariant.
+/// Maximum resident memory of a server, in KiB. A higher value violates an invariant.
 pub const MEMORY_KB_MAX: u64 = 192 * 1024;
 
 /// A violated invariant.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum Violation {
-    /// Connections ended before their calls were answered, and the calls cannot have been in transit while
-    /// the server closed the connection.
+    /// Calls were lost: their connections broke before the reply. Calls that may have been in transit when
+    /// the server closed the connection do not count as lost, if the server was not killed.
     #[error("s{server}: {lost} calls without a reply: {replies:?}")]
     LostCalls {
         /// Index of the server.
         server: usize,
         /// Number of lost calls.
         lost: u64,
-        /// Reply counts of the server's clients.
+        /// Counts of the replies that the clients of the server received.
         replies: ReplyCounts,
     },
-    /// Clients received replies for which no call was waiting.
+    /// Clients received replies for which no caller was waiting.
     #[error("s{server}: {replies} replies without a waiting call")]
     AnsweredTwice {
         /// Index of the server.
@@ -38,17 +39,17 @@
         /// Number of unexpected replies.
         replies: u64,
     },
-    /// A call was answered after the client timeout.
+    /// A call was answered after its client timeout.
     #[error("s{server}: a reply after {slowest_ms} ms; server and machine stalled for {stopped:?}")]
     LateReply {
         /// Index of the server.
         server: usize,
-        /// Longest time until a reply, in milliseconds.
+        /// Longest time from the sending of a call to its reply, in milliseconds.
         slowest_ms: u64,
-        /// Total time for which the server was stopped or the machine stalled.
+        /// Total time for which the server was stopped by SIGSTOP or the machine stalled.
         stopped: Duration,
     },
-    /// A task ran again after its run had ended.
+    /// A task ran a second time after its first run had ended.
     #[error("s{server}: {runs} repeated runs")]
     RanTwice {
         /// Index of the server.
@@ -56,26 +57,26 @@
         /// Number of repeated runs.
         runs: u64,
     },
-    /// A call ran although it was sent after the end of the drain grace.
+    /// A call succeeded although it was sent after the drain grace had ended.
     #[error("s{server}: a call succeeded that was sent {after_ms} ms after the drain notice")]
     RanAfterGrace {
         /// Index of the server.
         server: usize,
-        /// Time from the drain notice until the call was sent, in milliseconds.
+        /// Time between the drain notice and the sending of the call, in milliseconds.
         after_ms: u64,
     },
-    /// The server still accepted connections at the time when the harness kills it. Its process may still run
-    /// at that time, because its last replies are due immediately before.
+    /// The server still accepted connections immediately before the harness killed it. At that time, the
+    /// process may still run to send its last replies, but it must not accept connections.
     #[error("s{server}: accepts connections {STOP_AFTER:?} after the drain notice; {counters}; {log:#?}")]
     AcceptsAtKill {
         /// Index of the server.
         server: usize,
-        /// Last logged counters of the server.
+        /// Counters in the last log line with counters of the server.
         counters: String,
-        /// Last lines of the server's log.
+        /// Last lines of the server's log, oldest first.
         log: Vec<String>,
     },
-    /// The server did not exit with code 0.
+    /// The process of the server did not exit with code 0.
     #[error("s{server}: ended with {status}")]
     ExitCode {
         /// Index of the server.
@@ -83,7 +84,8 @@
         /// Exit status of the server.
         status: String,
     },
-    /// The final counters of the server do not show one result for each invocation.
+    /// The final counters of the server are inconsistent: the number of results differs from the number of
+    /// invocations.
     #[error("s{server}: counters do not add up: {line}")]
     Counters {
         /// Index of the server.
@@ -91,46 +93,46 @@
         /// Log line with the counters.
         line: String,
     },
-    /// The downstream service had more concurrent calls than the budget allows.
+    /// More calls were in flight at the downstream service than the shared budget allows.
     #[error("{most} concurrent calls of a budget of {total}")]
     OverBudget {
-        /// Highest number of concurrent calls observed at the downstream service.
+        /// Highest number of calls that were in flight at the downstream service at one time.
         most: u64,
-        /// Number of concurrent calls that the budget allows to all servers together.
+        /// Maximum number of concurrent calls of all servers together, as set by the budget.
         total: u64,
     },
-    /// A server exceeded its limit of file descriptors or memory.
+    /// A server exceeded its limit of open file descriptors or of resident memory.
     #[error("s{server}: {descriptors} descriptors, {memory_kb} KiB")]
     OverResourceLimit {
         /// Index of the server.
         server: usize,
-        /// Highest number of open file descriptors observed at the server.
+        /// Highest number of open file descriptors that the harness observed at the server.
         descriptors: u64,
-        /// Highest resident memory observed at the server, in KiB.
+        /// Highest resident memory that the harness observed at the server, in KiB.
         memory_kb: u64,
     },
 }
 
-/// Totals of a soak run, for the report.
+/// Totals of a soak run over all servers, for the report.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Totals {
     /// Calls sent.
     pub sent: u64,
     /// Calls that succeeded.
     pub succeeded: u64,
-    /// Calls that may have been in transit while the server closed their connection.
+    /// Number of calls without a reply that may have been in transit when the server closed their connection.
     pub crossed: u64,
-    /// Calls that were not sent, because no connection was available.
+    /// Number of calls that were not sent because no connection was available.
     pub unsent: u64,
-    /// Highest number of open file descriptors observed at any server.
+    /// Highest number of open file descriptors that the harness observed at any server.
     pub descriptors: u64,
     /// Total time for which the machine stalled, in milliseconds.
     pub stalled_ms: u64,
 }
 
-/// Returns the violations observed by the clients of one server. A call may stay without a reply if it may
-/// have been in transit while the server closed the connection. This exception does not apply to a server
-/// that was killed; each call on a broken connection to such a server counts as lost.
+/// Returns the violations that the clients of one server observed. A call may have no reply if it may have
+/// been in transit when the server closed the connection. If the server was killed, this exception does not
+/// apply, and every call on a broken connection counts as lost.
 pub fn client_violations(
     server: usize,
     replies: &ReplyCounts,
@@ -151,15 +153,16 @@
     violations
 }
 
-/// Returns a violation if a call succeeded that was sent after the drain grace. `drain_notice_ms` is the time
-/// of the drain notice from the server's log.
+/// Returns a violation if a call succeeded although it was sent after the drain grace had ended.
+/// `drain_notice_ms` is the Unix time in milliseconds at which the server logged the drain notice.
 pub fn grace_violation(server: usize, replies: &ReplyCounts, drain_notice_ms: u64) -> Option<Violation> {
     let after_ms = replies.last_success_sent_ms.saturating_sub(drain_notice_ms);
     let is_late = Duration::from_millis(after_ms) > DRAIN_GRACE + SLACK;
     is_late.then_some(Violation::RanAfterGrace { server, after_ms })
 }
 
-/// Returns a violation if the final counters in `line` show fewer or more results than invocations.
+/// Returns a violation if the number of results differs from the number of invocations. `line` is the log
+/// line with the final counters of a server.
 pub fn counter_violation(server: usize, line: &str) -> Option<Violation> {
     let count = |name: &str| -> Option<u64> {
         line.split_whitespace().find_map(|word| word.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
--- a/crates/test-doubles/src/soak/idle_connections.rs
+++ b/crates/test-doubles/src/soak/idle_connections.rs
@@ -1,15 +1,16 @@
-//! Idle connections that send nothing or an incomplete array and stay open until the server closes them.
+//! Opens idle connections to a server for the soak test. An idle connection sends nothing or an incomplete
+//! array. The clients do not close these connections during the run.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Maximum time to open a connection. The kernel does not answer a connection attempt while the server's
-/// accept queue is full.
+/// Maximum time to open a connection. The limit is necessary because the kernel does not answer connection
+/// attempts while the server's accept queue is full.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Opens up to `connections` connections to one server. Sends an incomplete array on every second connection
-/// and nothing on the others.
+/// Opens up to `connections` connections to one server. Sends an incomplete array on every second connection,
+/// and nothing on the others. Stops at the first connection that cannot be opened.
 pub fn open(to: SocketAddr, connections: usize) -> Vec<TcpStream> {
     let mut streams = Vec::new();
     for index in 0..connections {
--- a/crates/test-doubles/src/soak/plan.rs
+++ b/crates/test-doubles/src/soak/plan.rs
@@ -1,49 +1,51 @@
-//! The plan of a soak run, drawn from its seed.
+//! Plan of a soak run. All random choices of the plan are drawn from its seed.
 
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// Length in milliseconds of the period in which signals and faults begin. The final signals with the drain
-/// notice follow at the end of the period.
+/// Length in milliseconds of the period in which signals and faults begin. At the end of this period, the
+/// final signals, including a drain notice, are sent to each server.
 const SPAN_MS: u64 = 5_000;
-/// Upper bound of the interval between two signals of a series, in milliseconds.
+/// Upper bound in milliseconds of the random pause before each of the final signals. In a series of equal
+/// signals, each signal is delayed by a random pause below this bound, multiplied by its index in the series.
 const SERIES_GAP_MS: u64 = 40;
-/// Longest stop (SIGSTOP) in milliseconds of a server without a shared budget.
+/// Upper bound of the time for which a server without a shared budget is stopped by SIGSTOP, in milliseconds.
 const STOP_MS: u64 = 1_200;
-/// Longest stop (SIGSTOP) in milliseconds of a server with a shared budget. The value exceeds the server's
-/// lease of 2 s, so that leases expire during stops.
+/// Upper bound of the time for which a server with a shared budget is stopped by SIGSTOP, in milliseconds.
+/// The bound is longer than the server's lease of 2 s, so that leases expire during some stops.
 const STOP_OVER_LEASE_MS: u64 = 3_500;
 
-/// An event that affects one server.
+/// Event of a soak run. An event affects one server.
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
-    /// SIGHUP after the tenants' weights in the options file have changed.
+    /// The weights of the tenants in the options file change, and SIGHUP makes the server reload the file.
     Reload,
-    /// SIGUSR1, which makes the server log its counters.
+    /// SIGUSR1 makes the server log its counters.
     LogCounters,
     /// SIGSTOP, followed by SIGCONT.
     Stop {
         /// Time between the two signals.
         span: Duration,
     },
-    /// The downstream service answers no call.
+    /// The downstream service does not answer the calls that arrive in a certain time.
     SilentService {
-        /// Time for which the service does not answer.
+        /// Length of the time in which arriving calls are not answered.
         span: Duration,
     },
-    /// More idle connections than the server has file descriptors, kept open until the end of the run.
+    /// Clients open more idle connections than the server has file descriptors. The clients do not close
+    /// these connections before the end of the run.
     IdleConnections {
         /// Number of connections.
         connections: usize,
     },
 }
 
-/// An event, the time at which it begins, and the server that it affects.
+/// Scheduled event: its start time, the affected server and the event itself.
 #[derive(Clone, Copy, Debug)]
 pub struct Scheduled {
-    /// Time from the start of the load until the event begins.
+    /// Start time of the event, counted from the start of the load.
     pub at: Duration,
     /// Index of the affected server.
     pub server: usize,
@@ -51,31 +53,32 @@
     pub event: Event,
 }
 
-/// One of the signals that are sent to each server at the end of the load.
+/// Signal that is sent to each server at the end of the period with events.
 #[derive(Clone, Copy, Debug)]
 pub struct LastSignal {
-    /// Pause before this signal is sent.
+    /// Pause between the previous signal, if there is one, and this signal.
     pub after: Duration,
-    /// Name of the signal without `SIG`.
+    /// Name of the signal without the prefix `SIG`.
     pub name: &'static str,
 }
 
 /// Plan of a soak run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Seed from which the plan was drawn.
+    /// Seed from which the random choices of the plan are drawn.
     pub seed: u64,
-    /// Number of servers; if there are several, they share a budget of downstream calls.
+    /// Number of servers. If there are several servers, they share a budget of downstream calls.
     pub servers: usize,
-    /// Calls per second to each server.
+    /// Number of calls per second that are sent to each server.
     pub rate: f64,
     /// Core time of each call.
     pub work: Duration,
-    /// Duration of each downstream call.
+    /// Time that the downstream service takes for each call.
     pub call_time: Duration,
-    /// Events in the order of their start times.
+    /// Events of the run, in the order of their start times.
     pub events: Vec<Scheduled>,
-    /// Signals sent to each server at the end of the load, with a drain notice among them.
+    /// Signals that are sent to each server at the end of the period with events. One of them is a drain
+    /// notice.
     pub ending: Vec<LastSignal>,
 }
 
@@ -116,7 +119,7 @@
         }
     }
 
-    /// Time from the start of the load until the final signals.
+    /// Returns the time from the start of the load until the final signals.
     pub fn span() -> Duration {
         Duration::from_millis(SPAN_MS)
     }
@@ -126,15 +129,15 @@
     Duration::from_millis(rng.random_range(200..SPAN_MS - 200))
 }
 
-/// Draws an event, or a series of equal signals.
+/// Draws a random event. For a signal, the result may be a series of equal events at short intervals.
 fn draw_events(rng: &mut ChaCha8Rng, servers: usize) -> Vec<Scheduled> {
     let (at, server) = (draw_moment(rng), rng.random_range(0..servers));
     let longest_stop = if servers > 1 { STOP_OVER_LEASE_MS } else { STOP_MS };
     let event = match rng.random_range(0..6) {
         0 | 1 => Event::Stop { span: Duration::from_millis(rng.random_range(50..longest_stop)) },
         2 => Event::LogCounters,
-        // A silent service is drawn only for a single server. Several servers share a budget, which counts a
-        // call until the service has answered it.
+        // The service becomes silent only in runs with a single server. Several servers share a budget, in
+        // which a call counts until the service has answered it.
         3 if servers == 1 => {
             Event::SilentService { span: Duration::from_millis(rng.random_range(200..1_500)) }
         }
--- a/crates/test-doubles/src/soak/play.rs
+++ b/crates/test-doubles/src/soak/play.rs
@@ -15,23 +15,24 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant, UNIX_EPOCH};
 
-/// Maximum number of concurrent downstream calls of all servers together, in runs in which several servers
-/// share a budget.
+/// Maximum number of concurrent downstream calls of all servers together. This budget is set in runs with
+/// several servers.
 const BUDGET_TOTAL: u64 = 8;
-/// Number of concurrent downstream calls that each server may make without a lease on a part of the budget.
+/// Number of concurrent downstream calls that each server may make even without a lease on units of the
+/// budget.
 const BUDGET_FLOOR: u64 = 1;
 const CORES: f64 = 4.0;
-/// Call time that makes the downstream service silent, because it is longer than the whole run.
+/// Call time of the downstream service while it must not answer. The time is longer than the whole run.
 const SILENT: Duration = Duration::from_secs(60);
 const CONNECT_MAX: Duration = Duration::from_millis(200);
-/// A longer gap than this between two polls of the harness counts as a stall of the machine. The duration of
-/// stalls is not counted against the time limits of the protocol.
+/// Longest time between two polls of the harness that does not count as a stall of the machine. The time
+/// limits of the protocol are extended by the time of stalls.
 const STALL: Duration = Duration::from_millis(200);
 const POLL_PERIOD: Duration = Duration::from_millis(5);
 const START_MAX: Duration = Duration::from_secs(30);
-/// Maximum number of log lines in the report of a server that had to be killed.
+/// Maximum number of log lines in the report of a server that accepted connections when it was killed.
 const LOG_TAIL: usize = 12;
-/// Maximum time to wait for the log line with a server's final counters after the server has exited.
+/// Maximum time to wait for a server's final counters in the log, after the server has exited.
 const LAST_LINE_MAX: Duration = Duration::from_secs(3);
 
 /// Result of a soak run.
@@ -41,14 +42,14 @@
     pub plan: Plan,
     /// Violated invariants.
     pub violations: Vec<Violation>,
-    /// Actions in the order in which they were taken, each with the milliseconds since the load began.
+    /// Actions in the order of their execution. Each has the milliseconds since the load began.
     pub actions: Vec<String>,
     /// Totals of the run.
     pub totals: Totals,
 }
 
-/// Executes the soak run that is drawn from `seed` with servers started from `program`. A violated invariant
-/// is part of the report; an `Err` is an error of the harness itself.
+/// Executes the soak run whose plan is drawn from `seed`. The servers are processes of `program`. Violated
+/// invariants are listed in the report. An `Err` is an error of the harness itself.
 pub fn run(program: &Path, seed: u64) -> Result<SoakReport> {
     let plan = Plan::draw(seed);
     let mut run = Run::start(program, &plan)?;
@@ -57,7 +58,7 @@
     run.finish(plan)
 }
 
-/// An action on a server or on the downstream service.
+/// Action that the harness takes on a server or on the downstream service.
 enum Action {
     Signal(&'static str),
     Reload,
@@ -90,7 +91,7 @@
     observed: Vec<Observed>,
     began: Instant,
     polled_at: Instant,
-    /// Total time for which the machine stalled.
+    /// Total time for which the machine stalled so far.
     stalled: Duration,
     actions: Vec<String>,
     reloads: u64,
@@ -165,8 +166,8 @@
         Ok(())
     }
 
-    /// Records the times of the signals STOP and CONT to add up how long a server is stopped. A STOP of a
-    /// server that is already stopped has no effect.
+    /// Records a signal STOP or CONT, to add up the time for which the server is stopped. A second STOP
+    /// before CONT has no effect.
     fn record_stop(&mut self, server: usize, signal: &str) {
         let observed = &mut self.observed[server];
         match signal {
@@ -178,21 +179,21 @@
         }
     }
 
-    /// Changes the tenants' weights in the options file of a server.
+    /// Writes new weights of the tenants to the options file of a server.
     fn rewrite_options(&mut self, server: usize) -> Result<()> {
         let file = self.fleet.folder().join(format!("s{server}.xml"));
         let text = std::fs::read_to_string(&file)?;
         self.reloads += 1;
         let (old, new) = (tenants(self.reloads - 1), tenants(self.reloads));
-        // The previous change may have been written to another server's file, so that this file still has
-        // the weights of any earlier change.
+        // Each server has its own file, so the latest change may be in another server's file. This file may
+        // contain the weights of any earlier change.
         let earlier = (0..self.reloads).map(tenants).find(|tenants| text.contains(tenants));
         std::fs::write(file, text.replace(&earlier.unwrap_or(old), &new))?;
         Ok(())
     }
 
-    /// Sends the final signals to each server and waits until all servers have exited. Kills each server that
-    /// still runs at the stop time after its drain notice.
+    /// Sends the final signals to each server and waits until all servers have exited. A server that still
+    /// runs [`checks::STOP_AFTER`] after its drain notice is killed.
     fn end(&mut self, plan: &Plan) -> Result<()> {
         let mut drain_notices = Vec::new();
         for server in 0..plan.servers {
@@ -223,7 +224,7 @@
         Ok(())
     }
 
-    /// Records whether a server that has not exited still accepts connections, and kills it.
+    /// Kills a server. Before that, records whether the server still accepts connections.
     fn kill(&mut self, server: usize) -> Result<()> {
         let to = self.fleet.listen_address(server).context("the server has not logged its listen address")?;
         self.observed[server].accepts_at_kill = TcpStream::connect_timeout(&to, CONNECT_MAX).is_ok();
@@ -299,14 +300,14 @@
         Violation::AcceptsAtKill { server, counters, log }
     }
 
-    /// First message in the log of server `server` that begins with `start`.
+    /// Returns the first message that begins with `start` in a server's log.
     fn message(&self, server: usize, start: &str) -> Option<String> {
         let lines = self.fleet.timestamped_log_lines(server);
         let mut messages = lines.iter().filter_map(|(_, fields)| fields["message"].as_str());
         messages.find(|message| message.starts_with(start)).map(str::to_string)
     }
 
-    /// Time at which a server logged a message, in Unix milliseconds.
+    /// Returns the Unix time in milliseconds at which a server first logged a message.
     fn message_time_ms(&self, server: usize, message: &str) -> Option<u64> {
         let lines = self.fleet.timestamped_log_lines(server);
         let (timestamp, _) = lines.iter().find(|(_, fields)| fields["message"] == message)?;
@@ -321,8 +322,8 @@
         }
     }
 
-    /// Samples the file descriptors and memory of each server. If the previous sample is older than
-    /// [`STALL`], records a stall of the machine.
+    /// Reads the number of file descriptors and the memory of each server. If the previous call was longer
+    /// ago than [`STALL`], records a stall of the machine.
     fn sample(&mut self) {
         let gap = self.polled_at.elapsed();
         self.polled_at = Instant::now();
@@ -339,7 +340,7 @@
     }
 }
 
-/// Converts the events of a plan to actions with start times. The actions are not sorted by time.
+/// Converts the events of a plan to actions with start times. The actions are not in the order of time.
 fn schedule(plan: &Plan) -> Vec<ScheduledAction> {
     let mut actions = Vec::new();
     for scheduled in &plan.events {
@@ -380,7 +381,7 @@
     )
 }
 
-/// Resident memory of a process in KiB; 0 if the process has ended.
+/// Returns the resident memory of a process in KiB; 0 if the process has ended.
 fn resident_kb(id: u32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
     let resident = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
--- a/crates/test-doubles/src/tcp_relay.rs
+++ b/crates/test-doubles/src/tcp_relay.rs
@@ -1,8 +1,8 @@
-//! A fault relay for TCP on loopback between the members of a fleet and one target. Each member has an
-//! endpoint of its own, by which the relay identifies the sender. The relay delays and jitters traffic,
-//! buffers it while the member's group is cut off from the target's group (as on a broken link), and closes a
-//! share of the connections when they are opened. It holds at most [`CONNECTIONS_MAX`] connections and ends
-//! when dropped.
+//! Relay that injects network faults into TCP connections from the members of a fleet to one target. It uses
+//! the loopback interface. Each member connects to its own endpoint, by which the relay identifies the
+//! member. The relay delays traffic. It holds back bytes while the member's group is cut off from the
+//! target's group, as on a broken link. It closes a share of the connections when they are opened. The relay
+//! holds at most [`CONNECTIONS_MAX`] connections and ends when it is dropped.
 
 use crate::faults::Faults;
 use rand::{Rng, SeedableRng};
@@ -14,20 +14,20 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Maximum number of concurrent connections of a relay. Further connections are closed when accepted.
+/// Maximum number of concurrent connections of a relay. The relay accepts further connections and closes them
+/// immediately.
 pub const CONNECTIONS_MAX: usize = 512;
-/// Period at which the relay's threads check for a new connection, for the end of a cut, and whether the
-/// relay has been dropped.
+/// Period at which the threads of the relay poll. They check for a new connection, for the end of a cut, and
+/// for the end of the relay.
 const POLL_PERIOD: Duration = Duration::from_millis(5);
 const READ_TIMEOUT: Duration = Duration::from_millis(20);
 const CHUNK_BYTES: usize = 16 * 1024;
 
 struct Shared {
     faults: Mutex<Faults>,
-    /// Group to which the target of the relay belongs, for cuts between groups. The groups of the members are
-    /// in `faults`.
+    /// Group of the target, for cuts between groups. The groups of the members are in `faults`.
     target_group: u32,
-    /// Share of connections that are closed when they are opened, from 0 to 1.
+    /// Share of new connections that the relay closes immediately, from 0 to 1.
     reset_share: Mutex<f64>,
     rng: Mutex<ChaCha8Rng>,
     open: AtomicUsize,
@@ -39,7 +39,8 @@
     mutex.lock().expect("no thread of the relay panics while it holds a lock")
 }
 
-/// A TCP relay. Each endpoint has one thread, and each connection has two threads.
+/// Relay for TCP connections with injected faults. Each endpoint has one thread, and each connection has two
+/// threads.
 pub struct TcpRelay {
     endpoints: Vec<SocketAddr>,
     shared: Arc<Shared>,
@@ -47,8 +48,8 @@
 }
 
 impl TcpRelay {
-    /// Binds an endpoint for each of `count` members. Connections are relayed to `target`, which is in group
-    /// `target_group`.
+    /// Creates a relay with one endpoint for each of `count` members. The relay forwards all connections to
+    /// `target`, which is in the group `target_group`.
     pub fn new(count: usize, target: SocketAddr, target_group: u32, seed: u64) -> std::io::Result<TcpRelay> {
         let shared = Arc::new(Shared {
             faults: Mutex::default(),
@@ -69,17 +70,17 @@
         Ok(TcpRelay { endpoints, shared, threads })
     }
 
-    /// Address at which member `index` reaches the target.
+    /// Returns the address at which the member with this index reaches the target.
     pub fn endpoint(&self, index: usize) -> SocketAddr {
         self.endpoints[index]
     }
 
-    /// Changes the injected faults. Loss, duplicates and reordering do not apply to TCP.
+    /// Changes the injected faults. Loss, duplication and reordering have no effect on TCP.
     pub fn change_faults(&self, change: impl FnOnce(&mut Faults)) {
         change(&mut lock(&self.shared.faults));
     }
 
-    /// Sets the share of connections, from 0 to 1, that are closed when they are opened.
+    /// Sets the share of new connections that the relay closes immediately, from 0 to 1.
     pub fn set_reset_share(&self, share: f64) {
         *lock(&self.shared.reset_share) = share;
     }
@@ -94,7 +95,7 @@
     }
 }
 
-/// Direction of bytes through the relay.
+/// Direction in which bytes pass through the relay.
 #[derive(Clone, Copy)]
 enum Direction {
     ToTarget,
@@ -106,7 +107,8 @@
         self.stop.load(Ordering::Relaxed)
     }
 
-    /// Whether bytes between a member and the target may pass in this direction.
+    /// Returns whether bytes between a member and the target may pass in this direction. They may not pass
+    /// during a cut.
     fn passes(&self, member: usize, direction: Direction) -> bool {
         let faults = lock(&self.faults);
         let (member, target) = (faults.group(member), self.target_group);
@@ -126,7 +128,7 @@
     }
 }
 
-/// Accepts the connections of one member and relays each connection on a thread of its own.
+/// Accepts the connections of one member. Relays each connection on its own thread.
 fn accept(listener: &TcpListener, member: usize, target: SocketAddr, shared: &Arc<Shared>) {
     while !shared.stopped() {
         let Ok((near, _)) = listener.accept() else {
@@ -147,15 +149,16 @@
     }
 }
 
-/// Connects a member to the target and relays bytes in both directions until either end closes.
+/// Connects to the target on behalf of a member. Relays bytes in both directions until either side closes its
+/// connection.
 fn connect_through(
     near: TcpStream,
     member: usize,
     target: SocketAddr,
     shared: &Arc<Shared>,
 ) -> std::io::Result<()> {
-    // A connection attempt during a cut waits for the end of the cut and is not refused, as on a broken link,
-    // where the caller gets no error.
+    // During a cut, a new connection waits until the cut ends. On a broken link, the caller would get no
+    // error either.
     while !shared.passes(member, Direction::ToTarget) && !shared.stopped() {
         std::thread::sleep(POLL_PERIOD);
     }
@@ -175,7 +178,8 @@
     Ok(())
 }
 
-/// Relays bytes in one direction until either end closes, then closes both.
+/// Relays bytes from the connection `from` to the connection `to` until either is closed, then closes both
+/// connections.
 fn pass(mut from: TcpStream, mut to: TcpStream, member: usize, direction: Direction, shared: &Shared) {
     let mut buffer = [0; CHUNK_BYTES];
     while !shared.stopped() {
--- a/crates/test-doubles/src/tcp_relay/tests.rs
+++ b/crates/test-doubles/src/tcp_relay/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of the TCP relay between a caller and a service.
+//! Tests of the TCP relay.
 
 use super::*;
 use std::time::Instant;
 
-/// The relay holds back bytes to an echo service during a cut and delivers them after the cut. With a reset
-/// share of 1 it closes each new connection.
+/// Sends bytes through the relay to a service that echoes them. The relay must hold back bytes during a cut
+/// and deliver them after the cut. With a reset share of 1, the relay must close each new connection.
 #[test]
 fn a_cut_delays_bytes_until_it_ends() {
     let target = TcpListener::bind("127.0.0.1:0").unwrap();
--- a/crates/test-doubles/src/tenant_rehearsal.rs
+++ b/crates/test-doubles/src/tenant_rehearsal.rs
@@ -1,6 +1,6 @@
-//! A rehearsal with many tenants: starts the program among test doubles, sends the load of each group of
-//! tenants, first at the baseline rate and then in overload, and stops the program. The duration is bounded
-//! by the plan.
+//! Rehearsal with many tenants. It starts the program with the test doubles, sends the load of each group of
+//! tenants, and stops the program. The load has a baseline phase and then an overload phase. The plan sets
+//! the duration of both.
 
 mod arrivals;
 mod invocation;
--- a/crates/test-doubles/src/tenant_rehearsal/arrivals.rs
+++ b/crates/test-doubles/src/tenant_rehearsal/arrivals.rs
@@ -1,5 +1,5 @@
-//! Arrivals of a tenant's invocations: a Poisson process, whose rate is that of the tenant's group in the
-//! baseline or overload phase.
+//! Sends the invocations of a tenant at random times. The arrivals are a Poisson process. Its rate is set for
+//! the tenant's group, separately for the baseline phase and the overload phase.
 
 use super::invocation::Invocation;
 use super::load::{Load, Tenant};
@@ -10,11 +10,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Interval in seconds after which a tenant whose rate is 0 checks its rate again.
+/// Interval in seconds at which a tenant with the rate 0 checks whether its rate has changed.
 const IDLE_STEP_S: f64 = 0.1;
 
-/// Sends the invocations of a tenant until the end of the load. When an invocation is sent does not depend on
-/// the replies to earlier invocations.
+/// Sends the invocations of a tenant until the end of the load. The send times do not depend on the replies
+/// to earlier invocations.
 pub async fn send_arrivals(load: Rc<Load>, balancer: Rc<Balancer>, tenant: Tenant) {
     let seed = load.plan.seed ^ (tenant.group as u64) << 40 ^ tenant.index as u64;
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
--- a/crates/test-doubles/src/tenant_rehearsal/invocation.rs
+++ b/crates/test-doubles/src/tenant_rehearsal/invocation.rs
@@ -1,4 +1,4 @@
-//! An invocation of a tenant, sent as a first attempt and its retries.
+//! Sends an invocation of a tenant, which consists of a first attempt and possibly retries.
 
 use super::load::{Load, Tenant};
 use crate::balancers::{Balancer, Reply};
@@ -12,14 +12,14 @@
     pub load: Rc<Load>,
     pub balancer: Rc<Balancer>,
     pub tenant: Tenant,
-    /// Tenant name that the invocation carries.
+    /// Name of the tenant, as sent with the invocation.
     pub name: String,
-    /// Whether the invocation, when rejected, is retried as the server advised.
+    /// Whether the invocation is retried as the server advises if the server rejects it.
     pub follows_advice: bool,
 }
 
 impl Invocation {
-    /// Sends all attempts of the invocation. Counts the invocation if it began in the overload phase.
+    /// Sends all attempts of the invocation. Counts the result if the invocation began in the overload phase.
     pub async fn run(self) {
         let load = &self.load;
         let began = Instant::now();
@@ -32,10 +32,10 @@
         }
     }
 
-    /// Sends the first attempt, and retries after the Retry-After time while the server rejects the
-    /// invocation with a ticket. Does not retry if the invocation is drawn to ignore the server's advice, or
-    /// if the retry would begin more than twice the latency objective after the first attempt. Returns the
-    /// last reply.
+    /// Sends the first attempt and any retries, and returns the last reply. A rejected invocation is retried
+    /// after the Retry-After time, with the ticket from the rejection. There is no retry without a ticket, or
+    /// if `follows_advice` is false. There is also no retry later than twice the latency objective after the
+    /// first attempt.
     async fn attempt_until_answered(&self, began: Instant, counted: bool) -> Option<Reply> {
         let retry_span = 2 * self.load.plan.objective;
         let mut ticket: Option<String> = None;
@@ -69,7 +69,7 @@
         self.balancer.call("answer", &fields, body.as_bytes()).await
     }
 
-    /// Counts the reply to an advised retry.
+    /// Counts the reply to a retry that followed the server's advice. A retry without a reply is not counted.
     fn count_advised_retry(&self, reply: Option<&Reply>) {
         let Some(reply) = reply else { return };
         let report = &mut self.load.reports.borrow_mut()[self.tenant.group];
@@ -77,7 +77,7 @@
         report.advised_retries_admitted += u64::from(reply.outcome != "refused");
     }
 
-    /// Counts the invocation by its last reply and the time since its first attempt.
+    /// Counts the invocation by the outcome of its last reply. `latency` is the time since its first attempt.
     fn count(&self, reply: Option<&Reply>, latency: Duration) {
         let report = &mut self.load.reports.borrow_mut()[self.tenant.group];
         let by_tenant = &mut report.by_tenant[self.tenant.index];
--- a/crates/test-doubles/src/tenant_rehearsal/load.rs
+++ b/crates/test-doubles/src/tenant_rehearsal/load.rs
@@ -1,4 +1,4 @@
-//! State that all tenants of a rehearsal share.
+//! State that is shared by all tenants of a rehearsal.
 
 use super::plan::{RehearsalPlan, TenantGroup};
 use crate::group_report::GroupReport;
@@ -6,13 +6,13 @@
 use std::cell::{Cell, RefCell};
 use std::time::Instant;
 
-/// State of the load that all tenants of a rehearsal send together.
+/// State of a rehearsal's load, to which all tenants contribute.
 pub struct Load {
     pub plan: RehearsalPlan,
-    /// Report of each group of tenants. It covers the overload phase only.
+    /// Reports of the groups of tenants, by group index. The reports cover only the overload phase.
     pub reports: RefCell<Vec<GroupReport>>,
     last_reference: Cell<u64>,
-    /// Number of invocations of all tenants that are in flight.
+    /// Number of invocations in flight, over all tenants.
     pub in_flight: Cell<u64>,
     pub began: Instant,
     pub overload_start: Instant,
@@ -21,7 +21,7 @@
 }
 
 impl Load {
-    /// Creates a load that begins immediately.
+    /// Creates the state of a load whose baseline phase begins immediately.
     pub fn new(plan: RehearsalPlan, executor: &'static LocalExecutor<'static>) -> Self {
         let began = Instant::now();
         let overload_start = began + plan.baseline;
@@ -38,14 +38,14 @@
         }
     }
 
-    /// Returns a new unique reference for a call.
+    /// Returns a new reference, which identifies one call uniquely.
     pub fn next_reference(&self) -> u64 {
         self.last_reference.set(self.last_reference.get() + 1);
         self.last_reference.get()
     }
 }
 
-/// A tenant, identified by the index of its group and its index in the group.
+/// Tenant of a rehearsal, identified by the index of its group and its index in the group.
 #[derive(Clone, Copy)]
 pub struct Tenant {
     pub group: usize,
--- a/crates/test-doubles/src/tenant_rehearsal/plan.rs
+++ b/crates/test-doubles/src/tenant_rehearsal/plan.rs
@@ -2,59 +2,61 @@
 
 use std::time::Duration;
 
-/// A group of tenants with the same load.
+/// Group of tenants that all send an equal load.
 #[derive(Clone, Debug)]
 pub struct TenantGroup {
-    /// Name of the group, and prefix of its tenants' names.
+    /// Name of the group. The names of its tenants begin with this name.
     pub name: &'static str,
     /// Number of tenants.
     pub tenants: usize,
-    /// Invocations per second of each tenant in the baseline phase.
+    /// Invocations per second that each tenant sends in the baseline phase.
     pub baseline_rate: f64,
-    /// Invocations per second of each tenant in the overload phase.
+    /// Invocations per second that each tenant sends in the overload phase.
     pub overload_rate: f64,
     /// Core time of each invocation.
     pub work: Duration,
-    /// Share of the invocations, from 0 to 1, that are retried as the server advises if they are rejected.
-    /// Other invocations are not retried.
+    /// Share of the invocations that follow the server's advice, from 0 to 1. If such an invocation is
+    /// rejected, it is retried as advised. Other invocations are not retried.
     pub follows_advice: f64,
-    /// Number of names under which each tenant sends in turn; 1 for an honest tenant.
+    /// Number of names that each tenant uses in turn for its invocations. An honest tenant uses only one
+    /// name.
     pub names_per_tenant: u64,
-    /// Maximum number of connections of the group's balancer.
+    /// Maximum number of connections that the balancer of the group opens.
     pub connections: usize,
 }
 
 /// Plan of a rehearsal.
 #[derive(Clone, Debug)]
 pub struct RehearsalPlan {
-    /// The groups of tenants that send.
+    /// Groups of tenants that send invocations.
     pub groups: Vec<TenantGroup>,
     /// Number of cores of the interpreter.
     pub cores: f64,
-    /// Latency objective of the operation.
+    /// Latency objective of the operation that the tenants invoke.
     pub objective: Duration,
     /// Duration of the baseline phase.
     pub baseline: Duration,
-    /// Duration of the overload phase, which follows the baseline phase.
+    /// Duration of the overload phase. The overload phase follows the baseline phase.
     pub overload: Duration,
-    /// Seed of the arrivals and of the program.
+    /// Seed of the random arrivals and of the program under test.
     pub seed: u64,
-    /// Whether the program is stopped while invocations are still in flight.
+    /// Whether the program is stopped without waiting for the invocations in flight.
     pub stops_early: bool,
-    /// Text of the program's options file.
+    /// Text of the options file of the program under test.
     pub options: String,
-    /// Downstream service that the runs call; `None` for runs without downstream calls.
+    /// Downstream service that invocations call; `None` if they make no downstream calls.
     pub dependency: Option<SharedDependency>,
 }
 
-/// A downstream service that all servers share.
+/// Downstream service that the invocations of all tenants share.
 #[derive(Clone, Debug)]
 pub struct SharedDependency {
-    /// Mean number of calls in flight to this service that the program is configured to allow.
+    /// Quota of the program for this service: the mean number of calls in flight that the configuration
+    /// allows.
     pub quota: f64,
-    /// Duration of a call in the baseline phase.
+    /// Time that the service takes for a call in the baseline phase.
     pub baseline_call_time: Duration,
-    /// Duration of a call in the overload phase.
+    /// Time that the service takes for a call in the overload phase.
     pub overload_call_time: Duration,
 }
 
@@ -62,9 +64,9 @@
     <tenants by=\"field\" field=\"venue\" origin=\"sender\">\n    \
     <share at-once-ms=\"5000\" probation-ms=\"1000\" late-ms=\"500\"/>\n  </tenants>\n</meadowstream>\n";
 
-/// Plan with `light_tenants` tenants that stay within their quotas and one tenant that floods the program. In
-/// the overload phase all tenants together send three times the capacity of the cores; the flooding tenant
-/// sends nine tenths of this load.
+/// Returns a plan with `light_tenants` tenants that stay within their quotas and one tenant that floods the
+/// program. In the overload phase, all tenants together send three times the load that the cores can handle.
+/// The flooding tenant sends nine tenths of this load.
 pub fn overload_plan(baseline: Duration, overload: Duration, light_tenants: usize) -> RehearsalPlan {
     let (cores, work) = (2.0, Duration::from_millis(4));
     let capacity_rate = cores / work.as_secs_f64();
@@ -102,7 +104,7 @@
     }
 }
 
-/// Plan with a shared downstream service that is eight times as slow in the overload phase. The demand for
+/// Returns a plan with a downstream service that is eight times slower in the overload phase. The demand for
 /// downstream calls is then four times the program's quota, while the cores still have spare capacity.
 pub fn slow_dependency_plan(baseline: Duration, overload: Duration) -> RehearsalPlan {
     let plan = overload_plan(baseline, overload, 20);
--- a/crates/test-doubles/src/tenant_rehearsal/play.rs
+++ b/crates/test-doubles/src/tenant_rehearsal/play.rs
@@ -1,4 +1,4 @@
-//! Execution of a rehearsal, from the start of the program to its exit.
+//! Executes a rehearsal, from the start of the program to its exit.
 
 use super::arrivals::send_arrivals;
 use super::load::{Load, Tenant};
@@ -20,39 +20,39 @@
 use std::sync::atomic::Ordering::Relaxed;
 use std::time::{Duration, Instant};
 
-/// Call time of the downstream service if [`RehearsalPlan::dependency`] is `None`. The service is started in
-/// any case; without a dependency, no run calls it.
+/// Call time of the downstream service if [`RehearsalPlan::dependency`] is `None`. In this case, the service
+/// is started, but no invocation calls it.
 const DEFAULT_CALL_TIME: Duration = Duration::from_millis(5);
 const PROGRESS_PERIOD: Duration = Duration::from_secs(1);
 const POLL_PERIOD: Duration = Duration::from_millis(10);
-/// Time to wait for the log lines that the program writes after the log line with its counters.
+/// Time to wait after the log line with the counters. The program writes further log lines after this line.
 const COUNTERS_WAIT: Duration = Duration::from_millis(100);
 
 /// Measurements of a rehearsal.
 pub struct RehearsalReport {
-    /// Report of each group of tenants. It covers the overload phase only.
+    /// Reports of the groups of tenants. The reports cover only the overload phase.
     pub groups: Vec<GroupReport>,
-    /// Final counters of the program by name.
+    /// Final counters of the program, by the name of the counter.
     pub counters: HashMap<String, u64>,
-    /// Log lines of the program about the tenants' shares.
+    /// Lines in the program's log about the shares of the tenants.
     pub tenant_lines: Vec<String>,
-    /// Peak resident memory of the program, in KiB.
+    /// Peak resident memory of the program at the end of the load, in KiB.
     pub peak_kib: u64,
-    /// Exit code of the program; `None` if a signal ended it.
+    /// Exit code of the program; `None` if the program was ended by a signal.
     pub exit: Option<i32>,
-    /// Counts of the runs on the interpreter.
+    /// Counts of the runs on the interpreter test double.
     pub runs: Arc<RunCounts>,
-    /// Number of downstream calls in the overload phase.
+    /// Number of downstream calls that began in the overload phase.
     pub calls: u64,
-    /// Mean number of downstream calls in flight in the overload phase.
+    /// Mean number of downstream calls in flight during the overload phase.
     pub mean_in_flight: f64,
-    /// Replies without a waiting caller.
+    /// Number of replies for which no caller was waiting.
     pub unexpected_replies: u64,
     /// Calls whose connection broke.
     pub broken_calls: u64,
 }
 
-/// Runs a rehearsal of the program. Calls `progress` with a line of text each second. Fails if the program
+/// Runs a rehearsal of the program. Calls `progress` with a line of text every second. Fails if the program
 /// does not start or exit in time, or if an expected log line is missing.
 pub fn run(program: &Path, plan: RehearsalPlan, mut progress: impl FnMut(&str)) -> Result<RehearsalReport> {
     let (interpreter, runs) = interpreter::start(plan.cores)?;
@@ -92,7 +92,7 @@
     })
 }
 
-/// Waits for the listen address in the program's log.
+/// Waits until the program logs its listen address, and returns the address.
 fn listen_address(server: &mut ServerProcess) -> Result<SocketAddr> {
     let line = server.wait_for_line(" listen=")?;
     let address = line.split(" listen=").nth(1).context("no listen address in the log")?.trim();
@@ -105,8 +105,8 @@
     mean_in_flight: f64,
 }
 
-/// Starts all tenants and runs the baseline and overload phases. Afterwards waits for outstanding replies,
-/// unless the plan stops the program early.
+/// Starts all tenants and runs the baseline and overload phases. Then waits for outstanding replies. If the
+/// plan stops the program early, does not wait.
 async fn run_load(
     load: &Rc<Load>,
     balancers: &[Rc<Balancer>],
@@ -154,8 +154,8 @@
     format!("{:>4.0} s, {phase}: {}", load.began.elapsed().as_secs_f64(), groups.join(", "))
 }
 
-/// Stops the program with SIGTERM and returns its exit code. Runs the executor until the program exits,
-/// because the balancers must close the connections that the program drains.
+/// Stops the program with SIGTERM and returns its exit code. The executor runs until the program exits.
+/// Otherwise, the balancers would not close the connections that the program drains.
 fn stop(server: &mut ServerProcess, executor: &LocalExecutor<'static>) -> Result<Option<i32>> {
     server.signal("TERM")?;
     let deadline = Instant::now() + WAIT_MAX;
@@ -170,7 +170,8 @@
     }))
 }
 
-/// Parses the counters of the program's last log line, `... counters: name=count name=count`.
+/// Parses the counters in the last log line of the program. The line has the form `... counters: name=count
+/// name=count`.
 fn final_counters(line: &str) -> HashMap<String, u64> {
     let words = line.split("counters:").nth(1).unwrap_or("").split_whitespace();
     let counter = |word: &str| {
--- a/crates/test-doubles/src/tenant_rehearsal/server_process.rs
+++ b/crates/test-doubles/src/tenant_rehearsal/server_process.rs
@@ -1,4 +1,4 @@
-//! Configuration, process and log of the program under rehearsal.
+//! Process of the program under test in a rehearsal, with its configuration and its log.
 
 use super::plan::RehearsalPlan;
 use anyhow::{Context, Result, ensure};
@@ -10,19 +10,19 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::Duration;
 
-/// Maximum time to wait for a log line, and for the exit of the program.
+/// Maximum time to wait for the next log line, and for the exit of the program.
 pub const WAIT_MAX: Duration = Duration::from_secs(10);
-/// Time without a new log line after which the log counts as complete.
+/// Time without a new log line after which the log is considered complete.
 const LOG_END_WAIT: Duration = Duration::from_millis(200);
 
-/// Addresses of the test doubles that the program connects to.
+/// Addresses of the test doubles to which the program connects.
 pub struct TestDoubleAddresses {
     pub interpreter: SocketAddr,
     pub downstream_service: SocketAddr,
     pub registry: SocketAddr,
 }
 
-/// A process of the program, killed when dropped.
+/// Process of the program under test. The process is killed when this value is dropped.
 pub struct ServerProcess {
     child: Child,
     log: Receiver<String>,
@@ -68,7 +68,7 @@
 }
 
 impl ServerProcess {
-    /// Starts the program with its files in a temporary folder.
+    /// Starts the program. Its configuration and options files are written to a temporary folder.
     pub fn start(program: &Path, plan: &RehearsalPlan, doubles: &TestDoubleAddresses) -> Result<Self> {
         let name = format!("meadowstream-rehearsal-{}-{}", std::process::id(), plan.seed);
         let folder = std::env::temp_dir().join(name);
@@ -92,7 +92,8 @@
         Ok(Self { child, log, read_lines: Vec::new(), folder })
     }
 
-    /// Waits for a log line that contains `text`. If none is logged in time, the error lists the lines read.
+    /// Waits for a log line that contains `text` and returns the line. Fails if no new line is logged within
+    /// [`WAIT_MAX`]. The error then lists all lines read so far.
     pub fn wait_for_line(&mut self, text: &str) -> Result<String> {
         loop {
             if let Some(line) = self.read_lines.iter().find(|line| line.contains(text)) {
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Reads the rest of the log and returns all of its lines.
+    /// Reads the log until no more lines are logged, and returns all of its lines.
     pub fn read_remaining_log(&mut self) -> &[String] {
         while let Ok(line) = self.log.recv_timeout(LOG_END_WAIT) {
             self.read_lines.push(line);
@@ -112,7 +113,7 @@
         &self.read_lines
     }
 
-    /// Sends a signal, given by its name without `SIG`.
+    /// Sends a signal to the process. `name` is the name of the signal without `SIG`.
     pub fn signal(&self, name: &str) -> Result<()> {
         let id = self.child.id().to_string();
         let status = Command::new("kill").args([&format!("-{name}"), &id]).status()?;
@@ -120,12 +121,12 @@
         Ok(())
     }
 
-    /// Exit status of the program; `None` while it runs.
+    /// Returns the exit status of the program; `None` while the program runs.
     pub fn try_wait(&mut self) -> std::io::Result<Option<std::process::ExitStatus>> {
         self.child.try_wait()
     }
 
-    /// Peak resident memory so far, in KiB; 0 if it cannot be read.
+    /// Returns the peak resident memory of the program so far, in KiB; 0 if it cannot be read.
     pub fn peak_kib(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap_or_default();
         let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
--- a/crates/test-doubles/src/udp_relay.rs
+++ b/crates/test-doubles/src/udp_relay.rs
@@ -1,9 +1,9 @@
-//! A fault relay for UDP on loopback between the members of a fleet. Each member has an endpoint at the
-//! relay. A datagram that one member sends to the endpoint of another is forwarded from the sender's
-//! endpoint, so that the receiver can identify the sender. The relay drops, delays, jitters, duplicates and
-//! reorders datagrams and cuts groups off in one or both directions, as its [`Faults`] state. The faults may
-//! change at any time; random choices are drawn from one seed. The relay holds at most [`IN_FLIGHT_MAX`]
-//! datagrams and ends when dropped.
+//! Relay that injects network faults into the UDP datagrams between the members of a fleet. It uses the
+//! loopback interface. Each member has an endpoint at the relay, to which the other members send. The relay
+//! forwards a datagram from the sender's endpoint, so that the receiver can identify the sender. The relay
+//! drops, delays, duplicates and reorders datagrams and cuts off groups, as set in [`Faults`]. The faults may
+//! change at any time. Random choices are drawn from one seed. The relay holds at most [`IN_FLIGHT_MAX`]
+//! datagrams and ends when it is dropped.
 
 use crate::faults::Faults;
 use rand::{Rng, SeedableRng};
@@ -16,14 +16,14 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Maximum number of datagrams in flight through the relay. Further datagrams are dropped, as by a full
+/// Maximum number of datagrams in flight through the relay. Further datagrams are dropped, as at a full
 /// queue.
 pub const IN_FLIGHT_MAX: usize = 100_000;
-/// Period at which the relay's threads check whether the relay has been dropped.
+/// Period at which the threads of the relay check whether the relay has been dropped and they must end.
 const POLL_PERIOD: Duration = Duration::from_millis(20);
 const DATAGRAM_BYTES_MAX: usize = 65_536;
 
-/// A datagram in flight, ordered by due time and then by arrival.
+/// Datagram in flight through the relay. Datagrams are ordered by due time, and then by arrival.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct InFlight {
     due: Instant,
@@ -33,20 +33,20 @@
     bytes: Vec<u8>,
 }
 
-/// Counts of datagrams at a relay.
+/// Counts of the datagrams that a relay has handled.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RelayCounts {
     /// Datagrams forwarded.
     pub forwarded: u64,
-    /// Datagrams dropped by an injected fault.
+    /// Number of datagrams that an injected fault dropped.
     pub dropped: u64,
-    /// Datagrams received from senders that are not registered members.
+    /// Number of datagrams from senders that are not registered as members.
     pub unknown_senders: u64,
 }
 
 struct Shared {
     faults: Mutex<Faults>,
-    /// Address of each member's socket; `None` until registered.
+    /// Address of each member's socket, by member index; `None` if the member is not registered yet.
     members: Mutex<Vec<Option<SocketAddr>>>,
     queue: Mutex<BinaryHeap<Reverse<InFlight>>>,
     queued: Condvar,
@@ -67,7 +67,8 @@
     mutex.lock().expect("no thread of the relay panics while it holds a lock")
 }
 
-/// A UDP relay. Each endpoint has a receiving thread; one further thread delivers all datagrams.
+/// Relay for UDP datagrams with injected faults. Each endpoint has a thread that receives datagrams. One
+/// further thread delivers all datagrams.
 pub struct UdpRelay {
     endpoints: Vec<SocketAddr>,
     shared: Arc<Shared>,
@@ -75,7 +76,7 @@
 }
 
 impl UdpRelay {
-    /// Binds an endpoint on 127.0.0.1 for each of `count` members.
+    /// Creates a relay with one endpoint on 127.0.0.1 for each of `count` members.
     pub fn new(count: usize, seed: u64) -> std::io::Result<UdpRelay> {
         let mut sockets = Vec::new();
         let mut endpoints = Vec::new();
@@ -105,13 +106,13 @@
         Ok(UdpRelay { endpoints, shared, threads })
     }
 
-    /// Address at which the other members reach member `index`.
+    /// Returns the address to which other members send datagrams for the member with this index.
     pub fn endpoint(&self, index: usize) -> SocketAddr {
         self.endpoints[index]
     }
 
-    /// Registers the address of member `index`. The relay attributes datagrams from this address to the
-    /// member and forwards the member's datagrams to it.
+    /// Registers the socket address of the member with this index. The relay then recognizes datagrams from
+    /// this address as the member's, and delivers datagrams for the member to this address.
     pub fn register(&self, index: usize, bound: SocketAddr) {
         lock(&self.shared.members)[index] = Some(bound);
     }
@@ -137,7 +138,7 @@
     }
 }
 
-/// Receives the datagrams sent to the endpoint of member `to`.
+/// Receives the datagrams that other members send to the endpoint of the member `to`.
 fn receive(to: usize, socket: &UdpSocket, shared: &Shared) {
     let mut buffer = vec![0; DATAGRAM_BYTES_MAX];
     while !shared.stopped() {
@@ -150,8 +151,8 @@
     }
 }
 
-/// Applies the injected faults to a datagram. Queues each copy of the datagram that the faults do not drop,
-/// with the time at which the copy is due.
+/// Applies the injected faults to a datagram. A fault may drop, duplicate or delay the datagram. Queues each
+/// remaining copy with the time at which it is due.
 fn inject_faults(from: usize, to: usize, bytes: &[u8], shared: &Shared) {
     let faults = lock(&shared.faults).clone();
     if faults.is_cut(faults.group(from), faults.group(to)) {
@@ -182,7 +183,8 @@
     shared.queued.notify_one();
 }
 
-/// Sends each datagram at its due time, from the sender's endpoint to the receiver's registered address.
+/// Sends each queued datagram at its due time. The datagram is sent from the sender's endpoint to the
+/// receiver's registered address.
 fn deliver(sockets: &[Arc<UdpSocket>], shared: &Shared) {
     let mut queue = lock(&shared.queue);
     while !shared.stopped() {
--- a/crates/wire-fixtures/src/lib.rs
+++ b/crates/wire-fixtures/src/lib.rs
@@ -1,32 +1,34 @@
 //! Compares encoded messages and stored files with the bytes that an earlier release wrote.
 //!
-//! A fixture is an encoding that the earlier release recorded under a name; a fixture file holds one per
-//! line, as `name hex`. A sample is an encoding that a test makes with the present code. The test compares
-//! each sample with the fixture of the same name. This detects a moved field or variant before it breaks
-//! communication with servers of an older release. If the environment variable [`WRITE_VARIABLE`] is set, the
-//! samples are written to the fixture file instead. The file is written only once, by the release that
-//! defines the format.
+//! A fixture is an encoding that the earlier release recorded under a name. A fixture file holds one fixture
+//! per line, as `name hex`. A sample is an encoding that a test creates with the current code. The test
+//! compares each sample with the fixture of the same name. A moved field or variant is thus detected before
+//! it breaks communication with servers of an older release.
+//!
+//! If the environment variable [`WRITE_VARIABLE`] is set, the samples are written to the fixture file
+//! instead. The file is written only once, by the release that defines the format.
 #![deny(missing_docs, clippy::too_many_lines)]
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
 
-/// Environment variable that makes [`Fixtures::verify`] write the fixture file instead of comparing with it.
+/// Environment variable for writing the fixture file. If it is set, [`Fixtures::verify`] writes the file
+/// instead of comparing samples with it.
 pub const WRITE_VARIABLE: &str = "WRITE_WIRE_FIXTURES";
 
-/// The fixtures of one file: recorded encodings by name.
+/// Fixtures of one file. A fixture is a recorded encoding with a name.
 pub struct Fixtures {
     path: PathBuf,
     recorded: BTreeMap<String, Vec<u8>>,
 }
 
 impl Fixtures {
-    /// Reads the fixture file at `path`. A file that cannot be read counts as empty.
+    /// Reads the fixture file at `path`. A file that cannot be read is treated as empty.
     ///
     /// # Panics
     ///
-    /// Panics if a line is not a name followed by an even number of hexadecimal digits.
+    /// Panics if a line does not consist of a name and an even number of hexadecimal digits.
     pub fn load(path: impl AsRef<Path>) -> Fixtures {
         let path = path.as_ref().to_path_buf();
         let text = std::fs::read_to_string(&path).unwrap_or_default();
@@ -48,8 +50,8 @@
     ///
     /// # Panics
     ///
-    /// Panics at the first sample whose bytes differ from its fixture, if a sample has no fixture, and if a
-    /// fixture has no sample.
+    /// Panics if the bytes of a sample differ from its fixture, if a sample has no fixture, or if a fixture
+    /// has no sample.
     pub fn verify(&self, samples: &[(&str, Vec<u8>)]) {
         if std::env::var_os(WRITE_VARIABLE).is_some() {
             return self.write(samples);
