--- a/crates/capacity/src/added_latency.rs
+++ b/crates/capacity/src/added_latency.rs
@@ -39,18 +39,19 @@
 pub struct Load {
     /// Number of named tenants.
     pub tenants: usize,
-    /// Number of operations.
+    /// Number of operations that the process offers.
     pub routes: usize,
-    /// Invocations per second.
+    /// Number of invocations sent per second.
     pub rate: f64,
-    /// Duration in seconds.
+    /// Duration of the load in seconds.
     pub seconds: u64,
     /// Number of options reloads under load. Each reload changes the weight of every tenant.
     pub changes: usize,
 }
 
 /// Latency that the process added to invocations. The added latency is the time from the caller's write to
-/// the caller's read, minus the work time at the interpreter. It includes the time spent in the test doubles.
+/// the caller's read, minus the work time at the interpreter. The added latency includes the time spent in
+/// the test doubles.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct AddedLatency {
     /// Load that was applied.
@@ -137,8 +138,8 @@
 }
 
 impl Invocations {
-    /// Sends one invocation and waits for its answer. The caller must have added the invocation to the number
-    /// of outstanding ones.
+    /// Sends one invocation and waits for its answer. Before the call, the caller must increment
+    /// `outstanding`.
     async fn invoke(self: Rc<Self>, operation: String, fields: String) {
         let started_at = Instant::now();
         let body = format!("work={}", WORK.as_micros());
--- a/crates/capacity/src/at_rest.rs
+++ b/crates/capacity/src/at_rest.rs
@@ -26,7 +26,7 @@
     /// Heap bytes per server.
     #[serde(rename = "memory")]
     pub memory_bytes: f64,
-    /// Average costs over all servers.
+    /// Average costs per server, over all servers of the fleet.
     pub costs: PerServer,
     /// Costs of the control machine that leads the replicated configuration log; `None` without a leader.
     #[serde(rename = "publisher")]
@@ -87,8 +87,8 @@
     Ok(RestingCosts { size, memory_bytes, costs, leader })
 }
 
-/// Measures the costs per server in a converged, idle fleet. The servers don't increment counters or request
-/// budget units, as real processes without callers don't.
+/// Measures the costs per server in a converged, idle fleet. The servers neither increment counters nor
+/// request budget units. Real processes without callers behave like this.
 ///
 /// # Errors
 /// Returns an error if the settings are invalid.
--- a/crates/capacity/src/day/mod.rs
+++ b/crates/capacity/src/day/mod.rs
@@ -18,8 +18,8 @@
 use serde::Serialize;
 use summary::summary;
 
-/// Upper bound of the 99th percentile of the time from the acceptance of a change until a server applies the
-/// change, in seconds.
+/// Upper bound of the 99th percentile of the time from the leader's acceptance of a change until a server
+/// applies the change, in seconds.
 pub const IN_FORCE_SECONDS_BOUND: f64 = 4.0;
 /// Simulated time that is added after the end of the day, in nanoseconds. Servers apply the last changes in
 /// this time.
@@ -32,8 +32,8 @@
     pub servers: usize,
     /// Seed of all random number generators.
     pub seed: u64,
-    /// Simulated length of the day, in seconds. Configuration changes, restarts and failures of a full day
-    /// are all scheduled in this time, even if the day is shortened.
+    /// Simulated length of the day, in seconds. A day shorter than 86,400 s still contains all configuration
+    /// changes, restarts and failures of a full day.
     #[serde(rename = "day")]
     pub day_seconds: u64,
     /// Time for which a region is cut off from the other regions, in seconds.
@@ -88,15 +88,15 @@
     /// Number of server restarts and server failures in the simulated day.
     pub restarts: usize,
     /// Median time from the leader's acceptance of a change until a server applied the change, in seconds.
-    /// Counts all changes and all servers that stayed reachable.
+    /// Covers all changes and all servers that stayed reachable.
     #[serde(rename = "p50")]
     pub p50_seconds: f64,
     /// 99th percentile of the time from the leader's acceptance of a change until a server applied the
-    /// change, in seconds. Counts all changes and all servers that stayed reachable.
+    /// change, in seconds. Covers all changes and all servers that stayed reachable.
     #[serde(rename = "p99")]
     pub p99_seconds: f64,
     /// Longest time from the leader's acceptance of a change until a server applied the change, in seconds.
-    /// Counts all changes and all servers that stayed reachable.
+    /// Covers all changes and all servers that stayed reachable.
     #[serde(rename = "worst")]
     pub max_seconds: f64,
     /// Median, over all changes, of the time until all servers have applied a change, in seconds. The time
@@ -141,8 +141,8 @@
     processor_percent: f64,
 }
 
-/// Returns the number of bytes that the replication member at `node` has sent since its start; 0 if there is
-/// none.
+/// Returns the number of bytes that the replication member of the server `node` has sent since its start.
+/// Returns 0 if the server is not running.
 fn sent_bytes(run: &Run, node: Option<usize>) -> u64 {
     node.and_then(|node| run.fleet.member(node)).map_or(0, |member| member.counts.sent_bytes)
 }
--- a/crates/capacity/src/day/run.rs
+++ b/crates/capacity/src/day/run.rs
@@ -18,14 +18,14 @@
 const REPLACED_AFTER_NS: Nanos = 300 * SECOND_NS;
 /// Simulated time for which a restarting server is down, in nanoseconds.
 const RESTARTED_AFTER_NS: Nanos = 5 * SECOND_NS;
-/// Number of replicas of the configuration log. In this simulation, these are all the control machines.
+/// Number of replicas of the configuration log. In this simulation, the control machines are the replicas.
 const REPLICAS: usize = VOTERS;
 /// Number of configuration keys at the start of the day.
 const KEYS: usize = 2_000;
 /// Number of keys that one change sets when the initial configuration is published.
 const KEYS_PER_CHANGE: usize = 200;
-/// Number of latest changes that a server may still lack when it stops. The server is no longer measured as a
-/// receiver of these changes.
+/// Number of latest changes for which a stopped server is no longer a receiver. The server may not have
+/// received these changes before it stopped.
 const RECENT_CHANGES: usize = 20;
 
 /// A configuration change that the leader accepted.
@@ -198,7 +198,8 @@
     }
 
     /// Removes all servers for which `is_gone` is true from the receivers of the latest changes. These
-    /// servers may have stopped before they received the changes, so their delays are not measured.
+    /// servers may not have received the changes before they stopped or were cut off, so their delays are not
+    /// measured.
     fn remove_receivers(&mut self, is_gone: impl Fn(&usize) -> bool) {
         for change in self.published.iter_mut().rev().take(RECENT_CHANGES) {
             change.receivers.retain(|server| !is_gone(server));
--- a/crates/capacity/src/day/summary.rs
+++ b/crates/capacity/src/day/summary.rs
@@ -7,7 +7,7 @@
 use meadowstream_membership::Nanos;
 use std::collections::BTreeMap;
 
-/// Maximum number of configuration changes in the list of the slowest ones.
+/// Maximum length of the list of the slowest configuration changes.
 const SLOWEST_MAX: usize = 8;
 /// Delay in seconds that is used in calculations if a server never applied a change.
 const NEVER_SECONDS: f64 = f64::INFINITY;
@@ -51,9 +51,10 @@
         change.receivers.iter().map(seconds).collect()
     }
 
-    /// Returns the longest catch-up time of a returned server, in seconds. Counts only servers that returned
-    /// with an empty disk if `had_empty_disk` is true, and only the others if it is false. A server that
-    /// returned several times is measured from its last return. Servers that never caught up are left out.
+    /// Returns the longest catch-up time of a returned server, in seconds. If `had_empty_disk` is true,
+    /// considers only servers that returned with an empty disk, and otherwise only the other servers. A
+    /// server that returned several times is measured from its last return. Servers that never caught up are
+    /// left out.
     fn longest_catch_up(&self, returned: &[ReturnedServer], had_empty_disk: bool) -> f64 {
         let is_last = |candidate: &ReturnedServer| {
             !returned.iter().any(|other| other.server == candidate.server && other.at > candidate.at)
--- a/crates/capacity/src/error.rs
+++ b/crates/capacity/src/error.rs
@@ -81,7 +81,7 @@
     NoHealthCheck {
         /// Index of the connection, counted from 0 in the order in which connections were opened.
         connection: usize,
-        /// Error of the read.
+        /// Error returned by the read from the connection.
         #[source]
         source: std::io::Error,
     },
--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -68,7 +68,7 @@
     pub name: String,
     /// Unit of the values.
     pub unit: &'static str,
-    /// Singular noun for what the size counts, such as `server`.
+    /// Singular noun for the things that the size counts, such as `server`.
     pub per: &'static str,
     /// Measurements in ascending order of size.
     pub points: Vec<Point>,
--- a/crates/capacity/src/fleet.rs
+++ b/crates/capacity/src/fleet.rs
@@ -43,7 +43,7 @@
     cuts: HashSet<(u32, u32)>,
     /// Fraction of datagrams that the network loses at random, from 0 to 1.
     pub loss: f64,
-    /// Datagrams in transit.
+    /// Datagrams in transit on the simulated network.
     network: EventQueue<Delivery>,
     /// Pending timers of all servers. Every running server has at least one timer, and may also have outdated
     /// timers.
@@ -74,9 +74,9 @@
         }
     }
 
-    /// Creates a running fleet in which every server already knows all other servers and the seeds. The
-    /// servers need the seeds to merge again after a long network partition, because they forget unreachable
-    /// members after some time.
+    /// Creates a running fleet in which every server already knows all other servers and the seeds. Without
+    /// the seeds, servers would not merge again after a long network partition, because they forget
+    /// unreachable members after some time.
     ///
     /// # Errors
     /// Returns an error if the settings are invalid.
@@ -109,7 +109,7 @@
         self.servers.len()
     }
 
-    /// Returns whether the fleet has no servers, neither running nor stopped.
+    /// Returns whether the fleet was created with 0 servers.
     pub fn is_empty(&self) -> bool {
         self.servers.is_empty()
     }
--- a/crates/capacity/src/incidents.rs
+++ b/crates/capacity/src/incidents.rs
@@ -20,8 +20,8 @@
 const CONVERGENCE_LIMIT_NS: Nanos = 300 * SECOND_NS;
 /// Simulated time between two comparisons of the membership views, in nanoseconds.
 const CONVERGENCE_CHECK_INTERVAL_NS: Nanos = SECOND_NS / 4;
-/// Minimum simulated time for which sent bytes are measured after the end of a failure, in nanoseconds. The
-/// largest burst of one server is its average send rate over a period of this length.
+/// Minimum simulated time for which sent bytes are measured after the end of a failure, in nanoseconds. A
+/// burst of one server is its average send rate over a period of this length.
 const BURST_NS: Nanos = 10 * SECOND_NS;
 /// Number of servers that restart while the control machines are down. The other incidents restart servers at
 /// the rates [`RESTARTS_PER_DAY`] and [`FAILURES_PER_DAY`]. At these rates, only a few servers, or none,
@@ -154,7 +154,8 @@
         recovery
     }
 
-    /// Runs one second of the simulation. Records the time if the membership views agree for the first time.
+    /// Runs one second of the simulation. Records the time at which the membership views agree for the first
+    /// time.
     fn play_second(&mut self, fleet: &mut Fleet, running: &[usize], started_at: Nanos) {
         let end = fleet.now() + SECOND_NS;
         while fleet.now() < end {
--- a/crates/capacity/src/meter.rs
+++ b/crates/capacity/src/meter.rs
@@ -52,11 +52,11 @@
 /// Accumulated costs of membership, shared state and replication.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Costs {
-    /// Membership of the fleet.
+    /// Cost of membership.
     pub membership: Cost,
     /// Cost of shared state: counters, budgets and leases.
     pub shared_state: Cost,
-    /// Replicated configuration.
+    /// Cost of replicated configuration.
     pub replication: Cost,
 }
 
--- a/crates/capacity/src/options.rs
+++ b/crates/capacity/src/options.rs
@@ -24,8 +24,8 @@
 }
 
 /// Returns the `<membership>` and `<shared-state>` elements for the server called `name`. The server joins
-/// the fleet through `seed`; without a seed, it starts a fleet of its own. The shared state holds one call
-/// budget and the replicated counters.
+/// the fleet through `seed`. Without a seed, the server joins no other server. The shared state holds one
+/// call budget and the replicated counters.
 pub(crate) fn fleet(name: &str, servers: usize, seed: Option<&str>) -> String {
     let seed = seed.map_or(String::new(), |seed| format!("<seed address=\"{seed}\"/>"));
     let voters: String = (0..VOTERS).map(|voter| format!("<voter name=\"c{voter}\"/>")).collect();
--- a/crates/capacity/src/process.rs
+++ b/crates/capacity/src/process.rs
@@ -166,7 +166,7 @@
 }
 
 impl Process {
-    /// Starts the program. Waits until it accepts connections and has connected to its interpreter.
+    /// Starts the program. Waits until the program accepts connections and is connected to its interpreter.
     ///
     /// # Errors
     /// Returns an error if the program cannot be started or does not log the expected messages in time.
@@ -194,8 +194,8 @@
         Ok(process)
     }
 
-    /// Waits for a further log line with this message and returns its fields. `lines_before` is the number of
-    /// lines with this message that were already logged; the line after them is returned.
+    /// Waits until the process has logged `message` again, and returns the fields of the new log line. The
+    /// first `lines_before` lines with this message are skipped.
     ///
     /// # Errors
     /// Returns an error if the message is not logged in time, or if the process exits before that.
--- a/crates/capacity/src/report/mod.rs
+++ b/crates/capacity/src/report/mod.rs
@@ -18,15 +18,15 @@
 use std::time::Instant;
 
 /// Minimum of [`Options::servers`]. The smallest modelled fleet has a sixteenth of this number of servers,
-/// and some of its servers must be the control machines.
+/// and must contain all control machines.
 pub const SERVERS_MIN: usize = 80;
 /// Maximum of [`Options::servers`].
 pub const SERVERS_MAX: usize = 2_000;
-/// Number of named tenants in the measurements of added latency and reload time. The bounds of both apply to
-/// this number.
+/// Number of named tenants with which added latency and reload time are measured. Both must be within their
+/// bounds at this number.
 const TENANTS: usize = 64_000;
-/// Number of operations (routes) in the measurements of added latency and reload time. The bounds of both
-/// apply to this number.
+/// Number of operations (routes) with which added latency and reload time are measured. Both must be within
+/// their bounds at this number.
 const ROUTES: usize = 6_200;
 /// Invocations per second and server in the two loads to measure. The fleet receives 190,000 invocations per
 /// second. The lower rate is for 690 servers. The higher rate is for the servers that remain when one of
@@ -41,7 +41,7 @@
 /// Maximum time for which a region is cut off in a simulation of the full fleet size, in seconds.
 const REGION_CUT_SECONDS_MAX: u64 = 300;
 
-/// Fleet size, random seed and length of a run.
+/// Options of a run: fleet size, random seed and whether the run is quick.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
     /// Number of servers in the largest modelled fleet.
--- a/crates/capacity/src/scale.rs
+++ b/crates/capacity/src/scale.rs
@@ -11,13 +11,13 @@
 /// One second in nanoseconds.
 pub const SECOND_NS: Nanos = 1_000_000_000;
 
-/// Upper bound of the bytes per second that one server sends. Counts membership, shared state and
-/// replication.
+/// Upper bound of the bytes per second that one server sends for membership, shared state and replication
+/// together.
 pub const BYTES_PER_SECOND_BOUND: f64 = 20_000.0;
-/// Upper bound of one server's CPU use, in percent of a core. Counts membership, shared state and
-/// replication.
+/// Upper bound of one server's CPU use for membership, shared state and replication together, in percent of a
+/// core.
 pub const PROCESSOR_PERCENT_BOUND: f64 = 1.1;
-/// Upper bound of one server's memory, in bytes. Counts membership, shared state and replication.
+/// Upper bound of one server's memory for membership, shared state and replication together, in bytes.
 pub const MEMORY_BYTES_BOUND: f64 = 256.0 * 1024.0 * 1024.0;
 
 /// Number of server restarts per day in a fleet of [`STATED_SERVERS`] servers.
@@ -29,13 +29,14 @@
 pub const STATED_SERVERS: f64 = 690.0;
 /// Time in simulated nanoseconds until the servers of a failed rack start again.
 pub const RACK_DOWN_NS: Nanos = 60 * SECOND_NS;
-/// Number of control machines. The control machines are the first servers of the fleet. Every server joins
-/// through them as its seeds.
+/// Number of control machines. The control machines are the first servers of the fleet. They are also the
+/// seeds, through which every server joins the fleet.
 pub const CONTROL_MACHINES: usize = 4;
 /// Number of control machines that vote on budget leases and store the replicated configuration log. These
 /// are the first control machines of the fleet.
 pub const VOTERS: usize = 3;
-/// Name of the lease for the leader. The holder of this lease leads the replicated configuration log.
+/// Name of the lease that selects the leader. The holder of this lease leads the replicated configuration
+/// log.
 const LOG_LEASE: &str = "publishing";
 const LEASE_NS: Nanos = 4 * SECOND_NS;
 const GOSSIP_INTERVAL_NS: Nanos = SECOND_NS / 2;
--- a/crates/capacity/src/server.rs
+++ b/crates/capacity/src/server.rs
@@ -42,7 +42,7 @@
 
 /// A server of the fleet model.
 pub struct ModelServer {
-    /// Membership of the fleet.
+    /// Membership protocol of the server.
     pub membership: Membership,
     /// Shared state of the server: counters, budgets and leases.
     pub shared_state: SharedState,
@@ -225,8 +225,8 @@
     pub fn take_outgoing(&mut self) -> Vec<Transmit> {
         let outgoing = self.membership.take_transmits();
         let counts = self.membership.counts();
-        // The counts of membership include the datagrams of shared state and replication, so these are
-        // subtracted.
+        // The counts of membership include the datagrams of shared state and replication. These are
+        // subtracted here.
         let others = [self.costs.shared_state, self.costs.replication];
         let datagrams: u64 = others.iter().map(|cost| cost.datagrams).sum();
         let bytes: u64 = others.iter().map(|cost| cost.bytes).sum();
--- a/crates/capacity/src/tenants.rs
+++ b/crates/capacity/src/tenants.rs
@@ -8,14 +8,14 @@
 use meadowstream_fair_queueing::{FairScheduler, NamedTenant, ServiceOutcome, Settings, TenantKey};
 use serde::Serialize;
 
-/// Numbers of named tenants to measure, in ascending order.
+/// Numbers of named tenants for which the costs are measured, in ascending order.
 pub const SIZES: [usize; 6] = [1_000, 4_000, 8_000, 16_000, 32_000, 64_000];
-/// Number of measured arrivals. The CPU time per arrival is the average over these.
+/// Number of measured arrivals. The CPU time per arrival is the average over these arrivals.
 const ARRIVALS: usize = 20_000;
 /// Simulated time between two arrivals, in nanoseconds.
 const ARRIVAL_INTERVAL_NS: u64 = 50_000;
 /// Number of measured fair rate updates, one per simulated second. The CPU time per update is the average
-/// over these.
+/// over these updates.
 const FAIR_RATE_UPDATES: u64 = 20;
 /// Number of accounts that are shared by tenants without an entry in the settings.
 const OTHER_ACCOUNTS: usize = 16;
--- a/crates/capacity/src/topology.rs
+++ b/crates/capacity/src/topology.rs
@@ -3,7 +3,7 @@
 use meadowstream_membership::Nanos;
 use meadowstream_replication::simulation::Delay;
 
-/// Number of servers in one rack. A simulated rack failure stops all of them.
+/// Number of servers in one rack. The servers of a rack share a network switch.
 pub const RACK_SERVERS: usize = 23;
 /// Number of regions.
 pub const REGIONS: usize = 3;
--- a/crates/rollout/src/baseline.rs
+++ b/crates/rollout/src/baseline.rs
@@ -9,8 +9,8 @@
 /// Minimum number of intervals in the baseline of each server. The first stage begins after all servers have
 /// this many.
 pub const BASELINE_INTERVALS_MIN: usize = 20;
-/// Minimum number of values from which a baseline is computed. With fewer values, a class and metric has no
-/// baseline.
+/// Minimum number of values from which a baseline is computed. With fewer values, the server has no baseline
+/// for the class and metric.
 const VALUES_MIN: u32 = 3;
 
 /// Baselines of all servers. They are stored in the coordinator's state file. The `serde` attributes keep the
--- a/crates/rollout/src/canary.rs
+++ b/crates/rollout/src/canary.rs
@@ -41,8 +41,7 @@
 pub enum Verdict {
     /// Too few intervals contain values of both changed and unchanged servers.
     InsufficientData,
-    /// No regression was found: every difference is either not statistically significant or not above its
-    /// threshold.
+    /// No regression was found: no difference is both statistically significant and above its threshold.
     Pass,
     /// The changed servers perform worse than the unchanged servers.
     Regression {
--- a/crates/rollout/src/coordinator/baking.rs
+++ b/crates/rollout/src/coordinator/baking.rs
@@ -55,8 +55,8 @@
     }
 
     /// Adds the new metrics of servers that comply with their orders to the comparison. The values are
-    /// dropped if the fleet's view is not settled. The membership change, not the rollout, may then have
-    /// caused a difference between servers.
+    /// dropped if the fleet's view is not settled. A membership change may then have caused a difference
+    /// between servers.
     fn add_to_canary(&mut self, interval: &Interval) {
         for new_interval in self.take_new_intervals(interval.view) {
             if self.complies(&new_interval.server) {
--- a/crates/rollout/src/coordinator/compliance.rs
+++ b/crates/rollout/src/coordinator/compliance.rs
@@ -1,12 +1,12 @@
-//! Checks by their reports whether servers comply with their orders, and detects failed servers.
+//! Checks from the reports whether servers comply with their orders. Detects failed servers.
 
 use super::{Coordinator, FleetView, Interval};
 use crate::Nanos;
 use crate::metrics::IntervalMetrics;
 use crate::wire::Report;
 
-/// Maximum age of the order that a server's latest report answers, as a number of later orders. With an older
-/// report, the server counts as silent.
+/// Maximum number of orders by which a server's latest report may lag behind. With a larger lag, the server
+/// counts as silent.
 const SILENT_ORDERS: u64 = 2;
 
 /// The latest report of a server.
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Counts the time for which servers have been missing from the view and all missing servers are changed
-    /// servers. Resets the time to 0 if no server is missing, or if an unchanged server is missing.
+    /// Counts the time for which changed servers, and no unchanged servers, have been missing from the view.
+    /// Resets the time to 0 if no server is missing, or if an unchanged server is missing.
     pub(super) fn count_changed_missing(&mut self, interval: &Interval) {
         let missing = &interval.view.missing;
         let only_changed = missing.iter().all(|server| self.state.changed.contains(server));
@@ -79,9 +79,8 @@
         }
     }
 
-    /// Returns a message if a server has failed. A server has failed if it has been overdue for the response
-    /// timeout. Missing servers have failed if, for the response timeout, some changed server and no
-    /// unchanged server has been missing.
+    /// Returns a message if a server has failed. There are two cases: a server has been overdue for the
+    /// response timeout, or only changed servers have been missing from the view for this time.
     pub(super) fn find_failure(&self, view: &FleetView) -> Option<String> {
         let timeout = self.plan.response_timeout;
         if self.changed_missing_for >= timeout {
--- a/crates/rollout/src/coordinator/mod.rs
+++ b/crates/rollout/src/coordinator/mod.rs
@@ -1,6 +1,6 @@
 //! Coordinates the rollout of one plan. The coordinator is a state machine without I/O and without a clock.
 //!
-//! The caller calls [`Coordinator::handle_interval`] once per interval. Its arguments are the time, the
+//! The caller calls [`Coordinator::handle_interval`] once per interval. The arguments are the time, the
 //! fleet's view and whether the coordinator holds the rollout lease. The caller also calls
 //! [`Coordinator::handle_report`] for each received report. The interval handler and
 //! [`Coordinator::handle_abort`] return actions, which the caller must carry out in order. A state is always
@@ -80,7 +80,7 @@
         /// Hash of the requested candidate.
         requested: u64,
     },
-    /// The plan does not have the stage that the saved state is at.
+    /// The stage of the saved state does not exist in the plan.
     #[error("the saved state is at stage {stage}, which the plan does not have")]
     UnknownStage {
         /// Number of the stage in the saved state, counted from 1.
@@ -98,19 +98,19 @@
     state: PersistedState,
     /// Time at which the current phase of the plan began, on the caller's clock.
     phase_began: Nanos,
-    /// Part of the current stage's bake time that has passed, in nanoseconds. Time counts only after the
+    /// Bake time of the current stage that has passed so far, in nanoseconds. Time counts only after the
     /// warm-up, while this coordinator holds the rollout lease and the view is settled.
     baked: Nanos,
-    /// Number of verdicts in the current stage, without those before there were enough intervals to compare.
-    /// [`Coordinator::next_verdict`] stops comparing after `VERDICTS_FACTOR` times the planned number of
-    /// verdicts. Later verdicts are still counted here.
+    /// Number of verdicts in the current stage. A verdict counts only if there were enough intervals to
+    /// compare servers. After `VERDICTS_FACTOR` times the planned number of verdicts,
+    /// [`Coordinator::next_verdict`] stops comparing servers, but verdicts are still counted.
     verdicts: usize,
     /// Values that servers reported in the current stage, for the comparison.
     canary: Canary,
     /// Time for which each server has been silent or has not complied with its orders. Only time with the
     /// rollout lease is counted. Time without a settled view is counted only during a rollback.
     overdue: BTreeMap<String, Nanos>,
-    /// Time for which some changed server and no unchanged server has been missing from the view.
+    /// Time for which only changed servers have been missing from the view; 0 if no server is missing.
     changed_missing_for: Nanos,
     /// The latest report of each server, by server name.
     reports: BTreeMap<String, ReceivedReport>,
@@ -165,9 +165,8 @@
         &self.state
     }
 
-    /// Handles a report of a server. Ignores a report with too many classes. Also ignores a report that
-    /// answers an order that was never sent, or one that is not newer than the order of the server's latest
-    /// report.
+    /// Handles a report of a server. Ignores a report with too many classes, a report on an order that was
+    /// never sent, and a report on an order that is not newer than the order of the server's latest report.
     pub fn handle_report(&mut self, now: Nanos, server: &str, report: Report) {
         let answers_an_order = (1..=self.order_sequence).contains(&report.order_sequence);
         if !answers_an_order || report.classes.len() > CLASSES_MAX {
--- a/crates/rollout/src/coordinator/rollback.rs
+++ b/crates/rollout/src/coordinator/rollback.rs
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Returns whether a server has confirmed the rollback: it has reported since the rollback began, and the
-    /// report states that it does not run the change.
+    /// Returns whether a server has confirmed the rollback. The server must have sent a report since the
+    /// rollback began, and the report must state that the server does not run the change.
     fn has_confirmed_rollback(&self, server: &str) -> bool {
         let received = self.reports.get(server);
         received.is_some_and(|latest| latest.received_at > self.phase_began && !latest.report.adopted)
--- a/crates/rollout/src/coordinator/state.rs
+++ b/crates/rollout/src/coordinator/state.rs
@@ -44,7 +44,7 @@
 }
 
 impl Phase {
-    /// Whether the plan has ended.
+    /// Returns whether the plan has ended in this phase.
     pub fn has_ended(&self) -> bool {
         matches!(self, Phase::Done | Phase::Stopped { .. } | Phase::RolledBack { .. })
     }
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -14,9 +14,10 @@
 pub const STAGES_MAX: usize = 32;
 /// Minimum number of intervals from which servers are compared.
 pub const INTERVALS_MIN: usize = 6;
-/// Maximum for the latency threshold of a plan, as a relative increase of the 95th percentile.
+/// Maximum of the latency threshold in a plan. The threshold is a relative increase of the 95th percentile of
+/// latency.
 const LATENCY_MAX: f64 = 100.0;
-/// Maximum for `alpha`, the probability of a false stop that a plan accepts.
+/// Maximum of `alpha` in a plan. `alpha` is the probability of a false stop that the plan accepts.
 const ALPHA_MAX: f64 = 0.2;
 
 /// Kind of a change. The order of the variants is part of the wire format.
@@ -179,7 +180,7 @@
         .interval / MILLISECOND_NS, .response_timeout / MILLISECOND_NS
     )]
     Interval {
-        /// The interval, in nanoseconds.
+        /// Interval in the plan, in nanoseconds.
         interval: Nanos,
         /// Response timeout in the plan, in nanoseconds.
         response_timeout: Nanos,
@@ -225,7 +226,7 @@
     /// The stage's share of the fleet is out of range.
     #[error("share: {share} is not above 0 and at most 1")]
     Share {
-        /// Share of servers in the plan.
+        /// Share of the fleet that the plan states for the stage.
         share: f64,
     },
     /// The bake time of the stage is shorter than [`INTERVALS_MIN`] intervals.
--- a/crates/rollout/src/rank_test.rs
+++ b/crates/rollout/src/rank_test.rs
@@ -15,7 +15,8 @@
     pub changed: Vec<f64>,
     /// Values of the unchanged servers.
     pub unchanged: Vec<f64>,
-    /// Sum of the baseline variances of the changed servers. Each is the variance of the baseline's mean.
+    /// Sum of the baseline variances of the changed servers. A baseline variance is the squared standard
+    /// error of the baseline's mean.
     pub baseline_variance: f64,
     /// Number of answers of the class in the interval, over all servers.
     pub answered: u64,
@@ -36,7 +37,8 @@
 #[derive(Debug, PartialEq)]
 struct RankSum {
     rank_sum: f64,
-    /// Correction of the variance for equal values: the sum of t^3 - t over all groups of t equal values.
+    /// Correction term for equal values in the variance of the rank sum: the sum of t^3 - t over all groups
+    /// of t equal values.
     tie_correction: f64,
 }
 
@@ -62,8 +64,8 @@
 }
 
 /// Returns the mean difference between the groups, minus twice the standard error of the changed servers'
-/// baselines. A baseline is the mean of few intervals, and its error affects all values of its server. The
-/// subtraction avoids that this error counts as a regression.
+/// baselines. A baseline is the mean of few intervals, and its error affects all values of its server.
+/// Without the subtraction, this error could count as a regression.
 fn mean_difference(strata: &[&Stratum]) -> f64 {
     let difference = |stratum: &&Stratum| mean(&stratum.changed) - mean(&stratum.unchanged);
     let standard_error = |stratum: &&Stratum| stratum.baseline_variance.sqrt() / stratum.changed.len() as f64;
--- a/crates/rollout/src/wire.rs
+++ b/crates/rollout/src/wire.rs
@@ -1,8 +1,8 @@
 //! Encodes orders and reports. A message is a version number, followed by the fields of that version in
 //! postcard. Later versions append fields, and a reader ignores the bytes after the fields that it knows.
-//! [`decode`] rejects version 0, which does not exist. For every other version, it reads the same fields. A
-//! build that adds fields must select the fields by the version number, because messages of version 1 end
-//! before the added fields.
+//! [`decode`] rejects version 0, which does not exist. For every other version, [`decode`] reads the fields
+//! of version 1. A build that adds fields must select the fields by the version number, because messages of
+//! version 1 end before the added fields.
 //!
 //! postcard encodes fields and variants by position, so their order is part of the wire format.
 
@@ -51,10 +51,9 @@
     pub adopted: bool,
     /// Reason why the server does not carry out the order; `None` if the server carries it out.
     pub refused: Option<String>,
-    /// Number of the last interval that is complete at the server.
+    /// Number of the server's last complete interval.
     pub interval: u64,
-    /// Metrics of the last interval that is complete at the server. There is one entry per class of
-    /// invocations.
+    /// Metrics of the server's last complete interval. There is one entry per class of invocations.
     pub classes: Vec<IntervalMetrics>,
 }
 
--- a/crates/rollout/tests/rollouts.rs
+++ b/crates/rollout/tests/rollouts.rs
@@ -39,8 +39,8 @@
 
 #[derive(Clone, Default)]
 struct Server {
-    /// Permanent difference of the server's latency from the normal latency, before the conversion to a
-    /// factor.
+    /// Permanent latency difference of the server on a logarithmic scale. A server with a positive offset is
+    /// slower than normal.
     offset: f64,
     noise: f64,
     adopted: bool,
@@ -70,7 +70,7 @@
     now: u64,
     /// Time since the last change of the coordinator's view, in nanoseconds.
     settled: u64,
-    /// Probability that an order is lost, and likewise a report.
+    /// Probability of loss of each order and of each report.
     loss: f64,
     saved: Option<PersistedState>,
     messages: Vec<String>,
--- a/crates/test-doubles/src/balancers.rs
+++ b/crates/test-doubles/src/balancers.rs
@@ -13,9 +13,8 @@
 
 /// Maximum number of calls in flight on one connection.
 const CALLS_MAX: usize = 32;
-/// Maximum time between the sending of a call and the end of its connection for which the call counts as
-/// crossed. A crossed call may have been in transit when the server closed the connection.
-/// [`Balancer::crossed_calls`] counts such calls.
+/// Time before the end of a connection in which a sent call counts as crossed. A crossed call may have been
+/// in transit when the server closed the connection. [`Balancer::crossed_calls`] counts such calls.
 const CROSSING: Duration = Duration::from_millis(50);
 const READ_CHUNK_BYTES: usize = 16 * 1024;
 
@@ -94,7 +93,7 @@
     /// Number of calls that were not sent. Either no connection had capacity, or a new connection could not
     /// be opened.
     pub unsent_calls: Cell<u64>,
-    /// Number of connections opened.
+    /// Number of connections that the balancer has opened.
     pub connects: Cell<u64>,
 }
 
@@ -207,8 +206,8 @@
         }
     }
 
-    /// Passes a reply to the caller of its call. A message with tag 0 is not a reply. It is the server's
-    /// notice that it drains the connection.
+    /// Passes a reply to the caller of its call. A message with tag 0 is not a reply, but the server's notice
+    /// that it drains the connection.
     fn handle_reply(&self, connection: &Connection, words: &[Vec<u8>]) {
         let tag = std::str::from_utf8(&words[0]).ok().and_then(|text| text.parse::<u64>().ok());
         if tag == Some(0) {
--- a/crates/test-doubles/src/downstream_service.rs
+++ b/crates/test-doubles/src/downstream_service.rs
@@ -49,8 +49,8 @@
         self.served.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Returns the calls that were in flight at the moment when most calls were in flight. The moment is
-    /// calculated from the start and end times of the served calls.
+    /// Returns the calls that were in flight at the moment of highest concurrency. The moment is calculated
+    /// from the start and end times of the served calls.
     pub fn busiest_moment(&self) -> Vec<ServedCall> {
         let served = self.served();
         let in_flight_at =
--- a/crates/test-doubles/src/faults.rs
+++ b/crates/test-doubles/src/faults.rs
@@ -5,9 +5,9 @@
 /// Faults that a relay injects into the traffic of a fleet. Shares are numbers from 0 to 1.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// Share of datagrams lost.
+    /// Share of datagrams that are lost at random.
     pub loss: f64,
-    /// Delay of all traffic.
+    /// Delay of all traffic, in milliseconds.
     pub delay_ms: u64,
     /// Maximum of the additional random delay, in milliseconds. The random delay is distributed uniformly
     /// from 0 to this value.
--- a/crates/test-doubles/src/fleet/harness.rs
+++ b/crates/test-doubles/src/fleet/harness.rs
@@ -75,7 +75,7 @@
         self.processes.len()
     }
 
-    /// Returns whether the harness was created for no processes.
+    /// Returns whether the harness was created for 0 processes.
     pub fn is_empty(&self) -> bool {
         self.processes.is_empty()
     }
@@ -151,8 +151,8 @@
             .context("cannot start the program")
     }
 
-    /// Waits until a server logs its membership address, and registers the address with the relay. Previous
-    /// starts of the server wrote the first `earlier_joins` of these log lines, which are ignored.
+    /// Waits until a server logs its membership address, and registers the address with the relay. Skips the
+    /// first `earlier_joins` of these log lines, which are from previous starts of the server.
     fn wait_until_joined(
         &mut self,
         index: usize,
@@ -170,7 +170,7 @@
     }
 
     /// Restarts each process that has exited, as a supervisor does. A restarted process runs the program
-    /// named in its mark file. Returns the indexes of the restarted servers.
+    /// named in its mark file, if there is one. Returns the indexes of the restarted servers.
     pub fn supervise(&mut self) -> Result<Vec<usize>> {
         let mut started = Vec::new();
         for index in 0..self.processes.len() {
--- a/crates/test-doubles/src/group_report.rs
+++ b/crates/test-doubles/src/group_report.rs
@@ -28,7 +28,7 @@
     pub late: u64,
     /// Number of invocations whose last attempt was rejected.
     pub throttled: u64,
-    /// Invocations that failed.
+    /// Number of invocations that failed.
     pub errored: u64,
     /// Number of invocations without a reply. Either no connection had capacity, or the connection broke.
     pub unsent: u64,
--- a/crates/test-doubles/src/interpreter.rs
+++ b/crates/test-doubles/src/interpreter.rs
@@ -1,6 +1,6 @@
-//! Test double of the interpreter. It executes runs on simulated cores, which all runs share evenly. The body
-//! of a run sets its core time by `work=MICROSECONDS`. The word `calls` in the body makes the run wait for a
-//! downstream call after half of its work.
+//! Test double of the interpreter. The interpreter executes runs on simulated cores, which all runs share
+//! evenly. The body of a run sets its core time by `work=MICROSECONDS`. The word `calls` in the body makes
+//! the run wait for a downstream call after half of its work.
 
 mod link;
 mod machine;
--- a/crates/test-doubles/src/interpreter/machine.rs
+++ b/crates/test-doubles/src/interpreter/machine.rs
@@ -11,9 +11,9 @@
 /// Counts of the runs on the interpreter. Tests check these counts.
 #[derive(Default)]
 pub struct RunCounts {
-    /// Runs that have begun.
+    /// Number of runs that have begun.
     pub begun: AtomicU64,
-    /// Runs that have ended.
+    /// Number of runs that have ended.
     pub ended: AtomicU64,
     /// Number of repeated runs. A run is repeated if another run of its task ended within the previous 10 s.
     pub repeated: AtomicU64,
@@ -59,8 +59,8 @@
     busy_us: f64,
     gauges_read: Instant,
     last_index: u64,
-    /// Retained notices with an index, oldest first. When the server opens a new link, the notices that it
-    /// has not read are sent again.
+    /// Retained notices with an index, oldest first. When the server opens a new link, the notices that the
+    /// server has not read are sent again.
     notices: VecDeque<Value>,
     started: Instant,
     counts: Arc<RunCounts>,
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Retains the notices that have an index. If the server does not read them on the current link, they are
+    /// Retains the notices that have an index. Notices that the server does not read on the current link are
     /// sent again on the next link.
     pub fn retain_notices(&mut self, notices: &[Value]) {
         let last_retained = self.notices.back().and_then(|notice| notice["index"].as_u64()).unwrap_or(0);
--- a/crates/test-doubles/src/open_loop.rs
+++ b/crates/test-doubles/src/open_loop.rs
@@ -20,11 +20,11 @@
 pub struct ReplyCounts {
     /// Number of calls that have ended, with or without a reply.
     pub sent: u64,
-    /// Calls that succeeded.
+    /// Number of calls that succeeded.
     pub succeeded: u64,
-    /// Calls that were rejected.
+    /// Number of calls that were rejected.
     pub throttled: u64,
-    /// Calls that failed.
+    /// Number of calls that failed.
     pub errored: u64,
     /// Number of calls without a reply. Either the connection broke, or no connection was available.
     pub unanswered: u64,
--- a/crates/test-doubles/src/soak/checks.rs
+++ b/crates/test-doubles/src/soak/checks.rs
@@ -10,7 +10,7 @@
 pub const DRAIN_GRACE: Duration = Duration::from_millis(200);
 /// Time after the drain notice at which the harness kills a server that still runs.
 pub const STOP_AFTER: Duration = Duration::from_millis(2_000);
-/// Tolerance that the protocol allows for each time limit, if the time is observed at a socket.
+/// Tolerance that the protocol allows for time limits that are observed at sockets.
 pub const SLACK: Duration = Duration::from_millis(50);
 /// Maximum number of open file descriptors of a server. A higher number violates an invariant.
 pub const DESCRIPTORS_MAX: u64 = 256;
@@ -20,8 +20,9 @@
 /// A violated invariant.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum Violation {
-    /// Calls were lost: their connections broke before the reply. Calls that may have been in transit when
-    /// the server closed the connection do not count as lost, if the server was not killed.
+    /// Calls were lost: their connections broke before the reply. A call that may have been in transit when
+    /// the server closed the connection is not lost. If the server was killed, every call on a broken
+    /// connection is lost.
     #[error("s{server}: {lost} calls without a reply: {replies:?}")]
     LostCalls {
         /// Index of the server.
@@ -71,7 +72,7 @@
     AcceptsAtKill {
         /// Index of the server.
         server: usize,
-        /// Counters in the last log line with counters of the server.
+        /// Counters that the server logged last.
         counters: String,
         /// Last lines of the server's log, oldest first.
         log: Vec<String>,
@@ -116,9 +117,9 @@
 /// Totals of a soak run over all servers, for the report.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Totals {
-    /// Calls sent.
+    /// Number of calls sent.
     pub sent: u64,
-    /// Calls that succeeded.
+    /// Number of calls that succeeded.
     pub succeeded: u64,
     /// Number of calls without a reply that may have been in transit when the server closed their connection.
     pub crossed: u64,
@@ -130,8 +131,8 @@
     pub stalled_ms: u64,
 }
 
-/// Returns the violations that the clients of one server observed. A call may have no reply if it may have
-/// been in transit when the server closed the connection. If the server was killed, this exception does not
+/// Returns the violations that the clients of one server observed. Calls that may have been in transit when
+/// the server closed the connection may have no reply. If the server was killed, this exception does not
 /// apply, and every call on a broken connection counts as lost.
 pub fn client_violations(
     server: usize,
--- a/crates/test-doubles/src/soak/plan.rs
+++ b/crates/test-doubles/src/soak/plan.rs
@@ -8,8 +8,8 @@
 /// Length in milliseconds of the period in which signals and faults begin. At the end of this period, the
 /// final signals, including a drain notice, are sent to each server.
 const SPAN_MS: u64 = 5_000;
-/// Upper bound in milliseconds of the random pause before each of the final signals. In a series of equal
-/// signals, each signal is delayed by a random pause below this bound, multiplied by its index in the series.
+/// Upper bound in milliseconds of the random pauses between signals. In a series of equal signals, the n-th
+/// repetition is delayed by n times a random pause.
 const SERIES_GAP_MS: u64 = 40;
 /// Upper bound of the time for which a server without a shared budget is stopped by SIGSTOP, in milliseconds.
 const STOP_MS: u64 = 1_200;
@@ -24,9 +24,9 @@
     Reload,
     /// SIGUSR1 makes the server log its counters.
     LogCounters,
-    /// SIGSTOP, followed by SIGCONT.
+    /// SIGSTOP stops the server, and SIGCONT continues it.
     Stop {
-        /// Time between the two signals.
+        /// Time between SIGSTOP and SIGCONT.
         span: Duration,
     },
     /// The downstream service does not answer the calls that arrive in a certain time.
@@ -56,7 +56,7 @@
 /// Signal that is sent to each server at the end of the period with events.
 #[derive(Clone, Copy, Debug)]
 pub struct LastSignal {
-    /// Pause between the previous signal, if there is one, and this signal.
+    /// Pause immediately before this signal is sent.
     pub after: Duration,
     /// Name of the signal without the prefix `SIG`.
     pub name: &'static str,
@@ -71,7 +71,7 @@
     pub servers: usize,
     /// Number of calls per second that are sent to each server.
     pub rate: f64,
-    /// Core time of each call.
+    /// CPU time that the interpreter spends on each call.
     pub work: Duration,
     /// Time that the downstream service takes for each call.
     pub call_time: Duration,
@@ -83,7 +83,7 @@
 }
 
 impl Plan {
-    /// Draws the plan of a seed.
+    /// Draws a plan from the random numbers of a seed.
     pub fn draw(seed: u64) -> Plan {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let servers = if rng.random_bool(0.35) { 3 } else { 1 };
@@ -129,7 +129,7 @@
     Duration::from_millis(rng.random_range(200..SPAN_MS - 200))
 }
 
-/// Draws a random event. For a signal, the result may be a series of equal events at short intervals.
+/// Draws a random event. The events `Reload` and `LogCounters` may be repeated at short intervals.
 fn draw_events(rng: &mut ChaCha8Rng, servers: usize) -> Vec<Scheduled> {
     let (at, server) = (draw_moment(rng), rng.random_range(0..servers));
     let longest_stop = if servers > 1 { STOP_OVER_LEASE_MS } else { STOP_MS };
--- a/crates/test-doubles/src/soak/play.rs
+++ b/crates/test-doubles/src/soak/play.rs
@@ -25,8 +25,8 @@
 /// Call time of the downstream service while it must not answer. The time is longer than the whole run.
 const SILENT: Duration = Duration::from_secs(60);
 const CONNECT_MAX: Duration = Duration::from_millis(200);
-/// Longest time between two polls of the harness that does not count as a stall of the machine. The time
-/// limits of the protocol are extended by the time of stalls.
+/// Longest time between two polls of the harness that is not a stall of the machine. Stalls do not count
+/// against the time limits of the protocol.
 const STALL: Duration = Duration::from_millis(200);
 const POLL_PERIOD: Duration = Duration::from_millis(5);
 const START_MAX: Duration = Duration::from_secs(30);
@@ -42,7 +42,8 @@
     pub plan: Plan,
     /// Violated invariants.
     pub violations: Vec<Violation>,
-    /// Actions in the order of their execution. Each has the milliseconds since the load began.
+    /// Actions that the harness took, in order. Each begins with the milliseconds since the start of the
+    /// load.
     pub actions: Vec<String>,
     /// Totals of the run.
     pub totals: Totals,
--- a/crates/test-doubles/src/tenant_rehearsal/invocation.rs
+++ b/crates/test-doubles/src/tenant_rehearsal/invocation.rs
@@ -14,7 +14,7 @@
     pub tenant: Tenant,
     /// Name of the tenant, as sent with the invocation.
     pub name: String,
-    /// Whether the invocation is retried as the server advises if the server rejects it.
+    /// Whether a rejected invocation is retried as the server advises.
     pub follows_advice: bool,
 }
 
--- a/crates/test-doubles/src/tenant_rehearsal/plan.rs
+++ b/crates/test-doubles/src/tenant_rehearsal/plan.rs
@@ -1,4 +1,4 @@
-//! Plans of rehearsals.
+//! Defines the plan of a rehearsal and creates two kinds of plans.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
     pub baseline_rate: f64,
     /// Invocations per second that each tenant sends in the overload phase.
     pub overload_rate: f64,
-    /// Core time of each invocation.
+    /// CPU time that the interpreter spends on each invocation.
     pub work: Duration,
     /// Share of the invocations that follow the server's advice, from 0 to 1. If such an invocation is
     /// rejected, it is retried as advised. Other invocations are not retried.
@@ -44,7 +44,7 @@
     pub stops_early: bool,
     /// Text of the options file of the program under test.
     pub options: String,
-    /// Downstream service that invocations call; `None` if they make no downstream calls.
+    /// Downstream service that invocations call; `None` if invocations make no downstream calls.
     pub dependency: Option<SharedDependency>,
 }
 
--- a/crates/test-doubles/src/tenant_rehearsal/play.rs
+++ b/crates/test-doubles/src/tenant_rehearsal/play.rs
@@ -48,7 +48,7 @@
     pub mean_in_flight: f64,
     /// Number of replies for which no caller was waiting.
     pub unexpected_replies: u64,
-    /// Calls whose connection broke.
+    /// Number of calls whose connection broke.
     pub broken_calls: u64,
 }
 
--- a/crates/test-doubles/src/udp_relay.rs
+++ b/crates/test-doubles/src/udp_relay.rs
@@ -19,7 +19,7 @@
 /// Maximum number of datagrams in flight through the relay. Further datagrams are dropped, as at a full
 /// queue.
 pub const IN_FLIGHT_MAX: usize = 100_000;
-/// Period at which the threads of the relay check whether the relay has been dropped and they must end.
+/// Period at which the threads of the relay check whether the relay has been dropped.
 const POLL_PERIOD: Duration = Duration::from_millis(20);
 const DATAGRAM_BYTES_MAX: usize = 65_536;
 
@@ -36,7 +36,7 @@
 /// Counts of the datagrams that a relay has handled.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RelayCounts {
-    /// Datagrams forwarded.
+    /// Number of datagrams forwarded.
     pub forwarded: u64,
     /// Number of datagrams that an injected fault dropped.
     pub dropped: u64,
@@ -122,7 +122,7 @@
         change(&mut lock(&self.shared.faults));
     }
 
-    /// Counts of datagrams so far.
+    /// Returns the counts of datagrams so far.
     pub fn counts(&self) -> RelayCounts {
         *lock(&self.shared.counts)
     }
