--- a/crates/capacity/src/day/run.rs
+++ b/crates/capacity/src/day/run.rs
@@ -24,8 +24,8 @@
 const KEYS: usize = 2_000;
 /// Number of keys that one change sets when the initial configuration is published.
 const KEYS_PER_CHANGE: usize = 200;
-/// Number of latest changes for which a stopped server is no longer a receiver. The server may not have
-/// received these changes before it stopped.
+/// Number of latest changes that a server may not have received before it stopped. The server is removed from
+/// the receivers of these changes.
 const RECENT_CHANGES: usize = 20;
 
 /// A configuration change that the leader accepted.
--- a/crates/capacity/src/report/bounds.rs
+++ b/crates/capacity/src/report/bounds.rs
@@ -1,4 +1,4 @@
-//! Upper bounds of measured values, and the check of a report against them.
+//! Defines upper bounds of measured values and checks whether a report exceeds these bounds.
 
 use super::Report;
 use crate::day::IN_FORCE_SECONDS_BOUND;
--- a/crates/capacity/src/scale.rs
+++ b/crates/capacity/src/scale.rs
@@ -33,7 +33,7 @@
 /// seeds, through which every server joins the fleet.
 pub const CONTROL_MACHINES: usize = 4;
 /// Number of control machines that vote on budget leases and store the replicated configuration log. These
-/// are the first control machines of the fleet.
+/// voters are the first control machines of the fleet.
 pub const VOTERS: usize = 3;
 /// Name of the lease that selects the leader. The holder of this lease leads the replicated configuration
 /// log.
--- a/crates/capacity/src/server.rs
+++ b/crates/capacity/src/server.rs
@@ -1,6 +1,6 @@
 //! Models one server of the fleet. A model server runs the protocol code of membership, shared state and
-//! replication that a real server runs. It handles no invocations. Received datagrams and the simulated time
-//! are its only inputs. Its datagrams are addressed, encoded and authenticated like those of a real server.
+//! replication that a real server runs, but handles no invocations. Its only inputs are received datagrams
+//! and the simulated time. Datagrams are addressed, encoded and authenticated like those of a real server.
 
 use crate::error::ModelError;
 use crate::meter::{Costs, thread_time_ns};
@@ -225,8 +225,8 @@
     pub fn take_outgoing(&mut self) -> Vec<Transmit> {
         let outgoing = self.membership.take_transmits();
         let counts = self.membership.counts();
-        // The counts of membership include the datagrams of shared state and replication. These are
-        // subtracted here.
+        // The counts of membership include the datagrams of shared state and replication. Both are subtracted
+        // here.
         let others = [self.costs.shared_state, self.costs.replication];
         let datagrams: u64 = others.iter().map(|cost| cost.datagrams).sum();
         let bytes: u64 = others.iter().map(|cost| cost.bytes).sum();
--- a/crates/rollout/src/coordinator/state.rs
+++ b/crates/rollout/src/coordinator/state.rs
@@ -13,8 +13,8 @@
     /// The coordinator waits for the rollout lease, a settled view of the fleet, and the baseline of each
     /// server.
     Waiting,
-    /// The servers of the stage are ordered to apply the change. Not all of them have reported yet that they
-    /// run it.
+    /// The servers of the stage are ordered to apply the change. Some of these servers have not reported yet
+    /// that they run the change.
     Applying,
     /// The changed servers of the stage are compared with the unchanged servers.
     Baking,
--- a/crates/rollout/src/rank_test.rs
+++ b/crates/rollout/src/rank_test.rs
@@ -1,7 +1,7 @@
-//! Implements the stratified rank sum test by van Elteren (1960). It tests whether the values of the changed
-//! servers are larger than those of the unchanged servers. Values are compared only within a stratum. A
-//! stratum is one interval, because the load affects all servers alike in an interval. The values of an
-//! interval are ranked, and the weighted rank sums of all intervals are added up.
+//! Implements the stratified rank sum test by van Elteren (1960). The test shows whether the values of the
+//! changed servers are larger than the values of the unchanged servers. Values are compared only within a
+//! stratum. A stratum is one interval, because the load affects all servers alike in an interval. The values
+//! of an interval are ranked, and the weighted rank sums of all intervals are added up.
 //!
 //! Successive intervals of a server are not independent samples. Two variances of the sum are therefore
 //! computed: the test's own, and an estimate that accounts for autocorrelation (Newey and West 1987). The
--- a/crates/test-doubles/src/balancers.rs
+++ b/crates/test-doubles/src/balancers.rs
@@ -1,5 +1,5 @@
-//! Test double of a balancer. It sends the calls of many tenants over shared connections to one server, and
-//! passes each reply to the caller of the call.
+//! Test double of a balancer. The balancer sends the calls of many tenants over shared connections to one
+//! server, and passes each reply to the caller that waits for it.
 
 use async_channel::{Receiver, Sender, bounded};
 use async_executor::LocalExecutor;
--- a/crates/test-doubles/src/fleet/harness.rs
+++ b/crates/test-doubles/src/fleet/harness.rs
@@ -28,7 +28,7 @@
     /// Socket to which all servers send their load reports, in place of a service registry. The reports are
     /// not read.
     registry: UdpSocket,
-    /// Listener to which servers connect if the harness runs no interpreter for them. The kernel accepts the
+    /// Listener to which a server connects if the harness runs no interpreter for it. The kernel accepts the
     /// connections, and no answer is ever sent.
     silent_interpreter: TcpListener,
 }
--- a/crates/test-doubles/src/tcp_relay.rs
+++ b/crates/test-doubles/src/tcp_relay.rs
@@ -1,8 +1,8 @@
-//! Relay that injects network faults into TCP connections from the members of a fleet to one target. It uses
-//! the loopback interface. Each member connects to its own endpoint, by which the relay identifies the
-//! member. The relay delays traffic. It holds back bytes while the member's group is cut off from the
-//! target's group, as on a broken link. It closes a share of the connections when they are opened. The relay
-//! holds at most [`CONNECTIONS_MAX`] connections and ends when it is dropped.
+//! Relay that injects network faults into TCP connections from the members of a fleet to one target. Each
+//! member connects to its own endpoint on the loopback interface, by which the relay identifies the member.
+//! The relay delays traffic. While the member's group is cut off from the target's group, the relay holds
+//! back bytes, as on a broken link. The relay closes a share of the connections when they are opened. The
+//! relay holds at most [`CONNECTIONS_MAX`] connections and ends when it is dropped.
 
 use crate::faults::Faults;
 use rand::{Rng, SeedableRng};
