--- a/crates/capacity/src/at_rest.rs
+++ b/crates/capacity/src/at_rest.rs
@@ -28,7 +28,8 @@
     pub memory_bytes: f64,
     /// Average costs per server, over all servers of the fleet.
     pub costs: PerServer,
-    /// Costs of the control machine that leads the replicated configuration log; `None` without a leader.
+    /// Costs of the control machine that leads the replicated configuration log. `None` if there is no
+    /// leader, or if the costs are from [`measure_idle`].
     #[serde(rename = "publisher")]
     pub leader: Option<PerServer>,
 }
--- a/crates/capacity/src/day/mod.rs
+++ b/crates/capacity/src/day/mod.rs
@@ -21,8 +21,8 @@
 /// Upper bound of the 99th percentile of the time from the leader's acceptance of a change until a server
 /// applies the change, in seconds.
 pub const IN_FORCE_SECONDS_BOUND: f64 = 4.0;
-/// Simulated time that is added after the end of the day, in nanoseconds. Servers apply the last changes in
-/// this time.
+/// Simulated time for which the simulation continues after the end of the day, in nanoseconds. In this time,
+/// servers apply the last changes.
 const CATCH_UP_NS: Nanos = 300 * SECOND_NS;
 
 /// Fleet size and time spans of the simulated day.
@@ -85,7 +85,8 @@
     /// Number of configuration changes that were not accepted. Either there was no leader, or the leader had
     /// too many uncommitted changes.
     pub not_published: usize,
-    /// Number of server restarts and server failures in the simulated day.
+    /// Number of server restarts and server failures in the simulated day. Failures of control machines are
+    /// not counted.
     pub restarts: usize,
     /// Median time from the leader's acceptance of a change until a server applied the change, in seconds.
     /// Covers all changes and all servers that stayed reachable.
@@ -107,9 +108,9 @@
     /// The time starts when the leader accepts the change. Servers that did not stay reachable are left out.
     #[serde(rename = "everywhere_p99")]
     pub everywhere_p99_seconds: f64,
-    /// Longest catch-up time of a server that was cut off or restarted, in seconds. The catch-up time starts
-    /// when the server returns. It ends when the server applies the revision that was newest at its return.
-    /// Servers that never caught up are left out.
+    /// Longest catch-up time of a server that was cut off, or restarted with its disk intact, in seconds. The
+    /// catch-up time starts when the server returns. It ends when the server applies the revision that was
+    /// newest at its return. Servers that never caught up are left out.
     #[serde(rename = "caught_up_worst")]
     pub catch_up_max_seconds: f64,
     /// Longest catch-up time of a server that restarted with an empty disk, in seconds. The catch-up time
--- a/crates/capacity/src/day/run.rs
+++ b/crates/capacity/src/day/run.rs
@@ -1,5 +1,5 @@
-//! Runs the events of the simulated day on the fleet. Records the published changes and the servers that
-//! return after a failure.
+//! Runs the events of the simulated day on the fleet. Records the published changes and the returns of
+//! servers after a restart or a network partition.
 
 use super::DayScale;
 use super::schedule::Event;
@@ -24,8 +24,8 @@
 const KEYS: usize = 2_000;
 /// Number of keys that one change sets when the initial configuration is published.
 const KEYS_PER_CHANGE: usize = 200;
-/// Number of latest changes that a server may not have received before it stopped. The server is removed from
-/// the receivers of these changes.
+/// Number of latest changes to correct when a server stops or is cut off. The server may not have received
+/// these changes, so it is removed from their receivers.
 const RECENT_CHANGES: usize = 20;
 
 /// A configuration change that the leader accepted.
@@ -70,7 +70,7 @@
     /// Number of configuration changes that were not accepted. Either there was no leader, or the leader had
     /// too many uncommitted changes.
     pub(super) not_published: usize,
-    /// Number of server restarts and server failures so far.
+    /// Number of server restarts and server failures so far. Failures of control machines are not counted.
     pub(super) restarts: usize,
     /// Number of the last revision that the leader accepted.
     newest_revision: u64,
--- a/crates/capacity/src/day/summary.rs
+++ b/crates/capacity/src/day/summary.rs
@@ -43,18 +43,17 @@
         Some(first.at.saturating_sub(from) as f64 / SECOND_NS as f64)
     }
 
-    /// Returns the delays in seconds after which the receivers of a change applied it. A receiver that never
-    /// applied the change has the delay [`NEVER_SECONDS`].
+    /// Returns the delay of a change at each of its receivers, in seconds. The delay is [`NEVER_SECONDS`] for
+    /// a receiver that never applied the change.
     fn receiver_seconds(&self, change: &PublishedChange) -> Vec<f64> {
         let seconds =
             |server: &usize| self.seconds_until(*server, change.at, change.number).unwrap_or(NEVER_SECONDS);
         change.receivers.iter().map(seconds).collect()
     }
 
-    /// Returns the longest catch-up time of a returned server, in seconds. If `had_empty_disk` is true,
-    /// considers only servers that returned with an empty disk, and otherwise only the other servers. A
-    /// server that returned several times is measured from its last return. Servers that never caught up are
-    /// left out.
+    /// Returns the longest catch-up time of the returned servers, in seconds. `had_empty_disk` selects the
+    /// servers that returned with an empty disk (true) or with an intact disk (false). A server that returned
+    /// several times is measured from its last return. Servers that never caught up are left out.
     fn longest_catch_up(&self, returned: &[ReturnedServer], had_empty_disk: bool) -> f64 {
         let is_last = |candidate: &ReturnedServer| {
             !returned.iter().any(|other| other.server == candidate.server && other.at > candidate.at)
--- a/crates/capacity/src/incidents.rs
+++ b/crates/capacity/src/incidents.rs
@@ -23,9 +23,9 @@
 /// Minimum simulated time for which sent bytes are measured after the end of a failure, in nanoseconds. A
 /// burst of one server is its average send rate over a period of this length.
 const BURST_NS: Nanos = 10 * SECOND_NS;
-/// Number of servers that restart while the control machines are down. The other incidents restart servers at
-/// the rates [`RESTARTS_PER_DAY`] and [`FAILURES_PER_DAY`]. At these rates, only a few servers, or none,
-/// would restart in this short time.
+/// Number of servers that restart while the control machines are down. At the rates of the other incidents
+/// ([`RESTARTS_PER_DAY`] and [`FAILURES_PER_DAY`]), only a few servers, or none, would restart in this short
+/// time. The larger number ensures that some servers restart.
 const RESTARTS_WITHOUT_CONTROL: usize = 12;
 
 /// Measurements of one simulated incident.
@@ -37,7 +37,7 @@
     /// Number of servers in the fleet.
     pub servers: usize,
     /// Seconds from the failure until the membership views of the running servers agreed; `None` if they did
-    /// not agree in time. After a network partition, the value is 0 if the views on each side agreed when the
+    /// not agree in time. For a network partition, the value is 0 if the views on each side agreed when the
     /// partition ended, and `None` otherwise.
     #[serde(rename = "seen")]
     pub convergence_after_loss: Option<f64>,
@@ -201,8 +201,8 @@
     max as f64 / span_seconds as f64
 }
 
-/// Simulates the failure of a rack: all its servers crash together. The servers start again after
-/// [`RACK_DOWN_NS`].
+/// Simulates the failure of a rack: all its servers crash together. The servers start again [`RACK_DOWN_NS`]
+/// after the membership views of the other servers agree, or after the wait for agreement times out.
 ///
 /// # Errors
 /// Returns an error if the settings are invalid.
--- a/crates/capacity/src/meter.rs
+++ b/crates/capacity/src/meter.rs
@@ -11,9 +11,9 @@
     time.tv_sec as u64 * SECOND_NS + time.tv_nsec as u64
 }
 
-/// Returns the number of heap bytes that this process has allocated and not yet freed. To measure the memory
-/// use of an operation by the difference of two readings, make sure that no other thread allocates or frees
-/// memory meanwhile.
+/// Returns the number of heap bytes that this process has allocated and not yet freed, over all arenas of the
+/// allocator. The difference of two readings is meaningful only if no other thread allocates or frees memory
+/// between the readings.
 pub fn allocated_bytes() -> u64 {
     // SAFETY: mallinfo2 takes no argument and only reads the allocator's statistics, under its locks.
     let info = unsafe { libc::mallinfo2() };
--- a/crates/capacity/src/process.rs
+++ b/crates/capacity/src/process.rs
@@ -194,8 +194,8 @@
         Ok(process)
     }
 
-    /// Waits until the process has logged `message` again, and returns the fields of the new log line. The
-    /// first `lines_before` lines with this message are skipped.
+    /// Waits for a log line with this message and returns the fields of the line. The first `lines_before`
+    /// lines with this message are skipped.
     ///
     /// # Errors
     /// Returns an error if the message is not logged in time, or if the process exits before that.
--- a/crates/capacity/src/process_fleet.rs
+++ b/crates/capacity/src/process_fleet.rs
@@ -13,8 +13,8 @@
 const ALONE_SETTLE: Duration = Duration::from_secs(2);
 const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(90);
 const CONVERGENCE_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Time to wait before the fleet is measured, after all processes have joined. Gossip about the joins ends in
-/// this time.
+/// Time between the moment when all processes have joined and the measurement of the fleet. Gossip about the
+/// joins ends in this time.
 const JOIN_GOSSIP_DURATION: Duration = Duration::from_secs(12);
 const DESCRIPTORS: usize = 256;
 
--- a/crates/capacity/src/scale.rs
+++ b/crates/capacity/src/scale.rs
@@ -107,8 +107,8 @@
     (0..CONTROL_MACHINES).collect()
 }
 
-/// Returns the settings for a fleet of `size` servers. They contain the membership defaults for a local
-/// network, a call budget, counters and replicated configuration.
+/// Returns the settings for a fleet of `size` servers: the membership defaults for a local network, a call
+/// budget, counters and replicated configuration.
 pub fn settings(size: usize) -> Settings {
     let mut membership = meadowstream_membership::Settings::lan("capacity", b"a key of the scale model");
     membership.expected_members = size as u32;
--- a/crates/capacity/src/topology.rs
+++ b/crates/capacity/src/topology.rs
@@ -25,8 +25,8 @@
 /// Divisor that gives the maximum jitter of a network delay: the minimum delay divided by this number.
 const JITTER_DIVISOR: u64 = 2;
 
-/// Region, zone and rack of one server. Servers are assigned to the zones in turn, and zones to the regions
-/// in turn.
+/// Region, zone and rack of one server. Servers are assigned to zones round-robin, and zones to regions
+/// round-robin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Place {
     /// Index of the region, from 0.
@@ -55,7 +55,7 @@
     }
 }
 
-/// Returns the minimum and the jitter of the one-way network delay between two servers.
+/// Returns the minimum and the maximum jitter of the one-way network delay between two servers.
 pub fn delay(from: Place, to: Place) -> Delay {
     let least = if from.zone == to.zone {
         SAME_ZONE_NS
--- a/crates/capacity/tests/model.rs
+++ b/crates/capacity/tests/model.rs
@@ -1,6 +1,6 @@
-//! Tests the fleet model with small fleets. The tests cover cost bounds, results that depend only on the
-//! seed, recovery after failures, and a simulated day of configuration changes. The command `meadowstream
-//! fleet capacity` runs the model with large fleets.
+//! Tests the fleet model with small fleets. The tests cover cost bounds at every fleet size, results that
+//! depend only on the seed, recovery after failures, and a simulated day of configuration changes. The
+//! command `meadowstream fleet capacity` runs the model with large fleets.
 
 use meadowstream_capacity::fit::{Curve, Line, Point};
 use meadowstream_capacity::scale::{BYTES_PER_SECOND_BOUND, Scale};
