--- a/crates/rollout/src/baseline.rs
+++ b/crates/rollout/src/baseline.rs
@@ -6,8 +6,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Minimum number of intervals in the baseline of each server. The first stage begins after all servers have
-/// this many.
+/// Minimum number of intervals in the baseline of each server. The first stage begins only when the baselines
+/// of all servers have this many intervals.
 pub const BASELINE_INTERVALS_MIN: usize = 20;
 /// Minimum number of values from which a baseline is computed. With fewer values, the server has no baseline
 /// for the class and metric.
@@ -43,7 +43,7 @@
 #[derive(Clone, Copy)]
 pub(crate) struct Baseline {
     pub(crate) mean: f64,
-    /// Variance of the estimate `mean` (its squared standard error). The variance of single values is larger.
+    /// Variance of `mean`, that is, its squared standard error. This is not the variance of single values.
     pub(crate) mean_variance: f64,
 }
 
--- a/crates/rollout/src/canary.rs
+++ b/crates/rollout/src/canary.rs
@@ -49,12 +49,12 @@
         class: String,
         /// Metric in which the changed servers perform worse.
         metric: Metric,
-        /// Difference between the means of changed and unchanged servers, as defined by
+        /// Mean of the changed servers minus the mean of the unchanged servers, with the correction of
         /// [`Comparison::difference`](crate::rank_test::Comparison::difference). The unit is the unit of the
         /// metric: a share, or the logarithm of a latency.
         difference: f64,
-        /// One-sided p-value: the probability that chance alone gives the changed servers ranks that are at
-        /// least as high.
+        /// One-sided p-value: the probability that chance alone gives the changed servers ranks at least as
+        /// high as the observed ranks.
         p_value: f64,
     },
 }
--- a/crates/rollout/src/coordinator/baking.rs
+++ b/crates/rollout/src/coordinator/baking.rs
@@ -1,5 +1,5 @@
-//! Compares the changed servers of a stage with the unchanged servers until the bake time of the stage is
-//! over. This phase of a stage is called baking.
+//! Compares changed and unchanged servers in a stage until the bake time of the stage is over. This phase of
+//! a stage is called baking.
 
 use super::{Action, Coordinator, Interval, Phase};
 use crate::Nanos;
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Stops the rollout or rolls it back, as the plan specifies. `reason` is one of these: a regression, a
-    /// failed server, a server that sends no reports, or too few values for a comparison.
+    /// Stops the rollout or rolls it back, as the plan specifies. `reason` describes the cause: a regression,
+    /// a failed server, a server that sends no reports, or too few values for a comparison.
     pub(super) fn stop_or_roll_back(&mut self, now: Nanos, reason: String, actions: &mut Vec<Action>) {
         match self.plan.on_regression {
             OnRegression::Stop => self.end(Phase::Stopped { reason }, actions),
--- a/crates/rollout/src/coordinator/compliance.rs
+++ b/crates/rollout/src/coordinator/compliance.rs
@@ -5,8 +5,8 @@
 use crate::metrics::IntervalMetrics;
 use crate::wire::Report;
 
-/// Maximum number of orders by which a server's latest report may lag behind. With a larger lag, the server
-/// counts as silent.
+/// Maximum lag of a server's latest report: the number of orders sent after the order that the report
+/// answers. With a larger lag, the server counts as silent.
 const SILENT_ORDERS: u64 = 2;
 
 /// The latest report of a server.
--- a/crates/rollout/src/coordinator/rollback.rs
+++ b/crates/rollout/src/coordinator/rollback.rs
@@ -3,8 +3,8 @@
 use super::{Action, Coordinator, Interval, Phase};
 use crate::Nanos;
 
-/// Maximum duration of a rollback, as a multiple of the response timeout. The rollback then ends even if some
-/// servers have not confirmed it.
+/// Maximum duration of a rollback, as a multiple of the response timeout. After this time, the rollback ends
+/// even if some servers have not confirmed it.
 const ROLLBACK_TIMEOUT_FACTOR: Nanos = 2;
 
 impl Coordinator {
--- a/crates/rollout/src/coordinator/state.rs
+++ b/crates/rollout/src/coordinator/state.rs
@@ -16,7 +16,7 @@
     /// The servers of the stage are ordered to apply the change. Some of these servers have not reported yet
     /// that they run the change.
     Applying,
-    /// The changed servers of the stage are compared with the unchanged servers.
+    /// The changed servers are compared with the unchanged servers.
     Baking,
     /// Every server is ordered to run its own settings or program again.
     RollingBack {
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -12,7 +12,7 @@
 pub const NAME_BYTES_MAX: usize = 64;
 /// Maximum number of stages in a plan.
 pub const STAGES_MAX: usize = 32;
-/// Minimum number of intervals from which servers are compared.
+/// Minimum number of intervals that a comparison of servers needs.
 pub const INTERVALS_MIN: usize = 6;
 /// Maximum of the latency threshold in a plan. The threshold is a relative increase of the 95th percentile of
 /// latency.
@@ -72,7 +72,8 @@
     pub bake_time: Nanos,
 }
 
-/// Action to take when the changed servers perform worse.
+/// Action to take if the changed servers perform worse, a server fails, or there are too few values to
+/// compare.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OnRegression {
     /// Stop the rollout. The servers changed so far keep the change, and no further server is changed.
@@ -142,7 +143,8 @@
     /// Stages of the plan, at least 1 and at most [`STAGES_MAX`]. Each stage is larger than the previous
     /// stage.
     pub stages: Vec<Stage>,
-    /// Action to take when the changed servers perform worse.
+    /// Action to take if the changed servers perform worse, a server fails, or there are too few values to
+    /// compare.
     pub on_regression: OnRegression,
     /// Thresholds above which a difference between changed and unchanged servers counts as a regression.
     pub thresholds: Thresholds,
@@ -152,8 +154,8 @@
     /// Time for which the fleet's view must be unchanged to count as settled, in nanoseconds. A stage begins,
     /// and bake time counts, only while the view is settled.
     pub settle_time: Nanos,
-    /// Time after a change in which the changed servers are not compared, in nanoseconds. A process that has
-    /// just started is slower for a while, whatever its program is.
+    /// Time after a change in which servers are not compared, in nanoseconds. A process that has just started
+    /// is slower for a while, whatever its program is.
     pub warm_up: Nanos,
     /// Maximum time for a server to carry out an order and send a report, in nanoseconds.
     pub response_timeout: Nanos,
--- a/crates/rollout/src/rank_test.rs
+++ b/crates/rollout/src/rank_test.rs
@@ -25,11 +25,11 @@
 /// Result of a comparison.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Comparison {
-    /// Difference between the groups: the mean of the changed servers, minus the mean of the unchanged
-    /// servers, minus twice the standard error of the baselines.
+    /// Difference between the changed and the unchanged servers: the mean of the changed servers, minus the
+    /// mean of the unchanged servers, minus twice the standard error of the baselines.
     pub difference: f64,
-    /// One-sided p-value: the probability that chance alone gives the changed servers ranks that are at least
-    /// this high.
+    /// One-sided p-value: the probability that chance alone gives the changed servers ranks at least as high
+    /// as the observed ranks.
     pub p_value: f64,
 }
 
@@ -63,9 +63,9 @@
     })
 }
 
-/// Returns the mean difference between the groups, minus twice the standard error of the changed servers'
-/// baselines. A baseline is the mean of few intervals, and its error affects all values of its server.
-/// Without the subtraction, this error could count as a regression.
+/// Returns the mean difference between changed and unchanged servers, minus twice the standard error of the
+/// changed servers' baselines. A baseline is the mean of few intervals, and its error affects all values of
+/// its server. Without the subtraction, this error could count as a regression.
 fn mean_difference(strata: &[&Stratum]) -> f64 {
     let difference = |stratum: &&Stratum| mean(&stratum.changed) - mean(&stratum.unchanged);
     let standard_error = |stratum: &&Stratum| stratum.baseline_variance.sqrt() / stratum.changed.len() as f64;
--- a/crates/rollout/tests/fixed_bytes.rs
+++ b/crates/rollout/tests/fixed_bytes.rs
@@ -1,6 +1,6 @@
 //! Tests the compatibility of wire messages and files with release 0.2.0 (commit 22d0bb6). Orders, reports
 //! and the coordinator's state file must encode to the bytes recorded from that release. The recorded bytes
-//! must decode to the encoded values.
+//! must decode to the original values.
 
 use meadowstream_rollout::baseline::Baselines;
 use meadowstream_rollout::coordinator::{PersistedState, Phase};
--- a/crates/rollout/tests/rollouts.rs
+++ b/crates/rollout/tests/rollouts.rs
@@ -2,8 +2,8 @@
 //! all servers at once, noise is autocorrelated, and orders and reports get lost. All random numbers come
 //! from fixed seeds.
 //!
-//! To print the rates of false stops and missed regressions that docs/rollout.md lists: `cargo test -p
-//! meadowstream-rollout -- --nocapture`.
+//! To print the rates of false stops and missed regressions that docs/rollout.md lists:
+//! `cargo test -p meadowstream-rollout -- --nocapture`.
 
 use meadowstream_rollout::coordinator::{Action, Coordinator, FleetView, PersistedState, Phase};
 use meadowstream_rollout::metrics::IntervalMetrics;
