--- a/crates/capacity/src/incidents.rs
+++ b/crates/capacity/src/incidents.rs
@@ -166,8 +166,8 @@
         }
     }
 
-    /// Converts the measurements to an [`Incident`]. Fields that only some kinds of incident set keep their
-    /// defaults.
+    /// Converts the measurements to an [`Incident`]. Fields that apply only to some kinds of incident keep
+    /// their default values.
     fn into_incident(self, scale: &Scale, description: String, after_loss: Option<f64>) -> Incident {
         Incident {
             description,
--- a/crates/capacity/src/scale.rs
+++ b/crates/capacity/src/scale.rs
@@ -49,7 +49,7 @@
 /// numbers.
 const SIZE_DIVISORS: [usize; 5] = [16, 8, 4, 2, 1];
 
-/// Fleet size and time spans of the simulations of the fleet model.
+/// Fleet size and time spans of simulations with the fleet model.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Scale {
     /// Number of servers in the largest simulated fleet.
--- a/crates/rollout/src/version_table.rs
+++ b/crates/rollout/src/version_table.rs
@@ -71,9 +71,9 @@
         }
     }
 
-    /// Returns the entries to send to another server. These are this server's entry and up to [`RELAYED_MAX`]
-    /// entries of other servers. The other entries follow each other in the order of server names. The random
-    /// number `draw` selects the first of them.
+    /// Returns the entries to send to another server: this server's entry and up to [`RELAYED_MAX`] entries
+    /// of other servers. The random number `draw` selects the first of the other servers. The rest follow in
+    /// the order of server names.
     pub fn announcement(&self, draw: u64) -> Vec<ServerVersion> {
         let count = self.others.len();
         let start = if count == 0 { 0 } else { (draw % count as u64) as usize };
--- a/crates/rollout/tests/rollouts.rs
+++ b/crates/rollout/tests/rollouts.rs
@@ -70,7 +70,7 @@
     now: u64,
     /// Time since the last change of the coordinator's view, in nanoseconds.
     settled: u64,
-    /// Probability of loss of each order and of each report.
+    /// Probability that one order or one report is lost.
     loss: f64,
     saved: Option<PersistedState>,
     messages: Vec<String>,
@@ -335,8 +335,8 @@
     assert!(missed <= 1 && at_first_stage >= 15, "{missed} missed, {at_first_stage} at the first stage");
 }
 
-/// Rolls out a change without effect where half of the servers are permanently slower than the others.
-/// Without baselines, the comparison would attribute this difference to the change.
+/// Rolls out a change without effect to a fleet in which half of the servers are permanently slower than the
+/// others. Without baselines, the comparison would attribute this difference to the change.
 #[test]
 fn permanent_differences_between_servers_are_no_regression() {
     for seed in 0..10 {
--- a/crates/test-doubles/src/balancers.rs
+++ b/crates/test-doubles/src/balancers.rs
@@ -13,8 +13,9 @@
 
 /// Maximum number of calls in flight on one connection.
 const CALLS_MAX: usize = 32;
-/// Time before the end of a connection in which a sent call counts as crossed. A crossed call may have been
-/// in transit when the server closed the connection. [`Balancer::crossed_calls`] counts such calls.
+/// A call counts as crossed if it is sent within this time before the end of its connection. A crossed call
+/// may have been in transit when the server closed the connection. [`Balancer::crossed_calls`] counts such
+/// calls.
 const CROSSING: Duration = Duration::from_millis(50);
 const READ_CHUNK_BYTES: usize = 16 * 1024;
 
@@ -206,7 +207,7 @@
         }
     }
 
-    /// Passes a reply to the caller of its call. A message with tag 0 is not a reply, but the server's notice
+    /// Passes a reply to the caller of its call. A message with tag 0 is no reply. It is the server's notice
     /// that it drains the connection.
     fn handle_reply(&self, connection: &Connection, words: &[Vec<u8>]) {
         let tag = std::str::from_utf8(&words[0]).ok().and_then(|text| text.parse::<u64>().ok());
--- a/crates/test-doubles/src/fleet/files.rs
+++ b/crates/test-doubles/src/fleet/files.rs
@@ -11,8 +11,8 @@
 /// Number of probe periods for which a member stays suspect before it is declared down.
 pub const SUSPICION_PERIODS: u64 = 5;
 
-/// Options of a fleet harness. They set the programs and addresses of its processes, and additional content
-/// of the options files.
+/// Options of a fleet harness, such as the programs and addresses of its processes and additional content of
+/// their options files.
 #[derive(Default)]
 pub struct HarnessOptions {
     /// Number of cores of each server's interpreter. If this is 0, the harness starts no interpreters.
--- a/crates/test-doubles/src/fleet/view.rs
+++ b/crates/test-doubles/src/fleet/view.rs
@@ -14,10 +14,10 @@
 /// [`FleetHarness::wait_for_agreement`]. The times are counted from the instant `since` of that function.
 #[derive(Debug, Clone)]
 pub struct AgreementTimes {
-    /// Time until each server first saw all other expected members, and no further member, alive. The key is
-    /// the index of the server.
+    /// Time until each server first saw exactly the other expected members alive. The key is the index of the
+    /// server.
     pub by_server: BTreeMap<usize, Duration>,
-    /// Time until all servers simultaneously saw all other expected members, and no further member, alive.
+    /// Time until all servers saw exactly the other expected members alive at the same time.
     pub all: Duration,
 }
 
@@ -69,14 +69,13 @@
         not_down == expected.len() && expected.iter().all(is_alive)
     }
 
-    /// Returns whether each server in `members` sees all others in `members`, and no further member, alive.
+    /// Returns whether each server in `members` sees exactly the other servers in `members` alive.
     pub fn views_agree(&self, members: &[usize]) -> bool {
         members.iter().all(|&index| self.sees(index, members))
     }
 
-    /// Waits until each server in `members` sees all others in `members`, and no further member, alive.
-    /// Returns the times of agreement, counted from `since`. Fails after the time `within` with a report of
-    /// the logs.
+    /// Waits until each server in `members` sees exactly the other servers in `members` alive. Returns the
+    /// times of agreement, counted from `since`. Fails after the time `within` with a report of the logs.
     pub fn wait_for_agreement(
         &self,
         members: &[usize],
--- a/crates/test-doubles/src/interpreter/link.rs
+++ b/crates/test-doubles/src/interpreter/link.rs
@@ -47,7 +47,7 @@
             Event::Closed => return Ok(()),
         }
         // Only notices with an index are retained. The notice that a command has halted a run has an index. A
-        // direct reply to a command has none.
+        // direct reply to a command has no index.
         machine.retain_notices(&notices[run_notices..]);
         let text: String = notices.iter().map(|notice| format!("{notice}\n")).collect();
         (&stream).write_all(text.as_bytes()).await?;
--- a/crates/test-doubles/src/interpreter/machine.rs
+++ b/crates/test-doubles/src/interpreter/machine.rs
@@ -13,7 +13,7 @@
 pub struct RunCounts {
     /// Number of runs that have begun.
     pub begun: AtomicU64,
-    /// Number of runs that have ended.
+    /// Number of runs that have ended. Halted runs are not counted.
     pub ended: AtomicU64,
     /// Number of repeated runs. A run is repeated if another run of its task ended within the previous 10 s.
     pub repeated: AtomicU64,
--- a/crates/test-doubles/src/lib.rs
+++ b/crates/test-doubles/src/lib.rs
@@ -1,8 +1,8 @@
 //! Test doubles of the services with which a server communicates: an interpreter, a downstream service, a
 //! service registry, and balancers with tenants. The test doubles are written from the protocols. The crate
 //! also contains relays that inject network faults, harnesses that run the program with the test doubles
-//! ([`tenant_rehearsal`], [`fleet`]), and a soak test with random seeds ([`soak`]). All of them use only the
-//! loopback interface, and their run time is bounded.
+//! ([`tenant_rehearsal`], [`fleet`]), and a soak test whose random choices are drawn from a seed ([`soak`]).
+//! All of them use only the loopback interface and end by themselves.
 
 #![deny(missing_docs, clippy::too_many_lines)]
 
--- a/crates/test-doubles/src/registry.rs
+++ b/crates/test-doubles/src/registry.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
 /// Starts a registry on the loopback interface, on a thread that runs until the process ends. Returns the
-/// address of the registry and the number of reports received so far. Fails if no socket can be bound.
+/// address of the registry and a counter of the received reports. Fails if no socket can be bound.
 pub fn start() -> std::io::Result<(SocketAddr, Arc<AtomicU64>)> {
     let socket = UdpSocket::bind(("127.0.0.1", 0))?;
     let address = socket.local_addr()?;
--- a/crates/test-doubles/src/soak/checks.rs
+++ b/crates/test-doubles/src/soak/checks.rs
@@ -131,9 +131,9 @@
     pub stalled_ms: u64,
 }
 
-/// Returns the violations that the clients of one server observed. Calls that may have been in transit when
-/// the server closed the connection may have no reply. If the server was killed, this exception does not
-/// apply, and every call on a broken connection counts as lost.
+/// Returns the violations that the clients of one server observed. A missing reply is no violation if the
+/// call may have been in transit when the server closed the connection. If the server was killed, this
+/// exception does not apply, and every call on a broken connection counts as lost.
 pub fn client_violations(
     server: usize,
     replies: &ReplyCounts,
--- a/crates/test-doubles/src/soak/plan.rs
+++ b/crates/test-doubles/src/soak/plan.rs
@@ -29,9 +29,9 @@
         /// Time between SIGSTOP and SIGCONT.
         span: Duration,
     },
-    /// The downstream service does not answer the calls that arrive in a certain time.
+    /// For some time, the downstream service does not answer newly arriving calls.
     SilentService {
-        /// Length of the time in which arriving calls are not answered.
+        /// Time for which newly arriving calls are not answered.
         span: Duration,
     },
     /// Clients open more idle connections than the server has file descriptors. The clients do not close
--- a/crates/test-doubles/src/soak/play.rs
+++ b/crates/test-doubles/src/soak/play.rs
@@ -25,8 +25,8 @@
 /// Call time of the downstream service while it must not answer. The time is longer than the whole run.
 const SILENT: Duration = Duration::from_secs(60);
 const CONNECT_MAX: Duration = Duration::from_millis(200);
-/// Longest time between two polls of the harness that is not a stall of the machine. Stalls do not count
-/// against the time limits of the protocol.
+/// Maximum time between two polls of the harness. A longer gap counts as a stall of the machine. Stalls do
+/// not count against the time limits of the protocol.
 const STALL: Duration = Duration::from_millis(200);
 const POLL_PERIOD: Duration = Duration::from_millis(5);
 const START_MAX: Duration = Duration::from_secs(30);
@@ -42,8 +42,8 @@
     pub plan: Plan,
     /// Violated invariants.
     pub violations: Vec<Violation>,
-    /// Actions that the harness took, in order. Each begins with the milliseconds since the start of the
-    /// load.
+    /// Actions that the harness took, in order. Each entry begins with the milliseconds since the start of
+    /// the load.
     pub actions: Vec<String>,
     /// Totals of the run.
     pub totals: Totals,
@@ -323,8 +323,8 @@
         }
     }
 
-    /// Reads the number of file descriptors and the memory of each server. If the previous call was longer
-    /// ago than [`STALL`], records a stall of the machine.
+    /// Reads the number of file descriptors and the memory of each server. If more than [`STALL`] has passed
+    /// since the previous poll, records a stall of the machine.
     fn sample(&mut self) {
         let gap = self.polled_at.elapsed();
         self.polled_at = Instant::now();
--- a/crates/test-doubles/src/tcp_relay.rs
+++ b/crates/test-doubles/src/tcp_relay.rs
@@ -1,8 +1,8 @@
 //! Relay that injects network faults into TCP connections from the members of a fleet to one target. Each
 //! member connects to its own endpoint on the loopback interface, by which the relay identifies the member.
-//! The relay delays traffic. While the member's group is cut off from the target's group, the relay holds
-//! back bytes, as on a broken link. The relay closes a share of the connections when they are opened. The
-//! relay holds at most [`CONNECTIONS_MAX`] connections and ends when it is dropped.
+//! The relay delays traffic, with jitter. While the member's group is cut off from the target's group, the
+//! relay holds back bytes, as on a broken link. The relay closes a share of the connections when they are
+//! opened. The relay holds at most [`CONNECTIONS_MAX`] connections and ends when it is dropped.
 
 use crate::faults::Faults;
 use rand::{Rng, SeedableRng};
@@ -17,8 +17,8 @@
 /// Maximum number of concurrent connections of a relay. The relay accepts further connections and closes them
 /// immediately.
 pub const CONNECTIONS_MAX: usize = 512;
-/// Period at which the threads of the relay poll. They check for a new connection, for the end of a cut, and
-/// for the end of the relay.
+/// Period at which the threads of the relay check for a new connection, for the end of a cut, and whether the
+/// relay has been dropped.
 const POLL_PERIOD: Duration = Duration::from_millis(5);
 const READ_TIMEOUT: Duration = Duration::from_millis(20);
 const CHUNK_BYTES: usize = 16 * 1024;
@@ -107,8 +107,7 @@
         self.stop.load(Ordering::Relaxed)
     }
 
-    /// Returns whether bytes between a member and the target may pass in this direction. They may not pass
-    /// during a cut.
+    /// Returns whether bytes between a member and the target may pass in this direction. A cut blocks them.
     fn passes(&self, member: usize, direction: Direction) -> bool {
         let faults = lock(&self.faults);
         let (member, target) = (faults.group(member), self.target_group);
@@ -157,8 +156,8 @@
     target: SocketAddr,
     shared: &Arc<Shared>,
 ) -> std::io::Result<()> {
-    // During a cut, a new connection waits until the cut ends. On a broken link, the caller would get no
-    // error either.
+    // During a cut, a new connection waits for the end of the cut and is not refused. On a broken link, too,
+    // the caller would get no error.
     while !shared.passes(member, Direction::ToTarget) && !shared.stopped() {
         std::thread::sleep(POLL_PERIOD);
     }
--- a/crates/test-doubles/src/tenant_rehearsal.rs
+++ b/crates/test-doubles/src/tenant_rehearsal.rs
@@ -1,6 +1,6 @@
-//! Rehearsal with many tenants. It starts the program with the test doubles, sends the load of each group of
-//! tenants, and stops the program. The load has a baseline phase and then an overload phase. The plan sets
-//! the duration of both.
+//! Rehearsal with many tenants. The rehearsal starts the program with the test doubles, sends the load of
+//! each group of tenants, and stops the program. The load has a baseline phase and then an overload phase.
+//! The plan sets the duration of each phase.
 
 mod arrivals;
 mod invocation;
--- a/crates/test-doubles/src/tenant_rehearsal/arrivals.rs
+++ b/crates/test-doubles/src/tenant_rehearsal/arrivals.rs
@@ -1,5 +1,5 @@
-//! Sends the invocations of a tenant at random times. The arrivals are a Poisson process. Its rate is set for
-//! the tenant's group, separately for the baseline phase and the overload phase.
+//! Sends the invocations of a tenant at random times. The arrivals are a Poisson process. Each group of
+//! tenants has one arrival rate for the baseline phase and one for the overload phase.
 
 use super::invocation::Invocation;
 use super::load::{Load, Tenant};
--- a/crates/test-doubles/src/tenant_rehearsal/plan.rs
+++ b/crates/test-doubles/src/tenant_rehearsal/plan.rs
@@ -104,8 +104,9 @@
     }
 }
 
-/// Returns a plan with a downstream service that is eight times slower in the overload phase. The demand for
-/// downstream calls is then four times the program's quota, while the cores still have spare capacity.
+/// Returns a plan with a downstream service whose calls take eight times as long in the overload phase. The
+/// demand for downstream calls is then four times the program's quota, while the cores still have spare
+/// capacity.
 pub fn slow_dependency_plan(baseline: Duration, overload: Duration) -> RehearsalPlan {
     let plan = overload_plan(baseline, overload, 20);
     let group = TenantGroup { baseline_rate: 5.0, overload_rate: 5.0, ..plan.groups[0].clone() };
--- a/crates/test-doubles/src/tenant_rehearsal/play.rs
+++ b/crates/test-doubles/src/tenant_rehearsal/play.rs
@@ -25,7 +25,7 @@
 const DEFAULT_CALL_TIME: Duration = Duration::from_millis(5);
 const PROGRESS_PERIOD: Duration = Duration::from_secs(1);
 const POLL_PERIOD: Duration = Duration::from_millis(10);
-/// Time to wait after the log line with the counters. The program writes further log lines after this line.
+/// Time to wait for the log lines that the program writes after the line with its counters.
 const COUNTERS_WAIT: Duration = Duration::from_millis(100);
 
 /// Measurements of a rehearsal.
@@ -36,7 +36,7 @@
     pub counters: HashMap<String, u64>,
     /// Lines in the program's log about the shares of the tenants.
     pub tenant_lines: Vec<String>,
-    /// Peak resident memory of the program at the end of the load, in KiB.
+    /// Peak resident memory of the program up to the end of the load, in KiB.
     pub peak_kib: u64,
     /// Exit code of the program; `None` if the program was ended by a signal.
     pub exit: Option<i32>,
@@ -105,8 +105,8 @@
     mean_in_flight: f64,
 }
 
-/// Starts all tenants and runs the baseline and overload phases. Then waits for outstanding replies. If the
-/// plan stops the program early, does not wait.
+/// Starts all tenants and runs the baseline and overload phases. Then waits for outstanding replies, for at
+/// most four times the latency objective. Does not wait if the plan stops the program early.
 async fn run_load(
     load: &Rc<Load>,
     balancers: &[Rc<Balancer>],
--- a/crates/test-doubles/src/udp_relay.rs
+++ b/crates/test-doubles/src/udp_relay.rs
@@ -1,9 +1,9 @@
-//! Relay that injects network faults into the UDP datagrams between the members of a fleet. It uses the
-//! loopback interface. Each member has an endpoint at the relay, to which the other members send. The relay
-//! forwards a datagram from the sender's endpoint, so that the receiver can identify the sender. The relay
-//! drops, delays, duplicates and reorders datagrams and cuts off groups, as set in [`Faults`]. The faults may
-//! change at any time. Random choices are drawn from one seed. The relay holds at most [`IN_FLIGHT_MAX`]
-//! datagrams and ends when it is dropped.
+//! Relay that injects network faults into the UDP datagrams between the members of a fleet. Each member has
+//! an endpoint at the relay on the loopback interface, to which the other members send. The relay forwards a
+//! datagram from the sender's endpoint, so that the receiver can identify the sender. The relay drops, delays
+//! (with jitter), duplicates and reorders datagrams, and cuts off groups in one or both directions, as set in
+//! [`Faults`]. The faults may change at any time. Random choices are drawn from one seed. The relay holds at
+//! most [`IN_FLIGHT_MAX`] datagrams and ends when it is dropped.
 
 use crate::faults::Faults;
 use rand::{Rng, SeedableRng};
