--- a/crates/cli/examples/mixed_fleet.rs
+++ b/crates/cli/examples/mixed_fleet.rs
@@ -96,9 +96,9 @@
 /// Puts all servers under load and checks that they share the call budget.
 ///
 /// The load of each server needs more concurrent downstream calls than the server may make without a lease
-/// ([`BUDGET_FLOOR`]). Each server must get a lease. The leases together must cover the budget without the
-/// floors of all servers, except for at most one call. The downstream service must never have more concurrent
-/// calls than the budget.
+/// ([`BUDGET_FLOOR`]). Each server must get a lease. The leasable part of the budget is its total without the
+/// floors of all servers. At most one call of this part may stay unleased. The downstream service must never
+/// have more concurrent calls than the budget.
 fn share_budget(fleet: &FleetHarness, downstream: &downstream_service::DownstreamService) -> Result<()> {
     let servers: Vec<usize> = (CONTROL_MACHINES..PROCESSES).collect();
     let mut loads = Vec::new();
--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -17,7 +17,7 @@
 /// Default time for which a rollout waits to get the rollout lease, in seconds.
 const ROLLOUT_WAIT_S: u64 = 120;
 
-/// A command of the command line, with its arguments.
+/// A parsed command line: the command to execute and its arguments.
 pub enum Command {
     /// Run the server until the process receives a stop signal.
     Serve {
@@ -49,14 +49,15 @@
         /// Number of processes to start.
         servers: usize,
     },
-    /// Simulate a large fleet and measure the costs of one server.
+    /// Simulate a large fleet and measure its costs per server, such as processor time, memory and network
+    /// traffic.
     FleetCapacity {
         /// Size of the simulated fleet, random seed and duration of the measurement.
         options: CapacityOptions,
         /// Path of a file to which the report is written as JSON.
         json: Option<PathBuf>,
     },
-    /// Roll out a change of settings or program to the fleet in stages.
+    /// Roll out changed settings or a new program to the fleet in stages.
     Rollout(coordinator::RolloutArguments),
     /// Print the progress of a rollout.
     RolloutStatus {
--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -94,8 +94,8 @@
     Ok(())
 }
 
-/// Measures the costs of a large fleet and prints them as a table. Returns an error if a cost exceeds its
-/// bound.
+/// Measures the costs of a large fleet per server, such as processor time, memory and network traffic, and
+/// prints them as a table. Returns an error if a cost exceeds its bound.
 fn measure_capacity(options: CapacityOptions, json: Option<PathBuf>) -> Result<()> {
     let report = report::run(&this_program()?, options, |line| println!("{line}"))?;
     println!("\n{}", report.table());
--- a/crates/cli/tests/fair_queues.rs
+++ b/crates/cli/tests/fair_queues.rs
@@ -73,11 +73,12 @@
         "{:?}",
         light.by_tenant
     );
-    // Nearly all advised retries must be admitted, apart from broken promises. The server breaks a promise of
-    // admission if its learned concurrency limit has fallen below half since the promise, for example because
-    // the machine stalled. It counts broken promises as `broken`: 14 in one of three runs beside six busy
-    // processes, 0 in most runs. The ratio of admitted retries was 0.73 when retries had no place in the
-    // order of the queue.
+    // An advised retry waits for the advised time and carries a ticket, with which the server promised to
+    // admit the retry. Nearly all advised retries must be admitted, except those with a broken promise. The
+    // server breaks a promise if its learned concurrency limit has fallen below half since the promise, for
+    // example because the machine stalled. It counts broken promises as `broken`: 14 in one of three runs
+    // beside six busy processes, 0 in most runs. The ratio of admitted retries was 0.73 when retries had no
+    // place in the order of the queue.
     let retries = light.advised_retries + flood.advised_retries;
     let broken = count_of(&report, "broken");
     let admitted_ratio = (light.advised_retries_admitted + flood.advised_retries_admitted) as f64
--- a/crates/cli/tests/fleet_rollout.rs
+++ b/crates/cli/tests/fleet_rollout.rs
@@ -15,7 +15,7 @@
 const ALL: [usize; 6] = [0, 1, 2, 3, 4, 5];
 const VOTERS: &str = r#"<voter name="s0"/><voter name="s1"/><voter name="s2"/>"#;
 
-/// Serializes the tests. Concurrent tests (seven processes each) would delay the plans' 250 ms intervals.
+/// Serializes the tests. With seven processes each, they would delay each other's 250 ms plan intervals.
 static EXCLUSIVE: Mutex<()> = Mutex::new(());
 
 fn lock_exclusive() -> MutexGuard<'static, ()> {
--- a/crates/cli/tests/fleet_state.rs
+++ b/crates/cli/tests/fleet_state.rs
@@ -80,7 +80,7 @@
     let agree = || {
         let totals: Vec<u64> = servers.iter().map(|&i| fleet_total(fleet, i, "invocations")).collect();
         let equal = totals.iter().all(|total| *total == totals[0]);
-        // The results that the servers counted must cover every call that was answered without an error.
+        // The totals of succeeded and throttled calls must include all calls with an error-free reply.
         let answered =
             |&i: &usize| fleet_total(fleet, i, "succeeded/load") + fleet_total(fleet, i, "throttled/load");
         let by_result = servers.iter().all(|i| answered(i) + replies.errored + replies.unanswered >= sent);
@@ -146,7 +146,7 @@
     println!("{most} concurrent calls of {TOTAL}; {replies:?}; {} calls", downstream.calls.load(Relaxed));
     assert!(most <= TOTAL, "{most} concurrent calls");
     assert!(most >= TOTAL / 2 && replies.succeeded > 0, "{most} concurrent calls, {replies:?}");
-    // At most 1 % of the calls may fail or get no reply. If nothing else runs on the machine, no call does.
+    // At most 1 % of the calls may fail or get no reply. On an otherwise idle machine, all calls succeed.
     assert!((replies.errored + replies.unanswered) * 100 <= replies.sent, "over 1 % failed: {replies:?}");
     expect_equal_totals(&fleet, &all, &replies);
 
@@ -231,7 +231,7 @@
     assert!(fleet.has_logged(0, "configuration kept as it was"), "the rejected reload is in the log");
 }
 
-/// Time after which a server's report that a service fails expires, in the tests of outlier detection.
+/// Expiry time of a server's report that a service fails, in the tests of outlier detection.
 const EXPIRY: Duration = Duration::from_millis(2000);
 
 /// Five processes that share a tier of four downstream services. Each service is behind a relay of its own.
--- a/crates/cli/tests/scenario_harness/balancer.rs
+++ b/crates/cli/tests/scenario_harness/balancer.rs
@@ -7,7 +7,7 @@
 /// A client connection to the server, like the connections that a load balancer opens.
 pub struct Balancer {
     pub stream: BufReader<TcpStream>,
-    /// Replies to other calls that arrived while the test waited for a reply.
+    /// Replies that arrived while the test waited for the reply to another call.
     pub replies: Vec<Vec<String>>,
 }
 
--- a/crates/cli/tests/scenario_harness/mod.rs
+++ b/crates/cli/tests/scenario_harness/mod.rs
@@ -92,7 +92,7 @@
     listen: String,
     balancers: HashMap<String, Balancer>,
     interpreter: TcpListener,
-    /// Start time that a banner (the interpreter's first message on a link) reports if its step has no age.
+    /// Start time of the interpreter; a `banner` step without an age reports the time since this start.
     interpreter_started: Instant,
     /// Open connections that fill the accept queue of a listener.
     queue_fillers: Vec<TcpStream>,
--- a/crates/cli/tests/soak.rs
+++ b/crates/cli/tests/soak.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use test_case::test_case;
 
-/// Longest wait for a server's log line with its listen address.
+/// Maximum time to wait until a server logs its listen address.
 const START_MAX: Duration = Duration::from_secs(20);
 /// Number of soak runs that the test `by_hand` executes at the same time.
 const CONCURRENT_RUNS: usize = 3;
@@ -79,8 +79,9 @@
     assert!(report.violations.is_empty(), "{}", summary(&report));
 }
 
-/// A call that a client sends to a server that has exited must not reach a server of another fleet that the
-/// system has given the same port. Otherwise the call succeeds long after the drain grace.
+/// Each fleet must have an IP address of its own. If fleets shared an address, the system could give the port
+/// of an exited server to a server of another fleet. A late call to the exited server would then succeed long
+/// after its drain grace.
 #[test]
 fn each_fleet_accepts_calls_at_its_own_address() {
     let program = Path::new(env!("CARGO_BIN_EXE_meadowstream"));
--- a/crates/configuration/src/options.rs
+++ b/crates/configuration/src/options.rs
@@ -29,7 +29,8 @@
     pub tenants: Option<Tenants>,
     /// `<tokens>`: idempotency keys.
     pub idempotency_keys: Option<IdempotencyKeys>,
-    /// `<calls left-out>`: reply that a run receives instead of the result of a skipped downstream call.
+    /// `<calls left-out>`: reply that a running operation receives instead of the result of its downstream
+    /// call if the server skips the call.
     pub skipped_call_reply: Option<String>,
     /// `<membership>`: settings of the server as a member of a fleet.
     pub membership: Option<Membership>,
--- a/crates/configuration/src/tenants.rs
+++ b/crates/configuration/src/tenants.rs
@@ -20,7 +20,7 @@
 /// Part of a call that identifies the tenant of the call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TenantSource {
-    /// The number of the sender in the call.
+    /// The sender number that the call contains.
     Sender,
     /// The IP address of the peer.
     Peer,
--- a/crates/deployment-settings/src/deployment.rs
+++ b/crates/deployment-settings/src/deployment.rs
@@ -8,8 +8,8 @@
 use crate::{DeploymentSettings, SettingsError};
 use meadowstream_overload_control::{Deployment, Downstream, Effect, Operation, TARGET_UTILIZATION};
 
-/// Path of a list in the platform's settings. The list contains, for each operation, the share of its value
-/// that a degraded answer keeps.
+/// Path of a list in the platform's settings. For each operation, the list contains the value of a degraded
+/// answer, as a ratio of the value of a full answer.
 const DEGRADED_VALUES: &str = "family-info.degraded-worth";
 
 /// Reads all settings.
@@ -64,8 +64,8 @@
     })
 }
 
-/// Reads the share of its value, from 0 to 1, that a degraded answer of an operation keeps. Returns 0 if the
-/// operation has no degraded answers.
+/// Reads the value of an operation's degraded answer, as a ratio (0 to 1) of the value of a full answer.
+/// Returns 0 if the operation has no degraded answers.
 fn degraded_value_ratio(values: &Values, operation: usize) -> Result<f64, SettingsError> {
     let ratios = values.list(DEGRADED_VALUES);
     let Some(text) = ratios.get(operation) else { return Ok(0.0) };
--- a/crates/deployment-settings/src/wire_words.rs
+++ b/crates/deployment-settings/src/wire_words.rs
@@ -5,18 +5,18 @@
 /// List of the words that a setting accepts, each with its meaning.
 pub type Words<T> = &'static [(&'static str, T)];
 
-/// Words for what happens when an operation runs more than once.
+/// Words for the effect of running an operation more than once.
 pub const EFFECTS: Words<Effect> = &[
     ("repeatable", Effect::Idempotent),
     ("by_key", Effect::IdempotentWithKey),
     ("once", Effect::NonIdempotent),
 ];
 
-/// Words for what happens to a running invocation that is preempted.
+/// Words for the effect of preempting a run: preemption is unsupported, discards the work, or pauses the run.
 pub const PREEMPTIONS: Words<Preemption> =
     &[("off", Preemption::Unsupported), ("discard", Preemption::Discards), ("freeze", Preemption::Pauses)];
 
-/// Words for the meaning of the load that the server advertises.
+/// Words for the kind of load that the server advertises to callers.
 pub const ADVERTISEMENTS: Words<Advertisement> = &[
     ("off", Advertisement::None),
     ("floor", Advertisement::MinimumRank),
@@ -24,8 +24,8 @@
     ("weight", Advertisement::Weight),
 ];
 
-/// Kind of the downstream services that running invocations call. Further settings of a shared dependency
-/// have paths of their own.
+/// Kind of the downstream services that running invocations call. The other settings of a shared dependency,
+/// such as its quota, are read separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DownstreamKind {
     None,
--- a/crates/overload-control/src/admission.rs
+++ b/crates/overload-control/src/admission.rs
@@ -48,8 +48,8 @@
 
 /// Conditions in which the server rejects more arrivals than the regulator of its utilization requires.
 pub struct Distress {
-    /// Whether the server is overloaded by reading arrivals alone. All ranks except the highest are then
-    /// rejected.
+    /// Whether reading the arrivals alone, without running them, overloads the server. All ranks except the
+    /// highest are then rejected.
     pub is_flooded: bool,
     /// Share of the arrivals of every rank to reject because the server is unhealthy, from 0 to 1; 0 for a
     /// healthy server.
--- a/crates/overload-control/src/call_budget.rs
+++ b/crates/overload-control/src/call_budget.rs
@@ -28,8 +28,8 @@
     /// Attempt timeout: time after which an attempt is abandoned if the call may be repeated, ns; 0 until the
     /// duration of a call has been observed.
     pub attempt_timeout_ns: f64,
-    /// Base timeout, ns: half of the attempt timeout of the first attempt. 0 until the duration of a call has
-    /// been observed.
+    /// Base timeout, ns: half of the attempt timeout of the first attempt. A low budget does not shorten the
+    /// call's timeout below this value. 0 until the duration of a call has been observed.
     pub base_timeout_ns: f64,
     /// Whether the run that makes the call has the highest rank.
     pub is_top_rank: bool,
--- a/crates/overload-control/src/concurrency_limit.rs
+++ b/crates/overload-control/src/concurrency_limit.rs
@@ -8,7 +8,7 @@
 /// Factor by which the concurrency limit grows in one control period. The growth may be larger than the
 /// reduction by `CUT_RATIO`, because the limit grows only while the cores are below their target utilization.
 const GROWTH_RATIO: f64 = 1.15;
-/// Factor by which the concurrency limit is reduced in one control period.
+/// Factor by which the concurrency limit is multiplied in a control period in which it shrinks.
 const CUT_RATIO: f64 = 0.95;
 /// Maximum number of open runs, as a share of the survivable concurrency. The survivable concurrency is the
 /// number of open runs beyond which the server collapses.
--- a/crates/overload-control/src/controller/conditions.rs
+++ b/crates/overload-control/src/controller/conditions.rs
@@ -78,8 +78,8 @@
         Admission::refusal_ratio(self.regulator.ratios(), &self.classes, rank, &distress)
     }
 
-    /// Backlog: work in excess of full utilization, in control periods. The utilization gauge cannot show
-    /// this work, because the gauge is capped at 1.
+    /// Backlog: work in excess of full utilization, as a multiple of the control period. The utilization
+    /// gauge cannot show this work, because the gauge is capped at 1.
     ///
     /// The backlog is the sum of three times: the core time of pending invocations divided by the concurrency
     /// limit, the excess delay of reading arrivals, and the delay of downstream calls in excess of the limit
--- a/crates/overload-control/src/controller/events.rs
+++ b/crates/overload-control/src/controller/events.rs
@@ -25,7 +25,7 @@
         invocation.rank = self.classes.rank(operation.priority_weight * quota_ratio);
         invocation.deadlines = Deadlines::of(&arrival, operation, now);
         invocation.cost_ratio = cost_ratio;
-        // A valid ticket of a promise of admission exempts an invocation from the refusal window. The
+        // An invocation whose ticket proves a promise of admission is exempt from the refusal window. The
         // exemption does not apply if the server is flooded or unhealthy.
         let is_promised = quota_decision.fair_admission.is_some_and(|admission| admission.promised);
         invocation.screened |= is_promised && !self.is_in_distress();
@@ -68,8 +68,8 @@
         if has_ended || invocation.answered {
             self.remove(key);
         } else if invocation.has_run && !self.is_idempotent(invocation) {
-            // The run ended without a result and its work is lost. Only an idempotent operation may run
-            // again, so this invocation is answered instead.
+            // The run ended without a result and its work is lost. The operation is not idempotent and must
+            // not run again, so the caller gets an answer now.
             self.answer(key, 0, host);
         }
     }
--- a/crates/overload-control/src/controller/rules.rs
+++ b/crates/overload-control/src/controller/rules.rs
@@ -82,8 +82,8 @@
     }
 
     /// Rule: rejects one invocation if a pending invocation would miss its latency objective, so that the
-    /// others meet their objectives. The rejected invocation is the one of lowest priority among the late
-    /// invocation and the invocations of its rank that run before it.
+    /// others meet their objectives. The candidates for rejection are the late invocation and the invocations
+    /// of its rank that run before it. The rule rejects the candidate with the lowest priority.
     pub(super) fn reject_for_deadlines(&mut self, host: &mut dyn Host) -> Option<()> {
         let concurrency_limit = self.concurrency.get();
         let free_slots = (concurrency_limit - self.running()).floor().max(0.0) as usize;
--- a/crates/overload-control/src/downstream_calls.rs
+++ b/crates/overload-control/src/downstream_calls.rs
@@ -5,8 +5,9 @@
 use crate::operation_times::TIMES_HALF_LIFE;
 use crate::{Deployment, Nanos, Outcome};
 
-/// Growth of the limit on concurrent calls, as a share of the number of cores. For example, 50 successful
-/// calls raise a limit of 50 calls by this amount. A success counts only if the limit is reached.
+/// Growth of the limit on concurrent calls while the limit is reached. If the limit is N calls, N successful
+/// calls raise it by this share of the number of cores. For example, on ten cores, 50 successful calls raise
+/// a limit of 50 by about 1.
 const LIMIT_GROWTH: f64 = 0.1;
 /// Factor by which the limit on concurrent calls is multiplied after each rejected call.
 const LIMIT_CUT_RATIO: f64 = 0.93;
--- a/crates/overload-control/src/draining.rs
+++ b/crates/overload-control/src/draining.rs
@@ -3,7 +3,8 @@
 
 use crate::{Deployment, Nanos};
 
-/// Time between the last answers and the stop of the process, in multiples of the answer grace.
+/// Time between the last answers and the stop of the process, in multiples of the answer grace. The answer
+/// grace is the time reserved for an answer to reach its caller.
 const ANSWER_GRACE_COUNT: u64 = 2;
 
 /// Times that are computed when the server receives the drain notice.
--- a/crates/overload-control/src/health.rs
+++ b/crates/overload-control/src/health.rs
@@ -12,8 +12,7 @@
 /// Number of recent runs above which failures are taken into account.
 const RUNS_MIN: f64 = 2.0;
 /// Time without progress after which the server is stalled, as a multiple of the longest usual core time of
-/// its operations. A server with runs on its cores makes no progress until one of these runs leaves the
-/// cores.
+/// its operations. Progress means that a run leaves the cores.
 const STALL_RATIO: f64 = 6.0;
 
 /// Health and readiness of the server.
--- a/crates/overload-control/src/idempotency.rs
+++ b/crates/overload-control/src/idempotency.rs
@@ -27,8 +27,9 @@
         self.keys.len() as f64 * self.entry_kb
     }
 
-    /// Remembers the idempotency key of an arrival when the host has read the arrival. The key is not
-    /// remembered later, because a repeat may already arrive while the first invocation is pending.
+    /// Remembers the idempotency key of an arrival as soon as the host has read the arrival. If the key were
+    /// remembered only at the start of the run, a repeat that arrives earlier would not be recognized and
+    /// would also run.
     pub fn remember(&mut self, now: Nanos, arrival: &Arrival, operation: &Operation, host: &mut dyn Host) {
         let has_key = operation.effect == Effect::IdempotentWithKey;
         if has_key && arrival.repeats.is_none() && !arrival.key_not_stored {
--- a/crates/overload-control/src/idle_connections.rs
+++ b/crates/overload-control/src/idle_connections.rs
@@ -19,8 +19,7 @@
     /// Whether all idle connections are kept open, because reading arrivals was too slow and the cores have
     /// not been idle since.
     keeps_all: bool,
-    /// Idle time after which callers close their connections themselves, ns. The server uses no longer
-    /// timeout.
+    /// Upper bound of the timeout, ns: the idle time after which callers close their connections themselves.
     timeout_max: f64,
     callers: f64,
 }
--- a/crates/overload-control/src/invocations.rs
+++ b/crates/overload-control/src/invocations.rs
@@ -69,8 +69,8 @@
     pub answered: bool,
     /// Whether the controller has instructed the host to stop the run.
     pub stopping: bool,
-    /// Whether admission has screened the invocation: it has compared the arrival with the refusal window of
-    /// its rank, or the invocation is exempt from this.
+    /// Whether the arrival was checked against the refusal window of its rank. Also true if the invocation is
+    /// exempt from this check.
     pub screened: bool,
     start_tag: u64,
     state: InvocationState,
--- a/crates/overload-control/src/lib.rs
+++ b/crates/overload-control/src/lib.rs
@@ -43,9 +43,9 @@
     fn start_run(&mut self, invocation: u64);
     /// Stops a run that is in progress, because its answer is no longer needed.
     fn stop_run(&mut self, invocation: u64);
-    /// Rejects an invocation that the caller may safely repeat. The invocation is either idempotent, and may
-    /// have run, or it had no effect. The caller should wait for `retry_after` before it retries at this
-    /// server; 0 gives no advice.
+    /// Rejects an invocation that the caller may safely repeat. An invocation that is not idempotent is
+    /// rejected only if it certainly had no effect. The caller should wait for `retry_after` before it
+    /// retries at this server; 0 gives no advice.
     ///
     /// `no_retry` advises the caller not to retry at another server. It is set in three cases: the rejection
     /// carries a promise of admission by this server, the latency objective has passed, or retries would add
@@ -138,7 +138,8 @@
     pub advertisement: Advertisement,
     /// Maximum delay after which a rejected caller is advised to retry (Retry-After); 0 disables this advice.
     pub retry_after_max: Nanos,
-    /// Idle time after which callers close their connections themselves.
+    /// Upper bound of the server's timeout for idle connections: the idle time after which callers close
+    /// their connections themselves.
     pub idle_timeout_max: Nanos,
     /// Whether callers mark invocations that are retries or hedged requests.
     pub retries_marked: bool,
@@ -173,14 +174,14 @@
     pub priority_weight: f64,
     /// Value to the operator of an answer that misses the latency objective.
     pub late_value: f64,
-    /// Share of its value, from 0 to 1, that an answer keeps if the downstream call is skipped. 0 means that
-    /// the call cannot be skipped.
+    /// Value of an answer whose downstream call was skipped, as a ratio (0 to 1) of the value of a full
+    /// answer. 0 means that the call cannot be skipped.
     pub degraded_value_ratio: f64,
     /// Whether runs of the operation may make downstream calls.
     pub makes_calls: bool,
 }
 
-/// What happens if an operation runs more than once.
+/// Effect of running an operation more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Repeated runs have the same effect as one run.
@@ -221,7 +222,7 @@
     },
 }
 
-/// Meaning of the load that the server advertises to callers with each answer.
+/// Kind of load that the server advertises to callers with each answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Advertisement {
     /// No load is advertised.
@@ -242,7 +243,8 @@
     pub tenant: Vec<u8>,
     /// Network origin of the invocation, derived from data that the sender cannot forge.
     pub origin: u64,
-    /// Ticket of a promise of admission that this server made earlier, if the sender has one.
+    /// Ticket that the sender received with an earlier rejection, if any. The ticket identifies this server's
+    /// promise to admit the retry.
     pub ticket: Option<u64>,
 }
 
--- a/crates/overload-control/src/operation_times.rs
+++ b/crates/overload-control/src/operation_times.rs
@@ -11,8 +11,8 @@
 pub const TIMES_HALF_LIFE: Nanos = CONTROL_PERIOD * 16;
 /// Assumed run time of an operation before its first run, as a share of its latency objective.
 const INITIAL_TIME_SHARE: f64 = 0.15;
-/// Factor by which the lowest core time of an operation is multiplied with each run. Because of this growth,
-/// a lasting increase of the core time is eventually accepted as normal.
+/// Growth factor of an operation's lowest core time, applied with each run. Without this growth, a lasting
+/// increase of the core time would never be accepted as normal.
 const LOWEST_TIME_GROWTH: f64 = 1.005;
 /// Ratio of an operation's usual core time to its lowest core time above which concurrent runs are considered
 /// to slow each other down.
--- a/crates/overload-control/src/reading.rs
+++ b/crates/overload-control/src/reading.rs
@@ -59,8 +59,8 @@
         (self.delay(now) - longest_core_ns * NORMAL_DELAY_SHARE).max(0.0)
     }
 
-    /// Whether the server is overloaded by reading arrivals alone. Such a server recovers only if callers
-    /// send fewer invocations.
+    /// Whether reading the arrivals alone, without running them, overloads the server. Such a server recovers
+    /// only if callers send fewer invocations.
     pub fn is_flooded(&self, now: Nanos) -> bool {
         self.delay(now) > FLOOD_DELAY_SHARE * self.shortest_objective as f64
     }
--- a/crates/overload-control/src/tenant_quota.rs
+++ b/crates/overload-control/src/tenant_quota.rs
@@ -8,8 +8,8 @@
 
 /// Capacity of a tenant's token bucket, as the time in seconds in which an empty bucket refills.
 const BURST_SECONDS: f64 = 15.0;
-/// Maximum work that fair queueing may admit ahead of virtual time for a tenant of weight 1, as a share of
-/// the work that the server can do within the shortest latency objective.
+/// Limit on the work that fair queueing admits ahead of virtual time for a tenant of weight 1. The limit is a
+/// share of the work that the server can do within the shortest latency objective.
 const IN_SERVER_SHARE: f64 = 0.25;
 
 /// Token bucket of one tenant. Each invocation of the tenant takes one token.
--- a/crates/pending-queue/src/late_search.rs
+++ b/crates/pending-queue/src/late_search.rs
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Whether all entries below a node certainly end in time or may start immediately. If the result is
-    /// false, some entry may be late, but need not be.
+    /// Whether all entries below a node certainly end in time or may start immediately. A false result does
+    /// not prove that an entry is late.
     fn is_in_time(&self, node: usize) -> bool {
         let summary = self.tree.node(node);
         let growth = self.reference.growth();
--- a/crates/pending-queue/src/lib.rs
+++ b/crates/pending-queue/src/lib.rs
@@ -192,16 +192,16 @@
 
     /// Returns the earliest arrival among the overdue entries. An entry is overdue if its latest start is at
     /// or before `now`, or if it was marked as overdue. `latest_start` computes the latest start from the
-    /// operation and the deadline. This result must increase with the deadline, and must not change until all
-    /// overdue entries have been removed.
+    /// operation and the deadline. The computed latest start must increase with the deadline, and must not
+    /// change until all overdue entries have been removed.
     pub fn first_overdue(
         &mut self,
         now: Nanos,
         latest_start: impl Fn(usize, Nanos) -> Nanos,
     ) -> Option<ArrivalKey> {
-        // If `overdue` is empty, the deadlines are searched without reading or clearing the flag. A flag that
-        // is set then causes another search at the next call, even if the entry for which it was set has been
-        // removed.
+        // If `overdue` is empty, the deadlines are always searched, and the flag is neither read nor cleared.
+        // A flag that stays set causes one more search at a later call, even if the entry for which it was
+        // set has been removed.
         let must_search = self.overdue.is_empty() || std::mem::take(&mut self.has_unsearched_deadlines);
         if must_search {
             for (operation, deadlines) in &self.deadlines {
--- a/crates/rate-limit/src/lib.rs
+++ b/crates/rate-limit/src/lib.rs
@@ -9,8 +9,8 @@
 /// Number of slots per second.
 const SLOTS_PER_SECOND: usize = 20;
 const SLOT_NS: Nanos = SECOND_NS / SLOTS_PER_SECOND as Nanos;
-/// Number of slots that are stored. A window of one second that begins in the middle of a slot overlaps one
-/// slot more than a second contains.
+/// Number of stored slots, the intervals in which usage is counted. A window of one second that begins within
+/// a slot overlaps `SLOTS_PER_SECOND + 1` slots.
 const SLOTS: usize = SLOTS_PER_SECOND + 1;
 
 /// A rate limit over a sliding window of one second. It counts usage in slots of 50 ms and needs constant
@@ -34,7 +34,7 @@
         SlidingWindow { limit, used: [0; SLOTS], current_slot: now / SLOT_NS }
     }
 
-    /// Sets the slots to 0 that are no longer part of the window that ends at `now`.
+    /// Clears each slot that is no longer part of the window. The window ends at `now`.
     fn advance(&mut self, now: Nanos) {
         let slot = now / SLOT_NS;
         let passed = slot.saturating_sub(self.current_slot);
--- a/crates/routing/tests/tier.rs
+++ b/crates/routing/tests/tier.rs
@@ -173,7 +173,8 @@
         None
     }
 
-    /// Simulates the next `duration`. Returns the share of calls to `service` and the share of failed calls.
+    /// Simulates the next `duration`. Returns two shares of all calls in this time: the calls to `service`
+    /// and the failed calls.
     fn shares(&mut self, service: usize, duration: u64) -> (f64, f64) {
         self.calls.fill(0);
         self.failed = 0;
@@ -312,8 +313,8 @@
     assert!(Router::new(Settings { services: 0, ..settings }, 1).is_err());
 }
 
-/// The only service is ejected. A call that is not idempotent has no service then, and idempotent calls are
-/// sent as probes, one at a time.
+/// The only service is ejected. The router then returns no service for a call that is not idempotent. It
+/// sends idempotent calls as probes, one at a time.
 #[test]
 fn probes_are_idempotent_and_sent_one_at_a_time() {
     let mut router = Router::new(Settings { services: 1, probe_interval: S, slow_start: S }, 1).unwrap();
@@ -351,8 +352,8 @@
         for second in 0..20 {
             fleet.calls.fill(0);
             fleet.advance(S);
-            // The first 4 s are not counted: some earlier calls still end, and some probers are still
-            // replaced.
+            // The first 4 s are not counted, because earlier calls still end and the set of probers still
+            // changes.
             probes = if second < 4 { 0 } else { probes.max(fleet.calls[4]) };
         }
         assert!((0..servers).all(|i| fleet.is_ejected_by(i, 4)), "the service stays ejected");
