--- a/crates/cli/tests/fair_queues.rs
+++ b/crates/cli/tests/fair_queues.rs
@@ -106,8 +106,8 @@
     assert!(report.groups[0].in_time_ratio() >= 0.95, "{}", report.groups[0].in_time_ratio());
 }
 
-/// The downstream service becomes eight times as slow. Making all downstream calls would need four concurrent
-/// calls on average, but the quota permits one.
+/// The downstream service becomes eight times as slow. To make all downstream calls, the server would need
+/// four concurrent calls on average, but its quota permits one.
 #[test]
 fn a_downstream_service_that_slows_eightfold_is_not_overloaded() {
     let plan = slow_dependency_plan(Duration::from_secs(3), Duration::from_secs(8));
--- a/crates/cli/tests/fleet_rollout.rs
+++ b/crates/cli/tests/fleet_rollout.rs
@@ -61,8 +61,8 @@
     std::fs::write(fleet.folder().join("next.xml"), text).unwrap();
 }
 
-/// Writes a rollout plan of three stages. Its thresholds are so high that other work on the machine does not
-/// exceed them. The bad changes in these tests exceed the thresholds by far.
+/// Writes a rollout plan of three stages. Its thresholds are so high that delays by other work on the machine
+/// stay below them. The bad changes in these tests exceed the thresholds by far.
 fn write_plan(fleet: &FleetHarness, name: &str) -> PathBuf {
     let text = format!(
         r#"<plan xmlns="urn:meadowstream:options:1" name="{name}" candidate="next.xml" interval-ms="250"
--- a/crates/cli/tests/fleet_state.rs
+++ b/crates/cli/tests/fleet_state.rs
@@ -221,7 +221,7 @@
     assert_eq!(code, Some(1), "{stderr}");
     assert!(stderr.contains("voter: 1, 3, 5, 7 or 9 different names, not 4"), "{stderr}");
     assert_eq!(check(&good).0, Some(0));
-    // Only one of the five voters runs, so no majority can grant a lease. The server has only its floor.
+    // Only one of the five voters runs, so no majority can grant a lease. The server may use only its floor.
     let floor = |within| wait_for(within, || (shared_state_field(&fleet, 0, "floor") == FLOOR).then_some(()));
     assert!(floor(Duration::from_secs(10)).is_some());
     std::fs::write(&xml, bad).unwrap();
--- a/crates/configuration/src/rollout.rs
+++ b/crates/configuration/src/rollout.rs
@@ -6,7 +6,8 @@
 
 /// Attributes of `<rollout>`.
 pub const ATTRIBUTES: &[&str] = &["candidate", "program", "servers", "lease-ms"];
-/// Maximum value of the `servers` attribute, which limits the number of servers that run at the same time.
+/// Maximum value of the `servers` attribute. The attribute limits the number of servers that run at the same
+/// time.
 const SERVERS_MAX: usize = 100_000;
 
 /// A server's settings of staged rollouts (`docs/rollout.md`).
--- a/crates/overload-control/src/call_budget.rs
+++ b/crates/overload-control/src/call_budget.rs
@@ -15,9 +15,9 @@
 /// Maximum timeout of a call, as a multiple of its attempt timeout ([`Request::attempt_timeout_ns`]).
 const TIMEOUT_MAX_RATIO: f64 = 4.0;
 
-/// Minimum timeout of a call, as a share of the maximum budget. A call whose request exceeds the maximum
-/// budget is not shortened below this timeout. The value is written as a difference because the literal 0.3
-/// is rounded to a different number.
+/// Minimum timeout of a call, as a share of the maximum budget. If a request exceeds the maximum budget, the
+/// timeout of the call is shortened, but not below this minimum. The value is written as a difference because
+/// the literal 0.3 is rounded to a different number.
 const TIMEOUT_MIN_SHARE: f64 = 1.0 - 0.7;
 
 /// Properties of a call for which budget is reserved.
@@ -28,8 +28,9 @@
     /// Attempt timeout: time after which an attempt is abandoned if the call may be repeated, ns; 0 until the
     /// duration of a call has been observed.
     pub attempt_timeout_ns: f64,
-    /// Base timeout, ns: half of the attempt timeout of the first attempt. A low budget does not shorten the
-    /// call's timeout below this value. 0 until the duration of a call has been observed.
+    /// Base timeout, ns: half of the attempt timeout of the first attempt. If the request exceeds the maximum
+    /// budget, the timeout is shortened, but not below this value. 0 until the duration of a call has been
+    /// observed.
     pub base_timeout_ns: f64,
     /// Whether the run that makes the call has the highest rank.
     pub is_top_rank: bool,
--- a/crates/overload-control/src/health.rs
+++ b/crates/overload-control/src/health.rs
@@ -12,7 +12,8 @@
 /// Number of recent runs above which failures are taken into account.
 const RUNS_MIN: f64 = 2.0;
 /// Time without progress after which the server is stalled, as a multiple of the longest usual core time of
-/// its operations. Progress means that a run leaves the cores.
+/// its operations. Progress means that a run leaves the cores. A server without runs on its cores is not
+/// stalled.
 const STALL_RATIO: f64 = 6.0;
 
 /// Health and readiness of the server.
--- a/crates/overload-control/src/idle_connections.rs
+++ b/crates/overload-control/src/idle_connections.rs
@@ -3,8 +3,8 @@
 use crate::Nanos;
 use crate::regulator::CONTROL_PERIOD;
 
-/// Mean number of calls per caller within [`IdleConnections::timeout_max`] below which the timeout of idle
-/// connections is shortened.
+/// Number of calls per caller. If callers make fewer calls on average within
+/// [`IdleConnections::timeout_max`], the timeout of idle connections is shortened.
 const RETURNS_MIN: f64 = 4.0;
 /// Exponent that shortens the timeout of idle connections if callers make fewer than [`RETURNS_MIN`] calls.
 /// With half of [`RETURNS_MIN`] calls, the timeout is a sixteenth of its maximum.
--- a/crates/pending-queue/src/summary.rs
+++ b/crates/pending-queue/src/summary.rs
@@ -64,9 +64,9 @@
     /// Longest time from start to end of the run of an entry, ns. Computed from the reference times, which
     /// are earlier usual times.
     pub longest_elapsed: f64,
-    /// Largest lateness of an entry, ns. The lateness is the end of the entry's run minus the entry's
-    /// deadline, if the first of the entries starts at time 0. Computed from the reference times, which are
-    /// earlier usual times.
+    /// Largest lateness of an entry, ns, if the first entry started at time 0. The lateness is the end of the
+    /// entry's run minus the entry's deadline. Computed from the reference times, which are earlier usual
+    /// times.
     pub lateness: f64,
     pub first_to_reject_for_deadline: DeadlineOrder,
     pub first_to_reject_for_memory: MemoryOrder,
--- a/crates/routing/src/probing.rs
+++ b/crates/routing/src/probing.rs
@@ -1,7 +1,7 @@
 //! Schedule of the probes that a server sends to an unhealthy service. A probe is an idempotent call that is
-//! sent to the service to detect its recovery. Without probes, the reports against the service would expire
-//! at all servers at the same time, and all servers would send calls to the service again without evidence of
-//! its recovery.
+//! sent to the service to detect its recovery. Without probes no server would detect the recovery. The
+//! reports against the service would expire at all servers at the same time, and all servers would then send
+//! calls to the service again.
 
 use crate::Nanos;
 
--- a/crates/routing/tests/tier.rs
+++ b/crates/routing/tests/tier.rs
@@ -352,8 +352,7 @@
         for second in 0..20 {
             fleet.calls.fill(0);
             fleet.advance(S);
-            // The first 4 s are not counted, because earlier calls still end and the set of probers still
-            // changes.
+            // In the first 4 s, which are not counted, earlier calls end and probers are replaced.
             probes = if second < 4 { 0 } else { probes.max(fleet.calls[4]) };
         }
         assert!((0..servers).all(|i| fleet.is_ejected_by(i, 4)), "the service stays ejected");
