--- a/crates/cli/tests/fleet_scale.rs
+++ b/crates/cli/tests/fleet_scale.rs
@@ -125,11 +125,12 @@
     let first = committed_revision(&output);
     assert!(output.contains("11 of 11 members go by it"), "{output}");
     assert!(servers().iter().all(|i| in_force(&fleet, *i) >= Some(first)));
-    // The command rejects a change with an unknown key and does not publish it.
+    // `meadowstream publish` rejects a change with an unknown key and does not publish the change.
     let unknown_key = write_change(&fleet, "strange.xml", "\n<set key=\"novel/thing\" value=\"1\"/>");
     let (succeeded, output) = publish(&fleet, &[unknown_key.to_str().unwrap()]);
     assert!(!succeeded && output.contains("line 2, <set>: novel/thing: unknown element"), "{output}");
-    // The servers have no budget, so they reject a change of the budget. The command prints this reason.
+    // The servers have no budget, so they reject a change of the budget. `meadowstream publish` prints this
+    // reason.
     let budget = write_change(&fleet, "budget.xml", r#"<set key="shared-state/budget/total" value="9"/>"#);
     let (succeeded, output) = publish(&fleet, &[budget.to_str().unwrap(), "--wait", "4"]);
     assert!(!succeeded && output.contains("refused: "), "{output}");
--- a/crates/cli/tests/fleet_state.rs
+++ b/crates/cli/tests/fleet_state.rs
@@ -146,7 +146,8 @@
     println!("{most} concurrent calls of {TOTAL}; {replies:?}; {} calls", downstream.calls.load(Relaxed));
     assert!(most <= TOTAL, "{most} concurrent calls");
     assert!(most >= TOTAL / 2 && replies.succeeded > 0, "{most} concurrent calls, {replies:?}");
-    // At most 1 % of the calls may fail or get no reply. On an otherwise idle machine, all calls succeed.
+    // At most 1 % of the calls may fail or get no reply. On an otherwise idle machine, every call gets an
+    // error-free reply.
     assert!((replies.errored + replies.unanswered) * 100 <= replies.sent, "over 1 % failed: {replies:?}");
     expect_equal_totals(&fleet, &all, &replies);
 
--- a/crates/cli/tests/scenario_harness/steps.rs
+++ b/crates/cli/tests/scenario_harness/steps.rs
@@ -69,8 +69,8 @@
             }
             ["signal", name] => self.signal(name),
             ["exits", code] => self.expect_exit(Some(code.parse().unwrap())),
-            // The number of invocations must equal the sum of all results. `unanswered` counts the results
-            // without a waiting caller.
+            // The number of invocations must equal the sum of all results. `unanswered` counts the
+            // invocations whose caller cancelled or disconnected.
             ["adds", "up"] => {
                 let line = self.wait_for_log_line("ended; counters:");
                 let count = |name: &str| -> u64 {
--- a/crates/configuration/src/plan.rs
+++ b/crates/configuration/src/plan.rs
@@ -34,7 +34,8 @@
     /// Path of the candidate, which is the settings file or the program to roll out. The path is stored as
     /// written in the plan file and is relative to that file.
     pub candidate: PathBuf,
-    /// The plan. The hash of the candidate is not yet computed, so the plan contains 0 instead.
+    /// Plan of the rollout. Its hash of the candidate is 0, because reading the plan file does not compute
+    /// this hash.
     pub plan: Plan,
 }
 
--- a/crates/overload-control/src/controller/events.rs
+++ b/crates/overload-control/src/controller/events.rs
@@ -25,8 +25,8 @@
         invocation.rank = self.classes.rank(operation.priority_weight * quota_ratio);
         invocation.deadlines = Deadlines::of(&arrival, operation, now);
         invocation.cost_ratio = cost_ratio;
-        // An invocation whose ticket proves a promise of admission is exempt from the refusal window. The
-        // exemption does not apply if the server is flooded or unhealthy.
+        // An invocation with a valid ticket was promised admission, so it is exempt from the refusal window.
+        // The exemption does not apply if the server is flooded or unhealthy.
         let is_promised = quota_decision.fair_admission.is_some_and(|admission| admission.promised);
         invocation.screened |= is_promised && !self.is_in_distress();
         // Two kinds of invocations are answered without a run. The first kind arrives after the drain grace.
--- a/crates/overload-control/src/regulator.rs
+++ b/crates/overload-control/src/regulator.rs
@@ -39,8 +39,9 @@
     /// Utilization that was passed to the last step, from 0 to 1.
     utilization: f64,
     estimator: PlantEstimator,
-    /// Decaying sum of the changes of the utilization. The change in a control period is multiplied by the
-    /// refusal time ratio of the basic class in this period, so that only periods with refusals count.
+    /// Measure of how much the utilization has varied while arrivals were refused. It is a decaying sum over
+    /// the control periods: the change of the utilization multiplied by the refusal time ratio of the basic
+    /// class.
     variation: f64,
 }
 
