--- a/crates/overload-control/src/idle_connections.rs
+++ b/crates/overload-control/src/idle_connections.rs
@@ -34,8 +34,8 @@
     /// Returns the timeout of idle connections for the next control period. `arrival_rate` is in arrivals per
     /// second.
     ///
-    /// The timeout is longer if callers make calls more often, because they then reuse the connections. While
-    /// reading arrivals is too slow, and afterwards until the cores are idle, all connections are kept open.
+    /// The timeout is longer if callers make calls more often, because they then reuse the connections. All
+    /// connections are kept open while reading arrivals is too slow, and afterwards until the cores are idle.
     /// This limits the work of reading, because a caller that finds no free connection sends nothing that
     /// must be read.
     pub fn timeout(&mut self, arrival_rate: f64, is_reading_behind: bool, utilization: f64) -> Nanos {
