--- a/crates/fair-queueing/src/accounts.rs
+++ b/crates/fair-queueing/src/accounts.rs
@@ -2,8 +2,9 @@
 //! list ordered by last use (LRU list).
 //!
 //! Each account has a finish, the virtual time up to which the tenant has used its share. Invariant:
-//! [`Accounts::insert`] evicts an account only if its finish is not ahead of the current virtual time. The
-//! eviction then loses no recorded usage. [`Accounts::pin`] does not check the finish.
+//! [`Accounts::insert`] evicts an account only if virtual time has reached the account's finish. The tenant
+//! then has not used its share in advance, so the eviction loses no recorded usage. [`Accounts::pin`] does
+//! not check the finish.
 
 use crate::Nanos;
 use crate::account::Account;
@@ -93,10 +94,11 @@
         self.entries.is_empty()
     }
 
-    /// Marks a tenant as named, so that its account is never evicted. An existing account of the tenant keeps
-    /// its recorded usage and gets the weight of `account`. If the tenant has no account, `account` is
-    /// inserted. In a full table, it replaces the least recently used account. The settings allow at most
-    /// half as many named tenants as accounts, so an account that can be replaced always exists.
+    /// Marks a tenant as named (listed by name in the settings), so that its account is never evicted. An
+    /// existing account of the tenant keeps its recorded usage and gets the weight of `account`. If the
+    /// tenant has no account, `account` is inserted. In a full table, it replaces the least recently used
+    /// account. The settings allow at most half as many named tenants as accounts, so an account that can be
+    /// replaced always exists.
     pub fn pin(&mut self, fingerprint: Fingerprint, mut account: Account) {
         account.named = true;
         if let Some(index) = self.indices.get(&fingerprint).copied() {
@@ -200,13 +202,13 @@
         (entry.serial == slot.serial).then_some(&mut entry.account)
     }
 
-    /// Inserts an account in a free place of the table, or in place of the least recently used account.
-    /// Returns `None` if neither is possible.
+    /// Inserts an account in a free place of the table. If the table is full, the least recently used account
+    /// is evicted. Returns `None` if that account must be kept.
     ///
-    /// The least recently used account is evicted only under two conditions. First, its finish must not be
-    /// ahead of `virtual_time`, so that no recorded usage is lost. Second, it must be idle, or the new tenant
-    /// must be `over_share`. Other new tenants cannot evict accounts in use, but a tenant over its share
-    /// needs exact tracking of its usage.
+    /// An account may be evicted only under two conditions. First, its tenant must not have used its share
+    /// beyond `virtual_time`, so that no recorded usage is lost. Second, its tenant must be idle, or the new
+    /// tenant must be over its share (`over_share`). Only a new tenant over its share may replace an account
+    /// in use, since that tenant's usage needs exact tracking.
     pub fn insert(
         &mut self,
         fingerprint: Fingerprint,
--- a/crates/fair-queueing/src/counters.rs
+++ b/crates/fair-queueing/src/counters.rs
@@ -19,8 +19,9 @@
     pub promised: u64,
     /// Number of retries that were admitted because they presented the ticket of a promise.
     pub kept: u64,
-    /// Number of promises that the scheduler did not honour although the retry was in time. The reason is
-    /// that virtual time advanced much more slowly than predicted, so the tenant's share has no capacity yet.
+    /// Number of promises that the scheduler did not honour although the retry arrived in time. In these
+    /// cases, virtual time had advanced much more slowly than predicted, so the tenant's share had no
+    /// capacity yet.
     pub broken: u64,
     /// Number of retries that presented the ticket of a promise before the promised time.
     pub early: u64,
@@ -43,9 +44,9 @@
     pub weight: f64,
     /// Recent demand of the tenant, in cores.
     pub demand: f64,
-    /// Time in seconds for which the tenant has used its share in advance, or 0 if it has not. The value is
-    /// the distance of the tenant's finish ahead of virtual time, divided by the fair rate. The finish is the
-    /// virtual time up to which the tenant has used its share.
+    /// How far the tenant has used its share in advance, in seconds, or 0 if it has not. A tenant's finish is
+    /// the virtual time up to which it has used its share. The value is the distance from the current virtual
+    /// time to the finish, divided by the fair rate.
     pub ahead: f64,
     /// Number of arrivals within the tenant's share.
     pub within: u64,
--- a/crates/fair-queueing/src/finish_sketch.rs
+++ b/crates/fair-queueing/src/finish_sketch.rs
@@ -1,4 +1,4 @@
-//! Records in fixed memory how far tenants without an account have used their shares.
+//! Approximate record of the used shares of tenants without an account, in fixed memory.
 //!
 //! A tenant's finish is the virtual time up to which the tenant has used its share. The sketch is an array of
 //! cells. Each tenant hashes to several cells, and each cell holds the largest finish of the tenants that
--- a/crates/fair-queueing/src/origins.rs
+++ b/crates/fair-queueing/src/origins.rs
@@ -17,12 +17,12 @@
 /// Time without an arrival from an origin, in nanoseconds, after which another origin may take over the idle
 /// origin's slot in the table.
 const IDLE_NS: Nanos = 60_000_000_000;
-/// Length of the time window for counting the distinct names of an origin, as a multiple of
-/// [`Settings::probation`](crate::settings::Settings::probation).
+/// Length of the time window for counting the distinct names of an origin. The unit is the minimum time until
+/// a new name becomes established ([`Settings::probation`](crate::settings::Settings::probation)).
 const WINDOW_PROBATIONS: u64 = 8;
-/// About one in this many names is selected by its fingerprint. Arrivals with a selected name compute a new
-/// estimate of their origin's number of names. Other arrivals use the latest estimate, since a new estimate
-/// must read all registers.
+/// A time window begins with a new estimate of the origin's number of names. After that, only arrivals with
+/// selected names compute a new estimate, which must read all registers. About 1 in `NAMES_PER_ESTIMATE`
+/// names is selected, by its fingerprint. Other arrivals use the latest estimate.
 const NAMES_PER_ESTIMATE: u64 = 16;
 /// Number of registers of the HyperLogLog estimator that counts the distinct names of an origin.
 const NAME_REGISTERS: usize = 64;
@@ -73,7 +73,8 @@
 
 impl Origins {
     /// Creates a table of at most `limit` origins. If an origin sends more than `names_per_origin` tenant
-    /// names in a time window, the weight of each name is reduced. The window is a multiple of `probation`.
+    /// names in a time window, the weight of each name is reduced. The window is a multiple of `probation`,
+    /// the minimum time until a new name becomes established.
     pub fn new(limit: usize, names_per_origin: f64, probation: Nanos) -> Self {
         Self {
             limit: limit.max(1),
@@ -149,8 +150,9 @@
     /// Records the demand of an arrival whose tenant is a newcomer of origin `id`. `work` is the work that
     /// the operation usually needs, in nanoseconds of one core.
     ///
-    /// Returns two values: the index of the origin's slot, and `work` multiplied by the ratio that was
-    /// learned for the origin's newcomers.
+    /// Returns two values: the index of the origin's slot, and the estimated work of the arrival. The
+    /// estimate is `work` multiplied by the learned ratio of used work to usually needed work of the origin's
+    /// newcomers.
     pub fn record_newcomer(&mut self, id: u64, now: Nanos, work: f64) -> (usize, f64) {
         let index = self.find_or_insert(id, now);
         let origin = &mut self.origins[index];
--- a/crates/fair-queueing/src/reconfiguration.rs
+++ b/crates/fair-queueing/src/reconfiguration.rs
@@ -16,8 +16,8 @@
 pub struct SettingsChange {
     /// Names of tenants that only the old settings list by name.
     pub unnamed: Vec<Vec<u8>>,
-    /// Names and new weights of tenants that only the new settings list by name, or that the new settings
-    /// list with a different weight.
+    /// Names and new weights of tenants that the new settings list by name. Tenants that the old settings
+    /// list with the same weight are left out.
     pub named: Vec<NamedTenant>,
     /// New value of [`Settings::names_per_origin`].
     pub names_per_origin: f64,
--- a/crates/fair-queueing/src/scheduler.rs
+++ b/crates/fair-queueing/src/scheduler.rs
@@ -11,8 +11,8 @@
 use crate::tenant::{Fingerprint, FingerprintKey, TenantKey};
 use crate::usage::{LocatedArrival, RateSnapshot, Usage, UsageLocation};
 
-/// Maximum shortfall for which a promise is honoured, as a ratio of the predicted advance of virtual time.
-/// The shortfall is how far virtual time is behind the start of the promise's reservation at the retry.
+/// A promise is honoured if its shortfall is at most this ratio of the predicted advance of virtual time. The
+/// shortfall is how far virtual time is behind the start of the reservation when the retry arrives.
 const SHORTFALL_MAX_RATIO: f64 = 0.5;
 /// Minimum work of an arrival, in nanoseconds of one core.
 const WORK_MIN: f64 = 1.0;
@@ -71,7 +71,7 @@
     rate: FairRate,
     usage: Usage,
     promises: Promises,
-    /// Maximum work that a tenant of weight 1 may have admitted ahead of virtual time, in nanoseconds of one
+    /// Maximum work ahead of virtual time that is admitted for a tenant of weight 1, in nanoseconds of one
     /// core. This limits the result of [`FairScheduler::allowance`] at any fair rate.
     allowance_max: f64,
     served: ServiceClock,
@@ -271,8 +271,8 @@
         }
     }
 
-    /// Moves the tail of the tenant's queue back by the span of an arrival that never ran. Has no effect if
-    /// the tenant's account was evicted.
+    /// Removes an arrival that never ran from its tenant's queue: the queue's tail is moved back as far as
+    /// the arrival had advanced it. Has no effect if the tenant's account was evicted.
     fn shorten_queue(&mut self, admission: &Admission) {
         if let Some(tails) = self.usage.tails_mut(admission.location) {
             *tails.get_mut(admission.surplus) -= admission.queued_span;
@@ -341,8 +341,8 @@
     }
 
     /// Recomputes the fair rate from the recent demands. The caller does this once per control period.
-    /// `capacity` is the capacity to allocate, in cores. `allowance_max` is the maximum work that a tenant of
-    /// weight 1 may have admitted ahead of virtual time, in nanoseconds of one core. Without this limit, an
+    /// `capacity` is the capacity to allocate, in cores. `allowance_max` is the maximum work ahead of virtual
+    /// time that is admitted for a tenant of weight 1, in nanoseconds of one core. Without this limit, an
     /// arrival could be admitted and later rejected because its deadline is too close. Its work would then be
     /// charged to no tenant.
     pub fn update_fair_rate(&mut self, now: Nanos, capacity: f64, allowance_max: f64) {
--- a/crates/fair-queueing/src/settings.rs
+++ b/crates/fair-queueing/src/settings.rs
@@ -41,8 +41,8 @@
     /// Tenants that are listed by name, with their weights. Each of these tenants has an account from the
     /// start.
     pub named: Arc<[NamedTenant]>,
-    /// Maximum work that a tenant may have admitted in advance, ahead of its share. The work is given as a
-    /// time, in nanoseconds: in this time, the tenant's share provides the capacity for the work.
+    /// Time by which a tenant may use its share in advance, in nanoseconds. If a tenant has used its share
+    /// further in advance, its arrivals count as surplus (beyond the share).
     pub burst: Nanos,
     /// Minimum time after the first visit of a tenant name (an arrival with the name) before the name can
     /// become established, in nanoseconds.
--- a/crates/fair-queueing/src/usage.rs
+++ b/crates/fair-queueing/src/usage.rs
@@ -48,7 +48,8 @@
     pub estimated_work: f64,
 }
 
-/// Snapshot of the real time, the virtual time and the allowance.
+/// Real time, virtual time and allowance at one moment. The allowance limits how far a tenant may use its
+/// share in advance.
 #[derive(Clone, Copy, Debug)]
 pub struct RateSnapshot {
     /// Real time of the snapshot, in nanoseconds.
--- a/crates/fair-queueing/tests/promises.rs
+++ b/crates/fair-queueing/tests/promises.rs
@@ -248,10 +248,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// A new arrival waits for a bounded amount of work of each other tenant, even if that tenant has many
-    /// queued arrivals. The bound for a tenant is the work of its longest invocation, divided by its weight.
-    /// All arrivals have equal work here, so at most `weight + 1` arrivals of a tenant with that weight are
-    /// served first.
+    /// A new arrival waits for a bounded number of arrivals of each other tenant, even if that tenant has
+    /// many queued arrivals. The bound follows from the work of that tenant's longest invocation, divided by
+    /// its weight. Here all arrivals have equal work, and the new arrival's tenant has weight 1. At most
+    /// `weight + 1` arrivals of a tenant with weight `weight` are then served before the new arrival.
     #[test]
     fn an_arrival_waits_behind_at_most_one_of_each_other_tenant(
         queues in prop::collection::vec((1u32..10, 1u64..60), 2..12),
