--- a/crates/hot-restart/src/frames.rs
+++ b/crates/hot-restart/src/frames.rs
@@ -96,7 +96,7 @@
     TrialOver,
     /// The predecessor reports that it has retired and can no longer resume.
     Retired,
-    /// The predecessor forwards a request to drain to the successor, which is active after the release.
+    /// The predecessor forwards a drain request. After the release, the successor is active and must drain.
     Drain {
         /// Time from the request to drain until the process is stopped, in nanoseconds.
         grace: Nanos,
--- a/crates/hot-restart/src/predecessor.rs
+++ b/crates/hot-restart/src/predecessor.rs
@@ -17,7 +17,7 @@
     /// Time after the first failed upgrade attempt before the next attempt may start. Each further failure
     /// doubles this time.
     pub backoff: Nanos,
-    /// Maximum time after a failed upgrade attempt before the next attempt may start.
+    /// Upper limit of the backoff: the time from a failed upgrade attempt until the next may start.
     pub backoff_max: Nanos,
 }
 
@@ -157,8 +157,8 @@
         self.phase
     }
 
-    /// Sets what the next upgrade will announce to the successor: the digest of the configuration, and the
-    /// number of parts of the state.
+    /// Sets the two values that the predecessor announces to the successor in the next upgrade: the digest of
+    /// the configuration, and the number of parts of the state.
     pub fn set_offer(&mut self, digest: u64, parts: u32) {
         self.digest = digest;
         self.parts = parts;
@@ -246,8 +246,8 @@
         vec![Action::StartSuccessor, Action::Send(offer)]
     }
 
-    /// Handles a request to drain. The active process drains. An upgrade that has not reached the release is
-    /// aborted.
+    /// Handles a request to drain. The active process drains. If an upgrade is in progress and the successor
+    /// has not been released yet, the upgrade is aborted.
     fn handle_drain_request(&mut self, grace: Nanos) -> Vec<Action> {
         self.drain_grace = Some(grace);
         match self.phase {
--- a/crates/hot-restart/tests/model.rs
+++ b/crates/hot-restart/tests/model.rs
@@ -341,8 +341,8 @@
             Property::always("some process stays active", |model: &HotRestart, system: &SystemState| {
                 let mut steps = Vec::new();
                 model.actions(system, &mut steps);
-                // In a state where only kills and requests can still happen, at least one of the processes
-                // that are alive must be active. This is not required once the predecessor has retired.
+                // Kills and requests are external steps. If no other step is possible, a living process must
+                // be active. This is not required once the predecessor has retired.
                 let is_external = |step: &Step| {
                     matches!(
                         step,
