--- a/crates/shared-state/src/budget/counters.rs
+++ b/crates/shared-state/src/budget/counters.rs
@@ -15,8 +15,8 @@
     /// ended, or this server still held a lease that the grant could not replace. Only a later grant of the
     /// same term can replace a held lease.
     pub stale: u64,
-    /// Number of received lease requests in which the holder reports that it uses a grant that this grantor
-    /// never sent.
+    /// Number of received lease requests with a false grant: the holder reports that it has adopted this
+    /// grant, but this grantor never sent it.
     pub unknown_grants: u64,
     /// Number of invalid messages received. Examples are vote requests and votes from servers that are not
     /// voters, and lease requests for more units than may be leased. Lease requests from new holders also
--- a/crates/shared-state/src/budget/grantor.rs
+++ b/crates/shared-state/src/budget/grantor.rs
@@ -1,9 +1,9 @@
 //! The grantor's table of leases. The grantor is the server that grants the leases of a budget.
 //!
-//! Invariant: the holders together can use at most the leasable units. For each holder, the largest grant
-//! that may still be active is counted. A grant ends when its holder reports that it has adopted a later
-//! grant and uses no more units than the later grant has. At the latest, a grant ends when the lease duration
-//! plus the drift margin has passed by the grantor's slow clock ([`Time::slow`]).
+//! Invariant: the holders together can use at most the units that may be leased. For each holder, the largest
+//! grant that may still be active is counted. A grant ends when its holder reports that it has adopted a
+//! later grant and uses no more units than the later grant has. At the latest, a grant ends when the lease
+//! duration plus the drift margin has passed by the grantor's slow clock ([`Time::slow`]).
 
 use super::counters::BudgetCounters;
 use super::fair_share::{Demand, fair_share};
@@ -31,7 +31,7 @@
 
 /// A new grant of a lease, to be sent to the holder that requested it.
 pub(super) struct Grant {
-    /// Number of the grant among all grants of the grantor's term of office.
+    /// Sequence number of the grant within the grantor's term of office.
     pub number: u64,
     /// Number of granted units. Units of the holder's floor (its guaranteed minimum) are not included.
     pub amount: u64,
@@ -56,8 +56,8 @@
 }
 
 impl HolderEntry {
-    /// Returns the number of units of the holder's largest active grant. The holder may use any one of its
-    /// active grants.
+    /// Returns the number of units of the holder's largest active grant. The grantor assumes that the holder
+    /// uses this grant, since the holder may use any of its active grants.
     fn largest_grant(&self) -> u64 {
         self.grants.iter().map(|grant| grant.amount).max().unwrap_or(0)
     }
@@ -87,7 +87,7 @@
 impl LeaseTable {
     /// Begins the grantor's term of office at the time of the election. The grantor then waits for one lease
     /// duration plus the drift margin before it grants leases. By then, all leases of earlier grantors have
-    /// ended, since the last of them was requested before the earlier term ended.
+    /// ended, since every such lease was requested before its grantor's term ended.
     pub fn begin(&mut self, time: Time, settings: &BudgetSettings) {
         self.grants_from = time.slow + settings.lease_duration + settings.drift_margin;
     }
--- a/crates/shared-state/src/budget/holder.rs
+++ b/crates/shared-state/src/budget/holder.rs
@@ -73,7 +73,7 @@
     Stale,
 }
 
-/// One server's part of a budget in its role as a lease holder.
+/// State of one server as a lease holder of a budget, such as its latest lease and its lease requests.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Holder {
     /// Time from which this server may use its floor (the units that need no lease), by the slow clock.
--- a/crates/shared-state/src/budget/settings.rs
+++ b/crates/shared-state/src/budget/settings.rs
@@ -88,8 +88,8 @@
         /// Configured lease duration, in nanoseconds.
         lease_duration: Nanos,
     },
-    /// The maximum use time of a unit is too long for the lease duration. The lease must be longer by at
-    /// least three times the interval between lease requests.
+    /// The maximum use time of a unit is too long for the lease duration. The lease duration must exceed the
+    /// use time by at least three times the interval between lease requests.
     #[error(
         "use-most-ms: the lease must be longer by three eighths of its duration; {use_max} ns of \
          {lease_duration} ns"
--- a/crates/shared-state/src/counters.rs
+++ b/crates/shared-state/src/counters.rs
@@ -91,8 +91,8 @@
 /// Reason why a received counter row is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RejectedRow {
-    /// The row would exceed the maximum number of rows or of keys in a row, or its server name or a key has
-    /// an invalid length.
+    /// The row would exceed a limit, or a name is invalid. The limits are the maximum number of rows and of
+    /// keys in a row. The server name and each key must have a valid length.
     #[error("row: too many rows or keys, or a name not of 1 to {NAME_MAX} bytes")]
     Full,
     /// A count in the row is too large for the time since the start of the row's server.
@@ -109,11 +109,12 @@
 /// Number of received rows that were rejected, for each reason. All counts begin at 0 when the server starts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct RejectedRows {
-    /// Number of rows rejected as [`RejectedRow::Full`].
+    /// Number of rows rejected because of a limit or an invalid name ([`RejectedRow::Full`]).
     pub full: u64,
-    /// Number of rows rejected as [`RejectedRow::Implausible`].
+    /// Number of rows rejected because a count is too large for the time since the row's server started
+    /// ([`RejectedRow::Implausible`]).
     pub implausible: u64,
-    /// Number of rows rejected as [`RejectedRow::Own`].
+    /// Number of rows rejected because they are ahead of this server's own counts ([`RejectedRow::Own`]).
     pub own: u64,
 }
 
@@ -150,8 +151,8 @@
 /// One server's copy of the fleet's counter rows.
 #[derive(Clone, Debug)]
 pub struct FleetCounters {
-    /// Name and incarnation of the row that this server increments. After [`FleetCounters::renew`], this
-    /// incarnation is later than the start time of the process.
+    /// Name and incarnation of the row that this server increments. The incarnation is at first that of the
+    /// process. [`FleetCounters::renew`] replaces it with a later incarnation.
     id: ServerId,
     rows: BTreeMap<ServerId, CounterRow>,
     limits: Limits,
--- a/crates/shared-state/src/outlier_detection/mod.rs
+++ b/crates/shared-state/src/outlier_detection/mod.rs
@@ -93,9 +93,9 @@
         self.evidence.record_call(time.fast, service, succeeded, duration);
     }
 
-    /// Records a call from this server to a service that was abandoned after `duration` nanoseconds. The call
-    /// counts as a failure if a healthy service would have answered within this time. Otherwise the call is
-    /// ignored. Without this rule, a service that never answers would have no recorded calls.
+    /// Records that this server abandoned a call to a service after `duration` nanoseconds. The call counts
+    /// as a failure if a healthy service would have answered within this time. Otherwise the call is ignored.
+    /// Without this rule, a service that never answers would have no recorded calls.
     pub fn record_abandoned_call(&mut self, time: Time, service: usize, duration: Nanos) {
         if self.evidence.is_slow(duration) {
             self.record_call(time, service, false, duration);
--- a/crates/shared-state/src/outlier_detection/settings.rs
+++ b/crates/shared-state/src/outlier_detection/settings.rs
@@ -19,8 +19,8 @@
     pub accusers_min: usize,
     /// Maximum share of the tier's services that may be ejected at the same time, in thousandths.
     pub max_ejected_thousandths: usize,
-    /// Time after which a report expires, in nanoseconds, greater than 0. The setting is also the half-life
-    /// of this server's own evidence, so that a report expires while the evidence behind the report decays.
+    /// Time after which a report expires, in nanoseconds, greater than 0. The half-life of this server's own
+    /// evidence is the same time. A report thus expires while the evidence on which it is based decays.
     pub expiry: Nanos,
 }
 
@@ -36,8 +36,8 @@
     /// The name of a service is empty or too long.
     #[error("service: name: 1 to {NAME_MAX} bytes, not {0:?}")]
     ServiceName(String),
-    /// The number of servers that must find a service unhealthy before it is ejected is 0. The options file
-    /// has this setting under the name `reports`.
+    /// [`Settings::accusers_min`], the required number of servers that find a service unhealthy, is 0. The
+    /// options file has this setting under the name `reports`.
     #[error("reports: must be at least 1, not {0}")]
     Reports(usize),
     /// The maximum share of the tier that may be ejected is greater than the whole tier (1000 thousandths).
--- a/crates/shared-state/src/simulation/events.rs
+++ b/crates/shared-state/src/simulation/events.rs
@@ -23,7 +23,7 @@
 /// Queue of the events that are scheduled for the future.
 #[derive(Default)]
 pub(super) struct EventQueue {
-    /// Time and number of each scheduled event. The earliest event is at the top of the heap.
+    /// Time and sequence number of each scheduled event. The earliest event is at the top of the heap.
     order: BinaryHeap<Reverse<(Nanos, u64)>>,
     events: HashMap<u64, Event>,
     last_number: u64,
--- a/crates/shared-state/src/state.rs
+++ b/crates/shared-state/src/state.rs
@@ -14,8 +14,8 @@
 use rand_chacha::rand_core::{Rng, SeedableRng};
 use serde::Serialize;
 
-/// Maximum number of row versions in one digest. This many versions fit in a message body of 1,400 bytes,
-/// with server names of 64 bytes and 20 bytes of numbers each. The maximum does not depend on
+/// Maximum number of row versions in one digest. This many versions fit in a message body of 1,400 bytes.
+/// Each version has a server name of up to 64 bytes and 20 bytes of numbers. The maximum does not depend on
 /// [`Settings::body_max`]. If that setting is less than 1,400 bytes, a digest of servers with long names may
 /// exceed the setting, and the transport drops the message.
 const DIGEST_ROWS_MAX: usize = 16;
@@ -27,8 +27,8 @@
 /// Maximum number of received [`Payload::Other`] messages in the queue that [`SharedState::take_received`]
 /// empties. If the queue is full, further messages are dropped.
 const RECEIVED_OTHERS_MAX: usize = 1024;
-/// Upper bound of the size of a message without its names and its list of items, in bytes. The rest of the
-/// message consists of numbers and lengths.
+/// Maximum size of the numbers and lengths in a message, in bytes. The names in the message and its list of
+/// items, such as counter rows, are not included.
 const HEADER_BYTES: usize = 64;
 /// Maximum number of names in a message, such as the sender's name. Names in the list of items are not
 /// counted.
--- a/crates/shared-state/tests/fleet.rs
+++ b/crates/shared-state/tests/fleet.rs
@@ -100,8 +100,8 @@
     }
     run_for(&mut fleet, 10 * S);
     let since = run_for(&mut fleet, 5 * S);
-    // Server 4 now holds most of the budget. After it crashes, the other servers have enough demand to use
-    // the whole budget.
+    // Server 4 now holds most of the budget. After it has crashed, the demand of the other servers is raised
+    // so that they can use the whole budget.
     assert_budget_used(&mut fleet, since, 0.7);
     fleet.crash(4);
     (0..4).for_each(|i| fleet.set_demand(i, 4_000.0));
@@ -252,8 +252,8 @@
 }
 
 /// A malicious peer that has the fleet's key must not be able to exceed the budget. The peer sends
-/// unsolicited and excessive grants, lease requests with false adopted grants and huge demands, and rows with
-/// huge counts. Each of these must be rejected and counted.
+/// unsolicited and excessive grants, and rows with huge counts. It also sends lease requests with a huge
+/// demand that claim a grant it never received. Each of these must be rejected and counted.
 #[test]
 fn a_malicious_peer_gains_nothing() {
     let mut fleet = overloaded_fleet(10, lan());
--- a/crates/shared-state/tests/model.rs
+++ b/crates/shared-state/tests/model.rs
@@ -36,8 +36,9 @@
     /// Sent messages, each as sender, index of the receiver, and content. A message stays in the set after
     /// delivery, so it can be delivered at any later time, more than once or never.
     sent: BTreeSet<(ServerId, usize, BudgetMessage)>,
-    /// Number of times that a server has been killed so far, at most [`LeaseModel::kills`]. States after a
-    /// restart are explored even if messages delivered before the restart can no longer have an effect.
+    /// Number of times that a server has been killed so far, at most [`LeaseModel::kills`]. The count makes
+    /// states after a restart distinct from earlier states. They are therefore explored even if messages
+    /// delivered before the restart can no longer have an effect.
     kills: u8,
 }
 
@@ -60,9 +61,11 @@
     term: u64,
     servers: usize,
     voters: usize,
-    /// Limits of the search: the maximum number of ticks of each clock, of messages in transit, and of kills.
+    /// Limit of the search: maximum number of ticks of each server's clock.
     ticks: u64,
+    /// Limit of the search: maximum number of messages in transit.
     in_transit: usize,
+    /// Limit of the search: maximum number of kills of servers.
     kills: u8,
 }
 
