--- a/crates/fair-queueing/src/origins.rs
+++ b/crates/fair-queueing/src/origins.rs
@@ -17,12 +17,13 @@
 /// Time without an arrival from an origin, in nanoseconds, after which another origin may take over the idle
 /// origin's slot in the table.
 const IDLE_NS: Nanos = 60_000_000_000;
-/// Length of the time window for counting the distinct names of an origin. The unit is the minimum time until
-/// a new name becomes established ([`Settings::probation`](crate::settings::Settings::probation)).
+/// Length of the time window for counting the distinct names of an origin, in units of the probation. The
+/// probation is the minimum time until a new name becomes established
+/// ([`Settings::probation`](crate::settings::Settings::probation)).
 const WINDOW_PROBATIONS: u64 = 8;
-/// A time window begins with a new estimate of the origin's number of names. After that, only arrivals with
-/// selected names compute a new estimate, which must read all registers. About 1 in `NAMES_PER_ESTIMATE`
-/// names is selected, by its fingerprint. Other arrivals use the latest estimate.
+/// Average number of names of which one is selected, by its fingerprint. Only the first arrival in a time
+/// window and arrivals with selected names compute a new estimate of their origin's number of names. Other
+/// arrivals use the latest estimate, since a new estimate must read all registers.
 const NAMES_PER_ESTIMATE: u64 = 16;
 /// Number of registers of the HyperLogLog estimator that counts the distinct names of an origin.
 const NAME_REGISTERS: usize = 64;
--- a/crates/fair-queueing/src/tenant.rs
+++ b/crates/fair-queueing/src/tenant.rs
@@ -29,7 +29,7 @@
     }
 }
 
-/// The tenant's name and the origin of an invocation.
+/// Identifies the sender of an invocation by two values: the tenant's name and the origin.
 #[derive(Clone, Copy, Debug)]
 pub struct TenantKey<'a> {
     /// Name of the tenant, as sent in the invocation. The name is not trustworthy, since a sender can invent
--- a/crates/hot-restart/src/predecessor.rs
+++ b/crates/hot-restart/src/predecessor.rs
@@ -17,7 +17,7 @@
     /// Time after the first failed upgrade attempt before the next attempt may start. Each further failure
     /// doubles this time.
     pub backoff: Nanos,
-    /// Upper limit of the backoff: the time from a failed upgrade attempt until the next may start.
+    /// Upper limit of the backoff: the time from a failed upgrade attempt until the next attempt may start.
     pub backoff_max: Nanos,
 }
 
--- a/crates/shared-state/src/counters.rs
+++ b/crates/shared-state/src/counters.rs
@@ -114,7 +114,8 @@
     /// Number of rows rejected because a count is too large for the time since the row's server started
     /// ([`RejectedRow::Implausible`]).
     pub implausible: u64,
-    /// Number of rows rejected because they are ahead of this server's own counts ([`RejectedRow::Own`]).
+    /// Number of rows of this server itself that were rejected because their counts are larger than this
+    /// server's own counts ([`RejectedRow::Own`]).
     pub own: u64,
 }
 
--- a/crates/shared-state/src/outlier_detection/settings.rs
+++ b/crates/shared-state/src/outlier_detection/settings.rs
@@ -36,8 +36,8 @@
     /// The name of a service is empty or too long.
     #[error("service: name: 1 to {NAME_MAX} bytes, not {0:?}")]
     ServiceName(String),
-    /// [`Settings::accusers_min`], the required number of servers that find a service unhealthy, is 0. The
-    /// options file has this setting under the name `reports`.
+    /// [`Settings::accusers_min`] is 0. This number of servers must find a service unhealthy before the
+    /// service is ejected. The options file has the setting under the name `reports`.
     #[error("reports: must be at least 1, not {0}")]
     Reports(usize),
     /// The maximum share of the tier that may be ejected is greater than the whole tier (1000 thousandths).
--- a/crates/shared-state/src/state.rs
+++ b/crates/shared-state/src/state.rs
@@ -202,8 +202,8 @@
         }
     }
 
-    /// Returns the maximum size of a list of items in one message, in bytes. The rest of the message body is
-    /// reserved for names and numbers.
+    /// Returns the maximum size of a list of items (such as counter rows) in one message, in bytes. The rest
+    /// of the message body is reserved for names and numbers.
     fn list_size_max(&self) -> usize {
         self.settings.body_max - HEADER_NAMES * NAME_MAX - HEADER_BYTES
     }
--- a/crates/shared-state/tests/outlier_detection.rs
+++ b/crates/shared-state/tests/outlier_detection.rs
@@ -36,8 +36,8 @@
     for to in 1..4 {
         gossip(&mut fleet, 0, to, S / 10);
     }
-    // Server 0 finds a service unhealthy. It receives reports from server 2, by which every service is
-    // healthy. Because it receives these reports, server 0 does not count as isolated.
+    // Server 0 finds a service unhealthy. It receives reports from server 2, which state that every service
+    // is healthy. Because it receives these reports, server 0 does not count as isolated.
     gossip(&mut fleet, 2, 0, S / 10);
     assert!(fleet.iter().all(|detector| detector.ejected(Time::from_agreeing_clocks(S / 10)).is_empty()));
     record_calls(&mut fleet[1], 0, 1, false, S);
