--- a/crates/server/src/calls/task.rs
+++ b/crates/server/src/calls/task.rs
@@ -17,7 +17,8 @@
 use std::time::Duration;
 use tracing::debug;
 
-/// Parameters of a downstream call.
+/// A downstream call that the controller has permitted. The function [`make`] sends the request and receives
+/// the reply.
 pub struct Call {
     /// Id of the invocation that waits for the result of this downstream call.
     pub invocation: u64,
@@ -34,7 +35,8 @@
     /// Body of the request.
     pub body: Vec<u8>,
     /// True if the downstream call must use a new connection. Otherwise the call may use an idle connection.
-    /// If the service closes this connection at the same time, the call is lost.
+    /// The downstream service may close an idle connection just as the call is sent, and the call is then
+    /// lost.
     pub needs_new_connection: bool,
 }
 
@@ -46,9 +48,9 @@
         deadline.checked_sub(now).filter(|left| *left > 0)
     }
 
-    /// Returns whether bytes of the downstream call may still be sent. Checked before each write: if the
-    /// process was suspended, this task may resume after the call has timed out but before the timeout is
-    /// handled.
+    /// Returns whether bytes of the downstream call may still be sent: the call has not timed out, and the
+    /// shared state of the fleet still permits it. Checked before each write, because the process may have
+    /// been suspended. In this case the call may have timed out although the timeout is not handled yet.
     fn may_be_sent(&self, server: &Server) -> bool {
         let is_in_time = self.time_left(server.clock.now()).is_some();
         is_in_time && server.shared.as_ref().is_none_or(|shared| shared.permit_send(self.number))
--- a/crates/server/src/configuration/defaults.rs
+++ b/crates/server/src/configuration/defaults.rs
@@ -54,8 +54,9 @@
     deployment.operations.iter().any(|operation| operation.degraded_value_ratio > 0.0)
 }
 
-/// Returns whether all operations have the same priority weight. In this case an advertised minimum rank
-/// tells callers little about which operations are rejected.
+/// Returns whether all operations have the same priority weight. The server can advertise the minimum rank of
+/// the calls that it wants to receive. With equal weights, this rank tells callers little about which
+/// operations are rejected.
 fn has_one_rank(deployment: &Deployment) -> bool {
     let weights = deployment.operations.iter().map(|operation| operation.priority_weight.to_bits());
     weights.collect::<BTreeSet<_>>().len() < 2
@@ -67,14 +68,15 @@
         (self.memory_mb << 20) as usize / KEYS_DIVISOR
     }
 
-    /// Fills in defaults for features that neither the protocol nor the options file describes, and adds a
-    /// note for each. A missing description does not prevent the start.
+    /// Fills in defaults for features that neither the protocol nor the options file describes. Adds a note
+    /// for the log for each of these features. The server can start without the missing descriptions.
     ///
     /// Returns an error if the settings require a downstream service but the platform's file contains no
     /// address for it.
     pub(super) fn fill_defaults(&mut self) -> Result<(), MismatchError> {
-        // This process stores the idempotency keys within its own memory limit. In the deployment's settings,
-        // the memory for a key is therefore set to 0.
+        // The controller must not count the memory of idempotency keys, because this process already stores
+        // them within a memory limit of their own. The memory for a key is therefore set to 0 in the
+        // deployment's settings.
         self.settings.deployment.idempotency_entry_kb = 0.0;
         self.default_keys();
         self.default_reply();
--- a/crates/server/src/connection/accept.rs
+++ b/crates/server/src/connection/accept.rs
@@ -57,8 +57,8 @@
     }
 }
 
-/// Accepts the next connection. Returns `None` if no connection arrived before the drain state must be
-/// checked again.
+/// Waits for the next connection and accepts it. Returns `None` if the state of the drain must be checked
+/// again before a connection arrives.
 async fn next_stream(
     server: &Server,
     listener: &Async<TcpListener>,
--- a/crates/server/src/connection/request.rs
+++ b/crates/server/src/connection/request.rs
@@ -25,14 +25,14 @@
     #[error("unknown operation {0:?}")]
     UnknownOperation(String),
     /// The stated arrival time of the call differs from the present time by more than the longest client
-    /// timeout. If the call arrived that long ago, its caller has already given up.
+    /// timeout. The caller of a call that arrived so long ago has already given up.
     #[error("since is out of range: {age_ns} ns ago, limit is {limit_ns} ns")]
     SinceOutOfRange {
         /// Time since the call arrived at the machine, in nanoseconds. Negative if the stated arrival time is
         /// in the future.
         age_ns: i64,
-        /// Maximum difference from the present time, in nanoseconds: the longest client timeout of the
-        /// operations.
+        /// Maximum difference between the stated arrival time of the call and the present time, in
+        /// nanoseconds. Equal to the longest client timeout of the operations.
         limit_ns: Nanos,
     },
     /// The settings define allowances of tenants, but the call names no tenant or an unknown tenant.
@@ -137,9 +137,9 @@
         Ok(Some(key.into()))
     }
 
-    /// Returns the sender of a call: its tenant, its origin and its ticket. The options configure where the
-    /// tenant is read from. The tenant's name is empty if the call contains none. Returns `None` if the
-    /// options do not configure tenants.
+    /// Returns the sender of a call: the tenant, the network origin, and the ticket for a promise of
+    /// admission, if the call has a ticket. The options configure where the tenant is read from. The tenant's
+    /// name is empty if the call contains none. Returns `None` if the options do not configure tenants.
     fn sender(&self, call: &rpc::Call) -> Option<Sender> {
         let options = self.configuration.options.borrow();
         let tenants = options.tenants.as_ref()?;
--- a/crates/server/src/connection/state.rs
+++ b/crates/server/src/connection/state.rs
@@ -22,8 +22,8 @@
 /// Capacity of the buffer for outgoing messages, in bytes. The buffer can hold one answer to each open call,
 /// and one drain request.
 const OUTGOING_MAX_BYTES: usize = (OPEN_CALLS_MAX + 1) * ANSWER_MAX_BYTES;
-/// Divisor of the shortest client timeout. The result is a time limit: for a new connection to deliver its
-/// first complete command, and for an incomplete command to become complete.
+/// Divisor that turns the shortest client timeout into a time limit. A new connection must deliver its first
+/// complete command within this limit. An incomplete command must become complete within the same limit.
 const COMMAND_TIMEOUT_DIVISOR: u64 = 2;
 
 /// Settings of the deployment that apply to all connections.
@@ -120,8 +120,8 @@
     /// malformed data.
     reading_ended: bool,
     peer_closed: bool,
-    /// Time at which the time limit for the next command started. Set while the server waits for the rest of
-    /// an incomplete command, or for the first command of a new connection; otherwise `None`.
+    /// Start of the time limit within which the peer must send a complete command. Set while the server waits
+    /// for the first command of a new connection, or for the rest of an incomplete command; otherwise `None`.
     command_due_since: Option<Nanos>,
 }
 
--- a/crates/server/src/connection/task.rs
+++ b/crates/server/src/connection/task.rs
@@ -21,8 +21,8 @@
 /// Delay before the task checks again whether other connections have released buffer memory.
 const BUFFERS_RETRY_AFTER: Duration = Duration::from_millis(10);
 /// Divisor of the time from the notice to leave until the process stops. The result is the linger time: how
-/// long a connection waits for its peer to close it. A connection may wait twice, while idle and while
-/// closing, and both waits must end before the process stops.
+/// long a connection waits for its peer to close it. One connection may wait for the linger time twice: first
+/// while it is idle, and again while it is closing. Both waits must end before the process stops.
 const LINGER_DIVISOR: u64 = 8;
 /// Maximum number of bytes that one read from the socket returns.
 const READ_MAX_BYTES: usize = 8 * 1024;
