--- a/crates/server/src/calls/pool/tests.rs
+++ b/crates/server/src/calls/pool/tests.rs
@@ -1,4 +1,4 @@
-//! Tests under which conditions the pool reuses an idle connection to a downstream service.
+//! Tests the conditions under which the pool reuses an idle connection to a downstream service.
 
 use super::*;
 use std::net::TcpListener;
--- a/crates/server/src/configuration/fleet.rs
+++ b/crates/server/src/configuration/fleet.rs
@@ -57,7 +57,7 @@
     /// A setting of the shared state is out of range.
     #[error("<{element}>: {error}")]
     SharedState {
-        /// Name of the element in the options file that enables the shared state.
+        /// Name of the options-file element that enables the shared state.
         element: &'static str,
         /// The invalid setting.
         error: BoxError,
--- a/crates/server/src/connection/request.rs
+++ b/crates/server/src/connection/request.rs
@@ -52,7 +52,7 @@
 
 /// Converts the calls that are received on one connection into requests.
 pub struct RequestDecoder<'a> {
-    /// The server's configuration. It contains the names of operations, of tenants, and of the call fields
+    /// The server's configuration, which contains the names of operations, of tenants, and of the call fields
     /// that hold idempotency keys and tenants.
     pub configuration: &'a Configuration,
     /// The server's clock, used to compute how long ago a call arrived.
--- a/crates/server/src/connection/task.rs
+++ b/crates/server/src/connection/task.rs
@@ -38,7 +38,7 @@
 }
 
 /// Registers a connection in the table and starts its task. The connection is registered before the task
-/// first runs; otherwise a drain that starts in between would miss the connection.
+/// first runs. Otherwise a drain that starts before the first run of the task would miss the connection.
 pub fn spawn(server: &Rc<Server>, stream: Async<TcpStream>, descriptor: Descriptor) {
     server.counters.connections_opened.add();
     let (connection, notifications) = server.connections.open(server.clock.now());
@@ -156,7 +156,7 @@
         future::or(notified, future::or(writable, passive)).await
     }
 
-    /// Returns whether the connection has timed out, after handling the bytes that have already arrived.
+    /// Handles the bytes that have already arrived, and then returns whether the connection has timed out.
     /// Returns an error if the peer does not read the bytes sent to it.
     async fn has_expired(&mut self) -> Result<bool> {
         if !self.state.poll_transmit().is_empty() {
@@ -268,7 +268,7 @@
         Ok(())
     }
 
-    /// Closes the connection gracefully, unless the peer has already closed it.
+    /// Closes the connection gracefully. Does nothing if the peer has already closed it.
     ///
     /// Shuts down the sending side, then reads and discards data until the peer closes the connection or the
     /// linger time is over. If the socket were closed with unread bytes, the connection would be reset and
@@ -299,8 +299,8 @@
         }
     }
 
-    /// Waits until more data to discard arrives, or a notification arrives. Returns false if the linger time
-    /// is over or the connection broke.
+    /// Waits until a notification or more data arrives; the caller discards the data. Returns false if the
+    /// linger time is over or the connection broke.
     async fn wait_for_discardable_data(&self, deadline: Instant) -> bool {
         let readable = async { self.stream.readable().await.is_ok() };
         let notified = async { self.notifications.recv().await.is_ok() };
--- a/crates/server/src/event.rs
+++ b/crates/server/src/event.rs
@@ -20,7 +20,7 @@
     pub reference: u64,
     /// Unix time, in milliseconds, at which the call arrived at this machine.
     pub arrival_unix_ms: u64,
-    /// Memory that a run of the operation reserves, in kilobytes.
+    /// Memory that a run of the operation reserves, in kilobytes, as stated in the call.
     pub held_kb: f64,
     /// Index of the caller's tenant in the deployment's settings; 0 if the settings define no tenants, or if
     /// the options file configures how tenants are identified.
--- a/crates/server/src/event_loop/actions.rs
+++ b/crates/server/src/event_loop/actions.rs
@@ -24,11 +24,12 @@
 pub struct PromisedAdmission {
     /// Id of the invocation that is about to be rejected with the promise.
     pub invocation: u64,
-    /// Ticket that the caller presents with its next attempt, to be admitted.
+    /// Ticket that the caller presents with its next attempt, so that this attempt is admitted.
     pub ticket: u64,
 }
 
-/// A repeated call that was answered with the outcome of an earlier invocation with the same idempotency key.
+/// A repeated call that was answered with the outcome of an earlier invocation. The repeated call and the
+/// earlier invocation have the same idempotency key.
 pub struct Replayed {
     /// Id of the invocation that was registered for the repeated call.
     pub invocation: u64,
@@ -88,8 +89,9 @@
         self.timers.set(self.server.clock.now() + after, timer);
     }
 
-    /// Requests the gauges of the interpreter for the controller's timer `timer`. The timer is handled when
-    /// the gauges arrive, or when the request times out.
+    /// Requests the gauges of the interpreter because the controller's timer with the number `timer` has
+    /// expired. The controller is notified of the expired timer when the gauges arrive, or when the request
+    /// times out.
     pub fn request_gauges(&mut self, timer: u32) {
         self.server.pool.close_expired();
         self.server.counters.gauges_asked.add();
@@ -141,8 +143,9 @@
         self.close(id);
     }
 
-    /// Closes an invocation, which then needs no further answer. Abandons the downstream call of its run. If
-    /// the run waits for a downstream call, stops the run.
+    /// Closes an invocation, so that the server sends no further answer to its caller. Abandons the
+    /// invocation's downstream call. If the run waits for a downstream call and its result is not needed for
+    /// repeated calls, also stops the run.
     pub fn close(&mut self, id: u64) {
         let Some(invocation) = self.invocations.get(id) else { return };
         invocation.is_answered = true;
@@ -219,8 +222,8 @@
     /// Removes the idempotency key of an invocation that never ran. Otherwise a call forged by a peer could
     /// block the key for the genuine call.
     ///
-    /// The key stays if a command of the invocation was sent over more than one link, because the first
-    /// command may have started the run.
+    /// The key stays if a command for the run was sent again over a new link to the interpreter. In this case
+    /// the command that was sent first may have started the run.
     pub fn forget_unless_resent(&mut self, id: u64) {
         if self.invocations.get(id).is_some_and(|invocation| !invocation.was_resent) {
             self.forget(id);
--- a/crates/server/src/event_loop/interpreter_session.rs
+++ b/crates/server/src/event_loop/interpreter_session.rs
@@ -4,8 +4,8 @@
 use crate::wire::interpreter;
 use async_channel::Sender;
 
-/// A request for the interpreter's gauges that has not been answered. The controller's timer `timer` is
-/// handled when the response arrives.
+/// A request for the interpreter's gauges that has not been answered. The controller handles its timer with
+/// the number `timer` when the response arrives.
 struct GaugesRequest {
     nonce: u64,
     timer: u32,
@@ -62,8 +62,8 @@
         self.send(interpreter::request_gauges(nonce));
     }
 
-    /// Requests the gauges of the interpreter for the controller's timer `timer`. Returns the nonce that
-    /// identifies the request.
+    /// Requests the gauges of the interpreter, which the controller needs to handle its expired timer with
+    /// the number `timer`. Returns the nonce that identifies the request.
     pub fn request_gauges(&mut self, timer: u32) -> u64 {
         let nonce = self.next_nonce();
         self.gauges_request = Some(GaugesRequest { nonce, timer });
--- a/crates/server/src/event_loop/mod.rs
+++ b/crates/server/src/event_loop/mod.rs
@@ -66,8 +66,9 @@
         }
     }
 
-    /// Runs the function `act`, which calls the controller. Then notifies the controller of the invocations
-    /// that ended while its actions were executed.
+    /// Runs the function `act`, which calls the controller. While the controller's actions are executed,
+    /// invocations may end: an unsupported action fails its invocation, and a repeated call may be answered.
+    /// The controller is notified of these invocations afterwards.
     fn with_controller(&mut self, act: impl FnOnce(&mut Controller, Nanos, &mut ActionExecutor)) {
         let Some(controller) = &mut self.controller else { return };
         let actions = &mut self.actions;
@@ -175,8 +176,8 @@
         self.actions.server.change_pauses.set(pauses);
     }
 
-    /// Records that no event is queued. Other tasks run before the next event is handled, so the current
-    /// pause of the serving thread ends.
+    /// Records that the event queue is empty. The serving thread now runs other tasks before it handles the
+    /// next event, so its current pause (the time without other tasks) ends.
     fn record_idle(&self) {
         let mut pauses = self.actions.server.change_pauses.get();
         pauses.interrupt();
@@ -282,11 +283,11 @@
         }
     }
 
-    /// Handles the end of a run with the outcome `outcome`. If the run never started, its caller receives a
-    /// failure, because a retry would fail in the same way.
+    /// Handles the end of a run with the outcome `outcome`. If the run never started, the caller receives a
+    /// failure and not a rejection, because a retry would fail in the same way.
     ///
-    /// In this case the controller is first notified that the caller has disconnected. Otherwise a call
-    /// forged by a peer would count as evidence that runs fail on this server.
+    /// If the run never started, the controller is first notified that the caller has disconnected. Otherwise
+    /// a call forged by a peer would count as evidence that runs fail on this server.
     fn handle_run_end(&mut self, id: u64, outcome: Outcome, result: Vec<u8>) {
         if outcome == Outcome::NeverRan {
             self.actions.forget_unless_resent(id);
--- a/crates/server/src/event_loop/timers.rs
+++ b/crates/server/src/event_loop/timers.rs
@@ -7,7 +7,7 @@
 /// Action that the event loop performs when a timer fires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    /// Notify the controller that one of its timers has expired: the timer with this number.
+    /// Notify the controller that its timer with this number has expired.
     Controller(u32),
     /// Give up a gauge request if the interpreter has not responded to it yet.
     GaugesOverdue {
--- a/crates/server/src/event_loop/timers/tests.rs
+++ b/crates/server/src/event_loop/timers/tests.rs
@@ -1,4 +1,4 @@
-//! Tests in which order timers fire.
+//! Tests the order in which timers fire.
 
 use super::*;
 
--- a/crates/server/src/fleet/control_machine.rs
+++ b/crates/server/src/fleet/control_machine.rs
@@ -28,7 +28,7 @@
 /// Interval, in nanoseconds, at which the status is logged if it does not change.
 const LOG_EVERY_NS: u64 = 10_000_000_000;
 
-/// Settings from an options file that a control machine and the `publish` command use.
+/// Settings that a control machine and the `publish` command read from an options file.
 pub struct ControlSettings {
     /// Settings of the process as a member of the fleet.
     pub fleet: FleetSettings,
--- a/crates/server/src/fleet/membership.rs
+++ b/crates/server/src/fleet/membership.rs
@@ -31,8 +31,8 @@
     Async::<UdpSocket>::bind(fleet.bind)
 }
 
-/// Runs the membership task until the server leaves the fleet. Before it ends, the task notifies the other
-/// members, so that they see this server as down at once.
+/// Runs the membership task until the server leaves the fleet. The task then notifies the other members, so
+/// that they see this server as down at once.
 pub async fn run(server: Rc<Server>, socket: Async<UdpSocket>, fleet: FleetSettings) {
     let Some(membership) = start(&server, &socket, &fleet) else { return };
     let now = server.clock.now();
@@ -89,7 +89,7 @@
     membership: Membership,
     sharing: Sharing,
     view_log: ViewLog,
-    /// Time of the next check of whether the view must be logged, in Unix nanoseconds.
+    /// Time, in Unix nanoseconds, at which the task next checks whether the view of the fleet must be logged.
     next_view: Nanos,
 }
 
@@ -114,8 +114,8 @@
                     self.membership.leave(self.server.clock.now());
                     return self.transmit().await;
                 }
-                // The socket is still usable. Some systems report the rejection of an earlier datagram (by
-                // ICMP) as a receive error.
+                // Some systems report an ICMP rejection of an earlier datagram as a receive error. The socket
+                // is still usable, so the task continues.
                 Wake::ReceiveFailed(error) => debug!(target: "fleet", %error, "receive"),
             }
         }
--- a/crates/server/src/fleet/publish.rs
+++ b/crates/server/src/fleet/publish.rs
@@ -161,8 +161,9 @@
         Ok(None)
     }
 
-    /// Prints which members use the newest revision. If `waits` is true, first waits until all members use
-    /// the newest revision and its number has reached `wanted`.
+    /// Prints how many members use the newest revision, and names members that do not use it. If `waits` is
+    /// true, first waits until all members use the newest revision and the number of this revision is at
+    /// least `wanted`.
     async fn wait_until_in_force(&mut self, request: RequestId, wanted: u64, waits: bool) -> Result<()> {
         let mut status = String::new();
         let mut request_number = request.number;
--- a/crates/server/src/fleet/rollout.rs
+++ b/crates/server/src/fleet/rollout.rs
@@ -1,8 +1,8 @@
 //! Executes the orders of a rollout on this server, and reports which version the server runs.
 //!
-//! An order asks the server to adopt the settings or the program of the change, or to use its own settings or
-//! program again. An adopted change is recorded on disk before the server reports it, so the server still
-//! runs the change after a crash.
+//! An order asks the server to adopt the change of the rollout, which is either new settings or a new
+//! program. An order can also ask the server to return to its own settings or program. An adopted change is
+//! recorded on disk before the server reports it, so the server still runs the change after a crash.
 
 use crate::configuration::candidate::hash_of;
 use crate::error::with_causes;
--- a/crates/server/src/fleet/rollout_state.rs
+++ b/crates/server/src/fleet/rollout_state.rs
@@ -124,8 +124,8 @@
         (under_way && order.plan != last.plan).then(|| last.plan.clone())
     }
 
-    /// Builds the report in reply to an order. `program` is given if the order changes the program, and
-    /// `None` if it changes the settings. The caller adds the recorded answers.
+    /// Builds the report in reply to an order. `program` must be set if the order changes the program, and
+    /// must be `None` if the order changes the settings. The caller adds the recorded answers.
     pub fn report(&self, order: &Order, program: Option<OwnProgram>, refused: Option<String>) -> Report {
         let settings = self.adopted.get();
         let (running_hash, adopted) = match program {
--- a/crates/server/src/fleet/shared_state.rs
+++ b/crates/server/src/fleet/shared_state.rs
@@ -47,7 +47,7 @@
     /// Values of this server's counters that are already included in the fleet's counts. The order is that of
     /// [`COUNTER_KEYS`].
     counted: [u64; 4],
-    /// Number of amounts that could not be added to the fleet's counts, because the maximum number of keys
+    /// Number of times that an amount was not added to the fleet's counts, because the maximum number of keys
     /// was reached or the key has an invalid length.
     uncounted: u64,
 }
@@ -126,8 +126,8 @@
     }
 
     /// Returns whether one more downstream call is permitted by the call budget and by the health of the
-    /// downstream services. If the budget does not permit the call, this server's demand for budget units
-    /// includes the `waiting` runs that wait for a call.
+    /// downstream services. `waiting` is the number of runs that wait for a call. If the budget does not
+    /// permit the call, these runs are counted in this server's demand for budget units.
     pub fn is_call_permitted(&self, waiting: usize, preference: CallPreference) -> bool {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
@@ -162,8 +162,8 @@
     }
 
     /// Returns whether bytes of the downstream call with this number may be sent now. Must be called directly
-    /// before each write. If the process was suspended, another server may have received the lease under
-    /// which the call was permitted.
+    /// before each write. If the process was suspended, the lease under which the call was permitted may now
+    /// belong to another server.
     pub fn permit_send(&self, number: u64) -> bool {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
@@ -191,7 +191,7 @@
     }
 
     /// Returns the name of a tenant for use in the keys of counts. Returns `None` if the tenant has no
-    /// separate count, because callers could otherwise create any number of keys by inventing tenants.
+    /// separate count. Otherwise callers could create any number of keys by inventing tenants.
     pub fn tenant(&self, name: &[u8]) -> Option<String> {
         self.named_tenants.borrow().contains(name).then(|| String::from_utf8_lossy(name).into_owned())
     }
--- a/crates/server/src/fleet/sharing.rs
+++ b/crates/server/src/fleet/sharing.rs
@@ -16,7 +16,7 @@
 use tracing::info;
 
 /// Interval, in nanoseconds, between two announcements of versions. Each announcement contains this server's
-/// version and the known versions of other servers, and is sent to one member.
+/// version and known versions of other servers, and is sent to one member.
 const ANNOUNCE_EVERY_NS: Nanos = 200_000_000;
 /// Maximum time between two log lines about the shared state, in nanoseconds.
 const LOG_EVERY_NS: Nanos = 500_000_000;
@@ -96,9 +96,9 @@
         }
     }
 
-    /// Announces the known versions to one member of the fleet. Successive announcements are sent to all
-    /// members in turn. The first member depends on this server's incarnation, so that servers do not all
-    /// announce to the same member at once.
+    /// Sends one member of the fleet the program version and the settings hash of this server and of other
+    /// known servers. Successive announcements are sent to all members in turn. The first member depends on
+    /// this server's incarnation, so that servers do not all announce to the same member at once.
     fn announce_versions(&mut self, server: &Server, shared: &LocalSharedState, now: Nanos) {
         let Some(rollout) = &server.rollout else { return };
         if now < self.announced_at + ANNOUNCE_EVERY_NS {
@@ -130,8 +130,8 @@
             }
         }
         if advanced.has_capacity {
-            // The event may be dropped if the queue is full. The controller then has other events to handle,
-            // and checks while handling them whether calls are permitted.
+            // If the queue is full, the event is dropped. The controller then has other events to handle.
+            // While it handles these events, it checks whether calls are permitted.
             let _ = server.events.try_send(Event::DownstreamCapacity);
         }
     }
--- a/crates/server/src/fleet/tier.rs
+++ b/crates/server/src/fleet/tier.rs
@@ -11,9 +11,10 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// Number of health checks of an ejected service during the expiry time of a health report.
+/// Number of health checks that this server sends to an ejected service within the expiry time of a health
+/// report.
 ///
-/// The weight of evidence halves in each expiry time. With this number of checks, the weight stays above the
+/// The weight of evidence halves in each expiry time. This number of checks keeps the weight above the
 /// minimum that the outlier detector needs to judge a service.
 const PROBES_PER_EXPIRY: u64 = 8;
 
--- a/crates/server/src/fleet/view_log.rs
+++ b/crates/server/src/fleet/view_log.rs
@@ -24,11 +24,11 @@
 }
 
 impl ViewLog {
-    /// Logs the view if the view or the number of dropped datagrams has changed. Otherwise logs it once per
-    /// announce period.
+    /// Logs the view if the view or the number of dropped datagrams has changed. Otherwise logs the view once
+    /// per announce period.
     ///
-    /// Log lines are lost while the log's pipe is full. The regular line then gives the reader of the log an
-    /// up-to-date view.
+    /// A log line is lost if the log's pipe is full at that moment. The line that is logged in the next
+    /// announce period then gives the reader of the log an up-to-date view.
     pub fn update(
         &mut self,
         server: &Server,
--- a/crates/server/src/interpreter/incarnation.rs
+++ b/crates/server/src/interpreter/incarnation.rs
@@ -4,8 +4,8 @@
 use meadowstream_overload_control::Nanos;
 use std::time::Duration;
 
-/// Time within which a restarted server must be ready, even if its interpreter is slow. No step of connecting
-/// to the interpreter may take longer than this time.
+/// Time limit for a restarted server to become ready, even if its interpreter is slow. Each single step of
+/// connecting to the interpreter may take at most this time.
 const READINESS_DEADLINE: Duration = Duration::from_secs(10);
 /// Tolerance, in nanoseconds, for comparing two computed start times of the interpreter. Two times that
 /// differ by at most this value belong to the same start.
@@ -21,8 +21,8 @@
 pub struct Incarnation {
     /// Index of the last notice that the server has read from this incarnation of the interpreter.
     pub last_read: u64,
-    /// Latest possible start time of the interpreter, computed from its banners; `None` before the first
-    /// banner.
+    /// Upper bound on the time at which the interpreter started, computed from its banners; `None` before the
+    /// first banner.
     started: Option<Nanos>,
     /// Number of attempts to connect that have timed out since a link was last established.
     timeouts: u32,
@@ -43,9 +43,11 @@
         self.timeouts = if was_linked { 0 } else { self.timeouts + u32::from(timed_out) };
     }
 
-    /// Handles a banner, which states the interpreter's `age`. Returns whether the interpreter was restarted
-    /// since the previous banner. The banner was requested at the time `requested` and read at the time
-    /// `read`. The two times can be far apart if the machine was suspended in between.
+    /// Handles a banner of the interpreter. Returns whether the interpreter was restarted since the previous
+    /// banner.
+    ///
+    /// The banner states the interpreter's `age`. It was requested at the time `requested` and read at the
+    /// time `read`. The two times can be far apart if the machine was suspended in between.
     pub fn detect_restart(&mut self, requested: Nanos, read: Nanos, age: Nanos) -> bool {
         let earliest = requested.saturating_sub(age);
         let latest = read.saturating_sub(age);
--- a/crates/server/src/interpreter/reader.rs
+++ b/crates/server/src/interpreter/reader.rs
@@ -24,8 +24,8 @@
 }
 
 impl NoticeReader {
-    /// Parses the next line of `bytes`. Returns `None` if the line is incomplete. If a notice has an index of
-    /// at most `last_read`, it was read on an earlier link and is ignored.
+    /// Parses the next line of `bytes`. Returns `None` if the line is incomplete. A notice whose index is at
+    /// most `last_read` was already read on an earlier link and is ignored.
     pub fn read(&mut self, bytes: &[u8], last_read: &mut u64, counters: &Counters) -> Option<ReadLine> {
         let (line, length) = match interpreter::line(bytes) {
             Parsed::Incomplete => return None,
--- a/crates/server/src/lifecycle/drain.rs
+++ b/crates/server/src/lifecycle/drain.rs
@@ -30,8 +30,8 @@
     server.connections.drain_all();
     Timer::at(noticed_at + accepting).await;
     server.drain.enter(Phase::Closing);
-    // Asks the peers of the connections that were accepted after the end of the grace phase to send no more
-    // calls.
+    // Connections may have been accepted after the end of the grace phase. Asks the peers of these
+    // connections to send no more calls.
     server.connections.drain_all();
 }
 
--- a/crates/server/src/lifecycle/pause.rs
+++ b/crates/server/src/lifecycle/pause.rs
@@ -1,4 +1,4 @@
-//! Measures how long a change of settings keeps the serving thread from its other work.
+//! Measures for how long a change of settings blocks the serving thread.
 //!
 //! Two times are measured. The wall-clock time includes waits for a core, which depend on other processes.
 //! The processor time of the thread is only the work of the change.
@@ -16,7 +16,7 @@
 }
 
 impl Span {
-    /// Returns the total duration of this piece of work and of the piece `next`, which follows directly.
+    /// Adds the durations of two successive pieces of work: `self` and `next`, which follows directly.
     pub fn followed_by(self, next: Span) -> Span {
         Span { wall: self.wall + next.wall, processor: self.processor + next.processor }
     }
@@ -56,9 +56,9 @@
     /// Longest wall-clock time and longest processor time of all pauses. The two values may come from
     /// different pauses.
     pub longest: Span,
-    /// Number of the last part of the change that belongs to the pause with the longest processor time. Parts
-    /// are numbered from 1. The value is 0 if this pause was the swap of the configuration, which precedes
-    /// the first part.
+    /// Identifies the pause with the longest processor time by the number of the last part of the change in
+    /// this pause. Parts are numbered from 1. The value is 0 if this pause was the swap of the configuration,
+    /// which precedes the first part.
     pub longest_part: usize,
     parts: usize,
     /// Duration of the current pause: the total time of all parts of the change that were applied since the
--- a/crates/server/src/lifecycle/reload_check.rs
+++ b/crates/server/src/lifecycle/reload_check.rs
@@ -31,7 +31,8 @@
     /// `surplus-value`.
     #[error("tenants: a change of by, field, origin or surplus-value takes a restart")]
     TenantSource,
-    /// The change affects the memory limit for the accounts of tenants.
+    /// The change affects the maximum memory for the data that the server stores about tenants (their
+    /// accounts).
     #[error("ceilings: a change takes a restart")]
     Ceilings,
 }
--- a/crates/server/src/resources/descriptors.rs
+++ b/crates/server/src/resources/descriptors.rs
@@ -13,8 +13,8 @@
 /// Divisor of the number of available descriptors. The result is the size of the reserve, which callers'
 /// connections may not use.
 ///
-/// Downstream calls and files may use the reserve in part: a descriptor is available to them only while more
-/// than half of the reserve's size is free.
+/// Downstream calls and files may use a part of the reserve. They receive a descriptor only while the number
+/// of free descriptors exceeds half of the reserve's size.
 const RESERVE_DIVISOR: usize = 8;
 /// Minimum number of descriptors in the reserve, which callers' connections may not use.
 const RESERVE_MIN: usize = 2;
--- a/crates/server/src/resources/idempotency.rs
+++ b/crates/server/src/resources/idempotency.rs
@@ -118,8 +118,9 @@
                     Lookup::BodyMismatch
                 }
             }
-            // Reached if the key is not stored, or if the key's idempotency window has ended. In the second
-            // case, the key is assigned to the new invocation.
+            // The call is not a repeat: its key is not stored, or the key's idempotency window has ended. The
+            // call needs a new entry in the table. A key that is already stored is then assigned to the new
+            // invocation.
             _ if self.entries.len() >= self.entries_max => Lookup::TableFull,
             _ => Lookup::New,
         }
--- a/crates/server/src/resources/idempotency/tests.rs
+++ b/crates/server/src/resources/idempotency/tests.rs
@@ -42,7 +42,8 @@
     table.run_ended(2, None);
     assert_eq!(table.find(0, 0, 0, b"c", 7), Lookup::TableFull);
     assert_eq!(table.find(0, 0, 0, b"a", 7), Lookup::Repeat(1));
-    // Invocation 2 has ended and its key has expired. Invocation 1 is still running.
+    // Invocation 2 has ended and its key has expired, so the table has space for the new key `c`. The key of
+    // invocation 1 is kept, because invocation 1 is still running.
     assert_eq!(table.find(WINDOW_END + 50, WINDOW_END + 50, 0, b"c", 7), Lookup::New);
     assert_eq!(table.replay(1, 9), Replay::Pending);
 }
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -50,7 +50,8 @@
     pub counters: Counters,
     /// Limit on the total memory of all connections' buffers, and the amount in use.
     pub buffers: Rc<BufferBudget>,
-    /// Channel that notifies the task of the interpreter link that the interpreter's address has changed.
+    /// Channel to the task that keeps the link to the interpreter. A message means that the interpreter's
+    /// address has changed.
     pub interpreter_address_changed: (Sender<()>, Receiver<()>),
     /// State of the drain: its phase, and the time of the notice to leave.
     pub drain: DrainState,
--- a/crates/server/src/wire/http.rs
+++ b/crates/server/src/wire/http.rs
@@ -28,7 +28,8 @@
 /// Reply to a downstream call.
 #[derive(Debug, PartialEq)]
 pub struct Reply {
-    /// Outcome of the downstream call, as far as the reply's status and headers prove the outcome.
+    /// Outcome of the downstream call, derived from the reply's status and headers; unknown if they prove no
+    /// other outcome.
     pub outcome: Outcome,
     /// Body of the reply.
     pub body: Vec<u8>,
@@ -66,9 +67,9 @@
         length.filter(|length| *length <= BODY_MAX).ok_or(ParseError::BadContentLength)
     }
 
-    /// Returns the outcome of the downstream call that the reply proves. A status of 503 or 409 with the
-    /// header `Op-Not-Begun: 1` proves that the call did not run. After any other error, including status
-    /// 500, the call may have had its effect.
+    /// Derives the outcome of the downstream call from the reply's status and headers. A status of 503 or 409
+    /// with the header `Op-Not-Begun: 1` proves that the call did not run. After any other error, including
+    /// status 500, the call may have had its effect.
     fn outcome(&self) -> Outcome {
         let not_begun = matches!(self.status, 503 | 409) && self.first("Op-Not-Begun") == Some("1");
         match self.status {
--- a/crates/server/src/wire/interpreter.rs
+++ b/crates/server/src/wire/interpreter.rs
@@ -171,7 +171,7 @@
 }
 
 /// Encodes the command that opens a link. In response, the interpreter sends all notices whose index is
-/// greater than `last_read`, so that no notice is lost with an earlier link.
+/// greater than `last_read`. The server thus receives notices that were lost with an earlier link.
 pub fn connect(last_read: u64) -> Vec<u8> {
     command(&json!({"verb": "CONNECT", "index": last_read}))
 }
--- a/crates/server/src/wire/mod.rs
+++ b/crates/server/src/wire/mod.rs
@@ -47,8 +47,8 @@
     /// RESP: a word is longer than the server accepts.
     #[error("a word is too long: {0} bytes")]
     WordTooLong(usize),
-    /// RESP: a word does not have the length that is stated before it. No line end follows after this number
-    /// of bytes.
+    /// RESP: no line end follows after the stated number of bytes, so a word does not have the length that is
+    /// stated before it.
     #[error("a word differs from its announced length of {0} bytes")]
     WordLength(usize),
     /// HTTP: the head is too long.
--- a/crates/server/src/wire/ring.rs
+++ b/crates/server/src/wire/ring.rs
@@ -49,8 +49,8 @@
         self.bytes.make_contiguous();
     }
 
-    /// Returns the first bytes of the buffer that lie contiguously in memory. After
-    /// [`Self::make_contiguous`], these are all bytes.
+    /// Returns the first part of the buffer that is contiguous in memory. After [`Self::make_contiguous`],
+    /// this part contains all bytes.
     pub fn front(&self) -> &[u8] {
         self.bytes.as_slices().0
     }
--- a/crates/server/src/wire/rpc.rs
+++ b/crates/server/src/wire/rpc.rs
@@ -79,7 +79,7 @@
     pub reference: u64,
     /// Unix time, in milliseconds, at which the call arrived at this machine.
     pub arrival_unix_ms: u64,
-    /// Memory that a run of the operation reserves, in kilobytes.
+    /// Memory that a run of the operation reserves, in kilobytes, as stated in the call.
     pub held_kb: f64,
     /// Body of the call: the input of the operation.
     pub body: &'a [u8],
@@ -187,9 +187,9 @@
     Rejected {
         /// True if the caller must not retry the call on another server.
         no_retry: bool,
-        /// How long the caller should wait after the rejection before it retries on this server, in
-        /// nanoseconds; 0 if the server gives no advice. If the answer has a ticket, a retry after this time
-        /// is promised admission.
+        /// Time after the rejection until the caller should retry on this server, in nanoseconds; 0 if the
+        /// server gives no advice. If the answer has a ticket, the server promises to admit a retry with the
+        /// ticket after this time.
         retry_after: Nanos,
         /// Ticket for a promise of admission, which the caller presents with its retry; `None` if no promise
         /// was made.
