--- a/crates/server/src/event_loop/actions.rs
+++ b/crates/server/src/event_loop/actions.rs
@@ -108,8 +108,9 @@
         }
     }
 
-    /// Resends commands that may have been lost with an earlier link: they were sent over the earlier link,
-    /// and their receipt is not confirmed. The interpreter ignores a command that it has already received.
+    /// Resends the commands that were sent over an earlier link and whose receipt is not confirmed. These
+    /// commands may have been lost with the earlier link. The interpreter ignores a command that it has
+    /// already received.
     pub fn resend_unconfirmed(&mut self) {
         let link = self.session.link();
         let mut lines = Vec::new();
--- a/crates/server/src/fleet/coordinator.rs
+++ b/crates/server/src/fleet/coordinator.rs
@@ -22,7 +22,7 @@
 /// Prefix of the member names of coordinators. A rollout does not treat members with this prefix as servers.
 const NAME_PREFIX: &str = "rollout-";
 
-/// Arguments of the `rollout` command.
+/// Arguments of the `rollout` command: three files, and the time to wait for the rollout lease.
 pub struct RolloutArguments {
     /// Path of the plan file.
     pub plan: PathBuf,
--- a/crates/server/src/fleet/joined.rs
+++ b/crates/server/src/fleet/joined.rs
@@ -27,7 +27,7 @@
     pub body: Vec<u8>,
 }
 
-/// A member of the fleet that serves no callers.
+/// A member of the fleet that serves no callers, for example the coordinator of a rollout.
 pub struct NonServingMember {
     /// Clock of the process. Its times are in Unix nanoseconds.
     pub clock: Clock,
--- a/crates/server/src/fleet/publish.rs
+++ b/crates/server/src/fleet/publish.rs
@@ -29,7 +29,7 @@
     Status,
 }
 
-/// Arguments of the `publish` command.
+/// Arguments of the `publish` command: the requested action, the options file, and the time limit.
 pub struct PublishArguments {
     /// The action to perform.
     pub request: PublishRequest,
--- a/crates/server/src/fleet/shared_state.rs
+++ b/crates/server/src/fleet/shared_state.rs
@@ -85,7 +85,8 @@
     pub destination: Option<Destination>,
 }
 
-/// Result of [`LocalSharedState::advance`].
+/// Result of [`LocalSharedState::advance`]: the messages to send, and whether downstream calls are permitted
+/// again.
 pub struct Advanced {
     /// Messages to send. Each message is preceded by the name of the member that receives it.
     pub outgoing: Vec<(String, Vec<u8>)>,
--- a/crates/server/src/fleet/sharing.rs
+++ b/crates/server/src/fleet/sharing.rs
@@ -35,7 +35,7 @@
 }
 
 impl Sharing {
-    /// Creates the state when the membership task starts.
+    /// Creates the initial state for [`Sharing::advance`] when the membership task starts.
     pub fn new(replication: Option<Replication>) -> Self {
         Self { replication, ..Self::default() }
     }
--- a/crates/server/src/resources/descriptors.rs
+++ b/crates/server/src/resources/descriptors.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, thiserror::Error)]
 #[error("limits.sockets: {limit} descriptors are too few, {in_use} are needed for other purposes")]
 pub struct TooFewDescriptors {
-    /// The configured limit on file descriptors.
+    /// Maximum number of open file descriptors of the process, as configured.
     pub limit: usize,
     /// Number of descriptors that the server needs for purposes other than connections and downstream calls.
     pub in_use: usize,
