--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -81,8 +81,8 @@
         }
         let own = self.identity();
         if member.id() != own {
-            // Ignore a report that an earlier incarnation of this server is suspect or down: the current
-            // incarnation has replaced the earlier one.
+            // Do not suspect an earlier incarnation of this server, which has the same address: the current
+            // incarnation has replaced it.
             if member.id().addr != own.addr && member.state() == State::Down {
                 self.suspect(member.id());
             }
@@ -155,18 +155,19 @@
         self.send_verdict(from.addr, Member::down(target));
     }
 
-    /// Records the member `id` as suspect after another member reported it down. Does so only if this view
-    /// has the member as alive in the same incarnation. If the suspect is running, it refutes the suspicion
-    /// or takes its next incarnation. If it has crashed and gossip did not report the crash, the suspicion
-    /// speeds up the detection: this member's own probes can take as many probe periods as there are members.
+    /// Records the member `id` as suspect after another member reported it down. Has no effect unless this
+    /// view has the member as alive in the same incarnation. A suspect that is running refutes the suspicion
+    /// or takes its next incarnation. A suspect that has crashed is declared down when the suspicion time
+    /// ends. Without this suspicion, this member might detect the crash only with its own probe, which can
+    /// take as many probe periods as there are members.
     fn suspect(&mut self, id: &MemberId) {
         let is_alive = |member: &&Member<MemberId>| member.id() == id && member.state() == State::Alive;
         let alive = self.foca.iter_members().find(is_alive);
         let Some(refutations) = alive.map(Member::incarnation) else { return };
         let suspected = Member::new(id.clone(), refutations, State::Suspect);
         let mut effects = FocaEffects::default();
-        // Errors can be ignored: if foca does not apply the suspicion, this member is suspected again after
-        // the next comparison of views.
+        // Errors can be ignored: if foca does not apply the suspicion, the next comparison of views leads to
+        // another attempt.
         let _ = self.foca.apply_many(std::iter::once(suspected), true, &mut effects);
         self.apply(effects);
     }
--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -30,8 +30,8 @@
     hasher.finish() as u32
 }
 
-/// Computes the digest of a view: one hash per bucket. A bucket's hash is the exclusive or of the hashes of
-/// its members, so the order of the members does not affect the digest.
+/// Computes the digest of a view: one hash per bucket. A bucket's hash combines the hashes of its members by
+/// exclusive or, so the order of the members does not affect the digest.
 pub fn digest<'a>(members: impl Iterator<Item = &'a MemberId>) -> Vec<u32> {
     let mut hashes = vec![0; BUCKETS];
     for id in members {
--- a/crates/membership/src/messages.rs
+++ b/crates/membership/src/messages.rs
@@ -1,5 +1,5 @@
-//! Messages that members exchange in addition to those of SWIM. They make the views agree in cases in which
-//! gossip alone does not:
+//! Messages that members exchange in addition to those of SWIM. With these messages, the members' views agree
+//! even in cases in which gossip alone does not suffice:
 //!
 //! - **Anti-entropy.** Once per announce period each member sends a digest of its view to one other member,
 //!   alive or down. If the digests differ, both members send each other the members of the differing buckets.
@@ -20,8 +20,9 @@
 /// Maximum number of datagrams that a member sends in answer to one digest or one request. Each datagram
 /// contains a list of members.
 pub const ANSWERS_MAX: usize = 64;
-/// Bytes reserved for the length prefix of a list of members, beyond the one byte that the prefix of an empty
-/// list takes. The reserve is one byte larger than needed.
+/// Additional bytes reserved for the length prefix of a list of members. The prefix of an empty list takes
+/// one byte; the prefix of a longer list can take more. The reserve is larger than the longest possible list
+/// needs.
 const LIST_LENGTH_BYTES: usize = 4;
 
 /// An anti-entropy message together with the identity of its sender.
@@ -52,7 +53,8 @@
         members: Vec<Member<MemberId>>,
     },
     /// The sender reports that it has recorded a member as suspect or down. The member itself can refute the
-    /// verdict. If the verdict is down, any other receiver that has the member recorded as alive suspects it.
+    /// verdict. Any other receiver suspects the member if the verdict is down and the receiver's view has the
+    /// member as alive.
     Verdict {
         /// The member that the verdict is about, with its state in the sender's view.
         member: Member<MemberId>,
@@ -88,8 +90,8 @@
     members: &[Member<MemberId>],
     body_max: usize,
 ) -> Vec<Vec<u8>> {
-    // Size of the longest possible header. `u64::MAX` has the longest encoding, so any `requested_buckets`
-    // fits.
+    // Size of an encoded list message without its members, with the longest possible length prefix. Computed
+    // with `u64::MAX`, which has the longest encoding, so any `requested_buckets` fits.
     let head_bytes = encode_list(from, u64::MAX, Vec::new()).len() + LIST_LENGTH_BYTES;
     let list_bytes_max = body_max.saturating_sub(head_bytes);
     let mut bodies = Vec::new();
--- a/crates/membership/src/runtime.rs
+++ b/crates/membership/src/runtime.rs
@@ -48,8 +48,9 @@
             let after = u64::try_from(after.as_nanos()).unwrap_or(u64::MAX);
             let deadline = self.now.saturating_add(after);
             if let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = &timer {
-                // foca schedules this timer only in the member whose probe raised the suspicion. That member
-                // also notifies the suspect directly, so the suspicion is recorded here.
+                // foca schedules this timer, which ends the suspicion time, only in the member whose probe
+                // raised the suspicion. That member also notifies the suspect directly, so the suspicion is
+                // recorded here.
                 self.suspicions.raise(member_id.clone(), *incarnation, self.now, deadline);
             }
             self.schedule(deadline, timer);
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -95,16 +95,16 @@
     /// The probe period is too short.
     #[error("probe-period: at least 10 ms, not {actual} ns")]
     ProbePeriod {
-        /// The configured probe period, in nanoseconds.
+        /// The rejected probe period, in nanoseconds.
         actual: Nanos,
     },
     /// The time to wait for the answer to a direct probe is invalid: it is zero or not shorter than the probe
     /// period.
     #[error("probe-rtt: above 0 and under the probe period of {probe_period} ns, not {actual} ns")]
     ProbeRtt {
-        /// The configured time to wait for the answer, in nanoseconds.
+        /// The rejected time to wait for the answer, in nanoseconds.
         actual: Nanos,
-        /// The configured probe period, in nanoseconds.
+        /// The probe period, in nanoseconds. The time to wait must be shorter.
         probe_period: Nanos,
     },
     /// The multiplier that yields the suspicion time from the probe period is too small or too large.
@@ -122,11 +122,11 @@
     /// The budget of bytes per second is too small: it must allow four datagrams of maximum size per second.
     #[error("bytes-a-second: {min} at least with packets of {packet_max}, not {actual}")]
     BytesPerSecond {
-        /// The configured budget, in bytes per second.
+        /// The rejected budget, in bytes per second.
         actual: u64,
         /// The minimum budget for datagrams of `packet_max` bytes, in bytes per second.
         min: u64,
-        /// The configured maximum size of a datagram's body, in bytes.
+        /// Maximum size of a datagram's body, in bytes. The minimum budget depends on this size.
         packet_max: usize,
     },
     /// The expected number of members, the gossip period or the announce period is zero.
@@ -135,11 +135,11 @@
          {gossip_period} ns and {announce_period} ns"
     )]
     Zero {
-        /// The configured expected number of members.
+        /// The expected number of members. Invalid if 0.
         expected_members: u32,
-        /// The configured gossip period, in nanoseconds.
+        /// The gossip period, in nanoseconds. Invalid if 0.
         gossip_period: Nanos,
-        /// The configured announce period, in nanoseconds.
+        /// The announce period, in nanoseconds. Invalid if 0.
         announce_period: Nanos,
     },
 }
--- a/crates/membership/src/simulation/network.rs
+++ b/crates/membership/src/simulation/network.rs
@@ -37,7 +37,7 @@
     conditions: NetworkConditions,
     in_flight: BinaryHeap<Reverse<Delivery>>,
     sequence: u64,
-    /// For each member, by its index: the group that it is assigned to.
+    /// The group of each member. The position in the vector is the member's index.
     groups: Vec<u32>,
     /// One-way partitions, as pairs of groups: datagrams from the first group to the second are lost.
     cuts: HashSet<(u32, u32)>,
--- a/crates/membership/src/state_machine.rs
+++ b/crates/membership/src/state_machine.rs
@@ -122,7 +122,8 @@
                 continue;
             }
             let mut effects = FocaEffects::default();
-            // Errors can be ignored: after a failed timer, foca starts the next probe round by itself.
+            // Errors can be ignored: if handling a timer fails, foca still starts the next probe round by
+            // itself.
             let _ = self.foca.handle_timer(timer, &mut effects);
             self.apply(effects);
         }
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -1,6 +1,7 @@
 //! Handling of suspicions. The prober, whose probe raised the suspicion, notifies the suspect directly, so
-//! that the suspect can refute it. If the prober does not end a suspicion in time, every other member ends it
-//! by itself and declares the suspect down.
+//! that the suspect can refute it. The prober declares the suspect down after one suspicion time. If the
+//! prober cannot do so, for example after a crash, every other member declares the suspect down by itself
+//! after twice the suspicion time.
 
 use crate::identity::MemberId;
 use crate::runtime::FocaEffects;
@@ -13,8 +14,8 @@
 /// each direction, a notification is answered with probability 0.64. The probability that all 8 remain
 /// unanswered is 0.36^8, less than 1 in 3,000.
 const NOTIFICATIONS: u64 = 8;
-/// Number of suspicion times after which every member ends a suspicion by itself. In the prober, whose probe
-/// raised the suspicion, a timer ends the suspicion earlier, after one suspicion time.
+/// Number of suspicion times after which every member by itself declares a suspect down. The prober, whose
+/// probe raised the suspicion, does so earlier: its timer fires after one suspicion time.
 const EXPIRY_FACTOR: u64 = 2;
 
 /// A suspicion that was raised by a probe of this member.
@@ -60,8 +61,8 @@
         self.raised.push(RaisedSuspicion { suspect, refutations, notify_at: now, ends_at });
     }
 
-    /// Returns the earliest time at which a suspect is to be notified or a suspicion raised by this member
-    /// ends.
+    /// Returns the earliest time at which a suspect is to be notified or declared down. Covers only
+    /// suspicions raised by this member.
     pub(crate) fn deadline(&self) -> Option<Nanos> {
         self.raised.iter().map(|raised| raised.notify_at.min(raised.ends_at)).min()
     }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -16,7 +16,8 @@
     pub name: String,
     /// The member's address.
     pub addr: SocketAddr,
-    /// The member's incarnation, which identifies one start of its process.
+    /// The member's incarnation. A member has a higher incarnation after each restart, and after rejoining a
+    /// fleet that had declared it down.
     pub incarnation: u64,
     /// The member's SWIM incarnation, maintained by foca. It counts the suspicions that the member has
     /// refuted.
@@ -74,7 +75,7 @@
         /// The new identity.
         new: MemberId,
     },
-    /// This server has learned of another member that is not down, after it knew of none.
+    /// This server has learned of another member that is not down. Before, it knew of no such member.
     Active,
     /// This server no longer knows any other member that is not down.
     Idle,
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -134,8 +134,8 @@
     fleet.cut_one_way(1, 0);
     let t = fleet.now();
     fleet.run_until(t + 60 * SECOND);
-    // During the partition, each half records the members of the other half as down. After 20 s, all but one
-    // or two members have done so. Wait until all have.
+    // During the partition, each member records all members of the other half as down. After 20 s, all but
+    // one or two members have finished. Wait until every member has finished.
     let _ = fleet.run_until_views_agree(&(0..n / 2).collect::<Vec<_>>(), 100 * MILLISECOND, 30 * SECOND);
     let _ = fleet.run_until_views_agree(&(n / 2..n).collect::<Vec<_>>(), 100 * MILLISECOND, 30 * SECOND);
     let left: Vec<usize> = (0..n / 2).collect();
@@ -227,10 +227,11 @@
     assert!(took <= 3 * settings(n as u32).announce_period, "views agree only after {took} ns");
 }
 
-/// A prober suspects a running member and crashes, and no gossip about the suspicion reaches the suspect. In
-/// foca, only the prober ends a suspicion, and answers to probes do not clear it. The suspect therefore
-/// remained suspect in every view; this was observed between processes after a one-way partition. To prevent
-/// this, each member also ends suspicions by itself.
+/// A prober suspects a running member and then crashes. No gossip about the suspicion reaches the suspect, so
+/// the suspect cannot refute it. In foca, only the prober declares a suspect down, and a suspect's answers to
+/// probes do not make it alive again. Without a further rule, the member would stay suspect in every view.
+/// Such a suspicion was observed between processes after a one-way partition. Therefore, every other member
+/// also declares a suspect down by itself, after twice the suspicion time.
 #[test]
 fn a_suspicion_ends_after_its_prober_has_crashed() {
     let n = 5;
--- a/crates/replication/src/committed_log.rs
+++ b/crates/replication/src/committed_log.rs
@@ -1,6 +1,6 @@
 //! The part of the committed log that one member holds. It consists of the configuration at the end of the
-//! log, the latest entries, and two checkpoints. The entries are sent to members that lag a little, the
-//! checkpoints to members that lag further.
+//! log, the latest entries, and two checkpoints. A member that lags a little receives entries. A member that
+//! lags further receives a checkpoint.
 //!
 //! A checkpoint has the same entry number on all members, so a transfer that was started from one member can
 //! continue from another.
@@ -11,8 +11,8 @@
 use crate::state::{KEYS_MAX, State};
 use std::collections::VecDeque;
 
-/// Interval between checkpoints, in log entries. The log is divided into blocks of this many entries. A
-/// checkpoint is taken at the first complete change in each block.
+/// Interval between checkpoints, in log entries. The log is divided into blocks of this many entries. In each
+/// block, a checkpoint is taken at the first entry that ends a change.
 pub const CHECKPOINT_INTERVAL: u64 = 256;
 
 /// Reason why an entry cannot be appended to the committed log.
@@ -221,9 +221,9 @@
         (missing <= self.tail.len()).then(|| self.tail.iter().skip(self.tail.len() - missing))
     }
 
-    /// Returns the snapshot to offer to a member that lacks entries which this member no longer holds. This
-    /// is the newest checkpoint. If no checkpoint was taken since the start, it is the snapshot with which
-    /// this member's log started, or `None` if the log started empty.
+    /// Returns the newest checkpoint. The checkpoint is offered to a member whose missing entries this member
+    /// no longer holds. If no checkpoint was taken since the start, returns the snapshot with which this
+    /// member's log started, or `None` if the log started empty.
     pub fn newest_checkpoint(&self) -> Option<&Snapshot> {
         let base = Some(&self.base).filter(|base| base.number() > 0);
         self.checkpoints[0].as_ref().or(base)
--- a/crates/replication/src/member/applier.rs
+++ b/crates/replication/src/member/applier.rs
@@ -48,10 +48,10 @@
         self.rejected.as_ref()
     }
 
-    /// Records that another member's log ends at entry `number`. During the catch-up period, this raises
-    /// `catch_up_target`, which a member that started with an empty disk must reach before it applies a
-    /// revision. After the period, the target stays the same. A target that rose with every change might
-    /// never be reached.
+    /// Records that another member's log ends at entry `number`. During the catch-up period, raises
+    /// `catch_up_target` to this number if it is higher. A member that started with an empty disk applies no
+    /// revision before its own log reaches the target. After the period, the target stays the same, because a
+    /// target that rose with every change might never be reached.
     pub(super) fn on_newest_number(&mut self, number: u64, now: Nanos) {
         if self.catch_up_until == 0 && number > 0 {
             self.catch_up_until = now + CATCH_UP_NS;
--- a/crates/replication/src/member/gossip.rs
+++ b/crates/replication/src/member/gossip.rs
@@ -109,18 +109,18 @@
         self.send(to, &Message::Digest { number, freshness, location, neighbours, wants_reply }, now);
     }
 
-    /// Adopts a received freshness statement if it is newer than this member's own. This member must also
-    /// hold all entries up to the number in the statement; otherwise, the statement would not prove that the
-    /// member has the newest entries.
+    /// Adopts a received freshness statement if it is newer than this member's own, and if this member holds
+    /// all entries up to the number in the statement. Without these entries, the statement would not prove
+    /// that this member has the newest entries.
     fn on_freshness(&mut self, freshness: Freshness) {
         if freshness.number <= self.log.number() && freshness.at_ms > self.freshness.at_ms {
             self.freshness = freshness;
         }
     }
 
-    /// Answers a digest. If the sender lacks entries, sends these entries. Otherwise, a sender that wants a
-    /// reply receives this member's own digest in two cases: this member lacks entries, or its freshness
-    /// statement is newer than the sender's by more than [`FRESHNESS_LAG_MS`].
+    /// Answers a digest from another member. If the sender lacks entries, sends these entries. Otherwise, if
+    /// the sender wants a reply, may send this member's own digest. The digest is sent if this member lacks
+    /// entries, or if its freshness statement is newer than the sender's by more than [`FRESHNESS_LAG_MS`].
     fn answer_digest(
         &mut self,
         from: &str,
--- a/crates/replication/src/member/mod.rs
+++ b/crates/replication/src/member/mod.rs
@@ -36,8 +36,8 @@
 pub use settings::{Settings, SettingsError};
 use std::sync::Arc;
 
-/// The byte budget of a control machine is this many times the budget of a server. On a control machine,
-/// which only keeps the log, replication does not compete with the traffic of a server.
+/// The byte budget of a control machine is this many times the budget of a server. A control machine only
+/// keeps the log, so replication has no other traffic there to compete with.
 const CONTROL_BYTES_FACTOR: u64 = 16;
 
 /// Counters of one member since its start.
@@ -58,7 +58,7 @@
     pub transfers: u64,
 }
 
-/// How this member learned that the entries are committed.
+/// How a member learned that entries of the log are committed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EntrySource {
     /// This member's replica, as the leader, found that a majority of the replicas has stored the entries.
