--- a/crates/replication/src/member/mod.rs
+++ b/crates/replication/src/member/mod.rs
@@ -109,9 +109,10 @@
 }
 
 impl Member {
-    /// Creates a member. `disk` is the state read from its disk; without it, the member starts with an empty
-    /// log. The state is one that [`Member::unsaved_state`] or [`Member::state_to_persist`] returned before
-    /// the restart. On a server it always comes from [`Member::state_to_persist`].
+    /// Creates a member. `disk` is the state read from the member's disk. If it is `None`, the member starts
+    /// with an empty log. A state on disk was returned by [`Member::unsaved_state`] or
+    /// [`Member::state_to_persist`] before the member was restarted. On a server it always comes from
+    /// [`Member::state_to_persist`].
     ///
     /// # Errors
     /// Returns an error if a setting is invalid.
@@ -197,7 +198,7 @@
     /// the time since the latest freshness statement of the leader that this member has adopted. A member
     /// adopts a statement only if it holds all entries up to the number in the statement. `None` if it has
     /// adopted none yet. The statement has the time of the leader's clock, so the result includes the
-    /// difference between the two clocks. The result is never negative.
+    /// difference between the clocks of this member and the leader. The result is never negative.
     pub fn age(&self, now: Nanos) -> Option<Nanos> {
         let stated_at = self.freshness.at_ms * MILLISECOND_NS;
         (stated_at > 0).then(|| now.saturating_sub(stated_at))
--- a/crates/replication/src/member/operator.rs
+++ b/crates/replication/src/member/operator.rs
@@ -26,8 +26,8 @@
     /// longer held.
     #[error("the configuration before the change is not held any more")]
     BaseNotHeld,
-    /// A later change has modified a key of the change. Reverting the change would therefore also undo the
-    /// later change.
+    /// A later change has modified a key of the change that is to be reverted. The reversal would therefore
+    /// also undo the later change.
     #[error("{key:?} was changed again by {number}")]
     ChangedSince { key: String, number: u64 },
 }
--- a/crates/replication/src/member/snapshot_fetch.rs
+++ b/crates/replication/src/member/snapshot_fetch.rs
@@ -40,9 +40,9 @@
         self.send(&source, &Message::FetchChunk { checkpoint, after }, now);
     }
 
-    /// Starts a transfer of the offered checkpoint if the checkpoint is newer than this member's log. A
-    /// transfer in progress is replaced only if the offered checkpoint is newer than the checkpoint of that
-    /// transfer by more than one checkpoint interval.
+    /// Starts a transfer of the offered checkpoint if the checkpoint is newer than this member's log. If
+    /// another transfer is in progress, the offered checkpoint must also be newer than the checkpoint of that
+    /// transfer, by more than one checkpoint interval.
     pub(super) fn on_snapshot_offer(&mut self, from: &str, checkpoint: Revision, now: Nanos) {
         let number = checkpoint.number();
         let is_outdated =
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -219,7 +219,7 @@
         /// The leader's epoch.
         epoch: u64,
         /// Number of the last entry up to which the sender's log may be equal to the leader's log. The leader
-        /// continues after this number.
+        /// then sends the entries after this number.
         matched: u64,
     },
     /// An operator's request to the leader to make a change. A change that is too large for one message is
--- a/crates/replication/src/progress.rs
+++ b/crates/replication/src/progress.rs
@@ -56,7 +56,7 @@
     committed_at: BTreeMap<u64, Nanos>,
 }
 
-/// A member that has not applied the newest revision, with what is known about its lag.
+/// A member that has not applied the newest revision, its last applied revision, and how long it has lagged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LaggingMember {
     /// The member's name.
@@ -96,8 +96,8 @@
         self.members.get(name).is_none_or(|member| !member.is_non_participating())
     }
 
-    /// Counts the members of `alive` that participate in replication. A member counts as participating until
-    /// it is known not to participate.
+    /// Counts the members of `alive` that participate in replication. A member that has not sent a report yet
+    /// is counted until it is treated as non-participating, which happens after several unanswered polls.
     pub fn count<'a>(&self, alive: impl Iterator<Item = &'a String>) -> usize {
         alive.filter(|name| self.participates(name)).count()
     }
--- a/crates/replication/src/replica/acceptor.rs
+++ b/crates/replication/src/replica/acceptor.rs
@@ -7,7 +7,7 @@
 use crate::message::Message;
 use crate::revision::Position;
 
-/// The fields of [`Message::Append`].
+/// The leader's request that this replica store log entries, with the fields of [`Message::Append`].
 pub(super) struct AppendRequest {
     pub(super) epoch: u64,
     pub(super) previous: Position,
--- a/crates/replication/src/replica/election.rs
+++ b/crates/replication/src/replica/election.rs
@@ -13,8 +13,8 @@
 use crate::time::Nanos;
 use std::collections::BTreeMap;
 
-/// Number of times that a candidate repeats its requests for promises. A candidate that is not the leader by
-/// then starts a new election with a later epoch.
+/// Number of times that a candidate repeats its requests for promises. If the candidate does not become the
+/// leader even then, it starts a new election with a later epoch.
 const REPEATS_MAX: u32 = 10;
 
 /// The log of a replica that has promised the candidate's epoch, as far as the candidate has received it. A
@@ -54,7 +54,7 @@
     }
 }
 
-/// The fields of [`Message::Promise`].
+/// A replica's answer to a request for a promise, with the fields of [`Message::Promise`].
 pub(super) struct Promise {
     pub(super) epoch: u64,
     pub(super) last: Position,
@@ -66,8 +66,8 @@
 struct LogEnd {
     /// State after the last entry.
     state: State,
-    /// Changes that undo the part of the last change that is in the log. Empty if the last change is
-    /// complete.
+    /// Changes that undo the last change if only some of its entries are in the log. Empty if the last change
+    /// is complete.
     undo: Vec<Change>,
 }
 
--- a/crates/replication/src/replica/leader.rs
+++ b/crates/replication/src/replica/leader.rs
@@ -196,9 +196,9 @@
         }
     }
 
-    /// Handles the rejection of entries by a replica that lacks the entry directly before them. Sends the
-    /// entries after the lower number `matched` instead. Up to this number, the replica's log may be equal to
-    /// the leader's log.
+    /// Handles a rejection of entries, which a replica sends if it lacks the entry directly before them.
+    /// Sends the entries after the lower number `matched` instead. Up to this number, the replica's log may
+    /// be equal to the leader's log.
     pub(super) fn on_append_rejected(&mut self, from: &str, epoch: u64, matched: u64, log: &CommittedLog) {
         // The leader may no longer hold the entry at `matched`. Then send nothing: the replica catches up by
         // gossip, and accepts a later heartbeat.
--- a/crates/replication/src/replica/mod.rs
+++ b/crates/replication/src/replica/mod.rs
@@ -167,8 +167,9 @@
     }
 
     /// Updates the uncommitted entries after the committed log has grown, through this replica or by gossip.
-    /// Drops entries whose numbers are now committed. If this replica holds no entry, or a different entry,
-    /// under the number of the last committed entry, it drops all uncommitted entries and becomes a follower.
+    /// Drops the entries whose numbers are now committed. If these do not include the last committed entry,
+    /// this replica's log conflicts with the committed log. The replica then drops all uncommitted entries
+    /// and becomes a follower.
     pub fn follow(&mut self, log: &CommittedLog) {
         let end = log.revision().position;
         let Some(first) = self.uncommitted.first() else { return };
--- a/crates/replication/src/simulation/layout.rs
+++ b/crates/replication/src/simulation/layout.rs
@@ -37,7 +37,8 @@
     pub view_lag: Nanos,
     /// Time that a host takes to check and write a revision, in nanoseconds.
     pub apply_time: Nanos,
-    /// The pull period of all members, as in [`crate::member::Settings::pull_period`].
+    /// Mean time between two pulls (requests for missing entries) of each member, in nanoseconds. See
+    /// [`crate::member::Settings::pull_period`].
     pub pull_period: Nanos,
 }
 
--- a/crates/replication/src/simulation/network.rs
+++ b/crates/replication/src/simulation/network.rs
@@ -8,8 +8,8 @@
 use std::sync::Arc;
 
 impl Fleet {
-    /// Returns whether the network delivers messages from one node to another. It does if no partition
-    /// separates the two nodes.
+    /// Returns whether messages from one node reach another. Messages are blocked only if a partition
+    /// separates the groups of the two nodes.
     fn reaches(&self, from: usize, to: usize) -> bool {
         !self.cuts.contains(&(self.nodes[from].group, self.nodes[to].group))
     }
--- a/crates/replication/src/snapshot.rs
+++ b/crates/replication/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots of the configuration: its complete content at one revision.
+//! Snapshots of the configuration. A snapshot is the complete content of the configuration at one revision.
 
 use crate::revision::Revision;
 use crate::state::State;
--- a/crates/replication/src/snapshot_transfer.rs
+++ b/crates/replication/src/snapshot_transfer.rs
@@ -11,11 +11,11 @@
 /// Time after which an unanswered request for a chunk is repeated. The repetition may be sent to another
 /// member.
 const CHUNK_TIMEOUT_NS: Nanos = SECOND_NS;
-/// Maximum number of requests in a row that may remain unanswered. After more, the transfer is abandoned. The
-/// next offer of a checkpoint then starts a new transfer.
+/// Maximum number of requests in a row that may remain unanswered. If more remain unanswered, the transfer is
+/// abandoned. The next offer of a checkpoint then starts a new transfer.
 const ATTEMPTS_MAX: u32 = 16;
 
-/// A request for a chunk of the checkpoint that has not been answered yet.
+/// An unanswered request for a chunk of the checkpoint.
 #[derive(Debug)]
 struct PendingRequest {
     /// Name of the member to which the request was sent.
