--- a/crates/replication/src/simulation/network.rs
+++ b/crates/replication/src/simulation/network.rs
@@ -8,8 +8,8 @@
 use std::sync::Arc;
 
 impl Fleet {
-    /// Returns whether messages from one node reach another. Messages are blocked only if a partition
-    /// separates the groups of the two nodes.
+    /// Returns false if a partition separates the groups of the two nodes, so that the network loses every
+    /// message from one to the other. Otherwise, returns true.
     fn reaches(&self, from: usize, to: usize) -> bool {
         !self.cuts.contains(&(self.nodes[from].group, self.nodes[to].group))
     }
--- a/crates/replication/src/state.rs
+++ b/crates/replication/src/state.rs
@@ -95,8 +95,8 @@
         }
     }
 
-    /// Returns the changes that give all keys in `changes` the values that they have in this state. A key
-    /// that does not exist in this state is removed by its change.
+    /// Returns changes that restore all keys in `changes` to their values in this state. A key that does not
+    /// exist in this state is removed by its change.
     pub fn inverse(&self, changes: &[Change]) -> Vec<Change> {
         changes.iter().map(|change| self.restore_change(&change.key)).collect()
     }
--- a/crates/replication/tests/replica.rs
+++ b/crates/replication/tests/replica.rs
@@ -44,9 +44,8 @@
     }
 }
 
-/// A replica must remember its promise after a restart. Otherwise, it could store entries of an earlier
-/// leader after it has promised a later epoch, and the leader of the later epoch would not know of these
-/// entries.
+/// A replica must remember its promise of an epoch after a restart. Without the promise, the replica could
+/// store entries of an earlier leader. The leader of the promised epoch would not know of these entries.
 #[test]
 fn a_promise_is_on_disk_before_it_is_sent() {
     let mut member = replica(None);
--- a/crates/simulator-adapter/src/codec/event.rs
+++ b/crates/simulator-adapter/src/codec/event.rs
@@ -28,7 +28,7 @@
     /// invocation.
     pub const ID: usize = 1;
     pub const OUTCOME: usize = 9;
-    /// Offset of the duration of a downstream call.
+    /// Offset of the duration of a downstream call, in an event that reports the end of the call.
     pub const CALL_DURATION: usize = 11;
     pub const DRAIN_GRACE: usize = 1;
     pub const TIMER: usize = 1;
@@ -68,7 +68,7 @@
 /// allow them, so a record with more is rejected.
 const GAUGES_MAX: usize = 4;
 
-/// Gauge readings in a timer event. Their order is that of the gauges in the settings.
+/// Gauge readings in a timer event, in the order in which the settings list the gauges.
 #[derive(Clone, Copy)]
 pub struct GaugeReadings<'a> {
     record: Record<'a>,
@@ -94,7 +94,7 @@
     Arrived { arrival: Arrival },
     /// A run has finished.
     RunFinished { id: u64, outcome: Outcome },
-    /// The run of an invocation has reached the point at which it needs its call to the downstream service.
+    /// The run of an invocation now needs its call to the downstream service.
     CallNeeded { id: u64 },
     /// A call to the downstream service has finished. `duration` is the duration of the call, in nanoseconds.
     CallFinished { id: u64, outcome: Outcome, duration: Nanos },
--- a/crates/simulator-adapter/src/instances.rs
+++ b/crates/simulator-adapter/src/instances.rs
@@ -20,7 +20,8 @@
     Settings(#[from] SettingsError),
 }
 
-/// Error that occurs when a batch is handled. Contains the index of the record in the batch.
+/// Error that occurs when a batch of events is handled. Contains the index of the record that caused the
+/// error.
 #[derive(Debug, Error)]
 pub enum BatchError {
     #[error("record {index}: no instance was selected before")]
