--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -126,17 +126,17 @@
         }
     }
 
-    /// Schedules the next comparison of views in [`REPEAT_PROBE_PERIODS`], if it is due later than that.
-    /// Called when this member's view may still differ from another member's view.
+    /// Moves the next comparison of views to [`REPEAT_PROBE_PERIODS`] probe periods from now, if it is due
+    /// later. Called when this member's view may still differ from another member's view.
     fn repeat_anti_entropy_soon(&mut self) {
         let soon = self.now + REPEAT_PROBE_PERIODS * self.probe_period;
         self.anti_entropy_at = self.anti_entropy_at.min(soon);
     }
 
-    /// Picks a random member of the received list `listed` that this member has recorded as down in the
-    /// listed incarnation. Reports to the picked member and to `from`, the sender of the list, that the
-    /// picked member is down. Reporting only one member per list keeps the traffic sent in proportion to the
-    /// traffic received.
+    /// Reports one member that is down to `from`, the sender of the received list `listed`, and to the
+    /// reported member itself. The reported member is picked at random from the listed members that this view
+    /// has as down in the same incarnation. Reporting only one member per list keeps the traffic sent in
+    /// proportion to the traffic received.
     fn send_verdict_on_random_down_member(&mut self, from: &MemberId, listed: &[Member<MemberId>]) {
         let known = self.foca.iter_membership_state();
         let down: HashSet<&MemberId> =
--- a/crates/membership/src/replay_window.rs
+++ b/crates/membership/src/replay_window.rs
@@ -11,7 +11,7 @@
 const WINDOW: u64 = 64;
 
 /// Replay windows, indexed by the sender's address. The number of windows is limited: when the limit is
-/// reached, a new window replaces that of the least recently active sender.
+/// reached, a new window replaces the window of the least recently active sender.
 #[derive(Debug, Default)]
 pub struct ReplayWindows {
     windows: HashMap<SocketAddr, ReplayWindow>,
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -32,8 +32,8 @@
 const ANNOUNCE_MEMBERS: usize = 1;
 /// Number of members recorded as down to which foca announces this member once per announce period.
 const ANNOUNCE_DOWN_MEMBERS: usize = 2;
-/// If a member does not answer a direct probe, the prober requests this number of other members to probe it
-/// too (`k` in the SWIM paper).
+/// If a member does not answer a direct probe, the prober requests an indirect probe of that member from this
+/// number of other members (`k` in the SWIM paper).
 const INDIRECT_PROBES: usize = 3;
 /// Each member transmits an update `TRANSMISSIONS_PER_LOG10 * log10(n)` times, rounded up (`lambda` in the
 /// SWIM paper). `n` is the fleet's size: the expected number of members plus 1.
--- a/crates/replication/src/member/applier.rs
+++ b/crates/replication/src/member/applier.rs
@@ -6,10 +6,10 @@
 use crate::snapshot::Snapshot;
 use crate::time::{Nanos, SECOND_NS};
 
-/// Duration of the catch-up period after the start of a member. The period begins when the member first
-/// learns of a revision from another member. If the member started with an empty disk, it first has to catch
-/// up: it applies no revision until its log is as long as the longest log that other members report during
-/// this period.
+/// Duration of a member's catch-up period. The period begins when the member, after its start, first learns
+/// of a revision from another member. If the member started with an empty disk, it first has to catch up: it
+/// applies no revision until its log is as long as the longest log that other members report during this
+/// period.
 const CATCH_UP_NS: Nanos = 2 * SECOND_NS;
 /// Maximum UTF-8 length of a character, in bytes.
 const CHARACTER_BYTES_MAX: usize = 4;
--- a/crates/replication/src/member/operator.rs
+++ b/crates/replication/src/member/operator.rs
@@ -106,9 +106,9 @@
         }
     }
 
-    /// Handles the result of proposing the change of a request. If the change was appended to the log, the
-    /// request stays pending until the change is committed. Otherwise, answers the request with the reason
-    /// for the failure.
+    /// Handles the result of proposing a requested change. If the change was appended to the log, the request
+    /// stays pending until the change is committed. Otherwise, answers the request with the reason for the
+    /// failure.
     fn on_proposed(&mut self, request: RequestId, outcome: Result<u64, RequestError>, now: Nanos) {
         let Some(control) = &mut self.control else { return };
         match outcome {
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -156,7 +156,7 @@
         after: Option<Text>,
         /// The pairs, ordered by key.
         pairs: Vec<Pair>,
-        /// Whether these are the last pairs of the checkpoint.
+        /// Whether this message contains the last pairs of the checkpoint.
         last: bool,
     },
     /// Reports to the leader which revisions the sender has applied or rejected.
--- a/crates/replication/src/progress.rs
+++ b/crates/replication/src/progress.rs
@@ -63,8 +63,8 @@
     pub name: String,
     /// Number of the last revision that the member applied; `None` if the member has not sent a report yet.
     pub applied: Option<u64>,
-    /// Time since which the member lags, in Unix nanoseconds: the time at which the oldest revision that the
-    /// member has not applied was committed on this replica. The value is 0 if this time is unknown.
+    /// Time since which the member lags, in Unix nanoseconds. This is the commit time, on this replica, of
+    /// the oldest revision that the member has not applied. The value is 0 if this time is unknown.
     pub since: Nanos,
     /// The last revision that the member rejected. `None` if it has rejected none, or has since applied a
     /// later revision.
--- a/crates/replication/src/simulation/host.rs
+++ b/crates/replication/src/simulation/host.rs
@@ -41,8 +41,8 @@
         self.run_host(index);
     }
 
-    /// Performs the host's work after each call of its member. Writes the member's state to disk, starts
-    /// applying a revision, sends messages, and schedules the next call.
+    /// Performs the host's work after an event at its member. Writes the member's state to disk, starts
+    /// applying a revision, sends messages, and schedules the next call of the member.
     pub(super) fn run_host(&mut self, index: usize) {
         let now = self.now;
         let node = &mut self.nodes[index];
--- a/crates/replication/src/snapshot_transfer.rs
+++ b/crates/replication/src/snapshot_transfer.rs
@@ -29,8 +29,8 @@
     /// Revision of the checkpoint.
     target: Revision,
     /// The member to which the next request is sent. This is the member that sent the last chunk or, before
-    /// the first chunk, the member that offered the checkpoint. Becomes `None` after that member has left a
-    /// request unanswered. The caller may then choose any member.
+    /// the first chunk, the member that offered the checkpoint. Becomes `None` when a request that the source
+    /// left unanswered is repeated. After that, the caller may choose any member.
     source: Option<String>,
     /// Number of requests sent since the last chunk was received.
     attempts: u32,
