--- a/crates/replication/src/replica/mod.rs
+++ b/crates/replication/src/replica/mod.rs
@@ -167,9 +167,9 @@
     }
 
     /// Updates the uncommitted entries after the committed log has grown, through this replica or by gossip.
-    /// Drops the entries whose numbers are now committed. If these do not include the last committed entry,
-    /// this replica's log conflicts with the committed log. The replica then drops all uncommitted entries
-    /// and becomes a follower.
+    /// Drops the entries whose numbers are now committed. If there are such entries, but the last committed
+    /// entry is not among them, this replica's log conflicts with the committed log. The replica then drops
+    /// all uncommitted entries and becomes a follower.
     pub fn follow(&mut self, log: &CommittedLog) {
         let end = log.revision().position;
         let Some(first) = self.uncommitted.first() else { return };
