--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -157,9 +157,9 @@
 
     /// Records the member `id` as suspect after another member reported it down. Has no effect unless this
     /// view has the member as alive in the same incarnation. A suspect that is running refutes the suspicion
-    /// or takes its next incarnation. A suspect that has crashed is declared down when the suspicion time
-    /// ends. Without this suspicion, this member might detect the crash only with its own probe, which can
-    /// take as many probe periods as there are members.
+    /// or takes its next incarnation. A suspect that has crashed is declared down once the suspicion has
+    /// expired. Without this suspicion and without gossip about the crash, this member would detect the crash
+    /// only by its own probes, which can take as many probe periods as there are members.
     fn suspect(&mut self, id: &MemberId) {
         let is_alive = |member: &&Member<MemberId>| member.id() == id && member.state() == State::Alive;
         let alive = self.foca.iter_members().find(is_alive);
