--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -81,8 +81,8 @@
         }
         let own = self.identity();
         if member.id() != own {
-            // Ignore a report that an earlier incarnation of this server is suspect or down: the current
-            // incarnation has replaced the earlier one.
+            // Do not suspect an earlier incarnation of this server, which has the same address: the current
+            // incarnation has replaced it.
             if member.id().addr != own.addr && member.state() == State::Down {
                 self.suspect(member.id());
             }
@@ -126,17 +126,17 @@
         }
     }
 
-    /// Schedules the next comparison of views in [`REPEAT_PROBE_PERIODS`], if it is due later than that.
-    /// Called when this member's view may still differ from another member's view.
+    /// Moves the next comparison of views to [`REPEAT_PROBE_PERIODS`] probe periods from now, if it is due
+    /// later. Called when this member's view may still differ from another member's view.
     fn repeat_anti_entropy_soon(&mut self) {
         let soon = self.now + REPEAT_PROBE_PERIODS * self.probe_period;
         self.anti_entropy_at = self.anti_entropy_at.min(soon);
     }
 
-    /// Picks a random member of the received list `listed` that this member has recorded as down in the
-    /// listed incarnation. Reports to the picked member and to `from`, the sender of the list, that the
-    /// picked member is down. Reporting only one member per list keeps the traffic sent in proportion to the
-    /// traffic received.
+    /// Reports one member that is down to `from`, the sender of the received list `listed`, and to the
+    /// reported member itself. The reported member is picked at random from the listed members that this view
+    /// has as down in the same incarnation. Reporting only one member per list keeps the traffic sent in
+    /// proportion to the traffic received.
     fn send_verdict_on_random_down_member(&mut self, from: &MemberId, listed: &[Member<MemberId>]) {
         let known = self.foca.iter_membership_state();
         let down: HashSet<&MemberId> =
@@ -155,18 +155,19 @@
         self.send_verdict(from.addr, Member::down(target));
     }
 
-    /// Records the member `id` as suspect after another member reported it down. Does so only if this view
-    /// has the member as alive in the same incarnation. If the suspect is running, it refutes the suspicion
-    /// or takes its next incarnation. If it has crashed and gossip did not report the crash, the suspicion
-    /// speeds up the detection: this member's own probes can take as many probe periods as there are members.
+    /// Records the member `id` as suspect after another member reported it down. Has no effect unless this
+    /// view has the member as alive in the same incarnation. A suspect that is running refutes the suspicion
+    /// or takes its next incarnation. A suspect that has crashed is declared down once the suspicion has
+    /// expired. Without this suspicion and without gossip about the crash, this member would detect the crash
+    /// only by its own probes, which can take as many probe periods as there are members.
     fn suspect(&mut self, id: &MemberId) {
         let is_alive = |member: &&Member<MemberId>| member.id() == id && member.state() == State::Alive;
         let alive = self.foca.iter_members().find(is_alive);
         let Some(refutations) = alive.map(Member::incarnation) else { return };
         let suspected = Member::new(id.clone(), refutations, State::Suspect);
         let mut effects = FocaEffects::default();
-        // Errors can be ignored: if foca does not apply the suspicion, this member is suspected again after
-        // the next comparison of views.
+        // Errors can be ignored: if foca does not apply the suspicion, the next comparison of views leads to
+        // another attempt.
         let _ = self.foca.apply_many(std::iter::once(suspected), true, &mut effects);
         self.apply(effects);
     }
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -32,8 +32,8 @@
 const ANNOUNCE_MEMBERS: usize = 1;
 /// Number of members recorded as down to which foca announces this member once per announce period.
 const ANNOUNCE_DOWN_MEMBERS: usize = 2;
-/// If a member does not answer a direct probe, the prober requests this number of other members to probe it
-/// too (`k` in the SWIM paper).
+/// If a member does not answer a direct probe, the prober requests an indirect probe of that member from this
+/// number of other members (`k` in the SWIM paper).
 const INDIRECT_PROBES: usize = 3;
 /// Each member transmits an update `TRANSMISSIONS_PER_LOG10 * log10(n)` times, rounded up (`lambda` in the
 /// SWIM paper). `n` is the fleet's size: the expected number of members plus 1.
@@ -95,16 +95,16 @@
     /// The probe period is too short.
     #[error("probe-period: at least 10 ms, not {actual} ns")]
     ProbePeriod {
-        /// The configured probe period, in nanoseconds.
+        /// The rejected probe period, in nanoseconds.
         actual: Nanos,
     },
     /// The time to wait for the answer to a direct probe is invalid: it is zero or not shorter than the probe
     /// period.
     #[error("probe-rtt: above 0 and under the probe period of {probe_period} ns, not {actual} ns")]
     ProbeRtt {
-        /// The configured time to wait for the answer, in nanoseconds.
+        /// The rejected time to wait for the answer, in nanoseconds.
         actual: Nanos,
-        /// The configured probe period, in nanoseconds.
+        /// The probe period, in nanoseconds. The time to wait must be shorter.
         probe_period: Nanos,
     },
     /// The multiplier that yields the suspicion time from the probe period is too small or too large.
@@ -122,11 +122,11 @@
     /// The budget of bytes per second is too small: it must allow four datagrams of maximum size per second.
     #[error("bytes-a-second: {min} at least with packets of {packet_max}, not {actual}")]
     BytesPerSecond {
-        /// The configured budget, in bytes per second.
+        /// The rejected budget, in bytes per second.
         actual: u64,
         /// The minimum budget for datagrams of `packet_max` bytes, in bytes per second.
         min: u64,
-        /// The configured maximum size of a datagram's body, in bytes.
+        /// Maximum size of a datagram's body, in bytes. The minimum budget depends on this size.
         packet_max: usize,
     },
     /// The expected number of members, the gossip period or the announce period is zero.
@@ -135,11 +135,11 @@
          {gossip_period} ns and {announce_period} ns"
     )]
     Zero {
-        /// The configured expected number of members.
+        /// The expected number of members. Invalid if 0.
         expected_members: u32,
-        /// The configured gossip period, in nanoseconds.
+        /// The gossip period, in nanoseconds. Invalid if 0.
         gossip_period: Nanos,
-        /// The configured announce period, in nanoseconds.
+        /// The announce period, in nanoseconds. Invalid if 0.
         announce_period: Nanos,
     },
 }
--- a/crates/replication/src/member/applier.rs
+++ b/crates/replication/src/member/applier.rs
@@ -6,10 +6,10 @@
 use crate::snapshot::Snapshot;
 use crate::time::{Nanos, SECOND_NS};
 
-/// Duration of the catch-up period after the start of a member. The period begins when the member first
-/// learns of a revision from another member. If the member started with an empty disk, it first has to catch
-/// up: it applies no revision until its log is as long as the longest log that other members report during
-/// this period.
+/// Duration of a member's catch-up period. The period begins when the member, after its start, first learns
+/// of a revision from another member. If the member started with an empty disk, it first has to catch up: it
+/// applies no revision until its log is as long as the longest log that other members report during this
+/// period.
 const CATCH_UP_NS: Nanos = 2 * SECOND_NS;
 /// Maximum UTF-8 length of a character, in bytes.
 const CHARACTER_BYTES_MAX: usize = 4;
@@ -48,10 +48,10 @@
         self.rejected.as_ref()
     }
 
-    /// Records that another member's log ends at entry `number`. During the catch-up period, this raises
-    /// `catch_up_target`, which a member that started with an empty disk must reach before it applies a
-    /// revision. After the period, the target stays the same. A target that rose with every change might
-    /// never be reached.
+    /// Records that another member's log ends at entry `number`. During the catch-up period, raises
+    /// `catch_up_target` to this number if it is higher. A member that started with an empty disk applies no
+    /// revision before its own log reaches the target. After the period, the target stays the same, because a
+    /// target that rose with every change might never be reached.
     pub(super) fn on_newest_number(&mut self, number: u64, now: Nanos) {
         if self.catch_up_until == 0 && number > 0 {
             self.catch_up_until = now + CATCH_UP_NS;
--- a/crates/replication/src/member/operator.rs
+++ b/crates/replication/src/member/operator.rs
@@ -26,8 +26,8 @@
     /// longer held.
     #[error("the configuration before the change is not held any more")]
     BaseNotHeld,
-    /// A later change has modified a key of the change. Reverting the change would therefore also undo the
-    /// later change.
+    /// A later change has modified a key of the change that is to be reverted. The reversal would therefore
+    /// also undo the later change.
     #[error("{key:?} was changed again by {number}")]
     ChangedSince { key: String, number: u64 },
 }
@@ -106,9 +106,9 @@
         }
     }
 
-    /// Handles the result of proposing the change of a request. If the change was appended to the log, the
-    /// request stays pending until the change is committed. Otherwise, answers the request with the reason
-    /// for the failure.
+    /// Handles the result of proposing a requested change. If the change was appended to the log, the request
+    /// stays pending until the change is committed. Otherwise, answers the request with the reason for the
+    /// failure.
     fn on_proposed(&mut self, request: RequestId, outcome: Result<u64, RequestError>, now: Nanos) {
         let Some(control) = &mut self.control else { return };
         match outcome {
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -156,7 +156,7 @@
         after: Option<Text>,
         /// The pairs, ordered by key.
         pairs: Vec<Pair>,
-        /// Whether these are the last pairs of the checkpoint.
+        /// Whether this message contains the last pairs of the checkpoint.
         last: bool,
     },
     /// Reports to the leader which revisions the sender has applied or rejected.
@@ -219,7 +219,7 @@
         /// The leader's epoch.
         epoch: u64,
         /// Number of the last entry up to which the sender's log may be equal to the leader's log. The leader
-        /// continues after this number.
+        /// then sends the entries after this number.
         matched: u64,
     },
     /// An operator's request to the leader to make a change. A change that is too large for one message is
--- a/crates/replication/src/progress.rs
+++ b/crates/replication/src/progress.rs
@@ -56,15 +56,15 @@
     committed_at: BTreeMap<u64, Nanos>,
 }
 
-/// A member that has not applied the newest revision, with what is known about its lag.
+/// A member that has not applied the newest revision, its last applied revision, and how long it has lagged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LaggingMember {
     /// The member's name.
     pub name: String,
     /// Number of the last revision that the member applied; `None` if the member has not sent a report yet.
     pub applied: Option<u64>,
-    /// Time since which the member lags, in Unix nanoseconds: the time at which the oldest revision that the
-    /// member has not applied was committed on this replica. The value is 0 if this time is unknown.
+    /// Time since which the member lags, in Unix nanoseconds. This is the commit time, on this replica, of
+    /// the oldest revision that the member has not applied. The value is 0 if this time is unknown.
     pub since: Nanos,
     /// The last revision that the member rejected. `None` if it has rejected none, or has since applied a
     /// later revision.
@@ -96,8 +96,8 @@
         self.members.get(name).is_none_or(|member| !member.is_non_participating())
     }
 
-    /// Counts the members of `alive` that participate in replication. A member counts as participating until
-    /// it is known not to participate.
+    /// Counts the members of `alive` that participate in replication. A member that has not sent a report yet
+    /// is counted until it is treated as non-participating, which happens after several unanswered polls.
     pub fn count<'a>(&self, alive: impl Iterator<Item = &'a String>) -> usize {
         alive.filter(|name| self.participates(name)).count()
     }
