--- a/crates/capacity/src/added_latency.rs
+++ b/crates/capacity/src/added_latency.rs
@@ -24,14 +24,14 @@
 pub(crate) const CORES: f64 = 4.0;
 /// Number of connections over which the load generator sends its invocations.
 const CONNECTIONS: usize = 32;
-/// Maximum number of open file descriptors of the server process.
+/// Limit on open file descriptors in the settings of the server process.
 const DESCRIPTORS: usize = 1024;
 /// Maximum time to wait for outstanding answers after the last invocation is sent.
 const LAST_ANSWERS_TIMEOUT: Duration = Duration::from_secs(10);
 const LAST_ANSWERS_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Number of significant decimal digits that the histograms keep of each value.
 const HISTOGRAM_DIGITS: u8 = 3;
-/// Weight of every tenant at the start. Each reload of the options increases the weight by one.
+/// Weight of every tenant when the load begins. Each reload of the options increases the weight by one.
 const FIRST_WEIGHT: u32 = 2;
 
 /// Load that is applied to one process.
@@ -49,9 +49,9 @@
     pub changes: usize,
 }
 
-/// Latency that the process added to invocations. The added latency is the time from the caller's write to
-/// the caller's read, minus the work time at the interpreter. The added latency includes the time spent in
-/// the test doubles.
+/// Latency that the process added to invocations. The caller measures the time from sending an invocation to
+/// receiving the answer. The added latency is this time, minus the work time at the interpreter. The added
+/// latency includes the time spent in the test doubles.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct AddedLatency {
     /// Load that was applied.
@@ -138,8 +138,8 @@
 }
 
 impl Invocations {
-    /// Sends one invocation and waits for its answer. Before the call, the caller must increment
-    /// `outstanding`.
+    /// Sends one invocation and waits for its answer. Decrements `outstanding` at the end, so `outstanding`
+    /// must be incremented before this function is called.
     async fn invoke(self: Rc<Self>, operation: String, fields: String) {
         let started_at = Instant::now();
         let body = format!("work={}", WORK.as_micros());
--- a/crates/capacity/src/at_rest.rs
+++ b/crates/capacity/src/at_rest.rs
@@ -1,5 +1,5 @@
-//! Measures the costs of one server in a fleet without failures, for several fleet sizes. Also measures the
-//! time until the replicated counters converge.
+//! Measures the CPU use, network traffic and heap memory of one server in a fleet without failures, for
+//! several fleet sizes. Also measures the time until the replicated counters converge.
 
 use crate::error::ModelError;
 use crate::fit::{Curve, Point};
@@ -18,7 +18,7 @@
 /// Number of units that each server requests from the shared budget every second.
 const DEMAND_UNITS: u64 = 20;
 
-/// Costs of one server in a fleet without failures.
+/// CPU use, network traffic and heap memory per server in a fleet without failures.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct RestingCosts {
     /// Number of servers in the fleet.
@@ -26,10 +26,10 @@
     /// Heap bytes per server.
     #[serde(rename = "memory")]
     pub memory_bytes: f64,
-    /// Average costs per server, over all servers of the fleet.
+    /// Average CPU use and network traffic per server, over all servers of the fleet.
     pub costs: PerServer,
-    /// Costs of the control machine that leads the replicated configuration log. `None` if there is no
-    /// leader, or if the costs are from [`measure_idle`].
+    /// CPU use and network traffic of the control machine that leads the replicated configuration log. `None`
+    /// if there is no leader, or if [`measure_idle`] made the measurement.
     #[serde(rename = "publisher")]
     pub leader: Option<PerServer>,
 }
@@ -44,7 +44,8 @@
     (0..CONTROL_MACHINES).find(leads)
 }
 
-/// Returns the costs of a server since its start; `None` if `server` is `None` or the server is not running.
+/// Returns the CPU time and network traffic of a server since its start; `None` if `server` is `None` or the
+/// server is not running.
 fn costs_of(fleet: &Fleet, server: Option<usize>) -> Option<Costs> {
     fleet.server(server?).map(|server| server.costs)
 }
@@ -67,7 +68,8 @@
     }
 }
 
-/// Measures the costs per server in a converged fleet whose servers increment counters and hold leases.
+/// Measures the CPU use, network traffic and heap memory per server in a converged fleet. The servers
+/// increment counters and hold leases.
 ///
 /// # Errors
 /// Returns an error if the settings are invalid.
@@ -88,8 +90,8 @@
     Ok(RestingCosts { size, memory_bytes, costs, leader })
 }
 
-/// Measures the costs per server in a converged, idle fleet. The servers neither increment counters nor
-/// request budget units. Real processes without callers behave like this.
+/// Measures the CPU use, network traffic and heap memory per server in a converged, idle fleet. The servers
+/// neither increment counters nor request budget units. Real processes without callers behave like this.
 ///
 /// # Errors
 /// Returns an error if the settings are invalid.
@@ -105,7 +107,8 @@
     Ok(RestingCosts { size, memory_bytes, costs, leader: None })
 }
 
-/// Returns one curve for each measured cost, as a function of the fleet size.
+/// Returns one curve for each measured quantity, such as the bytes sent by a server. Each curve is a function
+/// of the fleet size.
 pub fn curves(measured: &[RestingCosts]) -> Vec<Curve> {
     let curve = |name: &str, unit, bound, value: &dyn Fn(&RestingCosts) -> f64| {
         let points = measured.iter().map(|row| Point { size: row.size as f64, value: value(row) });
--- a/crates/capacity/src/day/mod.rs
+++ b/crates/capacity/src/day/mod.rs
@@ -167,8 +167,8 @@
         if at >= tenth * scale.day_seconds * SECOND_NS / 10 {
             progress(&format!("{tenth} tenths of the day, {} changes", run.published.len()));
             if tenth == 1 {
-                // The control machines fail only later in the day, so the leader is still the same as at the
-                // start.
+                // The bytes sent in the first tenth of the day are counted here. The control machines fail
+                // later, so `leader` still leads at this time.
                 let sent = sent_bytes(&run, leader).saturating_sub(leader_bytes_before);
                 leader_bytes_per_second = sent as f64 / (at as f64 / SECOND_NS as f64);
             }
--- a/crates/capacity/src/day/run.rs
+++ b/crates/capacity/src/day/run.rs
@@ -24,8 +24,8 @@
 const KEYS: usize = 2_000;
 /// Number of keys that one change sets when the initial configuration is published.
 const KEYS_PER_CHANGE: usize = 200;
-/// Number of latest changes to correct when a server stops or is cut off. The server may not have received
-/// these changes, so it is removed from their receivers.
+/// Number of latest changes that are checked when a server stops or is cut off. The server may not have
+/// received these changes, so it is removed from their lists of receivers.
 const RECENT_CHANGES: usize = 20;
 
 /// A configuration change that the leader accepted.
@@ -76,7 +76,7 @@
     newest_revision: u64,
 }
 
-/// Returns the location of a server (region and zone) in the form of the replication settings.
+/// Returns the region and zone of a server, as the replication settings represent them.
 fn location(server: usize) -> Location {
     let place = Place::of(server);
     Location { region: place.region_name(), zone: place.zone_name() }
@@ -170,7 +170,7 @@
         REPLICAS + (rng.next_u64() % (self.servers - REPLICAS) as u64) as usize
     }
 
-    /// Returns the servers of the last rack, without control machines.
+    /// Returns the servers of the rack that contains the last server. Control machines are left out.
     fn last_rack(&self) -> Vec<usize> {
         let rack = Place::of(self.servers - 1).rack;
         (REPLICAS..self.servers).filter(|server| Place::of(*server).rack == rack).collect()
@@ -185,8 +185,8 @@
             return;
         };
         self.newest_revision = number;
-        // A server that has returned is not a receiver of changes until it has caught up. Until then, its
-        // catch-up time is measured instead of the delays of single changes.
+        // The delays of changes are not measured at a server that has returned and not caught up yet. Its
+        // catch-up time is measured instead.
         let fleet = &self.fleet;
         self.catching_up.retain(|server, newest_revision| {
             fleet.member(*server).is_some_and(|member| member.applied() < *newest_revision)
@@ -197,9 +197,9 @@
         self.published.push(PublishedChange { at: self.fleet.now(), number, receivers });
     }
 
-    /// Removes all servers for which `is_gone` is true from the receivers of the latest changes. These
-    /// servers may not have received the changes before they stopped or were cut off, so their delays are not
-    /// measured.
+    /// Removes all servers for which `is_gone` is true from the receivers of the latest changes. A removed
+    /// server may not have received these changes before it stopped or was cut off. Its delays are therefore
+    /// not measured.
     fn remove_receivers(&mut self, is_gone: impl Fn(&usize) -> bool) {
         for change in self.published.iter_mut().rev().take(RECENT_CHANGES) {
             change.receivers.retain(|server| !is_gone(server));
--- a/crates/capacity/src/error.rs
+++ b/crates/capacity/src/error.rs
@@ -23,7 +23,7 @@
 /// Reason why a measurement failed.
 #[derive(Debug, thiserror::Error)]
 pub enum MeasureError {
-    /// The fleet model rejected its settings.
+    /// The fleet model rejected the settings of a server.
     #[error("invalid settings for the fleet model: {0}")]
     Model(#[from] ModelError),
     /// The operating system could not start the program.
--- a/crates/capacity/src/fleet.rs
+++ b/crates/capacity/src/fleet.rs
@@ -51,8 +51,8 @@
     rng: ChaCha8Rng,
     /// Current simulated time, in nanoseconds since the start of the simulation.
     now: Nanos,
-    /// Total costs of server incarnations that have ended. An incarnation is one run of a server between
-    /// start and crash.
+    /// Total CPU time and network traffic of server incarnations that have ended. An incarnation is one run
+    /// of a server between start and crash.
     ended_costs: Costs,
 }
 
@@ -163,8 +163,8 @@
         (0..self.servers.len()).filter(|server| self.servers[*server].is_some()).collect()
     }
 
-    /// Returns the total costs of all servers since the start of the simulation. Includes servers that have
-    /// crashed.
+    /// Returns the total CPU time and network traffic of all servers since the start of the simulation.
+    /// Includes servers that have crashed.
     pub fn costs(&self) -> Costs {
         let mut total = self.ended_costs;
         self.servers.iter().flatten().for_each(|server| total.add(&server.costs));
--- a/crates/capacity/src/incidents.rs
+++ b/crates/capacity/src/incidents.rs
@@ -20,8 +20,8 @@
 const CONVERGENCE_LIMIT_NS: Nanos = 300 * SECOND_NS;
 /// Simulated time between two comparisons of the membership views, in nanoseconds.
 const CONVERGENCE_CHECK_INTERVAL_NS: Nanos = SECOND_NS / 4;
-/// Minimum simulated time for which sent bytes are measured after the end of a failure, in nanoseconds. A
-/// burst of one server is its average send rate over a period of this length.
+/// Minimum simulated time for which sent bytes are measured after the end of a failure, in nanoseconds. The
+/// send rate of a single server is averaged over a period of this length.
 const BURST_NS: Nanos = 10 * SECOND_NS;
 /// Number of servers that restart while the control machines are down. At the rates of the other incidents
 /// ([`RESTARTS_PER_DAY`] and [`FAILURES_PER_DAY`]), only a few servers, or none, would restart in this short
@@ -53,8 +53,8 @@
     /// Number of servers in the isolated part of the fleet that held a lease at the end of the network
     /// partition. `None` for failures without a partition.
     pub leases_in_cut: Option<usize>,
-    /// Average costs per server in the peak second after the failure ended. The peak second is the one in
-    /// which the fleet sent the most bytes.
+    /// Average CPU use and network traffic per server in the peak second after the failure ended. In the peak
+    /// second, the fleet sent more bytes than in any other second.
     pub burst: PerServer,
     /// Highest send rate of one server after the failure ended, in bytes per second, averaged over ten
     /// seconds. Control machines are not counted.
@@ -67,8 +67,8 @@
     span as f64 / SECOND_NS as f64
 }
 
-/// Returns a converged fleet and the random number generator for restarts. The fleet has already run for at
-/// most 10 seconds.
+/// Creates a converged fleet and runs it for a short time, at most 10 simulated seconds. Returns the fleet
+/// and the random number generator that draws the restarts.
 fn converged_fleet(scale: &Scale) -> Result<(Fleet, ChaCha8Rng), ModelError> {
     let mut fleet = Fleet::converged(scale.servers, settings(scale.servers), scale.seed, &seeds())?;
     run_with_work(&mut fleet, scale.rest_seconds.min(10));
@@ -124,7 +124,7 @@
     /// Seconds until the membership views of all running servers agreed; `None` if the views did not agree in
     /// time.
     convergence_seconds: Option<f64>,
-    /// Average costs per server in the second in which the fleet sent the most bytes.
+    /// Average CPU use and network traffic per server in the second in which the fleet sent the most bytes.
     burst: PerServer,
     /// Highest send rate of one server, in bytes per second, averaged over [`BURST_NS`].
     burst_max: f64,
@@ -223,7 +223,7 @@
 }
 
 /// Simulates a network partition that isolates part of the fleet for `span_seconds`. During the partition,
-/// servers on both sides restart at the rate of [`run_with_restarts`].
+/// [`run_with_restarts`] restarts random servers on both sides.
 fn cut_off(
     scale: &Scale,
     description: String,
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,5 +1,5 @@
-//! Measures the costs of a fleet with a scale model and with real processes. `meadowstream fleet capacity`
-//! runs both measurements.
+//! Measures the CPU use, network traffic and memory of the servers of a fleet, with a scale model and with
+//! real processes. `meadowstream fleet capacity` runs both measurements.
 //!
 //! The model ([`fleet`], [`server`]) runs the protocol code of membership, shared state and replicated
 //! configuration with its real encoding. It simulates hundreds of servers in one process and in simulated
--- a/crates/capacity/src/meter.rs
+++ b/crates/capacity/src/meter.rs
@@ -20,7 +20,8 @@
     (info.uordblks + info.hblkhd) as u64
 }
 
-/// Accumulated cost of one part of the fleet protocol: membership, shared state or replication.
+/// Accumulated CPU time and network traffic of one part of the fleet protocol. The parts are membership,
+/// shared state and replication.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Cost {
     /// CPU time in nanoseconds.
@@ -39,7 +40,7 @@
         self.bytes += other.bytes;
     }
 
-    /// Returns the difference between this reading and the earlier reading `before`.
+    /// Returns what was added since the earlier reading `before`: CPU time, datagrams and bytes.
     pub fn since(&self, before: &Cost) -> Cost {
         Cost {
             processor_ns: self.processor_ns - before.processor_ns,
@@ -49,7 +50,7 @@
     }
 }
 
-/// Accumulated costs of membership, shared state and replication.
+/// Accumulated CPU time and network traffic of membership, shared state and replication.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Costs {
     /// Cost of membership.
@@ -68,7 +69,7 @@
         self.replication.add(&other.replication);
     }
 
-    /// Returns the difference between this reading and the earlier reading `before`.
+    /// Returns what was added since the earlier reading `before`: CPU time, datagrams and bytes.
     pub fn since(&self, before: &Costs) -> Costs {
         Costs {
             membership: self.membership.since(&before.membership),
--- a/crates/capacity/src/per_server.rs
+++ b/crates/capacity/src/per_server.rs
@@ -1,11 +1,11 @@
-//! Average costs per server and second.
+//! Average CPU use and network traffic per server and second.
 
 use crate::meter::Costs;
 use crate::scale::SECOND_NS;
 use meadowstream_membership::Nanos;
 use serde::Serialize;
 
-/// Average costs of membership, shared state and replication, per server and second.
+/// Average CPU use and network traffic of membership, shared state and replication, per server and second.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct PerServer {
     /// Number of bytes that membership sent, per server and second.
@@ -27,7 +27,8 @@
 }
 
 impl PerServer {
-    /// Calculates the averages from `costs`, the total costs of `servers` servers over `span` nanoseconds.
+    /// Calculates the averages per server and second. `costs` is the total of `servers` servers over `span`
+    /// nanoseconds.
     pub fn average(costs: &Costs, servers: usize, span: Nanos) -> PerServer {
         let server_seconds = servers as f64 * span as f64 / SECOND_NS as f64;
         let per_server_second = |count: u64| count as f64 / server_seconds;
--- a/crates/capacity/src/process.rs
+++ b/crates/capacity/src/process.rs
@@ -25,7 +25,8 @@
 /// Index of the ticks in system mode among the fields of /proc/PID/stat. Index 0 is the field after the
 /// command name.
 const SYSTEM_TICKS_FIELD: usize = 12;
-/// Maximum number of log lines kept for each distinct message. The first line and the latest ones are kept.
+/// Maximum number of log lines kept for each distinct message. If there are more, the first line and the
+/// latest lines are kept.
 const LINES_PER_MESSAGE_MAX: usize = 64;
 /// File permissions of the key file. The program rejects a key file that users other than its owner can
 /// access.
@@ -219,8 +220,8 @@
         self.log.lock().keys().cloned().collect()
     }
 
-    /// Returns the log lines with this message, oldest first. If there are many, only the first line and the
-    /// latest ones are returned.
+    /// Returns the log lines with this message, oldest first. If there are more than `LINES_PER_MESSAGE_MAX`,
+    /// only the first line and the latest lines are returned.
     pub fn lines(&self, message: &str) -> Vec<LogLine> {
         self.log.lock().get(message).cloned().unwrap_or_default()
     }
--- a/crates/capacity/src/process_fleet.rs
+++ b/crates/capacity/src/process_fleet.rs
@@ -41,7 +41,8 @@
     pub bytes_per_second: f64,
 }
 
-/// Number of bytes that a process had sent by the time it logged a `view` line.
+/// Number of bytes that a process had sent when it logged a `view` line. A `view` line lists the state of the
+/// membership protocol, including the number of bytes sent.
 struct SentBytes {
     at: Instant,
     bytes: f64,
--- a/crates/capacity/src/report/mod.rs
+++ b/crates/capacity/src/report/mod.rs
@@ -28,9 +28,9 @@
 /// Number of operations (routes) with which added latency and reload time are measured. Both must be within
 /// their bounds at this number.
 const ROUTES: usize = 6_200;
-/// Invocations per second and server in the two loads to measure. The fleet receives 190,000 invocations per
-/// second. The lower rate is for 690 servers. The higher rate is for the servers that remain when one of
-/// three regions is down.
+/// Invocations per second that one server receives in each of the two measured loads. The whole fleet
+/// receives 190,000 invocations per second. With all 690 servers, the lower rate results. If one of three
+/// regions is down, the remaining servers receive the higher rate.
 const RATES: [f64; 2] = [275.0, 413.0];
 /// Maximum time to wait until the counters converge, in simulated seconds. The convergence time grows with
 /// the square of the fleet size.
@@ -81,11 +81,12 @@
     /// Resource use of each process in a fleet of real processes.
     #[serde(rename = "dozens")]
     pub process_fleet: ProcessFleet,
-    /// Costs of one server in a modelled idle fleet. The modelled fleet is as large as the process fleet.
+    /// CPU use and network traffic of one server in a modelled idle fleet. The modelled fleet is as large as
+    /// the process fleet.
     #[serde(rename = "dozens_model")]
     pub process_fleet_model: PerServer,
-    /// Heap bytes per server in the modelled idle fleet for which [`Report::process_fleet_model`] states the
-    /// costs.
+    /// Heap bytes per server in the modelled idle fleet. [`Report::process_fleet_model`] describes the same
+    /// fleet.
     #[serde(rename = "dozens_model_memory")]
     pub process_fleet_model_memory_bytes: f64,
     /// Descriptions of the bounds that measurements exceed. The list is empty if all bounds are met.
@@ -132,7 +133,8 @@
     Ok(report)
 }
 
-/// Measures the costs per server in a fleet without failures, at each fleet size of `scale`.
+/// Measures the CPU use, network traffic and memory per server in a fleet without failures, at each fleet
+/// size of `scale`.
 fn resting_curves(scale: &Scale, progress: &dyn Fn(&str)) -> Result<Vec<Curve>, ModelError> {
     let mut measured = Vec::new();
     for size in scale.sizes() {
--- a/crates/capacity/src/scale.rs
+++ b/crates/capacity/src/scale.rs
@@ -1,4 +1,5 @@
-//! Sizes and settings of the modelled fleet, and upper bounds of its costs.
+//! Sizes and settings of the modelled fleet, and upper bounds of each server's CPU use, network traffic and
+//! memory.
 
 use crate::fleet::Fleet;
 use crate::server::{ReplicationSettings, Settings};
@@ -40,8 +41,8 @@
 const LOG_LEASE: &str = "publishing";
 const LEASE_NS: Nanos = 4 * SECOND_NS;
 const GOSSIP_INTERVAL_NS: Nanos = SECOND_NS / 2;
-/// Maximum number of bytes per second that membership sends. The rest of [`BYTES_PER_SECOND_BOUND`] is for
-/// shared state.
+/// Maximum number of bytes per second that the membership protocol of one server sends. The rest of
+/// [`BYTES_PER_SECOND_BOUND`] is for shared state.
 const MEMBERSHIP_BYTES_PER_SECOND: u64 = 12_000;
 /// Number of units in the call budget, per server of the fleet.
 const BUDGET_UNITS_PER_SERVER: u64 = 10;
--- a/crates/capacity/src/server.rs
+++ b/crates/capacity/src/server.rs
@@ -54,7 +54,7 @@
     directory: Directory,
     /// Simulated time in nanoseconds at which the timers of shared state are next due.
     shared_state_due: Nanos,
-    /// Costs of this server since its start.
+    /// CPU time and network traffic of this server since its start.
     pub costs: Costs,
 }
 
@@ -207,7 +207,8 @@
         }
     }
 
-    /// Returns the number of units of the first shared budget that this server holds by lease.
+    /// Returns how many units this server holds by lease from the first shared budget; 0 if there is no
+    /// budget.
     pub fn leased(&self) -> u64 {
         let time = self.shared_state.time();
         self.shared_state.budgets.first().map_or(0, |budget| budget.allowance(time).leased)
--- a/crates/capacity/src/tenants.rs
+++ b/crates/capacity/src/tenants.rs
@@ -28,7 +28,7 @@
 /// spread over all tenants.
 const STRIDE: usize = 7919;
 
-/// Costs of one server with a given number of tenants.
+/// Memory and CPU time that fair queueing uses on one server with a given number of tenants.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct TenantCosts {
     /// Number of named tenants.
@@ -46,7 +46,8 @@
     pub fair_rate_ns: f64,
 }
 
-/// Measures the costs of `tenants` tenants in the worst case: all tenants are named and all have arrivals.
+/// Measures the memory and CPU time of fair queueing for `tenants` tenants in the worst case: all tenants are
+/// named and all have arrivals.
 pub fn measure(tenants: usize) -> TenantCosts {
     let name = |tenant: usize| format!("tenant-{tenant:05}").into_bytes();
     let named: Vec<NamedTenant> = (0..tenants).map(|tenant| (name(tenant), WEIGHT)).collect();
@@ -74,7 +75,8 @@
     TenantCosts { tenants, memory_bytes, arrival_ns, fair_rate_ns }
 }
 
-/// Returns one curve for each measured cost, as a function of the number of tenants.
+/// Returns one curve for each measured quantity, such as the memory. Each curve is a function of the number
+/// of tenants.
 pub fn curves(measured: &[TenantCosts]) -> Vec<Curve> {
     let curve = |name: &str, unit, value: &dyn Fn(&TenantCosts) -> f64| {
         let points = measured.iter().map(|costs| Point { size: costs.tenants as f64, value: value(costs) });
--- a/crates/capacity/tests/memory.rs
+++ b/crates/capacity/tests/memory.rs
@@ -4,8 +4,8 @@
 
 use meadowstream_capacity::tenants::{self, TenantCosts};
 
-/// Maximum relative difference between the memory per additional tenant in two ranges of tenant counts. The
-/// ranges differ because tables grow by doubling.
+/// Maximum relative change of the memory per additional tenant between a lower and a higher range of tenant
+/// counts. The memory per tenant changes because the allocated tables grow by doubling.
 const TOLERANCE: f64 = 0.25;
 /// Upper bound of the memory per tenant, in bytes.
 const TENANT_BYTES_MAX: f64 = 2_000.0;
--- a/crates/capacity/tests/model.rs
+++ b/crates/capacity/tests/model.rs
@@ -72,8 +72,8 @@
     assert_eq!(Line::fit(&[point(1.0, 1.0), point(1.0, 2.0), point(1.0, 3.0)]), None);
 }
 
-/// Prints measurements at full size. These are the costs of the leader in a fleet of 690 servers without
-/// failures, the memory of a configuration with 64,000 tenants, and the size and encoding time of the
+/// Prints measurements at full size: the CPU use and network traffic of the leader in a fleet of 690 servers
+/// without failures, the memory of a configuration with 64,000 tenants, and the size and encoding time of the
 /// persisted state of this configuration.
 #[test]
 #[ignore = "half a minute"]
