--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -4,8 +4,8 @@
 
 use serde::Serialize;
 
-/// Value that was measured at one size of the system, such as one fleet size. Serialized as the pair `(size,
-/// value)`.
+/// Value that was measured at one size of the system, such as one fleet size. The pair `(size, value)` is
+/// serialized.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(into = "(f64, f64)")]
 pub struct Point {
--- a/crates/rollout/src/canary.rs
+++ b/crates/rollout/src/canary.rs
@@ -49,9 +49,9 @@
         class: String,
         /// Metric in which the changed servers perform worse.
         metric: Metric,
-        /// Mean of the changed servers minus the mean of the unchanged servers, with the correction of
-        /// [`Comparison::difference`](crate::rank_test::Comparison::difference). The unit is the unit of the
-        /// metric: a share, or the logarithm of a latency.
+        /// Mean of the changed servers minus the mean of the unchanged servers, minus twice the standard
+        /// error of the baselines. The unit is the unit of the metric: a share, or the logarithm of a
+        /// latency.
         difference: f64,
         /// One-sided p-value: the probability that chance alone gives the changed servers ranks at least as
         /// high as the observed ranks.
--- a/crates/rollout/src/coordinator/compliance.rs
+++ b/crates/rollout/src/coordinator/compliance.rs
@@ -5,15 +5,17 @@
 use crate::metrics::IntervalMetrics;
 use crate::wire::Report;
 
-/// Maximum lag of a server's latest report: the number of orders sent after the order that the report
-/// answers. With a larger lag, the server counts as silent.
+/// Maximum number of orders that may follow the order that a server's latest report answers. If more orders
+/// were sent since, the server counts as silent.
 const SILENT_ORDERS: u64 = 2;
 
 /// The latest report of a server.
 pub(super) struct ReceivedReport {
     pub(super) received_at: Nanos,
     pub(super) report: Report,
-    /// Number of the last interval of this server whose metrics [`Coordinator::take_new_intervals`] returned.
+    /// Number of the latest interval of this server that the coordinator has processed.
+    /// [`Coordinator::take_new_intervals`] sets this number, so that it returns the metrics of each interval
+    /// only once.
     last_interval: Option<u64>,
 }
 
@@ -46,16 +48,17 @@
         received.is_some_and(|received| now.saturating_sub(received.received_at) < self.plan.response_timeout)
     }
 
-    /// Returns whether a server is silent. A server is silent if it has never reported, or if its latest
-    /// report answers an order more than [`SILENT_ORDERS`] orders old.
+    /// Returns whether a server is silent. A server is silent if it has never reported. It is also silent if
+    /// more than [`SILENT_ORDERS`] orders were sent after the order that its latest report answers.
     fn is_silent(&self, server: &str) -> bool {
         let last_answered = self.reports.get(server).map(|received| received.report.order_sequence);
         last_answered.is_none_or(|last_answered| last_answered + SILENT_ORDERS < self.order_sequence)
     }
 
     /// Counts the time for which each alive server has been overdue. A server is overdue while it is silent
-    /// or does not comply with its order. While the fleet's view is not settled, time is counted only during
-    /// a rollback, because a server may be unreachable.
+    /// or does not comply with its order. During a rollback, all time counts. Otherwise, time counts only
+    /// while the fleet's view is settled, because an unsettled view may mean that servers are unreachable and
+    /// not at fault.
     pub(super) fn count_overdue(&mut self, interval: &Interval) {
         let is_counted = interval.is_settled || self.is_rolling_back();
         for server in &interval.view.alive {
@@ -67,8 +70,8 @@
         }
     }
 
-    /// Counts the time for which changed servers, and no unchanged servers, have been missing from the view.
-    /// Resets the time to 0 if no server is missing, or if an unchanged server is missing.
+    /// Counts the time for which only changed servers have been missing from the view. Resets the time to 0
+    /// if no server is missing, or if an unchanged server is missing.
     pub(super) fn count_changed_missing(&mut self, interval: &Interval) {
         let missing = &interval.view.missing;
         let only_changed = missing.iter().all(|server| self.state.changed.contains(server));
@@ -79,8 +82,9 @@
         }
     }
 
-    /// Returns a message if a server has failed. There are two cases: a server has been overdue for the
-    /// response timeout, or only changed servers have been missing from the view for this time.
+    /// Returns a message if a server has failed. A server has failed if it has been overdue for the response
+    /// timeout. Changed servers have failed if only changed servers have been missing from the view for the
+    /// response timeout.
     pub(super) fn find_failure(&self, view: &FleetView) -> Option<String> {
         let timeout = self.plan.response_timeout;
         if self.changed_missing_for >= timeout {
--- a/crates/rollout/src/coordinator/mod.rs
+++ b/crates/rollout/src/coordinator/mod.rs
@@ -165,8 +165,9 @@
         &self.state
     }
 
-    /// Handles a report of a server. Ignores a report with too many classes, a report on an order that was
-    /// never sent, and a report on an order that is not newer than the order of the server's latest report.
+    /// Handles a report of a server. Each report answers one order. Ignores a report with too many classes
+    /// and a report on an order that was never sent. Also ignores a report if the coordinator already has a
+    /// report of this server on the same or a later order.
     pub fn handle_report(&mut self, now: Nanos, server: &str, report: Report) {
         let answers_an_order = (1..=self.order_sequence).contains(&report.order_sequence);
         if !answers_an_order || report.classes.len() > CLASSES_MAX {
--- a/crates/rollout/src/coordinator/rollback.rs
+++ b/crates/rollout/src/coordinator/rollback.rs
@@ -8,7 +8,8 @@
 const ROLLBACK_TIMEOUT_FACTOR: Nanos = 2;
 
 impl Coordinator {
-    /// Begins the rollback. From now on, the orders tell every server to run its own settings or program.
+    /// Begins the rollback. From now on, the orders tell every server to run its own settings or program,
+    /// without the change.
     pub(super) fn roll_back(&mut self, now: Nanos, reason: String, actions: &mut Vec<Action>) {
         self.state.changed.clear();
         self.state.phase = Phase::RollingBack { reason: reason.clone() };
@@ -19,7 +20,7 @@
     }
 
     /// Ends the rollback when every server in the view has confirmed it, or after a timeout. A missing server
-    /// that returns before the end still gets the order to roll back.
+    /// still gets the order to roll back if it returns before the rollback ends.
     pub(super) fn handle_rolling_back(
         &mut self,
         interval: &Interval,
--- a/crates/rollout/src/coordinator/stages.rs
+++ b/crates/rollout/src/coordinator/stages.rs
@@ -9,7 +9,7 @@
 
 impl Coordinator {
     /// Adds the new metrics of servers to the baselines. Begins the first stage when each server has a
-    /// complete baseline and runs its own settings or program.
+    /// complete baseline and runs its own settings or program, without the change.
     pub(super) fn handle_waiting(&mut self, interval: &Interval, actions: &mut Vec<Action>) {
         let view = interval.view;
         if !interval.is_settled {
--- a/crates/rollout/src/coordinator/state.rs
+++ b/crates/rollout/src/coordinator/state.rs
@@ -18,7 +18,7 @@
     Applying,
     /// The changed servers are compared with the unchanged servers.
     Baking,
-    /// Every server is ordered to run its own settings or program again.
+    /// The change is rolled back: every server is ordered to run its own settings or program again.
     RollingBack {
         /// Reason for the rollback.
         #[serde(rename = "why")]
@@ -37,7 +37,7 @@
         /// Reason for the rollback.
         #[serde(rename = "why")]
         reason: String,
-        /// Names of the servers that did not confirm the rollback before the end.
+        /// Names of the servers that had not confirmed the rollback when the plan ended.
         #[serde(rename = "left")]
         unconfirmed: Vec<String>,
     },
--- a/crates/rollout/src/metrics.rs
+++ b/crates/rollout/src/metrics.rs
@@ -56,7 +56,7 @@
     }
 }
 
-/// Key of a series of values. A series has one class of invocations and one metric.
+/// Key of a series of values: the values of one metric for one class of invocations.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Series {
     pub(crate) class: String,
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Returns whether this size is larger than the size of the previous stage. A number of servers and a
-    /// share of the fleet cannot be compared. In this case, returns true.
+    /// Returns whether this size is larger than the size of the previous stage. Also returns true if the
+    /// sizes cannot be compared, because one is a number of servers and the other is a share of the fleet.
     fn exceeds(self, previous: StageSize) -> bool {
         match (previous, self) {
             (StageSize::Servers(previous), StageSize::Servers(now)) => now > previous,
@@ -234,7 +234,7 @@
     /// The bake time of the stage is shorter than [`INTERVALS_MIN`] intervals.
     #[error("bake-ms: at least {INTERVALS_MIN} intervals, {min_ms}, not {bake_time_ms}")]
     BakeTime {
-        /// Minimum bake time for the interval of the plan, in milliseconds.
+        /// Minimum bake time in milliseconds: [`INTERVALS_MIN`] times the interval of the plan.
         min_ms: u64,
         /// Bake time of the stage in the plan, in milliseconds.
         bake_time_ms: u64,
--- a/crates/rollout/src/wire.rs
+++ b/crates/rollout/src/wire.rs
@@ -1,8 +1,8 @@
-//! Encodes orders and reports. A message is a version number, followed by the fields of that version in
-//! postcard. Later versions append fields, and a reader ignores the bytes after the fields that it knows.
-//! [`decode`] rejects version 0, which does not exist. For every other version, [`decode`] reads the fields
-//! of version 1. A build that adds fields must select the fields by the version number, because messages of
-//! version 1 end before the added fields.
+//! Encodes orders and reports. A message is a version number, followed by the fields of that version, encoded
+//! with postcard. Later versions append fields, and a reader ignores the bytes after the fields that it
+//! knows. [`decode`] rejects version 0, which is never sent. For every other version, [`decode`] reads the
+//! fields of version 1. A build that adds fields must select the fields by the version number, because
+//! messages of version 1 end before the added fields.
 //!
 //! postcard encodes fields and variants by position, so their order is part of the wire format.
 
@@ -31,8 +31,8 @@
     pub sequence: u64,
     /// Kind of the change.
     pub kind: ChangeKind,
-    /// Hash of the settings or program that the server must run. `None` selects the server's own settings or
-    /// program.
+    /// Hash of the settings or program that the server must run. `None` orders the server to run its own
+    /// settings or program, without the change.
     pub adopt: Option<u64>,
 }
 
@@ -43,11 +43,11 @@
     pub order_sequence: u64,
     /// Version of the program that the server runs.
     pub version: String,
-    /// Hash of what the server runs: of its settings if the plan changes settings, or of its program if the
-    /// plan changes the program.
+    /// Hash of the server's settings if the plan changes settings, or of the server's program if the plan
+    /// changes the program.
     pub running_hash: u64,
-    /// Whether the server runs the settings or program of a plan. If false, the server runs its own settings
-    /// or program.
+    /// Whether the server runs the settings or program that a plan rolls out. If false, the server runs its
+    /// own settings or program, without the change.
     pub adopted: bool,
     /// Reason why the server does not carry out the order; `None` if the server carries it out.
     pub refused: Option<String>,
--- a/crates/test-doubles/src/balancers.rs
+++ b/crates/test-doubles/src/balancers.rs
@@ -175,8 +175,8 @@
         Ok(connection)
     }
 
-    /// Reads replies from a connection until it closes, then removes the connection from the pool. Callers
-    /// that still wait for a reply on the connection get none.
+    /// Reads replies from a connection until it closes, then removes the connection from the pool. Calls that
+    /// are still in flight on the connection end without a reply.
     async fn read_until_closed(self: Rc<Self>, connection: Rc<Connection>) {
         let _ = self.read_replies(&connection).await;
         for caller in std::mem::take(&mut *connection.callers.borrow_mut()).into_values() {
@@ -207,8 +207,8 @@
         }
     }
 
-    /// Passes a reply to the caller of its call. A message with tag 0 is no reply. It is the server's notice
-    /// that it drains the connection.
+    /// Passes a reply to the caller that waits for it. A message with tag 0 is not a reply: with this
+    /// message, the server announces that it drains the connection.
     fn handle_reply(&self, connection: &Connection, words: &[Vec<u8>]) {
         let tag = std::str::from_utf8(&words[0]).ok().and_then(|text| text.parse::<u64>().ok());
         if tag == Some(0) {
@@ -237,8 +237,8 @@
     Ok(())
 }
 
-/// Parses the array at the start of `bytes`. Returns the words of the array and its encoded length in bytes.
-/// Returns `None` if the array is incomplete.
+/// Parses the message at the start of `bytes`. A message is an array of words. Returns the words and the
+/// encoded length of the array in bytes. Returns `None` if the array is incomplete.
 fn read_array(bytes: &[u8]) -> Option<(Vec<Vec<u8>>, usize)> {
     let number = |at: usize| {
         let end = at + bytes.get(at..)?.windows(2).position(|two| two == b"\r\n")?;
--- a/crates/test-doubles/src/downstream_service.rs
+++ b/crates/test-doubles/src/downstream_service.rs
@@ -13,7 +13,7 @@
 pub struct ServedCall {
     /// Reference by which the caller identifies the call, from the header `Op-Of`.
     pub reference: u64,
-    /// Time for which the caller waits for the reply at most, in milliseconds, from the header `Op-Wait-Ms`.
+    /// Maximum time for which the caller waits for the reply, in milliseconds, from the header `Op-Wait-Ms`.
     pub wait_ms: u64,
     /// Unix time in microseconds when the service had read the complete request.
     pub arrived_us: u64,
--- a/crates/test-doubles/src/fleet/harness.rs
+++ b/crates/test-doubles/src/fleet/harness.rs
@@ -21,7 +21,7 @@
 /// `s{i}`.
 pub struct FleetHarness {
     options: HarnessOptions,
-    /// Address at which all servers accept calls, each on a port of its own.
+    /// IP address at which all servers accept calls. Each server has its own port.
     listen_ip: Ipv4Addr,
     /// Relay through which the processes exchange membership datagrams.
     pub relay: UdpRelay,
@@ -173,8 +173,9 @@
         Ok(())
     }
 
-    /// Restarts each process that has exited, as a supervisor does. A restarted process runs the program
-    /// named in its mark file, if there is one. Returns the indexes of the restarted servers.
+    /// Restarts each process that has exited, as a supervisor does. If a rollout has written a mark file that
+    /// names a program for the server, the restarted process runs this program. Returns the indexes of the
+    /// restarted servers.
     pub fn supervise(&mut self) -> Result<Vec<usize>> {
         let mut started = Vec::new();
         for index in 0..self.processes.len() {
--- a/crates/test-doubles/src/fleet/loopback.rs
+++ b/crates/test-doubles/src/fleet/loopback.rs
@@ -6,7 +6,7 @@
 /// Number of addresses that one process hands out before it starts again with the first.
 const ADDRESSES: u32 = 254;
 
-/// Returns a loopback address that no other fleet of this process or of another process uses at present.
+/// Returns a loopback address that no other fleet uses at present, in this process or in another process.
 ///
 /// After a server has exited, the system may give its port to another server. Clients that still connect to
 /// the exited server would then reach a server of another fleet if both fleets used the same address.
--- a/crates/test-doubles/src/fleet/rehearsal.rs
+++ b/crates/test-doubles/src/fleet/rehearsal.rs
@@ -12,7 +12,7 @@
 
 const SEED: u64 = 7;
 
-/// Change to the fleet, and the time after which each server observed the change.
+/// Change to the fleet, and the time until each server observed the change.
 struct Step {
     name: &'static str,
     times: AgreementTimes,
--- a/crates/test-doubles/src/fleet/view.rs
+++ b/crates/test-doubles/src/fleet/view.rs
@@ -28,8 +28,9 @@
         self.member_states_since(index, None)
     }
 
-    /// Returns the states as [`Self::member_states`] does, but ignores log lines read before `since`. A
-    /// server that was stalled may have logged its last view before the stall. That view is outdated.
+    /// Returns the states as [`Self::member_states`] does, but ignores log lines read before `since`.
+    /// Otherwise, the result for a server that was stalled could be an outdated view, logged before the
+    /// stall.
     fn member_states_since(&self, index: usize, since: Option<Instant>) -> BTreeMap<String, String> {
         let view = self.log(index).and_then(|log| log.last_event("view", since));
         let Some(members) = view.as_ref().and_then(|view| view["members"].as_str()) else {
--- a/crates/test-doubles/src/group_report.rs
+++ b/crates/test-doubles/src/group_report.rs
@@ -67,8 +67,8 @@
         self.in_time as f64 / self.sent.max(1) as f64
     }
 
-    /// Returns the lowest share of invocations that succeeded within the latency objective, over the tenants
-    /// of the group. Tenants that have sent no invocations are left out.
+    /// Calculates, for each tenant of the group, the share of invocations that succeeded within the latency
+    /// objective. Returns the lowest of these shares. Tenants that have sent no invocations are left out.
     pub fn lowest_in_time_ratio(&self) -> f64 {
         let senders = self.by_tenant.iter().filter(|tenant| tenant.sent > 0);
         senders.map(|tenant| tenant.in_time as f64 / tenant.sent as f64).fold(1.0, f64::min)
--- a/crates/test-doubles/src/interpreter/machine.rs
+++ b/crates/test-doubles/src/interpreter/machine.rs
@@ -23,8 +23,8 @@
 
 /// Run of a task on the machine. Core time is the CPU time that the run uses, in microseconds.
 struct Run {
-    /// Remaining core time until the downstream call of the run. If the run has no further downstream call,
-    /// remaining core time until its end.
+    /// Core time that the run uses before its next event, in microseconds. The next event is its downstream
+    /// call or, if no downstream call remains, its end.
     remaining_us: f64,
     /// Core time that the run uses between its downstream call and its end. `None` if the run makes no
     /// downstream call, or if the call has already begun.
--- a/crates/test-doubles/src/soak/checks.rs
+++ b/crates/test-doubles/src/soak/checks.rs
@@ -10,7 +10,7 @@
 pub const DRAIN_GRACE: Duration = Duration::from_millis(200);
 /// Time after the drain notice at which the harness kills a server that still runs.
 pub const STOP_AFTER: Duration = Duration::from_millis(2_000);
-/// Tolerance that the protocol allows for time limits that are observed at sockets.
+/// Time by which the protocol allows a time limit to be exceeded if the limit is checked at a socket.
 pub const SLACK: Duration = Duration::from_millis(50);
 /// Maximum number of open file descriptors of a server. A higher number violates an invariant.
 pub const DESCRIPTORS_MAX: u64 = 256;
--- a/crates/test-doubles/src/soak/idle_connections.rs
+++ b/crates/test-doubles/src/soak/idle_connections.rs
@@ -1,5 +1,5 @@
-//! Opens idle connections to a server for the soak test. An idle connection sends nothing or an incomplete
-//! array. The clients do not close these connections during the run.
+//! Opens idle connections to a server for the soak test. On an idle connection, the client sends nothing, or
+//! only the beginning of a request. The clients do not close these connections during the run.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
@@ -9,8 +9,8 @@
 /// attempts while the server's accept queue is full.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Opens up to `connections` connections to one server. Sends an incomplete array on every second connection,
-/// and nothing on the others. Stops at the first connection that cannot be opened.
+/// Opens up to `connections` connections to one server. Sends the beginning of a request on every second
+/// connection, and nothing on the others. Stops at the first connection that cannot be opened.
 pub fn open(to: SocketAddr, connections: usize) -> Vec<TcpStream> {
     let mut streams = Vec::new();
     for index in 0..connections {
--- a/crates/test-doubles/src/soak/plan.rs
+++ b/crates/test-doubles/src/soak/plan.rs
@@ -136,8 +136,9 @@
     let event = match rng.random_range(0..6) {
         0 | 1 => Event::Stop { span: Duration::from_millis(rng.random_range(50..longest_stop)) },
         2 => Event::LogCounters,
-        // The service becomes silent only in runs with a single server. Several servers share a budget, in
-        // which a call counts until the service has answered it.
+        // The service becomes silent only in runs with a single server. Several servers share a budget of
+        // downstream calls. A call to a silent service would count against this budget until the service
+        // answers.
         3 if servers == 1 => {
             Event::SilentService { span: Duration::from_millis(rng.random_range(200..1_500)) }
         }
--- a/crates/test-doubles/src/soak/play.rs
+++ b/crates/test-doubles/src/soak/play.rs
@@ -186,8 +186,8 @@
         let text = std::fs::read_to_string(&file)?;
         self.reloads += 1;
         let (old, new) = (tenants(self.reloads - 1), tenants(self.reloads));
-        // Each server has its own file, so the latest change may be in another server's file. This file may
-        // contain the weights of any earlier change.
+        // The number of reloads counts the changes of all servers, but each server has its own file. The file
+        // of this server may therefore contain the weights of any earlier change.
         let earlier = (0..self.reloads).map(tenants).find(|tenants| text.contains(tenants));
         std::fs::write(file, text.replace(&earlier.unwrap_or(old), &new))?;
         Ok(())
@@ -341,7 +341,7 @@
     }
 }
 
-/// Converts the events of a plan to actions with start times. The actions are not in the order of time.
+/// Converts the events of a plan to actions with start times. The actions are not sorted by start time.
 fn schedule(plan: &Plan) -> Vec<ScheduledAction> {
     let mut actions = Vec::new();
     for scheduled in &plan.events {
--- a/crates/test-doubles/src/tcp_relay.rs
+++ b/crates/test-doubles/src/tcp_relay.rs
@@ -1,5 +1,5 @@
 //! Relay that injects network faults into TCP connections from the members of a fleet to one target. Each
-//! member connects to its own endpoint on the loopback interface, by which the relay identifies the member.
+//! member has its own endpoint on the loopback interface, and connects to the target through this endpoint.
 //! The relay delays traffic, with jitter. While the member's group is cut off from the target's group, the
 //! relay holds back bytes, as on a broken link. The relay closes a share of the connections when they are
 //! opened. The relay holds at most [`CONNECTIONS_MAX`] connections and ends when it is dropped.
@@ -17,15 +17,15 @@
 /// Maximum number of concurrent connections of a relay. The relay accepts further connections and closes them
 /// immediately.
 pub const CONNECTIONS_MAX: usize = 512;
-/// Period at which the threads of the relay check for a new connection, for the end of a cut, and whether the
-/// relay has been dropped.
+/// Period at which the threads of the relay check three conditions: a new connection has arrived, a cut has
+/// ended, or the relay has been dropped.
 const POLL_PERIOD: Duration = Duration::from_millis(5);
 const READ_TIMEOUT: Duration = Duration::from_millis(20);
 const CHUNK_BYTES: usize = 16 * 1024;
 
 struct Shared {
     faults: Mutex<Faults>,
-    /// Group of the target, for cuts between groups. The groups of the members are in `faults`.
+    /// Network partition group of the target. The groups of the members are in `faults`.
     target_group: u32,
     /// Share of new connections that the relay closes immediately, from 0 to 1.
     reset_share: Mutex<f64>,
@@ -156,8 +156,8 @@
     target: SocketAddr,
     shared: &Arc<Shared>,
 ) -> std::io::Result<()> {
-    // During a cut, a new connection waits for the end of the cut and is not refused. On a broken link, too,
-    // the caller would get no error.
+    // During a cut, a new connection waits for the end of the cut and is not refused. This imitates a broken
+    // link, on which the caller gets no error.
     while !shared.passes(member, Direction::ToTarget) && !shared.stopped() {
         std::thread::sleep(POLL_PERIOD);
     }
