--- a/crates/capacity/src/added_latency.rs
+++ b/crates/capacity/src/added_latency.rs
@@ -188,7 +188,7 @@
     })
 }
 
-/// Measurements of the load generator.
+/// Number of invocations that the load generator sent, and the delays with which its timers fired.
 struct SenderResult {
     timer_lateness_us: Histogram<u64>,
     sent: u64,
--- a/crates/capacity/src/day/run.rs
+++ b/crates/capacity/src/day/run.rs
@@ -62,7 +62,7 @@
     cut_off: Vec<usize>,
     /// Changes that the leader accepted, oldest first.
     pub(super) published: Vec<PublishedChange>,
-    /// Returns of servers after a restart or a network partition, oldest first.
+    /// Servers that became reachable again after a restart or a network partition, oldest first.
     pub(super) returned: Vec<ReturnedServer>,
     /// Servers that have returned but not caught up yet. The key is the index of a server. The value is the
     /// number of the revision that was newest when the server returned.
@@ -128,7 +128,8 @@
     }
 
     /// Applies an event to the fleet. `at` is the time of the event in nanoseconds since the start of the
-    /// day. If a server restarts or fails, adds an event for the later return of the server to `events`.
+    /// day. If a random server restarts or fails, the function also schedules the server's return in
+    /// `events`.
     pub(super) fn handle(
         &mut self,
         event: Event,
@@ -235,8 +236,8 @@
         self.catching_up.insert(server, newest_revision);
     }
 
-    /// Starts a network partition. It isolates the servers whose place satisfies `is_cut` from all other
-    /// servers.
+    /// Starts a network partition that isolates some servers from all other servers. `is_cut` selects the
+    /// isolated servers by their region, zone or rack.
     fn cut(&mut self, is_cut: impl Fn(Place) -> bool) {
         for server in 0..self.servers {
             self.fleet.set_group(server, u32::from(is_cut(Place::of(server))));
--- a/crates/capacity/src/day/summary.rs
+++ b/crates/capacity/src/day/summary.rs
@@ -14,7 +14,7 @@
 /// Delay in seconds that is printed if a server never applied a change.
 const NEVER_PRINTED_SECONDS: f64 = 1e9;
 
-/// Record that a server applied a revision.
+/// Revision that a server applied, and the time at which the server applied the revision.
 struct Application {
     /// Time at which the server applied the revision, in simulated Unix nanoseconds.
     at: Nanos,
--- a/crates/capacity/src/fleet.rs
+++ b/crates/capacity/src/fleet.rs
@@ -192,8 +192,8 @@
         Ok(())
     }
 
-    /// Starts a network partition. It isolates the servers whose place satisfies `is_cut` from all other
-    /// servers.
+    /// Starts a network partition that isolates some servers from all other servers. `is_cut` selects the
+    /// isolated servers by their region, zone or rack.
     pub fn cut(&mut self, is_cut: impl Fn(Place) -> bool) {
         for server in 0..self.groups.len() {
             self.groups[server] = u32::from(is_cut(Place::of(server)));
--- a/crates/rollout/src/version_table.rs
+++ b/crates/rollout/src/version_table.rs
@@ -38,7 +38,8 @@
     }
 }
 
-/// Table of the versions of all servers: the own entry and the entries received from other servers.
+/// Table of the versions of all servers: this server's own entry, and the entries received from other
+/// servers.
 #[derive(Clone, Debug)]
 pub struct VersionTable {
     own: ServerVersion,
--- a/crates/test-doubles/src/fleet/view.rs
+++ b/crates/test-doubles/src/fleet/view.rs
@@ -14,10 +14,10 @@
 /// [`FleetHarness::wait_for_agreement`]. The times are counted from the instant `since` of that function.
 #[derive(Debug, Clone)]
 pub struct AgreementTimes {
-    /// Time until each server first saw exactly the other expected members alive. The key is the index of the
-    /// server.
+    /// Time until each server's view first agreed with the expected members. In such a view, all other
+    /// expected members are alive, and every further member is down. The key is the index of the server.
     pub by_server: BTreeMap<usize, Duration>,
-    /// Time until all servers saw exactly the other expected members alive at the same time.
+    /// Time until the views of all servers agreed with the expected members at the same time.
     pub all: Duration,
 }
 
@@ -70,13 +70,14 @@
         not_down == expected.len() && expected.iter().all(is_alive)
     }
 
-    /// Returns whether each server in `members` sees exactly the other servers in `members` alive.
+    /// Returns whether the views of all servers in `members` agree. In each of these views, all other servers
+    /// in `members` must be alive, and every further member must be down.
     pub fn views_agree(&self, members: &[usize]) -> bool {
         members.iter().all(|&index| self.sees(index, members))
     }
 
-    /// Waits until each server in `members` sees exactly the other servers in `members` alive. Returns the
-    /// times of agreement, counted from `since`. Fails after the time `within` with a report of the logs.
+    /// Waits until the views of all servers in `members` agree, as defined by [`Self::views_agree`]. Returns
+    /// the times of agreement, counted from `since`. Fails after the time `within` with a report of the logs.
     pub fn wait_for_agreement(
         &self,
         members: &[usize],
--- a/crates/test-doubles/src/interpreter/machine.rs
+++ b/crates/test-doubles/src/interpreter/machine.rs
@@ -23,8 +23,8 @@
 
 /// Run of a task on the machine. Core time is the CPU time that the run uses, in microseconds.
 struct Run {
-    /// Core time that the run uses before its next event, in microseconds. The next event is its downstream
-    /// call or, if no downstream call remains, its end.
+    /// Core time that the run still needs before its next event, in microseconds. The next event is the
+    /// downstream call of the run or, if no downstream call remains, the end of the run.
     remaining_us: f64,
     /// Core time that the run uses between its downstream call and its end. `None` if the run makes no
     /// downstream call, or if the call has already begun.
--- a/crates/test-doubles/src/soak/plan.rs
+++ b/crates/test-doubles/src/soak/plan.rs
@@ -5,8 +5,8 @@
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// Length in milliseconds of the period in which signals and faults begin. At the end of this period, the
-/// final signals, including a drain notice, are sent to each server.
+/// Time in milliseconds from the start of the load until the harness begins to send the final signals, which
+/// include a drain notice. All events of the plan begin in this time.
 const SPAN_MS: u64 = 5_000;
 /// Upper bound in milliseconds of the random pauses between signals. In a series of equal signals, the n-th
 /// repetition is delayed by n times a random pause.
@@ -53,7 +53,8 @@
     pub event: Event,
 }
 
-/// Signal that is sent to each server at the end of the period with events.
+/// One of the signals that end a soak run. The harness sends these signals to each server, beginning
+/// [`Plan::span`] after the start of the load.
 #[derive(Clone, Copy, Debug)]
 pub struct LastSignal {
     /// Pause immediately before this signal is sent.
@@ -77,8 +78,8 @@
     pub call_time: Duration,
     /// Events of the run, in the order of their start times.
     pub events: Vec<Scheduled>,
-    /// Signals that are sent to each server at the end of the period with events. One of them is a drain
-    /// notice.
+    /// Signals that the harness sends to each server in this order, beginning [`Plan::span`] after the start
+    /// of the load. The signals include a drain notice.
     pub ending: Vec<LastSignal>,
 }
 
--- a/crates/test-doubles/src/tenant_rehearsal/load.rs
+++ b/crates/test-doubles/src/tenant_rehearsal/load.rs
@@ -6,7 +6,7 @@
 use std::cell::{Cell, RefCell};
 use std::time::Instant;
 
-/// State of a rehearsal's load, to which all tenants contribute.
+/// State of the load in a rehearsal. All tenants share this state.
 pub struct Load {
     pub plan: RehearsalPlan,
     /// Reports of the groups of tenants, by group index. The reports cover only the overload phase.
--- a/crates/test-doubles/src/tenant_rehearsal/play.rs
+++ b/crates/test-doubles/src/tenant_rehearsal/play.rs
@@ -34,7 +34,8 @@
     pub groups: Vec<GroupReport>,
     /// Final counters of the program, by the name of the counter.
     pub counters: HashMap<String, u64>,
-    /// Lines of the program's log that contain " share". They state the shares of the tenants.
+    /// Lines of the program's log that contain the text " share", such as the lines about the shares of
+    /// tenants.
     pub tenant_lines: Vec<String>,
     /// Peak resident memory of the program up to the end of the load, in KiB.
     pub peak_kib: u64,
