--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -62,7 +62,7 @@
 }
 
 /// Measurements of one quantity at several sizes, and a fitted line. The line is fitted to all points except
-/// the one of the largest size.
+/// the point of the largest size.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Curve {
     /// Name of the measured quantity.
@@ -73,7 +73,7 @@
     pub per: &'static str,
     /// Measurements in ascending order of size.
     pub points: Vec<Point>,
-    /// Line fitted to all points except the one of the largest size; `None` if no line can be fitted, for
+    /// Line fitted to all points except the point of the largest size; `None` if no line can be fitted, for
     /// example to fewer than three points.
     pub line: Option<Line>,
     /// Value that the line predicts for the largest size; NaN without a line.
--- a/crates/capacity/src/fleet.rs
+++ b/crates/capacity/src/fleet.rs
@@ -270,8 +270,8 @@
     }
 
     /// Returns whether the membership views of `servers` agree. Servers that are not running are ignored. The
-    /// views agree if every running server in `servers` sees exactly the other running ones, with their
-    /// current incarnations.
+    /// views agree if every running server in `servers` sees all other running servers in `servers`, with
+    /// their current incarnations, and no further member.
     pub fn views_agree(&self, servers: &[usize]) -> bool {
         let running = || servers.iter().filter_map(|server| self.servers[*server].as_ref());
         let own = |server: &ModelServer| {
