--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -4,7 +4,8 @@
 
 use serde::Serialize;
 
-/// Value that was measured at one size. Serialized as the pair `(size, value)`.
+/// Value that was measured at one size of the system, such as one fleet size. The pair `(size, value)` is
+/// serialized.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(into = "(f64, f64)")]
 pub struct Point {
@@ -61,7 +62,7 @@
 }
 
 /// Measurements of one quantity at several sizes, and a fitted line. The line is fitted to all points except
-/// the one of the largest size.
+/// the point of the largest size.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Curve {
     /// Name of the measured quantity.
@@ -72,7 +73,7 @@
     pub per: &'static str,
     /// Measurements in ascending order of size.
     pub points: Vec<Point>,
-    /// Line fitted to all points except the one of the largest size; `None` if no line can be fitted, for
+    /// Line fitted to all points except the point of the largest size; `None` if no line can be fitted, for
     /// example to fewer than three points.
     pub line: Option<Line>,
     /// Value that the line predicts for the largest size; NaN without a line.
--- a/crates/capacity/src/fleet.rs
+++ b/crates/capacity/src/fleet.rs
@@ -51,8 +51,8 @@
     rng: ChaCha8Rng,
     /// Current simulated time, in nanoseconds since the start of the simulation.
     now: Nanos,
-    /// Total costs of server incarnations that have ended. An incarnation is one run of a server between
-    /// start and crash.
+    /// Total CPU time and network traffic of server incarnations that have ended. An incarnation is one run
+    /// of a server between start and crash.
     ended_costs: Costs,
 }
 
@@ -163,8 +163,8 @@
         (0..self.servers.len()).filter(|server| self.servers[*server].is_some()).collect()
     }
 
-    /// Returns the total costs of all servers since the start of the simulation. Includes servers that have
-    /// crashed.
+    /// Returns the total CPU time and network traffic of all servers since the start of the simulation.
+    /// Includes servers that have crashed.
     pub fn costs(&self) -> Costs {
         let mut total = self.ended_costs;
         self.servers.iter().flatten().for_each(|server| total.add(&server.costs));
@@ -192,8 +192,8 @@
         Ok(())
     }
 
-    /// Starts a network partition. It isolates the servers whose place satisfies `is_cut` from all other
-    /// servers.
+    /// Starts a network partition that isolates some servers from all other servers. `is_cut` selects the
+    /// isolated servers by their region, zone or rack.
     pub fn cut(&mut self, is_cut: impl Fn(Place) -> bool) {
         for server in 0..self.groups.len() {
             self.groups[server] = u32::from(is_cut(Place::of(server)));
@@ -270,8 +270,8 @@
     }
 
     /// Returns whether the membership views of `servers` agree. Servers that are not running are ignored. The
-    /// views agree if every running server in `servers` sees exactly the other running ones, with their
-    /// current incarnations.
+    /// views agree if every running server in `servers` sees all other running servers in `servers`, with
+    /// their current incarnations, and no further member.
     pub fn views_agree(&self, servers: &[usize]) -> bool {
         let running = || servers.iter().filter_map(|server| self.servers[*server].as_ref());
         let own = |server: &ModelServer| {
