--- a/crates/cli/examples/mixed_fleet.rs
+++ b/crates/cli/examples/mixed_fleet.rs
@@ -26,7 +26,7 @@
 /// Concurrent downstream calls that each server may make without a lease.
 const BUDGET_FLOOR: u64 = 1;
 const SEED: u64 = 91;
-/// Maximum time to wait until the fleet reaches an expected state.
+/// Maximum time that each check waits until the fleet reaches the state that the check expects.
 const WAIT_MAX: Duration = Duration::from_secs(30);
 /// Duration of the load.
 const LOAD: Duration = Duration::from_secs(12);
@@ -56,8 +56,8 @@
     Ok(())
 }
 
-/// Waits until each server sees all other processes alive. Control machines are not checked, because they log
-/// no membership view.
+/// Waits until the membership view of each server shows all other processes of the fleet as alive. The views
+/// of control machines are not checked, because control machines log no membership view.
 fn agree_on_view(fleet: &FleetHarness) -> Result<()> {
     let began = Instant::now();
     let sees_all = |server: usize| {
@@ -72,7 +72,7 @@
     Ok(())
 }
 
-/// Returns the elements of the options file of process `i`, without the `<membership>` element.
+/// Returns the XML elements for the options file of process `i`, except the `<membership>` element.
 fn options(i: usize) -> String {
     let replicas: String = (0..CONTROL_MACHINES).map(|n| format!(r#"<replica name="s{n}"/>"#)).collect();
     let voters: String = (3..8).map(|n| format!(r#"<voter name="s{n}"/>"#)).collect();
--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -9,8 +9,8 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Environment variable with the path of the platform's configuration file. The option `--config` overrides
-/// this variable.
+/// Name of the environment variable that contains the path of the platform's configuration file. The option
+/// `--config` overrides this variable.
 const CONFIG_VARIABLE: &str = "ROUTER_CONFIG";
 /// Default number of servers in the fleet that the command `fleet capacity` models.
 const CAPACITY_SERVERS: usize = 690;
--- a/crates/cli/tests/fair_queues.rs
+++ b/crates/cli/tests/fair_queues.rs
@@ -73,12 +73,12 @@
         "{:?}",
         light.by_tenant
     );
-    // An advised retry waits for the advised time and carries a ticket, with which the server promised to
-    // admit the retry. Nearly all advised retries must be admitted, except those with a broken promise. The
-    // server breaks a promise if its learned concurrency limit has fallen below half since the promise, for
-    // example because the machine stalled. It counts broken promises as `broken`: 14 in one of three runs
-    // beside six busy processes, 0 in most runs. The ratio of admitted retries was 0.73 when retries had no
-    // place in the order of the queue.
+    // Nearly all retries that follow the server's advice must be admitted. Such a retry waits for the advised
+    // time and carries a ticket, with which the server promised to admit the retry. Retries whose promise the
+    // server broke are not counted. The server breaks a promise if its learned concurrency limit has fallen
+    // below half since the promise, for example because the machine stalled. It counts broken promises as
+    // `broken`: 14 in one of three runs beside six busy processes, 0 in most runs. The ratio of admitted
+    // retries was 0.73 when retries had no place in the order of the queue.
     let retries = light.advised_retries + flood.advised_retries;
     let broken = count_of(&report, "broken");
     let admitted_ratio = (light.advised_retries_admitted + flood.advised_retries_admitted) as f64
@@ -106,8 +106,9 @@
     assert!(report.groups[0].in_time_ratio() >= 0.95, "{}", report.groups[0].in_time_ratio());
 }
 
-/// The downstream service becomes eight times as slow. To make all downstream calls, the server would need
-/// four concurrent calls on average, but its quota permits one.
+/// A server must not overload a downstream service that becomes eight times as slow. To make all downstream
+/// calls, the server would need four concurrent calls on average. Its quota permits one, so the server must
+/// skip calls.
 #[test]
 fn a_downstream_service_that_slows_eightfold_is_not_overloaded() {
     let plan = slow_dependency_plan(Duration::from_secs(3), Duration::from_secs(8));
--- a/crates/cli/tests/fleet_cold.rs
+++ b/crates/cli/tests/fleet_cold.rs
@@ -13,7 +13,8 @@
 const SERVICES: usize = 5;
 /// Number of servers that must report a service as failing before the service is ejected.
 const REPORTS: usize = 2;
-/// Time after which a failure report expires. The recovery ramp has the same duration.
+/// Time after which a server's report of a failing service expires. The recovery ramp, in which a recovered
+/// service regains its share of calls, has the same duration.
 const EXPIRY: Duration = Duration::from_millis(2000);
 /// Calls per second that the test sends to each process.
 const RATE: f64 = 20.0;
@@ -70,8 +71,10 @@
     assert!(readmitted.is_some(), "no server uses the service again");
     let (took, probes) = (recovered_at.elapsed(), failing.calls.load(Relaxed) - before);
 
-    // Calls to the recovered service are probes or part of the recovery ramp. A process sends probes until it
-    // is informed of the recovery, which happens later at some processes than at others.
+    // Rate of probes that all processes together send to the failed service. For each of the `REPORTS`
+    // required reports, two processes probe the service, and each sends eight probes within `EXPIRY`. A
+    // process sends probes until it is informed of the recovery, which happens later at some processes than
+    // at others. All other calls to the recovered service are part of the recovery ramp.
     let probes_per_second = (2 * REPORTS * 8) as f64 / EXPIRY.as_secs_f64();
     let full_rate = RATE * PROCESSES as f64 / SERVICES as f64;
     let budget = |rate: f64, span: Duration| {
--- a/crates/cli/tests/fleet_membership.rs
+++ b/crates/cli/tests/fleet_membership.rs
@@ -19,8 +19,8 @@
     FleetHarness::new(Path::new(env!("CARGO_BIN_EXE_meadowstream")), servers, seed).unwrap()
 }
 
-/// Waits until the views of `members` agree and returns the time that this took. Panics if the views do not
-/// agree after `within`.
+/// Waits until the membership views of the processes `members` agree, and returns the time that this took.
+/// Panics if the views do not agree within the time `within`.
 fn expect_agreement(fleet: &FleetHarness, members: &[usize], within: Duration) -> Duration {
     match fleet.wait_for_agreement(members, Instant::now(), within) {
         Ok(times) => times.all,
@@ -50,7 +50,7 @@
 fn a_short_stall_is_not_declared_down_and_a_long_one_is_then_recovers() {
     let mut fleet = start_fleet(5, 12);
     expect_agreement(&fleet, &all(5), Duration::from_secs(15));
-    // First stall: it ends after half of the suspicion time, so no member declares s2 down.
+    // Stops s2 for half of the suspicion time. This stall is so short that no member may declare s2 down.
     fleet.signal(2, "STOP").unwrap();
     std::thread::sleep(Duration::from_millis(PROBE_PERIOD_MS * SUSPICION_PERIODS / 2));
     fleet.signal(2, "CONT").unwrap();
@@ -64,8 +64,8 @@
         );
     }
     assert!(fleet.views_agree(&all(5)));
-    // Second stall: it lasts until the other members have declared s2 down. After SIGCONT all members must
-    // see s2 alive again.
+    // Stops s2 until the other members have declared it down. After s2 continues (SIGCONT), all members must
+    // see s2 as alive again.
     fleet.signal(2, "STOP").unwrap();
     expect_agreement(&fleet, &[0, 1, 3, 4], CRASH_BOUND * 2);
     fleet.signal(2, "CONT").unwrap();
@@ -85,13 +85,13 @@
     expect_agreement(&fleet, &[0, 1, 2], Duration::from_secs(10));
     expect_agreement(&fleet, &[3, 4, 5], Duration::from_secs(10));
     fleet.relay.change_faults(|faults| faults.heal());
-    // The documentation states that the views agree again within ten announce periods, which are 1 s each
-    // here.
+    // The documentation states that the views agree again within ten announce periods after a partition. An
+    // announce period is 1 s in this test.
     expect_agreement(&fleet, &all(6), Duration::from_secs(10));
 }
 
-/// Two halves of a fleet must agree on one view after a partition, also if gossip packets are short because
-/// the bytes per second of membership traffic are limited.
+/// After a network partition, the two halves of a fleet must agree on one membership view again. They must
+/// agree even if gossip packets are short because the bytes per second of membership traffic are limited.
 #[test]
 fn halves_with_a_byte_limit_have_one_view_after_the_partition() {
     let options = HarnessOptions {
--- a/crates/cli/tests/fleet_rollout.rs
+++ b/crates/cli/tests/fleet_rollout.rs
@@ -15,7 +15,7 @@
 const ALL: [usize; 6] = [0, 1, 2, 3, 4, 5];
 const VOTERS: &str = r#"<voter name="s0"/><voter name="s1"/><voter name="s2"/>"#;
 
-/// Serializes the tests. With seven processes each, they would delay each other's 250 ms plan intervals.
+/// Runs one test at a time. The seven processes of another test would delay the plan intervals of 250 ms.
 static EXCLUSIVE: Mutex<()> = Mutex::new(());
 
 fn lock_exclusive() -> MutexGuard<'static, ()> {
@@ -144,7 +144,7 @@
     }
 }
 
-/// Whether server `i` uses the settings of a rollout, by its last log line about settings.
+/// Returns whether server `i` uses the settings of a rollout, according to its last log line about settings.
 fn adopted(fleet: &FleetHarness, i: usize) -> bool {
     fleet.log_lines(i, "settings").last().is_some_and(|line| line["adopted"] == true)
 }
@@ -176,7 +176,7 @@
     replies
 }
 
-/// Hash of the settings of member `name`, from the last membership view that server `i` logged.
+/// Returns the hash of the settings of member `name` in the last membership view logged by server `i`.
 fn settings_hash(fleet: &FleetHarness, i: usize, name: &str) -> String {
     let runs = fleet.view_field(i, "runs").unwrap_or_default();
     runs[name][1].as_str().unwrap_or("").to_string()
@@ -231,12 +231,12 @@
     drop(coordinator);
     let before = changed_servers(&fleet);
     assert_eq!(before.len(), 3);
-    // All servers log the same settings hash for server j, which is the hash that j logs for itself.
+    // Checks that all servers log the same settings hash for each server j as j logs for itself.
     let agreed = || {
         let hash = |i: usize, j: usize| settings_hash(&fleet, i, &format!("s{j}"));
         let all = ALL.iter().all(|&i| ALL.iter().all(|&j| hash(i, j) == hash(j, j)));
         let hashes: std::collections::BTreeSet<String> = ALL.iter().map(|&j| hash(0, j)).collect();
-        // Four hashes: the three changed servers share one, each unchanged server has its own.
+        // The three changed servers share one hash and each unchanged server has its own: four hashes.
         (all && hashes.len() == 4 && !hashes.contains("")).then_some(())
     };
     assert!(wait_for(Duration::from_secs(8), agreed).is_some(), "{:?}", fleet.view_field(0, "runs"));
@@ -370,7 +370,7 @@
             }
             assert!(began.elapsed() < Duration::from_secs(70), "{:#?}", coordinator.lines.lock().unwrap());
             if broken && restarts.len() == 1 {
-                // The first restarted server is stopped (SIGSTOP) for good and reports nothing.
+                // Stops the first restarted server permanently (SIGSTOP), so that it reports nothing.
                 fleet.signal_and_keep(restarts[0], "STOP").unwrap();
                 restarts.push(restarts[0]);
             }
--- a/crates/cli/tests/fleet_state.rs
+++ b/crates/cli/tests/fleet_state.rs
@@ -195,9 +195,8 @@
     assert!(most <= TOTAL, "{most} concurrent calls");
 }
 
-/// Invalid budgets are rejected. The subcommand `check` rejects a budget whose floors exceed its total, and a
-/// budget with four voters. A server that reloads options in which the floors exceed the total keeps its
-/// previous budget.
+/// The subcommand `check` must reject a budget whose floors exceed its total, and one with four voters. A
+/// server that reloads options with such floors must keep its previous budget.
 #[test]
 fn an_invalid_budget_is_rejected_and_a_reload_keeps_the_old_one() {
     let (fleet, _downstream) = start_fleet(24, 1, true);
@@ -232,7 +231,7 @@
     assert!(fleet.has_logged(0, "configuration kept as it was"), "the rejected reload is in the log");
 }
 
-/// Expiry time of a server's report that a service fails, in the tests of outlier detection.
+/// Time after which a server's report of a failing service expires, in the tests of outlier detection.
 const EXPIRY: Duration = Duration::from_millis(2000);
 
 /// Five processes that share a tier of four downstream services. Each service is behind a relay of its own.
@@ -337,7 +336,8 @@
     println!(
         "ejected by all five after {ejected_after:?}; then {probes} calls to r1 in 3 s, {calls} to the others"
     );
-    // A server sends eight probes to an ejected service in `EXPIRY`, the expiry time of a report.
+    // Each of the five servers sends eight probes to an ejected service in `EXPIRY` (2 s), the expiry time of
+    // a report. In 3 s this gives 60 probes; the test permits 10 more.
     assert!(probes > 0 && probes <= 5 * 8 * 3 / 2 + 10, "{probes} probes");
     assert!(calls > 5 * probes, "{calls}, {probes} probes");
 
--- a/crates/configuration/src/change.rs
+++ b/crates/configuration/src/change.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::path::Path;
 
-/// Attributes that `<set>` and `<remove>` accept.
+/// Names of the attributes that the elements `<set>` and `<remove>` of a change file accept.
 pub const ATTRIBUTES: &[&str] = &["key", "value"];
 
 const TENANT_WEIGHT: &str = "tenants/tenant/";
--- a/crates/configuration/src/error.rs
+++ b/crates/configuration/src/error.rs
@@ -10,7 +10,7 @@
     /// The content of a file is invalid. The source of this error contains the position in the file.
     #[error("{}", .path.display())]
     File {
-        /// Path of the file, as passed by the caller.
+        /// Path of the file with the invalid content, as passed by the caller.
         path: PathBuf,
         /// The error in the content.
         #[source]
@@ -19,7 +19,7 @@
     /// The file cannot be read.
     #[error("cannot read {}", .path.display())]
     Unreadable {
-        /// Path of the file, as passed by the caller.
+        /// Path of the file that cannot be read, as passed by the caller.
         path: PathBuf,
         /// Error of the operating system.
         #[source]
@@ -28,7 +28,7 @@
     /// The file is larger than the size limit.
     #[error("{}: {bytes} bytes are more than {limit}", .path.display())]
     TooLong {
-        /// Path of the file, as passed by the caller.
+        /// Path of the file that is too large, as passed by the caller.
         path: PathBuf,
         /// Size of the file, in bytes.
         bytes: u64,
--- a/crates/configuration/src/membership.rs
+++ b/crates/configuration/src/membership.rs
@@ -43,19 +43,19 @@
     pub key_file: PathBuf,
     /// Addresses of members that the server contacts to join the fleet, at most 64.
     pub seeds: Vec<SocketAddr>,
-    /// Probe period: time between two probes that this member sends; default 1 s.
+    /// Probe period: time in nanoseconds between two probes that this member sends; default 1 s.
     pub probe_period: u64,
-    /// Time to wait for the answer to a direct probe. After this time other members are requested to probe
-    /// the target. Default: two fifths of the probe period.
+    /// Time in nanoseconds to wait for the answer to a direct probe. After this time, this member requests
+    /// other members to probe the target. Default: two fifths of the probe period.
     pub probe_rtt: u64,
     /// Suspicion time in probe periods: a suspected member is declared down after this time; default 4.
     pub suspicion_multiplier: u32,
     /// Expected number of members of the fleet; default 64. The number of times that each update is sent is
     /// calculated from this number.
     pub expected_members: u32,
-    /// Time between two rounds of gossip; default 200 ms.
+    /// Time in nanoseconds between two rounds of gossip; default 200 ms.
     pub gossip_period: u64,
-    /// Time between two announcements of this member to the fleet; default 10 s.
+    /// Time in nanoseconds between two announcements of this member to the fleet; default 10 s.
     pub announce_period: u64,
     /// Maximum number of bytes of membership datagrams that this member sends in any second; default 200,000.
     pub bytes_a_second: u64,
--- a/crates/configuration/src/replication.rs
+++ b/crates/configuration/src/replication.rs
@@ -23,14 +23,15 @@
     pub file: PathBuf,
     /// Names of the control machines, which store the log of configuration revisions.
     pub replicas: Vec<String>,
-    /// Time between two pulls; default 500 ms. In each pull a member sends its digest to a random member to
-    /// fetch missing revisions.
+    /// Time in nanoseconds between two pulls; default 500 ms. In each pull a member sends its digest to a
+    /// random member to fetch missing revisions.
     pub pull_period: u64,
     /// Maximum number of bytes per second that a server sends for replication; default 12,000.
     pub bytes_a_second: u64,
-    /// Time without a message from the leader after which a server logs a warning; default 60 s.
+    /// Time in nanoseconds after which a server logs a warning if it receives no message from the leader of
+    /// the control machines; default 60 s.
     pub stale_after: u64,
-    /// Duration of the lease that the leader of the control machines holds; default 4 s.
+    /// Duration in nanoseconds of the lease that the leader of the control machines holds; default 4 s.
     pub lease: u64,
 }
 
--- a/crates/configuration/src/rollout.rs
+++ b/crates/configuration/src/rollout.rs
@@ -6,8 +6,8 @@
 
 /// Attributes of `<rollout>`.
 pub const ATTRIBUTES: &[&str] = &["candidate", "program", "servers", "lease-ms"];
-/// Maximum value of the `servers` attribute. The attribute limits the number of servers that run at the same
-/// time.
+/// Maximum value of the `servers` attribute of `<rollout>`. The attribute limits the number of servers of the
+/// fleet that run at the same time.
 const SERVERS_MAX: usize = 100_000;
 
 /// A server's settings of staged rollouts (`docs/rollout.md`).
@@ -22,7 +22,8 @@
     /// If a path is present, the supervisor of this server must restart the program when it exits. A file
     /// next to the options file, with the suffix `.program`, names the program to start.
     pub program: Option<PathBuf>,
-    /// Maximum number of servers that run at the same time. Coordinators of rollouts count as servers.
+    /// Maximum number of servers of the fleet that run at the same time. Coordinators of rollouts count as
+    /// servers.
     pub servers: u64,
     /// Names of the members that vote for the holder of the rollout lease.
     pub voters: Vec<String>,
--- a/crates/configuration/src/shared_state.rs
+++ b/crates/configuration/src/shared_state.rs
@@ -40,9 +40,9 @@
     pub floor: u64,
     /// Maximum number of servers of the fleet that run at the same time.
     pub servers: u64,
-    /// Duration of a lease of calls; default 4 s.
+    /// Duration in nanoseconds of a lease, which permits a server a number of concurrent calls; default 4 s.
     pub lease: u64,
-    /// Maximum duration of a call; default 1 s.
+    /// Maximum duration of a call in nanoseconds; default 1 s.
     pub use_max: u64,
     /// Names of the members that elect the grantor, which grants leases to the servers.
     pub voters: Vec<String>,
--- a/crates/configuration/src/tenants.rs
+++ b/crates/configuration/src/tenants.rs
@@ -51,7 +51,8 @@
     /// Factor by which the priority weight of an invocation is multiplied if its tenant exceeds its quota;
     /// default 0.1.
     pub surplus_value: f64,
-    /// Number of tenants that the log shows by name, starting with the highest demand, 0 to 64; default 8.
+    /// Number of tenants that the log shows by name, 0 to 64; default 8. Tenants with the highest demand are
+    /// shown first.
     pub shown: usize,
     /// Settings of fair queueing: weights, quotas and memory limits.
     pub fair: Settings,
--- a/crates/configuration/src/xml.rs
+++ b/crates/configuration/src/xml.rs
@@ -47,7 +47,7 @@
     })
 }
 
-/// An XML element that has only known attributes.
+/// An XML element whose attributes have been checked: all of them are known.
 pub(crate) struct Element<'a, 'd> {
     node: Node<'a, 'd>,
     document: &'a Document<'d>,
@@ -112,8 +112,8 @@
         previous: &[Node<'a, 'd>],
     ) -> Result<()> {
         let name = child.tag_name().name();
-        // Creates the error only if one occurs, because an error contains the line, and finding the line
-        // scans the file from its start.
+        // This closure creates the error only if the child is invalid. Creating an error is slow, because an
+        // error contains the line of the child, and finding the line scans the file from its start.
         let error = |fault| Self { node: child, document: self.document }.error(fault);
         if child.tag_name().namespace() != Some(NAMESPACE) || !known.contains(&name) {
             return Err(error(Fault::UnknownElement));
@@ -141,7 +141,8 @@
         text.parse().map_err(|_| self.error(unreadable))
     }
 
-    /// Reads a finite number from `min` to `max`; `default` if the attribute is missing.
+    /// Reads the value of an attribute as a finite number from `min` to `max`. Returns `default` if the
+    /// attribute is missing.
     pub(crate) fn number(&self, attribute: &str, default: f64, min: f64, max: f64) -> Result<f64> {
         let number: f64 = self.parsed(attribute, default)?;
         if number.is_finite() && (min..=max).contains(&number) {
@@ -150,7 +151,8 @@
         Err(self.out_of_range(attribute, number, min, max))
     }
 
-    /// Reads an integer from `min` to `max`; `default` if the attribute is missing.
+    /// Reads the value of an attribute as an integer from `min` to `max`. Returns `default` if the attribute
+    /// is missing.
     pub(crate) fn whole(&self, attribute: &str, default: usize, min: usize, max: usize) -> Result<usize> {
         let number: usize = self.parsed(attribute, default)?;
         if (min..=max).contains(&number) {
@@ -168,14 +170,15 @@
         })
     }
 
-    /// Reads an integer from `min` to `max`. Returns an error if the attribute is missing.
+    /// Reads the value of an attribute as an integer from `min` to `max`. Returns an error if the attribute
+    /// is missing.
     pub(crate) fn required_whole(&self, attribute: &str, min: usize, max: usize) -> Result<usize> {
         self.required(attribute)?;
         self.whole(attribute, min, min, max)
     }
 
-    /// Reads a duration and returns it in nanoseconds. The attribute's value, the default and the bounds are
-    /// in milliseconds.
+    /// Reads the value of an attribute as a duration and returns it in nanoseconds. The attribute's value,
+    /// the default and the bounds are in milliseconds.
     pub(crate) fn duration_ns(
         &self,
         attribute: &str,
@@ -187,15 +190,16 @@
         Ok(ms as u64 * NANOS_PER_MS)
     }
 
-    /// Reads an IP address with a port. Returns an error if the attribute is missing.
+    /// Reads the value of an attribute as an IP address with a port. Returns an error if the attribute is
+    /// missing.
     pub(crate) fn address(&self, attribute: &str) -> Result<SocketAddr> {
         let text = self.required(attribute)?;
         let fault = Fault::NoAddress { attribute: attribute.to_string(), text: text.to_string() };
         text.parse().map_err(|_| self.error(fault))
     }
 
-    /// Returns the `name` attributes of all child elements. Returns an error if a child is not a `kind`
-    /// element.
+    /// Returns the `name` attributes of all child elements. Returns an error if the name of a child element
+    /// is not `kind`.
     pub(crate) fn names_of_children(&self, kind: &str) -> Result<Vec<String>> {
         let mut names = Vec::new();
         for child in self.children(&[kind], &[kind])? {
--- a/crates/deployment-settings/src/deployment.rs
+++ b/crates/deployment-settings/src/deployment.rs
@@ -8,8 +8,8 @@
 use crate::{DeploymentSettings, SettingsError};
 use meadowstream_overload_control::{Deployment, Downstream, Effect, Operation, TARGET_UTILIZATION};
 
-/// Path of a list in the platform's settings. For each operation, the list contains the value of a degraded
-/// answer, as a ratio of the value of a full answer.
+/// Path of the platform's setting that lists, for each operation, the value of a degraded answer as a ratio
+/// of the value of a full answer.
 const DEGRADED_VALUES: &str = "family-info.degraded-worth";
 
 /// Reads all settings.
@@ -37,7 +37,8 @@
     })
 }
 
-/// Returns the names of the items of a list. If an item has no name, its index is used as the name.
+/// Returns the names of the items of the list at the path `list`. If an item has no name, its index is used
+/// as the name.
 fn names(values: &Values, list: &str, count: usize) -> Result<Vec<String>, SettingsError> {
     (0..count).map(|i| values.parse_or(&format!("{list}.{i}.name"), i.to_string())).collect()
 }
--- a/crates/deployment-settings/src/lib.rs
+++ b/crates/deployment-settings/src/lib.rs
@@ -22,15 +22,16 @@
 pub struct DeploymentSettings {
     /// Settings of the overload controller.
     pub deployment: Deployment,
-    /// Index of the utilization of the cores in the platform's list of gauges; `None` if the list does not
-    /// contain it.
+    /// Index of the gauge for the utilization of the cores in the platform's list of gauges; `None` if the
+    /// list does not contain this gauge.
     pub utilization_gauge: Option<usize>,
-    /// Index of the number of runnable threads in the platform's list of gauges; `None` if the list does not
-    /// contain it.
+    /// Index of the gauge for the number of runnable threads in the platform's list of gauges; `None` if the
+    /// list does not contain this gauge.
     pub runnable_gauge: Option<usize>,
     /// Names of the operations, in the order of [`Deployment::operations`].
     pub operation_names: Vec<String>,
-    /// Time for which the answer to a read may also be returned to other callers, in nanoseconds.
+    /// Time in nanoseconds for which the answer to one caller's read operation may also be returned to other
+    /// callers.
     pub read_sharing_window: Nanos,
     /// Whether the server is notified when a caller cancels an invocation.
     pub notifies_cancellation: bool,
--- a/crates/deployment-settings/src/values.rs
+++ b/crates/deployment-settings/src/values.rs
@@ -87,13 +87,13 @@
         if self.has(path) { self.parse(path) } else { Ok(default) }
     }
 
-    /// Reads a finite number of at least 0.
+    /// Parses the value of a path as a finite number of at least 0.
     pub fn number(&self, path: &str) -> Result<f64, SettingsError> {
         let number: f64 = self.parse(path)?;
         if number.is_finite() && number >= 0.0 { Ok(number) } else { Err(out_of_range(path, number)) }
     }
 
-    /// Reads a finite number of at least 0. Returns 0 if the path is missing.
+    /// Parses the value of a path as a finite number of at least 0. Returns 0 if the path is missing.
     pub fn number_or_zero(&self, path: &str) -> Result<f64, SettingsError> {
         if self.has(path) { self.number(path) } else { Ok(0.0) }
     }
@@ -104,18 +104,19 @@
         if number > 0.0 { Ok(number) } else { Err(out_of_range(path, number)) }
     }
 
-    /// Reads a duration in microseconds and returns it in nanoseconds.
+    /// Parses the value of a path as a duration in microseconds, and returns the duration in nanoseconds.
     pub fn duration(&self, path: &str) -> Result<Nanos, SettingsError> {
         let micros: u64 = self.parse(path)?;
         micros.checked_mul(NS_PER_US).ok_or_else(|| out_of_range(path, micros))
     }
 
-    /// Reads a duration in microseconds and returns it in nanoseconds. Returns 0 if the path is missing.
+    /// Parses the value of a path as a duration in microseconds, and returns the duration in nanoseconds.
+    /// Returns 0 if the path is missing.
     pub fn duration_or_zero(&self, path: &str) -> Result<Nanos, SettingsError> {
         if self.has(path) { self.duration(path) } else { Ok(0) }
     }
 
-    /// Reads a value that must be one of `words`, and returns the meaning of the word.
+    /// Reads the value of a path, which must be one of `words`, and returns the meaning of this word.
     pub fn choice<T: Copy>(&self, path: &str, words: Words<T>) -> Result<T, SettingsError> {
         let text = self.text(path)?;
         match words.iter().find(|(word, _)| *word == text) {
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Returns the items of a comma-separated list. Returns an empty list if the path is missing.
+    /// Returns the items of the comma-separated list at a path. Returns an empty list if the path is missing.
     pub fn list(&self, path: &str) -> Vec<&str> {
         match self.by_path.get(path) {
             Some(text) => text.split(',').filter(|part| !part.is_empty()).collect(),
--- a/crates/deployment-settings/src/wire_words.rs
+++ b/crates/deployment-settings/src/wire_words.rs
@@ -1,22 +1,23 @@
-//! Words that the platform's settings use for the choices of a setting.
+//! Words that the platform uses as values of settings with a fixed set of choices, each with its meaning.
 
 use meadowstream_overload_control::{Advertisement, Effect, Preemption};
 
-/// List of the words that a setting accepts, each with its meaning.
+/// List of the words that a setting accepts as its value, each with the meaning of the word.
 pub type Words<T> = &'static [(&'static str, T)];
 
-/// Words for the effect of running an operation more than once.
+/// Words with which the platform's settings state the effect of running an operation more than once.
 pub const EFFECTS: Words<Effect> = &[
     ("repeatable", Effect::Idempotent),
     ("by_key", Effect::IdempotentWithKey),
     ("once", Effect::NonIdempotent),
 ];
 
-/// Words for the effect of preempting a run: preemption is unsupported, discards the work, or pauses the run.
+/// Words with which the platform's settings state the effect of preempting a run: preemption is unsupported,
+/// discards the work, or pauses the run.
 pub const PREEMPTIONS: Words<Preemption> =
     &[("off", Preemption::Unsupported), ("discard", Preemption::Discards), ("freeze", Preemption::Pauses)];
 
-/// Words for the kind of load that the server advertises to callers.
+/// Words with which the platform's settings state the kind of load that the server advertises to callers.
 pub const ADVERTISEMENTS: Words<Advertisement> = &[
     ("off", Advertisement::None),
     ("floor", Advertisement::MinimumRank),
@@ -24,8 +25,8 @@
     ("weight", Advertisement::Weight),
 ];
 
-/// Kind of the downstream services that running invocations call. The other settings of a shared dependency,
-/// such as its quota, are read separately.
+/// Destination of the calls that this server's runs make: no calls, a tier of servers, or a dependency that
+/// all servers share. The other settings of a shared dependency, such as its quota, are read separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DownstreamKind {
     None,
@@ -33,7 +34,7 @@
     Shared,
 }
 
-/// Words for the kind of the downstream services.
+/// Words with which the platform's settings state the destination of this server's downstream calls.
 pub const DOWNSTREAMS: Words<DownstreamKind> =
     &[("off", DownstreamKind::None), ("tier", DownstreamKind::Tier), ("one_for_all", DownstreamKind::Shared)];
 
--- a/crates/overload-control/src/admission.rs
+++ b/crates/overload-control/src/admission.rs
@@ -40,7 +40,7 @@
         self.weights.iter().position(|each| *each >= weight).unwrap_or(self.weights.len() - 1)
     }
 
-    /// Whether `rank` is the highest rank.
+    /// Returns whether `rank` is the highest rank. A flooded server rejects the arrivals of all other ranks.
     pub fn is_top(&self, rank: usize) -> bool {
         rank + 1 >= self.weights.len()
     }
--- a/crates/overload-control/src/advertised_load.rs
+++ b/crates/overload-control/src/advertised_load.rs
@@ -16,7 +16,7 @@
     pub concurrency_limit: f64,
 }
 
-/// The most recently advertised load.
+/// Stores the load that the server advertised most recently, so that only changes are advertised.
 #[derive(Default)]
 pub struct AdvertisedLoad {
     last: Option<f64>,
--- a/crates/overload-control/src/call_budget.rs
+++ b/crates/overload-control/src/call_budget.rs
@@ -6,8 +6,8 @@
 
 use crate::{Downstream, Nanos, Outcome};
 
-/// Rate at which the budget refills, as a share of [`CallBudget::quota`]. The maximum budget is the rest of
-/// the quota multiplied by the length of the window.
+/// Rate at which the call budget refills, as a share of [`CallBudget::quota`]. The rest of the quota,
+/// multiplied by the length of the window, is the maximum budget.
 const STEADY_SHARE: f64 = 0.7;
 /// Share of the maximum budget that only calls of the highest rank may use. Without this reserve, a call of
 /// the highest rank could find no budget when calls are slow.
@@ -15,8 +15,8 @@
 /// Maximum timeout of a call, as a multiple of its attempt timeout ([`Request::attempt_timeout_ns`]).
 const TIMEOUT_MAX_RATIO: f64 = 4.0;
 
-/// Minimum timeout of a call, as a share of the maximum budget. If a request exceeds the maximum budget, the
-/// timeout of the call is shortened, but not below this minimum. The value is written as a difference because
+/// Minimum timeout of a call, as a share of the maximum budget. If a call requests more than the maximum
+/// budget, its timeout is shortened, but not below this minimum. The value is written as a difference because
 /// the literal 0.3 is rounded to a different number.
 const TIMEOUT_MIN_SHARE: f64 = 1.0 - 0.7;
 
@@ -28,9 +28,9 @@
     /// Attempt timeout: time after which an attempt is abandoned if the call may be repeated, ns; 0 until the
     /// duration of a call has been observed.
     pub attempt_timeout_ns: f64,
-    /// Base timeout, ns: half of the attempt timeout of the first attempt. If the request exceeds the maximum
-    /// budget, the timeout is shortened, but not below this value. 0 until the duration of a call has been
-    /// observed.
+    /// Base timeout of the call, ns: half of the attempt timeout of the first attempt. If the call requests
+    /// more than the maximum budget, its timeout is shortened, but not below the base timeout. 0 until the
+    /// duration of a call has been observed.
     pub base_timeout_ns: f64,
     /// Whether the run that makes the call has the highest rank.
     pub is_top_rank: bool,
--- a/crates/overload-control/src/concurrency_limit.rs
+++ b/crates/overload-control/src/concurrency_limit.rs
@@ -60,7 +60,7 @@
 }
 
 impl ConcurrencyLimit {
-    /// Creates the limit. Its initial value is the number of cores.
+    /// Creates the limit on concurrent runs. The initial limit is the number of cores.
     pub fn new(cores: f64, survivable_ratio: f64, warm_up: WarmUp) -> Self {
         Self { limit: cores, cores, survivable_ratio, warm_up }
     }
--- a/crates/overload-control/src/controller/rules.rs
+++ b/crates/overload-control/src/controller/rules.rs
@@ -54,8 +54,9 @@
         if let Some(time_left) = time_left.filter(|_| !is_spared) {
             let in_distress = self.is_in_distress();
             let retry_after = if in_distress { self.deployment.retry_after_max } else { time_left };
-            // The promise takes effect immediately (after 0 ns). A retry with a promise of admission is
-            // exempt from the refusal window, so it need not wait for the end of the window.
+            // The argument 0 is the delay after which the promise of admission takes effect. A retry with a
+            // promise is exempt from the refusal window, so the retry need not wait for the end of the
+            // window.
             self.reject_or_fail(key, retry_after, 0, host);
         }
         Some(())
@@ -236,9 +237,9 @@
     }
 
     /// Rejects an invocation if its caller may safely repeat it, and otherwise answers it with an error. The
-    /// caller may safely repeat an invocation that is idempotent or certainly had no effect. A repeat of an
-    /// earlier invocation may have had an effect through the earlier run. A promise of admission takes effect
-    /// after `promise_after` or later.
+    /// caller may safely repeat an invocation that is idempotent or certainly had no effect. An invocation
+    /// that repeats an earlier one may already have had its effect in the run of the earlier one. A promise
+    /// of admission takes effect after `promise_after` or later.
     ///
     /// The caller is advised not to retry at another server in three cases: this server promised it
     /// admission, the latency objective has passed, or retries would add to an overload of the fleet.
--- a/crates/overload-control/src/downstream_calls.rs
+++ b/crates/overload-control/src/downstream_calls.rs
@@ -81,7 +81,8 @@
         self.budget.is_some() || calling + 1.0 <= self.limit
     }
 
-    /// Records whether the fleet's shared state denies downstream calls at present.
+    /// Stores whether the fleet's shared state denies downstream calls at present. While it denies them,
+    /// downstream calls count as saturated if a run waits for its call.
     pub fn set_withheld(&mut self, is_withheld: bool) {
         self.is_withheld = is_withheld;
     }
--- a/crates/overload-control/src/idle_connections.rs
+++ b/crates/overload-control/src/idle_connections.rs
@@ -3,8 +3,8 @@
 use crate::Nanos;
 use crate::regulator::CONTROL_PERIOD;
 
-/// Number of calls per caller. If callers make fewer calls on average within
-/// [`IdleConnections::timeout_max`], the timeout of idle connections is shortened.
+/// Minimum average number of calls that a caller makes within [`IdleConnections::timeout_max`]. If callers
+/// make fewer calls, the timeout of idle connections is shortened.
 const RETURNS_MIN: f64 = 4.0;
 /// Exponent that shortens the timeout of idle connections if callers make fewer than [`RETURNS_MIN`] calls.
 /// With half of [`RETURNS_MIN`] calls, the timeout is a sixteenth of its maximum.
--- a/crates/overload-control/src/invocations.rs
+++ b/crates/overload-control/src/invocations.rs
@@ -53,7 +53,7 @@
     pub repeats: Option<u64>,
     /// Time at which the invocation entered its current state.
     pub state_since: Nanos,
-    /// Time at which the run last started.
+    /// Time at which the run of the invocation most recently started.
     pub run_started: Nanos,
     /// Core time used so far.
     pub core_time: Nanos,
@@ -124,7 +124,8 @@
 pub struct Invocations {
     all: Slab<Invocation>,
     keys_by_id: HashMap<u64, usize>,
-    /// Queue of the pending invocations. Only changes of an invocation's state add or remove its entry.
+    /// Queue with one entry for each pending invocation. The entry is added or removed when the state of the
+    /// invocation changes.
     pub pending: PendingQueue,
     /// Keys of all invocations that are not pending. The map is ordered by arrival number.
     active: BTreeMap<u64, usize>,
--- a/crates/overload-control/src/lib.rs
+++ b/crates/overload-control/src/lib.rs
@@ -163,7 +163,8 @@
 pub struct Operation {
     /// Whether the operation may run more than once without harm.
     pub effect: Effect,
-    /// Latency objective: an answer has its full value if it is given within this time.
+    /// Latency objective: an answer has its full value if the caller receives it within this time after the
+    /// arrival.
     pub latency_objective: Nanos,
     /// Time after which the caller stops waiting for the answer, if its request carries no deadline.
     pub client_timeout: Nanos,
--- a/crates/overload-control/src/linear_quadratic.rs
+++ b/crates/overload-control/src/linear_quadratic.rs
@@ -1,6 +1,6 @@
 //! Linear-quadratic regulator, which computes how many arrivals to refuse from the measured utilization. The
 //! plant model is `y(k) + a y(k-1) = b1 u1(k-1) + b2 u2(k-1)`. Here `y` is the utilization, and `u1` and `u2`
-//! are the refusal time ratios of premium and basic.
+//! are the refusal time ratios of the premium class and the basic class.
 //!
 //! The gains of the regulator are computed by Riccati iteration. The coefficients `a`, `b1` and `b2` are
 //! estimated by recursive least squares.
@@ -57,7 +57,7 @@
     pub error_sum: f64,
 }
 
-/// Gains for both inputs of the plant. The inputs are the refusal time ratios of premium and basic.
+/// Gains for both inputs of the plant: the refusal time ratios of the premium class and the basic class.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Gains {
     pub premium: ClassGains,
--- a/crates/overload-control/src/reading.rs
+++ b/crates/overload-control/src/reading.rs
@@ -36,8 +36,8 @@
         self.delay.add(now, delay as f64);
     }
 
-    /// Records the number of threads that are running or ready to run, without the threads of runs. These
-    /// threads are considered to read arrivals.
+    /// Records the number of threads that are considered to read arrivals. These are the threads that are
+    /// running or ready to run, except the threads that execute runs.
     pub fn observe_threads(&mut self, now: Nanos, threads: f64) {
         self.threads.add(now, threads);
     }
--- a/crates/overload-control/src/regulator.rs
+++ b/crates/overload-control/src/regulator.rs
@@ -12,15 +12,17 @@
 /// premium class costs 100 times as much as refusing the basic class, as in IAMS (Jiang, Meng, Ren and Zhan).
 const WEIGHTS: Weights = Weights { error: 1.0, error_sum: 1.0, premium: 0.1, basic: 0.001 };
 const ITERATION: Iteration = Iteration { steps_max: 200, tolerance: 1e-6 };
-/// Variance of each coefficient in the initial estimate of the plant.
+/// Variance of each coefficient in the initial estimate of the plant, the model of how refusals change the
+/// utilization.
 const PRIOR_VARIANCE: f64 = 1.0;
-/// Factor by which the weight of earlier observations is multiplied in each control period.
+/// Factor by which the weight of earlier observations of the utilization is multiplied in each control
+/// period. The plant is estimated from these observations.
 const FORGETTING_RATIO: f64 = 0.97;
 /// Value of [`Regulator::variation`] above which the estimated plant is used. Below it the utilization has
 /// varied too little for a reliable estimate.
 const VARIATION_MIN: f64 = 0.5;
 /// Plausible range of the change of the utilization if all arrivals of a class are refused. An estimated
-/// plant is not used if one of its effects is outside this range.
+/// plant is not used if it predicts a change outside this range for one of the classes.
 const PLAUSIBLE_EFFECTS: std::ops::Range<f64> = -2.0..-0.2;
 
 /// Start or end of load shedding. The server sheds load while it rejects arrivals of the basic class.
@@ -36,7 +38,7 @@
     /// persist.
     error_sum: f64,
     ratios: RefusalRatios,
-    /// Utilization that was passed to the last step, from 0 to 1.
+    /// Utilization that was passed to the last step of the regulator, from 0 to 1.
     utilization: f64,
     estimator: PlantEstimator,
     /// Measure of how much the utilization has varied while arrivals were refused. It is a decaying sum over
@@ -63,7 +65,7 @@
         self.ratios
     }
 
-    /// Returns the utilization that was passed to the last step, from 0 to 1.
+    /// Returns the utilization that was passed to the last step of the regulator, from 0 to 1.
     pub fn utilization(&self) -> f64 {
         self.utilization
     }
--- a/crates/overload-control/tests/operations.rs
+++ b/crates/overload-control/tests/operations.rs
@@ -82,8 +82,8 @@
     controller.on_run_finished(at + duration, id, Outcome::Succeeded, &mut HealthRecorder(true));
 }
 
-/// Measures several rounds and returns the duration of the fastest round. Other load on the machine can only
-/// make a round slower.
+/// Runs several rounds of 200 invocations each and returns the duration of the fastest round. Other load on
+/// the machine can only make a round slower.
 fn fastest_round(operations: usize) -> Duration {
     const ROUNDS: u64 = 7;
     const RUNS: u64 = 200;
--- a/crates/overload-control/tests/scenarios.rs
+++ b/crates/overload-control/tests/scenarios.rs
@@ -36,7 +36,7 @@
     advertised_load: f64,
     idle_timeout: Nanos,
     call_timeout: Nanos,
-    /// Number of downstream calls that are in progress.
+    /// Number of downstream calls that the simulated host has in progress.
     open_calls: usize,
     /// Maximum number of concurrent calls that the fleet's budget permits; `None` without a budget.
     call_limit: Option<usize>,
--- a/crates/pending-queue/src/order.rs
+++ b/crates/pending-queue/src/order.rs
@@ -13,7 +13,7 @@
 }
 
 impl RunOrder {
-    /// Returns the value by which an entry is sorted.
+    /// Returns the value that determines the position of an entry in this order.
     pub fn of(entry: &Entry) -> Self {
         Self {
             start_tag: entry.start_tag,
@@ -36,7 +36,7 @@
 }
 
 impl MemoryOrder {
-    /// Returns the value by which an entry is sorted.
+    /// Returns the value that determines when an entry is rejected if memory is short.
     pub fn of(entry: &Entry) -> Self {
         Self {
             not_promised: !entry.promised,
@@ -60,7 +60,8 @@
 }
 
 impl DeadlineOrder {
-    /// Returns the value by which an entry is sorted.
+    /// Returns the value that determines when an entry is rejected so that other entries meet their
+    /// deadlines.
     pub fn of(entry: &Entry) -> Self {
         Self {
             not_promised: !entry.promised,
--- a/crates/pending-queue/src/priority_class_queue.rs
+++ b/crates/pending-queue/src/priority_class_queue.rs
@@ -77,8 +77,9 @@
     /// Splits the block with index `block`, which is full, and inserts `entry`. `index` is the position of
     /// the entry in that block before the split.
     fn split(&mut self, block: usize, index: usize, entry: Entry) {
-        // If the entry belongs at the end of the last block, the block is not split and the entry starts a
-        // new block. Entries that are inserted in run order therefore fill their blocks.
+        // If the entry belongs at the end of the last block and this block is full, the block is not split
+        // and the entry starts a new block. Entries that are inserted in run order therefore fill their
+        // blocks.
         let at_end = index == BLOCK_ENTRIES_MAX && block + 1 == self.blocks.len();
         let kept = if at_end { BLOCK_ENTRIES_MAX } else { BLOCK_ENTRIES_MAX / 2 };
         let mut second = self.blocks[block].split_off(kept);
--- a/crates/rate-limit/tests/sliding_window.rs
+++ b/crates/rate-limit/tests/sliding_window.rs
@@ -12,7 +12,7 @@
     assert!(window.try_acquire(60, 0) && window.try_acquire(40, SECOND / 2));
     assert!(!window.try_acquire(1, SECOND - 1));
     // The first amount was used in a slot of a twentieth of a second. It becomes available one second after
-    // the end of this slot.
+    // the end of this slot. One nanosecond earlier, no amount can be acquired.
     assert!(!window.try_acquire(1, SECOND + SECOND / 20 - 1));
     assert!(window.try_acquire(60, SECOND + SECOND / 20));
     assert_eq!(window.available(SECOND + SECOND / 20), 0);
--- a/crates/routing/tests/tier.rs
+++ b/crates/routing/tests/tier.rs
@@ -50,7 +50,7 @@
     /// Whether a server's router is informed that the server's own calls found a service unhealthy.
     uses_own_evidence: bool,
     is_probing: bool,
-    /// Whether all servers probe the ejected services, or only those that outlier detection selects.
+    /// Whether all servers, and not only those that outlier detection selects, probe the ejected services.
     all_servers_probe: bool,
     /// Servers that are cut off: they make no calls and send no reports.
     partitioned: Vec<usize>,
@@ -238,7 +238,7 @@
     unlimited.advance(2 * S);
     unlimited.health.fill(Health::Failing);
     unlimited.advance(6 * S);
-    // This fleet may eject the whole tier. Then only probes are routed, until they detect the recovery.
+    // Here all services may be ejected. Routers then route only probes and find no service for other calls.
     assert!(unlimited.routers.iter().all(|r| r.counters.unroutable > 0));
     unlimited.health.fill(Health::Healthy);
     unlimited.advance(10 * S);
@@ -258,7 +258,7 @@
         (fleet.failed, fleet.ejected_max) = (0, 0);
         fleet.advance(10 * S);
         assert_eq!(fleet.ejected_max, 0);
-        // The affected server makes about 100 calls per second, which is about 1,000 calls in these 10 s.
+        // Failed calls in 10 s, in which the affected server makes about 1,000 calls (100 per second).
         fleet.failed
     };
     let (with, without) = (simulate(true), simulate(false));
