--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -39,7 +39,7 @@
     Rehearse {
         /// Number of tenants with a light load. One more tenant floods the server with invocations.
         tenants: usize,
-        /// Duration of the run, in seconds.
+        /// Duration of the overload test, in seconds.
         seconds: u64,
         /// Whether to print the server's log lines about tenants.
         shows_log: bool,
--- a/crates/cli/tests/fair_queues.rs
+++ b/crates/cli/tests/fair_queues.rs
@@ -46,8 +46,8 @@
     assert!(bytes.is_some_and(|bytes| bytes <= ceiling), "{bytes:?} of {ceiling}");
 }
 
-/// Parses one count from the log line about fair queueing. For example, the count `broken` is 13 in `counts:
-/// Counts { within: 7509, ..., broken: 13, ... }`.
+/// Returns the count `name` from the server's log line about fair queueing. For example, the count `broken`
+/// is 13 in `counts: Counts { within: 7509, ..., broken: 13, ... }`.
 fn count_of(report: &RehearsalReport, name: &str) -> u64 {
     let line = report
         .tenant_lines
--- a/crates/cli/tests/fleet_rollout.rs
+++ b/crates/cli/tests/fleet_rollout.rs
@@ -15,7 +15,7 @@
 const ALL: [usize; 6] = [0, 1, 2, 3, 4, 5];
 const VOTERS: &str = r#"<voter name="s0"/><voter name="s1"/><voter name="s2"/>"#;
 
-/// Runs one test at a time. The seven processes of another test would delay the plan intervals of 250 ms.
+/// Lock for one test at a time: the seven processes of another test would delay the 250 ms plan intervals.
 static EXCLUSIVE: Mutex<()> = Mutex::new(());
 
 fn lock_exclusive() -> MutexGuard<'static, ()> {
@@ -47,7 +47,7 @@
     fleet
 }
 
-/// Starts a load on each server. Each load uses half of the cores of its server.
+/// Starts a load on each server for the time `span`. Each load uses half of the cores of its server.
 fn start_loads(fleet: &FleetHarness, span: Duration) -> Vec<JoinHandle<ReplyCounts>> {
     let to = |i: usize| fleet.listen_address(i).expect("the server has logged its listen address");
     ALL.iter()
@@ -380,7 +380,7 @@
         println!("broken {broken}: {restarts:?} {:#?}", coordinator.lines.lock().unwrap());
         let replies: Vec<ReplyCounts> = load.into_iter().map(|load| load.join().unwrap()).collect();
         println!("{replies:?}");
-        // Calls fail while no process listens and until the new process is connected to the interpreter. At
+        // During a restart, calls fail until the new process listens and is connected to the interpreter. At
         // most one fiftieth of each server's calls may fail.
         for (i, load) in replies.iter().enumerate() {
             let stopped = broken && restarts.contains(&i);
--- a/crates/cli/tests/fleet_state.rs
+++ b/crates/cli/tests/fleet_state.rs
@@ -66,8 +66,8 @@
     serde_json::from_str::<serde_json::Value>(totals).unwrap()[key].as_u64().unwrap_or(0)
 }
 
-/// Waits until `servers` have leased the whole leasable part of the budget, or all but one call. The leasable
-/// part is the budget without the [`FLOOR`] of each of the six servers.
+/// Waits until `servers` have leased the leasable part of the budget, except at most one call. The leasable
+/// part is the budget minus the [`FLOOR`] of each of the six servers.
 fn expect_all_leased(fleet: &FleetHarness, servers: &[usize], within: Duration) {
     let leased = wait_for(within, || (leased(fleet, servers) >= TOTAL - 6 * FLOOR - 1).then_some(()));
     assert!(leased.is_some(), "{:?}", servers.iter().map(|&i| fleet.shared_state(i)).collect::<Vec<_>>());
@@ -341,8 +341,8 @@
     assert!(probes > 0 && probes <= 5 * 8 * 3 / 2 + 10, "{probes} probes");
     assert!(calls > 5 * probes, "{calls}, {probes} probes");
 
-    // A server that is cut off from the others decides by its own calls alone. This server keeps r1 ejected
-    // and ejects the next failing service by itself.
+    // A server that is cut off from the others ejects services because of its own calls alone. This server
+    // keeps r1 ejected and also ejects the next service that fails.
     tier.fleet.relay.change_faults(|f| {
         f.groups.insert(0, 1);
         f.partition(0, 1);
--- a/crates/cli/tests/scenario_harness/balancer.rs
+++ b/crates/cli/tests/scenario_harness/balancer.rs
@@ -29,7 +29,8 @@
 }
 
 impl Balancer {
-    /// Reads the next message, which is an array of strings. Returns `None` at the end of the connection.
+    /// Reads the next message from the server, which is an array of strings. Returns `None` at the end of the
+    /// connection.
     pub fn read_array(&mut self) -> Option<Vec<String>> {
         let mut line = String::new();
         match self.stream.read_line(&mut line) {
--- a/crates/cli/tests/scenario_harness/mod.rs
+++ b/crates/cli/tests/scenario_harness/mod.rs
@@ -94,7 +94,7 @@
     interpreter: TcpListener,
     /// Start time of the interpreter; a `banner` step without an age reports the time since this start.
     interpreter_started: Instant,
-    /// Open connections that fill the accept queue of a listener.
+    /// Open connections that fill a listener's accept queue; further connection attempts get no answer.
     queue_fillers: Vec<TcpStream>,
     link: Option<Link>,
     gauges: Arc<AtomicBool>,
--- a/crates/configuration/src/change.rs
+++ b/crates/configuration/src/change.rs
@@ -69,7 +69,7 @@
     TenantWeight(&'a str),
     /// Key `control/reference`: the target utilization of the cores, as a ratio.
     TargetUtilization,
-    /// Key `shared-state/budget/total`: the total of the fleet's call budget, in calls.
+    /// Key `shared-state/budget/total`: the total of the fleet's call budget, in concurrent calls.
     BudgetTotal,
 }
 
--- a/crates/configuration/src/replication.rs
+++ b/crates/configuration/src/replication.rs
@@ -16,7 +16,7 @@
 pub struct Replication {
     /// Region in which this member runs.
     pub region: String,
-    /// Zone of the region in which this member runs.
+    /// Zone in which this member runs. A zone is a part of a region.
     pub zone: String,
     /// Path of the file in which the server stores the last good revision, which is the last revision that it
     /// applied. The path is stored as written in the options file and is relative to that file.
--- a/crates/configuration/src/shared_state.rs
+++ b/crates/configuration/src/shared_state.rs
@@ -14,7 +14,7 @@
 const SERVICES_MAX: usize = 256;
 /// Maximum length of a service's name, in bytes.
 const NAME_BYTES_MAX: usize = 64;
-/// Maximum total of a call budget, in calls.
+/// Maximum total of a call budget, in concurrent calls.
 pub(crate) const TOTAL_MAX: usize = 1 << 40;
 
 /// Settings of the state that the servers of a fleet share.
--- a/crates/configuration/tests/outside_names.rs
+++ b/crates/configuration/tests/outside_names.rs
@@ -16,7 +16,7 @@
 const MILLISECOND: u64 = 1_000_000;
 
 /// Adds one line to `lines` for each element, attribute and choice of the schema, in the format of the
-/// recorded fixture.
+/// fixture file `schema-names.txt`.
 fn schema_lines(node: Node, path: &[String], lines: &mut BTreeSet<String>) {
     for child in node.children().filter(Node::is_element) {
         let attribute = |name: &str| child.attribute(name).unwrap_or("-");
--- a/crates/deployment-settings/src/error.rs
+++ b/crates/deployment-settings/src/error.rs
@@ -2,8 +2,8 @@
 
 use thiserror::Error;
 
-/// Error that occurs while the platform's settings are read. The error contains the path and the value of the
-/// setting.
+/// Error that occurs while the platform's settings are read. An error about one setting contains its path,
+/// and also its value if the setting has a value.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum SettingsError {
     /// A line of the settings does not have the form `path=value`.
--- a/crates/overload-control/src/controller/events.rs
+++ b/crates/overload-control/src/controller/events.rs
@@ -113,7 +113,8 @@
             let backoff = DownstreamCalls::backoff(usual.elapsed_ns);
             self.invocations[key].retry_call_at = self.now + backoff;
         } else if !self.is_idempotent(&self.invocations[key]) {
-            // The call must not be repeated, because it may already have taken effect.
+            // The failed call may already have taken effect and must not be repeated, so the invocation is
+            // answered now.
             self.answer(key, 0, host);
         }
     }
--- a/crates/overload-control/src/health.rs
+++ b/crates/overload-control/src/health.rs
@@ -19,7 +19,8 @@
 /// Health and readiness of the server.
 pub struct Health {
     /// Share of recent runs that failed. The half-life of this mean is shorter than that of the usual run
-    /// times, so that failures are detected early. Until then a failing server continues to receive arrivals.
+    /// times, so that failures are detected early. Until the failures are detected, a failing server
+    /// continues to receive arrivals.
     failing: DecayingMean,
     /// Time at which a run most recently left the cores.
     last_progress: Nanos,
--- a/crates/overload-control/src/linear_quadratic.rs
+++ b/crates/overload-control/src/linear_quadratic.rs
@@ -110,8 +110,8 @@
             return None;
         }
         if largest_change(&before, &k) < iteration.tolerance {
-            // The optimal input is `-k x`, so the gains are `-k`. The gains are positive, because refusing
-            // arrivals lowers the utilization.
+            // The optimal input of the plant is `-k x`, where `x` is the state, so the gains are `-k`. The
+            // gains are positive, because refusing arrivals lowers the utilization.
             let [premium, basic] =
                 k.map(|[error, error_sum]| ClassGains { error: -error, error_sum: -error_sum });
             return Some(Gains { premium, basic });
--- a/crates/pending-queue/src/order.rs
+++ b/crates/pending-queue/src/order.rs
@@ -13,7 +13,7 @@
 }
 
 impl RunOrder {
-    /// Returns the value that determines the position of an entry in this order.
+    /// Returns the value that determines the position of an entry in run order.
     pub fn of(entry: &Entry) -> Self {
         Self {
             start_tag: entry.start_tag,
--- a/crates/pending-queue/src/sum_tree.rs
+++ b/crates/pending-queue/src/sum_tree.rs
@@ -111,7 +111,7 @@
         blocks > self.leaves || blocks * 4 < self.leaves
     }
 
-    /// Recomputes all nodes above the leaves of the blocks `from..to`.
+    /// Recomputes the summaries of all nodes above the leaves of the blocks with the indexes `from..to`.
     fn join_above(&mut self, from: usize, to: usize) {
         let (mut low, mut high) = (self.leaves + from, self.leaves + to.min(self.leaves) - 1);
         while low > 1 {
--- a/crates/pending-queue/src/summary.rs
+++ b/crates/pending-queue/src/summary.rs
@@ -73,7 +73,7 @@
 }
 
 impl Summary {
-    /// Creates the summary of no entries.
+    /// Creates a summary that contains no entries.
     pub fn empty() -> Self {
         Self { lateness: f64::NEG_INFINITY, ..Self::default() }
     }
--- a/crates/pending-queue/tests/pending_queue.rs
+++ b/crates/pending-queue/tests/pending_queue.rs
@@ -59,8 +59,8 @@
     }
 }
 
-/// Runs one random sequence of operations on the queue and on the reference. Returns the number of entries
-/// rejected for missed deadlines and the number of overdue entries.
+/// Runs one random sequence of operations on the queue and on the reference implementation. Returns the
+/// number of entries rejected for missed deadlines and the number of overdue entries.
 fn run(seed: u64, has_start_tags: bool, entries_max: usize, steps: usize) -> (u64, u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let (ranks, operations) = (rng.random_range(1..5), rng.random_range(1..4));
--- a/crates/rate-limit/tests/sliding_window.rs
+++ b/crates/rate-limit/tests/sliding_window.rs
@@ -1,5 +1,5 @@
-//! Tests of the limit in any second, of amounts that exceed the limit because they are acquired by force, and
-//! of a clock that stops or goes back.
+//! Tests of the rate limit: in any window of one second, with amounts that exceed the limit because they are
+//! acquired by force, and on a clock that stops or goes back.
 
 use meadowstream_rate_limit::{Nanos, SlidingWindow};
 use proptest::prelude::*;
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -22,7 +22,7 @@
 /// Properties of a call that restrict the choice of its service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallPreference {
-    /// Service of the call's previous attempt. A retry avoids this service if it can.
+    /// Service of the call's previous attempt. A retry goes to another service if one is available.
     pub last_service: Option<usize>,
     /// Whether the call may be sent as a probe to an unhealthy service, which is likely to fail the call.
     /// Only the first attempt of an idempotent call may be a probe.
