--- a/crates/cli/examples/mixed_fleet.rs
+++ b/crates/cli/examples/mixed_fleet.rs
@@ -26,7 +26,7 @@
 /// Concurrent downstream calls that each server may make without a lease.
 const BUDGET_FLOOR: u64 = 1;
 const SEED: u64 = 91;
-/// Maximum time that each check waits until the fleet reaches the state that the check expects.
+/// Maximum time that each check waits for the expected state of the fleet.
 const WAIT_MAX: Duration = Duration::from_secs(30);
 /// Duration of the load.
 const LOAD: Duration = Duration::from_secs(12);
--- a/crates/cli/tests/fleet_rollout.rs
+++ b/crates/cli/tests/fleet_rollout.rs
@@ -339,8 +339,8 @@
     expect_all_answered(load);
 }
 
-/// Rollout of a new program. Each server of a stage answers all calls and exits, and a test double of the
-/// supervisor starts the program that the server's mark file names. If a server does not return, the
+/// Rollout of a new program. Each server of a stage answers all calls and exits. A test double of the
+/// supervisor then starts the program that the server's mark file names. If a server does not return, the
 /// coordinator rolls the change back.
 #[test]
 fn a_program_is_rolled_out_by_restarts_and_rolled_back_if_a_server_fails() {
--- a/crates/cli/tests/fleet_scale.rs
+++ b/crates/cli/tests/fleet_scale.rs
@@ -11,7 +11,7 @@
 const CONTROLS: usize = 3;
 const PROCESSES: usize = 12;
 const ZONES: usize = 3;
-/// Maximum time that each check waits until the fleet reaches the state that the check expects.
+/// Maximum time that each check waits for the expected state of the fleet.
 const WAIT_MAX: Duration = Duration::from_secs(20);
 
 /// Returns the process indices of the servers. The indices of the control machines are lower.
--- a/crates/cli/tests/fleet_state.rs
+++ b/crates/cli/tests/fleet_state.rs
@@ -169,8 +169,8 @@
     assert!(new.succeeded > 0, "{new:?}");
 }
 
-/// A server must not use an expired lease. A server that is stopped (SIGSTOP) for longer than its lease and
-/// then continued makes no call on the expired lease and gets a new lease.
+/// A server must not use an expired lease. The test stops a server (SIGSTOP) for longer than its lease. When
+/// the server continues, it makes no call on the expired lease and gets a new lease.
 #[test]
 fn a_stalled_holder_under_loss_never_passes_the_budget() {
     let (mut fleet, downstream) = start_fleet(23, 5, true);
@@ -369,8 +369,8 @@
     assert!(replies.succeeded * 2 > replies.sent, "{replies:?}");
 }
 
-/// One server cannot reach a service that all others can reach. If two servers must report a failure to eject
-/// a service, no server ejects this service, and the affected server avoids it because its own calls failed.
+/// One server cannot reach a service that all others can reach. If two reports are required to eject a
+/// service, no server ejects this one. The affected server avoids the service because its own calls failed.
 /// If one report is enough, all servers eject the service, although it is healthy.
 #[test]
 fn a_service_that_only_one_server_cannot_reach_is_not_ejected() {
--- a/crates/cli/tests/log_reader_gone.rs
+++ b/crates/cli/tests/log_reader_gone.rs
@@ -5,8 +5,8 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Maximum time to wait until the server exits. The configuration sets a stop time of 3.2 s, so the limit is
-/// generous.
+/// Maximum time to wait until the server exits. This limit is far above the stop time of 3.2 s in the
+/// configuration.
 const EXIT_MAX: Duration = Duration::from_secs(15);
 
 /// Server process that is killed at the end of the test, also if the test panics.
--- a/crates/configuration/src/error.rs
+++ b/crates/configuration/src/error.rs
@@ -1,4 +1,5 @@
-//! Errors that occur while settings are read. An error contains the file, the line and the element.
+//! Errors that occur while settings are read. An error contains the file, the line and the element as far as
+//! they are known.
 
 use std::fmt;
 use std::path::PathBuf;
--- a/crates/configuration/src/replication.rs
+++ b/crates/configuration/src/replication.rs
@@ -18,8 +18,8 @@
     pub region: String,
     /// Zone in which this member runs. A zone is a part of a region.
     pub zone: String,
-    /// Path of the file in which the server stores the last good revision, which is the last revision that it
-    /// applied. The path is stored as written in the options file and is relative to that file.
+    /// Path of the file in which the server stores the last good revision: the last revision that it applied.
+    /// The path is stored as written in the options file and is relative to that file.
     pub file: PathBuf,
     /// Names of the control machines, which store the log of configuration revisions.
     pub replicas: Vec<String>,
--- a/crates/configuration/src/shared_state.rs
+++ b/crates/configuration/src/shared_state.rs
@@ -34,7 +34,7 @@
 pub struct Budget {
     /// Name of the budget, which is the same at all servers of the fleet.
     pub name: String,
-    /// Maximum number of concurrent calls of the whole fleet.
+    /// Maximum number of concurrent calls of the whole fleet to the downstream service.
     pub total: u64,
     /// Number of concurrent calls that each server may make without a lease; default 0.
     pub floor: u64,
--- a/crates/configuration/tests/options.rs
+++ b/crates/configuration/tests/options.rs
@@ -250,9 +250,9 @@
     }
 }
 
-/// Regression test for slow reading of many tenants. Reading 64,000 tenants once took 36 to 42 s, because the
-/// line of each tenant was counted from the start of the file and each name was compared with all previous
-/// names. A debug build now takes under 2 s.
+/// Regression test for slow reading of many tenants. Reading 64,000 tenants once took 36 to 42 s, for two
+/// reasons. The line of each tenant was counted from the start of the file, and each name was compared with
+/// all previous names. A debug build now takes under 2 s.
 #[test]
 fn time_to_read_many_tenants_is_not_quadratic() {
     let started = std::time::Instant::now();
--- a/crates/configuration/tests/replicated_keys.rs
+++ b/crates/configuration/tests/replicated_keys.rs
@@ -77,8 +77,8 @@
     assert_eq!(read.target_utilization, Some(0.8));
     let named = &read.tenants.as_ref().unwrap().fair.named;
     assert_eq!(named.to_vec(), vec![(b"a".to_vec(), 5.0), (b"b".to_vec(), 3.0)]);
-    // Three changes must be rejected: one with more tenants than the limit on accounts allows, one with an
-    // unknown key, and one of a budget that the options do not contain.
+    // Three changes must be rejected. The first has more tenants than the limit on accounts allows, the
+    // second has an unknown key, and the third changes a budget that the options do not contain.
     let many: Vec<String> = (0..9).map(|n| format!("tenants/tenant/t{n}")).collect();
     let all = many.iter().map(|key| (key.as_str(), "1"));
     let refused = |pairs: Vec<(&str, &str)>| {
--- a/crates/deployment-settings/src/deployment.rs
+++ b/crates/deployment-settings/src/deployment.rs
@@ -8,8 +8,8 @@
 use crate::{DeploymentSettings, SettingsError};
 use meadowstream_overload_control::{Deployment, Downstream, Effect, Operation, TARGET_UTILIZATION};
 
-/// Path of the platform's setting that lists, for each operation, the value of a degraded answer as a ratio
-/// of the value of a full answer.
+/// Path of the platform's setting for the values of degraded answers. The setting lists a value for each
+/// operation, as a ratio of the value of a full answer.
 const DEGRADED_VALUES: &str = "family-info.degraded-worth";
 
 /// Reads all settings.
--- a/crates/deployment-settings/src/values.rs
+++ b/crates/deployment-settings/src/values.rs
@@ -38,7 +38,7 @@
 
     /// Adds the JSON `value` at `path`, and all values nested in it. A list of plain values becomes one
     /// comma-separated value. In a list of objects, the index of an object is part of the paths of its
-    /// values, and the path `count` contains the length of the list.
+    /// values. The path of the list followed by `.count` contains the length of the list.
     fn flatten(&mut self, path: &str, value: &Value) {
         match value {
             Value::Null => {}
--- a/crates/overload-control/src/deadline.rs
+++ b/crates/overload-control/src/deadline.rs
@@ -32,8 +32,8 @@
 
     /// Returns the time at which the controller stops waiting for the result of an invocation that has left
     /// the pending queue. This time is the answer deadline if a late result is useful (`is_late_useful`), and
-    /// otherwise the objective deadline. The time is never later than `last_answers`, when a draining server
-    /// sends its last answers.
+    /// otherwise the objective deadline. The time is never later than `last_answers`, the time at which a
+    /// draining server sends its last answers.
     pub fn wait_until(&self, is_late_useful: bool, last_answers: Nanos) -> Nanos {
         let useful = if is_late_useful { self.answer } else { self.objective };
         self.answer.min(last_answers).min(useful)
--- a/crates/overload-control/src/idle_connections.rs
+++ b/crates/overload-control/src/idle_connections.rs
@@ -36,8 +36,7 @@
     ///
     /// The timeout is longer if callers make calls more often, because they then reuse the connections. All
     /// connections are kept open while reading arrivals is too slow, and afterwards until the cores are idle.
-    /// This limits the work of reading, because a caller that finds no free connection sends nothing that
-    /// must be read.
+    /// This limits the work of reading: a caller without a free connection sends nothing that must be read.
     pub fn timeout(&mut self, arrival_rate: f64, is_reading_behind: bool, utilization: f64) -> Nanos {
         let returns = arrival_rate * self.timeout_max / 1e9 / self.callers / RETURNS_MIN;
         self.keeps_all = is_reading_behind || (self.keeps_all && utilization > IDLE_UTILIZATION);
--- a/crates/overload-control/src/invocations.rs
+++ b/crates/overload-control/src/invocations.rs
@@ -133,7 +133,7 @@
     unscreened: VecDeque<ArrivalKey>,
     counts: [usize; STATES],
     memory_parts: u64,
-    /// Memory that an invocation uses while it runs, divided by the memory that it uses while it is pending.
+    /// Memory of a running invocation, divided by the memory of the same invocation while it is pending.
     run_memory_factor: f64,
     /// Whether a stopped run pauses. A paused run keeps the memory that it used while running.
     stopped_runs_pause: bool,
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Removes an invocation that has been answered and whose run, if any, has ended.
+    /// Removes an answered invocation. Its run, if it has one, must have ended.
     pub fn remove(&mut self, key: usize) {
         self.remove_from_indexes(key);
         let invocation = self.all.remove(key);
--- a/crates/overload-control/src/lib.rs
+++ b/crates/overload-control/src/lib.rs
@@ -79,9 +79,9 @@
     /// Answers a repeated invocation with the result of the earlier invocation that has the same idempotency
     /// key.
     fn replay_result(&mut self, invocation: u64);
-    /// Sets the response to health checks. `healthy` is true if the server is ready, which means that it is
-    /// healthy and wants arrivals. If `cached` is true, the host answers health checks with this value and
-    /// performs no check. A host whose checks cost nothing ignores `cached`.
+    /// Sets the response to health checks. `healthy` is true if the server is ready: it is healthy and wants
+    /// arrivals. If `cached` is true, the host answers health checks with this value and performs no check. A
+    /// host whose checks cost nothing ignores `cached`.
     fn set_health(&mut self, healthy: bool, cached: bool);
     /// Sets the load that the host sends to callers with each answer. [`Advertisement`] defines the unit.
     fn advertise_load(&mut self, load: f64);
@@ -126,7 +126,7 @@
     /// Memory available to invocations and idempotency keys, KB. The controller uses only a share of this
     /// memory.
     pub memory_kb: f64,
-    /// Memory that an invocation uses while it runs, divided by the memory that it uses while it is pending.
+    /// Memory of a running invocation, divided by the memory of the same invocation while it is pending.
     pub run_memory_factor: f64,
     /// Memory that one remembered idempotency key uses, KB.
     pub idempotency_entry_kb: f64,
--- a/crates/overload-control/src/linear_quadratic.rs
+++ b/crates/overload-control/src/linear_quadratic.rs
@@ -5,8 +5,8 @@
 //! The gains of the regulator are computed by Riccati iteration. The coefficients `a`, `b1` and `b2` are
 //! estimated by recursive least squares.
 
-/// Refusal time ratios of the two priority classes. The refusal time ratio of a class is the share of a
-/// control period, from 0 to 1, in which arrivals of the class are rejected.
+/// Refusal time ratios of the two priority classes. The ratio of a class is the share of a control period in
+/// which arrivals of the class are rejected, from 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RefusalRatios {
     /// Refusal time ratio of the premium class.
--- a/crates/overload-control/src/operation_times.rs
+++ b/crates/overload-control/src/operation_times.rs
@@ -71,7 +71,7 @@
 
     /// Returns the estimated cost of an invocation, divided by the usual cost of its operation. The result is
     /// the caller's estimate of the core time (`hint`) divided by the mean of all such estimates for the
-    /// operation, or 1 if the caller sent no estimate.
+    /// operation. The result is 1 if the caller sent no estimate.
     pub fn cost_ratio(&mut self, now: Nanos, operation: usize, hint: Option<Nanos>) -> f64 {
         let hints = &mut self.learned[operation].hint;
         let Some(hint) = hint else { return 1.0 };
--- a/crates/overload-control/src/tenant_quota.rs
+++ b/crates/overload-control/src/tenant_quota.rs
@@ -8,9 +8,9 @@
 
 /// Capacity of a tenant's token bucket, as the time in seconds in which an empty bucket refills.
 const BURST_SECONDS: f64 = 15.0;
-/// Maximum work ahead of virtual time that fair queueing admits for a tenant of weight 1, as a share of the
-/// work that the server can do within the shortest latency objective. Without this limit, an arrival could be
-/// admitted and later rejected because its deadline is too close.
+/// Maximum work ahead of virtual time that fair queueing admits for a tenant of weight 1. The maximum is a
+/// share of the work that the server can do within the shortest latency objective. Without it, an arrival
+/// could be admitted and later rejected because its deadline is too close.
 const IN_SERVER_SHARE: f64 = 0.25;
 
 /// Token bucket of one tenant. Each invocation of the tenant takes one token.
--- a/crates/overload-control/tests/operations.rs
+++ b/crates/overload-control/tests/operations.rs
@@ -112,9 +112,9 @@
     assert!(many < few * 8, "200 runs: {few:?} with 60 operations, {many:?} with 6,200");
 }
 
-/// A server is stalled if it has runs on its cores and no run leaves the cores for six times the longest
-/// usual core time of its operations. This time limit must decrease again after the operation with the
-/// longest runs has become faster.
+/// The time limit after which a server is stalled must decrease again after the operation with the longest
+/// runs has become faster. A server is stalled if no run leaves its cores for six times the longest usual
+/// core time of its operations. A server without runs on its cores is not stalled.
 #[test]
 fn stall_time_follows_the_longest_usual_run() {
     let mut controller = controller(2);
--- a/crates/pending-queue/src/lib.rs
+++ b/crates/pending-queue/src/lib.rs
@@ -103,8 +103,8 @@
 pub struct PendingQueue {
     /// One queue for each priority class. The index is the rank of the class.
     classes: Vec<PriorityClassQueue>,
-    /// Deadlines of the entries of each operation. Operations without entries are not in the map, so that the
-    /// cost of a search depends on the number of entries and not on the number of operations.
+    /// Deadlines of the entries of each operation. Operations without entries are not in the map. The cost of
+    /// a search therefore depends on the number of entries and not on the number of operations.
     deadlines: BTreeMap<usize, BTreeSet<Deadline>>,
     /// Entries that are known to be overdue but have not been removed yet.
     overdue: BTreeSet<ArrivalKey>,
@@ -200,8 +200,8 @@
         latest_start: impl Fn(usize, Nanos) -> Nanos,
     ) -> Option<ArrivalKey> {
         // If `overdue` is empty, the deadlines are always searched, and the flag is neither read nor cleared.
-        // A flag that stays set causes one more search at a later call, even if the entry for which it was
-        // set has been removed.
+        // A flag that stays set only causes one more search at a later call. The entry for which it was set
+        // may have been removed by then.
         let must_search = self.overdue.is_empty() || std::mem::take(&mut self.has_unsearched_deadlines);
         if must_search {
             for (operation, deadlines) in &self.deadlines {
--- a/crates/pending-queue/src/reference_times.rs
+++ b/crates/pending-queue/src/reference_times.rs
@@ -56,9 +56,9 @@
         Self { reference: none.clone(), present: none, ..Self::default() }
     }
 
-    /// Updates the present usual times. If one of them differs from its reference time by more than
-    /// [`DRIFT_MAX`], all present usual times become the reference times, and the function returns true. The
-    /// lateness of all entries must then be recomputed.
+    /// Updates the present usual times. If a usual time differs from its reference time by more than
+    /// [`DRIFT_MAX`], all present usual times become the reference times. The function then returns true, and
+    /// the lateness of all entries must be recomputed.
     pub fn update(&mut self, capacity: &Capacity) -> bool {
         let limit = capacity.concurrency_limit;
         let present =
--- a/crates/rate-limit/tests/sliding_window.rs
+++ b/crates/rate-limit/tests/sliding_window.rs
@@ -1,5 +1,5 @@
-//! Tests of the rate limit: in any window of one second, with amounts that exceed the limit because they are
-//! acquired by force, and on a clock that stops or goes back.
+//! Tests of the rate limit in any window of one second. Further tests acquire amounts above the limit by
+//! force, or use a clock that stops or goes back.
 
 use meadowstream_rate_limit::{Nanos, SlidingWindow};
 use proptest::prelude::*;
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -179,7 +179,7 @@
         Choice { service: index, is_probe: true }
     }
 
-    /// Returns the services that may receive an ordinary call, which are the services that are not ejected.
+    /// Returns the services that may receive an ordinary call: all services that are not ejected.
     /// `last_service` is omitted if another service remains.
     fn candidates(&self, now: Nanos, last_service: Option<usize>) -> Vec<Candidate> {
         let mut candidates = Vec::with_capacity(self.services.len());
@@ -219,8 +219,8 @@
     /// choice. The credit of each service in slow start first grows by the service's share of one call.
     ///
     /// A service in slow start qualifies if its credit has reached a whole call and its load is not above
-    /// that of `usual`, the service chosen among those whose slow start is over. Of several services that
-    /// qualify, the least loaded receives the call.
+    /// that of `usual`. `usual` is the service chosen among those whose slow start is over. Of several
+    /// services that qualify, the least loaded receives the call.
     fn owed_service(&mut self, candidates: &[Candidate], usual: usize) -> Option<usize> {
         let usual_load = self.services[usual].load();
         let mut owed: Option<usize> = None;
--- a/crates/routing/tests/ramp.rs
+++ b/crates/routing/tests/ramp.rs
@@ -94,8 +94,8 @@
     }
 }
 
-/// Returns the expected number of calls of the whole fleet to the recovered service in a window of the ramp,
-/// if all servers are informed of the recovery at once.
+/// Returns the expected number of calls of the whole fleet to the recovered service in a window of the ramp.
+/// The calculation assumes that all servers are informed of the recovery at once.
 fn expected_calls(servers: usize, window: usize) -> f64 {
     let full_share = servers as f64 * WINDOW as f64 / CALL_INTERVAL as f64 / SERVICES as f64;
     full_share * (window as f64 + 0.5) * WINDOW as f64 / RAMP as f64
