--- a/crates/fair-queueing/src/account.rs
+++ b/crates/fair-queueing/src/account.rs
@@ -13,13 +13,14 @@
 /// Usage record of one established tenant, that is, a tenant whose name has been seen often enough.
 #[derive(Clone, Debug)]
 pub struct Account {
-    /// Virtual time up to which the tenant has used its share of the capacity.
+    /// Virtual time up to which the tenant has used its share of the capacity, in nanoseconds of one core per
+    /// unit of weight.
     pub finish: f64,
     /// Queue tails: the start tags that the tenant's next arrivals will get. There is one tag for arrivals
     /// within the tenant's share and one for surplus arrivals (beyond the share).
     pub tails: QueueTails,
-    /// Virtual time up to which the tenant's share is reserved for promises, that is, for retries that the
-    /// scheduler has promised to admit.
+    /// Virtual time up to which the tenant's share is reserved, in nanoseconds of one core per unit of
+    /// weight. The reservations are for retries that the scheduler has promised to admit.
     pub booked_until: f64,
     /// Weight of the tenant.
     pub weight: f64,
@@ -28,9 +29,9 @@
     pub ratio: LearnedRatio,
     /// Whether the settings list this tenant by name. The account of a listed tenant is never evicted.
     pub named: bool,
-    /// Number of arrivals so far that were within the tenant's share.
+    /// Number of the tenant's arrivals within its share since the account was created.
     pub within: u64,
-    /// Number of arrivals so far that were beyond the tenant's share.
+    /// Number of the tenant's arrivals beyond its share since the account was created.
     pub surplus: u64,
     demand: DecayingRate,
     name: [u8; NAME_BYTES],
--- a/crates/fair-queueing/src/accounts.rs
+++ b/crates/fair-queueing/src/accounts.rs
@@ -40,13 +40,15 @@
 struct Entry {
     account: Account,
     fingerprint: Fingerprint,
-    /// Serial number of this account. It differs from the serial numbers of accounts that were at the same
-    /// index earlier.
+    /// Serial number of this account. Each account that is placed at this index gets a new number. A [`Slot`]
+    /// of an evicted account is therefore detected as invalid.
     serial: u32,
     used_at: Nanos,
-    /// Index of the neighbour in the LRU list that was used more recently than this entry.
+    /// Index of the next entry in the LRU list towards more recent use, or [`NONE`] for the most recently
+    /// used entry.
     newer: u32,
-    /// Index of the neighbour in the LRU list that was used less recently than this entry.
+    /// Index of the next entry in the LRU list towards less recent use, or [`NONE`] for the least recently
+    /// used entry.
     older: u32,
 }
 
--- a/crates/fair-queueing/src/counters.rs
+++ b/crates/fair-queueing/src/counters.rs
@@ -23,12 +23,13 @@
     /// cases, virtual time had advanced much more slowly than predicted, so the tenant's share had no
     /// capacity yet.
     pub broken: u64,
-    /// Number of retries that presented the ticket of a promise before the promised time.
+    /// Number of retries that presented the ticket of a promise before the promised time. Such a retry voids
+    /// the promise and is treated like an arrival without a ticket.
     pub early: u64,
     /// Number of retries with an invalid ticket. Such a ticket has expired, was already used, was never
     /// issued, or was issued to another tenant.
     pub unknown: u64,
-    /// Number of promises to admit a retry that expired because no retry presented the ticket.
+    /// Number of promises that expired because no retry presented the promise's ticket.
     pub lapsed: u64,
     /// Number of requests for a promise that were refused. Either the wait would have been too long, or too
     /// many promises were active.
@@ -44,12 +45,13 @@
     pub weight: f64,
     /// Recent demand of the tenant, in cores.
     pub demand: f64,
-    /// How far the tenant has used its share in advance, in seconds, or 0 if it has not. A tenant's finish is
-    /// the virtual time up to which it has used its share. The value is the distance from the current virtual
-    /// time to the finish, divided by the fair rate.
+    /// Time by which the tenant has used its share in advance, in seconds. The value is 0 if the tenant has
+    /// used no share in advance. It is computed from the tenant's finish, the virtual time up to which the
+    /// tenant has used its share: the distance from the current virtual time to the finish, divided by the
+    /// fair rate.
     pub ahead: f64,
-    /// Number of arrivals within the tenant's share.
+    /// Number of the tenant's arrivals within its share since its account was created.
     pub within: u64,
-    /// Number of arrivals beyond the tenant's share.
+    /// Number of the tenant's arrivals beyond its share since its account was created.
     pub surplus: u64,
 }
--- a/crates/fair-queueing/src/fair_rate.rs
+++ b/crates/fair-queueing/src/fair_rate.rs
@@ -1,5 +1,5 @@
-//! Computes the max-min fair rate, the share of capacity for a tenant of weight 1, and the virtual time that
-//! advances at this rate.
+//! Computes the max-min fair rate and the virtual time that advances at this rate. The fair rate is the share
+//! of the capacity for a tenant of weight 1, in cores.
 //!
 //! The max-min fair rate allocates all capacity, or meets all demand if the demand is lower. No tenant gets
 //! more than its demand. The rate is computed by progressive filling (Bertsekas and Gallager, Data Networks,
--- a/crates/fair-queueing/src/known_names.rs
+++ b/crates/fair-queueing/src/known_names.rs
@@ -98,7 +98,8 @@
         self.sets.capacity() * size_of::<[NameRecord; WAYS]>()
     }
 
-    /// Records a visit of a name (an arrival with the name). Returns the name's visits before this one.
+    /// Records a visit of a name (an arrival with the name). Returns the number of the name's earlier visits
+    /// and the time since its first visit.
     pub fn visit(&mut self, fingerprint: Fingerprint, now: Nanos) -> NameHistory {
         let step = (now / STEP_NS) as u16;
         let sets = self.sets.len();
--- a/crates/fair-queueing/src/learned_ratio.rs
+++ b/crates/fair-queueing/src/learned_ratio.rs
@@ -1,10 +1,10 @@
-//! Tracks the work that a tenant's invocations use, divided by the work that their operations usually need.
-//! The ratio is learned from earlier invocations.
+//! Learns a ratio from the earlier invocations of a tenant: the work that an invocation used, divided by the
+//! work that its operation usually needs.
 
 /// Weight of a new invocation in the exponential moving average of the ratio, from 0 to 1.
 const SMOOTHING: f64 = 0.2;
-/// Lower limit of the learned ratio (used work divided by usually needed work). The upper limit is
-/// `RATIO_MAX`.
+/// Lower limit of the learned ratio. The ratio is the work that an invocation used, divided by the work that
+/// its operation usually needs. The upper limit is `RATIO_MAX`.
 const RATIO_MIN: f64 = 1e-3;
 const RATIO_MAX: f64 = 1e3;
 
--- a/crates/fair-queueing/src/lib.rs
+++ b/crates/fair-queueing/src/lib.rs
@@ -49,5 +49,5 @@
 pub use settings::{Settings, SettingsError};
 pub use tenant::{Fingerprint, NamedTenant, TenantKey};
 
-/// A point in time or a duration, in nanoseconds.
+/// A point in time or a duration, in nanoseconds. Points in time are readings of the caller's clock.
 pub type Nanos = u64;
--- a/crates/fair-queueing/src/origins.rs
+++ b/crates/fair-queueing/src/origins.rs
@@ -21,9 +21,10 @@
 /// probation is the minimum time until a new name becomes established
 /// ([`Settings::probation`](crate::settings::Settings::probation)).
 const WINDOW_PROBATIONS: u64 = 8;
-/// Average number of names of which one is selected, by its fingerprint. Only the first arrival in a time
-/// window and arrivals with selected names compute a new estimate of their origin's number of names. Other
-/// arrivals use the latest estimate, since a new estimate must read all registers.
+/// Sampling interval of names: on average, one of this many names is selected, by its fingerprint. Only the
+/// first arrival in a time window and arrivals with a selected name compute a new estimate of the number of
+/// names that their origin has sent. Other arrivals use the latest estimate, since a new estimate must read
+/// all registers.
 const NAMES_PER_ESTIMATE: u64 = 16;
 /// Number of registers of the HyperLogLog estimator that counts the distinct names of an origin.
 const NAME_REGISTERS: usize = 64;
@@ -36,13 +37,14 @@
 #[derive(Debug, Default)]
 pub struct Origin {
     id: u64,
-    /// Virtual time up to which the origin's newcomers have used their common share.
+    /// Virtual time up to which the origin's newcomers have used their common share, in nanoseconds of one
+    /// core per unit of weight.
     pub finish: f64,
     /// Queue tails: the start tags that the next arrivals of the origin's newcomers will get. All newcomers
     /// of the origin share two queues, one within the share and one for surplus arrivals.
     pub tails: QueueTails,
-    /// Virtual time up to which the newcomers' common share is reserved for promises, that is, for retries
-    /// that the scheduler has promised to admit.
+    /// Virtual time up to which the newcomers' common share is reserved, in nanoseconds of one core per unit
+    /// of weight. The reservations are for retries that the scheduler has promised to admit.
     pub booked_until: f64,
     /// Work that the newcomers' invocations use, divided by the work that their operations usually need. The
     /// ratio is learned from earlier invocations.
@@ -132,8 +134,8 @@
         self.indices.insert(id, index);
     }
 
-    /// Records that an origin has sent a name. Returns the factor, at most 1, by which the weight of the name
-    /// is multiplied.
+    /// Records that an origin has sent a name. Returns the factor by which the weight of the name is
+    /// multiplied. The factor is 1, or less if the origin has sent more names than allowed at full weight.
     pub fn weight_ratio(&mut self, id: u64, fingerprint: Fingerprint, now: Nanos) -> f64 {
         let (window, names_per_origin) = (self.window, self.names_per_origin);
         let index = self.find_or_insert(id, now);
@@ -152,8 +154,8 @@
     /// the operation usually needs, in nanoseconds of one core.
     ///
     /// Returns two values: the index of the origin's slot, and the estimated work of the arrival. The
-    /// estimate is `work` multiplied by the learned ratio of used work to usually needed work of the origin's
-    /// newcomers.
+    /// estimate is `work` multiplied by a ratio that is learned from the origin's newcomers. The ratio is the
+    /// work that their invocations used, divided by the work that their operations usually need.
     pub fn record_newcomer(&mut self, id: u64, now: Nanos, work: f64) -> (usize, f64) {
         let index = self.find_or_insert(id, now);
         let origin = &mut self.origins[index];
--- a/crates/fair-queueing/src/promises.rs
+++ b/crates/fair-queueing/src/promises.rs
@@ -12,9 +12,9 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::HashMap;
 
-/// Maximum random extension of a promised wait, as a ratio of the wait. Short waits have a larger maximum
-/// ([`SPREAD_MIN_RATIO`]). Without the extension, arrivals that were rejected at the same time would all
-/// retry at the same time.
+/// Maximum random extension of a promised wait, as a ratio of the wait. A short wait has a larger maximum,
+/// given by [`SPREAD_MIN_RATIO`]. Without the extension, arrivals that were rejected at the same time would
+/// all retry at the same time.
 const SPREAD_RATIO: f64 = 0.25;
 /// Lower bound of the maximum random extension, as a ratio of the longest wait that may be promised. For a
 /// short wait, an extension proportional to the wait would be too small to spread out the retries.
@@ -87,7 +87,7 @@
 
 impl Promises {
     /// Creates a table of at most `limit` promises. A promised wait is at most `longest` nanoseconds. A retry
-    /// is in time until `return_grace` nanoseconds after the promised time.
+    /// can redeem its promise until `return_grace` nanoseconds after the promised time.
     pub fn new(limit: usize, longest: Nanos, return_grace: Nanos, seed: u64, now: Nanos) -> Self {
         Self {
             limit: limit.min(u32::MAX as usize),
--- a/crates/fair-queueing/src/queue_order.rs
+++ b/crates/fair-queueing/src/queue_order.rs
@@ -6,23 +6,25 @@
 //! compared by their surplus work so far, divided by their weights. Surplus arrivals of the tenant with the
 //! lowest quotient are served first.
 
-/// Two values, one for each of a tenant's two queues.
+/// Two start tags: one for arrivals within their tenant's share and one for surplus arrivals (beyond the
+/// share). Both are in nanoseconds of one core per unit of weight.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PerQueue {
-    /// Value for the queue of arrivals within the tenant's share.
+    /// Start tag for arrivals within their tenant's share, in nanoseconds of one core per unit of weight.
     pub within: f64,
-    /// Value for the queue of arrivals beyond the tenant's share.
+    /// Start tag for surplus arrivals, which are beyond their tenant's share, in nanoseconds of one core per
+    /// unit of weight.
     pub surplus: f64,
 }
 
 impl PerQueue {
-    /// Returns the value for one of the two queues: the surplus queue if `surplus` is true, otherwise the
-    /// queue of arrivals within the tenant's share.
+    /// Returns the start tag for surplus arrivals if `surplus` is true. Otherwise returns the start tag for
+    /// arrivals within their tenant's share.
     pub fn get(&self, surplus: bool) -> f64 {
         if surplus { self.surplus } else { self.within }
     }
 
-    /// Returns a mutable reference to the value that [`PerQueue::get`] returns.
+    /// Returns a mutable reference to the start tag that [`PerQueue::get`] returns.
     pub fn get_mut(&mut self, surplus: bool) -> &mut f64 {
         if surplus { &mut self.surplus } else { &mut self.within }
     }
--- a/crates/fair-queueing/src/reconfiguration.rs
+++ b/crates/fair-queueing/src/reconfiguration.rs
@@ -14,18 +14,22 @@
 /// values of all other settings that can change at run time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SettingsChange {
-    /// Names of tenants that only the old settings list by name.
+    /// Names of tenants that the old settings list by name, but the new settings do not.
     pub unnamed: Vec<Vec<u8>>,
     /// Names and new weights of tenants that the new settings list by name. Tenants that the old settings
     /// list with the same weight are left out.
     pub named: Vec<NamedTenant>,
-    /// New value of [`Settings::names_per_origin`].
+    /// New value of [`Settings::names_per_origin`], the maximum number of tenant names that one origin may
+    /// send at full weight.
     pub names_per_origin: f64,
-    /// New value of [`Settings::default_weight`].
+    /// New value of [`Settings::default_weight`], the weight of each tenant that the settings do not list by
+    /// name.
     pub default_weight: f64,
-    /// New value of [`Settings::burst`].
+    /// New value of [`Settings::burst`], the time by which a tenant may use its share in advance, in
+    /// nanoseconds.
     pub burst: Nanos,
-    /// New value of [`Settings::probation`].
+    /// New value of [`Settings::probation`], the minimum time before a new tenant name becomes established,
+    /// in nanoseconds.
     pub probation: Nanos,
 }
 
--- a/crates/fair-queueing/src/scheduler.rs
+++ b/crates/fair-queueing/src/scheduler.rs
@@ -14,7 +14,8 @@
 /// A promise is honoured if its shortfall is at most this ratio of the predicted advance of virtual time. The
 /// shortfall is how far virtual time is behind the start of the reservation when the retry arrives.
 const SHORTFALL_MAX_RATIO: f64 = 0.5;
-/// Minimum work of an arrival, in nanoseconds of one core.
+/// Minimum work of an arrival, in nanoseconds of one core. Smaller values from the caller are raised to this
+/// minimum.
 const WORK_MIN: f64 = 1.0;
 const SECOND_NS: f64 = 1e9;
 
@@ -54,7 +55,7 @@
     NeverRan,
 }
 
-/// Advice to the caller of a rejected arrival about its retry.
+/// Advice for the sender of a rejected arrival: when to retry, and with which ticket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryAdvice {
     /// Time to wait between the rejection and the retry, in nanoseconds.
@@ -71,8 +72,8 @@
     rate: FairRate,
     usage: Usage,
     promises: Promises,
-    /// Maximum work ahead of virtual time that is admitted for a tenant of weight 1, in nanoseconds of one
-    /// core. This limits the result of [`FairScheduler::allowance`] at any fair rate.
+    /// Maximum work that a tenant of weight 1 may use in advance while it counts as within its share, in
+    /// nanoseconds of one core. This limits the result of [`FairScheduler::allowance`] at any fair rate.
     allowance_max: f64,
     served: ServiceClock,
     /// Counters of scheduling events. Each counter starts at 0 when the scheduler is created.
@@ -186,8 +187,7 @@
         if let Some(tails) = self.usage.tails_mut(admission.location) {
             tails.within = tails.within.max(start_tag) + admission.queued_span;
         }
-        // For a tenant in the sketch, the work of the arrival was already charged when the promise was
-        // issued.
+        // For a tenant in the sketch, the arrival's work was already charged when the promise was issued.
         if admission.location != UsageLocation::Sketch {
             let start = self.share_start(&admission);
             self.charge(&admission, start, promise.work);
@@ -219,12 +219,12 @@
     }
 
     /// Assigns the start tag of an arrival: the tail of its tenant's queue or the highest start tag served so
-    /// far, whichever is higher. `ahead` is the distance of the tenant's finish ahead of virtual time.
+    /// far, whichever is higher. `ahead` is how far the tenant has used its share ahead of virtual time.
     fn enqueue(&mut self, admission: &mut Admission, ahead: f64) {
         let served = self.served.tag(admission.surplus);
         let Some(tails) = self.usage.tails_mut(admission.location) else {
-            // The sketch stores no queue tails. The start tag is instead the highest tag served so far plus
-            // the distance of the tenant's finish ahead of virtual time.
+            // A tenant in the sketch has no queue tails. Its start tag is the highest tag served so far plus
+            // the distance `ahead`, by which the tenant has used its share in advance.
             admission.start_tag = (served + ahead) as u64;
             return;
         };
@@ -263,8 +263,8 @@
         }
     }
 
-    /// Updates the tenant's learned ratio of used work to usually needed work. Has no effect if the tenant's
-    /// account was evicted while the arrival ran.
+    /// Updates the tenant's learned ratio (used work divided by usually needed work) after an arrival has run.
+    /// Has no effect if the tenant's account was evicted while the arrival ran.
     fn learn_ratio(&mut self, admission: &Admission, used: f64) {
         if let Some(ratio) = self.usage.ratio_mut(admission.location) {
             ratio.learn(used / admission.usual_work);
@@ -341,10 +341,10 @@
     }
 
     /// Recomputes the fair rate from the recent demands. The caller does this once per control period.
-    /// `capacity` is the capacity to allocate, in cores. `allowance_max` is the maximum work ahead of virtual
-    /// time that is admitted for a tenant of weight 1, in nanoseconds of one core. Without this limit, an
-    /// arrival could be admitted and later rejected because its deadline is too close. Its work would then be
-    /// charged to no tenant.
+    /// `capacity` is the capacity to allocate, in cores. `allowance_max` is the maximum work that a tenant of
+    /// weight 1 may use in advance, in nanoseconds of one core. Without this limit, an arrival could be
+    /// admitted and later rejected because its deadline is too close. Its work would then be charged to no
+    /// tenant.
     pub fn update_fair_rate(&mut self, now: Nanos, capacity: f64, allowance_max: f64) {
         self.allowance_max = allowance_max;
         let now = self.advance(now);
--- a/crates/fair-queueing/src/settings.rs
+++ b/crates/fair-queueing/src/settings.rs
@@ -13,7 +13,7 @@
 const SECOND_NS: Nanos = 1_000_000_000;
 /// Minimum number of accounts (usage records) that are left for tenants that the settings do not name.
 const UNNAMED_ACCOUNTS: usize = 16;
-/// Minimum value of [`Settings::cells`], the size of the sketch.
+/// Minimum value of [`Settings::cells`], the number of cells in the sketch of used shares.
 const CELLS_MIN: usize = 64;
 /// Ratio of the number of cells of the sketch to the capacity of the table of known names. The sketch is the
 /// array of hashed cells that records the usage of tenants without an account.
--- a/crates/fair-queueing/src/usage.rs
+++ b/crates/fair-queueing/src/usage.rs
@@ -72,7 +72,8 @@
     pub origins: Origins,
     sketch: FinishSketch,
     known_names: KnownNames,
-    /// Learned ratio of used work to usually needed work. One value is shared by all tenants in the sketch.
+    /// Learned ratio that is shared by all tenants in the sketch: the work that their invocations used,
+    /// divided by the work that their operations usually need.
     sketched_ratio: LearnedRatio,
 }
 
@@ -224,8 +225,8 @@
         }
     }
 
-    /// Returns the learned ratio of used work to usually needed work for the tenant's invocations. Returns
-    /// `None` if the tenant has no usage record.
+    /// Returns the learned ratio of a tenant: the work that its invocations used, divided by the work that
+    /// their operations usually need. Returns `None` if the tenant has no usage record.
     pub fn ratio_mut(&mut self, location: UsageLocation) -> Option<&mut LearnedRatio> {
         match location {
             UsageLocation::Account(slot) => self.accounts.get_mut(slot).map(|account| &mut account.ratio),
--- a/crates/fair-queueing/tests/shares.rs
+++ b/crates/fair-queueing/tests/shares.rs
@@ -141,8 +141,8 @@
 }
 
 /// One sender floods the server under invented names, and each name alone sends as little as an honest
-/// tenant. In the first case every invocation has a new name. In the second case the sender reuses 10,000
-/// names.
+/// tenant. The honest tenants must still get nearly all the work that they demand. In the first case every
+/// invocation has a new name. In the second case the sender reuses 10,000 names.
 #[test_case(1_000_000_000; "a new name for each invocation")]
 #[test_case(10_000; "10,000 reused names")]
 fn invented_names_gain_little(names: u64) {
@@ -255,8 +255,8 @@
     );
 }
 
-/// A tenant for which no account is free is recorded in the sketch. An invocation with much work, charged in
-/// the sketch, must keep the tenant over its share.
+/// A tenant for which no account is free is recorded in the sketch. After an invocation with much work, such
+/// a tenant must stay over its share.
 #[test]
 fn a_tenant_without_an_account_is_still_charged() {
     let settings = Settings { accounts: 16, burst: 5 * SECOND, ..Settings::default() };
