--- a/crates/hot-restart/src/frames.rs
+++ b/crates/hot-restart/src/frames.rs
@@ -6,8 +6,8 @@
 use crate::Nanos;
 use serde::{Deserialize, Serialize};
 
-/// Maximum length of a message, in bytes. A larger state is sent in several parts. The changes to the state
-/// after it was sent must fit into one message.
+/// Maximum length of a message, in bytes. A larger state is sent in several parts. The changes that are made
+/// after the state was sent must fit into one message.
 pub const MESSAGE_BYTES_MAX: usize = 256 * 1024;
 /// Length of a frame's header, in bytes. The header contains the message length and the checksum, 4 bytes
 /// each, little-endian.
@@ -20,7 +20,8 @@
 pub struct AnnouncedAnswer {
     /// Identifier of the answered invocation.
     pub invocation: u64,
-    /// Number of bytes that had been written to the invocation's connection before this answer.
+    /// Number of bytes that had been written to the invocation's connection before this answer. A predecessor
+    /// that resumes uses this number to determine which part of the answer is still missing.
     pub offset: u64,
     /// Content of the answer.
     pub bytes: Vec<u8>,
@@ -52,8 +53,8 @@
         /// Protocol version that the successor selects from the offered versions.
         version: u16,
     },
-    /// The successor abandons the upgrade. Before the release, the successor may send this message in place
-    /// of any other message.
+    /// The successor abandons the upgrade. Until its release, the successor may send this message in place of
+    /// any other message.
     Refuse {
         /// Reason for the refusal.
         reason: String,
@@ -77,16 +78,16 @@
     },
     /// The successor reports that it has loaded the state.
     Loaded,
-    /// The predecessor has frozen and sends the changes since the state was sent. The changes form a single
-    /// message. The caller must therefore freeze while the changes still fit into [`MESSAGE_BYTES_MAX`] with
-    /// a few bytes of overhead.
+    /// The predecessor has frozen and sends the changes that it made after it sent the state. The changes
+    /// form a single message. The predecessor must therefore freeze while the changes still fit into
+    /// [`MESSAGE_BYTES_MAX`] with a few bytes of overhead.
     Switch {
         /// Content of the changes.
         changes: Vec<u8>,
     },
     /// The successor reports that it has applied the changes.
     Confirmed,
-    /// The predecessor makes the successor active.
+    /// The predecessor releases the successor, that is, makes it the active process.
     Release,
     /// The successor announces an answer before it sends the answer to the caller. Announcements are sent as
     /// long as the predecessor can still resume.
@@ -98,7 +99,7 @@
     Retired,
     /// The predecessor forwards a drain request. After the release, the successor is active and must drain.
     Drain {
-        /// Time from the request to drain until the process is stopped, in nanoseconds.
+        /// Time from the drain request until the process is stopped, in nanoseconds.
         grace: Nanos,
     },
 }
@@ -120,7 +121,7 @@
         /// Checksum computed over the received message.
         computed: u32,
     },
-    /// The message cannot be decoded by this build, or contains extra bytes after the decoded value.
+    /// This build cannot decode the message, or the message has extra bytes after the decoded value.
     #[error("the message cannot be decoded by this build")]
     Encoding,
 }
--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -4,12 +4,12 @@
 //! The protocol consists of two state machines without I/O or clock, [`predecessor`] and [`successor`], and
 //! the [`frames`] between them. Inputs are events and the time; outputs are actions for the caller.
 //!
-//! At any moment at most one process is active. Only the active process may answer, run, call, report and
-//! accept. The predecessor is active until it freezes for the switch, and the successor is active from the
-//! release on. During a trial after the release, the predecessor keeps everything it handed over, and the
-//! successor announces each answer before sending it. If the attempt fails before the release, the
-//! predecessor resumes at once, since the successor cannot have acted yet. After the release it resumes only
-//! when the successor is known to be dead and all its announcements have been read.
+//! At any moment at most one process is active. Only the active process may answer and run invocations, call
+//! services, send reports and accept connections. The predecessor is active until it freezes for the switch,
+//! and the successor is active from the release on. During a trial after the release, the predecessor keeps
+//! everything it handed over, and the successor announces each answer before sending it. If the attempt fails
+//! before the release, the predecessor resumes at once, since the successor cannot have acted yet. After the
+//! release it resumes only when the successor is known to be dead and all its announcements have been read.
 //!
 //! Design and alternatives: `docs/upgrades.md`. The server does not use this crate yet.
 #![deny(missing_docs, clippy::too_many_lines)]
@@ -31,7 +31,7 @@
     /// Another upgrade is already in progress.
     #[error("another upgrade is in progress")]
     Busy,
-    /// The last upgrade failed, and the backoff (the delay before the next attempt) has not expired.
+    /// The last upgrade failed, and the delay before the next attempt (the backoff) has not ended yet.
     #[error("the last attempt failed; the next one is possible in {wait} ns")]
     Backoff {
         /// Time from now until the next upgrade is possible, in nanoseconds.
--- a/crates/hot-restart/src/predecessor.rs
+++ b/crates/hot-restart/src/predecessor.rs
@@ -7,25 +7,28 @@
 /// Time limits for the phases of an upgrade attempt and for the delay after a failed attempt, in nanoseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Limits {
-    /// Time limit for each step of an upgrade. The switch and the trial have limits of their own.
+    /// Time limit for each step of an upgrade, in nanoseconds. The switch and the trial have limits of their
+    /// own.
     pub step: Nanos,
-    /// Time limit for the switch, the phase in which neither predecessor nor successor is active.
+    /// Time limit for the switch, in nanoseconds. The switch is the phase in which neither predecessor nor
+    /// successor is active.
     pub switch: Nanos,
-    /// Duration of the trial, in which the successor is active and the predecessor can still resume. The
-    /// predecessor waits twice this time for the end of the trial.
+    /// Duration of the trial, in nanoseconds. During the trial, the successor is active and the predecessor
+    /// can still resume. The predecessor waits at most twice this time for the end of the trial.
     pub trial: Nanos,
-    /// Time after the first failed upgrade attempt before the next attempt may start. Each further failure
-    /// doubles this time.
+    /// Time from the first failed upgrade attempt until the next attempt may start, in nanoseconds. Each
+    /// further failure doubles this time.
     pub backoff: Nanos,
-    /// Upper limit of the backoff: the time from a failed upgrade attempt until the next attempt may start.
+    /// Upper limit of the backoff, in nanoseconds. The backoff is the time from a failed upgrade attempt
+    /// until the next attempt may start.
     pub backoff_max: Nanos,
 }
 
 /// Timeout for the end of the trial, as a multiple of the trial's duration. The predecessor aborts the
 /// upgrade when the timeout expires.
 const TRIAL_TIMEOUT_FACTOR: Nanos = 2;
-/// Maximum number of times that the delay after a failed attempt is doubled. Further failures do not change
-/// the delay.
+/// Maximum number of times that the delay after a failed upgrade attempt is doubled. Further failures do not
+/// change the delay.
 const BACKOFF_DOUBLINGS_MAX: u32 = 20;
 
 /// Phase of the predecessor.
@@ -33,7 +36,7 @@
 pub enum Phase {
     /// No upgrade is in progress.
     Serving,
-    /// The predecessor has started the successor and sent it the supported protocol versions.
+    /// The predecessor has started the successor and has offered it the supported protocol versions.
     Offered,
     /// The successor is checking its configuration against the predecessor's configuration.
     Preparing,
@@ -68,7 +71,7 @@
     SuccessorExited,
     /// The server must drain.
     DrainRequested {
-        /// Time from the request to drain until the process is stopped, in nanoseconds.
+        /// Time from the drain request until the process is stopped, in nanoseconds.
         grace: Nanos,
     },
 }
@@ -93,7 +96,7 @@
     Resume(Vec<AnnouncedAnswer>),
     /// Drain this process.
     Drain {
-        /// Time from the request to drain until the process is stopped, in nanoseconds.
+        /// Time from the drain request until the process is stopped, in nanoseconds.
         grace: Nanos,
     },
     /// End this process, since the successor has taken over permanently.
@@ -127,7 +130,7 @@
     failures: u32,
     /// Earliest time of the next upgrade attempt after a failed attempt.
     backoff_until: Nanos,
-    /// Time from the request to drain until the process is stopped, in nanoseconds. `None` if no drain was
+    /// Time from the drain request until the process is stopped, in nanoseconds. `None` if no drain was
     /// requested.
     drain_grace: Option<Nanos>,
 }
@@ -164,8 +167,8 @@
         self.parts = parts;
     }
 
-    /// Returns whether the predecessor is active. Only an active process may answer, run, call, report and
-    /// accept.
+    /// Returns whether the predecessor is active. Only an active process may answer and run invocations, call
+    /// services, send reports and accept connections.
     pub fn is_active(&self) -> bool {
         match self.phase {
             Phase::Serving | Phase::Offered | Phase::Preparing | Phase::Loading => true,
@@ -324,8 +327,8 @@
     }
 
     /// Aborts the upgrade attempt and kills the successor. Before the release the successor cannot have
-    /// acted, so the predecessor resumes at once. After the release the predecessor resumes only when the
-    /// successor is dead.
+    /// acted. A predecessor that has frozen for the switch therefore resumes at once. After the release the
+    /// predecessor resumes only when the successor is dead.
     fn abort(&mut self, reason: AbortReason) -> Vec<Action> {
         let was_frozen = self.phase == Phase::Switching;
         self.phase = Phase::Aborting;
--- a/crates/hot-restart/src/successor.rs
+++ b/crates/hot-restart/src/successor.rs
@@ -30,7 +30,7 @@
     TrialOver,
     /// The successor is active, and the predecessor can no longer resume.
     Independent,
-    /// The successor's process must exit at once. The process owns no state and no connections.
+    /// The successor's process must exit at once. The predecessor still owns all state and connections.
     Exited,
 }
 
@@ -85,10 +85,10 @@
     Activate,
     /// Drain this process.
     Drain {
-        /// Time from the request to drain until the process is stopped, in nanoseconds.
+        /// Time from the drain request until the process is stopped, in nanoseconds.
         grace: Nanos,
     },
-    /// End the successor's process. The predecessor still owns all state and connections.
+    /// End the successor's process. At this time, the predecessor still owns all state and connections.
     Exit,
 }
 
@@ -110,8 +110,8 @@
 }
 
 impl Successor {
-    /// Creates a successor that waits for the predecessor's offer of an upgrade. All times are in
-    /// nanoseconds.
+    /// Creates a successor that waits for the predecessor's offer of an upgrade. `step_timeout` is the time
+    /// limit for each step of the predecessor. All times are in nanoseconds.
     pub fn new(step_timeout: Nanos, trial: Nanos, now: Nanos) -> Self {
         Self {
             phase: Phase::Waiting,
@@ -128,8 +128,8 @@
         self.phase
     }
 
-    /// Returns whether the successor is active. Only an active process may answer, run, call, report and
-    /// accept.
+    /// Returns whether the successor is active. Only an active process may answer and run invocations, call
+    /// services, send reports and accept connections.
     pub fn is_active(&self) -> bool {
         matches!(self.phase, Phase::Trial | Phase::TrialOver | Phase::Independent)
     }
@@ -189,7 +189,8 @@
     /// Handles an event in a phase before the release, while the successor is not active.
     fn handle_before_release(&mut self, now: Nanos, event: Event) -> Vec<Action> {
         match event {
-            // The predecessor has exited or aborted the upgrade, and has handed nothing over.
+            // The predecessor has exited or aborted the upgrade. The successor has not been released, so it
+            // owns nothing and exits.
             Event::StreamEnded => {
                 self.phase = Phase::Exited;
                 vec![Action::Exit]
--- a/crates/hot-restart/tests/frames.rs
+++ b/crates/hot-restart/tests/frames.rs
@@ -81,8 +81,8 @@
     for _ in 0..2000 {
         let mut bytes = vec![0; rng.random_range(8..300)];
         rng.fill_bytes(&mut bytes);
-        // Half of the inputs have random content with a correct length and checksum. The other half is random
-        // altogether.
+        // Half of the inputs have a correct length and checksum around random content. The other half
+        // consists of random bytes only.
         if rng.random_bool(0.5) {
             let checksum = crc32fast::hash(&bytes[8..]);
             let length = (bytes.len() - 8) as u32;
--- a/crates/hot-restart/tests/model.rs
+++ b/crates/hot-restart/tests/model.rs
@@ -34,10 +34,10 @@
     exit_reported: bool,
     /// Number of answers that each invocation's caller has received.
     answered: [u8; INVOCATIONS],
-    /// For each invocation, whether the predecessor knows that it has been answered.
+    /// For each invocation, whether the predecessor knows that the invocation was answered.
     known_to_predecessor: [bool; INVOCATIONS],
-    /// For each invocation, whether the successor knows that it has been answered. The successor knows this
-    /// from the received state, or because it sent the answer.
+    /// For each invocation, whether the successor knows that the invocation was answered. The successor knows
+    /// this from the received state, or because the successor sent the answer.
     known_to_successor: [bool; INVOCATIONS],
     /// Whether the successor is checking its configuration.
     is_checking: bool,
