--- a/crates/shared-state/src/budget/counters.rs
+++ b/crates/shared-state/src/budget/counters.rs
@@ -8,15 +8,15 @@
     /// Number of received grants that were dropped because they answer no known lease request of this
     /// incarnation of the server.
     pub unsolicited: u64,
-    /// Number of received grants that were dropped because they exceed the units that may be leased, or
-    /// because the sender is not a voter.
+    /// Number of received grants that were dropped for one of two reasons. Either the grant has more units
+    /// than may be leased in all, or its sender is not a voter.
     pub excessive: u64,
     /// Number of received grants that were dropped for one of two reasons. Either the grant had already
     /// ended, or this server still held a lease that the grant could not replace. Only a later grant of the
     /// same term can replace a held lease.
     pub stale: u64,
-    /// Number of received lease requests with a false grant: the holder reports that it has adopted this
-    /// grant, but this grantor never sent it.
+    /// Number of received lease requests with a false report. The report states that the holder has adopted a
+    /// certain grant, but this grantor never sent that grant.
     pub unknown_grants: u64,
     /// Number of invalid messages received. Examples are vote requests and votes from servers that are not
     /// voters, and lease requests for more units than may be leased. Lease requests from new holders also
--- a/crates/shared-state/src/budget/election.rs
+++ b/crates/shared-state/src/budget/election.rs
@@ -1,7 +1,7 @@
 //! The voters elect the grantor, the server that grants leases.
 //!
-//! Invariant: at most one server is the grantor at a time. A voter that has voted for a server votes for no
-//! other server until the term duration plus the drift margin has passed by the voter's slow clock
+//! Invariant: at most one server is the grantor at a time. After a voter has voted for a server, it votes for
+//! no other server for the term duration plus the drift margin, as measured by the voter's slow clock
 //! ([`Time::slow`]). A candidate counts its term from the time of its vote request, by its fast clock
 //! ([`Time::fast`]). The term therefore ends before the candidate's voters can vote for another server.
 //!
@@ -24,8 +24,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Vote {
     candidate: ServerId,
-    /// Time at which the vote expires, by the slow clock. Until then, this server votes for no other
-    /// candidate.
+    /// Time at which the vote expires, by this server's slow clock ([`Time::slow`]). Until then, this server
+    /// votes for no other candidate.
     expires_at: Nanos,
 }
 
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Ballot {
     number: u64,
-    /// Time at which the vote requests of the ballot were sent, by the fast clock.
+    /// Time at which the vote requests of the ballot were sent, by this server's fast clock ([`Time::fast`]).
     requested_at: Nanos,
     /// Names of the voters that granted their vote in this ballot.
     votes: BTreeSet<String>,
@@ -46,14 +46,14 @@
     pub term: Term,
     /// Recent ballots of this server, in the order in which their vote requests were sent.
     ballots: VecDeque<Ballot>,
-    /// End of the grantor's term of office, by the fast clock. `None` if this server is a candidate and not
-    /// yet elected.
+    /// End of this server's term of office as the grantor, by its fast clock ([`Time::fast`]). `None` if this
+    /// server is a candidate and not yet elected.
     elected_until: Option<Nanos>,
     pub leases: LeaseTable,
 }
 
 impl GrantorState {
-    /// Returns the time at which this server last sent vote requests, by the fast clock.
+    /// Returns the time at which this server last sent vote requests, by its fast clock ([`Time::fast`]).
     fn last_requested_at(&self) -> Nanos {
         self.ballots.back().map_or(0, |ballot| ballot.requested_at)
     }
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Returns whether it is time to request votes again. Only a grantor does this, to extend its term of
-    /// office.
+    /// Returns whether a grantor must request votes again now, to extend its term of office. Returns false
+    /// for a candidate.
     fn renewal_is_due(&self, time: Time, settings: &BudgetSettings) -> bool {
         let interval = (settings.term_duration / 8).max(1);
         self.elected_until.is_some() && time.fast >= self.last_requested_at() + interval
@@ -93,14 +93,15 @@
 pub(super) struct Election {
     /// Index of this server in the list of voters, or `None` if this server is not a voter.
     rank: Option<u64>,
-    /// Start of this server's participation in elections, by the slow clock. Before this time, the server
-    /// neither votes nor becomes a candidate, since a vote of its earlier incarnation may still be valid.
+    /// Time from which this server takes part in elections, by its slow clock ([`Time::slow`]). Before this
+    /// time, the server neither votes nor becomes a candidate, since a vote of its earlier incarnation may
+    /// still be valid.
     votes_from: Nanos,
     vote: Option<Vote>,
     grantor_state: Option<GrantorState>,
     last_ballot: u64,
-    /// Time at which this server last knew of a grantor or a candidate, by the fast clock. The grantor or
-    /// candidate may be this server itself.
+    /// Time at which this server last knew of a grantor or a candidate, by its fast clock ([`Time::fast`]).
+    /// The grantor or candidate may be this server itself.
     grantor_seen_at: Nanos,
 }
 
@@ -165,10 +166,10 @@
         due.then(|| self.open_ballot(time, incarnation, rank))
     }
 
-    /// Returns whether this server may become a candidate. The server must be allowed to vote and must not
-    /// have known a grantor for some time. The required time is one term duration plus half a term duration
-    /// times the server's rank. Because of the ranks, the voters do not all become candidates at the same
-    /// time.
+    /// Returns whether this server may become a candidate. This requires that the server is allowed to vote
+    /// and has not known a grantor for some time. The required time is one term duration plus half a term
+    /// duration times the server's rank (its index in the list of voters). The voters therefore do not all
+    /// become candidates at the same time.
     fn may_become_candidate(&self, time: Time, settings: &BudgetSettings, rank: u64) -> bool {
         let wait = settings.term_duration + rank * settings.term_duration / 2;
         time.slow >= self.votes_from && time.fast >= self.grantor_seen_at + wait
--- a/crates/shared-state/src/budget/fair_share.rs
+++ b/crates/shared-state/src/budget/fair_share.rs
@@ -6,7 +6,7 @@
 pub(super) struct Demand {
     /// Number of units that the server requests.
     pub wanted: u64,
-    /// Number of units that the server may still use under its earlier grants.
+    /// Number of units of earlier grants that the server may still use.
     pub held: u64,
 }
 
--- a/crates/shared-state/src/budget/grantor.rs
+++ b/crates/shared-state/src/budget/grantor.rs
@@ -2,8 +2,8 @@
 //!
 //! Invariant: the holders together can use at most the units that may be leased. For each holder, the largest
 //! grant that may still be active is counted. A grant ends when its holder reports that it has adopted a
-//! later grant and uses no more units than the later grant has. At the latest, a grant ends when the lease
-//! duration plus the drift margin has passed by the grantor's slow clock ([`Time::slow`]).
+//! later grant and uses no more units than the later grant has. At the latest, a grant ends after the lease
+//! duration plus the drift margin, as measured by the grantor's slow clock ([`Time::slow`]).
 
 use super::counters::BudgetCounters;
 use super::fair_share::{Demand, fair_share};
@@ -18,8 +18,8 @@
 /// ended. The multiple is therefore greater than 1.
 const HOLDERS_PER_SERVER: u64 = 4;
 
-/// Demand for units that a holder reports in a lease request. Units of the holder's floor (its guaranteed
-/// minimum) are not included in any amount.
+/// Demand for units that a holder reports in a lease request. The amounts do not include units of the
+/// holder's floor (its guaranteed minimum).
 pub(super) struct LeaseDemand {
     /// Units that the holder wants.
     pub wanted: u64,
@@ -42,7 +42,8 @@
 struct ActiveGrant {
     number: u64,
     amount: u64,
-    /// Time from which the holder can no longer use the grant, by the grantor's slow clock.
+    /// Time at which the grant ends, by the grantor's slow clock ([`Time::slow`]). The holder cannot use the
+    /// grant any more by then.
     ends_at: Nanos,
 }
 
@@ -51,7 +52,8 @@
 struct HolderEntry {
     grants: Vec<ActiveGrant>,
     wanted: u64,
-    /// Time at which the holder's latest lease request was received, by the grantor's slow clock.
+    /// Time at which the holder's latest lease request was received, by the grantor's slow clock
+    /// ([`Time::slow`]).
     requested_at: Nanos,
 }
 
@@ -77,8 +79,8 @@
 /// Table of the leases that this grantor has granted in its term of office.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct LeaseTable {
-    /// Start of granting, by the slow clock. Before this time, the grantor grants nothing, since leases of
-    /// earlier grantors may still be in use.
+    /// Time from which this grantor grants leases, by its slow clock ([`Time::slow`]). Before this time,
+    /// leases of earlier grantors may still be in use.
     grants_from: Nanos,
     last_number: u64,
     holders: BTreeMap<ServerId, HolderEntry>,
--- a/crates/shared-state/src/budget/holder.rs
+++ b/crates/shared-state/src/budget/holder.rs
@@ -25,8 +25,8 @@
     pub floor: u64,
     /// Units of the server's lease.
     pub leased: u64,
-    /// Time until the lease ends, in nanoseconds of the fast clock. The value is 0 if the server has no
-    /// lease.
+    /// Time until the lease ends, in nanoseconds of this server's fast clock ([`Time::fast`]). The value is 0
+    /// if the server has no lease.
     pub remaining: Nanos,
 }
 
@@ -35,7 +35,7 @@
 struct Lease {
     grant: GrantId,
     amount: u64,
-    /// Time at which the lease ends, by this server's fast clock.
+    /// Time at which the lease ends, by this server's fast clock ([`Time::fast`]).
     ends_at: Nanos,
 }
 
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct SentRequest {
     number: u64,
-    /// Time at which the lease request was sent, by the fast clock.
+    /// Time at which the lease request was sent, by this server's fast clock ([`Time::fast`]).
     sent_at: Nanos,
 }
 
@@ -76,13 +76,14 @@
 /// State of one server as a lease holder of a budget, such as its latest lease and its lease requests.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Holder {
-    /// Time from which this server may use its floor (the units that need no lease), by the slow clock.
-    /// Before this time, calls of the server's earlier incarnation may still hold these units.
+    /// Time from which this server may use its floor (the units that need no lease), by its slow clock
+    /// ([`Time::slow`]). Before this time, calls of the server's earlier incarnation may still hold these
+    /// units.
     floor_from: Nanos,
     lease: Lease,
     requests: VecDeque<SentRequest>,
     last_number: u64,
-    /// Time at which the next lease request is due, by the fast clock.
+    /// Time at which the next lease request is due, by this server's fast clock ([`Time::fast`]).
     next_request_at: Nanos,
     wanted: u64,
     in_use: u64,
@@ -129,8 +130,8 @@
         self.grantor = grantor;
     }
 
-    /// Handles a reply that names the grantor and grants no lease. `grantor` is `None` if the sender of the
-    /// reply does not know the grantor.
+    /// Handles a reply to a lease request that grants no lease. `grantor` is the name of the grantor, or
+    /// `None` if the sender of the reply does not know the grantor.
     pub fn redirect(&mut self, grantor: Option<String>) {
         self.unanswered = 0;
         self.grantor = grantor;
--- a/crates/shared-state/src/budget/message.rs
+++ b/crates/shared-state/src/budget/message.rs
@@ -43,8 +43,8 @@
         /// Whether the sender grants its vote to the candidate.
         granted: bool,
     },
-    /// Requests a lease from the grantor. Units of the sender's floor (its guaranteed minimum) are not
-    /// included in any amount.
+    /// Requests a lease from the grantor. The amounts do not include units of the sender's floor (its
+    /// guaranteed minimum).
     LeaseRequest {
         /// Number of the lease request. The number is unique within the sender's incarnation.
         number: u64,
@@ -69,7 +69,8 @@
         /// Number of granted units. Units of the receiver's floor (its guaranteed minimum) are not included.
         amount: u64,
     },
-    /// Names the grantor and grants no lease, in reply to a [`BudgetMessage::LeaseRequest`].
+    /// Reply to a [`BudgetMessage::LeaseRequest`] that grants no lease. The reply names the grantor if the
+    /// sender knows the grantor.
     Redirect {
         /// Name of the grantor, or `None` if the sender does not know the grantor. If the sender names
         /// itself, it is the grantor but does not grant leases yet.
--- a/crates/shared-state/src/budget/mod.rs
+++ b/crates/shared-state/src/budget/mod.rs
@@ -93,16 +93,16 @@
     }
 
     /// Returns whether this server may acquire one more unit while it uses `in_use` units. Units of the floor
-    /// (the server's guaranteed minimum) need no lease. A unit of the lease may be acquired only if the
-    /// remaining time of the lease is longer than the maximum use of a unit ([`BudgetSettings::use_max`]).
+    /// (the server's guaranteed minimum) need no lease. A unit of the lease may be acquired only if the lease
+    /// lasts for longer than a unit may stay in use ([`BudgetSettings::use_max`]).
     pub fn may_acquire(&self, time: Time, in_use: u64) -> bool {
         let allowance = self.allowance(time);
         let leased = if allowance.remaining > self.settings.use_max { allowance.leased } else { 0 };
         in_use < allowance.floor + leased
     }
 
-    /// Returns the latest time at which a call that acquires a unit now may be sent, by the fast clock
-    /// ([`Time::fast`]). `in_use` is the number of units in use before the call.
+    /// Returns the latest time at which a call that acquires a unit now may be sent, by this server's fast
+    /// clock ([`Time::fast`]). `in_use` is the number of units in use before the call.
     ///
     /// A call with a unit of the floor (the server's guaranteed minimum) may be sent at any time. A call with
     /// a unit of the lease may be sent only until [`BudgetSettings::use_max`] before the end of the lease.
@@ -273,8 +273,9 @@
         }
     }
 
-    /// Handles a reply that names the grantor and grants no lease. A sender that names itself is the grantor
-    /// but does not grant leases yet.
+    /// Handles a reply to a lease request that grants no lease. `grantor` is the name of the grantor, or
+    /// `None` if the sender does not know the grantor. A sender that names itself is the grantor but does not
+    /// grant leases yet.
     fn handle_redirect(&mut self, time: Time, grantor: Option<String>) {
         let grantor = grantor.filter(|name| self.settings.is_voter(name));
         if grantor.is_some() {
--- a/crates/shared-state/src/budget/settings.rs
+++ b/crates/shared-state/src/budget/settings.rs
@@ -19,27 +19,29 @@
 pub struct BudgetSettings {
     /// Name of the budget, with a length of 1 to 64 bytes.
     pub name: String,
-    /// Number of units that the whole fleet may use at the same time.
+    /// Number of units that the whole fleet may use at the same time, or per second.
     pub total: u64,
     /// Guaranteed minimum of each server: the number of units that the server may use without a lease.
     pub floor: u64,
-    /// Maximum number of servers that run at the same time. The floor (guaranteed minimum) is reserved for
-    /// this many servers.
+    /// Maximum number of servers that run at the same time. A floor (guaranteed minimum) is reserved for each
+    /// of this many servers.
     pub servers_max: u64,
     /// Names of the voters, the servers that elect the grantor. The names must be distinct, and their number
     /// must be odd.
     pub voters: Vec<String>,
-    /// Duration of a lease. The holder counts the duration from the time of its lease request.
+    /// Duration of a lease, in nanoseconds. The holder counts the duration from the time of its lease
+    /// request.
     pub lease_duration: Nanos,
-    /// Time from one lease request of a holder to its next lease request.
+    /// Time from one lease request of a holder to its next lease request, in nanoseconds.
     pub refresh_interval: Nanos,
-    /// Duration of a grantor's term of office. It is counted from the time of the vote requests that obtained
-    /// a majority.
+    /// Duration of a grantor's term of office, in nanoseconds. The term is counted from the time of the vote
+    /// requests that obtained a majority.
     pub term_duration: Nanos,
-    /// Additional time that a server waits for the end of another server's lease, vote or term. The margin is
-    /// needed because the clocks of two servers may run at different rates.
+    /// Additional time that a server waits for the end of another server's lease, vote or term, in
+    /// nanoseconds. The margin is needed because the clocks of two servers may run at different rates.
     pub drift_margin: Nanos,
-    /// Maximum time that an acquired unit stays in use. The value is 0 if the budget is in units per second.
+    /// Maximum time that an acquired unit stays in use, in nanoseconds. The value is 0 if the budget is in
+    /// units per second.
     pub use_max: Nanos,
 }
 
@@ -58,7 +60,7 @@
         /// Configured total, in units.
         total: u64,
     },
-    /// The maximum number of servers is 0 or too large.
+    /// The maximum number of servers is 0 or greater than `SERVERS_MAX`.
     #[error("servers: 1 to {SERVERS_MAX}, not {servers}")]
     Servers {
         /// Configured number of servers.
--- a/crates/shared-state/src/counters.rs
+++ b/crates/shared-state/src/counters.rs
@@ -40,8 +40,8 @@
         self.counts.values().fold(0, |sum, count| sum.saturating_add(*count))
     }
 
-    /// Merges another copy of the row into this copy, taking the larger count of each key. Returns whether
-    /// any count in this copy increased.
+    /// Merges another copy of the row into this copy. For each key, the larger of the two counts is kept.
+    /// Returns whether any count in this copy increased.
     pub fn merge(&mut self, other: &CounterRow) -> bool {
         let mut grew = false;
         for (key, count) in &other.counts {
@@ -91,8 +91,8 @@
 /// Reason why a received counter row is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RejectedRow {
-    /// The row would exceed a limit, or a name is invalid. The limits are the maximum number of rows and of
-    /// keys in a row. The server name and each key must have a valid length.
+    /// The row would exceed a limit on the number of rows or of keys in a row, or a name is invalid. The
+    /// server name and each key must have 1 to 64 bytes.
     #[error("row: too many rows or keys, or a name not of 1 to {NAME_MAX} bytes")]
     Full,
     /// A count in the row is too large for the time since the start of the row's server.
--- a/crates/shared-state/src/outlier_detection/evidence.rs
+++ b/crates/shared-state/src/outlier_detection/evidence.rs
@@ -4,14 +4,14 @@
 use super::report::ServiceHealth;
 use crate::clock::Nanos;
 
-/// Minimum number of recent calls to a service for judging its health. Calls count less as they get older. A
-/// service with fewer calls counts as healthy.
+/// Minimum number of recent calls that a service needs before its health is judged. Calls count less as they
+/// get older. A service with fewer calls counts as healthy.
 const CALLS_MIN: f64 = 5.0;
 /// Minimum ratio of failed calls to all calls at which a service counts as failing.
 const FAILING_SHARE: f64 = 0.5;
-/// Factor by which a call duration must exceed the usual duration to count as slow. For a service, its mean
-/// duration is compared with the median of the other services' mean durations. For an abandoned call, its
-/// duration is compared with the mean duration of all calls.
+/// Ratio of a call duration to the usual duration above which a call or service is slow. The mean duration of
+/// a service is compared with the median of the other services' mean durations. The duration of an abandoned
+/// call is compared with the mean duration of all calls.
 const SLOW_RATIO: f64 = 4.0;
 
 /// Statistics of the calls to one service, as sums that decay exponentially with time.
@@ -25,7 +25,7 @@
 }
 
 impl CallStatistics {
-    /// Returns the statistics with their sums decayed up to the time `now`.
+    /// Returns the statistics as of the time `now`: the sums have decayed since they were last updated.
     fn decayed(mut self, now: Nanos, half_life: Nanos) -> CallStatistics {
         let remaining = (-(now.saturating_sub(self.updated_at) as f64) / half_life as f64).exp2();
         self.calls *= remaining;
@@ -102,8 +102,8 @@
         ServiceHealth::Healthy
     }
 
-    /// Returns the median of the mean call durations of the other services, in nanoseconds. Only services
-    /// with enough calls are included. Returns infinity if there is no such service.
+    /// Returns the median of the mean call durations of the other services, in nanoseconds. Services with
+    /// fewer than [`CALLS_MIN`] recent calls are left out. Returns infinity if no service remains.
     fn median_duration_of_others(&self, now: Nanos, service: usize) -> f64 {
         let mut durations = Vec::new();
         for (index, statistics) in self.services.iter().enumerate() {
--- a/crates/shared-state/src/outlier_detection/mod.rs
+++ b/crates/shared-state/src/outlier_detection/mod.rs
@@ -25,7 +25,7 @@
 /// may be lost or slow.
 const PROBERS_PER_ACCUSER: usize = 2;
 /// Maximum number of stored reports, as a multiple of the number of services. Each report is from one server
-/// on one service. If the maximum is reached, reports of additional servers are rejected.
+/// on one service. If the maximum is reached, a new report is stored only if it replaces a stored report.
 const REPORTERS_MAX: usize = 1024;
 
 /// Key of a stored report: the index of a service, and the name of the server that reports on the service.
@@ -36,7 +36,7 @@
 struct ReceivedReport {
     incarnation: u64,
     health: ServiceHealth,
-    /// Time at which the report expires, by the fast clock.
+    /// Time at which the report expires, by this server's fast clock ([`Time::fast`]).
     expires_at: Nanos,
 }
 
@@ -47,7 +47,8 @@
     settings: Settings,
     evidence: Evidence,
     reports: BTreeMap<ReportKey, ReceivedReport>,
-    /// Time at which this server last received a report of another server, by the fast clock.
+    /// Time at which this server last received a report of another server, by this server's fast clock
+    /// ([`Time::fast`]). `None` if it has received no report.
     received_at: Option<Nanos>,
     /// Number of received reports that were rejected. Causes are an unknown service, an expired report, an
     /// invalid server name, or the limit on stored reports.
@@ -171,7 +172,8 @@
     }
 
     /// Returns whether this server counts as isolated. A server is isolated if it has received no report of
-    /// another server for [`Settings::expiry`] or longer.
+    /// another server for [`Settings::expiry`] or longer. An isolated server ejects services on its own
+    /// evidence.
     pub fn is_isolated(&self, time: Time) -> bool {
         self.received_at.is_none_or(|at| time.fast >= at + self.settings.expiry)
     }
--- a/crates/shared-state/src/outlier_detection/settings.rs
+++ b/crates/shared-state/src/outlier_detection/settings.rs
@@ -7,7 +7,7 @@
 
 /// Maximum number of downstream services in a tier.
 const SERVICES_MAX: usize = 256;
-/// Number of thousandths in the whole tier. Shares of a tier are given in thousandths.
+/// The whole tier as a share in thousandths. Shares of a tier are given in thousandths of its services.
 const WHOLE_THOUSANDTHS: usize = 1000;
 
 /// Settings of outlier detection in one tier of downstream services.
@@ -19,8 +19,9 @@
     pub accusers_min: usize,
     /// Maximum share of the tier's services that may be ejected at the same time, in thousandths.
     pub max_ejected_thousandths: usize,
-    /// Time after which a report expires, in nanoseconds, greater than 0. The half-life of this server's own
-    /// evidence is the same time. A report thus expires while the evidence on which it is based decays.
+    /// Time after which a report expires, in nanoseconds, greater than 0. The same time is the half-life of
+    /// this server's own evidence. When a report expires, the evidence on which it is based has decayed to
+    /// half.
     pub expiry: Nanos,
 }
 
--- a/crates/shared-state/src/permits.rs
+++ b/crates/shared-state/src/permits.rs
@@ -22,11 +22,11 @@
 /// State of a call that holds a permit and has not ended at this server yet.
 #[derive(Clone, Copy, Debug)]
 struct OpenCall {
-    /// Time of the last permitted write of the call, by the slow clock ([`Time::slow`]). Before the first
-    /// write, this is the time of the call's permit. The service received the last data of the call at this
-    /// time or later.
+    /// Time of the last permitted write of the call, by this server's slow clock ([`Time::slow`]). Before the
+    /// first write, this is the time of the call's permit. The service received the last data of the call at
+    /// this time or later.
     last_write_at: Nanos,
-    /// Latest time at which data of the call may be sent, by the fast clock.
+    /// Latest time at which data of the call may be sent, by this server's fast clock ([`Time::fast`]).
     send_by: Nanos,
 }
 
@@ -35,10 +35,11 @@
 pub struct Permits {
     /// Open calls by call number.
     open: BTreeMap<u64, OpenCall>,
-    /// One time for each abandoned call, by the slow clock, in ascending order. After this time, the call can
-    /// no longer be running at the service, and its unit is free.
+    /// For each abandoned call, the time at which its unit becomes free, by this server's slow clock
+    /// ([`Time::slow`]). The call can no longer be running at the service then. The times are in ascending
+    /// order.
     abandoned_until: VecDeque<Nanos>,
-    /// Number of calls that were waiting for a unit when a call was last refused.
+    /// Number of calls that were waiting for a unit when a call was last refused a unit.
     waiting: TimestampedUnits,
     /// Largest number of units that were in use at any recent time.
     peak: TimestampedUnits,
@@ -47,8 +48,8 @@
 }
 
 impl Permits {
-    /// Records a permit for the call with number `call`. Data of the call may be sent until `send_by`, by the
-    /// fast clock; see [`Budget::send_by`](crate::budget::Budget::send_by).
+    /// Records a permit for the call with number `call`. Data of the call may be sent until `send_by`, by
+    /// this server's fast clock; see [`Budget::send_by`](crate::budget::Budget::send_by).
     pub fn acquire(&mut self, time: Time, call: u64, send_by: Nanos) {
         self.open.insert(call, OpenCall { last_write_at: time.slow, send_by });
         let units = self.in_use(time);
--- a/crates/shared-state/src/simulation/clocks.rs
+++ b/crates/shared-state/src/simulation/clocks.rs
@@ -7,7 +7,7 @@
 /// Wall clock time at the start of the simulation, in nanoseconds since the Unix epoch. Incarnations of
 /// servers are wall clock times, so a realistic value above 0 is used.
 pub const EPOCH: Nanos = 1_700_000_000_000_000_000;
-/// Value of every monotonic clock at the start of the simulation, in nanoseconds.
+/// Value of every simulated monotonic clock at the start of the simulation, in nanoseconds.
 const MONOTONIC_START: Nanos = 5;
 
 /// Rates of a server's monotonic clock and wall clock, and the offset of its wall clock.
--- a/crates/shared-state/src/simulation/mod.rs
+++ b/crates/shared-state/src/simulation/mod.rs
@@ -59,8 +59,8 @@
     pub in_use: u64,
     /// Maximum number of calls that were in progress at the dependency at the same time.
     pub in_use_max: u64,
-    /// Integral over time of the number of calls in progress, in calls times nanoseconds, since the previous
-    /// call of [`Fleet::mean_use`].
+    /// Number of calls in progress at the dependency, integrated over the time since the previous call of
+    /// [`Fleet::mean_use`]. The unit is calls times nanoseconds.
     use_integral: u128,
     calls: u64,
     /// Number of calls that were refused because the server's budget did not permit them.
--- a/crates/shared-state/src/state.rs
+++ b/crates/shared-state/src/state.rs
@@ -27,11 +27,10 @@
 /// Maximum number of received [`Payload::Other`] messages in the queue that [`SharedState::take_received`]
 /// empties. If the queue is full, further messages are dropped.
 const RECEIVED_OTHERS_MAX: usize = 1024;
-/// Maximum size of the numbers and lengths in a message, in bytes. The names in the message and its list of
-/// items, such as counter rows, are not included.
+/// Bytes reserved in a message for all fields except the names and the list of items (such as counter rows).
 const HEADER_BYTES: usize = 64;
-/// Maximum number of names in a message, such as the sender's name. Names in the list of items are not
-/// counted.
+/// Number of names, such as the sender's name, for which each message reserves bytes. Names in the list of
+/// items are not counted.
 const HEADER_NAMES: usize = 4;
 
 /// Counters of messages. All counts begin at 0 when the server starts.
@@ -78,7 +77,7 @@
     pub counters: FleetCounters,
     /// Outlier detection for the tier of downstream services. `None` if outlier detection is disabled.
     pub outlier_detector: Option<OutlierDetector>,
-    /// Time at which the next round of gossip is due, by the fast clock.
+    /// Time at which the next round of gossip is due, by this server's fast clock ([`Time::fast`]).
     next_gossip_at: Nanos,
     rng: ChaCha8Rng,
     outgoing: Vec<(String, Vec<u8>)>,
--- a/crates/shared-state/tests/fleet.rs
+++ b/crates/shared-state/tests/fleet.rs
@@ -64,7 +64,7 @@
     let mut fleet = overloaded_fleet(1, lan());
     let since = run_for(&mut fleet, 60 * S);
     // Three of the eight configured servers do not run. Their floors (guaranteed minimums), 6 of the 100
-    // units in total, stay unused.
+    // units in total, stay unused, so at most 94 units can be used.
     assert_budget_used(&mut fleet, since, 0.9);
 }
 
