--- a/crates/fair-queueing/src/account.rs
+++ b/crates/fair-queueing/src/account.rs
@@ -24,8 +24,8 @@
     pub booked_until: f64,
     /// Weight of the tenant.
     pub weight: f64,
-    /// Work that the tenant's invocations use, divided by the work that their operations usually need. The
-    /// ratio is learned from earlier invocations.
+    /// Learned ratio of the tenant: the work that its earlier invocations used, divided by the work that
+    /// their operations usually need.
     pub ratio: LearnedRatio,
     /// Whether the settings list this tenant by name. The account of a listed tenant is never evicted.
     pub named: bool,
--- a/crates/fair-queueing/src/counters.rs
+++ b/crates/fair-queueing/src/counters.rs
@@ -15,13 +15,13 @@
     pub sketched: u64,
     /// Number of accounts evicted so that another tenant could get an account.
     pub evicted: u64,
-    /// Number of rejected arrivals that got a promise, that is, a ticket with which a retry will be admitted.
+    /// Number of rejected arrivals that got a promise. A promise is a ticket with which a retry will be
+    /// admitted.
     pub promised: u64,
     /// Number of retries that were admitted because they presented the ticket of a promise.
     pub kept: u64,
-    /// Number of promises that the scheduler did not honour although the retry arrived in time. In these
-    /// cases, virtual time had advanced much more slowly than predicted, so the tenant's share had no
-    /// capacity yet.
+    /// Number of promises that the scheduler did not honour although the retry arrived in time. Virtual time
+    /// had advanced much more slowly than predicted, so the tenant's share had no capacity for the retry yet.
     pub broken: u64,
     /// Number of retries that presented the ticket of a promise before the promised time. Such a retry voids
     /// the promise and is treated like an arrival without a ticket.
--- a/crates/fair-queueing/src/demand.rs
+++ b/crates/fair-queueing/src/demand.rs
@@ -33,7 +33,7 @@
     }
 }
 
-/// Work that a group of tenants demands. All tenants of the group have the same demand and the same weight.
+/// Demand of a group of tenants for work. All tenants of the group have the same demand and the same weight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Demand {
     /// Demand of each tenant of the group, in cores.
--- a/crates/fair-queueing/src/finish_sketch.rs
+++ b/crates/fair-queueing/src/finish_sketch.rs
@@ -20,8 +20,8 @@
 /// Minimum number of cells in a sketch. If fewer cells are requested, the sketch has this many.
 const CELLS_MIN: usize = 64;
 
-/// Approximate record of the used shares of tenants without an account, in fixed memory. It is an array of
-/// cells, and each tenant hashes to several of them.
+/// Approximate record of the used shares of tenants without an account, in fixed memory. The record is an
+/// array of cells, and each tenant hashes to several cells.
 #[derive(Debug)]
 pub struct FinishSketch {
     /// One value for each cell: the largest finish of the tenants that hash to the cell. A finish is the
@@ -98,8 +98,8 @@
     /// if its value is behind `virtual_time`.
     ///
     /// Cell values wrap around. Without the sweep, an outdated cell would appear to be ahead again once
-    /// virtual time is more than 2^31 units (35,184 s of one core) past it. `SWEEPS_PER_ROUND` calls visit
-    /// all cells, which takes 128 s at one call per control period of 500 ms.
+    /// virtual time is more than 2^31 units (35,184 s of one core) past the cell's value. `SWEEPS_PER_ROUND`
+    /// calls visit all cells, which takes 128 s at one call per control period of 500 ms.
     pub fn sweep(&mut self, virtual_time: f64) {
         let now_units = to_units(virtual_time);
         let cells = self.cells.len();
--- a/crates/fair-queueing/src/origins.rs
+++ b/crates/fair-queueing/src/origins.rs
@@ -46,8 +46,8 @@
     /// Virtual time up to which the newcomers' common share is reserved, in nanoseconds of one core per unit
     /// of weight. The reservations are for retries that the scheduler has promised to admit.
     pub booked_until: f64,
-    /// Work that the newcomers' invocations use, divided by the work that their operations usually need. The
-    /// ratio is learned from earlier invocations.
+    /// Learned ratio of the newcomers: the work that their earlier invocations used, divided by the work that
+    /// their operations usually need.
     pub ratio: LearnedRatio,
     demand: DecayingRate,
     used_at: Nanos,
--- a/crates/fair-queueing/src/promises.rs
+++ b/crates/fair-queueing/src/promises.rs
@@ -21,8 +21,8 @@
 const SPREAD_MIN_RATIO: f64 = 0.02;
 /// Promised waits are rounded up to a multiple of this unit, in nanoseconds.
 const RESOLUTION_NS: Nanos = 1_000_000;
-/// Value that is combined with the seed of the ticket numbers ("ticket" in ASCII). It makes ticket numbers
-/// differ from other random numbers that are derived from the same seed.
+/// Value that is combined with the scheduler's seed to obtain the seed of the ticket numbers ("ticket" in
+/// ASCII). Ticket numbers thus differ from other random numbers that are derived from the scheduler's seed.
 const TICKET_SEED: u64 = 0x7469_636b_6574;
 
 /// A promise to admit the retry of a rejected arrival. Virtual times and tags are in nanoseconds of one core
--- a/crates/fair-queueing/src/scheduler.rs
+++ b/crates/fair-queueing/src/scheduler.rs
@@ -195,8 +195,8 @@
         admission
     }
 
-    /// Returns how far a tenant's finish (the virtual time up to which it has used its share) may be ahead of
-    /// virtual time while the tenant counts as within its share. The unit is that of virtual time.
+    /// Returns how far a tenant may use its share ahead of virtual time and still count as within its share.
+    /// The unit is that of virtual time, nanoseconds of one core per unit of weight.
     fn allowance(&self) -> f64 {
         (self.rate.cores() * self.settings.burst as f64).min(self.allowance_max)
     }
@@ -367,7 +367,7 @@
         self.promises.len()
     }
 
-    /// Returns the memory that the scheduler uses now, in bytes, at most [`Settings::bytes_max`].
+    /// Returns the memory that the scheduler uses now, in bytes. It never exceeds [`Settings::bytes_max`].
     pub fn bytes(&self) -> usize {
         self.usage.bytes() + self.promises.bytes() + size_of::<FairScheduler>()
     }
--- a/crates/fair-queueing/src/settings.rs
+++ b/crates/fair-queueing/src/settings.rs
@@ -31,7 +31,7 @@
     /// Maximum number of origins that have a slot of their own in the table of origins. If there are more
     /// origins, the additional origins share these slots.
     pub origins: usize,
-    /// Maximum number of promises (to admit a retry) that are active at the same time.
+    /// Maximum number of promises that are active at the same time. Each promise is to admit one retry.
     pub promises: usize,
     /// Maximum number of tenant names that one origin may send at full weight. If an origin sends more names,
     /// the weight of each name decreases. The origin therefore gains nothing from additional names.
--- a/crates/fair-queueing/tests/promises.rs
+++ b/crates/fair-queueing/tests/promises.rs
@@ -131,8 +131,8 @@
     };
     (0..4).for_each(|_| assert!(request(&mut fair, now).is_some()));
     assert_eq!(request(&mut fair, now), None);
-    // No caller retries, so all promises lapse. The parts of the tenant's share that were reserved for them
-    // become available again.
+    // No caller retries, so all promises lapse. The part of the tenant's share that was reserved for the
+    // promises becomes available to the tenant again.
     let later = now + 8 * SECOND;
     assert!(!fair.arrive(later, FLOODING, 10e6, None).surplus);
     assert_eq!((fair.counters.lapsed, fair.promises(), fair.counters.unpromised), (4, 0, 1));
@@ -279,8 +279,8 @@
         for (i, (weight, _)) in queues.iter().enumerate() {
             let before = queued.iter().filter(|(tag, of, _)| *of == i && *tag <= late.start_tag).count();
             // A tenant's start tags are spaced by the work of an arrival divided by the tenant's weight. Up
-            // to `weight` arrivals of this tenant, fewer than 10 here, therefore fit into the span of one
-            // arrival of a tenant with weight 1.
+            // to `weight` arrivals (fewer than 10 here) therefore have tags within the work of one arrival of
+            // a tenant with weight 1.
             prop_assert!(before <= 1 + *weight as usize, "{before} of tenant {i} with weight {weight}");
         }
     }
--- a/crates/fair-queueing/tests/shares.rs
+++ b/crates/fair-queueing/tests/shares.rs
@@ -305,8 +305,8 @@
     let admission = fair.arrive(now, TenantKey { name: &name(0), origin: 1 }, 1e6, None);
     assert!(!admission.surplus);
     fair.end_service(now, &admission, ServiceOutcome::Ran(20 * SECOND));
-    // Other tenants arrive for 100 s. This is longer than the 10 s of idle time after which an account may be
-    // evicted.
+    // The idle tenant's account must be kept while other tenants arrive for 100 s. This is longer than the 10
+    // s of idle time after which other accounts may be evicted.
     for n in 0..400u64 {
         now += SECOND / 4;
         fair.arrive(now, TenantKey { name: &name(100 + n % 40), origin: 1 }, 1e6, None);
--- a/crates/hot-restart/src/successor.rs
+++ b/crates/hot-restart/src/successor.rs
@@ -144,8 +144,8 @@
     }
 
     /// Returns the frame that announces an answer. The caller must send this frame to the predecessor before
-    /// it sends the answer. Returns `None` if the successor is not active or the predecessor can no longer
-    /// resume; in these cases no announcement is needed.
+    /// it sends the answer. Returns `None` if no announcement is needed: the successor is not active, or the
+    /// predecessor can no longer resume.
     pub fn announce(&self, answer: AnnouncedAnswer) -> Option<Frame> {
         matches!(self.phase, Phase::Trial | Phase::TrialOver).then_some(Frame::Announce(answer))
     }
--- a/crates/hot-restart/tests/model.rs
+++ b/crates/hot-restart/tests/model.rs
@@ -341,8 +341,8 @@
             Property::always("some process stays active", |model: &HotRestart, system: &SystemState| {
                 let mut steps = Vec::new();
                 model.actions(system, &mut steps);
-                // Kills and requests are external steps. If no other step is possible, a living process must
-                // be active. This is not required once the predecessor has retired.
+                // If only external steps (kills and requests) are possible, some living process must be
+                // active. This is not required once the predecessor has retired.
                 let is_external = |step: &Step| {
                     matches!(
                         step,
--- a/crates/shared-state/src/budget/election.rs
+++ b/crates/shared-state/src/budget/election.rs
@@ -133,8 +133,8 @@
         until.is_some_and(|until| time.fast < until)
     }
 
-    /// Returns the state that this server has as a candidate or grantor. Returns `None` if it is neither
-    /// candidate nor grantor.
+    /// Returns the state that this server has as a candidate or grantor. Returns `None` if this server is
+    /// neither candidate nor grantor.
     pub fn grantor_state(&self) -> Option<&GrantorState> {
         self.grantor_state.as_ref()
     }
@@ -167,9 +167,9 @@
     }
 
     /// Returns whether this server may become a candidate. This requires that the server is allowed to vote
-    /// and has not known a grantor for some time. The required time is one term duration plus half a term
-    /// duration times the server's rank (its index in the list of voters). The voters therefore do not all
-    /// become candidates at the same time.
+    /// and has known neither a grantor nor a candidate for some time. The required time is one term duration
+    /// plus half a term duration times the server's rank (its index in the list of voters). The voters
+    /// therefore do not all become candidates at the same time.
     fn may_become_candidate(&self, time: Time, settings: &BudgetSettings, rank: u64) -> bool {
         let wait = settings.term_duration + rank * settings.term_duration / 2;
         time.slow >= self.votes_from && time.fast >= self.grantor_seen_at + wait
--- a/crates/shared-state/src/budget/holder.rs
+++ b/crates/shared-state/src/budget/holder.rs
@@ -10,8 +10,8 @@
 use crate::clock::{Nanos, Time};
 use std::collections::VecDeque;
 
-/// Number of recent lease requests whose send times are stored. The duration of a lease is counted from the
-/// send time of its request. A grant that answers an older request is therefore dropped.
+/// Number of recent lease requests whose send times are stored. A grant that answers an older request is
+/// dropped, since the duration of a lease is counted from the send time of its request.
 const REQUESTS_MAX: usize = 8;
 /// Maximum number of consecutive lease requests that the grantor may leave unanswered. The next request then
 /// goes to a random voter.
--- a/crates/shared-state/src/clock.rs
+++ b/crates/shared-state/src/clock.rs
@@ -24,8 +24,8 @@
     pub wall: Nanos,
 }
 
-/// Upper and lower bound of the time elapsed since the first reading of the clocks, in nanoseconds. Two
-/// values of the same bound can be compared; values of different bounds cannot.
+/// Upper and lower bound of the time elapsed since the first reading of the clocks, in nanoseconds. A value
+/// of one bound can be compared only with other values of the same bound.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Time {
     /// The fast clock: an upper bound of the elapsed time, in nanoseconds. It decides when this server's own
@@ -49,8 +49,8 @@
 pub struct DriftClock {
     last: Option<Reading>,
     time: Time,
-    /// Number of readings at which the monotonic clock and the wall clock disagreed. At such a reading, their
-    /// advances since the previous reading differ by more than one second.
+    /// Number of readings at which the monotonic clock and the wall clock disagreed. At such a reading, the
+    /// advances of the two clocks since the previous reading differ by more than one second.
     pub disagreements: u64,
 }
 
--- a/crates/shared-state/src/outlier_detection/mod.rs
+++ b/crates/shared-state/src/outlier_detection/mod.rs
@@ -20,9 +20,9 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// Number of servers that probe an ejected service, as a multiple of [`Settings::accusers_min`], the number
-/// of servers that must find a service unhealthy. The multiple is greater than 1 because a server that probes
-/// may be lost or slow.
+/// Number of servers that probe an ejected service, as a multiple of [`Settings::accusers_min`]. That setting
+/// is the number of servers that must find a service unhealthy before the service is ejected. The multiple is
+/// greater than 1 because a server that probes may be lost or slow.
 const PROBERS_PER_ACCUSER: usize = 2;
 /// Maximum number of stored reports, as a multiple of the number of services. Each report is from one server
 /// on one service. If the maximum is reached, a new report is stored only if it replaces a stored report.
@@ -108,9 +108,10 @@
         self.evidence.health(time.fast, service)
     }
 
-    /// Returns the reports to send to other servers. The first part is this server's own reports on all
-    /// services. A report on a healthy service is sent, too, since it shows that this server is reachable.
-    /// The second part is unexpired reports of other servers, for receivers that those servers cannot reach.
+    /// Returns the reports to send to other servers. This server's own reports on all services are first. A
+    /// report on a healthy service is sent, too, since it shows that this server is reachable. Unexpired
+    /// reports of other servers follow. They are forwarded to receivers that the reporting servers may not
+    /// reach.
     pub fn reports(&self, time: Time) -> Vec<Report> {
         let own = (0..self.evidence.services()).map(|service| Report {
             by: self.id.clone(),
--- a/crates/shared-state/src/packing.rs
+++ b/crates/shared-state/src/packing.rs
@@ -4,8 +4,8 @@
 use crate::server_id::ServerId;
 use serde::Serialize;
 
-/// Splits `items` into lists whose encoded size is at most `size_max` bytes each. An item that is larger than
-/// `size_max` becomes a list of its own.
+/// Splits `items` into lists. The encoded items of a list have at most `size_max` bytes in total. An item
+/// that is larger than `size_max` becomes a list of its own.
 pub(crate) fn pack<T: Clone + Serialize>(items: &[T], size_max: usize) -> Vec<Vec<T>> {
     let mut parts: Vec<Vec<T>> = Vec::new();
     let mut part: Vec<T> = Vec::new();
@@ -25,8 +25,9 @@
     parts
 }
 
-/// Splits a counter row into several rows whose encoded size is at most `size_max` bytes each. Receivers
-/// merge rows key by key. Receiving all parts therefore has the same effect as receiving the whole row.
+/// Splits a counter row into several rows. The encoded counts of a row have at most `size_max` bytes in
+/// total. Receivers merge rows key by key. Receiving all parts therefore has the same effect as receiving the
+/// whole row.
 pub(crate) fn split_row(server: &ServerId, row: &CounterRow, size_max: usize) -> Vec<(ServerId, CounterRow)> {
     let counts: Vec<(&String, &u64)> = row.counts.iter().collect();
     let mut rows = Vec::new();
--- a/crates/shared-state/tests/fleet.rs
+++ b/crates/shared-state/tests/fleet.rs
@@ -76,8 +76,8 @@
     (0..2).for_each(|i| fleet.set_group(i, 1));
     fleet.partition(0, 1);
     run_for(&mut fleet, 20 * S);
-    // The three servers on the majority side share the budget minus the floors (guaranteed minimums) of the
-    // other servers. The two servers on the minority side have only their floors.
+    // During the partition, the three servers on the majority side share the budget minus the floors
+    // (minimums) of the other servers. The two servers on the minority side have only their floors.
     let since = run_for(&mut fleet, 40 * S);
     assert_budget_used(&mut fleet, since, 0.8);
     let floor = |fleet: &mut Fleet, i: usize| {
@@ -100,8 +100,8 @@
     }
     run_for(&mut fleet, 10 * S);
     let since = run_for(&mut fleet, 5 * S);
-    // Server 4 now holds most of the budget. After it has crashed, the demand of the other servers is raised
-    // so that they can use the whole budget.
+    // At least 70 % of the budget is in use now, most of it by server 4. After server 4 has crashed, the
+    // demand of the other servers is raised so that they can use the whole budget.
     assert_budget_used(&mut fleet, since, 0.7);
     fleet.crash(4);
     (0..4).for_each(|i| fleet.set_demand(i, 4_000.0));
@@ -251,9 +251,9 @@
     postcard::to_allocvec(&Message { from, payload }).unwrap()
 }
 
-/// A malicious peer that has the fleet's key must not be able to exceed the budget. The peer sends
-/// unsolicited and excessive grants, and rows with huge counts. It also sends lease requests with a huge
-/// demand that claim a grant it never received. Each of these must be rejected and counted.
+/// A malicious peer that has the fleet's key must not be able to exceed the budget. Its unsolicited or
+/// excessive grants, and its rows with huge counts, must be rejected and counted. Its lease requests demand a
+/// huge number of units and claim a grant that the peer never received. They must be counted as invalid.
 #[test]
 fn a_malicious_peer_gains_nothing() {
     let mut fleet = overloaded_fleet(10, lan());
--- a/crates/shared-state/tests/model.rs
+++ b/crates/shared-state/tests/model.rs
@@ -37,8 +37,8 @@
     /// delivery, so it can be delivered at any later time, more than once or never.
     sent: BTreeSet<(ServerId, usize, BudgetMessage)>,
     /// Number of times that a server has been killed so far, at most [`LeaseModel::kills`]. The count makes
-    /// states after a restart distinct from earlier states. They are therefore explored even if messages
-    /// delivered before the restart can no longer have an effect.
+    /// states after a restart distinct from earlier states. States after a restart are therefore explored
+    /// even if messages delivered before the restart can no longer have an effect.
     kills: u8,
 }
 
@@ -65,7 +65,7 @@
     ticks: u64,
     /// Limit of the search: maximum number of messages in transit.
     in_transit: usize,
-    /// Limit of the search: maximum number of kills of servers.
+    /// Limit of the search: maximum number of times that servers are killed in total.
     kills: u8,
 }
 
