--- a/crates/fair-queueing/src/account.rs
+++ b/crates/fair-queueing/src/account.rs
@@ -7,7 +7,7 @@
 use crate::queue_order::QueueTails;
 
 /// Maximum length of the stored prefix of a tenant's name, in bytes. Longer names are truncated, since the
-/// prefix is only displayed to operators.
+/// prefix is used only for display to operators.
 const NAME_BYTES: usize = 48;
 
 /// Usage record of one established tenant, that is, a tenant whose name has been seen often enough.
--- a/crates/fair-queueing/src/known_names.rs
+++ b/crates/fair-queueing/src/known_names.rs
@@ -14,28 +14,29 @@
 
 /// Number of records in one set of the set-associative table.
 const WAYS: usize = 16;
-/// Resolution of the stored visit times, in nanoseconds.
+/// Resolution of the stored times at which arrivals with a name occurred, in nanoseconds.
 const STEP_NS: Nanos = 250_000_000;
 /// Maximum number of visits (arrivals with the name) that a record can hold. Further visits are not counted.
 /// A record with 0 visits is free.
 const VISITS_MAX: u16 = 15;
-/// Number of bits of [`NameRecord::last_visit_and_count`] that hold the visit count.
+/// Number of bits of [`NameRecord::last_visit_and_count`] that hold the number of visits (arrivals with the
+/// name).
 const VISITS_BITS: u16 = 4;
-/// Mask for the 12 bits that store the time of the last visit. The other 4 bits of the 16-bit field store the
-/// visit count.
+/// Mask for the 12 bits that store the time of the last visit (arrival with the name). The other 4 bits of
+/// the 16-bit field store the number of visits.
 const STEP_MASK: u16 = 0xfff;
-/// Time without a visit after which any name may be evicted, in nanoseconds. Until then, a name with at least
-/// [`KnownNames::kept_visits`] visits is kept.
+/// Time without a visit (an arrival with the name) after which any name may be evicted, in nanoseconds. Until
+/// then, a name with at least [`KnownNames::kept_visits`] visits is kept.
 const UNUSED_MAX_NS: Nanos = 300_000_000_000;
 const UNUSED_MAX_STEPS: u16 = (UNUSED_MAX_NS / STEP_NS) as u16;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct NameRecord {
     tag: u32,
-    /// Time of the name's first visit, in steps of [`STEP_NS`], modulo 2^16.
+    /// Time of the first visit (arrival with the name), in steps of [`STEP_NS`], modulo 2^16.
     first_visit: u16,
-    /// Time of the name's last visit and number of its visits. The time is in the upper 12 bits, in steps of
-    /// [`STEP_NS`] modulo 2^12. The number of visits is in the lower 4 bits.
+    /// Time of the last visit (arrival with the name) and number of visits. The time is in the upper 12 bits,
+    /// in steps of [`STEP_NS`] modulo 2^12. The number of visits is in the lower 4 bits.
     last_visit_and_count: u16,
 }
 
@@ -61,9 +62,9 @@
 /// was not in the table, or if its last visit was more than 300 s ago.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NameHistory {
-    /// Number of earlier visits of the name, at most 15.
+    /// Number of earlier visits (arrivals with the name), at most 15.
     pub visits: u8,
-    /// Time since the first visit of the name, in nanoseconds.
+    /// Time since the first visit (arrival with the name), in nanoseconds.
     pub since_first_visit: Nanos,
 }
 
@@ -71,8 +72,8 @@
 #[derive(Debug)]
 pub struct KnownNames {
     sets: Vec<[NameRecord; WAYS]>,
-    /// Number of visits that protects a name from eviction. A name with at least this many visits is evicted
-    /// only after [`UNUSED_MAX_NS`] without another visit.
+    /// Number of visits (arrivals with the name) that protects a name from eviction. A name with at least
+    /// this many visits is evicted only after [`UNUSED_MAX_NS`] without another visit.
     kept_visits: u16,
 }
 
@@ -88,7 +89,7 @@
         names.div_ceil(WAYS).next_power_of_two()
     }
 
-    /// Returns the memory of a table with capacity for `names` names, in bytes.
+    /// Returns the maximum memory of a table with capacity for `names` names, in bytes.
     pub fn bytes_max(names: usize) -> usize {
         Self::sets(names) * size_of::<[NameRecord; WAYS]>()
     }
--- a/crates/fair-queueing/tests/shares.rs
+++ b/crates/fair-queueing/tests/shares.rs
@@ -204,8 +204,9 @@
         step(&mut fair, loud, 4 * MS);
     });
     let at_once = (0..4000).filter(|_| step(&mut fair, quiet, 1000)).count();
-    // After its idle time, the quiet tenant may use its burst at once. The burst is fifteen seconds of its
-    // share. It must not get the share that it left unused in the four idle minutes.
+    // After its idle time, the quiet tenant may use its burst at once, which is fifteen seconds of its share.
+    // `most` is the burst as a number of invocations. The share that the tenant left unused in the four idle
+    // minutes must not be granted later.
     let most = 15.0 * 0.9 / 0.01;
     assert!(at_once > 300 && (at_once as f64) < 1.1 * most, "{at_once} of {most}");
 }
--- a/crates/shared-state/tests/model.rs
+++ b/crates/shared-state/tests/model.rs
@@ -80,8 +80,9 @@
         let id = ServerId { name: format!("s{i}"), incarnation };
         let mut time = Time::from_agreeing_clocks(clock + 10);
         if incarnation == 0 || self.fault == Fault::NoWait {
-            // At the first start of the fleet, there are no earlier votes or leases. With a start time of 0,
-            // the server's waits for the end of earlier votes and leases are already over.
+            // At the first start of the fleet, there are no earlier votes or leases. The server's waits for
+            // the end of earlier votes and leases begin at the start time. If the start time is 0, these
+            // waits are already over.
             time.slow = 0;
         }
         let mut budget = Budget::new(id, settings, time).expect("valid settings");
