--- a/crates/fair-queueing/src/usage.rs
+++ b/crates/fair-queueing/src/usage.rs
@@ -21,8 +21,7 @@
 /// Location of the record that holds a tenant's usage.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum UsageLocation {
-    /// No usage is recorded. This is the default until the usage record of the arrival's tenant has been
-    /// found.
+    /// The usage record of the arrival's tenant has not been determined yet. This is the default value.
     #[default]
     Untracked,
     /// The usage is in the tenant's own account.
--- a/crates/shared-state/src/message.rs
+++ b/crates/shared-state/src/message.rs
@@ -35,7 +35,7 @@
     Budget {
         /// Name of the budget.
         name: String,
-        /// Message to the receiver's part of this budget.
+        /// Message for the receiving server's part of the named budget.
         message: BudgetMessage,
     },
     /// Versions of the sender's counter rows in a range of server incarnations. The receiver replies with the
--- a/crates/shared-state/src/outlier_detection/report.rs
+++ b/crates/shared-state/src/outlier_detection/report.rs
@@ -1,4 +1,4 @@
-//! Reports on the health of services, which servers exchange with each other.
+//! Reports on the health of services. The servers of a fleet exchange these reports with each other.
 
 use crate::clock::Nanos;
 use crate::server_id::ServerId;
--- a/crates/shared-state/src/simulation/server.rs
+++ b/crates/shared-state/src/simulation/server.rs
@@ -6,8 +6,8 @@
 use crate::clock::Nanos;
 use crate::permits::Permits;
 
-/// Number of waiting calls that a server reports with each refused call. The simulation itself has no queue
-/// of waiting calls.
+/// Number of waiting calls that a simulated server records each time that a call is refused a unit. The
+/// simulation itself has no queue of waiting calls.
 const WAITING_CALLS: u64 = 2;
 
 /// A simulated server. `state` is `None` while the server's process is not running.
--- a/crates/shared-state/src/state.rs
+++ b/crates/shared-state/src/state.rs
@@ -292,9 +292,9 @@
         Ok(())
     }
 
-    /// Replies to a received digest. The first part of the reply is the counter rows of which this server has
-    /// a newer version than the sender. If the sender requests a digest in return, this server also sends its
-    /// own digest of the same range, cut to [`DIGEST_ROWS_MAX`] rows.
+    /// Replies to a received digest with the counter rows of which this server has a newer version than the
+    /// sender. If the sender requests a digest in return, this server also sends its own digest of the same
+    /// range, limited to [`DIGEST_ROWS_MAX`] rows.
     fn handle_digest(
         &mut self,
         from: &ServerId,
