--- a/crates/fair-queueing/src/scheduler.rs
+++ b/crates/fair-queueing/src/scheduler.rs
@@ -367,7 +367,7 @@
         self.promises.len()
     }
 
-    /// Returns the memory that the scheduler uses now, in bytes. It never exceeds [`Settings::bytes_max`].
+    /// Returns the memory that the scheduler uses now, in bytes. The maximum is [`Settings::bytes_max`].
     pub fn bytes(&self) -> usize {
         self.usage.bytes() + self.promises.bytes() + size_of::<FairScheduler>()
     }
--- a/crates/shared-state/src/outlier_detection/mod.rs
+++ b/crates/shared-state/src/outlier_detection/mod.rs
@@ -110,8 +110,7 @@
 
     /// Returns the reports to send to other servers. This server's own reports on all services are first. A
     /// report on a healthy service is sent, too, since it shows that this server is reachable. Unexpired
-    /// reports of other servers follow. They are forwarded to receivers that the reporting servers may not
-    /// reach.
+    /// reports of other servers follow, for receivers that the reporting servers may not reach.
     pub fn reports(&self, time: Time) -> Vec<Report> {
         let own = (0..self.evidence.services()).map(|service| Report {
             by: self.id.clone(),
--- a/crates/shared-state/tests/fleet.rs
+++ b/crates/shared-state/tests/fleet.rs
@@ -253,7 +253,7 @@
 
 /// A malicious peer that has the fleet's key must not be able to exceed the budget. Its unsolicited or
 /// excessive grants, and its rows with huge counts, must be rejected and counted. Its lease requests demand a
-/// huge number of units and claim a grant that the peer never received. They must be counted as invalid.
+/// huge number of units and claim a grant that the peer never received, and must be counted as invalid.
 #[test]
 fn a_malicious_peer_gains_nothing() {
     let mut fleet = overloaded_fleet(10, lan());
