--- a/crates/fair-queueing/src/promises.rs
+++ b/crates/fair-queueing/src/promises.rs
@@ -12,17 +12,17 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::HashMap;
 
-/// Maximum random extension of a promised wait, as a ratio of the wait. Short waits have a larger maximum
-/// ([`SPREAD_MIN_RATIO`]). Without the extension, arrivals that were rejected at the same time would all
-/// retry at the same time.
+/// Maximum random extension of a promised wait, as a ratio of the wait. A short wait has a larger maximum,
+/// given by [`SPREAD_MIN_RATIO`]. Without the extension, arrivals that were rejected at the same time would
+/// all retry at the same time.
 const SPREAD_RATIO: f64 = 0.25;
 /// Lower bound of the maximum random extension, as a ratio of the longest wait that may be promised. For a
 /// short wait, an extension proportional to the wait would be too small to spread out the retries.
 const SPREAD_MIN_RATIO: f64 = 0.02;
 /// Promised waits are rounded up to a multiple of this unit, in nanoseconds.
 const RESOLUTION_NS: Nanos = 1_000_000;
-/// Value that is combined with the seed of the ticket numbers ("ticket" in ASCII). It makes ticket numbers
-/// differ from other random numbers that are derived from the same seed.
+/// Value that is combined with the scheduler's seed to obtain the seed of the ticket numbers ("ticket" in
+/// ASCII). Ticket numbers thus differ from other random numbers that are derived from the scheduler's seed.
 const TICKET_SEED: u64 = 0x7469_636b_6574;
 
 /// A promise to admit the retry of a rejected arrival. Virtual times and tags are in nanoseconds of one core
@@ -87,7 +87,7 @@
 
 impl Promises {
     /// Creates a table of at most `limit` promises. A promised wait is at most `longest` nanoseconds. A retry
-    /// is in time until `return_grace` nanoseconds after the promised time.
+    /// can redeem its promise until `return_grace` nanoseconds after the promised time.
     pub fn new(limit: usize, longest: Nanos, return_grace: Nanos, seed: u64, now: Nanos) -> Self {
         Self {
             limit: limit.min(u32::MAX as usize),
--- a/crates/fair-queueing/src/usage.rs
+++ b/crates/fair-queueing/src/usage.rs
@@ -21,8 +21,7 @@
 /// Location of the record that holds a tenant's usage.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum UsageLocation {
-    /// No usage is recorded. This is the default until the usage record of the arrival's tenant has been
-    /// found.
+    /// The usage record of the arrival's tenant has not been determined yet. This is the default value.
     #[default]
     Untracked,
     /// The usage is in the tenant's own account.
@@ -72,7 +71,8 @@
     pub origins: Origins,
     sketch: FinishSketch,
     known_names: KnownNames,
-    /// Learned ratio of used work to usually needed work. One value is shared by all tenants in the sketch.
+    /// Learned ratio that is shared by all tenants in the sketch: the work that their invocations used,
+    /// divided by the work that their operations usually need.
     sketched_ratio: LearnedRatio,
 }
 
@@ -224,8 +224,8 @@
         }
     }
 
-    /// Returns the learned ratio of used work to usually needed work for the tenant's invocations. Returns
-    /// `None` if the tenant has no usage record.
+    /// Returns the learned ratio of a tenant: the work that its invocations used, divided by the work that
+    /// their operations usually need. Returns `None` if the tenant has no usage record.
     pub fn ratio_mut(&mut self, location: UsageLocation) -> Option<&mut LearnedRatio> {
         match location {
             UsageLocation::Account(slot) => self.accounts.get_mut(slot).map(|account| &mut account.ratio),
--- a/crates/fair-queueing/tests/shares.rs
+++ b/crates/fair-queueing/tests/shares.rs
@@ -141,8 +141,8 @@
 }
 
 /// One sender floods the server under invented names, and each name alone sends as little as an honest
-/// tenant. In the first case every invocation has a new name. In the second case the sender reuses 10,000
-/// names.
+/// tenant. The honest tenants must still get nearly all the work that they demand. In the first case every
+/// invocation has a new name. In the second case the sender reuses 10,000 names.
 #[test_case(1_000_000_000; "a new name for each invocation")]
 #[test_case(10_000; "10,000 reused names")]
 fn invented_names_gain_little(names: u64) {
@@ -204,8 +204,9 @@
         step(&mut fair, loud, 4 * MS);
     });
     let at_once = (0..4000).filter(|_| step(&mut fair, quiet, 1000)).count();
-    // After its idle time, the quiet tenant may use its burst at once. The burst is fifteen seconds of its
-    // share. It must not get the share that it left unused in the four idle minutes.
+    // After its idle time, the quiet tenant may use its burst at once, which is fifteen seconds of its share.
+    // `most` is the burst as a number of invocations. The share that the tenant left unused in the four idle
+    // minutes must not be granted later.
     let most = 15.0 * 0.9 / 0.01;
     assert!(at_once > 300 && (at_once as f64) < 1.1 * most, "{at_once} of {most}");
 }
@@ -255,8 +256,8 @@
     );
 }
 
-/// A tenant for which no account is free is recorded in the sketch. An invocation with much work, charged in
-/// the sketch, must keep the tenant over its share.
+/// A tenant for which no account is free is recorded in the sketch. After an invocation with much work, such
+/// a tenant must stay over its share.
 #[test]
 fn a_tenant_without_an_account_is_still_charged() {
     let settings = Settings { accounts: 16, burst: 5 * SECOND, ..Settings::default() };
@@ -305,8 +306,8 @@
     let admission = fair.arrive(now, TenantKey { name: &name(0), origin: 1 }, 1e6, None);
     assert!(!admission.surplus);
     fair.end_service(now, &admission, ServiceOutcome::Ran(20 * SECOND));
-    // Other tenants arrive for 100 s. This is longer than the 10 s of idle time after which an account may be
-    // evicted.
+    // The idle tenant's account must be kept while other tenants arrive for 100 s. This is longer than the 10
+    // s of idle time after which other accounts may be evicted.
     for n in 0..400u64 {
         now += SECOND / 4;
         fair.arrive(now, TenantKey { name: &name(100 + n % 40), origin: 1 }, 1e6, None);
--- a/crates/shared-state/src/outlier_detection/mod.rs
+++ b/crates/shared-state/src/outlier_detection/mod.rs
@@ -20,12 +20,12 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// Number of servers that probe an ejected service, as a multiple of [`Settings::accusers_min`], the number
-/// of servers that must find a service unhealthy. The multiple is greater than 1 because a server that probes
-/// may be lost or slow.
+/// Number of servers that probe an ejected service, as a multiple of [`Settings::accusers_min`]. That setting
+/// is the number of servers that must find a service unhealthy before the service is ejected. The multiple is
+/// greater than 1 because a server that probes may be lost or slow.
 const PROBERS_PER_ACCUSER: usize = 2;
 /// Maximum number of stored reports, as a multiple of the number of services. Each report is from one server
-/// on one service. If the maximum is reached, reports of additional servers are rejected.
+/// on one service. If the maximum is reached, a new report is stored only if it replaces a stored report.
 const REPORTERS_MAX: usize = 1024;
 
 /// Key of a stored report: the index of a service, and the name of the server that reports on the service.
@@ -36,7 +36,7 @@
 struct ReceivedReport {
     incarnation: u64,
     health: ServiceHealth,
-    /// Time at which the report expires, by the fast clock.
+    /// Time at which the report expires, by this server's fast clock ([`Time::fast`]).
     expires_at: Nanos,
 }
 
@@ -47,7 +47,8 @@
     settings: Settings,
     evidence: Evidence,
     reports: BTreeMap<ReportKey, ReceivedReport>,
-    /// Time at which this server last received a report of another server, by the fast clock.
+    /// Time at which this server last received a report of another server, by this server's fast clock
+    /// ([`Time::fast`]). `None` if it has received no report.
     received_at: Option<Nanos>,
     /// Number of received reports that were rejected. Causes are an unknown service, an expired report, an
     /// invalid server name, or the limit on stored reports.
@@ -107,9 +108,9 @@
         self.evidence.health(time.fast, service)
     }
 
-    /// Returns the reports to send to other servers. The first part is this server's own reports on all
-    /// services. A report on a healthy service is sent, too, since it shows that this server is reachable.
-    /// The second part is unexpired reports of other servers, for receivers that those servers cannot reach.
+    /// Returns the reports to send to other servers. This server's own reports on all services are first. A
+    /// report on a healthy service is sent, too, since it shows that this server is reachable. Unexpired
+    /// reports of other servers follow, for receivers that the reporting servers may not reach.
     pub fn reports(&self, time: Time) -> Vec<Report> {
         let own = (0..self.evidence.services()).map(|service| Report {
             by: self.id.clone(),
@@ -171,7 +172,8 @@
     }
 
     /// Returns whether this server counts as isolated. A server is isolated if it has received no report of
-    /// another server for [`Settings::expiry`] or longer.
+    /// another server for [`Settings::expiry`] or longer. An isolated server ejects services on its own
+    /// evidence.
     pub fn is_isolated(&self, time: Time) -> bool {
         self.received_at.is_none_or(|at| time.fast >= at + self.settings.expiry)
     }
--- a/crates/shared-state/tests/model.rs
+++ b/crates/shared-state/tests/model.rs
@@ -37,8 +37,8 @@
     /// delivery, so it can be delivered at any later time, more than once or never.
     sent: BTreeSet<(ServerId, usize, BudgetMessage)>,
     /// Number of times that a server has been killed so far, at most [`LeaseModel::kills`]. The count makes
-    /// states after a restart distinct from earlier states. They are therefore explored even if messages
-    /// delivered before the restart can no longer have an effect.
+    /// states after a restart distinct from earlier states. States after a restart are therefore explored
+    /// even if messages delivered before the restart can no longer have an effect.
     kills: u8,
 }
 
@@ -65,7 +65,7 @@
     ticks: u64,
     /// Limit of the search: maximum number of messages in transit.
     in_transit: usize,
-    /// Limit of the search: maximum number of kills of servers.
+    /// Limit of the search: maximum number of times that servers are killed in total.
     kills: u8,
 }
 
@@ -80,8 +80,9 @@
         let id = ServerId { name: format!("s{i}"), incarnation };
         let mut time = Time::from_agreeing_clocks(clock + 10);
         if incarnation == 0 || self.fault == Fault::NoWait {
-            // At the first start of the fleet, there are no earlier votes or leases. With a start time of 0,
-            // the server's waits for the end of earlier votes and leases are already over.
+            // At the first start of the fleet, there are no earlier votes or leases. The server's waits for
+            // the end of earlier votes and leases begin at the start time. If the start time is 0, these
+            // waits are already over.
             time.slow = 0;
         }
         let mut budget = Budget::new(id, settings, time).expect("valid settings");
