--- a/crates/server/src/calls/pool.rs
+++ b/crates/server/src/calls/pool.rs
@@ -14,10 +14,11 @@
 /// previous reply may still arrive. Without the delay, the duplicate would be taken for the reply to the next
 /// call.
 const REUSE_DELAY: Duration = Duration::from_millis(20);
-/// Delay before the pool tries again to reserve a file descriptor, if none was available.
+/// Delay after a failed attempt to reserve a file descriptor. The pool then tries again.
 pub const DESCRIPTOR_RETRY_AFTER: Duration = Duration::from_millis(2);
 
-/// A connection to a downstream service, and the file descriptor reserved for the connection.
+/// A connection to a downstream service, together with the file descriptor that is reserved for the
+/// connection.
 pub struct PooledConnection {
     /// Socket of the connection.
     pub stream: Async<TcpStream>,
@@ -41,8 +42,8 @@
     /// recently. If no idle connection can be used, opens a new one as soon as a file descriptor is
     /// available.
     ///
-    /// If `needs_new_connection` is true, the connection is always new. In this case an idle connection is
-    /// closed if no file descriptor is available.
+    /// If `needs_new_connection` is true, the connection is always new. If no file descriptor is available
+    /// for the new connection, an idle connection is closed to free a descriptor.
     pub async fn connect(
         &self,
         to: SocketAddr,
--- a/crates/server/src/calls/task.rs
+++ b/crates/server/src/calls/task.rs
@@ -24,8 +24,8 @@
     pub invocation: u64,
     /// Number of the downstream call, unique in this process.
     pub number: u64,
-    /// Reference of the invocation that needs the downstream call. The caller of the invocation chose the
-    /// reference.
+    /// Reference of the invocation that needs the downstream call. A reference is an id that the caller of
+    /// the invocation chose.
     pub reference: u64,
     /// Time at which the controller permitted the downstream call, by the server's clock.
     pub permitted_at: Nanos,
@@ -41,16 +41,18 @@
 }
 
 impl Call {
-    /// Returns the time that is left at `now` until the downstream call times out. Returns `None` if the call
-    /// has already timed out.
+    /// Returns how much time remains from `now` until the downstream call times out. Returns `None` if the
+    /// call has already timed out.
     fn time_left(&self, now: Nanos) -> Option<Nanos> {
         let deadline = self.permitted_at.saturating_add(self.timeout);
         deadline.checked_sub(now).filter(|left| *left > 0)
     }
 
-    /// Returns whether bytes of the downstream call may still be sent: the call has not timed out, and the
-    /// shared state of the fleet still permits it. Checked before each write, because the process may have
-    /// been suspended. In this case the call may have timed out although the timeout is not handled yet.
+    /// Returns whether bytes of the downstream call may still be sent. The call must not have timed out, and
+    /// the shared state of the fleet must still permit the call.
+    ///
+    /// The caller checks this condition before each write, because the process may have been suspended. The
+    /// call may then have timed out although its timeout is not handled yet.
     fn may_be_sent(&self, server: &Server) -> bool {
         let is_in_time = self.time_left(server.clock.now()).is_some();
         is_in_time && server.shared.as_ref().is_none_or(|shared| shared.permit_send(self.number))
@@ -59,7 +61,8 @@
 
 struct ReceivedReply {
     reply: http::Reply,
-    /// True if no further bytes were received after the reply. Otherwise the connection cannot be reused.
+    /// True if no bytes were received after the end of the reply. If more bytes were received, the connection
+    /// cannot be reused.
     has_no_trailing_bytes: bool,
 }
 
--- a/crates/server/src/configuration/candidate.rs
+++ b/crates/server/src/configuration/candidate.rs
@@ -9,18 +9,19 @@
 /// The candidate of a rollout: the settings and the program that the rollout may ask this server to adopt.
 #[derive(Clone, Debug)]
 pub struct Candidate {
-    /// Path of the candidate settings file.
+    /// Path of the file that contains the candidate settings of a rollout.
     pub path: PathBuf,
     /// Path of a file that exists if the server has adopted the candidate settings. The file contains the
     /// hash of the adopted settings.
     pub mark: PathBuf,
-    /// Hash of the server's own options file.
+    /// Hash of the content of the server's own options file.
     pub own_hash: u64,
     /// Hash of the candidate settings, if the server has adopted them; otherwise `None`.
     pub adopted: Option<u64>,
-    /// Path of the candidate program; `None` if the options name no program.
+    /// Path of the candidate program of a rollout; `None` if the options file names no program.
     pub program: Option<PathBuf>,
-    /// Path of the file in which the server names the program that its supervisor starts next.
+    /// Path of a file for the server's supervisor. The server writes the path of the program that the
+    /// supervisor must start next into this file.
     pub program_mark: PathBuf,
 }
 
--- a/crates/server/src/configuration/defaults.rs
+++ b/crates/server/src/configuration/defaults.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Divisor of the memory limit. Idempotency keys and their results may use a quarter of the limit.
+/// Divisor of the server's memory limit. Idempotency keys and their results may use a quarter of that limit.
 const KEYS_DIVISOR: usize = 4;
 /// Default name of the call field that holds the idempotency key.
 const KEY_FIELD: &str = "replay";
@@ -39,7 +39,7 @@
         "options: <tokens>: entries and results use {bytes} bytes, but limits.memory_mb allows {bytes_max}"
     )]
     KeysTooLarge {
-        /// Number of bytes that idempotency keys and their results could use.
+        /// Number of bytes that idempotency keys and their results could use with the configured limits.
         bytes: usize,
         /// Maximum number of bytes that idempotency keys and their results may use.
         bytes_max: usize,
@@ -54,16 +54,19 @@
     deployment.operations.iter().any(|operation| operation.degraded_value_ratio > 0.0)
 }
 
-/// Returns whether all operations have the same priority weight. The server can advertise the minimum rank of
-/// the calls that it wants to receive. With equal weights, this rank tells callers little about which
-/// operations are rejected.
+/// Returns whether all operations have the same priority weight.
+///
+/// A server can advertise the minimum rank of the calls that it wants to receive. If all weights are equal,
+/// this rank tells callers little about which operations are rejected. A server that advertises the rank then
+/// logs a note.
 fn has_one_rank(deployment: &Deployment) -> bool {
     let weights = deployment.operations.iter().map(|operation| operation.priority_weight.to_bits());
     weights.collect::<BTreeSet<_>>().len() < 2
 }
 
 impl Configuration {
-    /// Returns the maximum number of bytes that idempotency keys and their results may use.
+    /// Returns the maximum number of bytes that idempotency keys and their results may use: a quarter of the
+    /// server's memory limit.
     fn key_bytes_max(&self) -> usize {
         (self.memory_mb << 20) as usize / KEYS_DIVISOR
     }
--- a/crates/server/src/configuration/fleet.rs
+++ b/crates/server/src/configuration/fleet.rs
@@ -34,8 +34,8 @@
     /// Settings of the state that the members share; `None` if the options enable no feature that uses shared
     /// state.
     pub shared: Option<SharedSettings>,
-    /// Addresses of the downstream services. The order is that of the service names in the settings of the
-    /// shared state.
+    /// Addresses of the downstream services, in the order in which the settings of the shared state list the
+    /// service names.
     pub tier: Vec<SocketAddr>,
 }
 
@@ -57,7 +57,8 @@
     /// A setting of the shared state is out of range.
     #[error("<{element}>: {error}")]
     SharedState {
-        /// Name of the options-file element that enables the shared state.
+        /// Name of the element of the options file that enables the shared state. The error message begins
+        /// with this name.
         element: &'static str,
         /// The invalid setting.
         error: BoxError,
@@ -122,8 +123,8 @@
     Ok(Some(settings))
 }
 
-/// Returns all budgets that the options require: first the budget of downstream calls, if there is one, then
-/// one budget for each lease that is required.
+/// Returns all budgets that the options require. The first is the budget of downstream calls, if the options
+/// define one. One budget for each required lease follows.
 fn budgets(options: &Options) -> Result<Vec<BudgetSettings>, FleetError> {
     let mut budgets = Vec::new();
     if let Some(calls) = options.shared_state.as_ref().and_then(|shared| shared.budget.as_ref()) {
--- a/crates/server/src/configuration/leases.rs
+++ b/crates/server/src/configuration/leases.rs
@@ -1,5 +1,5 @@
 //! Names of the leases. A lease is a budget of one unit, so at most one process of the fleet holds the lease
-//! at a time. Servers vote on leases, but never request a lease.
+//! at a time. Servers never request a lease, but may vote on the requests of other processes.
 
 /// Name of the lease that the coordinator of a rollout holds.
 pub const ROLLOUTS: &str = "rollouts";
--- a/crates/server/src/configuration/membership_key.rs
+++ b/crates/server/src/configuration/membership_key.rs
@@ -6,10 +6,10 @@
 
 /// Minimum length of the fleet's secret key, in bytes.
 const KEY_MIN_BYTES: usize = 16;
-/// Maximum size of a key file, in bytes.
+/// Maximum size, in bytes, of the file that contains the fleet's secret key.
 const KEY_FILE_MAX_BYTES: usize = 1024;
 
-/// Reason why a key file cannot be used.
+/// Reason why the file that contains the fleet's secret key cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum KeyFileError {
     /// The file cannot be read.
@@ -29,10 +29,10 @@
         /// Permission bits of the file.
         mode: u32,
     },
-    /// The key file is larger than [`KEY_FILE_MAX_BYTES`].
+    /// The file with the fleet's secret key is larger than [`KEY_FILE_MAX_BYTES`].
     #[error("<membership>: key-file: {0} has more than {KEY_FILE_MAX_BYTES} bytes")]
     TooLong(PathBuf),
-    /// The key is shorter than [`KEY_MIN_BYTES`].
+    /// The fleet's secret key is shorter than [`KEY_MIN_BYTES`].
     #[error("<membership>: key-file: the key in {0} has fewer than {KEY_MIN_BYTES} bytes")]
     TooShort(PathBuf),
 }
--- a/crates/server/src/configuration/mod.rs
+++ b/crates/server/src/configuration/mod.rs
@@ -46,7 +46,7 @@
     pub name: String,
     /// Address on which the server accepts connections.
     pub listen: SocketAddr,
-    /// Addresses of the other processes that the server communicates with. A reload may change these
+    /// Addresses of the other processes that this server communicates with. A reload may change these
     /// addresses.
     pub addresses: Cell<Addresses>,
     /// Seed for all random number generators of the server.
@@ -55,17 +55,18 @@
     pub stop_ms: u64,
     /// Memory limit, in MiB.
     pub memory_mb: u64,
-    /// Maximum number of open file descriptors.
+    /// Maximum number of file descriptors that the server process may have open.
     pub sockets: usize,
     /// Settings of the deployment, from the `settings` object of the platform's file.
     pub settings: DeploymentSettings,
-    /// Notes to be logged: which defaults were filled in, and which settings have no effect.
+    /// Notes that the server writes to its log at the start. They state which defaults were filled in and
+    /// which settings have no effect.
     pub notes: Vec<String>,
     /// Contents of the options file; default values if there is no options file.
     pub options: RefCell<Arc<Options>>,
     /// Path of the options file; `None` if there is no options file.
     pub options_path: Option<PathBuf>,
-    /// Target utilization of the cores, from 0 to 1. A reload may change the target.
+    /// Target utilization of the CPU cores, from 0 to 1. A reload may change the target.
     pub target_utilization: Cell<f64>,
     /// Candidate settings and program of a rollout; `None` if the options file has no `<rollout>` element.
     pub candidate: RefCell<Option<Candidate>>,
@@ -77,13 +78,15 @@
 }
 
 impl Configuration {
-    /// Returns the longest of the operations' client timeouts.
+    /// Returns the longest client timeout of all operations. A client timeout is the time for which a caller
+    /// waits for an answer.
     pub fn longest_client_timeout(&self) -> Nanos {
         let operations = &self.settings.deployment.operations;
         operations.iter().map(|operation| operation.client_timeout).max().unwrap_or(0)
     }
 
-    /// Returns the shortest of the operations' client timeouts.
+    /// Returns the shortest client timeout of all operations. A client timeout is the time for which a caller
+    /// waits for an answer.
     pub fn shortest_client_timeout(&self) -> Nanos {
         let operations = &self.settings.deployment.operations;
         operations.iter().map(|operation| operation.client_timeout).min().unwrap_or(0)
--- a/crates/server/src/configuration/persisted_revision.rs
+++ b/crates/server/src/configuration/persisted_revision.rs
@@ -11,7 +11,8 @@
     /// The file with the last good revision exists but cannot be read.
     #[error(transparent)]
     Read(#[from] std::io::Error),
-    /// The content of the file is not a valid revision of replicated configuration.
+    /// The content of the file with the last good revision is not a valid revision of replicated
+    /// configuration.
     #[error("{path}: {error}")]
     Decode {
         /// Path of the file.
--- a/crates/server/src/configuration/platform_file.rs
+++ b/crates/server/src/configuration/platform_file.rs
@@ -21,10 +21,10 @@
     /// A value is not a string.
     #[error("{0} is not a string")]
     NotString(&'static str),
-    /// A value is not a non-negative integer.
+    /// A value in the platform's file must be an integer that is at least 0, but it is not.
     #[error("{0} is not a non-negative integer")]
     NotInteger(&'static str),
-    /// A value is not an IP address with a port.
+    /// A value in the platform's file must be an IP address with a port, but it is not.
     #[error("{path}: {value:?} is not an address with a port")]
     NotAddress {
         /// Path of the value in the file.
@@ -35,7 +35,7 @@
     /// The server's name is empty or contains white space.
     #[error("name: {0:?} is empty or contains white space")]
     InvalidName(String),
-    /// The seed is not a hexadecimal number.
+    /// The seed for the random number generators is not a hexadecimal number.
     #[error("seed: {0:?} is not hexadecimal")]
     InvalidSeed(String),
     /// The deployment's settings are invalid.
--- a/crates/server/src/connection/accept.rs
+++ b/crates/server/src/connection/accept.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// Delay before the server tries again to accept a connection. Used if accepting failed or no file descriptor
-/// is available.
+/// Delay before the server tries again to accept a connection, after an attempt failed or no file descriptor
+/// was available.
 const RETRY_AFTER: Duration = Duration::from_millis(10);
 
 /// Result of the attempt to accept all connections that wait in the kernel's queue.
@@ -27,8 +27,8 @@
 
 /// Accepts connections until the drain is over or the process is about to stop, then closes the listener.
 ///
-/// During the drain, the server still accepts connections, because callers learn late that the server leaves.
-/// Any answer costs a caller less than a refused connection.
+/// During the drain, the server still accepts connections, because some callers learn late that the server is
+/// draining. Any answer costs a caller less than a refused connection.
 pub async fn accept(server: Rc<Server>, listener: Async<TcpListener>) {
     let mut exhausted = false;
     loop {
@@ -57,8 +57,8 @@
     }
 }
 
-/// Waits for the next connection and accepts it. Returns `None` if the state of the drain must be checked
-/// again before a connection arrives.
+/// Waits for the next connection and accepts it. Returns `None` if the wait ends without a connection. The
+/// caller must then check the state of the drain.
 async fn next_stream(
     server: &Server,
     listener: &Async<TcpListener>,
@@ -88,9 +88,9 @@
     Backlog::Waiting
 }
 
-/// Makes a file descriptor available for a new connection by closing an idle connection of a balancer. If no
-/// connection may be closed yet, closes all idle downstream connections and waits. Meanwhile new connections
-/// stay in the kernel's queue.
+/// Frees a file descriptor for a new connection by closing an idle connection of a balancer. If no balancer's
+/// connection may be closed yet, closes all idle connections to downstream services and waits. Meanwhile new
+/// connections stay in the kernel's queue.
 async fn free_descriptor(server: &Server, exhausted: &mut bool) {
     if server.connections.close_one_idle(server.clock.now()) {
         return future::yield_now().await;
--- a/crates/server/src/connection/request.rs
+++ b/crates/server/src/connection/request.rs
@@ -18,7 +18,7 @@
 /// Name of the call field that marks a call as a retry. Any value except 0 marks the call as a retry.
 const RETRY_FIELD: &str = "dup";
 
-/// Reason why a call is invalid. The server answers an invalid call with a failure.
+/// Reason why a call from a balancer is invalid. The server answers an invalid call with a failure.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum RequestError {
     /// The deployment's settings do not contain the operation that the call names.
@@ -112,7 +112,8 @@
     }
 
     /// Returns how long the caller waits for the answer, counted from the arrival of the call. Returns `None`
-    /// if the call states no timeout, or if the deployment's settings say that calls state no timeouts.
+    /// if the call states no timeout. Also returns `None` if calls state no timeouts under the deployment's
+    /// settings.
     fn client_timeout(&self, call: &rpc::Call) -> Result<Option<Nanos>, RequestError> {
         if !self.configuration.settings.passes_deadline {
             return Ok(None);
@@ -137,9 +138,11 @@
         Ok(Some(key.into()))
     }
 
-    /// Returns the sender of a call: the tenant, the network origin, and the ticket for a promise of
-    /// admission, if the call has a ticket. The options configure where the tenant is read from. The tenant's
-    /// name is empty if the call contains none. Returns `None` if the options do not configure tenants.
+    /// Returns the sender of a call: the tenant and the network origin. The sender also includes a ticket for
+    /// a promise of admission, if the call carries one.
+    ///
+    /// The options configure where the tenant is read from. The tenant's name is empty if the call contains
+    /// none. Returns `None` if the options do not configure tenants.
     fn sender(&self, call: &rpc::Call) -> Option<Sender> {
         let options = self.configuration.options.borrow();
         let tenants = options.tenants.as_ref()?;
--- a/crates/server/src/connection/state.rs
+++ b/crates/server/src/connection/state.rs
@@ -312,7 +312,8 @@
         self.outgoing.front()
     }
 
-    /// Removes the first `count` bytes that [`Self::poll_transmit`] returned, because they were sent.
+    /// Removes the first `count` bytes from the buffer for outgoing messages. Called after the connection's
+    /// task has sent these bytes.
     pub fn handle_transmitted(&mut self, now: Nanos, count: usize) {
         self.outgoing.drop_front(count);
         self.connection.last_used.set(now);
--- a/crates/server/src/connection/state/tests.rs
+++ b/crates/server/src/connection/state/tests.rs
@@ -47,8 +47,8 @@
 }
 
 impl TestConnection {
-    /// Returns the next event of the connection. Only the operation `checkout` is known; a call of another
-    /// operation is invalid.
+    /// Returns the next event parsed from the bytes that the connection received. The test accepts calls of
+    /// the operation `checkout` only; a call of another operation is invalid.
     fn poll(&mut self, now: Nanos) -> Option<ReceivedEvent> {
         let connection = self.connection.clone();
         self.state.poll_event(now, |call| match call.operation {
--- a/crates/server/src/connection/table.rs
+++ b/crates/server/src/connection/table.rs
@@ -40,7 +40,8 @@
     notifications: Sender<Notification>,
     /// Number of calls on the connection that are not yet answered.
     pub open_calls: Cell<usize>,
-    /// Time of the connection's last activity: when bytes were last received, queued for sending, or sent.
+    /// Time of the last activity on the connection. Activity means that bytes were received, queued for
+    /// sending, or sent.
     pub last_used: Cell<Nanos>,
     has_received: Cell<bool>,
     /// True once a request to send no more calls on the connection is sent to the peer or queued for sending.
@@ -88,7 +89,8 @@
         self.open_calls.get() == 0 && self.last_used.get() <= since
     }
 
-    /// Returns whether the connection has been idle long enough to be closed in favor of a new connection.
+    /// Returns whether the connection has been idle long enough to be closed, so that a new connection can
+    /// use its file descriptor.
     fn may_be_closed(&self, now: Nanos) -> bool {
         let keep_for = if self.has_received.get() { IDLE_TIMEOUT_NS } else { UNUSED_TIMEOUT_NS };
         !self.closes_if_idle.get() && self.open_calls.get() == 0 && self.last_used.get() + keep_for <= now
@@ -100,7 +102,7 @@
 pub struct HealthStatus {
     /// Answer to health checks. True if the server is healthy and callers may send calls to it.
     pub healthy: Cell<bool>,
-    /// Load that each answer advertises; `None` until the controller sets a load.
+    /// Load of the server, as each answer advertises it; `None` until the controller sets a load.
     pub advertised_load: Cell<Option<f64>>,
 }
 
--- a/crates/server/src/connection/task.rs
+++ b/crates/server/src/connection/task.rs
@@ -99,8 +99,8 @@
 }
 
 impl ConnectionTask {
-    /// Serves the connection until it can be closed without losing calls or answers. Returns an error if the
-    /// connection broke.
+    /// Serves a balancer's connection until the connection can be closed without losing calls or answers.
+    /// Returns an error if the connection broke.
     async fn run(&mut self) -> Result<()> {
         loop {
             while let Ok(notification) = self.notifications.try_recv() {
@@ -157,7 +157,7 @@
     }
 
     /// Handles the bytes that have already arrived, and then returns whether the connection has timed out.
-    /// Returns an error if the peer does not read the bytes sent to it.
+    /// Returns an error if the peer does not read the bytes that the server sends.
     async fn has_expired(&mut self) -> Result<bool> {
         if !self.state.poll_transmit().is_empty() {
             return Err(ErrorKind::TimedOut.into());
--- a/crates/server/src/event.rs
+++ b/crates/server/src/event.rs
@@ -60,8 +60,8 @@
         cold: bool,
         /// Time since the interpreter process started.
         age: Nanos,
-        /// True if the interpreter was restarted since the previous link. A restarted interpreter numbers its
-        /// notices from 1 again.
+        /// True if the interpreter was restarted since the previous link. A restarted interpreter numbers the
+        /// notices that it sends from 1 again.
         restarted: bool,
         /// Queue of the commands that are to be sent over the link.
         commands: Sender<Vec<u8>>,
@@ -86,14 +86,14 @@
     /// Downstream calls are permitted again. Earlier, the fleet's call budget or the health of the services
     /// did not permit them. The controller can now make the calls that it has delayed.
     DownstreamCapacity,
-    /// Request to log which tenants have the highest demand.
+    /// Request to write the tenants with the highest demand to the server's log.
     LogTenants,
     /// Request to apply one step of a change to the weights and shares of tenants.
     ReconfigureFairQueueing(Box<SettingsChange>),
     /// Request to send a signal over the given channel. The signal means that the event loop has handled all
     /// events that were queued before this request.
     Barrier(Sender<()>),
-    /// Request to set the target utilization of the CPU cores, from 0 to 1.
+    /// Request to change the target utilization of the CPU cores to this value, from 0 to 1.
     SetTargetUtilization(f64),
     /// Request to drain the server and stop it.
     Shutdown,
--- a/crates/server/src/event_loop/actions.rs
+++ b/crates/server/src/event_loop/actions.rs
@@ -15,8 +15,8 @@
 use std::rc::Rc;
 use tracing::warn;
 
-/// Maximum time to wait for the gauges of the interpreter, in nanoseconds. After this time the control period
-/// continues without the gauges.
+/// Maximum time, in nanoseconds, that a control period waits for the interpreter's gauge readings. After this
+/// time the control period continues without the readings.
 const GAUGES_TIMEOUT_NS: Nanos = 250_000_000;
 
 /// A promise to admit a caller's next attempt. The rejection of the present attempt carries the ticket of the
@@ -47,7 +47,8 @@
     pub idempotency: IdempotencyTable,
     /// The session with the interpreter. Commands to the interpreter are sent through this session.
     pub session: InterpreterSession,
-    /// Timers that the controller has set, and the timeouts of gauge requests that are not yet answered.
+    /// Timers that the controller has set, and timeouts of gauge requests that the interpreter has not
+    /// answered yet.
     pub timers: TimerQueue,
     /// Promise of admission that the next rejection carries; `None` if the controller has made no promise.
     pub promised: Option<PromisedAdmission>,
@@ -213,7 +214,7 @@
     }
 
     /// Removes the idempotency key of an invocation from the table. The next call with this key then runs the
-    /// operation again. Repeated calls that wait for the removed invocation fail.
+    /// operation again. Repeated calls that wait for the outcome of this invocation fail.
     pub fn forget(&mut self, id: u64) {
         for repeat in self.idempotency.forget(id) {
             self.answer_repeat(repeat, None);
@@ -223,8 +224,8 @@
     /// Removes the idempotency key of an invocation that never ran. Otherwise a call forged by a peer could
     /// block the key for the genuine call.
     ///
-    /// The key stays if a command for the run was sent again over a new link to the interpreter. In this case
-    /// the command that was sent first may have started the run.
+    /// The key stays if a command for the run was sent again over a new link to the interpreter. The earlier
+    /// copy of the command may have started the run.
     pub fn forget_unless_resent(&mut self, id: u64) {
         if self.invocations.get(id).is_some_and(|invocation| !invocation.was_resent) {
             self.forget(id);
--- a/crates/server/src/event_loop/arrivals.rs
+++ b/crates/server/src/event_loop/arrivals.rs
@@ -77,8 +77,8 @@
         KeyWithBodyHash { key, body_hash: hasher.finish() }
     }
 
-    /// Counts the result of looking up an idempotency key. Returns the id of the original invocation if the
-    /// request repeats an invocation.
+    /// Counts the result `lookup` of looking up the idempotency key of a request. If the request repeats an
+    /// earlier invocation, returns the id of that invocation.
     fn count_lookup(&self, lookup: Option<Lookup>) -> Option<u64> {
         let counters = &self.server.counters;
         match lookup? {
--- a/crates/server/src/event_loop/interpreter_session.rs
+++ b/crates/server/src/event_loop/interpreter_session.rs
@@ -62,8 +62,8 @@
         self.send(interpreter::request_gauges(nonce));
     }
 
-    /// Requests the gauges of the interpreter, which the controller needs to handle its expired timer with
-    /// the number `timer`. Returns the nonce that identifies the request.
+    /// Requests the gauges of the interpreter. The controller needs them to handle its expired timer with the
+    /// number `timer`. Returns the nonce that identifies the request.
     pub fn request_gauges(&mut self, timer: u32) -> u64 {
         let nonce = self.next_nonce();
         self.gauges_request = Some(GaugesRequest { nonce, timer });
@@ -71,8 +71,8 @@
         nonce
     }
 
-    /// Handles a response with this nonce. Returns true if the response belongs to the gauge request sent at
-    /// the start of the link; the replay of missed notices is then complete.
+    /// Handles the interpreter's response to the gauge request with the nonce `nonce`. Returns true if this
+    /// request was sent at the start of the link. The interpreter has then replayed all missed notices.
     pub fn end_replay(&mut self, nonce: u64) -> bool {
         self.replay_fence.take_if(|fence| *fence == nonce).is_some()
     }
--- a/crates/server/src/event_loop/mod.rs
+++ b/crates/server/src/event_loop/mod.rs
@@ -166,7 +166,7 @@
     }
 
     /// Applies one part of a change to the weights and shares of tenants. Records for how long this work
-    /// blocked the thread.
+    /// blocked the serving thread.
     fn reconfigure_fair_queueing(&mut self, change: Box<SettingsChange>) {
         let stopwatch = Stopwatch::start();
         self.with_controller(|controller, now, _| controller.reconfigure_fair_queueing(now, &change));
--- a/crates/server/src/fleet/control_machine.rs
+++ b/crates/server/src/fleet/control_machine.rs
@@ -20,12 +20,13 @@
 use std::path::{Path, PathBuf};
 use tracing::{info, warn};
 
-/// Delay, in nanoseconds, before a failed write of the log is retried. During this time, the control machine
-/// does not request the publishing lease.
+/// Delay, in nanoseconds, after which a control machine retries a failed write of its copy of the replicated
+/// configuration to disk. During this time, the control machine does not request the publishing lease.
 const WRITE_RETRY_AFTER_NS: u64 = 1_000_000_000;
 /// Maximum time, in nanoseconds, between two checks of whether this process holds the publishing lease.
 const STEP_MAX_NS: u64 = 100_000_000;
-/// Interval, in nanoseconds, at which the status is logged if it does not change.
+/// Maximum time, in nanoseconds, between two log lines about the status of the control machine. A changed
+/// status is logged at once.
 const LOG_EVERY_NS: u64 = 10_000_000_000;
 
 /// Settings that a control machine and the `publish` command read from an options file.
@@ -84,7 +85,8 @@
 struct Control {
     member: Member,
     file: PathBuf,
-    /// Time before which the log is not written again, in Unix nanoseconds. Set after a failed write.
+    /// Time, in Unix nanoseconds, before which the control machine does not write its copy of the replicated
+    /// configuration to disk again. Set after a failed write.
     write_after: u64,
     logged: ControlStatus,
     logged_at: u64,
@@ -135,8 +137,9 @@
 
 async fn control(ControlSettings { fleet, replication, file }: ControlSettings) -> Result<()> {
     let mut signals = Signals::new([Signal::Term, Signal::Int])?;
-    // The start fails if the stored log cannot be read. An empty log must not replace the stored log, because
-    // other members may rely on entries that this replica has acknowledged.
+    // The start fails if the stored copy of the replicated configuration cannot be read. An empty copy must
+    // not replace the stored copy, because other members may rely on entries that this control machine has
+    // acknowledged.
     let disk = persisted_revision::read(&file).context("<replication>: file")?;
     let mut fleet_member = NonServingMember::join(&fleet)?;
     let (incarnation, name) = (fleet_member.incarnation, fleet.name.clone());
--- a/crates/server/src/fleet/coordinator.rs
+++ b/crates/server/src/fleet/coordinator.rs
@@ -150,8 +150,8 @@
     arguments: &'a RolloutArguments,
     fleet_member: NonServingMember,
     coordinator: Coordinator,
-    /// Time between two rounds, in nanoseconds. In each round the coordinator sends orders, to which the
-    /// servers reply with reports.
+    /// Time between two rounds of orders, in nanoseconds. In each round the coordinator sends orders, to
+    /// which the servers reply with reports.
     interval: u64,
     /// Time of the next round of orders, in Unix nanoseconds.
     next_interval: u64,
@@ -228,7 +228,8 @@
         }
     }
 
-    /// Executes actions in the given order. The state must be saved before orders that depend on it are sent.
+    /// Executes the coordinator's actions in the given order. The state must be saved before orders that
+    /// depend on the state are sent.
     ///
     /// If the state cannot be written, the coordinator exits. Each server then keeps its current version
     /// until the coordinator is started again.
--- a/crates/server/src/fleet/interval_report.rs
+++ b/crates/server/src/fleet/interval_report.rs
@@ -34,14 +34,15 @@
 #[error("cannot create a latency histogram: {0}")]
 pub struct HistogramError(hdrhistogram::errors::CreationError);
 
-/// Records answers for reports to a rollout's coordinator, in one class per operation. If the settings define
-/// more operations than a report can hold, only the first operations are recorded.
+/// Records the answers to calls, separately for each operation, for reports to a rollout's coordinator. If
+/// the settings define more operations than a report can hold, only the first operations are recorded.
 pub struct AnswerRecorder {
     classes: RefCell<Vec<Class>>,
 }
 
 impl AnswerRecorder {
-    /// Creates a recorder without answers, with one class for each operation in `operations`.
+    /// Creates a recorder without answers. The recorder counts the answers of each operation in `operations`
+    /// separately.
     pub fn new(operations: &[String]) -> Result<AnswerRecorder, HistogramError> {
         let class = |name: &String| {
             let latency = Histogram::new_with_bounds(1, LATENCY_MAX_US, 2).map_err(HistogramError)?;
--- a/crates/server/src/fleet/publish.rs
+++ b/crates/server/src/fleet/publish.rs
@@ -16,7 +16,8 @@
 
 /// Prefix of the member name under which the `publish` command joins the fleet.
 const NAME_PREFIX: &str = "publish-";
-/// Time to wait for an answer, in nanoseconds. After this time a request is sent again.
+/// Time, in nanoseconds, to wait for the publisher's answer. After this time the `publish` command sends its
+/// request again.
 const REPEAT_AFTER_NS: u64 = 300_000_000;
 
 /// Action that the operator requests on the command line.
@@ -83,10 +84,11 @@
 struct PublishSession {
     fleet_member: NonServingMember,
     replicas: Vec<String>,
-    /// Index of the replica that is assumed to be the publisher and therefore receives the requests. The
-    /// index may exceed the number of replicas, and is taken modulo this number.
+    /// Index of the replica to which the `publish` command sends its requests, because this replica is
+    /// assumed to be the publisher. The index may exceed the number of replicas, and is taken modulo this
+    /// number.
     publisher: usize,
-    /// Time at which the command gives up, in Unix nanoseconds.
+    /// Time at which the `publish` command stops waiting and fails, in Unix nanoseconds.
     deadline: u64,
 }
 
--- a/crates/server/src/fleet/replication.rs
+++ b/crates/server/src/fleet/replication.rs
@@ -21,7 +21,8 @@
 
 /// Interval, in nanoseconds, between two checks of whether a revision has been applied or rejected.
 const OUTCOME_POLL_INTERVAL_NS: Nanos = 10_000_000;
-/// Interval, in nanoseconds, at which the status is logged if it does not change.
+/// Maximum time, in nanoseconds, between two log lines about the status of replicated configuration. A
+/// changed status is logged at once.
 const LOG_EVERY_NS: Nanos = 10_000_000_000;
 
 /// Outcome of applying a revision of the replicated configuration.
@@ -143,7 +144,8 @@
         self.log(now);
     }
 
-    /// Returns the time at which [`Replication::advance`] must be called next, in Unix nanoseconds.
+    /// Returns the time at which [`Replication::advance`] must be called next if no message arrives, in Unix
+    /// nanoseconds.
     pub fn due(&self, now: Nanos) -> Nanos {
         let outcome = if self.is_checking { now + OUTCOME_POLL_INTERVAL_NS } else { Nanos::MAX };
         self.member.next_due().min(outcome)
--- a/crates/server/src/fleet/rollout.rs
+++ b/crates/server/src/fleet/rollout.rs
@@ -18,7 +18,7 @@
 use std::rc::Rc;
 use tracing::{info, warn};
 
-/// Maximum length, in characters, of the reason for a refusal in a report.
+/// Maximum length, in characters, of the reason that a report states for refusing a rollout's order.
 const REASON_MAX: usize = 200;
 
 /// Reason why an order of a rollout is refused. The server keeps the settings and the program that it had
--- a/crates/server/src/fleet/rollout_state.rs
+++ b/crates/server/src/fleet/rollout_state.rs
@@ -8,7 +8,7 @@
 use meadowstream_shared_state::ServerId;
 use std::cell::{Cell, RefCell};
 
-/// Maximum number of servers in the table of versions.
+/// Maximum number of servers whose program version and settings hash this server stores.
 const SERVER_VERSIONS_MAX: usize = 4096;
 
 /// Reason why the server cannot take part in rollouts.
@@ -47,7 +47,8 @@
 
 /// Rollout state of this server.
 pub struct Rollout {
-    /// Recorder of the answers sent since the last report to the coordinator.
+    /// Recorder of the answers that this server has sent to callers, for the next report to the rollout's
+    /// coordinator.
     pub recorder: AnswerRecorder,
     /// Files of the candidate settings and the candidate program, which a rollout may ask this server to
     /// adopt.
@@ -66,12 +67,13 @@
     pub last_order: RefCell<LastOrder>,
     /// Hash of the candidate settings that the server runs; `None` if the server runs its own settings.
     pub adopted: Cell<Option<u64>>,
-    /// Reason why the last change was refused; `None` if it was not refused.
+    /// Reason why this server refused the last change that a rollout's order requested; `None` if no change
+    /// was refused.
     pub refused: RefCell<Option<String>>,
-    /// True while a change of the settings or of the program is in progress.
+    /// True while this server changes its settings or its program because of a rollout's order.
     pub is_changing: Cell<bool>,
-    /// Number of intervals reported since the start of the server. Each accepted order ends an interval, and
-    /// the report contains the interval's number.
+    /// Number of intervals that this server has reported to coordinators since its start. Each accepted order
+    /// ends an interval, and the report contains the interval's number.
     pub intervals: Cell<u64>,
 }
 
@@ -110,14 +112,16 @@
         })
     }
 
-    /// Returns whether the server has already accepted this order or a later one.
+    /// Returns whether the server has already accepted this order or a later order. In this case the server
+    /// ignores the order.
     pub fn is_stale(&self, order: &Order) -> bool {
         let last = self.last_order.borrow();
         (order.incarnation, order.sequence) <= (last.incarnation, last.sequence)
     }
 
-    /// Returns the name of the plan in progress if the order belongs to a different plan. This can happen if
-    /// a second coordinator wrongly believes that it holds the rollout lease.
+    /// Returns the name of the plan in progress if the order belongs to a different plan; otherwise `None`.
+    /// The server refuses an order of a different plan. A second coordinator may send such an order if it
+    /// wrongly believes that it holds the rollout lease.
     pub fn plan_under_way(&self, order: &Order, now: u64) -> Option<String> {
         let last = self.last_order.borrow();
         let under_way = self.adopted.get().is_some() && now < last.at + self.lease;
--- a/crates/server/src/fleet/shared_state.rs
+++ b/crates/server/src/fleet/shared_state.rs
@@ -41,8 +41,8 @@
     /// The downstream services and their health; `None` if all downstream calls use the address in the
     /// configuration.
     tier: Option<Tier>,
-    /// True if a downstream call was refused. The controller must then be notified when calls are permitted
-    /// again.
+    /// True if a downstream call was refused. Once downstream calls are permitted again, the controller must
+    /// be notified.
     has_refused: bool,
     /// Values of this server's counters that are already included in the fleet's counts. The order is that of
     /// [`COUNTER_KEYS`].
@@ -55,21 +55,22 @@
 /// Status of the call budget and names of the ejected downstream services, for the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SharedStatus {
-    /// Number of budget units that this server may use without a lease.
+    /// Number of units of the fleet's call budget that this server may use without a lease.
     pub floor: u64,
-    /// Number of budget units that this server has leased in addition to the floor.
+    /// Number of units of the fleet's call budget that this server has leased in addition to the floor.
     pub leased: u64,
-    /// Number of budget units that downstream calls of this server use now.
+    /// Number of units of the fleet's call budget that downstream calls of this server use now.
     pub in_use: u64,
-    /// True if this server is the grantor, which leases budget units to the servers.
+    /// True if this server is the grantor, which leases units of the fleet's call budget to the servers.
     pub is_grantor: bool,
-    /// Number of budget units that this server, as the grantor, has leased out.
+    /// Number of units of the fleet's call budget that this server, as the grantor, has leased out.
     pub outstanding: u64,
     /// Names of the ejected services.
     pub ejected: Vec<String>,
 }
 
-/// The downstream service to which a call is routed. Replaces the address in the configuration.
+/// The downstream service to which a call is routed. The call is sent to this service and not to the address
+/// in the configuration.
 pub struct Destination {
     /// Index of the downstream service in the settings.
     pub service: usize,
@@ -85,10 +86,10 @@
     pub destination: Option<Destination>,
 }
 
-/// Result of [`LocalSharedState::advance`]: the messages to send, and whether downstream calls are permitted
-/// again.
+/// Result of [`LocalSharedState::advance`]: messages for other members, and whether downstream calls are
+/// permitted again.
 pub struct Advanced {
-    /// Messages to send. Each message is preceded by the name of the member that receives it.
+    /// Messages to other members. Each message is a pair: the name of the receiving member, and the body.
     pub outgoing: Vec<(String, Vec<u8>)>,
     /// True if downstream calls were refused before and are permitted again now.
     pub has_capacity: bool,
@@ -147,8 +148,8 @@
         is_permitted
     }
 
-    /// Starts the downstream call with this number, and chooses its service. The timeout of the call is
-    /// `timeout` nanoseconds, or less if the call budget limits it.
+    /// Starts the downstream call with this number, and chooses the service that receives the call. The
+    /// timeout of the call is `timeout` nanoseconds, or less if the call budget limits the timeout.
     pub fn start_call(&self, number: u64, timeout: u64, preference: CallPreference) -> StartedCall {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
@@ -229,8 +230,8 @@
         }
     }
 
-    /// Returns the messages that were received on topics other than the shared state, each as its sender,
-    /// topic and body.
+    /// Returns the messages from other members on topics other than the shared state. Each message consists
+    /// of its sender, its topic and its body.
     pub fn take_received(&self) -> Vec<(ServerId, u16, Vec<u8>)> {
         let received = self.inner.borrow_mut().state.take_received();
         received.into_iter().map(|other| (other.from, other.topic, other.body)).collect()
@@ -291,9 +292,10 @@
         tier.map_or_else(TierStatus::default, |(tier, detector)| tier.status(time, detector))
     }
 
-    /// Returns two JSON texts for the log. The first contains the totals of the fleet's counts. The second
-    /// contains figures about the protocol: messages, the call budget, rejected rows of counters,
-    /// disagreements between clocks, and dropped counts.
+    /// Returns two JSON texts for the log. The first contains the totals of the fleet's counts.
+    ///
+    /// The second contains figures about the protocol: messages, the call budget, rejected rows of counters,
+    /// disagreements between clocks, and amounts that could not be counted.
     pub fn totals(&self) -> (String, String) {
         let inner = self.inner.borrow();
         let totals = serde_json::to_string(&inner.state.counters.totals()).unwrap_or_default();
--- a/crates/server/src/fleet/sharing.rs
+++ b/crates/server/src/fleet/sharing.rs
@@ -15,19 +15,19 @@
 use std::rc::Rc;
 use tracing::info;
 
-/// Interval, in nanoseconds, between two announcements of versions. Each announcement contains this server's
-/// version and known versions of other servers, and is sent to one member.
+/// Interval, in nanoseconds, between two announcements of versions. In each announcement this server sends
+/// its own version and the known versions of other servers to one member.
 const ANNOUNCE_EVERY_NS: Nanos = 200_000_000;
 /// Maximum time between two log lines about the shared state, in nanoseconds.
 const LOG_EVERY_NS: Nanos = 500_000_000;
 
-/// State that is kept between two calls of [`Sharing::advance`].
+/// State of the exchange with other members that is kept between two calls of [`Sharing::advance`].
 #[derive(Default)]
 pub struct Sharing {
     /// Client of replicated configuration; `None` if the options do not enable replicated configuration.
     replication: Option<Replication>,
     directory: Directory,
-    /// Time at which [`Sharing::advance`] has work to do even if no message arrives, in Unix nanoseconds.
+    /// Time at which [`Sharing::advance`] must be called next if no message arrives, in Unix nanoseconds.
     pub due: Nanos,
     logged: SharedStatus,
     logged_at: Nanos,
@@ -35,7 +35,7 @@
 }
 
 impl Sharing {
-    /// Creates the initial state for [`Sharing::advance`] when the membership task starts.
+    /// Creates the state of the exchange with other members when the membership task starts.
     pub fn new(replication: Option<Replication>) -> Self {
         Self { replication, ..Self::default() }
     }
@@ -136,8 +136,8 @@
         }
     }
 
-    /// Logs the shared state if the leases or the ejected services have changed. Otherwise logs it at regular
-    /// intervals.
+    /// Writes the state that the fleet shares to the log. The state is logged if the leases or the ejected
+    /// services have changed, and otherwise at regular intervals.
     fn log(&mut self, shared: &LocalSharedState, now: Nanos) {
         let status = shared.status();
         let compared = |s: &SharedStatus| (s.floor, s.leased, s.is_grantor, s.ejected.clone());
--- a/crates/server/src/fleet/tier.rs
+++ b/crates/server/src/fleet/tier.rs
@@ -31,7 +31,7 @@
     router: Router,
     /// Calls in flight. The key is the number of the call.
     in_flight: HashMap<u64, InFlight>,
-    /// Indexes of the ejected services, as of the last call of [`Tier::update_health`].
+    /// Indexes of the downstream services that are ejected, as of the last call of [`Tier::update_health`].
     pub ejected: Vec<usize>,
 }
 
@@ -59,7 +59,8 @@
 /// not describe a tier of services.
 #[derive(Default)]
 pub struct TierStatus {
-    /// JSON list of three numbers: calls, health checks, and calls for which no service was available.
+    /// JSON list of three counts: ordinary calls, calls that served as health checks, and calls for which no
+    /// service was available.
     pub routed: String,
     /// The status of each service.
     pub services: String,
@@ -106,7 +107,8 @@
         (service, self.addresses[service])
     }
 
-    /// Ends a call, and records whether the call is evidence for or against the health of its service.
+    /// Ends a downstream call, and records whether the call is evidence for or against the health of its
+    /// service.
     pub fn end_call(
         &mut self,
         now: u64,
--- a/crates/server/src/fleet/view_log.rs
+++ b/crates/server/src/fleet/view_log.rs
@@ -7,7 +7,8 @@
 use std::net::SocketAddr;
 use tracing::info;
 
-/// Properties of a member. The view is logged again if one of these properties changes.
+/// Properties of a member in a view of the fleet. The view is logged again if one of these properties
+/// changes.
 #[derive(PartialEq, Eq)]
 struct MemberLine {
     address: SocketAddr,
@@ -24,11 +25,11 @@
 }
 
 impl ViewLog {
-    /// Logs the view if the view or the number of dropped datagrams has changed. Otherwise logs the view once
-    /// per announce period.
+    /// Logs the view of the fleet if the view or the number of dropped datagrams has changed. Otherwise logs
+    /// the view once per `announce_period`.
     ///
-    /// A log line is lost if the log's pipe is full at that moment. The line that is logged in the next
-    /// announce period then gives the reader of the log an up-to-date view.
+    /// A log line is lost if the log's pipe is full at that moment. The next line, which is logged one
+    /// announce period later, then gives the reader of the log an up-to-date view.
     pub fn update(
         &mut self,
         server: &Server,
@@ -70,8 +71,8 @@
     }
 }
 
-/// Returns the known program versions and settings hashes of this server and of all servers in the view, as a
-/// JSON object whose keys are the names of the servers. Returns an empty string if the options have no
+/// Returns the known program versions and settings hashes as a JSON object whose keys are server names. The
+/// object covers this server and all servers in the view. Returns an empty string if the options have no
 /// `<rollout>` element.
 fn versions(server: &Server, view: &[MemberStatus]) -> String {
     let Some(rollout) = &server.rollout else { return String::new() };
--- a/crates/server/src/interpreter/incarnation.rs
+++ b/crates/server/src/interpreter/incarnation.rs
@@ -13,7 +13,8 @@
 /// The computed times are inexact, because banners state the interpreter's age in whole milliseconds and
 /// clocks may drift apart.
 const START_TOLERANCE_NS: Nanos = 1_000_000_000;
-/// Maximum number of times that the time limit for one step of connecting is doubled after timeouts.
+/// Maximum number of times that a timeout doubles the time limit for one step of connecting to the
+/// interpreter.
 const DOUBLINGS_MAX: u32 = 8;
 
 /// The interpreter's current incarnation, and how attempts to connect to the interpreter have ended.
@@ -24,21 +25,22 @@
     /// Upper bound on the time at which the interpreter started, computed from its banners; `None` before the
     /// first banner.
     started: Option<Nanos>,
-    /// Number of attempts to connect that have timed out since a link was last established.
+    /// Number of attempts to connect to the interpreter that have timed out since a link was last
+    /// established.
     timeouts: u32,
 }
 
 impl Incarnation {
-    /// Returns the time limit for one step of connecting. The limit is the readiness deadline divided by
-    /// `divisor`. Each attempt that timed out doubles the limit, so that a slow interpreter can be connected
-    /// eventually. The limit never exceeds the readiness deadline.
+    /// Returns the time limit for one step of connecting to the interpreter. The first limit is the readiness
+    /// deadline divided by `divisor`. Each timeout doubles the limit, so that a slow interpreter can be
+    /// connected eventually. The limit never exceeds the readiness deadline.
     pub fn time_allowance(&self, divisor: u32) -> Duration {
         let doubled = (READINESS_DEADLINE / divisor).saturating_mul(1 << self.timeouts.min(DOUBLINGS_MAX));
         doubled.min(READINESS_DEADLINE)
     }
 
-    /// Records how an attempt to connect has ended. `was_linked` is true if a link was established, and
-    /// `timed_out` is true if the attempt or the link ended by a timeout.
+    /// Records how an attempt to connect to the interpreter has ended. `was_linked` is true if a link was
+    /// established. `timed_out` is true if the attempt or the link ended by a timeout.
     pub fn record_end(&mut self, was_linked: bool, timed_out: bool) {
         self.timeouts = if was_linked { 0 } else { self.timeouts + u32::from(timed_out) };
     }
@@ -46,8 +48,8 @@
     /// Handles a banner of the interpreter. Returns whether the interpreter was restarted since the previous
     /// banner.
     ///
-    /// The banner states the interpreter's `age`. It was requested at the time `requested` and read at the
-    /// time `read`. The two times can be far apart if the machine was suspended in between.
+    /// The banner states the interpreter's `age`. The server requested the banner at the time `requested` and
+    /// read it at the time `read`. The two times can be far apart if the machine was suspended in between.
     pub fn detect_restart(&mut self, requested: Nanos, read: Nanos, age: Nanos) -> bool {
         let earliest = requested.saturating_sub(age);
         let latest = read.saturating_sub(age);
--- a/crates/server/src/interpreter/link.rs
+++ b/crates/server/src/interpreter/link.rs
@@ -25,10 +25,10 @@
 /// Size, in bytes, at which a write to the link is full. Queued commands are added to one write until the
 /// write has at least this size.
 const WRITE_MAX_BYTES: usize = 64 * 1024;
-/// Delay before a new link is established after a link was lost. Each failed attempt doubles the delay, up to
-/// [`BACKOFF_MAX`].
+/// Delay before the server establishes a new link to the interpreter after a link was lost. Each failed
+/// attempt doubles the delay, up to [`BACKOFF_MAX`].
 const BACKOFF: Duration = Duration::from_millis(5);
-/// Maximum delay before the next attempt to establish a link.
+/// Maximum delay before the next attempt to establish a link to the interpreter.
 const BACKOFF_MAX: Duration = Duration::from_millis(160);
 /// Divisor of the readiness deadline. The result is the time limit for opening the TCP connection to the
 /// interpreter, in the first attempt.
