--- a/crates/server/src/event_loop/downstream.rs
+++ b/crates/server/src/event_loop/downstream.rs
@@ -116,9 +116,9 @@
         Some(interpreter::resolve(invocation.reference, reply))
     }
 
-    /// Returns how the downstream call of an invocation should be routed. A call may serve as a health check
-    /// of an unhealthy service only if its operation is idempotent and this is the invocation's first
-    /// downstream call.
+    /// Returns how the downstream call of an invocation should be routed. The call may serve as a health
+    /// check of an unhealthy service only under two conditions. The operation must be idempotent, and the
+    /// call must be the invocation's first downstream call.
     fn call_preference(&mut self, id: u64) -> CallPreference {
         let Some(invocation) = self.invocations.get(id) else { return CallPreference::default() };
         let (operation, last_service) = (invocation.operation, invocation.last_service);
--- a/crates/server/src/interpreter/link.rs
+++ b/crates/server/src/interpreter/link.rs
@@ -40,7 +40,8 @@
 /// in every control period, so a working link receives data in every period.
 const SILENT_PERIODS_MAX: usize = 4;
 
-/// Keeps a link to the interpreter established until the server process exits.
+/// Keeps a link to the interpreter established until the server process exits. Replaces each link that is
+/// lost.
 pub async fn run(server: Rc<Server>) {
     let mut incarnation = Incarnation::default();
     let mut backoff = BACKOFF;
--- a/crates/server/src/interpreter/reader.rs
+++ b/crates/server/src/interpreter/reader.rs
@@ -6,10 +6,10 @@
 use crate::wire::interpreter::Notice;
 use tracing::warn;
 
-/// Result of parsing the first line of the received bytes.
+/// Result of parsing the first line of the bytes received from the interpreter.
 pub struct ReadLine {
-    /// Notice in the line. `None` if the line contains no valid notice, or a notice that the server has read
-    /// before.
+    /// Notice from the interpreter in the line. `None` if the line contains no valid notice, or a notice that
+    /// the server has read before.
     pub notice: Option<Notice>,
     /// Number of bytes that the line occupies. The caller removes these bytes from the received bytes.
     pub length: usize,
--- a/crates/server/src/lifecycle/catalog.rs
+++ b/crates/server/src/lifecycle/catalog.rs
@@ -12,7 +12,8 @@
 /// Interval between two reports to the service registry. The registry forgets a server after 3 s without a
 /// report. The interval is a tenth of this time, because reports can be lost.
 const REPORT_EVERY: Duration = Duration::from_millis(300);
-/// Interval between two checks of whether the first link to the interpreter is established.
+/// Interval between two checks of whether the first link to the interpreter is established. The first report
+/// to the service registry waits for this link.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Reports the server's health to the service registry until the server is notified to leave.
--- a/crates/server/src/lifecycle/changes.rs
+++ b/crates/server/src/lifecycle/changes.rs
@@ -7,7 +7,8 @@
 /// Names of the tenants for which the fleet keeps separate counts.
 pub type TenantNames = Arc<HashSet<Vec<u8>>>;
 
-/// A lock, so that only one change of settings is applied at a time, and a flag for merging reload requests.
+/// A lock and a flag. With the lock, only one change of settings is applied at a time. With the flag,
+/// additional reload requests are merged with a reload that already waits.
 #[derive(Default)]
 pub struct Changes {
     /// Lock that is held while a change of settings is applied.
--- a/crates/server/src/lifecycle/drain_state.rs
+++ b/crates/server/src/lifecycle/drain_state.rs
@@ -12,8 +12,8 @@
     /// The server still admits invocations, because callers need time to notice that the server is leaving.
     /// If the server rejected their calls already, the fleet would lack the server's capacity in this time.
     Grace,
-    /// The server rejects new invocations but still accepts connections. Callers that connect then receive an
-    /// answer instead of a connection error.
+    /// The server rejects new invocations but still accepts connections. A caller that connects now receives
+    /// an answer instead of a connection error.
     Rejecting,
     /// The server accepts no more connections, because it is about to stop.
     Closing,
@@ -25,8 +25,8 @@
     phase: Cell<Phase>,
     /// Time at which the server was notified to leave; `None` if there was no notice.
     noticed_at: Cell<Option<Nanos>>,
-    /// Time at which the process exits at the latest. Set only if the server leaves to be replaced by another
-    /// program, because no supervisor stops the process in this case.
+    /// Time at which the process exits at the latest. Set only if the server exits to be replaced by another
+    /// program. In this case no supervisor stops the process.
     ends_by: Cell<Option<Nanos>>,
 }
 
--- a/crates/server/src/lifecycle/pause.rs
+++ b/crates/server/src/lifecycle/pause.rs
@@ -16,13 +16,14 @@
 }
 
 impl Span {
-    /// Adds the durations of two successive pieces of work: `self` and `next`, which follows directly.
+    /// Returns the total duration of two pieces of work: `self`, and `next`, which follows directly after
+    /// `self`.
     pub fn followed_by(self, next: Span) -> Span {
         Span { wall: self.wall + next.wall, processor: self.processor + next.processor }
     }
 }
 
-/// Measures the duration of work on the current thread, from the start of the stopwatch.
+/// Measures the duration of work on the current thread. The measurement begins when the stopwatch is started.
 pub struct Stopwatch {
     started: Instant,
     /// Total processor time of the thread at the start of the stopwatch.
@@ -53,27 +54,27 @@
 /// The longest pauses of the serving thread during one change of settings.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Pauses {
-    /// Longest wall-clock time and longest processor time of all pauses. The two values may come from
-    /// different pauses.
+    /// Longest wall-clock time and longest processor time of the thread's pauses during one change of
+    /// settings. The two values may come from different pauses.
     pub longest: Span,
-    /// Identifies the pause with the longest processor time by the number of the last part of the change in
-    /// this pause. Parts are numbered from 1. The value is 0 if this pause was the swap of the configuration,
-    /// which precedes the first part.
+    /// Number of the last part of the change in the pause with the longest processor time. Parts are numbered
+    /// from 1. The number 0 stands for the swap of the configuration, which precedes the first part.
     pub longest_part: usize,
     parts: usize,
-    /// Duration of the current pause: the total time of all parts of the change that were applied since the
-    /// event loop last waited for an event.
+    /// Duration of the serving thread's current pause. The pause consists of all parts of a change that were
+    /// applied since the event loop last waited for an event.
     uninterrupted: Span,
 }
 
 impl Pauses {
-    /// Creates the record of the pauses of a change. The first pause is the swap of the configuration, with
-    /// the duration `swap`.
+    /// Creates the record of the serving thread's pauses during a change of settings. The first pause is the
+    /// swap of the configuration, with the duration `swap`.
     pub fn after_swap(swap: Span) -> Self {
         Self { longest: swap, ..Self::default() }
     }
 
-    /// Adds the duration of one part of the change, which the event loop has applied, to the current pause.
+    /// Adds the duration of one part of a change of settings to the serving thread's current pause. The event
+    /// loop has already applied this part.
     pub fn add_part(&mut self, part: Span) {
         self.parts += 1;
         self.uninterrupted = self.uninterrupted.followed_by(part);
@@ -84,8 +85,8 @@
         self.longest.processor = self.longest.processor.max(self.uninterrupted.processor);
     }
 
-    /// Ends the current pause. Called when the event loop waits for its next event: the thread then runs
-    /// other tasks.
+    /// Ends the current pause of the serving thread. Called when the event loop waits for its next event,
+    /// because the thread then runs other tasks.
     pub fn interrupt(&mut self) {
         self.uninterrupted = Span::default();
     }
--- a/crates/server/src/lifecycle/reload.rs
+++ b/crates/server/src/lifecycle/reload.rs
@@ -1,8 +1,8 @@
 //! Applies changes of settings while the server runs.
 //!
 //! Files are read and checked on the blocking pool. The serving thread only swaps in the new configuration
-//! and passes the change to the event loop in small parts. Its pauses therefore do not grow with the size of
-//! the files.
+//! and passes the change to the event loop in small parts. The pauses of the serving thread therefore do not
+//! grow with the size of the files.
 //!
 //! Changes are applied one at a time. A change reads its files only after the previous change has taken
 //! effect; otherwise an older version of a file could replace a newer one.
@@ -32,7 +32,7 @@
 use tracing::{info, warn};
 
 /// Delay between two parts of a change of settings. A change that affects 64,000 tenants has 250 parts, so
-/// its delays add up to 50 ms.
+/// the delays of this change add up to 50 ms.
 const PART_INTERVAL: Duration = Duration::from_micros(200);
 
 /// Reason why a change of settings is refused. The server continues with the previous settings.
@@ -47,7 +47,7 @@
         #[source]
         error: std::io::Error,
     },
-    /// The hash of the candidate settings file differs from the hash in the rollout's order.
+    /// The hash of the candidate settings file differs from the hash that the rollout's order states.
     #[error("{path} has the hash {found:016x}, not {expected:016x}")]
     OtherHash {
         /// Path of the file.
@@ -85,7 +85,7 @@
     /// Path of the candidate settings file of a rollout, and the hash that this file must have.
     change: Option<(PathBuf, u64)>,
     replicated: Option<Snapshot>,
-    /// State of the replicated configuration, and the path of the file to which this state must be written
+    /// State of the replicated configuration, and the path of a file. The state must be written to this file
     /// before the change takes effect. `None` if nothing must be written.
     write: Option<(PathBuf, PersistedState)>,
     in_force: Arc<Options>,
@@ -102,8 +102,8 @@
 }
 
 impl Request {
-    /// Reads and checks the files of the change, and compares the new options with the current ones. Runs on
-    /// the blocking pool.
+    /// Reads and checks the files of a change of settings, and compares the new options with the current
+    /// options. Runs on the blocking pool.
     fn prepare(self) -> Result<Prepared, ReloadError> {
         let change = self.change.as_ref().map(|(path, _)| path.as_path());
         if let Some((path, hash)) = &self.change {
@@ -133,7 +133,8 @@
     }
 }
 
-/// Returns the names of the tenants for which the fleet keeps separate counts.
+/// Returns the names of those tenants for which the fleet keeps separate counts, from the settings in
+/// `tenants`.
 pub fn named_tenants(tenants: &Tenants) -> TenantNames {
     Arc::new(tenants.fair.named.iter().map(|(name, _)| name.clone()).collect())
 }
@@ -156,8 +157,8 @@
     }
 }
 
-/// Returns the path and the hash of the candidate settings that the server has adopted. Returns `None` if the
-/// server runs its own settings.
+/// Returns the path and the hash of the candidate settings that the server has adopted for a rollout. Returns
+/// `None` if the server runs its own settings.
 fn adopted(server: &Server) -> Option<(PathBuf, u64)> {
     let candidate = server.configuration.candidate.borrow().clone()?;
     Some((candidate.path, candidate.adopted?))
@@ -222,8 +223,8 @@
         (_, names) => names,
     };
     server.change_pauses.set(Pauses::after_swap(stopwatch.elapsed()));
-    // The old settings may contain thousands of names. They are freed on the blocking pool, because freeing
-    // them takes time.
+    // The old settings may contain thousands of tenant names. The settings are freed on the blocking pool,
+    // because freeing so many names takes time.
     blocking::unblock(move || drop((new, old_options, unused_names))).detach();
     if addresses.records != old_addresses.records {
         server.pool.close_all();
@@ -242,8 +243,8 @@
     let _ = is_done.recv().await;
 }
 
-/// Passes the new settings to the event loop and to the shared state. Then logs how long the serving thread
-/// was paused.
+/// Passes the new settings to the event loop and to the shared state. Then logs for how long the change has
+/// paused the serving thread.
 async fn notify_event_loop(server: &Server, retunes: Vec<SettingsChange>) {
     server.counters.reloads.add();
     let target = server.configuration.target_utilization.get();
--- a/crates/server/src/lifecycle/reload_check.rs
+++ b/crates/server/src/lifecycle/reload_check.rs
@@ -5,13 +5,15 @@
 use meadowstream_configuration::{Options, Tenants};
 use meadowstream_shared_state::budget::BudgetSettings;
 
-/// Error: a change affects a setting that can only be changed by a restart. The variant states which setting.
+/// Error: a change of settings affects a setting that can only be changed by a restart. The variant states
+/// which setting.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum RestartRequired {
     /// The change affects the server's name or the address on which the server accepts connections.
     #[error("name, listen: a change takes a restart")]
     NameOrAddress,
-    /// The change adds or removes the address of the downstream service.
+    /// The change adds or removes the address of the server's downstream service. An existing address may
+    /// change.
     #[error("records: adding or removing it takes a restart")]
     Records,
     /// The change affects an element of the options file that is read only at the start.
@@ -70,7 +72,7 @@
 }
 
 /// Returns whether the two configurations have the same settings of the shared state. The totals of budgets
-/// are not compared, because a total may change while leases are held.
+/// are not compared, because a total may be changed without a restart.
 fn has_same_shared_state(old: Option<&FleetSettings>, new: Option<&FleetSettings>) -> bool {
     let (Some(old), Some(new)) = (old, new) else { return old.is_some() == new.is_some() };
     if old.tier != new.tier {
@@ -85,8 +87,9 @@
         && old.outlier_detection == new.outlier_detection
 }
 
-/// Returns the old and the new settings of tenants, or `None` if the options do not configure tenants.
-/// Weights and quotas may differ. Returns an error if another difference requires a restart.
+/// Returns the old and the new settings of tenants, or `None` if the options do not configure tenants. The
+/// weights and quotas in the two settings may differ. Returns an error if they differ in a setting that can
+/// only be changed by a restart.
 pub fn changed_tenants<'a>(
     old: &'a Options,
     new: &'a Options,
--- a/crates/server/src/lifecycle/start.rs
+++ b/crates/server/src/lifecycle/start.rs
@@ -79,7 +79,7 @@
     membership: Option<Async<UdpSocket>>,
 }
 
-/// Channel ends that are handed to the tasks when the tasks are started.
+/// Ends of channels that the server hands to its tasks when the tasks are started.
 struct Channels {
     events: Receiver<Event>,
     leave_requests: Receiver<()>,
--- a/crates/server/src/resources/buffers.rs
+++ b/crates/server/src/resources/buffers.rs
@@ -3,7 +3,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Limit on the total memory for buffers of connections, and the number of bytes that connections have
+/// Limit on the total memory for buffers of connections, and the number of bytes that the connections have
 /// reserved.
 pub struct BufferBudget {
     limit_bytes: usize,
@@ -16,8 +16,9 @@
         Rc::new(Self { limit_bytes, reserved_bytes: Cell::new(0) })
     }
 
-    /// Returns whether connections may read more data: the reserved bytes are below the limit. A single
-    /// connection buffers little, but many connections together could use too much memory.
+    /// Returns whether connections may read more data. They may do so while the total of the reserved bytes
+    /// is below the limit. A single connection buffers little, but many connections together could use too
+    /// much memory.
     pub fn has_capacity(&self) -> bool {
         self.reserved_bytes.get() < self.limit_bytes
     }
--- a/crates/server/src/resources/descriptors.rs
+++ b/crates/server/src/resources/descriptors.rs
@@ -7,25 +7,26 @@
 /// Number of descriptors that the server opens after its start without reserving them: one for the link to
 /// the interpreter, and one for the UDP socket for reports to the service registry.
 const OPENED_AFTER_START: usize = 2;
-/// Number of descriptors that are assumed to be open at the start of the server, if the open descriptors
-/// cannot be counted.
+/// Number of file descriptors that are assumed to be open at the start of the server. Used if the open
+/// descriptors cannot be counted.
 const OPEN_AT_START_FALLBACK: usize = 13;
-/// Divisor of the number of available descriptors. The result is the size of the reserve, which callers'
+/// Divisor of the number of available file descriptors. The result is the size of the reserve, which callers'
 /// connections may not use.
 ///
 /// Downstream calls and files may use a part of the reserve. They receive a descriptor only while the number
 /// of free descriptors exceeds half of the reserve's size.
 const RESERVE_DIVISOR: usize = 8;
-/// Minimum number of descriptors in the reserve, which callers' connections may not use.
+/// Minimum number of file descriptors in the reserve, which callers' connections may not use.
 const RESERVE_MIN: usize = 2;
 
-/// Error: the limit on file descriptors is so low that none are left for connections of callers.
+/// Error: the limit on file descriptors is too low. No descriptor is left for connections of callers.
 #[derive(Debug, thiserror::Error)]
 #[error("limits.sockets: {limit} descriptors are too few, {in_use} are needed for other purposes")]
 pub struct TooFewDescriptors {
     /// Maximum number of open file descriptors of the process, as configured.
     pub limit: usize,
-    /// Number of descriptors that the server needs for purposes other than connections and downstream calls.
+    /// Number of file descriptors that the server needs for purposes other than callers' connections and
+    /// downstream calls.
     pub in_use: usize,
 }
 
@@ -35,7 +36,7 @@
     connections: Cell<usize>,
 }
 
-/// Pool of file descriptors: how many may be reserved, and how many are reserved.
+/// Pool of file descriptors. Records how many descriptors may be reserved, and how many are reserved now.
 pub struct Descriptors {
     limit: usize,
     in_use: Rc<InUse>,
@@ -74,7 +75,7 @@
         (within_part && self.in_use.all.get() < self.limit).then(|| self.take(1))
     }
 
-    /// Returns whether connections of callers use more than half of the pool's descriptors.
+    /// Returns whether connections of callers use more than half of the file descriptors in the pool.
     pub fn connections_exceed_half(&self) -> bool {
         2 * self.in_use.connections.get() > self.limit
     }
--- a/crates/server/src/resources/descriptors/tests.rs
+++ b/crates/server/src/resources/descriptors/tests.rs
@@ -15,7 +15,8 @@
     or(async { Some(work.await) }, timeout).await
 }
 
-/// Creates a pool of eight descriptors, independent of how many descriptors the test process has open.
+/// Creates a pool of eight descriptors. The size does not depend on how many descriptors the test process has
+/// open.
 fn eight_descriptors() -> Descriptors {
     let open = std::fs::read_dir("/proc/self/fd").unwrap().count() - 1;
     let descriptors = Descriptors::with_limit(open + 64).unwrap();
--- a/crates/server/src/resources/idempotency.rs
+++ b/crates/server/src/resources/idempotency.rs
@@ -22,9 +22,9 @@
 #[derive(Clone, Debug, PartialEq)]
 enum EntryState {
     /// The invocation is pending or running. The list contains the ids of the repeated calls that wait for
-    /// its outcome.
+    /// the invocation's outcome.
     Open(Vec<u64>),
-    /// The invocation succeeded, and its result is stored here.
+    /// The invocation with this idempotency key succeeded, and its result is stored here.
     Succeeded(Vec<u8>),
     /// The invocation failed, or it succeeded but its result is not stored. The run may have had its effect.
     Failed,
@@ -32,9 +32,11 @@
 
 struct Entry {
     key: Key,
-    /// Hash of the body of the invocation. A call with the same key but a different body is not a repeat.
+    /// Hash of the body of the invocation. A call with the same idempotency key but a different body is not a
+    /// repeat of the invocation.
     body_hash: u64,
-    /// End of the idempotency window. A call with the same key is a repeat if it arrived before this time.
+    /// End of the idempotency window of a key. A call with this key is a repeat if the call arrived before
+    /// this time.
     window_end: Nanos,
     state: EntryState,
 }
@@ -44,23 +46,25 @@
 pub enum Lookup {
     /// The call is not a repeat: its key is not stored, or the key's idempotency window has ended.
     New,
-    /// The call repeats the invocation with this id: the key is stored, and the body is the same.
+    /// The call repeats the invocation with this id. The invocation has the same idempotency key and the same
+    /// body.
     Repeat(u64),
-    /// The key is stored, but for an invocation with a different body.
+    /// The call has the idempotency key of an earlier invocation but a different body, which is an error.
     BodyMismatch,
-    /// The key is not stored, and cannot be stored because the table is full. The call must not run, because
-    /// its repeats could not be recognized.
+    /// The call is not a repeat, but the table has no space for the call's idempotency key. The call must not
+    /// run, because its repeats could not be recognized.
     TableFull,
 }
 
 /// Answer to a repeated call.
 #[derive(Debug, PartialEq)]
 pub enum Replay {
-    /// The original invocation has not ended. The repeated call waits for its outcome.
+    /// The original invocation has not ended. The repeated call waits for the outcome of the original
+    /// invocation.
     Pending,
-    /// The original invocation succeeded, with this result.
+    /// The original invocation succeeded with this result, which answers the repeated call.
     Result(Vec<u8>),
-    /// The original invocation failed, or its result is not stored.
+    /// The original invocation failed, or its result is not stored. The repeated call therefore fails.
     Failed,
 }
 
@@ -68,7 +72,7 @@
 pub struct IdempotencyTable {
     entries: HashMap<u64, Entry>,
     by_key: HashMap<Key, u64>,
-    /// Expiry time of each entry, with the id of its invocation.
+    /// Time at which each entry of the table expires, with the id of the entry's invocation.
     by_expiry: BTreeSet<(Nanos, u64)>,
     /// Ids of the invocations whose results are stored, from the oldest to the newest result.
     results: VecDeque<u64>,
@@ -186,7 +190,7 @@
 
     /// Records that the run of an invocation has ended. `result` is `None` if the run did not succeed or its
     /// result is too long to be stored. Returns the ids of the repeated calls that were waiting for the
-    /// outcome.
+    /// invocation's outcome.
     pub fn run_ended(&mut self, invocation: u64, result: Option<&[u8]>) -> Vec<u64> {
         let Some(entry) = self.entries.get_mut(&invocation) else { return Vec::new() };
         let state = result.map_or(EntryState::Failed, |result| EntryState::Succeeded(result.to_vec()));
@@ -199,8 +203,8 @@
         waiting
     }
 
-    /// Removes the oldest results until the total size of the results is within the limit. The keys of these
-    /// results stay in the table, because their invocations must not run again.
+    /// Removes the oldest results until the total size of the stored results is within the limit. The keys of
+    /// the removed results stay in the table, because their invocations must not run again.
     fn evict_results(&mut self) {
         while self.result_bytes > self.result_bytes_max {
             let Some(oldest) = self.results.pop_front() else { break };
@@ -213,8 +217,8 @@
         }
     }
 
-    /// Removes keys that have expired: their idempotency window ended so long ago that no repeated call can
-    /// still be looked up. The key of an invocation whose run has not ended stays in the table.
+    /// Removes expired keys. A key expires so long after the end of its idempotency window that no repeated
+    /// call can still be looked up. The key of an invocation whose run has not ended stays in the table.
     fn expire(&mut self, now: Nanos) {
         let expired: Vec<u64> = self.by_expiry.range(..(now, 0)).map(|(_, invocation)| *invocation).collect();
         for invocation in expired {
--- a/crates/server/src/resources/invocations.rs
+++ b/crates/server/src/resources/invocations.rs
@@ -22,7 +22,7 @@
     pub body: Vec<u8>,
     /// Connection on which the call was received, and on which it is answered.
     pub connection: Rc<Connection>,
-    /// Tag of the call. The answer must carry the same tag.
+    /// Tag of the call that requested the invocation. The answer must carry the same tag.
     pub tag: u64,
     /// Id of the original invocation, if this invocation is a repeat with the same idempotency key.
     pub repeat_of: Option<u64>,
@@ -33,15 +33,15 @@
     /// Last command that started or resumed the run. `None` once a notice has shown that the interpreter
     /// received the command.
     pub unconfirmed: Option<SentCommand>,
-    /// True if a command for this run was sent again over a new link to the interpreter, because it may have
-    /// been lost.
+    /// True if a command for this run was sent again over a new link to the interpreter. The first copy of
+    /// the command may have been lost with the earlier link.
     pub was_resent: bool,
     /// Number of the link over which the server last sent a command to stop the run. `None` if no such
     /// command was sent.
     pub stop_link: Option<u64>,
     /// Body of the downstream call for which the run waits. Emptied when the run resumes.
     pub call_body: Vec<u8>,
-    /// True while the run waits for the reply to a downstream call.
+    /// True while the run of the invocation waits for the reply to a downstream call.
     pub awaits_call: bool,
     /// Downstream call that is in progress for the run; `None` if no call is in progress.
     pub call: Option<RunningCall>,
@@ -78,7 +78,7 @@
 pub struct SentCommand {
     /// The encoded command.
     pub line: Vec<u8>,
-    /// Number of the link over which the command was last sent; 0 if there was no link.
+    /// Number of the link to the interpreter over which the command was last sent; 0 if there was no link.
     pub link: u64,
 }
 
@@ -90,8 +90,8 @@
     pub _task: Task<()>,
 }
 
-/// All invocations of the server, by their ids. This process assigns the ids. The references of invocations
-/// cannot be used as ids, because callers choose them and may choose the same reference twice.
+/// All invocations of the server, by id. This process assigns the ids. The references of invocations cannot
+/// serve as ids: callers choose the references, and may choose the same reference twice.
 #[derive(Default)]
 pub struct Invocations {
     all: BTreeMap<u64, Invocation>,
@@ -112,12 +112,13 @@
         Some(self.last_id)
     }
 
-    /// Returns the id of the invocation with this reference.
+    /// Returns the id of the invocation with this reference. Returns `None` if the table contains no such
+    /// invocation.
     pub fn find(&self, reference: u64) -> Option<u64> {
         self.by_reference.get(&reference).copied()
     }
 
-    /// Returns the invocation with this id.
+    /// Returns the invocation with this id. Returns `None` if the table contains no such invocation.
     pub fn get(&mut self, id: u64) -> Option<&mut Invocation> {
         self.all.get_mut(&id)
     }
@@ -141,8 +142,8 @@
         open.map(|(id, _)| *id).collect()
     }
 
-    /// Returns the id of the unanswered invocation with this tag that was received on the connection with the
-    /// id `connection`.
+    /// Returns the id of the unanswered invocation whose call has this tag and was received on the connection
+    /// with the id `connection`.
     pub fn find_open(&self, connection: u64, tag: u64) -> Option<u64> {
         let open = self.open_on(connection);
         open.into_iter().find(|id| self.all[id].tag == tag)
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -1,4 +1,4 @@
-//! State that the tasks of the server share. The overload controller is not part of this state: the event
+//! State that the tasks of the server share. The overload controller is not part of this state. The event
 //! loop owns the controller, and other tasks send events to the event loop.
 
 use crate::calls::pool::Pool;
@@ -39,7 +39,7 @@
     pub events: Sender<Event>,
     /// Open connections of balancers.
     pub connections: Connections,
-    /// The server's health and load. Answers to health checks report the health, and all answers advertise
+    /// Health and load of the server. Answers to health checks report the health, and all answers advertise
     /// the load.
     pub health: HealthStatus,
     /// Pool of file descriptors, which limits how many descriptors the server uses.
@@ -48,10 +48,10 @@
     pub pool: Pool,
     /// Counters of events since the start of the process, for the log.
     pub counters: Counters,
-    /// Limit on the total memory of all connections' buffers, and the amount in use.
+    /// Limit on the total memory of all connections' buffers, and the number of bytes in use.
     pub buffers: Rc<BufferBudget>,
-    /// Channel to the task that keeps the link to the interpreter. A message means that the interpreter's
-    /// address has changed.
+    /// Channel to the task that keeps the link to the interpreter established. A message means that the
+    /// interpreter's address has changed.
     pub interpreter_address_changed: (Sender<()>, Receiver<()>),
     /// State of the drain: its phase, and the time of the notice to leave.
     pub drain: DrainState,
--- a/crates/server/src/wire/http.rs
+++ b/crates/server/src/wire/http.rs
@@ -28,12 +28,13 @@
 /// Reply to a downstream call.
 #[derive(Debug, PartialEq)]
 pub struct Reply {
-    /// Outcome of the downstream call, derived from the reply's status and headers; unknown if they prove no
-    /// other outcome.
+    /// Outcome of the downstream call, derived from the reply's status and headers. The outcome is unknown if
+    /// the status and headers do not prove another outcome.
     pub outcome: Outcome,
     /// Body of the reply.
     pub body: Vec<u8>,
-    /// True if another call may use the same connection.
+    /// True if the reply does not ask to close the connection. Another downstream call may then use the
+    /// connection.
     pub is_reusable: bool,
 }
 
@@ -55,8 +56,10 @@
     }
 
     /// Returns the length of the reply's body. The header Content-Length may be missing only if the status is
-    /// an error. If the header occurs several times, all values must be equal. Otherwise the end of the reply
-    /// would be ambiguous, and bytes of another message could be taken for a part of this reply.
+    /// an error.
+    ///
+    /// If the header occurs several times, all values must be equal. Otherwise the end of the reply would be
+    /// ambiguous. Bytes of another message could then be taken for a part of this reply.
     fn content_length(&self) -> Result<usize, ParseError> {
         if self.first("Transfer-Encoding").is_some() {
             return Err(ParseError::TransferEncoding);
--- a/crates/server/src/wire/interpreter.rs
+++ b/crates/server/src/wire/interpreter.rs
@@ -42,7 +42,7 @@
     Gauges {
         /// Nonce of the gauge request.
         nonce: u64,
-        /// Values of the interpreter's gauges. The order is that of the gauges in the settings.
+        /// Readings of the interpreter's gauges. The settings list the gauges in the same order.
         readings: Vec<f64>,
     },
     /// The interpreter could not execute a command.
@@ -176,7 +176,8 @@
     command(&json!({"verb": "CONNECT", "index": last_read}))
 }
 
-/// Encodes the command that starts the run of an invocation. If the run was stopped, the command resumes it.
+/// Encodes the command that starts the run of an invocation. If the run was stopped, the command resumes the
+/// run.
 pub fn apply(task: u64, operation: &str, body: &[u8]) -> Vec<u8> {
     let (task, bytes) = (format!("{task:016x}"), STANDARD.encode(body));
     command(&json!({"verb": "APPLY", "task": task, "handler": operation, "bytes": bytes}))
--- a/crates/server/src/wire/mod.rs
+++ b/crates/server/src/wire/mod.rs
@@ -77,7 +77,7 @@
     LineTooLong,
 }
 
-/// Parses a decimal number. The text may contain digits only, without a sign or spaces.
+/// Parses a decimal number. The text may contain digits only; a sign or a space is an error.
 pub fn decimal<T: FromStr>(word: &[u8]) -> Option<T> {
     let digits = word.iter().all(u8::is_ascii_digit);
     std::str::from_utf8(word).ok().filter(|_| digits).and_then(|text| text.parse().ok())
--- a/crates/server/src/wire/resp.rs
+++ b/crates/server/src/wire/resp.rs
@@ -35,7 +35,7 @@
 }
 
 /// Parses the bulk string that starts at the offset `at`. Returns the string and the offset of the first byte
-/// after it.
+/// after the string.
 fn word(bytes: &[u8], at: usize) -> Parsed<&[u8]> {
     let (length, start) = match number(bytes, at, b'$') {
         Parsed::Complete(length, start) => (length, start),
--- a/crates/server/src/wire/ring.rs
+++ b/crates/server/src/wire/ring.rs
@@ -34,7 +34,8 @@
         self.bytes_max - self.len()
     }
 
-    /// Appends `bytes` to the buffer. If they do not all fit, appends no bytes and returns false.
+    /// Appends `bytes` to the buffer. If the buffer has no space for all of `bytes`, appends nothing and
+    /// returns false.
     #[must_use]
     pub fn put(&mut self, bytes: &[u8]) -> bool {
         let fits = bytes.len() <= self.free();
--- a/crates/server/src/wire/rpc.rs
+++ b/crates/server/src/wire/rpc.rs
@@ -62,7 +62,7 @@
     BadField {
         /// Name of the field.
         field: &'static str,
-        /// Value of the field; `None` if the field is missing.
+        /// Value of the invalid field; `None` if the field is missing.
         value: Option<String>,
     },
 }
@@ -165,8 +165,8 @@
     field(fields, name).and_then(read).ok_or_else(|| bad_field(fields, name))
 }
 
-/// Checks that the priority rank in the fields of a call is valid. The server does not use the rank
-/// otherwise.
+/// Checks that the priority rank in the fields of a call is valid. The server uses the rank for no other
+/// purpose.
 fn check_rank(fields: &str) -> Result<(), CommandError> {
     let rank = field(fields, "class_rank").map_or(Ok(0.0), str::parse::<f64>);
     let valid = rank.is_ok_and(|rank| (0.0..1.0).contains(&rank));
@@ -187,12 +187,12 @@
     Rejected {
         /// True if the caller must not retry the call on another server.
         no_retry: bool,
-        /// Time after the rejection until the caller should retry on this server, in nanoseconds; 0 if the
-        /// server gives no advice. If the answer has a ticket, the server promises to admit a retry with the
-        /// ticket after this time.
+        /// Time, in nanoseconds, from the rejection until the caller should retry on this server; 0 if the
+        /// server gives no advice. If the answer has a ticket, the server promises to admit a retry that
+        /// presents the ticket after this time.
         retry_after: Nanos,
-        /// Ticket for a promise of admission, which the caller presents with its retry; `None` if no promise
-        /// was made.
+        /// Ticket for a promise of admission; `None` if the server made no promise. The caller presents the
+        /// ticket with its retry.
         ticket: Option<u64>,
     },
     /// The call failed. The operation may have had its effect.
