--- a/crates/server/src/calls/pool.rs
+++ b/crates/server/src/calls/pool.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 /// Maximum time that a connection stays idle in the pool. A downstream service closes a connection after 10 s
-/// of idle time, so the pool closes it after half of that time.
+/// of idle time, so the pool closes the connection after half of that time.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Minimum idle time of a connection before another call uses it. During this time a duplicate of the
 /// previous reply may still arrive. Without the delay, the duplicate would be taken for the reply to the next
@@ -77,10 +77,10 @@
     }
 
     /// Takes the most recently used idle connection to the address `to` out of the pool. Discards a
-    /// connection if the downstream service has closed it, or has sent unexpected data on it.
+    /// connection that the downstream service has closed, or on which the service has sent unexpected data.
     ///
-    /// Connections to other addresses stay in the pool. If a configuration reload has removed such an
-    /// address, its connections are closed when their idle time is over.
+    /// Connections to other addresses stay in the pool. If a configuration reload has removed an address, the
+    /// connections to this address are closed when their idle time is over.
     fn reuse(&self, to: SocketAddr, now: Instant) -> Option<PooledConnection> {
         self.close_expired();
         let mut idle = self.idle.borrow_mut();
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Puts a connection into the pool, so that a later call can use it.
+    /// Puts a connection into the pool, so that a later call can use the connection.
     pub fn return_connection(&self, connection: PooledConnection) {
         self.close_expired();
         self.idle.borrow_mut().push(Idle { connection, since: Instant::now() });
--- a/crates/server/src/calls/task.rs
+++ b/crates/server/src/calls/task.rs
@@ -1,5 +1,5 @@
 //! The task that makes one call to a downstream service. If the task is dropped, the call is abandoned and
-//! its connection is closed.
+//! the connection of the call is closed.
 
 use crate::event::Event;
 use crate::server::Server;
@@ -66,8 +66,8 @@
     has_no_trailing_bytes: bool,
 }
 
-/// Makes a downstream call and sends its outcome to the event loop. A reply that has already arrived is used
-/// even if the timeout has passed, because the reply is polled before the timeout.
+/// Makes a downstream call and sends the outcome to the event loop. The reply is polled before the timeout. A
+/// reply that has already arrived is therefore used even if the timeout has passed.
 pub async fn make(server: Rc<Server>, to: SocketAddr, call: Call) {
     let started_at = server.clock.now();
     // True once a byte of the request was written. As long as no byte was written, an error proves that the
--- a/crates/server/src/configuration/candidate.rs
+++ b/crates/server/src/configuration/candidate.rs
@@ -16,7 +16,8 @@
     pub mark: PathBuf,
     /// Hash of the content of the server's own options file.
     pub own_hash: u64,
-    /// Hash of the candidate settings, if the server has adopted them; otherwise `None`.
+    /// Hash of the candidate settings that the server has adopted; `None` if the server has not adopted
+    /// candidate settings.
     pub adopted: Option<u64>,
     /// Path of the candidate program of a rollout; `None` if the options file names no program.
     pub program: Option<PathBuf>,
--- a/crates/server/src/configuration/defaults.rs
+++ b/crates/server/src/configuration/defaults.rs
@@ -21,7 +21,7 @@
 /// written for another deployment.
 #[derive(Debug, thiserror::Error)]
 pub enum MismatchError {
-    /// The settings name a downstream service, but its address is missing.
+    /// The settings name a downstream service, but the configuration contains no address for the service.
     #[error("records is missing, though settings: family-info.below names a tier or a dependency")]
     MissingRecords,
     /// The options file contains settings for idempotency keys, but no operation is idempotent with a key.
@@ -34,7 +34,7 @@
     /// The settings define a quota for a shared downstream service, but the deployment has no such service.
     #[error("settings: family-info.dep-share: set, but family-info.below is not one_for_all")]
     UnusedQuota,
-    /// Idempotency keys and their results could use more memory than is allowed.
+    /// Idempotency keys and their results could use more memory than the configuration permits.
     #[error(
         "options: <tokens>: entries and results use {bytes} bytes, but limits.memory_mb allows {bytes_max}"
     )]
@@ -78,7 +78,7 @@
     /// address for it.
     pub(super) fn fill_defaults(&mut self) -> Result<(), MismatchError> {
         // The controller must not count the memory of idempotency keys, because this process already stores
-        // them within a memory limit of their own. The memory for a key is therefore set to 0 in the
+        // the keys within a separate memory limit. The memory for a key is therefore set to 0 in the
         // deployment's settings.
         self.settings.deployment.idempotency_entry_kb = 0.0;
         self.default_keys();
--- a/crates/server/src/configuration/fleet.rs
+++ b/crates/server/src/configuration/fleet.rs
@@ -31,7 +31,7 @@
     pub seeds: Vec<SocketAddr>,
     /// Settings of the membership protocol.
     pub settings: MembershipSettings,
-    /// Settings of the state that the members share; `None` if the options enable no feature that uses shared
+    /// Settings of the state that the members share. `None` if the options enable no feature with shared
     /// state.
     pub shared: Option<SharedSettings>,
     /// Addresses of the downstream services, in the order in which the settings of the shared state list the
--- a/crates/server/src/configuration/load.rs
+++ b/crates/server/src/configuration/load.rs
@@ -78,9 +78,9 @@
         Ok(configuration)
     }
 
-    /// Loads the configuration with the candidate settings of a rollout, if the server had adopted the
-    /// settings before its last stop. If the candidate settings have changed since then or cannot be used,
-    /// loads the configuration without them.
+    /// Loads the configuration with the candidate settings of a rollout, if the server had adopted these
+    /// settings before its last stop. Leaves out the candidate settings if they have changed since then or
+    /// cannot be used.
     fn load_adopted(path: &Path, options: Option<&Path>) -> Result<Self, LoadError> {
         let own = Self::load(path, options, Layers::default())?;
         let candidate = own.candidate.borrow().clone();
@@ -105,8 +105,8 @@
     }
 
     /// Loads the configuration from two files: the platform's file at `path` and the options file at
-    /// `options`. The settings in `layers` override those of the options file. Fills in defaults and checks
-    /// the result for contradictions.
+    /// `options`. The settings in `layers` override settings of the options file. Fills in defaults and
+    /// checks the result for contradictions.
     pub fn load(path: &Path, options: Option<&Path>, layers: Layers) -> Result<Self, LoadError> {
         let text = std::fs::read_to_string(path)
             .map_err(|error| LoadError::Read { path: path.to_path_buf(), error })?;
--- a/crates/server/src/configuration/membership_key.rs
+++ b/crates/server/src/configuration/membership_key.rs
@@ -21,7 +21,7 @@
         #[source]
         error: Error,
     },
-    /// Users other than the owner can access the key file, so the key is not secret.
+    /// Users other than the owner can access the file with the fleet's secret key, so the key is not secret.
     #[error("<membership>: key-file: {path} has mode {mode:o}; others may read it")]
     OthersMayRead {
         /// Path of the file.
--- a/crates/server/src/configuration/mod.rs
+++ b/crates/server/src/configuration/mod.rs
@@ -70,7 +70,7 @@
     pub target_utilization: Cell<f64>,
     /// Candidate settings and program of a rollout; `None` if the options file has no `<rollout>` element.
     pub candidate: RefCell<Option<Candidate>>,
-    /// Revision of the replicated configuration that the server currently uses; `None` if it uses no
+    /// Revision of the replicated configuration that the server currently uses; `None` if the server uses no
     /// replicated configuration.
     pub replicated: RefCell<Option<Snapshot>>,
     /// Fleet settings; `None` if the options file has no `<membership>` element.
--- a/crates/server/src/connection/state.rs
+++ b/crates/server/src/connection/state.rs
@@ -29,13 +29,14 @@
 /// Settings of the deployment that apply to all connections.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionSettings {
-    /// Longest client timeout of all operations. A connection is closed if its peer reads no bytes for this
-    /// long.
+    /// Longest client timeout of all operations, in nanoseconds. A connection is closed if its peer reads no
+    /// bytes for this long.
     pub longest_client_timeout: Nanos,
-    /// Shortest client timeout of all operations. An incomplete command must become complete within half of
-    /// this time.
+    /// Shortest client timeout of all operations, in nanoseconds. An incomplete command must become complete
+    /// within half of this time.
     pub shortest_client_timeout: Nanos,
-    /// Linger time: a draining connection without open calls is closed after it has been idle for this long.
+    /// Linger time, in nanoseconds. A draining connection without open calls is closed after it has been idle
+    /// for the linger time.
     pub linger: Nanos,
     /// True if callers may cancel their calls.
     pub cancellation: bool,
@@ -121,7 +122,7 @@
     reading_ended: bool,
     peer_closed: bool,
     /// Start of the time limit within which the peer must send a complete command. Set while the server waits
-    /// for the first command of a new connection, or for the rest of an incomplete command; otherwise `None`.
+    /// for the first command of a new connection, or for the rest of an incomplete command. Otherwise `None`.
     command_due_since: Option<Nanos>,
 }
 
@@ -246,8 +247,8 @@
         }
     }
 
-    /// Creates the event for an invalid command with the tag `tag`. If an open call has the same tag, the
-    /// command is not answered, because the caller would take the failure for the answer to the open call.
+    /// Creates the event for an invalid command with the tag `tag`. The command is not answered if an open
+    /// call has the same tag. The caller would take the failure for the answer to the open call.
     fn invalid(&self, tag: u64, error: InvalidCommand) -> ReceivedEvent {
         ReceivedEvent::Invalid { answer_to: (!self.is_open(tag)).then_some(tag), error }
     }
@@ -307,7 +308,7 @@
         if fits { Ok(()) } else { Err(OutgoingFull { bytes: bytes.len() }) }
     }
 
-    /// Returns the bytes to send next. The result is empty if there is nothing to send.
+    /// Returns the bytes to send to the peer next. The result is empty if there is nothing to send.
     pub fn poll_transmit(&self) -> &[u8] {
         self.outgoing.front()
     }
@@ -319,8 +320,8 @@
         self.connection.last_used.set(now);
     }
 
-    /// Returns the time at which the connection times out if no bytes are received or sent until then.
-    /// Returns `None` if no timeout applies at present.
+    /// Returns the time at which the connection times out, provided that no bytes are received or sent
+    /// before. Returns `None` if no timeout applies at present.
     pub fn poll_timeout(&self) -> Option<Nanos> {
         let last_used = self.connection.last_used.get();
         if !self.outgoing.is_empty() {
@@ -344,8 +345,8 @@
     }
 
     /// Updates how much buffer memory the connection reserves. The reservation covers the bytes in the two
-    /// buffers of the connection. For each open call, it also covers the body of the call and the future
-    /// answer.
+    /// buffers of the connection. For each open call, the reservation also covers the body of the call and
+    /// the future answer.
     pub fn update_reservation(&mut self) {
         let pending_bytes = self.open_tags.len() * 2 * ANSWER_MAX_BYTES;
         self.buffers.resize(self.incoming.len() + self.outgoing.len() + pending_bytes);
--- a/crates/server/src/connection/table.rs
+++ b/crates/server/src/connection/table.rs
@@ -29,7 +29,8 @@
     },
     /// Send the peer a request to send no more calls on this connection.
     Drain,
-    /// Close the connection to free its file descriptor. Ignored if a command has arrived in the meantime.
+    /// Close the connection to free its file descriptor. The connection's task ignores this notification if a
+    /// command has arrived in the meantime.
     CloseIfIdle,
 }
 
@@ -70,8 +71,8 @@
         self.notifications.try_send(notification).is_ok()
     }
 
-    /// Records that a complete command was received on the connection. If the connection was about to be
-    /// closed as idle, it stays open.
+    /// Records that a complete command was received on the connection. A connection that was about to be
+    /// closed as idle stays open.
     pub fn mark_received(&self) {
         self.has_received.set(true);
         self.closes_if_idle.set(false);
@@ -152,9 +153,8 @@
         }
     }
 
-    /// Tells the task of one idle connection to close the connection. Chooses a connection that has never
-    /// received a command, if there is one. Among several candidates, chooses the one with the longest idle
-    /// time.
+    /// Asks the task of one idle connection to close the connection. Prefers connections that have never
+    /// received a command. Among several candidates, chooses the connection with the longest idle time.
     ///
     /// Returns false if no connection has been idle long enough.
     pub fn close_one_idle(&self, now: Nanos) -> bool {
--- a/crates/server/src/event.rs
+++ b/crates/server/src/event.rs
@@ -22,8 +22,8 @@
     pub arrival_unix_ms: u64,
     /// Memory that a run of the operation reserves, in kilobytes, as stated in the call.
     pub held_kb: f64,
-    /// Index of the caller's tenant in the deployment's settings; 0 if the settings define no tenants, or if
-    /// the options file configures how tenants are identified.
+    /// Index of the caller's tenant in the deployment's settings. The index is 0 if the settings define no
+    /// tenants, or if the options file configures how tenants are identified.
     pub tenant: usize,
     /// How long the caller waits for the answer, counted from the arrival of the call; `None` if this time is
     /// unknown.
@@ -83,8 +83,8 @@
         /// Duration of the downstream call, in nanoseconds.
         duration: Nanos,
     },
-    /// Downstream calls are permitted again. Earlier, the fleet's call budget or the health of the services
-    /// did not permit them. The controller can now make the calls that it has delayed.
+    /// Downstream calls are permitted again, after the fleet's call budget or the health of the services did
+    /// not permit calls. The controller can now make the calls that it has delayed.
     DownstreamCapacity,
     /// Request to write the tenants with the highest demand to the server's log.
     LogTenants,
--- a/crates/server/src/event_loop/actions.rs
+++ b/crates/server/src/event_loop/actions.rs
@@ -33,7 +33,8 @@
 pub struct Replayed {
     /// Id of the invocation that was registered for the repeated call.
     pub invocation: u64,
-    /// Outcome of the earlier, original invocation.
+    /// Outcome of the earlier invocation with the same idempotency key. The repeated call was answered with
+    /// this outcome.
     pub outcome: Outcome,
 }
 
@@ -52,11 +53,11 @@
     pub timers: TimerQueue,
     /// Promise of admission that the next rejection carries; `None` if the controller has made no promise.
     pub promised: Option<PromisedAdmission>,
-    /// Ids of invocations that failed because the server does not support an action that the controller
-    /// requested. The controller is notified of these failures after the current action.
+    /// Ids of invocations that failed because the controller requested an unsupported action for them. The
+    /// controller is notified of these failures after the current action.
     pub unsupported: Vec<u64>,
-    /// Repeated calls that were answered with an earlier outcome. The controller is notified of these answers
-    /// after the current action.
+    /// Repeated calls that were answered with the outcome of an earlier invocation. The controller is
+    /// notified of these answers after the current action.
     pub replayed: Vec<Replayed>,
     /// Number of the most recent downstream call. The first call of the process has number 1.
     pub last_call: u64,
@@ -146,8 +147,10 @@
     }
 
     /// Closes an invocation, so that the server sends no further answer to its caller. Abandons the
-    /// invocation's downstream call. If the run waits for a downstream call and its result is not needed for
-    /// repeated calls, also stops the run.
+    /// invocation's downstream call.
+    ///
+    /// If the run waits for a downstream call, also stops the run. A run of an operation that is idempotent
+    /// with a key continues, because repeated calls may need the result.
     pub fn close(&mut self, id: u64) {
         let Some(invocation) = self.invocations.get(id) else { return };
         invocation.is_answered = true;
@@ -232,8 +235,7 @@
         }
     }
 
-    /// Returns the effect of running an operation repeatedly: idempotent, not idempotent, or idempotent with
-    /// a key.
+    /// Returns whether an operation is idempotent, not idempotent, or idempotent with a key.
     pub fn effect(&self, operation: usize) -> Effect {
         self.server.configuration.settings.deployment.operations[operation].effect
     }
--- a/crates/server/src/event_loop/arrivals.rs
+++ b/crates/server/src/event_loop/arrivals.rs
@@ -70,15 +70,15 @@
     }
 
     /// Hashes the body of a request with the configured seed. Without a seed, callers could construct two
-    /// bodies with the same hash.
+    /// bodies with the same hash. The server would then take a call with the second body for a repeat.
     fn key_with_body_hash(&self, key: Vec<u8>, body: &[u8]) -> KeyWithBodyHash {
         let mut hasher = SipHasher13::new_with_keys(self.server.configuration.seed, 0);
         hasher.write(body);
         KeyWithBodyHash { key, body_hash: hasher.finish() }
     }
 
-    /// Counts the result `lookup` of looking up the idempotency key of a request. If the request repeats an
-    /// earlier invocation, returns the id of that invocation.
+    /// Counts the result of an idempotency key's lookup. If the request repeats an earlier invocation,
+    /// returns the id of that invocation.
     fn count_lookup(&self, lookup: Option<Lookup>) -> Option<u64> {
         let counters = &self.server.counters;
         match lookup? {
--- a/crates/server/src/event_loop/downstream.rs
+++ b/crates/server/src/event_loop/downstream.rs
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Handles the end of a downstream call. Returns false if the call was already abandoned, so its end has
-    /// no effect.
+    /// Handles the end of a downstream call. Returns false if the call was already abandoned; the end of the
+    /// call then has no effect.
     pub fn call_ended(&mut self, id: u64, number: u64, outcome: Outcome, reply: &[u8]) -> bool {
         let Some(invocation) = self.invocations.get(id) else { return false };
         if invocation.call.take_if(|call| call.number == number).is_none() {
--- a/crates/server/src/event_loop/interpreter_session.rs
+++ b/crates/server/src/event_loop/interpreter_session.rs
@@ -1,5 +1,5 @@
-//! The session with the interpreter, which continues when a lost link is replaced by a new one. Sends
-//! commands, and matches each response with its gauge request.
+//! The session with the interpreter, which continues when a new link replaces a lost link. Sends commands,
+//! and matches each response of the interpreter with the gauge request.
 
 use crate::wire::interpreter;
 use async_channel::Sender;
@@ -14,7 +14,7 @@
 /// The session with the interpreter. The session continues when a link is lost and a new link is established.
 #[derive(Default)]
 pub struct InterpreterSession {
-    /// Queue of commands to send over the current link; `None` while there is no link.
+    /// Queue of commands to send to the interpreter over the current link; `None` while there is no link.
     commands: Option<Sender<Vec<u8>>>,
     /// Number of the most recent link to the interpreter. The first link has number 1.
     link: u64,
@@ -43,7 +43,7 @@
     }
 
     /// Sends a command to the interpreter over the current link. Returns the number of this link. Returns 0
-    /// if the command was dropped because there is no link or its queue is full.
+    /// if the command was dropped, because there is no link or the link's queue is full.
     pub fn send(&mut self, line: Vec<u8>) -> u64 {
         let sent = self.commands.as_ref().is_some_and(|commands| commands.try_send(line).is_ok());
         if !sent && let Some(commands) = self.commands.take() {
--- a/crates/server/src/event_loop/mod.rs
+++ b/crates/server/src/event_loop/mod.rs
@@ -66,9 +66,9 @@
         }
     }
 
-    /// Runs the function `act`, which calls the controller. While the controller's actions are executed,
-    /// invocations may end: an unsupported action fails its invocation, and a repeated call may be answered.
-    /// The controller is notified of these invocations afterwards.
+    /// Runs the function `act`, which calls the controller. Then notifies the controller of invocations that
+    /// ended while its actions were executed. An unsupported action fails its invocation, and a repeated call
+    /// may be answered.
     fn with_controller(&mut self, act: impl FnOnce(&mut Controller, Nanos, &mut ActionExecutor)) {
         let Some(controller) = &mut self.controller else { return };
         let actions = &mut self.actions;
@@ -176,8 +176,8 @@
         self.actions.server.change_pauses.set(pauses);
     }
 
-    /// Records that the event queue is empty. The serving thread now runs other tasks before it handles the
-    /// next event, so its current pause (the time without other tasks) ends.
+    /// Records that the event queue is empty. The current pause of the serving thread then ends, because the
+    /// thread runs other tasks before it handles the next event.
     fn record_idle(&self) {
         let mut pauses = self.actions.server.change_pauses.get();
         pauses.interrupt();
@@ -226,8 +226,9 @@
         self.controller = Some(Controller::new(deployment, configuration.seed, started, &mut self.actions));
     }
 
-    /// Cancels all runs, because a restarted interpreter has lost its runs. If a second run of an invocation
-    /// is safe, the controller queues the invocation again. Otherwise the controller fails the invocation.
+    /// Cancels all runs, because the interpreter has lost its runs in a restart. If a second run of an
+    /// invocation is safe, the controller queues the invocation again. Otherwise the controller fails the
+    /// invocation.
     fn cancel_all_runs(&mut self) {
         for id in self.actions.invocations.running() {
             self.handle_run_end(id, Outcome::Cancelled, Vec::new());
--- a/crates/server/src/event_loop/timers.rs
+++ b/crates/server/src/event_loop/timers.rs
@@ -9,15 +9,16 @@
 pub enum Timer {
     /// Notify the controller that its timer with this number has expired.
     Controller(u32),
-    /// Give up a gauge request if the interpreter has not responded to it yet.
+    /// Stop waiting for the response to a gauge request. Has no effect if the interpreter has already
+    /// responded.
     GaugesOverdue {
         /// Nonce of the gauge request.
         nonce: u64,
     },
 }
 
-/// A timer that has been set. Timers fire in the order of their times; timers with equal times fire in the
-/// order in which they were set.
+/// A timer that has been set. The timer with the earliest time fires first. Timers with equal times fire in
+/// the order in which they were set.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Entry {
     fires_at: Nanos,
--- a/crates/server/src/fleet/control_machine.rs
+++ b/crates/server/src/fleet/control_machine.rs
@@ -1,6 +1,6 @@
 //! `meadowstream control`: a control machine, which is a member of the fleet that serves no callers. The
-//! machine stores a replica of the log of replicated configuration. While the machine holds the publishing
-//! lease, it publishes new revisions.
+//! machine stores a replica of the log of replicated configuration. A control machine publishes new revisions
+//! while it holds the publishing lease.
 
 use crate::configuration::fleet;
 use crate::configuration::fleet::FleetSettings;
--- a/crates/server/src/fleet/coordinator.rs
+++ b/crates/server/src/fleet/coordinator.rs
@@ -1,6 +1,6 @@
 //! `meadowstream rollout`: the coordinator of a rollout, which is a member of the fleet that serves no
-//! callers. The coordinator holds the rollout lease and saves its state to disk. In each interval, it sends
-//! orders to the servers and receives their reports.
+//! callers. The coordinator holds the rollout lease and saves its state to disk. In each interval, the
+//! coordinator sends orders to the servers and receives their reports.
 
 use crate::configuration::candidate;
 use crate::configuration::candidate::hash_of;
@@ -30,8 +30,8 @@
     pub options: PathBuf,
     /// Path of the file in which the coordinator saves its state.
     pub state: PathBuf,
-    /// Maximum time to wait for the rollout lease before the first stage begins. After this time the command
-    /// fails.
+    /// Maximum time to wait for the rollout lease before the first stage begins. After this time the
+    /// `rollout` command fails.
     pub wait: Duration,
 }
 
@@ -59,7 +59,7 @@
     Ok(Some(saved))
 }
 
-/// Prints the progress of a rollout, as saved in its state file.
+/// Prints the progress of a rollout, as the coordinator has saved it in the state file.
 pub fn status(state: &Path) -> Result<()> {
     let saved = read_state(state)?.with_context(|| format!("{}: no rollout has begun", state.display()))?;
     let changed: Vec<&str> = saved.changed.iter().map(String::as_str).collect();
--- a/crates/server/src/fleet/interval_report.rs
+++ b/crates/server/src/fleet/interval_report.rs
@@ -1,5 +1,5 @@
 //! Records the answers that this server sends between two reports to a rollout's coordinator, separately for
-//! each operation. The coordinator compares servers that run the change with servers that do not.
+//! each operation. The coordinator compares servers with the rollout's change and servers without the change.
 
 use hdrhistogram::Histogram;
 use meadowstream_rollout::metrics::IntervalMetrics;
@@ -18,7 +18,7 @@
 pub enum AnswerOutcome {
     /// The invocation succeeded, and the answer carries its result.
     Succeeded,
-    /// The invocation was rejected. The caller can safely retry it.
+    /// The invocation was rejected. The caller can safely retry the invocation.
     Rejected,
     /// The invocation failed.
     Failed,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Returns the figures of all answers recorded since the previous call of this function, and resets the
+    /// Returns the figures of all answers recorded since the previous call of this function. Then resets the
     /// figures.
     pub fn take(&self) -> Vec<IntervalMetrics> {
         let taken = |Class { figures, latency }: &mut Class| {
--- a/crates/server/src/fleet/membership.rs
+++ b/crates/server/src/fleet/membership.rs
@@ -96,7 +96,7 @@
 impl MembershipTask {
     async fn run(&mut self, fleet: &FleetSettings) {
         // The buffer is one byte longer than the longest valid datagram. An oversized datagram is therefore
-        // detected by its length; otherwise it would be truncated without notice.
+        // detected by its length. Without the extra byte, the datagram would be truncated without notice.
         let mut buffer = vec![0; DATAGRAM_BYTES_MAX + 1];
         loop {
             let now = self.server.clock.now();
--- a/crates/server/src/fleet/mod.rs
+++ b/crates/server/src/fleet/mod.rs
@@ -1,5 +1,5 @@
 //! Cooperation between the servers of a fleet: membership, shared state, replicated configuration, and staged
-//! rollouts. Each feature is off unless it is enabled in the options.
+//! rollouts. Each feature is off by default and is enabled in the options.
 
 pub mod control_machine;
 pub mod coordinator;
--- a/crates/server/src/fleet/replication.rs
+++ b/crates/server/src/fleet/replication.rs
@@ -1,6 +1,6 @@
-//! The client of replicated configuration on a server, driven by the membership task. Each revision is
-//! checked and written to disk on the blocking pool before it takes effect. The publisher is told whether the
-//! revision is in force or was rejected.
+//! The client of replicated configuration on a server, driven by the membership task. A revision takes effect
+//! after it was checked and written to disk on the blocking pool. The client reports to the publisher whether
+//! the revision is in force or was rejected.
 
 use crate::error::with_causes;
 use crate::fleet::shared_state::LocalSharedState;
@@ -180,8 +180,8 @@
     }
 }
 
-/// Checks a revision, writes it to disk and makes it the current configuration. Sends the outcome to the
-/// client of replicated configuration.
+/// Checks a revision of the replicated configuration, writes the revision to disk and makes it the current
+/// configuration. Sends the outcome to the client of replicated configuration.
 async fn put_in_force(
     server: Rc<Server>,
     snapshot: Snapshot,
--- a/crates/server/src/fleet/rollout.rs
+++ b/crates/server/src/fleet/rollout.rs
@@ -1,8 +1,10 @@
 //! Executes the orders of a rollout on this server, and reports which version the server runs.
 //!
 //! An order asks the server to adopt the change of the rollout, which is either new settings or a new
-//! program. An order can also ask the server to return to its own settings or program. An adopted change is
-//! recorded on disk before the server reports it, so the server still runs the change after a crash.
+//! program. An order can also ask the server to return to its own settings or program.
+//!
+//! An adopted change is recorded on disk before the server reports the change. The server therefore still
+//! runs the change after a crash.
 
 use crate::configuration::candidate::hash_of;
 use crate::error::with_causes;
@@ -21,8 +23,8 @@
 /// Maximum length, in characters, of the reason that a report states for refusing a rollout's order.
 const REASON_MAX: usize = 200;
 
-/// Reason why an order of a rollout is refused. The server keeps the settings and the program that it had
-/// before.
+/// Reason why an order of a rollout is refused. The server keeps its previous settings and its previous
+/// program.
 #[derive(Debug, thiserror::Error)]
 enum AdoptError {
     #[error("cannot remove the file that marks the settings as adopted")]
@@ -47,7 +49,7 @@
 
 /// Computes the hash of the running program's file. Does nothing if no rollout can replace the program.
 ///
-/// The file is large, so it is read on the blocking pool after the start. Callers of a restarted server
+/// The file is large, so the blocking pool reads the file after the start. Callers of a restarted server
 /// therefore do not wait until the file is read.
 pub async fn read_program(server: Rc<Server>) {
     let Some(rollout) = server.rollout.as_ref().filter(|rollout| rollout.program.get().is_none()) else {
@@ -139,7 +141,7 @@
             rollout.versions.borrow_mut().set_settings(settings);
             let settings = format!("{settings:016x}");
             info!(target: "fleet", adopted = adopt.is_some(), settings, "settings");
-            // The answers recorded so far belong to the previous settings, so they are discarded.
+            // The answers recorded so far belong to the previous settings, so these answers are discarded.
             rollout.recorder.take();
         }
         Err(error) => refuse(rollout, &error),
@@ -148,7 +150,7 @@
 }
 
 /// Returns to the server's own settings. The file that marks the candidate settings as adopted is removed
-/// first. If the server crashes before the settings are changed, it restarts with its own settings.
+/// first. If the server crashes before the settings are changed, the server restarts with its own settings.
 async fn adopt_own(server: &Rc<Server>, rollout: &Rollout) -> Result<(), AdoptError> {
     let mark = rollout.candidate.mark.clone();
     let removed = blocking::unblock(move || files::remove(&mark)).await;
@@ -157,7 +159,7 @@
 }
 
 /// Adopts the candidate settings of a rollout. The file that marks the settings as adopted is written last.
-/// If the server crashes before the file is written, it restarts with its own settings.
+/// If the server crashes before the file is written, the server restarts with its own settings.
 async fn adopt_candidate(server: &Rc<Server>, rollout: &Rollout, hash: u64) -> Result<(), AdoptError> {
     reload::adopt(server, Some(hash)).await?;
     let mark = rollout.candidate.mark.clone();
@@ -166,9 +168,9 @@
     written.map_err(AdoptError::WriteMark)
 }
 
-/// Makes the server exit so that its supervisor starts another program. The supervisor reads the path of this
-/// program from a file, the program mark, which is written here. If `adopt` is `None`, the program mark is
-/// removed.
+/// Makes the server exit so that its supervisor starts another program. This function writes the path of the
+/// other program to a file, the program mark, which the supervisor reads. If `adopt` is `None`, the program
+/// mark is removed.
 ///
 /// The server leaves as it does on SIGTERM. After the restart, the server reports which program it runs.
 async fn change_program(server: Rc<Server>, adopt: Option<u64>) {
--- a/crates/server/src/fleet/rollout_state.rs
+++ b/crates/server/src/fleet/rollout_state.rs
@@ -58,7 +58,8 @@
     /// Identity of the running program; `None` until the program's file has been read. The hash is 0 if no
     /// rollout may replace the program.
     pub program: Cell<Option<OwnProgram>>,
-    /// Channel that signals that the server must exit, so that its supervisor starts another program.
+    /// Channel to the task that makes the server exit. The supervisor of the server then starts another
+    /// program.
     pub leave: Sender<()>,
     /// Duration, in nanoseconds, for which an order reserves this server for the order's plan. During this
     /// time, a server that runs adopted settings refuses orders of other plans.
--- a/crates/server/src/fleet/shared_state.rs
+++ b/crates/server/src/fleet/shared_state.rs
@@ -30,7 +30,8 @@
 /// This server's copy of the state that the fleet shares.
 pub struct LocalSharedState {
     inner: RefCell<Inner>,
-    /// Names of the tenants that the options name. The fleet keeps separate counts for these tenants only.
+    /// Names of the tenants that are named in the options. The fleet keeps separate counts for these tenants
+    /// only.
     named_tenants: RefCell<TenantNames>,
     started: Instant,
 }
@@ -47,8 +48,8 @@
     /// Values of this server's counters that are already included in the fleet's counts. The order is that of
     /// [`COUNTER_KEYS`].
     counted: [u64; 4],
-    /// Number of times that an amount was not added to the fleet's counts, because the maximum number of keys
-    /// was reached or the key has an invalid length.
+    /// Number of amounts that were not added to the fleet's counts. An amount is not added if its key has an
+    /// invalid length, or if its key is new and the maximum number of keys is reached.
     uncounted: u64,
 }
 
@@ -127,9 +128,9 @@
         Reading { monotonic: self.started.elapsed().as_nanos() as u64, wall: unix_time_ns() }
     }
 
-    /// Returns whether one more downstream call is permitted by the call budget and by the health of the
-    /// downstream services. `waiting` is the number of runs that wait for a call. If the budget does not
-    /// permit the call, these runs are counted in this server's demand for budget units.
+    /// Returns whether the call budget and the health of the downstream services permit one more downstream
+    /// call. `waiting` is the number of runs that wait for a call. If the budget does not permit the call,
+    /// these runs are counted in this server's demand for budget units.
     pub fn is_call_permitted(&self, waiting: usize, preference: CallPreference) -> bool {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
--- a/crates/server/src/fleet/sharing.rs
+++ b/crates/server/src/fleet/sharing.rs
@@ -131,7 +131,7 @@
         }
         if advanced.has_capacity {
             // If the queue is full, the event is dropped. The controller then has other events to handle.
-            // While it handles these events, it checks whether calls are permitted.
+            // While the controller handles these events, it checks whether calls are permitted.
             let _ = server.events.try_send(Event::DownstreamCapacity);
         }
     }
--- a/crates/server/src/fleet/tier.rs
+++ b/crates/server/src/fleet/tier.rs
@@ -42,7 +42,7 @@
     Succeeded,
     /// The call failed.
     Failed,
-    /// The call was abandoned by this server before it ended.
+    /// This server abandoned the call before the call ended.
     Abandoned,
 }
 
--- a/crates/server/src/interpreter/incarnation.rs
+++ b/crates/server/src/interpreter/incarnation.rs
@@ -22,8 +22,8 @@
 pub struct Incarnation {
     /// Index of the last notice that the server has read from this incarnation of the interpreter.
     pub last_read: u64,
-    /// Upper bound on the time at which the interpreter started, computed from its banners; `None` before the
-    /// first banner.
+    /// Upper bound on the time at which the interpreter started, in Unix nanoseconds. Computed from the
+    /// interpreter's banners; `None` before the first banner.
     started: Option<Nanos>,
     /// Number of attempts to connect to the interpreter that have timed out since a link was last
     /// established.
--- a/crates/server/src/interpreter/reader.rs
+++ b/crates/server/src/interpreter/reader.rs
@@ -8,8 +8,8 @@
 
 /// Result of parsing the first line of the bytes received from the interpreter.
 pub struct ReadLine {
-    /// Notice from the interpreter in the line. `None` if the line contains no valid notice, or a notice that
-    /// the server has read before.
+    /// The interpreter's notice, parsed from the line. `None` if the line contains no valid notice, or a
+    /// notice that the server has read before.
     pub notice: Option<Notice>,
     /// Number of bytes that the line occupies. The caller removes these bytes from the received bytes.
     pub length: usize,
--- a/crates/server/src/lifecycle/clock.rs
+++ b/crates/server/src/lifecycle/clock.rs
@@ -1,5 +1,5 @@
-//! The server's clock. The clock is set to the wall-clock time (Unix time) once, when it is started.
-//! Afterwards it advances monotonically.
+//! The server's clock. The clock is set to the wall-clock time (Unix time) once, when the clock is started.
+//! Afterwards the clock advances monotonically.
 
 use meadowstream_overload_control::Nanos;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
--- a/crates/server/src/lifecycle/drain.rs
+++ b/crates/server/src/lifecycle/drain.rs
@@ -13,7 +13,7 @@
 /// Part of the drain in which the server accepts connections, in eighths of the time from the notice to leave
 /// until the process stops.
 ///
-/// Some callers learn of the drain late and still connect. Any answer costs them less than a refused
+/// Some callers learn of the drain late and still connect. Any answer costs a caller less than a refused
 /// connection. In the last eighth, connections are refused, because a call that arrives just before the stop
 /// could not be answered in time.
 const ACCEPTING_EIGHTHS: u32 = 7;
@@ -30,7 +30,7 @@
     server.connections.drain_all();
     Timer::at(noticed_at + accepting).await;
     server.drain.enter(Phase::Closing);
-    // Connections may have been accepted after the end of the grace phase. Asks the peers of these
+    // Connections may have been accepted after the end of the grace phase. This call asks the peers of these
     // connections to send no more calls.
     server.connections.drain_all();
 }
--- a/crates/server/src/lifecycle/drain_state.rs
+++ b/crates/server/src/lifecycle/drain_state.rs
@@ -10,7 +10,7 @@
     #[default]
     Serving,
     /// The server still admits invocations, because callers need time to notice that the server is leaving.
-    /// If the server rejected their calls already, the fleet would lack the server's capacity in this time.
+    /// If the server rejected calls already in this time, the fleet would lack the server's capacity.
     Grace,
     /// The server rejects new invocations but still accepts connections. A caller that connects now receives
     /// an answer instead of a connection error.
--- a/crates/server/src/lifecycle/reload.rs
+++ b/crates/server/src/lifecycle/reload.rs
@@ -133,8 +133,8 @@
     }
 }
 
-/// Returns the names of those tenants for which the fleet keeps separate counts, from the settings in
-/// `tenants`.
+/// Returns the names of the tenants for which the fleet keeps separate counts: the tenants that are named in
+/// the settings `tenants`.
 pub fn named_tenants(tenants: &Tenants) -> TenantNames {
     Arc::new(tenants.fair.named.iter().map(|(name, _)| name.clone()).collect())
 }
@@ -142,8 +142,8 @@
 /// Reads the configuration files again and applies their settings. If the files cannot be used, the server
 /// continues with the previous settings.
 ///
-/// Connections to addresses that did not change stay open. If a reload is already waiting for an earlier
-/// change, an additional request has no effect, because the waiting reload has not read the files yet.
+/// Connections to addresses that did not change stay open. A request has no effect if another reload is
+/// already waiting for an earlier change. The waiting reload has not read the files yet.
 pub async fn reload(server: Rc<Server>) {
     if server.changes.reload_pending.replace(true) {
         return;
@@ -189,8 +189,8 @@
     Ok(())
 }
 
-/// Reads the configuration files and applies their settings. Returns an error if the change would require a
-/// restart.
+/// Reads the configuration files and applies their settings. Returns an error if the files cannot be used or
+/// if a changed setting requires a restart.
 async fn apply(
     server: &Rc<Server>,
     change: Option<(PathBuf, u64)>,
--- a/crates/server/src/lifecycle/reload_check.rs
+++ b/crates/server/src/lifecycle/reload_check.rs
@@ -33,8 +33,8 @@
     /// `surplus-value`.
     #[error("tenants: a change of by, field, origin or surplus-value takes a restart")]
     TenantSource,
-    /// The change affects the maximum memory for the data that the server stores about tenants (their
-    /// accounts).
+    /// The change affects the maximum memory for the accounts of tenants. An account is the data that the
+    /// server stores about a tenant.
     #[error("ceilings: a change takes a restart")]
     Ceilings,
 }
--- a/crates/server/src/lifecycle/start.rs
+++ b/crates/server/src/lifecycle/start.rs
@@ -72,7 +72,7 @@
     Rollout(RolloutError),
 }
 
-/// Resources that are opened before any task runs. If one of them cannot be opened, the start fails.
+/// Resources that the server opens before it runs any task. If a resource cannot be opened, the start fails.
 struct OpenedResources {
     signals: Signals,
     listener: Async<TcpListener>,
@@ -90,8 +90,8 @@
 /// Runs the server until its drain is over.
 pub fn serve(configuration: Configuration) -> Result<(), StartError> {
     let executor: &'static LocalExecutor = Box::leak(Box::new(LocalExecutor::new()));
-    // The main future is spawned as a task of its own. If it were passed to `executor.run` directly, it would
-    // be polled again after every step of any other task.
+    // The main future is spawned as a task of its own. If the future were passed to `executor.run` directly,
+    // it would be polled again after every step of any other task.
     let main = executor.spawn(run(configuration, executor));
     async_io::block_on(executor.run(main))
 }
--- a/crates/server/src/resources/descriptors.rs
+++ b/crates/server/src/resources/descriptors.rs
@@ -45,8 +45,8 @@
 /// A reserved file descriptor. The reservation ends when this value is dropped.
 pub struct Descriptor {
     in_use: Rc<InUse>,
-    /// Number of callers' connections that use this descriptor: 1 if it is reserved for a connection, 0 if it
-    /// is reserved for a downstream call or a file.
+    /// Number of callers' connections that use this descriptor. The number is 1 for the descriptor of a
+    /// connection, and 0 for the descriptor of a downstream call or a file.
     connections: usize,
 }
 
--- a/crates/server/src/resources/idempotency.rs
+++ b/crates/server/src/resources/idempotency.rs
@@ -8,8 +8,10 @@
 /// Maximum length of an idempotency key, in bytes.
 pub const KEY_MAX: usize = 128;
 /// Maximum memory that one entry of the table uses, in bytes, without the result of the invocation. An entry
-/// has two copies of the key, and slots in several maps. Waiting repeated calls are not included, because
-/// they are counted as memory of their connections.
+/// has two copies of the idempotency key, and slots in several maps.
+///
+/// The memory of waiting repeated calls is not included, because this memory is counted for the connections
+/// of these calls.
 pub const ENTRY_BYTES: usize = 2 * KEY_MAX + 256;
 
 /// An idempotency key together with its operation. The same key can be used for different operations.
@@ -44,7 +46,8 @@
 /// Result of looking up the idempotency key of a call in the table.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Lookup {
-    /// The call is not a repeat: its key is not stored, or the key's idempotency window has ended.
+    /// The call is not a repeat, because its idempotency key is not stored or the key's idempotency window
+    /// has ended.
     New,
     /// The call repeats the invocation with this id. The invocation has the same idempotency key and the same
     /// body.
@@ -80,8 +83,8 @@
     entries_max: usize,
     result_bytes_max: usize,
     /// Maximum time from the arrival of a call until its key is looked up. Each entry is kept for this time
-    /// after the end of its idempotency window, since repeats that arrived within the window may still be
-    /// looked up.
+    /// after the end of its idempotency window. During this time, repeats that arrived within the window may
+    /// still be looked up.
     unread_max: Nanos,
 }
 
--- a/crates/server/src/resources/invocations.rs
+++ b/crates/server/src/resources/invocations.rs
@@ -149,7 +149,7 @@
         open.into_iter().find(|id| self.all[id].tag == tag)
     }
 
-    /// Removes an invocation from the table if it is answered and no run of it is in progress.
+    /// Removes an invocation from the table if the invocation is answered and its run is not in progress.
     pub fn release(&mut self, id: u64) {
         let is_over = |invocation: &Invocation| invocation.is_answered && !invocation.is_running;
         if self.all.get(&id).is_some_and(is_over)
--- a/crates/server/src/resources/mod.rs
+++ b/crates/server/src/resources/mod.rs
@@ -1,6 +1,6 @@
 //! Limited resources of the server: memory for buffers, file descriptors, idempotency keys and invocations.
-//! Each kind of resource has one module, which allocates and releases it. The server's counters are here as
-//! well.
+//! Each kind of resource has one module, which allocates and releases the resource. Another module contains
+//! the server's counters.
 
 pub mod buffers;
 pub mod counters;
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -55,7 +55,7 @@
     pub interpreter_address_changed: (Sender<()>, Receiver<()>),
     /// State of the drain: its phase, and the time of the notice to leave.
     pub drain: DrainState,
-    /// Channel that is closed when the server is notified to leave, so that it must drain and stop.
+    /// Channel that is closed when the server is notified to leave. The server must then drain and stop.
     pub leave_signal: Receiver<()>,
     /// State that the servers of the fleet share; `None` if the options do not enable shared state.
     pub shared: Option<LocalSharedState>,
--- a/crates/server/src/wire/mod.rs
+++ b/crates/server/src/wire/mod.rs
@@ -47,8 +47,8 @@
     /// RESP: a word is longer than the server accepts.
     #[error("a word is too long: {0} bytes")]
     WordTooLong(usize),
-    /// RESP: no line end follows after the stated number of bytes, so a word does not have the length that is
-    /// stated before it.
+    /// RESP: no line end follows after the stated number of bytes. A word therefore does not have the length
+    /// that is stated before the word.
     #[error("a word differs from its announced length of {0} bytes")]
     WordLength(usize),
     /// HTTP: the head is too long.
@@ -63,7 +63,7 @@
     /// HTTP: the first line of the reply is not a status line of HTTP/1.1.
     #[error("invalid status line")]
     BadStatusLine,
-    /// HTTP: a header line has no colon, or its name is empty or contains a space.
+    /// HTTP: a header line has no colon, or the name of the header is empty or contains a space.
     #[error("invalid header line")]
     BadHeader,
     /// HTTP: the reply has a header Transfer-Encoding, which the server does not support.
--- a/crates/server/src/wire/rpc.rs
+++ b/crates/server/src/wire/rpc.rs
@@ -83,7 +83,7 @@
     pub held_kb: f64,
     /// Body of the call: the input of the operation.
     pub body: &'a [u8],
-    /// Number that identifies the balancer that sent the call; `None` if the call states none.
+    /// Number of the balancer that sent the call; `None` if the call states no number.
     pub sender: Option<u64>,
     /// Ticket for a promise of admission, which the caller received with an earlier rejection. `None` if the
     /// call has no ticket.
