--- a/crates/server/src/configuration/candidate.rs
+++ b/crates/server/src/configuration/candidate.rs
@@ -58,12 +58,13 @@
 /// Result of [`Candidate::adopted_before`]: whether the server had adopted candidate settings before its last
 /// stop, and whether the settings file has changed since.
 pub enum AdoptedBefore {
-    /// The server had not adopted any candidate settings.
+    /// Before its last stop, the server had not adopted any candidate settings.
     NotAdopted,
-    /// The server had adopted candidate settings with this hash, and the candidate settings file still has
-    /// the same hash.
+    /// Before its last stop, the server had adopted candidate settings with this hash. The candidate settings
+    /// file still has the same hash.
     Unchanged(u64),
-    /// The server had adopted candidate settings, but the candidate settings file has changed or is missing.
+    /// Before its last stop, the server had adopted candidate settings. Since then, the candidate settings
+    /// file has changed or was removed.
     Changed,
 }
 
--- a/crates/server/src/configuration/mod.rs
+++ b/crates/server/src/configuration/mod.rs
@@ -73,7 +73,8 @@
     /// Revision of the replicated configuration that the server currently uses; `None` if the server uses no
     /// replicated configuration.
     pub replicated: RefCell<Option<Snapshot>>,
-    /// Fleet settings; `None` if the options file has no `<membership>` element.
+    /// Settings of this process as a member of a fleet; `None` if the options file has no `<membership>`
+    /// element.
     pub membership: Option<FleetSettings>,
 }
 
--- a/crates/server/src/configuration/platform_file.rs
+++ b/crates/server/src/configuration/platform_file.rs
@@ -38,7 +38,7 @@
     /// The seed for the random number generators is not a hexadecimal number.
     #[error("seed: {0:?} is not hexadecimal")]
     InvalidSeed(String),
-    /// The deployment's settings are invalid.
+    /// The deployment's settings in the platform's file are invalid.
     #[error("settings")]
     Settings(#[source] BoxError),
 }
--- a/crates/server/src/connection/request.rs
+++ b/crates/server/src/connection/request.rs
@@ -38,14 +38,14 @@
     /// The settings define allowances of tenants, but the call names no tenant or an unknown tenant.
     #[error("unknown tenant {0:?}")]
     UnknownTenant(Option<String>),
-    /// The caller's timeout is not a whole number of milliseconds.
+    /// The timeout that the caller states in the call is not a whole number of milliseconds.
     #[error("bad {CLIENT_TIMEOUT_FIELD} {0:?}")]
     BadClientTimeout(String),
     /// The operation needs an idempotency key, but the call contains none. Without a key, the server cannot
     /// recognize repeated calls.
     #[error("missing idempotency key")]
     MissingKey,
-    /// The idempotency key is longer than the maximum length.
+    /// The idempotency key of the call is longer than the server accepts.
     #[error("idempotency key is too long: {0} bytes, {KEY_MAX} at most")]
     KeyTooLong(usize),
 }
--- a/crates/server/src/connection/state.rs
+++ b/crates/server/src/connection/state.rs
@@ -71,7 +71,7 @@
     Malformed(ParseError),
 }
 
-/// Reason why a command cannot be executed.
+/// Reason why a command from a balancer cannot be executed.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum InvalidCommand {
     /// The new call or health check has the tag of a call that is still open.
@@ -93,7 +93,7 @@
 #[derive(Debug, PartialEq, thiserror::Error)]
 #[error("outgoing buffer is full: {bytes} bytes do not fit, its limit is {OUTGOING_MAX_BYTES} bytes")]
 pub struct OutgoingFull {
-    /// Length, in bytes, of the message that did not fit into the buffer.
+    /// Length, in bytes, of the message that did not fit into the buffer for outgoing messages.
     pub bytes: usize,
 }
 
--- a/crates/server/src/event.rs
+++ b/crates/server/src/event.rs
@@ -58,7 +58,7 @@
     Linked {
         /// True if the interpreter is still warming up, so it runs operations more slowly.
         cold: bool,
-        /// Time since the interpreter process started.
+        /// Time since the interpreter process started, in nanoseconds.
         age: Nanos,
         /// True if the interpreter was restarted since the previous link. A restarted interpreter numbers the
         /// notices that it sends from 1 again.
@@ -78,7 +78,7 @@
         number: u64,
         /// Outcome of the downstream call; unknown if the service may or may not have run the call.
         outcome: Outcome,
-        /// Body of the service's reply; empty if there was no reply.
+        /// Body of the downstream service's reply; empty if there was no reply.
         reply: Vec<u8>,
         /// Duration of the downstream call, in nanoseconds.
         duration: Nanos,
@@ -95,6 +95,6 @@
     Barrier(Sender<()>),
     /// Request to change the target utilization of the CPU cores to this value, from 0 to 1.
     SetTargetUtilization(f64),
-    /// Request to drain the server and stop it.
+    /// Request to drain the server and then to stop the server process.
     Shutdown,
 }
--- a/crates/server/src/fleet/joined.rs
+++ b/crates/server/src/fleet/joined.rs
@@ -29,10 +29,10 @@
 
 /// A member of the fleet that serves no callers, for example the coordinator of a rollout.
 pub struct NonServingMember {
-    /// Clock of the process. Its times are in Unix nanoseconds.
+    /// Clock of the process, which returns Unix time in nanoseconds.
     pub clock: Clock,
     socket: Async<UdpSocket>,
-    /// The state of the membership protocol.
+    /// State of the membership protocol in this process.
     pub membership: Membership,
     /// The state that the members of the fleet share, including the leases.
     pub shared: SharedState,
--- a/crates/server/src/fleet/publish.rs
+++ b/crates/server/src/fleet/publish.rs
@@ -20,11 +20,11 @@
 /// request again.
 const REPEAT_AFTER_NS: u64 = 300_000_000;
 
-/// Action that the operator requests on the command line.
+/// Action that the operator requests with the `publish` command.
 pub enum PublishRequest {
-    /// Publish the change described in the file at this path.
+    /// Publish the change of the replicated configuration that the file at this path describes.
     Publish(PathBuf),
-    /// Revert the revision with this number.
+    /// Revert the revision of the replicated configuration that has this number.
     Revert(u64),
     /// Print the status only.
     Status,
--- a/crates/server/src/fleet/replication.rs
+++ b/crates/server/src/fleet/replication.rs
@@ -52,7 +52,8 @@
     Settings(#[from] meadowstream_replication::member::SettingsError),
 }
 
-/// The client of replicated configuration on this server.
+/// The client of replicated configuration on this server. Receives new revisions and makes them the current
+/// configuration.
 pub struct Replication {
     member: Member,
     file: PathBuf,
--- a/crates/server/src/fleet/rollout_state.rs
+++ b/crates/server/src/fleet/rollout_state.rs
@@ -22,7 +22,8 @@
     Record(#[from] HistogramError),
 }
 
-/// Identity of the program that this process runs.
+/// Identity of the program that this process runs: the hash of the program's file, and whether a rollout has
+/// selected the program.
 #[derive(Clone, Copy, Debug)]
 pub struct OwnProgram {
     /// Hash of the program's file.
--- a/crates/server/src/fleet/shared_state.rs
+++ b/crates/server/src/fleet/shared_state.rs
@@ -73,7 +73,7 @@
 /// The downstream service to which a call is routed. The call is sent to this service and not to the address
 /// in the configuration.
 pub struct Destination {
-    /// Index of the downstream service in the settings.
+    /// Index of the downstream service in the list of services in the settings.
     pub service: usize,
     /// Address of the service.
     pub address: SocketAddr,
@@ -220,7 +220,7 @@
         calls.try_for_each(|budget| budget.set_total(total))
     }
 
-    /// Handles the bodies of messages that were received from other members.
+    /// Handles messages from other members. `bodies` contains the encoded bodies of these messages.
     pub fn receive(&self, bodies: Vec<Vec<u8>>) {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
--- a/crates/server/src/fleet/tier.rs
+++ b/crates/server/src/fleet/tier.rs
@@ -21,7 +21,7 @@
 /// A call in flight.
 struct InFlight {
     choice: Choice,
-    /// Start time of the call, in nanoseconds of the process's monotonic clock.
+    /// Start time of the downstream call, in nanoseconds of the process's monotonic clock.
     started: u64,
 }
 
@@ -29,7 +29,7 @@
 pub struct Tier {
     addresses: Vec<SocketAddr>,
     router: Router,
-    /// Calls in flight. The key is the number of the call.
+    /// Downstream calls in flight. The key is the number of the call.
     in_flight: HashMap<u64, InFlight>,
     /// Indexes of the downstream services that are ejected, as of the last call of [`Tier::update_health`].
     pub ejected: Vec<usize>,
--- a/crates/server/src/lifecycle/pause.rs
+++ b/crates/server/src/lifecycle/pause.rs
@@ -26,7 +26,7 @@
 /// Measures the duration of work on the current thread. The measurement begins when the stopwatch is started.
 pub struct Stopwatch {
     started: Instant,
-    /// Total processor time of the thread at the start of the stopwatch.
+    /// Total processor time of the current thread when the stopwatch was started.
     processor: Duration,
 }
 
--- a/crates/server/src/resources/descriptors.rs
+++ b/crates/server/src/resources/descriptors.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, thiserror::Error)]
 #[error("limits.sockets: {limit} descriptors are too few, {in_use} are needed for other purposes")]
 pub struct TooFewDescriptors {
-    /// Maximum number of open file descriptors of the process, as configured.
+    /// Configured maximum number of file descriptors that the process may have open.
     pub limit: usize,
     /// Number of file descriptors that the server needs for purposes other than callers' connections and
     /// downstream calls.
--- a/crates/server/src/resources/invocations.rs
+++ b/crates/server/src/resources/invocations.rs
@@ -12,7 +12,7 @@
     /// Reference of the invocation, chosen by the caller. Commands to the interpreter use the reference to
     /// identify the run.
     pub reference: u64,
-    /// Index of the operation in the deployment's settings.
+    /// Index of the invocation's operation in the deployment's settings.
     pub operation: usize,
     /// Name of the tenant, if the fleet keeps separate counts for this tenant; `None` otherwise.
     pub counted_tenant: Option<String>,
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -61,7 +61,7 @@
     pub shared: Option<LocalSharedState>,
     /// State of rollouts on this server; `None` if the options do not enable rollouts.
     pub rollout: Option<Rollout>,
-    /// Lock that lets only one change of settings be applied at a time.
+    /// Lock and flag for changes of settings, so that only one change is applied at a time.
     pub changes: Changes,
     /// Pauses of the serving thread during the most recent change of settings.
     pub change_pauses: Cell<Pauses>,
--- a/crates/server/src/wire/interpreter.rs
+++ b/crates/server/src/wire/interpreter.rs
@@ -19,7 +19,7 @@
     Banner {
         /// True if the interpreter is still warming up, so it runs operations more slowly.
         cold: bool,
-        /// Time since the interpreter process started.
+        /// Time since the interpreter process started, in nanoseconds.
         age: Nanos,
     },
     /// The run of an invocation has ended.
@@ -69,7 +69,7 @@
     /// The encoded body in the notice is not valid base64.
     #[error("invalid base64: {0}")]
     Base64(#[from] base64::DecodeError),
-    /// The banner states a state other than cold or warm.
+    /// The state in the interpreter's banner is unknown. The known states are cold and warm.
     #[error("unknown state {0:?}")]
     UnknownState(String),
     /// The notice states an outcome of the run that the server does not know.
--- a/crates/server/src/wire/ring.rs
+++ b/crates/server/src/wire/ring.rs
@@ -6,7 +6,7 @@
 /// Maximum memory, in bytes, that an empty buffer keeps allocated for the next message.
 const EMPTY_CAPACITY_MAX: usize = 1024;
 
-/// A first-in, first-out buffer of bytes. Its maximum size is fixed.
+/// A first-in, first-out buffer of bytes with a fixed maximum size.
 #[derive(Debug)]
 pub struct Ring {
     bytes: VecDeque<u8>,
--- a/crates/server/src/wire/rpc.rs
+++ b/crates/server/src/wire/rpc.rs
@@ -180,7 +180,7 @@
 /// Answer that the server sends to a balancer: the final answer to a call, or the answer to a health check.
 #[derive(Debug, PartialEq)]
 pub enum Answer {
-    /// The operation succeeded, with this result.
+    /// The operation succeeded with this result, which the server sends to the caller.
     Succeeded(Vec<u8>),
     /// The call was rejected. A retry is safe: either the operation did not run, or running it again has no
     /// further effect.
