--- a/crates/server/src/configuration/candidate.rs
+++ b/crates/server/src/configuration/candidate.rs
@@ -21,8 +21,8 @@
     pub adopted: Option<u64>,
     /// Path of the candidate program of a rollout; `None` if the options file names no program.
     pub program: Option<PathBuf>,
-    /// Path of a file for the server's supervisor. The server writes the path of the program that the
-    /// supervisor must start next into this file.
+    /// Path of a file for the server's supervisor. The file names the program that the supervisor starts
+    /// next.
     pub program_mark: PathBuf,
 }
 
@@ -63,8 +63,8 @@
     /// Before its last stop, the server had adopted candidate settings with this hash. The candidate settings
     /// file still has the same hash.
     Unchanged(u64),
-    /// Before its last stop, the server had adopted candidate settings. Since then, the candidate settings
-    /// file has changed or was removed.
+    /// Before its last stop, the server had adopted candidate settings. The candidate settings file has
+    /// changed since then or is missing.
     Changed,
 }
 
--- a/crates/server/src/connection/task.rs
+++ b/crates/server/src/connection/task.rs
@@ -18,7 +18,7 @@
 use std::time::{Duration, Instant};
 use tracing::debug;
 
-/// Delay before the task checks again whether other connections have released buffer memory.
+/// Delay before a connection's task checks again whether other connections have released buffer memory.
 const BUFFERS_RETRY_AFTER: Duration = Duration::from_millis(10);
 /// Divisor of the time from the notice to leave until the process stops. The result is the linger time: how
 /// long the server waits for the peer to close a connection.
--- a/crates/server/src/event.rs
+++ b/crates/server/src/event.rs
@@ -76,7 +76,8 @@
         invocation: u64,
         /// Number of the downstream call.
         number: u64,
-        /// Outcome of the downstream call; unknown if the service may or may not have run the call.
+        /// Outcome of the downstream call. The outcome is unknown if it is not certain whether the service
+        /// ran the call.
         outcome: Outcome,
         /// Body of the downstream service's reply; empty if there was no reply.
         reply: Vec<u8>,
--- a/crates/server/src/event_loop/interpreter_session.rs
+++ b/crates/server/src/event_loop/interpreter_session.rs
@@ -62,8 +62,8 @@
         self.send(interpreter::request_gauges(nonce));
     }
 
-    /// Requests the gauges of the interpreter. The controller needs them to handle its expired timer with the
-    /// number `timer`. Returns the nonce that identifies the request.
+    /// Requests the gauges of the interpreter. The controller needs the gauge readings to handle its expired
+    /// timer with the number `timer`. Returns the nonce that identifies the request.
     pub fn request_gauges(&mut self, timer: u32) -> u64 {
         let nonce = self.next_nonce();
         self.gauges_request = Some(GaugesRequest { nonce, timer });
--- a/crates/server/src/fleet/shared_state.rs
+++ b/crates/server/src/fleet/shared_state.rs
@@ -308,8 +308,8 @@
 }
 
 impl Inner {
-    /// Adds the increase of this server's counters since the previous call of this function to the fleet's
-    /// counts.
+    /// Updates the fleet's counts from this server's counters. Adds the amount by which each counter has
+    /// increased since the previous call of this function.
     fn add_local_counts(&mut self, counters: &Counters) {
         let values = [&counters.invocations, &counters.succeeded, &counters.throttled, &counters.errored];
         for ((key, value), counted) in COUNTER_KEYS.iter().zip(values).zip(&mut self.counted) {
--- a/crates/server/src/lifecycle/reload_check.rs
+++ b/crates/server/src/lifecycle/reload_check.rs
@@ -88,8 +88,8 @@
 }
 
 /// Returns the old and the new settings of tenants, or `None` if the options do not configure tenants. The
-/// weights and quotas in the two settings may differ. Returns an error if they differ in a setting that can
-/// only be changed by a restart.
+/// weights and quotas in the two settings may differ. Returns an error if another difference requires a
+/// restart of the server.
 pub fn changed_tenants<'a>(
     old: &'a Options,
     new: &'a Options,
--- a/crates/server/src/resources/buffers.rs
+++ b/crates/server/src/resources/buffers.rs
@@ -16,9 +16,8 @@
         Rc::new(Self { limit_bytes, reserved_bytes: Cell::new(0) })
     }
 
-    /// Returns whether connections may read more data. They may do so while the total of the reserved bytes
-    /// is below the limit. A single connection buffers little, but many connections together could use too
-    /// much memory.
+    /// Returns whether connections may read more data, because the total of the reserved bytes is below the
+    /// limit. A single connection buffers little, but many connections together could use too much memory.
     pub fn has_capacity(&self) -> bool {
         self.reserved_bytes.get() < self.limit_bytes
     }
--- a/crates/server/src/wire/tests/outside_names.rs
+++ b/crates/server/src/wire/tests/outside_names.rs
@@ -1,4 +1,4 @@
-//! Checks that each protocol still uses the words that it used in release 0.2.0 (commit 22d0bb6).
+//! Checks that each protocol still uses the same words and field names as in release 0.2.0 (commit 22d0bb6).
 
 use crate::wire::catalog;
 use crate::wire::http;
