--- a/crates/server/src/event.rs
+++ b/crates/server/src/event.rs
@@ -60,8 +60,8 @@
         cold: bool,
         /// Time since the interpreter process started, in nanoseconds.
         age: Nanos,
-        /// True if the interpreter was restarted since the previous link. A restarted interpreter numbers the
-        /// notices that it sends from 1 again.
+        /// True if the interpreter was restarted since the previous link. After a restart, the interpreter
+        /// numbers its notices from 1 again.
         restarted: bool,
         /// Queue of the commands that are to be sent over the link.
         commands: Sender<Vec<u8>>,
--- a/crates/server/src/event_loop/arrivals.rs
+++ b/crates/server/src/event_loop/arrivals.rs
@@ -93,8 +93,10 @@
         None
     }
 
-    /// Stores the idempotency key of a new invocation. The key's window, in which calls with this key are
-    /// repeats, starts now and not at the arrival time that the caller states. For a caller whose clock is
+    /// Stores the idempotency key of a new invocation. Until the end of a time window, further calls with
+    /// this key are repeats.
+    ///
+    /// The window starts now and not at the arrival time that the caller states. For a caller whose clock is
     /// behind, the window would otherwise end too early.
     fn store_key(&mut self, id: u64, operation: usize, keyed: &KeyWithBodyHash, now: Nanos) {
         let operations = &self.server.configuration.settings.deployment.operations;
--- a/crates/server/src/event_loop/mod.rs
+++ b/crates/server/src/event_loop/mod.rs
@@ -67,8 +67,8 @@
     }
 
     /// Runs the function `act`, which calls the controller. Then notifies the controller of invocations that
-    /// ended while its actions were executed. An unsupported action fails its invocation, and a repeated call
-    /// may be answered.
+    /// ended while the controller's actions were executed. An unsupported action fails its invocation, and a
+    /// repeated call may be answered.
     fn with_controller(&mut self, act: impl FnOnce(&mut Controller, Nanos, &mut ActionExecutor)) {
         let Some(controller) = &mut self.controller else { return };
         let actions = &mut self.actions;
--- a/crates/server/src/fleet/control_machine.rs
+++ b/crates/server/src/fleet/control_machine.rs
@@ -93,8 +93,8 @@
 }
 
 impl Control {
-    /// Writes the replica's unsaved state to disk. Messages that depend on this state are sent only after the
-    /// state is written.
+    /// Writes the unsaved state of this machine's replica of the replicated configuration to disk. Messages
+    /// that depend on this state are sent only after the state is written.
     fn save(&mut self, now: u64) {
         while let Some(saved) = self.member.unsaved_state().filter(|_| now >= self.write_after) {
             if let Err(error) = files::write(&self.file, &persistence::encode(&saved)) {
--- a/crates/server/src/fleet/publish.rs
+++ b/crates/server/src/fleet/publish.rs
@@ -24,7 +24,7 @@
 pub enum PublishRequest {
     /// Publish the change of the replicated configuration that the file at this path describes.
     Publish(PathBuf),
-    /// Revert the revision of the replicated configuration that has this number.
+    /// Revert this revision of the replicated configuration, which is identified by its number.
     Revert(u64),
     /// Print the status only.
     Status,
@@ -40,8 +40,8 @@
     pub wait: Duration,
 }
 
-/// Builds the messages to send to the publisher. A status request needs no messages. Called before the
-/// process joins the fleet, so that errors in a change file are reported first.
+/// Builds the messages that ask the publisher to make a change. A request for the status alone needs no such
+/// messages. Called before the process joins the fleet, so that errors in a change file are reported first.
 fn messages(arguments: &PublishArguments, request: &RequestId) -> Result<Vec<Message>> {
     match &arguments.request {
         PublishRequest::Status => Ok(Vec::new()),
@@ -163,8 +163,8 @@
         Ok(None)
     }
 
-    /// Prints how many members use the newest revision, and names the members that use an older revision. If
-    /// `waits` is true, first waits until all members use the newest revision and its number is at least
+    /// Prints how many members use the newest revision, and names the members that do not use this revision.
+    /// If `waits` is true, first waits until all members use the newest revision and its number is at least
     /// `wanted`.
     async fn wait_until_in_force(&mut self, request: RequestId, wanted: u64, waits: bool) -> Result<()> {
         let mut status = String::new();
--- a/crates/server/src/fleet/replication.rs
+++ b/crates/server/src/fleet/replication.rs
@@ -44,7 +44,8 @@
 /// Reason why a server cannot take part in replicated configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum ReplicationError {
-    /// The settings name this server as a replica of the log, but only control machines store the log.
+    /// The settings name this server as a replica of the log of replicated configuration, but only control
+    /// machines store this log.
     #[error("replica: {0:?} is a server; only `meadowstream control` stores the log")]
     ServingReplica(String),
     /// A setting is out of range.
--- a/crates/server/src/fleet/shared_state.rs
+++ b/crates/server/src/fleet/shared_state.rs
@@ -194,7 +194,8 @@
     }
 
     /// Returns the name of a tenant for use in the keys of counts. Returns `None` if the tenant has no
-    /// separate count. Otherwise callers could create any number of keys by inventing tenants.
+    /// separate count. If every tenant had its own keys, callers could create any number of keys by inventing
+    /// tenants.
     pub fn tenant(&self, name: &[u8]) -> Option<String> {
         self.named_tenants.borrow().contains(name).then(|| String::from_utf8_lossy(name).into_owned())
     }
@@ -318,7 +319,7 @@
         }
     }
 
-    /// Updates how many units of the call budget this server requests, and how many it uses.
+    /// Updates how many units of the call budget this server requests, and how many units this server uses.
     fn update_demand(&mut self, time: Time) {
         for budget in self.state.budgets.iter_mut().filter(|budget| !is_lease(budget)) {
             let recent = 2 * budget.settings().refresh_interval;
@@ -340,8 +341,8 @@
         }
     }
 
-    /// Returns whether a downstream call would be permitted now. The call may serve as a health check, so an
-    /// ejected service that is due for a check also counts as available.
+    /// Returns whether a downstream call would be permitted now. Assumes that the call may serve as a health
+    /// check. An ejected service that is due for a check therefore also counts as available.
     fn has_capacity(&mut self, now: u64, time: Time) -> bool {
         let preference = CallPreference { last_service: None, may_probe: true };
         let is_routable = self.tier.as_ref().is_none_or(|tier| tier.can_route(now, preference));
--- a/crates/server/src/fleet/sharing.rs
+++ b/crates/server/src/fleet/sharing.rs
@@ -96,9 +96,11 @@
         }
     }
 
-    /// Sends one member of the fleet the program version and the settings hash of this server and of other
-    /// known servers. Successive announcements are sent to all members in turn. The first member depends on
-    /// this server's incarnation, so that servers do not all announce to the same member at once.
+    /// Announces versions to one member of the fleet: the program version and the settings hash of this
+    /// server and of other known servers.
+    ///
+    /// Successive announcements are sent to all members in turn. The first member depends on this server's
+    /// incarnation, so that servers do not all announce to the same member at once.
     fn announce_versions(&mut self, server: &Server, shared: &LocalSharedState, now: Nanos) {
         let Some(rollout) = &server.rollout else { return };
         if now < self.announced_at + ANNOUNCE_EVERY_NS {
@@ -136,8 +138,8 @@
         }
     }
 
-    /// Writes the state that the fleet shares to the log. The state is logged if the leases or the ejected
-    /// services have changed, and otherwise at regular intervals.
+    /// Logs the state that the fleet shares. A line is logged if the leases or the ejected services have
+    /// changed, and otherwise at regular intervals.
     fn log(&mut self, shared: &LocalSharedState, now: Nanos) {
         let status = shared.status();
         let compared = |s: &SharedStatus| (s.floor, s.leased, s.is_grantor, s.ejected.clone());
--- a/crates/server/src/fleet/view_log.rs
+++ b/crates/server/src/fleet/view_log.rs
@@ -85,8 +85,8 @@
     serde_json::to_string(&known).unwrap_or_default()
 }
 
-/// Logs the whole view in one line. The line contains each member with its state and the start time of this
-/// state, and the number of dropped datagrams for each reason.
+/// Logs the whole view of the fleet in one line. The line contains the state of each member and the start
+/// time of this state. The line also contains the number of dropped datagrams for each reason.
 fn log_view(membership: &Membership, view: &[MemberStatus], runs: &str, now: Nanos) {
     let count = |state| view.iter().filter(|status| status.state == state).count();
     let members = serde_json::to_string(view).unwrap_or_default();
--- a/crates/server/src/interpreter/link.rs
+++ b/crates/server/src/interpreter/link.rs
@@ -31,10 +31,10 @@
 /// Maximum delay before the next attempt to establish a link to the interpreter.
 const BACKOFF_MAX: Duration = Duration::from_millis(160);
 /// Divisor of the readiness deadline. The result is the time limit for opening the TCP connection to the
-/// interpreter, in the first attempt.
+/// interpreter. Timeouts of earlier attempts double this limit.
 const CONNECT_DIVISOR: u32 = 10;
-/// Divisor of the readiness deadline. The result is the time limit for receiving the interpreter's banner, in
-/// the first attempt.
+/// Divisor of the readiness deadline. The result is the time limit for receiving the interpreter's banner.
+/// Timeouts of earlier attempts double this limit.
 const BANNER_DIVISOR: u32 = 5;
 /// Number of control periods after which a link without received data is closed. The server requests gauges
 /// in every control period, so a working link receives data in every period.
--- a/crates/server/src/lifecycle/start.rs
+++ b/crates/server/src/lifecycle/start.rs
@@ -33,8 +33,8 @@
 /// Maximum number of events in the queue of the event loop. While the queue is full, tasks that send events
 /// wait.
 const EVENTS_MAX: usize = 1024;
-/// Divisor of the memory limit. The buffers of all connections may use half of the limit. This half includes
-/// the memory reserved for answers that are not yet sent.
+/// Divisor of the server's memory limit. The buffers of all connections may use half of the limit. This half
+/// includes the memory reserved for answers that are not yet sent.
 const BUFFERS_DIVISOR: usize = 2;
 
 /// Reason why the server cannot start.
--- a/crates/server/src/resources/descriptors/tests.rs
+++ b/crates/server/src/resources/descriptors/tests.rs
@@ -1,4 +1,4 @@
-//! Tests the purposes for which a file descriptor can be reserved when few descriptors are available.
+//! Tests for which purposes a file descriptor can be reserved when only few descriptors are available.
 
 use super::*;
 use crate::calls::pool::{DESCRIPTOR_RETRY_AFTER, Pool};
--- a/crates/server/src/resources/idempotency/tests.rs
+++ b/crates/server/src/resources/idempotency/tests.rs
@@ -28,7 +28,8 @@
     let mut table = table(4, 64);
     table.insert(1, 0, b"t", 7, WINDOW_END);
     table.run_ended(1, None);
-    // The call arrived before the end of the idempotency window, but its key was looked up after the end.
+    // The call arrived before the end of the idempotency window, but its key was looked up after the end. The
+    // call must still count as a repeat.
     assert_eq!(table.find(WINDOW_END + 5, WINDOW_END - 1, 0, b"t", 7), Lookup::Repeat(1));
     assert_eq!(table.find(WINDOW_END + 5, WINDOW_END, 0, b"t", 7), Lookup::New);
     assert_eq!(table.find(WINDOW_END + 11, WINDOW_END - 1, 0, b"t", 7), Lookup::New);
