--- a/crates/server/src/configuration/candidate.rs
+++ b/crates/server/src/configuration/candidate.rs
@@ -85,7 +85,7 @@
 /// Error in the candidate settings of a rollout.
 #[derive(Debug, thiserror::Error)]
 pub enum CandidateError {
-    /// The candidate settings are not a valid options file.
+    /// The file with the candidate settings of a rollout is not a valid options file.
     #[error(transparent)]
     Options(BoxError),
     /// The candidate settings contain an element that can only be changed by a restart.
--- a/crates/server/src/resources/invocations.rs
+++ b/crates/server/src/resources/invocations.rs
@@ -78,7 +78,8 @@
 pub struct SentCommand {
     /// The encoded command.
     pub line: Vec<u8>,
-    /// Number of the link to the interpreter over which the command was last sent; 0 if there was no link.
+    /// Number of the link to the interpreter over which the command was last sent; 0 if the last attempt to
+    /// send the command failed.
     pub link: u64,
 }
 
