--- a/crates/server/src/calls/pool.rs
+++ b/crates/server/src/calls/pool.rs
@@ -8,16 +8,17 @@
 use std::time::{Duration, Instant};
 
 /// Maximum time that a connection stays idle in the pool. A downstream service closes a connection after 10 s
-/// of idle time, so the pool closes it after half of that time.
+/// of idle time, so the pool closes the connection after half of that time.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Minimum idle time of a connection before another call uses it. During this time a duplicate of the
 /// previous reply may still arrive. Without the delay, the duplicate would be taken for the reply to the next
 /// call.
 const REUSE_DELAY: Duration = Duration::from_millis(20);
-/// Delay before the pool tries again to reserve a file descriptor, if none was available.
+/// Delay after a failed attempt to reserve a file descriptor. The pool then tries again.
 pub const DESCRIPTOR_RETRY_AFTER: Duration = Duration::from_millis(2);
 
-/// A connection to a downstream service, and the file descriptor reserved for the connection.
+/// A connection to a downstream service, together with the file descriptor that is reserved for the
+/// connection.
 pub struct PooledConnection {
     /// Socket of the connection.
     pub stream: Async<TcpStream>,
@@ -41,8 +42,8 @@
     /// recently. If no idle connection can be used, opens a new one as soon as a file descriptor is
     /// available.
     ///
-    /// If `needs_new_connection` is true, the connection is always new. In this case an idle connection is
-    /// closed if no file descriptor is available.
+    /// If `needs_new_connection` is true, the connection is always new. If no file descriptor is available
+    /// for the new connection, an idle connection is closed to free a descriptor.
     pub async fn connect(
         &self,
         to: SocketAddr,
@@ -76,10 +77,10 @@
     }
 
     /// Takes the most recently used idle connection to the address `to` out of the pool. Discards a
-    /// connection if the downstream service has closed it, or has sent unexpected data on it.
+    /// connection that the downstream service has closed, or on which the service has sent unexpected data.
     ///
-    /// Connections to other addresses stay in the pool. If a configuration reload has removed such an
-    /// address, its connections are closed when their idle time is over.
+    /// Connections to other addresses stay in the pool. If a configuration reload has removed an address, the
+    /// connections to this address are closed when their idle time is over.
     fn reuse(&self, to: SocketAddr, now: Instant) -> Option<PooledConnection> {
         self.close_expired();
         let mut idle = self.idle.borrow_mut();
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Puts a connection into the pool, so that a later call can use it.
+    /// Puts a connection into the pool, so that a later call can use the connection.
     pub fn return_connection(&self, connection: PooledConnection) {
         self.close_expired();
         self.idle.borrow_mut().push(Idle { connection, since: Instant::now() });
--- a/crates/server/src/configuration/candidate.rs
+++ b/crates/server/src/configuration/candidate.rs
@@ -9,18 +9,20 @@
 /// The candidate of a rollout: the settings and the program that the rollout may ask this server to adopt.
 #[derive(Clone, Debug)]
 pub struct Candidate {
-    /// Path of the candidate settings file.
+    /// Path of the file that contains the candidate settings of a rollout.
     pub path: PathBuf,
     /// Path of a file that exists if the server has adopted the candidate settings. The file contains the
     /// hash of the adopted settings.
     pub mark: PathBuf,
-    /// Hash of the server's own options file.
+    /// Hash of the content of the server's own options file.
     pub own_hash: u64,
-    /// Hash of the candidate settings, if the server has adopted them; otherwise `None`.
+    /// Hash of the candidate settings that the server has adopted; `None` if the server has not adopted
+    /// candidate settings.
     pub adopted: Option<u64>,
-    /// Path of the candidate program; `None` if the options name no program.
+    /// Path of the candidate program of a rollout; `None` if the options file names no program.
     pub program: Option<PathBuf>,
-    /// Path of the file in which the server names the program that its supervisor starts next.
+    /// Path of a file for the server's supervisor. The file names the program that the supervisor starts
+    /// next.
     pub program_mark: PathBuf,
 }
 
@@ -56,12 +58,13 @@
 /// Result of [`Candidate::adopted_before`]: whether the server had adopted candidate settings before its last
 /// stop, and whether the settings file has changed since.
 pub enum AdoptedBefore {
-    /// The server had not adopted any candidate settings.
+    /// Before its last stop, the server had not adopted any candidate settings.
     NotAdopted,
-    /// The server had adopted candidate settings with this hash, and the candidate settings file still has
-    /// the same hash.
+    /// Before its last stop, the server had adopted candidate settings with this hash. The candidate settings
+    /// file still has the same hash.
     Unchanged(u64),
-    /// The server had adopted candidate settings, but the candidate settings file has changed or is missing.
+    /// Before its last stop, the server had adopted candidate settings. The candidate settings file has
+    /// changed since then or is missing.
     Changed,
 }
 
@@ -82,7 +85,7 @@
 /// Error in the candidate settings of a rollout.
 #[derive(Debug, thiserror::Error)]
 pub enum CandidateError {
-    /// The candidate settings are not a valid options file.
+    /// The file with the candidate settings of a rollout is not a valid options file.
     #[error(transparent)]
     Options(BoxError),
     /// The candidate settings contain an element that can only be changed by a restart.
--- a/crates/server/src/connection/table.rs
+++ b/crates/server/src/connection/table.rs
@@ -29,7 +29,8 @@
     },
     /// Send the peer a request to send no more calls on this connection.
     Drain,
-    /// Close the connection to free its file descriptor. Ignored if a command has arrived in the meantime.
+    /// Close the connection to free its file descriptor. The connection's task ignores this notification if a
+    /// command has arrived in the meantime.
     CloseIfIdle,
 }
 
@@ -40,7 +41,8 @@
     notifications: Sender<Notification>,
     /// Number of calls on the connection that are not yet answered.
     pub open_calls: Cell<usize>,
-    /// Time of the connection's last activity: when bytes were last received, queued for sending, or sent.
+    /// Time of the last activity on the connection. Activity means that bytes were received, queued for
+    /// sending, or sent.
     pub last_used: Cell<Nanos>,
     has_received: Cell<bool>,
     /// True once a request to send no more calls on the connection is sent to the peer or queued for sending.
@@ -69,8 +71,8 @@
         self.notifications.try_send(notification).is_ok()
     }
 
-    /// Records that a complete command was received on the connection. If the connection was about to be
-    /// closed as idle, it stays open.
+    /// Records that a complete command was received on the connection. A connection that was about to be
+    /// closed as idle stays open.
     pub fn mark_received(&self) {
         self.has_received.set(true);
         self.closes_if_idle.set(false);
@@ -88,7 +90,8 @@
         self.open_calls.get() == 0 && self.last_used.get() <= since
     }
 
-    /// Returns whether the connection has been idle long enough to be closed in favor of a new connection.
+    /// Returns whether the connection has been idle long enough to be closed, so that a new connection can
+    /// use its file descriptor.
     fn may_be_closed(&self, now: Nanos) -> bool {
         let keep_for = if self.has_received.get() { IDLE_TIMEOUT_NS } else { UNUSED_TIMEOUT_NS };
         !self.closes_if_idle.get() && self.open_calls.get() == 0 && self.last_used.get() + keep_for <= now
@@ -100,7 +103,7 @@
 pub struct HealthStatus {
     /// Answer to health checks. True if the server is healthy and callers may send calls to it.
     pub healthy: Cell<bool>,
-    /// Load that each answer advertises; `None` until the controller sets a load.
+    /// Load of the server, as each answer advertises it; `None` until the controller sets a load.
     pub advertised_load: Cell<Option<f64>>,
 }
 
@@ -150,9 +153,8 @@
         }
     }
 
-    /// Tells the task of one idle connection to close the connection. Chooses a connection that has never
-    /// received a command, if there is one. Among several candidates, chooses the one with the longest idle
-    /// time.
+    /// Asks the task of one idle connection to close the connection. Prefers connections that have never
+    /// received a command. Among several candidates, chooses the connection with the longest idle time.
     ///
     /// Returns false if no connection has been idle long enough.
     pub fn close_one_idle(&self, now: Nanos) -> bool {
--- a/crates/server/src/connection/task.rs
+++ b/crates/server/src/connection/task.rs
@@ -18,11 +18,13 @@
 use std::time::{Duration, Instant};
 use tracing::debug;
 
-/// Delay before the task checks again whether other connections have released buffer memory.
+/// Delay before a connection's task checks again whether other connections have released buffer memory.
 const BUFFERS_RETRY_AFTER: Duration = Duration::from_millis(10);
 /// Divisor of the time from the notice to leave until the process stops. The result is the linger time: how
-/// long a connection waits for its peer to close it. One connection may wait for the linger time twice: first
-/// while it is idle, and again while it is closing. Both waits must end before the process stops.
+/// long the server waits for the peer to close a connection.
+///
+/// One connection may wait for the linger time twice: first while the connection is idle, and again while it
+/// is closing. Both waits must end before the process stops.
 const LINGER_DIVISOR: u64 = 8;
 /// Maximum number of bytes that one read from the socket returns.
 const READ_MAX_BYTES: usize = 8 * 1024;
@@ -99,8 +101,8 @@
 }
 
 impl ConnectionTask {
-    /// Serves the connection until it can be closed without losing calls or answers. Returns an error if the
-    /// connection broke.
+    /// Serves a balancer's connection until the connection can be closed without losing calls or answers.
+    /// Returns an error if the connection broke.
     async fn run(&mut self) -> Result<()> {
         loop {
             while let Ok(notification) = self.notifications.try_recv() {
@@ -157,7 +159,7 @@
     }
 
     /// Handles the bytes that have already arrived, and then returns whether the connection has timed out.
-    /// Returns an error if the peer does not read the bytes sent to it.
+    /// Returns an error if the peer does not read the bytes that the server sends.
     async fn has_expired(&mut self) -> Result<bool> {
         if !self.state.poll_transmit().is_empty() {
             return Err(ErrorKind::TimedOut.into());
--- a/crates/server/src/event.rs
+++ b/crates/server/src/event.rs
@@ -22,8 +22,8 @@
     pub arrival_unix_ms: u64,
     /// Memory that a run of the operation reserves, in kilobytes, as stated in the call.
     pub held_kb: f64,
-    /// Index of the caller's tenant in the deployment's settings; 0 if the settings define no tenants, or if
-    /// the options file configures how tenants are identified.
+    /// Index of the caller's tenant in the deployment's settings. The index is 0 if the settings define no
+    /// tenants, or if the options file configures how tenants are identified.
     pub tenant: usize,
     /// How long the caller waits for the answer, counted from the arrival of the call; `None` if this time is
     /// unknown.
@@ -58,10 +58,10 @@
     Linked {
         /// True if the interpreter is still warming up, so it runs operations more slowly.
         cold: bool,
-        /// Time since the interpreter process started.
+        /// Time since the interpreter process started, in nanoseconds.
         age: Nanos,
-        /// True if the interpreter was restarted since the previous link. A restarted interpreter numbers its
-        /// notices from 1 again.
+        /// True if the interpreter was restarted since the previous link. After a restart, the interpreter
+        /// numbers its notices from 1 again.
         restarted: bool,
         /// Queue of the commands that are to be sent over the link.
         commands: Sender<Vec<u8>>,
@@ -76,25 +76,26 @@
         invocation: u64,
         /// Number of the downstream call.
         number: u64,
-        /// Outcome of the downstream call; unknown if the service may or may not have run the call.
+        /// Outcome of the downstream call. The outcome is unknown if it is not certain whether the service
+        /// ran the call.
         outcome: Outcome,
-        /// Body of the service's reply; empty if there was no reply.
+        /// Body of the downstream service's reply; empty if there was no reply.
         reply: Vec<u8>,
         /// Duration of the downstream call, in nanoseconds.
         duration: Nanos,
     },
-    /// Downstream calls are permitted again. Earlier, the fleet's call budget or the health of the services
-    /// did not permit them. The controller can now make the calls that it has delayed.
+    /// Downstream calls are permitted again, after the fleet's call budget or the health of the services did
+    /// not permit calls. The controller can now make the calls that it has delayed.
     DownstreamCapacity,
-    /// Request to log which tenants have the highest demand.
+    /// Request to write the tenants with the highest demand to the server's log.
     LogTenants,
     /// Request to apply one step of a change to the weights and shares of tenants.
     ReconfigureFairQueueing(Box<SettingsChange>),
     /// Request to send a signal over the given channel. The signal means that the event loop has handled all
     /// events that were queued before this request.
     Barrier(Sender<()>),
-    /// Request to set the target utilization of the CPU cores, from 0 to 1.
+    /// Request to change the target utilization of the CPU cores to this value, from 0 to 1.
     SetTargetUtilization(f64),
-    /// Request to drain the server and stop it.
+    /// Request to drain the server and then to stop the server process.
     Shutdown,
 }
--- a/crates/server/src/event_loop/actions.rs
+++ b/crates/server/src/event_loop/actions.rs
@@ -15,8 +15,8 @@
 use std::rc::Rc;
 use tracing::warn;
 
-/// Maximum time to wait for the gauges of the interpreter, in nanoseconds. After this time the control period
-/// continues without the gauges.
+/// Maximum time, in nanoseconds, that a control period waits for the interpreter's gauge readings. After this
+/// time the control period continues without the readings.
 const GAUGES_TIMEOUT_NS: Nanos = 250_000_000;
 
 /// A promise to admit a caller's next attempt. The rejection of the present attempt carries the ticket of the
@@ -33,7 +33,8 @@
 pub struct Replayed {
     /// Id of the invocation that was registered for the repeated call.
     pub invocation: u64,
-    /// Outcome of the earlier, original invocation.
+    /// Outcome of the earlier invocation with the same idempotency key. The repeated call was answered with
+    /// this outcome.
     pub outcome: Outcome,
 }
 
@@ -47,15 +48,16 @@
     pub idempotency: IdempotencyTable,
     /// The session with the interpreter. Commands to the interpreter are sent through this session.
     pub session: InterpreterSession,
-    /// Timers that the controller has set, and the timeouts of gauge requests that are not yet answered.
+    /// Timers that the controller has set, and timeouts of gauge requests that the interpreter has not
+    /// answered yet.
     pub timers: TimerQueue,
     /// Promise of admission that the next rejection carries; `None` if the controller has made no promise.
     pub promised: Option<PromisedAdmission>,
-    /// Ids of invocations that failed because the server does not support an action that the controller
-    /// requested. The controller is notified of these failures after the current action.
+    /// Ids of invocations that failed because the controller requested an unsupported action for them. The
+    /// controller is notified of these failures after the current action.
     pub unsupported: Vec<u64>,
-    /// Repeated calls that were answered with an earlier outcome. The controller is notified of these answers
-    /// after the current action.
+    /// Repeated calls that were answered with the outcome of an earlier invocation. The controller is
+    /// notified of these answers after the current action.
     pub replayed: Vec<Replayed>,
     /// Number of the most recent downstream call. The first call of the process has number 1.
     pub last_call: u64,
@@ -145,8 +147,10 @@
     }
 
     /// Closes an invocation, so that the server sends no further answer to its caller. Abandons the
-    /// invocation's downstream call. If the run waits for a downstream call and its result is not needed for
-    /// repeated calls, also stops the run.
+    /// invocation's downstream call.
+    ///
+    /// If the run waits for a downstream call, also stops the run. A run of an operation that is idempotent
+    /// with a key continues, because repeated calls may need the result.
     pub fn close(&mut self, id: u64) {
         let Some(invocation) = self.invocations.get(id) else { return };
         invocation.is_answered = true;
@@ -213,7 +217,7 @@
     }
 
     /// Removes the idempotency key of an invocation from the table. The next call with this key then runs the
-    /// operation again. Repeated calls that wait for the removed invocation fail.
+    /// operation again. Repeated calls that wait for the outcome of this invocation fail.
     pub fn forget(&mut self, id: u64) {
         for repeat in self.idempotency.forget(id) {
             self.answer_repeat(repeat, None);
@@ -223,16 +227,15 @@
     /// Removes the idempotency key of an invocation that never ran. Otherwise a call forged by a peer could
     /// block the key for the genuine call.
     ///
-    /// The key stays if a command for the run was sent again over a new link to the interpreter. In this case
-    /// the command that was sent first may have started the run.
+    /// The key stays if a command for the run was sent again over a new link to the interpreter. The earlier
+    /// copy of the command may have started the run.
     pub fn forget_unless_resent(&mut self, id: u64) {
         if self.invocations.get(id).is_some_and(|invocation| !invocation.was_resent) {
             self.forget(id);
         }
     }
 
-    /// Returns the effect of running an operation repeatedly: idempotent, not idempotent, or idempotent with
-    /// a key.
+    /// Returns whether an operation is idempotent, not idempotent, or idempotent with a key.
     pub fn effect(&self, operation: usize) -> Effect {
         self.server.configuration.settings.deployment.operations[operation].effect
     }
--- a/crates/server/src/event_loop/arrivals.rs
+++ b/crates/server/src/event_loop/arrivals.rs
@@ -70,15 +70,15 @@
     }
 
     /// Hashes the body of a request with the configured seed. Without a seed, callers could construct two
-    /// bodies with the same hash.
+    /// bodies with the same hash. The server would then take a call with the second body for a repeat.
     fn key_with_body_hash(&self, key: Vec<u8>, body: &[u8]) -> KeyWithBodyHash {
         let mut hasher = SipHasher13::new_with_keys(self.server.configuration.seed, 0);
         hasher.write(body);
         KeyWithBodyHash { key, body_hash: hasher.finish() }
     }
 
-    /// Counts the result of looking up an idempotency key. Returns the id of the original invocation if the
-    /// request repeats an invocation.
+    /// Counts the result of an idempotency key's lookup. If the request repeats an earlier invocation,
+    /// returns the id of that invocation.
     fn count_lookup(&self, lookup: Option<Lookup>) -> Option<u64> {
         let counters = &self.server.counters;
         match lookup? {
@@ -93,8 +93,10 @@
         None
     }
 
-    /// Stores the idempotency key of a new invocation. The key's window, in which calls with this key are
-    /// repeats, starts now and not at the arrival time that the caller states. For a caller whose clock is
+    /// Stores the idempotency key of a new invocation. Until the end of a time window, further calls with
+    /// this key are repeats.
+    ///
+    /// The window starts now and not at the arrival time that the caller states. For a caller whose clock is
     /// behind, the window would otherwise end too early.
     fn store_key(&mut self, id: u64, operation: usize, keyed: &KeyWithBodyHash, now: Nanos) {
         let operations = &self.server.configuration.settings.deployment.operations;
--- a/crates/server/src/event_loop/interpreter_session.rs
+++ b/crates/server/src/event_loop/interpreter_session.rs
@@ -1,5 +1,5 @@
-//! The session with the interpreter, which continues when a lost link is replaced by a new one. Sends
-//! commands, and matches each response with its gauge request.
+//! The session with the interpreter, which continues when a new link replaces a lost link. Sends commands,
+//! and matches each response of the interpreter with the gauge request.
 
 use crate::wire::interpreter;
 use async_channel::Sender;
@@ -14,7 +14,7 @@
 /// The session with the interpreter. The session continues when a link is lost and a new link is established.
 #[derive(Default)]
 pub struct InterpreterSession {
-    /// Queue of commands to send over the current link; `None` while there is no link.
+    /// Queue of commands to send to the interpreter over the current link; `None` while there is no link.
     commands: Option<Sender<Vec<u8>>>,
     /// Number of the most recent link to the interpreter. The first link has number 1.
     link: u64,
@@ -43,7 +43,7 @@
     }
 
     /// Sends a command to the interpreter over the current link. Returns the number of this link. Returns 0
-    /// if the command was dropped because there is no link or its queue is full.
+    /// if the command was dropped, because there is no link or the link's queue is full.
     pub fn send(&mut self, line: Vec<u8>) -> u64 {
         let sent = self.commands.as_ref().is_some_and(|commands| commands.try_send(line).is_ok());
         if !sent && let Some(commands) = self.commands.take() {
@@ -62,8 +62,8 @@
         self.send(interpreter::request_gauges(nonce));
     }
 
-    /// Requests the gauges of the interpreter, which the controller needs to handle its expired timer with
-    /// the number `timer`. Returns the nonce that identifies the request.
+    /// Requests the gauges of the interpreter. The controller needs the gauge readings to handle its expired
+    /// timer with the number `timer`. Returns the nonce that identifies the request.
     pub fn request_gauges(&mut self, timer: u32) -> u64 {
         let nonce = self.next_nonce();
         self.gauges_request = Some(GaugesRequest { nonce, timer });
@@ -71,8 +71,8 @@
         nonce
     }
 
-    /// Handles a response with this nonce. Returns true if the response belongs to the gauge request sent at
-    /// the start of the link; the replay of missed notices is then complete.
+    /// Handles the interpreter's response to the gauge request with the nonce `nonce`. Returns true if this
+    /// request was sent at the start of the link. The interpreter has then replayed all missed notices.
     pub fn end_replay(&mut self, nonce: u64) -> bool {
         self.replay_fence.take_if(|fence| *fence == nonce).is_some()
     }
--- a/crates/server/src/fleet/interval_report.rs
+++ b/crates/server/src/fleet/interval_report.rs
@@ -1,5 +1,5 @@
 //! Records the answers that this server sends between two reports to a rollout's coordinator, separately for
-//! each operation. The coordinator compares servers that run the change with servers that do not.
+//! each operation. The coordinator compares servers with the rollout's change and servers without the change.
 
 use hdrhistogram::Histogram;
 use meadowstream_rollout::metrics::IntervalMetrics;
@@ -18,7 +18,7 @@
 pub enum AnswerOutcome {
     /// The invocation succeeded, and the answer carries its result.
     Succeeded,
-    /// The invocation was rejected. The caller can safely retry it.
+    /// The invocation was rejected. The caller can safely retry the invocation.
     Rejected,
     /// The invocation failed.
     Failed,
@@ -34,14 +34,15 @@
 #[error("cannot create a latency histogram: {0}")]
 pub struct HistogramError(hdrhistogram::errors::CreationError);
 
-/// Records answers for reports to a rollout's coordinator, in one class per operation. If the settings define
-/// more operations than a report can hold, only the first operations are recorded.
+/// Records the answers to calls, separately for each operation, for reports to a rollout's coordinator. If
+/// the settings define more operations than a report can hold, only the first operations are recorded.
 pub struct AnswerRecorder {
     classes: RefCell<Vec<Class>>,
 }
 
 impl AnswerRecorder {
-    /// Creates a recorder without answers, with one class for each operation in `operations`.
+    /// Creates a recorder without answers. The recorder counts the answers of each operation in `operations`
+    /// separately.
     pub fn new(operations: &[String]) -> Result<AnswerRecorder, HistogramError> {
         let class = |name: &String| {
             let latency = Histogram::new_with_bounds(1, LATENCY_MAX_US, 2).map_err(HistogramError)?;
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Returns the figures of all answers recorded since the previous call of this function, and resets the
+    /// Returns the figures of all answers recorded since the previous call of this function. Then resets the
     /// figures.
     pub fn take(&self) -> Vec<IntervalMetrics> {
         let taken = |Class { figures, latency }: &mut Class| {
--- a/crates/server/src/fleet/publish.rs
+++ b/crates/server/src/fleet/publish.rs
@@ -1,7 +1,7 @@
 //! `meadowstream publish`: a command for operators, which changes the replicated configuration of a fleet.
 //!
-//! The command joins the fleet while it runs. It asks the publisher to publish a change or to revert a
-//! revision. Then it prints which members use the newest revision.
+//! The command joins the fleet while it runs. The command asks the publisher to publish a change or to revert
+//! a revision. Then it prints which members use the newest revision.
 
 use crate::fleet::control_machine as control;
 use crate::fleet::joined::NonServingMember;
@@ -16,14 +16,15 @@
 
 /// Prefix of the member name under which the `publish` command joins the fleet.
 const NAME_PREFIX: &str = "publish-";
-/// Time to wait for an answer, in nanoseconds. After this time a request is sent again.
+/// Time, in nanoseconds, to wait for the publisher's answer. After this time the `publish` command sends its
+/// request again.
 const REPEAT_AFTER_NS: u64 = 300_000_000;
 
-/// Action that the operator requests on the command line.
+/// Action that the operator requests with the `publish` command.
 pub enum PublishRequest {
-    /// Publish the change described in the file at this path.
+    /// Publish the change of the replicated configuration that the file at this path describes.
     Publish(PathBuf),
-    /// Revert the revision with this number.
+    /// Revert this revision of the replicated configuration, which is identified by its number.
     Revert(u64),
     /// Print the status only.
     Status,
@@ -35,12 +36,12 @@
     pub request: PublishRequest,
     /// Path of the options file that contains the fleet settings.
     pub options: PathBuf,
-    /// Maximum duration of the whole command.
+    /// Maximum duration of the whole `publish` command.
     pub wait: Duration,
 }
 
-/// Builds the messages to send to the publisher. A status request needs no messages. Called before the
-/// process joins the fleet, so that errors in a change file are reported first.
+/// Builds the messages that ask the publisher to make a change. A request for the status alone needs no such
+/// messages. Called before the process joins the fleet, so that errors in a change file are reported first.
 fn messages(arguments: &PublishArguments, request: &RequestId) -> Result<Vec<Message>> {
     match &arguments.request {
         PublishRequest::Status => Ok(Vec::new()),
@@ -83,10 +84,11 @@
 struct PublishSession {
     fleet_member: NonServingMember,
     replicas: Vec<String>,
-    /// Index of the replica that is assumed to be the publisher and therefore receives the requests. The
-    /// index may exceed the number of replicas, and is taken modulo this number.
+    /// Index of the replica to which the `publish` command sends its requests, because this replica is
+    /// assumed to be the publisher. The index may exceed the number of replicas, and is taken modulo this
+    /// number.
     publisher: usize,
-    /// Time at which the command gives up, in Unix nanoseconds.
+    /// Time at which the `publish` command stops waiting and fails, in Unix nanoseconds.
     deadline: u64,
 }
 
@@ -161,9 +163,9 @@
         Ok(None)
     }
 
-    /// Prints how many members use the newest revision, and names members that do not use it. If `waits` is
-    /// true, first waits until all members use the newest revision and the number of this revision is at
-    /// least `wanted`.
+    /// Prints how many members use the newest revision, and names the members that do not use this revision.
+    /// If `waits` is true, first waits until all members use the newest revision and its number is at least
+    /// `wanted`.
     async fn wait_until_in_force(&mut self, request: RequestId, wanted: u64, waits: bool) -> Result<()> {
         let mut status = String::new();
         let mut request_number = request.number;
--- a/crates/server/src/fleet/replication.rs
+++ b/crates/server/src/fleet/replication.rs
@@ -1,6 +1,6 @@
-//! The client of replicated configuration on a server, driven by the membership task. Each revision is
-//! checked and written to disk on the blocking pool before it takes effect. The publisher is told whether the
-//! revision is in force or was rejected.
+//! The client of replicated configuration on a server, driven by the membership task. A revision takes effect
+//! after it was checked and written to disk on the blocking pool. The client reports to the publisher whether
+//! the revision is in force or was rejected.
 
 use crate::error::with_causes;
 use crate::fleet::shared_state::LocalSharedState;
@@ -21,7 +21,8 @@
 
 /// Interval, in nanoseconds, between two checks of whether a revision has been applied or rejected.
 const OUTCOME_POLL_INTERVAL_NS: Nanos = 10_000_000;
-/// Interval, in nanoseconds, at which the status is logged if it does not change.
+/// Maximum time, in nanoseconds, between two log lines about the status of replicated configuration. A
+/// changed status is logged at once.
 const LOG_EVERY_NS: Nanos = 10_000_000_000;
 
 /// Outcome of applying a revision of the replicated configuration.
@@ -43,7 +44,8 @@
 /// Reason why a server cannot take part in replicated configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum ReplicationError {
-    /// The settings name this server as a replica of the log, but only control machines store the log.
+    /// The settings name this server as a replica of the log of replicated configuration, but only control
+    /// machines store this log.
     #[error("replica: {0:?} is a server; only `meadowstream control` stores the log")]
     ServingReplica(String),
     /// A setting is out of range.
@@ -51,7 +53,8 @@
     Settings(#[from] meadowstream_replication::member::SettingsError),
 }
 
-/// The client of replicated configuration on this server.
+/// The client of replicated configuration on this server. Receives new revisions and makes them the current
+/// configuration.
 pub struct Replication {
     member: Member,
     file: PathBuf,
@@ -143,7 +146,8 @@
         self.log(now);
     }
 
-    /// Returns the time at which [`Replication::advance`] must be called next, in Unix nanoseconds.
+    /// Returns the time at which [`Replication::advance`] must be called next if no message arrives, in Unix
+    /// nanoseconds.
     pub fn due(&self, now: Nanos) -> Nanos {
         let outcome = if self.is_checking { now + OUTCOME_POLL_INTERVAL_NS } else { Nanos::MAX };
         self.member.next_due().min(outcome)
@@ -178,8 +182,8 @@
     }
 }
 
-/// Checks a revision, writes it to disk and makes it the current configuration. Sends the outcome to the
-/// client of replicated configuration.
+/// Checks a revision of the replicated configuration, writes the revision to disk and makes it the current
+/// configuration. Sends the outcome to the client of replicated configuration.
 async fn put_in_force(
     server: Rc<Server>,
     snapshot: Snapshot,
--- a/crates/server/src/fleet/shared_state.rs
+++ b/crates/server/src/fleet/shared_state.rs
@@ -30,7 +30,8 @@
 /// This server's copy of the state that the fleet shares.
 pub struct LocalSharedState {
     inner: RefCell<Inner>,
-    /// Names of the tenants that the options name. The fleet keeps separate counts for these tenants only.
+    /// Names of the tenants that are named in the options. The fleet keeps separate counts for these tenants
+    /// only.
     named_tenants: RefCell<TenantNames>,
     started: Instant,
 }
@@ -41,37 +42,38 @@
     /// The downstream services and their health; `None` if all downstream calls use the address in the
     /// configuration.
     tier: Option<Tier>,
-    /// True if a downstream call was refused. The controller must then be notified when calls are permitted
-    /// again.
+    /// True if a downstream call was refused. Once downstream calls are permitted again, the controller must
+    /// be notified.
     has_refused: bool,
     /// Values of this server's counters that are already included in the fleet's counts. The order is that of
     /// [`COUNTER_KEYS`].
     counted: [u64; 4],
-    /// Number of times that an amount was not added to the fleet's counts, because the maximum number of keys
-    /// was reached or the key has an invalid length.
+    /// Number of amounts that were not added to the fleet's counts. An amount is not added if its key has an
+    /// invalid length, or if its key is new and the maximum number of keys is reached.
     uncounted: u64,
 }
 
 /// Status of the call budget and names of the ejected downstream services, for the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SharedStatus {
-    /// Number of budget units that this server may use without a lease.
+    /// Number of units of the fleet's call budget that this server may use without a lease.
     pub floor: u64,
-    /// Number of budget units that this server has leased in addition to the floor.
+    /// Number of units of the fleet's call budget that this server has leased in addition to the floor.
     pub leased: u64,
-    /// Number of budget units that downstream calls of this server use now.
+    /// Number of units of the fleet's call budget that downstream calls of this server use now.
     pub in_use: u64,
-    /// True if this server is the grantor, which leases budget units to the servers.
+    /// True if this server is the grantor, which leases units of the fleet's call budget to the servers.
     pub is_grantor: bool,
-    /// Number of budget units that this server, as the grantor, has leased out.
+    /// Number of units of the fleet's call budget that this server, as the grantor, has leased out.
     pub outstanding: u64,
     /// Names of the ejected services.
     pub ejected: Vec<String>,
 }
 
-/// The downstream service to which a call is routed. Replaces the address in the configuration.
+/// The downstream service to which a call is routed. The call is sent to this service and not to the address
+/// in the configuration.
 pub struct Destination {
-    /// Index of the downstream service in the settings.
+    /// Index of the downstream service in the list of services in the settings.
     pub service: usize,
     /// Address of the service.
     pub address: SocketAddr,
@@ -85,10 +87,10 @@
     pub destination: Option<Destination>,
 }
 
-/// Result of [`LocalSharedState::advance`]: the messages to send, and whether downstream calls are permitted
-/// again.
+/// Result of [`LocalSharedState::advance`]: messages for other members, and whether downstream calls are
+/// permitted again.
 pub struct Advanced {
-    /// Messages to send. Each message is preceded by the name of the member that receives it.
+    /// Messages to other members. Each message is a pair: the name of the receiving member, and the body.
     pub outgoing: Vec<(String, Vec<u8>)>,
     /// True if downstream calls were refused before and are permitted again now.
     pub has_capacity: bool,
@@ -126,9 +128,9 @@
         Reading { monotonic: self.started.elapsed().as_nanos() as u64, wall: unix_time_ns() }
     }
 
-    /// Returns whether one more downstream call is permitted by the call budget and by the health of the
-    /// downstream services. `waiting` is the number of runs that wait for a call. If the budget does not
-    /// permit the call, these runs are counted in this server's demand for budget units.
+    /// Returns whether the call budget and the health of the downstream services permit one more downstream
+    /// call. `waiting` is the number of runs that wait for a call. If the budget does not permit the call,
+    /// these runs are counted in this server's demand for budget units.
     pub fn is_call_permitted(&self, waiting: usize, preference: CallPreference) -> bool {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
@@ -147,8 +149,8 @@
         is_permitted
     }
 
-    /// Starts the downstream call with this number, and chooses its service. The timeout of the call is
-    /// `timeout` nanoseconds, or less if the call budget limits it.
+    /// Starts the downstream call with this number, and chooses the service that receives the call. The
+    /// timeout of the call is `timeout` nanoseconds, or less if the call budget limits the timeout.
     pub fn start_call(&self, number: u64, timeout: u64, preference: CallPreference) -> StartedCall {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
@@ -192,7 +194,8 @@
     }
 
     /// Returns the name of a tenant for use in the keys of counts. Returns `None` if the tenant has no
-    /// separate count. Otherwise callers could create any number of keys by inventing tenants.
+    /// separate count. If every tenant had its own keys, callers could create any number of keys by inventing
+    /// tenants.
     pub fn tenant(&self, name: &[u8]) -> Option<String> {
         self.named_tenants.borrow().contains(name).then(|| String::from_utf8_lossy(name).into_owned())
     }
@@ -218,7 +221,7 @@
         calls.try_for_each(|budget| budget.set_total(total))
     }
 
-    /// Handles the bodies of messages that were received from other members.
+    /// Handles messages from other members. `bodies` contains the encoded bodies of these messages.
     pub fn receive(&self, bodies: Vec<Vec<u8>>) {
         let reading = self.reading();
         let mut inner = self.inner.borrow_mut();
@@ -229,8 +232,8 @@
         }
     }
 
-    /// Returns the messages that were received on topics other than the shared state, each as its sender,
-    /// topic and body.
+    /// Returns the messages from other members on topics other than the shared state. Each message consists
+    /// of its sender, its topic and its body.
     pub fn take_received(&self) -> Vec<(ServerId, u16, Vec<u8>)> {
         let received = self.inner.borrow_mut().state.take_received();
         received.into_iter().map(|other| (other.from, other.topic, other.body)).collect()
@@ -291,9 +294,10 @@
         tier.map_or_else(TierStatus::default, |(tier, detector)| tier.status(time, detector))
     }
 
-    /// Returns two JSON texts for the log. The first contains the totals of the fleet's counts. The second
-    /// contains figures about the protocol: messages, the call budget, rejected rows of counters,
-    /// disagreements between clocks, and dropped counts.
+    /// Returns two JSON texts for the log. The first contains the totals of the fleet's counts.
+    ///
+    /// The second contains figures about the protocol: messages, the call budget, rejected rows of counters,
+    /// disagreements between clocks, and amounts that could not be counted.
     pub fn totals(&self) -> (String, String) {
         let inner = self.inner.borrow();
         let totals = serde_json::to_string(&inner.state.counters.totals()).unwrap_or_default();
@@ -305,8 +309,8 @@
 }
 
 impl Inner {
-    /// Adds the increase of this server's counters since the previous call of this function to the fleet's
-    /// counts.
+    /// Updates the fleet's counts from this server's counters. Adds the amount by which each counter has
+    /// increased since the previous call of this function.
     fn add_local_counts(&mut self, counters: &Counters) {
         let values = [&counters.invocations, &counters.succeeded, &counters.throttled, &counters.errored];
         for ((key, value), counted) in COUNTER_KEYS.iter().zip(values).zip(&mut self.counted) {
@@ -315,7 +319,7 @@
         }
     }
 
-    /// Updates how many units of the call budget this server requests, and how many it uses.
+    /// Updates how many units of the call budget this server requests, and how many units this server uses.
     fn update_demand(&mut self, time: Time) {
         for budget in self.state.budgets.iter_mut().filter(|budget| !is_lease(budget)) {
             let recent = 2 * budget.settings().refresh_interval;
@@ -337,8 +341,8 @@
         }
     }
 
-    /// Returns whether a downstream call would be permitted now. The call may serve as a health check, so an
-    /// ejected service that is due for a check also counts as available.
+    /// Returns whether a downstream call would be permitted now. Assumes that the call may serve as a health
+    /// check. An ejected service that is due for a check therefore also counts as available.
     fn has_capacity(&mut self, now: u64, time: Time) -> bool {
         let preference = CallPreference { last_service: None, may_probe: true };
         let is_routable = self.tier.as_ref().is_none_or(|tier| tier.can_route(now, preference));
--- a/crates/server/src/fleet/tier.rs
+++ b/crates/server/src/fleet/tier.rs
@@ -21,7 +21,7 @@
 /// A call in flight.
 struct InFlight {
     choice: Choice,
-    /// Start time of the call, in nanoseconds of the process's monotonic clock.
+    /// Start time of the downstream call, in nanoseconds of the process's monotonic clock.
     started: u64,
 }
 
@@ -29,9 +29,9 @@
 pub struct Tier {
     addresses: Vec<SocketAddr>,
     router: Router,
-    /// Calls in flight. The key is the number of the call.
+    /// Downstream calls in flight. The key is the number of the call.
     in_flight: HashMap<u64, InFlight>,
-    /// Indexes of the ejected services, as of the last call of [`Tier::update_health`].
+    /// Indexes of the downstream services that are ejected, as of the last call of [`Tier::update_health`].
     pub ejected: Vec<usize>,
 }
 
@@ -42,7 +42,7 @@
     Succeeded,
     /// The call failed.
     Failed,
-    /// The call was abandoned by this server before it ended.
+    /// This server abandoned the call before the call ended.
     Abandoned,
 }
 
@@ -59,7 +59,8 @@
 /// not describe a tier of services.
 #[derive(Default)]
 pub struct TierStatus {
-    /// JSON list of three numbers: calls, health checks, and calls for which no service was available.
+    /// JSON list of three counts: ordinary calls, calls that served as health checks, and calls for which no
+    /// service was available.
     pub routed: String,
     /// The status of each service.
     pub services: String,
@@ -106,7 +107,8 @@
         (service, self.addresses[service])
     }
 
-    /// Ends a call, and records whether the call is evidence for or against the health of its service.
+    /// Ends a downstream call, and records whether the call is evidence for or against the health of its
+    /// service.
     pub fn end_call(
         &mut self,
         now: u64,
--- a/crates/server/src/interpreter/link.rs
+++ b/crates/server/src/interpreter/link.rs
@@ -25,22 +25,23 @@
 /// Size, in bytes, at which a write to the link is full. Queued commands are added to one write until the
 /// write has at least this size.
 const WRITE_MAX_BYTES: usize = 64 * 1024;
-/// Delay before a new link is established after a link was lost. Each failed attempt doubles the delay, up to
-/// [`BACKOFF_MAX`].
+/// Delay before the server establishes a new link to the interpreter after a link was lost. Each failed
+/// attempt doubles the delay, up to [`BACKOFF_MAX`].
 const BACKOFF: Duration = Duration::from_millis(5);
-/// Maximum delay before the next attempt to establish a link.
+/// Maximum delay before the next attempt to establish a link to the interpreter.
 const BACKOFF_MAX: Duration = Duration::from_millis(160);
 /// Divisor of the readiness deadline. The result is the time limit for opening the TCP connection to the
-/// interpreter, in the first attempt.
+/// interpreter. Timeouts of earlier attempts double this limit.
 const CONNECT_DIVISOR: u32 = 10;
-/// Divisor of the readiness deadline. The result is the time limit for receiving the interpreter's banner, in
-/// the first attempt.
+/// Divisor of the readiness deadline. The result is the time limit for receiving the interpreter's banner.
+/// Timeouts of earlier attempts double this limit.
 const BANNER_DIVISOR: u32 = 5;
 /// Number of control periods after which a link without received data is closed. The server requests gauges
 /// in every control period, so a working link receives data in every period.
 const SILENT_PERIODS_MAX: usize = 4;
 
-/// Keeps a link to the interpreter established until the server process exits.
+/// Keeps a link to the interpreter established until the server process exits. Replaces each link that is
+/// lost.
 pub async fn run(server: Rc<Server>) {
     let mut incarnation = Incarnation::default();
     let mut backoff = BACKOFF;
--- a/crates/server/src/lifecycle/start.rs
+++ b/crates/server/src/lifecycle/start.rs
@@ -33,8 +33,8 @@
 /// Maximum number of events in the queue of the event loop. While the queue is full, tasks that send events
 /// wait.
 const EVENTS_MAX: usize = 1024;
-/// Divisor of the memory limit. The buffers of all connections may use half of the limit. This half includes
-/// the memory reserved for answers that are not yet sent.
+/// Divisor of the server's memory limit. The buffers of all connections may use half of the limit. This half
+/// includes the memory reserved for answers that are not yet sent.
 const BUFFERS_DIVISOR: usize = 2;
 
 /// Reason why the server cannot start.
@@ -72,14 +72,14 @@
     Rollout(RolloutError),
 }
 
-/// Resources that are opened before any task runs. If one of them cannot be opened, the start fails.
+/// Resources that the server opens before it runs any task. If a resource cannot be opened, the start fails.
 struct OpenedResources {
     signals: Signals,
     listener: Async<TcpListener>,
     membership: Option<Async<UdpSocket>>,
 }
 
-/// Channel ends that are handed to the tasks when the tasks are started.
+/// Ends of channels that the server hands to its tasks when the tasks are started.
 struct Channels {
     events: Receiver<Event>,
     leave_requests: Receiver<()>,
@@ -90,8 +90,8 @@
 /// Runs the server until its drain is over.
 pub fn serve(configuration: Configuration) -> Result<(), StartError> {
     let executor: &'static LocalExecutor = Box::leak(Box::new(LocalExecutor::new()));
-    // The main future is spawned as a task of its own. If it were passed to `executor.run` directly, it would
-    // be polled again after every step of any other task.
+    // The main future is spawned as a task of its own. If the future were passed to `executor.run` directly,
+    // it would be polled again after every step of any other task.
     let main = executor.spawn(run(configuration, executor));
     async_io::block_on(executor.run(main))
 }
--- a/crates/server/src/wire/interpreter.rs
+++ b/crates/server/src/wire/interpreter.rs
@@ -19,7 +19,7 @@
     Banner {
         /// True if the interpreter is still warming up, so it runs operations more slowly.
         cold: bool,
-        /// Time since the interpreter process started.
+        /// Time since the interpreter process started, in nanoseconds.
         age: Nanos,
     },
     /// The run of an invocation has ended.
@@ -42,7 +42,7 @@
     Gauges {
         /// Nonce of the gauge request.
         nonce: u64,
-        /// Values of the interpreter's gauges. The order is that of the gauges in the settings.
+        /// Readings of the interpreter's gauges. The settings list the gauges in the same order.
         readings: Vec<f64>,
     },
     /// The interpreter could not execute a command.
@@ -69,7 +69,7 @@
     /// The encoded body in the notice is not valid base64.
     #[error("invalid base64: {0}")]
     Base64(#[from] base64::DecodeError),
-    /// The banner states a state other than cold or warm.
+    /// The state in the interpreter's banner is unknown. The known states are cold and warm.
     #[error("unknown state {0:?}")]
     UnknownState(String),
     /// The notice states an outcome of the run that the server does not know.
@@ -176,7 +176,8 @@
     command(&json!({"verb": "CONNECT", "index": last_read}))
 }
 
-/// Encodes the command that starts the run of an invocation. If the run was stopped, the command resumes it.
+/// Encodes the command that starts the run of an invocation. If the run was stopped, the command resumes the
+/// run.
 pub fn apply(task: u64, operation: &str, body: &[u8]) -> Vec<u8> {
     let (task, bytes) = (format!("{task:016x}"), STANDARD.encode(body));
     command(&json!({"verb": "APPLY", "task": task, "handler": operation, "bytes": bytes}))
--- a/crates/server/src/wire/ring.rs
+++ b/crates/server/src/wire/ring.rs
@@ -6,7 +6,7 @@
 /// Maximum memory, in bytes, that an empty buffer keeps allocated for the next message.
 const EMPTY_CAPACITY_MAX: usize = 1024;
 
-/// A first-in, first-out buffer of bytes. Its maximum size is fixed.
+/// A first-in, first-out buffer of bytes with a fixed maximum size.
 #[derive(Debug)]
 pub struct Ring {
     bytes: VecDeque<u8>,
@@ -34,7 +34,8 @@
         self.bytes_max - self.len()
     }
 
-    /// Appends `bytes` to the buffer. If they do not all fit, appends no bytes and returns false.
+    /// Appends `bytes` to the buffer. If the buffer has no space for all of `bytes`, appends nothing and
+    /// returns false.
     #[must_use]
     pub fn put(&mut self, bytes: &[u8]) -> bool {
         let fits = bytes.len() <= self.free();
--- a/crates/server/src/wire/rpc.rs
+++ b/crates/server/src/wire/rpc.rs
@@ -62,7 +62,7 @@
     BadField {
         /// Name of the field.
         field: &'static str,
-        /// Value of the field; `None` if the field is missing.
+        /// Value of the invalid field; `None` if the field is missing.
         value: Option<String>,
     },
 }
@@ -83,7 +83,7 @@
     pub held_kb: f64,
     /// Body of the call: the input of the operation.
     pub body: &'a [u8],
-    /// Number that identifies the balancer that sent the call; `None` if the call states none.
+    /// Number of the balancer that sent the call; `None` if the call states no number.
     pub sender: Option<u64>,
     /// Ticket for a promise of admission, which the caller received with an earlier rejection. `None` if the
     /// call has no ticket.
@@ -165,8 +165,8 @@
     field(fields, name).and_then(read).ok_or_else(|| bad_field(fields, name))
 }
 
-/// Checks that the priority rank in the fields of a call is valid. The server does not use the rank
-/// otherwise.
+/// Checks that the priority rank in the fields of a call is valid. The server uses the rank for no other
+/// purpose.
 fn check_rank(fields: &str) -> Result<(), CommandError> {
     let rank = field(fields, "class_rank").map_or(Ok(0.0), str::parse::<f64>);
     let valid = rank.is_ok_and(|rank| (0.0..1.0).contains(&rank));
@@ -180,19 +180,19 @@
 /// Answer that the server sends to a balancer: the final answer to a call, or the answer to a health check.
 #[derive(Debug, PartialEq)]
 pub enum Answer {
-    /// The operation succeeded, with this result.
+    /// The operation succeeded with this result, which the server sends to the caller.
     Succeeded(Vec<u8>),
     /// The call was rejected. A retry is safe: either the operation did not run, or running it again has no
     /// further effect.
     Rejected {
         /// True if the caller must not retry the call on another server.
         no_retry: bool,
-        /// Time after the rejection until the caller should retry on this server, in nanoseconds; 0 if the
-        /// server gives no advice. If the answer has a ticket, the server promises to admit a retry with the
-        /// ticket after this time.
+        /// Time, in nanoseconds, from the rejection until the caller should retry on this server; 0 if the
+        /// server gives no advice. If the answer has a ticket, the server promises to admit a retry that
+        /// presents the ticket after this time.
         retry_after: Nanos,
-        /// Ticket for a promise of admission, which the caller presents with its retry; `None` if no promise
-        /// was made.
+        /// Ticket for a promise of admission; `None` if the server made no promise. The caller presents the
+        /// ticket with its retry.
         ticket: Option<u64>,
     },
     /// The call failed. The operation may have had its effect.
