--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -1,5 +1,5 @@
-//! How one member performs anti-entropy and sends verdicts. In anti-entropy, two members compare their views
-//! of the fleet and repair differences. A verdict reports that a member is suspect or down.
+//! One member's part in anti-entropy and in the exchange of verdicts. In anti-entropy, two members compare
+//! their views of the fleet and repair differences. A verdict reports that a member is suspect or down.
 //! [`crate::messages`] describes the protocol.
 
 use crate::digest;
@@ -13,12 +13,12 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-/// The interval between two comparisons of views is the announce period plus a random jitter. The range of
-/// the jitter, from its lowest to its highest value, is the announce period divided by this number. Without
+/// Width of the random jitter in the interval between two comparisons of views: the announce period divided
+/// by this number. The interval is the announce period plus or minus at most half of this width. Without
 /// jitter, members that were started together would all compare their views at the same times.
 const JITTER_DIVISOR: Nanos = 8;
-/// Delay, in probe periods, until the next comparison of views if this member's view may still differ from
-/// another member's. Otherwise, the delay is about one announce period.
+/// Delay, in probe periods, until this member's next comparison of its view with another member's, if the two
+/// views may still differ. In all other cases, the delay is about one announce period.
 const REPEAT_PROBE_PERIODS: Nanos = 2;
 
 impl Membership {
@@ -81,8 +81,8 @@
         }
         let own = self.identity();
         if member.id() != own {
-            // Do not suspect an earlier incarnation of this server, which has the same address: the current
-            // incarnation has replaced it.
+            // A member with this server's own address is an earlier incarnation of this server. Do not
+            // suspect it, because the current incarnation has replaced it.
             if member.id().addr != own.addr && member.state() == State::Down {
                 self.suspect(member.id());
             }
@@ -91,8 +91,8 @@
         let mut effects = FocaEffects::default();
         let applied = self.foca.apply_many(std::iter::once(member), true, &mut effects);
         // The announcement refutes the report that this member is suspect or down. The header of every foca
-        // packet contains the sender's current SWIM incarnation, by which the receiver recognizes that the
-        // report is outdated.
+        // packet contains the sender's current SWIM incarnation. From this number, the receiver recognizes
+        // that the report is outdated.
         let _ = self.foca.announce(from, &mut effects);
         self.apply(effects);
         applied.map_err(|_| DropReason::Protocol)
@@ -105,8 +105,9 @@
         digest::digest(members.chain(std::iter::once(self.identity())))
     }
 
-    /// Sends member entries to the member `to`: this member and all alive or suspect members, if their bucket
-    /// is in the set `buckets`. Stops when the send budget is used up.
+    /// Sends the member `to` a list of members: this member and all members that are alive or suspect in this
+    /// member's view. The list contains only members whose bucket is in the set `buckets`. Stops when the
+    /// send budget is used up.
     fn send_members(&mut self, to: &MemberId, buckets: u64, requested_buckets: u64) {
         let me = self.identity().clone();
         let own = Member::alive(me.clone());
@@ -126,17 +127,17 @@
         }
     }
 
-    /// Moves the next comparison of views to [`REPEAT_PROBE_PERIODS`] probe periods from now, if it is due
-    /// later. Called when this member's view may still differ from another member's view.
+    /// Makes the next comparison of views due in at most [`REPEAT_PROBE_PERIODS`] probe periods. Called when
+    /// this member's view may still differ from another member's view.
     fn repeat_anti_entropy_soon(&mut self) {
         let soon = self.now + REPEAT_PROBE_PERIODS * self.probe_period;
         self.anti_entropy_at = self.anti_entropy_at.min(soon);
     }
 
     /// Reports one member that is down to `from`, the sender of the received list `listed`, and to the
-    /// reported member itself. The reported member is picked at random from the listed members that this view
-    /// has as down in the same incarnation. Reporting only one member per list keeps the traffic sent in
-    /// proportion to the traffic received.
+    /// reported member itself. The reported member is picked at random from the listed members that this
+    /// member's view records as down in the same incarnation. Reporting only one member per list keeps the
+    /// traffic sent in proportion to the traffic received.
     fn send_verdict_on_random_down_member(&mut self, from: &MemberId, listed: &[Member<MemberId>]) {
         let known = self.foca.iter_membership_state();
         let down: HashSet<&MemberId> =
@@ -155,11 +156,11 @@
         self.send_verdict(from.addr, Member::down(target));
     }
 
-    /// Records the member `id` as suspect after another member reported it down. Has no effect unless this
-    /// view has the member as alive in the same incarnation. A suspect that is running refutes the suspicion
-    /// or takes its next incarnation. A suspect that has crashed is declared down once the suspicion has
-    /// expired. Without this suspicion and without gossip about the crash, this member would detect the crash
-    /// only by its own probes, which can take as many probe periods as there are members.
+    /// Records the member `id` as suspect after another member reported it down. Has an effect only if this
+    /// member's view records the same incarnation of `id` as alive. A suspect that is running refutes the
+    /// suspicion or takes its next incarnation. A suspect that has crashed is declared down once the
+    /// suspicion has expired. Without this suspicion and without gossip about the crash, this member would
+    /// detect the crash only by its own probes, which can take as many probe periods as there are members.
     fn suspect(&mut self, id: &MemberId) {
         let is_alive = |member: &&Member<MemberId>| member.id() == id && member.state() == State::Alive;
         let alive = self.foca.iter_members().find(is_alive);
@@ -207,7 +208,8 @@
         let known: HashSet<SocketAddr> = self.foca.iter_members().map(|member| member.id().addr).collect();
         let seeds = self.rejoin.seeds.iter().copied();
         let unknown: Vec<SocketAddr> = seeds.filter(|seed| !known.contains(seed)).collect();
-        // If this member knows no other member, `rejoin_if_due` announces this server to all seeds instead.
+        // There is nothing to do if every seed is alive or suspect in this view. If this member knows no
+        // other member, `rejoin_if_due` announces this server to all seeds instead.
         if known.is_empty() || unknown.is_empty() {
             return;
         }
--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -18,12 +18,14 @@
     (hasher.finish() % BUCKETS as u64) as usize
 }
 
-/// Returns whether the set `buckets` contains the bucket of the member `id`.
+/// Returns true if the bucket of the member `id` is in the set `buckets`. Bit `n` of `buckets` stands for
+/// bucket `n`.
 pub fn is_in_buckets(buckets: u64, id: &MemberId) -> bool {
     buckets & (1 << bucket(id)) != 0
 }
 
-/// Hashes a member's address and incarnation.
+/// Hashes a member's address and incarnation. The digest of a view combines these hashes, so a member's new
+/// incarnation changes the digest.
 fn hash(id: &MemberId) -> u32 {
     let mut hasher = SipHasher13::new();
     (id.addr, id.incarnation).hash(&mut hasher);
--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -8,7 +8,8 @@
 use meadowstream_rate_limit::SlidingWindow;
 use std::net::SocketAddr;
 
-/// Estimated size of one member update in a gossip packet, in bytes.
+/// Estimated size of one member update in a gossip packet, in bytes. Used to estimate the size of a gossip
+/// round before the round is sent.
 const UPDATE_BYTES: usize = 64;
 /// The reserved part of the send budget is the whole budget divided by this number. Only failure detection
 /// (probes, their answers and verdicts) may use the reserved part. Gossip and lists of members use the rest.
--- a/crates/membership/src/envelope.rs
+++ b/crates/membership/src/envelope.rs
@@ -27,7 +27,8 @@
 pub const VERSION: u8 = 1;
 
 /// Kind of the payload in a datagram's body. A server drops a datagram whose kind it does not know, with the
-/// reason [`DropReason::Version`]. Servers of different versions can therefore work in the same fleet.
+/// reason [`DropReason::Version`]. A newer server can therefore send new kinds in a fleet that also has older
+/// servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PayloadKind {
     /// A SWIM message, encoded by foca.
@@ -46,9 +47,9 @@
     }
 }
 
-/// Size of the header before the body, in bytes.
+/// Size of a datagram's header, which precedes the body, in bytes.
 pub const HEADER_BYTES: usize = 30;
-/// Size of the authentication tag after the body, in bytes.
+/// Size of a datagram's authentication tag, which follows the body, in bytes.
 pub const TAG_BYTES: usize = 32;
 /// Size of everything in a datagram except the body (the header and the authentication tag), in bytes.
 pub const ENVELOPE_BYTES: usize = HEADER_BYTES + TAG_BYTES;
@@ -72,7 +73,7 @@
     /// The datagram is longer than the settings or UDP allow.
     #[error("longer than the settings or UDP allow")]
     Oversized,
-    /// The datagram does not start with [`MAGIC`].
+    /// The datagram does not start with [`MAGIC`], the bytes that identify this protocol.
     #[error("not a datagram of this protocol")]
     Magic,
     /// The version or the kind of payload is unknown to this build.
@@ -140,7 +141,8 @@
         self.body_max
     }
 
-    /// Computes the HMAC over the fleet's name and `bytes` with the fleet's key.
+    /// Computes the HMAC over the fleet's name and `bytes` with the fleet's key. The HMAC is the
+    /// authentication tag of a datagram.
     fn authenticate(&self, bytes: &[u8]) -> Hmac<Sha256> {
         let mut mac = self.key.clone();
         mac.update(&(self.fleet.len() as u32).to_le_bytes());
@@ -217,7 +219,7 @@
 /// The content of a datagram whose authentication tag matched.
 #[derive(Debug, PartialEq, Eq)]
 pub struct OpenedDatagram<'a> {
-    /// Kind of the payload in the body.
+    /// Kind of the payload in the datagram's body.
     pub kind: PayloadKind,
     /// The sender's incarnation.
     pub incarnation: u64,
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -101,7 +101,7 @@
     rejoin: SeedRejoin,
     suspicions: Suspicions,
 
-    // State for receiving and sending datagrams.
+    // The fields from `sealer` to `shared_state_bodies` are used to receive and send datagrams.
     sealer: Sealer,
     replay_windows: ReplayWindows,
     /// Sequence number of the last datagram that this member sealed in its current incarnation.
@@ -111,16 +111,17 @@
     /// Received bodies of shared state that the caller has not taken yet.
     shared_state_bodies: Vec<Vec<u8>>,
 
-    // State for reporting the view to the caller.
+    // The fields from `changes` to `counts` are used to report the view and the counts of datagrams to the
+    // caller.
     changes: Vec<ViewChange>,
     state_since: HashMap<SocketAddr, StateSince>,
     last_change: Nanos,
     counts: Counts,
 }
 
-/// Number of replay windows kept for each expected member. A replay window records the sequence numbers
-/// received from one address. More than one per member is needed, because the window of an address that no
-/// member uses any longer is kept until it is evicted.
+/// Maximum number of replay windows, per expected member of the fleet. A replay window records the sequence
+/// numbers received from one address. More than one per member is needed, because the window of an address
+/// that no member uses any longer is kept until it is evicted.
 const REPLAY_WINDOWS_PER_MEMBER: usize = 4;
 const REPLAY_WINDOWS_MIN: usize = 64;
 /// The random numbers of this crate are seeded with the exclusive or of the caller's seed and this constant.
--- a/crates/membership/src/runtime.rs
+++ b/crates/membership/src/runtime.rs
@@ -1,5 +1,5 @@
-//! Collects the effects that foca requests while it handles an event (packets, timers, notifications), and
-//! executes them.
+//! Collects the effects that foca requests while it handles an event, and executes them. The effects are
+//! packets to send, timers to schedule, and notifications.
 
 use crate::envelope::PayloadKind;
 use crate::identity::MemberId;
@@ -48,7 +48,7 @@
             let after = u64::try_from(after.as_nanos()).unwrap_or(u64::MAX);
             let deadline = self.now.saturating_add(after);
             if let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = &timer {
-                // foca schedules this timer, which ends the suspicion time, only in the member whose probe
+                // This timer ends the suspicion time. foca schedules the timer only in the member whose probe
                 // raised the suspicion. That member also notifies the suspect directly, so the suspicion is
                 // recorded here.
                 self.suspicions.raise(member_id.clone(), *incarnation, self.now, deadline);
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -35,8 +35,8 @@
 /// If a member does not answer a direct probe, the prober requests an indirect probe of that member from this
 /// number of other members (`k` in the SWIM paper).
 const INDIRECT_PROBES: usize = 3;
-/// Each member transmits an update `TRANSMISSIONS_PER_LOG10 * log10(n)` times, rounded up (`lambda` in the
-/// SWIM paper). `n` is the fleet's size: the expected number of members plus 1.
+/// Each member transmits an update about a member's state `TRANSMISSIONS_PER_LOG10 * log10(n)` times, rounded
+/// up (`lambda` in the SWIM paper). `n` is the fleet's size: the expected number of members plus 1.
 const TRANSMISSIONS_PER_LOG10: f64 = 4.0;
 /// A member that was recorded as down is removed from the view after this number of suspicion times. Without
 /// removal, the use of memory would grow with the number of all members that have ever been down.
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -14,8 +14,9 @@
 /// each direction, a notification is answered with probability 0.64. The probability that all 8 remain
 /// unanswered is 0.36^8, less than 1 in 3,000.
 const NOTIFICATIONS: u64 = 8;
-/// Number of suspicion times after which every member by itself declares a suspect down. The prober, whose
-/// probe raised the suspicion, does so earlier: its timer fires after one suspicion time.
+/// Each member by itself declares a suspect down this many suspicion times after it first observed the
+/// suspicion. The prober, whose probe raised the suspicion, does so earlier: its timer fires after one
+/// suspicion time.
 const EXPIRY_FACTOR: u64 = 2;
 
 /// A suspicion that was raised by a probe of this member.
@@ -25,7 +26,7 @@
     refutations: u16,
     /// Time at which the suspect is next notified.
     notify_at: Nanos,
-    /// Time at which foca declares the suspect down.
+    /// Time at which foca declares the suspect down, unless the suspect has refuted the suspicion.
     ends_at: Nanos,
 }
 
@@ -69,10 +70,10 @@
 }
 
 impl Membership {
-    /// Notifies the members that this member's own probes made suspect, if a notification is due.
-    /// Notifications are repeated until the member is no longer suspect. Gossip alone is not enough, because
-    /// each update is sent a fixed number of times: with packet loss, some suspects would never learn of the
-    /// suspicion.
+    /// Notifies every suspect whose suspicion was raised by this member's own probe, if a notification is
+    /// due. Notifications are repeated until the member is no longer suspect. Gossip alone is not enough,
+    /// because each update is sent a fixed number of times: with packet loss, some suspects would never learn
+    /// of the suspicion.
     pub(crate) fn notify_suspects(&mut self) {
         let now = self.now;
         if self.suspicions.deadline().is_none_or(|deadline| deadline > now) {
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -85,7 +85,8 @@
 }
 
 impl Change {
-    /// Returns true if the change is that a member joined, left, was renamed or rejoined.
+    /// Returns true if the change is that a member joined, left, was renamed or rejoined. Such a change
+    /// updates the time of the view's last change.
     pub(crate) fn alters_members(&self) -> bool {
         match self {
             Change::Up(_) | Change::Down(_) | Change::Renamed { .. } | Change::Rejoined(_) => true,
--- a/crates/membership/tests/bytes.rs
+++ b/crates/membership/tests/bytes.rs
@@ -80,8 +80,8 @@
     };
     let mut membership = Membership::new(id(0), &settings(), 1, 0).expect("valid settings");
     membership.restore((1..1_000).map(id), 0);
-    // Run the first regular comparison of views. The next regular comparison is due one announce period
-    // later.
+    // Run the first regular comparison of views. The next regular comparison is due only one announce period
+    // later, after the end of this test.
     membership.handle_timeout(2 * SECOND);
     membership.take_transmits();
     let sealer = Sealer::new("quiz", b"sixteen byte key", settings().packet_max);
--- a/crates/membership/tests/datagrams.rs
+++ b/crates/membership/tests/datagrams.rs
@@ -19,7 +19,7 @@
     "127.0.0.1:7002".parse().unwrap()
 }
 
-/// Returns a valid datagram of another member of the fleet, which announces itself.
+/// Returns a valid datagram by which another member of the fleet announces itself.
 fn announce() -> Vec<u8> {
     let me = MemberId { name: "b".into(), addr: from(), incarnation: 1 };
     let mut b = Membership::new(me, &Settings::lan("quiz", KEY), 2, 0).unwrap();
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -135,7 +135,7 @@
     let t = fleet.now();
     fleet.run_until(t + 60 * SECOND);
     // During the partition, each member records all members of the other half as down. After 20 s, all but
-    // one or two members have finished. Wait until every member has finished.
+    // one or two members have done so. Wait until every member has done so.
     let _ = fleet.run_until_views_agree(&(0..n / 2).collect::<Vec<_>>(), 100 * MILLISECOND, 30 * SECOND);
     let _ = fleet.run_until_views_agree(&(n / 2..n).collect::<Vec<_>>(), 100 * MILLISECOND, 30 * SECOND);
     let left: Vec<usize> = (0..n / 2).collect();
--- a/crates/replication/src/codec.rs
+++ b/crates/replication/src/codec.rs
@@ -27,8 +27,8 @@
                     && is_name(&location.region)
                     && is_name(&location.zone)
             }
-            // The lengths of the region and the zone need no check here: they are limited by the maximum
-            // length of the body.
+            // The lengths of the region and the zone in a report need no check here: they are limited by the
+            // maximum length of the body.
             Message::Report { report, .. } => {
                 let rejected = report.rejected.as_ref();
                 rejected.is_none_or(|rejection| rejection.reason.len() <= REASON_BYTES_MAX)
--- a/crates/replication/src/committed_log.rs
+++ b/crates/replication/src/committed_log.rs
@@ -71,9 +71,10 @@
     /// The configuration after the last complete change. A change can consist of several entries, and `end`
     /// may contain only some of them. The host therefore applies `complete`, not `end`.
     complete: Snapshot,
-    /// The configuration before the first entry in `tail`.
+    /// The configuration before the first of the entries that this member still holds (`tail`).
     base: Snapshot,
-    /// All entries after the snapshot `base`, in order and without gaps.
+    /// The entries that this member still holds: all entries after the snapshot `base`, in order and without
+    /// gaps.
     tail: VecDeque<Entry>,
     /// The two latest checkpoints, the newer first.
     checkpoints: [Option<Snapshot>; 2],
@@ -191,7 +192,8 @@
     }
 
     /// Returns the content of the configuration after the entry with this number. Returns `None` if the entry
-    /// is not in the log yet, or not held any more.
+    /// is not in the log yet, or if this member no longer holds the entries that are needed to compute the
+    /// content.
     pub fn state_at(&self, number: u64) -> Option<State> {
         if number < self.base.number() || number > self.number() {
             return None;
@@ -214,8 +216,8 @@
         Some(self.tail.range(end - parts..=end).collect())
     }
 
-    /// Returns all entries with a higher number than `number`. Returns `None` if some of them are not held
-    /// any more, or if `number` is higher than the end of the log.
+    /// Returns all entries with a higher number than `number`. Returns `None` if this member no longer holds
+    /// some of them, or if `number` is higher than the end of the log.
     pub fn entries_after(&self, number: u64) -> Option<impl Iterator<Item = &Entry>> {
         let missing = self.number().checked_sub(number)? as usize;
         (missing <= self.tail.len()).then(|| self.tail.iter().skip(self.tail.len() - missing))
@@ -229,8 +231,8 @@
         self.checkpoints[0].as_ref().or(base)
     }
 
-    /// Returns the held snapshot with this entry number: a checkpoint, or the snapshot `base` before the held
-    /// entries. Returns `None` if no held snapshot has this number.
+    /// Returns the snapshot with this entry number, if this member holds it. A member holds its checkpoints
+    /// and the snapshot directly before its first held entry. Otherwise, returns `None`.
     pub fn snapshot(&self, number: u64) -> Option<&Snapshot> {
         let held = self.checkpoints.iter().flatten().chain([&self.base]);
         held.into_iter().find(|snapshot| snapshot.number() == number && number > 0)
--- a/crates/replication/src/member/applier.rs
+++ b/crates/replication/src/member/applier.rs
@@ -11,7 +11,8 @@
 /// applies no revision until its log is as long as the longest log that other members report during this
 /// period.
 const CATCH_UP_NS: Nanos = 2 * SECOND_NS;
-/// Maximum UTF-8 length of a character, in bytes.
+/// Maximum UTF-8 length of a character, in bytes. Used to convert the maximum length of a reason from bytes
+/// to characters.
 const CHARACTER_BYTES_MAX: usize = 4;
 
 /// Passes revisions to the host, one at a time. The host applies or rejects each revision.
--- a/crates/replication/src/member/operator.rs
+++ b/crates/replication/src/member/operator.rs
@@ -144,8 +144,8 @@
     }
 
     fn send_status(&mut self, to: &str, request: RequestId, now: Nanos) {
-        // The program that sends the operator's request joins the fleet as a member, but applies no
-        // revisions. It is therefore not counted in the status.
+        // The program that sent the operator's request is a member of the fleet, but applies no revisions.
+        // Therefore, do not count this member in the status.
         let members = self.members_except(to);
         let mut lagging = self.lagging();
         lagging.retain(|member| member.name != to);
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -22,8 +22,8 @@
 /// Maximum length of the reason for which a member rejects a revision, in bytes.
 pub const REASON_BYTES_MAX: usize = 200;
 
-/// States the number of the last entry in the leader's committed log at a given time. By the leader's
-/// statement, members find out whether they hold the newest entries.
+/// States the number of the last entry in the leader's committed log at a given time. Members use the
+/// leader's statement to find out whether they hold the newest entries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Freshness {
     /// Time at which the leader made the statement, in Unix milliseconds of the leader's clock. The value 0
@@ -109,12 +109,13 @@
     Digest {
         /// Number of the last entry in the sender's committed log.
         number: u64,
-        /// The latest freshness statement of the leader that the sender has adopted; all zero if none.
+        /// The latest freshness statement of the leader that the sender has adopted. All fields are zero if
+        /// the sender has adopted none.
         freshness: Freshness,
         /// Region and zone of the sender.
         location: Location,
-        /// Names of some other members of the sender's zone. By these names, the members of a zone discover
-        /// each other.
+        /// Names of some other members of the sender's zone. From these names, the receiver learns which
+        /// members are in this zone.
         neighbours: Vec<String>,
         /// Whether the sender wants the receiver's digest in reply. The receiver sends its digest only if it
         /// holds fewer entries than the sender or has a newer freshness statement.
@@ -122,7 +123,7 @@
     },
     /// Transfers committed entries.
     Entries {
-        /// The entries, in ascending order of their numbers and without gaps.
+        /// The committed log entries, in ascending order of their numbers and without gaps.
         entries: Vec<Entry>,
         /// Name of the last leader that the sender knows of.
         leader: Option<String>,
@@ -152,7 +153,7 @@
     SnapshotChunk {
         /// Number of the checkpoint.
         checkpoint: u64,
-        /// The key from the request, after which the pairs begin.
+        /// The key `after` from the request. The pairs in this message begin after this key.
         after: Option<Text>,
         /// The pairs, ordered by key.
         pairs: Vec<Pair>,
--- a/crates/replication/src/progress.rs
+++ b/crates/replication/src/progress.rs
@@ -124,8 +124,9 @@
         })
     }
 
-    /// Selects the members that are to be polled for a report now. These are members of `alive` that have not
-    /// applied revision `number` and were not polled recently. Records the selected members as polled.
+    /// Selects the members that are to be polled for a report now, and records them as polled. A member of
+    /// `alive` is selected if it has not applied revision `number`. If its last poll is unanswered, the
+    /// interval between two polls must also have passed. Selects at most [`POLLS_AT_ONCE_MAX`] members.
     pub fn poll<'a>(
         &mut self,
         alive: impl Iterator<Item = &'a String>,
--- a/crates/replication/src/replica/election.rs
+++ b/crates/replication/src/replica/election.rs
@@ -21,16 +21,17 @@
 /// long log is received in several messages.
 #[derive(Debug)]
 struct PromisedLog {
-    /// Position of the last entry in the log of the promising replica.
+    /// Position of the last entry in the log of the replica that made the promise.
     last: Position,
-    /// Entries received from the promising replica, starting after the candidate's committed log. The
-    /// candidate checks that each message starts where the previous one ended. It relies on the promising
-    /// replica to leave no gaps within a message.
+    /// Entries received from the replica that made the promise, starting after the candidate's committed log.
+    /// The candidate checks that each message starts where the previous one ended. It relies on the sender to
+    /// leave no gaps within a message.
     entries: Vec<Entry>,
 }
 
 impl PromisedLog {
-    /// Returns the number of the last entry received from the promising replica.
+    /// Returns the number of the last entry received from the replica that made the promise. If no entry was
+    /// received, returns the number of the last entry in the candidate's committed log.
     fn reached(&self, log: &CommittedLog) -> u64 {
         self.entries.last().map_or(log.number(), Entry::number)
     }
@@ -39,7 +40,8 @@
 /// State of a candidate: a replica that has chosen an epoch and waits until a majority has promised it.
 #[derive(Debug)]
 pub(super) struct Candidate {
-    /// Promises received, by the name of the promising replica. Includes the candidate's promise to itself.
+    /// Promises received, by the name of the replica that made the promise. Includes the candidate's promise
+    /// to itself.
     promises: BTreeMap<String, PromisedLog>,
     /// Time at which the candidate last sent requests for promises.
     requested_at: Nanos,
@@ -92,8 +94,8 @@
         self.lead_if_promised(now, log);
     }
 
-    /// Repeats the requests for promises, if a repetition is due. After [`REPEATS_MAX`] repetitions, ends the
-    /// election instead.
+    /// Repeats the requests for promises, if a repetition is due. After [`REPEATS_MAX`] repetitions, makes
+    /// the replica a follower instead, which ends this election.
     pub(super) fn repeat_campaign(&mut self, now: Nanos, log: &CommittedLog) {
         let Role::Candidate(candidate) = &mut self.role else { return };
         if candidate.repeats >= REPEATS_MAX {
@@ -105,9 +107,9 @@
         }
     }
 
-    /// Sends the requests that are still open in this election. A replica that has not promised gets a
-    /// request for a promise. A replica that has promised, but not yet sent its whole log, gets a request for
-    /// the rest.
+    /// Sends each other replica the request that it still has to answer in this election. A replica that has
+    /// not promised gets a request for a promise. A replica that has promised, but not yet sent its whole
+    /// log, gets a request for the rest.
     fn send_prepares(&mut self, log: &CommittedLog) {
         let Role::Candidate(candidate) = &self.role else { return };
         let mut requests = Vec::new();
@@ -169,9 +171,9 @@
         self.uncommitted = entries;
         let LogEnd { state, undo } = self.log_end(log);
         self.role = Role::Leader(Leader::new(state));
-        // The leader appends an entry of its own epoch at once. Only with such an entry can entries of
-        // earlier epochs be committed (Raft, section 5.4.2). The new entry also undoes a change that the
-        // previous leader left incomplete.
+        // The leader appends an entry of its own epoch at once, because entries of earlier epochs can be
+        // committed only together with such an entry (Raft, section 5.4.2). The new entry also undoes a
+        // change that the previous leader left incomplete.
         self.append_parts(split(undo), log);
         self.replicate(now, log);
     }
--- a/crates/replication/src/replica/leader.rs
+++ b/crates/replication/src/replica/leader.rs
@@ -32,7 +32,8 @@
 /// The state that a replica has only while it is the leader.
 #[derive(Debug)]
 pub(super) struct Leader {
-    /// Progress of each replica, by its name. The leader itself is included.
+    /// How far each replica has stored the leader's log, by the name of the replica. The leader itself is
+    /// included.
     progress: BTreeMap<String, FollowerProgress>,
     /// The configuration after the last entry of the leader's log, including uncommitted entries.
     end_state: State,
@@ -196,11 +197,11 @@
         }
     }
 
-    /// Handles a rejection of entries, which a replica sends if it lacks the entry directly before them.
-    /// Sends the entries after the lower number `matched` instead. Up to this number, the replica's log may
-    /// be equal to the leader's log.
+    /// Handles a replica's rejection of entries. A replica rejects entries if its log lacks the entry
+    /// directly before the first of them. Sends the entries after the lower number `matched` instead. Up to
+    /// this number, the replica's log may be equal to the leader's log.
     pub(super) fn on_append_rejected(&mut self, from: &str, epoch: u64, matched: u64, log: &CommittedLog) {
-        // The leader may no longer hold the entry at `matched`. Then send nothing: the replica catches up by
+        // If the leader no longer holds the entry at `matched`, send nothing: the replica catches up by
         // gossip, and accepts a later heartbeat.
         let is_held = self.position(matched, log).is_some();
         if epoch == self.promised && self.is_leader() && is_held {
--- a/crates/replication/src/replica/mod.rs
+++ b/crates/replication/src/replica/mod.rs
@@ -92,8 +92,8 @@
     /// Whether this replica holds the external leadership lease. The holder tries to become or remain the
     /// leader.
     holds_lease: bool,
-    /// Whether `promised` or `uncommitted` differ from the state on disk. While they differ, no message may
-    /// be sent.
+    /// Whether `promised` or `uncommitted` differ from the state on disk. While they differ, this replica may
+    /// not send its queued messages.
     is_unsaved: bool,
     /// Queued messages. They may be sent only after the state they depend on is on disk.
     outgoing: Vec<ReplicaMessage>,
--- a/crates/replication/src/requests.rs
+++ b/crates/replication/src/requests.rs
@@ -1,5 +1,6 @@
 //! Operators' requests that the leader has received. An operator may repeat a request that was not answered.
-//! By its identifier, the leader recognizes a repetition and does not carry the request out again.
+//! The leader recognizes a repetition by the identifier of the request, and does not carry the request out
+//! again.
 
 use crate::change::Change;
 use crate::entry::PARTS_MAX;
--- a/crates/replication/src/simulation/node.rs
+++ b/crates/replication/src/simulation/node.rs
@@ -7,7 +7,7 @@
 
 /// The file on a node's disk.
 pub(super) enum Disk {
-    /// A complete file. It is kept as the decoded state, not as bytes.
+    /// A file that is not truncated. It is kept as the decoded state, not as bytes.
     Complete(PersistedState),
     /// The bytes of a truncated file.
     Truncated(Vec<u8>),
--- a/crates/replication/src/state.rs
+++ b/crates/replication/src/state.rs
@@ -9,7 +9,7 @@
 use std::ops::Bound;
 use std::sync::Arc;
 
-/// The text of a key or of a value. Copies of the content share the memory of the text.
+/// The text of a key or of a value. Copies of the configuration share the memory of the text.
 pub type Text = Arc<str>;
 
 /// Maximum number of keys in one configuration.
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Applies the changes in their order.
+    /// Applies changes of keys to this state, in the order of the list.
     pub fn apply(&mut self, changes: &[Change]) {
         for Change { key, value } in changes {
             match value {
--- a/crates/replication/tests/fleet.rs
+++ b/crates/replication/tests/fleet.rs
@@ -342,8 +342,8 @@
     assert!(fleet.propose(small_change(2)).is_some());
     fleet.run_for(3 * S);
     assert_eq!(fleet.member(SIZE - 1).unwrap().applied(), first);
-    // The restart of a node updates the membership view. With this update, the lease moves to another
-    // replica.
+    // The restart of a node makes the simulation update the membership view. With this update, the lease
+    // moves from the leader whose disk is full to another replica.
     fleet.crash(SIZE - 1);
     fleet.start(SIZE - 1);
     fleet.run_for(8 * S);
--- a/crates/simulator-adapter/src/codec/event.rs
+++ b/crates/simulator-adapter/src/codec/event.rs
@@ -94,7 +94,7 @@
     Arrived { arrival: Arrival },
     /// A run has finished.
     RunFinished { id: u64, outcome: Outcome },
-    /// The run of an invocation now needs its call to the downstream service.
+    /// The run of the invocation `id` now needs to call the downstream service.
     CallNeeded { id: u64 },
     /// A call to the downstream service has finished. `duration` is the duration of the call, in nanoseconds.
     CallFinished { id: u64, outcome: Outcome, duration: Nanos },
--- a/crates/simulator-adapter/src/instances.rs
+++ b/crates/simulator-adapter/src/instances.rs
@@ -160,8 +160,8 @@
         Ok(())
     }
 
-    /// Returns the running instance in the slot with this index; `None` if no instance is running in this
-    /// slot.
+    /// Returns the running instance with the number `slot`; `None` if no instance with this number is
+    /// running.
     fn running(&mut self, slot: usize) -> Option<&mut Instance> {
         self.slots.get_mut(slot)?.as_mut()
     }
