--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -55,8 +55,8 @@
         requested_buckets: u64,
         members: Vec<Member<MemberId>>,
     ) -> Result<(), DropReason> {
-        // Reject a list that contains a member that is down. Only gossip and verdicts may report a member as
-        // down, because the reported member can refute them.
+        // Reject a list that contains a member in the state down. Only gossip and verdicts may report a
+        // member as down, because the reported member can refute these reports.
         if members.iter().any(|member| !has_valid_name(member.id()) || member.state() == State::Down) {
             return Err(DropReason::Protocol);
         }
--- a/crates/membership/src/directory.rs
+++ b/crates/membership/src/directory.rs
@@ -21,8 +21,8 @@
     built_from: Option<ViewVersion>,
 }
 
-/// Identifies the state of the view from which a directory was built. A directory is rebuilt when this state
-/// differs from that of the current view.
+/// Identifies the state of the view from which a directory was built. The directory is rebuilt when the state
+/// of the current view is different.
 #[derive(Debug)]
 struct ViewVersion {
     last_change: Nanos,
--- a/crates/membership/src/envelope.rs
+++ b/crates/membership/src/envelope.rs
@@ -100,7 +100,8 @@
 }
 
 impl DropReason {
-    /// All reasons for dropping a datagram, in the order in which the log lists their counts.
+    /// All reasons for dropping a datagram, in the order in which the server's log output lists the counts of
+    /// dropped datagrams.
     pub const ALL: [DropReason; 9] = [
         DropReason::Short,
         DropReason::Oversized,
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -8,9 +8,9 @@
 pub const NAME_BYTES_MAX: usize = 64;
 
 /// Identity of a member: its name, address and incarnation. Two identities with the same address stand for
-/// the same member, and the one with the higher incarnation replaces the other. A server that restarts under
-/// its old name and address therefore replaces its earlier incarnation in another member's view as soon as
-/// that member learns of the new incarnation.
+/// the same member, and the one with the higher incarnation replaces the other. For example, a server that
+/// restarts under its old name and address has a higher incarnation. Every other member replaces the earlier
+/// incarnation as soon as it learns of the new one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MemberId {
     /// Name of the server, with a length of 1 to [`NAME_BYTES_MAX`] bytes. The name of a seed is empty as
--- a/crates/membership/src/messages.rs
+++ b/crates/membership/src/messages.rs
@@ -46,8 +46,8 @@
     /// Members that are alive or suspect in the sender's view. The list covers only buckets in which the
     /// views of sender and receiver differ.
     Members {
-        /// Bit set of buckets. The receiver is to send its members of these buckets in return; 0 requests
-        /// none.
+        /// Bit set of the buckets whose members the receiver is to send to the sender in return. 0 requests
+        /// no members.
         requested_buckets: u64,
         /// The listed members, with their states in the sender's view.
         members: Vec<Member<MemberId>>,
--- a/crates/membership/src/rejoin.rs
+++ b/crates/membership/src/rejoin.rs
@@ -9,7 +9,7 @@
 pub(crate) struct SeedRejoin {
     /// Addresses of the seeds. This server's own address is excluded.
     pub(crate) seeds: Vec<SocketAddr>,
-    /// Time of the next check whether this server knows any other member. If it knows none, it announces
+    /// Time at which this server next checks if it knows any other member. If not, the server announces
     /// itself to the seeds again. `None` before the join, or if there are no seeds.
     at: Option<Nanos>,
     /// Delay between two announcements to the seeds. Doubled with each repetition, up to the announce period.
@@ -32,8 +32,8 @@
 }
 
 impl Membership {
-    /// Performs the check for other members, if it is due. If this server knows no other member, announces
-    /// this server to the seeds again, and doubles the delay until the next check. The delay is at most the
+    /// Does nothing before the next check is due. Then, if this server knows no other member, announces this
+    /// server to the seeds again, and doubles the delay until the next check. The delay is at most the
     /// announce period.
     pub(crate) fn rejoin_if_due(&mut self) {
         if self.rejoin.at.is_none_or(|at| at > self.now) {
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -26,11 +26,11 @@
 const PROBE_PERIOD_MIN_NS: Nanos = 10 * MILLISECOND_NS;
 const SUSPICION_MULTIPLIER_MAX: u32 = 60;
 
-/// Number of members to which foca sends gossip in one round, once per gossip period.
+/// In each gossip round, foca sends gossip to this number of members. There is one round per gossip period.
 pub(crate) const GOSSIP_MEMBERS: usize = 3;
-/// Number of alive or suspect members to which foca announces this member once per announce period.
+/// Once per announce period, foca announces this member to this number of alive or suspect members.
 const ANNOUNCE_MEMBERS: usize = 1;
-/// Number of members recorded as down to which foca announces this member once per announce period.
+/// Once per announce period, foca announces this member to this number of members that are recorded as down.
 const ANNOUNCE_DOWN_MEMBERS: usize = 2;
 /// If a member does not answer a direct probe, the prober requests an indirect probe of that member from this
 /// number of other members (`k` in the SWIM paper).
@@ -60,8 +60,8 @@
     /// Maximum size of a datagram's body, in bytes. The maximum for gossip may be smaller, so that gossip
     /// stays within half of [`Settings::bytes_per_second`].
     pub packet_max: usize,
-    /// Expected number of members in the fleet, `n`. Each member transmits an update about 4 log10(n + 1)
-    /// times.
+    /// Expected number of members in the fleet, `n`. Each member transmits each update approximately 4
+    /// log10(n + 1) times. An update reports a member's state.
     pub expected_members: u32,
     /// Interval between two gossip rounds. In each round, a member sends gossip to three other members.
     pub gossip_period: Nanos,
@@ -104,7 +104,8 @@
     ProbeRtt {
         /// The rejected time to wait for the answer, in nanoseconds.
         actual: Nanos,
-        /// The probe period, in nanoseconds. The time to wait must be shorter.
+        /// The probe period, in nanoseconds. The time to wait for the answer must be shorter than this
+        /// period.
         probe_period: Nanos,
     },
     /// The multiplier that yields the suspicion time from the probe period is too small or too large.
--- a/crates/membership/src/simulation/parallel.rs
+++ b/crates/membership/src/simulation/parallel.rs
@@ -28,7 +28,8 @@
     sent: Sent,
 }
 
-/// Result of running members for one time window: the datagrams that they sent, and their next deadlines.
+/// Result of running members for one time window: the datagrams that the members sent, and the members' next
+/// deadlines.
 #[derive(Default)]
 struct WindowOutcome {
     sent: Vec<SentByMember>,
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -9,7 +9,7 @@
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
-/// A member in this server's view. The field names appear in the log.
+/// A member in this server's view. The field names appear in the server's log output.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct MemberStatus {
     /// The member's name.
@@ -95,7 +95,7 @@
     }
 }
 
-/// Counts of datagrams since the start of this member. The field names appear in the log.
+/// Counts of datagrams since the start of this member. The field names appear in the server's log output.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
     /// Number of datagrams sent.
--- a/crates/membership/tests/verdicts.rs
+++ b/crates/membership/tests/verdicts.rs
@@ -72,8 +72,8 @@
     );
     assert_eq!(state_of_third(&mut membership, SECOND / 10), Some(MemberState::Suspect));
     // The suspect does not answer, so this member declares it down. Suspicions are checked once per probe
-    // period. One check records the suspicion, and the first check at least twice the suspicion time later
-    // declares the suspect down. Each of the two checks can be up to one probe period late.
+    // period. One check records the suspicion. A later check declares the suspect down, once at least twice
+    // the suspicion time has passed. Each of the two checks can be up to one probe period late.
     let end = SECOND / 10 + 2 * settings().suspicion() + 2 * settings().probe_period;
     (1..=end / (SECOND / 10)).for_each(|tenth| membership.handle_timeout(tenth * SECOND / 10));
     assert_ne!(state_of_third(&mut membership, end), Some(MemberState::Alive));
--- a/crates/replication/src/codec.rs
+++ b/crates/replication/src/codec.rs
@@ -61,7 +61,7 @@
     }
 }
 
-/// Returns whether a text has an allowed length for a name.
+/// Returns true if a text is not longer than the name of a member, region or zone may be.
 fn is_name(text: &str) -> bool {
     text.len() <= NAME_BYTES_MAX
 }
--- a/crates/replication/src/committed_log.rs
+++ b/crates/replication/src/committed_log.rs
@@ -1,6 +1,6 @@
 //! The part of the committed log that one member holds. It consists of the configuration at the end of the
-//! log, the latest entries, and two checkpoints. A member that lags a little receives entries. A member that
-//! lags further receives a checkpoint.
+//! log, the latest entries, and two checkpoints. A member that lags a little receives the missing entries
+//! from another member. If the other member no longer holds these entries, it sends a checkpoint instead.
 //!
 //! A checkpoint has the same entry number on all members, so a transfer that was started from one member can
 //! continue from another.
@@ -12,7 +12,7 @@
 use std::collections::VecDeque;
 
 /// Interval between checkpoints, in log entries. The log is divided into blocks of this many entries. In each
-/// block, a checkpoint is taken at the first entry that ends a change.
+/// block, a checkpoint is taken at the first entry that ends a change of the configuration.
 pub const CHECKPOINT_INTERVAL: u64 = 256;
 
 /// Reason why an entry cannot be appended to the committed log.
--- a/crates/replication/src/member/applier.rs
+++ b/crates/replication/src/member/applier.rs
@@ -20,12 +20,14 @@
 pub(super) struct Applier {
     /// Number of the last revision that the host has applied since the member started. Never decreases.
     applied: u64,
-    /// Number of the revision that was passed to the host and not yet applied or rejected.
+    /// Number of the revision that the host has received, but not yet applied or rejected. `None` if there is
+    /// no such revision.
     applying: Option<u64>,
     /// The last revision that the host rejected. `None` if the host has rejected none, or has since applied a
     /// later revision.
     rejected: Option<Rejection>,
-    /// Whether the member found a revision on its disk when it started.
+    /// Whether the member found a revision on its disk when it started. If not, it applies no revision before
+    /// it has caught up with the other members.
     started_from_disk: bool,
     /// Number of the last entry in the longest log that other members reported during the catch-up period
     /// ([`CATCH_UP_NS`]). A member that started with an empty disk applies no revision before its own log
--- a/crates/replication/src/member/mod.rs
+++ b/crates/replication/src/member/mod.rs
@@ -100,7 +100,7 @@
     /// Time of the next pull. In a pull, this member sends a digest of its log to a random member, which
     /// answers with missing entries.
     pull_due: Nanos,
-    /// Time of the next report to the leader.
+    /// Time at which this member next reports to the leader which revisions it has applied or rejected.
     report_due: Nanos,
     outgoing: Vec<Outgoing>,
     /// Counters since the start.
--- a/crates/replication/src/member/settings.rs
+++ b/crates/replication/src/member/settings.rs
@@ -1,4 +1,5 @@
-//! Settings of a member of the replicated configuration, and the allowed ranges of the settings.
+//! Settings of a member that takes part in the replication of the configuration, and the allowed ranges of
+//! the settings.
 
 use crate::message::{BODY_BYTES_MAX, Location};
 use crate::time::{MILLISECOND_NS, Nanos};
--- a/crates/replication/src/member/snapshot_fetch.rs
+++ b/crates/replication/src/member/snapshot_fetch.rs
@@ -11,10 +11,11 @@
 use crate::state::{Chunk, Pair, Text};
 use crate::time::{MILLISECOND_NS, Nanos};
 
-/// Time to wait before the next request for a chunk if the byte budget is used up.
+/// If the byte budget is used up, a member waits for this time before it next tries to request a chunk of a
+/// checkpoint.
 const CHUNK_RETRY_NS: Nanos = 100 * MILLISECOND_NS;
-/// Maximum total size of the key-value pairs in one chunk, in bytes. The rest of the message is left for the
-/// other fields, which include a key.
+/// Maximum total size of the key-value pairs in one chunk of a checkpoint, in bytes. The rest of the message
+/// is left for the other fields, which include a key.
 const CHUNK_BYTES_MAX: usize = BODY_BYTES_MAX - 2 * KEY_BYTES_MAX;
 
 impl Member {
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -104,8 +104,8 @@
 /// A message between members.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Anti-entropy: states which entries the sender holds. A receiver that holds further entries answers
-    /// with `Entries` or a `SnapshotOffer`.
+    /// Anti-entropy: states which entries the sender holds. If the receiver holds entries that the sender
+    /// lacks, it answers with `Entries` or a `SnapshotOffer`.
     Digest {
         /// Number of the last entry in the sender's committed log.
         number: u64,
@@ -127,8 +127,8 @@
         entries: Vec<Entry>,
         /// Name of the last leader that the sender knows of.
         leader: Option<String>,
-        /// Whether the sender pushed the entries without a request. If so, the receiver pushes new entries on
-        /// to further members.
+        /// Whether the sender pushed the entries without a request. If so, the receiver pushes the entries
+        /// that it did not have yet to further members.
         pushed: bool,
         /// Number of the last entry in the sender's committed log.
         newest: u64,
@@ -214,8 +214,8 @@
         /// Number of the last entry up to which the sender's log is equal to the leader's log.
         number: u64,
     },
-    /// Between replicas: rejects `Append`, because the sender of this answer does not hold the entry at
-    /// `previous`.
+    /// Between replicas: rejects `Append`, because the log of the replica that sends this answer has no entry
+    /// at the position `previous` of the `Append`.
     AppendRejected {
         /// The leader's epoch.
         epoch: u64,
--- a/crates/replication/src/progress.rs
+++ b/crates/replication/src/progress.rs
@@ -1,13 +1,14 @@
 //! Tracks which revision each member has applied, according to the reports that the members send to this
-//! replica. Members that lag or have not reported yet are polled for a report. A member that never answers is
-//! treated as non-participating. Such a member is a server without replicated configuration, or an operator's
-//! command that has joined the fleet, such as `publish`.
+//! replica. Members that lag or have not reported yet are polled for a report. A member that has never
+//! reported and leaves several polls unanswered is treated as non-participating. Such a member is a server
+//! without replicated configuration, or an operator's command that has joined the fleet, such as `publish`.
 
 use crate::message::{Rejection, Report};
 use crate::time::{Nanos, SECOND_NS};
 use std::collections::BTreeMap;
 
-/// Interval between two polls of the same member while the member does not answer.
+/// Interval between two polls of a member that has not answered the last poll. A longer interval applies to
+/// members that are treated as non-participating.
 const UNANSWERED_POLL_INTERVAL_NS: Nanos = 2 * SECOND_NS;
 /// Interval between two polls of a member that is treated as non-participating. Polls continue, since the
 /// member may have been restarted with other settings.
--- a/crates/replication/src/replica/mod.rs
+++ b/crates/replication/src/replica/mod.rs
@@ -86,7 +86,8 @@
     /// Highest epoch that this replica has promised, to another replica or to itself. The replica rejects
     /// messages of earlier epochs. Never decreases.
     promised: u64,
-    /// Entries that follow the committed log directly and without gaps.
+    /// Entries that this replica has stored, but that are not in the committed log. They directly follow the
+    /// committed log, without gaps.
     uncommitted: Vec<Entry>,
     role: Role,
     /// Whether this replica holds the external leadership lease. The holder tries to become or remain the
@@ -95,7 +96,8 @@
     /// Whether `promised` or `uncommitted` differ from the state on disk. While they differ, this replica may
     /// not send its queued messages.
     is_unsaved: bool,
-    /// Queued messages. They may be sent only after the state they depend on is on disk.
+    /// Messages queued for other replicas. A message may be sent only after the state that it depends on is
+    /// on disk.
     outgoing: Vec<ReplicaMessage>,
 }
 
--- a/crates/replication/src/snapshot_transfer.rs
+++ b/crates/replication/src/snapshot_transfer.rs
@@ -8,8 +8,8 @@
 use crate::state::{Chunk, KEYS_MAX, Pair, State, Text};
 use crate::time::{Nanos, SECOND_NS};
 
-/// Time after which an unanswered request for a chunk is repeated. The repetition may be sent to another
-/// member.
+/// Time after which an unanswered request for a chunk of the checkpoint is repeated. The repetition may be
+/// sent to another member.
 const CHUNK_TIMEOUT_NS: Nanos = SECOND_NS;
 /// Maximum number of requests in a row that may remain unanswered. If more remain unanswered, the transfer is
 /// abandoned. The next offer of a checkpoint then starts a new transfer.
@@ -29,8 +29,9 @@
     /// Revision of the checkpoint.
     target: Revision,
     /// The member to which the next request is sent. This is the member that sent the last chunk or, before
-    /// the first chunk, the member that offered the checkpoint. Becomes `None` when a request that the source
-    /// left unanswered is repeated. After that, the caller may choose any member.
+    /// the first chunk, the member that offered the checkpoint. If the request to this member is not
+    /// answered, the request is repeated, and this field becomes `None`. The caller may then choose any
+    /// member.
     source: Option<String>,
     /// Number of requests sent since the last chunk was received.
     attempts: u32,
--- a/crates/simulator-adapter/src/codec/batch.rs
+++ b/crates/simulator-adapter/src/codec/batch.rs
@@ -95,38 +95,40 @@
         self.record[offset..offset + N].try_into().expect("all offsets are constants within a record")
     }
 
-    /// Returns the code of the record, which is one of [`super::code`].
+    /// Returns the code that states the kind of the record. The codes are listed in [`super::code`].
     pub fn code(&self) -> u8 {
         self.u8(0)
     }
 
-    /// Returns the unsigned 8-bit integer at `offset`.
+    /// Returns the unsigned 8-bit integer at the byte offset `offset` in the record.
     pub fn u8(&self, offset: usize) -> u8 {
         self.record[offset]
     }
 
-    /// Returns the unsigned 16-bit integer at `offset`.
+    /// Returns the unsigned 16-bit integer at the byte offset `offset` in the record.
     pub fn u16(&self, offset: usize) -> u16 {
         u16::from_le_bytes(self.bytes(offset))
     }
 
-    /// Returns the unsigned 32-bit integer at `offset`.
+    /// Returns the unsigned 32-bit integer at the byte offset `offset` in the record.
     pub fn u32(&self, offset: usize) -> u32 {
         u32::from_le_bytes(self.bytes(offset))
     }
 
-    /// Returns the unsigned 64-bit integer at `offset`.
+    /// Returns the unsigned 64-bit integer at the byte offset `offset` in the record.
     pub fn u64(&self, offset: usize) -> u64 {
         u64::from_le_bytes(self.bytes(offset))
     }
 
-    /// Returns the single-precision number at `offset`. Returns an error if it is infinite or not a number.
+    /// Returns the single-precision number at the byte offset `offset` in the record. Returns an error if the
+    /// number is infinite or is the value NaN (not a number).
     pub fn number(&self, offset: usize) -> Result<f64, EventError> {
         let number = f32::from_le_bytes(self.bytes(offset));
         if number.is_finite() { Ok(f64::from(number)) } else { Err(EventError::NotFinite { offset, number }) }
     }
 
-    /// Returns the duration at `offset`, in nanoseconds. In the record, it is in microseconds.
+    /// Returns the duration at the byte offset `offset` in the record, in nanoseconds. The record contains
+    /// the duration in microseconds.
     pub fn duration(&self, offset: usize) -> Nanos {
         u64::from(self.u32(offset)) * NS_PER_US
     }
