--- a/crates/membership/src/rejoin.rs
+++ b/crates/membership/src/rejoin.rs
@@ -56,7 +56,8 @@
         }
     }
 
-    /// Announces this server to the member at `addr`. The member's name and incarnation are not known yet.
+    /// Announces this server to the member at `addr`, whose name and incarnation are not known yet. The
+    /// announcement is sent by the address alone.
     pub(crate) fn announce_to(&mut self, addr: SocketAddr) {
         let unknown = MemberId { name: String::new(), addr, incarnation: 0 };
         let mut effects = FocaEffects::default();
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -108,7 +108,8 @@
         /// period.
         probe_period: Nanos,
     },
-    /// The multiplier that yields the suspicion time from the probe period is too small or too large.
+    /// The multiplier is too small or too large. The suspicion time is the probe period times this
+    /// multiplier.
     #[error("suspicion-multiplier: 1 to {SUSPICION_MULTIPLIER_MAX}, not {actual}")]
     SuspicionMultiplier {
         /// The configured multiplier.
--- a/crates/membership/src/simulation/mod.rs
+++ b/crates/membership/src/simulation/mod.rs
@@ -158,12 +158,13 @@
         self.network.heal();
     }
 
-    /// Returns a member; `None` if its process does not exist.
+    /// Returns the member with the index `member`; `None` if its process does not exist.
     pub fn member(&self, member: usize) -> Option<&Membership> {
         self.processes[member].membership.as_ref()
     }
 
-    /// Returns a mutable reference to a member; `None` if its process does not exist.
+    /// Returns a mutable reference to the member with the index `member`; `None` if its process does not
+    /// exist.
     pub fn member_mut(&mut self, member: usize) -> Option<&mut Membership> {
         self.processes[member].membership.as_mut()
     }
--- a/crates/membership/src/simulation/parallel.rs
+++ b/crates/membership/src/simulation/parallel.rs
@@ -149,7 +149,8 @@
     let mut whole = WindowOutcome::default();
     thread::scope(|scope| {
         let mut parts = tasks.chunks_mut(share);
-        // The current thread runs the first part of the members itself; only the other parts get new threads.
+        // The members are divided into one part per thread. The current thread runs the first part itself, so
+        // only the other parts get new threads.
         let first = parts.next();
         let others: Vec<_> = parts.map(|part| scope.spawn(move || run(part))).collect();
         let mut outcomes: Vec<WindowOutcome> = first.map(run).into_iter().collect();
--- a/crates/membership/tests/large.rs
+++ b/crates/membership/tests/large.rs
@@ -10,7 +10,7 @@
 const SECOND: u64 = 1_000 * MILLISECOND;
 
 /// Runs a fleet of `n` members through joins, a crash and a partition. Checks how long the views take to
-/// agree after each.
+/// agree after each of these events.
 fn run_crash_and_partition(n: usize, seed: u64, heal_limit: u64) {
     let mut s = Settings::lan("quiz", b"sixteen byte key");
     s.expected_members = n as u32;
--- a/crates/replication/src/committed_log.rs
+++ b/crates/replication/src/committed_log.rs
@@ -1,6 +1,6 @@
 //! The part of the committed log that one member holds. It consists of the configuration at the end of the
 //! log, the latest entries, and two checkpoints. A member that lags a little receives the missing entries
-//! from another member. If the other member no longer holds these entries, it sends a checkpoint instead.
+//! from another member. If the other member no longer holds these entries, it offers a checkpoint instead.
 //!
 //! A checkpoint has the same entry number on all members, so a transfer that was started from one member can
 //! continue from another.
--- a/crates/replication/src/entry.rs
+++ b/crates/replication/src/entry.rs
@@ -12,8 +12,8 @@
 pub const ENTRY_BYTES_MAX: usize = 900;
 /// Maximum length of an encoded 64-bit integer, in bytes.
 const INTEGER_BYTES_MAX: usize = 10;
-/// Number of integers at the start of an encoded entry: the epoch, the number, and the four lanes of the
-/// configuration hash.
+/// Number of integers at the start of an encoded entry: the entry's epoch, the entry's number, and the four
+/// lanes of the configuration hash.
 const HEAD_INTEGERS: usize = 6;
 
 /// One entry of the log.
--- a/crates/replication/src/member/mod.rs
+++ b/crates/replication/src/member/mod.rs
@@ -1,7 +1,7 @@
-//! One member of the fleet, the part of replication that every server runs. A member holds the end of the
-//! committed log and spreads it by gossip. If it lags too far to receive the missing entries, it fetches a
-//! checkpoint. It passes complete revisions to its host, and reports the applied revisions to the leader. On
-//! a control machine it also runs a [`Replica`].
+//! One member of the fleet: the state machine for replication that every server runs. A member holds the end
+//! of the committed log and spreads it by gossip. If it lags too far to receive the missing entries, it
+//! fetches a checkpoint. It passes complete revisions to its host, and reports the applied revisions to the
+//! leader. On a control machine it also runs a [`Replica`].
 //!
 //! The host calls [`Member::receive`] for each message and [`Member::advance`] at [`Member::next_due`]. After
 //! each call the host writes [`Member::unsaved_state`] to disk, applies [`Member::next_to_apply`], and sends
@@ -91,8 +91,8 @@
     chunk_due: Nanos,
     /// The state of a control machine; `None` on a server, which has no replica.
     control: Option<Control>,
-    /// The latest freshness statement of the leader that applies to this member. A statement applies if this
-    /// member's log has all entries up to the number in the statement.
+    /// The latest statement of the leader about the end of its log, among those that this member has adopted.
+    /// This member adopts a statement only if its own log has all entries up to the number in the statement.
     freshness: Freshness,
     applier: Applier,
     /// Name of the last known leader.
--- a/crates/replication/src/member/operator.rs
+++ b/crates/replication/src/member/operator.rs
@@ -22,8 +22,8 @@
     /// No complete change ends with the entry `number`, or this member no longer holds the change.
     #[error("no change that is still held ends at {number}")]
     NotHeld { number: u64 },
-    /// The configuration before the change is not known, because the entries needed to compute it are no
-    /// longer held.
+    /// The configuration before the change is not known, because this member no longer holds the entries that
+    /// are needed to compute it.
     #[error("the configuration before the change is not held any more")]
     BaseNotHeld,
     /// A later change has modified a key of the change that is to be reverted. The reversal would therefore
@@ -41,8 +41,9 @@
     Propose(#[from] ProposeError),
 }
 
-/// Returns the change that reverts the change whose last entry is `number`. Each key that this earlier change
-/// modified gets its previous value again, or is removed if it had none.
+/// Returns the change that reverts an earlier change. `number` is the number of the earlier change's last
+/// entry. Each key that the earlier change modified gets its previous value again, or is removed if it had
+/// none.
 fn revert(log: &CommittedLog, number: u64) -> Result<Vec<Change>, RevertError> {
     let entries = log.change_at(number).ok_or(RevertError::NotHeld { number })?;
     let first = entries.first().map_or(number, |entry| entry.number());
--- a/crates/replication/src/member/reports.rs
+++ b/crates/replication/src/member/reports.rs
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Records a report that a member has sent. Does nothing on a server, which receives no reports.
+    /// Records the report of the member `from`. Does nothing on a server, which receives no reports.
     pub(super) fn on_report(&mut self, from: &str, report: Report) {
         if let Some(control) = &mut self.control {
             control.progress.on_report(from, report);
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -109,8 +109,8 @@
     Digest {
         /// Number of the last entry in the sender's committed log.
         number: u64,
-        /// The latest freshness statement of the leader that the sender has adopted. All fields are zero if
-        /// the sender has adopted none.
+        /// The latest statement of the leader about the end of its log, among those that the sender has
+        /// adopted. All fields are zero if the sender has adopted none.
         freshness: Freshness,
         /// Region and zone of the sender.
         location: Location,
@@ -118,7 +118,8 @@
         /// members are in this zone.
         neighbours: Vec<String>,
         /// Whether the sender wants the receiver's digest in reply. The receiver sends its digest only if it
-        /// holds fewer entries than the sender or has a newer freshness statement.
+        /// holds fewer entries than the sender, or if its `freshness` is newer by more than a tolerated
+        /// difference.
         wants_reply: bool,
     },
     /// Transfers committed entries.
--- a/crates/replication/src/persistence.rs
+++ b/crates/replication/src/persistence.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// First bytes of every file. The last byte of this constant is the version of the file format.
+/// First bytes of every state file. The last byte of this constant is the version of the file format.
 const MAGIC: [u8; 8] = *b"MSREPL\0\x01";
 const LENGTH_BYTES: usize = 8;
 const CHECKSUM_BYTES: usize = 32;
--- a/crates/replication/src/replica/mod.rs
+++ b/crates/replication/src/replica/mod.rs
@@ -218,8 +218,8 @@
         self.is_unsaved = false;
         let last = self.last_position(log).number;
         if let Role::Leader(leader) = &mut self.role {
-            // The leader itself counts towards the majority that has stored an entry only once the entry is
-            // on its disk.
+            // The leader counts itself towards the majority that has stored an entry only once the entry is
+            // on its own disk. The entries up to number `last` are on disk now.
             leader.set_matched(&self.name, last);
         }
     }
--- a/crates/replication/src/state.rs
+++ b/crates/replication/src/state.rs
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct State {
     pairs: OrdMap<Text, Text>,
-    /// Hash of `pairs`. Updated with every change of a key.
+    /// Hash of all key-value pairs in `pairs`. Updated with every change of a key.
     hash: ContentHash,
 }
 
--- a/crates/replication/tests/fleet.rs
+++ b/crates/replication/tests/fleet.rs
@@ -91,8 +91,8 @@
         .expect("all members report to the leader that they have applied the change");
 }
 
-/// Pushes of entries deliver a change to nearly all members at once. Pulls (requests for missing entries)
-/// deliver it to the other members. Pulls are rare in this test.
+/// Every change must reach all members. Pushes of entries deliver a change to nearly all members at once.
+/// Pulls (requests for missing entries) deliver it to the other members. Pulls are rare in this test.
 #[test]
 fn pushes_carry_a_change_and_pulls_repair_what_they_miss() {
     let mut fleet = settled_fleet(Layout { pull_period: 2 * S, ..layout() }, 15);
@@ -392,18 +392,19 @@
         let message = Message::Entries { entries, leader: Some(member_name(0)), pushed: true, newest: 0 };
         fleet.inject(20, 3, message.encode());
     };
-    // Replayed entries: the member already has these entries.
+    // Replayed entries: the member already has these entries, and must ignore them.
     send(&mut fleet, known);
     let at = |number: u64, epoch: u64| Position { epoch, number };
     let hash = before.hash();
     let entry = |at, changes| Entry { revision: Revision { position: at, hash }, changes, partial: false };
-    // An entry with the next number, whose hash does not match the resulting configuration.
+    // The member must reject an entry with the next number if its hash does not match the resulting
+    // configuration.
     send(&mut fleet, vec![entry(at(second + 1, 1 << 40), small_change(9))]);
-    // An entry whose number does not directly follow the end of the log.
+    // The member must ignore an entry whose number does not directly follow the end of the log.
     send(&mut fleet, vec![entry(at(second + 9, 1 << 40), Vec::new())]);
-    // An entry whose epoch is lower than the epoch of the last entry in the log.
+    // The member must reject an entry whose epoch is lower than the epoch of the last entry in the log.
     send(&mut fleet, vec![entry(at(second + 1, 0), Vec::new())]);
-    // An entry that removes a key which is longer than allowed.
+    // The member must reject an entry that removes a key which is longer than allowed.
     let long = Change { key: "k".repeat(200), value: None };
     send(&mut fleet, vec![entry(at(second + 1, 1 << 40), vec![long])]);
     fleet.inject(20, 3, vec![7; 5000]);
