--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -108,7 +108,7 @@
     sequence: u64,
     budget: SendBudget,
     transmits: Vec<Transmit>,
-    /// Received bodies of shared state that the caller has not taken yet.
+    /// Received bodies of the application's shared state that the caller has not taken yet.
     shared_state_bodies: Vec<Vec<u8>>,
 
     // The fields from `changes` to `counts` are used to report the view and the counts of datagrams to the
--- a/crates/membership/src/messages.rs
+++ b/crates/membership/src/messages.rs
@@ -53,8 +53,8 @@
         members: Vec<Member<MemberId>>,
     },
     /// The sender reports that it has recorded a member as suspect or down. The member itself can refute the
-    /// verdict. Any other receiver suspects the member if the verdict is down and the receiver's view has the
-    /// member as alive.
+    /// verdict. Any other receiver suspects the member if the verdict is down and the receiver's view records
+    /// the member as alive.
     Verdict {
         /// The member that the verdict is about, with its state in the sender's view.
         member: Member<MemberId>,
--- a/crates/membership/src/simulation/mod.rs
+++ b/crates/membership/src/simulation/mod.rs
@@ -39,9 +39,9 @@
     /// queue; such an outdated entry is skipped.
     timeouts: BinaryHeap<Reverse<Timeout>>,
     /// Number of threads that run the members. With one thread, the simulation runs event by event. With more
-    /// threads, it runs in time windows as long as the network's minimum delay, which must be above 0. A
-    /// datagram sent within a window then arrives in a later window, so the result does not depend on the
-    /// number of threads.
+    /// threads, it runs in time windows. The length of a window is the network's minimum delay, which must be
+    /// above 0. A datagram sent within a window then arrives in a later window, so the result does not depend
+    /// on the number of threads.
     pub threads: usize,
     /// Number of datagrams that all members have sent since the start of the simulation.
     pub sent: u64,
@@ -101,7 +101,8 @@
         is_member.then(|| usize::from(u16::from_be_bytes([high, low])))
     }
 
-    /// Returns the seed for the random numbers of a member in one of its incarnations.
+    /// Returns the seed for the random numbers of a member. Each incarnation of the member has a different
+    /// seed.
     fn member_seed(&self, member: usize, incarnation: u64) -> u64 {
         self.seed ^ ((member as u64) << 20) ^ incarnation
     }
--- a/crates/membership/src/simulation/network.rs
+++ b/crates/membership/src/simulation/network.rs
@@ -7,7 +7,8 @@
 use std::collections::{BinaryHeap, HashSet};
 use std::net::SocketAddr;
 
-/// Probabilities of loss and duplication, and the delay, which apply to every datagram in the network.
+/// Conditions that apply to every datagram in the network: the probabilities of loss and duplication, and the
+/// delay.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NetworkConditions {
     /// Probability that a datagram is lost, 0 to 1.
--- a/crates/membership/src/simulation/parallel.rs
+++ b/crates/membership/src/simulation/parallel.rs
@@ -88,9 +88,10 @@
         membership
     }
 
-    /// Runs the simulation in time windows as long as the network's minimum delay. For each window, assigns
-    /// the arriving datagrams to their receivers and runs the members in parallel. Afterwards passes the
-    /// datagrams that they sent to the network, ordered by time and then by member.
+    /// Runs the simulation in time windows. The length of a window is the network's minimum delay. For each
+    /// window, assigns the arriving datagrams to their receivers and runs the members in parallel.
+    /// Afterwards, the datagrams that the members sent are passed to the network, ordered by time and then by
+    /// member.
     pub(super) fn run_windows(&mut self, until: Nanos) {
         while let Some(next) = self.next_event().filter(|next| *next <= until) {
             let now = self.now;
--- a/crates/membership/src/state_machine.rs
+++ b/crates/membership/src/state_machine.rs
@@ -9,8 +9,8 @@
 use foca::{Member, Timer};
 use std::net::SocketAddr;
 
-/// Maximum number of received bodies of shared state that are kept until the caller takes them. Further
-/// received bodies are dropped.
+/// Maximum number of received bodies of the application's shared state that are kept until the caller takes
+/// them. Further received bodies are dropped.
 const SHARED_STATE_BODIES_MAX: usize = 1024;
 
 impl Membership {
@@ -139,15 +139,16 @@
         deadlines.into_iter().flatten().min()
     }
 
-    /// Sends a body of shared state. This crate does not interpret its content. A body longer than
-    /// [`Membership::body_max`] is not sent, but counted in
+    /// Sends a body of the application's shared state. This crate does not interpret the body. A body longer
+    /// than [`Membership::body_max`] is not sent, but counted in
     /// [`Counts::unsendable`](crate::Counts::unsendable).
     pub fn send_shared_state(&mut self, to: SocketAddr, body: &[u8], now: Nanos) {
         self.now = self.now.max(now);
         self.send(to, PayloadKind::SharedState, body);
     }
 
-    /// Removes and returns the bodies of shared state received since the last call.
+    /// Removes and returns the bodies of the application's shared state that were received since the last
+    /// call.
     pub fn take_shared_state(&mut self) -> Vec<Vec<u8>> {
         std::mem::take(&mut self.shared_state_bodies)
     }
--- a/crates/replication/src/codec.rs
+++ b/crates/replication/src/codec.rs
@@ -61,7 +61,7 @@
     }
 }
 
-/// Returns true if a text is not longer than the name of a member, region or zone may be.
+/// Returns true if a text is short enough to be the name of a member, a region or a zone.
 fn is_name(text: &str) -> bool {
     text.len() <= NAME_BYTES_MAX
 }
--- a/crates/replication/src/committed_log.rs
+++ b/crates/replication/src/committed_log.rs
@@ -239,7 +239,7 @@
     }
 
     /// Returns the entries after the last complete change. They are the first entries of a change whose last
-    /// entry is not committed yet.
+    /// entry is not in the log yet.
     pub fn incomplete(&self) -> impl Iterator<Item = &Entry> {
         let complete = self.complete.number();
         self.tail.iter().filter(move |entry| entry.number() > complete)
--- a/crates/replication/src/replica/mod.rs
+++ b/crates/replication/src/replica/mod.rs
@@ -76,8 +76,8 @@
     Leader(Leader),
 }
 
-/// A replica of the log. Its log consists of two parts: the [`CommittedLog`], which the member owns and
-/// passes to each call, and after it the uncommitted entries, which are kept here.
+/// A replica of the log. The first part of its log is the [`CommittedLog`], which the member owns and passes
+/// to each call. The second part is the uncommitted entries, which are kept here.
 #[derive(Debug)]
 pub struct Replica {
     name: String,
--- a/crates/replication/src/requests.rs
+++ b/crates/replication/src/requests.rs
@@ -99,7 +99,8 @@
         self.pending.extract_if(.., |pending| pending.number <= committed).collect()
     }
 
-    /// Removes and returns all requests whose changes are not committed yet.
+    /// Removes and returns the pending requests, whose changes are not committed yet. Used when this member
+    /// is no longer the leader.
     pub(crate) fn take_all(&mut self) -> Vec<PendingRequest> {
         std::mem::take(&mut self.pending)
     }
--- a/crates/replication/src/simulation/event.rs
+++ b/crates/replication/src/simulation/event.rs
@@ -5,7 +5,7 @@
 /// An event scheduled in the simulation. `incarnation` is the incarnation that the node had at the time of
 /// scheduling. An event from before a restart of the node is ignored.
 pub(super) enum Event {
-    /// A message is delivered to the node `to`.
+    /// A message from the node `from` is delivered to the node `to`.
     Message { to: usize, from: usize, body: Vec<u8> },
     /// [`Member::advance`](crate::member::Member::advance) is due for a node.
     Due { node: usize, incarnation: u64 },
