--- a/crates/membership/tests/bytes.rs
+++ b/crates/membership/tests/bytes.rs
@@ -69,8 +69,8 @@
 }
 
 /// Several digests of another member's view arrive at a member whose own view has 1,000 members. Each digest
-/// requires an answer with the whole view. The member sends only as many lists of members as its byte budget
-/// allows.
+/// requires an answer with the whole view. The member must send only as many lists of members as its byte
+/// budget allows.
 #[test]
 fn lists_of_members_beyond_the_budget_are_sent_in_a_later_exchange() {
     let id = |member: usize| MemberId {
--- a/crates/membership/tests/datagrams.rs
+++ b/crates/membership/tests/datagrams.rs
@@ -119,7 +119,7 @@
         prop_assert!(a.counts().received == 1);
     }
 
-    /// A datagram is dropped if any one byte of it is changed.
+    /// A datagram must be dropped if any one byte of it is changed.
     #[test]
     fn one_changed_byte_is_dropped(at in 0usize..10_000, by in 1u8..) {
         let mut bytes = announce();
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -143,8 +143,9 @@
     assert!(fleet.views_agree(&left) && fleet.views_agree(&right), "each half lists only its own members");
     fleet.heal();
     // The views must agree within two announce periods. Once per announce period, each member compares its
-    // view with another member's and sends verdicts to members that it has recorded as down. With
-    // announcements alone, the agreement took up to 50 s with 16 members and 134 s with 256.
+    // view with another member's and sends verdicts to members that it has recorded as down. When members
+    // only announced themselves, without these comparisons, the agreement took up to 50 s with 16 members and
+    // 134 s with 256.
     let bound = 2 * settings(n as u32).announce_period;
     let took = fleet.run_until_views_agree(&all, 100 * MILLISECOND, 2 * bound).expect("views agree again");
     assert!(took <= bound, "views agree after {took} ns, bound {bound} ns");
--- a/crates/membership/tests/large.rs
+++ b/crates/membership/tests/large.rs
@@ -61,8 +61,9 @@
     let heal_seconds = heal.map(|heal| heal as f64 / SECOND as f64);
     eprintln!("members {n}: views agree after a 60 s partition: {heal_seconds:?} s");
     let heal = heal.expect("views agree after the partition heals");
-    // The time limit stated in docs/membership.md. With announcements alone, the views took 133.5 s to agree
-    // with 256 members, and did not agree within 600 s with 1,000 members.
+    // The time limit stated in docs/membership.md. When members only announced themselves, without
+    // comparisons of views, the views took 133.5 s to agree with 256 members, and did not agree within 600 s
+    // with 1,000 members.
     assert!(heal <= 2 * s.announce_period, "views agree {heal} ns after the heal");
 }
 
--- a/crates/replication/src/snapshot_transfer.rs
+++ b/crates/replication/src/snapshot_transfer.rs
@@ -51,9 +51,9 @@
     Continue,
     /// The last chunk was added, and the complete content matches the checkpoint's hash.
     Complete(Snapshot),
-    /// The transfer cannot continue, because the received data is invalid. A pair is out of order or exceeds
-    /// a limit, or the chunk is empty although more chunks follow, or the complete content does not match the
-    /// checkpoint's hash.
+    /// The transfer cannot continue, because the received data is invalid. A chunk is invalid if a pair is
+    /// out of order or exceeds a limit, or if the chunk is empty although more chunks follow. The complete
+    /// content is invalid if it does not match the checkpoint's hash.
     Invalid,
 }
 
--- a/crates/replication/tests/fleet.rs
+++ b/crates/replication/tests/fleet.rs
@@ -261,7 +261,7 @@
     assert!(sent as f64 <= 12_000.0 * (took + 1.0), "a member sent {sent} bytes in {took} s");
 }
 
-/// While all replicas are stopped, servers restart. They apply the revision on their disks at once.
+/// Servers that restart while all replicas are stopped must apply the revision on their disks at once.
 #[test]
 fn with_all_control_machines_stopped_servers_restart_from_their_disk() {
     let mut fleet = settled_fleet(layout(), 8);
@@ -289,7 +289,7 @@
     run_until_applied(&mut fleet, &all(), number, 10);
 }
 
-/// A node whose state file is truncated rejects the file, and fetches the configuration from other members.
+/// A node whose state file is truncated must reject the file, and fetch the configuration from other members.
 #[test]
 fn a_truncated_file_is_not_used() {
     let mut fleet = settled_fleet(layout(), 9);
@@ -417,8 +417,8 @@
     run_until_applied(&mut fleet, &all(), third, 10);
 }
 
-/// A server that lags far behind fetches a checkpoint from another member. When this member crashes, the
-/// transfer continues from other members and does not start again.
+/// A server that lags far behind fetches a checkpoint from another member. If this member crashes, the
+/// transfer must continue from other members, and must not start again.
 #[test]
 fn a_transfer_continues_from_others_when_its_source_crashes() {
     let mut fleet = settled_fleet(layout(), 14);
--- a/crates/simulator-adapter/src/codec/batch.rs
+++ b/crates/simulator-adapter/src/codec/batch.rs
@@ -21,7 +21,7 @@
 const NS_PER_US: u64 = 1_000;
 
 /// A batch of event records. It consists of a header, the records, and a tail with the texts to which the
-/// records refer. The buffer is used again for the next batch.
+/// records refer. The buffer that holds the batch is used again for the next batch.
 #[derive(Default)]
 pub struct Batch {
     /// Content of the whole batch. The bytes of the header are zero, because the header is decoded
