--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -24,7 +24,7 @@
     suspect: MemberId,
     /// The suspect's SWIM incarnation, which is the number of suspicions that the suspect has refuted.
     refutations: u16,
-    /// Time at which the suspect is next notified.
+    /// Time at which the suspect is next notified of the suspicion.
     notify_at: Nanos,
     /// Time at which foca declares the suspect down, unless the suspect has refuted the suspicion.
     ends_at: Nanos,
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -126,7 +126,7 @@
     Entries {
         /// The committed log entries, in ascending order of their numbers and without gaps.
         entries: Vec<Entry>,
-        /// Name of the last leader that the sender knows of.
+        /// Name of the most recent leader that the sender knows of.
         leader: Option<String>,
         /// Whether the sender pushed the entries without a request. If so, the receiver pushes the entries
         /// that it did not have yet to further members.
--- a/crates/replication/src/peers.rs
+++ b/crates/replication/src/peers.rs
@@ -10,7 +10,8 @@
 
 /// Interval at which the locations of members that are no longer alive are removed.
 const FORGET_INTERVAL_NS: Nanos = 60 * SECOND_NS;
-/// Maximum number of random draws per requested member when a sample of members is selected.
+/// When a random sample of members is selected, at most this many random draws are made for each requested
+/// member.
 const DRAWS_PER_MEMBER: usize = 8;
 
 /// The alive members of the fleet, and their locations as far as known. A location is learned from messages
@@ -22,7 +23,7 @@
     /// Names of the alive members, including this member, in sorted order.
     alive: Arc<Vec<String>>,
     locations: HashMap<String, Location>,
-    /// Names of the members in each zone. A member is listed if `locations` has an entry for it.
+    /// Names of the members in each zone. A member is listed if its location is known (in `locations`).
     zones: BTreeMap<Location, Vec<String>>,
     forget_due: Nanos,
 }
--- a/crates/replication/src/progress.rs
+++ b/crates/replication/src/progress.rs
@@ -57,7 +57,8 @@
     committed_at: BTreeMap<u64, Nanos>,
 }
 
-/// A member that has not applied the newest revision, its last applied revision, and how long it has lagged.
+/// A member that has not applied the newest revision. States the last revision that the member has applied,
+/// and since when the member lags.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LaggingMember {
     /// The member's name.
--- a/crates/replication/tests/replica.rs
+++ b/crates/replication/tests/replica.rs
@@ -91,7 +91,7 @@
 }
 
 /// A leader must not count itself as having stored its own entry before the entry is on its disk. In this
-/// test, the leader and one other replica are the majority of three replicas that commits the entry.
+/// test, the leader and one other replica form a majority of the three replicas.
 #[test]
 fn a_leader_s_own_entry_counts_once_it_is_on_disk() {
     let (mut member, epoch) = leader(None);
