--- a/crates/membership/src/messages.rs
+++ b/crates/membership/src/messages.rs
@@ -46,15 +46,15 @@
     /// Members that are alive or suspect in the sender's view. The list covers only buckets in which the
     /// views of sender and receiver differ.
     Members {
-        /// Bit set of buckets. The receiver is to send its members of these buckets in return; 0 requests
-        /// none.
+        /// Bit set of the buckets whose members the receiver is to send to the sender in return. 0 requests
+        /// no members.
         requested_buckets: u64,
         /// The listed members, with their states in the sender's view.
         members: Vec<Member<MemberId>>,
     },
     /// The sender reports that it has recorded a member as suspect or down. The member itself can refute the
-    /// verdict. Any other receiver suspects the member if the verdict is down and the receiver's view has the
-    /// member as alive.
+    /// verdict. Any other receiver suspects the member if the verdict is down and the receiver's view records
+    /// the member as alive.
     Verdict {
         /// The member that the verdict is about, with its state in the sender's view.
         member: Member<MemberId>,
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -26,17 +26,17 @@
 const PROBE_PERIOD_MIN_NS: Nanos = 10 * MILLISECOND_NS;
 const SUSPICION_MULTIPLIER_MAX: u32 = 60;
 
-/// Number of members to which foca sends gossip in one round, once per gossip period.
+/// In each gossip round, foca sends gossip to this number of members. There is one round per gossip period.
 pub(crate) const GOSSIP_MEMBERS: usize = 3;
-/// Number of alive or suspect members to which foca announces this member once per announce period.
+/// Once per announce period, foca announces this member to this number of alive or suspect members.
 const ANNOUNCE_MEMBERS: usize = 1;
-/// Number of members recorded as down to which foca announces this member once per announce period.
+/// Once per announce period, foca announces this member to this number of members that are recorded as down.
 const ANNOUNCE_DOWN_MEMBERS: usize = 2;
 /// If a member does not answer a direct probe, the prober requests an indirect probe of that member from this
 /// number of other members (`k` in the SWIM paper).
 const INDIRECT_PROBES: usize = 3;
-/// Each member transmits an update `TRANSMISSIONS_PER_LOG10 * log10(n)` times, rounded up (`lambda` in the
-/// SWIM paper). `n` is the fleet's size: the expected number of members plus 1.
+/// Each member transmits an update about a member's state `TRANSMISSIONS_PER_LOG10 * log10(n)` times, rounded
+/// up (`lambda` in the SWIM paper). `n` is the fleet's size: the expected number of members plus 1.
 const TRANSMISSIONS_PER_LOG10: f64 = 4.0;
 /// A member that was recorded as down is removed from the view after this number of suspicion times. Without
 /// removal, the use of memory would grow with the number of all members that have ever been down.
@@ -60,8 +60,8 @@
     /// Maximum size of a datagram's body, in bytes. The maximum for gossip may be smaller, so that gossip
     /// stays within half of [`Settings::bytes_per_second`].
     pub packet_max: usize,
-    /// Expected number of members in the fleet, `n`. Each member transmits an update about 4 log10(n + 1)
-    /// times.
+    /// Expected number of members in the fleet, `n`. Each member transmits each update approximately 4
+    /// log10(n + 1) times. An update reports a member's state.
     pub expected_members: u32,
     /// Interval between two gossip rounds. In each round, a member sends gossip to three other members.
     pub gossip_period: Nanos,
@@ -104,10 +104,12 @@
     ProbeRtt {
         /// The rejected time to wait for the answer, in nanoseconds.
         actual: Nanos,
-        /// The probe period, in nanoseconds. The time to wait must be shorter.
+        /// The probe period, in nanoseconds. The time to wait for the answer must be shorter than this
+        /// period.
         probe_period: Nanos,
     },
-    /// The multiplier that yields the suspicion time from the probe period is too small or too large.
+    /// The multiplier is too small or too large. The suspicion time is the probe period times this
+    /// multiplier.
     #[error("suspicion-multiplier: 1 to {SUSPICION_MULTIPLIER_MAX}, not {actual}")]
     SuspicionMultiplier {
         /// The configured multiplier.
--- a/crates/membership/src/simulation/parallel.rs
+++ b/crates/membership/src/simulation/parallel.rs
@@ -28,7 +28,8 @@
     sent: Sent,
 }
 
-/// Result of running members for one time window: the datagrams that they sent, and their next deadlines.
+/// Result of running members for one time window: the datagrams that the members sent, and the members' next
+/// deadlines.
 #[derive(Default)]
 struct WindowOutcome {
     sent: Vec<SentByMember>,
@@ -87,9 +88,10 @@
         membership
     }
 
-    /// Runs the simulation in time windows as long as the network's minimum delay. For each window, assigns
-    /// the arriving datagrams to their receivers and runs the members in parallel. Afterwards passes the
-    /// datagrams that they sent to the network, ordered by time and then by member.
+    /// Runs the simulation in time windows. The length of a window is the network's minimum delay. For each
+    /// window, assigns the arriving datagrams to their receivers and runs the members in parallel.
+    /// Afterwards, the datagrams that the members sent are passed to the network, ordered by time and then by
+    /// member.
     pub(super) fn run_windows(&mut self, until: Nanos) {
         while let Some(next) = self.next_event().filter(|next| *next <= until) {
             let now = self.now;
@@ -148,7 +150,8 @@
     let mut whole = WindowOutcome::default();
     thread::scope(|scope| {
         let mut parts = tasks.chunks_mut(share);
-        // The current thread runs the first part of the members itself; only the other parts get new threads.
+        // The members are divided into one part per thread. The current thread runs the first part itself, so
+        // only the other parts get new threads.
         let first = parts.next();
         let others: Vec<_> = parts.map(|part| scope.spawn(move || run(part))).collect();
         let mut outcomes: Vec<WindowOutcome> = first.map(run).into_iter().collect();
--- a/crates/membership/tests/large.rs
+++ b/crates/membership/tests/large.rs
@@ -10,7 +10,7 @@
 const SECOND: u64 = 1_000 * MILLISECOND;
 
 /// Runs a fleet of `n` members through joins, a crash and a partition. Checks how long the views take to
-/// agree after each.
+/// agree after each of these events.
 fn run_crash_and_partition(n: usize, seed: u64, heal_limit: u64) {
     let mut s = Settings::lan("quiz", b"sixteen byte key");
     s.expected_members = n as u32;
@@ -61,8 +61,9 @@
     let heal_seconds = heal.map(|heal| heal as f64 / SECOND as f64);
     eprintln!("members {n}: views agree after a 60 s partition: {heal_seconds:?} s");
     let heal = heal.expect("views agree after the partition heals");
-    // The time limit stated in docs/membership.md. With announcements alone, the views took 133.5 s to agree
-    // with 256 members, and did not agree within 600 s with 1,000 members.
+    // The time limit stated in docs/membership.md. When members only announced themselves, without
+    // comparisons of views, the views took 133.5 s to agree with 256 members, and did not agree within 600 s
+    // with 1,000 members.
     assert!(heal <= 2 * s.announce_period, "views agree {heal} ns after the heal");
 }
 
--- a/crates/replication/src/codec.rs
+++ b/crates/replication/src/codec.rs
@@ -27,8 +27,8 @@
                     && is_name(&location.region)
                     && is_name(&location.zone)
             }
-            // The lengths of the region and the zone need no check here: they are limited by the maximum
-            // length of the body.
+            // The lengths of the region and the zone in a report need no check here: they are limited by the
+            // maximum length of the body.
             Message::Report { report, .. } => {
                 let rejected = report.rejected.as_ref();
                 rejected.is_none_or(|rejection| rejection.reason.len() <= REASON_BYTES_MAX)
@@ -61,7 +61,7 @@
     }
 }
 
-/// Returns whether a text has an allowed length for a name.
+/// Returns true if a text is short enough to be the name of a member, a region or a zone.
 fn is_name(text: &str) -> bool {
     text.len() <= NAME_BYTES_MAX
 }
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -22,8 +22,8 @@
 /// Maximum length of the reason for which a member rejects a revision, in bytes.
 pub const REASON_BYTES_MAX: usize = 200;
 
-/// States the number of the last entry in the leader's committed log at a given time. By the leader's
-/// statement, members find out whether they hold the newest entries.
+/// States the number of the last entry in the leader's committed log at a given time. Members use the
+/// leader's statement to find out whether they hold the newest entries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Freshness {
     /// Time at which the leader made the statement, in Unix milliseconds of the leader's clock. The value 0
@@ -104,30 +104,32 @@
 /// A message between members.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Anti-entropy: states which entries the sender holds. A receiver that holds further entries answers
-    /// with `Entries` or a `SnapshotOffer`.
+    /// Anti-entropy: states which entries the sender holds. If the receiver holds entries that the sender
+    /// lacks, it answers with `Entries` or a `SnapshotOffer`.
     Digest {
         /// Number of the last entry in the sender's committed log.
         number: u64,
-        /// The latest freshness statement of the leader that the sender has adopted; all zero if none.
+        /// The latest statement of the leader about the end of its log, among those that the sender has
+        /// adopted. All fields are zero if the sender has adopted none.
         freshness: Freshness,
         /// Region and zone of the sender.
         location: Location,
-        /// Names of some other members of the sender's zone. By these names, the members of a zone discover
-        /// each other.
+        /// Names of some other members of the sender's zone. From these names, the receiver learns which
+        /// members are in this zone.
         neighbours: Vec<String>,
         /// Whether the sender wants the receiver's digest in reply. The receiver sends its digest only if it
-        /// holds fewer entries than the sender or has a newer freshness statement.
+        /// holds fewer entries than the sender, or if its `freshness` is newer by more than a tolerated
+        /// difference.
         wants_reply: bool,
     },
     /// Transfers committed entries.
     Entries {
-        /// The entries, in ascending order of their numbers and without gaps.
+        /// The committed log entries, in ascending order of their numbers and without gaps.
         entries: Vec<Entry>,
-        /// Name of the last leader that the sender knows of.
+        /// Name of the most recent leader that the sender knows of.
         leader: Option<String>,
-        /// Whether the sender pushed the entries without a request. If so, the receiver pushes new entries on
-        /// to further members.
+        /// Whether the sender pushed the entries without a request. If so, the receiver pushes the entries
+        /// that it did not have yet to further members.
         pushed: bool,
         /// Number of the last entry in the sender's committed log.
         newest: u64,
@@ -152,7 +154,7 @@
     SnapshotChunk {
         /// Number of the checkpoint.
         checkpoint: u64,
-        /// The key from the request, after which the pairs begin.
+        /// The key `after` from the request. The pairs in this message begin after this key.
         after: Option<Text>,
         /// The pairs, ordered by key.
         pairs: Vec<Pair>,
@@ -213,8 +215,8 @@
         /// Number of the last entry up to which the sender's log is equal to the leader's log.
         number: u64,
     },
-    /// Between replicas: rejects `Append`, because the sender of this answer does not hold the entry at
-    /// `previous`.
+    /// Between replicas: rejects `Append`, because the log of the replica that sends this answer has no entry
+    /// at the position `previous` of the `Append`.
     AppendRejected {
         /// The leader's epoch.
         epoch: u64,
--- a/crates/replication/src/progress.rs
+++ b/crates/replication/src/progress.rs
@@ -1,13 +1,14 @@
 //! Tracks which revision each member has applied, according to the reports that the members send to this
-//! replica. Members that lag or have not reported yet are polled for a report. A member that never answers is
-//! treated as non-participating. Such a member is a server without replicated configuration, or an operator's
-//! command that has joined the fleet, such as `publish`.
+//! replica. Members that lag or have not reported yet are polled for a report. A member that has never
+//! reported and leaves several polls unanswered is treated as non-participating. Such a member is a server
+//! without replicated configuration, or an operator's command that has joined the fleet, such as `publish`.
 
 use crate::message::{Rejection, Report};
 use crate::time::{Nanos, SECOND_NS};
 use std::collections::BTreeMap;
 
-/// Interval between two polls of the same member while the member does not answer.
+/// Interval between two polls of a member that has not answered the last poll. A longer interval applies to
+/// members that are treated as non-participating.
 const UNANSWERED_POLL_INTERVAL_NS: Nanos = 2 * SECOND_NS;
 /// Interval between two polls of a member that is treated as non-participating. Polls continue, since the
 /// member may have been restarted with other settings.
@@ -56,7 +57,8 @@
     committed_at: BTreeMap<u64, Nanos>,
 }
 
-/// A member that has not applied the newest revision, its last applied revision, and how long it has lagged.
+/// A member that has not applied the newest revision. States the last revision that the member has applied,
+/// and since when the member lags.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LaggingMember {
     /// The member's name.
@@ -124,8 +126,9 @@
         })
     }
 
-    /// Selects the members that are to be polled for a report now. These are members of `alive` that have not
-    /// applied revision `number` and were not polled recently. Records the selected members as polled.
+    /// Selects the members that are to be polled for a report now, and records them as polled. A member of
+    /// `alive` is selected if it has not applied revision `number`. If its last poll is unanswered, the
+    /// interval between two polls must also have passed. Selects at most [`POLLS_AT_ONCE_MAX`] members.
     pub fn poll<'a>(
         &mut self,
         alive: impl Iterator<Item = &'a String>,
--- a/crates/replication/src/replica/mod.rs
+++ b/crates/replication/src/replica/mod.rs
@@ -76,8 +76,8 @@
     Leader(Leader),
 }
 
-/// A replica of the log. Its log consists of two parts: the [`CommittedLog`], which the member owns and
-/// passes to each call, and after it the uncommitted entries, which are kept here.
+/// A replica of the log. The first part of its log is the [`CommittedLog`], which the member owns and passes
+/// to each call. The second part is the uncommitted entries, which are kept here.
 #[derive(Debug)]
 pub struct Replica {
     name: String,
@@ -86,16 +86,18 @@
     /// Highest epoch that this replica has promised, to another replica or to itself. The replica rejects
     /// messages of earlier epochs. Never decreases.
     promised: u64,
-    /// Entries that follow the committed log directly and without gaps.
+    /// Entries that this replica has stored, but that are not in the committed log. They directly follow the
+    /// committed log, without gaps.
     uncommitted: Vec<Entry>,
     role: Role,
     /// Whether this replica holds the external leadership lease. The holder tries to become or remain the
     /// leader.
     holds_lease: bool,
-    /// Whether `promised` or `uncommitted` differ from the state on disk. While they differ, no message may
-    /// be sent.
+    /// Whether `promised` or `uncommitted` differ from the state on disk. While they differ, this replica may
+    /// not send its queued messages.
     is_unsaved: bool,
-    /// Queued messages. They may be sent only after the state they depend on is on disk.
+    /// Messages queued for other replicas. A message may be sent only after the state that it depends on is
+    /// on disk.
     outgoing: Vec<ReplicaMessage>,
 }
 
@@ -216,8 +218,8 @@
         self.is_unsaved = false;
         let last = self.last_position(log).number;
         if let Role::Leader(leader) = &mut self.role {
-            // The leader itself counts towards the majority that has stored an entry only once the entry is
-            // on its disk.
+            // The leader counts itself towards the majority that has stored an entry only once the entry is
+            // on its own disk. The entries up to number `last` are on disk now.
             leader.set_matched(&self.name, last);
         }
     }
--- a/crates/replication/src/requests.rs
+++ b/crates/replication/src/requests.rs
@@ -1,5 +1,6 @@
 //! Operators' requests that the leader has received. An operator may repeat a request that was not answered.
-//! By its identifier, the leader recognizes a repetition and does not carry the request out again.
+//! The leader recognizes a repetition by the identifier of the request, and does not carry the request out
+//! again.
 
 use crate::change::Change;
 use crate::entry::PARTS_MAX;
@@ -98,7 +99,8 @@
         self.pending.extract_if(.., |pending| pending.number <= committed).collect()
     }
 
-    /// Removes and returns all requests whose changes are not committed yet.
+    /// Removes and returns the pending requests, whose changes are not committed yet. Used when this member
+    /// is no longer the leader.
     pub(crate) fn take_all(&mut self) -> Vec<PendingRequest> {
         std::mem::take(&mut self.pending)
     }
--- a/crates/replication/tests/fleet.rs
+++ b/crates/replication/tests/fleet.rs
@@ -91,8 +91,8 @@
         .expect("all members report to the leader that they have applied the change");
 }
 
-/// Pushes of entries deliver a change to nearly all members at once. Pulls (requests for missing entries)
-/// deliver it to the other members. Pulls are rare in this test.
+/// Every change must reach all members. Pushes of entries deliver a change to nearly all members at once.
+/// Pulls (requests for missing entries) deliver it to the other members. Pulls are rare in this test.
 #[test]
 fn pushes_carry_a_change_and_pulls_repair_what_they_miss() {
     let mut fleet = settled_fleet(Layout { pull_period: 2 * S, ..layout() }, 15);
@@ -261,7 +261,7 @@
     assert!(sent as f64 <= 12_000.0 * (took + 1.0), "a member sent {sent} bytes in {took} s");
 }
 
-/// While all replicas are stopped, servers restart. They apply the revision on their disks at once.
+/// Servers that restart while all replicas are stopped must apply the revision on their disks at once.
 #[test]
 fn with_all_control_machines_stopped_servers_restart_from_their_disk() {
     let mut fleet = settled_fleet(layout(), 8);
@@ -289,7 +289,7 @@
     run_until_applied(&mut fleet, &all(), number, 10);
 }
 
-/// A node whose state file is truncated rejects the file, and fetches the configuration from other members.
+/// A node whose state file is truncated must reject the file, and fetch the configuration from other members.
 #[test]
 fn a_truncated_file_is_not_used() {
     let mut fleet = settled_fleet(layout(), 9);
@@ -342,8 +342,8 @@
     assert!(fleet.propose(small_change(2)).is_some());
     fleet.run_for(3 * S);
     assert_eq!(fleet.member(SIZE - 1).unwrap().applied(), first);
-    // The restart of a node updates the membership view. With this update, the lease moves to another
-    // replica.
+    // The restart of a node makes the simulation update the membership view. With this update, the lease
+    // moves from the leader whose disk is full to another replica.
     fleet.crash(SIZE - 1);
     fleet.start(SIZE - 1);
     fleet.run_for(8 * S);
@@ -392,18 +392,19 @@
         let message = Message::Entries { entries, leader: Some(member_name(0)), pushed: true, newest: 0 };
         fleet.inject(20, 3, message.encode());
     };
-    // Replayed entries: the member already has these entries.
+    // Replayed entries: the member already has these entries, and must ignore them.
     send(&mut fleet, known);
     let at = |number: u64, epoch: u64| Position { epoch, number };
     let hash = before.hash();
     let entry = |at, changes| Entry { revision: Revision { position: at, hash }, changes, partial: false };
-    // An entry with the next number, whose hash does not match the resulting configuration.
+    // The member must reject an entry with the next number if its hash does not match the resulting
+    // configuration.
     send(&mut fleet, vec![entry(at(second + 1, 1 << 40), small_change(9))]);
-    // An entry whose number does not directly follow the end of the log.
+    // The member must ignore an entry whose number does not directly follow the end of the log.
     send(&mut fleet, vec![entry(at(second + 9, 1 << 40), Vec::new())]);
-    // An entry whose epoch is lower than the epoch of the last entry in the log.
+    // The member must reject an entry whose epoch is lower than the epoch of the last entry in the log.
     send(&mut fleet, vec![entry(at(second + 1, 0), Vec::new())]);
-    // An entry that removes a key which is longer than allowed.
+    // The member must reject an entry that removes a key which is longer than allowed.
     let long = Change { key: "k".repeat(200), value: None };
     send(&mut fleet, vec![entry(at(second + 1, 1 << 40), vec![long])]);
     fleet.inject(20, 3, vec![7; 5000]);
@@ -416,8 +417,8 @@
     run_until_applied(&mut fleet, &all(), third, 10);
 }
 
-/// A server that lags far behind fetches a checkpoint from another member. When this member crashes, the
-/// transfer continues from other members and does not start again.
+/// A server that lags far behind fetches a checkpoint from another member. If this member crashes, the
+/// transfer must continue from other members, and must not start again.
 #[test]
 fn a_transfer_continues_from_others_when_its_source_crashes() {
     let mut fleet = settled_fleet(layout(), 14);
