--- a/crates/capacity/src/added_latency.rs
+++ b/crates/capacity/src/added_latency.rs
@@ -1,5 +1,5 @@
-//! Measures the latency that a server process adds to invocations. The process is loaded with many tenants
-//! and operations.
+//! Measures the latency that a server process adds to invocations. During the measurement, the load has many
+//! tenants and operations.
 
 use crate::error::{MeasureError, io_error};
 use crate::options;
@@ -24,14 +24,15 @@
 pub(crate) const CORES: f64 = 4.0;
 /// Number of connections over which the load generator sends its invocations.
 const CONNECTIONS: usize = 32;
-/// Limit on open file descriptors in the settings of the server process.
+/// Maximum number of open file descriptors that the settings allow the server process.
 const DESCRIPTORS: usize = 1024;
 /// Maximum time to wait for outstanding answers after the last invocation is sent.
 const LAST_ANSWERS_TIMEOUT: Duration = Duration::from_secs(10);
 const LAST_ANSWERS_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Number of significant decimal digits that the histograms keep of each value.
 const HISTOGRAM_DIGITS: u8 = 3;
-/// Weight of every tenant when the load begins. Each reload of the options increases the weight by one.
+/// Weight of every tenant in the options file when the load begins. Each reload of the options increases the
+/// weight by one.
 const FIRST_WEIGHT: u32 = 2;
 
 /// Load that is applied to one process.
@@ -70,7 +71,8 @@
     #[serde(rename = "most")]
     pub max_us: u64,
     /// 99th percentile of the delay with which timers of the load generator fired, in microseconds. The
-    /// machine causes this delay. Timers of the measured process are delayed in the same way.
+    /// machine causes this delay and not the measured process. The machine also delays the timers of the
+    /// measured process.
     #[serde(rename = "timer_p99")]
     pub timer_p99_us: u64,
     /// Resident memory of the process at the end of the load, in bytes.
@@ -79,8 +81,8 @@
     /// CPU use of the process under the load, in percent of a core.
     #[serde(rename = "processor")]
     pub processor_percent: f64,
-    /// Longest time for which an options reload blocked the serving thread, in microseconds, as logged by the
-    /// process. `None` if the process logged no reload.
+    /// Longest time for which an options reload blocked the serving thread, in microseconds. The value is
+    /// read from the log of the process. `None` if the process logged no reload.
     #[serde(rename = "pause")]
     pub pause_us: Option<u64>,
 }
--- a/crates/capacity/src/at_rest.rs
+++ b/crates/capacity/src/at_rest.rs
@@ -44,8 +44,8 @@
     (0..CONTROL_MACHINES).find(leads)
 }
 
-/// Returns the CPU time and network traffic of a server since its start; `None` if `server` is `None` or the
-/// server is not running.
+/// Returns the CPU time and network traffic of a server since its start. Returns `None` if `server` is `None`
+/// or the server is not running.
 fn costs_of(fleet: &Fleet, server: Option<usize>) -> Option<Costs> {
     fleet.server(server?).map(|server| server.costs)
 }
@@ -130,8 +130,9 @@
 }
 
 /// Measures the time until an increment of the replicated counters reaches all servers. Every server
-/// increments its counters once. One second later, the measurement starts. Returns the seconds until the
-/// totals are exact on every server, or `None` if that takes longer than `limit_seconds`.
+/// increments its counters once. One second later, the measurement starts. The function returns the seconds
+/// until the totals are exact on every server. It returns `None` if the totals are not exact after
+/// `limit_seconds`.
 ///
 /// # Errors
 /// Returns an error if the settings are invalid.
--- a/crates/capacity/src/connections.rs
+++ b/crates/capacity/src/connections.rs
@@ -13,7 +13,7 @@
 /// Health check request in the encoding of the balancers' protocol.
 const HEALTH_CHECK: &[u8] = b"*2\r\n$10\r\nRPC.HEALTH\r\n$1\r\n1\r\n";
 const ANSWER_BYTES_MAX: usize = 64;
-/// Number of file descriptors that the process needs in addition to one for each measured connection.
+/// Number of file descriptors that the process needs for other purposes than the measured connections.
 const OTHER_DESCRIPTORS: usize = 100;
 
 /// Opens a connection, sends a health check on it and waits for the answer.
--- a/crates/capacity/src/day/mod.rs
+++ b/crates/capacity/src/day/mod.rs
@@ -18,8 +18,8 @@
 use serde::Serialize;
 use summary::summary;
 
-/// Upper bound of the 99th percentile of the time from the leader's acceptance of a change until a server
-/// applies the change, in seconds.
+/// Upper bound of the 99th percentile of the delay with which servers apply a configuration change, in
+/// seconds. The delay begins when the leader accepts the change.
 pub const IN_FORCE_SECONDS_BOUND: f64 = 4.0;
 /// Simulated time for which the simulation continues after the end of the day, in nanoseconds. In this time,
 /// servers apply the last changes.
@@ -82,8 +82,8 @@
     pub scale: DayScale,
     /// Number of configuration changes that the leader accepted.
     pub changes: usize,
-    /// Number of configuration changes that were not accepted. Either there was no leader, or the leader had
-    /// too many uncommitted changes.
+    /// Number of configuration changes that were proposed without success. Either there was no leader, or the
+    /// leader had too many uncommitted changes.
     pub not_published: usize,
     /// Number of server restarts and server failures in the simulated day. Failures of control machines are
     /// not counted.
@@ -118,7 +118,7 @@
     /// return. Servers that never caught up are left out.
     #[serde(rename = "empty_caught_up_worst")]
     pub empty_disk_catch_up_max_seconds: f64,
-    /// Number of returns of servers to the fleet, after a restart or a network partition.
+    /// Number of times that a server returned to the fleet after a restart or a network partition.
     #[serde(rename = "caught_up")]
     pub returns: usize,
     /// Descriptions of the configuration changes that took the longest to reach a server, the slowest first.
@@ -142,8 +142,8 @@
     processor_percent: f64,
 }
 
-/// Returns the number of bytes that the replication member of the server `node` has sent since its start.
-/// Returns 0 if the server is not running.
+/// Returns the number of bytes that the replication code of the server `node` has sent since the server
+/// started. Returns 0 if `node` is `None` or the server is not running.
 fn sent_bytes(run: &Run, node: Option<usize>) -> u64 {
     node.and_then(|node| run.fleet.member(node)).map_or(0, |member| member.counts.sent_bytes)
 }
--- a/crates/capacity/src/day/run.rs
+++ b/crates/capacity/src/day/run.rs
@@ -24,8 +24,8 @@
 const KEYS: usize = 2_000;
 /// Number of keys that one change sets when the initial configuration is published.
 const KEYS_PER_CHANGE: usize = 200;
-/// Number of latest changes that are checked when a server stops or is cut off. The server may not have
-/// received these changes, so it is removed from their lists of receivers.
+/// Number of latest changes from whose receivers a server is removed when the server stops or is cut off. The
+/// server may not have received these changes.
 const RECENT_CHANGES: usize = 20;
 
 /// A configuration change that the leader accepted.
@@ -67,8 +67,8 @@
     /// Servers that have returned but not caught up yet. The key is the index of a server. The value is the
     /// number of the revision that was newest when the server returned.
     catching_up: BTreeMap<usize, u64>,
-    /// Number of configuration changes that were not accepted. Either there was no leader, or the leader had
-    /// too many uncommitted changes.
+    /// Number of configuration changes that were proposed without success. Either there was no leader, or the
+    /// leader had too many uncommitted changes.
     pub(super) not_published: usize,
     /// Number of server restarts and server failures so far. Failures of control machines are not counted.
     pub(super) restarts: usize,
@@ -76,7 +76,7 @@
     newest_revision: u64,
 }
 
-/// Returns the region and zone of a server, as the replication settings represent them.
+/// Returns the region and zone of a server, in the form that the replication settings use.
 fn location(server: usize) -> Location {
     let place = Place::of(server);
     Location { region: place.region_name(), zone: place.zone_name() }
@@ -171,7 +171,8 @@
         REPLICAS + (rng.next_u64() % (self.servers - REPLICAS) as u64) as usize
     }
 
-    /// Returns the servers of the rack that contains the last server. Control machines are left out.
+    /// Returns the servers of the rack that contains the server with the highest index. Control machines are
+    /// left out.
     fn last_rack(&self) -> Vec<usize> {
         let rack = Place::of(self.servers - 1).rack;
         (REPLICAS..self.servers).filter(|server| Place::of(*server).rack == rack).collect()
@@ -186,8 +187,8 @@
             return;
         };
         self.newest_revision = number;
-        // The delays of changes are not measured at a server that has returned and not caught up yet. Its
-        // catch-up time is measured instead.
+        // A server that has returned and not caught up yet is not a receiver of the new change. The catch-up
+        // time of this server is measured instead of the delay of the change.
         let fleet = &self.fleet;
         self.catching_up.retain(|server, newest_revision| {
             fleet.member(*server).is_some_and(|member| member.applied() < *newest_revision)
--- a/crates/capacity/src/day/schedule.rs
+++ b/crates/capacity/src/day/schedule.rs
@@ -12,14 +12,14 @@
 /// An event of the simulated day.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Event {
-    /// A configuration change is proposed. The field is the number of the change, counted from 0 at the start
+    /// A configuration change is proposed. The value is the number of the change, counted from 0 at the start
     /// of the day.
     Change(usize),
     /// A random server restarts.
     Restart,
     /// A random server fails. Its replacement starts with an empty disk.
     Fail,
-    /// A server starts again after a restart, or the replacement of a failed server starts. The field is the
+    /// A server starts again after a restart, or the replacement of a failed server starts. The value is the
     /// index of the server.
     ServerReturned(usize),
     /// All servers of a rack stop.
@@ -52,7 +52,7 @@
         events.push(rng.next_u64() % day, Event::Fail);
     }
     let tenth = day / 10;
-    // The failed rack is down for [`RACK_DOWN_NS`], but for at most 6% of the day if the day is shortened.
+    // The failed rack is down for [`RACK_DOWN_NS`], or for 6% of the day if 6% of the day is shorter.
     let rack_down = RACK_DOWN_NS.min(60 * (tenth / 100));
     events.push(tenth, Event::RackLost);
     events.push(tenth + rack_down, Event::RackReturned);
--- a/crates/capacity/src/day/summary.rs
+++ b/crates/capacity/src/day/summary.rs
@@ -92,8 +92,8 @@
     }
 }
 
-/// Returns the quantile `share` (from 0 to 1) of `sorted`, which is in ascending order; NaN if `sorted` is
-/// empty.
+/// Returns the quantile `share` of `sorted`; NaN if `sorted` is empty. `share` is a number from 0 to 1.
+/// `sorted` must be in ascending order.
 fn quantile(sorted: &[f64], share: f64) -> f64 {
     let last = sorted.len().saturating_sub(1);
     sorted.get((last as f64 * share).round() as usize).copied().unwrap_or(f64::NAN)
--- a/crates/capacity/src/error.rs
+++ b/crates/capacity/src/error.rs
@@ -51,8 +51,8 @@
         /// Distinct messages in the program's log.
         messages: Vec<String>,
     },
-    /// A log line of the program has no address in an expected field. The field is missing or holds something
-    /// else.
+    /// A log line of the program has no address in an expected field. The field is missing, or its value is
+    /// not an address.
     #[error("log line {message:?} has no address in the field {field:?}")]
     NoAddress {
         /// Message of the log line.
--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -1,11 +1,11 @@
-//! Fits a line to the measurements at all sizes except the largest, by linear regression. The line predicts
-//! the value at the largest size, and the prediction is compared with the measurement. The standard error of
-//! the slope is calculated, too.
+//! Fits a line to measurements at several sizes of a system, such as fleet sizes. The linear regression
+//! leaves out the largest size. The line predicts the value at the largest size, and the prediction is
+//! compared with the measurement. The standard error of the line's slope is calculated, too.
 
 use serde::Serialize;
 
-/// Value that was measured at one size of the system, such as one fleet size. The pair `(size, value)` is
-/// serialized.
+/// Value that was measured at one size of the system, such as one fleet size. A point is serialized as the
+/// pair `(size, value)`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(into = "(f64, f64)")]
 pub struct Point {
@@ -80,7 +80,7 @@
     pub predicted: f64,
     /// Measured value at the largest size.
     pub measured: f64,
-    /// Upper bound of the measured value; `None` if no bound is stated.
+    /// Upper bound for the measured value at the largest size; `None` without a bound.
     pub bound: Option<f64>,
 }
 
--- a/crates/capacity/src/fleet.rs
+++ b/crates/capacity/src/fleet.rs
@@ -46,7 +46,7 @@
     /// Datagrams in transit on the simulated network.
     network: EventQueue<Delivery>,
     /// Pending timers of all servers. Every running server has at least one timer, and may also have outdated
-    /// timers.
+    /// timers, which have no effect.
     timers: BinaryHeap<Reverse<Timer>>,
     rng: ChaCha8Rng,
     /// Current simulated time, in nanoseconds since the start of the simulation.
@@ -74,9 +74,9 @@
         }
     }
 
-    /// Creates a running fleet in which every server already knows all other servers and the seeds. Without
-    /// the seeds, servers would not merge again after a long network partition, because they forget
-    /// unreachable members after some time.
+    /// Creates a running fleet in which every server already knows all other servers. Every server also knows
+    /// the seeds. Without the seeds, the separated parts of the fleet would not merge again after a long
+    /// network partition, because servers forget unreachable members after some time.
     ///
     /// # Errors
     /// Returns an error if the settings are invalid.
@@ -259,7 +259,7 @@
     }
 
     /// Lets a server run its due tasks when a timer fires. A timer that fires before the server's next due
-    /// time is outdated and has no effect. In this case, the server has another timer for the due time.
+    /// time is outdated and has no effect. The server then has another timer for its next due time.
     fn fire(&mut self, timer: &Timer) {
         let Some(server) = self.servers[timer.server].as_mut() else { return };
         if server.next_due() > timer.at {
--- a/crates/capacity/src/incidents.rs
+++ b/crates/capacity/src/incidents.rs
@@ -121,10 +121,11 @@
 /// Measurements after the end of a failure. The measurement continues until the membership views have
 /// converged, and for at least [`BURST_NS`].
 struct Recovery {
-    /// Seconds until the membership views of all running servers agreed; `None` if the views did not agree in
-    /// time.
+    /// Seconds from the end of the failure until the membership views of all running servers agreed; `None`
+    /// if the views did not agree in time.
     convergence_seconds: Option<f64>,
-    /// Average CPU use and network traffic per server in the second in which the fleet sent the most bytes.
+    /// Average CPU use and network traffic per server in the peak second. In the peak second, the fleet sent
+    /// more bytes than in any other second after the failure.
     burst: PerServer,
     /// Highest send rate of one server, in bytes per second, averaged over [`BURST_NS`].
     burst_max: f64,
@@ -166,7 +167,7 @@
         }
     }
 
-    /// Converts the measurements to an [`Incident`]. Fields that apply only to some kinds of incident keep
+    /// Converts the measurements to an [`Incident`]. Fields that apply only to some kinds of incident get
     /// their default values.
     fn into_incident(self, scale: &Scale, description: String, after_loss: Option<f64>) -> Incident {
         Incident {
--- a/crates/capacity/src/meter.rs
+++ b/crates/capacity/src/meter.rs
@@ -12,8 +12,8 @@
 }
 
 /// Returns the number of heap bytes that this process has allocated and not yet freed, over all arenas of the
-/// allocator. The difference of two readings is meaningful only if no other thread allocates or frees memory
-/// between the readings.
+/// allocator. The difference between two results is meaningful only if no other thread allocates or frees
+/// memory in the meantime.
 pub fn allocated_bytes() -> u64 {
     // SAFETY: mallinfo2 takes no argument and only reads the allocator's statistics, under its locks.
     let info = unsafe { libc::mallinfo2() };
@@ -40,7 +40,7 @@
         self.bytes += other.bytes;
     }
 
-    /// Returns what was added since the earlier reading `before`: CPU time, datagrams and bytes.
+    /// Returns the CPU time, datagrams and bytes that were added after the earlier reading `before`.
     pub fn since(&self, before: &Cost) -> Cost {
         Cost {
             processor_ns: self.processor_ns - before.processor_ns,
@@ -69,7 +69,7 @@
         self.replication.add(&other.replication);
     }
 
-    /// Returns what was added since the earlier reading `before`: CPU time, datagrams and bytes.
+    /// Returns the CPU time, datagrams and bytes that were added after the earlier reading `before`.
     pub fn since(&self, before: &Costs) -> Costs {
         Costs {
             membership: self.membership.since(&before.membership),
--- a/crates/capacity/src/per_server.rs
+++ b/crates/capacity/src/per_server.rs
@@ -8,27 +8,27 @@
 /// Average CPU use and network traffic of membership, shared state and replication, per server and second.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct PerServer {
-    /// Number of bytes that membership sent, per server and second.
+    /// Number of bytes that the membership protocol sent, per server and second.
     pub membership_bytes: f64,
-    /// Number of bytes that shared state sent, per server and second.
+    /// Number of bytes sent for shared state (counters, budgets and leases), per server and second.
     #[serde(rename = "shared_bytes")]
     pub shared_state_bytes: f64,
-    /// Number of bytes that replicated configuration sent, per server and second.
+    /// Number of bytes sent for replicated configuration, per server and second.
     pub replication_bytes: f64,
     /// Number of datagrams sent by membership, shared state and replication together, per server and second.
     pub datagrams: f64,
-    /// CPU use of membership per server, in percent of a core.
+    /// CPU use of the membership protocol per server, in percent of a core.
     pub membership_processor: f64,
-    /// CPU use of shared state per server, in percent of a core.
+    /// CPU use for shared state (counters, budgets and leases) per server, in percent of a core.
     #[serde(rename = "shared_processor")]
     pub shared_state_processor: f64,
-    /// CPU use of replicated configuration per server, in percent of a core.
+    /// CPU use for replicated configuration per server, in percent of a core.
     pub replication_processor: f64,
 }
 
 impl PerServer {
-    /// Calculates the averages per server and second. `costs` is the total of `servers` servers over `span`
-    /// nanoseconds.
+    /// Calculates the averages per server and second. `costs` is the total cost of `servers` servers in a
+    /// period of `span` nanoseconds.
     pub fn average(costs: &Costs, servers: usize, span: Nanos) -> PerServer {
         let server_seconds = servers as f64 * span as f64 / SECOND_NS as f64;
         let per_server_second = |count: u64| count as f64 / server_seconds;
--- a/crates/capacity/src/process.rs
+++ b/crates/capacity/src/process.rs
@@ -14,22 +14,22 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Maximum time to wait for a line in a process's log.
+/// Maximum time to wait until a process logs an expected line.
 const LOG_LINE_TIMEOUT: Duration = Duration::from_secs(60);
 const LOG_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Clock ticks per second. CPU times in /proc/PID/stat are given in clock ticks.
 const TICKS_PER_SECOND: f64 = 100.0;
-/// Index of the ticks in user mode among the fields of /proc/PID/stat. Index 0 is the field after the command
-/// name.
+/// Index of the field of /proc/PID/stat that holds the CPU time in user mode, in clock ticks. Index 0 is the
+/// field after the command name.
 const USER_TICKS_FIELD: usize = 11;
-/// Index of the ticks in system mode among the fields of /proc/PID/stat. Index 0 is the field after the
-/// command name.
+/// Index of the field of /proc/PID/stat that holds the CPU time in system mode, in clock ticks. Index 0 is
+/// the field after the command name.
 const SYSTEM_TICKS_FIELD: usize = 12;
-/// Maximum number of log lines kept for each distinct message. If there are more, the first line and the
-/// latest lines are kept.
+/// Maximum number of log lines kept for each distinct message. If a process logs more lines with one message,
+/// the first line and the latest lines are kept.
 const LINES_PER_MESSAGE_MAX: usize = 64;
-/// File permissions of the key file. The program rejects a key file that users other than its owner can
-/// access.
+/// File permissions of the file that contains the fleet's key. The program rejects a key file that users
+/// other than its owner can access.
 const KEY_FILE_MODE: u32 = 0o600;
 
 /// Settings of one process.
@@ -66,8 +66,8 @@
     }
 
     fn add(&self, line: &str) {
-        // A program that cannot start writes the reason as plain text before the JSON log begins. Such a line
-        // is kept as a message.
+        // A program that cannot start writes the reason as plain text before the JSON log begins. A line of
+        // plain text is kept as if it were the message of a JSON line.
         let line: Value = serde_json::from_str(line).unwrap_or(json!({"fields": {"message": line}}));
         let fields = line["fields"].clone();
         let message = fields["message"].as_str().unwrap_or("").to_string();
@@ -220,8 +220,8 @@
         self.log.lock().keys().cloned().collect()
     }
 
-    /// Returns the log lines with this message, oldest first. If there are more than `LINES_PER_MESSAGE_MAX`,
-    /// only the first line and the latest lines are returned.
+    /// Returns the log lines with this message, oldest first. Returns at most `LINES_PER_MESSAGE_MAX` lines.
+    /// If the process logged more, only the first line and the latest lines are returned.
     pub fn lines(&self, message: &str) -> Vec<LogLine> {
         self.log.lock().get(message).cloned().unwrap_or_default()
     }
--- a/crates/capacity/src/process_fleet.rs
+++ b/crates/capacity/src/process_fleet.rs
@@ -13,8 +13,8 @@
 const ALONE_SETTLE: Duration = Duration::from_secs(2);
 const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(90);
 const CONVERGENCE_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Time between the moment when all processes have joined and the measurement of the fleet. Gossip about the
-/// joins ends in this time.
+/// Time between the moment when all processes have joined and the measurement of the fleet. Servers stop
+/// sending gossip about the joins in this time.
 const JOIN_GOSSIP_DURATION: Duration = Duration::from_secs(12);
 const DESCRIPTORS: usize = 256;
 
@@ -50,15 +50,15 @@
 
 impl SentBytes {
     /// Reads the sent bytes from the latest `view` line of the process; `None` if the process has not logged
-    /// one.
+    /// a `view` line.
     fn latest(process: &Process) -> Option<SentBytes> {
         let view = process.lines("view").pop()?;
         let counts: serde_json::Value = serde_json::from_str(view.fields["counts"].as_str()?).ok()?;
         Some(SentBytes { at: view.at, bytes: counts["sent_bytes"].as_f64()? })
     }
 
-    /// Returns the average bytes per second sent since the earlier reading `before`. Returns `None` if both
-    /// readings are from one log line.
+    /// Returns the average number of bytes per second that the process sent after the earlier reading
+    /// `before`. Returns `None` if this reading and `before` are from one log line.
     fn per_second_since(&self, before: &SentBytes) -> Option<f64> {
         let seconds = self.at.duration_since(before.at).as_secs_f64();
         (seconds > 0.0).then(|| (self.bytes - before.bytes) / seconds)
--- a/crates/capacity/src/report/mod.rs
+++ b/crates/capacity/src/report/mod.rs
@@ -17,20 +17,20 @@
 use std::path::Path;
 use std::time::Instant;
 
-/// Minimum of [`Options::servers`]. The smallest modelled fleet has a sixteenth of this number of servers,
-/// and must contain all control machines.
+/// Minimum of [`Options::servers`]. The smallest modelled fleet has a sixteenth of [`Options::servers`], and
+/// must contain all control machines.
 pub const SERVERS_MIN: usize = 80;
 /// Maximum of [`Options::servers`].
 pub const SERVERS_MAX: usize = 2_000;
-/// Number of named tenants with which added latency and reload time are measured. Both must be within their
-/// bounds at this number.
+/// Number of named tenants with which added latency and reload time are measured. With this number of
+/// tenants, added latency and reload time must be within their bounds.
 const TENANTS: usize = 64_000;
-/// Number of operations (routes) with which added latency and reload time are measured. Both must be within
-/// their bounds at this number.
+/// Number of operations (routes) with which added latency and reload time are measured. With this number of
+/// operations, added latency and reload time must be within their bounds.
 const ROUTES: usize = 6_200;
 /// Invocations per second that one server receives in each of the two measured loads. The whole fleet
-/// receives 190,000 invocations per second. With all 690 servers, the lower rate results. If one of three
-/// regions is down, the remaining servers receive the higher rate.
+/// receives 190,000 invocations per second. Each server receives the lower rate if all 690 servers run, and
+/// the higher rate if one of three regions is down.
 const RATES: [f64; 2] = [275.0, 413.0];
 /// Maximum time to wait until the counters converge, in simulated seconds. The convergence time grows with
 /// the square of the fleet size.
--- a/crates/capacity/src/scale.rs
+++ b/crates/capacity/src/scale.rs
@@ -28,7 +28,7 @@
 /// Number of servers in the reference fleet. The bounds and the numbers of restarts and failures per day are
 /// stated for a fleet of this size.
 pub const STATED_SERVERS: f64 = 690.0;
-/// Time in simulated nanoseconds until the servers of a failed rack start again.
+/// Time in simulated nanoseconds after which the servers of a failed rack start again.
 pub const RACK_DOWN_NS: Nanos = 60 * SECOND_NS;
 /// Number of control machines. The control machines are the first servers of the fleet. They are also the
 /// seeds, through which every server joins the fleet.
--- a/crates/capacity/src/server.rs
+++ b/crates/capacity/src/server.rs
@@ -22,7 +22,7 @@
 /// Replication settings of a server.
 #[derive(Clone, Debug)]
 pub struct ReplicationSettings {
-    /// Settings of the replication member.
+    /// Settings of the server's replication protocol.
     pub member: meadowstream_replication::member::Settings,
     /// Name of a budget that has a single unit. The server that holds a lease on this unit leads the
     /// replicated log.
@@ -46,7 +46,7 @@
     pub membership: Membership,
     /// Shared state of the server: counters, budgets and leases.
     pub shared_state: SharedState,
-    /// Member of the replicated configuration; `None` if replication is disabled.
+    /// Replication protocol of the server, for replicated configuration; `None` if replication is disabled.
     pub replication: Option<Member>,
     /// Name of the lease whose holder leads the replicated log; empty without replication.
     lease: &'static str,
@@ -124,7 +124,7 @@
         self.costs.replication.processor_ns += thread_time_ns() - shared_state_done;
     }
 
-    /// Does the work that a server does for its replication member, such as saving state and sending
+    /// Carries out the actions that the replication protocol requests, such as saving state and sending
     /// messages. In the model, writing state to disk and applying a revision succeed immediately.
     fn drive_replication(&mut self, now: Nanos) {
         let unix = START_NS + now;
@@ -215,7 +215,7 @@
     }
 
     /// Returns the simulated time in nanoseconds at which the next timer of this server is due.
-    /// [`ModelServer::advance`] must be called then.
+    /// [`ModelServer::advance`] must be called at this time.
     pub fn next_due(&self) -> Nanos {
         let membership = self.membership.poll_timeout().unwrap_or(Nanos::MAX);
         let replication = self.replication.as_ref().map_or(Nanos::MAX, Member::next_due);
@@ -226,8 +226,8 @@
     pub fn take_outgoing(&mut self) -> Vec<Transmit> {
         let outgoing = self.membership.take_transmits();
         let counts = self.membership.counts();
-        // The counts of membership include the datagrams of shared state and replication. Both are subtracted
-        // here.
+        // The counts of the membership protocol include the datagrams and bytes of shared state and
+        // replication. These datagrams and bytes are subtracted here.
         let others = [self.costs.shared_state, self.costs.replication];
         let datagrams: u64 = others.iter().map(|cost| cost.datagrams).sum();
         let bytes: u64 = others.iter().map(|cost| cost.bytes).sum();
--- a/crates/capacity/src/tenants.rs
+++ b/crates/capacity/src/tenants.rs
@@ -36,8 +36,8 @@
     /// Heap memory of the fair queueing scheduler, in bytes.
     #[serde(rename = "memory")]
     pub memory_bytes: f64,
-    /// Average CPU time of fair queueing for one invocation, in nanoseconds. Counts the arrival, the start
-    /// and the end of the invocation.
+    /// Average CPU time of fair queueing for one invocation, in nanoseconds. Includes the CPU time at the
+    /// arrival, the start and the end of the invocation.
     #[serde(rename = "arrival")]
     pub arrival_ns: f64,
     /// Average CPU time of one update of the fair rate, in nanoseconds. The fair rate is updated once per
--- a/crates/capacity/src/topology.rs
+++ b/crates/capacity/src/topology.rs
@@ -22,7 +22,8 @@
 const SAME_REGION_NS: Nanos = MILLISECOND_NS;
 /// Minimum one-way network delay between two regions, in nanoseconds. The value is an estimate.
 const BETWEEN_REGIONS_NS: Nanos = 40 * MILLISECOND_NS;
-/// Divisor that gives the maximum jitter of a network delay: the minimum delay divided by this number.
+/// Divisor for the maximum jitter of a network delay. The maximum jitter is the minimum delay divided by this
+/// number.
 const JITTER_DIVISOR: u64 = 2;
 
 /// Region, zone and rack of one server. Servers are assigned to zones round-robin, and zones to regions
@@ -44,18 +45,18 @@
         Place { region: zone % REGIONS, zone, rack: zone + ZONES * (server / ZONES / RACK_SERVERS) }
     }
 
-    /// Returns the name of the zone in the settings.
+    /// Returns the name by which the settings identify this zone.
     pub fn zone_name(&self) -> String {
         format!("zone-{}", self.zone)
     }
 
-    /// Returns the name of the region in the settings.
+    /// Returns the name by which the settings identify this region.
     pub fn region_name(&self) -> String {
         format!("region-{}", self.region)
     }
 }
 
-/// Returns the minimum and the maximum jitter of the one-way network delay between two servers.
+/// Returns the one-way network delay between two servers, as a minimum delay and a maximum jitter.
 pub fn delay(from: Place, to: Place) -> Delay {
     let least = if from.zone == to.zone {
         SAME_ZONE_NS
--- a/crates/capacity/tests/memory.rs
+++ b/crates/capacity/tests/memory.rs
@@ -4,13 +4,15 @@
 
 use meadowstream_capacity::tenants::{self, TenantCosts};
 
-/// Maximum relative change of the memory per additional tenant between a lower and a higher range of tenant
-/// counts. The memory per tenant changes because the allocated tables grow by doubling.
+/// Maximum relative difference between two measurements of the memory per additional tenant. The measurements
+/// cover a lower and a higher range of tenant counts. The memory per tenant differs because the allocated
+/// tables grow by doubling.
 const TOLERANCE: f64 = 0.25;
 /// Upper bound of the memory per tenant, in bytes.
 const TENANT_BYTES_MAX: f64 = 2_000.0;
 
-/// Returns the memory per additional tenant, in bytes, from measurements with fewer and with more tenants.
+/// Returns the memory per additional tenant, in bytes, from one measurement with fewer tenants and one with
+/// more tenants.
 fn bytes_per_added_tenant(smaller: &TenantCosts, larger: &TenantCosts) -> f64 {
     (larger.memory_bytes - smaller.memory_bytes) / (larger.tenants - smaller.tenants) as f64
 }
--- a/crates/capacity/tests/model.rs
+++ b/crates/capacity/tests/model.rs
@@ -72,9 +72,9 @@
     assert_eq!(Line::fit(&[point(1.0, 1.0), point(1.0, 2.0), point(1.0, 3.0)]), None);
 }
 
-/// Prints measurements at full size: the CPU use and network traffic of the leader in a fleet of 690 servers
-/// without failures, the memory of a configuration with 64,000 tenants, and the size and encoding time of the
-/// persisted state of this configuration.
+/// Prints measurements at full size. The measurements are the CPU use and network traffic of the leader in a
+/// fleet of 690 servers without failures, and the memory of a configuration with 64,000 tenants. The size and
+/// encoding time of this configuration's persisted state are printed, too.
 #[test]
 #[ignore = "half a minute"]
 fn a_control_machine_at_the_stated_size() {
