--- a/crates/rollout/src/baseline.rs
+++ b/crates/rollout/src/baseline.rs
@@ -9,12 +9,12 @@
 /// Minimum number of intervals in the baseline of each server. The first stage begins only when the baselines
 /// of all servers have this many intervals.
 pub const BASELINE_INTERVALS_MIN: usize = 20;
-/// Minimum number of values from which a baseline is computed. With fewer values, the server has no baseline
-/// for the class and metric.
+/// Minimum number of values from which a baseline is computed. A server has no baseline for a class of
+/// invocations and a metric if it reported fewer values.
 const VALUES_MIN: u32 = 3;
 
-/// Baselines of all servers. They are stored in the coordinator's state file. The `serde` attributes keep the
-/// field names of that file.
+/// Baselines of all servers. The baselines are stored in the coordinator's state file. The `serde` attributes
+/// keep the field names of this file.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Baselines {
     #[serde(rename = "of")]
@@ -39,7 +39,7 @@
     }
 }
 
-/// Baseline of one server for one class of invocations and one metric.
+/// Baseline of one server: the mean of one metric for one class of invocations.
 #[derive(Clone, Copy)]
 pub(crate) struct Baseline {
     pub(crate) mean: f64,
@@ -68,14 +68,14 @@
     }
 
     /// Returns the number of intervals in a server's baseline. Classes and metrics may have different numbers
-    /// of values; the largest number counts.
+    /// of values; the function returns the largest number.
     pub fn intervals(&self, server: &str) -> usize {
         let server_sums = self.by_server.get(server).into_iter().flatten();
         server_sums.map(|sums| sums.count).max().unwrap_or(0) as usize
     }
 
-    /// Returns the baseline of a server for one class and metric. Returns `None` if there are fewer than
-    /// [`VALUES_MIN`] values.
+    /// Returns the baseline of a server for one class and metric. Returns `None` if the server has reported
+    /// fewer than [`VALUES_MIN`] values.
     pub(crate) fn get(&self, server: &str, series: &Series) -> Option<Baseline> {
         let sums = self.by_server.get(server)?.iter().find(|sums| sums.is_of(series))?;
         if sums.count < VALUES_MIN {
--- a/crates/rollout/src/canary.rs
+++ b/crates/rollout/src/canary.rs
@@ -28,11 +28,12 @@
 /// only the half of the intervals with the most answers.
 const COMPARISONS_PER_SERIES: usize = 2;
 
-/// Values that changed and unchanged servers reported in one stage.
+/// Metric values that changed and unchanged servers reported in one stage.
 #[derive(Clone, Debug, Default)]
 pub struct Canary {
     strata: BTreeMap<Series, Vec<Stratum>>,
-    /// Values of the current interval. [`Canary::close_interval`] moves these values to `strata`.
+    /// Metric values that servers reported for the current interval. [`Canary::close_interval`] moves these
+    /// values to `strata`.
     current: BTreeMap<Series, Stratum>,
 }
 
@@ -41,7 +42,8 @@
 pub enum Verdict {
     /// Too few intervals contain values of both changed and unchanged servers.
     InsufficientData,
-    /// No regression was found: no difference is both statistically significant and above its threshold.
+    /// No regression was found. A difference is a regression only if it is both statistically significant and
+    /// above its threshold.
     Pass,
     /// The changed servers perform worse than the unchanged servers.
     Regression {
@@ -85,7 +87,7 @@
     }
 
     /// Ends the current interval and stores its values for the comparison. The values of a class and metric
-    /// are kept only if both changed and unchanged servers have some.
+    /// are dropped if only changed servers or only unchanged servers reported values.
     pub fn close_interval(&mut self) {
         for (series, stratum) in std::mem::take(&mut self.current) {
             if !stratum.changed.is_empty() && !stratum.unchanged.is_empty() {
@@ -100,7 +102,7 @@
     }
 
     /// Returns the number of intervals that contain values of both changed and unchanged servers. Classes and
-    /// metrics may have different numbers of intervals; the largest number counts.
+    /// metrics may have different numbers of intervals; the function returns the largest number.
     pub fn intervals(&self) -> usize {
         self.strata.values().map(Vec::len).max().unwrap_or(0)
     }
@@ -139,8 +141,8 @@
     }
 }
 
-/// Returns the half of the intervals that have the most answers. Returns at least [`INTERVALS_MIN`]
-/// intervals, if there are that many.
+/// Returns the half of the intervals that have the most answers. If the half has fewer than [`INTERVALS_MIN`]
+/// intervals, returns up to [`INTERVALS_MIN`] intervals.
 fn busier_half(strata: &[Stratum]) -> Vec<&Stratum> {
     let mut busier: Vec<&Stratum> = strata.iter().collect();
     busier.sort_by_key(|stratum| Reverse(stratum.answered));
--- a/crates/rollout/src/coordinator/baking.rs
+++ b/crates/rollout/src/coordinator/baking.rs
@@ -41,8 +41,8 @@
                 let reason = format!("{class}: {metric:?} worse by {difference:.3} (p {p_value:.1e})");
                 self.stop_or_roll_back(interval.now, reason, actions);
             }
-            // Without unchanged servers, there is nothing to compare with, and more time would not help. Only
-            // stages with unchanged servers wait for more values.
+            // Without unchanged servers, no comparison is possible, and waiting would not help. Only stages
+            // with unchanged servers wait for more values.
             Verdict::InsufficientData if has_unchanged => {
                 if self.baked < bake_time.saturating_mul(INSUFFICIENT_DATA_FACTOR) {
                     self.notify(actions, &format!("stage {}: too few answers to compare", stage + 1));
@@ -54,9 +54,9 @@
         }
     }
 
-    /// Adds the new metrics of servers that comply with their orders to the comparison. The values are
-    /// dropped if the fleet's view is not settled. A membership change may then have caused a difference
-    /// between servers.
+    /// Adds the new metrics of servers that comply with their orders to the comparison. The metrics are
+    /// dropped if a server is missing or the membership view changed a short time ago. The membership change
+    /// may then have caused a difference between servers.
     fn add_to_canary(&mut self, interval: &Interval) {
         for new_interval in self.take_new_intervals(interval.view) {
             if self.complies(&new_interval.server) {
--- a/crates/rollout/src/coordinator/compliance.rs
+++ b/crates/rollout/src/coordinator/compliance.rs
@@ -5,15 +5,15 @@
 use crate::metrics::IntervalMetrics;
 use crate::wire::Report;
 
-/// Maximum number of orders that may follow the order that a server's latest report answers. If more orders
-/// were sent since, the server counts as silent.
+/// Maximum number of orders sent to a server after the order that the server's latest report answers. A
+/// server counts as silent if more orders were sent.
 const SILENT_ORDERS: u64 = 2;
 
 /// The latest report of a server.
 pub(super) struct ReceivedReport {
     pub(super) received_at: Nanos,
     pub(super) report: Report,
-    /// Number of the latest interval of this server that the coordinator has processed.
+    /// Number that identifies the latest interval of this server that the coordinator has processed.
     /// [`Coordinator::take_new_intervals`] sets this number, so that it returns the metrics of each interval
     /// only once.
     last_interval: Option<u64>,
@@ -32,7 +32,8 @@
 }
 
 impl Coordinator {
-    /// Returns whether a server runs the settings or program of its order, according to its latest report.
+    /// Returns whether a server complies with its order: its latest report states that it runs the settings
+    /// or program that the order names.
     pub(super) fn complies(&self, server: &str) -> bool {
         let Some(received) = self.reports.get(server) else { return false };
         if self.state.changed.contains(server) {
@@ -88,8 +89,8 @@
     pub(super) fn find_failure(&self, view: &FleetView) -> Option<String> {
         let timeout = self.plan.response_timeout;
         if self.changed_missing_for >= timeout {
-            // A network partition would affect unchanged servers, too. If only changed servers are missing,
-            // the change is the likely cause.
+            // Only changed servers are missing here, so the change is the likely cause. A network partition
+            // would probably affect unchanged servers, too.
             return Some(format!("{} gone since the change", view.missing.join(", ")));
         }
         let (server, _) = self.overdue.iter().find(|(_, overdue)| **overdue >= timeout)?;
--- a/crates/rollout/src/coordinator/mod.rs
+++ b/crates/rollout/src/coordinator/mod.rs
@@ -96,7 +96,7 @@
     /// Sequence number of the last order that this coordinator sent; 0 before the first order.
     order_sequence: u64,
     state: PersistedState,
-    /// Time at which the current phase of the plan began, on the caller's clock.
+    /// Time at which the current phase of the plan began, in nanoseconds on the caller's clock.
     phase_began: Nanos,
     /// Bake time of the current stage that has passed so far, in nanoseconds. Time counts only after the
     /// warm-up, while this coordinator holds the rollout lease and the view is settled.
@@ -105,25 +105,28 @@
     /// compare servers. After `VERDICTS_FACTOR` times the planned number of verdicts,
     /// [`Coordinator::next_verdict`] stops comparing servers, but verdicts are still counted.
     verdicts: usize,
-    /// Values that servers reported in the current stage, for the comparison.
+    /// Metric values that servers reported in the current stage, for the comparison of changed with unchanged
+    /// servers.
     canary: Canary,
-    /// Time for which each server has been silent or has not complied with its orders. Only time with the
-    /// rollout lease is counted. Time without a settled view is counted only during a rollback.
+    /// Time in nanoseconds for which each server has been silent or has not complied with its orders, by
+    /// server name. Only time with the rollout lease is counted. Time without a settled view is counted only
+    /// during a rollback.
     overdue: BTreeMap<String, Nanos>,
-    /// Time for which only changed servers have been missing from the view; 0 if no server is missing.
+    /// Time in nanoseconds for which only changed servers have been missing from the view. The time is 0 if
+    /// no server is missing or an unchanged server is missing.
     changed_missing_for: Nanos,
     /// The latest report of each server, by server name.
     reports: BTreeMap<String, ReceivedReport>,
-    /// Time of the last call of [`Coordinator::handle_interval`].
+    /// Time of the last call of [`Coordinator::handle_interval`], in nanoseconds on the caller's clock.
     last_interval: Option<Nanos>,
     /// The last message shown to the operator.
     last_message: String,
 }
 
-/// Inputs for the coordinator at the end of an interval.
+/// Inputs that the coordinator handles at the end of an interval.
 struct Interval<'a> {
     now: Nanos,
-    /// Time since the end of the previous interval.
+    /// Time since the end of the previous interval, in nanoseconds.
     elapsed: Nanos,
     view: &'a FleetView,
     /// Whether the view is settled: no server is missing, and the view has not changed for the plan's settle
--- a/crates/rollout/src/coordinator/rollback.rs
+++ b/crates/rollout/src/coordinator/rollback.rs
@@ -20,7 +20,7 @@
     }
 
     /// Ends the rollback when every server in the view has confirmed it, or after a timeout. A missing server
-    /// still gets the order to roll back if it returns before the rollback ends.
+    /// that returns before the end of the rollback also gets the order to roll back.
     pub(super) fn handle_rolling_back(
         &mut self,
         interval: &Interval,
--- a/crates/rollout/src/coordinator/stages.rs
+++ b/crates/rollout/src/coordinator/stages.rs
@@ -76,7 +76,8 @@
     /// orders.
     pub(super) fn handle_applying(&mut self, interval: &Interval, actions: &mut Vec<Action>) {
         let view = interval.view;
-        // Metrics of intervals that ended before the comparison phase are dropped.
+        // The returned metrics are dropped, because they are from intervals that ended before the comparison
+        // phase.
         self.take_new_intervals(view);
         if let Some(reason) = self.find_failure(view) {
             return self.stop_or_roll_back(interval.now, reason, actions);
--- a/crates/rollout/src/metrics.rs
+++ b/crates/rollout/src/metrics.rs
@@ -21,8 +21,8 @@
     pub p95_us: u64,
 }
 
-/// Minimum number of answers of a class in an interval from which shares are computed. With fewer answers,
-/// the class has no shares.
+/// Minimum number of answered invocations of a class in one interval. With fewer answers, no shares are
+/// computed for the class, such as the share of failed invocations.
 const ANSWERS_MIN: u64 = 5;
 
 /// Metric by which servers are compared. For every metric, a larger value is worse.
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -72,8 +72,8 @@
     pub bake_time: Nanos,
 }
 
-/// Action to take if the changed servers perform worse, a server fails, or there are too few values to
-/// compare.
+/// Action to take if the changed servers perform worse than the unchanged servers, a server fails, or there
+/// are too few values to compare.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OnRegression {
     /// Stop the rollout. The servers changed so far keep the change, and no further server is changed.
@@ -90,7 +90,8 @@
     pub throttled: f64,
     /// Threshold for the difference in the share of failed answers, above 0 and at most 1.
     pub errored: f64,
-    /// Threshold for the difference in the share of late answers, above 0 and at most 1.
+    /// Threshold for the difference in the share of answers sent after the client timeout, above 0 and at
+    /// most 1.
     pub late: f64,
     /// Threshold for the relative increase of the 95th percentile of latency, above 0 and at most 100.
     pub latency: f64,
@@ -106,7 +107,7 @@
 }
 
 impl Thresholds {
-    /// Returns the threshold of a metric, in the unit of the metric's values. For latency, this is a
+    /// Returns the threshold of a metric, in the unit of the metric's values. For latency, the threshold is a
     /// difference of logarithms.
     pub fn min_difference(&self, metric: Metric) -> f64 {
         match metric {
@@ -143,8 +144,8 @@
     /// Stages of the plan, at least 1 and at most [`STAGES_MAX`]. Each stage is larger than the previous
     /// stage.
     pub stages: Vec<Stage>,
-    /// Action to take if the changed servers perform worse, a server fails, or there are too few values to
-    /// compare.
+    /// Action to take if the changed servers perform worse than the unchanged servers, a server fails, or
+    /// there are too few values to compare.
     pub on_regression: OnRegression,
     /// Thresholds above which a difference between changed and unchanged servers counts as a regression.
     pub thresholds: Thresholds,
@@ -154,8 +155,8 @@
     /// Time for which the fleet's view must be unchanged to count as settled, in nanoseconds. A stage begins,
     /// and bake time counts, only while the view is settled.
     pub settle_time: Nanos,
-    /// Time after a change in which servers are not compared, in nanoseconds. A process that has just started
-    /// is slower for a while, whatever its program is.
+    /// Time after a change in which servers are not compared, in nanoseconds. A process is slower for a short
+    /// time after its start, with the old program as well as with the new program.
     pub warm_up: Nanos,
     /// Maximum time for a server to carry out an order and send a report, in nanoseconds.
     pub response_timeout: Nanos,
@@ -205,7 +206,8 @@
         throttled: f64,
         /// Threshold for the share of failed answers, as given in the plan. Valid if above 0 and at most 1.
         errored: f64,
-        /// Threshold for the share of late answers, as given in the plan. Valid if above 0 and at most 1.
+        /// Threshold for the share of answers sent after the client timeout, as given in the plan. Valid if
+        /// above 0 and at most 1.
         late: f64,
         /// Threshold for the relative increase of latency, as given in the plan. Valid if above 0 and at most
         /// 100.
--- a/crates/rollout/src/rank_test.rs
+++ b/crates/rollout/src/rank_test.rs
@@ -7,13 +7,13 @@
 //! computed: the test's own, and an estimate that accounts for autocorrelation (Newey and West 1987). The
 //! larger variance is used.
 
-/// Values of one class and metric in one interval. The baseline of the server is already subtracted from each
-/// value.
+/// Values that servers reported for one class and metric in one interval. The baseline of the reporting
+/// server is already subtracted from each value.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Stratum {
     /// Values of the changed servers.
     pub changed: Vec<f64>,
-    /// Values of the unchanged servers.
+    /// Values that the unchanged servers reported, minus the baselines of these servers.
     pub unchanged: Vec<f64>,
     /// Sum of the baseline variances of the changed servers. A baseline variance is the squared standard
     /// error of the baseline's mean.
--- a/crates/rollout/src/rank_test/tests.rs
+++ b/crates/rollout/src/rank_test/tests.rs
@@ -1,5 +1,5 @@
-//! Tests of the rank test. The expected normal probabilities are from published tables, and the expected rank
-//! sum is calculated by hand.
+//! Tests the stratified rank sum test. The expected normal probabilities are from published tables, and the
+//! expected rank sum is calculated by hand.
 
 use super::*;
 
--- a/crates/rollout/src/version_table.rs
+++ b/crates/rollout/src/version_table.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Maximum number of entries in one announcement, without the sender's own entry.
+/// Maximum number of entries of other servers in one announcement. The sender's own entry is not counted.
 pub const RELAYED_MAX: usize = 8;
 /// Maximum length of a program version, in bytes.
 pub const VERSION_BYTES_MAX: usize = 32;
@@ -20,7 +20,7 @@
     /// Incarnation of the server. The incarnation is a number that identifies one start of the server's
     /// process.
     pub incarnation: u64,
-    /// Number of changes of the server's settings since its process started.
+    /// Number of times that the server's settings have changed since its process started.
     pub sequence: u64,
     /// Version of the program that the server runs.
     pub version: String,
@@ -73,8 +73,8 @@
     }
 
     /// Returns the entries to send to another server: this server's entry and up to [`RELAYED_MAX`] entries
-    /// of other servers. The random number `draw` selects the first of the other servers. The rest follow in
-    /// the order of server names.
+    /// of other servers. The random number `draw` selects the first entry of another server. The next entries
+    /// follow in the order of server names.
     pub fn announcement(&self, draw: u64) -> Vec<ServerVersion> {
         let count = self.others.len();
         let start = if count == 0 { 0 } else { (draw % count as u64) as usize };
--- a/crates/rollout/src/version_table/tests.rs
+++ b/crates/rollout/src/version_table/tests.rs
@@ -33,8 +33,8 @@
     }
     fleet[9].merge(stale);
     assert_eq!(fleet[9].get("s3").unwrap().settings_hash, 8);
-    // An entry of a later incarnation replaces an entry of an earlier incarnation that has a higher sequence
-    // number.
+    // An entry of a later incarnation replaces an entry of an earlier incarnation, even if the earlier
+    // incarnation has a higher sequence number.
     fleet[9].merge(vec![entry("s3", 2, 7)]);
     assert_eq!(fleet[9].get("s3").unwrap().settings_hash, 7);
 }
--- a/crates/rollout/src/wire.rs
+++ b/crates/rollout/src/wire.rs
@@ -36,7 +36,7 @@
     pub adopt: Option<u64>,
 }
 
-/// Answer of a server to an order.
+/// Report that a server sends to the coordinator in answer to an order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// Sequence number of the order that this report answers.
@@ -49,9 +49,9 @@
     /// Whether the server runs the settings or program that a plan rolls out. If false, the server runs its
     /// own settings or program, without the change.
     pub adopted: bool,
-    /// Reason why the server does not carry out the order; `None` if the server carries it out.
+    /// Reason why the server does not carry out the order; `None` if the server carries out the order.
     pub refused: Option<String>,
-    /// Number of the server's last complete interval.
+    /// Number that identifies the server's last complete interval.
     pub interval: u64,
     /// Metrics of the server's last complete interval. There is one entry per class of invocations.
     pub classes: Vec<IntervalMetrics>,
--- a/crates/rollout/tests/rollouts.rs
+++ b/crates/rollout/tests/rollouts.rs
@@ -284,8 +284,9 @@
     Coordinator::new(plan, None, 1, 0).unwrap()
 }
 
-/// Rolls out a change without effect a hundred times, over thirty servers. In three of the four stages, there
-/// are unchanged servers to compare with, so false stops are possible.
+/// Rolls out a change without effect a hundred times, over thirty servers. At most one rollout may be
+/// stopped. False stops are possible in three of the four stages, in which changed servers are compared with
+/// unchanged servers.
 #[test]
 fn changes_without_effect_complete() {
     let mut stopped = Vec::new();
@@ -336,12 +337,13 @@
 }
 
 /// Rolls out a change without effect to a fleet in which half of the servers are permanently slower than the
-/// others. Without baselines, the comparison would attribute this difference to the change.
+/// others. The rollout must complete. Without baselines, the comparison would attribute the permanent
+/// difference to the change.
 #[test]
 fn permanent_differences_between_servers_are_no_regression() {
     for seed in 0..10 {
         let mut fleet = Fleet::new(10, Change::None, 300 + seed);
-        // All servers with even numbers are slower by an equal offset.
+        // All servers with even numbers are slower than the other servers by an equal factor.
         (0..10).step_by(2).for_each(|i| fleet.servers[i].offset += 0.5);
         let phase = fleet.run(&mut begin(plan()), 600);
         assert_eq!(phase, Phase::Done, "{:?}", fleet.messages);
@@ -362,8 +364,8 @@
 }
 
 /// Crashes the coordinator at several intervals and restarts it from its saved state. The outcome must be the
-/// same as without a crash. No order may be sent before the state it depends on is saved; [`Fleet::deliver`]
-/// checks this.
+/// same as without a crash. [`Fleet::deliver`] checks that the coordinator saves its state before it sends an
+/// order that depends on the state.
 #[test]
 fn a_restarted_coordinator_continues() {
     for (seed, crash_interval) in [5, 15, 30, 45, 60, 90, 120, 150].into_iter().enumerate() {
@@ -418,8 +420,8 @@
     assert_eq!(fleet.run(&mut coordinator, 600), Phase::Done, "{:?}", fleet.messages);
 }
 
-/// Runs a plan without a settled view, then without the lease. In both cases, no server may be ordered to
-/// change, however long this lasts.
+/// Runs a plan without a settled view, then without the lease. In both cases, no server may ever be ordered
+/// to apply the change.
 #[test]
 fn no_server_is_changed_without_a_settled_view_and_the_lease() {
     let mut fleet = Fleet::new(6, Change::None, 61);
@@ -472,8 +474,8 @@
     let phase = fleet.run(&mut coordinator, 200);
     let Phase::RolledBack { reason, unconfirmed } = phase else { panic!("{phase:?}") };
     assert!(reason.contains(&format!("s{other} does not report")), "{reason}");
-    // The silent server never ran the change. The server is listed as unconfirmed because it cannot confirm
-    // the rollback.
+    // The silent server never ran the change. The server is listed as unconfirmed because it sends no report
+    // that confirms the rollback.
     assert_eq!(unconfirmed, vec![format!("s{other}")]);
     fleet.assert_none_changed();
 }
--- a/crates/test-doubles/src/balancers.rs
+++ b/crates/test-doubles/src/balancers.rs
@@ -34,7 +34,7 @@
 }
 
 impl Reply {
-    /// Builds a reply from the words of a message. A missing word counts as empty.
+    /// Builds a reply from the words of a message. A word that the message does not have counts as empty.
     fn from_words(words: &[Vec<u8>]) -> Self {
         let text = |index: usize| {
             words.get(index).map(|word| String::from_utf8_lossy(word).into_owned()).unwrap_or_default()
--- a/crates/test-doubles/src/downstream_service.rs
+++ b/crates/test-doubles/src/downstream_service.rs
@@ -21,8 +21,8 @@
     pub ended_us: u64,
 }
 
-/// Settings and counts of the service. If a caller cancels a call, the call stays in flight at the service
-/// for the whole call time.
+/// Settings and counts of the service. A call stays in flight at the service for the whole call time, even if
+/// the caller cancels the call.
 #[derive(Default)]
 pub struct DownstreamService {
     /// Duration of a call in microseconds. A new value applies to calls that arrive later.
@@ -34,8 +34,8 @@
     pub total_call_time_us: AtomicU64,
     /// Number of calls in flight.
     pub in_flight: AtomicU64,
-    /// Highest number of calls in flight at one time. A test may set this value to 0 to start a new
-    /// observation.
+    /// Highest number of calls in flight at one time. A test may set this value to 0 to measure the maximum
+    /// again from that time.
     pub most_in_flight: AtomicU64,
     /// Whether each call fails immediately with status 500.
     pub fails: AtomicBool,
--- a/crates/test-doubles/src/fleet/files.rs
+++ b/crates/test-doubles/src/fleet/files.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Period in milliseconds at which members probe each other. The short period lets a rehearsal end within a
-/// minute.
+/// Period in milliseconds at which members probe each other. With this short period, a rehearsal ends within
+/// a minute.
 pub const PROBE_PERIOD_MS: u64 = 200;
 /// Number of probe periods for which a member stays suspect before it is declared down.
 pub const SUSPICION_PERIODS: u64 = 5;
--- a/crates/test-doubles/src/fleet/harness.rs
+++ b/crates/test-doubles/src/fleet/harness.rs
@@ -193,8 +193,8 @@
         Ok(started)
     }
 
-    /// Sends a signal (KILL, STOP, CONT) to the server with this index. After KILL, the server counts as not
-    /// started, and its log is discarded.
+    /// Sends a signal (KILL, STOP, CONT) to the server with this index. After KILL, the harness treats the
+    /// server as not started and discards its log.
     pub fn signal(&mut self, index: usize, name: &str) -> Result<()> {
         self.signal_and_keep(index, name)?;
         if name == "KILL" {
@@ -203,8 +203,8 @@
         Ok(())
     }
 
-    /// Sends a signal to the server with this index. Keeps the record of the process and its log, even after
-    /// KILL.
+    /// Sends a signal to the server with this index. The harness keeps the process's entry and its log, even
+    /// after KILL.
     pub fn signal_and_keep(&self, index: usize, name: &str) -> Result<()> {
         self.processes[index].as_ref().with_context(|| format!("s{index} is not running"))?.signal(name)
     }
@@ -272,7 +272,7 @@
         started["listen"].as_str()?.parse().ok()
     }
 
-    /// Returns the fields of the last log line about shared state of the server with this index.
+    /// Returns the fields of the last line about shared state in the log of the server with this index.
     pub fn shared_state(&self, index: usize) -> Option<Value> {
         self.log(index)?.last_event("shared", None)
     }
--- a/crates/test-doubles/src/fleet/log.rs
+++ b/crates/test-doubles/src/fleet/log.rs
@@ -56,7 +56,7 @@
     }
 
     /// Returns the fields of the last log line whose message is `message`. If `since` is given, ignores lines
-    /// that were read before that time.
+    /// that the harness read before the time `since`.
     pub fn last_event(&self, message: &str, since: Option<Instant>) -> Option<Value> {
         let lines = self.lines();
         let recent = |line: &&LogLine| since.is_none_or(|since| line.at >= since);
--- a/crates/test-doubles/src/fleet/loopback.rs
+++ b/crates/test-doubles/src/fleet/loopback.rs
@@ -3,7 +3,8 @@
 use std::net::Ipv4Addr;
 use std::sync::atomic::{AtomicU32, Ordering::Relaxed};
 
-/// Number of addresses that one process hands out before it starts again with the first.
+/// Number of different loopback addresses that one process uses for its fleets. After the last address, the
+/// process uses the first address again.
 const ADDRESSES: u32 = 254;
 
 /// Returns a loopback address that no other fleet uses at present, in this process or in another process.
--- a/crates/test-doubles/src/fleet/view.rs
+++ b/crates/test-doubles/src/fleet/view.rs
@@ -7,7 +7,8 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Maximum number of log lines per server in the report of a wait that failed.
+/// Maximum number of log lines per server in an error report. The report is written if the membership views
+/// do not agree in time.
 const REPORTED_LINES: usize = 40;
 
 /// Times until the membership views of the expected members agreed, as measured by
@@ -28,9 +29,9 @@
         self.member_states_since(index, None)
     }
 
-    /// Returns the states as [`Self::member_states`] does, but ignores log lines read before `since`.
-    /// Otherwise, the result for a server that was stalled could be an outdated view, logged before the
-    /// stall.
+    /// Returns the states of the other members in the last view that a server has logged. Views that the
+    /// harness read before `since` are ignored. Otherwise, the result for a server that was stalled could be
+    /// an outdated view, logged before the stall.
     fn member_states_since(&self, index: usize, since: Option<Instant>) -> BTreeMap<String, String> {
         let view = self.log(index).and_then(|log| log.last_event("view", since));
         let Some(members) = view.as_ref().and_then(|view| view["members"].as_str()) else {
@@ -41,7 +42,8 @@
         members.iter().map(|member| (text(member, "name"), text(member, "state"))).collect()
     }
 
-    /// Returns a field of the last view that a server has logged. The field is parsed as JSON.
+    /// Returns a field of the last membership view that a server has logged. The text of the field is parsed
+    /// as JSON.
     pub fn view_field(&self, index: usize, field: &str) -> Option<Value> {
         let view = self.log(index)?.last_event("view", None)?;
         serde_json::from_str(view[field].as_str()?).ok()
@@ -102,9 +104,10 @@
         Ok(AgreementTimes { by_server, all })
     }
 
-    /// Returns the report of a wait that failed. The report contains the relay's counts and each server's log
-    /// lines about the membership. Each line is listed with the time at which it was read, counted from
-    /// `since`, and the time at which it was written.
+    /// Returns the error report for membership views that did not agree in time. The report contains the
+    /// relay's counts and each server's log lines about the membership. Each log line is listed with two
+    /// times: the time at which the harness read the line, counted from `since`, and the time at which the
+    /// server wrote the line.
     fn membership_report(&self, members: &[usize], since: Instant) -> String {
         let mut report = format!("relay: {:?}\n", self.relay.counts());
         for &index in members {
--- a/crates/test-doubles/src/group_report.rs
+++ b/crates/test-doubles/src/group_report.rs
@@ -37,7 +37,8 @@
     pub advised_retries: u64,
     /// Number of the `advised_retries` that the server admitted.
     pub advised_retries_admitted: u64,
-    /// Counts of each tenant. The index in the list is the index of the tenant in the group.
+    /// Counts of the invocations of each tenant. The index in the list is the index of the tenant in the
+    /// group.
     pub by_tenant: Vec<TenantCounts>,
     /// Latency of successful invocations in microseconds. The latency starts with the first attempt.
     pub latency_us: Histogram<u64>,
--- a/crates/test-doubles/src/interpreter/link.rs
+++ b/crates/test-doubles/src/interpreter/link.rs
@@ -46,8 +46,9 @@
             }
             Event::Closed => return Ok(()),
         }
-        // Only notices with an index are retained. A notice about a run has an index, also if a command has
-        // halted the run. A direct reply to a command has no index.
+        // Notices with an index are retained, to be sent again on the next link. A notice about a run has an
+        // index, also if a command has halted the run. A direct reply to a command has no index and is not
+        // retained.
         machine.retain_notices(&notices[run_notices..]);
         let text: String = notices.iter().map(|notice| format!("{notice}\n")).collect();
         (&stream).write_all(text.as_bytes()).await?;
--- a/crates/test-doubles/src/interpreter/machine.rs
+++ b/crates/test-doubles/src/interpreter/machine.rs
@@ -51,11 +51,12 @@
 pub struct Machine {
     cores: f64,
     runs: BTreeMap<String, Run>,
-    /// Time at which each task ended, by task. An entry is kept for at least [`ENDED_MEMORY`].
+    /// Time at which the last completed run of each task ended, by task. An entry is kept for at least
+    /// [`ENDED_MEMORY`].
     ended: BTreeMap<String, Instant>,
     /// Time up to which the runs have been simulated.
     advanced_to: Instant,
-    /// Core time that runs have used since the server last read the gauges, in microseconds.
+    /// Core time that runs have used since the server last read the utilization, in microseconds.
     busy_us: f64,
     gauges_read: Instant,
     last_index: u64,
@@ -98,7 +99,7 @@
         self.runs.values().filter(|run| !run.awaits_call).count()
     }
 
-    /// Returns the share of a core that each run on the cores gets. The share is at most 1.
+    /// Returns the share of a core that each run on the cores uses. A run uses at most one core.
     fn core_share(&self) -> f64 {
         (self.cores / self.runs_on_cores().max(1) as f64).min(1.0)
     }
@@ -170,7 +171,7 @@
         }
     }
 
-    /// Begins a new link. Sends the banner, and then sends again the retained notices that the server has not
+    /// Begins a new link. Sends the banner, and then repeats the retained notices that the server has not
     /// read.
     fn connect(&self, command: &Value, now: Instant, notices: &mut Vec<Value>) {
         let age_ms = now.duration_since(self.started).as_millis() as u64 + INITIAL_AGE_MS;
@@ -200,8 +201,8 @@
         }
     }
 
-    /// Returns a notice with the utilization of the cores since the previous reading, and the number of runs
-    /// on the cores.
+    /// Returns a notice with the utilization of the cores since the previous call of this function, and the
+    /// number of runs on the cores.
     fn read_gauges(&mut self, command: &Value, now: Instant) -> Value {
         let span_us = now.duration_since(self.gauges_read).as_secs_f64() * 1e6;
         let utilization = (self.busy_us / span_us.max(1.0) / self.cores).min(1.0);
--- a/crates/test-doubles/src/open_loop.rs
+++ b/crates/test-doubles/src/open_loop.rs
@@ -18,7 +18,7 @@
 /// Counts of the calls of a load, by the outcome of the reply.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReplyCounts {
-    /// Number of calls that have ended, with or without a reply.
+    /// Number of calls that the load generator started and that have ended, with or without a reply.
     pub sent: u64,
     /// Number of calls that succeeded.
     pub succeeded: u64,
--- a/crates/test-doubles/src/soak/checks.rs
+++ b/crates/test-doubles/src/soak/checks.rs
@@ -5,12 +5,13 @@
 
 /// Client timeout in the configuration that the harness writes. Each call must be answered within this time.
 pub const CLIENT_TIMEOUT: Duration = Duration::from_millis(9_000);
-/// Drain grace in the configuration that the harness writes. For this time after the drain notice, the server
-/// still runs new calls.
+/// Drain grace in the configuration that the harness writes. The server still runs calls that arrive within
+/// this time after its drain notice.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(200);
 /// Time after the drain notice at which the harness kills a server that still runs.
 pub const STOP_AFTER: Duration = Duration::from_millis(2_000);
-/// Time by which the protocol allows a time limit to be exceeded if the limit is checked at a socket.
+/// Tolerance for time limits that are checked at a socket. The protocol allows such a limit to be exceeded by
+/// this time.
 pub const SLACK: Duration = Duration::from_millis(50);
 /// Maximum number of open file descriptors of a server. A higher number violates an invariant.
 pub const DESCRIPTORS_MAX: u64 = 256;
@@ -58,7 +59,7 @@
         /// Number of repeated runs.
         runs: u64,
     },
-    /// A call succeeded although it was sent after the drain grace had ended.
+    /// A call succeeded although it was sent after the end of the server's drain grace.
     #[error("s{server}: a call succeeded that was sent {after_ms} ms after the drain notice")]
     RanAfterGrace {
         /// Index of the server.
@@ -66,7 +67,7 @@
         /// Time between the drain notice and the sending of the call, in milliseconds.
         after_ms: u64,
     },
-    /// The server still accepted connections immediately before the harness killed it. At that time, the
+    /// The server still accepted connections immediately before the harness killed it. Before the kill, the
     /// process may still run to send its last replies, but it must not accept connections.
     #[error("s{server}: accepts connections {STOP_AFTER:?} after the drain notice; {counters}; {log:#?}")]
     AcceptsAtKill {
@@ -154,7 +155,7 @@
     violations
 }
 
-/// Returns a violation if a call succeeded although it was sent after the drain grace had ended.
+/// Returns a violation if a call succeeded although it was sent after the end of the server's drain grace.
 /// `drain_notice_ms` is the Unix time in milliseconds at which the server logged the drain notice.
 pub fn grace_violation(server: usize, replies: &ReplyCounts, drain_notice_ms: u64) -> Option<Violation> {
     let after_ms = replies.last_success_sent_ms.saturating_sub(drain_notice_ms);
--- a/crates/test-doubles/src/soak/plan.rs
+++ b/crates/test-doubles/src/soak/plan.rs
@@ -8,13 +8,13 @@
 /// Time in milliseconds from the start of the load until the harness begins to send the final signals, which
 /// include a drain notice. All events of the plan begin in this time.
 const SPAN_MS: u64 = 5_000;
-/// Upper bound in milliseconds of the random pauses between signals. In a series of equal signals, the n-th
-/// repetition is delayed by n times a random pause.
+/// Upper bound of the random pauses that separate repeated signals, in milliseconds. In a series of equal
+/// signals, the n-th repetition is delayed by n times a random pause.
 const SERIES_GAP_MS: u64 = 40;
 /// Upper bound of the time for which a server without a shared budget is stopped by SIGSTOP, in milliseconds.
 const STOP_MS: u64 = 1_200;
 /// Upper bound of the time for which a server with a shared budget is stopped by SIGSTOP, in milliseconds.
-/// The bound is longer than the server's lease of 2 s, so that leases expire during some stops.
+/// The bound is longer than the server's lease of 2 s, so that leases expire while some servers are stopped.
 const STOP_OVER_LEASE_MS: u64 = 3_500;
 
 /// Event of a soak run. An event affects one server.
@@ -130,7 +130,8 @@
     Duration::from_millis(rng.random_range(200..SPAN_MS - 200))
 }
 
-/// Draws a random event. The events `Reload` and `LogCounters` may be repeated at short intervals.
+/// Draws one random event. A `Reload` or `LogCounters` event is returned up to three times, at short
+/// intervals.
 fn draw_events(rng: &mut ChaCha8Rng, servers: usize) -> Vec<Scheduled> {
     let (at, server) = (draw_moment(rng), rng.random_range(0..servers));
     let longest_stop = if servers > 1 { STOP_OVER_LEASE_MS } else { STOP_MS };
--- a/crates/test-doubles/src/soak/play.rs
+++ b/crates/test-doubles/src/soak/play.rs
@@ -22,7 +22,8 @@
 /// budget.
 const BUDGET_FLOOR: u64 = 1;
 const CORES: f64 = 4.0;
-/// Call time of the downstream service while it must not answer. The time is longer than the whole run.
+/// Call time that is set at the downstream service to keep it from answering calls. The time is longer than a
+/// whole soak run.
 const SILENT: Duration = Duration::from_secs(60);
 const CONNECT_MAX: Duration = Duration::from_millis(200);
 /// Maximum time between two polls of the harness. A longer gap counts as a stall of the machine. Stalls do
@@ -30,7 +31,8 @@
 const STALL: Duration = Duration::from_millis(200);
 const POLL_PERIOD: Duration = Duration::from_millis(5);
 const START_MAX: Duration = Duration::from_secs(30);
-/// Maximum number of log lines in the report of a server that accepted connections when it was killed.
+/// Maximum number of log lines that the report lists for a server that accepted connections when it was
+/// killed.
 const LOG_TAIL: usize = 12;
 /// Maximum time to wait for a server's final counters in the log, after the server has exited.
 const LAST_LINE_MAX: Duration = Duration::from_secs(3);
@@ -167,8 +169,8 @@
         Ok(())
     }
 
-    /// Records a signal STOP or CONT, to add up the time for which the server is stopped. A second STOP
-    /// before CONT has no effect.
+    /// Adds up the time for which a server is stopped, from its signals STOP and CONT. A second STOP before
+    /// CONT has no effect.
     fn record_stop(&mut self, server: usize, signal: &str) {
         let observed = &mut self.observed[server];
         match signal {
@@ -186,8 +188,9 @@
         let text = std::fs::read_to_string(&file)?;
         self.reloads += 1;
         let (old, new) = (tenants(self.reloads - 1), tenants(self.reloads));
-        // The number of reloads counts the changes of all servers, but each server has its own file. The file
-        // of this server may therefore contain the weights of any earlier change.
+        // The number of reloads counts the changes of all servers, but each server has its own file. The last
+        // change may have been in the file of another server, so this file may contain the weights of any
+        // earlier change.
         let earlier = (0..self.reloads).map(tenants).find(|tenants| text.contains(tenants));
         std::fs::write(file, text.replace(&earlier.unwrap_or(old), &new))?;
         Ok(())
@@ -225,7 +228,7 @@
         Ok(())
     }
 
-    /// Kills a server. Before that, records whether the server still accepts connections.
+    /// Kills a server. Immediately before the kill, stores whether the server still accepts connections.
     fn kill(&mut self, server: usize) -> Result<()> {
         let to = self.fleet.listen_address(server).context("the server has not logged its listen address")?;
         self.observed[server].accepts_at_kill = TcpStream::connect_timeout(&to, CONNECT_MAX).is_ok();
@@ -301,7 +304,7 @@
         Violation::AcceptsAtKill { server, counters, log }
     }
 
-    /// Returns the first message that begins with `start` in a server's log.
+    /// Returns the first message in a server's log that begins with the text `start`.
     fn message(&self, server: usize, start: &str) -> Option<String> {
         let lines = self.fleet.timestamped_log_lines(server);
         let mut messages = lines.iter().filter_map(|(_, fields)| fields["message"].as_str());
--- a/crates/test-doubles/src/tcp_relay.rs
+++ b/crates/test-doubles/src/tcp_relay.rs
@@ -25,7 +25,7 @@
 
 struct Shared {
     faults: Mutex<Faults>,
-    /// Network partition group of the target. The groups of the members are in `faults`.
+    /// Network partition group of the target. The groups of the members are in the field `faults`.
     target_group: u32,
     /// Share of new connections that the relay closes immediately, from 0 to 1.
     reset_share: Mutex<f64>,
@@ -107,7 +107,8 @@
         self.stop.load(Ordering::Relaxed)
     }
 
-    /// Returns whether bytes between a member and the target may pass in this direction. A cut blocks them.
+    /// Returns whether the relay may pass bytes between a member and the target in this direction. The result
+    /// is false while their network partition groups are cut off from each other in this direction.
     fn passes(&self, member: usize, direction: Direction) -> bool {
         let faults = lock(&self.faults);
         let (member, target) = (faults.group(member), self.target_group);
--- a/crates/test-doubles/src/tenant_rehearsal/plan.rs
+++ b/crates/test-doubles/src/tenant_rehearsal/plan.rs
@@ -18,8 +18,8 @@
     /// Share of the invocations that follow the server's advice, from 0 to 1. If such an invocation is
     /// rejected, it is retried as advised. Other invocations are not retried.
     pub follows_advice: f64,
-    /// Number of names that each tenant uses in turn for its invocations. An honest tenant uses only one
-    /// name.
+    /// Number of tenant names that each tenant sends in turn with its invocations. An honest tenant sends
+    /// only one name.
     pub names_per_tenant: u64,
     /// Maximum number of connections that the balancer of the group opens.
     pub connections: usize,
--- a/crates/test-doubles/src/udp_relay.rs
+++ b/crates/test-doubles/src/udp_relay.rs
@@ -23,7 +23,8 @@
 const POLL_PERIOD: Duration = Duration::from_millis(20);
 const DATAGRAM_BYTES_MAX: usize = 65_536;
 
-/// Datagram in flight through the relay. Datagrams are ordered by due time, and then by arrival.
+/// Datagram in flight through the relay. Datagrams are ordered by the time at which they are due for
+/// delivery, and then by arrival.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct InFlight {
     due: Instant,
@@ -111,8 +112,9 @@
         self.endpoints[index]
     }
 
-    /// Registers the socket address of the member with this index. The relay then recognizes datagrams from
-    /// this address as the member's, and delivers datagrams for the member to this address.
+    /// Registers the socket address of the member with this index. The relay then identifies the member by
+    /// this address if the member sends a datagram. It also delivers datagrams for the member to this
+    /// address.
     pub fn register(&self, index: usize, bound: SocketAddr) {
         lock(&self.shared.members)[index] = Some(bound);
     }
--- a/crates/wire-fixtures/src/lib.rs
+++ b/crates/wire-fixtures/src/lib.rs
@@ -13,8 +13,8 @@
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
 
-/// Environment variable for writing the fixture file. If it is set, [`Fixtures::verify`] writes the file
-/// instead of comparing samples with it.
+/// Name of the environment variable that makes [`Fixtures::verify`] write the fixture file. If the variable
+/// is not set, the function compares samples with the fixture file.
 pub const WRITE_VARIABLE: &str = "WRITE_WIRE_FIXTURES";
 
 /// Fixtures of one file. A fixture is a recorded encoding with a name.
