--- a/crates/capacity/src/added_latency.rs
+++ b/crates/capacity/src/added_latency.rs
@@ -35,7 +35,7 @@
 /// weight by one.
 const FIRST_WEIGHT: u32 = 2;
 
-/// Load that is applied to one process.
+/// Load that the load generator applies to one server process.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Load {
     /// Number of named tenants.
@@ -46,7 +46,8 @@
     pub rate: f64,
     /// Duration of the load in seconds.
     pub seconds: u64,
-    /// Number of options reloads under load. Each reload changes the weight of every tenant.
+    /// Number of times that the process reloads its options during the load. Each reload changes the weight
+    /// of every tenant.
     pub changes: usize,
 }
 
--- a/crates/capacity/src/process.rs
+++ b/crates/capacity/src/process.rs
@@ -195,8 +195,8 @@
         Ok(process)
     }
 
-    /// Waits for a log line with this message and returns the fields of the line. The first `lines_before`
-    /// lines with this message are skipped.
+    /// Waits for a log line whose message is `message`, and returns the fields of the line. The first
+    /// `lines_before` lines with this message are skipped.
     ///
     /// # Errors
     /// Returns an error if the message is not logged in time, or if the process exits before that.
@@ -220,8 +220,9 @@
         self.log.lock().keys().cloned().collect()
     }
 
-    /// Returns the log lines with this message, oldest first. Returns at most `LINES_PER_MESSAGE_MAX` lines.
-    /// If the process logged more, only the first line and the latest lines are returned.
+    /// Returns the log lines whose message is `message`, oldest first. Returns at most
+    /// `LINES_PER_MESSAGE_MAX` lines. If the process logged more, only the first line and the latest lines
+    /// are returned.
     pub fn lines(&self, message: &str) -> Vec<LogLine> {
         self.log.lock().get(message).cloned().unwrap_or_default()
     }
--- a/crates/capacity/src/process_fleet.rs
+++ b/crates/capacity/src/process_fleet.rs
@@ -77,8 +77,8 @@
     Ok((total()? - before) / started_at.elapsed().as_secs_f64() * 100.0)
 }
 
-/// Starts a fleet of `size` processes and waits until the membership view of each process contains all
-/// others. The first process is the seed of the fleet.
+/// Starts a fleet of `size` processes and waits until the membership view of each process contains all other
+/// processes. The first process is the seed of the fleet.
 fn start_fleet(program: &Path, size: usize) -> Result<Vec<Process>, MeasureError> {
     let first = Process::start(program, &settings("c0", options::fleet("c0", size, None)))?;
     let joining = first.wait_for("joining", 0)?;
--- a/crates/capacity/src/topology.rs
+++ b/crates/capacity/src/topology.rs
@@ -32,9 +32,9 @@
 pub struct Place {
     /// Index of the region, from 0.
     pub region: usize,
-    /// Index of the zone, from 0, unique across all regions.
+    /// Index of the zone, from 0. Zones of different regions have different indexes.
     pub zone: usize,
-    /// Index of the rack, from 0, unique across all zones.
+    /// Index of the rack, from 0. Racks of different zones have different indexes.
     pub rack: usize,
 }
 
--- a/crates/rollout/src/baseline.rs
+++ b/crates/rollout/src/baseline.rs
@@ -9,8 +9,8 @@
 /// Minimum number of intervals in the baseline of each server. The first stage begins only when the baselines
 /// of all servers have this many intervals.
 pub const BASELINE_INTERVALS_MIN: usize = 20;
-/// Minimum number of values from which a baseline is computed. A server has no baseline for a class of
-/// invocations and a metric if it reported fewer values.
+/// Minimum number of reported values from which a baseline is computed. A server that has reported fewer
+/// values for a class of invocations and a metric has no baseline for this class and metric.
 const VALUES_MIN: u32 = 3;
 
 /// Baselines of all servers. The baselines are stored in the coordinator's state file. The `serde` attributes
--- a/crates/rollout/src/coordinator/compliance.rs
+++ b/crates/rollout/src/coordinator/compliance.rs
@@ -1,4 +1,4 @@
-//! Checks from the reports whether servers comply with their orders. Detects failed servers.
+//! Checks whether servers comply with their orders, according to their reports. Detects failed servers.
 
 use super::{Coordinator, FleetView, Interval};
 use crate::Nanos;
@@ -83,9 +83,9 @@
         }
     }
 
-    /// Returns a message if a server has failed. A server has failed if it has been overdue for the response
-    /// timeout. Changed servers have failed if only changed servers have been missing from the view for the
-    /// response timeout.
+    /// Returns the reason for a rollback or a stop if a server has failed. A server has failed if it has been
+    /// overdue for the response timeout. Changed servers have also failed if only changed servers have been
+    /// missing from the view for the response timeout.
     pub(super) fn find_failure(&self, view: &FleetView) -> Option<String> {
         let timeout = self.plan.response_timeout;
         if self.changed_missing_for >= timeout {
--- a/crates/rollout/src/coordinator/mod.rs
+++ b/crates/rollout/src/coordinator/mod.rs
@@ -251,8 +251,8 @@
         matches!(self.state.phase, Phase::RollingBack { .. })
     }
 
-    /// Adds the action that saves the current state. Must be called before an action that depends on this
-    /// state is added.
+    /// Adds the action that saves the current state. The caller must add this action before any action that
+    /// depends on this state.
     fn save(&self, actions: &mut Vec<Action>) {
         actions.push(Action::Save(Box::new(self.state.clone())));
     }
--- a/crates/rollout/src/rank_test.rs
+++ b/crates/rollout/src/rank_test.rs
@@ -18,7 +18,7 @@
     /// Sum of the baseline variances of the changed servers. A baseline variance is the squared standard
     /// error of the baseline's mean.
     pub baseline_variance: f64,
-    /// Number of answers of the class in the interval, over all servers.
+    /// Number of answered invocations of the class in the interval, over all servers.
     pub answered: u64,
 }
 
@@ -42,8 +42,8 @@
     tie_correction: f64,
 }
 
-/// Compares the changed with the unchanged servers over all strata. Each stratum must have values of both
-/// groups. Returns `None` if no stratum has two different values.
+/// Compares the changed with the unchanged servers over all strata. Each stratum must have values of changed
+/// servers and of unchanged servers. Returns `None` if no stratum has two different values.
 pub fn compare(strata: &[&Stratum]) -> Option<Comparison> {
     let mut statistics = Vec::with_capacity(strata.len());
     let mut variance = 0.0;
--- a/crates/rollout/src/version_table.rs
+++ b/crates/rollout/src/version_table.rs
@@ -12,7 +12,7 @@
 /// Maximum length of a server's name, in bytes.
 const NAME_BYTES_MAX: usize = 64;
 
-/// Entry of one server: its program version and the hash of its settings.
+/// Entry of one server in the version table, with the server's program version and settings hash.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerVersion {
     /// Name of the server.
--- a/crates/rollout/tests/rollouts.rs
+++ b/crates/rollout/tests/rollouts.rs
@@ -50,7 +50,7 @@
     last_order: (u64, u64),
     /// Whether the server refuses to apply the change.
     refuses: bool,
-    /// Whether the server, once changed, cannot return to its own settings.
+    /// Whether the server refuses the order to roll back while it runs the change.
     cannot_roll_back: bool,
     /// Whether the server ignores all orders and never sends a report.
     is_silent: bool,
--- a/crates/test-doubles/src/fleet/files.rs
+++ b/crates/test-doubles/src/fleet/files.rs
@@ -15,7 +15,7 @@
 /// their options files.
 #[derive(Default)]
 pub struct HarnessOptions {
-    /// Number of cores of each server's interpreter. If this is 0, the harness starts no interpreters.
+    /// Number of cores of each server's interpreter. If the number is 0, the harness starts no interpreters.
     pub cores: f64,
     /// Address of the downstream service of each server. The index in the list is the index of the server.
     pub downstream_services: Vec<SocketAddr>,
--- a/crates/test-doubles/src/fleet/view.rs
+++ b/crates/test-doubles/src/fleet/view.rs
@@ -23,15 +23,15 @@
 }
 
 impl FleetHarness {
-    /// Returns the states of the other members in the last view that a server has logged. The key is the name
-    /// of the member.
+    /// Returns the state of each other member, as listed in the last membership view that the server `index`
+    /// has logged. The key is the name of the member.
     pub fn member_states(&self, index: usize) -> BTreeMap<String, String> {
         self.member_states_since(index, None)
     }
 
-    /// Returns the states of the other members in the last view that a server has logged. Views that the
-    /// harness read before `since` are ignored. Otherwise, the result for a server that was stalled could be
-    /// an outdated view, logged before the stall.
+    /// Returns the state of each other member, as listed in the last membership view that the server `index`
+    /// has logged. Views that the harness read before `since` are ignored. Otherwise, the result for a server
+    /// that was stalled could be an outdated view, logged before the stall.
     fn member_states_since(&self, index: usize, since: Option<Instant>) -> BTreeMap<String, String> {
         let view = self.log(index).and_then(|log| log.last_event("view", since));
         let Some(members) = view.as_ref().and_then(|view| view["members"].as_str()) else {
@@ -79,7 +79,8 @@
     }
 
     /// Waits until the views of all servers in `members` agree, as defined by [`Self::views_agree`]. Returns
-    /// the times of agreement, counted from `since`. Fails after the time `within` with a report of the logs.
+    /// the times at which the views agreed, counted from `since`. Fails after the time `within` with a report
+    /// that lists log lines of the servers.
     pub fn wait_for_agreement(
         &self,
         members: &[usize],
--- a/crates/test-doubles/src/interpreter/link.rs
+++ b/crates/test-doubles/src/interpreter/link.rs
@@ -16,7 +16,8 @@
     Closed,
 }
 
-/// Serves one link until the server closes it. Fails if a notice cannot be written or a command is not JSON.
+/// Serves one connection of a server until the server closes it. Fails if a notice cannot be written or a
+/// command is not JSON.
 pub async fn serve(machine: &mut Machine, stream: Async<TcpStream>) -> std::io::Result<()> {
     stream.get_ref().set_nodelay(true)?;
     let mut lines = BufReader::new(&stream).lines();
--- a/crates/test-doubles/src/soak/play.rs
+++ b/crates/test-doubles/src/soak/play.rs
@@ -304,7 +304,7 @@
         Violation::AcceptsAtKill { server, counters, log }
     }
 
-    /// Returns the first message in a server's log that begins with the text `start`.
+    /// Returns the first message that begins with the text `start` in the log of a server.
     fn message(&self, server: usize, start: &str) -> Option<String> {
         let lines = self.fleet.timestamped_log_lines(server);
         let mut messages = lines.iter().filter_map(|(_, fields)| fields["message"].as_str());
--- a/crates/test-doubles/src/tenant_rehearsal/play.rs
+++ b/crates/test-doubles/src/tenant_rehearsal/play.rs
@@ -25,7 +25,7 @@
 const DEFAULT_CALL_TIME: Duration = Duration::from_millis(5);
 const PROGRESS_PERIOD: Duration = Duration::from_secs(1);
 const POLL_PERIOD: Duration = Duration::from_millis(10);
-/// Time to wait after the program's log line with its counters, because more lines may follow.
+/// Time to wait after the log line with the program's counters. The program may log more lines in this time.
 const COUNTERS_WAIT: Duration = Duration::from_millis(100);
 
 /// Measurements of a rehearsal.
