--- a/crates/capacity/src/added_latency.rs
+++ b/crates/capacity/src/added_latency.rs
@@ -1,5 +1,5 @@
-//! Measures the latency that a server process adds to invocations. During the measurement, the load has many
-//! tenants and operations.
+//! Measures the latency that a server process adds to invocations. The load may have many tenants and
+//! operations.
 
 use crate::error::{MeasureError, io_error};
 use crate::options;
--- a/crates/capacity/src/day/mod.rs
+++ b/crates/capacity/src/day/mod.rs
@@ -89,15 +89,15 @@
     /// not counted.
     pub restarts: usize,
     /// Median time from the leader's acceptance of a change until a server applied the change, in seconds.
-    /// Covers all changes and all servers that stayed reachable.
+    /// The median covers all changes, and all servers that stayed reachable.
     #[serde(rename = "p50")]
     pub p50_seconds: f64,
     /// 99th percentile of the time from the leader's acceptance of a change until a server applied the
-    /// change, in seconds. Covers all changes and all servers that stayed reachable.
+    /// change, in seconds. The percentile covers all changes, and all servers that stayed reachable.
     #[serde(rename = "p99")]
     pub p99_seconds: f64,
     /// Longest time from the leader's acceptance of a change until a server applied the change, in seconds.
-    /// Covers all changes and all servers that stayed reachable.
+    /// The maximum covers all changes, and all servers that stayed reachable.
     #[serde(rename = "worst")]
     pub max_seconds: f64,
     /// Median, over all changes, of the time until all servers have applied a change, in seconds. The time
--- a/crates/capacity/src/process.rs
+++ b/crates/capacity/src/process.rs
@@ -1,5 +1,6 @@
 //! Runs real server processes on the loopback interface and reads their memory and CPU time from /proc. Test
-//! doubles replace the interpreter and the service registry. Each process is killed by its own process id.
+//! doubles replace the interpreter and the service registry. Each process is killed by its process id, so
+//! that other processes keep running.
 
 use crate::error::{MeasureError, io_error};
 use meadowstream_test_doubles::{interpreter, registry};
--- a/crates/capacity/src/report/mod.rs
+++ b/crates/capacity/src/report/mod.rs
@@ -36,7 +36,7 @@
 /// the square of the fleet size.
 const COUNTERS_LIMIT_SECONDS: u64 = 900;
 /// Divisor of the fleet size for simulations that use a smaller fleet. A quick run uses the smaller fleet for
-/// all incidents and the day. A full run uses it for the hour-long isolation of a region.
+/// all incidents and the day. A full run uses the smaller fleet only for the hour-long isolation of a region.
 const SMALL_FLEET_DIVISOR: usize = 4;
 /// Maximum time for which a region is cut off in a simulation of the full fleet size, in seconds.
 const REGION_CUT_SECONDS_MAX: u64 = 300;
--- a/crates/rollout/src/coordinator/mod.rs
+++ b/crates/rollout/src/coordinator/mod.rs
@@ -42,7 +42,8 @@
 /// returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Save the state to disk. The state must be durable before any later action is carried out.
+    /// Save the coordinator's state to disk. The state must be durable before any later action is carried
+    /// out.
     Save(Box<PersistedState>),
     /// Send an order to a server.
     SendOrder {
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -137,7 +137,7 @@
 pub struct Plan {
     /// Name of the plan. Its length is 1 to [`NAME_BYTES_MAX`] bytes.
     pub name: String,
-    /// Hash of the new settings or of the new program.
+    /// Hash of the new settings or the new program that the plan rolls out.
     pub candidate: u64,
     /// Kind of the change.
     pub kind: ChangeKind,
--- a/crates/rollout/tests/fixed_bytes.rs
+++ b/crates/rollout/tests/fixed_bytes.rs
@@ -109,7 +109,8 @@
     ]
 }
 
-/// Compares the state file, which is pretty-printed JSON, with the recorded bytes in each phase of a plan.
+/// Compares the coordinator's state file with the recorded bytes, in each phase of a plan. The state file is
+/// pretty-printed JSON.
 #[test]
 fn state_files_have_the_bytes_of_release_0_2() {
     let saved = |phase| PersistedState {
--- a/crates/rollout/tests/rollouts.rs
+++ b/crates/rollout/tests/rollouts.rs
@@ -400,8 +400,8 @@
     assert!(Coordinator::new(other, Some(saved), 2, 0).is_err_and(|e| e.to_string().contains("candidate")));
 }
 
-/// Separates part of the fleet by a network partition in the second stage. Until the view has settled, the
-/// stage must not end and no further server may be changed.
+/// Starts a network partition in the second stage of a rollout, so that some servers are missing. Until the
+/// partition has ended and the view has settled, the stage must not end and no further server may be changed.
 #[test]
 fn a_partition_suspends_the_stage() {
     let mut fleet = Fleet::new(10, Change::None, 60);
--- a/crates/test-doubles/src/soak/checks.rs
+++ b/crates/test-doubles/src/soak/checks.rs
@@ -122,7 +122,8 @@
     pub sent: u64,
     /// Number of calls that succeeded.
     pub succeeded: u64,
-    /// Number of calls without a reply that may have been in transit when the server closed their connection.
+    /// Number of calls that got no reply and may have been in transit when the server closed their
+    /// connection.
     pub crossed: u64,
     /// Number of calls that were not sent because no connection was available.
     pub unsent: u64,
