--- a/crates/capacity/src/report/mod.rs
+++ b/crates/capacity/src/report/mod.rs
@@ -17,26 +17,26 @@
 use std::path::Path;
 use std::time::Instant;
 
-/// Minimum of [`Options::servers`]. The smallest modelled fleet has a sixteenth of this number of servers,
-/// and must contain all control machines.
+/// Minimum of [`Options::servers`]. The smallest modelled fleet has a sixteenth of [`Options::servers`], and
+/// must contain all control machines.
 pub const SERVERS_MIN: usize = 80;
 /// Maximum of [`Options::servers`].
 pub const SERVERS_MAX: usize = 2_000;
-/// Number of named tenants with which added latency and reload time are measured. Both must be within their
-/// bounds at this number.
+/// Number of named tenants with which added latency and reload time are measured. With this number of
+/// tenants, added latency and reload time must be within their bounds.
 const TENANTS: usize = 64_000;
-/// Number of operations (routes) with which added latency and reload time are measured. Both must be within
-/// their bounds at this number.
+/// Number of operations (routes) with which added latency and reload time are measured. With this number of
+/// operations, added latency and reload time must be within their bounds.
 const ROUTES: usize = 6_200;
 /// Invocations per second that one server receives in each of the two measured loads. The whole fleet
-/// receives 190,000 invocations per second. With all 690 servers, the lower rate results. If one of three
-/// regions is down, the remaining servers receive the higher rate.
+/// receives 190,000 invocations per second. Each server receives the lower rate if all 690 servers run, and
+/// the higher rate if one of three regions is down.
 const RATES: [f64; 2] = [275.0, 413.0];
 /// Maximum time to wait until the counters converge, in simulated seconds. The convergence time grows with
 /// the square of the fleet size.
 const COUNTERS_LIMIT_SECONDS: u64 = 900;
 /// Divisor of the fleet size for simulations that use a smaller fleet. A quick run uses the smaller fleet for
-/// all incidents and the day. A full run uses it for the hour-long isolation of a region.
+/// all incidents and the day. A full run uses the smaller fleet only for the hour-long isolation of a region.
 const SMALL_FLEET_DIVISOR: usize = 4;
 /// Maximum time for which a region is cut off in a simulation of the full fleet size, in seconds.
 const REGION_CUT_SECONDS_MAX: u64 = 300;
--- a/crates/rollout/src/rank_test.rs
+++ b/crates/rollout/src/rank_test.rs
@@ -7,18 +7,18 @@
 //! computed: the test's own, and an estimate that accounts for autocorrelation (Newey and West 1987). The
 //! larger variance is used.
 
-/// Values of one class and metric in one interval. The baseline of the server is already subtracted from each
-/// value.
+/// Values that servers reported for one class and metric in one interval. The baseline of the reporting
+/// server is already subtracted from each value.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Stratum {
     /// Values of the changed servers.
     pub changed: Vec<f64>,
-    /// Values of the unchanged servers.
+    /// Values that the unchanged servers reported, minus the baselines of these servers.
     pub unchanged: Vec<f64>,
     /// Sum of the baseline variances of the changed servers. A baseline variance is the squared standard
     /// error of the baseline's mean.
     pub baseline_variance: f64,
-    /// Number of answers of the class in the interval, over all servers.
+    /// Number of answered invocations of the class in the interval, over all servers.
     pub answered: u64,
 }
 
@@ -42,8 +42,8 @@
     tie_correction: f64,
 }
 
-/// Compares the changed with the unchanged servers over all strata. Each stratum must have values of both
-/// groups. Returns `None` if no stratum has two different values.
+/// Compares the changed with the unchanged servers over all strata. Each stratum must have values of changed
+/// servers and of unchanged servers. Returns `None` if no stratum has two different values.
 pub fn compare(strata: &[&Stratum]) -> Option<Comparison> {
     let mut statistics = Vec::with_capacity(strata.len());
     let mut variance = 0.0;
--- a/crates/test-doubles/src/fleet/files.rs
+++ b/crates/test-doubles/src/fleet/files.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Period in milliseconds at which members probe each other. The short period lets a rehearsal end within a
-/// minute.
+/// Period in milliseconds at which members probe each other. With this short period, a rehearsal ends within
+/// a minute.
 pub const PROBE_PERIOD_MS: u64 = 200;
 /// Number of probe periods for which a member stays suspect before it is declared down.
 pub const SUSPICION_PERIODS: u64 = 5;
@@ -15,7 +15,7 @@
 /// their options files.
 #[derive(Default)]
 pub struct HarnessOptions {
-    /// Number of cores of each server's interpreter. If this is 0, the harness starts no interpreters.
+    /// Number of cores of each server's interpreter. If the number is 0, the harness starts no interpreters.
     pub cores: f64,
     /// Address of the downstream service of each server. The index in the list is the index of the server.
     pub downstream_services: Vec<SocketAddr>,
