--- a/crates/cli/tests/fleet_rollout.rs
+++ b/crates/cli/tests/fleet_rollout.rs
@@ -231,7 +231,7 @@
     drop(coordinator);
     let before = changed_servers(&fleet);
     assert_eq!(before.len(), 3);
-    // Checks that all servers log the same settings hash for each server j as j logs for itself.
+    // Checks that all servers agree on the settings hash of each server j: the hash that j itself logs.
     let agreed = || {
         let hash = |i: usize, j: usize| settings_hash(&fleet, i, &format!("s{j}"));
         let all = ALL.iter().all(|&i| ALL.iter().all(|&j| hash(i, j) == hash(j, j)));
--- a/crates/cli/tests/fleet_scale.rs
+++ b/crates/cli/tests/fleet_scale.rs
@@ -41,7 +41,7 @@
 }
 
 /// Returns the index of the control machine that publishes revisions, according to its last log line. Returns
-/// `None` if no control machine does.
+/// `None` if no control machine publishes revisions.
 fn publisher(fleet: &FleetHarness) -> Option<usize> {
     let publishes = |i: &usize| {
         let last = fleet.log_lines(*i, "control").pop();
--- a/crates/cli/tests/fleet_state.rs
+++ b/crates/cli/tests/fleet_state.rs
@@ -195,8 +195,8 @@
     assert!(most <= TOTAL, "{most} concurrent calls");
 }
 
-/// The subcommand `check` must reject a budget whose floors exceed its total, and one with four voters. A
-/// server that reloads options with such floors must keep its previous budget.
+/// The subcommand `check` must reject a budget whose floors exceed its total, and a budget with four voters.
+/// A server that reloads options with such floors must keep its previous budget.
 #[test]
 fn an_invalid_budget_is_rejected_and_a_reload_keeps_the_old_one() {
     let (fleet, _downstream) = start_fleet(24, 1, true);
@@ -336,8 +336,8 @@
     println!(
         "ejected by all five after {ejected_after:?}; then {probes} calls to r1 in 3 s, {calls} to the others"
     );
-    // Each of the five servers sends eight probes to an ejected service in `EXPIRY` (2 s), the expiry time of
-    // a report. In 3 s this gives 60 probes; the test permits 10 more.
+    // A server sends at most eight probes to r1 in `EXPIRY` (2 s), the expiry time of a report. All five
+    // servers together would send about 60 probes in 3 s. The test permits 10 more.
     assert!(probes > 0 && probes <= 5 * 8 * 3 / 2 + 10, "{probes} probes");
     assert!(calls > 5 * probes, "{calls}, {probes} probes");
 
@@ -369,9 +369,9 @@
     assert!(replies.succeeded * 2 > replies.sent, "{replies:?}");
 }
 
-/// One server cannot reach a service that all others can reach. If two reports are required to eject a
-/// service, no server ejects this one. The affected server avoids the service because its own calls failed.
-/// If one report is enough, all servers eject the service, although it is healthy.
+/// One server cannot reach a service that all others can reach. If two reports are required for an ejection,
+/// no server ejects the service. The affected server avoids the service because its own calls failed. If one
+/// report is enough, all servers eject the service, although it is healthy.
 #[test]
 fn a_service_that_only_one_server_cannot_reach_is_not_ejected() {
     for (reports, seed) in [(2, 32), (1, 33)] {
--- a/crates/cli/tests/scenario_harness/link.rs
+++ b/crates/cli/tests/scenario_harness/link.rs
@@ -10,8 +10,8 @@
 /// State that decides whether the test double answers a gauge request of the server at once or later.
 struct GaugeAnswers {
     stream: TcpStream,
-    /// Nonces of the gauge requests that wait for the end of a replay of notices (messages to the server).
-    /// `None` while no replay is in progress.
+    /// Nonces of the gauge requests that arrived during the current replay of notices. The requests are
+    /// answered when the replay ends. `None` while no replay is in progress.
     deferred: Option<Vec<Value>>,
 }
 
--- a/crates/deployment-settings/src/wire_words.rs
+++ b/crates/deployment-settings/src/wire_words.rs
@@ -25,8 +25,9 @@
     ("weight", Advertisement::Weight),
 ];
 
-/// Destination of the calls that this server's runs make: no calls, a tier of servers, or a dependency that
-/// all servers share. The other settings of a shared dependency, such as its quota, are read separately.
+/// Destination of this server's downstream calls: none, a tier of servers, or a dependency that all servers
+/// of this server's tier share. The other settings of a shared dependency, such as its quota, are read
+/// separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DownstreamKind {
     None,
--- a/crates/overload-control/src/call_budget.rs
+++ b/crates/overload-control/src/call_budget.rs
@@ -1,4 +1,4 @@
-//! Budget that limits the time this server's calls use at a dependency shared by all servers.
+//! Budget that limits how much time this server's calls use at a dependency that all servers share.
 //!
 //! The budget is an amount of call time. It refills at a constant rate up to a maximum. A call reserves its
 //! timeout when it starts. When the call ends, the unused part of the timeout returns to the budget. The mean
@@ -44,10 +44,10 @@
     linger: Nanos,
     /// Current budget: call time that can be reserved now, ns.
     available_ns: f64,
-    /// Budget that the most recent request required, ns. The call that requested it can start once the
-    /// current budget is this large.
+    /// Budget that the most recent request required, ns. The requested call can start once the current budget
+    /// is this large.
     needed_ns: f64,
-    /// Maximum budget, ns. The budget does not grow beyond this.
+    /// Maximum budget, ns. Refilling stops when the current budget reaches this amount.
     max_ns: f64,
 }
 
--- a/crates/overload-control/src/controller.rs
+++ b/crates/overload-control/src/controller.rs
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Changes the settings of fair queueing that `change` contains: tenant weights and burst sizes.
+    /// Applies `change` to the settings of fair queueing, such as the weights of tenants and the burst size.
     pub fn reconfigure_fair_queueing(&mut self, now: Nanos, change: &SettingsChange) {
         if let Some(fair) = self.quotas.fair_queue() {
             fair.reconfigure(change, now);
--- a/crates/overload-control/src/controller/conditions.rs
+++ b/crates/overload-control/src/controller/conditions.rs
@@ -13,7 +13,8 @@
         self.invocations.count(&[InvocationState::Running])
     }
 
-    /// Number of open runs. An open run is on a core, waits for a downstream call, or has one in progress.
+    /// Number of open runs. An open run is on a core, waits to make a downstream call, or has a downstream
+    /// call in progress.
     pub(super) fn open_runs(&self) -> f64 {
         let states = [InvocationState::Running, InvocationState::AwaitingCall, InvocationState::Calling];
         self.invocations.count(&states)
@@ -82,7 +83,7 @@
     /// gauge cannot show this work, because the gauge is capped at 1.
     ///
     /// The backlog is the sum of three times: the core time of pending invocations divided by the concurrency
-    /// limit, the excess delay of reading arrivals, and the delay of downstream calls in excess of the limit
+    /// limit, the excess delay of reading arrivals, and the delay of downstream calls that exceed the limit
     /// on calls.
     pub(super) fn backlog(&self) -> f64 {
         let queued = self.invocations.pending.queued_work(self.times.usual());
--- a/crates/overload-control/src/controller/rules.rs
+++ b/crates/overload-control/src/controller/rules.rs
@@ -157,8 +157,8 @@
         Some(())
     }
 
-    /// Rule: starts the next pending invocation if the limits on runs and memory permit it. While downstream
-    /// calls are saturated, only invocations of operations without downstream calls are started.
+    /// Rule: starts the next pending invocation if the limits on runs and memory permit another run. While
+    /// downstream calls are saturated, only invocations of operations without downstream calls are started.
     pub(super) fn start_runs(&mut self, host: &mut dyn Host) -> Option<()> {
         let pending = &self.invocations.pending;
         let next = if self.calls.is_saturated(self.open_calls()) {
@@ -237,9 +237,9 @@
     }
 
     /// Rejects an invocation if its caller may safely repeat it, and otherwise answers it with an error. The
-    /// caller may safely repeat an invocation that is idempotent or certainly had no effect. An invocation
-    /// that repeats an earlier one may already have had its effect in the run of the earlier one. A promise
-    /// of admission takes effect after `promise_after` or later.
+    /// caller may safely repeat an invocation that is idempotent or certainly had no effect. A repeat of an
+    /// earlier invocation may already have had its effect when the earlier invocation ran. A promise of
+    /// admission takes effect after `promise_after` or later.
     ///
     /// The caller is advised not to retry at another server in three cases: this server promised it
     /// admission, the latency objective has passed, or retries would add to an overload of the fleet.
--- a/crates/overload-control/src/deadline.rs
+++ b/crates/overload-control/src/deadline.rs
@@ -4,8 +4,8 @@
 use crate::{Arrival, Nanos, Operation};
 use meadowstream_pending_queue::UsualTimes;
 
-/// Share of the latency objective that is reserved for sending the answer to the client. A run must end
-/// before the objective by this share, so that its answer arrives in time.
+/// Share of the latency objective that is reserved for sending the answer to the client. A run must end this
+/// much earlier than the objective, so that its answer arrives in time.
 const RETURN_SHARE: f64 = 0.02;
 
 /// Deadlines of an invocation, computed once when it arrives.
--- a/crates/overload-control/src/downstream_calls.rs
+++ b/crates/overload-control/src/downstream_calls.rs
@@ -34,7 +34,7 @@
     pub is_top_rank: bool,
 }
 
-/// Numbers of runs that wait to make a downstream call, and of runs whose call is in progress.
+/// Number of runs that wait to make a downstream call, and number of downstream calls in progress.
 #[derive(Clone, Copy)]
 pub struct OpenCalls {
     /// Number of runs that wait to make their downstream call.
@@ -111,8 +111,8 @@
     }
 
     /// Updates the usual duration of calls and the limit on concurrent calls after a call has ended. A
-    /// success raises the limit only if the limit is reached. Otherwise the success does not show that more
-    /// calls are possible.
+    /// success raises the limit only if the limit is reached. A success below the limit does not show that
+    /// more calls are possible.
     pub fn observe(&mut self, now: Nanos, outcome: Outcome, duration: Nanos, open: OpenCalls) {
         match outcome {
             Outcome::Succeeded => {
--- a/crates/overload-control/src/draining.rs
+++ b/crates/overload-control/src/draining.rs
@@ -61,9 +61,10 @@
         self.notice.map_or(Nanos::MAX, |notice| notice.stop_at.saturating_sub(lead))
     }
 
-    /// Whether callers should continue to send invocations to this server. After the drain grace they should
-    /// not. During the drain grace they should continue if the other servers of the tier, at their target
-    /// utilization, lack spare capacity for this server's work.
+    /// Whether callers should continue to send invocations to this server. Always true before the drain
+    /// notice, and false after the drain grace. During the drain grace, callers should continue only if the
+    /// other servers of the tier lack spare capacity for this server's work. The spare capacity is calculated
+    /// at the target utilization.
     pub fn wants_arrivals(&self, now: Nanos, target_utilization: f64) -> bool {
         let is_needed = (self.peers - 1.0) * (1.0 - target_utilization) < 1.0;
         self.notice.is_none_or(|notice| is_needed && now < notice.serve_until)
--- a/crates/overload-control/src/health.rs
+++ b/crates/overload-control/src/health.rs
@@ -9,7 +9,7 @@
 const FAILING_SHARE_MIN: f64 = 0.25;
 /// Upper bound of the share of arrivals that a server rejects because its runs fail.
 const FAILING_SHARE_MAX: f64 = 0.9;
-/// Failed runs can make the server unhealthy only if it has had more recent runs than this number.
+/// With this number of recent runs or fewer, failed runs do not make the server unhealthy.
 const RUNS_MIN: f64 = 2.0;
 /// Time without progress after which the server is stalled, as a multiple of the longest usual core time of
 /// its operations. Progress means that a run leaves the cores. A server without runs on its cores is not
--- a/crates/overload-control/src/invocations.rs
+++ b/crates/overload-control/src/invocations.rs
@@ -292,8 +292,8 @@
         states.iter().map(|state| self.counts[*state as usize]).sum::<usize>() as f64
     }
 
-    /// Returns the earliest time at which one of the current runs entered the cores; `None` if no run is on
-    /// the cores.
+    /// Returns the time at which the oldest run on the cores entered the cores; `None` if no run is on the
+    /// cores.
     pub fn oldest_run(&self) -> Option<Nanos> {
         let running = self.active().filter(|(_, invocation)| invocation.state == InvocationState::Running);
         running.map(|(_, invocation)| invocation.state_since).min()
--- a/crates/overload-control/src/operation_times.rs
+++ b/crates/overload-control/src/operation_times.rs
@@ -14,8 +14,8 @@
 /// Growth factor of an operation's lowest core time, applied with each run. Without this growth, a lasting
 /// increase of the core time would never be accepted as normal.
 const LOWEST_TIME_GROWTH: f64 = 1.005;
-/// Ratio of an operation's usual core time to its lowest core time above which concurrent runs are considered
-/// to slow each other down.
+/// Concurrent runs are considered to slow each other down if an operation's usual core time is more than this
+/// multiple of its lowest core time.
 const SLOWED_RATIO: f64 = 1.3;
 
 struct OperationTime {
--- a/crates/overload-control/src/regulator.rs
+++ b/crates/overload-control/src/regulator.rs
@@ -15,8 +15,8 @@
 /// Variance of each coefficient in the initial estimate of the plant, the model of how refusals change the
 /// utilization.
 const PRIOR_VARIANCE: f64 = 1.0;
-/// Factor by which the weight of earlier observations of the utilization is multiplied in each control
-/// period. The plant is estimated from these observations.
+/// Factor by which the weight of earlier observations of the utilization is multiplied in each control period
+/// with refusals. The plant is estimated from these observations. Periods without refusals are not observed.
 const FORGETTING_RATIO: f64 = 0.97;
 /// Value of [`Regulator::variation`] above which the estimated plant is used. Below it the utilization has
 /// varied too little for a reliable estimate.
@@ -41,9 +41,9 @@
     /// Utilization that was passed to the last step of the regulator, from 0 to 1.
     utilization: f64,
     estimator: PlantEstimator,
-    /// Measure of how much the utilization has varied while arrivals were refused. It is a decaying sum over
-    /// the control periods: the change of the utilization multiplied by the refusal time ratio of the basic
-    /// class.
+    /// Measure of how much the utilization has varied while arrivals were refused. For each control period
+    /// with refusals, the change of the utilization is multiplied by the refusal time ratio of the basic
+    /// class. The measure is the decaying sum of these products.
     variation: f64,
 }
 
--- a/crates/overload-control/src/scheduling.rs
+++ b/crates/overload-control/src/scheduling.rs
@@ -8,8 +8,8 @@
 pub struct RunLimits {
     /// Learned limit on the number of runs that are on the cores.
     pub concurrency: f64,
-    /// Maximum number of open runs. An open run is on a core, waits for a downstream call, or has one in
-    /// progress.
+    /// Maximum number of open runs. An open run is on a core, waits to make a downstream call, or has a
+    /// downstream call in progress.
     pub survivable: f64,
     /// Number of cores that the reading of arrivals uses.
     pub reading_threads: f64,
@@ -23,7 +23,7 @@
 
 impl RunLimits {
     /// Whether another run may start. `running` is the number of runs on the cores. `open` also counts the
-    /// runs that wait for a downstream call or have one in progress.
+    /// runs that wait to make a downstream call or have a downstream call in progress.
     pub fn admit(&self, running: f64, open: f64) -> bool {
         let share_max = if self.is_downstream_tier { 0.0 } else { READING_SHARE_MAX };
         let reading = self.reading_threads.min(self.cores * share_max);
--- a/crates/overload-control/src/tenant_quota.rs
+++ b/crates/overload-control/src/tenant_quota.rs
@@ -9,8 +9,8 @@
 /// Capacity of a tenant's token bucket, as the time in seconds in which an empty bucket refills.
 const BURST_SECONDS: f64 = 15.0;
 /// Maximum work ahead of virtual time that fair queueing admits for a tenant of weight 1. The maximum is a
-/// share of the work that the server can do within the shortest latency objective. Without it, an arrival
-/// could be admitted and later rejected because its deadline is too close.
+/// share of the work that the server can do within the shortest latency objective. Without this maximum, an
+/// arrival could be admitted and later rejected because its deadline is too close.
 const IN_SERVER_SHARE: f64 = 0.25;
 
 /// Token bucket of one tenant. Each invocation of the tenant takes one token.
@@ -39,7 +39,7 @@
 pub struct RetryAdvice {
     /// Delay after which the caller should retry.
     pub retry_after: Nanos,
-    /// Ticket with which the server promises to admit the retry; `None` if it made no promise.
+    /// Ticket with which the server promises to admit the retry; `None` if the server made no promise.
     pub ticket: Option<u64>,
 }
 
@@ -107,8 +107,8 @@
 
     /// Notifies the fair queueing scheduler of the end of an invocation that never ran, and returns retry
     /// advice for the caller. The advice is a delay and, if possible, the ticket of a promise of admission.
-    /// The promise takes effect after `promise_after`, or later if the tenant's quota is used up until then.
-    /// Without fair queueing, or if the invocation has run, returns `None` and changes nothing.
+    /// The promise takes effect after `promise_after`, or later if the tenant's quota becomes available only
+    /// later. Without fair queueing, or if the invocation has run, returns `None` and changes nothing.
     pub fn end_with_promise(
         &mut self,
         now: Nanos,
--- a/crates/overload-control/tests/days.rs
+++ b/crates/overload-control/tests/days.rs
@@ -253,8 +253,8 @@
                     cost_hint: rng.random_bool(0.5).then(|| rng.random_range(1..50) * MS),
                 };
                 controller.on_arrival(at, arrival, &mut host);
-                // The time between arrivals is proportional to these factors, each of which applies for 1.5
-                // s. The load varies between half and three times the capacity of the cores.
+                // The mean time between arrivals is proportional to these factors. Each factor applies for
+                // 1.5 s. The load varies between about half and four times the capacity of the cores.
                 let loads = [4, 2, 1, 8];
                 let load = loads[((at - START) / (1500 * MS)) as usize % 4];
                 let next = host.rng.random_range(0..arrival_gap * load / 2 + 1);
--- a/crates/pending-queue/src/late_search.rs
+++ b/crates/pending-queue/src/late_search.rs
@@ -1,5 +1,5 @@
-//! Searches for the first late entry of a queue in run order. An entry is late if its run would end after its
-//! deadline.
+//! Searches for the first late entry of a queue in run order. An entry is late if it may not start
+//! immediately and its run would end after its deadline.
 //!
 //! The search uses a tree whose nodes summarize the entries below them. The summaries contain lateness
 //! computed from earlier usual times, which are called the reference times. Since then the usual times have
@@ -37,14 +37,14 @@
 
 /// Result of a search for the first late entry.
 pub struct SearchResult {
-    /// Location of the first late entry; `None` if all entries end in time.
+    /// Location of the first late entry; `None` if no entry is late.
     pub entry: Option<EntryIndex>,
     /// Number of summaries (tree nodes) and entries that the search inspected, which is its cost.
     pub inspected: u64,
 }
 
-/// State of a search for the first late entry. The search adds each entry that it passes to `ahead`, with the
-/// entry's work at the present usual times.
+/// State of a search for the first late entry. The field `ahead` counts the entries that the search has
+/// passed, with their work at the present usual times.
 pub struct LateSearch<'a> {
     /// Tree of summaries of the queue that is searched.
     pub tree: &'a SumTree,
@@ -63,8 +63,8 @@
 }
 
 impl LateSearch<'_> {
-    /// Returns the first late entry below a node of the tree. Returns `None` if all entries below the node
-    /// end in time.
+    /// Returns the first late entry below a node of the tree. Returns `None` if no entry below the node is
+    /// late.
     pub fn search_node(&mut self, node: usize) -> Option<EntryIndex> {
         self.inspected += 1;
         if self.is_in_time(node) {
--- a/crates/pending-queue/src/summary.rs
+++ b/crates/pending-queue/src/summary.rs
@@ -111,7 +111,7 @@
             left.first_to_reject_for_memory.max(right.first_to_reject_for_memory);
     }
 
-    /// Returns the total work of the entries with the given usual times, in nanoseconds of one core.
+    /// Returns the total work of the entries, computed from `usual_times`, in nanoseconds of one core.
     pub fn work_at(&self, usual_times: &[UsualTimes]) -> f64 {
         self.costs.0.iter().map(|cost| cost.cost_ratio * usual_times[cost.operation].core_ns).sum()
     }
--- a/crates/rate-limit/src/lib.rs
+++ b/crates/rate-limit/src/lib.rs
@@ -9,8 +9,8 @@
 /// Number of slots per second.
 const SLOTS_PER_SECOND: usize = 20;
 const SLOT_NS: Nanos = SECOND_NS / SLOTS_PER_SECOND as Nanos;
-/// Number of stored slots, the intervals in which usage is counted. A window of one second that begins within
-/// a slot overlaps `SLOTS_PER_SECOND + 1` slots.
+/// Number of slots that are stored. A slot is an interval in which usage is counted. A window of one second
+/// that begins within a slot overlaps `SLOTS_PER_SECOND + 1` slots.
 const SLOTS: usize = SLOTS_PER_SECOND + 1;
 
 /// A rate limit over a sliding window of one second. It counts usage in slots of 50 ms and needs constant
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -36,8 +36,8 @@
     pub calls: u64,
     /// Number of probes.
     pub probes: u64,
-    /// Number of calls for which no service was available. This happens if all services are ejected and no
-    /// probe is due.
+    /// Number of calls for which no service was available. This happens if all services are ejected and the
+    /// call cannot be sent as a probe.
     pub unroutable: u64,
 }
 
@@ -197,8 +197,8 @@
 
     /// Chooses a service for an ordinary call. The usual choice is the less loaded of two randomly drawn
     /// services whose slow start is over. A service in slow start is chosen instead if its credit has reached
-    /// a whole call. If all candidates are in slow start, the less loaded of two randomly drawn candidates is
-    /// chosen.
+    /// a whole call and its load is not above that of the usual choice. If all candidates are in slow start,
+    /// the less loaded of two randomly drawn candidates is chosen.
     fn choose_candidate(&mut self, candidates: &[Candidate]) -> Option<usize> {
         let warm: Vec<usize> =
             candidates.iter().filter(|candidate| candidate.is_warm()).map(|warm| warm.service).collect();
--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -34,8 +34,8 @@
     }
 
     /// Adds the service's share of one call to its credit. This share is `ratio` times the full share, which
-    /// is one call in `services`. The credit never exceeds one call. Otherwise a service that was too busy
-    /// for its calls would receive them later as a burst.
+    /// is one call in `services`. The credit never exceeds one call. If it could, a service that was too busy
+    /// for its calls would receive these calls later as a burst.
     pub fn accrue(&mut self, ratio: f64, services: usize) {
         self.credit = (self.credit + ratio / services as f64).min(1.0);
     }
--- a/crates/routing/tests/tier.rs
+++ b/crates/routing/tests/tier.rs
@@ -258,7 +258,7 @@
         (fleet.failed, fleet.ejected_max) = (0, 0);
         fleet.advance(10 * S);
         assert_eq!(fleet.ejected_max, 0);
-        // Failed calls in 10 s, in which the affected server makes about 1,000 calls (100 per second).
+        // Failed calls in 10 s. The affected server makes about 1,000 calls in this time (100 per second).
         fleet.failed
     };
     let (with, without) = (simulate(true), simulate(false));
