--- a/crates/cli/tests/fleet_rollout.rs
+++ b/crates/cli/tests/fleet_rollout.rs
@@ -183,7 +183,8 @@
 }
 
 /// Rollout of a target utilization (`<control reference>`) far below the load, which makes servers reject
-/// calls. The first stage detects this and reverts the one changed server; the other five never change.
+/// calls. The first stage detects the rejections and reverts the one changed server. The other five never
+/// change.
 #[test]
 fn a_bad_change_is_rolled_back_in_its_first_stage() {
     let _exclusive = lock_exclusive();
--- a/crates/configuration/src/tenants.rs
+++ b/crates/configuration/src/tenants.rs
@@ -48,7 +48,7 @@
     pub source: TenantSource,
     /// Part of a call that identifies the network origin of the call; a tenant cannot forge this part.
     pub origin: Origin,
-    /// Factor by which the priority weight of an invocation is multiplied if its tenant exceeds its quota;
+    /// Factor by which the priority weight of an invocation is multiplied if the tenant exceeds its quota;
     /// default 0.1.
     pub surplus_value: f64,
     /// Number of tenants that the log shows by name, 0 to 64; default 8. These are the tenants with the
--- a/crates/overload-control/src/controller/rules.rs
+++ b/crates/overload-control/src/controller/rules.rs
@@ -96,8 +96,9 @@
 
     /// Rule: starts the downstream call of the highest-ranked unanswered run that waits for its call.
     ///
-    /// A run whose operation supports degraded answers continues without its call in three cases: the call is
-    /// not permitted now, the call budget is too low, or an earlier attempt failed.
+    /// A run whose operation supports degraded answers continues without its call in three cases: the fleet's
+    /// shared state denies the call, the call budget is too low, or an earlier attempt to make the call
+    /// failed.
     pub(super) fn start_calls(&mut self, host: &mut dyn Host) -> Option<()> {
         let open = self.open_calls();
         if !self.calls.is_within_limit(open.calling) {
--- a/crates/overload-control/src/lib.rs
+++ b/crates/overload-control/src/lib.rs
@@ -106,7 +106,7 @@
     /// Quota of each tenant in the whole fleet, in invocations per second. The index in this list identifies
     /// a tenant.
     pub tenant_allowance: Vec<f64>,
-    /// Factor by which the priority weight of an invocation is multiplied if its tenant is over its quota.
+    /// Factor by which the priority weight of an invocation is multiplied if the tenant is over its quota.
     pub over_quota_value_ratio: f64,
     /// Settings of fair queueing, which limits tenants that are not listed in the settings. `None` turns fair
     /// queueing off.
--- a/crates/overload-control/src/regulator.rs
+++ b/crates/overload-control/src/regulator.rs
@@ -18,8 +18,8 @@
 /// Factor by which the weight of earlier observations of the utilization is multiplied in each control period
 /// with refusals. The plant is estimated from these observations. Periods without refusals are not observed.
 const FORGETTING_RATIO: f64 = 0.97;
-/// Value of [`Regulator::variation`] above which the estimated plant is used. Below it the utilization has
-/// varied too little for a reliable estimate.
+/// Value of [`Regulator::variation`] above which the estimated plant is used. Below this value, the
+/// utilization has varied too little for a reliable estimate.
 const VARIATION_MIN: f64 = 0.5;
 /// Plausible range of the change of the utilization if all arrivals of a class are refused. An estimated
 /// plant is not used if it predicts a change outside this range for one of the classes.
--- a/crates/pending-queue/src/priority_class_queue.rs
+++ b/crates/pending-queue/src/priority_class_queue.rs
@@ -134,9 +134,9 @@
         (!self.blocks.is_empty()).then(|| self.tree.root().first_to_reject_for_memory.key)
     }
 
-    /// Finds the first late entry: it may not start immediately, and its run would end after its deadline.
-    /// `ahead` contains the number and the work of the entries of higher ranks, which run before the entries
-    /// of this queue.
+    /// Finds the first late entry. An entry is late if it may not start immediately and its run would end
+    /// after its deadline. `ahead` contains the number and the work of the entries of higher ranks, which run
+    /// before the entries of this queue.
     pub fn first_late(
         &self,
         now: Nanos,
--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -11,7 +11,7 @@
 /// State of the slow start of one service at one server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SlowStart {
-    /// Time at which the service last recovered; `None` if it was never unhealthy.
+    /// Time at which the service last recovered; `None` if it has never recovered.
     recovered_at: Option<Nanos>,
     /// Credit of the service, from 0 to 1: the part of a call that it has accumulated. At 1 the service may
     /// receive a call.
