--- a/crates/cli/tests/fleet_rollout.rs
+++ b/crates/cli/tests/fleet_rollout.rs
@@ -182,9 +182,8 @@
     runs[name][1].as_str().unwrap_or("").to_string()
 }
 
-/// Rollout of a target utilization (`<control reference>`) far below the load, which makes servers reject
-/// calls. The first stage detects the rejections and reverts the one changed server. The other five never
-/// change.
+/// Rollout of a target utilization (`<control reference>`) far below the load. One changed server rejects
+/// calls. The first stage detects the rejections and reverts this server. The other five never change.
 #[test]
 fn a_bad_change_is_rolled_back_in_its_first_stage() {
     let _exclusive = lock_exclusive();
--- a/crates/configuration/src/tenants.rs
+++ b/crates/configuration/src/tenants.rs
@@ -51,8 +51,8 @@
     /// Factor by which the priority weight of an invocation is multiplied if the tenant exceeds its quota;
     /// default 0.1.
     pub surplus_value: f64,
-    /// Number of tenants that the log shows by name, 0 to 64; default 8. These are the tenants with the
-    /// highest demand.
+    /// Maximum number of tenants that the log shows by name, 0 to 64; default 8. The log shows the tenants
+    /// with the highest demand.
     pub shown: usize,
     /// Settings of fair queueing: weights, quotas and memory limits.
     pub fair: Settings,
