--- a/crates/cli/tests/fair_queues.rs
+++ b/crates/cli/tests/fair_queues.rs
@@ -107,8 +107,8 @@
 }
 
 /// A server must not overload a downstream service that becomes eight times as slow. To make all downstream
-/// calls, the server would need four concurrent calls on average. Its quota permits one, so the server must
-/// skip calls.
+/// calls, the server would need four concurrent calls on average. Its quota permits one concurrent call, so
+/// the server must skip calls.
 #[test]
 fn a_downstream_service_that_slows_eightfold_is_not_overloaded() {
     let plan = slow_dependency_plan(Duration::from_secs(3), Duration::from_secs(8));
--- a/crates/cli/tests/fleet_membership.rs
+++ b/crates/cli/tests/fleet_membership.rs
@@ -116,8 +116,8 @@
 
 /// Regression test for a suspicion that never ended. A suspicion starts when a member (the prober) gets no
 /// answer to its probe. In earlier versions, only the prober ended the suspicion with a timeout. If the
-/// prober lost its timer, the suspect stayed suspect in all other views. This happened in 2 of about 9 runs
-/// with a one-way cut.
+/// prober lost its timer, the suspect stayed suspect in all other views. The fault occurred in 2 of about 9
+/// runs with a one-way cut.
 #[test]
 fn views_agree_after_a_one_way_cut() {
     let fleet = start_fleet(5, 14);
--- a/crates/cli/tests/fleet_state.rs
+++ b/crates/cli/tests/fleet_state.rs
@@ -111,7 +111,7 @@
 }
 
 /// Control test for the budget tests. Without a shared budget, the load must cause more concurrent calls than
-/// the budget permits. Otherwise the budget tests would prove nothing.
+/// the budget permits. If it did not, the budget tests would prove nothing.
 #[test]
 fn without_a_budget_concurrent_calls_exceed_the_limit() {
     let (fleet, downstream) = start_fleet(21, 5, false);
--- a/crates/cli/tests/scenario_harness/steps.rs
+++ b/crates/cli/tests/scenario_harness/steps.rs
@@ -19,8 +19,8 @@
 
 /// Interval between two connection attempts in the step `come until refused`.
 const CALLERS_INTERVAL: Duration = Duration::from_millis(50);
-/// First words of the steps that may be part of a replay, in which the interpreter resends notices after its
-/// banner. Any other step ends the replay.
+/// Steps that may be part of a replay, by their first word. In a replay, the interpreter resends notices
+/// after its banner. Any other step ends the replay.
 const REPLAY_STEPS: [&str; 6] = ["ok", "ok-big", "awaits", "notice", "long", "waits"];
 
 impl ScenarioHarness {
--- a/crates/configuration/src/replication.rs
+++ b/crates/configuration/src/replication.rs
@@ -28,8 +28,9 @@
     pub pull_period: u64,
     /// Maximum number of bytes per second that a server sends for replication; default 12,000.
     pub bytes_a_second: u64,
-    /// Time in nanoseconds after which a server logs a warning if the leader of the control machines has not
-    /// confirmed that the server holds all revisions; default 60 s.
+    /// Maximum age in nanoseconds of the last confirmation that the server holds all revisions; default 60 s.
+    /// The confirmations come from the leader of the control machines. A server logs a warning if its last
+    /// confirmation is older.
     pub stale_after: u64,
     /// Duration in nanoseconds of the lease that the leader of the control machines holds; default 4 s.
     pub lease: u64,
--- a/crates/overload-control/src/concurrency_limit.rs
+++ b/crates/overload-control/src/concurrency_limit.rs
@@ -1,7 +1,7 @@
 //! Limit on concurrent runs, which the server learns from run times.
 //!
-//! The upper bound of the limit is a share of the survivable concurrency, which is the number of open runs
-//! beyond which the server collapses. An open run has started and not ended.
+//! The upper bound of the limit is a share of the survivable concurrency. With more open runs than the
+//! survivable concurrency, the server collapses. An open run has started and not ended.
 
 use crate::Nanos;
 
@@ -85,9 +85,9 @@
     /// Adapts the limit to the load of the last control period.
     ///
     /// The limit grows if runs reach it while the cores are below their target utilization: the runs then
-    /// wait for something other than a core. Otherwise the limit shrinks if concurrent runs slow each other
-    /// down or the cores are above their target utilization. The limit stays between the number of cores and
-    /// the maximum number of open runs.
+    /// wait for something other than a core. If the limit does not grow, it shrinks in two cases: concurrent
+    /// runs slow each other down, or the cores are above their target utilization. The limit stays between
+    /// the number of cores and the maximum number of open runs.
     pub fn adapt(&mut self, now: Nanos, load: &Load) {
         let binds = load.is_queueing && load.running + 1.0 > self.limit;
         if binds && load.utilization < load.target_utilization {
--- a/crates/overload-control/src/controller/rules.rs
+++ b/crates/overload-control/src/controller/rules.rs
@@ -73,8 +73,8 @@
         Some(())
     }
 
-    /// Rule: answers a repeated invocation, which has the idempotency key of an earlier one, with the result
-    /// of the earlier invocation. The operation does not run again.
+    /// Rule: answers a repeated invocation with the result of the earlier invocation that has the same
+    /// idempotency key. The operation does not run again.
     pub(super) fn replay_results(&mut self, host: &mut dyn Host) -> Option<()> {
         let key = self.invocations.first_pending_repeat()?;
         self.enter(key, InvocationState::Replaying);
--- a/crates/overload-control/src/health.rs
+++ b/crates/overload-control/src/health.rs
@@ -18,9 +18,9 @@
 
 /// Health and readiness of the server.
 pub struct Health {
-    /// Share of recent runs that failed. The half-life of this mean is shorter than that of the usual run
-    /// times, so that failures are detected early. Until the failures are detected, a failing server
-    /// continues to receive arrivals.
+    /// Share of recent runs that failed. The half-life of this mean is shorter than the half-life of the
+    /// usual run times, so that failures are detected early. Until the failures are detected, a failing
+    /// server continues to receive arrivals.
     failing: DecayingMean,
     /// Time at which a run most recently left the cores.
     last_progress: Nanos,
--- a/crates/overload-control/src/lib.rs
+++ b/crates/overload-control/src/lib.rs
@@ -1,10 +1,11 @@
 //! Overload control of one server of a fleet: admission, scheduling, deadlines, downstream calls, health and
 //! graceful shutdown. The controller uses only measurements of its own server.
 //!
-//! A host is the program that embeds the controller. It creates a [`controller::Controller`] from a
-//! [`Deployment`] and reports events to it (`on_arrival`, `on_run_finished`, ...). With each event the host
-//! passes its implementation of [`Host`], which carries out the controller's decisions. The crate is
-//! independent of any network protocol. Times are nanoseconds of a monotonic clock with an arbitrary epoch.
+//! A host is the program that embeds the controller. The host creates a [`controller::Controller`] from a
+//! [`Deployment`] and reports events to the controller (`on_arrival`, `on_run_finished`, ...). With each
+//! event the host passes its implementation of [`Host`], which carries out the controller's decisions. The
+//! crate is independent of any network protocol. Times are nanoseconds of a monotonic clock with an arbitrary
+//! epoch.
 
 #![deny(missing_docs, clippy::too_many_lines)]
 
--- a/crates/pending-queue/src/lib.rs
+++ b/crates/pending-queue/src/lib.rs
@@ -1,11 +1,11 @@
 //! The pending queue of a server: admitted invocations that wait for a core.
 //!
 //! A [`PendingQueue`] contains [`Entry`]s in the order in which they will run, in one queue per rank
-//! (priority class). It also contains their deadlines by operation. The controller makes the decisions and
-//! queries the queue for the data: the next entry to run, overdue entries, the entry of the lowest priority,
-//! the queued work, and the entry to reject so that the others meet their deadlines. None of these queries
-//! walks all entries; `docs/pending-queue.md` lists their costs. Times are nanoseconds of a single monotonic
-//! clock. Work is in nanoseconds of one core.
+//! (priority class). The queue also contains the deadlines of the entries, by operation. The controller makes
+//! the decisions and queries the queue for the data: the next entry to run, overdue entries, the entry of the
+//! lowest priority, the queued work, and the entry to reject so that the others meet their deadlines. None of
+//! these queries walks all entries; `docs/pending-queue.md` lists their costs. Times are nanoseconds of a
+//! single monotonic clock. Work is in nanoseconds of one core.
 
 #![deny(missing_docs, clippy::too_many_lines)]
 
