--- a/crates/fair-queueing/src/demand.rs
+++ b/crates/fair-queueing/src/demand.rs
@@ -33,7 +33,7 @@
     }
 }
 
-/// Demand of a group of tenants for work. All tenants of the group have the same demand and the same weight.
+/// Demand for work by a group of tenants. All tenants of the group have the same demand and the same weight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Demand {
     /// Demand of each tenant of the group, in cores.
--- a/crates/fair-queueing/src/hyperloglog.rs
+++ b/crates/fair-queueing/src/hyperloglog.rs
@@ -5,9 +5,9 @@
 use crate::Nanos;
 use crate::tenant::Fingerprint;
 
-/// Largest raw estimate for which linear counting is used instead, as a multiple of the number of registers.
-/// Linear counting derives the number of names from the number of empty registers, which is more accurate for
-/// small counts.
+/// Largest raw HyperLogLog estimate that is replaced by linear counting, as a multiple of the number of
+/// registers. Linear counting derives the number of names from the number of empty registers, which must not
+/// be 0. This is more accurate for small counts.
 const LINEAR_COUNTING_MAX: f64 = 2.5;
 
 /// A HyperLogLog estimator with `N` one-byte registers.
--- a/crates/fair-queueing/src/origins.rs
+++ b/crates/fair-queueing/src/origins.rs
@@ -2,8 +2,9 @@
 //! connection or a sender that the operator trusts, so a sender cannot forge its origin.
 //!
 //! All newcomers of an origin share one [`Origin`] record, as if they were a single tenant. If an origin
-//! sends more distinct names than allowed, the weight of each name decreases. A sender that invents names
-//! therefore gains no more than one tenant's share.
+//! sends more distinct names than allowed, the weight of each established name decreases. All these names
+//! together then have about the weight of the allowed number of names. A sender thus gains little by
+//! inventing names.
 
 use crate::Nanos;
 use crate::demand::{DecayingRate, Demand};
@@ -21,7 +22,7 @@
 /// probation is the minimum time until a new name becomes established
 /// ([`Settings::probation`](crate::settings::Settings::probation)).
 const WINDOW_PROBATIONS: u64 = 8;
-/// Sampling interval of names: on average, one of this many names is selected, by its fingerprint. Only the
+/// Sampling interval of names: on average, one of this many names is selected by its fingerprint. Only the
 /// first arrival in a time window and arrivals with a selected name compute a new estimate of the number of
 /// names that their origin has sent. Other arrivals use the latest estimate, since a new estimate must read
 /// all registers.
--- a/crates/fair-queueing/src/scheduler.rs
+++ b/crates/fair-queueing/src/scheduler.rs
@@ -11,8 +11,8 @@
 use crate::tenant::{Fingerprint, FingerprintKey, TenantKey};
 use crate::usage::{LocatedArrival, RateSnapshot, Usage, UsageLocation};
 
-/// A promise is honoured if its shortfall is at most this ratio of the predicted advance of virtual time. The
-/// shortfall is how far virtual time is behind the start of the reservation when the retry arrives.
+/// Maximum shortfall at which a promise to admit a retry is honoured, as a ratio of the predicted advance of
+/// virtual time. The shortfall is how far virtual time is behind the start of the reservation at the retry.
 const SHORTFALL_MAX_RATIO: f64 = 0.5;
 /// Minimum work of an arrival, in nanoseconds of one core. Smaller values from the caller are raised to this
 /// minimum.
@@ -241,7 +241,7 @@
     }
 
     /// Records the end of an arrival. If the arrival's estimated work was charged to its tenant's share, the
-    /// charge is corrected to the work that the arrival really used.
+    /// charge is corrected to the work that the arrival really used. A tenant in the sketch gets no refund.
     pub fn end_service(&mut self, now: Nanos, admission: &Admission, outcome: ServiceOutcome) {
         self.advance(now);
         let used = match outcome {
@@ -263,8 +263,8 @@
         }
     }
 
-    /// Updates the tenant's learned ratio (used work divided by usually needed work) after an arrival has run.
-    /// Has no effect if the tenant's account was evicted while the arrival ran.
+    /// Updates the tenant's learned ratio (used work divided by usually needed work) after an arrival has
+    /// run. Has no effect if the tenant's account was evicted while the arrival ran.
     fn learn_ratio(&mut self, admission: &Admission, used: f64) {
         if let Some(ratio) = self.usage.ratio_mut(admission.location) {
             ratio.learn(used / admission.usual_work);
@@ -281,12 +281,12 @@
 
     /// Returns how long a rejected arrival should wait before its retry and, if possible, a promise to admit
     /// the retry. The wait lasts until the tenant's share has capacity, but at least `wait_min` nanoseconds.
-    /// No promise is issued if the wait would be too long or too many promises are active.
+    /// No promise is issued if the wait would be too long or too many promises are active. The returned wait
+    /// is then between half of [`Settings::promise_max`] and all of it.
     ///
     /// Promises to one tenant are spaced at its fair rate, so repeated requests get later and later times. A
-    /// tenant with an account, or an origin's newcomers, are charged only when a promise is redeemed, so a
-    /// lapsed promise costs them nothing. A tenant in the sketch is charged when the promise is issued, with
-    /// no refund if the promise lapses.
+    /// tenant is charged when a promise is redeemed, so a lapsed promise costs nothing. A tenant in the
+    /// sketch is instead charged when a promise is issued, with no refund if the promise lapses.
     pub fn promise(&mut self, now: Nanos, admission: &Admission, wait_min: Nanos) -> RetryAdvice {
         let now = self.advance(now);
         let (virtual_time, cores) = (self.rate.virtual_time(), self.rate.cores());
--- a/crates/fair-queueing/src/settings.rs
+++ b/crates/fair-queueing/src/settings.rs
@@ -19,7 +19,7 @@
 /// array of hashed cells that records the usage of tenants without an account.
 const CELLS_PER_KNOWN_NAME: usize = 4;
 
-/// Settings of fair queueing. The limits in the settings bound the memory use, even if senders invent names
+/// Settings of fair queueing. The limits in the settings bound the memory use for any number of tenant names
 /// and origins.
 #[derive(Clone, Debug)]
 pub struct Settings {
@@ -31,7 +31,8 @@
     /// Maximum number of origins that have a slot of their own in the table of origins. If there are more
     /// origins, the additional origins share these slots.
     pub origins: usize,
-    /// Maximum number of promises that are active at the same time. Each promise is to admit one retry.
+    /// Maximum number of promises that are active at the same time. A promise states that one retry of a
+    /// rejected arrival will be admitted.
     pub promises: usize,
     /// Maximum number of tenant names that one origin may send at full weight. If an origin sends more names,
     /// the weight of each name decreases. The origin therefore gains nothing from additional names.
--- a/crates/fair-queueing/tests/promises.rs
+++ b/crates/fair-queueing/tests/promises.rs
@@ -250,8 +250,8 @@
 
     /// A new arrival waits for a bounded number of arrivals of each other tenant, even if that tenant has
     /// many queued arrivals. The bound follows from the work of that tenant's longest invocation, divided by
-    /// its weight. Here all arrivals have equal work, and the new arrival's tenant has weight 1. At most
-    /// `weight + 1` arrivals of a tenant with weight `weight` are then served before the new arrival.
+    /// that tenant's weight. Here all arrivals have equal work, and the new arrival's tenant has weight 1. At
+    /// most `weight + 1` arrivals of a tenant with weight `weight` are then served before the new arrival.
     #[test]
     fn an_arrival_waits_behind_at_most_one_of_each_other_tenant(
         queues in prop::collection::vec((1u32..10, 1u64..60), 2..12),
--- a/crates/fair-queueing/tests/shares.rs
+++ b/crates/fair-queueing/tests/shares.rs
@@ -152,7 +152,7 @@
     let used = simulate(&[honest, flood], 4.0, 60, settings);
     let demanded = 100.0 * 0.01 * counted_seconds(60);
     assert!(total(&used[0]) > 0.95 * demanded, "{} of {demanded}", total(&used[0]));
-    // `share` is the capacity that the honest tenants leave. The sender may use this capacity, plus a
+    // `share` is the capacity that the honest tenants leave. The sender may use at most this capacity, plus a
     // tolerance of 10 %. An origin may send 128 names at full weight, so all names of the sender together may
     // get the share of 128 honest names.
     let share = 4.0 * 0.9 * counted_seconds(60) - demanded;
--- a/crates/hot-restart/src/frames.rs
+++ b/crates/hot-restart/src/frames.rs
@@ -78,9 +78,9 @@
     },
     /// The successor reports that it has loaded the state.
     Loaded,
-    /// The predecessor has frozen and sends the changes that it made after it sent the state. The changes
-    /// form a single message. The predecessor must therefore freeze while the changes still fit into
-    /// [`MESSAGE_BYTES_MAX`] with a few bytes of overhead.
+    /// The predecessor has frozen (stopped all activity) and sends the changes that it made after it sent the
+    /// state. The changes form a single message. The predecessor must therefore freeze while the changes
+    /// still fit into [`MESSAGE_BYTES_MAX`] with a few bytes of overhead.
     Switch {
         /// Content of the changes.
         changes: Vec<u8>,
@@ -90,12 +90,12 @@
     /// The predecessor releases the successor, that is, makes it the active process.
     Release,
     /// The successor announces an answer before it sends the answer to the caller. Announcements are sent as
-    /// long as the predecessor can still resume.
+    /// long as the predecessor can still resume service.
     Announce(AnnouncedAnswer),
-    /// The successor reports the end of the trial, a period in which it is active and the predecessor can
-    /// resume.
+    /// The successor reports the end of the trial. During the trial, the successor is active, but the
+    /// predecessor can still resume service.
     TrialOver,
-    /// The predecessor reports that it has retired and can no longer resume.
+    /// The predecessor reports that it has retired and can no longer resume service.
     Retired,
     /// The predecessor forwards a drain request. After the release, the successor is active and must drain.
     Drain {
--- a/crates/hot-restart/src/predecessor.rs
+++ b/crates/hot-restart/src/predecessor.rs
@@ -14,7 +14,7 @@
     /// successor is active.
     pub switch: Nanos,
     /// Duration of the trial, in nanoseconds. During the trial, the successor is active and the predecessor
-    /// can still resume. The predecessor waits at most twice this time for the end of the trial.
+    /// can still resume service. The predecessor waits at most twice this time for the end of the trial.
     pub trial: Nanos,
     /// Time from the first failed upgrade attempt until the next attempt may start, in nanoseconds. Each
     /// further failure doubles this time.
@@ -46,13 +46,13 @@
     /// confirmed the handover and is released.
     Switching,
     /// The successor is active on trial. The predecessor keeps everything that it handed over, so that it can
-    /// resume.
+    /// resume service if the successor fails.
     Trial,
     /// The upgrade failed, and the successor is being killed. The successor's announcements of answers are
     /// read until the end of the stream. Meanwhile, the predecessor is active if it had not released the
     /// successor yet.
     Aborting,
-    /// The upgrade succeeded. The predecessor can no longer resume.
+    /// The upgrade succeeded. The predecessor can no longer resume service.
     Retired,
 }
 
--- a/crates/hot-restart/src/successor.rs
+++ b/crates/hot-restart/src/successor.rs
@@ -22,15 +22,16 @@
     Loaded,
     /// The successor has applied all changes and waits for the release, which makes it active.
     Confirmed,
-    /// The successor is active, and the predecessor can still resume. Each answer is announced to the
-    /// predecessor before it is sent to the caller.
+    /// The successor is active, and the predecessor can still resume service. The successor announces each
+    /// answer to the predecessor before it sends the answer to the caller.
     Trial,
     /// The successor is active and has reported the end of the trial to the predecessor. Until the
-    /// predecessor retires, each answer is still announced before it is sent.
+    /// predecessor retires, the successor still announces each answer before it sends the answer.
     TrialOver,
-    /// The successor is active, and the predecessor can no longer resume.
+    /// The successor is active, and the predecessor can no longer resume service.
     Independent,
-    /// The successor's process must exit at once. The predecessor still owns all state and connections.
+    /// The successor's process must exit at once. The process was never released, so it owns no state and no
+    /// connections.
     Exited,
 }
 
@@ -88,7 +89,7 @@
         /// Time from the drain request until the process is stopped, in nanoseconds.
         grace: Nanos,
     },
-    /// End the successor's process. At this time, the predecessor still owns all state and connections.
+    /// End the successor's process. The process was never released, so it owns no state and no connections.
     Exit,
 }
 
@@ -99,7 +100,7 @@
     /// Time limit for each step of the predecessor, in nanoseconds.
     step_timeout: Nanos,
     /// Duration of the trial, in nanoseconds. During the trial, the successor is active and the predecessor
-    /// can still resume.
+    /// can still resume service.
     trial: Nanos,
     /// Time at which the current phase times out. The value is unused in phases without a timeout.
     deadline: Nanos,
@@ -145,7 +146,7 @@
 
     /// Returns the frame that announces an answer. The caller must send this frame to the predecessor before
     /// it sends the answer. Returns `None` if no announcement is needed: the successor is not active, or the
-    /// predecessor can no longer resume.
+    /// predecessor can no longer resume service.
     pub fn announce(&self, answer: AnnouncedAnswer) -> Option<Frame> {
         matches!(self.phase, Phase::Trial | Phase::TrialOver).then_some(Frame::Announce(answer))
     }
--- a/crates/shared-state/src/budget/election.rs
+++ b/crates/shared-state/src/budget/election.rs
@@ -5,8 +5,8 @@
 //! ([`Time::slow`]). A candidate counts its term from the time of its vote request, by its fast clock
 //! ([`Time::fast`]). The term therefore ends before the candidate's voters can vote for another server.
 //!
-//! Votes are not stored on disk. A restarted voter therefore does not vote for as long as a vote of its
-//! earlier incarnation may last.
+//! Votes are not stored on disk. A restarted voter therefore grants no vote until every vote of its
+//! earlier incarnation must have expired.
 
 use super::grantor::LeaseTable;
 use super::message::Term;
@@ -191,8 +191,9 @@
         number
     }
 
-    /// Grants this server's vote to a candidate, if the vote is free or the candidate already has it. The
-    /// vote lasts for one term duration plus the drift margin. Returns whether the vote was granted.
+    /// Grants this server's vote to a candidate if no other candidate has the vote. Before this server takes
+    /// part in elections, it grants no vote. The vote lasts for one term duration plus the drift margin.
+    /// Returns whether the vote was granted.
     pub fn vote_for(&mut self, time: Time, settings: &BudgetSettings, candidate: &ServerId) -> bool {
         let free = match &self.vote {
             Some(vote) => vote.candidate == *candidate || time.slow >= vote.expires_at,
--- a/crates/shared-state/src/budget/fair_share.rs
+++ b/crates/shared-state/src/budget/fair_share.rs
@@ -14,9 +14,10 @@
 /// No server gets more than it wants. Servers that want more than an equal part get equal parts of the
 /// remaining units.
 ///
-/// Units that cannot be divided equally go to the servers that hold most. Among servers that hold equally
-/// many, these units go to those with the higher index. For example, if two servers want a single unit and
-/// one of them holds it, that server keeps it.
+/// Units that cannot be divided equally go to the servers that want most. If servers want the same number of
+/// units, the server that holds more units is preferred. If they also hold the same number, the server with
+/// the higher index is preferred. For example, if two servers want a single unit and one of them holds it,
+/// that server keeps it.
 pub(super) fn fair_share(capacity: u64, demands: &[Demand], index: usize) -> u64 {
     let mut order: Vec<usize> = (0..demands.len()).collect();
     order.sort_by_key(|i| (demands[*i], *i));
--- a/crates/shared-state/src/budget/holder.rs
+++ b/crates/shared-state/src/budget/holder.rs
@@ -13,8 +13,8 @@
 /// Number of recent lease requests whose send times are stored. A grant that answers an older request is
 /// dropped, since the duration of a lease is counted from the send time of its request.
 const REQUESTS_MAX: usize = 8;
-/// Maximum number of consecutive lease requests that the grantor may leave unanswered. The next request then
-/// goes to a random voter.
+/// Maximum number of consecutive lease requests that the grantor may leave unanswered. After this many
+/// unanswered requests, the next request goes to a random voter.
 const UNANSWERED_MAX: u32 = 2;
 
 /// Units of a budget that this server may use now.
@@ -131,7 +131,7 @@
     }
 
     /// Handles a reply to a lease request that grants no lease. `grantor` is the name of the grantor, or
-    /// `None` if the sender of the reply does not know the grantor.
+    /// `None` if the reply names no voter as the grantor.
     pub fn redirect(&mut self, grantor: Option<String>) {
         self.unanswered = 0;
         self.grantor = grantor;
--- a/crates/shared-state/src/budget/message.rs
+++ b/crates/shared-state/src/budget/message.rs
@@ -69,11 +69,11 @@
         /// Number of granted units. Units of the receiver's floor (its guaranteed minimum) are not included.
         amount: u64,
     },
-    /// Reply to a [`BudgetMessage::LeaseRequest`] that grants no lease. The reply names the grantor if the
-    /// sender knows the grantor.
+    /// Reply to a [`BudgetMessage::LeaseRequest`] that grants no lease. The reply may name the grantor.
     Redirect {
-        /// Name of the grantor, or `None` if the sender does not know the grantor. If the sender names
-        /// itself, it is the grantor but does not grant leases yet.
+        /// Name of the grantor. The value is `None` if the sender does not know the grantor, or if the sender
+        /// is the grantor and its table of holders is full. If the sender names itself, it is the grantor but
+        /// does not grant leases yet.
         grantor: Option<String>,
     },
 }
--- a/crates/shared-state/src/budget/mod.rs
+++ b/crates/shared-state/src/budget/mod.rs
@@ -274,8 +274,8 @@
     }
 
     /// Handles a reply to a lease request that grants no lease. `grantor` is the name of the grantor, or
-    /// `None` if the sender does not know the grantor. A sender that names itself is the grantor but does not
-    /// grant leases yet.
+    /// `None` if the sender does not know the grantor or has no free entry for this server. A sender that
+    /// names itself is the grantor but does not grant leases yet.
     fn handle_redirect(&mut self, time: Time, grantor: Option<String>) {
         let grantor = grantor.filter(|name| self.settings.is_voter(name));
         if grantor.is_some() {
--- a/crates/shared-state/src/budget/settings.rs
+++ b/crates/shared-state/src/budget/settings.rs
@@ -190,7 +190,8 @@
         self.voters.len() / 2 + 1
     }
 
-    /// Returns whether the server `name` is one of the voters.
+    /// Returns whether the settings list the server `name` as a voter. Only voters elect the grantor or
+    /// become the grantor.
     pub(super) fn is_voter(&self, name: &str) -> bool {
         self.voters.iter().any(|voter| voter == name)
     }
--- a/crates/shared-state/src/counters.rs
+++ b/crates/shared-state/src/counters.rs
@@ -98,7 +98,7 @@
     /// A count in the row is too large for the time since the start of the row's server.
     #[error("row: a count is larger than its server can have reached since its start")]
     Implausible,
-    /// The row belongs to this server's own incarnation, but has larger counts than this server. Either
+    /// The row belongs to this server's own incarnation, but has a larger count than this server. Either
     /// another server has the same name and incarnation, or this server has restarted with its old
     /// incarnation and lower counts. This server must switch to a later incarnation
     /// ([`FleetCounters::renew`]).
@@ -114,8 +114,8 @@
     /// Number of rows rejected because a count is too large for the time since the row's server started
     /// ([`RejectedRow::Implausible`]).
     pub implausible: u64,
-    /// Number of rows of this server itself that were rejected because their counts are larger than this
-    /// server's own counts ([`RejectedRow::Own`]).
+    /// Number of rows of this server itself that were rejected because a count is larger than this server's
+    /// own count ([`RejectedRow::Own`]).
     pub own: u64,
 }
 
@@ -139,8 +139,8 @@
     pub end: Option<ServerId>,
 }
 
-/// Result of comparing this server's rows in a range of server incarnations with the versions at another
-/// server.
+/// Result of comparing the versions of counter rows at this server with the versions at another server. Only
+/// the rows in a range of server incarnations are compared.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Comparison {
     /// Rows for which this server has a newer version than the other server.
--- a/crates/shared-state/src/outlier_detection/evidence.rs
+++ b/crates/shared-state/src/outlier_detection/evidence.rs
@@ -68,8 +68,8 @@
     }
 
     /// Returns whether a call that took `duration` nanoseconds is slow compared with the recorded calls to
-    /// all services. The limit is [`SLOW_RATIO`] times the mean duration of these calls. Returns false if no
-    /// service has enough calls.
+    /// all services. The limit is [`SLOW_RATIO`] times the mean duration of these calls. Services with fewer
+    /// than [`CALLS_MIN`] calls are left out. Returns false if no service remains.
     ///
     /// [`Evidence::health`] instead compares the mean duration of one service with the median of the other
     /// services. Unlike `health`, `is_slow` also works if only one service has enough calls.
--- a/crates/shared-state/src/permits.rs
+++ b/crates/shared-state/src/permits.rs
@@ -36,12 +36,12 @@
     /// Open calls by call number.
     open: BTreeMap<u64, OpenCall>,
     /// For each abandoned call, the time at which its unit becomes free, by this server's slow clock
-    /// ([`Time::slow`]). The call can no longer be running at the service then. The times are in ascending
-    /// order.
+    /// ([`Time::slow`]). By then, the call can no longer be running at the service. The times are in
+    /// ascending order.
     abandoned_until: VecDeque<Nanos>,
     /// Number of calls that were waiting for a unit when a call was last refused a unit.
     waiting: TimestampedUnits,
-    /// Largest number of units that were in use at any recent time.
+    /// Largest number of units that were in use at one time in the recent past.
     peak: TimestampedUnits,
     /// Number of calls that were refused a unit since the server started.
     pub refused: u64,
@@ -71,8 +71,8 @@
     }
 
     /// Releases the unit of a call that has ended at this server. `certain` means that the call has also
-    /// ended at the service. Otherwise the unit stays in use until `use_max` nanoseconds after the last
-    /// permitted write of the call. If no write was permitted, the time is counted from `acquire`.
+    /// ended at the service. If `certain` is false, the unit stays in use until `use_max` nanoseconds after
+    /// the last permitted write of the call. If no write was permitted, the time is counted from `acquire`.
     pub fn release(&mut self, call: u64, certain: bool, use_max: Nanos) {
         let Some(open) = self.open.remove(&call) else { return };
         if certain {
--- a/crates/shared-state/src/simulation/mod.rs
+++ b/crates/shared-state/src/simulation/mod.rs
@@ -52,8 +52,8 @@
     pub call_duration: Nanos,
     /// Time from the permit of a call until the server sends the call, in nanoseconds.
     pub send_delay: Nanos,
-    /// Number of calls that had a permit but were never sent. Either the server was suspended between the
-    /// permit and the write until the permit was no longer valid, or the server's process had ended.
+    /// Number of calls that had a permit but were never sent. Either the server was suspended for so long
+    /// that the permit was no longer valid, or the server's process had ended.
     pub withheld: u64,
     /// Number of calls that are in progress at the dependency now.
     pub in_use: u64,
--- a/crates/shared-state/src/state.rs
+++ b/crates/shared-state/src/state.rs
@@ -293,8 +293,8 @@
     }
 
     /// Replies to a received digest with the counter rows of which this server has a newer version than the
-    /// sender. If the sender requests a digest in return, this server also sends its own digest of the same
-    /// range, limited to [`DIGEST_ROWS_MAX`] rows.
+    /// sender. At most [`ROW_DATAGRAMS_MAX`] messages with rows are sent. If the sender requests a digest in
+    /// return, this server also sends its own digest of the same range, limited to [`DIGEST_ROWS_MAX`] rows.
     fn handle_digest(
         &mut self,
         from: &ServerId,
--- a/crates/shared-state/tests/clock.rs
+++ b/crates/shared-state/tests/clock.rs
@@ -11,8 +11,8 @@
     assert_eq!(read(&mut clock, 100, 900), Time { fast: 0, slow: 0 });
     assert_eq!(read(&mut clock, 110, 910), Time { fast: 10, slow: 10 });
     // In the next three readings, first the monotonic clock stops, then the wall clock jumps back, and then
-    // the wall clock jumps ahead by an hour. The fast bound follows the larger advance, the slow bound the
-    // smaller.
+    // the wall clock jumps ahead by an hour. The fast bound follows the larger advance of the two clocks, and
+    // the slow bound follows the smaller advance.
     assert_eq!(read(&mut clock, 110, 920), Time { fast: 20, slow: 10 });
     assert_eq!(read(&mut clock, 120, 500), Time { fast: 30, slow: 10 });
     assert_eq!(read(&mut clock, 130, 3600 * S), Time { fast: 30 + 3600 * S - 500, slow: 20 });
--- a/crates/shared-state/tests/fleet.rs
+++ b/crates/shared-state/tests/fleet.rs
@@ -253,7 +253,7 @@
 
 /// A malicious peer that has the fleet's key must not be able to exceed the budget. Its unsolicited or
 /// excessive grants, and its rows with huge counts, must be rejected and counted. Its lease requests demand a
-/// huge number of units and claim a grant that the peer never received, and must be counted as invalid.
+/// huge number of units and claim a grant that was never sent. These requests must be counted as invalid.
 #[test]
 fn a_malicious_peer_gains_nothing() {
     let mut fleet = overloaded_fleet(10, lan());
@@ -368,8 +368,8 @@
     fleet.run_until(12 * S);
     let since = run_for(&mut fleet, 6 * S);
     let even = fleet.mean_use(since) / total as f64;
-    // A tenth of the servers now have five times as much demand as their share of the budget. The others have
-    // less than half as much demand as their share.
+    // A tenth of the servers now have five times as much demand as their share of the budget. The other
+    // servers have less than half as much demand as their share.
     (0..n).for_each(|i| fleet.set_demand(i, if i % 10 == 0 { 300.0 } else { 20.0 }));
     run_for(&mut fleet, 2 * LEASE);
     let since = run_for(&mut fleet, 6 * S);
