--- a/crates/fair-queueing/src/accounts.rs
+++ b/crates/fair-queueing/src/accounts.rs
@@ -44,11 +44,11 @@
     /// of an evicted account is therefore detected as invalid.
     serial: u32,
     used_at: Nanos,
-    /// Index of the next entry in the LRU list towards more recent use, or [`NONE`] for the most recently
-    /// used entry.
+    /// Index of the neighbour in the LRU list that was used more recently than this entry. [`NONE`] if this
+    /// entry is the most recently used.
     newer: u32,
-    /// Index of the next entry in the LRU list towards less recent use, or [`NONE`] for the least recently
-    /// used entry.
+    /// Index of the neighbour in the LRU list that was used less recently than this entry. [`NONE`] if this
+    /// entry is the least recently used.
     older: u32,
 }
 
@@ -98,9 +98,9 @@
 
     /// Marks a tenant as named (listed by name in the settings), so that its account is never evicted. An
     /// existing account of the tenant keeps its recorded usage and gets the weight of `account`. If the
-    /// tenant has no account, `account` is inserted. In a full table, it replaces the least recently used
-    /// account. The settings allow at most half as many named tenants as accounts, so an account that can be
-    /// replaced always exists.
+    /// tenant has no account, `account` is inserted. If the table is full, `account` replaces the least
+    /// recently used account. The settings allow at most half as many named tenants as accounts, so an
+    /// account that can be replaced always exists.
     pub fn pin(&mut self, fingerprint: Fingerprint, mut account: Account) {
         account.named = true;
         if let Some(index) = self.indices.get(&fingerprint).copied() {
--- a/crates/fair-queueing/src/counters.rs
+++ b/crates/fair-queueing/src/counters.rs
@@ -11,7 +11,7 @@
     /// have had the name and enough time has passed since the first arrival.
     pub newcomers: u64,
     /// Number of arrivals whose usage was recorded in the sketch (an approximate record in fixed memory). The
-    /// sketch is used for a known tenant name if no account is available.
+    /// sketch is used for an established tenant if no account is available.
     pub sketched: u64,
     /// Number of accounts evicted so that another tenant could get an account.
     pub evicted: u64,
--- a/crates/fair-queueing/src/fair_rate.rs
+++ b/crates/fair-queueing/src/fair_rate.rs
@@ -44,8 +44,8 @@
 }
 
 impl FairRate {
-    /// Creates the state with a fair rate of `cores` for a tenant of weight 1. Until the first
-    /// [`FairRate::update`], virtual time advances as if the capacity met all demand.
+    /// Creates the fair rate and the virtual time. The initial fair rate is `cores` for a tenant of weight 1.
+    /// Until the first [`FairRate::update`], virtual time advances as if the capacity met all demand.
     pub fn new(cores: f64, now: Nanos) -> Self {
         Self {
             virtual_time: 0.0,
--- a/crates/fair-queueing/src/scheduler.rs
+++ b/crates/fair-queueing/src/scheduler.rs
@@ -14,8 +14,8 @@
 /// Maximum shortfall at which a promise to admit a retry is honoured, as a ratio of the predicted advance of
 /// virtual time. The shortfall is how far virtual time is behind the start of the reservation at the retry.
 const SHORTFALL_MAX_RATIO: f64 = 0.5;
-/// Minimum work of an arrival, in nanoseconds of one core. Smaller values from the caller are raised to this
-/// minimum.
+/// Minimum work of an arrival's operation, in nanoseconds of one core. Smaller values from the caller are
+/// raised to this minimum.
 const WORK_MIN: f64 = 1.0;
 const SECOND_NS: f64 = 1e9;
 
--- a/crates/fair-queueing/src/settings.rs
+++ b/crates/fair-queueing/src/settings.rs
@@ -11,7 +11,7 @@
 use thiserror::Error;
 
 const SECOND_NS: Nanos = 1_000_000_000;
-/// Minimum number of accounts (usage records) that are left for tenants that the settings do not name.
+/// Minimum number of accounts (usage records) for tenants that the settings do not list by name.
 const UNNAMED_ACCOUNTS: usize = 16;
 /// Minimum value of [`Settings::cells`], the number of cells in the sketch of used shares.
 const CELLS_MIN: usize = 64;
--- a/crates/fair-queueing/src/tenant.rs
+++ b/crates/fair-queueing/src/tenant.rs
@@ -4,7 +4,7 @@
 use std::hash::Hasher;
 
 /// A tenant's name, as sent in invocations, and the tenant's weight. The weight is greater than 0, and a
-/// tenant's share is proportional to it.
+/// tenant's share is proportional to its weight.
 pub type NamedTenant = (Vec<u8>, f64);
 
 /// A 128-bit keyed hash of a tenant's name, which identifies the tenant internally. The bits of the hash are
--- a/crates/fair-queueing/src/usage.rs
+++ b/crates/fair-queueing/src/usage.rs
@@ -202,8 +202,8 @@
         }
     }
 
-    /// Returns the start tags that the next arrivals in the tenant's two queues will get. Returns `None` for
-    /// a tenant in the sketch, which stores no queue tails.
+    /// Returns the start tags that the next arrivals in the tenant's two queues will get. Returns `None` if
+    /// no queue tails are stored, as for a tenant in the sketch.
     pub fn tails_mut(&mut self, location: UsageLocation) -> Option<&mut QueueTails> {
         match location {
             UsageLocation::Account(slot) => self.accounts.get_mut(slot).map(|account| &mut account.tails),
@@ -212,8 +212,8 @@
         }
     }
 
-    /// Returns the virtual time up to which the tenant's share is reserved for promises. Returns `None` for a
-    /// tenant in the sketch, which stores no reservations.
+    /// Returns the virtual time up to which the tenant's share is reserved for promises. Returns `None` if no
+    /// reservations are stored, as for a tenant in the sketch.
     pub fn booked_until_mut(&mut self, location: UsageLocation) -> Option<&mut f64> {
         match location {
             UsageLocation::Account(slot) => {
--- a/crates/fair-queueing/tests/shares.rs
+++ b/crates/fair-queueing/tests/shares.rs
@@ -19,8 +19,8 @@
     rate: f64,
     work: Nanos,
     weight: f64,
-    /// Number of tenant names that each sender of the group uses in rotation. It is 1 for honest tenants, and
-    /// more for a sender that invents names.
+    /// Number of tenant names that each sender of the group uses in rotation. The number is 1 for honest
+    /// tenants, and more for a sender that invents names.
     names: u64,
     origin: u64,
 }
--- a/crates/hot-restart/src/predecessor.rs
+++ b/crates/hot-restart/src/predecessor.rs
@@ -118,7 +118,8 @@
     parts: u32,
     /// Answers that the successor has announced during the trial.
     announced: Vec<AnnouncedAnswer>,
-    /// Whether the predecessor has released the successor. After the release, the successor may have acted.
+    /// Whether the predecessor has released the successor, that is, made it the active process. After the
+    /// release, the successor may have acted.
     has_released: bool,
     /// Whether the successor's process has exited.
     successor_exited: bool,
--- a/crates/hot-restart/src/successor.rs
+++ b/crates/hot-restart/src/successor.rs
@@ -17,8 +17,8 @@
     Receiving,
     /// Loading the state.
     Loading,
-    /// The successor has loaded the state. It waits for the switch, a message with the changes since the
-    /// state was sent.
+    /// The successor has loaded the state. It waits for the switch, a message with the changes that the
+    /// predecessor made after it sent the state.
     Loaded,
     /// The successor has applied all changes and waits for the release, which makes it active.
     Confirmed,
--- a/crates/shared-state/src/budget/election.rs
+++ b/crates/shared-state/src/budget/election.rs
@@ -121,8 +121,8 @@
         self.rank.is_some()
     }
 
-    /// Records that the fleet has a grantor at `time`. This delays the time at which this server may become a
-    /// candidate.
+    /// Records that the fleet has a grantor at `time`. This restarts the waiting time before this server may
+    /// become a candidate.
     pub fn record_grantor(&mut self, time: Time) {
         self.grantor_seen_at = time.fast;
     }
--- a/crates/shared-state/src/budget/grantor.rs
+++ b/crates/shared-state/src/budget/grantor.rs
@@ -42,8 +42,8 @@
 struct ActiveGrant {
     number: u64,
     amount: u64,
-    /// Time at which the grant ends, by the grantor's slow clock ([`Time::slow`]). The holder cannot use the
-    /// grant any more by then.
+    /// Time at which the grant ends, by the grantor's slow clock ([`Time::slow`]). By then, the holder can no
+    /// longer use the grant.
     ends_at: Nanos,
 }
 
@@ -94,13 +94,14 @@
         self.grants_from = time.slow + settings.lease_duration + settings.drift_margin;
     }
 
-    /// Skips the wait for the end of leases of earlier grantors. Only the model check uses this method.
+    /// Lets this grantor grant leases at once, without waiting until the leases of earlier grantors have
+    /// ended. Only the model check uses this method.
     pub fn skip_wait(&mut self) {
         self.grants_from = 0;
     }
 
-    /// Returns whether this grantor may grant leases. It must wait until all leases of earlier grantors have
-    /// ended.
+    /// Returns whether this grantor may grant leases. The grantor must wait until all leases of earlier
+    /// grantors have ended.
     pub fn may_grant(&self, time: Time) -> bool {
         time.slow >= self.grants_from
     }
--- a/crates/shared-state/src/budget/holder.rs
+++ b/crates/shared-state/src/budget/holder.rs
@@ -20,8 +20,8 @@
 /// Units of a budget that this server may use now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Allowance {
-    /// Units of the server's floor that it may use now. The floor is a guaranteed minimum, which needs no
-    /// lease.
+    /// Units of the floor that the server may use now. The floor is the server's guaranteed minimum, which
+    /// needs no lease.
     pub floor: u64,
     /// Units of the server's lease.
     pub leased: u64,
@@ -106,8 +106,8 @@
         }
     }
 
-    /// Sets the demand that the next lease request reports. `wanted` and `in_use` are numbers of units. They
-    /// include the units of the floor (the server's guaranteed minimum).
+    /// Sets the demand that the next lease request reports. `wanted` and `in_use` are numbers of units. Both
+    /// numbers include the units of the floor (the server's guaranteed minimum).
     pub fn set_demand(&mut self, settings: &BudgetSettings, wanted: u64, in_use: u64) {
         self.wanted = wanted.saturating_sub(settings.floor).min(settings.leasable());
         self.in_use = in_use.saturating_sub(settings.floor);
--- a/crates/shared-state/src/budget/mod.rs
+++ b/crates/shared-state/src/budget/mod.rs
@@ -131,8 +131,8 @@
         self.election.grantor_state().map_or(0, |state| state.leases.outstanding())
     }
 
-    /// Removes the wait of a new grantor for the end of earlier leases. Only the model check uses this
-    /// method, to inject a fault that the check must detect.
+    /// Lets a new grantor grant leases at once, without waiting until earlier leases have ended. Only the
+    /// model check uses this method, to inject a fault that the check must detect.
     #[doc(hidden)]
     pub fn skip_grant_wait(&mut self) {
         if let Some(state) = self.election.grantor_state_mut() {
--- a/crates/shared-state/src/budget/settings.rs
+++ b/crates/shared-state/src/budget/settings.rs
@@ -37,7 +37,7 @@
     /// Duration of a grantor's term of office, in nanoseconds. The term is counted from the time of the vote
     /// requests that obtained a majority.
     pub term_duration: Nanos,
-    /// Additional time that a server waits for the end of another server's lease, vote or term, in
+    /// Additional time that a server waits before it treats another server's lease, vote or term as ended, in
     /// nanoseconds. The margin is needed because the clocks of two servers may run at different rates.
     pub drift_margin: Nanos,
     /// Maximum time that an acquired unit stays in use, in nanoseconds. The value is 0 if the budget is in
--- a/crates/shared-state/src/clock.rs
+++ b/crates/shared-state/src/clock.rs
@@ -1,8 +1,9 @@
 //! Measures elapsed time for leases in a way that remains safe if one of two clocks stops or jumps.
 //!
-//! Each reading includes the monotonic clock and the wall clock. The fast clock advances by the larger
-//! advance of the two, and decides when this server must stop using its own lease. The slow clock advances by
-//! the smaller advance, and decides when units that other servers may use are free again.
+//! Each reading includes the monotonic clock and the wall clock. The advances of these two clocks since the
+//! previous reading are compared. The fast clock advances by the larger advance, and decides when this server
+//! must stop using its own lease. The slow clock advances by the smaller advance, and decides when units that
+//! other servers may use are free again.
 //!
 //! A single broken clock can therefore only end this server's lease too early, or reclaim another server's
 //! lease too late. In either case the units in use stay within the budget. Two clocks that fail in the same
--- a/crates/shared-state/src/counters.rs
+++ b/crates/shared-state/src/counters.rs
@@ -34,8 +34,8 @@
 }
 
 impl CounterRow {
-    /// Returns the version of the row. The version is the sum of the row's counts, so every increment makes
-    /// it larger.
+    /// Returns the version of the row. The version is the sum of the row's counts, so every increment of a
+    /// count increases the version.
     pub fn version(&self) -> u64 {
         self.counts.values().fold(0, |sum, count| sum.saturating_add(*count))
     }
--- a/crates/shared-state/src/permits.rs
+++ b/crates/shared-state/src/permits.rs
@@ -101,10 +101,10 @@
     /// Returns the number of units that this server should request from the grantor.
     ///
     /// If no call was refused within the last `recent` nanoseconds, the result is the largest number of units
-    /// in use within that time. The other units are then left to other servers. After a refusal, the number
-    /// of waiting calls is added to the units in use now. The larger of this sum and the recent maximum is
-    /// then increased by a quarter plus one unit, so that a server with growing load need not request each
-    /// additional unit separately.
+    /// in use within that time. The other units are then left to other servers. After a recent refusal, the
+    /// number of waiting calls is added to the units in use now. The result is the larger of this sum and the
+    /// recent maximum, increased by a quarter plus one unit. A server with growing load therefore need not
+    /// request each additional unit separately.
     pub fn demand(&mut self, time: Time, recent: Nanos) -> u64 {
         let in_use = self.in_use(time);
         if self.peak.is_older_than(recent, time) {
--- a/crates/shared-state/src/simulation/mod.rs
+++ b/crates/shared-state/src/simulation/mod.rs
@@ -248,9 +248,9 @@
         }
     }
 
-    /// Returns the names of the other servers that a server considers alive. In a small fleet, these are all
-    /// running servers that the server can reach, as with an ideal membership. In a large fleet, these are a
-    /// few randomly drawn servers.
+    /// Returns the names of the other servers that a server considers alive. In a small fleet, the result
+    /// contains all running servers that the server can reach, as with an ideal membership. In a large fleet,
+    /// the result contains a few randomly drawn servers.
     fn living_members(&mut self, index: usize) -> Vec<String> {
         let mut members = Vec::new();
         if self.servers.len() <= SMALL_FLEET {
--- a/crates/shared-state/src/state.rs
+++ b/crates/shared-state/src/state.rs
@@ -322,8 +322,8 @@
     }
 
     /// Merges received counter rows into the stored rows. If a received row of this server itself is ahead of
-    /// the local counts, this server begins a new row under a later incarnation. Otherwise the larger counts
-    /// of the old row would hide the server's new counts.
+    /// the local counts, this server begins a new row under a later incarnation. Without the new row, the
+    /// larger counts of the old row would hide the server's new counts.
     fn merge_rows(&mut self, rows: &[(ServerId, CounterRow)]) {
         for (server, row) in rows {
             if self.counters.merge(server, row, self.wall) == Err(RejectedRow::Own) {
--- a/crates/shared-state/tests/model.rs
+++ b/crates/shared-state/tests/model.rs
@@ -1,5 +1,5 @@
-//! Model check of the lease protocol in a small fleet: in no state may the units that the servers can use sum
-//! to more than the budget.
+//! Model check of the lease protocol in a small fleet. In every state, the sum of the units that the servers
+//! can use must be at most the budget.
 //!
 //! Messages are lost, duplicated and reordered, servers are killed and restarted, and clocks differ by at
 //! most one tick. The model runs the real state machines. The check explores up to two million of the states
