--- a/crates/fair-queueing/src/fair_rate.rs
+++ b/crates/fair-queueing/src/fair_rate.rs
@@ -34,8 +34,8 @@
     virtual_time: f64,
     /// Latest real time passed to [`FairRate::advance`], in nanoseconds.
     now: Nanos,
-    /// Fair rate: the share of a tenant of weight 1, in cores. It equals the whole capacity while the
-    /// capacity meets all demand.
+    /// Fair rate: the share of a tenant of weight 1, in cores. The fair rate equals the whole capacity while
+    /// the capacity meets all demand.
     cores: f64,
     is_underloaded: bool,
     sketched_demand: DecayingRate,
--- a/crates/fair-queueing/src/scheduler.rs
+++ b/crates/fair-queueing/src/scheduler.rs
@@ -72,8 +72,8 @@
     rate: FairRate,
     usage: Usage,
     promises: Promises,
-    /// Maximum work that a tenant of weight 1 may use in advance while it counts as within its share, in
-    /// nanoseconds of one core. This limits the result of [`FairScheduler::allowance`] at any fair rate.
+    /// Maximum work that a tenant of weight 1 within its share may use in advance, in nanoseconds of one
+    /// core. This limits the result of [`FairScheduler::allowance`] at any fair rate.
     allowance_max: f64,
     served: ServiceClock,
     /// Counters of scheduling events. Each counter starts at 0 when the scheduler is created.
@@ -173,8 +173,8 @@
         admission
     }
 
-    /// Admits a retry that redeems a promise. The retry gets the start tag that was fixed with the promise,
-    /// and therefore precedes arrivals of its tenant that arrived after the rejected attempt.
+    /// Admits a retry that redeems a promise. The retry's start tag was fixed with the promise. The retry is
+    /// therefore not placed behind arrivals of its tenant that followed the rejected attempt.
     fn admit_as_promised(&mut self, mut admission: Admission, promise: &Promise) -> Admission {
         self.counters.within += 1;
         self.usage.count(admission.location, false);
--- a/crates/fair-queueing/src/settings.rs
+++ b/crates/fair-queueing/src/settings.rs
@@ -15,7 +15,7 @@
 const UNNAMED_ACCOUNTS: usize = 16;
 /// Minimum value of [`Settings::cells`], the number of cells in the sketch of used shares.
 const CELLS_MIN: usize = 64;
-/// Ratio of the number of cells of the sketch to the capacity of the table of known names. The sketch is the
+/// Number of cells of the sketch for each name that fits into the table of known names. The sketch is the
 /// array of hashed cells that records the usage of tenants without an account.
 const CELLS_PER_KNOWN_NAME: usize = 4;
 
--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -1,5 +1,5 @@
 //! Hot restart: a running server (the predecessor) hands over all its state and connections to a new process
-//! (the successor). If the attempt fails, the predecessor resumes.
+//! (the successor). If the attempt fails, the predecessor resumes service.
 //!
 //! The protocol consists of two state machines without I/O or clock, [`predecessor`] and [`successor`], and
 //! the [`frames`] between them. Inputs are events and the time; outputs are actions for the caller.
--- a/crates/shared-state/src/budget/counters.rs
+++ b/crates/shared-state/src/budget/counters.rs
@@ -5,8 +5,8 @@
 /// Numbers of events in one server's part of a budget. All counts begin at 0 when the server starts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize)]
 pub struct BudgetCounters {
-    /// Number of received grants that were dropped because they answer no known lease request of this
-    /// incarnation of the server.
+    /// Number of received grants that were dropped because they answer none of the recent lease requests of
+    /// this server's current incarnation.
     pub unsolicited: u64,
     /// Number of received grants that were dropped for one of two reasons. Either the grant has more units
     /// than may be leased in all, or its sender is not a voter.
--- a/crates/shared-state/src/budget/mod.rs
+++ b/crates/shared-state/src/budget/mod.rs
@@ -159,7 +159,7 @@
         outgoing
     }
 
-    /// Requests the votes of the other voters in a ballot. This server also votes for itself, if its own vote
+    /// Requests votes for a ballot from the other voters. This server also votes for itself, if its own vote
     /// is free.
     fn request_votes(&mut self, time: Time, ballot: u64, outgoing: &mut Vec<Outgoing>) {
         for voter in self.settings.voters.iter().filter(|voter| **voter != self.id.name) {
--- a/crates/shared-state/tests/model.rs
+++ b/crates/shared-state/tests/model.rs
@@ -235,8 +235,8 @@
 const STATES_MAX: usize = 2_000_000;
 
 fn check(model: LeaseModel, label: &str) -> (usize, Vec<&'static str>) {
-    // With an injected fault, the search continues until the fault is detected. It may generate up to four
-    // times as many states.
+    // With an injected fault, the search continues until the fault is detected. This search may generate up
+    // to four times as many states.
     let states_max = if model.fault == Fault::None { STATES_MAX } else { 4 * STATES_MAX };
     let stop_condition = HasDiscoveries::AnyOf(std::iter::once(LEASES_WITHIN_BUDGET).collect());
     let started_at = std::time::Instant::now();
