--- a/crates/fair-queueing/src/fair_rate.rs
+++ b/crates/fair-queueing/src/fair_rate.rs
@@ -34,8 +34,8 @@
     virtual_time: f64,
     /// Latest real time passed to [`FairRate::advance`], in nanoseconds.
     now: Nanos,
-    /// Fair rate: the share of a tenant of weight 1, in cores. It equals the whole capacity while the
-    /// capacity meets all demand.
+    /// Fair rate: the share of a tenant of weight 1, in cores. The fair rate equals the whole capacity while
+    /// the capacity meets all demand.
     cores: f64,
     is_underloaded: bool,
     sketched_demand: DecayingRate,
@@ -44,8 +44,8 @@
 }
 
 impl FairRate {
-    /// Creates the state with a fair rate of `cores` for a tenant of weight 1. Until the first
-    /// [`FairRate::update`], virtual time advances as if the capacity met all demand.
+    /// Creates the fair rate and the virtual time. The initial fair rate is `cores` for a tenant of weight 1.
+    /// Until the first [`FairRate::update`], virtual time advances as if the capacity met all demand.
     pub fn new(cores: f64, now: Nanos) -> Self {
         Self {
             virtual_time: 0.0,
--- a/crates/fair-queueing/src/scheduler.rs
+++ b/crates/fair-queueing/src/scheduler.rs
@@ -11,11 +11,11 @@
 use crate::tenant::{Fingerprint, FingerprintKey, TenantKey};
 use crate::usage::{LocatedArrival, RateSnapshot, Usage, UsageLocation};
 
-/// A promise is honoured if its shortfall is at most this ratio of the predicted advance of virtual time. The
-/// shortfall is how far virtual time is behind the start of the reservation when the retry arrives.
+/// Maximum shortfall at which a promise to admit a retry is honoured, as a ratio of the predicted advance of
+/// virtual time. The shortfall is how far virtual time is behind the start of the reservation at the retry.
 const SHORTFALL_MAX_RATIO: f64 = 0.5;
-/// Minimum work of an arrival, in nanoseconds of one core. Smaller values from the caller are raised to this
-/// minimum.
+/// Minimum work of an arrival's operation, in nanoseconds of one core. Smaller values from the caller are
+/// raised to this minimum.
 const WORK_MIN: f64 = 1.0;
 const SECOND_NS: f64 = 1e9;
 
@@ -72,8 +72,8 @@
     rate: FairRate,
     usage: Usage,
     promises: Promises,
-    /// Maximum work that a tenant of weight 1 may use in advance while it counts as within its share, in
-    /// nanoseconds of one core. This limits the result of [`FairScheduler::allowance`] at any fair rate.
+    /// Maximum work that a tenant of weight 1 within its share may use in advance, in nanoseconds of one
+    /// core. This limits the result of [`FairScheduler::allowance`] at any fair rate.
     allowance_max: f64,
     served: ServiceClock,
     /// Counters of scheduling events. Each counter starts at 0 when the scheduler is created.
@@ -173,8 +173,8 @@
         admission
     }
 
-    /// Admits a retry that redeems a promise. The retry gets the start tag that was fixed with the promise,
-    /// and therefore precedes arrivals of its tenant that arrived after the rejected attempt.
+    /// Admits a retry that redeems a promise. The retry's start tag was fixed with the promise. The retry is
+    /// therefore not placed behind arrivals of its tenant that followed the rejected attempt.
     fn admit_as_promised(&mut self, mut admission: Admission, promise: &Promise) -> Admission {
         self.counters.within += 1;
         self.usage.count(admission.location, false);
@@ -241,7 +241,7 @@
     }
 
     /// Records the end of an arrival. If the arrival's estimated work was charged to its tenant's share, the
-    /// charge is corrected to the work that the arrival really used.
+    /// charge is corrected to the work that the arrival really used. A tenant in the sketch gets no refund.
     pub fn end_service(&mut self, now: Nanos, admission: &Admission, outcome: ServiceOutcome) {
         self.advance(now);
         let used = match outcome {
@@ -263,8 +263,8 @@
         }
     }
 
-    /// Updates the tenant's learned ratio (used work divided by usually needed work) after an arrival has run.
-    /// Has no effect if the tenant's account was evicted while the arrival ran.
+    /// Updates the tenant's learned ratio (used work divided by usually needed work) after an arrival has
+    /// run. Has no effect if the tenant's account was evicted while the arrival ran.
     fn learn_ratio(&mut self, admission: &Admission, used: f64) {
         if let Some(ratio) = self.usage.ratio_mut(admission.location) {
             ratio.learn(used / admission.usual_work);
@@ -281,12 +281,12 @@
 
     /// Returns how long a rejected arrival should wait before its retry and, if possible, a promise to admit
     /// the retry. The wait lasts until the tenant's share has capacity, but at least `wait_min` nanoseconds.
-    /// No promise is issued if the wait would be too long or too many promises are active.
+    /// No promise is issued if the wait would be too long or too many promises are active. The returned wait
+    /// is then between half of [`Settings::promise_max`] and all of it.
     ///
     /// Promises to one tenant are spaced at its fair rate, so repeated requests get later and later times. A
-    /// tenant with an account, or an origin's newcomers, are charged only when a promise is redeemed, so a
-    /// lapsed promise costs them nothing. A tenant in the sketch is charged when the promise is issued, with
-    /// no refund if the promise lapses.
+    /// tenant is charged when a promise is redeemed, so a lapsed promise costs nothing. A tenant in the
+    /// sketch is instead charged when a promise is issued, with no refund if the promise lapses.
     pub fn promise(&mut self, now: Nanos, admission: &Admission, wait_min: Nanos) -> RetryAdvice {
         let now = self.advance(now);
         let (virtual_time, cores) = (self.rate.virtual_time(), self.rate.cores());
--- a/crates/fair-queueing/src/settings.rs
+++ b/crates/fair-queueing/src/settings.rs
@@ -11,15 +11,15 @@
 use thiserror::Error;
 
 const SECOND_NS: Nanos = 1_000_000_000;
-/// Minimum number of accounts (usage records) that are left for tenants that the settings do not name.
+/// Minimum number of accounts (usage records) for tenants that the settings do not list by name.
 const UNNAMED_ACCOUNTS: usize = 16;
 /// Minimum value of [`Settings::cells`], the number of cells in the sketch of used shares.
 const CELLS_MIN: usize = 64;
-/// Ratio of the number of cells of the sketch to the capacity of the table of known names. The sketch is the
+/// Number of cells of the sketch for each name that fits into the table of known names. The sketch is the
 /// array of hashed cells that records the usage of tenants without an account.
 const CELLS_PER_KNOWN_NAME: usize = 4;
 
-/// Settings of fair queueing. The limits in the settings bound the memory use, even if senders invent names
+/// Settings of fair queueing. The limits in the settings bound the memory use for any number of tenant names
 /// and origins.
 #[derive(Clone, Debug)]
 pub struct Settings {
@@ -31,7 +31,8 @@
     /// Maximum number of origins that have a slot of their own in the table of origins. If there are more
     /// origins, the additional origins share these slots.
     pub origins: usize,
-    /// Maximum number of promises that are active at the same time. Each promise is to admit one retry.
+    /// Maximum number of promises that are active at the same time. A promise states that one retry of a
+    /// rejected arrival will be admitted.
     pub promises: usize,
     /// Maximum number of tenant names that one origin may send at full weight. If an origin sends more names,
     /// the weight of each name decreases. The origin therefore gains nothing from additional names.
--- a/crates/shared-state/src/budget/mod.rs
+++ b/crates/shared-state/src/budget/mod.rs
@@ -131,8 +131,8 @@
         self.election.grantor_state().map_or(0, |state| state.leases.outstanding())
     }
 
-    /// Removes the wait of a new grantor for the end of earlier leases. Only the model check uses this
-    /// method, to inject a fault that the check must detect.
+    /// Lets a new grantor grant leases at once, without waiting until earlier leases have ended. Only the
+    /// model check uses this method, to inject a fault that the check must detect.
     #[doc(hidden)]
     pub fn skip_grant_wait(&mut self) {
         if let Some(state) = self.election.grantor_state_mut() {
@@ -159,7 +159,7 @@
         outgoing
     }
 
-    /// Requests the votes of the other voters in a ballot. This server also votes for itself, if its own vote
+    /// Requests votes for a ballot from the other voters. This server also votes for itself, if its own vote
     /// is free.
     fn request_votes(&mut self, time: Time, ballot: u64, outgoing: &mut Vec<Outgoing>) {
         for voter in self.settings.voters.iter().filter(|voter| **voter != self.id.name) {
@@ -274,8 +274,8 @@
     }
 
     /// Handles a reply to a lease request that grants no lease. `grantor` is the name of the grantor, or
-    /// `None` if the sender does not know the grantor. A sender that names itself is the grantor but does not
-    /// grant leases yet.
+    /// `None` if the sender does not know the grantor or has no free entry for this server. A sender that
+    /// names itself is the grantor but does not grant leases yet.
     fn handle_redirect(&mut self, time: Time, grantor: Option<String>) {
         let grantor = grantor.filter(|name| self.settings.is_voter(name));
         if grantor.is_some() {
--- a/crates/shared-state/src/state.rs
+++ b/crates/shared-state/src/state.rs
@@ -293,8 +293,8 @@
     }
 
     /// Replies to a received digest with the counter rows of which this server has a newer version than the
-    /// sender. If the sender requests a digest in return, this server also sends its own digest of the same
-    /// range, limited to [`DIGEST_ROWS_MAX`] rows.
+    /// sender. At most [`ROW_DATAGRAMS_MAX`] messages with rows are sent. If the sender requests a digest in
+    /// return, this server also sends its own digest of the same range, limited to [`DIGEST_ROWS_MAX`] rows.
     fn handle_digest(
         &mut self,
         from: &ServerId,
@@ -322,8 +322,8 @@
     }
 
     /// Merges received counter rows into the stored rows. If a received row of this server itself is ahead of
-    /// the local counts, this server begins a new row under a later incarnation. Otherwise the larger counts
-    /// of the old row would hide the server's new counts.
+    /// the local counts, this server begins a new row under a later incarnation. Without the new row, the
+    /// larger counts of the old row would hide the server's new counts.
     fn merge_rows(&mut self, rows: &[(ServerId, CounterRow)]) {
         for (server, row) in rows {
             if self.counters.merge(server, row, self.wall) == Err(RejectedRow::Own) {
--- a/crates/shared-state/tests/model.rs
+++ b/crates/shared-state/tests/model.rs
@@ -1,5 +1,5 @@
-//! Model check of the lease protocol in a small fleet: in no state may the units that the servers can use sum
-//! to more than the budget.
+//! Model check of the lease protocol in a small fleet. In every state, the sum of the units that the servers
+//! can use must be at most the budget.
 //!
 //! Messages are lost, duplicated and reordered, servers are killed and restarted, and clocks differ by at
 //! most one tick. The model runs the real state machines. The check explores up to two million of the states
@@ -235,8 +235,8 @@
 const STATES_MAX: usize = 2_000_000;
 
 fn check(model: LeaseModel, label: &str) -> (usize, Vec<&'static str>) {
-    // With an injected fault, the search continues until the fault is detected. It may generate up to four
-    // times as many states.
+    // With an injected fault, the search continues until the fault is detected. This search may generate up
+    // to four times as many states.
     let states_max = if model.fault == Fault::None { STATES_MAX } else { 4 * STATES_MAX };
     let stop_condition = HasDiscoveries::AnyOf(std::iter::once(LEASES_WITHIN_BUDGET).collect());
     let started_at = std::time::Instant::now();
