--- a/crates/server/src/calls/pool.rs
+++ b/crates/server/src/calls/pool.rs
@@ -79,8 +79,8 @@
     /// Takes the most recently used idle connection to the address `to` out of the pool. Discards a
     /// connection that the downstream service has closed, or on which the service has sent unexpected data.
     ///
-    /// Connections to other addresses stay in the pool. If a configuration reload has removed an address, the
-    /// connections to this address are closed when their idle time is over.
+    /// Connections to other addresses stay in the pool. If a call returns a connection after a configuration
+    /// reload has replaced the address, this connection is closed when its idle time is over.
     fn reuse(&self, to: SocketAddr, now: Instant) -> Option<PooledConnection> {
         self.close_expired();
         let mut idle = self.idle.borrow_mut();
--- a/crates/server/src/configuration/candidate.rs
+++ b/crates/server/src/configuration/candidate.rs
@@ -64,7 +64,7 @@
     /// file still has the same hash.
     Unchanged(u64),
     /// Before its last stop, the server had adopted candidate settings. The candidate settings file has
-    /// changed since then or is missing.
+    /// changed since then or is missing, or the mark file contains no valid hash.
     Changed,
 }
 
--- a/crates/server/src/configuration/defaults.rs
+++ b/crates/server/src/configuration/defaults.rs
@@ -57,8 +57,8 @@
 /// Returns whether all operations have the same priority weight.
 ///
 /// A server can advertise the minimum rank of the calls that it wants to receive. If all weights are equal,
-/// this rank tells callers little about which operations are rejected. A server that advertises the rank then
-/// logs a note.
+/// this rank tells callers little about which operations are rejected. The server therefore logs a note if
+/// the settings make it advertise the rank and all weights are equal.
 fn has_one_rank(deployment: &Deployment) -> bool {
     let weights = deployment.operations.iter().map(|operation| operation.priority_weight.to_bits());
     weights.collect::<BTreeSet<_>>().len() < 2
@@ -71,8 +71,9 @@
         (self.memory_mb << 20) as usize / KEYS_DIVISOR
     }
 
-    /// Fills in defaults for features that neither the protocol nor the options file describes. Adds a note
-    /// for the log for each of these features. The server can start without the missing descriptions.
+    /// Fills in defaults for features that neither the protocol nor the options file describes. Adds notes
+    /// for the log about these defaults and about settings that have little or no effect. The server can
+    /// start without the missing descriptions.
     ///
     /// Returns an error if the settings require a downstream service but the platform's file contains no
     /// address for it.
--- a/crates/server/src/configuration/error.rs
+++ b/crates/server/src/configuration/error.rs
@@ -1,4 +1,4 @@
-//! Errors of loading a configuration.
+//! Errors that can occur when a configuration is loaded.
 
 use crate::configuration::candidate::CandidateError;
 use crate::configuration::defaults::MismatchError;
--- a/crates/server/src/configuration/fleet.rs
+++ b/crates/server/src/configuration/fleet.rs
@@ -65,9 +65,11 @@
     },
 }
 
-/// Builds the fleet settings from the element `<membership>`, without the settings of the shared state. If
-/// the element contains no member name, the parameter `server` is the name. `options_path` is the path of the
-/// options file.
+/// Builds the fleet settings from the element `<membership>`. The result does not yet contain the settings of
+/// the shared state.
+///
+/// If the element contains no member name, the member receives the server's name `server`. `options_path` is
+/// the path of the options file.
 pub fn fleet_settings(
     membership: &Membership,
     server: &str,
@@ -123,8 +125,8 @@
     Ok(Some(settings))
 }
 
-/// Returns all budgets that the options require. The first is the budget of downstream calls, if the options
-/// define one. One budget for each required lease follows.
+/// Returns all budgets that the options require. The list begins with the budget of downstream calls, if the
+/// options define this budget. One budget for each required lease follows.
 fn budgets(options: &Options) -> Result<Vec<BudgetSettings>, FleetError> {
     let mut budgets = Vec::new();
     if let Some(calls) = options.shared_state.as_ref().and_then(|shared| shared.budget.as_ref()) {
--- a/crates/server/src/configuration/mod.rs
+++ b/crates/server/src/configuration/mod.rs
@@ -59,8 +59,8 @@
     pub sockets: usize,
     /// Settings of the deployment, from the `settings` object of the platform's file.
     pub settings: DeploymentSettings,
-    /// Notes that the server writes to its log at the start. They state which defaults were filled in and
-    /// which settings have no effect.
+    /// Notes that the server writes to its log at the start. The notes state which defaults were filled in
+    /// and which settings have no effect.
     pub notes: Vec<String>,
     /// Contents of the options file; default values if there is no options file.
     pub options: RefCell<Arc<Options>>,
--- a/crates/server/src/configuration/platform_file.rs
+++ b/crates/server/src/configuration/platform_file.rs
@@ -21,10 +21,10 @@
     /// A value is not a string.
     #[error("{0} is not a string")]
     NotString(&'static str),
-    /// A value in the platform's file must be an integer that is at least 0, but it is not.
+    /// A value in the platform's file is not an integer of at least 0.
     #[error("{0} is not a non-negative integer")]
     NotInteger(&'static str),
-    /// A value in the platform's file must be an IP address with a port, but it is not.
+    /// A value in the platform's file is not an IP address with a port.
     #[error("{path}: {value:?} is not an address with a port")]
     NotAddress {
         /// Path of the value in the file.
--- a/crates/server/src/connection/accept.rs
+++ b/crates/server/src/connection/accept.rs
@@ -19,7 +19,7 @@
 enum Backlog {
     /// No connection was waiting.
     Empty,
-    /// At least one waiting connection was accepted, and now none is waiting.
+    /// At least one waiting connection was accepted, and now no connection is waiting.
     Accepted,
     /// No file descriptor is available, so connections may still be waiting.
     Waiting,
--- a/crates/server/src/connection/request.rs
+++ b/crates/server/src/connection/request.rs
@@ -52,8 +52,8 @@
 
 /// Converts the calls that are received on one connection into requests.
 pub struct RequestDecoder<'a> {
-    /// The server's configuration, which contains the names of operations, of tenants, and of the call fields
-    /// that hold idempotency keys and tenants.
+    /// The server's configuration. It contains the names of the operations and of the tenants. It also
+    /// contains the names of the call fields for the idempotency key and for the tenant.
     pub configuration: &'a Configuration,
     /// The server's clock, used to compute how long ago a call arrived.
     pub clock: &'a Clock,
@@ -112,8 +112,8 @@
     }
 
     /// Returns how long the caller waits for the answer, counted from the arrival of the call. Returns `None`
-    /// if the call states no timeout. Also returns `None` if calls state no timeouts under the deployment's
-    /// settings.
+    /// if the call states no timeout. Also returns `None` if the deployment's settings say that callers state
+    /// no timeouts.
     fn client_timeout(&self, call: &rpc::Call) -> Result<Option<Nanos>, RequestError> {
         if !self.configuration.settings.passes_deadline {
             return Ok(None);
@@ -138,8 +138,8 @@
         Ok(Some(key.into()))
     }
 
-    /// Returns the sender of a call: the tenant and the network origin. The sender also includes a ticket for
-    /// a promise of admission, if the call carries one.
+    /// Returns the sender of a call: the tenant and the network origin. If the call has a ticket for a
+    /// promise of admission, the sender also includes this ticket.
     ///
     /// The options configure where the tenant is read from. The tenant's name is empty if the call contains
     /// none. Returns `None` if the options do not configure tenants.
@@ -160,8 +160,8 @@
     }
 }
 
-/// Converts a peer's IP address to a number that identifies the origin of its calls. For IPv6 only the first
-/// 64 bits are used, since one owner usually controls all addresses with the same first 64 bits.
+/// Converts a peer's IP address to a number that identifies the peer as the origin of calls. For IPv6 only
+/// the first 64 bits are used, since one owner usually controls all addresses with the same first 64 bits.
 fn peer_origin(peer: IpAddr) -> u64 {
     match peer {
         IpAddr::V4(address) => u64::from(address.to_bits()),
--- a/crates/server/src/connection/state.rs
+++ b/crates/server/src/connection/state.rs
@@ -248,7 +248,8 @@
     }
 
     /// Creates the event for an invalid command with the tag `tag`. The command is not answered if an open
-    /// call has the same tag. The caller would take the failure for the answer to the open call.
+    /// call has the same tag. If the command were answered, the caller would take the failure for the answer
+    /// to the open call.
     fn invalid(&self, tag: u64, error: InvalidCommand) -> ReceivedEvent {
         ReceivedEvent::Invalid { answer_to: (!self.is_open(tag)).then_some(tag), error }
     }
@@ -320,8 +321,8 @@
         self.connection.last_used.set(now);
     }
 
-    /// Returns the time at which the connection times out, provided that no bytes are received or sent
-    /// before. Returns `None` if no timeout applies at present.
+    /// Returns the time at which the connection times out if no bytes are received or sent until this time.
+    /// Returns `None` if no timeout applies at present.
     pub fn poll_timeout(&self) -> Option<Nanos> {
         let last_used = self.connection.last_used.get();
         if !self.outgoing.is_empty() {
--- a/crates/server/src/connection/table.rs
+++ b/crates/server/src/connection/table.rs
@@ -45,7 +45,8 @@
     /// sending, or sent.
     pub last_used: Cell<Nanos>,
     has_received: Cell<bool>,
-    /// True once a request to send no more calls on the connection is sent to the peer or queued for sending.
+    /// True once a drain request was queued for the connection. A drain request asks the peer to send no more
+    /// calls on the connection.
     pub draining: Cell<bool>,
     /// True if the connection is about to be closed to free its file descriptor. Reset if a command arrives
     /// before the connection is closed.
@@ -90,8 +91,8 @@
         self.open_calls.get() == 0 && self.last_used.get() <= since
     }
 
-    /// Returns whether the connection has been idle long enough to be closed, so that a new connection can
-    /// use its file descriptor.
+    /// Returns whether the server may close the connection to free its file descriptor for a new connection.
+    /// The connection must have been idle long enough, and must not already be about to be closed.
     fn may_be_closed(&self, now: Nanos) -> bool {
         let keep_for = if self.has_received.get() { IDLE_TIMEOUT_NS } else { UNUSED_TIMEOUT_NS };
         !self.closes_if_idle.get() && self.open_calls.get() == 0 && self.last_used.get() + keep_for <= now
@@ -143,8 +144,8 @@
         }
     }
 
-    /// Queues a drain request on each connection that has been idle since the time `since`. The request asks
-    /// the peer to send no more calls on the connection.
+    /// Queues a drain request on each connection that has been idle at least since the time `since`. The
+    /// request asks the peer to send no more calls on the connection.
     pub fn drain_idle_since(&self, since: Nanos) {
         for connection in self.open.borrow().values() {
             if connection.is_idle_since(since) {
--- a/crates/server/src/event.rs
+++ b/crates/server/src/event.rs
@@ -56,7 +56,8 @@
     },
     /// A connection to the interpreter, called a link, is established.
     Linked {
-        /// True if the interpreter is still warming up, so it runs operations more slowly.
+        /// True if the interpreter is still warming up. During the warm-up, the interpreter runs operations
+        /// more slowly.
         cold: bool,
         /// Time since the interpreter process started, in nanoseconds.
         age: Nanos,
@@ -84,14 +85,14 @@
         /// Duration of the downstream call, in nanoseconds.
         duration: Nanos,
     },
-    /// Downstream calls are permitted again, after the fleet's call budget or the health of the services did
-    /// not permit calls. The controller can now make the calls that it has delayed.
+    /// Downstream calls are permitted again. Before, the fleet's call budget or the health of the downstream
+    /// services did not permit calls. The controller can now make the calls that it has delayed.
     DownstreamCapacity,
     /// Request to write the tenants with the highest demand to the server's log.
     LogTenants,
     /// Request to apply one step of a change to the weights and shares of tenants.
     ReconfigureFairQueueing(Box<SettingsChange>),
-    /// Request to send a signal over the given channel. The signal means that the event loop has handled all
+    /// Request to send a signal over this channel. The signal means that the event loop has handled all
     /// events that were queued before this request.
     Barrier(Sender<()>),
     /// Request to change the target utilization of the CPU cores to this value, from 0 to 1.
--- a/crates/server/src/event_loop/actions.rs
+++ b/crates/server/src/event_loop/actions.rs
@@ -15,8 +15,8 @@
 use std::rc::Rc;
 use tracing::warn;
 
-/// Maximum time, in nanoseconds, that a control period waits for the interpreter's gauge readings. After this
-/// time the control period continues without the readings.
+/// Maximum time, in nanoseconds, that the event loop waits for the interpreter's gauge readings in a control
+/// period. After this time the control period continues without the readings.
 const GAUGES_TIMEOUT_NS: Nanos = 250_000_000;
 
 /// A promise to admit a caller's next attempt. The rejection of the present attempt carries the ticket of the
@@ -110,9 +110,9 @@
         }
     }
 
-    /// Resends the commands that were sent over an earlier link and whose receipt is not confirmed. These
-    /// commands may have been lost with the earlier link. The interpreter ignores a command that it has
-    /// already received.
+    /// Sends commands again if the interpreter has not confirmed their receipt. Applies to commands that were
+    /// last sent over an earlier link, or that could not be sent. These commands may have been lost. The
+    /// interpreter ignores a command that it has already received.
     pub fn resend_unconfirmed(&mut self) {
         let link = self.session.link();
         let mut lines = Vec::new();
@@ -241,8 +241,8 @@
     }
 
     /// Fails an invocation because the controller requested an action that the protocols of this server
-    /// cannot express. Not expected to happen, because settings that need such actions are refused at
-    /// startup.
+    /// cannot express. The controller is not expected to request such an action, because settings that need
+    /// such actions are refused at startup.
     pub fn fail_as_unsupported(&mut self, id: u64, what: &str) {
         warn!(what, "cannot carry out an action of the controller");
         self.answer(id, Answer::Failed);
--- a/crates/server/src/event_loop/interpreter_session.rs
+++ b/crates/server/src/event_loop/interpreter_session.rs
@@ -1,11 +1,11 @@
-//! The session with the interpreter, which continues when a new link replaces a lost link. Sends commands,
-//! and matches each response of the interpreter with the gauge request.
+//! The session with the interpreter, which continues when a new link replaces a lost link. Sends commands to
+//! the interpreter, and matches each gauge response of the interpreter with its request.
 
 use crate::wire::interpreter;
 use async_channel::Sender;
 
-/// A request for the interpreter's gauges that has not been answered. The controller handles its timer with
-/// the number `timer` when the response arrives.
+/// A request for the interpreter's gauges that has not been answered. The controller handles its expired
+/// timer with the number `timer` when the response arrives or the request times out.
 struct GaugesRequest {
     nonce: u64,
     timer: u32,
@@ -77,8 +77,8 @@
         self.replay_fence.take_if(|fence| *fence == nonce).is_some()
     }
 
-    /// Removes the pending gauge request with this nonce, and returns the controller's timer of the request.
-    /// Returns `None` if no such request is pending.
+    /// Removes the pending gauge request with this nonce. Returns the number of the controller's timer for
+    /// which the gauges were requested. Returns `None` if no such request is pending.
     pub fn end_gauges_request(&mut self, nonce: u64) -> Option<u32> {
         let request = self.gauges_request.take_if(|request| request.nonce == nonce);
         request.map(|request| request.timer)
--- a/crates/server/src/event_loop/mod.rs
+++ b/crates/server/src/event_loop/mod.rs
@@ -66,9 +66,9 @@
         }
     }
 
-    /// Runs the function `act`, which calls the controller. Then notifies the controller of invocations that
-    /// ended while the controller's actions were executed. An unsupported action fails its invocation, and a
-    /// repeated call may be answered.
+    /// Runs the function `act`, which calls the controller. The controller's actions may end invocations: an
+    /// unsupported action fails its invocation, and a repeated call may be answered with an earlier outcome.
+    /// Afterwards the controller is notified of these ended invocations.
     fn with_controller(&mut self, act: impl FnOnce(&mut Controller, Nanos, &mut ActionExecutor)) {
         let Some(controller) = &mut self.controller else { return };
         let actions = &mut self.actions;
--- a/crates/server/src/fleet/control_machine.rs
+++ b/crates/server/src/fleet/control_machine.rs
@@ -1,6 +1,6 @@
 //! `meadowstream control`: a control machine, which is a member of the fleet that serves no callers. The
-//! machine stores a replica of the log of replicated configuration. A control machine publishes new revisions
-//! while it holds the publishing lease.
+//! machine stores one of the replicas of the replicated configuration. A control machine publishes new
+//! revisions while it holds the publishing lease.
 
 use crate::configuration::fleet;
 use crate::configuration::fleet::FleetSettings;
@@ -20,8 +20,9 @@
 use std::path::{Path, PathBuf};
 use tracing::{info, warn};
 
-/// Delay, in nanoseconds, after which a control machine retries a failed write of its copy of the replicated
-/// configuration to disk. During this time, the control machine does not request the publishing lease.
+/// Delay, in nanoseconds, before a control machine tries again to write its copy of the replicated
+/// configuration to disk, after a write has failed. During this time, the control machine does not request
+/// the publishing lease.
 const WRITE_RETRY_AFTER_NS: u64 = 1_000_000_000;
 /// Maximum time, in nanoseconds, between two checks of whether this process holds the publishing lease.
 const STEP_MAX_NS: u64 = 100_000_000;
@@ -74,7 +75,7 @@
     async_io::block_on(control(settings))
 }
 
-/// Status of a control machine. The status is logged when it changes.
+/// Status of a control machine. The status is logged when it changes, and otherwise at regular intervals.
 #[derive(Default, PartialEq, Eq)]
 struct ControlStatus {
     is_leader: bool,
@@ -85,16 +86,16 @@
 struct Control {
     member: Member,
     file: PathBuf,
-    /// Time, in Unix nanoseconds, before which the control machine does not write its copy of the replicated
-    /// configuration to disk again. Set after a failed write.
+    /// Earliest time, in Unix nanoseconds, of the next write to disk. Set after a failed write. The control
+    /// machine writes its copy of the replicated configuration to disk.
     write_after: u64,
     logged: ControlStatus,
     logged_at: u64,
 }
 
 impl Control {
-    /// Writes the unsaved state of this machine's replica of the replicated configuration to disk. Messages
-    /// that depend on this state are sent only after the state is written.
+    /// Writes this machine's copy of the replicated configuration to disk if the copy has unsaved changes.
+    /// Messages that depend on the unsaved changes are sent only after the write.
     fn save(&mut self, now: u64) {
         while let Some(saved) = self.member.unsaved_state().filter(|_| now >= self.write_after) {
             if let Err(error) = files::write(&self.file, &persistence::encode(&saved)) {
--- a/crates/server/src/fleet/interval_report.rs
+++ b/crates/server/src/fleet/interval_report.rs
@@ -1,5 +1,6 @@
-//! Records the answers that this server sends between two reports to a rollout's coordinator, separately for
-//! each operation. The coordinator compares servers with the rollout's change and servers without the change.
+//! Records the answers that this server sends, for its reports to a rollout's coordinator. Each operation is
+//! recorded separately. The coordinator compares servers with the rollout's change and servers without the
+//! change.
 
 use hdrhistogram::Histogram;
 use meadowstream_rollout::metrics::IntervalMetrics;
@@ -34,8 +35,9 @@
 #[error("cannot create a latency histogram: {0}")]
 pub struct HistogramError(hdrhistogram::errors::CreationError);
 
-/// Records the answers to calls, separately for each operation, for reports to a rollout's coordinator. If
-/// the settings define more operations than a report can hold, only the first operations are recorded.
+/// Records the answers that this server sends, for its reports to a rollout's coordinator. Each operation is
+/// recorded separately. If the settings define more operations than a report can hold, only the first
+/// operations are recorded.
 pub struct AnswerRecorder {
     classes: RefCell<Vec<Class>>,
 }
--- a/crates/server/src/fleet/membership.rs
+++ b/crates/server/src/fleet/membership.rs
@@ -31,8 +31,8 @@
     Async::<UdpSocket>::bind(fleet.bind)
 }
 
-/// Runs the membership task until the server leaves the fleet. The task then notifies the other members, so
-/// that they see this server as down at once.
+/// Runs the membership task until the server leaves the fleet. The task then notifies the other members.
+/// These members therefore see this server as down at once.
 pub async fn run(server: Rc<Server>, socket: Async<UdpSocket>, fleet: FleetSettings) {
     let Some(membership) = start(&server, &socket, &fleet) else { return };
     let now = server.clock.now();
--- a/crates/server/src/fleet/publish.rs
+++ b/crates/server/src/fleet/publish.rs
@@ -1,7 +1,7 @@
 //! `meadowstream publish`: a command for operators, which changes the replicated configuration of a fleet.
 //!
 //! The command joins the fleet while it runs. The command asks the publisher to publish a change or to revert
-//! a revision. Then it prints which members use the newest revision.
+//! a revision. Afterwards the command prints how many members use the newest revision.
 
 use crate::fleet::control_machine as control;
 use crate::fleet::joined::NonServingMember;
@@ -164,8 +164,8 @@
     }
 
     /// Prints how many members use the newest revision, and names the members that do not use this revision.
-    /// If `waits` is true, first waits until all members use the newest revision and its number is at least
-    /// `wanted`.
+    /// If `waits` is true, first waits until all members use the newest revision and the number of this
+    /// revision is at least `wanted`.
     async fn wait_until_in_force(&mut self, request: RequestId, wanted: u64, waits: bool) -> Result<()> {
         let mut status = String::new();
         let mut request_number = request.number;
--- a/crates/server/src/fleet/rollout_state.rs
+++ b/crates/server/src/fleet/rollout_state.rs
@@ -69,8 +69,8 @@
     pub last_order: RefCell<LastOrder>,
     /// Hash of the candidate settings that the server runs; `None` if the server runs its own settings.
     pub adopted: Cell<Option<u64>>,
-    /// Reason why this server refused the last change that a rollout's order requested; `None` if no change
-    /// was refused.
+    /// Reason why this server refused the last change that a rollout's order requested; `None` if the server
+    /// did not refuse this change.
     pub refused: RefCell<Option<String>>,
     /// True while this server changes its settings or its program because of a rollout's order.
     pub is_changing: Cell<bool>,
@@ -121,9 +121,10 @@
         (order.incarnation, order.sequence) <= (last.incarnation, last.sequence)
     }
 
-    /// Returns the name of the plan in progress if the order belongs to a different plan; otherwise `None`.
-    /// The server refuses an order of a different plan. A second coordinator may send such an order if it
-    /// wrongly believes that it holds the rollout lease.
+    /// Returns the name of the plan in progress on this server if the order belongs to a different plan;
+    /// otherwise `None`. The server refuses an order if a different plan is in progress.
+    ///
+    /// A second coordinator may send such an order if it wrongly believes that it holds the rollout lease.
     pub fn plan_under_way(&self, order: &Order, now: u64) -> Option<String> {
         let last = self.last_order.borrow();
         let under_way = self.adopted.get().is_some() && now < last.at + self.lease;
--- a/crates/server/src/fleet/shared_state.rs
+++ b/crates/server/src/fleet/shared_state.rs
@@ -195,7 +195,7 @@
 
     /// Returns the name of a tenant for use in the keys of counts. Returns `None` if the tenant has no
     /// separate count. If every tenant had its own keys, callers could create any number of keys by inventing
-    /// tenants.
+    /// tenant names.
     pub fn tenant(&self, name: &[u8]) -> Option<String> {
         self.named_tenants.borrow().contains(name).then(|| String::from_utf8_lossy(name).into_owned())
     }
--- a/crates/server/src/fleet/sharing.rs
+++ b/crates/server/src/fleet/sharing.rs
@@ -16,7 +16,7 @@
 use tracing::info;
 
 /// Interval, in nanoseconds, between two announcements of versions. In each announcement this server sends
-/// its own version and the known versions of other servers to one member.
+/// its own version and some of the known versions of other servers to one member.
 const ANNOUNCE_EVERY_NS: Nanos = 200_000_000;
 /// Maximum time between two log lines about the shared state, in nanoseconds.
 const LOG_EVERY_NS: Nanos = 500_000_000;
@@ -97,7 +97,7 @@
     }
 
     /// Announces versions to one member of the fleet: the program version and the settings hash of this
-    /// server and of other known servers.
+    /// server and of some other known servers.
     ///
     /// Successive announcements are sent to all members in turn. The first member depends on this server's
     /// incarnation, so that servers do not all announce to the same member at once.
--- a/crates/server/src/fleet/view_log.rs
+++ b/crates/server/src/fleet/view_log.rs
@@ -28,8 +28,8 @@
     /// Logs the view of the fleet if the view or the number of dropped datagrams has changed. Otherwise logs
     /// the view once per `announce_period`.
     ///
-    /// A log line is lost if the log's pipe is full at that moment. The next line, which is logged one
-    /// announce period later, then gives the reader of the log an up-to-date view.
+    /// A log line is lost if the log's pipe is full at that moment. The next line follows after at most one
+    /// announce period, and gives the reader of the log an up-to-date view.
     pub fn update(
         &mut self,
         server: &Server,
--- a/crates/server/src/interpreter/incarnation.rs
+++ b/crates/server/src/interpreter/incarnation.rs
@@ -13,8 +13,8 @@
 /// The computed times are inexact, because banners state the interpreter's age in whole milliseconds and
 /// clocks may drift apart.
 const START_TOLERANCE_NS: Nanos = 1_000_000_000;
-/// Maximum number of times that a timeout doubles the time limit for one step of connecting to the
-/// interpreter.
+/// Maximum number of doublings of the time limit for one step of connecting to the interpreter. Each attempt
+/// that times out doubles the limit.
 const DOUBLINGS_MAX: u32 = 8;
 
 /// The interpreter's current incarnation, and how attempts to connect to the interpreter have ended.
--- a/crates/server/src/lifecycle/pause.rs
+++ b/crates/server/src/lifecycle/pause.rs
@@ -57,8 +57,9 @@
     /// Longest wall-clock time and longest processor time of the thread's pauses during one change of
     /// settings. The two values may come from different pauses.
     pub longest: Span,
-    /// Number of the last part of the change in the pause with the longest processor time. Parts are numbered
-    /// from 1. The number 0 stands for the swap of the configuration, which precedes the first part.
+    /// Identifies the pause with the longest processor time by the number of the last part of the change in
+    /// this pause. Parts are numbered from 1. The number 0 stands for the swap of the configuration, which
+    /// precedes the first part.
     pub longest_part: usize,
     parts: usize,
     /// Duration of the serving thread's current pause. The pause consists of all parts of a change that were
--- a/crates/server/src/lifecycle/reload.rs
+++ b/crates/server/src/lifecycle/reload.rs
@@ -5,7 +5,7 @@
 //! grow with the size of the files.
 //!
 //! Changes are applied one at a time. A change reads its files only after the previous change has taken
-//! effect; otherwise an older version of a file could replace a newer one.
+//! effect. Otherwise an older version of a file could replace a newer version.
 
 use crate::configuration::Configuration;
 use crate::configuration::Layers;
@@ -143,7 +143,8 @@
 /// continues with the previous settings.
 ///
 /// Connections to addresses that did not change stay open. A request has no effect if another reload is
-/// already waiting for an earlier change. The waiting reload has not read the files yet.
+/// already waiting for an earlier change. The waiting reload has not read the files yet, so it also applies
+/// the newest files.
 pub async fn reload(server: Rc<Server>) {
     if server.changes.reload_pending.replace(true) {
         return;
--- a/crates/server/src/lifecycle/reload_check.rs
+++ b/crates/server/src/lifecycle/reload_check.rs
@@ -12,8 +12,8 @@
     /// The change affects the server's name or the address on which the server accepts connections.
     #[error("name, listen: a change takes a restart")]
     NameOrAddress,
-    /// The change adds or removes the address of the server's downstream service. An existing address may
-    /// change.
+    /// The change adds or removes the address of the server's downstream service. Replacing an existing
+    /// address by another address needs no restart.
     #[error("records: adding or removing it takes a restart")]
     Records,
     /// The change affects an element of the options file that is read only at the start.
--- a/crates/server/src/lifecycle/start.rs
+++ b/crates/server/src/lifecycle/start.rs
@@ -200,7 +200,7 @@
     Rollout::new(candidate, me, settings.lease, operations, leave).map(Some)
 }
 
-/// Starts all tasks except the one that accepts connections. Returns the listener for this remaining task.
+/// Starts all tasks except the task that accepts connections. Returns the listener for this remaining task.
 fn spawn_tasks(server: &Rc<Server>, opened: OpenedResources, channels: Channels) -> Async<TcpListener> {
     let Channels { events, leave_requests, leave_trigger } = channels;
     let executor = server.executor;
--- a/crates/server/src/resources/descriptors.rs
+++ b/crates/server/src/resources/descriptors.rs
@@ -25,8 +25,8 @@
 pub struct TooFewDescriptors {
     /// Configured maximum number of file descriptors that the process may have open.
     pub limit: usize,
-    /// Number of file descriptors that the server needs for purposes other than callers' connections and
-    /// downstream calls.
+    /// Number of file descriptors that the server needs for purposes other than callers' connections,
+    /// downstream calls and the reading of files.
     pub in_use: usize,
 }
 
--- a/crates/server/src/resources/invocations.rs
+++ b/crates/server/src/resources/invocations.rs
@@ -78,8 +78,8 @@
 pub struct SentCommand {
     /// The encoded command.
     pub line: Vec<u8>,
-    /// Number of the link to the interpreter over which the command was last sent; 0 if the last attempt to
-    /// send the command failed.
+    /// Number of the link to the interpreter over which the command was last sent. The number is 0 if the
+    /// first attempt to send the command failed and no second attempt was made.
     pub link: u64,
 }
 
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -61,7 +61,8 @@
     pub shared: Option<LocalSharedState>,
     /// State of rollouts on this server; `None` if the options do not enable rollouts.
     pub rollout: Option<Rollout>,
-    /// Lock and flag for changes of settings, so that only one change is applied at a time.
+    /// Lock that lets only one change of settings be applied at a time, and a flag that merges reload
+    /// requests.
     pub changes: Changes,
     /// Pauses of the serving thread during the most recent change of settings.
     pub change_pauses: Cell<Pauses>,
--- a/crates/server/src/wire/interpreter.rs
+++ b/crates/server/src/wire/interpreter.rs
@@ -17,7 +17,8 @@
     /// The banner, which is the first notice on each link. The banner shows that the interpreter has accepted
     /// the link.
     Banner {
-        /// True if the interpreter is still warming up, so it runs operations more slowly.
+        /// True if the interpreter is still warming up. During the warm-up, the interpreter runs operations
+        /// more slowly.
         cold: bool,
         /// Time since the interpreter process started, in nanoseconds.
         age: Nanos,
@@ -75,7 +76,7 @@
     /// The notice states an outcome of the run that the server does not know.
     #[error("unknown outcome {0:?}")]
     UnknownEnd(String),
-    /// The notice has a verb (its type) that the server does not know.
+    /// The notice has a verb that the server does not know. The verb states the type of the notice.
     #[error("unknown verb {0:?}")]
     UnknownVerb(String),
     /// The gauge readings in the notice are not a list.
--- a/crates/server/src/wire/resp.rs
+++ b/crates/server/src/wire/resp.rs
@@ -1,4 +1,4 @@
-//! Parser and encoder for RESP arrays of bulk strings (also called words here).
+//! Parser and encoder for RESP arrays of bulk strings. In this code, a bulk string is also called a word.
 
 use crate::wire::ParseError;
 use crate::wire::Parsed;
