--- a/crates/server/src/calls/pool.rs
+++ b/crates/server/src/calls/pool.rs
@@ -10,11 +10,11 @@
 /// Maximum time that a connection stays idle in the pool. A downstream service closes a connection after 10 s
 /// of idle time, so the pool closes the connection after half of that time.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Minimum idle time of a connection before another call uses it. During this time a duplicate of the
-/// previous reply may still arrive. Without the delay, the duplicate would be taken for the reply to the next
-/// call.
+/// Minimum time for which a connection is idle before another call uses the connection. During this time a
+/// duplicate of the previous reply may still arrive. Without the delay, the duplicate would be taken for the
+/// reply to the next call.
 const REUSE_DELAY: Duration = Duration::from_millis(20);
-/// Delay after a failed attempt to reserve a file descriptor. The pool then tries again.
+/// Delay between a failed attempt to reserve a file descriptor and the next attempt.
 pub const DESCRIPTOR_RETRY_AFTER: Duration = Duration::from_millis(2);
 
 /// A connection to a downstream service, together with the file descriptor that is reserved for the
--- a/crates/server/src/calls/task.rs
+++ b/crates/server/src/calls/task.rs
@@ -34,9 +34,8 @@
     pub timeout: Nanos,
     /// Body of the request.
     pub body: Vec<u8>,
-    /// True if the downstream call must use a new connection. Otherwise the call may use an idle connection.
-    /// The downstream service may close an idle connection just as the call is sent, and the call is then
-    /// lost.
+    /// True if the downstream call must use a new connection. If false, the call may use an idle connection.
+    /// The downstream service may close an idle connection just as the call is sent. The call is then lost.
     pub needs_new_connection: bool,
 }
 
@@ -51,8 +50,8 @@
     /// Returns whether bytes of the downstream call may still be sent. The call must not have timed out, and
     /// the shared state of the fleet must still permit the call.
     ///
-    /// The caller checks this condition before each write, because the process may have been suspended. The
-    /// call may then have timed out although its timeout is not handled yet.
+    /// The caller checks this condition before each write, because the process may have been suspended. After
+    /// a suspension, the call may have timed out although the timeout has not been handled yet.
     fn may_be_sent(&self, server: &Server) -> bool {
         let is_in_time = self.time_left(server.clock.now()).is_some();
         is_in_time && server.shared.as_ref().is_none_or(|shared| shared.permit_send(self.number))
--- a/crates/server/src/configuration/candidate.rs
+++ b/crates/server/src/configuration/candidate.rs
@@ -42,8 +42,8 @@
     }
 
     /// Returns whether the server had adopted the candidate settings before its last stop, and whether the
-    /// settings file has changed since. Compares the hash in the mark file with the hash of the settings
-    /// file.
+    /// settings file has changed since the adoption. Compares the hash in the mark file with the hash of the
+    /// settings file.
     pub fn adopted_before(&self) -> AdoptedBefore {
         let Ok(mark) = std::fs::read_to_string(&self.mark) else { return AdoptedBefore::NotAdopted };
         let adopted = u64::from_str_radix(mark.trim(), 16).ok();
@@ -56,7 +56,7 @@
 }
 
 /// Result of [`Candidate::adopted_before`]: whether the server had adopted candidate settings before its last
-/// stop, and whether the settings file has changed since.
+/// stop, and whether the settings file has changed since the adoption.
 pub enum AdoptedBefore {
     /// Before its last stop, the server had not adopted any candidate settings.
     NotAdopted,
--- a/crates/server/src/configuration/defaults.rs
+++ b/crates/server/src/configuration/defaults.rs
@@ -1,4 +1,4 @@
-//! Compares the deployment's settings (from the platform's file) with the options file.
+//! Compares the options file with the deployment's settings, which are a part of the platform's file.
 //!
 //! If the settings require a feature that the options file does not describe, the server uses defaults and
 //! adds a note to the log. If the two files contradict each other, loading fails.
--- a/crates/server/src/configuration/fleet.rs
+++ b/crates/server/src/configuration/fleet.rs
@@ -34,8 +34,8 @@
     /// Settings of the state that the members share. `None` if the options enable no feature with shared
     /// state.
     pub shared: Option<SharedSettings>,
-    /// Addresses of the downstream services, in the order in which the settings of the shared state list the
-    /// service names.
+    /// Addresses of the downstream services. The settings of the shared state list the names of the services
+    /// in the same order.
     pub tier: Vec<SocketAddr>,
 }
 
@@ -57,7 +57,7 @@
     /// A setting of the shared state is out of range.
     #[error("<{element}>: {error}")]
     SharedState {
-        /// Name of the element of the options file that enables the shared state. The error message begins
+        /// Name of the element that enables the shared state in the options file. The error message begins
         /// with this name.
         element: &'static str,
         /// The invalid setting.
--- a/crates/server/src/configuration/load.rs
+++ b/crates/server/src/configuration/load.rs
@@ -78,9 +78,9 @@
         Ok(configuration)
     }
 
-    /// Loads the configuration with the candidate settings of a rollout, if the server had adopted these
-    /// settings before its last stop. Leaves out the candidate settings if they have changed since then or
-    /// cannot be used.
+    /// Loads the configuration. Includes the candidate settings of a rollout if the server had adopted these
+    /// settings before its last stop. Leaves out the candidate settings if their file has changed since the
+    /// adoption or cannot be used.
     fn load_adopted(path: &Path, options: Option<&Path>) -> Result<Self, LoadError> {
         let own = Self::load(path, options, Layers::default())?;
         let candidate = own.candidate.borrow().clone();
@@ -150,7 +150,7 @@
     }
 }
 
-/// Reads the server's own options file at `path`, and then replaces settings by those in `layers`.
+/// Reads the server's own options file at `path`, and then replaces settings by the settings in `layers`.
 fn read_options(path: &Path, layers: Layers) -> Result<Options, LoadError> {
     let mut options = Options::load(path).map_err(|error| LoadError::Options(error.into()))?;
     if let Some(change) = layers.change {
--- a/crates/server/src/connection/table.rs
+++ b/crates/server/src/connection/table.rs
@@ -8,8 +8,8 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Maximum number of open (unanswered) calls on one connection. Further calls stay unread until an open call
-/// is answered or cancelled.
+/// Maximum number of open calls on one connection. A call is open until it is answered or cancelled. While
+/// the maximum is reached, further calls stay unread.
 pub const OPEN_CALLS_MAX: usize = 32;
 /// Idle time, in nanoseconds, for connections that have never received a command. After this time the server
 /// may close the connection if a new connection needs its file descriptor.
@@ -104,7 +104,7 @@
 pub struct HealthStatus {
     /// Answer to health checks. True if the server is healthy and callers may send calls to it.
     pub healthy: Cell<bool>,
-    /// Load of the server, as each answer advertises it; `None` until the controller sets a load.
+    /// Load of the server that all answers advertise; `None` until the controller sets a load.
     pub advertised_load: Cell<Option<f64>>,
 }
 
@@ -155,7 +155,8 @@
     }
 
     /// Asks the task of one idle connection to close the connection. Prefers connections that have never
-    /// received a command. Among several candidates, chooses the connection with the longest idle time.
+    /// received a command. If several connections are equally preferred, chooses the connection with the
+    /// longest idle time.
     ///
     /// Returns false if no connection has been idle long enough.
     pub fn close_one_idle(&self, now: Nanos) -> bool {
--- a/crates/server/src/connection/task.rs
+++ b/crates/server/src/connection/task.rs
@@ -23,8 +23,8 @@
 /// Divisor of the time from the notice to leave until the process stops. The result is the linger time: how
 /// long the server waits for the peer to close a connection.
 ///
-/// One connection may wait for the linger time twice: first while the connection is idle, and again while it
-/// is closing. Both waits must end before the process stops.
+/// One connection may wait for the linger time twice: first while the connection is idle, and again while the
+/// connection is closing. Both waits must end before the process stops.
 const LINGER_DIVISOR: u64 = 8;
 /// Maximum number of bytes that one read from the socket returns.
 const READ_MAX_BYTES: usize = 8 * 1024;
--- a/crates/server/src/event.rs
+++ b/crates/server/src/event.rs
@@ -90,7 +90,7 @@
     DownstreamCapacity,
     /// Request to write the tenants with the highest demand to the server's log.
     LogTenants,
-    /// Request to apply one step of a change to the weights and shares of tenants.
+    /// Request to apply one part of a change to the weights and shares of tenants.
     ReconfigureFairQueueing(Box<SettingsChange>),
     /// Request to send a signal over this channel. The signal means that the event loop has handled all
     /// events that were queued before this request.
--- a/crates/server/src/event_loop/actions.rs
+++ b/crates/server/src/event_loop/actions.rs
@@ -38,18 +38,19 @@
     pub outcome: Outcome,
 }
 
-/// Executes the actions of the overload controller (`impl Host`). Owns the state that these actions change.
+/// Executes the actions that the overload controller requests, as an implementation of the trait `Host`. Owns
+/// the state that these actions change.
 pub struct ActionExecutor {
     /// State of the server that all its tasks share.
     pub server: Rc<Server>,
     /// All invocations that are not yet answered or whose run has not ended.
     pub invocations: Invocations,
-    /// Table of idempotency keys and of the results of successful invocations with a key.
+    /// Table of idempotency keys. The table also stores the results of successful invocations, up to a total
+    /// size.
     pub idempotency: IdempotencyTable,
     /// The session with the interpreter. Commands to the interpreter are sent through this session.
     pub session: InterpreterSession,
-    /// Timers that the controller has set, and timeouts of gauge requests that the interpreter has not
-    /// answered yet.
+    /// Timers that the controller has set, and timeouts of unanswered gauge requests.
     pub timers: TimerQueue,
     /// Promise of admission that the next rejection carries; `None` if the controller has made no promise.
     pub promised: Option<PromisedAdmission>,
@@ -224,11 +225,11 @@
         }
     }
 
-    /// Removes the idempotency key of an invocation that never ran. Otherwise a call forged by a peer could
-    /// block the key for the genuine call.
+    /// Removes the idempotency key of an invocation that never ran. Without the removal, a call forged by a
+    /// peer could block the key for the genuine call.
     ///
-    /// The key stays if a command for the run was sent again over a new link to the interpreter. The earlier
-    /// copy of the command may have started the run.
+    /// The key is not removed if a command for the run was sent again over a new link to the interpreter. The
+    /// earlier copy of the command may have started the run.
     pub fn forget_unless_resent(&mut self, id: u64) {
         if self.invocations.get(id).is_some_and(|invocation| !invocation.was_resent) {
             self.forget(id);
--- a/crates/server/src/event_loop/interpreter_session.rs
+++ b/crates/server/src/event_loop/interpreter_session.rs
@@ -19,8 +19,9 @@
     /// Number of the most recent link to the interpreter. The first link has number 1.
     link: u64,
     last_nonce: u64,
-    /// Nonce of the gauge request that is sent at the start of a link. The interpreter first replays missed
-    /// notices and then answers this request, so the response marks the end of the replay.
+    /// Nonce of the gauge request that is sent at the start of a link. The interpreter answers this request
+    /// after it has replayed all notices that the server missed. The response therefore marks the end of the
+    /// replay.
     replay_fence: Option<u64>,
     gauges_request: Option<GaugesRequest>,
 }
--- a/crates/server/src/event_loop/mod.rs
+++ b/crates/server/src/event_loop/mod.rs
@@ -287,8 +287,8 @@
     /// Handles the end of a run with the outcome `outcome`. If the run never started, the caller receives a
     /// failure and not a rejection, because a retry would fail in the same way.
     ///
-    /// If the run never started, the controller is first notified that the caller has disconnected. Otherwise
-    /// a call forged by a peer would count as evidence that runs fail on this server.
+    /// If the run never started, the controller is first notified that the caller has disconnected. Without
+    /// this notification, a call forged by a peer would count as evidence that runs fail on this server.
     fn handle_run_end(&mut self, id: u64, outcome: Outcome, result: Vec<u8>) {
         if outcome == Outcome::NeverRan {
             self.actions.forget_unless_resent(id);
--- a/crates/server/src/fleet/control_machine.rs
+++ b/crates/server/src/fleet/control_machine.rs
@@ -1,5 +1,5 @@
-//! `meadowstream control`: a control machine, which is a member of the fleet that serves no callers. The
-//! machine stores one of the replicas of the replicated configuration. A control machine publishes new
+//! `meadowstream control`: runs a control machine. A control machine is a member of the fleet, but serves no
+//! callers. The machine stores one of the replicas of the replicated configuration, and publishes new
 //! revisions while it holds the publishing lease.
 
 use crate::configuration::fleet;
@@ -36,7 +36,7 @@
     pub fleet: FleetSettings,
     /// The `<replication>` element.
     pub replication: ReplicationOptions,
-    /// Path of the file that stores the log of replicated configuration.
+    /// Path of the file in which a control machine stores its copy of the replicated configuration.
     pub file: PathBuf,
 }
 
--- a/crates/server/src/fleet/coordinator.rs
+++ b/crates/server/src/fleet/coordinator.rs
@@ -1,6 +1,6 @@
-//! `meadowstream rollout`: the coordinator of a rollout, which is a member of the fleet that serves no
-//! callers. The coordinator holds the rollout lease and saves its state to disk. In each interval, the
-//! coordinator sends orders to the servers and receives their reports.
+//! `meadowstream rollout`: runs the coordinator of a rollout. The coordinator is a member of the fleet, but
+//! serves no callers. The coordinator holds the rollout lease and saves its state to disk. In each interval,
+//! the coordinator sends orders to the servers and receives their reports.
 
 use crate::configuration::candidate;
 use crate::configuration::candidate::hash_of;
@@ -59,7 +59,7 @@
     Ok(Some(saved))
 }
 
-/// Prints the progress of a rollout, as the coordinator has saved it in the state file.
+/// Prints the progress of a rollout, which the coordinator has saved in the state file.
 pub fn status(state: &Path) -> Result<()> {
     let saved = read_state(state)?.with_context(|| format!("{}: no rollout has begun", state.display()))?;
     let changed: Vec<&str> = saved.changed.iter().map(String::as_str).collect();
@@ -228,8 +228,8 @@
         }
     }
 
-    /// Executes the coordinator's actions in the given order. The state must be saved before orders that
-    /// depend on the state are sent.
+    /// Executes the coordinator's actions in the order of the list. The state must be saved before orders
+    /// that depend on the state are sent.
     ///
     /// If the state cannot be written, the coordinator exits. Each server then keeps its current version
     /// until the coordinator is started again.
--- a/crates/server/src/fleet/interval_report.rs
+++ b/crates/server/src/fleet/interval_report.rs
@@ -57,7 +57,7 @@
     }
 
     /// Records an answer that was sent `latency_ns` nanoseconds after the call arrived. `late` is true if the
-    /// client timeout of the operation had passed by then.
+    /// operation's client timeout had passed before the answer was sent.
     pub fn record_answer(&self, operation: usize, outcome: AnswerOutcome, latency_ns: u64, late: bool) {
         let mut classes = self.classes.borrow_mut();
         let Some(Class { figures, latency }) = classes.get_mut(operation) else { return };
--- a/crates/server/src/fleet/publish.rs
+++ b/crates/server/src/fleet/publish.rs
@@ -40,7 +40,7 @@
     pub wait: Duration,
 }
 
-/// Builds the messages that ask the publisher to make a change. A request for the status alone needs no such
+/// Builds the messages that ask the publisher to make a change. A request for the status alone needs no
 /// messages. Called before the process joins the fleet, so that errors in a change file are reported first.
 fn messages(arguments: &PublishArguments, request: &RequestId) -> Result<Vec<Message>> {
     match &arguments.request {
--- a/crates/server/src/fleet/rollout.rs
+++ b/crates/server/src/fleet/rollout.rs
@@ -20,7 +20,8 @@
 use std::rc::Rc;
 use tracing::{info, warn};
 
-/// Maximum length, in characters, of the reason that a report states for refusing a rollout's order.
+/// Maximum length, in characters, of a refusal reason in a report. The reason states why this server refused
+/// an order of a rollout.
 const REASON_MAX: usize = 200;
 
 /// Reason why an order of a rollout is refused. The server keeps its previous settings and its previous
--- a/crates/server/src/fleet/rollout_state.rs
+++ b/crates/server/src/fleet/rollout_state.rs
@@ -40,7 +40,7 @@
     pub plan: String,
     /// Incarnation of the coordinator that sent the order.
     pub incarnation: u64,
-    /// Sequence number of the order, among all orders of this incarnation of the coordinator.
+    /// Sequence number of the order. Each incarnation of the coordinator numbers its orders separately.
     pub sequence: u64,
     /// Time at which this server accepted the order, in Unix nanoseconds.
     pub at: u64,
@@ -59,7 +59,7 @@
     /// Identity of the running program; `None` until the program's file has been read. The hash is 0 if no
     /// rollout may replace the program.
     pub program: Cell<Option<OwnProgram>>,
-    /// Channel to the task that makes the server exit. The supervisor of the server then starts another
+    /// Channel to the task that makes the server exit. After the exit, the server's supervisor starts another
     /// program.
     pub leave: Sender<()>,
     /// Duration, in nanoseconds, for which an order reserves this server for the order's plan. During this
@@ -121,10 +121,11 @@
         (order.incarnation, order.sequence) <= (last.incarnation, last.sequence)
     }
 
-    /// Returns the name of the plan in progress on this server if the order belongs to a different plan;
-    /// otherwise `None`. The server refuses an order if a different plan is in progress.
+    /// Returns the name of the plan in progress on this server if the order belongs to a different plan. The
+    /// server then refuses the order. Returns `None` if no different plan is in progress.
     ///
-    /// A second coordinator may send such an order if it wrongly believes that it holds the rollout lease.
+    /// A second coordinator may send an order of a different plan if it wrongly believes that it holds the
+    /// rollout lease.
     pub fn plan_under_way(&self, order: &Order, now: u64) -> Option<String> {
         let last = self.last_order.borrow();
         let under_way = self.adopted.get().is_some() && now < last.at + self.lease;
--- a/crates/server/src/fleet/sharing.rs
+++ b/crates/server/src/fleet/sharing.rs
@@ -21,7 +21,7 @@
 /// Maximum time between two log lines about the shared state, in nanoseconds.
 const LOG_EVERY_NS: Nanos = 500_000_000;
 
-/// State of the exchange with other members that is kept between two calls of [`Sharing::advance`].
+/// State that the exchange with other members keeps between two calls of [`Sharing::advance`].
 #[derive(Default)]
 pub struct Sharing {
     /// Client of replicated configuration; `None` if the options do not enable replicated configuration.
@@ -132,8 +132,8 @@
             }
         }
         if advanced.has_capacity {
-            // If the queue is full, the event is dropped. The controller then has other events to handle.
-            // While the controller handles these events, it checks whether calls are permitted.
+            // If the queue is full, the event is dropped. A full queue contains other events for the
+            // controller. While the controller handles these events, it checks whether calls are permitted.
             let _ = server.events.try_send(Event::DownstreamCapacity);
         }
     }
--- a/crates/server/src/fleet/tier.rs
+++ b/crates/server/src/fleet/tier.rs
@@ -31,7 +31,7 @@
     router: Router,
     /// Downstream calls in flight. The key is the number of the call.
     in_flight: HashMap<u64, InFlight>,
-    /// Indexes of the downstream services that are ejected, as of the last call of [`Tier::update_health`].
+    /// Indexes of the ejected downstream services, as determined by the last call of [`Tier::update_health`].
     pub ejected: Vec<usize>,
 }
 
--- a/crates/server/src/interpreter/incarnation.rs
+++ b/crates/server/src/interpreter/incarnation.rs
@@ -13,8 +13,8 @@
 /// The computed times are inexact, because banners state the interpreter's age in whole milliseconds and
 /// clocks may drift apart.
 const START_TOLERANCE_NS: Nanos = 1_000_000_000;
-/// Maximum number of doublings of the time limit for one step of connecting to the interpreter. Each attempt
-/// that times out doubles the limit.
+/// Maximum number of times that the time limit for one step of connecting is doubled. Each attempt to connect
+/// to the interpreter doubles the limit if the attempt times out.
 const DOUBLINGS_MAX: u32 = 8;
 
 /// The interpreter's current incarnation, and how attempts to connect to the interpreter have ended.
--- a/crates/server/src/interpreter/link.rs
+++ b/crates/server/src/interpreter/link.rs
@@ -93,8 +93,8 @@
     Err(ErrorKind::TimedOut.into())
 }
 
-/// Establishes a link and uses it until the link ends. Returns the error that ended the link, or `Ok` if the
-/// queue of commands to the interpreter was closed.
+/// Establishes a link, and then uses the link until it ends. Returns the error that ended the link, or `Ok`
+/// if the queue of commands to the interpreter was closed.
 async fn session(server: &Server, incarnation: &mut Incarnation, linked: &mut bool) -> Result<()> {
     let address = server.configuration.addresses.get().interpreter;
     let connecting = Async::<TcpStream>::connect(address);
--- a/crates/server/src/lifecycle/drain.rs
+++ b/crates/server/src/lifecycle/drain.rs
@@ -1,5 +1,5 @@
 //! The drain of a server that was notified to leave: the phases of the drain, and the condition under which
-//! it is over.
+//! the drain is over.
 
 use crate::lifecycle::drain_state::Phase;
 use crate::server::Server;
@@ -39,8 +39,8 @@
 /// - The grace phase is over, no connection is open, and no event is queued.
 /// - The time set with `DrainState::end_by` has passed.
 ///
-/// The server asks each peer to send no more calls, either at the end of the grace phase or together with its
-/// next answer. The peer then closes the connection once all its calls are answered.
+/// The server asks each peer to send no more calls, either at the end of the grace phase or together with the
+/// next answer to the peer. The peer then closes the connection once all its calls are answered.
 pub fn is_over(server: &Server) -> bool {
     let is_empty = server.connections.count() == 0 && server.events.is_empty();
     (server.drain.is_grace_over() && is_empty) || server.drain.has_stopped(server.clock.now())
--- a/crates/server/src/lifecycle/drain_state.rs
+++ b/crates/server/src/lifecycle/drain_state.rs
@@ -15,7 +15,7 @@
     /// The server rejects new invocations but still accepts connections. A caller that connects now receives
     /// an answer instead of a connection error.
     Rejecting,
-    /// The server accepts no more connections, because it is about to stop.
+    /// The server accepts no more connections, because the process is about to stop.
     Closing,
 }
 
--- a/crates/server/src/lifecycle/pause.rs
+++ b/crates/server/src/lifecycle/pause.rs
@@ -1,7 +1,7 @@
 //! Measures for how long a change of settings blocks the serving thread.
 //!
 //! Two times are measured. The wall-clock time includes waits for a core, which depend on other processes.
-//! The processor time of the thread is only the work of the change.
+//! The thread's processor time includes only the work of the change.
 
 use rustix::time::{ClockId, DynamicClockId, clock_gettime_dynamic};
 use std::time::{Duration, Instant};
@@ -74,7 +74,7 @@
         Self { longest: swap, ..Self::default() }
     }
 
-    /// Adds the duration of one part of a change of settings to the serving thread's current pause. The event
+    /// Adds the duration of one part of a settings change to the serving thread's current pause. The event
     /// loop has already applied this part.
     pub fn add_part(&mut self, part: Span) {
         self.parts += 1;
--- a/crates/server/src/lifecycle/reload_check.rs
+++ b/crates/server/src/lifecycle/reload_check.rs
@@ -28,7 +28,7 @@
     /// The change adds or removes the element `<tenants>` of the options file.
     #[error("tenants: telling them apart or not takes a restart")]
     Tenants,
-    /// The change affects how the tenant or the origin of a call is identified, or it affects
+    /// The change affects how the tenant or the origin of a call is identified, or affects the setting
     /// `surplus-value`. An invocation beyond its tenant's quota has its priority weight multiplied by
     /// `surplus-value`.
     #[error("tenants: a change of by, field, origin or surplus-value takes a restart")]
--- a/crates/server/src/resources/counters.rs
+++ b/crates/server/src/resources/counters.rs
@@ -5,8 +5,8 @@
 
 macro_rules! counters {
     ($($name:ident)*) => {
-        /// Counters of events since the start of the process. The names of the fields appear in the log
-        /// (docs/on-call.md).
+        /// Counters of events since the start of the process. The names of the fields appear in the log; see
+        /// docs/on-call.md.
         #[derive(Default)]
         pub struct Counters {
             $(#[doc = concat!("The counter `", stringify!($name), "`.")] pub $name: Count),*
--- a/crates/server/src/resources/descriptors.rs
+++ b/crates/server/src/resources/descriptors.rs
@@ -7,14 +7,14 @@
 /// Number of descriptors that the server opens after its start without reserving them: one for the link to
 /// the interpreter, and one for the UDP socket for reports to the service registry.
 const OPENED_AFTER_START: usize = 2;
-/// Number of file descriptors that are assumed to be open at the start of the server. Used if the open
-/// descriptors cannot be counted.
+/// Assumed number of open file descriptors at the start of the server. Used if the open descriptors cannot be
+/// counted.
 const OPEN_AT_START_FALLBACK: usize = 13;
 /// Divisor of the number of available file descriptors. The result is the size of the reserve, which callers'
 /// connections may not use.
 ///
-/// Downstream calls and files may use a part of the reserve. They receive a descriptor only while the number
-/// of free descriptors exceeds half of the reserve's size.
+/// Downstream calls and files may use a part of the reserve. A call or a file receives a descriptor only
+/// while the number of free descriptors exceeds half of the reserve's size.
 const RESERVE_DIVISOR: usize = 8;
 /// Minimum number of file descriptors in the reserve, which callers' connections may not use.
 const RESERVE_MIN: usize = 2;
--- a/crates/server/src/resources/idempotency.rs
+++ b/crates/server/src/resources/idempotency.rs
@@ -75,7 +75,7 @@
 pub struct IdempotencyTable {
     entries: HashMap<u64, Entry>,
     by_key: HashMap<Key, u64>,
-    /// Time at which each entry of the table expires, with the id of the entry's invocation.
+    /// Expiry time of each entry, paired with the id of the entry's invocation. Sorted by the expiry time.
     by_expiry: BTreeSet<(Nanos, u64)>,
     /// Ids of the invocations whose results are stored, from the oldest to the newest result.
     results: VecDeque<u64>,
@@ -126,15 +126,15 @@
                 }
             }
             // The call is not a repeat: its key is not stored, or the key's idempotency window has ended. The
-            // call needs a new entry in the table. A key that is already stored is then assigned to the new
+            // call needs a new entry in the table. A key that is already stored is later assigned to the new
             // invocation.
             _ if self.entries.len() >= self.entries_max => Lookup::TableFull,
             _ => Lookup::New,
         }
     }
 
-    /// Stores the idempotency key of an invocation. A call with the same key that arrives before `window_end`
-    /// is then a repeat of this invocation.
+    /// Stores the idempotency key of an invocation. Afterwards, a call with the same key is a repeat of this
+    /// invocation if the call arrives before `window_end`.
     pub fn insert(
         &mut self,
         invocation: u64,
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -61,8 +61,8 @@
     pub shared: Option<LocalSharedState>,
     /// State of rollouts on this server; `None` if the options do not enable rollouts.
     pub rollout: Option<Rollout>,
-    /// Lock that lets only one change of settings be applied at a time, and a flag that merges reload
-    /// requests.
+    /// Lock and flag for changes of settings. The lock lets only one change be applied at a time. The flag
+    /// merges reload requests.
     pub changes: Changes,
     /// Pauses of the serving thread during the most recent change of settings.
     pub change_pauses: Cell<Pauses>,
--- a/crates/server/src/wire/http.rs
+++ b/crates/server/src/wire/http.rs
@@ -56,7 +56,7 @@
     }
 
     /// Returns the length of the reply's body. The header Content-Length may be missing only if the status is
-    /// an error.
+    /// not 200.
     ///
     /// If the header occurs several times, all values must be equal. Otherwise the end of the reply would be
     /// ambiguous. Bytes of another message could then be taken for a part of this reply.
--- a/crates/server/src/wire/ring.rs
+++ b/crates/server/src/wire/ring.rs
@@ -45,7 +45,7 @@
         fits
     }
 
-    /// Makes the bytes in the buffer contiguous in memory, so that `front` returns all of them.
+    /// Makes the bytes in the buffer contiguous in memory, so that `front` returns all bytes.
     pub fn make_contiguous(&mut self) {
         self.bytes.make_contiguous();
     }
