--- a/crates/server/src/fleet/shared_state.rs
+++ b/crates/server/src/fleet/shared_state.rs
@@ -56,15 +56,15 @@
 /// Status of the call budget and names of the ejected downstream services, for the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SharedStatus {
-    /// Units of the fleet's call budget that this server may use without a lease.
+    /// Number of the fleet's call budget units that this server may use without a lease.
     pub floor: u64,
-    /// Units of the fleet's call budget that this server has leased in addition to the floor.
+    /// Number of the fleet's call budget units that this server has leased in addition to the floor.
     pub leased: u64,
-    /// Units of the fleet's call budget that this server's downstream calls use now.
+    /// Number of the fleet's call budget units that this server's downstream calls use now.
     pub in_use: u64,
     /// True if this server is the grantor, which leases units of the fleet's call budget to the servers.
     pub is_grantor: bool,
-    /// Units of the fleet's call budget that this server, as the grantor, has leased out.
+    /// Number of the fleet's call budget units that this server, as the grantor, has leased out.
     pub outstanding: u64,
     /// Names of the ejected services.
     pub ejected: Vec<String>,
