--- a/crates/server/src/calls/pool.rs
+++ b/crates/server/src/calls/pool.rs
@@ -10,11 +10,11 @@
 /// Maximum time that a connection stays idle in the pool. A downstream service closes a connection after 10 s
 /// of idle time, so the pool closes the connection after half of that time.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Minimum idle time of a connection before another call uses it. During this time a duplicate of the
-/// previous reply may still arrive. Without the delay, the duplicate would be taken for the reply to the next
-/// call.
+/// Minimum time for which a connection is idle before another call uses the connection. During this time a
+/// duplicate of the previous reply may still arrive. Without the delay, the duplicate would be taken for the
+/// reply to the next call.
 const REUSE_DELAY: Duration = Duration::from_millis(20);
-/// Delay after a failed attempt to reserve a file descriptor. The pool then tries again.
+/// Delay between a failed attempt to reserve a file descriptor and the next attempt.
 pub const DESCRIPTOR_RETRY_AFTER: Duration = Duration::from_millis(2);
 
 /// A connection to a downstream service, together with the file descriptor that is reserved for the
@@ -79,8 +79,8 @@
     /// Takes the most recently used idle connection to the address `to` out of the pool. Discards a
     /// connection that the downstream service has closed, or on which the service has sent unexpected data.
     ///
-    /// Connections to other addresses stay in the pool. If a configuration reload has removed an address, the
-    /// connections to this address are closed when their idle time is over.
+    /// Connections to other addresses stay in the pool. If a call returns a connection after a configuration
+    /// reload has replaced the address, this connection is closed when its idle time is over.
     fn reuse(&self, to: SocketAddr, now: Instant) -> Option<PooledConnection> {
         self.close_expired();
         let mut idle = self.idle.borrow_mut();
--- a/crates/server/src/configuration/fleet.rs
+++ b/crates/server/src/configuration/fleet.rs
@@ -34,8 +34,8 @@
     /// Settings of the state that the members share. `None` if the options enable no feature with shared
     /// state.
     pub shared: Option<SharedSettings>,
-    /// Addresses of the downstream services, in the order in which the settings of the shared state list the
-    /// service names.
+    /// Addresses of the downstream services. The settings of the shared state list the names of the services
+    /// in the same order.
     pub tier: Vec<SocketAddr>,
 }
 
@@ -57,7 +57,7 @@
     /// A setting of the shared state is out of range.
     #[error("<{element}>: {error}")]
     SharedState {
-        /// Name of the element of the options file that enables the shared state. The error message begins
+        /// Name of the element that enables the shared state in the options file. The error message begins
         /// with this name.
         element: &'static str,
         /// The invalid setting.
@@ -65,9 +65,11 @@
     },
 }
 
-/// Builds the fleet settings from the element `<membership>`, without the settings of the shared state. If
-/// the element contains no member name, the parameter `server` is the name. `options_path` is the path of the
-/// options file.
+/// Builds the fleet settings from the element `<membership>`. The result does not yet contain the settings of
+/// the shared state.
+///
+/// If the element contains no member name, the member receives the server's name `server`. `options_path` is
+/// the path of the options file.
 pub fn fleet_settings(
     membership: &Membership,
     server: &str,
@@ -123,8 +125,8 @@
     Ok(Some(settings))
 }
 
-/// Returns all budgets that the options require. The first is the budget of downstream calls, if the options
-/// define one. One budget for each required lease follows.
+/// Returns all budgets that the options require. The list begins with the budget of downstream calls, if the
+/// options define this budget. One budget for each required lease follows.
 fn budgets(options: &Options) -> Result<Vec<BudgetSettings>, FleetError> {
     let mut budgets = Vec::new();
     if let Some(calls) = options.shared_state.as_ref().and_then(|shared| shared.budget.as_ref()) {
--- a/crates/server/src/connection/table.rs
+++ b/crates/server/src/connection/table.rs
@@ -8,8 +8,8 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Maximum number of open (unanswered) calls on one connection. Further calls stay unread until an open call
-/// is answered or cancelled.
+/// Maximum number of open calls on one connection. A call is open until it is answered or cancelled. While
+/// the maximum is reached, further calls stay unread.
 pub const OPEN_CALLS_MAX: usize = 32;
 /// Idle time, in nanoseconds, for connections that have never received a command. After this time the server
 /// may close the connection if a new connection needs its file descriptor.
@@ -45,7 +45,8 @@
     /// sending, or sent.
     pub last_used: Cell<Nanos>,
     has_received: Cell<bool>,
-    /// True once a request to send no more calls on the connection is sent to the peer or queued for sending.
+    /// True once a drain request was queued for the connection. A drain request asks the peer to send no more
+    /// calls on the connection.
     pub draining: Cell<bool>,
     /// True if the connection is about to be closed to free its file descriptor. Reset if a command arrives
     /// before the connection is closed.
@@ -90,8 +91,8 @@
         self.open_calls.get() == 0 && self.last_used.get() <= since
     }
 
-    /// Returns whether the connection has been idle long enough to be closed, so that a new connection can
-    /// use its file descriptor.
+    /// Returns whether the server may close the connection to free its file descriptor for a new connection.
+    /// The connection must have been idle long enough, and must not already be about to be closed.
     fn may_be_closed(&self, now: Nanos) -> bool {
         let keep_for = if self.has_received.get() { IDLE_TIMEOUT_NS } else { UNUSED_TIMEOUT_NS };
         !self.closes_if_idle.get() && self.open_calls.get() == 0 && self.last_used.get() + keep_for <= now
@@ -103,7 +104,7 @@
 pub struct HealthStatus {
     /// Answer to health checks. True if the server is healthy and callers may send calls to it.
     pub healthy: Cell<bool>,
-    /// Load of the server, as each answer advertises it; `None` until the controller sets a load.
+    /// Load of the server that all answers advertise; `None` until the controller sets a load.
     pub advertised_load: Cell<Option<f64>>,
 }
 
@@ -143,8 +144,8 @@
         }
     }
 
-    /// Queues a drain request on each connection that has been idle since the time `since`. The request asks
-    /// the peer to send no more calls on the connection.
+    /// Queues a drain request on each connection that has been idle at least since the time `since`. The
+    /// request asks the peer to send no more calls on the connection.
     pub fn drain_idle_since(&self, since: Nanos) {
         for connection in self.open.borrow().values() {
             if connection.is_idle_since(since) {
@@ -154,7 +155,8 @@
     }
 
     /// Asks the task of one idle connection to close the connection. Prefers connections that have never
-    /// received a command. Among several candidates, chooses the connection with the longest idle time.
+    /// received a command. If several connections are equally preferred, chooses the connection with the
+    /// longest idle time.
     ///
     /// Returns false if no connection has been idle long enough.
     pub fn close_one_idle(&self, now: Nanos) -> bool {
--- a/crates/server/src/event_loop/actions.rs
+++ b/crates/server/src/event_loop/actions.rs
@@ -15,8 +15,8 @@
 use std::rc::Rc;
 use tracing::warn;
 
-/// Maximum time, in nanoseconds, that a control period waits for the interpreter's gauge readings. After this
-/// time the control period continues without the readings.
+/// Maximum time, in nanoseconds, that the event loop waits for the interpreter's gauge readings in a control
+/// period. After this time the control period continues without the readings.
 const GAUGES_TIMEOUT_NS: Nanos = 250_000_000;
 
 /// A promise to admit a caller's next attempt. The rejection of the present attempt carries the ticket of the
@@ -38,18 +38,19 @@
     pub outcome: Outcome,
 }
 
-/// Executes the actions of the overload controller (`impl Host`). Owns the state that these actions change.
+/// Executes the actions that the overload controller requests, as an implementation of the trait `Host`. Owns
+/// the state that these actions change.
 pub struct ActionExecutor {
     /// State of the server that all its tasks share.
     pub server: Rc<Server>,
     /// All invocations that are not yet answered or whose run has not ended.
     pub invocations: Invocations,
-    /// Table of idempotency keys and of the results of successful invocations with a key.
+    /// Table of idempotency keys. The table also stores the results of successful invocations, up to a total
+    /// size.
     pub idempotency: IdempotencyTable,
     /// The session with the interpreter. Commands to the interpreter are sent through this session.
     pub session: InterpreterSession,
-    /// Timers that the controller has set, and timeouts of gauge requests that the interpreter has not
-    /// answered yet.
+    /// Timers that the controller has set, and timeouts of unanswered gauge requests.
     pub timers: TimerQueue,
     /// Promise of admission that the next rejection carries; `None` if the controller has made no promise.
     pub promised: Option<PromisedAdmission>,
@@ -110,9 +111,9 @@
         }
     }
 
-    /// Resends the commands that were sent over an earlier link and whose receipt is not confirmed. These
-    /// commands may have been lost with the earlier link. The interpreter ignores a command that it has
-    /// already received.
+    /// Sends commands again if the interpreter has not confirmed their receipt. Applies to commands that were
+    /// last sent over an earlier link, or that could not be sent. These commands may have been lost. The
+    /// interpreter ignores a command that it has already received.
     pub fn resend_unconfirmed(&mut self) {
         let link = self.session.link();
         let mut lines = Vec::new();
@@ -224,11 +225,11 @@
         }
     }
 
-    /// Removes the idempotency key of an invocation that never ran. Otherwise a call forged by a peer could
-    /// block the key for the genuine call.
+    /// Removes the idempotency key of an invocation that never ran. Without the removal, a call forged by a
+    /// peer could block the key for the genuine call.
     ///
-    /// The key stays if a command for the run was sent again over a new link to the interpreter. The earlier
-    /// copy of the command may have started the run.
+    /// The key is not removed if a command for the run was sent again over a new link to the interpreter. The
+    /// earlier copy of the command may have started the run.
     pub fn forget_unless_resent(&mut self, id: u64) {
         if self.invocations.get(id).is_some_and(|invocation| !invocation.was_resent) {
             self.forget(id);
@@ -241,8 +242,8 @@
     }
 
     /// Fails an invocation because the controller requested an action that the protocols of this server
-    /// cannot express. Not expected to happen, because settings that need such actions are refused at
-    /// startup.
+    /// cannot express. The controller is not expected to request such an action, because settings that need
+    /// such actions are refused at startup.
     pub fn fail_as_unsupported(&mut self, id: u64, what: &str) {
         warn!(what, "cannot carry out an action of the controller");
         self.answer(id, Answer::Failed);
--- a/crates/server/src/fleet/interval_report.rs
+++ b/crates/server/src/fleet/interval_report.rs
@@ -1,5 +1,6 @@
-//! Records the answers that this server sends between two reports to a rollout's coordinator, separately for
-//! each operation. The coordinator compares servers with the rollout's change and servers without the change.
+//! Records the answers that this server sends, for its reports to a rollout's coordinator. Each operation is
+//! recorded separately. The coordinator compares servers with the rollout's change and servers without the
+//! change.
 
 use hdrhistogram::Histogram;
 use meadowstream_rollout::metrics::IntervalMetrics;
@@ -34,8 +35,9 @@
 #[error("cannot create a latency histogram: {0}")]
 pub struct HistogramError(hdrhistogram::errors::CreationError);
 
-/// Records the answers to calls, separately for each operation, for reports to a rollout's coordinator. If
-/// the settings define more operations than a report can hold, only the first operations are recorded.
+/// Records the answers that this server sends, for its reports to a rollout's coordinator. Each operation is
+/// recorded separately. If the settings define more operations than a report can hold, only the first
+/// operations are recorded.
 pub struct AnswerRecorder {
     classes: RefCell<Vec<Class>>,
 }
@@ -55,7 +57,7 @@
     }
 
     /// Records an answer that was sent `latency_ns` nanoseconds after the call arrived. `late` is true if the
-    /// client timeout of the operation had passed by then.
+    /// operation's client timeout had passed before the answer was sent.
     pub fn record_answer(&self, operation: usize, outcome: AnswerOutcome, latency_ns: u64, late: bool) {
         let mut classes = self.classes.borrow_mut();
         let Some(Class { figures, latency }) = classes.get_mut(operation) else { return };
--- a/crates/server/src/fleet/shared_state.rs
+++ b/crates/server/src/fleet/shared_state.rs
@@ -56,15 +56,15 @@
 /// Status of the call budget and names of the ejected downstream services, for the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SharedStatus {
-    /// Number of units of the fleet's call budget that this server may use without a lease.
+    /// Number of the fleet's call budget units that this server may use without a lease.
     pub floor: u64,
-    /// Number of units of the fleet's call budget that this server has leased in addition to the floor.
+    /// Number of the fleet's call budget units that this server has leased in addition to the floor.
     pub leased: u64,
-    /// Number of units of the fleet's call budget that downstream calls of this server use now.
+    /// Number of the fleet's call budget units that this server's downstream calls use now.
     pub in_use: u64,
     /// True if this server is the grantor, which leases units of the fleet's call budget to the servers.
     pub is_grantor: bool,
-    /// Number of units of the fleet's call budget that this server, as the grantor, has leased out.
+    /// Number of the fleet's call budget units that this server, as the grantor, has leased out.
     pub outstanding: u64,
     /// Names of the ejected services.
     pub ejected: Vec<String>,
@@ -195,7 +195,7 @@
 
     /// Returns the name of a tenant for use in the keys of counts. Returns `None` if the tenant has no
     /// separate count. If every tenant had its own keys, callers could create any number of keys by inventing
-    /// tenants.
+    /// tenant names.
     pub fn tenant(&self, name: &[u8]) -> Option<String> {
         self.named_tenants.borrow().contains(name).then(|| String::from_utf8_lossy(name).into_owned())
     }
--- a/crates/server/src/fleet/sharing.rs
+++ b/crates/server/src/fleet/sharing.rs
@@ -16,12 +16,12 @@
 use tracing::info;
 
 /// Interval, in nanoseconds, between two announcements of versions. In each announcement this server sends
-/// its own version and the known versions of other servers to one member.
+/// its own version and some of the known versions of other servers to one member.
 const ANNOUNCE_EVERY_NS: Nanos = 200_000_000;
 /// Maximum time between two log lines about the shared state, in nanoseconds.
 const LOG_EVERY_NS: Nanos = 500_000_000;
 
-/// State of the exchange with other members that is kept between two calls of [`Sharing::advance`].
+/// State that the exchange with other members keeps between two calls of [`Sharing::advance`].
 #[derive(Default)]
 pub struct Sharing {
     /// Client of replicated configuration; `None` if the options do not enable replicated configuration.
@@ -97,7 +97,7 @@
     }
 
     /// Announces versions to one member of the fleet: the program version and the settings hash of this
-    /// server and of other known servers.
+    /// server and of some other known servers.
     ///
     /// Successive announcements are sent to all members in turn. The first member depends on this server's
     /// incarnation, so that servers do not all announce to the same member at once.
@@ -132,8 +132,8 @@
             }
         }
         if advanced.has_capacity {
-            // If the queue is full, the event is dropped. The controller then has other events to handle.
-            // While the controller handles these events, it checks whether calls are permitted.
+            // If the queue is full, the event is dropped. A full queue contains other events for the
+            // controller. While the controller handles these events, it checks whether calls are permitted.
             let _ = server.events.try_send(Event::DownstreamCapacity);
         }
     }
--- a/crates/server/src/lifecycle/reload_check.rs
+++ b/crates/server/src/lifecycle/reload_check.rs
@@ -12,8 +12,8 @@
     /// The change affects the server's name or the address on which the server accepts connections.
     #[error("name, listen: a change takes a restart")]
     NameOrAddress,
-    /// The change adds or removes the address of the server's downstream service. An existing address may
-    /// change.
+    /// The change adds or removes the address of the server's downstream service. Replacing an existing
+    /// address by another address needs no restart.
     #[error("records: adding or removing it takes a restart")]
     Records,
     /// The change affects an element of the options file that is read only at the start.
@@ -28,7 +28,7 @@
     /// The change adds or removes the element `<tenants>` of the options file.
     #[error("tenants: telling them apart or not takes a restart")]
     Tenants,
-    /// The change affects how the tenant or the origin of a call is identified, or it affects
+    /// The change affects how the tenant or the origin of a call is identified, or affects the setting
     /// `surplus-value`. An invocation beyond its tenant's quota has its priority weight multiplied by
     /// `surplus-value`.
     #[error("tenants: a change of by, field, origin or surplus-value takes a restart")]
