--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -167,7 +167,7 @@
         let Some(refutations) = alive.map(Member::incarnation) else { return };
         let suspected = Member::new(id.clone(), refutations, State::Suspect);
         let mut effects = FocaEffects::default();
-        // Errors can be ignored: if foca does not apply the suspicion, the next comparison of views leads to
+        // Errors can be ignored: if foca does not apply the suspicion, a later comparison of views leads to
         // another attempt.
         let _ = self.foca.apply_many(std::iter::once(suspected), true, &mut effects);
         self.apply(effects);
@@ -185,7 +185,8 @@
     }
 
     /// Starts one comparison of views: sends the digest of this member's view to a random other member, which
-    /// may be down. Also announces this server to a random seed that is not alive or suspect in this view.
+    /// may be down. Also announces this server to a random seed that is neither alive nor suspect in this
+    /// member's view.
     pub(crate) fn start_anti_entropy(&mut self) {
         let jitter = self.announce_period / JITTER_DIVISOR;
         let delay = self.rng.next_u64() % jitter.max(1);
@@ -200,16 +201,16 @@
         self.announce_to_unknown_seed();
     }
 
-    /// Announces this server to a random seed that is not alive or suspect in this view. Members recorded as
-    /// down are removed from the view after some time. After a partition that lasts longer than this time,
-    /// the two parts of the fleet no longer know each other. They rediscover each other only through the
-    /// seeds.
+    /// Announces this server to a random seed that is neither alive nor suspect in this member's view.
+    /// Members recorded as down are removed from the view after some time. After a partition that lasts
+    /// longer than this time, the two parts of the fleet no longer know each other. They rediscover each
+    /// other only through the seeds.
     fn announce_to_unknown_seed(&mut self) {
         let known: HashSet<SocketAddr> = self.foca.iter_members().map(|member| member.id().addr).collect();
         let seeds = self.rejoin.seeds.iter().copied();
         let unknown: Vec<SocketAddr> = seeds.filter(|seed| !known.contains(seed)).collect();
-        // There is nothing to do if every seed is alive or suspect in this view. If this member knows no
-        // other member, `rejoin_if_due` announces this server to all seeds instead.
+        // There is nothing to do if every seed is alive or suspect in this member's view. If this member
+        // knows no other member, `rejoin_if_due` announces this server to all seeds instead.
         if known.is_empty() || unknown.is_empty() {
             return;
         }
--- a/crates/membership/src/envelope.rs
+++ b/crates/membership/src/envelope.rs
@@ -126,8 +126,8 @@
 }
 
 impl Sealer {
-    /// Creates a sealer that accepts bodies of at most `body_max` bytes. The limit is never higher than
-    /// [`DATAGRAM_BYTES_MAX`] minus [`ENVELOPE_BYTES`], even if `body_max` is.
+    /// Creates a sealer that accepts bodies of at most `body_max` bytes. If `body_max` is higher than
+    /// [`DATAGRAM_BYTES_MAX`] minus [`ENVELOPE_BYTES`], this lower limit applies instead.
     pub fn new(fleet: &str, key: &[u8], body_max: usize) -> Sealer {
         let digest = Sha256::digest(fleet.as_bytes());
         let mut fleet_mark = [0; 8];
@@ -201,7 +201,7 @@
         }
         let (sealed, tag) = datagram.split_at(HEADER_BYTES + body_bytes);
         // `verify_slice` compares the tags in constant time. Otherwise, the duration of the comparison would
-        // reveal to an attacker how many bytes of a forged tag are right.
+        // reveal to an attacker how many bytes of a forged tag are correct.
         self.authenticate(sealed).verify_slice(tag).map_err(|_| DropReason::Tag)?;
         Ok(OpenedDatagram {
             kind,
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -9,7 +9,8 @@
 //!
 //! This crate adds to foca:
 //!
-//! - [`MemberId`]: a member's name, address and incarnation; at one address the later incarnation wins;
+//! - [`MemberId`]: a member's name, address and incarnation; at one address the later incarnation replaces
+//!   the earlier one;
 //! - [`envelope`] and [`replay_window`]: authenticated, versioned and numbered datagrams;
 //! - [`messages`] and [`digest`]: anti-entropy between views, and verdicts sent to the affected members;
 //! - a limit on the bytes sent per second, a timer queue, and counts of dropped datagrams by reason.
@@ -119,9 +120,10 @@
     counts: Counts,
 }
 
-/// Maximum number of replay windows, per expected member of the fleet. A replay window records the sequence
-/// numbers received from one address. More than one per member is needed, because the window of an address
-/// that no member uses any longer is kept until it is evicted.
+/// The maximum number of replay windows is the expected number of members times this constant, but at least
+/// [`REPLAY_WINDOWS_MIN`]. A replay window records the sequence numbers received from one address. More than
+/// one window per member is needed, because the window of an address that no member uses any longer is kept
+/// until it is evicted.
 const REPLAY_WINDOWS_PER_MEMBER: usize = 4;
 const REPLAY_WINDOWS_MIN: usize = 64;
 /// The random numbers of this crate are seeded with the exclusive or of the caller's seed and this constant.
--- a/crates/membership/src/messages.rs
+++ b/crates/membership/src/messages.rs
@@ -83,15 +83,15 @@
 
 /// Encodes `members` as [`AntiEntropyPayload::Members`] messages of at most `body_max` bytes each. The first
 /// message also carries `requested_buckets`. At most [`ANSWERS_MAX`] messages are returned. Members that do
-/// not fit into these messages are omitted, and are sent in a later exchange.
+/// not fit into these messages are omitted. They can be sent in a later exchange.
 pub fn encode_members(
     from: &MemberId,
     requested_buckets: u64,
     members: &[Member<MemberId>],
     body_max: usize,
 ) -> Vec<Vec<u8>> {
-    // Size of an encoded list message without its members, with the longest possible length prefix. Computed
-    // with `u64::MAX`, which has the longest encoding, so any `requested_buckets` fits.
+    // Size of an encoded list message without its members. Includes the bytes reserved for a longer length
+    // prefix. Computed with `u64::MAX`, which has the longest encoding, so any `requested_buckets` fits.
     let head_bytes = encode_list(from, u64::MAX, Vec::new()).len() + LIST_LENGTH_BYTES;
     let list_bytes_max = body_max.saturating_sub(head_bytes);
     let mut bodies = Vec::new();
--- a/crates/membership/src/rejoin.rs
+++ b/crates/membership/src/rejoin.rs
@@ -9,8 +9,8 @@
 pub(crate) struct SeedRejoin {
     /// Addresses of the seeds. This server's own address is excluded.
     pub(crate) seeds: Vec<SocketAddr>,
-    /// Time at which this server next checks if it knows any other member. If not, the server announces
-    /// itself to the seeds again. `None` before the join, or if there are no seeds.
+    /// Time at which this server next checks whether it knows any other member. If it knows none, it
+    /// announces itself to the seeds again. `None` before the join, or if there are no seeds.
     at: Option<Nanos>,
     /// Delay between two announcements to the seeds. Doubled with each repetition, up to the announce period.
     backoff: Nanos,
@@ -32,9 +32,9 @@
 }
 
 impl Membership {
-    /// Does nothing before the next check is due. Then, if this server knows no other member, announces this
-    /// server to the seeds again, and doubles the delay until the next check. The delay is at most the
-    /// announce period.
+    /// Checks whether this server knows any other member, if the check is due. A server that knows none
+    /// announces itself to the seeds again, and doubles the delay until the next check, up to the announce
+    /// period. If the server knows another member, the next check follows after one announce period.
     pub(crate) fn rejoin_if_due(&mut self) {
         if self.rejoin.at.is_none_or(|at| at > self.now) {
             return;
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Announces this server to the member at `addr`, whose name and incarnation are not known yet. The
-    /// announcement is sent by the address alone.
+    /// Announces this server to the member at `addr`. The name and the incarnation of this member are not
+    /// known yet, so the identity passed to foca has an empty name and incarnation 0.
     pub(crate) fn announce_to(&mut self, addr: SocketAddr) {
         let unknown = MemberId { name: String::new(), addr, incarnation: 0 };
         let mut effects = FocaEffects::default();
--- a/crates/membership/src/replay_window.rs
+++ b/crates/membership/src/replay_window.rs
@@ -61,11 +61,11 @@
         ReplayWindows { windows: HashMap::new(), limit: limit.max(1) }
     }
 
-    /// Returns true if a datagram from the address `from` is new, and false for a replay. Records a new
-    /// datagram as received. A datagram with a lower incarnation than one already received from this address
-    /// also counts as a replay, and has no other effect. In all other cases, `now` is recorded as the time of
-    /// the sender's last activity. If a new sender would exceed the maximum number of windows, the window of
-    /// the least recently active sender is evicted.
+    /// Returns true if a datagram from the address `from` is new, and records it as received. Returns false
+    /// for a replay. A datagram also counts as a replay if its incarnation is lower than one already received
+    /// from this address. Every datagram of the current or a higher incarnation sets the time of the sender's
+    /// last activity to `now`. If a new sender would exceed the maximum number of windows, the window of the
+    /// least recently active sender is evicted.
     pub fn accept(&mut self, from: SocketAddr, incarnation: u64, sequence: u64, now: Nanos) -> bool {
         if !self.windows.contains_key(&from) && self.windows.len() >= self.limit {
             self.evict_oldest();
--- a/crates/membership/src/runtime.rs
+++ b/crates/membership/src/runtime.rs
@@ -1,5 +1,5 @@
 //! Collects the effects that foca requests while it handles an event, and executes them. The effects are
-//! packets to send, timers to schedule, and notifications.
+//! packets to send, timers to schedule, and notifications of changes of the view.
 
 use crate::envelope::PayloadKind;
 use crate::identity::MemberId;
@@ -48,9 +48,9 @@
             let after = u64::try_from(after.as_nanos()).unwrap_or(u64::MAX);
             let deadline = self.now.saturating_add(after);
             if let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = &timer {
-                // This timer ends the suspicion time. foca schedules the timer only in the member whose probe
-                // raised the suspicion. That member also notifies the suspect directly, so the suspicion is
-                // recorded here.
+                // The timer fires at the end of the suspicion time. foca schedules it only in the member
+                // whose probe raised the suspicion. This member also notifies the suspect directly, so record
+                // the suspicion as raised by this member.
                 self.suspicions.raise(member_id.clone(), *incarnation, self.now, deadline);
             }
             self.schedule(deadline, timer);
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -1,7 +1,7 @@
 //! Handling of suspicions. The prober, whose probe raised the suspicion, notifies the suspect directly, so
-//! that the suspect can refute it. The prober declares the suspect down after one suspicion time. If the
-//! prober cannot do so, for example after a crash, every other member declares the suspect down by itself
-//! after twice the suspicion time.
+//! that the suspect can refute it. If the suspect does not refute the suspicion, the prober declares it down
+//! after one suspicion time. The prober may be unable to do so, for example after a crash. Every other member
+//! therefore declares the suspect down by itself after twice the suspicion time.
 
 use crate::identity::MemberId;
 use crate::runtime::FocaEffects;
@@ -14,9 +14,9 @@
 /// each direction, a notification is answered with probability 0.64. The probability that all 8 remain
 /// unanswered is 0.36^8, less than 1 in 3,000.
 const NOTIFICATIONS: u64 = 8;
-/// Each member by itself declares a suspect down this many suspicion times after it first observed the
-/// suspicion. The prober, whose probe raised the suspicion, does so earlier: its timer fires after one
-/// suspicion time.
+/// Each member declares a suspect down by itself if the suspect is still suspect this many suspicion times
+/// after the member first observed the suspicion. The prober, whose probe raised the suspicion, declares the
+/// suspect down earlier: the prober's timer fires after one suspicion time.
 const EXPIRY_FACTOR: u64 = 2;
 
 /// A suspicion that was raised by a probe of this member.
@@ -26,7 +26,7 @@
     refutations: u16,
     /// Time at which the suspect is next notified of the suspicion.
     notify_at: Nanos,
-    /// Time at which foca declares the suspect down, unless the suspect has refuted the suspicion.
+    /// Time at which foca declares the suspect down if the suspect has not refuted the suspicion.
     ends_at: Nanos,
 }
 
--- a/crates/membership/tests/bytes.rs
+++ b/crates/membership/tests/bytes.rs
@@ -107,9 +107,8 @@
     );
     let later = send_digest(&mut membership, 4 * SECOND + 1_100 * MILLISECOND, 6);
     assert!(later > BYTES_PER_SECOND / 2, "sent {later} bytes in answer to a digest one second later");
-    // The member could not send all members, so the views may still differ. The member therefore compares its
-    // view again after two probe periods. Otherwise, the next comparison would follow after an announce
-    // period.
+    // The member could not send all members, so the views may still differ. The member must therefore compare
+    // its view again after two probe periods, and not only after an announce period.
     membership.handle_timeout(4 * SECOND + 2 * settings().probe_period);
     let is_digest = |datagram: &[u8]| {
         let opened = sealer.open(datagram).expect("a datagram of this fleet");
--- a/crates/membership/tests/datagrams.rs
+++ b/crates/membership/tests/datagrams.rs
@@ -98,7 +98,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2000, ..ProptestConfig::default() })]
 
-    /// Arbitrary bytes are dropped and counted. They neither cause a panic nor add a member to the view.
+    /// Arbitrary bytes must be dropped and counted. They must neither cause a panic nor add a member to the
+    /// view.
     #[test]
     fn arbitrary_bytes_are_counted_and_dropped(bytes in proptest::collection::vec(any::<u8>(), 0..2000)) {
         let mut a = membership();
@@ -107,7 +108,7 @@
         prop_assert_eq!(a.members().len(), 0);
     }
 
-    /// Authentic datagrams whose bodies are arbitrary bytes may be rejected, but do not cause a panic.
+    /// Authentic datagrams whose bodies are arbitrary bytes may be rejected, but must not cause a panic.
     #[test]
     fn an_authentic_datagram_with_an_arbitrary_body_never_panics(
         body in proptest::collection::vec(any::<u8>(), 0..1400),
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -39,8 +39,8 @@
     NetworkConditions { loss: 0.0, delay: MILLISECOND, jitter: MILLISECOND, duplicate: 0.0 }
 }
 
-/// Time allowed for detecting a crash beyond the suspicion time, in probe periods. After the suspicion time
-/// plus this margin, all members must have recorded the crashed member as down (docs/membership.md).
+/// Margin for detecting a crash, in probe periods. All members must record a crashed member as down within
+/// the suspicion time plus this margin (docs/membership.md).
 const CRASH_MARGIN_PERIODS: u64 = 8;
 
 #[test_case(1 ; "one")]
@@ -102,8 +102,8 @@
     let rest: Vec<usize> = (0..n).filter(|&i| i != 2).collect();
     assert!(fleet.views_agree(&rest), "the stalled member is recorded as down");
     fleet.resume(2);
-    // After resuming, the stalled member learns that it was declared down. It takes a higher incarnation and
-    // is alive in all views again.
+    // After resuming, the stalled member learns that it was declared down. It must take a higher incarnation,
+    // and must be alive in all views again.
     fleet.run_until_views_agree(&all, 100 * MILLISECOND, 30 * SECOND).expect("the member rejoins");
     assert!(fleet.member(2).expect("running").identity().incarnation > 1);
 }
@@ -157,7 +157,7 @@
     let (mut fleet, all) = agreed_fleet(n, 9);
     fleet.crash(4);
     fleet.start(4, &[0]);
-    // The views agree much sooner than after the suspicion time, because the later incarnation of a restarted
+    // The views must agree before the suspicion time has passed, because the later incarnation of a restarted
     // member replaces the earlier one at once in each view.
     let took = fleet.run_until_views_agree(&all, 50 * MILLISECOND, 10 * SECOND).expect("views agree");
     assert!(took < settings(n as u32).suspicion(), "views agree only after {took} ns");
--- a/crates/membership/tests/verdicts.rs
+++ b/crates/membership/tests/verdicts.rs
@@ -71,7 +71,7 @@
         SECOND / 10,
     );
     assert_eq!(state_of_third(&mut membership, SECOND / 10), Some(MemberState::Suspect));
-    // The suspect does not answer, so this member declares it down. Suspicions are checked once per probe
+    // The suspect does not answer, so this member must declare it down. Suspicions are checked once per probe
     // period. One check records the suspicion. A later check declares the suspect down, once at least twice
     // the suspicion time has passed. Each of the two checks can be up to one probe period late.
     let end = SECOND / 10 + 2 * settings().suspicion() + 2 * settings().probe_period;
--- a/crates/replication/src/committed_log.rs
+++ b/crates/replication/src/committed_log.rs
@@ -12,7 +12,7 @@
 use std::collections::VecDeque;
 
 /// Interval between checkpoints, in log entries. The log is divided into blocks of this many entries. In each
-/// block, a checkpoint is taken at the first entry that ends a change of the configuration.
+/// block after the first, a checkpoint is taken at the first entry that ends a change of the configuration.
 pub const CHECKPOINT_INTERVAL: u64 = 256;
 
 /// Reason why an entry cannot be appended to the committed log.
@@ -108,8 +108,8 @@
         &self.complete
     }
 
-    /// Returns the position (epoch and number) of the entry with this number. Returns `None` if this member
-    /// does not hold the entry.
+    /// Returns the position (epoch and number) of the entry with this number. The position of the log's last
+    /// entry is always known. For any other entry, returns `None` if this member does not hold the entry.
     pub fn position(&self, number: u64) -> Option<Position> {
         if number == self.number() {
             return Some(self.end.revision.position);
@@ -223,16 +223,16 @@
         (missing <= self.tail.len()).then(|| self.tail.iter().skip(self.tail.len() - missing))
     }
 
-    /// Returns the newest checkpoint. The checkpoint is offered to a member whose missing entries this member
-    /// no longer holds. If no checkpoint was taken since the start, returns the snapshot with which this
-    /// member's log started, or `None` if the log started empty.
+    /// Returns the newest checkpoint. The checkpoint is offered to a member that lacks entries which this
+    /// member no longer holds. If no checkpoint was taken since the start, returns the snapshot with which
+    /// this member's log started, or `None` if the log started empty.
     pub fn newest_checkpoint(&self) -> Option<&Snapshot> {
         let base = Some(&self.base).filter(|base| base.number() > 0);
         self.checkpoints[0].as_ref().or(base)
     }
 
-    /// Returns the snapshot with this entry number, if this member holds it. A member holds its checkpoints
-    /// and the snapshot directly before its first held entry. Otherwise, returns `None`.
+    /// Returns the snapshot with this entry number. Returns `None` if this member holds no snapshot with this
+    /// number. A member holds its checkpoints and the snapshot before the first entry that it still holds.
     pub fn snapshot(&self, number: u64) -> Option<&Snapshot> {
         let held = self.checkpoints.iter().flatten().chain([&self.base]);
         held.into_iter().find(|snapshot| snapshot.number() == number && number > 0)
--- a/crates/replication/src/member/gossip.rs
+++ b/crates/replication/src/member/gossip.rs
@@ -118,9 +118,10 @@
         }
     }
 
-    /// Answers a digest from another member. If the sender lacks entries, sends these entries. Otherwise, if
-    /// the sender wants a reply, may send this member's own digest. The digest is sent if this member lacks
-    /// entries, or if its freshness statement is newer than the sender's by more than [`FRESHNESS_LAG_MS`].
+    /// Answers a digest from another member. A sender that lacks entries receives these entries. A sender
+    /// that lacks no entries, but wants a reply, receives this member's own digest in two cases: this member
+    /// lacks entries, or its freshness statement is newer than the sender's by more than
+    /// [`FRESHNESS_LAG_MS`].
     fn answer_digest(
         &mut self,
         from: &str,
--- a/crates/replication/src/member/mod.rs
+++ b/crates/replication/src/member/mod.rs
@@ -91,8 +91,9 @@
     chunk_due: Nanos,
     /// The state of a control machine; `None` on a server, which has no replica.
     control: Option<Control>,
-    /// The latest statement of the leader about the end of its log, among those that this member has adopted.
-    /// This member adopts a statement only if its own log has all entries up to the number in the statement.
+    /// The newest freshness statement that this member has adopted. Such a statement gives the number of the
+    /// last entry in the leader's log at a given time. A member adopts a statement only if its own log has
+    /// all entries up to the number in the statement.
     freshness: Freshness,
     applier: Applier,
     /// Name of the last known leader.
@@ -110,8 +111,8 @@
 
 impl Member {
     /// Creates a member. `disk` is the state read from the member's disk. If it is `None`, the member starts
-    /// with an empty log. A state on disk was returned by [`Member::unsaved_state`] or
-    /// [`Member::state_to_persist`] before the member was restarted. On a server it always comes from
+    /// with an empty log. The state on disk is one that [`Member::unsaved_state`] or
+    /// [`Member::state_to_persist`] returned before the restart. On a server, the state always comes from
     /// [`Member::state_to_persist`].
     ///
     /// # Errors
@@ -157,7 +158,7 @@
         })
     }
 
-    /// Returns the revision at the last committed entry that this member holds.
+    /// Returns the revision at the end of the committed log, as far as this member has it.
     pub fn revision(&self) -> Revision {
         self.log.revision()
     }
@@ -196,9 +197,10 @@
 
     /// Returns the longest time for which this member may have missed a new revision, in nanoseconds. This is
     /// the time since the latest freshness statement of the leader that this member has adopted. A member
-    /// adopts a statement only if it holds all entries up to the number in the statement. `None` if it has
-    /// adopted none yet. The statement has the time of the leader's clock, so the result includes the
-    /// difference between the clocks of this member and the leader. The result is never negative.
+    /// adopts a statement only if it holds all entries up to the number in the statement. Returns `None` if
+    /// this member has adopted no statement yet. The statement has the time of the leader's clock, so the
+    /// result includes the difference between the clocks of this member and the leader. The result is never
+    /// negative.
     pub fn age(&self, now: Nanos) -> Option<Nanos> {
         let stated_at = self.freshness.at_ms * MILLISECOND_NS;
         (stated_at > 0).then(|| now.saturating_sub(stated_at))
--- a/crates/replication/src/member/snapshot_fetch.rs
+++ b/crates/replication/src/member/snapshot_fetch.rs
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Sends the requested chunk of a checkpoint. If this member no longer holds the checkpoint, offers a
-    /// newer one instead.
+    /// Sends the requested chunk of a checkpoint. If this member does not hold the checkpoint, offers its
+    /// newest checkpoint instead, if that one is newer.
     pub(super) fn on_fetch_chunk(&mut self, from: &str, number: u64, after: Option<Text>, now: Nanos) {
         let Some(checkpoint) = self.log.snapshot(number) else {
             let newer = self.log.newest_checkpoint().filter(|newest| newest.number() > number);
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -109,8 +109,9 @@
     Digest {
         /// Number of the last entry in the sender's committed log.
         number: u64,
-        /// The latest statement of the leader about the end of its log, among those that the sender has
-        /// adopted. All fields are zero if the sender has adopted none.
+        /// The newest freshness statement that the sender has adopted. Such a statement gives the number of
+        /// the last entry in the leader's log at a given time. All fields are zero if the sender has adopted
+        /// no statement.
         freshness: Freshness,
         /// Region and zone of the sender.
         location: Location,
@@ -215,13 +216,13 @@
         /// Number of the last entry up to which the sender's log is equal to the leader's log.
         number: u64,
     },
-    /// Between replicas: rejects `Append`, because the log of the replica that sends this answer has no entry
-    /// at the position `previous` of the `Append`.
+    /// Between replicas: rejects `Append`. The replica that sends this answer has no log entry at the
+    /// position `previous` that the `Append` states.
     AppendRejected {
         /// The leader's epoch.
         epoch: u64,
-        /// Number of the last entry up to which the sender's log may be equal to the leader's log. The leader
-        /// then sends the entries after this number.
+        /// Number of the last entry up to which the sender's log may be equal to the leader's log. In reply
+        /// to this answer, the leader sends the entries after this number.
         matched: u64,
     },
     /// An operator's request to the leader to make a change. A change that is too large for one message is
--- a/crates/replication/src/replica/acceptor.rs
+++ b/crates/replication/src/replica/acceptor.rs
@@ -7,7 +7,7 @@
 use crate::message::Message;
 use crate::revision::Position;
 
-/// The leader's request that this replica store log entries, with the fields of [`Message::Append`].
+/// A request from the leader to store log entries. The fields are those of [`Message::Append`].
 pub(super) struct AppendRequest {
     pub(super) epoch: u64,
     pub(super) previous: Position,
--- a/crates/replication/src/replica/election.rs
+++ b/crates/replication/src/replica/election.rs
@@ -30,8 +30,8 @@
 }
 
 impl PromisedLog {
-    /// Returns the number of the last entry received from the replica that made the promise. If no entry was
-    /// received, returns the number of the last entry in the candidate's committed log.
+    /// Returns the number of the last entry up to which the candidate has this log. If `entries` is empty,
+    /// this is the last entry in the candidate's committed log.
     fn reached(&self, log: &CommittedLog) -> u64 {
         self.entries.last().map_or(log.number(), Entry::number)
     }
@@ -56,7 +56,7 @@
     }
 }
 
-/// A replica's answer to a request for a promise, with the fields of [`Message::Promise`].
+/// A replica's answer to a request for a promise. The fields are those of [`Message::Promise`].
 pub(super) struct Promise {
     pub(super) epoch: u64,
     pub(super) last: Position,
--- a/crates/replication/src/replica/mod.rs
+++ b/crates/replication/src/replica/mod.rs
@@ -3,9 +3,9 @@
 //!
 //! The protocol is Raft with Paxos-style elections. The holder of an external lease is the candidate for
 //! leadership; the lease affects liveness only, never safety. A candidate chooses an epoch reserved for it,
-//! requests promises from a majority, and adopts the most advanced log among them (`election`). The leader
-//! appends entries in its epoch and treats an entry as committed once a majority has stored it (`leader`).
-//! The other replicas promise epochs and store entries (`acceptor`).
+//! requests promises from a majority, and adopts the most advanced log of the replicas in this majority
+//! (`election`). The leader appends entries in its epoch and treats an entry as committed once a majority has
+//! stored it (`leader`). The other replicas promise epochs and store entries (`acceptor`).
 //!
 //! Invariant: two different contents are never committed under one number. The invariant holds no matter
 //! which replicas crash, pause or are partitioned, and even if two replicas believe that they hold the lease.
@@ -169,9 +169,8 @@
     }
 
     /// Updates the uncommitted entries after the committed log has grown, through this replica or by gossip.
-    /// Drops the entries whose numbers are now committed. If there are such entries, but the last committed
-    /// entry is not among them, this replica's log conflicts with the committed log. The replica then drops
-    /// all uncommitted entries and becomes a follower.
+    /// Drops the entries whose numbers are now committed. If there are such entries, but the last entry of
+    /// the committed log is not one of them, drops all uncommitted entries and makes this replica a follower.
     pub fn follow(&mut self, log: &CommittedLog) {
         let end = log.revision().position;
         let Some(first) = self.uncommitted.first() else { return };
--- a/crates/replication/src/simulation/network.rs
+++ b/crates/replication/src/simulation/network.rs
@@ -8,8 +8,8 @@
 use std::sync::Arc;
 
 impl Fleet {
-    /// Returns false if a partition separates the groups of the two nodes, so that the network loses every
-    /// message from one to the other. Otherwise, returns true.
+    /// Returns true if no partition separates the groups of the two nodes. If a partition separates the
+    /// groups, the network loses every message from one node to the other.
     fn reaches(&self, from: usize, to: usize) -> bool {
         !self.cuts.contains(&(self.nodes[from].group, self.nodes[to].group))
     }
--- a/crates/replication/src/snapshot_transfer.rs
+++ b/crates/replication/src/snapshot_transfer.rs
@@ -29,8 +29,8 @@
     /// Revision of the checkpoint.
     target: Revision,
     /// The member to which the next request is sent. This is the member that sent the last chunk or, before
-    /// the first chunk, the member that offered the checkpoint. If the request to this member is not
-    /// answered, the request is repeated, and this field becomes `None`. The caller may then choose any
+    /// the first chunk, the member that offered the checkpoint. If this member does not answer, the request
+    /// is repeated, and this field becomes `None`. While the field is `None`, the caller may choose any
     /// member.
     source: Option<String>,
     /// Number of requests sent since the last chunk was received.
--- a/crates/replication/tests/fleet.rs
+++ b/crates/replication/tests/fleet.rs
@@ -105,7 +105,7 @@
     assert!(took <= 8.0, "the change was applied everywhere only after {took} s");
 }
 
-/// A member that receives many digests at once answers them only as far as its byte budget allows.
+/// A member that receives many digests at once must answer only as many as its byte budget allows.
 #[test]
 fn digests_beyond_the_budget_of_bytes_are_not_answered() {
     let mut fleet = settled_fleet(layout(), 16);
@@ -130,8 +130,8 @@
     assert!(after.over_budget - before.over_budget > 100);
 }
 
-/// Although messages are lost, duplicated, delayed and reordered, every change is applied, and all members
-/// have the same content at the end.
+/// Messages are lost, duplicated, delayed and reordered. Every change must still be applied, and all members
+/// must have the same content at the end.
 #[test]
 fn a_bad_network_only_delays_changes() {
     let slow = |from: usize, to: usize| Delay { jitter: 300 * MS, ..delay(from, to) };
@@ -194,14 +194,14 @@
         run_until_applied(&mut fleet, &rest, number, 10);
         let keys = state(&fleet, SIZE - 1).len();
         assert!(keys == 2 || keys == 202, "{keys} keys after a crash in step {at}");
-        // The crashed leader restarts with the state on its disk, and catches up with the other members.
+        // The crashed leader restarts with the state on its disk, and must catch up with the other members.
         fleet.start(old);
         run_until_applied(&mut fleet, &all(), number, 20);
     }
 }
 
-/// Two replicas hold the leadership lease at the same time. Only one of the two commits changes. The
-/// uncommitted changes of the other replica are dropped.
+/// Two replicas hold the leadership lease at the same time. Only one of the two may commit changes. The
+/// uncommitted changes of the other replica must be dropped.
 #[test]
 fn only_one_of_two_simultaneous_lease_holders_commits() {
     let mut fleet = Fleet::new(layout(), 6);
@@ -223,9 +223,9 @@
     assert!(all().iter().all(|node| state(&fleet, *node) == state(&fleet, 0)));
 }
 
-/// One region is separated from the others by a partition. It keeps its last revision, even if its servers
-/// restart, and commits nothing, because it has no majority of the replicas. The other regions continue to
-/// change the configuration. After the partition, the separated region catches up within its byte budget.
+/// A partition separates one region from the others. The region must keep its last revision, even if its
+/// servers restart, and must commit nothing, because it has no majority of the replicas. The other regions
+/// continue to commit changes. After the partition, the region must catch up within its byte budget.
 #[test]
 fn a_partitioned_region_keeps_its_last_revision_and_catches_up() {
     let mut fleet = settled_fleet(layout(), 7);
@@ -277,7 +277,7 @@
     let servers: Vec<usize> = (REPLICAS..SIZE).collect();
     assert!(fleet.all_applied(&servers, number));
     // The restarted servers hold the revision only as a snapshot, without log entries. A server with an empty
-    // disk can fetch this snapshot from them.
+    // disk must be able to fetch this snapshot from them.
     fleet.crash(9);
     fleet.truncate_disk(9, 0.0);
     fleet.start(9);
@@ -304,8 +304,8 @@
     run_until_applied(&mut fleet, &all(), number, 20);
 }
 
-/// A server whose disk is full rejects a new revision and reports the reason to the leader. After writes
-/// succeed again, it applies a later revision.
+/// A server whose disk is full must reject a new revision, and report the reason to the leader. After writes
+/// succeed again, the server must apply a later revision.
 #[test]
 fn a_server_with_a_full_disk_keeps_its_last_revision_and_reports_the_reason() {
     let mut fleet = settled_fleet(layout(), 10);
@@ -331,7 +331,7 @@
 }
 
 /// A leader whose disk is full has not stored its own entry, and must not count itself towards the majority
-/// that has stored the entry. It commits nothing, and another leader replaces it.
+/// that has stored the entry. It must commit nothing, and another leader must replace it.
 #[test]
 fn a_leader_with_a_full_disk_commits_nothing_and_is_replaced() {
     let mut fleet = settled_fleet(layout(), 11);
@@ -354,8 +354,8 @@
 }
 
 /// Some servers reject a revision, like older servers that do not know an element of the configuration. These
-/// servers keep their last revision, while the other servers apply the new revision. A later revision that no
-/// server rejects is applied by all servers.
+/// servers must keep their last revision, while the other servers apply the new revision. All servers must
+/// apply a later revision that no server rejects.
 #[test]
 fn servers_that_reject_a_revision_keep_their_last_one() {
     let mut fleet = settled_fleet(layout(), 12);
@@ -378,7 +378,8 @@
     run_until_applied(&mut fleet, &all(), third, 10);
 }
 
-/// Messages that are replayed, forged, oversized or malformed are counted and otherwise ignored.
+/// Messages that are replayed, forged, oversized or malformed must not change the configuration. Malformed
+/// messages and invalid entries must be counted.
 #[test]
 fn replayed_forged_and_oversized_messages_change_nothing() {
     let mut fleet = settled_fleet(layout(), 13);
--- a/crates/replication/tests/operator.rs
+++ b/crates/replication/tests/operator.rs
@@ -108,7 +108,7 @@
     assert_eq!(member.revision().number(), 3);
 }
 
-/// The status counts the server `s1`, which has sent a report. It does not count the operator's command,
+/// The status must count the server `s1`, which has sent a report. It must not count the operator's command,
 /// which is a member but applies no revisions.
 #[test]
 fn a_status_lists_the_lagging_members_with_the_start_of_their_reason() {
--- a/crates/replication/tests/snapshot_transfer.rs
+++ b/crates/replication/tests/snapshot_transfer.rs
@@ -28,8 +28,8 @@
     let mut transfer = transfer(&content());
     assert_eq!(transfer.source().map(String::as_str), Some("offerer"));
     let after = transfer.request_chunk("offerer", 0);
-    // The member that offered the checkpoint does not answer. After a second, the request is due again and
-    // may be sent to any member.
+    // The member that offered the checkpoint does not answer. After a second, the request must be due again.
+    // The repetition may be sent to any member.
     assert!(!transfer.is_due(SECOND / 2) && transfer.is_due(SECOND));
     let after_repeated = transfer.request_chunk("neighbour", SECOND);
     assert_eq!((after, after_repeated, transfer.source()), (None, None, None));
--- a/crates/simulator-adapter/src/instances.rs
+++ b/crates/simulator-adapter/src/instances.rs
@@ -37,11 +37,11 @@
 /// A simulated server: its controller, and the values that are needed to check and decode its events.
 struct Instance {
     controller: Controller,
-    /// Index, among the gauge readings of a timer event, of the utilization of the CPU cores. `None` if no
-    /// gauge reports the utilization.
+    /// Index of the gauge that reports the utilization of the CPU cores. The index is the position among the
+    /// gauge readings of a timer event. `None` if no gauge reports the utilization.
     utilization_gauge: Option<usize>,
-    /// Index, among the gauge readings of a timer event, of the number of runnable threads. `None` if no
-    /// gauge reports this number.
+    /// Index of the gauge that reports the number of runnable threads. The index is the position among the
+    /// gauge readings of a timer event. `None` if no gauge reports this number.
     runnable_gauge: Option<usize>,
     /// Number of operations.
     operations: usize,
