--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -63,8 +63,9 @@
         self.budget.allows_gossip(self.foca.updates_backlog(), self.now)
     }
 
-    /// Seals a body into a datagram and queues the datagram for sending. Shared state is not charged to this
-    /// budget, because the sender of shared state limits its traffic by a separate budget.
+    /// Seals a body into a datagram and queues the datagram for sending. The datagram is charged to the send
+    /// budget. Shared state is not charged, because the sender of shared state limits its traffic by a
+    /// separate budget.
     pub(crate) fn send(&mut self, to: SocketAddr, kind: PayloadKind, body: &[u8]) {
         self.sequence += 1;
         let incarnation = self.identity().incarnation;
--- a/crates/membership/src/envelope.rs
+++ b/crates/membership/src/envelope.rs
@@ -51,7 +51,7 @@
 pub const HEADER_BYTES: usize = 30;
 /// Size of a datagram's authentication tag, which follows the body, in bytes.
 pub const TAG_BYTES: usize = 32;
-/// Size of everything in a datagram except the body (the header and the authentication tag), in bytes.
+/// Total size of a datagram's header and authentication tag, in bytes. The rest of the datagram is the body.
 pub const ENVELOPE_BYTES: usize = HEADER_BYTES + TAG_BYTES;
 /// Largest possible UDP payload over IPv4, in bytes.
 pub const DATAGRAM_BYTES_MAX: usize = 65_507;
--- a/crates/membership/src/replay_window.rs
+++ b/crates/membership/src/replay_window.rs
@@ -23,11 +23,11 @@
 #[derive(Debug, Clone, Copy)]
 struct ReplayWindow {
     incarnation: u64,
-    /// Highest sequence number received from the sender in this incarnation.
+    /// Highest sequence number received from the sender's latest incarnation.
     highest: u64,
     /// Bit `n` is set if the sequence number `highest - n` has been received.
     received: u64,
-    /// Time at which the last datagram of this incarnation was received from the sender.
+    /// Time at which the last datagram from the sender's latest incarnation was received.
     last_received_at: Nanos,
 }
 
--- a/crates/membership/src/simulation/mod.rs
+++ b/crates/membership/src/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! Simulation of a fleet of members and its network. It uses simulated time, does no I/O, and is
+//! Simulation of a fleet of members and its network. The simulation uses simulated time, does no I/O, and is
 //! deterministic for a given seed. A run can include packet loss, delay, jitter, duplication, one-way and
 //! two-way partitions, crashes, stalls and restarts. Tests use the simulation, and it produces the figures in
 //! `docs/membership.md`.
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -75,9 +75,9 @@
         /// The new identity.
         new: MemberId,
     },
-    /// This server has learned of another member that is not down. Before, it knew of no such member.
+    /// This server has learned of another member that is alive or suspect. Before, it knew of no such member.
     Active,
-    /// This server no longer knows any other member that is not down.
+    /// This server no longer knows any other member that is alive or suspect.
     Idle,
     /// The fleet had declared this server down. The server has rejoined with this identity, which has a
     /// higher incarnation.
--- a/crates/membership/tests/verdicts.rs
+++ b/crates/membership/tests/verdicts.rs
@@ -1,6 +1,6 @@
 //! Tests of verdicts, the messages that report a member as suspect or down. The tests check how a member
-//! reacts to a verdict that a third member is down. They also check which members are notified when a member
-//! receives a list with a member that it has recorded as down.
+//! reacts to a verdict that a third member is down. They also check which members are notified if a received
+//! list contains a member that the receiver has recorded as down.
 
 use foca::{Member, State};
 use meadowstream_membership::envelope::{PayloadKind, Sealer};
--- a/crates/replication/src/committed_log.rs
+++ b/crates/replication/src/committed_log.rs
@@ -223,9 +223,9 @@
         (missing <= self.tail.len()).then(|| self.tail.iter().skip(self.tail.len() - missing))
     }
 
-    /// Returns the newest checkpoint. The checkpoint is offered to a member that lacks entries which this
-    /// member no longer holds. If no checkpoint was taken since the start, returns the snapshot with which
-    /// this member's log started, or `None` if the log started empty.
+    /// Returns the newest checkpoint. If another member lacks entries that this member no longer holds, the
+    /// checkpoint is offered to that member. If no checkpoint was taken since the start, returns the snapshot
+    /// with which this member's log started, or `None` if the log started empty.
     pub fn newest_checkpoint(&self) -> Option<&Snapshot> {
         let base = Some(&self.base).filter(|base| base.number() > 0);
         self.checkpoints[0].as_ref().or(base)
--- a/crates/replication/src/member/control.rs
+++ b/crates/replication/src/member/control.rs
@@ -23,7 +23,8 @@
     pub(super) replica: Replica,
     pub(super) progress: ProgressTracker,
     pub(super) requests: Requests,
-    /// Time at which the leader next updates its freshness statement, which tells where its log ends.
+    /// Time at which the leader next updates its freshness statement. The statement gives the number of the
+    /// last entry in the leader's committed log.
     freshness_due: Nanos,
     /// Time at which the leader next polls lagging members for reports.
     poll_due: Nanos,
--- a/crates/replication/src/member/mod.rs
+++ b/crates/replication/src/member/mod.rs
@@ -92,8 +92,8 @@
     /// The state of a control machine; `None` on a server, which has no replica.
     control: Option<Control>,
     /// The newest freshness statement that this member has adopted. Such a statement gives the number of the
-    /// last entry in the leader's log at a given time. A member adopts a statement only if its own log has
-    /// all entries up to the number in the statement.
+    /// last entry in the leader's committed log at a given time. A member adopts a statement only if its own
+    /// log has all entries up to the number in the statement.
     freshness: Freshness,
     applier: Applier,
     /// Name of the last known leader.
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -110,8 +110,8 @@
         /// Number of the last entry in the sender's committed log.
         number: u64,
         /// The newest freshness statement that the sender has adopted. Such a statement gives the number of
-        /// the last entry in the leader's log at a given time. All fields are zero if the sender has adopted
-        /// no statement.
+        /// the last entry in the leader's committed log at a given time. All fields are zero if the sender
+        /// has adopted no statement.
         freshness: Freshness,
         /// Region and zone of the sender.
         location: Location,
--- a/crates/replication/src/replica/election.rs
+++ b/crates/replication/src/replica/election.rs
@@ -66,7 +66,7 @@
 
 /// The configuration at the end of a log. The last change in the log may be incomplete.
 struct LogEnd {
-    /// State after the last entry.
+    /// The configuration after the last entry of the log.
     state: State,
     /// Changes that undo the last change if only some of its entries are in the log. Empty if the last change
     /// is complete.
--- a/crates/replication/src/simulation/mod.rs
+++ b/crates/replication/src/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! Simulated fleet of [`Member`]s with disks and a network, for tests. It uses simulated time, does no I/O,
-//! and is deterministic for a given seed.
+//! Simulated fleet of [`Member`]s with disks and a network, for tests. The simulation uses simulated time,
+//! does no I/O, and is deterministic for a given seed.
 //!
 //! At every step, the simulation checks two invariants: a revision number never has two different contents,
 //! and a server never goes back to an older revision. The [`Layout`] determines how messages are lost,
--- a/crates/replication/src/simulation/network.rs
+++ b/crates/replication/src/simulation/network.rs
@@ -19,8 +19,8 @@
         share > 0.0 && (self.rng.next_u64() as f64 / u64::MAX as f64) < share
     }
 
-    /// Sends a message over the simulated network. The layout determines whether the message is lost,
-    /// duplicated and delayed.
+    /// Sends a message over the simulated network. The message is lost if a partition separates the two
+    /// nodes. The layout determines whether any other message is lost, duplicated and delayed.
     pub(super) fn send(&mut self, from: usize, outgoing: Outgoing) {
         let Outgoing { to, body } = outgoing;
         self.messages += 1;
--- a/crates/replication/src/snapshot_transfer.rs
+++ b/crates/replication/src/snapshot_transfer.rs
@@ -1,4 +1,4 @@
-//! Transfer of a checkpoint to a member that lacks entries which the other members no longer hold. The member
+//! Transfer of a checkpoint to a member. The member lacks entries that the other members no longer hold. It
 //! requests the checkpoint in chunks, in the order of the keys. Any member that holds the checkpoint can
 //! answer a request.
 
--- a/crates/replication/tests/replica.rs
+++ b/crates/replication/tests/replica.rs
@@ -16,8 +16,8 @@
     Member::new("s0", Settings::new(Location::default(), replicas), 1, NOW, disk).unwrap()
 }
 
-/// Removes all messages that the member has queued. Returns only those between replicas; digests and reports
-/// are dropped.
+/// Removes all messages that the member has queued. Returns only the messages between replicas; digests and
+/// reports are dropped.
 fn replica_messages(member: &mut Member) -> Vec<Message> {
     let all = member.take_outgoing().into_iter().filter_map(|outgoing| Message::decode(&outgoing.body));
     all.filter(|message| !matches!(message, Message::Digest { .. } | Message::Report { .. })).collect()
--- a/crates/simulator-adapter/src/codec/event.rs
+++ b/crates/simulator-adapter/src/codec/event.rs
@@ -77,7 +77,7 @@
 
 impl GaugeReadings<'_> {
     /// Returns the reading of the gauge with the given index. Returns `None` if the event has no reading for
-    /// this index.
+    /// this index, and an error if the reading is not a finite number.
     pub fn get(&self, index: usize) -> Result<Option<f64>, EventError> {
         if index >= self.count {
             return Ok(None);
--- a/crates/simulator-adapter/src/codec/reply.rs
+++ b/crates/simulator-adapter/src/codec/reply.rs
@@ -30,8 +30,8 @@
     pub const START_CALL: u8 = 160;
 }
 
-/// Collects the actions for the reply to one batch. The controllers use it as their [`Host`]. Each action is
-/// recorded for the selected instance.
+/// Collects the actions for the reply to one batch. The controllers use this type as their [`Host`]. Each
+/// action is recorded for the selected instance.
 #[derive(Default)]
 pub struct Reply {
     records: Vec<u8>,
