--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -13,12 +13,13 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-/// Width of the random jitter in the interval between two comparisons of views: the announce period divided
-/// by this number. The interval is the announce period plus or minus at most half of this width. Without
-/// jitter, members that were started together would all compare their views at the same times.
+/// The interval between two comparisons of views has a random jitter. The width of the jitter is the announce
+/// period divided by this number. The interval is the announce period plus or minus at most half of this
+/// width. Without jitter, members that were started together would all compare their views at the same times.
 const JITTER_DIVISOR: Nanos = 8;
-/// Delay, in probe periods, until this member's next comparison of its view with another member's, if the two
-/// views may still differ. In all other cases, the delay is about one announce period.
+/// If this member's view may still differ from another member's after a comparison, the next comparison
+/// follows after at most this number of probe periods. In all other cases, the next comparison follows after
+/// about one announce period.
 const REPEAT_PROBE_PERIODS: Nanos = 2;
 
 impl Membership {
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -51,8 +51,8 @@
     pub key: Vec<u8>,
     /// Interval at which each member probes one other member.
     pub probe_period: Nanos,
-    /// Time for which the prober waits for the answer to a direct probe. Without an answer, the prober then
-    /// requests other members to probe the same member. Must be shorter than the probe period.
+    /// Time for which the prober waits for the answer to a direct probe. If no answer arrives in this time,
+    /// the prober requests other members to probe the same member. Must be shorter than the probe period.
     pub probe_rtt: Nanos,
     /// Suspicion time, as a multiple of the probe period. A suspect that does not refute the suspicion within
     /// the suspicion time is declared down.
@@ -226,7 +226,7 @@
     /// Returns the maximum body size of gossip, probes and answers to probes, in bytes. With this limit,
     /// gossip in packets of maximum size takes at most half of the budget of bytes per second. The other half
     /// is left to probes and lists of members. The limit is never below [`PACKET_BYTES_MIN`], even if gossip
-    /// then takes more.
+    /// takes more than half of the budget with this minimum.
     pub(crate) fn gossip_packet_bytes(&self) -> usize {
         let packets_per_second = GOSSIP_MEMBERS as u64 * SECOND_NS.div_ceil(self.gossip_period);
         let datagram_bytes = (self.bytes_per_second / (2 * packets_per_second)) as usize;
--- a/crates/membership/src/simulation/mod.rs
+++ b/crates/membership/src/simulation/mod.rs
@@ -40,8 +40,8 @@
     timeouts: BinaryHeap<Reverse<Timeout>>,
     /// Number of threads that run the members. With one thread, the simulation runs event by event. With more
     /// threads, it runs in time windows. The length of a window is the network's minimum delay, which must be
-    /// above 0. A datagram sent within a window then arrives in a later window, so the result does not depend
-    /// on the number of threads.
+    /// above 0. A datagram sent within a window therefore arrives in a later window, so the result does not
+    /// depend on the number of threads.
     pub threads: usize,
     /// Number of datagrams that all members have sent since the start of the simulation.
     pub sent: u64,
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -104,9 +104,9 @@
 
     /// Declares down every member that has been suspect for twice the suspicion time. In foca, only a timer
     /// of the prober, whose probe raised the suspicion, declares the suspect down. The timer fires after one
-    /// suspicion time, but is lost if the prober crashes or takes a new incarnation. The suspect would then
-    /// remain suspect in every view. As in SWIM, each member therefore also times suspicions out. Waiting for
-    /// twice the suspicion time lets the prober's timer fire first.
+    /// suspicion time, but is lost if the prober crashes or takes a new incarnation. Without the timer, the
+    /// suspect would remain suspect in every view. As in SWIM, each member therefore also times suspicions
+    /// out. Waiting for twice the suspicion time lets the prober's timer fire first.
     fn expire_suspicions(&mut self) {
         let mut expired = Vec::new();
         let mut first_seen = HashMap::new();
--- a/crates/membership/tests/bytes.rs
+++ b/crates/membership/tests/bytes.rs
@@ -1,6 +1,6 @@
 //! Tests of the limit on the bytes that a member sends per second. The main test covers the situation with
-//! the most traffic, the end of a partition. Each part of the fleet has then declared the members of the
-//! other part down, so every member takes a new incarnation.
+//! the most traffic, the end of a partition. During the partition, each part of the fleet has declared the
+//! members of the other part down, so every member takes a new incarnation.
 
 use meadowstream_membership::digest::BUCKETS;
 use meadowstream_membership::envelope::{PayloadKind, Sealer};
--- a/crates/replication/src/member/settings.rs
+++ b/crates/replication/src/member/settings.rs
@@ -1,5 +1,4 @@
-//! Settings of a member that takes part in the replication of the configuration, and the allowed ranges of
-//! the settings.
+//! Settings of one member for the replication of the configuration, with the allowed ranges.
 
 use crate::message::{BODY_BYTES_MAX, Location};
 use crate::time::{MILLISECOND_NS, Nanos};
--- a/crates/replication/src/replica/acceptor.rs
+++ b/crates/replication/src/replica/acceptor.rs
@@ -24,9 +24,9 @@
             return self.send(from, Message::EpochRejected { promised: self.promised });
         }
         self.adopt_epoch(epoch);
-        // Send no promise if this replica no longer holds entry number `after`: it may then also lack entries
-        // that the candidate requests. The candidate receives these entries by gossip, and then repeats its
-        // request with a higher `after`.
+        // Send no promise if this replica no longer holds entry number `after`. In this case, this replica
+        // may also lack later entries, which the candidate requests. The candidate receives these entries by
+        // gossip, and then repeats its request with a higher `after`.
         if self.position(after, log).is_none() && after < log.number() {
             return;
         }
--- a/crates/replication/src/replica/election.rs
+++ b/crates/replication/src/replica/election.rs
@@ -107,9 +107,9 @@
         }
     }
 
-    /// Sends each other replica the request that it still has to answer in this election. A replica that has
-    /// not promised gets a request for a promise. A replica that has promised, but not yet sent its whole
-    /// log, gets a request for the rest.
+    /// Sends requests to the replicas that still have to answer in this election. A replica that has not
+    /// promised gets a request for a promise. A replica that has promised, but not yet sent its whole log,
+    /// gets a request for the rest.
     fn send_prepares(&mut self, log: &CommittedLog) {
         let Role::Candidate(candidate) = &self.role else { return };
         let mut requests = Vec::new();
--- a/crates/simulator-adapter/src/codec/event.rs
+++ b/crates/simulator-adapter/src/codec/event.rs
@@ -28,7 +28,7 @@
     /// invocation.
     pub const ID: usize = 1;
     pub const OUTCOME: usize = 9;
-    /// Offset of the duration of a downstream call, in an event that reports the end of the call.
+    /// Offset of the call's duration. Applies to records that report the end of a downstream call.
     pub const CALL_DURATION: usize = 11;
     pub const DRAIN_GRACE: usize = 1;
     pub const TIMER: usize = 1;
