--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -13,12 +13,13 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-/// Width of the random jitter in the interval between two comparisons of views: the announce period divided
-/// by this number. The interval is the announce period plus or minus at most half of this width. Without
-/// jitter, members that were started together would all compare their views at the same times.
+/// The interval between two comparisons of views has a random jitter. The width of the jitter is the announce
+/// period divided by this number. The interval is the announce period plus or minus at most half of this
+/// width. Without jitter, members that were started together would all compare their views at the same times.
 const JITTER_DIVISOR: Nanos = 8;
-/// Delay, in probe periods, until this member's next comparison of its view with another member's, if the two
-/// views may still differ. In all other cases, the delay is about one announce period.
+/// If this member's view may still differ from another member's after a comparison, the next comparison
+/// follows after at most this number of probe periods. In all other cases, the next comparison follows after
+/// about one announce period.
 const REPEAT_PROBE_PERIODS: Nanos = 2;
 
 impl Membership {
@@ -167,7 +168,7 @@
         let Some(refutations) = alive.map(Member::incarnation) else { return };
         let suspected = Member::new(id.clone(), refutations, State::Suspect);
         let mut effects = FocaEffects::default();
-        // Errors can be ignored: if foca does not apply the suspicion, the next comparison of views leads to
+        // Errors can be ignored: if foca does not apply the suspicion, a later comparison of views leads to
         // another attempt.
         let _ = self.foca.apply_many(std::iter::once(suspected), true, &mut effects);
         self.apply(effects);
@@ -185,7 +186,8 @@
     }
 
     /// Starts one comparison of views: sends the digest of this member's view to a random other member, which
-    /// may be down. Also announces this server to a random seed that is not alive or suspect in this view.
+    /// may be down. Also announces this server to a random seed that is neither alive nor suspect in this
+    /// member's view.
     pub(crate) fn start_anti_entropy(&mut self) {
         let jitter = self.announce_period / JITTER_DIVISOR;
         let delay = self.rng.next_u64() % jitter.max(1);
@@ -200,16 +202,16 @@
         self.announce_to_unknown_seed();
     }
 
-    /// Announces this server to a random seed that is not alive or suspect in this view. Members recorded as
-    /// down are removed from the view after some time. After a partition that lasts longer than this time,
-    /// the two parts of the fleet no longer know each other. They rediscover each other only through the
-    /// seeds.
+    /// Announces this server to a random seed that is neither alive nor suspect in this member's view.
+    /// Members recorded as down are removed from the view after some time. After a partition that lasts
+    /// longer than this time, the two parts of the fleet no longer know each other. They rediscover each
+    /// other only through the seeds.
     fn announce_to_unknown_seed(&mut self) {
         let known: HashSet<SocketAddr> = self.foca.iter_members().map(|member| member.id().addr).collect();
         let seeds = self.rejoin.seeds.iter().copied();
         let unknown: Vec<SocketAddr> = seeds.filter(|seed| !known.contains(seed)).collect();
-        // There is nothing to do if every seed is alive or suspect in this view. If this member knows no
-        // other member, `rejoin_if_due` announces this server to all seeds instead.
+        // There is nothing to do if every seed is alive or suspect in this member's view. If this member
+        // knows no other member, `rejoin_if_due` announces this server to all seeds instead.
         if known.is_empty() || unknown.is_empty() {
             return;
         }
--- a/crates/membership/src/envelope.rs
+++ b/crates/membership/src/envelope.rs
@@ -51,7 +51,7 @@
 pub const HEADER_BYTES: usize = 30;
 /// Size of a datagram's authentication tag, which follows the body, in bytes.
 pub const TAG_BYTES: usize = 32;
-/// Size of everything in a datagram except the body (the header and the authentication tag), in bytes.
+/// Total size of a datagram's header and authentication tag, in bytes. The rest of the datagram is the body.
 pub const ENVELOPE_BYTES: usize = HEADER_BYTES + TAG_BYTES;
 /// Largest possible UDP payload over IPv4, in bytes.
 pub const DATAGRAM_BYTES_MAX: usize = 65_507;
@@ -126,8 +126,8 @@
 }
 
 impl Sealer {
-    /// Creates a sealer that accepts bodies of at most `body_max` bytes. The limit is never higher than
-    /// [`DATAGRAM_BYTES_MAX`] minus [`ENVELOPE_BYTES`], even if `body_max` is.
+    /// Creates a sealer that accepts bodies of at most `body_max` bytes. If `body_max` is higher than
+    /// [`DATAGRAM_BYTES_MAX`] minus [`ENVELOPE_BYTES`], this lower limit applies instead.
     pub fn new(fleet: &str, key: &[u8], body_max: usize) -> Sealer {
         let digest = Sha256::digest(fleet.as_bytes());
         let mut fleet_mark = [0; 8];
@@ -201,7 +201,7 @@
         }
         let (sealed, tag) = datagram.split_at(HEADER_BYTES + body_bytes);
         // `verify_slice` compares the tags in constant time. Otherwise, the duration of the comparison would
-        // reveal to an attacker how many bytes of a forged tag are right.
+        // reveal to an attacker how many bytes of a forged tag are correct.
         self.authenticate(sealed).verify_slice(tag).map_err(|_| DropReason::Tag)?;
         Ok(OpenedDatagram {
             kind,
--- a/crates/membership/tests/bytes.rs
+++ b/crates/membership/tests/bytes.rs
@@ -1,6 +1,6 @@
 //! Tests of the limit on the bytes that a member sends per second. The main test covers the situation with
-//! the most traffic, the end of a partition. Each part of the fleet has then declared the members of the
-//! other part down, so every member takes a new incarnation.
+//! the most traffic, the end of a partition. During the partition, each part of the fleet has declared the
+//! members of the other part down, so every member takes a new incarnation.
 
 use meadowstream_membership::digest::BUCKETS;
 use meadowstream_membership::envelope::{PayloadKind, Sealer};
@@ -107,9 +107,8 @@
     );
     let later = send_digest(&mut membership, 4 * SECOND + 1_100 * MILLISECOND, 6);
     assert!(later > BYTES_PER_SECOND / 2, "sent {later} bytes in answer to a digest one second later");
-    // The member could not send all members, so the views may still differ. The member therefore compares its
-    // view again after two probe periods. Otherwise, the next comparison would follow after an announce
-    // period.
+    // The member could not send all members, so the views may still differ. The member must therefore compare
+    // its view again after two probe periods, and not only after an announce period.
     membership.handle_timeout(4 * SECOND + 2 * settings().probe_period);
     let is_digest = |datagram: &[u8]| {
         let opened = sealer.open(datagram).expect("a datagram of this fleet");
--- a/crates/replication/src/replica/acceptor.rs
+++ b/crates/replication/src/replica/acceptor.rs
@@ -7,7 +7,7 @@
 use crate::message::Message;
 use crate::revision::Position;
 
-/// The leader's request that this replica store log entries, with the fields of [`Message::Append`].
+/// A request from the leader to store log entries. The fields are those of [`Message::Append`].
 pub(super) struct AppendRequest {
     pub(super) epoch: u64,
     pub(super) previous: Position,
@@ -24,9 +24,9 @@
             return self.send(from, Message::EpochRejected { promised: self.promised });
         }
         self.adopt_epoch(epoch);
-        // Send no promise if this replica no longer holds entry number `after`: it may then also lack entries
-        // that the candidate requests. The candidate receives these entries by gossip, and then repeats its
-        // request with a higher `after`.
+        // Send no promise if this replica no longer holds entry number `after`. In this case, this replica
+        // may also lack later entries, which the candidate requests. The candidate receives these entries by
+        // gossip, and then repeats its request with a higher `after`.
         if self.position(after, log).is_none() && after < log.number() {
             return;
         }
--- a/crates/replication/src/replica/election.rs
+++ b/crates/replication/src/replica/election.rs
@@ -30,8 +30,8 @@
 }
 
 impl PromisedLog {
-    /// Returns the number of the last entry received from the replica that made the promise. If no entry was
-    /// received, returns the number of the last entry in the candidate's committed log.
+    /// Returns the number of the last entry up to which the candidate has this log. If `entries` is empty,
+    /// this is the last entry in the candidate's committed log.
     fn reached(&self, log: &CommittedLog) -> u64 {
         self.entries.last().map_or(log.number(), Entry::number)
     }
@@ -56,7 +56,7 @@
     }
 }
 
-/// A replica's answer to a request for a promise, with the fields of [`Message::Promise`].
+/// A replica's answer to a request for a promise. The fields are those of [`Message::Promise`].
 pub(super) struct Promise {
     pub(super) epoch: u64,
     pub(super) last: Position,
@@ -66,7 +66,7 @@
 
 /// The configuration at the end of a log. The last change in the log may be incomplete.
 struct LogEnd {
-    /// State after the last entry.
+    /// The configuration after the last entry of the log.
     state: State,
     /// Changes that undo the last change if only some of its entries are in the log. Empty if the last change
     /// is complete.
@@ -107,9 +107,9 @@
         }
     }
 
-    /// Sends each other replica the request that it still has to answer in this election. A replica that has
-    /// not promised gets a request for a promise. A replica that has promised, but not yet sent its whole
-    /// log, gets a request for the rest.
+    /// Sends requests to the replicas that still have to answer in this election. A replica that has not
+    /// promised gets a request for a promise. A replica that has promised, but not yet sent its whole log,
+    /// gets a request for the rest.
     fn send_prepares(&mut self, log: &CommittedLog) {
         let Role::Candidate(candidate) = &self.role else { return };
         let mut requests = Vec::new();
--- a/crates/simulator-adapter/src/codec/event.rs
+++ b/crates/simulator-adapter/src/codec/event.rs
@@ -28,7 +28,7 @@
     /// invocation.
     pub const ID: usize = 1;
     pub const OUTCOME: usize = 9;
-    /// Offset of the duration of a downstream call, in an event that reports the end of the call.
+    /// Offset of the call's duration. Applies to records that report the end of a downstream call.
     pub const CALL_DURATION: usize = 11;
     pub const DRAIN_GRACE: usize = 1;
     pub const TIMER: usize = 1;
@@ -77,7 +77,7 @@
 
 impl GaugeReadings<'_> {
     /// Returns the reading of the gauge with the given index. Returns `None` if the event has no reading for
-    /// this index.
+    /// this index, and an error if the reading is not a finite number.
     pub fn get(&self, index: usize) -> Result<Option<f64>, EventError> {
         if index >= self.count {
             return Ok(None);
