--- a/crates/capacity/src/added_latency.rs
+++ b/crates/capacity/src/added_latency.rs
@@ -71,9 +71,8 @@
     /// Maximum of the added latency, in microseconds.
     #[serde(rename = "most")]
     pub max_us: u64,
-    /// 99th percentile of the delay with which timers of the load generator fired, in microseconds. The
-    /// machine causes this delay and not the measured process. The machine also delays the timers of the
-    /// measured process.
+    /// 99th percentile of the delay with which timers of the load generator fired, in microseconds. This
+    /// delay is caused by the machine. The machine delays the timers of the measured process in the same way.
     #[serde(rename = "timer_p99")]
     pub timer_p99_us: u64,
     /// Resident memory of the process at the end of the load, in bytes.
--- a/crates/capacity/src/day/mod.rs
+++ b/crates/capacity/src/day/mod.rs
@@ -18,8 +18,8 @@
 use serde::Serialize;
 use summary::summary;
 
-/// Upper bound of the 99th percentile of the delay with which servers apply a configuration change, in
-/// seconds. The delay begins when the leader accepts the change.
+/// Upper bound in seconds for the delay with which servers apply a configuration change. The delay begins
+/// when the leader accepts the change. The bound applies to the 99th percentile of the delays.
 pub const IN_FORCE_SECONDS_BOUND: f64 = 4.0;
 /// Simulated time for which the simulation continues after the end of the day, in nanoseconds. In this time,
 /// servers apply the last changes.
@@ -108,14 +108,14 @@
     /// The time starts when the leader accepts the change. Servers that did not stay reachable are left out.
     #[serde(rename = "everywhere_p99")]
     pub everywhere_p99_seconds: f64,
-    /// Longest catch-up time of a server that was cut off, or restarted with its disk intact, in seconds. The
-    /// catch-up time starts when the server returns. It ends when the server applies the revision that was
-    /// newest at its return. Servers that never caught up are left out.
+    /// Longest catch-up time in seconds, over the servers that were cut off or restarted with an intact disk.
+    /// The catch-up time of a server starts when the server returns. The time ends when the server applies
+    /// the revision that was newest at its return. Servers that never caught up are left out.
     #[serde(rename = "caught_up_worst")]
     pub catch_up_max_seconds: f64,
-    /// Longest catch-up time of a server that restarted with an empty disk, in seconds. The catch-up time
-    /// starts when the server returns. It ends when the server applies the revision that was newest at its
-    /// return. Servers that never caught up are left out.
+    /// Longest catch-up time in seconds, over the servers that restarted with an empty disk. The catch-up
+    /// time of a server starts when the server returns. The time ends when the server applies the revision
+    /// that was newest at its return. Servers that never caught up are left out.
     #[serde(rename = "empty_caught_up_worst")]
     pub empty_disk_catch_up_max_seconds: f64,
     /// Number of times that a server returned to the fleet after a restart or a network partition.
--- a/crates/capacity/src/day/run.rs
+++ b/crates/capacity/src/day/run.rs
@@ -24,7 +24,7 @@
 const KEYS: usize = 2_000;
 /// Number of keys that one change sets when the initial configuration is published.
 const KEYS_PER_CHANGE: usize = 200;
-/// Number of latest changes from whose receivers a server is removed when the server stops or is cut off. The
+/// When a server stops or is cut off, it is removed from the receivers of this number of latest changes. The
 /// server may not have received these changes.
 const RECENT_CHANGES: usize = 20;
 
@@ -72,7 +72,7 @@
     pub(super) not_published: usize,
     /// Number of server restarts and server failures so far. Failures of control machines are not counted.
     pub(super) restarts: usize,
-    /// Number of the last revision that the leader accepted.
+    /// Number of the latest revision that the leader accepted.
     newest_revision: u64,
 }
 
--- a/crates/capacity/src/fleet.rs
+++ b/crates/capacity/src/fleet.rs
@@ -39,7 +39,8 @@
     servers: Vec<Option<ModelServer>>,
     /// Network partition group of each server, by server index. All servers start in group 0.
     groups: Vec<u32>,
-    /// Pairs of groups (sender's group, receiver's group) between which all datagrams are lost.
+    /// Pairs `(sender's group, receiver's group)`. All datagrams from the sender's group to the receiver's
+    /// group are lost.
     cuts: HashSet<(u32, u32)>,
     /// Fraction of datagrams that the network loses at random, from 0 to 1.
     pub loss: f64,
--- a/crates/capacity/src/incidents.rs
+++ b/crates/capacity/src/incidents.rs
@@ -36,9 +36,9 @@
     pub description: String,
     /// Number of servers in the fleet.
     pub servers: usize,
-    /// Seconds from the failure until the membership views of the running servers agreed; `None` if they did
-    /// not agree in time. For a network partition, the value is 0 if the views on each side agreed when the
-    /// partition ended, and `None` otherwise.
+    /// Seconds from the failure until the membership views of the running servers agreed; `None` if the views
+    /// did not agree in time. For a network partition, the value is 0 if the views on each side agreed when
+    /// the partition ended, and `None` otherwise.
     #[serde(rename = "seen")]
     pub convergence_after_loss: Option<f64>,
     /// Seconds from the end of the failure until the membership views of all servers agreed; `None` if the
@@ -50,8 +50,8 @@
     /// Number of restarted servers that joined the fleet while all seeds were down. `None` for failures in
     /// which the seeds keep running.
     pub joined_meanwhile: Option<usize>,
-    /// Number of servers in the isolated part of the fleet that held a lease at the end of the network
-    /// partition. `None` for failures without a partition.
+    /// Number of isolated servers that held a lease when the network partition ended. `None` for failures
+    /// without a partition.
     pub leases_in_cut: Option<usize>,
     /// Average CPU use and network traffic per server in the peak second after the failure ended. In the peak
     /// second, the fleet sent more bytes than in any other second.
@@ -189,8 +189,9 @@
     (CONTROL_MACHINES..fleet.len()).map(bytes_of).collect()
 }
 
-/// Returns the highest send rate of one server over a period of [`BURST_NS`], in bytes per second.
-/// `sent_by_second` holds, for each second, the total bytes that each server had sent by then.
+/// Returns the highest send rate of one server over a period of [`BURST_NS`], in bytes per second. The first
+/// entry of `sent_by_second` holds the bytes that each server had sent before the first second. Each later
+/// entry holds the bytes that each server had sent by the end of one more second.
 fn burst_of_one_server(sent_by_second: &[Vec<u64>]) -> f64 {
     let span_seconds = (BURST_NS / SECOND_NS) as usize;
     let max_within = |span: &[Vec<u64>]| {
--- a/crates/capacity/src/report/bounds.rs
+++ b/crates/capacity/src/report/bounds.rs
@@ -4,7 +4,8 @@
 use crate::day::IN_FORCE_SECONDS_BOUND;
 use crate::scale::BYTES_PER_SECOND_BOUND;
 
-/// Upper bound of the 99th percentile of the latency that a process adds to invocations, in microseconds.
+/// Upper bound in microseconds for the latency that a process adds to invocations. The bound applies to the
+/// 99th percentile of the latency.
 const ADDED_LATENCY_US_BOUND: u64 = 5_100;
 /// Upper bound of the time for which an options reload blocks the serving thread, in microseconds.
 const PAUSE_US_BOUND: u64 = 1_000;
--- a/crates/capacity/src/report/mod.rs
+++ b/crates/capacity/src/report/mod.rs
@@ -17,15 +17,15 @@
 use std::path::Path;
 use std::time::Instant;
 
-/// Minimum of [`Options::servers`]. The smallest modelled fleet has a sixteenth of [`Options::servers`], and
-/// must contain all control machines.
+/// Minimum of [`Options::servers`]. The smallest modelled fleet has one sixteenth of this number of servers,
+/// which must be enough for all control machines.
 pub const SERVERS_MIN: usize = 80;
 /// Maximum of [`Options::servers`].
 pub const SERVERS_MAX: usize = 2_000;
-/// Number of named tenants with which added latency and reload time are measured. With this number of
-/// tenants, added latency and reload time must be within their bounds.
+/// Number of named tenants in the measurements of added latency and reload time. With this number of tenants,
+/// added latency and reload time must be within their bounds.
 const TENANTS: usize = 64_000;
-/// Number of operations (routes) with which added latency and reload time are measured. With this number of
+/// Number of operations (routes) in the measurements of added latency and reload time. With this number of
 /// operations, added latency and reload time must be within their bounds.
 const ROUTES: usize = 6_200;
 /// Invocations per second that one server receives in each of the two measured loads. The whole fleet
--- a/crates/capacity/src/scale.rs
+++ b/crates/capacity/src/scale.rs
@@ -28,7 +28,10 @@
 /// Number of servers in the reference fleet. The bounds and the numbers of restarts and failures per day are
 /// stated for a fleet of this size.
 pub const STATED_SERVERS: f64 = 690.0;
-/// Time in simulated nanoseconds after which the servers of a failed rack start again.
+/// Time in simulated nanoseconds before the servers of a failed rack start again. In a simulated day, the
+/// time counts from the failure. If the day is very short, the time is shortened, too. In
+/// [`crate::incidents::rack_lost`], the time counts from the end of the wait for the other servers'
+/// membership views to agree.
 pub const RACK_DOWN_NS: Nanos = 60 * SECOND_NS;
 /// Number of control machines. The control machines are the first servers of the fleet. They are also the
 /// seeds, through which every server joins the fleet.
@@ -36,8 +39,8 @@
 /// Number of control machines that vote on budget leases and store the replicated configuration log. These
 /// voters are the first control machines of the fleet.
 pub const VOTERS: usize = 3;
-/// Name of the lease that selects the leader. The holder of this lease leads the replicated configuration
-/// log.
+/// Name of the lease that selects the leader of the replicated configuration log. The server that holds the
+/// lease is the leader.
 const LOG_LEASE: &str = "publishing";
 const LEASE_NS: Nanos = 4 * SECOND_NS;
 const GOSSIP_INTERVAL_NS: Nanos = SECOND_NS / 2;
--- a/crates/capacity/src/topology.rs
+++ b/crates/capacity/src/topology.rs
@@ -9,9 +9,9 @@
 pub const REGIONS: usize = 3;
 /// Total number of zones in all regions.
 pub const ZONES: usize = 10;
-/// Index of the region that is cut off in a simulated network partition of a region.
+/// Index of the region that is cut off when the network partition of a region is simulated.
 pub(crate) const CUT_REGION: usize = 2;
-/// Index of the zone that is cut off in a simulated network partition of a zone.
+/// Index of the zone that is cut off when the network partition of a zone is simulated.
 pub(crate) const CUT_ZONE: usize = 9;
 
 const MICROSECOND_NS: Nanos = 1_000;
--- a/crates/rollout/src/canary.rs
+++ b/crates/rollout/src/canary.rs
@@ -51,9 +51,9 @@
         class: String,
         /// Metric in which the changed servers perform worse.
         metric: Metric,
-        /// Mean of the changed servers minus the mean of the unchanged servers, minus twice the standard
-        /// error of the baselines. The unit is the unit of the metric: a share, or the logarithm of a
-        /// latency.
+        /// Mean value of the changed servers, minus the mean value of the unchanged servers, minus twice the
+        /// standard error of the changed servers' baselines. The unit is the unit of the metric: a share, or
+        /// the logarithm of a latency.
         difference: f64,
         /// One-sided p-value: the probability that chance alone gives the changed servers ranks at least as
         /// high as the observed ranks.
--- a/crates/rollout/src/coordinator/baking.rs
+++ b/crates/rollout/src/coordinator/baking.rs
@@ -6,8 +6,8 @@
 use crate::canary::{Canary, Verdict};
 use crate::plan::{INTERVALS_MIN, OnRegression};
 
-/// Maximum time to wait for enough values to compare servers, as a multiple of the bake time of the stage.
-/// After this time, the rollout is stopped or rolled back, as the plan specifies.
+/// Maximum time for which a stage waits for enough values for a comparison, as a multiple of the stage's bake
+/// time. After this time, the rollout is stopped or rolled back, as the plan specifies.
 const INSUFFICIENT_DATA_FACTOR: Nanos = 3;
 /// Maximum number of verdicts in a stage, as a multiple of the planned number. Each verdict adds to the
 /// probability of a false stop. If servers report once per planned interval, the planned number is not
@@ -55,8 +55,8 @@
     }
 
     /// Adds the new metrics of servers that comply with their orders to the comparison. The metrics are
-    /// dropped if a server is missing or the membership view changed a short time ago. The membership change
-    /// may then have caused a difference between servers.
+    /// dropped while the membership view is not settled: a server is missing, or the view changed less than
+    /// the plan's settle time ago. A difference between servers may then be caused by the membership change.
     fn add_to_canary(&mut self, interval: &Interval) {
         for new_interval in self.take_new_intervals(interval.view) {
             if self.complies(&new_interval.server) {
--- a/crates/rollout/src/coordinator/compliance.rs
+++ b/crates/rollout/src/coordinator/compliance.rs
@@ -5,8 +5,8 @@
 use crate::metrics::IntervalMetrics;
 use crate::wire::Report;
 
-/// Maximum number of orders sent to a server after the order that the server's latest report answers. A
-/// server counts as silent if more orders were sent.
+/// Number of latest orders that a server may leave unanswered. A server that leaves more orders unanswered
+/// counts as silent.
 const SILENT_ORDERS: u64 = 2;
 
 /// The latest report of a server.
@@ -32,8 +32,9 @@
 }
 
 impl Coordinator {
-    /// Returns whether a server complies with its order: its latest report states that it runs the settings
-    /// or program that the order names.
+    /// Returns whether a server complies with its order, according to its latest report. A server that was
+    /// selected for the change must run the plan's new settings or program. Any other server must run its own
+    /// settings or program. A server without a report does not comply.
     pub(super) fn complies(&self, server: &str) -> bool {
         let Some(received) = self.reports.get(server) else { return false };
         if self.state.changed.contains(server) {
@@ -50,7 +51,7 @@
     }
 
     /// Returns whether a server is silent. A server is silent if it has never reported. It is also silent if
-    /// more than [`SILENT_ORDERS`] orders were sent after the order that its latest report answers.
+    /// it has left more than [`SILENT_ORDERS`] of the latest orders unanswered.
     fn is_silent(&self, server: &str) -> bool {
         let last_answered = self.reports.get(server).map(|received| received.report.order_sequence);
         last_answered.is_none_or(|last_answered| last_answered + SILENT_ORDERS < self.order_sequence)
--- a/crates/rollout/src/coordinator/mod.rs
+++ b/crates/rollout/src/coordinator/mod.rs
@@ -68,7 +68,7 @@
     /// The saved state belongs to another plan.
     #[error("the saved state belongs to plan {saved:?}, not {requested:?}")]
     OtherPlan {
-        /// Name of the plan in the saved state.
+        /// Name of the plan to which the saved state belongs.
         saved: String,
         /// Name of the requested plan.
         requested: String,
@@ -76,15 +76,16 @@
     /// The candidate (the new settings or program) differs from the candidate with which the plan began.
     #[error("the candidate is {requested:016x}, but the plan began with candidate {saved:016x}")]
     OtherCandidate {
-        /// Hash of the candidate in the saved state.
+        /// Hash of the candidate with which the plan began, from the saved state.
         saved: u64,
         /// Hash of the requested candidate.
         requested: u64,
     },
-    /// The stage of the saved state does not exist in the plan.
+    /// The current stage in the saved state does not exist in the plan.
     #[error("the saved state is at stage {stage}, which the plan does not have")]
     UnknownStage {
-        /// Number of the stage in the saved state, counted from 1.
+        /// Number of the stage that the saved state names as the current stage. The first stage has the
+        /// number 1.
         stage: usize,
     },
 }
@@ -94,13 +95,14 @@
     plan: Plan,
     /// Start time of this coordinator, in nanoseconds since the Unix epoch.
     incarnation: u64,
-    /// Sequence number of the last order that this coordinator sent; 0 before the first order.
+    /// Sequence number of the orders that this coordinator sent last; 0 before the first orders. All orders
+    /// of one interval have the same number.
     order_sequence: u64,
     state: PersistedState,
     /// Time at which the current phase of the plan began, in nanoseconds on the caller's clock.
     phase_began: Nanos,
-    /// Bake time of the current stage that has passed so far, in nanoseconds. Time counts only after the
-    /// warm-up, while this coordinator holds the rollout lease and the view is settled.
+    /// Time in nanoseconds for which the current stage has baked so far. Time counts only after the warm-up,
+    /// while this coordinator holds the rollout lease and the view is settled.
     baked: Nanos,
     /// Number of verdicts in the current stage. A verdict counts only if there were enough intervals to
     /// compare servers. After `VERDICTS_FACTOR` times the planned number of verdicts,
--- a/crates/rollout/src/coordinator/stages.rs
+++ b/crates/rollout/src/coordinator/stages.rs
@@ -63,7 +63,7 @@
     }
 
     /// Selects the servers to change, so that `size` servers are changed in total. The order of selection
-    /// depends on the plan's name. Otherwise, every plan would begin with the same server.
+    /// depends on the plan's name, so that different plans begin with different servers.
     fn choose_servers(&self, size: usize, view: &FleetView) -> Vec<String> {
         let is_unchanged = |server: &&String| !self.state.changed.contains(*server);
         let mut unchanged: Vec<String> = view.alive.iter().filter(is_unchanged).cloned().collect();
--- a/crates/rollout/src/coordinator/state.rs
+++ b/crates/rollout/src/coordinator/state.rs
@@ -50,7 +50,7 @@
     }
 }
 
-/// State of a plan that is saved to disk. A restarted coordinator continues from this state.
+/// State of a plan, as saved to disk. A restarted coordinator continues from this state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PersistedState {
     /// Name of the plan.
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -14,10 +14,10 @@
 pub const STAGES_MAX: usize = 32;
 /// Minimum number of intervals that a comparison of servers needs.
 pub const INTERVALS_MIN: usize = 6;
-/// Maximum of the latency threshold in a plan. The threshold is a relative increase of the 95th percentile of
-/// latency.
+/// Maximum latency threshold that a plan may set. The threshold is a relative increase of the 95th percentile
+/// of latency.
 const LATENCY_MAX: f64 = 100.0;
-/// Maximum of `alpha` in a plan. `alpha` is the probability of a false stop that the plan accepts.
+/// Maximum `alpha` that a plan may set. `alpha` is the accepted probability of a false stop.
 const ALPHA_MAX: f64 = 0.2;
 
 /// Kind of a change. The order of the variants is part of the wire format.
@@ -213,7 +213,7 @@
         /// 100.
         latency: f64,
     },
-    /// The probability of a false stop that the plan accepts is out of range.
+    /// The plan's `alpha`, its accepted probability of a false stop, is out of range.
     #[error("alpha: {alpha} is not above 0 and at most {ALPHA_MAX}")]
     Alpha {
         /// Value of `alpha` in the plan.
--- a/crates/rollout/src/rank_test.rs
+++ b/crates/rollout/src/rank_test.rs
@@ -25,8 +25,8 @@
 /// Result of a comparison.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Comparison {
-    /// Difference between the changed and the unchanged servers: the mean of the changed servers, minus the
-    /// mean of the unchanged servers, minus twice the standard error of the baselines.
+    /// Mean value of the changed servers, minus the mean value of the unchanged servers, minus twice the
+    /// standard error of the changed servers' baselines.
     pub difference: f64,
     /// One-sided p-value: the probability that chance alone gives the changed servers ranks at least as high
     /// as the observed ranks.
@@ -102,7 +102,8 @@
 }
 
 /// Estimates the variance of the sum of autocorrelated values (Newey and West 1987). The estimate adds
-/// autocovariances with Bartlett's weights, up to a lag of the square root of the number of values.
+/// autocovariances with Bartlett's weights, up to a maximum lag. The maximum lag is the square root of the
+/// number of values.
 fn newey_west_variance(values: &[f64]) -> f64 {
     let count = values.len();
     let mean = mean(values);
--- a/crates/rollout/src/version_table.rs
+++ b/crates/rollout/src/version_table.rs
@@ -73,8 +73,8 @@
     }
 
     /// Returns the entries to send to another server: this server's entry and up to [`RELAYED_MAX`] entries
-    /// of other servers. The random number `draw` selects the first entry of another server. The next entries
-    /// follow in the order of server names.
+    /// of other servers. The random number `draw` selects the other server with which the list begins. The
+    /// following entries are in the order of server names, and the first name follows the last name.
     pub fn announcement(&self, draw: u64) -> Vec<ServerVersion> {
         let count = self.others.len();
         let start = if count == 0 { 0 } else { (draw % count as u64) as usize };
--- a/crates/rollout/src/version_table/tests.rs
+++ b/crates/rollout/src/version_table/tests.rs
@@ -8,7 +8,8 @@
 }
 
 /// Simulates a fleet of 64 servers. In each round, every server sends its announcement to one random server.
-/// A change must reach all servers within 200 rounds, and an older entry that arrives late must not undo it.
+/// A change must reach all servers within 200 rounds, and an older entry that arrives late must not undo the
+/// change.
 #[test]
 fn a_change_reaches_every_server_and_an_older_entry_does_not_undo_it() {
     let servers = 64;
--- a/crates/rollout/src/wire.rs
+++ b/crates/rollout/src/wire.rs
@@ -23,11 +23,11 @@
 pub struct Order {
     /// Name of the plan.
     pub plan: String,
-    /// Start time of the coordinator, in nanoseconds since the Unix epoch. Servers ignore orders with an
-    /// earlier start time.
+    /// Start time of the coordinator, in nanoseconds since the Unix epoch. Servers ignore an order that
+    /// arrives after an order with a later start time.
     pub incarnation: u64,
-    /// Sequence number of the order, counted since the start of the coordinator. Servers ignore an order that
-    /// arrives after an order with a higher number.
+    /// Sequence number of the order, counted since the start of the coordinator. Servers ignore an order if
+    /// they have accepted an order with the same number or a higher number from this coordinator.
     pub sequence: u64,
     /// Kind of the change.
     pub kind: ChangeKind,
--- a/crates/rollout/tests/rollouts.rs
+++ b/crates/rollout/tests/rollouts.rs
@@ -28,8 +28,8 @@
     None,
     /// The change adds this number to the share of premium invocations that are rejected.
     ThrottlesPremium(f64),
-    /// The change adds this number to the share of rejected invocations of both classes, only while load is
-    /// high.
+    /// While the load is high, the change adds this number to the share of rejected invocations in both
+    /// classes.
     UnderLoad(f64),
     /// The change multiplies the latency by this factor.
     Slower(f64),
@@ -206,8 +206,8 @@
         self.carry_out(actions);
     }
 
-    /// Carries out the coordinator's actions in order. [`Fleet::deliver`] checks that the state was saved
-    /// before an order that depends on it is sent.
+    /// Carries out the coordinator's actions in order. [`Fleet::deliver`] checks that the coordinator saves
+    /// its state before it sends an order that depends on the state.
     fn carry_out(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
@@ -343,7 +343,7 @@
 fn permanent_differences_between_servers_are_no_regression() {
     for seed in 0..10 {
         let mut fleet = Fleet::new(10, Change::None, 300 + seed);
-        // All servers with even numbers are slower than the other servers by an equal factor.
+        // Makes all servers with even numbers permanently slower, by an equal factor.
         (0..10).step_by(2).for_each(|i| fleet.servers[i].offset += 0.5);
         let phase = fleet.run(&mut begin(plan()), 600);
         assert_eq!(phase, Phase::Done, "{:?}", fleet.messages);
--- a/crates/test-doubles/src/faults.rs
+++ b/crates/test-doubles/src/faults.rs
@@ -22,8 +22,8 @@
     /// Network partition group of each member, by the member's index. A member without an entry is in group
     /// 0.
     pub groups: HashMap<usize, u32>,
-    /// Pairs of groups (sender's group, receiver's group) between which traffic is cut. During a cut, the UDP
-    /// relay drops datagrams. The TCP relay holds back bytes until the cut ends.
+    /// Pairs `(sender's group, receiver's group)`. Traffic from the sender's group to the receiver's group is
+    /// cut. During a cut, the UDP relay drops datagrams. The TCP relay holds back bytes until the cut ends.
     pub cuts: HashSet<(u32, u32)>,
 }
 
--- a/crates/test-doubles/src/fleet/harness.rs
+++ b/crates/test-doubles/src/fleet/harness.rs
@@ -31,8 +31,8 @@
     /// Socket to which all servers send their load reports, in place of a service registry. The reports are
     /// not read.
     registry: UdpSocket,
-    /// Listener to which a server connects if the harness runs no interpreter for it. The kernel accepts the
-    /// connections, and no answer is ever sent.
+    /// Listener to which a server connects if the harness runs no interpreter for the server. The kernel
+    /// accepts the connections, and no answer is ever sent.
     silent_interpreter: TcpListener,
 }
 
@@ -254,8 +254,8 @@
         log.lines().iter().any(|line| contains(&line.fields))
     }
 
-    /// Returns the fields of each log line with the message `message` of the server with this index, oldest
-    /// first.
+    /// Reads the log of the server with this index. Returns the fields of each line whose message is
+    /// `message`, oldest first.
     pub fn log_lines(&self, index: usize, message: &str) -> Vec<Value> {
         self.log(index).map_or(Vec::new(), |log| log.events(message))
     }
--- a/crates/test-doubles/src/fleet/view.rs
+++ b/crates/test-doubles/src/fleet/view.rs
@@ -12,7 +12,8 @@
 const REPORTED_LINES: usize = 40;
 
 /// Times until the membership views of the expected members agreed, as measured by
-/// [`FleetHarness::wait_for_agreement`]. The times are counted from the instant `since` of that function.
+/// [`FleetHarness::wait_for_agreement`]. The times are counted from the instant that this function gets as
+/// `since`.
 #[derive(Debug, Clone)]
 pub struct AgreementTimes {
     /// Time until each server's view first agreed with the expected members. In such a view, all other
@@ -23,15 +24,15 @@
 }
 
 impl FleetHarness {
-    /// Returns the state of each other member, as listed in the last membership view that the server `index`
-    /// has logged. The key is the name of the member.
+    /// Reads the last membership view that the server `index` has logged. Returns the state of each member
+    /// that this view lists. The key is the name of the member. A view does not list the server itself.
     pub fn member_states(&self, index: usize) -> BTreeMap<String, String> {
         self.member_states_since(index, None)
     }
 
-    /// Returns the state of each other member, as listed in the last membership view that the server `index`
-    /// has logged. Views that the harness read before `since` are ignored. Otherwise, the result for a server
-    /// that was stalled could be an outdated view, logged before the stall.
+    /// Reads the last membership view that the server `index` has logged. Returns the state of each member
+    /// that this view lists. Views that the harness read before `since` are ignored, because they may be
+    /// outdated. For example, a stalled server logs no new view.
     fn member_states_since(&self, index: usize, since: Option<Instant>) -> BTreeMap<String, String> {
         let view = self.log(index).and_then(|log| log.last_event("view", since));
         let Some(members) = view.as_ref().and_then(|view| view["members"].as_str()) else {
--- a/crates/test-doubles/src/interpreter/link.rs
+++ b/crates/test-doubles/src/interpreter/link.rs
@@ -16,8 +16,8 @@
     Closed,
 }
 
-/// Serves one connection of a server until the server closes it. Fails if a notice cannot be written or a
-/// command is not JSON.
+/// Serves one connection from a server until the server closes the connection. Fails if a notice cannot be
+/// written or a command is not JSON.
 pub async fn serve(machine: &mut Machine, stream: Async<TcpStream>) -> std::io::Result<()> {
     stream.get_ref().set_nodelay(true)?;
     let mut lines = BufReader::new(&stream).lines();
@@ -47,8 +47,8 @@
             }
             Event::Closed => return Ok(()),
         }
-        // Notices with an index are retained, to be sent again on the next link. A notice about a run has an
-        // index, also if a command has halted the run. A direct reply to a command has no index and is not
+        // Notices with an index are retained, so that the next link can repeat them. A notice about a run has
+        // an index, even if a command has halted the run. A direct reply to a command has no index and is not
         // retained.
         machine.retain_notices(&notices[run_notices..]);
         let text: String = notices.iter().map(|notice| format!("{notice}\n")).collect();
--- a/crates/test-doubles/src/interpreter/machine.rs
+++ b/crates/test-doubles/src/interpreter/machine.rs
@@ -51,8 +51,8 @@
 pub struct Machine {
     cores: f64,
     runs: BTreeMap<String, Run>,
-    /// Time at which the last completed run of each task ended, by task. An entry is kept for at least
-    /// [`ENDED_MEMORY`].
+    /// Time at which the last completed run of each task ended. The key is the task. An entry is kept for at
+    /// least [`ENDED_MEMORY`].
     ended: BTreeMap<String, Instant>,
     /// Time up to which the runs have been simulated.
     advanced_to: Instant,
--- a/crates/test-doubles/src/soak/plan.rs
+++ b/crates/test-doubles/src/soak/plan.rs
@@ -8,8 +8,8 @@
 /// Time in milliseconds from the start of the load until the harness begins to send the final signals, which
 /// include a drain notice. All events of the plan begin in this time.
 const SPAN_MS: u64 = 5_000;
-/// Upper bound of the random pauses that separate repeated signals, in milliseconds. In a series of equal
-/// signals, the n-th repetition is delayed by n times a random pause.
+/// Upper bound of the random pauses between signals, in milliseconds. There is a random pause before each
+/// final signal. If an event repeats its signal, the n-th repetition is delayed by n times a random pause.
 const SERIES_GAP_MS: u64 = 40;
 /// Upper bound of the time for which a server without a shared budget is stopped by SIGSTOP, in milliseconds.
 const STOP_MS: u64 = 1_200;
--- a/crates/test-doubles/src/soak/play.rs
+++ b/crates/test-doubles/src/soak/play.rs
@@ -196,8 +196,8 @@
         Ok(())
     }
 
-    /// Sends the final signals to each server and waits until all servers have exited. A server that still
-    /// runs [`checks::STOP_AFTER`] after its drain notice is killed.
+    /// Sends the final signals to each server and waits until all servers have exited. If a server still runs
+    /// when [`checks::STOP_AFTER`] has passed since its drain notice, the server is killed.
     fn end(&mut self, plan: &Plan) -> Result<()> {
         let mut drain_notices = Vec::new();
         for server in 0..plan.servers {
--- a/crates/test-doubles/src/tenant_rehearsal/invocation.rs
+++ b/crates/test-doubles/src/tenant_rehearsal/invocation.rs
@@ -33,9 +33,9 @@
     }
 
     /// Sends the first attempt and any retries, and returns the last reply. A rejected invocation is retried
-    /// after the Retry-After time, with the ticket from the rejection. It is not retried if the rejection has
-    /// no ticket, if `follows_advice` is false, or if the retry would be later than twice the latency
-    /// objective after the first attempt.
+    /// after the Retry-After time, with the ticket from the rejection. The invocation is not retried if the
+    /// rejection has no ticket, or if `follows_advice` is false. A retry is also not sent if more than twice
+    /// the latency objective would have passed since the first attempt.
     async fn attempt_until_answered(&self, began: Instant, counted: bool) -> Option<Reply> {
         let retry_span = 2 * self.load.plan.objective;
         let mut ticket: Option<String> = None;
--- a/crates/test-doubles/src/udp_relay.rs
+++ b/crates/test-doubles/src/udp_relay.rs
@@ -112,8 +112,8 @@
         self.endpoints[index]
     }
 
-    /// Registers the socket address of the member with this index. The relay then identifies the member by
-    /// this address if the member sends a datagram. It also delivers datagrams for the member to this
+    /// Registers the socket address of the member with this index. When the member sends a datagram, the
+    /// relay identifies the member by this address. The relay also delivers datagrams for the member to this
     /// address.
     pub fn register(&self, index: usize, bound: SocketAddr) {
         lock(&self.shared.members)[index] = Some(bound);
--- a/crates/wire-fixtures/src/lib.rs
+++ b/crates/wire-fixtures/src/lib.rs
@@ -24,11 +24,12 @@
 }
 
 impl Fixtures {
-    /// Reads the fixture file at `path`. A file that cannot be read is treated as empty.
+    /// Reads the fixture file at `path`. A file that cannot be read is treated as empty. Empty lines and
+    /// lines that begin with `#` are ignored.
     ///
     /// # Panics
     ///
-    /// Panics if a line does not consist of a name and an even number of hexadecimal digits.
+    /// Panics if any other line does not consist of a name and an even number of hexadecimal digits.
     pub fn load(path: impl AsRef<Path>) -> Fixtures {
         let path = path.as_ref().to_path_buf();
         let text = std::fs::read_to_string(&path).unwrap_or_default();
