--- a/crates/capacity/src/process_fleet.rs
+++ b/crates/capacity/src/process_fleet.rs
@@ -9,12 +9,12 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Time between the start and the measurement of a single process that is not in a fleet.
+/// Time to wait after the start of the single process without a fleet, before the process is measured.
 const ALONE_SETTLE: Duration = Duration::from_secs(2);
 const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(90);
 const CONVERGENCE_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Time between the moment when all processes have joined and the measurement of the fleet. Servers stop
-/// sending gossip about the joins in this time.
+/// Time to wait after all processes have joined the fleet, before the fleet is measured. In this time, the
+/// servers stop sending gossip about the joins.
 const JOIN_GOSSIP_DURATION: Duration = Duration::from_secs(12);
 const DESCRIPTORS: usize = 256;
 
--- a/crates/rollout/src/baseline.rs
+++ b/crates/rollout/src/baseline.rs
@@ -75,7 +75,7 @@
     }
 
     /// Returns the baseline of a server for one class and metric. Returns `None` if the server has reported
-    /// fewer than [`VALUES_MIN`] values.
+    /// fewer than [`VALUES_MIN`] values for this class and metric.
     pub(crate) fn get(&self, server: &str, series: &Series) -> Option<Baseline> {
         let sums = self.by_server.get(server)?.iter().find(|sums| sums.is_of(series))?;
         if sums.count < VALUES_MIN {
--- a/crates/rollout/src/coordinator/baking.rs
+++ b/crates/rollout/src/coordinator/baking.rs
@@ -55,8 +55,8 @@
     }
 
     /// Adds the new metrics of servers that comply with their orders to the comparison. The metrics are
-    /// dropped while the membership view is not settled: a server is missing, or the view changed less than
-    /// the plan's settle time ago. A difference between servers may then be caused by the membership change.
+    /// dropped while the membership view is not settled, for example because a server is missing. A
+    /// membership change may then be the cause of a difference between servers.
     fn add_to_canary(&mut self, interval: &Interval) {
         for new_interval in self.take_new_intervals(interval.view) {
             if self.complies(&new_interval.server) {
--- a/crates/rollout/src/coordinator/mod.rs
+++ b/crates/rollout/src/coordinator/mod.rs
@@ -132,8 +132,8 @@
     /// Time since the end of the previous interval, in nanoseconds.
     elapsed: Nanos,
     view: &'a FleetView,
-    /// Whether the view is settled: no server is missing, and the view has not changed for the plan's settle
-    /// time.
+    /// Whether the view is settled. The view is settled if at least one server is alive, no server is
+    /// missing, and the view has not changed for the plan's settle time.
     is_settled: bool,
 }
 
--- a/crates/rollout/src/coordinator/stages.rs
+++ b/crates/rollout/src/coordinator/stages.rs
@@ -8,8 +8,8 @@
 use std::hash::{Hash, Hasher};
 
 impl Coordinator {
-    /// Adds the new metrics of servers to the baselines. Begins the first stage when each server has a
-    /// complete baseline and runs its own settings or program, without the change.
+    /// While the view is settled, adds the new metrics of servers to the baselines. Begins the first stage
+    /// when each server has a complete baseline and runs its own settings or program, without the change.
     pub(super) fn handle_waiting(&mut self, interval: &Interval, actions: &mut Vec<Action>) {
         let view = interval.view;
         if !interval.is_settled {
@@ -72,8 +72,8 @@
         unchanged
     }
 
-    /// Begins the comparison phase (baking) when all servers have reported that they comply with their
-    /// orders.
+    /// Begins the comparison phase (baking) when the view is settled and all servers have recently reported
+    /// that they comply with their orders.
     pub(super) fn handle_applying(&mut self, interval: &Interval, actions: &mut Vec<Action>) {
         let view = interval.view;
         // The returned metrics are dropped, because they are from intervals that ended before the comparison
--- a/crates/test-doubles/src/balancers.rs
+++ b/crates/test-doubles/src/balancers.rs
@@ -119,8 +119,8 @@
         })
     }
 
-    /// Sends a call and waits for its reply. Returns `None` if no connection has capacity for the call, or if
-    /// the connection breaks before the reply.
+    /// Sends a call and waits for its reply. Returns `None` if no connection has capacity for the call, if a
+    /// new connection cannot be opened, or if the connection breaks before the reply.
     pub async fn call(self: &Rc<Self>, operation: &str, fields: &str, body: &[u8]) -> Option<Reply> {
         let Ok(Some(connection)) = self.connection().await else {
             self.unsent_calls.set(self.unsent_calls.get() + 1);
--- a/crates/test-doubles/src/fleet/harness.rs
+++ b/crates/test-doubles/src/fleet/harness.rs
@@ -221,13 +221,13 @@
     }
 
     /// Returns the process id of the server with this index. Returns `None` if the server is not started or
-    /// was killed.
+    /// was killed by [`Self::signal`].
     pub fn process_id(&self, index: usize) -> Option<u32> {
         self.processes[index].as_ref().map(|process| process.child.id())
     }
 
-    /// Returns the exit status of the server with this index. Returns `None` if the server still runs or is
-    /// not started.
+    /// Returns the exit status of the server with this index. Returns `None` if the server still runs, is not
+    /// started or was killed by [`Self::signal`].
     pub fn exit_status(&mut self, index: usize) -> Option<ExitStatus> {
         self.processes[index].as_mut()?.child.try_wait().ok()?
     }
--- a/crates/test-doubles/src/fleet/loopback.rs
+++ b/crates/test-doubles/src/fleet/loopback.rs
@@ -1,4 +1,4 @@
-//! Loopback addresses that no other fleet uses.
+//! Selects a different loopback address for each fleet.
 
 use std::net::Ipv4Addr;
 use std::sync::atomic::{AtomicU32, Ordering::Relaxed};
@@ -7,7 +7,8 @@
 /// process uses the first address again.
 const ADDRESSES: u32 = 254;
 
-/// Returns a loopback address that no other fleet uses at present, in this process or in another process.
+/// Returns a loopback address for a new fleet. The address contains the low 16 bits of the process id and a
+/// counter, so fleets that run at the same time normally have different addresses.
 ///
 /// After a server has exited, the system may give its port to another server. Clients that still connect to
 /// the exited server would then reach a server of another fleet if both fleets used the same address.
--- a/crates/test-doubles/src/fleet/rehearsal.rs
+++ b/crates/test-doubles/src/fleet/rehearsal.rs
@@ -45,7 +45,8 @@
     Ok(table(servers, &[join, crash, stall, resume, cut, heal]))
 }
 
-/// Stops a server with SIGSTOP, waits until all other servers see it as down, and continues it with SIGCONT.
+/// Stops a server with SIGSTOP and waits until all other servers see it as down. Then continues the server
+/// with SIGCONT and waits until all servers in `alive` see each other as alive.
 fn stall_one(fleet: &mut FleetHarness, alive: &[usize], stalled: usize) -> Result<[Step; 2]> {
     fleet.signal(stalled, "STOP")?;
     let since = Instant::now();
@@ -57,7 +58,8 @@
 }
 
 /// Starts a network partition between the servers in `left` and the servers in `right`. Waits until the
-/// servers on each side see only their own side, then ends the partition.
+/// servers on each side see only their own side. Then ends the partition and waits until all servers in
+/// `alive` see each other as alive.
 fn partition(fleet: &FleetHarness, alive: &[usize], left: &[usize], right: &[usize]) -> Result<[Step; 2]> {
     fleet.relay.change_faults(|faults| {
         for &index in right {
