--- a/crates/rollout/src/coordinator/stages.rs
+++ b/crates/rollout/src/coordinator/stages.rs
@@ -8,8 +8,8 @@
 use std::hash::{Hash, Hasher};
 
 impl Coordinator {
-    /// Adds the new metrics of servers to the baselines. Begins the first stage when each server has a
-    /// complete baseline and runs its own settings or program, without the change.
+    /// While the view is settled, adds the new metrics of servers to the baselines. Begins the first stage
+    /// when each server has a complete baseline and runs its own settings or program, without the change.
     pub(super) fn handle_waiting(&mut self, interval: &Interval, actions: &mut Vec<Action>) {
         let view = interval.view;
         if !interval.is_settled {
@@ -63,7 +63,7 @@
     }
 
     /// Selects the servers to change, so that `size` servers are changed in total. The order of selection
-    /// depends on the plan's name. Otherwise, every plan would begin with the same server.
+    /// depends on the plan's name, so that different plans begin with different servers.
     fn choose_servers(&self, size: usize, view: &FleetView) -> Vec<String> {
         let is_unchanged = |server: &&String| !self.state.changed.contains(*server);
         let mut unchanged: Vec<String> = view.alive.iter().filter(is_unchanged).cloned().collect();
@@ -72,8 +72,8 @@
         unchanged
     }
 
-    /// Begins the comparison phase (baking) when all servers have reported that they comply with their
-    /// orders.
+    /// Begins the comparison phase (baking) when the view is settled and all servers have recently reported
+    /// that they comply with their orders.
     pub(super) fn handle_applying(&mut self, interval: &Interval, actions: &mut Vec<Action>) {
         let view = interval.view;
         // The returned metrics are dropped, because they are from intervals that ended before the comparison
--- a/crates/test-doubles/src/fleet/harness.rs
+++ b/crates/test-doubles/src/fleet/harness.rs
@@ -31,8 +31,8 @@
     /// Socket to which all servers send their load reports, in place of a service registry. The reports are
     /// not read.
     registry: UdpSocket,
-    /// Listener to which a server connects if the harness runs no interpreter for it. The kernel accepts the
-    /// connections, and no answer is ever sent.
+    /// Listener to which a server connects if the harness runs no interpreter for the server. The kernel
+    /// accepts the connections, and no answer is ever sent.
     silent_interpreter: TcpListener,
 }
 
@@ -221,13 +221,13 @@
     }
 
     /// Returns the process id of the server with this index. Returns `None` if the server is not started or
-    /// was killed.
+    /// was killed by [`Self::signal`].
     pub fn process_id(&self, index: usize) -> Option<u32> {
         self.processes[index].as_ref().map(|process| process.child.id())
     }
 
-    /// Returns the exit status of the server with this index. Returns `None` if the server still runs or is
-    /// not started.
+    /// Returns the exit status of the server with this index. Returns `None` if the server still runs, is not
+    /// started or was killed by [`Self::signal`].
     pub fn exit_status(&mut self, index: usize) -> Option<ExitStatus> {
         self.processes[index].as_mut()?.child.try_wait().ok()?
     }
@@ -254,8 +254,8 @@
         log.lines().iter().any(|line| contains(&line.fields))
     }
 
-    /// Returns the fields of each log line with the message `message` of the server with this index, oldest
-    /// first.
+    /// Reads the log of the server with this index. Returns the fields of each line whose message is
+    /// `message`, oldest first.
     pub fn log_lines(&self, index: usize, message: &str) -> Vec<Value> {
         self.log(index).map_or(Vec::new(), |log| log.events(message))
     }
