--- a/crates/capacity/src/day/summary.rs
+++ b/crates/capacity/src/day/summary.rs
@@ -66,7 +66,8 @@
     }
 
     /// Describes the configuration changes with the longest delays. Each description names the slowest
-    /// receiver.
+    /// receiver of the change: of the servers for which the change's delay is measured, the one with the
+    /// longest delay.
     fn slowest(&self, run: &Run) -> Vec<String> {
         struct SlowChange {
             seconds: f64,
--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -78,7 +78,8 @@
     pub line: Option<Line>,
     /// Value that the line predicts for the largest size; NaN without a line.
     pub predicted: f64,
-    /// Measured value at the largest size.
+    /// Value of the quantity that was measured at the largest size of the system, such as the largest number
+    /// of servers.
     pub measured: f64,
     /// Upper bound for the measured value at the largest size; `None` without a bound.
     pub bound: Option<f64>,
--- a/crates/fair-queueing/src/scheduler.rs
+++ b/crates/fair-queueing/src/scheduler.rs
@@ -313,8 +313,8 @@
         RetryAdvice { retry_after: ticket.wait, ticket: Some(ticket.number) }
     }
 
-    /// Reserves the part of the tenant's share that a promise needs. For a tenant in the sketch, which stores
-    /// no reservations, the work is charged to the share at once.
+    /// Reserves tenant share for the promised retry of a rejected arrival (`admission`). For a tenant in the
+    /// sketch, which stores no reservations, the arrival's estimated work is charged to the share at once.
     fn book(&mut self, admission: &Admission, booked_start: f64) {
         match self.usage.booked_until_mut(admission.location) {
             Some(booked_until) => *booked_until = booked_start + admission.estimated_work / admission.weight,
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -30,8 +30,8 @@
     ends_at: Nanos,
 }
 
-/// Identifies a suspicion, independent of the member that raised it. The key contains the suspect's number of
-/// refutations. A new suspicion after a refutation therefore has a different key.
+/// Key of a suspicion. The key is the same whichever member raised the suspicion. It contains the suspect's
+/// number of refutations. A new suspicion after a refutation therefore has a different key.
 #[derive(PartialEq, Eq, Hash)]
 struct SuspicionKey {
     addr: SocketAddr,
--- a/crates/pending-queue/src/late_search.rs
+++ b/crates/pending-queue/src/late_search.rs
@@ -2,10 +2,11 @@
 //! immediately and its run would end after its deadline.
 //!
 //! The search uses a tree whose nodes summarize the entries below them. The summaries contain lateness
-//! computed from earlier usual times, which are called the reference times. Since then the usual times have
-//! grown by at most a known share. The search skips a node if all entries below it would end in time even
-//! after this growth. Otherwise the search continues below the node. Individual entries are checked against
-//! the present usual times, so the result is exact.
+//! that was computed from the usual times of the operations' runs at an earlier moment. These earlier usual
+//! times are called the reference times. Since that moment, the usual times have grown by at most a known
+//! share. The search skips a node if all entries below it would end in time even after this growth. Otherwise
+//! the search continues below the node. Individual entries are checked against the present usual times, so
+//! the result is exact.
 
 use crate::reference_times::ReferenceTimes;
 use crate::sum_tree::{Block, SumTree};
--- a/crates/replication/src/member/control.rs
+++ b/crates/replication/src/member/control.rs
@@ -34,8 +34,9 @@
 }
 
 impl Control {
-    /// Creates the state of a control machine. `persisted_number` is the number of the revision that was read
-    /// from disk; 0 if there was none.
+    /// Creates the state of a control machine: a member that keeps the replicated log and takes part in the
+    /// consensus protocol. `persisted_number` is the number of the revision that was read from disk; 0 if
+    /// there was none.
     pub(super) fn new(replica: Replica, persisted_number: u64, now: Nanos) -> Control {
         Control {
             replica,
--- a/crates/replication/src/progress.rs
+++ b/crates/replication/src/progress.rs
@@ -128,7 +128,7 @@
 
     /// Selects the members that are to be polled for a report now, and records them as polled. A member of
     /// `alive` is selected if it has not applied revision `number`. A member whose last poll is unanswered is
-    /// selected only after the interval between two polls has passed. Selects at most [`POLLS_AT_ONCE_MAX`]
+    /// selected only after the interval between two polls has passed. Selects at most `POLLS_AT_ONCE_MAX`
     /// members.
     pub fn poll<'a>(
         &mut self,
